--- /dev/null
+++ b/core/tests/handover_forms.rs
@@ -0,0 +1,349 @@
+//! What one process hands to the next on an upgrade, as bytes: what an earlier version sent is gone on from, and the same
+//! state is sent as the same bytes. `WRITE_FIXTURES=1` writes the files anew.
+
+mod common;
+mod fixtures;
+
+use bytes::Bytes;
+use common::{NOW, World, calls, class, killed, provider};
+use fixtures::fixture;
+use quillmount_core::call::{Call, Part};
+use quillmount_core::flow::{Cut, Late};
+use quillmount_core::hub::{self, Hub};
+use quillmount_core::machine::attempt::{Answer, Decode, Input, State};
+use quillmount_core::machine::consumer;
+use quillmount_core::pool::Pool;
+use quillmount_core::router::{Router, StreamLimits, mark};
+use quillmount_core::store::Memory;
+use quillmount_core::{
+    CallEnd, CallId, Ending, Invocation, InvokerCall, Parcel, Provider, ProviderList, Rider,
+};
+use spurshore::{Eye, ListState, Micros};
+use spurshore_settings::{Category, Env, FamilyInfo, Limits, Tenant};
+use std::sync::Arc;
+
+const DISK: u64 = 999_999;
+const STREAMS: Option<StreamLimits> = Some(StreamLimits { most: 4, part_of_slots: 0.5, part_of_window: 0.5 });
+/// Of the settings below: a state of another mark is not gone on from.
+const MARK: u32 = 1_794_195_402;
+
+/// All that an observer is shown, in order.
+#[derive(Default, PartialEq, Debug)]
+struct Words(Vec<u64>);
+
+impl Eye for Words {
+    fn word(&mut self, word: u64) {
+        self.0.push(word);
+    }
+    fn time(&mut self, at: Micros) {
+        self.0.push(at);
+    }
+    fn message(&mut self, id: u64) {
+        self.0.push(id);
+    }
+    fn endpoint(&mut self, id: u32) {
+        self.0.push(id.into());
+    }
+}
+
+fn words(hub: &World) -> Words {
+    let mut words = Words::default();
+    hub.router.see(&mut words);
+    words
+}
+
+fn env() -> Env {
+    let keyed = Category {
+        memory_span_ms: 6_000.0,
+        dedup_scope: Some("zone".into()),
+        ..class("paid-notice", "dedup")
+    };
+    Env {
+        categories: vec![class("fee-debit", "fragile"), keyed, class("quote", "retryable")],
+        failure_domains: vec!["z".into(), "y".into()],
+        zone: Some("z".into()),
+        skus: vec!["k".into()],
+        tenants: vec![Tenant { name: "north".into(), allowance_per_s: 2.0 }],
+        weight_source: Some("nominal".into()),
+        family_info: FamilyInfo { batch_by_kind: vec![20], call_slots: Some(16), ..FamilyInfo::default() },
+        limits: Limits { cancel: Some(true), max_attempts: Some(6), ..Limits::default() },
+        ..Env::default()
+    }
+}
+
+fn list() -> ProviderList {
+    let line = |n: u64, state| Provider {
+        zone: if n.is_multiple_of(2) { "z" } else { "y" }.into(),
+        kind: "k".into(),
+        weight: 2.0,
+        ..provider(&format!("s-{n}"), n / 2, state)
+    };
+    let states = [
+        ListState::Ready,
+        ListState::Ready,
+        ListState::Ready,
+        ListState::Draining,
+        ListState::Ready,
+        ListState::Ready,
+        ListState::Gone,
+    ];
+    let providers = states.into_iter().zip(0..).map(|(state, n)| line(n, state)).collect();
+    ProviderList { version: 41, full: true, providers }
+}
+
+fn invocation(n: u64) -> Invocation {
+    Invocation {
+        id: format!("m{n}"),
+        class: ["fee-debit", "paid-notice", "quote"][n as usize % 3].into(),
+        key: n.is_multiple_of(2).then(|| format!("k{n}")),
+        dest: n % 3,
+        tenant: n.is_multiple_of(4).then(|| "north".into()),
+        time_left: 16_000_000,
+        body: Bytes::from_static(b"body"),
+    }
+}
+
+/// A courier in the middle of much: calls out, some with several messages, one told to wait, failures that make an
+/// outage, ends that wait for the platform, endpoints that are out, messages that wait, streams in each state.
+fn busy() -> World {
+    let (router, steps) =
+        Router::open_with(&env(), STREAMS, 7, list(), Memory::default(), DISK, NOW).unwrap();
+    let mut hub = Hub::new(router, Pool::new(15_000_000, 99));
+    hub.carry_out(steps, NOW);
+    hub.list(list(), NOW);
+    hub.hold("s-1", true, NOW).unwrap();
+    let ends = [
+        CallEnd::Delivered,
+        CallEnd::Full(20_000_000),
+        CallEnd::Reset,
+        CallEnd::Reset,
+        CallEnd::TimedOut,
+        CallEnd::Error,
+        CallEnd::CouldNotConnect,
+    ];
+    let mut out: Vec<InvokerCall> = Vec::new();
+    for n in 0..60 {
+        let now = NOW + n * 30_000;
+        out.extend(calls(hub.take_on(invocation(n), now).1));
+        out.extend(calls(hub.tick(now)));
+        // The last destination answers nobody.
+        if let Some(first) = out.iter().position(|call| call.dest != 2) {
+            let call = out.remove(first);
+            let end = ends[n as usize % ends.len()];
+            let ends = vec![end; 1 + call.more.len()];
+            out.extend(calls(hub.call_ended_each(call.call, &ends, &Default::default(), now + 9_000)));
+        }
+    }
+    let now = NOW + 1_900_000;
+    for n in 100..104 {
+        let dest = n % 2;
+        let (_, msg, todo) = hub.take_on_stream(Invocation { dest, ..invocation(n) }, now);
+        for call in calls(todo).into_iter().filter(|call| call.call.msg == msg && n % 2 == 0) {
+            hub.stream(|router| router.stream_written(call.call, now + 1), now + 1);
+            hub.router.stream_committed(msg);
+        }
+        let why = [None, Some(Cut::Gone), Some(Cut::Late(Late::Slow)), Some(Cut::Digest)][n as usize % 4];
+        if n > 100 {
+            hub.stream(|router| router.stream_cut(msg, why, now + 2), now + 2);
+        }
+        if n > 102 {
+            hub.stream(|router| router.answered(msg, false, now + 3), now + 3);
+        }
+    }
+    hub
+}
+
+/// The pool tells of its waits in no order; here they are in that of their numbers, so that the bytes can be compared.
+fn encoded(hub: &World) -> Vec<u8> {
+    let mut state = hub.state(mark(&env(), STREAMS).unwrap());
+    state.holds.sort_unstable();
+    postcard::to_allocvec(&state).unwrap()
+}
+
+#[test]
+fn the_mark_of_settings_is_the_same_as_ever() {
+    assert_eq!(mark(&env(), STREAMS).unwrap(), MARK);
+}
+
+#[test]
+fn a_state_is_gone_on_from_and_sent_on_as_it_came() {
+    let hub = busy();
+    let stored = fixture("handover_state.bin", &encoded(&hub));
+    let journal = fixture("handover_journal.bin", killed(&hub).bytes());
+    let state: hub::State = postcard::from_bytes(&stored).unwrap();
+    assert_eq!(postcard::to_allocvec(&state).unwrap(), stored, "read and written without a courier");
+    let held = state.holds.clone();
+    let now = NOW + 2_000_000;
+    let (router, steps) =
+        Router::resume(&env(), STREAMS, state.router, Memory::of(journal.clone()), DISK, now).unwrap();
+    let mut next = Hub::new(router, Pool::new(15_000_000, 99));
+    let todo = next.resume(&held, steps, now);
+    assert!(calls(todo).is_empty(), "what is out is out still");
+    assert_eq!(words(&next), words(&hub));
+    assert_eq!(next.router.notices(99), hub.router.notices(99));
+    assert_eq!(next.router.calls_out(), hub.router.calls_out());
+    assert_eq!(next.router.load(), hub.router.load());
+    assert_eq!(encoded(&next), stored, "the next process would hand over the same");
+    assert_eq!(killed(&next).bytes(), journal);
+    // What there is of each kind, so that the file is known to have it.
+    let (open, out) = next.router.load();
+    assert_eq!((open, out, next.router.notices(99).len()), (63, 17, 20));
+    assert_eq!(held, [(2, NOW + 20_039_000), (3, NOW + 20_039_000)]);
+    let call = |msg| CallId { msg, attempt: 0 };
+    assert_eq!(next.router.calls_out(), [5, 35, 50, 2, 17].map(call));
+    assert_eq!(next.router.holds().iter().collect::<Vec<_>>(), ["s-1"]);
+    assert_eq!(next.router.version(), 41);
+    assert!((0..60).all(|n| next.router.knows(&format!("m{n}"))));
+    let counters = &next.router.counters;
+    assert_eq!((counters.taken_on, counters.calls, counters.bundles, counters.bundled), (64, 11, 6, 39));
+    assert_eq!((counters.delivered, counters.told_to_wait, counters.could_not_connect), (1, 1, 6));
+    assert_eq!((counters.resets, counters.deferred, counters.undeliverable), (19, 3, 19));
+    assert_eq!((counters.streams, counters.streams_cut), (4, 3));
+}
+
+/// An answer is whole with `.`.
+const DECODE: Decode = |bytes, over| match bytes.last() {
+    Some(b'.') => Answer::Whole { end: CallEnd::Delivered, reusable: true },
+    _ if over => Answer::Whole { end: CallEnd::Spoilt(0), reusable: false },
+    _ => Answer::Partial,
+};
+
+fn order(several: bool) -> InvokerCall {
+    let parcel = |n: u64| {
+        let key = n.is_multiple_of(2).then(|| format!("k{n}"));
+        Arc::new(Parcel {
+            id: format!("m{n}"),
+            key,
+            tenant: Some("left out".into()),
+            body: vec![n as u8; 3].into(),
+        })
+    };
+    let rider = |n| Rider { call: CallId { msg: n, attempt: 300 }, invocation: parcel(n) };
+    InvokerCall {
+        call: CallId { msg: 5, attempt: 1 },
+        provider: 3,
+        dest: 700,
+        addr: if several { "[2001:db8::1]:7070" } else { "10.1.0.18:7070" }.parse().unwrap(),
+        invocation: parcel(5),
+        timeout: 950_000,
+        by: if several { NOW + 900_000 } else { Micros::MAX },
+        stream: !several,
+        more: if several { vec![rider(6), rider(7)] } else { vec![] },
+        told: 850_000,
+    }
+}
+
+/// A call that is in this state, with its connection where it has one.
+fn in_state(state: &str, several: bool) -> (Part, Option<u32>) {
+    let mut pool: Pool<u32> = Pool::new(15_000_000, 9);
+    let mut call = Call::new(order(several), DECODE, 64);
+    if state != "new" {
+        call.start(&mut pool, NOW, |_| true);
+        call.connected(&mut pool, 42, NOW);
+        call.step(&mut pool, Input::Wrote { bytes: 200, left: 100 }, NOW);
+    }
+    if !matches!(state, "new" | "writing") {
+        call.step(&mut pool, Input::Wrote { bytes: 100, left: 0 }, NOW);
+    }
+    if matches!(state, "reading") {
+        call.parts().unwrap().1.extend_from_slice(b"HTTP/1.1 2");
+        call.step(&mut pool, Input::Read, NOW);
+    }
+    if let Some(input) = match state {
+        "given up" => Some(Input::GiveUp),
+        "late" => Some(Input::Deadline),
+        _ => None,
+    } {
+        call.step(&mut pool, input, NOW);
+    }
+    call.part(&mut pool, NOW + 950_000)
+}
+
+#[test]
+fn calls_that_are_out_are_handed_over_as_ever() {
+    let until = NOW + 5_000;
+    let states = [
+        ("new", State::New),
+        ("writing", State::Writing { written: 200 }),
+        ("awaiting", State::Awaiting),
+        ("reading", State::Reading { by: NOW + 100_000 }),
+        ("given up", State::Closing { end: CallEnd::GivenUp, until }),
+        ("late", State::Closing { end: CallEnd::TimedOut, until }),
+    ];
+    let all = states.iter().flat_map(|(name, state)| [(*name, *state, false), (*name, *state, true)]);
+    let all: Vec<_> = all.collect();
+    let parts: Vec<(Part, Option<u32>)> =
+        all.iter().map(|(name, _, several)| in_state(name, *several)).collect();
+    let stored = fixture("handover_calls.bin", &postcard::to_allocvec(&parts).unwrap());
+    let read: Vec<(Part, Option<u32>)> = postcard::from_bytes(&stored).unwrap();
+    assert_eq!(postcard::to_allocvec(&read).unwrap(), stored);
+    assert_eq!(read.len(), all.len());
+    for ((part, connection), (name, state, several)) in read.into_iter().zip(all) {
+        assert_eq!((part.until, connection.is_some()), (NOW + 950_000, name != "new"), "{name}");
+        let call = Call::resumed(part, DECODE, 64, connection, &mut Pool::new(15_000_000, 9));
+        assert_eq!(call.state(), state, "{name}");
+        let answer: &[u8] = if name == "reading" { b"HTTP/1.1 2" } else { b"" };
+        assert_eq!(call.attempt().answer(), answer, "{name}");
+        let (is, was) = (&call.order, order(several));
+        assert_eq!((is.call, is.provider, is.dest, is.addr), (was.call, 3, 700, was.addr));
+        assert_eq!((is.timeout, is.by, is.stream, is.told), (950_000, was.by, !several, 850_000));
+        let parcels = |order: &InvokerCall| {
+            let of = |p: &Parcel| (p.id.clone(), p.key.clone(), p.body.clone());
+            order.parcels().map(of).collect::<Vec<_>>()
+        };
+        assert_eq!(parcels(is), parcels(&was));
+        assert!(is.parcels().all(|parcel| parcel.tenant.is_none()), "the tenant is not handed over");
+        let riders = |order: &InvokerCall| order.more.iter().map(|rider| rider.call).collect::<Vec<_>>();
+        assert_eq!(riders(is), riders(&was));
+    }
+}
+
+/// Values that no run of the above may have: each variant, by its place among the others.
+#[test]
+fn enums_that_are_handed_over_have_their_variants_in_the_same_places() {
+    let call_ends = vec![
+        CallEnd::Delivered,
+        CallEnd::Each,
+        CallEnd::Error,
+        CallEnd::Spoilt(300),
+        CallEnd::Full(0),
+        CallEnd::NoSlot,
+        CallEnd::Exhausted,
+        CallEnd::Over,
+        CallEnd::HeldBack,
+        CallEnd::CouldNotConnect,
+        CallEnd::Reset,
+        CallEnd::TimedOut,
+        CallEnd::GivenUp,
+    ];
+    let states = vec![
+        State::New,
+        State::Connecting,
+        State::Writing { written: 300 },
+        State::Awaiting,
+        State::Reading { by: 300 },
+        State::Closing { end: CallEnd::GivenUp, until: 300 },
+        State::Over,
+    ];
+    let consumers = vec![
+        consumer::State::Asking { first: true, last: false },
+        consumer::State::Answering { probed: true, closes: false },
+        consumer::State::Resting { probed: true },
+        consumer::State::Leaving,
+        consumer::State::Closing,
+        consumer::State::Over,
+    ];
+    let cuts = vec![
+        Cut::Gone,
+        Cut::Malformed,
+        Cut::TooLarge,
+        Cut::Digest,
+        Cut::Late(Late::Stalled),
+        Cut::Late(Late::Slow),
+    ];
+    let endings = vec![Ending::Undeliverable, Ending::Deferred(300)];
+    let listed = vec![ListState::Gone, ListState::Ready, ListState::Draining];
+    let all = (call_ends, states, consumers, cuts, endings, listed);
+    let stored = fixture("handover_enums.bin", &postcard::to_allocvec(&all).unwrap());
+    assert_eq!(postcard::from_bytes(&stored), Ok(all));
+}
