--- /dev/null
+++ b/courier/tests/stored_forms.rs
@@ -0,0 +1,186 @@
+//! What two processes of a courier send each other on an upgrade, as bytes on their socket: what an earlier version sent is
+//! read, and the same values are sent as the same bytes. `WRITE_FIXTURES=1` writes the files anew.
+
+#![allow(dead_code, unused_imports)]
+
+#[path = "../../core/tests/fixtures/mod.rs"]
+mod fixtures;
+#[path = "../src/fleet/mod.rs"]
+mod fleet;
+#[path = "../src/transport/mod.rs"]
+mod transport;
+
+use fixtures::fixture;
+use quillmount_core::call;
+use quillmount_core::hub;
+use quillmount_core::machine::consumer;
+use quillmount_protocol::operator::Call;
+use serde::Serialize;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::UnixStream;
+use transport::channel::Channel;
+use transport::frames::Frame;
+use transport::handle::Part;
+
+/// A state and calls that are out: the core's tests check what is in them.
+const STATE: &[u8] = include_bytes!("../../core/tests/fixtures/handover_state.bin");
+const CALLS: &[u8] = include_bytes!("../../core/tests/fixtures/handover_calls.bin");
+
+/// What both sides say first.
+const HELLO: &[u8] = b"qmh\x00\x00\x03";
+
+fn state() -> Box<hub::State> {
+    Box::new(postcard::from_bytes(STATE).unwrap())
+}
+
+fn consumers() -> [consumer::State; 6] {
+    [
+        consumer::State::Asking { first: true, last: false },
+        consumer::State::Answering { probed: true, closes: false },
+        consumer::State::Resting { probed: true },
+        consumer::State::Leaving,
+        consumer::State::Closing,
+        consumer::State::Over,
+    ]
+}
+
+fn calls() -> Vec<(call::Part, Option<u32>)> {
+    postcard::from_bytes(CALLS).unwrap()
+}
+
+/// The parts that follow a state, each with a word whether a descriptor comes with it.
+fn parts() -> Vec<(Part, bool)> {
+    let mut all = vec![(Part::Listener, true), (Part::Listener, false)];
+    for state in consumers() {
+        all.push((Part::Consumer { state, bytes: b"POST /fee-debit HTTP/1.1\r\n".to_vec() }, true));
+    }
+    let addrs = ["10.1.0.18:7070", "[2001:db8::1]:7070"];
+    all.extend((300..).zip(addrs).map(|(provider, addr)| {
+        (Part::Resting { provider, addr: addr.parse().unwrap(), since: 1_700_000_000_000_000 }, true)
+    }));
+    all.extend(calls().into_iter().map(|(call, held)| (Part::Call(Box::new(call)), held.is_some())));
+    all
+}
+
+fn frames() -> Vec<Frame> {
+    let operators =
+        [Call::Ready, Call::Disable("s-1".into()), Call::Enable("s-1".into()), Call::Drain, Call::Undrain];
+    let mut all = vec![Frame::Ask];
+    all.extend(operators.map(Frame::Call));
+    all.push(Frame::Said("SUCCESS ready\n".into()));
+    all.push(Frame::Busy);
+    all.push(Frame::State { state: state(), drained: true, parts: parts().len(), ahead: -300 });
+    all.extend([Frame::Got, Frame::LetGo]);
+    all
+}
+
+fn play<T>(test: impl Future<Output = T>) -> T {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let played = async { tokio::time::timeout(Duration::from_secs(60), test).await };
+    tokio::task::LocalSet::new().block_on(&runtime, played).expect("the test has come to its end")
+}
+
+/// The bytes on the socket for all that one side sends, its greeting included.
+async fn sent<T: Serialize>(all: &[T]) -> Vec<u8> {
+    let (near, mut far) = UnixStream::pair().unwrap();
+    far.write_all(HELLO).await.unwrap();
+    let write = async {
+        let mut channel = Channel::open(near).await.unwrap();
+        for one in all {
+            channel.send(one, None).await.unwrap();
+        }
+    };
+    let mut bytes = Vec::new();
+    let read = far.read_to_end(&mut bytes);
+    let ((), read) = tokio::join!(write, read);
+    read.unwrap();
+    bytes
+}
+
+/// A channel whose other side has sent these bytes and ended.
+async fn heard(bytes: Vec<u8>) -> Channel {
+    let (near, mut far) = UnixStream::pair().unwrap();
+    tokio::task::spawn_local(async move {
+        far.write_all(&bytes).await.unwrap();
+        far.shutdown().await.unwrap();
+        // The greeting is to be taken.
+        far.read_to_end(&mut Vec::new()).await.unwrap();
+    });
+    Channel::open(near).await.unwrap()
+}
+
+#[test]
+fn frames_of_an_upgrade_are_read_and_sent_as_ever() {
+    play(async {
+        let stored = fixture("handover_frames.bin", &sent(&frames()).await);
+        assert!(stored.starts_with(HELLO));
+        let mut channel = heard(stored.clone()).await;
+        let mut read = Vec::new();
+        for _ in frames() {
+            read.push(channel.recv::<Frame>().await.unwrap());
+        }
+        assert!(channel.recv::<Frame>().await.is_err(), "nothing is left");
+        assert_eq!(sent(&read).await, stored);
+        let [Frame::Ask, Frame::Call(Call::Ready), Frame::Call(disable), Frame::Call(enable), rest @ ..] =
+            &read[..]
+        else {
+            panic!()
+        };
+        assert_eq!((disable, enable), (&Call::Disable("s-1".into()), &Call::Enable("s-1".into())));
+        let [Frame::Call(Call::Drain), Frame::Call(Call::Undrain), Frame::Said(said), Frame::Busy, rest @ ..] =
+            rest
+        else {
+            panic!()
+        };
+        assert_eq!(said, "SUCCESS ready\n");
+        let [Frame::State { state, drained: true, parts: count, ahead: -300 }, Frame::Got, Frame::LetGo] =
+            rest
+        else {
+            panic!()
+        };
+        assert_eq!(*count, parts().len());
+        assert_eq!(postcard::to_allocvec(state).unwrap(), STATE);
+    });
+}
+
+#[test]
+fn parts_of_an_upgrade_are_read_and_sent_as_ever() {
+    play(async {
+        let stored = fixture("handover_parts.bin", &sent(&parts()).await);
+        let mut channel = heard(stored.clone()).await;
+        let mut read = Vec::new();
+        for _ in parts() {
+            read.push(channel.recv::<(Part, bool)>().await.unwrap());
+        }
+        assert!(channel.recv::<(Part, bool)>().await.is_err(), "nothing is left");
+        assert_eq!(sent(&read).await, stored);
+        assert!(matches!(read[..2], [(Part::Listener, true), (Part::Listener, false)]));
+        for (one, wanted) in read[2..].iter().zip(consumers()) {
+            let (Part::Consumer { state, bytes }, true) = one else { panic!() };
+            assert_eq!((*state, &bytes[..]), (wanted, &b"POST /fee-debit HTTP/1.1\r\n"[..]));
+        }
+        let addrs = ["10.1.0.18:7070", "[2001:db8::1]:7070"].map(|addr| addr.parse().unwrap());
+        for (one, wanted) in read[8..10].iter().zip((300u32..).zip(addrs)) {
+            let (Part::Resting { provider, addr, since: 1_700_000_000_000_000 }, true) = one else {
+                panic!()
+            };
+            assert_eq!((*provider, *addr), wanted);
+        }
+        assert_eq!(read.len(), 10 + calls().len());
+        for ((one, fd), (wanted, held)) in read[10..].iter().zip(calls()) {
+            let Part::Call(call) = one else { panic!() };
+            assert_eq!((postcard::to_allocvec(call), *fd), (postcard::to_allocvec(&wanted), held.is_some()));
+        }
+    });
+}
+
+/// Another version's greeting ends the talk: its process restores from the journal instead.
+#[test]
+fn another_version_is_not_read() {
+    play(async {
+        let (near, mut far) = UnixStream::pair().unwrap();
+        far.write_all(b"qmh\x00\x00\x04").await.unwrap();
+        assert!(Channel::open(near).await.is_err());
+    });
+}
