--- a/wire/tests/fixture_files/mod.rs
+++ b/wire/tests/fixture_files/mod.rs
@@ -75,7 +75,7 @@
 }
 
 /// The folder of fixtures `name` has to equal `made`, but for zeros at the end of its files, which are left out. Returns a
-/// copy of the fixtures, which may be changed.
+/// copy of the fixtures with these zeros, which may be changed.
 pub fn fixture_folder(name: &str, made: &Path) -> TemporaryFolder {
     let copy = TemporaryFolder::new();
     let made_files = file_names(made);
@@ -84,6 +84,8 @@
         let length = bytes.iter().rposition(|byte| *byte != 0).map_or(0, |last| last + 1);
         let stored = fixture(&format!("{name}/{file}"), &bytes[..length]);
         fs::write(copy.0.join(file), stored).unwrap();
+        let whole = fs::OpenOptions::new().write(true).open(copy.0.join(file)).unwrap();
+        whole.set_len(bytes.len() as u64).unwrap();
     }
     assert_eq!(file_names(&fixture_path(name)), made_files, "files of {name}");
     copy
