--- /dev/null
+++ b/wire/tests/message_bytes.rs
@@ -0,0 +1,386 @@
+//! Messages between processes as they go over connections: tables of frames with every form of every message. Each frame is
+//! read the way a process reads it, and written to the same bytes.
+
+#[path = "fixture_files/mod.rs"]
+mod fixture_files;
+
+use fixture_files::fixture_table;
+use quillmount_wire::frame::{FrameError, FrameHead, FrameKind, HEAD_BYTES, aligned, encode};
+use quillmount_wire::messages::{
+    Accepted, DirectoryNews, Endpoint, Item, ItemResult, Job, JobState, MemberMessage, NodeInfo, NodeRole,
+    Phase, Placement, Poll, QuotaClaim, QuotaKey, QuotaStatement, RegisterValue, ReplicaMessage, Request,
+    Response, ServiceLoad, ShardOperation, ShardReport, ShardView, TableVersions, Tables, UsageWindow,
+};
+
+fn text(text: &str) -> String {
+    text.to_owned()
+}
+
+fn node(name: &str, disk: u64, admin: Option<&str>, role: NodeRole) -> NodeInfo {
+    NodeInfo {
+        name: text(name),
+        disk,
+        internal: format!("10.0.0.{disk}:7360"),
+        admin: admin.map(text),
+        zone: text("zone-a"),
+        role,
+    }
+}
+
+fn core() -> NodeInfo {
+    node("core-1", 101, Some("10.0.0.101:8683"), NodeRole::Core)
+}
+
+fn courier() -> NodeInfo {
+    node("courier-2", 102, None, NodeRole::Courier)
+}
+
+fn store() -> NodeInfo {
+    node("a-store-with-a-longer-name", 103, None, NodeRole::Store)
+}
+
+fn accepted(prior: Option<Vec<u64>>) -> Accepted {
+    let value = RegisterValue { members: vec![101, 102, 103], prior, payload: b"control state".to_vec() };
+    Accepted { epoch: 21, sequence: 22, value }
+}
+
+fn endpoint(id: &str) -> Endpoint {
+    Endpoint {
+        id: text(id),
+        service: text("small-model"),
+        address: text("10.9.0.1:9000"),
+        zone: text("b"),
+        capacity: 8,
+        draining: id == "e-2",
+        cold_left_ms: 1250.5,
+        models: vec![(text("m"), 3), (text("a-model-with-a-longer-name"), 1 << 40)],
+    }
+}
+
+fn item(id: &str) -> Item {
+    Item {
+        id: text(id),
+        path: text("/v1/completions"),
+        headers: vec![(text("Content-Type"), text("application/json")), (text("X"), text(""))],
+        body: vec![0, 1, 254, 255],
+        tokens: 77,
+    }
+}
+
+fn job() -> Job {
+    Job {
+        id: text("job-1"),
+        tenant: text("tenant-1"),
+        route: text("nightly"),
+        host: text("a.example"),
+        path: text("/v1/jobs?x=1"),
+        items: vec![item("i0"), item("i1")],
+    }
+}
+
+fn result(item: u32, phase: Phase) -> ItemResult {
+    ItemResult { item, phase, text: text("the text of a result") }
+}
+
+fn key(tenant: &str) -> QuotaKey {
+    QuotaKey { tenant: text(tenant), route: text("nightly") }
+}
+
+fn view() -> ShardView {
+    ShardView { epoch: 5, primary: 103, since: 4, in_sync: vec![103, 104], joining: vec![105] }
+}
+
+fn placement() -> Placement {
+    Placement {
+        core: vec![core()],
+        stores: vec![store(), node("s", 104, None, NodeRole::Store)],
+        shards: vec![view()],
+    }
+}
+
+fn poll() -> Poll {
+    Poll {
+        node: store(),
+        life: 31,
+        have: TableVersions { configuration: 32, placement: 33, directory: (34, 35) },
+        hold_ms: 36,
+        usage: vec![UsageWindow { window: 37, counts: vec![(text("tenant-1"), 38)] }],
+        shards: vec![ShardReport { shard: 39, epoch: 40, unresponsive: vec![41], caught_up: vec![42, 43] }],
+        leaving: true,
+        relayed: false,
+        demand: vec![(text("small-model"), 44.25)],
+        items: vec![(text("small-model"), 45)],
+    }
+}
+
+fn tables() -> Tables {
+    Tables {
+        epoch: 51,
+        configuration: Some((52, text("{\"Gen\":52}"))),
+        placement: Some((53, placement())),
+        directory: Some(((54, 55), DirectoryNews::Whole(vec![endpoint("e-1"), endpoint("e-2")]))),
+        senders: 56,
+        primary: text("10.0.0.101:7360"),
+        relays: vec![text("10.0.0.102:7360")],
+        loads: vec![ServiceLoad {
+            service: text("small-model"),
+            live_places: 57.5,
+            items: vec![(103, 58), (104, 59)],
+        }],
+    }
+}
+
+fn replica(message: ReplicaMessage) -> Request {
+    Request::Replica { from: 101, address: text("10.0.0.101:7360"), to: 102, message }
+}
+
+fn member(message: MemberMessage) -> Request {
+    Request::Member { to: 103, shard: 15, epoch: 61, message }
+}
+
+fn operations() -> Vec<ShardOperation> {
+    vec![
+        ShardOperation::Submit(job()),
+        ShardOperation::Append { job: text("job-1"), result: result(1, Phase::DeadLetter) },
+        ShardOperation::End { job: text("job-1") },
+        ShardOperation::Forget { job: text("a-job-with-a-longer-name") },
+    ]
+}
+
+fn job_states() -> Vec<JobState> {
+    let results = vec![result(1, Phase::Done), result(0, Phase::DeadLetter)];
+    vec![
+        JobState { job: job(), results, ended: false },
+        JobState { job: Job { items: Vec::new(), ..job() }, results: Vec::new(), ended: true },
+    ]
+}
+
+fn replica_messages() -> Vec<(&'static str, ReplicaMessage)> {
+    vec![
+        ("canvass", ReplicaMessage::Canvass { epoch: 1 }),
+        ("support", ReplicaMessage::Support { epoch: 2 }),
+        ("prepare", ReplicaMessage::Prepare { epoch: 3 }),
+        ("promise", ReplicaMessage::Promise { epoch: 4, accepted: Some(accepted(None)) }),
+        ("promise-of-an-empty-member", ReplicaMessage::Promise { epoch: 5, accepted: None }),
+        ("accept", ReplicaMessage::Accept { accepted: accepted(Some(vec![101, 104])) }),
+        ("acknowledge", ReplicaMessage::Acknowledge { epoch: 6, sequence: 7 }),
+        ("heartbeat", ReplicaMessage::Heartbeat { epoch: 8, round: 9 }),
+        (
+            "heartbeat-reply",
+            ReplicaMessage::HeartbeatReply {
+                epoch: 10,
+                round: 11,
+                accepted_epoch: 12,
+                accepted_sequence: 13,
+            },
+        ),
+        ("reject", ReplicaMessage::Reject { promised: 14 }),
+        ("resign", ReplicaMessage::Resign { epoch: 15, successor: 103 }),
+    ]
+}
+
+fn member_messages() -> Vec<(&'static str, MemberMessage)> {
+    vec![
+        ("replicate", MemberMessage::Replicate { session: 62, first: 63, operations: operations() }),
+        ("confirm", MemberMessage::Confirm),
+        ("compare-buckets", MemberMessage::CompareBuckets { buckets: vec![0, 64, u64::MAX] }),
+        (
+            "compare-jobs",
+            MemberMessage::CompareJobs {
+                session: 65,
+                buckets: vec![66, 67],
+                jobs: vec![(text("job-1"), 68)],
+            },
+        ),
+        ("install", MemberMessage::Install { session: 69, jobs: job_states(), next: None }),
+        ("install-to-the-end", MemberMessage::Install { session: 70, jobs: Vec::new(), next: Some(71) }),
+    ]
+}
+
+fn claim() -> QuotaClaim {
+    QuotaClaim {
+        keeper: 81,
+        keeper_epoch: 82,
+        shard: 83,
+        epoch: 84,
+        sequence: 85,
+        key: key("tenant-1"),
+        tokens: 86,
+        held: 87,
+        limit: 88,
+    }
+}
+
+fn statement() -> QuotaStatement {
+    let held = vec![(key("tenant-1"), 91), (key("tenant-2"), 92)];
+    QuotaStatement { keeper: 93, keeper_epoch: 94, shard: 95, epoch: 96, sequence: 97, held }
+}
+
+fn requests() -> Vec<(String, Request)> {
+    let (job_id, tenant) = (text("job-1"), text("tenant-1"));
+    let single = vec![
+        ("announce", Request::Announce { node: core(), bootstrap: true }),
+        ("announce-courier", Request::Announce { node: courier(), bootstrap: false }),
+        ("primary", Request::Primary { address: text("10.0.0.101:7360") }),
+        ("poll", Request::Poll(poll())),
+        (
+            "poll-relayed",
+            Request::Poll(Poll {
+                node: courier(),
+                life: 0,
+                have: TableVersions::default(),
+                hold_ms: 0,
+                usage: Vec::new(),
+                shards: Vec::new(),
+                leaving: false,
+                relayed: true,
+                demand: Vec::new(),
+                items: Vec::new(),
+            }),
+        ),
+        ("submit", Request::Submit { shard: 1, epoch: 2, job: job() }),
+        (
+            "read",
+            Request::Read {
+                shard: 3,
+                epoch: 4,
+                job: job_id.clone(),
+                tenant: tenant.clone(),
+                start_after: 5,
+                wait_ms: 6,
+            },
+        ),
+        (
+            "body",
+            Request::Body {
+                shard: 7,
+                epoch: 8,
+                job: job_id.clone(),
+                tenant: tenant.clone(),
+                item: text("i1"),
+            },
+        ),
+        ("end", Request::End { shard: 9, epoch: 10, job: job_id, tenant }),
+        ("claim", Request::Claim(claim())),
+        (
+            "statements",
+            Request::Statements(vec![statement(), QuotaStatement { held: Vec::new(), ..statement() }]),
+        ),
+    ];
+    let single = single.into_iter().map(|(name, request)| (text(name), request));
+    let replicas =
+        replica_messages().into_iter().map(|(name, message)| (format!("replica-{name}"), replica(message)));
+    let members =
+        member_messages().into_iter().map(|(name, message)| (format!("member-{name}"), member(message)));
+    single.chain(replicas).chain(members).collect()
+}
+
+fn responses() -> Vec<(String, Response)> {
+    let changes = DirectoryNews::Changes { changed: vec![endpoint("e-2")], gone: vec![text("e-3")] };
+    let changed = Tables { directory: Some(((54, 56), changes)), ..Tables::default() };
+    let results = vec![
+        (text("i0"), Phase::Done, text("a text that is not short")),
+        (text("i1"), Phase::DeadLetter, text("")),
+    ];
+    let all = vec![
+        ("announced", Response::Announced { node: core(), empty: true, known: vec![core(), courier()] }),
+        ("tables", Response::Tables(tables())),
+        ("tables-with-changes", Response::Tables(changed)),
+        ("tables-with-nothing", Response::Tables(Tables::default())),
+        ("not-primary", Response::NotPrimary { hint: None }),
+        ("not-primary-with-hint", Response::NotPrimary { hint: Some(text("10.0.0.101:7360")) }),
+        ("wrong-epoch", Response::WrongEpoch),
+        ("full", Response::Full),
+        ("uncertain", Response::Uncertain),
+        ("done", Response::Done),
+        ("not-found", Response::NotFound),
+        ("results", Response::Results { total: 200, results }),
+        ("body", Response::Body(vec![0, 1, 254, 255])),
+        ("replicated", Response::Replicated { next: 201 }),
+        ("behind", Response::Behind),
+        ("different-buckets", Response::DifferentBuckets { session: 202, buckets: vec![0, 63] }),
+        ("different-jobs", Response::DifferentJobs(vec![text("job-1"), text("a-job-with-a-longer-name")])),
+    ];
+    all.into_iter().map(|(name, response)| (text(name), response)).collect()
+}
+
+/// Call number of the frame in row `row`: all its bytes are used.
+fn call_number(row: usize) -> u64 {
+    0x0102_0304_0506_0700 + row as u64
+}
+
+/// Reads a frame the way a process does.
+fn read(row: usize, frame: &[u8], kind: FrameKind) -> rkyv::util::AlignedVec {
+    let (head, rest) = frame.split_at(HEAD_BYTES);
+    let head = FrameHead::decode(head.try_into().unwrap()).unwrap();
+    assert!(head.kind == kind, "kind of row {row}");
+    assert_eq!((head.call, head.length), (call_number(row), rest.len()));
+    let mut body = aligned(head.length);
+    body.copy_from_slice(rest);
+    head.verify(&body).unwrap();
+    body
+}
+
+#[test]
+fn every_request_is_read_and_written_to_the_same_bytes() {
+    let frame = |(row, (name, request)): (usize, (String, Request))| {
+        (name, encode(FrameKind::Call, call_number(row), &request.encode()))
+    };
+    let made: Vec<(String, Vec<u8>)> = requests().into_iter().enumerate().map(frame).collect();
+    let stored = fixture_table("requests.txt", &made);
+    for (row, ((name, bytes), (_, expected))) in stored.iter().zip(requests()).enumerate() {
+        let request = Request::decode(&read(row, bytes, FrameKind::Call)).unwrap();
+        assert!(request == expected, "{name}");
+        assert_eq!(&encode(FrameKind::Call, call_number(row), &request.encode()), bytes, "{name}");
+    }
+    assert_eq!(stored.len(), 28);
+}
+
+#[test]
+fn every_response_is_read_and_written_to_the_same_bytes() {
+    let frame = |(row, (name, response)): (usize, (String, Response))| {
+        (name, encode(FrameKind::Answer, call_number(row), &response.encode()))
+    };
+    let made: Vec<(String, Vec<u8>)> = responses().into_iter().enumerate().map(frame).collect();
+    let stored = fixture_table("responses.txt", &made);
+    for (row, ((name, bytes), (_, expected))) in stored.iter().zip(responses()).enumerate() {
+        let response = Response::decode(&read(row, bytes, FrameKind::Answer)).unwrap();
+        assert!(response == expected, "{name}");
+        assert_eq!(&encode(FrameKind::Answer, call_number(row), &response.encode()), bytes, "{name}");
+    }
+    assert_eq!(stored.len(), 17);
+}
+
+#[test]
+fn a_frame_of_each_kind_has_its_head() {
+    let kinds = [FrameKind::Notice, FrameKind::Call, FrameKind::Answer];
+    let made: Vec<(String, Vec<u8>)> = kinds
+        .iter()
+        .enumerate()
+        .map(|(row, kind)| (format!("kind-{row}"), encode(*kind, 9, b"body")))
+        .collect();
+    for ((_, bytes), kind) in fixture_table("frames.txt", &made).iter().zip(kinds) {
+        let head = FrameHead::decode(bytes[..HEAD_BYTES].try_into().unwrap()).unwrap();
+        assert!(head.kind == kind && head.verify(b"body").is_ok());
+        assert_eq!((&bytes[..4], head.call, head.length), (b"QMF1".as_slice(), 9, 4));
+    }
+}
+
+#[test]
+fn errors_of_frames_have_their_texts() {
+    let texts = [
+        FrameError::WrongVersion.to_string(),
+        FrameError::UnknownKind(9).to_string(),
+        FrameError::TooLarge(40_000_000).to_string(),
+        FrameError::WrongChecksum.to_string(),
+        FrameError::Malformed(text("no root")).to_string(),
+    ];
+    let expected = [
+        "a frame of another version",
+        "a frame of unknown kind 9",
+        "a frame of 40000000 bytes, 33554432 at most",
+        "a frame with a wrong checksum",
+        "a frame that holds no message: no root",
+    ];
+    assert_eq!(texts, expected);
+}
