--- /dev/null
+++ b/node/tests/tier/interfaces.rs
@@ -0,0 +1,121 @@
+//! Calls of operators and of clients of batch jobs: status, headers and the whole body of each answer.
+
+use crate::harness::{Answer, KEY, Tier, configuration, eventually, header, http};
+
+const JSON: &str = "application/json";
+const TEXT: &str = "text/plain";
+
+/// A batch job with one item that ends well and one that never does.
+const JOB: &str = r#"{"Requests":[{"Id":"i0","Path":"/bulk/0","Headers":{"Model":"m"},"Body":"cXVpbGw=","Tokens":10},{"Id":"i1","Path":"/bulk/poison"}]}"#;
+
+fn send(address: &str, call: &str, headers: &str, body: &str) -> Option<Answer> {
+    let request = format!(
+        "{call} HTTP/1.1\r\nHost: a.example\r\n{headers}Content-Length: {}\r\nConnection: close\r\n\r\n{body}",
+        body.len()
+    );
+    http(address, &request)
+}
+
+fn check(what: &str, answer: &Answer, status: u16, kind: &str, body: &str) {
+    assert_eq!((answer.status, answer.body.as_str()), (status, body), "{what}");
+    assert_eq!(header(&answer.head, "Content-Type").as_deref(), Some(kind), "{what}");
+}
+
+/// Sends a call to the courier that is the core's primary, until that is known and answers.
+fn operate(tier: &Tier, call: &str, headers: &str, body: &str) -> Answer {
+    eventually(call, || {
+        let answers =
+            tier.couriers().into_iter().filter_map(|courier| send(&tier.admin(courier), call, headers, body));
+        answers.into_iter().find(|answer| ![307, 503].contains(&answer.status))
+    })
+}
+
+#[test]
+fn answers_to_operators_and_clients_have_their_bodies() {
+    let tier = Tier::start();
+    let first = configuration(3);
+    check_operator(&tier, &first);
+    check_batch(&tier);
+}
+
+fn check_operator(tier: &Tier, first: &str) {
+    let put = "POST /-/config/put";
+    let table = [
+        (put, "Base-Version: 0\r\n", first, 200, r#"{"Gen":3}"#),
+        (put, "Base-Version: 2\r\n", first, 412, r#"{"Error":"version 3 is in place, not 2"}"#),
+        (put, "Base-Version: x\r\n", first, 400, r#"{"Error":"Base-Version is no number"}"#),
+        (
+            put,
+            "Base-Version: 3\r\n",
+            "{",
+            400,
+            r#"{"Error":"the configuration can't be read: not complete JSON"}"#,
+        ),
+        ("POST /-/config/patch", "Base-Version: 3\r\n", r#"{"Gen":4}"#, 200, r#"{"Gen":4}"#),
+        ("GET /-/config/other", "", "", 404, r#"{"Error":"there is no such call"}"#),
+        ("POST /-/retire/none/start", "", "", 404, r#"{"Error":"there is no such store"}"#),
+        ("GET /-/retire/none/get", "", "", 404, r#"{"Error":"there is no such store"}"#),
+    ];
+    for (call, headers, body, status, expected) in table {
+        check(&format!("{call} {headers}"), &operate(tier, call, headers, body), status, JSON, expected);
+    }
+    let read = operate(tier, "GET /-/config/get", "", "");
+    assert_eq!((read.status, header(&read.head, "Content-Type").as_deref()), (200, Some(JSON)));
+    assert!(read.body.contains(r#""Gen":4"#), "{}", read.body);
+    let admins = tier.couriers().into_iter().map(|courier| tier.admin(courier));
+    let elsewhere = eventually("a redirect", || {
+        admins
+            .clone()
+            .filter_map(|admin| send(&admin, "GET /-/config/get?x=1", "", ""))
+            .find(|answer| answer.status == 307)
+    });
+    check("redirect", &elsewhere, 307, TEXT, "the primary is elsewhere\n");
+    let location = header(&elsewhere.head, "Location").unwrap();
+    assert!(admins.clone().any(|admin| location == format!("http://{admin}/-/config/get?x=1")), "{location}");
+    // Before all stores are known to the core, too few would be left.
+    for store in 0..3 {
+        let call = format!("GET /-/retire/store-{store}/get");
+        eventually("the store is known", || (operate(tier, &call, "", "").status == 200).then_some(()));
+    }
+    let retired = operate(tier, "POST /-/retire/store-2/start", "", "");
+    check("retire", &retired, 200, JSON, r#"{"Phase":"serving"}"#);
+    eventually("the store is empty", || {
+        let answer = operate(tier, "GET /-/retire/store-2/get", "", "");
+        let body = answer.body.as_str();
+        assert!([r#"{"Phase":"serving"}"#, r#"{"Phase":"done"}"#].contains(&body), "{body}");
+        (answer.status == 200 && body == r#"{"Phase":"done"}"#).then_some(())
+    });
+    let refused = operate(tier, "POST /-/retire/store-1/start", "", "");
+    check("retire another", &refused, 409, JSON, r#"{"Error":"too few stores would be left"}"#);
+}
+
+fn check_batch(tier: &Tier) {
+    let client = tier.client_address(0);
+    let with_id = format!("Request-Id: job-1\r\nAuthorization: {KEY}\r\n");
+    let key = format!("Authorization: {KEY}\r\n");
+    // Stores may be busy or not known yet.
+    let call = |call: &str, headers: &str, body: &str| {
+        eventually(call, || {
+            send(&client, call, headers, body).filter(|answer| ![503, 504].contains(&answer.status))
+        })
+    };
+    check("submit", &call("POST /bulk/", &with_id, JOB), 202, TEXT, "taken\n");
+    check("no job", &call("POST /bulk/", &with_id, "{}"), 400, TEXT, "the body is no batch job\n");
+    check("no id", &call("POST /bulk/", &key, JOB), 400, TEXT, "the body is no batch job\n");
+    let dead = r#"{"Id":"i1","Phase":"dead_letter","Text":""}"#;
+    let done = r#"{"Id":"i0","Phase":"done","Text":"kaje\ntwo\nthree"}"#;
+    let whole = |one: &str, other: &str| format!(r#"{{"Total":2,"NextCursor":2,"Outputs":[{one},{other}]}}"#);
+    let read = eventually("both results", || {
+        let answer = call("GET /-/lots/job-1", &format!("{key}Wait: 1000\r\n"), "");
+        answer.body.contains(r#""NextCursor":2"#).then_some(answer)
+    });
+    let expected = if read.body == whole(dead, done) { whole(dead, done) } else { whole(done, dead) };
+    check("results", &read, 200, JSON, &expected);
+    let rest = call("GET /-/lots/job-1?StartAfter=2", &key, "");
+    check("no more results", &rest, 200, JSON, r#"{"Total":2,"NextCursor":2,"Outputs":[]}"#);
+    check("body", &call("GET /-/items/job-1?Id=i0", &key, ""), 200, "application/octet-stream", "quill");
+    check("no item", &call("GET /-/items/job-1?Id=i7", &key, ""), 404, TEXT, "there is no such item\n");
+    check("no such job", &call("GET /-/lots/job-2", &key, ""), 404, TEXT, "there is no such job\n");
+    check("no such call", &call("PUT /-/lots/job-1", &key, ""), 405, TEXT, "there is no such call\n");
+    check("end", &call("DELETE /-/lots/job-1", &key, ""), 200, TEXT, "ended\n");
+}
--- a/node/tests/tier/main.rs
+++ b/node/tests/tier/main.rs
@@ -2,6 +2,7 @@
 
 mod answers;
 mod harness;
+mod interfaces;
 mod seeds;
 mod stop;
 mod whole_path;
