--- a/batch/tests/cluster/core.rs
+++ b/batch/tests/cluster/core.rs
@@ -49,6 +49,10 @@
     pub due: Vec<(Micros, CoreEvent)>,
     /// Primaries that have news for the stores which poll them.
     pub news: Vec<DiskId>,
+    /// Messages that members sent, registers that they wrote and elections that they won, so far.
+    pub messages: u64,
+    pub writes: u64,
+    pub elections: u64,
 }
 
 impl Core {
@@ -67,7 +71,17 @@
         state.placement.core = machines.keys().map(|disk| core_node(*disk)).collect();
         let (due, news) = (Vec::new(), Vec::new());
         let newest = ControlState::default();
-        let mut core = Core { machines, cuts: BTreeSet::new(), survivable, newest, due, news };
+        let mut core = Core {
+            machines,
+            cuts: BTreeSet::new(),
+            survivable,
+            newest,
+            due,
+            news,
+            messages: 0,
+            writes: 0,
+            elections: 0,
+        };
         let outputs = core.machines.get_mut(&FIRST).unwrap().member.bootstrap(&state, now);
         core.perform(FIRST, outputs, now, random);
         core
@@ -143,15 +157,20 @@
         for output in outputs {
             match output {
                 MemberOutput::Send { to, message } => {
+                    self.messages += 1;
                     let at = now + 500 + random.next(1_500);
                     self.due.push((at, CoreEvent::Deliver { from: disk, to, message }));
                 }
                 MemberOutput::Persist { write, register } => {
+                    self.writes += 1;
                     let life = self.machines[&disk].life;
                     let at = now + 300 + random.next(2_000);
                     self.due.push((at, CoreEvent::Synced { to: disk, life, write, register }));
                 }
-                MemberOutput::Elected { .. } => self.machines.get_mut(&disk).unwrap().leases.clear(),
+                MemberOutput::Elected { .. } => {
+                    self.elections += 1;
+                    self.machines.get_mut(&disk).unwrap().leases.clear();
+                }
                 MemberOutput::News => self.on_news(disk),
                 _ => {}
             }
--- a/batch/tests/cluster/day.rs
+++ b/batch/tests/cluster/day.rs
@@ -1,5 +1,6 @@
 //! Days of mixed faults, drawn by seed.
 
+use crate::digest_file::Counts;
 use crate::world::{MILLI, SECOND, World};
 use quillmount_batch::Micros;
 
@@ -8,6 +9,8 @@
     pub commits: usize,
     pub reads: usize,
     pub faults: usize,
+    /// What the stores and the core put out, for the digests.
+    pub counts: Counts,
 }
 
 /// Plays a day: faults for some seconds, calm, a closing loss of power of everything, at times with a lost disk, and a
@@ -40,7 +43,19 @@
     }
     calm(&mut world);
     closing(&mut world);
-    Summary { commits: world.auditor.commits, reads: world.auditor.reads, faults }
+    let mut counts = world.counts;
+    if let Some(core) = &world.core {
+        counts.set("core_messages", core.messages);
+        counts.set("core_writes", core.writes);
+        counts.set("core_elections", core.elections);
+    }
+    counts.set("view_epoch", world.control.placement.shards.first().map_or(0, |view| view.epoch));
+    counts.set("placement_version", world.control.placement_version);
+    counts.set("jobs_acknowledged", world.auditor.acknowledged.len() as u64);
+    counts.set("audited_reads", world.auditor.reads as u64);
+    counts.set("audited_commits", world.auditor.commits as u64);
+    counts.set("end_time_us", world.now);
+    Summary { commits: world.auditor.commits, reads: world.auditor.reads, faults, counts }
 }
 
 fn any_store(world: &mut World) -> u32 {
--- a/batch/tests/cluster/main.rs
+++ b/batch/tests/cluster/main.rs
@@ -4,6 +4,9 @@
 mod audit;
 mod core;
 mod day;
+mod digest;
+#[path = "../../../tests/common/digest.rs"]
+mod digest_file;
 mod exploration;
 mod scenarios;
 mod steps;
--- a/batch/tests/cluster/world.rs
+++ b/batch/tests/cluster/world.rs
@@ -3,6 +3,7 @@
 
 use crate::audit::Auditor;
 use crate::core::{Core, CoreEvent, Poll};
+use crate::digest_file::Counts;
 use quillmount_batch::{JobEntry, Micros, Output, Replica, ReplicaIdentity, ShardJobs, StoreRecord, WriteId};
 use quillmount_control::{ControlState, Retirement, ShardInputs};
 use quillmount_wire::messages::{
@@ -110,6 +111,8 @@
     pub wipe_behind_removal: bool,
     /// What lost disks held, synced.
     lost_disks: Vec<ShardJobs>,
+    /// What the stores put out, for the digests.
+    pub counts: Counts,
 }
 
 fn store_node(name: u32, disk: DiskId) -> NodeInfo {
@@ -162,6 +165,7 @@
             busy: true,
             wipe_behind_removal: false,
             lost_disks: Vec::new(),
+            counts: Counts::default(),
         };
         (1..=stores).for_each(|name| world.add_store(name));
         world
@@ -529,11 +533,41 @@
 
     fn perform(&mut self, name: u32, outputs: Vec<Output>) {
         for output in outputs {
+            self.count(name, &output);
             self.perform_one(name, output);
         }
         self.audit_disk(name);
     }
 
+    fn count(&mut self, name: u32, output: &Output) {
+        let (now, store) = (self.now, u64::from(name));
+        match output {
+            Output::Write { .. } => self.counts.count("writes", &[now, store]),
+            Output::Call { call, member, epoch, message, time } => {
+                let (label, size) = match message {
+                    MemberMessage::Replicate { operations, .. } => ("replicate_calls", operations.len()),
+                    MemberMessage::Confirm => ("confirm_calls", 0),
+                    MemberMessage::CompareBuckets { buckets } => ("compare_buckets_calls", buckets.len()),
+                    MemberMessage::CompareJobs { jobs, .. } => ("compare_jobs_calls", jobs.len()),
+                    MemberMessage::Install { jobs, .. } => ("install_calls", jobs.len()),
+                };
+                self.counts.count(label, &[now, store, *call, *member, *epoch, *time, size as u64]);
+            }
+            Output::Answer { request, .. } => self.counts.count("answers", &[now, store, *request]),
+            Output::Committed { operation, .. } => self.counts.count("commits", &[now, store, *operation]),
+            Output::Uncertain { operation } => self.counts.count("uncertain", &[now, store, *operation]),
+            Output::NotBegun { operation } => self.counts.count("not_begun", &[now, store, *operation]),
+            Output::Serving { epoch } => self.counts.count("primaries", &[now, store, *epoch]),
+            Output::Ended => self.counts.count("step_downs", &[now, store]),
+            Output::ReadConfirmed { read } => self.counts.count("reads_confirmed", &[now, store, *read]),
+            Output::ReadRefused { read } => self.counts.count("reads_refused", &[now, store, *read]),
+            Output::ReportDue => self.counts.count("reports_due", &[now, store]),
+            Output::Rewritten { request, complete } => {
+                self.counts.count("compactions", &[now, store, *request, u64::from(*complete)]);
+            }
+        }
+    }
+
     fn perform_one(&mut self, name: u32, output: Output) {
         match output {
             Output::Write { write, record } => self.write(name, write, record),
--- /dev/null
+++ b/control/tests/members/digest.rs
@@ -0,0 +1,21 @@
+//! Digests of the first fifty seeded days of core members and their operators.
+
+use crate::digest_file::{SEEDS, compare_with_file};
+use crate::play_day;
+use std::path::Path;
+
+#[test]
+fn the_first_fifty_seeded_days_give_the_same_counts() {
+    let day = |seed: u64| {
+        let world = play_day(seed);
+        let mut counts = world.counts;
+        counts.set("clear_answers", world.history.clear_answers() as u64);
+        counts.set("versions", world.history.versions() as u64);
+        counts.set("newest_version", world.history.newest_version());
+        counts.set("end_time_us", world.now);
+        counts.line(seed)
+    };
+    let lines: String = SEEDS.map(day).collect();
+    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/digests/members.txt");
+    compare_with_file(&file, &lines);
+}
--- a/control/tests/members/main.rs
+++ b/control/tests/members/main.rs
@@ -1,6 +1,9 @@
 //! Orders and reads of operators at core members on virtual time: kills, cuts, freezes and lost disks by seed, answers lost,
 //! orders sent again; every history is checked against one register. `SEEDS=N` plays so many days.
 
+mod digest;
+#[path = "../../../tests/common/digest.rs"]
+mod digest_file;
 mod history;
 mod world;
 
@@ -88,6 +91,11 @@
 
 /// Plays a day; gives how many answers were clear.
 fn play(seed: u64) -> usize {
+    play_day(seed).history.clear_answers()
+}
+
+/// Plays a day; gives the world at its end.
+fn play_day(seed: u64) -> World {
     let (members, survivable) = match seed % 3 {
         0 => (3, 1),
         1 => (4, 1),
@@ -116,7 +124,7 @@
     let primary = world.primary().expect("a primary");
     let state = world.machines[&primary].member.committed().unwrap();
     assert_eq!(state.version, world.history.newest_version(), "LOST: the newest version");
-    world.history.clear_answers()
+    world
 }
 
 #[test]
--- a/control/tests/members/world.rs
+++ b/control/tests/members/world.rs
@@ -1,6 +1,7 @@
 //! Core members on virtual time, with operators who send orders to any of them and send them again, and a record of what
 //! every caller was told and when.
 
+use crate::digest_file::Counts;
 use crate::history::{Answer, Call, History};
 use quillmount_control::{ControlState, CoreMember, MemberOutput, Order, OrderKind, RegisterWrite, Verdict};
 use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, Register, ReplicaMessage};
@@ -77,6 +78,8 @@
     next_disk: DiskId,
     next_text: u64,
     pub busy: bool,
+    /// What the members put out, for the digests.
+    pub counts: Counts,
 }
 
 fn info(name: u32, disk: DiskId) -> NodeInfo {
@@ -116,6 +119,7 @@
             next_disk: 0,
             next_text: 0,
             busy: true,
+            counts: Counts::default(),
         };
         for name in 1..=members {
             world.add_machine(name);
@@ -308,6 +312,7 @@
 
     fn perform(&mut self, disk: DiskId, outputs: Vec<MemberOutput>) {
         for output in outputs {
+            self.count(disk, &output);
             match output {
                 MemberOutput::Send { to, message } => {
                     let delay = 500 + self.random.next(1_500);
@@ -339,6 +344,40 @@
         }
     }
 
+    fn count(&mut self, disk: DiskId, output: &MemberOutput) {
+        let now = self.now;
+        match output {
+            MemberOutput::Send { to, message } => {
+                let (label, epoch) = match message {
+                    ReplicaMessage::Canvass { epoch } => ("pre_vote_requests", *epoch),
+                    ReplicaMessage::Support { epoch } => ("pre_votes", *epoch),
+                    ReplicaMessage::Prepare { epoch } => ("prepares", *epoch),
+                    ReplicaMessage::Promise { epoch, .. } => ("promises", *epoch),
+                    ReplicaMessage::Accept { accepted } => ("accepts", accepted.epoch),
+                    ReplicaMessage::Acknowledge { epoch, .. } => ("acknowledgements", *epoch),
+                    ReplicaMessage::Heartbeat { epoch, .. } => ("heartbeats", *epoch),
+                    ReplicaMessage::HeartbeatReply { epoch, .. } => ("heartbeat_replies", *epoch),
+                    ReplicaMessage::Reject { promised } => ("rejections", *promised),
+                    ReplicaMessage::Resign { epoch, .. } => ("resignations", *epoch),
+                };
+                self.counts.count(label, &[now, disk, *to, epoch]);
+            }
+            MemberOutput::Persist { register, .. } => {
+                let payload = register.accepted.as_ref().map_or(0, |accepted| accepted.value.payload.len());
+                self.counts.count("writes", &[now, disk, payload as u64]);
+            }
+            MemberOutput::Confirmed { ticket } => self.counts.count("confirmed", &[now, disk, *ticket]),
+            MemberOutput::Uncertain { ticket } => self.counts.count("uncertain", &[now, disk, *ticket]),
+            MemberOutput::Elected { epoch } => self.counts.count("elections", &[now, disk, *epoch]),
+            MemberOutput::SteppedDown => self.counts.count("step_downs", &[now, disk]),
+            MemberOutput::News => {
+                let version = self.machines[&disk].member.committed().map_or(0, |state| state.version);
+                self.counts.count("commits", &[now, disk, version]);
+            }
+            MemberOutput::Accepted => self.counts.count("accepted_values", &[now, disk]),
+        }
+    }
+
     /// What is committed is on enough disks.
     fn audit_copies(&self, state: &ControlState) {
         let holds = |machine: &&Machine| {
--- /dev/null
+++ b/replication/tests/cluster/digest.rs
@@ -0,0 +1,22 @@
+//! Digests of the first fifty seeded days of a cluster.
+
+use crate::digest_file::{SEEDS, compare_with_file};
+use crate::troubled;
+use std::path::Path;
+
+#[test]
+fn the_first_fifty_seeded_days_give_the_same_counts() {
+    let day = |seed: u64| {
+        let (members, survivable) = if seed.is_multiple_of(4) { (6, 2) } else { (3, 1) };
+        let world = troubled(members, survivable, seed);
+        let mut counts = world.counts;
+        counts.set("messages_delivered", world.messages as u64);
+        counts.set("syncs_completed", world.syncs as u64);
+        counts.set("changes_acknowledged", world.acknowledged.len() as u64);
+        counts.set("end_time_us", world.now);
+        counts.line(seed)
+    };
+    let lines: String = SEEDS.map(day).collect();
+    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/digests/cluster.txt");
+    compare_with_file(&file, &lines);
+}
--- a/replication/tests/cluster/world.rs
+++ b/replication/tests/cluster/world.rs
@@ -1,5 +1,6 @@
 //! Clusters on virtual time, with an auditor of what was acknowledged.
 
+use crate::digest_file::Counts;
 use quillmount_replication::{Output, Replica, Timing};
 use quillmount_wire::messages::{DiskId, Register, ReplicaMessage};
 use std::collections::{BTreeMap, BTreeSet};
@@ -66,6 +67,8 @@
     /// Messages between members that arrived, and syncs that ended, so far.
     pub messages: usize,
     pub syncs: usize,
+    /// What the members put out, for the digests.
+    pub counts: Counts,
 }
 
 pub fn encode(ids: &BTreeSet<u32>) -> Vec<u8> {
@@ -96,6 +99,7 @@
             faults: Vec::new(),
             messages: 0,
             syncs: 0,
+            counts: Counts::default(),
         };
         for disk in 1..=members {
             world.add_node(disk, Register::default());
@@ -128,6 +132,7 @@
 
     pub fn perform(&mut self, disk: DiskId, outputs: Vec<Output>) {
         for output in outputs {
+            self.count(disk, &output);
             match output {
                 Output::Send { to, message } => {
                     let delay = if to == disk { 0 } else { 500 + self.random.next(1500) };
@@ -168,6 +173,37 @@
         }
     }
 
+    fn count(&mut self, disk: DiskId, output: &Output) {
+        let now = self.now;
+        match output {
+            Output::Send { to, message } => {
+                let (label, epoch) = match message {
+                    ReplicaMessage::Canvass { epoch } => ("pre_vote_requests", *epoch),
+                    ReplicaMessage::Support { epoch } => ("pre_votes", *epoch),
+                    ReplicaMessage::Prepare { epoch } => ("prepares", *epoch),
+                    ReplicaMessage::Promise { epoch, .. } => ("promises", *epoch),
+                    ReplicaMessage::Accept { accepted } => ("accepts", accepted.epoch),
+                    ReplicaMessage::Acknowledge { epoch, .. } => ("acknowledgements", *epoch),
+                    ReplicaMessage::Heartbeat { epoch, .. } => ("heartbeats", *epoch),
+                    ReplicaMessage::HeartbeatReply { epoch, .. } => ("heartbeat_replies", *epoch),
+                    ReplicaMessage::Reject { promised } => ("rejections", *promised),
+                    ReplicaMessage::Resign { epoch, .. } => ("resignations", *epoch),
+                };
+                self.counts.count(label, &[now, disk, *to, epoch]);
+            }
+            Output::Persist { register, then } => {
+                let payload = register.accepted.as_ref().map_or(0, |accepted| accepted.value.payload.len());
+                self.counts.count("writes", &[now, disk, payload as u64, then.len() as u64]);
+            }
+            Output::Committed { accepted } => {
+                self.counts.count("commits", &[now, disk, accepted.epoch, accepted.sequence]);
+            }
+            Output::Elected { epoch } => self.counts.count("elections", &[now, disk, *epoch]),
+            Output::SteppedDown => self.counts.count("step_downs", &[now, disk]),
+            Output::ReadConfirmed { read } => self.counts.count("reads_confirmed", &[now, disk, *read]),
+        }
+    }
+
     pub fn step(&mut self) {
         let due = self.now + MILLI;
         while let Some((&key, _)) = self.events.first_key_value()
