--- a/fleet/tests/agreement.rs
+++ b/fleet/tests/agreement.rs
@@ -1,5 +1,9 @@
 //! The agreement on a virtual clock, over links that lose, double, delay and part, from seeds.
 
+#[path = "../../tests/common/digest.rs"]
+mod digest_file;
+
+use digest_file::{Counts, SEEDS, compare_with_file};
 use quillmount_core::store::{Fault, Memory};
 use quillmount_fleet::Token;
 use quillmount_fleet::agreement::{Agreement, AgreementError, Change, Input, Limits, Output, Why};
@@ -50,6 +54,8 @@
     errors: Vec<AgreementError>,
     sends: BTreeMap<Token, u64>,
     restored: BTreeMap<Token, u64>,
+    /// What the couriers put out, for the digests.
+    counts: Counts,
 }
 
 impl Fleet {
@@ -72,6 +78,7 @@
             errors: Vec::new(),
             sends: BTreeMap::new(),
             restored: BTreeMap::new(),
+            counts: Counts::default(),
         }
     }
 
@@ -150,6 +157,7 @@
         }
         let mut wanted = false;
         for output in out {
+            self.count(token, &output);
             match output {
                 Output::Send { to, bytes } => {
                     *self.sends.entry(token).or_default() += 1;
@@ -217,6 +225,26 @@
         }
     }
 
+    fn count(&mut self, token: Token, output: &Output) {
+        let now = self.now;
+        match output {
+            Output::Send { to, bytes } => {
+                self.counts.count("messages", &[now, token, *to, bytes.len() as u64]);
+            }
+            Output::Committed { index, .. } => self.counts.count("commits", &[now, token, *index]),
+            Output::Restored { index, .. } => self.counts.count("snapshots_restored", &[now, token, *index]),
+            Output::Changed { .. } => self.counts.count("membership_changes", &[now, token]),
+            Output::Readable { ticket } => self.counts.count("reads_confirmed", &[now, token, *ticket]),
+            Output::Refused { ticket, .. } => self.counts.count("rejections", &[now, token, *ticket]),
+            Output::Unsure { ticket } => self.counts.count("uncertain", &[now, token, *ticket]),
+            Output::SnapshotWanted => self.counts.count("snapshots_requested", &[now, token]),
+            Output::Leader { leader, term } => {
+                self.counts.count("leader_changes", &[now, token, leader.unwrap_or(0), *term]);
+            }
+            Output::Failed(_) | Output::Silent(_) => self.counts.count("errors", &[now, token]),
+        }
+    }
+
     /// The next thing that happens, before `until`.
     fn next(&mut self, until: u64) -> bool {
         let message = self.wire.first_key_value().map(|((at, _), _)| *at);
@@ -333,35 +361,66 @@
 #[test]
 fn the_same_commands_everywhere_over_links_of_every_kind() {
     for seed in 0..12 {
-        let limits = Limits { seed, log_bytes: 2_000, ..Limits::default() };
-        let mut fleet = Fleet::whole(seed, limits, 3 + 2 * (seed % 2), 1);
-        (fleet.lose, fleet.double, fleet.delay) = (50, 50, 40_000);
-        let all: Vec<Token> = fleet.nodes.keys().copied().collect();
-        for round in 0..15 {
-            fleet.cut.clear();
-            for from in &all {
-                for to in &all {
-                    // One way as well as both.
-                    if fleet.draw(4) == 0 {
-                        fleet.cut.insert((*from, *to));
-                    }
+        let fleet = links_of_every_kind(seed);
+        assert!(fleet.acked.len() > 20, "seed {seed}: only {}", fleet.acked.len());
+    }
+}
+
+#[test]
+fn the_first_fifty_seeded_days_give_the_same_counts() {
+    let day = |seed: u64| {
+        let fleet = links_of_every_kind(seed);
+        let writes: u32 = fleet
+            .nodes
+            .values()
+            .filter_map(|node| node.life.as_ref())
+            .map(|life| life.store().writes())
+            .sum();
+        let mut counts = fleet.counts;
+        counts.set("writes", u64::from(writes));
+        counts.set("messages_on_links", fleet.sent);
+        counts.set("entries_agreed", fleet.agreed.len() as u64);
+        counts.set("commands_acknowledged", fleet.acked.len() as u64);
+        counts.set("terms_with_a_leader", fleet.led.len() as u64);
+        counts.set("newest_term", fleet.led.keys().max().copied().unwrap_or(0));
+        counts.set("end_time_us", fleet.now);
+        counts.line(seed)
+    };
+    let lines: String = SEEDS.map(day).collect();
+    let file = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/digests/agreement.txt");
+    compare_with_file(&file, &lines);
+}
+
+/// A fleet under such links, with proposals at whoever thinks that it leads; level at the end.
+fn links_of_every_kind(seed: u64) -> Fleet {
+    let limits = Limits { seed, log_bytes: 2_000, ..Limits::default() };
+    let mut fleet = Fleet::whole(seed, limits, 3 + 2 * (seed % 2), 1);
+    (fleet.lose, fleet.double, fleet.delay) = (50, 50, 40_000);
+    let all: Vec<Token> = fleet.nodes.keys().copied().collect();
+    for round in 0..15 {
+        fleet.cut.clear();
+        for from in &all {
+            for to in &all {
+                // One way as well as both.
+                if fleet.draw(4) == 0 {
+                    fleet.cut.insert((*from, *to));
                 }
             }
-            for n in 0..20 {
-                let (command, token) = (1 + round * 20 + n, all[fleet.draw(all.len() as u64) as usize]);
-                // At whoever thinks that it leads, stale ones too.
-                let at = if fleet.life(token).leads() { token } else { fleet.leader().unwrap_or(token) };
-                fleet.step(at, Input::Propose { ticket: command, command: command.to_le_bytes().to_vec() });
-                let span = fleet.draw(SECOND / 5);
-                fleet.run(span);
-            }
         }
-        fleet.cut.clear();
-        (fleet.lose, fleet.double) = (0, 0);
-        fleet.commit(10_000);
-        fleet.same();
-        assert!(fleet.acked.len() > 20, "seed {seed}: only {}", fleet.acked.len());
+        for n in 0..20 {
+            let (command, token) = (1 + round * 20 + n, all[fleet.draw(all.len() as u64) as usize]);
+            // At whoever thinks that it leads, stale ones too.
+            let at = if fleet.life(token).leads() { token } else { fleet.leader().unwrap_or(token) };
+            fleet.step(at, Input::Propose { ticket: command, command: command.to_le_bytes().to_vec() });
+            let span = fleet.draw(SECOND / 5);
+            fleet.run(span);
+        }
     }
+    fleet.cut.clear();
+    (fleet.lose, fleet.double) = (0, 0);
+    fleet.commit(10_000);
+    fleet.same();
+    fleet
 }
 
 /// One courier dies in each of its writes in turn, at the begin, in the middle and at the end of it, and
--- a/fleet/tests/budget.rs
+++ b/fleet/tests/budget.rs
@@ -1,6 +1,10 @@
 //! Budgets under faults: the code that runs, with couriers, a leader, a log and a partner on a virtual clock.
 //! The partner counts its open connections itself, after every event.
 
+#[path = "../../tests/common/digest.rs"]
+mod digest_file;
+
+use digest_file::{Counts, SEEDS, compare_with_file};
 use quillmount_fleet::budget::leader::{MOVES, starvation};
 use quillmount_fleet::budget::*;
 use std::cmp::Reverse;
@@ -139,6 +143,8 @@
     /// Longest that a tenant wanted a connection and had none in the fleet, by tenant.
     hungry: BTreeMap<String, u64>,
     starved: BTreeMap<String, u64>,
+    /// What happened, for the digests.
+    counts: Counts,
 }
 
 impl Sim {
@@ -175,6 +181,7 @@
             faults: false,
             hungry: BTreeMap::new(),
             starved: BTreeMap::new(),
+            counts: Counts::default(),
             budget,
         };
         for n in 0..couriers {
@@ -267,6 +274,7 @@
         {
             let Some(Reverse((at, _, event))) = self.events.pop() else { return };
             self.now = at;
+            self.count_event(&event);
             self.take(event);
             if let Some((at, limit)) = self.lowered
                 && self.now >= at
@@ -281,6 +289,28 @@
         self.now = until;
     }
 
+    fn count_event(&mut self, event: &Event) {
+        let now = self.now;
+        let (label, node, number) = match event {
+            Event::Wake(node, _) => ("ticks", *node, 0),
+            Event::Answer(node, _, _, call) => ("answers", *node, *call),
+            Event::Fin(node, _, conn) => ("connections_ended", *node, *conn),
+            Event::Quiet(node, _, conn, _) => ("idle_checks", *node, *conn),
+            Event::Eof(node, _, conn) => ("ends_read", *node, *conn),
+            Event::Entries(node, upto) => ("entries_delivered", *node, *upto as u64),
+            Event::Renewed(node, _, epoch, ..) => ("leases_renewed", *node, *epoch),
+            Event::JoinedAs(node, _, epoch) => ("joins_confirmed", *node, *epoch),
+            Event::Heard(node, ..) => ("messages_to_leader", *node, 0),
+            Event::Commit(term, at) => ("commits", *at, *term),
+            Event::Lead(term) => ("leader_rounds", 0, *term),
+            Event::Opens(node, _, conn, _) => ("late_openings", *node, *conn),
+            Event::Fault => ("faults", 0, 0),
+            Event::Mend(node, _) => ("repairs", *node, 0),
+        };
+        let open = self.open.len() as u64;
+        self.counts.count(label, &[now, node as u64, number, open]);
+    }
+
     fn take(&mut self, event: Event) {
         match event {
             Event::Wake(n, life)
@@ -736,6 +766,27 @@
     assert!(full >= 6, "only {full} of 8 are a trial of 40");
 }
 
+#[test]
+fn the_first_fifty_seeded_days_give_the_same_counts() {
+    let day = |seed: u64| {
+        let couriers = 3 + (seed % 6) as usize;
+        let sim = under_faults(seed, couriers, 20 * S).unwrap_or_else(|over| panic!("seed {seed}: {over}"));
+        let served: u64 = (0..5).map(|t| sim.served(&format!("t{t}"))).sum();
+        let mut counts = sim.counts;
+        counts.set("calls_served", served);
+        counts.set("most_open", sim.most as u64);
+        counts.set("commands_proposed", sim.proposed.len() as u64);
+        counts.set("log_entries", sim.log.len() as u64);
+        counts.set("leases_moved", sim.moved.len() as u64);
+        counts.set("reports", sim.messages.len() as u64);
+        counts.set("newest_term", sim.term);
+        counts.line(seed)
+    };
+    let lines: String = SEEDS.map(day).collect();
+    let file = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/digests/budget.txt");
+    compare_with_file(&file, &lines);
+}
+
 #[test]
 fn what_is_asked_for_is_used_and_goes_to_its_fair_part_when_demand_moves() {
     let mut sim =
--- a/fleet/tests/explore.rs
+++ b/fleet/tests/explore.rs
@@ -1,7 +1,11 @@
 //! Every fault at every step of a small fleet: the members' own code, on a virtual clock, with the agreed log as a model (one
 //! order, each member applies it at its own pace, a majority commits). `docs/exploration.md` says what is left out.
 
+#[path = "../../tests/common/digest.rs"]
+mod digest_file;
+
 use bytes::Bytes;
+use digest_file::{Counts, compare_with_file};
 use quillmount_core::journal::{self, Book, End, Record, Records, TakenOn};
 use quillmount_core::store::Store;
 use quillmount_fleet::Token;
@@ -1209,6 +1213,23 @@
     holds(&cases(1, any));
 }
 
+/// Each case with every single fault: the paths, the steps and the states that follow a fault.
+#[test]
+fn each_case_with_one_fault_gives_the_same_counts() {
+    let explored = |(number, case): (usize, &Case)| {
+        let count = Count::default();
+        assert_eq!(explore(World::new(case), 1, &mut Path::new(), &count), None, "{}", case.name);
+        let mut counts = Counts::default();
+        counts.set("paths", count.paths.into_inner());
+        counts.set("steps", count.steps.into_inner());
+        counts.set("states_after_a_fault", count.states.into_inner());
+        counts.line(number as u64)
+    };
+    let lines: String = cases(1, any).iter().enumerate().map(explored).collect();
+    let file = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/digests/takeover.txt");
+    compare_with_file(&file, &lines);
+}
+
 /// The pairs that once broke a property: a copy started again, a copy lost behind its owner's back, a process registered twice.
 #[test]
 fn pairs_that_were_found_hold() {
--- a/fleet/tests/settlement.rs
+++ b/fleet/tests/settlement.rs
@@ -4,6 +4,10 @@
 //! The machines are the ones that run. The world around them is small: a log that every courier applies at
 //! its own pace, books that can be sealed, a partner that notes what ran, and consumers that ask again.
 
+#[path = "../../tests/common/digest.rs"]
+mod digest_file;
+
+use digest_file::{Counts, SEEDS, compare_with_file};
 use quillmount_fleet::settlement::session::linger;
 use quillmount_fleet::settlement::{
     Agreed, Ask, Book, Command, Desk, End, Error, Event, Hand, Homes, Input, Limits, Message, Mode, Outcome,
@@ -1025,6 +1029,8 @@
     drains: usize,
     most_held: u64,
     most_flights: usize,
+    /// What was on its way, for the digests.
+    counts: Counts,
 }
 
 /// What happens to couriers: a loss, and later its takeover and its return.
@@ -1111,6 +1117,7 @@
                 (None, Some(n)) => {
                     let (at, flight) = world.flights.swap_remove(n);
                     world.now = world.now.max(at);
+                    count(&mut totals.counts, world.now, &flight);
                     fly(&mut world, &mut dice, flight);
                 }
                 (None, None) => {
@@ -1138,6 +1145,8 @@
     });
     world.flights.clear();
     world.check_end();
+    totals.counts.set("log_entries", world.log.len() as u64);
+    totals.counts.set("end_time_us", world.now);
     for seen in world.seen.values() {
         totals.settlements += 1;
         let verdict = match seen.verdict {
@@ -1168,6 +1177,40 @@
     }
 }
 
+/// Counts what arrives.
+fn count(counts: &mut Counts, now: Micros, flight: &Flight) {
+    match flight {
+        Flight::Hand { to, ticket, .. } => counts.count("submissions", &[now, *to as u64, *ticket]),
+        Flight::Net { to, from, .. } => counts.count("messages", &[now, *to as u64, *from as u64]),
+        Flight::Propose(_) => counts.count("proposals", &[now]),
+        Flight::Write { c, epoch, seq, records } => {
+            counts.count("writes", &[now, *c as u64, *epoch, *seq, records.len() as u64]);
+        }
+        Flight::Written { c, epoch, seq, is_there } => {
+            counts.count("writes_completed", &[now, *c as u64, *epoch, *seq, u64::from(*is_there)]);
+        }
+        Flight::Fetch { c, epoch, term, .. } => counts.count("fetches", &[now, *c as u64, *epoch, *term]),
+        Flight::Call { c, epoch, call } => {
+            counts.count("calls", &[now, *c as u64, *epoch, call.position, call.attempt, call.by]);
+        }
+        Flight::Answer { c, epoch, attempt, lost, .. } => {
+            counts.count("answers", &[now, *c as u64, *epoch, *attempt, u64::from(*lost)]);
+        }
+        Flight::Close { c, epoch, session, .. } => {
+            counts.count("closings", &[now, *c as u64, *epoch, u64::from(*session)]);
+        }
+        Flight::Confirmed { c, epoch, session, .. } => {
+            counts.count("closings_confirmed", &[now, *c as u64, *epoch, u64::from(*session)]);
+        }
+        Flight::Drop { c, epoch, session, .. } => {
+            counts.count("sessions_dropped", &[now, *c as u64, *epoch, u64::from(*session)]);
+        }
+        Flight::Lost { c, epoch, session, .. } => {
+            counts.count("sessions_lost", &[now, *c as u64, *epoch, u64::from(*session)]);
+        }
+    }
+}
+
 fn fly(world: &mut World, dice: &mut Dice, flight: Flight) {
     let fault = matches!(flight, Flight::Call { .. } | Flight::Close { .. }).then(|| dice.below(400));
     let fault = match fault {
@@ -1275,6 +1318,39 @@
     assert!(totals.verdicts["closed"] > totals.settlements / 2);
 }
 
+#[test]
+fn the_first_fifty_seeded_days_give_the_same_counts() {
+    let day = |seed: u64| {
+        let mut totals = Totals::default();
+        assert_eq!(simulate(seed, &mut totals), None);
+        let verdicts = |kind: &str| -> usize {
+            totals
+                .verdicts
+                .iter()
+                .filter(|(verdict, _)| verdict.starts_with(kind))
+                .map(|(_, count)| count)
+                .sum()
+        };
+        let figures = [
+            ("settlements", totals.settlements),
+            ("settlements_closed", verdicts("closed")),
+            ("settlements_broken", verdicts("broken")),
+            ("settlements_never_opened", verdicts("never opened")),
+            ("kinds_of_verdicts", totals.verdicts.len()),
+            ("couriers_lost", totals.losses),
+            ("couriers_drained", totals.drains),
+            ("most_pending", totals.most_held as usize),
+            ("most_in_flight", totals.most_flights),
+        ];
+        let mut counts = totals.counts;
+        figures.into_iter().for_each(|(label, figure)| counts.set(label, figure as u64));
+        counts.line(seed)
+    };
+    let lines: String = SEEDS.map(day).collect();
+    let file = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/digests/settlement.txt");
+    compare_with_file(&file, &lines);
+}
+
 /// Each deliberate break of the code is found, by the simulation or else by the exploration.
 #[cfg(feature = "breaks")]
 #[test]
