--- a/courier/examples/fleet.rs
+++ b/courier/examples/fleet.rs
@@ -4,8 +4,8 @@
 //!
 //! It waits for you to kill one (it prints the command), and after three seconds does so itself.
 
-use quillmount_standins::consumer::Invocation;
-use quillmount_standins::fleet::{Fleet, FleetSetup, PATIENCE};
+use quillmount_standins::client::MessageRequest;
+use quillmount_standins::fleet::{Fleet, FleetSetup, WAIT_TIMEOUT};
 use quillmount_standins::partner::Answer;
 use serde_json::json;
 use std::io::{Error, Result};
@@ -33,7 +33,7 @@
     let mut setup = FleetSetup::new(program, 3);
     setup.fleet = Some(json!({"lease": "2s", "copies": 1}));
     // The partner keeps its callers waiting, until it is told to answer.
-    setup.partner(1, |_| Answer::Held);
+    setup.partner(1, |_| Answer::Pending);
     let mut fleet = Fleet::start(setup).await?;
     for courier in 0..3 {
         while fleet.get(courier, "/-/ready").await.map_or(0, |told| told.0) != 200 {
@@ -42,12 +42,14 @@
         println!("courier {} is ready, process {}", fleet.name(courier), fleet.id(courier).unwrap_or(0));
     }
     for (class, id) in [("fee-debit", "a-debit"), ("paid-notice", "a-notice")] {
-        let message =
-            Invocation { key: Some(id.into()), ..Invocation::new(class, id, 1, Duration::from_secs(16)) };
-        let status = fleet.hand_in(1, &message, b"12.50").await;
+        let message = MessageRequest {
+            key: Some(id.into()),
+            ..MessageRequest::new(class, id, 1, Duration::from_secs(16))
+        };
+        let status = fleet.submit(1, &message, b"12.50").await;
         println!("{id} handed in at b: {status}. It is in b's journal and in a copy of it.");
-        let called = |record: &quillmount_standins::record::Record| record.calls_of(id).next().map(|_| ());
-        fleet.until("its call", PATIENCE, called).await.map_err(Error::other)?;
+        let called = |record: &quillmount_standins::record::RunRecord| record.calls_of(id).next().map(|_| ());
+        fleet.wait_until("its call", WAIT_TIMEOUT, called).await.map_err(Error::other)?;
         println!("b has called the partner with {id}, and waits for its answer.");
     }
     println!("\nNow end b: kill -9 {}    (in {YOURS:?} it is done for you)", fleet.id(1).unwrap_or(0));
@@ -56,10 +58,10 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     fleet.kill(1).await?;
-    let at = fleet.witness.now();
+    let at = fleet.recorder.now();
     println!("b is lost. Its lease of 2 s runs out ...");
     let seconds = |micros: u64| micros.saturating_sub(at) as f64 / 1e6;
-    let notice = fleet.until("the debit's end", PATIENCE, |r| {
+    let notice = fleet.wait_until("the debit's end", WAIT_TIMEOUT, |r| {
         r.notices_of("a-debit").next().map(|n| (n.when.at, n.courier, n.line.clone()))
     });
     let (when, courier, line) = notice.await.map_err(Error::other)?;
@@ -68,7 +70,7 @@
         seconds(when),
         fleet.name(courier)
     );
-    let call = fleet.until("another courier's call of the notice", PATIENCE, |r| {
+    let call = fleet.wait_until("another courier's call of the notice", WAIT_TIMEOUT, |r| {
         r.calls_of("a-notice").find(|call| call.courier != 1).map(|call| (call.began.at, call.courier))
     });
     let (when, courier) = call.await.map_err(Error::other)?;
@@ -79,14 +81,14 @@
     );
     fleet.partner(0).release("a-notice", Answer::ok());
     fleet
-        .until("its end", PATIENCE, |r| r.has_ended("a-notice").then_some(()))
+        .wait_until("its end", WAIT_TIMEOUT, |r| r.has_ended("a-notice").then_some(()))
         .await
         .map_err(Error::other)?;
     println!(
         "The partner answers 200: delivered. b comes back with its folder, and finds that nothing of it is its own:"
     );
     fleet.restart(1).await?;
-    let joined = fleet.says(1, "fleet: member under epoch").await.map_err(Error::other)?;
+    let joined = fleet.wait_for_log(1, "fleet: member under epoch").await.map_err(Error::other)?;
     println!("{joined}");
     Ok(())
 }
--- a/courier/examples/fleet_budget.rs
+++ b/courier/examples/fleet_budget.rs
@@ -7,9 +7,9 @@
 //! while couriers are killed or cut off from the others. Printed: the most connections that the partner ever
 //! counted, how much of the budget was used, and what became of the other tenants' messages.
 
-use quillmount_standins::audit::{Budget, Terms, audit};
-use quillmount_standins::consumer::Invocation;
-use quillmount_standins::fleet::link::Way;
+use quillmount_standins::audit::{AuditRules, Budget, audit};
+use quillmount_standins::client::MessageRequest;
+use quillmount_standins::fleet::link::LinkMode;
 use quillmount_standins::fleet::{Fleet, FleetSetup};
 use quillmount_standins::partner::Answer;
 use serde_json::json;
@@ -122,12 +122,15 @@
     setup.fleet = Some(json!({"lease": "1500ms", "copies": 1, "partner_idle": "1s", "partner_call": "2s",
                               "budgets": budgets}));
     setup.config = json!({"settings": {"family_info": {"call_slots": 64}, "limits": {"open_cap": 1000}}});
-    setup.partner(1, |_| Answer::Held);
+    setup.partner(1, |_| Answer::Pending);
     setup
 }
 
-fn invocation(tenant: &str, id: &str) -> Invocation {
-    Invocation { headers: format!("X-Account: {tenant}\r\n"), ..Invocation::new("fee-debit", id, 1, TIME) }
+fn message(tenant: &str, id: &str) -> MessageRequest {
+    MessageRequest {
+        headers: format!("X-Account: {tenant}\r\n"),
+        ..MessageRequest::new("fee-debit", id, 1, TIME)
+    }
 }
 
 async fn part_of(program: &Path, part: Part, seconds: u64, seed: u64) -> std::io::Result<Came> {
@@ -139,23 +142,23 @@
             sleep(Duration::from_millis(10)).await;
         }
     }
-    let begun = fleet.witness.now();
+    let begun = fleet.recorder.now();
     let end = begun + seconds * 1_000_000;
     for tenant in 0..if part == Part::Flood { 0 } else { OTHERS } {
-        let consumers: Vec<_> = (0..COURIERS).map(|courier| fleet.consumer(courier)).collect();
-        let witness = fleet.witness.clone();
+        let consumers: Vec<_> = (0..COURIERS).map(|courier| fleet.client(courier)).collect();
+        let recorder = fleet.recorder.clone();
         spawn_local(async move {
             for n in 0.. {
                 sleep(PAUSE).await;
-                if witness.now() >= end {
+                if recorder.now() >= end {
                     return;
                 }
                 let (consumer, name) = (consumers[n % COURIERS].clone(), format!("other{tenant}"));
-                let message = invocation(&name, &format!("{name}-{n}"));
+                let message = message(&name, &format!("{name}-{n}"));
                 // A lost courier's front answers nothing.
                 spawn_local(async move {
                     let _ =
-                        tokio::time::timeout(Duration::from_secs(2), consumer.hand_in(&message, b"x")).await;
+                        tokio::time::timeout(Duration::from_secs(2), consumer.submit(&message, b"x")).await;
                 });
             }
         });
@@ -165,20 +168,20 @@
     let mut number = 0;
     let mut loss_at = begun + LOSS.as_micros() as u64;
     let mut lost = None;
-    while fleet.witness.now() < end {
+    while fleet.recorder.now() < end {
         sleep(Duration::from_millis(1)).await;
         release(&fleet, &in_hand);
-        let now = fleet.witness.now();
+        let now = fleet.recorder.now();
         if part == Part::Lossy && now >= loss_at {
             loss_at = now + LOSS.as_micros() as u64;
             match lost.take() {
-                Some(_) => fleet.mend().await?,
+                Some(_) => fleet.heal().await?,
                 None => {
                     let courier = draws.usize(0..COURIERS);
                     lost = Some(courier);
                     match draws.bool() {
                         true => fleet.kill(courier).await?,
-                        false => fleet.set_links(courier, Way::Cut),
+                        false => fleet.set_links(courier, LinkMode::Partitioned),
                     }
                 }
             }
@@ -194,11 +197,11 @@
                 number += 1;
                 *in_hand.borrow_mut().entry(courier).or_default() += 1;
                 let (consumer, message) =
-                    (fleet.consumer(courier), invocation("flood", &format!("flood-{number}")));
+                    (fleet.client(courier), message("flood", &format!("flood-{number}")));
                 let in_hand = in_hand.clone();
                 spawn_local(async move {
                     let told =
-                        tokio::time::timeout(Duration::from_secs(2), consumer.hand_in(&message, b"x")).await;
+                        tokio::time::timeout(Duration::from_secs(2), consumer.submit(&message, b"x")).await;
                     if told.is_ok_and(|status| status != 202)
                         && let Some(has) = in_hand.borrow_mut().get_mut(&courier)
                     {
@@ -208,11 +211,11 @@
             }
         }
     }
-    let over = fleet.witness.now();
+    let over = fleet.recorder.now();
     // What is owed has its end.
     let all = end + TIME.as_micros() as u64 + 2_000_000;
-    fleet.mend().await?;
-    while fleet.witness.now() < all {
+    fleet.heal().await?;
+    while fleet.recorder.now() < all {
         sleep(Duration::from_millis(1)).await;
         release(&fleet, &in_hand);
     }
@@ -221,7 +224,7 @@
 
 /// The partner answers what it has had for long enough.
 fn release(fleet: &Fleet, in_hand: &Rc<RefCell<BTreeMap<usize, usize>>>) {
-    let now = fleet.witness.now();
+    let now = fleet.recorder.now();
     fleet.partner(0).release_where(Answer::ok(), |call| {
         let ready = call.whole.is_some_and(|whole| whole.at + TAKES <= now);
         if ready
@@ -235,22 +238,25 @@
 }
 
 fn came(fleet: &Fleet, from: u64, to: u64) -> Came {
-    let mut history = fleet.history(Terms::default());
+    let mut history = fleet.history(AuditRules::default());
     history.budgets = vec![Budget { partner: 0, from: 0, most: CONNECTIONS }];
     let findings = audit(&history);
     findings.iter().take(5).for_each(|finding| println!("  {finding:?}"));
-    fleet.witness.read(|record| {
+    fleet.recorder.read(|record| {
         let within = |begun: u64, over: u64| over.min(to).saturating_sub(begun.max(from)) as f64;
         let all = (CONNECTIONS as u64 * (to - from)) as f64;
         let busy = record.calls.iter().map(|call| {
             let over = call.answered.map(|(when, _)| when).or(call.abandoned).map_or(to, |when| when.at);
             within(call.began.at, over)
         });
-        let ends = record.opens.iter().skip(1).map(|open| open.when.at).chain([to]);
-        let open =
-            record.opens.iter().zip(ends).map(|(open, next)| open.open as f64 * within(open.when.at, next));
+        let ends = record.connection_changes.iter().skip(1).map(|open| open.when.at).chain([to]);
+        let open = record
+            .connection_changes
+            .iter()
+            .zip(ends)
+            .map(|(open, next)| open.open as f64 * within(open.when.at, next));
         let others: Vec<_> = record
-            .told
+            .submissions
             .iter()
             .filter(|told| told.id.starts_with("other"))
             .filter(|told| told.answer.is_some_and(|(_, status)| status == 202))
@@ -262,14 +268,15 @@
                     first.entry(call.id.as_str()).or_insert(when.at);
                 }
             }
-            let took =
-                others.iter().filter_map(|told| Some((first.get(told.id.as_str())? - told.asked.at) / 1000));
+            let took = others
+                .iter()
+                .filter_map(|told| Some((first.get(told.id.as_str())? - told.submitted_at.at) / 1000));
             took.collect()
         };
         let flood =
             record.calls.iter().filter(|call| call.id.starts_with("flood") && call.answered.is_some());
         Came {
-            most: record.open_at(0).1,
+            most: record.open_connections(0).1,
             busy: busy.sum::<f64>() / all,
             open: open.sum::<f64>() / all,
             others: others.len(),
--- a/courier/examples/fleet_copies.rs
+++ b/courier/examples/fleet_copies.rs
@@ -5,7 +5,7 @@
 //!
 //! Seconds of each play, and how often each is played.
 
-use quillmount_standins::consumer::Invocation;
+use quillmount_standins::client::MessageRequest;
 use quillmount_standins::fleet::{Fleet, FleetSetup};
 use quillmount_standins::partner::Answer;
 use serde_json::json;
@@ -46,7 +46,7 @@
         for copies in 0..=2 {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             let played = runtime.and_then(|runtime| {
-                tokio::task::LocalSet::new().block_on(&runtime, play(&program, copies, seconds))
+                tokio::task::LocalSet::new().block_on(&runtime, run_test(&program, copies, seconds))
             });
             match played {
                 Ok(Play { a_second, median, late }) => {
@@ -62,7 +62,7 @@
     }
 }
 
-async fn play(program: &Path, copies: usize, seconds: u64) -> Result<Play> {
+async fn run_test(program: &Path, copies: usize, seconds: u64) -> Result<Play> {
     let mut setup = FleetSetup::new(program, 3);
     // The harness reads that it serves.
     setup.levels = "warn,quillmount::program=info".into();
@@ -82,13 +82,14 @@
     let times = Rc::new(RefCell::new(Vec::new()));
     let consumers: Vec<_> = (0..CONSUMERS)
         .map(|_| {
-            let (consumer, number, times) = (fleet.consumer(0), number.clone(), times.clone());
+            let (consumer, number, times) = (fleet.client(0), number.clone(), times.clone());
             spawn_local(async move {
                 while Instant::now() < ends {
                     let n = number.replace(number.get() + 1);
-                    let message = Invocation::new("fee-debit", &format!("m{n}"), 1, Duration::from_secs(16));
+                    let message =
+                        MessageRequest::new("fee-debit", &format!("m{n}"), 1, Duration::from_secs(16));
                     let asked = Instant::now();
-                    if consumer.hand_in(&message, b"body").await == 202 {
+                    if consumer.submit(&message, b"body").await == 202 {
                         times.borrow_mut().push(asked.elapsed().as_secs_f64() * 1e3);
                     }
                 }
--- a/courier/examples/fleet_losses.rs
+++ b/courier/examples/fleet_losses.rs
@@ -6,9 +6,9 @@
 //! at once; the lost come back when others have taken over. Printed: messages, what the auditor finds, and the times from a loss
 //! to the first call or notice of a taker.
 
-use quillmount_standins::audit::{Terms, audit};
-use quillmount_standins::consumer::Invocation;
-use quillmount_standins::fleet::link::Way;
+use quillmount_standins::audit::{AuditRules, audit};
+use quillmount_standins::client::MessageRequest;
+use quillmount_standins::fleet::link::LinkMode;
 use quillmount_standins::fleet::{Fleet, FleetSetup};
 use quillmount_standins::partner::Answer;
 use serde_json::json;
@@ -68,7 +68,7 @@
         let held = held.clone();
         setup.partner(dest, move |_| {
             held.set(held.get() + 1);
-            if held.get().is_multiple_of(HELD) { Answer::Held } else { Answer::ok() }
+            if held.get().is_multiple_of(HELD) { Answer::Pending } else { Answer::ok() }
         });
     }
     let mut draws = setup.generator();
@@ -78,7 +78,7 @@
     let lost: Rc<RefCell<BTreeSet<usize>>> = Rc::default();
     for courier in 0..COURIERS {
         for _ in 0..CONSUMERS {
-            let consumer = fleet.consumer(courier);
+            let consumer = fleet.client(courier);
             let (going, number, lost) = (going.clone(), number.clone(), lost.clone());
             spawn_local(async move {
                 while going.get() {
@@ -91,11 +91,11 @@
                     number.set(n + 1);
                     let class = if n % 2 == 0 { "fee-debit" } else { "paid-notice" };
                     let time = Duration::from_secs(16);
-                    let message = Invocation {
+                    let message = MessageRequest {
                         key: (class == "paid-notice").then(|| format!("k{n}")),
-                        ..Invocation::new(class, &format!("m{n}"), 1 + n % 4, time)
+                        ..MessageRequest::new(class, &format!("m{n}"), 1 + n % 4, time)
                     };
-                    let given = consumer.hand_in(&message, b"body");
+                    let given = consumer.submit(&message, b"body");
                     let told = tokio::time::timeout(Duration::from_millis(400), given).await;
                     if told.is_ok_and(|status| status == 202) {
                         sleep(PAUSE).await;
@@ -117,17 +117,18 @@
         }
         // So that something is in hand: what the partners hold now stays held.
         sleep(Duration::from_millis(50)).await;
-        let at = fleet.witness.now();
+        let at = fleet.recorder.now();
         lost.borrow_mut().extend(&victims);
         for victim in &victims {
             match kind {
                 Kind::Kill => fleet.kill(*victim).await?,
-                Kind::Pause => fleet.pause(*victim)?,
-                Kind::Cut => fleet.set_links(*victim, Way::Cut),
+                Kind::Pause => fleet.suspend(*victim)?,
+                Kind::Cut => fleet.set_links(*victim, LinkMode::Partitioned),
             }
         }
-        let mine: BTreeSet<String> = fleet.witness.read(|record| {
-            let told = record.told.iter().rev().take_while(|told| told.asked.at + 17_000_000 > at);
+        let mine: BTreeSet<String> = fleet.recorder.read(|record| {
+            let told =
+                record.submissions.iter().rev().take_while(|told| told.submitted_at.at + 17_000_000 > at);
             let by = told.filter(|told| victims.contains(&told.courier));
             let taken_on = by.filter(|told| told.answer.is_some_and(|(_, status)| status == 202));
             taken_on.filter(|told| !record.has_ended(&told.id)).map(|told| told.id.clone()).collect()
@@ -135,7 +136,7 @@
         if mine.is_empty() {
             none += 1;
         } else {
-            let first = fleet.until("a taker's first word", Duration::from_secs(20), |record| {
+            let first = fleet.wait_until("a taker's first word", Duration::from_secs(20), |record| {
                 let calls = record.calls.iter().rev().take_while(|call| call.began.at > at);
                 let calls = calls.filter(|c| mine.contains(&c.id) && !victims.contains(&c.courier));
                 let calls = calls.map(|call| call.began.at).min();
@@ -150,7 +151,7 @@
         }
         // The lost come back while their work is being taken over, or after.
         sleep(Duration::from_millis(draws.u64(0..1_500))).await;
-        fleet.mend().await?;
+        fleet.heal().await?;
         lost.borrow_mut().clear();
         // Copies are made up for before the next loss: two at once is the most that two copies bear.
         for courier in 0..COURIERS {
@@ -160,14 +161,14 @@
         }
     }
     going.set(false);
-    let end = fleet.witness.now() + 18_000_000;
-    while fleet.witness.now() < end {
+    let end = fleet.recorder.now() + 18_000_000;
+    while fleet.recorder.now() < end {
         release(&fleet, Duration::from_millis(100)).await;
     }
-    let findings = audit(&fleet.history(Terms::default()));
-    let (told, on, calls, notices) = fleet.witness.read(|record| {
-        let on = record.told.iter().filter(|told| told.answer.is_some_and(|(_, s)| s == 202)).count();
-        (record.told.len(), on, record.calls.len(), record.notices.len())
+    let findings = audit(&fleet.history(AuditRules::default()));
+    let (told, on, calls, notices) = fleet.recorder.read(|record| {
+        let on = record.submissions.iter().filter(|told| told.answer.is_some_and(|(_, s)| s == 202)).count();
+        (record.submissions.len(), on, record.calls.len(), record.notices.len())
     });
     taken.sort_unstable();
     let at = |part: f64| taken.get(((taken.len() as f64 * part) as usize).min(taken.len().saturating_sub(1)));
--- a/courier/examples/streaming.rs
+++ b/courier/examples/streaming.rs
@@ -8,7 +8,7 @@
 //! resident memory the system tells. It is a measurement and no test.
 
 use quillmount_standins::courier::{Courier, Setup};
-use quillmount_standins::{Eyes, platform};
+use quillmount_standins::{Observer, platform};
 use serde_json::json;
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Error, Read, Result, Write};
@@ -72,9 +72,9 @@
     thread::spawn(move || -> Result<()> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         tokio::task::LocalSet::new().block_on(&runtime, async {
-            let (eyes, _) = Eyes::open();
+            let (observer, _) = Observer::channel();
             let (_keep, list) = tokio::sync::watch::channel(String::new());
-            let _ = tell.send(platform::open(eyes, list).await?);
+            let _ = tell.send(platform::open(observer, list).await?);
             std::future::pending::<Result<()>>().await
         })
     });
@@ -343,7 +343,7 @@
         });
     }
     thread::sleep(Duration::from_secs(2));
-    let sent = hand_in(courier.addr)?;
+    let sent = submit(courier.addr)?;
     over.store(true, Relaxed);
     thread::sleep(Duration::from_millis(500));
     let arrivals = arrivals.lock().map_err(|_| Error::other("a thread died"))?;
@@ -359,7 +359,7 @@
 }
 
 /// Hands in small messages at their rate, on a connection of their own, and returns when each began.
-fn hand_in(to: SocketAddr) -> Result<HashMap<String, Instant>> {
+fn submit(to: SocketAddr) -> Result<HashMap<String, Instant>> {
     let mut stream = TcpStream::connect(to)?;
     stream.set_nodelay(true)?;
     let mut reader = BufReader::new(stream.try_clone()?);
--- a/courier/src/program/demo.rs
+++ b/courier/src/program/demo.rs
@@ -1,11 +1,11 @@
 //! `quillmount demo`: a courier of this very program between stand-ins on loopback, and what becomes of a few
 //! messages of each kind.
 
-use quillmount_standins::consumer::{self, Invocation};
+use quillmount_standins::client::{self, MessageRequest};
 use quillmount_standins::courier::{Courier, Setup};
+use quillmount_standins::endpoint::{self, EndpointScript};
 use quillmount_standins::http::Head;
-use quillmount_standins::provider::{self, Script};
-use quillmount_standins::{Eyes, Seen, What, platform};
+use quillmount_standins::{Observation, ObservationKind, Observer, platform};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -16,7 +16,7 @@
 /// A message that nothing comes of ends at its time; a demonstration should not last the usual 16 s.
 const TIME_LEFT: Duration = Duration::from_secs(4);
 /// An end comes within a message's time and some; without one the demonstration has failed.
-const PATIENCE: Duration = Duration::from_secs(10);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 const CLASSES: [&str; 2] = ["fee-debit", "paid-notice"];
 
 /// The kinds of message: their name, their destination, and what its partner does.
@@ -28,13 +28,13 @@
 ];
 
 /// What the partner of a destination does; `first`: the message has not called there before.
-fn script(dest: u64, first: bool) -> Script {
+fn script(dest: u64, first: bool) -> EndpointScript {
     let delay = Duration::from_millis(150);
     match dest {
-        2 if first => Script::answers("429 Too Many Requests\r\nRetry-After: 0.5"),
-        3 => Script::silent(),
-        4 => Script { delay, ..Script::answers("500 Internal Server Error") },
-        _ => Script { delay, ..Script::default() },
+        2 if first => EndpointScript::answers("429 Too Many Requests\r\nRetry-After: 0.5"),
+        3 => EndpointScript::silent(),
+        4 => EndpointScript { delay, ..EndpointScript::answers("500 Internal Server Error") },
+        _ => EndpointScript { delay, ..EndpointScript::default() },
     }
 }
 
@@ -43,9 +43,9 @@
 /// # Errors
 /// A message had another number of final answers than one, or the courier did not start or stop as it should.
 pub async fn demo() -> Result<(), Error> {
-    let (eyes, mut seen) = Eyes::open();
+    let (observer, mut seen) = Observer::channel();
     let (_list, list) = watch::channel(String::new());
-    let platform = platform::open(eyes.clone(), list).await?;
+    let platform = platform::open(observer.clone(), list).await?;
     let mut partners = Vec::new();
     for (_, dest, _) in KINDS {
         let known = RefCell::new(BTreeSet::new());
@@ -53,7 +53,7 @@
             let id = head.header("x-correlation-id").unwrap_or_default().to_string();
             script(dest, known.borrow_mut().insert(id))
         };
-        partners.push((dest, provider::open(eyes.clone(), script).await?));
+        partners.push((dest, endpoint::open(observer.clone(), script).await?));
     }
     let mut courier = Courier::start(Setup::new(std::env::current_exe()?, platform, partners))?;
     let addr = courier.addr;
@@ -64,19 +64,19 @@
     for (kind, dest, _) in KINDS {
         for class in CLASSES {
             let id = format!("{kind}-{class}");
-            let invocation =
-                Invocation { key: Some(id.clone()), ..Invocation::new(class, &id, dest, TIME_LEFT) };
-            let answer = consumer::hand_in(addr, &invocation, kind.as_bytes()).await?;
+            let message =
+                MessageRequest { key: Some(id.clone()), ..MessageRequest::new(class, &id, dest, TIME_LEFT) };
+            let answer = client::submit(addr, &message, kind.as_bytes()).await?;
             story
                 .entry(id.clone())
                 .or_default()
-                .push((Instant::now(), format!("handed in: {}", answer.first)));
+                .push((Instant::now(), format!("handed in: {}", answer.first_line)));
             ids.push(id);
         }
     }
-    let ends = listen(&mut seen, &mut story, &ids, begun + TIME_LEFT + PATIENCE).await;
-    courier.term()?;
-    let clean = courier.ended().await?.success();
+    let ends = listen(&mut seen, &mut story, &ids, begun + TIME_LEFT + WAIT_TIMEOUT).await;
+    courier.send_sigterm()?;
+    let clean = courier.wait_for_exit().await?.success();
 
     for (kind, _, about) in KINDS {
         for class in CLASSES {
@@ -110,27 +110,29 @@
 /// Hears what the stand-ins see until every message has its end, and a moment longer; returns the number of ends
 /// of each.
 async fn listen(
-    seen: &mut mpsc::Receiver<Seen>,
+    seen: &mut mpsc::Receiver<Observation>,
     story: &mut BTreeMap<String, Vec<(Instant, String)>>,
     ids: &[String],
     by: Instant,
 ) -> BTreeMap<String, usize> {
     let mut ends: BTreeMap<String, usize> = BTreeMap::new();
     let mut until = by;
-    while let Ok(Some(Seen { at, id, what })) = tokio::time::timeout_at(until.into(), seen.recv()).await {
+    while let Ok(Some(Observation { at, id, what })) =
+        tokio::time::timeout_at(until.into(), seen.recv()).await
+    {
         let line = match what {
-            What::CallBegan => "the courier calls the partner".to_string(),
-            What::Answered(answer) => {
+            ObservationKind::CallBegan => "the courier calls the partner".to_string(),
+            ObservationKind::Answered(answer) => {
                 let delivered = answer.starts_with("200");
                 *ends.entry(id.clone()).or_default() += usize::from(delivered);
                 format!("the partner answers {answer}{}", if delivered { ": delivered" } else { "" })
             }
-            What::Abandoned => "the courier gives the call up".to_string(),
-            What::Notice(line) => {
+            ObservationKind::Abandoned => "the courier gives the call up".to_string(),
+            ObservationKind::Notice(line) => {
                 *ends.entry(id.clone()).or_default() += 1;
                 format!("the courier tells the platform {line}")
             }
-            What::Body { .. } | What::Watched => continue,
+            ObservationKind::Body { .. } | ObservationKind::Watched => continue,
         };
         story.entry(id).or_default().push((at, line));
         if ids.iter().all(|id| ends.contains_key(id)) {
--- a/courier/tests/calls.rs
+++ b/courier/tests/calls.rs
@@ -4,10 +4,10 @@
 #[path = "../src/transport/socket.rs"]
 mod socket;
 
-use quillmount_standins::consumer::{self, Invocation};
+use quillmount_standins::client::{self, MessageRequest};
 use quillmount_standins::courier::{Courier, Setup};
-use quillmount_standins::http::{Head, Left, Reader};
-use quillmount_standins::{Eyes, Seen, What, platform};
+use quillmount_standins::http::{BodyRemainder, Head, Reader};
+use quillmount_standins::{Observation, ObservationKind, Observer, platform};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -17,46 +17,47 @@
 use tokio::time::{sleep, timeout};
 
 /// Only a broken program waits for so long.
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 const LONG: Duration = Duration::from_secs(16);
 /// Long before a connection at rest is closed for its age, by the example's keep-alive of 15 s.
 const SOON: Duration = Duration::from_secs(8);
 
-fn play<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
+fn run_test<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let played = async { timeout(Duration::from_secs(90), test()).await };
     tokio::task::LocalSet::new().block_on(&runtime, played).expect("the test has come to its end");
 }
 
 /// One courier, the platform, and providers that the test plays itself.
-struct Stage {
+struct TestBed {
     courier: Courier,
-    seen: mpsc::Receiver<Seen>,
+    seen: mpsc::Receiver<Observation>,
     list: watch::Sender<String>,
     version: u64,
     /// What the log has said and nobody has asked for yet.
     lines: Vec<String>,
 }
 
-impl Stage {
-    async fn open(providers: Vec<(u64, SocketAddr)>, config: Value) -> Stage {
-        let (eyes, seen) = Eyes::open();
+impl TestBed {
+    async fn open(providers: Vec<(u64, SocketAddr)>, config: Value) -> TestBed {
+        let (observer, seen) = Observer::channel();
         let (list, told) = watch::channel(String::new());
-        let platform = platform::open(eyes, told).await.unwrap();
+        let platform = platform::open(observer, told).await.unwrap();
         let mut setup = Setup::new(env!("CARGO_BIN_EXE_quillmount"), platform, providers);
         (setup.config, setup.levels) = (config, "quillmount=debug".into());
         let courier = Courier::start(setup).unwrap();
-        Stage { courier, seen, list, version: 1, lines: Vec::new() }
+        TestBed { courier, seen, list, version: 1, lines: Vec::new() }
     }
 
-    async fn hand_in(&self, class: &str, id: &str, dest: u64, time_left: Duration) {
-        let invocation = Invocation { key: Some(id.into()), ..Invocation::new(class, id, dest, time_left) };
-        assert_eq!(consumer::hand_in(self.courier.addr, &invocation, b"body").await.unwrap().status(), 202);
+    async fn submit(&self, class: &str, id: &str, dest: u64, time_left: Duration) {
+        let message =
+            MessageRequest { key: Some(id.into()), ..MessageRequest::new(class, id, dest, time_left) };
+        assert_eq!(client::submit(self.courier.addr, &message, b"body").await.unwrap().status(), 202);
     }
 
     /// Waits for a line of the log that has all of these words.
-    async fn says(&mut self, words: &[&str]) -> String {
-        let until = Instant::now() + PATIENCE;
+    async fn wait_for_log(&mut self, words: &[&str]) -> String {
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             self.lines.extend(self.courier.log.try_iter());
             let has = |line: &String| words.iter().all(|word| line.contains(word));
@@ -70,7 +71,7 @@
 
     /// How the call with this id ended.
     async fn end(&mut self, addr: SocketAddr) -> String {
-        let line = self.says(&["call ended: ", &format!(" to {addr}: ")]).await;
+        let line = self.wait_for_log(&["call ended: ", &format!(" to {addr}: ")]).await;
         line.split_once(&format!(" to {addr}: ")).unwrap().1.split(' ').next().unwrap().to_string()
     }
 
@@ -78,20 +79,20 @@
     async fn lists(&mut self, (dest, addr): (u64, SocketAddr), state: &str) {
         self.version += 1;
         let id =
-            self.courier.provider_ids().into_iter().find(|id| id.contains(&addr.port().to_string())).unwrap();
+            self.courier.endpoint_ids().into_iter().find(|id| id.contains(&addr.port().to_string())).unwrap();
         let entry = json!({"id": id, "addr": addr, "zone": "bkk-dc1", "kind": "bank", "cell": dest,
             "state": state, "weight": 1000.0, "started_ms": 0});
         let list = json!({"version": self.version, "full": false, "servers": [entry]});
         self.list.send(list.to_string()).unwrap();
         let words = format!("discovery: version {} with", self.version);
-        self.says(&[&words]).await;
+        self.wait_for_log(&[&words]).await;
     }
 
     /// Waits for the notice of a message.
     async fn notice(&mut self, id: &str) -> String {
         loop {
-            let seen = timeout(PATIENCE, self.seen.recv()).await.expect("a notice comes").unwrap();
-            if let What::Notice(text) = seen.what
+            let seen = timeout(WAIT_TIMEOUT, self.seen.recv()).await.expect("a notice comes").unwrap();
+            if let ObservationKind::Notice(text) = seen.what
                 && seen.id == id
             {
                 return text;
@@ -107,15 +108,15 @@
 }
 
 async fn accept(listener: &TcpListener) -> Reader<TcpStream> {
-    let (stream, _) = timeout(PATIENCE, listener.accept()).await.expect("a connection comes").unwrap();
+    let (stream, _) = timeout(WAIT_TIMEOUT, listener.accept()).await.expect("a connection comes").unwrap();
     stream.set_nodelay(true).unwrap();
     Reader::new(stream)
 }
 
 /// Reads a whole call.
 async fn call(reader: &mut Reader<TcpStream>) -> Head {
-    let head = timeout(PATIENCE, reader.head()).await.expect("a call comes").unwrap().unwrap();
-    let mut left = Left::from(head.framing());
+    let head = timeout(WAIT_TIMEOUT, reader.head()).await.expect("a call comes").unwrap().unwrap();
+    let mut left = BodyRemainder::from(head.framing());
     while reader.body(&mut left, usize::MAX).await.unwrap().is_some() {}
     head
 }
@@ -147,7 +148,7 @@
     match then {
         Then::Rests => {}
         Then::GoesOn(bytes, gap) => {
-            let until = Instant::now() + PATIENCE;
+            let until = Instant::now() + WAIT_TIMEOUT;
             while to.write_all(bytes).await.is_ok() {
                 assert!(Instant::now() < until, "the courier reads on and on");
                 sleep(gap).await;
@@ -161,7 +162,7 @@
         }
     }
     let mut rest = [0; 64];
-    while timeout(PATIENCE, from.read(&mut rest)).await.expect("it is closed").is_ok_and(|n| n > 0) {}
+    while timeout(WAIT_TIMEOUT, from.read(&mut rest)).await.expect("it is closed").is_ok_and(|n| n > 0) {}
     begun.elapsed()
 }
 
@@ -237,14 +238,15 @@
             "Full(0)",
         ),
     ];
-    play(async || {
+    run_test(async || {
         let mut providers = Vec::new();
         for n in 0..rows.len() as u64 {
             let (listener, addr) = provider().await;
             providers.push((n + 1, addr, listener));
         }
         let listed = providers.iter().map(|(dest, addr, _)| (*dest, *addr)).collect();
-        let mut stage = Stage::open(listed, json!({"settings": {"family_info": {"call_slots": 1}}})).await;
+        let mut test_bed =
+            TestBed::open(listed, json!({"settings": {"family_info": {"call_slots": 1}}})).await;
         for ((dest, addr, listener), (what, parts, then, end)) in providers.iter().zip(rows) {
             let id = &format!("m{dest}");
             let then = if what.starts_with("interim") {
@@ -253,26 +255,26 @@
             } else {
                 then
             };
-            stage.hand_in("fee-debit", id, *dest, LONG).await;
+            test_bed.submit("fee-debit", id, *dest, LONG).await;
             let mut reader = accept(listener).await;
             call(&mut reader).await;
             let took = answers(reader, parts, then).await;
-            assert_eq!(stage.end(*addr).await, end, "{what}");
+            assert_eq!(test_bed.end(*addr).await, end, "{what}");
             assert!(took < Duration::from_secs(4), "{what}: {took:?}");
             // What may have run is not sent again; what has run has no notice; what never ran is tried again.
             match end {
                 "Delivered" => {
-                    let again = Invocation::new("fee-debit", id, *dest, LONG);
-                    let answer = consumer::hand_in(stage.courier.addr, &again, b"body").await.unwrap();
+                    let again = MessageRequest::new("fee-debit", id, *dest, LONG);
+                    let answer = client::submit(test_bed.courier.addr, &again, b"body").await.unwrap();
                     assert_eq!(answer.status(), 200, "{what}");
                 }
                 "Full(0)" => {
                     let mut reader = accept(listener).await;
                     call(&mut reader).await;
                     reader.into_inner().write_all(OK).await.unwrap();
-                    assert_eq!(stage.end(*addr).await, "Delivered", "{what}");
+                    assert_eq!(test_bed.end(*addr).await, "Delivered", "{what}");
                 }
-                _ => assert!(stage.notice(id).await.contains("undeliverable"), "{what}"),
+                _ => assert!(test_bed.notice(id).await.contains("undeliverable"), "{what}"),
             }
         }
     });
@@ -317,7 +319,8 @@
 async fn nothing_comes(listener: &TcpListener) {
     let marker = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
     loop {
-        let (stream, from) = timeout(PATIENCE, listener.accept()).await.expect("the marker comes").unwrap();
+        let (stream, from) =
+            timeout(WAIT_TIMEOUT, listener.accept()).await.expect("the marker comes").unwrap();
         if from == marker.local_addr().unwrap() {
             return;
         }
@@ -333,47 +336,47 @@
 #[test]
 fn a_connection_that_comes_up_after_its_endpoint_drained_or_went_carries_no_byte() {
     for state in ["draining", "gone"] {
-        play(async || {
+        run_test(async || {
             let jam = Jam::open().await;
             let addr = jam.addr;
-            let mut stage = Stage::open(vec![(1, addr)], patient()).await;
-            stage.hand_in("fee-debit", "late", 1, LONG).await;
-            stage.says(&["call: ", &addr.to_string()]).await;
-            stage.lists((1, addr), state).await;
+            let mut test_bed = TestBed::open(vec![(1, addr)], patient()).await;
+            test_bed.submit("fee-debit", "late", 1, LONG).await;
+            test_bed.wait_for_log(&["call: ", &addr.to_string()]).await;
+            test_bed.lists((1, addr), state).await;
             let listener = jam.clear().await;
             is_closed_unused(accept(&listener).await).await;
-            assert_eq!(stage.end(addr).await, "HeldBack", "{state}");
+            assert_eq!(test_bed.end(addr).await, "HeldBack", "{state}");
             // It never ran, and goes once the endpoint is back.
-            stage.lists((1, addr), "ready").await;
+            test_bed.lists((1, addr), "ready").await;
             let mut reader = accept(&listener).await;
             assert_eq!(call(&mut reader).await.header("x-correlation-id"), Some("late"));
             reader.into_inner().write_all(OK).await.unwrap();
-            assert_eq!(stage.end(addr).await, "Delivered", "{state}");
+            assert_eq!(test_bed.end(addr).await, "Delivered", "{state}");
         });
     }
 }
 
 #[test]
 fn a_connection_that_comes_up_within_a_wait_carries_no_byte() {
-    play(async || {
+    run_test(async || {
         let jam = Jam::open().await;
         let (open, other) = provider().await;
         let addr = jam.addr;
-        let mut stage = Stage::open(vec![(1, addr), (1, other)], patient()).await;
+        let mut test_bed = TestBed::open(vec![(1, addr), (1, other)], patient()).await;
         // They go to both.
         for id in ["m1", "m2"] {
-            stage.hand_in("fee-debit", id, 1, LONG).await;
+            test_bed.submit("fee-debit", id, 1, LONG).await;
         }
-        stage.says(&["call: ", &addr.to_string()]).await;
+        test_bed.wait_for_log(&["call: ", &addr.to_string()]).await;
         let mut reader = accept(&open).await;
         call(&mut reader).await;
         let wait = b"HTTP/1.1 429 Too Many Requests\r\nRetry-After: 9\r\nContent-Length: 0\r\n\r\n";
         reader.into_inner().write_all(wait).await.unwrap();
-        assert_eq!(stage.end(other).await, "Full(9000000)");
+        assert_eq!(test_bed.end(other).await, "Full(9000000)");
         let told = Instant::now();
         let listener = jam.clear().await;
         is_closed_unused(accept(&listener).await).await;
-        assert_eq!(stage.end(addr).await, "HeldBack");
+        assert_eq!(test_bed.end(addr).await, "HeldBack");
         assert!(told.elapsed() < Duration::from_secs(9));
     });
 }
@@ -381,52 +384,52 @@
 /// The time of the message, or of the process, is over before the connection is up: it never ran.
 #[test]
 fn a_connection_that_comes_up_after_its_message_ended_carries_no_byte() {
-    play(async || {
+    run_test(async || {
         let jam = Jam::open().await;
         let addr = jam.addr;
-        let mut stage = Stage::open(vec![(1, addr)], patient()).await;
-        stage.hand_in("fee-debit", "short", 1, Duration::from_millis(700)).await;
+        let mut test_bed = TestBed::open(vec![(1, addr)], patient()).await;
+        test_bed.submit("fee-debit", "short", 1, Duration::from_millis(700)).await;
         // The message's end and the call's time are one moment, and either may be heard of first.
-        let end = stage.end(addr).await;
+        let end = test_bed.end(addr).await;
         assert!(["CouldNotConnect", "HeldBack"].contains(&end.as_str()), "{end}");
-        stage.notice("short").await;
+        test_bed.notice("short").await;
         nothing_comes(&jam.clear().await).await;
     });
 }
 
 #[test]
 fn a_call_that_waits_for_its_connection_as_the_process_ends_is_made_by_the_next() {
-    play(async || {
+    run_test(async || {
         let jam = Jam::open().await;
         let addr = jam.addr;
-        let mut stage = Stage::open(vec![(1, addr)], patient()).await;
-        stage.hand_in("fee-debit", "once", 1, LONG).await;
-        stage.says(&["call: ", &addr.to_string()]).await;
-        stage.courier.term().unwrap();
-        assert!(stage.courier.ended().await.unwrap().success());
+        let mut test_bed = TestBed::open(vec![(1, addr)], patient()).await;
+        test_bed.submit("fee-debit", "once", 1, LONG).await;
+        test_bed.wait_for_log(&["call: ", &addr.to_string()]).await;
+        test_bed.courier.send_sigterm().unwrap();
+        assert!(test_bed.courier.wait_for_exit().await.unwrap().success());
         let listener = jam.clear().await;
         nothing_comes(&listener).await;
-        stage.courier.kill_and_restart().unwrap();
+        test_bed.courier.kill_and_restart().unwrap();
         let mut reader = accept(&listener).await;
         assert_eq!(call(&mut reader).await.header("x-correlation-id"), Some("once"));
         reader.into_inner().write_all(OK).await.unwrap();
-        assert_eq!(stage.end(addr).await, "Delivered");
+        assert_eq!(test_bed.end(addr).await, "Delivered");
     });
 }
 
 /// A span of one second, and connects that last longer: a call that did not leave does not begin the span.
 #[test]
 fn what_could_not_connect_for_longer_than_its_span_is_delivered() {
-    play(async || {
+    run_test(async || {
         let jam = Jam::open().await;
         let addr = jam.addr;
         let span = json!({"settings": {"categories": [{"name": "keyed", "effect": "dedup", "dedup_scope": "all",
             "memory_span_ms": 1_000, "promise_ms": 3_000, "deadline_ms": 16_000, "worth": 1, "late_worth": 0.4}]}});
-        let mut stage = Stage::open(vec![(1, addr)], span).await;
+        let mut test_bed = TestBed::open(vec![(1, addr)], span).await;
         let begun = Instant::now();
-        stage.hand_in("keyed", "k", 1, LONG).await;
+        test_bed.submit("keyed", "k", 1, LONG).await;
         while begun.elapsed() < Duration::from_millis(1_100) {
-            assert_eq!(stage.end(addr).await, "CouldNotConnect");
+            assert_eq!(test_bed.end(addr).await, "CouldNotConnect");
         }
         let listener = jam.clear().await;
         loop {
@@ -440,14 +443,14 @@
             reader.into_inner().write_all(OK).await.unwrap();
             break;
         }
-        while stage.end(addr).await != "Delivered" {}
+        while test_bed.end(addr).await != "Delivered" {}
     });
 }
 
 /// What has come on a connection is seen though nothing was polled since.
 #[test]
 fn an_end_or_a_byte_that_has_just_come_is_seen() {
-    play(async || {
+    run_test(async || {
         let (listener, addr) = provider().await;
         for what in ["nothing", "a byte", "half a line", "an end", "a reset"] {
             let ours = TcpStream::connect(addr).await.unwrap();
@@ -475,7 +478,7 @@
 /// A provider that reads slowly: what had no room until it was too late does not leave when there is some.
 #[test]
 fn a_write_that_waits_for_room_until_it_is_too_late_sends_no_more() {
-    play(async || {
+    run_test(async || {
         let (listener, addr) = provider().await;
         let mut ours = TcpStream::connect(addr).await.unwrap();
         let (mut theirs, _) = listener.accept().await.unwrap();
@@ -505,7 +508,7 @@
             got
         };
         let (wrote, got) =
-            timeout(PATIENCE, async { tokio::join!(waits, read) }).await.expect("there is room");
+            timeout(WAIT_TIMEOUT, async { tokio::join!(waits, read) }).await.expect("there is room");
         assert!(wrote.is_none(), "{wrote:?}");
         assert_eq!(got, sent);
     });
@@ -516,24 +519,24 @@
 fn a_connection_on_which_something_came_carries_no_other_call() {
     let said: [&[u8]; 3] = [b"H", b"HTTP/1.1 200 OK\r\n", OK];
     for words in said {
-        play(async || {
+        run_test(async || {
             let (listener, addr) = provider().await;
-            let mut stage = Stage::open(vec![(1, addr)], json!({})).await;
-            stage.hand_in("fee-debit", "first", 1, LONG).await;
+            let mut test_bed = TestBed::open(vec![(1, addr)], json!({})).await;
+            test_bed.submit("fee-debit", "first", 1, LONG).await;
             let mut reader = accept(&listener).await;
             call(&mut reader).await;
             let mut rests = reader.into_inner();
             rests.write_all(OK).await.unwrap();
-            assert_eq!(stage.end(addr).await, "Delivered");
+            assert_eq!(test_bed.end(addr).await, "Delivered");
             rests.write_all(words).await.unwrap();
-            stage.hand_in("fee-debit", "second", 1, LONG).await;
+            test_bed.submit("fee-debit", "second", 1, LONG).await;
             let mut reader = accept(&listener).await;
             assert_eq!(call(&mut reader).await.header("x-correlation-id"), Some("second"));
             is_closed_unused(Reader::new(rests)).await;
             // Not the words on the other connection: this answer counts.
             let busy = b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n";
             reader.into_inner().write_all(busy).await.unwrap();
-            assert_eq!(stage.end(addr).await, "Full(0)");
+            assert_eq!(test_bed.end(addr).await, "Full(0)");
         });
     }
 }
@@ -541,15 +544,15 @@
 /// An answer without a length lasts as long as its connection: what comes behind it is not the next call's answer.
 #[test]
 fn an_answer_without_a_length_ends_its_connection() {
-    play(async || {
+    run_test(async || {
         let (listener, addr) = provider().await;
-        let mut stage = Stage::open(vec![(1, addr)], json!({})).await;
-        stage.hand_in("fee-debit", "first", 1, LONG).await;
+        let mut test_bed = TestBed::open(vec![(1, addr)], json!({})).await;
+        test_bed.submit("fee-debit", "first", 1, LONG).await;
         let mut reader = accept(&listener).await;
         call(&mut reader).await;
         let mut stream = reader.into_inner();
         stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n").await.unwrap();
-        assert_eq!(stage.end(addr).await, "Delivered");
+        assert_eq!(test_bed.end(addr).await, "Delivered");
         is_closed_unused(Reader::new(stream)).await;
     });
 }
@@ -559,33 +562,33 @@
 #[test]
 fn a_call_whose_connection_is_reset_is_repeated_as_its_class_allows() {
     for rested in [false, true] {
-        play(async || {
+        run_test(async || {
             let (listener, addr) = provider().await;
             let (other_listener, other) = provider().await;
-            let mut stage = Stage::open(vec![(1, addr), (2, other)], json!({})).await;
+            let mut test_bed = TestBed::open(vec![(1, addr), (2, other)], json!({})).await;
             let cases = [("paid-notice", 1, addr, &listener), ("fee-debit", 2, other, &other_listener)];
             for (class, dest, addr, listener) in cases {
-                stage.hand_in(class, &format!("before-{dest}"), dest, LONG).await;
+                test_bed.submit(class, &format!("before-{dest}"), dest, LONG).await;
                 let mut reader = accept(listener).await;
                 call(&mut reader).await;
                 let mut stream = reader.into_inner();
                 let last: &[u8] = if rested { OK } else { b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" };
                 stream.write_all(last).await.unwrap();
-                assert_eq!(stage.end(addr).await, "Delivered");
+                assert_eq!(test_bed.end(addr).await, "Delivered");
                 let id = format!("reset-{dest}");
-                stage.hand_in(class, &id, dest, LONG).await;
+                test_bed.submit(class, &id, dest, LONG).await;
                 let mut reader = if rested { Reader::new(stream) } else { accept(listener).await };
                 assert_eq!(call(&mut reader).await.header("x-correlation-id"), Some(id.as_str()));
                 reader.into_inner().set_zero_linger().unwrap();
-                assert_eq!(stage.end(addr).await, "Reset", "{class}");
+                assert_eq!(test_bed.end(addr).await, "Reset", "{class}");
                 if class == "fee-debit" {
-                    assert!(stage.notice(&id).await.contains("undeliverable"));
+                    assert!(test_bed.notice(&id).await.contains("undeliverable"));
                     nothing_comes(listener).await;
                 } else {
                     let mut reader = accept(listener).await;
                     assert_eq!(call(&mut reader).await.header("idempotency-key"), Some(id.as_str()));
                     reader.into_inner().write_all(OK).await.unwrap();
-                    assert_eq!(stage.end(addr).await, "Delivered");
+                    assert_eq!(test_bed.end(addr).await, "Delivered");
                 }
             }
         });
@@ -595,16 +598,16 @@
 #[test]
 fn what_rests_at_an_endpoint_that_went_is_closed() {
     for state in ["draining", "gone"] {
-        play(async || {
+        run_test(async || {
             let (listener, addr) = provider().await;
-            let mut stage = Stage::open(vec![(1, addr)], json!({})).await;
-            stage.hand_in("fee-debit", "m", 1, LONG).await;
+            let mut test_bed = TestBed::open(vec![(1, addr)], json!({})).await;
+            test_bed.submit("fee-debit", "m", 1, LONG).await;
             let mut reader = accept(&listener).await;
             call(&mut reader).await;
             let mut stream = reader.into_inner();
             stream.write_all(OK).await.unwrap();
-            assert_eq!(stage.end(addr).await, "Delivered");
-            stage.lists((1, addr), state).await;
+            assert_eq!(test_bed.end(addr).await, "Delivered");
+            test_bed.lists((1, addr), state).await;
             is_closed_unused(Reader::new(stream)).await;
         });
     }
@@ -615,20 +618,20 @@
 #[test]
 fn a_delivery_that_crosses_the_end_of_its_messages_time_is_followed_by_a_notice() {
     for class in ["fee-debit", "paid-notice"] {
-        play(async || {
+        run_test(async || {
             let (listener, addr) = provider().await;
-            let mut stage = Stage::open(vec![(1, addr)], json!({})).await;
+            let mut test_bed = TestBed::open(vec![(1, addr)], json!({})).await;
             let (begun, time) = (Instant::now(), Duration::from_secs(2));
-            stage.hand_in(class, "crosses", 1, time).await;
+            test_bed.submit(class, "crosses", 1, time).await;
             let mut reader = accept(&listener).await;
             call(&mut reader).await;
-            stage.courier.pause().unwrap();
+            test_bed.courier.suspend().unwrap();
             reader.into_inner().write_all(OK).await.unwrap();
             tokio::time::sleep_until((begun + time + Duration::from_millis(100)).into()).await;
-            stage.courier.go_on().unwrap();
-            assert_eq!(stage.end(addr).await, "Delivered", "{class}");
+            test_bed.courier.resume().unwrap();
+            assert_eq!(test_bed.end(addr).await, "Delivered", "{class}");
             // Of whichever end came first, the module's or the courier's own.
-            stage.notice("crosses").await;
+            test_bed.notice("crosses").await;
         });
     }
 }
--- a/courier/tests/common/mod.rs
+++ b/courier/tests/common/mod.rs
@@ -24,16 +24,16 @@
 use std::time::{Duration, Instant};
 
 /// Only a broken program waits for so long.
-const PATIENCE: Duration = Duration::from_secs(8);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// A watch that is silent for longer than 2 s counts as broken.
-const BEAT: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A whole request on a connection to one of our listeners; none: the connection ended.
 /// Last: how often the program had been started when the connection came.
-type Heard = (String, TcpStream, Option<String>, u32);
+type ReceivedMessage = (String, TcpStream, Option<String>, u32);
 
-struct Stage {
+struct ExchangePlayer {
     folder: PathBuf,
     /// The port that plays the platform.
     platform: String,
@@ -42,10 +42,10 @@
     child: Option<Child>,
     log: Option<Lines<BufReader<ChildStderr>>>,
     starts: Arc<AtomicU32>,
-    heard: Receiver<Heard>,
-    ears: Sender<Heard>,
-    waiting: VecDeque<Heard>,
-    consumers: BTreeMap<String, TcpStream>,
+    received: Receiver<ReceivedMessage>,
+    sender: Sender<ReceivedMessage>,
+    waiting: VecDeque<ReceivedMessage>,
+    clients: BTreeMap<String, TcpStream>,
     /// The connection of the latest call to each provider and of the notices.
     peers: BTreeMap<String, TcpStream>,
     /// The latest watch, which is told an empty line from time to time.
@@ -59,8 +59,8 @@
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(folder.join("state")).unwrap();
-    let (ears, heard) = channel();
-    let mut stage = Stage {
+    let (sender, received) = channel();
+    let mut player = ExchangePlayer {
         folder,
         platform: "platform".into(),
         ports: BTreeMap::new(),
@@ -68,35 +68,35 @@
         child: None,
         log: None,
         starts: Arc::default(),
-        heard,
-        ears,
+        received,
+        sender,
         waiting: VecDeque::new(),
-        consumers: BTreeMap::new(),
+        clients: BTreeMap::new(),
         peers: BTreeMap::new(),
         watch: None,
     };
-    stage.open("platform");
-    let mut said = String::new();
+    player.open("platform");
+    let mut transcript = String::new();
     let mut lines = text.lines().filter(|l| !l.starts_with('#') && !l.is_empty()).peekable();
     while let Some(step) = lines.next() {
         let mut bytes: Vec<&str> = Vec::new();
         while let Some(line) = lines.next_if(|l| l.starts_with('>')) {
             bytes.push(line[1..].trim_start());
         }
-        let answer = stage.step(step, &bytes);
-        said += &format!("{step}\n{answer}");
+        let answer = player.step(step, &bytes);
+        transcript += &format!("{step}\n{answer}");
         if std::env::var_os("EXCHANGE_TRACE").is_some() {
             eprint!("{name}: {step}\n{answer}");
         }
     }
-    said
+    transcript
 }
 
-impl Stage {
+impl ExchangePlayer {
     fn step(&mut self, step: &str, lines: &[&str]) -> String {
         let (verb, name) = step.split_once(' ').unwrap_or((step, ""));
         let name = name.to_string();
-        let bytes = self.fill(&wire(lines));
+        let bytes = self.substitute_addresses(&encode_lines(lines));
         match verb {
             "set" => {
                 let (var, value) = name.split_once('=').unwrap();
@@ -107,7 +107,7 @@
             "kill" => self.child().kill().and_then(|()| self.child().wait().map(drop)).unwrap(),
             "term" => {
                 self.signal("-TERM");
-                self.logged("stopping; ");
+                self.wait_for_log("stopping; ");
             }
             "pause" => {
                 self.signal("-STOP");
@@ -138,61 +138,62 @@
                 return format!("  within its share: {}\n", sizes.sum::<u64>() as f64 <= most);
             }
             "consumer" => {
-                let mut consumer = self.connect();
-                consumer.write_all(bytes.as_bytes()).unwrap();
-                return self.show(&response(&mut consumer));
+                let mut client = self.connect();
+                client.write_all(bytes.as_bytes()).unwrap();
+                return self.normalize(&read_response(&mut client));
             }
             "crowd" => {
                 for n in 0..name.parse().unwrap() {
                     let silent = self.connect();
-                    self.consumers.insert(format!("silent-{n}"), silent);
+                    self.clients.insert(format!("silent-{n}"), silent);
                 }
             }
             "send" => {
-                let known = self.consumers.remove(&name);
-                let mut consumer = known.unwrap_or_else(|| self.connect());
-                consumer.write_all(bytes.as_bytes()).unwrap();
-                self.consumers.insert(name, consumer);
+                let known = self.clients.remove(&name);
+                let mut client = known.unwrap_or_else(|| self.connect());
+                client.write_all(bytes.as_bytes()).unwrap();
+                self.clients.insert(name, client);
             }
             "recv" => {
-                let heard = response(self.consumers.get_mut(&name).unwrap());
-                return self.show(&heard);
+                let received = read_response(self.clients.get_mut(&name).unwrap());
+                return self.normalize(&received);
             }
             "closed" => {
-                let end = self.consumers.remove(&name).unwrap().read(&mut [0; 1]);
+                let end = self.clients.remove(&name).unwrap().read(&mut [0; 1]);
                 return format!("  {}\n", if matches!(end, Ok(0)) { "yes" } else { "no" });
             }
             "provider" if !lines.is_empty() => {
                 self.peers.get_mut(&name).unwrap().write_all(bytes.as_bytes()).unwrap();
                 // Else the next step could overtake the answer.
-                self.logged("call ended: ");
+                self.wait_for_log("call ended: ");
             }
             "provider" => {
-                let heard = self.hear(&name, |r| r.is_some()).unwrap();
-                return self.show(&heard);
+                let received = self.wait_for_request(&name, |r| r.is_some()).unwrap();
+                return self.normalize(&received);
             }
             "move" => {
                 self.platform = name;
                 self.configure();
                 self.signal("-HUP");
-                self.watched();
+                self.accept_watch();
             }
             "spoil" => {
                 std::fs::write(self.folder.join("config.json"), "{").unwrap();
                 self.signal("-HUP");
-                self.logged("not read again, the old values hold");
+                self.wait_for_log("not read again, the old values hold");
             }
             "shut" => self.peers.remove(&name).unwrap().shutdown(Shutdown::Both).unwrap(),
             "gone" => {
-                self.hear(&name, |r| r.is_none());
+                self.wait_for_request(&name, |r| r.is_none());
             }
             "notices" => {
                 let platform = self.platform.clone();
-                let heard =
-                    self.hear(&platform, |r| r.as_ref().is_some_and(|r| r.starts_with("POST"))).unwrap();
+                let received = self
+                    .wait_for_request(&platform, |r| r.as_ref().is_some_and(|r| r.starts_with("POST")))
+                    .unwrap();
                 let answer = format!("HTTP/1.1 {name} X\r\nContent-Length: 0\r\n\r\n");
                 self.peers.get_mut(&platform).unwrap().write_all(answer.as_bytes()).unwrap();
-                return self.show(&heard);
+                return self.normalize(&received);
             }
             "list" => {
                 let mut watch = self.watch.as_ref().unwrap().lock().unwrap();
@@ -203,7 +204,7 @@
                     watch.write_all(format!("{:x}\r\n{part}\r\n", part.len()).as_bytes()).unwrap();
                 }
                 drop(watch);
-                self.logged("discovery: version ");
+                self.wait_for_log("discovery: version ");
             }
             _ => panic!("no such step: {step}"),
         }
@@ -217,38 +218,44 @@
     fn open(&mut self, name: &str) {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         self.ports.insert(name.into(), listener.local_addr().unwrap().port());
-        let (name, ears, starts) = (name.to_string(), self.ears.clone(), self.starts.clone());
+        let (name, sender, starts) = (name.to_string(), self.sender.clone(), self.starts.clone());
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (name, ears, life) = (name.clone(), ears.clone(), starts.load(Ordering::SeqCst));
+                let (name, sender, start_number) =
+                    (name.clone(), sender.clone(), starts.load(Ordering::SeqCst));
                 std::thread::spawn(move || {
                     let mut reader = stream.try_clone().unwrap();
-                    while let Some(request) = message(&mut reader) {
-                        let _ = ears.send((name.clone(), stream.try_clone().unwrap(), Some(request), life));
+                    while let Some(request) = read_message(&mut reader) {
+                        let _ = sender.send((
+                            name.clone(),
+                            stream.try_clone().unwrap(),
+                            Some(request),
+                            start_number,
+                        ));
                     }
-                    let _ = ears.send((name, stream, None, life));
+                    let _ = sender.send((name, stream, None, start_number));
                 });
             }
         });
     }
 
     /// The next word of this kind from a party; keeps the connection, and what others said meanwhile.
-    fn hear(&mut self, name: &str, wanted: impl Fn(&Option<String>) -> bool) -> Option<String> {
+    fn wait_for_request(&mut self, name: &str, wanted: impl Fn(&Option<String>) -> bool) -> Option<String> {
         // What a killed program had said may come late.
-        let life = self.starts.load(Ordering::SeqCst);
-        let is = |h: &Heard| h.0 == name && h.3 == life && wanted(&h.2);
+        let start_number = self.starts.load(Ordering::SeqCst);
+        let is = |h: &ReceivedMessage| h.0 == name && h.3 == start_number && wanted(&h.2);
         let (_, stream, request, _) = match self.waiting.iter().position(is) {
             Some(at) => self.waiting.remove(at).unwrap(),
             None => {
-                let until = Instant::now() + PATIENCE;
+                let until = Instant::now() + WAIT_TIMEOUT;
                 loop {
                     let left = until.saturating_duration_since(Instant::now());
-                    let heard =
-                        self.heard.recv_timeout(left).unwrap_or_else(|_| panic!("{name}: nothing came"));
-                    if is(&heard) {
-                        break heard;
+                    let received =
+                        self.received.recv_timeout(left).unwrap_or_else(|_| panic!("{name}: nothing came"));
+                    if is(&received) {
+                        break received;
                     }
-                    self.waiting.push_back(heard);
+                    self.waiting.push_back(received);
                 }
             }
         };
@@ -265,7 +272,7 @@
         let config = std::fs::read_to_string(
             Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/exchanges/config.json"),
         );
-        let mut config = self.fill(&config.unwrap());
+        let mut config = self.substitute_addresses(&config.unwrap());
         for (name, default) in [("disk_mb", "1"), ("slots", "8"), ("open_cap", "20"), ("sockets", "1024")] {
             config = config.replace(&format!("[{name}]"), self.vars.get(name).map_or(default, |v| v));
         }
@@ -276,16 +283,16 @@
     }
 
     /// Waits for a watch on discovery, and answers it.
-    fn watched(&mut self) {
+    fn accept_watch(&mut self) {
         let platform = self.platform.clone();
-        self.hear(&platform, |r| r.as_ref().is_some_and(|r| r.starts_with("GET"))).unwrap();
+        self.wait_for_request(&platform, |r| r.as_ref().is_some_and(|r| r.starts_with("GET"))).unwrap();
         let mut watch = self.peers.remove(&platform).unwrap();
         watch.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
         let watch = Arc::new(Mutex::new(watch));
         self.watch = Some(watch.clone());
         std::thread::spawn(move || {
             loop {
-                std::thread::sleep(BEAT);
+                std::thread::sleep(KEEPALIVE_INTERVAL);
                 if watch.lock().unwrap().write_all(b"1\r\n\n\r\n").is_err() {
                     return;
                 }
@@ -305,29 +312,29 @@
             .stderr(Stdio::piped())
             .spawn();
         self.log = self.child.insert(child.unwrap()).stderr.take().map(|e| BufReader::new(e).lines());
-        let port = self.logged("serving on 127.0.0.1:");
+        let port = self.wait_for_log("serving on 127.0.0.1:");
         let port = port.split(';').next().unwrap().parse().unwrap();
         self.ports.insert("courier".into(), port);
-        self.watched();
+        self.accept_watch();
         let mut probe = self.connect();
         probe.write_all(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").unwrap();
-        format!("  {}\n", response(&mut probe).lines().next().unwrap())
+        format!("  {}\n", read_response(&mut probe).lines().next().unwrap())
     }
 
     /// Waits for a line of the program's log, and returns what stands behind `words`.
-    fn logged(&mut self, words: &str) -> String {
+    fn wait_for_log(&mut self, words: &str) -> String {
         let lines = self.log.as_mut().unwrap().map_while(Result::ok);
         lines.filter_map(|l| Some(l.split_once(words)?.1.to_string())).next().expect("the log goes on")
     }
 
     fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(("127.0.0.1", self.ports["courier"])).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         stream
     }
 
     /// `[pN]` stands for the address of a party.
-    fn fill(&self, text: &str) -> String {
+    fn substitute_addresses(&self, text: &str) -> String {
         let address = |text: String, (name, port): (&String, &u16)| {
             text.replace(&format!("[{name}]"), &format!("127.0.0.1:{port}"))
         };
@@ -335,11 +342,11 @@
     }
 
     /// What was heard, without what differs from run to run.
-    fn show(&self, heard: &str) -> String {
+    fn normalize(&self, received: &str) -> String {
         let back = |text: String, (name, port): (&String, &u16)| {
             text.replace(&format!("127.0.0.1:{port}"), &format!("[{name}]"))
         };
-        let text = self.ports.iter().fold(heard.to_string(), back);
+        let text = self.ports.iter().fold(received.to_string(), back);
         let mut lines: Vec<String> = text.split("\r\n").map(str::to_string).collect();
         let head = lines.iter().position(|l| l.is_empty()).unwrap_or(lines.len());
         for line in &mut lines[1..head] {
@@ -352,7 +359,7 @@
     }
 }
 
-impl Drop for Stage {
+impl Drop for ExchangePlayer {
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -363,7 +370,7 @@
 
 /// Lines as HTTP has them: all behind the first empty one is the body, as it stands. `*N` in a body
 /// stands for N bytes.
-fn wire(lines: &[&str]) -> String {
+fn encode_lines(lines: &[&str]) -> String {
     let head = lines.iter().position(|l| l.is_empty()).unwrap_or(lines.len());
     // Every request names its host, as HTTP/1.1 demands.
     let host = |l: &str| if l.ends_with(" HTTP/1.1") { "Host: backend.local\r\n" } else { "" };
@@ -377,12 +384,12 @@
     if lines.iter().any(|l| l.is_empty()) { format!("{head_lines}\r\n{body}") } else { head_lines }
 }
 
-fn response(stream: &mut TcpStream) -> String {
-    message(stream).unwrap_or_else(|| "(closed)".into())
+fn read_response(stream: &mut TcpStream) -> String {
+    read_message(stream).unwrap_or_else(|| "(closed)".into())
 }
 
 /// A whole message with its body; none where the connection ends before.
-fn message(stream: &mut TcpStream) -> Option<String> {
+fn read_message(stream: &mut TcpStream) -> Option<String> {
     let mut bytes = Vec::new();
     let mut byte = [0; 1];
     while !bytes.ends_with(b"\r\n\r\n") {
--- a/courier/tests/descriptors.rs
+++ b/courier/tests/descriptors.rs
@@ -1,9 +1,9 @@
 //! Consumers that take all descriptors, and floods, on sockets; each test forces one crossing of `docs/crossings.md`.
 
-use quillmount_standins::What;
+use quillmount_standins::ObservationKind;
 use quillmount_standins::courier::{Courier, Setup, cpu_of};
-use quillmount_standins::provider::Script;
-use quillmount_standins::stage::{Client, DEST, Stage, play, request, request_within};
+use quillmount_standins::endpoint::EndpointScript;
+use quillmount_standins::test_bed::{ClientConnection, DEST, TestBed, request, request_within, run_test};
 use rustix::process::{Pid, Resource, Rlimit, getrlimit, prlimit, setrlimit};
 use serde_json::json;
 use std::net::SocketAddr;
@@ -57,55 +57,61 @@
 /// The configuration tells of so many sockets.
 fn idle_consumers(told: usize) {
     descriptors_for_the_test();
-    play(async || {
+    run_test(async || {
         let script = |head: &quillmount_standins::http::Head| match head.header("x-correlation-id") {
-            Some("failed") => Script::answers("500 X"),
-            _ => Script::default(),
+            Some("failed") => EndpointScript::answers("500 X"),
+            _ => EndpointScript::default(),
         };
         let set = |setup: &mut Setup| {
             setup.limits = json!({"sockets": told, "disk_mb": 0.02});
             setup.descriptors = Some(MOST as u32);
         };
-        let mut stage = Stage::open(PROGRAM, script, set).await.unwrap();
-        stage.list.send(list(50)).unwrap();
-        stage.courier.says("discovery: version 50 ").await.unwrap();
-        stage.down.send(true).unwrap();
-        let journal = stage.courier.folder.join("state/journal");
+        let mut test_bed = TestBed::open(PROGRAM, script, set).await.unwrap();
+        test_bed.list.send(list(50)).unwrap();
+        test_bed.courier.wait_for_log("discovery: version 50 ").await.unwrap();
+        test_bed.down.send(true).unwrap();
+        let journal = test_bed.courier.folder.join("state/journal");
         let inode = || std::os::unix::fs::MetadataExt::ino(&std::fs::metadata(&journal).unwrap());
         let first = inode();
         let mut crowd = Vec::new();
         for round in 0..2 {
             // Many in one round of the accept loop, too.
-            stage.courier.pause().unwrap();
-            crowd.extend(idle(stage.courier.addr, 500).await);
-            stage.courier.go_on().unwrap();
-            crowd.extend(idle(stage.courier.addr, 500).await);
+            test_bed.courier.suspend().unwrap();
+            crowd.extend(idle(test_bed.courier.addr, 500).await);
+            test_bed.courier.resume().unwrap();
+            crowd.extend(idle(test_bed.courier.addr, 500).await);
             let begun = Instant::now();
             let id = format!("real-{round}");
-            assert_eq!(stage.hand_in(&id).await.unwrap(), 202);
+            assert_eq!(test_bed.submit(&id).await.unwrap(), 202);
             assert!(
                 begun.elapsed() < SILENT,
                 "{:?}: not only once the idle ones were let go",
                 begun.elapsed()
             );
-            stage.answered(&id).await.unwrap();
-            let held = stage.courier.descriptors();
+            test_bed.wait_for_answer(&id).await.unwrap();
+            let held = test_bed.courier.descriptors();
             assert!(held <= MOST, "{held} descriptors");
         }
         // The journal is written anew, a notice is told.
         let mut n = 0;
         while inode() == first {
-            assert_eq!(stage.hand_in(&format!("fills-{n}")).await.unwrap(), 202);
-            crowd.extend(idle(stage.courier.addr, 20).await);
+            assert_eq!(test_bed.submit(&format!("fills-{n}")).await.unwrap(), 202);
+            crowd.extend(idle(test_bed.courier.addr, 20).await);
             n += 1;
         }
-        let mut client = Client::connect(stage.courier.addr).await.unwrap();
-        assert_eq!(client.ask(&request_within("failed", Duration::from_millis(300))).await.unwrap(), 202);
-        stage.sees(|seen| seen.id == "failed" && matches!(seen.what, What::Notice(_))).await.unwrap();
+        let mut client = ClientConnection::connect(test_bed.courier.addr).await.unwrap();
+        assert_eq!(
+            client.exchange(&request_within("failed", Duration::from_millis(300))).await.unwrap(),
+            202
+        );
+        test_bed
+            .wait_for(|seen| seen.id == "failed" && matches!(seen.what, ObservationKind::Notice(_)))
+            .await
+            .unwrap();
         // Discovery is back, and heard.
-        stage.list.send(list(51)).unwrap();
-        stage.down.send(false).unwrap();
-        let said = heard(&stage.courier, "discovery: version 51 ").await;
+        test_bed.list.send(list(51)).unwrap();
+        test_bed.down.send(false).unwrap();
+        let said = heard(&test_bed.courier, "discovery: version 51 ").await;
         assert!(!said.iter().any(|line| line.contains("accept:")), "{said:?}");
     });
 }
@@ -140,20 +146,20 @@
 #[test]
 fn without_a_descriptor_an_idle_consumer_makes_room_for_one_that_asks() {
     descriptors_for_the_test();
-    play(async || {
-        let mut stage = Stage::open(PROGRAM, |_| Script::default(), |_| {}).await.unwrap();
-        stage.sees(|seen| seen.what == What::Watched).await.unwrap();
+    run_test(async || {
+        let mut test_bed = TestBed::open(PROGRAM, |_| EndpointScript::default(), |_| {}).await.unwrap();
+        test_bed.wait_for(|seen| seen.what == ObservationKind::Watched).await.unwrap();
         // The connection that a call needs is there already; none is closed from here on, which would leave a gap.
-        let mut first = Client::connect(stage.courier.addr).await.unwrap();
-        assert_eq!(first.ask(&request("first")).await.unwrap(), 202);
-        stage.answered("first").await.unwrap();
+        let mut first = ClientConnection::connect(test_bed.courier.addr).await.unwrap();
+        assert_eq!(first.exchange(&request("first")).await.unwrap(), 202);
+        test_bed.wait_for_answer("first").await.unwrap();
         let came = Instant::now();
-        let silent = idle(stage.courier.addr, 20).await;
-        let mut last = Client::connect(stage.courier.addr).await.unwrap();
-        let ready = last.ask(b"GET /-/ready HTTP/1.1\r\nHost: backend.local\r\n\r\n").await;
+        let silent = idle(test_bed.courier.addr, 20).await;
+        let mut last = ClientConnection::connect(test_bed.courier.addr).await.unwrap();
+        let ready = last.exchange(b"GET /-/ready HTTP/1.1\r\nHost: backend.local\r\n\r\n").await;
         assert_eq!(ready.unwrap(), 200, "those before it are let in");
-        limit(&stage.courier, lowest_free(&stage.courier));
-        assert_eq!(stage.hand_in("asks").await.unwrap(), 202);
+        limit(&test_bed.courier, lowest_free(&test_bed.courier));
+        assert_eq!(test_bed.submit("asks").await.unwrap(), 202);
         assert!(came.elapsed() < SILENT, "{:?}: only once the silent ones were let go", came.elapsed());
         drop(silent);
     });
@@ -162,19 +168,19 @@
 #[test]
 fn an_accept_without_a_descriptor_neither_spins_nor_ends() {
     descriptors_for_the_test();
-    play(async || {
-        let mut stage = Stage::open(PROGRAM, |_| Script::default(), |_| {}).await.unwrap();
-        stage.sees(|seen| seen.what == What::Watched).await.unwrap();
-        let open = lowest_free(&stage.courier);
-        limit(&stage.courier, open);
-        let mut client = Client::connect(stage.courier.addr).await.unwrap();
+    run_test(async || {
+        let mut test_bed = TestBed::open(PROGRAM, |_| EndpointScript::default(), |_| {}).await.unwrap();
+        test_bed.wait_for(|seen| seen.what == ObservationKind::Watched).await.unwrap();
+        let open = lowest_free(&test_bed.courier);
+        limit(&test_bed.courier, open);
+        let mut client = ClientConnection::connect(test_bed.courier.addr).await.unwrap();
         client.send(&request("waits")).await.unwrap();
-        stage.courier.says("accept: ").await.unwrap();
-        let used = cpu_of(stage.courier.id());
+        test_bed.courier.wait_for_log("accept: ").await.unwrap();
+        let used = cpu_of(test_bed.courier.id());
         sleep(Duration::from_secs(1)).await;
-        let used = cpu_of(stage.courier.id()) - used;
+        let used = cpu_of(test_bed.courier.id()) - used;
         assert!(used < Duration::from_millis(100), "{used:?} of a second");
-        limit(&stage.courier, open + 8);
+        limit(&test_bed.courier, open + 8);
         assert_eq!(client.status().await.unwrap(), 202);
     });
 }
@@ -200,7 +206,7 @@
 #[test]
 fn floods_take_no_more_than_their_share_and_others_are_served() {
     descriptors_for_the_test();
-    play(async || {
+    run_test(async || {
         const MOST: usize = 200;
         // Calls at once to the one provider.
         const SLOTS: usize = 8;
@@ -208,7 +214,7 @@
             setup.limits = json!({"sockets": MOST});
             setup.descriptors = Some(MOST as u32);
         };
-        let mut stage = Stage::open(PROGRAM, |_| Script::default(), set).await.unwrap();
+        let mut test_bed = TestBed::open(PROGRAM, |_| EndpointScript::default(), set).await.unwrap();
         let head = format!(
             "POST /paid-notice HTTP/1.1\r\nHost: backend.local\r\nX-Correlation-Id: f\r\nIdempotency-Key: f\r\n\
              X-Time-Left: 9000m\r\nX-Addressing: dest={DEST}\r\n"
@@ -220,41 +226,41 @@
             request("piped").repeat(2_000),
             vec![0xFF; 400_000],
         ];
-        assert_eq!(stage.hand_in("before").await.unwrap(), 202);
-        stage.answered("before").await.unwrap();
-        let (calm, (memory, _)) = (stage.courier.descriptors(), stage.courier.memory());
+        assert_eq!(test_bed.submit("before").await.unwrap(), 202);
+        test_bed.wait_for_answer("before").await.unwrap();
+        let (calm, (memory, _)) = (test_bed.courier.descriptors(), test_bed.courier.memory());
         let mut real = 0;
         for (kind, bytes) in kinds.iter().enumerate() {
             for goes in [Goes::Reset, Goes::Ends] {
-                let crowd = (0..300).map(|_| floods(stage.courier.addr, bytes, goes));
+                let crowd = (0..300).map(|_| floods(test_bed.courier.addr, bytes, goes));
                 let flood = async { futures_util::future::join_all(crowd).await };
-                let addr = stage.courier.addr;
+                let addr = test_bed.courier.addr;
                 let served = async {
                     for n in 0..5 {
-                        let mut client = Client::connect(addr).await.unwrap();
-                        let status = client.ask(&request(&format!("real-{kind}-{goes:?}-{n}"))).await;
+                        let mut client = ClientConnection::connect(addr).await.unwrap();
+                        let status = client.exchange(&request(&format!("real-{kind}-{goes:?}-{n}"))).await;
                         assert_eq!(status.unwrap(), 202, "{kind}, {goes:?}");
                     }
                 };
                 let (_, ()) = tokio::join!(flood, served);
                 real += 5;
-                let held = stage.courier.descriptors();
+                let held = test_bed.courier.descriptors();
                 assert!(held <= MOST, "{kind}, {goes:?}: {held} descriptors");
             }
         }
         assert_eq!(real, 40);
-        let (now, most) = stage.courier.memory();
+        let (now, most) = test_bed.courier.memory();
         // A third of what a courier may take.
         assert!(most - memory < 64 << 20, "{memory}, {now}, {most}");
         // All of them are let go, but for the provider's connections that rest, and nothing of them keeps it busy.
         let by = Instant::now() + Duration::from_secs(20);
-        while stage.courier.descriptors() > calm + SLOTS {
-            assert!(Instant::now() < by, "{} descriptors", stage.courier.descriptors());
+        while test_bed.courier.descriptors() > calm + SLOTS {
+            assert!(Instant::now() < by, "{} descriptors", test_bed.courier.descriptors());
             sleep(Duration::from_millis(10)).await;
         }
-        let used = cpu_of(stage.courier.id());
+        let used = cpu_of(test_bed.courier.id());
         sleep(Duration::from_millis(500)).await;
-        let used = cpu_of(stage.courier.id()) - used;
+        let used = cpu_of(test_bed.courier.id()) - used;
         assert!(used < Duration::from_millis(100), "{used:?}");
     });
 }
@@ -264,29 +270,29 @@
 #[test]
 fn a_request_that_begins_as_its_resting_connection_is_to_make_room_has_its_time() {
     descriptors_for_the_test();
-    play(async || {
+    run_test(async || {
         // Room for twenty consumers.
         const SOCKETS: usize = 72;
         let set = |setup: &mut Setup| setup.limits = json!({"sockets": SOCKETS});
-        let mut stage = Stage::open(PROGRAM, |_| Script::default(), set).await.unwrap();
+        let mut test_bed = TestBed::open(PROGRAM, |_| EndpointScript::default(), set).await.unwrap();
         let mut rest = Vec::new();
         for id in ["first", "second"] {
-            let mut client = Client::connect(stage.courier.addr).await.unwrap();
-            assert_eq!(client.ask(&request(id)).await.unwrap(), 202);
-            stage.answered(id).await.unwrap();
+            let mut client = ClientConnection::connect(test_bed.courier.addr).await.unwrap();
+            assert_eq!(client.exchange(&request(id)).await.unwrap(), 202);
+            test_bed.wait_for_answer(id).await.unwrap();
             rest.push(client);
         }
-        let [mut begins, mut leaves] = <[Client; 2]>::try_from(rest).ok().unwrap();
-        stage.courier.pause().unwrap();
-        let crowd = idle(stage.courier.addr, SOCKETS / 2).await;
+        let [mut begins, mut leaves] = <[ClientConnection; 2]>::try_from(rest).ok().unwrap();
+        test_bed.courier.suspend().unwrap();
+        let crowd = idle(test_bed.courier.addr, SOCKETS / 2).await;
         let bytes = request("begun");
         begins.send(&bytes[..40]).await.unwrap();
-        stage.courier.go_on().unwrap();
+        test_bed.courier.resume().unwrap();
         // Asked in the same round, it has had its last look by now, as long as the moment of the other would be.
-        assert!(leaves.hear().await.unwrap().is_none());
+        assert!(leaves.read_answer().await.unwrap().is_none());
         begins.send(&bytes[40..]).await.unwrap();
         assert_eq!(begins.status().await.unwrap(), 202);
-        stage.answered("begun").await.unwrap();
+        test_bed.wait_for_answer("begun").await.unwrap();
         drop(crowd);
     });
 }
@@ -295,25 +301,25 @@
 #[test]
 fn without_a_descriptor_as_the_doors_close_an_idle_consumer_makes_room_for_one_that_asks() {
     descriptors_for_the_test();
-    play(async || {
-        let mut stage = Stage::open(PROGRAM, |_| Script::silent(), |_| {}).await.unwrap();
-        stage.sees(|seen| seen.what == What::Watched).await.unwrap();
-        assert_eq!(stage.hand_in("out").await.unwrap(), 202);
-        stage.called("out").await.unwrap();
-        let silent = idle(stage.courier.addr, 20).await;
-        let mut last = Client::connect(stage.courier.addr).await.unwrap();
-        let ready = last.ask(b"GET /-/ready HTTP/1.1\r\nHost: backend.local\r\n\r\n").await;
+    run_test(async || {
+        let mut test_bed = TestBed::open(PROGRAM, |_| EndpointScript::silent(), |_| {}).await.unwrap();
+        test_bed.wait_for(|seen| seen.what == ObservationKind::Watched).await.unwrap();
+        assert_eq!(test_bed.submit("out").await.unwrap(), 202);
+        test_bed.wait_for_call("out").await.unwrap();
+        let silent = idle(test_bed.courier.addr, 20).await;
+        let mut last = ClientConnection::connect(test_bed.courier.addr).await.unwrap();
+        let ready = last.exchange(b"GET /-/ready HTTP/1.1\r\nHost: backend.local\r\n\r\n").await;
         assert_eq!(ready.unwrap(), 200, "those before it are let in");
         let told = Instant::now();
-        stage.courier.term().unwrap();
-        stage.courier.says("stopping; ").await.unwrap();
-        stage.courier.pause().unwrap();
-        limit(&stage.courier, lowest_free(&stage.courier));
-        let mut client = Client::connect(stage.courier.addr).await.unwrap();
+        test_bed.courier.send_sigterm().unwrap();
+        test_bed.courier.wait_for_log("stopping; ").await.unwrap();
+        test_bed.courier.suspend().unwrap();
+        limit(&test_bed.courier, lowest_free(&test_bed.courier));
+        let mut client = ClientConnection::connect(test_bed.courier.addr).await.unwrap();
         client.send(&request("asks")).await.unwrap();
         // Its time to close them comes while it is held up.
         sleep_until((told + Duration::from_millis(600)).into()).await;
-        stage.courier.go_on().unwrap();
+        test_bed.courier.resume().unwrap();
         assert_eq!(client.status().await.unwrap(), 202);
         drop(silent);
     });
--- a/courier/tests/fleet/copies.rs
+++ b/courier/tests/fleet/copies.rs
@@ -1,7 +1,7 @@
 //! What a courier does where a copy of its journal is gone, or where there is no room for what it takes over.
 
 use super::*;
-use quillmount_standins::consumer;
+use quillmount_standins::client;
 
 /// Two couriers, of which the first agrees with itself alone: the second is its only copy.
 async fn pair(missing: &str) -> Fleet {
@@ -13,14 +13,13 @@
 /// `require`: a 202 always means two journals.
 #[test]
 fn without_its_only_copy_a_courier_that_requires_one_refuses() {
-    play(async || {
+    run_test(async || {
         let mut fleet = pair("require").await;
         fleet.kill(1).await.unwrap();
         unready(&fleet, 0).await;
         let told = fleet.get(0, "/-/ready").await.unwrap().1;
         assert!(told.contains("cop"), "{told:?}");
-        let answer =
-            consumer::hand_in(fleet.addr(0), &message("fee-debit", "refused", 1), BODY).await.unwrap();
+        let answer = client::submit(fleet.addr(0), &message("fee-debit", "refused", 1), BODY).await.unwrap();
         assert_eq!(answer.status(), 503);
         let wait: f64 = answer.header("retry-after").unwrap().parse().unwrap();
         assert!(wait > 0.0, "{wait}");
@@ -31,7 +30,7 @@
 /// `prefer`: it goes on alone once that is agreed, and says so.
 #[test]
 fn without_its_only_copy_a_courier_that_prefers_one_goes_on_alone_and_says_so() {
-    play(async || {
+    run_test(async || {
         let mut fleet = pair("prefer").await;
         let lost = now(&fleet);
         fleet.kill(1).await.unwrap();
@@ -43,7 +42,7 @@
         in_hand(&fleet, 0, "debit", "paid").await;
         let alone = now(&fleet);
         fleet.restart(0).await.unwrap();
-        fleet.says(0, "with the book in the folder").await.unwrap();
+        fleet.wait_for_log(0, "with the book in the folder").await.unwrap();
         ends(&fleet, "debit").await;
         assert_eq!(call(&fleet, "paid", 2).await.courier, 0);
         fleet.partner(1).release("paid", Answer::ok());
@@ -57,13 +56,13 @@
 /// A message that waits for the only copy when it is lost is not answered before there is one again.
 #[test]
 fn a_copy_lost_under_a_message_delays_its_answer() {
-    play(async || {
+    run_test(async || {
         let mut fleet = fleet(3).await;
         let copy = copies_of(&fleet, 1, 1)[0];
         fleet.kill(copy).await.unwrap();
         // Of the other copy, once it is one; taken on and not answered, if it was in time to wait for the lost one.
         until("it is taken on", async || {
-            matches!(fleet.hand_in(1, &message("fee-debit", "late", 1), BODY).await, 0 | 202)
+            matches!(fleet.submit(1, &message("fee-debit", "late", 1), BODY).await, 0 | 202)
         })
         .await;
         ends(&fleet, "late").await;
@@ -75,9 +74,9 @@
 /// The taker's journal is full, by its own limit, of what its partner holds: it takes over when there is room.
 #[test]
 fn a_taker_without_room_takes_over_when_it_has_some() {
-    play(async || {
+    run_test(async || {
         let mut setup = setup(3);
-        setup.partner(4, |_| Answer::Held);
+        setup.partner(4, |_| Answer::Pending);
         let mut fleet = Fleet::prepare(setup).unwrap();
         let takes = taker(&fleet, &[0, 2], HOLDS);
         fleet.configure(takes, &json!({"limits": {"disk_mb": 0.2}})).unwrap();
@@ -91,20 +90,20 @@
         let large = [b'x'; 20_000];
         for id in ["debit", "paid"] {
             let class = if id == "debit" { "fee-debit" } else { "paid-notice" };
-            assert_eq!(fleet.hand_in(1, &message(class, id, HOLDS), &large).await, 202);
+            assert_eq!(fleet.submit(1, &message(class, id, HOLDS), &large).await, 202);
             call(&fleet, id, 1).await;
         }
         let mut full = Vec::new();
         loop {
             let id = format!("full-{}", full.len());
-            if fleet.hand_in(takes, &message("fee-debit", &id, 4), &large).await != 202 {
+            if fleet.submit(takes, &message("fee-debit", &id, 4), &large).await != 202 {
                 break;
             }
             full.push(id);
         }
         assert!(full.len() > 1, "{full:?}");
         fleet.kill(1).await.unwrap();
-        fleet.says(takes, "what is taken over can't be written").await.unwrap();
+        fleet.wait_for_log(takes, "what is taken over can't be written").await.unwrap();
         assert_eq!((calls(&fleet, "paid"), status(&fleet, takes).await), (1, 200));
         for id in full {
             call(&fleet, &id, 1).await;
@@ -118,7 +117,7 @@
 /// The room for copies at a courier is full, by its own limit: no call is made for what it lacks until another holds the copy.
 #[test]
 fn a_copy_without_room_is_replaced() {
-    play(async || {
+    run_test(async || {
         let mut fleet = Fleet::prepare(setup(3)).unwrap();
         let copy = copies_of(&fleet, 1, 1)[0];
         fleet.configure(copy, &json!({"limits": {"disk_mb": 0.01}})).unwrap();
@@ -129,13 +128,13 @@
         ready(&fleet, 1).await;
         let large = [b'x'; 30_000];
         // The second is one too many for the copy.
-        assert_eq!(fleet.hand_in(1, &message("fee-debit", "fits", HOLDS), &large).await, 202);
-        let consumer = fleet.consumer(1);
-        let invocation = message("fee-debit", "waits", HOLDS);
-        let waits = tokio::task::spawn_local(async move { consumer.hand_in(&invocation, &large).await });
-        fleet.says(copy, "can't be kept").await.unwrap();
+        assert_eq!(fleet.submit(1, &message("fee-debit", "fits", HOLDS), &large).await, 202);
+        let consumer = fleet.client(1);
+        let message = message("fee-debit", "waits", HOLDS);
+        let waits = tokio::task::spawn_local(async move { consumer.submit(&message, &large).await });
+        fleet.wait_for_log(copy, "can't be kept").await.unwrap();
         assert_eq!(calls(&fleet, "waits"), 0);
-        fleet.says(1, "is late and is replaced").await.unwrap();
+        fleet.wait_for_log(1, "is late and is replaced").await.unwrap();
         // Its consumer may have been given up by then; the message is not.
         assert!(matches!(waits.await.unwrap(), 0 | 202));
         for id in ["fits", "waits"] {
--- a/courier/tests/fleet/faults.rs
+++ b/courier/tests/fleet/faults.rs
@@ -3,8 +3,8 @@
 //! requests, under load. The pace is that of what the couriers say to each other.
 
 use super::*;
-use quillmount_standins::fleet::link::{Once, Way};
-use quillmount_standins::record::Told;
+use quillmount_standins::fleet::link::{LinkMode, RequestFault};
+use quillmount_standins::record::RecordedSubmission;
 
 /// Faults of one test; a longer day has several times as many.
 const STEPS: usize = 8;
@@ -12,9 +12,9 @@
 
 /// Waits until so many more things have happened on the links.
 async fn goes_on(fleet: &Fleet, events: usize) {
-    let since = fleet.witness.read(|record| record.passed.len());
-    let more = |record: &Record| (record.passed.len() >= since + events).then_some(());
-    fleet.until("the couriers speak", PATIENCE, more).await.unwrap();
+    let since = fleet.recorder.read(|record| record.link_events.len());
+    let more = |record: &RunRecord| (record.link_events.len() >= since + events).then_some(());
+    fleet.wait_until("the couriers speak", WAIT_TIMEOUT, more).await.unwrap();
 }
 
 async fn day(seed: u64, steps: usize, couriers: usize, copies: usize) {
@@ -34,9 +34,9 @@
     for step in 0..steps {
         for k in 0..4 {
             let class = if draws.bool() { "fee-debit" } else { "paid-notice" };
-            let (consumer, dest) = (fleet.consumer(draws.usize(..couriers)), [1, HOLDS, 3][draws.usize(..3)]);
-            let invocation = message(class, &format!("m{step}-{k}"), dest);
-            load.push(tokio::task::spawn_local(async move { consumer.hand_in(&invocation, BODY).await }));
+            let (consumer, dest) = (fleet.client(draws.usize(..couriers)), [1, HOLDS, 3][draws.usize(..3)]);
+            let message = message(class, &format!("m{step}-{k}"), dest);
+            load.push(tokio::task::spawn_local(async move { consumer.submit(&message, BODY).await }));
         }
         if draws.u8(..3) == 0 {
             let answer = if draws.bool() { Answer::ok() } else { Answer::failed() };
@@ -50,23 +50,23 @@
             0..6 if may => {
                 match fault {
                     0 => fleet.kill(who).await.unwrap(),
-                    1 => fleet.pause(who).unwrap(),
-                    2 => fleet.set_links(who, Way::Cut),
+                    1 => fleet.suspend(who).unwrap(),
+                    2 => fleet.set_links(who, LinkMode::Partitioned),
                     3 => {
-                        fleet.term(who).unwrap();
-                        fleet.ended(who).await.unwrap();
+                        fleet.send_sigterm(who).unwrap();
+                        fleet.wait_for_exit(who).await.unwrap();
                     }
                     4 => {
                         fleet.kill(who).await.unwrap();
                         fleet.spawn(who).unwrap();
                         continue;
                     }
-                    _ => (0..couriers).filter(|n| *n != who).for_each(|n| fleet.cut_one_way(who, n)),
+                    _ => (0..couriers).filter(|n| *n != who).for_each(|n| fleet.partition_one_way(who, n)),
                 }
                 harmed.push(who);
             }
             0..6 => {
-                fleet.mend().await.unwrap();
+                fleet.heal().await.unwrap();
                 harmed.clear();
             }
             6 if harmed.is_empty() => {
@@ -80,22 +80,24 @@
                 }
             }
             7 => fleet.link(who, to).close(),
-            _ => fleet.link(who, to).once(Once::pick(&mut draws)),
+            _ => fleet.link(who, to).fault_next_request(RequestFault::random(&mut draws)),
         }
         goes_on(&fleet, draws.usize(50..400)).await;
     }
-    fleet.mend().await.unwrap();
+    fleet.heal().await.unwrap();
     for n in 0..couriers {
         ready(&fleet, n).await;
     }
     for task in load {
         task.await.unwrap();
     }
-    let taken = |told: &Told| told.answer.is_some_and(|(_, status)| status == 202).then(|| told.id.clone());
-    let taken: Vec<_> = fleet.witness.read(|record| record.told.iter().filter_map(taken).collect());
+    let taken = |told: &RecordedSubmission| {
+        told.answer.is_some_and(|(_, status)| status == 202).then(|| told.id.clone())
+    };
+    let taken: Vec<_> = fleet.recorder.read(|record| record.submissions.iter().filter_map(taken).collect());
     assert!(taken.len() > steps, "only {} messages were taken on", taken.len());
     for id in taken {
-        while !fleet.witness.read(|record| record.has_ended(&id)) {
+        while !fleet.recorder.read(|record| record.has_ended(&id)) {
             fleet.partner(1).release_where(Answer::ok(), |_| true);
             goes_on(&fleet, 10).await;
         }
@@ -105,12 +107,12 @@
 
 #[test]
 fn no_drawn_fault_loses_a_message_or_runs_a_debit_twice() {
-    play(async || day(3, STEPS, 4, 1).await);
+    run_test(async || day(3, STEPS, 4, 1).await);
 }
 
 #[test]
 fn no_two_drawn_faults_lose_a_message_or_run_a_debit_twice() {
-    play(async || day(4, STEPS, 5, 2).await);
+    run_test(async || day(4, STEPS, 5, 2).await);
 }
 
 /// `cargo test --test fleet days_of -- --ignored --nocapture`: a quarter of an hour; each seed is told before its days.
@@ -119,7 +121,7 @@
 fn days_of_drawn_faults() {
     for seed in 100..110 {
         println!("seed {seed}");
-        play(async || day(seed, DAY, 4, 1).await);
-        play(async || day(seed, DAY, 5, 2).await);
+        run_test(async || day(seed, DAY, 4, 1).await);
+        run_test(async || day(seed, DAY, 5, 2).await);
     }
 }
--- a/courier/tests/fleet/lost.rs
+++ b/courier/tests/fleet/lost.rs
@@ -6,7 +6,7 @@
 /// notice is repeated within its span, each by one other courier.
 #[test]
 fn what_a_killed_courier_had_in_hand_is_taken_over_once() {
-    play(async || {
+    run_test(async || {
         let mut fleet = fleet(3).await;
         in_hand(&fleet, 1, "debit", "paid").await;
         fleet.kill(1).await.unwrap();
@@ -17,7 +17,7 @@
 
 #[test]
 fn the_owner_and_one_of_two_copies_are_lost_at_once() {
-    play(async || {
+    run_test(async || {
         let mut fleet = five().await;
         in_hand(&fleet, 4, "debit", "paid").await;
         let copy = copies_of(&fleet, 4, 2)[0];
@@ -30,7 +30,7 @@
 
 #[test]
 fn the_leader_is_lost_during_a_takeover() {
-    play(async || {
+    run_test(async || {
         let mut fleet = five().await;
         in_hand(&fleet, 4, "debit", "paid").await;
         let lost = now(&fleet);
@@ -47,21 +47,21 @@
 /// The taker is lost once the book's parts are in its journal, whether they are agreed to be its own by then or not.
 #[test]
 fn the_taker_is_lost_in_the_middle_of_a_takeover() {
-    play(async || {
+    run_test(async || {
         let mut fleet = five().await;
         in_hand(&fleet, 4, "debit", "paid").await;
         let takes = taker(&fleet, &others(&fleet, &[4]), HOLDS);
         fleet.kill(4).await.unwrap();
-        fleet.says(takes, "takes over").await.unwrap();
+        fleet.wait_for_log(takes, "takes over").await.unwrap();
         fleet.kill(takes).await.unwrap();
         ends(&fleet, "debit").await;
         assert_eq!(calls(&fleet, "debit"), 1);
         // Where the taker's own call was out, that is one more.
-        let by = |record: &Record| {
+        let by = |record: &RunRecord| {
             let mut calls = record.calls_of("paid").filter(|call| call.whole.is_some());
             calls.find(|call| ![4, takes].contains(&call.courier)).map(|_| ())
         };
-        fleet.until("the second taker's call", PATIENCE, by).await.unwrap();
+        fleet.wait_until("the second taker's call", WAIT_TIMEOUT, by).await.unwrap();
         fleet.partner(1).release("paid", Answer::ok());
         ends(&fleet, "paid").await;
         heals(&mut fleet).await;
@@ -70,7 +70,7 @@
 
 #[test]
 fn the_owner_is_back_with_its_folder_during_the_takeover() {
-    play(async || {
+    run_test(async || {
         let mut fleet = fleet(3).await;
         in_hand(&fleet, 1, "debit", "paid").await;
         let lost = now(&fleet);
@@ -88,13 +88,13 @@
 
 #[test]
 fn the_owner_is_back_with_its_folder_after_the_takeover() {
-    play(async || {
+    run_test(async || {
         let mut fleet = fleet(3).await;
         in_hand(&fleet, 1, "debit", "paid").await;
         fleet.kill(1).await.unwrap();
         taken_over(&fleet, 1, "debit", "paid").await;
         fleet.restart(1).await.unwrap();
-        fleet.says(1, "with a new book").await.unwrap();
+        fleet.wait_for_log(1, "with a new book").await.unwrap();
         ready(&fleet, 1).await;
         heals(&mut fleet).await;
     });
@@ -103,7 +103,7 @@
 /// Its book is others' at once, without a wait for its lease.
 #[test]
 fn the_owner_is_back_with_an_empty_folder_under_the_same_name() {
-    play(async || {
+    run_test(async || {
         let mut fleet = fleet(3).await;
         in_hand(&fleet, 1, "debit", "paid").await;
         fleet.lose_folder(1).await.unwrap();
--- a/courier/tests/fleet/main.rs
+++ b/courier/tests/fleet/main.rs
@@ -11,11 +11,11 @@
 
 use quillmount_fleet::plan::weight;
 use quillmount_fleet::state::part_of;
-use quillmount_standins::audit::{Class, Terms, audit};
-use quillmount_standins::consumer::Invocation;
-use quillmount_standins::fleet::{Fleet, FleetSetup, PATIENCE, play};
+use quillmount_standins::audit::{AuditRules, RepeatPolicy, audit};
+use quillmount_standins::client::MessageRequest;
+use quillmount_standins::fleet::{Fleet, FleetSetup, WAIT_TIMEOUT, run_test};
 use quillmount_standins::partner::Answer;
-use quillmount_standins::record::{Call, Record, Stamp};
+use quillmount_standins::record::{RecordedCall, RunRecord, Stamp};
 use serde_json::json;
 use std::time::Duration;
 use tokio::task::yield_now;
@@ -38,7 +38,7 @@
          "promise_ms": 3000, "deadline_ms": long, "worth": 1, "late_worth": 0.4}
     ]}});
     setup.partner(1, |_| Answer::ok());
-    setup.partner(HOLDS, |_| Answer::Held);
+    setup.partner(HOLDS, |_| Answer::Pending);
     setup
 }
 
@@ -70,7 +70,7 @@
             yield_now().await;
         }
     };
-    assert!(timeout(PATIENCE, waits).await.is_ok(), "not seen within {PATIENCE:?}: {what}");
+    assert!(timeout(WAIT_TIMEOUT, waits).await.is_ok(), "not seen within {WAIT_TIMEOUT:?}: {what}");
 }
 
 async fn status(fleet: &Fleet, courier: usize) -> u16 {
@@ -86,14 +86,14 @@
     until(&format!("{courier} is not ready"), async || status(fleet, courier).await == 503).await;
 }
 
-fn message(class: &str, id: &str, dest: u64) -> Invocation {
-    Invocation { key: Some(id.into()), ..Invocation::new(class, id, dest, LONG) }
+fn message(class: &str, id: &str, dest: u64) -> MessageRequest {
+    MessageRequest { key: Some(id.into()), ..MessageRequest::new(class, id, dest, LONG) }
 }
 
 /// Hands a message in until it is taken on: a loaded machine's courier refuses one now and then, for its copy's being late.
 async fn hands_in(fleet: &Fleet, courier: usize, class: &str, id: &str, dest: u64) {
     until(&format!("{id} is taken on"), async || {
-        match fleet.hand_in(courier, &message(class, id, dest), BODY).await {
+        match fleet.submit(courier, &message(class, id, dest), BODY).await {
             202 => true,
             503 => false,
             other => panic!("{id}: {other}"),
@@ -121,34 +121,38 @@
 }
 
 async fn ends(fleet: &Fleet, id: &str) {
-    fleet.until(id, PATIENCE, |record: &Record| record.has_ended(id).then_some(())).await.unwrap();
+    fleet
+        .wait_until(id, WAIT_TIMEOUT, |record: &RunRecord| record.has_ended(id).then_some(()))
+        .await
+        .unwrap();
 }
 
-async fn call(fleet: &Fleet, id: &str, n: usize) -> Call {
-    let found = |record: &Record| record.calls_of(id).filter(|call| call.whole.is_some()).nth(n - 1).cloned();
-    fleet.until(&format!("call {n} of {id}"), PATIENCE, found).await.unwrap()
+async fn call(fleet: &Fleet, id: &str, n: usize) -> RecordedCall {
+    let found =
+        |record: &RunRecord| record.calls_of(id).filter(|call| call.whole.is_some()).nth(n - 1).cloned();
+    fleet.wait_until(&format!("call {n} of {id}"), WAIT_TIMEOUT, found).await.unwrap()
 }
 
 fn calls(fleet: &Fleet, id: &str) -> usize {
-    fleet.witness.read(|record| record.calls_of(id).count())
+    fleet.recorder.read(|record| record.calls_of(id).count())
 }
 
 /// What any courier says, with these words, behind a moment: who, and when.
 async fn anybody_says(fleet: &Fleet, after: Stamp, words: &str) -> (usize, Stamp) {
-    let found = |record: &Record| {
+    let found = |record: &RunRecord| {
         let line = record.lines.iter().find(|line| line.when > after && line.text.contains(words));
         line.map(|line| (line.courier, line.when))
     };
-    fleet.until(words, PATIENCE, found).await.unwrap()
+    fleet.wait_until(words, WAIT_TIMEOUT, found).await.unwrap()
 }
 
 /// How often anybody has said these words.
 fn said(fleet: &Fleet, words: &str) -> usize {
-    fleet.witness.read(|record| record.lines.iter().filter(|line| line.text.contains(words)).count())
+    fleet.recorder.read(|record| record.lines.iter().filter(|line| line.text.contains(words)).count())
 }
 
 fn now(fleet: &Fleet) -> Stamp {
-    fleet.witness.write(|_, stamp| stamp)
+    fleet.recorder.write(|_, stamp| stamp)
 }
 
 /// Who is to have the copies of this courier's book while all serve, each on a host of its own; best first.
@@ -165,11 +169,11 @@
         let mut at: Vec<&str> = copies_of(fleet, owner, copies).iter().map(|n| fleet.name(*n)).collect();
         at.sort_unstable();
         let words = format!("the journal is copied to {}", at.join(", "));
-        let last = |record: &Record| {
-            let said = record.said(owner, fleet.life(owner), "the journal is copied to");
+        let last = |record: &RunRecord| {
+            let said = record.log_lines_with(owner, fleet.incarnation(owner), "the journal is copied to");
             said.last().filter(|line| line.text.ends_with(&words)).map(|_| ())
         };
-        fleet.until(&words, PATIENCE, last).await.unwrap();
+        fleet.wait_until(&words, WAIT_TIMEOUT, last).await.unwrap();
     }
 }
 
@@ -181,10 +185,10 @@
 
 /// Whoever was the last to say that it leads.
 fn leader(fleet: &Fleet) -> usize {
-    let leads = |record: &Record| {
+    let leads = |record: &RunRecord| {
         record.lines.iter().rev().find(|line| line.text.ends_with("fleet: leads")).map(|line| line.courier)
     };
-    fleet.witness.read(leads).unwrap()
+    fleet.recorder.read(leads).unwrap()
 }
 
 fn others(fleet: &Fleet, but: &[usize]) -> Vec<usize> {
@@ -192,14 +196,14 @@
 }
 
 fn clean(fleet: &Fleet) {
-    let mut terms = Terms::default();
-    terms.classes.insert("paid-notice".into(), Class::Keyed { span: SPAN.as_micros() as u64 });
-    assert_eq!(audit(&fleet.history(terms)), []);
+    let mut rules = AuditRules::default();
+    rules.classes.insert("paid-notice".into(), RepeatPolicy::Keyed { span: SPAN.as_micros() as u64 });
+    assert_eq!(audit(&fleet.history(rules)), []);
 }
 
 /// Heals all, waits until all may take on and have a message's end each, and audits.
 async fn heals(fleet: &mut Fleet) {
-    fleet.mend().await.unwrap();
+    fleet.heal().await.unwrap();
     for courier in 0..fleet.couriers() {
         ready(fleet, courier).await;
     }
--- a/courier/tests/operators.rs
+++ b/courier/tests/operators.rs
@@ -1,10 +1,10 @@
 //! What operators call, on sockets: each test causes one thing that they meet.
 
-use quillmount_standins::consumer::{self, Invocation};
+use quillmount_standins::client::{self, MessageRequest};
 use quillmount_standins::courier::{Courier, Setup};
+use quillmount_standins::endpoint::{self, EndpointScript};
 use quillmount_standins::http::Reader;
-use quillmount_standins::provider::{self, Script};
-use quillmount_standins::{Eyes, Seen, What, operator, platform};
+use quillmount_standins::{Observation, ObservationKind, Observer, operator, platform};
 use std::collections::BTreeMap;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -14,41 +14,41 @@
 use tokio::sync::{mpsc, watch};
 
 /// Only a broken program waits for so long.
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 const LONG: Duration = Duration::from_secs(12);
 
 /// One courier, and a provider for destination 7.
-struct Stage {
+struct TestBed {
     courier: Courier,
-    seen: mpsc::Receiver<Seen>,
+    seen: mpsc::Receiver<Observation>,
     /// What discovery tells from here on.
     #[allow(dead_code)]
     list: watch::Sender<String>,
 }
 
 /// Plays a test on one thread.
-fn play<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
+fn run_test<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let played = async { tokio::time::timeout(Duration::from_secs(60), test()).await };
     tokio::task::LocalSet::new().block_on(&runtime, played).expect("the test has come to its end");
 }
 
-async fn stage(script: Script) -> Stage {
+async fn test_bed(script: EndpointScript) -> TestBed {
     stage_in(script, "").await
 }
 
 /// The same, in a folder whose name ends so.
-async fn stage_in(script: Script, suffix: &str) -> Stage {
-    let (eyes, seen) = Eyes::open();
+async fn stage_in(script: EndpointScript, suffix: &str) -> TestBed {
+    let (observer, seen) = Observer::channel();
     let (list, told) = watch::channel(String::new());
-    let platform = platform::open(eyes.clone(), told).await.unwrap();
-    let provider = provider::open(eyes, move |_| script.clone()).await.unwrap();
+    let platform = platform::open(observer.clone(), told).await.unwrap();
+    let provider = endpoint::open(observer, move |_| script.clone()).await.unwrap();
     let mut setup = Setup::new(env!("CARGO_BIN_EXE_quillmount"), platform, vec![(7, provider)]);
     setup.operators = true;
-    Stage { courier: Courier::start_in(setup, suffix).unwrap(), seen, list }
+    TestBed { courier: Courier::start_in(setup, suffix).unwrap(), seen, list }
 }
 
-impl Stage {
+impl TestBed {
     fn operators(&self) -> SocketAddr {
         self.courier.operators.unwrap()
     }
@@ -57,16 +57,16 @@
         operator::call(self.operators(), &[line.as_bytes(), b"\n"]).await.unwrap()
     }
 
-    async fn hand_in(&self, id: &str) -> u16 {
-        let invocation = Invocation::new("paid-notice", id, 7, LONG);
-        consumer::hand_in(self.courier.addr, &invocation, b"body").await.unwrap().status()
+    async fn submit(&self, id: &str) -> u16 {
+        let message = MessageRequest::new("paid-notice", id, 7, LONG);
+        client::submit(self.courier.addr, &message, b"body").await.unwrap().status()
     }
 
     /// Waits until this was seen of the message.
-    async fn sees(&mut self, id: &str, wanted: impl Fn(&What) -> bool) {
+    async fn wait_for(&mut self, id: &str, wanted: impl Fn(&ObservationKind) -> bool) {
         loop {
-            let seen = tokio::time::timeout(PATIENCE, self.seen.recv()).await;
-            let Seen { id: of, what, .. } = seen.unwrap_or_else(|_| panic!("{id}: not seen")).unwrap();
+            let seen = tokio::time::timeout(WAIT_TIMEOUT, self.seen.recv()).await;
+            let Observation { id: of, what, .. } = seen.unwrap_or_else(|_| panic!("{id}: not seen")).unwrap();
             if of == id && wanted(&what) {
                 return;
             }
@@ -74,15 +74,15 @@
     }
 }
 
-impl Stage {
+impl TestBed {
     /// The calls that begin from here on, by message, until each of these has been answered.
     async fn calls_until_answered(&mut self, ids: &[&str]) -> BTreeMap<String, u32> {
         let (mut calls, mut left) = (BTreeMap::new(), ids.to_vec());
         while !left.is_empty() {
-            let Seen { id, what, .. } = self.seen.recv().await.unwrap();
+            let Observation { id, what, .. } = self.seen.recv().await.unwrap();
             match what {
-                What::CallBegan => *calls.entry(id).or_default() += 1,
-                What::Answered(_) => left.retain(|one| *one != id),
+                ObservationKind::CallBegan => *calls.entry(id).or_default() += 1,
+                ObservationKind::Answered(_) => left.retain(|one| *one != id),
                 _ => {}
             }
         }
@@ -101,67 +101,67 @@
 
 #[test]
 fn silent_callers_and_bad_lines_keep_no_call_out() {
-    play(|| async {
-        let stage = stage(Script::default()).await;
+    run_test(|| async {
+        let test_bed = test_bed(EndpointScript::default()).await;
         let mut silent = Vec::new();
         for n in 0..100 {
-            let mut caller = TcpStream::connect(stage.operators()).await.unwrap();
+            let mut caller = TcpStream::connect(test_bed.operators()).await.unwrap();
             if n % 2 == 0 {
                 // Room is made for others meanwhile.
                 let _ = caller.write_all(b"DISABLE par").await;
             }
             silent.push(caller);
         }
-        assert_eq!(stage.call("READY").await, "SUCCESS ready\n");
+        assert_eq!(test_bed.call("READY").await, "SUCCESS ready\n");
         // The longest silent has made room, and the latest has time left.
         assert_eq!(silent[0].read(&mut [0; 9]).await.unwrap_or(0), 0);
         assert!(tokio::time::timeout(Duration::ZERO, silent[99].read(&mut [0; 9])).await.is_err());
         let pieces: Vec<&[u8]> = b"READY\r\n".chunks(1).collect();
-        assert_eq!(operator::call(stage.operators(), &pieces).await.unwrap(), "SUCCESS ready\n");
+        assert_eq!(operator::call(test_bed.operators(), &pieces).await.unwrap(), "SUCCESS ready\n");
         for bad in ["ready", "", "READY 1", "DRAIN now", "DISABLE", "ENABLE a b", "\u{7f}"] {
-            let said = stage.call(bad).await;
+            let said = test_bed.call(bad).await;
             assert!(said.starts_with("FAILURE ") && said.ends_with('\n'), "{bad:?}: {said:?}");
         }
         let endless = vec![b'A'; 300_000];
-        let said = operator::call(stage.operators(), &[&endless]).await;
+        let said = operator::call(test_bed.operators(), &[&endless]).await;
         assert!(said.is_err() || said.is_ok_and(|said| said.starts_with("FAILURE ")));
-        assert_eq!(stage.call("READY").await, "SUCCESS ready\n");
+        assert_eq!(test_bed.call("READY").await, "SUCCESS ready\n");
     });
 }
 
 #[test]
 fn a_drained_courier_says_no_and_answers_and_empties_and_serves_again() {
-    play(|| async {
-        let mut stage = stage(Script::default()).await;
-        let mut rests = TcpStream::connect(stage.courier.addr).await.unwrap();
-        let mut asks = TcpStream::connect(stage.courier.addr).await.unwrap();
+    run_test(|| async {
+        let mut test_bed = test_bed(EndpointScript::default()).await;
+        let mut rests = TcpStream::connect(test_bed.courier.addr).await.unwrap();
+        let mut asks = TcpStream::connect(test_bed.courier.addr).await.unwrap();
         assert_eq!(ready(&mut rests).await, (200, false));
         assert_eq!(ready(&mut asks).await, (200, false));
-        assert!(stage.call("UNDRAIN").await.starts_with("SUCCESS"));
-        assert!(stage.call("DRAIN").await.starts_with("SUCCESS"));
-        assert!(stage.call("DRAIN").await.starts_with("SUCCESS"));
+        assert!(test_bed.call("UNDRAIN").await.starts_with("SUCCESS"));
+        assert!(test_bed.call("DRAIN").await.starts_with("SUCCESS"));
+        assert!(test_bed.call("DRAIN").await.starts_with("SUCCESS"));
         // The no is its last answer on that connection; the one that rests is closed with no word.
         assert_eq!(ready(&mut asks).await, (503, true));
         assert_eq!(rests.read(&mut [0; 9]).await.unwrap(), 0);
         // What the front still deals out is taken on and delivered.
-        assert_eq!(stage.hand_in("late").await, 202);
-        stage.sees("late", |what| *what == What::Answered("200 OK".into())).await;
-        assert_eq!(stage.call("READY").await, "SUCCESS ready\n");
-        assert!(stage.call("UNDRAIN").await.starts_with("SUCCESS"));
-        let mut again = TcpStream::connect(stage.courier.addr).await.unwrap();
+        assert_eq!(test_bed.submit("late").await, 202);
+        test_bed.wait_for("late", |what| *what == ObservationKind::Answered("200 OK".into())).await;
+        assert_eq!(test_bed.call("READY").await, "SUCCESS ready\n");
+        assert!(test_bed.call("UNDRAIN").await.starts_with("SUCCESS"));
+        let mut again = TcpStream::connect(test_bed.courier.addr).await.unwrap();
         assert_eq!(ready(&mut again).await, (200, false));
         assert_eq!(ready(&mut again).await, (200, false));
         // A drain is no stop, and a stop is one while drained.
-        assert!(stage.call("DRAIN").await.starts_with("SUCCESS"));
-        stage.courier.term().unwrap();
-        assert!(stage.courier.ended().await.unwrap().success());
+        assert!(test_bed.call("DRAIN").await.starts_with("SUCCESS"));
+        test_bed.courier.send_sigterm().unwrap();
+        assert!(test_bed.courier.wait_for_exit().await.unwrap().success());
     });
 }
 
 /// A consumer's connection that stays open: hands in one message, and reads the answer.
 async fn hand_in_on(on: &mut TcpStream, id: &str) -> u16 {
-    let invocation = Invocation::new("paid-notice", id, 7, LONG);
-    let mut with = invocation.clone();
+    let message = MessageRequest::new("paid-notice", id, 7, LONG);
+    let mut with = message.clone();
     with.headers += "Content-Length: 4\r\n";
     on.write_all(&[with.head().as_bytes(), b"body"].concat()).await.unwrap();
     Reader::new(&mut *on).head().await.unwrap().expect("an answer").status()
@@ -169,24 +169,24 @@
 
 #[test]
 fn an_upgrade_goes_on_in_the_middle_of_calls_and_requests() {
-    play(|| async {
+    run_test(|| async {
         let delay = Duration::from_millis(700);
-        let mut stage = stage(Script { delay, ..Script::default() }).await;
-        let mut rests = TcpStream::connect(stage.courier.addr).await.unwrap();
+        let mut test_bed = test_bed(EndpointScript { delay, ..EndpointScript::default() }).await;
+        let mut rests = TcpStream::connect(test_bed.courier.addr).await.unwrap();
         assert_eq!(hand_in_on(&mut rests, "before").await, 202);
-        stage.sees("before", |what| matches!(what, What::Body { .. })).await;
+        test_bed.wait_for("before", |what| matches!(what, ObservationKind::Body { .. })).await;
         // Two requests that have come in part: within the head, and within the body.
-        let mut with = Invocation::new("paid-notice", "in-head", 7, LONG);
+        let mut with = MessageRequest::new("paid-notice", "in-head", 7, LONG);
         with.headers += "Content-Length: 4\r\n";
-        let (head, mut in_head) = (with.head(), TcpStream::connect(stage.courier.addr).await.unwrap());
+        let (head, mut in_head) = (with.head(), TcpStream::connect(test_bed.courier.addr).await.unwrap());
         in_head.write_all(&head.as_bytes()[..40]).await.unwrap();
         with.id = "in-body".into();
-        let mut in_body = TcpStream::connect(stage.courier.addr).await.unwrap();
+        let mut in_body = TcpStream::connect(test_bed.courier.addr).await.unwrap();
         in_body.write_all(&[with.head().as_bytes(), b"bo"].concat()).await.unwrap();
         // The courier has read as far as that.
         assert_eq!(ready(&mut rests).await.0, 200);
-        let mut old = stage.courier.upgrade().unwrap();
-        assert_eq!(stage.call("READY").await, "SUCCESS ready\n");
+        let mut old = test_bed.courier.upgrade().unwrap();
+        assert_eq!(test_bed.call("READY").await, "SUCCESS ready\n");
         assert_eq!(hand_in_on(&mut rests, "after").await, 202, "its connection is still open");
         in_head.write_all(&[&head.as_bytes()[40..], b"body"].concat()).await.unwrap();
         assert_eq!(Reader::new(&mut in_head).head().await.unwrap().unwrap().status(), 202);
@@ -196,60 +196,60 @@
         let said = operator::call(old.operators.unwrap(), &[b"DRAIN\n"]).await.unwrap();
         assert!(said.starts_with("SUCCESS"), "{said}");
         assert_eq!(ready(&mut rests).await, (503, true));
-        old.term().unwrap();
-        assert!(old.ended().await.unwrap().success());
+        old.send_sigterm().unwrap();
+        assert!(old.wait_for_exit().await.unwrap().success());
         // The call that was out when the process changed was not made again: its one answer counts.
-        let calls = stage.calls_until_answered(&["before", "after", "in-head", "in-body"]).await;
+        let calls = test_bed.calls_until_answered(&["before", "after", "in-head", "in-body"]).await;
         assert_eq!(calls, [("after".into(), 1), ("in-body".into(), 1), ("in-head".into(), 1)].into());
-        stage.courier.kill_and_restart().unwrap();
-        assert_eq!(stage.hand_in("before").await, 200, "the journal has its delivery");
+        test_bed.courier.kill_and_restart().unwrap();
+        assert_eq!(test_bed.submit("before").await, 200, "the journal has its delivery");
     });
 }
 
 #[test]
 fn a_second_upgrade_follows_the_first() {
-    play(|| async {
+    run_test(|| async {
         // Its folder's name is longer than a socket's may be.
-        let mut stage = stage_in(Script::silent(), &"-long".repeat(24)).await;
-        let mut rests = TcpStream::connect(stage.courier.addr).await.unwrap();
+        let mut test_bed = stage_in(EndpointScript::silent(), &"-long".repeat(24)).await;
+        let mut rests = TcpStream::connect(test_bed.courier.addr).await.unwrap();
         assert_eq!(hand_in_on(&mut rests, "out").await, 202);
-        stage.sees("out", |what| matches!(what, What::Body { .. })).await;
-        let first = stage.courier.upgrade().unwrap();
-        let second = stage.courier.upgrade().unwrap();
+        test_bed.wait_for("out", |what| matches!(what, ObservationKind::Body { .. })).await;
+        let first = test_bed.courier.upgrade().unwrap();
+        let second = test_bed.courier.upgrade().unwrap();
         drop((first, second));
         assert_eq!(ready(&mut rests).await, (200, false));
         // Killed in the middle of the call, the next one takes up the journal as ever.
-        stage.courier.kill_and_restart().unwrap();
-        assert_eq!(stage.call("READY").await, "SUCCESS ready\n");
+        test_bed.courier.kill_and_restart().unwrap();
+        assert_eq!(test_bed.call("READY").await, "SUCCESS ready\n");
     });
 }
 
 #[test]
 fn a_socket_without_a_process_and_a_folder_of_before_are_no_hindrance() {
-    play(|| async {
-        let mut stage = stage(Script::default()).await;
-        assert_eq!(stage.hand_in("a").await, 202);
+    run_test(|| async {
+        let mut test_bed = test_bed(EndpointScript::default()).await;
+        assert_eq!(test_bed.submit("a").await, 202);
         // Until the courier has read its answer too.
-        while stage.hand_in("a").await != 200 {}
+        while test_bed.submit("a").await != 200 {}
         // The kill leaves the socket's file; the version before had neither file.
-        stage.courier.kill_and_restart().unwrap();
-        assert_eq!(stage.hand_in("a").await, 200);
+        test_bed.courier.kill_and_restart().unwrap();
+        assert_eq!(test_bed.submit("a").await, 200);
         // Who serves listens for the next process too.
-        assert!(stage.courier.folder.join("state/handover").exists());
-        stage.courier.term().unwrap();
-        assert!(stage.courier.ended().await.unwrap().success());
+        assert!(test_bed.courier.folder.join("state/handover").exists());
+        test_bed.courier.send_sigterm().unwrap();
+        assert!(test_bed.courier.wait_for_exit().await.unwrap().success());
         for file in ["handover", "lock"] {
-            std::fs::remove_file(stage.courier.folder.join("state").join(file)).unwrap();
+            std::fs::remove_file(test_bed.courier.folder.join("state").join(file)).unwrap();
         }
-        stage.courier.kill_and_restart().unwrap();
-        assert_eq!(stage.hand_in("a").await, 200);
+        test_bed.courier.kill_and_restart().unwrap();
+        assert_eq!(test_bed.submit("a").await, 200);
     });
 }
 
 /// A process that wants to take over, and has asked.
-fn asks(stage: &Stage) -> std::os::unix::net::UnixStream {
+fn asks(test_bed: &TestBed) -> std::os::unix::net::UnixStream {
     use std::io::{Read, Write};
-    let path = stage.courier.folder.join("state/handover");
+    let path = test_bed.courier.folder.join("state/handover");
     let mut taker = std::os::unix::net::UnixStream::connect(path).unwrap();
     taker.write_all(b"qmh\x00\x00\x03").unwrap();
     taker.write_all(&[1, 0, 0, 0, 0]).unwrap();
@@ -263,13 +263,14 @@
 #[test]
 fn a_hand_over_that_is_not_confirmed_is_taken_back() {
     use std::io::Read;
-    play(|| async {
-        let mut stage = stage(Script { delay: Duration::from_millis(900), ..Script::default() }).await;
-        let mut rests = TcpStream::connect(stage.courier.addr).await.unwrap();
+    run_test(|| async {
+        let mut test_bed =
+            test_bed(EndpointScript { delay: Duration::from_millis(900), ..EndpointScript::default() }).await;
+        let mut rests = TcpStream::connect(test_bed.courier.addr).await.unwrap();
         assert_eq!(hand_in_on(&mut rests, "out").await, 202);
-        stage.sees("out", |what| matches!(what, What::Body { .. })).await;
+        test_bed.wait_for("out", |what| matches!(what, ObservationKind::Body { .. })).await;
         for says in [0, 1] {
-            let mut taker = asks(&stage);
+            let mut taker = asks(&test_bed);
             if says == 0 {
                 // It dies at the first bytes of what comes; the other time it is silent.
                 taker.read_exact(&mut [0]).unwrap();
@@ -280,47 +281,47 @@
             assert_eq!(ready(&mut rests).await, (200, false), "the connection goes on");
         }
         assert_eq!(hand_in_on(&mut rests, "after").await, 202);
-        let calls = stage.calls_until_answered(&["out", "after"]).await;
+        let calls = test_bed.calls_until_answered(&["out", "after"]).await;
         assert_eq!(calls, [("after".into(), 1)].into(), "the call that was out is not made again");
-        assert_eq!(stage.call("READY").await, "SUCCESS ready\n");
+        assert_eq!(test_bed.call("READY").await, "SUCCESS ready\n");
     });
 }
 
 #[test]
 fn a_process_that_hangs_is_ended_and_its_journal_taken_up() {
-    play(|| async {
-        let mut stage = stage(Script::silent()).await;
-        assert_eq!(stage.hand_in("owed").await, 202);
-        stage.sees("owed", |what| matches!(what, What::Body { .. })).await;
-        stage.courier.hang().unwrap();
-        let mut old = stage.courier.upgrade().unwrap();
-        assert!(!old.ended().await.unwrap().success());
-        assert_eq!(stage.call("READY").await, "SUCCESS ready\n");
+    run_test(|| async {
+        let mut test_bed = test_bed(EndpointScript::silent()).await;
+        assert_eq!(test_bed.submit("owed").await, 202);
+        test_bed.wait_for("owed", |what| matches!(what, ObservationKind::Body { .. })).await;
+        test_bed.courier.suspend_nowait().unwrap();
+        let mut old = test_bed.courier.upgrade().unwrap();
+        assert!(!old.wait_for_exit().await.unwrap().success());
+        assert_eq!(test_bed.call("READY").await, "SUCCESS ready\n");
         // It is owed still, and its call is one that may have run: within its key's span it is made again.
-        stage.sees("owed", |what| *what == What::CallBegan).await;
+        test_bed.wait_for("owed", |what| *what == ObservationKind::CallBegan).await;
     });
 }
 
 #[test]
 fn an_endpoint_is_out_from_the_yes_on_over_an_upgrade_and_a_kill_until_it_is_put_back() {
-    play(|| async {
-        let mut stage = stage(Script::default()).await;
-        let id = stage.courier.provider_ids().remove(0);
-        assert!(stage.call("DISABLE nobody").await.starts_with("FAILURE no endpoint"));
-        assert!(stage.call("ENABLE nobody").await.starts_with("FAILURE no endpoint"));
-        assert!(stage.call(&format!("DISABLE {id}")).await.starts_with("SUCCESS"));
-        assert_eq!(stage.hand_in("held").await, 202);
-        let old = stage.courier.upgrade().unwrap();
+    run_test(|| async {
+        let mut test_bed = test_bed(EndpointScript::default()).await;
+        let id = test_bed.courier.endpoint_ids().remove(0);
+        assert!(test_bed.call("DISABLE nobody").await.starts_with("FAILURE no endpoint"));
+        assert!(test_bed.call("ENABLE nobody").await.starts_with("FAILURE no endpoint"));
+        assert!(test_bed.call(&format!("DISABLE {id}")).await.starts_with("SUCCESS"));
+        assert_eq!(test_bed.submit("held").await, 202);
+        let old = test_bed.courier.upgrade().unwrap();
         drop(old);
-        assert_eq!(stage.hand_in("held-2").await, 202);
-        stage.courier.kill_and_restart().unwrap();
-        assert_eq!(stage.hand_in("held-3").await, 202);
-        assert!(stage.call(&format!("DISABLE {id}")).await.starts_with("SUCCESS"));
-        while let Ok(seen) = stage.seen.try_recv() {
-            assert_ne!(seen.what, What::CallBegan, "{}", seen.id);
+        assert_eq!(test_bed.submit("held-2").await, 202);
+        test_bed.courier.kill_and_restart().unwrap();
+        assert_eq!(test_bed.submit("held-3").await, 202);
+        assert!(test_bed.call(&format!("DISABLE {id}")).await.starts_with("SUCCESS"));
+        while let Ok(seen) = test_bed.seen.try_recv() {
+            assert_ne!(seen.what, ObservationKind::CallBegan, "{}", seen.id);
         }
-        assert!(stage.call(&format!("ENABLE {id}")).await.starts_with("SUCCESS"));
-        let calls = stage.calls_until_answered(&["held", "held-2", "held-3"]).await;
+        assert!(test_bed.call(&format!("ENABLE {id}")).await.starts_with("SUCCESS"));
+        let calls = test_bed.calls_until_answered(&["held", "held-2", "held-3"]).await;
         assert_eq!(calls.len(), 3);
     });
 }
@@ -328,15 +329,15 @@
 /// SIGTERM came before anybody asked: the next process waits for the lock, and reads the journal.
 #[test]
 fn a_process_that_is_stopping_hands_nothing_over_and_the_next_restores() {
-    play(|| async {
-        let mut stage = stage(Script::silent()).await;
-        assert_eq!(stage.hand_in("owed").await, 202);
-        stage.sees("owed", |what| matches!(what, What::Body { .. })).await;
-        stage.courier.term().unwrap();
-        let mut old = stage.courier.upgrade().unwrap();
-        assert!(old.ended().await.unwrap().success());
-        assert_eq!(stage.call("READY").await, "SUCCESS ready\n");
-        stage.sees("owed", |what| *what == What::CallBegan).await;
+    run_test(|| async {
+        let mut test_bed = test_bed(EndpointScript::silent()).await;
+        assert_eq!(test_bed.submit("owed").await, 202);
+        test_bed.wait_for("owed", |what| matches!(what, ObservationKind::Body { .. })).await;
+        test_bed.courier.send_sigterm().unwrap();
+        let mut old = test_bed.courier.upgrade().unwrap();
+        assert!(old.wait_for_exit().await.unwrap().success());
+        assert_eq!(test_bed.call("READY").await, "SUCCESS ready\n");
+        test_bed.wait_for("owed", |what| *what == ObservationKind::CallBegan).await;
     });
 }
 
@@ -347,16 +348,16 @@
 fn a_stop_in_the_middle_of_a_hand_over_waits_for_who_decides_then() {
     use std::io::{Read, Write};
     for confirms in [false, true] {
-        play(|| async {
-            let (mut stage, mut taker) = loop {
-                let stage = stage(Script::silent()).await;
-                assert_eq!(stage.hand_in("owed").await, 202);
-                let taker = asks(&stage);
-                stage.courier.term().unwrap();
-                let mut lines = std::iter::from_fn(|| stage.courier.log.recv_timeout(PATIENCE).ok());
+        run_test(|| async {
+            let (mut test_bed, mut taker) = loop {
+                let test_bed = test_bed(EndpointScript::silent()).await;
+                assert_eq!(test_bed.submit("owed").await, 202);
+                let taker = asks(&test_bed);
+                test_bed.courier.send_sigterm().unwrap();
+                let mut lines = std::iter::from_fn(|| test_bed.courier.log.recv_timeout(WAIT_TIMEOUT).ok());
                 let decides = |line: &String| line.contains("told to stop") || line.contains("stopping");
                 if lines.find(decides).unwrap().contains("told to stop") {
-                    break (stage, taker);
+                    break (test_bed, taker);
                 }
             };
             if confirms {
@@ -364,8 +365,8 @@
                 taker.read_to_end(&mut Vec::new()).unwrap();
             }
             drop(taker);
-            assert!(stage.courier.ended().await.unwrap().success());
-            let lines: Vec<String> = stage.courier.log.iter().collect();
+            assert!(test_bed.courier.wait_for_exit().await.unwrap().success());
+            let lines: Vec<String> = test_bed.courier.log.iter().collect();
             let at = |word: &str| lines.iter().position(|line| line.contains(word));
             let (back, stops) = (at("not handed over"), at("stopping; "));
             let ends = at("stopped; another process has taken over");
@@ -374,8 +375,8 @@
                 false => assert!(back.is_some() && back < stops && ends.is_none(), "{lines:?}"),
             }
             // Either way the journal has what is owed.
-            stage.courier.kill_and_restart().unwrap();
-            stage.sees("owed", |what| *what == What::CallBegan).await;
+            test_bed.courier.kill_and_restart().unwrap();
+            test_bed.wait_for("owed", |what| *what == ObservationKind::CallBegan).await;
         });
     }
 }
--- a/courier/tests/restart.rs
+++ b/courier/tests/restart.rs
@@ -2,10 +2,10 @@
 
 use bytes::Bytes;
 use quillmount_core::journal::{Record, TakenOn, frame};
-use quillmount_standins::consumer::{self, Invocation};
-use quillmount_standins::courier::{Courier, Former, Setup};
-use quillmount_standins::provider::{self, Script};
-use quillmount_standins::{Eyes, Seen, What, platform};
+use quillmount_standins::client::{self, MessageRequest};
+use quillmount_standins::courier::{Courier, PreviousProcess, Setup};
+use quillmount_standins::endpoint::{self, EndpointScript};
+use quillmount_standins::{Observation, ObservationKind, Observer, platform};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::TryLockError;
@@ -17,13 +17,13 @@
 use tokio::sync::{mpsc, watch};
 
 /// Only a broken program waits for so long.
-const PATIENCE: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 const LONG: Duration = Duration::from_secs(12);
 
 /// One courier, and a provider for destination 7.
-struct Stage {
+struct TestBed {
     courier: Courier,
-    seen: mpsc::Receiver<Seen>,
+    seen: mpsc::Receiver<Observation>,
     #[allow(dead_code)]
     list: watch::Sender<String>,
     #[allow(dead_code)]
@@ -31,32 +31,32 @@
 }
 
 /// Plays a test on one thread.
-fn play<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
+fn run_test<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let played = async { tokio::time::timeout(Duration::from_secs(120), test()).await };
     tokio::task::LocalSet::new().block_on(&runtime, played).expect("the test has come to its end");
 }
 
 /// `down`: discovery is silent from the start.
-async fn stage(script: Script, down: bool, set: impl FnOnce(&mut Setup)) -> Stage {
-    let (eyes, seen) = Eyes::open();
+async fn test_bed(script: EndpointScript, down: bool, set: impl FnOnce(&mut Setup)) -> TestBed {
+    let (observer, seen) = Observer::channel();
     let (list, told) = watch::channel(String::new());
     let (down, is_down) = watch::channel(down);
-    let platform = platform::open_with(eyes.clone(), told, is_down).await.unwrap();
-    let provider = provider::open(eyes, move |_| script.clone()).await.unwrap();
+    let platform = platform::open_with(observer.clone(), told, is_down).await.unwrap();
+    let provider = endpoint::open(observer, move |_| script.clone()).await.unwrap();
     let mut setup = Setup::new(env!("CARGO_BIN_EXE_quillmount"), platform, vec![(7, provider)]);
     set(&mut setup);
-    Stage { courier: Courier::start(setup).unwrap(), seen, list, down }
+    TestBed { courier: Courier::start(setup).unwrap(), seen, list, down }
 }
 
-impl Stage {
-    async fn hand_in(&self, class: &str, id: &str) -> u16 {
-        let invocation = Invocation::new(class, id, 7, LONG);
-        consumer::hand_in(self.courier.addr, &invocation, b"body").await.unwrap().status()
+impl TestBed {
+    async fn submit(&self, class: &str, id: &str) -> u16 {
+        let message = MessageRequest::new(class, id, 7, LONG);
+        client::submit(self.courier.addr, &message, b"body").await.unwrap().status()
     }
 
-    async fn next(&mut self) -> Seen {
-        tokio::time::timeout(PATIENCE, self.seen.recv()).await.expect("nothing more is seen").unwrap()
+    async fn next(&mut self) -> Observation {
+        tokio::time::timeout(WAIT_TIMEOUT, self.seen.recv()).await.expect("nothing more is seen").unwrap()
     }
 
     /// Waits until each of these is delivered or told of, and counts the calls of each; how many were told of.
@@ -68,11 +68,11 @@
         let mut left: BTreeSet<String> = ids.into_iter().collect();
         let mut told = 0;
         while !left.is_empty() {
-            let Seen { id, what, .. } = self.next().await;
+            let Observation { id, what, .. } = self.next().await;
             match what {
-                What::CallBegan => *calls.entry(id).or_default() += 1,
-                What::Answered(_) => drop(left.remove(&id)),
-                What::Notice(_) => {
+                ObservationKind::CallBegan => *calls.entry(id).or_default() += 1,
+                ObservationKind::Answered(_) => drop(left.remove(&id)),
+                ObservationKind::Notice(_) => {
                     told += 1;
                     left.remove(&id);
                 }
@@ -85,7 +85,7 @@
 
 /// Waits for a line of the log with these words.
 async fn logged(log: &Receiver<String>, words: &str) -> String {
-    let by = Instant::now() + PATIENCE;
+    let by = Instant::now() + WAIT_TIMEOUT;
     while Instant::now() < by {
         match log.try_recv() {
             Ok(line) if line.contains(words) => return line,
@@ -100,13 +100,13 @@
 /// not matter.
 #[test]
 fn a_file_of_another_customer_moves_nothing() {
-    play(|| async {
-        let mut stage = stage(Script::default(), false, |_| {}).await;
-        let (eyes, mut seen) = Eyes::open();
+    run_test(|| async {
+        let mut test_bed = test_bed(EndpointScript::default(), false, |_| {}).await;
+        let (observer, mut seen) = Observer::channel();
         let (_list, told) = watch::channel(String::new());
-        let elsewhere = platform::open(eyes, told).await.unwrap();
+        let elsewhere = platform::open(observer, told).await.unwrap();
         let own: Value =
-            serde_json::from_slice(&std::fs::read(stage.courier.folder.join("config.json")).unwrap())
+            serde_json::from_slice(&std::fs::read(test_bed.courier.folder.join("config.json")).unwrap())
                 .unwrap();
         let others: [(&str, Value); 7] = [
             ("/name", json!("n9")),
@@ -118,7 +118,7 @@
             ("/settings/skus", json!(["post"])),
         ];
         for (place, value) in others {
-            stage
+            test_bed
                 .courier
                 .configure(|file| {
                     *file = own.clone();
@@ -129,18 +129,18 @@
                     }
                 })
                 .unwrap();
-            stage.courier.hang_up().unwrap();
-            let line = logged(&stage.courier.log, "configuration: ").await;
+            test_bed.courier.send_sighup().unwrap();
+            let line = logged(&test_bed.courier.log, "configuration: ").await;
             assert!(
                 line.contains("not read again") && line.contains("put this courier's own file"),
                 "{place}: {line}"
             );
         }
         // Notices go where they went, and nobody has called elsewhere.
-        assert_eq!(stage.hand_in("paid-notice", "m").await, 202);
-        stage.ends(["m".to_string()], &mut BTreeMap::new()).await;
+        assert_eq!(test_bed.submit("paid-notice", "m").await, 202);
+        test_bed.ends(["m".to_string()], &mut BTreeMap::new()).await;
         assert!(seen.try_recv().is_err());
-        stage
+        test_bed
             .courier
             .configure(|file| {
                 *file = own.clone();
@@ -149,35 +149,35 @@
                 file["settings"]["categories"].as_array_mut().unwrap().reverse();
             })
             .unwrap();
-        stage.courier.hang_up().unwrap();
-        let line = logged(&stage.courier.log, "configuration: ").await;
+        test_bed.courier.send_sighup().unwrap();
+        let line = logged(&test_bed.courier.log, "configuration: ").await;
         assert!(line.contains("read again; discovery at"), "{line}");
-        let seen = tokio::time::timeout(PATIENCE, seen.recv()).await.unwrap().unwrap();
-        assert_eq!(seen.what, What::Watched);
+        let seen = tokio::time::timeout(WAIT_TIMEOUT, seen.recv()).await.unwrap().unwrap();
+        assert_eq!(seen.what, ObservationKind::Watched);
     });
 }
 
 /// Killed with calls out, and started again with one class gone and the other in its place.
 #[test]
 fn a_folder_under_other_settings_goes_by_names_and_says_what_it_ended() {
-    play(|| async {
-        let mut stage = stage(Script::silent(), false, |_| {}).await;
+    run_test(|| async {
+        let mut test_bed = test_bed(EndpointScript::silent(), false, |_| {}).await;
         for (class, id) in [("fee-debit", "debit"), ("paid-notice", "notice")] {
-            assert_eq!(stage.hand_in(class, id).await, 202);
+            assert_eq!(test_bed.submit(class, id).await, 202);
         }
         let mut begun = BTreeSet::new();
         while begun.len() < 2 {
-            let Seen { id, what, .. } = stage.next().await;
-            begun.extend((what == What::CallBegan).then_some(id));
+            let Observation { id, what, .. } = test_bed.next().await;
+            begun.extend((what == ObservationKind::CallBegan).then_some(id));
         }
         let renamed = |file: &mut Value| {
             let classes = file["settings"]["categories"].as_array_mut().unwrap();
             classes.reverse();
             classes[1]["name"] = "levy".into();
         };
-        stage.courier.configure(renamed).unwrap();
-        stage.courier.kill_and_restart().unwrap();
-        let line = logged(&stage.courier.log, "which the settings lack").await;
+        test_bed.courier.configure(renamed).unwrap();
+        test_bed.courier.kill_and_restart().unwrap();
+        let line = logged(&test_bed.courier.log, "which the settings lack").await;
         assert!(
             line.contains("ERROR") && line.contains("\"debit\"") && line.contains("\"fee-debit\""),
             "{line}"
@@ -185,13 +185,13 @@
         // The one is called again by its name, the other told of.
         let (mut again, mut told) = (0, String::new());
         while again == 0 || told.is_empty() {
-            let Seen { id, what, .. } = stage.next().await;
+            let Observation { id, what, .. } = test_bed.next().await;
             match what {
-                What::CallBegan => {
+                ObservationKind::CallBegan => {
                     assert_eq!(id, "notice");
                     again += 1;
                 }
-                What::Notice(line) => {
+                ObservationKind::Notice(line) => {
                     assert_eq!(id, "debit");
                     told = line;
                 }
@@ -199,26 +199,26 @@
             }
         }
         assert!(told.contains("undeliverable"), "{told}");
-        assert_eq!(stage.hand_in("fee-debit", "more").await, 404);
+        assert_eq!(test_bed.submit("fee-debit", "more").await, 404);
     });
 }
 
 /// The new process is told to end while the old one, which hangs for a moment, has not answered it.
 #[test]
 fn a_new_process_told_to_end_before_it_holds_anything_leaves_all_where_it_is() {
-    play(|| async {
-        let mut stage = stage(Script::default(), false, |_| {}).await;
+    run_test(|| async {
+        let mut test_bed = test_bed(EndpointScript::default(), false, |_| {}).await;
         // It answers, so it listens for the next process too.
-        assert_eq!(stage.hand_in("paid-notice", "first").await, 202);
-        stage.ends(["first".to_string()], &mut BTreeMap::new()).await;
-        stage.courier.hang().unwrap();
-        let mut next = stage.courier.begin_another().unwrap();
+        assert_eq!(test_bed.submit("paid-notice", "first").await, 202);
+        test_bed.ends(["first".to_string()], &mut BTreeMap::new()).await;
+        test_bed.courier.suspend_nowait().unwrap();
+        let mut next = test_bed.courier.spawn_another().unwrap();
         logged(&next.log, "upgrade: asking process").await;
-        next.term().unwrap();
-        assert!(next.ended().await.unwrap().success());
-        stage.courier.go_on().unwrap();
-        assert_eq!(stage.hand_in("paid-notice", "m").await, 202);
-        stage.ends(["m".to_string()], &mut BTreeMap::new()).await;
+        next.send_sigterm().unwrap();
+        assert!(next.wait_for_exit().await.unwrap().success());
+        test_bed.courier.resume().unwrap();
+        assert_eq!(test_bed.submit("paid-notice", "m").await, 202);
+        test_bed.ends(["m".to_string()], &mut BTreeMap::new()).await;
     });
 }
 
@@ -226,8 +226,8 @@
 struct Taker(UnixStream);
 
 impl Taker {
-    async fn open(stage: &Stage) -> Taker {
-        Taker(UnixStream::connect(stage.courier.folder.join("state/handover")).await.unwrap())
+    async fn open(test_bed: &TestBed) -> Taker {
+        Taker(UnixStream::connect(test_bed.courier.folder.join("state/handover")).await.unwrap())
     }
 
     /// Says the version that it hears.
@@ -243,7 +243,7 @@
     }
 
     /// The number of the word that it hears, and how long its frame is.
-    async fn hear(&mut self) -> (u8, u32) {
+    async fn read_answer(&mut self) -> (u8, u32) {
         let mut head = [0; 5];
         self.0.read_exact(&mut head).await.unwrap();
         (head[4], u32::from_le_bytes([head[0], head[1], head[2], head[3]]))
@@ -260,17 +260,17 @@
 /// lock just then must not find it free, or what was handed over is of no use.
 #[test]
 fn the_folder_is_nobody_elses_while_the_word_that_it_was_let_go_is_on_its_way() {
-    play(|| async {
-        let mut stage = stage(Script::default(), false, |_| {}).await;
-        assert_eq!(stage.hand_in("paid-notice", "m").await, 202);
-        stage.ends(["m".to_string()], &mut BTreeMap::new()).await;
-        let mut taker = Taker::open(&stage).await;
+    run_test(|| async {
+        let mut test_bed = test_bed(EndpointScript::default(), false, |_| {}).await;
+        assert_eq!(test_bed.submit("paid-notice", "m").await, 202);
+        test_bed.ends(["m".to_string()], &mut BTreeMap::new()).await;
+        let mut taker = Taker::open(&test_bed).await;
         taker.greet().await;
         taker.say(ASK).await;
-        assert_eq!(taker.hear().await.0, STATE);
+        assert_eq!(taker.read_answer().await.0, STATE);
         taker.say(GOT).await;
-        assert!(stage.courier.ended().await.unwrap().success());
-        let lock = std::fs::File::open(stage.courier.folder.join("state/lock")).unwrap();
+        assert!(test_bed.courier.wait_for_exit().await.unwrap().success());
+        let lock = std::fs::File::open(test_bed.courier.folder.join("state/lock")).unwrap();
         assert!(matches!(lock.try_lock(), Err(TryLockError::WouldBlock)));
         // The new one dies before it has read the word: nobody holds the folder.
         drop(taker);
@@ -295,26 +295,26 @@
 #[test]
 fn a_hand_over_that_breaks_off_at_any_step_is_taken_back_whole() {
     use BreaksOff::*;
-    play(|| async {
+    run_test(|| async {
         for (step, signal) in [Reached, Greeted, Asked, HasState, Silent, Rubbish]
             .into_iter()
             .flat_map(|step| ["none", "TERM", "HUP"].map(|signal| (step, signal)))
         {
             let what = format!("{step:?}-{signal}");
-            let slow = Script { delay: Duration::from_millis(400), ..Script::default() };
-            let mut stage = stage(slow, false, |_| {}).await;
+            let slow = EndpointScript { delay: Duration::from_millis(400), ..EndpointScript::default() };
+            let mut test_bed = test_bed(slow, false, |_| {}).await;
             let ids = ["fee-debit", "paid-notice"].map(|class| (class, format!("{what}-{class}")));
             for (class, id) in &ids {
-                assert_eq!(stage.hand_in(class, id).await, 202, "{what}");
+                assert_eq!(test_bed.submit(class, id).await, 202, "{what}");
             }
             let mut calls = BTreeMap::new();
             while calls.len() < 2 {
-                let Seen { id, what, .. } = stage.next().await;
-                if what == What::CallBegan {
+                let Observation { id, what, .. } = test_bed.next().await;
+                if what == ObservationKind::CallBegan {
                     *calls.entry(id).or_default() += 1;
                 }
             }
-            let mut taker = Taker::open(&stage).await;
+            let mut taker = Taker::open(&test_bed).await;
             if step != Reached {
                 taker.greet().await;
             }
@@ -323,15 +323,15 @@
             }
             let frozen = [HasState, Silent, Rubbish].contains(&step);
             if frozen {
-                assert_eq!(taker.hear().await.0, STATE, "{what}");
-                let mut third = Taker::open(&stage).await;
+                assert_eq!(taker.read_answer().await.0, STATE, "{what}");
+                let mut third = Taker::open(&test_bed).await;
                 third.greet().await;
                 third.say(ASK).await;
-                assert_eq!(third.hear().await, (BUSY, 1), "{what}: it serves another");
+                assert_eq!(third.read_answer().await, (BUSY, 1), "{what}: it serves another");
             }
             match signal {
-                "TERM" => stage.courier.term().unwrap(),
-                "HUP" => stage.courier.hang_up().unwrap(),
+                "TERM" => test_bed.courier.send_sigterm().unwrap(),
+                "HUP" => test_bed.courier.send_sighup().unwrap(),
                 _ => {}
             }
             match step {
@@ -342,20 +342,20 @@
             if step != Silent {
                 drop(taker);
             }
-            let told = stage.ends(ids.iter().map(|(_, id)| id.clone()), &mut calls).await;
+            let told = test_bed.ends(ids.iter().map(|(_, id)| id.clone()), &mut calls).await;
             assert_eq!(
                 (told, calls.values().max()),
                 (0, Some(&1)),
                 "{what}: each call came to its end, once"
             );
             if signal == "TERM" {
-                assert!(stage.courier.ended().await.unwrap().success(), "{what}");
+                assert!(test_bed.courier.wait_for_exit().await.unwrap().success(), "{what}");
             } else {
-                assert_eq!(stage.hand_in("paid-notice", "later").await, 202, "{what}");
-                stage.ends(["later".to_string()], &mut calls).await;
+                assert_eq!(test_bed.submit("paid-notice", "later").await, 202, "{what}");
+                test_bed.ends(["later".to_string()], &mut calls).await;
                 // The next one gets all.
-                let next = stage.courier.begin_another().unwrap();
-                assert!(stage.courier.ended().await.unwrap().success(), "{what}");
+                let next = test_bed.courier.spawn_another().unwrap();
+                assert!(test_bed.courier.wait_for_exit().await.unwrap().success(), "{what}");
                 logged(&next.log, "parts came over").await;
             }
         }
@@ -363,7 +363,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Strike {
+enum Fault {
     TermOld,
     TermNew,
     HangUpOld,
@@ -377,40 +377,40 @@
 
 /// A signal, a kill or a third process in the milliseconds of a hand-over. Afterwards one more process begins: whoever
 /// holds the folder by then, or the journal, gives it all; no message is lost, and no debit called twice.
-async fn struck(strike: Strike) {
+async fn struck(strike: Fault) {
     for after in [0, 5, 15, 40] {
-        let slow = Script { delay: Duration::from_millis(120), ..Script::default() };
-        let mut stage = stage(slow, false, |_| {}).await;
+        let slow = EndpointScript { delay: Duration::from_millis(120), ..EndpointScript::default() };
+        let mut test_bed = test_bed(slow, false, |_| {}).await;
         let ids: Vec<String> = (0..6).map(|n| format!("{strike:?}-{after}-{n}")).collect();
         for (n, id) in ids.iter().enumerate() {
             let class = if n % 2 == 0 { "fee-debit" } else { "paid-notice" };
-            assert_eq!(stage.hand_in(class, id).await, 202, "{id}");
+            assert_eq!(test_bed.submit(class, id).await, 202, "{id}");
         }
-        let mut next = stage.courier.begin_another().unwrap();
+        let mut next = test_bed.courier.spawn_another().unwrap();
         // No event tells of the steps of a hand-over: each of these lengths falls into another.
         tokio::time::sleep(Duration::from_millis(after)).await;
-        let mut third: Option<Former> = None;
+        let mut third: Option<PreviousProcess> = None;
         // Where one has ended by itself there is nobody to signal.
         let _ = match strike {
-            Strike::TermOld => stage.courier.term(),
-            Strike::TermNew => next.term(),
-            Strike::HangUpOld => stage.courier.hang_up(),
-            Strike::HangUpNew => next.hang_up(),
-            Strike::KillOld => stage.courier.kill(),
-            Strike::KillNew => next.kill(),
-            Strike::KillBoth => stage.courier.kill().and(next.kill()),
-            Strike::Third => stage.courier.begin_another().map(|begun| third = Some(begun)),
+            Fault::TermOld => test_bed.courier.send_sigterm(),
+            Fault::TermNew => next.send_sigterm(),
+            Fault::HangUpOld => test_bed.courier.send_sighup(),
+            Fault::HangUpNew => next.send_sighup(),
+            Fault::KillOld => test_bed.courier.kill(),
+            Fault::KillNew => next.kill(),
+            Fault::KillBoth => test_bed.courier.kill().and(next.kill()),
+            Fault::Third => test_bed.courier.spawn_another().map(|begun| third = Some(begun)),
         };
-        let last = stage.courier.begin_another().unwrap();
+        let last = test_bed.courier.spawn_another().unwrap();
         let line = logged(&last.log, "serving on ").await;
         let addr = line.split_once("serving on ").unwrap().1.split(';').next().unwrap();
-        stage.courier.addr = addr.parse().unwrap();
+        test_bed.courier.addr = addr.parse().unwrap();
         let mut calls = BTreeMap::new();
-        let told = stage.ends(ids.clone(), &mut calls).await;
+        let told = test_bed.ends(ids.clone(), &mut calls).await;
         // Where nobody was killed who decided, each call came to its end.
         let whole = match strike {
-            Strike::KillOld | Strike::KillBoth => false,
-            Strike::KillNew => last.log.try_iter().any(|line| line.contains("parts came over")),
+            Fault::KillOld | Fault::KillBoth => false,
+            Fault::KillNew => last.log.try_iter().any(|line| line.contains("parts came over")),
             _ => true,
         };
         assert!(told == 0 || !whole, "{strike:?} after {after} ms: {told} were given up");
@@ -418,48 +418,48 @@
             ids.iter().step_by(2).filter(|id| calls.get(*id).is_some_and(|n| *n > 1)).collect();
         assert_eq!(twice, Vec::<&String>::new(), "{strike:?} after {after} ms: a debit was called twice");
         let id = format!("{strike:?}-{after}-last");
-        assert_eq!(stage.hand_in("paid-notice", &id).await, 202, "{id}");
-        stage.ends([id], &mut calls).await;
+        assert_eq!(test_bed.submit("paid-notice", &id).await, 202, "{id}");
+        test_bed.ends([id], &mut calls).await;
         drop((last, next, third));
     }
 }
 
 #[test]
 fn sigterm_in_a_hand_over_loses_nothing() {
-    play(|| async {
-        struck(Strike::TermOld).await;
-        struck(Strike::TermNew).await;
+    run_test(|| async {
+        struck(Fault::TermOld).await;
+        struck(Fault::TermNew).await;
     });
 }
 
 #[test]
 fn sighup_in_a_hand_over_loses_nothing() {
-    play(|| async {
-        struck(Strike::HangUpOld).await;
-        struck(Strike::HangUpNew).await;
+    run_test(|| async {
+        struck(Fault::HangUpOld).await;
+        struck(Fault::HangUpNew).await;
     });
 }
 
 #[test]
 fn a_kill_of_either_or_both_in_a_hand_over_loses_nothing() {
-    play(|| async {
-        struck(Strike::KillOld).await;
-        struck(Strike::KillNew).await;
-        struck(Strike::KillBoth).await;
+    run_test(|| async {
+        struck(Fault::KillOld).await;
+        struck(Fault::KillNew).await;
+        struck(Fault::KillBoth).await;
     });
 }
 
 #[test]
 fn three_processes_that_want_one_folder_lose_nothing() {
-    play(|| struck(Strike::Third));
+    run_test(|| struck(Fault::Third));
 }
 
 /// A journal as full as its share of the disk lets it be, and discovery that says nothing: ready within the time that nine
 /// in ten have, and what is owed is tried.
 #[test]
 fn a_full_journal_and_a_silent_discovery_keep_no_restart_from_being_ready() {
-    play(|| async {
-        let mut stage = stage(Script::default(), true, |setup| setup.open_cap = 5_000).await;
+    run_test(|| async {
+        let mut test_bed = test_bed(EndpointScript::default(), true, |setup| setup.open_cap = 5_000).await;
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_micros() as u64;
         let mut bytes = Vec::new();
         let mut owed = 0;
@@ -470,20 +470,20 @@
             bytes.extend(frame(&Record::TakeOn { msg: owed, taken }).unwrap());
             owed += 1;
         }
-        stage.courier.kill().unwrap();
-        std::fs::write(stage.courier.folder.join("state/journal"), &bytes).unwrap();
+        test_bed.courier.kill().unwrap();
+        std::fs::write(test_bed.courier.folder.join("state/journal"), &bytes).unwrap();
         let begun = Instant::now();
-        stage.courier.kill_and_restart().unwrap();
-        let (status, _) = consumer::get(stage.courier.addr, "/-/ready").await.unwrap();
+        test_bed.courier.kill_and_restart().unwrap();
+        let (status, _) = client::get(test_bed.courier.addr, "/-/ready").await.unwrap();
         let took = begun.elapsed();
         println!("{owed} invocations: ready after {took:?}");
         assert_eq!(status, 200);
         assert!(took < Duration::from_secs(10), "{took:?}");
         let mut called = BTreeSet::new();
         while called.len() < 100 {
-            let Seen { id, what, .. } = stage.next().await;
-            assert!(!matches!(what, What::Notice(_)), "{id} was given up");
-            called.extend((what == What::CallBegan).then_some(id));
+            let Observation { id, what, .. } = test_bed.next().await;
+            assert!(!matches!(what, ObservationKind::Notice(_)), "{id} was given up");
+            called.extend((what == ObservationKind::CallBegan).then_some(id));
         }
     });
 }
--- a/courier/tests/shutdown.rs
+++ b/courier/tests/shutdown.rs
@@ -1,10 +1,12 @@
 //! A planned stop and what may come in its moments, on sockets; each test forces one crossing of `docs/crossings.md`.
 
 use quillmount_standins::courier::{Courier, Setup};
+use quillmount_standins::endpoint::EndpointScript;
 use quillmount_standins::http::Head;
-use quillmount_standins::provider::Script;
-use quillmount_standins::stage::{Client, PATIENCE, Stage, play, probe, request, request_within};
-use quillmount_standins::{Eyes, What, platform};
+use quillmount_standins::test_bed::{
+    ClientConnection, TestBed, WAIT_TIMEOUT, probe, request, request_within, run_test,
+};
+use quillmount_standins::{ObservationKind, Observer, platform};
 use rustix::net::sockopt::{socket_domain, socket_type, tcp_nodelay};
 use rustix::net::{AddressFamily, SocketType, getpeername};
 use rustix::process::{Pid, PidfdFlags, PidfdGetfdFlags, Signal, kill_process, pidfd_getfd, pidfd_open};
@@ -28,25 +30,25 @@
 const DOORS: Duration = Duration::from_millis(600);
 
 /// A provider that never answers: what is handed in keeps the process until its last moment.
-async fn silent() -> Stage {
-    Stage::open(PROGRAM, |_| Script::silent(), |_| {}).await.unwrap()
+async fn silent() -> TestBed {
+    TestBed::open(PROGRAM, |_| EndpointScript::silent(), |_| {}).await.unwrap()
 }
 
-async fn answering() -> Stage {
-    Stage::open(PROGRAM, |_| Script::default(), |_| {}).await.unwrap()
+async fn answering() -> TestBed {
+    TestBed::open(PROGRAM, |_| EndpointScript::default(), |_| {}).await.unwrap()
 }
 
 /// SIGTERM, and the log's word that the stop has begun; when it was sent.
 async fn term(courier: &Courier) -> Instant {
     let told = Instant::now();
-    courier.term().unwrap();
-    courier.says("stopping; ").await.unwrap();
+    courier.send_sigterm().unwrap();
+    courier.wait_for_log("stopping; ").await.unwrap();
     told
 }
 
 /// It ends of itself, as planned, before it would be killed.
 async fn ends(courier: &mut Courier, told: Instant) {
-    assert!(courier.ended().await.unwrap().success());
+    assert!(courier.wait_for_exit().await.unwrap().success());
     assert!(told.elapsed() < KILL, "{:?}", told.elapsed());
 }
 
@@ -57,73 +59,73 @@
 /// Waits until the courier refuses connections; each that it lets in is answered.
 async fn doors_close(courier: &Courier, told: Instant) {
     until(told + DOORS).await;
-    while let Ok(mut client) = Client::connect(courier.addr).await {
-        let status = client.ask(READY).await;
+    while let Ok(mut client) = ClientConnection::connect(courier.addr).await {
+        let status = client.exchange(READY).await;
         assert_eq!(status.unwrap(), 503, "it is stopping");
     }
 }
 
 #[test]
 fn whoever_the_system_has_accepted_as_the_doors_close_is_answered_and_others_are_refused() {
-    play(async || {
-        let mut stage = silent().await;
-        assert_eq!(stage.hand_in("out").await.unwrap(), 202);
-        stage.called("out").await.unwrap();
-        let told = term(&stage.courier).await;
-        stage.courier.pause().unwrap();
+    run_test(async || {
+        let mut test_bed = silent().await;
+        assert_eq!(test_bed.submit("out").await.unwrap(), 202);
+        test_bed.wait_for_call("out").await.unwrap();
+        let told = term(&test_bed.courier).await;
+        test_bed.courier.suspend().unwrap();
         // More than the runtime accepts in one round.
         let mut crowd = Vec::new();
         for n in 0..200 {
-            let mut client = Client::connect(stage.courier.addr).await.unwrap();
+            let mut client = ClientConnection::connect(test_bed.courier.addr).await.unwrap();
             client.send(&request(&format!("late-{n}"))).await.unwrap();
             crowd.push(client);
         }
         // Its time to close them comes while it is held up.
         until(told + DOORS).await;
-        stage.courier.go_on().unwrap();
+        test_bed.courier.resume().unwrap();
         for client in &mut crowd {
             assert!([202, 503].contains(&client.status().await.unwrap()));
         }
         // Nobody waits in a listener that nobody looks at.
-        doors_close(&stage.courier, told).await;
+        doors_close(&test_bed.courier, told).await;
         assert!(told.elapsed() < KILL - DEALS, "the process lives still");
-        ends(&mut stage.courier, told).await;
+        ends(&mut test_bed.courier, told).await;
     });
 }
 
 /// The runtime hears of the time before it hears of the bytes, as after any moment without the processor.
 #[test]
 fn a_first_request_that_comes_as_its_connections_time_is_up_is_answered() {
-    play(async || {
-        let mut stage = answering().await;
-        let mut client = Client::connect(stage.courier.addr).await.unwrap();
+    run_test(async || {
+        let mut test_bed = answering().await;
+        let mut client = ClientConnection::connect(test_bed.courier.addr).await.unwrap();
         let came = Instant::now();
         // It is let in before the courier stands still.
-        assert_eq!(probe(stage.courier.addr).await.unwrap(), 200);
-        stage.courier.pause().unwrap();
+        assert_eq!(probe(test_bed.courier.addr).await.unwrap(), 200);
+        test_bed.courier.suspend().unwrap();
         client.send(&request("crosses")).await.unwrap();
         until(came + Duration::from_millis(2_400)).await;
-        stage.courier.go_on().unwrap();
+        test_bed.courier.resume().unwrap();
         assert_eq!(client.status().await.unwrap(), 202);
-        stage.answered("crosses").await.unwrap();
+        test_bed.wait_for_answer("crosses").await.unwrap();
     });
 }
 
 #[test]
 fn a_request_that_lies_in_the_system_as_its_resting_connection_is_to_leave_is_answered() {
-    play(async || {
-        let mut stage = silent().await;
-        let mut client = Client::connect(stage.courier.addr).await.unwrap();
-        assert_eq!(client.ask(&request("first")).await.unwrap(), 202);
-        let told = term(&stage.courier).await;
-        stage.courier.pause().unwrap();
+    run_test(async || {
+        let mut test_bed = silent().await;
+        let mut client = ClientConnection::connect(test_bed.courier.addr).await.unwrap();
+        assert_eq!(client.exchange(&request("first")).await.unwrap(), 202);
+        let told = term(&test_bed.courier).await;
+        test_bed.courier.suspend().unwrap();
         client.send(&request("crosses")).await.unwrap();
         until(told + DOORS).await;
-        stage.courier.go_on().unwrap();
+        test_bed.courier.resume().unwrap();
         assert_eq!(client.status().await.unwrap(), 202);
-        assert!(client.hear().await.unwrap().is_none(), "its answer has ended it, and no reset");
-        stage.called("crosses").await.unwrap();
-        ends(&mut stage.courier, told).await;
+        assert!(client.read_answer().await.unwrap().is_none(), "its answer has ended it, and no reset");
+        test_bed.wait_for_call("crosses").await.unwrap();
+        ends(&mut test_bed.courier, told).await;
     });
 }
 
@@ -131,20 +133,20 @@
 /// request unread, which the consumer sends again elsewhere; then no provider may ever see it.
 #[test]
 fn what_crosses_the_end_of_a_resting_connection_is_answered_or_never_sent_on() {
-    play(async || {
-        let mut stage = answering().await;
+    run_test(async || {
+        let mut test_bed = answering().await;
         let mut clients = Vec::new();
         for n in 0..60 {
-            let mut client = Client::connect(stage.courier.addr).await.unwrap();
-            assert_eq!(client.ask(&request(&format!("first-{n}"))).await.unwrap(), 202);
-            stage.answered(&format!("first-{n}")).await.unwrap();
+            let mut client = ClientConnection::connect(test_bed.courier.addr).await.unwrap();
+            assert_eq!(client.exchange(&request(&format!("first-{n}"))).await.unwrap(), 202);
+            test_bed.wait_for_answer(&format!("first-{n}")).await.unwrap();
             clients.push(client);
         }
-        let told = term(&stage.courier).await;
+        let told = term(&test_bed.courier).await;
         let sends = clients.into_iter().enumerate().map(|(n, mut client)| {
             spawn_local(async move {
                 until(told + Duration::from_millis(490 + n as u64)).await;
-                let status = client.ask(&request(&format!("then-{n}"))).await;
+                let status = client.exchange(&request(&format!("then-{n}"))).await;
                 (n, status.ok())
             })
         });
@@ -155,8 +157,8 @@
                 (n, None) => ended.push(format!("then-{n}")),
             }
         }
-        ends(&mut stage.courier, told).await;
-        while let Ok(seen) = stage.seen.try_recv() {
+        ends(&mut test_bed.courier, told).await;
+        while let Ok(seen) = test_bed.observations.try_recv() {
             assert!(!ended.contains(&seen.id), "{seen:?}");
         }
     });
@@ -164,22 +166,22 @@
 
 #[test]
 fn half_a_head_at_sigterm_is_waited_for_and_a_head_that_stays_half_is_answered() {
-    play(async || {
-        let mut stage = answering().await;
-        let mut whole = Client::connect(stage.courier.addr).await.unwrap();
-        let mut half = Client::connect(stage.courier.addr).await.unwrap();
+    run_test(async || {
+        let mut test_bed = answering().await;
+        let mut whole = ClientConnection::connect(test_bed.courier.addr).await.unwrap();
+        let mut half = ClientConnection::connect(test_bed.courier.addr).await.unwrap();
         let bytes = request("halved");
         whole.send(&bytes[..40]).await.unwrap();
         half.send(&bytes[..40]).await.unwrap();
-        assert_eq!(probe(stage.courier.addr).await.unwrap(), 200);
-        let told = term(&stage.courier).await;
-        doors_close(&stage.courier, told).await;
+        assert_eq!(probe(test_bed.courier.addr).await.unwrap(), 200);
+        let told = term(&test_bed.courier).await;
+        doors_close(&test_bed.courier, told).await;
         whole.send(&bytes[40..]).await.unwrap();
         assert_eq!(whole.status().await.unwrap(), 202);
-        stage.answered("halved").await.unwrap();
+        test_bed.wait_for_answer("halved").await.unwrap();
         assert_eq!(half.status().await.unwrap(), 408);
-        assert!(half.hear().await.unwrap().is_none());
-        ends(&mut stage.courier, told).await;
+        assert!(half.read_answer().await.unwrap().is_none());
+        ends(&mut test_bed.courier, told).await;
     });
 }
 
@@ -187,23 +189,23 @@
 /// so many words.
 #[test]
 fn each_request_on_a_connection_that_stays_open_is_answered_to_the_last() {
-    play(async || {
-        let mut stage = silent().await;
-        assert_eq!(stage.hand_in("out").await.unwrap(), 202);
-        stage.called("out").await.unwrap();
+    run_test(async || {
+        let mut test_bed = silent().await;
+        assert_eq!(test_bed.submit("out").await.unwrap(), 202);
+        test_bed.wait_for_call("out").await.unwrap();
         let mut clients = Vec::new();
-        let told = term(&stage.courier).await;
+        let told = term(&test_bed.courier).await;
         for _ in 0..19 {
-            clients.push(Client::connect(stage.courier.addr).await.unwrap());
+            clients.push(ClientConnection::connect(test_bed.courier.addr).await.unwrap());
         }
         let sends = clients.into_iter().enumerate().map(|(n, mut client)| {
             spawn_local(async move {
                 let at = Duration::from_millis(100 * n as u64);
                 until(told + at).await;
                 client.send(&request(&format!("n-{n}"))).await.unwrap();
-                let answer = client.hear().await.unwrap().expect("an answer");
+                let answer = client.read_answer().await.unwrap().expect("an answer");
                 assert_eq!(answer.header("connection"), Some("close"));
-                assert!(client.hear().await.unwrap().is_none(), "and the end, no reset");
+                assert!(client.read_answer().await.unwrap().is_none(), "and the end, no reset");
                 (at, answer)
             })
         });
@@ -216,41 +218,42 @@
                 other => panic!("{other} after {at:?}"),
             }
         }
-        ends(&mut stage.courier, told).await;
+        ends(&mut test_bed.courier, told).await;
     });
 }
 
 #[test]
 fn an_answer_outlives_the_close_over_bytes_that_nobody_reads() {
-    play(async || {
-        let stage = answering().await;
-        let mut client = Client::connect(stage.courier.addr).await.unwrap();
+    run_test(async || {
+        let test_bed = answering().await;
+        let mut client = ClientConnection::connect(test_bed.courier.addr).await.unwrap();
         let behind = [request("behind"), vec![b'x'; 200_000]].concat();
         client.send(&behind).await.unwrap();
-        let answer = client.hear().await.unwrap().unwrap();
+        let answer = client.read_answer().await.unwrap().unwrap();
         assert_eq!((answer.status(), answer.header("connection")), (400, Some("close")));
         // What is sent now is let go: a reset would show here.
         client.send(&[b'x'; 20_000]).await.unwrap();
-        assert!(client.hear().await.unwrap().is_none());
+        assert!(client.read_answer().await.unwrap().is_none());
     });
 }
 
 #[test]
 fn a_stop_before_the_first_list_ends_at_once_and_one_that_owes_in_time() {
-    play(async || {
+    run_test(async || {
         for owes in [false, true] {
-            let (eyes, mut seen) = Eyes::open();
+            let (observer, mut seen) = Observer::channel();
             // Discovery is down from the first question on.
             let (_down, is_down) = watch::channel(true);
             let (_list, told) = watch::channel(String::new());
-            let platform = platform::open_with(eyes.clone(), told, is_down).await.unwrap();
-            let provider = quillmount_standins::provider::open(eyes, |_| Script::silent()).await.unwrap();
+            let platform = platform::open_with(observer.clone(), told, is_down).await.unwrap();
+            let provider =
+                quillmount_standins::endpoint::open(observer, |_| EndpointScript::silent()).await.unwrap();
             let mut courier = Courier::start(Setup::new(PROGRAM, platform, vec![(7, provider)])).unwrap();
             if owes {
-                let mut client = Client::connect(courier.addr).await.unwrap();
-                assert_eq!(client.ask(&request("owed")).await.unwrap(), 202);
+                let mut client = ClientConnection::connect(courier.addr).await.unwrap();
+                assert_eq!(client.exchange(&request("owed")).await.unwrap(), 202);
             }
-            while seen.recv().await.unwrap().what != What::Watched {}
+            while seen.recv().await.unwrap().what != ObservationKind::Watched {}
             let told = term(&courier).await;
             ends(&mut courier, told).await;
             assert_eq!(told.elapsed() > 2 * DOORS, owes, "{:?}", told.elapsed());
@@ -261,38 +264,39 @@
 /// The notice of what ends during the stop goes where the platform is by then.
 #[test]
 fn a_second_sigterm_and_a_sighup_before_and_after_change_nothing_of_the_stop() {
-    play(async || {
+    run_test(async || {
         for order in [[Signal::HUP, Signal::TERM, Signal::TERM], [Signal::TERM, Signal::TERM, Signal::HUP]] {
-            let mut stage = silent().await;
-            let mut client = Client::connect(stage.courier.addr).await.unwrap();
+            let mut test_bed = silent().await;
+            let mut client = ClientConnection::connect(test_bed.courier.addr).await.unwrap();
             let short = request_within("short", Duration::from_millis(1_200));
-            assert_eq!(client.ask(&short).await.unwrap(), 202);
-            stage.called("short").await.unwrap();
-            let (eyes, mut seen) = Eyes::open();
-            let next = platform::open(eyes, watch::channel(String::new()).1).await.unwrap();
-            let path = stage.courier.folder.join("config.json");
+            assert_eq!(client.exchange(&short).await.unwrap(), 202);
+            test_bed.wait_for_call("short").await.unwrap();
+            let (observer, mut seen) = Observer::channel();
+            let next = platform::open(observer, watch::channel(String::new()).1).await.unwrap();
+            let path = test_bed.courier.folder.join("config.json");
             let mut config: serde_json::Value =
                 serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
             config["discovery"] = next.to_string().into();
             std::fs::write(&path, config.to_string()).unwrap();
-            let (pid, told) = (Pid::from_raw(stage.courier.id() as i32).unwrap(), Instant::now());
+            let (pid, told) = (Pid::from_raw(test_bed.courier.id() as i32).unwrap(), Instant::now());
             let mut stops = false;
             for signal in order {
                 kill_process(pid, signal).unwrap();
                 // The second comes into a stop that has begun.
                 if signal == Signal::TERM && !std::mem::replace(&mut stops, true) {
-                    stage.courier.says("stopping; ").await.unwrap();
+                    test_bed.courier.wait_for_log("stopping; ").await.unwrap();
                 }
             }
             loop {
-                let seen = tokio::time::timeout(PATIENCE, seen.recv()).await.expect("its notice").unwrap();
-                if seen.id == "short" && matches!(seen.what, What::Notice(_)) {
+                let seen =
+                    tokio::time::timeout(WAIT_TIMEOUT, seen.recv()).await.expect("its notice").unwrap();
+                if seen.id == "short" && matches!(seen.what, ObservationKind::Notice(_)) {
                     break;
                 }
             }
-            ends(&mut stage.courier, told).await;
-            while let Ok(seen) = stage.seen.try_recv() {
-                assert!(!matches!(seen.what, What::Notice(_)), "{order:?}: {seen:?}");
+            ends(&mut test_bed.courier, told).await;
+            while let Ok(seen) = test_bed.observations.try_recv() {
+                assert!(!matches!(seen.what, ObservationKind::Notice(_)), "{order:?}: {seen:?}");
             }
         }
     });
@@ -301,20 +305,20 @@
 /// Every record of what was taken on is found again, wherever the stop fell into the journal's rewriting.
 #[test]
 fn a_stop_among_compactions_loses_nothing_that_was_taken_on() {
-    play(async || {
+    run_test(async || {
         let small = |setup: &mut Setup| setup.limits = serde_json::json!({"disk_mb": 0.02});
         let answers = Rc::new(Cell::new(true));
         let script = {
             let answers = answers.clone();
-            move |_: &Head| if answers.get() { Script::default() } else { Script::silent() }
+            move |_: &Head| if answers.get() { EndpointScript::default() } else { EndpointScript::silent() }
         };
-        let mut stage = Stage::open(PROGRAM, script, small).await.unwrap();
-        let journal = stage.courier.folder.join("state/journal");
+        let mut test_bed = TestBed::open(PROGRAM, script, small).await.unwrap();
+        let journal = test_bed.courier.folder.join("state/journal");
         let inode = |path: &Path| std::os::unix::fs::MetadataExt::ino(&std::fs::metadata(path).unwrap());
         let (first, mut taken, mut told) = (inode(&journal), Vec::new(), None);
         for n in 0.. {
             let id = format!("m-{n}");
-            match stage.hand_in(&id).await {
+            match test_bed.submit(&id).await {
                 Ok(202) if told.is_some() => taken.push(id),
                 Ok(202) => {}
                 Ok(503) => {}
@@ -327,16 +331,20 @@
                 // Nothing has its end any more in this life.
                 answers.set(false);
                 told = Some(Instant::now());
-                stage.courier.term().unwrap();
+                test_bed.courier.send_sigterm().unwrap();
             }
         }
-        ends(&mut stage.courier, told.expect("it was written anew")).await;
+        ends(&mut test_bed.courier, told.expect("it was written anew")).await;
         answers.set(true);
-        stage.courier.kill_and_restart().unwrap();
+        test_bed.courier.kill_and_restart().unwrap();
         assert!(!taken.is_empty());
         let mut seen = std::collections::BTreeSet::new();
         while !taken.iter().all(|id| seen.contains(id)) {
-            let end = stage.sees(|seen| matches!(seen.what, What::Answered(_) | What::Notice(_))).await;
+            let end = test_bed
+                .wait_for(|seen| {
+                    matches!(seen.what, ObservationKind::Answered(_) | ObservationKind::Notice(_))
+                })
+                .await;
             seen.insert(end.expect("each has its end").id);
         }
     });
@@ -395,14 +403,14 @@
 /// The next process waits for a holder that hangs, and is told to stop meanwhile: it has nothing yet, and goes.
 #[test]
 fn a_stop_while_a_holder_that_hangs_is_waited_for_ends_in_time() {
-    play(async || {
-        let mut stage = silent().await;
-        assert_eq!(stage.hand_in("owed").await.unwrap(), 202);
-        stage.called("owed").await.unwrap();
-        stage.courier.pause().unwrap();
+    run_test(async || {
+        let mut test_bed = silent().await;
+        assert_eq!(test_bed.submit("owed").await.unwrap(), 202);
+        test_bed.wait_for_call("owed").await.unwrap();
+        test_bed.courier.suspend().unwrap();
         let mut next = Command::new(PROGRAM)
-            .env("GW_CONFIG", stage.courier.folder.join("config.json"))
-            .env("GW_STATE", stage.courier.folder.join("state"))
+            .env("GW_CONFIG", test_bed.courier.folder.join("config.json"))
+            .env("GW_STATE", test_bed.courier.folder.join("state"))
             .env("RUST_LOG", "info")
             .stderr(Stdio::piped())
             .spawn()
@@ -435,35 +443,35 @@
 
 #[test]
 fn no_connection_of_a_courier_or_of_the_next_process_holds_small_writes_back() {
-    play(async || {
+    run_test(async || {
         let script = |head: &Head| match head.header("x-correlation-id") {
-            Some("out") => Script::silent(),
-            Some("short") => Script::answers("500 X"),
-            _ => Script::default(),
+            Some("out") => EndpointScript::silent(),
+            Some("short") => EndpointScript::answers("500 X"),
+            _ => EndpointScript::default(),
         };
-        let mut stage = Stage::open(PROGRAM, script, |setup| setup.operators = true).await.unwrap();
+        let mut test_bed = TestBed::open(PROGRAM, script, |setup| setup.operators = true).await.unwrap();
         // A question has gone out: its connection is one that is written to.
-        stage.sees(|seen| seen.what == What::Watched).await.unwrap();
-        let mut resting = Client::connect(stage.courier.addr).await.unwrap();
+        test_bed.wait_for(|seen| seen.what == ObservationKind::Watched).await.unwrap();
+        let mut resting = ClientConnection::connect(test_bed.courier.addr).await.unwrap();
         let short = request_within("short", Duration::from_millis(300));
-        assert_eq!(resting.ask(&short).await.unwrap(), 202);
+        assert_eq!(resting.exchange(&short).await.unwrap(), 202);
         // The platform's connection for notices is kept.
-        stage.sees(|seen| matches!(seen.what, What::Notice(_))).await.unwrap();
-        assert_eq!(resting.ask(&request("out")).await.unwrap(), 202);
-        stage.called("out").await.unwrap();
-        let operator = TcpStream::connect(stage.courier.operators.unwrap()).await.unwrap();
+        test_bed.wait_for(|seen| matches!(seen.what, ObservationKind::Notice(_))).await.unwrap();
+        assert_eq!(resting.exchange(&request("out")).await.unwrap(), 202);
+        test_bed.wait_for_call("out").await.unwrap();
+        let operator = TcpStream::connect(test_bed.courier.operators.unwrap()).await.unwrap();
         // It is accepted before the next caller is answered.
         let line = [&b"ready\n"[..]];
-        quillmount_standins::operator::call(stage.courier.operators.unwrap(), &line).await.unwrap();
-        let all = connections(stage.courier.id());
+        quillmount_standins::operator::call(test_bed.courier.operators.unwrap(), &line).await.unwrap();
+        let all = connections(test_bed.courier.id());
         // The consumer, the call, the watch, the notices, the operator.
         assert!(all.len() >= 5, "{all:?}");
         assert!(all.iter().all(|(_, at_once)| *at_once), "{all:?}");
         drop(operator);
-        let _former = stage.courier.upgrade().unwrap();
-        stage.sees(|seen| seen.what == What::Watched).await.unwrap();
-        assert_eq!(resting.ask(READY).await.unwrap(), 200);
-        let all = connections(stage.courier.id());
+        let _former = test_bed.courier.upgrade().unwrap();
+        test_bed.wait_for(|seen| seen.what == ObservationKind::Watched).await.unwrap();
+        assert_eq!(resting.exchange(READY).await.unwrap(), 200);
+        let all = connections(test_bed.courier.id());
         // The consumer and the call came over.
         assert!(all.len() >= 3 && all.iter().all(|(_, at_once)| *at_once), "{all:?}");
     });
