--- a/courier/tests/watch.rs
+++ b/courier/tests/watch.rs
@@ -2,16 +2,16 @@
 //! missed.
 
 use quillmount_standins::courier::{Courier, Setup};
-use quillmount_standins::gate::Entry;
-use quillmount_standins::platform::{Asked, ByHand};
-use quillmount_standins::{Eyes, Seen, What, platform};
+use quillmount_standins::gate::AcceptMode;
+use quillmount_standins::platform::{DiscoveryRequest, ManualDiscovery};
+use quillmount_standins::{Observation, ObservationKind, Observer, platform};
 use serde_json::json;
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
 
 /// Only a broken program waits for so long.
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 /// What a silent watch misses counts as told so long after it fell silent.
 const TOLD: Duration = Duration::from_secs(6);
 /// Within which the example's settings have a drain heeded, with the protocol's slack.
@@ -19,25 +19,25 @@
 /// An empty line is due so often.
 const BEAT: Duration = Duration::from_secs(2);
 
-fn run(play: impl Future<Output = ()>) {
+fn run(run_test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    tokio::task::LocalSet::new().block_on(&runtime, play);
+    tokio::task::LocalSet::new().block_on(&runtime, run_test);
 }
 
 /// When discovery was asked the next time.
-async fn asked(seen: &mut mpsc::Receiver<Seen>) -> Instant {
+async fn asked(seen: &mut mpsc::Receiver<Observation>) -> Instant {
     loop {
-        let seen = timeout(PATIENCE, seen.recv()).await.expect("discovery is asked").unwrap();
-        if seen.what == What::Watched {
+        let seen = timeout(WAIT_TIMEOUT, seen.recv()).await.expect("discovery is asked").unwrap();
+        if seen.what == ObservationKind::Watched {
             return seen.at;
         }
     }
 }
 
 fn version(n: u64) -> String {
-    let entry = r#"{"id":"new","addr":"127.0.0.1:9","cell":7,"state":"draining"}"#;
+    let accept_mode = r#"{"id":"new","addr":"127.0.0.1:9","cell":7,"state":"draining"}"#;
     // Indented, as lists may be.
-    format!("{{\n  \"version\": {n},\n  \"full\": false,\n  \"servers\": [\n    {entry}\n  ]\n}}")
+    format!("{{\n  \"version\": {n},\n  \"full\": false,\n  \"servers\": [\n    {accept_mode}\n  ]\n}}")
 }
 
 /// The same on one line.
@@ -47,7 +47,7 @@
 
 /// Waits until the courier's log has a line with these words; the platform goes on meanwhile.
 async fn logged(courier: &Courier, words: &str) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     while !courier.log.try_iter().any(|line| line.contains(words)) {
         assert!(Instant::now() < until, "not in the log: {words}");
         tokio::time::sleep(Duration::from_millis(5)).await;
@@ -59,11 +59,11 @@
     logged(courier, &format!("discovery: version {n} with")).await;
 }
 
-async fn play() {
-    let (eyes, mut seen) = Eyes::open();
+async fn run_test() {
+    let (observer, mut seen) = Observer::channel();
     let (list, told) = watch::channel(version(2));
     let (down, is_down) = watch::channel(false);
-    let platform = platform::open_with(eyes, told, is_down).await.unwrap();
+    let platform = platform::open_with(observer, told, is_down).await.unwrap();
     let courier = Courier::start(Setup::new(env!("CARGO_BIN_EXE_quillmount"), platform, Vec::new())).unwrap();
     asked(&mut seen).await;
     listed(&courier, 2).await;
@@ -85,47 +85,47 @@
 
 #[test]
 fn a_watch_that_falls_silent_is_asked_for_anew_until_discovery_is_back() {
-    run(play());
+    run(run_test());
 }
 
 /// A discovery by hand, and a courier that watches it and has version 2 from there.
-struct Stage {
-    hand: ByHand,
+struct TestBed {
+    hand: ManualDiscovery,
     courier: Courier,
     /// The question that was answered, and is followed.
-    followed: Asked,
+    followed: DiscoveryRequest,
 }
 
-async fn next(hand: &mut ByHand) -> Asked {
-    timeout(PATIENCE, hand.asked()).await.expect("discovery is asked").unwrap()
+async fn next(hand: &mut ManualDiscovery) -> DiscoveryRequest {
+    timeout(WAIT_TIMEOUT, hand.next_request()).await.expect("discovery is asked").unwrap()
 }
 
 /// Answers with a version, and leaves the watch open.
-async fn answer(asked: &mut Asked, n: u64) {
+async fn answer(asked: &mut DiscoveryRequest, n: u64) {
     asked.head().await.unwrap();
-    asked.say(&version(n)).await.unwrap();
+    asked.send_chunk(&version(n)).await.unwrap();
 }
 
-impl Stage {
-    async fn open() -> Stage {
-        Stage::of_fleet(1).await
+impl TestBed {
+    async fn open() -> TestBed {
+        TestBed::of_fleet(1).await
     }
 
     /// It is one of so many, which are told of changes unasked.
-    async fn of_fleet(couriers: u32) -> Stage {
-        let mut hand = ByHand::open().await.unwrap();
+    async fn of_fleet(couriers: u32) -> TestBed {
+        let mut hand = ManualDiscovery::open().await.unwrap();
         let mut setup = Setup::new(env!("CARGO_BIN_EXE_quillmount"), hand.addr, Vec::new());
         setup.config = json!({"settings": {"siblings": couriers, "discovery": "automatic"}});
         let courier = Courier::start(setup).unwrap();
         let mut followed = next(&mut hand).await;
         answer(&mut followed, 2).await;
         listed(&courier, 2).await;
-        Stage { hand, courier, followed }
+        TestBed { hand, courier, followed }
     }
 }
 
 /// Discovery has this version and can be reached again, from now on: each question is answered with it.
-async fn is_back(hand: &mut ByHand, courier: &Courier, n: u64) {
+async fn is_back(hand: &mut ManualDiscovery, courier: &Courier, n: u64) {
     let back = Instant::now();
     let answers = async {
         let mut held = Vec::new();
@@ -134,7 +134,7 @@
             assert!(asked.after < n, "asked after {}", asked.after);
             // What was given up meanwhile is closed.
             let _ = asked.head().await;
-            let _ = asked.say(&version(n)).await;
+            let _ = asked.send_chunk(&version(n)).await;
             held.push(asked);
         }
     };
@@ -146,30 +146,30 @@
 }
 
 /// SIGHUP, with discovery there.
-fn moves_to(courier: &Courier, hand: &ByHand) {
+fn moves_to(courier: &Courier, hand: &ManualDiscovery) {
     let path = courier.folder.join("config.json");
     let mut config: serde_json::Value = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
     config["discovery"] = hand.addr.to_string().into();
     std::fs::write(&path, config.to_string()).unwrap();
-    courier.hang_up().unwrap();
+    courier.send_sighup().unwrap();
 }
 
 /// Each of the next three questions is met so, and the next one is answered. Every question comes in time, and each
 /// on a connection of its own.
-async fn failed_each_time(meet: impl AsyncFn(Asked) -> Option<Asked>) {
-    let mut stage = Stage::open().await;
+async fn failed_each_time(meet: impl AsyncFn(DiscoveryRequest) -> Option<DiscoveryRequest>) {
+    let mut test_bed = TestBed::open().await;
     let (mut last, mut held) = (Instant::now(), Vec::new());
     for _ in 0..3 {
-        let asked = next(&mut stage.hand).await;
+        let asked = next(&mut test_bed.hand).await;
         assert!(asked.at - last < TOLD - HEED, "{:?}", asked.at - last);
         assert_eq!(asked.after, 2);
         last = asked.at;
         held.extend(meet(asked).await);
     }
-    is_back(&mut stage.hand, &stage.courier, 3).await;
-    timeout(PATIENCE, stage.followed.given_up()).await.expect("the first is given up").unwrap();
+    is_back(&mut test_bed.hand, &test_bed.courier, 3).await;
+    timeout(WAIT_TIMEOUT, test_bed.followed.wait_for_close()).await.expect("the first is given up").unwrap();
     for mut asked in held {
-        timeout(PATIENCE, asked.given_up()).await.expect("what failed is given up").unwrap();
+        timeout(WAIT_TIMEOUT, asked.wait_for_close()).await.expect("what failed is given up").unwrap();
     }
 }
 
@@ -198,7 +198,7 @@
 fn silence_in_the_middle_of_a_line_again_after_each_reopening() {
     run(failed_each_time(async |mut asked| {
         asked.head().await.unwrap();
-        asked.say(&line(3)[..40]).await.unwrap();
+        asked.send_chunk(&line(3)[..40]).await.unwrap();
         Some(asked)
     }));
 }
@@ -210,7 +210,7 @@
         let list = version(3);
         let (begun, _) = list.split_at(list.find("\"id\"").unwrap());
         for line in begun.split_inclusive('\n') {
-            asked.say(line).await.unwrap();
+            asked.send_chunk(line).await.unwrap();
         }
         Some(asked)
     }));
@@ -220,7 +220,7 @@
 fn rubbish_again_after_each_reopening() {
     run(failed_each_time(async |mut asked| {
         asked.head().await.unwrap();
-        asked.say("<html>no such list</html>\n").await.unwrap();
+        asked.send_chunk("<html>no such list</html>\n").await.unwrap();
         Some(asked)
     }));
 }
@@ -230,7 +230,7 @@
     run(failed_each_time(async |mut asked| {
         answer(&mut asked, 2).await;
         // The connection stays, and no question comes on it.
-        asked.say("").await.unwrap();
+        asked.send_chunk("").await.unwrap();
         Some(asked)
     }));
 }
@@ -255,23 +255,23 @@
 
 /// Bytes go on coming, and never become a list: empty lines and more of it, for longer than the watch may be silent.
 async fn trickle() {
-    let mut stage = Stage::open().await;
+    let mut test_bed = TestBed::open().await;
     let begun = Instant::now();
     let trickles = async {
-        let followed = &mut stage.followed;
-        let mut broken = followed.say("{\n  \"version\": 1").await;
-        while broken.is_ok() && begun.elapsed() < PATIENCE {
+        let followed = &mut test_bed.followed;
+        let mut broken = followed.send_chunk("{\n  \"version\": 1").await;
+        while broken.is_ok() && begun.elapsed() < WAIT_TIMEOUT {
             tokio::time::sleep(BEAT / 8).await;
-            broken = followed.say("0\n").await;
+            broken = followed.send_chunk("0\n").await;
         }
     };
     let mut asked = tokio::select! {
-        asked = next(&mut stage.hand) => asked,
+        asked = next(&mut test_bed.hand) => asked,
         () = async { trickles.await; std::future::pending().await } => unreachable!(),
     };
     assert!(asked.at - begun < TOLD - HEED, "{:?}", asked.at - begun);
     answer(&mut asked, 3).await;
-    listed(&stage.courier, 3).await;
+    listed(&test_bed.courier, 3).await;
 }
 
 #[test]
@@ -281,13 +281,13 @@
 
 /// What is whole holds, whatever comes behind it.
 async fn list_and_rubbish() {
-    let mut stage = Stage::open().await;
-    stage.followed.say(&(line(3) + "<html>")).await.unwrap();
-    listed(&stage.courier, 3).await;
-    let mut asked = next(&mut stage.hand).await;
+    let mut test_bed = TestBed::open().await;
+    test_bed.followed.send_chunk(&(line(3) + "<html>")).await.unwrap();
+    listed(&test_bed.courier, 3).await;
+    let mut asked = next(&mut test_bed.hand).await;
     assert_eq!(asked.after, 3);
     answer(&mut asked, 4).await;
-    listed(&stage.courier, 4).await;
+    listed(&test_bed.courier, 4).await;
 }
 
 #[test]
@@ -300,7 +300,7 @@
     for by_reset in [false, true] {
         run(failed_each_time(async |mut asked| {
             asked.head().await.unwrap();
-            asked.say(&line(3)[..40]).await.unwrap();
+            asked.send_chunk(&line(3)[..40]).await.unwrap();
             if by_reset {
                 asked.reset();
             }
@@ -320,16 +320,16 @@
 /// Two questions are out as discovery is back: it resets the first, which it no longer knows, and answers the
 /// second.
 async fn two_are_out() {
-    let mut stage = Stage::open().await;
-    let first = next(&mut stage.hand).await;
-    let mut second = next(&mut stage.hand).await;
+    let mut test_bed = TestBed::open().await;
+    let first = next(&mut test_bed.hand).await;
+    let mut second = next(&mut test_bed.hand).await;
     first.reset();
-    logged(&stage.courier, "another question is out").await;
+    logged(&test_bed.courier, "another question is out").await;
     answer(&mut second, 3).await;
-    listed(&stage.courier, 3).await;
+    listed(&test_bed.courier, 3).await;
     // It is the one that is followed now.
-    second.say(&line(4)).await.unwrap();
-    listed(&stage.courier, 4).await;
+    second.send_chunk(&line(4)).await.unwrap();
+    listed(&test_bed.courier, 4).await;
 }
 
 #[test]
@@ -339,15 +339,15 @@
 
 /// Discovery can be reached again while the pause between two questions that are refused is longest.
 async fn refused() {
-    let Stage { mut hand, courier, followed } = Stage::open().await;
-    hand.set(Entry::Refused);
+    let TestBed { mut hand, courier, followed } = TestBed::open().await;
+    hand.set(AcceptMode::Refused);
     // The gate shuts before anything else happens there.
     tokio::task::yield_now().await;
     followed.reset();
     for _ in 0..8 {
         logged(&courier, "again in").await;
     }
-    hand.set(Entry::Open);
+    hand.set(AcceptMode::Open);
     is_back(&mut hand, &courier, 3).await;
 }
 
@@ -359,12 +359,12 @@
 /// Its connections do not come up, so that the system repeats its first packets ever more seldom; discovery is back
 /// in the longest gap between two of them, and with two questions out.
 async fn hangs() {
-    let Stage { mut hand, courier, mut followed } = Stage::open().await;
-    hand.set(Entry::Silent);
+    let TestBed { mut hand, courier, mut followed } = TestBed::open().await;
+    hand.set(AcceptMode::Silent);
     logged(&courier, "again in").await;
-    timeout(PATIENCE, followed.given_up()).await.expect("it is given up").unwrap();
+    timeout(WAIT_TIMEOUT, followed.wait_for_close()).await.expect("it is given up").unwrap();
     logged(&courier, "asked anew").await;
-    hand.set(Entry::Open);
+    hand.set(AcceptMode::Open);
     let back = Instant::now();
     is_back(&mut hand, &courier, 3).await;
     assert!(back.elapsed() < HEED, "{:?}", back.elapsed());
@@ -377,8 +377,8 @@
 
 /// The new place answers with a head and no more: the watch at the old one goes on.
 async fn moved_to_silence() {
-    let Stage { hand: _old, courier, mut followed } = Stage::open().await;
-    let mut new = ByHand::open().await.unwrap();
+    let TestBed { hand: _old, courier, mut followed } = TestBed::open().await;
+    let mut new = ManualDiscovery::open().await.unwrap();
     moves_to(&courier, &new);
     let mut asked = next(&mut new).await;
     asked.head().await.unwrap();
@@ -387,15 +387,15 @@
         () = logged(&courier, "silent for 2.5s; again in") => {}
         () = async {
             loop {
-                followed.say("\n").await.unwrap();
+                followed.send_chunk("\n").await.unwrap();
                 tokio::time::sleep(BEAT / 8).await;
             }
         } => {}
     }
-    followed.say(&line(3)).await.unwrap();
+    followed.send_chunk(&line(3)).await.unwrap();
     listed(&courier, 3).await;
     is_back(&mut new, &courier, 4).await;
-    timeout(PATIENCE, followed.given_up()).await.expect("the old watch ends").unwrap();
+    timeout(WAIT_TIMEOUT, followed.wait_for_close()).await.expect("the old watch ends").unwrap();
 }
 
 #[test]
@@ -406,20 +406,20 @@
 /// Moved there and back before the new place has answered; it answers then, and the old place does not: the watch
 /// there goes on.
 async fn moved_there_and_back() {
-    let Stage { hand: mut old, courier, mut followed } = Stage::open().await;
-    let mut new = ByHand::open().await.unwrap();
+    let TestBed { hand: mut old, courier, mut followed } = TestBed::open().await;
+    let mut new = ManualDiscovery::open().await.unwrap();
     moves_to(&courier, &new);
     let mut there = next(&mut new).await;
     moves_to(&courier, &old);
     let _back = next(&mut old).await;
     answer(&mut there, 3).await;
     listed(&courier, 3).await;
-    followed.say(&line(4)).await.unwrap();
+    followed.send_chunk(&line(4)).await.unwrap();
     listed(&courier, 4).await;
     // Where it is now it is asked until it answers, and only that ends the others.
     is_back(&mut old, &courier, 5).await;
     for mut ended in [followed, there] {
-        timeout(PATIENCE, ended.given_up()).await.expect("it ends").unwrap();
+        timeout(WAIT_TIMEOUT, ended.wait_for_close()).await.expect("it ends").unwrap();
     }
 }
 
@@ -429,19 +429,19 @@
 }
 
 /// Moved while questions at the old place are refused, or get no answer: the new one is asked at once.
-async fn moved_during(entry: Entry) {
-    let Stage { hand, courier, mut followed } = Stage::open().await;
-    hand.set(entry);
+async fn moved_during(accept_mode: AcceptMode) {
+    let TestBed { hand, courier, mut followed } = TestBed::open().await;
+    hand.set(accept_mode);
     tokio::task::yield_now().await;
-    if entry == Entry::Refused {
+    if accept_mode == AcceptMode::Refused {
         followed.reset();
     } else {
-        timeout(PATIENCE, followed.given_up()).await.expect("it is given up").unwrap();
+        timeout(WAIT_TIMEOUT, followed.wait_for_close()).await.expect("it is given up").unwrap();
     }
-    for _ in 0..if entry == Entry::Refused { 7 } else { 1 } {
+    for _ in 0..if accept_mode == AcceptMode::Refused { 7 } else { 1 } {
         logged(&courier, "again in").await;
     }
-    let mut new = ByHand::open().await.unwrap();
+    let mut new = ManualDiscovery::open().await.unwrap();
     moves_to(&courier, &new);
     let back = Instant::now();
     is_back(&mut new, &courier, 3).await;
@@ -450,16 +450,16 @@
 
 #[test]
 fn discovery_moves_while_the_old_place_refuses_or_is_silent() {
-    run(moved_during(Entry::Refused));
-    run(moved_during(Entry::Silent));
+    run(moved_during(AcceptMode::Refused));
+    run(moved_during(AcceptMode::Silent));
 }
 
 /// A start finds no discovery, and discovery moves twice: what is told at last holds.
 async fn started_without() {
-    let (first, second) = (ByHand::open().await.unwrap(), ByHand::open().await.unwrap());
-    let mut third = ByHand::open().await.unwrap();
-    first.set(Entry::Refused);
-    second.set(Entry::Silent);
+    let (first, second) = (ManualDiscovery::open().await.unwrap(), ManualDiscovery::open().await.unwrap());
+    let mut third = ManualDiscovery::open().await.unwrap();
+    first.set(AcceptMode::Refused);
+    second.set(AcceptMode::Silent);
     tokio::task::yield_now().await;
     let courier =
         Courier::start(Setup::new(env!("CARGO_BIN_EXE_quillmount"), first.addr, Vec::new())).unwrap();
@@ -478,7 +478,7 @@
 /// What an agent gets at its return counts as told at once: here it is back in the moment in which its silence is
 /// found, and the next question is answered.
 async fn back_as_the_silence_is_found() {
-    let Stage { mut hand, courier, followed: _silent } = Stage::of_fleet(300).await;
+    let TestBed { mut hand, courier, followed: _silent } = TestBed::of_fleet(300).await;
     logged(&courier, "silent for 2.5s; again in").await;
     let back = Instant::now();
     is_back(&mut hand, &courier, 3).await;
@@ -492,7 +492,7 @@
 
 /// The silence lasts until a second question is out; then the first is answered, and the second is not.
 async fn back_with_an_answer_to_the_first() {
-    let Stage { mut hand, courier, followed: _silent } = Stage::of_fleet(30).await;
+    let TestBed { mut hand, courier, followed: _silent } = TestBed::of_fleet(30).await;
     let mut first = next(&mut hand).await;
     let _second = next(&mut hand).await;
     let back = Instant::now();
@@ -508,14 +508,14 @@
 
 /// It resets what it no longer knows, and answers what comes then.
 async fn back_with_resets() {
-    let Stage { mut hand, courier, followed: _silent } = Stage::of_fleet(300).await;
+    let TestBed { mut hand, courier, followed: _silent } = TestBed::of_fleet(300).await;
     let mut out = vec![next(&mut hand).await];
     // So long that no answer can be on its way any more.
     while out[out.len() - 1].at - out[0].at < Duration::from_secs(1) {
         out.push(next(&mut hand).await);
     }
     let back = Instant::now();
-    out.into_iter().for_each(Asked::reset);
+    out.into_iter().for_each(DiscoveryRequest::reset);
     is_back(&mut hand, &courier, 3).await;
     assert!(back.elapsed() < HEED, "{:?}", back.elapsed());
 }
--- a/explore/src/case.rs
+++ b/explore/src/case.rs
@@ -10,15 +10,19 @@
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, clap::ValueEnum,
 )]
 #[serde(rename_all = "kebab-case")]
-pub enum Event {
+pub enum FaultKind {
     /// A connection to a provider is refused.
     Refuse,
     /// A connection to a provider never comes up.
-    Never,
+    #[serde(rename = "never")]
+    #[value(name = "never")]
+    NeverConnects,
     /// A provider says nothing, and the call times out.
     Timeout,
     /// A request is written in two parts, with anything in between.
-    Part,
+    #[serde(rename = "part")]
+    #[value(name = "part")]
+    PartialWrite,
     /// A connection breaks before the request's last byte.
     Break,
     /// 500: it may have run.
@@ -32,13 +36,19 @@
     /// 504: all attempts are used up.
     Exhausted,
     /// 410: the message is over.
-    Over,
+    #[serde(rename = "over")]
+    #[value(name = "over")]
+    MessageGone,
     /// An answer that breaks off, after a 200 or after something else.
-    Spoilt,
+    #[serde(rename = "spoilt")]
+    #[value(name = "spoilt")]
+    TruncatedAnswer,
     /// An interim answer first.
     Interim,
     /// A second copy of a 200 behind the first.
-    Copy,
+    #[serde(rename = "copy")]
+    #[value(name = "copy")]
+    DuplicateAnswer,
     /// A reset after the request's last byte.
     Reset,
     /// An answer stands in the socket, and something else happens before it is read.
@@ -54,17 +64,25 @@
     /// A new provider, under a new id, stands at the address of one that is gone.
     Replace,
     /// The whole list is told.
-    Whole,
+    #[serde(rename = "whole")]
+    #[value(name = "whole")]
+    FullList,
     /// The watch on discovery breaks, and resumes.
     Watch,
     /// A notice or its confirmation is lost.
     Lose,
     /// A confirmation counts twice.
-    Twice,
+    #[serde(rename = "twice")]
+    #[value(name = "twice")]
+    ConfirmedTwice,
     /// A consumer hands the same id in again.
-    Again,
+    #[serde(rename = "again")]
+    #[value(name = "again")]
+    Resubmit,
     /// A consumer hands the same key in again under a fresh id.
-    Key,
+    #[serde(rename = "key")]
+    #[value(name = "key")]
+    SubmitSameKey,
     /// The disk refuses writes for a while.
     Disk,
     /// SIGTERM: a planned stop.
@@ -72,7 +90,9 @@
     /// SIGKILL, between any two writes.
     Kill,
     /// SIGKILL inside a record.
-    Tear,
+    #[serde(rename = "tear")]
+    #[value(name = "tear")]
+    TornWrite,
 }
 
 /// The world's size and habits.
@@ -82,14 +102,16 @@
     pub endpoints: u8,
     pub destinations: u8,
     pub messages: u8,
-    pub lives: u8,
+    /// Runs of the courier: kills and planned stops are one less.
+    #[serde(rename = "lives")]
+    pub incarnations: u8,
     /// Attempts for a message at most.
     pub attempts: u32,
     /// Calls out at once at most.
     pub slots: u32,
     /// Messages held at most.
     pub open_cap: u32,
-    pub events: BTreeSet<Event>,
+    pub events: BTreeSet<FaultKind>,
     /// Events that are not kind, on one path at most; `None`: as many as there are chances.
     pub faults: Option<u32>,
     /// All messages are handed in before the clock goes on.
@@ -110,11 +132,11 @@
             endpoints: 2,
             destinations: 1,
             messages: 2,
-            lives: 1,
+            incarnations: 1,
             attempts: 2,
             slots: 4,
             open_cap: 20,
-            events: BTreeSet::from([Event::Refuse, Event::Timeout, Event::Drain]),
+            events: BTreeSet::from([FaultKind::Refuse, FaultKind::Timeout, FaultKind::Drain]),
             faults: None,
             at_once: false,
             edges: true,
@@ -142,7 +164,7 @@
         within("destinations", self.destinations.into(), 1, 4)?;
         within("endpoints", self.endpoints.into(), self.destinations.into(), 8)?;
         within("messages", self.messages.into(), 1, 8)?;
-        within("lives", self.lives.into(), 1, 4)?;
+        within("lives", self.incarnations.into(), 1, 4)?;
         within("attempts", self.attempts.into(), 1, 8)?;
         within("slots", self.slots.into(), 1, 64)?;
         within("open-cap", self.open_cap.into(), 1, 64)?;
@@ -150,7 +172,7 @@
         within("span", self.span.into(), 100, 60_000)
     }
 
-    pub fn may(&self, event: Event) -> bool {
+    pub fn allows(&self, event: FaultKind) -> bool {
         self.events.contains(&event)
     }
 
--- a/explore/src/consumers.rs
+++ b/explore/src/clients.rs
@@ -18,27 +18,27 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Conversation {
+struct ClientConnection {
     machine: Consumer,
-    todo: Output,
+    output: Output,
     socket: Socket,
     /// Told to leave, and not heard yet.
-    word: bool,
+    leave_requested: bool,
     /// Told to leave while it asks: what has not come in a moment is not waited for.
     cut: bool,
     /// Requests that it will still send.
-    left: u8,
+    requests_left: u8,
     /// Requests that were answered.
     answered: u8,
     since: u64,
 }
 
 #[derive(Clone, Debug)]
-struct World {
+struct ClientWorld {
     crowd: Crowd,
-    all: BTreeMap<u64, Conversation>,
+    connections: BTreeMap<u64, ClientConnection>,
     /// Consumers that are still to come.
-    coming: u8,
+    remaining_clients: u8,
     requests: u8,
     now: u64,
     closing: bool,
@@ -46,7 +46,7 @@
 
 /// One event, by the connection's number where it has one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Event {
+enum ClientEvent {
     Connects,
     Sends(u64, Socket),
     /// The driver goes on: reads, writes, or hears its word.
@@ -60,88 +60,110 @@
 
 /// What came of a search.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Found {
+pub struct ClientSearch {
     pub states: usize,
     pub depth: usize,
     /// The events that lead to a request that is lost, and what was lost.
-    pub broken: Option<(Vec<String>, String)>,
+    pub counterexample: Option<(Vec<String>, String)>,
 }
 
-/// Explores `consumers` connections of `requests` requests each at a table for `most`.
-pub fn explore(consumers: u8, requests: u8, most: usize) -> Found {
-    let all = BTreeMap::new();
-    let root = World { crowd: Crowd::new(most), all, coming: consumers, requests, now: 1, closing: false };
+/// Explores `clients` connections of `requests` requests each at a table for `max_connections`.
+pub fn explore(clients: u8, requests: u8, max_connections: usize) -> ClientSearch {
+    let connections = BTreeMap::new();
+    let root = ClientWorld {
+        crowd: Crowd::new(max_connections),
+        connections,
+        remaining_clients: clients,
+        requests,
+        now: 1,
+        closing: false,
+    };
     let mut known = HashSet::from([root.key()]);
-    let mut queue = VecDeque::from([(root, Vec::<Event>::new())]);
+    let mut queue = VecDeque::from([(root, Vec::<ClientEvent>::new())]);
     let mut depth = 0;
     while let Some((world, path)) = queue.pop_front() {
         depth = depth.max(path.len());
         let events = world.events();
-        let tell = |path: &[Event]| path.iter().map(|e| format!("{e:?}")).collect();
-        if events.is_empty() && !world.all.is_empty() {
-            let what = format!("left at rest: {:?}", world.all);
-            return Found { states: known.len(), depth, broken: Some((tell(&path), what)) };
+        let describe_path = |path: &[ClientEvent]| path.iter().map(|e| format!("{e:?}")).collect();
+        if events.is_empty() && !world.connections.is_empty() {
+            let what = format!("left at rest: {:?}", world.connections);
+            return ClientSearch {
+                states: known.len(),
+                depth,
+                counterexample: Some((describe_path(&path), what)),
+            };
         }
         for event in events {
             let mut next = world.clone();
             let mut path = path.clone();
             path.push(event);
-            if let Err(what) = next.happens(event) {
-                return Found { states: known.len(), depth, broken: Some((tell(&path), what)) };
+            if let Err(what) = next.perform(event) {
+                return ClientSearch {
+                    states: known.len(),
+                    depth,
+                    counterexample: Some((describe_path(&path), what)),
+                };
             }
             if known.insert(next.key()) {
                 queue.push_back((next, path));
             }
         }
     }
-    Found { states: known.len(), depth, broken: None }
+    ClientSearch { states: known.len(), depth, counterexample: None }
 }
 
-impl World {
+impl ClientWorld {
     /// All that matters; ages against the present.
     fn key(&self) -> String {
-        let all: Vec<_> = self
-            .all
+        let connections: Vec<_> = self
+            .connections
             .iter()
             .map(|(n, c)| {
                 let age = self.now - c.since >= AGE;
-                (n, c.machine, c.todo, c.socket, c.word, c.cut, c.left, age)
+                (n, c.machine, c.output, c.socket, c.leave_requested, c.cut, c.requests_left, age)
             })
             .collect();
         // The order in which the connections came to their states ranks them too.
-        let mut order: Vec<_> = self.all.iter().map(|(n, c)| (c.since, *n)).collect();
+        let mut order: Vec<_> = self.connections.iter().map(|(n, c)| (c.since, *n)).collect();
         order.sort_unstable();
         let order: Vec<u64> = order.into_iter().map(|(_, n)| n).collect();
-        format!("{all:?} {order:?} {} {} {:?}", self.coming, self.closing, self.crowd.asked())
+        format!(
+            "{connections:?} {order:?} {} {} {:?}",
+            self.remaining_clients,
+            self.closing,
+            self.crowd.asked()
+        )
     }
 
-    fn events(&self) -> Vec<Event> {
+    fn events(&self) -> Vec<ClientEvent> {
         let mut events = Vec::new();
         let mut idle = true;
-        if self.coming > 0 && !self.closing {
-            events.push(Event::Connects);
+        if self.remaining_clients > 0 && !self.closing {
+            events.push(ClientEvent::Connects);
         }
-        for (n, c) in &self.all {
-            let asks = c.left > 0 && c.socket != Socket::Whole;
-            let may = matches!(c.todo, Output::Read | Output::Rest | Output::Look);
-            if asks && may && c.socket == Socket::Nothing {
-                events.push(Event::Sends(*n, Socket::Part));
+        for (n, c) in &self.connections {
+            let wants_to_send = c.requests_left > 0 && c.socket != Socket::Whole;
+            let can_send = matches!(c.output, Output::Read | Output::Rest | Output::Look);
+            if wants_to_send && can_send && c.socket == Socket::Nothing {
+                events.push(ClientEvent::Sends(*n, Socket::Part));
             }
-            if asks && may {
-                events.push(Event::Sends(*n, Socket::Whole));
+            if wants_to_send && can_send {
+                events.push(ClientEvent::Sends(*n, Socket::Whole));
             }
-            let ready = match c.todo {
-                Output::Read => c.socket == Socket::Whole || (c.word && !c.cut && c.asks_more()),
-                Output::Rest => c.socket != Socket::Nothing || c.word,
+            let ready = match c.output {
+                Output::Read => {
+                    c.socket == Socket::Whole || (c.leave_requested && !c.cut && c.is_follow_up())
+                }
+                Output::Rest => c.socket != Socket::Nothing || c.leave_requested,
                 Output::Look => c.socket != Socket::Nothing,
                 _ => false,
             };
             if ready {
-                events.push(Event::Goes(*n));
+                events.push(ClientEvent::Goes(*n));
                 // The driver does not let time pass over what it can do.
                 idle = false;
             }
-            let waits = match c.todo {
+            let waits = match c.output {
                 // What is there to be read is read first.
                 Output::Read => c.socket != Socket::Whole,
                 Output::Rest | Output::Look => c.socket == Socket::Nothing,
@@ -149,31 +171,31 @@
                 _ => false,
             };
             if waits {
-                events.push(Event::TimeUp(*n));
+                events.push(ClientEvent::TimeUp(*n));
             }
-            events.push(Event::Breaks(*n));
+            events.push(ClientEvent::Breaks(*n));
         }
-        if idle && self.all.values().any(|c| self.now - c.since < AGE) {
-            events.push(Event::Ages);
+        if idle && self.connections.values().any(|c| self.now - c.since < AGE) {
+            events.push(ClientEvent::Ages);
         }
         if !self.closing {
-            events.push(Event::Stops);
+            events.push(ClientEvent::Stops);
         }
         events
     }
 
-    fn happens(&mut self, event: Event) -> Result<(), String> {
+    fn perform(&mut self, event: ClientEvent) -> Result<(), String> {
         self.now += 1;
         match event {
-            Event::Connects => self.connects()?,
-            Event::Sends(n, what) => {
-                self.all.entry(n).and_modify(|c| c.socket = what);
+            ClientEvent::Connects => self.connect()?,
+            ClientEvent::Sends(n, what) => {
+                self.connections.entry(n).and_modify(|c| c.socket = what);
             }
-            Event::Goes(n) => self.goes(n)?,
-            Event::TimeUp(n) => self.time_up(n)?,
-            Event::Breaks(n) => self.step(n, Input::Broken, true)?,
-            Event::Ages => self.now += AGE,
-            Event::Stops => {
+            ClientEvent::Goes(n) => self.proceed(n)?,
+            ClientEvent::TimeUp(n) => self.time_up(n)?,
+            ClientEvent::Breaks(n) => self.step(n, Input::Broken, true)?,
+            ClientEvent::Ages => self.now += AGE,
+            ClientEvent::Stops => {
                 self.closing = true;
                 self.leave_all();
             }
@@ -181,73 +203,73 @@
         if self.closing {
             self.leave_all();
         }
-        let most = self.all.len();
-        let leaving = self.all.values().filter(|c| c.machine.state() == State::Leaving).count();
+        let open = self.connections.len();
+        let leaving = self.connections.values().filter(|c| c.machine.state() == State::Leaving).count();
         if leaving > quillmount_core::crowd::LEAVING_MAX {
-            return Err(format!("{leaving} of {most} are leaving"));
+            return Err(format!("{leaving} of {open} are leaving"));
         }
         Ok(())
     }
 
     fn leave_all(&mut self) {
         for n in self.crowd.all_leave() {
-            self.all.entry(n).and_modify(|c| c.word = true);
+            self.connections.entry(n).and_modify(|c| c.leave_requested = true);
         }
     }
 
-    fn connects(&mut self) -> Result<(), String> {
+    fn connect(&mut self) -> Result<(), String> {
         match self.crowd.make_room(self.now) {
             Room::Free => {}
             Room::Leave(n) => {
-                self.all.entry(n).and_modify(|c| c.word = true);
+                self.connections.entry(n).and_modify(|c| c.leave_requested = true);
             }
             Room::End(n) => {
-                if let Some(c) = self.all.remove(&n) {
-                    is_lost(n, &c)?;
+                if let Some(c) = self.connections.remove(&n) {
+                    check_no_request_lost(n, &c)?;
                 }
             }
             // It waits until one has left.
             Room::Wait => return Ok(()),
         }
-        self.coming -= 1;
+        self.remaining_clients -= 1;
         let n = self.crowd.enter(self.now);
-        let fresh = Conversation {
+        let fresh = ClientConnection {
             machine: Consumer::default(),
-            todo: Output::Read,
+            output: Output::Read,
             socket: Socket::Nothing,
-            word: false,
+            leave_requested: false,
             cut: false,
-            left: self.requests,
+            requests_left: self.requests,
             answered: 0,
             since: self.now,
         };
-        self.all.insert(n, fresh);
+        self.connections.insert(n, fresh);
         Ok(())
     }
 
-    fn goes(&mut self, n: u64) -> Result<(), String> {
+    fn proceed(&mut self, n: u64) -> Result<(), String> {
         let closing = self.closing;
-        let Some(c) = self.all.get_mut(&n) else { return Ok(()) };
-        match c.todo {
+        let Some(c) = self.connections.get_mut(&n) else { return Ok(()) };
+        match c.output {
             Output::Read if c.socket == Socket::Whole => {
-                (c.socket, c.left) = (Socket::Nothing, c.left - 1);
+                (c.socket, c.requests_left) = (Socket::Nothing, c.requests_left - 1);
                 self.step(n, Input::Asked { probe: false, closes: closing }, false)
             }
             Output::Read => {
-                (c.word, c.cut) = (false, true);
+                (c.leave_requested, c.cut) = (false, true);
                 Ok(())
             }
             _ if c.socket != Socket::Nothing => self.step(n, Input::Readable, false),
             _ => {
-                c.word = false;
+                c.leave_requested = false;
                 self.step(n, Input::Leave, false)
             }
         }
     }
 
     fn time_up(&mut self, n: u64) -> Result<(), String> {
-        let Some(c) = self.all.get(&n) else { return Ok(()) };
-        let input = match (c.todo, c.socket) {
+        let Some(c) = self.connections.get(&n) else { return Ok(()) };
+        let input = match (c.output, c.socket) {
             (Output::Read, Socket::Nothing) => Input::Silent,
             // Slow: a malformed request is answered, and the connection closed.
             (Output::Read, _) => Input::Asked { probe: false, closes: true },
@@ -260,13 +282,13 @@
 
     fn step(&mut self, n: u64, input: Input, broken: bool) -> Result<(), String> {
         let now = self.now;
-        let Some(c) = self.all.get_mut(&n) else { return Ok(()) };
-        c.todo = c.machine.step(input);
-        match c.todo {
+        let Some(c) = self.connections.get_mut(&n) else { return Ok(()) };
+        c.output = c.machine.step(input);
+        match c.output {
             Output::Close => {
-                let c = self.all.remove(&n).ok_or("it was there")?;
+                let c = self.connections.remove(&n).ok_or("it was there")?;
                 self.crowd.left(n);
-                if broken { Ok(()) } else { is_lost(n, &c) }
+                if broken { Ok(()) } else { check_no_request_lost(n, &c) }
             }
             Output::Read | Output::Rest | Output::Look | Output::Linger => {
                 (c.since, c.cut) = (now, false);
@@ -283,14 +305,14 @@
     }
 }
 
-impl Conversation {
-    fn asks_more(&self) -> bool {
+impl ClientConnection {
+    fn is_follow_up(&self) -> bool {
         matches!(self.machine.state(), State::Asking { first: false, .. })
     }
 }
 
 /// A request whose last byte had come may go down with its connection only if it was the first.
-fn is_lost(n: u64, c: &Conversation) -> Result<(), String> {
+fn check_no_request_lost(n: u64, c: &ClientConnection) -> Result<(), String> {
     if c.socket == Socket::Whole && c.answered > 0 {
         return Err(format!("connection {n} is closed under a whole request: {c:?}"));
     }
--- a/explore/src/finger.rs
+++ b/explore/src/fingerprint.rs
@@ -5,12 +5,12 @@
 
 /// An eye that makes a number of what it sees: two independent 64-bit mixes (the finalizer of
 /// MurmurHash3 over a running sum, with other constants for each).
-pub struct Finger {
+pub struct Fingerprint {
     one: u64,
     two: u64,
     now: Micros,
     /// Numbers that are in use, in order: with the reduction a name is its rank.
-    names: Option<(Vec<MsgId>, Vec<EndpointId>)>,
+    ids: Option<(Vec<MsgId>, Vec<EndpointId>)>,
 }
 
 fn mix(mut z: u64) -> u64 {
@@ -19,19 +19,19 @@
     z ^ (z >> 33)
 }
 
-impl Finger {
+impl Fingerprint {
     /// Names and times as they are.
-    pub fn plain() -> Self {
-        Finger { one: 0x9E37_79B9_7F4A_7C15, two: 0x2545_F491_4F6C_DD1D, now: 0, names: None }
+    pub fn exact() -> Self {
+        Fingerprint { one: 0x9E37_79B9_7F4A_7C15, two: 0x2545_F491_4F6C_DD1D, now: 0, ids: None }
     }
 
     /// Names by rank among these, which are in order, and times against the present.
-    pub fn reduced(messages: Vec<MsgId>, endpoints: Vec<EndpointId>) -> Self {
-        Finger { names: Some((messages, endpoints)), ..Finger::plain() }
+    pub fn canonical(messages: Vec<MsgId>, endpoints: Vec<EndpointId>) -> Self {
+        Fingerprint { ids: Some((messages, endpoints)), ..Fingerprint::exact() }
     }
 
-    pub fn begin(&mut self, now: Micros) {
-        if self.names.is_some() {
+    pub fn start_at(&mut self, now: Micros) {
+        if self.ids.is_some() {
             self.now = now;
         } else {
             self.word(now);
@@ -42,12 +42,12 @@
         value.hash(self);
     }
 
-    pub fn done(&self) -> u128 {
+    pub fn digest(&self) -> u128 {
         u128::from(mix(self.one)) << 64 | u128::from(mix(self.two))
     }
 }
 
-impl Eye for Finger {
+impl Eye for Fingerprint {
     fn word(&mut self, word: u64) {
         self.one = mix(self.one ^ word).wrapping_add(0x9E37_79B9_7F4A_7C15);
         self.two =
@@ -62,17 +62,17 @@
     }
 
     fn message(&mut self, id: MsgId) {
-        let rank = self.names.as_ref().and_then(|(m, _)| m.binary_search(&id).ok());
+        let rank = self.ids.as_ref().and_then(|(m, _)| m.binary_search(&id).ok());
         self.word(rank.map_or(id.wrapping_add(1 << 40), |n| n as u64));
     }
 
     fn endpoint(&mut self, id: EndpointId) {
-        let rank = self.names.as_ref().and_then(|(_, e)| e.binary_search(&id).ok());
+        let rank = self.ids.as_ref().and_then(|(_, e)| e.binary_search(&id).ok());
         self.word(rank.map_or(u64::from(id) + (1 << 40), |n| n as u64));
     }
 }
 
-impl Hasher for Finger {
+impl Hasher for Fingerprint {
     fn finish(&self) -> u64 {
         mix(self.one)
     }
--- a/explore/src/main.rs
+++ b/explore/src/main.rs
@@ -4,11 +4,11 @@
 
 use clap::{Args, Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
-use quillmount_explore::case::{CLASSES, Case, Event};
-use quillmount_explore::choice::Move;
+use quillmount_explore::action::Transition;
+use quillmount_explore::case::{CLASSES, Case, FaultKind};
 use quillmount_explore::monitor::{Property, Violation};
-use quillmount_explore::search::{Bounds, Found, Verdict, play, search};
-use quillmount_explore::streams::{BREAKS as STREAM_BREAKS, HOLDS as STREAM_HOLDS, Size, explore};
+use quillmount_explore::search::{Bounds, SearchReport, Verdict, play, search};
+use quillmount_explore::streams::{BREAKS as STREAM_BREAKS, Size, VERIFIED_SIZES, explore};
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -21,12 +21,12 @@
 static ALLOCATOR: MiMalloc = MiMalloc;
 
 /// Files of another version mean other moves.
-const VERSION: u32 = 1;
+const FILE_VERSION: u32 = 1;
 
-const HOLDS: u8 = 0;
-const BROKEN: u8 = 1;
-const USAGE: u8 = 2;
-const STOPPED: u8 = 3;
+const EXIT_VERIFIED: u8 = 0;
+const EXIT_VIOLATED: u8 = 1;
+const EXIT_USAGE: u8 = 2;
+const EXIT_STOPPED: u8 = 3;
 
 /// Explores every order of events on the courier's own code, in small cases.
 #[derive(Parser)]
@@ -87,8 +87,8 @@
     #[arg(long, default_value_t = 2)]
     messages: u8,
     /// Lives of the courier: kills and planned stops are one less.
-    #[arg(long, default_value_t = 1)]
-    lives: u8,
+    #[arg(long = "lives", value_name = "LIVES", default_value_t = 1)]
+    incarnations: u8,
     #[arg(long, default_value_t = 2)]
     attempts: u32,
     #[arg(long, default_value_t = 4)]
@@ -116,7 +116,7 @@
     #[arg(long, default_value_t = 4)]
     threads: usize,
     /// The longest that the search may take, as in 300s or 5m.
-    #[arg(long, default_value = "300s", value_parser = span)]
+    #[arg(long, default_value = "300s", value_parser = parse_duration)]
     time: Duration,
     /// Megabytes of memory at most.
     #[arg(long, default_value_t = 4_096)]
@@ -132,7 +132,7 @@
     broken: Option<String>,
 }
 
-fn span(text: &str) -> Result<Duration, String> {
+fn parse_duration(text: &str) -> Result<Duration, String> {
     let (number, unit) = text.split_at(text.find(|c: char| !c.is_ascii_digit()).unwrap_or(text.len()));
     let number: u64 = number.parse().map_err(|_| format!("{text:?} is no span"))?;
     match unit {
@@ -146,13 +146,13 @@
 /// A counterexample as it is kept.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct File {
+struct CounterexampleFile {
     version: u32,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     broken: Option<String>,
     case: Case,
     violation: Violation,
-    path: Vec<Move>,
+    path: Vec<Transition>,
 }
 
 fn main() -> ExitCode {
@@ -170,45 +170,47 @@
         Command::Export { file } => read(&file).and_then(|f| {
             let text = quillmount_explore::export::exchange(&Arc::new(f.case), &f.path)?;
             print!("{text}");
-            Ok(HOLDS)
+            Ok(EXIT_VERIFIED)
         }),
         Command::List => {
             list();
-            Ok(HOLDS)
+            Ok(EXIT_VERIFIED)
         }
         Command::States { dot } => {
             for table in quillmount_core::machine::tables() {
                 println!("{}", if dot { table.dot() } else { table.markdown() });
             }
-            Ok(HOLDS)
+            Ok(EXIT_VERIFIED)
         }
     };
     match done {
         Ok(code) => ExitCode::from(code),
         Err(e) => {
             eprintln!("quillmount-explore: {e}");
-            ExitCode::from(USAGE)
+            ExitCode::from(EXIT_USAGE)
         }
     }
 }
 
-fn events(names: &[String]) -> Result<std::collections::BTreeSet<Event>, String> {
+fn events(names: &[String]) -> Result<std::collections::BTreeSet<FaultKind>, String> {
     use clap::ValueEnum;
     let named = names.iter().filter(|name| !name.is_empty() && *name != "none");
     named
-        .map(|name| Event::from_str(name, false).map_err(|_| format!("--events: no event is named {name:?}")))
+        .map(|name| {
+            FaultKind::from_str(name, false).map_err(|_| format!("--events: no event is named {name:?}"))
+        })
         .collect()
 }
 
 impl Check {
     /// The case and the bounds of these arguments; puts its break on.
-    fn settle(&self) -> Result<(Arc<Case>, Bounds), String> {
+    fn prepare(&self) -> Result<(Arc<Case>, Bounds), String> {
         let check = self;
         let case = Case {
             endpoints: check.endpoints,
             destinations: check.destinations,
             messages: check.messages,
-            lives: check.lives,
+            incarnations: check.incarnations,
             attempts: check.attempts,
             slots: check.slots,
             open_cap: check.open_cap,
@@ -234,7 +236,7 @@
 }
 
 fn run(check: Check) -> Result<u8, String> {
-    let (case, bounds) = check.settle()?;
+    let (case, bounds) = check.prepare()?;
     let bar = ProgressBar::new_spinner();
     bar.set_style(
         ProgressStyle::with_template("{spinner} {msg}").unwrap_or_else(|_| ProgressStyle::default_spinner()),
@@ -251,30 +253,37 @@
         bar.tick();
     })?;
     bar.finish_and_clear();
-    println!("{}", figures(&found));
+    println!("{}", summary(&found));
     match found.verdict {
-        Verdict::Holds => {
+        Verdict::Verified => {
             println!("holds: every order of these events keeps every property");
-            Ok(HOLDS)
+            Ok(EXIT_VERIFIED)
         }
-        Verdict::Stopped(why) => {
-            println!("stopped: the {why} was up before the end; nothing is said of what was not reached");
-            Ok(STOPPED)
+        Verdict::Stopped(stop_reason) => {
+            println!(
+                "stopped: the {stop_reason} was up before the end; nothing is said of what was not reached"
+            );
+            Ok(EXIT_STOPPED)
         }
         Verdict::Broken { path, violation } => {
-            story(&case, &path)?;
-            let file =
-                File { version: VERSION, broken: check.broken, case: (*case).clone(), violation, path };
+            print_trace(&case, &path)?;
+            let file = CounterexampleFile {
+                version: FILE_VERSION,
+                broken: check.broken,
+                case: (*case).clone(),
+                violation,
+                path,
+            };
             if let Some(to) = check.json {
                 write(&to, &file)?;
             }
-            Ok(BROKEN)
+            Ok(EXIT_VIOLATED)
         }
     }
 }
 
 /// The arguments of a case in `proof`, as `check` would have them.
-fn arguments(text: &str) -> Result<Check, String> {
+fn parse_case(text: &str) -> Result<Check, String> {
     let words = ["quillmount-explore", "check"].into_iter().chain(text.split_whitespace());
     match Cli::try_parse_from(words).map_err(|e| e.to_string())?.command {
         Command::Check(check) => Ok(check),
@@ -293,29 +302,29 @@
     set_break(broken)?;
     let begun = Instant::now();
     let found = explore(size)?;
-    let (seconds, held) = (begun.elapsed().as_secs_f64(), found.held);
+    let (seconds, paused_states) = (begun.elapsed().as_secs_f64(), found.paused_states);
     println!(
-        "{} states, {held} with a body held half sent, depth {}, {seconds:.1} s",
+        "{} states, {paused_states} with a body held half sent, depth {}, {seconds:.1} s",
         found.states, found.depth
     );
-    match found.broken {
+    match found.counterexample {
         None => {
             println!("holds: every order of these events keeps every property");
-            Ok(HOLDS)
+            Ok(EXIT_VERIFIED)
         }
         Some((path, violation)) => {
             path.iter().enumerate().for_each(|(n, (body, event))| println!("{:3}. {body} {event:?}", n + 1));
             println!("broken: {violation}");
-            Ok(BROKEN)
+            Ok(EXIT_VIOLATED)
         }
     }
 }
 
 fn prove() -> Result<u8, String> {
-    let mut code = HOLDS;
-    let mut wrong = |text: String| {
+    let mut code = EXIT_VERIFIED;
+    let mut report_failure = |text: String| {
         println!("WRONG: {text}");
-        code = BROKEN;
+        code = EXIT_VIOLATED;
     };
     println!("| break | property | depth | states | seconds |\n| --- | --- | --- | --- | --- |");
     for (name, about) in spurshore::breaks::ALL {
@@ -323,24 +332,24 @@
             set_break(Some(name))?;
             let begun = Instant::now();
             let found = explore(*size)?;
-            match found.broken.map(|(path, violation)| (path.len(), found.states, violation)) {
+            match found.counterexample.map(|(path, violation)| (path.len(), found.states, violation)) {
                 Some((depth, states, violation)) if violation.property == *property => println!(
                     "| `{name}` | {} | {depth} | {states} | {:.2} |",
                     property.name(),
                     begun.elapsed().as_secs_f64()
                 ),
-                other => wrong(format!("{name} is not found by {}: {other:?}", property.name())),
+                other => report_failure(format!("{name} is not found by {}: {other:?}", property.name())),
             }
             continue;
         }
         let proof = quillmount_explore::proof::BREAKS.iter().find(|(one, ..)| one == name);
         let Some((_, case, property)) = proof else {
-            wrong(format!("no case is there to find {name} ({about})"));
+            report_failure(format!("no case is there to find {name} ({about})"));
             continue;
         };
-        let mut check = arguments(case)?;
+        let mut check = parse_case(case)?;
         (check.broken, check.time) = (Some(name.to_string()), Duration::from_secs(60));
-        let (case, bounds) = check.settle()?;
+        let (case, bounds) = check.prepare()?;
         let found = search(&case, &bounds, |_| {})?;
         match found.verdict {
             Verdict::Broken { violation, path } if violation.property == *property => println!(
@@ -350,51 +359,51 @@
                 found.states,
                 found.seconds
             ),
-            other => wrong(format!("{name} is not found by {}: {other:?}", property.name())),
+            other => report_failure(format!("{name} is not found by {}: {other:?}", property.name())),
         }
     }
     spurshore::breaks::clear();
     println!("\n| case that holds | depth | states | seconds |\n| --- | --- | --- | --- |");
-    for text in quillmount_explore::proof::HOLDS {
-        let (case, bounds) = arguments(text)?.settle()?;
+    for text in quillmount_explore::proof::VERIFIED_CASES {
+        let (case, bounds) = parse_case(text)?.prepare()?;
         let found = search(&case, &bounds, |_| {})?;
         match found.verdict {
-            Verdict::Holds => {
+            Verdict::Verified => {
                 println!("| `{text}` | {} | {} | {:.2} |", found.depth, found.states, found.seconds)
             }
-            other => wrong(format!("{text}: {other:?}")),
+            other => report_failure(format!("{text}: {other:?}")),
         }
     }
     let explored: Vec<_> = std::thread::scope(|scope| {
         let begin = |size| scope.spawn(move || (size, explore(size)));
-        let threads: Vec<_> = STREAM_HOLDS.iter().copied().map(begin).collect();
+        let threads: Vec<_> = VERIFIED_SIZES.iter().copied().map(begin).collect();
         threads.into_iter().map(|t| t.join().expect("a search does not panic")).collect()
     });
     for (size, found) in explored {
         let found = found?;
-        match found.broken {
+        match found.counterexample {
             None => println!("| streams: {size:?} | {} | {} | |", found.depth, found.states),
-            other => wrong(format!("streams: {size:?}: {other:?}")),
+            other => report_failure(format!("streams: {size:?}: {other:?}")),
         }
     }
-    for text in quillmount_explore::proof::BOTH {
-        let (case, mut bounds) = arguments(text)?.settle()?;
+    for text in quillmount_explore::proof::REDUCTION_CASES {
+        let (case, mut bounds) = parse_case(text)?.prepare()?;
         let reduced = search(&case, &bounds, |_| {})?;
         bounds.reduction = false;
         let plain = search(&case, &bounds, |_| {})?;
         println!("\n{text}: {} states, {} without the reduction", reduced.states, plain.states);
-        if !matches!((&reduced.verdict, &plain.verdict), (Verdict::Holds, Verdict::Holds)) {
-            wrong(format!("{text}: {:?} and {:?}", reduced.verdict, plain.verdict));
+        if !matches!((&reduced.verdict, &plain.verdict), (Verdict::Verified, Verdict::Verified)) {
+            report_failure(format!("{text}: {:?} and {:?}", reduced.verdict, plain.verdict));
         }
     }
     Ok(code)
 }
 
-fn figures(found: &Found) -> String {
+fn summary(found: &SearchReport) -> String {
     format!(
         "{} states, {} moves, depth {}, {:.1} s, {:.0} states a second, {} MB at most",
         found.states,
-        found.moves,
+        found.transitions,
         found.depth,
         found.seconds,
         found.states as f64 / found.seconds.max(1e-6),
@@ -403,7 +412,7 @@
 }
 
 /// Tells a path move by move, and the state around its break.
-fn story(case: &Arc<Case>, path: &[Move]) -> Result<Option<Violation>, String> {
+fn print_trace(case: &Arc<Case>, path: &[Transition]) -> Result<Option<Violation>, String> {
     let mut lines = Vec::new();
     let broken = play(case, path, |n, m, world| {
         println!("{:3}. {:>12.6} s  {m}", n + 1, world.now() as f64 / 1e6);
@@ -422,26 +431,27 @@
     }
 }
 
-fn read(path: &Path) -> Result<File, String> {
+fn read(path: &Path) -> Result<CounterexampleFile, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let value: serde_json::Value =
         serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))?;
     match value.get("version").and_then(serde_json::Value::as_u64) {
-        Some(version) if version == u64::from(VERSION) => {}
+        Some(version) if version == u64::from(FILE_VERSION) => {}
         Some(version) => {
             return Err(format!(
-                "{}: version: {version}, where this program writes {VERSION}",
+                "{}: version: {version}, where this program writes {FILE_VERSION}",
                 path.display()
             ));
         }
         None => return Err(format!("{}: version: missing", path.display())),
     }
-    let file: File = serde_json::from_value(value).map_err(|e| format!("{}: {e}", path.display()))?;
+    let file: CounterexampleFile =
+        serde_json::from_value(value).map_err(|e| format!("{}: {e}", path.display()))?;
     file.case.check().map_err(|e| format!("{}: case: {e}", path.display()))?;
     Ok(file)
 }
 
-fn write(path: &Path, file: &File) -> Result<(), String> {
+fn write(path: &Path, file: &CounterexampleFile) -> Result<(), String> {
     let text = serde_json::to_string_pretty(file).map_err(|e| e.to_string())?;
     std::fs::write(path, text + "\n").map_err(|e| format!("{}: {e}", path.display()))?;
     println!("written to {}", path.display());
@@ -451,14 +461,14 @@
 fn replay(path: &Path) -> Result<u8, String> {
     let file = read(path)?;
     set_break(file.broken.as_deref())?;
-    let broken = story(&Arc::new(file.case), &file.path)?;
+    let broken = print_trace(&Arc::new(file.case), &file.path)?;
     match broken {
-        Some(violation) if violation.property == file.violation.property => Ok(BROKEN),
+        Some(violation) if violation.property == file.violation.property => Ok(EXIT_VIOLATED),
         Some(_) => {
             println!("the file has another one: {}", file.violation);
-            Ok(USAGE)
+            Ok(EXIT_USAGE)
         }
-        None => Ok(HOLDS),
+        None => Ok(EXIT_VERIFIED),
     }
 }
 
@@ -467,33 +477,33 @@
     let mut file = read(path)?;
     set_break(file.broken.as_deref())?;
     let case = Arc::new(file.case.clone());
-    let breaks = |moves: &[Move]| match play(&case, moves, |_, _, _| {}) {
+    let breaks = |transitions: &[Transition]| match play(&case, transitions, |_, _, _| {}) {
         Ok(Some((n, violation))) if violation.property == file.violation.property => Some((n + 1, violation)),
         _ => None,
     };
     let Some((length, violation)) = breaks(&file.path) else {
         println!("nothing is broken on this path");
-        return Ok(HOLDS);
+        return Ok(EXIT_VERIFIED);
     };
     let before = file.path.len();
-    let mut moves = file.path[..length].to_vec();
+    let mut transitions = file.path[..length].to_vec();
     let mut last = violation;
-    let mut n = moves.len();
+    let mut n = transitions.len();
     while n > 0 {
         n -= 1;
-        let mut shorter = moves.clone();
+        let mut shorter = transitions.clone();
         shorter.remove(n);
         if let Some((length, violation)) = breaks(&shorter) {
             shorter.truncate(length);
-            (moves, last) = (shorter, violation);
-            n = n.min(moves.len());
+            (transitions, last) = (shorter, violation);
+            n = n.min(transitions.len());
         }
     }
-    println!("{before} moves, {} of them needed", moves.len());
-    (file.path, file.violation) = (moves, last);
-    story(&case, &file.path)?;
+    println!("{before} moves, {} of them needed", transitions.len());
+    (file.path, file.violation) = (transitions, last);
+    print_trace(&case, &file.path)?;
     write(path, &file)?;
-    Ok(BROKEN)
+    Ok(EXIT_VIOLATED)
 }
 
 fn list() {
@@ -501,7 +511,7 @@
     println!("properties:");
     Property::ALL.iter().for_each(|(p, about)| println!("  {:14} {about}", p.name()));
     println!("events:");
-    for event in Event::value_variants() {
+    for event in FaultKind::value_variants() {
         if let Some(value) = event.to_possible_value() {
             println!(
                 "  {:14} {}",
--- a/explore/src/monitor.rs
+++ b/explore/src/monitor.rs
@@ -16,7 +16,8 @@
     Drain,
     Wait,
     Unchanged,
-    Kept,
+    #[serde(rename = "kept")]
+    Durability,
     Liveness,
 }
 
@@ -33,7 +34,7 @@
         (Property::Drain, "no first byte to an endpoint later than 1 s after its drain was told"),
         (Property::Wait, "no call to a destination during a wait that it told"),
         (Property::Unchanged, "id, key, body and destination as handed in; attempts, slots and holding kept"),
-        (Property::Kept, "what was answered 202 is in the store, and every prefix is read back"),
+        (Property::Durability, "what was answered 202 is in the store, and every prefix is read back"),
         (Property::Liveness, "if the world turns kind, everything owed ends and every table empties"),
     ];
 
@@ -44,7 +45,7 @@
             Property::Drain => "drain",
             Property::Wait => "wait",
             Property::Unchanged => "unchanged",
-            Property::Kept => "kept",
+            Property::Durability => "kept",
             Property::Liveness => "liveness",
         }
     }
@@ -58,23 +59,23 @@
     pub what: String,
 }
 
-pub fn broken<T>(property: Property, what: String) -> Result<T, Violation> {
+pub fn violated<T>(property: Property, what: String) -> Result<T, Violation> {
     Err(Violation { property, what })
 }
 
 /// Time limits of the rules are longer on sockets by this.
 pub const SLACK: Micros = 50_000;
 /// The final answer may come so long after the message's time.
-const ANSWER_LATE: Micros = 300_000;
+const ANSWER_GRACE: Micros = 300_000;
 /// Nothing new goes to an endpoint so long after its drain was told.
-pub const DRAIN_LATE: Micros = 1_000_000;
+pub const DRAIN_GRACE: Micros = 1_000_000;
 /// Calls that come so soon after a wait was told are let through.
-const WAIT_LATE: Micros = 100_000;
+const WAIT_GRACE: Micros = 100_000;
 /// A restarted courier's notices are not overdue before this long after it is ready.
-const READY_LATE: Micros = 1_500_000;
+const READY_GRACE: Micros = 1_500_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Taken {
+pub enum Acceptance {
     No,
     /// Its record is whole, and the consumer never heard of it.
     Unheard,
@@ -84,65 +85,65 @@
 
 /// One call as its provider sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Sent {
+pub struct ObservedCall {
     /// The courier's life that sent it: numbers of calls that never left are used again in the next.
-    pub life: u8,
+    pub incarnation: u8,
     pub attempt: u32,
     pub first: Micros,
     /// When its last byte was written: from then on it may run.
     pub last: Option<Micros>,
     /// An answer proves that it did not.
-    pub never: bool,
+    pub never_ran: bool,
     /// Neither answered nor ended.
     pub open: bool,
 }
 
-impl Sent {
+impl ObservedCall {
     fn may_have_run(&self) -> bool {
-        self.last.is_some() && !self.never
+        self.last.is_some() && !self.never_ran
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Seen {
+pub struct ObservedMessage {
     pub class: u8,
     pub dest: u64,
     pub key: u64,
     pub deadline: Micros,
-    pub taken: Taken,
-    pub sent: Vec<Sent>,
+    pub acceptance: Acceptance,
+    pub calls: Vec<ObservedCall>,
     /// What the platform was told of its end.
     pub notice: Option<Ending>,
     /// A provider has said 200.
     pub delivered: bool,
     /// A provider has said that it is over.
-    pub over: bool,
+    pub gone: bool,
     /// The courier has read one of these words, and lived to note it.
     pub settled: bool,
 }
 
-impl Seen {
+impl ObservedMessage {
     pub fn is_final(&self) -> bool {
-        self.notice.is_some() || self.delivered || self.over
+        self.notice.is_some() || self.delivered || self.gone
     }
 
     /// The first send that may have run.
-    pub fn first_maybe(&self) -> Option<&Sent> {
-        self.sent.iter().find(|s| s.may_have_run())
+    pub fn first_possible_run(&self) -> Option<&ObservedCall> {
+        self.calls.iter().find(|s| s.may_have_run())
     }
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Monitor {
     /// Lives of the courier before this one.
-    pub life: u8,
-    pub messages: Vec<Seen>,
+    pub incarnation: u8,
+    pub messages: Vec<ObservedMessage>,
     /// When each provider's drain was told.
     pub drains: BTreeMap<u8, Micros>,
     /// The wait that each destination told last: from when, until when.
     pub waits: BTreeMap<u64, (Micros, Micros)>,
     /// No notice is overdue before.
-    pub excused: Micros,
+    pub grace_until: Micros,
 }
 
 impl Monitor {
@@ -154,36 +155,48 @@
         attempt: u32,
         provider: u8,
     ) -> Result<(), Violation> {
-        if let Some(told) = self.drains.get(&provider).filter(|told| now > **told + DRAIN_LATE) {
-            return broken(
+        if let Some(announced_at) =
+            self.drains.get(&provider).filter(|announced_at| now > **announced_at + DRAIN_GRACE)
+        {
+            return violated(
                 Property::Drain,
-                format!("m{message} goes to provider {provider} {} us after its drain was told", now - told),
+                format!(
+                    "m{message} goes to provider {provider} {} us after its drain was told",
+                    now - announced_at
+                ),
             );
         }
-        let out = self.messages.iter().flat_map(|m| &m.sent).filter(|s| s.open).count();
+        let out = self.messages.iter().flat_map(|m| &m.calls).filter(|s| s.open).count();
         if out >= case.slots as usize {
-            return broken(
+            return violated(
                 Property::Unchanged,
                 format!("m{message} is sent with all {} slots taken", case.slots),
             );
         }
         let m = &mut self.messages[message];
         if let Some(end) = m.notice {
-            return broken(
+            return violated(
                 Property::FinalAnswer,
                 format!("m{message} is sent after the platform was told {end:?}"),
             );
         }
-        if m.sent.len() >= case.attempts as usize {
-            return broken(
+        if m.calls.len() >= case.attempts as usize {
+            return violated(
                 Property::Unchanged,
                 format!("m{message} is sent more than {} times", case.attempts),
             );
         }
-        if m.sent.iter().any(|s| (s.life, s.attempt) == (self.life, attempt)) {
-            return broken(Property::Unchanged, format!("call {attempt} of m{message} is made twice"));
+        if m.calls.iter().any(|s| (s.incarnation, s.attempt) == (self.incarnation, attempt)) {
+            return violated(Property::Unchanged, format!("call {attempt} of m{message} is made twice"));
         }
-        m.sent.push(Sent { life: self.life, attempt, first: now, last: None, never: false, open: true });
+        m.calls.push(ObservedCall {
+            incarnation: self.incarnation,
+            attempt,
+            first: now,
+            last: None,
+            never_ran: false,
+            open: true,
+        });
         Ok(())
     }
 
@@ -197,9 +210,9 @@
         let m = &mut self.messages[message];
         let dest = m.dest;
         if let Some((from, until)) =
-            self.waits.get(&dest).filter(|(from, until)| now > from + WAIT_LATE && now < *until)
+            self.waits.get(&dest).filter(|(from, until)| now > from + WAIT_GRACE && now < *until)
         {
-            return broken(
+            return violated(
                 Property::Wait,
                 format!(
                     "m{message} reaches destination {dest} {} us into its wait of {} us",
@@ -208,50 +221,56 @@
                 ),
             );
         }
-        if let Some(first) = m.first_maybe() {
+        if let Some(first) = m.first_possible_run() {
             let (since, n) = (now - first.first, first.attempt);
             if m.class == 0 {
-                return broken(
+                return violated(
                     Property::NoRepeat,
                     format!("call {attempt} of m{message}, a debit, while call {n} may have run"),
                 );
             }
             if since > case.span() {
-                return broken(
+                return violated(
                     Property::NoRepeat,
                     format!("call {attempt} of m{message} {since} us after call {n}, which may have run"),
                 );
             }
         }
-        let sent = m.sent.iter_mut().find(|s| (s.life, s.attempt) == (self.life, attempt));
+        let sent = m.calls.iter_mut().find(|s| (s.incarnation, s.attempt) == (self.incarnation, attempt));
         sent.into_iter().for_each(|s| s.last = Some(now));
         Ok(())
     }
 
     /// A provider has answered, or the connection of a call has ended.
-    pub fn over(&mut self, message: usize, attempt: u32, never: bool) {
-        let life = self.life;
-        let own = |s: &&mut Sent| (s.life, s.attempt) == (life, attempt);
-        for s in self.messages[message].sent.iter_mut().filter(own) {
-            (s.never, s.open) = (s.never || never, false);
+    pub fn call_ended(&mut self, message: usize, attempt: u32, never_ran: bool) {
+        let incarnation = self.incarnation;
+        let own = |s: &&mut ObservedCall| (s.incarnation, s.attempt) == (incarnation, attempt);
+        for s in self.messages[message].calls.iter_mut().filter(own) {
+            (s.never_ran, s.open) = (s.never_ran || never_ran, false);
         }
     }
 
     /// The platform gets a notice.
     pub fn notice(&mut self, message: usize, ending: Ending) -> Result<(), Violation> {
         let m = &mut self.messages[message];
-        if m.taken == Taken::No {
-            return broken(Property::FinalAnswer, format!("a notice for m{message}, which was not taken on"));
+        if m.acceptance == Acceptance::No {
+            return violated(
+                Property::FinalAnswer,
+                format!("a notice for m{message}, which was not taken on"),
+            );
         }
         if let Some(before) = m.notice.filter(|before| *before != ending) {
-            return broken(Property::FinalAnswer, format!("m{message} ends as {ending:?} after {before:?}"));
+            return violated(
+                Property::FinalAnswer,
+                format!("m{message} ends as {ending:?} after {before:?}"),
+            );
         }
         if matches!(ending, Ending::Deferred(_))
             && m.class == 0
-            && let Some(maybe) = m.first_maybe()
+            && let Some(possible_run) = m.first_possible_run()
         {
-            let n = maybe.attempt;
-            return broken(
+            let n = possible_run.attempt;
+            return violated(
                 Property::NoRepeat,
                 format!("m{message}, a debit, is deferred though call {n} may have run"),
             );
@@ -261,28 +280,28 @@
     }
 
     /// All calls that were out have lost their connections.
-    pub fn died(&mut self) {
-        self.messages.iter_mut().flat_map(|m| &mut m.sent).for_each(|s| s.open = false);
+    pub fn crashed(&mut self) {
+        self.messages.iter_mut().flat_map(|m| &mut m.calls).for_each(|s| s.open = false);
         self.waits.clear();
-        self.life += 1;
+        self.incarnation += 1;
     }
 
     pub fn ready(&mut self, now: Micros) {
-        self.excused = self.excused.max(now + READY_LATE);
+        self.grace_until = self.grace_until.max(now + READY_GRACE);
     }
 
     /// When the end of a message is overdue.
-    pub fn overdue(&self, m: &Seen) -> Micros {
-        (m.deadline + ANSWER_LATE + SLACK).max(self.excused)
+    pub fn overdue_at(&self, m: &ObservedMessage) -> Micros {
+        (m.deadline + ANSWER_GRACE + SLACK).max(self.grace_until)
     }
 
     /// What must hold at every moment.
     pub fn check(&self, now: Micros) -> Result<(), Violation> {
         for (n, m) in self.messages.iter().enumerate() {
-            if m.taken == Taken::Heard && !m.is_final() && now > self.overdue(m) {
+            if m.acceptance == Acceptance::Heard && !m.is_final() && now > self.overdue_at(m) {
                 let late = now.saturating_sub(m.deadline);
                 let class = CLASSES[m.class as usize];
-                return broken(
+                return violated(
                     Property::FinalAnswer,
                     format!("m{n}, a {class}, has no end {late} us after its time"),
                 );
--- a/explore/src/proof.rs
+++ b/explore/src/proof.rs
@@ -30,14 +30,14 @@
     ("slot-too-many", "--messages 2 --endpoints 2 --destinations 2 --slots 1 --events none", Property::Unchanged),
     ("span-by-one", "--messages 1 --endpoints 1 --events reset,drain,ready", Property::NoRepeat),
     ("take-on-twice", "--messages 1 --endpoints 1 --events again", Property::FinalAnswer),
-    ("take-on-unwritten", "--messages 1 --endpoints 1 --events disk --faults 1", Property::Kept),
-    ("torn-kept", "--messages 2 --endpoints 1 --lives 3 --events tear --no-edges", Property::Kept),
+    ("take-on-unwritten", "--messages 1 --endpoints 1 --events disk --faults 1", Property::Durability),
+    ("torn-kept", "--messages 2 --endpoints 1 --lives 3 --events tear --no-edges", Property::Durability),
     ("write-on-in-wait", "--messages 2 --endpoints 1 --events wait,part --no-edges", Property::Wait),
 ];
 
 /// Small cases of every event, which hold to their ends.
 #[rustfmt::skip]
-pub const HOLDS: &[&str] = &[
+pub const VERIFIED_CASES: &[&str] = &[
     "--messages 2 --at-once --no-edges --events refuse,timeout,drain",
     "--messages 1 --events refuse,timeout,drain,never,part,break",
     "--messages 2 --events error,reset,spoilt,interim,copy --faults 3",
@@ -59,7 +59,7 @@
 
 /// Cases that are played with and without the reduction, and must come to the same verdict.
 #[rustfmt::skip]
-pub const BOTH: &[&str] = &[
+pub const REDUCTION_CASES: &[&str] = &[
     "--messages 1 --events refuse,timeout,drain",
     "--messages 2 --endpoints 1 --events refuse --no-edges",
     "--messages 1 --endpoints 1 --lives 2 --events kill,timeout",
--- a/explore/src/search.rs
+++ b/explore/src/search.rs
@@ -1,10 +1,10 @@
 //! The search: breadth first, layer by layer, on several threads, so that the first counterexample is a
 //! shortest one.
 
+use crate::action::{CrashPoint, Transition};
 use crate::case::Case;
-use crate::case::Event;
-use crate::choice::{Die, Move};
-use crate::finger::Finger;
+use crate::case::FaultKind;
+use crate::fingerprint::Fingerprint;
 use crate::monitor::Violation;
 use crate::world::World;
 use std::collections::HashSet;
@@ -19,7 +19,7 @@
 const CHUNK: usize = 32;
 /// Up to so many states of the next layer are kept whole, some ten kilobytes each. The others are made
 /// again from the paths that lead there: neighbours in a layer share most of theirs.
-const WHOLE_MAX: usize = 50_000;
+const SNAPSHOTS_MAX: usize = 50_000;
 
 /// What bounds a search beside its case.
 #[derive(Clone, Debug)]
@@ -35,9 +35,9 @@
 /// How a search ended.
 #[derive(Clone, Debug)]
 pub enum Verdict {
-    Holds,
+    Verified,
     Broken {
-        path: Vec<Move>,
+        path: Vec<Transition>,
         violation: Violation,
     },
     /// Before its end: nothing is said of what was not reached.
@@ -45,10 +45,10 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Found {
+pub struct SearchReport {
     pub verdict: Verdict,
     pub states: u64,
-    pub moves: u64,
+    pub transitions: u64,
     pub depth: u32,
     pub seconds: f64,
     /// Bytes of resident memory at most.
@@ -66,9 +66,9 @@
 }
 
 #[derive(Default)]
-struct Ready(u64);
+struct IdentityHasher(u64);
 
-impl Hasher for Ready {
+impl Hasher for IdentityHasher {
     fn finish(&self) -> u64 {
         self.0
     }
@@ -80,13 +80,13 @@
     }
 }
 
-type Shard = HashSet<u128, BuildHasherDefault<Ready>>;
+type Shard = HashSet<u128, BuildHasherDefault<IdentityHasher>>;
 
-struct Table(Vec<Mutex<Shard>>);
+struct VisitedStates(Vec<Mutex<Shard>>);
 
-impl Table {
+impl VisitedStates {
     fn new() -> Self {
-        Table((0..SHARDS).map(|_| Mutex::default()).collect())
+        VisitedStates((0..SHARDS).map(|_| Mutex::default()).collect())
     }
 
     fn insert(&self, state: u128) -> bool {
@@ -96,32 +96,33 @@
 }
 
 /// A state that is new: whole where there is room for it, its parent, and the move there, packed.
-type New = (Option<Box<World>>, u32, u16);
+type NewState = (Option<Box<World>>, u32, u16);
 
 /// How each state was first reached: its parent, and the move there, packed. Six bytes a state.
 #[derive(Default)]
-struct Paths {
+struct Predecessors {
     parents: Vec<u32>,
-    moves: Vec<u16>,
+    transitions: Vec<u16>,
 }
 
 /// A move as the number of its choice among all of a state, and the write that it dies in.
-fn pack(choice: usize, die: Option<Die>) -> u16 {
-    let die = die.map_or(0, |die| 1 + 2 * die.after as u16 + u16::from(die.torn));
-    debug_assert!(choice < 256 && die < 256, "a state has few choices, and a choice few writes");
-    (die << 8) | choice as u16
+fn pack(action: usize, crash: Option<CrashPoint>) -> u16 {
+    let crash = crash.map_or(0, |crash| 1 + 2 * crash.after as u16 + u16::from(crash.torn));
+    debug_assert!(action < 256 && crash < 256, "a state has few choices, and a choice few writes");
+    (crash << 8) | action as u16
 }
 
-fn unpack(world: &World, packed: u16) -> Option<Move> {
-    let choice = *world.choices().get(usize::from(packed & 0xFF))?;
-    let die = (packed >> 8).checked_sub(1).map(|n| Die { after: u32::from(n / 2), torn: n % 2 == 1 });
-    Some(Move { choice, die })
+fn unpack(world: &World, packed: u16) -> Option<Transition> {
+    let action = *world.actions().get(usize::from(packed & 0xFF))?;
+    let crash =
+        (packed >> 8).checked_sub(1).map(|n| CrashPoint { after: u32::from(n / 2), torn: n % 2 == 1 });
+    Some(Transition { action, crash })
 }
 
-impl Paths {
+impl Predecessors {
     fn push(&mut self, parent: u32, packed: u16) -> u32 {
         self.parents.push(parent);
-        self.moves.push(packed);
+        self.transitions.push(packed);
         self.parents.len() as u32 - 1
     }
 
@@ -138,21 +139,21 @@
 }
 
 /// Makes states again from their paths, on a stack of those on the way to the last one.
-struct Remade {
+struct Rebuilder {
     root: World,
     stack: Vec<(u32, World)>,
 }
 
-impl Remade {
-    fn world(&mut self, paths: &Paths, id: u32) -> &World {
-        let chain = paths.chain(id);
+impl Rebuilder {
+    fn world(&mut self, predecessors: &Predecessors, id: u32) -> &World {
+        let chain = predecessors.chain(id);
         let same = self.stack.iter().zip(&chain).take_while(|((a, _), b)| a == *b).count();
         self.stack.truncate(same);
         for id in &chain[same..] {
             let mut world = self.stack.last().map_or(&self.root, |(_, world)| world).clone();
             // It was found to hold when the node was made.
-            if let Some(m) = unpack(&world, paths.moves[*id as usize]) {
-                let _ = world.take(m);
+            if let Some(m) = unpack(&world, predecessors.transitions[*id as usize]) {
+                let _ = world.apply(m);
             }
             self.stack.push((*id, world));
         }
@@ -167,48 +168,48 @@
     reduction: bool,
     mut visit: impl FnMut(u16, World, Result<(), Violation>),
 ) {
-    let choices = world.choices();
+    let actions = world.actions();
     // The one that goes first whatever else may happen, since nothing else tells whether it has.
-    let first = choices.iter().position(|c| reduction && world.is_apart(*c));
-    for (n, choice) in choices.into_iter().enumerate() {
+    let first = actions.iter().position(|c| reduction && world.is_independent(*c));
+    for (n, action) in actions.into_iter().enumerate() {
         if first.is_some_and(|first| first != n) {
             continue;
         }
-        let mut go = |die| {
+        let mut expand_one = |crash| {
             let mut next = world.clone();
-            let judged = next.take(Move { choice, die });
+            let outcome = next.apply(Transition { action, crash });
             let writes = next.writes();
-            visit(pack(n, die), next, judged);
+            visit(pack(n, crash), next, outcome);
             writes
         };
-        let writes = go(None);
-        if !world.may_die() || first.is_some() {
+        let writes = expand_one(None);
+        if !world.may_crash() || first.is_some() {
             continue;
         }
         for after in 0..=writes {
-            if writes > 0 && case.may(Event::Kill) {
-                go(Some(Die { after, torn: false }));
+            if writes > 0 && case.allows(FaultKind::Kill) {
+                expand_one(Some(CrashPoint { after, torn: false }));
             }
-            if after < writes && case.may(Event::Tear) {
-                go(Some(Die { after, torn: true }));
+            if after < writes && case.allows(FaultKind::TornWrite) {
+                expand_one(Some(CrashPoint { after, torn: true }));
             }
         }
     }
 }
 
 pub fn fingerprint(world: &World, reduction: bool) -> u128 {
-    let mut finger = if reduction {
-        let (messages, endpoints) = world.names();
-        Finger::reduced(messages, endpoints)
+    let mut fingerprint = if reduction {
+        let (messages, endpoints) = world.active_ids();
+        Fingerprint::canonical(messages, endpoints)
     } else {
-        Finger::plain()
+        Fingerprint::exact()
     };
-    world.see(&mut finger);
-    finger.done()
+    world.hash_into(&mut fingerprint);
+    fingerprint.digest()
 }
 
 /// Resident memory of this process, in bytes; 0 where the system does not tell.
-pub fn resident() -> u64 {
+pub fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split_whitespace().nth(1).and_then(|n| n.parse::<u64>().ok());
     pages.unwrap_or(0) * 4_096
@@ -218,86 +219,92 @@
 ///
 /// # Errors
 /// The case's settings make no courier.
-pub fn search(case: &Arc<Case>, bounds: &Bounds, mut tell: impl FnMut(Progress)) -> Result<Found, String> {
+pub fn search(
+    case: &Arc<Case>,
+    bounds: &Bounds,
+    mut on_progress: impl FnMut(Progress),
+) -> Result<SearchReport, String> {
     let begun = Instant::now();
     let root = World::new(case)?;
-    let table = Table::new();
-    table.insert(fingerprint(&root, bounds.reduction));
-    let mut paths = Paths::default();
-    let first = paths.push(0, 0);
+    let visited = VisitedStates::new();
+    visited.insert(fingerprint(&root, bounds.reduction));
+    let mut predecessors = Predecessors::default();
+    let first = predecessors.push(0, 0);
     let mut layer: Vec<(Option<Box<World>>, u32)> = vec![(Some(Box::new(root.clone())), first)];
-    let (states, moves) = (AtomicU64::new(1), AtomicU64::new(0));
-    let (mut depth, mut peak) = (0, resident());
+    let (states, transitions) = (AtomicU64::new(1), AtomicU64::new(0));
+    let (mut depth, mut peak) = (0, resident_bytes());
     let stop = AtomicBool::new(false);
-    let why = Mutex::new("");
+    let stop_reason = Mutex::new("");
     let verdict = loop {
         let at = AtomicUsize::new(0);
-        let made = AtomicUsize::new(0);
-        let bad: Mutex<Vec<(u32, u16, Violation)>> = Mutex::new(Vec::new());
-        let (nodes, known) = (&layer, &paths);
+        let snapshots = AtomicUsize::new(0);
+        let violations: Mutex<Vec<(u32, u16, Violation)>> = Mutex::new(Vec::new());
+        let (nodes, known) = (&layer, &predecessors);
         let work = || {
-            let mut next: Vec<New> = Vec::new();
-            let mut remade = Remade { root: root.clone(), stack: Vec::new() };
+            let mut next: Vec<NewState> = Vec::new();
+            let mut rebuilder = Rebuilder { root: root.clone(), stack: Vec::new() };
             loop {
                 let from = at.fetch_add(CHUNK, Relaxed);
                 if from >= nodes.len() || stop.load(Relaxed) {
                     return next;
                 }
-                if begun.elapsed() > bounds.time || resident() > bounds.memory {
+                if begun.elapsed() > bounds.time || resident_bytes() > bounds.memory {
                     let cause = if begun.elapsed() > bounds.time { "time" } else { "memory" };
-                    *why.lock().expect("no thread panics with it") = cause;
+                    *stop_reason.lock().expect("no thread panics with it") = cause;
                     stop.store(true, Relaxed);
                     return next;
                 }
-                for (held, id) in &nodes[from..nodes.len().min(from + CHUNK)] {
-                    let world = match held {
+                for (snapshot, id) in &nodes[from..nodes.len().min(from + CHUNK)] {
+                    let world = match snapshot {
                         Some(world) => world,
-                        None => remade.world(known, *id),
+                        None => rebuilder.world(known, *id),
                     };
-                    let mut any = false;
-                    expand(world, case, bounds.reduction, |packed, child, judged| {
-                        any = true;
-                        moves.fetch_add(1, Relaxed);
-                        match judged {
-                            Err(violation) => bad.lock().expect("as above").push((*id, packed, violation)),
+                    let mut has_successor = false;
+                    expand(world, case, bounds.reduction, |packed, child, outcome| {
+                        has_successor = true;
+                        transitions.fetch_add(1, Relaxed);
+                        match outcome {
+                            Err(violation) => {
+                                violations.lock().expect("as above").push((*id, packed, violation))
+                            }
                             Ok(()) => {
-                                if table.insert(fingerprint(&child, bounds.reduction)) {
+                                if visited.insert(fingerprint(&child, bounds.reduction)) {
                                     states.fetch_add(1, Relaxed);
-                                    let whole = made.fetch_add(1, Relaxed) < WHOLE_MAX;
-                                    next.push((whole.then(|| Box::new(child)), *id, packed));
+                                    let keep_snapshot = snapshots.fetch_add(1, Relaxed) < SNAPSHOTS_MAX;
+                                    next.push((keep_snapshot.then(|| Box::new(child)), *id, packed));
                                 }
                             }
                         }
                     });
-                    if !any && let Err(violation) = world.at_rest() {
-                        bad.lock().expect("as above").push((*id, u16::MAX, violation));
+                    if !has_successor && let Err(violation) = world.check_quiescent() {
+                        violations.lock().expect("as above").push((*id, u16::MAX, violation));
                     }
                 }
             }
         };
-        let found: Vec<Vec<New>> = std::thread::scope(|scope| {
+        let found: Vec<Vec<NewState>> = std::thread::scope(|scope| {
             let threads: Vec<_> = (0..bounds.threads.max(1)).map(|_| scope.spawn(work)).collect();
             threads.into_iter().map(|t| t.join().expect("a worker does not panic")).collect()
         });
-        peak = peak.max(resident());
-        let bad = bad.into_inner().expect("as above");
-        let first = bad.into_iter().map(|(id, index, v)| (path(&paths, &root, id, index), v));
+        peak = peak.max(resident_bytes());
+        let violations = violations.into_inner().expect("as above");
+        let first = violations.into_iter().map(|(id, index, v)| (path(&predecessors, &root, id, index), v));
         let first = first.min_by(|a, b| (a.0.len(), &a.0).cmp(&(b.0.len(), &b.0)));
         if let Some((path, violation)) = first {
             break Verdict::Broken { path, violation };
         }
         if stop.load(Relaxed) {
-            break Verdict::Stopped(*why.lock().expect("as above"));
+            break Verdict::Stopped(*stop_reason.lock().expect("as above"));
         }
         drop(std::mem::take(&mut layer));
-        for (held, parent, packed) in found.into_iter().flatten() {
-            layer.push((held, paths.push(parent, packed)));
+        for (snapshot, parent, packed) in found.into_iter().flatten() {
+            layer.push((snapshot, predecessors.push(parent, packed)));
         }
         if layer.is_empty() {
-            break Verdict::Holds;
+            break Verdict::Verified;
         }
         depth += 1;
-        tell(Progress {
+        on_progress(Progress {
             states: states.load(Relaxed),
             depth,
             queue: layer.len(),
@@ -305,10 +312,10 @@
             memory: peak,
         });
     };
-    Ok(Found {
+    Ok(SearchReport {
         verdict,
         states: states.into_inner(),
-        moves: moves.into_inner(),
+        transitions: transitions.into_inner(),
         depth,
         seconds: begun.elapsed().as_secs_f64(),
         memory: peak,
@@ -316,18 +323,18 @@
 }
 
 /// The moves that lead to a node, and one more if there is one.
-fn path(paths: &Paths, root: &World, id: u32, last: u16) -> Vec<Move> {
+fn path(predecessors: &Predecessors, root: &World, id: u32, last: u16) -> Vec<Transition> {
     let mut world = root.clone();
-    let mut moves = Vec::new();
-    let packed = paths.chain(id).into_iter().map(|id| paths.moves[id as usize]);
+    let mut transitions = Vec::new();
+    let packed = predecessors.chain(id).into_iter().map(|id| predecessors.transitions[id as usize]);
     for packed in packed.chain((last != u16::MAX).then_some(last)) {
         let Some(m) = unpack(&world, packed) else { break };
-        moves.push(m);
-        if world.take(m).is_err() {
+        transitions.push(m);
+        if world.apply(m).is_err() {
             break;
         }
     }
-    moves
+    transitions
 }
 
 /// Plays a path; says at which move a property broke, if one did.
@@ -336,22 +343,22 @@
 /// A move is not open where the path has it, or the case makes no courier.
 pub fn play(
     case: &Arc<Case>,
-    path: &[Move],
-    mut seen: impl FnMut(usize, Move, &World),
+    path: &[Transition],
+    mut seen: impl FnMut(usize, Transition, &World),
 ) -> Result<Option<(usize, Violation)>, String> {
     let mut world = World::new(case)?;
     for (n, m) in path.iter().enumerate() {
-        if !world.choices().contains(&m.choice) {
+        if !world.actions().contains(&m.action) {
             return Err(format!("move {}: {m}: is not open there", n + 1));
         }
-        let judged = world.take(*m);
+        let outcome = world.apply(*m);
         seen(n, *m, &world);
-        if let Err(violation) = judged {
+        if let Err(violation) = outcome {
             return Ok(Some((n, violation)));
         }
     }
-    if world.choices().is_empty()
-        && let Err(violation) = world.at_rest()
+    if world.actions().is_empty()
+        && let Err(violation) = world.check_quiescent()
     {
         return Ok(Some((path.len().saturating_sub(1), violation)));
     }
--- a/explore/src/streams.rs
+++ b/explore/src/streams.rs
@@ -4,8 +4,8 @@
 //! is judged by the bytes that a provider has had and by the words that consumer and platform have heard.
 
 use crate::case::{CLASSES, Case};
-use crate::finger::Finger;
-use crate::monitor::{Property, Violation, broken};
+use crate::fingerprint::Fingerprint;
+use crate::monitor::{Property, Violation, violated};
 use quillmount_core::call::{Call, Told};
 use quillmount_core::flow::{Cut, Flow, Pace, Source};
 use quillmount_core::hub::{Do, Hub};
@@ -18,14 +18,14 @@
 use spurshore::{ListState, Micros, MsgId};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
-const BEGIN: Micros = 1_000_000_000_000;
+const START: Micros = 1_000_000_000_000;
 const TIME_LEFT: Micros = 4_000_000;
 /// What a consumer's 400 ms leave for a call to begin.
-const ADMIT: Micros = 300_000;
+const ADMISSION_TIME: Micros = 300_000;
 /// What a provider tells its destination's callers to wait.
-const TOLD: Micros = 700_000;
+const WAIT_TIME: Micros = 700_000;
 /// Streams that may be on their way to their last byte at once: half of the first window, and one at least.
-const SHARE: usize = 1;
+const STREAM_SHARE: usize = 1;
 
 /// What is explored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -52,11 +52,11 @@
 }
 
 /// One event, and the body that it happens to.
-pub type Happens = (usize, Event);
+pub type BodyEvent = (usize, StreamEvent);
 
 /// What happens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Event {
+pub enum StreamEvent {
     HandIn,
     /// A unit of the body comes; its end; it never will.
     Arrives,
@@ -94,7 +94,7 @@
 
 /// What a provider has had of one attempt.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Had {
+struct ReceivedBody {
     units: u64,
     whole: bool,
     /// A refusal, or a connection that never came up, proves that it never ran.
@@ -108,10 +108,10 @@
     flow: Option<Flow>,
     begun: bool,
     /// Until when its driver writes nothing, since the destination told to wait.
-    hold: Option<Micros>,
-    had: BTreeMap<u32, Had>,
+    paused_until: Option<Micros>,
+    received: BTreeMap<u32, ReceivedBody>,
     /// The consumer sent all of it, and it was what its digest said.
-    sound: bool,
+    intact: bool,
     connected: bool,
     /// The answer that waits to be written, and the ends that were heard.
     answer: Option<StreamEnd>,
@@ -119,63 +119,73 @@
 }
 
 #[derive(Clone, Debug)]
-struct World {
+struct StreamWorld {
     size: Size,
     now: Micros,
     hub: Hub<Memory, u32>,
     bodies: Vec<Body>,
-    out: BTreeMap<CallId, Call<u32>>,
+    outstanding: BTreeMap<CallId, Call<u32>>,
     /// When each call that is wholly written is over.
-    by: BTreeMap<CallId, Micros>,
+    answer_deadlines: BTreeMap<CallId, Micros>,
     /// Until when the destination wants no byte of a call.
-    told: Micros,
+    wait_until: Micros,
     killed: bool,
     connection: u32,
 }
 
 /// What came of a search.
 #[derive(Clone, Debug)]
-pub struct Found {
+pub struct StreamSearch {
     pub states: usize,
     pub depth: usize,
     /// States in which a body waits, half sent, since its destination told another stream to.
-    pub held: usize,
-    pub broken: Option<(Vec<Happens>, Violation)>,
+    pub paused_states: usize,
+    pub counterexample: Option<(Vec<BodyEvent>, Violation)>,
 }
 
 /// Explores every order of events, breadth first.
 ///
 /// # Errors
 /// The settings make no courier.
-pub fn explore(size: Size) -> Result<Found, String> {
-    let root = World::new(size)?;
+pub fn explore(size: Size) -> Result<StreamSearch, String> {
+    let root = StreamWorld::new(size)?;
     let mut known = HashSet::from([root.key()]);
-    let mut queue = VecDeque::from([(root, Vec::<Happens>::new())]);
-    let (mut depth, mut held) = (0, 0);
+    let mut queue = VecDeque::from([(root, Vec::<BodyEvent>::new())]);
+    let (mut depth, mut paused_states) = (0, 0);
     while let Some((world, path)) = queue.pop_front() {
         depth = depth.max(path.len());
         let events = world.events();
         // A kill is no way to end well.
-        if events.iter().all(|(_, event)| *event == Event::Kill)
-            && let Err(violation) = world.at_rest()
+        if events.iter().all(|(_, event)| *event == StreamEvent::Kill)
+            && let Err(violation) = world.check_quiescent()
         {
-            return Ok(Found { states: known.len(), depth, held, broken: Some((path, violation)) });
+            return Ok(StreamSearch {
+                states: known.len(),
+                depth,
+                paused_states,
+                counterexample: Some((path, violation)),
+            });
         }
         for event in events {
             let mut next = world.clone();
             let mut path = path.clone();
             path.push(event);
-            let judged = next.happens(event).and_then(|()| next.holds());
-            if let Err(violation) = judged {
-                return Ok(Found { states: known.len(), depth, held, broken: Some((path, violation)) });
+            let outcome = next.perform(event).and_then(|()| next.check_invariants());
+            if let Err(violation) = outcome {
+                return Ok(StreamSearch {
+                    states: known.len(),
+                    depth,
+                    paused_states,
+                    counterexample: Some((path, violation)),
+                });
             }
             if known.insert(next.key()) {
-                held += usize::from(next.bodies.iter().any(|body| body.hold.is_some()));
+                paused_states += usize::from(next.bodies.iter().any(|body| body.paused_until.is_some()));
                 queue.push_back((next, path));
             }
         }
     }
-    Ok(Found { states: known.len(), depth, held, broken: None })
+    Ok(StreamSearch { states: known.len(), depth, paused_states, counterexample: None })
 }
 
 /// A courier, and what it is to do first.
@@ -205,17 +215,17 @@
     Ok((hub, todo))
 }
 
-impl World {
-    fn new(size: Size) -> Result<World, String> {
-        let (hub, _) = open(size, Memory::default(), BEGIN)?;
-        Ok(World {
+impl StreamWorld {
+    fn new(size: Size) -> Result<StreamWorld, String> {
+        let (hub, _) = open(size, Memory::default(), START)?;
+        Ok(StreamWorld {
             size,
-            now: BEGIN,
+            now: START,
             hub,
             bodies: vec![Body::default(); usize::from(size.bodies)],
-            out: BTreeMap::new(),
-            by: BTreeMap::new(),
-            told: 0,
+            outstanding: BTreeMap::new(),
+            answer_deadlines: BTreeMap::new(),
+            wait_until: 0,
             killed: false,
             connection: 0,
         })
@@ -224,7 +234,7 @@
     /// A body's call, if one is out.
     fn call(&self, n: usize) -> Option<(CallId, &Call<u32>)> {
         let msg = self.bodies[n].msg?;
-        self.out.iter().find(|(id, _)| id.msg == msg).map(|(id, call)| (*id, call))
+        self.outstanding.iter().find(|(id, _)| id.msg == msg).map(|(id, call)| (*id, call))
     }
 
     fn body_of(&self, msg: MsgId) -> Option<usize> {
@@ -232,43 +242,43 @@
     }
 
     fn key(&self) -> u128 {
-        let mut eye = Finger::plain();
-        eye.begin(self.now);
-        self.hub.router.see(&mut eye);
-        eye.hash(&(&self.bodies, &self.by, self.told.max(self.now), self.killed));
-        for (id, call) in &self.out {
-            eye.hash(&(id, format!("{:?}", call.state()), call.attempt().answer(), call.connection()));
-        }
-        eye.hash(&(self.hub.pool.load(), self.hub.pool.gates()));
-        eye.done()
+        let mut hasher = Fingerprint::exact();
+        hasher.start_at(self.now);
+        self.hub.router.see(&mut hasher);
+        hasher.hash(&(&self.bodies, &self.answer_deadlines, self.wait_until.max(self.now), self.killed));
+        for (id, call) in &self.outstanding {
+            hasher.hash(&(id, format!("{:?}", call.state()), call.attempt().answer(), call.connection()));
+        }
+        hasher.hash(&(self.hub.pool.load(), self.hub.pool.gates()));
+        hasher.digest()
     }
 
     /// What may happen now. Time goes on only where nothing is left to do at this moment.
-    fn events(&self) -> Vec<Happens> {
+    fn events(&self) -> Vec<BodyEvent> {
         let all = || 0..self.bodies.len();
         // What waits for no one is done first.
         if let Some(n) = all().find(|n| self.bodies[*n].msg.is_none() && !self.killed) {
-            return vec![(n, Event::HandIn)];
+            return vec![(n, StreamEvent::HandIn)];
         }
         if let Some(n) = all().find(|n| self.bodies[*n].answer.is_some() && self.bodies[*n].connected) {
-            return vec![(n, Event::Hears), (n, Event::Deaf)];
+            return vec![(n, StreamEvent::Hears), (n, StreamEvent::Deaf)];
         }
         if !self.hub.router.notices(1).is_empty() {
-            return vec![(0, Event::Confirmed)];
+            return vec![(0, StreamEvent::Confirmed)];
         }
-        let mut events: Vec<Happens> =
+        let mut events: Vec<BodyEvent> =
             all().flat_map(|n| self.events_of(n).into_iter().map(move |e| (n, e))).collect();
         if self.size.kills && !self.killed {
-            events.push((0, Event::Kill));
+            events.push((0, StreamEvent::Kill));
         }
         if self.next_time().is_some() {
-            events.push((0, Event::Wake));
+            events.push((0, StreamEvent::Wake));
         }
         events
     }
 
-    fn events_of(&self, n: usize) -> Vec<Event> {
-        use Event::*;
+    fn events_of(&self, n: usize) -> Vec<StreamEvent> {
+        use StreamEvent::*;
         let (mut events, body, alone) = (Vec::new(), &self.bodies[n], self.size.bodies == 1);
         if let Some(flow) = body.flow.as_ref().filter(|_| body.connected && body.ends.is_empty()) {
             let coming = flow.source() == Source::Coming;
@@ -282,7 +292,7 @@
             if coming && (alone || body.begun) {
                 events.push(Gone);
             }
-            if !body.begun && self.now >= BEGIN + ADMIT {
+            if !body.begun && self.now >= START + ADMISSION_TIME {
                 events.push(Unbegun);
             }
         }
@@ -291,7 +301,7 @@
         match call.state() {
             State::Connecting => events.extend([Up, Refused]),
             State::Writing { .. } => {
-                if body.hold.is_some_and(|hold| self.now >= hold) {
+                if body.paused_until.is_some_and(|paused_until| self.now >= paused_until) {
                     events.push(Resumes);
                 }
                 if flow.is_some_and(|flow| flow.sendable() > 0) {
@@ -307,7 +317,7 @@
             State::Awaiting => {
                 events.extend([Ok, Wait, Breaks]);
                 events.extend(if alone { &[Error, Full][..] } else { &[] });
-                if self.by.get(&id).is_some_and(|by| self.now >= *by) {
+                if self.answer_deadlines.get(&id).is_some_and(|by| self.now >= *by) {
                     events.push(TimeUp);
                 }
             }
@@ -319,25 +329,30 @@
 
     /// The next moment that anything waits for.
     fn next_time(&self) -> Option<Micros> {
-        let calls = self.out.values().filter_map(|call| call.attempt().wake_at());
-        let by = self.by.values().copied().chain(self.bodies.iter().filter_map(|body| body.hold));
-        let admit = self.bodies.iter().any(|body| !body.begun && body.connected).then_some(BEGIN + ADMIT);
+        let calls = self.outstanding.values().filter_map(|call| call.attempt().wake_at());
+        let by = self
+            .answer_deadlines
+            .values()
+            .copied()
+            .chain(self.bodies.iter().filter_map(|body| body.paused_until));
+        let admit =
+            self.bodies.iter().any(|body| !body.begun && body.connected).then_some(START + ADMISSION_TIME);
         let all = self.hub.router.wake_at().into_iter().chain(calls).chain(by).chain(admit);
         let all = all.chain(self.hub.router.wake_at().map(|at| at.max(self.now + 1)));
-        all.filter(|at| *at > self.now && *at <= BEGIN + 2 * TIME_LEFT).min()
+        all.filter(|at| *at > self.now && *at <= START + 2 * TIME_LEFT).min()
     }
 
-    fn happens(&mut self, (n, event): Happens) -> Result<(), Violation> {
-        use Event::*;
+    fn perform(&mut self, (n, event): BodyEvent) -> Result<(), Violation> {
+        use StreamEvent::*;
         let now = self.now;
         match event {
-            HandIn => self.hand_in(n),
+            HandIn => self.submit(n),
             Arrives => {
                 self.flow_mut(n, |flow| flow.receive(1, now));
                 Result::Ok(())
             }
             IsWhole => {
-                self.bodies[n].sound = true;
+                self.bodies[n].intact = true;
                 self.flow_mut(n, |flow| flow.is_whole(now));
                 Result::Ok(())
             }
@@ -354,27 +369,27 @@
             }
             Refused => self.input(n, Input::Refused),
             Writes => {
-                self.writes(n)?;
+                self.write_unit(n)?;
                 self.input(n, Input::Wrote { bytes: 1, left: 1 })
             }
             Finishes => {
                 self.may_write()?;
-                self.had(n, |had| had.whole = true);
+                self.update_received(n, |received| received.whole = true);
                 self.input(n, Input::Wrote { bytes: 0, left: 0 })
             }
             WriteFails => self.input(n, Input::WriteFailed),
-            Event::Ok => self.says(n, "200 OK", false),
-            Error => self.says(n, "500 Internal Server Error", false),
-            Full => self.says(n, "503 Service Unavailable", true),
+            StreamEvent::Ok => self.answer_call(n, "200 OK", false),
+            Error => self.answer_call(n, "500 Internal Server Error", false),
+            Full => self.answer_call(n, "503 Service Unavailable", true),
             Wait => {
-                self.told = self.told.max(now + TOLD);
-                self.says(n, "429 Too Many Requests\r\nRetry-After: 0.7", true)
+                self.wait_until = self.wait_until.max(now + WAIT_TIME);
+                self.answer_call(n, "429 Too Many Requests\r\nRetry-After: 0.7", true)
             }
             Breaks => self.input(n, Input::Reset),
             TimeUp => self.input(n, Input::Deadline),
             CallTick => self.input(n, Input::Tick),
             Resumes => {
-                self.bodies[n].hold = None;
+                self.bodies[n].paused_until = None;
                 self.flow_mut(n, |flow| flow.pause(false, now));
                 Result::Ok(())
             }
@@ -383,12 +398,12 @@
                 let todo = self.hub.stream(|router| router.stream_unbegun(msg, now), now);
                 // Asked once; where a call is out, it begins or is over.
                 self.bodies[n].begun = true;
-                self.act(todo)
+                self.execute(todo)
             }
             Wake => {
                 self.now = self.next_time().unwrap_or(now);
                 let todo = self.hub.tick(self.now);
-                self.act(todo)
+                self.execute(todo)
             }
             Hears => {
                 let end = self.bodies[n].answer.take();
@@ -409,7 +424,7 @@
                 for Notice { ending, id, .. } in &notices {
                     let body = id.strip_prefix('m').and_then(|n| n.parse::<usize>().ok());
                     let Some(body) = body.and_then(|n| self.bodies.get_mut(n)) else {
-                        return broken(
+                        return violated(
                             Property::FinalAnswer,
                             format!("an end of {id:?}, which nobody handed in"),
                         );
@@ -420,7 +435,7 @@
                     });
                 }
                 let todo = self.hub.told(&notices, now);
-                self.act(todo)
+                self.execute(todo)
             }
             Kill => self.kill(),
         }
@@ -438,26 +453,26 @@
     }
 
     /// What the provider has had of the call that is out.
-    fn had(&mut self, n: usize, change: impl FnOnce(&mut Had)) {
+    fn update_received(&mut self, n: usize, change: impl FnOnce(&mut ReceivedBody)) {
         if let Some((id, _)) = self.call(n) {
-            change(self.bodies[n].had.entry(id.attempt).or_default());
+            change(self.bodies[n].received.entry(id.attempt).or_default());
         }
     }
 
-    fn hand_in(&mut self, n: usize) -> Result<(), Violation> {
+    fn submit(&mut self, n: usize) -> Result<(), Violation> {
         let class = CLASSES[usize::from(self.size.class)].to_string();
         let key = (self.size.class == 1).then(|| format!("k{n}"));
         let (id, body) = (format!("m{n}"), Default::default());
         let invocation = Invocation { id, class, key, dest: 0, tenant: None, time_left: TIME_LEFT, body };
         let (intake, msg, todo) = self.hub.take_on_stream(invocation, self.now);
         if intake != Intake::TakenOn {
-            return broken(Property::FinalAnswer, format!("it is not taken on: {intake:?}"));
+            return violated(Property::FinalAnswer, format!("it is not taken on: {intake:?}"));
         }
         let pace = Pace { stall: 1_000_000, span: 60_000_000, least: 0 };
         let length = (!self.size.chunked).then_some(self.size.length());
         let flow = Flow::new(self.size.window(), length, pace, pace, self.now);
         self.bodies[n] = Body { msg: Some(msg), flow: Some(flow), connected: true, ..Body::default() };
-        self.act(todo)
+        self.execute(todo)
     }
 
     fn cut(&mut self, n: usize, why: Cut) -> Result<(), Violation> {
@@ -465,44 +480,44 @@
         self.flow_mut(n, |flow| flow.cut(why, now));
         let Some(msg) = self.bodies[n].msg else { return Ok(()) };
         let todo = self.hub.stream(|router| router.stream_cut(msg, Some(why), now), now);
-        self.act(todo)
+        self.execute(todo)
     }
 
-    fn answered(&mut self, n: usize, heard: bool) -> Result<(), Violation> {
+    fn answered(&mut self, n: usize, delivered_to_client: bool) -> Result<(), Violation> {
         let Some(msg) = self.bodies[n].msg else { return Ok(()) };
         let now = self.now;
-        let todo = self.hub.stream(|router| router.answered(msg, heard, now), now);
-        self.act(todo)
+        let todo = self.hub.stream(|router| router.answered(msg, delivered_to_client, now), now);
+        self.execute(todo)
     }
 
     /// A byte to the provider: not while its destination waits.
     fn may_write(&self) -> Result<(), Violation> {
-        if self.now < self.told {
-            return broken(
+        if self.now < self.wait_until {
+            return violated(
                 Property::Wait,
-                format!("a byte leaves {} us before the wait is over", self.told - self.now),
+                format!("a byte leaves {} us before the wait is over", self.wait_until - self.now),
             );
         }
         Ok(())
     }
 
     /// A unit leaves: the one that stands next in the window.
-    fn writes(&mut self, n: usize) -> Result<(), Violation> {
+    fn write_unit(&mut self, n: usize) -> Result<(), Violation> {
         let now = self.now;
         self.may_write()?;
         if let Some(flow) = self.bodies[n].flow.as_ref().filter(|flow| flow.sent() < flow.base()) {
-            return broken(Property::Unchanged, format!("unit {} is to leave, and is gone", flow.sent()));
+            return violated(Property::Unchanged, format!("unit {} is to leave, and is gone", flow.sent()));
         }
         self.flow_mut(n, |flow| flow.send(1, now));
-        self.had(n, |had| had.units += 1);
+        self.update_received(n, |received| received.units += 1);
         Ok(())
     }
 
-    fn says(&mut self, n: usize, text: &str, never: bool) -> Result<(), Violation> {
-        self.had(n, |had| had.never |= never);
+    fn answer_call(&mut self, n: usize, text: &str, never: bool) -> Result<(), Violation> {
+        self.update_received(n, |received| received.never |= never);
         let answer = format!("HTTP/1.1 {text}\r\nContent-Length: 0\r\n\r\n");
         let id = self.call(n).map(|(id, _)| id);
-        if let Some(call) = id.and_then(|id| self.out.get_mut(&id))
+        if let Some(call) = id.and_then(|id| self.outstanding.get_mut(&id))
             && let Some((_, bytes)) = call.parts()
         {
             bytes.extend_from_slice(answer.as_bytes());
@@ -530,9 +545,9 @@
         step: impl FnOnce(&mut Call<u32>, &mut Pool<u32>) -> Told<u32>,
     ) -> Result<(), Violation> {
         let Some(n) = self.body_of(id.msg) else { return Ok(()) };
-        let Some(call) = self.out.get_mut(&id) else { return Ok(()) };
+        let Some(call) = self.outstanding.get_mut(&id) else { return Ok(()) };
         let before = call.state();
-        let told = step(call, &mut self.hub.pool);
+        let result = step(call, &mut self.hub.pool);
         let (state, patience) = (call.state(), call.order.timeout);
         let now = self.now;
         if matches!(state, State::Writing { .. }) && !matches!(before, State::Writing { .. }) {
@@ -540,48 +555,48 @@
             let mut whole = true;
             self.flow_mut(n, |flow| whole = flow.begin(now));
             if !whole {
-                return broken(Property::Unchanged, format!("call {} can't have all of it", id.attempt));
+                return violated(Property::Unchanged, format!("call {} can't have all of it", id.attempt));
             }
             let body = &mut self.bodies[n];
-            body.had.entry(id.attempt).or_default();
-            (body.begun, body.hold) = (true, None);
+            body.received.entry(id.attempt).or_default();
+            (body.begun, body.paused_until) = (true, None);
         }
-        if state == State::Awaiting && before != State::Awaiting && told.end.is_none() {
-            self.by.insert(id, now + patience);
+        if state == State::Awaiting && before != State::Awaiting && result.end.is_none() {
+            self.answer_deadlines.insert(id, now + patience);
             let todo = self.hub.stream(|router| router.stream_written(id, now), now);
-            self.act(todo)?;
+            self.execute(todo)?;
         }
-        match told.end {
-            Some(end) => self.ended(id, end),
+        match result.end {
+            Some(end) => self.finish_call(id, end),
             None => Ok(()),
         }
     }
 
-    fn ended(&mut self, id: CallId, end: CallEnd) -> Result<(), Violation> {
+    fn finish_call(&mut self, id: CallId, end: CallEnd) -> Result<(), Violation> {
         let now = self.now;
-        self.out.remove(&id);
-        self.by.remove(&id);
+        self.outstanding.remove(&id);
+        self.answer_deadlines.remove(&id);
         if let Some(n) = self.body_of(id.msg) {
             self.flow_mut(n, |flow| flow.end(now));
-            self.bodies[n].hold = None;
+            self.bodies[n].paused_until = None;
         }
         let todo = self.hub.call_ended(id, end, now);
-        self.act(todo)
+        self.execute(todo)
     }
 
     /// An attempt hears a word; where it is told to wait and goes on all the same, its driver pauses.
-    fn hears(&mut self, id: CallId, input: Input) -> Result<(), Violation> {
+    fn deliver_input(&mut self, id: CallId, input: Input) -> Result<(), Violation> {
         let now = self.now;
         self.step_id(id, |call, pool| call.step(pool, input, now))?;
-        let writing = self.out.get(&id).filter(|call| matches!(call.state(), State::Writing { .. }));
+        let writing = self.outstanding.get(&id).filter(|call| matches!(call.state(), State::Writing { .. }));
         if let (Input::Hold, Some(call), Some(n)) = (input, writing, self.body_of(id.msg)) {
-            self.bodies[n].hold = Some(self.hub.pool.held_until(call.order.provider));
+            self.bodies[n].paused_until = Some(self.hub.pool.held_until(call.order.provider));
             self.flow_mut(n, |flow| flow.pause(true, now));
         }
         Ok(())
     }
 
-    fn act(&mut self, todo: Vec<Do<u32>>) -> Result<(), Violation> {
+    fn execute(&mut self, todo: Vec<Do<u32>>) -> Result<(), Violation> {
         let now = self.now;
         for one in todo {
             match one {
@@ -589,20 +604,20 @@
                     let id = order.call;
                     let n = self.body_of(id.msg);
                     if n.is_none_or(|n| !self.bodies[n].connected) {
-                        self.ended(id, CallEnd::HeldBack)?;
+                        self.finish_call(id, CallEnd::HeldBack)?;
                         continue;
                     }
-                    self.out.insert(id, Call::streamed(order, invoker::decode, invoker::ANSWER_MAX));
+                    self.outstanding.insert(id, Call::streamed(order, invoker::decode, invoker::ANSWER_MAX));
                     self.step_id(id, |call, pool| call.start(pool, now, |_| true))?;
                 }
-                Do::Tell(id, input) => self.hears(id, input)?,
+                Do::Tell(id, input) => self.deliver_input(id, input)?,
                 Do::Answer(msg, end) => {
                     let Some(n) = self.body_of(msg) else {
-                        return broken(Property::FinalAnswer, format!("an answer to nobody: {end:?}"));
+                        return violated(Property::FinalAnswer, format!("an answer to nobody: {end:?}"));
                     };
                     let body = &mut self.bodies[n];
                     if body.answer.is_some() || !body.ends.is_empty() {
-                        return broken(Property::FinalAnswer, format!("a second answer: {end:?}"));
+                        return violated(Property::FinalAnswer, format!("a second answer: {end:?}"));
                     }
                     body.answer = Some(end);
                 }
@@ -616,99 +631,99 @@
         self.killed = true;
         let bytes = self.hub.router.journal().store().bytes().to_vec();
         for body in &mut self.bodies {
-            let (had, ends) = (std::mem::take(&mut body.had), std::mem::take(&mut body.ends));
-            *body = Body { had, ends, sound: body.sound, ..Body::default() };
+            let (received, ends) = (std::mem::take(&mut body.received), std::mem::take(&mut body.ends));
+            *body = Body { received, ends, intact: body.intact, ..Body::default() };
         }
-        self.out.clear();
-        self.by.clear();
+        self.outstanding.clear();
+        self.answer_deadlines.clear();
         match open(self.size, Memory::of(bytes), self.now) {
             Ok((hub, todo)) => {
                 self.hub = hub;
-                self.act(todo)
+                self.execute(todo)
             }
-            Err(e) => broken(Property::Kept, e),
+            Err(e) => violated(Property::Durability, e),
         }
     }
 
     /// What must hold in every state, by what provider, consumer and platform know.
-    fn holds(&self) -> Result<(), Violation> {
+    fn check_invariants(&self) -> Result<(), Violation> {
         let flows = |call: &&Call<u32>| matches!(call.state(), State::Connecting | State::Writing { .. });
-        let flowing = self.out.values().filter(flows).count();
-        if flowing > SHARE {
-            return broken(
+        let flowing = self.outstanding.values().filter(flows).count();
+        if flowing > STREAM_SHARE {
+            return violated(
                 Property::Unchanged,
                 format!("{flowing} streams are on their way, over their share"),
             );
         }
-        self.bodies.iter().try_for_each(|body| self.body_holds(body))
+        self.bodies.iter().try_for_each(|body| self.check_body(body))
     }
 
-    fn body_holds(&self, body: &Body) -> Result<(), Violation> {
+    fn check_body(&self, body: &Body) -> Result<(), Violation> {
         let length = self.size.length();
-        for (attempt, had) in &body.had {
-            let whole = had.whole || (!self.size.chunked && had.units == length);
-            if whole && !(body.sound && had.units == length) {
-                return broken(
+        for (attempt, received) in &body.received {
+            let whole = received.whole || (!self.size.chunked && received.units == length);
+            if whole && !(body.intact && received.units == length) {
+                return violated(
                     Property::Unchanged,
-                    format!("{} units look whole to call {attempt}, and are not", had.units),
+                    format!("{} units look whole to call {attempt}, and are not", received.units),
                 );
             }
         }
-        let mut ran = body.had.iter().filter(|(_, had)| had.units > 0 && !had.never);
+        let mut ran = body.received.iter().filter(|(_, received)| received.units > 0 && !received.never);
         let first = ran.next();
-        let again = first.and_then(|(n, _)| body.had.keys().find(|m| *m > n));
-        if let (Some((n, _)), Some(m), 0) = (first, again, self.size.class)
-            && body.had[m].units > 0
+        let retry = first.and_then(|(n, _)| body.received.keys().find(|m| *m > n));
+        if let (Some((n, _)), Some(m), 0) = (first, retry, self.size.class)
+            && body.received[m].units > 0
         {
-            return broken(
+            return violated(
                 Property::NoRepeat,
                 format!("call {m} of a debit that call {n} has had a part of"),
             );
         }
         let deferred = body.ends.iter().any(|end| matches!(end, StreamEnd::Deferred(_)));
         if let (Some((n, _)), true, 0) = (first, deferred, self.size.class) {
-            return broken(Property::NoRepeat, format!("deferred, and call {n} has had a part of it"));
+            return violated(Property::NoRepeat, format!("deferred, and call {n} has had a part of it"));
         }
         if body.ends.len() > 1 {
-            return broken(Property::FinalAnswer, format!("more ends than one: {:?}", body.ends));
+            return violated(Property::FinalAnswer, format!("more ends than one: {:?}", body.ends));
         }
         let late = body.msg.is_some() && body.ends.is_empty() && body.answer.is_none();
-        let deadline = BEGIN + TIME_LEFT;
+        let deadline = START + TIME_LEFT;
         if late && self.now > deadline + 300_000 && self.hub.router.notices(1).is_empty() {
-            return broken(Property::FinalAnswer, "no end by its time".into());
+            return violated(Property::FinalAnswer, "no end by its time".into());
         }
         Ok(())
     }
 
-    fn at_rest(&self) -> Result<(), Violation> {
-        let (owed, out) = self.hub.router.load();
+    fn check_quiescent(&self) -> Result<(), Violation> {
+        let (owed, outstanding) = self.hub.router.load();
         let (calls, _) = self.hub.pool.load();
-        match (owed, out, calls, self.bodies.iter().all(|body| body.ends.len() == 1)) {
+        match (owed, outstanding, calls, self.bodies.iter().all(|body| body.ends.len() == 1)) {
             (0, 0, 0, true) => Ok(()),
-            left => broken(Property::Liveness, format!("owed, out, in the pool, one end each: {left:?}")),
+            left => violated(Property::Liveness, format!("owed, out, in the pool, one end each: {left:?}")),
         }
     }
 }
 
 /// The sizes that are explored, and hold.
-pub const HOLDS: &[Size] = &[
-    LENGTH,
-    CHUNKS,
+pub const VERIFIED_SIZES: &[Size] = &[
+    FIXED_LENGTH,
+    CHUNKED,
     Size { class: 1, chunked: false, attempts: 2, kills: false, bodies: 1 },
     Size { class: 1, chunked: true, attempts: 2, kills: true, bodies: 1 },
-    PAIR,
+    TWO_BODIES,
 ];
 /// A debit of a stated length, one in chunks, and two debits for one destination.
-const LENGTH: Size = Size { class: 0, chunked: false, attempts: 2, kills: true, bodies: 1 };
-const CHUNKS: Size = Size { chunked: true, ..LENGTH };
-const PAIR: Size = Size { attempts: 1, kills: false, bodies: 2, ..LENGTH };
+const FIXED_LENGTH: Size = Size { class: 0, chunked: false, attempts: 2, kills: true, bodies: 1 };
+const CHUNKED: Size = Size { chunked: true, ..FIXED_LENGTH };
+const TWO_BODIES: Size = Size { attempts: 1, kills: false, bodies: 2, ..FIXED_LENGTH };
 
 /// Breaks that are found here, where, and the property that each one breaks.
 pub const BREAKS: &[(&str, Size, Property)] = &[
-    ("last-byte-early", LENGTH, Property::Unchanged),
-    ("deaf-forgotten", LENGTH, Property::Liveness),
-    ("half-sent-never-ran", LENGTH, Property::NoRepeat),
-    ("committed-again", LENGTH, Property::Unchanged),
-    ("pause-ignored", PAIR, Property::Wait),
-    ("share-ignored", PAIR, Property::Unchanged),
+    ("last-byte-early", FIXED_LENGTH, Property::Unchanged),
+    ("deaf-forgotten", FIXED_LENGTH, Property::Liveness),
+    ("half-sent-never-ran", FIXED_LENGTH, Property::NoRepeat),
+    ("committed-again", FIXED_LENGTH, Property::Unchanged),
+    ("pause-ignored", TWO_BODIES, Property::Wait),
+    ("share-ignored", TWO_BODIES, Property::Unchanged),
 ];
--- a/explore/src/world.rs
+++ b/explore/src/world.rs
@@ -1,8 +1,10 @@
 //! One state of the world: the courier's own code, and what stands around it.
 
-use crate::case::{CLASSES, Case, Event};
-use crate::choice::{Answer, Choice, Die, Move, Which, Written};
-use crate::monitor::{DRAIN_LATE, Monitor, Property, SLACK, Seen, Taken, Violation, broken};
+use crate::action::{Action, Answer, CallRef, CrashPoint, Transition, WriteExtent};
+use crate::case::{CLASSES, Case, FaultKind};
+use crate::monitor::{
+    Acceptance, DRAIN_GRACE, Monitor, ObservedMessage, Property, SLACK, Violation, violated,
+};
 use quillmount_core::call::{Call, Told};
 use quillmount_core::hub::{Do, Hub};
 use quillmount_core::journal::Book;
@@ -20,22 +22,22 @@
 use std::sync::Arc;
 
 /// Unix time at the world's beginning: far from zero, which stands for never in places.
-const BEGIN: Micros = 1_000_000_000_000;
+const START: Micros = 1_000_000_000_000;
 /// A connection that is not up by then counts as failed; the settings' `dial_timeout_ms`.
-const DIAL: Micros = 1_000_000;
+const DIAL_TIMEOUT: Micros = 1_000_000;
 /// A courier starts again so long after its end.
-const DOWN: Micros = 600_000;
+const RESTART_DELAY: Micros = 600_000;
 /// From SIGTERM until calls are to be over, and until the process ends.
-const CALLS_END: Micros = 3_200_000;
-const STOP: Micros = 3_400_000;
+const CALLS_STOP: Micros = 3_200_000;
+const PROCESS_STOP: Micros = 3_400_000;
 /// Room on disk that no path fills.
-const DISK: u64 = 3_000_000;
-const PROVIDERS_MAX: usize = 8;
+const DISK_BYTES: u64 = 3_000_000;
+const ENDPOINTS_MAX: usize = 8;
 const MESSAGES_MAX: usize = 8;
 
 /// One line of discovery's list.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Line {
+struct ListEntry {
     port: u16,
     dest: u64,
     state: u8,
@@ -45,7 +47,7 @@
 
 /// A call that is out, with what the world knows of its time.
 #[derive(Clone, Debug)]
-struct Out {
+struct OutstandingCall {
     call: Call<u32>,
     message: usize,
     provider: u8,
@@ -57,7 +59,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Life {
+enum ProcessState {
     Up,
     Stopping { end: Micros },
     Down { until: Micros },
@@ -67,11 +69,11 @@
 pub struct World {
     case: Arc<Case>,
     now: Micros,
-    life: Life,
-    lives: u8,
+    process: ProcessState,
+    incarnations: u8,
     faults: u32,
     hub: Hub<Memory, u32>,
-    calls: BTreeMap<CallId, Out>,
+    calls: BTreeMap<CallId, OutstandingCall>,
     /// The numbers of messages in the journal, by the order of handing in.
     numbers: BTreeMap<u64, usize>,
     connections: u32,
@@ -80,15 +82,15 @@
     /// Connections on which an answer broke off, or had something behind it.
     spoilt: BTreeSet<u32>,
     notices: Notices,
-    told: Vec<Notice>,
-    last_told: Vec<Notice>,
-    losses: u8,
+    sent_notices: Vec<Notice>,
+    confirmed_notices: Vec<Notice>,
+    consecutive_losses: u8,
     watch: Watch,
-    list: Vec<Line>,
+    list: Vec<ListEntry>,
     version: u64,
-    full: bool,
+    disk_full: bool,
     /// The process dies in what is happening, so that nothing of it gets out.
-    dying: bool,
+    crashing: bool,
     pub monitor: Monitor,
 }
 
@@ -98,17 +100,17 @@
     pub fn new(case: &Arc<Case>) -> Result<World, String> {
         let port = |n: u8| 1_000 + u16::from(n);
         let dest = |n: u8| u64::from(n % case.destinations);
-        let list: Vec<Line> = (0..case.endpoints)
-            .map(|n| Line { port: port(n), dest: dest(n), state: 1, version: 1 })
+        let list: Vec<ListEntry> = (0..case.endpoints)
+            .map(|n| ListEntry { port: port(n), dest: dest(n), state: 1, version: 1 })
             .collect();
-        let known = told_of(&list, 1, |_| true);
+        let known = list_update(&list, 1, |_| true);
         // It owes nothing yet, so that there is nothing to carry out.
-        let (hub, _) = restore(case, Memory::default(), known.clone(), BEGIN)?;
+        let (hub, _) = restore(case, Memory::default(), known.clone(), START)?;
         let mut world = World {
             case: case.clone(),
-            now: BEGIN,
-            life: Life::Up,
-            lives: 1,
+            now: START,
+            process: ProcessState::Up,
+            incarnations: 1,
             faults: 0,
             hub,
             calls: BTreeMap::new(),
@@ -117,33 +119,33 @@
             closed: BTreeSet::new(),
             spoilt: BTreeSet::new(),
             notices: Notices::default(),
-            told: Vec::new(),
-            last_told: Vec::new(),
-            losses: 0,
-            watch: Watch::new(BEGIN),
+            sent_notices: Vec::new(),
+            confirmed_notices: Vec::new(),
+            consecutive_losses: 0,
+            watch: Watch::new(START),
             list,
             version: 1,
-            full: false,
-            dying: false,
+            disk_full: false,
+            crashing: false,
             monitor: Monitor::default(),
         };
-        world.watch.step(watch::Input::Answered, BEGIN);
-        let todo = world.hub.list(known, BEGIN);
-        world.act(todo).map_err(|e| e.to_string())?;
+        world.watch.step(watch::Input::Answered, START);
+        let todo = world.hub.list(known, START);
+        world.execute(todo).map_err(|e| e.to_string())?;
         Ok(world)
     }
 
     pub fn now(&self) -> Micros {
-        self.now - BEGIN
+        self.now - START
     }
 
     /// The provider of a call that is out.
-    pub fn provider_of(&self, w: Which) -> Option<u8> {
-        self.find(w).and_then(|id| self.calls.get(&id)).map(|out| out.provider)
+    pub fn endpoint_of(&self, call_ref: CallRef) -> Option<u8> {
+        self.find(call_ref).and_then(|id| self.calls.get(&id)).map(|out| out.provider)
     }
 
     /// Each provider's number, destination and state in the list.
-    pub fn providers(&self) -> impl Iterator<Item = (u8, u64, &'static str)> {
+    pub fn endpoints(&self) -> impl Iterator<Item = (u8, u64, &'static str)> {
         let lines = self.list.iter().enumerate().filter(|(_, line)| line.state != 0);
         lines.map(|(n, line)| (n as u8, line.dest, if line.state == 1 { "ready" } else { "draining" }))
     }
@@ -158,119 +160,126 @@
     }
 
     /// The process may die in what comes next.
-    pub fn may_die(&self) -> bool {
-        self.is_up() && self.lives < self.case.lives && !self.full && self.has_faults_left()
+    pub fn may_crash(&self) -> bool {
+        self.is_up()
+            && self.incarnations < self.case.incarnations
+            && !self.disk_full
+            && self.has_faults_left()
     }
 
     /// Numbers of messages and providers that are in use, in order.
-    pub fn names(&self) -> (Vec<u64>, Vec<u32>) {
+    pub fn active_ids(&self) -> (Vec<u64>, Vec<u32>) {
         let (messages, providers) = self.hub.router.names();
         (messages.collect(), providers.collect())
     }
 
     pub fn is_up(&self) -> bool {
-        !matches!(self.life, Life::Down { .. })
+        !matches!(self.process, ProcessState::Down { .. })
     }
 
     // ---- What may happen next. ----
 
     /// Every choice of the world, in a fixed order.
-    pub fn choices(&self) -> Vec<Choice> {
+    pub fn actions(&self) -> Vec<Action> {
         let mut all = Vec::new();
-        if let Life::Down { until } = self.life {
-            let to = until - BEGIN;
-            all.push(if self.now >= until { Choice::Start } else { Choice::Pass { to } });
-            self.lists(&mut all);
+        if let ProcessState::Down { until } = self.process {
+            let to = until - START;
+            all.push(if self.now >= until { Action::Start } else { Action::AdvanceClock { to } });
+            self.discovery_actions(&mut all);
             return all;
         }
-        let may = |event| self.may(event);
+        let allows = |event| self.allows(event);
         // The driver writes at once what a connection that is up may carry: nothing comes in between.
         for out in self.calls.values() {
             if let State::Writing { written: 0 } = out.call.state() {
-                let which = which(out);
-                all.push(Choice::Write(which, Written::Whole));
-                all.extend(may(Event::Part).then_some(Choice::Write(which, Written::Part)));
-                all.extend(may(Event::Break).then_some(Choice::Write(which, Written::Broken)));
+                let call_ref = call_ref(out);
+                all.push(Action::Write(call_ref, WriteExtent::Complete));
+                all.extend(
+                    allows(FaultKind::PartialWrite).then_some(Action::Write(call_ref, WriteExtent::Partial)),
+                );
+                all.extend(allows(FaultKind::Break).then_some(Action::Write(call_ref, WriteExtent::Broken)));
                 return all;
             }
         }
         let mut urgent = false;
         let mut waits = false;
         for out in self.calls.values() {
-            let (which, state) = (which(out), out.call.state());
+            let (call_ref, state) = (call_ref(out), out.call.state());
             if !matches!(state, State::Closing { .. }) && self.now >= out.deadline {
-                all.push(Choice::Deadline(which));
+                all.push(Action::Deadline(call_ref));
                 urgent = true;
             }
             if out.call.attempt().wake_at().is_some_and(|at| self.now >= at) {
-                all.push(Choice::CallTick(which));
+                all.push(Action::CallTick(call_ref));
                 urgent = true;
             }
             match state {
                 State::Connecting => {
-                    all.push(Choice::Up(which));
+                    all.push(Action::Connected(call_ref));
                     let late = self.now >= out.dial;
-                    all.extend((late || may(Event::Refuse)).then_some(Choice::Refused(which)));
+                    all.extend((late || allows(FaultKind::Refuse)).then_some(Action::Refused(call_ref)));
                     urgent |= late;
-                    waits |= !may(Event::Never);
+                    waits |= !allows(FaultKind::NeverConnects);
                 }
                 State::Writing { .. } => {
-                    all.push(Choice::Write(which, Written::Whole));
-                    all.extend(may(Event::Break).then_some(Choice::Write(which, Written::Broken)));
+                    all.push(Action::Write(call_ref, WriteExtent::Complete));
+                    all.extend(
+                        allows(FaultKind::Break).then_some(Action::Write(call_ref, WriteExtent::Broken)),
+                    );
                 }
                 State::Awaiting | State::Closing { .. } if out.arrived.is_some() => {
-                    all.push(Choice::Read(which));
+                    all.push(Action::ReadAnswer(call_ref));
                     urgent = true;
                 }
                 State::Awaiting => {
                     let answers = [
                         (Answer::Ok, None),
-                        (Answer::Error, Some(Event::Error)),
-                        (Answer::Full, Some(Event::Full)),
-                        (Answer::Wait, Some(Event::Wait)),
-                        (Answer::Slots, Some(Event::Slots)),
-                        (Answer::Exhausted, Some(Event::Exhausted)),
-                        (Answer::Over, Some(Event::Over)),
-                        (Answer::CutOk, Some(Event::Spoilt)),
-                        (Answer::CutFull, Some(Event::Spoilt)),
-                        (Answer::Interim, Some(Event::Interim)),
-                        (Answer::Copy, Some(Event::Copy)),
+                        (Answer::Error, Some(FaultKind::Error)),
+                        (Answer::Full, Some(FaultKind::Full)),
+                        (Answer::Wait, Some(FaultKind::Wait)),
+                        (Answer::Slots, Some(FaultKind::Slots)),
+                        (Answer::Exhausted, Some(FaultKind::Exhausted)),
+                        (Answer::Over, Some(FaultKind::MessageGone)),
+                        (Answer::CutOk, Some(FaultKind::TruncatedAnswer)),
+                        (Answer::CutFull, Some(FaultKind::TruncatedAnswer)),
+                        (Answer::Interim, Some(FaultKind::Interim)),
+                        (Answer::Copy, Some(FaultKind::DuplicateAnswer)),
                     ];
                     let open = answers.into_iter().filter(|(answer, event)| {
-                        event.is_none_or(may) && !(out.interim && *answer == Answer::Interim)
+                        event.is_none_or(allows) && !(out.interim && *answer == Answer::Interim)
                     });
-                    all.extend(open.map(|(answer, _)| Choice::Answer(which, answer)));
-                    all.extend(may(Event::Reset).then_some(Choice::Reset(which)));
-                    self.arrivals(which, &mut all);
-                    waits |= !may(Event::Timeout);
+                    all.extend(open.map(|(answer, _)| Action::Answer(call_ref, answer)));
+                    all.extend(allows(FaultKind::Reset).then_some(Action::Reset(call_ref)));
+                    self.arrival_actions(call_ref, &mut all);
+                    waits |= !allows(FaultKind::Timeout);
                 }
                 State::Reading { .. } => {
-                    all.push(Choice::End(which));
+                    all.push(Action::EndpointClosed(call_ref));
                 }
                 // What the provider says crosses with the word that the call is given up; it says nothing more
                 // once it has seen that.
                 State::Closing { until, .. }
                     if self.now + CLOSING == until && out.call.connection().is_some() =>
                 {
-                    self.arrivals(which, &mut all);
+                    self.arrival_actions(call_ref, &mut all);
                 }
                 State::New | State::Closing { .. } | State::Over => {}
             }
         }
         if self.hub.router.wake_at().is_some_and(|at| self.now >= at) {
-            all.push(Choice::Tick);
+            all.push(Action::Tick);
             urgent = true;
         }
-        self.notice_choices(&mut all, &mut urgent);
-        self.hand_ins(&mut all);
+        self.notice_actions(&mut all, &mut urgent);
+        self.submission_actions(&mut all);
         if matches!(self.watch.state(), watch::State::Pausing { until } if self.now >= until) {
-            all.push(Choice::WatchTick);
+            all.push(Action::WatchTick);
             urgent = true;
         }
         let following = matches!(self.watch.state(), watch::State::Following { .. });
-        all.extend((may(Event::Watch) && following).then_some(Choice::WatchBreak));
-        self.lists(&mut all);
-        if may(Event::Idle) {
+        all.extend((allows(FaultKind::Watch) && following).then_some(Action::WatchBreak));
+        self.discovery_actions(&mut all);
+        if allows(FaultKind::Idle) {
             let resting: BTreeSet<u32> = self
                 .hub
                 .pool
@@ -278,38 +287,38 @@
                 .filter(|(_, c, _)| !self.closed.contains(c))
                 .map(|(n, ..)| n)
                 .collect();
-            all.extend(resting.into_iter().map(Choice::Idle));
+            all.extend(resting.into_iter().map(Action::IdleClosed));
         }
-        if self.full {
-            all.push(Choice::DiskFree);
-        } else if may(Event::Disk) {
-            all.push(Choice::DiskFull);
+        if self.disk_full {
+            all.push(Action::DiskFree);
+        } else if allows(FaultKind::Disk) {
+            all.push(Action::DiskFull);
         }
-        let again = self.lives < self.case.lives;
-        match self.life {
-            Life::Stopping { end } => {
-                all.extend((self.now >= end || self.hub.is_quiet()).then_some(Choice::Exit));
+        let can_restart = self.incarnations < self.case.incarnations;
+        match self.process {
+            ProcessState::Stopping { end } => {
+                all.extend((self.now >= end || self.hub.is_quiet()).then_some(Action::Exit));
                 urgent |= self.now >= end;
             }
-            _ => all.extend((again && may(Event::Term)).then_some(Choice::Term)),
+            _ => all.extend((can_restart && allows(FaultKind::Term)).then_some(Action::Term)),
         }
-        all.extend((again && may(Event::Kill)).then_some(Choice::Kill));
+        all.extend((can_restart && allows(FaultKind::Kill)).then_some(Action::Kill));
         let first = self.case.at_once && self.monitor.messages.len() < self.case.messages as usize;
         if !urgent && !waits && !first {
-            all.extend(self.next_stop().map(|to| Choice::Pass { to: to - BEGIN }));
+            all.extend(self.next_time_point().map(|to| Action::AdvanceClock { to: to - START }));
         }
         all
     }
 
     /// A move that changes nothing but a value that no other move open here reads or writes, and that no
     /// property sees: the end of the notices' rest. It commutes with all of them.
-    pub fn is_apart(&self, choice: Choice) -> bool {
-        choice == Choice::NoticeTick && matches!(self.notices.state(), notices::State::Resting { .. })
+    pub fn is_independent(&self, action: Action) -> bool {
+        action == Action::NoticeTick && matches!(self.notices.state(), notices::State::Resting { .. })
     }
 
     /// Events that are not kind are open as long as there are any left.
-    fn may(&self, event: Event) -> bool {
-        self.case.may(event) && self.has_faults_left()
+    fn allows(&self, event: FaultKind) -> bool {
+        self.case.allows(event) && self.has_faults_left()
     }
 
     fn has_faults_left(&self) -> bool {
@@ -317,87 +326,97 @@
     }
 
     /// Answers that may stand in the socket unread.
-    fn arrivals(&self, which: Which, all: &mut Vec<Choice>) {
-        if self.may(Event::Race) {
-            all.push(Choice::Arrives(which, Answer::Ok));
-            all.extend(self.may(Event::Wait).then_some(Choice::Arrives(which, Answer::Wait)));
+    fn arrival_actions(&self, call_ref: CallRef, all: &mut Vec<Action>) {
+        if self.allows(FaultKind::Race) {
+            all.push(Action::AnswerArrived(call_ref, Answer::Ok));
+            all.extend(self.allows(FaultKind::Wait).then_some(Action::AnswerArrived(call_ref, Answer::Wait)));
         }
     }
 
-    fn notice_choices(&self, all: &mut Vec<Choice>, urgent: &mut bool) {
+    fn notice_actions(&self, all: &mut Vec<Action>, urgent: &mut bool) {
         match self.notices.state() {
             notices::State::Quiet => {
                 if !self.hub.router.notices(1).is_empty() {
-                    all.push(Choice::SendNotices);
+                    all.push(Action::SendNotices);
                     *urgent = true;
                 }
             }
             notices::State::Sent { until, .. } => {
-                all.push(Choice::Confirmed);
+                all.push(Action::Confirmed);
                 // The platform takes notices at once; twice in a row it fails nobody.
-                let may_lose = self.may(Event::Lose) && self.losses == 0;
+                let may_lose = self.allows(FaultKind::Lose) && self.consecutive_losses == 0;
                 if may_lose {
-                    all.extend([Choice::Lost { got: true }, Choice::Lost { got: false }]);
-                    all.extend((self.now >= until).then_some(Choice::NoticeTick));
+                    all.extend([
+                        Action::NoticesLost { received: true },
+                        Action::NoticesLost { received: false },
+                    ]);
+                    all.extend((self.now >= until).then_some(Action::NoticeTick));
                 }
                 *urgent |= !may_lose || self.now >= until;
             }
             notices::State::Resting { until } => {
                 if self.now >= until {
-                    all.push(Choice::NoticeTick);
+                    all.push(Action::NoticeTick);
                     *urgent = true;
                 }
             }
         }
-        if self.may(Event::Twice) && !self.last_told.is_empty() {
-            all.push(Choice::Twice);
+        if self.allows(FaultKind::ConfirmedTwice) && !self.confirmed_notices.is_empty() {
+            all.push(Action::ConfirmedTwice);
         }
     }
 
-    fn hand_ins(&self, all: &mut Vec<Choice>) {
+    fn submission_actions(&self, all: &mut Vec<Action>) {
         let handed = self.monitor.messages.len();
         let more = handed < self.case.messages as usize;
         if more {
             // Destinations that differ in name only are one: the next new one, or one that was used.
             let used = self.monitor.messages.iter().map(|m| m.dest + 1).max().unwrap_or(0);
             for dest in 0..u64::from(self.case.destinations).min(used + 1) {
-                all.extend((0..CLASSES.len() as u8).map(|class| Choice::HandIn { class, dest }));
+                all.extend((0..CLASSES.len() as u8).map(|class| Action::Submit { class, dest }));
             }
         }
         for message in 0..handed as u64 {
             // Later its time is up, and nobody asks again.
             let open = self.now < self.monitor.messages[message as usize].deadline;
-            all.extend((open && self.may(Event::Again)).then_some(Choice::Again { message }));
+            all.extend((open && self.allows(FaultKind::Resubmit)).then_some(Action::Resubmit { message }));
             let keyed = self.monitor.messages[message as usize].class == 1;
-            all.extend((more && keyed && self.may(Event::Key)).then_some(Choice::SameKey { message }));
+            all.extend(
+                (more && keyed && self.allows(FaultKind::SubmitSameKey))
+                    .then_some(Action::SubmitSameKey { message }),
+            );
         }
     }
 
-    fn lists(&self, all: &mut Vec<Choice>) {
+    fn discovery_actions(&self, all: &mut Vec<Action>) {
         for (n, line) in self.list.iter().enumerate() {
             let n8 = n as u8;
-            all.extend((line.state == 1 && self.may(Event::Drain)).then_some(Choice::Drain(n8)));
-            all.extend((line.state != 0 && self.may(Event::Gone)).then_some(Choice::Gone(n8)));
-            all.extend((line.state != 1 && self.may(Event::Ready)).then_some(Choice::Ready(n8)));
+            all.extend(
+                (line.state == 1 && self.allows(FaultKind::Drain)).then_some(Action::EndpointDraining(n8)),
+            );
+            all.extend((line.state != 0 && self.allows(FaultKind::Gone)).then_some(Action::EndpointGone(n8)));
+            all.extend(
+                (line.state != 1 && self.allows(FaultKind::Ready)).then_some(Action::EndpointReady(n8)),
+            );
             let free =
                 !self.list.iter().enumerate().any(|(m, l)| m != n && l.port == line.port && l.state != 0);
-            let room = self.list.len() < PROVIDERS_MAX;
-            let replace = line.state == 0 && free && room && self.may(Event::Replace);
-            all.extend(replace.then_some(Choice::Replace(n8)));
+            let has_capacity = self.list.len() < ENDPOINTS_MAX;
+            let replace = line.state == 0 && free && has_capacity && self.allows(FaultKind::Replace);
+            all.extend(replace.then_some(Action::EndpointReplaced(n8)));
         }
         let follows = self.is_up() && matches!(self.watch.state(), watch::State::Following { .. });
-        all.extend((follows && self.may(Event::Whole)).then_some(Choice::Whole));
+        all.extend((follows && self.allows(FaultKind::FullList)).then_some(Action::FullList));
     }
 
     /// The next moment at which something may turn out another way.
-    fn next_stop(&self) -> Option<Micros> {
+    fn next_time_point(&self) -> Option<Micros> {
         let mut hard: Vec<Micros> = Vec::new();
         hard.extend(self.hub.router.wake_at());
         hard.extend(self.notices.wake_at());
         if let watch::State::Pausing { until } = self.watch.state() {
             hard.push(until);
         }
-        if let Life::Stopping { end } = self.life {
+        if let ProcessState::Stopping { end } = self.process {
             hard.push(end);
         }
         for out in self.calls.values() {
@@ -407,23 +426,26 @@
             }
             if out.call.state() == State::Connecting {
                 hard.push(out.dial);
-                hard.extend(self.monitor.drains.get(&out.provider).map(|told| told + DRAIN_LATE));
+                hard.extend(
+                    self.monitor.drains.get(&out.provider).map(|announced_at| announced_at + DRAIN_GRACE),
+                );
             }
         }
-        let pending = self.monitor.messages.iter().filter(|m| m.taken != Taken::No && !m.is_final());
+        let pending =
+            self.monitor.messages.iter().filter(|m| m.acceptance != Acceptance::No && !m.is_final());
         for m in pending {
-            hard.extend([m.deadline, self.monitor.overdue(m) + 1]);
+            hard.extend([m.deadline, self.monitor.overdue_at(m) + 1]);
             if m.class == 1 {
-                hard.extend(m.first_maybe().map(|s| s.first + self.case.span()));
+                hard.extend(m.first_possible_run().map(|s| s.first + self.case.span()));
             }
         }
         let owed = self.hub.router.load().0 > 0;
         if owed || self.monitor.messages.len() < self.case.messages as usize {
-            hard.extend(self.hub.pool.gates().into_iter().map(|(.., hold)| hold));
-            hard.extend(self.monitor.drains.values().map(|told| told + DRAIN_LATE));
+            hard.extend(self.hub.pool.gates().into_iter().map(|(.., paused_until)| paused_until));
+            hard.extend(self.monitor.drains.values().map(|announced_at| announced_at + DRAIN_GRACE));
         }
         let edges = |at: Micros| [at - 1, at, at + 1];
-        let stops = hard.into_iter().filter(|at| (BEGIN..BEGIN + (1 << 40)).contains(at));
+        let stops = hard.into_iter().filter(|at| (START..START + (1 << 40)).contains(at));
         let stops = stops.flat_map(|at| if self.case.edges { edges(at) } else { [at; 3] });
         stops.filter(|at| *at > self.now).min()
     }
@@ -434,147 +456,147 @@
     ///
     /// # Errors
     /// A property that does not hold any more.
-    pub fn take(&mut self, m: Move) -> Result<(), Violation> {
+    pub fn apply(&mut self, transition: Transition) -> Result<(), Violation> {
         self.hub.router.reseed(self.case.seed);
-        let fault = match m.die {
-            Some(Die { after, torn }) => Fault::Die { after, bytes: if torn { 5 } else { 0 } },
-            None if self.full => Fault::Full { after: 0 },
+        let fault = match transition.crash {
+            Some(CrashPoint { after, torn }) => Fault::Die { after, bytes: if torn { 5 } else { 0 } },
+            None if self.disk_full => Fault::Full { after: 0 },
             None => Fault::None,
         };
         self.hub.router.journal_mut().store_mut().fail(fault);
-        self.dying = m.die.is_some();
-        if !is_kind(m.choice) || m.die.is_some() {
+        self.crashing = transition.crash.is_some();
+        if !is_benign(transition.action) || transition.crash.is_some() {
             self.faults += 1;
         }
-        self.happens(m.choice)?;
-        if self.dying {
-            self.die();
+        self.perform(transition.action)?;
+        if self.crashing {
+            self.crash();
         }
-        self.sweep_names();
+        self.retain_live_connections();
         self.monitor.check(self.now)?;
-        self.holds()
+        self.check_invariants()
     }
 
-    fn happens(&mut self, choice: Choice) -> Result<(), Violation> {
-        match choice {
-            Choice::HandIn { class, dest } => {
+    fn perform(&mut self, action: Action) -> Result<(), Violation> {
+        match action {
+            Action::Submit { class, dest } => {
                 let key = self.monitor.messages.len() as u64;
-                self.hand_in(class, dest, key)
+                self.submit(class, dest, key)
             }
-            Choice::SameKey { message } => {
-                let Seen { class, dest, key, .. } = self.monitor.messages[message as usize];
-                self.hand_in(class, dest, key)
+            Action::SubmitSameKey { message } => {
+                let ObservedMessage { class, dest, key, .. } = self.monitor.messages[message as usize];
+                self.submit(class, dest, key)
             }
-            Choice::Again { message } => self.again(message as usize),
-            Choice::Up(w) => {
+            Action::Resubmit { message } => self.resubmit(message as usize),
+            Action::Connected(call_ref) => {
                 let connection = self.connections;
                 self.connections += 1;
-                self.step(w, |call, pool, now| call.connected(pool, connection, now))
+                self.step(call_ref, |call, pool, now| call.connected(pool, connection, now))
             }
-            Choice::Refused(w) => self.input(w, Input::Refused),
-            Choice::Write(w, how) => self.write(w, how),
-            Choice::Answer(w, answer) => self.answer(w, answer),
-            Choice::Arrives(w, answer) => {
-                self.arrives(w, answer);
+            Action::Refused(call_ref) => self.input(call_ref, Input::Refused),
+            Action::Write(call_ref, how) => self.write(call_ref, how),
+            Action::Answer(call_ref, answer) => self.answer(call_ref, answer),
+            Action::AnswerArrived(call_ref, answer) => {
+                self.answer_arrives(call_ref, answer);
                 Ok(())
             }
-            Choice::Read(w) => self.read(w),
-            Choice::End(w) => self.input(w, Input::End),
-            Choice::Reset(w) => self.input(w, Input::Reset),
-            Choice::Deadline(w) => self.input(w, Input::Deadline),
-            Choice::CallTick(w) => self.input(w, Input::Tick),
-            Choice::Tick => {
+            Action::ReadAnswer(call_ref) => self.read(call_ref),
+            Action::EndpointClosed(call_ref) => self.input(call_ref, Input::End),
+            Action::Reset(call_ref) => self.input(call_ref, Input::Reset),
+            Action::Deadline(call_ref) => self.input(call_ref, Input::Deadline),
+            Action::CallTick(call_ref) => self.input(call_ref, Input::Tick),
+            Action::Tick => {
                 let todo = self.hub.tick(self.now);
-                self.act(todo)
+                self.execute(todo)
             }
-            Choice::Drain(n) => self.change(n, 2),
-            Choice::Gone(n) => self.change(n, 0),
-            Choice::Ready(n) => self.change(n, 1),
-            Choice::Replace(n) => {
-                let Line { port, dest, .. } = self.list[n as usize];
-                self.list.push(Line { port, dest, state: 1, version: 0 });
+            Action::EndpointDraining(n) => self.change(n, 2),
+            Action::EndpointGone(n) => self.change(n, 0),
+            Action::EndpointReady(n) => self.change(n, 1),
+            Action::EndpointReplaced(n) => {
+                let ListEntry { port, dest, .. } = self.list[n as usize];
+                self.list.push(ListEntry { port, dest, state: 1, version: 0 });
                 self.change(self.list.len() as u8 - 1, 1)
             }
-            Choice::Whole => self.tell(true),
-            Choice::WatchBreak => {
+            Action::FullList => self.send_list(true),
+            Action::WatchBreak => {
                 self.watch.step(watch::Input::Broken { moved: false }, self.now);
                 Ok(())
             }
-            Choice::WatchTick => {
+            Action::WatchTick => {
                 self.watch.step(watch::Input::Tick { moved: false }, self.now);
                 self.watch.step(watch::Input::Answered, self.now);
-                self.tell(false)
+                self.send_list(false)
             }
-            Choice::SendNotices => self.send_notices(),
-            Choice::Confirmed => {
-                self.platform_gets()?;
-                self.losses = 0;
+            Action::SendNotices => self.send_notices(),
+            Action::Confirmed => {
+                self.platform_receives()?;
+                self.consecutive_losses = 0;
                 if self.notices.step(notices::Input::Confirmed, self.now) == notices::Output::Told {
-                    self.last_told = std::mem::take(&mut self.told);
-                    let todo = self.hub.told(&self.last_told, self.now);
-                    self.act(todo)?;
+                    self.confirmed_notices = std::mem::take(&mut self.sent_notices);
+                    let todo = self.hub.told(&self.confirmed_notices, self.now);
+                    self.execute(todo)?;
                 }
                 Ok(())
             }
-            Choice::Lost { got } => {
-                if got {
-                    self.platform_gets()?;
+            Action::NoticesLost { received } => {
+                if received {
+                    self.platform_receives()?;
                 }
-                self.losses += 1;
-                let word = self.notices.step(notices::Input::Lost, self.now);
-                let told = std::mem::take(&mut self.told);
-                if word == notices::Output::LetGo {
-                    let todo = self.hub.told(&told, self.now);
-                    self.act(todo)?;
+                self.consecutive_losses += 1;
+                let output = self.notices.step(notices::Input::Lost, self.now);
+                let notices = std::mem::take(&mut self.sent_notices);
+                if output == notices::Output::LetGo {
+                    let todo = self.hub.told(&notices, self.now);
+                    self.execute(todo)?;
                 }
                 Ok(())
             }
-            Choice::NoticeTick => {
+            Action::NoticeTick => {
                 if matches!(self.notices.state(), notices::State::Sent { .. }) {
-                    (self.losses, self.faults) = (self.losses + 1, self.faults + 1);
+                    (self.consecutive_losses, self.faults) = (self.consecutive_losses + 1, self.faults + 1);
                 }
                 self.notices.step(notices::Input::Tick, self.now);
                 Ok(())
             }
-            Choice::Twice => {
-                let twice = std::mem::take(&mut self.last_told);
+            Action::ConfirmedTwice => {
+                let twice = std::mem::take(&mut self.confirmed_notices);
                 let todo = self.hub.told(&twice, self.now);
-                self.act(todo)
+                self.execute(todo)
             }
-            Choice::Idle(n) => {
+            Action::IdleClosed(n) => {
                 let first = self.hub.pool.resting().find(|(p, c, _)| *p == n && !self.closed.contains(c));
                 self.closed.extend(first.map(|(_, c, _)| *c));
                 Ok(())
             }
-            Choice::DiskFull => {
-                self.full = true;
+            Action::DiskFull => {
+                self.disk_full = true;
                 Ok(())
             }
-            Choice::DiskFree => {
-                self.full = false;
+            Action::DiskFree => {
+                self.disk_full = false;
                 Ok(())
             }
-            Choice::Term => {
-                self.life = Life::Stopping { end: self.now + STOP };
+            Action::Term => {
+                self.process = ProcessState::Stopping { end: self.now + PROCESS_STOP };
                 // Until it is ready again nothing is overdue.
-                self.monitor.excused = Micros::MAX / 2;
-                let todo = self.hub.stop(self.now, self.now + CALLS_END);
-                self.act(todo)
+                self.monitor.grace_until = Micros::MAX / 2;
+                let todo = self.hub.stop(self.now, self.now + CALLS_STOP);
+                self.execute(todo)
             }
-            Choice::Exit | Choice::Kill => {
-                self.die();
+            Action::Exit | Action::Kill => {
+                self.crash();
                 Ok(())
             }
-            Choice::Start => self.start(),
-            Choice::Pass { to } => {
-                self.now = BEGIN + to;
+            Action::Start => self.start(),
+            Action::AdvanceClock { to } => {
+                self.now = START + to;
                 Ok(())
             }
         }
     }
 
-    fn act(&mut self, todo: Vec<Do<u32>>) -> Result<(), Violation> {
-        if self.dying {
+    fn execute(&mut self, todo: Vec<Do<u32>>) -> Result<(), Violation> {
+        if self.crashing {
             return Ok(());
         }
         for one in todo {
@@ -584,14 +606,22 @@
                     let provider = self.hub.router.provider_name(order.provider);
                     let provider = provider.strip_prefix('p').and_then(|n| n.parse().ok());
                     let (Some(message), Some(provider)) = (message, provider) else {
-                        return broken(Property::Unchanged, format!("a call for nobody: {:?}", order.call));
+                        return violated(Property::Unchanged, format!("a call for nobody: {:?}", order.call));
                     };
                     let (id, deadline) = (order.call, self.now + order.timeout);
                     let call = Call::new(order, invoker::decode, invoker::ANSWER_MAX);
-                    let dial = self.now + DIAL;
+                    let dial = self.now + DIAL_TIMEOUT;
                     self.calls.insert(
                         id,
-                        Out { call, message, provider, deadline, dial, interim: false, arrived: None },
+                        OutstandingCall {
+                            call,
+                            message,
+                            provider,
+                            deadline,
+                            dial,
+                            interim: false,
+                            arrived: None,
+                        },
                     );
                     let closed = self.closed.clone();
                     let quiet = |c: &u32| !closed.contains(c);
@@ -609,23 +639,25 @@
         Ok(())
     }
 
-    fn input(&mut self, w: Which, input: Input) -> Result<(), Violation> {
-        self.step(w, |call, pool, now| call.step(pool, input, now))
+    fn input(&mut self, call_ref: CallRef, input: Input) -> Result<(), Violation> {
+        self.step(call_ref, |call, pool, now| call.step(pool, input, now))
     }
 
     fn step(
         &mut self,
-        w: Which,
+        call_ref: CallRef,
         step: impl FnOnce(&mut Call<u32>, &mut Pool<u32>, Micros) -> Told<u32>,
     ) -> Result<(), Violation> {
-        match self.find(w) {
+        match self.find(call_ref) {
             Some(id) => self.step_id(id, step),
-            None => broken(Property::Unchanged, format!("{w} is not out")),
+            None => violated(Property::Unchanged, format!("{call_ref} is not out")),
         }
     }
 
-    fn find(&self, w: Which) -> Option<CallId> {
-        let is = |(id, out): &(&CallId, &Out)| out.message as u64 == w.message && id.attempt == w.attempt;
+    fn find(&self, call_ref: CallRef) -> Option<CallId> {
+        let is = |(id, out): &(&CallId, &OutstandingCall)| {
+            out.message as u64 == call_ref.message && id.attempt == call_ref.attempt
+        };
         self.calls.iter().find(is).map(|(id, _)| *id)
     }
 
@@ -635,52 +667,55 @@
         step: impl FnOnce(&mut Call<u32>, &mut Pool<u32>, Micros) -> Told<u32>,
     ) -> Result<(), Violation> {
         let Some(out) = self.calls.get_mut(&id) else { return Ok(()) };
-        let told = step(&mut out.call, &mut self.hub.pool, self.now);
+        let result = step(&mut out.call, &mut self.hub.pool, self.now);
         let message = out.message;
         let gone = out.call.connection().is_none() && out.call.state() != State::Connecting;
-        if gone || told.finish {
+        if gone || result.finish {
             // Its connection is closed, or rests, or sends nothing more: for its provider the call is over.
-            self.monitor.over(message, id.attempt, false);
+            self.monitor.call_ended(message, id.attempt, false);
         }
-        if let Some(end) = told.end {
+        if let Some(end) = result.end {
             self.calls.remove(&id);
             let todo = self.hub.call_ended(id, end, self.now);
             // A delivery about the end of its message's time may count or not: its end is told too.
             let in_time = self.now.saturating_add(SLACK) < self.monitor.messages[message].deadline;
-            if (end == CallEnd::Over || end == CallEnd::Delivered && in_time) && !self.dying {
+            if (end == CallEnd::Over || end == CallEnd::Delivered && in_time) && !self.crashing {
                 self.monitor.messages[message].settled = true;
             }
-            self.act(todo)?;
+            self.execute(todo)?;
         }
         Ok(())
     }
 
-    fn write(&mut self, w: Which, how: Written) -> Result<(), Violation> {
-        let Some(id) = self.find(w) else { return Ok(()) };
+    fn write(&mut self, call_ref: CallRef, how: WriteExtent) -> Result<(), Violation> {
+        let Some(id) = self.find(call_ref) else { return Ok(()) };
         let out = &self.calls[&id];
         let (message, provider) = (out.message, out.provider);
         let request = invoker::encode(&out.call.order);
         let State::Writing { written } = out.call.state() else { return Ok(()) };
-        if how == Written::Broken {
-            return self.input(w, Input::WriteFailed);
+        if how == WriteExtent::Broken {
+            return self.input(call_ref, Input::WriteFailed);
         }
         if written == 0 && out.call.connection().is_some_and(|c| self.spoilt.contains(c)) {
-            return broken(Property::Unchanged, format!("{w} goes out behind an answer that broke off"));
+            return violated(
+                Property::Unchanged,
+                format!("{call_ref} goes out behind an answer that broke off"),
+            );
         }
         if written == 0 {
-            self.is_unchanged(id, message, provider, &request)?;
+            self.check_request(id, message, provider, &request)?;
             self.monitor.first_byte(&self.case, self.now, message, id.attempt, provider)?;
         }
         let left = request.len() - written;
-        let bytes = if how == Written::Part { left / 2 } else { left };
+        let bytes = if how == WriteExtent::Partial { left / 2 } else { left };
         if bytes == left {
             self.monitor.last_byte(&self.case, self.now, message, id.attempt)?;
         }
-        self.input(w, Input::Wrote { bytes, left: left - bytes })
+        self.input(call_ref, Input::Wrote { bytes, left: left - bytes })
     }
 
     /// The request says what was handed in, and goes where it may.
-    fn is_unchanged(
+    fn check_request(
         &self,
         id: CallId,
         message: usize,
@@ -700,35 +735,35 @@
         let name = format!("m{message}");
         let owed = self.hub.router.owed().find(|(id, ..)| *id == name);
         match (same, there, owed) {
-            (false, ..) => broken(Property::Unchanged, format!("m{message} goes out as {text:?}")),
-            (_, false, _) => broken(Property::Unchanged, format!("m{message} goes to provider {provider}")),
-            (.., None) => broken(Property::FinalAnswer, format!("m{message} is sent after its end")),
+            (false, ..) => violated(Property::Unchanged, format!("m{message} goes out as {text:?}")),
+            (_, false, _) => violated(Property::Unchanged, format!("m{message} goes to provider {provider}")),
+            (.., None) => violated(Property::FinalAnswer, format!("m{message} is sent after its end")),
             (.., Some((.., Some(end)))) => {
-                broken(Property::FinalAnswer, format!("m{message} is sent after it has ended as {end:?}"))
+                violated(Property::FinalAnswer, format!("m{message} is sent after it has ended as {end:?}"))
             }
             _ => Ok(()),
         }
     }
 
-    fn answer(&mut self, w: Which, answer: Answer) -> Result<(), Violation> {
-        self.arrives(w, answer);
-        self.read(w)
+    fn answer(&mut self, call_ref: CallRef, answer: Answer) -> Result<(), Violation> {
+        self.answer_arrives(call_ref, answer);
+        self.read(call_ref)
     }
 
     /// A provider has written its answer.
-    fn arrives(&mut self, w: Which, answer: Answer) {
-        let Some(out) = self.find(w).and_then(|id| self.calls.get_mut(&id)) else { return };
+    fn answer_arrives(&mut self, call_ref: CallRef, answer: Answer) {
+        let Some(out) = self.find(call_ref).and_then(|id| self.calls.get_mut(&id)) else { return };
         let message = out.message;
         out.arrived = Some(answer);
         if answer == Answer::Interim {
             out.interim = true;
         } else {
-            self.monitor.over(message, w.attempt, answer.never_ran());
+            self.monitor.call_ended(message, call_ref.attempt, answer.never_ran());
         }
         let m = &mut self.monitor.messages[message];
         // Later it counts for nobody but the provider.
         m.delivered |= answer.delivers() && self.now < m.deadline;
-        m.over |= answer == Answer::Over;
+        m.gone |= answer == Answer::Over;
         if answer == Answer::Wait {
             let until = self.now + Answer::WAIT_MS * 1_000;
             let wait = self.monitor.waits.entry(m.dest).or_insert((self.now, until));
@@ -737,8 +772,8 @@
         }
     }
 
-    fn read(&mut self, w: Which) -> Result<(), Violation> {
-        let Some(out) = self.find(w).and_then(|id| self.calls.get_mut(&id)) else { return Ok(()) };
+    fn read(&mut self, call_ref: CallRef) -> Result<(), Violation> {
+        let Some(out) = self.find(call_ref).and_then(|id| self.calls.get_mut(&id)) else { return Ok(()) };
         let Some(answer) = out.arrived.take() else { return Ok(()) };
         if let Some((connection, bytes)) = out.call.parts() {
             if matches!(answer, Answer::CutOk | Answer::CutFull | Answer::Copy) {
@@ -746,41 +781,44 @@
             }
             bytes.extend_from_slice(answer.bytes());
         }
-        self.input(w, Input::Read)
+        self.input(call_ref, Input::Read)
     }
 
-    fn hand_in(&mut self, class: u8, dest: u64, key: u64) -> Result<(), Violation> {
+    fn submit(&mut self, class: u8, dest: u64, key: u64) -> Result<(), Violation> {
         let message = self.monitor.messages.len();
         let deadline = self.now + self.case.time_left();
-        let taken = Taken::No;
-        let fresh = Seen {
+        let acceptance = Acceptance::No;
+        let fresh = ObservedMessage {
             class,
             dest,
             key,
             deadline,
-            taken,
-            sent: Vec::new(),
+            acceptance,
+            calls: Vec::new(),
             notice: None,
             delivered: false,
-            over: false,
+            gone: false,
             settled: false,
         };
         self.monitor.messages.push(fresh);
         let next = self.hub.router.next_number();
         self.numbers.insert(next, message);
         let (intake, todo) = self.hub.take_on(self.invocation(message), self.now);
-        let in_store = self.in_store(message);
+        let is_stored = self.is_stored(message);
         let m = &mut self.monitor.messages[message];
-        m.taken = match intake {
+        m.acceptance = match intake {
             // Whatever the answer would have been, nobody heard it.
-            _ if self.dying && in_store => Taken::Unheard,
-            Intake::TakenOn if !self.dying => Taken::Heard,
-            _ => Taken::No,
+            _ if self.crashing && is_stored => Acceptance::Unheard,
+            Intake::TakenOn if !self.crashing => Acceptance::Heard,
+            _ => Acceptance::No,
         };
-        if m.taken == Taken::Heard && !in_store {
-            return broken(Property::Kept, format!("m{message} is answered 202 and is not in the store"));
+        if m.acceptance == Acceptance::Heard && !is_stored {
+            return violated(
+                Property::Durability,
+                format!("m{message} is answered 202 and is not in the store"),
+            );
         }
-        self.act(todo)
+        self.execute(todo)
     }
 
     fn invocation(&self, message: usize) -> Invocation {
@@ -796,7 +834,7 @@
         }
     }
 
-    fn in_store(&self, message: usize) -> bool {
+    fn is_stored(&self, message: usize) -> bool {
         let name = format!("m{message}");
         self.book().owed.values().any(|entry| entry.taken.id == name)
     }
@@ -806,26 +844,32 @@
     }
 
     /// The same id once more: it must not be taken on twice.
-    fn again(&mut self, message: usize) -> Result<(), Violation> {
+    fn resubmit(&mut self, message: usize) -> Result<(), Violation> {
         let next = self.hub.router.next_number();
         let (intake, todo) = self.hub.take_on(self.invocation(message), self.now);
         let m = &self.monitor.messages[message];
-        let known = m.taken != Taken::No && self.now < m.deadline;
+        let known = m.acceptance != Acceptance::No && self.now < m.deadline;
         if intake == Intake::TakenOn {
             if known {
-                return broken(Property::FinalAnswer, format!("m{message} is taken on twice"));
+                return violated(Property::FinalAnswer, format!("m{message} is taken on twice"));
             }
             self.numbers.insert(next, message);
-            let (deadline, in_store) = (self.now + self.case.time_left(), self.in_store(message));
+            let (deadline, is_stored) = (self.now + self.case.time_left(), self.is_stored(message));
             let m = &mut self.monitor.messages[message];
-            m.taken =
-                if self.dying { if in_store { Taken::Unheard } else { Taken::No } } else { Taken::Heard };
+            m.acceptance = if self.crashing {
+                if is_stored { Acceptance::Unheard } else { Acceptance::No }
+            } else {
+                Acceptance::Heard
+            };
             m.deadline = deadline.min(m.deadline.max(self.now));
         }
-        if intake == Intake::Delivered && !m_delivered(&self.monitor, message) {
-            return broken(Property::FinalAnswer, format!("m{message} is told to be delivered, and is not"));
+        if intake == Intake::Delivered && !is_delivered(&self.monitor, message) {
+            return violated(
+                Property::FinalAnswer,
+                format!("m{message} is told to be delivered, and is not"),
+            );
         }
-        self.act(todo)
+        self.execute(todo)
     }
 
     fn change(&mut self, n: u8, state: u8) -> Result<(), Violation> {
@@ -833,14 +877,14 @@
         let line = &mut self.list[n as usize];
         (line.state, line.version) = (state, self.version);
         let follows = matches!(self.watch.state(), watch::State::Following { .. });
-        if self.is_up() && follows { self.tell(false) } else { Ok(()) }
+        if self.is_up() && follows { self.send_list(false) } else { Ok(()) }
     }
 
     /// Discovery tells what has changed since the version that the courier has, or all.
-    fn tell(&mut self, full: bool) -> Result<(), Violation> {
-        let heard = self.hub.router.version();
-        let told = |line: &Line| if full { line.state != 0 } else { line.version > heard };
-        let list = ProviderList { full, ..told_of(&self.list, self.version, told) };
+    fn send_list(&mut self, full: bool) -> Result<(), Violation> {
+        let known_version = self.hub.router.version();
+        let included = |line: &ListEntry| if full { line.state != 0 } else { line.version > known_version };
+        let list = ProviderList { full, ..list_update(&self.list, self.version, included) };
         for (n, line) in self.list.iter().enumerate() {
             if line.state == 1 {
                 self.monitor.drains.remove(&(n as u8));
@@ -849,7 +893,7 @@
             }
         }
         let todo = self.hub.list(list, self.now);
-        self.act(todo)
+        self.execute(todo)
     }
 
     fn send_notices(&mut self) -> Result<(), Violation> {
@@ -857,47 +901,47 @@
         let wanted = notices::Input::Wanted(notices.len());
         if let notices::Output::Send(_) = self.notices.step(wanted, self.now) {
             for notice in &notices {
-                let settled = message_of(&notice.id)
+                let settled = message_index(&notice.id)
                     .and_then(|n| self.monitor.messages.get(n))
                     .is_some_and(|m| m.settled);
                 if settled {
-                    return broken(
+                    return violated(
                         Property::FinalAnswer,
                         format!("{} was over, and is ended again", notice.id),
                     );
                 }
             }
-            self.told = notices;
+            self.sent_notices = notices;
         }
         Ok(())
     }
 
-    fn platform_gets(&mut self) -> Result<(), Violation> {
-        for Notice { id, ending, .. } in &self.told {
-            match message_of(id).filter(|n| *n < self.monitor.messages.len()) {
+    fn platform_receives(&mut self) -> Result<(), Violation> {
+        for Notice { id, ending, .. } in &self.sent_notices {
+            match message_index(id).filter(|n| *n < self.monitor.messages.len()) {
                 Some(n) => self.monitor.notice(n, *ending)?,
-                None => return broken(Property::FinalAnswer, format!("a notice for {id:?}")),
+                None => return violated(Property::FinalAnswer, format!("a notice for {id:?}")),
             }
         }
         Ok(())
     }
 
-    fn die(&mut self) {
-        self.dying = false;
-        self.monitor.died();
-        self.monitor.excused = Micros::MAX / 2;
+    fn crash(&mut self) {
+        self.crashing = false;
+        self.monitor.crashed();
+        self.monitor.grace_until = Micros::MAX / 2;
         self.calls.clear();
         self.closed.clear();
-        self.told.clear();
-        self.last_told.clear();
-        self.losses = 0;
+        self.sent_notices.clear();
+        self.confirmed_notices.clear();
+        self.consecutive_losses = 0;
         self.notices = Notices::default();
-        let until = self.now + DOWN;
+        let until = self.now + RESTART_DELAY;
         // A killed process may have left a planned stop unfinished; it starts again all the same.
-        self.life = Life::Down { until };
+        self.process = ProcessState::Down { until };
         let bytes = self.hub.router.journal().store().bytes().to_vec();
         *self.hub.router.journal_mut().store_mut() = Memory::of(bytes);
-        self.lives += 1;
+        self.incarnations += 1;
         // What the disk refused to note is not known to the next life.
         let book = self.book();
         for (n, m) in self.monitor.messages.iter_mut().enumerate() {
@@ -909,12 +953,12 @@
     fn start(&mut self) -> Result<(), Violation> {
         let store = self.hub.router.journal().store().clone();
         // What the last life was told of the list is what the configuration knows.
-        let heard = self.hub.router.version();
-        let known = told_of(&self.list, heard, |line| line.version <= heard);
+        let known_version = self.hub.router.version();
+        let known = list_update(&self.list, known_version, |line| line.version <= known_version);
         let before = self.book();
         let (hub, steps) = match restore(&self.case, store, known, self.now) {
             Ok(restored) => restored,
-            Err(e) => return broken(Property::Kept, format!("the store can't be read back: {e}")),
+            Err(e) => return violated(Property::Durability, format!("the store can't be read back: {e}")),
         };
         self.hub = hub;
         let after = self.book();
@@ -926,20 +970,21 @@
                 .is_some_and(|now| now.taken == entry.taken && now.calls.starts_with(&entry.calls))
         };
         if !before.owed.iter().all(same) {
-            return broken(Property::Kept, "the store tells something else after the start".into());
+            return violated(Property::Durability, "the store tells something else after the start".into());
         }
-        self.numbers = before.owed.iter().filter_map(|(n, e)| Some((*n, message_of(&e.taken.id)?))).collect();
-        self.life = Life::Up;
-        self.monitor.excused = 0;
+        self.numbers =
+            before.owed.iter().filter_map(|(n, e)| Some((*n, message_index(&e.taken.id)?))).collect();
+        self.process = ProcessState::Up;
+        self.monitor.grace_until = 0;
         self.monitor.ready(self.now);
         self.watch = Watch::new(self.now);
         self.watch.step(watch::Input::Answered, self.now);
         let todo = self.hub.carry_out(steps, self.now);
-        self.act(todo)?;
-        self.tell(false)
+        self.execute(todo)?;
+        self.send_list(false)
     }
 
-    fn sweep_names(&mut self) {
+    fn retain_live_connections(&mut self) {
         let resting: BTreeSet<u32> = self.hub.pool.resting().map(|(_, c, _)| *c).collect();
         self.closed.retain(|c| resting.contains(c));
         self.spoilt
@@ -947,13 +992,13 @@
     }
 
     /// What must hold in every state, beyond what the outside sees.
-    fn holds(&self) -> Result<(), Violation> {
+    fn check_invariants(&self) -> Result<(), Violation> {
         if !self.is_up() {
             return Ok(());
         }
-        let held = self.hub.router.owed().filter(|(.., end)| end.is_none()).count();
-        if held > self.case.open_cap as usize {
-            return broken(Property::Unchanged, format!("{held} messages are held"));
+        let pending = self.hub.router.owed().filter(|(.., end)| end.is_none()).count();
+        if pending > self.case.open_cap as usize {
+            return violated(Property::Unchanged, format!("{pending} messages are held"));
         }
         let (calls, _) = self.hub.pool.load();
         let counted = self
@@ -962,7 +1007,7 @@
             .filter(|o| o.call.connection().is_some() || o.call.state() == State::Connecting)
             .count();
         if calls != counted {
-            return broken(Property::Unchanged, format!("the pool counts {calls} calls of {counted}"));
+            return violated(Property::Unchanged, format!("the pool counts {calls} calls of {counted}"));
         }
         Ok(())
     }
@@ -971,126 +1016,136 @@
     ///
     /// # Errors
     /// Something is left.
-    pub fn at_rest(&self) -> Result<(), Violation> {
+    pub fn check_quiescent(&self) -> Result<(), Violation> {
         let (owed, out) = self.hub.router.load();
-        let open = self.monitor.messages.iter().position(|m| m.taken == Taken::Heard && !m.is_final());
+        let open =
+            self.monitor.messages.iter().position(|m| m.acceptance == Acceptance::Heard && !m.is_final());
         if let Some(n) = open {
-            return broken(Property::Liveness, format!("m{n} has no end, and nothing can happen any more"));
+            return violated(Property::Liveness, format!("m{n} has no end, and nothing can happen any more"));
         }
         let (calls, _) = self.hub.pool.load();
         let left = [("owed", owed), ("calls", out), ("attempts", self.calls.len()), ("pool", calls)];
         match left.into_iter().find(|(_, n)| *n > 0) {
-            Some((what, n)) => broken(Property::Liveness, format!("{n} left in the table of {what} at rest")),
+            Some((what, n)) => {
+                violated(Property::Liveness, format!("{n} left in the table of {what} at rest"))
+            }
             None => Ok(()),
         }
     }
 
     /// All that matters for what comes next.
-    pub fn see(&self, eye: &mut crate::finger::Finger) {
+    pub fn hash_into(&self, hasher: &mut crate::fingerprint::Fingerprint) {
         use spurshore::Eye;
-        eye.begin(self.now);
-        self.hub.router.see(eye);
-        eye.hash(&(
-            self.life_left(),
-            self.lives,
+        hasher.start_at(self.now);
+        self.hub.router.see(hasher);
+        hasher.hash(&(
+            self.process_key(),
+            self.incarnations,
             self.case.faults.map(|_| self.faults),
-            self.full,
-            self.losses,
+            self.disk_full,
+            self.consecutive_losses,
         ));
-        let heard = self.hub.router.version();
+        let known_version = self.hub.router.version();
         for line in &self.list {
-            eye.hash(&(line.port, line.dest, line.state, line.version > heard));
+            hasher.hash(&(line.port, line.dest, line.state, line.version > known_version));
         }
-        eye.hash(&(self.notices.state().kind(), self.notices.most(), self.told.len()));
-        eye.time(self.notices.wake_at().unwrap_or(0));
-        for n in &self.told {
-            eye.hash(&(&n.id, n.ending));
+        hasher.hash(&(self.notices.state().kind(), self.notices.most(), self.sent_notices.len()));
+        hasher.time(self.notices.wake_at().unwrap_or(0));
+        for n in &self.sent_notices {
+            hasher.hash(&(&n.id, n.ending));
         }
-        for n in &self.last_told {
-            eye.hash(&(&n.id, n.ending));
+        for n in &self.confirmed_notices {
+            hasher.hash(&(&n.id, n.ending));
         }
         if let watch::State::Pausing { until } = self.watch.state() {
-            eye.time(until);
+            hasher.time(until);
         }
         for (id, out) in &self.calls {
-            eye.hash(&(id, out.message, out.provider, out.interim, out.arrived, out.call.attempt().answer()));
+            hasher.hash(&(
+                id,
+                out.message,
+                out.provider,
+                out.interim,
+                out.arrived,
+                out.call.attempt().answer(),
+            ));
             match out.call.state() {
-                State::Reading { by } => eye.time(by),
+                State::Reading { by } => hasher.time(by),
                 State::Closing { end, until } => {
-                    eye.hash(&end);
-                    eye.time(until);
+                    hasher.hash(&end);
+                    hasher.time(until);
                 }
-                State::Writing { written } => eye.hash(&(1u8, written)),
+                State::Writing { written } => hasher.hash(&(1u8, written)),
                 State::Connecting => {
-                    eye.word(2);
-                    eye.time(out.dial);
+                    hasher.word(2);
+                    hasher.time(out.dial);
                 }
-                State::New => eye.word(3),
-                State::Awaiting => eye.word(4),
-                State::Over => eye.word(5),
+                State::New => hasher.word(3),
+                State::Awaiting => hasher.word(4),
+                State::Over => hasher.word(5),
             }
-            eye.time(out.deadline);
+            hasher.time(out.deadline);
         }
-        for (n, open, hold) in self.hub.pool.gates() {
-            eye.hash(&(n, open));
-            eye.time(hold.max(self.now));
+        for (n, open, paused_until) in self.hub.pool.gates() {
+            hasher.hash(&(n, open));
+            hasher.time(paused_until.max(self.now));
         }
         for (n, c, since) in self.hub.pool.resting() {
-            eye.hash(&(n, self.closed.contains(c), self.spoilt.contains(c)));
-            eye.time(since);
+            hasher.hash(&(n, self.closed.contains(c), self.spoilt.contains(c)));
+            hasher.time(since);
         }
-        if self.case.lives > 1 {
+        if self.case.incarnations > 1 {
             for (n, entry) in &self.book().owed {
-                eye.hash(&(n, &entry.taken.id, entry.calls.len()));
+                hasher.hash(&(n, &entry.taken.id, entry.calls.len()));
                 for call in &entry.calls {
-                    eye.time(call.sent);
-                    eye.hash(&call.never_ran);
+                    hasher.time(call.sent);
+                    hasher.hash(&call.never_ran);
                 }
-                eye.hash(&entry.end.map(|e| format!("{e:?}")));
+                hasher.hash(&entry.end.map(|e| format!("{e:?}")));
             }
         }
         for m in &self.monitor.messages {
-            eye.hash(&(m.class, m.dest, m.key, m.taken, m.notice, m.delivered, m.over, m.settled));
-            eye.time(m.deadline);
-            for s in &m.sent {
-                eye.hash(&(s.life, s.attempt, s.never, s.open, s.last.is_some()));
-                eye.time(s.first);
+            hasher.hash(&(m.class, m.dest, m.key, m.acceptance, m.notice, m.delivered, m.gone, m.settled));
+            hasher.time(m.deadline);
+            for s in &m.calls {
+                hasher.hash(&(s.incarnation, s.attempt, s.never_ran, s.open, s.last.is_some()));
+                hasher.time(s.first);
             }
         }
-        for (n, told) in &self.monitor.drains {
-            eye.hash(n);
+        for (n, announced_at) in &self.monitor.drains {
+            hasher.hash(n);
             // Past the limit a drain is one that holds.
-            eye.time((*told).max(self.now.saturating_sub(DRAIN_LATE + 1)));
+            hasher.time((*announced_at).max(self.now.saturating_sub(DRAIN_GRACE + 1)));
         }
         for (dest, (from, until)) in self.monitor.waits.iter().filter(|(_, (_, until))| *until > self.now) {
-            eye.hash(dest);
-            eye.time(*from);
-            eye.time(*until);
+            hasher.hash(dest);
+            hasher.time(*from);
+            hasher.time(*until);
         }
-        eye.time(if self.monitor.excused > self.now { self.monitor.excused } else { 0 });
+        hasher.time(if self.monitor.grace_until > self.now { self.monitor.grace_until } else { 0 });
     }
 
-    fn life_left(&self) -> (u8, Micros) {
-        match self.life {
-            Life::Up => (0, 0),
-            Life::Stopping { end } => (1, end - self.now),
-            Life::Down { until } => (2, until - self.now),
+    fn process_key(&self) -> (u8, Micros) {
+        match self.process {
+            ProcessState::Up => (0, 0),
+            ProcessState::Stopping { end } => (1, end - self.now),
+            ProcessState::Down { until } => (2, until - self.now),
         }
     }
 
     /// The state in a few lines, for a story.
     pub fn describe(&self) -> Vec<String> {
         let mut lines = Vec::new();
-        let at = |t: Micros| format!("{:.6} s", (t.saturating_sub(BEGIN)) as f64 / 1e6);
+        let at = |t: Micros| format!("{:.6} s", (t.saturating_sub(START)) as f64 / 1e6);
         for (n, m) in self.monitor.messages.iter().enumerate() {
             let sent: Vec<String> = m
-                .sent
+                .calls
                 .iter()
                 .map(|s| {
                     let last = s.last.map_or("not whole".into(), |t| format!("whole at {}", at(t)));
                     let fate = if s.open {
                         "open"
-                    } else if s.never {
+                    } else if s.never_ran {
                         "never ran"
                     } else {
                         "over"
@@ -1098,7 +1153,7 @@
                     format!("call {} from {}, {last}, {fate}", s.attempt, at(s.first))
                 })
                 .collect();
-            let end = match (m.delivered, m.over, m.notice) {
+            let end = match (m.delivered, m.gone, m.notice) {
                 (true, ..) => "delivered".to_string(),
                 (_, true, _) => "over".to_string(),
                 (.., Some(end)) => format!("{end:?}"),
@@ -1107,57 +1162,59 @@
             lines.push(format!(
                 "m{n}: {}, {:?}, until {}; {}; {end}",
                 CLASSES[m.class as usize],
-                m.taken,
+                m.acceptance,
                 at(m.deadline),
                 if sent.is_empty() { "not sent".into() } else { sent.join("; ") }
             ));
         }
         let out = self.calls.values();
-        lines.extend(out.map(|o| format!("{}: {:?}, to provider {}", which(o), o.call.state(), o.provider)));
+        lines.extend(
+            out.map(|o| format!("{}: {:?}, to provider {}", call_ref(o), o.call.state(), o.provider)),
+        );
         lines
     }
 }
 
-fn m_delivered(monitor: &Monitor, message: usize) -> bool {
+fn is_delivered(monitor: &Monitor, message: usize) -> bool {
     let m = &monitor.messages[message];
-    m.delivered || m.over
+    m.delivered || m.gone
 }
 
-fn message_of(id: &str) -> Option<usize> {
+fn message_index(id: &str) -> Option<usize> {
     id.strip_prefix('m').and_then(|n| n.parse().ok()).filter(|n| *n < MESSAGES_MAX)
 }
 
-fn which(out: &Out) -> Which {
-    Which { message: out.message as u64, attempt: out.call.order.call.attempt }
+fn call_ref(out: &OutstandingCall) -> CallRef {
+    CallRef { message: out.message as u64, attempt: out.call.order.call.attempt }
 }
 
 /// What a kind world does.
-pub fn is_kind(choice: Choice) -> bool {
+pub fn is_benign(action: Action) -> bool {
     matches!(
-        choice,
-        Choice::HandIn { .. }
-            | Choice::Up(_)
-            | Choice::Write(_, Written::Whole)
-            | Choice::Answer(_, Answer::Ok)
-            | Choice::Read(_)
-            | Choice::End(_)
-            | Choice::Deadline(_)
-            | Choice::CallTick(_)
-            | Choice::Tick
-            | Choice::WatchTick
-            | Choice::SendNotices
-            | Choice::Confirmed
-            | Choice::NoticeTick
-            | Choice::DiskFree
-            | Choice::Exit
-            | Choice::Start
-            | Choice::Pass { .. }
+        action,
+        Action::Submit { .. }
+            | Action::Connected(_)
+            | Action::Write(_, WriteExtent::Complete)
+            | Action::Answer(_, Answer::Ok)
+            | Action::ReadAnswer(_)
+            | Action::EndpointClosed(_)
+            | Action::Deadline(_)
+            | Action::CallTick(_)
+            | Action::Tick
+            | Action::WatchTick
+            | Action::SendNotices
+            | Action::Confirmed
+            | Action::NoticeTick
+            | Action::DiskFree
+            | Action::Exit
+            | Action::Start
+            | Action::AdvanceClock { .. }
     )
 }
 
 /// The list at a version, whole but for the lines that are left out.
-fn told_of(list: &[Line], version: u64, told: impl Fn(&Line) -> bool) -> ProviderList {
-    let lines = list.iter().enumerate().filter(|(_, line)| told(line));
+fn list_update(list: &[ListEntry], version: u64, included: impl Fn(&ListEntry) -> bool) -> ProviderList {
+    let lines = list.iter().enumerate().filter(|(_, line)| included(line));
     let providers = lines.map(|(n, line)| Provider {
         id: format!("p{n}"),
         addr: Some(SocketAddr::from(([127, 0, 0, 1], line.port))),
@@ -1179,6 +1236,6 @@
 fn restore(case: &Case, store: Memory, known: ProviderList, now: Micros) -> Result<Restored, String> {
     let env = case.env().map_err(|e| e.to_string())?;
     let (router, steps) =
-        Router::open(&env, case.seed, known, store, DISK, now).map_err(|e| e.to_string())?;
+        Router::open(&env, case.seed, known, store, DISK_BYTES, now).map_err(|e| e.to_string())?;
     Ok((Hub::new(router, Pool::new(15_000_000, 100)), steps))
 }
