--- a/explore/tests/command.rs
+++ b/explore/tests/command.rs
@@ -7,38 +7,38 @@
     Command::new(env!("CARGO_BIN_EXE_quillmount-explore")).args(arguments).output().unwrap()
 }
 
-fn found(name: &str) -> PathBuf {
+fn fixture_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/found").join(name)
 }
 
-fn scratch(name: &str, text: &str) -> PathBuf {
+fn temporary_file(name: &str, text: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("quillmount-explore-{}-{name}", std::process::id()));
     std::fs::write(&path, text).unwrap();
     path
 }
 
-fn said(output: &Output) -> String {
+fn stdout(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
 #[test]
-fn a_case_that_holds_exits_0_and_one_that_was_cut_short_never_says_so() {
-    let holds = explore(&["check", "--messages", "1", "--events", "refuse,timeout"]);
-    assert_eq!(holds.status.code(), Some(0), "{holds:?}");
-    assert!(said(&holds).contains("holds"));
+fn a_verified_case_exits_0_and_a_stopped_search_never_claims_to_be_verified() {
+    let verified = explore(&["check", "--messages", "1", "--events", "refuse,timeout"]);
+    assert_eq!(verified.status.code(), Some(0), "{verified:?}");
+    assert!(stdout(&verified).contains("holds"));
     let stopped = explore(&["check", "--messages", "3", "--time", "1ms"]);
     assert_eq!(stopped.status.code(), Some(3), "{stopped:?}");
-    assert!(!said(&stopped).contains("holds") && said(&stopped).contains("the time was up"));
+    assert!(!stdout(&stopped).contains("holds") && stdout(&stopped).contains("the time was up"));
     let full = explore(&["check", "--messages", "3", "--memory", "1"]);
     assert_eq!(full.status.code(), Some(3), "{full:?}");
-    assert!(!said(&full).contains("holds") && said(&full).contains("the memory was up"));
+    assert!(!stdout(&full).contains("holds") && stdout(&full).contains("the memory was up"));
 }
 
 #[test]
-fn a_search_comes_to_the_same_figures_on_any_number_of_threads() {
+fn a_search_has_the_same_result_on_any_number_of_threads() {
     let figures = |threads: &str| {
         let output = explore(&["check", "--messages", "1", "--threads", threads]);
-        let text = said(&output);
+        let text = stdout(&output);
         let mut parts = text.split(", ").map(str::to_string);
         (parts.next(), parts.next(), parts.next())
     };
@@ -46,13 +46,13 @@
 }
 
 #[test]
-fn bad_input_is_told_on_one_line_with_exit_2() {
-    let wrong_version = std::fs::read_to_string(found("lost_wake.json")).unwrap();
+fn bad_input_is_reported_on_one_line_with_exit_2() {
+    let wrong_version = std::fs::read_to_string(fixture_path("lost_wake.json")).unwrap();
     let wrong_version = wrong_version.replacen("\"version\": 1", "\"version\": 7", 1);
-    let other = scratch("other.json", &wrong_version);
-    let half = scratch("half.json", "{\"version\": 1, \"case\"");
-    let none = scratch("none.json", "{}");
-    let field = scratch("field.json", "{\"version\": 1, \"way\": []}");
+    let other = temporary_file("other.json", &wrong_version);
+    let half = temporary_file("half.json", "{\"version\": 1, \"case\"");
+    let none = temporary_file("none.json", "{}");
+    let field = temporary_file("field.json", "{\"version\": 1, \"way\": []}");
     let text = |path: &PathBuf| path.display().to_string();
     let cases: [(&[&str], &str); 9] = [
         (&["check", "--events", "drain,fog"], "no event is named \"fog\""),
@@ -75,8 +75,8 @@
 }
 
 #[test]
-fn a_path_that_is_broken_no_more_exits_0_or_says_which_move_is_gone() {
-    let output = explore(&["replay", &found("lost_wake.json").display().to_string()]);
+fn a_path_without_a_violation_exits_0_or_names_the_move_that_is_not_enabled() {
+    let output = explore(&["replay", &fixture_path("lost_wake.json").display().to_string()]);
     assert_eq!(output.status.code(), Some(2), "its ninth move is not open any more: {output:?}");
     assert!(
         String::from_utf8_lossy(&output.stderr).contains("move 9: the module is woken: is not open there")
@@ -86,18 +86,18 @@
 /// With a break in the code: a counterexample is told, kept, played again, and shrunk.
 #[cfg(feature = "breaks")]
 #[test]
-fn a_counterexample_is_kept_played_again_and_shrunk() {
-    let path = scratch("broken.json", "");
+fn a_counterexample_is_written_replayed_and_shrunk() {
+    let path = temporary_file("broken.json", "");
     let name = path.display().to_string();
     let case = ["--messages", "1", "--endpoints", "1", "--events", "reset", "--break", "retry-after-reset"];
     let check = explore(&[&["check", "--json", &name][..], &case].concat());
     assert_eq!(check.status.code(), Some(1), "{check:?}");
-    let story = said(&check);
+    let story = stdout(&check);
     assert!(story.contains("broken at move 6: no-repeat: call 1 of m0, a debit"), "{story}");
     for command in ["replay", "shrink", "replay"] {
         let output = explore(&[command, &name]);
         assert_eq!(output.status.code(), Some(1), "{output:?}");
-        assert!(said(&output).contains("no-repeat"));
+        assert!(stdout(&output).contains("no-repeat"));
     }
     std::fs::remove_file(path).unwrap();
 }
--- a/explore/tests/found.rs
+++ b/explore/tests/found.rs
@@ -1,14 +1,14 @@
 //! Counterexamples that the exploration found in the program: their paths must lead to no break any more,
 //! and must lead to it again where the defect is put back.
 
+use quillmount_explore::action::Transition;
 use quillmount_explore::case::Case;
-use quillmount_explore::choice::Move;
 use quillmount_explore::monitor::Violation;
 use quillmount_explore::search::play;
 use std::sync::Arc;
 
 /// Each path, and the break that puts its defect back.
-const FOUND: [(&str, &str); 6] = [
+const COUNTEREXAMPLES: [(&str, &str); 6] = [
     ("lost_wake", "lost-wake"),
     ("repeat_past_its_span", "repeat-late"),
     ("sent_after_its_end", "send-after-end"),
@@ -18,17 +18,17 @@
 ];
 
 #[derive(serde::Deserialize)]
-struct File {
+struct CounterexampleFile {
     case: Case,
     violation: Violation,
-    path: Vec<Move>,
+    path: Vec<Transition>,
 }
 
 #[test]
-fn what_was_found_is_broken_no_more() {
-    for (name, defect) in FOUND {
+fn recorded_counterexamples_no_longer_violate_a_property() {
+    for (name, defect) in COUNTEREXAMPLES {
         let path = format!("{}/tests/found/{name}.json", env!("CARGO_MANIFEST_DIR"));
-        let file: File = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
+        let file: CounterexampleFile = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
         let case = Arc::new(file.case);
         // A move that is not open any more ends the path: the fix has taken it away.
         if let Ok(Some((n, violation))) = play(&case, &file.path, |_, _, _| {}) {
--- a/explore/tests/orders.rs
+++ b/explore/tests/orders.rs
@@ -1,19 +1,19 @@
 //! The worlds of their own: no order of what happens to consumers at the door, or to a streamed body, breaks a rule.
 
-use quillmount_explore::{consumers, streams};
+use quillmount_explore::{clients, streams};
 
 /// Guards against a request that is lost with its connection, where room is short or the courier stops.
 #[test]
-fn no_order_of_two_consumers_at_a_table_for_one_loses_a_request() {
-    let found = consumers::explore(2, 2, 1);
-    assert_eq!(found.broken, None);
+fn no_order_of_events_of_two_clients_with_one_connection_slot_loses_a_request() {
+    let found = clients::explore(2, 2, 1);
+    assert_eq!(found.counterexample, None);
     assert!(found.states > 100, "{found:?}");
 }
 
 #[test]
-fn no_order_makes_a_short_body_whole_or_sends_half_a_debit_twice() {
+fn no_order_of_events_completes_a_short_body_or_repeats_a_partial_debit() {
     let size = streams::Size { class: 0, chunked: false, attempts: 1, kills: false, bodies: 1 };
     let found = streams::explore(size).unwrap();
-    assert!(found.broken.is_none(), "{found:?}");
+    assert!(found.counterexample.is_none(), "{found:?}");
     assert!(found.states > 1_000, "{found:?}");
 }
--- a/standins/src/audit.rs
+++ b/standins/src/audit.rs
@@ -9,10 +9,10 @@
 mod finding;
 mod settlements;
 
-pub use finding::{Finding, SeenCall, SettlementFault};
-pub use settlements::{Outcome, Position, SettlementEnd};
+pub use finding::{CallEvidence, Finding, SettlementFault};
+pub use settlements::{SettlementEnd, SettlementOutcome, SettlementPosition};
 
-use crate::record::Body;
+use crate::record::BodyDigest;
 use quillmount_core::journal::{Book, End, Record, Records};
 use spurshore::Micros;
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,7 +22,7 @@
 
 /// What may be done with a class's messages a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Class {
+pub enum RepeatPolicy {
     /// Nothing once a call may have run.
     Once,
     /// With their key, and within so long of the first call that may have run.
@@ -33,9 +33,9 @@
 
 /// What the auditor goes by.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct AuditRules {
     /// One that is not here may not be repeated.
-    pub classes: BTreeMap<String, Class>,
+    pub classes: BTreeMap<String, RepeatPolicy>,
     /// A notice may come so long after its message's time.
     pub grace: Micros,
     /// A call may be seen so long after it was sent, and an answer heard so long after it was written.
@@ -47,12 +47,12 @@
     pub attrition: Micros,
 }
 
-impl Default for Terms {
+impl Default for AuditRules {
     /// The example's classes, and times for a loaded machine.
     fn default() -> Self {
-        let keyed = Class::Keyed { span: 6_000_000 };
-        Terms {
-            classes: [("fee-debit".into(), Class::Once), ("paid-notice".into(), keyed)].into(),
+        let keyed = RepeatPolicy::Keyed { span: 6_000_000 };
+        AuditRules {
+            classes: [("fee-debit".into(), RepeatPolicy::Once), ("paid-notice".into(), keyed)].into(),
             grace: 3_000_000,
             transit: 1_000_000,
             slack: 2_000_000,
@@ -63,20 +63,20 @@
 
 /// A message as a consumer handed it in; one may do so several times.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Handed {
+pub struct Submission {
     pub id: String,
     pub class: String,
     pub key: Option<String>,
     pub dest: u64,
-    pub body: Body,
+    pub body: BodyDigest,
     pub courier: usize,
-    pub asked: Micros,
+    pub submitted_at: Micros,
     pub time_left: Micros,
     /// When it was answered, and with which status; 0: the connection broke.
     pub answered: Option<(Micros, u16)>,
 }
 
-impl Handed {
+impl Submission {
     /// It was told that the message is taken on, now or before.
     fn taken_on(&self) -> Option<Micros> {
         self.answered.filter(|(_, status)| matches!(status, 200 | 202)).map(|(at, _)| at)
@@ -90,11 +90,11 @@
 
 /// A call as its partner saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct ObservedCall {
     pub id: String,
     pub key: Option<String>,
     pub dest: u64,
-    pub body: Body,
+    pub body: BodyDigest,
     pub courier: usize,
     pub connection: u64,
     /// Its head came.
@@ -108,7 +108,7 @@
     pub unheard: bool,
 }
 
-impl Seen {
+impl ObservedCall {
     fn delivered(&self) -> Option<Micros> {
         self.answered.filter(|(_, status)| *status == 200).map(|(at, _)| at)
     }
@@ -126,7 +126,7 @@
 
 /// What a partner has open from a moment on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Connections {
+pub struct ConnectionCount {
     pub partner: usize,
     pub at: Micros,
     pub open: usize,
@@ -171,7 +171,7 @@
 
 /// For this time a courier may not have heard or written down what it should: it was lost, paused or cut off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Trouble {
+pub struct FaultWindow {
     pub courier: usize,
     pub from: Micros,
     /// `None`: it lasts.
@@ -181,182 +181,201 @@
 /// All that is known of a run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    pub terms: Terms,
+    pub rules: AuditRules,
     /// When it was written: what was not due by then is not missed.
     pub at: Micros,
-    pub handed: Vec<Handed>,
-    pub seen: Vec<Seen>,
+    pub submissions: Vec<Submission>,
+    pub calls: Vec<ObservedCall>,
     pub notices: Vec<Notice>,
-    pub connections: Vec<Connections>,
+    pub connections: Vec<ConnectionCount>,
     /// A partner without one may be called over any number.
     pub budgets: Vec<Budget>,
     /// All couriers', or none: then what is not due is not looked for.
     pub journals: Vec<Journal>,
     pub seals: Vec<Seal>,
-    pub troubles: Vec<Trouble>,
-    pub positions: Vec<Position>,
+    pub fault_windows: Vec<FaultWindow>,
+    pub positions: Vec<SettlementPosition>,
     pub ends: Vec<SettlementEnd>,
 }
 
 impl History {
     /// The courier may have missed an answer that was written then, or may write late what it began then.
-    fn troubled(&self, courier: usize, from: Micros, to: Micros) -> bool {
-        let slack = self.terms.slack;
-        self.troubles.iter().any(|trouble| {
-            let end = trouble.to.map_or(Micros::MAX, |end| end.saturating_add(slack));
-            trouble.courier == courier && trouble.from.saturating_sub(slack) <= to && from <= end
+    fn in_fault_window(&self, courier: usize, from: Micros, to: Micros) -> bool {
+        let slack = self.rules.slack;
+        self.fault_windows.iter().any(|window| {
+            let end = window.to.map_or(Micros::MAX, |end| end.saturating_add(slack));
+            window.courier == courier && window.from.saturating_sub(slack) <= to && from <= end
         })
     }
 }
 
 /// What is known of one message.
 #[derive(Default)]
-struct Story<'a> {
-    handed: Vec<&'a Handed>,
-    seen: Vec<&'a Seen>,
+struct MessageHistory<'a> {
+    submissions: Vec<&'a Submission>,
+    calls: Vec<&'a ObservedCall>,
     notices: Vec<&'a Notice>,
 }
 
 /// Every rule that was broken, in the order of messages, then partners, journals and settlements.
 pub fn audit(history: &History) -> Vec<Finding> {
-    let mut stories: BTreeMap<&str, Story> = BTreeMap::new();
-    for handed in &history.handed {
-        stories.entry(&handed.id).or_default().handed.push(handed);
+    let mut messages_by_id: BTreeMap<&str, MessageHistory> = BTreeMap::new();
+    for submission in &history.submissions {
+        messages_by_id.entry(&submission.id).or_default().submissions.push(submission);
     }
-    for seen in &history.seen {
-        stories.entry(&seen.id).or_default().seen.push(seen);
+    for observed in &history.calls {
+        messages_by_id.entry(&observed.id).or_default().calls.push(observed);
     }
     for notice in &history.notices {
-        stories.entry(&notice.id).or_default().notices.push(notice);
+        messages_by_id.entry(&notice.id).or_default().notices.push(notice);
     }
-    let books = Books::read(&history.journals);
+    let journal_index = JournalIndex::read(&history.journals);
     let mut found = Vec::new();
-    for (id, story) in &mut stories {
-        story.handed.sort_by_key(|handed| handed.asked);
-        story.seen.sort_by_key(|seen| (seen.began, seen.connection));
-        story.notices.sort_by_key(|notice| notice.at);
-        ends(id, story, history, &books, &mut found);
-        calls(id, story, history, &mut found);
-        seals(id, story, history, &mut found);
+    for (id, message) in &mut messages_by_id {
+        message.submissions.sort_by_key(|submission| submission.submitted_at);
+        message.calls.sort_by_key(|observed| (observed.began, observed.connection));
+        message.notices.sort_by_key(|notice| notice.at);
+        ends(id, message, history, &journal_index, &mut found);
+        calls(id, message, history, &mut found);
+        seals(id, message, history, &mut found);
     }
     budgets(history, &mut found);
-    books.check(history, &stories, &mut found);
+    journal_index.check(history, &messages_by_id, &mut found);
     settlements::check(&history.positions, &history.ends, &mut found);
     found
 }
 
 /// One end for each message that was taken on, and none for another.
-fn ends(id: &str, story: &Story, history: &History, books: &Books, found: &mut Vec<Finding>) {
-    let (id, terms) = (id.to_string(), &history.terms);
-    let Some(first) = story.handed.first() else {
-        let (calls, notices) = (story.seen.len(), story.notices.len());
+fn ends(
+    id: &str,
+    message: &MessageHistory,
+    history: &History,
+    journal_index: &JournalIndex,
+    found: &mut Vec<Finding>,
+) {
+    let (id, rules) = (id.to_string(), &history.rules);
+    let Some(first) = message.submissions.first() else {
+        let (calls, notices) = (message.calls.len(), message.notices.len());
         found.push(Finding::Unknown { id, calls, notices });
         return;
     };
-    let delivered = story.seen.iter().any(|seen| seen.delivered().is_some());
-    if story.handed.iter().all(|handed| handed.refused()) && (story.seen.len() + story.notices.len()) > 0 {
-        let (calls, notices) = (story.seen.len(), story.notices.len());
+    let delivered = message.calls.iter().any(|observed| observed.delivered().is_some());
+    if message.submissions.iter().all(|submission| submission.refused())
+        && (message.calls.len() + message.notices.len()) > 0
+    {
+        let (calls, notices) = (message.calls.len(), message.notices.len());
         let status = first.answered.map_or(0, |(_, status)| status);
         found.push(Finding::RefusedButEnded { id: id.clone(), status, calls, notices });
     }
-    let told_delivered = story.handed.iter().find(|handed| handed.answered.is_some_and(|a| a.1 == 200));
-    if let Some(told) = told_delivered.filter(|_| !delivered) {
-        found.push(Finding::NotDelivered { id: id.clone(), courier: told.courier });
+    let reported_delivered =
+        message.submissions.iter().find(|submission| submission.answered.is_some_and(|a| a.1 == 200));
+    if let Some(submission) = reported_delivered.filter(|_| !delivered) {
+        found.push(Finding::NotDelivered { id: id.clone(), courier: submission.courier });
     }
-    for pair in story.notices.windows(2) {
+    for pair in message.notices.windows(2) {
         if pair[0].status != pair[1].status {
             let (first, second) = (pair[0].status.clone(), pair[1].status.clone());
             let couriers = (pair[0].courier, pair[1].courier);
-            found.push(Finding::ToldTwice { id: id.clone(), first, second, couriers });
+            found.push(Finding::ConflictingNotices { id: id.clone(), first, second, couriers });
         }
     }
     // About the end of its time a delivery may count or not, and its end is told too.
-    let ends = story.handed.iter().filter_map(|handed| Some(handed.answered?.0 + handed.time_left)).max();
+    let ends = message
+        .submissions
+        .iter()
+        .filter_map(|submission| Some(submission.answered?.0 + submission.time_left))
+        .max();
     let close = |at: Micros| ends.is_some_and(|ends| at + CLOSE >= ends);
-    let heard = |seen: &&&Seen| {
-        let at = seen.delivered().filter(|at| !seen.unheard && !close(*at));
-        at.is_some_and(|at| !history.troubled(seen.courier, seen.began, at))
+    let was_heard = |observed: &&&ObservedCall| {
+        let at = observed.delivered().filter(|at| !observed.unheard && !close(*at));
+        at.is_some_and(|at| !history.in_fault_window(observed.courier, observed.began, at))
     };
-    if let (Some(notice), Some(call)) = (story.notices.first(), story.seen.iter().find(heard)) {
-        let (call, status, told) = (SeenCall::of(call), notice.status.clone(), notice.at);
-        found.push(Finding::EndedTwice { id: id.clone(), call, status, told });
+    if let (Some(notice), Some(call)) = (message.notices.first(), message.calls.iter().find(was_heard)) {
+        let (call, status, notified_at) = (CallEvidence::of(call), notice.status.clone(), notice.at);
+        found.push(Finding::EndedTwice { id: id.clone(), call, status, notified_at });
     }
-    let taken =
-        story.handed.iter().filter_map(|handed| Some((handed.taken_on()?, handed))).min_by_key(|t| t.0);
+    let taken = message
+        .submissions
+        .iter()
+        .filter_map(|submission| Some((submission.taken_on()?, submission)))
+        .min_by_key(|t| t.0);
     let Some((at, taken)) = taken else { return };
-    if delivered || !story.notices.is_empty() {
+    if delivered || !message.notices.is_empty() {
         return;
     }
     let deadline = at + taken.time_left;
     let courier = taken.courier;
-    if history.at > deadline + terms.grace {
+    if history.at > deadline + rules.grace {
         found.push(Finding::Lost { id, courier, taken: at, deadline });
-    } else if !history.journals.is_empty() && !books.known.contains(&id) {
+    } else if !history.journals.is_empty() && !journal_index.known.contains(&id) {
         found.push(Finding::Forgotten { id, courier, taken: at });
     }
 }
 
 /// No call that is not allowed, and each with what was handed in.
-fn calls(id: &str, story: &Story, history: &History, found: &mut Vec<Finding>) {
-    let Some(handed) = story.handed.first() else { return };
-    let (id, terms) = (id.to_string(), &history.terms);
-    for seen in &story.seen {
-        let call = SeenCall::of(seen);
-        if !story.handed.iter().any(|handed| handed.dest == seen.dest) {
-            found.push(Finding::WrongPartner { id: id.clone(), call: call.clone(), dest: handed.dest });
+fn calls(id: &str, message: &MessageHistory, history: &History, found: &mut Vec<Finding>) {
+    let Some(submission) = message.submissions.first() else { return };
+    let (id, rules) = (id.to_string(), &history.rules);
+    for observed in &message.calls {
+        let call = CallEvidence::of(observed);
+        if !message.submissions.iter().any(|submission| submission.dest == observed.dest) {
+            found.push(Finding::WrongPartner { id: id.clone(), call: call.clone(), dest: submission.dest });
         }
-        if !story.handed.iter().any(|handed| handed.key == seen.key) {
-            let key = handed.key.clone();
+        if !message.submissions.iter().any(|submission| submission.key == observed.key) {
+            let key = submission.key.clone();
             found.push(Finding::KeyChanged {
                 id: id.clone(),
                 call: call.clone(),
                 key,
-                was: seen.key.clone(),
+                was: observed.key.clone(),
             });
         }
-        if seen.whole && !story.handed.iter().any(|handed| handed.body == seen.body) {
+        if observed.whole && !message.submissions.iter().any(|submission| submission.body == observed.body) {
             found.push(Finding::BodyChanged { id: id.clone(), call: call.clone() });
         }
         // Its time began when the courier had read it: before it answered, or nobody knows when.
-        let ends = |handed: &&Handed| Some(handed.answered?.0 + handed.time_left);
-        let ends: Option<Vec<Micros>> = story.handed.iter().map(ends).collect();
+        let ends = |submission: &&Submission| Some(submission.answered?.0 + submission.time_left);
+        let ends: Option<Vec<Micros>> = message.submissions.iter().map(ends).collect();
         let last = ends.and_then(|ends| ends.into_iter().max());
-        if let Some(deadline) = last.filter(|last| seen.began > last + terms.transit) {
+        if let Some(deadline) = last.filter(|last| observed.began > last + rules.transit) {
             found.push(Finding::CalledLate { id: id.clone(), call: call.clone(), deadline });
         }
-        let told = story.notices.first().filter(|notice| seen.began > notice.at + terms.transit);
-        if let Some(notice) = told
-            && !history.troubled(seen.courier, notice.at, seen.began)
+        let earlier = message.notices.first().filter(|notice| observed.began > notice.at + rules.transit);
+        if let Some(notice) = earlier
+            && !history.in_fault_window(observed.courier, notice.at, observed.began)
         {
-            let (status, told) = (notice.status.clone(), notice.at);
-            found.push(Finding::CalledAfterEnd { id: id.clone(), call, status, told });
+            let (status, notified_at) = (notice.status.clone(), notice.at);
+            found.push(Finding::CalledAfterEnd { id: id.clone(), call, status, notified_at });
         }
     }
-    let runs: Vec<&Seen> = story.seen.iter().copied().filter(|seen| seen.ran).collect();
-    let Some((first, again)) = runs.split_first() else { return };
-    let class = terms.classes.get(&handed.class).copied().unwrap_or(Class::Once);
-    for call in again {
+    let runs: Vec<&ObservedCall> = message.calls.iter().copied().filter(|observed| observed.ran).collect();
+    let Some((first, repeat)) = runs.split_first() else { return };
+    let class = rules.classes.get(&submission.class).copied().unwrap_or(RepeatPolicy::Once);
+    for call in repeat {
         let id = id.clone();
-        let (first, again, after) = (SeenCall::of(first), SeenCall::of(call), call.began - first.began);
+        let (first, repeat, after) =
+            (CallEvidence::of(first), CallEvidence::of(call), call.began - first.began);
         match class {
-            Class::Safe => {}
-            Class::Keyed { span } if call.key.is_some() && after <= span => {}
-            Class::Keyed { span } if call.key.is_some() => {
-                found.push(Finding::RepeatedLate { id, first, again, after, span });
+            RepeatPolicy::Safe => {}
+            RepeatPolicy::Keyed { span } if call.key.is_some() && after <= span => {}
+            RepeatPolicy::Keyed { span } if call.key.is_some() => {
+                found.push(Finding::RepeatedLate { id, first, repeat, after, span });
+            }
+            RepeatPolicy::Keyed { .. } | RepeatPolicy::Once => {
+                found.push(Finding::RanTwice { id, first, repeat })
             }
-            Class::Keyed { .. } | Class::Once => found.push(Finding::RanTwice { id, first, again }),
         }
     }
 }
 
 /// Nothing is sent by a courier whose book was sealed, but what the copies knew of.
-fn seals(id: &str, story: &Story, history: &History, found: &mut Vec<Finding>) {
+fn seals(id: &str, message: &MessageHistory, history: &History, found: &mut Vec<Finding>) {
     for seal in &history.seals {
         let Some(known) = seal.messages.get(id) else { continue };
-        let of = story.seen.iter().filter(|seen| seen.courier == seal.courier);
-        for (n, seen) in of.enumerate() {
-            if seen.began > seal.at && n >= *known {
-                let (id, call) = (id.to_string(), SeenCall::of(seen));
+        let of = message.calls.iter().filter(|observed| observed.courier == seal.courier);
+        for (n, observed) in of.enumerate() {
+            if observed.began > seal.at && n >= *known {
+                let (id, call) = (id.to_string(), CallEvidence::of(observed));
                 found.push(Finding::SentAfterSeal { id, call, sealed: seal.at, known: *known });
             }
         }
@@ -371,29 +390,29 @@
         budgets.sort_by_key(|budget| budget.from);
         // The most that held at any moment of the attrition before.
         let allowed = |at: Micros| {
-            let since = at.saturating_sub(history.terms.attrition);
+            let since = at.saturating_sub(history.rules.attrition);
             let until = |n: usize| budgets.get(n + 1).map_or(Micros::MAX, |next| next.from);
-            let held = budgets.iter().enumerate().filter(|(n, b)| b.from <= at && until(*n) > since);
-            held.map(|(_, b)| b.most).max()
+            let in_force = budgets.iter().enumerate().filter(|(n, b)| b.from <= at && until(*n) > since);
+            in_force.map(|(_, b)| b.most).max()
         };
-        let mut events: Vec<Connections> =
+        let mut events: Vec<ConnectionCount> =
             history.connections.iter().filter(|event| event.partner == partner).copied().collect();
         // Stable: what happened in one microsecond stays in its order.
         events.sort_by_key(|event| event.at);
-        let met = budgets.iter().map(|budget| budget.from + history.terms.attrition);
+        let met = budgets.iter().map(|budget| budget.from + history.rules.attrition);
         let looks = met.filter(|at| *at <= history.at).map(|at| {
             let open = events.iter().rfind(|event| event.at <= at).map_or(0, |event| event.open);
-            Connections { partner, at, open }
+            ConnectionCount { partner, at, open }
         });
-        let mut moments: Vec<Connections> = events.iter().copied().chain(looks).collect();
+        let mut moments: Vec<ConnectionCount> = events.iter().copied().chain(looks).collect();
         moments.sort_by_key(|event| event.at);
         // One finding for each time that it goes over.
         let mut over = false;
-        for Connections { at, open, .. } in moments {
+        for ConnectionCount { at, open, .. } in moments {
             let most = allowed(at);
             let goes = most.is_some_and(|most| open > most);
             if goes && !over {
-                found.push(Finding::OverBudget { partner, at, open, most: most.unwrap_or(0) });
+                found.push(Finding::BudgetExceeded { partner, at, open, most: most.unwrap_or(0) });
             }
             over = goes;
         }
@@ -401,14 +420,14 @@
 }
 
 /// The journals, read.
-struct Books<'a> {
+struct JournalIndex<'a> {
     /// Ids that any of them still tells of.
     known: BTreeSet<String>,
     own: Vec<(&'a Journal, Book, usize)>,
 }
 
-impl<'a> Books<'a> {
-    fn read(journals: &'a [Journal]) -> Books<'a> {
+impl<'a> JournalIndex<'a> {
+    fn read(journals: &'a [Journal]) -> JournalIndex<'a> {
         let (mut known, mut own) = (BTreeSet::new(), Vec::new());
         for journal in journals {
             let (book, sound) = Book::read(&journal.bytes);
@@ -418,15 +437,20 @@
                 own.push((journal, book, sound));
             }
         }
-        Books { known, own }
+        JournalIndex { known, own }
     }
 
-    fn check(&self, history: &History, stories: &BTreeMap<&str, Story>, found: &mut Vec<Finding>) {
+    fn check(
+        &self,
+        history: &History,
+        messages_by_id: &BTreeMap<&str, MessageHistory>,
+        found: &mut Vec<Finding>,
+    ) {
         let mut owners: BTreeMap<&str, BTreeSet<usize>> = BTreeMap::new();
         for (journal, book, sound) in &self.own {
             let courier = journal.courier;
             // Of one that was killed the last record may be half there, until it starts again.
-            let lost = history.troubles.iter().any(|t| t.courier == courier && t.to.is_none());
+            let lost = history.fault_windows.iter().any(|t| t.courier == courier && t.to.is_none());
             if *sound < journal.bytes.len() && !lost {
                 let len = journal.bytes.len();
                 found.push(Finding::TornRecord { courier, sound: *sound, len });
@@ -438,14 +462,14 @@
                 if entry.end.is_none() && !sealed(id) {
                     owners.entry(id).or_default().insert(courier);
                 }
-                let seen = stories.get(id).map_or(&[][..], |story| &story.seen);
-                let calls = seen.iter().filter(|seen| seen.courier == courier).count();
+                let observed = messages_by_id.get(id).map_or(&[][..], |message| &message.calls);
+                let calls = observed.iter().filter(|observed| observed.courier == courier).count();
                 if calls > entry.calls.len() {
                     let (id, written) = (id.to_string(), entry.calls.len());
                     found.push(Finding::NotWritten { id, courier, calls, written });
                 }
             }
-            Books::steps(journal, &history.terms, found);
+            JournalIndex::steps(journal, &history.rules, found);
         }
         for (id, couriers) in owners.into_iter().filter(|(_, couriers)| couriers.len() > 1) {
             found.push(Finding::OwedTwice { id: id.into(), couriers: couriers.into_iter().collect() });
@@ -453,34 +477,34 @@
     }
 
     /// What a journal itself says was done.
-    fn steps(journal: &Journal, terms: &Terms, found: &mut Vec<Finding>) {
+    fn steps(journal: &Journal, rules: &AuditRules, found: &mut Vec<Finding>) {
         /// A message on the way: its id and class, its calls by whether they are known not to have run, its
         /// end.
-        type Way = (String, Class, Vec<bool>, Option<End>);
-        let mut owed: BTreeMap<_, Way> = BTreeMap::new();
+        type MessageProgress = (String, RepeatPolicy, Vec<bool>, Option<End>);
+        let mut owed: BTreeMap<_, MessageProgress> = BTreeMap::new();
         let courier = journal.courier;
         for (at, record) in Records::of(&journal.bytes) {
             match record {
                 Record::TakeOn { msg, taken } | Record::Stream { msg, taken } => {
-                    let class = terms.classes.get(&taken.class).copied().unwrap_or(Class::Once);
+                    let class = rules.classes.get(&taken.class).copied().unwrap_or(RepeatPolicy::Once);
                     owed.insert(msg, (taken.id, class, Vec::new(), None));
                 }
                 Record::Attempt { msg, .. } | Record::Sent { msg, .. } => {
                     let Some((id, class, calls, end)) = owed.get_mut(&msg) else { continue };
                     if end.is_some() {
                         found.push(Finding::WrittenAfterEnd { id: id.clone(), courier, byte: at });
-                    } else if *class == Class::Once && calls.contains(&false) {
+                    } else if *class == RepeatPolicy::Once && calls.contains(&false) {
                         found.push(Finding::WrittenTwice { id: id.clone(), courier, byte: at });
                     }
                     calls.push(false);
                 }
                 Record::Outcome { msg, attempt, never_ran } => {
-                    let call = owed.get_mut(&msg).and_then(|way| way.2.get_mut(attempt as usize));
+                    let call = owed.get_mut(&msg).and_then(|progress| progress.2.get_mut(attempt as usize));
                     call.into_iter().for_each(|call| *call = never_ran);
                 }
                 Record::End { msg, end } => {
-                    if let Some((.., told)) = owed.get_mut(&msg) {
-                        *told = Some(end);
+                    if let Some((.., recorded)) = owed.get_mut(&msg) {
+                        *recorded = Some(end);
                     }
                 }
                 Record::Told { .. } | Record::Over { .. } | Record::Hold { .. } | Record::Release { .. } => {}
--- a/standins/src/audit/finding.rs
+++ b/standins/src/audit/finding.rs
@@ -1,12 +1,12 @@
 //! What the auditor found, with its evidence.
 
-use super::Seen;
+use super::ObservedCall;
 use spurshore::Micros;
 use std::fmt;
 
 /// A call, as evidence.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SeenCall {
+pub struct CallEvidence {
     pub courier: usize,
     pub connection: u64,
     pub began: Micros,
@@ -14,16 +14,16 @@
     pub answered: Option<(Micros, u16)>,
 }
 
-impl SeenCall {
-    pub(super) fn of(seen: &Seen) -> SeenCall {
-        let Seen { courier, connection, began, ran, answered, .. } = *seen;
-        SeenCall { courier, connection, began, ran, answered }
+impl CallEvidence {
+    pub(super) fn of(observed: &ObservedCall) -> CallEvidence {
+        let ObservedCall { courier, connection, began, ran, answered, .. } = *observed;
+        CallEvidence { courier, connection, began, ran, answered }
     }
 }
 
-impl fmt::Display for SeenCall {
+impl fmt::Display for CallEvidence {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let SeenCall { courier, connection, began, ran, answered } = self;
+        let CallEvidence { courier, connection, began, ran, answered } = self;
         write!(f, "call of courier {courier} on connection {connection} at {began}")?;
         match answered {
             Some((at, status)) => write!(f, ", answered {status} at {at}")?,
@@ -49,27 +49,29 @@
     #[error("{id}: courier {courier} told its consumer that it is delivered, and no partner answered 200")]
     NotDelivered { id: String, courier: usize },
     #[error("{id}: the platform was told {first:?} and then {second:?}, by couriers {couriers:?}")]
-    ToldTwice { id: String, first: String, second: String, couriers: (usize, usize) },
-    #[error("{id}: delivered by a {call}, and the platform was told {status:?} at {told}")]
-    EndedTwice { id: String, call: SeenCall, status: String, told: Micros },
+    ConflictingNotices { id: String, first: String, second: String, couriers: (usize, usize) },
+    #[error("{id}: delivered by a {call}, and the platform was told {status:?} at {notified_at}")]
+    EndedTwice { id: String, call: CallEvidence, status: String, notified_at: Micros },
     #[error("{id}: a {call}, for destination {dest}, went to another's partner")]
-    WrongPartner { id: String, call: SeenCall, dest: u64 },
+    WrongPartner { id: String, call: CallEvidence, dest: u64 },
     #[error("{id}: a {call} had the key {was:?} in the place of {key:?}")]
-    KeyChanged { id: String, call: SeenCall, key: Option<String>, was: Option<String> },
+    KeyChanged { id: String, call: CallEvidence, key: Option<String>, was: Option<String> },
     #[error("{id}: a {call} had another body than was handed in")]
-    BodyChanged { id: String, call: SeenCall },
+    BodyChanged { id: String, call: CallEvidence },
     #[error("{id}: a {call} came after its time was up at {deadline}")]
-    CalledLate { id: String, call: SeenCall, deadline: Micros },
-    #[error("{id}: a {call} came after the platform was told {status:?} at {told}")]
-    CalledAfterEnd { id: String, call: SeenCall, status: String, told: Micros },
-    #[error("{id}: run again, which it must not be: first a {first}, then a {again}")]
-    RanTwice { id: String, first: SeenCall, again: SeenCall },
-    #[error("{id}: repeated after {after} us, beyond its span of {span} us: first a {first}, then a {again}")]
-    RepeatedLate { id: String, first: SeenCall, again: SeenCall, after: Micros, span: Micros },
+    CalledLate { id: String, call: CallEvidence, deadline: Micros },
+    #[error("{id}: a {call} came after the platform was told {status:?} at {notified_at}")]
+    CalledAfterEnd { id: String, call: CallEvidence, status: String, notified_at: Micros },
+    #[error("{id}: run again, which it must not be: first a {first}, then a {repeat}")]
+    RanTwice { id: String, first: CallEvidence, repeat: CallEvidence },
+    #[error(
+        "{id}: repeated after {after} us, beyond its span of {span} us: first a {first}, then a {repeat}"
+    )]
+    RepeatedLate { id: String, first: CallEvidence, repeat: CallEvidence, after: Micros, span: Micros },
     #[error("{id}: a {call} came after its book was sealed at {sealed}; the copies knew of {known}")]
-    SentAfterSeal { id: String, call: SeenCall, sealed: Micros, known: usize },
+    SentAfterSeal { id: String, call: CallEvidence, sealed: Micros, known: usize },
     #[error("partner {partner}: {open} connections at {at}, where {most} are allowed")]
-    OverBudget { partner: usize, at: Micros, open: usize, most: usize },
+    BudgetExceeded { partner: usize, at: Micros, open: usize, most: usize },
     #[error("journal of courier {courier}: sound for {sound} of {len} bytes")]
     TornRecord { courier: usize, sound: usize, len: usize },
     #[error("{id}: courier {courier} made {calls} calls and wrote {written} of them down")]
@@ -91,8 +93,8 @@
     OutOfOrder { position: u32, after: u32, at: Micros },
     #[error("position {position} came at {at}, and position {missing} never came before it")]
     Hole { position: u32, missing: u32, at: Micros },
-    #[error("position {position} was run twice, at {first} and at {again}")]
-    Twice { position: u32, first: Micros, again: Micros },
+    #[error("position {position} was run twice, at {first} and at {repeat}")]
+    Twice { position: u32, first: Micros, repeat: Micros },
     #[error("broken at {broken}, and position {position} came at {at}")]
     AfterBreak { broken: u32, position: u32, at: Micros },
     #[error("broken at {broken}, and position {missing} before it was not run")]
--- a/standins/src/consumer.rs
+++ b/standins/src/client.rs
@@ -1,6 +1,6 @@
 //! A consumer: hands in one invocation on a connection of its own, and reads the answer.
 
-use crate::http::{Head, Left, Reader};
+use crate::http::{BodyRemainder, Head, Reader};
 use bytes::Bytes;
 use std::io::{ErrorKind, Result};
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 
 /// An invocation as a consumer writes its head.
 #[derive(Clone, Debug)]
-pub struct Invocation {
+pub struct MessageRequest {
     pub class: String,
     pub id: String,
     pub key: Option<String>,
@@ -26,15 +26,15 @@
     pub headers: String,
 }
 
-impl Invocation {
+impl MessageRequest {
     pub fn new(class: &str, id: &str, dest: u64, time_left: Duration) -> Self {
         let (of, headers) = Default::default();
-        Invocation { class: class.into(), id: id.into(), key: None, dest, of, time_left, headers }
+        MessageRequest { class: class.into(), id: id.into(), key: None, dest, of, time_left, headers }
     }
 
     /// The head's bytes.
     pub fn head(&self) -> String {
-        let Invocation { class, id, dest, of, headers, .. } = self;
+        let MessageRequest { class, id, dest, of, headers, .. } = self;
         let key = self.key.as_ref().map(|key| format!("Idempotency-Key: {key}\r\n")).unwrap_or_default();
         let left = self.time_left.as_millis();
         format!(
@@ -48,9 +48,9 @@
 ///
 /// # Errors
 /// The connection broke, or no answer came.
-pub async fn hand_in(courier: SocketAddr, invocation: &Invocation, body: &[u8]) -> Result<Head> {
+pub async fn submit(courier: SocketAddr, message: &MessageRequest, body: &[u8]) -> Result<Head> {
     let mut stream = TcpStream::connect(courier).await?;
-    let mut with_length = invocation.clone();
+    let mut with_length = message.clone();
     with_length.headers += &format!("Content-Length: {}\r\n", body.len());
     stream.write_all(&[with_length.head().as_bytes(), body].concat()).await?;
     Reader::new(stream).head().await?.ok_or(ErrorKind::UnexpectedEof.into())
@@ -66,7 +66,7 @@
     stream.write_all(head.as_bytes()).await?;
     let mut reader = Reader::new(stream);
     let head = reader.head().await?.ok_or(ErrorKind::UnexpectedEof)?;
-    let (mut left, mut body) = (Left::from(head.framing()), Vec::new());
+    let (mut left, mut body) = (BodyRemainder::from(head.framing()), Vec::new());
     while let Some(part) = reader.body(&mut left, BLOCK).await? {
         body.extend_from_slice(&part);
     }
@@ -75,38 +75,38 @@
 
 /// A body as a consumer sends it.
 #[derive(Clone, Debug)]
-pub struct Script {
+pub struct BodyScript {
     pub bytes: u64,
     /// In chunks of this size; 0: with a length.
     pub chunk: usize,
     /// Bytes a second; 0: as fast as they are taken.
     pub rate: u64,
     /// It rests for so long at this byte.
-    pub pause: Option<(u64, Duration)>,
+    pub stall: Option<(u64, Duration)>,
     /// It ends the connection at this byte.
     pub cut_at: Option<u64>,
     /// It asks first, and waits for 100 before it sends the body.
-    pub asks: bool,
+    pub expects_continue: bool,
 }
 
-impl Script {
+impl BodyScript {
     pub fn of(bytes: u64) -> Self {
-        Script { bytes, chunk: 0, rate: 0, pause: None, cut_at: None, asks: false }
+        BodyScript { bytes, chunk: 0, rate: 0, stall: None, cut_at: None, expects_continue: false }
     }
 }
 
 /// What a consumer saw of its stream.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct StreamResult {
     /// The final answer; `None`: the connection ended without one.
     pub answer: Option<Head>,
     /// It was told 100.
-    pub went_on: bool,
+    pub continued: bool,
     /// Until the final answer, or the end.
     pub took: Duration,
 }
 
-impl Told {
+impl StreamResult {
     /// The answer's status; 0 without one.
     pub fn status(&self) -> u16 {
         self.answer.as_ref().map_or(0, Head::status)
@@ -138,26 +138,32 @@
 ///
 /// # Errors
 /// No connection came up.
-pub async fn stream(courier: SocketAddr, invocation: &Invocation, script: &Script) -> Result<Told> {
+pub async fn stream(
+    courier: SocketAddr,
+    message: &MessageRequest,
+    script: &BodyScript,
+) -> Result<StreamResult> {
     let begun = Instant::now();
     let stream = TcpStream::connect(courier).await?;
     stream.set_nodelay(true)?;
     let (from, mut to) = stream.into_split();
-    let mut with = invocation.clone();
+    let mut with = message.clone();
     with.headers += &match script.chunk {
         0 => format!("Content-Length: {}\r\n", script.bytes),
         _ => "Transfer-Encoding: chunked\r\n".to_string(),
     };
-    if script.asks {
+    if script.expects_continue {
         with.headers += "Expect: 100-continue\r\n";
     }
     let mut reader = Reader::new(from);
     to.write_all(with.head().as_bytes()).await?;
-    let mut went_on = false;
-    if script.asks {
+    let mut continued = false;
+    if script.expects_continue {
         match reader.head().await {
-            Ok(Some(head)) if head.status() == 100 => went_on = true,
-            answer => return Ok(Told { answer: answer.ok().flatten(), went_on, took: begun.elapsed() }),
+            Ok(Some(head)) if head.status() == 100 => continued = true,
+            answer => {
+                return Ok(StreamResult { answer: answer.ok().flatten(), continued, took: begun.elapsed() });
+            }
         }
     }
     let answer = {
@@ -176,23 +182,23 @@
         }
     };
     let answer = answer.and_then(|answer| answer.ok().flatten());
-    Ok(Told { answer, went_on, took: begun.elapsed() })
+    Ok(StreamResult { answer, continued, took: begun.elapsed() })
 }
 
 /// Sends the body; false: it was cut off as the script has it.
-async fn send(to: &mut (impl AsyncWrite + Unpin), script: &Script) -> Result<bool> {
+async fn send(to: &mut (impl AsyncWrite + Unpin), script: &BodyScript) -> Result<bool> {
     let (block, begun, mut sent) = (block(), Instant::now(), 0);
     let most = if script.rate > 0 { (script.rate / 20).max(1) } else { BLOCK as u64 };
     while sent < script.bytes {
         if script.cut_at.is_some_and(|at| sent >= at) {
             return Ok(false);
         }
-        if let Some((at, pause)) = script.pause
+        if let Some((at, stall)) = script.stall
             && sent == at
         {
-            sleep(pause).await;
+            sleep(stall).await;
         }
-        let marks = [Some(script.bytes), script.cut_at, script.pause.map(|(at, _)| at)];
+        let marks = [Some(script.bytes), script.cut_at, script.stall.map(|(at, _)| at)];
         let next = marks.into_iter().flatten().filter(|at| *at > sent).min().unwrap_or(script.bytes);
         let at = (sent % BLOCK as u64) as usize;
         let mut some = most.min(next - sent).min((BLOCK - at) as u64);
--- a/standins/src/courier.rs
+++ b/standins/src/courier.rs
@@ -24,7 +24,7 @@
     pub program: PathBuf,
     pub platform: SocketAddr,
     /// Each provider, by its destination.
-    pub providers: Vec<(u64, SocketAddr)>,
+    pub endpoints: Vec<(u64, SocketAddr)>,
     /// The operator file, if there is one.
     pub operator: Option<Value>,
     /// Put into the configuration as JSON merge does, one level deep in `limits` and `settings`.
@@ -43,13 +43,13 @@
 }
 
 impl Setup {
-    pub fn new(program: impl Into<PathBuf>, platform: SocketAddr, providers: Vec<(u64, SocketAddr)>) -> Self {
+    pub fn new(program: impl Into<PathBuf>, platform: SocketAddr, endpoints: Vec<(u64, SocketAddr)>) -> Self {
         let program = program.into();
         let levels = "info".into();
         Setup {
             program,
             platform,
-            providers,
+            endpoints,
             operator: None,
             slots: 8,
             open_cap: 100,
@@ -75,25 +75,25 @@
 }
 
 /// A courier's process that another has followed, or that has only begun; dropped, it is killed.
-pub struct Former {
+pub struct PreviousProcess {
     child: Child,
     pub operators: Option<SocketAddr>,
     pub log: Receiver<String>,
 }
 
-impl Drop for Former {
+impl Drop for PreviousProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-impl Former {
+impl PreviousProcess {
     /// SIGTERM.
     ///
     /// # Errors
     /// It is gone.
-    pub fn term(&self) -> Result<()> {
+    pub fn send_sigterm(&self) -> Result<()> {
         signal(&self.child, Signal::TERM)
     }
 
@@ -101,7 +101,7 @@
     ///
     /// # Errors
     /// It is gone.
-    pub fn hang_up(&self) -> Result<()> {
+    pub fn send_sighup(&self) -> Result<()> {
         signal(&self.child, Signal::HUP)
     }
 
@@ -118,8 +118,8 @@
     ///
     /// # Errors
     /// It did not end in time.
-    pub async fn ended(&mut self) -> Result<ExitStatus> {
-        ended(&mut self.child).await
+    pub async fn wait_for_exit(&mut self) -> Result<ExitStatus> {
+        wait_for_exit(&mut self.child).await
     }
 }
 
@@ -127,7 +127,7 @@
     kill_process(Pid::from_child(child), signal).map_err(Error::from)
 }
 
-async fn ended(child: &mut Child) -> Result<ExitStatus> {
+async fn wait_for_exit(child: &mut Child) -> Result<ExitStatus> {
     let by = Instant::now() + STOP;
     while Instant::now() < by {
         if let Some(status) = child.try_wait()? {
@@ -166,8 +166,8 @@
         let folder = std::env::temp_dir().join(name);
         std::fs::create_dir_all(folder.join("state"))?;
         let mut config: Value = serde_json::from_str(CONFIG)?;
-        let servers = setup.providers.iter().map(|(dest, addr)| {
-            json!({"id": provider_id(*dest, *addr), "addr": addr, "zone": "bkk-dc1", "kind": "bank",
+        let servers = setup.endpoints.iter().map(|(dest, addr)| {
+            json!({"id": endpoint_id(*dest, *addr), "addr": addr, "zone": "bkk-dc1", "kind": "bank",
                    "cell": dest, "state": "ready", "weight": 1000.0, "started_ms": 0})
         });
         config["known"]["servers"] = servers.collect();
@@ -206,22 +206,22 @@
     ///
     /// # Errors
     /// It did not start.
-    pub fn upgrade(&mut self) -> Result<Former> {
+    pub fn upgrade(&mut self) -> Result<PreviousProcess> {
         let next = launch(&self.setup, &self.folder)?;
         self.addr = next.addr;
         let child = std::mem::replace(&mut self.child, next.child);
         let operators = std::mem::replace(&mut self.operators, next.operators);
-        Ok(Former { child, operators, log: std::mem::replace(&mut self.log, next.log) })
+        Ok(PreviousProcess { child, operators, log: std::mem::replace(&mut self.log, next.log) })
     }
 
     /// Another process with the same folder and configuration, which may be anywhere on its way; its log from the start.
     ///
     /// # Errors
     /// It can't be started.
-    pub fn begin_another(&self) -> Result<Former> {
+    pub fn spawn_another(&self) -> Result<PreviousProcess> {
         let mut child = command(&self.setup, &self.folder).spawn()?;
         let log = child.stderr.take().ok_or_else(|| Error::other("the courier has no log"))?;
-        Ok(Former { child, operators: None, log: heard(BufReader::new(log).lines()) })
+        Ok(PreviousProcess { child, operators: None, log: forward_log(BufReader::new(log).lines()) })
     }
 
     /// SIGKILL, and no start.
@@ -248,7 +248,7 @@
     ///
     /// # Errors
     /// It is gone.
-    pub fn hang(&self) -> Result<()> {
+    pub fn suspend_nowait(&self) -> Result<()> {
         signal(&self.child, Signal::STOP)
     }
 
@@ -256,8 +256,8 @@
     ///
     /// # Errors
     /// It is gone.
-    pub fn pause(&self) -> Result<()> {
-        self.hang()?;
+    pub fn suspend(&self) -> Result<()> {
+        self.suspend_nowait()?;
         let stat = format!("/proc/{}/stat", self.child.id());
         let stands = |text: &str| text.rsplit(')').next().is_some_and(|rest| rest.starts_with(" T"));
         while !stands(&std::fs::read_to_string(&stat)?) {
@@ -270,7 +270,7 @@
     ///
     /// # Errors
     /// It is gone.
-    pub fn go_on(&self) -> Result<()> {
+    pub fn resume(&self) -> Result<()> {
         signal(&self.child, Signal::CONT)
     }
 
@@ -283,7 +283,7 @@
     ///
     /// # Errors
     /// It did not say them in time.
-    pub async fn says(&self, words: &str) -> Result<()> {
+    pub async fn wait_for_log(&self, words: &str) -> Result<()> {
         let by = Instant::now() + STOP;
         while Instant::now() < by {
             if self.log.try_iter().any(|line| line.contains(words)) {
@@ -298,7 +298,7 @@
     ///
     /// # Errors
     /// It is gone.
-    pub fn hang_up(&self) -> Result<()> {
+    pub fn send_sighup(&self) -> Result<()> {
         signal(&self.child, Signal::HUP)
     }
 
@@ -306,7 +306,7 @@
     ///
     /// # Errors
     /// It is gone.
-    pub fn term(&self) -> Result<()> {
+    pub fn send_sigterm(&self) -> Result<()> {
         signal(&self.child, Signal::TERM)
     }
 
@@ -314,13 +314,13 @@
     ///
     /// # Errors
     /// It did not end in time.
-    pub async fn ended(&mut self) -> Result<ExitStatus> {
-        ended(&mut self.child).await
+    pub async fn wait_for_exit(&mut self) -> Result<ExitStatus> {
+        wait_for_exit(&mut self.child).await
     }
 
     /// The ids of its providers.
-    pub fn provider_ids(&self) -> Vec<String> {
-        self.setup.providers.iter().map(|(dest, addr)| provider_id(*dest, *addr)).collect()
+    pub fn endpoint_ids(&self) -> Vec<String> {
+        self.setup.endpoints.iter().map(|(dest, addr)| endpoint_id(*dest, *addr)).collect()
     }
 
     /// Its resident memory now and at most, in bytes; 0 where the system does not tell.
@@ -339,7 +339,7 @@
     }
 }
 
-fn provider_id(dest: u64, addr: SocketAddr) -> String {
+fn endpoint_id(dest: u64, addr: SocketAddr) -> String {
     format!("partner-{dest}-{}", addr.port())
 }
 
@@ -360,7 +360,7 @@
 }
 
 /// Unread, its log would fill the pipe and hold the courier up.
-fn heard(lines: impl Iterator<Item = Result<String>> + Send + 'static) -> Receiver<String> {
+fn forward_log(lines: impl Iterator<Item = Result<String>> + Send + 'static) -> Receiver<String> {
     let (to, from) = sync_channel(LINES_MAX);
     std::thread::spawn(move || {
         lines.map_while(std::result::Result::ok).for_each(|line| drop(to.try_send(line)));
@@ -411,7 +411,7 @@
         let Some((_, rest)) = last.split_once("serving on ") else { continue };
         let addr = rest.split(';').next().and_then(|addr| addr.parse().ok());
         let addr = addr.ok_or_else(|| Error::other(last.clone()))?;
-        return Ok(Launched { child, addr, operators, log: heard(lines) });
+        return Ok(Launched { child, addr, operators, log: forward_log(lines) });
     }
     let _ = child.wait();
     Err(Error::other(format!("the courier did not start: {last}")))
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -2,7 +2,7 @@
 //!
 //! Each courier is a process of the program with a folder of its own. Its way to each other one is a
 //! [`Link`] of the harness, whose script changes at a call; so are its doors to each partner and to the
-//! platform. All that is seen is in one [`Record`], in one order. A test waits for what it needs there
+//! platform. All that is seen is in one [`RunRecord`], in one order. A test waits for what it needs there
 //! ([`Fleet::until`]) and never for a time; at its end [`Fleet::history`] goes to the auditor
 //! ([`crate::audit`]).
 //!
@@ -15,33 +15,33 @@
 //! resets at once, in the place of a refusal.
 //!
 //! ```no_run
-//! use quillmount_standins::audit::{Terms, audit};
-//! use quillmount_standins::consumer::Invocation;
-//! use quillmount_standins::fleet::link::{Once, Way};
-//! use quillmount_standins::fleet::{Fleet, FleetSetup, PATIENCE, play};
+//! use quillmount_standins::audit::{AuditRules, audit};
+//! use quillmount_standins::client::MessageRequest;
+//! use quillmount_standins::fleet::link::{RequestFault, LinkMode};
+//! use quillmount_standins::fleet::{Fleet, FleetSetup, WAIT_TIMEOUT, run_test};
 //! use quillmount_standins::partner::Answer;
 //! use serde_json::json;
 //! use std::time::Duration;
 //!
-//! play(async || {
+//! run_test(async || {
 //!     let mut setup = FleetSetup::new("target/debug/quillmount", 3);
 //!     setup.fleet = Some(json!({"lease": "2s", "copies": 1}));
 //!     // The partner of destination 1 holds each call until it is told to answer.
-//!     setup.partner(1, |_| Answer::Held);
+//!     setup.partner(1, |_| Answer::Pending);
 //!     let mut fleet = Fleet::start(setup).await.unwrap();
 //!
-//!     let debit = Invocation::new("fee-debit", "m1", 1, Duration::from_secs(16));
-//!     assert_eq!(fleet.hand_in(0, &debit, b"12.50").await, 202);
-//!     fleet.until("the call", PATIENCE, |record| record.calls_of("m1").next().map(|_| ())).await.unwrap();
+//!     let debit = MessageRequest::new("fee-debit", "m1", 1, Duration::from_secs(16));
+//!     assert_eq!(fleet.submit(0, &debit, b"12.50").await, 202);
+//!     fleet.wait_until("the call", WAIT_TIMEOUT, |record| record.calls_of("m1").next().map(|_| ())).await.unwrap();
 //!
 //!     // The copy's next record is cut in its middle, then the owner is cut off, paused, and taken over.
-//!     fleet.link(0, 1).once(Once::CutInBody(20));
-//!     fleet.link(0, 2).set(Way::Cut);
-//!     fleet.pause(0).unwrap();
-//!     fleet.until("the taker's word", PATIENCE, |r| r.notices_of("m1").next().map(|_| ())).await.unwrap();
+//!     fleet.link(0, 1).fault_next_request(RequestFault::CutInBody(20));
+//!     fleet.link(0, 2).set(LinkMode::Partitioned);
+//!     fleet.suspend(0).unwrap();
+//!     fleet.wait_until("the taker's word", WAIT_TIMEOUT, |r| r.notices_of("m1").next().map(|_| ())).await.unwrap();
 //!     fleet.partner(0).release("m1", Answer::ok());
-//!     fleet.mend().await.unwrap();
-//!     assert_eq!(audit(&fleet.history(Terms::default())), []);
+//!     fleet.heal().await.unwrap();
+//!     assert_eq!(audit(&fleet.history(AuditRules::default())), []);
 //! });
 //! ```
 
@@ -49,15 +49,15 @@
 pub mod link;
 mod process;
 
-use crate::audit::{self, History, Terms};
-use crate::consumer::{self, Invocation};
-use crate::door;
+use crate::audit::{self, AuditRules, History};
+use crate::client::{self, MessageRequest};
 use crate::gate::Port;
+use crate::listener;
 use crate::partner::{Answer, Partner};
 use crate::platform::Platform;
-use crate::record::{Body, Call, Late, Record, Told, Witness};
-use fault::{Strike, Struck};
-use link::{Link, Way};
+use crate::record::{BodyDigest, RecordedCall, RecordedSubmission, Recorder, RunRecord, WaitTimeout};
+use fault::{Fault, InjectedFault};
+use link::{Link, LinkMode};
 use process::Process;
 use rustix::process::Signal;
 use serde_json::{Value, json};
@@ -74,7 +74,7 @@
 /// The example's configuration, with other addresses.
 const CONFIG: &str = include_str!("../../example/config.json");
 /// Only a broken program waits for so long.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 /// A whole test.
 const TEST: Duration = Duration::from_secs(240);
 /// Voters where the setup does not say.
@@ -84,7 +84,7 @@
 ///
 /// # Panics
 /// The test did not come to its end within four minutes, or panicked itself.
-pub fn play<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
+pub fn run_test<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let played = async { timeout(TEST, test()).await };
     let Ok(runtime) = runtime else { panic!("no runtime could be had") };
@@ -92,7 +92,7 @@
     assert!(over.is_ok(), "the test did not come to its end within {TEST:?}");
 }
 
-type Answers = Box<dyn Fn(&Call) -> Answer>;
+type AnswerScript = Box<dyn Fn(&RecordedCall) -> Answer>;
 
 /// What a fleet is started with.
 pub struct FleetSetup {
@@ -113,7 +113,7 @@
     pub configs: BTreeMap<usize, Value>,
     /// What RUST_LOG says; empty: it is not set, and the operator file holds.
     pub levels: String,
-    partners: Vec<(u64, Answers)>,
+    partners: Vec<(u64, AnswerScript)>,
 }
 
 impl FleetSetup {
@@ -134,7 +134,7 @@
 
     /// A further partner, at this destination; `answers` says what becomes of each call when its body has
     /// come. Its number is that of the partners before it.
-    pub fn partner(&mut self, dest: u64, answers: impl Fn(&Call) -> Answer + 'static) {
+    pub fn partner(&mut self, dest: u64, answers: impl Fn(&RecordedCall) -> Answer + 'static) {
         self.partners.push((dest, Box::new(answers)));
     }
 
@@ -144,12 +144,12 @@
     }
 }
 
-struct Member {
+struct FleetCourier {
     name: String,
     folder: PathBuf,
     program: PathBuf,
     process: Option<Process>,
-    lives: u32,
+    incarnations: u32,
     /// For consumers, for operators, and for the others.
     ports: [Port; 3],
     config: Value,
@@ -158,10 +158,10 @@
 
 /// A running fleet; dropped, its processes are killed and its folders removed.
 pub struct Fleet {
-    pub witness: Witness,
+    pub recorder: Recorder,
     pub platform: Platform,
     partners: Vec<Partner>,
-    members: Vec<Member>,
+    members: Vec<FleetCourier>,
     links: BTreeMap<(usize, usize), Link>,
     levels: String,
     _root: TempDir,
@@ -188,7 +188,7 @@
 }
 
 impl Fleet {
-    /// Starts all, and waits until all serve; must run in a `LocalSet` on one thread ([`play`]).
+    /// Starts all, and waits until all serve; must run in a `LocalSet` on one thread ([`run_test`]).
     ///
     /// # Errors
     /// One did not start or serve; the error tells the last lines of each.
@@ -196,7 +196,7 @@
         let mut fleet = Fleet::prepare(setup)?;
         (0..fleet.members.len()).try_for_each(|n| fleet.spawn(n))?;
         for n in 0..fleet.members.len() {
-            fleet.serves(n).await?;
+            fleet.wait_until_serving(n).await?;
         }
         Ok(fleet)
     }
@@ -206,25 +206,25 @@
     /// # Errors
     /// The system has no port or folder.
     pub fn prepare(setup: FleetSetup) -> Result<Fleet> {
-        let (witness, couriers) = (Witness::default(), setup.couriers);
-        witness.write(|record, _| {
+        let (recorder, couriers) = (Recorder::default(), setup.couriers);
+        recorder.write(|record, _| {
             record.names = (0..couriers).map(name).collect();
             record.ended = vec![0; couriers];
         });
-        let platform = Platform::open(couriers, witness.clone())?;
+        let platform = Platform::open(couriers, recorder.clone())?;
         let mut partners = Vec::new();
         for (n, (dest, answers)) in setup.partners.into_iter().enumerate() {
-            partners.push(Partner::open(n, dest, couriers, witness.clone(), answers)?);
+            partners.push(Partner::open(n, dest, couriers, recorder.clone(), answers)?);
         }
         let root = tempfile::Builder::new().prefix("quillmount-fleet-").tempdir()?;
         let mut members = Vec::new();
         for n in 0..couriers {
-            members.push(Member {
+            members.push(FleetCourier {
                 name: name(n),
                 folder: root.path().join(name(n)),
                 program: setup.programs.get(&n).unwrap_or(&setup.program).clone(),
                 process: None,
-                lives: 0,
+                incarnations: 0,
                 ports: [Port::reserve()?, Port::reserve()?, Port::reserve()?],
                 config: Value::Null,
                 operator: setup.operator.clone(),
@@ -233,7 +233,7 @@
         let mut links = BTreeMap::new();
         for (from, to) in (0..couriers).flat_map(|from| (0..couriers).map(move |to| (from, to))) {
             if from != to {
-                let link = Link::open(from, to, members[to].ports[2].addr, witness.clone())?;
+                let link = Link::open(from, to, members[to].ports[2].addr, recorder.clone())?;
                 links.insert((from, to), link);
             }
         }
@@ -268,7 +268,7 @@
             std::fs::create_dir_all(member.folder.join("state"))?;
             member.write()?;
         }
-        Ok(Fleet { witness, platform, partners, members, links, levels: setup.levels, _root: root })
+        Ok(Fleet { recorder, platform, partners, members, links, levels: setup.levels, _root: root })
     }
 
     /// How many couriers there are, running or not.
@@ -311,8 +311,8 @@
     }
 
     /// How often it has been started: the latest of its lives.
-    pub fn life(&self, courier: usize) -> u32 {
-        self.members[courier].lives
+    pub fn incarnation(&self, courier: usize) -> u32 {
+        self.members[courier].incarnations
     }
 
     /// The way from one courier to another.
@@ -328,45 +328,51 @@
     ///
     /// # Errors
     /// It was not found in time; the error tells the last lines of each courier.
-    pub async fn until<T>(
+    pub async fn wait_until<T>(
         &self,
         what: &str,
         within: Duration,
-        found: impl FnMut(&Record) -> Option<T>,
-    ) -> std::result::Result<T, Late> {
-        self.witness.until(what, within, found).await
+        found: impl FnMut(&RunRecord) -> Option<T>,
+    ) -> std::result::Result<T, WaitTimeout> {
+        self.recorder.wait_until(what, within, found).await
     }
 
     /// Waits until the latest life of a courier has said these words, and returns the line.
     ///
     /// # Errors
     /// It did not in time.
-    pub async fn says(&self, courier: usize, words: &str) -> std::result::Result<String, Late> {
-        let (life, name) = (self.life(courier), self.name(courier));
-        let what = format!("{name}, life {life}, says {words:?}");
-        self.until(&what, PATIENCE, |record| Some(record.said(courier, life, words).next()?.text.clone()))
-            .await
+    pub async fn wait_for_log(
+        &self,
+        courier: usize,
+        words: &str,
+    ) -> std::result::Result<String, WaitTimeout> {
+        let (incarnation, name) = (self.incarnation(courier), self.name(courier));
+        let what = format!("{name}, life {incarnation}, says {words:?}");
+        self.wait_until(&what, WAIT_TIMEOUT, |record| {
+            Some(record.log_lines_with(courier, incarnation, words).next()?.text.clone())
+        })
+        .await
     }
 
     /// Waits until its latest life serves.
     ///
     /// # Errors
     /// It ended, or did not serve in time.
-    pub async fn serves(&self, courier: usize) -> Result<()> {
-        let (life, name) = (self.life(courier), self.name(courier));
-        let what = format!("{name}, life {life}, serves");
-        let serving = |record: &Record| {
-            let serves = record.said(courier, life, "serving on ").next().is_some();
-            (serves || record.ended[courier] >= life).then_some(serves)
+    pub async fn wait_until_serving(&self, courier: usize) -> Result<()> {
+        let (incarnation, name) = (self.incarnation(courier), self.name(courier));
+        let what = format!("{name}, life {incarnation}, serves");
+        let serving = |record: &RunRecord| {
+            let serves = record.log_lines_with(courier, incarnation, "serving on ").next().is_some();
+            (serves || record.ended[courier] >= incarnation).then_some(serves)
         };
-        if self.until(&what, PATIENCE, serving).await? {
+        if self.wait_until(&what, WAIT_TIMEOUT, serving).await? {
             return Ok(());
         }
-        let last = |record: &Record| {
+        let last = |record: &RunRecord| {
             record.lines.iter().rfind(|line| line.courier == courier).map(|line| line.text.clone())
         };
-        let last = self.witness.read(last).unwrap_or_default();
-        Err(Error::other(format!("{name}, life {life}, did not start: {last}")))
+        let last = self.recorder.read(last).unwrap_or_default();
+        Err(Error::other(format!("{name}, life {incarnation}, did not start: {last}")))
     }
 
     /// Starts it with its folder as it is, and does not wait.
@@ -378,10 +384,11 @@
         if member.process.is_some() {
             return Err(Error::other(format!("{} runs already", member.name)));
         }
-        member.lives += 1;
-        Struck::note(&self.witness, Strike::Start(courier));
+        member.incarnations += 1;
+        InjectedFault::note(&self.recorder, Fault::Start(courier));
         let (program, folder) = (&member.program, &member.folder);
-        let process = Process::start(program, folder, &self.levels, courier, member.lives, &self.witness)?;
+        let process =
+            Process::start(program, folder, &self.levels, courier, member.incarnations, &self.recorder)?;
         member.process = Some(process);
         Ok(())
     }
@@ -392,7 +399,7 @@
     /// Its end was not told.
     pub async fn kill(&mut self, courier: usize) -> Result<()> {
         let Some(mut process) = self.members[courier].process.take() else { return Ok(()) };
-        Struck::note(&self.witness, Strike::Kill(courier));
+        InjectedFault::note(&self.recorder, Fault::Kill(courier));
         process.kill()?;
         Ok(self.log_ends(courier).await?)
     }
@@ -404,7 +411,7 @@
     pub async fn restart(&mut self, courier: usize) -> Result<()> {
         self.kill(courier).await?;
         self.spawn(courier)?;
-        self.serves(courier).await
+        self.wait_until_serving(courier).await
     }
 
     /// The same without its folder, and does not wait: a courier that lost it may have to ask before it
@@ -417,7 +424,7 @@
         let folder = self.folder(courier);
         std::fs::remove_dir_all(&folder)?;
         std::fs::create_dir_all(&folder)?;
-        Struck::note(&self.witness, Strike::LoseFolder(courier));
+        InjectedFault::note(&self.recorder, Fault::LoseFolder(courier));
         self.spawn(courier)
     }
 
@@ -430,9 +437,9 @@
     ///
     /// # Errors
     /// It does not run.
-    pub fn pause(&mut self, courier: usize) -> Result<()> {
-        self.running(courier)?.pause()?;
-        Struck::note(&self.witness, Strike::Pause(courier));
+    pub fn suspend(&mut self, courier: usize) -> Result<()> {
+        self.running(courier)?.suspend()?;
+        InjectedFault::note(&self.recorder, Fault::Suspend(courier));
         Ok(())
     }
 
@@ -440,17 +447,17 @@
     ///
     /// # Errors
     /// It does not run.
-    pub fn go_on(&mut self, courier: usize) -> Result<()> {
-        Struck::note(&self.witness, Strike::GoOn(courier));
-        self.running(courier)?.go_on()
+    pub fn resume(&mut self, courier: usize) -> Result<()> {
+        InjectedFault::note(&self.recorder, Fault::Resume(courier));
+        self.running(courier)?.resume()
     }
 
     /// SIGTERM.
     ///
     /// # Errors
     /// It does not run.
-    pub fn term(&mut self, courier: usize) -> Result<()> {
-        Struck::note(&self.witness, Strike::Term(courier));
+    pub fn send_sigterm(&mut self, courier: usize) -> Result<()> {
+        InjectedFault::note(&self.recorder, Fault::Sigterm(courier));
         self.running(courier)?.signal(Signal::TERM)
     }
 
@@ -458,8 +465,8 @@
     ///
     /// # Errors
     /// It does not run.
-    pub fn hang_up(&mut self, courier: usize) -> Result<()> {
-        Struck::note(&self.witness, Strike::HangUp(courier));
+    pub fn send_sighup(&mut self, courier: usize) -> Result<()> {
+        InjectedFault::note(&self.recorder, Fault::Sighup(courier));
         self.running(courier)?.signal(Signal::HUP)
     }
 
@@ -467,17 +474,18 @@
     ///
     /// # Errors
     /// It does not run, or did not end in time.
-    pub async fn ended(&mut self, courier: usize) -> Result<ExitStatus> {
+    pub async fn wait_for_exit(&mut self, courier: usize) -> Result<ExitStatus> {
         self.running(courier)?;
         self.log_ends(courier).await?;
         let mut process = self.members[courier].process.take();
         process.as_mut().ok_or_else(|| Error::other("it does not run"))?.wait()
     }
 
-    async fn log_ends(&self, courier: usize) -> std::result::Result<(), Late> {
-        let life = self.life(courier);
-        let what = format!("the end of {}, life {life}", self.name(courier));
-        self.until(&what, PATIENCE, |record| (record.ended[courier] >= life).then_some(())).await
+    async fn log_ends(&self, courier: usize) -> std::result::Result<(), WaitTimeout> {
+        let incarnation = self.incarnation(courier);
+        let what = format!("the end of {}, life {incarnation}", self.name(courier));
+        self.wait_until(&what, WAIT_TIMEOUT, |record| (record.ended[courier] >= incarnation).then_some(()))
+            .await
     }
 
     /// Changes its configuration file, field by field; a restart or SIGHUP reads it.
@@ -494,7 +502,7 @@
     ///
     /// # Errors
     /// The file can't be written.
-    pub fn operate(&mut self, courier: usize, change: &Value) -> Result<()> {
+    pub fn configure_operator(&mut self, courier: usize, change: &Value) -> Result<()> {
         let member = &mut self.members[courier];
         merge(&mut member.operator, change);
         member.write()
@@ -506,30 +514,30 @@
     }
 
     /// Sets all its links, both directions.
-    pub fn set_links(&self, courier: usize, way: Way) {
+    pub fn set_links(&self, courier: usize, mode: LinkMode) {
         let of = |(from, to): &(usize, usize)| *from == courier || *to == courier;
-        self.links.iter().filter(|(ends, _)| of(ends)).for_each(|(_, link)| link.set(way));
+        self.links.iter().filter(|(ends, _)| of(ends)).for_each(|(_, link)| link.set(mode));
     }
 
     /// Nothing that `from` sends gets to `to`, requests or answers; what `to` sends gets to `from`.
-    pub fn cut_one_way(&self, from: usize, to: usize) {
-        self.link(from, to).set(Way::RequestsLost);
-        self.link(to, from).set(Way::AnswersLost);
+    pub fn partition_one_way(&self, from: usize, to: usize) {
+        self.link(from, to).set(LinkMode::RequestsLost);
+        self.link(to, from).set(LinkMode::AnswersLost);
     }
 
     /// Sets all links between couriers of one half and of the other.
-    pub fn part(&self, half: &[usize], way: Way) {
+    pub fn partition(&self, half: &[usize], mode: LinkMode) {
         let between = |(from, to): &(usize, usize)| half.contains(from) != half.contains(to);
-        self.links.iter().filter(|(ends, _)| between(ends)).for_each(|(_, link)| link.set(way));
+        self.links.iter().filter(|(ends, _)| between(ends)).for_each(|(_, link)| link.set(mode));
     }
 
     /// All that the auditor needs, but budgets, seals and settlements, which the test knows: it puts them in.
-    pub fn history(&self, terms: Terms) -> History {
+    pub fn history(&self, rules: AuditRules) -> History {
         let journal = |courier| audit::Journal { courier, copy: false, bytes: self.journal(courier) };
         let journals = (0..self.members.len()).map(journal).collect();
         let dests: Vec<u64> = self.partners.iter().map(|partner| partner.dest).collect();
-        let at = self.witness.now();
-        self.witness.read(|record| History { journals, ..record.history(terms, at, &dests) })
+        let at = self.recorder.now();
+        self.recorder.read(|record| History { journals, ..record.history(rules, at, &dests) })
     }
 
     /// Does what a strike says, and does not wait for what comes of it. One at a courier that does not run
@@ -537,21 +545,21 @@
     ///
     /// # Errors
     /// It could not be done.
-    pub async fn strike(&mut self, strike: Strike) -> Result<()> {
+    pub async fn inject(&mut self, fault: Fault) -> Result<()> {
         let runs = |n: usize| self.members[n].process.is_some();
-        match strike {
-            Strike::Kill(n) => self.kill(n).await?,
-            Strike::Start(n) if !runs(n) => self.spawn(n)?,
-            Strike::LoseFolder(n) => self.lose_folder(n).await?,
-            Strike::Pause(n) if runs(n) => self.pause(n)?,
-            Strike::GoOn(n) if runs(n) => self.go_on(n)?,
-            Strike::Term(n) if runs(n) => self.term(n)?,
-            Strike::HangUp(n) if runs(n) => self.hang_up(n)?,
-            Strike::Link { from, to, way } => self.link(from, to).set(way),
-            Strike::Once { from, to, once } => self.link(from, to).once(once),
-            Strike::Close { from, to } => self.link(from, to).close(),
-            Strike::Partner { courier, partner, way } => self.partner(partner).set(courier, way),
-            Strike::Platform { courier, way } => self.platform.set(courier, way),
+        match fault {
+            Fault::Kill(n) => self.kill(n).await?,
+            Fault::Start(n) if !runs(n) => self.spawn(n)?,
+            Fault::LoseFolder(n) => self.lose_folder(n).await?,
+            Fault::Suspend(n) if runs(n) => self.suspend(n)?,
+            Fault::Resume(n) if runs(n) => self.resume(n)?,
+            Fault::Sigterm(n) if runs(n) => self.send_sigterm(n)?,
+            Fault::Sighup(n) if runs(n) => self.send_sighup(n)?,
+            Fault::Link { from, to, mode } => self.link(from, to).set(mode),
+            Fault::Request { from, to, fault } => self.link(from, to).fault_next_request(fault),
+            Fault::Close { from, to } => self.link(from, to).close(),
+            Fault::Partner { courier, partner, mode } => self.partner(partner).set(courier, mode),
+            Fault::Platform { courier, mode } => self.platform.set(courier, mode),
             _ => {}
         }
         Ok(())
@@ -562,38 +570,38 @@
     ///
     /// # Errors
     /// One did not serve in time.
-    pub async fn mend(&mut self) -> Result<()> {
-        for link in self.links.values().filter(|link| link.way() != Way::Pass) {
-            link.set(Way::Pass);
+    pub async fn heal(&mut self) -> Result<()> {
+        for link in self.links.values().filter(|link| link.mode() != LinkMode::Pass) {
+            link.set(LinkMode::Pass);
         }
         for n in 0..self.members.len() {
             if !self.platform.is_open(n) {
-                self.platform.set(n, door::Way::Open);
+                self.platform.set(n, listener::ListenerMode::Open);
             }
             for partner in self.partners.iter().filter(|partner| !partner.is_open(n)) {
-                partner.set(n, door::Way::Open);
+                partner.set(n, listener::ListenerMode::Open);
             }
             match &self.members[n].process {
-                Some(process) if process.paused => self.go_on(n)?,
+                Some(process) if process.paused => self.resume(n)?,
                 Some(_) => {}
                 None => self.spawn(n)?,
             }
         }
         for n in 0..self.members.len() {
-            self.serves(n).await?;
+            self.wait_until_serving(n).await?;
         }
         Ok(())
     }
 
     /// Hands a message in at a courier, and returns the answer's status, 0 where the connection broke. To
     /// do so beside other things, see [`Fleet::consumer`].
-    pub async fn hand_in(&self, courier: usize, invocation: &Invocation, body: &[u8]) -> u16 {
-        self.consumer(courier).hand_in(invocation, body).await
+    pub async fn submit(&self, courier: usize, message: &MessageRequest, body: &[u8]) -> u16 {
+        self.client(courier).submit(message, body).await
     }
 
     /// A consumer at a courier, for a task of its own.
-    pub fn consumer(&self, courier: usize) -> Consumer {
-        Consumer { courier, addr: self.addr(courier), witness: self.witness.clone() }
+    pub fn client(&self, courier: usize) -> FleetClient {
+        FleetClient { courier, addr: self.addr(courier), recorder: self.recorder.clone() }
     }
 
     /// The answer's status and body to a GET, as of `/-/ready`.
@@ -601,11 +609,11 @@
     /// # Errors
     /// The connection broke.
     pub async fn get(&self, courier: usize, path: &str) -> Result<(u16, String)> {
-        consumer::get(self.addr(courier), path).await
+        client::get(self.addr(courier), path).await
     }
 }
 
-impl Member {
+impl FleetCourier {
     fn write(&self) -> Result<()> {
         std::fs::write(self.folder.join("config.json"), self.config.to_string())?;
         std::fs::write(self.folder.join("operator.json"), self.operator.to_string())
@@ -614,25 +622,36 @@
 
 /// Hands in messages at one courier, and records what it is told.
 #[derive(Clone, Debug)]
-pub struct Consumer {
+pub struct FleetClient {
     pub courier: usize,
     addr: SocketAddr,
-    witness: Witness,
+    recorder: Recorder,
 }
 
-impl Consumer {
+impl FleetClient {
     /// Hands a message in, and returns the answer's status, 0 where the connection broke.
-    pub async fn hand_in(&self, invocation: &Invocation, body: &[u8]) -> u16 {
-        let Invocation { class, id, key, dest, time_left, .. } = invocation.clone();
-        let (courier, time_left, body_of) = (self.courier, time_left.as_micros() as u64, Body::of(body));
-        let n = self.witness.write(|record, asked| {
-            let told = Told { asked, courier, id, class, key, dest, time_left, body: body_of, answer: None };
-            record.told.push(told);
-            record.told.len() - 1
+    pub async fn submit(&self, message: &MessageRequest, body: &[u8]) -> u16 {
+        let MessageRequest { class, id, key, dest, time_left, .. } = message.clone();
+        let (courier, time_left, body_of) =
+            (self.courier, time_left.as_micros() as u64, BodyDigest::of(body));
+        let n = self.recorder.write(|record, submitted_at| {
+            let submission = RecordedSubmission {
+                submitted_at,
+                courier,
+                id,
+                class,
+                key,
+                dest,
+                time_left,
+                body: body_of,
+                answer: None,
+            };
+            record.submissions.push(submission);
+            record.submissions.len() - 1
         });
-        let answer = consumer::hand_in(self.addr, invocation, body).await;
+        let answer = client::submit(self.addr, message, body).await;
         let status = answer.map_or(0, |head| head.status());
-        self.witness.write(|record, when| record.told[n].answer = Some((when, status)));
+        self.recorder.write(|record, when| record.submissions[n].answer = Some((when, status)));
         status
     }
 }
--- a/standins/src/fleet/fault.rs
+++ b/standins/src/fleet/fault.rs
@@ -1,13 +1,13 @@
 //! What a harness does to couriers, links and doors, as values: each is noted in the record when it is done.
 
 use super::link;
-use crate::door;
-use crate::record::{Stamp, Witness};
+use crate::listener;
+use crate::record::{Recorder, Stamp};
 use std::fmt;
 
 /// Something that is done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Strike {
+pub enum Fault {
     /// SIGKILL.
     Kill(usize),
     /// A start with the folder as it is.
@@ -15,22 +15,23 @@
     /// SIGKILL where it runs, and a start with an empty folder.
     LoseFolder(usize),
     /// SIGSTOP.
-    Pause(usize),
+    Suspend(usize),
     /// SIGCONT.
-    GoOn(usize),
+    Resume(usize),
     /// SIGTERM.
-    Term(usize),
+    Sigterm(usize),
     /// SIGHUP.
-    HangUp(usize),
+    Sighup(usize),
     Link {
         from: usize,
         to: usize,
-        way: link::Way,
+        mode: link::LinkMode,
     },
-    Once {
+    /// What becomes of the next request on a link.
+    Request {
         from: usize,
         to: usize,
-        once: link::Once,
+        fault: link::RequestFault,
     },
     Close {
         from: usize,
@@ -40,65 +41,69 @@
     Partner {
         courier: usize,
         partner: usize,
-        way: door::Way,
+        mode: listener::ListenerMode,
     },
     /// The platform's door for this courier.
     Platform {
         courier: usize,
-        way: door::Way,
+        mode: listener::ListenerMode,
     },
 }
 
-impl Strike {
+impl Fault {
     /// One of all that do harm, by the seed of the generator, among so many couriers (two at least) and
     /// partners.
-    pub fn pick(seed: &mut fastrand::Rng, couriers: usize, partners: usize) -> Strike {
+    pub fn random(seed: &mut fastrand::Rng, couriers: usize, partners: usize) -> Fault {
         let courier = seed.usize(0..couriers);
         let to = (courier + seed.usize(1..couriers)) % couriers;
         match seed.u8(0..9) {
-            0 | 1 => Strike::Kill(courier),
-            2 => Strike::LoseFolder(courier),
-            3 => Strike::Pause(courier),
-            4 => Strike::Link { from: courier, to, way: link::Way::pick(seed) },
-            5 => Strike::Once { from: courier, to, once: link::Once::pick(seed) },
-            6 => Strike::Close { from: courier, to },
-            7 if partners > 0 => {
-                Strike::Partner { courier, partner: seed.usize(0..partners), way: door::Way::pick(seed) }
-            }
-            _ => Strike::Platform { courier, way: door::Way::pick(seed) },
+            0 | 1 => Fault::Kill(courier),
+            2 => Fault::LoseFolder(courier),
+            3 => Fault::Suspend(courier),
+            4 => Fault::Link { from: courier, to, mode: link::LinkMode::random(seed) },
+            5 => Fault::Request { from: courier, to, fault: link::RequestFault::random(seed) },
+            6 => Fault::Close { from: courier, to },
+            7 if partners > 0 => Fault::Partner {
+                courier,
+                partner: seed.usize(0..partners),
+                mode: listener::ListenerMode::random(seed),
+            },
+            _ => Fault::Platform { courier, mode: listener::ListenerMode::random(seed) },
         }
     }
 
     /// Where it harms this courier or mends it: that may miss an answer, or be taken for lost.
-    pub(crate) fn harms(&self, courier: usize) -> Option<(Place, Harm)> {
-        let lasts = |mends: bool| if mends { Harm::Ends } else { Harm::Begins };
-        let (is, place, harm) = match *self {
-            Strike::Kill(n) | Strike::Term(n) => (n == courier, Place::Process, Harm::Begins),
-            Strike::Start(n) => (n == courier, Place::Process, Harm::Ends),
-            Strike::LoseFolder(n) => (n == courier, Place::Process, Harm::Moment),
-            Strike::Pause(n) => (n == courier, Place::Process, Harm::Begins),
-            Strike::GoOn(n) => (n == courier, Place::Process, Harm::Ends),
-            Strike::HangUp(_) => return None,
-            Strike::Link { from, to, way } => {
-                (from == courier || to == courier, Place::Link(from, to), lasts(way == link::Way::Pass))
-            }
-            Strike::Once { from, to, .. } | Strike::Close { from, to } => {
-                (from == courier || to == courier, Place::Link(from, to), Harm::Moment)
+    pub(crate) fn effect_on(&self, courier: usize) -> Option<(FaultTarget, FaultPhase)> {
+        let lasts = |is_repair: bool| if is_repair { FaultPhase::Ends } else { FaultPhase::Begins };
+        let (is, target, phase) = match *self {
+            Fault::Kill(n) | Fault::Sigterm(n) => (n == courier, FaultTarget::Process, FaultPhase::Begins),
+            Fault::Start(n) => (n == courier, FaultTarget::Process, FaultPhase::Ends),
+            Fault::LoseFolder(n) => (n == courier, FaultTarget::Process, FaultPhase::Moment),
+            Fault::Suspend(n) => (n == courier, FaultTarget::Process, FaultPhase::Begins),
+            Fault::Resume(n) => (n == courier, FaultTarget::Process, FaultPhase::Ends),
+            Fault::Sighup(_) => return None,
+            Fault::Link { from, to, mode } => (
+                from == courier || to == courier,
+                FaultTarget::Link(from, to),
+                lasts(mode == link::LinkMode::Pass),
+            ),
+            Fault::Request { from, to, .. } | Fault::Close { from, to } => {
+                (from == courier || to == courier, FaultTarget::Link(from, to), FaultPhase::Moment)
             }
-            Strike::Partner { courier: n, partner, way } => {
-                (n == courier, Place::Partner(partner), lasts(way == door::Way::Open))
+            Fault::Partner { courier: n, partner, mode } => {
+                (n == courier, FaultTarget::Partner(partner), lasts(mode == listener::ListenerMode::Open))
             }
-            Strike::Platform { courier: n, way } => {
-                (n == courier, Place::Platform, lasts(way == door::Way::Open))
+            Fault::Platform { courier: n, mode } => {
+                (n == courier, FaultTarget::Platform, lasts(mode == listener::ListenerMode::Open))
             }
         };
-        is.then_some((place, harm))
+        is.then_some((target, phase))
     }
 }
 
 /// Where a courier is harmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Place {
+pub(crate) enum FaultTarget {
     Process,
     Link(usize, usize),
     Partner(usize),
@@ -107,7 +112,7 @@
 
 /// How long it lasts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Harm {
+pub(crate) enum FaultPhase {
     Begins,
     Ends,
     Moment,
@@ -115,18 +120,18 @@
 
 /// A strike, and when it was done.
 #[derive(Clone, Copy, Debug)]
-pub struct Struck {
+pub struct InjectedFault {
     pub when: Stamp,
-    pub what: Strike,
+    pub what: Fault,
 }
 
-impl Struck {
-    pub(crate) fn note(witness: &Witness, what: Strike) {
-        witness.write(|record, when| record.struck.push(Struck { when, what }));
+impl InjectedFault {
+    pub(crate) fn note(recorder: &Recorder, what: Fault) {
+        recorder.write(|record, when| record.injected_faults.push(InjectedFault { when, what }));
     }
 }
 
-impl fmt::Display for Struck {
+impl fmt::Display for InjectedFault {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{:?} (event {})", self.what, self.when.n)
     }
--- a/standins/src/fleet/process.rs
+++ b/standins/src/fleet/process.rs
@@ -1,6 +1,6 @@
 //! A courier's process, with its log on record.
 
-use crate::record::{Line, Witness};
+use crate::record::{LogLine, Recorder};
 use rustix::process::{Pid, Signal, WaitId, WaitIdOptions, kill_process, waitid};
 use std::io::{BufRead, BufReader, Error, Result};
 use std::path::Path;
@@ -35,8 +35,8 @@
         folder: &Path,
         levels: &str,
         courier: usize,
-        life: u32,
-        witness: &Witness,
+        incarnation: u32,
+        recorder: &Recorder,
     ) -> Result<Process> {
         let mut command = Command::new(program);
         command.arg("run").arg("--operator").arg(folder.join("operator.json"));
@@ -57,12 +57,13 @@
             // Nobody listens any more: it is killed, and the rest of its log let go.
             let _ = lines.map(|line| to.blocking_send(line)).all(|sent| sent.is_ok());
         });
-        let witness = witness.clone();
+        let recorder = recorder.clone();
         spawn_local(async move {
             while let Some(text) = from.recv().await {
-                witness.write(|record, when| record.lines.push(Line { when, courier, life, text }));
+                recorder
+                    .write(|record, when| record.lines.push(LogLine { when, courier, incarnation, text }));
             }
-            witness.write(|record, _| record.ended[courier] = life);
+            recorder.write(|record, _| record.ended[courier] = incarnation);
         });
         Ok(Process { child, paused: false })
     }
@@ -81,7 +82,7 @@
     ///
     /// # Errors
     /// It is gone.
-    pub fn pause(&mut self) -> Result<()> {
+    pub fn suspend(&mut self) -> Result<()> {
         self.signal(Signal::STOP)?;
         let what = WaitIdOptions::STOPPED | WaitIdOptions::EXITED | WaitIdOptions::NOWAIT;
         waitid(WaitId::Pid(Pid::from_child(&self.child)), what)?;
@@ -93,7 +94,7 @@
     ///
     /// # Errors
     /// It is gone.
-    pub fn go_on(&mut self) -> Result<()> {
+    pub fn resume(&mut self) -> Result<()> {
         self.paused = false;
         self.signal(Signal::CONT)
     }
--- a/standins/src/gate.rs
+++ b/standins/src/gate.rs
@@ -20,17 +20,17 @@
 #[derive(Debug)]
 pub struct Port {
     pub addr: SocketAddr,
-    _held: TcpSocket,
+    _reservation: TcpSocket,
 }
 
 impl Port {
     /// # Errors
     /// No port could be had.
     pub fn reserve() -> Result<Port> {
-        let held = TcpSocket::new_v4()?;
-        held.set_reuseaddr(true)?;
-        held.bind(([127, 0, 0, 1], 0).into())?;
-        Ok(Port { addr: held.local_addr()?, _held: held })
+        let reservation = TcpSocket::new_v4()?;
+        reservation.set_reuseaddr(true)?;
+        reservation.bind(([127, 0, 0, 1], 0).into())?;
+        Ok(Port { addr: reservation.local_addr()?, _reservation: reservation })
     }
 
     fn listen(&self) -> Result<TcpListener> {
@@ -43,7 +43,7 @@
 
 /// How a gate meets those who come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Entry {
+pub enum AcceptMode {
     Open,
     /// A connection does not come up: the system drops its first packet.
     Silent,
@@ -77,20 +77,20 @@
 
     /// # Errors
     /// The system does not let it listen.
-    pub fn set(&mut self, entry: Entry) -> Result<()> {
-        match entry {
-            Entry::Refused => {
+    pub fn set(&mut self, accept_mode: AcceptMode) -> Result<()> {
+        match accept_mode {
+            AcceptMode::Refused => {
                 self.listener = None;
                 self.fillers.clear();
                 self.queued.clear();
             }
-            Entry::Open | Entry::Silent => {
+            AcceptMode::Open | AcceptMode::Silent => {
                 let listener = match self.listener.take() {
                     Some(listener) => listener,
                     None => self.port.listen()?,
                 };
                 let listener = self.listener.insert(listener);
-                if entry == Entry::Open {
+                if accept_mode == AcceptMode::Open {
                     rustix::net::listen(&*listener, BACKLOG as i32)?;
                     self.fillers.clear();
                 } else if self.fillers.is_empty() {
--- a/standins/src/http.rs
+++ b/standins/src/http.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 pub struct Head {
     /// The first line.
-    pub first: String,
+    pub first_line: String,
     headers: Vec<(String, String)>,
 }
 
@@ -38,7 +38,7 @@
 
     /// The status of an answer; 0 for a request.
     pub fn status(&self) -> u16 {
-        let status = self.first.strip_prefix("HTTP/1.1 ").and_then(|rest| rest.get(..3));
+        let status = self.first_line.strip_prefix("HTTP/1.1 ").and_then(|rest| rest.get(..3));
         status.and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 }
@@ -49,7 +49,7 @@
     buf: BytesMut,
 }
 
-fn wrong(what: &str) -> Error {
+fn invalid_data(what: &str) -> Error {
     Error::new(ErrorKind::InvalidData, what.to_string())
 }
 
@@ -63,7 +63,7 @@
         self.from
     }
 
-    async fn more(&mut self) -> Result<usize> {
+    async fn fill_buffer(&mut self) -> Result<usize> {
         self.buf.reserve(READ);
         self.from.read_buf(&mut self.buf).await
     }
@@ -77,21 +77,21 @@
             if let Some(end) = self.buf.windows(4).position(|four| four == b"\r\n\r\n") {
                 let bytes = self.buf.split_to(end + 4);
                 let line = bytes.iter().position(|b| *b == b'\r').unwrap_or(0);
-                let first = String::from_utf8_lossy(&bytes[..line]).into_owned();
+                let first_line = String::from_utf8_lossy(&bytes[..line]).into_owned();
                 let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
                 let parsed = httparse::parse_headers(&bytes[line + 2..], &mut headers);
                 let Ok(httparse::Status::Complete((_, headers))) = parsed else {
-                    return Err(wrong("no headers"));
+                    return Err(invalid_data("no headers"));
                 };
                 let pair = |h: &httparse::Header| {
                     (h.name.to_string(), String::from_utf8_lossy(h.value).trim().to_string())
                 };
-                return Ok(Some(Head { first, headers: headers.iter().map(pair).collect() }));
+                return Ok(Some(Head { first_line, headers: headers.iter().map(pair).collect() }));
             }
             if self.buf.len() > HEAD_MAX {
-                return Err(wrong("an endless head"));
+                return Err(invalid_data("an endless head"));
             }
-            if self.more().await? == 0 {
+            if self.fill_buffer().await? == 0 {
                 return if self.buf.is_empty() { Ok(None) } else { Err(ErrorKind::UnexpectedEof.into()) };
             }
         }
@@ -101,13 +101,13 @@
     ///
     /// # Errors
     /// The connection broke or ended before the body did, or its chunks can't be read.
-    pub async fn body(&mut self, left: &mut Left, most: usize) -> Result<Option<BytesMut>> {
+    pub async fn body(&mut self, left: &mut BodyRemainder, most: usize) -> Result<Option<BytesMut>> {
         loop {
             match left {
-                Left::Over => return Ok(None),
-                Left::Bytes(0) => *left = Left::Over,
-                Left::Bytes(n) | Left::Chunk(n) if *n > 0 => {
-                    if self.buf.is_empty() && self.more().await? == 0 {
+                BodyRemainder::Done => return Ok(None),
+                BodyRemainder::Bytes(0) => *left = BodyRemainder::Done,
+                BodyRemainder::Bytes(n) | BodyRemainder::Chunk(n) if *n > 0 => {
+                    if self.buf.is_empty() && self.fill_buffer().await? == 0 {
                         return Err(ErrorKind::UnexpectedEof.into());
                     }
                     let take = (self.buf.len() as u64).min(*n).min(most as u64);
@@ -115,23 +115,23 @@
                     return Ok(Some(self.buf.split_to(take as usize)));
                 }
                 // Between two chunks: the last one's line end, the next one's size.
-                Left::Chunk(_) | Left::Bytes(_) | Left::Begin => {
-                    let skip = if matches!(left, Left::Begin) { 0 } else { 2 };
+                BodyRemainder::Chunk(_) | BodyRemainder::Bytes(_) | BodyRemainder::Begin => {
+                    let skip = if matches!(left, BodyRemainder::Begin) { 0 } else { 2 };
                     match self.buf.get(skip..).map(httparse::parse_chunk_size) {
                         Some(Ok(httparse::Status::Complete((used, size)))) => {
                             self.buf.advance(skip + used);
-                            *left = if size == 0 { Left::End } else { Left::Chunk(size) };
+                            *left = if size == 0 { BodyRemainder::End } else { BodyRemainder::Chunk(size) };
                         }
-                        Some(Err(_)) => return Err(wrong("no chunk")),
-                        _ if self.more().await? == 0 => return Err(ErrorKind::UnexpectedEof.into()),
+                        Some(Err(_)) => return Err(invalid_data("no chunk")),
+                        _ if self.fill_buffer().await? == 0 => return Err(ErrorKind::UnexpectedEof.into()),
                         _ => {}
                     }
                 }
-                Left::End => {
+                BodyRemainder::End => {
                     if self.buf.len() >= 2 {
                         self.buf.advance(2);
-                        *left = Left::Over;
-                    } else if self.more().await? == 0 {
+                        *left = BodyRemainder::Done;
+                    } else if self.fill_buffer().await? == 0 {
                         return Err(ErrorKind::UnexpectedEof.into());
                     }
                 }
@@ -142,21 +142,21 @@
 
 /// What is still to come of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Left {
+pub enum BodyRemainder {
     Bytes(u64),
     /// Before the first chunk's size.
     Begin,
     Chunk(u64),
     /// Behind the last chunk's size.
     End,
-    Over,
+    Done,
 }
 
-impl From<Framing> for Left {
+impl From<Framing> for BodyRemainder {
     fn from(framing: Framing) -> Self {
         match framing {
-            Framing::Length(n) => Left::Bytes(n),
-            Framing::Chunked => Left::Begin,
+            Framing::Length(n) => BodyRemainder::Bytes(n),
+            Framing::Chunked => BodyRemainder::Begin,
         }
     }
 }
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -3,18 +3,18 @@
 //! deals, and tell what they see as events, so that nobody has to wait for a time.
 
 pub mod audit;
-pub mod consumer;
+pub mod client;
 pub mod courier;
-pub mod door;
+pub mod endpoint;
 pub mod fleet;
 pub mod gate;
 pub mod http;
+pub mod listener;
 pub mod operator;
 pub mod partner;
 pub mod platform;
-pub mod provider;
 pub mod record;
-pub mod stage;
+pub mod test_bed;
 
 use std::time::Instant;
 use tokio::sync::mpsc;
@@ -24,15 +24,15 @@
 
 /// Something that a stand-in saw.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct Observation {
     pub at: Instant,
     /// The message's id, where one is known.
     pub id: String,
-    pub what: What,
+    pub what: ObservationKind,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum ObservationKind {
     /// A call's head has come.
     CallBegan,
     /// A call's body: its bytes, their CRC-32, and whether it came to its end as its head has it.
@@ -49,16 +49,16 @@
 
 /// Where events go.
 #[derive(Clone)]
-pub struct Eyes(mpsc::Sender<Seen>);
+pub struct Observer(mpsc::Sender<Observation>);
 
-impl Eyes {
-    pub fn open() -> (Eyes, mpsc::Receiver<Seen>) {
+impl Observer {
+    pub fn channel() -> (Observer, mpsc::Receiver<Observation>) {
         let (to, from) = mpsc::channel(EVENTS_MAX);
-        (Eyes(to), from)
+        (Observer(to), from)
     }
 
     /// Tells of it; a listener that has gone misses nothing.
-    pub async fn see(&self, id: &str, what: What) {
-        let _ = self.0.send(Seen { at: Instant::now(), id: id.to_string(), what }).await;
+    pub async fn observe(&self, id: &str, what: ObservationKind) {
+        let _ = self.0.send(Observation { at: Instant::now(), id: id.to_string(), what }).await;
     }
 }
--- a/standins/src/operator.rs
+++ b/standins/src/operator.rs
@@ -9,11 +9,11 @@
 ///
 /// # Errors
 /// The connection broke.
-pub async fn call(courier: SocketAddr, pieces: &[&[u8]]) -> Result<String> {
+pub async fn call(courier: SocketAddr, chunks: &[&[u8]]) -> Result<String> {
     let mut stream = TcpStream::connect(courier).await?;
     stream.set_nodelay(true)?;
-    for piece in pieces {
-        stream.write_all(piece).await?;
+    for chunk in chunks {
+        stream.write_all(chunk).await?;
         tokio::task::yield_now().await;
     }
     let mut answer = String::new();
--- a/standins/src/partner.rs
+++ b/standins/src/partner.rs
@@ -1,10 +1,10 @@
 //! A provider that a whole fleet calls: it records every call and every connection, and answers as a test
 //! says, at once or when it is told to.
 
-use crate::door::{Door, Way};
-use crate::fleet::fault::{Strike, Struck};
-use crate::http::{Head, Left, Reader};
-use crate::record::{Body, Call, Open, Witness};
+use crate::fleet::fault::{Fault, InjectedFault};
+use crate::http::{BodyRemainder, Head, Reader};
+use crate::listener::{CourierListener, ListenerMode};
+use crate::record::{BodyDigest, ConnectionChange, RecordedCall, Recorder};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
     /// First line and headers, without the last empty line, as in `200 OK`.
     Line(String),
     /// It waits for [`Partner::release`].
-    Held,
+    Pending,
     /// The connection is reset.
     Reset,
     /// It never answers.
@@ -60,12 +60,12 @@
     }
 }
 
-struct Shared {
+struct PartnerState {
     number: usize,
-    witness: Witness,
-    answers: Box<dyn Fn(&Call) -> Answer>,
+    recorder: Recorder,
+    answers: Box<dyn Fn(&RecordedCall) -> Answer>,
     /// Calls that wait, by their number in the record.
-    held: RefCell<BTreeMap<usize, oneshot::Sender<Answer>>>,
+    pending: RefCell<BTreeMap<usize, oneshot::Sender<Answer>>>,
     /// Its connections, and whose they are.
     open: RefCell<BTreeMap<u64, (usize, OwnedFd)>>,
 }
@@ -73,8 +73,8 @@
 /// A partner with a door for each courier.
 pub struct Partner {
     pub dest: u64,
-    doors: Vec<Door>,
-    shared: Rc<Shared>,
+    listeners: Vec<CourierListener>,
+    shared: Rc<PartnerState>,
 }
 
 impl Partner {
@@ -87,42 +87,42 @@
         number: usize,
         dest: u64,
         couriers: usize,
-        witness: Witness,
-        answers: impl Fn(&Call) -> Answer + 'static,
+        recorder: Recorder,
+        answers: impl Fn(&RecordedCall) -> Answer + 'static,
     ) -> Result<Partner> {
-        let (held, open) = (RefCell::default(), RefCell::default());
-        let shared = Rc::new(Shared { number, witness, answers: Box::new(answers), held, open });
-        let door = |courier| {
+        let (pending, open) = (RefCell::default(), RefCell::default());
+        let shared = Rc::new(PartnerState { number, recorder, answers: Box::new(answers), pending, open });
+        let listener = |courier| {
             let shared = shared.clone();
-            Door::open(move |stream, way| {
+            CourierListener::open(move |stream, mode| {
                 let shared = shared.clone();
                 async move {
-                    if let Ok(connection) = shared.came(&stream, courier) {
+                    if let Ok(connection) = shared.connection_opened(&stream, courier) {
                         // What broke is told of with the call.
-                        let _ = serve(stream, connection, courier, &shared, way).await;
-                        shared.went(connection);
+                        let _ = serve(stream, connection, courier, &shared, mode).await;
+                        shared.connection_closed(connection);
                     }
                 }
             })
         };
-        let doors = (0..couriers).map(door).collect::<Result<_>>()?;
-        Ok(Partner { dest, doors, shared })
+        let listeners = (0..couriers).map(listener).collect::<Result<_>>()?;
+        Ok(Partner { dest, listeners, shared })
     }
 
     /// Where this courier reaches it.
     pub fn addr(&self, courier: usize) -> SocketAddr {
-        self.doors[courier].addr()
+        self.listeners[courier].addr()
     }
 
     /// From now on, for this courier.
-    pub fn set(&self, courier: usize, way: Way) {
-        self.doors[courier].set(way);
+    pub fn set(&self, courier: usize, mode: ListenerMode) {
+        self.listeners[courier].set(mode);
         let partner = self.shared.number;
-        Struck::note(&self.shared.witness, Strike::Partner { courier, partner, way });
+        InjectedFault::note(&self.shared.recorder, Fault::Partner { courier, partner, mode });
     }
 
     pub(crate) fn is_open(&self, courier: usize) -> bool {
-        self.doors[courier].way() == Way::Open
+        self.listeners[courier].mode() == ListenerMode::Open
     }
 
     /// Answers all calls of a message that are held so; returns how many there were.
@@ -131,47 +131,61 @@
     }
 
     /// Answers all calls that are held and meant so.
-    pub fn release_where(&self, answer: Answer, meant: impl Fn(&Call) -> bool) -> usize {
-        let mut held = self.shared.held.borrow_mut();
-        let meant = self.shared.witness.read(|record| {
+    pub fn release_where(&self, answer: Answer, meant: impl Fn(&RecordedCall) -> bool) -> usize {
+        let mut pending = self.shared.pending.borrow_mut();
+        let meant = self.shared.recorder.read(|record| {
             let meant = |n: &usize| meant(&record.calls[*n]);
-            held.keys().copied().filter(meant).collect::<Vec<_>>()
+            pending.keys().copied().filter(meant).collect::<Vec<_>>()
         });
         for n in &meant {
             // One that has gone meanwhile needs no answer.
-            held.remove(n).map(|to| to.send(answer.clone()));
+            pending.remove(n).map(|to| to.send(answer.clone()));
         }
         meant.len()
     }
 }
 
-impl Shared {
+impl PartnerState {
     /// A connection came: those that the other side has closed before are counted out first, so that the
     /// count is never more than what is open, in whatever order the two are heard of here.
-    fn came(&self, stream: &TcpStream, courier: usize) -> Result<u64> {
+    fn connection_opened(&self, stream: &TcpStream, courier: usize) -> Result<u64> {
         let gone: Vec<u64> = {
             let open = self.open.borrow();
             open.iter().filter(|(_, (_, fd))| hung_up(fd)).map(|(number, _)| *number).collect()
         };
-        gone.into_iter().for_each(|number| self.went(number));
+        gone.into_iter().for_each(|number| self.connection_closed(number));
         let fd = stream.as_fd().try_clone_to_owned()?;
         let partner = self.number;
-        Ok(self.witness.write(|record, when| {
+        Ok(self.recorder.write(|record, when| {
             let connection = record.connections;
             record.connections += 1;
             let mut all = self.open.borrow_mut();
             all.insert(connection, (courier, fd));
             let open = all.len();
-            record.opens.push(Open { when, partner, connection, courier, came: true, open });
+            record.connection_changes.push(ConnectionChange {
+                when,
+                partner,
+                connection,
+                courier,
+                opened: true,
+                open,
+            });
             connection
         }))
     }
 
-    fn went(&self, connection: u64) {
+    fn connection_closed(&self, connection: u64) {
         let Some((courier, _)) = self.open.borrow_mut().remove(&connection) else { return };
         let (partner, open) = (self.number, self.open.borrow().len());
-        self.witness.write(|record, when| {
-            record.opens.push(Open { when, partner, connection, courier, came: false, open });
+        self.recorder.write(|record, when| {
+            record.connection_changes.push(ConnectionChange {
+                when,
+                partner,
+                connection,
+                courier,
+                opened: false,
+                open,
+            });
         });
     }
 
@@ -180,29 +194,29 @@
         self.open.borrow().get(&connection).is_none_or(|(_, fd)| hung_up(fd))
     }
 
-    fn note(&self, call: usize, note: impl FnOnce(&mut Call, crate::record::Stamp)) {
-        self.witness.write(|record, when| note(&mut record.calls[call], when));
+    fn note(&self, call: usize, note: impl FnOnce(&mut RecordedCall, crate::record::Stamp)) {
+        self.recorder.write(|record, when| note(&mut record.calls[call], when));
     }
 }
 
 fn hung_up(fd: &OwnedFd) -> bool {
     let ends = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
     let mut fds = [PollFd::new(fd, ends)];
-    let told = poll(&mut fds, Some(&Timespec { tv_sec: 0, tv_nsec: 0 }));
-    told.is_ok_and(|n| n > 0) && fds[0].revents().intersects(ends)
+    let result = poll(&mut fds, Some(&Timespec { tv_sec: 0, tv_nsec: 0 }));
+    result.is_ok_and(|n| n > 0) && fds[0].revents().intersects(ends)
 }
 
 async fn serve(
     stream: TcpStream,
     connection: u64,
     courier: usize,
-    shared: &Shared,
-    way: watch::Receiver<Way>,
+    shared: &PartnerState,
+    mode: watch::Receiver<ListenerMode>,
 ) -> Result<()> {
     let (from, mut to) = stream.into_split();
     let mut reader = Reader::new(from);
     while let Some(head) = reader.head().await? {
-        if !call(head, &mut reader, &mut to, connection, courier, shared, &way).await? {
+        if !call(head, &mut reader, &mut to, connection, courier, shared, &mode).await? {
             break;
         }
     }
@@ -216,8 +230,8 @@
     to: &mut OwnedWriteHalf,
     connection: u64,
     courier: usize,
-    shared: &Shared,
-    way: &watch::Receiver<Way>,
+    shared: &PartnerState,
+    mode: &watch::Receiver<ListenerMode>,
 ) -> Result<bool> {
     let text = |name| head.header(name).map(str::to_string);
     let (id, key, tenant) =
@@ -225,9 +239,9 @@
     if head.header("expect").is_some() {
         to.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
     }
-    let mut left = Left::from(head.framing());
-    let n = shared.witness.write(|record, began| {
-        record.call(Call {
+    let mut left = BodyRemainder::from(head.framing());
+    let n = shared.recorder.write(|record, began| {
+        record.call(RecordedCall {
             began,
             partner: shared.number,
             courier,
@@ -236,7 +250,7 @@
             key,
             tenant,
             head,
-            body: Body::default(),
+            body: BodyDigest::default(),
             whole: None,
             ran: false,
             answered: None,
@@ -244,7 +258,7 @@
             abandoned: None,
         })
     });
-    let abandoned = |call: &mut Call, when| call.abandoned = Some(when);
+    let abandoned = |call: &mut RecordedCall, when| call.abandoned = Some(when);
     let (mut crc, mut bytes) = (crc32fast::Hasher::new(), 0);
     loop {
         match reader.body(&mut left, READ).await {
@@ -255,7 +269,7 @@
             Ok(None) => break,
             Err(_) => {
                 shared.note(n, |call, when| {
-                    call.body = Body { bytes, crc: crc.finalize() };
+                    call.body = BodyDigest { bytes, crc: crc.finalize() };
                     abandoned(call, when);
                 });
                 return Ok(false);
@@ -263,18 +277,18 @@
         }
     }
     shared.note(n, |call, when| {
-        (call.body, call.whole, call.ran) = (Body { bytes, crc: crc.finalize() }, Some(when), true);
+        (call.body, call.whole, call.ran) = (BodyDigest { bytes, crc: crc.finalize() }, Some(when), true);
     });
-    let mut answer = shared.witness.read(|record| (shared.answers)(&record.calls[n]));
-    if answer == Answer::Held {
+    let mut answer = shared.recorder.read(|record| (shared.answers)(&record.calls[n]));
+    if answer == Answer::Pending {
         let (release, released) = oneshot::channel();
-        shared.held.borrow_mut().insert(n, release);
+        shared.pending.borrow_mut().insert(n, release);
         tokio::select! {
             biased;
-            told = released => answer = told.unwrap_or(Answer::Silent),
+            result = released => answer = result.unwrap_or(Answer::Silent),
             // Nothing more comes before the answer but the end.
             _ = reader.head() => {
-                shared.held.borrow_mut().remove(&n);
+                shared.pending.borrow_mut().remove(&n);
                 shared.note(n, abandoned);
                 return Ok(false);
             }
@@ -288,7 +302,7 @@
             shared.note(n, abandoned);
             return Ok(false);
         }
-        Answer::Held | Answer::Silent => {
+        Answer::Pending | Answer::Silent => {
             let _ = reader.head().await;
             shared.note(n, abandoned);
             return Ok(false);
@@ -301,7 +315,7 @@
         });
         return Ok(false);
     }
-    let unheard = *way.borrow() == Way::AnswersLost;
+    let unheard = *mode.borrow() == ListenerMode::AnswersLost;
     // Noted first: what the answer brings about is seen behind it.
     shared
         .note(n, |call, when| (call.ran, call.answered, call.unheard) = (ran, Some((when, status)), unheard));
--- a/standins/src/platform.rs
+++ b/standins/src/platform.rs
@@ -1,11 +1,11 @@
 //! The platform's agent: the watch on discovery, which stays open, and the notices, which it confirms.
 
-use crate::door::{Door, Way};
-use crate::fleet::fault::{Strike, Struck};
-use crate::gate::{Entry, Gate};
-use crate::http::{Left, Reader};
-use crate::record::{Notice, Witness};
-use crate::{Eyes, What};
+use crate::fleet::fault::{Fault, InjectedFault};
+use crate::gate::{AcceptMode, Gate};
+use crate::http::{BodyRemainder, Reader};
+use crate::listener::{CourierListener, ListenerMode};
+use crate::record::{RecordedNotice, Recorder};
+use crate::{ObservationKind, Observer};
 use std::cell::Cell;
 use std::io::{Error, ErrorKind, Result};
 use std::net::SocketAddr;
@@ -19,16 +19,16 @@
 use tokio::time::sleep;
 
 /// As long as nothing changes, an empty line comes so often.
-const BEAT: Duration = Duration::from_secs(2);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Serves until its task ends. Every line that `list` takes on is told to whoever watches: one JSON object,
 /// as PROTOCOL has it; an empty text tells nothing.
 ///
 /// # Errors
 /// No port could be had.
-pub async fn open(eyes: Eyes, list: watch::Receiver<String>) -> Result<SocketAddr> {
+pub async fn open(observer: Observer, list: watch::Receiver<String>) -> Result<SocketAddr> {
     // Its sender is gone: it stays as it is.
-    open_with(eyes, list, watch::channel(false).1).await
+    open_with(observer, list, watch::channel(false).1).await
 }
 
 /// The same; while `down` says so, discovery is down: watches that are open fall silent, and what is asked
@@ -37,7 +37,7 @@
 /// # Errors
 /// No port could be had.
 pub async fn open_with(
-    eyes: Eyes,
+    observer: Observer,
     list: watch::Receiver<String>,
     down: watch::Receiver<bool>,
 ) -> Result<SocketAddr> {
@@ -45,35 +45,35 @@
     let addr = listener.local_addr()?;
     tokio::task::spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let eyes = eyes.clone();
-            let tell = async move |id: &str, what| {
-                eyes.see(id, what).await;
+            let observer = observer.clone();
+            let report = async move |id: &str, what| {
+                observer.observe(id, what).await;
                 true
             };
-            tokio::task::spawn_local(serve(stream, tell, list.clone(), down.clone()));
+            tokio::task::spawn_local(serve(stream, report, list.clone(), down.clone()));
         }
     });
     Ok(addr)
 }
 
-/// `tell` says whether a notice is confirmed.
+/// `report` says whether a notice is confirmed.
 async fn serve(
     stream: TcpStream,
-    tell: impl AsyncFn(&str, What) -> bool,
+    report: impl AsyncFn(&str, ObservationKind) -> bool,
     mut list: watch::Receiver<String>,
     mut down: watch::Receiver<bool>,
 ) -> Result<()> {
     let (from, mut to) = stream.into_split();
     let mut reader = Reader::new(from);
     while let Some(head) = reader.head().await? {
-        if head.first.starts_with("POST /v2/finals ") {
-            let (mut left, mut text) = (Left::from(head.framing()), Vec::new());
+        if head.first_line.starts_with("POST /v2/finals ") {
+            let (mut left, mut text) = (BodyRemainder::from(head.framing()), Vec::new());
             while let Some(part) = reader.body(&mut left, usize::MAX).await? {
                 text.extend_from_slice(&part);
             }
             let mut confirmed = true;
             for line in String::from_utf8_lossy(&text).lines() {
-                confirmed &= tell(id_of(line), What::Notice(line.to_string())).await;
+                confirmed &= report(notice_id(line), ObservationKind::Notice(line.to_string())).await;
             }
             to.write_all(match confirmed {
                 true => b"HTTP/1.1 204 No Content\r\n\r\n",
@@ -82,7 +82,7 @@
             .await?;
             continue;
         }
-        tell("", What::Watched).await;
+        report("", ObservationKind::Watched).await;
         if *down.borrow() {
             break;
         }
@@ -92,7 +92,7 @@
             to.write_all(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes()).await?;
             tokio::select! {
                 changed = list.changed() => if changed.is_err() { return Ok(()) },
-                () = sleep(BEAT) => {}
+                () = sleep(HEARTBEAT_INTERVAL) => {}
                 Ok(_) = down.wait_for(|down| *down) => break,
             }
         }
@@ -105,24 +105,24 @@
 }
 
 /// Questions that may wait to be looked at; who has so many waits with the next.
-const ASKED_MAX: usize = 256;
+const PENDING_REQUESTS_MAX: usize = 256;
 
 /// A discovery whose every answer is written by hand; closed when it is dropped.
-pub struct ByHand {
+pub struct ManualDiscovery {
     pub addr: SocketAddr,
-    entry: watch::Sender<Entry>,
-    asked: mpsc::Receiver<Asked>,
+    accept_mode: watch::Sender<AcceptMode>,
+    requests: mpsc::Receiver<DiscoveryRequest>,
     task: AbortHandle,
 }
 
-impl Drop for ByHand {
+impl Drop for ManualDiscovery {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
 /// A question that has come, and its connection; dropped, that is closed.
-pub struct Asked {
+pub struct DiscoveryRequest {
     pub at: Instant,
     /// The version after which changes are wanted.
     pub after: u64,
@@ -130,23 +130,23 @@
     to: OwnedWriteHalf,
 }
 
-impl ByHand {
+impl ManualDiscovery {
     /// Must run in a `LocalSet`.
     ///
     /// # Errors
     /// No port could be had.
-    pub async fn open() -> Result<ByHand> {
+    pub async fn open() -> Result<ManualDiscovery> {
         let mut gate = Gate::open()?;
         let addr = gate.addr();
-        let (entry, mut told) = watch::channel(Entry::Open);
-        let (to, asked) = mpsc::channel(ASKED_MAX);
+        let (accept_mode, mut receiver) = watch::channel(AcceptMode::Open);
+        let (to, requests) = mpsc::channel(PENDING_REQUESTS_MAX);
         let task = spawn_local(async move {
             loop {
                 tokio::select! {
                     biased;
-                    changed = told.changed() => {
-                        let entry = *told.borrow_and_update();
-                        if changed.is_err() || gate.set(entry).is_err() {
+                    changed = receiver.changed() => {
+                        let accept_mode = *receiver.borrow_and_update();
+                        if changed.is_err() || gate.set(accept_mode).is_err() {
                             return;
                         }
                     }
@@ -154,40 +154,40 @@
                         let Ok(stream) = stream else { continue };
                         let to = to.clone();
                         spawn_local(async move {
-                            if let Ok(Some(asked)) = Asked::read(stream).await {
-                                let _ = to.send(asked).await;
+                            if let Ok(Some(request)) = DiscoveryRequest::read(stream).await {
+                                let _ = to.send(request).await;
                             }
                         });
                     }
                 }
             }
         });
-        Ok(ByHand { addr, entry, asked, task: task.abort_handle() })
+        Ok(ManualDiscovery { addr, accept_mode, requests, task: task.abort_handle() })
     }
 
     /// How those who come are met from now on.
-    pub fn set(&self, entry: Entry) {
-        self.entry.send_replace(entry);
+    pub fn set(&self, accept_mode: AcceptMode) {
+        self.accept_mode.send_replace(accept_mode);
     }
 
     /// The next question.
     ///
     /// # Errors
     /// None can come any more.
-    pub async fn asked(&mut self) -> Result<Asked> {
-        self.asked.recv().await.ok_or_else(|| ErrorKind::NotConnected.into())
+    pub async fn next_request(&mut self) -> Result<DiscoveryRequest> {
+        self.requests.recv().await.ok_or_else(|| ErrorKind::NotConnected.into())
     }
 }
 
-impl Asked {
-    async fn read(stream: TcpStream) -> Result<Option<Asked>> {
+impl DiscoveryRequest {
+    async fn read(stream: TcpStream) -> Result<Option<DiscoveryRequest>> {
         let (from, to) = stream.into_split();
         let mut reader = Reader::new(from);
         let Some(head) = reader.head().await? else { return Ok(None) };
         let after =
-            head.first.split_once("after=").and_then(|(_, rest)| rest.split(' ').next()?.parse().ok());
-        let after = after.ok_or_else(|| Error::new(ErrorKind::InvalidData, head.first))?;
-        Ok(Some(Asked { at: Instant::now(), after, reader, to }))
+            head.first_line.split_once("after=").and_then(|(_, rest)| rest.split(' ').next()?.parse().ok());
+        let after = after.ok_or_else(|| Error::new(ErrorKind::InvalidData, head.first_line))?;
+        Ok(Some(DiscoveryRequest { at: Instant::now(), after, reader, to }))
     }
 
     /// Writes these bytes.
@@ -210,7 +210,7 @@
     ///
     /// # Errors
     /// The connection broke.
-    pub async fn say(&mut self, text: &str) -> Result<()> {
+    pub async fn send_chunk(&mut self, text: &str) -> Result<()> {
         self.write(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).await
     }
 
@@ -223,9 +223,9 @@
     ///
     /// # Errors
     /// Another question came on it, which only a new connection is to carry.
-    pub async fn given_up(&mut self) -> Result<()> {
+    pub async fn wait_for_close(&mut self) -> Result<()> {
         match self.reader.head().await {
-            Ok(Some(head)) => Err(Error::new(ErrorKind::InvalidData, head.first)),
+            Ok(Some(head)) => Err(Error::new(ErrorKind::InvalidData, head.first_line)),
             Ok(None) | Err(_) => Ok(()),
         }
     }
@@ -234,10 +234,10 @@
 /// The platform of a whole fleet: a door for each courier, and a record of every notice in the order in
 /// which they came.
 pub struct Platform {
-    doors: Vec<Door>,
+    listeners: Vec<CourierListener>,
     lists: Vec<watch::Sender<String>>,
     confirms: Rc<Cell<bool>>,
-    witness: Witness,
+    recorder: Recorder,
 }
 
 impl Platform {
@@ -245,48 +245,48 @@
     ///
     /// # Errors
     /// No port could be had.
-    pub fn open(couriers: usize, witness: Witness) -> Result<Platform> {
+    pub fn open(couriers: usize, recorder: Recorder) -> Result<Platform> {
         let confirms = Rc::new(Cell::new(true));
         let lists: Vec<watch::Sender<String>> = (0..couriers).map(|_| watch::Sender::default()).collect();
-        let door = |(courier, list): (usize, &watch::Sender<String>)| {
-            let (witness, confirms, list) = (witness.clone(), confirms.clone(), list.subscribe());
-            Door::open(move |stream, way| {
-                let (witness, confirms, list) = (witness.clone(), confirms.clone(), list.clone());
+        let listener = |(courier, list): (usize, &watch::Sender<String>)| {
+            let (recorder, confirms, list) = (recorder.clone(), confirms.clone(), list.subscribe());
+            CourierListener::open(move |stream, mode| {
+                let (recorder, confirms, list) = (recorder.clone(), confirms.clone(), list.clone());
                 async move {
-                    let tell = async |id: &str, what| {
-                        if let What::Notice(line) = what {
+                    let report = async |id: &str, what| {
+                        if let ObservationKind::Notice(line) = what {
                             let id = id.to_string();
-                            witness.write(|record, when| {
-                                record.notice(Notice { when, courier, id, line });
+                            recorder.write(|record, when| {
+                                record.notice(RecordedNotice { when, courier, id, line });
                             });
-                            if *way.borrow() == Way::AnswersLost {
+                            if *mode.borrow() == ListenerMode::AnswersLost {
                                 std::future::pending::<()>().await;
                             }
                         }
                         confirms.get()
                     };
                     // A connection that breaks is the courier's to open again.
-                    let _ = serve(stream, tell, list, watch::channel(false).1).await;
+                    let _ = serve(stream, report, list, watch::channel(false).1).await;
                 }
             })
         };
-        let doors = lists.iter().enumerate().map(door).collect::<Result<_>>()?;
-        Ok(Platform { doors, lists, confirms, witness })
+        let listeners = lists.iter().enumerate().map(listener).collect::<Result<_>>()?;
+        Ok(Platform { listeners, lists, confirms, recorder })
     }
 
     /// Where this courier reaches it.
     pub fn addr(&self, courier: usize) -> SocketAddr {
-        self.doors[courier].addr()
+        self.listeners[courier].addr()
     }
 
     /// From now on, for this courier.
-    pub fn set(&self, courier: usize, way: Way) {
-        self.doors[courier].set(way);
-        Struck::note(&self.witness, Strike::Platform { courier, way });
+    pub fn set(&self, courier: usize, mode: ListenerMode) {
+        self.listeners[courier].set(mode);
+        InjectedFault::note(&self.recorder, Fault::Platform { courier, mode });
     }
 
     pub(crate) fn is_open(&self, courier: usize) -> bool {
-        self.doors[courier].way() == Way::Open
+        self.listeners[courier].mode() == ListenerMode::Open
     }
 
     /// Tells this courier a line of discovery: one JSON object, as PROTOCOL has it.
@@ -301,7 +301,7 @@
 }
 
 /// The id in a notice's line.
-fn id_of(line: &str) -> &str {
+fn notice_id(line: &str) -> &str {
     let rest = line.split_once("\"id\":\"").map(|(_, rest)| rest);
     rest.and_then(|rest| rest.split('"').next()).unwrap_or_default()
 }
--- a/standins/src/stage.rs
+++ b/standins/src/test_bed.rs
@@ -1,10 +1,10 @@
 //! One courier between stand-ins: its platform, and a provider for one destination; and consumers that write bytes.
 
-use crate::consumer::{self, Invocation};
+use crate::client::{self, MessageRequest};
 use crate::courier::{Courier, Setup};
-use crate::http::{Head, Left, Reader};
-use crate::provider::{self, Script};
-use crate::{Eyes, Seen, What, platform};
+use crate::endpoint::{self, EndpointScript};
+use crate::http::{BodyRemainder, Head, Reader};
+use crate::{Observation, ObservationKind, Observer, platform};
 use std::io::{Error, ErrorKind, Result};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -18,77 +18,79 @@
 /// The provider's destination.
 pub const DEST: u64 = 7;
 /// Only a broken program waits for so long.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The courier, and what its stand-ins see; must run in a `LocalSet`.
-pub struct Stage {
+pub struct TestBed {
     pub courier: Courier,
-    pub seen: mpsc::Receiver<Seen>,
+    pub observations: mpsc::Receiver<Observation>,
     /// What discovery tells from here on.
     pub list: watch::Sender<String>,
     /// Whether discovery is down.
     pub down: watch::Sender<bool>,
 }
 
-impl Stage {
+impl TestBed {
     /// Starts them; `set` changes what the courier is started with.
     ///
     /// # Errors
     /// The courier did not start, or no port could be had.
     pub async fn open(
         program: impl Into<PathBuf>,
-        script: impl Fn(&Head) -> Script + 'static,
+        script: impl Fn(&Head) -> EndpointScript + 'static,
         set: impl FnOnce(&mut Setup),
-    ) -> Result<Stage> {
-        let (eyes, seen) = Eyes::open();
-        let (list, told) = watch::channel(String::new());
+    ) -> Result<TestBed> {
+        let (observer, seen) = Observer::channel();
+        let (list, receiver) = watch::channel(String::new());
         let (down, is_down) = watch::channel(false);
-        let platform = platform::open_with(eyes.clone(), told, is_down).await?;
-        let provider = provider::open(eyes, script).await?;
-        let mut setup = Setup::new(program, platform, vec![(DEST, provider)]);
+        let platform = platform::open_with(observer.clone(), receiver, is_down).await?;
+        let endpoint = endpoint::open(observer, script).await?;
+        let mut setup = Setup::new(program, platform, vec![(DEST, endpoint)]);
         set(&mut setup);
-        Ok(Stage { courier: Courier::start(setup)?, seen, list, down })
+        Ok(TestBed { courier: Courier::start(setup)?, observations: seen, list, down })
     }
 
     /// The next thing seen that is wanted; what is seen before it is let go.
     ///
     /// # Errors
     /// It was not seen in time.
-    pub async fn sees(&mut self, wanted: impl Fn(&Seen) -> bool) -> Result<Seen> {
+    pub async fn wait_for(&mut self, wanted: impl Fn(&Observation) -> bool) -> Result<Observation> {
         let found = async {
             loop {
-                match self.seen.recv().await {
+                match self.observations.recv().await {
                     Some(seen) if wanted(&seen) => return Ok(seen),
                     Some(_) => {}
                     None => return Err(Error::from(ErrorKind::BrokenPipe)),
                 }
             }
         };
-        timeout(PATIENCE, found).await.unwrap_or_else(|_| Err(Error::other("it was not seen")))
+        timeout(WAIT_TIMEOUT, found).await.unwrap_or_else(|_| Err(Error::other("it was not seen")))
     }
 
     /// Waits for a call of the message.
     ///
     /// # Errors
     /// None came in time.
-    pub async fn called(&mut self, id: &str) -> Result<()> {
-        self.sees(|seen| seen.id == id && seen.what == What::CallBegan).await.map(drop)
+    pub async fn wait_for_call(&mut self, id: &str) -> Result<()> {
+        self.wait_for(|seen| seen.id == id && seen.what == ObservationKind::CallBegan).await.map(drop)
     }
 
     /// Waits until the message has an answer of its provider.
     ///
     /// # Errors
     /// None came in time.
-    pub async fn answered(&mut self, id: &str) -> Result<()> {
-        self.sees(|seen| seen.id == id && matches!(seen.what, What::Answered(_))).await.map(drop)
+    pub async fn wait_for_answer(&mut self, id: &str) -> Result<()> {
+        self.wait_for(|seen| seen.id == id && matches!(seen.what, ObservationKind::Answered(_)))
+            .await
+            .map(drop)
     }
 
     /// Hands a message in on a connection of its own; the answer's status.
     ///
     /// # Errors
     /// The connection broke, or no answer came.
-    pub async fn hand_in(&self, id: &str) -> Result<u16> {
-        Client::connect(self.courier.addr).await?.ask(&request(id)).await
+    pub async fn submit(&self, id: &str) -> Result<u16> {
+        ClientConnection::connect(self.courier.addr).await?.exchange(&request(id)).await
     }
 }
 
@@ -99,25 +101,25 @@
 
 /// The same, with another time.
 pub fn request_within(id: &str, left: Duration) -> Vec<u8> {
-    let mut invocation = Invocation::new("paid-notice", id, DEST, left);
-    (invocation.key, invocation.headers) = (Some(id.into()), "Content-Length: 2\r\n".into());
-    [invocation.head().as_bytes(), b"hi"].concat()
+    let mut message = MessageRequest::new("paid-notice", id, DEST, left);
+    (message.key, message.headers) = (Some(id.into()), "Content-Length: 2\r\n".into());
+    [message.head().as_bytes(), b"hi"].concat()
 }
 
 /// A consumer's connection, of which every byte is the test's own.
-pub struct Client {
+pub struct ClientConnection {
     pub from: Reader<OwnedReadHalf>,
     pub to: OwnedWriteHalf,
 }
 
-impl Client {
+impl ClientConnection {
     /// # Errors
     /// The courier refuses it.
-    pub async fn connect(courier: SocketAddr) -> Result<Client> {
+    pub async fn connect(courier: SocketAddr) -> Result<ClientConnection> {
         let stream = TcpStream::connect(courier).await?;
         stream.set_nodelay(true)?;
         let (from, to) = stream.into_split();
-        Ok(Client { from: Reader::new(from), to })
+        Ok(ClientConnection { from: Reader::new(from), to })
     }
 
     /// # Errors
@@ -130,14 +132,14 @@
     ///
     /// # Errors
     /// The connection broke, or nothing came in time.
-    pub async fn hear(&mut self) -> Result<Option<Head>> {
+    pub async fn read_answer(&mut self) -> Result<Option<Head>> {
         let whole = async {
             let Some(head) = self.from.head().await? else { return Ok(None) };
-            let mut left = Left::from(head.framing());
+            let mut left = BodyRemainder::from(head.framing());
             while self.from.body(&mut left, usize::MAX).await?.is_some() {}
             Ok(Some(head))
         };
-        timeout(PATIENCE, whole).await.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()))
+        timeout(WAIT_TIMEOUT, whole).await.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()))
     }
 
     /// The next answer's status.
@@ -145,14 +147,14 @@
     /// # Errors
     /// The connection ended or broke, or nothing came in time.
     pub async fn status(&mut self) -> Result<u16> {
-        Ok(self.hear().await?.ok_or(ErrorKind::UnexpectedEof)?.status())
+        Ok(self.read_answer().await?.ok_or(ErrorKind::UnexpectedEof)?.status())
     }
 
     /// Sends a request, and returns the status of its answer.
     ///
     /// # Errors
-    /// See [`Client::send`] and [`Client::status`].
-    pub async fn ask(&mut self, request: &[u8]) -> Result<u16> {
+    /// See [`ClientConnection::send`] and [`ClientConnection::status`].
+    pub async fn exchange(&mut self, request: &[u8]) -> Result<u16> {
         self.send(request).await?;
         self.status().await
     }
@@ -162,10 +164,10 @@
 ///
 /// # Panics
 /// The test did not come to its end within a minute, or panicked itself.
-pub fn play<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
+pub fn run_test<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let Ok(runtime) = runtime else { panic!("no runtime could be had") };
-    let played = async { timeout(3 * PATIENCE, test()).await };
+    let played = async { timeout(3 * WAIT_TIMEOUT, test()).await };
     let over = tokio::task::LocalSet::new().block_on(&runtime, played);
     assert!(over.is_ok(), "the test did not come to its end");
 }
@@ -175,5 +177,5 @@
 /// # Errors
 /// The courier refuses it, or does not answer.
 pub async fn probe(courier: SocketAddr) -> Result<u16> {
-    consumer::get(courier, "/-/ready").await.map(|(status, _)| status)
+    client::get(courier, "/-/ready").await.map(|(status, _)| status)
 }
--- a/standins/tests/audit.rs
+++ b/standins/tests/audit.rs
@@ -6,36 +6,36 @@
 use quillmount_core::journal::{self, End, Record};
 use quillmount_core::store::Memory;
 use quillmount_standins::audit::{
-    Budget, Connections, Finding, Handed, History, Journal, Notice, Outcome, Position, Seal, Seen,
-    SettlementEnd, Trouble, audit,
+    Budget, ConnectionCount, FaultWindow, Finding, History, Journal, Notice, ObservedCall, Seal,
+    SettlementEnd, SettlementOutcome, SettlementPosition, Submission, audit,
 };
-use quillmount_standins::record::Body;
+use quillmount_standins::record::BodyDigest;
 use spurshore::Micros;
 
 const SEC: Micros = 1_000_000;
 /// When it all begins.
 const T0: Micros = 1_000 * SEC;
 
-fn handed(id: &str, class: &str) -> Handed {
-    Handed {
+fn submission(id: &str, class: &str) -> Submission {
+    Submission {
         id: id.into(),
         class: class.into(),
         key: Some(format!("key-{id}")),
         dest: 1,
-        body: Body::of(id.as_bytes()),
+        body: BodyDigest::of(id.as_bytes()),
         courier: 0,
-        asked: T0,
+        submitted_at: T0,
         time_left: 16 * SEC,
         answered: Some((T0 + 10, 202)),
     }
 }
 
-fn seen(id: &str, courier: usize, began: Micros, status: Option<u16>) -> Seen {
-    Seen {
+fn observed(id: &str, courier: usize, began: Micros, status: Option<u16>) -> ObservedCall {
+    ObservedCall {
         id: id.into(),
         key: Some(format!("key-{id}")),
         dest: 1,
-        body: Body::of(id.as_bytes()),
+        body: BodyDigest::of(id.as_bytes()),
         courier,
         connection: courier as u64,
         began,
@@ -50,9 +50,9 @@
     Notice { id: id.into(), status: status.into(), courier: 0, at }
 }
 
-fn position(settlement: &str, position: u32, at: Micros) -> Position {
+fn position(settlement: &str, position: u32, at: Micros) -> SettlementPosition {
     let session = Some((u64::from(position), Some(at + 5)));
-    Position { settlement: settlement.into(), position, of: None, at, ran: true, session }
+    SettlementPosition { settlement: settlement.into(), position, of: None, at, ran: true, session }
 }
 
 /// A journal's bytes with these records.
@@ -77,37 +77,38 @@
 /// other.
 fn clean() -> History {
     let late = T0 + 12 * SEC;
-    let refused = Handed { answered: Some((T0, 503)), ..handed("debit", "fee-debit") };
-    let open = Handed { asked: late, answered: Some((late, 202)), ..handed("open", "fee-debit") };
+    let refused = Submission { answered: Some((T0, 503)), ..submission("debit", "fee-debit") };
+    let open =
+        Submission { submitted_at: late, answered: Some((late, 202)), ..submission("open", "fee-debit") };
     let mut again = notice("told", "undeliverable", T0 + 3 * SEC);
     again.courier = 1;
-    let lost = Trouble { courier: 2, from: T0 + 3 * SEC, to: None };
-    let mut settled: Vec<Position> =
+    let lost = FaultWindow { courier: 2, from: T0 + 3 * SEC, to: None };
+    let mut settled: Vec<SettlementPosition> =
         (1..=3).map(|n| position("s-closed", n, T0 + Micros::from(n) * 10)).collect();
     settled[2].of = Some(3);
     settled.extend((1..=2).map(|n| position("s-broken", n, T0 + Micros::from(n) * 10)));
     let connections = [(1, 1), (2, 2), (3, 3), (4, 4), (5, 3), (6, 3), (7, 2), (8, 1)];
     History {
         at: T0 + 20 * SEC,
-        handed: vec![
+        submissions: vec![
             refused,
-            handed("debit", "fee-debit"),
-            handed("told", "fee-debit"),
-            handed("paid", "paid-notice"),
-            handed("unheard", "fee-debit"),
-            handed("known", "fee-debit"),
+            submission("debit", "fee-debit"),
+            submission("told", "fee-debit"),
+            submission("paid", "paid-notice"),
+            submission("unheard", "fee-debit"),
+            submission("known", "fee-debit"),
             open,
-            Handed { answered: Some((T0, 503)), ..handed("refused", "fee-debit") },
-            Handed { answered: None, ..handed("unanswered", "fee-debit") },
+            Submission { answered: Some((T0, 503)), ..submission("refused", "fee-debit") },
+            Submission { answered: None, ..submission("unanswered", "fee-debit") },
         ],
-        seen: vec![
-            seen("debit", 0, T0 + SEC, Some(503)),
-            seen("debit", 0, T0 + 2 * SEC, Some(200)),
-            seen("told", 0, T0 + SEC, Some(500)),
-            seen("paid", 0, T0 + SEC, None),
-            seen("paid", 1, T0 + 6 * SEC, Some(200)),
-            seen("unheard", 2, T0 + 2 * SEC, Some(200)),
-            seen("known", 2, T0 + 5 * SEC, None),
+        calls: vec![
+            observed("debit", 0, T0 + SEC, Some(503)),
+            observed("debit", 0, T0 + 2 * SEC, Some(200)),
+            observed("told", 0, T0 + SEC, Some(500)),
+            observed("paid", 0, T0 + SEC, None),
+            observed("paid", 1, T0 + 6 * SEC, Some(200)),
+            observed("unheard", 2, T0 + 2 * SEC, Some(200)),
+            observed("known", 2, T0 + 5 * SEC, None),
         ],
         notices: vec![
             notice("told", "undeliverable", T0 + 2 * SEC),
@@ -116,7 +117,7 @@
             notice("known", "undeliverable", T0 + 4 * SEC),
         ],
         connections: connections
-            .map(|(at, open)| Connections { partner: 0, at: T0 + at * SEC, open })
+            .map(|(at, open)| ConnectionCount { partner: 0, at: T0 + at * SEC, open })
             .to_vec(),
         budgets: vec![
             Budget { partner: 0, from: T0, most: 4 },
@@ -124,11 +125,19 @@
         ],
         journals: vec![journal(&[taken(1, "open"), Record::Attempt { msg: 1, zone: 0, sent: late }])],
         seals: vec![Seal { courier: 2, at: T0 + 4 * SEC, messages: [("known".into(), 1)].into() }],
-        troubles: vec![lost],
+        fault_windows: vec![lost],
         positions: settled,
         ends: vec![
-            SettlementEnd { settlement: "s-closed".into(), outcome: Outcome::Closed(3), at: T0 + SEC },
-            SettlementEnd { settlement: "s-broken".into(), outcome: Outcome::Broken(2), at: T0 + SEC },
+            SettlementEnd {
+                settlement: "s-closed".into(),
+                outcome: SettlementOutcome::Closed(3),
+                at: T0 + SEC,
+            },
+            SettlementEnd {
+                settlement: "s-broken".into(),
+                outcome: SettlementOutcome::Broken(2),
+                at: T0 + SEC,
+            },
         ],
         ..History::default()
     }
@@ -137,31 +146,35 @@
 /// A break, done to a history, and what its finding's text says.
 type Break = (fn(&mut History), &'static str);
 
-fn call<'a>(history: &'a mut History, id: &str) -> &'a mut Seen {
-    history.seen.iter_mut().rfind(|seen| seen.id == id).unwrap()
+fn call<'a>(history: &'a mut History, id: &str) -> &'a mut ObservedCall {
+    history.calls.iter_mut().rfind(|observed| observed.id == id).unwrap()
 }
 
-fn handing<'a>(history: &'a mut History, id: &str) -> &'a mut Handed {
-    history.handed.iter_mut().rfind(|handed| handed.id == id).unwrap()
+fn handing<'a>(history: &'a mut History, id: &str) -> &'a mut Submission {
+    history.submissions.iter_mut().rfind(|submission| submission.id == id).unwrap()
 }
 
 /// Each of them leaves the others' messages alone, so that any of them may be done together.
 const BREAKS: &[Break] = &[
     // Ends.
     (
-        |h| h.handed.push(handed("b-lost", "fee-debit")),
+        |h| h.submissions.push(submission("b-lost", "fee-debit")),
         "b-lost: courier 0 took it on at 1000000010; its time was up at 1016000010, and it has no end",
     ),
     (
         |h| {
-            let asked = T0 + 15 * SEC;
-            let late = Handed { asked, answered: Some((asked, 202)), ..handed("b-forgotten", "fee-debit") };
-            h.handed.push(late);
+            let submitted_at = T0 + 15 * SEC;
+            let late = Submission {
+                submitted_at,
+                answered: Some((submitted_at, 202)),
+                ..submission("b-forgotten", "fee-debit")
+            };
+            h.submissions.push(late);
         },
         "b-forgotten: courier 0 took it on at 1015000000; it has no end, and no journal tells of it",
     ),
     (
-        |h| h.seen.push(seen("b-unknown", 0, T0, Some(200))),
+        |h| h.calls.push(observed("b-unknown", 0, T0, Some(200))),
         "b-unknown: nobody handed it in, and there were 1 calls and 0 notices of it",
     ),
     (
@@ -170,7 +183,7 @@
     ),
     (
         |h| {
-            h.handed.push(Handed { answered: Some((T0, 200)), ..handed("b-said", "fee-debit") });
+            h.submissions.push(Submission { answered: Some((T0, 200)), ..submission("b-said", "fee-debit") });
             h.notices.push(notice("b-said", "undeliverable", T0 + SEC));
         },
         "b-said: courier 0 told its consumer that it is delivered, and no partner answered 200",
@@ -187,26 +200,26 @@
     // Calls.
     (
         |h| {
-            h.handed.push(handed("b-debited", "fee-debit"));
-            h.seen.push(seen("b-debited", 0, T0 + SEC, None));
-            h.seen.push(seen("b-debited", 1, T0 + 2 * SEC, Some(200)));
+            h.submissions.push(submission("b-debited", "fee-debit"));
+            h.calls.push(observed("b-debited", 0, T0 + SEC, None));
+            h.calls.push(observed("b-debited", 1, T0 + 2 * SEC, Some(200)));
         },
         "b-debited: run again, which it must not be: first a call of courier 0 on connection 0 \
          at 1001000000, not answered, then a call of courier 1 on connection 1 at 1002000000, answered 200 at 1002000050",
     ),
     (
         |h| {
-            h.handed.push(Handed { key: None, ..handed("b-no-key", "paid-notice") });
-            h.seen.push(Seen { key: None, ..seen("b-no-key", 0, T0 + SEC, None) });
-            h.seen.push(Seen { key: None, ..seen("b-no-key", 0, T0 + 2 * SEC, Some(200)) });
+            h.submissions.push(Submission { key: None, ..submission("b-no-key", "paid-notice") });
+            h.calls.push(ObservedCall { key: None, ..observed("b-no-key", 0, T0 + SEC, None) });
+            h.calls.push(ObservedCall { key: None, ..observed("b-no-key", 0, T0 + 2 * SEC, Some(200)) });
         },
         "b-no-key: run again, which it must not be: ",
     ),
     (
         |h| {
-            h.handed.push(handed("b-span", "paid-notice"));
-            h.seen.push(seen("b-span", 0, T0 + SEC, None));
-            h.seen.push(seen("b-span", 1, T0 + 7 * SEC + 1, Some(200)));
+            h.submissions.push(submission("b-span", "paid-notice"));
+            h.calls.push(observed("b-span", 0, T0 + SEC, None));
+            h.calls.push(observed("b-span", 1, T0 + 7 * SEC + 1, Some(200)));
         },
         "b-span: repeated after 6000001 us, beyond its span of 6000000 us: ",
     ),
@@ -227,17 +240,17 @@
     ),
     (
         |h| {
-            h.handed.push(handed("b-late", "fee-debit"));
-            h.seen.push(seen("b-late", 0, T0 + 18 * SEC, Some(200)));
+            h.submissions.push(submission("b-late", "fee-debit"));
+            h.calls.push(observed("b-late", 0, T0 + 18 * SEC, Some(200)));
         },
         "b-late: a call of courier 0 on connection 0 at 1018000000, answered 200 at 1018000050 \
          came after its time was up at 1016000010",
     ),
     (
         |h| {
-            h.handed.push(handed("b-after", "fee-debit"));
+            h.submissions.push(submission("b-after", "fee-debit"));
             h.notices.push(notice("b-after", "deferred", T0 + SEC));
-            h.seen.push(seen("b-after", 1, T0 + 4 * SEC, None));
+            h.calls.push(observed("b-after", 1, T0 + 4 * SEC, None));
         },
         "b-after: a call of courier 1 on connection 1 at 1004000000, not answered \
          came after the platform was told \"deferred\" at 1001000000",
@@ -261,13 +274,13 @@
     ),
     (
         |h| {
-            let (asked, courier) = (T0 + 12 * SEC, 1);
-            h.handed.push(Handed {
-                asked,
-                answered: Some((asked, 202)),
-                ..handed("b-unwritten", "fee-debit")
+            let (submitted_at, courier) = (T0 + 12 * SEC, 1);
+            h.submissions.push(Submission {
+                submitted_at,
+                answered: Some((submitted_at, 202)),
+                ..submission("b-unwritten", "fee-debit")
             });
-            h.seen.push(seen("b-unwritten", courier, asked, None));
+            h.calls.push(observed("b-unwritten", courier, submitted_at, None));
             h.journals.push(Journal { courier, ..journal(&[taken(7, "b-unwritten")]) });
         },
         "b-unwritten: courier 1 made 1 calls and wrote 0 of them down",
@@ -283,7 +296,7 @@
         |h| {
             let end = Record::End { msg: 1, end: End::Undeliverable };
             let after = Record::Attempt { msg: 1, zone: 0, sent: T0 };
-            h.handed.push(handed("b-ended", "fee-debit"));
+            h.submissions.push(submission("b-ended", "fee-debit"));
             h.notices.push(notice("b-ended", "undeliverable", T0 + SEC));
             h.journals.push(Journal { courier: 5, ..journal(&[taken(1, "b-ended"), end, after]) });
         },
@@ -292,7 +305,7 @@
     (
         |h| {
             let attempt = Record::Attempt { msg: 1, zone: 0, sent: T0 };
-            h.handed.push(handed("b-twice", "fee-debit"));
+            h.submissions.push(submission("b-twice", "fee-debit"));
             h.notices.push(notice("b-twice", "undeliverable", T0 + SEC));
             h.journals
                 .push(Journal { courier: 6, ..journal(&[taken(1, "b-twice"), attempt.clone(), attempt]) });
@@ -318,14 +331,14 @@
     ),
     (
         |h| {
-            let (settlement, outcome) = ("b-early".into(), Outcome::Broken(2));
+            let (settlement, outcome) = ("b-early".into(), SettlementOutcome::Broken(2));
             h.ends.push(SettlementEnd { settlement, outcome, at: T0 });
         },
         "settlement b-early: broken at 2, and position 1 before it was not run",
     ),
     (
         |h| {
-            let (settlement, outcome) = ("b-short".into(), Outcome::Closed(2));
+            let (settlement, outcome) = ("b-short".into(), SettlementOutcome::Closed(2));
             h.positions.push(position("b-short", 1, T0));
             h.ends.push(SettlementEnd { settlement, outcome, at: T0 });
         },
@@ -333,7 +346,7 @@
     ),
     (
         |h| {
-            let (settlement, outcome) = ("b-beyond".into(), Outcome::Closed(1));
+            let (settlement, outcome) = ("b-beyond".into(), SettlementOutcome::Closed(1));
             h.positions.extend([1, 2].map(|n| position("b-beyond", n, T0 + Micros::from(n) * 10)));
             h.ends.push(SettlementEnd { settlement, outcome, at: T0 });
         },
@@ -341,7 +354,7 @@
     ),
     (
         |h| {
-            let (settlement, outcome) = ("s-closed".into(), Outcome::Broken(3));
+            let (settlement, outcome) = ("s-closed".into(), SettlementOutcome::Broken(3));
             h.ends.push(SettlementEnd { settlement, outcome, at: T0 + 2 * SEC });
         },
         "settlement s-closed: it ended as closed with 3 and as broken at 3",
@@ -363,7 +376,7 @@
 }
 
 #[test]
-fn each_break_is_found_and_nothing_else() {
+fn each_violation_is_found_and_nothing_else() {
     for (spoil, text) in BREAKS {
         let mut history = clean();
         spoil(&mut history);
@@ -374,9 +387,9 @@
 
 /// What is excused is excused for its reason alone.
 #[test]
-fn without_the_trouble_or_the_seal_the_same_is_a_finding() {
+fn without_the_fault_window_or_the_seal_the_same_history_is_a_finding() {
     let mut history = clean();
-    history.troubles.clear();
+    history.fault_windows.clear();
     let found = texts(&history);
     assert!(found[0].starts_with("unheard: delivered by a call of courier 2"), "{found:#?}");
     let mut history = clean();
@@ -392,7 +405,7 @@
 
     /// Whatever is broken together is found together, in whatever order the lists are.
     #[test]
-    fn any_breaks_are_found_together(
+    fn any_combination_of_violations_is_found(
         chosen in proptest::sample::subsequence((0..BREAKS.len()).collect::<Vec<_>>(), 0..=BREAKS.len()),
         seed in any::<u64>(),
     ) {
@@ -400,8 +413,8 @@
         chosen.iter().for_each(|n| BREAKS[*n].0(&mut history));
         let mut order = fastrand::Rng::with_seed(seed);
         let before = audit(&history);
-        order.shuffle(&mut history.handed);
-        order.shuffle(&mut history.seen);
+        order.shuffle(&mut history.submissions);
+        order.shuffle(&mut history.calls);
         order.shuffle(&mut history.notices);
         order.shuffle(&mut history.connections);
         order.shuffle(&mut history.ends);
--- a/standins/tests/files.rs
+++ b/standins/tests/files.rs
@@ -1,6 +1,6 @@
 //! The files that a fleet's couriers are started with.
 
-use quillmount_standins::fleet::{Fleet, FleetSetup, play};
+use quillmount_standins::fleet::{Fleet, FleetSetup, run_test};
 use quillmount_standins::partner::Answer;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 
 #[test]
 fn each_courier_reaches_the_others_by_its_own_links() {
-    play(async || {
+    run_test(async || {
         let mut setup = FleetSetup::new("no-such-program", 4);
         setup.fleet = Some(json!({"lease": "2s", "copies": 1}));
         setup.configs.insert(3, json!({"limits": {"disk_mb": 0.1}}));
@@ -36,7 +36,7 @@
             assert_eq!(addr(&config["known"]["servers"][0]["addr"]), fleet.partner(0).addr(n));
             assert_eq!(config["limits"]["disk_mb"].as_f64(), Some(if n == 3 { 0.1 } else { 3.0 }));
         }
-        fleet.operate(2, &json!({"fleet": {"copies": 2}})).unwrap();
+        fleet.configure_operator(2, &json!({"fleet": {"copies": 2}})).unwrap();
         let section = read(&fleet, 2, "operator.json")["fleet"].clone();
         assert_eq!((&section["copies"], &section["lease"]), (&json!(2), &json!("2s")));
         let none = fleet.spawn(0).unwrap_err();
@@ -45,8 +45,8 @@
 }
 
 #[test]
-fn without_the_section_there_is_none() {
-    play(async || {
+fn an_operator_file_has_no_fleet_section_unless_configured() {
+    run_test(async || {
         let fleet = Fleet::prepare(FleetSetup::new("no-such-program", 2)).unwrap();
         assert_eq!(read(&fleet, 0, "operator.json"), json!({"version": 1}));
     });
--- a/standins/tests/links.rs
+++ b/standins/tests/links.rs
@@ -1,13 +1,13 @@
 //! Each script of a link does what it says, between a plain client and a partner: what happens is told by
 //! the order of events. Where nothing is to happen, another link's exchanges show that it had its time.
 
-use quillmount_standins::door;
-use quillmount_standins::fleet::link::{Link, Once, Passed, Saw, Way};
-use quillmount_standins::fleet::{PATIENCE, play};
+use quillmount_standins::fleet::link::{Link, LinkEvent, LinkEventKind, LinkMode, RequestFault};
+use quillmount_standins::fleet::{WAIT_TIMEOUT, run_test};
 use quillmount_standins::gate::Port;
 use quillmount_standins::http::Reader;
+use quillmount_standins::listener;
 use quillmount_standins::partner::{Answer, Partner};
-use quillmount_standins::record::{Body, Call, Record, Witness};
+use quillmount_standins::record::{BodyDigest, RecordedCall, Recorder, RunRecord};
 use std::io::{ErrorKind, Result};
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
@@ -40,21 +40,22 @@
 }
 
 /// Two links to one partner: the one that is tried, and one that passes.
-struct Stage {
-    witness: Witness,
+struct LinkFixture {
+    recorder: Recorder,
     tried: Link,
     other: Link,
     partner: Partner,
     barriers: u32,
 }
 
-impl Stage {
-    fn new() -> Stage {
-        let witness = Witness::default();
-        let answers = |call: &Call| if call.id.starts_with("held") { Answer::Held } else { Answer::ok() };
-        let partner = Partner::open(0, 1, 2, witness.clone(), answers).unwrap();
-        let link = |n| Link::open(n, 9, partner.addr(n), witness.clone()).unwrap();
-        Stage { tried: link(0), other: link(1), barriers: 0, partner, witness }
+impl LinkFixture {
+    fn new() -> LinkFixture {
+        let recorder = Recorder::default();
+        let answers =
+            |call: &RecordedCall| if call.id.starts_with("held") { Answer::Pending } else { Answer::ok() };
+        let partner = Partner::open(0, 1, 2, recorder.clone(), answers).unwrap();
+        let link = |n| Link::open(n, 9, partner.addr(n), recorder.clone()).unwrap();
+        LinkFixture { tried: link(0), other: link(1), barriers: 0, partner, recorder }
     }
 
     /// Ten exchanges over the other link: what was on its way has come.
@@ -67,202 +68,202 @@
         }
     }
 
-    fn calls(&self, id: &str) -> Vec<Call> {
-        self.witness.read(|record| record.calls_of(id).cloned().collect())
+    fn calls(&self, id: &str) -> Vec<RecordedCall> {
+        self.recorder.read(|record| record.calls_of(id).cloned().collect())
     }
 
-    async fn call(&self, id: &str, is: impl Fn(&Call) -> bool) -> Call {
-        let found = |record: &Record| record.calls_of(id).find(|call| is(call)).cloned();
-        self.witness.until(id, PATIENCE, found).await.unwrap()
+    async fn call(&self, id: &str, is: impl Fn(&RecordedCall) -> bool) -> RecordedCall {
+        let found = |record: &RunRecord| record.calls_of(id).find(|call| is(call)).cloned();
+        self.recorder.wait_until(id, WAIT_TIMEOUT, found).await.unwrap()
     }
 
-    async fn saw(&self, what: Saw) {
-        let found = |record: &Record| {
-            record.passed.iter().any(|passed| passed.from == 0 && passed.what == what).then_some(())
+    async fn wait_for_event(&self, what: LinkEventKind) {
+        let found = |record: &RunRecord| {
+            record.link_events.iter().any(|passed| passed.from == 0 && passed.what == what).then_some(())
         };
-        self.witness.until(&format!("{what:?}"), PATIENCE, found).await.unwrap();
+        self.recorder.wait_until(&format!("{what:?}"), WAIT_TIMEOUT, found).await.unwrap();
     }
 }
 
-fn whole(call: &Call) -> bool {
+fn is_complete(call: &RecordedCall) -> bool {
     call.whole.is_some()
 }
 
 #[test]
 fn a_link_passes_both_ways_on_one_connection() {
-    play(async || {
-        let stage = Stage::new();
-        let mut client = Client::of(&stage.tried).await;
+    run_test(async || {
+        let fixture = LinkFixture::new();
+        let mut client = Client::of(&fixture.tried).await;
         for id in ["one", "two"] {
             client.send(id, b"body").await;
             assert_eq!(client.answer().await, Some(200));
         }
-        let (one, two) = (&stage.calls("one")[0], &stage.calls("two")[0]);
-        assert_eq!((one.connection, one.body), (two.connection, Body::of(b"body")));
-        stage.saw(Saw::Request { path: "/two".into(), body: 4 }).await;
-        assert_eq!(stage.witness.read(|record| record.open_at(0)), (1, 1));
+        let (one, two) = (&fixture.calls("one")[0], &fixture.calls("two")[0]);
+        assert_eq!((one.connection, one.body), (two.connection, BodyDigest::of(b"body")));
+        fixture.wait_for_event(LinkEventKind::Request { path: "/two".into(), body: 4 }).await;
+        assert_eq!(fixture.recorder.read(|record| record.open_connections(0)), (1, 1));
     });
 }
 
 #[test]
-fn a_cut_link_is_silent_and_new_connections_do_not_come_up() {
-    play(async || {
-        let mut stage = Stage::new();
-        let mut client = Client::of(&stage.tried).await;
+fn a_partitioned_link_is_silent_and_accepts_no_new_connections() {
+    run_test(async || {
+        let mut fixture = LinkFixture::new();
+        let mut client = Client::of(&fixture.tried).await;
         client.send("before", b"").await;
         assert_eq!(client.answer().await, Some(200));
         // An answer that is out when it is cut stays out too.
         client.send("held", b"").await;
-        stage.call("held", whole).await;
-        stage.tried.set(Way::Cut);
-        stage.partner.release("held", Answer::ok());
-        let addr = stage.tried.addr();
+        fixture.call("held", is_complete).await;
+        fixture.tried.set(LinkMode::Partitioned);
+        fixture.partner.release("held", Answer::ok());
+        let addr = fixture.tried.addr();
         let new = spawn_local(async move { TcpStream::connect(addr).await.map(drop) });
         let answer = spawn_local(async move { (client.answer().await, client) });
-        stage.barrier().await;
+        fixture.barrier().await;
         assert!(!new.is_finished() && !answer.is_finished());
-        stage.tried.set(Way::Pass);
+        fixture.tried.set(LinkMode::Pass);
         let (answer, mut client) = answer.await.unwrap();
         assert_eq!(answer, Some(200));
         new.await.unwrap().unwrap();
-        stage.barrier().await;
+        fixture.barrier().await;
         // What kept the queue full was none of anybody's.
-        let came = |passed: &&Passed| passed.from == 0 && passed.what == Saw::Came;
-        assert_eq!(stage.witness.read(|record| record.passed.iter().filter(came).count()), 2);
-        stage.tried.set(Way::Cut);
+        let came = |passed: &&LinkEvent| passed.from == 0 && passed.what == LinkEventKind::ConnectionOpened;
+        assert_eq!(fixture.recorder.read(|record| record.link_events.iter().filter(came).count()), 2);
+        fixture.tried.set(LinkMode::Partitioned);
         client.send("late", b"").await;
-        stage.barrier().await;
-        assert!(stage.calls("late").is_empty());
-        stage.tried.set(Way::Pass);
+        fixture.barrier().await;
+        assert!(fixture.calls("late").is_empty());
+        fixture.tried.set(LinkMode::Pass);
         assert_eq!(client.answer().await, Some(200));
     });
 }
 
 #[test]
-fn a_refusing_cut_refuses_new_connections_and_silences_the_old() {
-    play(async || {
-        let mut stage = Stage::new();
-        let mut client = Client::of(&stage.tried).await;
-        stage.saw(Saw::Came).await;
-        stage.tried.set(Way::CutRefusing);
-        stage.barrier().await;
-        let new = TcpStream::connect(stage.tried.addr()).await;
+fn a_refusing_partition_refuses_new_connections_and_silences_the_old() {
+    run_test(async || {
+        let mut fixture = LinkFixture::new();
+        let mut client = Client::of(&fixture.tried).await;
+        fixture.wait_for_event(LinkEventKind::ConnectionOpened).await;
+        fixture.tried.set(LinkMode::PartitionedRefusing);
+        fixture.barrier().await;
+        let new = TcpStream::connect(fixture.tried.addr()).await;
         assert_eq!(new.unwrap_err().kind(), ErrorKind::ConnectionRefused);
         client.send("old", b"").await;
-        stage.barrier().await;
-        assert!(stage.calls("old").is_empty());
-        stage.tried.set(Way::Pass);
+        fixture.barrier().await;
+        assert!(fixture.calls("old").is_empty());
+        fixture.tried.set(LinkMode::Pass);
         assert_eq!(client.answer().await, Some(200));
-        Client::of(&stage.tried).await.send("new", b"").await;
-        stage.call("new", whole).await;
+        Client::of(&fixture.tried).await.send("new", b"").await;
+        fixture.call("new", is_complete).await;
     });
 }
 
 #[test]
-fn cut_one_way_requests_get_there_and_answers_do_not() {
-    play(async || {
-        let stage = Stage::new();
-        let mut client = Client::of(&stage.tried).await;
-        stage.tried.set(Way::AnswersLost);
+fn with_answers_lost_requests_arrive() {
+    run_test(async || {
+        let fixture = LinkFixture::new();
+        let mut client = Client::of(&fixture.tried).await;
+        fixture.tried.set(LinkMode::AnswersLost);
         client.send("one-way", b"").await;
-        stage.call("one-way", |call| call.answered.is_some()).await;
-        stage.saw(Saw::Lost).await;
-        stage.tried.set(Way::Pass);
+        fixture.call("one-way", |call| call.answered.is_some()).await;
+        fixture.wait_for_event(LinkEventKind::BytesDropped).await;
+        fixture.tried.set(LinkMode::Pass);
         // The answer is not there to come: the connection ends.
         assert_eq!(client.answer().await, None);
     });
 }
 
 #[test]
-fn cut_the_other_way_requests_do_not_get_there() {
-    play(async || {
-        let mut stage = Stage::new();
-        let mut client = Client::of(&stage.tried).await;
+fn with_requests_lost_answers_arrive() {
+    run_test(async || {
+        let mut fixture = LinkFixture::new();
+        let mut client = Client::of(&fixture.tried).await;
         client.send("held", b"").await;
-        stage.call("held", whole).await;
-        stage.tried.set(Way::RequestsLost);
-        stage.partner.release("held", Answer::ok());
+        fixture.call("held", is_complete).await;
+        fixture.tried.set(LinkMode::RequestsLost);
+        fixture.partner.release("held", Answer::ok());
         assert_eq!(client.answer().await, Some(200));
         client.send("other-way", b"").await;
-        stage.saw(Saw::Lost).await;
-        stage.barrier().await;
-        assert!(stage.calls("other-way").is_empty());
-        stage.tried.set(Way::Pass);
+        fixture.wait_for_event(LinkEventKind::BytesDropped).await;
+        fixture.barrier().await;
+        assert!(fixture.calls("other-way").is_empty());
+        fixture.tried.set(LinkMode::Pass);
         assert_eq!(client.answer().await, None);
     });
 }
 
 #[test]
-fn what_is_delayed_is_overtaken_and_comes_whole() {
-    play(async || {
-        let mut stage = Stage::new();
-        let mut client = Client::of(&stage.tried).await;
-        stage.tried.set(Way::Delay(Duration::from_millis(20)));
+fn delayed_bytes_are_overtaken_and_arrive_complete() {
+    run_test(async || {
+        let mut fixture = LinkFixture::new();
+        let mut client = Client::of(&fixture.tried).await;
+        fixture.tried.set(LinkMode::Delay(Duration::from_millis(20)));
         client.send("first", b"").await;
         assert_eq!(client.answer().await, Some(200));
         // A link that passes again brings what was delayed at once.
-        stage.tried.set(Way::Delay(LONG));
+        fixture.tried.set(LinkMode::Delay(LONG));
         client.send("second", b"").await;
-        stage.saw(Saw::Request { path: "/second".into(), body: 0 }).await;
-        stage.barrier().await;
-        assert!(stage.calls("second").is_empty());
-        stage.tried.set(Way::Pass);
+        fixture.wait_for_event(LinkEventKind::Request { path: "/second".into(), body: 0 }).await;
+        fixture.barrier().await;
+        assert!(fixture.calls("second").is_empty());
+        fixture.tried.set(LinkMode::Pass);
         assert_eq!(client.answer().await, Some(200));
     });
 }
 
 #[test]
-fn what_is_slow_comes_piece_by_piece() {
-    play(async || {
-        let mut stage = Stage::new();
-        let mut client = Client::of(&stage.tried).await;
-        stage.tried.set(Way::Slow(2_000));
+fn a_slow_link_delivers_chunk_by_chunk() {
+    run_test(async || {
+        let mut fixture = LinkFixture::new();
+        let mut client = Client::of(&fixture.tried).await;
+        fixture.tried.set(LinkMode::Slow(2_000));
         client.send("slow", &[b'x'; 50_000]).await;
-        stage.call("slow", |_| true).await;
-        stage.barrier().await;
-        assert!(!whole(&stage.calls("slow")[0]));
-        stage.tried.set(Way::Pass);
+        fixture.call("slow", |_| true).await;
+        fixture.barrier().await;
+        assert!(!is_complete(&fixture.calls("slow")[0]));
+        fixture.tried.set(LinkMode::Pass);
         assert_eq!(client.answer().await, Some(200));
-        assert_eq!(stage.calls("slow")[0].body, Body::of(&[b'x'; 50_000]));
+        assert_eq!(fixture.calls("slow")[0].body, BodyDigest::of(&[b'x'; 50_000]));
     });
 }
 
 #[test]
-fn a_request_is_cut_in_its_middle_and_the_next_one_passes() {
-    play(async || {
-        let stage = Stage::new();
-        let mut client = Client::of(&stage.tried).await;
-        stage.tried.once_at("/record", Once::CutInBody(3));
+fn a_request_is_truncated_and_the_next_one_passes() {
+    run_test(async || {
+        let fixture = LinkFixture::new();
+        let mut client = Client::of(&fixture.tried).await;
+        fixture.tried.fault_next_request_to("/record", RequestFault::CutInBody(3));
         client.send("other", b"whole").await;
         assert_eq!(client.answer().await, Some(200));
         client.send("record", b"1234567").await;
         assert_eq!(client.answer().await, None);
-        let cut = stage.call("record", |call| call.abandoned.is_some()).await;
-        assert_eq!((cut.body, cut.whole, cut.ran), (Body::of(b"123"), None, false));
+        let cut = fixture.call("record", |call| call.abandoned.is_some()).await;
+        assert_eq!((cut.body, cut.whole, cut.ran), (BodyDigest::of(b"123"), None, false));
         // In the head there is no call yet.
-        stage.tried.once(Once::CutAt(10));
-        let mut client = Client::of(&stage.tried).await;
+        fixture.tried.fault_next_request(RequestFault::CutAt(10));
+        let mut client = Client::of(&fixture.tried).await;
         client.send("head", b"").await;
         assert_eq!(client.answer().await, None);
-        stage.saw(Saw::CutAt(10)).await;
-        let mut client = Client::of(&stage.tried).await;
+        fixture.wait_for_event(LinkEventKind::CutAt(10)).await;
+        let mut client = Client::of(&fixture.tried).await;
         client.send("again", b"1234567").await;
         assert_eq!(client.answer().await, Some(200));
-        assert!(stage.calls("head").is_empty());
+        assert!(fixture.calls("head").is_empty());
     });
 }
 
 #[test]
 fn a_link_closes_what_is_open_and_takes_new_connections() {
-    play(async || {
-        let stage = Stage::new();
-        let mut client = Client::of(&stage.tried).await;
+    run_test(async || {
+        let fixture = LinkFixture::new();
+        let mut client = Client::of(&fixture.tried).await;
         client.send("held", b"").await;
-        stage.call("held", whole).await;
-        stage.tried.close();
+        fixture.call("held", is_complete).await;
+        fixture.tried.close();
         assert_eq!(client.answer().await, None);
-        stage.call("held", |call| call.abandoned.is_some()).await;
-        let mut client = Client::of(&stage.tried).await;
+        fixture.call("held", |call| call.abandoned.is_some()).await;
+        let mut client = Client::of(&fixture.tried).await;
         client.send("new", b"").await;
         assert_eq!(client.answer().await, Some(200));
     });
@@ -270,73 +271,73 @@
 
 #[test]
 fn a_request_is_delivered_twice_and_answered_once() {
-    play(async || {
-        let stage = Stage::new();
-        let mut client = Client::of(&stage.tried).await;
-        stage.tried.once(Once::Twice);
+    run_test(async || {
+        let fixture = LinkFixture::new();
+        let mut client = Client::of(&fixture.tried).await;
+        fixture.tried.fault_next_request(RequestFault::Duplicate);
         client.send("twice", b"same").await;
         assert_eq!(client.answer().await, Some(200));
-        stage.saw(Saw::Again(200)).await;
+        fixture.wait_for_event(LinkEventKind::Redelivered(200)).await;
         client.send("after", b"").await;
         assert_eq!(client.answer().await, Some(200));
-        let calls = stage.calls("twice");
+        let calls = fixture.calls("twice");
         assert_eq!(calls.len(), 2);
         assert_ne!(calls[0].connection, calls[1].connection);
-        assert!(calls.iter().all(|call| call.body == Body::of(b"same") && whole(call)));
+        assert!(calls.iter().all(|call| call.body == BodyDigest::of(b"same") && is_complete(call)));
     });
 }
 
 #[test]
-fn a_request_that_was_kept_is_delivered_again_when_told_to() {
-    play(async || {
-        let stage = Stage::new();
-        let mut client = Client::of(&stage.tried).await;
-        stage.tried.once(Once::Keep);
+fn a_captured_request_is_replayed() {
+    run_test(async || {
+        let fixture = LinkFixture::new();
+        let mut client = Client::of(&fixture.tried).await;
+        fixture.tried.fault_next_request(RequestFault::Capture);
         for id in ["kept", "between"] {
             client.send(id, b"").await;
             assert_eq!(client.answer().await, Some(200));
         }
-        assert_eq!(stage.calls("kept").len(), 1);
-        let again: Result<u16> = stage.tried.replay().await;
+        assert_eq!(fixture.calls("kept").len(), 1);
+        let again: Result<u16> = fixture.tried.replay().await;
         assert_eq!(again.unwrap(), 200);
-        let calls = stage.calls("kept");
-        assert!(calls[0].began < stage.calls("between")[0].began);
-        assert!(calls[1].began > stage.calls("between")[0].began);
+        let calls = fixture.calls("kept");
+        assert!(calls[0].began < fixture.calls("between")[0].began);
+        assert!(calls[1].began > fixture.calls("between")[0].began);
     });
 }
 
 #[test]
-fn one_answer_is_lost_after_its_request_was_met() {
-    play(async || {
-        let stage = Stage::new();
-        let mut client = Client::of(&stage.tried).await;
-        stage.tried.once(Once::LoseAnswer);
+fn one_answer_is_dropped_after_its_request_arrived() {
+    run_test(async || {
+        let fixture = LinkFixture::new();
+        let mut client = Client::of(&fixture.tried).await;
+        fixture.tried.fault_next_request(RequestFault::LoseAnswer);
         client.send("lost", b"").await;
         assert_eq!(client.answer().await, None);
-        stage.call("lost", |call| call.answered.is_some_and(|(_, status)| status == 200)).await;
+        fixture.call("lost", |call| call.answered.is_some_and(|(_, status)| status == 200)).await;
     });
 }
 
 #[test]
-fn a_request_is_held_at_its_first_byte() {
-    play(async || {
-        let mut stage = Stage::new();
-        let mut client = Client::of(&stage.tried).await;
-        stage.tried.once(Once::Hold);
+fn a_request_is_blocked_at_its_first_byte() {
+    run_test(async || {
+        let mut fixture = LinkFixture::new();
+        let mut client = Client::of(&fixture.tried).await;
+        fixture.tried.fault_next_request(RequestFault::Block);
         client.send("waits", b"").await;
-        stage.saw(Saw::Held).await;
-        stage.barrier().await;
-        assert!(stage.calls("waits").is_empty());
-        stage.tried.release();
+        fixture.wait_for_event(LinkEventKind::RequestBlocked).await;
+        fixture.barrier().await;
+        assert!(fixture.calls("waits").is_empty());
+        fixture.tried.release();
         assert_eq!(client.answer().await, Some(200));
     });
 }
 
 #[test]
-fn nobody_behind_a_link_ends_its_connections() {
-    play(async || {
+fn a_link_without_a_listening_target_closes_its_connections() {
+    run_test(async || {
         let port = Port::reserve().unwrap();
-        let link = Link::open(0, 1, port.addr, Witness::default()).unwrap();
+        let link = Link::open(0, 1, port.addr, Recorder::default()).unwrap();
         let reset = Client::of(&link).await.0.head().await;
         assert_eq!(reset.unwrap_err().kind(), ErrorKind::ConnectionReset);
         let refused = TcpStream::connect(port.addr).await;
@@ -345,19 +346,21 @@
 }
 
 #[test]
-fn a_partner_counts_what_is_open_and_not_what_it_has_not_heard_the_end_of() {
-    play(async || {
-        let witness = Witness::default();
-        let partner = Partner::open(0, 1, 2, witness.clone(), |_| Answer::ok()).unwrap();
-        let came = |n: usize| witness.until("a connection", PATIENCE, move |r| r.opens.get(n).copied());
+fn a_partner_counts_open_connections_only() {
+    run_test(async || {
+        let recorder = Recorder::default();
+        let partner = Partner::open(0, 1, 2, recorder.clone(), |_| Answer::ok()).unwrap();
+        let came = |n: usize| {
+            recorder.wait_until("a connection", WAIT_TIMEOUT, move |r| r.connection_changes.get(n).copied())
+        };
         let first = TcpStream::connect(partner.addr(0)).await.unwrap();
         assert_eq!(came(0).await.unwrap().open, 1);
         // Behind a door that is cut, nobody reads the end of what is closed.
-        partner.set(0, door::Way::Cut);
+        partner.set(0, listener::ListenerMode::Partitioned);
         drop(first);
         let _second = TcpStream::connect(partner.addr(1)).await.unwrap();
         let (went, came) = (came(1).await.unwrap(), came(2).await.unwrap());
-        assert_eq!((went.came, went.open, came.came, came.open), (false, 0, true, 1));
-        assert_eq!(witness.read(|record| record.open_at(0)), (1, 1));
+        assert_eq!((went.opened, went.open, came.opened, came.open), (false, 0, true, 1));
+        assert_eq!(recorder.read(|record| record.open_connections(0)), (1, 1));
     });
 }
