--- a/batch/src/breaks.rs
+++ b/batch/src/breaks.rs
@@ -6,7 +6,7 @@
     /// A batch that was not committed stays on the primary's disk and is forgotten in its memory.
     UncommittedForgotten,
     /// A primary serves before its epoch is on its disk.
-    ReignNotSynced,
+    TermNotSynced,
     /// A replica forgets at a restart which epochs it has seen.
     EpochForgotten,
     /// A member acknowledges operations before they are on its disk.
@@ -18,21 +18,21 @@
     /// A primary answers reads without asking the other members.
     ReadWithoutRound,
     /// A primary serves before the members in sync are level.
-    ServesBeforeLevel,
+    ServesBeforeCaughtUp,
     /// A member takes operations of an older session.
     SessionIgnored,
     /// A member takes what a repair sent although operations came after it.
-    RepairAfterLevel,
+    RepairAfterCaughtUp,
     /// A member answers an older epoch.
     OlderEpochAnswered,
-    /// A primary that begins again in its reign forgets which joining members it has reported as level.
+    /// A primary that begins again in its term forgets which joining members it has reported as level.
     ReportForgotten,
     /// A batch is committed with too few copies.
     OneCopyEnough,
     /// A repair goes on although the shard has changed since its comparison.
     StaleRepair,
     /// A repair keeps jobs that the primary does not have.
-    DroppedJobKept,
+    DroppedJobRetained,
     /// A rewrite leaves a job out.
     RewriteDropsJob,
     /// The final record of a rewrite does not name the jobs that are kept, so that dropped ones come back.
@@ -46,20 +46,20 @@
 /// Every break.
 pub const ALL: [Break; 19] = [
     Break::UncommittedForgotten,
-    Break::ReignNotSynced,
+    Break::TermNotSynced,
     Break::EpochForgotten,
     Break::AcknowledgedBeforeSync,
     Break::CommittedBeforeOwnSync,
     Break::FailedWriteIgnored,
     Break::ReadWithoutRound,
-    Break::ServesBeforeLevel,
+    Break::ServesBeforeCaughtUp,
     Break::SessionIgnored,
-    Break::RepairAfterLevel,
+    Break::RepairAfterCaughtUp,
     Break::OlderEpochAnswered,
     Break::ReportForgotten,
     Break::OneCopyEnough,
     Break::StaleRepair,
-    Break::DroppedJobKept,
+    Break::DroppedJobRetained,
     Break::RewriteDropsJob,
     Break::RewriteKeepsDropped,
     Break::NumbersRestart,
--- a/batch/src/lib.rs
+++ b/batch/src/lib.rs
@@ -3,8 +3,8 @@
 
 pub mod breaks;
 mod digests;
-mod lead;
 mod primary;
+mod primary_role;
 mod quota;
 mod record;
 mod replica;
@@ -12,10 +12,10 @@
 mod shard;
 
 pub use digests::{BUCKETS, bucket_of, different_buckets};
-pub use primary::{MEMBER_TIME, RETRY};
-pub use quota::{ClaimVerdict, PendingClaims, QuotaLedger};
+pub use primary::{MEMBER_TIMEOUT, RETRY_DELAY};
+pub use quota::{ClaimOutcome, PendingClaims, QuotaLedger};
 pub use record::StoreRecord;
 pub use replica::{
-    CallId, Micros, OperationId, Output, ReadId, Replica, ReplicaIdentity, RequestId, WriteId,
+    CallId, Micros, OperationId, ReadId, RequestId, ShardAction, ShardReplica, ShardReplicaId, WriteId,
 };
 pub use shard::{JobEntry, ShardJobs};
--- a/batch/src/quota.rs
+++ b/batch/src/quota.rs
@@ -10,75 +10,75 @@
 
 /// What becomes of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ClaimVerdict {
+pub enum ClaimOutcome {
     /// The tokens count from now on.
     Granted,
     /// They don't fit.
     Exceeded,
     /// This ledger does not know of all shards yet, or the claim is meant for another.
-    Unsure,
+    Unknown,
 }
 
 /// What one shard holds, as far as known.
 #[derive(Default)]
-struct Holding {
+struct ShardReservations {
     /// Sequence of the newest statement or claim.
     sequence: u64,
     epoch: Epoch,
     tokens: BTreeMap<QuotaKey, u64>,
 }
 
-/// The ledger of one reign of a shard's primary, for the pairs that the shard is to keep.
+/// The ledger of one term of a shard's primary, for the pairs that the shard is to keep.
 pub struct QuotaLedger {
     /// Epoch in which the primary began to serve: what is meant for an older one is passed over.
     since: Epoch,
     shards: u32,
-    holdings: BTreeMap<u32, Holding>,
+    reservations: BTreeMap<u32, ShardReservations>,
 }
 
 impl QuotaLedger {
     /// An empty ledger for so many shards.
     pub fn new(since: Epoch, shards: u32) -> QuotaLedger {
-        QuotaLedger { since, shards, holdings: BTreeMap::new() }
+        QuotaLedger { since, shards, reservations: BTreeMap::new() }
     }
 
     /// Takes what a shard states: all that it holds of the pairs kept here.
-    pub fn state(&mut self, statement: &QuotaStatement) {
-        if statement.keeper_epoch < self.since || statement.shard >= self.shards {
+    pub fn apply_statement(&mut self, statement: &QuotaStatement) {
+        if statement.ledger_epoch < self.since || statement.shard >= self.shards {
             return;
         }
-        let holding = self.holdings.entry(statement.shard).or_default();
-        if (statement.epoch, statement.sequence) > (holding.epoch, holding.sequence) {
-            holding.epoch = statement.epoch;
-            holding.sequence = statement.sequence;
-            holding.tokens = statement.held.iter().cloned().collect();
+        let reservation = self.reservations.entry(statement.shard).or_default();
+        if (statement.epoch, statement.sequence) > (reservation.epoch, reservation.sequence) {
+            reservation.epoch = statement.epoch;
+            reservation.sequence = statement.sequence;
+            reservation.tokens = statement.reserved.iter().cloned().collect();
         }
     }
 
     /// Takes a claim; `limit` is what this store knows of the route, if it knows any.
-    pub fn claim(&mut self, claim: &QuotaClaim, limit: Option<u64>) -> ClaimVerdict {
-        let meant = claim.keeper_epoch >= self.since && claim.shard < self.shards;
-        if !meant || self.holdings.len() < self.shards as usize {
-            return ClaimVerdict::Unsure;
+    pub fn claim(&mut self, claim: &QuotaClaim, limit: Option<u64>) -> ClaimOutcome {
+        let meant = claim.ledger_epoch >= self.since && claim.shard < self.shards;
+        if !meant || self.reservations.len() < self.shards as usize {
+            return ClaimOutcome::Unknown;
         }
         let limit = limit.map_or(claim.limit, |limit| limit.min(claim.limit));
-        let Some(holding) = self.holdings.get_mut(&claim.shard) else { return ClaimVerdict::Unsure };
-        if (claim.epoch, claim.sequence) > (holding.epoch, holding.sequence) {
-            holding.epoch = claim.epoch;
-            holding.sequence = claim.sequence;
-            holding.tokens.insert(claim.key.clone(), claim.held);
+        let Some(reservation) = self.reservations.get_mut(&claim.shard) else { return ClaimOutcome::Unknown };
+        if (claim.epoch, claim.sequence) > (reservation.epoch, reservation.sequence) {
+            reservation.epoch = claim.epoch;
+            reservation.sequence = claim.sequence;
+            reservation.tokens.insert(claim.key.clone(), claim.reserved);
         }
         if self.total(&claim.key) + claim.tokens > limit {
-            return ClaimVerdict::Exceeded;
+            return ClaimOutcome::Exceeded;
         }
-        let holding = self.holdings.entry(claim.shard).or_default();
-        *holding.tokens.entry(claim.key.clone()).or_default() += claim.tokens;
-        ClaimVerdict::Granted
+        let reservation = self.reservations.entry(claim.shard).or_default();
+        *reservation.tokens.entry(claim.key.clone()).or_default() += claim.tokens;
+        ClaimOutcome::Granted
     }
 
     /// Tokens of a pair over all shards.
     pub fn total(&self, key: &QuotaKey) -> u64 {
-        self.holdings.values().filter_map(|holding| holding.tokens.get(key)).sum()
+        self.reservations.values().filter_map(|reservation| reservation.tokens.get(key)).sum()
     }
 }
 
@@ -105,7 +105,7 @@
     }
 
     /// What is claimed of a pair.
-    pub fn of(&self, key: &QuotaKey) -> u64 {
+    pub fn claimed(&self, key: &QuotaKey) -> u64 {
         self.tokens.get(key).copied().unwrap_or(0)
     }
 
--- a/batch/src/record.rs
+++ b/batch/src/record.rs
@@ -12,19 +12,19 @@
     /// Jobs replaced and dropped by a repair, or written once more by a rewrite.
     Install { shard: u32, epoch: Epoch, dropped: Vec<String>, jobs: Vec<JobState>, next: Option<u64> },
     /// This store is primary from this epoch on.
-    Reign { shard: u32, epoch: Epoch },
+    TermStart { shard: u32, epoch: Epoch },
     /// The end of a rewrite: the shard holds these jobs and no others.
-    Whole {
+    RewriteEnd {
         shard: u32,
         /// Highest epoch seen.
         epoch: Epoch,
         /// Highest epoch in which this store was primary.
-        led: Epoch,
+        last_primary_epoch: Epoch,
         jobs: Vec<String>,
         next: u64,
     },
     /// Where a rewrite of all shards begins.
-    Marker,
+    RewriteStart,
 }
 
 impl StoreRecord {
@@ -41,9 +41,9 @@
         match self {
             StoreRecord::Operations { shard, .. }
             | StoreRecord::Install { shard, .. }
-            | StoreRecord::Reign { shard, .. }
-            | StoreRecord::Whole { shard, .. } => Some(*shard),
-            StoreRecord::Marker => None,
+            | StoreRecord::TermStart { shard, .. }
+            | StoreRecord::RewriteEnd { shard, .. } => Some(*shard),
+            StoreRecord::RewriteStart => None,
         }
     }
 
@@ -52,17 +52,17 @@
         match self {
             StoreRecord::Operations { epoch, .. }
             | StoreRecord::Install { epoch, .. }
-            | StoreRecord::Reign { epoch, .. }
-            | StoreRecord::Whole { epoch, .. } => *epoch,
-            StoreRecord::Marker => 0,
+            | StoreRecord::TermStart { epoch, .. }
+            | StoreRecord::RewriteEnd { epoch, .. } => *epoch,
+            StoreRecord::RewriteStart => 0,
         }
     }
 
     /// The highest epoch in which this store is known to have been primary by this record.
-    pub fn led(&self) -> Epoch {
+    pub fn last_primary_epoch(&self) -> Epoch {
         match self {
-            StoreRecord::Reign { epoch, .. } => *epoch,
-            StoreRecord::Whole { led, .. } => *led,
+            StoreRecord::TermStart { epoch, .. } => *epoch,
+            StoreRecord::RewriteEnd { last_primary_epoch, .. } => *last_primary_epoch,
             _ => 0,
         }
     }
--- a/batch/src/replica.rs
+++ b/batch/src/replica.rs
@@ -4,12 +4,12 @@
 
 use crate::breaks::{self, Break};
 use crate::digests::different_buckets;
-use crate::primary::Primary;
+use crate::primary::PrimaryState;
 use crate::record::StoreRecord;
 use crate::rewrite::Rewrite;
 use crate::shard::ShardJobs;
 use quillmount_wire::messages::{
-    DiskId, Epoch, MemberMessage, Response, ShardOperation, ShardReport, ShardView,
+    DiskId, Epoch, Response, ShardMessage, ShardOperation, ShardReport, ShardView,
 };
 use std::collections::BTreeMap;
 
@@ -21,18 +21,18 @@
 pub type RequestId = u64;
 /// A record on its way to the disk.
 pub type WriteId = u64;
-/// An operation, as the caller of [`Replica::commit`] numbers it.
+/// An operation, as the caller of [`ShardReplica::commit`] numbers it.
 pub type OperationId = u64;
-/// A read, as the caller of [`Replica::confirm`] numbers it.
+/// A read, as the caller of [`ShardReplica::confirm`] numbers it.
 pub type ReadId = u64;
 
 /// What the caller has to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Output {
-    /// Append this record and sync it, in the order of these outputs; [`Replica::written`] is told, in the same order.
+pub enum ShardAction {
+    /// Append this record and sync it, in the order of these outputs; [`ShardReplica::written`] is told, in the same order.
     Write { write: WriteId, record: StoreRecord },
-    /// Call another member; [`Replica::answered`] is told, after `time` microseconds without an answer at the latest.
-    Call { call: CallId, member: DiskId, epoch: Epoch, message: MemberMessage, time: Micros },
+    /// Call another member; [`ShardReplica::answered`] is told, after `timeout` microseconds without an answer at the latest.
+    Call { call: CallId, member: DiskId, epoch: Epoch, message: ShardMessage, timeout: Micros },
     /// Answer a call of another store.
     Answer { request: RequestId, response: Response },
     /// An operation is committed, and applied here.
@@ -40,15 +40,15 @@
     /// An operation may or may not come into force.
     Uncertain { operation: OperationId },
     /// An operation was not begun: nothing happened.
-    NotBegun { operation: OperationId },
+    NotStarted { operation: OperationId },
     /// This store serves as primary from now on.
     Serving { epoch: Epoch },
     /// This store is no longer primary.
-    Ended,
+    SteppedDown,
     /// What was committed here when the read came is the newest.
     ReadConfirmed { read: ReadId },
     /// That could not be made sure in time.
-    ReadRefused { read: ReadId },
+    ReadRejected { read: ReadId },
     /// The core is to be told of the members soon.
     ReportDue,
     /// A rewrite that was asked for is over; whether all of it is on the disk.
@@ -57,36 +57,36 @@
 
 /// Whose replica it is.
 #[derive(Clone, Copy, Debug)]
-pub struct ReplicaIdentity {
+pub struct ShardReplicaId {
     pub disk: DiskId,
     pub shard: u32,
     /// Disks that may be lost at once.
-    pub survivable: usize,
+    pub tolerated_failures: usize,
 }
 
 /// What a record on its way to the disk is for.
 pub(crate) enum WritePurpose {
     Answer { request: RequestId, response: Box<Response> },
     Batch,
-    Reign,
+    TermStart,
     Rewrite,
 }
 
 /// A replica of a shard.
-pub struct Replica {
-    pub(crate) identity: ReplicaIdentity,
+pub struct ShardReplica {
+    pub(crate) identity: ShardReplicaId,
     pub(crate) jobs: ShardJobs,
     /// Highest epoch seen; what bears a lower one is refused.
     pub(crate) epoch: Epoch,
     /// Highest epoch in which this store was primary.
-    pub(crate) led: Epoch,
+    pub(crate) last_primary_epoch: Epoch,
     /// Drawn when a primary begins to compare; 0 before. Operations and repairs of another session are refused.
     session: u64,
     /// The repair of this session is over: operations are taken, and no further repairs.
-    level: bool,
+    caught_up: bool,
     /// The newest view known.
     pub(crate) view: Option<ShardView>,
-    pub(crate) primary: Option<Primary>,
+    pub(crate) primary: Option<PrimaryState>,
     pub(crate) writes: BTreeMap<WriteId, WritePurpose>,
     next_id: u64,
     /// A record could not be written: the disk does not hold what is in memory.
@@ -95,19 +95,19 @@
     pub(crate) rewrite_due: bool,
     /// Who asked for a rewrite that has not begun.
     pub(crate) rewrite_requests: Vec<RequestId>,
-    pub(crate) outputs: Vec<Output>,
+    pub(crate) actions: Vec<ShardAction>,
 }
 
-impl Replica {
+impl ShardReplica {
     /// A replica with nothing on its disk.
-    pub fn new(identity: ReplicaIdentity) -> Replica {
-        Replica {
+    pub fn new(identity: ShardReplicaId) -> ShardReplica {
+        ShardReplica {
             identity,
             jobs: ShardJobs::default(),
             epoch: 0,
-            led: 0,
+            last_primary_epoch: 0,
             session: 0,
-            level: false,
+            caught_up: false,
             view: None,
             primary: None,
             writes: BTreeMap::new(),
@@ -116,7 +116,7 @@
             rewrite: None,
             rewrite_due: false,
             rewrite_requests: Vec::new(),
-            outputs: Vec::new(),
+            actions: Vec::new(),
         }
     }
 
@@ -125,7 +125,7 @@
         if !breaks::on(Break::EpochForgotten) {
             self.epoch = self.epoch.max(record.epoch());
         }
-        self.led = self.led.max(record.led());
+        self.last_primary_epoch = self.last_primary_epoch.max(record.last_primary_epoch());
         self.jobs.recover(record);
     }
 
@@ -140,7 +140,7 @@
 
     /// The epoch in which this store serves as primary.
     pub fn serving(&self) -> Option<Epoch> {
-        self.primary.as_ref().filter(|primary| primary.serving).map(Primary::epoch)
+        self.primary.as_ref().filter(|primary| primary.serving).map(PrimaryState::epoch)
     }
 
     /// Whether a submission of this job waits or is being replicated.
@@ -158,15 +158,15 @@
         self.damaged
     }
 
-    /// Whether time alone may change something: [`Replica::tick`] is to be called.
-    pub fn is_restless(&self) -> bool {
+    /// Whether time alone may change something: [`ShardReplica::tick`] is to be called.
+    pub fn needs_tick(&self) -> bool {
         let leads = self.view.as_ref().is_some_and(|view| view.primary == self.identity.disk);
-        let working = |primary: &Primary| {
+        let working = |primary: &PrimaryState| {
             !primary.serving
                 || primary.batch.is_some()
                 || !primary.reads.is_empty()
                 || primary.round.is_some()
-                || !primary.group.unattached().is_empty()
+                || !primary.group.lagging().is_empty()
         };
         self.damaged || self.primary.as_ref().map_or(leads, working)
     }
@@ -174,56 +174,56 @@
     /// What the core is to know of the members; nothing while all is well.
     pub fn report(&mut self) -> Option<ShardReport> {
         let shard = self.identity.shard;
-        self.primary.as_mut().filter(|primary| primary.reigning)?.group.report(shard)
+        self.primary.as_mut().filter(|primary| primary.term_durable)?.group.report(shard)
     }
 
     /// Lets time pass.
-    pub fn tick(&mut self, now: Micros) -> Vec<Output> {
-        self.heal();
+    pub fn tick(&mut self, now: Micros) -> Vec<ShardAction> {
+        self.rewrite_after_failure();
         self.advance(now);
-        self.take_outputs()
+        self.take_actions()
     }
 
-    pub(crate) fn take_outputs(&mut self) -> Vec<Output> {
-        std::mem::take(&mut self.outputs)
+    pub(crate) fn take_actions(&mut self) -> Vec<ShardAction> {
+        std::mem::take(&mut self.actions)
     }
 
-    pub(crate) fn draw_id(&mut self) -> u64 {
+    pub(crate) fn allocate_id(&mut self) -> u64 {
         self.next_id += 1;
         self.next_id
     }
 
     /// Sends a record to the disk.
     pub(crate) fn write(&mut self, record: StoreRecord, purpose: WritePurpose) -> WriteId {
-        let write = self.draw_id();
+        let write = self.allocate_id();
         self.writes.insert(write, purpose);
-        self.outputs.push(Output::Write { write, record });
+        self.actions.push(ShardAction::Write { write, record });
         write
     }
 
     fn answer(&mut self, request: RequestId, response: Response) {
-        self.outputs.push(Output::Answer { request, response });
+        self.actions.push(ShardAction::Answer { request, response });
     }
 
     /// A record is synced, or could not be written.
-    pub fn written(&mut self, write: WriteId, synced: bool, now: Micros) -> Vec<Output> {
+    pub fn on_written(&mut self, write: WriteId, synced: bool, now: Micros) -> Vec<ShardAction> {
         let Some(purpose) = self.writes.remove(&write) else { return Vec::new() };
         let rewrites = matches!(purpose, WritePurpose::Rewrite);
         if !synced && !rewrites && !breaks::on(Break::FailedWriteIgnored) {
             self.damaged = true;
-            self.end_primary();
+            self.step_down();
         }
-        let kept = (synced || breaks::on(Break::FailedWriteIgnored)) && !self.damaged;
+        let durable = (synced || breaks::on(Break::FailedWriteIgnored)) && !self.damaged;
         match purpose {
             WritePurpose::Answer { request, response } => {
-                self.answer(request, if kept { *response } else { Response::Full });
+                self.answer(request, if durable { *response } else { Response::Full });
             }
-            WritePurpose::Batch => self.batch_written(write, kept),
-            WritePurpose::Reign => self.reign_written(kept),
+            WritePurpose::Batch => self.batch_written(write, durable),
+            WritePurpose::TermStart => self.term_start_written(durable),
             WritePurpose::Rewrite => self.rewrite_written(synced),
         }
         self.advance(now);
-        self.take_outputs()
+        self.take_actions()
     }
 
     /// Takes a call of a primary; `draw` is a random number that names a session, should one begin.
@@ -231,63 +231,63 @@
         &mut self,
         request: RequestId,
         epoch: Epoch,
-        message: MemberMessage,
+        message: ShardMessage,
         draw: u64,
-    ) -> Vec<Output> {
-        if !self.see_epoch(epoch) {
+    ) -> Vec<ShardAction> {
+        if !self.observe_epoch(epoch) {
             self.answer(request, Response::WrongEpoch);
-            return self.take_outputs();
+            return self.take_actions();
         }
         match message {
-            MemberMessage::Confirm => self.answer(request, Response::Done),
+            ShardMessage::Confirm => self.answer(request, Response::Done),
             _ if self.damaged => self.answer(request, Response::Full),
-            MemberMessage::CompareBuckets { buckets } => {
+            ShardMessage::CompareBuckets { buckets } => {
                 self.session = draw.max(1);
-                self.level = false;
+                self.caught_up = false;
                 let buckets = different_buckets(&self.jobs.buckets(), &buckets);
                 self.answer(request, Response::DifferentBuckets { session: self.session, buckets });
             }
-            MemberMessage::CompareJobs { session, .. }
-            | MemberMessage::Install { session, .. }
-            | MemberMessage::Replicate { session, .. }
+            ShardMessage::CompareJobs { session, .. }
+            | ShardMessage::Install { session, .. }
+            | ShardMessage::Replicate { session, .. }
                 if session != self.session && !breaks::on(Break::SessionIgnored) =>
             {
                 self.answer(request, Response::Behind);
             }
             // What a repair sent may come late or twice: it must not undo what came after it.
-            MemberMessage::CompareJobs { .. } | MemberMessage::Install { .. }
-                if self.level && !breaks::on(Break::RepairAfterLevel) =>
+            ShardMessage::CompareJobs { .. } | ShardMessage::Install { .. }
+                if self.caught_up && !breaks::on(Break::RepairAfterCaughtUp) =>
             {
                 self.answer(request, Response::Behind);
             }
-            MemberMessage::Replicate { .. } if !self.level && !breaks::on(Break::SessionIgnored) => {
+            ShardMessage::Replicate { .. } if !self.caught_up && !breaks::on(Break::SessionIgnored) => {
                 self.answer(request, Response::Behind);
             }
-            MemberMessage::CompareJobs { buckets, jobs, .. } => {
+            ShardMessage::CompareJobs { buckets, jobs, .. } => {
                 let (mut dropped, wanted) = self.jobs.compare(&buckets, &jobs);
-                if breaks::on(Break::DroppedJobKept) {
+                if breaks::on(Break::DroppedJobRetained) {
                     dropped.clear();
                 }
                 self.install(request, dropped, Vec::new(), None, Response::DifferentJobs(wanted));
             }
-            MemberMessage::Install { jobs, next, .. } => {
-                self.level = next.is_some();
+            ShardMessage::Install { jobs, next, .. } => {
+                self.caught_up = next.is_some();
                 self.install(request, Vec::new(), jobs, next, Response::Done);
             }
-            MemberMessage::Replicate { first, operations, .. } => self.replicate(request, first, operations),
+            ShardMessage::Replicate { first, operations, .. } => self.replicate(request, first, operations),
         }
-        self.take_outputs()
+        self.take_actions()
     }
 
     /// Takes note of an epoch; whether it is not below the highest. A primary of an older one ends.
-    fn see_epoch(&mut self, epoch: Epoch) -> bool {
+    fn observe_epoch(&mut self, epoch: Epoch) -> bool {
         if epoch < self.epoch {
             return breaks::on(Break::OlderEpochAnswered);
         }
         self.epoch = epoch;
         let outdated = self.primary.as_ref().is_some_and(|primary| primary.epoch() < epoch);
         if outdated && !breaks::on(Break::DeposedGoesOn) {
-            self.end_primary();
+            self.step_down();
         }
         true
     }
@@ -301,7 +301,7 @@
         response: Response,
     ) {
         let (shard, epoch) = (self.identity.shard, self.epoch);
-        self.keep(request, StoreRecord::Install { shard, epoch, dropped, jobs, next }, response);
+        self.apply_and_persist(request, StoreRecord::Install { shard, epoch, dropped, jobs, next }, response);
     }
 
     fn replicate(&mut self, request: RequestId, first: u64, operations: Vec<ShardOperation>) {
@@ -311,11 +311,11 @@
         let next = first + operations.len() as u64;
         let (shard, epoch) = (self.identity.shard, self.epoch);
         let record = StoreRecord::Operations { shard, epoch, first, operations };
-        self.keep(request, record, Response::Replicated { next });
+        self.apply_and_persist(request, record, Response::Replicated { next });
     }
 
     /// Applies a record and writes it; the answer waits for the disk.
-    fn keep(&mut self, request: RequestId, record: StoreRecord, response: Response) {
+    fn apply_and_persist(&mut self, request: RequestId, record: StoreRecord, response: Response) {
         self.jobs.recover(record.clone());
         if breaks::on(Break::AcknowledgedBeforeSync) {
             self.answer(request, response.clone());
--- a/batch/src/rewrite.rs
+++ b/batch/src/rewrite.rs
@@ -2,7 +2,7 @@
 
 use crate::breaks::{self, Break};
 use crate::record::StoreRecord;
-use crate::replica::{Output, Replica, RequestId, WritePurpose};
+use crate::replica::{RequestId, ShardAction, ShardReplica, WritePurpose};
 use quillmount_wire::messages::JobState;
 
 /// Bytes of jobs in one record, about.
@@ -11,22 +11,22 @@
 /// A rewrite under way.
 pub(crate) struct Rewrite {
     /// Records that are not synced yet.
-    left: usize,
+    remaining: usize,
     failed: bool,
     /// Who asked for it before it began.
     requests: Vec<RequestId>,
     /// It began after a write had failed; nothing is written beside it, so that it makes up for all that is missing.
-    heals: bool,
+    after_failure: bool,
 }
 
-impl Replica {
-    /// Writes all jobs once more, after the batch under way; [`Output::Rewritten`] follows with the same number, for a rewrite
+impl ShardReplica {
+    /// Writes all jobs once more, after the batch under way; [`ShardAction::Rewritten`] follows with the same number, for a rewrite
     /// that begins after this was asked.
-    pub fn rewrite(&mut self, request: RequestId) -> Vec<Output> {
+    pub fn rewrite(&mut self, request: RequestId) -> Vec<ShardAction> {
         self.rewrite_requests.push(request);
         self.rewrite_due = true;
         self.rewrite_if_due();
-        self.take_outputs()
+        self.take_actions()
     }
 
     /// Begins a rewrite that is due. A batch under way is on the disk and not in memory: it is waited for.
@@ -36,16 +36,17 @@
             return;
         }
         self.rewrite_due = false;
-        let records = self.whole_records();
+        let records = self.snapshot_records();
         let requests = std::mem::take(&mut self.rewrite_requests);
-        self.rewrite = Some(Rewrite { left: records.len(), failed: false, requests, heals: self.damaged });
+        self.rewrite =
+            Some(Rewrite { remaining: records.len(), failed: false, requests, after_failure: self.damaged });
         for record in records {
             self.write(record, WritePurpose::Rewrite);
         }
     }
 
     /// Begins to write anew what a failed write has left out, once all that was on its way to the disk is settled.
-    pub(crate) fn heal(&mut self) {
+    pub(crate) fn rewrite_after_failure(&mut self) {
         if self.damaged && self.rewrite.is_none() && self.writes.is_empty() {
             self.rewrite_due = true;
             self.rewrite_if_due();
@@ -53,7 +54,7 @@
     }
 
     /// Records that give the whole shard, whatever was written before. The last one says that the others are there.
-    fn whole_records(&self) -> Vec<StoreRecord> {
+    fn snapshot_records(&self) -> Vec<StoreRecord> {
         let (shard, epoch) = (self.identity.shard, self.epoch);
         let install = |jobs: Vec<JobState>| {
             let dropped = Vec::new();
@@ -80,23 +81,29 @@
             return records;
         }
         let jobs = self.jobs.jobs.keys().skip(skipped).cloned().collect();
-        records.push(StoreRecord::Whole { shard, epoch, led: self.led, jobs, next: self.jobs.next });
+        records.push(StoreRecord::RewriteEnd {
+            shard,
+            epoch,
+            last_primary_epoch: self.last_primary_epoch,
+            jobs,
+            next: self.jobs.next,
+        });
         records
     }
 
     pub(crate) fn rewrite_written(&mut self, synced: bool) {
         let Some(rewrite) = &mut self.rewrite else { return };
-        rewrite.left = rewrite.left.saturating_sub(1);
+        rewrite.remaining = rewrite.remaining.saturating_sub(1);
         rewrite.failed |= !synced;
-        if rewrite.left > 0 {
+        if rewrite.remaining > 0 {
             return;
         }
         let complete = !rewrite.failed;
-        if complete && rewrite.heals {
+        if complete && rewrite.after_failure {
             self.damaged = false;
         }
         let requests = std::mem::take(&mut rewrite.requests);
         self.rewrite = None;
-        self.outputs.extend(requests.into_iter().map(|request| Output::Rewritten { request, complete }));
+        self.actions.extend(requests.into_iter().map(|request| ShardAction::Rewritten { request, complete }));
     }
 }
--- a/batch/src/shard.rs
+++ b/batch/src/shard.rs
@@ -13,7 +13,7 @@
     pub results: Vec<ItemResult>,
     pub ended: bool,
     listed: BTreeSet<u32>,
-    places: BTreeMap<String, u32>,
+    item_indices: BTreeMap<String, u32>,
     waiting_tokens: u64,
     digest: u64,
 }
@@ -21,15 +21,15 @@
 impl JobEntry {
     fn new(job: Job) -> JobEntry {
         let digest = job_digest(&job);
-        let places =
-            job.items.iter().enumerate().map(|(place, item)| (item.id.clone(), place as u32)).collect();
+        let item_indices =
+            job.items.iter().enumerate().map(|(index, item)| (item.id.clone(), index as u32)).collect();
         let waiting_tokens = job.items.iter().map(|item| item.tokens).sum();
         JobEntry {
             job: Rc::new(job),
             results: Vec::new(),
             ended: false,
             listed: BTreeSet::new(),
-            places,
+            item_indices,
             waiting_tokens,
             digest,
         }
@@ -66,7 +66,7 @@
 
     /// The item of this id.
     pub fn item(&self, id: &str) -> Option<&Item> {
-        self.places.get(id).and_then(|place| self.job.items.get(*place as usize))
+        self.item_indices.get(id).and_then(|index| self.job.items.get(*index as usize))
     }
 
     /// Bytes in memory, about.
@@ -171,16 +171,16 @@
                 }
             }
             StoreRecord::Install { dropped, jobs, next, .. } => self.install(&dropped, jobs, next),
-            StoreRecord::Whole { jobs, next, .. } => self.keep_only(&jobs, next),
-            StoreRecord::Reign { .. } | StoreRecord::Marker => {}
+            StoreRecord::RewriteEnd { jobs, next, .. } => self.retain_only(&jobs, next),
+            StoreRecord::TermStart { .. } | StoreRecord::RewriteStart => {}
         }
     }
 
     /// Drops every job that is not named.
-    fn keep_only(&mut self, jobs: &[String], next: u64) {
-        let kept: BTreeSet<&str> = jobs.iter().map(String::as_str).collect();
+    fn retain_only(&mut self, jobs: &[String], next: u64) {
+        let retained: BTreeSet<&str> = jobs.iter().map(String::as_str).collect();
         let dropped: Vec<String> =
-            self.jobs.keys().filter(|job| !kept.contains(job.as_str())).cloned().collect();
+            self.jobs.keys().filter(|job| !retained.contains(job.as_str())).cloned().collect();
         dropped.iter().for_each(|job| self.drop_job(job));
         self.next = next;
     }
--- a/batch/tests/cluster/core.rs
+++ b/batch/tests/cluster/core.rs
@@ -1,16 +1,16 @@
 //! The core of a world: its real members, with leases of stores, the planning of views, and the views' way to the stores. What
-//! leases and polls do here is what `node/src/core/` does on sockets.
+//! leases and polls do here is what `node/src/control_member/` does on sockets.
 
 use crate::world::{MILLI, Random};
 use quillmount_batch::Micros;
-use quillmount_control::{ControlState, CoreMember, MemberOutput, RegisterWrite, ShardInputs};
-use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, Register, ReplicaMessage, ShardReport};
+use quillmount_control::{ControlState, Member, MemberAction, RegisterWrite, ShardPlanInputs};
+use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, Register, RegisterMessage, ShardReport};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A store that has not polled for so long has lost its lease.
 const LEASE: Micros = 1_100 * MILLI;
 /// Reports of a store are used for so long.
-const REPORT_LIFE: Micros = 600 * MILLI;
+const REPORT_TTL: Micros = 600 * MILLI;
 /// A new primary knows who is alive after this time.
 const LEASES_KNOWN: Micros = 1_200 * MILLI;
 /// Identities of core members begin here.
@@ -18,8 +18,8 @@
 
 /// What a core machine has to be told, and when.
 pub enum CoreEvent {
-    Deliver { from: DiskId, to: DiskId, message: ReplicaMessage },
-    Synced { to: DiskId, life: u64, write: RegisterWrite, register: Register },
+    Deliver { from: DiskId, to: DiskId, message: RegisterMessage },
+    Synced { to: DiskId, incarnation: u64, write: RegisterWrite, register: Register },
     Start { to: DiskId },
 }
 
@@ -30,9 +30,9 @@
 }
 
 pub struct Machine {
-    pub member: CoreMember,
+    pub member: Member,
     disk: Register,
-    life: u64,
+    incarnation: u64,
     pub up: bool,
     pub frozen_until: Micros,
     /// Leases of stores, in this epoch.
@@ -43,12 +43,12 @@
     pub machines: BTreeMap<DiskId, Machine>,
     /// Pairs between which nothing goes this way.
     pub cuts: BTreeSet<(DiskId, DiskId)>,
-    survivable: usize,
+    tolerated_failures: usize,
     /// The newest state that any primary has committed.
     pub newest: ControlState,
     pub due: Vec<(Micros, CoreEvent)>,
     /// Primaries that have news for the stores which poll them.
-    pub news: Vec<DiskId>,
+    pub changed: Vec<DiskId>,
     /// Messages that members sent, registers that they wrote and elections that they won, so far.
     pub messages: u64,
     pub writes: u64,
@@ -56,11 +56,11 @@
 }
 
 impl Core {
-    pub fn new(members: u64, survivable: usize, now: Micros, random: &mut Random) -> Core {
+    pub fn new(members: u64, tolerated_failures: usize, now: Micros, random: &mut Random) -> Core {
         let machine = |disk: DiskId| Machine {
-            member: CoreMember::new(disk, survivable, Register::default(), now),
+            member: Member::new(disk, tolerated_failures, Register::default(), now),
             disk: Register::default(),
-            life: 1,
+            incarnation: 1,
             up: true,
             frozen_until: 0,
             leases: BTreeMap::new(),
@@ -69,21 +69,21 @@
             (FIRST..FIRST + members).map(|disk| (disk, machine(disk))).collect();
         let mut state = ControlState::default();
         state.placement.core = machines.keys().map(|disk| core_node(*disk)).collect();
-        let (due, news) = (Vec::new(), Vec::new());
+        let (due, changed) = (Vec::new(), Vec::new());
         let newest = ControlState::default();
         let mut core = Core {
             machines,
             cuts: BTreeSet::new(),
-            survivable,
+            tolerated_failures,
             newest,
             due,
-            news,
+            changed,
             messages: 0,
             writes: 0,
             elections: 0,
         };
-        let outputs = core.machines.get_mut(&FIRST).unwrap().member.bootstrap(&state, now);
-        core.perform(FIRST, outputs, now, random);
+        let actions = core.machines.get_mut(&FIRST).unwrap().member.bootstrap(&state, now);
+        core.perform(FIRST, actions, now, random);
         core
     }
 
@@ -102,7 +102,7 @@
     pub fn kill(&mut self, disk: DiskId) {
         if let Some(machine) = self.machines.get_mut(&disk) {
             machine.up = false;
-            machine.life += 1;
+            machine.incarnation += 1;
         }
     }
 
@@ -113,13 +113,13 @@
     pub fn tick(&mut self, now: Micros, random: &mut Random) {
         let disks: Vec<DiskId> = self.machines.keys().copied().collect();
         for disk in disks.into_iter().filter(|disk| self.awake(*disk, now)).collect::<Vec<_>>() {
-            let outputs = self.machines.get_mut(&disk).unwrap().member.tick(now);
-            self.perform(disk, outputs, now, random);
+            let actions = self.machines.get_mut(&disk).unwrap().member.tick(now);
+            self.perform(disk, actions, now, random);
         }
     }
 
     /// Takes an event; gives it back with a later time if its machine stands still.
-    pub fn take(&mut self, event: CoreEvent, now: Micros, random: &mut Random) {
+    pub fn handle_event(&mut self, event: CoreEvent, now: Micros, random: &mut Random) {
         let to = match &event {
             CoreEvent::Deliver { to, .. } | CoreEvent::Synced { to, .. } | CoreEvent::Start { to } => *to,
         };
@@ -131,20 +131,20 @@
         match event {
             CoreEvent::Deliver { from, to, message } => {
                 if machine.up && !self.cuts.contains(&(from, to)) {
-                    let outputs = machine.member.receive(from, message, now);
-                    self.perform(to, outputs, now, random);
+                    let actions = machine.member.receive(from, message, now);
+                    self.perform(to, actions, now, random);
                 }
             }
-            CoreEvent::Synced { to, life, write, register } => {
-                if machine.life == life {
+            CoreEvent::Synced { to, incarnation, write, register } => {
+                if machine.incarnation == incarnation {
                     machine.disk = register;
-                    let outputs = machine.member.persisted(write, now);
-                    self.perform(to, outputs, now, random);
+                    let actions = machine.member.persisted(write, now);
+                    self.perform(to, actions, now, random);
                 }
             }
             CoreEvent::Start { to } => {
                 if !machine.up {
-                    machine.member = CoreMember::new(to, self.survivable, machine.disk.clone(), now);
+                    machine.member = Member::new(to, self.tolerated_failures, machine.disk.clone(), now);
                     machine.up = true;
                     machine.frozen_until = 0;
                     machine.leases.clear();
@@ -153,36 +153,36 @@
         }
     }
 
-    fn perform(&mut self, disk: DiskId, outputs: Vec<MemberOutput>, now: Micros, random: &mut Random) {
-        for output in outputs {
-            match output {
-                MemberOutput::Send { to, message } => {
+    fn perform(&mut self, disk: DiskId, actions: Vec<MemberAction>, now: Micros, random: &mut Random) {
+        for action in actions {
+            match action {
+                MemberAction::Send { to, message } => {
                     self.messages += 1;
                     let at = now + 500 + random.next(1_500);
                     self.due.push((at, CoreEvent::Deliver { from: disk, to, message }));
                 }
-                MemberOutput::Persist { write, register } => {
+                MemberAction::Persist { write, register } => {
                     self.writes += 1;
-                    let life = self.machines[&disk].life;
+                    let incarnation = self.machines[&disk].incarnation;
                     let at = now + 300 + random.next(2_000);
-                    self.due.push((at, CoreEvent::Synced { to: disk, life, write, register }));
+                    self.due.push((at, CoreEvent::Synced { to: disk, incarnation, write, register }));
                 }
-                MemberOutput::Elected { .. } => {
+                MemberAction::Elected { .. } => {
                     self.elections += 1;
                     self.machines.get_mut(&disk).unwrap().leases.clear();
                 }
-                MemberOutput::News => self.on_news(disk),
+                MemberAction::StateChanged => self.on_state_changed(disk),
                 _ => {}
             }
         }
     }
 
-    fn on_news(&mut self, disk: DiskId) {
+    fn on_state_changed(&mut self, disk: DiskId) {
         let state = self.machines[&disk].member.committed().unwrap();
         if state.placement_version > self.newest.placement_version {
             self.newest = (*state).clone();
         }
-        self.news.push(disk);
+        self.changed.push(disk);
     }
 
     /// A store polls this machine: its lease is renewed, and it is admitted if it is new.
@@ -206,8 +206,8 @@
         change: impl FnOnce(&mut ControlState),
     ) {
         let begun = self.machines.get_mut(&disk).unwrap().member.change(change, now);
-        if let Ok((_, _, outputs)) = begun {
-            self.perform(disk, outputs, now, random);
+        if let Ok((_, _, actions)) = begun {
+            self.perform(disk, actions, now, random);
         }
     }
 
@@ -216,15 +216,17 @@
         for disk in self.serving(now) {
             let machine = &self.machines[&disk];
             let Some(state) = machine.member.committed() else { continue };
-            if machine.member.reign(now) < LEASES_KNOWN || state.placement.stores.len() <= self.survivable {
+            if machine.member.time_as_primary(now) < LEASES_KNOWN
+                || state.placement.stores.len() <= self.tolerated_failures
+            {
                 continue;
             }
             let leases = &machine.leases;
             let live = leases.iter().filter(|(_, (at, _))| now - at < LEASE).map(|(disk, _)| *disk).collect();
-            let recent = leases.values().filter(|(at, _)| now - at < REPORT_LIFE);
+            let recent = leases.values().filter(|(at, _)| now - at < REPORT_TTL);
             let reports = recent.flat_map(|(_, reports)| reports.iter().cloned()).collect();
-            let survivable = self.survivable;
-            let inputs = ShardInputs { live, leaving: BTreeSet::new(), reports, survivable };
+            let tolerated_failures = self.tolerated_failures;
+            let inputs = ShardPlanInputs { live, draining: BTreeSet::new(), reports, tolerated_failures };
             let plan = |state: &mut ControlState| {
                 state.plan_shards(&inputs);
                 state.placement.shards.truncate(1);
--- a/batch/tests/cluster/exploration.rs
+++ b/batch/tests/cluster/exploration.rs
@@ -1,6 +1,6 @@
 //! Small cases with a fault at every moment of them.
 
-use crate::day::{calm, power_off_all, read_back, wipe};
+use crate::random_faults::{end_faults, power_off_all, read_back, wipe};
 use crate::world::{MILLI, SECOND, World};
 
 /// A world in which jobs are at work, always the same.
@@ -13,7 +13,7 @@
 
 fn settle(world: &mut World) {
     world.run(SECOND);
-    calm(world);
+    end_faults(world);
     read_back(world);
 }
 
@@ -38,9 +38,9 @@
             wipe(&mut world, primary);
             world.run(moment * 20 * MILLI);
             let names: Vec<u32> = world.stores.keys().copied().filter(|name| *name != primary).collect();
-            let struck = names[second];
-            world.kill(struck, true);
-            world.restart_after(struck, 900 * MILLI);
+            let victim = names[second];
+            world.kill(victim, true);
+            world.restart_after(victim, 900 * MILLI);
             settle(&mut world);
         }
     }
--- a/batch/tests/cluster/main.rs
+++ b/batch/tests/cluster/main.rs
@@ -3,11 +3,11 @@
 
 mod audit;
 mod core;
-mod day;
 mod digest;
 #[path = "../../../tests/common/digest.rs"]
 mod digest_file;
 mod exploration;
+mod random_faults;
 mod scenarios;
 mod steps;
 mod world;
@@ -20,14 +20,14 @@
 }
 
 #[test]
-fn days_of_mixed_faults_lose_nothing() {
+fn days_of_random_faults_lose_nothing() {
     let (mut commits, mut reads, mut faults) = (0, 0, 0);
     for seed in 1..=seeds() {
-        let day = std::panic::catch_unwind(|| day::play(seed));
-        let day = day.unwrap_or_else(|_| panic!("the day of seed {seed}"));
-        commits += day.commits;
-        reads += day.reads;
-        faults += day.faults;
+        let run = std::panic::catch_unwind(|| random_faults::run_seed(seed));
+        let run = run.unwrap_or_else(|_| panic!("the day of seed {seed}"));
+        commits += run.commits;
+        reads += run.reads;
+        faults += run.faults;
     }
     println!("{} days: {faults} faults, {commits} commits, {reads} reads", seeds());
     assert!(commits as u64 > 20 * seeds() && reads as u64 > 20 * seeds(), "{commits} commits, {reads} reads");
@@ -35,13 +35,13 @@
 
 /// The same with a core of real members between the stores and their views, and faults at both.
 #[test]
-fn days_of_stores_and_core_lose_nothing() {
+fn days_of_random_faults_at_stores_and_core_lose_nothing() {
     let (mut commits, mut reads) = (0, 0);
     for seed in 1..=seeds() {
-        let day = std::panic::catch_unwind(|| day::play_with_core(seed));
-        let day = day.unwrap_or_else(|_| panic!("the day of seed {seed}"));
-        commits += day.commits;
-        reads += day.reads;
+        let run = std::panic::catch_unwind(|| random_faults::run_seed_with_core(seed));
+        let run = run.unwrap_or_else(|_| panic!("the day of seed {seed}"));
+        commits += run.commits;
+        reads += run.reads;
     }
     println!("{} days: {commits} commits, {reads} reads", seeds());
     assert!(commits as u64 > 20 * seeds() && reads as u64 > 20 * seeds(), "{commits} commits, {reads} reads");
@@ -52,21 +52,22 @@
 #[test]
 fn each_break_is_found() {
     use quillmount_batch::breaks;
-    const DAYS: u64 = 150;
+    const RUNS: u64 = 150;
     let fails = |run: &fn()| std::panic::catch_unwind(run).is_err();
     std::panic::set_hook(Box::new(|_| {}));
     let mut missed = Vec::new();
-    for one in breaks::ALL {
-        breaks::set(Some(one));
+    for broken in breaks::ALL {
+        breaks::set(Some(broken));
         let steps = steps::ALL.iter().position(fails);
         let scenario = steps.is_none().then(|| scenarios::ALL.iter().position(fails)).flatten();
         let by_name = steps.or(scenario).is_some();
-        let day = || (1..=DAYS).find(|seed| std::panic::catch_unwind(|| day::play(*seed)).is_err());
-        let day = if by_name { None } else { day() };
+        let failing_seed =
+            || (1..=RUNS).find(|seed| std::panic::catch_unwind(|| random_faults::run_seed(*seed)).is_err());
+        let failing_seed = if by_name { None } else { failing_seed() };
         breaks::set(None);
-        println!("{one:?}: steps {steps:?}, run by name {scenario:?}, day {day:?}");
-        if !by_name && day.is_none() {
-            missed.push(one);
+        println!("{broken:?}: steps {steps:?}, run by name {scenario:?}, day {failing_seed:?}");
+        if !by_name && failing_seed.is_none() {
+            missed.push(broken);
         }
     }
     let _ = std::panic::take_hook();
--- a/batch/tests/cluster/random_faults.rs
+++ b/batch/tests/cluster/random_faults.rs
@@ -5,7 +5,7 @@
 use quillmount_batch::Micros;
 
 /// What a day did.
-pub struct Summary {
+pub struct RunSummary {
     pub commits: usize,
     pub reads: usize,
     pub faults: usize,
@@ -15,34 +15,34 @@
 
 /// Plays a day: faults for some seconds, calm, a closing loss of power of everything, at times with a lost disk, and a
 /// reading of all that was acknowledged.
-pub fn play(seed: u64) -> Summary {
-    let survivable = if seed.is_multiple_of(4) { 2 } else { 1 };
-    let stores = survivable as u32 + 2 + (seed % 3) as u32;
-    play_in(World::new(stores, survivable, seed))
+pub fn run_seed(seed: u64) -> RunSummary {
+    let tolerated_failures = if seed.is_multiple_of(4) { 2 } else { 1 };
+    let stores = tolerated_failures as u32 + 2 + (seed % 3) as u32;
+    run_faults(World::new(stores, tolerated_failures, seed))
 }
 
 /// The same with a core of real members, which has faults of its own.
-pub fn play_with_core(seed: u64) -> Summary {
-    let survivable = if seed.is_multiple_of(4) { 2 } else { 1 };
-    let stores = survivable as u32 + 2 + (seed % 3) as u32;
-    play_in(World::with_core(2 * survivable as u64 + 1, stores, survivable, seed))
+pub fn run_seed_with_core(seed: u64) -> RunSummary {
+    let tolerated_failures = if seed.is_multiple_of(4) { 2 } else { 1 };
+    let stores = tolerated_failures as u32 + 2 + (seed % 3) as u32;
+    run_faults(World::with_core(2 * tolerated_failures as u64 + 1, stores, tolerated_failures, seed))
 }
 
-fn play_in(mut world: World) -> Summary {
+fn run_faults(mut world: World) -> RunSummary {
     world.run(4 * SECOND);
     let mut faults = 0;
     for _ in 0..14 {
         if world.core.is_some() && world.random.chance(40) {
-            strike_core(&mut world);
+            inject_core_fault(&mut world);
         } else {
-            strike(&mut world);
+            inject_fault(&mut world);
         }
         faults += 1;
-        let pause = world.random.next(900);
-        world.run(pause * MILLI);
+        let gap = world.random.next(900);
+        world.run(gap * MILLI);
     }
-    calm(&mut world);
-    closing(&mut world);
+    end_faults(&mut world);
+    final_power_loss(&mut world);
     let mut counts = world.counts;
     if let Some(core) = &world.core {
         counts.set("core_messages", core.messages);
@@ -55,7 +55,7 @@
     counts.set("audited_reads", world.auditor.reads as u64);
     counts.set("audited_commits", world.auditor.commits as u64);
     counts.set("end_time_us", world.now);
-    Summary { commits: world.auditor.commits, reads: world.auditor.reads, faults, counts }
+    RunSummary { commits: world.auditor.commits, reads: world.auditor.reads, faults, counts }
 }
 
 fn any_store(world: &mut World) -> u32 {
@@ -76,7 +76,7 @@
     (from + world.random.next(below - from)) * MILLI
 }
 
-fn strike(world: &mut World) {
+fn inject_fault(world: &mut World) {
     let store = primary_or_any(world);
     match world.random.next(13) {
         0 | 1 => {
@@ -90,7 +90,7 @@
             let store = world.stores.get_mut(&store).unwrap();
             store.frozen_until = store.frozen_until.max(until);
         }
-        4 => herd(world),
+        4 => kill_many(world),
         5 => cut_between(world, store),
         6 => {
             world.cut_from_core.insert(store);
@@ -116,7 +116,7 @@
 }
 
 /// A fault at the core: a member killed, all killed, one frozen, one or half cut off, or all cuts healed.
-fn strike_core(world: &mut World) {
+fn inject_core_fault(world: &mut World) {
     let now = world.now;
     let (choice, down, draw) = (world.random.next(7), span(world, 50, 2500), world.random.next(1 << 20));
     let Some(core) = &mut world.core else { return };
@@ -154,7 +154,7 @@
 }
 
 /// Many processes end at the same moment.
-fn herd(world: &mut World) {
+fn kill_many(world: &mut World) {
     let power = world.random.chance(50);
     let names: Vec<u32> = world.stores.keys().copied().collect();
     let spared = world.random.chance(30).then(|| any_store(world));
@@ -215,7 +215,7 @@
 }
 
 /// Ends all faults and waits until the shard is whole.
-pub fn calm(world: &mut World) {
+pub fn end_faults(world: &mut World) {
     world.cuts.clear();
     world.cut_from_core.clear();
     if let Some(core) = &mut world.core {
@@ -231,7 +231,7 @@
 }
 
 /// Everything loses power, at times with one disk; then all that was acknowledged is read.
-fn closing(world: &mut World) {
+fn final_power_loss(world: &mut World) {
     let lost = world.random.chance(50).then(|| any_store(world));
     let names: Vec<u32> = world.stores.keys().copied().collect();
     for name in names.into_iter().filter(|name| !world.stores[name].removed).collect::<Vec<_>>() {
@@ -244,7 +244,7 @@
         }
     }
     world.run(3 * SECOND);
-    calm(world);
+    end_faults(world);
     read_back(world);
 }
 
--- a/batch/tests/cluster/scenarios.rs
+++ b/batch/tests/cluster/scenarios.rs
@@ -1,24 +1,24 @@
 //! Runs by name, each of which brings one of the operators' worst days about.
 
-use crate::day::{calm, power_off_all, read_back, wipe};
+use crate::random_faults::{end_faults, power_off_all, read_back, wipe};
 use crate::world::{MILLI, SECOND, World};
 
 /// All runs, for the proof that deliberate breaks are found.
 #[cfg(feature = "breaks")]
 pub const ALL: [fn(); 9] = [
-    a_batch_that_was_not_committed_shows_at_no_position_after_a_restart_of_everything,
-    a_frozen_primary_that_wakes_answers_nothing_after_its_successor_serves,
-    disks_lost_one_after_the_other_lose_nothing_once_each_was_made_up_for,
+    an_uncommitted_batch_is_never_listed_after_a_full_restart,
+    a_frozen_primary_answers_nothing_once_its_successor_serves,
+    successive_disk_losses_lose_nothing_once_each_was_repaired,
     a_disk_lost_while_all_others_lose_power_loses_nothing,
-    a_member_whose_disk_failed_counts_only_once_all_of_it_is_written_again,
-    a_store_that_was_emptied_takes_nothing_along_though_a_disk_is_lost_right_behind,
-    a_leaving_store_that_holds_the_only_copy_there_is_stays_until_it_does_not,
-    two_halves_confirm_nothing_that_is_lost_when_they_meet,
-    restarts_of_everything_in_a_row_give_exactly_what_was_confirmed,
+    a_member_with_a_failed_disk_counts_only_after_a_complete_rewrite,
+    a_disk_loss_right_after_a_retirement_loses_nothing,
+    a_draining_store_stays_while_it_has_the_only_copy,
+    a_healed_partition_loses_nothing_that_was_confirmed,
+    repeated_full_restarts_keep_exactly_what_was_confirmed,
 ];
 
-fn started(stores: u32, survivable: usize, seed: u64) -> World {
-    let mut world = World::new(stores, survivable, seed);
+fn started(stores: u32, tolerated_failures: usize, seed: u64) -> World {
+    let mut world = World::new(stores, tolerated_failures, seed);
     world.run(3 * SECOND);
     assert!(world.is_healed());
     world
@@ -28,12 +28,12 @@
 fn power_off_and_read(world: &mut World) {
     power_off_all(world, 700 * MILLI);
     world.run(2 * SECOND);
-    calm(world);
+    end_faults(world);
     read_back(world);
 }
 
 #[test]
-fn a_batch_that_was_not_committed_shows_at_no_position_after_a_restart_of_everything() {
+fn an_uncommitted_batch_is_never_listed_after_a_full_restart() {
     // The primary is cut off while batches are under way, is replaced, joins again, and everything is killed.
     for seed in 1..=30 {
         let mut world = started(3, 1, seed);
@@ -45,14 +45,14 @@
         world.cut_from_core.insert(old);
         world.run(4 * SECOND);
         assert_ne!(world.primary(), Some(old), "seed {seed}");
-        calm(&mut world);
+        end_faults(&mut world);
         world.run(SECOND);
         power_off_and_read(&mut world);
     }
 }
 
 #[test]
-fn a_frozen_primary_that_wakes_answers_nothing_after_its_successor_serves() {
+fn a_frozen_primary_answers_nothing_once_its_successor_serves() {
     for seed in 1..=30 {
         let mut world = started(3, 1, seed);
         let old = world.primary().unwrap();
@@ -64,20 +64,20 @@
             world.restart_after(other, 480 * MILLI);
         }
         world.run(2 * SECOND);
-        calm(&mut world);
+        end_faults(&mut world);
         read_back(&mut world);
     }
 }
 
 #[test]
-fn disks_lost_one_after_the_other_lose_nothing_once_each_was_made_up_for() {
+fn successive_disk_losses_lose_nothing_once_each_was_repaired() {
     for seed in 1..=20 {
         let mut world = started(4, 1, seed);
         for _ in 0..4 {
             let primary = world.primary().unwrap();
             wipe(&mut world, primary);
             world.run(SECOND);
-            calm(&mut world);
+            end_faults(&mut world);
         }
         power_off_and_read(&mut world);
     }
@@ -91,13 +91,13 @@
         power_off_all(&mut world, 700 * MILLI);
         world.add_store(lost);
         world.run(3 * SECOND);
-        calm(&mut world);
+        end_faults(&mut world);
         read_back(&mut world);
     }
 }
 
 #[test]
-fn a_member_whose_disk_failed_counts_only_once_all_of_it_is_written_again() {
+fn a_member_with_a_failed_disk_counts_only_after_a_complete_rewrite() {
     for seed in 1..=30 {
         let mut world = started(3, 1, seed);
         let names: Vec<u32> = world.stores.keys().copied().collect();
@@ -111,22 +111,22 @@
 }
 
 #[test]
-fn a_store_that_was_emptied_takes_nothing_along_though_a_disk_is_lost_right_behind() {
+fn a_disk_loss_right_after_a_retirement_loses_nothing() {
     for seed in 1..=30 {
         let mut world = started(4, 1, seed);
-        let leaving = world.primary().unwrap();
-        world.retire(leaving);
+        let draining = world.primary().unwrap();
+        world.retire(draining);
         world.wipe_behind_removal = true;
         world.run(6 * SECOND);
-        assert!(world.stores[&leaving].removed, "seed {seed}");
-        calm(&mut world);
+        assert!(world.stores[&draining].removed, "seed {seed}");
+        end_faults(&mut world);
         power_off_and_read(&mut world);
     }
 }
 
 /// The members in sync are gone one after the other while the leaving one alone is there.
 #[test]
-fn a_leaving_store_that_holds_the_only_copy_there_is_stays_until_it_does_not() {
+fn a_draining_store_stays_while_it_has_the_only_copy() {
     for seed in 1..=30 {
         let mut world = started(5, 1, seed);
         let view = world.view().unwrap().clone();
@@ -136,8 +136,8 @@
             .filter(|store| view.in_sync.contains(&store.disk))
             .map(|store| store.name)
             .collect();
-        let leaving = members[0];
-        world.retire(leaving);
+        let draining = members[0];
+        world.retire(draining);
         // One of the others loses its disk, the rest of them stand still for some seconds.
         world.kill(members[1], true);
         world.add_store(members[1]);
@@ -145,14 +145,14 @@
             world.stores.get_mut(name).unwrap().frozen_until = world.now + 4 * SECOND;
         }
         world.run(8 * SECOND);
-        calm(&mut world);
+        end_faults(&mut world);
         read_back(&mut world);
     }
 }
 
 /// Two halves for some seconds: nobody confirms what the other half does not have.
 #[test]
-fn two_halves_confirm_nothing_that_is_lost_when_they_meet() {
+fn a_healed_partition_loses_nothing_that_was_confirmed() {
     for seed in 1..=30 {
         let mut world = started(4, 1, seed);
         for one in [1, 2] {
@@ -162,21 +162,21 @@
             }
         }
         world.run(5 * SECOND);
-        calm(&mut world);
+        end_faults(&mut world);
         power_off_and_read(&mut world);
     }
 }
 
 /// Everything is killed again and again while jobs are taken: rings hold uncommitted, superseded and repaired records.
 #[test]
-fn restarts_of_everything_in_a_row_give_exactly_what_was_confirmed() {
+fn repeated_full_restarts_keep_exactly_what_was_confirmed() {
     for seed in 1..=15 {
         let mut world = started(3, 1, seed);
         for round in 0..8u64 {
             power_off_all(&mut world, 700 * MILLI);
             world.run((900 + 150 * round) * MILLI);
         }
-        calm(&mut world);
+        end_faults(&mut world);
         read_back(&mut world);
     }
 }
--- a/batch/tests/cluster/steps.rs
+++ b/batch/tests/cluster/steps.rs
@@ -1,25 +1,25 @@
 //! Single replicas taken through a few steps: what each has to wait for, and what it refuses.
 
 use crate::world::job;
-use quillmount_batch::{Output, Replica, ReplicaIdentity, StoreRecord};
-use quillmount_wire::messages::{DiskId, Epoch, MemberMessage, Response, ShardOperation, ShardView};
+use quillmount_batch::{ShardAction, ShardReplica, ShardReplicaId, StoreRecord};
+use quillmount_wire::messages::{DiskId, Epoch, Response, ShardMessage, ShardOperation, ShardView};
 
 /// All runs, for the proof that deliberate breaks are found.
 #[cfg(feature = "breaks")]
 pub const ALL: [fn(); 7] = [
     a_primary_serves_only_once_its_epoch_is_on_its_disk,
-    a_primary_serves_only_once_its_members_are_level,
+    a_primary_serves_only_once_its_members_have_caught_up,
     a_member_that_restarts_still_refuses_an_older_epoch,
     operations_of_an_older_session_are_refused,
-    what_a_repair_sent_is_refused_once_the_member_is_level,
-    a_primary_that_begins_again_counts_members_that_it_may_have_reported,
-    a_dropped_job_stays_away_after_the_disk_is_written_anew,
+    repair_messages_are_refused_once_the_member_has_caught_up,
+    a_restarted_primary_counts_members_that_it_may_have_reported,
+    a_dropped_job_stays_dropped_after_a_rewrite,
 ];
 
 const NOW: u64 = 1_000_000;
 
-fn replica(disk: DiskId) -> Replica {
-    Replica::new(ReplicaIdentity { disk, shard: 0, survivable: 1 })
+fn replica(disk: DiskId) -> ShardReplica {
+    ShardReplica::new(ShardReplicaId { disk, shard: 0, tolerated_failures: 1 })
 }
 
 fn view(epoch: Epoch, in_sync: &[DiskId], joining: &[DiskId]) -> ShardView {
@@ -30,7 +30,7 @@
 #[derive(Default)]
 struct Script {
     records: Vec<StoreRecord>,
-    outputs: Vec<Output>,
+    actions: Vec<ShardAction>,
     /// Members that answer.
     answering: Vec<DiskId>,
     /// Writes are synced.
@@ -39,43 +39,43 @@
 
 impl Script {
     /// Carries outputs out until nothing follows.
-    fn carry_out(&mut self, replica: &mut Replica, outputs: Vec<Output>) {
-        let mut queue = outputs;
+    fn perform_all(&mut self, replica: &mut ShardReplica, actions: Vec<ShardAction>) {
+        let mut queue = actions;
         while !queue.is_empty() {
-            let output = queue.remove(0);
-            match &output {
-                Output::Write { write, record } if self.syncs => {
+            let action = queue.remove(0);
+            match &action {
+                ShardAction::Write { write, record } if self.syncs => {
                     self.records.push(record.clone());
-                    queue.extend(replica.written(*write, true, NOW));
+                    queue.extend(replica.on_written(*write, true, NOW));
                 }
-                Output::Call { call, member, message, .. } if self.answering.contains(member) => {
+                ShardAction::Call { call, member, message, .. } if self.answering.contains(member) => {
                     let answer = match message {
-                        MemberMessage::CompareBuckets { .. } => {
+                        ShardMessage::CompareBuckets { .. } => {
                             Response::DifferentBuckets { session: *member, buckets: Vec::new() }
                         }
-                        MemberMessage::Replicate { first, operations, .. } => {
+                        ShardMessage::Replicate { first, operations, .. } => {
                             Response::Replicated { next: first + operations.len() as u64 }
                         }
                         _ => Response::Done,
                     };
-                    queue.extend(replica.answered(*call, Some(answer), NOW));
+                    queue.extend(replica.on_answer(*call, Some(answer), NOW));
                 }
                 _ => {}
             }
-            self.outputs.push(output);
+            self.actions.push(action);
         }
     }
 
-    fn has(&self, wanted: impl Fn(&Output) -> bool) -> bool {
-        self.outputs.iter().any(wanted)
+    fn has(&self, wanted: impl Fn(&ShardAction) -> bool) -> bool {
+        self.actions.iter().any(wanted)
     }
 
     fn serves(&self) -> bool {
-        self.has(|output| matches!(output, Output::Serving { .. }))
+        self.has(|action| matches!(action, ShardAction::Serving { .. }))
     }
 
     fn commits(&self) -> bool {
-        self.has(|output| matches!(output, Output::Committed { .. }))
+        self.has(|action| matches!(action, ShardAction::Committed { .. }))
     }
 }
 
@@ -83,25 +83,25 @@
 fn a_primary_serves_only_once_its_epoch_is_on_its_disk() {
     let mut primary = replica(1);
     let mut script = Script { answering: vec![2], ..Script::default() };
-    let outputs = primary.follow_view(&view(5, &[1, 2], &[]), NOW);
-    script.carry_out(&mut primary, outputs);
+    let actions = primary.follow_view(&view(5, &[1, 2], &[]), NOW);
+    script.perform_all(&mut primary, actions);
     assert!(!script.serves(), "its epoch is not synced yet");
-    let write = script.outputs.iter().find_map(|output| match output {
-        Output::Write { write, .. } => Some(*write),
+    let write = script.actions.iter().find_map(|action| match action {
+        ShardAction::Write { write, .. } => Some(*write),
         _ => None,
     });
-    let outputs = primary.written(write.expect("its epoch is written"), true, NOW);
+    let actions = primary.on_written(write.expect("its epoch is written"), true, NOW);
     script.syncs = true;
-    script.carry_out(&mut primary, outputs);
+    script.perform_all(&mut primary, actions);
     assert!(script.serves());
 }
 
 #[test]
-fn a_primary_serves_only_once_its_members_are_level() {
+fn a_primary_serves_only_once_its_members_have_caught_up() {
     let mut primary = replica(1);
     let mut script = Script { answering: vec![3], syncs: true, ..Script::default() };
-    let outputs = primary.follow_view(&view(5, &[1, 2], &[3]), NOW);
-    script.carry_out(&mut primary, outputs);
+    let actions = primary.follow_view(&view(5, &[1, 2], &[3]), NOW);
+    script.perform_all(&mut primary, actions);
     assert!(!script.serves(), "the member in sync did not answer");
 }
 
@@ -109,120 +109,119 @@
 fn a_member_that_restarts_still_refuses_an_older_epoch() {
     let mut member = replica(2);
     let mut script = Script { syncs: true, ..Script::default() };
-    let outputs = member.receive(1, 6, MemberMessage::CompareBuckets { buckets: Vec::new() }, 77);
-    script.carry_out(&mut member, outputs);
-    let level = MemberMessage::Install { session: 77, jobs: Vec::new(), next: Some(0) };
-    let outputs = member.receive(2, 6, level, 0);
-    script.carry_out(&mut member, outputs);
-    let mut again = replica(2);
-    script.records.drain(..).for_each(|record| again.recover(record));
-    let outputs = again.receive(3, 5, MemberMessage::Confirm, 0);
-    assert_eq!(outputs, [Output::Answer { request: 3, response: Response::WrongEpoch }]);
+    let actions = member.receive(1, 6, ShardMessage::CompareBuckets { buckets: Vec::new() }, 77);
+    script.perform_all(&mut member, actions);
+    let level = ShardMessage::Install { session: 77, jobs: Vec::new(), next: Some(0) };
+    let actions = member.receive(2, 6, level, 0);
+    script.perform_all(&mut member, actions);
+    let mut restarted = replica(2);
+    script.records.drain(..).for_each(|record| restarted.recover(record));
+    let actions = restarted.receive(3, 5, ShardMessage::Confirm, 0);
+    assert_eq!(actions, [ShardAction::Answer { request: 3, response: Response::WrongEpoch }]);
 }
 
 /// A member that is level in the session of this number.
-fn level_member(session: u64) -> (Replica, Script) {
+fn level_member(session: u64) -> (ShardReplica, Script) {
     let mut member = replica(2);
     let mut script = Script { syncs: true, ..Script::default() };
-    let outputs = member.receive(1, 5, MemberMessage::CompareBuckets { buckets: Vec::new() }, session);
-    script.carry_out(&mut member, outputs);
-    let outputs =
-        member.receive(2, 5, MemberMessage::Install { session, jobs: Vec::new(), next: Some(0) }, 0);
-    script.carry_out(&mut member, outputs);
+    let actions = member.receive(1, 5, ShardMessage::CompareBuckets { buckets: Vec::new() }, session);
+    script.perform_all(&mut member, actions);
+    let actions = member.receive(2, 5, ShardMessage::Install { session, jobs: Vec::new(), next: Some(0) }, 0);
+    script.perform_all(&mut member, actions);
     (member, script)
 }
 
-fn submit(session: u64, id: &str) -> MemberMessage {
+fn submit(session: u64, id: &str) -> ShardMessage {
     let operations = vec![ShardOperation::Submit(job(id))];
-    MemberMessage::Replicate { session, first: 0, operations }
+    ShardMessage::Replicate { session, first: 0, operations }
 }
 
 #[test]
 fn operations_of_an_older_session_are_refused() {
     let (mut member, mut script) = level_member(70);
-    let outputs = member.receive(3, 5, MemberMessage::CompareBuckets { buckets: Vec::new() }, 71);
-    script.carry_out(&mut member, outputs);
-    let level = MemberMessage::Install { session: 71, jobs: Vec::new(), next: Some(0) };
-    let outputs = member.receive(4, 5, level, 0);
-    script.carry_out(&mut member, outputs);
-    let outputs = member.receive(5, 5, submit(70, "old"), 0);
-    assert_eq!(outputs, [Output::Answer { request: 5, response: Response::Behind }]);
+    let actions = member.receive(3, 5, ShardMessage::CompareBuckets { buckets: Vec::new() }, 71);
+    script.perform_all(&mut member, actions);
+    let level = ShardMessage::Install { session: 71, jobs: Vec::new(), next: Some(0) };
+    let actions = member.receive(4, 5, level, 0);
+    script.perform_all(&mut member, actions);
+    let actions = member.receive(5, 5, submit(70, "old"), 0);
+    assert_eq!(actions, [ShardAction::Answer { request: 5, response: Response::Behind }]);
 }
 
 #[test]
-fn what_a_repair_sent_is_refused_once_the_member_is_level() {
+fn repair_messages_are_refused_once_the_member_has_caught_up() {
     let (mut member, mut script) = level_member(70);
-    let outputs = member.receive(3, 5, submit(70, "a"), 0);
-    script.carry_out(&mut member, outputs);
-    let late = MemberMessage::CompareJobs { session: 70, buckets: (0..64).collect(), jobs: Vec::new() };
-    let outputs = member.receive(4, 5, late, 0);
-    assert_eq!(outputs, [Output::Answer { request: 4, response: Response::Behind }]);
+    let actions = member.receive(3, 5, submit(70, "a"), 0);
+    script.perform_all(&mut member, actions);
+    let late = ShardMessage::CompareJobs { session: 70, buckets: (0..64).collect(), jobs: Vec::new() };
+    let actions = member.receive(4, 5, late, 0);
+    assert_eq!(actions, [ShardAction::Answer { request: 4, response: Response::Behind }]);
 }
 
 #[test]
-fn a_primary_that_begins_again_counts_members_that_it_may_have_reported() {
+fn a_restarted_primary_counts_members_that_it_may_have_reported() {
     let mut primary = replica(1);
     let mut script = Script { answering: vec![2, 3], syncs: true, ..Script::default() };
-    let outputs = primary.follow_view(&view(5, &[1, 2], &[3]), NOW);
-    script.carry_out(&mut primary, outputs);
+    let actions = primary.follow_view(&view(5, &[1, 2], &[3]), NOW);
+    script.perform_all(&mut primary, actions);
     assert!(primary.report().is_some_and(|report| report.caught_up == [3]));
     // Its process starts again in the same view; the report may still be on its way to the core.
-    let mut again = replica(1);
-    script.records.iter().cloned().for_each(|record| again.recover(record));
+    let mut restarted = replica(1);
+    script.records.iter().cloned().for_each(|record| restarted.recover(record));
     let mut script = Script { answering: vec![2], syncs: true, ..Script::default() };
-    let outputs = again.follow_view(&view(5, &[1, 2], &[3]), NOW);
-    script.carry_out(&mut again, outputs);
-    let outputs = again.commit(1, ShardOperation::Submit(job("a")), NOW);
-    script.carry_out(&mut again, outputs);
+    let actions = restarted.follow_view(&view(5, &[1, 2], &[3]), NOW);
+    script.perform_all(&mut restarted, actions);
+    let actions = restarted.commit(1, ShardOperation::Submit(job("a")), NOW);
+    script.perform_all(&mut restarted, actions);
     assert!(!script.commits(), "the joining member may count as in sync by now");
     // A view without it takes the doubt away.
-    let outputs = again.follow_view(&view(6, &[1, 2], &[]), NOW);
-    script.carry_out(&mut again, outputs);
+    let actions = restarted.follow_view(&view(6, &[1, 2], &[]), NOW);
+    script.perform_all(&mut restarted, actions);
     assert!(script.commits());
 }
 
 #[test]
-fn a_dropped_job_stays_away_after_the_disk_is_written_anew() {
+fn a_dropped_job_stays_dropped_after_a_rewrite() {
     let (mut member, mut script) = level_member(70);
-    let outputs = member.receive(3, 5, submit(70, "a"), 0);
-    script.carry_out(&mut member, outputs);
+    let actions = member.receive(3, 5, submit(70, "a"), 0);
+    script.perform_all(&mut member, actions);
     // The next primary does not have the job; the record that drops it can't be written.
-    let outputs = member.receive(4, 6, MemberMessage::CompareBuckets { buckets: Vec::new() }, 71);
-    script.carry_out(&mut member, outputs);
-    let compare = MemberMessage::CompareJobs { session: 71, buckets: (0..64).collect(), jobs: Vec::new() };
-    let outputs = member.receive(5, 6, compare, 0);
-    let write = outputs.iter().find_map(|output| match output {
-        Output::Write { write, .. } => Some(*write),
+    let actions = member.receive(4, 6, ShardMessage::CompareBuckets { buckets: Vec::new() }, 71);
+    script.perform_all(&mut member, actions);
+    let compare = ShardMessage::CompareJobs { session: 71, buckets: (0..64).collect(), jobs: Vec::new() };
+    let actions = member.receive(5, 6, compare, 0);
+    let write = actions.iter().find_map(|action| match action {
+        ShardAction::Write { write, .. } => Some(*write),
         _ => None,
     });
-    let outputs = member.written(write.expect("the drop is written"), false, NOW);
-    assert!(outputs.contains(&Output::Answer { request: 5, response: Response::Full }));
-    script.carry_out(&mut member, outputs);
-    let outputs = member.tick(NOW);
-    script.carry_out(&mut member, outputs);
+    let actions = member.on_written(write.expect("the drop is written"), false, NOW);
+    assert!(actions.contains(&ShardAction::Answer { request: 5, response: Response::Full }));
+    script.perform_all(&mut member, actions);
+    let actions = member.tick(NOW);
+    script.perform_all(&mut member, actions);
     assert!(!member.is_damaged());
-    let mut again = replica(2);
-    script.records.drain(..).for_each(|record| again.recover(record));
-    assert!(again.jobs().jobs.is_empty(), "the job that was dropped came back");
+    let mut restarted = replica(2);
+    script.records.drain(..).for_each(|record| restarted.recover(record));
+    assert!(restarted.jobs().jobs.is_empty(), "the job that was dropped came back");
 }
 
 /// A rewrite under way began before what asks now: only the next one counts for it.
 #[test]
-fn a_rewrite_that_was_asked_for_begins_after_the_asking() {
+fn a_requested_rewrite_begins_after_the_request() {
     let (mut member, mut script) = level_member(70);
-    let outputs = member.receive(3, 5, submit(70, "a"), 0);
-    script.carry_out(&mut member, outputs);
+    let actions = member.receive(3, 5, submit(70, "a"), 0);
+    script.perform_all(&mut member, actions);
     let first = member.rewrite(11);
     let second = member.rewrite(12);
     assert!(second.is_empty(), "the first is under way");
-    script.outputs.clear();
-    script.carry_out(&mut member, first);
-    let done = |request: u64| Output::Rewritten { request, complete: true };
-    let places = [11, 12].map(|request| script.outputs.iter().position(|output| *output == done(request)));
+    script.actions.clear();
+    script.perform_all(&mut member, first);
+    let done = |request: u64| ShardAction::Rewritten { request, complete: true };
+    let places = [11, 12].map(|request| script.actions.iter().position(|action| *action == done(request)));
     assert!(matches!(places, [Some(first), Some(second)] if first < second), "{places:?}");
     let wholes = script
-        .outputs
+        .actions
         .iter()
-        .filter(|output| matches!(output, Output::Write { record: StoreRecord::Whole { .. }, .. }));
+        .filter(|action| matches!(action, ShardAction::Write { record: StoreRecord::RewriteEnd { .. }, .. }));
     assert_eq!(wholes.count(), 2);
 }
--- a/batch/tests/cluster/world.rs
+++ b/batch/tests/cluster/world.rs
@@ -4,10 +4,12 @@
 use crate::audit::Auditor;
 use crate::core::{Core, CoreEvent, Poll};
 use crate::digest_file::Counts;
-use quillmount_batch::{JobEntry, Micros, Output, Replica, ReplicaIdentity, ShardJobs, StoreRecord, WriteId};
-use quillmount_control::{ControlState, Retirement, ShardInputs};
+use quillmount_batch::{
+    JobEntry, Micros, ShardAction, ShardJobs, ShardReplica, ShardReplicaId, StoreRecord, WriteId,
+};
+use quillmount_control::{ControlState, Retirement, ShardPlanInputs};
 use quillmount_wire::messages::{
-    DiskId, Item, ItemResult, Job, MemberMessage, NodeInfo, NodeRole, Phase, Response, ShardOperation,
+    DiskId, Item, ItemResult, Job, NodeInfo, NodeRole, Phase, Response, ShardMessage, ShardOperation,
     ShardReport, ShardView,
 };
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,11 +19,11 @@
 /// A store that has not polled for so long has lost its lease.
 const LEASE: Micros = 1_100 * MILLI;
 /// Reports of a store are used for so long.
-const REPORT_LIFE: Micros = 600 * MILLI;
-const POLL_PAUSE: Micros = 150 * MILLI;
-const PLAN_PAUSE: Micros = 100 * MILLI;
+const REPORT_TTL: Micros = 600 * MILLI;
+const POLL_INTERVAL: Micros = 150 * MILLI;
+const PLAN_INTERVAL: Micros = 100 * MILLI;
 const TICK: Micros = 20 * MILLI;
-const WORK_PAUSE: Micros = 15 * MILLI;
+const WORK_INTERVAL: Micros = 15 * MILLI;
 /// Items of a job.
 const ITEMS: u32 = 6;
 
@@ -40,11 +42,11 @@
 }
 
 pub enum Event {
-    Request { from: u32, to: DiskId, call: u64, life: u64, epoch: u64, message: MemberMessage },
-    Reply { to: u32, call: u64, life: u64, answer: Option<Response> },
-    Synced { store: u32, life: u64, write: WriteId, position: usize },
-    NotWritten { store: u32, life: u64, write: WriteId },
-    View { to: u32, life: u64, view: ShardView },
+    Request { from: u32, to: DiskId, call: u64, incarnation: u64, epoch: u64, message: ShardMessage },
+    Reply { to: u32, call: u64, incarnation: u64, answer: Option<Response> },
+    Synced { store: u32, incarnation: u64, write: WriteId, position: usize },
+    NotWritten { store: u32, incarnation: u64, write: WriteId },
+    View { to: u32, incarnation: u64, view: ShardView },
     Poll { from: u32, disk: DiskId, reports: Vec<ShardReport> },
     Start { store: u32 },
     Core(CoreEvent),
@@ -57,9 +59,9 @@
     pub up: bool,
     pub removed: bool,
     /// Counts starts of the process.
-    pub life: u64,
+    pub incarnation: u64,
     pub frozen_until: Micros,
-    pub replica: Replica,
+    pub replica: ShardReplica,
     /// Records on the disk, in the order of writing; the first `synced` of them survive a loss of power.
     pub records: Vec<StoreRecord>,
     pub synced: usize,
@@ -79,7 +81,7 @@
 }
 
 /// What a replica is asked by a client, by the number of the operation or read.
-pub enum Asked {
+pub enum PendingCall {
     Submit { job: String },
     Append,
     End,
@@ -100,9 +102,9 @@
     pub control: ControlState,
     pub core: Option<Core>,
     leases: BTreeMap<DiskId, (Micros, Vec<ShardReport>)>,
-    pub survivable: usize,
+    pub tolerated_failures: usize,
     pub auditor: Auditor,
-    asked: BTreeMap<u64, Asked>,
+    pending_calls: BTreeMap<u64, PendingCall>,
     next_id: u64,
     next_disk: DiskId,
     /// Whether clients are at work.
@@ -145,7 +147,7 @@
 }
 
 impl World {
-    pub fn new(stores: u32, survivable: usize, seed: u64) -> World {
+    pub fn new(stores: u32, tolerated_failures: usize, seed: u64) -> World {
         let mut world = World {
             now: SECOND,
             random: Random(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ seed),
@@ -157,9 +159,9 @@
             control: ControlState::default(),
             core: None,
             leases: BTreeMap::new(),
-            survivable,
+            tolerated_failures,
             auditor: Auditor::default(),
-            asked: BTreeMap::new(),
+            pending_calls: BTreeMap::new(),
             next_id: 0,
             next_disk: 100,
             busy: true,
@@ -172,21 +174,21 @@
     }
 
     /// The same with a core of real members.
-    pub fn with_core(members: u64, stores: u32, survivable: usize, seed: u64) -> World {
-        let mut world = World::new(stores, survivable, seed);
-        world.core = Some(Core::new(members, survivable, world.now, &mut world.random));
+    pub fn with_core(members: u64, stores: u32, tolerated_failures: usize, seed: u64) -> World {
+        let mut world = World::new(stores, tolerated_failures, seed);
+        world.core = Some(Core::new(members, tolerated_failures, world.now, &mut world.random));
         world
     }
 
-    fn identity(&self, disk: DiskId) -> ReplicaIdentity {
-        ReplicaIdentity { disk, shard: 0, survivable: self.survivable }
+    fn identity(&self, disk: DiskId) -> ShardReplicaId {
+        ShardReplicaId { disk, shard: 0, tolerated_failures: self.tolerated_failures }
     }
 
     /// Adds a store with an empty disk, or gives one an empty disk.
     pub fn add_store(&mut self, name: u32) {
         self.next_disk += 1;
         let disk = self.next_disk;
-        let life = self.stores.get(&name).map_or(1, |store| store.life + 1);
+        let incarnation = self.stores.get(&name).map_or(1, |store| store.incarnation + 1);
         if let Some(lost) = self.stores.remove(&name) {
             self.lost_disks.push(lost.on_disk);
         }
@@ -195,9 +197,9 @@
             disk,
             up: true,
             removed: false,
-            life,
+            incarnation,
             frozen_until: 0,
-            replica: Replica::new(self.identity(disk)),
+            replica: ShardReplica::new(self.identity(disk)),
             records: Vec::new(),
             synced: 0,
             on_disk: ShardJobs::default(),
@@ -218,7 +220,7 @@
         self.events.insert((at, self.order), event);
     }
 
-    fn draw_id(&mut self) -> u64 {
+    fn allocate_id(&mut self) -> u64 {
         self.next_id += 1;
         self.next_id
     }
@@ -233,13 +235,13 @@
     pub fn kill(&mut self, name: u32, power: bool) {
         let Some(store) = self.stores.get_mut(&name).filter(|store| store.up) else { return };
         store.up = false;
-        store.life += 1;
+        store.incarnation += 1;
         store.requests.clear();
         store.rewrite_from = None;
         store.failing = 0;
         let unsynced = store.records.len() - store.synced;
-        let kept = if power { self.random.next(unsynced as u64 + 1) as usize } else { unsynced };
-        store.records.truncate(store.synced + kept);
+        let surviving = if power { self.random.next(unsynced as u64 + 1) as usize } else { unsynced };
+        store.records.truncate(store.synced + surviving);
         for record in &store.records[store.synced..] {
             store.on_disk.recover(record.clone());
         }
@@ -257,7 +259,7 @@
         };
         store.up = true;
         store.frozen_until = 0;
-        store.replica = Replica::new(identity);
+        store.replica = ShardReplica::new(identity);
         for record in &store.records {
             store.replica.recover(record.clone());
         }
@@ -265,15 +267,15 @@
 
     /// Orders a store to be emptied; it is removed, with its disk, as soon as the core says that it is empty.
     pub fn retire(&mut self, name: u32) {
-        let (store, survivable, now) = (format!("store-{name}"), self.survivable, self.now);
+        let (store, tolerated_failures, now) = (format!("store-{name}"), self.tolerated_failures, self.now);
         match &mut self.core {
             None => {
-                self.control.retire(&store, survivable);
+                self.control.retire(&store, tolerated_failures);
             }
             Some(core) => {
                 for disk in core.serving(now) {
                     core.change(disk, now, &mut self.random, |state| {
-                        state.retire(&store, survivable);
+                        state.retire(&store, tolerated_failures);
                     });
                 }
             }
@@ -299,8 +301,8 @@
         let Some(store) = self.stores.get_mut(&name).filter(|store| store.up) else { return };
         if store.rewrite_from.is_none() {
             store.rewrite_from = Some(store.records.len());
-            let outputs = store.replica.rewrite(0);
-            self.perform(name, outputs);
+            let actions = store.replica.rewrite(0);
+            self.perform(name, actions);
         }
     }
 
@@ -320,17 +322,17 @@
         {
             let event = self.events.remove(&key).unwrap();
             self.now = self.now.max(key.0);
-            self.take(event);
+            self.handle_event(event);
         }
         self.now = due;
         self.run_core();
         if self.now.is_multiple_of(TICK) {
             self.tick();
         }
-        if self.now.is_multiple_of(PLAN_PAUSE) {
+        if self.now.is_multiple_of(PLAN_INTERVAL) {
             self.plan();
         }
-        if self.busy && self.now.is_multiple_of(WORK_PAUSE) {
+        if self.busy && self.now.is_multiple_of(WORK_INTERVAL) {
             self.work();
         }
     }
@@ -345,21 +347,21 @@
             self.schedule(at.max(self.now + 1), Event::Core(event));
         }
         self.control = core.newest.clone();
-        let news = std::mem::take(&mut core.news);
-        news.into_iter().for_each(|disk| self.hand_out(&core, disk, None));
+        let changed = std::mem::take(&mut core.changed);
+        changed.into_iter().for_each(|disk| self.hand_out(&core, disk, None));
         self.core = Some(core);
     }
 
     /// A primary hands out its view, to one store or to all that are not cut off, while it may be sure of it.
     fn hand_out(&mut self, core: &Core, primary: DiskId, to: Option<u32>) {
-        let recent = core.machines[&primary].member.recent(self.now);
+        let recent = core.machines[&primary].member.committed_if_recent(self.now);
         let Some(view) = recent.and_then(|state| state.placement.shards.first().cloned()) else { return };
         let names: Vec<u32> =
             self.stores.keys().copied().filter(|name| to.is_none_or(|to| to == *name)).collect();
         for name in names.into_iter().filter(|name| !self.cut_from_core.contains(name)).collect::<Vec<_>>() {
-            let life = self.stores[&name].life;
+            let incarnation = self.stores[&name].incarnation;
             let delay = (1 + self.random.next(20)) * MILLI;
-            self.schedule(self.now + delay, Event::View { to: name, life, view: view.clone() });
+            self.schedule(self.now + delay, Event::View { to: name, incarnation, view: view.clone() });
         }
     }
 
@@ -387,8 +389,8 @@
         for name in names.into_iter().filter(|name| self.awake(*name)).collect::<Vec<_>>() {
             let now = self.now;
             let store = self.stores.get_mut(&name).unwrap();
-            let outputs = if store.replica.is_restless() { store.replica.tick(now) } else { Vec::new() };
-            if now >= store.last_poll + POLL_PAUSE {
+            let actions = if store.replica.needs_tick() { store.replica.tick(now) } else { Vec::new() };
+            if now >= store.last_poll + POLL_INTERVAL {
                 store.last_poll = now;
                 let reports = store.replica.report().into_iter().collect();
                 let disk = store.disk;
@@ -396,7 +398,7 @@
                 let delay = if self.random.chance(3) { 400 * MILLI } else { 2 * MILLI };
                 self.schedule(now + delay, Event::Poll { from: name, disk, reports });
             }
-            self.perform(name, outputs);
+            self.perform(name, actions);
         }
     }
 
@@ -412,10 +414,15 @@
         }
         let live =
             self.leases.iter().filter(|(_, (at, _))| now - at < LEASE).map(|(disk, _)| *disk).collect();
-        let recent = self.leases.values().filter(|(at, _)| now - at < REPORT_LIFE);
+        let recent = self.leases.values().filter(|(at, _)| now - at < REPORT_TTL);
         let reports = recent.flat_map(|(_, reports)| reports.iter().cloned()).collect();
-        let inputs = ShardInputs { live, leaving: BTreeSet::new(), reports, survivable: self.survivable };
-        if self.control.placement.stores.len() > self.survivable {
+        let inputs = ShardPlanInputs {
+            live,
+            draining: BTreeSet::new(),
+            reports,
+            tolerated_failures: self.tolerated_failures,
+        };
+        if self.control.placement.stores.len() > self.tolerated_failures {
             self.control.plan_shards(&inputs);
             self.control.placement.shards.truncate(1);
         }
@@ -426,14 +433,14 @@
         let names: Vec<u32> = self.stores.keys().copied().collect();
         for name in names {
             if !self.cut_from_core.contains(&name) {
-                let life = self.stores[&name].life;
+                let incarnation = self.stores[&name].incarnation;
                 let delay = self.random.next(120) * MILLI;
-                self.schedule(now + delay, Event::View { to: name, life, view: view.clone() });
+                self.schedule(now + delay, Event::View { to: name, incarnation, view: view.clone() });
             }
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let to = match &event {
             Event::Request { to, .. } => {
                 self.stores.values().find(|store| store.disk == *to).map(|store| store.name)
@@ -450,27 +457,28 @@
             return self.schedule(at, event);
         }
         match event {
-            Event::Request { from, call, life, epoch, message, .. } => {
+            Event::Request { from, call, incarnation, epoch, message, .. } => {
                 let Some(to) = to.filter(|to| self.awake(*to) && !self.cuts.contains(&(from, *to))) else {
                     return;
                 };
-                let request = self.draw_id();
+                let request = self.allocate_id();
                 let draw = self.random.next(u64::MAX) << 20 | request;
                 let store = self.stores.get_mut(&to).unwrap();
-                store.requests.insert(request, (from, call, life));
-                let outputs = store.replica.receive(request, epoch, message, draw);
-                self.perform(to, outputs);
+                store.requests.insert(request, (from, call, incarnation));
+                let actions = store.replica.receive(request, epoch, message, draw);
+                self.perform(to, actions);
             }
-            Event::Reply { to, call, life, answer } => {
+            Event::Reply { to, call, incarnation, answer } => {
                 let now = self.now;
-                if self.awake(to) && self.stores[&to].life == life {
-                    let outputs = self.stores.get_mut(&to).unwrap().replica.answered(call, answer, now);
-                    self.perform(to, outputs);
+                if self.awake(to) && self.stores[&to].incarnation == incarnation {
+                    let actions = self.stores.get_mut(&to).unwrap().replica.on_answer(call, answer, now);
+                    self.perform(to, actions);
                 }
             }
-            Event::Synced { store: name, life, write, position } => {
+            Event::Synced { store: name, incarnation, write, position } => {
                 let now = self.now;
-                let Some(store) = self.stores.get_mut(&name).filter(|store| store.life == life) else {
+                let Some(store) = self.stores.get_mut(&name).filter(|store| store.incarnation == incarnation)
+                else {
                     return;
                 };
                 let synced = position + 1 - store.released;
@@ -478,23 +486,24 @@
                     store.on_disk.recover(record.clone());
                 }
                 store.synced = synced;
-                let outputs = store.replica.written(write, true, now);
-                self.perform(name, outputs);
+                let actions = store.replica.on_written(write, true, now);
+                self.perform(name, actions);
             }
-            Event::NotWritten { store: name, life, write } => {
+            Event::NotWritten { store: name, incarnation, write } => {
                 let now = self.now;
-                let Some(store) = self.stores.get_mut(&name).filter(|store| store.life == life) else {
+                let Some(store) = self.stores.get_mut(&name).filter(|store| store.incarnation == incarnation)
+                else {
                     return;
                 };
                 store.failing -= 1;
-                let outputs = store.replica.written(write, false, now);
-                self.perform(name, outputs);
+                let actions = store.replica.on_written(write, false, now);
+                self.perform(name, actions);
             }
-            Event::View { to, life, view } => {
+            Event::View { to, incarnation, view } => {
                 let now = self.now;
-                if self.awake(to) && self.stores[&to].life == life {
-                    let outputs = self.stores.get_mut(&to).unwrap().replica.follow_view(&view, now);
-                    self.perform(to, outputs);
+                if self.awake(to) && self.stores[&to].incarnation == incarnation {
+                    let actions = self.stores.get_mut(&to).unwrap().replica.follow_view(&view, now);
+                    self.perform(to, actions);
                 }
             }
             Event::Poll { from, disk, reports } => {
@@ -510,7 +519,7 @@
             Event::Start { store } => self.start(store),
             Event::Core(event) => {
                 if let Some(core) = &mut self.core {
-                    core.take(event, self.now, &mut self.random);
+                    core.handle_event(event, self.now, &mut self.random);
                 }
             }
         }
@@ -531,78 +540,89 @@
         }
     }
 
-    fn perform(&mut self, name: u32, outputs: Vec<Output>) {
-        for output in outputs {
-            self.count(name, &output);
-            self.perform_one(name, output);
+    fn perform(&mut self, name: u32, actions: Vec<ShardAction>) {
+        for action in actions {
+            self.count(name, &action);
+            self.perform_one(name, action);
         }
         self.audit_disk(name);
     }
 
-    fn count(&mut self, name: u32, output: &Output) {
+    fn count(&mut self, name: u32, action: &ShardAction) {
         let (now, store) = (self.now, u64::from(name));
-        match output {
-            Output::Write { .. } => self.counts.count("writes", &[now, store]),
-            Output::Call { call, member, epoch, message, time } => {
+        match action {
+            ShardAction::Write { .. } => self.counts.count("writes", &[now, store]),
+            ShardAction::Call { call, member, epoch, message, timeout } => {
                 let (label, size) = match message {
-                    MemberMessage::Replicate { operations, .. } => ("replicate_calls", operations.len()),
-                    MemberMessage::Confirm => ("confirm_calls", 0),
-                    MemberMessage::CompareBuckets { buckets } => ("compare_buckets_calls", buckets.len()),
-                    MemberMessage::CompareJobs { jobs, .. } => ("compare_jobs_calls", jobs.len()),
-                    MemberMessage::Install { jobs, .. } => ("install_calls", jobs.len()),
+                    ShardMessage::Replicate { operations, .. } => ("replicate_calls", operations.len()),
+                    ShardMessage::Confirm => ("confirm_calls", 0),
+                    ShardMessage::CompareBuckets { buckets } => ("compare_buckets_calls", buckets.len()),
+                    ShardMessage::CompareJobs { jobs, .. } => ("compare_jobs_calls", jobs.len()),
+                    ShardMessage::Install { jobs, .. } => ("install_calls", jobs.len()),
                 };
-                self.counts.count(label, &[now, store, *call, *member, *epoch, *time, size as u64]);
+                self.counts.count(label, &[now, store, *call, *member, *epoch, *timeout, size as u64]);
+            }
+            ShardAction::Answer { request, .. } => self.counts.count("answers", &[now, store, *request]),
+            ShardAction::Committed { operation, .. } => {
+                self.counts.count("commits", &[now, store, *operation])
+            }
+            ShardAction::Uncertain { operation } => self.counts.count("uncertain", &[now, store, *operation]),
+            ShardAction::NotStarted { operation } => {
+                self.counts.count("not_begun", &[now, store, *operation])
             }
-            Output::Answer { request, .. } => self.counts.count("answers", &[now, store, *request]),
-            Output::Committed { operation, .. } => self.counts.count("commits", &[now, store, *operation]),
-            Output::Uncertain { operation } => self.counts.count("uncertain", &[now, store, *operation]),
-            Output::NotBegun { operation } => self.counts.count("not_begun", &[now, store, *operation]),
-            Output::Serving { epoch } => self.counts.count("primaries", &[now, store, *epoch]),
-            Output::Ended => self.counts.count("step_downs", &[now, store]),
-            Output::ReadConfirmed { read } => self.counts.count("reads_confirmed", &[now, store, *read]),
-            Output::ReadRefused { read } => self.counts.count("reads_refused", &[now, store, *read]),
-            Output::ReportDue => self.counts.count("reports_due", &[now, store]),
-            Output::Rewritten { request, complete } => {
+            ShardAction::Serving { epoch } => self.counts.count("primaries", &[now, store, *epoch]),
+            ShardAction::SteppedDown => self.counts.count("step_downs", &[now, store]),
+            ShardAction::ReadConfirmed { read } => self.counts.count("reads_confirmed", &[now, store, *read]),
+            ShardAction::ReadRejected { read } => self.counts.count("reads_refused", &[now, store, *read]),
+            ShardAction::ReportDue => self.counts.count("reports_due", &[now, store]),
+            ShardAction::Rewritten { request, complete } => {
                 self.counts.count("compactions", &[now, store, *request, u64::from(*complete)]);
             }
         }
     }
 
-    fn perform_one(&mut self, name: u32, output: Output) {
-        match output {
-            Output::Write { write, record } => self.write(name, write, record),
-            Output::Call { call, member, epoch, message, time } => {
-                let life = self.stores[&name].life;
+    fn perform_one(&mut self, name: u32, action: ShardAction) {
+        match action {
+            ShardAction::Write { write, record } => self.write(name, write, record),
+            ShardAction::Call { call, member, epoch, message, timeout } => {
+                let incarnation = self.stores[&name].incarnation;
                 let delay = 500 + self.random.next(2_000);
                 let copies = if self.random.chance(2) { 2 } else { 1 };
                 for copy in 0..copies {
                     let at = self.now + delay + copy * self.random.next(600) * MILLI;
                     let message = message.clone();
-                    self.schedule(at, Event::Request { from: name, to: member, call, life, epoch, message });
+                    self.schedule(
+                        at,
+                        Event::Request { from: name, to: member, call, incarnation, epoch, message },
+                    );
                 }
-                self.schedule(self.now + time, Event::Reply { to: name, call, life, answer: None });
+                self.schedule(self.now + timeout, Event::Reply { to: name, call, incarnation, answer: None });
             }
-            Output::Answer { request, response } => {
-                let asker = self.stores.get_mut(&name).unwrap().requests.remove(&request);
-                if let Some((to, call, life)) = asker.filter(|(to, ..)| !self.cuts.contains(&(name, *to))) {
+            ShardAction::Answer { request, response } => {
+                let caller = self.stores.get_mut(&name).unwrap().requests.remove(&request);
+                if let Some((to, call, incarnation)) =
+                    caller.filter(|(to, ..)| !self.cuts.contains(&(name, *to)))
+                {
                     let at = self.now + 500 + self.random.next(2_000);
-                    self.schedule(at, Event::Reply { to, call, life, answer: Some(response) });
+                    self.schedule(at, Event::Reply { to, call, incarnation, answer: Some(response) });
                 }
             }
-            Output::Committed { operation, change } => self.committed(operation, &change),
-            Output::Uncertain { operation } | Output::NotBegun { operation } => {
-                self.asked.remove(&operation);
+            ShardAction::Committed { operation, change } => self.committed(operation, &change),
+            ShardAction::Uncertain { operation } | ShardAction::NotStarted { operation } => {
+                self.pending_calls.remove(&operation);
             }
-            Output::ReadConfirmed { read } => {
-                if let Some(Asked::Read { job, found, must_exist, at_least }) = self.asked.remove(&read) {
+            ShardAction::ReadConfirmed { read } => {
+                if let Some(PendingCall::Read { job, found, must_exist, at_least }) =
+                    self.pending_calls.remove(&read)
+                {
                     self.auditor.read(&job, found, must_exist, at_least);
                 }
             }
-            Output::ReadRefused { read } => {
-                self.asked.remove(&read);
+            ShardAction::ReadRejected { read } => {
+                self.pending_calls.remove(&read);
             }
-            Output::Rewritten { complete, .. } => self.rewritten(name, complete),
-            Output::Serving { .. } | Output::Ended | Output::ReportDue => {}
+            ShardAction::Rewritten { complete, .. } => self.rewritten(name, complete),
+            ShardAction::Serving { .. } | ShardAction::SteppedDown | ShardAction::ReportDue => {}
         }
     }
 
@@ -613,14 +633,14 @@
         let slow = if store.disk_slow_until > now { 300 * MILLI } else { 0 };
         let at = (now + span + slow).max(store.last_sync + 1);
         store.last_sync = at;
-        let life = store.life;
+        let incarnation = store.incarnation;
         if store.disk_fails_until > now {
             store.failing += 1;
-            return self.schedule(at, Event::NotWritten { store: name, life, write });
+            return self.schedule(at, Event::NotWritten { store: name, incarnation, write });
         }
         let position = store.released + store.records.len();
         store.records.push(record);
-        self.schedule(at, Event::Synced { store: name, life, write, position });
+        self.schedule(at, Event::Synced { store: name, incarnation, write, position });
     }
 
     /// A rewrite is over: what stands before it may go, here up to any record.
@@ -649,10 +669,10 @@
     // Clients
 
     fn committed(&mut self, operation: u64, change: &ShardOperation) {
-        let entry = |jobs: &ShardJobs, job: &str, holds: &dyn Fn(&JobEntry) -> bool| {
-            jobs.jobs.get(job).is_some_and(holds)
+        let entry = |jobs: &ShardJobs, job: &str, has_effect: &dyn Fn(&JobEntry) -> bool| {
+            jobs.jobs.get(job).is_some_and(has_effect)
         };
-        let holds = |jobs: &ShardJobs| match change {
+        let has_effect = |jobs: &ShardJobs| match change {
             ShardOperation::Submit(job) => jobs.jobs.contains_key(&job.id),
             ShardOperation::Append { job, result } => {
                 entry(jobs, job, &|entry| entry.results.contains(result))
@@ -662,13 +682,13 @@
         };
         let live: Vec<&ShardJobs> = self.stores.values().map(|store| &store.on_disk).collect();
         // One that changes nothing, as its item was listed or its job ended before, needs no copy.
-        let effective = self.stores.values().any(|store| holds(store.replica.jobs()));
+        let effective = self.stores.values().any(|store| has_effect(store.replica.jobs()));
         if effective {
             // A copy may have been lost with its disk after it was synced, and before the primary heard of that.
-            let copies = live.into_iter().chain(&self.lost_disks).filter(|jobs| holds(jobs)).count();
-            self.auditor.copies(change, copies, self.survivable + 1);
+            let copies = live.into_iter().chain(&self.lost_disks).filter(|jobs| has_effect(jobs)).count();
+            self.auditor.copies(change, copies, self.tolerated_failures + 1);
         }
-        if let Some(Asked::Submit { job }) = self.asked.remove(&operation) {
+        if let Some(PendingCall::Submit { job }) = self.pending_calls.remove(&operation) {
             self.auditor.acknowledged.insert(job);
         }
     }
@@ -688,18 +708,18 @@
         }
     }
 
-    fn commit(&mut self, name: u32, asked: Asked, change: ShardOperation) {
-        let operation = self.draw_id();
-        self.asked.insert(operation, asked);
+    fn commit(&mut self, name: u32, pending_calls: PendingCall, change: ShardOperation) {
+        let operation = self.allocate_id();
+        self.pending_calls.insert(operation, pending_calls);
         let now = self.now;
-        let outputs = self.stores.get_mut(&name).unwrap().replica.commit(operation, change, now);
-        self.perform(name, outputs);
+        let actions = self.stores.get_mut(&name).unwrap().replica.commit(operation, change, now);
+        self.perform(name, actions);
     }
 
     fn submit(&mut self, name: u32) {
-        let id = format!("j{}", self.draw_id());
+        let id = format!("j{}", self.allocate_id());
         let change = ShardOperation::Submit(job(&id));
-        self.commit(name, Asked::Submit { job: id }, change);
+        self.commit(name, PendingCall::Submit { job: id }, change);
     }
 
     fn any_job(&mut self, name: u32) -> Option<String> {
@@ -716,14 +736,14 @@
         let entry = &self.stores[&name].replica.jobs().jobs[&job];
         let Some(item) = (0..ITEMS).find(|item| !entry.is_listed(*item)) else { return };
         // Each run of an item gives another text.
-        let text = format!("run {}", self.draw_id());
+        let text = format!("run {}", self.allocate_id());
         let result = ItemResult { item, phase: Phase::Done, text };
-        self.commit(name, Asked::Append, ShardOperation::Append { job, result });
+        self.commit(name, PendingCall::Append, ShardOperation::Append { job, result });
     }
 
     fn end(&mut self, name: u32) {
         if let Some(job) = self.any_job(name) {
-            self.commit(name, Asked::End, ShardOperation::End { job });
+            self.commit(name, PendingCall::End, ShardOperation::End { job });
         }
     }
 
@@ -745,12 +765,13 @@
         let found = replica.jobs().jobs.get(job).map(|entry| entry.results.clone());
         let must_exist = self.auditor.acknowledged.contains(job);
         let at_least = self.auditor.listed(job);
-        let read = self.draw_id();
-        self.asked.insert(read, Asked::Read { job: job.to_owned(), found, must_exist, at_least });
+        let read = self.allocate_id();
+        self.pending_calls
+            .insert(read, PendingCall::Read { job: job.to_owned(), found, must_exist, at_least });
         let now = self.now;
         let until = now + 900 * MILLI;
-        let outputs = self.stores.get_mut(&name).unwrap().replica.confirm(read, until, now);
-        self.perform(name, outputs);
+        let actions = self.stores.get_mut(&name).unwrap().replica.confirm(read, until, now);
+        self.perform(name, actions);
     }
 
     /// Reads every job that was acknowledged, at the primary.
@@ -771,7 +792,8 @@
     pub fn is_healed(&self) -> bool {
         let Some(view) = self.view() else { return false };
         let there = |disk: &DiskId| self.stores.values().any(|store| store.disk == *disk && store.up);
-        let wanted = (self.survivable + 2).min(self.stores.values().filter(|store| !store.removed).count());
+        let wanted =
+            (self.tolerated_failures + 2).min(self.stores.values().filter(|store| !store.removed).count());
         self.primary().is_some()
             && view.joining.is_empty()
             && view.in_sync.len() >= wanted
--- a/batch/tests/shard.rs
+++ b/batch/tests/shard.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn an_item_is_listed_once_and_a_job_taken_once() {
+fn an_item_is_listed_once_and_a_job_submitted_once() {
     let mut shard = ShardJobs::default();
     shard.apply(&ShardOperation::Submit(job("a", 2)));
     shard.apply(&append("a", 1, "one"));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn operations_sent_again_are_applied_once_and_a_gap_is_told() {
+fn repeated_operations_are_applied_once_and_a_gap_is_reported() {
     let mut shard = ShardJobs::default();
     let operations = [ShardOperation::Submit(job("a", 3)), append("a", 0, "x")];
     assert!(shard.apply_from(0, &operations));
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn bytes_follow_what_is_kept() {
+fn bytes_match_the_stored_jobs() {
     let mut shard = ShardJobs::default();
     shard.apply(&ShardOperation::Submit(job("a", 4)));
     shard.apply(&append("a", 0, "some text"));
--- a/batch/tests/stored_records.rs
+++ b/batch/tests/stored_records.rs
@@ -6,7 +6,7 @@
 
 use fixture_files::fixture_table;
 use quillmount_batch::{
-    BUCKETS, Output, Replica, ReplicaIdentity, StoreRecord, bucket_of, different_buckets,
+    BUCKETS, ShardAction, ShardReplica, ShardReplicaId, StoreRecord, bucket_of, different_buckets,
 };
 use quillmount_wire::messages::{Item, ItemResult, Job, JobState, Phase, QuotaKey, ShardOperation};
 
@@ -52,8 +52,8 @@
         JobState { job: job("job-4", "t", vec![item("q", b"q", 9)]), results: Vec::new(), ended: true };
     let names = ["job-1", "job-3", "job-4"].map(str::to_owned).to_vec();
     vec![
-        ("marker", StoreRecord::Marker),
-        ("leadership", StoreRecord::Reign { shard: 3, epoch: 7 }),
+        ("marker", StoreRecord::RewriteStart),
+        ("leadership", StoreRecord::TermStart { shard: 3, epoch: 7 }),
         ("submissions", operations(0, vec![ShardOperation::Submit(first), ShardOperation::Submit(second)])),
         (
             "results",
@@ -81,7 +81,10 @@
             "repair-unfinished",
             StoreRecord::Install { shard: 3, epoch: 8, dropped: Vec::new(), jobs: Vec::new(), next: None },
         ),
-        ("rewrite-end", StoreRecord::Whole { shard: 3, epoch: 9, led: 7, jobs: names, next: 12 }),
+        (
+            "rewrite-end",
+            StoreRecord::RewriteEnd { shard: 3, epoch: 9, last_primary_epoch: 7, jobs: names, next: 12 },
+        ),
     ]
 }
 
@@ -93,8 +96,8 @@
     rows.into_iter().map(|(name, bytes)| (name, StoreRecord::decode(&bytes).unwrap())).collect()
 }
 
-fn recovered() -> Replica {
-    let mut replica = Replica::new(ReplicaIdentity { disk: 201, shard: 3, survivable: 1 });
+fn recovered() -> ShardReplica {
+    let mut replica = ShardReplica::new(ShardReplicaId { disk: 201, shard: 3, tolerated_failures: 1 });
     stored().into_iter().for_each(|(_, record)| replica.recover(record));
     replica
 }
@@ -111,7 +114,7 @@
 fn every_stored_record_names_its_shard_and_epochs() {
     let facts: Vec<(String, Option<u32>, u64, u64)> = stored()
         .into_iter()
-        .map(|(name, record)| (name, record.shard(), record.epoch(), record.led()))
+        .map(|(name, record)| (name, record.shard(), record.epoch(), record.last_primary_epoch()))
         .collect();
     let expected = [
         ("marker", None, 0, 0),
@@ -124,7 +127,8 @@
         ("repair-unfinished", Some(3), 8, 0),
         ("rewrite-end", Some(3), 9, 7),
     ];
-    let expected = expected.map(|(name, shard, epoch, led)| (name.to_owned(), shard, epoch, led));
+    let expected = expected
+        .map(|(name, shard, epoch, last_primary_epoch)| (name.to_owned(), shard, epoch, last_primary_epoch));
     assert_eq!(facts, expected);
 }
 
@@ -184,18 +188,18 @@
         .rewrite(1)
         .into_iter()
         .enumerate()
-        .filter_map(|(number, output)| match output {
-            Output::Write { record, .. } => Some((format!("rewrite-{number}"), record.encode())),
+        .filter_map(|(number, action)| match action {
+            ShardAction::Write { record, .. } => Some((format!("rewrite-{number}"), record.encode())),
             _ => None,
         })
         .collect();
     let rows = fixture_table("rewrite.txt", &written);
     assert_eq!(rows.len(), 2);
-    let mut rewritten = Replica::new(ReplicaIdentity { disk: 201, shard: 3, survivable: 1 });
+    let mut rewritten = ShardReplica::new(ShardReplicaId { disk: 201, shard: 3, tolerated_failures: 1 });
     rows.iter().for_each(|(_, bytes)| rewritten.recover(StoreRecord::decode(bytes).unwrap()));
     assert_eq!((rewritten.epoch(), rewritten.jobs().next), (9, 12));
     assert_eq!(rewritten.jobs().buckets(), replica.jobs().buckets());
     let states =
-        |replica: &Replica| replica.jobs().jobs.values().map(|entry| entry.state()).collect::<Vec<_>>();
+        |replica: &ShardReplica| replica.jobs().jobs.values().map(|entry| entry.state()).collect::<Vec<_>>();
     assert!(states(&rewritten) == states(&replica));
 }
--- a/control/src/breaks.rs
+++ b/control/src/breaks.rs
@@ -20,13 +20,13 @@
     /// An order that may have been forgotten is refused.
     ForgottenRefused,
     /// A store that leaves counts members that are gone as copies.
-    LeavingCountsGone,
+    RetiringCountsGone,
     /// A report of an older epoch changes a view.
     ReportOfOlderEpoch,
     /// A store that joins counts as in sync at once.
     JoiningAtOnce,
     /// The set in sync shrinks to the members that are alive, however few.
-    ShrinksBelow,
+    ShrinksBelowMinimum,
 }
 
 quillmount_replication::break_switch!(Break);
--- a/control/src/directory.rs
+++ b/control/src/directory.rs
@@ -1,6 +1,6 @@
 //! The endpoints' list with the changes that led to it, so that those who have an earlier version get these only.
 
-use quillmount_wire::messages::{DirectoryNews, Endpoint};
+use quillmount_wire::messages::{DirectoryUpdate, Endpoint};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
@@ -12,7 +12,7 @@
 pub struct Directory {
     list: Rc<Vec<Endpoint>>,
     /// Counts the versions; 0 before the first.
-    count: u64,
+    version: u64,
     /// Ids that changed with each of the last versions, the newest last.
     history: VecDeque<BTreeSet<String>>,
 }
@@ -20,7 +20,7 @@
 /// Whether two entries differ in what couriers act on: not in how many milliseconds of a cold start are left.
 fn differs(one: &Endpoint, other: &Endpoint) -> bool {
     let plain = |endpoint: &Endpoint| Endpoint {
-        cold_left_ms: if endpoint.cold_left_ms > 0.0 { 1.0 } else { 0.0 },
+        warmup_left_ms: if endpoint.warmup_left_ms > 0.0 { 1.0 } else { 0.0 },
         ..endpoint.clone()
     };
     plain(one) != plain(other)
@@ -31,18 +31,18 @@
         &self.list
     }
 
-    pub fn count(&self) -> u64 {
-        self.count
+    pub fn version(&self) -> u64 {
+        self.version
     }
 
     /// Takes a reading; whether anything changed. The first always counts as a change.
-    pub fn read(&mut self, list: Vec<Endpoint>) -> bool {
+    pub fn replace(&mut self, list: Vec<Endpoint>) -> bool {
         let changed = changed_ids(&self.list, &list);
-        if changed.is_empty() && self.count > 0 {
+        if changed.is_empty() && self.version > 0 {
             return false;
         }
         self.list = Rc::new(list);
-        self.count += 1;
+        self.version += 1;
         self.history.push_back(changed);
         if self.history.len() > HISTORY_LIMIT {
             self.history.pop_front();
@@ -50,21 +50,21 @@
         true
     }
 
-    /// News for one who has version `have`; nothing if that is this one.
-    pub fn news(&self, have: u64) -> Option<DirectoryNews> {
-        if have >= self.count {
+    /// News for one who has version `known_version`; nothing if that is this one.
+    pub fn update_since(&self, known_version: u64) -> Option<DirectoryUpdate> {
+        if known_version >= self.version {
             return None;
         }
-        let missing = (self.count - have) as usize;
-        if have == 0 || missing > self.history.len() {
-            return Some(DirectoryNews::Whole((*self.list).clone()));
+        let missing = (self.version - known_version) as usize;
+        if known_version == 0 || missing > self.history.len() {
+            return Some(DirectoryUpdate::Full((*self.list).clone()));
         }
         let ids: BTreeSet<&String> = self.history.iter().rev().take(missing).flatten().collect();
         let known: BTreeMap<&str, &Endpoint> =
             self.list.iter().map(|endpoint| (endpoint.id.as_str(), endpoint)).collect();
         let changed = ids.iter().filter_map(|id| known.get(id.as_str()).map(|endpoint| (*endpoint).clone()));
-        let gone = ids.iter().filter(|id| !known.contains_key(id.as_str())).map(|id| (*id).clone());
-        Some(DirectoryNews::Changes { changed: changed.collect(), gone: gone.collect() })
+        let removed = ids.iter().filter(|id| !known.contains_key(id.as_str())).map(|id| (*id).clone());
+        Some(DirectoryUpdate::Delta { changed: changed.collect(), removed: removed.collect() })
     }
 }
 
@@ -75,18 +75,18 @@
     let changed = new
         .iter()
         .filter(|endpoint| before.get(endpoint.id.as_str()).is_none_or(|old| differs(old, endpoint)));
-    let gone = before.keys().filter(|id| !after.contains(*id)).map(|id| (*id).to_owned());
-    changed.map(|endpoint| endpoint.id.clone()).chain(gone).collect()
+    let removed = before.keys().filter(|id| !after.contains(*id)).map(|id| (*id).to_owned());
+    changed.map(|endpoint| endpoint.id.clone()).chain(removed).collect()
 }
 
 /// The list after news, ordered by id.
-pub fn apply_news(list: &[Endpoint], news: DirectoryNews) -> Vec<Endpoint> {
-    match news {
-        DirectoryNews::Whole(list) => list,
-        DirectoryNews::Changes { changed, gone } => {
+pub fn apply_update(list: &[Endpoint], update: DirectoryUpdate) -> Vec<Endpoint> {
+    match update {
+        DirectoryUpdate::Full(list) => list,
+        DirectoryUpdate::Delta { changed, removed } => {
             let mut all: BTreeMap<String, Endpoint> =
                 list.iter().map(|endpoint| (endpoint.id.clone(), endpoint.clone())).collect();
-            gone.iter().for_each(|id| {
+            removed.iter().for_each(|id| {
                 all.remove(id);
             });
             all.extend(changed.into_iter().map(|endpoint| (endpoint.id.clone(), endpoint)));
--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -12,11 +12,11 @@
 mod usage;
 
 pub use contacts::Contacts;
-pub use directory::{Directory, apply_news};
-pub use member::{CoreMember, MemberOutput, NotPrimary, RegisterWrite, Ticket};
+pub use directory::{Directory, apply_update};
+pub use member::{Member, MemberAction, NotPrimary, RegisterWrite, Ticket};
 pub use members::Admission;
-pub use orders::{Order, OrderKind, TAKEN_LIMIT, Verdict};
+pub use orders::{APPLIED_ORDERS_LIMIT, Order, OrderKind, OrderOutcome};
 pub use scaling::Scaler;
-pub use shards::{Retirement, SHARDS, ShardInputs, shard_of};
-pub use state::{ControlState, TakenOrder};
-pub use usage::{Heard, SETTLE_S, all_heard, may_fix};
+pub use shards::{Retirement, SHARDS, ShardPlanInputs, shard_of};
+pub use state::{AppliedOrder, ControlState};
+pub use usage::{LastHeard, SETTLE_S, all_reported, may_finalize};
--- a/control/src/member.rs
+++ b/control/src/member.rs
@@ -3,13 +3,13 @@
 
 use crate::breaks::{self, Break};
 use crate::state::ControlState;
-use quillmount_replication::{Micros, Output as ReplicaOutput, Replica, Timing};
-use quillmount_wire::messages::{Accepted, DiskId, Epoch, Register, ReplicaMessage};
+use quillmount_replication::{Micros, RegisterAction, RegisterReplica, Timing};
+use quillmount_wire::messages::{Accepted, DiskId, Epoch, Register, RegisterMessage};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
 /// A core member without an answer for so long may be replaced by a newcomer, microseconds.
-const REPLACEABLE: Micros = 2_000_000;
+const REPLACEABLE_AFTER: Micros = 2_000_000;
 
 /// A change or a read that waits for its confirmation.
 pub type Ticket = u64;
@@ -18,12 +18,12 @@
 
 /// What the caller has to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum MemberOutput {
+pub enum MemberAction {
     Send {
         to: DiskId,
-        message: ReplicaMessage,
+        message: RegisterMessage,
     },
-    /// Sync the register, in the order of these outputs; [`CoreMember::persisted`] is told.
+    /// Sync the register, in the order of these outputs; [`Member::persisted`] is told.
     Persist {
         write: RegisterWrite,
         register: Register,
@@ -43,7 +43,7 @@
     },
     SteppedDown,
     /// There is news for those who poll.
-    News,
+    StateChanged,
     /// Another value was accepted: it may name other members.
     Accepted,
 }
@@ -54,7 +54,7 @@
 
 /// What a primary works on.
 #[derive(Default)]
-struct Work {
+struct PendingWork {
     /// Committed state with all changes since.
     state: ControlState,
     /// Counts changes of `state`.
@@ -70,34 +70,34 @@
 }
 
 /// A member of the core.
-pub struct CoreMember {
+pub struct Member {
     me: DiskId,
-    replica: Replica,
-    work: Work,
+    replica: RegisterReplica,
+    work: PendingWork,
     /// State committed in this epoch, while this member is primary.
     committed: Option<Rc<ControlState>>,
     elected: Micros,
-    writes: BTreeMap<RegisterWrite, Vec<ReplicaOutput>>,
+    writes: BTreeMap<RegisterWrite, Vec<RegisterAction>>,
     last_id: u64,
-    outputs: Vec<MemberOutput>,
+    actions: Vec<MemberAction>,
 }
 
-impl CoreMember {
-    /// A member with what its disk holds; `survivable` disks may be lost at once.
-    pub fn new(me: DiskId, survivable: usize, register: Register, now: Micros) -> CoreMember {
-        CoreMember {
+impl Member {
+    /// A member with what its disk holds; `tolerated_failures` disks may be lost at once.
+    pub fn new(me: DiskId, tolerated_failures: usize, register: Register, now: Micros) -> Member {
+        Member {
             me,
-            replica: Replica::new(me, survivable, register, Timing::default(), now),
-            work: Work::default(),
+            replica: RegisterReplica::new(me, tolerated_failures, register, Timing::default(), now),
+            work: PendingWork::default(),
             committed: None,
             elected: 0,
             writes: BTreeMap::new(),
             last_id: 0,
-            outputs: Vec::new(),
+            actions: Vec::new(),
         }
     }
 
-    pub fn replica(&self) -> &Replica {
+    pub fn replica(&self) -> &RegisterReplica {
         &self.replica
     }
 
@@ -113,13 +113,13 @@
     }
 
     /// State committed in this epoch, while a majority was heard so lately that it is at most that old.
-    pub fn recent(&self, now: Micros) -> Option<Rc<ControlState>> {
-        let recent = self.replica.hears_majority(now) || breaks::on(Break::StaleTables);
+    pub fn committed_if_recent(&self, now: Micros) -> Option<Rc<ControlState>> {
+        let recent = self.replica.has_recent_majority(now) || breaks::on(Break::StaleTables);
         self.committed.clone().filter(|_| recent)
     }
 
     /// For how long this member has been primary, microseconds.
-    pub fn reign(&self, now: Micros) -> Micros {
+    pub fn time_as_primary(&self, now: Micros) -> Micros {
         now.saturating_sub(self.elected)
     }
 
@@ -127,70 +127,70 @@
     pub fn silent_members(&self, now: Micros) -> BTreeSet<DiskId> {
         let silent = |disk: &DiskId| {
             let last = self.work.answered.get(disk).copied().unwrap_or(self.elected);
-            *disk != self.me && now.saturating_sub(last) > REPLACEABLE
+            *disk != self.me && now.saturating_sub(last) > REPLACEABLE_AFTER
         };
         self.replica.members().iter().copied().filter(silent).collect()
     }
 
     /// Writes the first value of the whole system.
-    pub fn bootstrap(&mut self, state: &ControlState, now: Micros) -> Vec<MemberOutput> {
-        let outputs = self.replica.bootstrap(state.core_disks(), state.encode(), now);
-        self.perform(outputs, now);
-        self.take_outputs()
+    pub fn bootstrap(&mut self, state: &ControlState, now: Micros) -> Vec<MemberAction> {
+        let actions = self.replica.bootstrap(state.core_disks(), state.encode(), now);
+        self.perform(actions, now);
+        self.take_actions()
     }
 
     /// Leaves the primary's place, before the process stops.
-    pub fn resign(&mut self, now: Micros) -> Vec<MemberOutput> {
-        let outputs = self.replica.resign(now);
-        self.perform(outputs, now);
-        self.take_outputs()
+    pub fn resign(&mut self, now: Micros) -> Vec<MemberAction> {
+        let actions = self.replica.resign(now);
+        self.perform(actions, now);
+        self.take_actions()
     }
 
     /// Lets time pass.
-    pub fn tick(&mut self, now: Micros) -> Vec<MemberOutput> {
-        let outputs = self.replica.tick(now);
-        self.perform(outputs, now);
+    pub fn tick(&mut self, now: Micros) -> Vec<MemberAction> {
+        let actions = self.replica.tick(now);
+        self.perform(actions, now);
         self.propose(now);
-        self.take_outputs()
+        self.take_actions()
     }
 
     /// Takes a message of another member.
-    pub fn receive(&mut self, from: DiskId, message: ReplicaMessage, now: Micros) -> Vec<MemberOutput> {
-        let outputs = self.receive_inner(from, message, now);
-        self.perform(outputs, now);
-        self.take_outputs()
+    pub fn receive(&mut self, from: DiskId, message: RegisterMessage, now: Micros) -> Vec<MemberAction> {
+        let actions = self.handle_message(from, message, now);
+        self.perform(actions, now);
+        self.take_actions()
     }
 
-    fn receive_inner(&mut self, from: DiskId, message: ReplicaMessage, now: Micros) -> Vec<ReplicaOutput> {
-        if matches!(message, ReplicaMessage::HeartbeatReply { .. } | ReplicaMessage::Acknowledge { .. }) {
+    fn handle_message(&mut self, from: DiskId, message: RegisterMessage, now: Micros) -> Vec<RegisterAction> {
+        if matches!(message, RegisterMessage::HeartbeatReply { .. } | RegisterMessage::Acknowledge { .. }) {
             self.work.answered.insert(from, now);
         }
-        let accepts = matches!(message, ReplicaMessage::Accept { .. });
-        let outputs = self.replica.receive(from, message, now);
+        let accepts = matches!(message, RegisterMessage::Accept { .. });
+        let actions = self.replica.receive(from, message, now);
         if accepts {
-            self.outputs.push(MemberOutput::Accepted);
+            self.actions.push(MemberAction::Accepted);
         }
-        outputs
+        actions
     }
 
     /// A register is synced; one that could not be written is not told of.
-    pub fn persisted(&mut self, write: RegisterWrite, now: Micros) -> Vec<MemberOutput> {
+    pub fn persisted(&mut self, write: RegisterWrite, now: Micros) -> Vec<MemberAction> {
         let then = self.writes.remove(&write).unwrap_or_default();
         self.perform(then, now);
-        self.take_outputs()
+        self.take_actions()
     }
 
     /// A register could not be written: nothing that was to follow does.
-    pub fn not_persisted(&mut self, write: RegisterWrite) {
+    pub fn persist_failed(&mut self, write: RegisterWrite) {
         self.writes.remove(&write);
     }
 
-    /// Changes the control state. The outcome holds once [`MemberOutput::Confirmed`] comes for the ticket.
+    /// Changes the control state. The outcome holds once [`MemberAction::Confirmed`] comes for the ticket.
     pub fn change<T>(
         &mut self,
         change: impl FnOnce(&mut ControlState) -> T,
         now: Micros,
-    ) -> Result<(T, Ticket, Vec<MemberOutput>), NotPrimary> {
+    ) -> Result<(T, Ticket, Vec<MemberAction>), NotPrimary> {
         if self.serving().is_none() {
             return Err(NotPrimary);
         }
@@ -199,7 +199,7 @@
         if self.work.state != before {
             self.work.generation += 1;
         }
-        let ticket = self.draw_id();
+        let ticket = self.allocate_id();
         let generation = self.work.generation;
         if generation > self.work.committed {
             self.work.changes.insert(ticket, generation);
@@ -208,85 +208,90 @@
             // Nothing was changed and nothing is under way: what is committed is the newest only if a majority says so.
             self.read(ticket, now);
         }
-        Ok((outcome, ticket, self.take_outputs()))
+        Ok((outcome, ticket, self.take_actions()))
     }
 
-    /// Asks a majority whether this member still is primary: what is committed when [`MemberOutput::Confirmed`] comes is the
+    /// Asks a majority whether this member still is primary: what is committed when [`MemberAction::Confirmed`] comes is the
     /// newest there was when this was asked.
-    pub fn confirm(&mut self, now: Micros) -> Result<(Ticket, Vec<MemberOutput>), NotPrimary> {
+    pub fn confirm(&mut self, now: Micros) -> Result<(Ticket, Vec<MemberAction>), NotPrimary> {
         if self.serving().is_none() {
             return Err(NotPrimary);
         }
-        let ticket = self.draw_id();
+        let ticket = self.allocate_id();
         self.read(ticket, now);
-        Ok((ticket, self.take_outputs()))
+        Ok((ticket, self.take_actions()))
     }
 
     fn read(&mut self, ticket: Ticket, now: Micros) {
         if breaks::on(Break::ReadWithoutRound) {
-            return self.outputs.push(MemberOutput::Confirmed { ticket });
+            return self.actions.push(MemberAction::Confirmed { ticket });
         }
         self.work.reads.insert(ticket);
-        let outputs = self.replica.confirm_read(ticket, now);
-        self.perform(outputs, now);
+        let actions = self.replica.confirm_read(ticket, now);
+        self.perform(actions, now);
     }
 
-    fn draw_id(&mut self) -> u64 {
+    fn allocate_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
     }
 
-    fn take_outputs(&mut self) -> Vec<MemberOutput> {
-        std::mem::take(&mut self.outputs)
+    fn take_actions(&mut self) -> Vec<MemberAction> {
+        std::mem::take(&mut self.actions)
     }
 
-    fn perform(&mut self, outputs: Vec<ReplicaOutput>, now: Micros) {
-        let mut queue: VecDeque<ReplicaOutput> = outputs.into();
-        while let Some(output) = queue.pop_front() {
-            match output {
-                ReplicaOutput::Send { to, message } if to == self.me => {
-                    queue.extend(self.receive_inner(to, message, now));
+    fn perform(&mut self, actions: Vec<RegisterAction>, now: Micros) {
+        let mut queue: VecDeque<RegisterAction> = actions.into();
+        while let Some(action) = queue.pop_front() {
+            match action {
+                RegisterAction::Send { to, message } if to == self.me => {
+                    queue.extend(self.handle_message(to, message, now));
                 }
-                ReplicaOutput::Send { to, message } => self.outputs.push(MemberOutput::Send { to, message }),
-                ReplicaOutput::Persist { register, then } => self.persist(register, then, &mut queue),
-                ReplicaOutput::Committed { accepted } => self.on_committed(&accepted, now),
-                ReplicaOutput::Elected { epoch } => self.on_elected(epoch, now),
-                ReplicaOutput::SteppedDown => self.on_stepped_down(),
-                ReplicaOutput::ReadConfirmed { read } => {
+                RegisterAction::Send { to, message } => self.actions.push(MemberAction::Send { to, message }),
+                RegisterAction::Persist { register, then } => self.persist(register, then, &mut queue),
+                RegisterAction::Committed { accepted } => self.on_committed(&accepted, now),
+                RegisterAction::Elected { epoch } => self.on_elected(epoch, now),
+                RegisterAction::SteppedDown => self.on_stepped_down(),
+                RegisterAction::ReadConfirmed { read } => {
                     if self.work.reads.remove(&read) {
-                        self.outputs.push(MemberOutput::Confirmed { ticket: read });
+                        self.actions.push(MemberAction::Confirmed { ticket: read });
                     }
                 }
             }
         }
     }
 
-    fn persist(&mut self, register: Register, then: Vec<ReplicaOutput>, queue: &mut VecDeque<ReplicaOutput>) {
-        let write = self.draw_id();
+    fn persist(
+        &mut self,
+        register: Register,
+        then: Vec<RegisterAction>,
+        queue: &mut VecDeque<RegisterAction>,
+    ) {
+        let write = self.allocate_id();
         if breaks::on(Break::AnsweredBeforeSync) {
             queue.extend(then);
         } else {
             self.writes.insert(write, then);
         }
-        self.outputs.push(MemberOutput::Persist { write, register });
+        self.actions.push(MemberAction::Persist { write, register });
     }
 
     fn on_elected(&mut self, epoch: Epoch, now: Micros) {
-        self.end_work();
+        self.abandon_work();
         self.elected = now;
-        self.outputs.push(MemberOutput::Elected { epoch });
+        self.actions.push(MemberAction::Elected { epoch });
     }
 
     fn on_stepped_down(&mut self) {
-        self.end_work();
-        self.outputs.push(MemberOutput::SteppedDown);
+        self.abandon_work();
+        self.actions.push(MemberAction::SteppedDown);
     }
 
-    fn end_work(&mut self) {
+    fn abandon_work(&mut self) {
         self.committed = None;
         let work = std::mem::take(&mut self.work);
         for ticket in work.changes.into_keys().chain(work.reads) {
-            self.outputs.push(MemberOutput::Uncertain { ticket });
+            self.actions.push(MemberAction::Uncertain { ticket });
         }
     }
 
@@ -305,24 +310,24 @@
         work.changes = waiting;
         let done: BTreeMap<Ticket, u64> = done;
         self.committed = Some(Rc::new(state));
-        self.outputs.extend(done.into_keys().map(|ticket| MemberOutput::Confirmed { ticket }));
-        self.outputs.push(MemberOutput::News);
+        self.actions.extend(done.into_keys().map(|ticket| MemberAction::Confirmed { ticket }));
+        self.actions.push(MemberAction::StateChanged);
         self.propose(now);
     }
 
     /// Proposes the changes that wait, once the register is idle.
     fn propose(&mut self, now: Micros) {
         let due = self.work.generation > self.work.proposed && self.committed.is_some();
-        if !due || !self.replica.idle() {
+        if !due || !self.replica.can_propose() {
             return;
         }
         self.work.proposed = self.work.generation;
         if breaks::on(Break::ConfirmedWhenProposed) {
             let all = std::mem::take(&mut self.work.changes);
-            self.outputs.extend(all.into_keys().map(|ticket| MemberOutput::Confirmed { ticket }));
+            self.actions.extend(all.into_keys().map(|ticket| MemberAction::Confirmed { ticket }));
         }
         let (members, payload) = (self.work.state.core_disks(), self.work.state.encode());
-        let outputs = self.replica.propose(members, payload, now);
-        self.perform(outputs, now);
+        let actions = self.replica.propose(members, payload, now);
+        self.perform(actions, now);
     }
 }
--- a/control/src/members.rs
+++ b/control/src/members.rs
@@ -17,12 +17,12 @@
     /// The state was changed.
     Admitted,
     /// There is no room.
-    Refused,
+    Rejected,
 }
 
 impl ControlState {
     /// Admits a core member; one of the same name or address with another disk is replaced, and so is one silent member.
-    pub fn admit_core(&mut self, node: &NodeInfo, silent: &BTreeSet<DiskId>) -> Admission {
+    pub fn admit_core_member(&mut self, node: &NodeInfo, silent: &BTreeSet<DiskId>) -> Admission {
         let core = &mut self.placement.core;
         if let Some(known) = core.iter_mut().find(|known| known.disk == node.disk) {
             if known == node {
@@ -32,23 +32,27 @@
             self.placement_changed();
             return Admission::Admitted;
         }
-        let same_place = |known: &NodeInfo| known.name == node.name || known.internal == node.internal;
+        let same_machine = |known: &NodeInfo| known.name == node.name || known.internal == node.internal;
         let replaced = core
             .iter()
-            .position(same_place)
+            .position(same_machine)
             .or_else(|| core.iter().position(|known| silent.contains(&known.disk)));
         match replaced {
-            Some(place) => core[place] = node.clone(),
+            Some(index) => core[index] = node.clone(),
             None if core.len() < CORE_LIMIT => core.push(node.clone()),
-            None => return Admission::Refused,
+            None => return Admission::Rejected,
         }
         self.placement_changed();
         Admission::Admitted
     }
 
     /// Takes silent members out, as long as enough others stay to lose as many as may be lost; whether any went.
-    pub fn drop_silent_core(&mut self, silent: &BTreeSet<DiskId>, survivable: usize) -> bool {
-        let needed = 2 * survivable + 1;
+    pub fn remove_silent_core_members(
+        &mut self,
+        silent: &BTreeSet<DiskId>,
+        tolerated_failures: usize,
+    ) -> bool {
+        let needed = 2 * tolerated_failures + 1;
         let live = self.placement.core.iter().filter(|node| !silent.contains(&node.disk)).count();
         if live < needed || live == self.placement.core.len() {
             return false;
@@ -69,10 +73,10 @@
             self.placement_changed();
             return Admission::Admitted;
         }
-        let same_place = |known: &NodeInfo| known.name == node.name || known.internal == node.internal;
-        stores.retain(|known| !same_place(known));
+        let same_machine = |known: &NodeInfo| known.name == node.name || known.internal == node.internal;
+        stores.retain(|known| !same_machine(known));
         if stores.len() >= STORE_LIMIT {
-            return Admission::Refused;
+            return Admission::Rejected;
         }
         stores.push(node.clone());
         self.placement_changed();
--- a/control/src/orders.rs
+++ b/control/src/orders.rs
@@ -1,11 +1,11 @@
 //! The operator's configuration orders.
 
 use crate::breaks::{self, Break};
-use crate::state::{ControlState, TakenOrder};
+use crate::state::{AppliedOrder, ControlState};
 use quillmount_wire::configuration::{Configuration, ConfigurationError, apply_patch};
 
 /// Orders remembered, so that one that comes again is acknowledged again; the oldest go first.
-pub const TAKEN_LIMIT: usize = 16_384;
+pub const APPLIED_ORDERS_LIMIT: usize = 16_384;
 
 /// How an order changes the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,18 +27,18 @@
 
 /// What becomes of an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum OrderOutcome {
     /// In force from now on, or taken before.
-    Taken {
+    Applied {
         version: u64,
     },
     /// Another version is current.
-    OtherVersion {
+    VersionMismatch {
         current: u64,
     },
     Invalid(ConfigurationError),
     /// It builds on a version of which the orders are no longer remembered: it may have been taken, so that nothing is said.
-    Forgotten,
+    Expired,
 }
 
 /// FNV-1a over 128 bits.
@@ -60,37 +60,37 @@
 }
 
 impl ControlState {
-    /// Takes an order or says why not; only a verdict of `Taken` changes the state.
-    pub fn order(&mut self, order: &Order) -> Verdict {
+    /// Takes an order or says why not; only a verdict of `Applied` changes the state.
+    pub fn apply_order(&mut self, order: &Order) -> OrderOutcome {
         let digest = order.digest();
-        let known = |taken: &&TakenOrder| taken.digest == digest && !breaks::on(Break::OrderForgotten);
-        if let Some(taken) = self.taken.iter().rev().find(known) {
-            return Verdict::Taken { version: taken.version };
+        let known = |applied: &&AppliedOrder| applied.digest == digest && !breaks::on(Break::OrderForgotten);
+        if let Some(applied) = self.applied_orders.iter().rev().find(known) {
+            return OrderOutcome::Applied { version: applied.version };
         }
-        if order.base < self.forgotten && !breaks::on(Break::ForgottenRefused) {
-            return Verdict::Forgotten;
+        if order.base < self.forgotten_version && !breaks::on(Break::ForgottenRefused) {
+            return OrderOutcome::Expired;
         }
         if order.base != self.version && !breaks::on(Break::BaseIgnored) {
-            return Verdict::OtherVersion { current: self.version };
+            return OrderOutcome::VersionMismatch { current: self.version };
         }
         match self.next_configuration(order) {
             Ok((version, text)) => {
                 self.version = version;
                 self.configuration = text;
-                self.taken.push(TakenOrder { digest, version });
+                self.applied_orders.push(AppliedOrder { digest, version });
                 self.forget_old_orders();
-                Verdict::Taken { version }
+                OrderOutcome::Applied { version }
             }
-            Err(error) => Verdict::Invalid(error),
+            Err(error) => OrderOutcome::Invalid(error),
         }
     }
 
     /// Forgets the oldest orders beyond the limit. Each built on a version below the one that it made, and no other order that
     /// was taken builds on these.
     fn forget_old_orders(&mut self) {
-        let excess = self.taken.len().saturating_sub(TAKEN_LIMIT);
-        if let Some(last) = self.taken.drain(..excess).next_back() {
-            self.forgotten = last.version;
+        let excess = self.applied_orders.len().saturating_sub(APPLIED_ORDERS_LIMIT);
+        if let Some(last) = self.applied_orders.drain(..excess).next_back() {
+            self.forgotten_version = last.version;
         }
     }
 
--- a/control/src/scaling.rs
+++ b/control/src/scaling.rs
@@ -7,9 +7,9 @@
 type Micros = u64;
 
 /// Part of the endpoints' places that demand may fill before more endpoints are ordered.
-const FILL: f64 = 0.75;
+const TARGET_UTILIZATION: f64 = 0.75;
 /// Demand of so long ago keeps endpoints from being given up, microseconds.
-const MEMORY: Micros = 8_000_000;
+const DEMAND_WINDOW: Micros = 8_000_000;
 /// Samples remembered at most.
 const SAMPLE_LIMIT: usize = 256;
 
@@ -32,12 +32,12 @@
     ) -> u32 {
         self.samples.push_back((now, demand));
         while self.samples.len() > SAMPLE_LIMIT
-            || self.samples.front().is_some_and(|(at, _)| now.saturating_sub(*at) > MEMORY)
+            || self.samples.front().is_some_and(|(at, _)| now.saturating_sub(*at) > DEMAND_WINDOW)
         {
             self.samples.pop_front();
         }
         let highest = self.samples.iter().map(|(_, demand)| *demand).fold(0.0, f64::max);
-        let endpoints = highest / FILL / capacity.max(1.0);
+        let endpoints = highest / TARGET_UTILIZATION / capacity.max(1.0);
         let each = (endpoints / zones.max(1) as f64).ceil();
         each.clamp(bounds.floor, bounds.ceiling.max(bounds.floor)) as u32
     }
--- a/control/src/shards.rs
+++ b/control/src/shards.rs
@@ -20,14 +20,14 @@
 
 /// What the primary of the core knows of the stores.
 #[derive(Clone, Debug, Default)]
-pub struct ShardInputs {
+pub struct ShardPlanInputs {
     /// Stores whose lease runs.
     pub live: BTreeSet<DiskId>,
     /// Stores that are about to stop.
-    pub leaving: BTreeSet<DiskId>,
+    pub draining: BTreeSet<DiskId>,
     pub reports: Vec<ShardReport>,
     /// Disks that may be lost at once.
-    pub survivable: usize,
+    pub tolerated_failures: usize,
 }
 
 /// What became of an order to empty a store.
@@ -41,18 +41,20 @@
 
 impl ControlState {
     /// Changes views that the inputs make wrong; whether anything changed.
-    pub fn plan_shards(&mut self, inputs: &ShardInputs) -> bool {
+    pub fn plan_shards(&mut self, inputs: &ShardPlanInputs) -> bool {
         if self.placement.shards.is_empty() {
             return self.create_shards(inputs);
         }
         let before = self.placement.shards.clone();
-        let mut lead = self.count_primaries();
+        let mut primary_counts = self.count_primaries();
         for shard in 0..self.placement.shards.len() {
-            let planned = self.plan_shard(shard as u32, &self.placement.shards[shard], inputs, &lead);
+            let planned =
+                self.plan_shard(shard as u32, &self.placement.shards[shard], inputs, &primary_counts);
             let view = &mut self.placement.shards[shard];
             if planned != *view {
-                *lead.entry(planned.primary).or_default() += 1;
-                *lead.entry(view.primary).or_default() = lead[&view.primary].saturating_sub(1);
+                *primary_counts.entry(planned.primary).or_default() += 1;
+                *primary_counts.entry(view.primary).or_default() =
+                    primary_counts[&view.primary].saturating_sub(1);
                 let epoch = view.epoch + 1;
                 let since = if planned.primary == view.primary { view.since } else { epoch };
                 *view = ShardView { epoch, since, ..planned };
@@ -67,33 +69,33 @@
     }
 
     fn count_primaries(&self) -> BTreeMap<DiskId, usize> {
-        let mut lead: BTreeMap<DiskId, usize> =
+        let mut primary_counts: BTreeMap<DiskId, usize> =
             self.placement.stores.iter().map(|store| (store.disk, 0)).collect();
         for view in &self.placement.shards {
-            *lead.entry(view.primary).or_default() += 1;
+            *primary_counts.entry(view.primary).or_default() += 1;
         }
-        lead
+        primary_counts
     }
 
     /// Stores that may take copies.
-    fn usable(&self, inputs: &ShardInputs) -> Vec<&NodeInfo> {
+    fn usable(&self, inputs: &ShardPlanInputs) -> Vec<&NodeInfo> {
         let usable = |store: &&NodeInfo| {
             inputs.live.contains(&store.disk)
-                && !inputs.leaving.contains(&store.disk)
+                && !inputs.draining.contains(&store.disk)
                 && !self.retiring.contains(&store.disk)
         };
         self.placement.stores.iter().filter(usable).collect()
     }
 
-    fn create_shards(&mut self, inputs: &ShardInputs) -> bool {
+    fn create_shards(&mut self, inputs: &ShardPlanInputs) -> bool {
         let stores: Vec<DiskId> = self.usable(inputs).iter().map(|store| store.disk).collect();
-        if stores.len() <= inputs.survivable {
+        if stores.len() <= inputs.tolerated_failures {
             return false;
         }
-        let copies = copies_wanted(inputs.survivable, stores.len());
+        let replicas = target_replicas(inputs.tolerated_failures, stores.len());
         let view = |shard: usize| {
             let in_sync: Vec<DiskId> =
-                (0..copies).map(|copy| stores[(shard + copy) % stores.len()]).collect();
+                (0..replicas).map(|replica| stores[(shard + replica) % stores.len()]).collect();
             ShardView { epoch: 1, primary: in_sync[0], since: 1, in_sync, joining: Vec::new() }
         };
         self.placement.shards = (0..SHARDS).map(view).collect();
@@ -105,8 +107,8 @@
         &self,
         shard: u32,
         view: &ShardView,
-        inputs: &ShardInputs,
-        lead: &BTreeMap<DiskId, usize>,
+        inputs: &ShardPlanInputs,
+        primary_counts: &BTreeMap<DiskId, usize>,
     ) -> ShardView {
         let exists = |disk: &DiskId| self.placement.stores.iter().any(|store| store.disk == *disk);
         let reports: Vec<&ShardReport> = inputs
@@ -115,7 +117,7 @@
             .filter(|report| report.shard == shard)
             .filter(|report| report.epoch == view.epoch || breaks::on(Break::ReportOfOlderEpoch))
             .collect();
-        let mute = |disk: &DiskId| reports.iter().any(|report| report.unresponsive.contains(disk));
+        let unresponsive = |disk: &DiskId| reports.iter().any(|report| report.unresponsive.contains(disk));
         let alive = |disk: &DiskId| exists(disk) && inputs.live.contains(disk);
         let mut next = view.clone();
         // A promoted member has everything: it counts from now on.
@@ -124,74 +126,80 @@
             |disk: &DiskId| at_once || reports.iter().any(|report| report.caught_up.contains(disk));
         let promoted: Vec<DiskId> =
             view.joining.iter().copied().filter(|disk| caught_up(disk) && alive(disk)).collect();
-        next.joining.retain(|disk| !promoted.contains(disk) && alive(disk) && !mute(disk));
+        next.joining.retain(|disk| !promoted.contains(disk) && alive(disk) && !unresponsive(disk));
         next.in_sync.extend(&promoted);
-        let Some(staying) = staying_members(&next, &alive, &mute, inputs.survivable) else {
+        let Some(remaining) = remaining_members(&next, &alive, &unresponsive, inputs.tolerated_failures)
+        else {
             return next;
         };
-        next.in_sync = staying;
-        let wanted = copies_wanted(inputs.survivable, self.usable(inputs).len());
-        self.leave_retiring(&mut next, inputs, wanted);
-        self.choose_primary(&mut next, inputs, lead);
-        self.add_joining(&mut next, inputs, wanted);
-        keep_order(&mut next.joining, &view.joining);
+        next.in_sync = remaining;
+        let target = target_replicas(inputs.tolerated_failures, self.usable(inputs).len());
+        self.remove_retiring(&mut next, inputs, target);
+        self.choose_primary(&mut next, inputs, primary_counts);
+        self.add_joining(&mut next, inputs, target);
+        preserve_order(&mut next.joining, &view.joining);
         next
     }
 
     /// Takes a member that retires out, once the others are enough.
-    fn leave_retiring(&self, next: &mut ShardView, inputs: &ShardInputs, wanted: usize) {
-        let staying: Vec<DiskId> =
+    fn remove_retiring(&self, next: &mut ShardView, inputs: &ShardPlanInputs, target: usize) {
+        let remaining: Vec<DiskId> =
             next.in_sync.iter().copied().filter(|disk| !self.retiring.contains(disk)).collect();
         // Members that are gone make up for nothing: theirs may be the disks that were lost.
-        let counts = |disk: &&DiskId| inputs.live.contains(*disk) || breaks::on(Break::LeavingCountsGone);
-        let present = staying.iter().filter(counts).count();
-        let enough = present > inputs.survivable && present >= wanted;
-        if staying.len() < next.in_sync.len() && enough {
-            next.in_sync = staying;
+        let counts = |disk: &&DiskId| inputs.live.contains(*disk) || breaks::on(Break::RetiringCountsGone);
+        let present = remaining.iter().filter(counts).count();
+        let enough = present > inputs.tolerated_failures && present >= target;
+        if remaining.len() < next.in_sync.len() && enough {
+            next.in_sync = remaining;
         }
         next.joining.retain(|disk| !self.retiring.contains(disk));
     }
 
-    fn choose_primary(&self, next: &mut ShardView, inputs: &ShardInputs, lead: &BTreeMap<DiskId, usize>) {
-        let load = |disk: &DiskId| lead.get(disk).copied().unwrap_or(0);
-        let fit = |disk: &DiskId| !inputs.leaving.contains(disk) && !self.retiring.contains(disk);
+    fn choose_primary(
+        &self,
+        next: &mut ShardView,
+        inputs: &ShardPlanInputs,
+        primary_counts: &BTreeMap<DiskId, usize>,
+    ) {
+        let load = |disk: &DiskId| primary_counts.get(disk).copied().unwrap_or(0);
+        let eligible = |disk: &DiskId| !inputs.draining.contains(disk) && !self.retiring.contains(disk);
         let alive: Vec<DiskId> =
             next.in_sync.iter().copied().filter(|disk| inputs.live.contains(disk)).collect();
-        let best = alive.iter().copied().filter(fit).min_by_key(load);
+        let best = alive.iter().copied().filter(eligible).min_by_key(load);
         let candidate = best.or_else(|| alive.first().copied());
         let Some(candidate) = candidate else { return };
-        let stays = alive.contains(&next.primary) && (fit(&next.primary) || best.is_none());
-        let calm = next.joining.is_empty();
-        let unequal = load(&next.primary) >= load(&candidate) + IMBALANCE;
-        if !stays || (calm && unequal) {
+        let primary_stays = alive.contains(&next.primary) && (eligible(&next.primary) || best.is_none());
+        let none_joining = next.joining.is_empty();
+        let imbalanced = load(&next.primary) >= load(&candidate) + IMBALANCE;
+        if !primary_stays || (none_joining && imbalanced) {
             next.primary = candidate;
         }
     }
 
-    fn add_joining(&self, next: &mut ShardView, inputs: &ShardInputs, wanted: usize) {
-        let holds = |disk: &DiskId| next.in_sync.contains(disk) || next.joining.contains(disk);
+    fn add_joining(&self, next: &mut ShardView, inputs: &ShardPlanInputs, target: usize) {
+        let has_replica = |disk: &DiskId| next.in_sync.contains(disk) || next.joining.contains(disk);
         // A member that is gone makes up for none: others have to catch up before it may leave.
         let counts = |disk: &&DiskId| inputs.live.contains(*disk) && !self.retiring.contains(*disk);
         let present = next.in_sync.iter().chain(&next.joining).filter(counts).count();
         let load = |disk: &DiskId| {
-            let keeps = |view: &&ShardView| view.in_sync.contains(disk) || view.joining.contains(disk);
-            self.placement.shards.iter().filter(keeps).count()
+            let names_disk = |view: &&ShardView| view.in_sync.contains(disk) || view.joining.contains(disk);
+            self.placement.shards.iter().filter(names_disk).count()
         };
         let mut others: Vec<DiskId> =
-            self.usable(inputs).iter().map(|store| store.disk).filter(|disk| !holds(disk)).collect();
+            self.usable(inputs).iter().map(|store| store.disk).filter(|disk| !has_replica(disk)).collect();
         others.sort_by_key(load);
-        next.joining.extend(others.into_iter().take(wanted.saturating_sub(present)));
+        next.joining.extend(others.into_iter().take(target.saturating_sub(present)));
     }
 
     /// A store that was replaced or emptied, and that no shard names, is forgotten with its order.
-    fn drop_empty_stores(&mut self, inputs: &ShardInputs) {
+    fn drop_empty_stores(&mut self, inputs: &ShardPlanInputs) {
         let stores = &self.placement.stores;
         self.retiring
             .retain(|disk| stores.iter().any(|store| store.disk == *disk) || inputs.live.contains(disk));
     }
 
     /// Orders a store to be emptied.
-    pub fn retire(&mut self, name: &str, survivable: usize) -> Retirement {
+    pub fn retire(&mut self, name: &str, tolerated_failures: usize) -> Retirement {
         let Some(store) = self.placement.stores.iter().find(|store| store.name == name) else {
             return Retirement::Unknown;
         };
@@ -205,7 +213,7 @@
             .iter()
             .filter(|store| store.disk != disk && !self.retiring.contains(&store.disk))
             .count();
-        if left <= survivable {
+        if left <= tolerated_failures {
             return Retirement::TooFew;
         }
         self.retiring.push(disk);
@@ -218,9 +226,9 @@
         let Some(store) = self.placement.stores.iter().find(|store| store.name == name) else {
             return Retirement::Unknown;
         };
-        let holds =
+        let has_replica =
             |view: &ShardView| view.in_sync.contains(&store.disk) || view.joining.contains(&store.disk);
-        let emptied = self.retiring.contains(&store.disk) && !self.placement.shards.iter().any(holds);
+        let emptied = self.retiring.contains(&store.disk) && !self.placement.shards.iter().any(has_replica);
         if emptied { Retirement::Done } else { Retirement::Serving }
     }
 }
@@ -228,35 +236,36 @@
 /// Members that stay in sync, never fewer than have to be synced: otherwise none leaves. `None`: no member is alive.
 ///
 /// A primary that hears none of enough others is itself the one that goes.
-fn staying_members(
+fn remaining_members(
     view: &ShardView,
     alive: &dyn Fn(&DiskId) -> bool,
-    mute: &dyn Fn(&DiskId) -> bool,
-    survivable: usize,
+    unresponsive: &dyn Fn(&DiskId) -> bool,
+    tolerated_failures: usize,
 ) -> Option<Vec<DiskId>> {
-    let living: Vec<DiskId> = view.in_sync.iter().copied().filter(alive).collect();
-    if living.is_empty() {
+    let alive_members: Vec<DiskId> = view.in_sync.iter().copied().filter(alive).collect();
+    if alive_members.is_empty() {
         return None;
     }
-    let heard: Vec<DiskId> =
-        living.iter().copied().filter(|disk| *disk == view.primary || !mute(disk)).collect();
-    let without_primary: Vec<DiskId> = living.iter().copied().filter(|disk| *disk != view.primary).collect();
-    let candidates = [heard, without_primary, living.clone()];
-    let any_mute = living.iter().any(mute);
-    if breaks::on(Break::ShrinksBelow) {
-        return Some(living);
+    let responsive: Vec<DiskId> =
+        alive_members.iter().copied().filter(|disk| *disk == view.primary || !unresponsive(disk)).collect();
+    let without_primary: Vec<DiskId> =
+        alive_members.iter().copied().filter(|disk| *disk != view.primary).collect();
+    let candidates = [responsive, without_primary, alive_members.clone()];
+    let any_unresponsive = alive_members.iter().any(unresponsive);
+    if breaks::on(Break::ShrinksBelowMinimum) {
+        return Some(alive_members);
     }
     let chosen = candidates
         .into_iter()
         .enumerate()
-        .find(|(rank, members)| members.len() > survivable && (*rank != 1 || any_mute))
+        .find(|(rank, members)| members.len() > tolerated_failures && (*rank != 1 || any_unresponsive))
         .map(|(_, members)| members);
     Some(chosen.unwrap_or_else(|| view.in_sync.clone()))
 }
 
 /// Members that went and came in one plan stay where they were: another order alone is no change, and each change of a view
 /// makes its primary begin all repairs anew.
-fn keep_order(joining: &mut Vec<DiskId>, before: &[DiskId]) {
+fn preserve_order(joining: &mut Vec<DiskId>, before: &[DiskId]) {
     let same = joining.len() == before.len() && joining.iter().all(|disk| before.contains(disk));
     if same {
         *joining = before.to_vec();
@@ -264,6 +273,6 @@
 }
 
 /// One copy more than has to be synced, so that the loss of one delays nothing.
-fn copies_wanted(survivable: usize, stores: usize) -> usize {
-    (survivable + 2).min(stores)
+fn target_replicas(tolerated_failures: usize, stores: usize) -> usize {
+    (tolerated_failures + 2).min(stores)
 }
--- a/control/src/state.rs
+++ b/control/src/state.rs
@@ -6,7 +6,7 @@
 
 /// An order of the operator that was taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub struct TakenOrder {
+pub struct AppliedOrder {
     /// Digest of its kind, base and body.
     pub digest: u128,
     /// Version that it made.
@@ -21,9 +21,9 @@
     /// Its whole JSON text.
     pub configuration: String,
     /// Orders that were taken, oldest first; a bounded number.
-    pub taken: Vec<TakenOrder>,
+    pub applied_orders: Vec<AppliedOrder>,
     /// Version that the newest order that was forgotten made: of orders that build on older ones nothing is known.
-    pub forgotten: u64,
+    pub forgotten_version: u64,
     pub placement: Placement,
     /// Rises with every change of the placement.
     pub placement_version: u64,
--- a/control/tests/contacts.rs
+++ b/control/tests/contacts.rs
@@ -9,43 +9,43 @@
 }
 
 #[test]
-fn addresses_are_asked_in_turn() {
+fn addresses_are_used_in_turn() {
     let mut contacts = Contacts::default();
-    let asked: Vec<String> = (0..4).filter_map(|_| contacts.choose(&seeds(), 0)).collect();
+    let asked: Vec<String> = (0..4).filter_map(|_| contacts.next_address(&seeds(), 0)).collect();
     assert_eq!(asked, ["b", "c", "a", "b"]);
 }
 
 #[test]
-fn an_address_that_failed_is_passed_over_while_there_are_others() {
+fn a_failed_address_is_skipped_while_there_are_others() {
     let mut contacts = Contacts::default();
-    contacts.fail("b", 0);
-    let asked: Vec<String> = (0..3).filter_map(|_| contacts.choose(&seeds(), 1_000 * MILLI)).collect();
+    contacts.record_failure("b", 0);
+    let asked: Vec<String> = (0..3).filter_map(|_| contacts.next_address(&seeds(), 1_000 * MILLI)).collect();
     assert_eq!(asked, ["c", "a", "c"]);
-    assert_eq!(contacts.choose(&seeds(), 2_000 * MILLI).as_deref(), Some("a"));
-    assert_eq!(contacts.choose(&seeds(), 2_000 * MILLI).as_deref(), Some("b"));
+    assert_eq!(contacts.next_address(&seeds(), 2_000 * MILLI).as_deref(), Some("a"));
+    assert_eq!(contacts.next_address(&seeds(), 2_000 * MILLI).as_deref(), Some("b"));
 }
 
 #[test]
-fn where_all_failed_the_one_that_failed_first_is_next_and_none_is_asked_twice_in_a_row() {
+fn when_all_failed_the_earliest_failure_is_next() {
     let mut contacts = Contacts::default();
     let mut asked = Vec::new();
     for round in 0..6 {
-        let address = contacts.choose(&seeds(), round * 300 * MILLI).expect("there are addresses");
-        contacts.fail(&address, round * 300 * MILLI);
+        let address = contacts.next_address(&seeds(), round * 300 * MILLI).expect("there are addresses");
+        contacts.record_failure(&address, round * 300 * MILLI);
         asked.push(address);
     }
     assert_eq!(asked, ["b", "c", "a", "b", "c", "a"]);
 }
 
 #[test]
-fn without_addresses_nobody_is_asked() {
-    assert_eq!(Contacts::default().choose(&[], 0), None);
+fn without_addresses_there_is_no_contact() {
+    assert_eq!(Contacts::default().next_address(&[], 0), None);
 }
 
 #[test]
 fn a_primary_that_was_not_up_yet_is_followed_once_a_member_hears_it() {
     let mut contacts = Contacts::default();
-    contacts.fail("a", 0);
+    contacts.record_failure("a", 0);
     assert!(!contacts.may_follow("a", 300 * MILLI));
     assert!(contacts.may_follow("a", 500 * MILLI));
     assert!(contacts.may_follow("b", 0));
--- a/control/tests/directory.rs
+++ b/control/tests/directory.rs
@@ -1,10 +1,10 @@
 //! News of the endpoints' list lead every follower to the same list.
 
 use quickcheck::QuickCheck;
-use quillmount_control::{Directory, apply_news};
-use quillmount_wire::messages::{DirectoryNews, Endpoint};
+use quillmount_control::{Directory, apply_update};
+use quillmount_wire::messages::{DirectoryUpdate, Endpoint};
 
-fn endpoint(id: u8, draining: bool, cold_left_ms: f64) -> Endpoint {
+fn endpoint(id: u8, draining: bool, warmup_left_ms: f64) -> Endpoint {
     Endpoint {
         id: format!("i-{id:03}"),
         service: "s".to_owned(),
@@ -12,7 +12,7 @@
         zone: "z".to_owned(),
         capacity: 8,
         draining,
-        cold_left_ms,
+        warmup_left_ms,
         models: Vec::new(),
     }
 }
@@ -29,16 +29,16 @@
         let (mut mine, mut have) = (Vec::new(), 0);
         let from = from % (readings.len() + 1);
         for (number, reading) in readings.iter().enumerate() {
-            directory.read(list(reading));
+            directory.replace(list(reading));
             if number < from {
-                if let Some(news) = directory.news(have) {
-                    mine = apply_news(&mine, news);
+                if let Some(update) = directory.update_since(have) {
+                    mine = apply_update(&mine, update);
                 }
-                have = directory.count();
+                have = directory.version();
             }
         }
-        if let Some(news) = directory.news(have) {
-            mine = apply_news(&mine, news);
+        if let Some(update) = directory.update_since(have) {
+            mine = apply_update(&mine, update);
         }
         mine == **directory.list()
     }
@@ -48,20 +48,20 @@
 #[test]
 fn only_what_changed_is_sent_and_a_newcomer_gets_all() {
     let mut directory = Directory::default();
-    assert!(directory.read((0..100).map(|id| endpoint(id, false, 0.0)).collect()));
-    assert!(!directory.read((0..100).map(|id| endpoint(id, false, 0.0)).collect()));
-    assert_eq!(directory.news(1), None);
-    assert!(directory.read((1..100).map(|id| endpoint(id, id == 7, 0.0)).collect()));
+    assert!(directory.replace((0..100).map(|id| endpoint(id, false, 0.0)).collect()));
+    assert!(!directory.replace((0..100).map(|id| endpoint(id, false, 0.0)).collect()));
+    assert_eq!(directory.update_since(1), None);
+    assert!(directory.replace((1..100).map(|id| endpoint(id, id == 7, 0.0)).collect()));
     let expected =
-        DirectoryNews::Changes { changed: vec![endpoint(7, true, 0.0)], gone: vec!["i-000".to_owned()] };
-    assert_eq!(directory.news(1), Some(expected));
-    assert!(matches!(directory.news(0), Some(DirectoryNews::Whole(list)) if list.len() == 99));
+        DirectoryUpdate::Delta { changed: vec![endpoint(7, true, 0.0)], removed: vec!["i-000".to_owned()] };
+    assert_eq!(directory.update_since(1), Some(expected));
+    assert!(matches!(directory.update_since(0), Some(DirectoryUpdate::Full(list)) if list.len() == 99));
 }
 
 #[test]
-fn a_cold_start_that_goes_on_is_no_news_and_its_end_is() {
+fn warming_up_is_no_change_but_its_end_is() {
     let mut directory = Directory::default();
-    assert!(directory.read(vec![endpoint(1, false, 900.0)]));
-    assert!(!directory.read(vec![endpoint(1, false, 300.0)]));
-    assert!(directory.read(vec![endpoint(1, false, 0.0)]));
+    assert!(directory.replace(vec![endpoint(1, false, 900.0)]));
+    assert!(!directory.replace(vec![endpoint(1, false, 300.0)]));
+    assert!(directory.replace(vec![endpoint(1, false, 0.0)]));
 }
--- a/control/tests/members/history.rs
+++ b/control/tests/members/history.rs
@@ -6,10 +6,10 @@
 /// What a caller is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    Taken {
+    Applied {
         version: u64,
     },
-    OtherVersion,
+    VersionMismatch,
     Invalid,
     Shows {
         version: u64,
@@ -37,7 +37,7 @@
 }
 
 impl History {
-    pub fn asked(&mut self, call: Call) -> usize {
+    pub fn record_call(&mut self, call: Call) -> usize {
         self.calls.push(call);
         self.calls.len() - 1
     }
@@ -50,7 +50,7 @@
 
     /// The caller has seen an answer.
     pub fn shown(&mut self, operator: usize, answer: &Answer) {
-        if let Answer::Taken { version } | Answer::Shows { version, .. } = answer {
+        if let Answer::Applied { version } | Answer::Shows { version, .. } = answer {
             self.newest_shown.insert(operator, *version);
         }
     }
@@ -102,7 +102,7 @@
         for call in &self.calls {
             let (Some(ended), Some(answer)) = (call.ended, &call.answer) else { continue };
             match answer {
-                Answer::Taken { version } => {
+                Answer::Applied { version } => {
                     let order = call.order.as_ref().unwrap();
                     let known = confirmed.entry(*version).or_insert(order);
                     assert_eq!(*known, order, "ORDERS: two orders were confirmed as version {version}");
@@ -122,14 +122,14 @@
                         "READ: {version} was not in force"
                     );
                 }
-                Answer::OtherVersion => self.check_refusal(call, ended),
+                Answer::VersionMismatch => self.check_refusal(call, ended),
                 Answer::Invalid | Answer::Unclear => {}
             }
         }
         for (version, order) in &confirmed {
             let refused = |call: &&Call| {
                 call.order.as_ref() == Some(*order)
-                    && matches!(call.answer, Some(Answer::OtherVersion | Answer::Invalid))
+                    && matches!(call.answer, Some(Answer::VersionMismatch | Answer::Invalid))
             };
             assert!(!self.calls.iter().any(|call| refused(&call)), "ORDERS: {version} was taken and refused");
         }
--- a/control/tests/members/main.rs
+++ b/control/tests/members/main.rs
@@ -23,7 +23,7 @@
     if world.random.chance(50) { world.primary().unwrap_or(any) } else { any }
 }
 
-fn strike(world: &mut World) {
+fn inject_fault(world: &mut World) {
     let disk = any_machine(world);
     let span = (100 + world.random.next(2_500)) * MILLI;
     match world.random.next(9) {
@@ -78,7 +78,7 @@
     }
 }
 
-fn calm(world: &mut World) {
+fn end_faults(world: &mut World) {
     world.cuts.clear();
     for _ in 0..120 {
         world.run(250 * MILLI);
@@ -90,25 +90,25 @@
 }
 
 /// Plays a day; gives how many answers were clear.
-fn play(seed: u64) -> usize {
+fn run_seed(seed: u64) -> usize {
     play_day(seed).history.clear_answers()
 }
 
 /// Plays a day; gives the world at its end.
 fn play_day(seed: u64) -> World {
-    let (members, survivable) = match seed % 3 {
+    let (members, tolerated_failures) = match seed % 3 {
         0 => (3, 1),
         1 => (4, 1),
         _ => (5, 2),
     };
-    let mut world = World::new(members, survivable, 4, seed);
+    let mut world = World::new(members, tolerated_failures, 4, seed);
     world.run(2 * SECOND);
     for _ in 0..14 {
-        strike(&mut world);
-        let pause = world.random.next(900);
-        world.run(pause * MILLI);
+        inject_fault(&mut world);
+        let gap = world.random.next(900);
+        world.run(gap * MILLI);
     }
-    calm(&mut world);
+    end_faults(&mut world);
     // Everything is killed right after some order.
     let disks: Vec<DiskId> = world.machines.keys().copied().collect();
     for disk in disks {
@@ -116,7 +116,7 @@
         world.restart_after(disk, 300 * MILLI);
     }
     world.run(2 * SECOND);
-    calm(&mut world);
+    end_faults(&mut world);
     world.run(SECOND);
     world.busy = false;
     world.run(3 * SECOND);
@@ -131,7 +131,7 @@
 fn every_history_of_operators_fits_one_register() {
     let mut answers = 0;
     for seed in 1..=seeds() {
-        let day = std::panic::catch_unwind(|| play(seed));
+        let day = std::panic::catch_unwind(|| run_seed(seed));
         answers += day.unwrap_or_else(|_| panic!("the day of seed {seed}"));
     }
     println!("{} days: {answers} clear answers", seeds());
@@ -140,7 +140,7 @@
 
 /// A primary that is cut off or frozen hands out no tables and confirms nothing from then on, while the others go on.
 #[test]
-fn a_member_that_is_cut_off_says_nothing_that_it_can_not_be_sure_of() {
+fn a_partitioned_member_gives_no_uncertain_answer() {
     for seed in 1..=20 {
         let mut world = World::new(3, 1, 3, seed);
         world.run(3 * SECOND);
@@ -154,17 +154,17 @@
         // Second 0 to 20 of the cut: after half a second it hands out nothing, and another serves after two.
         world.run(600 * MILLI);
         let now = world.now;
-        assert!(world.machines[&old].member.recent(now).is_none(), "seed {seed}");
+        assert!(world.machines[&old].member.committed_if_recent(now).is_none(), "seed {seed}");
         world.run(20 * SECOND);
         assert_ne!(world.primary(), Some(old), "seed {seed}");
         assert!(world.history.newest_version() > before, "seed {seed}: the others go on");
-        calm(&mut world);
+        end_faults(&mut world);
         world.history.check();
     }
 }
 
 #[test]
-fn a_frozen_primary_hands_out_nothing_when_it_wakes() {
+fn a_frozen_primary_hands_out_no_tables_when_it_wakes() {
     for seed in 1..=20 {
         let mut world = World::new(3, 1, 3, seed);
         world.run(3 * SECOND);
@@ -173,16 +173,16 @@
         world.run(2_999 * MILLI);
         // Before anything that waited for it comes in, and before its next tick.
         let now = world.now;
-        assert!(world.machines[&old].member.recent(now).is_none(), "seed {seed}");
+        assert!(world.machines[&old].member.committed_if_recent(now).is_none(), "seed {seed}");
         world.run(2 * SECOND);
-        calm(&mut world);
+        end_faults(&mut world);
         world.history.check();
     }
 }
 
 /// A member that was away for a thousand changes is level soon after its return, and may lead then.
 #[test]
-fn a_member_that_missed_a_thousand_changes_is_level_within_a_second() {
+fn a_member_that_missed_a_thousand_changes_catches_up_within_a_second() {
     let mut world = World::new(3, 1, 8, 7);
     world.run(2 * SECOND);
     let away = *world.machines.keys().find(|disk| Some(**disk) != world.primary()).unwrap();
@@ -219,7 +219,7 @@
         world.run(2 * SECOND);
         let disks: Vec<DiskId> = world.machines.keys().copied().collect();
         let new = world.wipe(disks[2]);
-        calm(&mut world);
+        end_faults(&mut world);
         // The next one is lost for good; then everything else is restarted.
         let lost = disks[3];
         world.kill(lost);
@@ -246,7 +246,7 @@
                 world.restart_after(disk, 100 * MILLI);
             }
             world.run(SECOND);
-            calm(&mut world);
+            end_faults(&mut world);
         }
         world.history.check();
     }
@@ -278,7 +278,7 @@
                 }
             }
             world.run(2 * SECOND);
-            calm(&mut world);
+            end_faults(&mut world);
             world.busy = false;
             world.run(3 * SECOND);
             world.history.check();
@@ -304,7 +304,7 @@
     let mut missed = Vec::new();
     for one in concerned {
         breaks::set(Some(one));
-        let found = (1..=DAYS).find(|seed| std::panic::catch_unwind(|| play(*seed)).is_err());
+        let found = (1..=DAYS).find(|seed| std::panic::catch_unwind(|| run_seed(*seed)).is_err());
         breaks::set(None);
         println!("{one:?}: found by seed {found:?}");
         if found.is_none() {
@@ -312,7 +312,7 @@
         }
     }
     breaks::set(Some(Break::StaleTables));
-    if std::panic::catch_unwind(a_frozen_primary_hands_out_nothing_when_it_wakes).is_ok() {
+    if std::panic::catch_unwind(a_frozen_primary_hands_out_no_tables_when_it_wakes).is_ok() {
         missed.push(Break::StaleTables);
     }
     breaks::set(None);
--- a/control/tests/members/world.rs
+++ b/control/tests/members/world.rs
@@ -3,15 +3,15 @@
 
 use crate::digest_file::Counts;
 use crate::history::{Answer, Call, History};
-use quillmount_control::{ControlState, CoreMember, MemberOutput, Order, OrderKind, RegisterWrite, Verdict};
-use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, Register, ReplicaMessage};
+use quillmount_control::{ControlState, Member, MemberAction, Order, OrderKind, OrderOutcome, RegisterWrite};
+use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, Register, RegisterMessage};
 use std::collections::{BTreeMap, BTreeSet};
 
 pub type Time = u64;
 pub const MILLI: Time = 1_000;
 pub const SECOND: Time = 1_000_000;
 /// How long an operator waits for an answer.
-const PATIENCE: Time = SECOND;
+const ANSWER_TIMEOUT: Time = SECOND;
 
 /// A small generator, so that a seed always plays the same.
 pub struct Random(pub u64);
@@ -28,18 +28,18 @@
 }
 
 enum Event {
-    Deliver { from: DiskId, to: DiskId, message: ReplicaMessage },
-    Synced { to: DiskId, life: u64, write: RegisterWrite, register: Register },
+    Deliver { from: DiskId, to: DiskId, message: RegisterMessage },
+    Synced { to: DiskId, incarnation: u64, write: RegisterWrite, register: Register },
     Start { to: DiskId },
-    Ask { operator: usize, to: DiskId },
-    Told { operator: usize, call: usize, answer: Answer },
+    CallArrives { operator: usize, to: DiskId },
+    AnswerArrives { operator: usize, call: usize, answer: Answer },
 }
 
 pub struct Machine {
     pub name: u32,
-    pub member: CoreMember,
+    pub member: Member,
     disk: Register,
-    life: u64,
+    incarnation: u64,
     pub up: bool,
     pub frozen_until: Time,
     /// Calls that wait for a ticket: the call's number, and what it will be told.
@@ -59,10 +59,10 @@
 struct Operator {
     task: Task,
     call: usize,
-    asked_at: Time,
+    sent_at: Time,
     done: bool,
     /// Orders of this operator that were taken, to be sent again much later.
-    taken: Vec<(Order, u64)>,
+    applied_orders: Vec<(Order, u64)>,
 }
 
 pub struct World {
@@ -74,7 +74,7 @@
     pub cuts: BTreeSet<(DiskId, DiskId)>,
     operators: Vec<Operator>,
     pub history: History,
-    pub survivable: usize,
+    pub tolerated_failures: usize,
     next_disk: DiskId,
     next_text: u64,
     pub busy: bool,
@@ -105,7 +105,7 @@
 }
 
 impl World {
-    pub fn new(members: u32, survivable: usize, operators: usize, seed: u64) -> World {
+    pub fn new(members: u32, tolerated_failures: usize, operators: usize, seed: u64) -> World {
         let mut world = World {
             now: SECOND,
             random: Random(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ seed),
@@ -115,7 +115,7 @@
             cuts: BTreeSet::new(),
             operators: Vec::new(),
             history: History::default(),
-            survivable,
+            tolerated_failures,
             next_disk: 0,
             next_text: 0,
             busy: true,
@@ -128,10 +128,11 @@
         state.placement.core =
             world.machines.iter().map(|(disk, machine)| info(machine.name, *disk)).collect();
         let now = world.now;
-        let outputs = world.machines.get_mut(&1).unwrap().member.bootstrap(&state, now);
-        world.perform(1, outputs);
+        let actions = world.machines.get_mut(&1).unwrap().member.bootstrap(&state, now);
+        world.perform(1, actions);
         for _ in 0..operators {
-            let idle = Operator { task: Task::Read, call: 0, asked_at: 0, done: true, taken: Vec::new() };
+            let idle =
+                Operator { task: Task::Read, call: 0, sent_at: 0, done: true, applied_orders: Vec::new() };
             world.operators.push(idle);
         }
         world
@@ -141,12 +142,12 @@
     pub fn add_machine(&mut self, name: u32) -> DiskId {
         self.next_disk += 1;
         let disk = self.next_disk;
-        let member = CoreMember::new(disk, self.survivable, Register::default(), self.now);
+        let member = Member::new(disk, self.tolerated_failures, Register::default(), self.now);
         let machine = Machine {
             name,
             member,
             disk: Register::default(),
-            life: 1,
+            incarnation: 1,
             up: true,
             frozen_until: 0,
             waiting: BTreeMap::new(),
@@ -163,7 +164,7 @@
     pub fn kill(&mut self, disk: DiskId) {
         let machine = self.machines.get_mut(&disk).unwrap();
         machine.up = false;
-        machine.life += 1;
+        machine.incarnation += 1;
         machine.waiting.clear();
     }
 
@@ -192,8 +193,8 @@
         let now = self.now;
         let member = &mut self.machines.get_mut(&primary).unwrap().member;
         let silent = member.silent_members(now);
-        if let Ok((_, _, outputs)) = member.change(|state| state.admit_core(&node, &silent), now) {
-            self.perform(primary, outputs);
+        if let Ok((_, _, actions)) = member.change(|state| state.admit_core_member(&node, &silent), now) {
+            self.perform(primary, actions);
         }
     }
 
@@ -208,17 +209,23 @@
         let Some(primary) = self.primary() else { return false };
         let member = &self.machines[&primary].member;
         let Some(state) = member.committed() else { return false };
-        let held = |machine: &Machine| {
-            machine.member.replica().register().accepted.as_ref().map(|held| (held.epoch, held.sequence))
+        let accepted_value = |machine: &Machine| {
+            machine
+                .member
+                .replica()
+                .register()
+                .accepted
+                .as_ref()
+                .map(|accepted_value| (accepted_value.epoch, accepted_value.sequence))
         };
-        let Some((epoch, sequence)) = held(&self.machines[&primary]) else { return false };
+        let Some((epoch, sequence)) = accepted_value(&self.machines[&primary]) else { return false };
         // What is under way now may not be everywhere yet.
-        let level = |machine: &Machine| held(machine) >= Some((epoch, sequence.saturating_sub(2)));
+        let level = |machine: &Machine| accepted_value(machine) >= Some((epoch, sequence.saturating_sub(2)));
         let all: BTreeSet<DiskId> = self.machines.keys().copied().collect();
         let members: BTreeSet<DiskId> = state.core_disks().into_iter().collect();
         let settled = |machine: &Machine| {
             let accepted = machine.member.replica().register().accepted.as_ref();
-            accepted.is_some_and(|held| held.value.prior.is_none())
+            accepted.is_some_and(|accepted_value| accepted_value.value.prior.is_none())
         };
         let settled = self.machines.values().all(settled);
         settled && members == all && self.machines.values().all(|machine| machine.up && level(machine))
@@ -242,7 +249,7 @@
         {
             let event = self.events.remove(&key).unwrap();
             self.now = self.now.max(key.0);
-            self.take(event);
+            self.handle_event(event);
         }
         self.now = due;
         if self.now.is_multiple_of(25 * MILLI) {
@@ -261,16 +268,16 @@
         for disk in disks {
             if self.awake(disk) {
                 let now = self.now;
-                let outputs = self.machines.get_mut(&disk).unwrap().member.tick(now);
-                self.perform(disk, outputs);
+                let actions = self.machines.get_mut(&disk).unwrap().member.tick(now);
+                self.perform(disk, actions);
             }
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let to = match &event {
-            Event::Deliver { to, .. } | Event::Synced { to, .. } | Event::Ask { to, .. } => Some(*to),
-            Event::Start { .. } | Event::Told { .. } => None,
+            Event::Deliver { to, .. } | Event::Synced { to, .. } | Event::CallArrives { to, .. } => Some(*to),
+            Event::Start { .. } | Event::AnswerArrives { .. } => None,
         };
         if let Some(machine) = to.and_then(|to| self.machines.get(&to))
             && machine.frozen_until > self.now
@@ -283,114 +290,116 @@
         match event {
             Event::Deliver { from, to, message } => {
                 if self.awake(to) && !self.cuts.contains(&(from, to)) {
-                    let outputs = self.machines.get_mut(&to).unwrap().member.receive(from, message, now);
-                    self.perform(to, outputs);
+                    let actions = self.machines.get_mut(&to).unwrap().member.receive(from, message, now);
+                    self.perform(to, actions);
                 }
             }
-            Event::Synced { to, life, write, register } => {
-                let Some(machine) = self.machines.get_mut(&to).filter(|machine| machine.life == life) else {
+            Event::Synced { to, incarnation, write, register } => {
+                let Some(machine) =
+                    self.machines.get_mut(&to).filter(|machine| machine.incarnation == incarnation)
+                else {
                     return;
                 };
                 machine.disk = register;
-                let outputs = machine.member.persisted(write, now);
-                self.perform(to, outputs);
+                let actions = machine.member.persisted(write, now);
+                self.perform(to, actions);
             }
             Event::Start { to } => self.start(to),
-            Event::Ask { operator, to } => self.ask(operator, to),
-            Event::Told { operator, call, answer } => self.told(operator, call, answer),
+            Event::CallArrives { operator, to } => self.receive_call(operator, to),
+            Event::AnswerArrives { operator, call, answer } => self.receive_answer(operator, call, answer),
         }
     }
 
     fn start(&mut self, disk: DiskId) {
-        let (now, survivable) = (self.now, self.survivable);
+        let (now, tolerated_failures) = (self.now, self.tolerated_failures);
         if let Some(machine) = self.machines.get_mut(&disk).filter(|machine| !machine.up) {
-            machine.member = CoreMember::new(disk, survivable, machine.disk.clone(), now);
+            machine.member = Member::new(disk, tolerated_failures, machine.disk.clone(), now);
             machine.up = true;
             machine.frozen_until = 0;
         }
     }
 
-    fn perform(&mut self, disk: DiskId, outputs: Vec<MemberOutput>) {
-        for output in outputs {
-            self.count(disk, &output);
-            match output {
-                MemberOutput::Send { to, message } => {
+    fn perform(&mut self, disk: DiskId, actions: Vec<MemberAction>) {
+        for action in actions {
+            self.count(disk, &action);
+            match action {
+                MemberAction::Send { to, message } => {
                     let delay = 500 + self.random.next(1_500);
                     let late = if self.random.chance(1) { self.random.next(800) * MILLI } else { 0 };
                     if !self.random.chance(1) {
                         self.schedule(self.now + delay + late, Event::Deliver { from: disk, to, message });
                     }
                 }
-                MemberOutput::Persist { write, register } => {
-                    let life = self.machines[&disk].life;
+                MemberAction::Persist { write, register } => {
+                    let incarnation = self.machines[&disk].incarnation;
                     let at = self.now + 300 + self.random.next(2_000);
-                    self.schedule(at, Event::Synced { to: disk, life, write, register });
+                    self.schedule(at, Event::Synced { to: disk, incarnation, write, register });
                 }
-                MemberOutput::Confirmed { ticket } => self.confirmed(disk, ticket),
-                MemberOutput::Uncertain { ticket } => {
+                MemberAction::Confirmed { ticket } => self.confirmed(disk, ticket),
+                MemberAction::Uncertain { ticket } => {
                     if let Some((operator, call, _)) =
                         self.machines.get_mut(&disk).unwrap().waiting.remove(&ticket)
                     {
-                        self.tell(operator, call, Answer::Unclear);
+                        self.answer_operator(operator, call, Answer::Unclear);
                     }
                 }
-                MemberOutput::News => {
+                MemberAction::StateChanged => {
                     let state = self.machines[&disk].member.committed().unwrap();
                     self.history.committed(&state, self.now);
                     self.audit_copies(&state);
                 }
-                MemberOutput::Elected { .. } | MemberOutput::SteppedDown | MemberOutput::Accepted => {}
+                MemberAction::Elected { .. } | MemberAction::SteppedDown | MemberAction::Accepted => {}
             }
         }
     }
 
-    fn count(&mut self, disk: DiskId, output: &MemberOutput) {
+    fn count(&mut self, disk: DiskId, action: &MemberAction) {
         let now = self.now;
-        match output {
-            MemberOutput::Send { to, message } => {
+        match action {
+            MemberAction::Send { to, message } => {
                 let (label, epoch) = match message {
-                    ReplicaMessage::Canvass { epoch } => ("pre_vote_requests", *epoch),
-                    ReplicaMessage::Support { epoch } => ("pre_votes", *epoch),
-                    ReplicaMessage::Prepare { epoch } => ("prepares", *epoch),
-                    ReplicaMessage::Promise { epoch, .. } => ("promises", *epoch),
-                    ReplicaMessage::Accept { accepted } => ("accepts", accepted.epoch),
-                    ReplicaMessage::Acknowledge { epoch, .. } => ("acknowledgements", *epoch),
-                    ReplicaMessage::Heartbeat { epoch, .. } => ("heartbeats", *epoch),
-                    ReplicaMessage::HeartbeatReply { epoch, .. } => ("heartbeat_replies", *epoch),
-                    ReplicaMessage::Reject { promised } => ("rejections", *promised),
-                    ReplicaMessage::Resign { epoch, .. } => ("resignations", *epoch),
+                    RegisterMessage::PreVote { epoch } => ("pre_vote_requests", *epoch),
+                    RegisterMessage::PreVoteGranted { epoch } => ("pre_votes", *epoch),
+                    RegisterMessage::Prepare { epoch } => ("prepares", *epoch),
+                    RegisterMessage::Promise { epoch, .. } => ("promises", *epoch),
+                    RegisterMessage::Accept { accepted } => ("accepts", accepted.epoch),
+                    RegisterMessage::Acknowledge { epoch, .. } => ("acknowledgements", *epoch),
+                    RegisterMessage::Heartbeat { epoch, .. } => ("heartbeats", *epoch),
+                    RegisterMessage::HeartbeatReply { epoch, .. } => ("heartbeat_replies", *epoch),
+                    RegisterMessage::Reject { promised } => ("rejections", *promised),
+                    RegisterMessage::Resign { epoch, .. } => ("resignations", *epoch),
                 };
                 self.counts.count(label, &[now, disk, *to, epoch]);
             }
-            MemberOutput::Persist { register, .. } => {
+            MemberAction::Persist { register, .. } => {
                 let payload = register.accepted.as_ref().map_or(0, |accepted| accepted.value.payload.len());
                 self.counts.count("writes", &[now, disk, payload as u64]);
             }
-            MemberOutput::Confirmed { ticket } => self.counts.count("confirmed", &[now, disk, *ticket]),
-            MemberOutput::Uncertain { ticket } => self.counts.count("uncertain", &[now, disk, *ticket]),
-            MemberOutput::Elected { epoch } => self.counts.count("elections", &[now, disk, *epoch]),
-            MemberOutput::SteppedDown => self.counts.count("step_downs", &[now, disk]),
-            MemberOutput::News => {
+            MemberAction::Confirmed { ticket } => self.counts.count("confirmed", &[now, disk, *ticket]),
+            MemberAction::Uncertain { ticket } => self.counts.count("uncertain", &[now, disk, *ticket]),
+            MemberAction::Elected { epoch } => self.counts.count("elections", &[now, disk, *epoch]),
+            MemberAction::SteppedDown => self.counts.count("step_downs", &[now, disk]),
+            MemberAction::StateChanged => {
                 let version = self.machines[&disk].member.committed().map_or(0, |state| state.version);
                 self.counts.count("commits", &[now, disk, version]);
             }
-            MemberOutput::Accepted => self.counts.count("accepted_values", &[now, disk]),
+            MemberAction::Accepted => self.counts.count("accepted_values", &[now, disk]),
         }
     }
 
     /// What is committed is on enough disks.
     fn audit_copies(&self, state: &ControlState) {
-        let holds = |machine: &&Machine| {
-            let held = machine
+        let has_version = |machine: &&Machine| {
+            let accepted_value = machine
                 .disk
                 .accepted
                 .as_ref()
-                .and_then(|held| ControlState::decode(&held.value.payload).ok());
-            held.is_some_and(|held| held.version >= state.version)
+                .and_then(|accepted_value| ControlState::decode(&accepted_value.value.payload).ok());
+            accepted_value.is_some_and(|accepted_value| accepted_value.version >= state.version)
         };
-        let copies = self.machines.values().filter(holds).count();
+        let copies = self.machines.values().filter(has_version).count();
         // A copy may have been lost with its disk after it was acknowledged.
-        assert!(copies >= self.survivable, "COPIES: {copies} of version {}", state.version);
+        assert!(copies >= self.tolerated_failures, "COPIES: {copies} of version {}", state.version);
     }
 
     fn confirmed(&mut self, disk: DiskId, ticket: u64) {
@@ -400,15 +409,15 @@
             Some(state) => Answer::Shows { version: state.version, text: state.configuration.clone() },
             None => Answer::Unclear,
         });
-        self.tell(operator, call, answer);
+        self.answer_operator(operator, call, answer);
     }
 
     /// An answer goes out, and may be lost on its way.
-    fn tell(&mut self, operator: usize, call: usize, answer: Answer) {
+    fn answer_operator(&mut self, operator: usize, call: usize, answer: Answer) {
         self.history.answered(call, &answer, self.now);
         if !self.random.chance(25) {
             let at = self.now + 1_000 + self.random.next(4_000);
-            self.schedule(at, Event::Told { operator, call, answer });
+            self.schedule(at, Event::AnswerArrives { operator, call, answer });
         }
     }
 
@@ -421,7 +430,7 @@
                 if self.busy && self.random.chance(20) {
                     self.begin(operator);
                 }
-            } else if now > self.operators[operator].asked_at + PATIENCE {
+            } else if now > self.operators[operator].sent_at + ANSWER_TIMEOUT {
                 // Without an answer the same is sent again, to any machine.
                 self.send(operator);
             }
@@ -434,7 +443,7 @@
         self.next_text += 1;
         let base = self.history.newest_shown(operator);
         let version = base + 1 + self.random.next(3);
-        let old = self.operators[operator].taken.clone();
+        let old = self.operators[operator].applied_orders.clone();
         let task = match self.random.next(10) {
             0..=2 => Task::Read,
             3 if !old.is_empty() => {
@@ -466,15 +475,15 @@
         let to = disks[self.random.next(disks.len() as u64) as usize];
         // Half of the callers were told where the primary is.
         let to = if self.random.chance(50) { self.primary().unwrap_or(to) } else { to };
-        self.operators[operator].asked_at = self.now;
+        self.operators[operator].sent_at = self.now;
         if let Task::Order { sent, .. } = &mut self.operators[operator].task {
             *sent += 1;
         }
         let at = self.now + 1_000 + self.random.next(3_000);
-        self.schedule(at, Event::Ask { operator, to });
+        self.schedule(at, Event::CallArrives { operator, to });
     }
 
-    fn ask(&mut self, operator: usize, to: DiskId) {
+    fn receive_call(&mut self, operator: usize, to: DiskId) {
         if self.operators[operator].done || !self.awake(to) {
             return;
         }
@@ -483,33 +492,34 @@
             Task::Read => None,
             Task::Order { order, .. } => Some(order.clone()),
         };
-        let call = self.history.asked(Call { order: order.clone(), began: now, ended: None, answer: None });
+        let call =
+            self.history.record_call(Call { order: order.clone(), began: now, ended: None, answer: None });
         self.operators[operator].call = call;
         let machine = self.machines.get_mut(&to).unwrap();
         let begun = match order {
-            None => machine.member.confirm(now).map(|(ticket, outputs)| (ticket, outputs, None)),
-            Some(order) => {
-                machine.member.change(|state| state.order(&order), now).map(|(verdict, ticket, outputs)| {
-                    let answer = match verdict {
-                        Verdict::Taken { version } => Answer::Taken { version },
-                        Verdict::OtherVersion { .. } => Answer::OtherVersion,
-                        Verdict::Invalid(_) => Answer::Invalid,
-                        Verdict::Forgotten => Answer::Unclear,
+            None => machine.member.confirm(now).map(|(ticket, actions)| (ticket, actions, None)),
+            Some(order) => machine.member.change(|state| state.apply_order(&order), now).map(
+                |(outcome, ticket, actions)| {
+                    let answer = match outcome {
+                        OrderOutcome::Applied { version } => Answer::Applied { version },
+                        OrderOutcome::VersionMismatch { .. } => Answer::VersionMismatch,
+                        OrderOutcome::Invalid(_) => Answer::Invalid,
+                        OrderOutcome::Expired => Answer::Unclear,
                     };
-                    (ticket, outputs, Some(answer))
-                })
-            }
+                    (ticket, actions, Some(answer))
+                },
+            ),
         };
         match begun {
-            Ok((ticket, outputs, answer)) => {
+            Ok((ticket, actions, answer)) => {
                 machine.waiting.insert(ticket, (operator, call, answer));
-                self.perform(to, outputs);
+                self.perform(to, actions);
             }
-            Err(_) => self.tell(operator, call, Answer::Unclear),
+            Err(_) => self.answer_operator(operator, call, Answer::Unclear),
         }
     }
 
-    fn told(&mut self, operator: usize, call: usize, answer: Answer) {
+    fn receive_answer(&mut self, operator: usize, call: usize, answer: Answer) {
         let state = &mut self.operators[operator];
         if state.done || state.call != call {
             return;
@@ -517,8 +527,8 @@
         match (&answer, &state.task) {
             // Sent again after a pause.
             (Answer::Unclear, _) => return,
-            (Answer::Taken { version }, Task::Order { order, .. }) => {
-                state.taken.push((order.clone(), *version))
+            (Answer::Applied { version }, Task::Order { order, .. }) => {
+                state.applied_orders.push((order.clone(), *version))
             }
             _ => {}
         }
