--- a/control/tests/orders.rs
+++ b/control/tests/orders.rs
@@ -1,6 +1,6 @@
 //! The operator's orders: what is taken, what is refused, what comes again.
 
-use quillmount_control::{ControlState, Order, OrderKind, TAKEN_LIMIT, Verdict};
+use quillmount_control::{APPLIED_ORDERS_LIMIT, ControlState, Order, OrderKind, OrderOutcome};
 use quillmount_wire::configuration::{Configuration, ConfigurationError};
 
 fn route(name: &str, prefix: &str, service: &str) -> String {
@@ -27,39 +27,39 @@
 fn started() -> ControlState {
     let mut state = ControlState::default();
     let first = put(0, whole(5, &[route("r", "/a/", "s")]));
-    assert_eq!(state.order(&first), Verdict::Taken { version: 5 });
+    assert_eq!(state.apply_order(&first), OrderOutcome::Applied { version: 5 });
     state
 }
 
 #[test]
-fn an_order_that_comes_again_is_acknowledged_again_even_after_later_versions() {
+fn a_repeated_order_is_acknowledged_even_after_later_versions() {
     let mut state = started();
     let first = put(0, whole(5, &[route("r", "/a/", "s")]));
     let second = patch(5, r#"{"Gen":9,"Upsert":{},"Remove":{}}"#);
-    assert_eq!(state.order(&second), Verdict::Taken { version: 9 });
+    assert_eq!(state.apply_order(&second), OrderOutcome::Applied { version: 9 });
     let before = state.clone();
-    assert_eq!(state.order(&first), Verdict::Taken { version: 5 });
-    assert_eq!(state.order(&second), Verdict::Taken { version: 9 });
+    assert_eq!(state.apply_order(&first), OrderOutcome::Applied { version: 5 });
+    assert_eq!(state.apply_order(&second), OrderOutcome::Applied { version: 9 });
     assert_eq!(state, before);
 }
 
 #[test]
-fn of_two_changes_on_one_version_one_is_taken() {
+fn of_two_orders_on_one_version_one_is_applied() {
     let mut state = started();
     let (one, other) =
         (patch(5, r#"{"Gen":7,"Remove":{"Routes":["r"]}}"#), patch(5, r#"{"Gen":7,"Upsert":{}}"#));
-    assert_eq!(state.order(&one), Verdict::Taken { version: 7 });
-    assert_eq!(state.order(&other), Verdict::OtherVersion { current: 7 });
-    assert_eq!(state.order(&one), Verdict::Taken { version: 7 });
+    assert_eq!(state.apply_order(&one), OrderOutcome::Applied { version: 7 });
+    assert_eq!(state.apply_order(&other), OrderOutcome::VersionMismatch { current: 7 });
+    assert_eq!(state.apply_order(&one), OrderOutcome::Applied { version: 7 });
 }
 
 fn refused(body: String) -> ConfigurationError {
     let mut state = started();
     let before = state.clone();
-    let verdict = state.order(&put(5, body));
+    let outcome = state.apply_order(&put(5, body));
     assert_eq!(state, before, "a refused order changes nothing");
-    match verdict {
-        Verdict::Invalid(error) => error,
+    match outcome {
+        OrderOutcome::Invalid(error) => error,
         other => panic!("{other:?}"),
     }
 }
@@ -75,16 +75,16 @@
         ConfigurationError::UnknownService { .. }
     ));
     let same_place = whole(6, &[route("r", "/a/", "s"), route("q", "/a/", "s")]);
-    assert!(matches!(refused(same_place), ConfigurationError::SamePlace { .. }));
+    assert!(matches!(refused(same_place), ConfigurationError::DuplicateRoute { .. }));
     let same_name = whole(6, &[route("r", "/a/", "s"), route("r", "/b/", "s")]);
-    assert!(matches!(refused(same_name), ConfigurationError::SameName { kind: "Routes", .. }));
+    assert!(matches!(refused(same_name), ConfigurationError::DuplicateName { kind: "Routes", .. }));
     let no_weight = whole(
         6,
         &[route("r", "/a/", "s").replace(r#""Backend":"s""#, r#""Shares":[{"Backend":"s","Wt":0}]"#)],
     );
-    assert!(matches!(refused(no_weight), ConfigurationError::NoWeight { .. }));
+    assert!(matches!(refused(no_weight), ConfigurationError::ZeroWeight { .. }));
     let no_timeout = whole(6, &[route("r", "/a/", "s").replace("4000", "0")]);
-    assert!(matches!(refused(no_timeout), ConfigurationError::NoTimeout { .. }));
+    assert!(matches!(refused(no_timeout), ConfigurationError::ZeroTimeout { .. }));
     let shared_key =
         whole(6, &[]).replace(r#""Accounts":["#, r#""Accounts":[{"Name":"u","Apikeys":["k2"]},"#);
     assert!(matches!(refused(shared_key), ConfigurationError::SharedKey { .. }));
@@ -104,7 +104,7 @@
         route("r", "/moved/", "s"),
         route("new", "/new/", "s")
     );
-    assert_eq!(state.order(&patch(5, &body)), Verdict::Taken { version: 8 });
+    assert_eq!(state.apply_order(&patch(5, &body)), OrderOutcome::Applied { version: 8 });
     let read = Configuration::read(&state.configuration).unwrap();
     let prefixes: Vec<&str> = read.routes.iter().map(|route| route.prefix.as_str()).collect();
     assert_eq!(prefixes, ["/moved/", "/new/"]);
@@ -123,26 +123,27 @@
 /// One that may have been taken and is no longer remembered is neither confirmed nor refused; all that are remembered are
 /// confirmed with their number.
 #[test]
-fn an_order_older_than_the_memory_gets_no_clear_answer() {
+fn an_order_older_than_the_remembered_ones_gets_no_clear_answer() {
     let mut state = started();
     let order = |base: u64| put(base, whole(base + 1, &[route("r", "/a/", "s")]));
-    let last = 5 + TAKEN_LIMIT as u64 + 20;
+    let last = 5 + APPLIED_ORDERS_LIMIT as u64 + 20;
     for base in 5..last {
-        assert_eq!(state.order(&order(base)), Verdict::Taken { version: base + 1 });
+        assert_eq!(state.apply_order(&order(base)), OrderOutcome::Applied { version: base + 1 });
     }
     let before = state.clone();
-    assert_eq!(state.taken.len(), TAKEN_LIMIT);
-    for base in (5..last).step_by(997).chain([last - 1, state.forgotten]) {
-        let again = state.order(&order(base));
-        if base < before.forgotten {
-            assert_eq!(again, Verdict::Forgotten, "{base}");
+    assert_eq!(state.applied_orders.len(), APPLIED_ORDERS_LIMIT);
+    for base in (5..last).step_by(997).chain([last - 1, state.forgotten_version]) {
+        let repeated = state.apply_order(&order(base));
+        if base < before.forgotten_version {
+            assert_eq!(repeated, OrderOutcome::Expired, "{base}");
         } else {
-            assert_eq!(again, Verdict::Taken { version: base + 1 }, "{base}");
+            assert_eq!(repeated, OrderOutcome::Applied { version: base + 1 }, "{base}");
         }
     }
     // One that was never taken and builds on a version that is remembered is refused.
-    let never = put(before.forgotten + 1, whole(before.forgotten + 2, &[route("never", "/n/", "s")]));
-    assert_eq!(state.order(&never), Verdict::OtherVersion { current: last });
+    let never =
+        put(before.forgotten_version + 1, whole(before.forgotten_version + 2, &[route("never", "/n/", "s")]));
+    assert_eq!(state.apply_order(&never), OrderOutcome::VersionMismatch { current: last });
     assert_eq!(state, before);
 }
 
@@ -165,9 +166,9 @@
         tenants.join(",")
     );
     let mut state = ControlState::default();
-    assert_eq!(state.order(&put(0, body)), Verdict::Taken { version: 1 });
-    let remembered = state.taken[0];
-    state.taken.resize(TAKEN_LIMIT, remembered);
+    assert_eq!(state.apply_order(&put(0, body)), OrderOutcome::Applied { version: 1 });
+    let remembered = state.applied_orders[0];
+    state.applied_orders.resize(APPLIED_ORDERS_LIMIT, remembered);
     let bytes = state.encode().len();
     println!("{bytes} bytes, {} of them the configuration", state.configuration.len());
     assert!(bytes < RECORD_LIMIT, "{bytes}");
@@ -179,17 +180,18 @@
 fn the_break_of_forgotten_orders_is_found() {
     use quillmount_control::breaks::{self, Break};
     breaks::set(Some(Break::ForgottenRefused));
-    let failed = std::panic::catch_unwind(an_order_older_than_the_memory_gets_no_clear_answer).is_err();
+    let failed =
+        std::panic::catch_unwind(an_order_older_than_the_remembered_ones_gets_no_clear_answer).is_err();
     breaks::set(None);
     assert!(failed);
 }
 
 #[test]
-fn usage_is_fixed_once() {
+fn usage_is_finalized_once() {
     use quillmount_wire::messages::UsageWindow;
     let mut state = ControlState::default();
     let first = UsageWindow { window: 3, counts: vec![("t".to_owned(), 5)] };
     let later = UsageWindow { window: 3, counts: vec![("t".to_owned(), 9)] };
-    assert_eq!(state.fix_usage(first.clone()), first);
-    assert_eq!(state.fix_usage(later), first);
+    assert_eq!(state.finalize_usage(first.clone()), first);
+    assert_eq!(state.finalize_usage(later), first);
 }
--- a/control/tests/shards.rs
+++ b/control/tests/shards.rs
@@ -1,6 +1,6 @@
 //! Views of shards: who may lead, who counts, what is never given up.
 
-use quillmount_control::{Admission, ControlState, Retirement, SHARDS, ShardInputs, shard_of};
+use quillmount_control::{Admission, ControlState, Retirement, SHARDS, ShardPlanInputs, shard_of};
 use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, ShardReport, ShardView};
 use std::collections::BTreeSet;
 
@@ -15,8 +15,12 @@
     }
 }
 
-fn inputs(live: &[DiskId]) -> ShardInputs {
-    ShardInputs { live: live.iter().copied().collect(), survivable: 1, ..ShardInputs::default() }
+fn inputs(live: &[DiskId]) -> ShardPlanInputs {
+    ShardPlanInputs {
+        live: live.iter().copied().collect(),
+        tolerated_failures: 1,
+        ..ShardPlanInputs::default()
+    }
 }
 
 fn started(disks: &[DiskId]) -> ControlState {
@@ -27,7 +31,7 @@
 }
 
 /// Plans until nothing changes; joining members catch up at once.
-fn settle(state: &mut ControlState, mut inputs: ShardInputs) {
+fn settle(state: &mut ControlState, mut inputs: ShardPlanInputs) {
     for _ in 0..20 {
         inputs.reports = reports(state, &inputs.live);
         if !state.plan_shards(&inputs) {
@@ -48,7 +52,7 @@
 }
 
 #[test]
-fn shards_begin_when_enough_stores_are_there_and_are_spread() {
+fn shards_are_created_and_spread_once_there_are_enough_stores() {
     let mut state = ControlState::default();
     state.admit_store(&store(1));
     assert!(!state.plan_shards(&inputs(&[1])), "one store can't keep what one loss may take");
@@ -61,7 +65,7 @@
 }
 
 #[test]
-fn a_dead_primary_is_followed_by_a_member_in_sync_in_a_higher_epoch() {
+fn a_dead_primary_is_replaced_by_an_in_sync_member_in_a_higher_epoch() {
     let mut state = started(&[1, 2, 3]);
     let before = state.placement.shards.clone();
     state.plan_shards(&inputs(&[2, 3]));
@@ -73,26 +77,26 @@
 }
 
 #[test]
-fn the_set_in_sync_never_shrinks_below_what_has_to_survive() {
+fn the_in_sync_set_never_shrinks_below_the_required_replicas() {
     let mut state = started(&[1, 2, 3]);
     state.plan_shards(&inputs(&[2, 3]));
     state.plan_shards(&inputs(&[3]));
     assert!(state.placement.shards.iter().all(|view| view.in_sync.len() >= 2));
-    let kept = state.placement.shards.clone();
+    let unchanged = state.placement.shards.clone();
     state.plan_shards(&inputs(&[]));
-    assert_eq!(state.placement.shards, kept, "without any store alive all wait");
+    assert_eq!(state.placement.shards, unchanged, "without any store alive all wait");
 }
 
 #[test]
-fn losing_as_many_as_may_be_lost_brings_others_in_even_while_the_lost_still_count() {
+fn tolerated_losses_are_replaced_even_while_the_lost_members_count() {
     let disks: Vec<DiskId> = (1..=6).collect();
     let mut state = ControlState::default();
     disks.iter().for_each(|disk| assert_eq!(state.admit_store(&store(*disk)), Admission::Admitted));
-    let all = ShardInputs { survivable: 2, ..inputs(&disks) };
+    let all = ShardPlanInputs { tolerated_failures: 2, ..inputs(&disks) };
     assert!(state.plan_shards(&all));
     // Two are lost, one more is to be emptied.
     state.retire("store-3", 2);
-    let left = ShardInputs { survivable: 2, ..inputs(&[3, 4, 5, 6]) };
+    let left = ShardPlanInputs { tolerated_failures: 2, ..inputs(&[3, 4, 5, 6]) };
     settle(&mut state, left);
     for view in &state.placement.shards {
         assert!(view.in_sync.len() >= 3, "{view:?}");
@@ -107,7 +111,7 @@
     state.plan_shards(&inputs(&[1, 2, 3]));
     assert!(state.placement.shards.iter().all(|view| view.joining == [1]));
     let stale = ShardReport { shard: 0, epoch: 1, unresponsive: Vec::new(), caught_up: vec![1] };
-    state.plan_shards(&ShardInputs { reports: vec![stale], ..inputs(&[1, 2, 3]) });
+    state.plan_shards(&ShardPlanInputs { reports: vec![stale], ..inputs(&[1, 2, 3]) });
     assert_eq!(state.placement.shards[0].joining, [1]);
     settle(&mut state, inputs(&[1, 2, 3]));
     assert!(state.placement.shards.iter().all(|view| view.in_sync.len() == 3));
@@ -116,10 +120,10 @@
 /// One that does not answer and that no other can stand in for stays as it is: a change of the view would only make the
 /// primary begin its repairs anew.
 #[test]
-fn joining_members_that_are_slow_to_answer_change_no_view_again_and_again() {
+fn slow_joining_members_do_not_change_views_repeatedly() {
     let mut state = ControlState::default();
     (1..=4).for_each(|disk| assert_eq!(state.admit_store(&store(disk)), Admission::Admitted));
-    let with = |live: &[DiskId], reports| ShardInputs { survivable: 2, reports, ..inputs(live) };
+    let with = |live: &[DiskId], reports| ShardPlanInputs { tolerated_failures: 2, reports, ..inputs(live) };
     assert!(state.plan_shards(&with(&[1, 2, 3, 4], Vec::new())));
     // Two disks are lost at once, and both machines are back without what they had.
     for (disk, place) in [(33, 3), (34, 4)] {
@@ -142,20 +146,20 @@
 }
 
 #[test]
-fn a_primary_that_hears_none_of_enough_others_is_the_one_that_goes() {
+fn a_primary_that_hears_too_few_others_is_replaced() {
     let mut state = started(&[1, 2, 3]);
     let view = state.placement.shards[0].clone();
     let others: Vec<DiskId> = view.in_sync.iter().copied().filter(|disk| *disk != view.primary).collect();
     let report =
         ShardReport { shard: 0, epoch: view.epoch, unresponsive: others.clone(), caught_up: Vec::new() };
-    state.plan_shards(&ShardInputs { reports: vec![report], ..inputs(&[1, 2, 3]) });
+    state.plan_shards(&ShardPlanInputs { reports: vec![report], ..inputs(&[1, 2, 3]) });
     let next = &state.placement.shards[0];
     assert!(others.contains(&next.primary));
     assert!(!next.in_sync.contains(&view.primary));
 }
 
 #[test]
-fn a_wiped_store_is_another_and_joins_from_nothing() {
+fn a_wiped_store_joins_as_a_new_empty_one() {
     let mut state = started(&[1, 2, 3]);
     let wiped = NodeInfo { disk: 31, ..store(3) };
     assert_eq!(state.admit_store(&wiped), Admission::Admitted);
@@ -168,7 +172,7 @@
 }
 
 #[test]
-fn a_store_is_emptied_only_when_every_copy_is_elsewhere() {
+fn a_store_is_retired_only_when_every_replica_is_elsewhere() {
     let mut state = started(&[1, 2, 3]);
     assert_eq!(state.retire("store-9", 1), Retirement::Unknown);
     assert_eq!(state.retire("store-1", 1), Retirement::Serving);
@@ -180,7 +184,7 @@
 }
 
 #[test]
-fn a_leaving_store_that_alone_is_alive_with_a_copy_stays() {
+fn a_draining_store_with_the_only_live_replica_stays() {
     let mut state = started(&[1, 2, 3]);
     // The others that have copies are gone, one of them for good, and two empty stores are there instead.
     assert_eq!(state.admit_store(&store(4)), Admission::Admitted);
@@ -206,26 +210,28 @@
     let core =
         |disk: DiskId, name: &str| NodeInfo { name: name.to_owned(), role: NodeRole::Core, ..store(disk) };
     for (disk, name) in [(1, "a"), (2, "b"), (3, "c")] {
-        state.admit_core(&core(disk, name), &BTreeSet::new());
+        state.admit_core_member(&core(disk, name), &BTreeSet::new());
     }
-    state.admit_core(&core(33, "c"), &BTreeSet::new());
+    state.admit_core_member(&core(33, "c"), &BTreeSet::new());
     assert_eq!(state.core_disks(), [1, 2, 33]);
     // Another machine takes the place of one that is silent, and one more is added where none is.
-    state.admit_core(&core(4, "d"), &BTreeSet::from([2]));
+    state.admit_core_member(&core(4, "d"), &BTreeSet::from([2]));
     assert_eq!(state.core_disks(), [1, 4, 33]);
-    state.admit_core(&core(5, "e"), &BTreeSet::new());
+    state.admit_core_member(&core(5, "e"), &BTreeSet::new());
     assert_eq!(state.core_disks(), [1, 4, 33, 5]);
 }
 
 #[test]
-fn silent_core_members_go_only_while_enough_others_stay() {
+fn silent_core_members_are_removed_only_while_enough_others_stay() {
     let mut state = ControlState::default();
     let core = |disk: DiskId| NodeInfo { role: NodeRole::Core, ..store(disk) };
-    (1..=4).for_each(|disk| assert_eq!(state.admit_core(&core(disk), &BTreeSet::new()), Admission::Admitted));
-    assert!(!state.drop_silent_core(&BTreeSet::from([3, 4]), 1));
-    assert!(state.drop_silent_core(&BTreeSet::from([3]), 1));
+    (1..=4).for_each(|disk| {
+        assert_eq!(state.admit_core_member(&core(disk), &BTreeSet::new()), Admission::Admitted)
+    });
+    assert!(!state.remove_silent_core_members(&BTreeSet::from([3, 4]), 1));
+    assert!(state.remove_silent_core_members(&BTreeSet::from([3]), 1));
     assert_eq!(state.core_disks(), [1, 2, 4]);
-    assert!(!state.drop_silent_core(&BTreeSet::from([4]), 1));
+    assert!(!state.remove_silent_core_members(&BTreeSet::from([4]), 1));
 }
 
 #[test]
@@ -241,10 +247,10 @@
 fn each_break_of_views_is_found() {
     use quillmount_control::breaks::{self, Break};
     let found_by: [(Break, fn()); 4] = [
-        (Break::LeavingCountsGone, a_leaving_store_that_alone_is_alive_with_a_copy_stays),
+        (Break::RetiringCountsGone, a_draining_store_with_the_only_live_replica_stays),
         (Break::ReportOfOlderEpoch, only_a_member_that_caught_up_in_this_epoch_is_promoted),
         (Break::JoiningAtOnce, only_a_member_that_caught_up_in_this_epoch_is_promoted),
-        (Break::ShrinksBelow, the_set_in_sync_never_shrinks_below_what_has_to_survive),
+        (Break::ShrinksBelowMinimum, the_in_sync_set_never_shrinks_below_the_required_replicas),
     ];
     for (one, test) in found_by {
         breaks::set(Some(one));
--- a/control/tests/stored_register.rs
+++ b/control/tests/stored_register.rs
@@ -5,7 +5,7 @@
 
 use fixture_files::fixture;
 use quillmount_control::{
-    ControlState, CoreMember, Order, OrderKind, Retirement, ShardInputs, TakenOrder, Verdict, shard_of,
+    AppliedOrder, ControlState, Member, Order, OrderKind, OrderOutcome, Retirement, ShardPlanInputs, shard_of,
 };
 use quillmount_wire::messages::{
     Accepted, NodeInfo, NodeRole, Register, RegisterValue, ShardReport, UsageWindow, decode, encode,
@@ -54,9 +54,10 @@
 /// A state to which every kind of change was made.
 fn control_state() -> ControlState {
     let mut state = ControlState::default();
-    (1..=3).for_each(|number| _ = state.admit_core(&core(number), &BTreeSet::new()));
+    (1..=3).for_each(|number| _ = state.admit_core_member(&core(number), &BTreeSet::new()));
     (1..=4).for_each(|number| _ = state.admit_store(&store(number)));
-    let mut inputs = ShardInputs { live: (201..=204).collect(), survivable: 1, ..ShardInputs::default() };
+    let mut inputs =
+        ShardPlanInputs { live: (201..=204).collect(), tolerated_failures: 1, ..ShardPlanInputs::default() };
     state.plan_shards(&inputs);
     // One member does not answer: it no longer counts as in sync, and joins once more.
     let unresponsive = state.placement.shards[0].in_sync[1];
@@ -64,11 +65,11 @@
         vec![ShardReport { shard: 0, epoch: 1, unresponsive: vec![unresponsive], caught_up: Vec::new() }];
     state.plan_shards(&inputs);
     state.retire("store-4", 1);
-    state.order(&order(OrderKind::Put, 0, CONFIGURATION));
-    state.order(&order(OrderKind::Patch, 3, PATCH));
-    state.fix_usage(usage(41, &[("t", 7), ("u", u64::MAX)]));
-    state.fix_usage(usage(40, &[]));
-    state.forgotten = 3;
+    state.apply_order(&order(OrderKind::Put, 0, CONFIGURATION));
+    state.apply_order(&order(OrderKind::Patch, 3, PATCH));
+    state.finalize_usage(usage(41, &[("t", 7), ("u", u64::MAX)]));
+    state.finalize_usage(usage(40, &[]));
+    state.forgotten_version = 3;
     state
 }
 
@@ -117,16 +118,25 @@
 fn a_stored_state_has_its_configuration_and_orders() {
     let mut state = stored_state();
     assert_eq!((state.version, state.configuration.as_str()), (5, PATCHED));
-    assert_eq!(state.forgotten, 3);
+    assert_eq!(state.forgotten_version, 3);
     let digests = [0xebd7_a557_94ff_346f_b0e9_c67a_ae2c_bfb2u128, 0x098a_2524_7ae2_8fe6_ceac_75e0_e4f9_2e06];
-    let taken: Vec<TakenOrder> =
-        digests.iter().zip([3, 5]).map(|(digest, version)| TakenOrder { digest: *digest, version }).collect();
-    assert_eq!(state.taken, taken);
+    let applied_orders: Vec<AppliedOrder> = digests
+        .iter()
+        .zip([3, 5])
+        .map(|(digest, version)| AppliedOrder { digest: *digest, version })
+        .collect();
+    assert_eq!(state.applied_orders, applied_orders);
     // Orders that come again are known by their digest; others are judged by their base.
-    assert_eq!(state.order(&order(OrderKind::Put, 0, CONFIGURATION)), Verdict::Taken { version: 3 });
-    assert_eq!(state.order(&order(OrderKind::Patch, 3, PATCH)), Verdict::Taken { version: 5 });
-    assert_eq!(state.order(&order(OrderKind::Put, 3, PATCH)), Verdict::OtherVersion { current: 5 });
-    assert_eq!(state.order(&order(OrderKind::Put, 2, CONFIGURATION)), Verdict::Forgotten);
+    assert_eq!(
+        state.apply_order(&order(OrderKind::Put, 0, CONFIGURATION)),
+        OrderOutcome::Applied { version: 3 }
+    );
+    assert_eq!(state.apply_order(&order(OrderKind::Patch, 3, PATCH)), OrderOutcome::Applied { version: 5 });
+    assert_eq!(
+        state.apply_order(&order(OrderKind::Put, 3, PATCH)),
+        OrderOutcome::VersionMismatch { current: 5 }
+    );
+    assert_eq!(state.apply_order(&order(OrderKind::Put, 2, CONFIGURATION)), OrderOutcome::Expired);
 }
 
 #[test]
@@ -188,12 +198,12 @@
     let mut state = stored_state();
     assert_eq!(state.usage, [usage(40, &[]), usage(41, &[("t", 7), ("u", u64::MAX)])]);
     // A window that was reported does not change.
-    assert_eq!(state.fix_usage(usage(41, &[("t", 8)])), usage(41, &[("t", 7), ("u", u64::MAX)]));
+    assert_eq!(state.finalize_usage(usage(41, &[("t", 8)])), usage(41, &[("t", 7), ("u", u64::MAX)]));
 }
 
 #[test]
 fn a_member_starts_with_a_stored_register() {
-    let member = CoreMember::new(102, 1, stored_register(), 0);
+    let member = Member::new(102, 1, stored_register(), 0);
     assert!(!member.replica().is_blank());
     assert_eq!(*member.replica().register(), stored_register());
     assert_eq!(member.replica().members().to_vec(), [101, 102, 103]);
--- a/control/tests/usage.rs
+++ b/control/tests/usage.rs
@@ -1,37 +1,37 @@
 //! When the counts of a usage window are fixed.
 
-use quillmount_control::{Heard, all_heard, may_fix};
+use quillmount_control::{LastHeard, all_reported, may_finalize};
 
 const SECOND: u64 = 1_000_000;
 
-fn heard(name: &str, at: u64) -> Heard<'_> {
-    Heard { name, at, leaving: false }
+fn heard(name: &str, at: u64) -> LastHeard<'_> {
+    LastHeard { name, at, draining: false }
 }
 
 #[test]
-fn complete_counts_are_fixed_soon_and_others_in_time_for_a_successor() {
-    assert!(!may_fix(0.9, 10.0, true));
-    assert!(may_fix(1.0, 10.0, true));
-    assert!(!may_fix(6.9, 10.0, false));
-    assert!(may_fix(7.0, 10.0, false));
+fn complete_counts_are_finalized_early_and_others_in_time_for_a_successor() {
+    assert!(!may_finalize(0.9, 10.0, true));
+    assert!(may_finalize(1.0, 10.0, true));
+    assert!(!may_finalize(6.9, 10.0, false));
+    assert!(may_finalize(7.0, 10.0, false));
 }
 
 #[test]
-fn a_process_that_fell_silent_is_waited_for_until_it_is_forgotten() {
+fn a_silent_process_is_waited_for_until_it_is_forgotten() {
     let processes = [heard("a", 20 * SECOND), heard("b", 9 * SECOND)];
-    assert!(all_heard(processes.into_iter(), 8 * SECOND, 20 * SECOND));
-    assert!(!all_heard(processes.into_iter(), 10 * SECOND, 20 * SECOND));
-    assert!(all_heard(processes.into_iter(), 10 * SECOND, 21 * SECOND));
+    assert!(all_reported(processes.into_iter(), 8 * SECOND, 20 * SECOND));
+    assert!(!all_reported(processes.into_iter(), 10 * SECOND, 20 * SECOND));
+    assert!(all_reported(processes.into_iter(), 10 * SECOND, 21 * SECOND));
 }
 
 #[test]
-fn the_next_life_of_a_machine_counts_for_it() {
+fn the_next_incarnation_of_a_machine_counts_for_it() {
     let processes = [heard("a", 9 * SECOND), heard("a", 12 * SECOND), heard("a", 3 * SECOND)];
-    assert!(all_heard(processes.into_iter(), 11 * SECOND, 13 * SECOND));
+    assert!(all_reported(processes.into_iter(), 11 * SECOND, 13 * SECOND));
 }
 
 #[test]
 fn a_process_that_stops_is_not_waited_for() {
-    let processes = [Heard { leaving: true, ..heard("a", 9 * SECOND) }];
-    assert!(all_heard(processes.into_iter(), 11 * SECOND, 13 * SECOND));
+    let processes = [LastHeard { draining: true, ..heard("a", 9 * SECOND) }];
+    assert!(all_reported(processes.into_iter(), 11 * SECOND, 13 * SECOND));
 }
--- a/dataplane/src/body.rs
+++ b/dataplane/src/body.rs
@@ -18,7 +18,7 @@
 impl std::error::Error for BodyError {}
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum BodyState {
     /// Bytes left of a body or chunk with a length.
     Length(u64),
     ChunkSize,
@@ -32,28 +32,28 @@
 /// Takes bytes of a connection and gives the bytes of one body.
 #[derive(Clone, Debug)]
 pub struct BodyReader {
-    state: State,
+    state: BodyState,
 }
 
 impl BodyReader {
     pub fn new(framing: Framing) -> BodyReader {
         let state = match framing {
-            Framing::Empty => State::Done,
-            Framing::Length(length) => State::Length(length),
-            Framing::Chunked => State::ChunkSize,
-            Framing::UntilClose => State::UntilClose,
+            Framing::Empty => BodyState::Done,
+            Framing::Length(length) => BodyState::Length(length),
+            Framing::Chunked => BodyState::ChunkSize,
+            Framing::UntilClose => BodyState::UntilClose,
         };
         BodyReader { state }
     }
 
     /// Whether the body is whole.
     pub fn is_done(&self) -> bool {
-        self.state == State::Done
+        self.state == BodyState::Done
     }
 
     /// Whether the end of the connection ends the body.
     pub fn ends_with_connection(&self) -> bool {
-        self.state == State::UntilClose
+        self.state == BodyState::UntilClose
     }
 
     /// Takes what it can from the front of `input`, and appends the body's bytes to `output`.
@@ -68,29 +68,29 @@
         loop {
             let rest = &input[*at..];
             match self.state {
-                State::Done => return Ok(()),
-                State::Length(0) => self.state = State::Done,
-                State::Chunk(0) => self.state = State::ChunkEnd,
+                BodyState::Done => return Ok(()),
+                BodyState::Length(0) => self.state = BodyState::Done,
+                BodyState::Chunk(0) => self.state = BodyState::ChunkEnd,
                 _ if rest.is_empty() => return Ok(()),
-                State::UntilClose => {
+                BodyState::UntilClose => {
                     output.extend_from_slice(rest);
                     *at += rest.len();
                 }
-                State::Length(left) | State::Chunk(left) => {
+                BodyState::Length(left) | BodyState::Chunk(left) => {
                     let taken = (rest.len() as u64).min(left) as usize;
                     output.extend_from_slice(&rest[..taken]);
                     *at += taken;
                     let left = left - taken as u64;
-                    self.state = if matches!(self.state, State::Length(_)) {
-                        State::Length(left)
+                    self.state = if matches!(self.state, BodyState::Length(_)) {
+                        BodyState::Length(left)
                     } else {
-                        State::Chunk(left)
+                        BodyState::Chunk(left)
                     };
                 }
-                State::ChunkSize | State::ChunkEnd | State::Trailer => {
-                    let Some(line) = line(rest)? else { return Ok(()) };
+                BodyState::ChunkSize | BodyState::ChunkEnd | BodyState::Trailer => {
+                    let Some(line) = next_line(rest)? else { return Ok(()) };
                     *at += line.len() + 2;
-                    self.state = after_line(self.state, line)?;
+                    self.state = state_after_line(self.state, line)?;
                 }
             }
         }
@@ -98,7 +98,7 @@
 }
 
 /// The next line without its end, if it is whole.
-fn line(rest: &[u8]) -> Result<Option<&[u8]>, BodyError> {
+fn next_line(rest: &[u8]) -> Result<Option<&[u8]>, BodyError> {
     match rest.windows(2).take(LINE_LIMIT).position(|pair| pair == b"\r\n") {
         Some(end) => Ok(Some(&rest[..end])),
         None if rest.len() > LINE_LIMIT => Err(BodyError),
@@ -106,19 +106,19 @@
     }
 }
 
-fn after_line(state: State, line: &[u8]) -> Result<State, BodyError> {
+fn state_after_line(state: BodyState, line: &[u8]) -> Result<BodyState, BodyError> {
     match state {
-        State::ChunkSize => {
+        BodyState::ChunkSize => {
             let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
             let digits = std::str::from_utf8(digits).map_err(|_| BodyError)?.trim();
             let valid = !digits.is_empty()
                 && digits.len() <= 15
                 && digits.bytes().all(|byte| byte.is_ascii_hexdigit());
             let size = u64::from_str_radix(digits, 16).ok().filter(|_| valid).ok_or(BodyError)?;
-            Ok(if size == 0 { State::Trailer } else { State::Chunk(size) })
+            Ok(if size == 0 { BodyState::Trailer } else { BodyState::Chunk(size) })
         }
-        State::ChunkEnd if line.is_empty() => Ok(State::ChunkSize),
-        State::Trailer => Ok(if line.is_empty() { State::Done } else { State::Trailer }),
+        BodyState::ChunkEnd if line.is_empty() => Ok(BodyState::ChunkSize),
+        BodyState::Trailer => Ok(if line.is_empty() { BodyState::Done } else { BodyState::Trailer }),
         _ => Err(BodyError),
     }
 }
--- a/dataplane/src/dispatch.rs
+++ b/dataplane/src/dispatch.rs
@@ -1,21 +1,21 @@
 //! Endpoints and the choice among them.
 
 use crate::batch_share::BatchShare;
-use crate::demand::Demand;
-use crate::endpoint_state::{EndpointState, READ_TOKENS_PER_MS};
+use crate::endpoint_state::{EndpointState, PREFILL_TOKENS_PER_MS};
 use crate::rank::rank;
+use crate::request_profile::RequestProfile;
 use quillmount_window::{Micros, Parameters};
 use quillmount_wire::messages::Endpoint;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-pub use crate::endpoint_state::CallEnd;
+pub use crate::endpoint_state::CallOutcome;
 
 /// What a request in flight there costs the next one, in milliseconds of its first event.
 const COST_OF_CALL_MS: f64 = 2.0;
 /// What an endpoint of another zone costs, milliseconds.
 const COST_OF_ZONE_MS: f64 = 1.5;
 /// Part of a shared prefix that is taken to be kept where all processes send it first, whoever sent it last.
-const FAVOURITE_KEEPS: f64 = 0.8;
+const PREFERRED_CACHE_FRACTION: f64 = 0.8;
 /// By how much chance may move a choice, milliseconds.
 const SPREAD_MS: f64 = 2.0;
 
@@ -51,7 +51,7 @@
 
 /// A call's hold on an endpoint.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Placement {
+pub struct Reservation {
     pub id: String,
     pub address: String,
     /// Prompt tokens that the endpoint has to read, as far as known.
@@ -60,7 +60,7 @@
 
 /// Why no endpoint was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoPlace {
+pub enum ReserveError {
     /// The service has none that could take it.
     NoEndpoint,
     /// All windows are full, or the endpoints are paused.
@@ -114,84 +114,85 @@
         self.shares.get(&state.endpoint.service).copied().unwrap_or_default().slots
     }
 
-    fn has_room(&self, state: &EndpointState, now: Micros, batch: Option<&BatchShare>) -> bool {
+    fn has_capacity(&self, state: &EndpointState, now: Micros, batch: Option<&BatchShare>) -> bool {
         let window = state.window.size();
-        let most = batch.map_or(window, |batch| window.min(batch.places(&state.endpoint)));
-        let reads = batch.is_none_or(|batch| state.unread_tokens < batch.unread_tokens());
-        state.in_flight < most && reads && now >= state.paused_until
+        let most = batch.map_or(window, |batch| window.min(batch.max_in_flight(&state.endpoint)));
+        let reads = batch.is_none_or(|batch| state.pending_prefill_tokens < batch.pending_prefill_tokens());
+        state.in_flight < most && reads && now >= state.backoff_until
     }
 
     /// Chooses an endpoint and takes a place there; batch work keeps to its share as well as to the window.
-    pub fn place(
+    pub fn reserve(
         &mut self,
         service: &str,
-        demand: &Demand,
+        profile: &RequestProfile,
         batch: Option<&BatchShare>,
         tried: &[String],
         now: Micros,
-    ) -> Result<Placement, NoPlace> {
+    ) -> Result<Reservation, ReserveError> {
         self.calls += 1;
-        let ids = self.by_service.get(service).ok_or(NoPlace::NoEndpoint)?;
+        let ids = self.by_service.get(service).ok_or(ReserveError::NoEndpoint)?;
         let fresh = ids.iter().filter(|id| !tried.contains(id));
         let candidates: Vec<&EndpointState> = fresh.filter_map(|id| self.endpoints.get(id)).collect();
         if candidates.is_empty() {
-            return Err(NoPlace::NoEndpoint);
+            return Err(ReserveError::NoEndpoint);
         }
-        let favourite = demand.affinity().and_then(|part| {
+        let preferred = profile.affinity().and_then(|segment| {
             candidates
                 .iter()
-                .max_by_key(|state| rank(part, &state.endpoint.id))
+                .max_by_key(|state| rank(segment, &state.endpoint.id))
                 .map(|state| state.endpoint.id.clone())
         });
-        let open = candidates.iter().filter(|state| self.has_room(state, now, batch));
+        let open = candidates.iter().filter(|state| self.has_capacity(state, now, batch));
         let best = open
-            .map(|state| (self.cost(state, demand, favourite.as_deref()), state))
+            .map(|state| (self.cost(state, profile, preferred.as_deref()), state))
             .min_by(|(one, _), (other, _)| one.total_cmp(other))
-            .map(|(_, state)| (state.endpoint.id.clone(), state.uncached_tokens(demand)));
-        let Some((id, uncached_tokens)) = best else { return Err(NoPlace::Busy) };
-        let state = self.endpoints.get_mut(&id).ok_or(NoPlace::NoEndpoint)?;
-        state.begin(demand, uncached_tokens);
-        Ok(Placement { id, address: state.endpoint.address.clone(), uncached_tokens })
+            .map(|(_, state)| (state.endpoint.id.clone(), state.uncached_tokens(profile)));
+        let Some((id, uncached_tokens)) = best else { return Err(ReserveError::Busy) };
+        let state = self.endpoints.get_mut(&id).ok_or(ReserveError::NoEndpoint)?;
+        state.begin(profile, uncached_tokens);
+        Ok(Reservation { id, address: state.endpoint.address.clone(), uncached_tokens })
     }
 
     /// Expected time to the first event there, milliseconds.
-    fn cost(&self, state: &EndpointState, demand: &Demand, favourite: Option<&str>) -> f64 {
-        let mut tokens = state.uncached_tokens(demand);
-        if favourite == Some(state.endpoint.id.as_str()) {
+    fn cost(&self, state: &EndpointState, profile: &RequestProfile, preferred: Option<&str>) -> f64 {
+        let mut tokens = state.uncached_tokens(profile);
+        if preferred == Some(state.endpoint.id.as_str()) {
             // The others send such requests there too.
-            let shared: f64 = demand.shared().iter().map(|part| f64::from(part.tokens)).sum();
-            tokens = tokens.min(f64::from(demand.tokens()) - shared * FAVOURITE_KEEPS);
+            let shared: f64 = profile.shared().iter().map(|segment| f64::from(segment.tokens)).sum();
+            tokens = tokens.min(f64::from(profile.tokens()) - shared * PREFERRED_CACHE_FRACTION);
         }
-        let reading = (state.unread_tokens + tokens) / READ_TOKENS_PER_MS;
+        let prefill_time = (state.pending_prefill_tokens + tokens) / PREFILL_TOKENS_PER_MS;
         let zone = if state.endpoint.zone == self.zone { 0.0 } else { COST_OF_ZONE_MS };
         let load = f64::from(state.in_flight) * COST_OF_CALL_MS;
-        let cold = if state.endpoint.cold_left_ms > 0.0 { COST_OF_CALL_MS } else { 0.0 };
+        let warm_up = if state.endpoint.warmup_left_ms > 0.0 { COST_OF_CALL_MS } else { 0.0 };
         let draw = rank(self.seed.wrapping_add(self.calls), &state.endpoint.id) % 1000;
         let spread = draw as f64 / 1000.0 * SPREAD_MS;
-        reading + zone + load + cold + spread
+        prefill_time + zone + load + warm_up + spread
     }
 
     /// The endpoint has sent its first event: its prompt is read.
-    pub fn first_event(&mut self, placement: &Placement) {
-        if let Some(state) = self.endpoints.get_mut(&placement.id) {
-            state.unread_tokens = (state.unread_tokens - placement.uncached_tokens).max(0.0);
+    pub fn first_event(&mut self, reservation: &Reservation) {
+        if let Some(state) = self.endpoints.get_mut(&reservation.id) {
+            state.pending_prefill_tokens =
+                (state.pending_prefill_tokens - reservation.uncached_tokens).max(0.0);
         }
     }
 
     /// Ends a call. `begun`: [`Dispatcher::first_event`] was told before.
-    pub fn finish(&mut self, placement: &Placement, end: CallEnd, begun: bool, now: Micros) {
+    pub fn finish(&mut self, reservation: &Reservation, end: CallOutcome, begun: bool, now: Micros) {
         if !begun {
-            self.first_event(placement);
+            self.first_event(reservation);
         }
-        let Some(state) = self.endpoints.get(&placement.id) else { return };
+        let Some(state) = self.endpoints.get(&reservation.id) else { return };
         let slots = self.slots_of(state);
-        if end == CallEnd::Replaced
+        if end == CallOutcome::Replaced
             && let Some(ids) = self.by_service.get_mut(&state.endpoint.service)
         {
-            ids.retain(|id| *id != placement.id);
+            ids.retain(|id| *id != reservation.id);
         }
-        let Some(state) = self.endpoints.get_mut(&placement.id) else { return };
-        state.end(end, placement.uncached_tokens, slots, now);
+        let Some(state) = self.endpoints.get_mut(&reservation.id) else { return };
+        state.end(end, reservation.uncached_tokens, slots, now);
     }
 
     /// Places of all endpoints of a service that may be sent to.
--- a/dataplane/src/events.rs
+++ b/dataplane/src/events.rs
@@ -5,7 +5,7 @@
 
 /// A whole event.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Event {
+pub struct SseEvent {
     /// Its bytes as they came, the empty line included.
     pub raw: Vec<u8>,
     pub id: Option<u64>,
@@ -31,7 +31,7 @@
     }
 
     /// The next whole event.
-    pub fn next_event(&mut self) -> Result<Option<Event>, EventTooLong> {
+    pub fn next_event(&mut self) -> Result<Option<SseEvent>, EventTooLong> {
         let Some(end) = self.event_end() else {
             self.searched = self.pending.len().saturating_sub(3);
             return if self.pending.len() > EVENT_LIMIT { Err(EventTooLong) } else { Ok(None) };
@@ -62,7 +62,7 @@
     }
 }
 
-fn parse(raw: Vec<u8>) -> Event {
+fn parse(raw: Vec<u8>) -> SseEvent {
     let text = String::from_utf8_lossy(&raw);
     let mut id = None;
     let mut data: Option<String> = None;
@@ -81,5 +81,5 @@
             _ => {}
         }
     }
-    Event { raw, id, data }
+    SseEvent { raw, id, data }
 }
--- a/dataplane/src/head.rs
+++ b/dataplane/src/head.rs
@@ -55,7 +55,7 @@
 
     /// Whether a list header holds a word.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
-        self.all(name).flat_map(|value| value.split(',')).any(|word| word.trim().eq_ignore_ascii_case(token))
+        self.all(name).flat_map(|value| value.split(',')).any(|item| item.trim().eq_ignore_ascii_case(token))
     }
 
     fn framing(&self, rest: Framing) -> Result<Framing, HeadError> {
--- a/dataplane/src/lib.rs
+++ b/dataplane/src/lib.rs
@@ -3,11 +3,11 @@
 
 pub mod batch_share;
 pub mod body;
-pub mod demand;
 pub mod dispatch;
 mod endpoint_state;
 pub mod events;
 pub mod head;
 pub mod prefix_cache;
 mod rank;
+pub mod request_profile;
 pub mod routes;
--- a/dataplane/src/prefix_cache.rs
+++ b/dataplane/src/prefix_cache.rs
@@ -3,17 +3,17 @@
 //! An endpoint drops the parts that were unused longest. All processes send there at about the same rate, so what was sent
 //! from here is kept while the tokens sent from here since are fewer than this process's share of the endpoint's memory.
 
-use crate::demand::PromptPart;
+use crate::request_profile::PromptSegment;
 use std::collections::{BTreeMap, HashMap};
 
 /// Parts remembered at most, whatever the capacity.
-const PARTS_LIMIT: usize = 4096;
+const SEGMENTS_LIMIT: usize = 4096;
 
 #[derive(Clone, Copy, Debug)]
-struct Kept {
+struct CachedSegment {
     tokens: u32,
     /// Number of its last use.
-    used: u64,
+    last_use: u64,
 }
 
 /// Parts in the order of their last use.
@@ -21,9 +21,9 @@
 pub struct PrefixCache {
     /// Tokens.
     capacity: u64,
-    held: u64,
-    uses: u64,
-    parts: HashMap<u64, Kept>,
+    used_tokens: u64,
+    use_counter: u64,
+    segments: HashMap<u64, CachedSegment>,
     order: BTreeMap<u64, u64>,
 }
 
@@ -35,44 +35,44 @@
     /// Changes the capacity, tokens; what no longer fits is forgotten.
     pub fn resize(&mut self, capacity: u64) {
         self.capacity = capacity;
-        self.forget_excess();
+        self.evict_excess();
     }
 
     /// Tokens that need not be read again: a part counts only if all before it are kept.
-    pub fn kept_tokens(&self, parts: &[PromptPart]) -> u32 {
-        parts
+    pub fn cached_tokens(&self, segments: &[PromptSegment]) -> u32 {
+        segments
             .iter()
-            .take_while(|part| self.parts.contains_key(&part.id))
-            .map(|part| part.tokens)
+            .take_while(|segment| self.segments.contains_key(&segment.id))
+            .map(|segment| segment.tokens)
             .fold(0, u32::saturating_add)
     }
 
     /// A prompt of these parts was sent.
-    pub fn record(&mut self, parts: &[PromptPart]) {
-        for part in parts {
-            self.uses += 1;
-            let kept = Kept { tokens: part.tokens, used: self.uses };
-            if let Some(before) = self.parts.insert(part.id, kept) {
-                self.held -= u64::from(before.tokens);
-                self.order.remove(&before.used);
+    pub fn record(&mut self, segments: &[PromptSegment]) {
+        for segment in segments {
+            self.use_counter += 1;
+            let cached = CachedSegment { tokens: segment.tokens, last_use: self.use_counter };
+            if let Some(before) = self.segments.insert(segment.id, cached) {
+                self.used_tokens -= u64::from(before.tokens);
+                self.order.remove(&before.last_use);
             }
-            self.held += u64::from(part.tokens);
-            self.order.insert(self.uses, part.id);
+            self.used_tokens += u64::from(segment.tokens);
+            self.order.insert(self.use_counter, segment.id);
         }
-        self.forget_excess();
+        self.evict_excess();
     }
 
     /// The endpoint may have lost all.
     pub fn clear(&mut self) {
-        *self = PrefixCache { uses: self.uses, ..PrefixCache::new(self.capacity) };
+        *self = PrefixCache { use_counter: self.use_counter, ..PrefixCache::new(self.capacity) };
     }
 
-    fn forget_excess(&mut self) {
-        while (self.held > self.capacity || self.parts.len() > PARTS_LIMIT)
+    fn evict_excess(&mut self) {
+        while (self.used_tokens > self.capacity || self.segments.len() > SEGMENTS_LIMIT)
             && let Some((_, id)) = self.order.pop_first()
         {
-            if let Some(kept) = self.parts.remove(&id) {
-                self.held -= u64::from(kept.tokens);
+            if let Some(cached) = self.segments.remove(&id) {
+                self.used_tokens -= u64::from(cached.tokens);
             }
         }
     }
--- a/dataplane/src/routes.rs
+++ b/dataplane/src/routes.rs
@@ -27,7 +27,7 @@
     pub route: Route,
     pub mode: Mode,
     pub resumable: bool,
-    pub tries: u32,
+    pub max_attempts: u32,
     pub priority: i64,
 }
 
@@ -42,7 +42,7 @@
     }
 
     /// The service for a request, chosen by weight; `draw` is in 0..1.
-    pub fn service(&self, draw: f64) -> Option<&str> {
+    pub fn pick_service(&self, draw: f64) -> Option<&str> {
         let shares = self.route.services();
         let total: f64 = shares.iter().map(|(_, weight)| weight).sum();
         let mut left = draw * total;
@@ -74,7 +74,7 @@
     names: HashMap<String, Rc<CompiledRoute>>,
     keys: HashMap<String, Rc<str>>,
     priorities: HashMap<Rc<str>, i64>,
-    guarded: bool,
+    requires_key: bool,
     pub services: HashMap<String, Service>,
 }
 
@@ -91,7 +91,7 @@
     CompiledRoute {
         mode: mode_of(route),
         resumable: route.resumable.unwrap_or(false),
-        tries: route.tries.unwrap_or(1).clamp(1, 16) as u32,
+        max_attempts: route.max_attempts.unwrap_or(1).clamp(1, 16) as u32,
         priority: route.priority.unwrap_or(0),
         route: route.clone(),
     }
@@ -108,7 +108,7 @@
         let mut table = RouteTable {
             version: configuration.version,
             limits: configuration.limits.clone().unwrap_or_default(),
-            guarded: configuration.tenants.is_some(),
+            requires_key: configuration.tenants.is_some(),
             ..RouteTable::default()
         };
         for route in &configuration.routes {
@@ -157,7 +157,7 @@
         let tenant = key.and_then(|key| self.keys.get(key));
         match tenant {
             Some(tenant) => Access::Tenant(tenant.clone()),
-            None if public || !self.guarded => Access::Anonymous,
+            None if public || !self.requires_key => Access::Anonymous,
             None => Access::Denied,
         }
     }
--- a/dataplane/tests/codecs.rs
+++ b/dataplane/tests/codecs.rs
@@ -43,15 +43,15 @@
 }
 
 #[test]
-fn bodies_in_chunks_are_read_in_any_pieces() {
-    fn same(chunks: Vec<Vec<u8>>, piece: usize) -> bool {
+fn chunked_bodies_are_read_in_reads_of_any_size() {
+    fn same(chunks: Vec<Vec<u8>>, chunk_size: usize) -> bool {
         let mut wire = Vec::new();
         chunks.iter().for_each(|chunk| write_chunk(chunk, &mut wire));
         wire.extend_from_slice(LAST_CHUNK);
         wire.extend_from_slice(b"next");
         let (mut reader, mut input, mut output) = (BodyReader::new(Framing::Chunked), Vec::new(), Vec::new());
-        for piece in wire.chunks(piece % 7 + 1) {
-            input.extend_from_slice(piece);
+        for chunk_size in wire.chunks(chunk_size % 7 + 1) {
+            input.extend_from_slice(chunk_size);
             reader.read(&mut input, &mut output).unwrap();
         }
         reader.is_done() && output == chunks.concat() && input == b"next"
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn chunks_that_are_none_are_refused() {
+fn malformed_chunks_are_refused() {
     for wire in ["zz\r\n", "-1\r\n", "\r\n", "ffffffffffffffffff\r\n", "3\r\nabcX\r\n"] {
         let mut reader = BodyReader::new(Framing::Chunked);
         let (mut input, mut output) = (wire.as_bytes().to_vec(), Vec::new());
@@ -86,19 +86,19 @@
 }
 
 #[test]
-fn events_come_whole_however_they_are_cut() {
+fn events_are_complete_however_they_are_split() {
     let stream = b"id: 1\ndata: one\n\nversions: 3\nid: 2\ndata: two\ndata: lines\n\n: comment\r\n\r\nid: 3\ndata:x\n\nid: 4\nda";
-    for piece in 1..stream.len() {
+    for chunk_size in 1..stream.len() {
         let mut reader = EventReader::default();
         let mut events = Vec::new();
-        for bytes in stream.chunks(piece) {
+        for bytes in stream.chunks(chunk_size) {
             reader.add(bytes);
             while let Some(event) = reader.next_event().unwrap() {
                 events.push(event);
             }
         }
         let ids: Vec<Option<u64>> = events.iter().map(|event| event.id).collect();
-        assert_eq!(ids, [Some(1), Some(2), None, Some(3)], "pieces of {piece}");
+        assert_eq!(ids, [Some(1), Some(2), None, Some(3)], "pieces of {chunk_size}");
         assert_eq!(events[1].data.as_deref(), Some("two\nlines"));
         assert_eq!(events[3].data.as_deref(), Some("x"));
         assert_eq!(reader.remainder(), "id: 4\nda".len());
--- a/node/src/clock.rs
+++ b/node/src/clock.rs
@@ -20,6 +20,6 @@
 }
 
 /// A number that nobody can guess; 1 or more.
-pub fn draw() -> u64 {
+pub fn random_id() -> u64 {
     getrandom::u64().unwrap_or_else(|_| micros()).max(1)
 }
--- a/node/src/commands.rs
+++ b/node/src/commands.rs
@@ -1,6 +1,6 @@
 //! The command line.
 
-use crate::{core, edge, store};
+use crate::{control_member, edge, store};
 use argh::FromArgs;
 use miette::IntoDiagnostic;
 use quillmount_wire::configuration::Configuration;
@@ -90,7 +90,7 @@
         }
         Command::Check(check) => run_check(&check),
         Command::Inspect(inspect) => {
-            core::inspect::print(std::path::Path::new(&inspect.folder)).into_diagnostic()
+            control_member::inspect::print(std::path::Path::new(&inspect.folder)).into_diagnostic()
         }
         Command::Version(Version {}) => {
             println!("quillmount-node {}", env!("CARGO_PKG_VERSION"));
--- a/node/src/control_member/directory.rs
+++ b/node/src/control_member/directory.rs
@@ -1,6 +1,6 @@
 //! The platform's list of endpoints, read by the primary of the core.
 
-use super::register::Core;
+use super::register::ControlMember;
 use crate::clock;
 use crate::http;
 use crate::node::Node;
@@ -10,24 +10,24 @@
 use std::time::Duration;
 
 /// Pause between two readings.
-const PAUSE: Duration = Duration::from_millis(600);
+const READ_INTERVAL: Duration = Duration::from_millis(600);
 /// Pause after a reading that failed.
-const RETRY: Duration = Duration::from_millis(250);
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 /// A page without an answer for so long has failed.
-const PAGE_TIME: Duration = Duration::from_millis(1000);
+const PAGE_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Pages of one reading at most.
 const PAGE_LIMIT: usize = 1000;
 
 #[derive(Deserialize)]
 struct Page {
     #[serde(rename = "Endpoints")]
-    endpoints: Vec<Listed>,
+    endpoints: Vec<ListedEndpoint>,
     #[serde(rename = "NextCursor")]
     next: Option<String>,
 }
 
 #[derive(Deserialize)]
-struct Listed {
+struct ListedEndpoint {
     #[serde(rename = "Id")]
     id: String,
     #[serde(rename = "Backend")]
@@ -41,7 +41,7 @@
     #[serde(rename = "Phase")]
     phase: Option<String>,
     #[serde(rename = "ColdLeftMs")]
-    cold_left_ms: Option<f64>,
+    warmup_left_ms: Option<f64>,
     #[serde(rename = "Models")]
     models: Option<Vec<ListedModel>>,
 }
@@ -54,8 +54,8 @@
     generation: Option<f64>,
 }
 
-impl From<Listed> for Endpoint {
-    fn from(listed: Listed) -> Endpoint {
+impl From<ListedEndpoint> for Endpoint {
+    fn from(listed: ListedEndpoint) -> Endpoint {
         let model = |model: ListedModel| (model.name, model.generation.unwrap_or(0.0) as u64);
         Endpoint {
             id: listed.id,
@@ -64,7 +64,7 @@
             zone: listed.zone.unwrap_or_default(),
             capacity: listed.capacity.unwrap_or(1.0) as u32,
             draining: listed.phase.as_deref() != Some("up"),
-            cold_left_ms: listed.cold_left_ms.unwrap_or(0.0),
+            warmup_left_ms: listed.warmup_left_ms.unwrap_or(0.0),
             models: listed.models.into_iter().flatten().map(model).collect(),
         }
     }
@@ -76,7 +76,7 @@
     let mut list = Vec::new();
     let mut target = "/endpoints".to_owned();
     for _ in 0..PAGE_LIMIT {
-        let (status, body) = http::call(address, "GET", &target, &[], &[], PAGE_TIME).await?;
+        let (status, body) = http::call(address, "GET", &target, &[], &[], PAGE_TIMEOUT).await?;
         if status != 200 {
             return None;
         }
@@ -94,10 +94,10 @@
 }
 
 /// Reads the list for as long as the process lives, whenever this member is primary.
-pub async fn run(core: Rc<Core>) {
+pub async fn run(core: Rc<ControlMember>) {
     loop {
         let Some(epoch) = core.serving() else {
-            tokio::time::sleep(RETRY / 10).await;
+            tokio::time::sleep(RETRY_DELAY / 10).await;
             continue;
         };
         let began = clock::micros();
@@ -106,17 +106,17 @@
             continue;
         }
         let Some(list) = list else {
-            tokio::time::sleep(RETRY).await;
+            tokio::time::sleep(RETRY_DELAY).await;
             continue;
         };
         publish(&core, list);
         let spent = Duration::from_micros(clock::micros().saturating_sub(began));
-        tokio::time::sleep(PAUSE.saturating_sub(spent)).await;
+        tokio::time::sleep(READ_INTERVAL.saturating_sub(spent)).await;
     }
 }
 
-fn publish(core: &Core, list: Vec<Endpoint>) {
-    if core.directory.borrow_mut().read(list) {
-        core.news.notify_waiters();
+fn publish(core: &ControlMember, list: Vec<Endpoint>) {
+    if core.directory.borrow_mut().replace(list) {
+        core.changed.notify_waiters();
     }
 }
--- a/node/src/control_member/inspect.rs
+++ b/node/src/control_member/inspect.rs
@@ -2,13 +2,13 @@
 
 use quillmount_batch::StoreRecord;
 use quillmount_control::ControlState;
-use quillmount_storage::{StorageError, inspect};
+use quillmount_storage::{StorageError, read_records};
 use quillmount_wire::messages::{Register, decode};
 use std::path::Path;
 
 /// Prints what the records of a folder hold, a line each.
 pub fn print(folder: &Path) -> Result<(), StorageError> {
-    for record in inspect(folder)? {
+    for record in read_records(folder)? {
         println!("segment {}: {}", record.segment, describe(&record.body));
     }
     Ok(())
@@ -41,11 +41,14 @@
                 dropped.len()
             )
         }
-        Ok(StoreRecord::Reign { shard, epoch }) => format!("shard {shard} epoch {epoch}: primary"),
-        Ok(StoreRecord::Whole { shard, epoch, led, jobs, next }) => {
-            format!("shard {shard} epoch {epoch}: whole with {} jobs, next {next}, led in {led}", jobs.len())
+        Ok(StoreRecord::TermStart { shard, epoch }) => format!("shard {shard} epoch {epoch}: primary"),
+        Ok(StoreRecord::RewriteEnd { shard, epoch, last_primary_epoch, jobs, next }) => {
+            format!(
+                "shard {shard} epoch {epoch}: whole with {} jobs, next {next}, led in {last_primary_epoch}",
+                jobs.len()
+            )
         }
-        Ok(StoreRecord::Marker) => "a rewrite of all shards begins".to_owned(),
+        Ok(StoreRecord::RewriteStart) => "a rewrite of all shards begins".to_owned(),
         Err(error) => format!("{} bytes that are no record of this version: {error}", body.len()),
     }
 }
--- a/node/src/control_member/leases.rs
+++ b/node/src/control_member/leases.rs
@@ -1,12 +1,12 @@
 //! Leases of couriers and stores at the primary of the core, and what came with them.
 
 use crate::clock;
-use quillmount_control::{Heard, all_heard};
+use quillmount_control::{LastHeard, all_reported};
 use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, Poll, ServiceLoad, ShardReport, UsageWindow};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A process that has not polled for so long has lost its lease, microseconds.
-const LEASE: u64 = 1_100_000;
+const LEASE_DURATION: u64 = 1_100_000;
 /// Leases at most.
 const LEASE_LIMIT: usize = 4096;
 /// Couriers named as relays.
@@ -14,12 +14,12 @@
 /// Usage windows kept.
 const WINDOW_LIMIT: usize = 16;
 /// Shard reports are used for so long, microseconds.
-const REPORT_LIFE: u64 = 600_000;
+const REPORT_TTL: u64 = 600_000;
 
 struct Lease {
     node: NodeInfo,
     renewed: u64,
-    leaving: bool,
+    draining: bool,
     reports: Vec<ShardReport>,
     demand: Vec<(String, f64)>,
     items: Vec<(String, u32)>,
@@ -32,7 +32,7 @@
 #[derive(Default)]
 pub struct Leases {
     leases: HashMap<DiskId, Lease>,
-    /// By window, then by the process's life.
+    /// By window, then by the process's incarnation.
     usage: BTreeMap<u64, HashMap<u64, Counts>>,
 }
 
@@ -41,12 +41,12 @@
     pub fn renew(&mut self, poll: &Poll) {
         let now = clock::micros();
         if self.leases.len() >= LEASE_LIMIT {
-            self.leases.retain(|_, lease| now.saturating_sub(lease.renewed) < LEASE);
+            self.leases.retain(|_, lease| now.saturating_sub(lease.renewed) < LEASE_DURATION);
         }
         let lease = Lease {
             node: poll.node.clone(),
             renewed: now,
-            leaving: poll.leaving,
+            draining: poll.draining,
             reports: poll.shards.clone(),
             demand: poll.demand.clone(),
             items: poll.items.clone(),
@@ -54,7 +54,7 @@
         self.leases.insert(poll.node.disk, lease);
         for UsageWindow { window, counts } in &poll.usage {
             let counts = counts.iter().cloned().collect();
-            self.usage.entry(*window).or_default().insert(poll.life, counts);
+            self.usage.entry(*window).or_default().insert(poll.incarnation, counts);
         }
         while self.usage.len() > WINDOW_LIMIT {
             self.usage.pop_first();
@@ -63,12 +63,12 @@
 
     fn live(&self) -> impl Iterator<Item = &Lease> {
         let now = clock::micros();
-        self.leases.values().filter(move |lease| now.saturating_sub(lease.renewed) < LEASE)
+        self.leases.values().filter(move |lease| now.saturating_sub(lease.renewed) < LEASE_DURATION)
     }
 
     /// Processes alive.
     pub fn senders(&self) -> u32 {
-        self.live().filter(|lease| !lease.leaving).count() as u32
+        self.live().filter(|lease| !lease.draining).count() as u32
     }
 
     /// Places that all live processes need at once at a service's endpoints.
@@ -83,7 +83,7 @@
         for lease in self.live() {
             if lease.node.role != NodeRole::Store {
                 for (service, places) in &lease.demand {
-                    loads.entry(service).or_default().live_places += places;
+                    loads.entry(service).or_default().live_demand += places;
                 }
             }
             for (service, items) in &lease.items {
@@ -98,7 +98,7 @@
     /// Some couriers without a disk, of every zone in turn.
     pub fn relays(&self) -> Vec<String> {
         let mut zones: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
-        let couriers = self.live().filter(|lease| lease.node.role == NodeRole::Courier && !lease.leaving);
+        let couriers = self.live().filter(|lease| lease.node.role == NodeRole::Courier && !lease.draining);
         for lease in couriers {
             zones.entry(&lease.node.zone).or_default().push(&lease.node.internal);
         }
@@ -113,28 +113,31 @@
     }
 
     /// Stores about to stop.
-    pub fn leaving_stores(&self) -> BTreeSet<DiskId> {
-        self.live().filter(|lease| lease.leaving).map(|lease| lease.node.disk).collect()
+    pub fn draining_stores(&self) -> BTreeSet<DiskId> {
+        self.live().filter(|lease| lease.draining).map(|lease| lease.node.disk).collect()
     }
 
     /// What primaries of shards reported lately.
     pub fn reports(&self) -> Vec<ShardReport> {
         let now = clock::micros();
-        let recent = self.leases.values().filter(|lease| now.saturating_sub(lease.renewed) < REPORT_LIFE);
+        let recent = self.leases.values().filter(|lease| now.saturating_sub(lease.renewed) < REPORT_TTL);
         recent.flat_map(|lease| lease.reports.iter().cloned()).collect()
     }
 
     /// Whether every process that counts requests has polled since a moment of the steady clock.
     pub fn all_heard_since(&self, since: u64) -> bool {
         let couriers = self.leases.values().filter(|lease| lease.node.role != NodeRole::Store);
-        let heard =
-            couriers.map(|lease| Heard { name: &lease.node.name, at: lease.renewed, leaving: lease.leaving });
-        all_heard(heard, since, clock::micros())
+        let heard = couriers.map(|lease| LastHeard {
+            name: &lease.node.name,
+            at: lease.renewed,
+            draining: lease.draining,
+        });
+        all_reported(heard, since, clock::micros())
     }
 
     /// Whether a process has polled since a moment of the steady clock, or is stopping.
     pub fn heard_since(&self, disk: DiskId, since: u64) -> bool {
-        self.leases.get(&disk).is_some_and(|lease| lease.leaving || lease.renewed >= since)
+        self.leases.get(&disk).is_some_and(|lease| lease.draining || lease.renewed >= since)
     }
 
     /// Requests that began in a window, as far as told.
--- a/node/src/control_member/mod.rs
+++ b/node/src/control_member/mod.rs
@@ -2,7 +2,6 @@
 
 pub mod bootstrap;
 pub mod directory;
-pub mod duties;
 pub mod inspect;
 pub mod leases;
 pub mod operator;
@@ -10,5 +9,6 @@
 pub mod register;
 pub mod scaling;
 pub mod seeds;
+pub mod singletons;
 
-pub use register::Core;
+pub use register::ControlMember;
--- a/node/src/control_member/scaling.rs
+++ b/node/src/control_member/scaling.rs
@@ -1,7 +1,7 @@
 //! Orders endpoints as the demand of couriers and stores asks for.
 
-use super::duties::{duty_call, may_act};
-use super::register::Core;
+use super::register::ControlMember;
+use super::singletons::{may_act, singleton_call};
 use crate::clock;
 use miniserde::{Serialize, json};
 use quillmount_control::Scaler;
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 /// Pause between two looks at the demand.
-const PAUSE: Duration = Duration::from_millis(500);
-/// The name of this duty in the settings.
-const DUTY: &str = "autoscaler";
+const SCALE_INTERVAL: Duration = Duration::from_millis(500);
+/// The name of this role in the settings.
+const ROLE: &str = "autoscaler";
 
 #[derive(Serialize)]
 struct ScaleBody {
@@ -27,21 +27,21 @@
 
 /// What this holder knows and has ordered in one epoch.
 #[derive(Default)]
-struct Orders {
+struct ScaleOrders {
     epoch: u64,
     scalers: HashMap<String, Scaler>,
     /// By service and zone.
     ordered: HashMap<(String, String), u32>,
 }
 
-/// Follows the demand whenever this member holds the duty.
-pub async fn run(core: Rc<Core>) {
-    let mut orders = Orders::default();
+/// Follows the demand whenever this member holds the role.
+pub async fn run(core: Rc<ControlMember>) {
+    let mut orders = ScaleOrders::default();
     loop {
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(SCALE_INTERVAL).await;
         let Some(epoch) = core.serving() else { continue };
         if orders.epoch != epoch {
-            orders = Orders { epoch, ..Orders::default() };
+            orders = ScaleOrders { epoch, ..ScaleOrders::default() };
         }
         let configuration = core.committed().and_then(|state| Configuration::read(&state.configuration).ok());
         let Some(configuration) = configuration else { continue };
@@ -52,7 +52,7 @@
 }
 
 /// Endpoints of a service that are up, by zone, and the places of one.
-fn count(core: &Core, service: &str) -> (BTreeMap<String, u32>, f64) {
+fn count_endpoints(core: &ControlMember, service: &str) -> (BTreeMap<String, u32>, f64) {
     let mut zones: BTreeMap<String, u32> = BTreeMap::new();
     let mut capacity = 1.0;
     for endpoint in core.directory.borrow().list().iter() {
@@ -64,16 +64,16 @@
     (zones, capacity)
 }
 
-async fn scale(core: &Rc<Core>, orders: &mut Orders, service: &Service) {
+async fn scale(core: &Rc<ControlMember>, orders: &mut ScaleOrders, service: &Service) {
     let Some(bounds) = &service.autoscale else { return };
-    let (zones, capacity) = count(core, &service.name);
+    let (zones, capacity) = count_endpoints(core, &service.name);
     if zones.is_empty() {
         return;
     }
     let demand = core.leases.borrow().demand(&service.name);
     let scaler = orders.scalers.entry(service.name.clone()).or_default();
     let desired = scaler.desired(clock::micros(), demand, capacity, zones.len(), bounds);
-    if !may_act(core, orders.epoch, DUTY) {
+    if !may_act(core, orders.epoch, ROLE) {
         return;
     }
     for (zone, up) in zones {
@@ -83,7 +83,7 @@
             continue;
         }
         let body = ScaleBody { service: service.name.clone(), zone, desired };
-        let status = duty_call(core, orders.epoch, "/scale", json::to_string(&body)).await;
+        let status = singleton_call(core, orders.epoch, "/scale", json::to_string(&body)).await;
         if status == Some(200) {
             orders.ordered.insert(subject, desired);
         }
--- a/node/src/disk.rs
+++ b/node/src/disk.rs
@@ -1,6 +1,6 @@
 //! A thread that writes records to a ring and syncs them, many at a time.
 
-use quillmount_storage::{Record, Ring, RingSize, StorageError};
+use quillmount_storage::{Ring, RingRecord, RingSize, StorageError};
 use std::path::Path;
 use std::sync::mpsc;
 use tokio::sync::oneshot;
@@ -13,7 +13,7 @@
     pub free: usize,
 }
 
-enum DiskJob {
+enum DiskCommand {
     Append {
         body: Vec<u8>,
         done: oneshot::Sender<Result<Written, StorageError>>,
@@ -25,7 +25,7 @@
 /// Handle of the thread.
 #[derive(Clone)]
 pub struct DiskWriter {
-    jobs: mpsc::Sender<DiskJob>,
+    commands: mpsc::Sender<DiskCommand>,
 }
 
 /// Records synced together at most.
@@ -33,37 +33,37 @@
 
 impl DiskWriter {
     /// Opens the ring of a folder and starts its thread; returns what the ring holds.
-    pub fn open(folder: &Path, size: RingSize) -> Result<(DiskWriter, Vec<Record>), StorageError> {
-        let (ring, records) = Ring::open(folder, size, crate::clock::draw())?;
-        let (jobs, queue) = mpsc::channel();
-        std::thread::Builder::new().name("disk".to_owned()).spawn(move || write_all(ring, &queue))?;
-        Ok((DiskWriter { jobs }, records))
+    pub fn open(folder: &Path, size: RingSize) -> Result<(DiskWriter, Vec<RingRecord>), StorageError> {
+        let (ring, records) = Ring::open(folder, size, crate::clock::random_id())?;
+        let (commands, queue) = mpsc::channel();
+        std::thread::Builder::new().name("disk".to_owned()).spawn(move || run_writer(ring, &queue))?;
+        Ok((DiskWriter { commands }, records))
     }
 
     /// Appends a record; the receiver is told once it is synced. Records keep the order of the calls.
     pub fn append(&self, body: Vec<u8>) -> oneshot::Receiver<Result<Written, StorageError>> {
         let (done, receiver) = oneshot::channel();
         // A thread that has ended drops the sender: the receiver then tells a loss.
-        let _ = self.jobs.send(DiskJob::Append { body, done });
+        let _ = self.commands.send(DiskCommand::Append { body, done });
         receiver
     }
 
     /// Frees the segments before `segment`, in the order of the calls.
     pub fn release(&self, segment: u64) {
-        let _ = self.jobs.send(DiskJob::Release(segment));
+        let _ = self.commands.send(DiskCommand::Release(segment));
     }
 }
 
-type Waiting = (Written, oneshot::Sender<Result<Written, StorageError>>);
+type PendingAppend = (Written, oneshot::Sender<Result<Written, StorageError>>);
 
-fn write_all(mut ring: Ring, queue: &mpsc::Receiver<DiskJob>) {
+fn run_writer(mut ring: Ring, queue: &mpsc::Receiver<DiskCommand>) {
     while let Ok(first) = queue.recv() {
-        let mut waiting: Vec<Waiting> = Vec::new();
-        take(&mut ring, first, &mut waiting);
+        let mut waiting: Vec<PendingAppend> = Vec::new();
+        execute(&mut ring, first, &mut waiting);
         while waiting.len() < GROUP_LIMIT
             && let Ok(next) = queue.try_recv()
         {
-            take(&mut ring, next, &mut waiting);
+            execute(&mut ring, next, &mut waiting);
         }
         if waiting.is_empty() {
             continue;
@@ -79,10 +79,10 @@
     }
 }
 
-fn take(ring: &mut Ring, job: DiskJob, waiting: &mut Vec<Waiting>) {
-    match job {
-        DiskJob::Release(segment) => ring.release(segment),
-        DiskJob::Append { body, done } => match ring.append(&body) {
+fn execute(ring: &mut Ring, command: DiskCommand, waiting: &mut Vec<PendingAppend>) {
+    match command {
+        DiskCommand::Release(segment) => ring.release(segment),
+        DiskCommand::Append { body, done } => match ring.append(&body) {
             Ok(segment) => waiting.push((Written { segment, free: ring.free() }, done)),
             Err(error) => {
                 let _ = done.send(Err(error));
--- a/node/src/edge/connection.rs
+++ b/node/src/edge/connection.rs
@@ -2,8 +2,8 @@
 
 use super::{batch_api, forward};
 use crate::clock;
-use crate::http::{Answer, Connection, Request};
-use crate::node::{Node, Snapshot};
+use crate::http::{Connection, HttpRequest, HttpResponse};
+use crate::node::{Node, TableSnapshot};
 use quillmount_dataplane::routes::{Access, Mode};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 use tokio::sync::Notify;
 
 /// Descriptors kept for endpoints, other couriers, and the disk.
-const RESERVED_PART: f64 = 0.5;
+const RESERVED_FRACTION: f64 = 0.5;
 /// What a refusal tells a client to wait, seconds.
 const RETRY_AFTER_S: f64 = 0.1;
 /// How long a start of the whole system takes until requests are served, seconds.
@@ -21,7 +21,7 @@
 const FIRST_WAIT_S: f64 = 0.4;
 
 /// Connections of clients that are open.
-pub struct Connections {
+pub struct ClientConnections {
     open: Cell<usize>,
     limit: usize,
     closing: Cell<bool>,
@@ -30,10 +30,10 @@
     refuse: Notify,
 }
 
-impl Connections {
-    pub fn new(node: &Node) -> Connections {
-        let limit = (node.settings.limits.nofile as f64 * RESERVED_PART) as usize;
-        Connections {
+impl ClientConnections {
+    pub fn new(node: &Node) -> ClientConnections {
+        let limit = (node.settings.limits.open_files as f64 * RESERVED_FRACTION) as usize;
+        ClientConnections {
             open: Cell::new(0),
             limit,
             closing: Cell::new(false),
@@ -78,7 +78,7 @@
 }
 
 /// How a request ended.
-pub enum Served {
+pub enum ServeOutcome {
     /// The connection may carry another.
     KeepAlive,
     /// A last answer was written.
@@ -88,7 +88,7 @@
 }
 
 /// Accepts clients until nothing more is taken; later ones find the address closed and go elsewhere.
-pub async fn accept(node: Rc<Node>, connections: Rc<Connections>, listener: TcpListener) {
+pub async fn accept(node: Rc<Node>, connections: Rc<ClientConnections>, listener: TcpListener) {
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -112,7 +112,7 @@
     }
 }
 
-async fn run(node: &Rc<Node>, connections: &Connections, mut connection: Connection) {
+async fn run(node: &Rc<Node>, connections: &ClientConnections, mut connection: Connection) {
     loop {
         let limits = node.tables().routes.limits.clone();
         let waited = tokio::select! {
@@ -126,33 +126,38 @@
         if connections.refusing.get() {
             // It would hardly end before the process does.
             let _ = respond(node, &mut connection, false, &refusal("this courier stops")).await;
-            return connection.close_gently().await;
+            return connection.close_lingering().await;
         }
         match serve(node, &mut connection, request).await {
-            Served::KeepAlive => {}
-            Served::Close => return connection.close_gently().await,
-            Served::Abort => return,
+            ServeOutcome::KeepAlive => {}
+            ServeOutcome::Close => return connection.close_lingering().await,
+            ServeOutcome::Abort => return,
         }
     }
 }
 
 /// Writes an answer of this courier's own.
-pub async fn respond(node: &Node, connection: &mut Connection, keep_alive: bool, answer: &Answer) -> Served {
+pub async fn respond(
+    node: &Node,
+    connection: &mut Connection,
+    keep_alive: bool,
+    answer: &HttpResponse,
+) -> ServeOutcome {
     let keep_alive = keep_alive && !node.stopping.get();
     match connection.write(&answer.encode(keep_alive)).await {
-        Err(_) => Served::Abort,
-        Ok(()) if keep_alive => Served::KeepAlive,
-        Ok(()) => Served::Close,
+        Err(_) => ServeOutcome::Abort,
+        Ok(()) if keep_alive => ServeOutcome::KeepAlive,
+        Ok(()) => ServeOutcome::Close,
     }
 }
 
 /// A refusal that promises that the request has not run.
-pub fn refusal(text: &str) -> Answer {
-    Answer::text(503, text).with("Retry-After", format!("{RETRY_AFTER_S}"))
+pub fn refusal(text: &str) -> HttpResponse {
+    HttpResponse::text(503, text).with_header("Retry-After", format!("{RETRY_AFTER_S}"))
 }
 
 /// The tables in force; at the start of a process they are waited for, for a short time.
-async fn first_tables(node: &Node) -> Rc<Snapshot> {
+async fn first_tables(node: &Node) -> Rc<TableSnapshot> {
     let mut watched = node.watch_tables();
     let left = Duration::from_secs_f64((FIRST_WAIT_S - node.uptime_s()).max(0.0));
     let known = watched.wait_for(|tables| tables.versions.configuration > 0);
@@ -160,13 +165,13 @@
     node.tables()
 }
 
-async fn serve(node: &Rc<Node>, connection: &mut Connection, request: Request) -> Served {
+async fn serve(node: &Rc<Node>, connection: &mut Connection, request: HttpRequest) -> ServeOutcome {
     let keep_alive = request.head.keep_alive;
     let tables = first_tables(node).await;
     if tables.versions.configuration == 0 {
         let left = START_S - node.uptime_s();
-        let answer = Answer::text(503, "no configuration is known here yet")
-            .with("Retry-After", format!("{:.2}", left.max(RETRY_AFTER_S)));
+        let answer = HttpResponse::text(503, "no configuration is known here yet")
+            .with_header("Retry-After", format!("{:.2}", left.max(RETRY_AFTER_S)));
         return respond(node, connection, keep_alive, &answer).await;
     }
     let headers = &request.head.headers;
@@ -178,17 +183,19 @@
             // Without tenants all jobs belong to the same one, which has no name.
             Access::Anonymous => Rc::from(""),
             Access::Denied => {
-                return respond(node, connection, keep_alive, &Answer::text(401, "the key is unknown")).await;
+                return respond(node, connection, keep_alive, &HttpResponse::text(401, "the key is unknown"))
+                    .await;
             }
         };
         return batch_api::serve(node, connection, &request, &tenant).await;
     }
     let Some(route) = tables.routes.find(host, &request.head.target).cloned() else {
-        return respond(node, connection, keep_alive, &Answer::text(404, "no route matches")).await;
+        return respond(node, connection, keep_alive, &HttpResponse::text(404, "no route matches")).await;
     };
     let tenant = match tables.routes.access(authorization, route.route.public.unwrap_or(false)) {
         Access::Denied => {
-            return respond(node, connection, keep_alive, &Answer::text(401, "the key is unknown")).await;
+            return respond(node, connection, keep_alive, &HttpResponse::text(401, "the key is unknown"))
+                .await;
         }
         Access::Tenant(tenant) => Some(tenant),
         Access::Anonymous => None,
--- a/node/src/edge/forward/stream.rs
+++ b/node/src/edge/forward/stream.rs
@@ -1,12 +1,12 @@
 //! An answer that is a stream: its events are passed on as they come.
 
-use super::{Attempt, Forward, response_head};
+use super::{AttemptOutcome, Forward, response_head};
 use crate::clock;
-use crate::edge::connection::Served;
-use crate::http::{Answer, Connection};
-use crate::upstream::{BodyPart, UpstreamAnswer};
+use crate::edge::connection::ServeOutcome;
+use crate::http::{Connection, HttpResponse};
+use crate::upstream::{BodyProgress, UpstreamAnswer};
 use quillmount_dataplane::body::{LAST_CHUNK, write_chunk};
-use quillmount_dataplane::dispatch::{CallEnd, Placement};
+use quillmount_dataplane::dispatch::{CallOutcome, Reservation};
 use quillmount_dataplane::events::EventReader;
 
 /// The first event of one attempt.
@@ -20,73 +20,77 @@
 
 impl Forward<'_> {
     /// Passes events on as they come, each one whole.
-    pub(super) async fn stream(
+    pub(super) async fn forward_stream(
         &mut self,
         connection: &mut Connection,
-        placement: &Placement,
+        reservation: &Reservation,
         mut answer: UpstreamAnswer,
         sent: u64,
         keep_alive: bool,
-    ) -> Attempt {
+    ) -> AttemptOutcome {
         let keep_alive = keep_alive && !self.node.stopping.get();
         let mut events = EventReader::default();
         let mut first: Option<FirstEvent> = None;
         let resumed = self.last_event.is_some();
         loop {
             let mut bytes = Vec::new();
-            let patience = self.patience();
-            let part = tokio::select! {
-                part = tokio::time::timeout(patience, answer.read(&mut bytes)) => part,
-                () = connection.client_left() => {
-                    self.end_stream(placement, CallEnd::Abandoned, first);
-                    return Attempt::Done(Served::Abort);
+            let first_byte_timeout = self.first_byte_timeout();
+            let progress = tokio::select! {
+                progress = tokio::time::timeout(first_byte_timeout, answer.read(&mut bytes)) => progress,
+                () = connection.client_disconnected() => {
+                    self.end_stream(reservation, CallOutcome::Abandoned, first);
+                    return AttemptOutcome::Done(ServeOutcome::Abort);
                 }
             };
-            let Ok(part) = part else {
+            let Ok(progress) = progress else {
                 let spent = clock::micros().saturating_sub(sent);
-                self.end_stream(placement, CallEnd::TimedOut(spent), first);
-                return Attempt::Again(Answer::text(504, "the endpoint fell silent"));
+                self.end_stream(reservation, CallOutcome::TimedOut(spent), first);
+                return AttemptOutcome::Retry(HttpResponse::text(504, "the endpoint fell silent"));
             };
             events.add(&bytes);
             let mut out = Vec::new();
-            let Ok(any) = self.take_events(&mut events, &mut out) else {
-                self.end_stream(placement, CallEnd::Error, first);
-                return Attempt::Again(Answer::text(502, "the endpoint sent no events"));
+            let Ok(any) = self.forward_events(&mut events, &mut out) else {
+                self.end_stream(reservation, CallOutcome::Error, first);
+                return AttemptOutcome::Retry(HttpResponse::text(502, "the endpoint sent no events"));
             };
             if any && first.is_none() {
                 first = Some(FirstEvent { latency: clock::micros().saturating_sub(sent), resumed });
-                self.node.dispatcher.borrow_mut().first_event(placement);
+                self.node.dispatcher.borrow_mut().first_event(reservation);
                 self.count();
             }
-            let whole = part == BodyPart::End && events.remainder() == 0;
+            let complete = progress == BodyProgress::End && events.remainder() == 0;
             let mut packet = Vec::new();
-            if (any || whole) && !self.begun {
+            if (any || complete) && !self.begun {
                 self.begun = true;
                 packet = response_head(&answer.head, keep_alive);
                 packet.extend_from_slice(b"Transfer-Encoding: chunked\r\n\r\n");
             }
             write_chunk(&out, &mut packet);
-            if whole {
+            if complete {
                 packet.extend_from_slice(LAST_CHUNK);
             }
             if !packet.is_empty() && connection.write(&packet).await.is_err() {
-                self.end_stream(placement, CallEnd::Abandoned, first);
-                return Attempt::Done(Served::Abort);
+                self.end_stream(reservation, CallOutcome::Abandoned, first);
+                return AttemptOutcome::Done(ServeOutcome::Abort);
             }
-            if whole {
-                self.end_stream(placement, CallEnd::Abandoned, first);
+            if complete {
+                self.end_stream(reservation, CallOutcome::Abandoned, first);
                 answer.release(&self.node.upstreams);
-                return Attempt::Done(if keep_alive { Served::KeepAlive } else { Served::Close });
+                return AttemptOutcome::Done(if keep_alive {
+                    ServeOutcome::KeepAlive
+                } else {
+                    ServeOutcome::Close
+                });
             }
-            if part != BodyPart::More {
-                self.end_stream(placement, CallEnd::Lost, first);
-                return Attempt::Again(Answer::text(502, "the endpoint broke off"));
+            if progress != BodyProgress::More {
+                self.end_stream(reservation, CallOutcome::Lost, first);
+                return AttemptOutcome::Retry(HttpResponse::text(502, "the endpoint broke off"));
             }
         }
     }
 
     /// Takes whole events; whether there were any.
-    fn take_events(&mut self, events: &mut EventReader, out: &mut Vec<u8>) -> Result<bool, ()> {
+    fn forward_events(&mut self, events: &mut EventReader, out: &mut Vec<u8>) -> Result<bool, ()> {
         let mut any = false;
         while let Some(event) = events.next_event().map_err(|_| ())? {
             // A stream that goes on has to go on where it was left.
@@ -102,12 +106,12 @@
         Ok(any)
     }
 
-    fn end_stream(&self, placement: &Placement, end: CallEnd, first: Option<FirstEvent>) {
+    fn end_stream(&self, reservation: &Reservation, end: CallOutcome, first: Option<FirstEvent>) {
         let end = match (end, first) {
-            (CallEnd::Abandoned, Some(FirstEvent { resumed: true, .. })) => CallEnd::Resumed,
-            (CallEnd::Abandoned, Some(FirstEvent { latency, .. })) => CallEnd::FirstEvent(latency),
+            (CallOutcome::Abandoned, Some(FirstEvent { resumed: true, .. })) => CallOutcome::Resumed,
+            (CallOutcome::Abandoned, Some(FirstEvent { latency, .. })) => CallOutcome::FirstEvent(latency),
             (end, _) => end,
         };
-        self.finish(placement, end, first.is_some());
+        self.finish(reservation, end, first.is_some());
     }
 }
--- a/node/src/edge/mod.rs
+++ b/node/src/edge/mod.rs
@@ -6,13 +6,13 @@
 mod forward;
 
 use crate::clock;
-use crate::core::bootstrap::{self, Announcements};
-use crate::core::{self, Core};
-use crate::http::{self, Answer};
+use crate::control_member::bootstrap::{self, NodeAnnouncements};
+use crate::control_member::{self, ControlMember};
+use crate::http::{self, HttpResponse};
 use crate::node::Node;
 use crate::rpc::{self, Handler};
 use crate::subscription::{self, Needs, Reporter};
-use connection::Connections;
+use connection::ClientConnections;
 use quillmount_storage::{StorageError, load_identity};
 use quillmount_wire::messages::{NodeInfo, NodeRole, Request, Response, ShardReport};
 use quillmount_wire::settings::Settings;
@@ -60,26 +60,26 @@
 const CLOSE_IDLE_AFTER: Duration = Duration::from_millis(2600);
 /// How long requests are taken after SIGTERM: where most couriers of a zone stop at once, the platform goes on sending clients.
 /// The rest of the grace is for what was taken to end.
-const TAKE_FOR: Duration = Duration::from_millis(3000);
+const ACCEPT_FOR: Duration = Duration::from_millis(3000);
 /// Taken off the grace, so that the process ends by itself.
 const GRACE_MARGIN: Duration = Duration::from_millis(700);
 /// Pause between two looks at what still runs.
-const STOP_LOOK: Duration = Duration::from_millis(50);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Pause between two rounds that close connections that rested too long.
-const TIDY_PAUSE: Duration = Duration::from_millis(500);
+const CLEANUP_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Runs the courier until it is asked to stop.
 pub async fn run(settings: Settings) -> Result<(), RoleError> {
     let identity = match settings.data_folder() {
-        Some(folder) => Some(load_identity(Path::new(folder), clock::draw())?),
+        Some(folder) => Some(load_identity(Path::new(folder), clock::random_id())?),
         None => None,
     };
     let info = NodeInfo {
         name: settings.hostname.clone(),
-        disk: identity.map_or_else(clock::draw, |identity| identity.disk),
+        disk: identity.map_or_else(clock::random_id, |identity| identity.disk),
         internal: settings.internal_address(),
         admin: settings.sockets.admin.clone(),
-        zone: settings.az.clone(),
+        zone: settings.zone.clone(),
         role: if identity.is_some() && settings.sockets.admin.is_some() {
             NodeRole::Core
         } else {
@@ -88,7 +88,7 @@
     };
     let node = Node::new(settings, info);
     tracing::info!(name = node.info.name, "courier started");
-    let announcements = Rc::new(Announcements::default());
+    let announcements = Rc::new(NodeAnnouncements::default());
     let core = open_core(&node)?;
     let internal = listen(&node.info.internal)?;
     tokio::task::spawn_local(rpc::serve(internal, handler(&node, core.as_ref(), &announcements)));
@@ -99,10 +99,10 @@
         }
     }
     tokio::task::spawn_local(subscription::run(node.clone(), Rc::new(CourierReporter(node.clone()))));
-    tokio::task::spawn_local(subscription::read_when_orphaned(node.clone()));
+    tokio::task::spawn_local(subscription::read_list_without_core(node.clone()));
     serve_operator(&node, core.as_ref())?;
     let connections = serve_clients(&node)?;
-    tokio::task::spawn_local(tidy(node.clone()));
+    tokio::task::spawn_local(clean_up(node.clone()));
     wait_for_stop(&node).await?;
     if let Some(core) = &core {
         core.resign();
@@ -120,27 +120,31 @@
     }
 
     fn needs(&self) -> Needs {
-        Needs { places: self.0.waiting(), ..Needs::default() }
+        Needs { demand: self.0.waiting(), ..Needs::default() }
     }
 }
 
-fn open_core(node: &Rc<Node>) -> Result<Option<Rc<Core>>, RoleError> {
+fn open_core(node: &Rc<Node>) -> Result<Option<Rc<ControlMember>>, RoleError> {
     match (node.info.role, node.settings.data_folder()) {
-        (NodeRole::Core, Some(folder)) => Ok(Some(Core::open(node.clone(), Path::new(folder))?)),
+        (NodeRole::Core, Some(folder)) => Ok(Some(ControlMember::open(node.clone(), Path::new(folder))?)),
         _ => Ok(None),
     }
 }
 
-fn start_core(core: &Rc<Core>) {
+fn start_core(core: &Rc<ControlMember>) {
     tokio::task::spawn_local(core.clone().run());
-    tokio::task::spawn_local(core::seeds::tell(core.clone()));
-    tokio::task::spawn_local(core::directory::run(core.clone()));
-    tokio::task::spawn_local(core::duties::plan_shards(core.clone()));
-    tokio::task::spawn_local(core::duties::report_usage(core.clone()));
-    tokio::task::spawn_local(core::scaling::run(core.clone()));
+    tokio::task::spawn_local(control_member::seeds::announce_primary(core.clone()));
+    tokio::task::spawn_local(control_member::directory::run(core.clone()));
+    tokio::task::spawn_local(control_member::singletons::plan_shards(core.clone()));
+    tokio::task::spawn_local(control_member::singletons::report_usage(core.clone()));
+    tokio::task::spawn_local(control_member::scaling::run(core.clone()));
 }
 
-fn handler(node: &Rc<Node>, core: Option<&Rc<Core>>, announcements: &Rc<Announcements>) -> Handler {
+fn handler(
+    node: &Rc<Node>,
+    core: Option<&Rc<ControlMember>>,
+    announcements: &Rc<NodeAnnouncements>,
+) -> Handler {
     let (node, core, announcements) = (node.clone(), core.cloned(), announcements.clone());
     Rc::new(move |request| {
         let (node, core, announcements) = (node.clone(), core.clone(), announcements.clone());
@@ -149,16 +153,16 @@
                 (Request::Announce { node: from, bootstrap }, core) => {
                     Some(bootstrap::answer(&node, core.as_deref(), &announcements, &from, bootstrap))
                 }
-                (Request::Primary { address }, _) => {
-                    node.hear_of_primary(address);
+                (Request::PrimaryHint { address }, _) => {
+                    node.note_primary(address);
                     None
                 }
-                (Request::Replica { from, address, to, message }, Some(core)) => {
+                (Request::Register { from, address, to, message }, Some(core)) => {
                     core.receive(from, address, to, message);
                     None
                 }
-                (Request::Poll(poll), Some(core)) => Some(core::polls::answer(&core, poll).await),
-                (Request::Poll(poll), None) => Some(core::polls::relay(&node, poll).await),
+                (Request::Poll(poll), Some(core)) => Some(control_member::polls::answer(&core, poll).await),
+                (Request::Poll(poll), None) => Some(control_member::polls::relay(&node, poll).await),
                 _ => Some(Response::WrongEpoch),
             }
         })
@@ -166,18 +170,20 @@
 }
 
 /// Serves the operator and the platform's question whether this courier is ready.
-fn serve_operator(node: &Rc<Node>, core: Option<&Rc<Core>>) -> Result<(), RoleError> {
+fn serve_operator(node: &Rc<Node>, core: Option<&Rc<ControlMember>>) -> Result<(), RoleError> {
     if let Some(address) = &node.settings.sockets.admin {
         let (node, core) = (node.clone(), core.cloned());
-        let service: http::Service =
-            Rc::new(move |request| Box::pin(core::operator::answer(node.clone(), core.clone(), request)));
+        let service: http::HttpService = Rc::new(move |request| {
+            Box::pin(control_member::operator::answer(node.clone(), core.clone(), request))
+        });
         tokio::task::spawn_local(http::serve(listen(address)?, service));
     }
     if let Some(address) = &node.settings.sockets.readyz {
         let node = node.clone();
-        let service: http::Service = Rc::new(move |_| {
+        let service: http::HttpService = Rc::new(move |_| {
             let ready = node.tables().versions.configuration > 0 && !node.stopping.get();
-            let answer = if ready { Answer::text(200, "ready") } else { Answer::text(503, "not ready") };
+            let answer =
+                if ready { HttpResponse::text(200, "ready") } else { HttpResponse::text(503, "not ready") };
             Box::pin(async move { Some(answer) })
         });
         tokio::task::spawn_local(http::serve(listen(address)?, service));
@@ -185,8 +191,8 @@
     Ok(())
 }
 
-fn serve_clients(node: &Rc<Node>) -> Result<Rc<Connections>, RoleError> {
-    let connections = Rc::new(Connections::new(node));
+fn serve_clients(node: &Rc<Node>) -> Result<Rc<ClientConnections>, RoleError> {
+    let connections = Rc::new(ClientConnections::new(node));
     if let Some(address) = &node.settings.sockets.http {
         let listener = listen(address)?;
         tokio::task::spawn_local(connection::accept(node.clone(), connections.clone(), listener));
@@ -194,11 +200,11 @@
     Ok(connections)
 }
 
-async fn tidy(node: Rc<Node>) {
+async fn clean_up(node: Rc<Node>) {
     loop {
-        tokio::time::sleep(TIDY_PAUSE).await;
+        tokio::time::sleep(CLEANUP_INTERVAL).await;
         let dispatcher = node.dispatcher.borrow();
-        node.upstreams.tidy(|endpoint| dispatcher.is_open(endpoint));
+        node.upstreams.close_expired(|endpoint| dispatcher.is_open(endpoint));
     }
 }
 
@@ -215,19 +221,19 @@
         }
     }
     node.stopping.set(true);
-    node.report.notify_one();
+    node.report_due.notify_one();
     Ok(())
 }
 
 /// Lets requests end; connections that rest are closed once no new ones come.
-async fn drain(node: &Node, connections: &Connections) {
+async fn drain(node: &Node, connections: &ClientConnections) {
     let grace = clock::millis(node.settings.slo.grace_s * 1000.0).saturating_sub(GRACE_MARGIN);
     let began = tokio::time::Instant::now();
     tokio::time::sleep(CLOSE_IDLE_AFTER.min(grace)).await;
     connections.close_idle();
-    tokio::time::sleep(TAKE_FOR.min(grace).saturating_sub(began.elapsed())).await;
+    tokio::time::sleep(ACCEPT_FOR.min(grace).saturating_sub(began.elapsed())).await;
     connections.refuse_all();
     while connections.open() > 0 && began.elapsed() < grace {
-        tokio::time::sleep(STOP_LOOK).await;
+        tokio::time::sleep(STOP_CHECK_INTERVAL).await;
     }
 }
--- a/node/src/http.rs
+++ b/node/src/http.rs
@@ -16,24 +16,24 @@
 /// Bytes read at once.
 const READ_BYTES: usize = 16 * 1024;
 /// Bytes that a client may send ahead of its answer.
-const AHEAD_LIMIT: usize = 64 * 1024;
+const PIPELINED_LIMIT: usize = 64 * 1024;
 /// A client that takes nothing for so long is let go.
-const WRITE_TIME: Duration = Duration::from_secs(10);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Bytes of an answer from the platform at most.
 const ANSWER_LIMIT: usize = 8 << 20;
 
 /// Why no request was read.
 #[derive(Debug)]
-pub enum ReadFailure {
+pub enum RequestReadError {
     /// The connection ended between two requests, or broke.
     Closed,
     /// The request is answered with this status, and the connection closed.
-    Refuse(u16),
+    Reject(u16),
 }
 
 /// A whole request.
 #[derive(Debug)]
-pub struct Request {
+pub struct HttpRequest {
     pub head: RequestHead,
     pub body: Vec<u8>,
     /// When its last byte was read, steady clock.
@@ -67,10 +67,10 @@
     }
 
     /// Waits for the first byte of a request.
-    pub async fn wait_for_input(&mut self) -> Result<(), ReadFailure> {
+    pub async fn wait_for_input(&mut self) -> Result<(), RequestReadError> {
         if self.buffer.is_empty() {
             match self.fill().await {
-                Ok(0) | Err(_) => return Err(ReadFailure::Closed),
+                Ok(0) | Err(_) => return Err(RequestReadError::Closed),
                 Ok(_) => {}
             }
         }
@@ -78,37 +78,37 @@
     }
 
     /// Reads a request whose first byte is here.
-    async fn read_request(&mut self, limits: &ClientLimits) -> Result<Request, ReadFailure> {
+    async fn read_request(&mut self, limits: &ClientLimits) -> Result<HttpRequest, RequestReadError> {
         let head = match timeout(clock::millis(limits.head_ms), self.read_head(limits)).await {
             Ok(head) => head?,
-            Err(_) => return Err(ReadFailure::Refuse(408)),
+            Err(_) => return Err(RequestReadError::Reject(408)),
         };
         if head.headers.has_token("Expect", "100-continue") {
-            self.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.map_err(|_| ReadFailure::Closed)?;
+            self.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.map_err(|_| RequestReadError::Closed)?;
         }
         let time = clock::millis(limits.idle_ms);
         let body = self.read_body(head.framing, limits.body_bytes, time).await?;
-        Ok(Request { head, body, arrived: clock::micros() })
+        Ok(HttpRequest { head, body, arrived: clock::micros() })
     }
 
-    async fn read_head(&mut self, limits: &ClientLimits) -> Result<RequestHead, ReadFailure> {
+    async fn read_head(&mut self, limits: &ClientLimits) -> Result<RequestHead, RequestReadError> {
         loop {
             match parse_request(&self.buffer) {
                 Ok(Some((head, length))) => {
                     if length as u64 > limits.head_bytes {
-                        return Err(ReadFailure::Refuse(431));
+                        return Err(RequestReadError::Reject(431));
                     }
                     self.buffer.drain(..length);
                     return Ok(head);
                 }
                 Ok(None) if self.buffer.len() as u64 > limits.head_bytes => {
-                    return Err(ReadFailure::Refuse(431));
+                    return Err(RequestReadError::Reject(431));
                 }
                 Ok(None) => {}
-                Err(_) => return Err(ReadFailure::Refuse(400)),
+                Err(_) => return Err(RequestReadError::Reject(400)),
             }
             match self.fill().await {
-                Ok(0) | Err(_) => return Err(ReadFailure::Closed),
+                Ok(0) | Err(_) => return Err(RequestReadError::Closed),
                 Ok(_) => {}
             }
         }
@@ -119,25 +119,25 @@
         framing: Framing,
         limit: u64,
         time: Duration,
-    ) -> Result<Vec<u8>, ReadFailure> {
+    ) -> Result<Vec<u8>, RequestReadError> {
         if let Framing::Length(length) = framing
             && length > limit
         {
-            return Err(ReadFailure::Refuse(413));
+            return Err(RequestReadError::Reject(413));
         }
         let mut reader = BodyReader::new(framing);
         let mut body = Vec::new();
         loop {
-            reader.read(&mut self.buffer, &mut body).map_err(|_| ReadFailure::Refuse(400))?;
+            reader.read(&mut self.buffer, &mut body).map_err(|_| RequestReadError::Reject(400))?;
             if body.len() as u64 > limit {
-                return Err(ReadFailure::Refuse(413));
+                return Err(RequestReadError::Reject(413));
             }
             if reader.is_done() {
                 return Ok(body);
             }
             match timeout(time, self.fill()).await {
-                Err(_) => return Err(ReadFailure::Refuse(408)),
-                Ok(Ok(0) | Err(_)) => return Err(ReadFailure::Closed),
+                Err(_) => return Err(RequestReadError::Reject(408)),
+                Ok(Ok(0) | Err(_)) => return Err(RequestReadError::Closed),
                 Ok(Ok(_)) => {}
             }
         }
@@ -145,15 +145,15 @@
 
     /// Writes bytes, within a time.
     pub async fn write(&mut self, bytes: &[u8]) -> std::io::Result<()> {
-        match timeout(WRITE_TIME, self.stream.write_all(bytes)).await {
+        match timeout(WRITE_TIMEOUT, self.stream.write_all(bytes)).await {
             Ok(written) => written,
             Err(_) => Err(ErrorKind::TimedOut.into()),
         }
     }
 
     /// Waits until the client has left. What it sends ahead is kept, up to a limit.
-    pub async fn client_left(&mut self) {
-        while self.buffer.len() < AHEAD_LIMIT {
+    pub async fn client_disconnected(&mut self) {
+        while self.buffer.len() < PIPELINED_LIMIT {
             match self.fill().await {
                 Ok(0) | Err(_) => return,
                 Ok(_) => {}
@@ -163,12 +163,12 @@
     }
 
     /// Reads a request; one that breaks a limit is refused here, and the connection closed. `None`: it can't be used any more.
-    pub async fn next_request(&mut self, limits: &ClientLimits) -> Option<Request> {
+    pub async fn next_request(&mut self, limits: &ClientLimits) -> Option<HttpRequest> {
         match self.read_request(limits).await {
             Ok(request) => Some(request),
-            Err(ReadFailure::Refuse(status)) => {
-                let _ = self.write(&Answer::text(status, reason(status)).encode(false)).await;
-                self.close_gently().await;
+            Err(RequestReadError::Reject(status)) => {
+                let _ = self.write(&HttpResponse::text(status, reason_phrase(status)).encode(false)).await;
+                self.close_lingering().await;
                 None
             }
             Err(_) => None,
@@ -176,7 +176,7 @@
     }
 
     /// Closes after a last answer, so that it is not lost to a reset by bytes that were not read.
-    pub async fn close_gently(&mut self) {
+    pub async fn close_lingering(&mut self) {
         let _ = self.stream.shutdown().await;
         let drain = async {
             self.buffer.clear();
@@ -193,34 +193,34 @@
 
 /// An answer of this program's own.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct HttpResponse {
     pub status: u16,
     pub headers: Vec<(&'static str, String)>,
     pub body: Vec<u8>,
 }
 
-impl Answer {
+impl HttpResponse {
     /// An answer with a line of text.
-    pub fn text(status: u16, text: &str) -> Answer {
+    pub fn text(status: u16, text: &str) -> HttpResponse {
         let headers = vec![("Content-Type", "text/plain".to_owned())];
-        Answer { status, headers, body: format!("{text}\n").into_bytes() }
+        HttpResponse { status, headers, body: format!("{text}\n").into_bytes() }
     }
 
     /// An answer with JSON.
-    pub fn json(status: u16, body: String) -> Answer {
+    pub fn json(status: u16, body: String) -> HttpResponse {
         let headers = vec![("Content-Type", "application/json".to_owned())];
-        Answer { status, headers, body: body.into_bytes() }
+        HttpResponse { status, headers, body: body.into_bytes() }
     }
 
     /// Adds a header.
-    pub fn with(mut self, name: &'static str, value: String) -> Answer {
+    pub fn with_header(mut self, name: &'static str, value: String) -> HttpResponse {
         self.headers.push((name, value));
         self
     }
 
     /// The answer's bytes.
     pub fn encode(&self, keep_alive: bool) -> Vec<u8> {
-        let mut out = format!("HTTP/1.1 {} {}\r\n", self.status, reason(self.status));
+        let mut out = format!("HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
         for (name, value) in &self.headers {
             out.push_str(&format!("{name}: {value}\r\n"));
         }
@@ -233,7 +233,7 @@
 }
 
 /// The usual words for a status.
-pub fn reason(status: u16) -> &'static str {
+pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         202 => "Accepted",
@@ -257,10 +257,10 @@
 }
 
 /// Answers a request; `None` closes the connection without an answer.
-pub type Service = Rc<dyn Fn(Request) -> Pin<Box<dyn Future<Output = Option<Answer>>>>>;
+pub type HttpService = Rc<dyn Fn(HttpRequest) -> Pin<Box<dyn Future<Output = Option<HttpResponse>>>>>;
 
 /// Serves a small interface (the operator's, readiness) for as long as the process lives.
-pub async fn serve(listener: TcpListener, service: Service) {
+pub async fn serve(listener: TcpListener, service: HttpService) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -272,7 +272,7 @@
     }
 }
 
-async fn serve_connection(mut connection: Connection, service: Service) {
+async fn serve_connection(mut connection: Connection, service: HttpService) {
     let limits = ClientLimits { body_bytes: 16 << 20, ..ClientLimits::default() };
     loop {
         if !matches!(timeout(clock::millis(limits.idle_ms), connection.wait_for_input()).await, Ok(Ok(()))) {
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -2,7 +2,7 @@
 
 mod clock;
 mod commands;
-mod core;
+mod control_member;
 mod disk;
 mod edge;
 mod http;
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -1,6 +1,6 @@
 //! What all parts of a process share: settings, tables, links, dispatch.
 
-use crate::rpc::Links;
+use crate::rpc::PeerLinks;
 use crate::upstream::Upstreams;
 use quillmount_dataplane::dispatch::{Dispatcher, ServiceShare};
 use quillmount_dataplane::routes::RouteTable;
@@ -16,7 +16,7 @@
 const USAGE_WINDOWS: usize = 6;
 
 /// An answer of the primary counts as news of it for so long, microseconds.
-const HEARD_LATELY: u64 = 1_500_000;
+const RECENT_ANSWER: u64 = 1_500_000;
 
 /// Parameters of the windows. One process has one to four calls at an endpoint where many share it: with the note's own constant
 /// growth of one call and three times the baseline, a single slow answer closes such a window, and requests go to worse
@@ -25,7 +25,7 @@
 
 /// Tables of a process: immutable, swapped whole.
 #[derive(Clone, Debug, Default)]
-pub struct Snapshot {
+pub struct TableSnapshot {
     pub versions: TableVersions,
     pub routes: Rc<RouteTable>,
     pub placement: Rc<Placement>,
@@ -39,22 +39,22 @@
     pub settings: Settings,
     pub info: NodeInfo,
     /// Drawn at each start.
-    pub life: u64,
+    pub incarnation: u64,
     /// Steady clock.
     started: u64,
-    pub links: Links,
+    pub links: PeerLinks,
     pub upstreams: Upstreams,
     pub dispatcher: RefCell<Dispatcher>,
     /// Told when an endpoint may have room again.
-    pub room: Notify,
+    pub capacity_freed: Notify,
     /// The process was asked to stop.
     pub stopping: Cell<bool>,
     /// Told when something is to be reported to the core at once.
-    pub report: Notify,
+    pub report_due: Notify,
     /// Who answers polls: the core's primary, or a relay.
     pub contact: RefCell<Option<String>>,
     /// Internal address of the core's primary, as last told.
-    pub leader: RefCell<Option<String>>,
+    pub known_primary: RefCell<Option<String>>,
     /// Couriers that pass polls on.
     pub relays: RefCell<Vec<String>>,
     /// Internal addresses of the core's members, as this machine's disk knows them.
@@ -62,10 +62,10 @@
     /// What services are asked for, as the primary last told; a store's.
     pub loads: RefCell<Rc<Vec<ServiceLoad>>>,
     /// When the primary last answered, steady clock.
-    pub heard: Cell<u64>,
+    pub last_answer: Cell<u64>,
     /// `Admin` addresses of the seeds, as the settings file names them now.
     seeds: RefCell<Vec<String>>,
-    tables: watch::Sender<Rc<Snapshot>>,
+    tables: watch::Sender<Rc<TableSnapshot>>,
     usage: RefCell<BTreeMap<u64, HashMap<String, u64>>>,
     /// Requests that wait for room, by service.
     waiting: RefCell<HashMap<String, u32>>,
@@ -73,26 +73,26 @@
 
 impl Node {
     pub fn new(settings: Settings, info: NodeInfo) -> Rc<Node> {
-        let life = crate::clock::draw();
-        let dispatcher = Dispatcher::new(life, &settings.az, WINDOW);
+        let incarnation = crate::clock::random_id();
+        let dispatcher = Dispatcher::new(incarnation, &settings.zone, WINDOW);
         Rc::new(Node {
-            seeds: RefCell::new(settings.peers.clone()),
+            seeds: RefCell::new(settings.seeds.clone()),
             settings,
             info,
-            life,
+            incarnation,
             started: crate::clock::micros(),
-            links: Links::default(),
+            links: PeerLinks::default(),
             upstreams: Upstreams::default(),
             dispatcher: RefCell::new(dispatcher),
-            room: Notify::new(),
+            capacity_freed: Notify::new(),
             stopping: Cell::new(false),
-            report: Notify::new(),
+            report_due: Notify::new(),
             contact: RefCell::new(None),
-            leader: RefCell::new(None),
+            known_primary: RefCell::new(None),
             relays: RefCell::default(),
             members: RefCell::default(),
             loads: RefCell::default(),
-            heard: Cell::new(0),
+            last_answer: Cell::new(0),
             tables: watch::Sender::new(Rc::default()),
             usage: RefCell::default(),
             waiting: RefCell::default(),
@@ -105,29 +105,29 @@
     }
 
     /// The tables in force.
-    pub fn tables(&self) -> Rc<Snapshot> {
+    pub fn tables(&self) -> Rc<TableSnapshot> {
         self.tables.borrow().clone()
     }
 
     /// Told of every new snapshot.
-    pub fn watch_tables(&self) -> watch::Receiver<Rc<Snapshot>> {
+    pub fn watch_tables(&self) -> watch::Receiver<Rc<TableSnapshot>> {
         self.tables.subscribe()
     }
 
     /// Puts new tables in force.
-    pub fn swap_tables(&self, next: Snapshot) {
+    pub fn swap_tables(&self, next: TableSnapshot) {
         let routes = &next.routes;
         let share = |service: &String| (service.clone(), routes.share(service, next.senders));
         let shares: HashMap<String, ServiceShare> = routes.services.keys().map(share).collect();
         self.dispatcher.borrow_mut().update(&next.endpoints, shares);
         self.tables.send_replace(Rc::new(next));
-        self.room.notify_waiters();
+        self.capacity_freed.notify_waiters();
     }
 
     /// Reads the seeds from the settings file again; one that can't be read changes nothing.
     pub fn reload_seeds(&self) {
         match Settings::load() {
-            Ok(settings) => *self.seeds.borrow_mut() = settings.peers,
+            Ok(settings) => *self.seeds.borrow_mut() = settings.seeds,
             Err(error) => {
                 tracing::warn!(%error, "the settings file can't be read again: its seeds stay as they were")
             }
@@ -168,8 +168,9 @@
     }
 
     /// Whether the primary answered lately.
-    pub fn hears_primary(&self) -> bool {
-        self.heard.get() > 0 && crate::clock::micros().saturating_sub(self.heard.get()) < HEARD_LATELY
+    pub fn has_recent_primary(&self) -> bool {
+        self.last_answer.get() > 0
+            && crate::clock::micros().saturating_sub(self.last_answer.get()) < RECENT_ANSWER
     }
 
     /// Internal addresses of the seeds.
@@ -179,9 +180,9 @@
     }
 
     /// A process says that it is primary: it is asked next, unless the one that is known answers.
-    pub fn hear_of_primary(&self, address: String) {
-        if !self.hears_primary() {
-            *self.leader.borrow_mut() = Some(address.clone());
+    pub fn note_primary(&self, address: String) {
+        if !self.has_recent_primary() {
+            *self.known_primary.borrow_mut() = Some(address.clone());
             *self.contact.borrow_mut() = Some(address);
         }
     }
@@ -203,7 +204,7 @@
 
     /// Address of the operator's interface of the core's primary.
     pub fn primary_admin(&self) -> Option<String> {
-        let primary = self.leader.borrow().clone()?;
+        let primary = self.known_primary.borrow().clone()?;
         let tables = self.tables();
         let member = tables.placement.core.iter().find(|member| member.internal == primary)?;
         member.admin.clone()
--- a/node/src/rpc/client.rs
+++ b/node/src/rpc/client.rs
@@ -1,6 +1,6 @@
 //! Connections to other processes, opened when they are needed.
 
-use super::{read_frame, tune};
+use super::{read_frame, set_socket_options};
 use crate::clock;
 use quillmount_wire::frame::{FrameKind, encode};
 use quillmount_wire::messages::{Request, Response};
@@ -16,7 +16,7 @@
 /// Frames that wait for one connection at most.
 const QUEUE_LIMIT: usize = 1024;
 /// A connection that does not come up in this time is given up.
-const CONNECT_TIME: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Bytes sent and not acknowledged for so long end a connection.
 const SILENCE: Duration = Duration::from_millis(1500);
 
@@ -29,7 +29,7 @@
     Lost,
 }
 
-struct Outgoing {
+struct OutgoingFrame {
     frame: Vec<u8>,
     call: Option<(u64, oneshot::Sender<Response>)>,
 }
@@ -45,26 +45,26 @@
 }
 
 #[derive(Clone)]
-struct Link {
-    queue: mpsc::Sender<Outgoing>,
+struct PeerLink {
+    queue: mpsc::Sender<OutgoingFrame>,
     state: Rc<LinkState>,
 }
 
 /// All connections of this process to others, by address.
 #[derive(Default)]
-pub struct Links {
-    links: RefCell<HashMap<String, Link>>,
+pub struct PeerLinks {
+    links: RefCell<HashMap<String, PeerLink>>,
     calls: Cell<u64>,
 }
 
-impl Links {
-    fn link(&self, address: &str) -> Link {
+impl PeerLinks {
+    fn link(&self, address: &str) -> PeerLink {
         let mut links = self.links.borrow_mut();
         if let Some(link) = links.get(address) {
             return link.clone();
         }
         let (queue, outgoing) = mpsc::channel(QUEUE_LIMIT);
-        let link = Link { queue, state: Rc::default() };
+        let link = PeerLink { queue, state: Rc::default() };
         tokio::task::spawn_local(run_link(address.to_owned(), outgoing, link.state.clone()));
         links.insert(address.to_owned(), link.clone());
         link
@@ -72,8 +72,8 @@
 
     /// Sends a message that nobody answers; it is lost if the other side can't be reached.
     pub fn notify(&self, address: &str, request: &Request) {
-        let frame = encode(FrameKind::Notice, 0, &request.encode());
-        let _ = self.link(address).queue.try_send(Outgoing { frame, call: None });
+        let frame = encode(FrameKind::Notification, 0, &request.encode());
+        let _ = self.link(address).queue.try_send(OutgoingFrame { frame, call: None });
     }
 
     /// Calls and waits for the answer.
@@ -87,10 +87,10 @@
         self.calls.set(number);
         let link = self.link(address);
         let (answer, receiver) = oneshot::channel();
-        let frame = encode(FrameKind::Call, number, &request.encode());
+        let frame = encode(FrameKind::Request, number, &request.encode());
         let sent = clock::micros();
         link.queue
-            .try_send(Outgoing { frame, call: Some((number, answer)) })
+            .try_send(OutgoingFrame { frame, call: Some((number, answer)) })
             .map_err(|_| CallError::NotSent)?;
         match tokio::time::timeout(time, receiver).await {
             Ok(Ok(response)) => Ok(response),
@@ -107,7 +107,7 @@
     }
 }
 
-async fn run_link(address: String, mut outgoing: mpsc::Receiver<Outgoing>, state: Rc<LinkState>) {
+async fn run_link(address: String, mut outgoing: mpsc::Receiver<OutgoingFrame>, state: Rc<LinkState>) {
     while let Some(first) = outgoing.recv().await {
         match connect(&address).await {
             Some(stream) => run_connection(stream, first, &mut outgoing, &state).await,
@@ -120,15 +120,15 @@
 
 /// Opens a connection with the process's usual options.
 pub async fn connect(address: &str) -> Option<TcpStream> {
-    let stream = tokio::time::timeout(CONNECT_TIME, TcpStream::connect(address)).await.ok()?.ok()?;
-    tune(&stream, SILENCE);
+    let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
+    set_socket_options(&stream, SILENCE);
     Some(stream)
 }
 
 async fn run_connection(
     stream: TcpStream,
-    first: Outgoing,
-    outgoing: &mut mpsc::Receiver<Outgoing>,
+    first: OutgoingFrame,
+    outgoing: &mut mpsc::Receiver<OutgoingFrame>,
     state: &Rc<LinkState>,
 ) {
     state.heard.set(clock::micros());
@@ -136,12 +136,12 @@
     let mut reading = tokio::task::spawn_local(read_answers(reader, state.clone()));
     let mut next = Some(first);
     loop {
-        if let Some(Outgoing { mut frame, call }) = next.take() {
-            register(state, call);
+        if let Some(OutgoingFrame { mut frame, call }) = next.take() {
+            register_call(state, call);
             // What else waits goes out with the same write.
             while let Ok(more) = outgoing.try_recv() {
                 frame.extend_from_slice(&more.frame);
-                register(state, more.call);
+                register_call(state, more.call);
             }
             let written = tokio::select! {
                 written = writer.write_all(&frame) => written.is_ok(),
@@ -163,7 +163,7 @@
     reading.abort();
 }
 
-fn register(state: &LinkState, call: Option<(u64, oneshot::Sender<Response>)>) {
+fn register_call(state: &LinkState, call: Option<(u64, oneshot::Sender<Response>)>) {
     if let Some((number, answer)) = call {
         state.waiting.borrow_mut().insert(number, answer);
     }
--- a/node/src/rpc/mod.rs
+++ b/node/src/rpc/mod.rs
@@ -3,10 +3,10 @@
 mod client;
 mod server;
 
-pub use client::{CallError, Links, connect};
+pub use client::{CallError, PeerLinks, connect};
 pub use server::{Handler, listen, serve};
 
-use quillmount_wire::frame::{FrameError, FrameHead, HEAD_BYTES, aligned};
+use quillmount_wire::frame::{FrameError, FrameHeader, HEADER_BYTES, aligned_buffer};
 use rkyv::util::AlignedVec;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
@@ -27,18 +27,18 @@
 }
 
 /// Reads one frame.
-async fn read_frame<R: AsyncRead + Unpin>(reader: &mut R) -> Result<(FrameHead, AlignedVec), ReadError> {
-    let mut head = [0; HEAD_BYTES];
+async fn read_frame<R: AsyncRead + Unpin>(reader: &mut R) -> Result<(FrameHeader, AlignedVec), ReadError> {
+    let mut head = [0; HEADER_BYTES];
     reader.read_exact(&mut head).await.map_err(ReadError::Io)?;
-    let head = FrameHead::decode(&head).map_err(ReadError::Frame)?;
-    let mut body = aligned(head.length);
+    let head = FrameHeader::decode(&head).map_err(ReadError::Frame)?;
+    let mut body = aligned_buffer(head.length);
     reader.read_exact(&mut body).await.map_err(ReadError::Io)?;
     head.verify(&body).map_err(ReadError::Frame)?;
     Ok((head, body))
 }
 
 /// Sets what every connection of this process has: no delay, and an end when the other side is silent.
-pub fn tune(stream: &tokio::net::TcpStream, silence: std::time::Duration) {
+pub fn set_socket_options(stream: &tokio::net::TcpStream, silence: std::time::Duration) {
     let _ = stream.set_nodelay(true);
     let _ = socket2::SockRef::from(stream).set_tcp_user_timeout(Some(silence));
 }
--- a/node/src/rpc/server.rs
+++ b/node/src/rpc/server.rs
@@ -1,6 +1,6 @@
 //! Takes calls of other processes.
 
-use super::{ReadError, read_frame, tune};
+use super::{ReadError, read_frame, set_socket_options};
 use quillmount_wire::frame::{FrameKind, encode};
 use quillmount_wire::messages::{Request, Response};
 use std::future::Future;
@@ -37,7 +37,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tune(&stream, SILENCE);
+                set_socket_options(&stream, SILENCE);
                 tokio::task::spawn_local(serve_connection(stream, handler.clone()));
             }
             Err(error) => {
@@ -73,9 +73,9 @@
         tokio::task::spawn_local(async move {
             let response = handler(request).await;
             if let Some(response) = response
-                && head.kind == FrameKind::Call
+                && head.kind == FrameKind::Request
             {
-                let _ = answers.send(encode(FrameKind::Answer, head.call, &response.encode())).await;
+                let _ = answers.send(encode(FrameKind::Response, head.call, &response.encode())).await;
             }
         });
     }
--- a/node/src/store/compaction.rs
+++ b/node/src/store/compaction.rs
@@ -6,11 +6,11 @@
 
 /// Part of the segments that is free when a compaction begins: what is kept fits into it, with room for what is written
 /// meanwhile.
-const DUE_PART: f64 = 0.5;
+const DUE_FRACTION: f64 = 0.5;
 
 /// Starts a compaction if little is free and none runs.
 pub fn start_if_due(store: &Rc<Store>) {
-    let due = (store.free_segments.get() as f64) < store.segments as f64 * DUE_PART;
+    let due = (store.free_segments.get() as f64) < store.segments as f64 * DUE_FRACTION;
     if due && !store.compacting.replace(true) {
         let store = store.clone();
         tokio::task::spawn_local(async move {
@@ -23,7 +23,7 @@
 /// Writes every shard once more. Older segments go only once all of it is synced: what stands before the marker is of no
 /// use from then on.
 async fn compact(store: &Rc<Store>) {
-    let Ok(Ok(start)) = store.disk.append(StoreRecord::Marker.encode()).await else { return };
+    let Ok(Ok(start)) = store.disk.append(StoreRecord::RewriteStart.encode()).await else { return };
     for shard in &store.shards {
         if !shard.rewrite(store).await {
             tracing::warn!(shard = shard.number, "the ring can't be compacted now");
--- a/node/src/store/items.rs
+++ b/node/src/store/items.rs
@@ -1,32 +1,32 @@
 //! Runs the items of batch jobs in the room that endpoints have.
 
 mod attempt;
-mod line;
+mod queue;
 
-pub use line::{Runner, places_for};
+pub use queue::{ItemQueue, demand_of_backlog};
 
 use super::Store;
-use super::reign::{Reign, Tracked};
+use super::term::{PrimaryTerm, TrackedJob};
 use crate::clock;
 use crate::subscription::Reporter;
-use quillmount_dataplane::batch_share::{BatchRoom, BatchShare, SenderItems, batch_part};
-use quillmount_dataplane::demand::Demand;
-use quillmount_dataplane::dispatch::Placement;
+use quillmount_dataplane::batch_share::{BatchCapacity, BatchShare, SenderItems, batch_fraction};
+use quillmount_dataplane::dispatch::Reservation;
+use quillmount_dataplane::request_profile::RequestProfile;
 use quillmount_dataplane::routes::CompiledRoute;
 use quillmount_wire::messages::{Item, ItemResult, Job, Phase, ShardOperation};
 use std::rc::Rc;
 use std::time::Duration;
 
 /// Longest time between two looks for room.
-const LOOK: Duration = Duration::from_millis(25);
+const CAPACITY_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
 /// What is due sooner than this is taken for late, microseconds: about the time that an item takes.
 const LATE_MARGIN: u64 = 700_000;
 
 /// An item that is to run, with what earlier runs left.
-struct Run {
-    reign: Rc<Reign>,
-    tracked: Tracked,
+struct ItemRun {
+    term: Rc<PrimaryTerm>,
+    tracked: TrackedJob,
     job: Rc<Job>,
     item: u32,
     /// Data of the events so far.
@@ -41,17 +41,17 @@
 }
 
 /// What is to become of an item before it runs.
-enum Next {
+enum NextStep {
     /// It is no longer this store's, or no longer wanted.
     Drop,
     DeadLetter,
-    Place {
+    Reserve {
         service: String,
-        demand: Demand,
+        profile: RequestProfile,
     },
 }
 
-impl Run {
+impl ItemRun {
     fn is_late(&self) -> bool {
         clock::micros() + LATE_MARGIN > self.due
     }
@@ -60,16 +60,16 @@
         &self.job.items[self.item as usize]
     }
 
-    fn next(&self, store: &Store) -> Next {
-        if self.tracked.cancel.is_cancelled() || !self.reign.is_serving() {
-            return Next::Drop;
+    fn next(&self, store: &Store) -> NextStep {
+        if self.tracked.cancel.is_cancelled() || !self.term.is_serving() {
+            return NextStep::Drop;
         }
         let tables = store.node.tables();
-        let Some(route) = tables.routes.by_name(&self.job.route) else { return Next::DeadLetter };
-        let age = clock::micros().saturating_sub(self.tracked.seen);
+        let Some(route) = tables.routes.by_name(&self.job.route) else { return NextStep::DeadLetter };
+        let age = clock::micros().saturating_sub(self.tracked.first_seen);
         let retain = route.route.retain_s.map(|span| clock::millis(span * 1000.0).as_micros() as u64);
         if retain.is_some_and(|retain| age > retain) {
-            return Next::DeadLetter;
+            return NextStep::DeadLetter;
         }
         let header = |name: &str| {
             let headers = &self.item().headers;
@@ -78,18 +78,18 @@
                 .find(|(known, _)| known.eq_ignore_ascii_case(name))
                 .map(|(_, value)| value.as_str())
         };
-        let demand = Demand::parse(header("Token-Count"), header("Prompt-Prefix"));
-        let draw = (clock::draw() % 10_000) as f64 / 10_000.0;
-        let service = route.service(draw).unwrap_or_default().to_owned();
-        Next::Place { service, demand }
+        let profile = RequestProfile::parse(header("Token-Count"), header("Prompt-Prefix"));
+        let draw = (clock::random_id() % 10_000) as f64 / 10_000.0;
+        let service = route.pick_service(draw).unwrap_or_default().to_owned();
+        NextStep::Reserve { service, profile }
     }
 
-    fn tries(&self, store: &Store) -> u32 {
+    fn max_attempts(&self, store: &Store) -> u32 {
         let tables = store.node.tables();
-        tables.routes.by_name(&self.job.route).map_or(1, |route: &Rc<CompiledRoute>| route.tries)
+        tables.routes.by_name(&self.job.route).map_or(1, |route: &Rc<CompiledRoute>| route.max_attempts)
     }
 
-    fn request(&self, placement: &Placement) -> Vec<u8> {
+    fn request(&self, reservation: &Reservation) -> Vec<u8> {
         let item = self.item();
         let mut out =
             format!("POST {} HTTP/1.1\r\nHost: {}\r\nRequest-Id: {}\r\n", item.path, self.job.host, item.id);
@@ -101,7 +101,7 @@
                 out.push_str(&format!("{name}: {value}\r\n"));
             }
         }
-        out.push_str(&format!("Expect-Endpoint: {}\r\nTenant: {}\r\n", placement.id, self.job.tenant));
+        out.push_str(&format!("Expect-Endpoint: {}\r\nTenant: {}\r\n", reservation.id, self.job.tenant));
         if let Some(last) = self.last_event {
             out.push_str(&format!("Last-Event-Id: {last}\r\n"));
         }
@@ -115,17 +115,17 @@
 /// Starts items for as long as the process lives.
 pub async fn run(store: Rc<Store>) {
     loop {
-        let added = store.runner.added();
-        let room = store.node.room.notified();
+        let added = store.item_queue.added();
+        let capacity_freed = store.node.capacity_freed.notified();
         start_items(&store);
-        let idle = store.runner.is_empty();
+        let idle = store.item_queue.is_empty();
         if idle {
             added.await;
         } else {
             tokio::select! {
                 () = added => {}
-                () = room => {}
-                () = tokio::time::sleep(LOOK) => {}
+                () = capacity_freed => {}
+                () = tokio::time::sleep(CAPACITY_CHECK_INTERVAL) => {}
             }
         }
     }
@@ -134,28 +134,30 @@
 /// Starts items, oldest first, until no endpoint has room.
 fn start_items(store: &Rc<Store>) {
     loop {
-        let Some(run) = store.runner.take() else { return };
+        let Some(run) = store.item_queue.pop() else { return };
         match run.next(store) {
-            Next::Drop => {}
-            Next::DeadLetter => list(store, run, Phase::DeadLetter, String::new()),
-            Next::Place { service, demand } => {
+            NextStep::Drop => {}
+            NextStep::DeadLetter => append_result(store, run, Phase::DeadLetter, String::new()),
+            NextStep::Reserve { service, profile } => {
                 let now = clock::micros();
-                let share = store.runner.share(&service, now, |room| batch_share(store, &service, now, room));
+                let share = store
+                    .item_queue
+                    .share(&service, now, |batch_capacity| batch_share(store, &service, now, batch_capacity));
                 let mut dispatcher = store.node.dispatcher.borrow_mut();
-                let placed = dispatcher.place(&service, &demand, Some(&share), &run.tried, now);
-                let placed = match placed {
+                let reserved = dispatcher.reserve(&service, &profile, Some(&share), &run.tried, now);
+                let reserved = match reserved {
                     Err(_) if !run.tried.is_empty() => {
-                        dispatcher.place(&service, &demand, Some(&share), &[], now)
+                        dispatcher.reserve(&service, &profile, Some(&share), &[], now)
                     }
-                    placed => placed,
+                    reserved => reserved,
                 };
                 drop(dispatcher);
-                match placed {
-                    Ok(placement) => {
-                        tokio::task::spawn_local(attempt::run(store.clone(), run, placement));
+                match reserved {
+                    Ok(reservation) => {
+                        tokio::task::spawn_local(attempt::run(store.clone(), run, reservation));
                     }
                     Err(_) => {
-                        store.runner.insert(run);
+                        store.item_queue.insert(run);
                         return;
                     }
                 }
@@ -166,7 +168,7 @@
 
 /// This store's share of a service's endpoints: by the items that it has beside those of the others, of the room that live
 /// requests leave.
-fn batch_share(store: &Store, service: &str, now: u64, room: &mut BatchRoom) -> BatchShare {
+fn batch_share(store: &Store, service: &str, now: u64, batch_capacity: &mut BatchCapacity) -> BatchShare {
     let loads = store.node.loads.borrow().clone();
     let load = loads.iter().find(|load| load.service == service);
     let known = load.into_iter().flat_map(|load| &load.items);
@@ -176,21 +178,21 @@
     let own = store.needs().items.get(service).copied().unwrap_or_default() + 1;
     let me = SenderItems { sender: store.node.info.disk, items: own };
     let capacity = store.node.dispatcher.borrow().capacity(service);
-    let left = load.map(|load| batch_part(load.live_places, capacity));
-    BatchShare::new(me, &senders, room.follow(now, left))
+    let left = load.map(|load| batch_fraction(load.live_demand, capacity));
+    BatchShare::new(me, &senders, batch_capacity.update(now, left))
 }
 
 /// Lists the result of an item.
-fn list(store: &Rc<Store>, run: Run, phase: Phase, text: String) {
+fn append_result(store: &Rc<Store>, run: ItemRun, phase: Phase, text: String) {
     let operation = ShardOperation::Append {
         job: run.job.id.clone(),
         result: ItemResult { item: run.item, phase, text },
     };
     // A primary that ends leaves the item to the next one.
-    if run.reign.is_serving() {
+    if run.term.is_serving() {
         let store = store.clone();
         tokio::task::spawn_local(async move {
-            let _ = run.reign.shard.commit(&store, operation).await;
+            let _ = run.term.shard.commit(&store, operation).await;
         });
     }
 }
--- a/node/src/store/mod.rs
+++ b/node/src/store/mod.rs
@@ -3,9 +3,9 @@
 mod compaction;
 mod items;
 mod quota;
-mod reign;
 mod serve;
 mod shard;
+mod term;
 
 use crate::clock;
 use crate::disk::{DiskWriter, Written};
@@ -13,10 +13,10 @@
 use crate::node::Node;
 use crate::rpc::{self, Handler};
 use crate::subscription::{self, Needs, Reporter};
-use items::Runner;
-use quillmount_batch::{RETRY, ReplicaIdentity, StoreRecord, WriteId};
+use items::ItemQueue;
+use quillmount_batch::{RETRY_DELAY, ShardReplicaId, StoreRecord, WriteId};
 use quillmount_control::SHARDS;
-use quillmount_storage::{Record, RingSize, StorageError, load_identity};
+use quillmount_storage::{RingRecord, RingSize, StorageError, load_identity};
 use quillmount_wire::messages::{NodeInfo, NodeRole, ShardOperation, ShardReport};
 use quillmount_wire::settings::Settings;
 use shard::Shard;
@@ -27,24 +27,24 @@
 use tokio::sync::{Notify, mpsc, oneshot};
 
 /// Bytes of one file of the ring.
-const SEGMENT: u64 = 8 << 20;
+const SEGMENT_BYTES: u64 = 8 << 20;
 /// Part of the disk that the ring takes.
-const DISK_PART: f64 = 0.93;
+const DISK_FRACTION: f64 = 0.93;
 /// Part of the memory that jobs may take.
-const MEMORY_PART: f64 = 0.4;
+const MEMORY_FRACTION: f64 = 0.4;
 /// Part of the ring that jobs may take. A compaction begins at half of it, so that a whole copy fits beside what is there, with
 /// a file for what is written meanwhile.
-const LIVE_PART: f64 = 0.36;
+const LIVE_FRACTION: f64 = 0.36;
 /// Part of the ring that has to be free for a new job.
-const FREE_PART: f64 = 0.15;
+const FREE_FRACTION: f64 = 0.15;
 /// How long a store that stops goes on serving, so that its shards are led elsewhere.
-const HAND_OVER: Duration = Duration::from_millis(1500);
+const HANDOVER_GRACE: Duration = Duration::from_millis(1500);
 /// Pause between two steps of replicas that wait for time to pass.
-const STEP: Duration = Duration::from_micros(RETRY / 2);
+const TICK_INTERVAL: Duration = Duration::from_micros(RETRY_DELAY / 2);
 /// A job that may be forgotten is kept for so much longer, microseconds.
 const FORGET_MARGIN: u64 = 30_000_000;
 /// Pause between two looks at jobs that may be forgotten and connections that rested too long.
-const TIDY_PAUSE: Duration = Duration::from_millis(500);
+const CLEANUP_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A record on its way to the disk.
 struct PendingWrite {
@@ -58,9 +58,9 @@
     pub node: Rc<Node>,
     pub disk: DiskWriter,
     pub shards: Vec<Rc<Shard>>,
-    pub runner: Runner,
+    pub item_queue: ItemQueue,
     /// Told when a replica waits for time to pass.
-    pub restless: Notify,
+    pub tick_needed: Notify,
     /// Records in the order of their writing; replicas bound how many there are.
     writes: mpsc::UnboundedSender<PendingWrite>,
     /// Segments of the ring that can still be opened, and all.
@@ -74,11 +74,11 @@
         node: Rc<Node>,
         folder: &Path,
     ) -> Result<(Rc<Store>, mpsc::UnboundedReceiver<PendingWrite>), StorageError> {
-        let bytes = (node.settings.limits.disk_mb as f64 * 1e6 * DISK_PART) as u64;
-        let segments = (bytes / SEGMENT).clamp(3, 512) as usize;
-        let (disk, records) = DiskWriter::open(folder, RingSize { segment: SEGMENT, segments })?;
-        let survivable = node.settings.survive.boxes;
-        let identity = |shard| ReplicaIdentity { disk: node.info.disk, shard, survivable };
+        let bytes = (node.settings.limits.disk_mb as f64 * 1e6 * DISK_FRACTION) as u64;
+        let segments = (bytes / SEGMENT_BYTES).clamp(3, 512) as usize;
+        let (disk, records) = DiskWriter::open(folder, RingSize { segment: SEGMENT_BYTES, segments })?;
+        let tolerated_failures = node.settings.fault_tolerance.machines;
+        let identity = |shard| ShardReplicaId { disk: node.info.disk, shard, tolerated_failures };
         let shards: Vec<Rc<Shard>> =
             (0..SHARDS as u32).map(|shard| Rc::new(Shard::new(identity(shard)))).collect();
         recover(&shards, records);
@@ -87,8 +87,8 @@
             node,
             disk,
             shards,
-            runner: Runner::default(),
-            restless: Notify::new(),
+            item_queue: ItemQueue::default(),
+            tick_needed: Notify::new(),
             writes,
             free_segments: Cell::new(segments),
             segments,
@@ -98,11 +98,11 @@
     }
 
     /// Whether a new job has room in memory and on disk.
-    pub fn has_room(&self) -> bool {
-        let memory = self.node.settings.limits.ram_mb as f64 * 1e6 * MEMORY_PART;
-        let ring = self.segments as f64 * SEGMENT as f64 * LIVE_PART;
+    pub fn has_capacity(&self) -> bool {
+        let memory = self.node.settings.limits.ram_mb as f64 * 1e6 * MEMORY_FRACTION;
+        let ring = self.segments as f64 * SEGMENT_BYTES as f64 * LIVE_FRACTION;
         let used: usize = self.shards.iter().map(|shard| shard.replica().jobs().bytes()).sum();
-        let free = self.free_segments.get() as f64 > self.segments as f64 * FREE_PART;
+        let free = self.free_segments.get() as f64 > self.segments as f64 * FREE_FRACTION;
         (used as f64) < memory.min(ring) && free
     }
 
@@ -120,16 +120,16 @@
     }
 
     fn needs(&self) -> Needs {
-        let mut items = self.runner.waiting(&self.node.tables().routes);
-        let places = items::places_for(&items);
+        let mut items = self.item_queue.waiting(&self.node.tables().routes);
+        let demand = items::demand_of_backlog(&items);
         for (service, running) in self.node.dispatcher.borrow().in_flight() {
             *items.entry(service).or_default() += running;
         }
-        Needs { places, items }
+        Needs { demand, items }
     }
 }
 
-fn recover(shards: &[Rc<Shard>], records: Vec<Record>) {
+fn recover(shards: &[Rc<Shard>], records: Vec<RingRecord>) {
     for record in records {
         match StoreRecord::decode(&record.body) {
             Ok(record) => {
@@ -144,7 +144,7 @@
 }
 
 /// Tells the replicas what became of their records.
-async fn settle_writes(store: Rc<Store>, mut pending: mpsc::UnboundedReceiver<PendingWrite>) {
+async fn report_writes(store: Rc<Store>, mut pending: mpsc::UnboundedReceiver<PendingWrite>) {
     while let Some(PendingWrite { shard, write, written }) = pending.recv().await {
         let synced = match written.await {
             Ok(Ok(written)) => {
@@ -161,19 +161,19 @@
                 false
             }
         };
-        shard.written(&store, write, synced);
+        shard.on_written(&store, write, synced);
     }
 }
 
 /// Lets time pass for replicas that wait for that.
-async fn step_replicas(store: Rc<Store>) {
+async fn tick_replicas(store: Rc<Store>) {
     loop {
-        let restless = store.restless.notified();
+        let tick_needed = store.tick_needed.notified();
         let ticked = store.shards.iter().filter(|shard| shard.tick(&store)).count();
         if ticked == 0 {
-            restless.await;
+            tick_needed.await;
         }
-        tokio::time::sleep(STEP).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
     }
 }
 
@@ -193,13 +193,15 @@
 
 /// Forgets jobs that nobody may ask for any more.
 fn forget_old_jobs(store: &Rc<Store>, shard: &Rc<Shard>) {
-    let Some(reign) = shard.reign() else { return };
-    let keep = clock::millis(store.node.settings.slo.poll_s * 1000.0).as_micros() as u64 + FORGET_MARGIN;
+    let Some(term) = shard.term() else { return };
+    let retention = clock::millis(store.node.settings.slo.poll_s * 1000.0).as_micros() as u64 + FORGET_MARGIN;
     let now = clock::micros();
     let replica = shard.replica();
-    let over = replica.jobs().jobs.iter().filter(|(_, entry)| entry.ended || entry.is_complete());
-    let old: Vec<String> =
-        over.map(|(id, _)| id.clone()).filter(|id| now.saturating_sub(reign.track(id).seen) > keep).collect();
+    let finished = replica.jobs().jobs.iter().filter(|(_, entry)| entry.ended || entry.is_complete());
+    let old: Vec<String> = finished
+        .map(|(id, _)| id.clone())
+        .filter(|id| now.saturating_sub(term.track(id).first_seen) > retention)
+        .collect();
     drop(replica);
     for job in old {
         let (store, shard) = (store.clone(), shard.clone());
@@ -212,13 +214,13 @@
 /// Runs the store until it is asked to stop.
 pub async fn run(settings: Settings) -> Result<(), RoleError> {
     let folder = settings.data_folder().unwrap_or("data").to_owned();
-    let identity = load_identity(Path::new(&folder), clock::draw())?;
+    let identity = load_identity(Path::new(&folder), clock::random_id())?;
     let info = NodeInfo {
         name: settings.hostname.clone(),
         disk: identity.disk,
         internal: settings.internal_address(),
         admin: None,
-        zone: settings.az.clone(),
+        zone: settings.zone.clone(),
         role: NodeRole::Store,
     };
     let node = Node::new(settings, info);
@@ -227,15 +229,15 @@
     let internal = listen(&node.info.internal)?;
     tokio::task::spawn_local(rpc::serve(internal, handler(&store)));
     tokio::task::spawn_local(subscription::run(node.clone(), store.clone()));
-    tokio::task::spawn_local(subscription::read_when_orphaned(node.clone()));
-    tokio::task::spawn_local(settle_writes(store.clone(), pending));
+    tokio::task::spawn_local(subscription::read_list_without_core(node.clone()));
+    tokio::task::spawn_local(report_writes(store.clone(), pending));
     tokio::task::spawn_local(follow_views(store.clone()));
-    tokio::task::spawn_local(step_replicas(store.clone()));
-    tokio::task::spawn_local(quota::state_all(store.clone()));
+    tokio::task::spawn_local(tick_replicas(store.clone()));
+    tokio::task::spawn_local(quota::send_statements_periodically(store.clone()));
     tokio::task::spawn_local(items::run(store.clone()));
-    tokio::task::spawn_local(tidy(store.clone()));
+    tokio::task::spawn_local(clean_up(store.clone()));
     wait_for_stop(&node).await?;
-    tokio::time::sleep(HAND_OVER).await;
+    tokio::time::sleep(HANDOVER_GRACE).await;
     Ok(())
 }
 
@@ -247,11 +249,11 @@
     })
 }
 
-async fn tidy(store: Rc<Store>) {
+async fn clean_up(store: Rc<Store>) {
     loop {
-        tokio::time::sleep(TIDY_PAUSE).await;
+        tokio::time::sleep(CLEANUP_INTERVAL).await;
         store.shards.iter().for_each(|shard| forget_old_jobs(&store, shard));
         let dispatcher = store.node.dispatcher.borrow();
-        store.node.upstreams.tidy(|endpoint| dispatcher.is_open(endpoint));
+        store.node.upstreams.close_expired(|endpoint| dispatcher.is_open(endpoint));
     }
 }
--- a/node/src/store/shard.rs
+++ b/node/src/store/shard.rs
@@ -1,13 +1,13 @@
-//! A shard's replica on sockets and disk: carries out what [`Replica`] decides.
+//! A shard's replica on sockets and disk: carries out what [`ShardReplica`] decides.
 
 use super::Store;
-use super::reign::Reign;
+use super::term::PrimaryTerm;
 use crate::clock;
 use quillmount_batch::{
-    CallId, Micros, OperationId, Output, Replica, ReplicaIdentity, RequestId, StoreRecord,
+    CallId, Micros, OperationId, RequestId, ShardAction, ShardReplica, ShardReplicaId, StoreRecord,
 };
 use quillmount_wire::messages::{
-    DiskId, Epoch, MemberMessage, Request, Response, ShardOperation, ShardReport, ShardView,
+    DiskId, Epoch, Request, Response, ShardMessage, ShardOperation, ShardReport, ShardView,
 };
 use std::cell::{Cell, Ref, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -19,14 +19,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommitError {
     /// It was not begun: nothing happened.
-    NotBegun,
+    NotStarted,
     /// Members may hold it.
     Uncertain,
 }
 
 /// Callers that wait for what the replica says.
 #[derive(Default)]
-struct Waiting {
+struct PendingReplies {
     answers: HashMap<RequestId, oneshot::Sender<Response>>,
     operations: HashMap<OperationId, oneshot::Sender<Result<(), CommitError>>>,
     reads: HashMap<u64, oneshot::Sender<bool>>,
@@ -36,25 +36,25 @@
 /// A shard as one store has it.
 pub struct Shard {
     pub number: u32,
-    replica: RefCell<Replica>,
-    /// The reign under way, while this store serves as primary.
-    reign: RefCell<Option<Rc<Reign>>>,
-    waiting: RefCell<Waiting>,
+    replica: RefCell<ShardReplica>,
+    /// The term under way, while this store serves as primary.
+    term: RefCell<Option<Rc<PrimaryTerm>>>,
+    waiting: RefCell<PendingReplies>,
     last_id: Cell<u64>,
 }
 
 impl Shard {
-    pub fn new(identity: ReplicaIdentity) -> Shard {
+    pub fn new(identity: ShardReplicaId) -> Shard {
         Shard {
             number: identity.shard,
-            replica: RefCell::new(Replica::new(identity)),
-            reign: RefCell::new(None),
+            replica: RefCell::new(ShardReplica::new(identity)),
+            term: RefCell::new(None),
             waiting: RefCell::default(),
             last_id: Cell::new(0),
         }
     }
 
-    fn draw_id(&self) -> u64 {
+    fn allocate_id(&self) -> u64 {
         self.last_id.set(self.last_id.get() + 1);
         self.last_id.get()
     }
@@ -64,19 +64,19 @@
         self.replica.borrow_mut().recover(record);
     }
 
-    pub fn replica(&self) -> Ref<'_, Replica> {
+    pub fn replica(&self) -> Ref<'_, ShardReplica> {
         self.replica.borrow()
     }
 
-    /// The reign under way, if any.
-    pub fn reign(&self) -> Option<Rc<Reign>> {
-        self.reign.borrow().clone()
+    /// The term under way, if any.
+    pub fn term(&self) -> Option<Rc<PrimaryTerm>> {
+        self.term.borrow().clone()
     }
 
-    /// The reign under way, if this store serves in this epoch.
-    pub fn serving(&self, epoch: Epoch) -> Option<Rc<Reign>> {
+    /// The term under way, if this store serves in this epoch.
+    pub fn serving(&self, epoch: Epoch) -> Option<Rc<PrimaryTerm>> {
         let serves = self.replica().serving() == Some(epoch);
-        self.reign().filter(|_| serves)
+        self.term().filter(|_| serves)
     }
 
     /// What the core is to know of the members.
@@ -85,38 +85,33 @@
     }
 
     pub fn follow_view(self: &Rc<Self>, store: &Rc<Store>, view: &ShardView) {
-        let outputs = self.replica.borrow_mut().follow_view(view, clock::micros());
-        self.perform(store, outputs);
+        let actions = self.replica.borrow_mut().follow_view(view, clock::micros());
+        self.perform(store, actions);
     }
 
     /// Lets time pass, if that may change something; whether it may.
     pub fn tick(self: &Rc<Self>, store: &Rc<Store>) -> bool {
-        if !self.replica().is_restless() {
+        if !self.replica().needs_tick() {
             return false;
         }
-        let outputs = self.replica.borrow_mut().tick(clock::micros());
-        self.perform(store, outputs);
+        let actions = self.replica.borrow_mut().tick(clock::micros());
+        self.perform(store, actions);
         true
     }
 
     /// A record is synced, or could not be written.
-    pub fn written(self: &Rc<Self>, store: &Rc<Store>, write: u64, synced: bool) {
-        let outputs = self.replica.borrow_mut().written(write, synced, clock::micros());
-        self.perform(store, outputs);
+    pub fn on_written(self: &Rc<Self>, store: &Rc<Store>, write: u64, synced: bool) {
+        let actions = self.replica.borrow_mut().on_written(write, synced, clock::micros());
+        self.perform(store, actions);
     }
 
     /// Answers a call of the shard's primary.
-    pub async fn answer(
-        self: &Rc<Self>,
-        store: &Rc<Store>,
-        epoch: Epoch,
-        message: MemberMessage,
-    ) -> Response {
-        let request = self.draw_id();
+    pub async fn answer(self: &Rc<Self>, store: &Rc<Store>, epoch: Epoch, message: ShardMessage) -> Response {
+        let request = self.allocate_id();
         let (sender, receiver) = oneshot::channel();
         self.waiting.borrow_mut().answers.insert(request, sender);
-        let outputs = self.replica.borrow_mut().receive(request, epoch, message, clock::draw());
-        self.perform(store, outputs);
+        let actions = self.replica.borrow_mut().receive(request, epoch, message, clock::random_id());
+        self.perform(store, actions);
         receiver.await.unwrap_or(Response::Uncertain)
     }
 
@@ -126,65 +121,69 @@
         store: &Rc<Store>,
         change: ShardOperation,
     ) -> Result<(), CommitError> {
-        let operation = self.draw_id();
+        let operation = self.allocate_id();
         let (sender, receiver) = oneshot::channel();
         self.waiting.borrow_mut().operations.insert(operation, sender);
-        let outputs = self.replica.borrow_mut().commit(operation, change, clock::micros());
-        self.perform(store, outputs);
+        let actions = self.replica.borrow_mut().commit(operation, change, clock::micros());
+        self.perform(store, actions);
         receiver.await.unwrap_or(Err(CommitError::Uncertain))
     }
 
     /// Whether this store still is primary: what it has committed is the newest there is.
     pub async fn confirm(self: &Rc<Self>, store: &Rc<Store>, until: Micros) -> bool {
-        let read = self.draw_id();
+        let read = self.allocate_id();
         let (sender, receiver) = oneshot::channel();
         self.waiting.borrow_mut().reads.insert(read, sender);
-        let outputs = self.replica.borrow_mut().confirm(read, until, clock::micros());
-        self.perform(store, outputs);
+        let actions = self.replica.borrow_mut().confirm(read, until, clock::micros());
+        self.perform(store, actions);
         receiver.await.unwrap_or(false)
     }
 
     /// Writes all jobs once more; whether they are synced.
     pub async fn rewrite(self: &Rc<Self>, store: &Rc<Store>) -> bool {
-        let request = self.draw_id();
+        let request = self.allocate_id();
         let (sender, receiver) = oneshot::channel();
         self.waiting.borrow_mut().rewrites.insert(request, sender);
-        let outputs = self.replica.borrow_mut().rewrite(request);
-        self.perform(store, outputs);
+        let actions = self.replica.borrow_mut().rewrite(request);
+        self.perform(store, actions);
         receiver.await.unwrap_or(false)
     }
 
-    fn perform(self: &Rc<Self>, store: &Rc<Store>, outputs: Vec<Output>) {
-        let mut queue: VecDeque<Output> = outputs.into();
-        while let Some(output) = queue.pop_front() {
-            self.perform_one(store, output);
+    fn perform(self: &Rc<Self>, store: &Rc<Store>, actions: Vec<ShardAction>) {
+        let mut queue: VecDeque<ShardAction> = actions.into();
+        while let Some(action) = queue.pop_front() {
+            self.perform_one(store, action);
         }
-        if self.replica().is_restless() {
-            store.restless.notify_one();
+        if self.replica().needs_tick() {
+            store.tick_needed.notify_one();
         }
     }
 
-    fn perform_one(self: &Rc<Self>, store: &Rc<Store>, output: Output) {
-        match output {
-            Output::Write { write, record } => store.write(self, write, &record),
-            Output::Call { call, member, epoch, message, time } => {
+    fn perform_one(self: &Rc<Self>, store: &Rc<Store>, action: ShardAction) {
+        match action {
+            ShardAction::Write { write, record } => store.write(self, write, &record),
+            ShardAction::Call { call, member, epoch, message, timeout } => {
                 let (shard, store) = (self.clone(), store.clone());
                 tokio::task::spawn_local(async move {
-                    shard.call(&store, (call, member), epoch, message, time).await;
+                    shard.call(&store, (call, member), epoch, message, timeout).await;
                 });
             }
-            Output::Answer { request, response } => {
+            ShardAction::Answer { request, response } => {
                 send(self.waiting.borrow_mut().answers.remove(&request), response);
             }
-            Output::Committed { operation, change } => self.committed(store, operation, &change),
-            Output::Uncertain { operation } => self.outcome(operation, Err(CommitError::Uncertain)),
-            Output::NotBegun { operation } => self.outcome(operation, Err(CommitError::NotBegun)),
-            Output::Serving { epoch } => self.begin_reign(store, epoch),
-            Output::Ended => self.end_reign(),
-            Output::ReadConfirmed { read } => send(self.waiting.borrow_mut().reads.remove(&read), true),
-            Output::ReadRefused { read } => send(self.waiting.borrow_mut().reads.remove(&read), false),
-            Output::ReportDue => store.node.report.notify_one(),
-            Output::Rewritten { request, complete } => {
+            ShardAction::Committed { operation, change } => self.committed(store, operation, &change),
+            ShardAction::Uncertain { operation } => {
+                self.complete_operation(operation, Err(CommitError::Uncertain))
+            }
+            ShardAction::NotStarted { operation } => {
+                self.complete_operation(operation, Err(CommitError::NotStarted))
+            }
+            ShardAction::Serving { epoch } => self.begin_term(store, epoch),
+            ShardAction::SteppedDown => self.end_term(),
+            ShardAction::ReadConfirmed { read } => send(self.waiting.borrow_mut().reads.remove(&read), true),
+            ShardAction::ReadRejected { read } => send(self.waiting.borrow_mut().reads.remove(&read), false),
+            ShardAction::ReportDue => store.node.report_due.notify_one(),
+            ShardAction::Rewritten { request, complete } => {
                 send(self.waiting.borrow_mut().rewrites.remove(&request), complete);
             }
         }
@@ -195,50 +194,50 @@
         store: &Rc<Store>,
         (call, member): (CallId, DiskId),
         epoch: Epoch,
-        message: MemberMessage,
-        time: Micros,
+        message: ShardMessage,
+        timeout: Micros,
     ) {
         let tables = store.node.tables();
         let target = tables.placement.stores.iter().find(|node| node.disk == member);
         let answer = match target {
             Some(target) => {
-                let request = Request::Member { to: member, shard: self.number, epoch, message };
-                let time = Duration::from_micros(time);
-                store.node.links.call(&target.internal, &request, time).await.ok()
+                let request = Request::Shard { to: member, shard: self.number, epoch, message };
+                let timeout = Duration::from_micros(timeout);
+                store.node.links.call(&target.internal, &request, timeout).await.ok()
             }
             None => None,
         };
-        let outputs = self.replica.borrow_mut().answered(call, answer, clock::micros());
-        self.perform(store, outputs);
+        let actions = self.replica.borrow_mut().on_answer(call, answer, clock::micros());
+        self.perform(store, actions);
     }
 
-    fn outcome(&self, operation: OperationId, outcome: Result<(), CommitError>) {
-        send(self.waiting.borrow_mut().operations.remove(&operation), outcome);
+    fn complete_operation(&self, operation: OperationId, result: Result<(), CommitError>) {
+        send(self.waiting.borrow_mut().operations.remove(&operation), result);
     }
 
     fn committed(self: &Rc<Self>, store: &Rc<Store>, operation: OperationId, change: &ShardOperation) {
-        self.outcome(operation, Ok(()));
-        let Some(reign) = self.reign() else { return };
+        self.complete_operation(operation, Ok(()));
+        let Some(term) = self.term() else { return };
         match change {
-            ShardOperation::Submit(job) => store.runner.add_job(store, &reign, &job.id),
-            ShardOperation::End { job } => reign.cancel(job),
-            ShardOperation::Forget { job } => reign.forget(job),
+            ShardOperation::Submit(job) => store.item_queue.add_job(store, &term, &job.id),
+            ShardOperation::End { job } => term.cancel(job),
+            ShardOperation::Forget { job } => term.forget(job),
             ShardOperation::Append { .. } => {}
         }
-        reign.news.notify_waiters();
+        term.updates.notify_waiters();
     }
 
-    fn begin_reign(self: &Rc<Self>, store: &Rc<Store>, epoch: Epoch) {
+    fn begin_term(self: &Rc<Self>, store: &Rc<Store>, epoch: Epoch) {
         tracing::info!(shard = self.number, epoch, "serving");
-        let reign = Reign::new(self.clone(), epoch);
-        *self.reign.borrow_mut() = Some(reign.clone());
-        store.runner.add_shard(store, &reign);
+        let term = PrimaryTerm::new(self.clone(), epoch);
+        *self.term.borrow_mut() = Some(term.clone());
+        store.item_queue.add_shard(store, &term);
     }
 
-    fn end_reign(&self) {
-        if let Some(reign) = self.reign.take() {
+    fn end_term(&self) {
+        if let Some(term) = self.term.take() {
             tracing::info!(shard = self.number, "no longer primary");
-            reign.end();
+            term.end();
         }
     }
 }
--- a/node/src/store/term.rs
+++ b/node/src/store/term.rs
@@ -1,6 +1,6 @@
 //! What a store remembers of a shard while it serves as its primary, beyond what is replicated.
 
-use super::quota::ReignQuota;
+use super::quota::TermQuota;
 use super::shard::Shard;
 use crate::clock;
 use quillmount_wire::messages::Epoch;
@@ -11,12 +11,12 @@
 
 /// Told when the items of a job are no longer to run.
 #[derive(Default)]
-pub struct Cancel {
+pub struct CancelSignal {
     cancelled: Cell<bool>,
     notify: Notify,
 }
 
-impl Cancel {
+impl CancelSignal {
     fn cancel(&self) {
         self.cancelled.set(true);
         self.notify.notify_waiters();
@@ -26,7 +26,7 @@
         self.cancelled.get()
     }
 
-    /// Waits for the end of the job, or of the reign.
+    /// Waits for the end of the job, or of the term.
     pub async fn cancelled(&self) {
         let notified = self.notify.notified();
         if !self.cancelled.get() {
@@ -37,31 +37,31 @@
 
 /// A job, as the primary that serves knows it.
 #[derive(Clone)]
-pub struct Tracked {
+pub struct TrackedJob {
     /// When this primary first knew of it, steady clock: never before it was sent.
-    pub seen: u64,
-    pub cancel: Rc<Cancel>,
+    pub first_seen: u64,
+    pub cancel: Rc<CancelSignal>,
 }
 
 /// A primary that serves, until its replica ends that.
-pub struct Reign {
+pub struct PrimaryTerm {
     pub shard: Rc<Shard>,
     ended: Cell<bool>,
     /// Told when something was committed, and at the end.
-    pub news: Notify,
-    tracked: RefCell<HashMap<String, Tracked>>,
-    pub quota: ReignQuota,
+    pub updates: Notify,
+    tracked: RefCell<HashMap<String, TrackedJob>>,
+    pub quota: TermQuota,
 }
 
-impl Reign {
+impl PrimaryTerm {
     /// Begins to serve in this epoch.
-    pub fn new(shard: Rc<Shard>, epoch: Epoch) -> Rc<Reign> {
-        Rc::new(Reign {
+    pub fn new(shard: Rc<Shard>, epoch: Epoch) -> Rc<PrimaryTerm> {
+        Rc::new(PrimaryTerm {
             shard,
             ended: Cell::new(false),
-            news: Notify::new(),
+            updates: Notify::new(),
             tracked: RefCell::default(),
-            quota: ReignQuota::new(epoch),
+            quota: TermQuota::new(epoch),
         })
     }
 
@@ -69,17 +69,17 @@
         !self.ended.get()
     }
 
-    /// Ends the reign: no item of its jobs runs on.
+    /// Ends the term: no item of its jobs runs on.
     pub fn end(&self) {
         self.ended.set(true);
-        self.news.notify_waiters();
+        self.updates.notify_waiters();
         self.tracked.borrow().values().for_each(|tracked| tracked.cancel.cancel());
     }
 
     /// What is remembered of a job.
-    pub fn track(&self, job: &str) -> Tracked {
+    pub fn track(&self, job: &str) -> TrackedJob {
         let mut tracked = self.tracked.borrow_mut();
-        let new = || Tracked { seen: clock::micros(), cancel: Rc::default() };
+        let new = || TrackedJob { first_seen: clock::micros(), cancel: Rc::default() };
         tracked.entry(job.to_owned()).or_insert_with(new).clone()
     }
 
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -11,15 +11,15 @@
 use tokio::time::timeout;
 
 /// A connection to an endpoint that does not come up in this time is given up.
-const CONNECT_TIME: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Bytes sent and not acknowledged for so long end a connection.
 const SILENCE: Duration = Duration::from_millis(2000);
 /// How long a connection rests where the endpoint states nothing, microseconds.
-const REST: u64 = 2_000_000;
+const IDLE_TIMEOUT: u64 = 2_000_000;
 /// Taken off the time that the endpoint states, microseconds.
-const REST_MARGIN: u64 = 800_000;
+const IDLE_MARGIN: u64 = 800_000;
 /// Resting connections to one endpoint at most.
-const RESTING_LIMIT: usize = 16;
+const IDLE_LIMIT: usize = 16;
 /// Largest head of an answer, bytes.
 const HEAD_LIMIT: usize = 64 * 1024;
 /// Answers to other requests that are passed over before this one's.
@@ -36,7 +36,7 @@
     Silent,
 }
 
-struct Resting {
+struct IdleConnection {
     stream: TcpStream,
     until: u64,
 }
@@ -44,7 +44,7 @@
 /// Resting connections, by the id of their endpoint.
 #[derive(Default)]
 pub struct Upstreams {
-    resting: RefCell<HashMap<String, Vec<Resting>>>,
+    idle: RefCell<HashMap<String, Vec<IdleConnection>>>,
 }
 
 /// A request as it is sent to an endpoint.
@@ -64,29 +64,29 @@
     reader: BodyReader,
     endpoint: String,
     /// The whole request was sent: the connection is at the start of another.
-    sent_whole: bool,
+    fully_sent: bool,
 }
 
 /// A connection on which a request is sent.
-struct Opened {
+struct OpenConnection {
     stream: TcpStream,
     /// Nothing was sent on it before.
     fresh: bool,
 }
 
 /// The head of an answer, and what was read behind it.
-struct Answered {
+struct ReceivedHead {
     head: ResponseHead,
     buffer: Vec<u8>,
-    sent_whole: bool,
+    fully_sent: bool,
 }
 
 impl Upstreams {
-    fn take_resting(&self, endpoint: &str) -> Option<TcpStream> {
+    fn take_idle(&self, endpoint: &str) -> Option<TcpStream> {
         let now = clock::micros();
-        let mut resting = self.resting.borrow_mut();
-        let list = resting.get_mut(endpoint)?;
-        while let Some(connection) = list.pop() {
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.get_mut(endpoint)?;
+        while let Some(connection) = connections.pop() {
             let silent = matches!(connection.stream.try_read(&mut [0; 1]), Err(error) if error.kind() == ErrorKind::WouldBlock);
             if connection.until > now && silent {
                 return Some(connection.stream);
@@ -95,23 +95,23 @@
         None
     }
 
-    fn rest(&self, endpoint: &str, stream: TcpStream, head: &ResponseHead) {
+    fn keep_idle(&self, endpoint: &str, stream: TcpStream, head: &ResponseHead) {
         let stated = head.headers.get("Keep-Alive").and_then(keep_alive_seconds);
-        let span = stated.map_or(REST, |seconds| (seconds * 1_000_000).saturating_sub(REST_MARGIN));
-        let mut resting = self.resting.borrow_mut();
-        let list = resting.entry(endpoint.to_owned()).or_default();
-        if list.len() < RESTING_LIMIT {
-            list.push(Resting { stream, until: clock::micros() + span });
+        let span = stated.map_or(IDLE_TIMEOUT, |seconds| (seconds * 1_000_000).saturating_sub(IDLE_MARGIN));
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.entry(endpoint.to_owned()).or_default();
+        if connections.len() < IDLE_LIMIT {
+            connections.push(IdleConnection { stream, until: clock::micros() + span });
         }
     }
 
     /// Closes connections that have rested too long, and those to endpoints that are gone.
-    pub fn tidy(&self, known: impl Fn(&str) -> bool) {
+    pub fn close_expired(&self, known: impl Fn(&str) -> bool) {
         let now = clock::micros();
-        let mut resting = self.resting.borrow_mut();
-        resting.retain(|endpoint, list| {
-            list.retain(|connection| connection.until > now);
-            !list.is_empty() && known(endpoint)
+        let mut idle = self.idle.borrow_mut();
+        idle.retain(|endpoint, connections| {
+            connections.retain(|connection| connection.until > now);
+            !connections.is_empty() && known(endpoint)
         });
     }
 
@@ -121,18 +121,18 @@
         request: UpstreamRequest<'_>,
         time: Duration,
     ) -> Result<UpstreamAnswer, UpstreamError> {
-        let opened = match self.take_resting(request.endpoint) {
-            Some(stream) => Opened { stream, fresh: false },
+        let opened = match self.take_idle(request.endpoint) {
+            Some(stream) => OpenConnection { stream, fresh: false },
             None => {
                 let stream = open(request.address).await.ok_or(UpstreamError::NotSent)?;
-                Opened { stream, fresh: true }
+                OpenConnection { stream, fresh: true }
             }
         };
         match timeout(time, exchange(&opened, &request)).await {
-            Ok(Some(Answered { head, buffer, sent_whole })) => {
+            Ok(Some(ReceivedHead { head, buffer, fully_sent })) => {
                 let reader = BodyReader::new(head.framing);
                 let (stream, endpoint) = (opened.stream, request.endpoint.to_owned());
-                Ok(UpstreamAnswer { head, stream, buffer, reader, endpoint, sent_whole })
+                Ok(UpstreamAnswer { head, stream, buffer, reader, endpoint, fully_sent })
             }
             Ok(None) => Err(UpstreamError::Broken),
             Err(_) => Err(UpstreamError::Silent),
@@ -142,14 +142,16 @@
 
 /// Seconds of a `Keep-Alive` header: a number, alone or behind `timeout=`.
 fn keep_alive_seconds(value: &str) -> Option<u64> {
-    let word =
-        value.split(',').map(str::trim).find_map(|word| word.strip_prefix("timeout=").or(Some(word)))?;
-    word.parse().ok()
+    let parameter = value
+        .split(',')
+        .map(str::trim)
+        .find_map(|parameter| parameter.strip_prefix("timeout=").or(Some(parameter)))?;
+    parameter.parse().ok()
 }
 
 async fn open(address: &str) -> Option<TcpStream> {
-    let stream = timeout(CONNECT_TIME, TcpStream::connect(address)).await.ok()?.ok()?;
-    crate::rpc::tune(&stream, SILENCE);
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
+    crate::rpc::set_socket_options(&stream, SILENCE);
     Some(stream)
 }
 
@@ -169,24 +171,28 @@
 }
 
 /// Writes the request and reads heads until one is of this request; `None` if the connection carries none.
-async fn exchange(opened: &Opened, request: &UpstreamRequest<'_>) -> Option<Answered> {
+async fn exchange(opened: &OpenConnection, request: &UpstreamRequest<'_>) -> Option<ReceivedHead> {
     let stream = &opened.stream;
     let mut buffer = Vec::new();
-    let sent_whole = write_request(opened, request, &mut buffer).await?;
+    let fully_sent = write_request(opened, request, &mut buffer).await?;
     for _ in 0..=STRAY_ANSWERS {
         let head = read_head(stream, &mut buffer).await?;
-        if answers(&head, request.request_id, opened.fresh) {
-            return Some(Answered { head, buffer, sent_whole });
+        if matches_request(&head, request.request_id, opened.fresh) {
+            return Some(ReceivedHead { head, buffer, fully_sent });
         }
         // The late answer to a request before this one: its body is passed over.
-        pass_over(stream, &mut buffer, &head).await?;
+        skip_body(stream, &mut buffer, &head).await?;
     }
     None
 }
 
 /// Writes the request, reading meanwhile: an endpoint may answer before it has read all of it. Whether all of it was sent;
 /// `None` if the connection broke.
-async fn write_request(opened: &Opened, request: &UpstreamRequest<'_>, buffer: &mut Vec<u8>) -> Option<bool> {
+async fn write_request(
+    opened: &OpenConnection,
+    request: &UpstreamRequest<'_>,
+    buffer: &mut Vec<u8>,
+) -> Option<bool> {
     let stream = &opened.stream;
     let mut rest = request.bytes;
     while !rest.is_empty() {
@@ -205,7 +211,7 @@
                 }
                 if let Ok(Some((head, _))) = parse_response(buffer, false)
                     && head.status >= 200
-                    && answers(&head, request.request_id, opened.fresh)
+                    && matches_request(&head, request.request_id, opened.fresh)
                 {
                     return Some(false);
                 }
@@ -216,7 +222,7 @@
 }
 
 /// Whether a head may be believed for this request.
-fn answers(head: &ResponseHead, request_id: &str, fresh: bool) -> bool {
+fn matches_request(head: &ResponseHead, request_id: &str, fresh: bool) -> bool {
     match head.headers.get("Request-Id") {
         Some(id) => id == request_id,
         // A refusal that names no request: it comes before the endpoint has looked at the id. On a connection that carried
@@ -240,7 +246,7 @@
     }
 }
 
-async fn pass_over(stream: &TcpStream, buffer: &mut Vec<u8>, head: &ResponseHead) -> Option<()> {
+async fn skip_body(stream: &TcpStream, buffer: &mut Vec<u8>, head: &ResponseHead) -> Option<()> {
     let mut reader = BodyReader::new(head.framing);
     let mut body = Vec::new();
     loop {
@@ -257,7 +263,7 @@
 
 /// What reading a body came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BodyPart {
+pub enum BodyProgress {
     /// More bytes were appended.
     More,
     /// The body is whole.
@@ -268,21 +274,21 @@
 
 impl UpstreamAnswer {
     /// Reads on; appends what came to `output`.
-    pub async fn read(&mut self, output: &mut Vec<u8>) -> BodyPart {
+    pub async fn read(&mut self, output: &mut Vec<u8>) -> BodyProgress {
         loop {
             let before = output.len();
             if self.reader.read(&mut self.buffer, output).is_err() {
-                return BodyPart::Broken;
+                return BodyProgress::Broken;
             }
             if self.reader.is_done() {
-                return BodyPart::End;
+                return BodyProgress::End;
             }
             if output.len() > before {
-                return BodyPart::More;
+                return BodyProgress::More;
             }
             match fill(&self.stream, &mut self.buffer).await {
-                Ok(0) if self.reader.ends_with_connection() => return BodyPart::End,
-                Ok(0) | Err(_) => return BodyPart::Broken,
+                Ok(0) if self.reader.ends_with_connection() => return BodyProgress::End,
+                Ok(0) | Err(_) => return BodyProgress::Broken,
                 Ok(_) => {}
             }
         }
@@ -293,8 +299,8 @@
         let mut body = Vec::new();
         loop {
             match self.read(&mut body).await {
-                BodyPart::End => return Some(body),
-                BodyPart::More if body.len() <= limit => {}
+                BodyProgress::End => return Some(body),
+                BodyProgress::More if body.len() <= limit => {}
                 _ => return None,
             }
         }
@@ -302,9 +308,9 @@
 
     /// Keeps the connection for another request, if the answer is whole and nothing follows it.
     pub fn release(self, upstreams: &Upstreams) {
-        let clean = self.sent_whole && self.reader.is_done() && self.buffer.is_empty();
+        let clean = self.fully_sent && self.reader.is_done() && self.buffer.is_empty();
         if clean && self.head.keep_alive {
-            upstreams.rest(&self.endpoint, self.stream, &self.head);
+            upstreams.keep_idle(&self.endpoint, self.stream, &self.head);
         }
     }
 }
--- a/node/tests/commands.rs
+++ b/node/tests/commands.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn check_tells_what_is_wrong_with_a_configuration() {
+fn check_reports_what_is_wrong_with_a_configuration() {
     let path = file("good.json", r#"{"Gen":1,"Routes":[],"Backends":[]}"#);
     assert!(run(&["check", "--configuration", &path], None).status.success());
     let bad = r#"{"Gen":1,"Routes":[{"Name":"r","Host":"h","PathPrefix":"/","DeadlineMs":5,"Backend":"gone"}],"Backends":[]}"#;
--- a/node/tests/stored_data.rs
+++ b/node/tests/stored_data.rs
@@ -5,9 +5,9 @@
 mod fixture_files;
 
 use fixture_files::{TemporaryFolder, file_names, fixture_folder};
-use quillmount_batch::{Output, Replica, ReplicaIdentity, StoreRecord};
-use quillmount_control::{ControlState, Order, OrderKind, ShardInputs, Verdict};
-use quillmount_storage::{Record, Ring, RingSize, load_identity};
+use quillmount_batch::{ShardAction, ShardReplica, ShardReplicaId, StoreRecord};
+use quillmount_control::{ControlState, Order, OrderKind, OrderOutcome, ShardPlanInputs};
+use quillmount_storage::{Ring, RingRecord, RingSize, load_identity};
 use quillmount_wire::messages::{
     Accepted, Item, ItemResult, Job, NodeInfo, NodeRole, Phase, Register, RegisterValue, ShardOperation,
     decode, encode,
@@ -57,7 +57,7 @@
 fn registers() -> Vec<Register> {
     let mut state = ControlState::default();
     (1..=3).for_each(|disk| {
-        _ = state.admit_core(&node(&format!("c{disk}"), disk, NodeRole::Core), &BTreeSet::new())
+        _ = state.admit_core_member(&node(&format!("c{disk}"), disk, NodeRole::Core), &BTreeSet::new())
     });
     let accepted = |epoch, sequence, state: &ControlState| {
         let value = RegisterValue { members: vec![1, 2, 3], prior: None, payload: state.encode() };
@@ -65,8 +65,12 @@
     };
     let first = Register { promised: 1, promised_to: 1, accepted: accepted(1, 1, &state) };
     (11..=12).for_each(|disk| _ = state.admit_store(&node(&format!("s{disk}"), disk, NodeRole::Store)));
-    state.plan_shards(&ShardInputs { live: [11, 12].into(), survivable: 1, ..ShardInputs::default() });
-    state.order(&configuration_order());
+    state.plan_shards(&ShardPlanInputs {
+        live: [11, 12].into(),
+        tolerated_failures: 1,
+        ..ShardPlanInputs::default()
+    });
+    state.apply_order(&configuration_order());
     let promised = Register { promised: 2, promised_to: 2, accepted: first.accepted.clone() };
     let last = Register { promised: 2, promised_to: 2, accepted: accepted(2, 5, &state) };
     vec![Register { promised: 1, promised_to: 1, accepted: None }, first, promised, last]
@@ -94,7 +98,7 @@
     assert_eq!((found[3].promised, found[3].promised_to, accepted.epoch, accepted.sequence), (2, 2, 2, 5));
     let mut state = ControlState::decode(&accepted.value.payload).unwrap();
     assert_eq!((state.version, state.placement.shards.len()), (3, 16));
-    assert_eq!(state.order(&configuration_order()), Verdict::Taken { version: 3 });
+    assert_eq!(state.apply_order(&configuration_order()), OrderOutcome::Applied { version: 3 });
 }
 
 #[test]
@@ -134,8 +138,8 @@
     ShardOperation::Append { job: job.to_owned(), result: ItemResult { item, phase, text: text.to_owned() } }
 }
 
-fn replica(shard: u32) -> Replica {
-    Replica::new(ReplicaIdentity { disk: 11, shard, survivable: 1 })
+fn replica(shard: u32) -> ShardReplica {
+    ShardReplica::new(ShardReplicaId { disk: 11, shard, tolerated_failures: 1 })
 }
 
 fn operations(shard: u32, first: u64, operations: Vec<ShardOperation>) -> StoreRecord {
@@ -153,7 +157,7 @@
         ShardOperation::Forget { job: "job-2".to_owned() },
     ];
     vec![
-        StoreRecord::Reign { shard: 0, epoch: 4 },
+        StoreRecord::TermStart { shard: 0, epoch: 4 },
         operations(0, 0, submitted),
         operations(0, 2, results),
         operations(1, 0, vec![ShardOperation::Submit(job("job-3", "t", 2))]),
@@ -167,10 +171,10 @@
     let mine = first_records().into_iter().filter(|record| record.shard() == Some(0));
     mine.for_each(|record| replica.recover(record));
     let records = replica.rewrite(1).into_iter().filter_map(|output| match output {
-        Output::Write { record, .. } => Some(record),
+        ShardAction::Write { record, .. } => Some(record),
         _ => None,
     });
-    std::iter::once(StoreRecord::Marker).chain(records).collect()
+    std::iter::once(StoreRecord::RewriteStart).chain(records).collect()
 }
 
 /// What a store writes after a rewrite; the last record is torn.
@@ -209,7 +213,7 @@
 }
 
 /// Brings records to the replicas of shards 0 and 1.
-fn recover(records: Vec<Record>) -> [Replica; 2] {
+fn recover(records: Vec<RingRecord>) -> [ShardReplica; 2] {
     let mut replicas = [replica(0), replica(1)];
     for record in records {
         let record = StoreRecord::decode(&record.body).unwrap();
--- a/node/tests/tier/answers.rs
+++ b/node/tests/tier/answers.rs
@@ -1,7 +1,7 @@
 //! What becomes of a request by the kind of its route and the way in which its first attempt ended: how often it reaches an
 //! endpoint, and what its client is told.
 
-use crate::harness::{KEY, Tier, ask, configuration, eventually, order};
+use crate::harness::{KEY, Tier, configuration, eventually, order, send_request};
 
 /// Status of an answer that was cut.
 const CUT: u16 = 0;
@@ -35,14 +35,14 @@
     let tier = Tier::start();
     let first = configuration(3);
     assert_eq!(eventually("the first configuration", || order(&tier, "/-/config/put", 0, &first)), 200);
-    let served = |path: &str| ask(&tier, 0, path, KEY, 4000).filter(|answer| answer.status == 200);
+    let served = |path: &str| send_request(&tier, 0, path, KEY, 4000).filter(|answer| answer.status == 200);
     eventually("a first answer", || served("/safe/first"));
     tier
 }
 
 /// What a request is told where no second endpoint has room: a promise only where nothing may have run.
-fn without_a_second(word: &str) -> (u32, u16) {
-    match word {
+fn without_a_second(ending: &str) -> (u32, u16) {
+    match ending {
         "not-run" | "not-run-cut" | "nameless" => (1, 503),
         "silent" => (1, 504),
         _ => (1, 502),
@@ -50,17 +50,17 @@
 }
 
 /// Plays one cell of the table until both endpoints take part in it: one that failed a request is left alone for a while.
-fn play(tier: &Tier, route: &str, word: &str, expected: (u32, u16)) {
+fn check_case(tier: &Tier, route: &str, ending: &str, expected: (u32, u16)) {
     let mut number = 0;
-    eventually(&format!("{route} {word}"), || {
+    eventually(&format!("{route} {ending}"), || {
         number += 1;
-        let path = format!("/{route}/{number}/{word}");
-        let answer = ask(tier, 0, &path, KEY, 1500);
-        let told = answer.as_ref().map_or(CUT, |answer| answer.status);
-        let outcome = (tier.arrivals(&format!("r-{path}")), told);
-        let fallback = if expected.0 == 2 { without_a_second(word) } else { expected };
+        let path = format!("/{route}/{number}/{ending}");
+        let answer = send_request(tier, 0, &path, KEY, 1500);
+        let status = answer.as_ref().map_or(CUT, |answer| answer.status);
+        let outcome = (tier.arrivals(&format!("r-{path}")), status);
+        let fallback = if expected.0 == 2 { without_a_second(ending) } else { expected };
         assert!([expected, fallback, (0, 503)].contains(&outcome), "{path}: {outcome:?}, not {expected:?}");
-        if told == 200 {
+        if status == 200 {
             let body = answer.map(|answer| answer.body).unwrap_or_default();
             assert!(["done", "body", EVENTS].contains(&body.as_str()), "{path}: {body}");
         }
@@ -69,11 +69,11 @@
 }
 
 #[test]
-fn each_end_of_an_attempt_has_its_repeat_and_its_status() {
+fn each_end_of_an_attempt_has_its_retry_and_its_status() {
     let tier = started();
-    for (word, expected) in TABLE {
+    for (ending, expected) in TABLE {
         for (route, expected) in ROUTES.iter().zip(expected) {
-            play(&tier, route, word, expected);
+            check_case(&tier, route, ending, expected);
         }
     }
 }
@@ -81,11 +81,11 @@
 /// A 421 says that the address is another endpoint's by now: the request has not run and goes elsewhere, and nothing more is
 /// sent there.
 #[test]
-fn an_endpoint_whose_address_is_reused_gets_nothing_more() {
+fn a_replaced_endpoint_gets_nothing_more() {
     let tier = started();
-    let gone = ask(&tier, 0, "/once/gone", KEY, 1500).map(|answer| answer.status);
+    let gone = send_request(&tier, 0, "/once/gone", KEY, 1500).map(|answer| answer.status);
     assert_eq!((gone, tier.arrivals("r-/once/gone")), (Some(200), 2));
-    let last = ask(&tier, 0, "/once/last/gone", KEY, 1500).map(|answer| answer.status);
+    let last = send_request(&tier, 0, "/once/last/gone", KEY, 1500).map(|answer| answer.status);
     assert_eq!((last, tier.arrivals("r-/once/last/gone")), (Some(503), 1));
 }
 
@@ -93,14 +93,14 @@
 #[test]
 fn a_refusal_that_names_no_request_counts_only_on_a_fresh_connection() {
     let tier = started();
-    play(&tier, "once", "nameless", (2, 200));
+    check_case(&tier, "once", "nameless", (2, 200));
     // Both endpoints keep a connection; the next request goes on one of these.
     for number in 0..8 {
         let path = format!("/safe/{number}/keep");
         eventually("a kept connection", || {
-            ask(&tier, 0, &path, KEY, 1500).filter(|answer| answer.status == 200)
+            send_request(&tier, 0, &path, KEY, 1500).filter(|answer| answer.status == 200)
         });
     }
-    let kept = ask(&tier, 0, "/once/kept/nameless", KEY, 1500).map(|answer| answer.status);
-    assert_eq!((kept, tier.arrivals("r-/once/kept/nameless")), (Some(502), 1));
+    let reused = send_request(&tier, 0, "/once/kept/nameless", KEY, 1500).map(|answer| answer.status);
+    assert_eq!((reused, tier.arrivals("r-/once/kept/nameless")), (Some(502), 1));
 }
--- a/node/tests/tier/harness.rs
+++ b/node/tests/tier/harness.rs
@@ -67,12 +67,12 @@
 }
 
 /// A request that a stand-in has read.
-struct Asked {
+struct ReceivedRequest {
     target: String,
     head: String,
 }
 
-fn read_request(stream: &TcpStream) -> Option<Asked> {
+fn read_request(stream: &TcpStream) -> Option<ReceivedRequest> {
     let mut reader = BufReader::new(stream);
     let mut head = String::new();
     loop {
@@ -89,7 +89,7 @@
     let mut body = vec![0; length];
     reader.read_exact(&mut body).ok()?;
     let target = head.split(' ').nth(1)?.to_owned();
-    Some(Asked { target, head })
+    Some(ReceivedRequest { target, head })
 }
 
 fn answer_with(mut stream: &TcpStream, status: &str, headers: &str, body: &str) {
@@ -101,15 +101,15 @@
 }
 
 /// Serves connections; `answer` says whether the connection goes on.
-fn serve(address: String, answer: impl Fn(&TcpStream, &Asked) -> bool + Send + Sync + 'static) {
+fn serve(address: String, answer: impl Fn(&TcpStream, &ReceivedRequest) -> bool + Send + Sync + 'static) {
     let listener = TcpListener::bind(address).unwrap();
     let answer = Arc::new(answer);
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let answer = answer.clone();
             std::thread::spawn(move || {
-                while let Some(asked) = read_request(&stream) {
-                    if !answer(&stream, &asked) {
+                while let Some(received) = read_request(&stream) {
+                    if !answer(&stream, &received) {
                         break;
                     }
                 }
@@ -120,10 +120,10 @@
 }
 
 /// The endpoint's events from the one after `last` on; breaks off after the first where `breaks`.
-fn stream_events(mut stream: &TcpStream, asked: &Asked, breaks: bool) {
-    let tenant = header(&asked.head, "Tenant").unwrap_or_default();
-    let last: usize = header(&asked.head, "Last-Event-Id").and_then(|last| last.parse().ok()).unwrap_or(0);
-    let id = header(&asked.head, "Request-Id").unwrap_or_default();
+fn stream_events(mut stream: &TcpStream, received: &ReceivedRequest, breaks: bool) {
+    let tenant = header(&received.head, "Tenant").unwrap_or_default();
+    let last: usize = header(&received.head, "Last-Event-Id").and_then(|last| last.parse().ok()).unwrap_or(0);
+    let id = header(&received.head, "Request-Id").unwrap_or_default();
     let head = format!(
         "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nRequest-Id: {id}\r\nSeal: seal-1\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n"
     );
@@ -144,10 +144,10 @@
 /// Serves an endpoint. Words at the end of a path say how it ends the first attempt of a request; every other is answered
 /// well.
 fn serve_endpoint(address: String, endpoint: &'static str, arrivals: Arrivals) {
-    serve(address, move |stream, asked| {
-        let id = header(&asked.head, "Request-Id").unwrap_or_default();
-        let leaked = header(&asked.head, "Authorization").is_some();
-        let elsewhere = header(&asked.head, "Expect-Endpoint").as_deref() != Some(endpoint);
+    serve(address, move |stream, received| {
+        let id = header(&received.head, "Request-Id").unwrap_or_default();
+        let leaked = header(&received.head, "Authorization").is_some();
+        let elsewhere = header(&received.head, "Expect-Endpoint").as_deref() != Some(endpoint);
         if leaked || elsewhere {
             answer_with(stream, "400 Bad Request", &format!("Request-Id: {id}\r\n"), "");
             return false;
@@ -158,36 +158,36 @@
             *count += 1;
             *count
         };
-        let word = asked.target.rsplit('/').next().unwrap_or_default();
-        if arrival == 1 || word == "poison" {
-            misbehave(stream, asked, &id, word)
+        let ending = received.target.rsplit('/').next().unwrap_or_default();
+        if arrival == 1 || ending == "poison" {
+            misbehave(stream, received, &id, ending)
         } else {
-            answer_well(stream, asked, &id);
+            answer_well(stream, received, &id);
             false
         }
     });
 }
 
 /// An answer that is whole: events on routes of streams, else a body.
-fn answer_well(stream: &TcpStream, asked: &Asked, id: &str) {
-    let streams = ["/live/", "/flow/", "/bulk/"].iter().any(|prefix| asked.target.starts_with(prefix));
+fn answer_well(stream: &TcpStream, received: &ReceivedRequest, id: &str) {
+    let streams = ["/live/", "/flow/", "/bulk/"].iter().any(|prefix| received.target.starts_with(prefix));
     if streams {
-        stream_events(stream, asked, false);
+        stream_events(stream, received, false);
     } else {
         answer_with(stream, "200 OK", &format!("Request-Id: {id}\r\nSeal: seal-1\r\n"), "done");
     }
 }
 
 /// Ends an attempt as the word says; whether the connection goes on.
-fn misbehave(mut stream: &TcpStream, asked: &Asked, id: &str, word: &str) -> bool {
+fn misbehave(mut stream: &TcpStream, received: &ReceivedRequest, id: &str, ending: &str) -> bool {
     let own = format!("Request-Id: {id}\r\nSeal: s\r\n");
-    match word {
+    match ending {
         "poison" => answer_with(stream, "422 Unprocessable Content", &own, ""),
-        "break" => stream_events(stream, asked, true),
+        "break" => stream_events(stream, received, true),
         "close-before" => {}
         "close-in-head" => drop(stream.write_all(b"HTTP/1.1 200 OK\r\nRequest-I")),
-        "close-in-body" if asked.target.starts_with("/live/") || asked.target.starts_with("/flow/") => {
-            stream_events(stream, asked, true);
+        "close-in-body" if received.target.starts_with("/live/") || received.target.starts_with("/flow/") => {
+            stream_events(stream, received, true);
         }
         "close-in-body" => {
             let head = format!("HTTP/1.1 200 OK\r\n{own}Content-Length: 4\r\n\r\ndo");
@@ -204,13 +204,13 @@
         "failed" => answer_with(stream, "500 Internal Server Error", &own, "failed"),
         "interim" => {
             let _ = stream.write_all(b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n");
-            answer_well(stream, asked, id);
+            answer_well(stream, received, id);
         }
         "stray" => {
             let _ = stream.write_all(
                 b"HTTP/1.1 200 OK\r\nRequest-Id: another\r\nSeal: of-another\r\nContent-Length: 5\r\n\r\nother",
             );
-            answer_well(stream, asked, id);
+            answer_well(stream, received, id);
         }
         "spoilt-id" => answer_with(stream, "200 OK", "Request-Id: another\r\nSeal: s\r\n", "other"),
         "unframed" => {
@@ -227,7 +227,7 @@
             return true;
         }
         "nameless" => answer_with(stream, "503 Service Unavailable", "Not-Run: 1\r\n", ""),
-        _ => answer_well(stream, asked, id),
+        _ => answer_well(stream, received, id),
     }
     false
 }
@@ -261,8 +261,8 @@
         };
         let list =
             format!(r#"{{"Endpoints":[{},{}],"NextCursor":null}}"#, entry(250, "i-1"), entry(249, "i-2"));
-        serve(format!("{block}.251:{PLATFORM}"), move |stream, asked| {
-            let body = if asked.target.starts_with("/endpoints") { list.as_str() } else { "" };
+        serve(format!("{block}.251:{PLATFORM}"), move |stream, received| {
+            let body = if received.target.starts_with("/endpoints") { list.as_str() } else { "" };
             answer_with(stream, "200 OK", "", body);
             false
         });
@@ -358,8 +358,8 @@
     /// Asks a courier to stop.
     pub fn terminate_courier(&mut self, number: usize) {
         let id = self.couriers[number].as_ref().map(Child::id).unwrap();
-        let asked = Command::new("sh").arg("-c").arg(format!("kill -TERM {id}")).status().unwrap();
-        assert!(asked.success());
+        let received = Command::new("sh").arg("-c").arg(format!("kill -TERM {id}")).status().unwrap();
+        assert!(received.success());
     }
 
     /// Whether a courier's process runs.
@@ -447,16 +447,16 @@
 
 /// Sends a request to a courier, with an id that is its path.
 pub fn live(tier: &Tier, courier: usize, path: &str, key: &str) -> Option<Answer> {
-    ask(tier, courier, path, key, 4000)
+    send_request(tier, courier, path, key, 4000)
 }
 
 /// Sends a request to a courier, with an id that is its path, and a deadline in ms.
-pub fn ask(tier: &Tier, courier: usize, path: &str, key: &str, deadline: u32) -> Option<Answer> {
-    ask_at(&tier.client_address(courier), path, key, deadline)
+pub fn send_request(tier: &Tier, courier: usize, path: &str, key: &str, deadline: u32) -> Option<Answer> {
+    send_request_to(&tier.client_address(courier), path, key, deadline)
 }
 
 /// The same at the address of a courier.
-pub fn ask_at(address: &str, path: &str, key: &str, deadline: u32) -> Option<Answer> {
+pub fn send_request_to(address: &str, path: &str, key: &str, deadline: u32) -> Option<Answer> {
     let body = "prompt";
     let request = format!(
         "POST {path} HTTP/1.1\r\nHost: a.example\r\nRequest-Id: r-{path}\r\nDeadline: {deadline}\r\nAuthorization: {key}\r\nTenant: forged\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{body}",
--- a/node/tests/tier/whole_path.rs
+++ b/node/tests/tier/whole_path.rs
@@ -7,7 +7,7 @@
 /// From the start of a courier, how long requests wait for its first configuration.
 const FIRST_WAIT: Duration = Duration::from_millis(400);
 #[test]
-fn the_whole_path_serves_and_keeps_what_it_acknowledged() {
+fn the_complete_path_serves_and_keeps_what_it_acknowledged() {
     let mut tier = Tier::start();
 
     // The first configuration is taken, and taken again when it comes again; an invalid one changes nothing.
@@ -78,10 +78,10 @@
         200
     );
     let left = (lost + 1) % 3;
-    let again = eventually("the results again", || {
+    let repeated = eventually("the results again", || {
         read(&tier, left).filter(|answer| answer.status == 200 && answer.body.contains(r#""NextCursor":2"#))
     });
-    assert_eq!(again.body, results.body);
+    assert_eq!(repeated.body, results.body);
     eventually("a live answer after the loss", || {
         live(&tier, left, "/live/3", KEY).filter(|answer| answer.status == 200)
     });
