--- a/replication/src/replica.rs
+++ b/replication/src/replica.rs
@@ -5,7 +5,7 @@
 mod reads;
 
 use crate::quorum;
-use quillmount_wire::messages::{Accepted, DiskId, Epoch, Register, RegisterValue, ReplicaMessage};
+use quillmount_wire::messages::{Accepted, DiskId, Epoch, Register, RegisterMessage, RegisterValue};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Microseconds of a steady clock.
@@ -20,7 +20,7 @@
     pub heartbeat: Micros,
     /// From a start, or a refused candidacy, to the next canvass; chance is added. A primary that is there is protected by the
     /// members that hear it.
-    pub canvass_delay: Micros,
+    pub pre_vote_delay: Micros,
     /// Silence after which a member stands for election; half of it is added by rank and chance.
     pub election: Micros,
     /// Silence after which a member leaves the in-sync set, and a primary without a majority steps down.
@@ -29,21 +29,21 @@
 
 impl Default for Timing {
     fn default() -> Self {
-        Timing { heartbeat: 150_000, canvass_delay: 40_000, election: 700_000, silence: 500_000 }
+        Timing { heartbeat: 150_000, pre_vote_delay: 40_000, election: 700_000, silence: 500_000 }
     }
 }
 
 /// What the caller has to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Output {
+pub enum RegisterAction {
     Send {
         to: DiskId,
-        message: ReplicaMessage,
+        message: RegisterMessage,
     },
     /// Sync the register, then do the rest.
     Persist {
         register: Register,
-        then: Vec<Output>,
+        then: Vec<RegisterAction>,
     },
     /// This value is acknowledged by enough members; primary only.
     Committed {
@@ -68,20 +68,20 @@
         primary: Option<DiskId>,
     },
     /// Asks whether an election would succeed, without changing anything.
-    Canvassing {
+    PreCandidate {
         epoch: Epoch,
-        support: BTreeSet<DiskId>,
+        grants: BTreeSet<DiskId>,
     },
     Candidate {
         epoch: Epoch,
         promises: BTreeMap<DiskId, Option<Accepted>>,
     },
-    Primary(Box<Primary>),
+    Primary(Box<PrimaryState>),
 }
 
 /// State of a primary.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Primary {
+pub struct PrimaryState {
     epoch: Epoch,
     elected: Micros,
     /// The value under way, and who has acknowledged it.
@@ -90,8 +90,8 @@
     last_sequence: u64,
     round: u64,
     /// Rounds that members answered, and when.
-    answers: BTreeMap<DiskId, (u64, Micros)>,
-    reads: BTreeMap<u64, u64>,
+    last_replies: BTreeMap<DiskId, (u64, Micros)>,
+    pending_reads: BTreeMap<u64, u64>,
     next_heartbeat: Micros,
 }
 
@@ -101,32 +101,46 @@
     acknowledged: BTreeSet<DiskId>,
     since: Micros,
     /// When it was last sent.
-    sent: Micros,
+    last_sent: Micros,
 }
 
 /// A member of the replicated snapshot.
 #[derive(Clone, Debug)]
-pub struct Replica {
+pub struct RegisterReplica {
     me: DiskId,
-    survivable: usize,
+    tolerated_failures: usize,
     timing: Timing,
     register: Register,
     role: Role,
     /// When a primary was last heard, or the last try at an election began.
-    heard: Micros,
+    last_contact: Micros,
     /// Spreads elections.
     jitter: Micros,
-    draws: u64,
+    jitter_state: u64,
 }
 
-impl Replica {
-    /// A member with what its disk holds; `survivable` disks may be lost at once.
-    pub fn new(me: DiskId, survivable: usize, register: Register, timing: Timing, now: Micros) -> Replica {
+impl RegisterReplica {
+    /// A member with what its disk holds; `tolerated_failures` disks may be lost at once.
+    pub fn new(
+        me: DiskId,
+        tolerated_failures: usize,
+        register: Register,
+        timing: Timing,
+        now: Micros,
+    ) -> RegisterReplica {
         let role = Role::Follower { primary: None };
-        let mut replica =
-            Replica { me, survivable, timing, register, role, heard: now, jitter: 0, draws: me ^ now };
-        replica.draw_jitter();
-        replica.canvass_after(timing.canvass_delay, now);
+        let mut replica = RegisterReplica {
+            me,
+            tolerated_failures,
+            timing,
+            register,
+            role,
+            last_contact: now,
+            jitter: 0,
+            jitter_state: me ^ now,
+        };
+        replica.renew_jitter();
+        replica.schedule_pre_vote(timing.pre_vote_delay, now);
         replica
     }
 
@@ -159,8 +173,8 @@
     }
 
     /// The primary, if it was heard so lately that it may be taken to be there.
-    pub fn primary_heard(&self, now: Micros) -> Option<DiskId> {
-        self.primary().filter(|_| self.content(now))
+    pub fn recent_primary(&self, now: Micros) -> Option<DiskId> {
+        self.primary().filter(|_| self.has_recent_primary(now))
     }
 
     /// The epoch in which this member is primary.
@@ -172,21 +186,21 @@
     }
 
     /// Whether a proposal may be made now.
-    pub fn idle(&self) -> bool {
+    pub fn can_propose(&self) -> bool {
         matches!(&self.role, Role::Primary(primary) if primary.proposal.is_none() && primary.committed.is_some())
     }
 
     /// Members that answered the primary lately, itself included.
     pub fn live_members(&self, now: Micros) -> BTreeSet<DiskId> {
         match &self.role {
-            Role::Primary(primary) => self.in_sync(primary, now),
+            Role::Primary(primary) => self.responsive_members(primary, now),
             _ => BTreeSet::new(),
         }
     }
 
-    fn in_sync(&self, primary: &Primary, now: Micros) -> BTreeSet<DiskId> {
+    fn responsive_members(&self, primary: &PrimaryState, now: Micros) -> BTreeSet<DiskId> {
         let mut live: BTreeSet<DiskId> = primary
-            .answers
+            .last_replies
             .iter()
             .filter(|(_, (_, at))| now.saturating_sub(*at) < self.timing.silence)
             .map(|(member, _)| *member)
@@ -195,68 +209,70 @@
         live
     }
 
-    fn step_down(&mut self, now: Micros, primary: Option<DiskId>) -> Vec<Output> {
+    fn step_down(&mut self, now: Micros, primary: Option<DiskId>) -> Vec<RegisterAction> {
         let was_primary = matches!(self.role, Role::Primary(_));
         self.role = Role::Follower { primary };
-        self.heard = now;
-        self.draw_jitter();
-        if was_primary { vec![Output::SteppedDown] } else { Vec::new() }
+        self.last_contact = now;
+        self.renew_jitter();
+        if was_primary { vec![RegisterAction::SteppedDown] } else { Vec::new() }
     }
 
     /// Lets time pass.
-    pub fn tick(&mut self, now: Micros) -> Vec<Output> {
+    pub fn tick(&mut self, now: Micros) -> Vec<RegisterAction> {
         match &self.role {
             Role::Primary(primary) => {
                 let due = now >= primary.next_heartbeat;
-                if self.is_alone(primary, now) {
+                if self.has_lost_majority(primary, now) {
                     return self.step_down(now, None);
                 }
-                let mut outputs = self.try_commit(now);
-                outputs.extend(self.resend(now));
+                let mut actions = self.try_commit(now);
+                actions.extend(self.resend_proposal(now));
                 if due {
-                    outputs.extend(self.send_heartbeats(now));
+                    actions.extend(self.send_heartbeats(now));
                 }
-                outputs
+                actions
+            }
+            _ if now.saturating_sub(self.last_contact) > self.timing.election + self.jitter => {
+                self.start_pre_vote(now)
             }
-            _ if now.saturating_sub(self.heard) > self.timing.election + self.jitter => self.canvass(now),
             _ => Vec::new(),
         }
     }
 
     /// Whether a primary no longer hears a majority. A change of members counts once it is committed: newcomers have
     /// not answered anything before.
-    fn is_alone(&self, primary: &Primary, now: Micros) -> bool {
+    fn has_lost_majority(&self, primary: &PrimaryState, now: Micros) -> bool {
         let settled = now.saturating_sub(primary.elected) > self.timing.silence;
-        let live = self.in_sync(primary, now);
+        let live = self.responsive_members(primary, now);
         let value =
             primary.committed.as_ref().or(self.register.accepted.as_ref()).map(|accepted| &accepted.value);
-        settled && value.is_some_and(|value| !quorum::agreed(value, &live))
+        settled && value.is_some_and(|value| !quorum::is_quorum(value, &live))
     }
 
     /// Takes a message of another member, or of this one to itself.
-    pub fn receive(&mut self, from: DiskId, message: ReplicaMessage, now: Micros) -> Vec<Output> {
+    pub fn receive(&mut self, from: DiskId, message: RegisterMessage, now: Micros) -> Vec<RegisterAction> {
         match message {
-            ReplicaMessage::Canvass { epoch } => self.on_canvass(from, epoch, now),
-            ReplicaMessage::Support { epoch } => self.on_support(from, epoch, now),
-            ReplicaMessage::Prepare { epoch } => self.on_prepare(from, epoch, now),
-            ReplicaMessage::Promise { epoch, accepted } => self.on_promise(from, epoch, accepted, now),
-            ReplicaMessage::Accept { accepted } => self.on_accept(from, accepted, now),
-            ReplicaMessage::Acknowledge { epoch, sequence } => {
+            RegisterMessage::PreVote { epoch } => self.on_pre_vote(from, epoch, now),
+            RegisterMessage::PreVoteGranted { epoch } => self.on_pre_vote_granted(from, epoch, now),
+            RegisterMessage::Prepare { epoch } => self.on_prepare(from, epoch, now),
+            RegisterMessage::Promise { epoch, accepted } => self.on_promise(from, epoch, accepted, now),
+            RegisterMessage::Accept { accepted } => self.on_accept(from, accepted, now),
+            RegisterMessage::Acknowledge { epoch, sequence } => {
                 self.on_acknowledge(from, epoch, sequence, now)
             }
-            ReplicaMessage::Heartbeat { epoch, round } => self.on_heartbeat(from, epoch, round, now),
-            ReplicaMessage::HeartbeatReply { epoch, round, accepted_epoch, accepted_sequence } => {
+            RegisterMessage::Heartbeat { epoch, round } => self.on_heartbeat(from, epoch, round, now),
+            RegisterMessage::HeartbeatReply { epoch, round, accepted_epoch, accepted_sequence } => {
                 self.on_heartbeat_reply(from, epoch, round, (accepted_epoch, accepted_sequence), now)
             }
-            ReplicaMessage::Reject { promised } => self.on_reject(promised, now),
-            ReplicaMessage::Resign { epoch, successor } => self.on_resign(from, epoch, successor, now),
+            RegisterMessage::Reject { promised } => self.on_reject(promised, now),
+            RegisterMessage::Resign { epoch, successor } => self.on_resign(from, epoch, successor, now),
         }
     }
 
-    fn follow(&mut self, primary: DiskId, now: Micros) -> Vec<Output> {
+    fn follow_primary(&mut self, primary: DiskId, now: Micros) -> Vec<RegisterAction> {
         if let Role::Follower { primary: known } = &mut self.role {
             *known = Some(primary);
-            self.heard = now;
+            self.last_contact = now;
             return Vec::new();
         }
         self.step_down(now, Some(primary))
--- a/replication/tests/cluster/digest.rs
+++ b/replication/tests/cluster/digest.rs
@@ -1,14 +1,14 @@
 //! Digests of the first fifty seeded days of a cluster.
 
 use crate::digest_file::{SEEDS, compare_with_file};
-use crate::troubled;
+use crate::with_random_faults;
 use std::path::Path;
 
 #[test]
 fn the_first_fifty_seeded_days_give_the_same_counts() {
     let day = |seed: u64| {
-        let (members, survivable) = if seed.is_multiple_of(4) { (6, 2) } else { (3, 1) };
-        let world = troubled(members, survivable, seed);
+        let (members, tolerated_failures) = if seed.is_multiple_of(4) { (6, 2) } else { (3, 1) };
+        let world = with_random_faults(members, tolerated_failures, seed);
         let mut counts = world.counts;
         counts.set("messages_delivered", world.messages as u64);
         counts.set("syncs_completed", world.syncs as u64);
--- a/replication/tests/cluster/exploration.rs
+++ b/replication/tests/cluster/exploration.rs
@@ -6,7 +6,7 @@
 /// When the first primary is killed, how long it is down, and when the case ends.
 const KILL_AT: Time = 100 * MILLI;
 const DOWN: Time = 300 * MILLI;
-const REST: Time = 1400 * MILLI;
+const SETTLE_TIME: Time = 1400 * MILLI;
 /// A member that a fault kills is back after so long.
 const RESTART: Time = 60 * MILLI;
 /// Every how many of a kind of fault are paired.
@@ -14,20 +14,20 @@
 const FAULT_STRIDE: usize = 7;
 
 /// Plays the case; the auditor of the world ends it at the first broken promise.
-fn play(faults: &[Fault]) -> World {
+fn run_with_faults(faults: &[Fault]) -> World {
     let mut world = World::new(3, 1, 11);
     world.faults = faults.to_vec();
     world.run(KILL_AT);
     world.kill(1);
     world.run(DOWN);
     world.start(1);
-    world.run(REST);
+    world.run(SETTLE_TIME);
     world
 }
 
 /// Plays the case and sees that the members serve and acknowledge again after it.
-fn play_to_the_end(faults: &[Fault]) {
-    let mut world = play(faults);
+fn run_to_the_end(faults: &[Fault]) {
+    let mut world = run_with_faults(faults);
     world.faults.clear();
     (1..=3)
         .filter(|disk| !world.nodes[disk].up)
@@ -61,25 +61,25 @@
 }
 
 #[test]
-fn a_fault_at_any_one_step_loses_nothing_and_is_got_over() {
-    let calm = play(&[]);
+fn a_fault_at_any_one_step_loses_nothing_and_the_cluster_recovers() {
+    let calm = run_with_faults(&[]);
     assert!(calm.nodes.values().any(|node| node.replica.primary_epoch().is_some_and(|epoch| epoch >= 2)));
     let faults: Vec<Fault> =
         message_faults(calm.messages).into_iter().chain(sync_faults(calm.syncs)).collect();
     println!("{} messages, {} syncs, {} cases", calm.messages, calm.syncs, faults.len());
-    faults.iter().for_each(|fault| play_to_the_end(&[*fault]));
+    faults.iter().for_each(|fault| run_to_the_end(&[*fault]));
 }
 
 #[test]
-fn two_kills_or_a_kill_and_a_lost_message_lose_nothing_and_are_got_over() {
-    let calm = play(&[]);
+fn two_kills_or_a_kill_and_a_lost_message_lose_nothing_and_the_cluster_recovers() {
+    let calm = run_with_faults(&[]);
     let kills = sync_faults(calm.syncs);
     let second: Vec<Fault> =
         message_faults(calm.messages).into_iter().chain(kills.clone()).step_by(FAULT_STRIDE).collect();
     let mut cases = 0;
     for one in kills.iter().step_by(KILL_STRIDE) {
         for other in second.iter().filter(|other| *other != one) {
-            play_to_the_end(&[*one, *other]);
+            run_to_the_end(&[*one, *other]);
             cases += 1;
         }
     }
--- a/replication/tests/cluster/main.rs
+++ b/replication/tests/cluster/main.rs
@@ -6,7 +6,7 @@
 mod exploration;
 mod world;
 
-use quillmount_wire::messages::{DiskId, Register, ReplicaMessage};
+use quillmount_wire::messages::{DiskId, Register, RegisterMessage};
 use world::{MILLI, SECOND, Time, World, encode};
 /// Replaces the disk of a member: the machine comes back as another identity, which the primary admits.
 fn replace(world: &mut World, old: DiskId, new: DiskId) {
@@ -21,20 +21,20 @@
         if node.replica.members().contains(&new) {
             return;
         }
-        if !node.replica.idle() {
+        if !node.replica.can_propose() {
             continue;
         }
         let members =
             node.replica.members().iter().map(|member| if *member == old { new } else { *member }).collect();
         let payload = encode(&node.committed.clone().unwrap());
-        let outputs = node.replica.propose(members, payload, now);
-        world.perform(primary, outputs);
+        let actions = node.replica.propose(members, payload, now);
+        world.perform(primary, actions);
     }
     panic!("the newcomer {new} for {old} was not admitted");
 }
 
 #[test]
-fn a_calm_cluster_elects_once_and_commits() {
+fn an_undisturbed_cluster_elects_once_and_commits() {
     let mut world = World::new(3, 1, 1);
     world.run(3 * SECOND);
     assert!(world.acknowledged.len() > 20, "{}", world.acknowledged.len());
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_killed_primary_is_followed_within_two_seconds() {
+fn a_killed_primary_is_replaced_within_two_seconds() {
     let mut world = World::new(3, 1, 2);
     world.run(SECOND);
     let before = world.acknowledged.len();
@@ -74,18 +74,18 @@
 }
 
 #[test]
-fn a_resignation_hands_over_without_an_election_timeout() {
+fn a_resignation_transfers_leadership_without_an_election_timeout() {
     let mut world = World::new(3, 1, 4);
     world.run(SECOND);
     let now = world.now;
-    let outputs = world.nodes.get_mut(&1).unwrap().replica.resign(now);
-    world.perform(1, outputs);
+    let actions = world.nodes.get_mut(&1).unwrap().replica.resign(now);
+    world.perform(1, actions);
     world.run(100 * MILLI);
     assert!(world.primary().is_some_and(|primary| primary != 1));
 }
 
 #[test]
-fn with_fewer_copies_than_have_to_survive_nothing_is_acknowledged() {
+fn with_too_few_replicas_nothing_is_acknowledged() {
     let mut world = World::new(3, 1, 5);
     world.run(SECOND);
     world.kill(2);
@@ -165,7 +165,7 @@
     let now = world.now;
     let node = world.nodes.get_mut(&9).unwrap();
     assert!(node.replica.tick(now + 60 * SECOND).is_empty());
-    assert!(node.replica.receive(1, ReplicaMessage::Accept { accepted: value }, now).is_empty());
+    assert!(node.replica.receive(1, RegisterMessage::Accept { accepted: value }, now).is_empty());
     assert!(node.replica.is_blank());
 }
 
@@ -180,9 +180,9 @@
     let now = world.now;
     let node = world.nodes.get_mut(&1).unwrap();
     let payload = encode(&node.committed.clone().unwrap());
-    let outputs = node.replica.propose(vec![1, 2, 3, 4], payload, now);
-    assert!(!outputs.is_empty());
-    world.perform(1, outputs);
+    let actions = node.replica.propose(vec![1, 2, 3, 4], payload, now);
+    assert!(!actions.is_empty());
+    world.perform(1, actions);
     world
 }
 
@@ -211,8 +211,8 @@
 }
 
 /// Faults by seed: kills, cuts one and both ways, freezes, and disks that are lost, one member in trouble at a time.
-fn troubled(members: u64, survivable: usize, seed: u64) -> World {
-    let mut world = World::new(members, survivable, seed);
+fn with_random_faults(members: u64, tolerated_failures: usize, seed: u64) -> World {
+    let mut world = World::new(members, tolerated_failures, seed);
     world.run(SECOND);
     let mut next_disk = 1000;
     for _ in 0..12 {
@@ -264,22 +264,22 @@
 #[test]
 fn nothing_acknowledged_is_lost_through_mixed_faults() {
     for seed in 0..40 {
-        let world = troubled(3, 1, seed);
+        let world = with_random_faults(3, 1, seed);
         assert!(world.acknowledged.len() > 300, "seed {seed}: {}", world.acknowledged.len());
     }
 }
 
 #[test]
-fn six_members_that_may_lose_two_keep_everything_as_well() {
+fn six_members_that_tolerate_two_failures_lose_nothing() {
     for seed in 0..12 {
-        let world = troubled(6, 2, seed);
+        let world = with_random_faults(6, 2, seed);
         assert!(world.acknowledged.len() > 300, "seed {seed}: {}", world.acknowledged.len());
     }
 }
 
 #[test]
-fn a_seed_always_plays_the_same() {
-    let (one, other) = (troubled(3, 1, 77), troubled(3, 1, 77));
+fn a_seed_always_gives_the_same_run() {
+    let (one, other) = (with_random_faults(3, 1, 77), with_random_faults(3, 1, 77));
     assert_eq!(one.acknowledged, other.acknowledged);
     assert_eq!(one.reads_confirmed, other.reads_confirmed);
 }
--- a/replication/tests/cluster/world.rs
+++ b/replication/tests/cluster/world.rs
@@ -1,8 +1,8 @@
 //! Clusters on virtual time, with an auditor of what was acknowledged.
 
 use crate::digest_file::Counts;
-use quillmount_replication::{Output, Replica, Timing};
-use quillmount_wire::messages::{DiskId, Register, ReplicaMessage};
+use quillmount_replication::{RegisterAction, RegisterReplica, Timing};
+use quillmount_wire::messages::{DiskId, Register, RegisterMessage};
 use std::collections::{BTreeMap, BTreeSet};
 
 pub type Time = u64;
@@ -20,8 +20,8 @@
 }
 
 pub enum Event {
-    Deliver { from: DiskId, to: DiskId, message: ReplicaMessage },
-    Synced { node: DiskId, life: u64, register: Register, then: Vec<Output> },
+    Deliver { from: DiskId, to: DiskId, message: RegisterMessage },
+    Synced { node: DiskId, incarnation: u64, register: Register, then: Vec<RegisterAction> },
     Start { node: DiskId },
 }
 
@@ -41,9 +41,9 @@
 }
 
 pub struct Node {
-    pub replica: Replica,
+    pub replica: RegisterReplica,
     pub disk: Register,
-    pub life: u64,
+    pub incarnation: u64,
     pub up: bool,
     pub frozen_until: Time,
     /// Reads under way: what had been acknowledged when they were asked for.
@@ -61,7 +61,7 @@
     pub acknowledged: BTreeSet<u32>,
     pub next_id: u32,
     pub next_read: u64,
-    pub survivable: usize,
+    pub tolerated_failures: usize,
     pub reads_confirmed: usize,
     pub faults: Vec<Fault>,
     /// Messages between members that arrived, and syncs that ended, so far.
@@ -83,7 +83,7 @@
 }
 
 impl World {
-    pub fn new(members: u64, survivable: usize, seed: u64) -> World {
+    pub fn new(members: u64, tolerated_failures: usize, seed: u64) -> World {
         let mut world = World {
             now: SECOND,
             random: Random(seed),
@@ -94,7 +94,7 @@
             acknowledged: BTreeSet::new(),
             next_id: 0,
             next_read: 0,
-            survivable,
+            tolerated_failures,
             reads_confirmed: 0,
             faults: Vec::new(),
             messages: 0,
@@ -106,17 +106,23 @@
         }
         let all: Vec<DiskId> = (1..=members).collect();
         let now = world.now;
-        let outputs = world.nodes.get_mut(&1).unwrap().replica.bootstrap(all, Vec::new(), now);
-        world.perform(1, outputs);
+        let actions = world.nodes.get_mut(&1).unwrap().replica.bootstrap(all, Vec::new(), now);
+        world.perform(1, actions);
         world
     }
 
     pub fn add_node(&mut self, disk: DiskId, register: Register) {
-        let replica = Replica::new(disk, self.survivable, register.clone(), Timing::default(), self.now);
+        let replica = RegisterReplica::new(
+            disk,
+            self.tolerated_failures,
+            register.clone(),
+            Timing::default(),
+            self.now,
+        );
         let node = Node {
             replica,
             disk: register,
-            life: 1,
+            incarnation: 1,
             up: true,
             frozen_until: 0,
             reads: BTreeMap::new(),
@@ -130,20 +136,20 @@
         self.events.insert((at, self.order), event);
     }
 
-    pub fn perform(&mut self, disk: DiskId, outputs: Vec<Output>) {
-        for output in outputs {
-            self.count(disk, &output);
-            match output {
-                Output::Send { to, message } => {
+    pub fn perform(&mut self, disk: DiskId, actions: Vec<RegisterAction>) {
+        for action in actions {
+            self.count(disk, &action);
+            match action {
+                RegisterAction::Send { to, message } => {
                     let delay = if to == disk { 0 } else { 500 + self.random.next(1500) };
                     self.schedule(self.now + delay, Event::Deliver { from: disk, to, message });
                 }
-                Output::Persist { register, then } => {
-                    let life = self.nodes[&disk].life;
+                RegisterAction::Persist { register, then } => {
+                    let incarnation = self.nodes[&disk].incarnation;
                     let at = self.now + 300 + self.random.next(2000);
-                    self.schedule(at, Event::Synced { node: disk, life, register, then });
+                    self.schedule(at, Event::Synced { node: disk, incarnation, register, then });
                 }
-                Output::Committed { accepted } => {
+                RegisterAction::Committed { accepted } => {
                     let ids = decode(&accepted.value.payload);
                     // A primary that was frozen may learn late that its last value was kept: then all of it is known.
                     assert!(
@@ -154,12 +160,12 @@
                     self.acknowledged.extend(&ids);
                     self.nodes.get_mut(&disk).unwrap().committed = Some(ids);
                 }
-                Output::Elected { .. } | Output::SteppedDown => {
+                RegisterAction::Elected { .. } | RegisterAction::SteppedDown => {
                     let node = self.nodes.get_mut(&disk).unwrap();
                     node.committed = None;
                     node.reads.clear();
                 }
-                Output::ReadConfirmed { read } => {
+                RegisterAction::ReadConfirmed { read } => {
                     let node = self.nodes.get_mut(&disk).unwrap();
                     let before = node.reads.remove(&read).expect("asked for");
                     let mine = node.committed.clone().expect("a primary that reads has committed");
@@ -173,34 +179,36 @@
         }
     }
 
-    fn count(&mut self, disk: DiskId, output: &Output) {
+    fn count(&mut self, disk: DiskId, action: &RegisterAction) {
         let now = self.now;
-        match output {
-            Output::Send { to, message } => {
+        match action {
+            RegisterAction::Send { to, message } => {
                 let (label, epoch) = match message {
-                    ReplicaMessage::Canvass { epoch } => ("pre_vote_requests", *epoch),
-                    ReplicaMessage::Support { epoch } => ("pre_votes", *epoch),
-                    ReplicaMessage::Prepare { epoch } => ("prepares", *epoch),
-                    ReplicaMessage::Promise { epoch, .. } => ("promises", *epoch),
-                    ReplicaMessage::Accept { accepted } => ("accepts", accepted.epoch),
-                    ReplicaMessage::Acknowledge { epoch, .. } => ("acknowledgements", *epoch),
-                    ReplicaMessage::Heartbeat { epoch, .. } => ("heartbeats", *epoch),
-                    ReplicaMessage::HeartbeatReply { epoch, .. } => ("heartbeat_replies", *epoch),
-                    ReplicaMessage::Reject { promised } => ("rejections", *promised),
-                    ReplicaMessage::Resign { epoch, .. } => ("resignations", *epoch),
+                    RegisterMessage::PreVote { epoch } => ("pre_vote_requests", *epoch),
+                    RegisterMessage::PreVoteGranted { epoch } => ("pre_votes", *epoch),
+                    RegisterMessage::Prepare { epoch } => ("prepares", *epoch),
+                    RegisterMessage::Promise { epoch, .. } => ("promises", *epoch),
+                    RegisterMessage::Accept { accepted } => ("accepts", accepted.epoch),
+                    RegisterMessage::Acknowledge { epoch, .. } => ("acknowledgements", *epoch),
+                    RegisterMessage::Heartbeat { epoch, .. } => ("heartbeats", *epoch),
+                    RegisterMessage::HeartbeatReply { epoch, .. } => ("heartbeat_replies", *epoch),
+                    RegisterMessage::Reject { promised } => ("rejections", *promised),
+                    RegisterMessage::Resign { epoch, .. } => ("resignations", *epoch),
                 };
                 self.counts.count(label, &[now, disk, *to, epoch]);
             }
-            Output::Persist { register, then } => {
+            RegisterAction::Persist { register, then } => {
                 let payload = register.accepted.as_ref().map_or(0, |accepted| accepted.value.payload.len());
                 self.counts.count("writes", &[now, disk, payload as u64, then.len() as u64]);
             }
-            Output::Committed { accepted } => {
+            RegisterAction::Committed { accepted } => {
                 self.counts.count("commits", &[now, disk, accepted.epoch, accepted.sequence]);
             }
-            Output::Elected { epoch } => self.counts.count("elections", &[now, disk, *epoch]),
-            Output::SteppedDown => self.counts.count("step_downs", &[now, disk]),
-            Output::ReadConfirmed { read } => self.counts.count("reads_confirmed", &[now, disk, *read]),
+            RegisterAction::Elected { epoch } => self.counts.count("elections", &[now, disk, *epoch]),
+            RegisterAction::SteppedDown => self.counts.count("step_downs", &[now, disk]),
+            RegisterAction::ReadConfirmed { read } => {
+                self.counts.count("reads_confirmed", &[now, disk, *read])
+            }
         }
     }
 
@@ -211,7 +219,7 @@
         {
             let event = self.events.remove(&key).unwrap();
             self.now = self.now.max(key.0);
-            self.take(event);
+            self.handle_event(event);
         }
         self.now = due;
         let disks: Vec<DiskId> = self.nodes.keys().copied().collect();
@@ -219,13 +227,13 @@
             let now = self.now;
             let node = self.nodes.get_mut(&disk).unwrap();
             if node.up && node.frozen_until <= now && now.is_multiple_of(25 * MILLI) {
-                let outputs = node.replica.tick(now);
-                self.perform(disk, outputs);
+                let actions = node.replica.tick(now);
+                self.perform(disk, actions);
             }
         }
     }
 
-    pub fn take(&mut self, event: Event) {
+    pub fn handle_event(&mut self, event: Event) {
         let now = self.now;
         match event {
             Event::Deliver { from, to, message } => {
@@ -245,12 +253,12 @@
                     self.schedule(at, Event::Deliver { from, to, message });
                     return;
                 }
-                let outputs = node.replica.receive(from, message, now);
-                self.perform(to, outputs);
+                let actions = node.replica.receive(from, message, now);
+                self.perform(to, actions);
             }
-            Event::Synced { node: disk, life, register, then } => {
+            Event::Synced { node: disk, incarnation, register, then } => {
                 let Some(node) = self.nodes.get_mut(&disk) else { return };
-                if !node.up || node.life != life {
+                if !node.up || node.incarnation != incarnation {
                     return;
                 }
                 self.syncs += 1;
@@ -273,8 +281,8 @@
     }
 
     /// For how long a member is down that a fault kills at this step.
-    fn kill_at(&self, strikes: impl Fn(Fault) -> bool) -> Option<Time> {
-        self.faults.iter().copied().find(|fault| strikes(*fault)).and_then(|fault| match fault {
+    fn kill_at(&self, matches: impl Fn(Fault) -> bool) -> Option<Time> {
+        self.faults.iter().copied().find(|fault| matches(*fault)).and_then(|fault| match fault {
             Fault::KillBefore(_, down) | Fault::KillAfter(_, down) => Some(down),
             _ => None,
         })
@@ -286,25 +294,25 @@
     }
 
     /// Whether a fault keeps this message from being delivered now.
-    fn message_fails(&mut self, from: DiskId, to: DiskId, message: &ReplicaMessage) -> bool {
+    fn message_fails(&mut self, from: DiskId, to: DiskId, message: &RegisterMessage) -> bool {
         self.messages += 1;
         let number = self.messages - 1;
         let fault = self.faults.iter().copied().find(|fault| match fault {
             Fault::Lose(at) | Fault::Delay(at, _) | Fault::Repeat(at, _) => *at == number,
             Fault::KillBefore(..) | Fault::KillAfter(..) => false,
         });
-        let again = |world: &mut World, later: Time| {
+        let redeliver = |world: &mut World, later: Time| {
             let event = Event::Deliver { from, to, message: message.clone() };
             world.schedule(world.now + later, event);
         };
         match fault {
             Some(Fault::Lose(_)) => true,
             Some(Fault::Delay(_, later)) => {
-                again(self, later);
+                redeliver(self, later);
                 true
             }
             Some(Fault::Repeat(_, later)) => {
-                again(self, later);
+                redeliver(self, later);
                 false
             }
             _ => false,
@@ -314,15 +322,16 @@
     pub fn kill(&mut self, disk: DiskId) {
         let node = self.nodes.get_mut(&disk).unwrap();
         node.up = false;
-        node.life += 1;
+        node.incarnation += 1;
         node.committed = None;
         node.reads.clear();
     }
 
     pub fn start(&mut self, disk: DiskId) {
-        let (now, survivable) = (self.now, self.survivable);
+        let (now, tolerated_failures) = (self.now, self.tolerated_failures);
         let node = self.nodes.get_mut(&disk).unwrap();
-        node.replica = Replica::new(disk, survivable, node.disk.clone(), Timing::default(), now);
+        node.replica =
+            RegisterReplica::new(disk, tolerated_failures, node.disk.clone(), Timing::default(), now);
         node.up = true;
     }
 
@@ -336,18 +345,18 @@
             if !node.up || node.frozen_until > now || node.committed.is_none() {
                 continue;
             }
-            if node.replica.idle() && self.random.next(2) == 0 {
+            if node.replica.can_propose() && self.random.next(2) == 0 {
                 let mut ids = node.committed.clone().unwrap();
                 self.next_id += 1;
                 ids.insert(self.next_id);
                 let members = node.replica.members().to_vec();
-                let outputs = node.replica.propose(members, encode(&ids), now);
-                self.perform(disk, outputs);
+                let actions = node.replica.propose(members, encode(&ids), now);
+                self.perform(disk, actions);
             } else {
                 self.next_read += 1;
                 node.reads.insert(self.next_read, acknowledged);
-                let outputs = node.replica.confirm_read(self.next_read, now);
-                self.perform(disk, outputs);
+                let actions = node.replica.confirm_read(self.next_read, now);
+                self.perform(disk, actions);
             }
         }
     }
--- a/storage/src/lib.rs
+++ b/storage/src/lib.rs
@@ -8,4 +8,4 @@
 mod ring;
 
 pub use identity::{Identity, load_identity};
-pub use ring::{Record, Ring, RingSize, StorageError, inspect};
+pub use ring::{Ring, RingRecord, RingSize, StorageError, read_records};
--- a/storage/src/ring.rs
+++ b/storage/src/ring.rs
@@ -9,17 +9,17 @@
 /// Names a segment and the version of its form.
 const MAGIC: [u8; 4] = *b"QMS2";
 /// Head of a segment: magic, number (8 bytes), checksum (4).
-const SEGMENT_HEAD: u64 = 16;
+const SEGMENT_HEADER_BYTES: u64 = 16;
 /// Head of a record: length (4 bytes), checksum (4).
-const RECORD_HEAD: u64 = 8;
+const RECORD_HEADER_BYTES: u64 = 8;
 /// Set in the length of a control record: the number of the oldest segment in use (8 bytes) and a salt (8), which keeps what
 /// an earlier life left behind it from passing for what follows.
-const CONTROL: u32 = 1 << 31;
+const CONTROL_FLAG: u32 = 1 << 31;
 /// Body of a control record, bytes.
-const CONTROL_BODY: u64 = 16;
+const CONTROL_BODY_BYTES: u64 = 16;
 
 /// Bytes read from a file at once.
-const READ_BUFFER: usize = 64 << 10;
+const READ_BUFFER_BYTES: usize = 64 << 10;
 
 /// Why a record could not be kept or read.
 #[derive(Debug)]
@@ -65,7 +65,7 @@
 
 /// A record as recovery found it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Record {
+pub struct RingRecord {
     /// Number of its segment.
     pub segment: u64,
     pub body: Vec<u8>,
@@ -82,10 +82,10 @@
     oldest: u64,
     current: u64,
     /// End of what was appended, and of what is synced.
-    end: End,
-    synced: End,
+    end: WritePosition,
+    synced: WritePosition,
     /// What follows the end is unknown: a control record goes before the next one.
-    uncertain: bool,
+    tail_unknown: bool,
     salt: u64,
 }
 
@@ -98,7 +98,7 @@
 
 /// Where the records of the current segment end, and the checksum with which the next one goes on.
 #[derive(Clone, Copy, Debug, Default)]
-struct End {
+struct WritePosition {
     position: u64,
     chain: u32,
 }
@@ -106,9 +106,9 @@
 /// Name of every file of a ring, before its index.
 const FILE_PREFIX: &str = "segment-";
 
-/// The file that is made after `made` others: where none is used again, its index is the number of its segment.
-fn path(folder: &Path, made: usize, size: RingSize) -> PathBuf {
-    let index = (made + 1) % size.segments;
+/// The file that is made after `file_count` others: where none is used again, its index is the number of its segment.
+fn segment_path(folder: &Path, file_count: usize, size: RingSize) -> PathBuf {
+    let index = (file_count + 1) % size.segments;
     folder.join(format!("{FILE_PREFIX}{index:03}"))
 }
 
@@ -127,12 +127,12 @@
     hasher.finalize()
 }
 
-fn word(bytes: &[u8]) -> u32 {
-    bytes.iter().take(4).rev().fold(0, |word, byte| word << 8 | u32::from(*byte))
+fn read_u32(bytes: &[u8]) -> u32 {
+    bytes.iter().take(4).rev().fold(0, |value, byte| value << 8 | u32::from(*byte))
 }
 
 /// Reads until the buffer is full; `false` at the end of the file.
-fn read_whole(reader: &mut impl Read, buffer: &mut [u8]) -> std::io::Result<bool> {
+fn read_full(reader: &mut impl Read, buffer: &mut [u8]) -> std::io::Result<bool> {
     match reader.read_exact(buffer) {
         Ok(()) => Ok(true),
         Err(error) if error.kind() == std::io::ErrorKind::UnexpectedEof => Ok(false),
@@ -142,18 +142,18 @@
 
 /// Number of the segment that a file holds, if it begins with a whole head.
 fn read_segment_number(file: &mut File) -> std::io::Result<Option<u64>> {
-    let mut head = [0; SEGMENT_HEAD as usize];
+    let mut head = [0; SEGMENT_HEADER_BYTES as usize];
     file.seek(SeekFrom::Start(0))?;
-    if !read_whole(file, &mut head)? || head[..4] != MAGIC {
+    if !read_full(file, &mut head)? || head[..4] != MAGIC {
         return Ok(None);
     }
-    let number = u64::from(word(&head[4..8])) | u64::from(word(&head[8..12])) << 32;
-    Ok((word(&head[12..16]) == segment_checksum(number)).then_some(number))
+    let number = u64::from(read_u32(&head[4..8])) | u64::from(read_u32(&head[8..12])) << 32;
+    Ok((read_u32(&head[12..16]) == segment_checksum(number)).then_some(number))
 }
 
 /// What a segment holds.
-enum Entry {
-    Record(Vec<u8>),
+enum SegmentEntry {
+    Body(Vec<u8>),
     /// The oldest segment in use.
     Oldest(u64),
 }
@@ -163,54 +163,55 @@
     reader: BufReader<&'a mut File>,
     /// Bytes of the file.
     length: u64,
-    end: End,
+    end: WritePosition,
 }
 
 impl<'a> SegmentReader<'a> {
     /// Reads behind the head of this segment.
     fn new(file: &'a mut File, number: u64) -> std::io::Result<SegmentReader<'a>> {
         let length = file.metadata()?.len();
-        file.seek(SeekFrom::Start(SEGMENT_HEAD))?;
-        let reader = BufReader::with_capacity(READ_BUFFER, file);
-        let end = End { position: SEGMENT_HEAD, chain: segment_checksum(number) };
+        file.seek(SeekFrom::Start(SEGMENT_HEADER_BYTES))?;
+        let reader = BufReader::with_capacity(READ_BUFFER_BYTES, file);
+        let end = WritePosition { position: SEGMENT_HEADER_BYTES, chain: segment_checksum(number) };
         Ok(SegmentReader { reader, length, end })
     }
 
     /// The next entry; `None` where the next one is not whole.
-    fn next_entry(&mut self) -> std::io::Result<Option<Entry>> {
-        let mut head = [0; RECORD_HEAD as usize];
+    fn next_entry(&mut self) -> std::io::Result<Option<SegmentEntry>> {
+        let mut head = [0; RECORD_HEADER_BYTES as usize];
         let left = self.length.saturating_sub(self.end.position);
-        if left < RECORD_HEAD || !read_whole(&mut self.reader, &mut head)? {
+        if left < RECORD_HEADER_BYTES || !read_full(&mut self.reader, &mut head)? {
             return Ok(None);
         }
-        let (word_of_length, checksum) = (word(&head[..4]), word(&head[4..]));
-        let length = u64::from(word_of_length & !CONTROL);
-        let control = word_of_length & CONTROL != 0;
-        if length == 0 || length > left - RECORD_HEAD || (control && length != CONTROL_BODY) {
+        let (length_field, checksum) = (read_u32(&head[..4]), read_u32(&head[4..]));
+        let length = u64::from(length_field & !CONTROL_FLAG);
+        let control = length_field & CONTROL_FLAG != 0;
+        if length == 0 || length > left - RECORD_HEADER_BYTES || (control && length != CONTROL_BODY_BYTES) {
             return Ok(None);
         }
         let mut body = vec![0; length as usize];
-        if !read_whole(&mut self.reader, &mut body)?
-            || record_checksum(self.end.chain, word_of_length, &body) != checksum
+        if !read_full(&mut self.reader, &mut body)?
+            || record_checksum(self.end.chain, length_field, &body) != checksum
         {
             return Ok(None);
         }
-        self.end = End { position: self.end.position + RECORD_HEAD + length, chain: checksum };
-        Ok(Some(if control { Entry::Oldest(double_word(&body)) } else { Entry::Record(body) }))
+        self.end =
+            WritePosition { position: self.end.position + RECORD_HEADER_BYTES + length, chain: checksum };
+        Ok(Some(if control { SegmentEntry::Oldest(read_u64(&body)) } else { SegmentEntry::Body(body) }))
     }
 }
 
-fn double_word(bytes: &[u8]) -> u64 {
-    u64::from(word(bytes)) | u64::from(word(bytes.get(4..).unwrap_or_default())) << 32
+fn read_u64(bytes: &[u8]) -> u64 {
+    u64::from(read_u32(bytes)) | u64::from(read_u32(bytes.get(4..).unwrap_or_default())) << 32
 }
 
 /// A segment that was read.
 struct SegmentContent {
     number: u64,
-    records: Vec<Record>,
+    records: Vec<RingRecord>,
     /// The oldest segment in use, as last noted here.
     oldest: u64,
-    end: End,
+    end: WritePosition,
 }
 
 /// Reads a file; `None` if it is no segment.
@@ -221,8 +222,8 @@
     let mut oldest = 0;
     while let Some(entry) = reader.next_entry()? {
         match entry {
-            Entry::Record(body) => records.push(Record { segment: number, body }),
-            Entry::Oldest(noted) => oldest = noted,
+            SegmentEntry::Body(body) => records.push(RingRecord { segment: number, body }),
+            SegmentEntry::Oldest(noted) => oldest = noted,
         }
     }
     Ok(Some(SegmentContent { number, records, oldest, end: reader.end }))
@@ -230,7 +231,7 @@
 
 /// Reads the records of a folder without changing anything, oldest first; those that were released are among them for as long
 /// as their files are not used again.
-pub fn inspect(folder: &Path) -> Result<Vec<Record>, StorageError> {
+pub fn read_records(folder: &Path) -> Result<Vec<RingRecord>, StorageError> {
     let mut records = Vec::new();
     for entry in fs::read_dir(folder)? {
         let entry = entry?;
@@ -246,7 +247,7 @@
 impl Ring {
     /// Opens or makes the ring of a folder; returns it with the records found, oldest first. `salt` is a random number: no two
     /// openings have the same.
-    pub fn open(folder: &Path, size: RingSize, salt: u64) -> Result<(Ring, Vec<Record>), StorageError> {
+    pub fn open(folder: &Path, size: RingSize, salt: u64) -> Result<(Ring, Vec<RingRecord>), StorageError> {
         let size = RingSize { segments: size.segments.max(2), ..size };
         let mut files = open_files(folder, size)?;
         let mut contents = Vec::new();
@@ -257,21 +258,25 @@
         }
         files.make_contiguous().sort_by_key(|file| file.number);
         contents.sort_by_key(|content| content.number);
-        let (current, end) = contents.last().map_or((0, End::default()), |last| (last.number, last.end));
+        let (current, end) =
+            contents.last().map_or((0, WritePosition::default()), |last| (last.number, last.end));
         // What is not followed by each number up to the newest belongs to a lap before this one.
-        let first = first_of_run(&contents);
+        let first = first_consecutive(&contents);
         let noted = contents.iter().map(|content| content.oldest).max().unwrap_or(0);
         let oldest = noted.clamp(first, current);
-        let kept = contents.into_iter().filter(|content| content.number >= oldest);
-        let records = kept.flat_map(|content| content.records).collect();
+        let retained = contents.into_iter().filter(|content| content.number >= oldest);
+        let records = retained.flat_map(|content| content.records).collect();
         let folder = folder.to_owned();
-        let ring = Ring { size, folder, files, oldest, current, end, synced: end, uncertain: true, salt };
+        let ring = Ring { size, folder, files, oldest, current, end, synced: end, tail_unknown: true, salt };
         Ok((ring, records))
     }
 
     /// Largest record, bytes.
     pub fn largest_record(&self) -> u64 {
-        self.size.segment - SEGMENT_HEAD - 2 * (RECORD_HEAD + CONTROL_BODY) - RECORD_HEAD
+        self.size.segment
+            - SEGMENT_HEADER_BYTES
+            - 2 * (RECORD_HEADER_BYTES + CONTROL_BODY_BYTES)
+            - RECORD_HEADER_BYTES
     }
 
     /// Number of the segment that is written.
@@ -296,14 +301,14 @@
             return Err(StorageError::TooLarge { bytes: body.len(), limit: self.largest_record() });
         }
         // A control record may go before it.
-        let needed = 2 * RECORD_HEAD + CONTROL_BODY + body.len() as u64;
+        let needed = 2 * RECORD_HEADER_BYTES + CONTROL_BODY_BYTES + body.len() as u64;
         if self.current == 0 || self.end.position + needed > self.size.segment {
             self.open_segment()?;
         }
         if self.end.position == 0 {
-            self.write_segment_head()?;
+            self.write_segment_header()?;
         }
-        if self.uncertain {
+        if self.tail_unknown {
             self.append_control()?;
         }
         self.write_record(body.len() as u32, body)?;
@@ -312,7 +317,7 @@
 
     fn write_record(&mut self, length: u32, body: &[u8]) -> Result<(), StorageError> {
         let checksum = record_checksum(self.end.chain, length, body);
-        let mut bytes = Vec::with_capacity(RECORD_HEAD as usize + body.len());
+        let mut bytes = Vec::with_capacity(RECORD_HEADER_BYTES as usize + body.len());
         bytes.extend_from_slice(&length.to_le_bytes());
         bytes.extend_from_slice(&checksum.to_le_bytes());
         bytes.extend_from_slice(body);
@@ -324,11 +329,11 @@
     /// Notes which segment is the oldest in use.
     fn append_control(&mut self) -> Result<(), StorageError> {
         self.salt = self.salt.wrapping_add(1);
-        let mut body = Vec::with_capacity(CONTROL_BODY as usize);
+        let mut body = Vec::with_capacity(CONTROL_BODY_BYTES as usize);
         body.extend_from_slice(&self.oldest.to_le_bytes());
         body.extend_from_slice(&self.salt.to_le_bytes());
-        self.write_record(CONTROL | CONTROL_BODY as u32, &body)?;
-        self.uncertain = false;
+        self.write_record(CONTROL_FLAG | CONTROL_BODY_BYTES as u32, &body)?;
+        self.tail_unknown = false;
         Ok(())
     }
 
@@ -343,7 +348,7 @@
         let file = self.file()?;
         let written = file.seek(SeekFrom::Start(position)).and_then(|_| file.write_all(bytes));
         if let Err(error) = written {
-            self.uncertain = true;
+            self.tail_unknown = true;
             return Err(error.into());
         }
         self.end.position += bytes.len() as u64;
@@ -356,19 +361,19 @@
         }
         // Whatever the last segment still has to sync is synced before it is left.
         self.sync()?;
-        let file = self.free_file()?;
+        let file = self.take_free_file()?;
         self.current += 1;
         self.files.push_back(SegmentFile { number: self.current, file });
         if self.oldest == 0 {
             self.oldest = self.current;
         }
-        self.end = End { position: 0, chain: segment_checksum(self.current) };
+        self.end = WritePosition { position: 0, chain: segment_checksum(self.current) };
         self.synced = self.end;
         Ok(())
     }
 
     /// The file with the lowest number, if that is no longer in use; else a new one.
-    fn free_file(&mut self) -> Result<File, StorageError> {
+    fn take_free_file(&mut self) -> Result<File, StorageError> {
         let reusable = |segment: &SegmentFile| segment.number == 0 || segment.number < self.oldest;
         if self.files.front().is_some_and(reusable)
             && let Some(segment) = self.files.pop_front()
@@ -378,17 +383,18 @@
         if self.files.len() >= self.size.segments {
             return Err(StorageError::Full);
         }
-        let file = make_file(&path(&self.folder, self.files.len(), self.size), self.size.segment)?;
+        let file =
+            open_or_create_file(&segment_path(&self.folder, self.files.len(), self.size), self.size.segment)?;
         File::open(&self.folder)?.sync_all()?;
         Ok(file)
     }
 
-    fn write_segment_head(&mut self) -> Result<(), StorageError> {
-        let mut head = Vec::with_capacity(SEGMENT_HEAD as usize);
+    fn write_segment_header(&mut self) -> Result<(), StorageError> {
+        let mut head = Vec::with_capacity(SEGMENT_HEADER_BYTES as usize);
         head.extend_from_slice(&MAGIC);
         head.extend_from_slice(&self.current.to_le_bytes());
         head.extend_from_slice(&segment_checksum(self.current).to_le_bytes());
-        self.uncertain = true;
+        self.tail_unknown = true;
         self.write(&head)
     }
 
@@ -400,7 +406,7 @@
         }
         if let Err(error) = self.file()?.sync_data() {
             self.end = self.synced;
-            self.uncertain = true;
+            self.tail_unknown = true;
             return Err(error.into());
         }
         self.synced = self.end;
@@ -415,8 +421,8 @@
             return;
         }
         self.oldest = oldest;
-        self.uncertain = true;
-        let fits = self.end.position + RECORD_HEAD + CONTROL_BODY <= self.size.segment;
+        self.tail_unknown = true;
+        let fits = self.end.position + RECORD_HEADER_BYTES + CONTROL_BODY_BYTES <= self.size.segment;
         if fits && self.end.position > 0 {
             // A note that fails is made with the next record.
             let _ = self.append_control();
@@ -425,7 +431,7 @@
 }
 
 /// The first number of those that go up to the newest without a gap.
-fn first_of_run(contents: &[SegmentContent]) -> u64 {
+fn first_consecutive(contents: &[SegmentContent]) -> u64 {
     let mut first = contents.last().map_or(0, |content| content.number);
     for content in contents.iter().rev().skip(1) {
         if content.number + 1 != first {
@@ -437,7 +443,7 @@
 }
 
 /// Opens a file of the ring, or makes it; it has its whole length, on the disk, before it is used.
-fn make_file(path: &Path, bytes: u64) -> std::io::Result<File> {
+fn open_or_create_file(path: &Path, bytes: u64) -> std::io::Result<File> {
     let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)?;
     if file.metadata()?.len() < bytes {
         file.set_len(bytes)?;
@@ -451,11 +457,11 @@
     fs::create_dir_all(folder)?;
     let mut files = VecDeque::new();
     while files.len() < size.segments {
-        let path = path(folder, files.len(), size);
+        let path = segment_path(folder, files.len(), size);
         if !files.is_empty() && !path.exists() {
             break;
         }
-        files.push_back(SegmentFile { number: 0, file: make_file(&path, size.segment)? });
+        files.push_back(SegmentFile { number: 0, file: open_or_create_file(&path, size.segment)? });
     }
     File::open(folder)?.sync_all()?;
     Ok(files)
--- a/storage/tests/ring.rs
+++ b/storage/tests/ring.rs
@@ -1,6 +1,6 @@
 //! The ring through restarts, torn and missing writes.
 
-use quillmount_storage::{Record, Ring, RingSize, StorageError, inspect, load_identity};
+use quillmount_storage::{Ring, RingRecord, RingSize, StorageError, load_identity, read_records};
 use std::fs::{self, OpenOptions};
 use std::io::{Seek, SeekFrom, Write};
 use std::path::PathBuf;
@@ -29,7 +29,7 @@
 }
 
 /// Opens the ring with a salt of its own.
-fn open(folder: &Folder) -> Result<(Ring, Vec<Record>), StorageError> {
+fn open(folder: &Folder) -> Result<(Ring, Vec<RingRecord>), StorageError> {
     static SALT: AtomicU64 = AtomicU64::new(1);
     Ring::open(&folder.0, SIZE, SALT.fetch_add(1 << 20, Ordering::Relaxed))
 }
@@ -50,21 +50,21 @@
     ring.sync().unwrap();
     drop(ring);
     assert_eq!(bodies(&folder), (0..20u8).map(|number| vec![number; 20]).collect::<Vec<_>>());
-    assert_eq!(inspect(&folder.0).unwrap().len(), 20);
+    assert_eq!(read_records(&folder.0).unwrap().len(), 20);
 }
 
 #[test]
 fn a_full_ring_refuses_and_loses_nothing() {
     let folder = Folder::new();
     let (mut ring, _) = open(&folder).unwrap();
-    let mut kept = 0;
-    while ring.append(&[kept; 100]).is_ok() {
-        kept += 1;
+    let mut retained = 0;
+    while ring.append(&[retained; 100]).is_ok() {
+        retained += 1;
     }
     assert!(matches!(ring.append(&[0; 100]), Err(StorageError::Full)));
     ring.sync().unwrap();
     drop(ring);
-    assert_eq!(bodies(&folder).len(), usize::from(kept));
+    assert_eq!(bodies(&folder).len(), usize::from(retained));
 }
 
 #[test]
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn released_segments_are_written_again_and_their_old_records_stay_away() {
+fn released_segments_are_reused_and_their_old_records_stay_away() {
     let folder = Folder::new();
     let (mut ring, _) = open(&folder).unwrap();
     for number in 0..50u8 {
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn the_same_record_written_again_brings_nothing_back_that_followed_it() {
+fn rewriting_a_record_does_not_bring_back_what_followed_it() {
     let folder = Folder::new();
     let (mut ring, _) = open(&folder).unwrap();
     (1..=3u8).for_each(|number| {
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn any_number_of_restarts_uses_no_room_up() {
+fn any_number_of_restarts_uses_no_space() {
     let folder = Folder::new();
     for restart in 0..200u8 {
         let (mut ring, found) = open(&folder).unwrap();
@@ -184,7 +184,7 @@
 
 /// Laps, restarts and torn tails by seed: what was synced and not released is always found, in order.
 #[test]
-fn whatever_happens_what_was_synced_is_found() {
+fn synced_records_are_always_recovered() {
     for seed in 1..=60u64 {
         let folder = Folder::new();
         let mut draws = seed;
@@ -192,12 +192,12 @@
             draws = draws.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
             (draws >> 33) % below
         };
-        let mut kept: Vec<(u64, Vec<u8>)> = Vec::new();
+        let mut retained: Vec<(u64, Vec<u8>)> = Vec::new();
         let mut number = 0u32;
         for _ in 0..12 {
             let (mut ring, found) = open(&folder).unwrap();
             let found: Vec<Vec<u8>> = found.into_iter().map(|record| record.body).collect();
-            let synced: Vec<Vec<u8>> = kept.iter().map(|(_, body)| body.clone()).collect();
+            let synced: Vec<Vec<u8>> = retained.iter().map(|(_, body)| body.clone()).collect();
             assert!(
                 found.windows(synced.len().max(1)).any(|part| part == synced) || synced.is_empty(),
                 "seed {seed}"
@@ -208,10 +208,10 @@
                 body.resize(4 + draw(90) as usize, 7);
                 let Ok(segment) = ring.append(&body) else { break };
                 ring.sync().unwrap();
-                kept.push((segment, body));
+                retained.push((segment, body));
                 if ring.free() < 2 {
                     ring.release(segment);
-                    kept.retain(|(of, _)| *of >= segment);
+                    retained.retain(|(of, _)| *of >= segment);
                 }
             }
         }
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn a_ring_makes_a_file_only_when_the_others_are_in_use() {
+fn a_ring_creates_a_file_only_when_the_others_are_in_use() {
     let folder = Folder::new();
     let (mut ring, _) = open(&folder).unwrap();
     assert_eq!(files(&folder), 1);
@@ -254,22 +254,22 @@
 }
 
 #[test]
-fn a_file_that_was_lost_as_it_was_made_is_made_again() {
+fn a_file_lost_during_its_creation_is_created_anew() {
     let folder = Folder::new();
     let (mut ring, _) = open(&folder).unwrap();
-    let mut kept = 0u8;
+    let mut retained = 0u8;
     while ring.free() > 2 {
-        ring.append(&[kept; 100]).unwrap();
-        kept += 1;
+        ring.append(&[retained; 100]).unwrap();
+        retained += 1;
     }
     ring.sync().unwrap();
     drop(ring);
     // Its name was kept, its length was not.
     fs::write(folder.0.join("segment-003"), []).unwrap();
     let (mut ring, found) = open(&folder).unwrap();
-    assert_eq!(found.len(), usize::from(kept));
+    assert_eq!(found.len(), usize::from(retained));
     while ring.append(&[9; 100]).is_ok() {}
     ring.sync().unwrap();
     drop(ring);
-    assert!(bodies(&folder).len() > usize::from(kept));
+    assert!(bodies(&folder).len() > usize::from(retained));
 }
--- a/storage/tests/stored_ring.rs
+++ b/storage/tests/stored_ring.rs
@@ -4,7 +4,7 @@
 mod fixture_files;
 
 use fixture_files::{TemporaryFolder, file_names, fixture, fixture_folder};
-use quillmount_storage::{Record, Ring, RingSize, StorageError, inspect, load_identity};
+use quillmount_storage::{Ring, RingRecord, RingSize, StorageError, load_identity, read_records};
 use std::fs::{self, OpenOptions};
 use std::io::{Seek, SeekFrom, Write};
 use std::path::Path;
@@ -61,7 +61,7 @@
     fixture_folder(name, &made.0)
 }
 
-fn numbers(records: &[Record]) -> Vec<(u64, u8)> {
+fn numbers(records: &[RingRecord]) -> Vec<(u64, u8)> {
     assert!(records.iter().all(|record| record.body == [record.body[0]; BODY]));
     records.iter().map(|record| (record.segment, record.body[0])).collect()
 }
@@ -86,7 +86,7 @@
 fn a_stored_ring_is_recovered_without_what_was_released() {
     let folder = stored("ring", write_ring);
     assert_eq!(file_names(&folder.0), ["segment-000", "segment-001", "segment-002", "segment-003"]);
-    assert_eq!(numbers(&inspect(&folder.0).unwrap()), KEPT);
+    assert_eq!(numbers(&read_records(&folder.0).unwrap()), KEPT);
     let (ring, records) = Ring::open(&folder.0, SIZE, 3 << 20).unwrap();
     assert_eq!(numbers(&records), KEPT);
     assert_eq!((ring.current(), ring.free(), ring.segments(), ring.largest_record()), (6, 0, 4, 184));
--- a/window/src/lib.rs
+++ b/window/src/lib.rs
@@ -35,7 +35,7 @@
 }
 
 /// Three quarters of the slots rounded down, one at least.
-pub fn largest(slots: u32) -> u32 {
+pub fn max_window(slots: u32) -> u32 {
     (slots * 3 / 4).max(1)
 }
 
@@ -50,7 +50,7 @@
 impl Window {
     /// The window of a new endpoint: half of its largest.
     pub fn new(parameters: Parameters, slots: u32) -> Window {
-        let size = (f64::from(largest(slots)) / 2.0).max(1.0);
+        let size = (f64::from(max_window(slots)) / 2.0).max(1.0);
         Window { parameters, size, latency: Latency::new(LATENCY_FLOOR) }
     }
 
@@ -72,7 +72,7 @@
     }
 
     fn clamp(&mut self, slots: u32) {
-        self.size = self.size.clamp(1.0, f64::from(largest(slots)));
+        self.size = self.size.clamp(1.0, f64::from(max_window(slots)));
     }
 
     /// Calls that may be outstanding.
--- a/window/tests/window.rs
+++ b/window/tests/window.rs
@@ -1,13 +1,13 @@
 //! The latency window.
 
 use quickcheck::QuickCheck;
-use quillmount_window::{Parameters, Window, largest};
+use quillmount_window::{Parameters, Window, max_window};
 
 const SLOTS: u32 = 16;
 
 #[test]
 fn a_new_endpoint_starts_at_half_of_the_largest_window() {
-    assert_eq!(largest(SLOTS), 12);
+    assert_eq!(max_window(SLOTS), 12);
     assert_eq!(Window::new(Parameters::default(), SLOTS).size(), 6);
     assert_eq!(Window::new(Parameters::default(), 1).size(), 1);
 }
@@ -51,7 +51,7 @@
             } else {
                 window.sample(at as u64, f64::from(latency), slots);
             }
-            (1..=largest(slots)).contains(&window.size())
+            (1..=max_window(slots)).contains(&window.size())
         })
     }
     QuickCheck::new().tests(500).quickcheck(within as fn(Vec<(u32, bool)>, u8) -> bool);
--- a/wire/src/configuration.rs
+++ b/wire/src/configuration.rs
@@ -14,18 +14,18 @@
         route: String,
         service: String,
     },
-    SamePlace {
+    DuplicateRoute {
         first: String,
         second: String,
     },
-    SameName {
+    DuplicateName {
         kind: &'static str,
         name: String,
     },
-    NoWeight {
+    ZeroWeight {
         route: String,
     },
-    NoTimeout {
+    ZeroTimeout {
         route: String,
     },
     SharedKey {
@@ -41,18 +41,20 @@
 impl fmt::Display for ConfigurationError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ConfigurationError::Unreadable(place) => write!(out, "the configuration can't be read: {place}"),
+            ConfigurationError::Unreadable(detail) => {
+                write!(out, "the configuration can't be read: {detail}")
+            }
             ConfigurationError::UnknownService { route, service } => {
                 write!(out, "Routes[{route}]: there is no service {service}")
             }
-            ConfigurationError::SamePlace { first, second } => {
+            ConfigurationError::DuplicateRoute { first, second } => {
                 write!(out, "Routes[{first}] and Routes[{second}] have the same host and prefix")
             }
-            ConfigurationError::SameName { kind, name } => write!(out, "{kind}[{name}] is there twice"),
-            ConfigurationError::NoWeight { route } => {
+            ConfigurationError::DuplicateName { kind, name } => write!(out, "{kind}[{name}] is there twice"),
+            ConfigurationError::ZeroWeight { route } => {
                 write!(out, "Routes[{route}].Shares: the weights sum to 0")
             }
-            ConfigurationError::NoTimeout { route } => write!(out, "Routes[{route}].DeadlineMs is 0"),
+            ConfigurationError::ZeroTimeout { route } => write!(out, "Routes[{route}].DeadlineMs is 0"),
             ConfigurationError::SharedKey { first, second } => {
                 write!(out, "Accounts[{first}] and Accounts[{second}] share a key")
             }
@@ -102,15 +104,15 @@
     #[serde(rename = "Backend")]
     pub service: Option<String>,
     #[serde(rename = "Shares")]
-    pub shares: Option<Vec<Share>>,
+    pub shares: Option<Vec<WeightedService>>,
     #[serde(rename = "Tries")]
-    pub tries: Option<u64>,
+    pub max_attempts: Option<u64>,
     #[serde(rename = "Public")]
     pub public: Option<bool>,
     #[serde(rename = "Resumable")]
     pub resumable: Option<bool>,
     #[serde(rename = "gap_aim_ms")]
-    pub gap_aim_ms: Option<f64>,
+    pub target_gap_ms: Option<f64>,
     /// Batch: time until every result is due, ms.
     #[serde(rename = "DueMs")]
     pub due_ms: Option<f64>,
@@ -124,7 +126,7 @@
 
 /// Part of a route's requests that goes to one service.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Share {
+pub struct WeightedService {
     #[serde(rename = "Backend")]
     pub service: String,
     #[serde(rename = "Wt")]
@@ -220,8 +222,8 @@
 /// Deepest nesting that is read.
 const DEPTH_LIMIT: usize = 64;
 
-fn unreadable(place: &str) -> ConfigurationError {
-    ConfigurationError::Unreadable(place.to_owned())
+fn unreadable(detail: &str) -> ConfigurationError {
+    ConfigurationError::Unreadable(detail.to_owned())
 }
 
 /// Parses JSON, of bounded depth.
@@ -271,21 +273,21 @@
 }
 
 /// Which part of a document fails to be read as a configuration, for the error's text.
-fn failing_part(document: &Value) -> String {
+fn describe_failure(document: &Value) -> String {
     let Ok(object) = object(document) else { return "not an object".to_owned() };
     for list in NAMED_LISTS {
         let Ok(all) = items(object, list) else { return format!("{list} is no list") };
-        for (place, item) in all.iter().enumerate() {
+        for (index, item) in all.iter().enumerate() {
             let text = json::to_string(item);
-            let read = match list {
+            let is_valid = match list {
                 "Routes" => json::from_str::<Route>(&text).is_ok(),
                 "Backends" => json::from_str::<Service>(&text).is_ok(),
                 _ => json::from_str::<Tenant>(&text).is_ok(),
             };
-            if !read {
+            if !is_valid {
                 return format!(
                     "{list}[{}] lacks a field or has one of another type",
-                    name_of(item).map_or_else(|| place.to_string(), str::to_owned)
+                    name_of(item).map_or_else(|| index.to_string(), str::to_owned)
                 );
             }
         }
@@ -297,7 +299,7 @@
     /// Reads a whole configuration from its JSON text, without checking it against another.
     pub fn read(text: &str) -> Result<Configuration, ConfigurationError> {
         let document = parse_json(text)?;
-        json::from_str(text).map_err(|_| ConfigurationError::Unreadable(failing_part(&document)))
+        json::from_str(text).map_err(|_| ConfigurationError::Unreadable(describe_failure(&document)))
     }
 
     /// Checks the rules that a valid configuration keeps.
@@ -307,11 +309,11 @@
         }
         let services = unique("Backends", self.services.iter().map(|service| service.name.as_str()))?;
         unique("Routes", self.routes.iter().map(|route| route.name.as_str()))?;
-        let mut places: BTreeMap<(&str, &str), &str> = BTreeMap::new();
+        let mut host_prefixes: BTreeMap<(&str, &str), &str> = BTreeMap::new();
         for route in &self.routes {
             check_route(route, &services)?;
-            if let Some(first) = places.insert((&route.host, &route.prefix), &route.name) {
-                return Err(ConfigurationError::SamePlace {
+            if let Some(first) = host_prefixes.insert((&route.host, &route.prefix), &route.name) {
+                return Err(ConfigurationError::DuplicateRoute {
                     first: first.to_owned(),
                     second: route.name.clone(),
                 });
@@ -328,7 +330,7 @@
     let mut seen = BTreeSet::new();
     for name in names {
         if !seen.insert(name) {
-            return Err(ConfigurationError::SameName { kind, name: name.to_owned() });
+            return Err(ConfigurationError::DuplicateName { kind, name: name.to_owned() });
         }
     }
     Ok(seen)
@@ -343,20 +345,20 @@
     if shares.iter().any(|(_, weight)| *weight < 0.0)
         || shares.iter().map(|(_, weight)| weight).sum::<f64>() <= 0.0
     {
-        return Err(ConfigurationError::NoWeight { route: route.name.clone() });
+        return Err(ConfigurationError::ZeroWeight { route: route.name.clone() });
     }
     if route.deadline_ms <= 0.0 {
-        return Err(ConfigurationError::NoTimeout { route: route.name.clone() });
+        return Err(ConfigurationError::ZeroTimeout { route: route.name.clone() });
     }
     Ok(())
 }
 
 fn check_keys(tenants: &[Tenant]) -> Result<(), ConfigurationError> {
     unique("Accounts", tenants.iter().map(|tenant| tenant.name.as_str()))?;
-    let mut holders: BTreeMap<&str, &str> = BTreeMap::new();
+    let mut owners: BTreeMap<&str, &str> = BTreeMap::new();
     for tenant in tenants {
         for key in tenant.keys.iter().flatten() {
-            if let Some(first) = holders.insert(key, &tenant.name)
+            if let Some(first) = owners.insert(key, &tenant.name)
                 && first != tenant.name
             {
                 return Err(ConfigurationError::SharedKey {
@@ -372,14 +374,14 @@
 /// Applies a change of named items to the current configuration's text; the result is a whole configuration's text.
 pub fn apply_patch(current: &str, patch: &str) -> Result<String, ConfigurationError> {
     let base = parse_json(if current.is_empty() { "{}" } else { current })?;
-    let change = parse_json(patch)?;
+    let patch_object = parse_json(patch)?;
     let mut result = object(&base)?.clone();
-    let change = object(&change)?;
-    let version = change.get("Gen").ok_or_else(|| unreadable("Gen is missing"))?;
+    let patch_object = object(&patch_object)?;
+    let version = patch_object.get("Gen").ok_or_else(|| unreadable("Gen is missing"))?;
     result.insert("Gen".to_owned(), version.clone());
     let empty = Value::Object(Object::new());
-    let upsert = object(change.get("Upsert").unwrap_or(&empty))?;
-    let remove = object(change.get("Remove").unwrap_or(&empty))?;
+    let upsert = object(patch_object.get("Upsert").unwrap_or(&empty))?;
+    let remove = object(patch_object.get("Remove").unwrap_or(&empty))?;
     for list in NAMED_LISTS {
         let merged = merge(items(&result, list)?, items(upsert, list)?, items(remove, list)?, list)?;
         if let Some(merged) = merged {
--- a/wire/src/frame.rs
+++ b/wire/src/frame.rs
@@ -9,7 +9,7 @@
 /// Names protocol and version.
 pub const MAGIC: [u8; 4] = *b"QMF1";
 /// Bytes of a head.
-pub const HEAD_BYTES: usize = 21;
+pub const HEADER_BYTES: usize = 21;
 /// Largest body, bytes.
 pub const BODY_LIMIT: usize = 32 << 20;
 
@@ -17,9 +17,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameKind {
     /// Nobody waits for an answer.
-    Notice,
-    Call,
-    Answer,
+    Notification,
+    Request,
+    Response,
 }
 
 /// Why a frame was not accepted: its connection is closed.
@@ -48,32 +48,33 @@
 
 /// Head of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FrameHead {
+pub struct FrameHeader {
     pub kind: FrameKind,
     pub length: usize,
     pub checksum: u32,
     pub call: u64,
 }
 
-impl FrameHead {
+impl FrameHeader {
     /// Decodes a head.
-    pub fn decode(bytes: &[u8; HEAD_BYTES]) -> Result<FrameHead, FrameError> {
+    pub fn decode(bytes: &[u8; HEADER_BYTES]) -> Result<FrameHeader, FrameError> {
         if bytes[..4] != MAGIC {
             return Err(FrameError::WrongVersion);
         }
         let kind = match bytes[4] {
-            0 => FrameKind::Notice,
-            1 => FrameKind::Call,
-            2 => FrameKind::Answer,
+            0 => FrameKind::Notification,
+            1 => FrameKind::Request,
+            2 => FrameKind::Response,
             other => return Err(FrameError::UnknownKind(other)),
         };
-        let word = |at: usize| u32::from_le_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]]);
-        let length = word(5) as usize;
+        let read_u32 =
+            |at: usize| u32::from_le_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]]);
+        let length = read_u32(5) as usize;
         if length > BODY_LIMIT {
             return Err(FrameError::TooLarge(length));
         }
-        let call = u64::from(word(13)) | u64::from(word(17)) << 32;
-        Ok(FrameHead { kind, length, checksum: word(9), call })
+        let call = u64::from(read_u32(13)) | u64::from(read_u32(17)) << 32;
+        Ok(FrameHeader { kind, length, checksum: read_u32(9), call })
     }
 
     /// Whether `body` is the one this head announces.
@@ -84,12 +85,12 @@
 
 /// Puts a head before a body.
 pub fn encode(kind: FrameKind, call: u64, body: &[u8]) -> Vec<u8> {
-    let mut frame = Vec::with_capacity(HEAD_BYTES + body.len());
+    let mut frame = Vec::with_capacity(HEADER_BYTES + body.len());
     frame.extend_from_slice(&MAGIC);
     frame.push(match kind {
-        FrameKind::Notice => 0,
-        FrameKind::Call => 1,
-        FrameKind::Answer => 2,
+        FrameKind::Notification => 0,
+        FrameKind::Request => 1,
+        FrameKind::Response => 2,
     });
     frame.extend_from_slice(&(body.len() as u32).to_le_bytes());
     frame.extend_from_slice(&crc32fast::hash(body).to_le_bytes());
@@ -99,7 +100,7 @@
 }
 
 /// A buffer that `rkyv` can read from.
-pub fn aligned(length: usize) -> AlignedVec {
+pub fn aligned_buffer(length: usize) -> AlignedVec {
     let mut buffer = AlignedVec::new();
     buffer.resize(length, 0);
     buffer
--- a/wire/src/messages.rs
+++ b/wire/src/messages.rs
@@ -61,13 +61,13 @@
 
 /// Messages of the replicated register, from one member to another.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub enum ReplicaMessage {
+pub enum RegisterMessage {
     /// Would you vote for me? Changes nothing.
-    Canvass {
+    PreVote {
         epoch: Epoch,
     },
     /// Yes, as of now.
-    Support {
+    PreVoteGranted {
         epoch: Epoch,
     },
     /// Promise me this epoch.
@@ -120,7 +120,7 @@
     pub capacity: u32,
     pub draining: bool,
     /// Milliseconds for which it stays slow.
-    pub cold_left_ms: f64,
+    pub warmup_left_ms: f64,
     /// Models and their generation.
     pub models: Vec<(String, u64)>,
 }
@@ -156,15 +156,15 @@
 #[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub struct Poll {
     pub node: NodeInfo,
-    /// Drawn at each start: counts of an earlier life stay counted.
-    pub life: u64,
-    pub have: TableVersions,
+    /// Drawn at each start: counts of an earlier incarnation stay counted.
+    pub incarnation: u64,
+    pub known_versions: TableVersions,
     /// Milliseconds for which the answer may be held.
-    pub hold_ms: u64,
+    pub max_wait_ms: u64,
     pub usage: Vec<UsageWindow>,
     pub shards: Vec<ShardReport>,
     /// Is about to end: takes no new duties.
-    pub leaving: bool,
+    pub draining: bool,
     /// Passed on by a courier for one that can't reach the core.
     pub relayed: bool,
     /// Places at endpoints that are needed here at once, by service.
@@ -178,7 +178,7 @@
 pub struct ServiceLoad {
     pub service: String,
     /// Places that live requests need at once.
-    pub live_places: f64,
+    pub live_demand: f64,
     /// Items of batch jobs, by store.
     pub items: Vec<(DiskId, u32)>,
 }
@@ -204,14 +204,14 @@
     pub shards: Vec<ShardView>,
 }
 
-/// News of the endpoints' list.
+/// An update of the endpoints' list.
 #[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
-pub enum DirectoryNews {
-    Whole(Vec<Endpoint>),
+pub enum DirectoryUpdate {
+    Full(Vec<Endpoint>),
     /// What has changed since the version that the asker has.
-    Changes {
+    Delta {
         changed: Vec<Endpoint>,
-        gone: Vec<String>,
+        removed: Vec<String>,
     },
 }
 
@@ -221,7 +221,7 @@
     pub epoch: Epoch,
     pub configuration: Option<(u64, String)>,
     pub placement: Option<(u64, Placement)>,
-    pub directory: Option<((Epoch, u64), DirectoryNews)>,
+    pub directory: Option<((Epoch, u64), DirectoryUpdate)>,
     /// Couriers and stores alive: who shares an endpoint's connections.
     pub senders: u32,
     /// Internal address of the primary that answers.
@@ -306,8 +306,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct QuotaClaim {
     /// The shard whose primary keeps the ledger, and its epoch as the asker knows it.
-    pub keeper: u32,
-    pub keeper_epoch: Epoch,
+    pub ledger_shard: u32,
+    pub ledger_epoch: Epoch,
     /// The shard that is to take the job, and the epoch of its primary.
     pub shard: u32,
     pub epoch: Epoch,
@@ -317,7 +317,7 @@
     /// Tokens of the job.
     pub tokens: u64,
     /// Tokens that the shard holds besides, other claims included.
-    pub held: u64,
+    pub reserved: u64,
     /// Most tokens that may wait, as the asker knows the route.
     pub limit: u64,
 }
@@ -325,12 +325,12 @@
 /// The primary of a shard states all that the shard holds of the pairs that one ledger keeps.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct QuotaStatement {
-    pub keeper: u32,
-    pub keeper_epoch: Epoch,
+    pub ledger_shard: u32,
+    pub ledger_epoch: Epoch,
     pub shard: u32,
     pub epoch: Epoch,
     pub sequence: u64,
-    pub held: Vec<(QuotaKey, u64)>,
+    pub reserved: Vec<(QuotaKey, u64)>,
 }
 
 /// Digest of the jobs of one bucket of a shard.
@@ -346,16 +346,16 @@
     },
     /// The sender is the primary of the core, at this internal address. Nobody answers it: it is a hint, and the primary is
     /// asked itself.
-    Primary {
+    PrimaryHint {
         address: String,
     },
     Poll(Poll),
     /// A message of the register; answered by messages, not by an answer.
-    Replica {
+    Register {
         from: DiskId,
         address: String,
         to: DiskId,
-        message: ReplicaMessage,
+        message: RegisterMessage,
     },
     Submit {
         shard: u32,
@@ -388,17 +388,17 @@
     /// Nobody answers it.
     Statements(Vec<QuotaStatement>),
     /// A message to a member of a shard, known by its disk.
-    Member {
+    Shard {
         to: DiskId,
         shard: u32,
         epoch: Epoch,
-        message: MemberMessage,
+        message: ShardMessage,
     },
 }
 
 /// What the primary of a shard asks of another member.
 #[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
-pub enum MemberMessage {
+pub enum ShardMessage {
     /// Operations with consecutive numbers, the first being `first`.
     Replicate { session: u64, first: u64, operations: Vec<ShardOperation> },
     /// Is this still the highest epoch you know for the shard?
@@ -458,7 +458,7 @@
         encode(self)
     }
 
-    /// Decodes a message; `bytes` have to be aligned as by [`crate::frame::aligned`].
+    /// Decodes a message; `bytes` have to be aligned as by [`crate::frame::aligned_buffer`].
     pub fn decode(bytes: &[u8]) -> Result<Request, FrameError> {
         rkyv::from_bytes::<Request, rkyv::rancor::Error>(bytes).map_err(malformed)
     }
@@ -470,7 +470,7 @@
         encode(self)
     }
 
-    /// Decodes a message; `bytes` have to be aligned as by [`crate::frame::aligned`].
+    /// Decodes a message; `bytes` have to be aligned as by [`crate::frame::aligned_buffer`].
     pub fn decode(bytes: &[u8]) -> Result<Response, FrameError> {
         rkyv::from_bytes::<Response, rkyv::rancor::Error>(bytes).map_err(malformed)
     }
@@ -501,7 +501,7 @@
     T::Archived: for<'a> rkyv::bytecheck::CheckBytes<rkyv::api::high::HighValidator<'a, rkyv::rancor::Error>>
         + Deserialize<T, rkyv::api::high::HighDeserializer<rkyv::rancor::Error>>,
 {
-    let mut buffer = crate::frame::aligned(bytes.len());
+    let mut buffer = crate::frame::aligned_buffer(bytes.len());
     buffer.copy_from_slice(bytes);
     rkyv::from_bytes::<T, rkyv::rancor::Error>(&buffer).map_err(malformed)
 }
--- a/wire/src/settings.rs
+++ b/wire/src/settings.rs
@@ -50,14 +50,15 @@
 pub struct Settings {
     pub hostname: String,
     pub bind_ip: String,
-    pub az: String,
+    #[serde(rename = "Az")]
+    pub zone: String,
     #[serde(default)]
     pub region: String,
     /// First and last port for traffic between couriers.
     pub port_range: [u16; 2],
     /// `Admin` addresses of up to three machines.
-    #[serde(default)]
-    pub peers: Vec<String>,
+    #[serde(default, rename = "Peers")]
+    pub seeds: Vec<String>,
     /// Only at the first start of the whole system.
     #[serde(default)]
     pub bootstrap: bool,
@@ -69,7 +70,8 @@
     #[serde(default)]
     pub sockets: Sockets,
     pub limits: MachineLimits,
-    pub survive: Survive,
+    #[serde(rename = "Survive")]
+    pub fault_tolerance: FaultTolerance,
     pub slo: Bounds,
     #[serde(default)]
     pub cloud_api: Option<CloudApi>,
@@ -95,7 +97,8 @@
     pub cpu_frac: f64,
     /// MiB; more ends the process.
     pub ram_mb: u64,
-    pub nofile: u64,
+    #[serde(rename = "Nofile")]
+    pub open_files: u64,
     /// MiB of disk; 0 without one.
     #[serde(default)]
     pub disk_mb: u64,
@@ -107,9 +110,11 @@
 
 /// What may be lost at once while all rules are kept.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(rename_all = "PascalCase")]
-pub struct Survive {
-    pub boxes: usize,
+#[serde(rename = "Survive", rename_all = "PascalCase")]
+pub struct FaultTolerance {
+    /// Machines that may be lost at once.
+    #[serde(rename = "Boxes")]
+    pub machines: usize,
 }
 
 /// Bounds that the rules name; those without use here are not read.
@@ -152,8 +157,8 @@
 #[serde(rename_all = "PascalCase")]
 pub struct CloudApi {
     pub address: String,
-    #[serde(default)]
-    pub jobs: Vec<String>,
+    #[serde(default, rename = "Jobs")]
+    pub singleton_roles: Vec<String>,
 }
 
 impl Settings {
--- a/wire/tests/message_bytes.rs
+++ b/wire/tests/message_bytes.rs
@@ -5,11 +5,11 @@
 mod fixture_files;
 
 use fixture_files::fixture_table;
-use quillmount_wire::frame::{FrameError, FrameHead, FrameKind, HEAD_BYTES, aligned, encode};
+use quillmount_wire::frame::{FrameError, FrameHeader, FrameKind, HEADER_BYTES, aligned_buffer, encode};
 use quillmount_wire::messages::{
-    Accepted, DirectoryNews, Endpoint, Item, ItemResult, Job, JobState, MemberMessage, NodeInfo, NodeRole,
-    Phase, Placement, Poll, QuotaClaim, QuotaKey, QuotaStatement, RegisterValue, ReplicaMessage, Request,
-    Response, ServiceLoad, ShardOperation, ShardReport, ShardView, TableVersions, Tables, UsageWindow,
+    Accepted, DirectoryUpdate, Endpoint, Item, ItemResult, Job, JobState, NodeInfo, NodeRole, Phase,
+    Placement, Poll, QuotaClaim, QuotaKey, QuotaStatement, RegisterMessage, RegisterValue, Request, Response,
+    ServiceLoad, ShardMessage, ShardOperation, ShardReport, ShardView, TableVersions, Tables, UsageWindow,
 };
 
 fn text(text: &str) -> String {
@@ -52,7 +52,7 @@
         zone: text("b"),
         capacity: 8,
         draining: id == "e-2",
-        cold_left_ms: 1250.5,
+        warmup_left_ms: 1250.5,
         models: vec![(text("m"), 3), (text("a-model-with-a-longer-name"), 1 << 40)],
     }
 }
@@ -101,12 +101,12 @@
 fn poll() -> Poll {
     Poll {
         node: store(),
-        life: 31,
-        have: TableVersions { configuration: 32, placement: 33, directory: (34, 35) },
-        hold_ms: 36,
+        incarnation: 31,
+        known_versions: TableVersions { configuration: 32, placement: 33, directory: (34, 35) },
+        max_wait_ms: 36,
         usage: vec![UsageWindow { window: 37, counts: vec![(text("tenant-1"), 38)] }],
         shards: vec![ShardReport { shard: 39, epoch: 40, unresponsive: vec![41], caught_up: vec![42, 43] }],
-        leaving: true,
+        draining: true,
         relayed: false,
         demand: vec![(text("small-model"), 44.25)],
         items: vec![(text("small-model"), 45)],
@@ -118,24 +118,24 @@
         epoch: 51,
         configuration: Some((52, text("{\"Gen\":52}"))),
         placement: Some((53, placement())),
-        directory: Some(((54, 55), DirectoryNews::Whole(vec![endpoint("e-1"), endpoint("e-2")]))),
+        directory: Some(((54, 55), DirectoryUpdate::Full(vec![endpoint("e-1"), endpoint("e-2")]))),
         senders: 56,
         primary: text("10.0.0.101:7360"),
         relays: vec![text("10.0.0.102:7360")],
         loads: vec![ServiceLoad {
             service: text("small-model"),
-            live_places: 57.5,
+            live_demand: 57.5,
             items: vec![(103, 58), (104, 59)],
         }],
     }
 }
 
-fn replica(message: ReplicaMessage) -> Request {
-    Request::Replica { from: 101, address: text("10.0.0.101:7360"), to: 102, message }
+fn replica(message: RegisterMessage) -> Request {
+    Request::Register { from: 101, address: text("10.0.0.101:7360"), to: 102, message }
 }
 
-fn member(message: MemberMessage) -> Request {
-    Request::Member { to: 103, shard: 15, epoch: 61, message }
+fn member(message: ShardMessage) -> Request {
+    Request::Shard { to: 103, shard: 15, epoch: 61, message }
 }
 
 fn operations() -> Vec<ShardOperation> {
@@ -155,65 +155,61 @@
     ]
 }
 
-fn replica_messages() -> Vec<(&'static str, ReplicaMessage)> {
+fn replica_messages() -> Vec<(&'static str, RegisterMessage)> {
     vec![
-        ("canvass", ReplicaMessage::Canvass { epoch: 1 }),
-        ("support", ReplicaMessage::Support { epoch: 2 }),
-        ("prepare", ReplicaMessage::Prepare { epoch: 3 }),
-        ("promise", ReplicaMessage::Promise { epoch: 4, accepted: Some(accepted(None)) }),
-        ("promise-of-an-empty-member", ReplicaMessage::Promise { epoch: 5, accepted: None }),
-        ("accept", ReplicaMessage::Accept { accepted: accepted(Some(vec![101, 104])) }),
-        ("acknowledge", ReplicaMessage::Acknowledge { epoch: 6, sequence: 7 }),
-        ("heartbeat", ReplicaMessage::Heartbeat { epoch: 8, round: 9 }),
+        ("canvass", RegisterMessage::PreVote { epoch: 1 }),
+        ("support", RegisterMessage::PreVoteGranted { epoch: 2 }),
+        ("prepare", RegisterMessage::Prepare { epoch: 3 }),
+        ("promise", RegisterMessage::Promise { epoch: 4, accepted: Some(accepted(None)) }),
+        ("promise-of-an-empty-member", RegisterMessage::Promise { epoch: 5, accepted: None }),
+        ("accept", RegisterMessage::Accept { accepted: accepted(Some(vec![101, 104])) }),
+        ("acknowledge", RegisterMessage::Acknowledge { epoch: 6, sequence: 7 }),
+        ("heartbeat", RegisterMessage::Heartbeat { epoch: 8, round: 9 }),
         (
             "heartbeat-reply",
-            ReplicaMessage::HeartbeatReply {
+            RegisterMessage::HeartbeatReply {
                 epoch: 10,
                 round: 11,
                 accepted_epoch: 12,
                 accepted_sequence: 13,
             },
         ),
-        ("reject", ReplicaMessage::Reject { promised: 14 }),
-        ("resign", ReplicaMessage::Resign { epoch: 15, successor: 103 }),
+        ("reject", RegisterMessage::Reject { promised: 14 }),
+        ("resign", RegisterMessage::Resign { epoch: 15, successor: 103 }),
     ]
 }
 
-fn member_messages() -> Vec<(&'static str, MemberMessage)> {
+fn member_messages() -> Vec<(&'static str, ShardMessage)> {
     vec![
-        ("replicate", MemberMessage::Replicate { session: 62, first: 63, operations: operations() }),
-        ("confirm", MemberMessage::Confirm),
-        ("compare-buckets", MemberMessage::CompareBuckets { buckets: vec![0, 64, u64::MAX] }),
+        ("replicate", ShardMessage::Replicate { session: 62, first: 63, operations: operations() }),
+        ("confirm", ShardMessage::Confirm),
+        ("compare-buckets", ShardMessage::CompareBuckets { buckets: vec![0, 64, u64::MAX] }),
         (
             "compare-jobs",
-            MemberMessage::CompareJobs {
-                session: 65,
-                buckets: vec![66, 67],
-                jobs: vec![(text("job-1"), 68)],
-            },
+            ShardMessage::CompareJobs { session: 65, buckets: vec![66, 67], jobs: vec![(text("job-1"), 68)] },
         ),
-        ("install", MemberMessage::Install { session: 69, jobs: job_states(), next: None }),
-        ("install-to-the-end", MemberMessage::Install { session: 70, jobs: Vec::new(), next: Some(71) }),
+        ("install", ShardMessage::Install { session: 69, jobs: job_states(), next: None }),
+        ("install-to-the-end", ShardMessage::Install { session: 70, jobs: Vec::new(), next: Some(71) }),
     ]
 }
 
 fn claim() -> QuotaClaim {
     QuotaClaim {
-        keeper: 81,
-        keeper_epoch: 82,
+        ledger_shard: 81,
+        ledger_epoch: 82,
         shard: 83,
         epoch: 84,
         sequence: 85,
         key: key("tenant-1"),
         tokens: 86,
-        held: 87,
+        reserved: 87,
         limit: 88,
     }
 }
 
 fn statement() -> QuotaStatement {
-    let held = vec![(key("tenant-1"), 91), (key("tenant-2"), 92)];
-    QuotaStatement { keeper: 93, keeper_epoch: 94, shard: 95, epoch: 96, sequence: 97, held }
+    let reserved = vec![(key("tenant-1"), 91), (key("tenant-2"), 92)];
+    QuotaStatement { ledger_shard: 93, ledger_epoch: 94, shard: 95, epoch: 96, sequence: 97, reserved }
 }
 
 fn requests() -> Vec<(String, Request)> {
@@ -221,18 +217,18 @@
     let single = vec![
         ("announce", Request::Announce { node: core(), bootstrap: true }),
         ("announce-courier", Request::Announce { node: courier(), bootstrap: false }),
-        ("primary", Request::Primary { address: text("10.0.0.101:7360") }),
+        ("primary", Request::PrimaryHint { address: text("10.0.0.101:7360") }),
         ("poll", Request::Poll(poll())),
         (
             "poll-relayed",
             Request::Poll(Poll {
                 node: courier(),
-                life: 0,
-                have: TableVersions::default(),
-                hold_ms: 0,
+                incarnation: 0,
+                known_versions: TableVersions::default(),
+                max_wait_ms: 0,
                 usage: Vec::new(),
                 shards: Vec::new(),
-                leaving: false,
+                draining: false,
                 relayed: true,
                 demand: Vec::new(),
                 items: Vec::new(),
@@ -264,7 +260,7 @@
         ("claim", Request::Claim(claim())),
         (
             "statements",
-            Request::Statements(vec![statement(), QuotaStatement { held: Vec::new(), ..statement() }]),
+            Request::Statements(vec![statement(), QuotaStatement { reserved: Vec::new(), ..statement() }]),
         ),
     ];
     let single = single.into_iter().map(|(name, request)| (text(name), request));
@@ -276,7 +272,7 @@
 }
 
 fn responses() -> Vec<(String, Response)> {
-    let changes = DirectoryNews::Changes { changed: vec![endpoint("e-2")], gone: vec![text("e-3")] };
+    let changes = DirectoryUpdate::Delta { changed: vec![endpoint("e-2")], removed: vec![text("e-3")] };
     let changed = Tables { directory: Some(((54, 56), changes)), ..Tables::default() };
     let results = vec![
         (text("i0"), Phase::Done, text("a text that is not short")),
@@ -311,11 +307,11 @@
 
 /// Reads a frame the way a process does.
 fn read(row: usize, frame: &[u8], kind: FrameKind) -> rkyv::util::AlignedVec {
-    let (head, rest) = frame.split_at(HEAD_BYTES);
-    let head = FrameHead::decode(head.try_into().unwrap()).unwrap();
+    let (head, rest) = frame.split_at(HEADER_BYTES);
+    let head = FrameHeader::decode(head.try_into().unwrap()).unwrap();
     assert!(head.kind == kind, "kind of row {row}");
     assert_eq!((head.call, head.length), (call_number(row), rest.len()));
-    let mut body = aligned(head.length);
+    let mut body = aligned_buffer(head.length);
     body.copy_from_slice(rest);
     head.verify(&body).unwrap();
     body
@@ -324,14 +320,14 @@
 #[test]
 fn every_request_is_read_and_written_to_the_same_bytes() {
     let frame = |(row, (name, request)): (usize, (String, Request))| {
-        (name, encode(FrameKind::Call, call_number(row), &request.encode()))
+        (name, encode(FrameKind::Request, call_number(row), &request.encode()))
     };
     let made: Vec<(String, Vec<u8>)> = requests().into_iter().enumerate().map(frame).collect();
     let stored = fixture_table("requests.txt", &made);
     for (row, ((name, bytes), (_, expected))) in stored.iter().zip(requests()).enumerate() {
-        let request = Request::decode(&read(row, bytes, FrameKind::Call)).unwrap();
+        let request = Request::decode(&read(row, bytes, FrameKind::Request)).unwrap();
         assert!(request == expected, "{name}");
-        assert_eq!(&encode(FrameKind::Call, call_number(row), &request.encode()), bytes, "{name}");
+        assert_eq!(&encode(FrameKind::Request, call_number(row), &request.encode()), bytes, "{name}");
     }
     assert_eq!(stored.len(), 28);
 }
@@ -339,28 +335,28 @@
 #[test]
 fn every_response_is_read_and_written_to_the_same_bytes() {
     let frame = |(row, (name, response)): (usize, (String, Response))| {
-        (name, encode(FrameKind::Answer, call_number(row), &response.encode()))
+        (name, encode(FrameKind::Response, call_number(row), &response.encode()))
     };
     let made: Vec<(String, Vec<u8>)> = responses().into_iter().enumerate().map(frame).collect();
     let stored = fixture_table("responses.txt", &made);
     for (row, ((name, bytes), (_, expected))) in stored.iter().zip(responses()).enumerate() {
-        let response = Response::decode(&read(row, bytes, FrameKind::Answer)).unwrap();
+        let response = Response::decode(&read(row, bytes, FrameKind::Response)).unwrap();
         assert!(response == expected, "{name}");
-        assert_eq!(&encode(FrameKind::Answer, call_number(row), &response.encode()), bytes, "{name}");
+        assert_eq!(&encode(FrameKind::Response, call_number(row), &response.encode()), bytes, "{name}");
     }
     assert_eq!(stored.len(), 17);
 }
 
 #[test]
 fn a_frame_of_each_kind_has_its_head() {
-    let kinds = [FrameKind::Notice, FrameKind::Call, FrameKind::Answer];
+    let kinds = [FrameKind::Notification, FrameKind::Request, FrameKind::Response];
     let made: Vec<(String, Vec<u8>)> = kinds
         .iter()
         .enumerate()
         .map(|(row, kind)| (format!("kind-{row}"), encode(*kind, 9, b"body")))
         .collect();
     for ((_, bytes), kind) in fixture_table("frames.txt", &made).iter().zip(kinds) {
-        let head = FrameHead::decode(bytes[..HEAD_BYTES].try_into().unwrap()).unwrap();
+        let head = FrameHeader::decode(bytes[..HEADER_BYTES].try_into().unwrap()).unwrap();
         assert!(head.kind == kind && head.verify(b"body").is_ok());
         assert_eq!((&bytes[..4], head.call, head.length), (b"QMF1".as_slice(), 9, 4));
     }
--- a/wire/tests/operator_files.rs
+++ b/wire/tests/operator_files.rs
@@ -29,8 +29,8 @@
         (live.mode.as_deref(), live.deadline_ms, live.target_ms),
         (Some("stream"), 4000.5, Some(800.25))
     );
-    assert_eq!((live.priority, live.service.as_deref(), live.tries), (Some(-2), None, Some(3)));
-    assert_eq!((live.public, live.resumable, live.gap_aim_ms), (Some(true), Some(false), Some(55.5)));
+    assert_eq!((live.priority, live.service.as_deref(), live.max_attempts), (Some(-2), None, Some(3)));
+    assert_eq!((live.public, live.resumable, live.target_gap_ms), (Some(true), Some(false), Some(55.5)));
     assert_eq!((live.due_ms, live.retain_s, live.max_queued), (None, None, None));
     assert_eq!(live.services(), [("small", 3.0), ("large", 1.5)]);
     assert_eq!(live.waiting_limit(), None);
@@ -45,8 +45,8 @@
         ("nightly", "a.example", "/jobs")
     );
     assert_eq!((batch.mode.as_deref(), batch.deadline_ms, batch.target_ms), (Some("bulk"), 60000.0, None));
-    assert_eq!((batch.priority, batch.service.as_deref(), batch.tries), (None, Some("large"), None));
-    assert_eq!((batch.public, batch.resumable, batch.gap_aim_ms), (None, None, None));
+    assert_eq!((batch.priority, batch.service.as_deref(), batch.max_attempts), (None, Some("large"), None));
+    assert_eq!((batch.public, batch.resumable, batch.target_gap_ms), (None, None, None));
     assert_eq!((batch.due_ms, batch.retain_s, batch.max_queued), (Some(90000.0), Some(600.0), Some(5000.0)));
     assert_eq!(batch.services(), [("large", 1.0)]);
     assert_eq!(batch.waiting_limit(), Some(5000));
@@ -158,9 +158,9 @@
 fn settings_give_all_their_values() {
     let settings = Settings::parse(&read("settings.toml"), "settings.toml").unwrap();
     assert_eq!((settings.hostname.as_str(), settings.bind_ip.as_str()), ("node-a-1", "10.1.0.14"));
-    assert_eq!((settings.az.as_str(), settings.region.as_str()), ("a", "r"));
+    assert_eq!((settings.zone.as_str(), settings.region.as_str()), ("a", "r"));
     assert_eq!(settings.port_range, [7360, 7375]);
-    assert_eq!(settings.peers, ["10.1.0.14:8683", "10.2.0.22:8683"]);
+    assert_eq!(settings.seeds, ["10.1.0.14:8683", "10.2.0.22:8683"]);
     assert_eq!((settings.bootstrap, settings.counts_for_quorum), (true, true));
     assert_eq!(settings.data_folder(), Some("/data/x"));
     let sockets = &settings.sockets;
@@ -170,8 +170,8 @@
     );
     assert_eq!(sockets.admin.as_deref(), Some("10.1.0.14:8683"));
     let limits = &settings.limits;
-    assert_eq!((limits.cpu_frac, limits.ram_mb, limits.nofile, limits.disk_mb), (0.45, 260, 4100, 512));
-    assert_eq!(settings.survive.boxes, 2);
+    assert_eq!((limits.cpu_frac, limits.ram_mb, limits.open_files, limits.disk_mb), (0.45, 260, 4100, 512));
+    assert_eq!(settings.fault_tolerance.machines, 2);
     let bounds = &settings.slo;
     assert_eq!((bounds.contact_ms, bounds.ack_ms, bounds.drain_ms, bounds.grace_s), (1.0, 2.0, 3.0, 4.0));
     assert_eq!(
@@ -181,7 +181,7 @@
     assert_eq!((bounds.poll_s, bounds.complete_s, bounds.abort_ms), (9.0, 10.0, 11.0));
     let cloud = settings.cloud_api.as_ref().unwrap();
     assert_eq!(
-        (cloud.address.as_str(), cloud.jobs.as_slice()),
+        (cloud.address.as_str(), cloud.singleton_roles.as_slice()),
         ("10.3.0.1:80", ["one".to_owned()].as_slice())
     );
     let zones: Vec<(&str, &str)> =
@@ -192,7 +192,7 @@
 #[test]
 fn settings_without_optional_fields_have_their_defaults() {
     let settings = Settings::parse(&read("settings-least.toml"), "settings-least.toml").unwrap();
-    assert_eq!((settings.region.as_str(), settings.peers.len()), ("", 0));
+    assert_eq!((settings.region.as_str(), settings.seeds.len()), ("", 0));
     assert_eq!(
         (settings.bootstrap, settings.counts_for_quorum, settings.data_folder()),
         (false, false, None)
--- a/wire/tests/wire.rs
+++ b/wire/tests/wire.rs
@@ -1,7 +1,7 @@
 //! Settings, frames and messages.
 
 use quickcheck::QuickCheck;
-use quillmount_wire::frame::{FrameError, FrameHead, FrameKind, HEAD_BYTES, aligned, encode};
+use quillmount_wire::frame::{FrameError, FrameHeader, FrameKind, HEADER_BYTES, aligned_buffer, encode};
 use quillmount_wire::messages::{Request, Response, UsageWindow, decode};
 use quillmount_wire::settings::Settings;
 
@@ -34,9 +34,9 @@
 "#;
 
 #[test]
-fn settings_are_read_and_unknown_fields_passed_over() {
+fn settings_are_read_and_unknown_fields_ignored() {
     let settings = Settings::parse(SETTINGS, "node.toml").unwrap();
-    assert_eq!(settings.survive.boxes, 1);
+    assert_eq!(settings.fault_tolerance.machines, 1);
     assert_eq!(settings.internal_address(), "10.1.0.14:7360");
     assert_eq!(settings.internal_address_of("10.2.0.22:8683"), "10.2.0.22:7360");
     assert_eq!(settings.data_folder(), Some("/data/x"));
@@ -55,30 +55,30 @@
     assert!(Settings::parse(&reversed, "f").unwrap_err().to_string().contains("PortRange"));
 }
 
-fn head(bytes: &[u8]) -> [u8; HEAD_BYTES] {
-    bytes[..HEAD_BYTES].try_into().unwrap()
+fn head(bytes: &[u8]) -> [u8; HEADER_BYTES] {
+    bytes[..HEADER_BYTES].try_into().unwrap()
 }
 
 #[test]
 fn a_frame_of_another_version_or_with_a_wrong_checksum_is_refused() {
-    let frame = encode(FrameKind::Call, 77, b"body");
-    let read = FrameHead::decode(&head(&frame)).unwrap();
-    assert_eq!((read.kind, read.call, read.length), (FrameKind::Call, 77, 4));
+    let frame = encode(FrameKind::Request, 77, b"body");
+    let read = FrameHeader::decode(&head(&frame)).unwrap();
+    assert_eq!((read.kind, read.call, read.length), (FrameKind::Request, 77, 4));
     assert_eq!(read.verify(b"body"), Ok(()));
     assert_eq!(read.verify(b"bodY"), Err(FrameError::WrongChecksum));
     let mut other = frame.clone();
     other[3] = b'9';
-    assert_eq!(FrameHead::decode(&head(&other)), Err(FrameError::WrongVersion));
+    assert_eq!(FrameHeader::decode(&head(&other)), Err(FrameError::WrongVersion));
     other = frame.clone();
     other[4] = 9;
-    assert_eq!(FrameHead::decode(&head(&other)), Err(FrameError::UnknownKind(9)));
+    assert_eq!(FrameHeader::decode(&head(&other)), Err(FrameError::UnknownKind(9)));
     other = frame;
     other[8] = 0xff;
-    assert!(matches!(FrameHead::decode(&head(&other)), Err(FrameError::TooLarge(_))));
+    assert!(matches!(FrameHeader::decode(&head(&other)), Err(FrameError::TooLarge(_))));
 }
 
 #[test]
-fn messages_survive_their_encoding() {
+fn messages_round_trip_through_their_encoding() {
     let request = Request::Read {
         shard: 3,
         epoch: 9,
@@ -88,7 +88,7 @@
         wait_ms: 1000,
     };
     let bytes = request.encode();
-    let mut buffer = aligned(bytes.len());
+    let mut buffer = aligned_buffer(bytes.len());
     buffer.copy_from_slice(&bytes);
     assert_eq!(Request::decode(&buffer).unwrap(), request);
     let response = Response::Body(vec![1, 2, 3]);
