--- a/core/src/counters.rs
+++ b/core/src/counters.rs
@@ -10,8 +10,8 @@
         impl std::fmt::Display for Counters {
             fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
                 let all = [$((stringify!($name), self.$name)),*];
-                let words: Vec<String> = all.iter().map(|(name, n)| format!("{name}={n}")).collect();
-                f.write_str(&words.join(" "))
+                let pairs: Vec<String> = all.iter().map(|(name, n)| format!("{name}={n}")).collect();
+                f.write_str(&pairs.join(" "))
             }
         }
     };
@@ -33,7 +33,7 @@
             CallEnd::Full(0) => &mut self.full,
             CallEnd::Full(_) => &mut self.told_to_wait,
             CallEnd::NoSlot => &mut self.no_slot,
-            CallEnd::Exhausted | CallEnd::Over => &mut self.not_sent,
+            CallEnd::Exhausted | CallEnd::Gone => &mut self.not_sent,
             CallEnd::HeldBack => &mut self.held_back,
             CallEnd::CouldNotConnect => &mut self.could_not_connect,
             CallEnd::Reset => &mut self.resets,
--- a/core/src/holds.rs
+++ b/core/src/disabled.rs
@@ -5,16 +5,16 @@
 use std::collections::BTreeSet;
 
 /// Ids that may be held at once: more than a courier's list has, and 90 KB of the journal at most.
-pub const HOLDS_MAX: usize = 512;
+pub const DISABLED_MAX: usize = 512;
 /// The longest id that is held; discovery's take some ten bytes.
 pub const ID_MAX: usize = 128;
 
 /// Why a call for an endpoint is turned down; nothing has changed.
 #[derive(Clone, Debug, thiserror::Error)]
-pub enum HoldError {
+pub enum DisableError {
     #[error("no endpoint has the id {0:?}")]
     Unknown(String),
-    #[error("{HOLDS_MAX} endpoints are out already")]
+    #[error("{DISABLED_MAX} endpoints are out already")]
     TooMany,
     #[error("not written: {0}")]
     NotWritten(#[from] crate::journal::JournalError),
@@ -22,17 +22,17 @@
 
 /// The set.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Holds {
+pub struct DisabledEndpoints {
     ids: BTreeSet<String>,
 }
 
-impl Holds {
+impl DisabledEndpoints {
     pub fn contains(&self, id: &str) -> bool {
         self.ids.contains(id)
     }
 
     pub fn is_full(&self) -> bool {
-        self.ids.len() >= HOLDS_MAX
+        self.ids.len() >= DISABLED_MAX
     }
 
     pub fn insert(&mut self, id: &str) {
@@ -49,7 +49,7 @@
     }
 
     /// What the module is shown of an endpoint that discovery lists so.
-    pub fn shown(&self, id: &str, listed: ListState) -> ListState {
+    pub fn effective_state(&self, id: &str, listed: ListState) -> ListState {
         if listed == ListState::Ready && self.contains(id) { ListState::Draining } else { listed }
     }
 }
--- a/core/src/over.rs
+++ b/core/src/ended.rs
@@ -1,4 +1,4 @@
-//! Ids of invocations that are over, each remembered with its end until its time is up.
+//! Ids of submissions that are over, each remembered with its end until its time is up.
 
 use crate::journal::End;
 use spurshore::Micros;
@@ -9,13 +9,13 @@
 
 /// The memory of what is over.
 #[derive(Clone, Debug, Default)]
-pub struct Over {
+pub struct EndedMessages {
     ends: HashMap<String, End>,
     /// As they came, with until when each is remembered.
     order: VecDeque<(String, Micros)>,
 }
 
-impl Over {
+impl EndedMessages {
     pub fn get(&self, id: &str) -> Option<End> {
         self.ends.get(id).copied()
     }
--- a/core/src/flow.rs
+++ b/core/src/flow.rs
@@ -26,7 +26,7 @@
 
 /// One side of a flow, and how it keeps up. Time counts only while it is up to this side to move bytes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Side {
+struct SideProgress {
     pace: Pace,
     /// Since when it is up to this side.
     since: Option<Micros>,
@@ -35,13 +35,13 @@
     moved: u64,
 }
 
-impl Side {
+impl SideProgress {
     fn new(pace: Pace) -> Self {
-        Side { pace, since: None, waited: 0, moved: 0 }
+        SideProgress { pace, since: None, waited: 0, moved: 0 }
     }
 
     /// It is up to this side, or not.
-    fn is_up(&mut self, up: bool, now: Micros) {
+    fn set_turn(&mut self, up: bool, now: Micros) {
         match (up, self.since) {
             (true, None) => self.since = Some(now),
             (false, Some(since)) => {
@@ -52,7 +52,7 @@
         }
     }
 
-    fn moves(&mut self, bytes: u64, now: Micros) {
+    fn record_bytes(&mut self, bytes: u64, now: Micros) {
         if let Some(since) = self.since.replace(now) {
             self.waited += now.saturating_sub(since);
         }
@@ -75,7 +75,7 @@
 /// Why a body will never be whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub enum Cut {
-    /// The consumer's connection ended or broke.
+    /// The client's connection ended or broke.
     Gone,
     /// Its framing can't be read: chunks that are none, extensions without end, trailers.
     Malformed,
@@ -109,13 +109,13 @@
     sending: bool,
     /// The destination has told to wait: nothing leaves.
     paused: bool,
-    consumer: Side,
-    provider: Side,
+    client: SideProgress,
+    endpoint: SideProgress,
 }
 
 impl Flow {
-    /// A body of which at most `window` bytes are kept, one at least; `length`: as the consumer told it.
-    pub fn new(window: u64, length: Option<u64>, consumer: Pace, provider: Pace, now: Micros) -> Self {
+    /// A body of which at most `window` bytes are kept, one at least; `length`: as the client told it.
+    pub fn new(window: u64, length: Option<u64>, client: Pace, endpoint: Pace, now: Micros) -> Self {
         let mut flow = Flow {
             window: window.max(1),
             length,
@@ -125,8 +125,8 @@
             source: if length == Some(0) { Source::Whole } else { Source::Coming },
             sending: false,
             paused: false,
-            consumer: Side::new(consumer),
-            provider: Side::new(provider),
+            client: SideProgress::new(client),
+            endpoint: SideProgress::new(endpoint),
         };
         flow.settle(now);
         flow
@@ -152,12 +152,12 @@
     }
 
     /// How many bytes may be read now; never more than the body still has.
-    pub fn room(&self) -> u64 {
+    pub fn capacity(&self) -> u64 {
         if self.source != Source::Coming {
             return 0;
         }
-        let kept = self.window - (self.received - self.base);
-        self.length.map_or(kept, |length| kept.min(length - self.received))
+        let free = self.window - (self.received - self.base);
+        self.length.map_or(free, |length| free.min(length - self.received))
     }
 
     /// How many bytes may be written now.
@@ -189,14 +189,14 @@
 
     /// Bytes were read.
     pub fn receive(&mut self, bytes: u64, now: Micros) {
-        assert!(bytes <= self.room(), "no more is read than there is room for");
+        assert!(bytes <= self.capacity(), "no more is read than there is room for");
         self.received += bytes;
-        self.consumer.moves(bytes, now);
+        self.client.record_bytes(bytes, now);
         self.settle(now);
     }
 
     /// The body came to its end, and its digest holds.
-    pub fn is_whole(&mut self, now: Micros) {
+    pub fn complete(&mut self, now: Micros) {
         if self.source == Source::Coming {
             self.source = Source::Whole;
             self.settle(now);
@@ -228,7 +228,7 @@
     }
 
     /// The destination told to wait, or its wait is over.
-    pub fn pause(&mut self, paused: bool, now: Micros) {
+    pub fn set_paused(&mut self, paused: bool, now: Micros) {
         self.paused = paused && !breaks::on(Break::PauseIgnored);
         self.settle(now);
     }
@@ -238,20 +238,20 @@
         // It may have been paused or cut since they were given to the socket.
         assert!(self.sent + bytes <= self.received, "no more is written than has come");
         self.sent += bytes;
-        self.provider.moves(bytes, now);
+        self.endpoint.record_bytes(bytes, now);
         self.settle(now);
     }
 
     /// Where it is up to this side: when it has stalled, or was too slow, if nothing moves until then.
-    pub fn late_at(&self, who: Who) -> Option<(Micros, Late)> {
+    pub fn late_at(&self, who: FlowSide) -> Option<(Micros, Late)> {
         match who {
-            Who::Consumer => self.consumer.late_at(),
-            Who::Provider => self.provider.late_at(),
+            FlowSide::Client => self.client.late_at(),
+            FlowSide::Endpoint => self.endpoint.late_at(),
         }
     }
 
     /// Whether this side has been too slow by now.
-    pub fn late(&self, who: Who, now: Micros) -> Option<Late> {
+    pub fn late(&self, who: FlowSide, now: Micros) -> Option<Late> {
         self.late_at(who).filter(|(at, _)| *at <= now).map(|(_, late)| late)
     }
 
@@ -261,9 +261,9 @@
         if (full || self.base > 0) && self.sending {
             self.base = self.base.max(self.sent);
         }
-        self.consumer.is_up(self.room() > 0, now);
+        self.client.set_turn(self.capacity() > 0, now);
         let (some, finish) = (self.sendable() > 0, self.may_finish());
-        self.provider.is_up(some && !finish, now);
+        self.endpoint.set_turn(some && !finish, now);
         debug_assert!(self.base <= self.sent || !self.sending || self.base == 0);
         debug_assert!(self.sent <= self.received && self.received - self.base <= self.window);
         debug_assert!(self.length.is_none_or(|length| self.received <= length));
@@ -272,14 +272,14 @@
 
 /// A side of a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Who {
-    Consumer,
-    Provider,
+pub enum FlowSide {
+    Client,
+    Endpoint,
 }
 
 /// What can happen to a body, for its table.
 #[derive(Clone, Copy, Debug)]
-pub enum Input {
+pub enum FlowInput {
     Receive,
     Whole,
     Cut,
@@ -291,28 +291,28 @@
 }
 
 impl Machine for Flow {
-    type Input = Input;
+    type Input = FlowInput;
     const NAME: &'static str = "A streamed body";
-    const ABOUT: &'static str = "`core/src/flow.rs`: a body of two bytes in a window of one, from the consumer to an \
+    const ABOUT: &'static str = "`core/src/flow.rs`: a body of two bytes in a window of one, from the client to an \
         attempt. *read* and *write* say what may be done next, *finish* that its end may be written, *again* that \
         another attempt could have all of it.";
 
     fn states() -> Vec<(&'static str, &'static str, Self)> {
         let pace = Pace { stall: 10, span: 60, least: 1 };
         let fresh = || Flow::new(1, Some(2), pace, pace, 0);
-        let with = |steps: &[Input]| {
+        let with = |steps: &[FlowInput]| {
             let mut flow = fresh();
-            steps.iter().for_each(|input| drop(flow.take(*input)));
+            steps.iter().for_each(|input| drop(flow.apply(*input)));
             flow
         };
-        use Input::*;
+        use FlowInput::*;
         vec![
             ("Empty", "nothing has come", fresh()),
-            ("Kept", "all that came is kept, and no attempt is out", with(&[Receive])),
+            ("Buffered", "all that came is kept, and no attempt is out", with(&[Receive])),
             ("Sending", "an attempt is out, and all that came is kept", with(&[Begin])),
             ("Committed", "an attempt is out, and what it has had is dropped", with(&[Receive, Begin, Send])),
             ("Lost", "no attempt is out, and none can have all of it", with(&[Receive, Begin, Send, End])),
-            ("Held", "an attempt is out, and the destination told to wait", with(&[Receive, Begin, Pause])),
+            ("Paused", "an attempt is out, and the destination told to wait", with(&[Receive, Begin, Pause])),
             (
                 "Last",
                 "all has come, and the last byte is to leave",
@@ -325,46 +325,46 @@
 
     fn inputs() -> Vec<(&'static str, &'static str, Self::Input)> {
         vec![
-            ("receive", "the next byte has come, where there is room", Input::Receive),
-            ("whole", "the body's end has come, and its digest holds", Input::Whole),
-            ("cut", "it was cut short, or its digest is another", Input::Cut),
-            ("begin", "an attempt begins", Input::Begin),
-            ("send", "the next byte has left, where one may", Input::Send),
-            ("end", "the attempt is over", Input::End),
-            ("pause", "the destination told to wait", Input::Pause),
-            ("resume", "the wait is over", Input::Resume),
+            ("receive", "the next byte has come, where there is room", FlowInput::Receive),
+            ("whole", "the body's end has come, and its digest holds", FlowInput::Whole),
+            ("cut", "it was cut short, or its digest is another", FlowInput::Cut),
+            ("begin", "an attempt begins", FlowInput::Begin),
+            ("send", "the next byte has left, where one may", FlowInput::Send),
+            ("end", "the attempt is over", FlowInput::End),
+            ("pause", "the destination told to wait", FlowInput::Pause),
+            ("resume", "the wait is over", FlowInput::Resume),
         ]
     }
 
     fn state(&self) -> &'static str {
         match (self.source, self.sending) {
             (Source::Cut(_), _) => "Cut",
-            (_, true) if self.paused => "Held",
+            (_, true) if self.paused => "Paused",
             (Source::Whole, true) if self.sent == self.received => "Done",
             (Source::Whole, true) => "Last",
             (_, true) if self.base > 0 => "Committed",
             (_, true) => "Sending",
             (_, false) if self.base > 0 => "Lost",
-            (_, false) if self.received > 0 => "Kept",
+            (_, false) if self.received > 0 => "Buffered",
             _ => "Empty",
         }
     }
 
-    fn take(&mut self, input: Self::Input) -> String {
+    fn apply(&mut self, input: Self::Input) -> String {
         match input {
-            Input::Receive if self.room() > 0 => self.receive(1, 1),
+            FlowInput::Receive if self.capacity() > 0 => self.receive(1, 1),
             // The last byte is there by then.
-            Input::Whole if self.length == Some(self.received) => self.is_whole(1),
-            Input::Cut => self.cut(Cut::Gone, 1),
-            Input::Begin => drop(self.begin(1)),
-            Input::Send if self.sendable() > 0 => self.send(1, 1),
-            Input::End => self.end(1),
-            Input::Pause => self.pause(true, 1),
-            Input::Resume => self.pause(false, 1),
-            Input::Receive | Input::Whole | Input::Send => {}
+            FlowInput::Whole if self.length == Some(self.received) => self.complete(1),
+            FlowInput::Cut => self.cut(Cut::Gone, 1),
+            FlowInput::Begin => drop(self.begin(1)),
+            FlowInput::Send if self.sendable() > 0 => self.send(1, 1),
+            FlowInput::End => self.end(1),
+            FlowInput::Pause => self.set_paused(true, 1),
+            FlowInput::Resume => self.set_paused(false, 1),
+            FlowInput::Receive | FlowInput::Whole | FlowInput::Send => {}
         }
         let may = [
-            ("read", self.room() > 0),
+            ("read", self.capacity() > 0),
             ("write", self.sendable() > 0),
             ("finish", self.may_finish()),
             ("again", !self.sending && self.is_replayable()),
--- a/core/src/hub.rs
+++ b/core/src/hub.rs
@@ -1,14 +1,14 @@
 //! The courier without its sockets: the router, the pool and the calls that are out, wired together. What
 //! is left to the driver is to move bytes, keep time and write the log.
 
-use crate::holds::HoldError;
-use crate::journal::{Entry, JournalError, Settlements, Source};
-use crate::machine::attempt::Input;
+use crate::disabled::DisableError;
+use crate::journal::{JournalEntry, JournalError, Settlements, Source};
+use crate::machine::attempt::AttemptInput;
 use crate::note::Note;
 use crate::pool::Pool;
-use crate::router::{self, Intake, Router, Step, StreamEnd};
+use crate::router::{self, Intake, Router, RouterAction, StreamEnd};
 use crate::store::Store;
-use crate::{CallEnd, CallId, Ending, Invocation, InvokerCall, Notice, ProviderList, Said};
+use crate::{AnswerReport, CallEnd, CallId, DeliveryCall, Ending, EndpointList, Notice, Submission};
 use serde::{Deserialize, Serialize};
 use spurshore::breaks::{self, Break};
 use spurshore::{Micros, MsgId};
@@ -16,11 +16,11 @@
 
 /// What the driver is to do, in order.
 #[derive(Debug)]
-pub enum Do<C> {
+pub enum DriverAction<C> {
     /// Begin an attempt, with a machine of its own.
-    Begin(InvokerCall),
+    Begin(DeliveryCall),
     /// Tell an attempt that is out: `GiveUp`, `Ended`, `Shut` or `Hold`.
-    Tell(CallId, Input),
+    Signal(CallId, AttemptInput),
     /// Close these connections, which rested.
     Close(Vec<C>),
     /// There are notices to send.
@@ -31,7 +31,7 @@
     Note(Note),
 }
 
-/// The courier's tables and decisions; `C` is a connection to a provider.
+/// The courier's tables and decisions; `C` is a connection to an endpoint.
 #[derive(Clone, Debug)]
 pub struct Hub<S, C> {
     pub router: Router<S>,
@@ -40,10 +40,10 @@
 
 /// What one process hands to the next, but for its sockets and what goes with them.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct State {
-    pub router: router::State,
-    /// Until when providers take no call, by number.
-    pub holds: Vec<(u32, Micros)>,
+pub struct HubState {
+    pub router: router::RouterState,
+    /// Until when endpoints take no call, by number.
+    pub backoffs: Vec<(u32, Micros)>,
 }
 
 impl<S: Store, C> Hub<S, C> {
@@ -51,26 +51,34 @@
         Hub { router, pool }
     }
 
-    /// A consumer hands in an invocation; see [`Router::take_on`].
-    pub fn take_on(&mut self, invocation: Invocation, now: Micros) -> (Intake, Vec<Do<C>>) {
-        let (intake, steps) = self.router.take_on(invocation, now);
+    /// A client hands in a submission; see [`Router::submit`].
+    pub fn submit(&mut self, submission: Submission, now: Micros) -> (Intake, Vec<DriverAction<C>>) {
+        let (intake, steps) = self.router.submit(submission, now);
         (intake, self.carry_out(steps, now))
     }
 
-    /// A consumer begins to hand in a stream; see [`Router::take_on_stream`].
-    pub fn take_on_stream(&mut self, invocation: Invocation, now: Micros) -> (Intake, MsgId, Vec<Do<C>>) {
-        let (intake, msg, steps) = self.router.take_on_stream(invocation, now);
+    /// A client begins to hand in a stream; see [`Router::submit_stream`].
+    pub fn submit_stream(
+        &mut self,
+        submission: Submission,
+        now: Micros,
+    ) -> (Intake, MsgId, Vec<DriverAction<C>>) {
+        let (intake, msg, steps) = self.router.submit_stream(submission, now);
         (intake, msg, self.carry_out(steps, now))
     }
 
     /// Something happened to a stream.
-    pub fn stream(&mut self, act: impl FnOnce(&mut Router<S>) -> Vec<Step>, now: Micros) -> Vec<Do<C>> {
+    pub fn stream(
+        &mut self,
+        act: impl FnOnce(&mut Router<S>) -> Vec<RouterAction>,
+        now: Micros,
+    ) -> Vec<DriverAction<C>> {
         let steps = act(&mut self.router);
         self.carry_out(steps, now)
     }
 
-    /// Discovery told of providers.
-    pub fn list(&mut self, list: ProviderList, now: Micros) -> Vec<Do<C>> {
+    /// Discovery told of endpoints.
+    pub fn list(&mut self, list: EndpointList, now: Micros) -> Vec<DriverAction<C>> {
         let steps = self.router.list(list, now);
         self.carry_out(steps, now)
     }
@@ -79,8 +87,13 @@
     ///
     /// # Errors
     /// Nobody has the id, or its record could not be written: nothing has changed.
-    pub fn hold(&mut self, id: &str, held: bool, now: Micros) -> Result<Vec<Do<C>>, HoldError> {
-        let steps = if held { self.router.disable(id, now) } else { self.router.enable(id, now) };
+    pub fn set_disabled(
+        &mut self,
+        id: &str,
+        disabled: bool,
+        now: Micros,
+    ) -> Result<Vec<DriverAction<C>>, DisableError> {
+        let steps = if disabled { self.router.disable(id, now) } else { self.router.enable(id, now) };
         Ok(self.carry_out(steps?, now))
     }
 
@@ -88,7 +101,11 @@
     ///
     /// # Errors
     /// The journal has no room, or its store refused the records: then nothing is taken over.
-    pub fn adopt(&mut self, entries: Vec<Entry>, now: Micros) -> Result<Vec<Do<C>>, JournalError> {
+    pub fn adopt(
+        &mut self,
+        entries: Vec<JournalEntry>,
+        now: Micros,
+    ) -> Result<Vec<DriverAction<C>>, JournalError> {
         let steps = self.router.adopt(entries, now)?;
         Ok(self.carry_out(steps, now))
     }
@@ -99,10 +116,10 @@
     /// The journal has no room, or its store refused the records: then nothing is taken over.
     pub fn adopt_with(
         &mut self,
-        entries: Vec<Entry>,
+        entries: Vec<JournalEntry>,
         lines: &Settlements,
         now: Micros,
-    ) -> Result<Vec<Do<C>>, JournalError> {
+    ) -> Result<Vec<DriverAction<C>>, JournalError> {
         let steps = self.router.adopt_with(entries, lines, now)?;
         Ok(self.carry_out(steps, now))
     }
@@ -113,11 +130,11 @@
     /// The journal has no room, or its store refused the records: then nothing has changed.
     pub fn end_unsent(
         &mut self,
-        invocation: Invocation,
+        submission: Submission,
         ending: Ending,
         now: Micros,
-    ) -> Result<Vec<Do<C>>, JournalError> {
-        let steps = self.router.end_unsent(invocation, ending, now)?;
+    ) -> Result<Vec<DriverAction<C>>, JournalError> {
+        let steps = self.router.end_unsent(submission, ending, now)?;
         Ok(self.carry_out(steps, now))
     }
 
@@ -125,38 +142,49 @@
     ///
     /// # Errors
     /// The store refused the record: they go on to wait.
-    pub fn settle(&mut self, source: &Source, kept: bool, now: Micros) -> Result<Vec<Do<C>>, JournalError> {
-        let steps = self.router.settle_from(source, kept, now)?;
+    pub fn settle_source(
+        &mut self,
+        source: &Source,
+        accepted: bool,
+        now: Micros,
+    ) -> Result<Vec<DriverAction<C>>, JournalError> {
+        let steps = self.router.settle_from(source, accepted, now)?;
         Ok(self.carry_out(steps, now))
     }
 
     /// Time has passed; wanted at the router's `wake_at` at the latest.
-    pub fn tick(&mut self, now: Micros) -> Vec<Do<C>> {
+    pub fn tick(&mut self, now: Micros) -> Vec<DriverAction<C>> {
         let steps = self.router.tick(now);
         self.carry_out(steps, now)
     }
 
     /// Takes nothing on any more; the process ends at `at`.
-    pub fn stop(&mut self, now: Micros, at: Micros) -> Vec<Do<C>> {
+    pub fn stop(&mut self, now: Micros, at: Micros) -> Vec<DriverAction<C>> {
         let steps = self.router.stop(now, at);
         self.carry_out(steps, now)
     }
 
     /// The platform has confirmed these notices.
-    pub fn told(&mut self, notices: &[Notice], now: Micros) -> Vec<Do<C>> {
-        let steps = self.router.told(notices, now);
+    pub fn notices_confirmed(&mut self, notices: &[Notice], now: Micros) -> Vec<DriverAction<C>> {
+        let steps = self.router.notices_confirmed(notices, now);
         self.carry_out(steps, now)
     }
 
     /// An attempt is over.
-    pub fn call_ended(&mut self, call: CallId, end: CallEnd, now: Micros) -> Vec<Do<C>> {
+    pub fn call_ended(&mut self, call: CallId, end: CallEnd, now: Micros) -> Vec<DriverAction<C>> {
         let steps = self.router.call_ended(call, end, now);
         self.carry_out(steps, now)
     }
 
     /// The same, with what its answer says besides.
-    pub fn call_ended_saying(&mut self, call: CallId, end: CallEnd, said: &Said, now: Micros) -> Vec<Do<C>> {
-        let steps = self.router.call_ended_saying(call, end, said, now);
+    pub fn call_ended_with_report(
+        &mut self,
+        call: CallId,
+        end: CallEnd,
+        report: &AnswerReport,
+        now: Micros,
+    ) -> Vec<DriverAction<C>> {
+        let steps = self.router.call_ended_with_report(call, end, report, now);
         self.carry_out(steps, now)
     }
 
@@ -165,21 +193,26 @@
         &mut self,
         call: CallId,
         ends: &[CallEnd],
-        said: &Said,
+        report: &AnswerReport,
         now: Micros,
-    ) -> Vec<Do<C>> {
-        let steps = self.router.call_ended_each(call, ends, said, now);
+    ) -> Vec<DriverAction<C>> {
+        let steps = self.router.call_ended_each(call, ends, report, now);
         self.carry_out(steps, now)
     }
 
     /// All that is decided from; `settings`: their mark.
-    pub fn state(&self, settings: u32) -> State {
-        State { router: self.router.state(settings), holds: self.pool.holds() }
+    pub fn state(&self, settings: u32) -> HubState {
+        HubState { router: self.router.state(settings), backoffs: self.pool.backoffs() }
     }
 
     /// Goes on from another process's state: what of it is not the router's, and its first steps.
-    pub fn resume(&mut self, holds: &[(u32, Micros)], steps: Vec<Step>, now: Micros) -> Vec<Do<C>> {
-        holds.iter().for_each(|(provider, until)| self.pool.hold(*provider, *until));
+    pub fn resume(
+        &mut self,
+        backoffs: &[(u32, Micros)],
+        steps: Vec<RouterAction>,
+        now: Micros,
+    ) -> Vec<DriverAction<C>> {
+        backoffs.iter().for_each(|(endpoint, until)| self.pool.back_off(*endpoint, *until));
         self.carry_out(steps, now)
     }
 
@@ -189,47 +222,47 @@
     }
 
     /// What the router's steps come to.
-    pub fn carry_out(&mut self, steps: Vec<Step>, now: Micros) -> Vec<Do<C>> {
+    pub fn carry_out(&mut self, steps: Vec<RouterAction>, now: Micros) -> Vec<DriverAction<C>> {
         let mut todo = Vec::with_capacity(steps.len());
         let mut steps = VecDeque::from(steps);
         while let Some(step) = steps.pop_front() {
             match step {
-                Step::Call(call) => todo.push(Do::Begin(call)),
-                Step::NotWritten(_) if breaks::on(Break::HeldBackLost) => {}
-                Step::NotWritten(call) => {
+                RouterAction::Call(call) => todo.push(DriverAction::Begin(call)),
+                RouterAction::NotWritten(_) if breaks::on(Break::HeldBackLost) => {}
+                RouterAction::NotWritten(call) => {
                     steps.extend(self.router.call_ended(call, CallEnd::HeldBack, now));
                 }
-                Step::GiveUp(call) => todo.push(Do::Tell(call, Input::GiveUp)),
-                Step::Ended(call) => todo.push(Do::Tell(call, Input::Ended)),
-                Step::Forget(provider) => close(&mut todo, self.pool.forget(provider)),
-                Step::CloseIdle(provider) => close(&mut todo, self.pool.close_idle(provider)),
-                Step::Gate { provider, open } => {
+                RouterAction::GiveUp(call) => todo.push(DriverAction::Signal(call, AttemptInput::GiveUp)),
+                RouterAction::Ended(call) => todo.push(DriverAction::Signal(call, AttemptInput::Ended)),
+                RouterAction::Forget(endpoint) => close(&mut todo, self.pool.forget(endpoint)),
+                RouterAction::CloseIdle(endpoint) => close(&mut todo, self.pool.close_idle(endpoint)),
+                RouterAction::Gate { endpoint, open } => {
                     let open = open || breaks::on(Break::IgnoreDrain);
-                    close(&mut todo, self.pool.gate(provider, open));
+                    close(&mut todo, self.pool.set_gate(endpoint, open));
                     if !open {
-                        self.tell_all(provider, Input::Shut, &mut todo);
+                        self.signal_calls_at(endpoint, AttemptInput::Shut, &mut todo);
                     }
                 }
-                Step::Hold { .. } if breaks::on(Break::IgnoreWait) => {}
-                Step::Hold { provider, until } => {
-                    self.pool.hold(provider, until);
-                    self.tell_all(provider, Input::Hold, &mut todo);
+                RouterAction::BackOff { .. } if breaks::on(Break::IgnoreWait) => {}
+                RouterAction::BackOff { endpoint, until } => {
+                    self.pool.back_off(endpoint, until);
+                    self.signal_calls_at(endpoint, AttemptInput::BackOff, &mut todo);
                 }
-                Step::Notify => todo.push(Do::Notify),
-                Step::Answer { msg, end } => todo.push(Do::Answer(msg, end)),
-                Step::Note(note) => todo.push(Do::Note(note)),
+                RouterAction::Notify => todo.push(DriverAction::Notify),
+                RouterAction::Answer { msg, end } => todo.push(DriverAction::Answer(msg, end)),
+                RouterAction::Note(note) => todo.push(DriverAction::Note(note)),
             }
         }
         todo
     }
 
-    fn tell_all(&self, provider: u32, input: Input, todo: &mut Vec<Do<C>>) {
-        todo.extend(self.router.calls_at(provider).map(|call| Do::Tell(call, input)));
+    fn signal_calls_at(&self, endpoint: u32, input: AttemptInput, todo: &mut Vec<DriverAction<C>>) {
+        todo.extend(self.router.calls_at(endpoint).map(|call| DriverAction::Signal(call, input)));
     }
 }
 
-fn close<C>(todo: &mut Vec<Do<C>>, gone: Vec<C>) {
+fn close<C>(todo: &mut Vec<DriverAction<C>>, gone: Vec<C>) {
     if !gone.is_empty() {
-        todo.push(Do::Close(gone));
+        todo.push(DriverAction::Close(gone));
     }
 }
--- a/core/src/journal.rs
+++ b/core/src/journal.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 use crate::Ending;
-use crate::holds::Holds;
+use crate::disabled::DisabledEndpoints;
 use crate::note::Note;
 use crate::store::Store;
 
@@ -18,7 +18,7 @@
 const FRAME: u64 = 8;
 /// Files count in whole blocks of this size.
 const BLOCK: u64 = 512;
-/// Room that each owed invocation may still need for its attempts, outcomes and end.
+/// Room that each owed submission may still need for its attempts, outcomes and end.
 const RESERVE: u64 = 512;
 
 #[derive(Clone, Debug, thiserror::Error)]
@@ -33,12 +33,12 @@
 
 /// All times are Unix time in microseconds, so that they hold across a restart.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Record {
-    TakeOn {
+pub enum JournalRecord {
+    Accept {
         msg: MsgId,
-        taken: TakenOn,
+        taken: AcceptedMessage,
     },
-    /// An earlier version's word for [`Record::Sent`]: its zone's number tells nothing under other settings.
+    /// An earlier version's word for [`JournalRecord::Sent`]: its zone's number tells nothing under other settings.
     Attempt {
         msg: MsgId,
         zone: u32,
@@ -55,11 +55,11 @@
         end: End,
     },
     /// The platform has confirmed the notice.
-    Told {
+    Confirmed {
         msg: MsgId,
     },
-    /// An invocation that is over, remembered until its time is up.
-    Over {
+    /// A submission that is over, remembered until its time is up.
+    Ended {
         id: String,
         end: End,
         until: Micros,
@@ -67,14 +67,14 @@
     /// Taken on as a stream: its body is never written here, and no other life can send it.
     Stream {
         msg: MsgId,
-        taken: TakenOn,
+        taken: AcceptedMessage,
     },
     /// Operators have taken this endpoint out.
-    Hold {
+    Disable {
         id: String,
     },
     /// They have put it back.
-    Release {
+    Enable {
         id: String,
     },
     /// A copy of another courier's journal ends here: its owner writes no more of it.
@@ -84,10 +84,10 @@
         msg: MsgId,
         source: Source,
     },
-    /// The fleet has said so: what came from there is this courier's (`kept`), or not.
+    /// The fleet has said so: what came from there is this courier's (`accepted`), or not.
     Settled {
         source: Source,
-        kept: bool,
+        accepted: bool,
     },
     /// A line about a settlement that this courier is home to, in the words of whoever keeps settlements.
     Settlement {
@@ -95,21 +95,21 @@
         line: SettlementLine,
     },
     /// Nothing that was written about it matters any more.
-    SettlementOver {
+    SettlementEnded {
         of: String,
     },
     /// Written before the call's first byte leaves.
     Sent {
         msg: MsgId,
         sent: Micros,
-        under: Under,
+        effect: RepeatEffect,
     },
 }
 
 /// What a repeat of an attempt may do, by the settings that it was sent under: another life may have others. Zones go
 /// by their names, since numbers come from the settings too.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Under {
+pub enum RepeatEffect {
     Safe,
     /// Repeats are dropped for so long; by this zone's endpoints alone, if one is named.
     Keyed {
@@ -136,9 +136,9 @@
 
 impl Settlements {
     /// Takes over what a record changes; true if it is about settlements alone.
-    pub fn apply(&mut self, record: &Record) -> bool {
+    pub fn apply(&mut self, record: &JournalRecord) -> bool {
         match record {
-            Record::Settlement { of, line } => {
+            JournalRecord::Settlement { of, line } => {
                 let lines = self.0.entry(of.clone()).or_default();
                 if line.first && line.source.is_none() {
                     lines.retain(|line| line.source.is_some());
@@ -146,13 +146,13 @@
                 lines.push(line.clone());
                 true
             }
-            Record::SettlementOver { of } => {
+            JournalRecord::SettlementEnded { of } => {
                 self.0.remove(of);
                 true
             }
-            Record::Settled { source, kept } => {
+            JournalRecord::Settled { source, accepted } => {
                 for lines in self.0.values_mut() {
-                    if *kept {
+                    if *accepted {
                         let from = lines.iter_mut().filter(|line| line.source.as_ref() == Some(source));
                         from.for_each(|line| line.source = None);
                     } else {
@@ -171,9 +171,9 @@
         self.0.values().flatten().filter_map(|line| line.source.as_ref())
     }
 
-    fn records(self) -> impl Iterator<Item = Record> {
+    fn records(self) -> impl Iterator<Item = JournalRecord> {
         let records = |(of, lines): (String, Vec<SettlementLine>)| {
-            lines.into_iter().map(move |line| Record::Settlement { of: of.clone(), line })
+            lines.into_iter().map(move |line| JournalRecord::Settlement { of: of.clone(), line })
         };
         self.0.into_iter().flat_map(records)
     }
@@ -207,7 +207,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TakenOn {
+pub struct AcceptedMessage {
     pub id: String,
     pub class: String,
     pub key: Option<String>,
@@ -236,15 +236,15 @@
 pub struct PastCall {
     pub sent: Micros,
     /// `None`: an earlier version sent it, and did not say.
-    pub under: Option<Under>,
+    pub effect: Option<RepeatEffect>,
     /// `None`: it was out when the process ended.
     pub never_ran: Option<bool>,
 }
 
-/// One invocation as the journal tells of it.
+/// One submission as the journal tells of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
-    pub taken: TakenOn,
+pub struct JournalEntry {
+    pub taken: AcceptedMessage,
     pub calls: Vec<PastCall>,
     pub end: Option<End>,
     pub stream: bool,
@@ -252,103 +252,110 @@
     pub source: Option<Source>,
 }
 
-impl Entry {
+impl JournalEntry {
     /// The records that say the same in the fewest words.
-    fn records(self, msg: MsgId) -> impl Iterator<Item = Record> {
-        let Entry { taken, calls, end, stream, source } = self;
+    fn records(self, msg: MsgId) -> impl Iterator<Item = JournalRecord> {
+        let JournalEntry { taken, calls, end, stream, source } = self;
         let calls = calls.into_iter().enumerate().flat_map(move |(n, call)| {
-            let PastCall { sent, under, .. } = call;
-            let attempt = match under {
-                Some(under) => Record::Sent { msg, sent, under },
-                None => Record::Attempt { msg, zone: 0, sent },
+            let PastCall { sent, effect, .. } = call;
+            let attempt = match effect {
+                Some(effect) => JournalRecord::Sent { msg, sent, effect },
+                None => JournalRecord::Attempt { msg, zone: 0, sent },
             };
             let outcome =
-                call.never_ran.map(|never_ran| Record::Outcome { msg, attempt: n as u32, never_ran });
+                call.never_ran.map(|never_ran| JournalRecord::Outcome { msg, attempt: n as u32, never_ran });
             std::iter::once(attempt).chain(outcome)
         });
-        let end = end.map(|end| Record::End { msg, end });
-        let first = if stream { Record::Stream { msg, taken } } else { Record::TakeOn { msg, taken } };
-        let source = source.map(|source| Record::From { msg, source });
+        let end = end.map(|end| JournalRecord::End { msg, end });
+        let first =
+            if stream { JournalRecord::Stream { msg, taken } } else { JournalRecord::Accept { msg, taken } };
+        let source = source.map(|source| JournalRecord::From { msg, source });
         std::iter::once(first).chain(source).chain(calls).chain(end)
     }
 }
 
 /// What the journal holds: what is owed, and what is over but remembered.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Book {
-    pub owed: BTreeMap<MsgId, Entry>,
-    pub over: Vec<(String, End, Micros)>,
+pub struct JournalContents {
+    pub owed: BTreeMap<MsgId, JournalEntry>,
+    pub ended: Vec<(String, End, Micros)>,
     /// Endpoints that are out.
-    pub holds: Holds,
+    pub disabled: DisabledEndpoints,
     /// Settlements that the courier is home to.
     pub settlements: Settlements,
     /// Greater than every number ever used.
     pub next: MsgId,
 }
 
-impl Book {
+impl JournalContents {
     /// What these bytes tell, up to the first record that is not sound, and the length of that part.
-    pub fn read(bytes: &[u8]) -> (Book, usize) {
-        let mut book = Book::default();
-        let sound = decode(bytes, &mut book);
-        (book, sound)
+    pub fn read(bytes: &[u8]) -> (JournalContents, usize) {
+        let mut contents = JournalContents::default();
+        let sound = decode(bytes, &mut contents);
+        (contents, sound)
     }
 
     /// Takes in what a record tells: for whoever goes through [`Records`] and wants to know what they come to so far.
-    pub fn apply(&mut self, record: Record) {
+    pub fn apply(&mut self, record: JournalRecord) {
         if self.settlements.apply(&record) {
             return;
         }
         match record {
-            Record::TakeOn { msg, taken } => {
+            JournalRecord::Accept { msg, taken } => {
                 self.next = self.next.max(msg + 1);
-                self.owed
-                    .insert(msg, Entry { taken, calls: Vec::new(), end: None, stream: false, source: None });
+                self.owed.insert(
+                    msg,
+                    JournalEntry { taken, calls: Vec::new(), end: None, stream: false, source: None },
+                );
             }
-            Record::Stream { msg, taken } => {
+            JournalRecord::Stream { msg, taken } => {
                 self.next = self.next.max(msg + 1);
-                self.owed
-                    .insert(msg, Entry { taken, calls: Vec::new(), end: None, stream: true, source: None });
+                self.owed.insert(
+                    msg,
+                    JournalEntry { taken, calls: Vec::new(), end: None, stream: true, source: None },
+                );
             }
-            Record::Attempt { msg, zone: _, sent } => {
+            JournalRecord::Attempt { msg, zone: _, sent } => {
                 if let Some(entry) = self.owed.get_mut(&msg) {
-                    entry.calls.push(PastCall { sent, under: None, never_ran: None });
+                    entry.calls.push(PastCall { sent, effect: None, never_ran: None });
                 }
             }
-            Record::Sent { msg, sent, under } => {
+            JournalRecord::Sent { msg, sent, effect } => {
                 if let Some(entry) = self.owed.get_mut(&msg) {
-                    entry.calls.push(PastCall { sent, under: Some(under), never_ran: None });
+                    entry.calls.push(PastCall { sent, effect: Some(effect), never_ran: None });
                 }
             }
-            Record::Outcome { msg, attempt, never_ran } => {
+            JournalRecord::Outcome { msg, attempt, never_ran } => {
                 let calls = self.owed.get_mut(&msg).map(|entry| &mut entry.calls);
                 if let Some(call) = calls.and_then(|calls| calls.get_mut(attempt as usize)) {
                     call.never_ran = Some(never_ran);
                 }
             }
-            Record::End { msg, end: End::Delivered } => self.settle(msg, End::Delivered),
-            Record::End { msg, end } => {
+            JournalRecord::End { msg, end: End::Delivered } => self.settle(msg, End::Delivered),
+            JournalRecord::End { msg, end } => {
                 if let Some(entry) = self.owed.get_mut(&msg) {
                     entry.end = Some(end);
                 }
             }
-            Record::Told { msg } => {
+            JournalRecord::Confirmed { msg } => {
                 if let Some(end) = self.owed.get(&msg).and_then(|entry| entry.end) {
                     self.settle(msg, end);
                 }
             }
-            Record::Over { id, end, until } => self.over.push((id, end, until)),
-            Record::Hold { id } => self.holds.insert(&id),
-            Record::Release { id } => self.holds.remove(&id),
-            Record::Sealed | Record::Settlement { .. } | Record::SettlementOver { .. } => {}
-            Record::From { msg, source } => {
+            JournalRecord::Ended { id, end, until } => self.ended.push((id, end, until)),
+            JournalRecord::Disable { id } => self.disabled.insert(&id),
+            JournalRecord::Enable { id } => self.disabled.remove(&id),
+            JournalRecord::Sealed
+            | JournalRecord::Settlement { .. }
+            | JournalRecord::SettlementEnded { .. } => {}
+            JournalRecord::From { msg, source } => {
                 if let Some(entry) = self.owed.get_mut(&msg) {
                     entry.source = Some(source);
                 }
             }
-            Record::Settled { source, kept } => {
-                let from = |entry: &Entry| entry.source.as_ref() == Some(&source);
-                if kept {
+            JournalRecord::Settled { source, accepted } => {
+                let from = |entry: &JournalEntry| entry.source.as_ref() == Some(&source);
+                if accepted {
                     self.owed.values_mut().filter(|entry| from(entry)).for_each(|entry| entry.source = None);
                 } else {
                     self.owed.retain(|_, entry| !from(entry));
@@ -359,17 +366,18 @@
 
     fn settle(&mut self, msg: MsgId, end: End) {
         if let Some(entry) = self.owed.remove(&msg) {
-            self.over.push((entry.taken.id, end, entry.taken.deadline));
+            self.ended.push((entry.taken.id, end, entry.taken.deadline));
         }
     }
 
     /// The records that say the same in the fewest words.
-    fn records(self, now: Micros) -> impl Iterator<Item = Record> {
-        let over = self.over.into_iter().filter(move |(.., until)| *until > now);
-        let over = over.map(|(id, end, until)| Record::Over { id, end, until });
+    fn records(self, now: Micros) -> impl Iterator<Item = JournalRecord> {
+        let ended = self.ended.into_iter().filter(move |(.., until)| *until > now);
+        let ended = ended.map(|(id, end, until)| JournalRecord::Ended { id, end, until });
         let owed = self.owed.into_iter().flat_map(|(msg, entry)| entry.records(msg));
-        let holds: Vec<_> = self.holds.iter().map(|id| Record::Hold { id: id.into() }).collect();
-        holds.into_iter().chain(over).chain(self.settlements.records()).chain(owed)
+        let disabled: Vec<_> =
+            self.disabled.iter().map(|id| JournalRecord::Disable { id: id.into() }).collect();
+        disabled.into_iter().chain(ended).chain(self.settlements.records()).chain(owed)
     }
 }
 
@@ -377,7 +385,7 @@
 ///
 /// # Errors
 /// It can't be encoded.
-pub fn frame(record: &Record) -> Result<Vec<u8>, JournalError> {
+pub fn frame(record: &JournalRecord) -> Result<Vec<u8>, JournalError> {
     let payload = postcard::to_allocvec(record)?;
     let mut frame = Vec::with_capacity(payload.len() + FRAME as usize);
     frame.extend_from_slice(&(payload.len() as u32).to_le_bytes());
@@ -387,7 +395,7 @@
 }
 
 /// Several, one behind the other.
-fn frames(records: &[Record]) -> Result<Vec<u8>, JournalError> {
+fn frames(records: &[JournalRecord]) -> Result<Vec<u8>, JournalError> {
     let mut frames = Vec::new();
     for record in records {
         frames.extend(frame(record)?);
@@ -409,7 +417,7 @@
 }
 
 impl Iterator for Records<'_> {
-    type Item = (usize, Record);
+    type Item = (usize, JournalRecord);
 
     fn next(&mut self) -> Option<Self::Item> {
         let at = self.at;
@@ -424,9 +432,9 @@
 }
 
 /// Reads records up to the first that is torn; returns the length of the sound part.
-fn decode(bytes: &[u8], book: &mut Book) -> usize {
+fn decode(bytes: &[u8], contents: &mut JournalContents) -> usize {
     let mut records = Records::of(bytes);
-    records.by_ref().for_each(|(_, record)| book.apply(record));
+    records.by_ref().for_each(|(_, record)| contents.apply(record));
     records.at
 }
 
@@ -435,13 +443,13 @@
     store: S,
     /// Bytes that all files together may take.
     budget: u64,
-    /// What the owed invocations would take after compaction, at most.
+    /// What the owed submissions would take after compaction, at most.
     live: BTreeMap<MsgId, u64>,
     live_sum: u64,
     /// Bytes of records that tell of what is over.
-    over: u64,
+    ended: u64,
     /// Bytes of records that tell of endpoints that are out.
-    holds: u64,
+    disabled: u64,
     /// Bytes of records that tell of settlements, with those that came since the last copy and matter no more.
     settlements: u64,
 }
@@ -460,25 +468,33 @@
         budget: u64,
         now: Micros,
         notes: &mut Vec<Note>,
-    ) -> Result<(Self, Book), JournalError> {
-        let mut journal =
-            Journal { store, budget, live: BTreeMap::new(), live_sum: 0, over: 0, holds: 0, settlements: 0 };
+    ) -> Result<(Self, JournalContents), JournalError> {
+        let mut journal = Journal {
+            store,
+            budget,
+            live: BTreeMap::new(),
+            live_sum: 0,
+            ended: 0,
+            disabled: 0,
+            settlements: 0,
+        };
         let bytes = journal.store.read().map_err(io("read"))?;
-        let mut book = Book::default();
-        let sound = decode(&bytes, &mut book);
+        let mut contents = JournalContents::default();
+        let sound = decode(&bytes, &mut contents);
         if sound < bytes.len() && !breaks::on(Break::TornKept) {
             notes.push(Note::Torn(bytes.len() - sound));
             // A record behind a torn one would never be read again.
             journal.compact(now, notes)?;
         }
-        book.over.retain(|(.., until)| *until > now);
-        for (msg, entry) in &book.owed {
-            journal.count(*msg, encoded_len(&Record::TakeOn { msg: *msg, taken: entry.taken.clone() })?);
+        contents.ended.retain(|(.., until)| *until > now);
+        for (msg, entry) in &contents.owed {
+            journal
+                .count(*msg, encoded_len(&JournalRecord::Accept { msg: *msg, taken: entry.taken.clone() })?);
         }
-        journal.holds = book.holds.iter().map(over_len).sum();
-        journal.settlements = book.settlements.len();
-        journal.over = book.over.iter().map(|(id, ..)| over_len(id)).sum();
-        Ok((journal, book))
+        journal.disabled = contents.disabled.iter().map(ended_len).sum();
+        journal.settlements = contents.settlements.len();
+        journal.ended = contents.ended.iter().map(|(id, ..)| ended_len(id)).sum();
+        Ok((journal, contents))
     }
 
     /// The store below, for whoever explores or inspects it.
@@ -495,22 +511,23 @@
         self.live_sum += len + RESERVE;
     }
 
-    /// Records that an invocation was taken on; fails where its share of the disk is full.
+    /// Records that a submission was taken on; fails where its share of the disk is full.
     ///
     /// # Errors
     /// Its share is full, or the store refused the record: then nothing of it is there.
-    pub fn take_on(
+    pub fn submit(
         &mut self,
         msg: MsgId,
-        taken: TakenOn,
+        taken: AcceptedMessage,
         stream: bool,
         now: Micros,
         notes: &mut Vec<Note>,
     ) -> Result<(), JournalError> {
-        let record = if stream { Record::Stream { msg, taken } } else { Record::TakeOn { msg, taken } };
+        let record =
+            if stream { JournalRecord::Stream { msg, taken } } else { JournalRecord::Accept { msg, taken } };
         let frame = frame(&record)?;
         let len = frame.len() as u64;
-        if self.is_full(len + RESERVE) {
+        if self.exceeds_budget(len + RESERVE) {
             return Err(JournalError::Full);
         }
         self.append(&frame, now, notes)?;
@@ -522,33 +539,34 @@
     ///
     /// # Errors
     /// Its share is full, or the store refused the record: then nothing of it is there.
-    pub fn hold(
+    pub fn set_disabled(
         &mut self,
         id: &str,
-        held: bool,
+        is_disabled: bool,
         now: Micros,
         notes: &mut Vec<Note>,
     ) -> Result<(), JournalError> {
-        if held && self.is_full(over_len(id)) {
+        if is_disabled && self.exceeds_budget(ended_len(id)) {
             return Err(JournalError::Full);
         }
         let id = id.to_string();
-        let len = over_len(&id);
-        let frame = frame(&if held { Record::Hold { id } } else { Record::Release { id } })?;
+        let len = ended_len(&id);
+        let frame =
+            frame(&if is_disabled { JournalRecord::Disable { id } } else { JournalRecord::Enable { id } })?;
         self.append(&frame, now, notes)?;
-        self.holds = if held { self.holds + len } else { self.holds.saturating_sub(len) };
+        self.disabled = if is_disabled { self.disabled + len } else { self.disabled.saturating_sub(len) };
         Ok(())
     }
 
     /// No room for so many more bytes that are to stay: the old file and its compacted copy stand side by side for a
     /// moment.
-    fn is_full(&self, more: u64) -> bool {
+    fn exceeds_budget(&self, more: u64) -> bool {
         2 * (self.fixed() + more) + 4 * BLOCK > self.budget
     }
 
     /// What a copy would take, at most.
     fn fixed(&self) -> u64 {
-        self.live_sum + self.over + self.holds + self.settlements
+        self.live_sum + self.ended + self.disabled + self.settlements
     }
 
     /// Records lines about a settlement, together; `may_wait`: it is refused where its share of the disk is full.
@@ -557,17 +575,17 @@
     /// Its share is full, or the store refused them: then nothing of them is there.
     pub fn settlement(
         &mut self,
-        records: &[Record],
+        records: &[JournalRecord],
         may_wait: bool,
         now: Micros,
         notes: &mut Vec<Note>,
     ) -> Result<(), JournalError> {
         let frames = frames(records)?;
         let len = frames.len() as u64;
-        if may_wait && self.is_full(len + RESERVE) {
+        if may_wait && self.exceeds_budget(len + RESERVE) {
             // What counts as room that is taken may matter no more.
             self.compact(now, notes)?;
-            if self.is_full(len + RESERVE) {
+            if self.exceeds_budget(len + RESERVE) {
                 return Err(JournalError::Full);
             }
         }
@@ -576,13 +594,13 @@
         Ok(())
     }
 
-    /// Records steps of invocations that are owed, together.
+    /// Records steps of submissions that are owed, together.
     ///
     /// # Errors
     /// The store refused them: then nothing of them is there.
-    pub fn note_all(
+    pub fn append_all(
         &mut self,
-        records: &[Record],
+        records: &[JournalRecord],
         now: Micros,
         notes: &mut Vec<Note>,
     ) -> Result<(), JournalError> {
@@ -590,15 +608,15 @@
         self.append(&frames, now, notes)
     }
 
-    /// The invocation is over and needs no room any more, save the memory of its id.
+    /// The submission is over and needs no room any more, save the memory of its id.
     pub fn settled(&mut self, msg: MsgId, id: &str) {
         self.live_sum -= self.live.remove(&msg).unwrap_or(0);
-        self.over += over_len(id);
+        self.ended += ended_len(id);
     }
 
-    /// The id of an invocation that was over is forgotten.
+    /// The id of a submission that was over is forgotten.
     pub fn forgotten(&mut self, id: &str) {
-        self.over = self.over.saturating_sub(over_len(id));
+        self.ended = self.ended.saturating_sub(ended_len(id));
     }
 
     /// Records entries of another courier's book under numbers of this one, all of them or none: a kill that left a
@@ -609,7 +627,7 @@
     /// Its share is full, or the store refused the copy: then nothing of them is there.
     pub fn adopt(
         &mut self,
-        entries: BTreeMap<MsgId, Entry>,
+        entries: BTreeMap<MsgId, JournalEntry>,
         lines: &Settlements,
         now: Micros,
         notes: &mut Vec<Note>,
@@ -623,7 +641,7 @@
             lens.push((*msg, len));
         }
         let more = lens.iter().map(|(_, len)| len + RESERVE).sum::<u64>() + lines.len();
-        if self.is_full(more) {
+        if self.exceeds_budget(more) {
             return Err(JournalError::Full);
         }
         if self.store.len() + self.fixed() + more + 4 * BLOCK > self.budget {
@@ -656,20 +674,20 @@
     /// The same, with these entries beside it.
     fn rewrite(
         &mut self,
-        more: BTreeMap<MsgId, Entry>,
+        more: BTreeMap<MsgId, JournalEntry>,
         lines: &Settlements,
         now: Micros,
         notes: &mut Vec<Note>,
     ) -> Result<(), JournalError> {
-        let mut book = Book::default();
-        decode(&self.store.read().map_err(io("read for a copy"))?, &mut book);
-        book.owed.extend(more);
+        let mut contents = JournalContents::default();
+        decode(&self.store.read().map_err(io("read for a copy"))?, &mut contents);
+        contents.owed.extend(more);
         for (of, more) in &lines.0 {
-            book.settlements.0.entry(of.clone()).or_default().extend(more.iter().cloned());
+            contents.settlements.0.entry(of.clone()).or_default().extend(more.iter().cloned());
         }
-        let settlements = book.settlements.len();
+        let settlements = contents.settlements.len();
         let mut bytes = Vec::new();
-        for record in book.records(now) {
+        for record in contents.records(now) {
             bytes.extend(frame(&record)?);
         }
         let from = self.store.len();
@@ -680,11 +698,11 @@
     }
 }
 
-fn encoded_len(record: &Record) -> Result<u64, JournalError> {
+fn encoded_len(record: &JournalRecord) -> Result<u64, JournalError> {
     Ok(frame(record)?.len() as u64)
 }
 
 /// At most what the record of an id that is over takes.
-fn over_len(id: &str) -> u64 {
+fn ended_len(id: &str) -> u64 {
     id.len() as u64 + 48
 }
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -1,16 +1,16 @@
 //! What the courier owes and how it gets there, without a word of HTTP: another front can hand the
 //! same values in and pass through the same decisions and rules.
 
+pub mod admission;
 pub mod call;
 pub mod counters;
-pub mod crowd;
+pub mod disabled;
+pub mod ended;
 pub mod flow;
-pub mod holds;
 pub mod hub;
 pub mod journal;
 pub mod machine;
 pub mod note;
-pub mod over;
 pub mod pool;
 pub mod router;
 pub mod store;
@@ -22,9 +22,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// One message as a consumer handed it in.
+/// One message as a client handed it in.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Invocation {
+pub struct Submission {
     pub id: String,
     pub class: String,
     pub key: Option<String>,
@@ -36,7 +36,7 @@
     pub body: Bytes,
 }
 
-/// What the head of a streamed invocation says of its body, and providers are told.
+/// What the head of a streamed submission says of its body, and endpoints are told.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamHead {
     /// `None`: in chunks.
@@ -45,60 +45,60 @@
     pub digest: Option<String>,
 }
 
-/// Names one invoker call: the message and the call's number, from 0.
+/// Names one delivery call: the message and the call's number, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallId {
     pub msg: MsgId,
     pub attempt: u32,
 }
 
-/// One invoker call to make.
+/// One delivery call to make.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct InvokerCall {
+pub struct DeliveryCall {
     pub call: CallId,
-    pub provider: u32,
+    pub endpoint: u32,
     pub dest: u64,
     pub addr: SocketAddr,
-    pub invocation: Arc<Parcel>,
+    pub payload: Arc<MessagePayload>,
     /// It is waited for as long as any of its messages is.
     pub timeout: Micros,
     /// No byte of it may leave from then on.
     pub by: Micros,
-    /// Its body is passed on as it comes, and is not in the invocation.
+    /// Its body is passed on as it comes, and is not in the submission.
     pub stream: bool,
     /// Further messages that travel with it; without any it is a plain call.
-    pub more: Vec<Rider>,
-    /// The time that the provider is told: that of the message with the least.
-    pub told: Micros,
+    pub bundled: Vec<BundledMessage>,
+    /// The time that the endpoint is told: that of the message with the least.
+    pub time_left: Micros,
 }
 
 /// A further message of a call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Rider {
+pub struct BundledMessage {
     pub call: CallId,
-    pub invocation: Arc<Parcel>,
+    pub payload: Arc<MessagePayload>,
 }
 
-impl InvokerCall {
+impl DeliveryCall {
     /// Its messages, in the order in which they are sent.
-    pub fn parcels(&self) -> impl Iterator<Item = &Parcel> {
-        std::iter::once(&*self.invocation).chain(self.more.iter().map(|rider| &*rider.invocation))
+    pub fn payloads(&self) -> impl Iterator<Item = &MessagePayload> {
+        std::iter::once(&*self.payload).chain(self.bundled.iter().map(|message| &*message.payload))
     }
 }
 
-/// The parts of an invocation that a provider gets to see, unchanged.
+/// The parts of a submission that an endpoint gets to see, unchanged.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Parcel {
+pub struct MessagePayload {
     pub id: String,
     pub key: Option<String>,
-    /// Whose connections it may use, where partners' budgets are shared; providers are not told, and another process
+    /// Whose connections it may use, where partners' budgets are shared; endpoints are not told, and another process
     /// is not: in a fleet no process hands its calls over.
     #[serde(skip)]
     pub tenant: Option<Box<str>>,
     pub body: Bytes,
 }
 
-/// How an invoker call ended.
+/// How a delivery call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum CallEnd {
     Delivered,
@@ -114,7 +114,7 @@
     /// The message has had all its attempts; its end is still owed.
     Exhausted,
     /// Nothing more is owed for the message.
-    Over,
+    Gone,
     /// Held back by the courier itself before its first byte.
     HeldBack,
     CouldNotConnect,
@@ -125,18 +125,18 @@
 
 /// What an answer says beside how each message fared.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Said {
+pub struct AnswerReport {
     /// A wait that binds beside those of the messages' ends; 0: none.
     pub wait: Micros,
     /// The destination's report of its load, by the names of the values; the settings tell what they mean.
     pub load: Vec<(String, f64)>,
 }
 
-/// How an invocation that was not delivered ended.
+/// How a submission that was not delivered ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Ending {
     Undeliverable,
-    /// The consumer may come again, after so long (0: no advice).
+    /// The client may come again, after so long (0: no advice).
     Deferred(Micros),
 }
 
@@ -148,11 +148,11 @@
     pub ending: Ending,
 }
 
-/// One line of the list of providers.
+/// One line of the list of endpoints.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Provider {
+pub struct EndpointListing {
     pub id: String,
-    /// Absent only where the provider is gone.
+    /// Absent only where the endpoint is gone.
     pub addr: Option<SocketAddr>,
     pub dest: u64,
     pub kind: String,
@@ -161,10 +161,10 @@
     pub state: ListState,
 }
 
-/// A list of providers, whole or what changed.
+/// A list of endpoints, whole or what changed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ProviderList {
+pub struct EndpointList {
     pub version: u64,
     pub full: bool,
-    pub providers: Vec<Provider>,
+    pub endpoints: Vec<EndpointListing>,
 }
--- a/core/src/machine/attempt.rs
+++ b/core/src/machine/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: an invoker call from its start to its end.
+//! One attempt: a delivery call from its start to its end.
 
 use super::Machine;
 use crate::CallEnd;
@@ -6,12 +6,12 @@
 use spurshore::Micros;
 use spurshore::breaks::{self, Break};
 
-/// An answer that has begun comes whole within this; providers write it in one go.
-pub const REST: Micros = 100_000;
-/// Between the word to give up a call and its report. The provider's side frees the slot when it sees that
+/// An answer that has begun comes whole within this; endpoints write it in one go.
+pub const ANSWER_COMPLETION: Micros = 100_000;
+/// Between the word to give up a call and its report. The endpoint's side frees the slot when it sees that
 /// the sending has ended, and a send that overtakes it is turned away for want of a slot; and what the
-/// provider said before it saw that, a wait above all, can still be read.
-pub const CLOSING: Micros = 5_000;
+/// endpoint said before it saw that, a wait above all, can still be read.
+pub const CLOSING_TIME: Micros = 5_000;
 
 /// What the bytes of an answer say so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,19 +28,19 @@
 pub type Decode = fn(&[u8], bool) -> Answer;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum State {
+pub enum AttemptState {
     New,
     Connecting,
     Writing { written: usize },
     Awaiting,
     Reading { by: Micros },
     Closing { end: CallEnd, until: Micros },
-    Over,
+    Finished,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Input {
-    /// `open`: calls to the provider may start now; `resting`: a connection rests there.
+pub enum AttemptInput {
+    /// `open`: calls to the endpoint may start now; `resting`: a connection rests there.
     Start {
         open: bool,
         resting: bool,
@@ -59,7 +59,7 @@
     WriteFailed,
     /// Bytes were added to the answer.
     Read,
-    /// The provider has ended its side.
+    /// The endpoint has ended its side.
     End,
     Reset,
     /// The time of the call is up.
@@ -67,19 +67,19 @@
     GiveUp,
     /// The message has its end, and what has not left of the call is to stay.
     Ended,
-    /// The provider drains or is gone.
+    /// The endpoint drains or is gone.
     Shut,
     /// Its destination has told another call to wait.
-    Hold,
+    BackOff,
     Tick,
 }
 
 /// What is to be done with the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Link {
+pub enum ConnectionAction {
     Nothing,
     Open,
-    /// End the sending side: the provider sees that the call is given up, and what it has said can be read.
+    /// End the sending side: the endpoint sees that the call is given up, and what it has said can be read.
     Finish,
     Close,
     Keep,
@@ -87,18 +87,18 @@
 
 /// What is to be done now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Output {
-    pub link: Link,
+pub struct AttemptOutput {
+    pub action: ConnectionAction,
     /// The attempt is over.
     pub end: Option<CallEnd>,
 }
 
-const NOTHING: Output = Output { link: Link::Nothing, end: None };
+const NOTHING: AttemptOutput = AttemptOutput { action: ConnectionAction::Nothing, end: None };
 
 /// The machine. Its driver connects, writes and reads as the state says, and tells what came of it.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    state: State,
+    state: AttemptState,
     answer: Vec<u8>,
     /// More of an answer than this is never read.
     most: usize,
@@ -112,28 +112,32 @@
 
 /// An attempt as another process goes on with it: all but its reader of answers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Part {
-    state: State,
+pub struct AttemptSnapshot {
+    state: AttemptState,
     answer: Vec<u8>,
     by: Micros,
 }
 
 impl Attempt {
     /// As it stands, for another process. One whose first byte has not left begins anew there.
-    pub fn part(self) -> Part {
-        let unsent = matches!(self.state, State::New | State::Connecting);
-        Part { state: if unsent { State::New } else { self.state }, answer: self.answer, by: self.by }
+    pub fn snapshot(self) -> AttemptSnapshot {
+        let unsent = matches!(self.state, AttemptState::New | AttemptState::Connecting);
+        AttemptSnapshot {
+            state: if unsent { AttemptState::New } else { self.state },
+            answer: self.answer,
+            by: self.by,
+        }
     }
 
     /// Goes on with another process's attempt.
-    pub fn resumed(part: Part, decode: Decode, most: usize) -> Self {
-        let Part { state, answer, by } = part;
+    pub fn resumed(snapshot: AttemptSnapshot, decode: Decode, most: usize) -> Self {
+        let AttemptSnapshot { state, answer, by } = snapshot;
         Attempt { state, answer, ..Attempt::new(decode, most, by) }
     }
 
     /// Reads `most` bytes of an answer at most, and writes nothing from the time `by` on.
     pub fn new(decode: Decode, most: usize, by: Micros) -> Self {
-        Attempt { state: State::New, answer: Vec::new(), most, by, decode, streamed: false }
+        Attempt { state: AttemptState::New, answer: Vec::new(), most, by, decode, streamed: false }
     }
 
     /// The same for a streamed body, of which [`State::Writing`] counts the bytes; its head is not counted.
@@ -141,12 +145,12 @@
         Attempt { streamed: true, ..Attempt::new(decode, most, by) }
     }
 
-    /// The provider has asked for the body, with an interim answer.
+    /// The endpoint has asked for the body, with an interim answer.
     pub fn is_asked(&self) -> bool {
         !self.answer.is_empty() && (self.decode)(&self.answer, false) == Answer::Awaited
     }
 
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> AttemptState {
         self.state
     }
 
@@ -162,158 +166,199 @@
     /// When a [`Input::Tick`] is wanted.
     pub fn wake_at(&self) -> Option<Micros> {
         match self.state {
-            State::Reading { by } => Some(by),
-            State::Closing { until, .. } => Some(until),
-            State::Connecting | State::Writing { .. } if self.by < Micros::MAX => Some(self.by),
+            AttemptState::Reading { by } => Some(by),
+            AttemptState::Closing { until, .. } => Some(until),
+            AttemptState::Connecting | AttemptState::Writing { .. } if self.by < Micros::MAX => Some(self.by),
             _ => None,
         }
     }
 
     /// Nothing of the call has left yet, or not all of it: it has not run.
     pub fn is_unsent(&self) -> bool {
-        matches!(self.state, State::New | State::Connecting | State::Writing { .. }) && !self.is_half()
+        matches!(self.state, AttemptState::New | AttemptState::Connecting | AttemptState::Writing { .. })
+            && !self.is_half()
     }
 
     /// A part of a streamed body has left, and not all of it: it may have run.
     pub fn is_half(&self) -> bool {
         self.streamed
-            && matches!(self.state, State::Writing { written: 1.. })
+            && matches!(self.state, AttemptState::Writing { written: 1.. })
             && !breaks::on(Break::HalfSentNeverRan)
     }
 
-    pub fn step(&mut self, input: Input, now: Micros) -> Output {
-        use State::*;
+    pub fn step(&mut self, input: AttemptInput, now: Micros) -> AttemptOutput {
+        use AttemptState::*;
         match (self.state, input) {
-            (Over, _) => NOTHING,
-            (Closing { end, until }, Input::Tick) if now >= until => self.given_up(end),
-            (Closing { end, .. }, Input::End | Input::Reset) => self.given_up(end),
-            (Closing { .. }, Input::Read) if breaks::on(Break::AnswerUnread) => NOTHING,
+            (Finished, _) => NOTHING,
+            (Closing { end, until }, AttemptInput::Tick) if now >= until => self.given_up(end),
+            (Closing { end, .. }, AttemptInput::End | AttemptInput::Reset) => self.given_up(end),
+            (Closing { .. }, AttemptInput::Read) if breaks::on(Break::AnswerUnread) => NOTHING,
             // It crossed with the word to give up: what it tells holds all the same.
-            (Closing { .. }, Input::Read) => match (self.decode)(&self.answer, self.answer.len() > self.most)
-            {
-                Answer::Whole { end, .. } => self.end(Link::Close, end),
-                Answer::Awaited | Answer::Partial => NOTHING,
-            },
+            (Closing { .. }, AttemptInput::Read) => {
+                match (self.decode)(&self.answer, self.answer.len() > self.most) {
+                    Answer::Whole { end, .. } => self.end(ConnectionAction::Close, end),
+                    Answer::Awaited | Answer::Partial => NOTHING,
+                }
+            }
             (Closing { .. }, _) => NOTHING,
-            (New, Input::Start { open: false, .. }) => self.end(Link::Nothing, CallEnd::HeldBack),
+            (New, AttemptInput::Start { open: false, .. }) => {
+                self.end(ConnectionAction::Nothing, CallEnd::HeldBack)
+            }
             // The host stood still, or its record took long to write; what rested may serve another call.
-            (New, Input::Start { .. }) if now >= self.by => self.end(Link::Keep, CallEnd::HeldBack),
-            (New, Input::Start { resting: true, .. }) => self.goes(Writing { written: 0 }, Link::Nothing),
-            (New, Input::Start { .. }) => self.goes(Connecting, Link::Open),
-            (_, Input::Ended) if breaks::on(Break::SendAfterEnd) => NOTHING,
-            (Writing { .. }, Input::Ended) if self.is_half() => self.close(CallEnd::GivenUp, now),
-            (New | Connecting | Writing { .. }, Input::Ended) => self.end(Link::Close, CallEnd::HeldBack),
-            (New, Input::GiveUp) => self.end(Link::Nothing, CallEnd::GivenUp),
+            (New, AttemptInput::Start { .. }) if now >= self.by => {
+                self.end(ConnectionAction::Keep, CallEnd::HeldBack)
+            }
+            (New, AttemptInput::Start { resting: true, .. }) => {
+                self.transition(Writing { written: 0 }, ConnectionAction::Nothing)
+            }
+            (New, AttemptInput::Start { .. }) => self.transition(Connecting, ConnectionAction::Open),
+            (_, AttemptInput::Ended) if breaks::on(Break::SendAfterEnd) => NOTHING,
+            (Writing { .. }, AttemptInput::Ended) if self.is_half() => self.close(CallEnd::GivenUp, now),
+            (New | Connecting | Writing { .. }, AttemptInput::Ended) => {
+                self.end(ConnectionAction::Close, CallEnd::HeldBack)
+            }
+            (New, AttemptInput::GiveUp) => self.end(ConnectionAction::Nothing, CallEnd::GivenUp),
             (New, _) => NOTHING,
             // What has left of a body can't be taken back, and the rest stays here.
-            (Writing { .. }, Input::Tick) if now >= self.by && self.is_half() => {
+            (Writing { .. }, AttemptInput::Tick) if now >= self.by && self.is_half() => {
                 self.close(CallEnd::GivenUp, now)
             }
-            // Later its provider may not drop a repeat any more.
-            (Connecting | Writing { .. }, Input::Connected { .. } | Input::Tick) if now >= self.by => {
-                self.end(Link::Close, CallEnd::HeldBack)
+            // Later its endpoint may not drop a repeat any more.
+            (Connecting | Writing { .. }, AttemptInput::Connected { .. } | AttemptInput::Tick)
+                if now >= self.by =>
+            {
+                self.end(ConnectionAction::Close, CallEnd::HeldBack)
             }
             // A call counts once its last byte has come, and that byte stays here now: it never ran.
-            (Connecting | Writing { .. }, Input::Deadline | Input::GiveUp) if !self.streamed => {
-                self.end(Link::Close, CallEnd::CouldNotConnect)
+            (Connecting | Writing { .. }, AttemptInput::Deadline | AttemptInput::GiveUp)
+                if !self.streamed =>
+            {
+                self.end(ConnectionAction::Close, CallEnd::CouldNotConnect)
             }
-            (_, Input::Deadline) => self.close(CallEnd::TimedOut, now),
-            (_, Input::GiveUp) => self.close(CallEnd::GivenUp, now),
+            (_, AttemptInput::Deadline) => self.close(CallEnd::TimedOut, now),
+            (_, AttemptInput::GiveUp) => self.close(CallEnd::GivenUp, now),
             // Connecting may last longer than the leave that the call had.
-            (Connecting, Input::Connected { open: false }) => self.end(Link::Close, CallEnd::HeldBack),
-            (Connecting, Input::Connected { .. }) => self.goes(Writing { written: 0 }, Link::Nothing),
-            (Connecting, Input::Refused) => self.end(Link::Nothing, CallEnd::CouldNotConnect),
-            (Writing { .. }, Input::Wrote { left: 0, .. }) => self.goes(Awaiting, Link::Nothing),
-            (Writing { written }, Input::Wrote { bytes, .. }) => {
-                self.goes(Writing { written: written + bytes }, Link::Nothing)
+            (Connecting, AttemptInput::Connected { open: false }) => {
+                self.end(ConnectionAction::Close, CallEnd::HeldBack)
+            }
+            (Connecting, AttemptInput::Connected { .. }) => {
+                self.transition(Writing { written: 0 }, ConnectionAction::Nothing)
+            }
+            (Connecting, AttemptInput::Refused) => {
+                self.end(ConnectionAction::Nothing, CallEnd::CouldNotConnect)
+            }
+            (Writing { .. }, AttemptInput::Wrote { left: 0, .. }) => {
+                self.transition(Awaiting, ConnectionAction::Nothing)
+            }
+            (Writing { written }, AttemptInput::Wrote { bytes, .. }) => {
+                self.transition(Writing { written: written + bytes }, ConnectionAction::Nothing)
             }
             // Its driver pauses: broken off, a body that may have had no effect would be one that may.
-            (Writing { .. }, Input::Hold) if self.is_half() => NOTHING,
+            (Writing { .. }, AttemptInput::BackOff) if self.is_half() => NOTHING,
             // A call counts once its last byte has come: written on now, it would come within the wait.
-            (Writing { .. }, Input::Hold) if !breaks::on(Break::WriteOnInWait) => {
-                self.end(Link::Close, CallEnd::HeldBack)
+            (Writing { .. }, AttemptInput::BackOff) if !breaks::on(Break::WriteOnInWait) => {
+                self.end(ConnectionAction::Close, CallEnd::HeldBack)
             }
             // Only a write that failed proves, from here on, that the call never ran.
-            (Writing { .. }, Input::WriteFailed) if self.streamed => self.unwritable(now),
-            (Writing { .. }, Input::Read) if self.streamed => self.early(now),
-            (Writing { .. }, Input::End | Input::Reset) if self.streamed => {
+            (Writing { .. }, AttemptInput::WriteFailed) if self.streamed => self.unwritable(now),
+            (Writing { .. }, AttemptInput::Read) if self.streamed => self.early(now),
+            (Writing { .. }, AttemptInput::End | AttemptInput::Reset) if self.streamed => {
                 let end = if self.is_half() { CallEnd::Reset } else { CallEnd::CouldNotConnect };
-                self.end(Link::Close, end)
+                self.end(ConnectionAction::Close, end)
             }
-            (Writing { .. }, Input::WriteFailed) => self.end(Link::Close, CallEnd::CouldNotConnect),
-            (Awaiting | Reading { .. }, Input::Read) => self.read(now),
-            (Awaiting | Reading { .. }, Input::End | Input::Reset) if self.answer.is_empty() => {
-                self.end(Link::Close, CallEnd::Reset)
+            (Writing { .. }, AttemptInput::WriteFailed) => {
+                self.end(ConnectionAction::Close, CallEnd::CouldNotConnect)
+            }
+            (Awaiting | Reading { .. }, AttemptInput::Read) => self.read(now),
+            (Awaiting | Reading { .. }, AttemptInput::End | AttemptInput::Reset)
+                if self.answer.is_empty() =>
+            {
+                self.end(ConnectionAction::Close, CallEnd::Reset)
             }
-            (Awaiting | Reading { .. }, Input::End | Input::Reset) => self.last_word(),
-            (Reading { by }, Input::Tick) if now >= by => self.last_word(),
+            (Awaiting | Reading { .. }, AttemptInput::End | AttemptInput::Reset) => self.final_answer(),
+            (Reading { by }, AttemptInput::Tick) if now >= by => self.final_answer(),
             _ => NOTHING,
         }
     }
 
-    fn goes(&mut self, state: State, link: Link) -> Output {
+    fn transition(&mut self, state: AttemptState, action: ConnectionAction) -> AttemptOutput {
         self.state = state;
-        Output { link, end: None }
+        AttemptOutput { action, end: None }
     }
 
-    fn end(&mut self, link: Link, end: CallEnd) -> Output {
-        self.state = State::Over;
-        Output { link, end: Some(end) }
+    fn end(&mut self, action: ConnectionAction, end: CallEnd) -> AttemptOutput {
+        self.state = AttemptState::Finished;
+        AttemptOutput { action, end: Some(end) }
     }
 
-    fn close(&mut self, end: CallEnd, now: Micros) -> Output {
-        let link =
-            if self.is_unsent() || breaks::on(Break::AnswerUnread) { Link::Close } else { Link::Finish };
-        self.goes(State::Closing { end, until: now.saturating_add(CLOSING) }, link)
+    fn close(&mut self, end: CallEnd, now: Micros) -> AttemptOutput {
+        let action = if self.is_unsent() || breaks::on(Break::AnswerUnread) {
+            ConnectionAction::Close
+        } else {
+            ConnectionAction::Finish
+        };
+        self.transition(AttemptState::Closing { end, until: now.saturating_add(CLOSING_TIME) }, action)
     }
 
-    /// A provider that has answered before the last byte may have closed: its answer may still be read.
-    fn unwritable(&mut self, now: Micros) -> Output {
+    /// An endpoint that has answered before the last byte may have closed: its answer may still be read.
+    fn unwritable(&mut self, now: Micros) -> AttemptOutput {
         let end = if self.is_half() { CallEnd::Reset } else { CallEnd::CouldNotConnect };
-        self.goes(State::Closing { end, until: now.saturating_add(CLOSING) }, Link::Nothing)
+        self.transition(
+            AttemptState::Closing { end, until: now.saturating_add(CLOSING_TIME) },
+            ConnectionAction::Nothing,
+        )
     }
 
     /// An answer before the body's last byte: the rest of the body has no reader any more.
-    fn early(&mut self, now: Micros) -> Output {
+    fn early(&mut self, now: Micros) -> AttemptOutput {
         match (self.decode)(&self.answer, self.answer.len() > self.most) {
             Answer::Awaited => NOTHING,
-            Answer::Partial => self.goes(State::Reading { by: now.saturating_add(REST) }, Link::Nothing),
-            Answer::Whole { end, .. } => self.end(Link::Close, end),
+            Answer::Partial => self.transition(
+                AttemptState::Reading { by: now.saturating_add(ANSWER_COMPLETION) },
+                ConnectionAction::Nothing,
+            ),
+            Answer::Whole { end, .. } => self.end(ConnectionAction::Close, end),
         }
     }
 
     /// Nothing came that says otherwise, unless the first line of a 200 did.
-    fn given_up(&mut self, end: CallEnd) -> Output {
+    fn given_up(&mut self, end: CallEnd) -> AttemptOutput {
         let answer = (!self.answer.is_empty()).then(|| (self.decode)(&self.answer, true));
-        let told = answer.and_then(|answer| match answer {
+        let answered = answer.and_then(|answer| match answer {
             Answer::Whole { end: end @ (CallEnd::Delivered | CallEnd::Each), .. } => Some(end),
             _ => None,
         });
-        self.end(Link::Close, told.unwrap_or(end))
+        self.end(ConnectionAction::Close, answered.unwrap_or(end))
     }
 
-    fn read(&mut self, now: Micros) -> Output {
+    fn read(&mut self, now: Micros) -> AttemptOutput {
         match (self.decode)(&self.answer, self.answer.len() > self.most) {
             // What had begun was an interim answer, and it is whole. The rest of a stream's body may be unwritten.
-            Answer::Awaited if !self.streamed => self.goes(State::Awaiting, Link::Nothing),
+            Answer::Awaited if !self.streamed => {
+                self.transition(AttemptState::Awaiting, ConnectionAction::Nothing)
+            }
             Answer::Awaited => NOTHING,
             Answer::Partial => {
                 let by = match self.state {
-                    State::Reading { by } => by,
-                    _ => now.saturating_add(REST),
+                    AttemptState::Reading { by } => by,
+                    _ => now.saturating_add(ANSWER_COMPLETION),
                 };
-                self.goes(State::Reading { by }, Link::Nothing)
+                self.transition(AttemptState::Reading { by }, ConnectionAction::Nothing)
+            }
+            Answer::Whole { end, reusable } => {
+                self.end(if reusable { ConnectionAction::Keep } else { ConnectionAction::Close }, end)
             }
-            Answer::Whole { end, reusable } => self.end(if reusable { Link::Keep } else { Link::Close }, end),
         }
     }
 
     /// No more of the answer will come.
-    fn last_word(&mut self) -> Output {
+    fn final_answer(&mut self) -> AttemptOutput {
         match (self.decode)(&self.answer, true) {
-            Answer::Whole { end, .. } if breaks::on(Break::KeepSpoilt) => self.end(Link::Keep, end),
-            Answer::Whole { end, .. } => self.end(Link::Close, end),
-            Answer::Awaited | Answer::Partial => self.end(Link::Close, CallEnd::Reset),
+            Answer::Whole { end, .. } if breaks::on(Break::KeepSpoilt) => {
+                self.end(ConnectionAction::Keep, end)
+            }
+            Answer::Whole { end, .. } => self.end(ConnectionAction::Close, end),
+            Answer::Awaited | Answer::Partial => self.end(ConnectionAction::Close, CallEnd::Reset),
         }
     }
 }
@@ -325,9 +370,9 @@
 }
 
 impl Machine for Attempt {
-    type Input = (Input, &'static str);
+    type Input = (AttemptInput, &'static str);
     const NAME: &'static str = "An attempt";
-    const ABOUT: &'static str = "`core/src/machine/attempt.rs`: one invoker call, from the router's order to its end. \
+    const ABOUT: &'static str = "`core/src/machine/attempt.rs`: one delivery call, from the router's order to its end. \
         *open*, *end sending*, *close* and *keep* say what becomes of the connection.";
 
     fn states() -> Vec<(&'static str, &'static str, Self)> {
@@ -343,29 +388,29 @@
             Attempt { state, answer: answer.to_vec(), ..fresh }
         };
         vec![
-            ("New", "ordered, not begun", at(State::New, b"")),
+            ("New", "ordered, not begun", at(AttemptState::New, b"")),
             (
                 "Connecting",
                 "no connection rested there, and a new one is on its way",
-                at(State::Connecting, b""),
+                at(AttemptState::Connecting, b""),
             ),
             (
                 "Writing",
                 "less than all of the request is written: it has not run",
-                at(State::Writing { written: 1 }, b""),
+                at(AttemptState::Writing { written: 1 }, b""),
             ),
-            ("Awaiting", "all of it is written: it may have run", at(State::Awaiting, b"")),
+            ("Awaiting", "all of it is written: it may have run", at(AttemptState::Awaiting, b"")),
             (
                 "Reading",
                 "a part of the answer has come; the rest has 100 ms",
-                at(State::Reading { by: 1 }, b"2"),
+                at(AttemptState::Reading { by: 1 }, b"2"),
             ),
             (
                 "Closing",
                 "given up after its last byte, and its sending has ended (a stream's connection is closed if nothing of its body was written); the end is told 5 ms later, or what was still read",
-                at(State::Closing { end: CallEnd::TimedOut, until: 2 }, b""),
+                at(AttemptState::Closing { end: CallEnd::TimedOut, until: 2 }, b""),
             ),
-            ("Over", "its end has been told", at(State::Over, b"")),
+            ("Finished", "its end has been told", at(AttemptState::Finished, b"")),
         ]
     }
 
@@ -373,70 +418,75 @@
         vec![
             (
                 "start, shut",
-                "begun while the provider drains, is gone or has told to wait",
-                (Input::Start { open: false, resting: false }, ""),
+                "begun while the endpoint drains, is gone or has told to wait",
+                (AttemptInput::Start { open: false, resting: false }, ""),
             ),
             (
                 "start, resting",
                 "begun where a connection rests",
-                (Input::Start { open: true, resting: true }, ""),
+                (AttemptInput::Start { open: true, resting: true }, ""),
             ),
-            ("start", "begun where none does", (Input::Start { open: true, resting: false }, "")),
-            ("connected", "the connection is up", (Input::Connected { open: true }, "")),
+            ("start", "begun where none does", (AttemptInput::Start { open: true, resting: false }, "")),
+            ("connected", "the connection is up", (AttemptInput::Connected { open: true }, "")),
             (
                 "connected, shut",
                 "it is up, but calls may not start there any more",
-                (Input::Connected { open: false }, ""),
+                (AttemptInput::Connected { open: false }, ""),
             ),
-            ("refused", "it was refused, or did not come up in time", (Input::Refused, "")),
-            ("wrote", "some more bytes are written", (Input::Wrote { bytes: 1, left: 1 }, "")),
-            ("wrote last", "the last byte is written", (Input::Wrote { bytes: 1, left: 0 }, "")),
+            ("refused", "it was refused, or did not come up in time", (AttemptInput::Refused, "")),
+            ("wrote", "some more bytes are written", (AttemptInput::Wrote { bytes: 1, left: 1 }, "")),
+            ("wrote last", "the last byte is written", (AttemptInput::Wrote { bytes: 1, left: 0 }, "")),
             (
                 "write failed",
                 "the connection broke before the last byte was written",
-                (Input::WriteFailed, ""),
+                (AttemptInput::WriteFailed, ""),
             ),
-            ("read interim", "bytes of an answer that does not count yet (1xx)", (Input::Read, "1")),
-            ("read part", "bytes of an answer, with more to come", (Input::Read, "2")),
-            ("read all", "the answer is whole", (Input::Read, ".")),
-            ("end", "the provider ended its side", (Input::End, "")),
-            ("reset", "the connection was reset", (Input::Reset, "")),
-            ("deadline", "the time of the call is up", (Input::Deadline, "")),
-            ("give up", "the module calls it off", (Input::GiveUp, "")),
-            ("ended", "its message has its end", (Input::Ended, "")),
-            ("shut", "the provider drains or is gone", (Input::Shut, "")),
-            ("hold", "its destination told another call to wait", (Input::Hold, "")),
-            ("tick", "the time that the state waits for has come", (Input::Tick, "")),
+            ("read interim", "bytes of an answer that does not count yet (1xx)", (AttemptInput::Read, "1")),
+            ("read part", "bytes of an answer, with more to come", (AttemptInput::Read, "2")),
+            ("read all", "the answer is whole", (AttemptInput::Read, ".")),
+            ("end", "the endpoint ended its side", (AttemptInput::End, "")),
+            ("reset", "the connection was reset", (AttemptInput::Reset, "")),
+            ("deadline", "the time of the call is up", (AttemptInput::Deadline, "")),
+            ("give up", "the module calls it off", (AttemptInput::GiveUp, "")),
+            ("ended", "its message has its end", (AttemptInput::Ended, "")),
+            ("shut", "the endpoint drains or is gone", (AttemptInput::Shut, "")),
+            ("hold", "its destination told another call to wait", (AttemptInput::BackOff, "")),
+            ("tick", "the time that the state waits for has come", (AttemptInput::Tick, "")),
         ]
     }
 
     fn state(&self) -> &'static str {
         match self.state {
-            State::New => "New",
-            State::Connecting => "Connecting",
-            State::Writing { .. } => "Writing",
-            State::Awaiting => "Awaiting",
-            State::Reading { .. } => "Reading",
-            State::Closing { .. } => "Closing",
-            State::Over => "Over",
+            AttemptState::New => "New",
+            AttemptState::Connecting => "Connecting",
+            AttemptState::Writing { .. } => "Writing",
+            AttemptState::Awaiting => "Awaiting",
+            AttemptState::Reading { .. } => "Reading",
+            AttemptState::Closing { .. } => "Closing",
+            AttemptState::Finished => "Finished",
         }
     }
 
-    fn take(&mut self, (input, bytes): Self::Input) -> String {
-        let early = self.streamed && matches!(self.state, State::Writing { .. });
-        if early || matches!(self.state, State::Awaiting | State::Reading { .. } | State::Closing { .. }) {
+    fn apply(&mut self, (input, bytes): Self::Input) -> String {
+        let early = self.streamed && matches!(self.state, AttemptState::Writing { .. });
+        if early
+            || matches!(
+                self.state,
+                AttemptState::Awaiting | AttemptState::Reading { .. } | AttemptState::Closing { .. }
+            )
+        {
             self.answer.extend_from_slice(bytes.as_bytes());
         }
-        let output = self.step(input, if input == Input::Tick { 2 } else { 1 });
-        let link = match output.link {
-            Link::Nothing => "",
-            Link::Open => "open",
-            Link::Finish => "end sending",
-            Link::Close => "close",
-            Link::Keep => "keep",
+        let output = self.step(input, if input == AttemptInput::Tick { 2 } else { 1 });
+        let action = match output.action {
+            ConnectionAction::Nothing => "",
+            ConnectionAction::Open => "open",
+            ConnectionAction::Finish => "end sending",
+            ConnectionAction::Close => "close",
+            ConnectionAction::Keep => "keep",
         };
         let end = output.end.map_or(String::new(), |end| format!("end {end:?}"));
-        [link, &end].into_iter().filter(|t| !t.is_empty()).collect::<Vec<_>>().join(", ")
+        [action, &end].into_iter().filter(|t| !t.is_empty()).collect::<Vec<_>>().join(", ")
     }
 }
 
@@ -458,7 +508,7 @@
         let at = states.iter().position(|(name, ..)| *name == "Writing").unwrap_or(0);
         let (_, _, Streamed(half)) = states[at].clone();
         states[at] = ("Half", "a part of its body is written: it may have run", Streamed(half.clone()));
-        let head = Streamed(Attempt { state: State::Writing { written: 0 }, ..half });
+        let head = Streamed(Attempt { state: AttemptState::Writing { written: 0 }, ..half });
         states.insert(at, ("Writing", "no byte of its body is written: it has not run", head));
         states
     }
@@ -471,7 +521,7 @@
         if self.0.is_half() { "Half" } else { Machine::state(&self.0) }
     }
 
-    fn take(&mut self, input: Self::Input) -> String {
-        self.0.take(input)
+    fn apply(&mut self, input: Self::Input) -> String {
+        self.0.apply(input)
     }
 }
--- a/core/src/machine/drain.rs
+++ b/core/src/machine/drain.rs
@@ -1,24 +1,24 @@
-//! Whether consumers are wanted: a drained courier empties, and does not end.
+//! Whether clients are wanted: a drained courier empties, and does not end.
 
 use super::Machine;
 use spurshore::Micros;
 
 /// How long a no to the front's question leaves connections at rest as they are. The front asks ten times a second and
-/// deals out connections for 0.2 s after the no: asked to leave before, their consumers would come back here.
-pub const FRONT: Micros = 500_000;
+/// deals out connections for 0.2 s after the no: asked to leave before, their clients would come back here.
+pub const FRONT_GRACE: Micros = 500_000;
 /// Between two looks for connections that rest: few do, since answers close theirs.
-pub const LOOK: Micros = 100_000;
+pub const IDLE_CHECK_INTERVAL: Micros = 100_000;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub enum State {
+pub enum DrainState {
     #[default]
     Serving,
     /// The front is told no; connections that rest are asked to leave from then on.
-    Drained { look: Micros },
+    Drained { next_check: Micros },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Input {
+pub enum DrainInput {
     Drain,
     Undrain,
     /// The time that the state waits for has come.
@@ -26,45 +26,49 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Output {
+pub enum DrainOutput {
     Nothing,
     /// Every answer ends its connection from now on.
-    LastAnswers,
+    CloseAfterAnswers,
     /// Connections that rest are to leave.
-    Empty,
+    CloseIdle,
     /// Connections are kept again.
-    Keep,
+    KeepConnections,
 }
 
 /// The machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Drain {
-    state: State,
+    state: DrainState,
 }
 
 impl Drain {
     pub fn is_drained(&self) -> bool {
-        self.state != State::Serving
+        self.state != DrainState::Serving
     }
 
     /// When a [`Input::Tick`] is wanted.
     pub fn wake_at(&self) -> Option<Micros> {
         match self.state {
-            State::Serving => None,
-            State::Drained { look } => Some(look),
+            DrainState::Serving => None,
+            DrainState::Drained { next_check } => Some(next_check),
         }
     }
 
-    pub fn step(&mut self, input: Input, now: Micros) -> Output {
+    pub fn step(&mut self, input: DrainInput, now: Micros) -> DrainOutput {
         let (state, output) = match (self.state, input) {
-            (State::Serving, Input::Drain) => {
-                (State::Drained { look: now.saturating_add(FRONT) }, Output::LastAnswers)
-            }
-            (State::Drained { .. }, Input::Undrain) => (State::Serving, Output::Keep),
-            (State::Drained { look }, Input::Tick) if now >= look => {
-                (State::Drained { look: now.saturating_add(LOOK) }, Output::Empty)
+            (DrainState::Serving, DrainInput::Drain) => (
+                DrainState::Drained { next_check: now.saturating_add(FRONT_GRACE) },
+                DrainOutput::CloseAfterAnswers,
+            ),
+            (DrainState::Drained { .. }, DrainInput::Undrain) => {
+                (DrainState::Serving, DrainOutput::KeepConnections)
             }
-            (state, _) => (state, Output::Nothing),
+            (DrainState::Drained { next_check }, DrainInput::Tick) if now >= next_check => (
+                DrainState::Drained { next_check: now.saturating_add(IDLE_CHECK_INTERVAL) },
+                DrainOutput::CloseIdle,
+            ),
+            (state, _) => (state, DrainOutput::Nothing),
         };
         self.state = state;
         output
@@ -72,43 +76,43 @@
 }
 
 impl Machine for Drain {
-    type Input = (Input, Micros);
+    type Input = (DrainInput, Micros);
     const NAME: &'static str = "A courier's drain";
     const ABOUT: &'static str =
-        "`core/src/machine/drain.rs`: operators empty the courier, and take consumers again.";
+        "`core/src/machine/drain.rs`: operators empty the courier, and take clients again.";
 
     fn states() -> Vec<(&'static str, &'static str, Self)> {
         vec![
-            ("Serving", "consumers are wanted", Drain::default()),
+            ("Serving", "clients are wanted", Drain::default()),
             (
                 "Drained",
                 "the front is told no, and answers end their connections",
-                Drain { state: State::Drained { look: FRONT } },
+                Drain { state: DrainState::Drained { next_check: FRONT_GRACE } },
             ),
         ]
     }
 
     fn inputs() -> Vec<(&'static str, &'static str, Self::Input)> {
         vec![
-            ("DRAIN", "the operators' call", (Input::Drain, FRONT)),
-            ("UNDRAIN", "the operators' call", (Input::Undrain, FRONT)),
-            ("tick", "the time to look for connections that rest", (Input::Tick, FRONT)),
+            ("DRAIN", "the operators' call", (DrainInput::Drain, FRONT_GRACE)),
+            ("UNDRAIN", "the operators' call", (DrainInput::Undrain, FRONT_GRACE)),
+            ("tick", "the time to look for connections that rest", (DrainInput::Tick, FRONT_GRACE)),
         ]
     }
 
     fn state(&self) -> &'static str {
         match self.state {
-            State::Serving => "Serving",
-            State::Drained { .. } => "Drained",
+            DrainState::Serving => "Serving",
+            DrainState::Drained { .. } => "Drained",
         }
     }
 
-    fn take(&mut self, (input, now): Self::Input) -> String {
+    fn apply(&mut self, (input, now): Self::Input) -> String {
         match self.step(input, now) {
-            Output::Nothing => "",
-            Output::LastAnswers => "answers end their connections",
-            Output::Empty => "connections at rest are to leave",
-            Output::Keep => "connections are kept",
+            DrainOutput::Nothing => "",
+            DrainOutput::CloseAfterAnswers => "answers end their connections",
+            DrainOutput::CloseIdle => "connections at rest are to leave",
+            DrainOutput::KeepConnections => "connections are kept",
         }
         .to_string()
     }
--- a/core/src/machine/mod.rs
+++ b/core/src/machine/mod.rs
@@ -4,11 +4,11 @@
 //! `docs/states.md` holds their tables, printed from the code here by [`tables`].
 
 pub mod attempt;
-pub mod consumer;
+pub mod client;
+pub mod connection;
 pub mod drain;
 pub mod handover;
-pub mod life;
-pub mod link;
+pub mod lifecycle;
 pub mod notices;
 pub mod watch;
 
@@ -38,14 +38,14 @@
     /// The state's name, as in `states`.
     fn state(&self) -> &'static str;
     /// Takes the input at a moment after all that the state waits for; says what is to be done.
-    fn take(&mut self, input: Self::Input) -> String;
+    fn apply(&mut self, input: Self::Input) -> String;
 
     fn table() -> Table {
         let states = Self::states();
         let inputs = Self::inputs();
         let cell = |machine: &Self, input: &Self::Input| {
             let mut next = machine.clone();
-            let done = next.take(input.clone());
+            let done = next.apply(input.clone());
             let changed = next.state() != machine.state() || !done.is_empty();
             changed.then(|| (next.state().to_string(), done))
         };
@@ -65,14 +65,14 @@
         attempt::Attempt::table(),
         attempt::Streamed::table(),
         crate::flow::Flow::table(),
-        link::Link::table(),
-        consumer::Consumer::table(),
+        connection::EndpointConnection::table(),
+        client::ClientConnection::table(),
         watch::Watch::table(),
         notices::Notices::table(),
-        life::Life::table(),
+        lifecycle::Lifecycle::table(),
         drain::Drain::table(),
-        handover::Giver::table(),
-        handover::Taker::table(),
+        handover::HandoverSender::table(),
+        handover::HandoverReceiver::table(),
     ]
 }
 
--- a/core/src/machine/notices.rs
+++ b/core/src/machine/notices.rs
@@ -5,35 +5,35 @@
 use spurshore::breaks::{self, Break};
 
 /// The platform takes notices at once; one try must leave time for another.
-pub const TRY: Micros = 250_000;
+pub const ATTEMPT_TIMEOUT: Micros = 250_000;
 /// After a try that failed.
-pub const REST: Micros = 50_000;
+pub const RETRY_DELAY: Micros = 50_000;
 /// Notices in one body: well under the platform's 64 KiB.
-pub const BATCH: usize = 200;
+pub const BATCH_MAX: usize = 200;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum State {
+pub enum NoticeState {
     /// Nothing is to be told.
     Quiet,
     /// So many are on their way; without a word by then they count as lost.
     Sent { count: usize, until: Micros },
     /// A try has failed.
-    Resting { until: Micros },
+    BackingOff { until: Micros },
 }
 
-impl State {
+impl NoticeState {
     /// The state without its time.
     pub fn kind(self) -> (u8, usize) {
         match self {
-            State::Quiet => (0, 0),
-            State::Sent { count, .. } => (1, count),
-            State::Resting { .. } => (2, 0),
+            NoticeState::Quiet => (0, 0),
+            NoticeState::Sent { count, .. } => (1, count),
+            NoticeState::BackingOff { .. } => (2, 0),
         }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Input {
+pub enum NoticeInput {
     /// So many are to be told.
     Wanted(usize),
     /// 204.
@@ -49,41 +49,41 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Output {
+pub enum NoticeOutput {
     Nothing,
     /// Send the oldest, so many at most.
     Send(usize),
     /// What was sent is told, and owed no more.
-    Told,
+    Confirmed,
     /// The single one that was sent can't be read, and is let go: it must not keep the others back.
-    LetGo,
+    Discard,
     /// Look again what is to be told.
-    Again,
+    Retry,
 }
 
 /// The machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Notices {
-    state: State,
+    state: NoticeState,
     batch: usize,
 }
 
 impl Default for Notices {
     fn default() -> Self {
-        Notices { state: State::Quiet, batch: BATCH }
+        Notices { state: NoticeState::Quiet, batch: BATCH_MAX }
     }
 }
 
 impl Notices {
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> NoticeState {
         self.state
     }
 
     /// When a [`Input::Tick`] is wanted.
     pub fn wake_at(&self) -> Option<Micros> {
         match self.state {
-            State::Quiet => None,
-            State::Sent { until, .. } | State::Resting { until } => Some(until),
+            NoticeState::Quiet => None,
+            NoticeState::Sent { until, .. } | NoticeState::BackingOff { until } => Some(until),
         }
     }
 
@@ -92,34 +92,41 @@
         self.batch
     }
 
-    pub fn step(&mut self, input: Input, now: Micros) -> Output {
+    pub fn step(&mut self, input: NoticeInput, now: Micros) -> NoticeOutput {
         let (state, output) = match (self.state, input) {
-            (State::Quiet, Input::Wanted(count)) if count > 0 => {
+            (NoticeState::Quiet, NoticeInput::Wanted(count)) if count > 0 => {
                 let count = count.min(self.batch);
-                (State::Sent { count, until: now.saturating_add(TRY) }, Output::Send(count))
+                (
+                    NoticeState::Sent { count, until: now.saturating_add(ATTEMPT_TIMEOUT) },
+                    NoticeOutput::Send(count),
+                )
             }
-            (State::Sent { .. }, Input::Confirmed) => {
-                self.batch = BATCH;
-                (State::Quiet, Output::Told)
+            (NoticeState::Sent { .. }, NoticeInput::Confirmed) => {
+                self.batch = BATCH_MAX;
+                (NoticeState::Quiet, NoticeOutput::Confirmed)
             }
             // Find the one that can't be read: one at a time.
-            (State::Sent { count, .. }, Input::Unreadable) if count > 1 => {
+            (NoticeState::Sent { count, .. }, NoticeInput::Unreadable) if count > 1 => {
                 self.batch = 1;
-                (State::Quiet, Output::Again)
+                (NoticeState::Quiet, NoticeOutput::Retry)
+            }
+            (NoticeState::Sent { .. }, NoticeInput::Unreadable) => {
+                (NoticeState::Quiet, NoticeOutput::Discard)
+            }
+            (NoticeState::Sent { .. }, NoticeInput::Moved) => (NoticeState::Quiet, NoticeOutput::Retry),
+            (NoticeState::Sent { .. }, NoticeInput::Lost) if breaks::on(Break::NoticeOnce) => {
+                (NoticeState::Quiet, NoticeOutput::Discard)
             }
-            (State::Sent { .. }, Input::Unreadable) => (State::Quiet, Output::LetGo),
-            (State::Sent { .. }, Input::Moved) => (State::Quiet, Output::Again),
-            (State::Sent { .. }, Input::Lost) if breaks::on(Break::NoticeOnce) => {
-                (State::Quiet, Output::LetGo)
+            (NoticeState::Sent { .. }, NoticeInput::Lost) => {
+                (NoticeState::BackingOff { until: now.saturating_add(RETRY_DELAY) }, NoticeOutput::Nothing)
             }
-            (State::Sent { .. }, Input::Lost) => {
-                (State::Resting { until: now.saturating_add(REST) }, Output::Nothing)
+            (NoticeState::Sent { until, .. }, NoticeInput::Tick) if now >= until => {
+                (NoticeState::BackingOff { until: now.saturating_add(RETRY_DELAY) }, NoticeOutput::Nothing)
             }
-            (State::Sent { until, .. }, Input::Tick) if now >= until => {
-                (State::Resting { until: now.saturating_add(REST) }, Output::Nothing)
+            (NoticeState::BackingOff { until }, NoticeInput::Tick) if now >= until => {
+                (NoticeState::Quiet, NoticeOutput::Retry)
             }
-            (State::Resting { until }, Input::Tick) if now >= until => (State::Quiet, Output::Again),
-            (state, _) => (state, Output::Nothing),
+            (state, _) => (state, NoticeOutput::Nothing),
         };
         self.state = state;
         output
@@ -127,49 +134,53 @@
 }
 
 impl Machine for Notices {
-    type Input = (Input, Micros);
+    type Input = (NoticeInput, Micros);
     const NAME: &'static str = "The notices";
     const ABOUT: &'static str =
         "`core/src/machine/notices.rs`: many at a time, and again until the platform has confirmed each.";
 
     fn states() -> Vec<(&'static str, &'static str, Self)> {
         let at = |state, batch| Notices { state, batch };
-        let sent = |count| State::Sent { count, until: 10 };
+        let sent = |count| NoticeState::Sent { count, until: 10 };
         vec![
-            ("Quiet", "nothing is on its way", at(State::Quiet, BATCH)),
-            ("Sent", "several are on their way, for 0.25 s at most", at(sent(2), BATCH)),
+            ("Quiet", "nothing is on its way", at(NoticeState::Quiet, BATCH_MAX)),
+            ("Sent", "several are on their way, for 0.25 s at most", at(sent(2), BATCH_MAX)),
             ("SentOne", "a single one is", at(sent(1), 1)),
-            ("Resting", "a try has failed; 50 ms until the next", at(State::Resting { until: 10 }, BATCH)),
+            (
+                "BackingOff",
+                "a try has failed; 50 ms until the next",
+                at(NoticeState::BackingOff { until: 10 }, BATCH_MAX),
+            ),
         ]
     }
 
     fn inputs() -> Vec<(&'static str, &'static str, Self::Input)> {
         vec![
-            ("wanted", "several are to be told", (Input::Wanted(2), 1)),
-            ("confirmed", "204", (Input::Confirmed, 1)),
-            ("unreadable", "400", (Input::Unreadable, 1)),
-            ("lost", "any other word, or a connection that failed", (Input::Lost, 1)),
-            ("moved", "discovery has moved", (Input::Moved, 1)),
-            ("tick", "the time that the state waits for has come", (Input::Tick, 10)),
+            ("wanted", "several are to be told", (NoticeInput::Wanted(2), 1)),
+            ("confirmed", "204", (NoticeInput::Confirmed, 1)),
+            ("unreadable", "400", (NoticeInput::Unreadable, 1)),
+            ("lost", "any other word, or a connection that failed", (NoticeInput::Lost, 1)),
+            ("moved", "discovery has moved", (NoticeInput::Moved, 1)),
+            ("tick", "the time that the state waits for has come", (NoticeInput::Tick, 10)),
         ]
     }
 
     fn state(&self) -> &'static str {
         match self.state {
-            State::Quiet => "Quiet",
-            State::Sent { count: 1, .. } => "SentOne",
-            State::Sent { .. } => "Sent",
-            State::Resting { .. } => "Resting",
+            NoticeState::Quiet => "Quiet",
+            NoticeState::Sent { count: 1, .. } => "SentOne",
+            NoticeState::Sent { .. } => "Sent",
+            NoticeState::BackingOff { .. } => "BackingOff",
         }
     }
 
-    fn take(&mut self, (input, now): Self::Input) -> String {
+    fn apply(&mut self, (input, now): Self::Input) -> String {
         match self.step(input, now) {
-            Output::Nothing => "",
-            Output::Send(_) => "send",
-            Output::Told => "told",
-            Output::LetGo => "let go",
-            Output::Again => "look again",
+            NoticeOutput::Nothing => "",
+            NoticeOutput::Send(_) => "send",
+            NoticeOutput::Confirmed => "told",
+            NoticeOutput::Discard => "let go",
+            NoticeOutput::Retry => "look again",
         }
         .to_string()
     }
--- a/core/src/machine/watch.rs
+++ b/core/src/machine/watch.rs
@@ -5,58 +5,58 @@
 use spurshore_tables::draw;
 
 /// By the protocol a watch that has nothing to tell says so that often, with an empty line.
-pub const BEAT: Micros = 2_000_000;
+pub const HEARTBEAT: Micros = 2_000_000;
 /// How late that line may come.
-pub const LATE: Micros = 500_000;
+pub const HEARTBEAT_SLACK: Micros = 500_000;
 /// A watch that was silent for so long is broken.
-pub const SILENCE: Micros = BEAT + LATE;
+pub const SILENCE: Micros = HEARTBEAT + HEARTBEAT_SLACK;
 /// What a silent watch misses counts as told so long after it fell silent, whether it arrived or not; so
 /// does, by the protocol, whatever discovery has to tell.
-pub const TOLD: Micros = 6_000_000;
+pub const NOTIFIED_WITHIN: Micros = 6_000_000;
 /// Of [`TOLD`], what is left for heeding: the longest `stop_sending_within_ms` that is in use.
-pub const LEFT: Micros = 1_000_000;
+pub const HEED_MAX: Micros = 1_000_000;
 /// Within which a question is answered. An agent answers at once; a loaded machine takes longer.
-pub const ANSWER: Micros = 1_000_000;
+pub const ANSWER_WITHIN: Micros = 1_000_000;
 /// The fleet's questions after a silence, which may befall all of it at one moment, are spread over what
 /// remains: the last is answered `LEFT` before what was missed counts as told.
-const ROUND: Micros = TOLD - LEFT - ANSWER - SILENCE;
+const RENEWAL_SPREAD_MAX: Micros = NOTIFIED_WITHIN - HEED_MAX - ANSWER_WITHIN - SILENCE;
 /// A pause after a failed question, and what it grows to in a small fleet.
 const RETRY_FIRST: Micros = 100_000;
 const RETRY_MAX: Micros = 2_000_000;
 /// No two questions are further apart, nor is one from the last sign of life: whatever became of those before,
 /// one that is asked so long after discovery can be reached is answered within `TOLD - LEFT`.
-pub const REST: Micros = TOLD - LEFT - ANSWER;
+pub const REQUEST_INTERVAL_MAX: Micros = NOTIFIED_WITHIN - HEED_MAX - ANSWER_WITHIN;
 /// What each courier of a fleet adds to what its questions are spread over, and to the longest pause: all of
 /// them lose discovery at one moment, and ask it again. Forty-eight that asked together every 2 s kept it
 /// from answering anybody.
-const EACH: Micros = 25_000;
-const EACH_REST: Micros = 300_000;
+const SPREAD_PER_COURIER: Micros = 25_000;
+const BACKOFF_PER_COURIER: Micros = 300_000;
 /// What each courier adds to the time in which a question stays alone: forty-eight that asked every 2 s, one in 42 ms, were too
 /// many.
-const EACH_BESIDE: Micros = 50_000;
+const HEDGE_PER_COURIER: Micros = 50_000;
 /// What that is spread by, to either side, and the most that it may come to: drawn a quarter longer it is `REST`.
-const SPREAD: f64 = 0.25;
-const BESIDE_MAX: Micros = REST * 4 / 5;
+const HEDGE_JITTER: f64 = 0.25;
+const HEDGE_DELAY_MAX: Micros = REQUEST_INTERVAL_MAX * 4 / 5;
 /// So few couriers may ask as often as `heed` wants it.
-const FEW: u32 = 10;
+const SMALL_FLEET: u32 = 10;
 /// The least time to heed that is reckoned with: an agent that is silent is asked about twice in it.
-const HEED_LEAST: Micros = 100_000;
+const HEED_MIN: Micros = 100_000;
 
 /// The bound: from the last sign of life over the silence and the spread, from a question that failed over the
 /// longest pause, and from one that stays out to the one beside it, the next answer is there within
 /// `TOLD - LEFT`.
 const _: () = {
-    assert!(SILENCE + ROUND <= REST);
-    assert!(RETRY_MAX <= REST && TOLD / 3 <= REST);
-    assert!(BESIDE_MAX * 5 / 4 <= REST && LEFT <= REST);
-    assert!(REST + ANSWER <= TOLD - LEFT);
+    assert!(SILENCE + RENEWAL_SPREAD_MAX <= REQUEST_INTERVAL_MAX);
+    assert!(RETRY_MAX <= REQUEST_INTERVAL_MAX && NOTIFIED_WITHIN / 3 <= REQUEST_INTERVAL_MAX);
+    assert!(HEDGE_DELAY_MAX * 5 / 4 <= REQUEST_INTERVAL_MAX && HEED_MAX <= REQUEST_INTERVAL_MAX);
+    assert!(REQUEST_INTERVAL_MAX + ANSWER_WITHIN <= NOTIFIED_WITHIN - HEED_MAX);
 };
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum State {
+pub enum WatchState {
     /// Asked, and waits for the answer's head; until then with the questions that are out, of which the first
     /// was asked at `since`, the next at `second`, and the last at `last`.
-    Asking {
+    Requesting {
         until: Micros,
         since: Micros,
         second: Option<Micros>,
@@ -69,15 +69,15 @@
         since: Micros,
         lasts: bool,
     },
-    Pausing {
+    BackingOff {
         until: Micros,
     },
     /// Discovery has moved from here, and the watch there is broken.
-    Over,
+    Stopped,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Input {
+pub enum WatchInput {
     /// The answer's head has come, and says 200.
     Answered,
     /// A list has come, or an empty line between two lists; `moved`: discovery is elsewhere by now.
@@ -91,18 +91,18 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Output {
+pub enum WatchOutput {
     Nothing,
     /// Ask for the changes after the version that is held. Questions that are still out are given up.
-    Ask,
+    Request,
     /// The same, while so many of the questions that are out stay so, those that were asked first.
-    AskBeside {
-        stay: usize,
+    Hedge {
+        keep: usize,
     },
     /// It is told of the list here: the watches at older addresses have done their work.
-    TakeOver,
+    EndOlderWatches,
     /// Nothing is to be done before this long.
-    Pause(Micros),
+    BackOff(Micros),
     /// The watch is over for good.
     Stop,
 }
@@ -110,7 +110,7 @@
 /// The machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Watch {
-    state: State,
+    state: WatchState,
     /// Questions that failed since a watch was followed for a while.
     failed: u32,
     couriers: u32,
@@ -122,24 +122,24 @@
     /// in the moment in which it is back from a silence, and what is out then is answered: one always is.
     pushed: bool,
     /// There, since when questions are out to which not a word came, and when one that counts failed.
-    waits: Option<Micros>,
-    said: Micros,
+    unanswered_since: Option<Micros>,
+    failed_at: Micros,
 }
 
 impl Watch {
     /// A watch that asks at once.
     pub fn new(now: Micros) -> Self {
         let mut watch = Watch {
-            state: State::Over,
+            state: WatchState::Stopped,
             failed: 0,
             couriers: 1,
-            heed: LEFT,
+            heed: HEED_MAX,
             seed: 0,
             pushed: false,
-            waits: None,
-            said: 0,
+            unanswered_since: None,
+            failed_at: 0,
         };
-        watch.ask(now, None, now);
+        watch.request(now, None, now);
         watch
     }
 
@@ -148,30 +148,30 @@
     /// question fails or is lost: at a start (`starts`), when others may start too, the first waits for a
     /// quarter of that at most ([`Input::Tick`] first).
     pub fn of_fleet(now: Micros, couriers: u32, seed: u64, starts: bool, heed: Micros) -> Self {
-        let heed = heed.clamp(HEED_LEAST, LEFT);
+        let heed = heed.clamp(HEED_MIN, HEED_MAX);
         let mut watch = Watch { couriers, heed, seed: seed | 1, ..Watch::new(now) };
         if starts {
-            watch.state = State::Pausing { until: now.saturating_add(watch.moment()) };
+            watch.state = WatchState::BackingOff { until: now.saturating_add(watch.start_delay()) };
         } else {
-            watch.ask(now, None, now);
+            watch.request(now, None, now);
         }
         watch
     }
 
     /// Whether lists are pushed; where they are not, each question is the whole fleet's discovery's to answer.
     pub fn where_pushed(self, pushed: bool) -> Self {
-        let mut watch = Watch { pushed, waits: None, ..self };
-        if let State::Asking { since, second, last, .. } = watch.state
+        let mut watch = Watch { pushed, unanswered_since: None, ..self };
+        if let WatchState::Requesting { since, second, last, .. } = watch.state
             && pushed
         {
-            watch.ask(since, second, last);
+            watch.request(since, second, last);
         }
         watch
     }
 
     /// What the fleet's questions are spread over, where there is so much time for it.
-    fn over(&self, most: Micros) -> Micros {
-        (Micros::from(self.couriers) * EACH).min(most)
+    fn spread(&self, most: Micros) -> Micros {
+        (Micros::from(self.couriers) * SPREAD_PER_COURIER).min(most)
     }
 
     fn draw(&mut self, none: f64) -> f64 {
@@ -179,161 +179,173 @@
     }
 
     /// Before a question that has to be answered at once.
-    fn moment(&mut self) -> Micros {
-        let over = self.over(self.heed / 4);
-        (self.draw(1.0) * over as f64) as Micros
+    fn start_delay(&mut self) -> Micros {
+        let spread = self.spread(self.heed / 4);
+        (self.draw(1.0) * spread as f64) as Micros
     }
 
     /// Before a question that follows one which failed, at least half of the pause: who says no has too much
     /// to do.
-    fn rest(&mut self) -> Micros {
-        let first = self.over(TOLD / 3).max(RETRY_FIRST);
-        let most = (Micros::from(self.couriers) * EACH_REST).clamp(RETRY_MAX, REST);
-        let pause = (first << (self.failed.clamp(1, 16) - 1)).min(most);
-        ((0.5 + 0.5 * self.draw(1.0)) * pause as f64) as Micros
+    fn backoff(&mut self) -> Micros {
+        let first = self.spread(NOTIFIED_WITHIN / 3).max(RETRY_FIRST);
+        let most = (Micros::from(self.couriers) * BACKOFF_PER_COURIER).clamp(RETRY_MAX, REQUEST_INTERVAL_MAX);
+        let backoff = (first << (self.failed.clamp(1, 16) - 1)).min(most);
+        ((0.5 + 0.5 * self.draw(1.0)) * backoff as f64) as Micros
     }
 
     /// The same, no longer than up to `REST` after the last question or sign of life: what failed late has
     /// taken a part of the pause.
-    fn rest_after(&mut self, last: Micros, now: Micros) -> Micros {
-        self.rest().min(last.saturating_add(REST).saturating_sub(now))
+    fn backoff_after(&mut self, last: Micros, now: Micros) -> Micros {
+        self.backoff().min(last.saturating_add(REQUEST_INTERVAL_MAX).saturating_sub(now))
     }
 
     /// Asks. An agent is silent while discovery is down, and may have a list at any moment from then on,
     /// which is told then: until it answers, it is asked again in time to heed that. One that said no before
     /// is asked less often.
-    fn ask(&mut self, since: Micros, second: Option<Micros>, now: Micros) {
-        let mut again = ((0.375 + 0.25 * self.draw(0.5)) * self.heed as f64) as Micros;
+    fn request(&mut self, since: Micros, second: Option<Micros>, now: Micros) {
+        let mut interval = ((0.375 + 0.25 * self.draw(0.5)) * self.heed as f64) as Micros;
         if self.failed > 0 {
-            again = self.rest().max(again);
+            interval = self.backoff().max(interval);
         }
         // A discovery that many ask may be silent because they do: no more than one question in each `EACH_BESIDE` is asked of
         // it beside those that it has, over the whole fleet, or by each courier in `REST`.
-        let fleet = (Micros::from(self.couriers) * EACH_BESIDE).min(BESIDE_MAX);
-        let fleet = ((1.0 - SPREAD + 2.0 * SPREAD * self.draw(0.5)) * fleet as f64) as Micros;
+        let fleet = (Micros::from(self.couriers) * HEDGE_PER_COURIER).min(HEDGE_DELAY_MAX);
+        let fleet = ((1.0 - HEDGE_JITTER + 2.0 * HEDGE_JITTER * self.draw(0.5)) * fleet as f64) as Micros;
         // An agent is asked by one courier, at no cost: as by few. A quarter of `heed` is left for the answer.
-        let few = self.pushed || self.couriers <= FEW;
-        again = again.max(if few { fleet.min(self.heed / 4 * 3) } else { fleet });
-        self.waits = self.waits.or(self.pushed.then_some(now));
-        self.state = State::Asking { until: now.saturating_add(again), since, second, last: now };
+        let few = self.pushed || self.couriers <= SMALL_FLEET;
+        interval = interval.max(if few { fleet.min(self.heed / 4 * 3) } else { fleet });
+        self.unanswered_since = self.unanswered_since.or(self.pushed.then_some(now));
+        self.state = WatchState::Requesting { until: now.saturating_add(interval), since, second, last: now };
     }
 
     /// Asks beside the questions that are out. One that is given up each time that another is asked would
     /// never have its answer, where that takes longer than the time between two: beside the first the next one
     /// stays too, for as long as an answer may take.
-    fn ask_beside(&mut self, since: Micros, second: Option<Micros>, now: Micros) -> Output {
-        let second = second.filter(|asked| now < asked.saturating_add(ANSWER));
-        self.ask(since, second.or(Some(now)), now);
-        Output::AskBeside { stay: 1 + usize::from(second.is_some()) }
+    fn hedge(&mut self, since: Micros, second: Option<Micros>, now: Micros) -> WatchOutput {
+        let second = second.filter(|asked| now < asked.saturating_add(ANSWER_WITHIN));
+        self.request(since, second.or(Some(now)), now);
+        WatchOutput::Hedge { keep: 1 + usize::from(second.is_some()) }
     }
 
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> WatchState {
         self.state
     }
 
     /// When a [`Input::Tick`] is wanted.
     pub fn wake_at(&self) -> Option<Micros> {
         match self.state {
-            State::Asking { until, .. } | State::Following { until, .. } | State::Pausing { until } => {
-                Some(until)
-            }
-            State::Over => None,
+            WatchState::Requesting { until, .. }
+            | WatchState::Following { until, .. }
+            | WatchState::BackingOff { until } => Some(until),
+            WatchState::Stopped => None,
         }
     }
 
-    pub fn step(&mut self, input: Input, now: Micros) -> Output {
+    pub fn step(&mut self, input: WatchInput, now: Micros) -> WatchOutput {
         match (self.state, input) {
-            (State::Over, _) => Output::Nothing,
-            (State::Asking { .. }, Input::Answered) => {
-                self.waits = None;
+            (WatchState::Stopped, _) => WatchOutput::Nothing,
+            (WatchState::Requesting { .. }, WatchInput::Answered) => {
+                self.unanswered_since = None;
                 self.state =
-                    State::Following { until: now.saturating_add(SILENCE), since: now, lasts: false };
-                Output::Nothing
+                    WatchState::Following { until: now.saturating_add(SILENCE), since: now, lasts: false };
+                WatchOutput::Nothing
             }
-            (State::Asking { .. }, Input::Lost) => {
-                self.fails(now);
-                self.waits = self.pushed.then_some(now);
-                Output::Nothing
+            (WatchState::Requesting { .. }, WatchInput::Lost) => {
+                self.request_failed(now);
+                self.unanswered_since = self.pushed.then_some(now);
+                WatchOutput::Nothing
             }
-            (State::Following { since, .. }, Input::Heard { moved }) => {
-                let lasts = now >= since.saturating_add(BEAT / 2);
-                self.state = State::Following { until: now.saturating_add(SILENCE), since, lasts };
+            (WatchState::Following { since, .. }, WatchInput::Heard { moved }) => {
+                let lasts = now >= since.saturating_add(HEARTBEAT / 2);
+                self.state = WatchState::Following { until: now.saturating_add(SILENCE), since, lasts };
                 // Whoever watches where discovery is now is not ended from where it was.
-                if moved { Output::Nothing } else { Output::TakeOver }
+                if moved { WatchOutput::Nothing } else { WatchOutput::EndOlderWatches }
             }
             (
-                State::Asking { until, .. } | State::Following { until, .. } | State::Pausing { until },
-                Input::Tick { .. },
-            ) if now < until => Output::Nothing,
-            (_, Input::Tick { moved: true })
-            | (State::Asking { .. } | State::Following { .. }, Input::Broken { moved: true }) => {
-                self.state = State::Over;
-                Output::Stop
+                WatchState::Requesting { until, .. }
+                | WatchState::Following { until, .. }
+                | WatchState::BackingOff { until },
+                WatchInput::Tick { .. },
+            ) if now < until => WatchOutput::Nothing,
+            (_, WatchInput::Tick { moved: true })
+            | (
+                WatchState::Requesting { .. } | WatchState::Following { .. },
+                WatchInput::Broken { moved: true },
+            ) => {
+                self.state = WatchState::Stopped;
+                WatchOutput::Stop
             }
-            (State::Asking { since, second, .. }, Input::Tick { .. }) if now < since.saturating_add(TOLD) => {
-                self.ask_beside(since, second, now)
+            (WatchState::Requesting { since, second, .. }, WatchInput::Tick { .. })
+                if now < since.saturating_add(NOTIFIED_WITHIN) =>
+            {
+                self.hedge(since, second, now)
             }
-            (State::Asking { .. } | State::Pausing { .. }, Input::Tick { .. }) => {
-                self.ask(now, None, now);
-                Output::Ask
+            (WatchState::Requesting { .. } | WatchState::BackingOff { .. }, WatchInput::Tick { .. }) => {
+                self.request(now, None, now);
+                WatchOutput::Request
             }
-            (State::Following { lasts, .. }, Input::Tick { .. }) => {
+            (WatchState::Following { lasts, .. }, WatchInput::Tick { .. }) => {
                 // Silence is no failure: it has lasted long enough to be asked anew at once.
                 if lasts {
                     self.failed = 0;
                 }
                 // An agent may be back at any moment, and has to find a question then.
-                let over = if self.pushed { 0 } else { self.over(ROUND) };
-                let wait = (self.draw(1.0) * over as f64) as Micros;
-                self.pause(wait, now)
+                let spread = if self.pushed { 0 } else { self.spread(RENEWAL_SPREAD_MAX) };
+                let wait = (self.draw(1.0) * spread as f64) as Micros;
+                self.back_off(wait, now)
             }
-            (State::Following { until, lasts, .. }, Input::Broken { .. }) => {
-                self.count(lasts);
+            (WatchState::Following { until, lasts, .. }, WatchInput::Broken { .. }) => {
+                self.count_failure(lasts);
                 let heard = until.saturating_sub(SILENCE);
-                let wait = if lasts { self.moment() } else { self.rest_after(heard, now) };
-                self.pause(wait, now)
+                let wait = if lasts { self.start_delay() } else { self.backoff_after(heard, now) };
+                self.back_off(wait, now)
             }
-            (State::Asking { last, .. }, Input::Broken { .. }) => {
-                self.fails(now);
+            (WatchState::Requesting { last, .. }, WatchInput::Broken { .. }) => {
+                self.request_failed(now);
                 let back = self.pushed && self.failed == 1;
-                let wait = if back { self.moment().max(RETRY_FIRST / 2) } else { self.rest_after(last, now) };
-                self.pause(wait, now)
+                let wait = if back {
+                    self.start_delay().max(RETRY_FIRST / 2)
+                } else {
+                    self.backoff_after(last, now)
+                };
+                self.back_off(wait, now)
             }
-            _ => Output::Nothing,
+            _ => WatchOutput::Nothing,
         }
     }
 
     /// Counts what failed. A watch that did not last is a failure: asked again at once, it might end at once
     /// for ever.
-    fn count(&mut self, lasted: bool) {
+    fn count_failure(&mut self, lasted: bool) {
         self.failed = if lasted { 0 } else { self.failed.saturating_add(1) };
     }
 
     /// Counts a question that failed. Where lists are pushed: an agent that is back from a silence may reset what it
     /// no longer knows, all of it in one moment: that is the first no.
-    fn fails(&mut self, now: Micros) {
+    fn request_failed(&mut self, now: Micros) {
         if !self.pushed {
-            return self.count(false);
+            return self.count_failure(false);
         }
-        let silent = self.waits.take().is_some_and(|since| now >= since.saturating_add(ANSWER));
+        let silent =
+            self.unanswered_since.take().is_some_and(|since| now >= since.saturating_add(ANSWER_WITHIN));
         if silent {
             self.failed = 1;
-        } else if self.failed == 0 || now >= self.said.saturating_add(RETRY_FIRST) {
-            self.count(false);
+        } else if self.failed == 0 || now >= self.failed_at.saturating_add(RETRY_FIRST) {
+            self.count_failure(false);
         } else {
             return;
         }
-        self.said = now;
+        self.failed_at = now;
     }
 
-    fn pause(&mut self, wait: Micros, now: Micros) -> Output {
-        self.state = State::Pausing { until: now.saturating_add(wait) };
-        Output::Pause(wait)
+    fn back_off(&mut self, wait: Micros, now: Micros) -> WatchOutput {
+        self.state = WatchState::BackingOff { until: now.saturating_add(wait) };
+        WatchOutput::BackOff(wait)
     }
 }
 
 impl Machine for Watch {
-    type Input = (Input, Micros);
+    type Input = (WatchInput, Micros);
     const NAME: &'static str = "The watch on discovery";
     const ABOUT: &'static str = "`core/src/machine/watch.rs`: one address's watch. \
         An empty line is due every 2 s; after 2.5 s of \
@@ -357,59 +369,63 @@
         let at = |state| Watch { state, ..Watch::new(0) };
         vec![
             (
-                "Asking",
+                "Requesting",
                 "the request is out",
-                at(State::Asking { until: 10, since: 0, second: None, last: 0 }),
+                at(WatchState::Requesting { until: 10, since: 0, second: None, last: 0 }),
             ),
             (
                 "Following",
                 "the answer has begun; 2.5 s of silence end it",
-                at(State::Following { until: 10, since: 0, lasts: true }),
+                at(WatchState::Following { until: 10, since: 0, lasts: true }),
             ),
-            ("Pausing", "broken, until the next try", at(State::Pausing { until: 10 })),
-            ("Over", "discovery is elsewhere", at(State::Over)),
+            ("BackingOff", "broken, until the next try", at(WatchState::BackingOff { until: 10 })),
+            ("Stopped", "discovery is elsewhere", at(WatchState::Stopped)),
         ]
     }
 
     fn inputs() -> Vec<(&'static str, &'static str, Self::Input)> {
         vec![
-            ("answered", "the answer's head, with 200", (Input::Answered, 1)),
-            ("heard", "a list is whole, or an empty line between lists", (Input::Heard { moved: false }, 1)),
-            ("heard, moved", "the same, after discovery has moved", (Input::Heard { moved: true }, 1)),
-            ("lost", "a question failed, and another is out", (Input::Lost, 1)),
+            ("answered", "the answer's head, with 200", (WatchInput::Answered, 1)),
+            (
+                "heard",
+                "a list is whole, or an empty line between lists",
+                (WatchInput::Heard { moved: false }, 1),
+            ),
+            ("heard, moved", "the same, after discovery has moved", (WatchInput::Heard { moved: true }, 1)),
+            ("lost", "a question failed, and another is out", (WatchInput::Lost, 1)),
             (
                 "broken",
                 "no question is out any more, an end, or what can't be read",
-                (Input::Broken { moved: false }, 1),
+                (WatchInput::Broken { moved: false }, 1),
             ),
-            ("broken, moved", "the same, after discovery has moved", (Input::Broken { moved: true }, 1)),
-            ("tick", "the time that the state waits for has come", (Input::Tick { moved: false }, 10)),
+            ("broken, moved", "the same, after discovery has moved", (WatchInput::Broken { moved: true }, 1)),
+            ("tick", "the time that the state waits for has come", (WatchInput::Tick { moved: false }, 10)),
             (
                 "tick, late",
                 "the same, 6 s after the first question that is out",
-                (Input::Tick { moved: false }, TOLD),
+                (WatchInput::Tick { moved: false }, NOTIFIED_WITHIN),
             ),
-            ("tick, moved", "the same, after discovery has moved", (Input::Tick { moved: true }, 10)),
+            ("tick, moved", "the same, after discovery has moved", (WatchInput::Tick { moved: true }, 10)),
         ]
     }
 
     fn state(&self) -> &'static str {
         match self.state {
-            State::Asking { .. } => "Asking",
-            State::Following { .. } => "Following",
-            State::Pausing { .. } => "Pausing",
-            State::Over => "Over",
+            WatchState::Requesting { .. } => "Requesting",
+            WatchState::Following { .. } => "Following",
+            WatchState::BackingOff { .. } => "BackingOff",
+            WatchState::Stopped => "Stopped",
         }
     }
 
-    fn take(&mut self, (input, now): Self::Input) -> String {
+    fn apply(&mut self, (input, now): Self::Input) -> String {
         match self.step(input, now) {
-            Output::Nothing => "",
-            Output::Ask => "ask",
-            Output::AskBeside { .. } => "ask beside",
-            Output::TakeOver => "end older watches",
-            Output::Pause(_) => "pause",
-            Output::Stop => "stop",
+            WatchOutput::Nothing => "",
+            WatchOutput::Request => "ask",
+            WatchOutput::Hedge { .. } => "ask beside",
+            WatchOutput::EndOlderWatches => "end older watches",
+            WatchOutput::BackOff(_) => "pause",
+            WatchOutput::Stop => "stop",
         }
         .to_string()
     }
--- a/core/src/note.rs
+++ b/core/src/note.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum Note {
     #[error("taken on: {msg} for destination {dest}, class {class}, {time_left} us")]
-    TakenOn { msg: MsgId, dest: u64, class: usize, time_left: Micros },
+    Accepted { msg: MsgId, dest: u64, class: usize, time_left: Micros },
     #[error("ended: {msg} as {ending:?}")]
     Ended { msg: MsgId, ending: Ending },
     #[error("{0}")]
@@ -28,7 +28,7 @@
     #[error("{0}")]
     NotWritten(JournalError),
     #[error("rejected for want of room on disk: {0}")]
-    NoRoom(JournalError),
+    JournalFull(JournalError),
     #[error(
         "journal: invocation {id:?} has class {class:?}, which the settings lack: it is ended; where the class was \
          renamed, let the old name stand beside the new one until this folder is empty"
@@ -46,16 +46,16 @@
     SetBack { ahead: Micros },
     #[error("not taken over: {id:?} is open or over here already")]
     NotAdopted { id: String },
-    #[error("call {attempt} of invocation {msg} to provider {provider}: not known")]
-    UnknownCall { msg: MsgId, attempt: u32, provider: u32 },
+    #[error("call {attempt} of invocation {msg} to provider {endpoint}: not known")]
+    UnknownCall { msg: MsgId, attempt: u32, endpoint: u32 },
 }
 
 impl Note {
     pub fn level(&self) -> Level {
         match self {
-            Note::TakenOn { .. } | Note::Ended { .. } => Level::Debug,
+            Note::Accepted { .. } | Note::Ended { .. } => Level::Debug,
             Note::Decided(_) | Note::Compacted { .. } | Note::NotAdopted { .. } => Level::Info,
-            Note::Torn(_) | Note::NoRoom(_) | Note::SetBack { .. } => Level::Warn,
+            Note::Torn(_) | Note::JournalFull(_) | Note::SetBack { .. } => Level::Warn,
             Note::NotWritten(_) | Note::UnknownClass { .. } | Note::OtherEffect { .. } => Level::Error,
             Note::UnknownCall { .. } => Level::Error,
         }
--- a/core/src/router.rs
+++ b/core/src/router.rs
@@ -1,14 +1,17 @@
-//! The driver of the decisions: hands in what happened, carries the table of owed invocations and
+//! The driver of the decisions: hands in what happened, carries the table of owed submissions and
 //! the journal along, and says what the transport is to do. It owns no socket and no clock.
 
 use crate::counters::Counters;
+use crate::disabled::{DisableError, DisabledEndpoints, ID_MAX};
+use crate::ended::EndedMessages;
 use crate::flow::Cut;
-use crate::holds::{HoldError, Holds, ID_MAX};
-use crate::journal::{self, End, Journal, JournalError, Record, TakenOn, Under};
+use crate::journal::{self, AcceptedMessage, End, Journal, JournalError, JournalRecord, RepeatEffect};
 use crate::note::Note;
-use crate::over::Over;
 use crate::store::Store;
-use crate::{CallEnd, CallId, Ending, Invocation, InvokerCall, Notice, Parcel, ProviderList, Rider, Said};
+use crate::{
+    AnswerReport, BundledMessage, CallEnd, CallId, DeliveryCall, Ending, EndpointList, MessagePayload,
+    Notice, Submission,
+};
 use serde::{Deserialize, Serialize};
 use spurshore::breaks::{self, Break};
 use spurshore::{
@@ -30,21 +33,21 @@
 mod streams;
 mod watch;
 
-use calls::{Out, calls_of};
-use list::Known;
-pub use state::{ResumeError, State, mark};
+use calls::{OutstandingMessage, calls_of};
+use list::KnownEndpoint;
+pub use state::{ResumeError, RouterState, settings_fingerprint};
 use streams::Stream;
 pub use streams::{StreamEnd, StreamLimits};
 pub use watch::UnknownId;
 
 /// Advice with a rejection for want of room: the module's own for a message that it sheds.
-pub const NO_ROOM_WAIT: Micros = 2_000_000;
+pub const OVERLOAD_RETRY_AFTER: Micros = 2_000_000;
 /// Advice with a rejection by a courier that has stopped taking on: by then the front deals to others only.
-const STOPPING_WAIT: Micros = 500_000;
+const STOPPING_RETRY_AFTER: Micros = 500_000;
 /// Advice with a rejection for a destination that the list of an earlier life lacks.
-const UNHEARD_WAIT: Micros = 500_000;
+const UNKNOWN_LIST_RETRY_AFTER: Micros = 500_000;
 /// Between two tries to note an end that the store has refused: short against the 300 ms that an end has.
-const WRITE_AGAIN: Micros = 50_000;
+const WRITE_RETRY_INTERVAL: Micros = 50_000;
 /// What stands around a message in a call with others: names of the fields, quotes and commas.
 const FRAME: usize = 32;
 
@@ -60,29 +63,29 @@
 
 /// What the transport is to do, in order.
 #[derive(Debug)]
-pub enum Step {
-    Call(InvokerCall),
+pub enum RouterAction {
+    Call(DeliveryCall),
     /// The call has no record and stays where it is; it is to be reported as held back.
     NotWritten(CallId),
     GiveUp(CallId),
     /// The message of a call that is out has its end: what has not left of the call is to stay.
     Ended(CallId),
     CloseIdle(u32),
-    /// The provider is gone for good.
+    /// The endpoint is gone for good.
     Forget(u32),
-    /// Calls to the provider may start, or not any more.
+    /// Calls to the endpoint may start, or not any more.
     Gate {
-        provider: u32,
+        endpoint: u32,
         open: bool,
     },
-    /// No call to the provider may start before then.
-    Hold {
-        provider: u32,
+    /// No call to the endpoint may start before then.
+    BackOff {
+        endpoint: u32,
         until: Micros,
     },
     /// There are notices to send.
     Notify,
-    /// A stream has its final answer, for its consumer's connection; [`Router::answered`] says what came of that.
+    /// A stream has its final answer, for its client's connection; [`Router::answered`] says what came of that.
     Answer {
         msg: MsgId,
         end: StreamEnd,
@@ -91,10 +94,10 @@
     Note(Note),
 }
 
-/// The answer to an invocation handed in.
+/// The answer to a submission handed in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Intake {
-    TakenOn,
+    Accepted,
     /// It is over already, and was delivered.
     Delivered,
     /// Not taken on; handing it in again, after so long, is harmless.
@@ -110,8 +113,8 @@
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Owed {
-    parcel: Arc<Parcel>,
+struct OwedMessage {
+    payload: Arc<MessagePayload>,
     /// Its number in this life's settings; none that they have: it is ended as it is found.
     class: usize,
     dest: u64,
@@ -119,7 +122,7 @@
     /// Ended, and the platform has yet to confirm it.
     end: Option<Ending>,
     /// Attempts of it that the journal has.
-    noted: u32,
+    journaled: u32,
     stream: Option<Stream>,
 }
 
@@ -131,30 +134,30 @@
     effects: Arc<[Effect]>,
     kinds: Arc<[String]>,
     /// For each kind: the endpoints of a destination are separate routes.
-    apart: Arc<[bool]>,
+    separate_routes: Arc<[bool]>,
     zones: Arc<Names>,
     open_cap: usize,
     /// Streams at once.
     streams_most: usize,
-    provider_names: Arc<Names>,
-    providers: BTreeMap<u32, Known>,
+    endpoint_names: Arc<Names>,
+    endpoints: BTreeMap<u32, KnownEndpoint>,
     /// Those of each destination, and those that are gone by when they went.
     by_dest: BTreeMap<u64, BTreeSet<u32>>,
-    went: BTreeSet<(Micros, u32)>,
+    gone_since: BTreeSet<(Micros, u32)>,
     /// Endpoints that operators have taken out.
-    holds: Holds,
-    /// The version of the list that the providers come from.
+    disabled: DisabledEndpoints,
+    /// The version of the list that the endpoints come from.
     version: u64,
     /// Discovery has told of its list in this life.
-    heard: bool,
+    list_received: bool,
     journal: Journal<S>,
     /// In the journal, from another courier's: whether they are owed here is for the fleet to say.
-    unsettled: BTreeMap<journal::Source, Vec<(MsgId, journal::Entry)>>,
-    owed: BTreeMap<MsgId, Owed>,
+    unsettled: BTreeMap<journal::Source, Vec<(MsgId, journal::JournalEntry)>>,
+    owed: BTreeMap<MsgId, OwedMessage>,
     ids: HashMap<String, MsgId>,
-    over: Over,
-    out: BTreeMap<CallId, Out>,
-    /// Calls by provider.
+    ended: EndedMessages,
+    out: BTreeMap<CallId, OutstandingMessage>,
+    /// Calls by endpoint.
     out_at: BTreeSet<(u32, CallId)>,
     /// The messages of each call with several, and until when each of these is waited for.
     bundles: BTreeMap<CallId, Vec<CallId>>,
@@ -184,7 +187,7 @@
     /// One that owes nothing and knows nobody, and is to be given so many messages that are owed already. What was
     /// taken on has its place: where these alone are more than the module's share of the table, it would turn some away
     /// before it tried them. New ones are let in below `open_cap` as ever.
-    fn fresh(
+    fn with_settings(
         env: &Env,
         streams: Option<StreamLimits>,
         owed: usize,
@@ -196,9 +199,9 @@
         let (mut settings, zones) = settings_of(env, streams)?;
         let open_cap = settings.open_cap as usize;
         // The module sheds beyond nine tenths.
-        let room = u32::try_from(owed + owed / 8 + 2).unwrap_or(u32::MAX);
+        let capacity = u32::try_from(owed + owed / 8 + 2).unwrap_or(u32::MAX);
         if owed > open_cap / 10 * 9 {
-            settings.open_cap = settings.open_cap.max(room);
+            settings.open_cap = settings.open_cap.max(capacity);
         }
         let effects = settings.classes.iter().map(|class| class.effect).collect();
         Ok(Router {
@@ -206,22 +209,22 @@
             classes: env.categories.iter().map(|c| c.name.clone()).collect(),
             effects,
             kinds: env.skus.as_slice().into(),
-            apart: env.family_info.separate_routes.as_slice().into(),
+            separate_routes: env.family_info.separate_routes.as_slice().into(),
             zones: Arc::new(zones),
             open_cap,
             streams_most: streams.map_or(0, |limits| limits.most),
-            provider_names: Arc::default(),
-            providers: BTreeMap::new(),
+            endpoint_names: Arc::default(),
+            endpoints: BTreeMap::new(),
             by_dest: BTreeMap::new(),
-            went: BTreeSet::new(),
-            holds: Holds::default(),
+            gone_since: BTreeSet::new(),
+            disabled: DisabledEndpoints::default(),
             version: 0,
-            heard: false,
+            list_received: false,
             journal,
             unsettled: BTreeMap::new(),
             owed: BTreeMap::new(),
             ids: HashMap::new(),
-            over: Over::default(),
+            ended: EndedMessages::default(),
             out: BTreeMap::new(),
             out_at: BTreeSet::new(),
             bundles: BTreeMap::new(),
@@ -244,33 +247,44 @@
         })
     }
 
-    /// A consumer hands in an invocation.
-    pub fn take_on(&mut self, invocation: Invocation, now: Micros) -> (Intake, Vec<Step>) {
-        self.take(invocation, false, now)
+    /// A client hands in a submission.
+    pub fn submit(&mut self, submission: Submission, now: Micros) -> (Intake, Vec<RouterAction>) {
+        self.submit_message(submission, false, now)
     }
 
-    fn take(&mut self, invocation: Invocation, stream: bool, now: Micros) -> (Intake, Vec<Step>) {
-        let mut steps = Vec::new();
-        let intake = self.intake(invocation, stream, now, &mut steps);
-        self.say(&mut steps);
+    fn submit_message(
+        &mut self,
+        submission: Submission,
+        stream: bool,
+        now: Micros,
+    ) -> (Intake, Vec<RouterAction>) {
+        let mut actions = Vec::new();
+        let intake = self.intake(submission, stream, now, &mut actions);
+        self.drain_notes(&mut actions);
         match intake {
-            Intake::TakenOn => self.counters.taken_on += 1,
+            Intake::Accepted => self.counters.taken_on += 1,
             Intake::Delivered => self.counters.repeated += 1,
             Intake::Rejected { .. } => self.counters.rejected += 1,
             Intake::Failed | Intake::Open | Intake::UnknownClass | Intake::UnknownDest => {
                 self.counters.malformed += 1
             }
         }
-        (intake, steps)
+        (intake, actions)
     }
 
-    fn intake(&mut self, invocation: Invocation, stream: bool, now: Micros, steps: &mut Vec<Step>) -> Intake {
+    fn intake(
+        &mut self,
+        submission: Submission,
+        stream: bool,
+        now: Micros,
+        actions: &mut Vec<RouterAction>,
+    ) -> Intake {
         self.forget(now);
-        let Invocation { id, class, key, dest, tenant, time_left, body } = invocation;
+        let Submission { id, class, key, dest, tenant, time_left, body } = submission;
         let Some(class_number) = self.classes.iter().position(|c| *c == class) else {
             return Intake::UnknownClass;
         };
-        // An id is fresh with every invocation, and the end that is told under it must be its own.
+        // An id is fresh with every submission, and the end that is told under it must be its own.
         let known = self.ids.get(&id).filter(|_| !breaks::on(Break::TakeOnTwice));
         if let Some(msg) = known {
             // One that waits for the fleet's word is not owed yet.
@@ -280,7 +294,7 @@
                 Some(Ending::Undeliverable) => Intake::Failed,
             };
         }
-        match self.over.get(&id) {
+        match self.ended.get(&id) {
             Some(End::Delivered) => return Intake::Delivered,
             Some(End::Deferred { after }) => return Intake::Rejected { after },
             Some(End::Undeliverable) => return Intake::Failed,
@@ -288,89 +302,96 @@
         }
         // No other life can send a stream's body.
         if self.stopping.is_some_and(|until| now >= until || stream) {
-            return Intake::Rejected { after: STOPPING_WAIT };
+            return Intake::Rejected { after: STOPPING_RETRY_AFTER };
         }
         if !self.by_dest.contains_key(&dest) {
             // Until discovery has been heard the list is an old one, and lacks what is new.
-            return if self.heard { Intake::UnknownDest } else { Intake::Rejected { after: UNHEARD_WAIT } };
+            return if self.list_received {
+                Intake::UnknownDest
+            } else {
+                Intake::Rejected { after: UNKNOWN_LIST_RETRY_AFTER }
+            };
         }
         if self.ids.len() - self.notices.len() >= self.open_cap {
-            return Intake::Rejected { after: NO_ROOM_WAIT };
+            return Intake::Rejected { after: OVERLOAD_RETRY_AFTER };
         }
         let streams = || self.owed.values().filter(|o| o.stream.is_some()).count();
         if stream && streams() >= self.streams_most {
-            return Intake::Rejected { after: NO_ROOM_WAIT };
+            return Intake::Rejected { after: OVERLOAD_RETRY_AFTER };
         }
         let (msg, deadline) = (self.next, now.saturating_add(time_left));
         let (taken_id, taken_key, taken_body) = (id.clone(), key.clone(), body.clone());
-        let taken = TakenOn { id: taken_id, class, key: taken_key, dest, deadline, body: taken_body };
-        let written = self.journal.take_on(msg, taken, stream, now, &mut self.notes);
+        let taken = AcceptedMessage { id: taken_id, class, key: taken_key, dest, deadline, body: taken_body };
+        let written = self.journal.submit(msg, taken, stream, now, &mut self.notes);
         if let Some(e) = written.err().filter(|_| !breaks::on(Break::TakeOnUnwritten)) {
-            steps.push(Step::Note(Note::NoRoom(e)));
-            return Intake::Rejected { after: NO_ROOM_WAIT };
+            actions.push(RouterAction::Note(Note::JournalFull(e)));
+            return Intake::Rejected { after: OVERLOAD_RETRY_AFTER };
         }
         self.next += 1;
         self.ids.insert(id.clone(), msg);
         let size = size(&id, key.as_deref(), &body);
         let number = tenant.as_ref().and_then(|name| self.tenants.iter().position(|t| t == name));
-        let parcel = Arc::new(Parcel { id, key, tenant: tenant.map(String::into_boxed_str), body });
+        let payload = Arc::new(MessagePayload { id, key, tenant: tenant.map(String::into_boxed_str), body });
         let of_stream = stream.then(Stream::default);
         let class = class_number;
-        self.owed.insert(msg, Owed { parcel, class, dest, deadline, end: None, noted: 0, stream: of_stream });
-        steps.push(Step::Note(Note::TakenOn { msg, dest, class, time_left }));
+        self.owed.insert(
+            msg,
+            OwedMessage { payload, class, dest, deadline, end: None, journaled: 0, stream: of_stream },
+        );
+        actions.push(RouterAction::Note(Note::Accepted { msg, dest, class, time_left }));
         let tenant = number;
         let message = Message { id: msg, class, tenant, key: None, deadline, hint: None, dest, stream, size };
         let orders = self.facade.pick(now, message);
-        self.carry_out(orders, now, steps);
-        self.turned_away(msg, now).map_or(Intake::TakenOn, |after| Intake::Rejected { after })
+        self.carry_out(orders, now, actions);
+        self.rejected_at_once(msg, now).map_or(Intake::Accepted, |after| Intake::Rejected { after })
     }
 
-    /// Whether the module gave a message up in the step that brought it, with no attempt: its consumer, who still
+    /// Whether the module gave a message up in the step that brought it, with no attempt: its client, who still
     /// waits, hears that it is not taken on, instead of a notice later. Streams are answered on their own way.
-    fn turned_away(&mut self, msg: MsgId, now: Micros) -> Option<Micros> {
-        let owed = self.owed.get(&msg).filter(|o| o.stream.is_none() && o.noted == 0)?;
+    fn rejected_at_once(&mut self, msg: MsgId, now: Micros) -> Option<Micros> {
+        let owed = self.owed.get(&msg).filter(|o| o.stream.is_none() && o.journaled == 0)?;
         let Some(Ending::Deferred(after)) = owed.end else { return None };
         if self.out.range(calls_of(msg)).next().is_some() {
             return None;
         }
-        self.tell_watcher(msg, End::Deferred { after });
-        self.write(&Record::Told { msg }, now);
+        self.notify_watcher(msg, End::Deferred { after });
+        self.write(&JournalRecord::Confirmed { msg }, now);
         self.notices.remove(msg);
         self.unwritten.remove(msg);
-        self.over(msg, End::Deferred { after });
+        self.finish(msg, End::Deferred { after });
         self.counters.deferred -= 1;
         Some(after)
     }
 
-    /// Whether an invocation with this id was taken on, as far back as is remembered.
+    /// Whether a submission with this id was taken on, as far back as is remembered.
     pub fn knows(&self, id: &str) -> bool {
-        self.ids.contains_key(id) || self.over.get(id).is_some()
+        self.ids.contains_key(id) || self.ended.get(id).is_some()
     }
 
     /// Time has passed; wanted at `wake_at` at the latest.
-    pub fn tick(&mut self, now: Micros) -> Vec<Step> {
-        let mut steps = Vec::new();
-        self.write_again(now, &mut steps);
-        self.leave_late(now, &mut steps);
+    pub fn tick(&mut self, now: Micros) -> Vec<RouterAction> {
+        let mut actions = Vec::new();
+        self.retry_writes(now, &mut actions);
+        self.detach_late(now, &mut actions);
         let orders = self.facade.tick(now);
-        self.carry_out(orders, now, &mut steps);
-        self.say(&mut steps);
-        steps
+        self.carry_out(orders, now, &mut actions);
+        self.drain_notes(&mut actions);
+        actions
     }
 
     pub fn wake_at(&self) -> Option<Micros> {
-        let again = (!self.unwritten.is_empty()).then_some(self.write_at);
+        let retry = (!self.unwritten.is_empty()).then_some(self.write_at);
         let late = self.waits.first().map(|(until, _)| *until);
-        self.facade.wake_at().into_iter().chain(again).chain(late).min()
+        self.facade.wake_at().into_iter().chain(retry).chain(late).min()
     }
 
     /// Notes the ends that the store has refused. Told without its record, an end would be forgotten by a
     /// kill, and the next life would choose another, or send the message again.
-    fn write_again(&mut self, now: Micros, steps: &mut Vec<Step>) {
+    fn retry_writes(&mut self, now: Micros, actions: &mut Vec<RouterAction>) {
         if now < self.write_at {
             return;
         }
-        self.write_at = now.saturating_add(WRITE_AGAIN);
+        self.write_at = now.saturating_add(WRITE_RETRY_INTERVAL);
         while let Some(msg) = self.unwritten.pop_front() {
             let Some(owed) = self.owed.get_mut(&msg) else { continue };
             let Some(ending) = owed.end else { continue };
@@ -378,50 +399,50 @@
             let due = now >= owed.deadline;
             let ending = if due { Ending::Undeliverable } else { ending };
             owed.end = Some(ending);
-            if !self.write(&Record::End { msg, end: ending.into() }, now) && !due {
+            if !self.write(&JournalRecord::End { msg, end: ending.into() }, now) && !due {
                 self.unwritten.push_front(msg);
                 return;
             }
-            self.tell(msg, ending, steps);
+            self.report_end(msg, ending, actions);
         }
         self.write_at = Micros::MAX;
     }
 
-    /// The process ends at `at`. Half of the time until then it takes on what consumers still bring on the connections
+    /// The process ends at `at`. Half of the time until then it takes on what clients still bring on the connections
     /// that they have: most is delivered by the end, the rest is in the journal. Turned away it would be lost where they
     /// do not come again.
-    pub fn stop(&mut self, now: Micros, at: Micros) -> Vec<Step> {
-        let mut steps = Vec::new();
+    pub fn stop(&mut self, now: Micros, at: Micros) -> Vec<RouterAction> {
+        let mut actions = Vec::new();
         self.stopping = Some(now.saturating_add(at.saturating_sub(now) / 2));
         let orders = self.facade.stop(now, at);
-        self.carry_out(orders, now, &mut steps);
-        self.say(&mut steps);
-        steps
+        self.carry_out(orders, now, &mut actions);
+        self.drain_notes(&mut actions);
+        actions
     }
 
     /// Notices that the platform has yet to confirm, the oldest first.
     pub fn notices(&self, most: usize) -> Vec<Notice> {
         let owed = self.notices.iter().take(most).filter_map(|msg| Some((msg, self.owed.get(&msg)?)));
-        owed.filter_map(|(msg, owed)| Some(Notice { msg, id: owed.parcel.id.clone(), ending: owed.end? }))
+        owed.filter_map(|(msg, owed)| Some(Notice { msg, id: owed.payload.id.clone(), ending: owed.end? }))
             .collect()
     }
 
     /// The platform has confirmed these notices.
-    pub fn told(&mut self, notices: &[Notice], now: Micros) -> Vec<Step> {
-        let mut steps = Vec::new();
+    pub fn notices_confirmed(&mut self, notices: &[Notice], now: Micros) -> Vec<RouterAction> {
+        let mut actions = Vec::new();
         for notice in notices {
-            self.write(&Record::Told { msg: notice.msg }, now);
+            self.write(&JournalRecord::Confirmed { msg: notice.msg }, now);
             self.notices.remove(notice.msg);
-            self.over(notice.msg, notice.ending.into());
+            self.finish(notice.msg, notice.ending.into());
         }
         self.counters.notices += notices.len() as u64;
-        self.say(&mut steps);
-        steps
+        self.drain_notes(&mut actions);
+        actions
     }
 
     /// The journal's words go with the steps.
-    fn say(&mut self, steps: &mut Vec<Step>) {
-        steps.extend(self.notes.drain(..).map(Step::Note));
+    fn drain_notes(&mut self, actions: &mut Vec<RouterAction>) {
+        actions.extend(self.notes.drain(..).map(RouterAction::Note));
     }
 
     /// What the journal stands in, for whoever explores it.
@@ -433,7 +454,7 @@
         &mut self.journal
     }
 
-    /// Invocations owed an end, and invoker calls out.
+    /// Invocations owed an end, and delivery calls out.
     pub fn load(&self) -> (usize, usize) {
         (self.owed.len(), self.out.len())
     }
@@ -442,78 +463,78 @@
         self.journal.disk()
     }
 
-    fn carry_out(&mut self, orders: Vec<Order>, now: Micros, steps: &mut Vec<Step>) {
+    fn carry_out(&mut self, orders: Vec<Order>, now: Micros, actions: &mut Vec<RouterAction>) {
         for order in orders {
             match order {
                 Order::Call { endpoint, items } => {
-                    self.call(endpoint, &items, now, steps);
+                    self.call(endpoint, &items, now, actions);
                 }
                 Order::GiveUp { msg, attempt } => {
                     let item = CallId { msg, attempt };
                     let lead = self.out.get(&item).map_or(item, |out| out.lead);
-                    if !self.leave(item, CallEnd::GivenUp, now, steps) {
-                        steps.push(Step::GiveUp(lead));
+                    if !self.detach(item, CallEnd::GivenUp, now, actions) {
+                        actions.push(RouterAction::GiveUp(lead));
                     }
                 }
-                Order::Reject { msg, after } => self.end(msg, Ending::Deferred(after), now, steps),
-                Order::Fail { msg } => self.end(msg, Ending::Undeliverable, now, steps),
-                Order::CloseIdle { endpoint } => steps.push(Step::CloseIdle(endpoint)),
-                Order::Note(text) => steps.push(Step::Note(Note::Decided(self.named(&text)))),
+                Order::Reject { msg, after } => self.end(msg, Ending::Deferred(after), now, actions),
+                Order::Fail { msg } => self.end(msg, Ending::Undeliverable, now, actions),
+                Order::CloseIdle { endpoint } => actions.push(RouterAction::CloseIdle(endpoint)),
+                Order::Note(text) => actions.push(RouterAction::Note(Note::Decided(self.named(&text)))),
             }
         }
     }
 
-    fn end(&mut self, msg: MsgId, ending: Ending, now: Micros, steps: &mut Vec<Step>) {
+    fn end(&mut self, msg: MsgId, ending: Ending, now: Micros, actions: &mut Vec<RouterAction>) {
         let Some(owed) = self.owed.get_mut(&msg).filter(|owed| owed.end.is_none()) else { return };
         owed.end = Some(ending);
         match ending {
             Ending::Undeliverable => self.counters.undeliverable += 1,
             Ending::Deferred(_) => self.counters.deferred += 1,
         }
-        steps.push(Step::Note(Note::Ended { msg, ending }));
-        let written = self.write(&Record::End { msg, end: ending.into() }, now);
+        actions.push(RouterAction::Note(Note::Ended { msg, ending }));
+        let written = self.write(&JournalRecord::End { msg, end: ending.into() }, now);
         if written || breaks::on(Break::EndUnwritten) {
-            self.tell(msg, ending, steps);
+            self.report_end(msg, ending, actions);
         } else {
             self.unwritten.push_back(msg);
-            self.write_at = self.write_at.min(now.saturating_add(WRITE_AGAIN));
+            self.write_at = self.write_at.min(now.saturating_add(WRITE_RETRY_INTERVAL));
         }
-        steps.extend(self.out.range(calls_of(msg)).map(|(_, out)| Step::Ended(out.lead)));
+        actions.extend(self.out.range(calls_of(msg)).map(|(_, out)| RouterAction::Ended(out.lead)));
     }
 
-    /// Delivered, or over by the provider's word: nothing more is owed.
+    /// Delivered, or over by the endpoint's word: nothing more is owed.
     fn settle(&mut self, msg: MsgId, end: End, now: Micros) {
         if self.owed.contains_key(&msg) {
-            self.write(&Record::End { msg, end }, now);
-            self.tell_watcher(msg, end);
+            self.write(&JournalRecord::End { msg, end }, now);
+            self.notify_watcher(msg, end);
             self.notices.remove(msg);
             self.unwritten.remove(msg);
-            self.over(msg, end);
+            self.finish(msg, end);
         }
     }
 
-    /// Whoever is owed the end hears it: a stream's consumer, who still waits, or else the platform.
-    fn tell(&mut self, msg: MsgId, ending: Ending, steps: &mut Vec<Step>) {
-        self.tell_watcher(msg, ending.into());
+    /// Whoever is owed the end hears it: a stream's client, who still waits, or else the platform.
+    fn report_end(&mut self, msg: MsgId, ending: Ending, actions: &mut Vec<RouterAction>) {
+        self.notify_watcher(msg, ending.into());
         match self.owed.get(&msg).and_then(|owed| owed.stream) {
-            Some(stream) if !stream.deaf => {
+            Some(stream) if !stream.unanswerable => {
                 let end = match (stream.cut, ending) {
                     (Some(why), _) => StreamEnd::Cut(why),
                     (None, Ending::Deferred(after)) => StreamEnd::Deferred(after),
                     (None, Ending::Undeliverable) => StreamEnd::Failed,
                 };
-                steps.push(Step::Answer { msg, end });
+                actions.push(RouterAction::Answer { msg, end });
             }
             _ => {
                 self.notices.push_back(msg);
-                steps.push(Step::Notify);
+                actions.push(RouterAction::Notify);
             }
         }
     }
 
-    fn over(&mut self, msg: MsgId, end: End) {
+    fn finish(&mut self, msg: MsgId, end: End) {
         if let Some(owed) = self.owed.remove(&msg) {
-            let id = &owed.parcel.id;
+            let id = &owed.payload.id;
             self.ids.remove(id);
             self.journal.settled(msg, id);
             self.remember(id.clone(), end, owed.deadline);
@@ -522,24 +543,24 @@
 
     fn remember(&mut self, id: String, end: End, until: Micros) {
         if !breaks::on(Break::ForgetOver) {
-            self.over.remember(id, end, until);
+            self.ended.remember(id, end, until);
         }
     }
 
     fn forget(&mut self, now: Micros) {
-        while let Some(id) = self.over.forget(now) {
+        while let Some(id) = self.ended.forget(now) {
             self.journal.forgotten(&id);
         }
     }
 
     /// A step of what is owed; its room was set aside at the take-on.
-    fn write(&mut self, record: &Record, now: Micros) -> bool {
+    fn write(&mut self, record: &JournalRecord, now: Micros) -> bool {
         self.write_all(std::slice::from_ref(record), now)
     }
 
     /// The same for several, in one append.
-    fn write_all(&mut self, records: &[Record], now: Micros) -> bool {
-        let written = self.journal.note_all(records, now, &mut self.notes);
+    fn write_all(&mut self, records: &[JournalRecord], now: Micros) -> bool {
+        let written = self.journal.append_all(records, now, &mut self.notes);
         written.map_err(|e| self.notes.push(Note::NotWritten(e))).is_ok()
     }
 }
--- a/core/src/router/list.rs
+++ b/core/src/router/list.rs
@@ -1,13 +1,13 @@
-//! The providers as discovery lists them, and those that operators take out.
+//! The endpoints as discovery lists them, and those that operators take out.
 
 use super::*;
 
-/// A provider that is gone is forgotten after this, if no call is out there: it may come back under its
+/// An endpoint that is gone is forgotten after this, if no call is out there: it may come back under its
 /// id, and its destination may have a new one by then.
 const GONE: Micros = 20_000_000;
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(super) struct Known {
+pub(super) struct KnownEndpoint {
     pub(super) addr: Option<SocketAddr>,
     pub(super) dest: u64,
     pub(super) zone: u32,
@@ -25,58 +25,58 @@
 }
 
 impl<S: Store> Router<S> {
-    /// Discovery told of providers.
-    pub fn list(&mut self, list: ProviderList, now: Micros) -> Vec<Step> {
-        let mut steps = Vec::new();
-        (self.version, self.heard) = (list.version, true);
+    /// Discovery told of endpoints.
+    pub fn list(&mut self, list: EndpointList, now: Micros) -> Vec<RouterAction> {
+        let mut actions = Vec::new();
+        (self.version, self.list_received) = (list.version, true);
         if list.full {
-            for (n, p) in &mut self.providers {
+            for (n, p) in &mut self.endpoints {
                 // What a whole list omits is gone, as if it said so.
                 p.state = ListState::Gone;
                 if p.gone.is_none() {
                     p.gone = Some(now);
-                    self.went.insert((now, *n));
+                    self.gone_since.insert((now, *n));
                 }
-                steps.push(Step::Gate { provider: *n, open: false });
+                actions.push(RouterAction::Gate { endpoint: *n, open: false });
             }
         }
-        let mut entries = Vec::with_capacity(list.providers.len());
-        for p in list.providers {
-            let n = number(&mut self.provider_names, &p.id) as u32;
+        let mut entries = Vec::with_capacity(list.endpoints.len());
+        for p in list.endpoints {
+            let n = number(&mut self.endpoint_names, &p.id) as u32;
             let zone = number(&mut self.zones, &p.zone) as u32;
             let kind = self.kinds.iter().position(|k| *k == p.kind).unwrap_or(usize::MAX);
-            let addr = p.addr.or(self.providers.get(&n).and_then(|known| known.addr));
+            let addr = p.addr.or(self.endpoints.get(&n).and_then(|known| known.addr));
             let gone = (p.state == ListState::Gone).then_some(now);
             let (dest, weight, state) = (p.dest, p.weight, p.state);
-            self.know(n, Known { addr, dest, zone, kind, weight, state, gone });
-            let state = self.holds.shown(&p.id, state);
-            steps.push(Step::Gate { provider: n, open: state == ListState::Ready });
+            self.record_endpoint(n, KnownEndpoint { addr, dest, zone, kind, weight, state, gone });
+            let state = self.disabled.effective_state(&p.id, state);
+            actions.push(RouterAction::Gate { endpoint: n, open: state == ListState::Ready });
             entries.push(Entry { endpoint: n, dest, kind, zone, weight, state, cold: false });
         }
         let kind = if list.full { ListKind::Whole } else { ListKind::Delta };
         let orders = self.facade.list(now, kind, entries);
-        self.carry_out(orders, now, &mut steps);
-        self.forget_providers(now, &mut steps);
-        self.say(&mut steps);
-        steps
+        self.carry_out(orders, now, &mut actions);
+        self.forget_endpoints(now, &mut actions);
+        self.drain_notes(&mut actions);
+        actions
     }
 
     /// Operators take an endpoint out: nothing more goes there, whatever discovery lists, until they put it back.
     ///
     /// # Errors
     /// Nobody has the id, or its record could not be written: nothing has changed.
-    pub fn disable(&mut self, id: &str, now: Micros) -> Result<Vec<Step>, HoldError> {
-        if self.holds.contains(id) {
+    pub fn disable(&mut self, id: &str, now: Micros) -> Result<Vec<RouterAction>, DisableError> {
+        if self.disabled.contains(id) {
             return Ok(Vec::new());
         }
-        if self.provider_names.known(id).is_none() || id.len() > ID_MAX {
-            return Err(HoldError::Unknown(id.into()));
+        if self.endpoint_names.known(id).is_none() || id.len() > ID_MAX {
+            return Err(DisableError::Unknown(id.into()));
         }
-        if self.holds.is_full() {
-            return Err(HoldError::TooMany);
+        if self.disabled.is_full() {
+            return Err(DisableError::TooMany);
         }
-        self.journal.hold(id, true, now, &mut self.notes)?;
-        self.holds.insert(id);
+        self.journal.set_disabled(id, true, now, &mut self.notes)?;
+        self.disabled.insert(id);
         Ok(self.show(id, false, now))
     }
 
@@ -84,19 +84,19 @@
     ///
     /// # Errors
     /// Nobody has the id, or its record could not be written: nothing has changed.
-    pub fn enable(&mut self, id: &str, now: Micros) -> Result<Vec<Step>, HoldError> {
-        if !self.holds.contains(id) {
-            let known = self.provider_names.known(id).is_some();
-            return if known { Ok(Vec::new()) } else { Err(HoldError::Unknown(id.into())) };
+    pub fn enable(&mut self, id: &str, now: Micros) -> Result<Vec<RouterAction>, DisableError> {
+        if !self.disabled.contains(id) {
+            let known = self.endpoint_names.known(id).is_some();
+            return if known { Ok(Vec::new()) } else { Err(DisableError::Unknown(id.into())) };
         }
-        self.journal.hold(id, false, now, &mut self.notes)?;
-        self.holds.remove(id);
+        self.journal.set_disabled(id, false, now, &mut self.notes)?;
+        self.disabled.remove(id);
         Ok(self.show(id, true, now))
     }
 
     /// Endpoints that are out.
-    pub fn holds(&self) -> &Holds {
-        &self.holds
+    pub fn disabled(&self) -> &DisabledEndpoints {
+        &self.disabled
     }
 
     pub fn version(&self) -> u64 {
@@ -104,31 +104,31 @@
     }
 
     /// Shows the module and the pool an endpoint as it stands now; `cold`: it may have been restarted.
-    fn show(&mut self, id: &str, cold: bool, now: Micros) -> Vec<Step> {
-        let mut steps = Vec::new();
-        let n = self.provider_names.known(id).and_then(|n| u32::try_from(n).ok());
-        if let Some((n, known)) = n.and_then(|n| Some((n, self.providers.get(&n)?))) {
-            let &Known { dest, zone, kind, weight, state, .. } = known;
-            let state = self.holds.shown(id, state);
-            steps.push(Step::Gate { provider: n, open: state == ListState::Ready });
+    fn show(&mut self, id: &str, cold: bool, now: Micros) -> Vec<RouterAction> {
+        let mut actions = Vec::new();
+        let n = self.endpoint_names.known(id).and_then(|n| u32::try_from(n).ok());
+        if let Some((n, known)) = n.and_then(|n| Some((n, self.endpoints.get(&n)?))) {
+            let &KnownEndpoint { dest, zone, kind, weight, state, .. } = known;
+            let state = self.disabled.effective_state(id, state);
+            actions.push(RouterAction::Gate { endpoint: n, open: state == ListState::Ready });
             let entry = Entry { endpoint: n, dest, kind, zone, weight, state, cold };
             let orders = self.facade.list(now, ListKind::Delta, vec![entry]);
-            self.carry_out(orders, now, &mut steps);
+            self.carry_out(orders, now, &mut actions);
         }
-        self.say(&mut steps);
-        steps
+        self.drain_notes(&mut actions);
+        actions
     }
 
-    /// A provider is as the list says now.
-    pub(super) fn know(&mut self, n: u32, known: Known) {
-        self.unknow(n);
+    /// An endpoint is as the list says now.
+    pub(super) fn record_endpoint(&mut self, n: u32, known: KnownEndpoint) {
+        self.drop_endpoint(n);
         self.by_dest.entry(known.dest).or_default().insert(n);
-        self.went.extend(known.gone.map(|gone| (gone, n)));
-        self.providers.insert(n, known);
+        self.gone_since.extend(known.gone.map(|gone| (gone, n)));
+        self.endpoints.insert(n, known);
     }
 
-    fn unknow(&mut self, n: u32) {
-        let Some(old) = self.providers.remove(&n) else { return };
+    fn drop_endpoint(&mut self, n: u32) {
+        let Some(old) = self.endpoints.remove(&n) else { return };
         if let Some(same) = self.by_dest.get_mut(&old.dest) {
             same.remove(&n);
             if same.is_empty() {
@@ -136,27 +136,27 @@
             }
         }
         if let Some(gone) = old.gone {
-            self.went.remove(&(gone, n));
+            self.gone_since.remove(&(gone, n));
         }
     }
 
-    /// Without this the tables would grow with every provider that ever was.
-    fn forget_providers(&mut self, now: Micros, steps: &mut Vec<Step>) {
-        let long = self.went.iter().take_while(|(gone, _)| now >= gone + GONE).map(|(_, n)| *n);
-        let mut over: Vec<u32> = long.filter(|n| self.calls_at(*n).next().is_none()).collect();
-        over.sort_unstable();
-        for n in over {
-            self.unknow(n);
-            Arc::make_mut(&mut self.provider_names).forget(u64::from(n));
-            steps.push(Step::Forget(n));
+    /// Without this the tables would grow with every endpoint that ever was.
+    fn forget_endpoints(&mut self, now: Micros, actions: &mut Vec<RouterAction>) {
+        let long = self.gone_since.iter().take_while(|(gone, _)| now >= gone + GONE).map(|(_, n)| *n);
+        let mut forgotten: Vec<u32> = long.filter(|n| self.calls_at(*n).next().is_none()).collect();
+        forgotten.sort_unstable();
+        for n in forgotten {
+            self.drop_endpoint(n);
+            Arc::make_mut(&mut self.endpoint_names).forget(u64::from(n));
+            actions.push(RouterAction::Forget(n));
         }
     }
 
-    /// The module numbers the providers; staff know their names.
+    /// The module numbers the endpoints; staff know their names.
     pub(super) fn named(&self, text: &str) -> String {
         let number = text.strip_prefix("endpoint ").and_then(|rest| rest.split_once(':'));
         match number.and_then(|(n, rest)| Some((n.parse().ok()?, rest))) {
-            Some((n, rest)) => format!("provider {}:{rest}", self.provider_names.name(n)),
+            Some((n, rest)) => format!("provider {}:{rest}", self.endpoint_names.name(n)),
             None => text.to_string(),
         }
     }
--- a/core/src/router/restore.rs
+++ b/core/src/router/restore.rs
@@ -14,11 +14,11 @@
     pub fn open(
         env: &Env,
         seed: u64,
-        known: ProviderList,
+        known: EndpointList,
         store: S,
         disk: u64,
         now: Micros,
-    ) -> Result<(Self, Vec<Step>), RouterError> {
+    ) -> Result<(Self, Vec<RouterAction>), RouterError> {
         Self::open_with(env, None, seed, known, store, disk, now)
     }
 
@@ -30,35 +30,36 @@
         env: &Env,
         streams: Option<StreamLimits>,
         seed: u64,
-        known: ProviderList,
+        known: EndpointList,
         store: S,
         disk: u64,
         now: Micros,
-    ) -> Result<(Self, Vec<Step>), RouterError> {
+    ) -> Result<(Self, Vec<RouterAction>), RouterError> {
         let mut notes = Vec::new();
-        let (journal, mut book) = Journal::open(store, disk, now, &mut notes)?;
+        let (journal, mut contents) = Journal::open(store, disk, now, &mut notes)?;
         // Set back, the clock does not tell how old an attempt is, and no repeat is known to come within its span.
-        let calls = || book.owed.values().flat_map(|entry| &entry.calls);
+        let calls = || contents.owed.values().flat_map(|entry| &entry.calls);
         let ahead = calls().map(|call| call.sent.saturating_sub(now)).max().unwrap_or(0);
         if ahead > 0 {
             notes.push(Note::SetBack { ahead });
-            let calls = book.owed.values_mut().flat_map(|entry| &mut entry.calls);
+            let calls = contents.owed.values_mut().flat_map(|entry| &mut entry.calls);
             calls.filter(|call| call.never_ran != Some(true)).for_each(|call| call.sent = 0);
         }
         let facade = |settings| Facade::new(settings, seed);
-        let mut router = Self::fresh(env, streams, book.owed.len(), facade, journal, book.next, notes)?;
-        router.holds = book.holds;
-        let mut steps = router.list(known, now);
-        router.heard = false;
-        for (id, end, until) in book.over {
+        let mut router =
+            Self::with_settings(env, streams, contents.owed.len(), facade, journal, contents.next, notes)?;
+        router.disabled = contents.disabled;
+        let mut actions = router.list(known, now);
+        router.list_received = false;
+        for (id, end, until) in contents.ended {
             router.remember(id, end, until);
         }
-        router.counters.restored = book.owed.len() as u64;
-        for (msg, entry) in book.owed {
-            router.adopted(msg, entry, now, &mut steps);
+        router.counters.restored = contents.owed.len() as u64;
+        for (msg, entry) in contents.owed {
+            router.adopted(msg, entry, now, &mut actions);
         }
-        router.say(&mut steps);
-        Ok((router, steps))
+        router.drain_notes(&mut actions);
+        Ok((router, actions))
     }
 
     /// Takes over what another courier's book owes, under numbers of this router's own: into its journal, and from there
@@ -68,7 +69,11 @@
     ///
     /// # Errors
     /// The journal has no room, or its store refused the records: then nothing is taken over.
-    pub fn adopt(&mut self, entries: Vec<journal::Entry>, now: Micros) -> Result<Vec<Step>, JournalError> {
+    pub fn adopt(
+        &mut self,
+        entries: Vec<journal::JournalEntry>,
+        now: Micros,
+    ) -> Result<Vec<RouterAction>, JournalError> {
         self.adopt_with(entries, &journal::Settlements::default(), now)
     }
 
@@ -78,18 +83,18 @@
     /// The journal has no room, or its store refused the records: then nothing is taken over.
     pub fn adopt_with(
         &mut self,
-        entries: Vec<journal::Entry>,
+        entries: Vec<journal::JournalEntry>,
         lines: &journal::Settlements,
         now: Micros,
-    ) -> Result<Vec<Step>, JournalError> {
+    ) -> Result<Vec<RouterAction>, JournalError> {
         self.forget(now);
-        let mut steps = Vec::new();
+        let mut actions = Vec::new();
         let (mut fresh, mut ids) = (BTreeMap::new(), BTreeSet::new());
         for entry in entries {
             let id = &entry.taken.id;
-            let known = self.ids.contains_key(id) || self.over.contains(id);
+            let known = self.ids.contains_key(id) || self.ended.contains(id);
             if known || entry.end == Some(End::Delivered) || !ids.insert(id.clone()) {
-                steps.push(Step::Note(Note::NotAdopted { id: id.clone() }));
+                actions.push(RouterAction::Note(Note::NotAdopted { id: id.clone() }));
                 continue;
             }
             fresh.insert(self.next + fresh.len() as MsgId, entry);
@@ -100,17 +105,23 @@
         self.next += fresh.len() as MsgId;
         self.counters.adopted += fresh.len() as u64;
         for (msg, entry) in fresh {
-            self.adopted(msg, entry, now, &mut steps);
+            self.adopted(msg, entry, now, &mut actions);
         }
-        self.say(&mut steps);
-        Ok(steps)
+        self.drain_notes(&mut actions);
+        Ok(actions)
     }
 
-    /// Goes on with an invocation of another life, which the journal has: an attempt without an outcome may have run.
-    pub(super) fn restore(&mut self, msg: MsgId, entry: journal::Entry, now: Micros, steps: &mut Vec<Step>) {
-        let TakenOn { id, class, key, dest, deadline, body } = entry.taken;
-        let noted = entry.end.filter(|_| !breaks::on(Break::ForgetEnd));
-        let end = noted.map(|end| match end {
+    /// Goes on with a submission of another life, which the journal has: an attempt without an outcome may have run.
+    pub(super) fn restore(
+        &mut self,
+        msg: MsgId,
+        entry: journal::JournalEntry,
+        now: Micros,
+        actions: &mut Vec<RouterAction>,
+    ) {
+        let AcceptedMessage { id, class, key, dest, deadline, body } = entry.taken;
+        let journaled = entry.end.filter(|_| !breaks::on(Break::ForgetEnd));
+        let end = journaled.map(|end| match end {
             End::Deferred { after } => Ending::Deferred(after),
             End::Delivered | End::Undeliverable => Ending::Undeliverable,
         });
@@ -118,39 +129,44 @@
         let known = self.classes.iter().position(|c| *c == class);
         self.ids.insert(id.clone(), msg);
         let size = size(&id, key.as_deref(), &body);
-        let parcel = Arc::new(Parcel { id: id.clone(), key, tenant: None, body });
-        let noted = entry.calls.len() as u32;
-        // Its consumer and its body went with the life before.
+        let payload = Arc::new(MessagePayload { id: id.clone(), key, tenant: None, body });
+        let journaled = entry.calls.len() as u32;
+        // Its client and its body went with the life before.
         let stream = entry.stream.then(|| Stream {
             committed: true,
             may_have_run: entry.calls.iter().any(|call| call.never_ran != Some(true)),
-            deaf: true,
+            unanswerable: true,
             ..Stream::default()
         });
         let number = known.unwrap_or(usize::MAX);
-        self.owed.insert(msg, Owed { parcel, class: number, dest, deadline, end, noted, stream });
+        self.owed.insert(msg, OwedMessage { payload, class: number, dest, deadline, end, journaled, stream });
         if end.is_some() {
             self.notices.push_back(msg);
-            steps.push(Step::Notify);
+            actions.push(RouterAction::Notify);
             return;
         }
         let Some(number) = known else {
             // The settings have changed since: nothing can be decided about it any more.
             let ran = entry.calls.iter().any(|call| call.never_ran != Some(true));
-            steps.push(Step::Note(Note::UnknownClass { id, class }));
-            return self.end(msg, if ran { Ending::Undeliverable } else { Ending::Deferred(0) }, now, steps);
+            actions.push(RouterAction::Note(Note::UnknownClass { id, class }));
+            return self.end(
+                msg,
+                if ran { Ending::Undeliverable } else { Ending::Deferred(0) },
+                now,
+                actions,
+            );
         };
         if let Some(stream) = stream {
-            return self.end(msg, stream.ending(), now, steps);
+            return self.end(msg, stream.ending(), now, actions);
         }
         if deadline <= now {
             // Nothing can be delivered any more, and an end that the store refused may have been told.
-            return self.end(msg, Ending::Undeliverable, now, steps);
+            return self.end(msg, Ending::Undeliverable, now, actions);
         }
         let Some(past) = entry.calls.iter().map(|call| self.past(number, call)).collect::<Option<Vec<_>>>()
         else {
-            steps.push(Step::Note(Note::OtherEffect { id, class }));
-            return self.end(msg, Ending::Undeliverable, now, steps);
+            actions.push(RouterAction::Note(Note::OtherEffect { id, class }));
+            return self.end(msg, Ending::Undeliverable, now, actions);
         };
         let message = Message {
             id: msg,
@@ -165,7 +181,7 @@
         };
         let past = if breaks::on(Break::ForgetPast) { Vec::new() } else { past };
         let orders = self.facade.restore(now, message, past);
-        self.carry_out(orders, now, steps);
+        self.carry_out(orders, now, actions);
     }
 
     /// An attempt of another life as the module is to see it: the stricter holds of what a repeat could do then and could
@@ -174,13 +190,13 @@
         let may_have_run = call.never_ran != Some(true);
         let as_is = PastAttempt { zone: ELSEWHERE, sent: call.sent, may_have_run };
         let effect = *self.effects.get(class)?;
-        match (&call.under, effect) {
+        match (&call.effect, effect) {
             // Nothing ran, nothing was stricter, or the module never repeats it.
-            (None | Some(Under::Safe), _) | (_, Effect::Unsafe) => Some(as_is),
+            (None | Some(RepeatEffect::Safe), _) | (_, Effect::Unsafe) => Some(as_is),
             _ if !may_have_run => Some(as_is),
-            (Some(Under::Unsafe), _) | (Some(Under::Keyed { .. }), Effect::Safe) => None,
-            (Some(Under::Keyed { zone: Some(_), .. }), Effect::Keyed { by_zone: false, .. }) => None,
-            (Some(Under::Keyed { span: then, zone }), Effect::Keyed { span, .. }) => {
+            (Some(RepeatEffect::Unsafe), _) | (Some(RepeatEffect::Keyed { .. }), Effect::Safe) => None,
+            (Some(RepeatEffect::Keyed { zone: Some(_), .. }), Effect::Keyed { by_zone: false, .. }) => None,
+            (Some(RepeatEffect::Keyed { span: then, zone }), Effect::Keyed { span, .. }) => {
                 let zone = zone.as_ref().map_or(ELSEWHERE, |name| list::number(&mut self.zones, name) as u32);
                 // Sent so much earlier, its span of today ends with the one of then.
                 Some(PastAttempt {
--- a/core/src/router/seen.rs
+++ b/core/src/router/seen.rs
@@ -8,44 +8,44 @@
     pub fn see(&self, eye: &mut impl Eye) {
         #[rustfmt::skip]
         let Router {
-            facade, classes: _, effects: _, kinds: _, apart: _, zones: _, open_cap: _, streams_most: _, provider_names, providers, holds, version: _, heard,
+            facade, classes: _, effects: _, kinds: _, separate_routes: _, zones: _, open_cap: _, streams_most: _, endpoint_names, endpoints, disabled, version: _, list_received,
             // These three follow from the others.
-            by_dest: _, went: _, out_at: _, waits: _, second_copies: _, tenants: _, load_fields: _,
-            journal: _, unsettled: _, owed, bundles, ids: _, over, out, notices, unwritten, write_at, next: _, stopping, watched: _, watched_ends: _, notes: _, counters: _,
+            by_dest: _, gone_since: _, out_at: _, waits: _, second_copies: _, tenants: _, load_fields: _,
+            journal: _, unsettled: _, owed, bundles, ids: _, ended, out, notices, unwritten, write_at, next: _, stopping, watched: _, watched_ends: _, notes: _, counters: _,
         } = self;
         facade.see(eye);
-        eye.word(holds.iter().count() as u64);
-        holds.iter().for_each(|id| see_text(id, eye));
-        eye.flag(*heard);
+        eye.word(disabled.iter().count() as u64);
+        disabled.iter().for_each(|id| see_text(id, eye));
+        eye.flag(*list_received);
         eye.time(stopping.unwrap_or(Micros::MAX));
-        let lens = [providers.len(), owed.len(), over.iter().len(), out.len(), notices.len()];
+        let lens = [endpoints.len(), owed.len(), ended.iter().len(), out.len(), notices.len()];
         lens.into_iter().for_each(|n| eye.word(n as u64));
-        for (n, p) in providers {
-            let Known { addr, dest, zone, kind: _, weight, state, gone } = p;
+        for (n, p) in endpoints {
+            let KnownEndpoint { addr, dest, zone, kind: _, weight, state, gone } = p;
             eye.endpoint(*n);
             eye.word(*state as u64);
             eye.real(*weight);
-            see_text(provider_names.name(u64::from(*n)), eye);
+            see_text(endpoint_names.name(u64::from(*n)), eye);
             [*dest, u64::from(*zone), addr.map_or(0, |a| a.port().into())]
                 .into_iter()
                 .for_each(|w| eye.word(w));
             eye.time(gone.unwrap_or(Micros::MAX));
         }
         for (id, o) in owed {
-            let Owed { parcel, class: _, dest, deadline, end, noted, stream } = o;
-            if let Some(Stream { committed, may_have_run, cut, over, deaf }) = stream {
-                [*committed, *may_have_run, cut.is_some(), *over, *deaf]
+            let OwedMessage { payload, class: _, dest, deadline, end, journaled, stream } = o;
+            if let Some(Stream { committed, may_have_run, cut, finished, unanswerable }) = stream {
+                [*committed, *may_have_run, cut.is_some(), *finished, *unanswerable]
                     .into_iter()
                     .for_each(|f| eye.flag(f));
             }
-            eye.word(u64::from(*noted));
+            eye.word(u64::from(*journaled));
             eye.message(*id);
-            see_text(&parcel.id, eye);
+            see_text(&payload.id, eye);
             eye.word(*dest);
             eye.time(*deadline);
             see_ending(*end, eye);
         }
-        for (id, end, until) in over.iter() {
+        for (id, end, until) in ended.iter() {
             see_text(id, eye);
             eye.time(until);
             let end = end.map(|end| match end {
@@ -56,13 +56,13 @@
             eye.word(end.unwrap_or(0));
         }
         for (call, o) in out {
-            let Out { lead, sent, provider, dest, noted, written, until } = o;
+            let OutstandingMessage { lead, sent, endpoint, dest, journaled, written, until } = o;
             eye.message(lead.msg);
             eye.time(*until);
             eye.time(written.unwrap_or(Micros::MAX));
-            eye.word(noted.map_or(u64::MAX, u64::from));
+            eye.word(journaled.map_or(u64::MAX, u64::from));
             eye.message(call.msg);
-            eye.endpoint(*provider);
+            eye.endpoint(*endpoint);
             [u64::from(call.attempt), *dest].into_iter().for_each(|w| eye.word(w));
             eye.time(*sent);
         }
@@ -86,19 +86,19 @@
         self.next
     }
 
-    /// Numbers of the messages that are owed, and of the providers that are known.
+    /// Numbers of the messages that are owed, and of the endpoints that are known.
     pub fn names(&self) -> (impl Iterator<Item = MsgId>, impl Iterator<Item = u32>) {
-        (self.owed.keys().copied(), self.providers.keys().copied())
+        (self.owed.keys().copied(), self.endpoints.keys().copied())
     }
 
-    /// The name of a provider in discovery's list.
-    pub fn provider_name(&self, provider: u32) -> &str {
-        self.provider_names.name(provider.into())
+    /// The name of an endpoint in discovery's list.
+    pub fn endpoint_name(&self, endpoint: u32) -> &str {
+        self.endpoint_names.name(endpoint.into())
     }
 
-    /// When an invocation's time is up, and its end where it waits for the platform's confirmation.
+    /// When a submission's time is up, and its end where it waits for the platform's confirmation.
     pub fn owed(&self) -> impl Iterator<Item = (&str, Micros, Option<Ending>)> {
-        self.owed.values().map(|o| (o.parcel.id.as_str(), o.deadline, o.end))
+        self.owed.values().map(|o| (o.payload.id.as_str(), o.deadline, o.end))
     }
 }
 
--- a/core/src/router/settle.rs
+++ b/core/src/router/settle.rs
@@ -1,13 +1,19 @@
 //! Messages from another courier's journal, between their writing into this one's and the fleet's word whose they are.
 
 use super::*;
-use crate::journal::{Entry, Source};
+use crate::journal::{JournalEntry, Source};
 
 impl<S: Store> Router<S> {
-    /// Goes on with an invocation that is this router's; one with a source waits.
-    pub(super) fn adopted(&mut self, msg: MsgId, entry: Entry, now: Micros, steps: &mut Vec<Step>) {
+    /// Goes on with a submission that is this router's; one with a source waits.
+    pub(super) fn adopted(
+        &mut self,
+        msg: MsgId,
+        entry: JournalEntry,
+        now: Micros,
+        actions: &mut Vec<RouterAction>,
+    ) {
         match &entry.source {
-            None => self.restore(msg, entry, now, steps),
+            None => self.restore(msg, entry, now, actions),
             Some(source) => {
                 // Nobody else may be let in under its id.
                 self.ids.insert(entry.taken.id.clone(), msg);
@@ -28,21 +34,21 @@
     pub fn settle_from(
         &mut self,
         source: &Source,
-        kept: bool,
+        accepted: bool,
         now: Micros,
-    ) -> Result<Vec<Step>, JournalError> {
-        let record = Record::Settled { source: source.clone(), kept };
-        self.journal.note_all(&[record], now, &mut self.notes)?;
-        let mut steps = Vec::new();
+    ) -> Result<Vec<RouterAction>, JournalError> {
+        let record = JournalRecord::Settled { source: source.clone(), accepted: accepted };
+        self.journal.append_all(&[record], now, &mut self.notes)?;
+        let mut actions = Vec::new();
         for (msg, entry) in self.unsettled.remove(source).unwrap_or_default() {
-            if kept {
-                self.restore(msg, Entry { source: None, ..entry }, now, &mut steps);
+            if accepted {
+                self.restore(msg, JournalEntry { source: None, ..entry }, now, &mut actions);
             } else {
                 self.ids.remove(&entry.taken.id);
                 self.journal.settled(msg, "");
             }
         }
-        self.say(&mut steps);
-        Ok(steps)
+        self.drain_notes(&mut actions);
+        Ok(actions)
     }
 }
