--- a/core/src/router/state.rs
+++ b/core/src/router/state.rs
@@ -4,21 +4,21 @@
 
 /// All that a router decides from, but for its settings and its journal's file.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct State {
+pub struct RouterState {
     /// Of the settings that the state was made under.
     settings: u32,
     /// Bytes of the journal then. Where it is longer a third process had the lock in between, and decided.
     journal: u64,
     facade: Facade,
     zones: Names,
-    provider_names: Names,
-    providers: BTreeMap<u32, Known>,
-    holds: Holds,
+    endpoint_names: Names,
+    endpoints: BTreeMap<u32, KnownEndpoint>,
+    disabled: DisabledEndpoints,
     version: u64,
-    heard: bool,
-    owed: BTreeMap<MsgId, Owed>,
-    over: Vec<(String, End, Micros)>,
-    out: BTreeMap<CallId, Out>,
+    list_received: bool,
+    owed: BTreeMap<MsgId, OwedMessage>,
+    ended: Vec<(String, End, Micros)>,
+    out: BTreeMap<CallId, OutstandingMessage>,
     bundles: BTreeMap<CallId, Vec<CallId>>,
     notices: Vec<MsgId>,
     unwritten: Vec<MsgId>,
@@ -39,7 +39,7 @@
 }
 
 /// Tells settings apart: a state's numbers stand for other names under others.
-pub fn mark(env: &Env, streams: Option<StreamLimits>) -> Result<u32, RouterError> {
+pub fn settings_fingerprint(env: &Env, streams: Option<StreamLimits>) -> Result<u32, RouterError> {
     let (settings, _) = settings_of(env, streams)?;
     let classes: Vec<_> = env.categories.iter().map(|c| &c.name).collect();
     let tenants: Vec<_> = env.tenants.iter().map(|t| &t.name).collect();
@@ -48,22 +48,22 @@
 }
 
 impl<S: Store> Router<S> {
-    /// All that it decides from; `settings`: their [`mark`].
-    pub fn state(&self, settings: u32) -> State {
-        let over = self.over.iter();
-        let over = over.filter_map(|(id, end, until)| Some((id.to_string(), end?, until)));
-        State {
+    /// All that it decides from; `settings`: their [`settings_fingerprint`].
+    pub fn state(&self, settings: u32) -> RouterState {
+        let ended = self.ended.iter();
+        let ended = ended.filter_map(|(id, end, until)| Some((id.to_string(), end?, until)));
+        RouterState {
             settings,
             journal: self.journal.store().len(),
             facade: self.facade.clone(),
             zones: Names::clone(&self.zones),
-            provider_names: Names::clone(&self.provider_names),
-            providers: self.providers.clone(),
-            holds: self.holds.clone(),
+            endpoint_names: Names::clone(&self.endpoint_names),
+            endpoints: self.endpoints.clone(),
+            disabled: self.disabled.clone(),
             version: self.version,
-            heard: self.heard,
+            list_received: self.list_received,
             owed: self.owed.clone(),
-            over: over.collect(),
+            ended: ended.collect(),
             out: self.out.clone(),
             bundles: self.bundles.clone(),
             notices: self.notices.iter().collect(),
@@ -81,39 +81,43 @@
     pub fn resume(
         env: &Env,
         streams: Option<StreamLimits>,
-        state: State,
+        state: RouterState,
         store: S,
         disk: u64,
         now: Micros,
-    ) -> Result<(Self, Vec<Step>), ResumeError> {
-        if state.settings != mark(env, streams)? {
+    ) -> Result<(Self, Vec<RouterAction>), ResumeError> {
+        if state.settings != settings_fingerprint(env, streams)? {
             return Err(ResumeError::OtherSettings);
         }
         if store.len() != state.journal {
             return Err(ResumeError::OtherJournal);
         }
         let mut notes = Vec::new();
-        let (journal, book) = Journal::open(store, disk, now, &mut notes).map_err(RouterError::from)?;
-        if !book.owed.keys().eq(state.owed.keys()) || book.holds != state.holds || book.next > state.next {
+        let (journal, contents) = Journal::open(store, disk, now, &mut notes).map_err(RouterError::from)?;
+        if !contents.owed.keys().eq(state.owed.keys())
+            || contents.disabled != state.disabled
+            || contents.next > state.next
+        {
             return Err(ResumeError::OtherJournal);
         }
         let facade = |settings| state.facade.resume(settings);
-        let mut router = Self::fresh(env, streams, state.owed.len(), facade, journal, state.next, notes)?;
-        (router.zones, router.provider_names) = (Arc::new(state.zones), Arc::new(state.provider_names));
-        router.holds = state.holds;
-        let mut steps = Vec::new();
-        for (n, known) in state.providers {
-            let shown = router.holds.shown(router.provider_names.name(n.into()), known.state);
-            steps.push(Step::Gate { provider: n, open: shown == ListState::Ready });
-            router.know(n, known);
+        let mut router =
+            Self::with_settings(env, streams, state.owed.len(), facade, journal, state.next, notes)?;
+        (router.zones, router.endpoint_names) = (Arc::new(state.zones), Arc::new(state.endpoint_names));
+        router.disabled = state.disabled;
+        let mut actions = Vec::new();
+        for (n, known) in state.endpoints {
+            let shown = router.disabled.effective_state(router.endpoint_names.name(n.into()), known.state);
+            actions.push(RouterAction::Gate { endpoint: n, open: shown == ListState::Ready });
+            router.record_endpoint(n, known);
         }
-        (router.version, router.heard) = (state.version, state.heard);
-        for (id, end, until) in state.over {
+        (router.version, router.list_received) = (state.version, state.list_received);
+        for (id, end, until) in state.ended {
             router.remember(id, end, until);
         }
-        router.ids = state.owed.iter().map(|(msg, owed)| (owed.parcel.id.clone(), *msg)).collect();
+        router.ids = state.owed.iter().map(|(msg, owed)| (owed.payload.id.clone(), *msg)).collect();
         router.owed = state.owed;
-        router.out_at = state.out.values().map(|out| (out.provider, out.lead)).collect();
+        router.out_at = state.out.values().map(|out| (out.endpoint, out.lead)).collect();
         let several = state.out.iter().filter(|(_, out)| state.bundles.contains_key(&out.lead));
         router.waits = several.map(|(item, out)| (out.until, *item)).collect();
         (router.out, router.bundles) = (state.out, state.bundles);
@@ -121,10 +125,10 @@
         state.unwritten.into_iter().for_each(|msg| router.unwritten.push_back(msg));
         (router.write_at, router.counters) = (state.write_at, state.counters);
         if !router.notices.is_empty() {
-            steps.push(Step::Notify);
+            actions.push(RouterAction::Notify);
         }
-        router.say(&mut steps);
-        Ok((router, steps))
+        router.drain_notes(&mut actions);
+        Ok((router, actions))
     }
 
     /// The calls that are out.
--- a/core/src/router/streams.rs
+++ b/core/src/router/streams.rs
@@ -2,15 +2,15 @@
 
 use super::*;
 
-/// The final answer to a streamed invocation.
+/// The final answer to a streamed submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StreamEnd {
     Delivered,
-    /// Nothing has run; the consumer may come again, after so long.
+    /// Nothing has run; the client may come again, after so long.
     Deferred(Micros),
     /// With no promise about its effect.
     Failed,
-    /// The consumer itself did not bring it whole.
+    /// The client itself did not bring it whole.
     Cut(Cut),
 }
 
@@ -33,26 +33,30 @@
     pub(super) may_have_run: bool,
     pub(super) cut: Option<Cut>,
     /// No other attempt is wanted: its body is lost, or the process ends.
-    pub(super) over: bool,
-    /// Its consumer can't be answered any more, or has gone with another life: the platform is told.
-    pub(super) deaf: bool,
+    pub(super) finished: bool,
+    /// Its client can't be answered any more, or has gone with another life: the platform is told.
+    pub(super) unanswerable: bool,
 }
 
 impl Stream {
     /// How it ends if it is not delivered.
     pub(super) fn ending(&self) -> Ending {
-        if self.may_have_run { Ending::Undeliverable } else { Ending::Deferred(NO_ROOM_WAIT) }
+        if self.may_have_run { Ending::Undeliverable } else { Ending::Deferred(OVERLOAD_RETRY_AFTER) }
     }
 }
 
 impl<S: Store> Router<S> {
-    /// A consumer begins to hand in an invocation whose body is passed on as it comes. Its end comes as
+    /// A client begins to hand in a submission whose body is passed on as it comes. Its end comes as
     /// [`Step::Answer`]; the number is the message's, where it is taken on.
-    pub fn take_on_stream(&mut self, invocation: Invocation, now: Micros) -> (Intake, MsgId, Vec<Step>) {
+    pub fn submit_stream(
+        &mut self,
+        submission: Submission,
+        now: Micros,
+    ) -> (Intake, MsgId, Vec<RouterAction>) {
         let msg = self.next;
-        let (intake, steps) = self.take(invocation, true, now);
-        self.counters.streams += u64::from(intake == Intake::TakenOn);
-        (intake, msg, steps)
+        let (intake, actions) = self.submit_message(submission, true, now);
+        self.counters.streams += u64::from(intake == Intake::Accepted);
+        (intake, msg, actions)
     }
 
     /// A call of a stream is over, and the message is not delivered: without its whole body, or with an end
@@ -62,25 +66,25 @@
         msg: MsgId,
         never_ran: bool,
         now: Micros,
-        steps: &mut Vec<Step>,
+        actions: &mut Vec<RouterAction>,
     ) {
         let Some(stream) = self.owed.get_mut(&msg).and_then(|owed| owed.stream.as_mut()) else { return };
         stream.may_have_run |= !never_ran;
-        if (stream.committed && !breaks::on(Break::CommittedAgain)) || stream.over {
+        if (stream.committed && !breaks::on(Break::CommittedAgain)) || stream.finished {
             let ending = stream.ending();
-            self.end(msg, ending, now, steps);
+            self.end(msg, ending, now, actions);
         }
     }
 
     /// The last byte of a stream's call has left: its time at the destination begins.
-    pub fn stream_written(&mut self, call: CallId, now: Micros) -> Vec<Step> {
-        let mut steps = Vec::new();
+    pub fn stream_written(&mut self, call: CallId, now: Micros) -> Vec<RouterAction> {
+        let mut actions = Vec::new();
         if let Some(out) = self.out.get_mut(&call) {
             out.written = Some(now);
             let orders = self.facade.written(now, call.msg, call.attempt);
-            self.carry_out(orders, now, &mut steps);
+            self.carry_out(orders, now, &mut actions);
         }
-        steps
+        actions
     }
 
     /// A part of a stream's body is gone: it has no other attempt.
@@ -90,63 +94,63 @@
         }
     }
 
-    /// No call of a stream has begun in time for its consumer: it is turned away, unless one is out.
-    pub fn stream_unbegun(&mut self, msg: MsgId, now: Micros) -> Vec<Step> {
-        let mut steps = Vec::new();
+    /// No call of a stream has begun in time for its client: it is turned away, unless one is out.
+    pub fn stream_unbegun(&mut self, msg: MsgId, now: Micros) -> Vec<RouterAction> {
+        let mut actions = Vec::new();
         let open = self.owed.get(&msg).is_some_and(|owed| owed.stream.is_some() && owed.end.is_none());
         if open && !self.is_out(msg) {
-            self.end_stream(msg, now, &mut steps);
+            self.end_stream(msg, now, &mut actions);
         }
-        self.say(&mut steps);
-        steps
+        self.drain_notes(&mut actions);
+        actions
     }
 
     /// A stream without a call that is out gets the end that is true of it, and the module forgets it.
-    fn end_stream(&mut self, msg: MsgId, now: Micros, steps: &mut Vec<Step>) {
+    fn end_stream(&mut self, msg: MsgId, now: Micros, actions: &mut Vec<RouterAction>) {
         let Some(stream) = self.owed.get(&msg).and_then(|owed| owed.stream) else { return };
-        self.end(msg, stream.ending(), now, steps);
+        self.end(msg, stream.ending(), now, actions);
         let orders = self.facade.ended(now, msg);
-        self.carry_out(orders, now, steps);
+        self.carry_out(orders, now, actions);
     }
 
     /// A stream's body will never be whole, or the process ends (`None`): its call is given up, and its end
     /// follows.
-    pub fn stream_cut(&mut self, msg: MsgId, why: Option<Cut>, now: Micros) -> Vec<Step> {
-        let mut steps = Vec::new();
+    pub fn stream_cut(&mut self, msg: MsgId, why: Option<Cut>, now: Micros) -> Vec<RouterAction> {
+        let mut actions = Vec::new();
         let out = self.is_out(msg);
-        let Some(owed) = self.owed.get_mut(&msg).filter(|owed| owed.end.is_none()) else { return steps };
-        let Some(stream) = owed.stream.as_mut() else { return steps };
-        (stream.cut, stream.over) = (stream.cut.or(why), true);
+        let Some(owed) = self.owed.get_mut(&msg).filter(|owed| owed.end.is_none()) else { return actions };
+        let Some(stream) = owed.stream.as_mut() else { return actions };
+        (stream.cut, stream.finished) = (stream.cut.or(why), true);
         self.counters.streams_cut += 1;
         if out {
             let calls = self.out.range(calls_of(msg));
-            steps.extend(calls.map(|(_, out)| Step::Ended(out.lead)));
+            actions.extend(calls.map(|(_, out)| RouterAction::Ended(out.lead)));
         } else {
-            self.end_stream(msg, now, &mut steps);
+            self.end_stream(msg, now, &mut actions);
         }
-        self.say(&mut steps);
-        steps
+        self.drain_notes(&mut actions);
+        actions
     }
 
-    /// A stream's consumer was answered on its connection, or can't be: then the platform is told.
-    pub fn answered(&mut self, msg: MsgId, heard: bool, now: Micros) -> Vec<Step> {
-        let mut steps = Vec::new();
-        let Some(owed) = self.owed.get_mut(&msg) else { return steps };
+    /// A stream's client was answered on its connection, or can't be: then the platform is told.
+    pub fn answered(&mut self, msg: MsgId, list_received: bool, now: Micros) -> Vec<RouterAction> {
+        let mut actions = Vec::new();
+        let Some(owed) = self.owed.get_mut(&msg) else { return actions };
         if let Some(stream) = &mut owed.stream {
-            stream.deaf |= !heard && !breaks::on(Break::DeafForgotten);
+            stream.unanswerable |= !list_received && !breaks::on(Break::DeafForgotten);
         }
         match owed.end {
-            Some(ending) if heard => {
-                self.write(&Record::Told { msg }, now);
-                self.over(msg, ending.into());
+            Some(ending) if list_received => {
+                self.write(&JournalRecord::Confirmed { msg }, now);
+                self.finish(msg, ending.into());
             }
             Some(_) if !self.notices.contains(msg) && !self.unwritten.contains(msg) => {
                 self.notices.push_back(msg);
-                steps.push(Step::Notify);
+                actions.push(RouterAction::Notify);
             }
             _ => {}
         }
-        self.say(&mut steps);
-        steps
+        self.drain_notes(&mut actions);
+        actions
     }
 }
--- a/core/src/router/watch.rs
+++ b/core/src/router/watch.rs
@@ -26,13 +26,13 @@
         std::mem::take(&mut self.watched_ends)
     }
 
-    pub(super) fn tell_watcher(&mut self, msg: MsgId, end: End) {
+    pub(super) fn notify_watcher(&mut self, msg: MsgId, end: End) {
         if self.watched.is_empty() {
             return;
         }
         let Some(owed) = self.owed.get(&msg) else { return };
-        if self.watched.remove(&owed.parcel.id) {
-            self.watched_ends.push((owed.parcel.id.clone(), end));
+        if self.watched.remove(&owed.payload.id) {
+            self.watched_ends.push((owed.payload.id.clone(), end));
         }
     }
 
@@ -47,15 +47,15 @@
         if self.ids.contains_key(id) {
             return Ok(None);
         }
-        self.over.get(id).map(Some).ok_or(UnknownId)
+        self.ended.get(id).map(Some).ok_or(UnknownId)
     }
 
-    /// Why an invocation could never be taken on, whatever the time: nobody knows its class or destination.
+    /// Why a submission could never be taken on, whatever the time: nobody knows its class or destination.
     pub fn refuses(&self, class: &str, dest: u64) -> Option<Intake> {
         if !self.classes.iter().any(|c| c == class) {
             return Some(Intake::UnknownClass);
         }
-        (self.heard && !self.by_dest.contains_key(&dest)).then_some(Intake::UnknownDest)
+        (self.list_received && !self.by_dest.contains_key(&dest)).then_some(Intake::UnknownDest)
     }
 
     /// A message that was promised an end, and never had its turn, gets a notice; what is known under its id
@@ -65,20 +65,20 @@
     /// The store refused the records: nothing has changed.
     pub fn end_unsent(
         &mut self,
-        invocation: Invocation,
+        submission: Submission,
         ending: Ending,
         now: Micros,
-    ) -> Result<Vec<Step>, JournalError> {
-        let mut steps = Vec::new();
-        if self.fate(&invocation.id).is_ok() {
-            return Ok(steps);
+    ) -> Result<Vec<RouterAction>, JournalError> {
+        let mut actions = Vec::new();
+        if self.fate(&submission.id).is_ok() {
+            return Ok(actions);
         }
-        let Invocation { id, class, key, dest, time_left, body, .. } = invocation;
+        let Submission { id, class, key, dest, time_left, body, .. } = submission;
         let (msg, deadline) = (self.next, now.saturating_add(time_left));
         let (id_of, key_of, body_of) = (id.clone(), key.clone(), body.clone());
-        let taken = TakenOn { id: id_of, class, key: key_of, dest, deadline, body: body_of };
-        let end = Record::End { msg, end: ending.into() };
-        self.journal.note_all(&[Record::TakeOn { msg, taken }, end], now, &mut self.notes)?;
+        let taken = AcceptedMessage { id: id_of, class, key: key_of, dest, deadline, body: body_of };
+        let end = JournalRecord::End { msg, end: ending.into() };
+        self.journal.append_all(&[JournalRecord::Accept { msg, taken }, end], now, &mut self.notes)?;
         self.next += 1;
         match ending {
             Ending::Undeliverable => self.counters.undeliverable += 1,
@@ -86,15 +86,23 @@
         }
         self.ids.insert(id.clone(), msg);
         // Nothing of it is sent: whose it was matters no more.
-        let parcel = Arc::new(Parcel { id, key, tenant: None, body });
+        let payload = Arc::new(MessagePayload { id, key, tenant: None, body });
         self.owed.insert(
             msg,
-            Owed { parcel, class: usize::MAX, dest, deadline, end: Some(ending), noted: 0, stream: None },
+            OwedMessage {
+                payload,
+                class: usize::MAX,
+                dest,
+                deadline,
+                end: Some(ending),
+                journaled: 0,
+                stream: None,
+            },
         );
         self.notices.push_back(msg);
-        steps.push(Step::Notify);
-        self.say(&mut steps);
-        Ok(steps)
+        actions.push(RouterAction::Notify);
+        self.drain_notes(&mut actions);
+        Ok(actions)
     }
 
     /// Writes lines about settlements; `may_wait`: where there is no room, they are refused.
@@ -103,7 +111,7 @@
     /// There is no room, or the store refused them: nothing of them is there.
     pub fn write_settlement(
         &mut self,
-        records: &[Record],
+        records: &[JournalRecord],
         may_wait: bool,
         now: Micros,
     ) -> Result<(), JournalError> {
--- /dev/null
+++ b/core/tests/admission.rs
@@ -0,0 +1,71 @@
+//! Who goes first where room for clients' connections is short.
+
+use quillmount_core::admission::{Admission, Decision, GRACE, LEAVING_MAX};
+use quillmount_core::machine::client::ClientState;
+
+#[test]
+fn who_goes_first() {
+    let mut admission = Admission::new(4);
+    let states = [
+        ClientState::Requesting { first: true, last: false },
+        ClientState::Idle { probed: true },
+        ClientState::Idle { probed: false },
+        ClientState::Closing,
+    ];
+    states.into_iter().enumerate().for_each(|(n, state)| admission.set_state(n as u64, state, 10 + n as u64));
+    let mut order = Vec::new();
+    for _ in 0..5 {
+        order.push(admission.decide(20));
+    }
+    assert_eq!(order[..2], [Decision::Evict(3), Decision::Admit]);
+    admission.set_state(4, ClientState::Requesting { first: true, last: false }, 20);
+    assert_eq!(
+        [admission.decide(20), admission.decide(20)],
+        [Decision::RequestClose(2), Decision::RequestClose(1)]
+    );
+    // Who leaves holds a place still: of the rest the slow one goes first, then the first to have come.
+    assert_eq!(
+        [admission.decide(20 + GRACE), admission.decide(20 + GRACE)],
+        [Decision::Evict(0), Decision::Admit]
+    );
+}
+
+#[test]
+fn a_streaming_client_is_not_evicted() {
+    let mut admission = Admission::new(2);
+    let asking = ClientState::Requesting { first: true, last: false };
+    (0..2).for_each(|n| admission.set_state(n, asking, 10 + n));
+    admission.mark_streaming(0);
+    assert_eq!(admission.decide(20 + 2 * GRACE), Decision::Evict(1), "the slower to ask streams");
+    admission.set_state(2, asking, 30);
+    admission.mark_streaming(2);
+    assert_eq!(admission.decide(99 * GRACE), Decision::Admit, "their number is bounded elsewhere");
+}
+
+#[test]
+fn only_so_many_leave_at_a_time() {
+    let mut admission = Admission::new(LEAVING_MAX + 2);
+    (0..LEAVING_MAX as u64 + 2).for_each(|n| admission.set_state(n, ClientState::Idle { probed: false }, n));
+    (0..LEAVING_MAX as u64).for_each(|n| assert_eq!(admission.decide(99), Decision::RequestClose(n)));
+    assert_eq!(admission.decide(99), Decision::Wait);
+    admission.remove(0);
+    admission.remove(1);
+    assert_eq!(admission.decide(99), Decision::Admit);
+}
+
+/// Without a descriptor whoever has nothing to ask goes, below the table's own bound too; who asks stays.
+#[test]
+fn only_those_that_have_nothing_to_ask_give_a_descriptor_back() {
+    let mut admission = Admission::new(100);
+    assert_eq!(admission.reclaim_descriptor(9), Decision::Admit);
+    let asking = ClientState::Requesting { first: true, last: false };
+    admission.set_state(0, asking, 10);
+    admission.set_state(1, ClientState::Idle { probed: false }, 11);
+    admission.set_state(2, ClientState::Requesting { first: false, last: false }, 12);
+    admission.set_state(3, ClientState::Closing, 13);
+    let given: Vec<Decision> = (0..4).map(|_| admission.reclaim_descriptor(20)).collect();
+    assert_eq!(given, [Decision::Evict(3), Decision::RequestClose(1), Decision::Admit, Decision::Admit]);
+    assert_eq!(admission.reclaim_descriptor(10 + GRACE), Decision::Evict(0), "slow to ask by now");
+    admission.mark_streaming(2);
+    assert_eq!(admission.reclaim_descriptor(99 * GRACE), Decision::Admit, "a stream is no idle connection");
+}
--- a/core/tests/adopt.rs
+++ b/core/tests/adopt.rs
@@ -1,14 +1,14 @@
 //! Work of a courier that is lost, taken over by another: by the rules of a restart, once, and whole or not at all.
 
 mod common;
-use common::{NOW, World, calls, class, killed, provider};
-use quillmount_core::hub::{Do, Hub};
-use quillmount_core::journal::{Book, End, Entry, JournalError, PastCall, TakenOn};
+use common::{NOW, World, calls, class, endpoint, killed};
+use quillmount_core::hub::{DriverAction, Hub};
+use quillmount_core::journal::{AcceptedMessage, End, JournalContents, JournalEntry, JournalError, PastCall};
 use quillmount_core::note::Note;
 use quillmount_core::pool::Pool;
 use quillmount_core::router::{Intake, Router};
 use quillmount_core::store::{Fault, Memory};
-use quillmount_core::{Ending, Invocation, InvokerCall, ProviderList};
+use quillmount_core::{DeliveryCall, Ending, EndpointList, Submission};
 use spurshore::ListState;
 use spurshore_settings::{Category, Env};
 
@@ -28,7 +28,7 @@
         ],
         ..Env::default()
     };
-    let known = ProviderList { version: 1, full: true, providers: vec![provider("a", 1, ListState::Ready)] };
+    let known = EndpointList { version: 1, full: true, endpoints: vec![endpoint("a", 1, ListState::Ready)] };
     let (router, steps) = Router::open(&env, 7, known.clone(), store, disk, NOW).unwrap();
     let mut hub = Hub::new(router, Pool::new(15_000_000, 9));
     hub.carry_out(steps, NOW);
@@ -37,40 +37,46 @@
 }
 
 /// As a courier's book tells of one that is owed.
-fn owed(id: &str) -> Entry {
+fn owed(id: &str) -> JournalEntry {
     let (class, body) = ("fee-debit".into(), bytes::Bytes::from_static(b"body"));
-    let taken = TakenOn { id: id.into(), class, key: None, dest: 1, deadline: NOW + 9_000_000, body };
-    Entry { taken, calls: Vec::new(), end: None, stream: false, source: None }
+    let taken = AcceptedMessage { id: id.into(), class, key: None, dest: 1, deadline: NOW + 9_000_000, body };
+    JournalEntry { taken, calls: Vec::new(), end: None, stream: false, source: None }
 }
 
 /// Its last attempt began, and nothing tells how it fared.
-fn out(id: &str) -> Entry {
-    Entry { calls: vec![PastCall { sent: NOW - 9, under: None, never_ran: None }], ..owed(id) }
+fn out(id: &str) -> JournalEntry {
+    JournalEntry { calls: vec![PastCall { sent: NOW - 9, effect: None, never_ran: None }], ..owed(id) }
 }
 
-fn of(class: &str, entry: Entry) -> Entry {
-    Entry { taken: TakenOn { class: class.into(), key: Some("k".into()), ..entry.taken }, ..entry }
+fn of(class: &str, entry: JournalEntry) -> JournalEntry {
+    JournalEntry {
+        taken: AcceptedMessage { class: class.into(), key: Some("k".into()), ..entry.taken },
+        ..entry
+    }
 }
 
 fn told(hub: &World) -> Vec<(String, Ending)> {
     hub.router.notices(99).into_iter().map(|notice| (notice.id, notice.ending)).collect()
 }
 
-fn ids(calls: Vec<InvokerCall>) -> Vec<String> {
-    calls.iter().flat_map(InvokerCall::parcels).map(|parcel| parcel.id.clone()).collect()
+fn ids(calls: Vec<DeliveryCall>) -> Vec<String> {
+    calls.iter().flat_map(DeliveryCall::payloads).map(|parcel| parcel.id.clone()).collect()
 }
 
 #[test]
-fn what_another_book_owes_goes_on_as_after_a_restart() {
+fn what_another_journal_owes_goes_on_as_after_a_restart() {
     let mut hub = open(Memory::default(), DISK);
-    let refused =
-        Entry { calls: vec![PastCall { sent: 5, under: None, never_ran: Some(true) }], ..owed("back") };
-    let ended = Entry { end: Some(End::Deferred { after: 70 }), ..owed("ended") };
-    let late = Entry { taken: TakenOn { deadline: NOW, ..owed("late").taken }, ..owed("late") };
-    let stream = Entry { stream: true, ..out("stream") };
+    let refused = JournalEntry {
+        calls: vec![PastCall { sent: 5, effect: None, never_ran: Some(true) }],
+        ..owed("back")
+    };
+    let ended = JournalEntry { end: Some(End::Deferred { after: 70 }), ..owed("ended") };
+    let late =
+        JournalEntry { taken: AcceptedMessage { deadline: NOW, ..owed("late").taken }, ..owed("late") };
+    let stream = JournalEntry { stream: true, ..out("stream") };
     let entries = vec![out("out"), owed("fresh"), refused, ended.clone(), late, stream];
     let todo = hub.adopt(entries, NOW).unwrap();
-    assert!(todo.iter().any(|one| matches!(one, Do::Notify)));
+    assert!(todo.iter().any(|one| matches!(one, DriverAction::Notify)));
     assert_eq!(ids(calls(todo)), ["fresh", "back"], "what never ran is sent, and nothing else");
     let mut ends = told(&hub);
     ends.sort_by(|a, b| a.0.cmp(&b.0));
@@ -79,9 +85,9 @@
     assert_eq!(ends, [deferred, undeliverable("late"), undeliverable("out"), undeliverable("stream")]);
     assert_eq!(hub.router.counters.adopted, 6);
     // All of it is in this courier's own journal, its ends included: after a kill nothing is sent.
-    let (book, _) = Book::read(killed(&hub).bytes());
-    assert_eq!((book.owed.len(), book.owed.values().filter(|e| e.end.is_some()).count()), (6, 4));
-    assert!(book.owed.values().any(|e| *e == ended));
+    let (contents, _) = JournalContents::read(killed(&hub).bytes());
+    assert_eq!((contents.owed.len(), contents.owed.values().filter(|e| e.end.is_some()).count()), (6, 4));
+    assert!(contents.owed.values().any(|e| *e == ended));
     let mut next = open(killed(&hub), DISK);
     assert!(calls(next.tick(NOW)).is_empty());
     assert_eq!(told(&next).len(), 6, "sent by this life, the debits may have run");
@@ -98,12 +104,12 @@
 }
 
 #[test]
-fn what_is_open_or_over_here_is_not_taken_over_again() {
+fn what_is_open_or_ended_here_is_not_taken_over_again() {
     let mut hub = open(Memory::default(), DISK);
     let entries = || vec![out("out"), owed("fresh"), owed("fresh")];
-    let skipped = |todo: &[Do<u32>]| -> Vec<String> {
-        let id = |one: &Do<u32>| match one {
-            Do::Note(Note::NotAdopted { id }) => Some(id.clone()),
+    let skipped = |todo: &[DriverAction<u32>]| -> Vec<String> {
+        let id = |one: &DriverAction<u32>| match one {
+            DriverAction::Note(Note::NotAdopted { id }) => Some(id.clone()),
             _ => None,
         };
         todo.iter().filter_map(id).collect()
@@ -119,11 +125,11 @@
         // The second time both are over.
         hub.call_ended(call, quillmount_core::CallEnd::Delivered, NOW);
         let notices = hub.router.notices(9);
-        hub.told(&notices, NOW);
+        hub.notices_confirmed(&notices, NOW);
     }
     assert_eq!((hub.router.counters.adopted, hub.router.load()), (2, (0, 0)));
     // An id that was delivered elsewhere is none to go on with.
-    let delivered = Entry { end: Some(End::Delivered), ..owed("delivered") };
+    let delivered = JournalEntry { end: Some(End::Delivered), ..owed("delivered") };
     assert_eq!(skipped(&hub.adopt(vec![delivered], NOW).unwrap()), ["delivered"]);
 }
 
@@ -148,9 +154,9 @@
             let mut hub = open(Memory::default(), DISK);
             hub.router.journal_mut().store_mut().fail(Fault::Die { after, bytes });
             hub.adopt(entries(), NOW).unwrap();
-            let (book, _) = Book::read(killed(&hub).bytes());
-            let safe = book.owed.values().all(|entry| entry.taken.id == "c" || !entry.calls.is_empty());
-            assert!(safe, "write {after}, {bytes} bytes: {book:?}");
+            let (contents, _) = JournalContents::read(killed(&hub).bytes());
+            let safe = contents.owed.values().all(|entry| entry.taken.id == "c" || !entry.calls.is_empty());
+            assert!(safe, "write {after}, {bytes} bytes: {contents:?}");
             let mut next = open(killed(&hub), DISK);
             next.adopt(entries(), NOW).unwrap();
             assert_eq!(next.router.load().0, 3);
@@ -161,10 +167,10 @@
 /// Between the writing and the fleet's word nothing is done; a kill in between leaves it to be settled, and what another
 /// courier has got leaves the journal.
 #[test]
-fn messages_with_a_source_wait_for_the_fleets_word() {
+fn messages_with_a_source_wait_for_the_fleets_decision() {
     use quillmount_core::journal::Source;
     let source = |part| Source { owner: "a".into(), epoch: 3, part };
-    let from = |part, entry| Entry { source: Some(source(part)), ..entry };
+    let from = |part, entry| JournalEntry { source: Some(source(part)), ..entry };
     let mut hub = open(Memory::default(), DISK);
     let todo = hub.adopt(vec![from(1, owed("m1")), from(2, owed("m2"))], NOW).unwrap();
     assert!(ids(calls(todo)).is_empty() && hub.router.load().0 == 0);
@@ -172,13 +178,13 @@
     let mut hub = open(store, DISK);
     assert_eq!(hub.router.unsettled().cloned().collect::<Vec<_>>(), [source(1), source(2)]);
     let (id, class, time_left) = ("m2".into(), "fee-debit".into(), 9_000_000);
-    let again = Invocation { id, class, key: None, dest: 1, tenant: None, time_left, body: [][..].into() };
-    assert_eq!(hub.take_on(again, NOW).0, Intake::Open, "its id is taken meanwhile");
-    let todo = hub.settle(&source(1), true, NOW).unwrap();
+    let again = Submission { id, class, key: None, dest: 1, tenant: None, time_left, body: [][..].into() };
+    assert_eq!(hub.submit(again, NOW).0, Intake::Open, "its id is taken meanwhile");
+    let todo = hub.settle_source(&source(1), true, NOW).unwrap();
     assert_eq!(ids(calls(todo)), ["m1"]);
-    assert!(hub.settle(&source(2), false, NOW).unwrap().is_empty());
-    let (book, _) = Book::read(hub.router.journal().store().bytes());
-    let left: Vec<_> = book.owed.values().map(|e| (e.taken.id.as_str(), e.source.clone())).collect();
+    assert!(hub.settle_source(&source(2), false, NOW).unwrap().is_empty());
+    let (contents, _) = JournalContents::read(hub.router.journal().store().bytes());
+    let left: Vec<_> = contents.owed.values().map(|e| (e.taken.id.as_str(), e.source.clone())).collect();
     assert_eq!(left, [("m1", None)]);
     let again = owed("m2");
     // The other one's id may come again.
--- a/core/tests/bundles.rs
+++ b/core/tests/bundles.rs
@@ -1,14 +1,16 @@
 //! Calls that carry several messages, in the router: each message keeps its own end, whatever the others' are.
 
 mod common;
-use common::{NOW, World, calls, class, killed, provider};
-use quillmount_core::hub::{Do, Hub};
-use quillmount_core::journal::{Book, End};
-use quillmount_core::machine::attempt::Input;
+use common::{NOW, World, calls, class, endpoint, killed};
+use quillmount_core::hub::{DriverAction, Hub};
+use quillmount_core::journal::{End, JournalContents};
+use quillmount_core::machine::attempt::AttemptInput;
 use quillmount_core::pool::Pool;
 use quillmount_core::router::Router;
 use quillmount_core::store::{Fault, Memory};
-use quillmount_core::{CallEnd, Ending, Invocation, InvokerCall, Provider, ProviderList, Said};
+use quillmount_core::{
+    AnswerReport, CallEnd, DeliveryCall, Ending, EndpointList, EndpointListing, Submission,
+};
 use spurshore::{ListState, Micros};
 use spurshore_settings::{Category, Env, FamilyInfo};
 
@@ -32,28 +34,28 @@
     }
 }
 
-fn list() -> ProviderList {
-    let line = Provider { kind: "k".into(), weight: 2.0, ..provider("a", 1, ListState::Ready) };
-    ProviderList { version: 1, full: true, providers: vec![line] }
+fn list() -> EndpointList {
+    let line = EndpointListing { kind: "k".into(), weight: 2.0, ..endpoint("a", 1, ListState::Ready) };
+    EndpointList { version: 1, full: true, endpoints: vec![line] }
 }
 
-fn open(store: Memory, now: Micros) -> (World, Vec<Do<u32>>) {
+fn open(store: Memory, now: Micros) -> (World, Vec<DriverAction<u32>>) {
     let (router, steps) = Router::open(&env(), 7, list(), store, 999_999, now).unwrap();
     let mut hub = Hub::new(router, Pool::new(15_000_000, 9));
     let todo = hub.carry_out(steps, now);
     (hub, todo)
 }
 
-fn hand_in(hub: &mut World, id: &str, now: Micros) -> Vec<InvokerCall> {
+fn hand_in(hub: &mut World, id: &str, now: Micros) -> Vec<DeliveryCall> {
     let class = if id.starts_with('d') { "debit" } else { "quote" };
     let body = bytes::Bytes::from_static(b"body");
     let (id, class, time_left) = (id.into(), class.into(), 16_000_000);
-    calls(hub.take_on(Invocation { id, class, key: None, dest: 1, tenant: None, time_left, body }, now).1)
+    calls(hub.submit(Submission { id, class, key: None, dest: 1, tenant: None, time_left, body }, now).1)
 }
 
 /// A debit and two quotes in one call, which leaves a moment after two that had to go alone.
-fn bundle(hub: &mut World) -> (InvokerCall, Micros) {
-    let mut out: Vec<InvokerCall> =
+fn bundle(hub: &mut World) -> (DeliveryCall, Micros) {
+    let mut out: Vec<DeliveryCall> =
         ["q0", "q1", "d2", "q3", "q4"].iter().flat_map(|id| hand_in(hub, id, NOW)).collect();
     assert_eq!(out.len(), 2, "the listed rate lets two go: {out:?}");
     let now = NOW + 900_000;
@@ -62,22 +64,22 @@
     }
     out = calls(hub.tick(now));
     let call = out.remove(0);
-    let mut ids: Vec<&str> = call.parcels().map(|p| p.id.as_str()).collect();
+    let mut ids: Vec<&str> = call.payloads().map(|p| p.id.as_str()).collect();
     ids.sort_unstable();
     assert_eq!(ids, ["d2", "q3", "q4"]);
     (call, now)
 }
 
 /// The place of a message in the call.
-fn place(call: &InvokerCall, id: &str) -> usize {
-    call.parcels().position(|p| p.id == id).unwrap()
+fn place(call: &DeliveryCall, id: &str) -> usize {
+    call.payloads().position(|p| p.id == id).unwrap()
 }
 
 /// How the journal says that a message ended.
 fn end_of(hub: &World, id: &str) -> Option<End> {
-    let (book, _) = Book::read(hub.router.journal().store().bytes());
-    let over = book.over.iter().find(|(over, ..)| over == id).map(|(_, end, _)| *end);
-    over.or_else(|| book.owed.values().find(|e| e.taken.id == id).and_then(|e| e.end))
+    let (contents, _) = JournalContents::read(hub.router.journal().store().bytes());
+    let over = contents.ended.iter().find(|(over, ..)| over == id).map(|(_, end, _)| *end);
+    over.or_else(|| contents.owed.values().find(|e| e.taken.id == id).and_then(|e| e.end))
 }
 
 /// Each row of the outcome table, for the debit and for one of the quotes; the other one is delivered.
@@ -85,7 +87,7 @@
 fn each_message_of_a_call_gets_the_end_that_is_true_of_it() {
     let rows = [
         (CallEnd::Delivered, Some(End::Delivered), false),
-        (CallEnd::Over, Some(End::Delivered), false),
+        (CallEnd::Gone, Some(End::Delivered), false),
         (CallEnd::Error, Some(End::Undeliverable), true),
         (CallEnd::Spoilt(0), Some(End::Undeliverable), true),
         (CallEnd::Full(0), None, true),
@@ -96,9 +98,9 @@
         let (call, now) = bundle(&mut hub);
         let mut ends = vec![CallEnd::Delivered; 3];
         (ends[place(&call, "d2")], ends[place(&call, "q3")]) = (end, end);
-        let mut later = calls(hub.call_ended_each(call.call, &ends, &Said::default(), now + 300_000));
+        let mut later = calls(hub.call_ended_each(call.call, &ends, &AnswerReport::default(), now + 300_000));
         later.extend((1..20).flat_map(|n| calls(hub.tick(now + 300_000 + n * 200_000))));
-        let sent = |id: &str| later.iter().flat_map(InvokerCall::parcels).filter(|p| p.id == id).count();
+        let sent = |id: &str| later.iter().flat_map(DeliveryCall::payloads).filter(|p| p.id == id).count();
         assert_eq!(end_of(&hub, "q4"), Some(End::Delivered), "{end:?}");
         assert_eq!(end_of(&hub, "d2"), debit, "{end:?}");
         assert_eq!(sent("q4"), 0, "{end:?}");
@@ -115,7 +117,7 @@
     hub.call_ended_each(
         call.call,
         &[CallEnd::Delivered; 3],
-        &Said { wait: 2_000_000, ..Said::default() },
+        &AnswerReport { wait: 2_000_000, ..AnswerReport::default() },
         now,
     );
     assert!(hand_in(&mut hub, "q9", now + 10_000).is_empty());
@@ -130,12 +132,14 @@
     let (call, now) = bundle(&mut hub);
     let at = now + 7_000_000;
     let todo = hub.tick(at);
-    let given_up = todo.iter().any(|one| matches!(one, Do::Tell(id, Input::GiveUp) if *id == call.call));
+    let given_up = todo
+        .iter()
+        .any(|one| matches!(one, DriverAction::Signal(id, AttemptInput::GiveUp) if *id == call.call));
     assert!(!given_up, "the debit is waited for still");
     let again = calls(todo);
-    let ids: Vec<&str> = again.iter().flat_map(InvokerCall::parcels).map(|p| p.id.as_str()).collect();
+    let ids: Vec<&str> = again.iter().flat_map(DeliveryCall::payloads).map(|p| p.id.as_str()).collect();
     assert!(!ids.contains(&"d2"), "{ids:?}");
-    hub.call_ended_each(call.call, &[CallEnd::Delivered; 3], &Said::default(), at + 100_000);
+    hub.call_ended_each(call.call, &[CallEnd::Delivered; 3], &AnswerReport::default(), at + 100_000);
     for id in ["d2", "q3", "q4"] {
         assert_eq!(end_of(&hub, id), Some(End::Delivered), "{id}");
     }
@@ -155,14 +159,14 @@
     let (call, now) = bundle(&mut hub);
     let begun = hub.router.journal().store().bytes().len();
     let ends = [CallEnd::Error, CallEnd::Full(0), CallEnd::Delivered];
-    hub.call_ended_each(call.call, &ends, &Said::default(), now + 300_000);
+    hub.call_ended_each(call.call, &ends, &AnswerReport::default(), now + 300_000);
     let bytes = hub.router.journal().store().bytes().to_vec();
     for cut in before..=bytes.len() {
         let (mut next, todo) = open(Memory::of(bytes[..cut].to_vec()), now + 500_000);
         let mut again = calls(todo);
         again.extend(calls(next.list(list(), now + 500_000)));
         again.extend((1..20).flat_map(|n| calls(next.tick(now + 500_000 + n * 100_000))));
-        let sent = |id: &str| again.iter().flat_map(InvokerCall::parcels).any(|p| p.id == id);
+        let sent = |id: &str| again.iter().flat_map(DeliveryCall::payloads).any(|p| p.id == id);
         if cut >= begun {
             let never_ran = ends[place(&call, "d2")] == CallEnd::Full(0) && end_of(&next, "d2").is_none();
             assert!(!sent("d2") || never_ran, "cut at {cut}: a debit that may have run was sent again");
@@ -185,9 +189,9 @@
     assert!(calls(hub.tick(NOW + 900_000)).is_empty());
     assert_eq!(hub.router.journal().store().bytes().len(), before);
     hub.router.journal_mut().store_mut().fail(Fault::None);
-    let later: Vec<InvokerCall> =
+    let later: Vec<DeliveryCall> =
         (1..20).flat_map(|n| calls(hub.tick(NOW + 900_000 + n * 300_000))).collect();
-    let ids: Vec<&str> = later.iter().flat_map(InvokerCall::parcels).map(|p| p.id.as_str()).collect();
+    let ids: Vec<&str> = later.iter().flat_map(DeliveryCall::payloads).map(|p| p.id.as_str()).collect();
     assert!(["d2", "q3", "q4"].iter().all(|id| ids.contains(id)), "{ids:?}");
 }
 
@@ -196,13 +200,13 @@
 fn a_call_with_several_messages_moves_to_the_next_process_whole() {
     let (mut hub, _) = open(Memory::default(), NOW);
     let (call, now) = bundle(&mut hub);
-    let mark = quillmount_core::router::mark(&env(), None).unwrap();
+    let mark = quillmount_core::router::settings_fingerprint(&env(), None).unwrap();
     let state = hub.state(mark).router;
     let (router, steps) = Router::resume(&env(), None, state, killed(&hub), 999_999, now).unwrap();
     let mut next: World = Hub::new(router, Pool::new(15_000_000, 9));
     next.carry_out(steps, now);
     assert_eq!(next.router.calls_out(), [call.call]);
-    next.call_ended_each(call.call, &[CallEnd::Delivered; 3], &Said::default(), now + 300_000);
+    next.call_ended_each(call.call, &[CallEnd::Delivered; 3], &AnswerReport::default(), now + 300_000);
     assert!(next.is_quiet());
     assert_eq!(next.router.notices(9).iter().filter(|n| n.ending == Ending::Undeliverable).count(), 0);
 }
@@ -214,42 +218,43 @@
     for (apart, held) in [(true, false), (false, true)] {
         let env =
             Env { family_info: FamilyInfo { separate_routes: vec![apart], ..env().family_info }, ..env() };
-        let route = |id| Provider { kind: "k".into(), weight: 2.0, ..provider(id, 1, ListState::Ready) };
-        let list = ProviderList { version: 1, full: true, providers: vec![route("a"), route("b")] };
+        let route =
+            |id| EndpointListing { kind: "k".into(), weight: 2.0, ..endpoint(id, 1, ListState::Ready) };
+        let list = EndpointList { version: 1, full: true, endpoints: vec![route("a"), route("b")] };
         let (router, steps) = Router::open(&env, 7, list, Memory::default(), 999_999, NOW).unwrap();
         let mut hub: World = Hub::new(router, Pool::new(15_000_000, 9));
         hub.carry_out(steps, NOW);
         let told = hand_in(&mut hub, "q0", NOW).remove(0);
-        let other = 1 - told.provider;
+        let other = 1 - told.endpoint;
         let now = NOW + 100_000;
         let mut out = calls(hub.call_ended(told.call, CallEnd::Full(2_000_000), now));
-        assert!(!hub.pool.lets_through(told.provider, now), "apart: {apart}");
-        assert_eq!(hub.pool.lets_through(other, now), !held, "apart: {apart}");
+        assert!(!hub.pool.is_open(told.endpoint, now), "apart: {apart}");
+        assert_eq!(hub.pool.is_open(other, now), !held, "apart: {apart}");
         out.extend((1..100).flat_map(|n| calls(hub.tick(now + n * 10_000))));
         out.extend(hand_in(&mut hub, "q1", now + 1_000_000));
         // Whatever the module lets go within the wait, the pool lets through.
         assert_eq!(out.is_empty(), held, "apart: {apart}, {out:?}");
-        assert!(out.iter().all(|call| call.provider == other), "apart: {apart}, {out:?}");
+        assert!(out.iter().all(|call| call.endpoint == other), "apart: {apart}, {out:?}");
     }
 }
 
 /// An answer after the time of the call's first message counts for none of them: the one that lives longest stands first,
 /// whatever the order of the module, and at the end of its time the call is waited for by nobody.
 #[test]
-fn the_message_that_lives_longest_stands_first_in_a_call() {
+fn the_message_with_the_latest_deadline_stands_first_in_a_call() {
     let (mut hub, _) = open(Memory::default(), NOW);
-    let alone: Vec<InvokerCall> = ["q0", "q1"].iter().flat_map(|id| hand_in(&mut hub, id, NOW)).collect();
+    let alone: Vec<DeliveryCall> = ["q0", "q1"].iter().flat_map(|id| hand_in(&mut hub, id, NOW)).collect();
     for (n, id) in (0..).zip(["d2", "q3", "d4", "d5", "q6"]) {
         // The fourth has the most time left though it comes before the last.
         let (class, came) = (if id.starts_with('d') { "debit" } else { "quote" }, NOW + n * 100_000);
         let time_left = if id == "d5" { 15_900_000 } else { 15_500_000 };
         let (id, class, body) = (id.into(), class.into(), bytes::Bytes::from_static(b"body"));
-        let message = Invocation { id, class, key: None, dest: 1, tenant: None, time_left, body };
-        assert_eq!(calls(hub.take_on(message, came).1).len(), 0);
+        let message = Submission { id, class, key: None, dest: 1, tenant: None, time_left, body };
+        assert_eq!(calls(hub.submit(message, came).1).len(), 0);
     }
     alone.iter().for_each(|call| drop(hub.call_ended(call.call, CallEnd::Delivered, NOW + 450_000)));
     let call = calls(hub.tick(NOW + 900_000)).remove(0);
-    let ids: Vec<&str> = call.parcels().map(|p| p.id.as_str()).collect();
+    let ids: Vec<&str> = call.payloads().map(|p| p.id.as_str()).collect();
     assert_eq!((ids.len(), ids[0]), (5, "d5"), "{ids:?}");
     let over = NOW + 300_000 + 15_900_000;
     assert!(NOW + 900_000 + call.timeout <= over, "{} us", call.timeout);
@@ -265,18 +270,18 @@
 #[test]
 fn who_is_waited_for_longest_stands_first_in_a_call() {
     let (mut hub, _) = open(Memory::default(), NOW);
-    let alone: Vec<InvokerCall> = ["q0", "q1"].iter().flat_map(|id| hand_in(&mut hub, id, NOW)).collect();
+    let alone: Vec<DeliveryCall> = ["q0", "q1"].iter().flat_map(|id| hand_in(&mut hub, id, NOW)).collect();
     for (n, id) in (0..).zip(["d2", "q3", "d4", "q5"]) {
         assert_eq!(hand_in(&mut hub, id, NOW + n * 100_000).len(), 0);
     }
     alone.iter().for_each(|call| drop(hub.call_ended(call.call, CallEnd::Delivered, NOW + 450_000)));
     let now = NOW + 900_000;
     let call = calls(hub.tick(now)).remove(0);
-    let ids: Vec<&str> = call.parcels().map(|p| p.id.as_str()).collect();
+    let ids: Vec<&str> = call.payloads().map(|p| p.id.as_str()).collect();
     assert_eq!((ids.len(), ids[0]), (4, "d4"), "{ids:?}");
     // The first one's wait is the call's: nobody leaves later, and it does not leave before.
     assert_eq!(now + call.timeout, NOW + 200_000 + 16_000_000);
-    assert!(call.told < call.timeout);
+    assert!(call.time_left < call.timeout);
     // Long after the quotes were left behind.
     let mut at = now;
     while at < now + call.timeout - 1_000_000 {
@@ -286,6 +291,6 @@
         }
     }
     let late = now + call.timeout - 1_000_000;
-    hub.call_ended_each(call.call, &[CallEnd::Delivered; 4], &Said::default(), late);
+    hub.call_ended_each(call.call, &[CallEnd::Delivered; 4], &AnswerReport::default(), late);
     assert_eq!([end_of(&hub, "d2"), end_of(&hub, "d4")], [Some(End::Delivered); 2]);
 }
--- a/core/tests/common/mod.rs
+++ b/core/tests/common/mod.rs
@@ -1,9 +1,9 @@
 //! A courier without sockets, for tests of the core: its table of classes, its endpoints, and what is to be begun.
 #![allow(dead_code)]
 
-use quillmount_core::hub::{Do, Hub};
+use quillmount_core::hub::{DriverAction, Hub};
 use quillmount_core::store::Memory;
-use quillmount_core::{InvokerCall, Provider};
+use quillmount_core::{DeliveryCall, EndpointListing};
 use spurshore::{ListState, Micros};
 use spurshore_settings::Category;
 
@@ -23,13 +23,15 @@
 }
 
 /// An endpoint of a destination, of no kind that the settings know.
-pub fn provider(id: &str, dest: u64, state: ListState) -> Provider {
+pub fn endpoint(id: &str, dest: u64, state: ListState) -> EndpointListing {
     let (addr, zone) = ("127.0.0.1:1".parse().ok(), String::new());
-    Provider { id: id.into(), addr, dest, kind: String::new(), zone, weight: 9.0, state }
+    EndpointListing { id: id.into(), addr, dest, kind: String::new(), zone, weight: 9.0, state }
 }
 
-pub fn calls(todo: Vec<Do<u32>>) -> Vec<InvokerCall> {
-    todo.into_iter().filter_map(|one| if let Do::Begin(call) = one { Some(call) } else { None }).collect()
+pub fn calls(todo: Vec<DriverAction<u32>>) -> Vec<DeliveryCall> {
+    todo.into_iter()
+        .filter_map(|one| if let DriverAction::Begin(call) = one { Some(call) } else { None })
+        .collect()
 }
 
 /// What a kill leaves, and the next process reads.
--- a/core/tests/holds.rs
+++ b/core/tests/disabled.rs
@@ -1,15 +1,15 @@
 //! Endpoints that operators take out, in the core: what is listed, refused, killed and called meanwhile.
 
 mod common;
-use common::{NOW, World, calls, killed, provider};
+use common::{NOW, World, calls, endpoint, killed};
 use quillmount_core::call::Call;
-use quillmount_core::holds::{HOLDS_MAX, HoldError};
+use quillmount_core::disabled::{DISABLED_MAX, DisableError};
 use quillmount_core::hub::Hub;
-use quillmount_core::machine::attempt::{Answer, State};
+use quillmount_core::machine::attempt::{Answer, AttemptState};
 use quillmount_core::pool::Pool;
 use quillmount_core::router::Router;
 use quillmount_core::store::{Fault, Memory};
-use quillmount_core::{CallEnd, Invocation, InvokerCall, ProviderList};
+use quillmount_core::{CallEnd, DeliveryCall, EndpointList, Submission};
 use spurshore::{ListState, Micros};
 use spurshore_settings::{Category, Env};
 
@@ -26,9 +26,9 @@
     Env { categories: vec![category], ..Env::default() }
 }
 
-fn list(full: bool, providers: &[(&str, ListState)]) -> ProviderList {
-    let providers = providers.iter().map(|(id, state)| provider(id, 1, *state)).collect();
-    ProviderList { version: 1, full, providers }
+fn list(full: bool, endpoints: &[(&str, ListState)]) -> EndpointList {
+    let endpoints = endpoints.iter().map(|(id, state)| endpoint(id, 1, *state)).collect();
+    EndpointList { version: 1, full, endpoints }
 }
 
 fn open(store: Memory) -> World {
@@ -39,12 +39,12 @@
     hub
 }
 
-fn hand_in(hub: &mut World, id: &str, now: Micros) -> Vec<InvokerCall> {
+fn hand_in(hub: &mut World, id: &str, now: Micros) -> Vec<DeliveryCall> {
     let (class, time_left) = ("paid-notice".to_string(), 16_000_000);
     let body = bytes::Bytes::new();
     calls(
-        hub.take_on(
-            Invocation { id: id.into(), class, key: None, dest: 1, tenant: None, time_left, body },
+        hub.submit(
+            Submission { id: id.into(), class, key: None, dest: 1, tenant: None, time_left, body },
             now,
         )
         .1,
@@ -52,12 +52,12 @@
 }
 
 #[test]
-fn nothing_goes_to_a_held_endpoint_whatever_is_listed_until_one_call_puts_it_back() {
+fn nothing_goes_to_a_disabled_endpoint_whatever_is_listed_until_one_call_puts_it_back() {
     let mut hub = open(Memory::default());
-    assert!(matches!(hub.hold("x", true, NOW), Err(HoldError::Unknown(_))));
-    assert!(matches!(hub.hold("x", false, NOW), Err(HoldError::Unknown(_))));
+    assert!(matches!(hub.set_disabled("x", true, NOW), Err(DisableError::Unknown(_))));
+    assert!(matches!(hub.set_disabled("x", false, NOW), Err(DisableError::Unknown(_))));
     for _ in 0..2 {
-        hub.hold("a", true, NOW).unwrap();
+        hub.set_disabled("a", true, NOW).unwrap();
     }
     let wholes = [(true, ListState::Ready), (false, ListState::Draining), (false, ListState::Ready)];
     for (n, (full, state)) in wholes.into_iter().enumerate() {
@@ -70,8 +70,8 @@
     let later = NOW + 30_000_000;
     assert_eq!(calls(hub.list(list(false, &[("a", ListState::Ready)]), later)).len(), 0);
     assert_eq!(hand_in(&mut hub, "later", later).len(), 0);
-    assert!(!calls(hub.hold("a", false, later).unwrap()).is_empty(), "one call ends the hold");
-    assert!(hub.hold("a", false, later).unwrap().is_empty(), "once more changes nothing");
+    assert!(!calls(hub.set_disabled("a", false, later).unwrap()).is_empty(), "one call ends the hold");
+    assert!(hub.set_disabled("a", false, later).unwrap().is_empty(), "once more changes nothing");
 }
 
 /// A whole list that omits an endpoint says that it is gone: put back, it is gone still.
@@ -79,10 +79,10 @@
 fn an_endpoint_that_went_while_it_was_out_is_not_called_when_it_is_put_back() {
     let mut hub = open(Memory::default());
     hub.list(list(true, &[("a", ListState::Ready)]), NOW);
-    hub.hold("a", true, NOW).unwrap();
+    hub.set_disabled("a", true, NOW).unwrap();
     assert_eq!(hand_in(&mut hub, "m", NOW).len(), 0);
     hub.list(list(true, &[("b", ListState::Draining)]), NOW);
-    assert_eq!(calls(hub.hold("a", false, NOW).unwrap()).len(), 0);
+    assert_eq!(calls(hub.set_disabled("a", false, NOW).unwrap()).len(), 0);
     assert_eq!(calls(hub.list(list(false, &[("a", ListState::Ready)]), NOW)).len(), 1);
 }
 
@@ -92,55 +92,55 @@
     let order = hand_in(&mut hub, "m", NOW).remove(0);
     let mut call = Call::new(order, |_, _| Answer::Awaited, 9);
     call.start(&mut hub.pool, NOW, |_| true);
-    assert_eq!(call.state(), State::Connecting);
-    hub.hold("a", true, NOW).unwrap();
+    assert_eq!(call.state(), AttemptState::Connecting);
+    hub.set_disabled("a", true, NOW).unwrap();
     assert_eq!(call.connected(&mut hub.pool, 1, NOW).end, Some(CallEnd::HeldBack));
     assert_eq!(calls(hub.call_ended(call.order.call, CallEnd::HeldBack, NOW)).len(), 0);
 }
 
 #[test]
-fn a_hold_is_there_after_a_kill_and_a_compaction_and_not_where_its_record_was_refused() {
+fn a_disabled_endpoint_is_there_after_a_kill_and_a_compaction_and_not_where_its_record_was_refused() {
     let mut hub = open(Memory::default());
     hub.router.journal_mut().store_mut().fail(Fault::Full { after: 0 });
-    assert!(matches!(hub.hold("a", true, NOW), Err(HoldError::NotWritten(_))));
-    assert!(!hub.router.holds().contains("a"));
+    assert!(matches!(hub.set_disabled("a", true, NOW), Err(DisableError::NotWritten(_))));
+    assert!(!hub.router.disabled().contains("a"));
     hub.router.journal_mut().store_mut().fail(Fault::None);
-    hub.hold("a", true, NOW).unwrap();
+    hub.set_disabled("a", true, NOW).unwrap();
     // A torn record at the end makes the next start write a copy.
     let mut bytes = killed(&hub).bytes().to_vec();
     bytes.extend([9, 0, 0, 0, 1]);
     let mut next = open(Memory::of(bytes));
-    assert!(next.router.holds().contains("a"));
+    assert!(next.router.disabled().contains("a"));
     assert_eq!(hand_in(&mut next, "m", NOW).len(), 0);
     next.router.journal_mut().store_mut().fail(Fault::Full { after: 0 });
-    assert!(next.hold("a", false, NOW).is_err());
-    assert!(next.router.holds().contains("a"), "refused, it is out still");
+    assert!(next.set_disabled("a", false, NOW).is_err());
+    assert!(next.router.disabled().contains("a"), "refused, it is out still");
     next.router.journal_mut().store_mut().fail(Fault::None);
-    assert_eq!(calls(next.hold("a", false, NOW).unwrap()).len(), 1);
-    assert!(!open(killed(&next)).router.holds().contains("a"));
+    assert_eq!(calls(next.set_disabled("a", false, NOW).unwrap()).len(), 1);
+    assert!(!open(killed(&next)).router.disabled().contains("a"));
 }
 
 #[test]
-fn a_kill_at_any_byte_of_a_hold_leaves_it_whole_or_not_at_all() {
+fn a_kill_at_any_byte_of_a_disable_leaves_it_whole_or_not_at_all() {
     for bytes in 0..40 {
         let mut hub = open(Memory::default());
         hub.router.journal_mut().store_mut().fail(Fault::Die { after: 0, bytes });
-        hub.hold("a", true, NOW).unwrap();
+        hub.set_disabled("a", true, NOW).unwrap();
         let mut next = open(killed(&hub));
-        let held = next.router.holds().contains("a");
+        let held = next.router.disabled().contains("a");
         assert_eq!(hand_in(&mut next, "m", NOW).is_empty(), held, "{bytes} bytes");
-        next.hold("a", true, NOW).unwrap();
-        assert!(open(killed(&next)).router.holds().contains("a"), "{bytes} bytes");
+        next.set_disabled("a", true, NOW).unwrap();
+        assert!(open(killed(&next)).router.disabled().contains("a"), "{bytes} bytes");
     }
 }
 
 #[test]
-fn holds_are_bounded_by_their_number_and_by_the_share_of_the_disk() {
+fn disabled_endpoints_are_bounded_by_their_number_and_by_the_share_of_the_disk() {
     let mut hub = open(Memory::default());
-    let ids: Vec<String> = (0..=HOLDS_MAX).map(|n| format!("endpoint-{n}-{}", "x".repeat(90))).collect();
-    let providers: Vec<_> = ids.iter().map(|id| (id.as_str(), ListState::Ready)).collect();
-    hub.list(list(true, &providers), NOW);
-    let held = ids.iter().filter(|id| hub.hold(id, true, NOW).is_ok()).count();
-    assert!((1..HOLDS_MAX).contains(&held), "{held}: here the disk is the narrower limit");
+    let ids: Vec<String> = (0..=DISABLED_MAX).map(|n| format!("endpoint-{n}-{}", "x".repeat(90))).collect();
+    let endpoints: Vec<_> = ids.iter().map(|id| (id.as_str(), ListState::Ready)).collect();
+    hub.list(list(true, &endpoints), NOW);
+    let held = ids.iter().filter(|id| hub.set_disabled(id, true, NOW).is_ok()).count();
+    assert!((1..DISABLED_MAX).contains(&held), "{held}: here the disk is the narrower limit");
     assert!(2 * killed(&hub).bytes().len() as u64 <= DISK);
 }
--- a/core/tests/ends.rs
+++ b/core/tests/ends.rs
@@ -1,12 +1,12 @@
 //! A delivery about the end of a message's time, which may count or not by the clock of whoever judges it: its end is told.
 
 mod common;
-use common::{NOW, World, calls, class, killed, provider};
+use common::{NOW, World, calls, class, endpoint, killed};
 use quillmount_core::hub::Hub;
-use quillmount_core::journal::{Book, End};
+use quillmount_core::journal::{End, JournalContents};
 use quillmount_core::pool::Pool;
 use quillmount_core::router::Router;
-use quillmount_core::{CallEnd, CallId, Ending, Invocation, ProviderList};
+use quillmount_core::{CallEnd, CallId, Ending, EndpointList, Submission};
 use spurshore::{ListState, Micros};
 use spurshore_settings::Env;
 
@@ -18,16 +18,16 @@
 fn out(effect: &str) -> (World, CallId) {
     let env = Env { categories: vec![class("c", effect)], ..Env::default() };
     let list =
-        || ProviderList { version: 1, full: true, providers: vec![provider("s", 1, ListState::Ready)] };
+        || EndpointList { version: 1, full: true, endpoints: vec![endpoint("s", 1, ListState::Ready)] };
     let memory = quillmount_core::store::Memory::default();
     let (router, steps) = Router::open(&env, 7, list(), memory, 999_999, NOW).unwrap();
     let mut hub = Hub::new(router, Pool::new(15_000_000, 9));
     hub.carry_out(steps, NOW);
     hub.list(list(), NOW);
     let (id, class, body) = ("m".into(), "c".into(), bytes::Bytes::from_static(b"body"));
-    let invocation =
-        Invocation { id, class, key: Some("k".into()), dest: 1, tenant: None, time_left: TIME, body };
-    let call = calls(hub.take_on(invocation, NOW).1).remove(0).call;
+    let submission =
+        Submission { id, class, key: Some("k".into()), dest: 1, tenant: None, time_left: TIME, body };
+    let call = calls(hub.submit(submission, NOW).1).remove(0).call;
     (hub, call)
 }
 
@@ -51,8 +51,8 @@
             let end = if tells { vec![Ending::Undeliverable] } else { Vec::new() };
             assert_eq!(told(&hub), end, "{effect}, {at}");
             // A kill before the platform has confirmed it: the next life tells it.
-            let (book, _) = Book::read(killed(&hub).bytes());
-            let owed: Vec<_> = book.owed.values().map(|entry| entry.end).collect();
+            let (contents, _) = JournalContents::read(killed(&hub).bytes());
+            let owed: Vec<_> = contents.owed.values().map(|entry| entry.end).collect();
             assert_eq!(
                 owed,
                 if tells { vec![Some(End::Undeliverable)] } else { Vec::new() },
@@ -81,8 +81,8 @@
     assert!((NOW + TIME - CLOSE..=NOW + TIME + CLOSE).contains(&now), "{}", now - NOW);
     hub.call_ended(call, CallEnd::Delivered, now + 5_000);
     assert_eq!(told(&hub), [Ending::Undeliverable]);
-    // What the provider says to be over is.
+    // What the endpoint says to be over is.
     let (mut hub, call) = out("fragile");
-    hub.call_ended(call, CallEnd::Over, NOW + TIME);
+    hub.call_ended(call, CallEnd::Gone, NOW + TIME);
     assert_eq!((told(&hub), hub.router.load().0), (vec![], 0));
 }
--- a/core/tests/flow.rs
+++ b/core/tests/flow.rs
@@ -1,6 +1,6 @@
 //! A body on its way, its window and its two sides.
 
-use quillmount_core::flow::{Cut, Flow, Late, Pace, Source, Who};
+use quillmount_core::flow::{Cut, Flow, FlowSide, Late, Pace, Source};
 
 const PACE: Pace = Pace { stall: 10, span: 60, least: 6 };
 
@@ -12,11 +12,11 @@
 fn a_body_within_its_window_can_be_sent_again_whole() {
     let mut flow = flow(8, Some(5));
     flow.receive(5, 1);
-    assert!(flow.begin(1) && flow.room() == 0 && flow.sendable() == 4, "the last byte stays");
+    assert!(flow.begin(1) && flow.capacity() == 0 && flow.sendable() == 4, "the last byte stays");
     flow.send(4, 2);
     assert!(!flow.may_finish());
     flow.end(3);
-    flow.is_whole(3);
+    flow.complete(3);
     assert!(flow.begin(4) && flow.sendable() == 5);
     flow.send(5, 4);
     assert!(flow.may_finish() && flow.is_replayable());
@@ -27,9 +27,9 @@
     let mut flow = flow(4, None);
     assert!(flow.begin(0));
     flow.receive(4, 1);
-    assert!(flow.is_replayable() && flow.room() == 0);
+    assert!(flow.is_replayable() && flow.capacity() == 0);
     flow.send(3, 1);
-    assert!(!flow.is_replayable() && flow.room() == 3 && flow.base() == 3);
+    assert!(!flow.is_replayable() && flow.capacity() == 3 && flow.base() == 3);
     flow.end(2);
     assert!(!flow.begin(2), "three bytes of it are gone");
 }
@@ -41,7 +41,7 @@
     flow.receive(4, 1);
     flow.cut(Cut::Digest, 1);
     assert_eq!((flow.sendable(), flow.may_finish(), flow.is_replayable()), (0, false, false));
-    flow.is_whole(2);
+    flow.complete(2);
     assert_eq!(flow.source(), Source::Cut(Cut::Digest));
 }
 
@@ -49,25 +49,25 @@
 #[test]
 fn each_side_answers_for_its_own_time() {
     let mut flow = flow(4, None);
-    assert_eq!(flow.late_at(Who::Consumer), Some((10, Late::Stalled)));
+    assert_eq!(flow.late_at(FlowSide::Client), Some((10, Late::Stalled)));
     flow.receive(4, 9);
-    assert_eq!(flow.late_at(Who::Consumer), None, "there is no room");
-    assert_eq!(flow.late_at(Who::Provider), None, "no attempt is out");
+    assert_eq!(flow.late_at(FlowSide::Client), None, "there is no room");
+    assert_eq!(flow.late_at(FlowSide::Endpoint), None, "no attempt is out");
     assert!(flow.begin(1_000));
-    assert_eq!(flow.late(Who::Provider, 1_009), None);
-    assert_eq!(flow.late(Who::Provider, 1_010), Some(Late::Stalled));
-    flow.pause(true, 1_005);
-    assert_eq!(flow.late(Who::Provider, 9_000), None, "a wait is not the provider's fault");
-    flow.pause(false, 9_000);
+    assert_eq!(flow.late(FlowSide::Endpoint, 1_009), None);
+    assert_eq!(flow.late(FlowSide::Endpoint, 1_010), Some(Late::Stalled));
+    flow.set_paused(true, 1_005);
+    assert_eq!(flow.late(FlowSide::Endpoint, 9_000), None, "a wait is not the provider's fault");
+    flow.set_paused(false, 9_000);
     // One byte every nine: it never stalls, and is too slow after sixty of its own, five of which are over.
     for at in (9_009..9_050).step_by(9) {
         flow.send(1, at);
-        flow.receive(flow.room(), at);
-        assert_eq!(flow.late(Who::Provider, at), None);
+        flow.receive(flow.capacity(), at);
+        assert_eq!(flow.late(FlowSide::Endpoint, at), None);
     }
-    assert_eq!(flow.late_at(Who::Provider), Some((9_055, Late::Stalled)));
-    flow.pause(true, 9_047);
-    flow.pause(false, 9_050);
-    assert_eq!(flow.late_at(Who::Provider), Some((9_058, Late::Slow)), "eight of its span are left");
-    assert_eq!(flow.late_at(Who::Consumer), None);
+    assert_eq!(flow.late_at(FlowSide::Endpoint), Some((9_055, Late::Stalled)));
+    flow.set_paused(true, 9_047);
+    flow.set_paused(false, 9_050);
+    assert_eq!(flow.late_at(FlowSide::Endpoint), Some((9_058, Late::Slow)), "eight of its span are left");
+    assert_eq!(flow.late_at(FlowSide::Client), None);
 }
--- a/core/tests/full.rs
+++ b/core/tests/full.rs
@@ -1,27 +1,27 @@
-//! A provider whose table of connections is full says so on a new connection, and closes it.
+//! An endpoint whose table of connections is full says so on a new connection, and closes it.
 
 use bytes::Bytes;
 use quillmount_core::call::Call;
-use quillmount_core::machine::attempt::{Answer, Input};
+use quillmount_core::machine::attempt::{Answer, AttemptInput};
 use quillmount_core::pool::Pool;
-use quillmount_core::{CallEnd, CallId, InvokerCall, Parcel};
+use quillmount_core::{CallEnd, CallId, DeliveryCall, MessagePayload};
 use std::sync::Arc;
 
 const NOW: u64 = 1_000_000_000;
 
-fn order() -> InvokerCall {
-    let parcel = Parcel { id: "m".into(), key: None, tenant: None, body: Bytes::new() };
-    InvokerCall {
+fn order() -> DeliveryCall {
+    let payload = MessagePayload { id: "m".into(), key: None, tenant: None, body: Bytes::new() };
+    DeliveryCall {
         call: CallId { msg: 1, attempt: 0 },
-        provider: 7,
+        endpoint: 7,
         dest: 1,
         addr: "127.0.0.1:1".parse().unwrap(),
-        invocation: Arc::new(parcel),
+        payload: Arc::new(payload),
         timeout: 1_000_000,
         by: u64::MAX,
         stream: false,
-        more: Vec::new(),
-        told: 1_000_000,
+        bundled: Vec::new(),
+        time_left: 1_000_000,
     }
 }
 
@@ -29,7 +29,7 @@
 fn end(answer: fn(&[u8], bool) -> Answer, fresh: bool, reports: bool) -> (Option<CallEnd>, (usize, usize)) {
     let mut pool = Pool::new(15_000_000, 9);
     if !fresh {
-        assert!(pool.rest(7, order().addr, NOW, 70).is_none());
+        assert!(pool.add_idle(7, order().addr, NOW, 70).is_none());
     }
     let mut call = Call::new(order(), answer, 64);
     call.full_closes = reports;
@@ -37,8 +37,8 @@
     if fresh {
         call.connected(&mut pool, 71, NOW);
     }
-    call.step(&mut pool, Input::Wrote { bytes: 1, left: 0 }, NOW);
-    let told = call.step(&mut pool, Input::Read, NOW + 1);
+    call.step(&mut pool, AttemptInput::Wrote { bytes: 1, left: 0 }, NOW);
+    let told = call.step(&mut pool, AttemptInput::Read, NOW + 1);
     (told.end, pool.load())
 }
 
--- a/core/tests/handover.rs
+++ b/core/tests/handover.rs
@@ -35,12 +35,12 @@
     Unborn,
     /// `has`: what came over.
     Taking {
-        machine: Taker,
+        machine: HandoverReceiver,
         has: Option<u8>,
     },
     /// `knows`: the decisions that it knows of.
     Deciding {
-        machine: Giver,
+        machine: HandoverSender,
         knows: u8,
     },
     Dead,
@@ -59,7 +59,7 @@
 
 impl World {
     fn new() -> World {
-        let first = Process::Deciding { machine: Giver::default(), knows: 0 };
+        let first = Process::Deciding { machine: HandoverSender::default(), knows: 0 };
         let all = [first, Process::Unborn, Process::Unborn];
         World { all, lock: Some(0), written: 0, talk: None, to_giver: Vec::new(), to_taker: Vec::new() }
     }
@@ -81,7 +81,7 @@
 
     fn decides(&self, n: usize) -> bool {
         let Process::Deciding { machine, .. } = self.all[n] else { return false };
-        matches!(machine.state(), GiverState::Deciding | GiverState::Collecting { .. })
+        matches!(machine.state(), SenderState::Deciding | SenderState::Collecting { .. })
     }
 
     /// All that may happen next.
@@ -92,7 +92,7 @@
                 // The second starts at any time, and the third too: an upgrade during another.
                 Process::Unborn if n > 0 => {
                     let mut w = self.clone();
-                    w.all[n] = Process::Taking { machine: Taker::new(0), has: None };
+                    w.all[n] = Process::Taking { machine: HandoverReceiver::new(0), has: None };
                     all.push(w);
                 }
                 Process::Unborn | Process::Dead => {}
@@ -108,11 +108,11 @@
                         w.all[n] = Process::Deciding { machine, knows: knows + 1 };
                         all.push(w);
                     }
-                    if matches!(machine.state(), GiverState::Collecting { .. }) {
-                        all.push(self.given(n, machine, knows, GiverInput::Collected, 0, broken));
+                    if matches!(machine.state(), SenderState::Collecting { .. }) {
+                        all.push(self.given(n, machine, knows, SenderInput::Collected, 0, broken));
                     }
                     if let Some(until) = machine.wake_at() {
-                        all.push(self.given(n, machine, knows, GiverInput::Tick, until, broken));
+                        all.push(self.given(n, machine, knows, SenderInput::Tick, until, broken));
                     }
                 }
             }
@@ -139,14 +139,14 @@
         let words = std::mem::take(&mut self.to_taker);
         if n == taker {
             if let Process::Deciding { machine, knows } = self.all[giver] {
-                *self = self.given(giver, machine, knows, GiverInput::Lost, 0, Broken::Nothing);
+                *self = self.given(giver, machine, knows, SenderInput::Lost, 0, Broken::Nothing);
             }
         } else if let Process::Taking { .. } = self.all[taker] {
             for word in words {
                 self.taker_hears(taker, word, Broken::Nothing);
             }
             if let Process::Taking { machine, .. } = self.all[taker] {
-                self.took(taker, machine, None, TakerInput::Lost, 0, Broken::Nothing);
+                self.took(taker, machine, None, ReceiverInput::Lost, 0, Broken::Nothing);
             }
         }
     }
@@ -155,48 +155,48 @@
     fn given(
         &self,
         n: usize,
-        mut machine: Giver,
+        mut machine: HandoverSender,
         knows: u8,
-        input: GiverInput,
+        input: SenderInput,
         now: u64,
         broken: Broken,
     ) -> World {
         let mut w = self.clone();
-        if broken == Broken::TakesBackLate && input == GiverInput::Got {
+        if broken == Broken::TakesBackLate && input == SenderInput::Received {
             // Its answer is lost on the way, and it goes on as before.
             w.lock = None;
             w.to_taker.push(Word::LetGo);
-            w.all[n] = Process::Deciding { machine: Giver::default(), knows };
+            w.all[n] = Process::Deciding { machine: HandoverSender::default(), knows };
             return w;
         }
         let output = machine.step(input, now);
         w.all[n] = Process::Deciding { machine, knows };
         match output {
-            GiverOutput::Send => w.to_taker.push(Word::All(knows)),
-            GiverOutput::LetGo => {
+            SenderOutput::Send => w.to_taker.push(Word::All(knows)),
+            SenderOutput::Release => {
                 w.lock = None;
                 w.to_taker.push(Word::LetGo);
             }
-            GiverOutput::TakeBack => {
+            SenderOutput::TakeBack => {
                 if let Some((taker, _)) = w.talk.filter(|(_, g)| *g == n) {
                     w.talk = None;
                     w.to_giver.clear();
                     w.to_taker.clear();
                     if let Process::Taking { machine, .. } = w.all[taker] {
-                        w.took(taker, machine, None, TakerInput::Lost, 0, broken);
+                        w.took(taker, machine, None, ReceiverInput::Lost, 0, broken);
                     }
                 }
             }
-            GiverOutput::Busy => w.to_taker.push(Word::Busy),
-            GiverOutput::Nothing | GiverOutput::Collect => {}
+            SenderOutput::Busy => w.to_taker.push(Word::Busy),
+            SenderOutput::Nothing | SenderOutput::Collect => {}
         }
         w
     }
 
-    fn take_ticks(&self, n: usize, machine: Taker, has: Option<u8>, broken: Broken) -> Vec<World> {
+    fn take_ticks(&self, n: usize, machine: HandoverReceiver, has: Option<u8>, broken: Broken) -> Vec<World> {
         let Some(until) = machine.wake_at() else { return Vec::new() };
         let mut w = self.clone();
-        w.took(n, machine, has, TakerInput::Tick, until, broken);
+        w.took(n, machine, has, ReceiverInput::Tick, until, broken);
         vec![w]
     }
 
@@ -204,62 +204,63 @@
     fn took(
         &mut self,
         n: usize,
-        mut machine: Taker,
+        mut machine: HandoverReceiver,
         has: Option<u8>,
-        input: TakerInput,
+        input: ReceiverInput,
         now: u64,
         broken: Broken,
     ) {
-        if broken == Broken::ResumesUnasked && input == TakerInput::All {
-            self.all[n] = Process::Deciding { machine: Giver::default(), knows: has.unwrap_or(0) };
+        if broken == Broken::ResumesUnasked && input == ReceiverInput::Complete {
+            self.all[n] = Process::Deciding { machine: HandoverSender::default(), knows: has.unwrap_or(0) };
             return;
         }
         let mut todo = machine.step(input, now);
         let mut has = has;
-        if matches!(machine.state(), TakerState::Locking { .. }) && input == TakerInput::Tick {
+        if matches!(machine.state(), ReceiverState::Locking { .. }) && input == ReceiverInput::Tick {
             // Whatever it was saying is over.
             self.hangs_up(n);
         }
         loop {
             self.all[n] = Process::Taking { machine, has };
             todo = match todo {
-                TakerOutput::Nothing => return,
-                TakerOutput::Lock if self.lock.is_none() => {
+                ReceiverOutput::Nothing => return,
+                ReceiverOutput::Lock if self.lock.is_none() => {
                     self.lock = Some(n);
-                    machine.step(TakerInput::Locked, 0)
+                    machine.step(ReceiverInput::Locked, 0)
                 }
-                TakerOutput::Lock => machine.step(TakerInput::Held, 0),
-                TakerOutput::Ask => match self.lock {
+                ReceiverOutput::Lock => machine.step(ReceiverInput::LockTaken, 0),
+                ReceiverOutput::Request => match self.lock {
                     Some(holder)
                         if self.talk.is_none() && matches!(self.all[holder], Process::Deciding { .. }) =>
                     {
                         has = None;
                         self.talk = Some((n, holder));
                         self.to_giver.push(Word::Ask);
-                        TakerOutput::Nothing
+                        ReceiverOutput::Nothing
                     }
                     // It serves another, starts, or is gone meanwhile.
-                    _ => machine.step(TakerInput::Busy, 0),
+                    _ => machine.step(ReceiverInput::Busy, 0),
                 },
-                TakerOutput::Confirm => {
+                ReceiverOutput::Confirm => {
                     self.to_giver.push(Word::Got);
-                    TakerOutput::Nothing
+                    ReceiverOutput::Nothing
                 }
-                TakerOutput::End => {
+                ReceiverOutput::KillOwner => {
                     if let Some(holder) = self.lock {
                         *self = self.killed(holder);
                     }
-                    TakerOutput::Nothing
+                    ReceiverOutput::Nothing
                 }
-                TakerOutput::Resume => {
+                ReceiverOutput::Resume => {
                     // The journal tells whether anything was decided since.
                     let stale = has != Some(self.written) && broken != Broken::JournalUnread;
                     let knows = if stale { self.written } else { has.expect("it came over") };
-                    self.all[n] = Process::Deciding { machine: Giver::default(), knows };
+                    self.all[n] = Process::Deciding { machine: HandoverSender::default(), knows };
                     return;
                 }
-                TakerOutput::Restore => {
-                    self.all[n] = Process::Deciding { machine: Giver::default(), knows: self.written };
+                ReceiverOutput::Restore => {
+                    self.all[n] =
+                        Process::Deciding { machine: HandoverSender::default(), knows: self.written };
                     return;
                 }
             };
@@ -272,7 +273,7 @@
             self.to_giver.clear();
             self.to_taker.clear();
             if let Process::Deciding { machine, knows } = self.all[giver] {
-                *self = self.given(giver, machine, knows, GiverInput::Lost, 0, Broken::Nothing);
+                *self = self.given(giver, machine, knows, SenderInput::Lost, 0, Broken::Nothing);
             }
         }
     }
@@ -280,13 +281,13 @@
     fn taker_hears(&mut self, n: usize, word: Word, broken: Broken) {
         let Process::Taking { machine, has } = self.all[n] else { return };
         match word {
-            Word::All(knows) => self.took(n, machine, Some(knows), TakerInput::All, 0, broken),
+            Word::All(knows) => self.took(n, machine, Some(knows), ReceiverInput::Complete, 0, broken),
             Word::LetGo => {
                 self.talk = None;
                 self.to_giver.clear();
-                self.took(n, machine, has, TakerInput::LetGo, 0, broken);
+                self.took(n, machine, has, ReceiverInput::Released, 0, broken);
             }
-            Word::Busy => self.took(n, machine, has, TakerInput::Busy, 0, broken),
+            Word::Busy => self.took(n, machine, has, ReceiverInput::Busy, 0, broken),
             Word::Ask | Word::Got => {}
         }
     }
@@ -297,7 +298,7 @@
         if let (Some(word), Process::Deciding { machine, knows }) = (self.to_giver.first(), self.all[giver]) {
             let mut w = self.clone();
             w.to_giver.remove(0);
-            let input = if *word == Word::Ask { GiverInput::Asked } else { GiverInput::Got };
+            let input = if *word == Word::Ask { SenderInput::Requested } else { SenderInput::Received };
             all.push(w.given(giver, machine, knows, input, 0, broken));
         }
         if let Some(word) = self.to_taker.first() {
@@ -335,10 +336,10 @@
         .iter()
         .flat_map(|w| w.all)
         .filter_map(|process| match process {
-            Process::Deciding { machine, .. } if machine.state() == GiverState::Gone => Some("gone"),
+            Process::Deciding { machine, .. } if machine.state() == SenderState::Gone => Some("gone"),
             Process::Taking { machine, .. } => match machine.state() {
-                TakerState::Asking { .. } => Some("asking"),
-                TakerState::Confirming { .. } => Some("confirming"),
+                ReceiverState::Requesting { .. } => Some("asking"),
+                ReceiverState::Confirming { .. } => Some("confirming"),
                 _ => None,
             },
             _ => None,
@@ -359,27 +360,29 @@
 /// The holder is ended, or hands over to a third process, and that one takes the lock: it is asked like any other, however
 /// long the process has waited by then. Asked no more, it would be waited for until it ends by itself.
 #[test]
-fn whoever_takes_the_lock_after_the_holder_was_ended_is_asked_in_its_turn() {
-    let mut taker = Taker::new(0);
+fn whoever_takes_the_lock_after_the_lock_owner_was_killed_is_asked_in_its_turn() {
+    let mut taker = HandoverReceiver::new(0);
     let mut now = 0;
-    let look = |taker: &mut Taker, now: u64| {
-        assert_eq!(taker.step(TakerInput::Tick, now), TakerOutput::Lock);
-        taker.step(TakerInput::Held, now)
+    let look = |taker: &mut HandoverReceiver, now: u64| {
+        assert_eq!(taker.step(ReceiverInput::Tick, now), ReceiverOutput::Lock);
+        taker.step(ReceiverInput::LockTaken, now)
     };
     // Busy to the last, as one that starts slowly or serves another.
     let mut ended = 0;
     while ended == 0 {
         match look(&mut taker, now) {
-            TakerOutput::Ask => assert_eq!(taker.step(TakerInput::Busy, now), TakerOutput::Nothing),
+            ReceiverOutput::Request => {
+                assert_eq!(taker.step(ReceiverInput::Busy, now), ReceiverOutput::Nothing)
+            }
             output => {
-                assert_eq!((output, now >= LATEST), (TakerOutput::End, true));
+                assert_eq!((output, now >= KILL_OWNER_AFTER), (ReceiverOutput::KillOwner, true));
                 ended += 1;
             }
         }
-        now += AGAIN;
+        now += LOCK_RETRY_INTERVAL;
     }
-    assert_eq!(look(&mut taker, now), TakerOutput::Ask, "another holds the lock by now");
-    assert_eq!(taker.step(TakerInput::All, now), TakerOutput::Confirm);
-    assert_eq!(taker.step(TakerInput::LetGo, now), TakerOutput::Lock);
-    assert_eq!(taker.step(TakerInput::Locked, now), TakerOutput::Resume);
+    assert_eq!(look(&mut taker, now), ReceiverOutput::Request, "another holds the lock by now");
+    assert_eq!(taker.step(ReceiverInput::Complete, now), ReceiverOutput::Confirm);
+    assert_eq!(taker.step(ReceiverInput::Released, now), ReceiverOutput::Lock);
+    assert_eq!(taker.step(ReceiverInput::Locked, now), ReceiverOutput::Resume);
 }
--- a/core/tests/handover_forms.rs
+++ b/core/tests/handover_forms.rs
@@ -5,18 +5,19 @@
 mod fixtures;
 
 use bytes::Bytes;
-use common::{NOW, World, calls, class, killed, provider};
+use common::{NOW, World, calls, class, endpoint, killed};
 use fixtures::fixture;
-use quillmount_core::call::{Call, Part};
+use quillmount_core::call::{Call, CallSnapshot};
 use quillmount_core::flow::{Cut, Late};
 use quillmount_core::hub::{self, Hub};
-use quillmount_core::machine::attempt::{Answer, Decode, Input, State};
-use quillmount_core::machine::consumer;
+use quillmount_core::machine::attempt::{Answer, AttemptInput, AttemptState, Decode};
+use quillmount_core::machine::client;
 use quillmount_core::pool::Pool;
-use quillmount_core::router::{Router, StreamLimits, mark};
+use quillmount_core::router::{Router, StreamLimits, settings_fingerprint};
 use quillmount_core::store::Memory;
 use quillmount_core::{
-    CallEnd, CallId, Ending, Invocation, InvokerCall, Parcel, Provider, ProviderList, Rider,
+    BundledMessage, CallEnd, CallId, DeliveryCall, Ending, EndpointList, EndpointListing, MessagePayload,
+    Submission,
 };
 use spurshore::{Eye, ListState, Micros};
 use spurshore_settings::{Category, Env, FamilyInfo, Limits, Tenant};
@@ -71,12 +72,12 @@
     }
 }
 
-fn list() -> ProviderList {
-    let line = |n: u64, state| Provider {
+fn list() -> EndpointList {
+    let line = |n: u64, state| EndpointListing {
         zone: if n.is_multiple_of(2) { "z" } else { "y" }.into(),
         kind: "k".into(),
         weight: 2.0,
-        ..provider(&format!("s-{n}"), n / 2, state)
+        ..endpoint(&format!("s-{n}"), n / 2, state)
     };
     let states = [
         ListState::Ready,
@@ -87,12 +88,12 @@
         ListState::Ready,
         ListState::Gone,
     ];
-    let providers = states.into_iter().zip(0..).map(|(state, n)| line(n, state)).collect();
-    ProviderList { version: 41, full: true, providers }
+    let endpoints = states.into_iter().zip(0..).map(|(state, n)| line(n, state)).collect();
+    EndpointList { version: 41, full: true, endpoints }
 }
 
-fn invocation(n: u64) -> Invocation {
-    Invocation {
+fn submission(n: u64) -> Submission {
+    Submission {
         id: format!("m{n}"),
         class: ["fee-debit", "paid-notice", "quote"][n as usize % 3].into(),
         key: n.is_multiple_of(2).then(|| format!("k{n}")),
@@ -111,7 +112,7 @@
     let mut hub = Hub::new(router, Pool::new(15_000_000, 99));
     hub.carry_out(steps, NOW);
     hub.list(list(), NOW);
-    hub.hold("s-1", true, NOW).unwrap();
+    hub.set_disabled("s-1", true, NOW).unwrap();
     let ends = [
         CallEnd::Delivered,
         CallEnd::Full(20_000_000),
@@ -121,23 +122,23 @@
         CallEnd::Error,
         CallEnd::CouldNotConnect,
     ];
-    let mut out: Vec<InvokerCall> = Vec::new();
+    let mut out: Vec<DeliveryCall> = Vec::new();
     for n in 0..60 {
         let now = NOW + n * 30_000;
-        out.extend(calls(hub.take_on(invocation(n), now).1));
+        out.extend(calls(hub.submit(submission(n), now).1));
         out.extend(calls(hub.tick(now)));
         // The last destination answers nobody.
         if let Some(first) = out.iter().position(|call| call.dest != 2) {
             let call = out.remove(first);
             let end = ends[n as usize % ends.len()];
-            let ends = vec![end; 1 + call.more.len()];
+            let ends = vec![end; 1 + call.bundled.len()];
             out.extend(calls(hub.call_ended_each(call.call, &ends, &Default::default(), now + 9_000)));
         }
     }
     let now = NOW + 1_900_000;
     for n in 100..104 {
         let dest = n % 2;
-        let (_, msg, todo) = hub.take_on_stream(Invocation { dest, ..invocation(n) }, now);
+        let (_, msg, todo) = hub.submit_stream(Submission { dest, ..submission(n) }, now);
         for call in calls(todo).into_iter().filter(|call| call.call.msg == msg && n % 2 == 0) {
             hub.stream(|router| router.stream_written(call.call, now + 1), now + 1);
             hub.router.stream_committed(msg);
@@ -155,14 +156,14 @@
 
 /// The pool tells of its waits in no order; here they are in that of their numbers, so that the bytes can be compared.
 fn encoded(hub: &World) -> Vec<u8> {
-    let mut state = hub.state(mark(&env(), STREAMS).unwrap());
-    state.holds.sort_unstable();
+    let mut state = hub.state(settings_fingerprint(&env(), STREAMS).unwrap());
+    state.backoffs.sort_unstable();
     postcard::to_allocvec(&state).unwrap()
 }
 
 #[test]
 fn the_mark_of_settings_is_the_same_as_ever() {
-    assert_eq!(mark(&env(), STREAMS).unwrap(), MARK);
+    assert_eq!(settings_fingerprint(&env(), STREAMS).unwrap(), MARK);
 }
 
 #[test]
@@ -170,9 +171,9 @@
     let hub = busy();
     let stored = fixture("handover_state.bin", &encoded(&hub));
     let journal = fixture("handover_journal.bin", killed(&hub).bytes());
-    let state: hub::State = postcard::from_bytes(&stored).unwrap();
+    let state: hub::HubState = postcard::from_bytes(&stored).unwrap();
     assert_eq!(postcard::to_allocvec(&state).unwrap(), stored, "read and written without a courier");
-    let held = state.holds.clone();
+    let held = state.backoffs.clone();
     let now = NOW + 2_000_000;
     let (router, steps) =
         Router::resume(&env(), STREAMS, state.router, Memory::of(journal.clone()), DISK, now).unwrap();
@@ -191,7 +192,7 @@
     assert_eq!(held, [(2, NOW + 20_039_000), (3, NOW + 20_039_000)]);
     let call = |msg| CallId { msg, attempt: 0 };
     assert_eq!(next.router.calls_out(), [5, 35, 50, 2, 17].map(call));
-    assert_eq!(next.router.holds().iter().collect::<Vec<_>>(), ["s-1"]);
+    assert_eq!(next.router.disabled().iter().collect::<Vec<_>>(), ["s-1"]);
     assert_eq!(next.router.version(), 41);
     assert!((0..60).all(|n| next.router.knows(&format!("m{n}"))));
     let counters = &next.router.counters;
@@ -208,74 +209,74 @@
     _ => Answer::Partial,
 };
 
-fn order(several: bool) -> InvokerCall {
-    let parcel = |n: u64| {
+fn order(several: bool) -> DeliveryCall {
+    let payload = |n: u64| {
         let key = n.is_multiple_of(2).then(|| format!("k{n}"));
-        Arc::new(Parcel {
+        Arc::new(MessagePayload {
             id: format!("m{n}"),
             key,
             tenant: Some("left out".into()),
             body: vec![n as u8; 3].into(),
         })
     };
-    let rider = |n| Rider { call: CallId { msg: n, attempt: 300 }, invocation: parcel(n) };
-    InvokerCall {
+    let bundled = |n| BundledMessage { call: CallId { msg: n, attempt: 300 }, payload: payload(n) };
+    DeliveryCall {
         call: CallId { msg: 5, attempt: 1 },
-        provider: 3,
+        endpoint: 3,
         dest: 700,
         addr: if several { "[2001:db8::1]:7070" } else { "10.1.0.18:7070" }.parse().unwrap(),
-        invocation: parcel(5),
+        payload: payload(5),
         timeout: 950_000,
         by: if several { NOW + 900_000 } else { Micros::MAX },
         stream: !several,
-        more: if several { vec![rider(6), rider(7)] } else { vec![] },
-        told: 850_000,
+        bundled: if several { vec![bundled(6), bundled(7)] } else { vec![] },
+        time_left: 850_000,
     }
 }
 
 /// A call that is in this state, with its connection where it has one.
-fn in_state(state: &str, several: bool) -> (Part, Option<u32>) {
+fn in_state(state: &str, several: bool) -> (CallSnapshot, Option<u32>) {
     let mut pool: Pool<u32> = Pool::new(15_000_000, 9);
     let mut call = Call::new(order(several), DECODE, 64);
     if state != "new" {
         call.start(&mut pool, NOW, |_| true);
         call.connected(&mut pool, 42, NOW);
-        call.step(&mut pool, Input::Wrote { bytes: 200, left: 100 }, NOW);
+        call.step(&mut pool, AttemptInput::Wrote { bytes: 200, left: 100 }, NOW);
     }
     if !matches!(state, "new" | "writing") {
-        call.step(&mut pool, Input::Wrote { bytes: 100, left: 0 }, NOW);
+        call.step(&mut pool, AttemptInput::Wrote { bytes: 100, left: 0 }, NOW);
     }
     if matches!(state, "reading") {
         call.parts().unwrap().1.extend_from_slice(b"HTTP/1.1 2");
-        call.step(&mut pool, Input::Read, NOW);
+        call.step(&mut pool, AttemptInput::Read, NOW);
     }
     if let Some(input) = match state {
-        "given up" => Some(Input::GiveUp),
-        "late" => Some(Input::Deadline),
+        "given up" => Some(AttemptInput::GiveUp),
+        "late" => Some(AttemptInput::Deadline),
         _ => None,
     } {
         call.step(&mut pool, input, NOW);
     }
-    call.part(&mut pool, NOW + 950_000)
+    call.snapshot(&mut pool, NOW + 950_000)
 }
 
 #[test]
 fn calls_that_are_out_are_handed_over_as_ever() {
     let until = NOW + 5_000;
     let states = [
-        ("new", State::New),
-        ("writing", State::Writing { written: 200 }),
-        ("awaiting", State::Awaiting),
-        ("reading", State::Reading { by: NOW + 100_000 }),
-        ("given up", State::Closing { end: CallEnd::GivenUp, until }),
-        ("late", State::Closing { end: CallEnd::TimedOut, until }),
+        ("new", AttemptState::New),
+        ("writing", AttemptState::Writing { written: 200 }),
+        ("awaiting", AttemptState::Awaiting),
+        ("reading", AttemptState::Reading { by: NOW + 100_000 }),
+        ("given up", AttemptState::Closing { end: CallEnd::GivenUp, until }),
+        ("late", AttemptState::Closing { end: CallEnd::TimedOut, until }),
     ];
     let all = states.iter().flat_map(|(name, state)| [(*name, *state, false), (*name, *state, true)]);
     let all: Vec<_> = all.collect();
-    let parts: Vec<(Part, Option<u32>)> =
+    let parts: Vec<(CallSnapshot, Option<u32>)> =
         all.iter().map(|(name, _, several)| in_state(name, *several)).collect();
     let stored = fixture("handover_calls.bin", &postcard::to_allocvec(&parts).unwrap());
-    let read: Vec<(Part, Option<u32>)> = postcard::from_bytes(&stored).unwrap();
+    let read: Vec<(CallSnapshot, Option<u32>)> = postcard::from_bytes(&stored).unwrap();
     assert_eq!(postcard::to_allocvec(&read).unwrap(), stored);
     assert_eq!(read.len(), all.len());
     for ((part, connection), (name, state, several)) in read.into_iter().zip(all) {
@@ -285,16 +286,17 @@
         let answer: &[u8] = if name == "reading" { b"HTTP/1.1 2" } else { b"" };
         assert_eq!(call.attempt().answer(), answer, "{name}");
         let (is, was) = (&call.order, order(several));
-        assert_eq!((is.call, is.provider, is.dest, is.addr), (was.call, 3, 700, was.addr));
-        assert_eq!((is.timeout, is.by, is.stream, is.told), (950_000, was.by, !several, 850_000));
-        let parcels = |order: &InvokerCall| {
-            let of = |p: &Parcel| (p.id.clone(), p.key.clone(), p.body.clone());
-            order.parcels().map(of).collect::<Vec<_>>()
+        assert_eq!((is.call, is.endpoint, is.dest, is.addr), (was.call, 3, 700, was.addr));
+        assert_eq!((is.timeout, is.by, is.stream, is.time_left), (950_000, was.by, !several, 850_000));
+        let payloads = |order: &DeliveryCall| {
+            let of = |p: &MessagePayload| (p.id.clone(), p.key.clone(), p.body.clone());
+            order.payloads().map(of).collect::<Vec<_>>()
         };
-        assert_eq!(parcels(is), parcels(&was));
-        assert!(is.parcels().all(|parcel| parcel.tenant.is_none()), "the tenant is not handed over");
-        let riders = |order: &InvokerCall| order.more.iter().map(|rider| rider.call).collect::<Vec<_>>();
-        assert_eq!(riders(is), riders(&was));
+        assert_eq!(payloads(is), payloads(&was));
+        assert!(is.payloads().all(|payload| payload.tenant.is_none()), "the tenant is not handed over");
+        let bundled =
+            |order: &DeliveryCall| order.bundled.iter().map(|message| message.call).collect::<Vec<_>>();
+        assert_eq!(bundled(is), bundled(&was));
     }
 }
 
@@ -309,7 +311,7 @@
         CallEnd::Full(0),
         CallEnd::NoSlot,
         CallEnd::Exhausted,
-        CallEnd::Over,
+        CallEnd::Gone,
         CallEnd::HeldBack,
         CallEnd::CouldNotConnect,
         CallEnd::Reset,
@@ -317,21 +319,21 @@
         CallEnd::GivenUp,
     ];
     let states = vec![
-        State::New,
-        State::Connecting,
-        State::Writing { written: 300 },
-        State::Awaiting,
-        State::Reading { by: 300 },
-        State::Closing { end: CallEnd::GivenUp, until: 300 },
-        State::Over,
+        AttemptState::New,
+        AttemptState::Connecting,
+        AttemptState::Writing { written: 300 },
+        AttemptState::Awaiting,
+        AttemptState::Reading { by: 300 },
+        AttemptState::Closing { end: CallEnd::GivenUp, until: 300 },
+        AttemptState::Finished,
     ];
-    let consumers = vec![
-        consumer::State::Asking { first: true, last: false },
-        consumer::State::Answering { probed: true, closes: false },
-        consumer::State::Resting { probed: true },
-        consumer::State::Leaving,
-        consumer::State::Closing,
-        consumer::State::Over,
+    let clients = vec![
+        client::ClientState::Requesting { first: true, last: false },
+        client::ClientState::Answering { probed: true, closes: false },
+        client::ClientState::Idle { probed: true },
+        client::ClientState::Leaving,
+        client::ClientState::Closing,
+        client::ClientState::Closed,
     ];
     let cuts = vec![
         Cut::Gone,
@@ -343,7 +345,7 @@
     ];
     let endings = vec![Ending::Undeliverable, Ending::Deferred(300)];
     let listed = vec![ListState::Gone, ListState::Ready, ListState::Draining];
-    let all = (call_ends, states, consumers, cuts, endings, listed);
+    let all = (call_ends, states, clients, cuts, endings, listed);
     let stored = fixture("handover_enums.bin", &postcard::to_allocvec(&all).unwrap());
     assert_eq!(postcard::from_bytes(&stored), Ok(all));
 }
--- a/core/tests/pool.rs
+++ b/core/tests/pool.rs
@@ -1,39 +1,39 @@
-//! The connections to the providers: which rest, which are closed, and which serve a call.
+//! The connections to the endpoints: which rest, which are closed, and which serve a call.
 
-use quillmount_core::machine::link::Input;
+use quillmount_core::machine::connection::ConnectionInput;
 use quillmount_core::pool::Pool;
 use spurshore::Micros;
 
 const ADDR: &str = "127.0.0.1:1";
 
-fn with_resting(pool: &mut Pool<u32>, provider: u32, connection: u32, now: Micros) {
+fn with_resting(pool: &mut Pool<u32>, endpoint: u32, connection: u32, now: Micros) {
     let addr = ADDR.parse().unwrap();
-    assert!(pool.begin(provider, addr, now, |_| true).is_none());
+    assert!(pool.begin(endpoint, addr, now, |_| true).is_none());
     let mut link = pool.open();
-    link.step(Input::Up, now);
-    assert_eq!(pool.keep(provider, addr, link, connection, now), None);
+    link.step(ConnectionInput::Connected, now);
+    assert_eq!(pool.keep_idle(endpoint, addr, link, connection, now), None);
     pool.end();
 }
 
 #[test]
-fn the_longest_resting_of_all_goes_when_room_is_short() {
+fn the_longest_idle_of_all_goes_when_capacity_is_short() {
     let mut pool = Pool::new(15_000_000, 2);
     with_resting(&mut pool, 7, 70, 10);
     with_resting(&mut pool, 8, 80, 5);
-    assert_eq!(pool.make_room(), None);
+    assert_eq!(pool.evict_idle(), None);
     assert!(pool.begin(9, ADDR.parse().unwrap(), 20, |_| true).is_none());
-    assert_eq!((pool.make_room(), pool.load()), (Some(80), (1, 1)));
+    assert_eq!((pool.evict_idle(), pool.load()), (Some(80), (1, 1)));
 }
 
 #[test]
 fn a_shut_gate_closes_what_rests_and_what_comes_to_rest() {
     let mut pool = Pool::new(15_000_000, 9);
     with_resting(&mut pool, 7, 70, 10);
-    assert_eq!(pool.gate(7, false), [70]);
+    assert_eq!(pool.set_gate(7, false), [70]);
     let mut link = pool.open();
-    link.step(Input::Up, 11);
-    assert_eq!(pool.keep(7, ADDR.parse().unwrap(), link, 71, 11), Some(71));
-    assert!(!pool.lets_through(7, 12) && pool.lets_through(8, 12));
+    link.step(ConnectionInput::Connected, 11);
+    assert_eq!(pool.keep_idle(7, ADDR.parse().unwrap(), link, 71, 11), Some(71));
+    assert!(!pool.is_open(7, 12) && pool.is_open(8, 12));
 }
 
 #[test]
@@ -48,7 +48,7 @@
     assert_eq!(pool.sweep(14_000_010, |_| true), [71]);
 }
 
-/// A keep-alive of less than a second: what rests is closed while its provider still holds it.
+/// A keep-alive of less than a second: what rests is closed while its endpoint still holds it.
 #[test]
 fn a_connection_rests_for_half_of_a_short_keep_alive() {
     let addr = ADDR.parse().unwrap();
@@ -65,7 +65,7 @@
     }
 }
 
-/// The provider has moved: what leads to its old address serves no call.
+/// The endpoint has moved: what leads to its old address serves no call.
 #[test]
 fn what_leads_to_an_old_address_serves_no_call() {
     let mut pool = Pool::new(15_000_000, 9);
@@ -74,18 +74,18 @@
     assert_eq!(pool.load(), (1, 0));
 }
 
-/// A provider that is gone for good leaves no connection behind, at rest or as its last call ends.
+/// An endpoint that is gone for good leaves no connection behind, at rest or as its last call ends.
 #[test]
-fn a_provider_that_is_gone_keeps_no_connection() {
+fn an_endpoint_that_is_gone_keeps_no_connection() {
     let addr = ADDR.parse().unwrap();
     let mut pool = Pool::new(15_000_000, 9);
     with_resting(&mut pool, 7, 70, 10);
     with_resting(&mut pool, 8, 80, 10);
     let (link, connection) = pool.begin(7, addr, 11, |_| true).unwrap();
-    pool.gate(7, false);
-    assert_eq!(pool.keep(7, addr, link, connection, 12), Some(70), "its call ends after it went");
+    pool.set_gate(7, false);
+    assert_eq!(pool.keep_idle(7, addr, link, connection, 12), Some(70), "its call ends after it went");
     pool.end();
-    assert_eq!(pool.rest(7, addr, 12, 71), Some(71), "one of another process");
+    assert_eq!(pool.add_idle(7, addr, 12, 71), Some(71), "one of another process");
     assert_eq!((pool.forget(7), pool.load()), (vec![], (0, 1)));
-    assert_eq!(pool.gate(8, false), [80]);
+    assert_eq!(pool.set_gate(8, false), [80]);
 }
--- a/core/tests/repeats.rs
+++ b/core/tests/repeats.rs
@@ -2,14 +2,14 @@
 //! at all; and what may be repeated is a matter of each class's settings.
 
 mod common;
-use common::{NOW, World, calls, class, killed, provider};
-use quillmount_core::hub::{Do, Hub};
-use quillmount_core::journal::{Book, End};
+use common::{NOW, World, calls, class, endpoint, killed};
+use quillmount_core::hub::{DriverAction, Hub};
+use quillmount_core::journal::{End, JournalContents};
 use quillmount_core::note::Note;
 use quillmount_core::pool::Pool;
 use quillmount_core::router::Router;
 use quillmount_core::store::Memory;
-use quillmount_core::{CallEnd, Invocation, InvokerCall, ProviderList};
+use quillmount_core::{CallEnd, DeliveryCall, EndpointList, Submission};
 use spurshore::{ListState, Micros};
 use spurshore_settings::{Category, Env};
 
@@ -27,11 +27,11 @@
     Env { categories: categories.collect(), ..Env::default() }
 }
 
-fn list() -> ProviderList {
-    ProviderList { version: 1, full: true, providers: vec![provider("s", 1, ListState::Ready)] }
+fn list() -> EndpointList {
+    EndpointList { version: 1, full: true, endpoints: vec![endpoint("s", 1, ListState::Ready)] }
 }
 
-fn open(env: &Env, store: Memory, now: Micros) -> (World, Vec<Do<u32>>) {
+fn open(env: &Env, store: Memory, now: Micros) -> (World, Vec<DriverAction<u32>>) {
     let (router, steps) = Router::open(env, 7, list(), store, 999_999, now).unwrap();
     let mut hub = Hub::new(router, Pool::new(15_000_000, 9));
     let mut todo = hub.carry_out(steps, now);
@@ -39,15 +39,15 @@
     (hub, todo)
 }
 
-fn hand_in(hub: &mut World, id: &str, class: usize, now: Micros) -> InvokerCall {
+fn hand_in(hub: &mut World, id: &str, class: usize, now: Micros) -> DeliveryCall {
     let (key, body) = (Some(format!("k-{id}")), bytes::Bytes::from_static(b"body"));
     let (id, class, time_left) = (id.into(), format!("c{class}"), 16_000_000);
-    let invocation = Invocation { id, class, key, dest: 1, tenant: None, time_left, body };
-    calls(hub.take_on(invocation, now).1).remove(0)
+    let submission = Submission { id, class, key, dest: 1, tenant: None, time_left, body };
+    calls(hub.submit(submission, now).1).remove(0)
 }
 
 /// Ticks as the hub wants, up to this time; the calls that are begun, with their moments.
-fn run(hub: &mut World, from: Micros, until: Micros) -> Vec<(Micros, InvokerCall)> {
+fn run(hub: &mut World, from: Micros, until: Micros) -> Vec<(Micros, DeliveryCall)> {
     let (mut now, mut begun) = (from, Vec::new());
     while let Some(at) = hub.router.wake_at().map(|at| at.max(now)).filter(|at| *at <= until) {
         now = at.max(now + 1);
@@ -57,9 +57,9 @@
 }
 
 fn end_of(hub: &World, id: &str) -> Option<End> {
-    let (book, _) = Book::read(hub.router.journal().store().bytes());
-    let over = book.over.iter().find(|(over, ..)| over == id).map(|(_, end, _)| *end);
-    over.or_else(|| book.owed.values().find(|e| e.taken.id == id).and_then(|e| e.end))
+    let (contents, _) = JournalContents::read(hub.router.journal().store().bytes());
+    let over = contents.ended.iter().find(|(over, ..)| over == id).map(|(_, end, _)| *end);
+    over.or_else(|| contents.owed.values().find(|e| e.taken.id == id).and_then(|e| e.end))
 }
 
 fn has_ended(hub: &World, id: &str) -> bool {
@@ -116,7 +116,7 @@
 
 /// After a kill the span goes on from the journal's moment of the first attempt.
 #[test]
-fn a_restart_goes_on_with_the_span_of_the_life_before() {
+fn a_restart_goes_on_with_the_span_of_the_process_before() {
     let env = env(&["dedup"]);
     for down in [100_000, 600_000, 899_999, 900_001, 950_000, SPAN, 5 * SPAN] {
         let (mut hub, _) = open(&env, Memory::default(), NOW);
@@ -134,7 +134,7 @@
 /// A clock that was set back makes an old attempt look young: how old it is can't be told, and it is not repeated. One
 /// that was set on makes it look older, which is safe. What has surely not run is sent whatever the clock says.
 #[test]
-fn a_clock_that_was_changed_between_two_lives_allows_no_repeat_past_its_span() {
+fn a_clock_that_was_changed_between_two_processes_allows_no_repeat_past_its_span() {
     let env = env(&["dedup", "fragile", "retryable"]);
     for (now, repeats) in
         [(NOW - 10 * SPAN, false), (NOW - 1, false), (NOW + 300_000, true), (NOW + 3_600 * SPAN, false)]
@@ -143,8 +143,8 @@
         let never = hand_in(&mut hub, "never-ran", 1, NOW - SPAN);
         hub.call_ended(never.call, CallEnd::Full(800_000), NOW - SPAN + 1_000);
         let later = NOW - SPAN + 2_000;
-        hub.take_on(
-            Invocation {
+        hub.submit(
+            Submission {
                 id: "untried".into(),
                 class: "c0".into(),
                 key: None,
@@ -157,15 +157,15 @@
         );
         // The wait is over by now.
         let due = calls(hub.tick(NOW));
-        let out: Vec<&str> = due.iter().map(|call| call.invocation.id.as_str()).collect();
+        let out: Vec<&str> = due.iter().map(|call| call.payload.id.as_str()).collect();
         assert!(out.contains(&"untried"), "{out:?}");
         let before = killed(&hub);
         let (mut next, todo) = open(&env, before, now);
-        let noted = todo.iter().any(|one| matches!(one, Do::Note(Note::SetBack { .. })));
+        let noted = todo.iter().any(|one| matches!(one, DriverAction::Note(Note::SetBack { .. })));
         assert_eq!(noted, now < NOW, "{now}");
         let mut begun = calls(todo);
         begun.extend(run(&mut next, now, now + SPAN / 2).into_iter().map(|(_, call)| call));
-        let repeat = begun.iter().any(|call| call.invocation.id == "untried");
+        let repeat = begun.iter().any(|call| call.payload.id == "untried");
         assert_eq!(repeat, repeats, "{now}: {begun:?}");
         assert_eq!(has_ended(&next, "untried"), !repeats, "{now}");
     }
--- a/core/tests/restart.rs
+++ b/core/tests/restart.rs
@@ -2,14 +2,16 @@
 
 mod common;
 use bytes::Bytes;
-use common::{NOW, World, calls, class, killed, provider};
+use common::{NOW, World, calls, class, endpoint, killed};
 use quillmount_core::hub::Hub;
-use quillmount_core::journal::{Book, End, Journal, Record, TakenOn, Under, frame};
+use quillmount_core::journal::{
+    AcceptedMessage, End, Journal, JournalContents, JournalRecord, RepeatEffect, frame,
+};
 use quillmount_core::note::{Level, Note};
 use quillmount_core::pool::Pool;
-use quillmount_core::router::{Intake, Router, Step, mark};
+use quillmount_core::router::{Intake, Router, RouterAction, settings_fingerprint};
 use quillmount_core::store::{Fault, Memory};
-use quillmount_core::{CallEnd, Ending, Invocation, InvokerCall, Notice, Provider, ProviderList};
+use quillmount_core::{CallEnd, DeliveryCall, Ending, EndpointList, EndpointListing, Notice, Submission};
 use spurshore::{ListState, Micros, MsgId};
 use spurshore_settings::{Category, Env, Tenant};
 use std::collections::BTreeSet;
@@ -25,40 +27,47 @@
     Env { categories, ..Env::default() }
 }
 
-fn list(lines: &[(&str, u64, &str)]) -> ProviderList {
+fn list(lines: &[(&str, u64, &str)]) -> EndpointList {
     // Each has a port by its place.
-    let line = |((id, dest, zone), port): (&(&str, u64, &str), u16)| Provider {
+    let line = |((id, dest, zone), port): (&(&str, u64, &str), u16)| EndpointListing {
         zone: (*zone).into(),
         addr: Some(([127, 0, 0, 1], port).into()),
-        ..provider(id, *dest, ListState::Ready)
+        ..endpoint(id, *dest, ListState::Ready)
     };
-    ProviderList { version: 2, full: true, providers: lines.iter().zip(1..).map(line).collect() }
+    EndpointList { version: 2, full: true, endpoints: lines.iter().zip(1..).map(line).collect() }
 }
 
-fn none() -> ProviderList {
-    ProviderList { version: 0, full: true, providers: Vec::new() }
+fn none() -> EndpointList {
+    EndpointList { version: 0, full: true, endpoints: Vec::new() }
 }
 
-fn taken(n: u64, class: &str) -> TakenOn {
+fn taken(n: u64, class: &str) -> AcceptedMessage {
     let (id, key) = (format!("m{n}"), Some(format!("k{n}")));
-    TakenOn { id, class: class.into(), key, dest: 1, deadline: NOW + LIFE, body: Bytes::from_static(b"body") }
+    AcceptedMessage {
+        id,
+        class: class.into(),
+        key,
+        dest: 1,
+        deadline: NOW + LIFE,
+        body: Bytes::from_static(b"body"),
+    }
 }
 
 /// A folder with these records.
-fn folder(records: &[Record]) -> Memory {
+fn folder(records: &[JournalRecord]) -> Memory {
     Memory::of(records.iter().flat_map(|record| frame(record).unwrap()).collect())
 }
 
 /// The next life, what it begins at once, and the errors that it logs.
 fn open(
     env: &Env,
-    known: ProviderList,
+    known: EndpointList,
     store: Memory,
     now: Micros,
-) -> (World, Vec<InvokerCall>, Vec<String>) {
+) -> (World, Vec<DeliveryCall>, Vec<String>) {
     let (router, steps) = Router::open(env, 7, known, store, DISK, now).unwrap();
     let errors = steps.iter().filter_map(|step| match step {
-        Step::Note(note) if note.level() == Level::Error => Some(note.to_string()),
+        RouterAction::Note(note) if note.level() == Level::Error => Some(note.to_string()),
         _ => None,
     });
     let errors = errors.collect();
@@ -67,11 +76,11 @@
     (hub, begun, errors)
 }
 
-fn hand_in(hub: &mut World, id: &str, class: &str, now: Micros) -> (Intake, Vec<InvokerCall>) {
+fn hand_in(hub: &mut World, id: &str, class: &str, now: Micros) -> (Intake, Vec<DeliveryCall>) {
     let (id, class, body) = (id.to_string(), class.to_string(), Bytes::from_static(b"body"));
     let key = Some(id.clone());
-    let invocation = Invocation { id, class, key, dest: 1, tenant: None, time_left: LIFE, body };
-    let (intake, todo) = hub.take_on(invocation, now);
+    let submission = Submission { id, class, key, dest: 1, tenant: None, time_left: LIFE, body };
+    let (intake, todo) = hub.submit(submission, now);
     (intake, calls(todo))
 }
 
@@ -80,7 +89,7 @@
 }
 
 /// Plays on, each call delivered, until the time; the messages that were called.
-fn played(hub: &mut World, mut out: Vec<InvokerCall>, mut now: Micros, until: Micros) -> BTreeSet<MsgId> {
+fn played(hub: &mut World, mut out: Vec<DeliveryCall>, mut now: Micros, until: Micros) -> BTreeSet<MsgId> {
     let mut called = BTreeSet::new();
     loop {
         while let Some(call) = out.pop() {
@@ -105,11 +114,11 @@
             ..env(vec![class("fee-debit", "fragile")])
         };
         let records: Vec<_> =
-            (0..owed).map(|msg| Record::TakeOn { msg, taken: taken(msg, "fee-debit") }).collect();
+            (0..owed).map(|msg| JournalRecord::Accept { msg, taken: taken(msg, "fee-debit") }).collect();
         let (mut hub, begun, _) = open(&settings, none(), folder(&records), NOW);
         assert_eq!((ends(&hub).len(), begun.len()), (0, 0), "{owed} in a table of {cap}");
         // An upgrade right then keeps them too.
-        let state = hub.state(mark(&settings, None).unwrap());
+        let state = hub.state(settings_fingerprint(&settings, None).unwrap());
         let (next, _) =
             Router::resume(&settings, None, state.router, killed(&hub), DISK, NOW + 1_000).unwrap();
         hub = Hub::new(next, Pool::new(15_000_000, 99));
@@ -124,7 +133,7 @@
         assert_eq!(played(&mut hub, begun, now, now + 10_000_000), (0..owed).collect(), "{cap}");
         // Its place goes with it: the table's limit is the settings' from here on.
         let taken_on = (0..2 * u64::from(cap).min(50)).filter(|n| {
-            hand_in(&mut hub, &format!("n{n}"), "fee-debit", now + 10_000_000).0 == Intake::TakenOn
+            hand_in(&mut hub, &format!("n{n}"), "fee-debit", now + 10_000_000).0 == Intake::Accepted
         });
         assert!(taken_on.count() <= cap as usize);
     }
@@ -137,7 +146,7 @@
     let settings = env(vec![class("fee-debit", "fragile")]);
     for known in [none(), list(&[("x", 9, "z")])] {
         let records: Vec<_> =
-            (0..9).map(|msg| Record::TakeOn { msg, taken: taken(msg, "fee-debit") }).collect();
+            (0..9).map(|msg| JournalRecord::Accept { msg, taken: taken(msg, "fee-debit") }).collect();
         let (mut hub, begun, _) = open(&settings, known, folder(&records), NOW);
         let late = NOW + LIFE - 1_000_000;
         assert!(played(&mut hub, begun, NOW, late).is_empty());
@@ -151,16 +160,16 @@
 #[test]
 fn what_is_owed_goes_by_its_classs_name_and_ends_with_an_error_where_none_has_it() {
     let records = [
-        Record::TakeOn { msg: 1, taken: taken(1, "fee-debit") },
-        Record::Sent { msg: 1, sent: NOW - 9, under: Under::Unsafe },
-        Record::TakeOn { msg: 2, taken: taken(2, "paid-notice") },
-        Record::Sent { msg: 2, sent: NOW - 9, under: Under::Safe },
-        Record::TakeOn { msg: 3, taken: taken(3, "gone") },
-        Record::TakeOn { msg: 4, taken: taken(4, "gone") },
-        Record::Sent { msg: 4, sent: NOW - 9, under: Under::Safe },
-        Record::TakeOn { msg: 5, taken: taken(5, "gone") },
-        Record::Sent { msg: 5, sent: NOW - 9, under: Under::Safe },
-        Record::Outcome { msg: 5, attempt: 0, never_ran: true },
+        JournalRecord::Accept { msg: 1, taken: taken(1, "fee-debit") },
+        JournalRecord::Sent { msg: 1, sent: NOW - 9, effect: RepeatEffect::Unsafe },
+        JournalRecord::Accept { msg: 2, taken: taken(2, "paid-notice") },
+        JournalRecord::Sent { msg: 2, sent: NOW - 9, effect: RepeatEffect::Safe },
+        JournalRecord::Accept { msg: 3, taken: taken(3, "gone") },
+        JournalRecord::Accept { msg: 4, taken: taken(4, "gone") },
+        JournalRecord::Sent { msg: 4, sent: NOW - 9, effect: RepeatEffect::Safe },
+        JournalRecord::Accept { msg: 5, taken: taken(5, "gone") },
+        JournalRecord::Sent { msg: 5, sent: NOW - 9, effect: RepeatEffect::Safe },
+        JournalRecord::Outcome { msg: 5, attempt: 0, never_ran: true },
     ];
     let settings = env(vec![class("paid-notice", "retryable"), class("fee-debit", "fragile")]);
     let (mut hub, begun, errors) = open(&settings, list(&[("a", 1, "z")]), folder(&records), NOW);
@@ -182,17 +191,17 @@
 /// The effect of a class has changed: an attempt that may have run was sent under the old one, and the stricter holds.
 #[test]
 fn the_stricter_effect_holds_for_what_may_have_run() {
-    let keyed = |span: Micros, zone: Option<&str>| Under::Keyed { span, zone: zone.map(Into::into) };
+    let keyed = |span: Micros, zone: Option<&str>| RepeatEffect::Keyed { span, zone: zone.map(Into::into) };
     let now_safe = || class("c", "retryable");
     let now_once = || class("c", "fragile");
     let now_keyed = |span_ms| dedup("c", span_ms, "all");
     let second = 1_000_000;
     // The attempt's effect, today's, how long ago it was sent, and whether it is called again.
     let cases = [
-        (Under::Safe, now_safe(), 5 * second, true),
-        (Under::Unsafe, now_safe(), 0, false),
-        (Under::Unsafe, now_keyed(6_000.0), 0, false),
-        (Under::Safe, now_once(), 0, false),
+        (RepeatEffect::Safe, now_safe(), 5 * second, true),
+        (RepeatEffect::Unsafe, now_safe(), 0, false),
+        (RepeatEffect::Unsafe, now_keyed(6_000.0), 0, false),
+        (RepeatEffect::Safe, now_once(), 0, false),
         (keyed(6 * second, None), now_once(), 0, false),
         (keyed(6 * second, None), now_safe(), 0, false),
         (keyed(6 * second, None), now_keyed(6_000.0), 5 * second, true),
@@ -208,15 +217,15 @@
     ];
     for (under, today, ago, again) in cases {
         let what = format!("{under:?} and {:?}, {ago} us ago", today.effect);
-        let sent = Record::Sent { msg: 1, sent: NOW - ago, under: under.clone() };
+        let sent = JournalRecord::Sent { msg: 1, sent: NOW - ago, effect: under.clone() };
         let settings = env(vec![class("other", "retryable"), today]);
-        let ran = [Record::TakeOn { msg: 1, taken: taken(1, "c") }, sent];
+        let ran = [JournalRecord::Accept { msg: 1, taken: taken(1, "c") }, sent];
         let (mut hub, begun, errors) = open(&settings, list(&[("a", 1, "z")]), folder(&ran), NOW);
         assert_eq!(!played(&mut hub, begun, NOW, NOW + LIFE).is_empty(), again, "{what}");
         assert_eq!(ends(&hub).len(), usize::from(!again), "{what}");
         assert!(errors.iter().all(|error| error.contains("\"m1\"") && error.contains("\"c\"")), "{errors:?}");
         // What has surely not run goes by today's effect.
-        let never = Record::Outcome { msg: 1, attempt: 0, never_ran: true };
+        let never = JournalRecord::Outcome { msg: 1, attempt: 0, never_ran: true };
         let not = [ran[0].clone(), ran[1].clone(), never];
         let (mut hub, begun, errors) = open(&settings, list(&[("a", 1, "z")]), folder(&not), NOW);
         assert_eq!((played(&mut hub, begun, NOW, NOW + LIFE).len(), errors.len()), (1, 0), "{what}");
@@ -253,8 +262,10 @@
         }
     }
     // An earlier version wrote numbers: they name no zone.
-    let old =
-        [Record::TakeOn { msg: 1, taken: taken(1, "c") }, Record::Attempt { msg: 1, zone: 0, sent: NOW }];
+    let old = [
+        JournalRecord::Accept { msg: 1, taken: taken(1, "c") },
+        JournalRecord::Attempt { msg: 1, zone: 0, sent: NOW },
+    ];
     let (_, begun, _) = open(&zoned(&["west"], "west"), list(&[("w", 1, "west")]), folder(&old), NOW);
     assert_eq!(begun.len(), 0);
 }
@@ -263,14 +274,14 @@
 #[test]
 fn a_clock_that_was_set_back_lengthens_no_span_for_repeats() {
     let settings = env(vec![dedup("c", 2_000.0, "all"), class("s", "retryable")]);
-    let sent = |msg, sent, under| Record::Sent { msg, sent, under };
-    let keyed = || Under::Keyed { span: 2_000_000, zone: None };
+    let sent = |msg, sent, effect| JournalRecord::Sent { msg, sent, effect };
+    let keyed = || RepeatEffect::Keyed { span: 2_000_000, zone: None };
     let records = [
-        Record::TakeOn { msg: 1, taken: taken(1, "c") },
+        JournalRecord::Accept { msg: 1, taken: taken(1, "c") },
         sent(1, NOW - 100_000, keyed()),
-        Record::TakeOn { msg: 2, taken: taken(2, "s") },
-        sent(2, NOW, Under::Safe),
-        Record::TakeOn { msg: 3, taken: taken(3, "c") },
+        JournalRecord::Accept { msg: 2, taken: taken(2, "s") },
+        sent(2, NOW, RepeatEffect::Safe),
+        JournalRecord::Accept { msg: 3, taken: taken(3, "c") },
     ];
     let known = || list(&[("a", 1, "z")]);
     let begun = |now| {
@@ -301,17 +312,17 @@
         Env { categories: vec![class("two", "fragile"), class("one", "fragile")], ..settings() },
         Env { categories: vec![class("one", "retryable"), class("two", "fragile")], ..settings() },
     ];
-    let own = mark(&settings(), None).unwrap();
-    assert_eq!(own, mark(&settings(), None).unwrap());
+    let own = settings_fingerprint(&settings(), None).unwrap();
+    assert_eq!(own, settings_fingerprint(&settings(), None).unwrap());
     for (n, other) in others.iter().enumerate() {
-        assert_ne!(own, mark(other, None).unwrap(), "{n}");
+        assert_ne!(own, settings_fingerprint(other, None).unwrap(), "{n}");
     }
 }
 
 /// The process dies at any byte of any write of a message's way: between its record and the 202, its attempt and the first
 /// byte, its outcome and its end, its end and its notice. The next life has each step or the one before it.
 #[test]
-fn a_kill_at_any_byte_of_any_write_is_taken_up_by_the_next_life() {
+fn a_kill_at_any_byte_of_any_write_is_taken_up_by_the_next_process() {
     let settings = env(vec![class("fee-debit", "fragile"), class("status", "retryable")]);
     let mut met = BTreeSet::new();
     for class in ["fee-debit", "status"] {
@@ -332,16 +343,16 @@
                 let ended = alive(&hub);
                 let notices = hub.router.notices(9);
                 if ended && !notices.is_empty() {
-                    hub.told(&notices, NOW);
+                    hub.notices_confirmed(&notices, NOW);
                 }
                 let told = alive(&hub);
-                let book = Book::read(killed(&hub).bytes()).0;
+                let contents = JournalContents::read(killed(&hub).bytes()).0;
                 let (mut next, begun, _) = open(&settings, list(&[("a", 1, "z")]), killed(&hub), NOW);
                 let what =
-                    format!("{class}, {last:?}, killed after {after} writes and {bytes} bytes: {book:?}");
+                    format!("{class}, {last:?}, killed after {after} writes and {bytes} bytes: {contents:?}");
                 let found = (begun.len(), next.router.notices(9).len());
-                let entry = book.owed.values().next();
-                let knows = entry.is_some() || !book.over.is_empty();
+                let entry = contents.owed.values().next();
+                let knows = entry.is_some() || !contents.ended.is_empty();
                 assert!(knows || !accepted, "{what}: taken on");
                 let noted = entry.is_none_or(|entry| !entry.calls.is_empty());
                 assert!(noted || !sent, "{what}: a byte may have left");
@@ -355,11 +366,11 @@
                     }
                 }
                 let over = last == CallEnd::Delivered || !notices.is_empty();
-                assert!(!(sent && told && over) || book.owed.is_empty(), "{what}: over and told");
+                assert!(!(sent && told && over) || contents.owed.is_empty(), "{what}: over and told");
                 met.insert((accepted, sent, ended, told));
                 played(&mut next, begun, NOW, NOW + LIFE);
                 let (notices, later) = (next.router.notices(9), NOW + LIFE);
-                next.told(&notices, later);
+                next.notices_confirmed(&notices, later);
                 assert_eq!(next.router.load(), (0, 0), "{what}: it has its end");
             }
         }
@@ -381,18 +392,18 @@
     let mut notes = Vec::new();
     let (mut journal, _) = Journal::open(Memory::default(), DISK, NOW, &mut notes).unwrap();
     let mut owed = 0;
-    while journal.take_on(owed, taken(owed, "status"), false, NOW, &mut notes).is_ok() {
+    while journal.submit(owed, taken(owed, "status"), false, NOW, &mut notes).is_ok() {
         owed += 1;
     }
     // Two attempts of each, the first refused, and as much again of what is over.
     for msg in 0..owed {
-        let sent = || Record::Sent { msg, sent: NOW, under: Under::Safe };
-        let refused = Record::Outcome { msg, attempt: 0, never_ran: true };
-        journal.note_all(&[sent(), refused, sent()], NOW, &mut notes).unwrap();
+        let sent = || JournalRecord::Sent { msg, sent: NOW, effect: RepeatEffect::Safe };
+        let refused = JournalRecord::Outcome { msg, attempt: 0, never_ran: true };
+        journal.append_all(&[sent(), refused, sent()], NOW, &mut notes).unwrap();
     }
-    let over = |n| Record::Over { id: format!("over-{n}"), end: End::Delivered, until: NOW + LIFE };
+    let over = |n| JournalRecord::Ended { id: format!("over-{n}"), end: End::Delivered, until: NOW + LIFE };
     while !notes.iter().any(|note| matches!(note, Note::Compacted { .. })) && journal.disk() < DISK * 6 / 10 {
-        journal.note_all(&[over(journal.disk())], NOW, &mut notes).unwrap();
+        journal.append_all(&[over(journal.disk())], NOW, &mut notes).unwrap();
     }
     assert!(owed > 1_000, "{owed}");
     let begun = std::time::Instant::now();
--- a/core/tests/restart_guard.rs
+++ b/core/tests/restart_guard.rs
@@ -2,13 +2,13 @@
 
 mod common;
 use bytes::Bytes;
-use common::{NOW, class, provider};
+use common::{NOW, class, endpoint};
 use quillmount_core::hub::Hub;
-use quillmount_core::journal::{Record, TakenOn, frame};
+use quillmount_core::journal::{AcceptedMessage, JournalRecord, frame};
 use quillmount_core::pool::Pool;
 use quillmount_core::router::Router;
 use quillmount_core::store::Memory;
-use quillmount_core::{CallEnd, ProviderList};
+use quillmount_core::{CallEnd, EndpointList};
 use spurshore::ListState;
 use spurshore_settings::Env;
 
@@ -23,7 +23,7 @@
             me: Some(1),
             ..Env::default()
         };
-        let taken = |n: u64| TakenOn {
+        let taken = |n: u64| AcceptedMessage {
             id: format!("m{n}"),
             class: "fee-debit".into(),
             key: None,
@@ -31,10 +31,11 @@
             deadline: NOW + LIFE,
             body: Bytes::new(),
         };
-        let bytes =
-            (0..10).flat_map(|msg| frame(&Record::TakeOn { msg, taken: taken(msg) }).unwrap()).collect();
+        let bytes = (0..10)
+            .flat_map(|msg| frame(&JournalRecord::Accept { msg, taken: taken(msg) }).unwrap())
+            .collect();
         let known =
-            ProviderList { version: 1, full: true, providers: vec![provider("s", 1, ListState::Ready)] };
+            EndpointList { version: 1, full: true, endpoints: vec![endpoint("s", 1, ListState::Ready)] };
         let (router, steps) = Router::open(&env, 7, known, Memory::of(bytes), 99_999, NOW).unwrap();
         let mut hub = Hub::new(router, Pool::new(15_000_000, 99));
         let begun = common::calls(hub.carry_out(steps, NOW));
@@ -50,8 +51,9 @@
             }
         }
         let untried = hub.router.notices(99).into_iter().filter(|notice| {
-            let book = quillmount_core::journal::Book::read(hub.router.journal().store().bytes()).0;
-            book.owed.get(&notice.msg).is_some_and(|entry| entry.calls.is_empty())
+            let contents =
+                quillmount_core::journal::JournalContents::read(hub.router.journal().store().bytes()).0;
+            contents.owed.get(&notice.msg).is_some_and(|entry| entry.calls.is_empty())
         });
         assert_eq!(untried.count(), 0, "{fate:?}");
     }
--- a/core/tests/resume.rs
+++ b/core/tests/resume.rs
@@ -1,13 +1,13 @@
 //! An upgrade in the core: what one process hands over, the next decides from, as if nothing had happened.
 
 mod common;
-use common::{NOW, World, calls, class, killed, provider};
-use quillmount_core::hub::{self, Do, Hub};
+use common::{NOW, World, calls, class, endpoint, killed};
+use quillmount_core::hub::{self, DriverAction, Hub};
 use quillmount_core::journal::Journal;
 use quillmount_core::pool::Pool;
-use quillmount_core::router::{Intake, ResumeError, Router, mark};
+use quillmount_core::router::{Intake, ResumeError, Router, settings_fingerprint};
 use quillmount_core::store::Memory;
-use quillmount_core::{CallEnd, Invocation, InvokerCall, Provider, ProviderList};
+use quillmount_core::{CallEnd, DeliveryCall, EndpointList, EndpointListing, Submission};
 use spurshore::{Eye, ListState, Micros};
 use spurshore_settings::{Category, Env};
 
@@ -37,20 +37,21 @@
     Env { categories: vec![class("fee-debit", "fragile"), dedup], ..Env::default() }
 }
 
-fn list() -> ProviderList {
-    let line = |n: u64, state| Provider { zone: "z".into(), ..provider(&format!("s-{n}"), n / 2, state) };
+fn list() -> EndpointList {
+    let line =
+        |n: u64, state| EndpointListing { zone: "z".into(), ..endpoint(&format!("s-{n}"), n / 2, state) };
     let states =
         [ListState::Ready, ListState::Ready, ListState::Ready, ListState::Draining, ListState::Ready];
-    let providers = states.into_iter().zip(0..).map(|(state, n)| line(n, state)).collect();
-    ProviderList { version: 41, full: true, providers }
+    let endpoints = states.into_iter().zip(0..).map(|(state, n)| line(n, state)).collect();
+    EndpointList { version: 41, full: true, endpoints }
 }
 
-fn hand_in(hub: &mut World, n: u64, now: Micros) -> (Intake, Vec<InvokerCall>) {
+fn hand_in(hub: &mut World, n: u64, now: Micros) -> (Intake, Vec<DeliveryCall>) {
     let class = if n.is_multiple_of(2) { "fee-debit" } else { "paid-notice" };
     let (id, key, body) = (format!("m{n}"), Some(format!("k{n}")), bytes::Bytes::from_static(b"body"));
     let time_left = 16_000_000;
-    let invocation = Invocation { id, class: class.into(), key, dest: n % 3, tenant: None, time_left, body };
-    let (intake, todo) = hub.take_on(invocation, now);
+    let submission = Submission { id, class: class.into(), key, dest: n % 3, tenant: None, time_left, body };
+    let (intake, todo) = hub.submit(submission, now);
     (intake, calls(todo))
 }
 
@@ -61,7 +62,7 @@
     let mut hub = Hub::new(router, Pool::new(15_000_000, 99));
     hub.carry_out(steps, NOW);
     hub.list(list(), NOW);
-    hub.hold("s-1", true, NOW).unwrap();
+    hub.set_disabled("s-1", true, NOW).unwrap();
     let ends = [
         CallEnd::Delivered,
         CallEnd::Full(2_000_000),
@@ -91,17 +92,17 @@
     words
 }
 
-fn resumed(state: hub::State, store: Memory) -> Result<(World, Vec<Do<u32>>), ResumeError> {
+fn resumed(state: hub::HubState, store: Memory) -> Result<(World, Vec<DriverAction<u32>>), ResumeError> {
     let now = NOW + 2_000_000;
     let (router, steps) = Router::resume(&env(), None, state.router, store, DISK, now)?;
     let mut next = Hub::new(router, Pool::new(15_000_000, 99));
-    let todo = next.resume(&state.holds, steps, now);
+    let todo = next.resume(&state.backoffs, steps, now);
     Ok((next, todo))
 }
 
 /// As it crosses from one process to the other.
-fn state(hub: &World) -> hub::State {
-    let bytes = postcard::to_allocvec(&hub.state(mark(&env(), None).unwrap())).unwrap();
+fn state(hub: &World) -> hub::HubState {
+    let bytes = postcard::to_allocvec(&hub.state(settings_fingerprint(&env(), None).unwrap())).unwrap();
     postcard::from_bytes(&bytes).unwrap()
 }
 
@@ -112,9 +113,9 @@
     assert_eq!(words(&next), words(&hub));
     assert!(calls(todo).is_empty(), "what is out is out still");
     assert_eq!(next.router.notices(99), hub.router.notices(99));
-    // A told wait binds each provider of its destination, and the gates stand as they did.
+    // A told wait binds each endpoint of its destination, and the gates stand as they did.
     let now = NOW + 1_250_000;
-    let gates = |hub: &World| (0..5).map(|n| hub.pool.lets_through(n, now)).collect::<Vec<_>>();
+    let gates = |hub: &World| (0..5).map(|n| hub.pool.is_open(n, now)).collect::<Vec<_>>();
     assert_eq!(gates(&next), gates(&hub));
     assert!(!gates(&next)[1] && !gates(&next)[3], "one is out, and one drains");
     // From here on both decide alike: what is handed in, what ends, and as time passes.
@@ -131,7 +132,7 @@
         assert_eq!(words(&next), words(&hub), "after message {n}");
     }
     // The ids of before are known: open, or over.
-    assert!((0..40).all(|n| hand_in(&mut next, n, NOW + 2_500_000).0 != Intake::TakenOn));
+    assert!((0..40).all(|n| hand_in(&mut next, n, NOW + 2_500_000).0 != Intake::Accepted));
 }
 
 #[test]
--- a/core/tests/router.rs
+++ b/core/tests/router.rs
@@ -1,13 +1,13 @@
 //! The router's driving of module and journal, seen from outside.
 
-use quillmount_core::journal::Book;
-use quillmount_core::router::{Intake, Router, Step};
+use quillmount_core::journal::JournalContents;
+use quillmount_core::router::{Intake, Router, RouterAction};
 use quillmount_core::store::{Fault, Memory};
-use quillmount_core::{CallEnd, CallId, Invocation, Provider, ProviderList};
+use quillmount_core::{CallEnd, CallId, EndpointList, EndpointListing, Submission};
 use spurshore::ListState;
 use spurshore_settings::Env;
 
-/// A router with a ready provider for destination 1, where messages take effect once, and the time.
+/// A router with a ready endpoint for destination 1, where messages take effect once, and the time.
 fn opened(env: Env) -> (Router<Memory>, u64) {
     let category = spurshore_settings::Category {
         name: "fee-debit".into(),
@@ -17,7 +17,7 @@
         ..Default::default()
     };
     let env = Env { categories: vec![category], ..env };
-    let line = Provider {
+    let line = EndpointListing {
         id: "s".into(),
         addr: "127.0.0.1:1".parse().ok(),
         dest: 1,
@@ -26,21 +26,21 @@
         weight: 0.0,
         state: ListState::Ready,
     };
-    let known = ProviderList { version: 1, full: true, providers: vec![line] };
+    let known = EndpointList { version: 1, full: true, endpoints: vec![line] };
     let now = 1_000_000_000;
     let (mut router, _) = Router::open(&env, 7, known.clone(), Memory::default(), 99_999, now).unwrap();
     router.list(known, now);
     (router, now)
 }
 
-fn hand_in(router: &mut Router<Memory>, id: &str, now: u64) -> (Intake, Vec<Step>) {
+fn hand_in(router: &mut Router<Memory>, id: &str, now: u64) -> (Intake, Vec<RouterAction>) {
     let (id, class, time_left, body) = (id.into(), "fee-debit".into(), 16_000_000, bytes::Bytes::new());
-    router.take_on(Invocation { id, class, key: None, dest: 1, tenant: None, time_left, body }, now)
+    router.submit(Submission { id, class, key: None, dest: 1, tenant: None, time_left, body }, now)
 }
 
-fn call(steps: &[Step]) -> Option<CallId> {
+fn call(steps: &[RouterAction]) -> Option<CallId> {
     steps.iter().find_map(|step| match step {
-        Step::Call(call) => Some(call.call),
+        RouterAction::Call(call) => Some(call.call),
         _ => None,
     })
 }
@@ -51,7 +51,7 @@
     let (mut router, now) = opened(Env { siblings: Some(3_000), me: Some(1), ..Env::default() });
     let (intake, steps) = hand_in(&mut router, "a", now);
     let call = call(&steps);
-    assert_eq!(intake, Intake::TakenOn);
+    assert_eq!(intake, Intake::Accepted);
     router.call_ended(call.unwrap(), CallEnd::Full(0), now);
     for _ in 0..2 {
         let (intake, _) = hand_in(&mut router, "b", now);
@@ -59,8 +59,8 @@
     }
     let notices = router.notices(9).into_iter().map(|n| n.id).collect::<Vec<_>>();
     assert_eq!((notices, router.load().0), (vec!["a".to_string()], 1));
-    let (book, _) = Book::read(router.journal().store().bytes());
-    assert_eq!(book.owed.len(), 1, "another life owes it nothing");
+    let (contents, _) = JournalContents::read(router.journal().store().bytes());
+    assert_eq!(contents.owed.len(), 1, "another life owes it nothing");
 }
 
 /// The disk refuses the record of an attempt: its number is used up for the module and not for the
@@ -72,7 +72,7 @@
     router.journal_mut().store_mut().fail(Fault::Full { after: 1 });
     let (_, steps) = hand_in(&mut router, "m", now);
     let refused = steps.iter().find_map(|s| match s {
-        Step::NotWritten(call) => Some(*call),
+        RouterAction::NotWritten(call) => Some(*call),
         _ => None,
     });
     router.journal_mut().store_mut().fail(Fault::None);
@@ -80,7 +80,7 @@
     let call = call(&steps);
     assert_eq!(call.unwrap().attempt, 1);
     router.call_ended(call.unwrap(), CallEnd::Full(0), now);
-    let (book, _) = Book::read(router.journal().store().bytes());
-    let calls: Vec<_> = book.owed.values().flat_map(|e| &e.calls).map(|c| c.never_ran).collect();
+    let (contents, _) = JournalContents::read(router.journal().store().bytes());
+    let calls: Vec<_> = contents.owed.values().flat_map(|e| &e.calls).map(|c| c.never_ran).collect();
     assert_eq!(calls[0], Some(true), "{calls:?}");
 }
--- a/core/tests/stored_forms.rs
+++ b/core/tests/stored_forms.rs
@@ -6,8 +6,8 @@
 use bytes::Bytes;
 use fixtures::fixture;
 use quillmount_core::journal::{
-    Book, End, Entry, Journal, PastCall, Record, Records, SettlementLine, Settlements, Source, TakenOn,
-    Under, frame,
+    AcceptedMessage, End, Journal, JournalContents, JournalEntry, JournalRecord, PastCall, Records,
+    RepeatEffect, SettlementLine, Settlements, Source, frame,
 };
 use quillmount_core::note::Note;
 use quillmount_core::store::Memory;
@@ -16,8 +16,8 @@
 const DISK: u64 = 1_000_000;
 const NOW: u64 = 1_700_000_000_000_000;
 
-fn taken(n: u64, key: Option<&str>) -> TakenOn {
-    TakenOn {
+fn taken(n: u64, key: Option<&str>) -> AcceptedMessage {
+    AcceptedMessage {
         id: format!("m{n}"),
         class: "fee-debit".into(),
         key: key.map(Into::into),
@@ -35,89 +35,89 @@
     SettlementLine { dest: 7, first, bytes: Bytes::from_static(bytes), source }
 }
 
-fn settlement(of: &str, line: SettlementLine) -> Record {
-    Record::Settlement { of: of.into(), line }
+fn settlement(of: &str, line: SettlementLine) -> JournalRecord {
+    JournalRecord::Settlement { of: of.into(), line }
 }
 
 const NORTH: &str = "north\u{1f}a\u{1f}7";
 const SOUTH: &str = "south\u{1f}b\u{1f}7";
 
 /// Each kind of record with each form of its fields.
-fn records() -> Vec<Record> {
-    let sent = |n, under| Record::Sent { msg: n, sent: NOW + n, under };
+fn records() -> Vec<JournalRecord> {
+    let sent = |n, effect| JournalRecord::Sent { msg: n, sent: NOW + n, effect };
     let (a, b, c) = (source("a", 1, 0), source("b", 2, 15), source("c", 300, 7));
     vec![
-        Record::TakeOn { msg: 1, taken: taken(1, None) },
-        Record::Attempt { msg: 1, zone: 3, sent: NOW + 1 },
-        Record::Outcome { msg: 1, attempt: 0, never_ran: true },
-        sent(1, Under::Unsafe),
-        Record::Stream { msg: 2, taken: taken(2, Some("k-2")) },
-        sent(2, Under::Keyed { span: 6_000_000, zone: Some("z-1".into()) }),
-        Record::TakeOn { msg: 3, taken: taken(3, Some("k-3")) },
-        sent(3, Under::Keyed { span: 6_000_000, zone: None }),
-        Record::Outcome { msg: 3, attempt: 0, never_ran: false },
-        Record::End { msg: 3, end: End::Undeliverable },
-        Record::TakeOn { msg: 4, taken: taken(4, None) },
-        sent(4, Under::Safe),
-        Record::End { msg: 4, end: End::Delivered },
-        Record::TakeOn { msg: 5, taken: taken(5, None) },
-        Record::End { msg: 5, end: End::Deferred { after: 250_000 } },
-        Record::Told { msg: 5 },
-        Record::Over { id: "m6".into(), end: End::Undeliverable, until: NOW + 6 },
-        Record::Over { id: "m7".into(), end: End::Deferred { after: 0 }, until: NOW - 7 },
-        Record::Hold { id: "s-1".into() },
-        Record::Hold { id: "s-2".into() },
-        Record::Release { id: "s-1".into() },
-        Record::TakeOn { msg: 8, taken: taken(8, None) },
-        Record::From { msg: 8, source: a.clone() },
-        Record::Settled { source: a, kept: true },
-        Record::TakeOn { msg: 9, taken: taken(9, None) },
-        Record::From { msg: 9, source: b.clone() },
-        Record::Settled { source: b, kept: false },
-        Record::TakeOn { msg: 300, taken: taken(300, None) },
-        Record::From { msg: 300, source: c.clone() },
-        Record::End { msg: 300, end: End::Deferred { after: 0 } },
+        JournalRecord::Accept { msg: 1, taken: taken(1, None) },
+        JournalRecord::Attempt { msg: 1, zone: 3, sent: NOW + 1 },
+        JournalRecord::Outcome { msg: 1, attempt: 0, never_ran: true },
+        sent(1, RepeatEffect::Unsafe),
+        JournalRecord::Stream { msg: 2, taken: taken(2, Some("k-2")) },
+        sent(2, RepeatEffect::Keyed { span: 6_000_000, zone: Some("z-1".into()) }),
+        JournalRecord::Accept { msg: 3, taken: taken(3, Some("k-3")) },
+        sent(3, RepeatEffect::Keyed { span: 6_000_000, zone: None }),
+        JournalRecord::Outcome { msg: 3, attempt: 0, never_ran: false },
+        JournalRecord::End { msg: 3, end: End::Undeliverable },
+        JournalRecord::Accept { msg: 4, taken: taken(4, None) },
+        sent(4, RepeatEffect::Safe),
+        JournalRecord::End { msg: 4, end: End::Delivered },
+        JournalRecord::Accept { msg: 5, taken: taken(5, None) },
+        JournalRecord::End { msg: 5, end: End::Deferred { after: 250_000 } },
+        JournalRecord::Confirmed { msg: 5 },
+        JournalRecord::Ended { id: "m6".into(), end: End::Undeliverable, until: NOW + 6 },
+        JournalRecord::Ended { id: "m7".into(), end: End::Deferred { after: 0 }, until: NOW - 7 },
+        JournalRecord::Disable { id: "s-1".into() },
+        JournalRecord::Disable { id: "s-2".into() },
+        JournalRecord::Enable { id: "s-1".into() },
+        JournalRecord::Accept { msg: 8, taken: taken(8, None) },
+        JournalRecord::From { msg: 8, source: a.clone() },
+        JournalRecord::Settled { source: a, accepted: true },
+        JournalRecord::Accept { msg: 9, taken: taken(9, None) },
+        JournalRecord::From { msg: 9, source: b.clone() },
+        JournalRecord::Settled { source: b, accepted: false },
+        JournalRecord::Accept { msg: 300, taken: taken(300, None) },
+        JournalRecord::From { msg: 300, source: c.clone() },
+        JournalRecord::End { msg: 300, end: End::Deferred { after: 0 } },
         settlement(NORTH, line(b"replaced", false, None)),
         settlement(NORTH, line(b"from", false, Some(c))),
         settlement(NORTH, line(b"copy", true, None)),
         settlement(SOUTH, line(b"over", true, None)),
-        Record::SettlementOver { of: SOUTH.into() },
-        Record::Sealed,
+        JournalRecord::SettlementEnded { of: SOUTH.into() },
+        JournalRecord::Sealed,
     ]
 }
 
-fn framed(records: &[Record]) -> Vec<u8> {
+fn framed(records: &[JournalRecord]) -> Vec<u8> {
     records.iter().flat_map(|record| frame(record).unwrap()).collect()
 }
 
 /// What the records come to.
-fn restored() -> Book {
-    let call = |n, under, never_ran| PastCall { sent: NOW + n, under, never_ran };
+fn restored() -> JournalContents {
+    let call = |n, effect, never_ran| PastCall { sent: NOW + n, effect, never_ran };
     let entry =
-        |n, key| Entry { taken: taken(n, key), calls: vec![], end: None, stream: false, source: None };
-    let keyed = |zone| Some(Under::Keyed { span: 6_000_000, zone });
-    let first = Entry {
-        calls: vec![call(1, None, Some(true)), call(1, Some(Under::Unsafe), None)],
+        |n, key| JournalEntry { taken: taken(n, key), calls: vec![], end: None, stream: false, source: None };
+    let keyed = |zone| Some(RepeatEffect::Keyed { span: 6_000_000, zone });
+    let first = JournalEntry {
+        calls: vec![call(1, None, Some(true)), call(1, Some(RepeatEffect::Unsafe), None)],
         ..entry(1, None)
     };
-    let stream = Entry {
+    let stream = JournalEntry {
         calls: vec![call(2, keyed(Some("z-1".into())), None)],
         stream: true,
         ..entry(2, Some("k-2"))
     };
-    let ended = Entry {
+    let ended = JournalEntry {
         calls: vec![call(3, keyed(None), Some(false))],
         end: Some(End::Undeliverable),
         ..entry(3, Some("k-3"))
     };
-    let from = Entry {
+    let from = JournalEntry {
         end: Some(End::Deferred { after: 0 }),
         source: Some(source("c", 300, 7)),
         ..entry(300, None)
     };
-    let mut book = Book {
+    let mut contents = JournalContents {
         owed: BTreeMap::from([(1, first), (2, stream), (3, ended), (8, entry(8, None)), (300, from)]),
-        over: vec![
+        ended: vec![
             ("m4".into(), End::Delivered, NOW + 16_000_004),
             ("m5".into(), End::Deferred { after: 250_000 }, NOW + 16_000_005),
             ("m6".into(), End::Undeliverable, NOW + 6),
@@ -128,23 +128,23 @@
             vec![line(b"from", false, Some(source("c", 300, 7))), line(b"copy", true, None)],
         )])),
         next: 301,
-        ..Book::default()
+        ..JournalContents::default()
     };
-    book.holds.insert("s-2");
-    book
+    contents.disabled.insert("s-2");
+    contents
 }
 
 /// The same without what nobody has to remember any more.
-fn restored_now() -> Book {
-    let mut book = restored();
-    book.over.retain(|(.., until)| *until > NOW);
-    book
+fn restored_now() -> JournalContents {
+    let mut contents = restored();
+    contents.ended.retain(|(.., until)| *until > NOW);
+    contents
 }
 
 #[test]
 fn a_journal_is_read_record_by_record_and_written_as_it_was() {
     let stored = fixture("journal.bin", &framed(&records()));
-    let read: Vec<(usize, Record)> = Records::of(&stored).collect();
+    let read: Vec<(usize, JournalRecord)> = Records::of(&stored).collect();
     let (offsets, values): (Vec<_>, Vec<_>) = read.into_iter().unzip();
     assert_eq!(values, records());
     assert_eq!(framed(&values), stored);
@@ -153,10 +153,10 @@
         assert_eq!(offset, at);
         at += frame(record).unwrap().len();
     }
-    assert_eq!(Book::read(&stored), (restored(), stored.len()));
+    assert_eq!(JournalContents::read(&stored), (restored(), stored.len()));
     let mut notes = Vec::new();
-    let (journal, book) = Journal::open(Memory::of(stored.clone()), DISK, NOW, &mut notes).unwrap();
-    assert_eq!(book, restored_now());
+    let (journal, contents) = Journal::open(Memory::of(stored.clone()), DISK, NOW, &mut notes).unwrap();
+    assert_eq!(contents, restored_now());
     assert!(notes.is_empty());
     assert_eq!(journal.store().bytes(), stored, "a sound journal is left as it is");
 }
@@ -166,30 +166,30 @@
 fn a_torn_journal_is_restored_and_compacted_as_ever() {
     let mut torn = framed(&records());
     let sound = torn.len();
-    let last = frame(&Record::TakeOn { msg: 301, taken: taken(301, Some("never whole")) }).unwrap();
+    let last = frame(&JournalRecord::Accept { msg: 301, taken: taken(301, Some("never whole")) }).unwrap();
     torn.extend(&last[..last.len() - 1]);
     let torn = fixture("journal_torn.bin", &torn);
-    assert_eq!(Book::read(&torn), (restored(), sound));
+    assert_eq!(JournalContents::read(&torn), (restored(), sound));
     let mut notes = Vec::new();
-    let (journal, book) = Journal::open(Memory::of(torn), DISK, NOW, &mut notes).unwrap();
-    assert_eq!(book, restored_now());
+    let (journal, contents) = Journal::open(Memory::of(torn), DISK, NOW, &mut notes).unwrap();
+    assert_eq!(contents, restored_now());
     let compacted = fixture("journal_compacted.bin", journal.store().bytes());
     assert!(matches!(&notes[..], [Note::Torn(lost), Note::Compacted { from, to }]
         if *lost == last.len() - 1
             && *from == (sound + last.len() - 1) as u64
             && *to == compacted.len() as u64));
-    let (mut read, length) = Book::read(&compacted);
+    let (mut read, length) = JournalContents::read(&compacted);
     assert_eq!(length, compacted.len());
     // In this copy an attempt of an earlier version has no zone, and numbers of what is over are not kept.
-    assert_eq!(read, Book { next: 301, ..restored_now() });
+    assert_eq!(read, JournalContents { next: 301, ..restored_now() });
     let count = Records::of(&compacted).count();
     assert_eq!(count, 20);
     // Read again, it is left as it is.
     let mut notes = Vec::new();
-    let (again, book) = Journal::open(Memory::of(compacted.clone()), DISK, NOW, &mut notes).unwrap();
+    let (again, contents) = Journal::open(Memory::of(compacted.clone()), DISK, NOW, &mut notes).unwrap();
     assert_eq!((again.store().bytes(), notes.is_empty()), (&compacted[..], true));
-    read.over.clear();
-    assert_eq!((book.owed, book.settlements), (read.owed, read.settlements));
+    read.ended.clear();
+    assert_eq!((contents.owed, contents.settlements), (read.owed, read.settlements));
 }
 
 /// What a courier writes as it goes, by way of the journal's own calls, and what it takes over from another's.
@@ -197,32 +197,32 @@
 fn a_courier_writes_the_same_journal_as_ever() {
     let mut notes = Vec::new();
     let (mut journal, _) = Journal::open(Memory::default(), DISK, NOW, &mut notes).unwrap();
-    journal.take_on(1, taken(1, None), false, NOW, &mut notes).unwrap();
-    journal.take_on(2, taken(2, Some("k-2")), true, NOW, &mut notes).unwrap();
-    journal.hold("s-1", true, NOW, &mut notes).unwrap();
-    journal.hold("s-2", true, NOW, &mut notes).unwrap();
-    journal.hold("s-1", false, NOW, &mut notes).unwrap();
+    journal.submit(1, taken(1, None), false, NOW, &mut notes).unwrap();
+    journal.submit(2, taken(2, Some("k-2")), true, NOW, &mut notes).unwrap();
+    journal.set_disabled("s-1", true, NOW, &mut notes).unwrap();
+    journal.set_disabled("s-2", true, NOW, &mut notes).unwrap();
+    journal.set_disabled("s-1", false, NOW, &mut notes).unwrap();
     let steps = [
-        Record::Sent { msg: 1, sent: NOW, under: Under::Safe },
-        Record::Outcome { msg: 1, attempt: 0, never_ran: false },
+        JournalRecord::Sent { msg: 1, sent: NOW, effect: RepeatEffect::Safe },
+        JournalRecord::Outcome { msg: 1, attempt: 0, never_ran: false },
     ];
-    journal.note_all(&steps, NOW, &mut notes).unwrap();
+    journal.append_all(&steps, NOW, &mut notes).unwrap();
     journal.settlement(&[settlement(NORTH, line(b"opened", false, None))], true, NOW, &mut notes).unwrap();
     let written = [
-        Record::TakeOn { msg: 1, taken: taken(1, None) },
-        Record::Stream { msg: 2, taken: taken(2, Some("k-2")) },
-        Record::Hold { id: "s-1".into() },
-        Record::Hold { id: "s-2".into() },
-        Record::Release { id: "s-1".into() },
+        JournalRecord::Accept { msg: 1, taken: taken(1, None) },
+        JournalRecord::Stream { msg: 2, taken: taken(2, Some("k-2")) },
+        JournalRecord::Disable { id: "s-1".into() },
+        JournalRecord::Disable { id: "s-2".into() },
+        JournalRecord::Enable { id: "s-1".into() },
         steps[0].clone(),
         steps[1].clone(),
         settlement(NORTH, line(b"opened", false, None)),
     ];
     let stored = fixture("journal_written.bin", journal.store().bytes());
     assert_eq!(stored, framed(&written));
-    let more = Entry {
+    let more = JournalEntry {
         taken: taken(3, None),
-        calls: vec![PastCall { sent: NOW, under: None, never_ran: None }],
+        calls: vec![PastCall { sent: NOW, effect: None, never_ran: None }],
         end: None,
         stream: false,
         source: Some(source("a", 1, 4)),
@@ -234,16 +234,16 @@
     journal.adopt(BTreeMap::from([(3, more)]), &lines, NOW, &mut notes).unwrap();
     let adopted = fixture("journal_adopted.bin", journal.store().bytes());
     let copy = [
-        Record::Hold { id: "s-2".into() },
+        JournalRecord::Disable { id: "s-2".into() },
         settlement(NORTH, line(b"opened", false, None)),
         settlement(SOUTH, line(b"taken over", true, Some(source("a", 1, 4)))),
-        Record::TakeOn { msg: 1, taken: taken(1, None) },
+        JournalRecord::Accept { msg: 1, taken: taken(1, None) },
         steps[0].clone(),
         steps[1].clone(),
-        Record::Stream { msg: 2, taken: taken(2, Some("k-2")) },
-        Record::TakeOn { msg: 3, taken: taken(3, None) },
-        Record::From { msg: 3, source: source("a", 1, 4) },
-        Record::Attempt { msg: 3, zone: 0, sent: NOW },
+        JournalRecord::Stream { msg: 2, taken: taken(2, Some("k-2")) },
+        JournalRecord::Accept { msg: 3, taken: taken(3, None) },
+        JournalRecord::From { msg: 3, source: source("a", 1, 4) },
+        JournalRecord::Attempt { msg: 3, zone: 0, sent: NOW },
     ];
     assert_eq!(Records::of(&adopted).map(|(_, record)| record).collect::<Vec<_>>(), copy);
     assert_eq!(framed(&copy), adopted);
--- a/core/tests/watch.rs
+++ b/core/tests/watch.rs
@@ -2,7 +2,8 @@
 //! for is here in time, whatever failed before.
 
 use quillmount_core::machine::watch::{
-    ANSWER, BEAT, Input, LATE, LEFT, Output, REST, SILENCE, State, TOLD, Watch,
+    ANSWER_WITHIN, HEARTBEAT, HEARTBEAT_SLACK, HEED_MAX, NOTIFIED_WITHIN, REQUEST_INTERVAL_MAX, SILENCE,
+    Watch, WatchInput, WatchOutput, WatchState,
 };
 use spurshore::Micros;
 use spurshore_tables::draw;
@@ -11,9 +12,9 @@
 const HEEDS: [Micros; 2] = [500_000, 1_000_000];
 /// In larger fleets a question that is lost costs more time, so that discovery can answer the others.
 const FEW: u32 = 10;
-const TICK: Input = Input::Tick { moved: false };
-const BROKEN: Input = Input::Broken { moved: false };
-const HEARD: Input = Input::Heard { moved: false };
+const TICK: WatchInput = WatchInput::Tick { moved: false };
+const BROKEN: WatchInput = WatchInput::Broken { moved: false };
+const HEARD: WatchInput = WatchInput::Heard { moved: false };
 
 fn courier(fleet: u32, me: u32, starts: bool, heed: Micros) -> Watch {
     Watch::of_fleet(0, fleet, u64::from(me) * 77, starts, heed)
@@ -22,7 +23,7 @@
 /// Waits for as long as the machine does; true: it asks, at the time returned.
 fn tick(watch: &mut Watch) -> (Micros, bool) {
     let now = watch.wake_at().unwrap();
-    (now, matches!(watch.step(TICK, now), Output::Ask | Output::AskBeside { .. }))
+    (now, matches!(watch.step(TICK, now), WatchOutput::Request | WatchOutput::Hedge { .. }))
 }
 
 fn next_ask(watch: &mut Watch) -> Micros {
@@ -35,11 +36,11 @@
 
 /// Followed from 0 on, with a line every 2 s, of which the last came at the time returned.
 fn followed(watch: &mut Watch) -> Micros {
-    watch.step(Input::Answered, 0);
+    watch.step(WatchInput::Answered, 0);
     for beat in 0..=3 {
-        watch.step(HEARD, beat * BEAT);
+        watch.step(HEARD, beat * HEARTBEAT);
     }
-    3 * BEAT
+    3 * HEARTBEAT
 }
 
 /// The most questions within any second.
@@ -52,20 +53,20 @@
 /// The silence may begin at any time from the last line to where the next is due; if the new question is
 /// lost, the one beside it is in time too.
 #[test]
-fn a_silent_watch_is_asked_anew_and_answered_before_what_it_missed_counts_as_told() {
+fn a_silent_watch_is_requested_again_and_answered_before_what_it_missed_counts_as_told() {
     for (fleet, heed) in FLEETS.into_iter().flat_map(|fleet| HEEDS.map(|heed| (fleet, heed))) {
         let mut asked = Vec::new();
         for me in 0..fleet {
             let mut watch = courier(fleet, me, false, heed);
             let last = followed(&mut watch);
             // A line that is half a second late is waited for.
-            assert_eq!(watch.step(TICK, last + BEAT + LATE - 1), Output::Nothing);
+            assert_eq!(watch.step(TICK, last + HEARTBEAT + HEARTBEAT_SLACK - 1), WatchOutput::Nothing);
             let first = next_ask(&mut watch);
             let beside = next_ask(&mut watch);
             asked.push(first);
             for phase in 0..=20 {
-                let told = last + phase * BEAT / 20 + 6_000_000;
-                assert!(first + ANSWER <= told - 1_000_000, "{fleet} couriers, {heed}: {first}");
+                let told = last + phase * HEARTBEAT / 20 + 6_000_000;
+                assert!(first + ANSWER_WITHIN <= told - 1_000_000, "{fleet} couriers, {heed}: {first}");
                 let in_time = beside + heed * 3 / 8 <= told - 1_000_000;
                 assert!(in_time || fleet > FEW, "{fleet} couriers, {heed}: {beside}");
             }
@@ -91,7 +92,7 @@
             }
             for pair in asked.windows(2) {
                 // Three eighths of it are left for the answer.
-                let most = if fleet > FEW { REST } else { heed * 5 / 8 };
+                let most = if fleet > FEW { REQUEST_INTERVAL_MAX } else { heed * 5 / 8 };
                 assert!(pair[1] - pair[0] <= most, "{fleet} couriers, {heed}: {pair:?}");
             }
             // The first of each came when the silence was found.
@@ -116,7 +117,7 @@
             let mut lost = watch;
             let beside = next_ask(&mut lost);
             if fleet > FEW {
-                assert!(beside <= first + REST, "{fleet} couriers, {heed}: {beside}");
+                assert!(beside <= first + REQUEST_INTERVAL_MAX, "{fleet} couriers, {heed}: {beside}");
                 continue;
             }
             assert!(beside <= heed * 7 / 8, "{fleet} couriers, {heed}: {beside}");
@@ -137,7 +138,7 @@
 /// second, at first and later. No pause is so long that the answer would come later than 5 s after the
 /// last one.
 #[test]
-fn a_fleet_that_is_told_no_asks_ever_less_often() {
+fn a_fleet_that_is_refused_requests_ever_less_often() {
     let ask_on = |fleet: u32| {
         let (mut early, mut late) = (Vec::new(), Vec::new());
         for me in 0..fleet {
@@ -181,11 +182,11 @@
 
 /// Each watch ends at once, with a list: it does not count as one that lasted.
 #[test]
-fn watches_that_end_at_once_are_asked_for_ever_less_often() {
+fn watches_that_end_at_once_are_requested_ever_less_often() {
     let mut watch = courier(300, 7, false, 1_000_000);
     let (mut now, mut asked) = (0, 0);
     while now < 30_000_000 {
-        watch.step(Input::Answered, now);
+        watch.step(WatchInput::Answered, now);
         watch.step(HEARD, now);
         watch.step(BROKEN, now);
         now = next_ask(&mut watch);
@@ -239,10 +240,10 @@
 fn told_after(mut watch: Watch, seed: u64, calm: u32, late: Micros, silent: bool) -> Micros {
     let (mut seed, mut now, mut back) = (seed | 1, 0, None::<Micros>);
     let first = |seed: &mut u64| Some((0, fate(seed, silent)));
-    let pauses = matches!(watch.state(), State::Pausing { .. });
+    let pauses = matches!(watch.state(), WatchState::BackingOff { .. });
     let mut out: Vec<Out> = if pauses { vec![] } else { vec![first(&mut seed)] };
     // What the answer that is followed has still to say: lines, then its end.
-    let mut says: Vec<(Micros, Input)> = Vec::new();
+    let mut says: Vec<(Micros, WatchInput)> = Vec::new();
     let mut follows = false;
     let mut moments = 0;
     loop {
@@ -279,31 +280,31 @@
             now = at.max(now);
             let question = out[n].take().unwrap();
             if let (Some(_), Some(back)) = (arrives(question), back) {
-                assert_eq!(watch.step(Input::Answered, now), Output::Nothing);
-                assert_eq!(watch.step(HEARD, now), Output::TakeOver);
+                assert_eq!(watch.step(WatchInput::Answered, now), WatchOutput::Nothing);
+                assert_eq!(watch.step(HEARD, now), WatchOutput::EndOlderWatches);
                 return now - back;
             }
             says = match question.1 {
                 Fate::Fails(_) => {
                     let others = out.iter().any(Option::is_some);
-                    watch.step(if others { Input::Lost } else { BROKEN }, now);
+                    watch.step(if others { WatchInput::Lost } else { BROKEN }, now);
                     continue;
                 }
                 Fate::Head { list, .. } => list.then_some((now, HEARD)).into_iter().collect(),
                 Fate::Ends { end, .. } => vec![(now, HEARD), (now + end, BROKEN)],
-                Fate::Beats { lines, .. } => (0..=lines).map(|n| (now + n * BEAT, HEARD)).collect(),
+                Fate::Beats { lines, .. } => (0..=lines).map(|n| (now + n * HEARTBEAT, HEARD)).collect(),
                 Fate::Silent | Fate::Hangs => unreachable!(),
             };
-            watch.step(Input::Answered, now);
+            watch.step(WatchInput::Answered, now);
             back = back.map(|_| now);
             follows = true;
             out.clear();
         } else {
             now = wake.max(now);
             match watch.step(TICK, now) {
-                Output::Ask => out.clear(),
-                Output::AskBeside { stay } => out.truncate(stay),
-                Output::Pause(_) => {
+                WatchOutput::Request => out.clear(),
+                WatchOutput::Hedge { keep } => out.truncate(keep),
+                WatchOutput::BackOff(_) => {
                     out.clear();
                     follows = false;
                     continue;
@@ -324,16 +325,19 @@
         for seed in 0..800_u64 {
             let me = (seed % u64::from(fleet)) as u32;
             let watch = courier(fleet, me, seed % 5 == 0, heed).where_pushed(seed >= 400);
-            let late = ANSWER * (seed % 4) / 4;
+            let late = ANSWER_WITHIN * (seed % 4) / 4;
             for calm in 0..40 {
                 let took = told_after(watch, seed * 7_919 + 1, calm, late, false);
-                assert!(took <= TOLD - LEFT, "{fleet} couriers, seed {seed}, {calm}, {late}: {took}");
+                assert!(
+                    took <= NOTIFIED_WITHIN - HEED_MAX,
+                    "{fleet} couriers, seed {seed}, {calm}, {late}: {took}"
+                );
                 worst = worst.max(took);
             }
         }
     }
     // It is a bound that is met, not one that nothing comes near.
-    assert!(worst > REST, "{worst}");
+    assert!(worst > REQUEST_INTERVAL_MAX, "{worst}");
 }
 
 /// An agent that was silent may tell a drain in the moment in which it is back, and answer only what is asked from
@@ -365,16 +369,16 @@
     /// Asks or waits when the state's time has come; true: a question is out that was asked now.
     fn on(watch: &mut Watch, out: &mut usize) -> (Micros, bool) {
         let now = watch.wake_at().unwrap();
-        let stay = match watch.step(TICK, now) {
-            Output::Ask => 0,
-            Output::AskBeside { stay } => stay,
-            Output::Pause(_) => {
+        let keep = match watch.step(TICK, now) {
+            WatchOutput::Request => 0,
+            WatchOutput::Hedge { keep } => keep,
+            WatchOutput::BackOff(_) => {
                 *out = 0;
                 return (now, false);
             }
             other => panic!("{other:?} at a tick"),
         };
-        *out = stay.min(*out) + 1;
+        *out = keep.min(*out) + 1;
         (now, true)
     }
     while watch.wake_at().is_some_and(|at| at <= back) {
@@ -395,8 +399,8 @@
                 return here - back;
             }
             Return::Resets => {
-                (1..*out).for_each(|_| assert_eq!(watch.step(Input::Lost, back), Output::Nothing));
-                assert!(matches!(watch.step(BROKEN, back), Output::Pause(_)));
+                (1..*out).for_each(|_| assert_eq!(watch.step(WatchInput::Lost, back), WatchOutput::Nothing));
+                assert!(matches!(watch.step(BROKEN, back), WatchOutput::BackOff(_)));
                 *out = 0;
             }
         }
@@ -413,7 +417,7 @@
 /// Where lists are pushed, what an agent gets at its return counts as told at once, in a fleet of any size: from the
 /// moment in which the silence can be found on, a question waits for it, or comes in time.
 #[test]
-fn where_lists_are_pushed_the_news_of_an_agent_that_was_silent_is_here_in_time_to_heed_it() {
+fn where_lists_are_pushed_the_update_of_an_agent_that_was_silent_is_here_in_time_to_heed_it() {
     for (fleet, heed) in SIZES.into_iter().flat_map(|fleet| HEEDS.map(|heed| (fleet, heed))) {
         for (me, how) in
             (0..fleet.min(300)).flat_map(|me| [Return::Answers, Return::Resets].map(|how| (me, how)))
@@ -450,7 +454,7 @@
                     watch.step(BROKEN, at);
                 }
                 let asked = next_ask(&mut watch);
-                let long = (draw(&mut seed) * 20e6) as Micros + ANSWER;
+                let long = (draw(&mut seed) * 20e6) as Micros + ANSWER_WITHIN;
                 let took = told_at_return(&mut watch, &mut 1, asked + long, how, heed / 8);
                 assert!(
                     took <= heed,
@@ -480,17 +484,17 @@
 }
 
 /// From the last sign of life, from the last question that failed, and from the last that was asked, the next is
-/// answered `LEFT` before what discovery has counts as told.
+/// answered `HEED_MAX` before what discovery has counts as told.
 #[test]
 fn no_two_questions_are_further_apart_than_the_bound_allows() {
-    const { assert!(REST + ANSWER + LEFT <= TOLD) }
+    const { assert!(REQUEST_INTERVAL_MAX + ANSWER_WITHIN + HEED_MAX <= NOTIFIED_WITHIN) }
     for (fleet, heed) in
         [1, 3, 10, 11, 30, 63, 64, 300, 5_000].into_iter().flat_map(|f| HEEDS.map(|h| (f, h)))
     {
         for me in 0..fleet.min(200) {
             let mut watch = courier(fleet, me, false, heed).where_pushed(me % 2 == 0);
             let last = followed(&mut watch);
-            assert!(next_ask(&mut watch) <= last + REST, "{fleet} couriers after a silence");
+            assert!(next_ask(&mut watch) <= last + REQUEST_INTERVAL_MAX, "{fleet} couriers after a silence");
             let mut refused = courier(fleet, me, false, heed).where_pushed(me % 2 == 0);
             let mut before = 0;
             for n in 0..40 {
@@ -498,10 +502,10 @@
                 if n % 3 == 0 {
                     refused.step(BROKEN, before);
                 } else if n % 3 == 1 {
-                    refused.step(Input::Lost, before);
+                    refused.step(WatchInput::Lost, before);
                 }
                 let at = next_ask(&mut refused);
-                assert!(at <= before + REST, "{fleet} couriers: {before} to {at}");
+                assert!(at <= before + REQUEST_INTERVAL_MAX, "{fleet} couriers: {before} to {at}");
                 before = at;
             }
         }
@@ -516,18 +520,18 @@
     for _ in 0..60 {
         let at = watch.wake_at().unwrap();
         match watch.step(TICK, at) {
-            Output::Ask => out.clear(),
-            Output::AskBeside { stay } => {
-                assert!(stay == 1 || stay == 2, "three are out at most");
-                let given_up = out.split_off(stay.min(out.len()));
+            WatchOutput::Request => out.clear(),
+            WatchOutput::Hedge { keep } => {
+                assert!(keep == 1 || keep == 2, "three are out at most");
+                let given_up = out.split_off(keep.min(out.len()));
                 // What goes is the last of three, or the second, which has had its time.
-                let second = given_up.first().filter(|_| stay == 1);
-                assert!(second.is_none_or(|asked| at - asked >= ANSWER), "{second:?} at {at}");
+                let second = given_up.first().filter(|_| keep == 1);
+                assert!(second.is_none_or(|asked| at - asked >= ANSWER_WITHIN), "{second:?} at {at}");
             }
             other => panic!("{other:?}"),
         }
         out.push(at);
-        assert!(out.first().is_some_and(|first| at - first < TOLD + 500_000), "{out:?} at {at}");
+        assert!(out.first().is_some_and(|first| at - first < NOTIFIED_WITHIN + 500_000), "{out:?} at {at}");
     }
 }
 
@@ -537,10 +541,10 @@
     let mut watch = courier(100, 7, false, 500_000);
     next_ask(&mut watch);
     let until = watch.wake_at();
-    assert_eq!(watch.step(Input::Lost, until.unwrap() - 1), Output::Nothing);
+    assert_eq!(watch.step(WatchInput::Lost, until.unwrap() - 1), WatchOutput::Nothing);
     assert_eq!(watch.wake_at(), until);
-    watch.step(Input::Answered, until.unwrap() - 1);
-    assert_eq!(watch.step(HEARD, until.unwrap()), Output::TakeOver);
+    watch.step(WatchInput::Answered, until.unwrap() - 1);
+    assert_eq!(watch.step(HEARD, until.unwrap()), WatchOutput::EndOlderWatches);
 }
 
 /// A watch that says nothing is not one that says no: the next outage finds it as quick as the first.
@@ -550,9 +554,9 @@
         let mut watch = courier(3, 1, false, heed);
         let mut asked = 0;
         for _ in 0..20 {
-            watch.step(Input::Answered, asked);
+            watch.step(WatchInput::Answered, asked);
             let next = next_ask(&mut watch);
-            assert!(next - asked <= REST, "{asked} to {next}");
+            assert!(next - asked <= REQUEST_INTERVAL_MAX, "{asked} to {next}");
             asked = next;
         }
         let beside = next_ask(&mut watch);
@@ -564,8 +568,8 @@
 #[test]
 fn only_a_watch_where_discovery_is_ends_the_others_and_only_once_it_is_told_something() {
     let mut watch = courier(3, 1, false, 500_000);
-    assert_eq!(watch.step(Input::Answered, 1), Output::Nothing, "a head says nothing of the list");
-    assert_eq!(watch.step(Input::Heard { moved: true }, 2), Output::Nothing);
-    assert_eq!(watch.step(HEARD, 3), Output::TakeOver);
-    assert_eq!(watch.step(Input::Tick { moved: true }, 3 + SILENCE), Output::Stop);
+    assert_eq!(watch.step(WatchInput::Answered, 1), WatchOutput::Nothing, "a head says nothing of the list");
+    assert_eq!(watch.step(WatchInput::Heard { moved: true }, 2), WatchOutput::Nothing);
+    assert_eq!(watch.step(HEARD, 3), WatchOutput::EndOlderWatches);
+    assert_eq!(watch.step(WatchInput::Tick { moved: true }, 3 + SILENCE), WatchOutput::Stop);
 }
--- a/courier/src/fleet/budget.rs
+++ b/courier/src/fleet/budget.rs
@@ -8,13 +8,13 @@
 use super::stores::Files;
 use crate::transport::clock::Clock;
 use crate::transport::courier::Courier;
+use crate::transport::endpoints::{CallSignals, is_quiet};
 use crate::transport::handle::Handle;
-use crate::transport::providers::{Words, is_quiet};
 use actix_rt::net::TcpStream;
 use quillmount_core::call::Call;
-use quillmount_core::machine::attempt::State;
-use quillmount_core::machine::link::{Input, Link};
-use quillmount_core::{CallId, Invocation};
+use quillmount_core::machine::attempt::AttemptState;
+use quillmount_core::machine::connection::{ConnectionInput, EndpointConnection};
+use quillmount_core::{CallId, Submission};
 use quillmount_fleet::budget::{Begin, Gate, Order, Permit};
 use quillmount_fleet::member::Member;
 use spurshore::Micros;
@@ -89,7 +89,7 @@
 /// What a call that waited may do: go out on a connection that rested, or open one.
 pub struct Leave {
     permit: Permit,
-    pub resting: Option<(Link, Conn)>,
+    pub resting: Option<(EndpointConnection, Conn)>,
     opening: Option<Opening>,
 }
 
@@ -203,13 +203,13 @@
 
     /// Whether a message is to be turned away: so many of its tenant's calls wait that its time would be over
     /// before its turn; how long to wait then.
-    pub fn refuses(&self, invocation: &Invocation) -> Option<Micros> {
-        if !self.counts(invocation.dest) {
+    pub fn refuses(&self, submission: &Submission) -> Option<Micros> {
+        if !self.counts(submission.dest) {
             return None;
         }
         let lines = self.lines.borrow();
-        let line = lines.get(&(invocation.dest, name_of(invocation.tenant.as_deref())))?;
-        (line.after > invocation.time_left).then_some(line.after)
+        let line = lines.get(&(submission.dest, name_of(submission.tenant.as_deref())))?;
+        (line.after > submission.time_left).then_some(line.after)
     }
 
     /// Waits for leave to make this call, as long as its time allows; `None`: it is held back, and has not
@@ -218,19 +218,19 @@
         self: &Rc<Self>,
         handle: &Handle,
         (call, until): &mut (Call<Conn>, Micros),
-        words: &Words,
+        signals: &CallSignals,
     ) -> Option<Box<Leave>> {
         let order = &mut call.order;
-        let (dest, provider, addr) = (order.dest, order.provider, order.addr);
-        let tenant = name_of(order.invocation.tenant.as_deref());
+        let (dest, endpoint, addr) = (order.dest, order.endpoint, order.addr);
+        let tenant = name_of(order.payload.tenant.as_deref());
         let by = order.by.min(until.saturating_sub(LEAST_LEFT));
         let asked = self.clock.now();
         let mut first = true;
         loop {
-            let permit = self.permit(dest, &tenant, first, by, words).await?;
+            let permit = self.permit(dest, &tenant, first, by, signals).await?;
             first = false;
             let (name, now) = ((dest, permit.conn), self.clock.now());
-            if !handle.pool(|pool| pool.lets_through(provider, now)) {
+            if !handle.pool(|pool| pool.is_open(endpoint, now)) {
                 self.back(&permit);
                 return None;
             }
@@ -243,23 +243,23 @@
                     (None, Some(Opening { name, budgets, end }))
                 }
                 Begin::Reuse => {
-                    let taken = handle.pool(|pool| pool.take(provider, |conn| conn.is(name)));
-                    let Some((to, at, mut link, conn)) = taken else {
+                    let taken = handle.pool(|pool| pool.take_idle(endpoint, |conn| conn.is(name)));
+                    let Some((to, at, mut machine, conn)) = taken else {
                         // It went meanwhile.
                         self.note_gone();
                         self.gate(|gate, now| gate.connections.closing(dest, permit.conn, now));
                         continue;
                     };
-                    let quiet = (to, at) == (provider, addr) && is_quiet(&conn);
-                    if link.step(Input::Taken { quiet }, now) {
+                    let quiet = (to, at) == (endpoint, addr) && is_quiet(&conn);
+                    if machine.step(ConnectionInput::Reused { quiet }, now) {
                         drop(conn);
                         self.note_gone();
                         continue;
                     }
-                    (Some((link, conn)), None)
+                    (Some((machine, conn)), None)
                 }
             };
-            order.told = order.told.saturating_sub(now.saturating_sub(asked));
+            order.time_left = order.time_left.saturating_sub(now.saturating_sub(asked));
             self.out.borrow_mut().insert(name, order.call);
             return Some(Box::new(Leave { permit, resting, opening }));
         }
@@ -272,7 +272,7 @@
         tenant: &str,
         first: bool,
         by: Micros,
-        words: &Words,
+        signals: &CallSignals,
     ) -> Option<Permit> {
         let place = Rc::new(Place::default());
         {
@@ -300,7 +300,7 @@
             tokio::select! {
                 biased;
                 () = waits.place.called.notified() => {}
-                _ = words.heard(State::Connecting) => return None,
+                _ = signals.next(AttemptState::Connecting) => return None,
                 () = actix_rt::time::sleep(left) => {}
             }
         }
@@ -392,7 +392,7 @@
             self.todo.notified().await;
             for Order::Close { dest, conn } in self.orders.take() {
                 let name = (dest, conn);
-                drop(courier.handle.pool(|pool| pool.take(0, |conn| conn.is(name))));
+                drop(courier.handle.pool(|pool| pool.take_idle(0, |conn| conn.is(name))));
                 let call = self.out.borrow().get(&name).copied();
                 call.into_iter().for_each(|call| courier.cut(call));
             }
--- a/courier/src/fleet/homes.rs
+++ b/courier/src/fleet/homes.rs
@@ -8,9 +8,11 @@
 use crate::transport::courier::{Courier, HandIn};
 use actix_http::{Response, StatusCode};
 use bytes::Bytes;
-use quillmount_core::journal::{End as Ended, JournalError, Record as Line, SettlementLine, Settlements};
+use quillmount_core::journal::{
+    End as Ended, JournalError, JournalRecord as Line, SettlementLine, Settlements,
+};
 use quillmount_core::router::Intake;
-use quillmount_core::{Ending, Invocation};
+use quillmount_core::{Ending, Submission};
 use quillmount_fleet::member;
 use quillmount_fleet::message::Message as Envelope;
 use quillmount_fleet::plan::Name;
@@ -22,7 +24,7 @@
     SettlementId, Word, translator,
 };
 use quillmount_fleet::state::{BookId, Epoch, Part, Source, part_of};
-use quillmount_protocol::invocation;
+use quillmount_protocol::submission;
 use spurshore::Micros;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -116,7 +118,7 @@
         });
         let (hand_in, ends) = (settling.clone(), settling.clone());
         courier.settle_with(
-            Box::new(move |invocation, addressing| hand_in.clone().hand_in(invocation, addressing)),
+            Box::new(move |submission, addressing| hand_in.clone().hand_in(submission, addressing)),
             Box::new(move |id, end| ends.ended(id, end)),
         );
         settling.homes(Input::Snapshot, None);
@@ -169,37 +171,37 @@
     }
 
     /// A consumer's message; `None`: it is of no settlement that is carried.
-    fn hand_in(self: Rc<Self>, invocation: &Invocation, addressing: &str) -> Option<HandIn> {
-        if !self.dests.contains(&invocation.dest) {
+    fn hand_in(self: Rc<Self>, submission: &Submission, addressing: &str) -> Option<HandIn> {
+        if !self.dests.contains(&submission.dest) {
             return None;
         }
         let now_refused =
             |response: Response<Bytes>| -> Option<HandIn> { Some(Box::pin(std::future::ready(response))) };
-        let tenant = invocation.tenant.clone().unwrap_or_default();
+        let tenant = submission.tenant.clone().unwrap_or_default();
         let mark = match translator::read(&tenant, addressing) {
             Ok(mark) => mark?,
             Err(error) => return now_refused(refusal(&error)),
         };
-        let id = SettlementId { tenant, name: mark.settlement, dest: invocation.dest };
+        let id = SettlementId { tenant, name: mark.settlement, dest: submission.dest };
         let Some(position) = mark.position else {
             return now_refused(refusal(&Error::Field { at: id.at(0), field: "position".into() }));
         };
-        if let Some(intake) = self.courier.refuses(invocation) {
-            return now_refused(invocation::answer(intake));
+        if let Some(intake) = self.courier.refuses(submission) {
+            return now_refused(submission::answer(intake));
         }
         if let Some(Err(after)) = self.courier.gate.as_ref().map(|gate| gate.takes_on()) {
             self.courier.count(|c| c.rejected += 1);
-            return now_refused(invocation::answer(Intake::Rejected { after }));
+            return now_refused(submission::answer(Intake::Rejected { after }));
         }
-        let parcel = Parcel::of(invocation);
+        let parcel = Parcel::of(submission);
         let hand = Hand {
             position,
             of: mark.of,
-            msg: invocation.id.clone(),
+            msg: submission.id.clone(),
             // An attempt here is the handing to the router, which knows the message by its id, and its rules:
             // it repeats no debit that may have run, however often it is handed one.
             repeat: Repeat::Freely,
-            deadline: self.now().saturating_add(invocation.time_left),
+            deadline: self.now().saturating_add(submission.time_left),
             size: parcel.body.len() as u64,
             print: parcel.print(),
         };
@@ -217,12 +219,12 @@
             let word = word.await;
             let refused = |after| {
                 self.courier.count(|c| c.rejected += 1);
-                invocation::answer(Intake::Rejected { after })
+                submission::answer(Intake::Rejected { after })
             };
             match word {
-                Ok(Word::TakenOn) => invocation::answer(Intake::TakenOn),
-                Ok(Word::Ended(End::Delivered)) => invocation::answer(Intake::Delivered),
-                Ok(Word::Ended(_)) => invocation::answer(Intake::Failed),
+                Ok(Word::TakenOn) => submission::answer(Intake::Accepted),
+                Ok(Word::Ended(End::Delivered)) => submission::answer(Intake::Delivered),
+                Ok(Word::Ended(_)) => submission::answer(Intake::Failed),
                 Ok(Word::Refused(error)) => refusal(&error),
                 Err(_) => refused(ASK_AGAIN),
             }
@@ -469,9 +471,9 @@
             return self.outcome(id, attempt, Outcome::OutOfTime);
         }
         self.state.borrow_mut().out.insert(msg.into(), (id.clone(), attempt));
-        let intake = self.courier.take_on_promised(parcel.invocation(msg, id.dest, by - now));
+        let intake = self.courier.submit_promised(parcel.invocation(msg, id.dest, by - now));
         let outcome = match intake {
-            Intake::TakenOn | Intake::Open => return,
+            Intake::Accepted | Intake::Open => return,
             Intake::Delivered => Outcome::Delivered,
             Intake::Rejected { after } => Outcome::NeverRan { after },
             Intake::Failed | Intake::UnknownClass | Intake::UnknownDest => Outcome::Failed,
@@ -517,7 +519,7 @@
     }
 
     fn forget(&self, id: &SettlementId) {
-        let over = Line::SettlementOver { of: name_of(id) };
+        let over = Line::SettlementEnded { of: name_of(id) };
         // Where it can't be written the next life finds the settlement over, and forgets it then.
         if let Err(e) = self.courier.write_settlement(std::slice::from_ref(&over), false) {
             tracing::warn!("settlement: {e}");
@@ -594,7 +596,7 @@
 
     /// The journal says whose a part is.
     pub fn settled(&self, source: &Source, kept: bool) {
-        self.state.borrow_mut().lines.apply(&Line::Settled { source: source.into(), kept });
+        self.state.borrow_mut().lines.apply(&Line::Settled { source: source.into(), accepted: kept });
         self.fetch();
     }
 }
@@ -605,7 +607,7 @@
         Error::TooMuch { after, .. } | Error::TooManyOpen { after, .. } | Error::Busy { after, .. } => {
             Some(*after)
         }
-        Error::NoRoom(_) | Error::NoPin { .. } => Some(quillmount_core::router::NO_ROOM_WAIT),
+        Error::NoRoom(_) | Error::NoPin { .. } => Some(quillmount_core::router::OVERLOAD_RETRY_AFTER),
         Error::NoWord(_) => Some(ASK_AGAIN),
         _ => None,
     };
@@ -614,5 +616,5 @@
         Error::Over { .. } | Error::PositionTwice { .. } => StatusCode::CONFLICT,
         _ => StatusCode::BAD_REQUEST,
     };
-    invocation::answer_with(status, &format!("{error}\n"), after)
+    submission::answer_with(status, &format!("{error}\n"), after)
 }
--- a/courier/src/fleet/mod.rs
+++ b/courier/src/fleet/mod.rs
@@ -9,12 +9,12 @@
 
 use crate::transport::clock::Clock;
 use crate::transport::courier::Courier;
-use crate::transport::gate::{Gate, Wrote};
+use crate::transport::gate::{Gate, JournalWrite};
 use actix_rt::net::TcpListener;
 use budget::Budgets;
 use homes::Settling;
 use links::Link;
-use quillmount_core::journal::{self, Book, Settlements};
+use quillmount_core::journal::{self, JournalContents, Settlements};
 use quillmount_fleet::agreement;
 use quillmount_fleet::budget::{Budget, Problem, Tenant};
 use quillmount_fleet::member::{Input, Member, MemberError, Note, Output};
@@ -254,7 +254,7 @@
     /// The journal can't be read.
     pub fn attach(self: &Rc<Self>, courier: &Rc<Courier>, folder: &Path) -> Result<(), FleetError> {
         let bytes = std::fs::read(folder.join("journal"))?;
-        let lines = Book::read(&bytes).0.settlements;
+        let lines = JournalContents::read(&bytes).0.settlements;
         let unsettled: BTreeSet<_> =
             courier.unsettled().iter().chain(lines.unsettled()).map(Source::from).collect();
         let unsettled: Vec<_> = unsettled.into_iter().collect();
@@ -438,10 +438,10 @@
 
     fn flush(&self) {
         let mut bytes = Vec::new();
-        for wrote in self.gate.news() {
+        for wrote in self.gate.take_writes() {
             match wrote {
-                Wrote::Bytes(more) => bytes.extend(more),
-                Wrote::Whole(whole) => {
+                JournalWrite::Bytes(more) => bytes.extend(more),
+                JournalWrite::Whole(whole) => {
                     if !bytes.is_empty() {
                         self.step(Input::Wrote(std::mem::take(&mut bytes)));
                     }
@@ -468,7 +468,7 @@
             let mut lines = Settlements::default();
             let done = match &task {
                 Task::Adopt { parts, settled, bytes } => {
-                    let (book, _) = Book::read(bytes);
+                    let (book, _) = JournalContents::read(bytes);
                     lines = lines_of(parts, settled, &book);
                     courier.adopt(entries(parts, settled, book), &lines)
                 }
@@ -523,13 +523,17 @@
 }
 
 /// The messages of these parts of a sealed book, each with where it comes from.
-fn entries(parts: &[Source], settled: &BTreeSet<Source>, book: Book) -> Vec<journal::Entry> {
+fn entries(
+    parts: &[Source],
+    settled: &BTreeSet<Source>,
+    book: JournalContents,
+) -> Vec<journal::JournalEntry> {
     let owed = book.owed.into_values().filter_map(|entry| {
         let part = part_of(entry.taken.dest);
         let source = parts.iter().find(|source| source.part == part)?;
         // What had come to that book from others, and was not agreed to be its own, is somebody else's.
         let own = entry.source.as_ref().is_none_or(|from| settled.contains(&Source::from(from)));
-        own.then(|| journal::Entry { source: Some(source.into()), ..entry })
+        own.then(|| journal::JournalEntry { source: Some(source.into()), ..entry })
     });
     owed.collect()
 }
--- a/courier/src/fleet/stores.rs
+++ b/courier/src/fleet/stores.rs
@@ -1,6 +1,6 @@
 //! What a member keeps in the lasting folder: a file each.
 
-use crate::transport::folder::Folder;
+use crate::transport::journal_file::JournalFile;
 use quillmount_fleet::member::Stores;
 use std::fs;
 use std::io;
@@ -24,10 +24,10 @@
 }
 
 impl Stores for Files {
-    type Store = Folder;
+    type Store = JournalFile;
 
-    fn open(&mut self, name: &str) -> io::Result<Folder> {
-        Folder::open_file(&self.0, name)
+    fn open(&mut self, name: &str) -> io::Result<JournalFile> {
+        JournalFile::open_file(&self.0, name)
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
--- a/courier/src/program/check.rs
+++ b/courier/src/program/check.rs
@@ -17,7 +17,7 @@
         return Err("check: neither GW_CONFIG nor --config nor --operator names a file".into());
     }
     let mut wrong = 0;
-    let mut told = |path: &Path, problems: Vec<Problem>| {
+    let mut report = |path: &Path, problems: Vec<Problem>| {
         wrong += problems.len();
         match problems.is_empty() {
             true => println!("{}: sound", path.display()),
@@ -25,10 +25,10 @@
         }
     };
     if let Some(path) = config {
-        told(path, Config::problems(path, |name| std::env::var(name).ok()));
+        report(path, Config::problems(path, |name| std::env::var(name).ok()));
     }
     if let Some(path) = operator {
-        told(path, problems_of(path));
+        report(path, problems_of(path));
     }
     match wrong {
         0 => Ok(()),
--- a/courier/src/program/cli.rs
+++ b/courier/src/program/cli.rs
@@ -101,8 +101,8 @@
         actix_rt::System::new().block_on(run::run(operator, path, levels))
     });
     match done {
-        Ok(run::Ended::Stopped) => ExitCode::SUCCESS,
-        Ok(run::Ended::Anew) => {
+        Ok(run::RunEnd::Stopped) => ExitCode::SUCCESS,
+        Ok(run::RunEnd::Restart) => {
             // The same process: whoever watches it, or signals it by its number, sees no other.
             // And the same program, though its file be another by now or gone.
             let e = std::process::Command::new("/proc/self/exe").args(std::env::args_os().skip(1)).exec();
--- a/courier/src/program/config.rs
+++ b/courier/src/program/config.rs
@@ -1,6 +1,6 @@
 //! What the platform tells a courier at its start.
 
-use quillmount_core::ProviderList;
+use quillmount_core::EndpointList;
 use quillmount_operator::problems::{self, Problem};
 use quillmount_protocol::discovery::{DiscoveryError, List};
 use serde::Deserialize;
@@ -33,17 +33,17 @@
 /// Whose a configuration is: by names, in any order, and by what a repeat may do. Figures may change: they hold from the
 /// next start on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Whose {
+pub struct ConfigOwner {
     courier: (String, Option<u32>),
     classes: BTreeSet<(String, Option<String>)>,
     tenants: BTreeSet<String>,
     kinds: BTreeSet<String>,
 }
 
-impl Whose {
-    fn of(file: &File) -> Whose {
+impl ConfigOwner {
+    fn of(file: &File) -> ConfigOwner {
         let Env { categories, tenants, skus, me, .. } = &file.settings;
-        Whose {
+        ConfigOwner {
             courier: (file.name.clone(), *me),
             classes: categories.iter().map(|c| (c.name.clone(), c.effect.clone())).collect(),
             tenants: tenants.iter().map(|t| t.name.clone()).collect(),
@@ -52,7 +52,7 @@
     }
 
     /// What sets another's file apart.
-    fn differs(&self, other: &Whose) -> Option<&'static str> {
+    fn differs(&self, other: &ConfigOwner) -> Option<&'static str> {
         [
             (self.courier != other.courier, "its name or number"),
             (self.classes != other.classes, "its classes or their effects"),
@@ -86,13 +86,13 @@
     }
 }
 
-fn address(what: &'static str, told: Option<String>) -> Result<SocketAddr, ConfigError> {
-    let value = told.ok_or(ConfigError::Missing(what))?;
+fn address(what: &'static str, value: Option<String>) -> Result<SocketAddr, ConfigError> {
+    let value = value.ok_or(ConfigError::Missing(what))?;
     value.parse().map_err(|_| ConfigError::Address { what, value })
 }
 
-fn operator(what: &'static str, told: Option<String>) -> Result<Option<SocketAddr>, ConfigError> {
-    told.map(|told| address(what, Some(told))).transpose()
+fn operator(what: &'static str, value: Option<String>) -> Result<Option<SocketAddr>, ConfigError> {
+    value.map(|value| address(what, Some(value))).transpose()
 }
 
 #[derive(Deserialize)]
@@ -112,7 +112,7 @@
 pub struct Config {
     pub path: String,
     /// The file's, whatever name the platform gives.
-    pub whose: Whose,
+    pub owner: ConfigOwner,
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
@@ -124,7 +124,7 @@
     pub memory: u64,
     /// Bytes that the files in `state` may take together.
     pub disk: u64,
-    pub known: ProviderList,
+    pub known: EndpointList,
     pub env: Env,
 }
 
@@ -133,14 +133,14 @@
     pub fn load(var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let path = var("GW_CONFIG").ok_or(ConfigError::Missing("GW_CONFIG"))?;
         let file = File::read(&path)?;
-        let whose = Whose::of(&file);
-        let address = |what, told: Option<String>| address(what, var(what).or(told));
+        let owner = ConfigOwner::of(&file);
+        let address = |what, value: Option<String>| address(what, var(what).or(value));
         let known = match file.known {
-            Some(list) => ProviderList { full: true, ..list.try_into()? },
-            None => ProviderList { version: 0, full: true, providers: Vec::new() },
+            Some(list) => EndpointList { full: true, ..list.try_into()? },
+            None => EndpointList { version: 0, full: true, endpoints: Vec::new() },
         };
         Ok(Config {
-            whose,
+            owner,
             path,
             name: var("GW_NAME").unwrap_or(file.name),
             listen: address("GW_LISTEN", file.listen)?,
@@ -168,10 +168,10 @@
             Err(problems) => return problems,
         };
         let mut found = Vec::new();
-        for (name, field, told) in
+        for (name, field, value) in
             [("GW_LISTEN", "listen", file.listen), ("GW_DISCOVERY", "discovery", file.discovery)]
         {
-            if let Err(e) = address(name, var(name).or(told)) {
+            if let Err(e) = address(name, var(name).or(value)) {
                 found.push(Problem::new(format!("$.{field}"), e.to_string()));
             }
         }
@@ -189,20 +189,20 @@
 
     /// Where discovery is by the file as it stands now. It has changed since the start, so that it goes
     /// before `GW_DISCOVERY`; a file that does not hold as a whole, or is another's, is not believed in part.
-    pub fn discovery_now(path: &str, ours: &Whose) -> Result<SocketAddr, ConfigError> {
+    pub fn discovery_now(path: &str, ours: &ConfigOwner) -> Result<SocketAddr, ConfigError> {
         let file = File::read(path)?;
-        if let Some(what) = ours.differs(&Whose::of(&file)) {
+        if let Some(what) = ours.differs(&ConfigOwner::of(&file)) {
             return Err(ConfigError::NotOurs { path: path.into(), what });
         }
         address("discovery", file.discovery)
     }
 
-    /// How long a connection to a provider may take to come up.
+    /// How long a connection to an endpoint may take to come up.
     pub fn connect(&self) -> Duration {
         self.span(self.env.limits.dial_timeout_ms, 1_000.0)
     }
 
-    /// When a provider closes a connection that stands idle.
+    /// When an endpoint closes a connection that stands idle.
     pub fn idle(&self) -> Duration {
         self.span(self.env.limits.keepalive_ms, 5_000.0)
     }
--- a/courier/src/program/inspect.rs
+++ b/courier/src/program/inspect.rs
@@ -1,6 +1,6 @@
 //! `quillmount journal`: what stands in a courier's folder, read and never changed.
 
-use quillmount_core::journal::{Book, Record, Records};
+use quillmount_core::journal::{JournalContents, JournalRecord, Records};
 use serde::Serialize;
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -44,7 +44,7 @@
 }
 
 impl<'a> Line<'a> {
-    fn of(at: usize, record: &'a Record) -> Self {
+    fn of(at: usize, record: &'a JournalRecord) -> Self {
         let time = |micros: u64| {
             let time = UNIX_EPOCH.checked_add(Duration::from_micros(micros));
             time.map(|time| humantime::format_rfc3339_micros(time).to_string())
@@ -64,8 +64,8 @@
             time: None,
         };
         match record {
-            Record::TakeOn { msg, taken } | Record::Stream { msg, taken } => Line {
-                record: if matches!(record, Record::Stream { .. }) { "stream" } else { "take-on" },
+            JournalRecord::Accept { msg, taken } | JournalRecord::Stream { msg, taken } => Line {
+                record: if matches!(record, JournalRecord::Stream { .. }) { "stream" } else { "take-on" },
                 msg: Some(*msg),
                 id: Some(&taken.id),
                 class: Some(&taken.class),
@@ -75,46 +75,46 @@
                 time: time(taken.deadline),
                 ..empty
             },
-            Record::Attempt { msg, sent, .. } | Record::Sent { msg, sent, .. } => {
+            JournalRecord::Attempt { msg, sent, .. } | JournalRecord::Sent { msg, sent, .. } => {
                 Line { record: "attempt", msg: Some(*msg), time: time(*sent), ..empty }
             }
-            Record::Outcome { msg, attempt, never_ran } => Line {
+            JournalRecord::Outcome { msg, attempt, never_ran } => Line {
                 record: "outcome",
                 msg: Some(*msg),
                 attempt: Some(*attempt),
                 never_ran: Some(*never_ran),
                 ..empty
             },
-            Record::End { msg, end } => {
+            JournalRecord::End { msg, end } => {
                 Line { record: "end", msg: Some(*msg), end: Some(format!("{end:?}")), ..empty }
             }
-            Record::Told { msg } => Line { record: "told", msg: Some(*msg), ..empty },
-            Record::Over { id, end, until } => Line {
+            JournalRecord::Confirmed { msg } => Line { record: "told", msg: Some(*msg), ..empty },
+            JournalRecord::Ended { id, end, until } => Line {
                 record: "over",
                 id: Some(id),
                 end: Some(format!("{end:?}")),
                 time: time(*until),
                 ..empty
             },
-            Record::Hold { id } => Line { record: "hold", id: Some(id), ..empty },
-            Record::Release { id } => Line { record: "release", id: Some(id), ..empty },
-            Record::Sealed => Line { record: "sealed", ..empty },
-            Record::From { msg, source } => {
+            JournalRecord::Disable { id } => Line { record: "hold", id: Some(id), ..empty },
+            JournalRecord::Enable { id } => Line { record: "release", id: Some(id), ..empty },
+            JournalRecord::Sealed => Line { record: "sealed", ..empty },
+            JournalRecord::From { msg, source } => {
                 Line { record: "from", msg: Some(*msg), end: Some(source.to_string()), ..empty }
             }
-            Record::Settled { source, kept } => Line {
+            JournalRecord::Settled { source, accepted } => Line {
                 record: "settled",
-                end: Some(format!("{source} {}", if *kept { "kept" } else { "dropped" })),
+                end: Some(format!("{source} {}", if *accepted { "kept" } else { "dropped" })),
                 ..empty
             },
-            Record::Settlement { of, line } => Line {
+            JournalRecord::Settlement { of, line } => Line {
                 record: "settlement",
                 dest: Some(line.dest),
                 body_bytes: Some(line.bytes.len()),
                 end: Some(of.escape_default().to_string()),
                 ..empty
             },
-            Record::SettlementOver { of } => {
+            JournalRecord::SettlementEnded { of } => {
                 Line { record: "settlement-over", end: Some(of.escape_default().to_string()), ..empty }
             }
         }
@@ -156,10 +156,14 @@
             false => println!("{line}"),
         }
     }
-    let (book, sound) = Book::read(&bytes);
+    let (contents, sound) = JournalContents::read(&bytes);
     if !json {
-        let out = book.holds.iter().count();
-        println!("{} owed, {} over and remembered, {out} endpoints out", book.owed.len(), book.over.len());
+        let out = contents.disabled.iter().count();
+        println!(
+            "{} owed, {} over and remembered, {out} endpoints out",
+            contents.owed.len(),
+            contents.ended.len()
+        );
     }
     whole(&path, sound, bytes.len())
 }
@@ -171,9 +175,9 @@
 pub fn verify(folder: &Path) -> Result<(), Error> {
     let (path, bytes) = read(folder)?;
     let records = Records::of(&bytes).count();
-    let (book, sound) = Book::read(&bytes);
+    let (contents, sound) = JournalContents::read(&bytes);
     whole(&path, sound, bytes.len())?;
-    println!("{}: {records} records in {sound} bytes, {} owed: sound", path.display(), book.owed.len());
+    println!("{}: {records} records in {sound} bytes, {} owed: sound", path.display(), contents.owed.len());
     Ok(())
 }
 
--- a/courier/src/program/log.rs
+++ b/courier/src/program/log.rs
@@ -18,9 +18,9 @@
 
 /// Levels that are no levels.
 #[derive(Debug, thiserror::Error)]
-#[error("{whose}: {text:?} is no list of levels, as in \"info,quillmount=debug\": {why}")]
+#[error("{owner}: {text:?} is no list of levels, as in \"info,quillmount=debug\": {why}")]
 pub struct LevelsError {
-    whose: &'static str,
+    owner: &'static str,
     text: String,
     why: String,
 }
@@ -51,8 +51,8 @@
 ///
 /// # Errors
 /// The text is none; the error names where it stands.
-pub fn parse(whose: &'static str, text: &str) -> Result<Targets, LevelsError> {
-    Targets::from_str(text).map_err(|e| LevelsError { whose, text: text.into(), why: e.to_string() })
+pub fn parse(owner: &'static str, text: &str) -> Result<Targets, LevelsError> {
+    Targets::from_str(text).map_err(|e| LevelsError { owner, text: text.into(), why: e.to_string() })
 }
 
 /// Begins to log. Levels that can't be read leave the usual ones, so that the error itself is told.
