--- a/courier/src/program/run.rs
+++ b/courier/src/program/run.rs
@@ -1,20 +1,20 @@
 //! The life of the process: start, signals, planned stop.
 
-use super::config::{Config, ConfigError, Whose};
+use super::config::{Config, ConfigError, ConfigOwner};
 use super::log::{Levels, LevelsError};
 use crate::fleet::{self, Fleet, FleetError};
 use crate::transport::clock::Clock;
 use crate::transport::courier::Courier;
-use crate::transport::folder::Folder;
-use crate::transport::handover::{self, Handed, Holder};
+use crate::transport::handover::{self, ActiveProcess, ReceivedState};
 use crate::transport::inherited::{self, InheritedError};
-use crate::transport::operators::{self, Desk};
+use crate::transport::journal_file::JournalFile;
+use crate::transport::operators::{self, OperatorService};
 use crate::transport::platform;
 use crate::transport::server::{BACKLOG, BACKLOG_IN_FLEET, Connections, listen, serve};
-use crate::transport::streams::Rules;
+use crate::transport::streams::StreamRules;
 use actix_rt::net::TcpListener;
 use actix_rt::time::{sleep, timeout};
-use quillmount_core::machine::life::Input;
+use quillmount_core::machine::lifecycle::LifecycleInput;
 use quillmount_core::pool::Pool;
 use quillmount_core::router::{self, Router, RouterError, StreamLimits};
 use quillmount_core::{flow, hub};
@@ -37,10 +37,10 @@
 /// Operators may still call a process that has handed over: they learn late where the next one listens.
 const PASS_ON: Duration = Duration::from_secs(10);
 const LOOK: Duration = Duration::from_millis(20);
-/// Descriptors for what is neither a consumer's connection nor a provider's: some twenty, and as many
+/// Descriptors for what is neither a client's connection nor an endpoint's: some twenty, and as many
 /// that a closed connection still holds for a moment.
 const OWN_SOCKETS: usize = 32;
-/// The part of the memory that consumers' bodies under way may take.
+/// The part of the memory that clients' bodies under way may take.
 const BODIES: u64 = 4;
 
 #[derive(Debug, thiserror::Error)]
@@ -69,10 +69,10 @@
 
 /// How a courier's life ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum RunEnd {
     Stopped,
     /// Its fleet has given its work to others: the process begins anew, with nothing of it.
-    Anew,
+    Restart,
 }
 
 /// A planned stop waits until then for its fleet's word, 0.1 s before SIGKILL comes at the soonest.
@@ -82,16 +82,16 @@
 ///
 /// # Errors
 /// The courier can't start.
-pub async fn run(operator: Operator, path: Option<PathBuf>, levels: Levels) -> Result<Ended, RunError> {
+pub async fn run(operator: Operator, path: Option<PathBuf>, levels: Levels) -> Result<RunEnd, RunError> {
     // Before anything else: until then a signal ends the process, and SIGHUP too.
     let mut stop = signal(SignalKind::terminate()).map_err(RunError::Signals)?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(RunError::Signals)?;
-    let mut ask = signal(SignalKind::user_defined1()).map_err(RunError::Signals)?;
+    let mut report_requested = signal(SignalKind::user_defined1()).map_err(RunError::Signals)?;
     let hangup = signal(SignalKind::hangup()).map_err(RunError::Signals)?;
     let config = Config::load(|name| std::env::var(name).ok())?;
 
     let clock = Clock::start();
-    // Half of the descriptors each: consumers hold a third with requests, the rest is for those who do
+    // Half of the descriptors each: clients hold a third with requests, the rest is for those who do
     // not ask.
     let callers = if config.operator.is_some() { operators::CALLERS } else { 0 };
     let most = descriptors(config.sockets)
@@ -110,20 +110,20 @@
             Some(listener)
         }
     };
-    let told_to_end = async {
+    let shutdown_requested = async {
         tokio::select! {
             _ = stop.recv() => {}
             _ = interrupt.recv() => {}
         }
     };
     let taken = tokio::select! {
-        taken = handover::take(&config.state, &clock, told_to_end) => taken,
+        taken = handover::take(&config.state, &clock, shutdown_requested) => taken,
         // A holder that hangs is waited for; operators are answered meanwhile.
         never = early_calls(early.as_ref()) => match never {},
     };
     let Some((lock, handed)) = taken.map_err(RunError::Folder)? else {
         tracing::info!("{}: stopped; it had taken nothing over, and the other process goes on", config.name);
-        return Ok(Ended::Stopped);
+        return Ok(RunEnd::Stopped);
     };
     let clock = handed.as_ref().map_or(clock, |handed| Clock::start_ahead(handed.ahead));
     let fleet = match operator.fleet.on {
@@ -140,8 +140,8 @@
             let joined = tokio::select! {
                 joined = fleet.joined() => joined,
                 never = early_calls(early.as_ref()) => match never {},
-                _ = stop.recv() => return Ok(Ended::Stopped),
-                _ = interrupt.recv() => return Ok(Ended::Stopped),
+                _ = stop.recv() => return Ok(RunEnd::Stopped),
+                _ = interrupt.recv() => return Ok(RunEnd::Stopped),
             };
             fleet.begin_book(&config.state, joined.1)?;
             Some(fleet)
@@ -151,9 +151,9 @@
     let gate = fleet.as_ref().map(|fleet| fleet.gate.clone());
     let pool = Pool::new(config.idle().as_micros() as u64, most);
     let (limits, rules) = streams(&operator.streams).unzip();
-    let mark = router::mark(&config.env, limits)?;
+    let settings_fingerprint = router::settings_fingerprint(&config.env, limits)?;
     let store = || {
-        let folder = Folder::open(&config.state).map_err(RunError::Folder)?;
+        let folder = JournalFile::open(&config.state).map_err(RunError::Folder)?;
         Ok::<_, RunError>(match &gate {
             Some(gate) => folder.with_gate(gate.clone()),
             None => folder,
@@ -161,9 +161,9 @@
     };
     let resumed = match handed {
         None => None,
-        Some(Handed { state: hub::State { router: state, holds }, drained, parts, .. }) => {
+        Some(ReceivedState { state: hub::HubState { router: state, backoffs }, drained, parts, .. }) => {
             match Router::resume(&config.env, limits, state, store()?, config.disk, clock.now()) {
-                Ok(first) => Some((first, (holds, drained, parts))),
+                Ok(first) => Some((first, (backoffs, drained, parts))),
                 Err(e) => {
                     tracing::error!("upgrade: what was handed over is of no use, the journal is read: {e}");
                     None
@@ -172,8 +172,8 @@
         }
     };
     // What was handed over, but for the state.
-    let ((router, steps), mut came) = match resumed {
-        Some((first, came)) => (first, Some(came)),
+    let ((router, steps), mut resumed_parts) = match resumed {
+        Some((first, rest)) => (first, Some(rest)),
         None => {
             let (seed, known) = (config.seed, config.known.clone());
             (Router::open_with(&config.env, limits, seed, known, store()?, config.disk, clock.now())?, None)
@@ -184,7 +184,7 @@
         fleet.attach(&courier, &config.state)?;
     }
     let backlog = if fleet.is_some() { BACKLOG_IN_FLEET } else { BACKLOG };
-    let listener = match (inherited, came.as_mut()) {
+    let listener = match (inherited, resumed_parts.as_mut()) {
         (Some(listener), _) => TcpListener::from_std(listener),
         // Bound by the process before, which has handed it over too.
         (None, Some((.., parts))) => match handover::listener(parts) {
@@ -205,14 +205,14 @@
 
     let connections = Rc::new(Connections::new(clock.clone(), most, config.memory / BODIES));
     let (moves, discovery) = watch::channel(config.discovery);
-    let desk = Desk::new(courier.clone(), connections.clone(), config.state.clone());
-    let told = settings(&config.env, &mut Names::default()).map_err(RouterError::Decode)?;
+    let service = OperatorService::new(courier.clone(), connections.clone(), config.state.clone());
+    let settings = settings(&config.env, &mut Names::default()).map_err(RouterError::Decode)?;
     let others = platform::Fleet {
-        couriers: told.siblings,
+        couriers: settings.siblings,
         seed: config.seed,
-        starts: came.is_none(),
-        heed: told.heed,
-        pushed: !told.must_ask,
+        starts: resumed_parts.is_none(),
+        heed: settings.heed,
+        pushed: !settings.must_ask,
     };
     let begin = {
         let (courier, connections) = (courier.clone(), connections.clone());
@@ -226,73 +226,73 @@
             ]
         }
     };
-    let holder = Rc::new(Holder {
+    let active = Rc::new(ActiveProcess {
         courier: courier.clone(),
         connections: connections.clone(),
-        desk: desk.clone(),
+        service: service.clone(),
         folder: config.state.clone(),
-        mark,
+        settings_fingerprint,
         listener: RefCell::new(Some(Rc::new(listener))),
         lock: Cell::new(Some(lock)),
         begin: Box::new(begin),
         tasks: RefCell::default(),
         gone: Notify::new(),
     });
-    match came {
+    match resumed_parts {
         None => courier.begin(steps),
-        Some((holds, drained, parts)) => {
+        Some((backoffs, drained, parts)) => {
             tracing::info!("upgrade: {} parts came over", parts.len());
-            courier.resume(&holds, steps);
-            holder.adopt(parts);
+            courier.resume(&backoffs, steps);
+            active.adopt(parts);
             if drained {
-                desk.drained();
+                service.drained();
             }
         }
     }
     // Through a planned stop too: the last notices go where the platform is by then.
-    let read_again = Reload {
-        whose: config.whose.clone(),
+    let reload = Reload {
+        owner: config.owner.clone(),
         path: config.path.clone(),
         operator: path,
         levels,
         discovery: moves,
         fleet: fleet.clone(),
     };
-    actix_rt::spawn(read_again.on(hangup, courier.clone()));
-    holder.begin();
-    courier.handle.live(Input::Serve);
+    actix_rt::spawn(reload.on(hangup, courier.clone()));
+    active.begin();
+    courier.handle.step_lifecycle(LifecycleInput::Serve);
     // In a fleet the next process joins with the same folder: it is a member of its own.
     if fleet.is_none()
-        && let Err(e) = holder.listen()
+        && let Err(e) = active.listen()
     {
         tracing::error!("upgrade: the next process will not be heard: {e}");
     }
-    actix_rt::spawn(desk.clone().keep_time());
+    actix_rt::spawn(service.clone().keep_time());
     if let Some(operators) = early {
-        actix_rt::spawn(async move { operators::serve(&operators, Some(desk)).await });
+        actix_rt::spawn(async move { operators::serve(&operators, Some(service)).await });
     }
 
-    let asked = loop {
+    let stop_requested_at = loop {
         tokio::select! {
-            _ = stop.recv() => ask_to_stop(&courier),
-            _ = interrupt.recv() => ask_to_stop(&courier),
-            asked = courier.handle.stops() => break asked,
+            _ = stop.recv() => request_stop(&courier),
+            _ = interrupt.recv() => request_stop(&courier),
+            requested_at = courier.handle.stops() => break requested_at,
             () = replaced(fleet.as_deref()) => {
                 tracing::error!("fleet: others have its work by now: the process begins anew; {}", courier.report());
-                courier.handle.live(Input::End);
-                return Ok(Ended::Anew);
+                courier.handle.step_lifecycle(LifecycleInput::End);
+                return Ok(RunEnd::Restart);
             }
-            () = holder.gone.notified() => return gone(&config, &courier, &mut stop).await,
-            _ = ask.recv() => tracing::info!("{}: {}", config.name, courier.report()),
+            () = active.gone.notified() => return gone(&config, &courier, &mut stop).await,
+            _ = report_requested.recv() => tracing::info!("{}: {}", config.name, courier.report()),
         }
     };
     // A hand-over that was under way when it was asked for has taken a part of its time.
-    let left = |of: Duration| clock.until(asked + of.as_micros() as u64);
+    let left = |of: Duration| clock.until(stop_requested_at + of.as_micros() as u64);
     tracing::info!("{}: stopping; {}", config.name, courier.report());
-    courier.stop(asked + CALLS_END.as_micros() as u64);
+    courier.stop(stop_requested_at + CALLS_END.as_micros() as u64);
     connections.close_after_answers(true);
     sleep(left(ACCEPT_ON)).await;
-    if timeout(left(STOP), holder.close_doors()).await.is_err() {
+    if timeout(left(STOP), active.close_listener()).await.is_err() {
         tracing::warn!("{}: consumers that had just come were not let in", config.name);
     }
     while left(STOP) > Duration::ZERO {
@@ -321,23 +321,23 @@
         }
     }
     tracing::info!("{}: stopped; {}", config.name, courier.report());
-    courier.handle.live(Input::End);
-    Ok(Ended::Stopped)
+    courier.handle.step_lifecycle(LifecycleInput::End);
+    Ok(RunEnd::Stopped)
 }
 
 /// How many descriptors there are: what the system lets the process have goes before what the platform tells.
-fn descriptors(told: usize) -> usize {
+fn descriptors(configured: usize) -> usize {
     let had =
         getrlimit(Resource::Nofile).current.map_or(usize::MAX, |n| usize::try_from(n).unwrap_or(usize::MAX));
-    if had < told {
+    if had < configured {
         tracing::warn!(
-            "limits: {told} descriptors are told, and the system lets the process have {had}: raise ulimit -n"
+            "limits: {configured} descriptors are told, and the system lets the process have {had}: raise ulimit -n"
         );
     }
-    told.min(had)
+    configured.min(had)
 }
 
-/// Accepts consumers, for as long as there is a listener.
+/// Accepts clients, for as long as there is a listener.
 async fn accept(listener: Option<Rc<TcpListener>>, courier: Rc<Courier>, connections: Rc<Connections>) {
     if let Some(listener) = listener {
         serve(listener, courier, connections).await;
@@ -360,52 +360,52 @@
     std::future::pending().await
 }
 
-fn ask_to_stop(courier: &Courier) {
-    courier.handle.live(Input::Stop);
-    if courier.handle.life().stopping().is_none() {
+fn request_stop(courier: &Courier) {
+    courier.handle.step_lifecycle(LifecycleInput::Stop);
+    if courier.handle.lifecycle().stopping().is_none() {
         tracing::info!("upgrade: told to stop while all is being handed over: its end is waited for");
     }
 }
 
 /// Another process decides: operators' calls are passed on to it, until this one is told to end.
-async fn gone(config: &Config, courier: &Courier, stop: &mut Signal) -> Result<Ended, RunError> {
-    if config.operator.is_some() && !courier.handle.life().is_told_to_stop() {
+async fn gone(config: &Config, courier: &Courier, stop: &mut Signal) -> Result<RunEnd, RunError> {
+    if config.operator.is_some() && !courier.handle.lifecycle().stop_requested() {
         let _ = timeout(PASS_ON, stop.recv()).await;
     }
     tracing::info!("{}: stopped; another process has taken over", config.name);
-    Ok(Ended::Stopped)
+    Ok(RunEnd::Stopped)
 }
 
 /// What the operator file lets be streamed.
-fn streams(told: &quillmount_operator::Streams) -> Option<(StreamLimits, Rules)> {
+fn streams(section: &quillmount_operator::Streams) -> Option<(StreamLimits, StreamRules)> {
     let micros =
         |span: quillmount_operator::units::Span| u64::try_from(span.0.as_micros()).unwrap_or(u64::MAX);
     let pace = |pace: &quillmount_operator::Pace| flow::Pace {
         stall: micros(pace.stall),
-        span: micros(pace.over),
+        span: micros(pace.interval),
         least: pace.least.0,
     };
     let limits = StreamLimits {
-        most: told.most(),
-        part_of_slots: told.share_of_slots,
-        part_of_window: told.share_of_window,
+        most: section.most(),
+        part_of_slots: section.share_of_slots,
+        part_of_window: section.share_of_window,
     };
-    let rules = Rules {
-        classes: told.classes.clone(),
-        largest: told.largest.0,
-        longest: micros(told.longest),
-        window: told.window.0,
-        turn: told.turn.0,
-        consumer: pace(&told.consumer),
-        provider: pace(&told.provider),
+    let rules = StreamRules {
+        classes: section.classes.clone(),
+        largest: section.largest.0,
+        longest: micros(section.longest),
+        window: section.window.0,
+        turn: section.turn.0,
+        client: pace(&section.client),
+        endpoint: pace(&section.endpoint),
     };
-    told.on.then_some((limits, rules))
+    section.on.then_some((limits, rules))
 }
 
 /// What a SIGHUP reads again.
 struct Reload {
     path: String,
-    whose: Whose,
+    owner: ConfigOwner,
     operator: Option<PathBuf>,
     levels: Levels,
     discovery: watch::Sender<SocketAddr>,
@@ -417,7 +417,7 @@
     async fn on(self, mut hangup: Signal, courier: Rc<Courier>) {
         while hangup.recv().await.is_some() {
             courier.count(|c| c.reloads += 1);
-            match Config::discovery_now(&self.path, &self.whose) {
+            match Config::discovery_now(&self.path, &self.owner) {
                 Ok(addr) => {
                     tracing::info!("configuration: read again; discovery at {addr}");
                     self.discovery.send_if_modified(|known| std::mem::replace(known, addr) != addr);
--- a/courier/src/transport/channel.rs
+++ b/courier/src/transport/channel.rs
@@ -47,7 +47,7 @@
 /// # Errors
 /// None listens there.
 pub async fn reach(folder: &Path) -> io::Result<UnixStream> {
-    let (path, _kept) = path(folder)?;
+    let (path, _folder) = path(folder)?;
     UnixStream::connect(path).await
 }
 
@@ -145,29 +145,29 @@
     }
 
     async fn read(&mut self) -> io::Result<()> {
-        let mut piece = vec![0; READ];
+        let mut chunk = vec![0; READ];
         let (stream, fds) = (&self.stream, &mut self.fds);
         let read = stream.async_io(Interest::READABLE, || {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(FDS))];
             let mut control = RecvAncillaryBuffer::new(&mut space);
-            let got = rustix::net::recvmsg(
+            let message = rustix::net::recvmsg(
                 stream.as_fd(),
-                &mut [IoSliceMut::new(&mut piece)],
+                &mut [IoSliceMut::new(&mut chunk)],
                 &mut control,
                 RecvFlags::CMSG_CLOEXEC,
             )
             .map_err(io::Error::from)?;
-            for message in control.drain() {
-                if let RecvAncillaryMessage::ScmRights(came) = message {
-                    fds.extend(came);
+            for ancillary in control.drain() {
+                if let RecvAncillaryMessage::ScmRights(received) = ancillary {
+                    fds.extend(received);
                 }
             }
-            Ok(got.bytes)
+            Ok(message.bytes)
         });
         match read.await? {
             0 => Err(ErrorKind::UnexpectedEof.into()),
             n => {
-                self.inbox.extend_from_slice(&piece[..n]);
+                self.inbox.extend_from_slice(&chunk[..n]);
                 Ok(())
             }
         }
--- a/courier/src/transport/courier.rs
+++ b/courier/src/transport/courier.rs
@@ -1,27 +1,27 @@
 //! The wiring: what happens on sockets goes to the router, and the router's steps to the sockets.
 
 use super::clock::Clock;
-use super::folder::Folder;
+use super::endpoints::{self, CallOutcome, CallSignals};
 use super::gate::Gate;
-use super::handle::{Handle, Part, Parts};
-use super::providers::{self, Came, Words};
-use super::streams::{self, Fails, Pipe, Rules, Streams};
+use super::handle::{Handle, HandoverPart, Parts};
+use super::journal_file::JournalFile;
+use super::streams::{self, Pipe, StreamFailure, StreamRules, Streams};
 use crate::fleet::budget::{Budgets, Conn};
 use actix_http::Response;
 use actix_rt::net::TcpStream;
 use bytes::Bytes;
 use quillmount_core::call::{self, Call};
 use quillmount_core::counters::Counters;
+use quillmount_core::disabled::DisableError;
 use quillmount_core::flow::{Cut, Flow};
-use quillmount_core::holds::HoldError;
-use quillmount_core::hub::{self, Do, Hub};
-use quillmount_core::journal::{End, Entry, JournalError, Record, Settlements, Source};
-use quillmount_core::machine::attempt::Input;
+use quillmount_core::hub::{self, DriverAction, Hub};
+use quillmount_core::journal::{End, JournalEntry, JournalError, JournalRecord, Settlements, Source};
+use quillmount_core::machine::attempt::AttemptInput;
 use quillmount_core::note::{Level, Note};
 use quillmount_core::pool::Pool;
 use quillmount_core::router::{Intake, Router, UnknownId};
 use quillmount_core::{
-    CallEnd, CallId, Ending, Invocation, InvokerCall, Notice, ProviderList, Said, StreamHead,
+    AnswerReport, CallEnd, CallId, DeliveryCall, Ending, EndpointList, Notice, StreamHead, Submission,
 };
 use spurshore::{Micros, MsgId};
 use std::cell::{OnceCell, RefCell};
@@ -39,13 +39,13 @@
 /// The answer to a message of a settlement, once its home has given its word.
 pub type HandIn = Pin<Box<dyn Future<Output = Response<Bytes>>>>;
 
-/// Takes what a consumer hands in, with all of its `X-Addressing`; `None`: it is of no settlement.
-pub type Front = Box<dyn Fn(&Invocation, &str) -> Option<HandIn>>;
+/// Takes what a client hands in, with all of its `X-Addressing`; `None`: it is of no settlement.
+pub type Front = Box<dyn Fn(&Submission, &str) -> Option<HandIn>>;
 /// Hears that a message that is watched has ended.
 pub type Watcher = Box<dyn Fn(&str, End)>;
 
 /// Whoever keeps settlements, where any are carried.
-pub struct Settles {
+pub struct SettlementHooks {
     pub hand_in: Front,
     ended: Watcher,
 }
@@ -55,9 +55,9 @@
     /// What its tasks know of it.
     pub handle: Rc<Handle>,
     /// What calls that are out are told.
-    words: RefCell<HashMap<CallId, Rc<Words>>>,
+    signals: RefCell<HashMap<CallId, Rc<CallSignals>>>,
     /// What may be streamed, where anything may, and what is.
-    pub rules: Option<Rules>,
+    pub rules: Option<StreamRules>,
     streams: Rc<Streams>,
     pipes: RefCell<HashMap<MsgId, Rc<Pipe>>>,
     /// The router's next wake-up may have moved.
@@ -65,7 +65,7 @@
     notices: Notify,
     /// Where the courier is one of a fleet: what is written counts once others have it too.
     pub gate: Option<Rc<Gate>>,
-    settles: OnceCell<Settles>,
+    settlement_hooks: OnceCell<SettlementHooks>,
     /// Where partners let the fleet have so many connections.
     budgets: Option<Rc<Budgets>>,
 }
@@ -74,9 +74,9 @@
     pub fn new(
         clock: Clock,
         connect: Duration,
-        router: Router<Folder>,
+        router: Router<JournalFile>,
         pool: Pool<Conn>,
-        rules: Option<Rules>,
+        rules: Option<StreamRules>,
         gate: Option<Rc<Gate>>,
         budgets: Option<Rc<Budgets>>,
     ) -> Rc<Self> {
@@ -86,11 +86,11 @@
             pipes: RefCell::default(),
             handle: Rc::new(Handle::new(clock.clone(), connect, Hub::new(router, pool))),
             clock,
-            words: RefCell::default(),
+            signals: RefCell::default(),
             moved: Notify::new(),
             notices: Notify::new(),
             gate,
-            settles: OnceCell::new(),
+            settlement_hooks: OnceCell::new(),
             budgets,
         })
     }
@@ -98,16 +98,16 @@
     /// From now on messages of settlements go this way.
     pub fn settle_with(&self, hand_in: Front, ended: Watcher) {
         // The first stands: there is one fleet.
-        let _ = self.settles.set(Settles { hand_in, ended });
+        let _ = self.settlement_hooks.set(SettlementHooks { hand_in, ended });
     }
 
-    pub fn settles(&self) -> Option<&Settles> {
-        self.settles.get()
+    pub fn settlement_hooks(&self) -> Option<&SettlementHooks> {
+        self.settlement_hooks.get()
     }
 
     /// See [`Router::refuses`].
-    pub fn refuses(&self, invocation: &Invocation) -> Option<Intake> {
-        self.handle.hub.borrow().router.refuses(&invocation.class, invocation.dest)
+    pub fn refuses(&self, submission: &Submission) -> Option<Intake> {
+        self.handle.hub.borrow().router.refuses(&submission.class, submission.dest)
     }
 
     /// See [`Router::fate`].
@@ -131,8 +131,8 @@
     }
 
     /// Takes on what this courier has promised an end already.
-    pub fn take_on_promised(self: &Rc<Self>, invocation: Invocation) -> Intake {
-        let (intake, todo) = self.handle.hub.borrow_mut().take_on(invocation, self.clock.now());
+    pub fn submit_promised(self: &Rc<Self>, submission: Submission) -> Intake {
+        let (intake, todo) = self.handle.hub.borrow_mut().submit(submission, self.clock.now());
         self.carry_out(todo);
         intake
     }
@@ -141,8 +141,8 @@
     ///
     /// # Errors
     /// The store refused the records: nothing has changed.
-    pub fn end_unsent(self: &Rc<Self>, invocation: Invocation, ending: Ending) -> Result<(), JournalError> {
-        let todo = self.handle.hub.borrow_mut().end_unsent(invocation, ending, self.clock.now())?;
+    pub fn end_unsent(self: &Rc<Self>, submission: Submission, ending: Ending) -> Result<(), JournalError> {
+        let todo = self.handle.hub.borrow_mut().end_unsent(submission, ending, self.clock.now())?;
         self.carry_out(todo);
         Ok(())
     }
@@ -151,7 +151,7 @@
     ///
     /// # Errors
     /// There is no room, or the store refused them: nothing of them is there.
-    pub fn write_settlement(&self, records: &[Record], may_wait: bool) -> Result<(), JournalError> {
+    pub fn write_settlement(&self, records: &[JournalRecord], may_wait: bool) -> Result<(), JournalError> {
         self.handle.hub.borrow_mut().router.write_settlement(records, may_wait, self.clock.now())
     }
 
@@ -160,49 +160,50 @@
         self.handle.count(one);
     }
 
-    /// Whether the front may send consumers here.
-    pub fn wants_consumers(&self) -> bool {
-        self.handle.life().wants_consumers() && self.gate.as_ref().is_none_or(|gate| gate.takes_on().is_ok())
+    /// Whether the front may send clients here.
+    pub fn accepts_clients(&self) -> bool {
+        self.handle.lifecycle().accepts_clients()
+            && self.gate.as_ref().is_none_or(|gate| gate.takes_on().is_ok())
     }
 
     /// Asks all calls to give their parts up; streams end as at a planned stop.
-    pub fn hand_over(self: &Rc<Self>) {
+    pub fn release(self: &Rc<Self>) {
         self.end_streams();
-        self.words.borrow().values().for_each(|words| words.give());
+        self.signals.borrow().values().for_each(|signals| signals.release());
     }
 
     /// Calls whose parts are still to be given up.
-    pub fn to_give(&self) -> usize {
-        self.words.borrow().len()
+    pub fn handover_pending(&self) -> usize {
+        self.signals.borrow().len()
     }
 
     /// All state, and all parts, once nothing is decided any more.
-    pub fn frozen(&self, settings: u32) -> (hub::State, Parts<TcpStream>) {
-        let mut parts = self.handle.given();
-        let resting = self.handle.pool(Pool::take_resting);
-        parts.extend(resting.into_iter().map(|(provider, addr, since, conn)| {
-            (Part::Resting { provider, addr, since }, conn.into_stream())
+    pub fn frozen(&self, settings: u32) -> (hub::HubState, Parts<TcpStream>) {
+        let mut parts = self.handle.take_parts();
+        let resting = self.handle.pool(Pool::take_all_idle);
+        parts.extend(resting.into_iter().map(|(endpoint, addr, since, conn)| {
+            (HandoverPart::IdleConnection { endpoint, addr, since }, conn.into_stream())
         }));
         (self.handle.hub.borrow().state(settings), parts)
     }
 
     /// Takes up a call of another process, or of this one before it froze.
-    pub fn go_on(self: &Rc<Self>, part: call::Part, stream: Option<TcpStream>) {
+    pub fn resume_call(self: &Rc<Self>, part: call::CallSnapshot, stream: Option<TcpStream>) {
         let (dest, id, addr) = (part.order.dest, part.order.call, part.order.addr);
-        let call = providers::go_on(&self.handle, part, stream);
+        let call = endpoints::resume(&self.handle, part, stream);
         tracing::debug!("call: {id:?} to {addr}, destination {dest}, goes on");
-        self.make(id, addr, call, None, tracing::Span::none());
+        self.run_call(id, addr, call, None, tracing::Span::none());
     }
 
     /// Takes up a connection that rests.
-    pub fn rest(&self, provider: u32, addr: SocketAddr, since: Micros, stream: TcpStream) {
-        drop(self.handle.pool(|pool| pool.rest(provider, addr, since, Conn::Plain(stream))));
+    pub fn add_idle(&self, endpoint: u32, addr: SocketAddr, since: Micros, stream: TcpStream) {
+        drop(self.handle.pool(|pool| pool.add_idle(endpoint, addr, since, Conn::Plain(stream))));
     }
 
     /// Calls that are out by the state of another process, and came without their parts: they may have run.
     pub fn calls_lost(self: &Rc<Self>) {
         let out = self.handle.hub.borrow().router.calls_out();
-        for call in out.into_iter().filter(|call| !self.words.borrow().contains_key(call)) {
+        for call in out.into_iter().filter(|call| !self.signals.borrow().contains_key(call)) {
             tracing::warn!("upgrade: call {call:?} did not come over");
             let todo = self.handle.hub.borrow_mut().call_ended(call, CallEnd::Reset, self.clock.now());
             self.carry_out(todo);
@@ -210,23 +211,27 @@
     }
 
     /// The first steps of a state that another process had.
-    pub fn resume(self: &Rc<Self>, holds: &[(u32, Micros)], steps: Vec<quillmount_core::router::Step>) {
-        let todo = self.handle.hub.borrow_mut().resume(holds, steps, self.clock.now());
+    pub fn resume(
+        self: &Rc<Self>,
+        backoffs: &[(u32, Micros)],
+        steps: Vec<quillmount_core::router::RouterAction>,
+    ) {
+        let todo = self.handle.hub.borrow_mut().resume(backoffs, steps, self.clock.now());
         self.carry_out(todo);
     }
 
-    pub fn take_on(self: &Rc<Self>, invocation: Invocation) -> Intake {
+    pub fn submit(self: &Rc<Self>, submission: Submission) -> Intake {
         if let Some(Err(after)) = self.gate.as_ref().map(|gate| gate.takes_on()) {
             self.count(|c| c.rejected += 1);
             return Intake::Rejected { after };
         }
-        let late = self.budgets.as_ref().and_then(|budgets| budgets.refuses(&invocation));
+        let late = self.budgets.as_ref().and_then(|budgets| budgets.refuses(&submission));
         // One that is owed is answered as what it is.
-        if let Some(after) = late.filter(|_| !self.handle.hub.borrow().router.knows(&invocation.id)) {
+        if let Some(after) = late.filter(|_| !self.handle.hub.borrow().router.knows(&submission.id)) {
             self.count(|c| c.rejected += 1);
             return Intake::Rejected { after };
         }
-        let (intake, todo) = self.handle.hub.borrow_mut().take_on(invocation, self.clock.now());
+        let (intake, todo) = self.handle.hub.borrow_mut().submit(submission, self.clock.now());
         self.carry_out(todo);
         intake
     }
@@ -249,7 +254,11 @@
     ///
     /// # Errors
     /// The journal has no room, or its store refused the records: then nothing is taken over.
-    pub fn adopt(self: &Rc<Self>, entries: Vec<Entry>, lines: &Settlements) -> Result<(), JournalError> {
+    pub fn adopt(
+        self: &Rc<Self>,
+        entries: Vec<JournalEntry>,
+        lines: &Settlements,
+    ) -> Result<(), JournalError> {
         let todo = self.handle.hub.borrow_mut().adopt_with(entries, lines, self.clock.now())?;
         self.carry_out(todo);
         Ok(())
@@ -264,8 +273,8 @@
     ///
     /// # Errors
     /// The store refused the record: they go on to wait.
-    pub fn settle_from(self: &Rc<Self>, source: &Source, kept: bool) -> Result<(), JournalError> {
-        let todo = self.handle.hub.borrow_mut().settle(source, kept, self.clock.now())?;
+    pub fn settle_from(self: &Rc<Self>, source: &Source, accepted: bool) -> Result<(), JournalError> {
+        let todo = self.handle.hub.borrow_mut().settle_source(source, accepted, self.clock.now())?;
         self.carry_out(todo);
         Ok(())
     }
@@ -274,28 +283,28 @@
     ///
     /// # Errors
     /// It is not taken on.
-    pub fn take_on_stream(
+    pub fn submit_stream(
         self: &Rc<Self>,
-        invocation: Invocation,
+        submission: Submission,
         head: StreamHead,
-        rules: &Rules,
+        rules: &StreamRules,
     ) -> Result<Rc<Pipe>, Intake> {
         let now = self.clock.now();
-        let (intake, msg, todo) = self.handle.hub.borrow_mut().take_on_stream(invocation, now);
-        let flow = Flow::new(rules.window, head.length, rules.consumer, rules.provider, now);
+        let (intake, msg, todo) = self.handle.hub.borrow_mut().submit_stream(submission, now);
+        let flow = Flow::new(rules.window, head.length, rules.client, rules.endpoint, now);
         let pipe = Pipe::new(msg, head, flow, self.streams.clone());
-        if intake == Intake::TakenOn {
+        if intake == Intake::Accepted {
             self.pipes.borrow_mut().insert(msg, pipe.clone());
         }
         self.carry_out(todo);
-        if intake == Intake::TakenOn { Ok(pipe) } else { Err(intake) }
+        if intake == Intake::Accepted { Ok(pipe) } else { Err(intake) }
     }
 
     /// A stream does not go on.
-    pub fn stream_fails(self: &Rc<Self>, pipe: &Pipe, why: Fails) {
+    pub fn stream_fails(self: &Rc<Self>, pipe: &Pipe, why: StreamFailure) {
         match why {
-            Fails::Cut(why) => self.stream_cut(pipe, why),
-            Fails::Unbegun => self.stream(|router| router.stream_unbegun(pipe.msg, self.clock.now())),
+            StreamFailure::Cut(why) => self.stream_cut(pipe, why),
+            StreamFailure::Unbegun => self.stream(|router| router.stream_unbegun(pipe.msg, self.clock.now())),
         }
     }
 
@@ -318,7 +327,7 @@
 
     /// The process ends: what has not left of a call stays here, and the next life knows that it never ran.
     pub fn keep_unsent(&self) {
-        self.words.borrow().values().for_each(|words| words.say(Input::Ended));
+        self.signals.borrow().values().for_each(|signals| signals.signal(AttemptInput::Ended));
     }
 
     /// The last byte of its call has left.
@@ -327,7 +336,7 @@
         self.stream(|router| router.stream_written(call, now));
     }
 
-    /// Its consumer was answered, or can't be.
+    /// Its client was answered, or can't be.
     pub fn stream_answered(self: &Rc<Self>, msg: MsgId, heard: bool) {
         let now = self.clock.now();
         self.pipes.borrow_mut().remove(&msg);
@@ -336,7 +345,7 @@
 
     /// Its connection has ended before its answer.
     pub fn stream_lost(self: &Rc<Self>, msg: MsgId) {
-        if self.handle.life().has_ended() {
+        if self.handle.lifecycle().has_ended() {
             return;
         }
         let pipe = self.pipes.borrow().get(&msg).cloned();
@@ -346,18 +355,21 @@
         self.stream_answered(msg, false);
     }
 
-    fn stream(self: &Rc<Self>, act: impl FnOnce(&mut Router<Folder>) -> Vec<quillmount_core::router::Step>) {
+    fn stream(
+        self: &Rc<Self>,
+        act: impl FnOnce(&mut Router<JournalFile>) -> Vec<quillmount_core::router::RouterAction>,
+    ) {
         let todo = self.handle.hub.borrow_mut().stream(act, self.clock.now());
         self.carry_out(todo);
     }
 
-    pub fn list(self: &Rc<Self>, list: ProviderList) {
-        if self.handle.life().is_frozen() {
+    pub fn list(self: &Rc<Self>, list: EndpointList) {
+        if self.handle.lifecycle().is_frozen() {
             // Whoever decides next watches from the version that is known.
             return;
         }
         self.count(|c| c.list_changes += 1);
-        let (version, lines) = (list.version, list.providers.len());
+        let (version, lines) = (list.version, list.endpoints.len());
         let todo = self.handle.hub.borrow_mut().list(list, self.clock.now());
         tracing::info!("discovery: version {version} with {lines} lines");
         self.carry_out(todo);
@@ -367,8 +379,8 @@
     ///
     /// # Errors
     /// Nobody has the id, or its record could not be written: nothing has changed.
-    pub fn hold(self: &Rc<Self>, id: &str, held: bool) -> Result<(), HoldError> {
-        let todo = self.handle.hub.borrow_mut().hold(id, held, self.clock.now())?;
+    pub fn set_disabled(self: &Rc<Self>, id: &str, disabled: bool) -> Result<(), DisableError> {
+        let todo = self.handle.hub.borrow_mut().set_disabled(id, disabled, self.clock.now())?;
         self.carry_out(todo);
         Ok(())
     }
@@ -391,12 +403,12 @@
         self.notices.notified().await;
     }
 
-    pub fn told(self: &Rc<Self>, notices: &[Notice]) {
-        if self.handle.life().is_frozen() {
+    pub fn notices_confirmed(self: &Rc<Self>, notices: &[Notice]) {
+        if self.handle.lifecycle().is_frozen() {
             // Told twice does no harm.
             return;
         }
-        let todo = self.handle.hub.borrow_mut().told(notices, self.clock.now());
+        let todo = self.handle.hub.borrow_mut().notices_confirmed(notices, self.clock.now());
         self.carry_out(todo);
     }
 
@@ -420,7 +432,7 @@
     }
 
     /// The first steps of a router that has read its journal.
-    pub fn begin(self: &Rc<Self>, steps: Vec<quillmount_core::router::Step>) {
+    pub fn begin(self: &Rc<Self>, steps: Vec<quillmount_core::router::RouterAction>) {
         let todo = self.handle.hub.borrow_mut().carry_out(steps, self.clock.now());
         self.carry_out(todo);
     }
@@ -439,7 +451,7 @@
                     }
                 }
             }
-            if self.handle.life().is_frozen() {
+            if self.handle.lifecycle().is_frozen() {
                 return;
             }
             if wake.is_some_and(|at| at <= self.clock.now()) {
@@ -451,54 +463,54 @@
 
     /// A call's connection has been used for as long as any may be.
     pub fn cut(&self, call: CallId) {
-        if let Some(words) = self.words.borrow().get(&call) {
-            words.cut();
+        if let Some(signals) = self.signals.borrow().get(&call) {
+            signals.cut();
         }
     }
 
-    /// Frees the descriptors of connections to providers that will not be used again.
+    /// Frees the descriptors of connections to endpoints that will not be used again.
     pub async fn sweep(self: Rc<Self>) {
         loop {
             actix_rt::time::sleep(SWEEP).await;
-            drop(self.handle.pool(|pool| pool.sweep(self.clock.now(), providers::is_quiet)));
+            drop(self.handle.pool(|pool| pool.sweep(self.clock.now(), endpoints::is_quiet)));
         }
     }
 
-    fn carry_out(self: &Rc<Self>, todo: Vec<Do<Conn>>) {
-        for one in todo {
-            match one {
-                Do::Begin(call) => self.call(call),
-                Do::Tell(call, input) => {
+    fn carry_out(self: &Rc<Self>, todo: Vec<DriverAction<Conn>>) {
+        for action in todo {
+            match action {
+                DriverAction::Begin(call) => self.call(call),
+                DriverAction::Signal(call, input) => {
                     // The call may have ended in this very moment.
-                    if let Some(words) = self.words.borrow().get(&call) {
-                        words.say(input);
+                    if let Some(signals) = self.signals.borrow().get(&call) {
+                        signals.signal(input);
                     }
                 }
-                Do::Close(gone) => drop(gone),
-                Do::Notify => self.notices.notify_one(),
-                Do::Answer(msg, end) => {
-                    // A consumer that has gone was told of already.
+                DriverAction::Close(gone) => drop(gone),
+                DriverAction::Notify => self.notices.notify_one(),
+                DriverAction::Answer(msg, end) => {
+                    // A client that has gone was told of already.
                     if let Some(pipe) = self.pipes.borrow().get(&msg) {
                         pipe.ends(end);
                     }
                 }
-                Do::Note(note) => say(&note),
+                DriverAction::Note(note) => log_note(&note),
             }
         }
-        if let Some(settles) = self.settles.get() {
+        if let Some(settlement_hooks) = self.settlement_hooks.get() {
             let ends = self.handle.hub.borrow_mut().router.ends();
-            ends.iter().for_each(|(id, end)| (settles.ended)(id, *end));
+            ends.iter().for_each(|(id, end)| (settlement_hooks.ended)(id, *end));
         }
         self.moved.notify_one();
     }
 
-    fn call(self: &Rc<Self>, mut call: InvokerCall) {
+    fn call(self: &Rc<Self>, mut call: DeliveryCall) {
         tracing::debug!("call: {:?} to {}, {} us", call.call, call.addr, call.timeout);
         // Of no other span: a call that another's end began would carry that one's along, and so on all day.
         let span = tracing::debug_span!(
             parent: None,
             "call",
-            id = call.invocation.id.as_str(),
+            id = call.payload.id.as_str(),
             dest = call.dest,
             attempt = call.call.attempt
         );
@@ -507,13 +519,13 @@
             call.by = call.by.min(gate.latest(self.clock.now()));
             (gate.clone(), gate.written(), call.by)
         });
-        let mut call = providers::begin(call, self.clock.now());
-        call.0.full_closes = self.handle.hub.borrow().router.hears_load();
-        self.make(id, addr, call, passes, span);
+        let mut call = endpoints::begin(call, self.clock.now());
+        call.0.full_closes = self.handle.hub.borrow().router.reads_load_reports();
+        self.run_call(id, addr, call, passes, span);
     }
 
     /// Makes a call, from where it stands; one that is to pass the gate does so before its first byte.
-    fn make(
+    fn run_call(
         self: &Rc<Self>,
         id: CallId,
         addr: SocketAddr,
@@ -521,8 +533,8 @@
         passes: Option<(Rc<Gate>, u64, Micros)>,
         span: tracing::Span,
     ) {
-        let words = Rc::new(Words::default());
-        self.words.borrow_mut().insert(id, words.clone());
+        let signals = Rc::new(CallSignals::default());
+        self.signals.borrow_mut().insert(id, signals.clone());
         let this = self.clone();
         let made = async move {
             // On the heap: without a fleet no call would have to carry the room for it.
@@ -532,11 +544,11 @@
             };
             let counted = this.budgets.as_ref().filter(|b| passed && b.counts(call.0.order.dest));
             let mut leave = match counted {
-                Some(budgets) => Box::pin(budgets.ask(&this.handle, &mut call, &words)).await,
+                Some(budgets) => Box::pin(budgets.ask(&this.handle, &mut call, &signals)).await,
                 None => None,
             };
-            let came = if !passed || (counted.is_some() && leave.is_none()) {
-                Came::Ended(CallEnd::HeldBack, Said::default())
+            let outcome = if !passed || (counted.is_some() && leave.is_none()) {
+                CallOutcome::Ended(CallEnd::HeldBack, AnswerReport::default())
             } else if call.0.order.stream {
                 let pipe = this.pipes.borrow().get(&id.msg).cloned();
                 let end = match pipe {
@@ -546,32 +558,34 @@
                         Box::pin(streams::call(
                             &this.handle,
                             call.0.order,
-                            &words,
+                            &signals,
                             &pipe,
                             leave.as_deref_mut(),
                             written,
                         ))
                         .await
                     }
-                    // Its consumer has gone: its body with it.
+                    // Its client has gone: its body with it.
                     None => CallEnd::HeldBack,
                 };
-                Came::Ended(end, Said::default())
+                CallOutcome::Ended(end, AnswerReport::default())
             } else {
-                providers::call(&this.handle, call, &words, leave.as_deref_mut()).await
+                endpoints::call(&this.handle, call, &signals, leave.as_deref_mut()).await
             };
-            this.words.borrow_mut().remove(&id);
+            this.signals.borrow_mut().remove(&id);
             if let (Some(budgets), Some(leave)) = (counted, leave) {
                 budgets.over(*leave);
             }
-            let (end, each, said) = match came {
-                Came::Ended(end, said) => (end, None, said),
-                Came::Each(ends, said) => (CallEnd::Each, Some(ends), said),
-                Came::Given(part, stream) => return this.handle.give(Part::Call(part), stream),
+            let (end, each, said) = match outcome {
+                CallOutcome::Ended(end, said) => (end, None, said),
+                CallOutcome::Each(ends, said) => (CallEnd::Each, Some(ends), said),
+                CallOutcome::Released(part, stream) => {
+                    return this.handle.release(HandoverPart::Call(part), stream);
+                }
             };
             let now = this.clock.now();
             let todo = match &each {
-                None => this.handle.hub.borrow_mut().call_ended_saying(id, end, &said, now),
+                None => this.handle.hub.borrow_mut().call_ended_with_report(id, end, &said, now),
                 Some(ends) => this.handle.hub.borrow_mut().call_ended_each(id, ends, &said, now),
             };
             tracing::debug!("call ended: {id:?} to {addr}: {end:?} {:?} {said:?}", each.unwrap_or_default());
@@ -585,7 +599,7 @@
     }
 }
 
-fn say(note: &Note) {
+fn log_note(note: &Note) {
     match note.level() {
         Level::Debug => tracing::debug!("{note}"),
         Level::Info => tracing::info!("{note}"),
--- a/courier/src/transport/frames.rs
+++ b/courier/src/transport/frames.rs
@@ -3,7 +3,7 @@
 use super::channel::{self, Channel};
 use actix_rt::time::timeout;
 use quillmount_core::hub;
-use quillmount_protocol::operator::Call;
+use quillmount_protocol::operator::OperatorCall;
 use serde::{Deserialize, Serialize};
 use std::io;
 use std::path::Path;
@@ -15,15 +15,15 @@
 #[derive(Serialize, Deserialize)]
 pub enum Frame {
     /// The first word of a process that starts.
-    Ask,
+    Request,
     /// The first word of one that has handed over: an operator's call.
-    Call(Call),
+    Call(OperatorCall),
     /// The answer to that.
     Said(String),
     Busy,
     /// So many parts follow, each with a word whether a descriptor comes with it.
     State {
-        state: Box<hub::State>,
+        state: Box<hub::HubState>,
         drained: bool,
         parts: usize,
         /// How far the clock that all times are told by runs ahead of the system's.
@@ -34,7 +34,7 @@
 }
 
 /// Passes an operator's call on to the process that has taken over.
-pub async fn pass_on(folder: &Path, call: &Call) -> io::Result<String> {
+pub async fn pass_on(folder: &Path, call: &OperatorCall) -> io::Result<String> {
     let passed = async {
         let mut channel = Channel::open(channel::reach(folder).await?).await?;
         channel.send(&Frame::Call(call.clone()), None).await?;
--- a/courier/src/transport/gate.rs
+++ b/courier/src/transport/gate.rs
@@ -9,8 +9,8 @@
 use tokio::sync::Notify;
 
 /// Advice with a rejection while the courier may not take on: its fleet notices a loss within a lease, which is of seconds.
-const CLOSED_WAIT: Micros = 1_000_000;
-/// Records that have waited so long for a copy: consumers wait 0.4 s for a word, and one that would come too late is refused.
+const GATE_CLOSED_RETRY_AFTER: Micros = 1_000_000;
+/// Records that have waited so long for a copy: clients wait 0.4 s for a word, and one that would come too late is refused.
 const LATE: Micros = 200_000;
 
 /// A call's last byte leaves so long before its key's span ends, as a repeat's does.
@@ -18,7 +18,7 @@
 
 /// What a write did to the journal.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wrote {
+pub enum JournalWrite {
     Bytes(Vec<u8>),
     /// All of it is these.
     Whole(Vec<u8>),
@@ -39,7 +39,7 @@
     copies: Cell<(usize, bool)>,
     /// The epoch under which the courier serves, and parts of others' books that are on their way into its own.
     member: Cell<(u64, usize)>,
-    news: RefCell<Vec<Wrote>>,
+    unreported: RefCell<Vec<JournalWrite>>,
     /// Something was written.
     pub wrote: Notify,
     moved: Notify,
@@ -56,7 +56,7 @@
             until: Cell::new(0),
             copies: Cell::new((0, false)),
             member: Cell::new((0, 0)),
-            news: RefCell::default(),
+            unreported: RefCell::default(),
             wrote: Notify::new(),
             moved: Notify::new(),
         }
@@ -64,20 +64,20 @@
 
     /// The journal is as long as this now, and none of it counts as written in this life.
     pub fn begin(&self, written: u64) {
-        self.news.borrow_mut().clear();
+        self.unreported.borrow_mut().clear();
         self.written.set(written);
     }
 
     /// The journal was written to.
-    pub fn note(&self, wrote: Wrote) {
+    pub fn note(&self, wrote: JournalWrite) {
         let len = match &wrote {
-            Wrote::Bytes(bytes) | Wrote::Whole(bytes) => bytes.len(),
+            JournalWrite::Bytes(bytes) | JournalWrite::Whole(bytes) => bytes.len(),
         };
         self.written.set(self.written.get() + len as u64);
         if self.waits.get().is_none() {
             self.waits.set(Some((self.written.get(), self.clock.now())));
         }
-        self.news.borrow_mut().push(wrote);
+        self.unreported.borrow_mut().push(wrote);
         self.wrote.notify_one();
     }
 
@@ -88,8 +88,8 @@
     }
 
     /// What was written since the last call, in order.
-    pub fn news(&self) -> Vec<Wrote> {
-        self.news.take()
+    pub fn take_writes(&self) -> Vec<JournalWrite> {
+        self.unreported.take()
     }
 
     /// All that was written up to this mark is where it has to be.
@@ -152,7 +152,7 @@
     /// It may not: this long is advised.
     pub fn takes_on(&self) -> Result<(), Micros> {
         let late = self.waits.get().is_some_and(|(_, since)| self.clock.now() > since.saturating_add(LATE));
-        if self.may_act() && self.copies.get().1 && !late { Ok(()) } else { Err(CLOSED_WAIT) }
+        if self.may_act() && self.copies.get().1 && !late { Ok(()) } else { Err(GATE_CLOSED_RETRY_AFTER) }
     }
 
     /// A mark of all that is written by now.
--- a/courier/src/transport/handle.rs
+++ b/courier/src/transport/handle.rs
@@ -2,14 +2,14 @@
 //! parts.
 
 use super::clock::Clock;
-use super::folder::Folder;
+use super::journal_file::JournalFile;
 use crate::fleet::budget::Conn;
 use actix_rt::net::TcpStream;
 use quillmount_core::call;
 use quillmount_core::counters::Counters;
 use quillmount_core::hub::Hub;
-use quillmount_core::machine::consumer;
-use quillmount_core::machine::life::{self, Life};
+use quillmount_core::machine::client;
+use quillmount_core::machine::lifecycle::{self, Lifecycle};
 use quillmount_core::pool::Pool;
 use serde::{Deserialize, Serialize};
 use spurshore::{Micros, MsgId};
@@ -20,55 +20,55 @@
 
 /// What moves with a descriptor, or without where none is held.
 #[derive(Debug, Serialize, Deserialize)]
-pub enum Part {
-    /// The listening socket of the consumers.
+pub enum HandoverPart {
+    /// The listening socket of the clients.
     Listener,
-    /// A consumer's connection, and what has been read of its request.
-    Consumer { state: consumer::State, bytes: Vec<u8> },
-    /// A connection to a provider, at rest.
-    Resting { provider: u32, addr: SocketAddr, since: Micros },
+    /// A client's connection, and what has been read of its request.
+    Client { state: client::ClientState, bytes: Vec<u8> },
+    /// A connection to an endpoint, at rest.
+    IdleConnection { endpoint: u32, addr: SocketAddr, since: Micros },
     /// A call that is out.
-    Call(Box<call::Part>),
+    Call(Box<call::CallSnapshot>),
 }
 
 /// Parts with the sockets that they have: as this process holds them, or as they come from another.
-pub type Parts<S> = Vec<(Part, Option<S>)>;
+pub type Parts<S> = Vec<(HandoverPart, Option<S>)>;
 
 /// What a courier's tasks share.
 pub struct Handle {
     pub clock: Clock,
-    /// How long a connection to a provider may take to come up.
+    /// How long a connection to an endpoint may take to come up.
     pub connect: Duration,
-    pub(super) hub: RefCell<Hub<Folder, Conn>>,
-    life: Cell<Life>,
+    pub(super) hub: RefCell<Hub<JournalFile, Conn>>,
+    lifecycle: Cell<Lifecycle>,
     /// A planned stop begins.
     stops: Notify,
     parts: RefCell<Parts<TcpStream>>,
 }
 
 impl Handle {
-    pub fn new(clock: Clock, connect: Duration, hub: Hub<Folder, Conn>) -> Self {
+    pub fn new(clock: Clock, connect: Duration, hub: Hub<JournalFile, Conn>) -> Self {
         Handle {
             clock,
             connect,
             hub: RefCell::new(hub),
-            life: Cell::default(),
+            lifecycle: Cell::default(),
             stops: Notify::new(),
             parts: RefCell::default(),
         }
     }
 
     /// Where the courier is in its life.
-    pub fn life(&self) -> Life {
-        self.life.get()
+    pub fn lifecycle(&self) -> Lifecycle {
+        self.lifecycle.get()
     }
 
     /// Something happened to its life; what is to be done.
-    pub fn live(&self, input: life::Input) -> life::Output {
-        let mut life = self.life.get();
-        let output = life.step(input, self.clock.now());
-        self.life.set(life);
-        if life.stopping().is_some() {
+    pub fn step_lifecycle(&self, input: lifecycle::LifecycleInput) -> lifecycle::LifecycleOutput {
+        let mut lifecycle = self.lifecycle.get();
+        let output = lifecycle.step(input, self.clock.now());
+        self.lifecycle.set(lifecycle);
+        if lifecycle.stopping().is_some() {
             self.stops.notify_one();
         }
         output
@@ -77,7 +77,7 @@
     /// Waits for a planned stop; when it was asked for.
     pub async fn stops(&self) -> Micros {
         loop {
-            match self.life().stopping() {
+            match self.lifecycle().stopping() {
                 Some(asked) => return asked,
                 None => self.stops.notified().await,
             }
@@ -89,7 +89,7 @@
         one(&mut self.hub.borrow_mut().router.counters);
     }
 
-    /// The connections to the providers.
+    /// The connections to the endpoints.
     pub fn pool<T>(&self, act: impl FnOnce(&mut Pool<Conn>) -> T) -> T {
         act(&mut self.hub.borrow_mut().pool)
     }
@@ -100,12 +100,12 @@
     }
 
     /// A task gives its part up.
-    pub fn give(&self, part: Part, stream: Option<TcpStream>) {
+    pub fn release(&self, part: HandoverPart, stream: Option<TcpStream>) {
         self.parts.borrow_mut().push((part, stream));
     }
 
     /// The parts that were given up so far.
-    pub fn given(&self) -> Parts<TcpStream> {
+    pub fn take_parts(&self) -> Parts<TcpStream> {
         self.parts.take()
     }
 }
--- a/courier/src/transport/handover.rs
+++ b/courier/src/transport/handover.rs
@@ -6,14 +6,16 @@
 use super::clock::Clock;
 use super::courier::Courier;
 use super::frames::{Frame, PASS_ON};
-use super::handle::{Part, Parts};
-use super::operators::Desk;
+use super::handle::{HandoverPart, Parts};
+use super::operators::OperatorService;
 use super::server::{self, Connections};
 use actix_rt::net::{TcpListener, TcpStream};
 use actix_rt::time::{sleep, timeout};
 use quillmount_core::hub;
-use quillmount_core::machine::handover::{GiverInput, GiverOutput, Taker, TakerInput, TakerOutput};
-use quillmount_core::machine::life;
+use quillmount_core::machine::handover::{
+    HandoverReceiver, ReceiverInput, ReceiverOutput, SenderInput, SenderOutput,
+};
+use quillmount_core::machine::lifecycle;
 use std::cell::{Cell, RefCell};
 use std::fs::{File, Permissions, TryLockError};
 use std::io;
@@ -51,8 +53,8 @@
 }
 
 /// All that another process handed over.
-pub struct Handed {
-    pub state: hub::State,
+pub struct ReceivedState {
+    pub state: hub::HubState,
     pub drained: bool,
     /// How far the other process's clock ran ahead of the system's.
     pub ahead: i64,
@@ -67,69 +69,69 @@
 pub async fn take(
     folder: &Path,
     clock: &Clock,
-    told_to_end: impl Future<Output = ()>,
-) -> io::Result<Option<(Lock, Option<Handed>)>> {
-    let mut told_to_end = std::pin::pin!(told_to_end);
-    let mut machine = Taker::new(clock.now());
-    let (mut channel, mut handed, mut holder, mut passed) = (None, None, None, None);
-    let (mut todo, mut told) = (TakerOutput::Lock, false);
+    shutdown_requested: impl Future<Output = ()>,
+) -> io::Result<Option<(Lock, Option<ReceivedState>)>> {
+    let mut shutdown_requested = std::pin::pin!(shutdown_requested);
+    let mut machine = HandoverReceiver::new(clock.now());
+    let (mut channel, mut handed, mut lock_owner, mut passed) = (None, None, None, None);
+    let (mut todo, mut warned) = (ReceiverOutput::Lock, false);
     loop {
         let input = match todo {
             // Free for a moment, a third process could take it, and all that was handed over would be lost.
-            TakerOutput::Lock => {
+            ReceiverOutput::Lock => {
                 match passed.take().map_or_else(|| Lock::take(folder), |lock| Ok(Some(lock)))? {
-                    None => TakerInput::Held,
-                    Some(lock) => match machine.step(TakerInput::Locked, clock.now()) {
-                        TakerOutput::Resume => return Ok(Some((lock, handed))),
+                    None => ReceiverInput::LockTaken,
+                    Some(lock) => match machine.step(ReceiverInput::Locked, clock.now()) {
+                        ReceiverOutput::Resume => return Ok(Some((lock, handed))),
                         _ => return Ok(Some((lock, None))),
                     },
                 }
             }
-            TakerOutput::Ask => {
+            ReceiverOutput::Request => {
                 handed = None;
                 // A holder that starts does not listen yet, and one that stops does not any more.
                 match channel::reach(folder).await {
                     Err(e) => {
                         if matches!(e.kind(), io::ErrorKind::ConnectionRefused | io::ErrorKind::NotFound) {
                             // Whoever listened before has gone, and its number may be another's by now.
-                            holder = None;
+                            lock_owner = None;
                         }
-                        TakerInput::Busy
+                        ReceiverInput::Busy
                     }
                     Ok(stream) => {
-                        holder = Channel::peer(&stream);
-                        tracing::info!("upgrade: asking process {}", holder.unwrap_or_default());
+                        lock_owner = Channel::peer(&stream);
+                        tracing::info!("upgrade: asking process {}", lock_owner.unwrap_or_default());
                         let asked = tokio::select! {
                             biased;
-                            () = &mut told_to_end => return Ok(None),
+                            () = &mut shutdown_requested => return Ok(None),
                             asked = receive(stream, &mut machine, clock) => asked,
                         };
                         asked.map_or_else(
                             |input| input,
-                            |(came, from)| {
-                                (handed, channel) = (Some(came), Some(from));
-                                TakerInput::All
+                            |(received, from)| {
+                                (handed, channel) = (Some(received), Some(from));
+                                ReceiverInput::Complete
                             },
                         )
                     }
                 }
             }
-            TakerOutput::Confirm => match &mut channel {
+            ReceiverOutput::Confirm => match &mut channel {
                 Some(from) => {
-                    let word = confirm(from, &machine, clock).await;
+                    let reply = confirm(from, &machine, clock).await;
                     passed = from.fd().map(|fd| Lock { file: fd.into() });
-                    word
+                    reply
                 }
-                None => TakerInput::Lost,
+                None => ReceiverInput::Lost,
             },
-            TakerOutput::End => {
-                match holder.and_then(rustix::process::Pid::from_raw) {
+            ReceiverOutput::KillOwner => {
+                match lock_owner.and_then(rustix::process::Pid::from_raw) {
                     Some(pid) => {
                         tracing::warn!("upgrade: process {pid:?} does not hand over: it is ended");
                         // Where it is gone already, so is its lock.
                         let _ = rustix::process::kill_process(pid, rustix::process::Signal::KILL);
                     }
-                    None if !std::mem::replace(&mut told, true) => {
+                    None if !std::mem::replace(&mut warned, true) => {
                         tracing::error!(
                             "upgrade: another process holds {} and does not listen",
                             folder.display()
@@ -137,17 +139,17 @@
                     }
                     None => {}
                 }
-                TakerInput::Tick
+                ReceiverInput::Tick
             }
             _ => {
                 tokio::select! {
                     biased;
-                    () = &mut told_to_end => return Ok(None),
-                    () = sleep(clock.until(machine.wake_at().unwrap_or_default())) => TakerInput::Tick,
+                    () = &mut shutdown_requested => return Ok(None),
+                    () = sleep(clock.until(machine.wake_at().unwrap_or_default())) => ReceiverInput::Tick,
                 }
             }
         };
-        if input == TakerInput::Lost {
+        if input == ReceiverInput::Lost {
             (channel, handed) = (None, None);
         }
         todo = machine.step(input, clock.now());
@@ -155,58 +157,58 @@
 }
 
 async fn in_time<T>(
-    machine: &Taker,
+    machine: &HandoverReceiver,
     clock: &Clock,
     what: impl Future<Output = io::Result<T>>,
-) -> Result<T, TakerInput> {
+) -> Result<T, ReceiverInput> {
     match timeout(clock.until(machine.wake_at().unwrap_or_default()), what).await {
-        Ok(Ok(came)) => Ok(came),
+        Ok(Ok(received)) => Ok(received),
         Ok(Err(e)) => {
             tracing::warn!("upgrade: the holder's word: {e}");
-            Err(TakerInput::Lost)
+            Err(ReceiverInput::Lost)
         }
-        Err(_) => Err(TakerInput::Tick),
+        Err(_) => Err(ReceiverInput::Tick),
     }
 }
 
 /// Asks, and reads all that comes.
 async fn receive(
     stream: UnixStream,
-    machine: &mut Taker,
+    machine: &mut HandoverReceiver,
     clock: &Clock,
-) -> Result<(Handed, Channel), TakerInput> {
+) -> Result<(ReceivedState, Channel), ReceiverInput> {
     let mut channel = in_time(machine, clock, Channel::open(stream)).await?;
-    in_time(machine, clock, channel.send(&Frame::Ask, None)).await?;
+    in_time(machine, clock, channel.send(&Frame::Request, None)).await?;
     let Frame::State { state, drained, parts: count, ahead } =
         in_time(machine, clock, channel.recv()).await?
     else {
-        return Err(TakerInput::Busy);
+        return Err(ReceiverInput::Busy);
     };
     let mut parts = Vec::new();
     for _ in 0..count {
-        machine.step(TakerInput::Part, clock.now());
-        let (part, held): (Part, bool) = in_time(machine, clock, channel.recv()).await?;
-        let fd = if held { Some(channel.fd().ok_or(TakerInput::Lost)?) } else { None };
+        machine.step(ReceiverInput::Part, clock.now());
+        let (part, held): (HandoverPart, bool) = in_time(machine, clock, channel.recv()).await?;
+        let fd = if held { Some(channel.fd().ok_or(ReceiverInput::Lost)?) } else { None };
         parts.push((part, fd));
     }
-    Ok((Handed { state: *state, drained, ahead, parts }, channel))
+    Ok((ReceivedState { state: *state, drained, ahead, parts }, channel))
 }
 
-async fn confirm(channel: &mut Channel, machine: &Taker, clock: &Clock) -> TakerInput {
-    let word = async {
+async fn confirm(channel: &mut Channel, machine: &HandoverReceiver, clock: &Clock) -> ReceiverInput {
+    let reply = async {
         channel.send(&Frame::Got, None).await?;
         channel.recv().await
     };
-    match in_time(machine, clock, word).await {
-        Ok(Frame::LetGo) => TakerInput::LetGo,
-        Ok(_) => TakerInput::Lost,
+    match in_time(machine, clock, reply).await {
+        Ok(Frame::LetGo) => ReceiverInput::Released,
+        Ok(_) => ReceiverInput::Lost,
         Err(input) => input,
     }
 }
 
-/// The consumers' listening socket among what came.
+/// The clients' listening socket among what came.
 pub fn listener(parts: &mut Parts<OwnedFd>) -> Option<std::net::TcpListener> {
-    let place = parts.iter().position(|(part, _)| matches!(part, Part::Listener))?;
+    let place = parts.iter().position(|(part, _)| matches!(part, HandoverPart::Listener))?;
     let listener = std::net::TcpListener::from(parts.swap_remove(place).1?);
     listener.set_nonblocking(true).ok()?;
     Some(listener)
@@ -216,14 +218,14 @@
 pub type Tasks = Vec<tokio::task::JoinHandle<()>>;
 
 /// What the deciding process needs to hand over, and to take back.
-pub struct Holder {
+pub struct ActiveProcess {
     pub courier: Rc<Courier>,
     pub connections: Rc<Connections>,
-    pub desk: Rc<Desk>,
+    pub service: Rc<OperatorService>,
     pub folder: PathBuf,
     /// Of the settings it decides under.
-    pub mark: u32,
-    /// The consumers' listening socket.
+    pub settings_fingerprint: u32,
+    /// The clients' listening socket.
     pub listener: RefCell<Option<Rc<TcpListener>>>,
     pub lock: Cell<Option<Lock>>,
     /// Begins its tasks: the server, the clock, the watch and the notices.
@@ -232,17 +234,17 @@
     pub gone: Notify,
 }
 
-impl Holder {
+impl ActiveProcess {
     /// Puts a part to work.
-    fn put(&self, part: Part, stream: Option<TcpStream>) {
+    fn put(&self, part: HandoverPart, stream: Option<TcpStream>) {
         match (part, stream) {
-            (Part::Consumer { state, bytes }, Some(stream)) => {
+            (HandoverPart::Client { state, bytes }, Some(stream)) => {
                 self.connections.admit(&self.courier, stream, Some((state, bytes[..].into())));
             }
-            (Part::Resting { provider, addr, since }, Some(stream)) => {
-                self.courier.rest(provider, addr, since, stream);
+            (HandoverPart::IdleConnection { endpoint, addr, since }, Some(stream)) => {
+                self.courier.add_idle(endpoint, addr, since, stream);
             }
-            (Part::Call(part), stream) => self.courier.go_on(*part, stream),
+            (HandoverPart::Call(part), stream) => self.courier.resume_call(*part, stream),
             // The listener has its place already; what came without its socket is gone.
             _ => {}
         }
@@ -252,7 +254,7 @@
     pub fn adopt(&self, parts: Parts<OwnedFd>) {
         for (part, fd) in parts {
             let stream = match (&part, fd) {
-                (Part::Listener, _) => continue,
+                (HandoverPart::Listener, _) => continue,
                 (_, fd) => fd.and_then(|fd| channel::adopt(fd).ok()),
             };
             self.put(part, stream);
@@ -267,19 +269,19 @@
     }
 
     /// A planned stop: accepts no more, and closes the listener once whoever waits in it is let in.
-    pub async fn close_doors(&self) {
+    pub async fn close_listener(&self) {
         let server = {
             let mut tasks = self.tasks.borrow_mut();
             (!tasks.is_empty()).then(|| tasks.remove(0))
         };
-        self.connections.accept_no_more();
+        self.connections.stop_accepting();
         if let Some(server) = server {
             // It ends with who it has accepted last.
             let _ = server.await;
         }
         let listener = self.listener.take().and_then(Rc::into_inner);
         if let Some(listener) = listener {
-            server::close_doors(listener, &self.courier, &self.connections).await;
+            server::close_listener(listener, &self.courier, &self.connections).await;
         }
     }
 
@@ -288,7 +290,7 @@
     /// # Errors
     /// The socket can't be had.
     pub fn listen(self: &Rc<Self>) -> io::Result<()> {
-        let (path, _kept) = channel::path(&self.folder)?;
+        let (path, _folder) = channel::path(&self.folder)?;
         // Of a process that is gone: the lock is ours.
         match std::fs::remove_file(&path) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
@@ -296,19 +298,19 @@
         }
         let listener = UnixListener::bind(&path)?;
         std::fs::set_permissions(&path, Permissions::from_mode(0o600))?;
-        let holder = self.clone();
+        let active = self.clone();
         actix_rt::spawn(async move {
             let peers = Rc::new(Cell::new(0));
             loop {
                 tokio::select! {
                     biased;
-                    () = holder.gone.notified() => break,
+                    () = active.gone.notified() => break,
                     Ok((stream, _)) = listener.accept() => {
                         if peers.get() < PEERS {
                             peers.set(peers.get() + 1);
-                            let (holder, peers) = (holder.clone(), peers.clone());
+                            let (active, peers) = (active.clone(), peers.clone());
                             actix_rt::spawn(async move {
-                                if let Err(e) = holder.attend(stream).await {
+                                if let Err(e) = active.attend(stream).await {
                                     tracing::debug!("upgrade: another process: {e}");
                                 }
                                 peers.set(peers.get() - 1);
@@ -317,7 +319,7 @@
                     }
                 }
             }
-            holder.gone.notify_one();
+            active.gone.notify_one();
         });
         Ok(())
     }
@@ -330,58 +332,58 @@
         });
         let (mut channel, frame) = opened.await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))?;
         match frame {
-            Frame::Call(call) => channel.send(&Frame::Said(self.desk.answer(call).await), None).await,
-            Frame::Ask => match self.step(GiverInput::Asked) {
-                GiverOutput::Collect => self.hand_over(&mut channel).await,
+            Frame::Call(call) => channel.send(&Frame::Said(self.service.answer(call).await), None).await,
+            Frame::Request => match self.step(SenderInput::Requested) {
+                SenderOutput::Collect => self.send_all(&mut channel).await,
                 _ => channel.send(&Frame::Busy, None).await,
             },
             _ => Ok(()),
         }
     }
 
-    fn step(&self, input: GiverInput) -> GiverOutput {
-        match self.courier.handle.live(life::Input::Give(input)) {
-            life::Output::Give(output) => output,
-            _ => GiverOutput::Nothing,
+    fn step(&self, input: SenderInput) -> SenderOutput {
+        match self.courier.handle.step_lifecycle(lifecycle::LifecycleInput::Handover(input)) {
+            lifecycle::LifecycleOutput::Handover(output) => output,
+            _ => SenderOutput::Nothing,
         }
     }
 
     /// Hands all over, or takes all back.
-    async fn hand_over(&self, channel: &mut Channel) -> io::Result<()> {
+    async fn send_all(&self, channel: &mut Channel) -> io::Result<()> {
         let clock = &self.courier.clock;
         let begun = clock.now();
         tracing::info!("upgrade: another process asks; {}", self.courier.report());
-        self.courier.hand_over();
-        self.connections.give();
+        self.courier.release();
+        self.connections.release();
         let server_runs = || self.tasks.borrow().first().is_some_and(|server| !server.is_finished());
-        while self.courier.to_give() + self.connections.to_give() > 0 || server_runs() {
+        while self.courier.handover_pending() + self.connections.handover_pending() > 0 || server_runs() {
             sleep(LOOK).await;
-            if self.step(GiverInput::Tick) == GiverOutput::TakeBack {
+            if self.step(SenderInput::Tick) == SenderOutput::TakeBack {
                 tracing::warn!(
                     "upgrade: {} calls and {} connections did not give way",
-                    self.courier.to_give(),
-                    self.connections.to_give()
+                    self.courier.handover_pending(),
+                    self.connections.handover_pending()
                 );
                 self.take_back(Vec::new());
                 return Ok(());
             }
         }
         let frozen = clock.now();
-        self.step(GiverInput::Collected);
-        let (state, parts) = self.courier.frozen(self.mark);
+        self.step(SenderInput::Collected);
+        let (state, parts) = self.courier.frozen(self.settings_fingerprint);
         self.tasks.borrow_mut().drain(..).for_each(|task| task.abort());
-        let until = self.courier.handle.life().give_by().unwrap_or_default();
+        let until = self.courier.handle.lifecycle().handover_deadline().unwrap_or_default();
         let sent = timeout(clock.until(until), self.send(channel, state, &parts)).await;
-        let word = match sent {
-            Ok(Ok(())) => GiverInput::Got,
+        let reply = match sent {
+            Ok(Ok(())) => SenderInput::Received,
             Ok(Err(e)) => {
                 tracing::warn!("upgrade: the other process: {e}");
-                GiverInput::Lost
+                SenderInput::Lost
             }
-            Err(_) => GiverInput::Tick,
+            Err(_) => SenderInput::Tick,
         };
-        match self.step(word) {
-            GiverOutput::LetGo => {
+        match self.step(reply) {
+            SenderOutput::Release => {
                 let count = parts.len();
                 drop(parts);
                 let lock = self.lock.take();
@@ -391,10 +393,11 @@
                     clock.now() - frozen
                 );
                 // The lock goes with the word: from here on it is the other's, or nobody's where that one is gone.
-                let said = channel.send(&Frame::LetGo, lock.as_ref().map(|lock| lock.file.as_fd())).await;
+                let sent_release =
+                    channel.send(&Frame::LetGo, lock.as_ref().map(|lock| lock.file.as_fd())).await;
                 drop(lock);
                 self.gone.notify_one();
-                said
+                sent_release
             }
             _ => {
                 self.take_back(parts);
@@ -406,17 +409,17 @@
     async fn send(
         &self,
         channel: &mut Channel,
-        state: hub::State,
-        parts: &[(Part, Option<TcpStream>)],
+        state: hub::HubState,
+        parts: &[(HandoverPart, Option<TcpStream>)],
     ) -> io::Result<()> {
-        let drained = self.courier.handle.life().is_drained();
+        let drained = self.courier.handle.lifecycle().is_drained();
         let ahead = self.courier.clock.ahead();
         let first = Frame::State { state: Box::new(state), drained, parts: parts.len() + 1, ahead };
         channel.send(&first, None).await?;
         drop(first);
         let listener = self.listener.borrow().clone();
         let fd = listener.as_ref().map(AsFd::as_fd);
-        channel.send(&(Part::Listener, fd.is_some()), fd).await?;
+        channel.send(&(HandoverPart::Listener, fd.is_some()), fd).await?;
         for (part, stream) in parts {
             let fd = stream.as_ref().map(AsFd::as_fd);
             channel.send(&(part, fd.is_some()), fd).await?;
@@ -430,7 +433,7 @@
     /// Goes on as if nothing had been asked.
     fn take_back(&self, parts: Parts<TcpStream>) {
         tracing::warn!("upgrade: not handed over; this process goes on");
-        for (part, stream) in parts.into_iter().chain(self.courier.handle.given()) {
+        for (part, stream) in parts.into_iter().chain(self.courier.handle.take_parts()) {
             self.put(part, stream);
         }
         self.tasks.borrow_mut().drain(..).for_each(|task| task.abort());
--- a/courier/src/transport/inherited.rs
+++ b/courier/src/transport/inherited.rs
@@ -1,4 +1,4 @@
-//! The consumers' listening socket, where another process holds it and this one inherits it.
+//! The clients' listening socket, where another process holds it and this one inherits it.
 
 use rustix::net::sockopt::{socket_acceptconn, socket_type};
 use rustix::net::{SocketType, getsockname};
--- a/courier/src/transport/folder.rs
+++ b/courier/src/transport/journal_file.rs
@@ -1,6 +1,6 @@
 //! The journal's file in the folder that lasts.
 
-use super::gate::{Gate, Wrote};
+use super::gate::{Gate, JournalWrite};
 use quillmount_core::store::Store;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
@@ -8,14 +8,14 @@
 use std::rc::Rc;
 
 /// Where a replacement stands until it is whole.
-fn half(path: &Path) -> PathBuf {
+fn replacement_path(path: &Path) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
     name.push(".new");
     name.into()
 }
 
 /// An append-only file, and its atomic replacement: a whole copy is written beside it and renamed.
-pub struct Folder {
+pub struct JournalFile {
     path: PathBuf,
     file: File,
     len: u64,
@@ -25,12 +25,12 @@
     gate: Option<Rc<Gate>>,
 }
 
-impl Folder {
+impl JournalFile {
     /// Opens the file in this folder; makes both where they are missing.
     ///
     /// # Errors
     /// The folder or its file can't be made, opened or rid of a half copy; the text names the path.
-    pub fn open(folder: &Path) -> io::Result<Folder> {
+    pub fn open(folder: &Path) -> io::Result<JournalFile> {
         Self::open_file(folder, "journal")
     }
 
@@ -38,23 +38,23 @@
     ///
     /// # Errors
     /// The folder or its file can't be made, opened or rid of a half copy; the text names the path.
-    pub fn open_file(folder: &Path, name: &str) -> io::Result<Folder> {
+    pub fn open_file(folder: &Path, name: &str) -> io::Result<JournalFile> {
         let path = folder.join(name);
         let named = |e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", path.display()));
         fs::create_dir_all(folder).map_err(named)?;
         // A replacement that a kill cut short: the old file still tells all.
-        match fs::remove_file(half(&path)) {
+        match fs::remove_file(replacement_path(&path)) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(named(e)),
             _ => {}
         }
         let file = OpenOptions::new().create(true).append(true).open(&path).map_err(named)?;
         let len = file.metadata().map_err(named)?.len();
-        Ok(Folder { path, file, len, torn: false, gate: None })
+        Ok(JournalFile { path, file, len, torn: false, gate: None })
     }
 
     /// Tells of each write from here on.
-    pub fn with_gate(self, gate: Rc<Gate>) -> Folder {
-        Folder { gate: Some(gate), ..self }
+    pub fn with_gate(self, gate: Rc<Gate>) -> JournalFile {
+        JournalFile { gate: Some(gate), ..self }
     }
 
     fn named(&self, e: io::Error) -> io::Error {
@@ -69,7 +69,7 @@
     }
 }
 
-impl Store for Folder {
+impl Store for JournalFile {
     fn len(&self) -> u64 {
         self.len
     }
@@ -89,19 +89,19 @@
         }
         self.len += bytes.len() as u64;
         if let Some(gate) = &self.gate {
-            gate.note(Wrote::Bytes(bytes.to_vec()));
+            gate.note(JournalWrite::Bytes(bytes.to_vec()));
         }
         Ok(())
     }
 
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let copy = half(&self.path);
+        let copy = replacement_path(&self.path);
         fs::write(&copy, bytes).map_err(|e| self.named(e))?;
         let file = OpenOptions::new().append(true).open(&copy).map_err(|e| self.named(e))?;
         fs::rename(&copy, &self.path).map_err(|e| self.named(e))?;
         (self.file, self.len, self.torn) = (file, bytes.len() as u64, false);
         if let Some(gate) = &self.gate {
-            gate.note(Wrote::Whole(bytes.to_vec()));
+            gate.note(JournalWrite::Whole(bytes.to_vec()));
         }
         Ok(())
     }
--- a/courier/src/transport/mod.rs
+++ b/courier/src/transport/mod.rs
@@ -1,22 +1,22 @@
-//! Sockets: the server that consumers reach, and the clients of providers and of the platform.
+//! Sockets: the server that clients reach, and the clients of endpoints and of the platform.
 //!
 //! Each file knows only those before it: `clock`, `channel`, `gate`, `folder`, `socket`; `frames`, and `handle`, which
-//! is what tasks know of their courier; `providers` and `streams`, which move the bytes of calls and bodies; `courier`,
+//! is what tasks know of their courier; `endpoints` and `streams`, which move the bytes of calls and bodies; `courier`,
 //! which wires them to the decisions; `platform` and `server`, whose tasks hand in what happens; `operators`;
 //! `handover`.
 
 pub mod channel;
 pub mod clock;
 pub mod courier;
-pub mod folder;
+pub mod endpoints;
 pub mod frames;
 pub mod gate;
 pub mod handle;
 pub mod handover;
 pub mod inherited;
+pub mod journal_file;
 pub mod operators;
 pub mod platform;
-pub mod providers;
 pub mod server;
 pub mod socket;
 pub mod streams;
@@ -36,7 +36,7 @@
         conn
     });
     let connector = awc::Connector::new().connector(dial).timeout(connect);
-    // No lifetime: a connection that works is kept, since a new one costs the provider work.
+    // No lifetime: a connection that works is kept, since a new one costs the endpoint work.
     let connector = connector.conn_lifetime(Duration::from_secs(86_400)).limit(0);
     awc::Client::builder()
         .connector(connector)
--- a/courier/src/transport/operators.rs
+++ b/courier/src/transport/operators.rs
@@ -5,9 +5,9 @@
 use super::server::Connections;
 use actix_rt::net::{TcpListener, TcpStream};
 use actix_rt::time::{sleep, timeout};
-use quillmount_core::machine::drain::{Input, Output};
-use quillmount_core::machine::life;
-use quillmount_protocol::operator::{self, BadCall, Call, LINE_MAX, Line};
+use quillmount_core::machine::drain::{DrainInput, DrainOutput};
+use quillmount_core::machine::lifecycle;
+use quillmount_protocol::operator::{self, BadCall, LINE_MAX, Line, OperatorCall};
 use std::collections::VecDeque;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -16,7 +16,7 @@
 use tokio::sync::Notify;
 
 /// Callers at once. Some connect and say nothing for seconds; one more ends whoever has waited longest. Their
-/// descriptors are set aside beside those of consumers and providers.
+/// descriptors are set aside beside those of clients and endpoints.
 pub const CALLERS: usize = 32;
 /// A caller has called by then.
 const CALL: Duration = Duration::from_secs(5);
@@ -29,7 +29,7 @@
 const ACCEPT_REST: Duration = Duration::from_millis(20);
 
 /// Where operators' calls are carried out.
-pub struct Desk {
+pub struct OperatorService {
     courier: Rc<Courier>,
     connections: Rc<Connections>,
     moved: Notify,
@@ -37,23 +37,23 @@
     folder: PathBuf,
 }
 
-impl Desk {
+impl OperatorService {
     pub fn new(courier: Rc<Courier>, connections: Rc<Connections>, folder: PathBuf) -> Rc<Self> {
-        Rc::new(Desk { courier, connections, moved: Notify::new(), folder })
+        Rc::new(OperatorService { courier, connections, moved: Notify::new(), folder })
     }
 
     /// Goes on with the drain of another process.
     pub fn drained(&self) {
-        self.step(Input::Drain);
+        self.step(DrainInput::Drain);
     }
 
     /// The answer to a call, from this process or from the one that has taken over.
-    pub async fn answer(&self, call: Call) -> String {
+    pub async fn answer(&self, call: OperatorCall) -> String {
         // What changes now would not be among what is handed over; it is not known yet who decides.
-        while self.courier.handle.life().hands_over() && !self.courier.handle.life().has_ended() {
+        while self.courier.handle.lifecycle().is_releasing() && !self.courier.handle.lifecycle().has_ended() {
             sleep(LOOK).await;
         }
-        let said = if self.courier.handle.life().has_ended() {
+        let said = if self.courier.handle.lifecycle().has_ended() {
             match frames::pass_on(&self.folder, &call).await {
                 Ok(said) => return said,
                 Err(e) => Err(format!("another process has taken over, and can't be asked: {e}")),
@@ -61,7 +61,7 @@
         } else {
             self.call(&call)
         };
-        if call != Call::Ready {
+        if call != OperatorCall::Ready {
             tracing::info!("operators: {call:?}: {said:?}");
         }
         operator::answer(said.as_deref().map_err(String::as_str))
@@ -70,7 +70,7 @@
     /// Looks for connections at rest while the courier is drained.
     pub async fn keep_time(self: Rc<Self>) {
         loop {
-            let wake = self.courier.handle.life().look_at();
+            let wake = self.courier.handle.lifecycle().drain_check_at();
             match wake {
                 None => self.moved.notified().await,
                 Some(at) => {
@@ -78,58 +78,62 @@
                         () = sleep(self.courier.clock.until(at)) => {}
                         () = self.moved.notified() => {}
                     }
-                    self.step(Input::Tick);
+                    self.step(DrainInput::Tick);
                 }
             }
         }
     }
 
-    fn step(&self, input: Input) {
-        let life::Output::Drain(output) = self.courier.handle.live(life::Input::Drain(input)) else { return };
-        let drained = self.courier.handle.life().is_drained();
+    fn step(&self, input: DrainInput) {
+        let lifecycle::LifecycleOutput::Drain(output) =
+            self.courier.handle.step_lifecycle(lifecycle::LifecycleInput::Drain(input))
+        else {
+            return;
+        };
+        let drained = self.courier.handle.lifecycle().is_drained();
         match output {
-            Output::Nothing => {}
-            Output::LastAnswers | Output::Keep => {
+            DrainOutput::Nothing => {}
+            DrainOutput::CloseAfterAnswers | DrainOutput::KeepConnections => {
                 tracing::info!(
                     "operators: {}",
                     if drained { "drained" } else { "consumers are wanted again" }
                 );
-                let stops = self.courier.handle.life().stopping().is_some();
+                let stops = self.courier.handle.lifecycle().stopping().is_some();
                 self.connections.close_after_answers(drained || stops);
                 self.moved.notify_one();
             }
-            Output::Empty => drop(self.connections.close_idle()),
+            DrainOutput::CloseIdle => drop(self.connections.close_idle()),
         }
     }
 
-    fn hold(&self, id: &str, held: bool) -> Result<(), String> {
-        self.courier.hold(id, held).map_err(|e| e.to_string())
+    fn set_disabled(&self, id: &str, disabled: bool) -> Result<(), String> {
+        self.courier.set_disabled(id, disabled).map_err(|e| e.to_string())
     }
 
     /// Carries a call out; what is to be said of it, or why nothing was done.
-    fn call(&self, call: &Call) -> Result<String, String> {
-        let life = self.courier.handle.life();
+    fn call(&self, call: &OperatorCall) -> Result<String, String> {
+        let lifecycle = self.courier.handle.lifecycle();
         match call {
-            Call::Ready if life.stopping().is_some() => Err("this process is stopping".into()),
-            Call::Ready if life.is_serving() => Ok("ready".into()),
-            Call::Ready => Err("this process does not serve yet".into()),
-            Call::Drain => {
-                self.step(Input::Drain);
+            OperatorCall::Ready if lifecycle.stopping().is_some() => Err("this process is stopping".into()),
+            OperatorCall::Ready if lifecycle.is_serving() => Ok("ready".into()),
+            OperatorCall::Ready => Err("this process does not serve yet".into()),
+            OperatorCall::Drain => {
+                self.step(DrainInput::Drain);
                 Ok("drained: the front is told no".into())
             }
-            Call::Undrain => {
-                self.step(Input::Undrain);
+            OperatorCall::Undrain => {
+                self.step(DrainInput::Undrain);
                 Ok("consumers are wanted".into())
             }
-            Call::Disable(id) => self.hold(id, true).map(|()| format!("{id} is out")),
-            Call::Enable(id) => self.hold(id, false).map(|()| format!("{id} is back")),
+            OperatorCall::Disable(id) => self.set_disabled(id, true).map(|()| format!("{id} is out")),
+            OperatorCall::Enable(id) => self.set_disabled(id, false).map(|()| format!("{id} is back")),
         }
     }
 }
 
 /// Accepts callers until it is dropped. Without a desk each is told that this process does not serve yet: it may be
 /// waiting for another to hand over.
-pub async fn serve(listener: &TcpListener, desk: Option<Rc<Desk>>) {
+pub async fn serve(listener: &TcpListener, service: Option<Rc<OperatorService>>) {
     let mut callers: VecDeque<tokio::task::JoinHandle<()>> = VecDeque::new();
     loop {
         match listener.accept().await {
@@ -143,7 +147,7 @@
                 {
                     silent.abort();
                 }
-                callers.push_back(actix_rt::spawn(attend(stream, desk.clone())));
+                callers.push_back(actix_rt::spawn(serve_caller(stream, service.clone())));
             }
             Err(e) => {
                 tracing::warn!("operators: accept: {e}");
@@ -154,21 +158,21 @@
 }
 
 /// One caller: a line, its answer, the end.
-async fn attend(mut stream: TcpStream, desk: Option<Rc<Desk>>) {
-    let Ok(Some(call)) = timeout(CALL, heard(&mut stream)).await else { return };
-    let answer = match (call, desk) {
-        (Ok(call), Some(desk)) => desk.answer(call).await,
+async fn serve_caller(mut stream: TcpStream, service: Option<Rc<OperatorService>>) {
+    let Ok(Some(call)) = timeout(CALL, read_call(&mut stream)).await else { return };
+    let answer = match (call, service) {
+        (Ok(call), Some(service)) => service.answer(call).await,
         (Ok(_), None) => operator::answer(Err("this process does not serve yet")),
         (Err(why), _) => {
             tracing::info!("operators: no call: {why}");
             operator::answer(Err(&why.to_string()))
         }
     };
-    let told = async {
+    let written = async {
         stream.write_all(answer.as_bytes()).await?;
         stream.shutdown().await
     };
-    if timeout(LINGER, told).await.is_ok_and(|told| told.is_ok()) {
+    if timeout(LINGER, written).await.is_ok_and(|written| written.is_ok()) {
         // What the caller still sends would reset the connection, and the answer with it.
         let (mut rest, mut left) = ([0; 1_024], LINGER_MAX);
         let drained = async {
@@ -184,12 +188,12 @@
 }
 
 /// Reads one line, in whatever pieces it comes; `None`: the caller has gone without a word.
-async fn heard(stream: &mut TcpStream) -> Option<Result<Call, BadCall>> {
+async fn read_call(stream: &mut TcpStream) -> Option<Result<OperatorCall, BadCall>> {
     let mut bytes = Vec::with_capacity(64);
-    let mut piece = [0; LINE_MAX];
+    let mut chunk = [0; LINE_MAX];
     loop {
-        let n = stream.read(&mut piece).await.ok()?;
-        bytes.extend_from_slice(&piece[..n]);
+        let n = stream.read(&mut chunk).await.ok()?;
+        bytes.extend_from_slice(&chunk[..n]);
         if n == 0 && bytes.is_empty() {
             return None;
         }
--- a/courier/src/transport/platform.rs
+++ b/courier/src/transport/platform.rs
@@ -5,7 +5,7 @@
 use futures_util::StreamExt;
 use futures_util::future::{LocalBoxFuture, poll_fn};
 use quillmount_core::machine::notices::{self, Notices};
-use quillmount_core::machine::watch::{Input, Output, SILENCE, State, TOLD, Watch};
+use quillmount_core::machine::watch::{NOTIFIED_WITHIN, SILENCE, Watch, WatchInput, WatchOutput, WatchState};
 use quillmount_protocol::{discovery, notice};
 use spurshore::Micros;
 use std::net::SocketAddr;
@@ -87,22 +87,22 @@
     let Fleet { couriers, seed, starts, heed, pushed } = fleet;
     let machine = Watch::of_fleet(courier.clock.now(), couriers, seed, starts, heed);
     let mut machine = machine.where_pushed(pushed);
-    let mut todo = if starts { Output::Nothing } else { Output::Ask };
-    let mut out = Questions::default();
+    let mut todo = if starts { WatchOutput::Nothing } else { WatchOutput::Request };
+    let mut out = PendingRequests::default();
     loop {
-        let over = match todo {
-            Output::Stop => return,
-            Output::Ask | Output::AskBeside { .. } => {
-                let stay = if let Output::AskBeside { stay } = todo { stay } else { 0 };
-                if stay < out.0.len().min(1) {
+        let ended = match todo {
+            WatchOutput::Stop => return,
+            WatchOutput::Request | WatchOutput::Hedge { .. } => {
+                let keep = if let WatchOutput::Hedge { keep } = todo { keep } else { 0 };
+                if keep < out.0.len().min(1) {
                     tracing::warn!(
                         "discovery: watch: no answer for {:?}; asked anew",
-                        Duration::from_micros(TOLD)
+                        Duration::from_micros(NOTIFIED_WITHIN)
                     );
                 }
-                out.0.truncate(stay);
+                out.0.truncate(keep);
                 courier.count(|c| c.watches += 1);
-                out.0.push(Some(question(addr, courier.list_version())));
+                out.0.push(Some(request(addr, courier.list_version())));
                 watch_once(&courier, &mut machine, &mut out, &mut older, &moved).await
             }
             _ => {
@@ -110,20 +110,20 @@
                 Err(WatchError::Silent)
             }
         };
-        let Err(e) = over;
+        let Err(e) = ended;
         // Silence, and the end of a pause, are the machine's own findings.
         let input = match e {
-            WatchError::Silent => Input::Tick { moved: moved() },
-            _ => Input::Broken { moved: moved() },
+            WatchError::Silent => WatchInput::Tick { moved: moved() },
+            _ => WatchInput::Broken { moved: moved() },
         };
-        let waited = matches!(machine.state(), State::Pausing { .. });
+        let waited = matches!(machine.state(), WatchState::BackingOff { .. });
         todo = machine.step(input, courier.clock.now());
         match todo {
-            Output::Pause(pause) => {
+            WatchOutput::BackOff(backoff) => {
                 out.0.clear();
-                tracing::warn!("discovery: watch: {e}; again in {:?}", Duration::from_micros(pause));
+                tracing::warn!("discovery: watch: {e}; again in {:?}", Duration::from_micros(backoff));
             }
-            Output::Stop if !waited => {
+            WatchOutput::Stop if !waited => {
                 tracing::info!("discovery: the watch at {addr}, where it was before, is over: {e}");
             }
             _ => {}
@@ -132,12 +132,12 @@
 }
 
 type Answer = Result<awc::ClientResponse, WatchError>;
-type Question = LocalBoxFuture<'static, Answer>;
+type PendingRequest = LocalBoxFuture<'static, Answer>;
 
 /// Asks on a connection of its own: one that rested may be dead, and nothing would say so.
-fn question(addr: SocketAddr, after: u64) -> Question {
+fn request(addr: SocketAddr, after: u64) -> PendingRequest {
     // It is given up before.
-    let client = super::plain_client(Duration::from_micros(2 * TOLD), true);
+    let client = super::plain_client(Duration::from_micros(2 * NOTIFIED_WITHIN), true);
     let asked = client.get(format!("http://{addr}{}", discovery::watch_path(after))).send();
     Box::pin(async move {
         let _client = client;
@@ -151,10 +151,10 @@
 
 /// The questions that are out, in the order in which they were asked; one that failed leaves its place empty.
 #[derive(Default)]
-struct Questions(Vec<Option<Question>>);
+struct PendingRequests(Vec<Option<PendingRequest>>);
 
 /// What became of them.
-enum Came {
+enum PollOutcome {
     Answer(Box<awc::ClientResponse>),
     /// One has failed; `last`: no other is out.
     Failed {
@@ -163,15 +163,15 @@
     },
 }
 
-impl Questions {
-    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Came> {
+impl PendingRequests {
+    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<PollOutcome> {
         for n in 0..self.0.len() {
-            let Some(question) = &mut self.0[n] else { continue };
-            let Poll::Ready(answer) = question.as_mut().poll(cx) else { continue };
+            let Some(request) = &mut self.0[n] else { continue };
+            let Poll::Ready(answer) = request.as_mut().poll(cx) else { continue };
             self.0[n] = None;
             return Poll::Ready(match answer {
-                Ok(answer) => Came::Answer(Box::new(answer)),
-                Err(with) => Came::Failed { with, last: self.0.iter().all(Option::is_none) },
+                Ok(answer) => PollOutcome::Answer(Box::new(answer)),
+                Err(with) => PollOutcome::Failed { with, last: self.0.iter().all(Option::is_none) },
             });
         }
         Poll::Pending
@@ -182,36 +182,36 @@
 async fn watch_once(
     courier: &Rc<Courier>,
     machine: &mut Watch,
-    out: &mut Questions,
+    out: &mut PendingRequests,
     older: &mut Vec<AbortHandle>,
     moved: &impl Fn() -> bool,
 ) -> Result<std::convert::Infallible, WatchError> {
     let mut answer = loop {
         match in_time(courier, machine, poll_fn(|cx| out.poll(cx))).await? {
-            Came::Answer(answer) => break answer,
-            Came::Failed { with, last: true } => return Err(with),
-            Came::Failed { with, last: false } => {
+            PollOutcome::Answer(answer) => break answer,
+            PollOutcome::Failed { with, last: true } => return Err(with),
+            PollOutcome::Failed { with, last: false } => {
                 tracing::warn!("discovery: watch: {with}; another question is out");
-                machine.step(Input::Lost, courier.clock.now());
+                machine.step(WatchInput::Lost, courier.clock.now());
             }
         }
     };
     out.0.clear();
-    machine.step(Input::Answered, courier.clock.now());
+    machine.step(WatchInput::Answered, courier.clock.now());
     let mut lists = discovery::Lists::default();
     loop {
         let chunk = in_time(courier, machine, answer.next()).await?;
-        let said = lists.feed(&chunk.ok_or(WatchError::Ended)??);
-        if said.lives {
-            let heard = Input::Heard { moved: moved() };
-            if machine.step(heard, courier.clock.now()) == Output::TakeOver {
+        let outcome = lists.feed(&chunk.ok_or(WatchError::Ended)??);
+        if outcome.alive {
+            let heard = WatchInput::Heard { moved: moved() };
+            if machine.step(heard, courier.clock.now()) == WatchOutput::EndOlderWatches {
                 older.drain(..).for_each(|task| task.abort());
             }
         }
-        for list in said.lists {
+        for list in outcome.lists {
             courier.list(list);
         }
-        if let Some(e) = said.end {
+        if let Some(e) = outcome.end {
             return Err(e.into());
         }
     }
@@ -223,19 +223,19 @@
     machine: &Watch,
     what: impl Future<Output = T>,
 ) -> Result<T, WatchError> {
-    debug_assert!(matches!(machine.state(), State::Asking { .. } | State::Following { .. }));
+    debug_assert!(matches!(machine.state(), WatchState::Requesting { .. } | WatchState::Following { .. }));
     let left = courier.clock.until(machine.wake_at().unwrap_or_default());
     timeout(left, what).await.map_err(|_| WatchError::Silent)
 }
 
 /// Sends notices, many at a time, until the platform has confirmed each.
 pub async fn notify(courier: Rc<Courier>, mut discovery: Discovery) {
-    let client = super::plain_client(Duration::from_micros(notices::TRY), true);
+    let client = super::plain_client(Duration::from_micros(notices::ATTEMPT_TIMEOUT), true);
     let mut machine = Notices::default();
     loop {
         let notices = courier.notices(machine.most());
-        let wanted = notices::Input::Wanted(notices.len());
-        let notices::Output::Send(_) = machine.step(wanted, courier.clock.now()) else {
+        let wanted = notices::NoticeInput::Wanted(notices.len());
+        let notices::NoticeOutput::Send(_) = machine.step(wanted, courier.clock.now()) else {
             courier.notices_wanted().await;
             continue;
         };
@@ -250,29 +250,29 @@
             while let Some(Ok(_)) = answer.next().await {}
             Ok(answer.status().as_u16())
         });
-        let word = tokio::select! {
+        let input = tokio::select! {
             biased;
             status = tried => match status.unwrap_or_else(|_| Err("no answer in time".to_string())) {
-                Ok(204) => notices::Input::Confirmed,
-                Ok(400) => notices::Input::Unreadable,
+                Ok(204) => notices::NoticeInput::Confirmed,
+                Ok(400) => notices::NoticeInput::Unreadable,
                 other => {
                     tracing::warn!("notices: {} not confirmed: {other:?}", notices.len());
-                    notices::Input::Lost
+                    notices::NoticeInput::Lost
                 }
             },
-            Ok(()) = discovery.changed() => notices::Input::Moved,
+            Ok(()) = discovery.changed() => notices::NoticeInput::Moved,
         };
-        match machine.step(word, courier.clock.now()) {
-            notices::Output::Told => courier.told(&notices),
-            notices::Output::LetGo => {
+        match machine.step(input, courier.clock.now()) {
+            notices::NoticeOutput::Confirmed => courier.notices_confirmed(&notices),
+            notices::NoticeOutput::Discard => {
                 tracing::error!("notices: the platform can't read the one for {:?}", notices[0].id);
-                courier.told(&notices);
+                courier.notices_confirmed(&notices);
             }
             _ => {}
         }
-        while let notices::State::Resting { until } = machine.state() {
+        while let notices::NoticeState::BackingOff { until } = machine.state() {
             sleep(courier.clock.until(until)).await;
-            machine.step(notices::Input::Tick, courier.clock.now());
+            machine.step(notices::NoticeInput::Tick, courier.clock.now());
         }
     }
 }
--- a/courier/src/transport/server.rs
+++ b/courier/src/transport/server.rs
@@ -1,11 +1,11 @@
-//! The server for consumers: actix-http's codec, and a task for each connection on the one thread.
+//! The server for clients: actix-http's codec, and a task for each connection on the one thread.
 //!
 //! The loop around the codec is our own: actix-http's dispatcher buffers 128 KiB for each connection and
 //! does not show what stands behind a request, so that neither can be bounded there.
 
 use super::clock::Clock;
 use super::courier::Courier;
-use super::handle::Part;
+use super::handle::HandoverPart;
 use super::streams;
 use actix_http::body::{BodySize, MessageBody};
 use actix_http::h1::{Codec, Message, MessageType};
@@ -14,12 +14,12 @@
 use actix_rt::time::{Instant, sleep, sleep_until, timeout};
 use bytes::{Bytes, BytesMut};
 use quillmount_core::StreamHead;
-use quillmount_core::crowd::{Crowd, Room};
+use quillmount_core::admission::{Admission, Decision};
 use quillmount_core::flow::Cut;
-use quillmount_core::machine::consumer::{Consumer, Input, Output, State};
-use quillmount_core::router::{Intake, NO_ROOM_WAIT, StreamEnd};
-use quillmount_protocol::invocation::{self, Head, Malformed};
+use quillmount_core::machine::client::{ClientConnection, ClientInput, ClientOutput, ClientState};
+use quillmount_core::router::{Intake, OVERLOAD_RETRY_AFTER, StreamEnd};
 use quillmount_protocol::stream::{self, Body, Digest, Framing};
+use quillmount_protocol::submission::{self, Head, Malformed};
 use rustix::io::Errno;
 use socket2::SockRef;
 use spurshore::MsgId;
@@ -36,14 +36,14 @@
 use tokio::time::timeout_at;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// A whole request comes within this of the connect, or of the end of a rest: a consumer is owed a word
+/// A whole request comes within this of the connect, or of the end of a rest: a client is owed a word
 /// within 3 s, and waits 400 ms itself.
 const REQUEST: Duration = Duration::from_millis(2_200);
 /// How long a connection may rest between requests; the platform asks for 2 s at least.
 const REST: Duration = Duration::from_secs(10);
-/// An answer is small; a consumer that reads nothing for so long has gone.
+/// An answer is small; a client that reads nothing for so long has gone.
 const WRITE: Duration = Duration::from_secs(1);
-/// After an answer that ends a connection, so long and so many bytes are waited for, so that a consumer
+/// After an answer that ends a connection, so long and so many bytes are waited for, so that a client
 /// that still sends gets the answer before its connection is reset.
 const LINGER: Duration = Duration::from_millis(500);
 const LINGER_MAX: usize = 256 * 1024;
@@ -53,14 +53,14 @@
 /// After an accept that failed, for want of descriptors mostly.
 const ACCEPT_REST: Duration = Duration::from_millis(20);
 /// So many connections may wait in the system while the thread is held up: who finds no room there tries again only
-/// after a second, and consumers come by the hundred.
+/// after a second, and clients come by the hundred.
 pub const BACKLOG: u32 = 1_024;
 /// In a fleet that is the pace: it refuses a burst for which it has not asked the others for leave yet.
 pub const BACKLOG_IN_FLEET: u32 = 128;
 /// A connection that is to leave may have a request on its way: it is closed after this, if none has come.
 const LAST_LOOK: Duration = Duration::from_millis(5);
 /// One line tells of all malformed requests, or of all accepts that failed, within this.
-const TELL: Duration = Duration::from_secs(1);
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The task of a connection, and its word to leave.
 struct Task {
@@ -68,14 +68,14 @@
     leave: Rc<Notify>,
 }
 
-/// The consumers' connections, by number.
+/// The clients' connections, by number.
 pub struct Connections {
     clock: Clock,
-    crowd: RefCell<Crowd>,
+    admission: RefCell<Admission>,
     tasks: RefCell<HashMap<u64, Task>>,
     /// Bytes of bodies that may be under way together, and that are.
-    room: u64,
-    under_way: Cell<u64>,
+    bodies_max: u64,
+    bodies_in_flight: Cell<u64>,
     closing: Cell<bool>,
     /// No connection is accepted any more: another process does it from here on, or the planned stop has begun.
     accepts: Notify,
@@ -88,13 +88,13 @@
 
 impl Connections {
     /// `most` connections at once, whose unfinished bodies take `room` bytes at most.
-    pub fn new(clock: Clock, most: usize, room: u64) -> Self {
+    pub fn new(clock: Clock, most: usize, bodies_max: u64) -> Self {
         Connections {
             clock,
-            crowd: RefCell::new(Crowd::new(most)),
+            admission: RefCell::new(Admission::new(most)),
             tasks: RefCell::default(),
-            room,
-            under_way: Cell::new(0),
+            bodies_max,
+            bodies_in_flight: Cell::new(0),
             closing: Cell::new(false),
             accepts: Notify::new(),
             malformed: Cell::default(),
@@ -110,59 +110,64 @@
 
     /// Asks the connections that rest to leave; true if any remains.
     pub fn close_idle(&self) -> bool {
-        let leaving = self.crowd.borrow_mut().all_leave();
-        leaving.into_iter().for_each(|number| self.ask_to_leave(number));
-        !self.crowd.borrow().is_empty()
+        let leaving = self.admission.borrow_mut().close_all_idle();
+        leaving.into_iter().for_each(|number| self.request_close(number));
+        !self.admission.borrow().is_empty()
     }
 
     /// The planned stop has begun: whoever accepts is to leave that.
-    pub fn accept_no_more(&self) {
+    pub fn stop_accepting(&self) {
         self.accepts.notify_one();
     }
 
     /// Asks all connections, and whoever accepts them, to give their parts up to another process.
-    pub fn give(&self) {
+    pub fn release(&self) {
         self.accepts.notify_one();
         self.tasks.borrow().values().for_each(|task| task.leave.notify_one());
     }
 
     /// Connections whose parts are still to be given up; those that are closing are not.
-    pub fn to_give(&self) -> usize {
-        self.crowd.borrow().to_give()
+    pub fn handover_pending(&self) -> usize {
+        self.admission.borrow().handover_pending()
     }
 
     /// Lets a connection in: a new one, or one of another process with what it had read of it.
-    pub fn admit(self: &Rc<Self>, courier: &Rc<Courier>, stream: TcpStream, had: Option<(State, BytesMut)>) {
+    pub fn admit(
+        self: &Rc<Self>,
+        courier: &Rc<Courier>,
+        stream: TcpStream,
+        had: Option<(ClientState, BytesMut)>,
+    ) {
         // An answer must not wait for the acknowledgement of the one before; where it can't be said, it waits.
         let _ = stream.set_nodelay(true);
-        let number = self.crowd.borrow_mut().enter(self.clock.now());
-        let (state, buf) = had.unwrap_or_else(|| (Consumer::default().state(), BytesMut::new()));
-        self.is(number, state);
-        let entry = Entry(self.clone(), number);
+        let number = self.admission.borrow_mut().enter(self.clock.now());
+        let (state, buf) = had.unwrap_or_else(|| (ClientConnection::default().state(), BytesMut::new()));
+        self.set_state(number, state);
+        let registration = Registration(self.clone(), number);
         let codec = Codec::new(ServiceConfig::default());
         let (courier, leave) = (courier.clone(), Rc::new(Notify::new()));
         let head = Bytes::new();
-        let conversation = Conversation { stream, codec, head, buf, courier, entry, leave: leave.clone() };
-        let task = actix_rt::spawn(conversation.run(state));
+        let client = ClientTask { stream, codec, head, buf, courier, registration, leave: leave.clone() };
+        let task = actix_rt::spawn(client.run(state));
         self.tasks.borrow_mut().insert(number, Task { task, leave });
     }
 
-    fn ask_to_leave(&self, number: u64) {
+    fn request_close(&self, number: u64) {
         if let Some(task) = self.tasks.borrow().get(&number) {
             task.leave.notify_one();
         }
     }
 
     /// Makes room for one more.
-    async fn make_room(&self) {
+    async fn wait_for_capacity(&self) {
         loop {
-            let room = self.crowd.borrow_mut().make_room(self.clock.now());
-            match room {
-                Room::Free => return,
-                Room::Leave(number) => return self.ask_to_leave(number),
-                Room::End(number) => return self.end(number).await,
+            let decision = self.admission.borrow_mut().decide(self.clock.now());
+            match decision {
+                Decision::Admit => return,
+                Decision::RequestClose(number) => return self.request_close(number),
+                Decision::Evict(number) => return self.end(number).await,
                 // Those that leave do so within 5 ms, or answer.
-                Room::Wait => self.left.notified().await,
+                Decision::Wait => self.left.notified().await,
             }
         }
     }
@@ -178,45 +183,45 @@
     }
 
     /// The process has no descriptor left: who says nothing gives one back, whatever their number; false: nobody can.
-    async fn give_back(&self) -> bool {
-        let room = self.crowd.borrow_mut().give_back(self.clock.now());
-        match room {
-            Room::Leave(number) => self.ask_to_leave(number),
-            Room::End(number) => self.end(number).await,
-            Room::Free => return false,
-            Room::Wait => {}
+    async fn reclaim_descriptor(&self) -> bool {
+        let decision = self.admission.borrow_mut().reclaim_descriptor(self.clock.now());
+        match decision {
+            Decision::RequestClose(number) => self.request_close(number),
+            Decision::Evict(number) => self.end(number).await,
+            Decision::Admit => return false,
+            Decision::Wait => {}
         }
         true
     }
 
-    fn is(&self, number: u64, state: State) {
-        self.crowd.borrow_mut().is(number, state, self.clock.now());
+    fn set_state(&self, number: u64, state: ClientState) {
+        self.admission.borrow_mut().set_state(number, state, self.clock.now());
         // One that was to leave may have stayed.
         self.left.notify_one();
     }
 
     /// Room for a body under way, if there is any.
     fn reserve(&self, len: u64) -> Option<Reserved<'_>> {
-        let taken = self.under_way.get() + len;
-        (taken <= self.room).then(|| self.under_way.set(taken)).map(|()| Reserved(self, len))
+        let taken = self.bodies_in_flight.get() + len;
+        (taken <= self.bodies_max).then(|| self.bodies_in_flight.set(taken)).map(|()| Reserved(self, len))
     }
 
     /// Tells that nobody can be accepted; it may go on for as long as descriptors are short.
-    fn tell_accept(&self, why: &io::Error) {
-        if self.unaccepted.get().is_none_or(|told| told.elapsed() >= TELL) {
+    fn log_accept_error(&self, why: &io::Error) {
+        if self.unaccepted.get().is_none_or(|logged| logged.elapsed() >= LOG_INTERVAL) {
             tracing::warn!("server: accept: {why}");
             self.unaccepted.set(Some(Instant::now()));
         }
     }
 
     /// Counts a malformed request; a line for each would cost more than its answer.
-    fn tell(&self, why: Malformed) {
-        let (count, told) = self.malformed.get();
-        let now = told.is_none_or(|told| told.elapsed() >= TELL);
+    fn log_malformed(&self, why: Malformed) {
+        let (count, last_logged) = self.malformed.get();
+        let now = last_logged.is_none_or(|logged| logged.elapsed() >= LOG_INTERVAL);
         if now {
             tracing::info!("malformed: {} requests, the last of them: {why}", count + 1);
         }
-        self.malformed.set(if now { (0, Some(Instant::now())) } else { (count + 1, told) });
+        self.malformed.set(if now { (0, Some(Instant::now())) } else { (count + 1, last_logged) });
     }
 }
 
@@ -224,22 +229,22 @@
 
 impl Drop for Reserved<'_> {
     fn drop(&mut self) {
-        self.0.under_way.set(self.0.under_way.get() - self.1);
+        self.0.bodies_in_flight.set(self.0.bodies_in_flight.get() - self.1);
     }
 }
 
 /// Leaves the table with its task, however that ends.
-struct Entry(Rc<Connections>, u64);
+struct Registration(Rc<Connections>, u64);
 
-impl Drop for Entry {
+impl Drop for Registration {
     fn drop(&mut self) {
-        self.0.crowd.borrow_mut().left(self.1);
+        self.0.admission.borrow_mut().remove(self.1);
         self.0.tasks.borrow_mut().remove(&self.1);
         self.0.left.notify_one();
     }
 }
 
-/// Listens for consumers.
+/// Listens for clients.
 ///
 /// # Errors
 /// The address can't be had.
@@ -257,8 +262,8 @@
         // What is accepted is served: a connection dropped in between would be one turned back unheard.
         let accepted = tokio::select! {
             biased;
-            () = connections.accepts.notified() => match courier.handle.life() {
-                life if life.hands_over() || life.stopping().is_some() => return,
+            () = connections.accepts.notified() => match courier.handle.lifecycle() {
+                lifecycle if lifecycle.is_releasing() || lifecycle.stopping().is_some() => return,
                 _ => continue,
             },
             accepted = listener.accept() => accepted,
@@ -266,15 +271,15 @@
         match accepted {
             Ok((stream, _)) => {
                 courier.count(|c| c.connections += 1);
-                connections.make_room().await;
+                connections.wait_for_capacity().await;
                 connections.admit(&courier, stream, None);
             }
             // The one connection broke before it was accepted.
             Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
             Err(e) => {
-                connections.tell_accept(&e);
+                connections.log_accept_error(&e);
                 if is_without_descriptor(&e) {
-                    connections.give_back().await;
+                    connections.reclaim_descriptor().await;
                 }
                 sleep(ACCEPT_REST).await;
             }
@@ -289,14 +294,14 @@
 
 /// Takes in whoever the system has accepted by now, and closes the listener in the moment in which there are none: one
 /// that is closed over them resets them, with what they have sent.
-pub async fn close_doors(listener: TcpListener, courier: &Rc<Courier>, connections: &Rc<Connections>) {
+pub async fn close_listener(listener: TcpListener, courier: &Rc<Courier>, connections: &Rc<Connections>) {
     let Ok(listener) = listener.into_std() else { return };
     // The system holds one more than it was asked to.
     for _ in 0..=BACKLOG {
         let stream = match listener.accept() {
             Ok((stream, _)) => stream,
             Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => continue,
-            Err(e) if is_without_descriptor(&e) && connections.give_back().await => {
+            Err(e) if is_without_descriptor(&e) && connections.reclaim_descriptor().await => {
                 // Who rests has its last look first.
                 sleep(LAST_LOOK).await;
                 continue;
@@ -307,117 +312,128 @@
             continue;
         };
         courier.count(|c| c.connections += 1);
-        connections.make_room().await;
+        connections.wait_for_capacity().await;
         connections.admit(courier, stream, None);
     }
 }
 
-/// One consumer's connection.
-struct Conversation {
+/// One client's connection.
+struct ClientTask {
     stream: TcpStream,
     codec: Codec,
     /// The head of the request whose body is still to come whole, as it was read.
     head: Bytes,
     buf: BytesMut,
     courier: Rc<Courier>,
-    entry: Entry,
+    registration: Registration,
     leave: Rc<Notify>,
 }
 
-impl Conversation {
-    async fn run(mut self, state: State) {
-        match self.converse(state).await {
+impl ClientTask {
+    async fn run(mut self, state: ClientState) {
+        match self.run_machine(state).await {
             Err(e) => tracing::debug!("server: a consumer's connection: {e}"),
             // It leaves the table with its part given.
             Ok(Some(state)) => {
                 let mut bytes = BytesMut::from(&self.head[..]);
                 bytes.extend_from_slice(&self.buf);
-                let Conversation { stream, courier, .. } = self;
-                courier.handle.give(Part::Consumer { state, bytes: bytes.into() }, Some(stream));
+                let ClientTask { stream, courier, .. } = self;
+                courier.handle.release(HandoverPart::Client { state, bytes: bytes.into() }, Some(stream));
             }
             Ok(None) => {}
         }
     }
 
     /// Does what the connection's machine says, until it closes; gives its state where another process goes on.
-    async fn converse(&mut self, state: State) -> io::Result<Option<State>> {
-        let (connections, number) = (self.entry.0.clone(), self.entry.1);
-        let (mut machine, mut todo) = Consumer::resumed(state);
+    async fn run_machine(&mut self, state: ClientState) -> io::Result<Option<ClientState>> {
+        let (connections, number) = (self.registration.0.clone(), self.registration.1);
+        let (mut machine, mut todo) = ClientConnection::resumed(state);
         let mut answer = None;
         loop {
-            if self.courier.handle.life().hands_over() && matches!(todo, Output::Read | Output::Rest) {
+            if self.courier.handle.lifecycle().is_releasing()
+                && matches!(todo, ClientOutput::Read | ClientOutput::Rest)
+            {
                 return Ok(Some(machine.state()));
             }
             let input = match todo {
-                Output::Read => {
-                    let Some((given, input)) = self.asked(&connections).await? else { continue };
+                ClientOutput::Read => {
+                    let Some((given, input)) = self.next_request(&connections).await? else { continue };
                     answer = given;
                     input
                 }
-                Output::Answer { closes } => {
+                ClientOutput::Answer { closes } => {
                     let Some((mut answer, msg)) = answer.take() else { return Ok(None) };
                     if closes {
                         answer.head_mut().set_connection_type(ConnectionType::Close);
                     }
                     let bytes = self.encode(answer)?;
-                    let told = timeout(WRITE, self.stream.write_all(&bytes)).await;
+                    let written = timeout(WRITE, self.stream.write_all(&bytes)).await;
                     if let Some(msg) = msg {
-                        self.courier.stream_answered(msg, matches!(told, Ok(Ok(()))));
+                        self.courier.stream_answered(msg, matches!(written, Ok(Ok(()))));
                     }
-                    told??;
-                    Input::Answered
+                    written??;
+                    ClientInput::Answered
                 }
-                Output::Rest => {
+                ClientOutput::Rest => {
                     self.buf = BytesMut::new();
                     tokio::select! {
                         biased;
-                        _ = self.stream.readable() => Input::Readable,
-                        () = self.leave.notified() => match self.courier.handle.life().hands_over() {
+                        _ = self.stream.readable() => ClientInput::Readable,
+                        () = self.leave.notified() => match self.courier.handle.lifecycle().is_releasing() {
                             true => continue,
-                            false => Input::Leave,
+                            false => ClientInput::Leave,
                         },
-                        () = sleep(REST) => Input::Leave,
+                        () = sleep(REST) => ClientInput::Leave,
                     }
                 }
-                Output::Look => match timeout(LAST_LOOK, self.stream.readable()).await {
-                    Ok(_) => Input::Readable,
-                    Err(_) if self.arrived() => Input::Readable,
-                    Err(_) => Input::Looked,
+                ClientOutput::AwaitLastRequest => match timeout(LAST_LOOK, self.stream.readable()).await {
+                    Ok(_) => ClientInput::Readable,
+                    Err(_) if self.read_arrived() => ClientInput::Readable,
+                    Err(_) => ClientInput::NothingArrived,
                 },
-                Output::Linger => {
+                ClientOutput::Linger => {
                     self.linger().await?;
-                    Input::Lingered
+                    ClientInput::Lingered
                 }
-                Output::Nothing | Output::Close => return Ok(None),
+                ClientOutput::Nothing | ClientOutput::Close => return Ok(None),
             };
             todo = machine.step(input);
             // Who is answered counts as asking still: the answer is small.
-            if matches!(todo, Output::Read | Output::Rest | Output::Look | Output::Linger) {
-                connections.is(number, machine.state());
+            if matches!(
+                todo,
+                ClientOutput::Read
+                    | ClientOutput::Rest
+                    | ClientOutput::AwaitLastRequest
+                    | ClientOutput::Linger
+            ) {
+                connections.set_state(number, machine.state());
             }
         }
     }
 
     /// Waits for a request, and gives its answer; nothing where another process goes on waiting.
-    async fn asked(&mut self, connections: &Connections) -> io::Result<Option<(Option<Answer>, Input)>> {
-        let (number, leave, mut by) = (self.entry.1, self.leave.clone(), Instant::now() + REQUEST);
+    async fn next_request(
+        &mut self,
+        connections: &Connections,
+    ) -> io::Result<Option<(Option<Answer>, ClientInput)>> {
+        let (number, leave, mut by) = (self.registration.1, self.leave.clone(), Instant::now() + REQUEST);
         let courier = self.courier.clone();
         let mut looked = false;
-        let asked = loop {
-            let asked = {
+        let received = loop {
+            let received = {
                 let request = self.request(connections);
                 tokio::pin!(request);
                 loop {
                     tokio::select! {
                         biased;
-                        asked = &mut request => break Some(asked?),
+                        received = &mut request => break Some(received?),
                         () = leave.notified() => {
-                            if courier.handle.life().hands_over() {
+                            if courier.handle.lifecycle().is_releasing() {
                                 return Ok(None);
                             }
                             // Room is short: what is on its way has a moment left. A word that it was told as it
                             // rested does not count: its request had come by then, and has its time like any other.
-                            if connections.crowd.borrow().is_asked(number) {
+                            if connections.admission.borrow().is_asked_to_close(number) {
                                 by = by.min(Instant::now() + LAST_LOOK);
                             }
                         }
@@ -427,46 +443,48 @@
             };
             // A request that came in this very moment would be lost with the connection.
             let silent =
-                asked.is_none() && self.buf.is_empty() && self.codec.message_type() == MessageType::None;
-            if !silent || std::mem::replace(&mut looked, true) || !self.arrived() {
-                break asked;
+                received.is_none() && self.buf.is_empty() && self.codec.message_type() == MessageType::None;
+            if !silent || std::mem::replace(&mut looked, true) || !self.read_arrived() {
+                break received;
             }
             by = Instant::now() + LAST_LOOK;
         };
-        let asked = match asked {
-            Some(asked) => asked,
+        let received = match received {
+            Some(received) => received,
             // Who says nothing is owed nothing.
-            None if self.buf.is_empty() && self.codec.message_type() == MessageType::None => Asked::Nothing,
-            None => Asked::Malformed(Malformed::Slow),
+            None if self.buf.is_empty() && self.codec.message_type() == MessageType::None => {
+                Received::Nothing
+            }
+            None => Received::Malformed(Malformed::Slow),
         };
-        let probe = matches!(asked, Asked::Probed(_));
+        let probe = matches!(received, Received::Probed(_));
         let mut streamed = None;
-        let (answer, closes) = match asked {
-            Asked::Stream(request) => {
+        let (answer, closes) = match received {
+            Received::Stream(request) => {
                 // On the heap: every other connection would carry the room for it along.
                 let (answer, msg) = Box::pin(self.stream(&request, connections)).await;
                 streamed = msg;
                 (answer, true)
             }
-            Asked::Nothing => return Ok(Some((None, Input::Silent))),
-            Asked::Answered(answer) | Asked::Probed(answer) => (answer, false),
-            Asked::Malformed(why) => {
+            Received::Nothing => return Ok(Some((None, ClientInput::Silent))),
+            Received::Answered(answer) | Received::Probed(answer) => (answer, false),
+            Received::Malformed(why) => {
                 self.courier.count(|c| c.malformed += 1);
-                connections.tell(why);
-                (invocation::refuse(why), why.ends_connection())
+                connections.log_malformed(why);
+                (submission::refuse(why), why.ends_connection())
             }
         };
-        let told = answer.head().connection_type() == ConnectionType::Close;
-        let closes = closes || told || !self.codec.keep_alive() || connections.closing.get();
-        Ok(Some((Some((answer, streamed)), Input::Asked { probe, closes })))
+        let answer_closes = answer.head().connection_type() == ConnectionType::Close;
+        let closes = closes || answer_closes || !self.codec.keep_alive() || connections.closing.get();
+        Ok(Some((Some((answer, streamed)), ClientInput::Requested { probe, closes })))
     }
 
     /// Passes a request's body on as it comes; gives the final answer, and the number of the message that it ends.
     async fn stream(&mut self, request: &Request, connections: &Connections) -> Answer {
         let refused = |why: Malformed, courier: &Courier| {
             courier.count(|c| c.malformed += 1);
-            connections.tell(why);
-            (invocation::refuse(why), None)
+            connections.log_malformed(why);
+            (submission::refuse(why), None)
         };
         let courier = self.courier.clone();
         let Some(rules) = &courier.rules else { return refused(Malformed::Length, &courier) };
@@ -480,8 +498,8 @@
                 Some(_) => return Err(Malformed::Expect),
             };
             match framing {
-                Framing::Length(length) if length > rules.largest => Err(Malformed::OverLimit),
-                _ if !rules.allow(head.class()) => Err(Malformed::OverLimit),
+                Framing::Length(length) if length > rules.largest => Err(Malformed::ExceedsClassLimit),
+                _ if !rules.allow(head.class()) => Err(Malformed::ExceedsClassLimit),
                 framing => Ok((framing, head, Digest::of(headers)?, expects)),
             }
         };
@@ -493,17 +511,17 @@
             Framing::Length(length) => Some(length),
             Framing::Chunked => None,
         };
-        let told = StreamHead { length, digest: stream::digest_text(headers) };
-        let taken = courier.take_on_stream(head.with_body(Bytes::new()), told, rules);
+        let stream_head = StreamHead { length, digest: stream::digest_text(headers) };
+        let taken = courier.submit_stream(head.with_body(Bytes::new()), stream_head, rules);
         let pipe = match taken {
             Ok(pipe) => pipe,
-            Err(intake) => return (invocation::answer(intake), None),
+            Err(intake) => return (submission::answer(intake), None),
         };
-        connections.crowd.borrow_mut().streams(self.entry.1);
-        let mut gone = Gone { courier: courier.clone(), msg: Some(pipe.msg) };
+        connections.admission.borrow_mut().mark_streaming(self.registration.1);
+        let mut guard = StreamGuard { courier: courier.clone(), msg: Some(pipe.msg) };
         let body = (Body::new(framing, rules.largest), digest);
         let end =
-            streams::take(&mut self.stream, &mut self.buf, &courier.handle, &pipe, body, expects, |why| {
+            streams::receive(&mut self.stream, &mut self.buf, &courier.handle, &pipe, body, expects, |why| {
                 courier.stream_fails(&pipe, why)
             })
             .await;
@@ -512,26 +530,30 @@
             return (stream::answer(end), None);
         }
         // From here on whoever writes the answer says what came of it.
-        gone.msg = None;
+        guard.msg = None;
         (stream::answer(end), Some(pipe.msg))
     }
 
     /// Reads one request whole, and acts on it; nothing of it holds before its last byte has come.
-    async fn request(&mut self, connections: &Connections) -> io::Result<Asked> {
-        while !invocation::is_whole_head(&self.buf) {
+    async fn request(&mut self, connections: &Connections) -> io::Result<Received> {
+        while !submission::is_whole_head(&self.buf) {
             let refused = match self.buf.len() {
                 n if n > HEAD_MAX => Some(Malformed::HeadTooLarge),
-                _ if invocation::has_bare_line_end(&self.buf) => Some(Malformed::Unreadable),
+                _ if submission::has_bare_line_end(&self.buf) => Some(Malformed::Unreadable),
                 _ => None,
             };
             if let Some(why) = refused {
-                return Ok(Asked::Malformed(why));
+                return Ok(Received::Malformed(why));
             }
             if self.read().await? == 0 {
-                return Ok(if self.buf.is_empty() { Asked::Nothing } else { Malformed::Unreadable.into() });
+                return Ok(if self.buf.is_empty() {
+                    Received::Nothing
+                } else {
+                    Malformed::Unreadable.into()
+                });
             }
         }
-        if invocation::has_bare_line_end(&self.buf) {
+        if submission::has_bare_line_end(&self.buf) {
             return Ok(Malformed::Unreadable.into());
         }
         let before = self.buf.clone().freeze();
@@ -540,22 +562,22 @@
         };
         self.head = before.slice(..before.len().saturating_sub(self.buf.len()));
         if self.streams(&request) {
-            return Ok(Asked::Stream(request));
+            return Ok(Received::Stream(request));
         }
         let head = match Head::decode(request.method(), request.path(), request.headers()) {
             Err(why) if why.ends_connection() => return Ok(why.into()),
             head => head,
         };
-        let length = head.as_ref().map_or(invocation::length(request.headers()), |head| Ok(head.length));
+        let length = head.as_ref().map_or(submission::length(request.headers()), |head| Ok(head.length));
         let length = match length {
             Ok(length) => length,
             Err(why) => return Ok(why.into()),
         };
         let Some(_reserved) = connections.reserve(length as u64) else {
             self.courier.count(|c| c.rejected += 1);
-            let mut answer = invocation::answer(Intake::Rejected { after: NO_ROOM_WAIT });
+            let mut answer = submission::answer(Intake::Rejected { after: OVERLOAD_RETRY_AFTER });
             answer.head_mut().set_connection_type(ConnectionType::Close);
-            return Ok(Asked::Answered(answer));
+            return Ok(Received::Answered(answer));
         };
         if request.head().expect() && self.buf.len() < length {
             self.stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
@@ -574,27 +596,27 @@
             }
         }
         self.head = Bytes::new();
-        // A consumer sends one request at a time: what stands behind this one has no good reason.
+        // A client sends one request at a time: what stands behind this one has no good reason.
         if !self.buf.is_empty() || self.stream.try_read_buf(&mut self.buf).is_ok_and(|n| n > 0) {
             return Ok(Malformed::Behind.into());
         }
         Ok(match request.path() {
-            "/-/ready" | "/-/healthy" => Asked::Probed(probe(&self.courier, &request)),
+            "/-/ready" | "/-/healthy" => Received::Probed(probe(&self.courier, &request)),
             _ => match head {
                 Err(why) => why.into(),
                 Ok(head) => {
-                    let invocation = head.with_body(body);
-                    if let Some(settles) = self.courier.settles() {
-                        let addressing = invocation::addressing(request.headers());
-                        if let Some(answer) = (settles.hand_in)(&invocation, addressing) {
-                            return Ok(Asked::Answered(answer.await));
+                    let submission = head.with_body(body);
+                    if let Some(hooks) = self.courier.settlement_hooks() {
+                        let addressing = submission::addressing(request.headers());
+                        if let Some(answer) = (hooks.hand_in)(&submission, addressing) {
+                            return Ok(Received::Answered(answer.await));
                         }
                     }
-                    let intake = self.courier.take_on(invocation);
-                    if intake == Intake::TakenOn {
+                    let intake = self.courier.submit(submission);
+                    if intake == Intake::Accepted {
                         self.courier.copied().await;
                     }
-                    Asked::Answered(invocation::answer(intake))
+                    Received::Answered(submission::answer(intake))
                 }
             },
         })
@@ -605,7 +627,7 @@
     fn streams(&self, request: &Request) -> bool {
         let large = || match stream::framing(request.headers()) {
             Ok(Framing::Chunked) => true,
-            Ok(Framing::Length(length)) => length > invocation::BODY_MAX as u64,
+            Ok(Framing::Length(length)) => length > submission::BODY_MAX as u64,
             Err(_) => false,
         };
         self.courier.rules.is_some() && large()
@@ -613,7 +635,7 @@
 
     /// Takes what the system has for it by now. The runtime knows of that only from its last round on, and a thread
     /// that was held up since then would close over a request.
-    fn arrived(&mut self) -> bool {
+    fn read_arrived(&mut self) -> bool {
         let mut bytes = [0; READ];
         let mut socket = &*SockRef::from(&self.stream);
         let read = socket.read(&mut bytes).unwrap_or(0);
@@ -638,7 +660,7 @@
         Ok(bytes)
     }
 
-    /// The answer is on its way; what the consumer still sends is let go.
+    /// The answer is on its way; what the client still sends is let go.
     async fn linger(&mut self) -> io::Result<()> {
         self.stream.shutdown().await?;
         let (until, mut left) = (Instant::now() + LINGER, LINGER_MAX);
@@ -659,12 +681,12 @@
 type Answer = (Response<Bytes>, Option<MsgId>);
 
 /// A stream whose connection ends before its answer: the platform is told its end instead.
-struct Gone {
+struct StreamGuard {
     courier: Rc<Courier>,
     msg: Option<MsgId>,
 }
 
-impl Drop for Gone {
+impl Drop for StreamGuard {
     fn drop(&mut self) {
         if let Some(msg) = self.msg {
             self.courier.stream_lost(msg);
@@ -673,7 +695,7 @@
 }
 
 /// What came of one wait for a request.
-enum Asked {
+enum Received {
     /// Its body is to be passed on.
     Stream(Request),
     /// The connection ended between requests.
@@ -683,20 +705,20 @@
     Malformed(Malformed),
 }
 
-impl From<Malformed> for Asked {
+impl From<Malformed> for Received {
     fn from(why: Malformed) -> Self {
-        Asked::Malformed(why)
+        Received::Malformed(why)
     }
 }
 
 fn probe(courier: &Courier, request: &Request) -> Response<Bytes> {
-    let serving = courier.wants_consumers() || request.path() == "/-/healthy";
+    let serving = courier.accepts_clients() || request.path() == "/-/healthy";
     match (request.method(), serving) {
-        (&Method::GET | &Method::HEAD, true) => invocation::plain(StatusCode::OK, "ready\n"),
+        (&Method::GET | &Method::HEAD, true) => submission::plain(StatusCode::OK, "ready\n"),
         (&Method::GET | &Method::HEAD, false) => {
             let fleet = courier.gate.as_ref().and_then(|gate| gate.closed());
-            invocation::plain(StatusCode::SERVICE_UNAVAILABLE, fleet.unwrap_or("not ready\n"))
+            submission::plain(StatusCode::SERVICE_UNAVAILABLE, fleet.unwrap_or("not ready\n"))
         }
-        _ => invocation::refuse(Malformed::Method),
+        _ => submission::refuse(Malformed::Method),
     }
 }
--- a/courier/src/transport/socket.rs
+++ b/courier/src/transport/socket.rs
@@ -1,4 +1,4 @@
-//! A provider's connection by itself: whether it may carry the next call, and what may still be written to it.
+//! An endpoint's connection by itself: whether it may carry the next call, and what may still be written to it.
 
 use socket2::SockRef;
 use std::io::{ErrorKind, Result};
--- a/courier/tests/command.rs
+++ b/courier/tests/command.rs
@@ -121,10 +121,10 @@
 
 /// Two records, as the core writes them.
 fn journal() -> Vec<u8> {
-    use quillmount_core::journal::{Journal, Record, TakenOn};
+    use quillmount_core::journal::{AcceptedMessage, Journal, JournalRecord};
     use quillmount_core::store::Memory;
     let (mut journal, _) = Journal::open(Memory::default(), 1_000_000, 0, &mut Vec::new()).unwrap();
-    let taken = TakenOn {
+    let taken = AcceptedMessage {
         id: "m-1".into(),
         class: "fee-debit".into(),
         key: None,
@@ -132,8 +132,8 @@
         deadline: 1_000_000,
         body: b"fee".to_vec().into(),
     };
-    journal.take_on(1, taken, false, 0, &mut Vec::new()).unwrap();
-    journal.note_all(&[Record::Attempt { msg: 1, zone: 0, sent: 5 }], 0, &mut Vec::new()).unwrap();
+    journal.submit(1, taken, false, 0, &mut Vec::new()).unwrap();
+    journal.append_all(&[JournalRecord::Attempt { msg: 1, zone: 0, sent: 5 }], 0, &mut Vec::new()).unwrap();
     journal.store().bytes().to_vec()
 }
 
--- a/courier/tests/descriptors.rs
+++ b/courier/tests/descriptors.rs
@@ -41,7 +41,7 @@
 /// More idle consumers than it has descriptors for, all at once, while discovery is down and after: what discovery,
 /// notices, journal and providers need was set aside, and no accept ever fails.
 #[test]
-fn idle_consumers_leave_what_the_courier_itself_needs() {
+fn idle_clients_leave_what_the_courier_itself_needs() {
     idle_consumers(MOST);
 }
 
@@ -144,7 +144,7 @@
 
 /// The system's own table is full, or somebody has lowered the limit: below it, who says nothing makes room.
 #[test]
-fn without_a_descriptor_an_idle_consumer_makes_room_for_one_that_asks() {
+fn without_a_descriptor_an_idle_client_is_evicted_for_one_that_has_a_request() {
     descriptors_for_the_test();
     run_test(async || {
         let mut test_bed = TestBed::open(PROGRAM, |_| EndpointScript::default(), |_| {}).await.unwrap();
@@ -268,7 +268,7 @@
 /// The word to make room and the first bytes of a request reach a resting connection in one round: it has the request's
 /// whole time, and not the moment of one that is asked in the middle of its request.
 #[test]
-fn a_request_that_begins_as_its_resting_connection_is_to_make_room_has_its_time() {
+fn a_request_that_begins_as_its_idle_connection_is_evicted_has_its_time() {
     descriptors_for_the_test();
     run_test(async || {
         // Room for twenty consumers.
@@ -299,7 +299,7 @@
 
 /// The same as the doors close: who waits there would be reset with what it has sent.
 #[test]
-fn without_a_descriptor_as_the_doors_close_an_idle_consumer_makes_room_for_one_that_asks() {
+fn without_a_descriptor_as_the_doors_close_an_idle_client_is_evicted_for_one_that_has_a_request() {
     descriptors_for_the_test();
     run_test(async || {
         let mut test_bed = TestBed::open(PROGRAM, |_| EndpointScript::silent(), |_| {}).await.unwrap();
--- a/courier/tests/inherited.rs
+++ b/courier/tests/inherited.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn consumers_that_came_before_the_process_are_served() {
+fn clients_that_came_before_the_process_are_served() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     let number = let_inherit(&listener);
--- a/courier/tests/operators.rs
+++ b/courier/tests/operators.rs
@@ -261,7 +261,7 @@
 
 /// A taker that says nothing once all has come: the holder goes on with every connection and call.
 #[test]
-fn a_hand_over_that_is_not_confirmed_is_taken_back() {
+fn a_handover_that_is_not_confirmed_is_taken_back() {
     use std::io::Read;
     run_test(|| async {
         let mut test_bed =
@@ -345,7 +345,7 @@
 /// go ends at once. Without an answer of the taker in time it is the first of the two, so that case is tried until the
 /// signal has come in between.
 #[test]
-fn a_stop_in_the_middle_of_a_hand_over_waits_for_who_decides_then() {
+fn a_stop_in_the_middle_of_a_handover_waits_for_who_decides_then() {
     use std::io::{Read, Write};
     for confirms in [false, true] {
         run_test(|| async {
--- a/courier/tests/restart.rs
+++ b/courier/tests/restart.rs
@@ -1,7 +1,7 @@
 //! Restarts and hand-overs on sockets, and folders and files of another customer: each test forces one moment.
 
 use bytes::Bytes;
-use quillmount_core::journal::{Record, TakenOn, frame};
+use quillmount_core::journal::{AcceptedMessage, JournalRecord, frame};
 use quillmount_standins::client::{self, MessageRequest};
 use quillmount_standins::courier::{Courier, PreviousProcess, Setup};
 use quillmount_standins::endpoint::{self, EndpointScript};
@@ -223,11 +223,11 @@
 }
 
 /// Another process at the old one's socket, as far as it is to come.
-struct Taker(UnixStream);
+struct HandoverReceiver(UnixStream);
 
-impl Taker {
-    async fn open(test_bed: &TestBed) -> Taker {
-        Taker(UnixStream::connect(test_bed.courier.folder.join("state/handover")).await.unwrap())
+impl HandoverReceiver {
+    async fn open(test_bed: &TestBed) -> HandoverReceiver {
+        HandoverReceiver(UnixStream::connect(test_bed.courier.folder.join("state/handover")).await.unwrap())
     }
 
     /// Says the version that it hears.
@@ -264,7 +264,7 @@
         let mut test_bed = test_bed(EndpointScript::default(), false, |_| {}).await;
         assert_eq!(test_bed.submit("paid-notice", "m").await, 202);
         test_bed.ends(["m".to_string()], &mut BTreeMap::new()).await;
-        let mut taker = Taker::open(&test_bed).await;
+        let mut taker = HandoverReceiver::open(&test_bed).await;
         taker.greet().await;
         taker.say(ASK).await;
         assert_eq!(taker.read_answer().await.0, STATE);
@@ -293,7 +293,7 @@
 /// The process that takes over dies, falls silent or says rubbish at each step, and the old one is told to end, to read its
 /// configuration again, or is asked by a third just then: it goes on with all that was out, and gives nobody two answers.
 #[test]
-fn a_hand_over_that_breaks_off_at_any_step_is_taken_back_whole() {
+fn a_handover_that_breaks_off_at_any_step_is_taken_back_whole() {
     use BreaksOff::*;
     run_test(|| async {
         for (step, signal) in [Reached, Greeted, Asked, HasState, Silent, Rubbish]
@@ -314,7 +314,7 @@
                     *calls.entry(id).or_default() += 1;
                 }
             }
-            let mut taker = Taker::open(&test_bed).await;
+            let mut taker = HandoverReceiver::open(&test_bed).await;
             if step != Reached {
                 taker.greet().await;
             }
@@ -324,7 +324,7 @@
             let frozen = [HasState, Silent, Rubbish].contains(&step);
             if frozen {
                 assert_eq!(taker.read_answer().await.0, STATE, "{what}");
-                let mut third = Taker::open(&test_bed).await;
+                let mut third = HandoverReceiver::open(&test_bed).await;
                 third.greet().await;
                 third.say(ASK).await;
                 assert_eq!(third.read_answer().await, (BUSY, 1), "{what}: it serves another");
@@ -425,7 +425,7 @@
 }
 
 #[test]
-fn sigterm_in_a_hand_over_loses_nothing() {
+fn sigterm_in_a_handover_loses_nothing() {
     run_test(|| async {
         struck(Fault::TermOld).await;
         struck(Fault::TermNew).await;
@@ -433,7 +433,7 @@
 }
 
 #[test]
-fn sighup_in_a_hand_over_loses_nothing() {
+fn sighup_in_a_handover_loses_nothing() {
     run_test(|| async {
         struck(Fault::HangUpOld).await;
         struck(Fault::HangUpNew).await;
@@ -441,7 +441,7 @@
 }
 
 #[test]
-fn a_kill_of_either_or_both_in_a_hand_over_loses_nothing() {
+fn a_kill_of_either_or_both_in_a_handover_loses_nothing() {
     run_test(|| async {
         struck(Fault::KillOld).await;
         struck(Fault::KillNew).await;
@@ -466,8 +466,8 @@
         while bytes.len() < 1_400_000 {
             let (id, body) = (format!("m{owed}"), Bytes::from(vec![b'x'; 500]));
             let (class, dest, deadline) = ("paid-notice".to_string(), 7, now + 60_000_000);
-            let taken = TakenOn { id, class, key: None, dest, deadline, body };
-            bytes.extend(frame(&Record::TakeOn { msg: owed, taken }).unwrap());
+            let taken = AcceptedMessage { id, class, key: None, dest, deadline, body };
+            bytes.extend(frame(&JournalRecord::Accept { msg: owed, taken }).unwrap());
             owed += 1;
         }
         test_bed.courier.kill().unwrap();
--- a/courier/tests/shutdown.rs
+++ b/courier/tests/shutdown.rs
@@ -402,7 +402,7 @@
 
 /// The next process waits for a holder that hangs, and is told to stop meanwhile: it has nothing yet, and goes.
 #[test]
-fn a_stop_while_a_holder_that_hangs_is_waited_for_ends_in_time() {
+fn a_stop_while_a_lock_owner_that_hangs_is_waited_for_ends_in_time() {
     run_test(async || {
         let mut test_bed = silent().await;
         assert_eq!(test_bed.submit("owed").await.unwrap(), 202);
--- a/courier/tests/stored_forms.rs
+++ b/courier/tests/stored_forms.rs
@@ -13,15 +13,15 @@
 use fixtures::fixture;
 use quillmount_core::call;
 use quillmount_core::hub;
-use quillmount_core::machine::consumer;
-use quillmount_protocol::operator::Call;
+use quillmount_core::machine::client;
+use quillmount_protocol::operator::OperatorCall;
 use serde::Serialize;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::UnixStream;
 use transport::channel::Channel;
 use transport::frames::Frame;
-use transport::handle::Part;
+use transport::handle::HandoverPart;
 
 /// A state and calls that are out: the core's tests check what is in them.
 const STATE: &[u8] = include_bytes!("../../core/tests/fixtures/handover_state.bin");
@@ -30,43 +30,55 @@
 /// What both sides say first.
 const HELLO: &[u8] = b"qmh\x00\x00\x03";
 
-fn state() -> Box<hub::State> {
+fn state() -> Box<hub::HubState> {
     Box::new(postcard::from_bytes(STATE).unwrap())
 }
 
-fn consumers() -> [consumer::State; 6] {
+fn clients() -> [client::ClientState; 6] {
     [
-        consumer::State::Asking { first: true, last: false },
-        consumer::State::Answering { probed: true, closes: false },
-        consumer::State::Resting { probed: true },
-        consumer::State::Leaving,
-        consumer::State::Closing,
-        consumer::State::Over,
+        client::ClientState::Requesting { first: true, last: false },
+        client::ClientState::Answering { probed: true, closes: false },
+        client::ClientState::Idle { probed: true },
+        client::ClientState::Leaving,
+        client::ClientState::Closing,
+        client::ClientState::Closed,
     ]
 }
 
-fn calls() -> Vec<(call::Part, Option<u32>)> {
+fn calls() -> Vec<(call::CallSnapshot, Option<u32>)> {
     postcard::from_bytes(CALLS).unwrap()
 }
 
 /// The parts that follow a state, each with a word whether a descriptor comes with it.
-fn parts() -> Vec<(Part, bool)> {
-    let mut all = vec![(Part::Listener, true), (Part::Listener, false)];
-    for state in consumers() {
-        all.push((Part::Consumer { state, bytes: b"POST /fee-debit HTTP/1.1\r\n".to_vec() }, true));
+fn parts() -> Vec<(HandoverPart, bool)> {
+    let mut all = vec![(HandoverPart::Listener, true), (HandoverPart::Listener, false)];
+    for state in clients() {
+        all.push((HandoverPart::Client { state, bytes: b"POST /fee-debit HTTP/1.1\r\n".to_vec() }, true));
     }
     let addrs = ["10.1.0.18:7070", "[2001:db8::1]:7070"];
-    all.extend((300..).zip(addrs).map(|(provider, addr)| {
-        (Part::Resting { provider, addr: addr.parse().unwrap(), since: 1_700_000_000_000_000 }, true)
+    all.extend((300..).zip(addrs).map(|(endpoint, addr)| {
+        (
+            HandoverPart::IdleConnection {
+                endpoint,
+                addr: addr.parse().unwrap(),
+                since: 1_700_000_000_000_000,
+            },
+            true,
+        )
     }));
-    all.extend(calls().into_iter().map(|(call, held)| (Part::Call(Box::new(call)), held.is_some())));
+    all.extend(calls().into_iter().map(|(call, held)| (HandoverPart::Call(Box::new(call)), held.is_some())));
     all
 }
 
 fn frames() -> Vec<Frame> {
-    let operators =
-        [Call::Ready, Call::Disable("s-1".into()), Call::Enable("s-1".into()), Call::Drain, Call::Undrain];
-    let mut all = vec![Frame::Ask];
+    let operators = [
+        OperatorCall::Ready,
+        OperatorCall::Disable("s-1".into()),
+        OperatorCall::Enable("s-1".into()),
+        OperatorCall::Drain,
+        OperatorCall::Undrain,
+    ];
+    let mut all = vec![Frame::Request];
     all.extend(operators.map(Frame::Call));
     all.push(Frame::Said("SUCCESS ready\n".into()));
     all.push(Frame::Busy);
@@ -122,14 +134,27 @@
         }
         assert!(channel.recv::<Frame>().await.is_err(), "nothing is left");
         assert_eq!(sent(&read).await, stored);
-        let [Frame::Ask, Frame::Call(Call::Ready), Frame::Call(disable), Frame::Call(enable), rest @ ..] =
-            &read[..]
+        let [
+            Frame::Request,
+            Frame::Call(OperatorCall::Ready),
+            Frame::Call(disable),
+            Frame::Call(enable),
+            rest @ ..,
+        ] = &read[..]
         else {
             panic!()
         };
-        assert_eq!((disable, enable), (&Call::Disable("s-1".into()), &Call::Enable("s-1".into())));
-        let [Frame::Call(Call::Drain), Frame::Call(Call::Undrain), Frame::Said(said), Frame::Busy, rest @ ..] =
-            rest
+        assert_eq!(
+            (disable, enable),
+            (&OperatorCall::Disable("s-1".into()), &OperatorCall::Enable("s-1".into()))
+        );
+        let [
+            Frame::Call(OperatorCall::Drain),
+            Frame::Call(OperatorCall::Undrain),
+            Frame::Said(said),
+            Frame::Busy,
+            rest @ ..,
+        ] = rest
         else {
             panic!()
         };
@@ -151,25 +176,26 @@
         let mut channel = heard(stored.clone()).await;
         let mut read = Vec::new();
         for _ in parts() {
-            read.push(channel.recv::<(Part, bool)>().await.unwrap());
+            read.push(channel.recv::<(HandoverPart, bool)>().await.unwrap());
         }
-        assert!(channel.recv::<(Part, bool)>().await.is_err(), "nothing is left");
+        assert!(channel.recv::<(HandoverPart, bool)>().await.is_err(), "nothing is left");
         assert_eq!(sent(&read).await, stored);
-        assert!(matches!(read[..2], [(Part::Listener, true), (Part::Listener, false)]));
-        for (one, wanted) in read[2..].iter().zip(consumers()) {
-            let (Part::Consumer { state, bytes }, true) = one else { panic!() };
+        assert!(matches!(read[..2], [(HandoverPart::Listener, true), (HandoverPart::Listener, false)]));
+        for (one, wanted) in read[2..].iter().zip(clients()) {
+            let (HandoverPart::Client { state, bytes }, true) = one else { panic!() };
             assert_eq!((*state, &bytes[..]), (wanted, &b"POST /fee-debit HTTP/1.1\r\n"[..]));
         }
         let addrs = ["10.1.0.18:7070", "[2001:db8::1]:7070"].map(|addr| addr.parse().unwrap());
         for (one, wanted) in read[8..10].iter().zip((300u32..).zip(addrs)) {
-            let (Part::Resting { provider, addr, since: 1_700_000_000_000_000 }, true) = one else {
+            let (HandoverPart::IdleConnection { endpoint, addr, since: 1_700_000_000_000_000 }, true) = one
+            else {
                 panic!()
             };
-            assert_eq!((*provider, *addr), wanted);
+            assert_eq!((*endpoint, *addr), wanted);
         }
         assert_eq!(read.len(), 10 + calls().len());
         for ((one, fd), (wanted, held)) in read[10..].iter().zip(calls()) {
-            let Part::Call(call) = one else { panic!() };
+            let HandoverPart::Call(call) = one else { panic!() };
             assert_eq!((postcard::to_allocvec(call), *fd), (postcard::to_allocvec(&wanted), held.is_some()));
         }
     });
--- a/courier/tests/streams.rs
+++ b/courier/tests/streams.rs
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_provider_that_stops_in_a_body_holds_up_nobody_else() {
+fn an_endpoint_that_stops_in_a_body_holds_up_nobody_else() {
     run_test(|| async {
         let stops = EndpointScript { stop_at: Some(100_000), ..EndpointScript::default() };
         let mut scripts = vec![stops];
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn a_consumer_that_stalls_is_told_and_its_body_is_not_whole() {
+fn a_client_that_stalls_is_told_and_its_body_is_not_whole() {
     run_test(|| async {
         let limits = streams(json!({"consumer": {"stall": "200ms"}}));
         let mut test_bed = test_bed(limits, &[(1, vec![EndpointScript::default()])]).await;
@@ -488,7 +488,7 @@
 }
 
 #[test]
-fn a_stream_without_a_slot_is_turned_away_before_its_body_is_asked_for() {
+fn a_stream_without_a_slot_is_rejected_before_its_body_is_requested() {
     run_test(|| async {
         let mut test_bed = test_bed(
             streams(json!({"share_of_slots": 0.0})),
@@ -513,7 +513,7 @@
 }
 
 #[test]
-fn a_provider_that_never_answers_is_given_up_at_the_messages_time() {
+fn an_endpoint_that_never_answers_is_given_up_at_the_messages_time() {
     run_test(|| async {
         let mut test_bed = test_bed(streams(json!({})), &[(1, vec![EndpointScript::silent()])]).await;
         let message = MessageRequest { time_left: Duration::from_millis(2_500), ..debit("silent") };
--- a/courier/tests/watch.rs
+++ b/courier/tests/watch.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_watch_that_falls_silent_is_asked_for_anew_until_discovery_is_back() {
+fn a_watch_that_falls_silent_is_requested_again_until_discovery_is_back() {
     run(run_test());
 }
 
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn bytes_that_never_become_a_list_are_no_sign_of_life() {
+fn bytes_that_never_become_a_list_are_no_heartbeat() {
     run(trickle());
 }
 
@@ -521,6 +521,6 @@
 }
 
 #[test]
-fn an_agent_that_is_back_and_resets_what_was_asked_is_asked_anew_at_once() {
+fn an_agent_that_is_back_and_resets_what_was_asked_is_requested_again_at_once() {
     run(back_with_resets());
 }
--- a/explore/src/clients.rs
+++ b/explore/src/clients.rs
@@ -2,8 +2,8 @@
 //! table with room for fewer. The machines and the table are the courier's; the driver's few lines
 //! (`courier/src/transport/server.rs`) are played here.
 
-use quillmount_core::crowd::{Crowd, Room};
-use quillmount_core::machine::consumer::{Consumer, Input, Output, State};
+use quillmount_core::admission::{Admission, Decision};
+use quillmount_core::machine::client::{ClientConnection, ClientInput, ClientOutput, ClientState};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
 /// A little longer than a consumer that came to ask may take before others go first.
@@ -18,9 +18,9 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct ClientConnection {
-    machine: Consumer,
-    output: Output,
+struct ModelledConnection {
+    machine: ClientConnection,
+    output: ClientOutput,
     socket: Socket,
     /// Told to leave, and not heard yet.
     leave_requested: bool,
@@ -35,8 +35,8 @@
 
 #[derive(Clone, Debug)]
 struct ClientWorld {
-    crowd: Crowd,
-    connections: BTreeMap<u64, ClientConnection>,
+    admission: Admission,
+    connections: BTreeMap<u64, ModelledConnection>,
     /// Consumers that are still to come.
     remaining_clients: u8,
     requests: u8,
@@ -71,7 +71,7 @@
 pub fn explore(clients: u8, requests: u8, max_connections: usize) -> ClientSearch {
     let connections = BTreeMap::new();
     let root = ClientWorld {
-        crowd: Crowd::new(max_connections),
+        admission: Admission::new(max_connections),
         connections,
         remaining_clients: clients,
         requests,
@@ -131,7 +131,7 @@
             "{connections:?} {order:?} {} {} {:?}",
             self.remaining_clients,
             self.closing,
-            self.crowd.asked()
+            self.admission.asked_to_close()
         )
     }
 
@@ -143,7 +143,8 @@
         }
         for (n, c) in &self.connections {
             let wants_to_send = c.requests_left > 0 && c.socket != Socket::Whole;
-            let can_send = matches!(c.output, Output::Read | Output::Rest | Output::Look);
+            let can_send =
+                matches!(c.output, ClientOutput::Read | ClientOutput::Rest | ClientOutput::AwaitLastRequest);
             if wants_to_send && can_send && c.socket == Socket::Nothing {
                 events.push(ClientEvent::Sends(*n, Socket::Part));
             }
@@ -151,11 +152,11 @@
                 events.push(ClientEvent::Sends(*n, Socket::Whole));
             }
             let ready = match c.output {
-                Output::Read => {
+                ClientOutput::Read => {
                     c.socket == Socket::Whole || (c.leave_requested && !c.cut && c.is_follow_up())
                 }
-                Output::Rest => c.socket != Socket::Nothing || c.leave_requested,
-                Output::Look => c.socket != Socket::Nothing,
+                ClientOutput::Rest => c.socket != Socket::Nothing || c.leave_requested,
+                ClientOutput::AwaitLastRequest => c.socket != Socket::Nothing,
                 _ => false,
             };
             if ready {
@@ -165,9 +166,9 @@
             }
             let waits = match c.output {
                 // What is there to be read is read first.
-                Output::Read => c.socket != Socket::Whole,
-                Output::Rest | Output::Look => c.socket == Socket::Nothing,
-                Output::Linger => true,
+                ClientOutput::Read => c.socket != Socket::Whole,
+                ClientOutput::Rest | ClientOutput::AwaitLastRequest => c.socket == Socket::Nothing,
+                ClientOutput::Linger => true,
                 _ => false,
             };
             if waits {
@@ -193,7 +194,7 @@
             }
             ClientEvent::Goes(n) => self.proceed(n)?,
             ClientEvent::TimeUp(n) => self.time_up(n)?,
-            ClientEvent::Breaks(n) => self.step(n, Input::Broken, true)?,
+            ClientEvent::Breaks(n) => self.step(n, ClientInput::Broken, true)?,
             ClientEvent::Ages => self.now += AGE,
             ClientEvent::Stops => {
                 self.closing = true;
@@ -204,38 +205,38 @@
             self.leave_all();
         }
         let open = self.connections.len();
-        let leaving = self.connections.values().filter(|c| c.machine.state() == State::Leaving).count();
-        if leaving > quillmount_core::crowd::LEAVING_MAX {
+        let leaving = self.connections.values().filter(|c| c.machine.state() == ClientState::Leaving).count();
+        if leaving > quillmount_core::admission::LEAVING_MAX {
             return Err(format!("{leaving} of {open} are leaving"));
         }
         Ok(())
     }
 
     fn leave_all(&mut self) {
-        for n in self.crowd.all_leave() {
+        for n in self.admission.close_all_idle() {
             self.connections.entry(n).and_modify(|c| c.leave_requested = true);
         }
     }
 
     fn connect(&mut self) -> Result<(), String> {
-        match self.crowd.make_room(self.now) {
-            Room::Free => {}
-            Room::Leave(n) => {
+        match self.admission.decide(self.now) {
+            Decision::Admit => {}
+            Decision::RequestClose(n) => {
                 self.connections.entry(n).and_modify(|c| c.leave_requested = true);
             }
-            Room::End(n) => {
+            Decision::Evict(n) => {
                 if let Some(c) = self.connections.remove(&n) {
                     check_no_request_lost(n, &c)?;
                 }
             }
             // It waits until one has left.
-            Room::Wait => return Ok(()),
+            Decision::Wait => return Ok(()),
         }
         self.remaining_clients -= 1;
-        let n = self.crowd.enter(self.now);
-        let fresh = ClientConnection {
-            machine: Consumer::default(),
-            output: Output::Read,
+        let n = self.admission.enter(self.now);
+        let fresh = ModelledConnection {
+            machine: ClientConnection::default(),
+            output: ClientOutput::Read,
             socket: Socket::Nothing,
             leave_requested: false,
             cut: false,
@@ -251,18 +252,18 @@
         let closing = self.closing;
         let Some(c) = self.connections.get_mut(&n) else { return Ok(()) };
         match c.output {
-            Output::Read if c.socket == Socket::Whole => {
+            ClientOutput::Read if c.socket == Socket::Whole => {
                 (c.socket, c.requests_left) = (Socket::Nothing, c.requests_left - 1);
-                self.step(n, Input::Asked { probe: false, closes: closing }, false)
+                self.step(n, ClientInput::Requested { probe: false, closes: closing }, false)
             }
-            Output::Read => {
+            ClientOutput::Read => {
                 (c.leave_requested, c.cut) = (false, true);
                 Ok(())
             }
-            _ if c.socket != Socket::Nothing => self.step(n, Input::Readable, false),
+            _ if c.socket != Socket::Nothing => self.step(n, ClientInput::Readable, false),
             _ => {
                 c.leave_requested = false;
-                self.step(n, Input::Leave, false)
+                self.step(n, ClientInput::Leave, false)
             }
         }
     }
@@ -270,49 +271,52 @@
     fn time_up(&mut self, n: u64) -> Result<(), String> {
         let Some(c) = self.connections.get(&n) else { return Ok(()) };
         let input = match (c.output, c.socket) {
-            (Output::Read, Socket::Nothing) => Input::Silent,
+            (ClientOutput::Read, Socket::Nothing) => ClientInput::Silent,
             // Slow: a malformed request is answered, and the connection closed.
-            (Output::Read, _) => Input::Asked { probe: false, closes: true },
-            (Output::Rest, _) => Input::Leave,
-            (Output::Look, _) => Input::Looked,
-            _ => Input::Lingered,
+            (ClientOutput::Read, _) => ClientInput::Requested { probe: false, closes: true },
+            (ClientOutput::Rest, _) => ClientInput::Leave,
+            (ClientOutput::AwaitLastRequest, _) => ClientInput::NothingArrived,
+            _ => ClientInput::Lingered,
         };
         self.step(n, input, false)
     }
 
-    fn step(&mut self, n: u64, input: Input, broken: bool) -> Result<(), String> {
+    fn step(&mut self, n: u64, input: ClientInput, broken: bool) -> Result<(), String> {
         let now = self.now;
         let Some(c) = self.connections.get_mut(&n) else { return Ok(()) };
         c.output = c.machine.step(input);
         match c.output {
-            Output::Close => {
+            ClientOutput::Close => {
                 let c = self.connections.remove(&n).ok_or("it was there")?;
-                self.crowd.left(n);
+                self.admission.remove(n);
                 if broken { Ok(()) } else { check_no_request_lost(n, &c) }
             }
-            Output::Read | Output::Rest | Output::Look | Output::Linger => {
+            ClientOutput::Read
+            | ClientOutput::Rest
+            | ClientOutput::AwaitLastRequest
+            | ClientOutput::Linger => {
                 (c.since, c.cut) = (now, false);
-                self.crowd.is(n, c.machine.state(), now);
+                self.admission.set_state(n, c.machine.state(), now);
                 Ok(())
             }
             // The driver writes an answer at once: it is small, and the socket has room for it.
-            Output::Answer { .. } => {
+            ClientOutput::Answer { .. } => {
                 c.answered += 1;
-                self.step(n, Input::Answered, broken)
+                self.step(n, ClientInput::Answered, broken)
             }
-            Output::Nothing => Ok(()),
+            ClientOutput::Nothing => Ok(()),
         }
     }
 }
 
-impl ClientConnection {
+impl ModelledConnection {
     fn is_follow_up(&self) -> bool {
-        matches!(self.machine.state(), State::Asking { first: false, .. })
+        matches!(self.machine.state(), ClientState::Requesting { first: false, .. })
     }
 }
 
 /// A request whose last byte had come may go down with its connection only if it was the first.
-fn check_no_request_lost(n: u64, c: &ClientConnection) -> Result<(), String> {
+fn check_no_request_lost(n: u64, c: &ModelledConnection) -> Result<(), String> {
     if c.socket == Socket::Whole && c.answered > 0 {
         return Err(format!("connection {n} is closed under a whole request: {c:?}"));
     }
--- a/explore/src/streams.rs
+++ b/explore/src/streams.rs
@@ -6,15 +6,15 @@
 use crate::case::{CLASSES, Case};
 use crate::fingerprint::Fingerprint;
 use crate::monitor::{Property, Violation, violated};
-use quillmount_core::call::{Call, Told};
+use quillmount_core::call::{Call, StepOutcome};
 use quillmount_core::flow::{Cut, Flow, Pace, Source};
-use quillmount_core::hub::{Do, Hub};
-use quillmount_core::machine::attempt::{Input, State};
+use quillmount_core::hub::{DriverAction, Hub};
+use quillmount_core::machine::attempt::{AttemptInput, AttemptState};
 use quillmount_core::pool::Pool;
 use quillmount_core::router::{Intake, Router, StreamEnd, StreamLimits};
 use quillmount_core::store::Memory;
-use quillmount_core::{CallEnd, CallId, Ending, Invocation, Notice, Provider, ProviderList};
-use quillmount_protocol::invoker;
+use quillmount_core::{CallEnd, CallId, Ending, EndpointList, EndpointListing, Notice, Submission};
+use quillmount_protocol::delivery;
 use spurshore::{ListState, Micros, MsgId};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
@@ -189,14 +189,14 @@
 }
 
 /// A courier, and what it is to do first.
-type Opened = (Hub<Memory, u32>, Vec<Do<u32>>);
+type Opened = (Hub<Memory, u32>, Vec<DriverAction<u32>>);
 
 fn open(size: Size, store: Memory, now: Micros) -> Result<Opened, String> {
     // A destination's first window is three eighths of the slots: room for one call, and for two.
     let (time_left, slots) = ((TIME_LEFT / 1_000) as u32, if size.bodies > 1 { 8 } else { 4 });
     let case = Case { attempts: size.attempts, time_left, slots, ..Case::default() };
     let env = case.env().map_err(|e| e.to_string())?;
-    let provider = Provider {
+    let provider = EndpointListing {
         id: "p0".into(),
         addr: Some(([127, 0, 0, 1], 1).into()),
         dest: 0,
@@ -205,7 +205,7 @@
         weight: 50.0,
         state: ListState::Ready,
     };
-    let list = ProviderList { version: 1, full: true, providers: vec![provider] };
+    let list = EndpointList { version: 1, full: true, endpoints: vec![provider] };
     let limits = Some(StreamLimits { most: 2, part_of_slots: 0.5, part_of_window: 0.5 });
     let (router, steps) =
         Router::open_with(&env, limits, 1, list.clone(), store, 3_000_000, now).map_err(|e| e.to_string())?;
@@ -282,7 +282,7 @@
         let (mut events, body, alone) = (Vec::new(), &self.bodies[n], self.size.bodies == 1);
         if let Some(flow) = body.flow.as_ref().filter(|_| body.connected && body.ends.is_empty()) {
             let coming = flow.source() == Source::Coming;
-            if coming && body.begun && flow.room() > 0 && flow.received() < self.size.length() {
+            if coming && body.begun && flow.capacity() > 0 && flow.received() < self.size.length() {
                 events.push(Arrives);
             }
             if coming && flow.received() == self.size.length() {
@@ -299,8 +299,8 @@
         let Some((id, call)) = self.call(n) else { return events };
         let flow = body.flow.as_ref();
         match call.state() {
-            State::Connecting => events.extend([Up, Refused]),
-            State::Writing { .. } => {
+            AttemptState::Connecting => events.extend([Up, Refused]),
+            AttemptState::Writing { .. } => {
                 if body.paused_until.is_some_and(|paused_until| self.now >= paused_until) {
                     events.push(Resumes);
                 }
@@ -314,7 +314,7 @@
                 events.extend([Wait, Breaks, TimeUp]);
                 events.extend(if alone { &[Ok, Error, Full][..] } else { &[] });
             }
-            State::Awaiting => {
+            AttemptState::Awaiting => {
                 events.extend([Ok, Wait, Breaks]);
                 events.extend(if alone { &[Error, Full][..] } else { &[] });
                 if self.answer_deadlines.get(&id).is_some_and(|by| self.now >= *by) {
@@ -353,7 +353,7 @@
             }
             IsWhole => {
                 self.bodies[n].intact = true;
-                self.flow_mut(n, |flow| flow.is_whole(now));
+                self.flow_mut(n, |flow| flow.complete(now));
                 Result::Ok(())
             }
             Digest => self.cut(n, Cut::Digest),
@@ -367,17 +367,17 @@
                 let connection = self.connection;
                 self.step(n, |call, pool| call.connected(pool, connection, now))
             }
-            Refused => self.input(n, Input::Refused),
+            Refused => self.input(n, AttemptInput::Refused),
             Writes => {
                 self.write_unit(n)?;
-                self.input(n, Input::Wrote { bytes: 1, left: 1 })
+                self.input(n, AttemptInput::Wrote { bytes: 1, left: 1 })
             }
             Finishes => {
                 self.may_write()?;
                 self.update_received(n, |received| received.whole = true);
-                self.input(n, Input::Wrote { bytes: 0, left: 0 })
+                self.input(n, AttemptInput::Wrote { bytes: 0, left: 0 })
             }
-            WriteFails => self.input(n, Input::WriteFailed),
+            WriteFails => self.input(n, AttemptInput::WriteFailed),
             StreamEvent::Ok => self.answer_call(n, "200 OK", false),
             Error => self.answer_call(n, "500 Internal Server Error", false),
             Full => self.answer_call(n, "503 Service Unavailable", true),
@@ -385,12 +385,12 @@
                 self.wait_until = self.wait_until.max(now + WAIT_TIME);
                 self.answer_call(n, "429 Too Many Requests\r\nRetry-After: 0.7", true)
             }
-            Breaks => self.input(n, Input::Reset),
-            TimeUp => self.input(n, Input::Deadline),
-            CallTick => self.input(n, Input::Tick),
+            Breaks => self.input(n, AttemptInput::Reset),
+            TimeUp => self.input(n, AttemptInput::Deadline),
+            CallTick => self.input(n, AttemptInput::Tick),
             Resumes => {
                 self.bodies[n].paused_until = None;
-                self.flow_mut(n, |flow| flow.pause(false, now));
+                self.flow_mut(n, |flow| flow.set_paused(false, now));
                 Result::Ok(())
             }
             Unbegun => {
@@ -434,7 +434,7 @@
                         Ending::Deferred(after) => StreamEnd::Deferred(*after),
                     });
                 }
-                let todo = self.hub.told(&notices, now);
+                let todo = self.hub.notices_confirmed(&notices, now);
                 self.execute(todo)
             }
             Kill => self.kill(),
@@ -463,9 +463,9 @@
         let class = CLASSES[usize::from(self.size.class)].to_string();
         let key = (self.size.class == 1).then(|| format!("k{n}"));
         let (id, body) = (format!("m{n}"), Default::default());
-        let invocation = Invocation { id, class, key, dest: 0, tenant: None, time_left: TIME_LEFT, body };
-        let (intake, msg, todo) = self.hub.take_on_stream(invocation, self.now);
-        if intake != Intake::TakenOn {
+        let invocation = Submission { id, class, key, dest: 0, tenant: None, time_left: TIME_LEFT, body };
+        let (intake, msg, todo) = self.hub.submit_stream(invocation, self.now);
+        if intake != Intake::Accepted {
             return violated(Property::FinalAnswer, format!("it is not taken on: {intake:?}"));
         }
         let pace = Pace { stall: 1_000_000, span: 60_000_000, least: 0 };
@@ -522,10 +522,10 @@
         {
             bytes.extend_from_slice(answer.as_bytes());
         }
-        self.input(n, Input::Read)
+        self.input(n, AttemptInput::Read)
     }
 
-    fn input(&mut self, n: usize, input: Input) -> Result<(), Violation> {
+    fn input(&mut self, n: usize, input: AttemptInput) -> Result<(), Violation> {
         let now = self.now;
         self.step(n, |call, pool| call.step(pool, input, now))
     }
@@ -533,7 +533,7 @@
     fn step(
         &mut self,
         n: usize,
-        step: impl FnOnce(&mut Call<u32>, &mut Pool<u32>) -> Told<u32>,
+        step: impl FnOnce(&mut Call<u32>, &mut Pool<u32>) -> StepOutcome<u32>,
     ) -> Result<(), Violation> {
         let Some((id, _)) = self.call(n) else { return Ok(()) };
         self.step_id(id, step)
@@ -542,7 +542,7 @@
     fn step_id(
         &mut self,
         id: CallId,
-        step: impl FnOnce(&mut Call<u32>, &mut Pool<u32>) -> Told<u32>,
+        step: impl FnOnce(&mut Call<u32>, &mut Pool<u32>) -> StepOutcome<u32>,
     ) -> Result<(), Violation> {
         let Some(n) = self.body_of(id.msg) else { return Ok(()) };
         let Some(call) = self.outstanding.get_mut(&id) else { return Ok(()) };
@@ -550,7 +550,7 @@
         let result = step(call, &mut self.hub.pool);
         let (state, patience) = (call.state(), call.order.timeout);
         let now = self.now;
-        if matches!(state, State::Writing { .. }) && !matches!(before, State::Writing { .. }) {
+        if matches!(state, AttemptState::Writing { .. }) && !matches!(before, AttemptState::Writing { .. }) {
             // The driver begins the body with the connection.
             let mut whole = true;
             self.flow_mut(n, |flow| whole = flow.begin(now));
@@ -561,7 +561,7 @@
             body.received.entry(id.attempt).or_default();
             (body.begun, body.paused_until) = (true, None);
         }
-        if state == State::Awaiting && before != State::Awaiting && result.end.is_none() {
+        if state == AttemptState::Awaiting && before != AttemptState::Awaiting && result.end.is_none() {
             self.answer_deadlines.insert(id, now + patience);
             let todo = self.hub.stream(|router| router.stream_written(id, now), now);
             self.execute(todo)?;
@@ -585,33 +585,35 @@
     }
 
     /// An attempt hears a word; where it is told to wait and goes on all the same, its driver pauses.
-    fn deliver_input(&mut self, id: CallId, input: Input) -> Result<(), Violation> {
+    fn deliver_input(&mut self, id: CallId, input: AttemptInput) -> Result<(), Violation> {
         let now = self.now;
         self.step_id(id, |call, pool| call.step(pool, input, now))?;
-        let writing = self.outstanding.get(&id).filter(|call| matches!(call.state(), State::Writing { .. }));
-        if let (Input::Hold, Some(call), Some(n)) = (input, writing, self.body_of(id.msg)) {
-            self.bodies[n].paused_until = Some(self.hub.pool.held_until(call.order.provider));
-            self.flow_mut(n, |flow| flow.pause(true, now));
+        let writing =
+            self.outstanding.get(&id).filter(|call| matches!(call.state(), AttemptState::Writing { .. }));
+        if let (AttemptInput::BackOff, Some(call), Some(n)) = (input, writing, self.body_of(id.msg)) {
+            self.bodies[n].paused_until = Some(self.hub.pool.backoff_until(call.order.endpoint));
+            self.flow_mut(n, |flow| flow.set_paused(true, now));
         }
         Ok(())
     }
 
-    fn execute(&mut self, todo: Vec<Do<u32>>) -> Result<(), Violation> {
+    fn execute(&mut self, todo: Vec<DriverAction<u32>>) -> Result<(), Violation> {
         let now = self.now;
         for one in todo {
             match one {
-                Do::Begin(order) => {
+                DriverAction::Begin(order) => {
                     let id = order.call;
                     let n = self.body_of(id.msg);
                     if n.is_none_or(|n| !self.bodies[n].connected) {
                         self.finish_call(id, CallEnd::HeldBack)?;
                         continue;
                     }
-                    self.outstanding.insert(id, Call::streamed(order, invoker::decode, invoker::ANSWER_MAX));
+                    self.outstanding
+                        .insert(id, Call::streamed(order, delivery::decode, delivery::ANSWER_MAX));
                     self.step_id(id, |call, pool| call.start(pool, now, |_| true))?;
                 }
-                Do::Tell(id, input) => self.deliver_input(id, input)?,
-                Do::Answer(msg, end) => {
+                DriverAction::Signal(id, input) => self.deliver_input(id, input)?,
+                DriverAction::Answer(msg, end) => {
                     let Some(n) = self.body_of(msg) else {
                         return violated(Property::FinalAnswer, format!("an answer to nobody: {end:?}"));
                     };
@@ -621,7 +623,7 @@
                     }
                     body.answer = Some(end);
                 }
-                Do::Close(_) | Do::Notify | Do::Note(_) => {}
+                DriverAction::Close(_) | DriverAction::Notify | DriverAction::Note(_) => {}
             }
         }
         Ok(())
@@ -647,7 +649,9 @@
 
     /// What must hold in every state, by what provider, consumer and platform know.
     fn check_invariants(&self) -> Result<(), Violation> {
-        let flows = |call: &&Call<u32>| matches!(call.state(), State::Connecting | State::Writing { .. });
+        let flows = |call: &&Call<u32>| {
+            matches!(call.state(), AttemptState::Connecting | AttemptState::Writing { .. })
+        };
         let flowing = self.outstanding.values().filter(flows).count();
         if flowing > STREAM_SHARE {
             return violated(
