--- a/explore/src/world.rs
+++ b/explore/src/world.rs
@@ -5,17 +5,17 @@
 use crate::monitor::{
     Acceptance, DRAIN_GRACE, Monitor, ObservedMessage, Property, SLACK, Violation, violated,
 };
-use quillmount_core::call::{Call, Told};
-use quillmount_core::hub::{Do, Hub};
-use quillmount_core::journal::Book;
-use quillmount_core::machine::attempt::{CLOSING, Input, State};
+use quillmount_core::call::{Call, StepOutcome};
+use quillmount_core::hub::{DriverAction, Hub};
+use quillmount_core::journal::JournalContents;
+use quillmount_core::machine::attempt::{AttemptInput, AttemptState, CLOSING_TIME};
 use quillmount_core::machine::notices::{self, Notices};
 use quillmount_core::machine::watch::{self, Watch};
 use quillmount_core::pool::Pool;
 use quillmount_core::router::{Intake, Router};
 use quillmount_core::store::{Fault, Memory};
-use quillmount_core::{CallEnd, CallId, Invocation, Notice, Provider, ProviderList};
-use quillmount_protocol::invoker;
+use quillmount_core::{CallEnd, CallId, EndpointList, EndpointListing, Notice, Submission};
+use quillmount_protocol::delivery;
 use spurshore::{ListState, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -129,7 +129,7 @@
             crashing: false,
             monitor: Monitor::default(),
         };
-        world.watch.step(watch::Input::Answered, START);
+        world.watch.step(watch::WatchInput::Answered, START);
         let todo = world.hub.list(known, START);
         world.execute(todo).map_err(|e| e.to_string())?;
         Ok(world)
@@ -191,7 +191,7 @@
         let allows = |event| self.allows(event);
         // The driver writes at once what a connection that is up may carry: nothing comes in between.
         for out in self.calls.values() {
-            if let State::Writing { written: 0 } = out.call.state() {
+            if let AttemptState::Writing { written: 0 } = out.call.state() {
                 let call_ref = call_ref(out);
                 all.push(Action::Write(call_ref, WriteExtent::Complete));
                 all.extend(
@@ -205,7 +205,7 @@
         let mut waits = false;
         for out in self.calls.values() {
             let (call_ref, state) = (call_ref(out), out.call.state());
-            if !matches!(state, State::Closing { .. }) && self.now >= out.deadline {
+            if !matches!(state, AttemptState::Closing { .. }) && self.now >= out.deadline {
                 all.push(Action::Deadline(call_ref));
                 urgent = true;
             }
@@ -214,24 +214,24 @@
                 urgent = true;
             }
             match state {
-                State::Connecting => {
+                AttemptState::Connecting => {
                     all.push(Action::Connected(call_ref));
                     let late = self.now >= out.dial;
                     all.extend((late || allows(FaultKind::Refuse)).then_some(Action::Refused(call_ref)));
                     urgent |= late;
                     waits |= !allows(FaultKind::NeverConnects);
                 }
-                State::Writing { .. } => {
+                AttemptState::Writing { .. } => {
                     all.push(Action::Write(call_ref, WriteExtent::Complete));
                     all.extend(
                         allows(FaultKind::Break).then_some(Action::Write(call_ref, WriteExtent::Broken)),
                     );
                 }
-                State::Awaiting | State::Closing { .. } if out.arrived.is_some() => {
+                AttemptState::Awaiting | AttemptState::Closing { .. } if out.arrived.is_some() => {
                     all.push(Action::ReadAnswer(call_ref));
                     urgent = true;
                 }
-                State::Awaiting => {
+                AttemptState::Awaiting => {
                     let answers = [
                         (Answer::Ok, None),
                         (Answer::Error, Some(FaultKind::Error)),
@@ -253,17 +253,17 @@
                     self.arrival_actions(call_ref, &mut all);
                     waits |= !allows(FaultKind::Timeout);
                 }
-                State::Reading { .. } => {
+                AttemptState::Reading { .. } => {
                     all.push(Action::EndpointClosed(call_ref));
                 }
                 // What the provider says crosses with the word that the call is given up; it says nothing more
                 // once it has seen that.
-                State::Closing { until, .. }
-                    if self.now + CLOSING == until && out.call.connection().is_some() =>
+                AttemptState::Closing { until, .. }
+                    if self.now + CLOSING_TIME == until && out.call.connection().is_some() =>
                 {
                     self.arrival_actions(call_ref, &mut all);
                 }
-                State::New | State::Closing { .. } | State::Over => {}
+                AttemptState::New | AttemptState::Closing { .. } | AttemptState::Finished => {}
             }
         }
         if self.hub.router.wake_at().is_some_and(|at| self.now >= at) {
@@ -272,21 +272,16 @@
         }
         self.notice_actions(&mut all, &mut urgent);
         self.submission_actions(&mut all);
-        if matches!(self.watch.state(), watch::State::Pausing { until } if self.now >= until) {
+        if matches!(self.watch.state(), watch::WatchState::BackingOff { until } if self.now >= until) {
             all.push(Action::WatchTick);
             urgent = true;
         }
-        let following = matches!(self.watch.state(), watch::State::Following { .. });
+        let following = matches!(self.watch.state(), watch::WatchState::Following { .. });
         all.extend((allows(FaultKind::Watch) && following).then_some(Action::WatchBreak));
         self.discovery_actions(&mut all);
         if allows(FaultKind::Idle) {
-            let resting: BTreeSet<u32> = self
-                .hub
-                .pool
-                .resting()
-                .filter(|(_, c, _)| !self.closed.contains(c))
-                .map(|(n, ..)| n)
-                .collect();
+            let resting: BTreeSet<u32> =
+                self.hub.pool.idle().filter(|(_, c, _)| !self.closed.contains(c)).map(|(n, ..)| n).collect();
             all.extend(resting.into_iter().map(Action::IdleClosed));
         }
         if self.disk_full {
@@ -313,7 +308,8 @@
     /// A move that changes nothing but a value that no other move open here reads or writes, and that no
     /// property sees: the end of the notices' rest. It commutes with all of them.
     pub fn is_independent(&self, action: Action) -> bool {
-        action == Action::NoticeTick && matches!(self.notices.state(), notices::State::Resting { .. })
+        action == Action::NoticeTick
+            && matches!(self.notices.state(), notices::NoticeState::BackingOff { .. })
     }
 
     /// Events that are not kind are open as long as there are any left.
@@ -335,13 +331,13 @@
 
     fn notice_actions(&self, all: &mut Vec<Action>, urgent: &mut bool) {
         match self.notices.state() {
-            notices::State::Quiet => {
+            notices::NoticeState::Quiet => {
                 if !self.hub.router.notices(1).is_empty() {
                     all.push(Action::SendNotices);
                     *urgent = true;
                 }
             }
-            notices::State::Sent { until, .. } => {
+            notices::NoticeState::Sent { until, .. } => {
                 all.push(Action::Confirmed);
                 // The platform takes notices at once; twice in a row it fails nobody.
                 let may_lose = self.allows(FaultKind::Lose) && self.consecutive_losses == 0;
@@ -354,7 +350,7 @@
                 }
                 *urgent |= !may_lose || self.now >= until;
             }
-            notices::State::Resting { until } => {
+            notices::NoticeState::BackingOff { until } => {
                 if self.now >= until {
                     all.push(Action::NoticeTick);
                     *urgent = true;
@@ -404,7 +400,7 @@
             let replace = line.state == 0 && free && has_capacity && self.allows(FaultKind::Replace);
             all.extend(replace.then_some(Action::EndpointReplaced(n8)));
         }
-        let follows = self.is_up() && matches!(self.watch.state(), watch::State::Following { .. });
+        let follows = self.is_up() && matches!(self.watch.state(), watch::WatchState::Following { .. });
         all.extend((follows && self.allows(FaultKind::FullList)).then_some(Action::FullList));
     }
 
@@ -413,7 +409,7 @@
         let mut hard: Vec<Micros> = Vec::new();
         hard.extend(self.hub.router.wake_at());
         hard.extend(self.notices.wake_at());
-        if let watch::State::Pausing { until } = self.watch.state() {
+        if let watch::WatchState::BackingOff { until } = self.watch.state() {
             hard.push(until);
         }
         if let ProcessState::Stopping { end } = self.process {
@@ -421,10 +417,10 @@
         }
         for out in self.calls.values() {
             hard.extend(out.call.attempt().wake_at());
-            if !matches!(out.call.state(), State::Closing { .. }) {
+            if !matches!(out.call.state(), AttemptState::Closing { .. }) {
                 hard.push(out.deadline);
             }
-            if out.call.state() == State::Connecting {
+            if out.call.state() == AttemptState::Connecting {
                 hard.push(out.dial);
                 hard.extend(
                     self.monitor.drains.get(&out.provider).map(|announced_at| announced_at + DRAIN_GRACE),
@@ -493,7 +489,7 @@
                 self.connections += 1;
                 self.step(call_ref, |call, pool, now| call.connected(pool, connection, now))
             }
-            Action::Refused(call_ref) => self.input(call_ref, Input::Refused),
+            Action::Refused(call_ref) => self.input(call_ref, AttemptInput::Refused),
             Action::Write(call_ref, how) => self.write(call_ref, how),
             Action::Answer(call_ref, answer) => self.answer(call_ref, answer),
             Action::AnswerArrived(call_ref, answer) => {
@@ -501,10 +497,10 @@
                 Ok(())
             }
             Action::ReadAnswer(call_ref) => self.read(call_ref),
-            Action::EndpointClosed(call_ref) => self.input(call_ref, Input::End),
-            Action::Reset(call_ref) => self.input(call_ref, Input::Reset),
-            Action::Deadline(call_ref) => self.input(call_ref, Input::Deadline),
-            Action::CallTick(call_ref) => self.input(call_ref, Input::Tick),
+            Action::EndpointClosed(call_ref) => self.input(call_ref, AttemptInput::End),
+            Action::Reset(call_ref) => self.input(call_ref, AttemptInput::Reset),
+            Action::Deadline(call_ref) => self.input(call_ref, AttemptInput::Deadline),
+            Action::CallTick(call_ref) => self.input(call_ref, AttemptInput::Tick),
             Action::Tick => {
                 let todo = self.hub.tick(self.now);
                 self.execute(todo)
@@ -519,21 +515,23 @@
             }
             Action::FullList => self.send_list(true),
             Action::WatchBreak => {
-                self.watch.step(watch::Input::Broken { moved: false }, self.now);
+                self.watch.step(watch::WatchInput::Broken { moved: false }, self.now);
                 Ok(())
             }
             Action::WatchTick => {
-                self.watch.step(watch::Input::Tick { moved: false }, self.now);
-                self.watch.step(watch::Input::Answered, self.now);
+                self.watch.step(watch::WatchInput::Tick { moved: false }, self.now);
+                self.watch.step(watch::WatchInput::Answered, self.now);
                 self.send_list(false)
             }
             Action::SendNotices => self.send_notices(),
             Action::Confirmed => {
                 self.platform_receives()?;
                 self.consecutive_losses = 0;
-                if self.notices.step(notices::Input::Confirmed, self.now) == notices::Output::Told {
+                if self.notices.step(notices::NoticeInput::Confirmed, self.now)
+                    == notices::NoticeOutput::Confirmed
+                {
                     self.confirmed_notices = std::mem::take(&mut self.sent_notices);
-                    let todo = self.hub.told(&self.confirmed_notices, self.now);
+                    let todo = self.hub.notices_confirmed(&self.confirmed_notices, self.now);
                     self.execute(todo)?;
                 }
                 Ok(())
@@ -543,28 +541,28 @@
                     self.platform_receives()?;
                 }
                 self.consecutive_losses += 1;
-                let output = self.notices.step(notices::Input::Lost, self.now);
+                let output = self.notices.step(notices::NoticeInput::Lost, self.now);
                 let notices = std::mem::take(&mut self.sent_notices);
-                if output == notices::Output::LetGo {
-                    let todo = self.hub.told(&notices, self.now);
+                if output == notices::NoticeOutput::Discard {
+                    let todo = self.hub.notices_confirmed(&notices, self.now);
                     self.execute(todo)?;
                 }
                 Ok(())
             }
             Action::NoticeTick => {
-                if matches!(self.notices.state(), notices::State::Sent { .. }) {
+                if matches!(self.notices.state(), notices::NoticeState::Sent { .. }) {
                     (self.consecutive_losses, self.faults) = (self.consecutive_losses + 1, self.faults + 1);
                 }
-                self.notices.step(notices::Input::Tick, self.now);
+                self.notices.step(notices::NoticeInput::Tick, self.now);
                 Ok(())
             }
             Action::ConfirmedTwice => {
                 let twice = std::mem::take(&mut self.confirmed_notices);
-                let todo = self.hub.told(&twice, self.now);
+                let todo = self.hub.notices_confirmed(&twice, self.now);
                 self.execute(todo)
             }
             Action::IdleClosed(n) => {
-                let first = self.hub.pool.resting().find(|(p, c, _)| *p == n && !self.closed.contains(c));
+                let first = self.hub.pool.idle().find(|(p, c, _)| *p == n && !self.closed.contains(c));
                 self.closed.extend(first.map(|(_, c, _)| *c));
                 Ok(())
             }
@@ -595,21 +593,21 @@
         }
     }
 
-    fn execute(&mut self, todo: Vec<Do<u32>>) -> Result<(), Violation> {
+    fn execute(&mut self, todo: Vec<DriverAction<u32>>) -> Result<(), Violation> {
         if self.crashing {
             return Ok(());
         }
         for one in todo {
             match one {
-                Do::Begin(order) => {
+                DriverAction::Begin(order) => {
                     let message = self.numbers.get(&order.call.msg).copied();
-                    let provider = self.hub.router.provider_name(order.provider);
+                    let provider = self.hub.router.endpoint_name(order.endpoint);
                     let provider = provider.strip_prefix('p').and_then(|n| n.parse().ok());
                     let (Some(message), Some(provider)) = (message, provider) else {
                         return violated(Property::Unchanged, format!("a call for nobody: {:?}", order.call));
                     };
                     let (id, deadline) = (order.call, self.now + order.timeout);
-                    let call = Call::new(order, invoker::decode, invoker::ANSWER_MAX);
+                    let call = Call::new(order, delivery::decode, delivery::ANSWER_MAX);
                     let dial = self.now + DIAL_TIMEOUT;
                     self.calls.insert(
                         id,
@@ -627,26 +625,29 @@
                     let quiet = |c: &u32| !closed.contains(c);
                     self.step_id(id, |call, pool, now| call.start(pool, now, quiet))?;
                 }
-                Do::Tell(id, input) => {
+                DriverAction::Signal(id, input) => {
                     if self.calls.contains_key(&id) {
                         self.step_id(id, |call, pool, now| call.step(pool, input, now))?;
                     }
                 }
                 // No stream is handed in here; `streams.rs` is their world.
-                Do::Close(_) | Do::Notify | Do::Note(_) | Do::Answer(..) => {}
+                DriverAction::Close(_)
+                | DriverAction::Notify
+                | DriverAction::Note(_)
+                | DriverAction::Answer(..) => {}
             }
         }
         Ok(())
     }
 
-    fn input(&mut self, call_ref: CallRef, input: Input) -> Result<(), Violation> {
+    fn input(&mut self, call_ref: CallRef, input: AttemptInput) -> Result<(), Violation> {
         self.step(call_ref, |call, pool, now| call.step(pool, input, now))
     }
 
     fn step(
         &mut self,
         call_ref: CallRef,
-        step: impl FnOnce(&mut Call<u32>, &mut Pool<u32>, Micros) -> Told<u32>,
+        step: impl FnOnce(&mut Call<u32>, &mut Pool<u32>, Micros) -> StepOutcome<u32>,
     ) -> Result<(), Violation> {
         match self.find(call_ref) {
             Some(id) => self.step_id(id, step),
@@ -664,12 +665,12 @@
     fn step_id(
         &mut self,
         id: CallId,
-        step: impl FnOnce(&mut Call<u32>, &mut Pool<u32>, Micros) -> Told<u32>,
+        step: impl FnOnce(&mut Call<u32>, &mut Pool<u32>, Micros) -> StepOutcome<u32>,
     ) -> Result<(), Violation> {
         let Some(out) = self.calls.get_mut(&id) else { return Ok(()) };
         let result = step(&mut out.call, &mut self.hub.pool, self.now);
         let message = out.message;
-        let gone = out.call.connection().is_none() && out.call.state() != State::Connecting;
+        let gone = out.call.connection().is_none() && out.call.state() != AttemptState::Connecting;
         if gone || result.finish {
             // Its connection is closed, or rests, or sends nothing more: for its provider the call is over.
             self.monitor.call_ended(message, id.attempt, false);
@@ -679,7 +680,7 @@
             let todo = self.hub.call_ended(id, end, self.now);
             // A delivery about the end of its message's time may count or not: its end is told too.
             let in_time = self.now.saturating_add(SLACK) < self.monitor.messages[message].deadline;
-            if (end == CallEnd::Over || end == CallEnd::Delivered && in_time) && !self.crashing {
+            if (end == CallEnd::Gone || end == CallEnd::Delivered && in_time) && !self.crashing {
                 self.monitor.messages[message].settled = true;
             }
             self.execute(todo)?;
@@ -691,10 +692,10 @@
         let Some(id) = self.find(call_ref) else { return Ok(()) };
         let out = &self.calls[&id];
         let (message, provider) = (out.message, out.provider);
-        let request = invoker::encode(&out.call.order);
-        let State::Writing { written } = out.call.state() else { return Ok(()) };
+        let request = delivery::encode(&out.call.order);
+        let AttemptState::Writing { written } = out.call.state() else { return Ok(()) };
         if how == WriteExtent::Broken {
-            return self.input(call_ref, Input::WriteFailed);
+            return self.input(call_ref, AttemptInput::WriteFailed);
         }
         if written == 0 && out.call.connection().is_some_and(|c| self.spoilt.contains(c)) {
             return violated(
@@ -711,7 +712,7 @@
         if bytes == left {
             self.monitor.last_byte(&self.case, self.now, message, id.attempt)?;
         }
-        self.input(call_ref, Input::Wrote { bytes, left: left - bytes })
+        self.input(call_ref, AttemptInput::Wrote { bytes, left: left - bytes })
     }
 
     /// The request says what was handed in, and goes where it may.
@@ -781,7 +782,7 @@
             }
             bytes.extend_from_slice(answer.bytes());
         }
-        self.input(call_ref, Input::Read)
+        self.input(call_ref, AttemptInput::Read)
     }
 
     fn submit(&mut self, class: u8, dest: u64, key: u64) -> Result<(), Violation> {
@@ -803,13 +804,13 @@
         self.monitor.messages.push(fresh);
         let next = self.hub.router.next_number();
         self.numbers.insert(next, message);
-        let (intake, todo) = self.hub.take_on(self.invocation(message), self.now);
+        let (intake, todo) = self.hub.submit(self.submission(message), self.now);
         let is_stored = self.is_stored(message);
         let m = &mut self.monitor.messages[message];
         m.acceptance = match intake {
             // Whatever the answer would have been, nobody heard it.
             _ if self.crashing && is_stored => Acceptance::Unheard,
-            Intake::TakenOn if !self.crashing => Acceptance::Heard,
+            Intake::Accepted if !self.crashing => Acceptance::Heard,
             _ => Acceptance::No,
         };
         if m.acceptance == Acceptance::Heard && !is_stored {
@@ -821,9 +822,9 @@
         self.execute(todo)
     }
 
-    fn invocation(&self, message: usize) -> Invocation {
+    fn submission(&self, message: usize) -> Submission {
         let m = &self.monitor.messages[message];
-        Invocation {
+        Submission {
             id: format!("m{message}"),
             class: CLASSES[m.class as usize].into(),
             key: (m.class == 1).then(|| format!("k{}", m.key)),
@@ -839,17 +840,17 @@
         self.book().owed.values().any(|entry| entry.taken.id == name)
     }
 
-    fn book(&self) -> Book {
-        Book::read(self.hub.router.journal().store().bytes()).0
+    fn book(&self) -> JournalContents {
+        JournalContents::read(self.hub.router.journal().store().bytes()).0
     }
 
     /// The same id once more: it must not be taken on twice.
     fn resubmit(&mut self, message: usize) -> Result<(), Violation> {
         let next = self.hub.router.next_number();
-        let (intake, todo) = self.hub.take_on(self.invocation(message), self.now);
+        let (intake, todo) = self.hub.submit(self.submission(message), self.now);
         let m = &self.monitor.messages[message];
         let known = m.acceptance != Acceptance::No && self.now < m.deadline;
-        if intake == Intake::TakenOn {
+        if intake == Intake::Accepted {
             if known {
                 return violated(Property::FinalAnswer, format!("m{message} is taken on twice"));
             }
@@ -876,7 +877,7 @@
         self.version += 1;
         let line = &mut self.list[n as usize];
         (line.state, line.version) = (state, self.version);
-        let follows = matches!(self.watch.state(), watch::State::Following { .. });
+        let follows = matches!(self.watch.state(), watch::WatchState::Following { .. });
         if self.is_up() && follows { self.send_list(false) } else { Ok(()) }
     }
 
@@ -884,7 +885,7 @@
     fn send_list(&mut self, full: bool) -> Result<(), Violation> {
         let known_version = self.hub.router.version();
         let included = |line: &ListEntry| if full { line.state != 0 } else { line.version > known_version };
-        let list = ProviderList { full, ..list_update(&self.list, self.version, included) };
+        let list = EndpointList { full, ..list_update(&self.list, self.version, included) };
         for (n, line) in self.list.iter().enumerate() {
             if line.state == 1 {
                 self.monitor.drains.remove(&(n as u8));
@@ -898,8 +899,8 @@
 
     fn send_notices(&mut self) -> Result<(), Violation> {
         let notices = self.hub.router.notices(self.notices.most());
-        let wanted = notices::Input::Wanted(notices.len());
-        if let notices::Output::Send(_) = self.notices.step(wanted, self.now) {
+        let wanted = notices::NoticeInput::Wanted(notices.len());
+        if let notices::NoticeOutput::Send(_) = self.notices.step(wanted, self.now) {
             for notice in &notices {
                 let settled = message_index(&notice.id)
                     .and_then(|n| self.monitor.messages.get(n))
@@ -963,7 +964,7 @@
         self.hub = hub;
         let after = self.book();
         // What follows from it is written at once, but nothing of it is gone.
-        let same = |(n, entry): (&u64, &quillmount_core::journal::Entry)| {
+        let same = |(n, entry): (&u64, &quillmount_core::journal::JournalEntry)| {
             after
                 .owed
                 .get(n)
@@ -978,14 +979,14 @@
         self.monitor.grace_until = 0;
         self.monitor.ready(self.now);
         self.watch = Watch::new(self.now);
-        self.watch.step(watch::Input::Answered, self.now);
+        self.watch.step(watch::WatchInput::Answered, self.now);
         let todo = self.hub.carry_out(steps, self.now);
         self.execute(todo)?;
         self.send_list(false)
     }
 
     fn retain_live_connections(&mut self) {
-        let resting: BTreeSet<u32> = self.hub.pool.resting().map(|(_, c, _)| *c).collect();
+        let resting: BTreeSet<u32> = self.hub.pool.idle().map(|(_, c, _)| *c).collect();
         self.closed.retain(|c| resting.contains(c));
         self.spoilt
             .retain(|c| resting.contains(c) || self.calls.values().any(|o| o.call.connection() == Some(c)));
@@ -1004,7 +1005,7 @@
         let counted = self
             .calls
             .values()
-            .filter(|o| o.call.connection().is_some() || o.call.state() == State::Connecting)
+            .filter(|o| o.call.connection().is_some() || o.call.state() == AttemptState::Connecting)
             .count();
         if calls != counted {
             return violated(Property::Unchanged, format!("the pool counts {calls} calls of {counted}"));
@@ -1057,7 +1058,7 @@
         for n in &self.confirmed_notices {
             hasher.hash(&(&n.id, n.ending));
         }
-        if let watch::State::Pausing { until } = self.watch.state() {
+        if let watch::WatchState::BackingOff { until } = self.watch.state() {
             hasher.time(until);
         }
         for (id, out) in &self.calls {
@@ -1070,19 +1071,19 @@
                 out.call.attempt().answer(),
             ));
             match out.call.state() {
-                State::Reading { by } => hasher.time(by),
-                State::Closing { end, until } => {
+                AttemptState::Reading { by } => hasher.time(by),
+                AttemptState::Closing { end, until } => {
                     hasher.hash(&end);
                     hasher.time(until);
                 }
-                State::Writing { written } => hasher.hash(&(1u8, written)),
-                State::Connecting => {
+                AttemptState::Writing { written } => hasher.hash(&(1u8, written)),
+                AttemptState::Connecting => {
                     hasher.word(2);
                     hasher.time(out.dial);
                 }
-                State::New => hasher.word(3),
-                State::Awaiting => hasher.word(4),
-                State::Over => hasher.word(5),
+                AttemptState::New => hasher.word(3),
+                AttemptState::Awaiting => hasher.word(4),
+                AttemptState::Finished => hasher.word(5),
             }
             hasher.time(out.deadline);
         }
@@ -1090,7 +1091,7 @@
             hasher.hash(&(n, open));
             hasher.time(paused_until.max(self.now));
         }
-        for (n, c, since) in self.hub.pool.resting() {
+        for (n, c, since) in self.hub.pool.idle() {
             hasher.hash(&(n, self.closed.contains(c), self.spoilt.contains(c)));
             hasher.time(since);
         }
@@ -1213,9 +1214,9 @@
 }
 
 /// The list at a version, whole but for the lines that are left out.
-fn list_update(list: &[ListEntry], version: u64, included: impl Fn(&ListEntry) -> bool) -> ProviderList {
+fn list_update(list: &[ListEntry], version: u64, included: impl Fn(&ListEntry) -> bool) -> EndpointList {
     let lines = list.iter().enumerate().filter(|(_, line)| included(line));
-    let providers = lines.map(|(n, line)| Provider {
+    let endpoints = lines.map(|(n, line)| EndpointListing {
         id: format!("p{n}"),
         addr: Some(SocketAddr::from(([127, 0, 0, 1], line.port))),
         dest: line.dest,
@@ -1228,12 +1229,12 @@
             _ => ListState::Draining,
         },
     });
-    ProviderList { version, full: true, providers: providers.collect() }
+    EndpointList { version, full: true, endpoints: endpoints.collect() }
 }
 
-type Restored = (Hub<Memory, u32>, Vec<quillmount_core::router::Step>);
+type Restored = (Hub<Memory, u32>, Vec<quillmount_core::router::RouterAction>);
 
-fn restore(case: &Case, store: Memory, known: ProviderList, now: Micros) -> Result<Restored, String> {
+fn restore(case: &Case, store: Memory, known: EndpointList, now: Micros) -> Result<Restored, String> {
     let env = case.env().map_err(|e| e.to_string())?;
     let (router, steps) =
         Router::open(&env, case.seed, known, store, DISK_BYTES, now).map_err(|e| e.to_string())?;
--- a/fleet/src/book.rs
+++ b/fleet/src/book.rs
@@ -8,7 +8,7 @@
 use crate::plan::Name;
 use crate::state::BookId;
 use bytes::Bytes;
-use quillmount_core::journal::{self, Record, Records};
+use quillmount_core::journal::{self, JournalRecord, Records};
 use quillmount_core::store::Store;
 use spurshore::Micros;
 use std::collections::{BTreeMap, BTreeSet};
@@ -203,7 +203,7 @@
     /// The store can't be read.
     pub fn open(mut store: S) -> io::Result<Self> {
         let bytes = store.read()?;
-        let sealed = Records::of(&bytes).any(|(_, record)| matches!(record, Record::Sealed));
+        let sealed = Records::of(&bytes).any(|(_, record)| matches!(record, JournalRecord::Sealed));
         Ok(Copy { store, place: Place::default(), staged: Vec::new(), staged_generation: 0, sealed })
     }
 
@@ -267,7 +267,7 @@
     /// The store refuses the record: it is not sealed.
     pub fn seal(&mut self) -> io::Result<()> {
         if !self.sealed {
-            let frame = journal::frame(&Record::Sealed).map_err(io::Error::other)?;
+            let frame = journal::frame(&JournalRecord::Sealed).map_err(io::Error::other)?;
             self.store.append(&frame)?;
             self.place.len += frame.len() as u64;
             self.sealed = true;
@@ -293,7 +293,8 @@
     /// A store can't be read or written.
     pub fn rename(mut self, mut store: S) -> io::Result<Copy<S>> {
         let bytes = self.store.read()?;
-        let end = Records::of(&bytes).find(|(_, record)| matches!(record, Record::Sealed)).map(|(at, _)| at);
+        let end =
+            Records::of(&bytes).find(|(_, record)| matches!(record, JournalRecord::Sealed)).map(|(at, _)| at);
         store.replace(&bytes[..end.unwrap_or(bytes.len())])?;
         Copy::open(store)
     }
--- a/fleet/src/settlement/lines.rs
+++ b/fleet/src/settlement/lines.rs
@@ -3,8 +3,8 @@
 use super::{Kept, Outcome, Record, SettlementId};
 use crate::state::{Source, part_of};
 use bytes::Bytes;
-use quillmount_core::Invocation;
-use quillmount_core::journal::{Book, End, Record as Line, SettlementLine, Settlements};
+use quillmount_core::Submission;
+use quillmount_core::journal::{End, JournalContents, JournalRecord as Line, SettlementLine, Settlements};
 use serde::{Deserialize, Serialize};
 use spurshore::Micros;
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,15 +20,15 @@
 
 impl Parcel {
     /// Of a message as its consumer handed it in.
-    pub fn of(invocation: &Invocation) -> Parcel {
-        let Invocation { class, key, tenant, body, .. } = invocation.clone();
+    pub fn of(invocation: &Submission) -> Parcel {
+        let Submission { class, key, tenant, body, .. } = invocation.clone();
         Parcel { class, key, tenant, body }
     }
 
     /// The message again, with the time that is left for it.
-    pub fn invocation(&self, id: &str, dest: u64, time_left: Micros) -> Invocation {
+    pub fn invocation(&self, id: &str, dest: u64, time_left: Micros) -> Submission {
         let Parcel { class, key, tenant, body } = self.clone();
-        Invocation { id: id.into(), class, key, dest, tenant, time_left, body }
+        Submission { id: id.into(), class, key, dest, tenant, time_left, body }
     }
 
     /// A checksum of what is to be sent: one position has one.
@@ -104,8 +104,8 @@
 
 /// The lines of these parts of a sealed book, each with where it comes from, and what the book knows of their
 /// messages' ends.
-pub fn lines(parts: &[Source], settled: &BTreeSet<Source>, book: &Book) -> Settlements {
-    let ends: BTreeMap<&str, End> = book.over.iter().map(|(id, end, _)| (id.as_str(), *end)).collect();
+pub fn lines(parts: &[Source], settled: &BTreeSet<Source>, book: &JournalContents) -> Settlements {
+    let ends: BTreeMap<&str, End> = book.ended.iter().map(|(id, end, _)| (id.as_str(), *end)).collect();
     let mut taken = Settlements::default();
     for (of, lines) in &book.settlements.0 {
         let own = |line: &&SettlementLine| {
--- a/fleet/tests/common/mod.rs
+++ b/fleet/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A fleet on one virtual clock: members, their folders, what is on its way between them, and a courier's journal at each.
 
 use bytes::Bytes;
-use quillmount_core::journal::{self, Book, End, Record, TakenOn};
+use quillmount_core::journal::{self, AcceptedMessage, End, JournalContents, JournalRecord};
 use quillmount_core::store::Store;
 use quillmount_fleet::agreement::Limits;
 pub use quillmount_fleet::member::Input;
@@ -64,7 +64,7 @@
 /// What a courier does with one message, and when its journal has to be safe for it.
 #[derive(Clone, Debug, PartialEq)]
 enum Due {
-    TakenOn(String),
+    AcceptedMessage(String),
     Call { id: String, msg: u64, debit: bool },
     Ended(String),
 }
@@ -243,7 +243,7 @@
         self.carry_out(i, out);
     }
 
-    fn write(&mut self, i: usize, records: &[Record]) -> u64 {
+    fn write(&mut self, i: usize, records: &[JournalRecord]) -> u64 {
         let Some(p) = self.processes[i].as_mut() else { return 0 };
         let bytes: Vec<u8> = records.iter().flat_map(|r| journal::frame(r).unwrap()).collect();
         p.journal.extend_from_slice(&bytes);
@@ -265,7 +265,7 @@
         let msg = p.next;
         p.next += 1;
         let class = if debit { "fee-debit" } else { "paid-notice" };
-        let taken = TakenOn {
+        let taken = AcceptedMessage {
             id: id.into(),
             class: class.into(),
             key: None,
@@ -273,16 +273,16 @@
             deadline: now + 16 * SEC,
             body: Bytes::from_static(b"body"),
         };
-        let mark = self.write(i, &[Record::TakeOn { msg, taken }]);
+        let mark = self.write(i, &[JournalRecord::Accept { msg, taken }]);
         let Some(p) = self.processes[i].as_mut() else { return false };
-        p.due.push((mark, Due::TakenOn(id.into())));
+        p.due.push((mark, Due::AcceptedMessage(id.into())));
         self.call(i, id.into(), msg, debit);
         true
     }
 
     fn call(&mut self, i: usize, id: String, msg: u64, debit: bool) {
         let sent = self.now;
-        let mark = self.write(i, &[Record::Attempt { msg, zone: 0, sent }]);
+        let mark = self.write(i, &[JournalRecord::Attempt { msg, zone: 0, sent }]);
         if let Some(p) = self.processes[i].as_mut() {
             p.due.push((mark, Due::Call { id, msg, debit }));
         }
@@ -295,10 +295,11 @@
         loop {
             let Some(p) = self.processes[i].as_mut().filter(|p| !p.paused) else { return };
             let may = p.member.may_act(now);
-            let ready = |(mark, due): &(u64, Due)| *mark <= p.safe && (may || matches!(due, Due::TakenOn(_)));
+            let ready =
+                |(mark, due): &(u64, Due)| *mark <= p.safe && (may || matches!(due, Due::AcceptedMessage(_)));
             let Some(n) = p.due.iter().position(ready) else { return };
             match p.due.remove(n).1 {
-                Due::TakenOn(id) => drop(self.seen.taken_on.insert(id)),
+                Due::AcceptedMessage(id) => drop(self.seen.taken_on.insert(id)),
                 Due::Ended(id) => self.seen.ends.entry(id).or_default().push((i, false)),
                 Due::Call { id, msg, debit: _ } => {
                     self.seen.calls.entry(id.clone()).or_default().push((i, now));
@@ -360,7 +361,7 @@
         }
         p.member.note_line(line).unwrap();
         p.joined = true;
-        let (book, _) = Book::read(&p.journal);
+        let (book, _) = JournalContents::read(&p.journal);
         p.next = p.next.max(book.next);
         let unsettled: BTreeSet<Source> =
             book.owed.values().filter_map(|e| e.source.as_ref().map(Source::from)).collect();
@@ -373,12 +374,15 @@
     }
 
     /// By the journal's rules: a debit that was out is ended, all else is sent.
-    fn go_on(&mut self, i: usize, msg: u64, entry: journal::Entry) {
+    fn go_on(&mut self, i: usize, msg: u64, entry: journal::JournalEntry) {
         let debit = entry.taken.class == "fee-debit";
         let may_have_run = entry.calls.iter().any(|c| c.never_ran != Some(true));
         if entry.end.is_some() || debit && may_have_run {
             let id = entry.taken.id;
-            let mark = self.write(i, &[Record::End { msg, end: End::Undeliverable }, Record::Told { msg }]);
+            let mark = self.write(
+                i,
+                &[JournalRecord::End { msg, end: End::Undeliverable }, JournalRecord::Confirmed { msg }],
+            );
             if let Some(p) = self.processes[i].as_mut() {
                 p.due.push((mark, Due::Ended(id)));
             }
@@ -389,7 +393,7 @@
     }
 
     fn adopt(&mut self, i: usize, parts: &[Source], settled: &BTreeSet<Source>, bytes: &[u8]) {
-        let (book, _) = Book::read(bytes);
+        let (book, _) = JournalContents::read(bytes);
         let mut records = Vec::new();
         for entry in book.owed.into_values() {
             let part = part_of(entry.taken.dest);
@@ -400,15 +404,15 @@
             let Some(p) = self.processes[i].as_mut() else { return };
             let msg = p.next;
             p.next += 1;
-            records.push(Record::TakeOn { msg, taken: entry.taken });
-            records.push(Record::From { msg, source: source.into() });
+            records.push(JournalRecord::Accept { msg, taken: entry.taken });
+            records.push(JournalRecord::From { msg, source: source.into() });
             for (n, call) in entry.calls.into_iter().enumerate() {
-                records.push(Record::Attempt { msg, zone: 0, sent: call.sent });
+                records.push(JournalRecord::Attempt { msg, zone: 0, sent: call.sent });
                 if let Some(never_ran) = call.never_ran {
-                    records.push(Record::Outcome { msg, attempt: n as u32, never_ran });
+                    records.push(JournalRecord::Outcome { msg, attempt: n as u32, never_ran });
                 }
             }
-            records.extend(entry.end.map(|end| Record::End { msg, end }));
+            records.extend(entry.end.map(|end| JournalRecord::End { msg, end }));
         }
         self.write(i, &records);
         for source in parts {
@@ -418,9 +422,9 @@
 
     fn settle(&mut self, i: usize, source: Source, kept: bool) {
         let Some(p) = self.processes[i].as_ref() else { return };
-        let (book, _) = Book::read(&p.journal);
+        let (book, _) = JournalContents::read(&p.journal);
         let from: journal::Source = (&source).into();
-        self.write(i, &[Record::Settled { source: from.clone(), kept }]);
+        self.write(i, &[JournalRecord::Settled { source: from.clone(), accepted: kept }]);
         self.step(i, Input::Settled(source));
         if kept {
             let mine = book.owed.into_iter().filter(|(_, e)| e.source.as_ref() == Some(&from));
@@ -472,7 +476,7 @@
                 let (_, i, life, id, msg) = self.answers.remove(n);
                 if self.life_of(i) == life && self.processes[i].as_ref().is_some_and(|p| !p.paused) {
                     self.seen.ends.entry(id).or_default().push((i, true));
-                    self.write(i, &[Record::End { msg, end: End::Delivered }]);
+                    self.write(i, &[JournalRecord::End { msg, end: End::Delivered }]);
                 } else if self.life_of(i) == life {
                     self.answers.push((self.now + 50 * MS, i, life, id, msg));
                 }
--- a/fleet/tests/explore.rs
+++ b/fleet/tests/explore.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use digest_file::{Counts, compare_with_file};
-use quillmount_core::journal::{self, Book, End, Record, Records, TakenOn};
+use quillmount_core::journal::{self, AcceptedMessage, End, JournalContents, JournalRecord, Records};
 use quillmount_core::store::Store;
 use quillmount_fleet::Token;
 use quillmount_fleet::agreement::{self, AgreementError, Opened};
@@ -174,7 +174,7 @@
 
 #[derive(Clone, Debug)]
 enum Due {
-    TakenOn(String),
+    AcceptedMessage(String),
     Call {
         id: String,
         msg: u64,
@@ -474,7 +474,7 @@
                     let end = End::Delivered;
                     // Nobody is told of a delivery: the answer is its end.
                     self.seen.ends.insert(id.clone());
-                    let mark = self.write(to, &[Record::End { msg, end }]);
+                    let mark = self.write(to, &[JournalRecord::End { msg, end }]);
                     self.owe(to, mark, Due::Delivered(id));
                 }
             }
@@ -651,7 +651,7 @@
         self.carry_out(i, out);
     }
 
-    fn write(&mut self, i: usize, records: &[Record]) -> u64 {
+    fn write(&mut self, i: usize, records: &[JournalRecord]) -> u64 {
         let Some(p) = self.processes[i].as_mut() else { return 0 };
         let bytes: Vec<u8> = records.iter().flat_map(|r| journal::frame(r).unwrap()).collect();
         p.mark += bytes.len() as u64;
@@ -679,14 +679,14 @@
         let class = if debit { "fee-debit" } else { "paid-notice" };
         let deadline = self.now + 100 * LEASE;
         let (class, body) = (class.into(), Bytes::from_static(b"body"));
-        let taken = TakenOn { id: id.clone(), class, key: None, dest, deadline, body };
-        let mark = self.write(i, &[Record::TakeOn { msg, taken }]);
-        self.owe(i, mark, Due::TakenOn(id.clone()));
+        let taken = AcceptedMessage { id: id.clone(), class, key: None, dest, deadline, body };
+        let mark = self.write(i, &[JournalRecord::Accept { msg, taken }]);
+        self.owe(i, mark, Due::AcceptedMessage(id.clone()));
         self.call(i, id, msg, debit);
     }
 
     fn call(&mut self, i: usize, id: String, msg: u64, debit: bool) {
-        let mark = self.write(i, &[Record::Attempt { msg, zone: 0, sent: self.now }]);
+        let mark = self.write(i, &[JournalRecord::Attempt { msg, zone: 0, sent: self.now }]);
         self.owe(i, mark, Due::Call { id, msg, debit });
     }
 
@@ -697,7 +697,7 @@
             let Some(p) = self.processes[i].as_mut().filter(|p| !p.paused) else { return };
             let may = p.member.may_act(now);
             let ready = |(mark, due): &(u64, Due)| {
-                *mark <= p.safe && (may || matches!(due, Due::TakenOn(_) | Due::Delivered(_)))
+                *mark <= p.safe && (may || matches!(due, Due::AcceptedMessage(_) | Due::Delivered(_)))
             };
             let Some(n) = p.due.iter().position(ready) else { return };
             let (due, stale, leased) = (p.due.remove(n).1, p.stale.is_some(), p.leased);
@@ -706,14 +706,14 @@
                 return;
             }
             match due {
-                Due::TakenOn(id) => drop(self.seen.taken_on.insert(id)),
+                Due::AcceptedMessage(id) => drop(self.seen.taken_on.insert(id)),
                 Due::Delivered(id) => drop(self.seen.delivered.insert(id)),
                 Due::Ended { id, msg } => {
                     if self.seen.delivered.contains(&id) {
                         self.wrong(format!("end: {} says that {id} was not delivered, and it was", name(i)));
                     }
                     self.seen.ends.insert(id);
-                    self.write(i, &[Record::Told { msg }]);
+                    self.write(i, &[JournalRecord::Confirmed { msg }]);
                 }
                 Due::Call { id, msg, debit } => {
                     if leased <= now {
@@ -804,7 +804,7 @@
         p.member.note_line(line).unwrap();
         p.joined = true;
         let bytes = file.read().unwrap();
-        let (book, _) = Book::read(&bytes);
+        let (book, _) = JournalContents::read(&bytes);
         p.next = p.next.max(book.next);
         let unsettled: BTreeSet<Source> =
             book.owed.values().filter_map(|e| e.source.as_ref().map(Source::from)).collect();
@@ -815,7 +815,7 @@
     }
 
     /// By the journal's rules: a debit that was out is ended, all else is sent.
-    fn go_on(&mut self, i: usize, msg: u64, entry: journal::Entry) {
+    fn go_on(&mut self, i: usize, msg: u64, entry: journal::JournalEntry) {
         let (id, debit) = (entry.taken.id, entry.taken.class == "fee-debit");
         let may_have_run = entry.calls.iter().any(|c| c.never_ran != Some(true));
         if entry.end.is_some() {
@@ -823,7 +823,7 @@
             self.owe(i, mark, Due::Ended { id, msg });
         } else if debit && may_have_run {
             let end = End::Undeliverable;
-            let mark = self.write(i, &[Record::End { msg, end }]);
+            let mark = self.write(i, &[JournalRecord::End { msg, end }]);
             self.owe(i, mark, Due::Ended { id, msg });
         } else {
             self.call(i, id, msg, debit);
@@ -831,7 +831,7 @@
     }
 
     fn adopt(&mut self, i: usize, parts: &[Source], settled: &BTreeSet<Source>, bytes: &[u8]) {
-        let (book, _) = Book::read(bytes);
+        let (book, _) = JournalContents::read(bytes);
         let mut records = Vec::new();
         for entry in book.owed.into_values() {
             let part = part_of(entry.taken.dest);
@@ -842,12 +842,12 @@
             let Some(p) = self.processes[i].as_mut() else { return };
             let msg = p.next;
             p.next += 1;
-            records.push(Record::TakeOn { msg, taken: entry.taken });
-            records.push(Record::From { msg, source: source.into() });
+            records.push(JournalRecord::Accept { msg, taken: entry.taken });
+            records.push(JournalRecord::From { msg, source: source.into() });
             for call in entry.calls {
-                records.push(Record::Attempt { msg, zone: 0, sent: call.sent });
+                records.push(JournalRecord::Attempt { msg, zone: 0, sent: call.sent });
             }
-            records.extend(entry.end.map(|end| Record::End { msg, end }));
+            records.extend(entry.end.map(|end| JournalRecord::End { msg, end }));
         }
         self.write(i, &records);
         for source in parts {
@@ -856,7 +856,7 @@
     }
 
     fn settle(&mut self, i: usize, source: Source, kept: bool) {
-        let (book, _) = Book::read(&File(i, "journal".into()).read().unwrap());
+        let (book, _) = JournalContents::read(&File(i, "journal".into()).read().unwrap());
         let from: journal::Source = (&source).into();
         if kept {
             let key = (from.owner.clone(), from.epoch, from.part);
@@ -865,7 +865,7 @@
                 self.wrong(format!("part: {source} is settled by {} and {}", name(by), name(i)));
             }
         }
-        self.write(i, &[Record::Settled { source: from.clone(), kept }]);
+        self.write(i, &[JournalRecord::Settled { source: from.clone(), accepted: kept }]);
         self.step(i, Input::Settled(source));
         if kept {
             let mine = book.owed.into_iter().filter(|(_, e)| e.source.as_ref() == Some(&from));
@@ -880,8 +880,8 @@
         for (i, disk) in self.disks.iter().enumerate() {
             for (file, bytes) in disk.iter().filter(|(file, _)| file.starts_with("copy.")) {
                 let owner = file.rsplit('.').next().unwrap_or_default().to_string();
-                let seal = journal::frame(&Record::Sealed).unwrap().len();
-                let end = Records::of(bytes).enumerate().find(|(_, (_, r))| *r == Record::Sealed);
+                let seal = journal::frame(&JournalRecord::Sealed).unwrap().len();
+                let end = Records::of(bytes).enumerate().find(|(_, (_, r))| *r == JournalRecord::Sealed);
                 if end.as_ref().is_some_and(|(_, (at, _))| at + seal < bytes.len()) {
                     let what = format!("sealed: {}'s copy {file} takes more", name(i));
                     self.bad.get_or_insert(what);
@@ -891,8 +891,8 @@
                 let mut tries: BTreeMap<String, usize> = BTreeMap::new();
                 for (_, record) in Records::of(bytes).take(end.unwrap_or(usize::MAX)) {
                     match record {
-                        Record::TakeOn { msg, taken } => drop(ids.insert(msg, taken.id)),
-                        Record::Attempt { msg, .. } => {
+                        JournalRecord::Accept { msg, taken } => drop(ids.insert(msg, taken.id)),
+                        JournalRecord::Attempt { msg, .. } => {
                             *tries.entry(ids.get(&msg).cloned().unwrap_or_default()).or_default() += 1;
                         }
                         _ => {}
@@ -932,7 +932,7 @@
                     copies.filter(|(file, _)| file.starts_with("copy.") && file.ends_with(&mine));
                 let has = |bytes: &[u8]| {
                     Records::of(bytes)
-                        .any(|(_, r)| matches!(r, Record::TakeOn { taken, .. } if taken.id == *id))
+                        .any(|(_, r)| matches!(r, JournalRecord::Accept { taken, .. } if taken.id == *id))
                 };
                 if !copies.any(|(_, bytes)| has(bytes)) {
                     let what = format!("held: {} is named as holding {id}, and does not", name(holder));
--- a/fleet/tests/parts/lines.rs
+++ b/fleet/tests/parts/lines.rs
@@ -1,7 +1,7 @@
 //! What a taker gets of a sealed book.
 
 use bytes::Bytes;
-use quillmount_core::journal::{self, Book, Record as Line, TakenOn, frame};
+use quillmount_core::journal::{self, AcceptedMessage, JournalContents, JournalRecord as Line, frame};
 use quillmount_fleet::settlement::lines::{Parcel, Written, lines, name_of};
 use quillmount_fleet::settlement::{End, Hand, Kept, Mode, Record, Repeat, SettlementId};
 use quillmount_fleet::state::{BookId, Source, part_of};
@@ -32,10 +32,10 @@
     ];
     let mut records: Vec<Line> = written.iter().filter_map(|written| written.line(&id)).collect();
     let (class, key, body) = ("fee-debit".into(), None, Bytes::new());
-    let taken = TakenOn { id: "m1".into(), class, key, dest: 7, deadline: 900, body };
-    records.extend([Line::TakeOn { msg: 1, taken }, Line::End { msg: 1, end: journal::End::Delivered }]);
+    let taken = AcceptedMessage { id: "m1".into(), class, key, dest: 7, deadline: 900, body };
+    records.extend([Line::Accept { msg: 1, taken }, Line::End { msg: 1, end: journal::End::Delivered }]);
     let bytes: Vec<u8> = records.iter().flat_map(|record| frame(record).unwrap()).collect();
-    let (book, _) = Book::read(&bytes);
+    let (book, _) = JournalContents::read(&bytes);
     let source = |part| Source { book: BookId { owner: "x".into(), epoch: 1 }, part };
     let taken = lines(&[source(part_of(7))], &BTreeSet::new(), &book);
     let of = &taken.0[&name_of(&id)];
--- a/fleet/tests/stored_forms.rs
+++ b/fleet/tests/stored_forms.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use common::{Disk, SEC, World};
 use fixtures::fixture;
-use quillmount_core::journal::{self, Book as Journal};
+use quillmount_core::journal::{self, JournalContents, JournalRecord};
 use quillmount_core::store::{Memory, Store};
 use quillmount_fleet::agreement::{Agreement, Change, Input, Limits, Output};
 use quillmount_fleet::budget::{self, Budget, Gate, Line, Report, Tenant, Terms};
@@ -289,10 +289,10 @@
     all.push(Written::HandIn(record.clone(), parcels[0].clone()));
     all.push(Written::HandIn(record, parcels[1].clone()));
     all.push(Written::Parcel { position: 300, parcel: parcels[1].clone() });
-    let lines: Vec<journal::Record> = all.iter().map(|one| one.line(&id()).unwrap()).collect();
+    let lines: Vec<JournalRecord> = all.iter().map(|one| one.line(&id()).unwrap()).collect();
     let written: Vec<u8> = lines.iter().flat_map(|line| journal::frame(line).unwrap()).collect();
     let stored = fixture("settlement_journal.bin", &written);
-    let (book, sound) = Journal::read(&stored);
+    let (book, sound) = JournalContents::read(&stored);
     assert_eq!((sound, book.settlements.0.len()), (stored.len(), 1));
     let (of, kept) = book.settlements.0.first_key_value().unwrap();
     assert_eq!(of, "north\u{1f}evening\u{1f}700");
@@ -660,7 +660,7 @@
     let names: Vec<&str> = folders[0].keys().map(String::as_str).collect();
     assert_eq!(names, ["agreement", "copy.2.c001", "identity", "journal"]);
     let owed: Vec<usize> =
-        folders.iter().map(|folder| Journal::read(&folder["journal"]).0.owed.len()).collect();
+        folders.iter().map(|folder| JournalContents::read(&folder["journal"]).0.owed.len()).collect();
     assert_eq!(owed, [6, 4, 4], "two of the lost courier's are at the first");
     let known = world.processes[0].as_ref().unwrap().member.agreed().clone();
     // New processes go on with these folders.
--- a/operator/src/lib.rs
+++ b/operator/src/lib.rs
@@ -105,9 +105,11 @@
     /// Bytes that all streams together move in one turn of the loop.
     pub turn: Size,
     /// What a consumer has to keep to while there is room for its bytes.
-    pub consumer: Pace,
+    #[serde(rename = "consumer")]
+    pub client: Pace,
     /// What a provider has to keep to while there are bytes for it.
-    pub provider: Pace,
+    #[serde(rename = "provider")]
+    pub endpoint: Pace,
 }
 
 impl Default for Streams {
@@ -122,8 +124,8 @@
             share_of_slots: 0.5,
             share_of_window: 0.5,
             turn: Size(1 << 20),
-            consumer: Pace::default(),
-            provider: Pace::default(),
+            client: Pace::default(),
+            endpoint: Pace::default(),
         }
     }
 }
@@ -141,12 +143,13 @@
     pub stall: Span,
     /// It moves so much at least in each span of `over`.
     pub least: Size,
-    pub over: Span,
+    #[serde(rename = "over")]
+    pub interval: Span,
 }
 
 impl Default for Pace {
     fn default() -> Self {
-        Pace { stall: seconds(30), least: Size(1 << 10), over: seconds(60) }
+        Pace { stall: seconds(30), least: Size(1 << 10), interval: seconds(60) }
     }
 }
 
@@ -159,8 +162,8 @@
     /// What no type can say.
     fn problems(&self) -> Vec<Problem> {
         let mut found = Vec::new();
-        let mut must = |holds: bool, path: &str, what: String| {
-            if !holds {
+        let mut must = |valid: bool, path: &str, what: String| {
+            if !valid {
                 found.push(Problem::new(format!("$.streams.{path}"), what));
             }
         };
@@ -188,9 +191,9 @@
             "longest",
             format!("up to a day is possible, not {}", self.longest),
         );
-        for (side, pace) in [("consumer", &self.consumer), ("provider", &self.provider)] {
+        for (side, pace) in [("consumer", &self.client), ("provider", &self.endpoint)] {
             must(!pace.stall.0.is_zero(), &format!("{side}.stall"), "nothing moves in no time".into());
-            must(!pace.over.0.is_zero(), &format!("{side}.over"), "nothing moves in no time".into());
+            must(!pace.interval.0.is_zero(), &format!("{side}.over"), "nothing moves in no time".into());
         }
         found
     }
--- a/operator/src/problems.rs
+++ b/operator/src/problems.rs
@@ -39,7 +39,7 @@
         serde_json::from_slice(text).map_err(|e| vec![Problem::new("$", e.to_string())])?;
     let mut problems = Vec::new();
     loop {
-        let (read, unknown) = once::<T>(&value);
+        let (read, unknown) = read_once::<T>(&value);
         match read {
             Ok(read) if problems.is_empty() && (unknown.is_empty() || !strict) => return Ok(read),
             Ok(_) => {
@@ -50,7 +50,7 @@
             }
             Err(problem) => {
                 let known = problems.contains(&problem) || problems.len() >= PROBLEMS_MAX;
-                let next = (!known).then(|| mended::<T>(&value, &problem)).flatten();
+                let next = (!known).then(|| with_neutral_value::<T>(&value, &problem)).flatten();
                 if !known {
                     problems.push(problem);
                 }
@@ -64,7 +64,7 @@
 }
 
 /// What the value reads as, and the fields that nothing knows.
-fn once<T: DeserializeOwned>(value: &Value) -> (Result<T, Problem>, Vec<String>) {
+fn read_once<T: DeserializeOwned>(value: &Value) -> (Result<T, Problem>, Vec<String>) {
     let mut track = serde_path_to_error::Track::new();
     let mut unknown = Vec::new();
     let read = {
@@ -88,7 +88,7 @@
 }
 
 /// The same value with the problem out of the way, if a neutral value does that.
-fn mended<T: DeserializeOwned>(value: &Value, problem: &Problem) -> Option<Value> {
+fn with_neutral_value<T: DeserializeOwned>(value: &Value, problem: &Problem) -> Option<Value> {
     let missing = problem.what.strip_prefix("missing field `").and_then(|rest| rest.split('`').next());
     let path = match missing {
         Some(name) => format!("{}.{name}", problem.path),
@@ -101,16 +101,16 @@
     neutral.extend(choice.map(Value::from));
     neutral.into_iter().find_map(|neutral| {
         let mut next = value.clone();
-        put(&mut next, &path, neutral)?;
-        let (read, _) = once::<T>(&next);
+        put_at_path(&mut next, &path, neutral)?;
+        let (read, _) = read_once::<T>(&next);
         let out_of_the_way = read.err().is_none_or(|e| e.path != problem.path || e.what != problem.what);
-        let elsewhere = || once::<T>(&next).0.err().is_none_or(|e| e.path != path);
+        let elsewhere = || read_once::<T>(&next).0.err().is_none_or(|e| e.path != path);
         (out_of_the_way && elsewhere()).then_some(next)
     })
 }
 
 /// Puts a value where a path leads; the last part may be missing there.
-fn put(value: &mut Value, path: &str, new: Value) -> Option<()> {
+fn put_at_path(value: &mut Value, path: &str, new: Value) -> Option<()> {
     let mut at = value;
     let path = path.strip_prefix('$')?;
     for part in path.split(['.', '[']).filter(|part| !part.is_empty()) {
--- a/operator/tests/stored_forms.rs
+++ b/operator/tests/stored_forms.rs
@@ -71,8 +71,8 @@
         share_of_slots: 0.25,
         share_of_window: 0.75,
         turn: Size(512 << 10),
-        consumer: Pace { stall: ms(10_000), least: Size(2 << 10), over: ms(20_000) },
-        provider: Pace { stall: ms(11_000), least: Size(3 << 10), over: ms(21_000) },
+        client: Pace { stall: ms(10_000), least: Size(2 << 10), interval: ms(20_000) },
+        endpoint: Pace { stall: ms(11_000), least: Size(3 << 10), interval: ms(21_000) },
     }
 }
 
--- a/protocol/src/invoker.rs
+++ b/protocol/src/delivery.rs
@@ -1,22 +1,22 @@
-//! Invoker calls: what a provider is sent, and what its answer means.
+//! Invoker calls: what an endpoint is sent, and what its answer means.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use httparse::{EMPTY_HEADER, Header, Response, Status};
 use quillmount_core::machine::attempt::{Answer, Decode};
-use quillmount_core::{CallEnd, InvokerCall, Parcel};
+use quillmount_core::{CallEnd, DeliveryCall, MessagePayload};
 use serde::{Deserialize, Serialize};
 use spurshore::Micros;
 use std::collections::HashMap;
 
-use super::invocation::BODY_MAX;
+use super::submission::BODY_MAX;
 
-/// Where every provider takes its calls.
+/// Where every endpoint takes its calls.
 pub(crate) const PATH: &str = "/events";
 /// Where those of the kinds that the settings name take calls with several messages.
 pub(crate) const BUNDLE_PATH: &str = "/events/bundle";
 /// The header in which an answer may report its destination's load.
-const LOAD: &str = "x-backend-load";
+const LOAD_HEADER: &str = "x-backend-load";
 /// The platform's answers take some 200 bytes.
 const HEAD_MAX: usize = 8 * 1024;
 const HEADERS_MAX: usize = 64;
@@ -25,7 +25,7 @@
 
 /// A message of a call with several.
 #[derive(Serialize)]
-struct Carried<'a> {
+struct BundledMessageJson<'a> {
     id: &'a str,
     #[serde(skip_serializing_if = "Option::is_none")]
     key: Option<&'a str>,
@@ -33,26 +33,30 @@
     body: String,
 }
 
-impl<'a> Carried<'a> {
-    fn of(parcel: &'a Parcel) -> Self {
-        Carried { id: &parcel.id, key: parcel.key.as_deref(), body: STANDARD.encode(&parcel.body) }
+impl<'a> BundledMessageJson<'a> {
+    fn of(payload: &'a MessagePayload) -> Self {
+        BundledMessageJson {
+            id: &payload.id,
+            key: payload.key.as_deref(),
+            body: STANDARD.encode(&payload.body),
+        }
     }
 }
 
 /// How one message of a call with several fared.
 #[derive(Deserialize)]
-struct Fared {
+struct MessageResult {
     id: String,
     state: String,
 }
 
 /// A call as it is written; id, key and body pass on unchanged, in Base64 where there are several.
-pub fn encode(call: &InvokerCall) -> Vec<u8> {
-    if !call.more.is_empty() {
-        let (addr, left) = (call.addr, call.told.div_ceil(1_000));
+pub fn encode(call: &DeliveryCall) -> Vec<u8> {
+    if !call.bundled.is_empty() {
+        let (addr, left) = (call.addr, call.time_left.div_ceil(1_000));
         // Strings alone: nothing in them can fail to be written.
-        let body =
-            serde_json::to_vec(&call.parcels().map(Carried::of).collect::<Vec<_>>()).unwrap_or_default();
+        let body = serde_json::to_vec(&call.payloads().map(BundledMessageJson::of).collect::<Vec<_>>())
+            .unwrap_or_default();
         let head = format!(
             "POST {BUNDLE_PATH} HTTP/1.1\r\nHost: {addr}\r\nX-Time-Left: {left}m\r\n\
              Content-Type: application/json\r\nContent-Length: {}\r\n\r\n",
@@ -60,15 +64,15 @@
         );
         return [head.as_bytes(), &body].concat();
     }
-    let parcel = &call.invocation;
-    let key = parcel.key.as_ref().map(|key| format!("Idempotency-Key: {key}\r\n"));
-    let (id, key, left) = (&parcel.id, key.unwrap_or_default(), call.timeout.div_ceil(1_000));
-    let (addr, length) = (call.addr, parcel.body.len());
+    let payload = &call.payload;
+    let key = payload.key.as_ref().map(|key| format!("Idempotency-Key: {key}\r\n"));
+    let (id, key, left) = (&payload.id, key.unwrap_or_default(), call.timeout.div_ceil(1_000));
+    let (addr, length) = (call.addr, payload.body.len());
     let head = format!(
         "POST {PATH} HTTP/1.1\r\nHost: {addr}\r\nX-Correlation-Id: {id}\r\n{key}X-Time-Left: {left}m\r\n\
          Content-Length: {length}\r\n\r\n"
     );
-    [head.as_bytes(), &parcel.body].concat()
+    [head.as_bytes(), &payload.body].concat()
 }
 
 /// Reads an answer; `over` where no more of it will come.
@@ -76,25 +80,25 @@
 /// A first line with 200 says that the message is delivered, whatever follows. Anything else is believed
 /// only if it is sound to its last byte: a refusal in a spoilt answer may be the remains of something else,
 /// and the call may have run.
-pub fn decode(bytes: &[u8], over: bool) -> Answer {
-    decoded(bytes, over, false)
+pub fn decode(bytes: &[u8], ended: bool) -> Answer {
+    decoded(bytes, ended, false)
 }
 
 /// The same for a call with several messages, of which a 200 says nothing before its last byte.
-pub fn decode_each(bytes: &[u8], over: bool) -> Answer {
-    decoded(bytes, over, true)
+pub fn decode_each(bytes: &[u8], ended: bool) -> Answer {
+    decoded(bytes, ended, true)
 }
 
 /// How a call's answers are read.
-pub fn decoder(call: &InvokerCall) -> Decode {
-    if call.more.is_empty() { decode } else { decode_each }
+pub fn decoder(call: &DeliveryCall) -> Decode {
+    if call.bundled.is_empty() { decode } else { decode_each }
 }
 
-fn decoded(bytes: &[u8], over: bool, each: bool) -> Answer {
+fn decoded(bytes: &[u8], ended: bool, each: bool) -> Answer {
     past_interim(bytes, |rest, parsed, head| match parsed {
-        Ok(Status::Complete(end)) => whole(head, rest, end, over, each),
-        Ok(Status::Partial) if !over && rest.is_empty() => Answer::Awaited,
-        Ok(Status::Partial) if !over && rest.len() <= HEAD_MAX => Answer::Partial,
+        Ok(Status::Complete(end)) => whole(head, rest, end, ended, each),
+        Ok(Status::Partial) if !ended && rest.is_empty() => Answer::Awaited,
+        Ok(Status::Partial) if !ended && rest.len() <= HEAD_MAX => Answer::Partial,
         _ => spoilt(rest, 0, each),
     })
 }
@@ -116,11 +120,11 @@
 
 /// What a whole answer to a call with several messages tells of each, and the wait that it tells (0: none). Of one that it
 /// leaves out, names twice in two ways or in words that are not known, it says no more than that it may have run.
-pub fn each(answer: &[u8], call: &InvokerCall) -> (Vec<CallEnd>, Micros) {
-    let (told, body) = past_interim(answer, |rest, parsed, head| {
+pub fn each(answer: &[u8], call: &DeliveryCall) -> (Vec<CallEnd>, Micros) {
+    let (retry_after, body) = past_interim(answer, |rest, parsed, head| {
         let Ok(Status::Complete(end)) = parsed else { return (0, Vec::new()) };
         let header = |name| Lookup::of(head.headers, name);
-        let told = header("retry-after").text().and_then(super::seconds).unwrap_or(0);
+        let retry_after = header("retry-after").text().and_then(super::seconds).unwrap_or(0);
         let body = &rest[end..];
         let body = match header("content-length").text().and_then(|length| length.parse::<usize>().ok()) {
             Some(length) => body.get(..length).unwrap_or(body).to_vec(),
@@ -132,16 +136,16 @@
             }
             None => body.to_vec(),
         };
-        (told, body)
+        (retry_after, body)
     });
-    let fared: Vec<Fared> = serde_json::from_slice(&body).unwrap_or_default();
+    let results: Vec<MessageResult> = serde_json::from_slice(&body).unwrap_or_default();
     let mut ends: HashMap<&str, CallEnd> = HashMap::new();
-    for one in &fared {
+    for one in &results {
         let end = match one.state.as_str() {
             "ok" => CallEnd::Delivered,
             "error" => CallEnd::Error,
             "later" => CallEnd::Full(0),
-            "gone" => CallEnd::Over,
+            "gone" => CallEnd::Gone,
             "exhausted" => CallEnd::Exhausted,
             _ => CallEnd::Spoilt(0),
         };
@@ -153,15 +157,18 @@
             })
             .or_insert(end);
     }
-    (call.parcels().map(|p| ends.get(p.id.as_str()).copied().unwrap_or(CallEnd::Spoilt(0))).collect(), told)
+    (
+        call.payloads().map(|p| ends.get(p.id.as_str()).copied().unwrap_or(CallEnd::Spoilt(0))).collect(),
+        retry_after,
+    )
 }
 
 /// The report of its load that a whole answer holds; values that are no numbers are left out.
 pub fn load(answer: &[u8]) -> Vec<(String, f64)> {
     past_interim(answer, |_, parsed, head| {
         let Ok(Status::Complete(_)) = parsed else { return Vec::new() };
-        let told = Lookup::of(head.headers, LOAD).text().unwrap_or_default();
-        let values = told.split(',').filter_map(|value| {
+        let report = Lookup::of(head.headers, LOAD_HEADER).text().unwrap_or_default();
+        let values = report.split(',').filter_map(|value| {
             let (name, value) = value.split_once('=')?;
             Some((name.trim().to_string(), value.trim().parse().ok()?))
         });
@@ -169,14 +176,14 @@
     })
 }
 
-fn whole(head: &Response, bytes: &[u8], end: usize, over: bool, each: bool) -> Answer {
+fn whole(head: &Response, bytes: &[u8], end: usize, ended: bool, each: bool) -> Answer {
     let header = |name| Lookup::of(head.headers, name);
     let (code, wait) = (head.code.unwrap_or_default(), header("retry-after"));
-    let told = wait.text().and_then(super::seconds).unwrap_or(0);
+    let retry_after = wait.text().and_then(super::seconds).unwrap_or(0);
     let closes = header("connection").text().is_some_and(|v| v.to_ascii_lowercase().contains("close"));
     let body = &bytes[end..];
     let length = match (header("content-length"), header("transfer-encoding")) {
-        (Lookup::None, Lookup::None) if closes && over => Some(body.len()),
+        (Lookup::None, Lookup::None) if closes && ended => Some(body.len()),
         (Lookup::None, Lookup::None) if closes && code != 200 => return Answer::Partial,
         (Lookup::None, Lookup::None) => Some(0),
         (Lookup::One(length), Lookup::None) if length.bytes().all(|b| b.is_ascii_digit()) => {
@@ -191,15 +198,15 @@
         }
         _ => None,
     };
-    let Some(length) = length else { return spoilt(bytes, told, each) };
+    let Some(length) = length else { return spoilt(bytes, retry_after, each) };
     if body.len() < length {
-        return if over { spoilt(bytes, told, each) } else { Answer::Partial };
+        return if ended { spoilt(bytes, retry_after, each) } else { Answer::Partial };
     }
     // A second copy of the same answer takes nothing from the first; other bytes may mean that the
     // length is wrong, and with it the rest.
     let behind = &body[length..];
     if !behind.is_empty() && !bytes[..end + length].starts_with(behind) {
-        return spoilt(bytes, told, each);
+        return spoilt(bytes, retry_after, each);
     }
     let one = |name, value| header(name).text() == Some(value);
     // With neither, a body lasts until the end of its connection, and may come at any moment until then.
@@ -210,11 +217,13 @@
         // Too many, or unreadable: none of them has run.
         400 | 413 if each => CallEnd::NoSlot,
         200 => CallEnd::Delivered,
-        429 if told > 0 || wait.text().is_some_and(|v| super::seconds(v).is_some()) => CallEnd::Full(told),
+        429 if retry_after > 0 || wait.text().is_some_and(|v| super::seconds(v).is_some()) => {
+            CallEnd::Full(retry_after)
+        }
         503 if one("x-over-slots", "1") => CallEnd::NoSlot,
         503 => CallEnd::Full(0),
         504 => CallEnd::Exhausted,
-        410 => CallEnd::Over,
+        410 => CallEnd::Gone,
         // Anything else says no more than an error does: it may have run.
         _ => CallEnd::Error,
     };
@@ -222,10 +231,10 @@
 }
 
 /// All that an answer still says that can't be read to its end.
-fn spoilt(bytes: &[u8], told: Micros, each: bool) -> Answer {
+fn spoilt(bytes: &[u8], retry_after: Micros, each: bool) -> Answer {
     let ok = [&b"HTTP/1.1 200"[..], b"HTTP/1.0 200"].iter().any(|ok| bytes.starts_with(ok));
     let ok = ok && !each && !bytes.get(12).is_some_and(u8::is_ascii_digit);
-    Answer::Whole { end: if ok { CallEnd::Delivered } else { CallEnd::Spoilt(told) }, reusable: false }
+    Answer::Whole { end: if ok { CallEnd::Delivered } else { CallEnd::Spoilt(retry_after) }, reusable: false }
 }
 
 /// Bytes up to the end of a chunked body, its trailer included, if that has come; `part` is shown what each chunk carries.
--- a/protocol/src/discovery.rs
+++ b/protocol/src/discovery.rs
@@ -1,15 +1,15 @@
 //! Discovery's lists: whole in the configuration, and one after the other on a watch.
 
-use quillmount_core::{Provider, ProviderList};
+use quillmount_core::{EndpointList, EndpointListing};
 use serde::Deserialize;
 use serde::de::IgnoredAny;
 use spurshore_settings::state_of_name;
 
 /// What is longer than this, with its indents, is no list of this platform.
 pub const LIST_MAX: usize = 4 * 1024 * 1024;
-/// So much more of a list that isn't whole yet shows that the watch lives. A list of some hundred providers is
+/// So much more of a list that isn't whole yet shows that the watch lives. A list of some hundred endpoints is
 /// less: bytes that trickle are no sign of life.
-const PIECE: usize = 64 * 1024;
+const PROGRESS_BYTES: usize = 64 * 1024;
 
 #[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
@@ -49,23 +49,31 @@
 
 impl List {
     /// Each line of it, in its order.
-    pub fn entries(self) -> impl Iterator<Item = Result<Provider, DiscoveryError>> {
+    pub fn entries(self) -> impl Iterator<Item = Result<EndpointListing, DiscoveryError>> {
         self.servers.into_iter().map(|s| {
             let entry = |what: String| DiscoveryError::Entry { id: s.id.clone(), what };
             let state = state_of_name(&s.state).map_err(entry)?;
             let addr = s.addr.as_deref().filter(|a| !a.is_empty()).map(str::parse).transpose();
             let addr = addr.map_err(|e| entry(format!("addr {:?}: {e}", s.addr)))?;
-            Ok(Provider { addr, state, id: s.id, dest: s.cell, kind: s.kind, zone: s.zone, weight: s.weight })
+            Ok(EndpointListing {
+                addr,
+                state,
+                id: s.id,
+                dest: s.cell,
+                kind: s.kind,
+                zone: s.zone,
+                weight: s.weight,
+            })
         })
     }
 }
 
-impl TryFrom<List> for ProviderList {
+impl TryFrom<List> for EndpointList {
     type Error = DiscoveryError;
 
     fn try_from(list: List) -> Result<Self, DiscoveryError> {
         let (version, full) = (list.version, list.full);
-        Ok(ProviderList { version, full, providers: list.entries().collect::<Result<_, _>>()? })
+        Ok(EndpointList { version, full, endpoints: list.entries().collect::<Result<_, _>>()? })
     }
 }
 
@@ -84,30 +92,30 @@
 
 /// What a chunk said.
 #[derive(Debug, Default)]
-pub struct Said {
+pub struct ChunkOutcome {
     /// The lists that ended in it.
-    pub lists: Vec<ProviderList>,
+    pub lists: Vec<EndpointList>,
     /// The watch lives: a list is whole, or an empty line came where none had begun. A list that has begun is no
     /// sign of life: its rest may be missing for good; only one that goes on for long is, by the piece.
-    pub lives: bool,
+    pub alive: bool,
     /// What came behind those lists is none; nothing that follows can be read.
     pub end: Option<DiscoveryError>,
 }
 
 impl Lists {
-    pub fn feed(&mut self, chunk: &[u8]) -> Said {
+    pub fn feed(&mut self, chunk: &[u8]) -> ChunkOutcome {
         let between = self.rest.is_empty() && !chunk.is_empty() && chunk.trim_ascii().is_empty();
-        let mut said = Said { lists: Vec::new(), lives: between, end: None };
-        let pieces = self.rest.len() / PIECE;
+        let mut outcome = ChunkOutcome { lists: Vec::new(), alive: between, end: None };
+        let progress = self.rest.len() / PROGRESS_BYTES;
         self.rest.extend_from_slice(chunk);
-        said.lives |= self.rest.len() / PIECE > pieces;
-        said.end = self.read(chunk, &mut said.lists).err();
-        said.lives |= !said.lists.is_empty();
-        said
+        outcome.alive |= self.rest.len() / PROGRESS_BYTES > progress;
+        outcome.end = self.read(chunk, &mut outcome.lists).err();
+        outcome.alive |= !outcome.lists.is_empty();
+        outcome
     }
 
     /// Reads what is whole by the last brace of `chunk`, which has come last.
-    fn read(&mut self, chunk: &[u8], lists: &mut Vec<ProviderList>) -> Result<(), DiscoveryError> {
+    fn read(&mut self, chunk: &[u8], lists: &mut Vec<EndpointList>) -> Result<(), DiscoveryError> {
         // Only a brace ends a list; what is read ends in one, since a number that is cut reads as a wrong
         // one.
         if let Some(last) = chunk.iter().rposition(|byte| *byte == b'}') {
--- a/protocol/src/lib.rs
+++ b/protocol/src/lib.rs
@@ -1,11 +1,11 @@
 //! The platform's forms on HTTP: each is decoded once into a small typed value, and encoded once.
 
+pub mod delivery;
 pub mod discovery;
-pub mod invocation;
-pub mod invoker;
 pub mod notice;
 pub mod operator;
 pub mod stream;
+pub mod submission;
 
 use spurshore::Micros;
 
--- a/protocol/src/notice.rs
+++ b/protocol/src/notice.rs
@@ -9,8 +9,8 @@
 struct Line<'a> {
     id: &'a str,
     status: &'static str,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    again_ms: Option<u64>,
+    #[serde(rename = "again_ms", skip_serializing_if = "Option::is_none")]
+    retry_after_ms: Option<u64>,
 }
 
 /// The body that tells of these endings.
@@ -18,9 +18,11 @@
     let mut body = String::new();
     for Notice { id, ending, .. } in notices {
         let line = match ending {
-            Ending::Undeliverable => Line { id, status: "undeliverable", again_ms: None },
-            Ending::Deferred(0) => Line { id, status: "deferred", again_ms: None },
-            Ending::Deferred(after) => Line { id, status: "deferred", again_ms: Some(after.div_ceil(1_000)) },
+            Ending::Undeliverable => Line { id, status: "undeliverable", retry_after_ms: None },
+            Ending::Deferred(0) => Line { id, status: "deferred", retry_after_ms: None },
+            Ending::Deferred(after) => {
+                Line { id, status: "deferred", retry_after_ms: Some(after.div_ceil(1_000)) }
+            }
         };
         // A struct of text and a number always has a JSON form.
         body.push_str(&serde_json::to_string(&line).unwrap_or_default());
--- a/protocol/src/operator.rs
+++ b/protocol/src/operator.rs
@@ -5,16 +5,16 @@
 
 /// One call.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum Call {
+pub enum OperatorCall {
     /// Can this process serve?
     Ready,
-    /// Nothing more to this provider, until it is put back.
+    /// Nothing more to this endpoint, until it is put back.
     Disable(String),
-    /// Put the provider back.
+    /// Put the endpoint back.
     Enable(String),
     /// Empty the courier.
     Drain,
-    /// Take consumers again.
+    /// Take clients again.
     Undrain,
 }
 
@@ -42,7 +42,7 @@
 pub enum Line {
     /// Its end is still to come.
     Partial,
-    Whole(Result<Call, BadCall>),
+    Whole(Result<OperatorCall, BadCall>),
 }
 
 /// Reads what has come; `ended`: the caller sends nothing more. One line counts, and what stands behind it is let go,
@@ -59,21 +59,21 @@
     Line::Whole(if end > LINE_MAX { Err(BadCall::TooLong) } else { decode(&bytes[..end]) })
 }
 
-fn decode(line: &[u8]) -> Result<Call, BadCall> {
+fn decode(line: &[u8]) -> Result<OperatorCall, BadCall> {
     let line = line.strip_suffix(b"\r").unwrap_or(line);
     let line = std::str::from_utf8(line).map_err(|_| BadCall::NotText)?;
-    let mut words = line.split(' ').filter(|word| !word.is_empty());
-    let (word, id) = (words.next().ok_or(BadCall::Empty)?, words.next());
-    if words.next().is_some() {
+    let mut fields = line.split(' ').filter(|verb| !verb.is_empty());
+    let (verb, id) = (fields.next().ok_or(BadCall::Empty)?, fields.next());
+    if fields.next().is_some() {
         return Err(BadCall::Surplus);
     }
     let alone = |call| if id.is_none() { Ok(call) } else { Err(BadCall::Surplus) };
-    match word {
-        "READY" => alone(Call::Ready),
-        "DRAIN" => alone(Call::Drain),
-        "UNDRAIN" => alone(Call::Undrain),
-        "DISABLE" => id.map(|id| Call::Disable(id.into())).ok_or(BadCall::NoId),
-        "ENABLE" => id.map(|id| Call::Enable(id.into())).ok_or(BadCall::NoId),
+    match verb {
+        "READY" => alone(OperatorCall::Ready),
+        "DRAIN" => alone(OperatorCall::Drain),
+        "UNDRAIN" => alone(OperatorCall::Undrain),
+        "DISABLE" => id.map(|id| OperatorCall::Disable(id.into())).ok_or(BadCall::NoId),
+        "ENABLE" => id.map(|id| OperatorCall::Enable(id.into())).ok_or(BadCall::NoId),
         _ => Err(BadCall::Unknown),
     }
 }
@@ -81,7 +81,7 @@
 /// The line that answers a call.
 pub fn answer(result: Result<&str, &str>) -> String {
     match result {
-        Ok(said) => format!("SUCCESS {said}\n"),
+        Ok(text) => format!("SUCCESS {text}\n"),
         // A reason stays on its line, whatever it quotes.
         Err(why) => format!("FAILURE {}\n", why.replace(['\r', '\n'], " ")),
     }
--- a/protocol/src/stream.rs
+++ b/protocol/src/stream.rs
@@ -1,7 +1,7 @@
-//! Streamed invocations on HTTP/1.1: how their bodies are framed and checked, what a provider is sent, and
-//! what the consumer is answered at the end.
+//! Streamed submissions on HTTP/1.1: how their bodies are framed and checked, what an endpoint is sent, and
+//! what the client is answered at the end.
 
-use super::invocation::{Malformed, plain};
+use super::submission::{Malformed, plain};
 use actix_http::header::{self, HeaderMap};
 use actix_http::{Response, StatusCode};
 use base64::Engine;
@@ -9,7 +9,7 @@
 use bytes::{Buf, Bytes, BytesMut};
 use quillmount_core::flow::Cut;
 use quillmount_core::router::StreamEnd;
-use quillmount_core::{InvokerCall, StreamHead};
+use quillmount_core::{DeliveryCall, StreamHead};
 use sha2::{Digest as _, Sha256};
 
 /// The line before a chunk: sixteen digits are the largest size there is, the rest is for extensions.
@@ -79,14 +79,14 @@
     Chunk(u64),
     /// Behind the last chunk's size.
     Last,
-    Over,
+    Done,
 }
 
 impl Body {
     /// A body of `most` bytes at most.
     pub fn new(framing: Framing, most: u64) -> Self {
         let at = match framing {
-            Framing::Length(0) => At::Over,
+            Framing::Length(0) => At::Done,
             Framing::Length(n) => At::Length(n),
             Framing::Chunked => At::Size { first: true },
         };
@@ -97,11 +97,11 @@
     pub fn next(&mut self, buf: &mut BytesMut) -> Next {
         loop {
             match self.at {
-                At::Over => return Next::End,
+                At::Done => return Next::End,
                 At::Length(n) | At::Chunk(n) if n > 0 => {
                     return Next::Body((buf.len() as u64).min(n) as usize);
                 }
-                At::Length(_) => self.at = At::Over,
+                At::Length(_) => self.at = At::Done,
                 At::Chunk(_) => self.at = At::Size { first: false },
                 At::Size { first } => {
                     let before = if first { 0 } else { 2 };
@@ -136,7 +136,7 @@
                 At::Last if buf.len() < 2 && b"\r\n".starts_with(buf) => return Next::Body(0),
                 At::Last if buf.starts_with(b"\r\n") => {
                     buf.advance(2);
-                    self.at = At::Over;
+                    self.at = At::Done;
                 }
                 At::Last => return Next::Bad(Cut::Malformed),
             }
@@ -200,7 +200,7 @@
     }
 
     /// Whether the whole body is the one that it was said to be.
-    pub fn holds(self) -> bool {
+    pub fn matches(self) -> bool {
         self.so_far.finalize().as_slice() == self.wanted
     }
 }
@@ -211,21 +211,21 @@
     (!all.is_empty()).then(|| all.join(", "))
 }
 
-/// The head of a call; its body follows in the same framing. The provider is asked whether it will have it, so that
+/// The head of a call; its body follows in the same framing. The endpoint is asked whether it will have it, so that
 /// one that won't can say so before a byte of the body has left.
-pub fn encode_head(call: &InvokerCall, head: &StreamHead) -> String {
-    let parcel = &call.invocation;
-    let key = parcel.key.as_ref().map(|key| format!("Idempotency-Key: {key}\r\n")).unwrap_or_default();
+pub fn encode_head(call: &DeliveryCall, head: &StreamHead) -> String {
+    let payload = &call.payload;
+    let key = payload.key.as_ref().map(|key| format!("Idempotency-Key: {key}\r\n")).unwrap_or_default();
     let digest = head.digest.as_ref().map(|d| format!("Content-Digest: {d}\r\n")).unwrap_or_default();
     let framing = match head.length {
         Some(length) => format!("Content-Length: {length}"),
         None => "Transfer-Encoding: chunked".to_string(),
     };
-    let (addr, id, left) = (call.addr, &parcel.id, call.timeout.div_ceil(1_000));
+    let (addr, id, left) = (call.addr, &payload.id, call.timeout.div_ceil(1_000));
     format!(
         "POST {} HTTP/1.1\r\nHost: {addr}\r\nX-Correlation-Id: {id}\r\n{key}X-Time-Left: {left}m\r\n{digest}\
          Expect: 100-continue\r\n{framing}\r\n\r\n",
-        super::invoker::PATH
+        super::delivery::PATH
     )
 }
 
@@ -237,7 +237,7 @@
 pub const CHUNK_END: Bytes = Bytes::from_static(b"\r\n");
 pub const LAST_CHUNK: Bytes = Bytes::from_static(b"0\r\n\r\n");
 
-/// The final answer to a streamed invocation.
+/// The final answer to a streamed submission.
 pub fn answer(end: StreamEnd) -> Response<Bytes> {
     let mut response = match end {
         StreamEnd::Delivered => plain(StatusCode::OK, "delivered\n"),
@@ -255,7 +255,7 @@
         }
     };
     if let StreamEnd::Deferred(after) = end {
-        super::invocation::come_again(&mut response, after);
+        super::submission::set_retry_after(&mut response, after);
     }
     response.head_mut().set_connection_type(actix_http::ConnectionType::Close);
     response
--- a/protocol/src/invocation.rs
+++ b/protocol/src/submission.rs
@@ -1,9 +1,9 @@
-//! What consumers hand in, and the answer they get.
+//! What clients hand in, and the answer they get.
 
 use actix_http::header::{self, HeaderMap, HeaderValue};
 use actix_http::{Method, Response, StatusCode};
 use bytes::Bytes;
-use quillmount_core::Invocation;
+use quillmount_core::Submission;
 use quillmount_core::router::Intake;
 use spurshore::Micros;
 
@@ -14,7 +14,7 @@
 /// More time than this is not the platform's either.
 const TIME_MAX: Micros = 600_000_000;
 
-/// Why a request is no invocation: a plain answer, never journalled.
+/// Why a request is no submission: a plain answer, never journalled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Malformed {
     #[error("no such path")]
@@ -38,7 +38,7 @@
     #[error("the body is over 64 KiB")]
     TooLarge,
     #[error("the body is over the limit of its class")]
-    OverLimit,
+    ExceedsClassLimit,
     #[error("Content-Digest is malformed")]
     Digest,
     #[error("Expect knows 100-continue alone")]
@@ -56,7 +56,7 @@
             Malformed::Method => StatusCode::METHOD_NOT_ALLOWED,
             Malformed::HeadTooLarge => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
             Malformed::Length => StatusCode::LENGTH_REQUIRED,
-            Malformed::TooLarge | Malformed::OverLimit => StatusCode::PAYLOAD_TOO_LARGE,
+            Malformed::TooLarge | Malformed::ExceedsClassLimit => StatusCode::PAYLOAD_TOO_LARGE,
             Malformed::Slow => StatusCode::REQUEST_TIMEOUT,
             Malformed::Expect => StatusCode::EXPECTATION_FAILED,
             _ => StatusCode::BAD_REQUEST,
@@ -68,7 +68,15 @@
         use Malformed::*;
         matches!(
             self,
-            Unreadable | HeadTooLarge | Length | TooLarge | OverLimit | Behind | Slow | Digest | Expect
+            Unreadable
+                | HeadTooLarge
+                | Length
+                | TooLarge
+                | ExceedsClassLimit
+                | Behind
+                | Slow
+                | Digest
+                | Expect
         )
     }
 }
@@ -102,7 +110,7 @@
     }
 }
 
-/// The head of an invocation; its body follows.
+/// The head of a submission; its body follows.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Head {
     id: String,
@@ -115,7 +123,7 @@
 }
 
 impl Head {
-    /// An invocation with a small body.
+    /// A submission with a small body.
     ///
     /// # Errors
     /// It is none.
@@ -129,7 +137,7 @@
         Ok(head)
     }
 
-    /// An invocation whose body is passed on as it comes, and may take `longest`; its framing is read apart.
+    /// A submission whose body is passed on as it comes, and may take `longest`; its framing is read apart.
     ///
     /// # Errors
     /// It is none.
@@ -171,9 +179,9 @@
         Ok(Head { id, class, key, dest, tenant, time_left, length })
     }
 
-    pub fn with_body(self, body: Bytes) -> Invocation {
+    pub fn with_body(self, body: Bytes) -> Submission {
         let Head { id, class, key, dest, tenant, time_left, .. } = self;
-        Invocation { id, class, key, dest, tenant, time_left, body }
+        Submission { id, class, key, dest, tenant, time_left, body }
     }
 }
 
@@ -195,10 +203,10 @@
     dest.filter(|_| dests.next().is_none())
 }
 
-/// The answer to an invocation.
+/// The answer to a submission.
 pub fn answer(intake: Intake) -> Response<Bytes> {
     let (status, text) = match intake {
-        Intake::TakenOn => (StatusCode::ACCEPTED, "taken on\n"),
+        Intake::Accepted => (StatusCode::ACCEPTED, "taken on\n"),
         Intake::Delivered => (StatusCode::OK, "delivered\n"),
         Intake::Rejected { .. } => (StatusCode::SERVICE_UNAVAILABLE, "come again\n"),
         Intake::Failed => (StatusCode::CONFLICT, "ended, perhaps with an effect\n"),
@@ -208,7 +216,7 @@
     };
     let mut response = plain(status, text);
     if let Intake::Rejected { after } = intake {
-        come_again(&mut response, after);
+        set_retry_after(&mut response, after);
     }
     response
 }
@@ -216,7 +224,7 @@
 /// The same in other words; with a wait it says when to come again.
 pub fn answer_with(status: StatusCode, text: &str, after: Option<Micros>) -> Response<Bytes> {
     let mut response = plain(status, text);
-    after.into_iter().for_each(|after| come_again(&mut response, after));
+    after.into_iter().for_each(|after| set_retry_after(&mut response, after));
     response
 }
 
@@ -226,14 +234,14 @@
 }
 
 /// Says when to come again: whole milliseconds, never less than told.
-pub(crate) fn come_again(response: &mut Response<Bytes>, after: Micros) {
+pub(crate) fn set_retry_after(response: &mut Response<Bytes>, after: Micros) {
     let seconds = after.div_ceil(1_000) as f64 / 1_000.0;
     if let Ok(value) = HeaderValue::from_str(&seconds.to_string()) {
         response.headers_mut().insert(header::RETRY_AFTER, value);
     }
 }
 
-/// The answer to what is no invocation.
+/// The answer to what is no submission.
 pub fn refuse(malformed: Malformed) -> Response<Bytes> {
     plain(malformed.status(), &format!("{malformed}\n"))
 }
--- a/protocol/tests/invoker.rs
+++ b/protocol/tests/delivery.rs
@@ -1,8 +1,8 @@
-//! Invoker calls on the wire: what a provider is sent, and what its answers mean, whole, cut or endless.
+//! Invoker calls on the wire: what an endpoint is sent, and what its answers mean, whole, cut or endless.
 
 use quillmount_core::machine::attempt::Answer;
-use quillmount_core::{CallEnd, InvokerCall, Parcel};
-use quillmount_protocol::invoker::{decode, decode_each, each, encode, load};
+use quillmount_core::{CallEnd, DeliveryCall, MessagePayload};
+use quillmount_protocol::delivery::{decode, decode_each, each, encode, load};
 use spurshore::Micros;
 
 /// Whatever the pieces in which an answer comes, it says one thing, and only with its last byte where it is no 200.
@@ -27,27 +27,28 @@
     assert_eq!(decode(&answer("503").as_bytes()[..90], true), spoilt);
 }
 
-fn call(ids: &[&str]) -> InvokerCall {
-    let parcel = |id: &&str| {
+fn call(ids: &[&str]) -> DeliveryCall {
+    let payload = |id: &&str| {
         let (id, key, body) = (id.to_string(), (*id == "b").then(|| "k\"1".into()), vec![0, 255, 10].into());
-        std::sync::Arc::new(Parcel { id, key, tenant: None, body })
+        std::sync::Arc::new(MessagePayload { id, key, tenant: None, body })
     };
     let id = |msg| quillmount_core::CallId { msg, attempt: 0 };
-    let mut parcels = ids.iter().map(parcel).zip(1..);
-    let (invocation, _) = parcels.next().unwrap();
-    let more = parcels.map(|(invocation, n)| quillmount_core::Rider { call: id(n), invocation }).collect();
-    let (addr, timeout, told, by) = ("127.0.0.1:9".parse().unwrap(), 8_000_000, 1_500_000, Micros::MAX);
-    InvokerCall {
+    let mut payloads = ids.iter().map(payload).zip(1..);
+    let (payload, _) = payloads.next().unwrap();
+    let bundled =
+        payloads.map(|(payload, n)| quillmount_core::BundledMessage { call: id(n), payload }).collect();
+    let (addr, timeout, time_left, by) = ("127.0.0.1:9".parse().unwrap(), 8_000_000, 1_500_000, Micros::MAX);
+    DeliveryCall {
         call: id(1),
-        provider: 0,
+        endpoint: 0,
         dest: 0,
         addr,
-        invocation,
+        payload,
         timeout,
         by,
         stream: false,
-        more,
-        told,
+        bundled,
+        time_left,
     }
 }
 
@@ -90,7 +91,7 @@
             );
         }
         assert_eq!(decode_each(answer.as_bytes(), false), Answer::Whole { end: Each, reusable: true });
-        let ends = [Delivered, Error, Full(0), Over, Exhausted, Spoilt(0), Spoilt(0), Spoilt(0)];
+        let ends = [Delivered, Error, Full(0), Gone, Exhausted, Spoilt(0), Spoilt(0), Spoilt(0)];
         assert_eq!(each(answer.as_bytes(), &order), (ends.to_vec(), 500_000));
     }
     let empty = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
--- a/protocol/tests/discovery.rs
+++ b/protocol/tests/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery's lists, wherever a watch cuts them.
 
-use quillmount_protocol::discovery::{DiscoveryError, LIST_MAX, Lists, Said};
+use quillmount_protocol::discovery::{ChunkOutcome, DiscoveryError, LIST_MAX, Lists};
 
 const LINE: &str = concat!(
     r#"{"version":42,"full":true,"servers":[{"id":"s-\"{1}\"","addr":"10.1.0.18:7070","zone":"ü","kind":"m2","#,
@@ -14,10 +14,10 @@
 }
 
 /// What is no error.
-fn fed(lists: &mut Lists, chunk: &[u8]) -> Said {
-    let said = lists.feed(chunk);
-    assert!(said.end.is_none(), "{:?}", said.end);
-    said
+fn fed(lists: &mut Lists, chunk: &[u8]) -> ChunkOutcome {
+    let outcome = lists.feed(chunk);
+    assert!(outcome.end.is_none(), "{:?}", outcome.end);
+    outcome
 }
 
 fn read(text: &str, cuts: &[usize]) -> Vec<(u64, usize)> {
@@ -28,8 +28,8 @@
         from = to;
     }
     // An empty line is a sign of life only where nothing of a list is left.
-    assert!(fed(&mut lists, b"\n").lives, "cut at {cuts:?}: something is left");
-    all.iter().map(|list| (list.version, list.providers.len())).collect()
+    assert!(fed(&mut lists, b"\n").alive, "cut at {cuts:?}: something is left");
+    all.iter().map(|list| (list.version, list.endpoints.len())).collect()
 }
 
 #[test]
@@ -58,7 +58,7 @@
 #[test]
 fn empty_lines_say_that_a_watch_lives_but_inside_of_a_list_that_goes_on() {
     let mut lists = Lists::default();
-    let mut lives = |chunk: &str| fed(&mut lists, chunk.as_bytes()).lives;
+    let mut lives = |chunk: &str| fed(&mut lists, chunk.as_bytes()).alive;
     assert!(lives("\n") && lives("\r\n") && lives(&indented()) && lives("\n"));
     // Only a whole list shows that more than its beginning will come.
     assert!(!lives(r#"{"version":"#));
--- a/protocol/tests/load.rs
+++ b/protocol/tests/load.rs
@@ -1,6 +1,6 @@
 //! Reports of load in answers.
 
-use quillmount_protocol::invoker::load;
+use quillmount_protocol::delivery::load;
 
 fn answer(header: &str) -> Vec<u8> {
     format!("HTTP/1.1 102 Wait\r\n\r\nHTTP/1.1 503 X\r\n{header}Content-Length: 0\r\n\r\n").into_bytes()
--- a/protocol/tests/operator.rs
+++ b/protocol/tests/operator.rs
@@ -1,6 +1,6 @@
 //! Operators' lines.
 
-use quillmount_protocol::operator::{BadCall, Call, LINE_MAX, Line, read};
+use quillmount_protocol::operator::{BadCall, LINE_MAX, Line, OperatorCall, read};
 
 #[test]
 fn lines_that_are_calls_and_lines_that_are_not() {
@@ -8,11 +8,11 @@
         Line::Whole(call) => Some(call),
         Line::Partial => None,
     };
-    assert_eq!(call(b"READY\n"), Some(Ok(Call::Ready)));
-    assert_eq!(call(b"DISABLE  s-1\r\n"), Some(Ok(Call::Disable("s-1".into()))));
-    assert_eq!(call(b"ENABLE s-1\n"), Some(Ok(Call::Enable("s-1".into()))));
-    assert_eq!(call(b"UNDRAIN \n"), Some(Ok(Call::Undrain)));
-    assert_eq!(call(b"DRAIN\nREADY\n"), Some(Ok(Call::Drain)));
+    assert_eq!(call(b"READY\n"), Some(Ok(OperatorCall::Ready)));
+    assert_eq!(call(b"DISABLE  s-1\r\n"), Some(Ok(OperatorCall::Disable("s-1".into()))));
+    assert_eq!(call(b"ENABLE s-1\n"), Some(Ok(OperatorCall::Enable("s-1".into()))));
+    assert_eq!(call(b"UNDRAIN \n"), Some(Ok(OperatorCall::Undrain)));
+    assert_eq!(call(b"DRAIN\nREADY\n"), Some(Ok(OperatorCall::Drain)));
     let bad: [(&[u8], BadCall); 7] = [
         (b"\r\n", BadCall::Empty),
         (b"ready\n", BadCall::Unknown),
--- a/protocol/tests/stored_forms.rs
+++ b/protocol/tests/stored_forms.rs
@@ -1,4 +1,4 @@
-//! The platform's forms on HTTP as text: discovery's lists, invocations' heads and answers, calls to providers and their
+//! The platform's forms on HTTP as text: discovery's lists, submissions' heads and answers, calls to endpoints and their
 //! answers, notices and operators' lines. `WRITE_FIXTURES=1` writes the files anew.
 
 #[path = "../../core/tests/fixtures/mod.rs"]
@@ -12,19 +12,27 @@
 use quillmount_core::machine::attempt::Answer;
 use quillmount_core::router::{Intake, StreamEnd};
 use quillmount_core::{
-    CallEnd, CallId, Ending, Invocation, InvokerCall, Notice, Parcel, Provider, ProviderList, Rider,
-    StreamHead,
+    BundledMessage, CallEnd, CallId, DeliveryCall, Ending, EndpointList, EndpointListing, MessagePayload,
+    Notice, StreamHead, Submission,
 };
 use quillmount_protocol::discovery::{Lists, watch_path};
-use quillmount_protocol::invocation::{self, Head, Malformed};
-use quillmount_protocol::operator::{self, BadCall, Call, Line};
-use quillmount_protocol::{invoker, notice, stream};
+use quillmount_protocol::operator::{self, BadCall, Line, OperatorCall};
+use quillmount_protocol::submission::{self, Head, Malformed};
+use quillmount_protocol::{delivery, notice, stream};
 use spurshore::ListState;
 use std::sync::Arc;
 
-fn provider(id: &str, addr: Option<&str>, dest: u64, state: ListState) -> Provider {
+fn endpoint(id: &str, addr: Option<&str>, dest: u64, state: ListState) -> EndpointListing {
     let (kind, zone) = (String::new(), String::new());
-    Provider { id: id.into(), addr: addr.map(|a| a.parse().unwrap()), dest, kind, zone, weight: 0.0, state }
+    EndpointListing {
+        id: id.into(),
+        addr: addr.map(|a| a.parse().unwrap()),
+        dest,
+        kind,
+        zone,
+        weight: 0.0,
+        state,
+    }
 }
 
 /// A file of two lists, one whole and one of changes, with fields that nobody here reads.
@@ -32,19 +40,21 @@
 fn lists_are_read_as_ever() {
     let bytes = include_bytes!("fixtures/discovery_lists.json");
     let said = Lists::default().feed(bytes);
-    assert!(said.end.is_none() && said.lives);
-    let first = Provider {
+    assert!(said.end.is_none() && said.alive);
+    let first = EndpointListing {
         kind: "bank".into(),
         zone: "ü".into(),
         weight: 2.5,
-        ..provider("s-\"1\"", Some("10.1.0.18:7070"), 3, ListState::Ready)
+        ..endpoint("s-\"1\"", Some("10.1.0.18:7070"), 3, ListState::Ready)
+    };
+    let second = EndpointListing {
+        weight: 1.0,
+        ..endpoint("s-2", Some("[2001:db8::1]:7070"), 4, ListState::Draining)
     };
-    let second =
-        Provider { weight: 1.0, ..provider("s-2", Some("[2001:db8::1]:7070"), 4, ListState::Draining) };
-    let whole = ProviderList { version: 42, full: true, providers: vec![first, second] };
-    let gone = vec![provider("s-2", None, 4, ListState::Gone), provider("s-3", None, 4, ListState::Gone)];
-    let delta = ProviderList { version: 43, full: false, providers: gone };
-    let empty = ProviderList { version: 44, full: false, providers: vec![] };
+    let whole = EndpointList { version: 42, full: true, endpoints: vec![first, second] };
+    let gone = vec![endpoint("s-2", None, 4, ListState::Gone), endpoint("s-3", None, 4, ListState::Gone)];
+    let delta = EndpointList { version: 43, full: false, endpoints: gone };
+    let empty = EndpointList { version: 44, full: false, endpoints: vec![] };
     assert_eq!(said.lists, [whole, delta, empty]);
     assert_eq!(watch_path(44), "/api/targets?watch=1&after=44");
 }
@@ -87,10 +97,10 @@
 }
 
 #[test]
-fn heads_of_invocations_are_read_as_ever() {
+fn heads_of_submissions_are_read_as_ever() {
     let head = Head::decode(&Method::POST, "/fee-debit/more", &headers(&ALL)).unwrap();
     assert_eq!((head.length, head.class()), (4, "fee-debit"));
-    let wanted = Invocation {
+    let wanted = Submission {
         id: "m1".into(),
         class: "fee-debit".into(),
         key: Some("k1".into()),
@@ -137,9 +147,9 @@
 }
 
 #[test]
-fn answers_to_consumers_are_written_as_ever() {
+fn answers_to_clients_are_written_as_ever() {
     let intakes = [
-        Intake::TakenOn,
+        Intake::Accepted,
         Intake::Delivered,
         Intake::Rejected { after: 2_000_000 },
         Intake::Rejected { after: 1 },
@@ -159,7 +169,7 @@
         Malformed::HeadTooLarge,
         Malformed::Length,
         Malformed::TooLarge,
-        Malformed::OverLimit,
+        Malformed::ExceedsClassLimit,
         Malformed::Digest,
         Malformed::Expect,
         Malformed::Behind,
@@ -175,11 +185,11 @@
     ];
     let ends = [StreamEnd::Delivered, StreamEnd::Deferred(250_000), StreamEnd::Failed];
     let ends = ends.into_iter().chain(cuts.map(StreamEnd::Cut));
-    let other = invocation::answer_with(StatusCode::BAD_GATEWAY, "other\n", Some(1_500));
+    let other = submission::answer_with(StatusCode::BAD_GATEWAY, "other\n", Some(1_500));
     let all: Vec<String> = intakes
-        .map(invocation::answer)
+        .map(submission::answer)
         .into_iter()
-        .chain(malformed.map(invocation::refuse))
+        .chain(malformed.map(submission::refuse))
         .chain(ends.map(stream::answer))
         .chain([other])
         .map(text)
@@ -190,36 +200,36 @@
     assert_eq!((&ending[..6], ending[6..].iter().all(|ends| *ends)), (&wanted[..], true));
 }
 
-fn call(several: bool, key: Option<&str>) -> InvokerCall {
-    let parcel = |id: &str, key: Option<&str>| {
+fn call(several: bool, key: Option<&str>) -> DeliveryCall {
+    let payload = |id: &str, key: Option<&str>| {
         let (key, body) = (key.map(Into::into), Bytes::from_static(b"\x00\xff\n"));
-        Arc::new(Parcel { id: id.into(), key, tenant: Some("north".into()), body })
+        Arc::new(MessagePayload { id: id.into(), key, tenant: Some("north".into()), body })
     };
-    let rider = |msg, id| Rider { call: CallId { msg, attempt: 0 }, invocation: parcel(id, None) };
-    InvokerCall {
+    let bundled = |msg, id| BundledMessage { call: CallId { msg, attempt: 0 }, payload: payload(id, None) };
+    DeliveryCall {
         call: CallId { msg: 1, attempt: 0 },
-        provider: 0,
+        endpoint: 0,
         dest: 7,
         addr: "10.1.0.18:7070".parse().unwrap(),
-        invocation: parcel("m1", key),
+        payload: payload("m1", key),
         timeout: 8_000_001,
         by: u64::MAX,
         stream: false,
-        more: if several { vec![rider(2, "m2"), rider(3, "m\"3")] } else { vec![] },
-        told: 1_500_000,
+        bundled: if several { vec![bundled(2, "m2"), bundled(3, "m\"3")] } else { vec![] },
+        time_left: 1_500_000,
     }
 }
 
 #[test]
-fn calls_to_providers_are_written_as_ever() {
+fn calls_to_endpoints_are_written_as_ever() {
     let stream = |length, digest: Option<&str>| {
         stream::encode_head(&call(false, Some("k1")), &StreamHead { length, digest: digest.map(Into::into) })
     };
     let digest = "sha-256=:RK/0qy18MlBSVnWgjwz6lZEWjP/lF5HF9bvEF8FabDg=:";
     for (name, bytes) in [
-        ("call_plain.http", invoker::encode(&call(false, None))),
-        ("call_keyed.http", invoker::encode(&call(false, Some("k1")))),
-        ("call_several.http", invoker::encode(&call(true, Some("k1")))),
+        ("call_plain.http", delivery::encode(&call(false, None))),
+        ("call_keyed.http", delivery::encode(&call(false, Some("k1")))),
+        ("call_several.http", delivery::encode(&call(true, Some("k1")))),
         ("call_stream_length.http", stream(Some(300), Some(digest)).into_bytes()),
         ("call_stream_chunked.http", stream(None, None).into_bytes()),
     ] {
@@ -230,7 +240,7 @@
 }
 
 #[test]
-fn answers_of_providers_are_read_as_ever() {
+fn answers_of_endpoints_are_read_as_ever() {
     let answer = |head: &str| format!("HTTP/1.1 {head}\r\nContent-Length: 0\r\n\r\n").into_bytes();
     let whole = |end| Answer::Whole { end, reusable: true };
     for (head, end) in [
@@ -241,20 +251,20 @@
         ("503 X\r\nX-Over-Slots: 1", CallEnd::NoSlot),
         ("503 X", CallEnd::Full(0)),
         ("504 X", CallEnd::Exhausted),
-        ("410 X", CallEnd::Over),
+        ("410 X", CallEnd::Gone),
         ("500 X", CallEnd::Error),
     ] {
-        assert_eq!(invoker::decode(&answer(head), false), whole(end), "{head}");
+        assert_eq!(delivery::decode(&answer(head), false), whole(end), "{head}");
     }
     for (head, end) in [("200 OK", CallEnd::Each), ("400 X", CallEnd::NoSlot), ("413 X", CallEnd::NoSlot)] {
-        assert_eq!(invoker::decode_each(&answer(head), false), whole(end), "{head}");
+        assert_eq!(delivery::decode_each(&answer(head), false), whole(end), "{head}");
     }
     let states = ["ok", "error", "later", "gone", "exhausted", "other"];
     let wanted = [
         CallEnd::Delivered,
         CallEnd::Error,
         CallEnd::Full(0),
-        CallEnd::Over,
+        CallEnd::Gone,
         CallEnd::Exhausted,
         CallEnd::Spoilt(0),
     ];
@@ -263,20 +273,20 @@
         let head = format!("HTTP/1.1 200 OK\r\nRetry-After: 2\r\nContent-Length: {}\r\n\r\n", body.len());
         let bytes = [head.as_bytes(), body.as_bytes()].concat();
         let ends = vec![CallEnd::Delivered, end, CallEnd::Spoilt(0)];
-        assert_eq!(invoker::each(&bytes, &call(true, None)), (ends, 2_000_000), "{state}");
+        assert_eq!(delivery::each(&bytes, &call(true, None)), (ends, 2_000_000), "{state}");
     }
-    let load = invoker::load(&answer("200 OK\r\nX-Backend-Load: x0=0.4,x1=25"));
+    let load = delivery::load(&answer("200 OK\r\nX-Backend-Load: x0=0.4,x1=25"));
     assert_eq!(load, [("x0".to_string(), 0.4), ("x1".to_string(), 25.0)]);
 }
 
 #[test]
 fn operators_lines_are_read_and_answered_as_ever() {
     let calls = [
-        ("READY\n", Call::Ready),
-        ("DISABLE s-1\n", Call::Disable("s-1".into())),
-        ("ENABLE s-1\r\n", Call::Enable("s-1".into())),
-        ("DRAIN\n", Call::Drain),
-        ("UNDRAIN\n", Call::Undrain),
+        ("READY\n", OperatorCall::Ready),
+        ("DISABLE s-1\n", OperatorCall::Disable("s-1".into())),
+        ("ENABLE s-1\r\n", OperatorCall::Enable("s-1".into())),
+        ("DRAIN\n", OperatorCall::Drain),
+        ("UNDRAIN\n", OperatorCall::Undrain),
     ];
     for (line, call) in calls {
         assert_eq!(operator::read(line.as_bytes(), false), Line::Whole(Ok(call)));
--- a/standins/src/audit.rs
+++ b/standins/src/audit.rs
@@ -13,7 +13,7 @@
 pub use settlements::{SettlementEnd, SettlementOutcome, SettlementPosition};
 
 use crate::record::BodyDigest;
-use quillmount_core::journal::{Book, End, Record, Records};
+use quillmount_core::journal::{End, JournalContents, JournalRecord, Records};
 use spurshore::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -163,7 +163,7 @@
 impl Seal {
     /// The seal of a book whose copy had these bytes.
     pub fn of(courier: usize, at: Micros, copy: &[u8]) -> Seal {
-        let owed = Book::read(copy).0.owed;
+        let owed = JournalContents::read(copy).0.owed;
         let messages = owed.into_values().map(|entry| (entry.taken.id, entry.calls.len())).collect();
         Seal { courier, at, messages }
     }
@@ -423,18 +423,18 @@
 struct JournalIndex<'a> {
     /// Ids that any of them still tells of.
     known: BTreeSet<String>,
-    own: Vec<(&'a Journal, Book, usize)>,
+    own: Vec<(&'a Journal, JournalContents, usize)>,
 }
 
 impl<'a> JournalIndex<'a> {
     fn read(journals: &'a [Journal]) -> JournalIndex<'a> {
         let (mut known, mut own) = (BTreeSet::new(), Vec::new());
         for journal in journals {
-            let (book, sound) = Book::read(&journal.bytes);
-            known.extend(book.owed.values().map(|entry| entry.taken.id.clone()));
-            known.extend(book.over.iter().map(|(id, ..)| id.clone()));
+            let (contents, sound) = JournalContents::read(&journal.bytes);
+            known.extend(contents.owed.values().map(|entry| entry.taken.id.clone()));
+            known.extend(contents.ended.iter().map(|(id, ..)| id.clone()));
             if !journal.copy {
-                own.push((journal, book, sound));
+                own.push((journal, contents, sound));
             }
         }
         JournalIndex { known, own }
@@ -447,7 +447,7 @@
         found: &mut Vec<Finding>,
     ) {
         let mut owners: BTreeMap<&str, BTreeSet<usize>> = BTreeMap::new();
-        for (journal, book, sound) in &self.own {
+        for (journal, contents, sound) in &self.own {
             let courier = journal.courier;
             // Of one that was killed the last record may be half there, until it starts again.
             let lost = history.fault_windows.iter().any(|t| t.courier == courier && t.to.is_none());
@@ -457,7 +457,7 @@
             }
             let sealed =
                 |id: &str| history.seals.iter().any(|s| s.courier == courier && s.messages.contains_key(id));
-            for entry in book.owed.values() {
+            for entry in contents.owed.values() {
                 let id = entry.taken.id.as_str();
                 if entry.end.is_none() && !sealed(id) {
                     owners.entry(id).or_default().insert(courier);
@@ -485,11 +485,11 @@
         let courier = journal.courier;
         for (at, record) in Records::of(&journal.bytes) {
             match record {
-                Record::TakeOn { msg, taken } | Record::Stream { msg, taken } => {
+                JournalRecord::Accept { msg, taken } | JournalRecord::Stream { msg, taken } => {
                     let class = rules.classes.get(&taken.class).copied().unwrap_or(RepeatPolicy::Once);
                     owed.insert(msg, (taken.id, class, Vec::new(), None));
                 }
-                Record::Attempt { msg, .. } | Record::Sent { msg, .. } => {
+                JournalRecord::Attempt { msg, .. } | JournalRecord::Sent { msg, .. } => {
                     let Some((id, class, calls, end)) = owed.get_mut(&msg) else { continue };
                     if end.is_some() {
                         found.push(Finding::WrittenAfterEnd { id: id.clone(), courier, byte: at });
@@ -498,22 +498,25 @@
                     }
                     calls.push(false);
                 }
-                Record::Outcome { msg, attempt, never_ran } => {
+                JournalRecord::Outcome { msg, attempt, never_ran } => {
                     let call = owed.get_mut(&msg).and_then(|progress| progress.2.get_mut(attempt as usize));
                     call.into_iter().for_each(|call| *call = never_ran);
                 }
-                Record::End { msg, end } => {
+                JournalRecord::End { msg, end } => {
                     if let Some((.., recorded)) = owed.get_mut(&msg) {
                         *recorded = Some(end);
                     }
                 }
-                Record::Told { .. } | Record::Over { .. } | Record::Hold { .. } | Record::Release { .. } => {}
+                JournalRecord::Confirmed { .. }
+                | JournalRecord::Ended { .. }
+                | JournalRecord::Disable { .. }
+                | JournalRecord::Enable { .. } => {}
                 // What a settlement's home has is in words of its own.
-                Record::Sealed
-                | Record::From { .. }
-                | Record::Settled { .. }
-                | Record::Settlement { .. }
-                | Record::SettlementOver { .. } => {}
+                JournalRecord::Sealed
+                | JournalRecord::From { .. }
+                | JournalRecord::Settled { .. }
+                | JournalRecord::Settlement { .. }
+                | JournalRecord::SettlementEnded { .. } => {}
             }
         }
     }
--- a/standins/tests/audit.rs
+++ b/standins/tests/audit.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
-use quillmount_core::journal::{self, End, Record};
+use quillmount_core::journal::{self, End, JournalRecord};
 use quillmount_core::store::Memory;
 use quillmount_standins::audit::{
     Budget, ConnectionCount, FaultWindow, Finding, History, Journal, Notice, ObservedCall, Seal,
@@ -56,19 +56,20 @@
 }
 
 /// A journal's bytes with these records.
-fn journal(records: &[Record]) -> Journal {
+fn journal(records: &[JournalRecord]) -> Journal {
     let mut notes = Vec::new();
     let opened = journal::Journal::open(Memory::default(), 1 << 20, T0, &mut notes);
     let (mut journal, _) = opened.unwrap();
-    journal.note_all(records, T0, &mut notes).unwrap();
+    journal.append_all(records, T0, &mut notes).unwrap();
     let bytes = quillmount_core::store::Store::read(journal.store_mut()).unwrap();
     Journal { courier: 0, copy: false, bytes }
 }
 
-fn taken(msg: u64, id: &str) -> Record {
+fn taken(msg: u64, id: &str) -> JournalRecord {
     let (class, key, body) = ("fee-debit".into(), Some(format!("key-{id}")), Bytes::from(id.to_string()));
-    let taken = journal::TakenOn { id: id.into(), class, key, dest: 1, deadline: T0 + 16 * SEC, body };
-    Record::TakeOn { msg, taken }
+    let taken =
+        journal::AcceptedMessage { id: id.into(), class, key, dest: 1, deadline: T0 + 16 * SEC, body };
+    JournalRecord::Accept { msg, taken }
 }
 
 /// What goes well, with all that is allowed: a refusal that is tried again, a notice that is told again, a
@@ -123,7 +124,7 @@
             Budget { partner: 0, from: T0, most: 4 },
             Budget { partner: 0, from: T0 + 4 * SEC, most: 2 },
         ],
-        journals: vec![journal(&[taken(1, "open"), Record::Attempt { msg: 1, zone: 0, sent: late }])],
+        journals: vec![journal(&[taken(1, "open"), JournalRecord::Attempt { msg: 1, zone: 0, sent: late }])],
         seals: vec![Seal { courier: 2, at: T0 + 4 * SEC, messages: [("known".into(), 1)].into() }],
         fault_windows: vec![lost],
         positions: settled,
@@ -294,8 +295,8 @@
     ),
     (
         |h| {
-            let end = Record::End { msg: 1, end: End::Undeliverable };
-            let after = Record::Attempt { msg: 1, zone: 0, sent: T0 };
+            let end = JournalRecord::End { msg: 1, end: End::Undeliverable };
+            let after = JournalRecord::Attempt { msg: 1, zone: 0, sent: T0 };
             h.submissions.push(submission("b-ended", "fee-debit"));
             h.notices.push(notice("b-ended", "undeliverable", T0 + SEC));
             h.journals.push(Journal { courier: 5, ..journal(&[taken(1, "b-ended"), end, after]) });
@@ -304,7 +305,7 @@
     ),
     (
         |h| {
-            let attempt = Record::Attempt { msg: 1, zone: 0, sent: T0 };
+            let attempt = JournalRecord::Attempt { msg: 1, zone: 0, sent: T0 };
             h.submissions.push(submission("b-twice", "fee-debit"));
             h.notices.push(notice("b-twice", "undeliverable", T0 + SEC));
             h.journals
