--- a/courier/src/fleet/budget.rs
+++ b/courier/src/fleet/budget.rs
@@ -1,11 +1,11 @@
 //! Partners' budgets on sockets: a call to a partner with a budget has leave for its connection before its
 //! first byte, and each such connection counts from before its connect until its end is known.
 //!
-//! What may be begun is the [`Holder`](quillmount_fleet::budget::Holder)'s word; here calls stand in line for
+//! What may be begun is the [`LocalBudget`](quillmount_fleet::budget::LocalBudget)'s word; here calls stand in line for
 //! it, each tenant's in their order, and what became of connections is told. A connection tells of its own
 //! end when it is dropped, wherever that is: no way of the pool or of a call can forget it.
 
-use super::stores::Files;
+use super::stores::FileStores;
 use crate::transport::clock::Clock;
 use crate::transport::courier::Courier;
 use crate::transport::endpoints::{CallSignals, is_quiet};
@@ -15,7 +15,7 @@
 use quillmount_core::machine::attempt::AttemptState;
 use quillmount_core::machine::connection::{ConnectionInput, EndpointConnection};
 use quillmount_core::{CallId, Submission};
-use quillmount_fleet::budget::{Begin, Gate, Order, Permit};
+use quillmount_fleet::budget::{BudgetGate, ConnectionOrder, Permit, PermitKind};
 use quillmount_fleet::member::Member;
 use spurshore::Micros;
 use std::cell::{Cell, RefCell};
@@ -29,26 +29,26 @@
 /// A call that would get its connection later than this before its time is up is held back instead: it never
 /// ran, while one that goes out then may have, and its answer comes as its message is given up. Some calls'
 /// time; one that needn't wait goes out.
-const LEAST_LEFT: Micros = 250_000;
+const MIN_TIME_LEFT: Micros = 250_000;
 /// What a partner still says on a closed connection is read in such pieces, and let go.
-const READ: usize = 4_096;
+const READ_CHUNK: usize = 4_096;
 
 /// A connection to a provider.
 pub enum Conn {
     /// Of a partner without a budget.
     Plain(TcpStream),
-    Counted(Box<Counted>),
+    Counted(Box<CountedConnection>),
 }
 
 /// A connection that counts; dropped, it is closed, and counts until the partner has closed it too.
-pub struct Counted {
+pub struct CountedConnection {
     stream: TcpStream,
-    name: Name,
+    name: ConnectionId,
     budgets: Rc<Budgets>,
 }
 
 /// A connection's partner and number.
-type Name = (u64, u64);
+type ConnectionId = (u64, u64);
 
 impl Conn {
     pub fn stream(&self) -> &TcpStream {
@@ -73,41 +73,41 @@
         }
     }
 
-    fn is(&self, name: Name) -> bool {
+    fn is(&self, name: ConnectionId) -> bool {
         matches!(self, Conn::Counted(counted) if counted.name == name)
     }
 }
 
-impl Drop for Counted {
+impl Drop for CountedConnection {
     fn drop(&mut self) {
         // Held on to, so that its end at the partner can be read.
         let fd = self.stream.as_fd().try_clone_to_owned().ok();
-        self.budgets.went(Went { name: self.name, end: End::Closed(fd) });
+        self.budgets.note_closed(ClosedConnection { name: self.name, end: ConnectionEnd::Closed(fd) });
     }
 }
 
 /// What a call that waited may do: go out on a connection that rested, or open one.
-pub struct Leave {
+pub struct ConnectionPermit {
     permit: Permit,
     pub resting: Option<(EndpointConnection, Conn)>,
-    opening: Option<Opening>,
+    opening: Option<PendingOpen>,
 }
 
-impl Leave {
+impl ConnectionPermit {
     /// Opens the connection that there is leave for; there is none for a second.
     pub async fn connect(&mut self, addr: SocketAddr) -> Option<Conn> {
         let mut opening = self.opening.take()?;
         // Dropped from here on, it may have come to be.
-        opening.end = Some(End::Closed(None));
+        opening.end = Some(ConnectionEnd::Closed(None));
         match TcpStream::connect(addr).await {
             Ok(stream) => {
                 opening.end = None;
                 let (name, budgets) = (opening.name, opening.budgets.clone());
-                Some(Conn::Counted(Box::new(Counted { stream, name, budgets })))
+                Some(Conn::Counted(Box::new(CountedConnection { stream, name, budgets })))
             }
             Err(e) => {
                 if e.kind() == std::io::ErrorKind::ConnectionRefused {
-                    opening.end = Some(End::Never);
+                    opening.end = Some(ConnectionEnd::NeverOpened);
                 }
                 None
             }
@@ -116,152 +116,152 @@
 }
 
 /// Leave to open a connection.
-struct Opening {
-    name: Name,
+struct PendingOpen {
+    name: ConnectionId,
     budgets: Rc<Budgets>,
     /// What is true of it if it is dropped now; `None`: it is up.
-    end: Option<End>,
+    end: Option<ConnectionEnd>,
 }
 
-impl Drop for Opening {
+impl Drop for PendingOpen {
     fn drop(&mut self) {
         if let Some(end) = self.end.take() {
-            self.budgets.went(Went { name: self.name, end });
+            self.budgets.note_closed(ClosedConnection { name: self.name, end });
         }
     }
 }
 
 /// How a connection ended.
-enum End {
+enum ConnectionEnd {
     /// It never came to be.
-    Never,
+    NeverOpened,
     /// This side has closed it; its socket, if there is one, tells when the other has.
     Closed(Option<OwnedFd>),
 }
 
-struct Went {
-    name: Name,
-    end: End,
+struct ClosedConnection {
+    name: ConnectionId,
+    end: ConnectionEnd,
 }
 
 /// A call's place in its tenant's line.
 #[derive(Default)]
-struct Place {
+struct QueuedCall {
     permit: Cell<Option<Permit>>,
-    called: Notify,
+    notified: Notify,
 }
 
 /// Calls of one tenant to one partner that wait for leave.
 #[derive(Default)]
-struct Line {
-    places: VecDeque<Rc<Place>>,
+struct TenantQueue {
+    calls: VecDeque<Rc<QueuedCall>>,
     /// How long one that comes now would wait, by the last refusal.
     after: Micros,
 }
 
-type Lines = BTreeMap<(u64, Box<str>), Line>;
+type TenantQueues = BTreeMap<(u64, Box<str>), TenantQueue>;
 
 /// The lines, and what is to be done about connections.
 pub struct Budgets {
     clock: Clock,
-    member: Rc<RefCell<Member<Files>>>,
+    member: Rc<RefCell<Member<FileStores>>>,
     /// Partners with a budget.
     dests: BTreeSet<u64>,
-    lines: RefCell<Lines>,
+    queues: RefCell<TenantQueues>,
     /// Calls that are out, by their connection.
-    out: RefCell<HashMap<Name, CallId>>,
-    went: RefCell<Vec<Went>>,
+    out: RefCell<HashMap<ConnectionId, CallId>>,
+    closed: RefCell<Vec<ClosedConnection>>,
     /// Closed by this side, and to be watched until the partner has closed them.
-    closing: RefCell<Vec<(Name, OwnedFd)>>,
-    orders: RefCell<Vec<Order>>,
-    todo: Notify,
+    closing: RefCell<Vec<(ConnectionId, OwnedFd)>>,
+    orders: RefCell<Vec<ConnectionOrder>>,
+    work_added: Notify,
 }
 
 impl Budgets {
-    pub fn new(clock: Clock, member: Rc<RefCell<Member<Files>>>, dests: BTreeSet<u64>) -> Budgets {
+    pub fn new(clock: Clock, member: Rc<RefCell<Member<FileStores>>>, dests: BTreeSet<u64>) -> Budgets {
         Budgets {
             clock,
             member,
             dests,
-            lines: RefCell::default(),
+            queues: RefCell::default(),
             out: RefCell::default(),
-            went: RefCell::default(),
+            closed: RefCell::default(),
             closing: RefCell::default(),
             orders: RefCell::default(),
-            todo: Notify::new(),
+            work_added: Notify::new(),
         }
     }
 
     /// Whether the partner's connections are counted.
-    pub fn counts(&self, dest: u64) -> bool {
+    pub fn is_budgeted(&self, dest: u64) -> bool {
         self.dests.contains(&dest)
     }
 
-    fn gate<T>(&self, act: impl FnOnce(&mut Gate, Micros) -> T) -> T {
+    fn gate<T>(&self, act: impl FnOnce(&mut BudgetGate, Micros) -> T) -> T {
         act(&mut self.member.borrow_mut().shares().gate, self.clock.now())
     }
 
     /// Whether a message is to be turned away: so many of its tenant's calls wait that its time would be over
     /// before its turn; how long to wait then.
-    pub fn refuses(&self, submission: &Submission) -> Option<Micros> {
-        if !self.counts(submission.dest) {
+    pub fn rejects(&self, submission: &Submission) -> Option<Micros> {
+        if !self.is_budgeted(submission.dest) {
             return None;
         }
-        let lines = self.lines.borrow();
-        let line = lines.get(&(submission.dest, name_of(submission.tenant.as_deref())))?;
-        (line.after > submission.time_left).then_some(line.after)
+        let queues = self.queues.borrow();
+        let queue = queues.get(&(submission.dest, tenant_name(submission.tenant.as_deref())))?;
+        (queue.after > submission.time_left).then_some(queue.after)
     }
 
     /// Waits for leave to make this call, as long as its time allows; `None`: it is held back, and has not
     /// run. The provider is told what is left of its time then.
-    pub async fn ask(
+    pub async fn acquire(
         self: &Rc<Self>,
         handle: &Handle,
         (call, until): &mut (Call<Conn>, Micros),
         signals: &CallSignals,
-    ) -> Option<Box<Leave>> {
+    ) -> Option<Box<ConnectionPermit>> {
         let order = &mut call.order;
         let (dest, endpoint, addr) = (order.dest, order.endpoint, order.addr);
-        let tenant = name_of(order.payload.tenant.as_deref());
-        let by = order.by.min(until.saturating_sub(LEAST_LEFT));
-        let asked = self.clock.now();
+        let tenant = tenant_name(order.payload.tenant.as_deref());
+        let by = order.by.min(until.saturating_sub(MIN_TIME_LEFT));
+        let asked_at = self.clock.now();
         let mut first = true;
         loop {
             let permit = self.permit(dest, &tenant, first, by, signals).await?;
             first = false;
             let (name, now) = ((dest, permit.conn), self.clock.now());
             if !handle.pool(|pool| pool.is_open(endpoint, now)) {
-                self.back(&permit);
+                self.return_permit(&permit);
                 return None;
             }
             let (resting, opening) = match permit.begin {
-                Begin::Open => {
-                    if !self.gate(|gate, now| gate.connections.opens(dest, permit.conn, now)) {
+                PermitKind::Open => {
+                    if !self.gate(|gate, now| gate.connections.confirm_open(dest, permit.conn, now)) {
                         continue;
                     }
-                    let (budgets, end) = (self.clone(), Some(End::Never));
-                    (None, Some(Opening { name, budgets, end }))
+                    let (budgets, end) = (self.clone(), Some(ConnectionEnd::NeverOpened));
+                    (None, Some(PendingOpen { name, budgets, end }))
                 }
-                Begin::Reuse => {
+                PermitKind::Reuse => {
                     let taken = handle.pool(|pool| pool.take_idle(endpoint, |conn| conn.is(name)));
                     let Some((to, at, mut machine, conn)) = taken else {
                         // It went meanwhile.
-                        self.note_gone();
+                        self.report_closed();
                         self.gate(|gate, now| gate.connections.closing(dest, permit.conn, now));
                         continue;
                     };
                     let quiet = (to, at) == (endpoint, addr) && is_quiet(&conn);
                     if machine.step(ConnectionInput::Reused { quiet }, now) {
                         drop(conn);
-                        self.note_gone();
+                        self.report_closed();
                         continue;
                     }
                     (Some((machine, conn)), None)
                 }
             };
-            order.time_left = order.time_left.saturating_sub(now.saturating_sub(asked));
+            order.time_left = order.time_left.saturating_sub(now.saturating_sub(asked_at));
             self.out.borrow_mut().insert(name, order.call);
-            return Some(Box::new(Leave { permit, resting, opening }));
+            return Some(Box::new(ConnectionPermit { permit, resting, opening }));
         }
     }
 
@@ -274,22 +274,22 @@
         by: Micros,
         signals: &CallSignals,
     ) -> Option<Permit> {
-        let place = Rc::new(Place::default());
+        let queued = Rc::new(QueuedCall::default());
         {
-            let mut lines = self.lines.borrow_mut();
-            let line = lines.entry((dest, tenant.into())).or_default();
+            let mut queues = self.queues.borrow_mut();
+            let queue = queues.entry((dest, tenant.into())).or_default();
             match first {
-                true => line.places.push_back(place.clone()),
+                true => queue.calls.push_back(queued.clone()),
                 // It was at the front, and what it got was of no use.
-                false => line.places.push_front(place.clone()),
+                false => queue.calls.push_front(queued.clone()),
             }
         }
-        let waits = Waits { budgets: self, dest, tenant, place: &place };
-        if self.heads(dest, tenant, &place) {
-            self.serve_line(dest, tenant);
+        let guard = QueueGuard { budgets: self, dest, tenant, queued: &queued };
+        if self.is_at_front(dest, tenant, &queued) {
+            self.serve_queue(dest, tenant);
         }
         loop {
-            if let Some(permit) = place.permit.take() {
+            if let Some(permit) = queued.permit.take() {
                 return Some(permit);
             }
             let left = self.clock.until(by);
@@ -299,104 +299,104 @@
             }
             tokio::select! {
                 biased;
-                () = waits.place.called.notified() => {}
+                () = guard.queued.notified.notified() => {}
                 _ = signals.next(AttemptState::Connecting) => return None,
                 () = actix_rt::time::sleep(left) => {}
             }
         }
     }
 
-    fn heads(&self, dest: u64, tenant: &str, place: &Rc<Place>) -> bool {
-        let lines = self.lines.borrow();
-        let line = lines.get(&(dest, Box::from(tenant)));
-        line.and_then(|line| line.places.front()).is_some_and(|front| Rc::ptr_eq(front, place))
+    fn is_at_front(&self, dest: u64, tenant: &str, queued: &Rc<QueuedCall>) -> bool {
+        let queues = self.queues.borrow();
+        let queue = queues.get(&(dest, Box::from(tenant)));
+        queue.and_then(|queue| queue.calls.front()).is_some_and(|front| Rc::ptr_eq(front, queued))
     }
 
     /// Gives leave to whoever may have it now.
     pub fn serve(&self) {
-        let mut lines = self.lines.borrow_mut();
-        if !lines.is_empty() {
+        let mut queues = self.queues.borrow_mut();
+        if !queues.is_empty() {
             self.gate(|gate, now| {
-                lines.iter_mut().for_each(|((dest, tenant), line)| line.serve(*dest, tenant, gate, now));
+                queues.iter_mut().for_each(|((dest, tenant), queue)| queue.serve(*dest, tenant, gate, now));
             });
-            lines.retain(|_, line| !line.places.is_empty());
+            queues.retain(|_, queue| !queue.calls.is_empty());
         }
     }
 
-    fn serve_line(&self, dest: u64, tenant: &str) {
+    fn serve_queue(&self, dest: u64, tenant: &str) {
         let key = (dest, Box::from(tenant));
-        let mut lines = self.lines.borrow_mut();
-        if let Some(line) = lines.get_mut(&key) {
-            self.gate(|gate, now| line.serve(dest, tenant, gate, now));
-            if line.places.is_empty() {
-                lines.remove(&key);
+        let mut queues = self.queues.borrow_mut();
+        if let Some(queue) = queues.get_mut(&key) {
+            self.gate(|gate, now| queue.serve(dest, tenant, gate, now));
+            if queue.calls.is_empty() {
+                queues.remove(&key);
             }
         }
     }
 
     /// A permit was of no use: nothing was opened or written.
-    fn back(&self, permit: &Permit) {
+    fn return_permit(&self, permit: &Permit) {
         let orders = self.gate(|gate, now| match permit.begin {
-            Begin::Open => {
+            PermitKind::Open => {
                 gate.connections.closed(permit.dest, permit.conn, now);
                 Vec::new()
             }
-            Begin::Reuse => gate.connections.released(permit, now),
+            PermitKind::Reuse => gate.connections.released(permit, now),
         });
-        self.order(orders);
-        self.todo.notify_one();
+        self.queue_orders(orders);
+        self.work_added.notify_one();
     }
 
     /// The call is over; its connection rests, or has said that it is gone.
-    pub fn over(&self, leave: Leave) {
-        let permit = leave.permit.clone();
+    pub fn release(&self, permit: ConnectionPermit) {
+        let used = permit.permit.clone();
         // What it did not use is gone with it.
-        drop(leave);
-        self.out.borrow_mut().remove(&(permit.dest, permit.conn));
-        self.note_gone();
-        let orders = self.gate(|gate, now| gate.connections.released(&permit, now));
-        self.order(orders);
+        drop(permit);
+        self.out.borrow_mut().remove(&(used.dest, used.conn));
+        self.report_closed();
+        let orders = self.gate(|gate, now| gate.connections.released(&used, now));
+        self.queue_orders(orders);
         self.serve();
     }
 
     /// What the holder wants to be closed.
-    pub fn order(&self, orders: Vec<Order>) {
+    pub fn queue_orders(&self, orders: Vec<ConnectionOrder>) {
         if !orders.is_empty() {
             self.orders.borrow_mut().extend(orders);
-            self.todo.notify_one();
+            self.work_added.notify_one();
         }
     }
 
-    fn went(&self, went: Went) {
-        self.went.borrow_mut().push(went);
-        self.todo.notify_one();
+    fn note_closed(&self, closed: ClosedConnection) {
+        self.closed.borrow_mut().push(closed);
+        self.work_added.notify_one();
     }
 
     /// Tells the holder what ended.
-    fn note_gone(&self) {
-        for Went { name: (dest, conn), end } in self.went.take() {
+    fn report_closed(&self) {
+        for ClosedConnection { name: (dest, conn), end } in self.closed.take() {
             self.gate(|gate, now| match end {
-                End::Never => gate.connections.closed(dest, conn, now),
-                End::Closed(_) => gate.connections.closing(dest, conn, now),
+                ConnectionEnd::NeverOpened => gate.connections.closed(dest, conn, now),
+                ConnectionEnd::Closed(_) => gate.connections.closing(dest, conn, now),
             });
-            if let End::Closed(Some(fd)) = end {
+            if let ConnectionEnd::Closed(Some(fd)) = end {
                 self.closing.borrow_mut().push(((dest, conn), fd));
-                self.todo.notify_one();
+                self.work_added.notify_one();
             }
         }
     }
 
     /// Closes what is to be closed, and watches what is closing; for ever.
-    pub async fn keep(self: Rc<Self>, courier: Rc<Courier>) {
+    pub async fn run(self: Rc<Self>, courier: Rc<Courier>) {
         loop {
-            self.todo.notified().await;
-            for Order::Close { dest, conn } in self.orders.take() {
+            self.work_added.notified().await;
+            for ConnectionOrder::Close { dest, conn } in self.orders.take() {
                 let name = (dest, conn);
                 drop(courier.handle.pool(|pool| pool.take_idle(0, |conn| conn.is(name))));
                 let call = self.out.borrow().get(&name).copied();
                 call.into_iter().for_each(|call| courier.cut(call));
             }
-            self.note_gone();
+            self.report_closed();
             for (name, fd) in self.closing.take() {
                 actix_rt::spawn(self.clone().watch(name, fd));
             }
@@ -406,12 +406,12 @@
 
     /// Waits until the partner has closed it too. Where it does not tell, the connection counts for as long
     /// as a partner may keep one, and the socket is kept no longer than that.
-    async fn watch(self: Rc<Self>, (dest, conn): Name, fd: OwnedFd) {
-        let bound = self.gate(|gate, _| gate.connections.closes_within(dest));
+    async fn watch(self: Rc<Self>, (dest, conn): ConnectionId, fd: OwnedFd) {
+        let bound = self.gate(|gate, _| gate.connections.close_timeout_of(dest));
         let ends = async {
             let mut stream = TcpStream::from_std(std::net::TcpStream::from(fd))?;
             stream.shutdown().await?;
-            let mut rest = [0; READ];
+            let mut rest = [0; READ_CHUNK];
             while stream.read(&mut rest).await? > 0 {}
             std::io::Result::Ok(())
         };
@@ -424,41 +424,41 @@
 }
 
 /// A call that waits; dropped, it has left its line.
-struct Waits<'a> {
+struct QueueGuard<'a> {
     budgets: &'a Budgets,
     dest: u64,
     tenant: &'a str,
-    place: &'a Rc<Place>,
+    queued: &'a Rc<QueuedCall>,
 }
 
-impl Drop for Waits<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
-        if let Some(permit) = self.place.permit.take() {
-            self.budgets.back(&permit);
+        if let Some(permit) = self.queued.permit.take() {
+            self.budgets.return_permit(&permit);
         }
         let key = (self.dest, Box::from(self.tenant));
-        let mut lines = self.budgets.lines.borrow_mut();
-        let Some(line) = lines.get_mut(&key) else { return };
-        let before = line.places.len();
-        line.places.retain(|place| !Rc::ptr_eq(place, self.place));
-        if line.places.len() < before {
-            let count = line.places.len() as u32;
-            self.budgets.gate(|gate, now| gate.wants(self.dest, self.tenant, count, now));
+        let mut queues = self.budgets.queues.borrow_mut();
+        let Some(queue) = queues.get_mut(&key) else { return };
+        let before = queue.calls.len();
+        queue.calls.retain(|queued| !Rc::ptr_eq(queued, self.queued));
+        if queue.calls.len() < before {
+            let count = queue.calls.len() as u32;
+            self.budgets.gate(|gate, now| gate.set_waiting(self.dest, self.tenant, count, now));
         }
-        if line.places.is_empty() {
-            lines.remove(&key);
+        if queue.calls.is_empty() {
+            queues.remove(&key);
         }
     }
 }
 
-impl Line {
-    fn serve(&mut self, dest: u64, tenant: &str, gate: &mut Gate, now: Micros) {
-        while let Some(place) = self.places.front() {
-            match gate.may_begin(dest, tenant, now) {
+impl TenantQueue {
+    fn serve(&mut self, dest: u64, tenant: &str, gate: &mut BudgetGate, now: Micros) {
+        while let Some(queued) = self.calls.front() {
+            match gate.acquire(dest, tenant, now) {
                 Ok(permit) => {
-                    place.permit.set(Some(permit));
-                    place.called.notify_one();
-                    self.places.pop_front();
+                    queued.permit.set(Some(permit));
+                    queued.notified.notify_one();
+                    self.calls.pop_front();
                 }
                 Err(refusal) => {
                     self.after = refusal.after;
@@ -466,11 +466,11 @@
                 }
             }
         }
-        gate.wants(dest, tenant, self.places.len() as u32, now);
+        gate.set_waiting(dest, tenant, self.calls.len() as u32, now);
     }
 }
 
 /// A message without a tenant belongs to the one without a name.
-fn name_of(tenant: Option<&str>) -> Box<str> {
+fn tenant_name(tenant: Option<&str>) -> Box<str> {
     tenant.unwrap_or_default().into()
 }
--- a/courier/src/fleet/links.rs
+++ b/courier/src/fleet/links.rs
@@ -1,9 +1,9 @@
 //! The way to one other courier: HTTP/1.1 by awc, one request at a time, in order. What does not get there is let go, as the
 //! machines say again what they want.
 
-use quillmount_fleet::Token;
-use quillmount_fleet::message::{ENVELOPE_MOST, Envelope, Message};
-use quillmount_fleet::plan::Name;
+use quillmount_fleet::NodeId;
+use quillmount_fleet::config::Name;
+use quillmount_fleet::message::{Envelope, FleetMessage, MAX_ENVELOPE_BYTES};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,106 +13,115 @@
 /// Where couriers hear each other.
 pub const PATH: &str = "/fleet/1";
 /// A courier that is there answers in milliseconds; while one is cut off, what waits for it grows old.
-const TRY: Duration = Duration::from_millis(500);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 /// Between two tries at one that can't be reached.
-const REST: Duration = Duration::from_millis(50);
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// Bytes that wait for one courier at most: two envelopes. What is beyond is let go.
-const WAIT_MOST: usize = 2 * ENVELOPE_MOST;
+const MAX_QUEUED_BYTES: usize = 2 * MAX_ENVELOPE_BYTES;
 /// Bytes around a message in an envelope, at most.
-const FRAME: usize = 256;
+const MESSAGE_OVERHEAD: usize = 256;
 
 /// Messages for one courier that are not on their way yet.
 #[derive(Default)]
-struct Waiting {
-    messages: Vec<(Message, usize)>,
+struct Outbox {
+    messages: Vec<(FleetMessage, usize)>,
     bytes: usize,
 }
 
 /// The way to one courier.
-pub struct Link {
+pub struct PeerLink {
     to: Name,
-    waiting: RefCell<Waiting>,
-    more: Notify,
+    outbox: RefCell<Outbox>,
+    message_added: Notify,
 }
 
-fn size(message: &Message) -> usize {
-    FRAME
+fn encoded_size(message: &FleetMessage) -> usize {
+    MESSAGE_OVERHEAD
         + match message {
-            Message::Agree(bytes) => bytes.len(),
-            Message::Append { bytes, .. } | Message::Page { bytes, .. } => bytes.len(),
+            FleetMessage::Agreement(bytes) => bytes.len(),
+            FleetMessage::Append { bytes, .. } | FleetMessage::Page { bytes, .. } => bytes.len(),
             // Beside the message's body, names of up to 256 bytes each.
-            Message::Settlement { parcel, .. } => parcel.len() + 2_048,
+            FleetMessage::Settlement { payload, .. } => payload.len() + 2_048,
             _ => 0,
         }
 }
 
-impl Link {
+impl PeerLink {
     pub fn new(to: Name) -> Rc<Self> {
-        Rc::new(Link { to, waiting: RefCell::default(), more: Notify::new() })
+        Rc::new(PeerLink { to, outbox: RefCell::default(), message_added: Notify::new() })
     }
 
     /// Sends it with the next request.
-    pub fn send(&self, message: Message) {
-        let (size, mut waiting) = (size(&message), self.waiting.borrow_mut());
-        if waiting.bytes + size <= WAIT_MOST {
-            waiting.bytes += size;
-            waiting.messages.push((message, size));
-            self.more.notify_one();
+    pub fn send(&self, message: FleetMessage) {
+        let (size, mut outbox) = (encoded_size(&message), self.outbox.borrow_mut());
+        if outbox.bytes + size <= MAX_QUEUED_BYTES {
+            outbox.bytes += size;
+            outbox.messages.push((message, size));
+            self.message_added.notify_one();
         }
     }
 
     /// What fits into one envelope.
-    fn take(&self) -> Vec<Message> {
-        let mut waiting = self.waiting.borrow_mut();
+    fn next_batch(&self) -> Vec<FleetMessage> {
+        let mut outbox = self.outbox.borrow_mut();
         let mut bytes = 0;
-        let fits = waiting.messages.iter().take_while(|(_, size)| {
+        let fits = outbox.messages.iter().take_while(|(_, size)| {
             bytes += size;
-            bytes < ENVELOPE_MOST
+            bytes < MAX_ENVELOPE_BYTES
         });
-        let n = fits.count().max(1).min(waiting.messages.len());
-        let taken: Vec<_> = waiting.messages.drain(..n).collect();
-        waiting.bytes -= taken.iter().map(|(_, size)| size).sum::<usize>();
+        let n = fits.count().max(1).min(outbox.messages.len());
+        let taken: Vec<_> = outbox.messages.drain(..n).collect();
+        outbox.bytes -= taken.iter().map(|(_, size)| size).sum::<usize>();
         taken.into_iter().map(|(message, _)| message).collect()
     }
 
     /// Carries messages for as long as the process lives; what the other says at once is handed to `heard`.
-    pub async fn carry(self: Rc<Self>, addr: SocketAddr, from: Name, token: Token, heard: impl Fn(Envelope)) {
+    pub async fn run(
+        self: Rc<Self>,
+        addr: SocketAddr,
+        from: Name,
+        node_id: NodeId,
+        heard: impl Fn(Envelope),
+    ) {
         // Held back, small writes of a burst go together: sent at once, messages of one were refused for want of leave.
-        let client = crate::transport::plain_client(TRY, false);
-        let mut up = true;
+        let client = crate::transport::plain_client(REQUEST_TIMEOUT, false);
+        let mut is_reachable = true;
         loop {
-            let messages = self.take();
+            let messages = self.next_batch();
             if messages.is_empty() {
-                self.more.notified().await;
+                self.message_added.notified().await;
                 continue;
             }
-            let envelope = Envelope { from: from.clone(), to: self.to.clone(), token, messages };
-            let post = client.post(format!("http://{addr}{PATH}")).timeout(TRY).send_body(envelope.encode());
-            let told = async {
+            let envelope = Envelope { from: from.clone(), to: self.to.clone(), node_id, messages };
+            let post = client
+                .post(format!("http://{addr}{PATH}"))
+                .timeout(REQUEST_TIMEOUT)
+                .send_body(envelope.encode());
+            let reply = async {
                 let mut answer = post.await.map_err(|e| e.to_string())?;
-                let body = answer.body().limit(ENVELOPE_MOST).await.map_err(|e| e.to_string())?;
+                let body = answer.body().limit(MAX_ENVELOPE_BYTES).await.map_err(|e| e.to_string())?;
                 match answer.status().as_u16() {
                     200 => Envelope::decode(&body).map(Some).map_err(|e| e.to_string()),
                     204 => Ok(None),
                     other => Err(format!("status {other}: {}", String::from_utf8_lossy(&body))),
                 }
             };
-            let told = match actix_rt::time::timeout(TRY, told).await {
-                Ok(told) => told,
-                Err(_) => Err(format!("no answer within {TRY:?}")),
+            let reply = match actix_rt::time::timeout(REQUEST_TIMEOUT, reply).await {
+                Ok(reply) => reply,
+                Err(_) => Err(format!("no answer within {REQUEST_TIMEOUT:?}")),
             };
-            match told {
+            match reply {
                 Ok(answer) => {
-                    if !std::mem::replace(&mut up, true) {
+                    if !std::mem::replace(&mut is_reachable, true) {
                         tracing::info!("fleet: {} at {addr} is reached again", self.to);
                     }
                     answer.into_iter().for_each(&heard);
                 }
                 Err(e) => {
-                    if std::mem::replace(&mut up, false) {
+                    if std::mem::replace(&mut is_reachable, false) {
                         tracing::warn!("fleet: {} at {addr} is not reached: {e}", self.to);
                     }
-                    actix_rt::time::sleep(REST).await;
+                    actix_rt::time::sleep(RETRY_INTERVAL).await;
                 }
             }
         }
--- a/courier/src/fleet/listener.rs
+++ b/courier/src/fleet/listener.rs
@@ -7,24 +7,24 @@
 use actix_service::{Service, ServiceFactory, fn_service};
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
-use quillmount_fleet::message::{ENVELOPE_MOST, Envelope};
+use quillmount_fleet::message::{Envelope, MAX_ENVELOPE_BYTES};
 use std::convert::Infallible;
 use std::rc::Rc;
 use std::time::Duration;
 
 /// A courier that says nothing for so long has no need of its connection.
-const REST: Duration = Duration::from_secs(60);
+const KEEP_ALIVE: Duration = Duration::from_secs(60);
 /// After an accept that failed, for want of descriptors mostly.
-const ACCEPT_REST: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Connections at once for each member: one is in use, and one that it has given up is closed within a moment.
-pub const EACH: usize = 2;
+pub const CONNECTIONS_PER_PEER: usize = 2;
 /// And for whoever else finds the address.
-pub const SPARE: usize = 8;
+pub const SPARE_CONNECTIONS: usize = 8;
 
 /// Accepts other couriers until it is dropped; more connections than couriers can need are closed at once.
 pub async fn serve(listener: TcpListener, fleet: Rc<Fleet>) {
-    let (open, most) = (Rc::new(()), (fleet.links.len() + 1) * EACH + SPARE);
+    let (open, limit) = (Rc::new(()), (fleet.links.len() + 1) * CONNECTIONS_PER_PEER + SPARE_CONNECTIONS);
     let answering = {
         let fleet = fleet.clone();
         fn_service(move |request: Request| {
@@ -32,13 +32,13 @@
             async move { Ok::<_, Infallible>(answer(&fleet, request).await) }
         })
     };
-    let service = HttpService::build().keep_alive(KeepAlive::Timeout(REST)).h1(answering);
+    let service = HttpService::build().keep_alive(KeepAlive::Timeout(KEEP_ALIVE)).h1(answering);
     let Ok(service) = service.new_service(()).await else { return };
     let service = Rc::new(service);
     loop {
         match listener.accept().await {
-            Ok((_, peer)) if Rc::strong_count(&open) > most => {
-                tracing::debug!("fleet: a connection from {peer} is one too many: {most} are open");
+            Ok((_, peer)) if Rc::strong_count(&open) > limit => {
+                tracing::debug!("fleet: a connection from {peer} is one too many: {limit} are open");
             }
             Ok((stream, peer)) => {
                 // Where it can't be said, an answer waits a moment.
@@ -53,7 +53,7 @@
             }
             Err(e) => {
                 tracing::warn!("fleet: accept: {e}");
-                actix_rt::time::sleep(ACCEPT_REST).await;
+                actix_rt::time::sleep(ACCEPT_RETRY_INTERVAL).await;
             }
         }
     }
@@ -67,16 +67,18 @@
     let mut body = BytesMut::new();
     while let Some(chunk) = payload.next().await {
         match chunk {
-            Ok(chunk) if body.len() + chunk.len() <= ENVELOPE_MOST => body.extend_from_slice(&chunk),
-            Ok(_) => return refuse(StatusCode::PAYLOAD_TOO_LARGE, format!("{ENVELOPE_MOST} bytes at most")),
+            Ok(chunk) if body.len() + chunk.len() <= MAX_ENVELOPE_BYTES => body.extend_from_slice(&chunk),
+            Ok(_) => {
+                return refuse(StatusCode::PAYLOAD_TOO_LARGE, format!("{MAX_ENVELOPE_BYTES} bytes at most"));
+            }
             Err(e) => return refuse(StatusCode::BAD_REQUEST, e.to_string()),
         }
     }
     match Envelope::decode(&body) {
         Err(e) => refuse(StatusCode::BAD_REQUEST, e.to_string()),
-        Ok(envelope) => match fleet.heard(envelope) {
+        Ok(envelope) => match fleet.receive(envelope) {
             None => Response::with_body(StatusCode::NO_CONTENT, Bytes::new()),
-            Some(said) => Response::with_body(StatusCode::OK, Bytes::from(said.encode())),
+            Some(reply) => Response::with_body(StatusCode::OK, Bytes::from(reply.encode())),
         },
     }
 }
--- a/courier/src/fleet/mod.rs
+++ b/courier/src/fleet/mod.rs
@@ -2,9 +2,9 @@
 //! for the courier. All of it is there only where the operator file's section `fleet` is on.
 
 pub mod budget;
-mod homes;
 mod links;
 mod listener;
+mod settlements;
 mod stores;
 
 use crate::transport::clock::Clock;
@@ -12,17 +12,17 @@
 use crate::transport::gate::{Gate, JournalWrite};
 use actix_rt::net::TcpListener;
 use budget::Budgets;
-use homes::Settling;
-use links::Link;
+use links::PeerLink;
 use quillmount_core::journal::{self, JournalContents, Settlements};
 use quillmount_fleet::agreement;
-use quillmount_fleet::budget::{Budget, Problem, Tenant};
-use quillmount_fleet::member::{Input, Member, MemberError, Note, Output};
+use quillmount_fleet::budget::{Budget, BudgetProblem, Tenant};
+use quillmount_fleet::config::{FleetConfig, MissingReplicas, Name, Peer};
+use quillmount_fleet::member::{Member, MemberError, MemberInput, MemberNotice, MemberOutput};
 use quillmount_fleet::message::Envelope;
-use quillmount_fleet::plan::{Missing, Name, Peer, Plan};
-use quillmount_fleet::settlement::lines::lines as lines_of;
-use quillmount_fleet::state::{Epoch, Source, part_of};
+use quillmount_fleet::settlement::journal_lines::adopted_lines;
+use quillmount_fleet::state::{Epoch, PartitionId, partition_of};
 use quillmount_operator::fleet::{FleetBudget, FleetTenant, OnMissing};
+use settlements::SettlementHost;
 use spurshore::Micros;
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -30,15 +30,15 @@
 use std::path::Path;
 use std::rc::Rc;
 use std::time::Duration;
-use stores::Files;
+use stores::FileStores;
 use tokio::sync::Notify;
 
 /// A part that the journal had no room for is written again after so long: what is owed here ends meanwhile.
-const AGAIN: Duration = Duration::from_secs(1);
+const TAKEOVER_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Each courier holds as many copies as it has on average; by chance, and after losses, some hold more. Copies take so many
 /// times the own journal's part of the disk, for each copy that the operator file wants.
-const COPIES_DISK: u64 = 4;
+const REPLICA_DISK_FACTOR: u64 = 4;
 
 /// Why a courier is not one of its fleet.
 #[derive(Debug, thiserror::Error)]
@@ -48,7 +48,7 @@
     #[error("fleet: {what} {value:?} is no address; mend the operator file's section `fleet`")]
     Address { what: &'static str, value: String },
     #[error("operator file: {}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
-    Budgets(Vec<Problem>),
+    Budgets(Vec<BudgetProblem>),
     #[error(transparent)]
     Member(#[from] MemberError),
     #[error("fleet: the folder for what its members keep: {0}; check the lasting folder's disk and rights")]
@@ -65,88 +65,92 @@
 }
 
 /// The last records of a planned stop are given so long to get to the copies: half of what the stop waits for in all.
-const LAST_COPY: Duration = Duration::from_millis(100);
+const FINAL_REPLICATION_TIMEOUT: Duration = Duration::from_millis(100);
 /// Descriptors for each courier: a connection to it, one that it has given up, and those that are let in from it.
-const SOCKETS_EACH: usize = 2 + listener::EACH;
+const SOCKETS_PER_PEER: usize = 2 + listener::CONNECTIONS_PER_PEER;
 /// Descriptors for what is agreed, and for the listener and who else comes there. Copies of others' journals have a file each.
-const OWN: usize = 8 + listener::SPARE;
+const BASE_SOCKETS: usize = 8 + listener::SPARE_CONNECTIONS;
 
 /// Descriptors that a courier's part in its fleet takes.
-pub fn sockets(told: &quillmount_operator::fleet::Fleet) -> usize {
-    if told.on { OWN + told.members.len() * (SOCKETS_EACH + told.copies) } else { 0 }
+pub fn sockets(settings: &quillmount_operator::fleet::Fleet) -> usize {
+    if settings.on { BASE_SOCKETS + settings.members.len() * (SOCKETS_PER_PEER + settings.copies) } else { 0 }
 }
 
 /// What the member wants of the courier, in order.
 enum Task {
-    Adopt { parts: Vec<Source>, settled: BTreeSet<Source>, bytes: Vec<u8> },
-    Settle { source: Source, kept: bool },
+    Adopt { partitions: Vec<PartitionId>, settled: BTreeSet<PartitionId>, bytes: Vec<u8> },
+    ResolveAdoption { source: PartitionId, adopted: bool },
 }
 
 /// The courier's part of its fleet.
 pub struct Fleet {
     clock: Clock,
-    member: Rc<RefCell<Member<Files>>>,
+    member: Rc<RefCell<Member<FileStores>>>,
     /// Where partners' connections are shared.
     pub budgets: Option<Rc<Budgets>>,
-    links: BTreeMap<Name, Rc<Link>>,
+    links: BTreeMap<Name, Rc<PeerLink>>,
     pub gate: Rc<Gate>,
     tasks: RefCell<VecDeque<Task>>,
-    more: Notify,
+    task_added: Notify,
     joined: Cell<Option<(Epoch, bool)>>,
-    joins: Notify,
-    replaced: Cell<bool>,
+    joined_notify: Notify,
+    is_fenced: Cell<bool>,
     /// Its book is others' by now: the process has to begin anew.
-    pub gone: Notify,
+    pub fenced_notify: Notify,
     left: Notify,
-    moved: Notify,
+    timers_changed: Notify,
     /// Partners whose settlements are carried.
     settlements: BTreeSet<u64>,
-    settling: OnceCell<Rc<Settling>>,
+    settlement_host: OnceCell<Rc<SettlementHost>>,
 }
 
-fn plan_of(told: &quillmount_operator::fleet::Fleet) -> Plan {
-    Plan {
-        me: told.me.clone(),
-        peers: told
+fn config_from(settings: &quillmount_operator::fleet::Fleet) -> FleetConfig {
+    FleetConfig {
+        local_name: settings.me.clone(),
+        peers: settings
             .members
             .iter()
             .map(|member| Peer { name: member.name.clone(), host: member.host.clone() })
             .collect(),
-        voters: told.voters.clone(),
-        lease: told.lease.0.as_micros() as Micros,
-        drift: told.drift,
-        copies: told.copies,
-        missing: match told.on_missing {
-            OnMissing::Require => Missing::Require,
-            OnMissing::Prefer => Missing::Prefer,
+        voters: settings.voters.clone(),
+        lease: settings.lease.0.as_micros() as Micros,
+        drift: settings.drift,
+        replicas: settings.copies,
+        missing_replicas: match settings.on_missing {
+            OnMissing::Require => MissingReplicas::Require,
+            OnMissing::Prefer => MissingReplicas::Prefer,
         },
-        budgets: budgets_of(told),
-        call: told.partner_call.0.as_micros() as Micros,
-        quiet: told.partner_idle.0.as_micros() as Micros,
+        budgets: budgets_from(settings),
+        max_call: settings.partner_call.0.as_micros() as Micros,
+        max_idle: settings.partner_idle.0.as_micros() as Micros,
     }
 }
 
-fn budgets_of(told: &quillmount_operator::fleet::Fleet) -> Vec<Budget> {
-    let tenant = |told: &FleetTenant| Tenant {
-        name: told.name.clone(),
-        weight: told.weight,
-        floor: told.floor,
-        ceiling: told.ceiling,
+fn budgets_from(settings: &quillmount_operator::fleet::Fleet) -> Vec<Budget> {
+    let tenant = |settings: &FleetTenant| Tenant {
+        name: settings.name.clone(),
+        weight: settings.weight,
+        floor: settings.floor,
+        ceiling: settings.ceiling,
     };
-    let budget = |told: &FleetBudget| Budget {
-        dest: told.dest,
-        connections: told.connections,
-        calls: told.calls,
-        span_ms: told.span.map(|span| span.0.as_millis() as u64),
-        courier_floor: told.courier_floor,
-        tenants: told.tenants.iter().map(tenant).collect(),
+    let budget = |settings: &FleetBudget| Budget {
+        dest: settings.dest,
+        connections: settings.connections,
+        calls: settings.calls,
+        span_ms: settings.span.map(|span| span.0.as_millis() as u64),
+        courier_floor: settings.courier_floor,
+        tenants: settings.tenants.iter().map(tenant).collect(),
     };
-    told.budgets.iter().map(budget).collect()
+    settings.budgets.iter().map(budget).collect()
 }
 
 /// What the section's types can't say, and its own checks do not know, each with its path.
-pub fn problems(told: &quillmount_operator::fleet::Fleet) -> Vec<Problem> {
-    if told.on { quillmount_fleet::budget::check(&budgets_of(told), told.members.len()) } else { Vec::new() }
+pub fn problems(settings: &quillmount_operator::fleet::Fleet) -> Vec<BudgetProblem> {
+    if settings.on {
+        quillmount_fleet::budget::check(&budgets_from(settings), settings.members.len())
+    } else {
+        Vec::new()
+    }
 }
 
 fn address(what: &'static str, value: &str) -> Result<SocketAddr, FleetError> {
@@ -160,34 +164,36 @@
     /// # Errors
     /// The folder or the address can't be had.
     pub async fn start(
-        told: &quillmount_operator::fleet::Fleet,
+        settings: &quillmount_operator::fleet::Fleet,
         folder: &Path,
         seed: u64,
         clock: Clock,
         span: Option<Micros>,
         disk: u64,
     ) -> Result<Rc<Fleet>, FleetError> {
-        let problems = problems(told);
+        let problems = problems(settings);
         if !problems.is_empty() {
             return Err(FleetError::Budgets(problems));
         }
-        let listen = |source| FleetError::Listen { addr: told.listen.clone(), source };
-        let listener = TcpListener::bind(address("listen", &told.listen)?).await.map_err(listen)?;
-        let files = Files::open(folder.join("fleet"))?;
-        let (life, token) = (draw(seed), draw(seed).max(1));
-        let limits = agreement::Limits { seed: life, ..Default::default() };
-        let (mut member, out) = Member::open(plan_of(told), files, life, token, limits, clock.now())?;
-        member.room = disk.saturating_mul(told.copies as u64).saturating_mul(COPIES_DISK);
+        let listen = |source| FleetError::Listen { addr: settings.listen.clone(), source };
+        let listener = TcpListener::bind(address("listen", &settings.listen)?).await.map_err(listen)?;
+        let files = FileStores::open(folder.join("fleet"))?;
+        let (incarnation, node_id) = (random_id(seed), random_id(seed).max(1));
+        let limits = agreement::AgreementLimits { seed: incarnation, ..Default::default() };
+        let (mut member, out) =
+            Member::open(config_from(settings), files, incarnation, node_id, limits, clock.now())?;
+        member.replica_capacity =
+            disk.saturating_mul(settings.copies as u64).saturating_mul(REPLICA_DISK_FACTOR);
         let mut links = BTreeMap::new();
-        let mut ways = Vec::new();
-        for peer in told.members.iter().filter(|peer| peer.name != told.me) {
-            let link = Link::new(peer.name.clone());
-            ways.push((link.clone(), address("members", &peer.addr)?));
+        let mut addresses = Vec::new();
+        for peer in settings.members.iter().filter(|peer| peer.name != settings.me) {
+            let link = PeerLink::new(peer.name.clone());
+            addresses.push((link.clone(), address("members", &peer.addr)?));
             links.insert(peer.name.clone(), link);
         }
-        let token = member.agreement().token();
+        let node_id = member.agreement().node_id();
         let member = Rc::new(RefCell::new(member));
-        let dests: BTreeSet<u64> = told.budgets.iter().map(|budget| budget.dest).collect();
+        let dests: BTreeSet<u64> = settings.budgets.iter().map(|budget| budget.dest).collect();
         let budgets =
             (!dests.is_empty()).then(|| Rc::new(Budgets::new(clock.clone(), member.clone(), dests)));
         let fleet = Rc::new(Fleet {
@@ -197,26 +203,26 @@
             budgets,
             links,
             tasks: RefCell::default(),
-            more: Notify::new(),
+            task_added: Notify::new(),
             joined: Cell::new(None),
-            joins: Notify::new(),
-            replaced: Cell::new(false),
-            gone: Notify::new(),
+            joined_notify: Notify::new(),
+            is_fenced: Cell::new(false),
+            fenced_notify: Notify::new(),
             left: Notify::new(),
-            moved: Notify::new(),
-            settlements: told.settlements.iter().map(|settlement| settlement.dest).collect(),
-            settling: OnceCell::new(),
+            timers_changed: Notify::new(),
+            settlements: settings.settlements.iter().map(|settlement| settlement.dest).collect(),
+            settlement_host: OnceCell::new(),
         });
-        tracing::info!("fleet: {} listens on {}", told.me, listener.local_addr().map_err(listen)?);
-        for (link, addr) in ways {
-            let heard = fleet.clone();
-            actix_rt::spawn(link.carry(addr, told.me.clone(), token, move |envelope| {
-                heard.step(Input::Heard(envelope));
+        tracing::info!("fleet: {} listens on {}", settings.me, listener.local_addr().map_err(listen)?);
+        for (link, addr) in addresses {
+            let peer_fleet = fleet.clone();
+            actix_rt::spawn(link.run(addr, settings.me.clone(), node_id, move |envelope| {
+                peer_fleet.step(MemberInput::Received(envelope));
             }));
         }
         actix_rt::spawn(listener::serve(listener, fleet.clone()));
-        actix_rt::spawn(fleet.clone().keep_time());
-        actix_rt::spawn(fleet.clone().copy());
+        actix_rt::spawn(fleet.clone().run_timers());
+        actix_rt::spawn(fleet.clone().replicate());
         fleet.carry_out(out, None);
         Ok(fleet)
     }
@@ -224,11 +230,11 @@
     /// Waits until it is a member: under which epoch, and whether the journal in the folder is still its own.
     pub async fn joined(&self) -> (Epoch, bool) {
         loop {
-            let joins = self.joins.notified();
+            let joined_notify = self.joined_notify.notified();
             if let Some(joined) = self.joined.get() {
                 return joined;
             }
-            joins.await;
+            joined_notify.await;
         }
     }
 
@@ -236,15 +242,15 @@
     ///
     /// # Errors
     /// The folder refuses it.
-    pub fn begin_book(&self, folder: &Path, kept: bool) -> Result<(), FleetError> {
+    pub fn begin_journal(&self, folder: &Path, retained: bool) -> Result<(), FleetError> {
         let mut member = self.member.borrow_mut();
-        if !kept && member.is_first() {
+        if !retained && member.is_first() {
             tracing::info!("fleet: a journal of before it was a member is its own: nobody else has it");
-        } else if !kept {
+        } else if !retained {
             put_aside(&mut member, folder)?;
         }
-        let line = member.agreed_line();
-        member.note_line(line)?;
+        let line = member.agreed_lineage();
+        member.record_lineage(line)?;
         Ok(())
     }
 
@@ -256,22 +262,23 @@
         let bytes = std::fs::read(folder.join("journal"))?;
         let lines = JournalContents::read(&bytes).0.settlements;
         let unsettled: BTreeSet<_> =
-            courier.unsettled().iter().chain(lines.unsettled()).map(Source::from).collect();
+            courier.unsettled().iter().chain(lines.unsettled()).map(PartitionId::from).collect();
         let unsettled: Vec<_> = unsettled.into_iter().collect();
         self.gate.add_taking(unsettled.len() as isize);
         self.gate.begin(bytes.len() as u64);
-        self.step(Input::Book { bytes, unsettled });
-        let (me, epoch) = {
+        self.step(MemberInput::JournalOpened { bytes, unsettled });
+        let (local_name, epoch) = {
             let member = self.member.borrow();
-            (member.plan.me.clone(), member.epoch())
+            (member.config.local_name.clone(), member.epoch())
         };
         if let Some(epoch) = epoch {
-            let settling = Settling::start(self, courier, me, epoch, self.settlements.clone(), lines);
-            let _ = self.settling.set(settling);
+            let host =
+                SettlementHost::start(self, courier, local_name, epoch, self.settlements.clone(), lines);
+            let _ = self.settlement_host.set(host);
         }
         actix_rt::spawn(self.clone().take_over(courier.clone()));
         if let Some(budgets) = &self.budgets {
-            actix_rt::spawn(budgets.clone().keep(courier.clone()));
+            actix_rt::spawn(budgets.clone().run(courier.clone()));
         }
         Ok(())
     }
@@ -284,8 +291,8 @@
         let left = self.left.notified();
         self.flush();
         // What is written and not copied would be taken over as it was before: an end, as none.
-        let _ = actix_rt::time::timeout(LAST_COPY, self.gate.copied()).await;
-        self.step(Input::Leave);
+        let _ = actix_rt::time::timeout(FINAL_REPLICATION_TIMEOUT, self.gate.copied()).await;
+        self.step(MemberInput::Leave);
         left.await;
         let mut member = self.member.borrow_mut();
         if member.has_left() {
@@ -295,11 +302,11 @@
     }
 
     /// The operator file was read again while serving: those whom it names agree from now on.
-    pub fn read_again(&self, told: &quillmount_operator::fleet::Fleet) {
-        let plan = plan_of(told);
+    pub fn reload(&self, settings: &quillmount_operator::fleet::Fleet) {
+        let config = config_from(settings);
         let mut member = self.member.borrow_mut();
-        member.plan.voters = plan.voters.clone();
-        if member.plan != plan || !told.on {
+        member.config.voters = config.voters.clone();
+        if member.config != config || !settings.on {
             tracing::warn!(
                 "fleet: only `voters` is read while serving: start again for the rest of the section"
             );
@@ -307,28 +314,28 @@
     }
 
     /// Another courier's words; what is said to it at once.
-    pub fn heard(&self, envelope: Envelope) -> Option<Envelope> {
+    pub fn receive(&self, envelope: Envelope) -> Option<Envelope> {
         let from = envelope.from.clone();
-        let out = self.member.borrow_mut().step(Input::Heard(envelope), self.clock.now());
-        let messages = self.carried(out, Some(&from));
+        let out = self.member.borrow_mut().step(MemberInput::Received(envelope), self.clock.now());
+        let messages = self.carry_out_result(out, Some(&from));
         if messages.is_empty() {
             return None;
         }
         let member = self.member.borrow();
-        let token = member.agreement().token();
-        Some(Envelope { from: member.plan.me.clone(), to: from, token, messages })
+        let node_id = member.agreement().node_id();
+        Some(Envelope { from: member.config.local_name.clone(), to: from, node_id, messages })
     }
 
-    fn step(&self, input: Input) {
+    fn step(&self, input: MemberInput) {
         let out = self.member.borrow_mut().step(input, self.clock.now());
-        self.carried(out, None);
+        self.carry_out_result(out, None);
     }
 
-    fn carried(
+    fn carry_out_result(
         &self,
-        out: Result<Vec<Output>, MemberError>,
+        out: Result<Vec<MemberOutput>, MemberError>,
         to: Option<&str>,
-    ) -> Vec<quillmount_fleet::message::Message> {
+    ) -> Vec<quillmount_fleet::message::FleetMessage> {
         match out {
             Ok(out) => self.carry_out(out, to),
             Err(e) => {
@@ -340,24 +347,28 @@
     }
 
     /// Carries outputs out; those for `to` are returned.
-    fn carry_out(&self, out: Vec<Output>, to: Option<&str>) -> Vec<quillmount_fleet::message::Message> {
-        let mut said = Vec::new();
+    fn carry_out(
+        &self,
+        out: Vec<MemberOutput>,
+        to: Option<&str>,
+    ) -> Vec<quillmount_fleet::message::FleetMessage> {
+        let mut replies = Vec::new();
         for output in out {
             match output {
-                Output::Send(name, message) if to == Some(name.as_str()) => said.push(message),
-                Output::Send(name, message) => {
+                MemberOutput::Send(name, message) if to == Some(name.as_str()) => replies.push(message),
+                MemberOutput::Send(name, message) => {
                     if let Some(link) = self.links.get(&name) {
                         link.send(message);
                     }
                 }
-                Output::Joined { epoch, kept } => {
-                    self.joined.set(Some((epoch, kept)));
+                MemberOutput::Joined { epoch, retained } => {
+                    self.joined.set(Some((epoch, retained)));
                     self.gate.set_epoch(epoch);
-                    self.joins.notify_waiters();
+                    self.joined_notify.notify_waiters();
                 }
-                Output::Lease(until) => self.gate.set_until(until),
-                Output::Safe(mark) => self.gate.set_safe(mark),
-                Output::Copies { at, enough } => {
+                MemberOutput::Lease(until) => self.gate.set_until(until),
+                MemberOutput::Replicated(mark) => self.gate.set_safe(mark),
+                MemberOutput::Replicas { at, enough } => {
                     let at: Vec<&str> = at.iter().map(Name::as_str).collect();
                     match (at.is_empty(), enough) {
                         (false, _) => tracing::info!("fleet: the journal is copied to {}", at.join(", ")),
@@ -370,66 +381,66 @@
                     }
                     self.gate.set_copies(at.len(), enough);
                 }
-                Output::Adopt { parts, settled, bytes } => {
-                    self.gate.add_taking(parts.len() as isize);
-                    self.tasks.borrow_mut().push_back(Task::Adopt { parts, settled, bytes });
-                    self.more.notify_one();
+                MemberOutput::Adopt { partitions, settled, bytes } => {
+                    self.gate.add_taking(partitions.len() as isize);
+                    self.tasks.borrow_mut().push_back(Task::Adopt { partitions, settled, bytes });
+                    self.task_added.notify_one();
                 }
-                Output::Settle { source, kept } => {
+                MemberOutput::ResolveAdoption { source, adopted } => {
                     self.gate.add_taking(-1);
-                    self.tasks.borrow_mut().push_back(Task::Settle { source, kept });
-                    self.more.notify_one();
+                    self.tasks.borrow_mut().push_back(Task::ResolveAdoption { source, adopted });
+                    self.task_added.notify_one();
                 }
-                Output::Replaced => {
+                MemberOutput::Fenced => {
                     self.gate.set_until(0);
-                    self.replaced.set(true);
-                    self.settling.get().into_iter().for_each(|settling| settling.replaced());
-                    self.gone.notify_one();
+                    self.is_fenced.set(true);
+                    self.settlement_host.get().into_iter().for_each(|host| host.fenced());
+                    self.fenced_notify.notify_one();
                 }
-                Output::Left => self.left.notify_waiters(),
+                MemberOutput::Left => self.left.notify_waiters(),
                 // What came before it was there, it reads from the agreed state.
-                Output::Settlement(event) => {
-                    self.settling.get().into_iter().for_each(|settling| settling.agreed(event.clone()));
+                MemberOutput::Settlement(event) => {
+                    self.settlement_host.get().into_iter().for_each(|host| host.committed(event.clone()));
                 }
-                Output::Settlements => {
-                    self.settling.get().into_iter().for_each(|settling| settling.snapshot());
+                MemberOutput::SettlementsRestored => {
+                    self.settlement_host.get().into_iter().for_each(|host| host.snapshot());
                 }
-                Output::Heard { from, message, parcel } => {
-                    if let Some(settling) = self.settling.get() {
-                        settling.heard(from, message, &parcel);
+                MemberOutput::SettlementReceived { from, message, payload } => {
+                    if let Some(host) = self.settlement_host.get() {
+                        host.receive(from, message, &payload);
                     }
                 }
-                Output::Orders(orders) => {
-                    self.budgets.iter().for_each(|budgets| budgets.order(orders.clone()));
+                MemberOutput::CloseConnections(orders) => {
+                    self.budgets.iter().for_each(|budgets| budgets.queue_orders(orders.clone()));
                 }
-                Output::Note(note) => say(&note),
+                MemberOutput::Notice(note) => log_notice(&note),
             }
         }
         self.budgets.iter().for_each(|budgets| budgets.serve());
-        self.moved.notify_one();
-        said
+        self.timers_changed.notify_one();
+        replies
     }
 
     /// Wakes the member whenever it wants to.
-    async fn keep_time(self: Rc<Self>) {
+    async fn run_timers(self: Rc<Self>) {
         loop {
             let wake = self.member.borrow().wake_at();
-            let moved = self.moved.notified();
+            let changed = self.timers_changed.notified();
             match wake {
-                None => moved.await,
+                None => changed.await,
                 Some(at) if at > self.clock.now() => {
                     tokio::select! {
                         () = actix_rt::time::sleep(self.clock.until(at)) => {}
-                        () = moved => {}
+                        () = changed => {}
                     }
                 }
-                Some(_) => self.step(Input::Tick),
+                Some(_) => self.step(MemberInput::Tick),
             }
         }
     }
 
     /// Hands on what was written: all of one turn of the loop together.
-    async fn copy(self: Rc<Self>) {
+    async fn replicate(self: Rc<Self>) {
         loop {
             self.gate.wrote.notified().await;
             self.flush();
@@ -443,14 +454,14 @@
                 JournalWrite::Bytes(more) => bytes.extend(more),
                 JournalWrite::Whole(whole) => {
                     if !bytes.is_empty() {
-                        self.step(Input::Wrote(std::mem::take(&mut bytes)));
+                        self.step(MemberInput::JournalAppended(std::mem::take(&mut bytes)));
                     }
-                    self.step(Input::Replaced(whole));
+                    self.step(MemberInput::JournalReplaced(whole));
                 }
             }
         }
         if !bytes.is_empty() {
-            self.step(Input::Wrote(bytes));
+            self.step(MemberInput::JournalAppended(bytes));
         }
     }
 
@@ -459,36 +470,41 @@
         loop {
             let task = self.tasks.borrow_mut().pop_front();
             let Some(task) = task else {
-                self.more.notified().await;
+                self.task_added.notified().await;
                 continue;
             };
-            if self.replaced.get() {
+            if self.is_fenced.get() {
                 return;
             }
             let mut lines = Settlements::default();
             let done = match &task {
-                Task::Adopt { parts, settled, bytes } => {
+                Task::Adopt { partitions, settled, bytes } => {
                     let (book, _) = JournalContents::read(bytes);
-                    lines = lines_of(parts, settled, &book);
-                    courier.adopt(entries(parts, settled, book), &lines)
+                    lines = adopted_lines(partitions, settled, &book);
+                    courier.adopt(adopted_entries(partitions, settled, book), &lines)
                 }
-                Task::Settle { source, kept } => courier.settle_from(&source.into(), *kept),
+                Task::ResolveAdoption { source, adopted } => courier.settle_from(&source.into(), *adopted),
             };
             if let Err(e) = done {
-                tracing::error!("fleet: what is taken over can't be written: {e}; again in {AGAIN:?}");
+                tracing::error!(
+                    "fleet: what is taken over can't be written: {e}; again in {TAKEOVER_RETRY_INTERVAL:?}"
+                );
                 self.tasks.borrow_mut().push_front(task);
-                actix_rt::time::sleep(AGAIN).await;
+                actix_rt::time::sleep(TAKEOVER_RETRY_INTERVAL).await;
                 continue;
             }
             self.flush();
             match task {
-                Task::Adopt { parts, .. } => {
-                    self.settling.get().into_iter().for_each(|settling| settling.adopted(&lines));
-                    parts.into_iter().for_each(|part| self.step(Input::Adopted(part)))
+                Task::Adopt { partitions, .. } => {
+                    self.settlement_host.get().into_iter().for_each(|host| host.adopted(&lines));
+                    partitions.into_iter().for_each(|part| self.step(MemberInput::Adopted(part)))
                 }
-                Task::Settle { source, kept } => {
-                    self.step(Input::Settled(source.clone()));
-                    self.settling.get().into_iter().for_each(|settling| settling.settled(&source, kept));
+                Task::ResolveAdoption { source, adopted } => {
+                    self.step(MemberInput::AdoptionResolved(source.clone()));
+                    self.settlement_host
+                        .get()
+                        .into_iter()
+                        .for_each(|host| host.adoption_resolved(&source, adopted));
                 }
             }
         }
@@ -496,9 +512,9 @@
 }
 
 /// Puts the journal aside, as others have what it says.
-fn put_aside(member: &mut Member<Files>, folder: &Path) -> Result<(), FleetError> {
+fn put_aside(member: &mut Member<FileStores>, folder: &Path) -> Result<(), FleetError> {
     // A kill in between must not leave a journal that counts as the own one.
-    member.note_line(None)?;
+    member.record_lineage(None)?;
     match std::fs::rename(folder.join("journal"), folder.join("journal.sealed")) {
         Err(e) if e.kind() != std::io::ErrorKind::NotFound => Err(FleetError::Aside(e)),
         _ => Ok(()),
@@ -523,24 +539,27 @@
 }
 
 /// The messages of these parts of a sealed book, each with where it comes from.
-fn entries(
-    parts: &[Source],
-    settled: &BTreeSet<Source>,
+fn adopted_entries(
+    partitions: &[PartitionId],
+    settled: &BTreeSet<PartitionId>,
     book: JournalContents,
 ) -> Vec<journal::JournalEntry> {
     let owed = book.owed.into_values().filter_map(|entry| {
-        let part = part_of(entry.taken.dest);
-        let source = parts.iter().find(|source| source.part == part)?;
+        let partition = partition_of(entry.taken.dest);
+        let source = partitions.iter().find(|source| source.partition == partition)?;
         // What had come to that book from others, and was not agreed to be its own, is somebody else's.
-        let own = entry.source.as_ref().is_none_or(|from| settled.contains(&Source::from(from)));
+        let own = entry.source.as_ref().is_none_or(|from| settled.contains(&PartitionId::from(from)));
         own.then(|| journal::JournalEntry { source: Some(source.into()), ..entry })
     });
     owed.collect()
 }
 
-fn say(note: &Note) {
+fn log_notice(note: &MemberNotice) {
     match note {
-        Note::NoCopy { .. } | Note::CopyRefused { .. } | Note::Alone(true) | Note::CopyLate { .. } => {
+        MemberNotice::ReplicaUnavailable { .. }
+        | MemberNotice::ReplicaRejected { .. }
+        | MemberNotice::LeaseLost(true)
+        | MemberNotice::ReplicaLagging { .. } => {
             tracing::warn!("{note}");
         }
         _ => tracing::info!("{note}"),
@@ -548,7 +567,7 @@
 }
 
 /// A number that no other process draws: of the seed, the time and the process.
-fn draw(seed: u64) -> u64 {
+fn random_id(seed: u64) -> u64 {
     use std::hash::{BuildHasher, Hasher, RandomState};
     let mut hasher = RandomState::new().build_hasher();
     hasher.write_u64(seed);
--- a/courier/src/fleet/stores.rs
+++ b/courier/src/fleet/stores.rs
@@ -1,29 +1,29 @@
 //! What a member keeps in the lasting folder: a file each.
 
 use crate::transport::journal_file::JournalFile;
-use quillmount_fleet::member::Stores;
+use quillmount_fleet::member::StoreDirectory;
 use std::fs;
 use std::io;
 use std::path::PathBuf;
 
 /// The folder beside the journal.
-pub struct Files(PathBuf);
+pub struct FileStores(PathBuf);
 
-impl Files {
+impl FileStores {
     /// # Errors
     /// The folder can't be made; the text names it.
-    pub fn open(folder: PathBuf) -> io::Result<Files> {
+    pub fn open(folder: PathBuf) -> io::Result<FileStores> {
         fs::create_dir_all(&folder)
             .map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", folder.display())))?;
-        Ok(Files(folder))
+        Ok(FileStores(folder))
     }
 
-    fn named(&self, name: &str, e: io::Error) -> io::Error {
+    fn with_path(&self, name: &str, e: io::Error) -> io::Error {
         io::Error::new(e.kind(), format!("{}: {e}", self.0.join(name).display()))
     }
 }
 
-impl Stores for Files {
+impl StoreDirectory for FileStores {
     type Store = JournalFile;
 
     fn open(&mut self, name: &str) -> io::Result<JournalFile> {
@@ -32,16 +32,16 @@
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
         match fs::remove_file(self.0.join(name)) {
-            Err(e) if e.kind() != io::ErrorKind::NotFound => Err(self.named(name, e)),
+            Err(e) if e.kind() != io::ErrorKind::NotFound => Err(self.with_path(name, e)),
             _ => Ok(()),
         }
     }
 
     fn names(&mut self) -> io::Result<Vec<String>> {
-        let entries = fs::read_dir(&self.0).map_err(|e| self.named("", e))?;
+        let entries = fs::read_dir(&self.0).map_err(|e| self.with_path("", e))?;
         let mut names = Vec::new();
         for entry in entries {
-            let name = entry.map_err(|e| self.named("", e))?.file_name();
+            let name = entry.map_err(|e| self.with_path("", e))?.file_name();
             names.extend(name.into_string().ok().filter(|name| !name.ends_with(".new")));
         }
         names.sort();
--- a/courier/src/program/run.rs
+++ b/courier/src/program/run.rs
@@ -143,7 +143,7 @@
                 _ = stop.recv() => return Ok(RunEnd::Stopped),
                 _ = interrupt.recv() => return Ok(RunEnd::Stopped),
             };
-            fleet.begin_book(&config.state, joined.1)?;
+            fleet.begin_journal(&config.state, joined.1)?;
             Some(fleet)
         }
     };
@@ -347,7 +347,7 @@
 /// Waits until others have its work, if it is one of a fleet.
 async fn replaced(fleet: Option<&Fleet>) {
     match fleet {
-        Some(fleet) => fleet.gone.notified().await,
+        Some(fleet) => fleet.fenced_notify.notified().await,
         None => std::future::pending().await,
     }
 }
@@ -428,7 +428,7 @@
             let read = Operator::load(path).map_err(RunError::from);
             let set = |operator: Operator| {
                 self.levels.set(&operator.log).map_err(RunError::Log)?;
-                self.fleet.iter().for_each(|fleet| fleet.read_again(&operator.fleet));
+                self.fleet.iter().for_each(|fleet| fleet.reload(&operator.fleet));
                 Ok(())
             };
             match read.and_then(set) {
--- a/courier/src/transport/courier.rs
+++ b/courier/src/transport/courier.rs
@@ -225,7 +225,7 @@
             self.count(|c| c.rejected += 1);
             return Intake::Rejected { after };
         }
-        let late = self.budgets.as_ref().and_then(|budgets| budgets.refuses(&submission));
+        let late = self.budgets.as_ref().and_then(|budgets| budgets.rejects(&submission));
         // One that is owed is answered as what it is.
         if let Some(after) = late.filter(|_| !self.handle.hub.borrow().router.knows(&submission.id)) {
             self.count(|c| c.rejected += 1);
@@ -542,12 +542,12 @@
                 None => true,
                 Some((gate, mark, by)) => Box::pin(async move { gate.pass(mark, by).await }).await,
             };
-            let counted = this.budgets.as_ref().filter(|b| passed && b.counts(call.0.order.dest));
-            let mut leave = match counted {
-                Some(budgets) => Box::pin(budgets.ask(&this.handle, &mut call, &signals)).await,
+            let counted = this.budgets.as_ref().filter(|b| passed && b.is_budgeted(call.0.order.dest));
+            let mut permit = match counted {
+                Some(budgets) => Box::pin(budgets.acquire(&this.handle, &mut call, &signals)).await,
                 None => None,
             };
-            let outcome = if !passed || (counted.is_some() && leave.is_none()) {
+            let outcome = if !passed || (counted.is_some() && permit.is_none()) {
                 CallOutcome::Ended(CallEnd::HeldBack, AnswerReport::default())
             } else if call.0.order.stream {
                 let pipe = this.pipes.borrow().get(&id.msg).cloned();
@@ -560,7 +560,7 @@
                             call.0.order,
                             &signals,
                             &pipe,
-                            leave.as_deref_mut(),
+                            permit.as_deref_mut(),
                             written,
                         ))
                         .await
@@ -570,11 +570,11 @@
                 };
                 CallOutcome::Ended(end, AnswerReport::default())
             } else {
-                endpoints::call(&this.handle, call, &signals, leave.as_deref_mut()).await
+                endpoints::call(&this.handle, call, &signals, permit.as_deref_mut()).await
             };
             this.signals.borrow_mut().remove(&id);
-            if let (Some(budgets), Some(leave)) = (counted, leave) {
-                budgets.over(*leave);
+            if let (Some(budgets), Some(permit)) = (counted, permit) {
+                budgets.release(*permit);
             }
             let (end, each, said) = match outcome {
                 CallOutcome::Ended(end, said) => (end, None, said),
--- a/courier/src/transport/endpoints.rs
+++ b/courier/src/transport/endpoints.rs
@@ -7,7 +7,7 @@
 use super::clock::Clock;
 use super::handle::Handle;
 use super::socket;
-use crate::fleet::budget::{Conn, Leave};
+use crate::fleet::budget::{Conn, ConnectionPermit};
 use actix_rt::net::TcpStream;
 use actix_rt::time::{sleep, timeout};
 use quillmount_core::call::{self, Call, StepOutcome};
@@ -105,7 +105,7 @@
 }
 
 /// Opens a connection; one that counts has leave for it.
-pub async fn connect(addr: SocketAddr, leave: Option<&mut Leave>) -> Option<Conn> {
+pub async fn connect(addr: SocketAddr, leave: Option<&mut ConnectionPermit>) -> Option<Conn> {
     let conn = match leave {
         None => Conn::Plain(TcpStream::connect(addr).await.ok()?),
         Some(leave) => leave.connect(addr).await?,
@@ -191,7 +191,7 @@
     handle: &Handle,
     (mut call, until): (Call<Conn>, Micros),
     signals: &CallSignals,
-    mut leave: Option<&mut Leave>,
+    mut leave: Option<&mut ConnectionPermit>,
 ) -> CallOutcome {
     let (clock, addr) = (&handle.clock, call.order.addr);
     let deadline = sleep(clock.until(until));
@@ -290,7 +290,11 @@
 }
 
 /// Begins on what rests, or on what it has leave for where its partner's connections are counted.
-pub fn start(handle: &Handle, call: &mut Call<Conn>, leave: Option<&mut Leave>) -> StepOutcome<Conn> {
+pub fn start(
+    handle: &Handle,
+    call: &mut Call<Conn>,
+    leave: Option<&mut ConnectionPermit>,
+) -> StepOutcome<Conn> {
     let now = handle.clock.now();
     handle.pool(|pool| match leave {
         None => call.start(pool, now, is_quiet),
--- a/courier/src/transport/streams.rs
+++ b/courier/src/transport/streams.rs
@@ -3,7 +3,7 @@
 
 use super::endpoints::{self, CallSignals, read, read_remaining, tick};
 use super::handle::Handle;
-use crate::fleet::budget::Leave;
+use crate::fleet::budget::ConnectionPermit;
 use actix_rt::net::TcpStream;
 use actix_rt::time::timeout;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
@@ -332,10 +332,10 @@
     order: DeliveryCall,
     signals: &CallSignals,
     pipe: &Pipe,
-    leave: Option<&mut Leave>,
+    permit: Option<&mut ConnectionPermit>,
     written: impl Fn(),
 ) -> CallEnd {
-    let end = run_call(handle, order, signals, pipe, leave, written).await;
+    let end = run_call(handle, order, signals, pipe, permit, written).await;
     pipe.change(|flow| flow.end(handle.clock.now()));
     pipe.client_wake.notify_one();
     end
@@ -346,7 +346,7 @@
     order: DeliveryCall,
     signals: &CallSignals,
     pipe: &Pipe,
-    mut leave: Option<&mut Leave>,
+    mut permit: Option<&mut ConnectionPermit>,
     written: impl Fn(),
 ) -> CallEnd {
     let (clock, addr, endpoint) = (&handle.clock, order.addr, order.endpoint);
@@ -354,7 +354,7 @@
     let mut by = None;
     let mut call = Call::streamed(order, delivery::decode, ANSWER_MAX);
     let mut progress = SendProgress::default();
-    let mut outcome = endpoints::start(handle, &mut call, leave.as_deref_mut());
+    let mut outcome = endpoints::start(handle, &mut call, permit.as_deref_mut());
     loop {
         drop(outcome.to_close);
         if let Some(end) = outcome.end {
@@ -392,7 +392,7 @@
             (AttemptState::Connecting, _) => tokio::select! {
                 biased;
                 signal = signals.next_for_stream(state) => signal,
-                stream = timeout(handle.connect, endpoints::connect(addr, leave.as_deref_mut())) => match stream.ok().flatten() {
+                stream = timeout(handle.connect, endpoints::connect(addr, permit.as_deref_mut())) => match stream.ok().flatten() {
                     Some(stream) => {
                         outcome = handle.pool(|pool| call.connected(pool, stream, clock.now()));
                         continue;
--- a/courier/tests/fleet/copies.rs
+++ b/courier/tests/fleet/copies.rs
@@ -12,7 +12,7 @@
 
 /// `require`: a 202 always means two journals.
 #[test]
-fn without_its_only_copy_a_courier_that_requires_one_refuses() {
+fn without_its_only_replica_a_courier_that_requires_one_rejects() {
     run_test(async || {
         let mut fleet = pair("require").await;
         fleet.kill(1).await.unwrap();
@@ -29,7 +29,7 @@
 
 /// `prefer`: it goes on alone once that is agreed, and says so.
 #[test]
-fn without_its_only_copy_a_courier_that_prefers_one_goes_on_alone_and_says_so() {
+fn without_its_only_replica_a_courier_that_prefers_one_continues_alone() {
     run_test(async || {
         let mut fleet = pair("prefer").await;
         let lost = now(&fleet);
@@ -55,7 +55,7 @@
 
 /// A message that waits for the only copy when it is lost is not answered before there is one again.
 #[test]
-fn a_copy_lost_under_a_message_delays_its_answer() {
+fn a_replica_lost_during_a_message_delays_its_answer() {
     run_test(async || {
         let mut fleet = fleet(3).await;
         let copy = copies_of(&fleet, 1, 1)[0];
@@ -73,7 +73,7 @@
 
 /// The taker's journal is full, by its own limit, of what its partner holds: it takes over when there is room.
 #[test]
-fn a_taker_without_room_takes_over_when_it_has_some() {
+fn a_successor_without_space_takes_over_once_it_has_some() {
     run_test(async || {
         let mut setup = setup(3);
         setup.partner(4, |_| Answer::Pending);
@@ -116,7 +116,7 @@
 
 /// The room for copies at a courier is full, by its own limit: no call is made for what it lacks until another holds the copy.
 #[test]
-fn a_copy_without_room_is_replaced() {
+fn a_replica_without_space_is_replaced() {
     run_test(async || {
         let mut fleet = Fleet::prepare(setup(3)).unwrap();
         let copy = copies_of(&fleet, 1, 1)[0];
--- a/courier/tests/fleet/cut.rs
+++ b/courier/tests/fleet/cut.rs
@@ -7,7 +7,7 @@
 
 /// It says that it may not act, takes nothing on, begins nothing, and its work is taken over once.
 #[test]
-fn an_owner_cut_off_from_the_fleet_stops_of_its_own_accord() {
+fn an_owner_partitioned_from_the_fleet_stops_by_itself() {
     run_test(async || {
         let mut setup = setup(3);
         // Turned away, to come again in a second: begun again and again while it may.
@@ -36,7 +36,7 @@
 
 /// Nothing that the owner says is heard, and it hears all: its lease is over all the same.
 #[test]
-fn an_owner_whose_words_are_lost_one_way_is_taken_over() {
+fn an_owner_whose_outgoing_messages_are_lost_is_taken_over() {
     run_test(async || {
         let mut fleet = fleet(3).await;
         in_hand(&fleet, 1, "debit", "paid").await;
--- a/courier/tests/fleet/lost.rs
+++ b/courier/tests/fleet/lost.rs
@@ -5,7 +5,7 @@
 /// The thinnest takeover: one courier of three is killed with two messages in hand. The debit that was out is ended, the keyed
 /// notice is repeated within its span, each by one other courier.
 #[test]
-fn what_a_killed_courier_had_in_hand_is_taken_over_once() {
+fn messages_of_a_killed_courier_are_taken_over_once() {
     run_test(async || {
         let mut fleet = fleet(3).await;
         in_hand(&fleet, 1, "debit", "paid").await;
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_owner_and_one_of_two_copies_are_lost_at_once() {
+fn the_owner_and_one_of_two_replicas_are_lost_together() {
     run_test(async || {
         let mut fleet = five().await;
         in_hand(&fleet, 4, "debit", "paid").await;
@@ -46,7 +46,7 @@
 
 /// The taker is lost once the book's parts are in its journal, whether they are agreed to be its own by then or not.
 #[test]
-fn the_taker_is_lost_in_the_middle_of_a_takeover() {
+fn the_successor_is_lost_during_a_takeover() {
     run_test(async || {
         let mut fleet = five().await;
         in_hand(&fleet, 4, "debit", "paid").await;
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn the_owner_is_back_with_its_folder_during_the_takeover() {
+fn the_owner_returns_with_its_folder_during_the_takeover() {
     run_test(async || {
         let mut fleet = fleet(3).await;
         in_hand(&fleet, 1, "debit", "paid").await;
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn the_owner_is_back_with_its_folder_after_the_takeover() {
+fn the_owner_returns_with_its_folder_after_the_takeover() {
     run_test(async || {
         let mut fleet = fleet(3).await;
         in_hand(&fleet, 1, "debit", "paid").await;
@@ -102,7 +102,7 @@
 
 /// Its book is others' at once, without a wait for its lease.
 #[test]
-fn the_owner_is_back_with_an_empty_folder_under_the_same_name() {
+fn the_owner_returns_with_an_empty_folder_under_the_same_name() {
     run_test(async || {
         let mut fleet = fleet(3).await;
         in_hand(&fleet, 1, "debit", "paid").await;
--- a/courier/tests/fleet/main.rs
+++ b/courier/tests/fleet/main.rs
@@ -9,8 +9,8 @@
 mod restarts;
 mod settlements;
 
-use quillmount_fleet::plan::weight;
-use quillmount_fleet::state::part_of;
+use quillmount_fleet::config::rendezvous_weight;
+use quillmount_fleet::state::partition_of;
 use quillmount_standins::audit::{AuditRules, RepeatPolicy, audit};
 use quillmount_standins::client::MessageRequest;
 use quillmount_standins::fleet::{Fleet, FleetSetup, WAIT_TIMEOUT, run_test};
@@ -158,7 +158,7 @@
 /// Who is to have the copies of this courier's book while all serve, each on a host of its own; best first.
 fn copies_of(fleet: &Fleet, owner: usize, copies: usize) -> Vec<usize> {
     let mut best = others(fleet, &[owner]);
-    best.sort_by_key(|n| std::cmp::Reverse(weight(fleet.name(owner).as_bytes(), fleet.name(*n))));
+    best.sort_by_key(|n| std::cmp::Reverse(rendezvous_weight(fleet.name(owner).as_bytes(), fleet.name(*n))));
     best.truncate(copies);
     best
 }
@@ -179,8 +179,8 @@
 
 /// Whoever of these takes over what is owed to a destination.
 fn taker(fleet: &Fleet, of: &[usize], dest: u64) -> usize {
-    let part = part_of(dest).to_le_bytes();
-    of.iter().copied().max_by_key(|n| weight(&part, fleet.name(*n))).unwrap()
+    let part = partition_of(dest).to_le_bytes();
+    of.iter().copied().max_by_key(|n| rendezvous_weight(&part, fleet.name(*n))).unwrap()
 }
 
 /// Whoever was the last to say that it leads.
--- a/courier/tests/fleet/paused.rs
+++ b/courier/tests/fleet/paused.rs
@@ -68,7 +68,7 @@
 
 /// A call that is out when its owner stands still is answered while nobody hears it.
 #[test]
-fn an_owner_paused_with_a_call_out_tells_no_end_of_it_after_the_takeover() {
+fn an_owner_paused_with_a_call_in_flight_reports_no_end_after_the_takeover() {
     run_test(async || {
         let mut fleet = fleet(3).await;
         in_hand(&fleet, 1, "debit", "paid").await;
@@ -104,7 +104,7 @@
 
 /// The file of the program was taken away meanwhile, as by an upgrade: the process begins anew all the same.
 #[test]
-fn a_courier_whose_program_is_gone_begins_anew() {
+fn a_courier_whose_binary_is_gone_restarts() {
     run_test(async || {
         let program = format!("{}/quillmount-{}", env!("CARGO_TARGET_TMPDIR"), std::process::id());
         std::fs::hard_link(env!("CARGO_BIN_EXE_quillmount"), &program).unwrap();
--- a/courier/tests/fleet/restarts.rs
+++ b/courier/tests/fleet/restarts.rs
@@ -88,7 +88,7 @@
 
 /// What a stopped courier leaves goes on elsewhere at once: by a lease that is as long as the message's time it never would.
 #[test]
-fn a_planned_stop_hands_the_book_over_without_the_wait_for_a_lease() {
+fn a_planned_stop_hands_the_journal_over_without_waiting_for_the_lease() {
     run_test(async || {
         let mut setup = setup(3);
         setup.fleet = Some(json!({"lease": "60s", "copies": 1}));
@@ -136,7 +136,7 @@
 
 /// An end that is written as the last thing before the stop is at the copy before the book is others': they don't end it again.
 #[test]
-fn the_last_end_before_a_planned_stop_is_not_told_again() {
+fn the_last_end_before_a_planned_stop_is_not_reported_twice() {
     run_test(async || {
         let mut fleet = fleet(5).await;
         let far = |owner: &usize| copies_of(&fleet, *owner, 1)[0] != leader(&fleet);
@@ -163,7 +163,7 @@
 
 /// The operators name other voters, and every courier reads that while it serves: those agree from then on.
 #[test]
-fn voters_are_exchanged_by_a_hang_up_while_serving() {
+fn voters_are_replaced_by_a_reload_while_serving() {
     run_test(async || {
         let mut fleet = five().await;
         let named = now(&fleet);
--- a/courier/tests/fleet/settlements.rs
+++ b/courier/tests/fleet/settlements.rs
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_settlement_handed_in_at_three_couriers_at_once_backwards_comes_in_order() {
+fn a_settlement_submitted_backwards_at_three_couriers_is_delivered_in_order() {
     run_test(async || {
         let fleet = std::rc::Rc::new(carriers().await);
         let begun = Instant::now();
@@ -201,24 +201,24 @@
 }
 
 #[test]
-fn a_settlement_goes_on_elsewhere_when_its_home_is_killed_between_two_positions() {
+fn a_settlement_continues_elsewhere_when_its_owner_is_killed() {
     run_test(|| lost_between_two_positions(Loss::Killed));
 }
 
 #[test]
-fn a_settlement_goes_on_at_its_home_when_that_is_back_with_its_folder() {
+fn a_settlement_continues_at_its_owner_that_returns_with_its_folder() {
     run_test(|| lost_between_two_positions(Loss::Restarted));
 }
 
 #[test]
-fn a_settlement_goes_on_elsewhere_when_its_home_is_stopped_or_paused() {
+fn a_settlement_continues_elsewhere_when_its_owner_stops_or_pauses() {
     run_test(|| lost_between_two_positions(Loss::Stopped));
     run_test(|| lost_between_two_positions(Loss::Paused));
 }
 
 /// The home is lost, and so is whoever took the settlement over.
 #[test]
-fn a_settlement_survives_the_loss_of_two_homes() {
+fn a_settlement_survives_the_loss_of_two_owners() {
     run_test(async || {
         let mut setup = setup(5);
         setup.fleet = Some(json!({"lease": "2s", "copies": 2, "settlements": [{"dest": 1}]}));
@@ -281,7 +281,7 @@
 
 /// The home's word waits for a copy: a position that only the home has would be lost with it.
 #[test]
-fn a_position_is_not_taken_on_before_it_is_at_a_copy() {
+fn a_position_is_not_accepted_before_it_is_replicated() {
     run_test(async || {
         let fleet = carriers().await;
         assert!(matches!(submit(&fleet, 0, 1, 1).await, 200 | 202));
@@ -306,7 +306,7 @@
 /// killed and started: each settlement is whole, or broken with nothing behind the break, and no debit comes
 /// twice.
 #[test]
-fn many_settlements_stay_whole_or_end_at_their_break_while_couriers_are_lost() {
+fn many_settlements_complete_or_end_at_their_break_while_couriers_are_lost() {
     run_test(async || {
         let mut fleet = carriers().await;
         let mut rng = setup(3).generator();
--- a/fleet/src/agreement/wire.rs
+++ b/fleet/src/agreement/wire.rs
@@ -3,46 +3,46 @@
 use raft::prelude::{Message, MessageType};
 use serde::{Deserialize, Serialize};
 
-use super::log::{Entry, Image};
-use super::{AgreementError, Garbled};
-use crate::Token;
+use super::log::{LogEntry, StateSnapshot};
+use super::{AgreementError, DecodeError};
+use crate::NodeId;
 
 /// The form of these values; others are refused.
-const FORM: u8 = 1;
+const FORMAT_VERSION: u8 = 1;
 
 /// The engine's messages between couriers; it has others, which stay within one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-enum Kind {
+enum MessageKind {
     Append,
-    Appended,
+    AppendResponse,
     Vote,
-    Voted,
+    VoteResponse,
     PreVote,
-    PreVoted,
+    PreVoteResponse,
     Snapshot,
-    Beat,
-    Beaten,
+    Heartbeat,
+    HeartbeatResponse,
     TimeoutNow,
 }
 
-const KINDS: [(Kind, MessageType); 10] = [
-    (Kind::Append, MessageType::MsgAppend),
-    (Kind::Appended, MessageType::MsgAppendResponse),
-    (Kind::Vote, MessageType::MsgRequestVote),
-    (Kind::Voted, MessageType::MsgRequestVoteResponse),
-    (Kind::PreVote, MessageType::MsgRequestPreVote),
-    (Kind::PreVoted, MessageType::MsgRequestPreVoteResponse),
-    (Kind::Snapshot, MessageType::MsgSnapshot),
-    (Kind::Beat, MessageType::MsgHeartbeat),
-    (Kind::Beaten, MessageType::MsgHeartbeatResponse),
-    (Kind::TimeoutNow, MessageType::MsgTimeoutNow),
+const MESSAGE_KINDS: [(MessageKind, MessageType); 10] = [
+    (MessageKind::Append, MessageType::MsgAppend),
+    (MessageKind::AppendResponse, MessageType::MsgAppendResponse),
+    (MessageKind::Vote, MessageType::MsgRequestVote),
+    (MessageKind::VoteResponse, MessageType::MsgRequestVoteResponse),
+    (MessageKind::PreVote, MessageType::MsgRequestPreVote),
+    (MessageKind::PreVoteResponse, MessageType::MsgRequestPreVoteResponse),
+    (MessageKind::Snapshot, MessageType::MsgSnapshot),
+    (MessageKind::Heartbeat, MessageType::MsgHeartbeat),
+    (MessageKind::HeartbeatResponse, MessageType::MsgHeartbeatResponse),
+    (MessageKind::TimeoutNow, MessageType::MsgTimeoutNow),
 ];
 
 #[derive(Debug, Serialize, Deserialize)]
-struct Wire {
-    kind: Kind,
-    from: Token,
-    to: Token,
+struct WireMessage {
+    kind: MessageKind,
+    from: NodeId,
+    to: NodeId,
     term: u64,
     log_term: u64,
     index: u64,
@@ -50,15 +50,15 @@
     commit_term: u64,
     reject: bool,
     hint: u64,
-    entries: Vec<Entry>,
-    image: Option<Image>,
+    entries: Vec<LogEntry>,
+    snapshot: Option<StateSnapshot>,
     context: Vec<u8>,
 }
 
 /// `None`: not one that leaves this courier.
 pub(super) fn encode(message: &Message) -> Option<Vec<u8>> {
-    let kind = KINDS.iter().find(|(_, of)| *of == message.get_msg_type())?.0;
-    let wire = Wire {
+    let kind = MESSAGE_KINDS.iter().find(|(_, of)| *of == message.get_msg_type())?.0;
+    let wire = WireMessage {
         kind,
         from: message.from,
         to: message.to,
@@ -69,12 +69,12 @@
         commit_term: message.commit_term,
         reject: message.reject,
         hint: message.reject_hint,
-        entries: message.entries.iter().map(Entry::of).collect(),
-        image: (kind == Kind::Snapshot).then(|| Image::of(message.get_snapshot())),
+        entries: message.entries.iter().map(LogEntry::from_raft).collect(),
+        snapshot: (kind == MessageKind::Snapshot).then(|| StateSnapshot::from_raft(message.get_snapshot())),
         context: message.context.to_vec(),
     };
     let body = postcard::to_stdvec(&wire).ok()?;
-    let mut bytes = vec![FORM];
+    let mut bytes = vec![FORMAT_VERSION];
     bytes.extend(crc32fast::hash(&body).to_le_bytes());
     bytes.extend(body);
     Some(bytes)
@@ -82,40 +82,41 @@
 
 /// Reads what `from` has sent to `to`, and sees to it that no value in it is one that the engine would end
 /// the process for.
-pub(super) fn decode(bytes: &[u8], from: Token, to: Token) -> Result<Message, AgreementError> {
-    let garbled = |what| AgreementError::Garbled { from, what };
-    let [form, a, b, c, d, body @ ..] = bytes else { return Err(garbled(Garbled::Short)) };
-    if *form != FORM {
-        return Err(garbled(Garbled::Form(*form)));
+pub(super) fn decode(bytes: &[u8], from: NodeId, to: NodeId) -> Result<Message, AgreementError> {
+    let malformed = |what| AgreementError::Malformed { from, what };
+    let [form, a, b, c, d, body @ ..] = bytes else { return Err(malformed(DecodeError::Short)) };
+    if *form != FORMAT_VERSION {
+        return Err(malformed(DecodeError::Version(*form)));
     }
     if crc32fast::hash(body) != u32::from_le_bytes([*a, *b, *c, *d]) {
-        return Err(garbled(Garbled::Checksum));
+        return Err(malformed(DecodeError::Checksum));
     }
-    let (wire, rest) = postcard::take_from_bytes::<Wire>(body).map_err(|_| garbled(Garbled::Value))?;
+    let (wire, rest) =
+        postcard::take_from_bytes::<WireMessage>(body).map_err(|_| malformed(DecodeError::Value))?;
     if !rest.is_empty() || wire.term == 0 {
-        return Err(garbled(Garbled::Value));
+        return Err(malformed(DecodeError::Value));
     }
     if wire.from != from || wire.to != to || from == to || from == 0 {
-        return Err(garbled(Garbled::Addressed));
+        return Err(malformed(DecodeError::Misaddressed));
     }
-    check(&wire).ok_or_else(|| garbled(Garbled::Value))?;
+    validate(&wire).ok_or_else(|| malformed(DecodeError::Value))?;
     let mut message = Message::default();
-    let kind = KINDS.iter().find(|(kind, _)| *kind == wire.kind);
-    message.set_msg_type(kind.ok_or_else(|| garbled(Garbled::Value))?.1);
+    let kind = MESSAGE_KINDS.iter().find(|(kind, _)| *kind == wire.kind);
+    message.set_msg_type(kind.ok_or_else(|| malformed(DecodeError::Value))?.1);
     (message.from, message.to, message.term) = (wire.from, wire.to, wire.term);
     (message.log_term, message.index) = (wire.log_term, wire.index);
     (message.commit, message.commit_term) = (wire.commit, wire.commit_term);
     (message.reject, message.reject_hint) = (wire.reject, wire.hint);
-    message.set_entries(wire.entries.iter().map(Entry::to_raft).collect());
-    if let Some(image) = &wire.image {
-        message.set_snapshot(image.to_raft());
+    message.set_entries(wire.entries.iter().map(LogEntry::to_raft).collect());
+    if let Some(snapshot) = &wire.snapshot {
+        message.set_snapshot(snapshot.to_raft());
     }
     message.context = wire.context.into();
     Ok(message)
 }
 
 /// Entries in their order, of terms that only grow; an image with those who take part.
-fn check(wire: &Wire) -> Option<()> {
+fn validate(wire: &WireMessage) -> Option<()> {
     let (mut term, mut index) = (wire.log_term, wire.index);
     for entry in &wire.entries {
         index = index.checked_add(1)?;
@@ -124,14 +125,17 @@
         }
         term = entry.term;
     }
-    let sound = match &wire.image {
-        Some(image) => {
-            let mut all: Vec<Token> = image.voters.iter().chain(&image.learners).copied().collect();
+    let sound = match &wire.snapshot {
+        Some(snapshot) => {
+            let mut all: Vec<NodeId> = snapshot.voters.iter().chain(&snapshot.learners).copied().collect();
             all.sort_unstable();
             let once = all.windows(2).all(|two| two[0] != two[1]) && all.first() != Some(&0);
-            once && image.index > 0 && image.term > 0 && image.term <= wire.term && !image.voters.is_empty()
+            once && snapshot.index > 0
+                && snapshot.term > 0
+                && snapshot.term <= wire.term
+                && !snapshot.voters.is_empty()
         }
-        None => wire.kind != Kind::Snapshot,
+        None => wire.kind != MessageKind::Snapshot,
     };
     sound.then_some(())
 }
--- a/fleet/src/breaks.rs
+++ b/fleet/src/breaks.rs
@@ -37,15 +37,15 @@
     /// A copy takes records of an owner whose book is sealed.
     SealIgnored,
     /// What is written counts before any copy has it.
-    SafeAtOnce,
+    ReplicatedAtOnce,
     /// A part is gone on with before the fleet has agreed that it is taken.
-    TakenAtOnce,
+    AdoptedAtOnce,
     /// A member acts without a lease.
     LeaseIgnored,
     /// A new leader counts members as gone at once.
     NoGrace,
     /// A copy that came back with an empty folder counts as in step.
-    EmptyCopyKept,
+    EmptyReplicaTrusted,
 }
 
 switch!(Break);
--- a/fleet/src/budget/breaks.rs
+++ b/fleet/src/budget/breaks.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Break {
     /// A raise is agreed on without room for it.
-    RoomIgnored,
+    CapacityIgnored,
     /// A recall counts as met when it is told.
     RecallUnconfirmed,
     /// A connection that closes no longer counts.
@@ -24,7 +24,7 @@
 }
 
 pub const ALL: &[Break] = &[
-    Break::RoomIgnored,
+    Break::CapacityIgnored,
     Break::RecallUnconfirmed,
     Break::ClosingUncounted,
     Break::LeaseIgnored,
--- a/fleet/src/budget/error.rs
+++ b/fleet/src/budget/error.rs
@@ -2,7 +2,7 @@
 
 /// One thing that is wrong, with the member's path, what it is and what to do.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Problem {
+pub enum BudgetProblem {
     #[error("{path}: {dest} has a budget at {first} already; keep one of the two")]
     DestTwice { path: String, first: String, dest: u64 },
     #[error("{path}: a budget of 0 connections lets nothing through; say 1 or more, or take the entry out")]
@@ -20,9 +20,9 @@
     #[error(
         "{path}: tenant {name:?} has ceiling {ceiling} under floor {floor}; raise the one or lower the other"
     )]
-    CeilingUnderFloor { path: String, name: String, ceiling: u32, floor: u32 },
+    CeilingBelowFloor { path: String, name: String, ceiling: u32, floor: u32 },
     #[error("{path}: tenant {name:?} has ceiling 0 and could send nothing; say 1 or more, or leave it out")]
-    CeilingNought { path: String, name: String },
+    ZeroCeiling { path: String, name: String },
     #[error(
         "{path}: the floors of {dest} add up to {sum} of its {connections} connections ({tenants} of \
          tenants, and {courier_floor} for each of {couriers} couriers); lower floors or raise connections"
--- a/fleet/src/budget/holder.rs
+++ b/fleet/src/budget/local.rs
@@ -4,30 +4,30 @@
 //! closed, and so does one whose call was given up. It belongs to the tenant whose call is on it, or was
 //! last; an idle one may be taken by another tenant's call, which owns it then.
 
-use super::agreed::Agreed;
 use super::breaks::{Break, on};
-use super::leader::{Line, Report};
-use super::{TENANTS_MAX, Terms};
+use super::leader::{Report, ReportLine};
+use super::state::BudgetState;
+use super::{MAX_TENANTS, TimeBounds};
 use serde::{Deserialize, Serialize};
 use spurshore::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A refused call counts as one that waits for so long; it comes back within that, or wants it no more.
-pub const WAIT_KEPT: Micros = 1_000_000;
+pub const WAITING_TTL: Micros = 1_000_000;
 /// What a first connection takes from the asking to its grant, until one was seen: a report, a round of the
 /// leader's, an entry of the log.
-pub const GRANT_FIRST: Micros = 200_000;
+pub const INITIAL_GRANT_TIME: Micros = 200_000;
 /// No refusal names less: the caller would be back before anything can have changed.
-pub const AFTER_LEAST: Micros = 1_000;
+pub const MIN_RETRY_AFTER: Micros = 1_000;
 /// A permit that isn't used within this is asked for anew; it is for the step from a decision to its socket.
-pub const OPEN_MAX: Micros = 1_000_000;
+pub const PERMIT_TTL: Micros = 1_000_000;
 /// Reports at least so often, so that a lost one is made good.
-pub const REPORT: Micros = 250_000;
+pub const REPORT_INTERVAL: Micros = 250_000;
 /// And not more often than this, whatever changes.
-pub const REPORT_LEAST: Micros = 20_000;
+pub const MIN_REPORT_INTERVAL: Micros = 20_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-enum State {
+enum ConnectionState {
     /// It may be opened, but hasn't been.
     Permitted,
     Busy,
@@ -37,9 +37,9 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-struct Conn {
+struct Connection {
     tenant: String,
-    state: State,
+    state: ConnectionState,
     since: Micros,
     /// Under which it was permitted.
     epoch: u64,
@@ -52,11 +52,11 @@
     recalled: bool,
     number: u64,
     /// At most so many count for it: granted, or what it has confirmed under this number.
-    told: u32,
+    confirmed: u32,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-struct Wants {
+struct WaitingCalls {
     /// Calls that would go out now, beside those that are out.
     count: u32,
     refused: Option<Micros>,
@@ -65,25 +65,25 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-struct Partner {
+struct PartnerConnections {
     /// As this courier's file has it, and no more than is agreed on.
     configured: u32,
     /// A closing connection counts no longer than this.
-    closed: Micros,
-    agreed: Option<u32>,
+    close_timeout: Micros,
+    agreed_floor: Option<u32>,
     grants: BTreeMap<String, Grant>,
     /// What the grants allow together.
     usable: u32,
-    conns: BTreeMap<u64, Conn>,
+    conns: BTreeMap<u64, Connection>,
     idle: BTreeMap<String, BTreeSet<u64>>,
     /// All of a tenant's connections, in any state.
     open: BTreeMap<String, u32>,
-    wants: BTreeMap<String, Wants>,
+    waiting: BTreeMap<String, WaitingCalls>,
     weights: BTreeMap<String, u64>,
     /// How long a call holds a connection, smoothed; 0 before the first.
-    call: Micros,
+    mean_call: Micros,
     /// From the first asking to the grant, smoothed; 0 before the first.
-    grant: Micros,
+    mean_grant: Micros,
 }
 
 /// Leave to use one connection.
@@ -91,12 +91,12 @@
 pub struct Permit {
     pub dest: u64,
     pub conn: u64,
-    pub begin: Begin,
+    pub begin: PermitKind,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Begin {
-    /// Open a connection; [`Holder::opens`] is asked directly before.
+pub enum PermitKind {
+    /// Open a connection; [`LocalBudget::confirm_open`] is asked directly before.
     Open,
     /// Go out on this one, which is idle.
     Reuse,
@@ -104,24 +104,24 @@
 
 /// Why a call can't go out now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum RefusalReason {
     /// All connections that the tenant may have here are in use.
-    InUse,
+    AllInUse,
     /// The tenant holds none here yet; the leader has to move one.
-    NotHeld,
+    NoShare,
     /// The courier is cut off, and the connections of its floor are in use or it has none.
     CutOff,
     /// All calls of the span that the tenant may begin here are begun.
-    Rate,
+    RateLimited,
     /// More tenants at once than are kept.
-    Crowd,
+    TooManyTenants,
 }
 
 /// A refusal: when it makes sense to come back, by what is held and how fast it was seen to come free.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     pub after: Micros,
-    pub why: Why,
+    pub reason: RefusalReason,
     /// What the tenant may have open here, and has.
     pub usable: u32,
     pub open: u32,
@@ -129,39 +129,39 @@
 
 /// What the courier has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum ConnectionOrder {
     /// Close this connection; it is idle, or its call has been on it for longer than any may.
     Close { dest: u64, conn: u64 },
 }
 
 /// What one courier holds and uses. An upgrade hands it to the next process whole.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Holder {
-    me: String,
-    terms: Terms,
+pub struct LocalBudget {
+    local_name: String,
+    bounds: TimeBounds,
     epoch: u64,
-    lease: Micros,
+    lease_until: Micros,
     /// From then on no earlier process's connections are open.
     floor_from: Micros,
-    partners: BTreeMap<u64, Partner>,
+    partners: BTreeMap<u64, PartnerConnections>,
     /// It counts calls of a span in place of connections: see [`super::calls`].
-    tokens: bool,
+    counts_calls: bool,
     /// It begins nothing more.
     leaving: bool,
     conns: u64,
-    turn: u64,
+    sequence: u64,
     changed: bool,
     reported: Option<Micros>,
 }
 
-fn smooth(old: Micros, seen: Micros) -> Micros {
-    if old == 0 { seen.max(1) } else { (old / 8).saturating_mul(7).saturating_add(seen / 8).max(1) }
+fn smooth(old: Micros, sample: Micros) -> Micros {
+    if old == 0 { sample.max(1) } else { (old / 8).saturating_mul(7).saturating_add(sample / 8).max(1) }
 }
 
-impl Partner {
+impl PartnerConnections {
     fn total(&self) -> u32 {
         if on(Break::ClosingUncounted) {
-            return self.conns.values().filter(|c| c.state != State::Closing).count() as u32;
+            return self.conns.values().filter(|c| c.state != ConnectionState::Closing).count() as u32;
         }
         self.conns.len() as u32
     }
@@ -175,7 +175,7 @@
     }
 
     fn floor(&self) -> u32 {
-        self.agreed.map_or(self.configured, |n| n.min(self.configured))
+        self.agreed_floor.map_or(self.configured, |n| n.min(self.configured))
     }
 
     fn sum(&self, of: impl Fn(&Grant) -> u32) -> u32 {
@@ -183,27 +183,27 @@
     }
 
     /// A connection's next state; its tenant is the one that has it now.
-    fn put(&mut self, conn: u64, tenant: Option<&str>, state: State, now: Micros) {
-        let Some(one) = self.conns.get_mut(&conn) else { return };
-        if one.state == State::Idle
-            && let Some(idle) = self.idle.get_mut(&one.tenant)
+    fn set_state(&mut self, conn: u64, tenant: Option<&str>, state: ConnectionState, now: Micros) {
+        let Some(connection) = self.conns.get_mut(&conn) else { return };
+        if connection.state == ConnectionState::Idle
+            && let Some(idle) = self.idle.get_mut(&connection.tenant)
         {
             idle.remove(&conn);
             if idle.is_empty() {
-                self.idle.remove(&one.tenant);
+                self.idle.remove(&connection.tenant);
             }
         }
-        (one.state, one.since) = (state, now);
-        if let Some(tenant) = tenant.filter(|t| *t != one.tenant) {
-            let old = std::mem::replace(&mut one.tenant, tenant.to_string());
-            self.less(&old);
+        (connection.state, connection.since) = (state, now);
+        if let Some(tenant) = tenant.filter(|t| *t != connection.tenant) {
+            let old = std::mem::replace(&mut connection.tenant, tenant.to_string());
+            self.decrement_open(&old);
             *self.open.entry(tenant.to_string()).or_insert(0) += 1;
-        } else if state == State::Idle {
-            self.idle.entry(one.tenant.clone()).or_default().insert(conn);
+        } else if state == ConnectionState::Idle {
+            self.idle.entry(connection.tenant.clone()).or_default().insert(conn);
         }
     }
 
-    fn less(&mut self, tenant: &str) {
+    fn decrement_open(&mut self, tenant: &str) {
         if let Some(n) = self.open.get_mut(tenant) {
             *n = n.saturating_sub(1);
             if *n == 0 {
@@ -212,96 +212,96 @@
         }
     }
 
-    fn gone(&mut self, conn: u64, now: Micros) -> bool {
-        self.put(conn, None, State::Closing, now);
-        let one = self.conns.remove(&conn);
-        one.iter().for_each(|c| self.less(&c.tenant));
-        one.is_some()
+    fn remove(&mut self, conn: u64, now: Micros) -> bool {
+        self.set_state(conn, None, ConnectionState::Closing, now);
+        let connection = self.conns.remove(&conn);
+        connection.iter().for_each(|c| self.decrement_open(&c.tenant));
+        connection.is_some()
     }
 
     /// Of the connections beyond tenants' grants, each tenant has its part by weight: while another waits
     /// that would have fewer with one more, a tenant gets none.
-    fn first_in_floor(&self, tenant: &str, now: Micros) -> bool {
+    fn has_floor_priority(&self, tenant: &str, now: Micros) -> bool {
         let weight = |t: &str| u128::from(self.weights.get(t).copied().unwrap_or(1_000_000));
         let key = |t: &str| u128::from(self.open(t) + 1);
-        let mut others = self.wants.iter().filter(|(t, w)| *t != tenant && w.now(now) > 0);
+        let mut others = self.waiting.iter().filter(|(t, w)| *t != tenant && w.count_at(now) > 0);
         others.all(|(t, _)| key(tenant) * weight(t) <= key(t) * weight(tenant))
     }
 
     /// An idle connection: the tenant's own, or of whoever has most beyond its grant.
     fn idle(&self, tenant: &str) -> Option<u64> {
-        let over = |t: &String| i64::from(self.open(t)) - i64::from(self.usable(t));
-        let other = || self.idle.iter().max_by_key(|(t, _)| over(t)).map(|(_, idle)| idle);
+        let excess = |t: &String| i64::from(self.open(t)) - i64::from(self.usable(t));
+        let other = || self.idle.iter().max_by_key(|(t, _)| excess(t)).map(|(_, idle)| idle);
         let idle = self.idle.get(tenant).or_else(other)?;
         // The last that was used: the others may be closed soon.
         idle.last().copied()
     }
 }
 
-impl Wants {
-    fn now(&self, now: Micros) -> u32 {
-        let refused = self.refused.is_some_and(|at| now < at.saturating_add(WAIT_KEPT));
+impl WaitingCalls {
+    fn count_at(&self, now: Micros) -> u32 {
+        let refused = self.refused.is_some_and(|at| now < at.saturating_add(WAITING_TTL));
         self.count.max(u32::from(refused))
     }
 }
 
-impl Holder {
-    /// A process that starts. What an earlier one of the same name had open may be open for [`Terms::hold`]
+impl LocalBudget {
+    /// A process that starts. What an earlier one of the same name had open may be open for [`TimeBounds::drain_time`]
     /// yet.
-    pub fn new(me: &str, terms: Terms, now: Micros) -> Holder {
-        let floor_from = if on(Break::FloorTooSoon) { now } else { now.saturating_add(terms.hold()) };
-        Holder {
-            me: me.to_string(),
-            terms,
+    pub fn new(local_name: &str, bounds: TimeBounds, now: Micros) -> LocalBudget {
+        let floor_from = if on(Break::FloorTooSoon) { now } else { now.saturating_add(bounds.drain_time()) };
+        LocalBudget {
+            local_name: local_name.to_string(),
+            bounds,
             epoch: 0,
-            lease: 0,
+            lease_until: 0,
             floor_from,
             partners: BTreeMap::new(),
-            tokens: false,
+            counts_calls: false,
             leaving: false,
             conns: 0,
-            turn: 0,
+            sequence: 0,
             changed: true,
             reported: None,
         }
     }
 
     /// The same for calls of a span: see [`super::calls`].
-    pub(super) fn of_tokens(me: &str, terms: Terms, now: Micros) -> Holder {
-        Holder { tokens: true, ..Holder::new(me, terms, now) }
+    pub(super) fn for_calls(local_name: &str, bounds: TimeBounds, now: Micros) -> LocalBudget {
+        LocalBudget { counts_calls: true, ..LocalBudget::new(local_name, bounds, now) }
     }
 
     /// A partner with a budget; the weights share this courier's floor while it is cut off.
     pub fn budget(&mut self, budget: &super::Budget) {
         let partner = self.partners.entry(budget.dest).or_default();
         partner.configured = budget.courier_floor;
-        partner.closed = self.terms.closed();
-        partner.weights = budget.tenants.iter().map(|t| (t.name.clone(), t.parts())).collect();
+        partner.close_timeout = self.bounds.close_timeout();
+        partner.weights = budget.tenants.iter().map(|t| (t.name.clone(), t.weight_millionths())).collect();
         self.changed = true;
     }
 
     /// Closing connections of this partner count for so long.
-    pub(super) fn count_for(&mut self, dest: u64, span: Micros) {
+    pub(super) fn set_close_timeout(&mut self, dest: u64, span: Micros) {
         if let Some(partner) = self.partners.get_mut(&dest) {
-            partner.closed = span;
+            partner.close_timeout = span;
         }
     }
 
     /// Lets go of the connections at the front that have closed; they were begun in this order, and closed at
     /// once.
-    pub(super) fn expire(&mut self, dest: u64, now: Micros) {
+    pub(super) fn release_expired(&mut self, dest: u64, now: Micros) {
         let Some(partner) = self.partners.get_mut(&dest) else { return };
-        while let Some((conn, one)) = partner.conns.first_key_value()
-            && one.state == State::Closing
-            && now >= one.since.saturating_add(partner.closed)
+        while let Some((conn, connection)) = partner.conns.first_key_value()
+            && connection.state == ConnectionState::Closing
+            && now >= connection.since.saturating_add(partner.close_timeout)
         {
             let conn = *conn;
-            self.changed |= partner.gone(conn, now);
+            self.changed |= partner.remove(conn, now);
         }
     }
 
     /// Whether the partner has a budget: calls to others need no permit.
-    pub fn has(&self, dest: u64) -> bool {
+    pub fn has_budget(&self, dest: u64) -> bool {
         self.partners.contains_key(&dest)
     }
 
@@ -315,13 +315,13 @@
     }
 
     /// Its presence is leased until then, by its own clock.
-    pub fn leased(&mut self, until: Micros) {
-        self.lease = self.lease.max(until);
+    pub fn extend_lease(&mut self, until: Micros) {
+        self.lease_until = self.lease_until.max(until);
     }
 
     /// Its presence is over at once: it was told so.
-    pub fn lease_over(&mut self) {
-        self.lease = 0;
+    pub fn end_lease(&mut self) {
+        self.lease_until = 0;
     }
 
     /// A partner's budget is out of the file: calls to it need no permit from now on. Connections that are
@@ -330,7 +330,7 @@
         self.changed |= self.partners.remove(&dest).is_some();
     }
 
-    /// A planned stop: nothing more is begun, and idle connections are closed at the next [`Holder::tick`].
+    /// A planned stop: nothing more is begun, and idle connections are closed at the next [`LocalBudget::tick`].
     pub fn leave(&mut self) {
         (self.leaving, self.changed) = (true, true);
     }
@@ -343,34 +343,37 @@
 
     /// The agreed state as far as it is known here; called after each entry that was applied, or once for
     /// many.
-    pub fn agreed(&mut self, agreed: &Agreed, now: Micros) -> Vec<Order> {
-        let member = agreed.member(&self.me).filter(|m| m.epoch == self.epoch && !m.lapsed);
-        let mine = member.is_some();
+    pub fn apply_state(&mut self, budget_state: &BudgetState, now: Micros) -> Vec<ConnectionOrder> {
+        let member = budget_state.member(&self.local_name).filter(|m| m.epoch == self.epoch && !m.lapsed);
+        let is_mine = member.is_some();
         if member.is_some_and(|m| m.aged) {
             self.floor_from = self.floor_from.min(now);
         }
-        for (_, here) in self.partners.iter_mut().filter(|(d, _)| agreed.partner(**d).is_none()) {
+        for (_, here) in self.partners.iter_mut().filter(|(d, _)| budget_state.partner(**d).is_none()) {
             here.grants.clear();
             here.usable = 0;
         }
-        for (dest, partner) in agreed.partners() {
-            let new = || Partner { closed: self.terms.closed(), ..Partner::default() };
+        for (dest, partner) in budget_state.partners() {
+            let new = || PartnerConnections {
+                close_timeout: self.bounds.close_timeout(),
+                ..PartnerConnections::default()
+            };
             let here = self.partners.entry(dest).or_insert_with(new);
-            here.agreed = Some(partner.floor(&self.me));
+            here.agreed_floor = Some(partner.floor(&self.local_name));
             let mut grants = BTreeMap::new();
-            for (tenant, holding) in partner.held(&self.me, self.epoch).filter(|_| mine) {
+            for (tenant, share) in partner.shares(&self.local_name, self.epoch).filter(|_| is_mine) {
                 let old = here.grants.get(tenant).copied().unwrap_or_default();
-                let told = if old.number == holding.number { old.told } else { u32::MAX };
-                let recalled = holding.recalled.is_some();
-                let told = told.min(holding.granted);
+                let confirmed = if old.number == share.number { old.confirmed } else { u32::MAX };
+                let recalled = share.recalled.is_some();
+                let confirmed = confirmed.min(share.granted);
                 grants.insert(
                     tenant.to_string(),
-                    Grant { usable: holding.usable(), recalled, number: holding.number, told },
+                    Grant { usable: share.usable(), recalled, number: share.number, confirmed },
                 );
-                if old.usable == 0 && holding.usable() > 0 {
-                    let since = here.wants.get_mut(tenant).and_then(|w| w.since.take());
+                if old.usable == 0 && share.usable() > 0 {
+                    let since = here.waiting.get_mut(tenant).and_then(|w| w.since.take());
                     if let Some(since) = since {
-                        here.grant = smooth(here.grant, now.saturating_sub(since));
+                        here.mean_grant = smooth(here.mean_grant, now.saturating_sub(since));
                     }
                 }
             }
@@ -382,15 +385,15 @@
     }
 
     fn cut_off(&self, now: Micros) -> bool {
-        now >= self.lease && !on(Break::LeaseIgnored)
+        now >= self.lease_until && !on(Break::LeaseIgnored)
     }
 
-    fn floor(&self, partner: &Partner, now: Micros) -> u32 {
+    fn floor(&self, partner: &PartnerConnections, now: Micros) -> u32 {
         if now < self.floor_from || self.leaving { 0 } else { partner.floor() }
     }
 
     /// At most so many connections may be there when one more is begun.
-    fn cap(&self, partner: &Partner, now: Micros) -> u32 {
+    fn cap(&self, partner: &PartnerConnections, now: Micros) -> u32 {
         let floor = self.floor(partner, now);
         if self.cut_off(now) || self.leaving { floor } else { floor.max(partner.usable) }
     }
@@ -399,10 +402,15 @@
     ///
     /// # Errors
     /// There is no connection for it, and when one may be had.
-    pub fn may_begin(&mut self, dest: u64, tenant: &str, now: Micros) -> Result<Permit, Refusal> {
+    pub fn acquire(&mut self, dest: u64, tenant: &str, now: Micros) -> Result<Permit, Refusal> {
         let cut_off = self.cut_off(now);
         let Some(partner) = self.partners.get(&dest) else {
-            return Err(Refusal { after: GRANT_FIRST, why: Why::NotHeld, usable: 0, open: 0 });
+            return Err(Refusal {
+                after: INITIAL_GRANT_TIME,
+                reason: RefusalReason::NoShare,
+                usable: 0,
+                open: 0,
+            });
         };
         let (floor, cap) = (self.floor(partner, now), self.cap(partner, now));
         let (open, total) = (partner.open(tenant), partner.total());
@@ -412,149 +420,156 @@
         // With its own idle connection it has no more than before; with another's or a new one, one more.
         let granted = if own { open <= usable } else { open < usable };
         let in_floor = if idle.is_some() { total <= floor } else { total < floor };
-        let allowed = granted || (in_floor && partner.first_in_floor(tenant, now));
+        let allowed = granted || (in_floor && partner.has_floor_priority(tenant, now));
         let begin = match idle {
-            Some(conn) if allowed && total <= cap => Some((conn, Begin::Reuse)),
-            None if allowed && total < cap => Some((self.conns + 1, Begin::Open)),
+            Some(conn) if allowed && total <= cap => Some((conn, PermitKind::Reuse)),
+            None if allowed && total < cap => Some((self.conns + 1, PermitKind::Open)),
             _ => None,
         };
-        let Some((conn, begin)) = begin else { return Err(self.refuse(dest, tenant, now, usable, open)) };
+        let Some((conn, begin)) = begin else { return Err(self.refusal(dest, tenant, now, usable, open)) };
         self.conns = self.conns.max(conn);
         let epoch = self.epoch;
         let Some(partner) = self.partners.get_mut(&dest) else {
-            return Err(Refusal { after: GRANT_FIRST, why: Why::NotHeld, usable, open });
+            return Err(Refusal { after: INITIAL_GRANT_TIME, reason: RefusalReason::NoShare, usable, open });
         };
-        if begin == Begin::Reuse {
-            partner.put(conn, Some(tenant), State::Busy, now);
+        if begin == PermitKind::Reuse {
+            partner.set_state(conn, Some(tenant), ConnectionState::Busy, now);
         } else {
-            let one = Conn { tenant: tenant.to_string(), state: State::Permitted, since: now, epoch };
-            partner.conns.insert(conn, one);
+            let connection = Connection {
+                tenant: tenant.to_string(),
+                state: ConnectionState::Permitted,
+                since: now,
+                epoch,
+            };
+            partner.conns.insert(conn, connection);
             *partner.open.entry(tenant.to_string()).or_insert(0) += 1;
         }
-        if let Some(wants) = partner.wants.get_mut(tenant) {
-            (wants.refused, wants.since) = (None, None);
+        if let Some(waiting) = partner.waiting.get_mut(tenant) {
+            (waiting.refused, waiting.since) = (None, None);
         }
         self.changed = true;
         Ok(Permit { dest, conn, begin })
     }
 
-    fn refuse(&mut self, dest: u64, tenant: &str, now: Micros, usable: u32, open: u32) -> Refusal {
+    fn refusal(&mut self, dest: u64, tenant: &str, now: Micros, usable: u32, open: u32) -> Refusal {
         let cut_off = self.cut_off(now);
         let floor_at = self.floor_from;
-        let longest = self.terms.attrition();
+        let longest = self.bounds.recall_time();
         let Some(partner) = self.partners.get_mut(&dest) else {
-            return Refusal { after: GRANT_FIRST, why: Why::NotHeld, usable, open };
+            return Refusal { after: INITIAL_GRANT_TIME, reason: RefusalReason::NoShare, usable, open };
         };
-        if partner.wants.len() >= TENANTS_MAX && !partner.wants.contains_key(tenant) {
-            partner.wants.retain(|_, w| w.now(now) > 0);
-            if partner.wants.len() >= TENANTS_MAX {
-                return Refusal { after: WAIT_KEPT, why: Why::Crowd, usable, open };
+        if partner.waiting.len() >= MAX_TENANTS && !partner.waiting.contains_key(tenant) {
+            partner.waiting.retain(|_, w| w.count_at(now) > 0);
+            if partner.waiting.len() >= MAX_TENANTS {
+                return Refusal { after: WAITING_TTL, reason: RefusalReason::TooManyTenants, usable, open };
             }
         }
-        let grant = if partner.grant == 0 { GRANT_FIRST } else { partner.grant };
+        let grant = if partner.mean_grant == 0 { INITIAL_GRANT_TIME } else { partner.mean_grant };
         // A call that was never seen to end has all its time before it.
-        let call = if partner.call == 0 { self.terms.call } else { partner.call };
+        let call = if partner.mean_call == 0 { self.bounds.max_call } else { partner.mean_call };
         let floor = partner.floor();
-        let wants = partner.wants.entry(tenant.to_string()).or_default();
-        self.changed |= wants.now(now) == 0;
-        wants.refused = Some(now);
-        wants.since = wants.since.or((open == 0).then_some(now));
-        let before = u64::from(wants.count.max(1));
-        if self.tokens && open > 0 {
+        let waiting = partner.waiting.entry(tenant.to_string()).or_default();
+        self.changed |= waiting.count_at(now) == 0;
+        waiting.refused = Some(now);
+        waiting.since = waiting.since.or((open == 0).then_some(now));
+        let before = u64::from(waiting.count.max(1));
+        if self.counts_calls && open > 0 {
             // When so many of its calls are a span old is known.
-            let mut mine = partner.conns.values().filter(|c| c.tenant == tenant);
-            let last = mine.nth((before.min(u64::from(open)) - 1) as usize).map_or(now, |c| c.since);
-            let after = last.saturating_add(partner.closed).saturating_sub(now).max(AFTER_LEAST);
-            let why = if cut_off { Why::CutOff } else { Why::Rate };
-            return Refusal { after, why, usable, open };
+            let mut own = partner.conns.values().filter(|c| c.tenant == tenant);
+            let last = own.nth((before.min(u64::from(open)) - 1) as usize).map_or(now, |c| c.since);
+            let after = last.saturating_add(partner.close_timeout).saturating_sub(now).max(MIN_RETRY_AFTER);
+            let reason = if cut_off { RefusalReason::CutOff } else { RefusalReason::RateLimited };
+            return Refusal { after, reason, usable, open };
         }
-        let (why, after) = match (cut_off, usable) {
+        let (reason, after) = match (cut_off, usable) {
             // Each of those that are in use comes free once in a call's time.
-            (false, 1..) => (Why::InUse, call.saturating_mul(before) / u64::from(usable)),
-            (false, 0) => (Why::NotHeld, grant),
-            (true, _) if floor == 0 => (Why::CutOff, self.terms.lease),
-            (true, _) if now < floor_at => (Why::CutOff, floor_at - now),
-            (true, _) => (Why::CutOff, call.saturating_mul(before) / u64::from(floor)),
+            (false, 1..) => (RefusalReason::AllInUse, call.saturating_mul(before) / u64::from(usable)),
+            (false, 0) => (RefusalReason::NoShare, grant),
+            (true, _) if floor == 0 => (RefusalReason::CutOff, self.bounds.lease),
+            (true, _) if now < floor_at => (RefusalReason::CutOff, floor_at - now),
+            (true, _) => (RefusalReason::CutOff, call.saturating_mul(before) / u64::from(floor)),
         };
-        Refusal { after: after.clamp(AFTER_LEAST, longest.max(AFTER_LEAST)), why, usable, open }
+        Refusal { after: after.clamp(MIN_RETRY_AFTER, longest.max(MIN_RETRY_AFTER)), reason, usable, open }
     }
 
     /// So many calls of the tenant would go out now, beside those that are out.
-    pub fn wants(&mut self, dest: u64, tenant: &str, count: u32, now: Micros) {
+    pub fn set_waiting(&mut self, dest: u64, tenant: &str, count: u32, now: Micros) {
         let Some(partner) = self.partners.get_mut(&dest) else { return };
-        if count == 0 && !partner.wants.contains_key(tenant) {
+        if count == 0 && !partner.waiting.contains_key(tenant) {
             return;
         }
-        if partner.wants.len() >= TENANTS_MAX && !partner.wants.contains_key(tenant) {
+        if partner.waiting.len() >= MAX_TENANTS && !partner.waiting.contains_key(tenant) {
             return;
         }
         let none = partner.open(tenant) == 0;
-        let wants = partner.wants.entry(tenant.to_string()).or_default();
-        self.changed |= wants.count != count;
-        wants.count = count;
+        let waiting = partner.waiting.entry(tenant.to_string()).or_default();
+        self.changed |= waiting.count != count;
+        waiting.count = count;
         if count == 0 {
-            partner.wants.remove(tenant);
+            partner.waiting.remove(tenant);
         } else {
-            wants.since = wants.since.or(none.then_some(now));
+            waiting.since = waiting.since.or(none.then_some(now));
         }
     }
 
     /// Asked directly before a permitted connection is opened: a process may have been held up since its
     /// permit. If not, the permit is over, and the connection counts no longer.
-    pub fn opens(&mut self, dest: u64, conn: u64, now: Micros) -> bool {
+    pub fn confirm_open(&mut self, dest: u64, conn: u64, now: Micros) -> bool {
         let cut_off = self.cut_off(now);
         let Some(partner) = self.partners.get(&dest) else { return false };
-        let Some(one) = partner.conns.get(&conn).filter(|c| c.state == State::Permitted) else {
+        let Some(connection) = partner.conns.get(&conn).filter(|c| c.state == ConnectionState::Permitted)
+        else {
             return false;
         };
-        let fresh = now < one.since.saturating_add(OPEN_MAX) && !cut_off && one.epoch == self.epoch;
+        let fresh =
+            now < connection.since.saturating_add(PERMIT_TTL) && !cut_off && connection.epoch == self.epoch;
         let opens = fresh || partner.total() <= self.cap(partner, now);
         let Some(partner) = self.partners.get_mut(&dest) else { return false };
         if opens {
-            partner.put(conn, None, State::Busy, now);
+            partner.set_state(conn, None, ConnectionState::Busy, now);
         } else {
-            self.changed |= partner.gone(conn, now);
+            self.changed |= partner.remove(conn, now);
         }
         opens
     }
 
     /// The connection's call has ended, and it can be used again. It is to be closed if the order says so.
-    pub fn released(&mut self, permit: &Permit, now: Micros) -> Vec<Order> {
+    pub fn released(&mut self, permit: &Permit, now: Micros) -> Vec<ConnectionOrder> {
         if let Some(partner) = self.partners.get_mut(&permit.dest)
-            && let Some(one) = partner.conns.get(&permit.conn)
-            && matches!(one.state, State::Busy | State::Permitted)
+            && let Some(connection) = partner.conns.get(&permit.conn)
+            && matches!(connection.state, ConnectionState::Busy | ConnectionState::Permitted)
         {
-            let took = now.saturating_sub(one.since);
-            partner.put(permit.conn, None, State::Idle, now);
-            partner.call = smooth(partner.call, took);
+            let took = now.saturating_sub(connection.since);
+            partner.set_state(permit.conn, None, ConnectionState::Idle, now);
+            partner.mean_call = smooth(partner.mean_call, took);
             self.changed = true;
         }
-        self.shed(permit.dest, now)
+        self.close_excess(permit.dest, now)
     }
 
     /// The connection is closed by this side, or its call was given up and nothing more will be written on
-    /// it: it counts until [`Holder::closed`], or until the partner must have ended it.
+    /// it: it counts until [`LocalBudget::closed`], or until the partner must have ended it.
     pub fn closing(&mut self, dest: u64, conn: u64, now: Micros) {
         if let Some(partner) = self.partners.get_mut(&dest)
-            && let Some(one) = partner.conns.get(&conn)
-            && one.state != State::Closing
+            && let Some(connection) = partner.conns.get(&conn)
+            && connection.state != ConnectionState::Closing
         {
-            if one.state == State::Busy {
-                partner.call = smooth(partner.call, now.saturating_sub(one.since));
+            if connection.state == ConnectionState::Busy {
+                partner.mean_call = smooth(partner.mean_call, now.saturating_sub(connection.since));
             }
-            partner.put(conn, None, State::Closing, now);
+            partner.set_state(conn, None, ConnectionState::Closing, now);
         }
     }
 
     /// The partner has closed the connection: its end was read, or it never came to be.
     pub fn closed(&mut self, dest: u64, conn: u64, now: Micros) {
         if let Some(partner) = self.partners.get_mut(&dest) {
-            self.changed |= partner.gone(conn, now);
+            self.changed |= partner.remove(conn, now);
         }
     }
 
     /// Idle connections beyond what may be had are closed, first those of tenants that have most too many.
-    fn shed(&mut self, dest: u64, now: Micros) -> Vec<Order> {
+    fn close_excess(&mut self, dest: u64, now: Micros) -> Vec<ConnectionOrder> {
         let mut orders = Vec::new();
         let cut_off = self.cut_off(now);
         let Some(partner) = self.partners.get(&dest) else { return orders };
@@ -563,10 +578,10 @@
         // Closing ones count, but closing more won't hasten their end.
         let mut live = BTreeMap::<String, u32>::new();
         let mut idle: Vec<(Micros, u64, String)> = Vec::new();
-        for (n, one) in partner.conns.iter().filter(|(_, c)| c.state != State::Closing) {
-            *live.entry(one.tenant.clone()).or_default() += 1;
-            if one.state == State::Idle {
-                idle.push((one.since, *n, one.tenant.clone()));
+        for (n, connection) in partner.conns.iter().filter(|(_, c)| c.state != ConnectionState::Closing) {
+            *live.entry(connection.tenant.clone()).or_default() += 1;
+            if connection.state == ConnectionState::Idle {
+                idle.push((connection.since, *n, connection.tenant.clone()));
             }
         }
         let mut total: u32 = live.values().sum();
@@ -576,8 +591,8 @@
             let Some(here) = live.get_mut(&tenant) else { continue };
             if total > cap || (*here > usable && total > floor) {
                 (*here, total) = (*here - 1, total - 1);
-                partner.put(conn, None, State::Closing, now);
-                orders.push(Order::Close { dest, conn });
+                partner.set_state(conn, None, ConnectionState::Closing, now);
+                orders.push(ConnectionOrder::Close { dest, conn });
                 self.changed = true;
             }
         }
@@ -585,34 +600,34 @@
     }
 
     /// Time has gone on: what is overdue is closed, and so is what is idle beyond what may be had.
-    pub fn tick(&mut self, now: Micros) -> Vec<Order> {
+    pub fn tick(&mut self, now: Micros) -> Vec<ConnectionOrder> {
         let mut orders = Vec::new();
-        let call = self.terms.call;
+        let call = self.bounds.max_call;
         let dests: Vec<u64> = self.partners.keys().copied().collect();
         for dest in dests {
             let Some(partner) = self.partners.get_mut(&dest) else { continue };
-            let past = |c: &Conn, span: Micros| now >= c.since.saturating_add(span);
+            let past = |c: &Connection, span: Micros| now >= c.since.saturating_add(span);
             let ended: Vec<u64> = partner
                 .conns
                 .iter()
                 .filter(|(_, c)| match c.state {
-                    State::Closing => past(c, partner.closed),
-                    State::Permitted => past(c, OPEN_MAX.saturating_mul(2)),
-                    State::Busy | State::Idle => false,
+                    ConnectionState::Closing => past(c, partner.close_timeout),
+                    ConnectionState::Permitted => past(c, PERMIT_TTL.saturating_mul(2)),
+                    ConnectionState::Busy | ConnectionState::Idle => false,
                 })
                 .map(|(n, _)| *n)
                 .collect();
             for conn in ended {
-                self.changed |= partner.gone(conn, now);
+                self.changed |= partner.remove(conn, now);
             }
-            for (conn, one) in
-                partner.conns.iter_mut().filter(|(_, c)| c.state == State::Busy && past(c, call))
+            for (conn, connection) in
+                partner.conns.iter_mut().filter(|(_, c)| c.state == ConnectionState::Busy && past(c, call))
             {
-                (one.state, one.since) = (State::Closing, now);
-                orders.push(Order::Close { dest, conn: *conn });
+                (connection.state, connection.since) = (ConnectionState::Closing, now);
+                orders.push(ConnectionOrder::Close { dest, conn: *conn });
             }
-            partner.wants.retain(|_, w| w.now(now) > 0);
-            orders.extend(self.shed(dest, now));
+            partner.waiting.retain(|_, w| w.count_at(now) > 0);
+            orders.extend(self.close_excess(dest, now));
         }
         orders
     }
@@ -620,57 +635,72 @@
     /// What the leader is to know, if it is time; sent to whoever leads.
     pub fn report(&mut self, now: Micros) -> Option<Report> {
         let since = self.reported.map(|at| now.saturating_sub(at));
-        let due = since.is_none_or(|s| s >= REPORT || (self.changed && s >= REPORT_LEAST));
+        let due = since.is_none_or(|s| s >= REPORT_INTERVAL || (self.changed && s >= MIN_REPORT_INTERVAL));
         if !due || self.epoch == 0 {
             return None;
         }
         (self.reported, self.changed) = (Some(now), false);
-        self.turn += 1;
+        self.sequence += 1;
         let mut lines = Vec::new();
         let mut clear = now >= self.floor_from;
-        let closed = |p: &Partner| p.total() <= p.floor().max(p.sum(|g| g.told));
+        let closed = |p: &PartnerConnections| p.total() <= p.floor().max(p.sum(|g| g.confirmed));
         for (dest, partner) in &mut self.partners {
             clear &= closed(partner);
             let floor = if now < self.floor_from { 0 } else { partner.floor() };
-            let names = partner.grants.keys().chain(partner.wants.keys()).chain(partner.open.keys());
+            let names = partner.grants.keys().chain(partner.waiting.keys()).chain(partner.open.keys());
             let names: BTreeSet<String> = names.cloned().collect();
             let mut busy = BTreeMap::<&str, u32>::new();
-            for one in partner.conns.values().filter(|c| matches!(c.state, State::Busy | State::Permitted)) {
-                *busy.entry(&one.tenant).or_default() += 1;
+            for connection in partner
+                .conns
+                .values()
+                .filter(|c| matches!(c.state, ConnectionState::Busy | ConnectionState::Permitted))
+            {
+                *busy.entry(&connection.tenant).or_default() += 1;
             }
-            let mut told = Vec::new();
+            let mut rows = Vec::new();
             for tenant in names {
                 // Calls of the last span are asked for: the tenant goes on at its rate.
-                let out = match self.tokens {
+                let out = match self.counts_calls {
                     true => partner.open(&tenant),
                     false => busy.get(tenant.as_str()).copied().unwrap_or(0),
                 };
-                let asks = out.saturating_add(partner.wants.get(&tenant).map_or(0, |w| w.now(now)));
-                told.push((asks, partner.open(&tenant), tenant));
+                let demand = out.saturating_add(partner.waiting.get(&tenant).map_or(0, |w| w.count_at(now)));
+                rows.push((demand, partner.open(&tenant), tenant));
             }
-            for (asks, open, tenant) in told {
-                let released = partner.confirm(&tenant, open, floor);
-                lines.push(Line { dest: *dest, tenant, asks, open, released });
+            for (demand, open, tenant) in rows {
+                let released = partner.confirm_recall(&tenant, open, floor);
+                lines.push(ReportLine { dest: *dest, tenant, demand, open, released });
             }
         }
         let left = self.left();
-        Some(Report { courier: self.me.clone(), epoch: self.epoch, turn: self.turn, clear, left, lines })
+        Some(Report {
+            courier: self.local_name.clone(),
+            epoch: self.epoch,
+            sequence: self.sequence,
+            clear,
+            left,
+            lines,
+        })
     }
 
-    /// When [`Holder::tick`] and [`Holder::report`] are wanted next.
+    /// When [`LocalBudget::tick`] and [`LocalBudget::report`] are wanted next.
     pub fn wake_at(&self, now: Micros) -> Micros {
-        let mut at = self.reported.map_or(now, |r| r + if self.changed { REPORT_LEAST } else { REPORT });
-        if now < self.lease {
-            at = at.min(self.lease);
+        let mut at = self
+            .reported
+            .map_or(now, |r| r + if self.changed { MIN_REPORT_INTERVAL } else { REPORT_INTERVAL });
+        if now < self.lease_until {
+            at = at.min(self.lease_until);
         }
-        for (partner, one) in self.partners.values().flat_map(|p| p.conns.values().map(move |c| (p, c))) {
-            let span = match one.state {
-                State::Busy => self.terms.call,
-                State::Closing => partner.closed,
-                State::Permitted => OPEN_MAX * 2,
-                State::Idle => continue,
+        for (partner, connection) in
+            self.partners.values().flat_map(|p| p.conns.values().map(move |c| (p, c)))
+        {
+            let span = match connection.state {
+                ConnectionState::Busy => self.bounds.max_call,
+                ConnectionState::Closing => partner.close_timeout,
+                ConnectionState::Permitted => PERMIT_TTL * 2,
+                ConnectionState::Idle => continue,
             };
-            at = at.min(one.since.saturating_add(span));
+            at = at.min(connection.since.saturating_add(span));
         }
         at.max(now)
     }
@@ -681,25 +711,25 @@
     }
 
     /// A connection that is closing counts for no longer than this.
-    pub fn closes_within(&self, dest: u64) -> Micros {
-        self.partners.get(&dest).map_or(self.terms.closed(), |p| p.closed)
+    pub fn close_timeout_of(&self, dest: u64) -> Micros {
+        self.partners.get(&dest).map_or(self.bounds.close_timeout(), |p| p.close_timeout)
     }
 
     /// How many connections a tenant has at a partner, in any state.
-    pub fn open_of(&self, dest: u64, tenant: &str) -> u32 {
+    pub fn open_for(&self, dest: u64, tenant: &str) -> u32 {
         self.partners.get(&dest).map_or(0, |p| p.open(tenant))
     }
 }
 
-impl Partner {
+impl PartnerConnections {
     /// What may be confirmed of a recall now: no less than is open, nor than all that is open needs.
-    fn confirm(&mut self, tenant: &str, open: u32, floor: u32) -> Option<(u64, u32)> {
-        let (total, told) = (self.total(), self.sum(|g| g.told));
+    fn confirm_recall(&mut self, tenant: &str, open: u32, floor: u32) -> Option<(u64, u32)> {
+        let (total, confirmed) = (self.total(), self.sum(|g| g.confirmed));
         let grant = self.grants.get_mut(tenant).filter(|g| g.recalled)?;
-        let others = told - grant.told;
+        let others = confirmed - grant.confirmed;
         // What fits into the floor needs no grant.
         let need = if total <= floor { 0 } else { open.max(total.saturating_sub(others)) };
-        grant.told = grant.told.min(grant.usable.max(need));
-        Some((grant.number, grant.told))
+        grant.confirmed = grant.confirmed.min(grant.usable.max(need));
+        Some((grant.number, grant.confirmed))
     }
 }
--- a/fleet/src/plan.rs
+++ b/fleet/src/config.rs
@@ -1,6 +1,6 @@
 //! What an operator wants of a fleet, as its machines go by it.
 
-use crate::budget::{Budget, Terms};
+use crate::budget::{Budget, TimeBounds};
 use spurshore::Micros;
 use std::collections::BTreeSet;
 
@@ -17,7 +17,7 @@
 
 /// What a courier does with messages where too few copies are in step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Missing {
+pub enum MissingReplicas {
     /// It takes nothing on and begins no call until a copy is there.
     #[default]
     Require,
@@ -27,8 +27,8 @@
 
 /// A fleet's settings. The machines take them as checked: [`quillmount-operator`] refuses what can't be.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plan {
-    pub me: Name,
+pub struct FleetConfig {
+    pub local_name: Name,
     pub peers: Vec<Peer>,
     /// Those who agree; the first of them begins a new fleet.
     pub voters: Vec<Name>,
@@ -37,19 +37,19 @@
     /// By how much two clocks' rates may differ from true time, each.
     pub drift: f64,
     /// Copies of each book at other couriers.
-    pub copies: usize,
-    pub missing: Missing,
+    pub replicas: usize,
+    pub missing_replicas: MissingReplicas,
     /// Partners' budgets.
     pub budgets: Vec<Budget>,
     /// The longest that a call writes, and that a connection stays open after that.
-    pub call: Micros,
-    pub quiet: Micros,
+    pub max_call: Micros,
+    pub max_idle: Micros,
 }
 
-impl Plan {
+impl FleetConfig {
     /// The bounds on time that budgets are held to.
-    pub fn terms(&self) -> Terms {
-        Terms { call: self.call, quiet: self.quiet, lease: self.lease }
+    pub fn time_bounds(&self) -> TimeBounds {
+        TimeBounds { max_call: self.max_call, max_idle: self.max_idle, lease: self.lease }
     }
 
     pub fn couriers(&self) -> Vec<Name> {
@@ -57,19 +57,19 @@
     }
 
     /// How long a lease lasts by the member's own clock: it ends before the leader's does, at the worst rates of both.
-    pub fn own_lease(&self) -> Micros {
+    pub fn member_lease(&self) -> Micros {
         (self.lease as f64 * (1.0 - self.drift) / (1.0 + self.drift)) as Micros
     }
 
     /// The machine that a courier shares its fate with: its own name where none is told.
     pub fn host_of<'a>(&'a self, name: &'a str) -> &'a str {
-        let told = self.peers.iter().find(|peer| peer.name == name).map(|peer| peer.host.as_str());
-        told.filter(|host| !host.is_empty()).unwrap_or(name)
+        let configured = self.peers.iter().find(|peer| peer.name == name).map(|peer| peer.host.as_str());
+        configured.filter(|host| !host.is_empty()).unwrap_or(name)
     }
 
     /// All couriers but this one.
     pub fn others(&self) -> impl Iterator<Item = &Name> {
-        self.peers.iter().map(|peer| &peer.name).filter(|name| **name != self.me)
+        self.peers.iter().map(|peer| &peer.name).filter(|name| **name != self.local_name)
     }
 
     pub fn is_voter(&self, name: &str) -> bool {
@@ -78,21 +78,24 @@
 
     /// Those that may hold copies of this courier's book, best first: by a hash that all draw alike, those of other hosts
     /// before those of its own.
-    pub fn copy_order(&self, serving: &BTreeSet<Name>) -> Vec<Name> {
-        let mine = self.host_of(&self.me);
-        let mut order: Vec<_> = serving.iter().filter(|name| **name != self.me).collect();
+    pub fn replica_order(&self, serving: &BTreeSet<Name>) -> Vec<Name> {
+        let mine = self.host_of(&self.local_name);
+        let mut order: Vec<_> = serving.iter().filter(|name| **name != self.local_name).collect();
         order.sort_by_key(|name| {
-            (self.host_of(name) == mine, std::cmp::Reverse(weight(self.me.as_bytes(), name)))
+            (
+                self.host_of(name) == mine,
+                std::cmp::Reverse(rendezvous_weight(self.local_name.as_bytes(), name)),
+            )
         });
         order.into_iter().cloned().collect()
     }
 }
 
 /// How much a member is wanted for something, by rendezvous hashing: whoever has the most gets it.
-pub fn weight(what: &[u8], member: &str) -> u64 {
+pub fn rendezvous_weight(key: &[u8], member: &str) -> u64 {
     // FNV-1a, then a finish that spreads close names.
     let mut hash = 0xcbf2_9ce4_8422_2325u64;
-    for byte in what.iter().chain(&[0xff]).chain(member.as_bytes()) {
+    for byte in key.iter().chain(&[0xff]).chain(member.as_bytes()) {
         hash = (hash ^ u64::from(*byte)).wrapping_mul(0x100_0000_01b3);
     }
     hash ^= hash >> 33;
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -2,17 +2,17 @@
 //! State machines without I/O: values in, values out, the time handed in (`docs/fleet-design.md`).
 
 pub mod agreement;
-pub mod book;
 pub mod breaks;
 pub mod budget;
+pub mod config;
 pub mod lease;
 pub mod member;
 pub mod message;
-pub mod plan;
+pub mod replication;
 pub mod settlement;
 pub mod shares;
 pub mod state;
 
 /// A courier's number in the agreement: drawn at random when its folder is new, and kept there. A folder that is lost means a
 /// new one, so that none votes twice.
-pub type Token = u64;
+pub type NodeId = u64;
--- a/fleet/src/member/interface.rs
+++ b/fleet/src/member/interface.rs
@@ -18,150 +18,150 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Input {
+pub enum MemberInput {
     /// Time has passed; wanted at `wake_at` at the latest.
     Tick,
-    Heard(Envelope),
+    Received(Envelope),
     /// What the journal holds now that the courier has joined, and parts in it that it does not say to be settled.
-    Book {
+    JournalOpened {
         bytes: Vec<u8>,
-        unsettled: Vec<Source>,
+        unsettled: Vec<PartitionId>,
     },
     /// The journal has grown by these.
-    Wrote(Vec<u8>),
+    JournalAppended(Vec<u8>),
     /// The journal is these now.
-    Replaced(Vec<u8>),
+    JournalReplaced(Vec<u8>),
     /// A part of a sealed book is in the journal, as it was when so much was written.
-    Adopted(Source),
+    Adopted(PartitionId),
     /// The journal says whose the part is.
-    Settled(Source),
+    AdoptionResolved(PartitionId),
     /// A planned stop: the book is for others from here on.
     Leave,
     /// Of a settlement's home; said again by whoever wants it, until it is agreed.
-    Settlement(settlement::Command),
+    Settlement(settlement::SettlementCommand),
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Output {
-    Send(Name, Message),
-    /// It is a member under this epoch. Where the book in its folder is not its own any more (`kept` is false), nothing of
+pub enum MemberOutput {
+    Send(Name, FleetMessage),
+    /// It is a member under this epoch. Where the book in its folder is not its own any more (`retained` is false), nothing of
     /// what it says may be done.
     Joined {
         epoch: Epoch,
-        kept: bool,
+        retained: bool,
     },
     /// It may act until then by its own clock, if nothing else is said.
     Lease(Micros),
     /// All that was written up to this mark is where it has to be.
-    Safe(u64),
-    /// Records are safe once they are at all of these; not enough: it may not take on (see [`Missing`]).
-    Copies {
+    Replicated(u64),
+    /// Records are safe once they are at all of these; not enough: it may not take on (see [`MissingReplicas`]).
+    Replicas {
         at: BTreeSet<Name>,
         enough: bool,
     },
     /// These parts of this sealed book are to be written into the journal, in one piece; of what came to that book from
     /// others only the parts in `settled` were its own.
     Adopt {
-        parts: Vec<Source>,
-        settled: BTreeSet<Source>,
+        partitions: Vec<PartitionId>,
+        settled: BTreeSet<PartitionId>,
         bytes: Vec<u8>,
     },
     /// The part is its own: it goes on with it. Or somebody else has it.
-    Settle {
-        source: Source,
-        kept: bool,
+    ResolveAdoption {
+        source: PartitionId,
+        adopted: bool,
     },
     /// Its book is no longer its own: the process has to begin anew.
-    Replaced,
+    Fenced,
     /// The fleet knows that it has left.
     Left,
     /// Connections to partners that are to be closed.
-    Orders(Vec<Order>),
+    CloseConnections(Vec<ConnectionOrder>),
     /// What is agreed about a settlement has changed.
-    Settlement(settlement::Event),
+    Settlement(settlement::SettlementEvent),
     /// The agreed state came as a whole: what became of settlements' homes in between is not known.
-    Settlements,
+    SettlementsRestored,
     /// Another courier's ask or word about a settlement.
-    Heard {
+    SettlementReceived {
         from: Name,
-        message: settlement::Message,
-        parcel: Bytes,
+        message: settlement::SettlementMessage,
+        payload: Bytes,
     },
-    Note(Note),
+    Notice(MemberNotice),
 }
 
 /// What the log is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum MemberNotice {
     Joined {
         epoch: Epoch,
-        kept: bool,
+        retained: bool,
     },
-    Gone {
+    Deregistered {
         name: Name,
         epoch: Epoch,
     },
-    Sealed(BookId),
-    TakesOver {
-        book: BookId,
-        parts: usize,
+    Sealed(JournalId),
+    TakeoverStarted {
+        journal: JournalId,
+        partitions: usize,
         bytes: usize,
     },
-    NoCopy {
-        book: BookId,
+    ReplicaUnavailable {
+        journal: JournalId,
     },
-    CopyLate {
+    ReplicaLagging {
         name: Name,
     },
-    CopyRefused {
-        book: BookId,
+    ReplicaRejected {
+        journal: JournalId,
         what: String,
     },
-    Leads(bool),
-    Alone(bool),
-    Begins,
+    Leading(bool),
+    LeaseLost(bool),
+    Bootstrapping,
     /// Those who agree are these from now on.
     Voters(Vec<Name>),
     /// The agreement's own word.
     Agreement(String),
 }
 
-impl std::fmt::Display for Note {
+impl std::fmt::Display for MemberNotice {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Note::Joined { epoch, kept: true } => {
+            MemberNotice::Joined { epoch, retained: true } => {
                 write!(f, "fleet: member under epoch {epoch}, with the book in the folder")
             }
-            Note::Joined { epoch, kept: false } => {
+            MemberNotice::Joined { epoch, retained: false } => {
                 write!(
                     f,
                     "fleet: member under epoch {epoch}, with a new book: others have what was owed before"
                 )
             }
-            Note::Gone { name, epoch } => write!(f, "fleet: {name} is gone (epoch {epoch})"),
-            Note::Sealed(book) => write!(f, "fleet: book {book} is sealed"),
-            Note::TakesOver { book, parts, bytes } => {
-                write!(f, "fleet: takes over {parts} parts of book {book} ({bytes} bytes)")
+            MemberNotice::Deregistered { name, epoch } => write!(f, "fleet: {name} is gone (epoch {epoch})"),
+            MemberNotice::Sealed(journal) => write!(f, "fleet: book {journal} is sealed"),
+            MemberNotice::TakeoverStarted { journal, partitions, bytes } => {
+                write!(f, "fleet: takes over {partitions} parts of book {journal} ({bytes} bytes)")
             }
-            Note::NoCopy { book } => write!(
+            MemberNotice::ReplicaUnavailable { journal } => write!(
                 f,
-                "fleet: no copy of book {book} answers: start its owner or a holder of a copy with its folder"
+                "fleet: no copy of book {journal} answers: start its owner or a holder of a copy with its folder"
             ),
-            Note::CopyLate { name } => {
+            MemberNotice::ReplicaLagging { name } => {
                 write!(f, "fleet: the copy at {name} is late and is replaced: look at the link to it")
             }
-            Note::CopyRefused { book, what } => {
-                write!(f, "fleet: a copy of book {book} can't be kept: {what}; look at the folder's disk")
+            MemberNotice::ReplicaRejected { journal, what } => {
+                write!(f, "fleet: a copy of book {journal} can't be kept: {what}; look at the folder's disk")
             }
-            Note::Leads(true) => write!(f, "fleet: leads"),
-            Note::Leads(false) => write!(f, "fleet: leads no more"),
-            Note::Alone(true) => {
+            MemberNotice::Leading(true) => write!(f, "fleet: leads"),
+            MemberNotice::Leading(false) => write!(f, "fleet: leads no more"),
+            MemberNotice::LeaseLost(true) => {
                 write!(f, "fleet: its lease is over: cut off, or too few voters are up; nothing is begun")
             }
-            Note::Alone(false) => write!(f, "fleet: has a lease"),
-            Note::Agreement(what) => write!(f, "fleet: {what}"),
-            Note::Voters(voters) => write!(f, "fleet: voters are {}", voters.join(", ")),
-            Note::Begins => write!(f, "fleet: begins a new one, as its first voter"),
+            MemberNotice::LeaseLost(false) => write!(f, "fleet: has a lease"),
+            MemberNotice::Agreement(what) => write!(f, "fleet: {what}"),
+            MemberNotice::Voters(voters) => write!(f, "fleet: voters are {}", voters.join(", ")),
+            MemberNotice::Bootstrapping => write!(f, "fleet: begins a new one, as its first voter"),
         }
     }
 }
--- a/fleet/src/member/mod.rs
+++ b/fleet/src/member/mod.rs
@@ -9,21 +9,23 @@
 mod stores;
 mod upkeep;
 
-pub use interface::{Input, MemberError, Note, Output};
-pub use log::Log;
-pub use stores::Stores;
+pub use interface::{MemberError, MemberInput, MemberNotice, MemberOutput};
+pub use log::AgreementLog;
+pub use stores::StoreDirectory;
 
-use crate::Token;
-use crate::agreement::{self, Agreement, AgreementError, Change};
-use crate::book::{Copy, Owner};
+use crate::NodeId;
+use crate::agreement::{self, Agreement, AgreementError, MembershipChange};
 use crate::breaks::{self, Break};
-use crate::budget::Order;
-use crate::lease::{Granted, Held};
-use crate::message::{Envelope, Message};
-use crate::plan::{Missing, Name, Plan};
+use crate::budget::ConnectionOrder;
+use crate::config::{FleetConfig, MissingReplicas, Name};
+use crate::lease::{GrantedLeases, HeldLease};
+use crate::message::{Envelope, FleetMessage};
+use crate::replication::{JournalReplica, JournalReplicator};
 use crate::settlement;
-use crate::shares::Shares;
-use crate::state::{Agreed, BookId, Command, Epoch, Event, Member as Registered, Part, Source};
+use crate::shares::BudgetShares;
+use crate::state::{
+    Epoch, FleetCommand, FleetEvent, FleetState, JournalId, PartitionId, PartitionState, Registration,
+};
 use bytes::Bytes;
 use quillmount_core::journal;
 use quillmount_core::store::Store;
@@ -32,91 +34,91 @@
 use std::io;
 
 /// What is wanted of the fleet is said again after so long, until it is so: a word may be lost, and so may a leader.
-const AGAIN: Micros = 250_000;
+const RETRY_INTERVAL: Micros = 250_000;
 /// A copy that confirms nothing for so many leases is replaced, and not chosen again for as many more.
-const LATE_LEASES: Micros = 2;
+const MAX_LAG_LEASES: Micros = 2;
 /// A page of a sealed book is asked for again after so long, at the next of its copies.
-const FETCH_AGAIN: Micros = 300_000;
+const FETCH_RETRY_INTERVAL: Micros = 300_000;
 /// No sealed book is longer, as no copy is.
-const BOOK_MOST: u64 = crate::book::COPY_MOST;
+const MAX_JOURNAL_BYTES: u64 = crate::replication::MAX_REPLICA_BYTES;
 /// Settlements' verdicts are looked through for old ones so often.
-const FORGET: Micros = 10_000_000;
+const VERDICT_SWEEP_INTERVAL: Micros = 10_000_000;
 /// Bytes for copies of others' books, where the driver says nothing else.
-const ROOM: u64 = 16 * crate::book::COPY_MOST;
+const DEFAULT_REPLICA_CAPACITY: u64 = 16 * crate::replication::MAX_REPLICA_BYTES;
 /// Between two looks at what else is to be done: short against a lease.
-const LOOK: Micros = 50_000;
+const MAINTENANCE_INTERVAL: Micros = 50_000;
 
 /// A sealed book that is being read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Fetching {
+struct SealedFetch {
     bytes: Vec<u8>,
     /// Of its copies, the one that is asked.
-    from: usize,
-    again: Micros,
+    replica_index: usize,
+    retry_at: Micros,
     /// Copies that said they have none, one after the other.
-    none: usize,
+    missing_replies: usize,
 }
 
 /// A part that is in the journal, and not settled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Pending {
+struct PendingAdoption {
     /// It counts when the journal is safe up to there.
-    mark: u64,
+    offset: u64,
     /// The courier goes on with it; `done`: and its journal says so.
-    kept: bool,
-    done: bool,
+    adopted: bool,
+    recorded: bool,
 }
 
 /// The machine.
 #[derive(Clone)]
-pub struct Member<D: Stores, L = Agreement<<D as Stores>::Store>> {
-    pub plan: Plan,
+pub struct Member<D: StoreDirectory, L = Agreement<<D as StoreDirectory>::Store>> {
+    pub config: FleetConfig,
     /// Bytes that copies of others' books may take here; a seal is written beyond it.
-    pub room: u64,
+    pub replica_capacity: u64,
     stores: D,
     agreement: L,
-    agreed: Agreed,
+    state: FleetState,
     /// Its own process.
-    life: u64,
-    line: Option<Epoch>,
+    incarnation: u64,
+    lineage: Option<Epoch>,
     identity: D::Store,
-    first: bool,
+    is_first: bool,
     fresh: bool,
     /// Other voters whose folders know of no fleet.
     fresh_voters: BTreeSet<Name>,
-    names: BTreeMap<Token, Name>,
+    names_by_node: BTreeMap<NodeId, Name>,
     /// Other couriers that know of a fleet: none is begun beside it.
-    seasoned: BTreeSet<Name>,
+    initialized_peers: BTreeSet<Name>,
     /// What was agreed up to there is in the state.
-    through: u64,
+    applied_index: u64,
     /// Its own registration, from the moment when it was agreed.
     epoch: Option<Epoch>,
-    replaced: bool,
-    held: Held,
-    alone: bool,
-    leads: bool,
-    granted: Granted,
+    fenced: bool,
+    lease: HeldLease,
+    lease_lost: bool,
+    is_leader: bool,
+    granted_leases: GrantedLeases,
     reads: BTreeMap<u64, (Name, Epoch, u64)>,
     ticket: u64,
-    owner: Option<Owner>,
+    replicator: Option<JournalReplicator>,
     proposed: BTreeSet<Name>,
-    late: BTreeMap<Name, Micros>,
-    safe: u64,
-    told_copies: Option<(BTreeSet<Name>, bool)>,
-    copies: BTreeMap<BookId, Copy<D::Store>>,
+    lagging: BTreeMap<Name, Micros>,
+    replicated_offset: u64,
+    reported_replicas: Option<(BTreeSet<Name>, bool)>,
+    replicas: BTreeMap<JournalId, JournalReplica<D::Store>>,
     /// Books of which a copy was last refused here, by the store.
-    refused: BTreeSet<BookId>,
-    fetching: BTreeMap<BookId, Fetching>,
-    pending: BTreeMap<Source, Pending>,
-    asked: Vec<(Command, Micros)>,
+    rejected_replicas: BTreeSet<JournalId>,
+    fetches: BTreeMap<JournalId, SealedFetch>,
+    pending: BTreeMap<PartitionId, PendingAdoption>,
+    outstanding: Vec<(FleetCommand, Micros)>,
     leaving: bool,
     left: bool,
-    shares: Shares,
+    shares: BudgetShares,
     /// Those that were last told to agree.
     voters: Vec<Name>,
-    look_at: Micros,
+    maintenance_at: Micros,
     hello_at: Micros,
-    lapse_at: Micros,
+    expire_at: Micros,
     forget_at: Micros,
 }
 
@@ -126,95 +128,101 @@
     Ok(if bytes.is_empty() { None } else { postcard::from_bytes(&bytes)? })
 }
 
-fn store_name(book: &BookId) -> String {
-    format!("copy.{}.{}", book.epoch, book.owner)
+fn store_name(journal: &JournalId) -> String {
+    format!("copy.{}.{}", journal.epoch, journal.owner)
 }
 
-fn book_of(name: &str) -> Option<BookId> {
+fn journal_of_store(name: &str) -> Option<JournalId> {
     let (epoch, owner) = name.strip_prefix("copy.")?.split_once('.')?;
-    Some(BookId { owner: owner.into(), epoch: epoch.parse().ok()? })
+    Some(JournalId { owner: owner.into(), epoch: epoch.parse().ok()? })
 }
 
-impl<D: Stores> Member<D> {
-    /// Takes up what the folder has; `life` and `token` are drawn at random by the caller, the second for a new folder.
+impl<D: StoreDirectory> Member<D> {
+    /// Takes up what the folder has; `incarnation` and `node_id` are drawn at random by the caller, the second for a new folder.
     ///
     /// # Errors
     /// What is there can't be read.
     pub fn open(
-        plan: Plan,
+        config: FleetConfig,
         mut stores: D,
-        life: u64,
-        token: Token,
-        limits: agreement::Limits,
+        incarnation: u64,
+        node_id: NodeId,
+        limits: agreement::AgreementLimits,
         now: Micros,
-    ) -> Result<(Self, Vec<Output>), MemberError> {
-        let (agreement, opened) = Agreement::open(stores.open("agreement")?, token, limits, now)?;
-        Member::with_log(plan, stores, agreement, opened, life, now)
+    ) -> Result<(Self, Vec<MemberOutput>), MemberError> {
+        let (agreement, opened) = Agreement::open(stores.open("agreement")?, node_id, limits, now)?;
+        Member::with_log(config, stores, agreement, opened, incarnation, now)
     }
 }
 
-impl<D: Stores, L: Log> Member<D, L> {
+impl<D: StoreDirectory, L: AgreementLog> Member<D, L> {
     /// Takes up what the folder has beside the log, which was opened already.
     ///
     /// # Errors
     /// What is there can't be read.
     pub fn with_log(
-        plan: Plan,
+        config: FleetConfig,
         mut stores: D,
         agreement: L,
         opened: agreement::Opened,
-        life: u64,
+        incarnation: u64,
         now: Micros,
-    ) -> Result<(Self, Vec<Output>), MemberError> {
+    ) -> Result<(Self, Vec<MemberOutput>), MemberError> {
         let mut identity = stores.open("identity")?;
-        let (first, line) = (identity.is_empty(), read_identity(&mut identity)?);
-        let mut copies = BTreeMap::new();
+        let (is_first, lineage) = (identity.is_empty(), read_identity(&mut identity)?);
+        let mut replicas = BTreeMap::new();
         for name in stores.names()? {
-            if let Some(book) = book_of(&name) {
-                copies.insert(book, Copy::open(stores.open(&name)?)?);
+            if let Some(journal) = journal_of_store(&name) {
+                replicas.insert(journal, JournalReplica::open(stores.open(&name)?)?);
             }
         }
-        let shares = Shares::new(&plan.me, plan.terms(), plan.budgets.clone(), plan.couriers(), now);
+        let shares = BudgetShares::new(
+            &config.local_name,
+            config.time_bounds(),
+            config.budgets.clone(),
+            config.couriers(),
+            now,
+        );
         let mut member = Member {
             shares,
-            plan,
-            room: ROOM,
+            config,
+            replica_capacity: DEFAULT_REPLICA_CAPACITY,
             stores,
             agreement,
-            agreed: Agreed::default(),
-            life,
-            line,
+            state: FleetState::default(),
+            incarnation,
+            lineage,
             identity,
-            first,
+            is_first,
             fresh: opened.new,
             fresh_voters: BTreeSet::new(),
-            names: BTreeMap::new(),
-            seasoned: BTreeSet::new(),
-            through: 0,
+            names_by_node: BTreeMap::new(),
+            initialized_peers: BTreeSet::new(),
+            applied_index: 0,
             epoch: None,
-            replaced: false,
-            held: Held::default(),
-            alone: true,
-            leads: false,
-            granted: Granted::default(),
+            fenced: false,
+            lease: HeldLease::default(),
+            lease_lost: true,
+            is_leader: false,
+            granted_leases: GrantedLeases::default(),
             reads: BTreeMap::new(),
             ticket: 0,
-            owner: None,
+            replicator: None,
             proposed: BTreeSet::new(),
-            late: BTreeMap::new(),
-            safe: 0,
-            told_copies: None,
-            copies,
-            refused: BTreeSet::new(),
-            fetching: BTreeMap::new(),
+            lagging: BTreeMap::new(),
+            replicated_offset: 0,
+            reported_replicas: None,
+            replicas,
+            rejected_replicas: BTreeSet::new(),
+            fetches: BTreeMap::new(),
             pending: BTreeMap::new(),
-            asked: Vec::new(),
+            outstanding: Vec::new(),
             leaving: false,
             left: false,
             voters: Vec::new(),
-            look_at: now,
+            maintenance_at: now,
             hello_at: now,
-            lapse_at: now,
+            expire_at: now,
             forget_at: now,
         };
         let mut out = Vec::new();
@@ -224,12 +232,12 @@
         }
         // A log that was begun and tells nothing yet: it is none of a new folder all the same.
         member.fresh &= member.agreement.voters().is_empty();
-        member.names_known();
+        member.index_node_names();
         Ok((member, out))
     }
 
-    pub fn agreed(&self) -> &Agreed {
-        &self.agreed
+    pub fn state(&self) -> &FleetState {
+        &self.state
     }
 
     pub fn agreement(&self) -> &L {
@@ -243,109 +251,119 @@
 
     /// It is a member, and may act.
     pub fn may_act(&self, now: Micros) -> bool {
-        self.epoch.is_some() && !self.replaced && (self.held.holds(now) || breaks::on(Break::LeaseIgnored))
+        self.epoch.is_some() && !self.fenced && (self.lease.is_valid(now) || breaks::on(Break::LeaseIgnored))
     }
 
     pub fn wake_at(&self) -> Option<Micros> {
         // One that is replaced or has left copies nothing more: a page that is due would be so for ever.
-        let owner = self.owner.as_ref().filter(|_| !self.replaced && !self.left);
-        let times = [Some(self.look_at), self.agreement.wake_at(), owner.and_then(Owner::wake_at)];
+        let replicator = self.replicator.as_ref().filter(|_| !self.fenced && !self.left);
+        let times = [
+            Some(self.maintenance_at),
+            self.agreement.wake_at(),
+            replicator.and_then(JournalReplicator::wake_at),
+        ];
         times.into_iter().flatten().min()
     }
 
     /// No process with this folder was ever one of a fleet: a journal that is there is nobody else's.
     pub fn is_first(&self) -> bool {
-        self.first
+        self.is_first
     }
 
     /// Notes the line of the journal that is in the folder from now on; `None`: what is there is worth nothing.
     ///
     /// # Errors
     /// The folder refuses it.
-    pub fn note_line(&mut self, line: Option<Epoch>) -> Result<(), MemberError> {
-        self.identity.replace(&postcard::to_allocvec(&line)?)?;
-        self.line = line;
+    pub fn record_lineage(&mut self, lineage: Option<Epoch>) -> Result<(), MemberError> {
+        self.identity.replace(&postcard::to_allocvec(&lineage)?)?;
+        self.lineage = lineage;
         Ok(())
     }
 
     /// The line of the book under which it serves.
-    pub fn agreed_line(&self) -> Option<Epoch> {
-        self.agreed.books.get(&self.book()?).map(|book| book.line)
+    pub fn agreed_lineage(&self) -> Option<Epoch> {
+        self.state.journals.get(&self.journal_id()?).map(|journal| journal.lineage)
     }
 
     /// Its book is sealed, or over: all that it owed is others' by now.
     pub fn has_left(&self) -> bool {
-        let own = self.book().and_then(|book| self.agreed.books.get(&book));
-        self.left && own.is_none_or(|book| book.sealed.is_some())
+        let own = self.journal_id().and_then(|journal| self.state.journals.get(&journal));
+        self.left && own.is_none_or(|journal| journal.sealed.is_some())
     }
 
-    fn book(&self) -> Option<BookId> {
-        Some(BookId { owner: self.plan.me.clone(), epoch: self.epoch? })
+    fn journal_id(&self) -> Option<JournalId> {
+        Some(JournalId { owner: self.config.local_name.clone(), epoch: self.epoch? })
     }
 
     /// # Errors
     /// What has to outlast the process can't be written: the member says nothing more, and its lease runs out.
-    pub fn step(&mut self, input: Input, now: Micros) -> Result<Vec<Output>, MemberError> {
+    pub fn step(&mut self, input: MemberInput, now: Micros) -> Result<Vec<MemberOutput>, MemberError> {
         let mut out = Vec::new();
         match input {
-            Input::Tick => self.agree(agreement::Input::Tick, now, &mut out)?,
-            Input::Heard(envelope) => self.heard(envelope, now, &mut out)?,
-            Input::Book { bytes, unsettled } => {
-                if let Some(book) = self.book() {
-                    let owner = Owner::new(book, bytes);
-                    let pending = Pending { mark: owner.written(), kept: false, done: false };
+            MemberInput::Tick => self.step_agreement(agreement::AgreementInput::Tick, now, &mut out)?,
+            MemberInput::Received(envelope) => self.receive(envelope, now, &mut out)?,
+            MemberInput::JournalOpened { bytes, unsettled } => {
+                if let Some(journal) = self.journal_id() {
+                    let replicator = JournalReplicator::new(journal, bytes);
+                    let pending =
+                        PendingAdoption { offset: replicator.written(), adopted: false, recorded: false };
                     self.pending = unsettled.into_iter().map(|source| (source, pending)).collect();
-                    self.owner = Some(owner);
+                    self.replicator = Some(replicator);
                 }
             }
-            Input::Wrote(bytes) => {
-                if let Some(owner) = &mut self.owner {
-                    owner.wrote(&bytes);
+            MemberInput::JournalAppended(bytes) => {
+                if let Some(replicator) = &mut self.replicator {
+                    replicator.appended(&bytes);
                 }
             }
-            Input::Replaced(bytes) => {
-                if let Some(owner) = &mut self.owner {
-                    owner.replaced(bytes);
+            MemberInput::JournalReplaced(bytes) => {
+                if let Some(replicator) = &mut self.replicator {
+                    replicator.replaced(bytes);
                 }
             }
-            Input::Adopted(source) => {
-                let mark = self.owner.as_ref().map_or(0, Owner::written);
-                self.pending.insert(source, Pending { mark, kept: false, done: false });
+            MemberInput::Adopted(source) => {
+                let offset = self.replicator.as_ref().map_or(0, JournalReplicator::written);
+                self.pending.insert(source, PendingAdoption { offset, adopted: false, recorded: false });
             }
-            Input::Settled(source) => {
-                let mark = self.owner.as_ref().map_or(0, Owner::written);
+            MemberInput::AdoptionResolved(source) => {
+                let offset = self.replicator.as_ref().map_or(0, JournalReplicator::written);
                 if let Some(pending) = self.pending.get_mut(&source) {
-                    (pending.mark, pending.done) = (mark, true);
+                    (pending.offset, pending.recorded) = (offset, true);
                 }
             }
-            Input::Leave => {
+            MemberInput::Leave => {
                 self.leaving = true;
                 self.shares.gate.leave();
             }
-            Input::Settlement(command) => {
+            MemberInput::Settlement(command) => {
                 if let Some(leader) = self.leader().filter(|_| self.epoch.is_some()) {
-                    self.tell(leader, Message::Propose(Command::Settlement(command)), now, &mut out)?;
+                    self.send_to(
+                        leader,
+                        FleetMessage::Propose(FleetCommand::Settlement(command)),
+                        now,
+                        &mut out,
+                    )?;
                 }
             }
         }
-        self.look(now, &mut out)?;
+        self.run_maintenance(now, &mut out)?;
         Ok(out)
     }
 }
 
-impl From<&Source> for journal::Source {
-    fn from(source: &Source) -> Self {
+impl From<&PartitionId> for journal::Source {
+    fn from(source: &PartitionId) -> Self {
         journal::Source {
-            owner: source.book.owner.clone(),
-            epoch: source.book.epoch,
-            part: source.part as u32,
+            owner: source.journal.owner.clone(),
+            epoch: source.journal.epoch,
+            part: source.partition as u32,
         }
     }
 }
 
-impl From<&journal::Source> for Source {
+impl From<&journal::Source> for PartitionId {
     fn from(source: &journal::Source) -> Self {
-        let book = BookId { owner: source.owner.clone(), epoch: source.epoch };
-        Source { book, part: source.part as usize }
+        let journal = JournalId { owner: source.owner.clone(), epoch: source.epoch };
+        PartitionId { journal, partition: source.part as usize }
     }
 }
--- a/fleet/src/member/peers.rs
+++ b/fleet/src/member/peers.rs
@@ -2,184 +2,204 @@
 
 use super::*;
 
-impl<D: Stores, L: Log> Member<D, L> {
-    pub(super) fn tell(
+impl<D: StoreDirectory, L: AgreementLog> Member<D, L> {
+    pub(super) fn send_to(
         &mut self,
         to: Name,
-        message: Message,
+        message: FleetMessage,
         now: Micros,
-        out: &mut Vec<Output>,
+        out: &mut Vec<MemberOutput>,
     ) -> Result<(), MemberError> {
-        if to == self.plan.me {
-            let me = to.clone();
-            return self.take(me, message, now, out);
+        if to == self.config.local_name {
+            let local_name = to.clone();
+            return self.handle_message(local_name, message, now, out);
         }
-        out.push(Output::Send(to, message));
+        out.push(MemberOutput::Send(to, message));
         Ok(())
     }
 
-    pub(super) fn heard(
+    pub(super) fn receive(
         &mut self,
         envelope: Envelope,
         now: Micros,
-        out: &mut Vec<Output>,
+        out: &mut Vec<MemberOutput>,
     ) -> Result<(), MemberError> {
-        if envelope.to != self.plan.me || envelope.from == self.plan.me {
+        if envelope.to != self.config.local_name || envelope.from == self.config.local_name {
             return Ok(());
         }
-        self.names.insert(envelope.token, envelope.from.clone());
+        self.names_by_node.insert(envelope.node_id, envelope.from.clone());
         for message in envelope.messages {
-            if let Message::Agree(bytes) = &message {
-                let input = agreement::Input::Heard { from: envelope.token, bytes: bytes.to_vec() };
-                self.agree(input, now, out)?;
+            if let FleetMessage::Agreement(bytes) = &message {
+                let input =
+                    agreement::AgreementInput::Receive { from: envelope.node_id, bytes: bytes.to_vec() };
+                self.step_agreement(input, now, out)?;
                 continue;
             }
-            if let Message::Hello { fresh } = message {
-                self.hello(&envelope.from, envelope.token, fresh, now, out)?;
+            if let FleetMessage::Hello { fresh } = message {
+                self.handle_hello(&envelope.from, envelope.node_id, fresh, now, out)?;
                 continue;
             }
-            self.take(envelope.from.clone(), message, now, out)?;
+            self.handle_message(envelope.from.clone(), message, now, out)?;
         }
         Ok(())
     }
 
     /// Somebody who is no member yet asks who is there.
-    pub(super) fn hello(
+    pub(super) fn handle_hello(
         &mut self,
         from: &Name,
-        token: Token,
+        node_id: NodeId,
         fresh: bool,
         now: Micros,
-        out: &mut Vec<Output>,
+        out: &mut Vec<MemberOutput>,
     ) -> Result<(), MemberError> {
         if fresh && self.fresh {
             self.fresh_voters.insert(from.clone());
         }
-        out.push(Output::Send(from.clone(), Message::Here { fresh: self.fresh }));
-        if !self.leads || !self.plan.peers.iter().any(|peer| peer.name == *from) {
+        out.push(MemberOutput::Send(from.clone(), FleetMessage::HelloReply { fresh: self.fresh }));
+        if !self.is_leader || !self.config.peers.iter().any(|peer| peer.name == *from) {
             return Ok(());
         }
-        let known = |tokens: Vec<Token>| tokens.contains(&token);
+        let known = |tokens: Vec<NodeId>| tokens.contains(&node_id);
         if known(self.agreement.voters()) || known(self.agreement.learners()) {
             return Ok(());
         }
         // Its folder is a new one: whatever it was before does not come back.
         let all = self.agreement.voters().into_iter().chain(self.agreement.learners());
-        let old = all.into_iter().find(|t| *t != token && self.names.get(t) == Some(from));
-        let change = old.map_or(Change::AddLearner(token), Change::Remove);
-        self.change(change, now, out)
+        let old = all.into_iter().find(|t| *t != node_id && self.names_by_node.get(t) == Some(from));
+        let change = old.map_or(MembershipChange::AddLearner(node_id), MembershipChange::Remove);
+        self.propose_membership_change(change, now, out)
     }
 
-    pub(super) fn take(
+    pub(super) fn handle_message(
         &mut self,
         from: Name,
-        message: Message,
+        message: FleetMessage,
         now: Micros,
-        out: &mut Vec<Output>,
+        out: &mut Vec<MemberOutput>,
     ) -> Result<(), MemberError> {
         match message {
-            Message::Hello { .. } | Message::Agree(_) => {}
-            Message::Here { fresh } => {
+            FleetMessage::Hello { .. } | FleetMessage::Agreement(_) => {}
+            FleetMessage::HelloReply { fresh } => {
                 if fresh {
                     self.fresh_voters.insert(from);
                 } else {
-                    self.seasoned.insert(from);
+                    self.initialized_peers.insert(from);
                 }
             }
-            Message::Propose(command) => self.propose(command, now, out)?,
-            Message::Renew { epoch, ticket } => {
-                if self.leads
-                    && self.agreed.epoch_of(&from) == Some(epoch)
-                    && self.granted.hear(&from, epoch, now)
+            FleetMessage::Propose(command) => self.propose(command, now, out)?,
+            FleetMessage::RenewLease { epoch, ticket } => {
+                if self.is_leader
+                    && self.state.epoch_of(&from) == Some(epoch)
+                    && self.granted_leases.renew(&from, epoch, now)
                 {
                     self.ticket += 1;
                     self.reads.insert(self.ticket, (from, epoch, ticket));
-                    self.agree(agreement::Input::Read { ticket: self.ticket }, now, out)?;
+                    self.step_agreement(
+                        agreement::AgreementInput::ReadIndex { ticket: self.ticket },
+                        now,
+                        out,
+                    )?;
                 }
             }
-            Message::Granted { epoch, ticket } => {
-                if self.epoch == Some(epoch) && !self.replaced {
-                    self.held.granted(ticket, &self.plan);
-                    self.shares.gate.leased(self.held.until());
-                    out.push(Output::Lease(self.held.until()));
+            FleetMessage::LeaseGranted { epoch, ticket } => {
+                if self.epoch == Some(epoch) && !self.fenced {
+                    self.lease.granted(ticket, &self.config);
+                    self.shares.gate.extend_lease(self.lease.until());
+                    out.push(MemberOutput::Lease(self.lease.until()));
                 }
             }
-            Message::Append { book, generation, whole, at, bytes } => {
-                let known = self.agreed.books.get(&book).is_some_and(|b| b.sealed.is_none());
-                if !known || book.owner != from {
+            FleetMessage::Append { journal, generation, complete_len, offset, bytes } => {
+                let known = self.state.journals.get(&journal).is_some_and(|b| b.sealed.is_none());
+                if !known || journal.owner != from {
                     return Ok(());
                 }
-                if !self.copies.contains_key(&book) {
-                    let store = self.stores.open(&store_name(&book))?;
-                    self.copies.insert(book.clone(), Copy::open(store)?);
+                if !self.replicas.contains_key(&journal) {
+                    let store = self.stores.open(&store_name(&journal))?;
+                    self.replicas.insert(journal.clone(), JournalReplica::open(store)?);
                 }
-                let used = self.copies.values().map(Copy::takes).sum::<u64>() + bytes.len() as u64;
-                let Some(copy) = self.copies.get_mut(&book) else { return Ok(()) };
+                let used =
+                    self.replicas.values().map(JournalReplica::used_bytes).sum::<u64>() + bytes.len() as u64;
+                let Some(replica) = self.replicas.get_mut(&journal) else { return Ok(()) };
                 let full = || {
                     io::Error::new(
                         io::ErrorKind::StorageFull,
-                        format!("{used} bytes of copies, where {} are the most (limits.disk_mb)", self.room),
+                        format!(
+                            "{used} bytes of copies, where {} are the most (limits.disk_mb)",
+                            self.replica_capacity
+                        ),
                     )
                 };
-                let done =
-                    if used > self.room { Err(full()) } else { copy.append(generation, whole, at, &bytes) };
+                let done = if used > self.replica_capacity {
+                    Err(full())
+                } else {
+                    replica.append(generation, complete_len, offset, &bytes)
+                };
                 match done {
-                    Ok(Some((place, staged))) => {
-                        self.refused.remove(&book);
-                        out.push(Output::Send(from, Message::Copied { book, place, staged }));
+                    Ok(Some((position, staged))) => {
+                        self.rejected_replicas.remove(&journal);
+                        out.push(MemberOutput::Send(
+                            from,
+                            FleetMessage::AppendAck { journal, position, staged },
+                        ));
                     }
                     Ok(None) => {}
                     Err(e) => {
-                        if self.refused.insert(book.clone()) {
-                            out.push(Output::Note(Note::CopyRefused { book, what: e.to_string() }));
+                        if self.rejected_replicas.insert(journal.clone()) {
+                            out.push(MemberOutput::Notice(MemberNotice::ReplicaRejected {
+                                journal,
+                                what: e.to_string(),
+                            }));
                         }
                     }
                 }
             }
-            Message::Copied { book, place, staged } => {
-                if let Some(owner) = self.owner.as_mut().filter(|owner| owner.book == book) {
-                    owner.copied(&from, place, staged, now);
+            FleetMessage::AppendAck { journal, position, staged } => {
+                if let Some(replicator) =
+                    self.replicator.as_mut().filter(|replicator| replicator.journal == journal)
+                {
+                    replicator.acknowledged(&from, position, staged, now);
                 }
             }
-            Message::Fetch { book, at } => {
-                let answer = match self.copies.get_mut(&book) {
-                    None => Message::NoBook { book },
-                    Some(copy) => {
+            FleetMessage::Fetch { journal, offset } => {
+                let reply = match self.replicas.get_mut(&journal) {
+                    None => FleetMessage::UnknownJournal { journal },
+                    Some(replica) => {
                         // Whoever asks knows that it is sealed; nothing may come to it after the first page.
-                        copy.seal()?;
-                        let (total, bytes) = copy.page(at)?;
-                        Message::Page { book, at, total, bytes }
+                        replica.seal()?;
+                        let (total, bytes) = replica.page(offset)?;
+                        FleetMessage::Page { journal, offset, total, bytes }
                     }
                 };
-                self.tell(from, answer, now, out)?;
+                self.send_to(from, reply, now, out)?;
             }
-            Message::Page { book, at, total, bytes } => {
-                let copies = self.agreed.books.get(&book).map(|b| &b.copies);
-                let Some(fetching) = self.fetching.get_mut(&book) else { return Ok(()) };
-                let asked = copies.and_then(|c| c.iter().nth(fetching.from % c.len().max(1)));
-                if asked != Some(&from) || total > BOOK_MOST || fetching.bytes.len() as u64 != at {
+            FleetMessage::Page { journal, offset, total, bytes } => {
+                let replicas = self.state.journals.get(&journal).map(|b| &b.replicas);
+                let Some(fetch) = self.fetches.get_mut(&journal) else { return Ok(()) };
+                let current = replicas.and_then(|c| c.iter().nth(fetch.replica_index % c.len().max(1)));
+                if current != Some(&from) || total > MAX_JOURNAL_BYTES || fetch.bytes.len() as u64 != offset {
                     return Ok(());
                 }
-                fetching.bytes.extend_from_slice(&bytes);
-                (fetching.again, fetching.none) = (now, 0);
-                if fetching.bytes.len() as u64 >= total {
-                    self.fetched(book, out);
+                fetch.bytes.extend_from_slice(&bytes);
+                (fetch.retry_at, fetch.missing_replies) = (now, 0);
+                if fetch.bytes.len() as u64 >= total {
+                    self.finish_fetch(journal, out);
                 }
             }
-            Message::Shares(count, report) => {
-                if self.leads && report.courier == from {
-                    self.shares.hears(count, report, now);
+            FleetMessage::BudgetReport(kind, report) => {
+                if self.is_leader && report.courier == from {
+                    self.shares.receive_report(kind, report, now);
                 }
             }
-            Message::Settlement { message, parcel } => {
-                out.push(Output::Heard { from, message: *message, parcel });
+            FleetMessage::Settlement { message, payload } => {
+                out.push(MemberOutput::SettlementReceived { from, message: *message, payload });
             }
-            Message::NoBook { book } => {
-                if let Some(fetching) = self.fetching.get_mut(&book) {
-                    fetching.none += 1;
-                    let copies = self.agreed.books.get(&book).map_or(0, |b| b.copies.len());
-                    if fetching.none == copies.max(1) {
-                        out.push(Output::Note(Note::NoCopy { book }));
+            FleetMessage::UnknownJournal { journal } => {
+                if let Some(fetch) = self.fetches.get_mut(&journal) {
+                    fetch.missing_replies += 1;
+                    let replicas = self.state.journals.get(&journal).map_or(0, |b| b.replicas.len());
+                    if fetch.missing_replies == replicas.max(1) {
+                        out.push(MemberOutput::Notice(MemberNotice::ReplicaUnavailable { journal }));
                     }
                 }
             }
@@ -188,30 +208,39 @@
     }
 
     /// All of a sealed book is here: the parts that are this courier's go into its journal.
-    pub(super) fn fetched(&mut self, book: BookId, out: &mut Vec<Output>) {
-        let Some(fetching) = self.fetching.remove(&book) else { return };
+    pub(super) fn finish_fetch(&mut self, journal: JournalId, out: &mut Vec<MemberOutput>) {
+        let Some(fetch) = self.fetches.remove(&journal) else { return };
         let Some(epoch) = self.epoch else { return };
-        let parts: Vec<_> = self
-            .agreed
-            .given_to(&self.plan.me, epoch)
-            .filter(|source| source.book == book && !self.pending.contains_key(source))
+        let partitions: Vec<_> = self
+            .state
+            .assigned_to(&self.config.local_name, epoch)
+            .filter(|source| source.journal == journal && !self.pending.contains_key(source))
             .collect();
-        if parts.is_empty() {
+        if partitions.is_empty() {
             return;
         }
         // What had come to that book from others, and was settled as its own before it was sealed.
-        let settled = self.agreed.books.iter().flat_map(|(id, b)| {
-            let parts = b.sealed.iter().flatten().enumerate();
-            let taken = Part::Taken(book.owner.clone(), book.epoch);
-            parts.filter(move |(_, p)| **p == taken).map(|(part, _)| Source { book: id.clone(), part })
+        let settled = self.state.journals.iter().flat_map(|(id, b)| {
+            let partitions = b.sealed.iter().flatten().enumerate();
+            let taken = PartitionState::Adopted(journal.owner.clone(), journal.epoch);
+            partitions
+                .filter(move |(_, p)| **p == taken)
+                .map(|(partition, _)| PartitionId { journal: id.clone(), partition })
         });
         let settled = settled.collect();
-        let bytes = fetching.bytes;
-        for source in &parts {
+        let bytes = fetch.bytes;
+        for source in &partitions {
             // Not in the journal yet.
-            self.pending.insert(source.clone(), Pending { mark: u64::MAX, kept: false, done: false });
+            self.pending.insert(
+                source.clone(),
+                PendingAdoption { offset: u64::MAX, adopted: false, recorded: false },
+            );
         }
-        out.push(Output::Note(Note::TakesOver { book, parts: parts.len(), bytes: bytes.len() }));
-        out.push(Output::Adopt { parts, settled, bytes });
+        out.push(MemberOutput::Notice(MemberNotice::TakeoverStarted {
+            journal,
+            partitions: partitions.len(),
+            bytes: bytes.len(),
+        }));
+        out.push(MemberOutput::Adopt { partitions, settled, bytes });
     }
 }
--- a/fleet/src/member/stores.rs
+++ b/fleet/src/member/stores.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Where a courier keeps what outlasts its process, by name; names are of letters, digits, `-`, `_` and `.`.
-pub trait Stores {
+pub trait StoreDirectory {
     type Store: Store;
 
     /// # Errors
