--- a/fleet/src/book.rs
+++ b/fleet/src/replication.rs
@@ -4,9 +4,9 @@
 //! so that any one of them has all that counts. A journal that is compacted begins a new generation; a copy puts it in the
 //! place of the one before in one step, when it is whole.
 
-use crate::message::{Message, PAGE, Place};
-use crate::plan::Name;
-use crate::state::BookId;
+use crate::config::Name;
+use crate::message::{FleetMessage, PAGE_BYTES, ReplicaPosition};
+use crate::state::JournalId;
 use bytes::Bytes;
 use quillmount_core::journal::{self, JournalRecord, Records};
 use quillmount_core::store::Store;
@@ -15,164 +15,182 @@
 use std::io;
 
 /// A page that is not confirmed is sent again after so long; a connection between couriers answers in milliseconds.
-const AGAIN: Micros = 200_000;
+const INITIAL_BACKOFF: Micros = 200_000;
 /// A page that can never be confirmed is not sent more often than this.
-const AGAIN_MOST: Micros = 1_000_000;
+const MAX_BACKOFF: Micros = 1_000_000;
 /// Bytes of one book at a copy, at most: four times the largest share of a disk that a journal has had.
-pub const COPY_MOST: u64 = 64 << 20;
+pub const MAX_REPLICA_BYTES: u64 = 64 << 20;
 
 /// Where one copy is, by the owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Progress {
     /// Bytes of this generation that it has, staged ones included; sent from here on.
-    have: Place,
+    next: ReplicaPosition,
     /// All up to this point of the owner's count is in its store.
-    safe: u64,
+    replicated: u64,
     /// Its store has this generation, whole.
-    based: bool,
+    has_generation: bool,
     /// It has had one.
-    ever: bool,
+    ever_complete: bool,
     /// A page is out, and sent again then.
-    again: Option<Micros>,
-    pause: Micros,
+    retry_at: Option<Micros>,
+    backoff: Micros,
     /// It last confirmed anything new then, had all, or was chosen.
-    moved: Micros,
+    progressed_at: Micros,
 }
 
 /// The owner's side.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Owner {
-    pub book: BookId,
+pub struct JournalReplicator {
+    pub journal: JournalId,
     /// All of the journal.
     bytes: Vec<u8>,
     generation: u64,
     /// The first bytes of this generation, which are whole or worth nothing.
-    whole: u64,
+    complete_len: u64,
     /// Bytes ever written before this generation, in this life.
-    before: u64,
-    copies: BTreeMap<Name, Progress>,
+    previous_bytes: u64,
+    replicas: BTreeMap<Name, Progress>,
 }
 
-impl Owner {
+impl JournalReplicator {
     /// The journal as the process found it; none of it counts as written in this life.
-    pub fn new(book: BookId, bytes: Vec<u8>) -> Self {
-        let whole = bytes.len() as u64;
-        Owner { book, bytes, generation: 1, whole, before: 0, copies: BTreeMap::new() }
+    pub fn new(journal: JournalId, bytes: Vec<u8>) -> Self {
+        let complete_len = bytes.len() as u64;
+        JournalReplicator {
+            journal,
+            bytes,
+            generation: 1,
+            complete_len,
+            previous_bytes: 0,
+            replicas: BTreeMap::new(),
+        }
     }
 
     /// All that was ever written: a mark that grows with each record.
     pub fn written(&self) -> u64 {
-        self.before + self.bytes.len() as u64
+        self.previous_bytes + self.bytes.len() as u64
     }
 
-    pub fn wrote(&mut self, bytes: &[u8]) {
+    pub fn appended(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
     pub fn replaced(&mut self, bytes: Vec<u8>) {
-        self.before = self.written();
-        self.whole = bytes.len() as u64;
+        self.previous_bytes = self.written();
+        self.complete_len = bytes.len() as u64;
         self.bytes = bytes;
         self.generation += 1;
     }
 
     /// Copies to these, and to no other.
-    pub fn copy_to(&mut self, names: &BTreeSet<Name>, now: Micros) {
-        self.copies.retain(|name, _| names.contains(name));
+    pub fn set_replicas(&mut self, names: &BTreeSet<Name>, now: Micros) {
+        self.replicas.retain(|name, _| names.contains(name));
         for name in names {
-            self.copies.entry(name.clone()).or_insert(Progress {
-                have: Place::default(),
-                safe: 0,
-                based: false,
-                ever: false,
-                again: None,
-                pause: AGAIN,
-                moved: now,
+            self.replicas.entry(name.clone()).or_insert(Progress {
+                next: ReplicaPosition::default(),
+                replicated: 0,
+                has_generation: false,
+                ever_complete: false,
+                retry_at: None,
+                backoff: INITIAL_BACKOFF,
+                progressed_at: now,
             });
         }
     }
 
     /// Its process is another, and perhaps its folder: nothing is known of what it has.
     pub fn forget(&mut self, name: &str) {
-        self.copies.remove(name);
+        self.replicas.remove(name);
     }
 
     /// All up to this mark is at each of these.
-    pub fn safe(&self, needed: &BTreeSet<Name>) -> u64 {
-        let at = |name| self.copies.get(name).map_or(0, |copy| copy.safe);
+    pub fn replicated_offset(&self, needed: &BTreeSet<Name>) -> u64 {
+        let at = |name| self.replicas.get(name).map_or(0, |replica| replica.replicated);
         needed.iter().map(at).min().unwrap_or_else(|| self.written())
     }
 
     /// A copy has all that is written.
-    pub fn in_step(&self, name: &str) -> bool {
-        self.copies.get(name).is_some_and(|copy| copy.safe == self.written())
+    pub fn is_caught_up(&self, name: &str) -> bool {
+        self.replicas.get(name).is_some_and(|replica| replica.replicated == self.written())
     }
 
     /// A copy has got the whole book once; what came since is on its way.
-    pub fn has_base(&self, name: &str) -> bool {
-        self.copies.get(name).is_some_and(|copy| copy.ever)
+    pub fn has_ever_completed(&self, name: &str) -> bool {
+        self.replicas.get(name).is_some_and(|replica| replica.ever_complete)
     }
 
     /// Something is written that this copy has not confirmed for so long.
-    pub fn late(&self, name: &str, now: Micros) -> Micros {
-        let done = |copy: &Progress| copy.based && copy.safe == self.written();
-        let late = |copy: &Progress| if done(copy) { 0 } else { now.saturating_sub(copy.moved) };
-        self.copies.get(name).map_or(0, late)
+    pub fn lag(&self, name: &str, now: Micros) -> Micros {
+        let done = |replica: &Progress| replica.has_generation && replica.replicated == self.written();
+        let lag =
+            |replica: &Progress| if done(replica) { 0 } else { now.saturating_sub(replica.progressed_at) };
+        self.replicas.get(name).map_or(0, lag)
     }
 
-    pub fn copied(&mut self, from: &str, place: Place, staged: Place, now: Micros) {
-        let (generation, whole, before, len) =
-            (self.generation, self.whole, self.before, self.bytes.len() as u64);
-        let Some(copy) = self.copies.get_mut(from) else { return };
-        let have = [staged, place].into_iter().find(|p| p.generation == generation).unwrap_or_default();
-        if place.len > len && place.generation == generation || have.len > len {
+    pub fn acknowledged(
+        &mut self,
+        from: &str,
+        position: ReplicaPosition,
+        staged: ReplicaPosition,
+        now: Micros,
+    ) {
+        let (generation, complete_len, before, len) =
+            (self.generation, self.complete_len, self.previous_bytes, self.bytes.len() as u64);
+        let Some(replica) = self.replicas.get_mut(from) else { return };
+        let next = [staged, position].into_iter().find(|p| p.generation == generation).unwrap_or_default();
+        if position.len > len && position.generation == generation || next.len > len {
             // No copy has more than its owner; a word of an earlier life may say so.
             return;
         }
-        copy.based = place.generation == generation && place.len >= whole;
-        if copy.based {
-            let safe = before + place.len;
-            if safe > copy.safe || !copy.ever {
-                (copy.moved, copy.pause) = (now, AGAIN);
+        replica.has_generation = position.generation == generation && position.len >= complete_len;
+        if replica.has_generation {
+            let replicated = before + position.len;
+            if replicated > replica.replicated || !replica.ever_complete {
+                (replica.progressed_at, replica.backoff) = (now, INITIAL_BACKOFF);
             }
-            (copy.safe, copy.ever) = (copy.safe.max(safe), true);
+            (replica.replicated, replica.ever_complete) = (replica.replicated.max(replicated), true);
         }
-        if have != copy.have {
-            (copy.have, copy.moved) = (have, now);
+        if next != replica.next {
+            (replica.next, replica.progressed_at) = (next, now);
         }
-        copy.again = None;
+        replica.retry_at = None;
     }
 
     /// What is to be sent now.
-    pub fn send(&mut self, now: Micros) -> Vec<(Name, Message)> {
+    pub fn next_pages(&mut self, now: Micros) -> Vec<(Name, FleetMessage)> {
         let mut messages = Vec::new();
-        for (name, copy) in &mut self.copies {
-            if copy.have.generation != self.generation {
-                copy.have = Place { generation: self.generation, len: 0 };
-                (copy.again, copy.based) = (None, false);
+        for (name, replica) in &mut self.replicas {
+            if replica.next.generation != self.generation {
+                replica.next = ReplicaPosition { generation: self.generation, len: 0 };
+                (replica.retry_at, replica.has_generation) = (None, false);
             }
-            let at = copy.have.len as usize;
-            let done = copy.based && at == self.bytes.len();
+            let at = replica.next.len as usize;
+            let done = replica.has_generation && at == self.bytes.len();
             if done {
                 // It is behind from the next record on, however long there has been none.
-                copy.moved = now;
+                replica.progressed_at = now;
             }
-            if done || copy.again.is_some_and(|again| now < again) {
+            if done || replica.retry_at.is_some_and(|retry_at| now < retry_at) {
                 continue;
             }
-            if copy.again.is_some() {
-                copy.pause = (copy.pause * 2).min(AGAIN_MOST);
+            if replica.retry_at.is_some() {
+                replica.backoff = (replica.backoff * 2).min(MAX_BACKOFF);
             }
-            copy.again = Some(now + copy.pause);
-            let page = &self.bytes[at..self.bytes.len().min(at + PAGE)];
+            replica.retry_at = Some(now + replica.backoff);
+            let page = &self.bytes[at..self.bytes.len().min(at + PAGE_BYTES)];
             messages.push((
                 name.clone(),
-                Message::Append {
-                    book: self.book.clone(),
+                FleetMessage::Append {
+                    journal: self.journal.clone(),
                     generation: self.generation,
                     // One that begins anew may have had all of this, and must not have less of it meanwhile.
-                    whole: if copy.based { self.whole } else { self.bytes.len() as u64 },
-                    at: at as u64,
+                    complete_len: if replica.has_generation {
+                        self.complete_len
+                    } else {
+                        self.bytes.len() as u64
+                    },
+                    offset: at as u64,
                     bytes: Bytes::copy_from_slice(page),
                 },
             ));
@@ -181,22 +199,22 @@
     }
 
     pub fn wake_at(&self) -> Option<Micros> {
-        self.copies.values().filter_map(|copy| copy.again).min()
+        self.replicas.values().filter_map(|replica| replica.retry_at).min()
     }
 }
 
 /// The copy's side: one book of another courier.
 #[derive(Clone, Debug)]
-pub struct Copy<S> {
+pub struct JournalReplica<S> {
     store: S,
-    place: Place,
+    position: ReplicaPosition,
     /// A generation that is not whole yet.
     staged: Vec<u8>,
     staged_generation: u64,
     sealed: bool,
 }
 
-impl<S: Store> Copy<S> {
+impl<S: Store> JournalReplica<S> {
     /// What the store has: from here on only a whole book changes it, since its generation is not known.
     ///
     /// # Errors
@@ -204,11 +222,17 @@
     pub fn open(mut store: S) -> io::Result<Self> {
         let bytes = store.read()?;
         let sealed = Records::of(&bytes).any(|(_, record)| matches!(record, JournalRecord::Sealed));
-        Ok(Copy { store, place: Place::default(), staged: Vec::new(), staged_generation: 0, sealed })
+        Ok(JournalReplica {
+            store,
+            position: ReplicaPosition::default(),
+            staged: Vec::new(),
+            staged_generation: 0,
+            sealed,
+        })
     }
 
     /// Bytes that it takes, on the disk and before that.
-    pub fn takes(&self) -> u64 {
+    pub fn used_bytes(&self) -> u64 {
         self.store.len() + self.staged.len() as u64
     }
 
@@ -223,23 +247,23 @@
     pub fn append(
         &mut self,
         generation: u64,
-        whole: u64,
+        complete_len: u64,
         at: u64,
         bytes: &[u8],
-    ) -> io::Result<Option<(Place, Place)>> {
+    ) -> io::Result<Option<(ReplicaPosition, ReplicaPosition)>> {
         if self.sealed && !crate::breaks::on(crate::breaks::Break::SealIgnored) {
             return Ok(None);
         }
-        if at + bytes.len() as u64 > COPY_MOST {
-            return Ok(Some(self.told()));
+        if at + bytes.len() as u64 > MAX_REPLICA_BYTES {
+            return Ok(Some(self.acknowledgement()));
         }
-        if generation == self.place.generation && generation != 0 {
-            let old = self.place.len.saturating_sub(at) as usize;
-            if at <= self.place.len && old < bytes.len() {
+        if generation == self.position.generation && generation != 0 {
+            let old = self.position.len.saturating_sub(at) as usize;
+            if at <= self.position.len && old < bytes.len() {
                 self.store.append(&bytes[old..])?;
-                self.place.len += (bytes.len() - old) as u64;
+                self.position.len += (bytes.len() - old) as u64;
             }
-        } else if generation > self.place.generation {
+        } else if generation > self.position.generation {
             if generation != self.staged_generation {
                 (self.staged_generation, self.staged) = (generation, Vec::new());
             }
@@ -248,17 +272,17 @@
             if follows && old < bytes.len() {
                 self.staged.extend_from_slice(&bytes[old..]);
             }
-            if follows && self.staged.len() as u64 >= whole {
+            if follows && self.staged.len() as u64 >= complete_len {
                 self.store.replace(&self.staged)?;
-                self.place = Place { generation, len: self.staged.len() as u64 };
+                self.position = ReplicaPosition { generation, len: self.staged.len() as u64 };
                 (self.staged, self.staged_generation) = (Vec::new(), 0);
             }
         }
-        Ok(Some(self.told()))
+        Ok(Some(self.acknowledgement()))
     }
 
-    fn told(&self) -> (Place, Place) {
-        (self.place, Place { generation: self.staged_generation, len: self.staged.len() as u64 })
+    fn acknowledgement(&self) -> (ReplicaPosition, ReplicaPosition) {
+        (self.position, ReplicaPosition { generation: self.staged_generation, len: self.staged.len() as u64 })
     }
 
     /// Nothing of the owner's is taken from here on, whatever becomes of this process.
@@ -269,7 +293,7 @@
         if !self.sealed {
             let frame = journal::frame(&JournalRecord::Sealed).map_err(io::Error::other)?;
             self.store.append(&frame)?;
-            self.place.len += frame.len() as u64;
+            self.position.len += frame.len() as u64;
             self.sealed = true;
             (self.staged, self.staged_generation) = (Vec::new(), 0);
         }
@@ -283,7 +307,7 @@
     pub fn page(&mut self, at: u64) -> io::Result<(u64, Bytes)> {
         let bytes = self.store.read()?;
         let from = (at as usize).min(bytes.len());
-        let to = bytes.len().min(from + PAGE);
+        let to = bytes.len().min(from + PAGE_BYTES);
         Ok((bytes.len() as u64, Bytes::copy_from_slice(&bytes[from..to])))
     }
 
@@ -291,11 +315,11 @@
     ///
     /// # Errors
     /// A store can't be read or written.
-    pub fn rename(mut self, mut store: S) -> io::Result<Copy<S>> {
+    pub fn rename(mut self, mut store: S) -> io::Result<JournalReplica<S>> {
         let bytes = self.store.read()?;
         let end =
             Records::of(&bytes).find(|(_, record)| matches!(record, JournalRecord::Sealed)).map(|(at, _)| at);
         store.replace(&bytes[..end.unwrap_or(bytes.len())])?;
-        Copy::open(store)
+        JournalReplica::open(store)
     }
 }
--- a/fleet/src/settlement/breaks.rs
+++ b/fleet/src/settlement/breaks.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Break {
     /// A debit that may have run is sent again.
-    DebitAgain,
+    DebitRepeated,
     /// A session's settlement counts as closed before the partner has confirmed it.
     ClosedEarly,
     /// A position that is missing is passed over.
@@ -20,12 +20,12 @@
     /// A home that was asked to move goes on while the move is being agreed.
     ReleaseInMove,
     /// A hand-in is answered before its record is in the book.
-    WordUnwritten,
+    ReplyUnwritten,
 }
 
 /// Each break.
 pub const ALL: &[Break] = &[
-    Break::DebitAgain,
+    Break::DebitRepeated,
     Break::ClosedEarly,
     Break::SkipHole,
     Break::AfterBreak,
@@ -33,7 +33,7 @@
     Break::NoLinger,
     Break::OutNeverRan,
     Break::ReleaseInMove,
-    Break::WordUnwritten,
+    Break::ReplyUnwritten,
 ];
 
 crate::breaks::switch!(Break);
--- a/fleet/src/settlement/error.rs
+++ b/fleet/src/settlement/error.rs
@@ -7,14 +7,14 @@
 
 /// Where in a settlement.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct At {
+pub struct PositionRef {
     pub tenant: String,
     pub settlement: String,
     /// 0: the settlement as a whole.
     pub position: u64,
 }
 
-impl fmt::Display for At {
+impl fmt::Display for PositionRef {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "tenant {:?}, settlement {:?}, position {}", self.tenant, self.settlement, self.position)
     }
@@ -22,66 +22,68 @@
 
 /// Each says where, what happened, and what the consumer or the operator can do.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, thiserror::Error)]
-pub enum Error {
+pub enum SettlementError {
     #[error("{at}: X-Addressing has no sound `{field}`: give each field once, as name=value")]
-    Field { at: At, field: String },
+    Field { at: PositionRef, field: String },
     #[error("{0}: positions count from 1: hand it in with its own")]
-    Zero(At),
-    #[error("{at}: beyond the {of} that the settlement has: hand in 1 to {of}, or open another settlement")]
-    Beyond { at: At, of: u64 },
+    Zero(PositionRef),
     #[error(
-        "{at}: {of} was told as the number of all before, {other} now: the first stands; correct the consumer"
+        "{at}: beyond the {total} that the settlement has: hand in 1 to {total}, or open another settlement"
     )]
-    TwoCounts { at: At, of: u64, other: u64 },
+    Beyond { at: PositionRef, total: u64 },
+    #[error(
+        "{at}: {total} was told as the number of all before, {other} now: the first stands; correct the consumer"
+    )]
+    TwoCounts { at: PositionRef, total: u64, other: u64 },
     #[error("{at}: it was handed in as {first:?} before: use that id and body, or another position")]
-    PositionTwice { at: At, first: String },
-    #[error("{at}: closed with {of} messages while this one is missing: hand it in before the closing")]
-    Gap { at: At, of: u64 },
+    PositionTwice { at: PositionRef, first: String },
+    #[error("{at}: closed with {total} messages while this one is missing: hand it in before the closing")]
+    Gap { at: PositionRef, total: u64 },
     #[error("{at}: this connection carries settlement {open:?}: close that first, or use another connection")]
-    OtherOpen { at: At, open: String },
+    OtherOpen { at: PositionRef, open: String },
     #[error("{0}: the connection has named no settlement: name it on the first message")]
-    NotOpened(At),
+    NotOpened(PositionRef),
     #[error("{0}: the settlement was closed on this connection: open another one")]
-    AfterClosing(At),
+    AfterClosing(PositionRef),
     #[error("{at}: a settlement has {most} messages at most: divide it")]
-    TooLong { at: At, most: u64 },
+    TooLong { at: PositionRef, most: u64 },
     #[error(
         "{0}: its time was up when it came: hand it in with time left, unless the settlement is broken by now"
     )]
-    Late(At),
+    Late(PositionRef),
     #[error(
-        "{at}: the tenant has {held} messages ({bytes} bytes) waiting: come again after {after} us, or hand \
+        "{at}: the tenant has {waiting} messages ({bytes} bytes) waiting: come again after {after} us, or hand \
              in first what those wait for; operators raise the tenant's limit"
     )]
-    TooMuch { at: At, held: u64, bytes: u64, after: Micros },
+    TooManyWaiting { at: PositionRef, waiting: u64, bytes: u64, after: Micros },
     #[error(
         "{at}: {open} settlements are open, the most there may be: come again after {after} us, when some \
              have closed"
     )]
-    TooManyOpen { at: At, open: u64, after: Micros },
-    #[error("{at}: {asks} messages wait here for their settlements' homes: come again after {after} us")]
-    Busy { at: At, asks: u64, after: Micros },
+    TooManyOpen { at: PositionRef, open: u64, after: Micros },
+    #[error("{at}: {pending} messages wait here for their settlements' homes: come again after {after} us")]
+    Busy { at: PositionRef, pending: u64, after: Micros },
     #[error(
         "{0}: the home's book has no room for it: come again; operators give the lasting folder more room"
     )]
-    NoRoom(At),
+    StorageFull(PositionRef),
     #[error(
         "{0}: the settlement's home has not answered: hand it in again under the same id, which is harmless"
     )]
-    NoWord(At),
+    NoReply(PositionRef),
     #[error("{at}: the settlement is over, {verdict}: hand nothing in under this name")]
-    Over { at: At, verdict: Verdict },
+    Ended { at: PositionRef, verdict: Verdict },
     #[error(
         "{at}: a budget of {budget} leaves no connection to pin for a session: operators raise the budget \
              to {least}, or put the partner into message mode"
     )]
-    NoPin { at: At, budget: u32, least: u32 },
+    NoPinnableConnection { at: PositionRef, budget: u32, least: u32 },
 }
 
 impl fmt::Display for Verdict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Verdict::Closed { of } => write!(f, "closed with all {of} delivered"),
+            Verdict::Closed { total } => write!(f, "closed with all {total} delivered"),
             Verdict::Broken { at: 0, .. } => {
                 write!(f, "broken at a position that is not known (its records are lost): any may have run")
             }
--- a/fleet/src/settlement/forward.rs
+++ b/fleet/src/settlement/forward.rs
@@ -4,118 +4,118 @@
 //! whoever is home by then. An ask is known by its settlement, position and message id, so that asking twice
 //! does no harm.
 
-use super::agreed::{Agreed, Command, Event};
-use super::{End, Error, Hand, SettlementId};
+use super::registry::{SettlementCommand, SettlementEvent, SettlementRegistry};
+use super::{End, SequencedMessage, SettlementError, SettlementId};
 use serde::{Deserialize, Serialize};
 use spurshore::Micros;
 use std::collections::BTreeMap;
 
 /// Retry interval: without a word the home is asked again.
-pub const ASK_AGAIN: Micros = 50_000;
+pub const REQUEST_RETRY: Micros = 50_000;
 /// Time-out of an ask: consumers wait 0.4 s for a word.
-pub const PATIENCE: Micros = 350_000;
+pub const REQUEST_TIMEOUT: Micros = 350_000;
 /// Asks without a word that a courier holds: their bodies are 64 KiB each at most.
-pub const ASKS_MAX: usize = 1_024;
+pub const MAX_PENDING_REQUESTS: usize = 1_024;
 
 /// What a consumer asks of a settlement's home.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Ask {
-    Hand(Hand),
+pub enum SettlementRequest {
+    Submit(SequencedMessage),
     /// No more than these will come: a session that ended in order.
     Closing {
-        of: u64,
+        total: u64,
     },
 }
 
-impl Ask {
-    pub fn hand(&self) -> Option<&Hand> {
+impl SettlementRequest {
+    pub fn sequenced(&self) -> Option<&SequencedMessage> {
         match self {
-            Ask::Hand(hand) => Some(hand),
-            Ask::Closing { .. } => None,
+            SettlementRequest::Submit(sequenced) => Some(sequenced),
+            SettlementRequest::Closing { .. } => None,
         }
     }
 
     /// Its position, the last one's for a closing, and the number of all.
-    pub fn place(&self) -> (u64, Option<u64>) {
+    pub fn position_and_total(&self) -> (u64, Option<u64>) {
         match self {
-            Ask::Hand(hand) => (hand.position, hand.of),
-            Ask::Closing { of } => (*of, Some(*of)),
+            SettlementRequest::Submit(sequenced) => (sequenced.position, sequenced.total),
+            SettlementRequest::Closing { total } => (*total, Some(*total)),
         }
     }
 
     /// Position and message id; the closing has none.
     pub fn key(&self) -> (u64, Option<&str>) {
-        (self.place().0, self.hand().map(|hand| hand.msg.as_str()))
+        (self.position_and_total().0, self.sequenced().map(|sequenced| sequenced.message_id.as_str()))
     }
 }
 
 /// The home's answer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Word {
+pub enum SettlementReply {
     /// It is in the home's book: it will have its end.
-    TakenOn,
+    Accepted,
     /// It has had its end.
     Ended(End),
-    Refused(Error),
+    Rejected(SettlementError),
 }
 
 /// Between couriers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Message {
-    Ask { id: SettlementId, ask: Ask },
-    Word { id: SettlementId, ask: Ask, word: Word },
+pub enum SettlementMessage {
+    Request { id: SettlementId, request: SettlementRequest },
+    Reply { id: SettlementId, request: SettlementRequest, reply: SettlementReply },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Input {
+pub enum ForwardInput {
     /// A consumer asks; `ticket` is its connection's.
-    Ask {
+    Request {
         ticket: u64,
         id: SettlementId,
-        ask: Ask,
+        request: SettlementRequest,
     },
-    Word {
+    Reply {
         id: SettlementId,
-        ask: Ask,
-        word: Word,
+        request: SettlementRequest,
+        reply: SettlementReply,
     },
-    Agreed(Event),
+    Committed(SettlementEvent),
     Tick,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Output {
+pub enum ForwardOutput {
     /// To a courier, which may be this one.
     Send {
         to: String,
-        message: Message,
+        message: SettlementMessage,
     },
-    Agree(Command),
+    Propose(SettlementCommand),
     Answer {
         ticket: u64,
-        word: Word,
+        reply: SettlementReply,
     },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Pending {
+struct PendingRequest {
     id: SettlementId,
-    ask: Ask,
-    again: Micros,
-    until: Micros,
+    request: SettlementRequest,
+    retry_at: Micros,
+    deadline: Micros,
 }
 
 /// One courier's front of settlements.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Desk {
-    me: String,
+pub struct RequestForwarder {
+    local_name: String,
     epoch: u64,
-    pending: BTreeMap<u64, Pending>,
+    pending: BTreeMap<u64, PendingRequest>,
 }
 
-impl Desk {
-    pub fn new(me: &str, epoch: u64) -> Desk {
-        Desk { me: me.into(), epoch, pending: BTreeMap::new() }
+impl RequestForwarder {
+    pub fn new(local_name: &str, epoch: u64) -> RequestForwarder {
+        RequestForwarder { local_name: local_name.into(), epoch, pending: BTreeMap::new() }
     }
 
     pub fn len(&self) -> usize {
@@ -126,82 +126,110 @@
         self.pending.is_empty()
     }
 
-    /// When an [`Input::Tick`] is wanted.
+    /// When an [`ForwardInput::Tick`] is wanted.
     pub fn wake_at(&self) -> Option<Micros> {
-        self.pending.values().map(|pending| pending.again.min(pending.until)).min()
+        self.pending.values().map(|pending| pending.retry_at.min(pending.deadline)).min()
     }
 
-    pub fn step(&mut self, agreed: &Agreed, input: Input, now: Micros) -> Vec<Output> {
+    pub fn step(
+        &mut self,
+        registry: &SettlementRegistry,
+        input: ForwardInput,
+        now: Micros,
+    ) -> Vec<ForwardOutput> {
         match input {
-            Input::Ask { ticket, id, ask } => {
-                let at = id.at(ask.place().0);
-                let after = ASK_AGAIN;
-                if self.pending.len() >= ASKS_MAX {
-                    let word = Word::Refused(Error::Busy { at, asks: ASKS_MAX as u64, after });
-                    return vec![Output::Answer { ticket, word }];
+            ForwardInput::Request { ticket, id, request } => {
+                let at = id.at(request.position_and_total().0);
+                let after = REQUEST_RETRY;
+                if self.pending.len() >= MAX_PENDING_REQUESTS {
+                    let reply = SettlementReply::Rejected(SettlementError::Busy {
+                        at,
+                        pending: MAX_PENDING_REQUESTS as u64,
+                        after,
+                    });
+                    return vec![ForwardOutput::Answer { ticket, reply }];
                 }
-                let pending = Pending { id, ask, again: now, until: now.saturating_add(PATIENCE) };
+                let pending = PendingRequest {
+                    id,
+                    request,
+                    retry_at: now,
+                    deadline: now.saturating_add(REQUEST_TIMEOUT),
+                };
                 self.pending.insert(ticket, pending);
-                self.route(agreed, ticket, now)
+                self.route(registry, ticket, now)
             }
-            Input::Word { id, ask, word } => {
-                let is_answered = |p: &Pending| p.id == id && p.ask.key() == ask.key();
+            ForwardInput::Reply { id, request, reply } => {
+                let is_answered = |p: &PendingRequest| p.id == id && p.request.key() == request.key();
                 let tickets = self.pending.iter().filter(|(_, p)| is_answered(p)).map(|(ticket, _)| *ticket);
                 let tickets: Vec<u64> = tickets.collect();
                 let answer = |ticket| {
                     self.pending.remove(&ticket);
-                    Output::Answer { ticket, word: word.clone() }
+                    ForwardOutput::Answer { ticket, reply: reply.clone() }
                 };
                 tickets.into_iter().map(answer).collect()
             }
-            Input::Agreed(event) => self.agreed(agreed, &event, now),
-            Input::Tick => {
-                let is_due = |p: &Pending| now >= p.again || now >= p.until;
+            ForwardInput::Committed(event) => self.committed(registry, &event, now),
+            ForwardInput::Tick => {
+                let is_due = |p: &PendingRequest| now >= p.retry_at || now >= p.deadline;
                 let due: Vec<u64> =
                     self.pending.iter().filter(|(_, p)| is_due(p)).map(|(ticket, _)| *ticket).collect();
-                due.into_iter().flat_map(|ticket| self.route(agreed, ticket, now)).collect()
+                due.into_iter().flat_map(|ticket| self.route(registry, ticket, now)).collect()
             }
         }
     }
 
-    fn agreed(&mut self, agreed: &Agreed, event: &Event, now: Micros) -> Vec<Output> {
+    fn committed(
+        &mut self,
+        registry: &SettlementRegistry,
+        event: &SettlementEvent,
+        now: Micros,
+    ) -> Vec<ForwardOutput> {
         let (id, refusal) = match event {
-            Event::Opened { id, .. } | Event::Moved { id, .. } | Event::Closed { id, .. } => (id, None),
-            Event::NotOpened { id, open } => (id, Some(*open)),
-            Event::NotMoved { .. } | Event::Up { .. } => return Vec::new(),
+            SettlementEvent::Opened { id, .. }
+            | SettlementEvent::Moved { id, .. }
+            | SettlementEvent::Closed { id, .. } => (id, None),
+            SettlementEvent::NotOpened { id, open } => (id, Some(*open)),
+            SettlementEvent::NotMoved { .. } | SettlementEvent::CaughtUp { .. } => return Vec::new(),
         };
         let tickets: Vec<u64> =
             self.pending.iter().filter(|(_, p)| p.id == *id).map(|(ticket, _)| *ticket).collect();
         let step = |ticket| match refusal {
-            None => self.route(agreed, ticket, now),
+            None => self.route(registry, ticket, now),
             Some(open) => {
                 let Some(pending) = self.pending.remove(&ticket) else { return Vec::new() };
-                let (at, after) = (id.at(pending.ask.place().0), super::home::AGAIN);
-                let word = Word::Refused(Error::TooManyOpen { at, open, after });
-                vec![Output::Answer { ticket, word }]
+                let (at, after) =
+                    (id.at(pending.request.position_and_total().0), super::owner::RETRY_INTERVAL);
+                let reply = SettlementReply::Rejected(SettlementError::TooManyOpen { at, open, after });
+                vec![ForwardOutput::Answer { ticket, reply }]
             }
         };
         tickets.into_iter().flat_map(step).collect()
     }
 
     /// Asks whoever is home now, or to be home itself.
-    fn route(&mut self, agreed: &Agreed, ticket: u64, now: Micros) -> Vec<Output> {
+    fn route(&mut self, registry: &SettlementRegistry, ticket: u64, now: Micros) -> Vec<ForwardOutput> {
         let Some(pending) = self.pending.get_mut(&ticket) else { return Vec::new() };
-        let at = pending.id.at(pending.ask.place().0);
-        let verdict = agreed.verdict(&pending.id);
-        if verdict.is_some() || now >= pending.until {
+        let at = pending.id.at(pending.request.position_and_total().0);
+        let verdict = registry.verdict(&pending.id);
+        if verdict.is_some() || now >= pending.deadline {
             self.pending.remove(&ticket);
-            let error = verdict.map_or(Error::NoWord(at.clone()), |verdict| Error::Over { at, verdict });
-            return vec![Output::Answer { ticket, word: Word::Refused(error) }];
+            let error = verdict.map_or(SettlementError::NoReply(at.clone()), |verdict| {
+                SettlementError::Ended { at, verdict }
+            });
+            return vec![ForwardOutput::Answer { ticket, reply: SettlementReply::Rejected(error) }];
         }
-        pending.again = now.saturating_add(ASK_AGAIN);
+        pending.retry_at = now.saturating_add(REQUEST_RETRY);
         let id = pending.id.clone();
-        let output = match agreed.home(&id) {
-            Some(home) => Output::Send {
-                to: home.courier.clone(),
-                message: Message::Ask { id, ask: pending.ask.clone() },
+        let output = match registry.owner(&id) {
+            Some(owner) => ForwardOutput::Send {
+                to: owner.courier.clone(),
+                message: SettlementMessage::Request { id, request: pending.request.clone() },
             },
-            None => Output::Agree(Command::Open { id, home: self.me.clone(), home_epoch: self.epoch }),
+            None => ForwardOutput::Propose(SettlementCommand::Open {
+                id,
+                owner: self.local_name.clone(),
+                owner_epoch: self.epoch,
+            }),
         };
         vec![output]
     }
--- a/fleet/src/settlement/mod.rs
+++ b/fleet/src/settlement/mod.rs
@@ -1,30 +1,30 @@
 //! Settlements: runs of messages of one tenant to one partner that belong together, from an opening to a
 //! closing, carried between couriers in session mode and in message mode.
 //!
-//! A settlement has one home courier, by agreement ([`agreed`]). What is handed in elsewhere goes there
-//! ([`forward`]). The home ([`home`]) sends the positions in order, one at a time in both modes: only so does
+//! A settlement has one home courier, by agreement ([`registry`]). What is handed in elsewhere goes there
+//! ([`forward`]). The home ([`owner`]) sends the positions in order, one at a time in both modes: only so does
 //! what follows a break never run. In session mode it holds one connection from the opening to the closing
 //! ([`session`]); [`translator`] turns the boundaries of either mode into the other's.
 //!
 //! One truth at the end: [`Verdict::Closed`], or [`Verdict::Broken`] at a position. Whatever has to outlast
-//! the home is a [`Record`] that is in its book, and in a copy, before anything is done about it; a book that
+//! the home is a [`SettlementRecord`] that is in its book, and in a copy, before anything is done about it; a book that
 //! is sealed takes none, so a home that was replaced can begin nothing.
 
-pub mod agreed;
 pub mod breaks;
 mod error;
 pub mod forward;
-pub mod home;
-mod kept;
-pub mod lines;
+pub mod journal_lines;
+pub mod owner;
+mod progress;
+pub mod registry;
 pub mod session;
 pub mod translator;
 
-pub use agreed::{Agreed, Book, Command, Event, Home};
-pub use error::{At, Error};
-pub use forward::{Ask, Desk, Message, Word};
-pub use home::{Homes, Input, Limits, Output};
-pub use kept::{Kept, Record};
+pub use error::{PositionRef, SettlementError};
+pub use forward::{RequestForwarder, SettlementMessage, SettlementReply, SettlementRequest};
+pub use owner::{OwnedSettlements, OwnerInput, OwnerOutput, SettlementLimits};
+pub use progress::{SettlementProgress, SettlementRecord};
+pub use registry::{JournalRef, SettlementCommand, SettlementEvent, SettlementOwner, SettlementRegistry};
 
 use serde::{Deserialize, Serialize};
 use spurshore::{Effect, Micros};
@@ -38,8 +38,8 @@
 }
 
 impl SettlementId {
-    pub fn at(&self, position: u64) -> At {
-        At { tenant: self.tenant.clone(), settlement: self.name.clone(), position }
+    pub fn at(&self, position: u64) -> PositionRef {
+        PositionRef { tenant: self.tenant.clone(), settlement: self.name.clone(), position }
     }
 }
 
@@ -66,19 +66,19 @@
 
 /// A message as the settlement sees it: its body is its courier's.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Hand {
+pub struct SequencedMessage {
     /// From 1.
     pub position: u64,
     /// The number of all: on the last message, or on any that knows it.
-    pub of: Option<u64>,
+    pub total: Option<u64>,
     /// The message's id: the same whenever this position is handed in.
-    pub msg: String,
+    pub message_id: String,
     pub repeat: Repeat,
     pub deadline: Micros,
     /// Bytes of the body.
     pub size: u64,
     /// Of the body: one position has one.
-    pub print: u64,
+    pub checksum: u64,
 }
 
 /// How a partner wants its settlements. A settlement keeps the mode that it was opened in: a change of the
@@ -123,7 +123,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Verdict {
     /// Each message was delivered, in order, and the closing confirmed.
-    Closed { of: u64 },
+    Closed { total: u64 },
     /// What comes before `at` was delivered, what follows never ran. 0: not known, see
     /// [`Cause::RecordsLost`]. One more than the number of all: the closing itself.
     Broken { at: u64, cause: Cause },
--- a/fleet/src/settlement/agreed.rs
+++ b/fleet/src/settlement/registry.rs
@@ -1,7 +1,7 @@
 //! The part of the agreed state that is about settlements: their homes, and the verdicts of those that are
 //! over.
 //!
-//! [`Agreed::apply`] knows no clock: times come in as values. Each home has a term, which no other home ever
+//! [`SettlementRegistry::apply`] knows no clock: times come in as values. Each home has a term, which no other home ever
 //! had, so that a command that comes late or twice changes nothing.
 
 use super::{SettlementId, Verdict};
@@ -10,69 +10,69 @@
 use std::collections::BTreeMap;
 
 /// Settlements open at once in the fleet: some 200 bytes each, so 13 MB of state and snapshot at most.
-pub const OPEN_MAX: usize = 65_536;
+pub const MAX_OPEN: usize = 65_536;
 /// Of one tenant: no tenant takes more than a quarter of the table.
-pub const OPEN_TENANT_MAX: u32 = 16_384;
+pub const MAX_OPEN_PER_TENANT: u32 = 16_384;
 /// Verdicts remembered at once. When so many are, nothing new is opened: forgetting one early would let a
 /// late message open its settlement anew, after a break.
-pub const VERDICTS_MAX: usize = 262_144;
+pub const MAX_VERDICTS: usize = 262_144;
 
 /// One courier's book in one registration.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Book {
+pub struct JournalRef {
     pub courier: String,
     pub epoch: u64,
 }
 
 /// Where a settlement lives.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Home {
+pub struct SettlementOwner {
     pub courier: String,
     pub epoch: u64,
     /// Greater with each home of any settlement.
     pub term: u64,
     /// Books of earlier homes whose records the present one has not written into its own yet, oldest first.
     /// One more with each home that was lost before it had.
-    pub books: Vec<Book>,
+    pub earlier_journals: Vec<JournalRef>,
 }
 
-impl Home {
-    pub fn is(&self, courier: &str, epoch: u64) -> bool {
+impl SettlementOwner {
+    pub fn is_at(&self, courier: &str, epoch: u64) -> bool {
         self.courier == courier && self.epoch == epoch
     }
 }
 
 /// A settlement that is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Over {
+pub struct EndedSettlement {
     pub verdict: Verdict,
     /// No message of it can come later than this.
     pub until: Micros,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Command {
+pub enum SettlementCommand {
     /// The first of them makes the home.
-    Open { id: SettlementId, home: String, home_epoch: u64 },
+    Open { id: SettlementId, owner: String, owner_epoch: u64 },
     /// The home of this term gives it away; `boundary`: with nothing out and no session open. Who gives one
     /// away is leaving, and is given none: two that are drained at once would hand one to and fro.
     Move { id: SettlementId, term: u64, to: String, to_epoch: u64, boundary: bool },
     /// The home of this term has all that was in earlier books in its own.
-    Up { id: SettlementId, term: u64 },
+    CaughtUp { id: SettlementId, term: u64 },
     /// The home of this term has decided; the verdict is kept until then.
     Close { id: SettlementId, term: u64, verdict: Verdict, until: Micros },
     /// This courier is not leaving any more.
-    Stay { courier: String, epoch: u64 },
+    CancelDrain { courier: String, epoch: u64 },
     /// By the leader's clock, less the drift that is allowed for, this time is over.
     Forget { before: Micros },
 }
 
 /// What a command changed, or why it did not.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Event {
+pub enum SettlementEvent {
     Opened {
         id: SettlementId,
-        home: Book,
+        owner: JournalRef,
         term: u64,
     },
     /// There are too many; so many are open.
@@ -82,8 +82,8 @@
     },
     Moved {
         id: SettlementId,
-        from: Book,
-        to: Book,
+        from: JournalRef,
+        to: JournalRef,
         term: u64,
         boundary: bool,
     },
@@ -91,49 +91,49 @@
     NotMoved {
         id: SettlementId,
         term: u64,
-        to: Book,
+        to: JournalRef,
     },
     /// Nobody needs the records in these books any more.
-    Up {
+    CaughtUp {
         id: SettlementId,
-        books: Vec<Book>,
+        journals: Vec<JournalRef>,
     },
     Closed {
         id: SettlementId,
-        home: Book,
+        owner: JournalRef,
         verdict: Verdict,
     },
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Agreed {
-    open: BTreeMap<SettlementId, Home>,
+pub struct SettlementRegistry {
+    open: BTreeMap<SettlementId, SettlementOwner>,
     tenants: BTreeMap<String, u32>,
-    over: BTreeMap<SettlementId, Over>,
+    ended: BTreeMap<SettlementId, EndedSettlement>,
     /// By courier: the last epoch that is gone. As many as the fleet ever had names.
-    gone: BTreeMap<String, u64>,
+    deregistered: BTreeMap<String, u64>,
     /// Couriers that are leaving, each in this epoch.
     leaving: BTreeMap<String, u64>,
-    terms: u64,
+    last_term: u64,
 }
 
-impl Agreed {
-    pub fn home(&self, id: &SettlementId) -> Option<&Home> {
+impl SettlementRegistry {
+    pub fn owner(&self, id: &SettlementId) -> Option<&SettlementOwner> {
         self.open.get(id)
     }
 
     pub fn verdict(&self, id: &SettlementId) -> Option<Verdict> {
-        self.over.get(id).map(|over| over.verdict)
+        self.ended.get(id).map(|ended| ended.verdict)
     }
 
     /// Settlements that are open, with their homes.
-    pub fn homes(&self) -> impl Iterator<Item = (&SettlementId, &Home)> {
+    pub fn owners(&self) -> impl Iterator<Item = (&SettlementId, &SettlementOwner)> {
         self.open.iter()
     }
 
     /// How many are open, and how many verdicts are remembered.
     pub fn sizes(&self) -> (usize, usize) {
-        (self.open.len(), self.over.len())
+        (self.open.len(), self.ended.len())
     }
 
     pub fn is_leaving(&self, courier: &str, epoch: u64) -> bool {
@@ -141,137 +141,150 @@
     }
 
     fn is_gone(&self, courier: &str, epoch: u64) -> bool {
-        self.gone.get(courier).is_some_and(|gone| epoch <= *gone)
+        self.deregistered.get(courier).is_some_and(|gone| epoch <= *gone)
     }
 
-    fn term(&mut self) -> u64 {
-        self.terms += 1;
-        self.terms
+    fn next_term(&mut self) -> u64 {
+        self.last_term += 1;
+        self.last_term
     }
 
     /// The home, if it is of this term.
-    fn of_term(&mut self, id: &SettlementId, term: u64) -> Option<&mut Home> {
-        self.open.get_mut(id).filter(|home| home.term == term)
+    fn owner_in_term(&mut self, id: &SettlementId, term: u64) -> Option<&mut SettlementOwner> {
+        self.open.get_mut(id).filter(|owner| owner.term == term)
     }
 
-    pub fn apply(&mut self, command: &Command) -> Vec<Event> {
+    pub fn apply(&mut self, command: &SettlementCommand) -> Vec<SettlementEvent> {
         match command {
-            Command::Open { id, home, home_epoch } => self.open(id, home, *home_epoch),
-            Command::Move { id, term, to, to_epoch, boundary } => {
-                let to = Book { courier: to.clone(), epoch: *to_epoch };
+            SettlementCommand::Open { id, owner, owner_epoch } => self.open(id, owner, *owner_epoch),
+            SettlementCommand::Move { id, term, to, to_epoch, boundary } => {
+                let to = JournalRef { courier: to.clone(), epoch: *to_epoch };
                 let is_refused =
                     self.is_gone(&to.courier, to.epoch) || self.is_leaving(&to.courier, to.epoch);
-                let Some(home) = self.of_term(id, *term) else { return Vec::new() };
-                let (from, epoch) = (home.courier.clone(), home.epoch);
+                let Some(owner) = self.owner_in_term(id, *term) else { return Vec::new() };
+                let (from, epoch) = (owner.courier.clone(), owner.epoch);
                 if is_refused {
-                    return vec![Event::NotMoved { id: id.clone(), term: *term, to }];
+                    return vec![SettlementEvent::NotMoved { id: id.clone(), term: *term, to }];
                 }
                 if from != to.courier {
                     self.leaving.insert(from, epoch);
                 }
                 self.move_to(id, to, *boundary).into_iter().collect()
             }
-            Command::Up { id, term } => {
-                let books = self.of_term(id, *term).map(|home| std::mem::take(&mut home.books));
-                let books = books.filter(|books| !books.is_empty());
-                books.map(|books| Event::Up { id: id.clone(), books }).into_iter().collect()
+            SettlementCommand::CaughtUp { id, term } => {
+                let journals =
+                    self.owner_in_term(id, *term).map(|owner| std::mem::take(&mut owner.earlier_journals));
+                let journals = journals.filter(|journals| !journals.is_empty());
+                journals
+                    .map(|journals| SettlementEvent::CaughtUp { id: id.clone(), journals })
+                    .into_iter()
+                    .collect()
             }
-            Command::Close { id, term, verdict, until } => {
-                if self.of_term(id, *term).is_none() {
+            SettlementCommand::Close { id, term, verdict, until } => {
+                if self.owner_in_term(id, *term).is_none() {
                     return Vec::new();
                 }
-                let Some(home) = self.open.remove(id) else { return Vec::new() };
+                let Some(owner) = self.open.remove(id) else { return Vec::new() };
                 if let Some(open) = self.tenants.get_mut(&id.tenant) {
                     *open -= 1;
                     if *open == 0 {
                         self.tenants.remove(&id.tenant);
                     }
                 }
-                self.over.insert(id.clone(), Over { verdict: *verdict, until: *until });
-                let books = (!home.books.is_empty()).then(|| Event::Up { id: id.clone(), books: home.books });
-                let home = Book { courier: home.courier, epoch: home.epoch };
-                let closed = Event::Closed { id: id.clone(), home, verdict: *verdict };
-                std::iter::once(closed).chain(books).collect()
+                self.ended.insert(id.clone(), EndedSettlement { verdict: *verdict, until: *until });
+                let journals = (!owner.earlier_journals.is_empty())
+                    .then(|| SettlementEvent::CaughtUp { id: id.clone(), journals: owner.earlier_journals });
+                let owner = JournalRef { courier: owner.courier, epoch: owner.epoch };
+                let closed = SettlementEvent::Closed { id: id.clone(), owner, verdict: *verdict };
+                std::iter::once(closed).chain(journals).collect()
             }
-            Command::Stay { courier, epoch } => {
+            SettlementCommand::CancelDrain { courier, epoch } => {
                 if self.is_leaving(courier, *epoch) {
                     self.leaving.remove(courier);
                 }
                 Vec::new()
             }
-            Command::Forget { before } => {
-                self.over.retain(|_, over| over.until >= *before);
+            SettlementCommand::Forget { before } => {
+                self.ended.retain(|_, ended| ended.until >= *before);
                 Vec::new()
             }
         }
     }
 
-    fn open(&mut self, id: &SettlementId, home: &str, epoch: u64) -> Vec<Event> {
-        let is_known = self.open.contains_key(id) || self.over.contains_key(id);
-        if is_known || self.is_gone(home, epoch) {
+    fn open(&mut self, id: &SettlementId, owner: &str, epoch: u64) -> Vec<SettlementEvent> {
+        let is_known = self.open.contains_key(id) || self.ended.contains_key(id);
+        if is_known || self.is_gone(owner, epoch) {
             return Vec::new();
         }
         let tenant = self.tenants.get(&id.tenant).copied().unwrap_or(0);
-        let is_full = self.open.len() >= OPEN_MAX || self.open.len() + self.over.len() >= VERDICTS_MAX;
-        if is_full || tenant >= OPEN_TENANT_MAX {
-            return vec![Event::NotOpened { id: id.clone(), open: self.open.len() as u64 }];
+        let is_full = self.open.len() >= MAX_OPEN || self.open.len() + self.ended.len() >= MAX_VERDICTS;
+        if is_full || tenant >= MAX_OPEN_PER_TENANT {
+            return vec![SettlementEvent::NotOpened { id: id.clone(), open: self.open.len() as u64 }];
         }
-        let term = self.term();
+        let term = self.next_term();
         self.tenants.insert(id.tenant.clone(), tenant + 1);
-        let made = Home { courier: home.to_string(), epoch, term, books: Vec::new() };
-        self.open.insert(id.clone(), made);
-        vec![Event::Opened { id: id.clone(), home: Book { courier: home.to_string(), epoch }, term }]
+        let opened =
+            SettlementOwner { courier: owner.to_string(), epoch, term, earlier_journals: Vec::new() };
+        self.open.insert(id.clone(), opened);
+        vec![SettlementEvent::Opened {
+            id: id.clone(),
+            owner: JournalRef { courier: owner.to_string(), epoch },
+            term,
+        }]
     }
 
-    fn move_to(&mut self, id: &SettlementId, to: Book, boundary: bool) -> Option<Event> {
-        let term = self.term();
-        let home = self.open.get_mut(id)?;
-        let from = Book { courier: home.courier.clone(), epoch: home.epoch };
-        home.books.push(from.clone());
-        (home.courier, home.epoch, home.term) = (to.courier.clone(), to.epoch, term);
-        Some(Event::Moved { id: id.clone(), from, to, term, boundary })
+    fn move_to(&mut self, id: &SettlementId, to: JournalRef, boundary: bool) -> Option<SettlementEvent> {
+        let term = self.next_term();
+        let owner = self.open.get_mut(id)?;
+        let from = JournalRef { courier: owner.courier.clone(), epoch: owner.epoch };
+        owner.earlier_journals.push(from.clone());
+        (owner.courier, owner.epoch, owner.term) = (to.courier.clone(), to.epoch, term);
+        Some(SettlementEvent::Moved { id: id.clone(), from, to, term, boundary })
     }
 
     /// A courier's registration is over and its book sealed: each of its settlements goes to one of the
     /// takers, by rendezvous hashing. Without a taker they stay where they are until there is one.
-    pub fn gone(&mut self, courier: &str, epoch: u64, takers: &[Book]) -> Vec<Event> {
-        let last = self.gone.entry(courier.to_string()).or_insert(epoch);
+    pub fn gone(&mut self, courier: &str, epoch: u64, successors: &[JournalRef]) -> Vec<SettlementEvent> {
+        let last = self.deregistered.entry(courier.to_string()).or_insert(epoch);
         *last = (*last).max(epoch);
         if self.leaving.get(courier).is_some_and(|leaving| *leaving <= epoch) {
             self.leaving.remove(courier);
         }
-        let theirs = self.open.iter().filter(|(_, home)| home.courier == courier && home.epoch <= epoch);
+        let theirs = self.open.iter().filter(|(_, owner)| owner.courier == courier && owner.epoch <= epoch);
         let theirs: Vec<SettlementId> = theirs.map(|(id, _)| id.clone()).collect();
-        let takers: Vec<Book> =
-            takers.iter().filter(|taker| !self.is_gone(&taker.courier, taker.epoch)).cloned().collect();
+        let successors: Vec<JournalRef> = successors
+            .iter()
+            .filter(|successor| !self.is_gone(&successor.courier, successor.epoch))
+            .cloned()
+            .collect();
         // One that is leaving takes what nobody else can.
-        let staying = takers.iter().filter(|t| !self.is_leaving(&t.courier, t.epoch)).cloned();
-        let staying: Vec<Book> = staying.collect();
-        let takers = if staying.is_empty() { takers } else { staying };
+        let staying = successors.iter().filter(|t| !self.is_leaving(&t.courier, t.epoch)).cloned();
+        let staying: Vec<JournalRef> = staying.collect();
+        let successors = if staying.is_empty() { successors } else { staying };
         let moved = theirs.into_iter().filter_map(|id| {
-            let to = taker(&id, &takers)?.clone();
+            let to = successor(&id, &successors)?.clone();
             self.move_to(&id, to, false)
         });
         moved.collect()
     }
 }
 
-impl Agreed {
+impl SettlementRegistry {
     /// Settlements whose home serves no more (`serves` says so) go to whoever has the part of the lost book that their
     /// destination is in. Without a taker they stay where they are until there is one.
-    pub fn rehome(
+    pub fn reassign_lost(
         &mut self,
         serves: impl Fn(&str, u64) -> bool,
-        taker: impl Fn(u64) -> Option<Book>,
-    ) -> Vec<Event> {
-        let lost = self.open.iter().filter(|(_, home)| !serves(&home.courier, home.epoch));
+        successor: impl Fn(u64) -> Option<JournalRef>,
+    ) -> Vec<SettlementEvent> {
+        let lost = self.open.iter().filter(|(_, owner)| !serves(&owner.courier, owner.epoch));
         let lost: Vec<SettlementId> = lost.map(|(id, _)| id.clone()).collect();
-        lost.into_iter().filter_map(|id| self.move_to(&id, taker(id.dest)?, false)).collect()
+        lost.into_iter().filter_map(|id| self.move_to(&id, successor(id.dest)?, false)).collect()
     }
 
     /// A courier's registration is over: it is given none any more.
-    pub fn over(&mut self, courier: &str, epoch: u64) {
-        let last = self.gone.entry(courier.to_string()).or_insert(epoch);
+    pub fn deregister(&mut self, courier: &str, epoch: u64) {
+        let last = self.deregistered.entry(courier.to_string()).or_insert(epoch);
         *last = (*last).max(epoch);
         if self.leaving.get(courier).is_some_and(|leaving| *leaving <= epoch) {
             self.leaving.remove(courier);
@@ -279,37 +292,39 @@
     }
 
     /// A courier goes on with its book under another epoch: what it was home to is its own again, and so is what others
-    /// were to take over, as nobody has read that book. `read(book, dest)`: that book's part is in another by now.
-    pub fn back(
+    /// were to take over, as nobody has read that book. `read(journal, dest)`: that book's part is in another by now.
+    pub fn reclaim(
         &mut self,
         courier: &str,
         from: u64,
         to: u64,
-        read: impl Fn(&Book, u64) -> bool,
-    ) -> Vec<Event> {
-        self.over(courier, from);
-        let (old, new) =
-            (Book { courier: courier.into(), epoch: from }, Book { courier: courier.into(), epoch: to });
+        read: impl Fn(&JournalRef, u64) -> bool,
+    ) -> Vec<SettlementEvent> {
+        self.deregister(courier, from);
+        let (old, new) = (
+            JournalRef { courier: courier.into(), epoch: from },
+            JournalRef { courier: courier.into(), epoch: to },
+        );
         let mut moved = Vec::new();
         let ids: Vec<SettlementId> = self.open.keys().cloned().collect();
         for id in ids {
-            let Some(home) = self.open.get_mut(&id) else { continue };
-            if home.is(&old.courier, old.epoch) {
+            let Some(owner) = self.open.get_mut(&id) else { continue };
+            if owner.is_at(&old.courier, old.epoch) {
                 moved.extend(self.move_to(&id, new.clone(), false));
                 continue;
             }
-            let Some(n) = home.books.iter().position(|book| *book == old) else { continue };
+            let Some(n) = owner.earlier_journals.iter().position(|journal| *journal == old) else { continue };
             // It was home too, and never came to read what was before it: then it has written nothing.
-            if n > 0 && !read(&home.books[n - 1], id.dest) {
-                home.books.remove(n);
+            if n > 0 && !read(&owner.earlier_journals[n - 1], id.dest) {
+                owner.earlier_journals.remove(n);
                 continue;
             }
-            home.books.truncate(n);
+            owner.earlier_journals.truncate(n);
             moved.extend(self.move_to(&id, new.clone(), false));
-            if let Some(home) = self.open.get_mut(&id) {
+            if let Some(owner) = self.open.get_mut(&id) {
                 // Whoever was to have it has written nothing.
-                home.books.truncate(n);
-                home.books.push(old.clone());
+                owner.earlier_journals.truncate(n);
+                owner.earlier_journals.push(old.clone());
             }
         }
         moved
@@ -317,12 +332,12 @@
 }
 
 /// Whom this settlement goes to: the same for everybody, and spread over all of them.
-pub fn taker<'a>(id: &SettlementId, takers: &'a [Book]) -> Option<&'a Book> {
-    takers.iter().max_by_key(|taker| (weight(id, &taker.courier), *taker))
+pub fn successor<'a>(id: &SettlementId, successors: &'a [JournalRef]) -> Option<&'a JournalRef> {
+    successors.iter().max_by_key(|successor| (rendezvous_weight(id, &successor.courier), *successor))
 }
 
 /// FNV-1a, written out: couriers of different builds have to agree on it.
-fn weight(id: &SettlementId, courier: &str) -> u64 {
+fn rendezvous_weight(id: &SettlementId, courier: &str) -> u64 {
     let fields = [id.tenant.as_bytes(), id.name.as_bytes(), &id.dest.to_le_bytes(), courier.as_bytes()];
     let step = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
     let hash =
--- a/fleet/src/settlement/session.rs
+++ b/fleet/src/settlement/session.rs
@@ -5,7 +5,7 @@
 //! there to be sent, and holds nothing else that another could wait for while it waits: a circle of
 //! settlements that wait for each other can't come about. One that holds a connection waits for its consumers
 //! and its partner alone, and each of these waits ends by a clock: a call by its time, a missing position by
-//! the time of those behind it, a pause by the idle limit, a closing by [`CLOSING`]. So a pin comes free
+//! the time of those behind it, a pause by the idle limit, a closing by [`CLOSING_TIMEOUT`]. So a pin comes free
 //! within a stated time, and who waits first is served first. At most half of a budget may be pinned: message
 //! mode always has the other half.
 
@@ -14,19 +14,19 @@
 use std::collections::{BTreeSet, VecDeque};
 
 /// Of a tenant's budget at a partner, one connection in so many may be pinned.
-pub const PIN_PART: u32 = 2;
+pub const PINNABLE_FRACTION: u32 = 2;
 /// A new session's first byte leaves within this after its record, or not at all.
-pub const OPEN_BY: Micros = 1_000_000;
+pub const SESSION_OPEN_TIMEOUT: Micros = 1_000_000;
 /// A partner that has not confirmed the closing by then does not: as long as it may take for a call.
-pub const CLOSING: Micros = 2_000_000;
+pub const CLOSING_TIMEOUT: Micros = 2_000_000;
 /// Sessions that one settlement may have; a partner that loses more is no use to it.
-pub const SESSIONS_MAX: u32 = 16;
+pub const MAX_SESSIONS: u32 = 16;
 
 /// How long after a takeover the lost home's connection may still be open at a partner that closes idle ones
-/// after `idle` and answers within `longest`: it may have been opened up to [`OPEN_BY`] after its record. 1%
+/// after `idle` and answers within `longest`: it may have been opened up to [`SESSION_OPEN_TIMEOUT`] after its record. 1%
 /// for clocks.
 pub fn linger(idle: Micros, longest: Micros) -> Micros {
-    let sum = OPEN_BY.saturating_add(idle).saturating_add(longest);
+    let sum = SESSION_OPEN_TIMEOUT.saturating_add(idle).saturating_add(longest);
     sum.saturating_add(sum.div_ceil(100))
 }
 
@@ -34,12 +34,12 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Pins {
     budget: u32,
-    held: BTreeSet<Holder>,
-    waiting: VecDeque<Holder>,
+    pinned: BTreeSet<SessionKey>,
+    waiting: VecDeque<SessionKey>,
 }
 
 /// A settlement, and the number of its session.
-pub type Holder = (SettlementId, u32);
+pub type SessionKey = (SettlementId, u32);
 
 impl Pins {
     pub fn new(budget: u32) -> Pins {
@@ -51,55 +51,55 @@
     }
 
     /// How many may be pinned.
-    pub fn most(&self) -> usize {
-        (self.budget / PIN_PART) as usize
+    pub fn limit(&self) -> usize {
+        (self.budget / PINNABLE_FRACTION) as usize
     }
 
     pub fn pinned(&self) -> usize {
-        self.held.len()
+        self.pinned.len()
     }
 
     /// A lowered budget is met as sessions end; a raised one serves who waits.
-    pub fn set_budget(&mut self, budget: u32) -> Vec<Holder> {
+    pub fn set_budget(&mut self, budget: u32) -> Vec<SessionKey> {
         self.budget = budget;
         self.grant()
     }
 
-    pub fn ask(&mut self, holder: Holder) -> Vec<Holder> {
-        if !self.held.contains(&holder) && !self.waiting.contains(&holder) {
-            self.waiting.push_back(holder);
+    pub fn request(&mut self, session_key: SessionKey) -> Vec<SessionKey> {
+        if !self.pinned.contains(&session_key) && !self.waiting.contains(&session_key) {
+            self.waiting.push_back(session_key);
         }
         self.grant()
     }
 
     /// This holder needs none any more; says who has one now.
-    pub fn release(&mut self, holder: &Holder) -> Vec<Holder> {
-        self.waiting.retain(|waiting| waiting != holder);
-        self.held.remove(holder);
+    pub fn release(&mut self, session_key: &SessionKey) -> Vec<SessionKey> {
+        self.waiting.retain(|waiting| waiting != session_key);
+        self.pinned.remove(session_key);
         self.grant()
     }
 
-    pub fn holds(&self, holder: &Holder) -> bool {
-        self.held.contains(holder)
+    pub fn is_pinned(&self, session_key: &SessionKey) -> bool {
+        self.pinned.contains(session_key)
     }
 
     pub fn is_unused(&self) -> bool {
-        self.held.is_empty() && self.waiting.is_empty()
+        self.pinned.is_empty() && self.waiting.is_empty()
     }
 
-    fn grant(&mut self) -> Vec<Holder> {
+    fn grant(&mut self) -> Vec<SessionKey> {
         let mut granted = Vec::new();
-        while self.held.len() < self.most() {
-            let Some(holder) = self.waiting.pop_front() else { break };
-            self.held.insert(holder.clone());
-            granted.push(holder);
+        while self.pinned.len() < self.limit() {
+            let Some(session_key) = self.waiting.pop_front() else { break };
+            self.pinned.insert(session_key.clone());
+            granted.push(session_key);
         }
         granted
     }
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub enum State {
+pub enum SessionState {
     #[default]
     None,
     /// A connection of the budget is asked for.
@@ -116,7 +116,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Input {
+pub enum SessionInput {
     /// A position, or the closing, is there to be sent.
     Want,
     /// The budget's connection is this session's.
@@ -136,7 +136,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Output {
+pub enum SessionOutput {
     Nothing,
     Pin,
     Unpin,
@@ -153,43 +153,52 @@
 /// The machine of one session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Session {
-    state: State,
+    state: SessionState,
 }
 
 impl Session {
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> SessionState {
         self.state
     }
 
     pub fn is_open(&self) -> bool {
-        matches!(self.state, State::Open | State::Closing { .. })
+        matches!(self.state, SessionState::Open | SessionState::Closing { .. })
     }
 
-    /// When a [`Input::Tick`] is wanted.
+    /// When a [`SessionInput::Tick`] is wanted.
     pub fn wake_at(&self) -> Option<Micros> {
         match self.state {
-            State::Closing { until } => Some(until),
+            SessionState::Closing { until } => Some(until),
             _ => None,
         }
     }
 
-    pub fn step(&mut self, input: Input, now: Micros) -> Output {
-        let closing = State::Closing { until: now.saturating_add(CLOSING) };
+    pub fn step(&mut self, input: SessionInput, now: Micros) -> SessionOutput {
+        let closing = SessionState::Closing { until: now.saturating_add(CLOSING_TIMEOUT) };
         let (state, output) = match (self.state, input) {
-            (State::None, Input::Want) => (State::Waiting, Output::Pin),
-            (State::Waiting, Input::Pinned) => (State::Pinned, Output::Nothing),
-            (State::Pinned, Input::Send) => (State::Open, Output::Open),
-            (State::Pinned, Input::Close) => (closing, Output::OpenAndClose),
-            (State::Open, Input::Send) => (State::Open, Output::Send),
-            (State::Open, Input::Close) => (closing, Output::Close),
-            (State::Closing { .. }, Input::Confirmed) => (State::None, Output::Unpin),
-            (State::Closing { until }, Input::Tick) if now >= until => (State::Dropping, Output::Drop),
-            (State::Waiting | State::Pinned, Input::Leave) => (State::None, Output::Unpin),
-            (State::Open | State::Closing { .. }, Input::Leave) => (State::Dropping, Output::Drop),
-            (State::Open | State::Closing { .. } | State::Dropping, Input::Lost) => {
-                (State::None, Output::Unpin)
+            (SessionState::None, SessionInput::Want) => (SessionState::Waiting, SessionOutput::Pin),
+            (SessionState::Waiting, SessionInput::Pinned) => (SessionState::Pinned, SessionOutput::Nothing),
+            (SessionState::Pinned, SessionInput::Send) => (SessionState::Open, SessionOutput::Open),
+            (SessionState::Pinned, SessionInput::Close) => (closing, SessionOutput::OpenAndClose),
+            (SessionState::Open, SessionInput::Send) => (SessionState::Open, SessionOutput::Send),
+            (SessionState::Open, SessionInput::Close) => (closing, SessionOutput::Close),
+            (SessionState::Closing { .. }, SessionInput::Confirmed) => {
+                (SessionState::None, SessionOutput::Unpin)
             }
-            (state, _) => (state, Output::Nothing),
+            (SessionState::Closing { until }, SessionInput::Tick) if now >= until => {
+                (SessionState::Dropping, SessionOutput::Drop)
+            }
+            (SessionState::Waiting | SessionState::Pinned, SessionInput::Leave) => {
+                (SessionState::None, SessionOutput::Unpin)
+            }
+            (SessionState::Open | SessionState::Closing { .. }, SessionInput::Leave) => {
+                (SessionState::Dropping, SessionOutput::Drop)
+            }
+            (
+                SessionState::Open | SessionState::Closing { .. } | SessionState::Dropping,
+                SessionInput::Lost,
+            ) => (SessionState::None, SessionOutput::Unpin),
+            (state, _) => (state, SessionOutput::Nothing),
         };
         self.state = state;
         output
--- a/fleet/src/settlement/translator.rs
+++ b/fleet/src/settlement/translator.rs
@@ -1,12 +1,12 @@
 //! The boundaries of a settlement in message mode and in session mode, each turned into the other.
 //!
-//! Message mode: each message carries `settlement` and `position`, and the last one `of`, beside `dest` in
+//! Message mode: each message carries `settlement` and `position`, and the last one `total`, beside `dest` in
 //! `X-Addressing`. Session mode: the first message on a connection names the settlement, with a `position`
 //! only where it goes on from an earlier session; the order on the connection is the position; `Connection:
 //! close` on the last message, or an orderly end after the last answer, is the closing. A connection that
 //! breaks closes nothing.
 
-use super::{At, Error};
+use super::{PositionRef, SettlementError};
 use std::collections::BTreeMap;
 
 /// The longest name of a settlement, as for ids and keys.
@@ -14,22 +14,22 @@
 
 /// What one message says of its settlement.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Mark {
+pub struct SettlementHeader {
     pub settlement: String,
     /// `None`: the connection says it.
     pub position: Option<u64>,
     /// The number of all.
-    pub of: Option<u64>,
+    pub total: Option<u64>,
 }
 
 /// What an `X-Addressing` says of a settlement; `None` where it names none. `dest` is the front's affair.
 ///
 /// # Errors
 /// A field comes twice, is malformed, or stands there without its settlement.
-pub fn read(tenant: &str, addressing: &str) -> Result<Option<Mark>, Error> {
+pub fn parse_header(tenant: &str, addressing: &str) -> Result<Option<SettlementHeader>, SettlementError> {
     let mut fields: BTreeMap<&str, &str> = BTreeMap::new();
-    let wrong = |settlement: &str, field: &str| Error::Field {
-        at: At { tenant: tenant.into(), settlement: settlement.into(), position: 0 },
+    let wrong = |settlement: &str, field: &str| SettlementError::Field {
+        at: PositionRef { tenant: tenant.into(), settlement: settlement.into(), position: 0 },
         field: field.into(),
     };
     for part in addressing.split([',', ';']) {
@@ -55,12 +55,19 @@
         }
         Some(_) => Err(wrong(settlement, field)),
     };
-    let mark = Mark { settlement: settlement.to_string(), position: number("position")?, of: number("of")? };
-    let at = |position| At { tenant: tenant.into(), settlement: mark.settlement.clone(), position };
-    match (mark.position, mark.of) {
-        (Some(0), _) | (_, Some(0)) => Err(Error::Zero(at(0))),
-        (Some(position), Some(of)) if position > of => Err(Error::Beyond { at: at(position), of }),
-        _ => Ok(Some(mark)),
+    let header = SettlementHeader {
+        settlement: settlement.to_string(),
+        position: number("position")?,
+        total: number("of")?,
+    };
+    let at =
+        |position| PositionRef { tenant: tenant.into(), settlement: header.settlement.clone(), position };
+    match (header.position, header.total) {
+        (Some(0), _) | (_, Some(0)) => Err(SettlementError::Zero(at(0))),
+        (Some(position), Some(total)) if position > total => {
+            Err(SettlementError::Beyond { at: at(position), total })
+        }
+        _ => Ok(Some(header)),
     }
 }
 
@@ -71,9 +78,9 @@
 }
 
 /// The value of `X-Addressing` that says this.
-pub fn write(dest: u64, mark: &Mark) -> String {
-    let mut text = format!("dest={dest},settlement={}", mark.settlement);
-    for (name, value) in [("position", mark.position), ("of", mark.of)] {
+pub fn format_header(dest: u64, header: &SettlementHeader) -> String {
+    let mut text = format!("dest={dest},settlement={}", header.settlement);
+    for (name, value) in [("position", header.position), ("of", header.total)] {
         if let Some(value) = value {
             text.push_str(&format!(",{name}={value}"));
         }
@@ -96,48 +103,61 @@
         FromSession { tenant: tenant.into(), ..FromSession::default() }
     }
 
-    fn at(&self, position: u64) -> At {
+    fn at(&self, position: u64) -> PositionRef {
         let settlement = self.settlement.clone().unwrap_or_default();
-        At { tenant: self.tenant.clone(), settlement, position }
+        PositionRef { tenant: self.tenant.clone(), settlement, position }
     }
 
     /// The next message; `named`: what it says itself; `is_last`: it asks for the end of the connection.
     ///
     /// # Errors
     /// It can't belong to this session; the session is as it was.
-    pub fn message(&mut self, named: Option<&Mark>, is_last: bool) -> Result<Mark, Error> {
+    pub fn message(
+        &mut self,
+        named: Option<&SettlementHeader>,
+        is_last: bool,
+    ) -> Result<SettlementHeader, SettlementError> {
         if self.is_closed {
-            return Err(Error::AfterClosing(self.at(self.position + 1)));
+            return Err(SettlementError::AfterClosing(self.at(self.position + 1)));
         }
         let settlement = match (&self.settlement, named) {
-            (None, None) => return Err(Error::NotOpened(self.at(0))),
-            (None, Some(mark)) => mark.settlement.clone(),
-            (Some(open), Some(mark)) if *open != mark.settlement => {
-                let at = At { settlement: mark.settlement.clone(), ..self.at(mark.position.unwrap_or(0)) };
-                return Err(Error::OtherOpen { at, open: open.clone() });
+            (None, None) => return Err(SettlementError::NotOpened(self.at(0))),
+            (None, Some(header)) => header.settlement.clone(),
+            (Some(open), Some(header)) if *open != header.settlement => {
+                let at = PositionRef {
+                    settlement: header.settlement.clone(),
+                    ..self.at(header.position.unwrap_or(0))
+                };
+                return Err(SettlementError::OtherOpen { at, open: open.clone() });
             }
             (Some(open), _) => open.clone(),
         };
-        let told = named.and_then(|mark| mark.position);
+        let told = named.and_then(|header| header.position);
         let position = match told {
-            Some(0) => return Err(Error::Zero(self.at(0))),
+            Some(0) => return Err(SettlementError::Zero(self.at(0))),
             // Only the first message may say where it goes on.
             Some(told) if self.settlement.is_some() && told != self.position + 1 => {
-                return Err(Error::Gap { at: self.at(self.position + 1), of: told });
+                return Err(SettlementError::Gap { at: self.at(self.position + 1), total: told });
             }
             told => told.unwrap_or(self.position + 1),
         };
-        let of = named.and_then(|mark| mark.of);
-        match of {
-            Some(of) if position > of => return Err(Error::Beyond { at: self.at(position), of }),
-            Some(of) if is_last && of != position => {
-                return Err(Error::TwoCounts { at: self.at(position), of, other: position });
+        let total = named.and_then(|header| header.total);
+        match total {
+            Some(total) if position > total => {
+                return Err(SettlementError::Beyond { at: self.at(position), total });
+            }
+            Some(total) if is_last && total != position => {
+                return Err(SettlementError::TwoCounts { at: self.at(position), total, other: position });
             }
             _ => {}
         }
         self.settlement = Some(settlement.clone());
         (self.position, self.is_closed) = (position, is_last);
-        Ok(Mark { settlement, position: Some(position), of: if is_last { Some(position) } else { of } })
+        Ok(SettlementHeader {
+            settlement,
+            position: Some(position),
+            total: if is_last { Some(position) } else { total },
+        })
     }
 
     /// The connection ended in order after its last answer: the number of all, if that says something new.
@@ -150,10 +170,10 @@
 
 /// What is done on a partner's connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum SessionStep {
     /// On a new connection: the first message names the settlement, and its position where it is not the
     /// first.
-    Open(Mark),
+    Open(SettlementHeader),
     /// The message of this position goes next.
     Carry(u64),
     /// All are answered: end the connection in order.
@@ -163,24 +183,24 @@
 /// Messages with their marks, in any order, turned into the steps of one session.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ToSession {
-    at: At,
+    at: PositionRef,
     next: u64,
-    of: Option<u64>,
+    total: Option<u64>,
     is_open: bool,
     is_closed: bool,
     /// Id and print of each position that came.
-    came: BTreeMap<u64, (String, u64)>,
+    seen: BTreeMap<u64, (String, u64)>,
 }
 
 impl ToSession {
     /// A session that begins with this position; 1, save where an earlier session was lost.
     pub fn new(tenant: &str, settlement: &str, from: u64) -> Self {
-        let at = At { tenant: tenant.into(), settlement: settlement.into(), position: 0 };
-        ToSession { at, next: from, of: None, is_open: false, is_closed: false, came: BTreeMap::new() }
+        let at = PositionRef { tenant: tenant.into(), settlement: settlement.into(), position: 0 };
+        ToSession { at, next: from, total: None, is_open: false, is_closed: false, seen: BTreeMap::new() }
     }
 
-    fn at(&self, position: u64) -> At {
-        At { position, ..self.at.clone() }
+    fn at(&self, position: u64) -> PositionRef {
+        PositionRef { position, ..self.at.clone() }
     }
 
     /// Takes a message; says what is done on the connection now, in order.
@@ -190,21 +210,21 @@
     pub fn message(
         &mut self,
         position: u64,
-        of: Option<u64>,
+        total: Option<u64>,
         id: &str,
-        print: u64,
-    ) -> Result<Vec<Step>, Error> {
-        check(&self.at(position), of, self.of, self.came.keys().next_back().copied())?;
-        match self.came.get(&position) {
-            Some((first, of_first)) if first != id || *of_first != print => {
-                return Err(Error::PositionTwice { at: self.at(position), first: first.clone() });
+        checksum: u64,
+    ) -> Result<Vec<SessionStep>, SettlementError> {
+        check(&self.at(position), total, self.total, self.seen.keys().next_back().copied())?;
+        match self.seen.get(&position) {
+            Some((first, of_first)) if first != id || *of_first != checksum => {
+                return Err(SettlementError::PositionTwice { at: self.at(position), first: first.clone() });
             }
             Some(_) => {}
             None => {
-                self.came.insert(position, (id.into(), print));
+                self.seen.insert(position, (id.into(), checksum));
             }
         }
-        self.of = self.of.or(of);
+        self.total = self.total.or(total);
         Ok(self.steps())
     }
 
@@ -212,29 +232,33 @@
     ///
     /// # Errors
     /// It contradicts what came before, or a position is missing; nothing has changed.
-    pub fn close(&mut self, of: u64) -> Result<Vec<Step>, Error> {
-        check(&self.at(of), Some(of), self.of, self.came.keys().next_back().copied())?;
-        if let Some(missing) = (self.next..=of).find(|position| !self.came.contains_key(position)) {
-            return Err(Error::Gap { at: self.at(missing), of });
+    pub fn close(&mut self, total: u64) -> Result<Vec<SessionStep>, SettlementError> {
+        check(&self.at(total), Some(total), self.total, self.seen.keys().next_back().copied())?;
+        if let Some(missing) = (self.next..=total).find(|position| !self.seen.contains_key(position)) {
+            return Err(SettlementError::Gap { at: self.at(missing), total });
         }
-        self.of = Some(of);
+        self.total = Some(total);
         Ok(self.steps())
     }
 
-    fn steps(&mut self) -> Vec<Step> {
+    fn steps(&mut self) -> Vec<SessionStep> {
         let mut steps = Vec::new();
-        while self.came.contains_key(&self.next) {
+        while self.seen.contains_key(&self.next) {
             if !self.is_open {
                 self.is_open = true;
                 let position = (self.next > 1).then_some(self.next);
-                steps.push(Step::Open(Mark { settlement: self.at.settlement.clone(), position, of: None }));
+                steps.push(SessionStep::Open(SettlementHeader {
+                    settlement: self.at.settlement.clone(),
+                    position,
+                    total: None,
+                }));
             }
-            steps.push(Step::Carry(self.next));
+            steps.push(SessionStep::Carry(self.next));
             self.next += 1;
         }
-        if self.of == Some(self.next - 1) && self.is_open && !self.is_closed {
+        if self.total == Some(self.next - 1) && self.is_open && !self.is_closed {
             self.is_closed = true;
-            steps.push(Step::Close);
+            steps.push(SessionStep::Close);
         }
         steps
     }
@@ -244,20 +268,27 @@
 ///
 /// # Errors
 /// They can't.
-pub fn check(at: &At, of: Option<u64>, known: Option<u64>, greatest: Option<u64>) -> Result<(), Error> {
-    if at.position == 0 || of == Some(0) {
-        return Err(Error::Zero(at.clone()));
+pub fn check(
+    at: &PositionRef,
+    total: Option<u64>,
+    known: Option<u64>,
+    greatest: Option<u64>,
+) -> Result<(), SettlementError> {
+    if at.position == 0 || total == Some(0) {
+        return Err(SettlementError::Zero(at.clone()));
     }
-    match (known, of) {
-        (Some(known), Some(of)) if known != of => {
-            return Err(Error::TwoCounts { at: at.clone(), of: known, other: of });
+    match (known, total) {
+        (Some(known), Some(total)) if known != total => {
+            return Err(SettlementError::TwoCounts { at: at.clone(), total: known, other: total });
         }
         _ => {}
     }
-    match known.or(of) {
-        Some(of) if at.position > of => Err(Error::Beyond { at: at.clone(), of }),
-        Some(of) => match greatest.filter(|greatest| *greatest > of) {
-            Some(greatest) => Err(Error::Beyond { at: At { position: greatest, ..at.clone() }, of }),
+    match known.or(total) {
+        Some(total) if at.position > total => Err(SettlementError::Beyond { at: at.clone(), total }),
+        Some(total) => match greatest.filter(|greatest| *greatest > total) {
+            Some(greatest) => {
+                Err(SettlementError::Beyond { at: PositionRef { position: greatest, ..at.clone() }, total })
+            }
             None => Ok(()),
         },
         None => Ok(()),
--- a/fleet/tests/budget.rs
+++ b/fleet/tests/budget.rs
@@ -5,7 +5,7 @@
 mod digest_file;
 
 use digest_file::{Counts, SEEDS, compare_with_file};
-use quillmount_fleet::budget::leader::{MOVES, starvation};
+use quillmount_fleet::budget::leader::{MAX_MOVES_PER_SECOND, starvation};
 use quillmount_fleet::budget::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -13,7 +13,7 @@
 const DEST: u64 = 7;
 const MS: u64 = 1_000;
 const S: u64 = 1_000_000;
-const TERMS: Terms = Terms { call: S, quiet: 1_500 * MS, lease: S };
+const BOUNDS: TimeBounds = TimeBounds { max_call: S, max_idle: 1_500 * MS, lease: S };
 
 struct Rng(u64);
 
@@ -85,8 +85,8 @@
 }
 
 struct Node {
-    holder: Holder,
-    agreed: Agreed,
+    local_budget: LocalBudget,
+    budget_state: BudgetState,
     applied: usize,
     life: u32,
     epoch: u64,
@@ -120,10 +120,10 @@
     budget: Budget,
     names: Vec<String>,
     nodes: Vec<Node>,
-    proposed: Vec<Command>,
-    log: Vec<Command>,
-    agreed: Agreed,
-    leader: Leader,
+    proposed: Vec<BudgetCommand>,
+    log: Vec<BudgetCommand>,
+    budget_state: BudgetState,
+    leader: BudgetLeader,
     leader_rate: i64,
     term: u64,
     leases: BTreeMap<usize, u64>,
@@ -166,8 +166,8 @@
             nodes: Vec::new(),
             proposed: Vec::new(),
             log: Vec::new(),
-            agreed: Agreed::default(),
-            leader: Leader::new(TERMS),
+            budget_state: BudgetState::default(),
+            leader: BudgetLeader::new(BOUNDS),
             leader_rate: 0,
             term: 0,
             leases: BTreeMap::new(),
@@ -186,11 +186,11 @@
         };
         for n in 0..couriers {
             let (rate, ahead) = (sim.rng.within(0, 19_000) as i64 - 9_500, sim.rng.within(S, 1_000 * S));
-            let mut holder = Holder::new(&sim.names[n], TERMS, ahead);
-            holder.budget(&sim.budget);
+            let mut local_budget = LocalBudget::new(&sim.names[n], BOUNDS, ahead);
+            local_budget.budget(&sim.budget);
             sim.nodes.push(Node {
-                holder,
-                agreed: Agreed::default(),
+                local_budget,
+                budget_state: BudgetState::default(),
                 applied: 0,
                 life: 0,
                 epoch: 0,
@@ -239,7 +239,7 @@
 
     /// An entry of the log: now and then lost, late, or there twice, as one is that was handed on to the
     /// leader.
-    fn propose(&mut self, command: Command) {
+    fn propose(&mut self, command: BudgetCommand) {
         self.proposed.push(command);
         let (term, at) = (self.term, self.proposed.len() - 1);
         for _ in 0..1 + u64::from(self.rng.chance(self.loss)) {
@@ -254,10 +254,10 @@
     /// Another leads: it knows the log, and nothing else.
     fn lead(&mut self) {
         self.term += 1;
-        self.leader = Leader::new(TERMS);
+        self.leader = BudgetLeader::new(BOUNDS);
         self.leader.budget(&self.budget);
         self.leader_rate = self.rng.within(0, 19_000) as i64 - 9_500;
-        let until = self.leads() + TERMS.lease * 103 / 100;
+        let until = self.leads() + BOUNDS.lease * 103 / 100;
         self.leases = (0..self.nodes.len()).map(|n| (n, until)).collect();
         self.after(MS, Event::Lead(self.term));
     }
@@ -351,18 +351,18 @@
                 if term == self.term {
                     let now = self.leads();
                     for (n, until) in self.leases.clone() {
-                        let member = self.agreed.member(&self.names[n]);
+                        let member = self.budget_state.member(&self.names[n]);
                         if let Some(epoch) = member.filter(|m| !m.lapsed && now >= until).map(|m| m.epoch) {
                             self.leader.lapsed(&self.names[n], epoch);
                         }
                     }
                     // The operator's file, until it is agreed on.
                     let (connections, floor) = (self.budget.connections, self.budget.courier_floor);
-                    if self.agreed.partner(DEST).is_none_or(|p| p.connections != connections) {
+                    if self.budget_state.partner(DEST).is_none_or(|p| p.connections != connections) {
                         let couriers = self.names.clone();
-                        self.propose(Command::Budget { dest: DEST, connections, floor, couriers });
+                        self.propose(BudgetCommand::Budget { dest: DEST, connections, floor, couriers });
                     }
-                    for command in self.leader.tick(&self.agreed, now) {
+                    for command in self.leader.tick(&self.budget_state, now) {
                         self.propose(command);
                     }
                     self.after(10 * MS, Event::Lead(term));
@@ -373,18 +373,18 @@
         }
     }
 
-    fn commit(&mut self, command: Command) {
-        let events = self.agreed.apply(&command);
+    fn commit(&mut self, command: BudgetCommand) {
+        let events = self.budget_state.apply(&command);
         if events.iter().any(|e| {
             matches!(
                 e,
-                quillmount_fleet::budget::Event::Granted { .. }
-                    | quillmount_fleet::budget::Event::Recalled { .. }
+                quillmount_fleet::budget::BudgetEvent::Granted { .. }
+                    | quillmount_fleet::budget::BudgetEvent::Recalled { .. }
             )
         }) {
             self.moved.push(self.now);
         }
-        if let Command::Joined { courier, epoch } = &command
+        if let BudgetCommand::Joined { courier, epoch } = &command
             && let Some(n) = self.names.iter().position(|name| name == courier)
             && let Some((known, life)) = self.lives.get(&n)
             && known == epoch
@@ -399,17 +399,17 @@
 
     fn heard(&mut self, n: usize, life: u32, say: Say) {
         let now = self.leads();
-        let member = self.agreed.member(&self.names[n]).cloned().unwrap_or_default();
+        let member = self.budget_state.member(&self.names[n]).cloned().unwrap_or_default();
         match say {
             Say::Report(at) => {
-                let report = Message::Report(self.messages[at as usize].clone());
+                let report = BudgetMessage::Report(self.messages[at as usize].clone());
                 let bytes = postcard::to_stdvec(&report).unwrap();
-                self.leader.hears(&postcard::from_bytes(&bytes).unwrap(), now);
+                self.leader.receive(&postcard::from_bytes(&bytes).unwrap(), now);
             }
             Say::Renew(epoch, sent) => {
                 let until = self.leases.entry(n).or_insert(0);
                 if member.epoch == epoch && !member.lapsed && now < *until {
-                    *until = now + TERMS.lease * 103 / 100;
+                    *until = now + BOUNDS.lease * 103 / 100;
                     self.send(Event::Renewed(n, life, epoch, sent, self.log.len()));
                 }
             }
@@ -422,8 +422,11 @@
                     self.send(Event::JoinedAs(n, life, member.epoch));
                 } else {
                     self.lives.insert(n, (member.epoch + 1, life));
-                    self.leases.insert(n, now + TERMS.lease * 103 / 100);
-                    self.propose(Command::Joined { courier: self.names[n].clone(), epoch: member.epoch + 1 });
+                    self.leases.insert(n, now + BOUNDS.lease * 103 / 100);
+                    self.propose(BudgetCommand::Joined {
+                        courier: self.names[n].clone(),
+                        epoch: member.epoch + 1,
+                    });
                 }
             }
         }
@@ -440,16 +443,16 @@
         let node = &mut self.nodes[n];
         if node.applied < upto {
             for command in &self.log[node.applied..upto] {
-                node.agreed.apply(command);
+                node.budget_state.apply(command);
             }
             node.applied = upto;
-            let orders = node.holder.agreed(&node.agreed, now);
+            let orders = node.local_budget.apply_state(&node.budget_state, now);
             self.orders(n, orders);
         }
     }
 
-    fn orders(&mut self, n: usize, orders: Vec<Order>) {
-        for Order::Close { conn, .. } in orders {
+    fn orders(&mut self, n: usize, orders: Vec<ConnectionOrder>) {
+        for ConnectionOrder::Close { conn, .. } in orders {
             let life = self.nodes[n].life;
             if let Some((tenant, _)) = self.nodes[n].calls.remove(&conn)
                 && let Some(load) = self.nodes[n].loads.get_mut(&tenant)
@@ -468,10 +471,10 @@
         let life = self.nodes[n].life;
         match event {
             Event::Wake(..) => {
-                let orders = self.nodes[n].holder.tick(now);
+                let orders = self.nodes[n].local_budget.tick(now);
                 self.orders(n, orders);
                 let node = &mut self.nodes[n];
-                if let Some(report) = node.holder.report(now) {
+                if let Some(report) = node.local_budget.report(now) {
                     let heard = node.heard;
                     self.messages.push(report);
                     let say = Say::Report(self.messages.len() as u64 - 1);
@@ -479,8 +482,8 @@
                         self.send(Event::Heard(n, life, Box::new(say)));
                     }
                 }
-                if self.nodes[n].holder.left()
-                    && self.nodes[n].agreed.member(&self.names[n]).is_none_or(|m| m.left)
+                if self.nodes[n].local_budget.left()
+                    && self.nodes[n].budget_state.member(&self.names[n]).is_none_or(|m| m.left)
                 {
                     self.crash(n);
                     self.after(100 * MS, Event::Mend(n, Mend::Start));
@@ -489,8 +492,10 @@
                 let node = &mut self.nodes[n];
                 if now >= node.renewed + 200 * MS {
                     node.renewed = now;
-                    let lapsed =
-                        node.agreed.member(&self.names[n]).is_some_and(|m| m.epoch >= node.epoch && m.lapsed);
+                    let lapsed = node
+                        .budget_state
+                        .member(&self.names[n])
+                        .is_some_and(|m| m.epoch >= node.epoch && m.lapsed);
                     let say = if node.epoch == 0 || lapsed { Say::Join } else { Say::Renew(node.epoch, now) };
                     if node.heard {
                         self.send(Event::Heard(n, life, Box::new(say)));
@@ -504,21 +509,21 @@
                     let (tenant, _) = node.calls.remove(&conn).unwrap();
                     let load = node.loads.get_mut(&tenant).unwrap();
                     (load.out, load.served) = (load.out - 1, load.served + 1);
-                    let permit = Permit { dest: DEST, conn, begin: Begin::Reuse };
-                    let orders = node.holder.released(&permit, now);
+                    let permit = Permit { dest: DEST, conn, begin: PermitKind::Reuse };
+                    let orders = node.local_budget.released(&permit, now);
                     self.orders(n, orders);
                 }
             }
             Event::Eof(_, _, conn) => {
                 let node = &mut self.nodes[n];
-                node.holder.closed(DEST, conn, now);
+                node.local_budget.closed(DEST, conn, now);
                 if let Some((tenant, _)) = node.calls.remove(&conn) {
                     node.loads.get_mut(&tenant).unwrap().out -= 1;
                 }
             }
             Event::Renewed(_, _, epoch, sent, upto) if self.nodes[n].hears => {
                 if self.nodes[n].epoch == epoch {
-                    self.nodes[n].holder.leased(sent + TERMS.lease);
+                    self.nodes[n].local_budget.extend_lease(sent + BOUNDS.lease);
                 }
                 self.entries(n, upto);
             }
@@ -526,8 +531,8 @@
                 let node = &mut self.nodes[n];
                 if node.hears && epoch > node.epoch {
                     node.epoch = epoch;
-                    node.holder.joined(epoch);
-                    let orders = node.holder.agreed(&node.agreed, now);
+                    node.local_budget.joined(epoch);
+                    let orders = node.local_budget.apply_state(&node.budget_state, now);
                     self.orders(n, orders);
                 }
             }
@@ -548,12 +553,12 @@
                 let node = &mut self.nodes[n];
                 let load = node.loads.get_mut(&tenant).unwrap();
                 if load.out >= load.at_once || load.left == 0 {
-                    node.holder.wants(DEST, &tenant, 0, now);
+                    node.local_budget.set_waiting(DEST, &tenant, 0, now);
                     break;
                 }
-                let Ok(permit) = node.holder.may_begin(DEST, &tenant, now) else {
+                let Ok(permit) = node.local_budget.acquire(DEST, &tenant, now) else {
                     let more = u64::from(load.at_once - load.out).min(load.left) as u32;
-                    node.holder.wants(DEST, &tenant, more, now);
+                    node.local_budget.set_waiting(DEST, &tenant, more, now);
                     break;
                 };
                 (load.out, load.left) = (load.out + 1, load.left.saturating_sub(1));
@@ -562,13 +567,13 @@
                 self.nodes[n].calls.insert(permit.conn, (tenant.clone(), call));
                 let life = self.nodes[n].life;
                 match permit.begin {
-                    Begin::Reuse => self.writes(n, permit.conn, call),
+                    PermitKind::Reuse => self.writes(n, permit.conn, call),
                     // Now and then its process is held up in between.
-                    Begin::Open if self.faults && self.rng.chance(3) => {
+                    PermitKind::Open if self.faults && self.rng.chance(3) => {
                         let span = self.rng.within(0, 30 * MS);
                         self.after(span, Event::Opens(n, life, permit.conn, call));
                     }
-                    Begin::Open => self.opens(n, permit.conn, call),
+                    PermitKind::Open => self.opens(n, permit.conn, call),
                 }
             }
             self.hunger(&tenant);
@@ -577,7 +582,7 @@
 
     fn opens(&mut self, n: usize, conn: u64, call: u64) {
         let (now, life) = (self.local(n), self.nodes[n].life);
-        if self.nodes[n].holder.opens(DEST, conn, now) {
+        if self.nodes[n].local_budget.confirm_open(DEST, conn, now) {
             self.open.insert((n, life, conn), self.now);
             self.writes(n, conn, call);
         } else if let Some((tenant, _)) = self.nodes[n].calls.remove(&conn) {
@@ -591,10 +596,10 @@
         let Some(written) = self.open.get_mut(&(n, life, conn)) else { return };
         *written = self.now;
         let now = self.now;
-        self.after(TERMS.quiet, Event::Quiet(n, life, conn, now));
+        self.after(BOUNDS.max_idle, Event::Quiet(n, life, conn, now));
         let mut span = self.rng.within(self.calls.0, self.calls.1);
         if self.rng.chance(self.hang) {
-            span = self.rng.within(self.calls.1, 2 * TERMS.call);
+            span = self.rng.within(self.calls.1, 2 * BOUNDS.max_call);
         }
         if self.nodes[n].partner {
             self.after(span, Event::Answer(n, life, conn, call));
@@ -620,7 +625,8 @@
         let (old, new) = (self.limit, u64::from(connections));
         if new < old {
             // Cut off at that moment, a courier is done after the presence's lease and its own time.
-            self.lowered = Some((self.now + 2 * S + TERMS.lease + TERMS.hold() + TERMS.attrition(), new));
+            self.lowered =
+                Some((self.now + 2 * S + BOUNDS.lease + BOUNDS.drain_time() + BOUNDS.recall_time(), new));
         } else {
             (self.limit, self.lowered) = (new, None);
         }
@@ -661,7 +667,7 @@
                 self.nodes[n].paused = true;
                 self.after(span, Event::Mend(n, Mend::Pause));
             }
-            9 if self.nodes[n].up => self.nodes[n].holder.leave(),
+            9 if self.nodes[n].up => self.nodes[n].local_budget.leave(),
             10 if self.nodes[n].up => {
                 self.crash(n);
                 self.after(span / 4, Event::Mend(n, Mend::Start));
@@ -695,9 +701,9 @@
                 let now = self.local(n);
                 let node = &mut self.nodes[n];
                 (node.up, node.life, node.epoch) = (true, node.life + 1, 0);
-                (node.agreed, node.applied, node.renewed) = (Agreed::default(), 0, 0);
-                node.holder = Holder::new(&self.names[n], TERMS, now);
-                node.holder.budget(&self.budget);
+                (node.budget_state, node.applied, node.renewed) = (BudgetState::default(), 0, 0);
+                node.local_budget = LocalBudget::new(&self.names[n], BOUNDS, now);
+                node.local_budget.budget(&self.budget);
                 let life = node.life;
                 self.after(MS, Event::Wake(n, life));
             }
@@ -788,7 +794,7 @@
 }
 
 #[test]
-fn what_is_asked_for_is_used_and_goes_to_its_fair_part_when_demand_moves() {
+fn demand_is_met_and_converges_to_the_fair_allocation() {
     let mut sim =
         Sim::new(11, 6, budget(60, 1, vec![tenant("big", 2.0, 0, None), tenant("low", 1.0, 0, Some(9))]));
     sim.calls = (20 * MS, 200 * MS);
@@ -821,14 +827,14 @@
 }
 
 #[test]
-fn lent_budget_is_back_and_a_lowered_one_met_within_the_stated_time() {
+fn lent_budget_returns_and_a_lowered_budget_is_met_in_time() {
     let mut sim = Sim::new(19, 5, budget(40, 0, vec![]));
     sim.calls = (600 * MS, 990 * MS);
     (0..5).for_each(|n| sim.load(n, "lent", 40));
     sim.run(6 * S);
     assert!(sim.busy("lent") >= 38, "{}", sim.busy("lent"));
     // A report, a round and an entry of the log there and back, and the calls' own time.
-    let moved = 2 * (holder::REPORT + leader::ROUND + 50 * MS) + TERMS.attrition();
+    let moved = 2 * (local::REPORT_INTERVAL + leader::ROUND_INTERVAL + 50 * MS) + BOUNDS.recall_time();
     sim.load(2, "owner", 40);
     let from = sim.now;
     while sim.busy("owner") < 20 && sim.now < from + 20 * S {
@@ -846,12 +852,12 @@
         sim.run(sim.now + 10 * MS);
     }
     println!("a raised budget is used after {} ms", (sim.now - from) / MS);
-    assert!(sim.now - from <= leader::ROUND + 100 * MS);
+    assert!(sim.now - from <= leader::ROUND_INTERVAL + 100 * MS);
     sim.sound();
 }
 
 #[test]
-fn a_flooding_tenant_takes_nothing_from_the_others() {
+fn a_flooding_tenant_does_not_reduce_the_others() {
     let served = |flood: bool| {
         let mut sim = Sim::new(12, 5, budget(50, 1, vec![]));
         for n in 0..5 {
@@ -885,19 +891,19 @@
 }
 
 #[test]
-fn a_halved_budget_is_met_while_a_courier_that_holds_half_is_cut_off() {
+fn a_halved_budget_is_met_while_a_courier_with_half_is_isolated() {
     let mut sim = Sim::new(14, 4, budget(40, 1, vec![]));
     sim.load(0, "a", 40);
     (1..4).for_each(|n| sim.load(n, "b", 7));
     sim.run(6 * S);
-    let held = sim.nodes[0].holder.open(DEST);
+    let held = sim.nodes[0].local_budget.open(DEST);
     assert!(held >= 19, "{held} of 40 are at the courier that is cut off");
     (sim.nodes[0].hears, sim.nodes[0].heard) = (false, false);
     sim.lower(20);
     let (at, _) = sim.lowered.unwrap();
     sim.run(at + 3 * S);
     sim.sound();
-    let cut = sim.nodes[0].holder.open(DEST);
+    let cut = sim.nodes[0].local_budget.open(DEST);
     let others = sim.busy("b");
     println!("cut off {cut}, others {others} of 20");
     assert_eq!(cut, 1, "its floor");
@@ -928,7 +934,7 @@
 }
 
 #[test]
-fn a_tenant_under_its_part_is_served_within_the_bound() {
+fn a_tenant_below_its_share_is_served_within_the_bound() {
     // 29 heavy tenants and a light one at 3 connections: its part is a hundredth of a connection at most.
     let mut tenants: Vec<Tenant> = (0..29).map(|n| tenant(&format!("t{n:02}"), 10.0, 0, None)).collect();
     tenants.push(tenant("light", 3.0, 0, None));
@@ -940,14 +946,14 @@
     sim.sound();
     for (tenant, waited) in &sim.starved {
         let weight = if tenant == "light" { 3 } else { 10 };
-        let bound = starvation(&TERMS, 3 * 1_000_000 * weight / 293, 30, 3);
+        let bound = starvation(&BOUNDS, 3 * 1_000_000 * weight / 293, 30, 3);
         assert!(*waited <= bound, "{tenant} waited {waited} of {bound} us");
     }
     println!(
         "light waited {} s, the heavy ones {} s at most; bound {} s",
         sim.starved["light"] / S,
         sim.starved.values().max().unwrap() / S,
-        starvation(&TERMS, 3 * 3_000_000 / 293, 30, 3) / S
+        starvation(&BOUNDS, 3 * 3_000_000 / 293, 30, 3) / S
     );
     assert_eq!(sim.starved.len(), 30);
     let served = |t: &str| sim.served(t) as f64;
@@ -956,7 +962,7 @@
 }
 
 #[test]
-fn flapping_demand_moves_no_more_than_the_limit() {
+fn flapping_demand_stays_within_the_move_limit() {
     let mut sim = Sim::new(17, 10, budget(200, 0, vec![]));
     for turn in 0..40 {
         for n in 0..10 {
@@ -971,12 +977,12 @@
         sim.moved.iter().map(|at| sim.moved.iter().filter(|m| (*at..at + S).contains(*m)).count()).max();
     println!("at most {most:?} leases moved in a second, {} in all", sim.moved.len());
     // An entry of the log may be late by its round.
-    assert!(most.unwrap() <= MOVES as usize * 105 / 100);
-    assert!(most.unwrap() > MOVES as usize / 2, "no trial of the limit");
+    assert!(most.unwrap() <= MAX_MOVES_PER_SECOND as usize * 105 / 100);
+    assert!(most.unwrap() > MAX_MOVES_PER_SECOND as usize / 2, "no trial of the limit");
 }
 
 #[test]
-fn a_tenants_floor_is_kept_beside_a_flood() {
+fn a_tenants_floor_holds_against_a_flood() {
     let mut sim = Sim::new(18, 4, budget(20, 0, vec![tenant("kept", 0.1, 5, None)]));
     for n in 0..4 {
         sim.load(n, "flood", 100);
@@ -1046,7 +1052,7 @@
 
 #[cfg(feature = "breaks")]
 #[test]
-fn a_floor_and_turns_that_are_forgotten_are_found() {
-    broken(breaks::Break::FloorForgotten, a_tenants_floor_is_kept_beside_a_flood);
-    broken(breaks::Break::TurnsForgotten, a_tenant_under_its_part_is_served_within_the_bound);
+fn a_forgotten_floor_and_forgotten_turns_are_found() {
+    broken(breaks::Break::FloorForgotten, a_tenants_floor_holds_against_a_flood);
+    broken(breaks::Break::TurnsForgotten, a_tenant_below_its_share_is_served_within_the_bound);
 }
--- a/fleet/tests/common/mod.rs
+++ b/fleet/tests/common/mod.rs
@@ -3,12 +3,12 @@
 use bytes::Bytes;
 use quillmount_core::journal::{self, AcceptedMessage, End, JournalContents, JournalRecord};
 use quillmount_core::store::Store;
-use quillmount_fleet::agreement::Limits;
-pub use quillmount_fleet::member::Input;
-use quillmount_fleet::member::{Member, Output, Stores};
-use quillmount_fleet::message::{Envelope, Message};
-use quillmount_fleet::plan::{Missing, Name, Peer, Plan};
-use quillmount_fleet::state::{Source, part_of};
+use quillmount_fleet::agreement::AgreementLimits;
+use quillmount_fleet::config::{FleetConfig, MissingReplicas, Name, Peer};
+pub use quillmount_fleet::member::MemberInput;
+use quillmount_fleet::member::{Member, MemberOutput, StoreDirectory};
+use quillmount_fleet::message::{Envelope, FleetMessage};
+use quillmount_fleet::state::{PartitionId, partition_of};
 use spurshore::Micros;
 use spurshore_tables::draw;
 use std::cell::RefCell;
@@ -46,7 +46,7 @@
     }
 }
 
-impl Stores for Disk {
+impl StoreDirectory for Disk {
     type Store = File;
     fn open(&mut self, name: &str) -> io::Result<File> {
         self.0.borrow_mut().entry(name.into()).or_default();
@@ -72,7 +72,7 @@
 /// A courier's process: its member, and the few rules of a journal that matter here.
 pub struct Process {
     pub member: Member<Disk>,
-    life: u64,
+    incarnation: u64,
     journal: Vec<u8>,
     mark: u64,
     safe: u64,
@@ -103,18 +103,18 @@
     bodies: BTreeMap<u64, Envelope>,
     order: u64,
     seed: u64,
-    lives: u64,
+    incarnations: u64,
     /// Links that are cut, each way alone.
     pub cut: BTreeSet<(usize, usize)>,
     /// The same, for pages of books alone.
-    pub cut_books: BTreeSet<(usize, usize)>,
+    pub cut_pages: BTreeSet<(usize, usize)>,
     /// Parts of envelopes that are lost, and that come twice.
     pub loss: f64,
     pub doubled: f64,
     pub delay: Micros,
     pub seen: Seen,
     pub copies: usize,
-    pub missing: Missing,
+    pub missing_replicas: MissingReplicas,
     pub voters: usize,
     pub budgets: Vec<quillmount_fleet::budget::Budget>,
     /// A call takes so long at the provider.
@@ -137,15 +137,15 @@
             bodies: BTreeMap::new(),
             order: 0,
             seed,
-            lives: 0,
+            incarnations: 0,
             cut: BTreeSet::new(),
-            cut_books: BTreeSet::new(),
+            cut_pages: BTreeSet::new(),
             loss: 0.0,
             doubled: 0.0,
             delay: MS,
             seen: Seen::default(),
             copies: 1,
-            missing: Missing::Require,
+            missing_replicas: MissingReplicas::Require,
             voters: 3.min(n),
             budgets: Vec::new(),
             trip: 20 * MS,
@@ -155,32 +155,33 @@
         }
     }
 
-    fn plan(&self, me: usize) -> Plan {
-        Plan {
-            me: self.names[me].clone(),
+    fn config(&self, local_name: usize) -> FleetConfig {
+        FleetConfig {
+            local_name: self.names[local_name].clone(),
             peers: self.names.iter().map(|n| Peer { name: n.clone(), host: String::new() }).collect(),
             voters: self.names[..self.voters].to_vec(),
             lease: 2 * SEC,
             drift: 0.01,
-            copies: self.copies,
-            missing: self.missing,
+            replicas: self.copies,
+            missing_replicas: self.missing_replicas,
             budgets: self.budgets.clone(),
-            call: 2 * SEC,
-            quiet: SEC,
+            max_call: 2 * SEC,
+            max_idle: SEC,
         }
     }
 
     pub fn start(&mut self, i: usize) {
-        self.lives += 1;
-        let life = self.lives * 1_000 + i as u64 + 1;
-        let limits = Limits { seed: self.seed ^ life, ..Limits::default() };
+        self.incarnations += 1;
+        let incarnation = self.incarnations * 1_000 + i as u64 + 1;
+        let limits = AgreementLimits { seed: self.seed ^ incarnation, ..AgreementLimits::default() };
         let mut journal = self.disks[i].open("journal").unwrap();
         let bytes = journal.read().unwrap();
-        let opened = Member::open(self.plan(i), self.disks[i].clone(), life, life, limits, self.now);
+        let opened =
+            Member::open(self.config(i), self.disks[i].clone(), incarnation, incarnation, limits, self.now);
         let (member, out) = opened.unwrap();
         self.processes[i] = Some(Process {
             member,
-            life,
+            incarnation,
             mark: bytes.len() as u64,
             journal: bytes,
             safe: 0,
@@ -216,17 +217,17 @@
         draw(&mut self.seed)
     }
 
-    fn send(&mut self, from: usize, to: Name, message: Message) {
+    fn send(&mut self, from: usize, to: Name, message: FleetMessage) {
         let Some(n) = self.names.iter().position(|name| *name == to) else { return };
         let Some(p) = &self.processes[from] else { return };
-        let token = p.member.agreement().token();
-        if matches!(message, Message::Append { .. }) && self.cut_books.contains(&(from, n)) {
+        let node_id = p.member.agreement().node_id();
+        if matches!(message, FleetMessage::Append { .. }) && self.cut_pages.contains(&(from, n)) {
             return;
         }
         if self.cut.contains(&(from, n)) || self.chance() < self.loss {
             return;
         }
-        let envelope = Envelope { from: self.names[from].clone(), to, token, messages: vec![message] };
+        let envelope = Envelope { from: self.names[from].clone(), to, node_id, messages: vec![message] };
         let times = if self.chance() < self.doubled { 2 } else { 1 };
         for _ in 0..times {
             self.order += 1;
@@ -236,7 +237,7 @@
         }
     }
 
-    pub fn step(&mut self, i: usize, input: Input) {
+    pub fn step(&mut self, i: usize, input: MemberInput) {
         let now = self.now;
         let Some(p) = self.processes[i].as_mut() else { return };
         let out = p.member.step(input, now).unwrap();
@@ -251,7 +252,7 @@
         let mark = p.mark;
         let mut file = File { disk: self.disks[i].clone(), name: "journal".into() };
         file.append(&bytes).unwrap();
-        self.step(i, Input::Wrote(bytes));
+        self.step(i, MemberInput::JournalAppended(bytes));
         mark
     }
 
@@ -304,35 +305,39 @@
                 Due::Call { id, msg, debit: _ } => {
                     self.seen.calls.entry(id.clone()).or_default().push((i, now));
                     // Its answer: the provider took it.
-                    self.answers.push((now + self.trip, i, self.life_of(i), id, msg));
+                    self.answers.push((now + self.trip, i, self.incarnation_of(i), id, msg));
                 }
             }
         }
     }
 
-    fn life_of(&self, i: usize) -> u64 {
-        self.processes[i].as_ref().map_or(0, |p| p.life)
+    fn incarnation_of(&self, i: usize) -> u64 {
+        self.processes[i].as_ref().map_or(0, |p| p.incarnation)
     }
 
-    fn carry_out(&mut self, i: usize, out: Vec<Output>) {
+    fn carry_out(&mut self, i: usize, out: Vec<MemberOutput>) {
         for output in out {
             match output {
-                Output::Send(to, message) => self.send(i, to, message),
-                Output::Joined { kept, .. } => self.joined(i, kept),
-                Output::Safe(mark) => {
+                MemberOutput::Send(to, message) => self.send(i, to, message),
+                MemberOutput::Joined { retained, .. } => self.joined(i, retained),
+                MemberOutput::Replicated(mark) => {
                     if let Some(p) = self.processes[i].as_mut() {
                         p.safe = mark;
                     }
                     self.act(i);
                 }
-                Output::Copies { enough, .. } => {
+                MemberOutput::Replicas { enough, .. } => {
                     if let Some(p) = self.processes[i].as_mut() {
                         p.enough = enough;
                     }
                 }
-                Output::Adopt { parts, settled, bytes } => self.adopt(i, &parts, &settled, &bytes),
-                Output::Settle { source, kept } => self.settle(i, source, kept),
-                Output::Replaced => {
+                MemberOutput::Adopt { partitions, settled, bytes } => {
+                    self.adopt(i, &partitions, &settled, &bytes)
+                }
+                MemberOutput::ResolveAdoption { source, adopted } => {
+                    self.resolve_adoption(i, source, adopted)
+                }
+                MemberOutput::Fenced => {
                     self.replaced.insert(i);
                     if self.stays {
                         continue;
@@ -341,33 +346,35 @@
                     self.start(i);
                     return;
                 }
-                Output::Lease(_) => self.act(i),
-                Output::Left | Output::Orders(_) => {}
-                Output::Settlement(_) | Output::Settlements | Output::Heard { .. } => {}
-                Output::Note(note) => self.seen.notes.push((self.now, i, note.to_string())),
+                MemberOutput::Lease(_) => self.act(i),
+                MemberOutput::Left | MemberOutput::CloseConnections(_) => {}
+                MemberOutput::Settlement(_)
+                | MemberOutput::SettlementsRestored
+                | MemberOutput::SettlementReceived { .. } => {}
+                MemberOutput::Notice(note) => self.seen.notes.push((self.now, i, note.to_string())),
             }
         }
     }
 
-    fn joined(&mut self, i: usize, kept: bool) {
+    fn joined(&mut self, i: usize, retained: bool) {
         let mut file = File { disk: self.disks[i].clone(), name: "journal".into() };
         let Some(p) = self.processes[i].as_mut() else { return };
-        let line = p.member.agreed_line();
-        if !kept {
-            p.member.note_line(None).unwrap();
+        let lineage = p.member.agreed_lineage();
+        if !retained {
+            p.member.record_lineage(None).unwrap();
             p.journal.clear();
             p.mark = 0;
             file.replace(&[]).unwrap();
         }
-        p.member.note_line(line).unwrap();
+        p.member.record_lineage(lineage).unwrap();
         p.joined = true;
-        let (book, _) = JournalContents::read(&p.journal);
-        p.next = p.next.max(book.next);
-        let unsettled: BTreeSet<Source> =
-            book.owed.values().filter_map(|e| e.source.as_ref().map(Source::from)).collect();
+        let (journal_state, _) = JournalContents::read(&p.journal);
+        p.next = p.next.max(journal_state.next);
+        let unsettled: BTreeSet<PartitionId> =
+            journal_state.owed.values().filter_map(|e| e.source.as_ref().map(PartitionId::from)).collect();
         let bytes = p.journal.clone();
-        self.step(i, Input::Book { bytes, unsettled: unsettled.into_iter().collect() });
-        let own = book.owed.into_iter().filter(|(_, e)| e.source.is_none()).collect::<Vec<_>>();
+        self.step(i, MemberInput::JournalOpened { bytes, unsettled: unsettled.into_iter().collect() });
+        let own = journal_state.owed.into_iter().filter(|(_, e)| e.source.is_none()).collect::<Vec<_>>();
         for (msg, entry) in own {
             self.go_on(i, msg, entry);
         }
@@ -392,13 +399,13 @@
         }
     }
 
-    fn adopt(&mut self, i: usize, parts: &[Source], settled: &BTreeSet<Source>, bytes: &[u8]) {
-        let (book, _) = JournalContents::read(bytes);
+    fn adopt(&mut self, i: usize, partitions: &[PartitionId], settled: &BTreeSet<PartitionId>, bytes: &[u8]) {
+        let (journal_state, _) = JournalContents::read(bytes);
         let mut records = Vec::new();
-        for entry in book.owed.into_values() {
-            let part = part_of(entry.taken.dest);
-            let Some(source) = parts.iter().find(|s| s.part == part) else { continue };
-            if entry.source.as_ref().is_some_and(|s| !settled.contains(&Source::from(s))) {
+        for entry in journal_state.owed.into_values() {
+            let partition = partition_of(entry.taken.dest);
+            let Some(source) = partitions.iter().find(|s| s.partition == partition) else { continue };
+            if entry.source.as_ref().is_some_and(|s| !settled.contains(&PartitionId::from(s))) {
                 continue;
             }
             let Some(p) = self.processes[i].as_mut() else { return };
@@ -415,19 +422,19 @@
             records.extend(entry.end.map(|end| JournalRecord::End { msg, end }));
         }
         self.write(i, &records);
-        for source in parts {
-            self.step(i, Input::Adopted(source.clone()));
+        for source in partitions {
+            self.step(i, MemberInput::Adopted(source.clone()));
         }
     }
 
-    fn settle(&mut self, i: usize, source: Source, kept: bool) {
+    fn resolve_adoption(&mut self, i: usize, source: PartitionId, adopted: bool) {
         let Some(p) = self.processes[i].as_ref() else { return };
-        let (book, _) = JournalContents::read(&p.journal);
+        let (journal_state, _) = JournalContents::read(&p.journal);
         let from: journal::Source = (&source).into();
-        self.write(i, &[JournalRecord::Settled { source: from.clone(), accepted: kept }]);
-        self.step(i, Input::Settled(source));
-        if kept {
-            let mine = book.owed.into_iter().filter(|(_, e)| e.source.as_ref() == Some(&from));
+        self.write(i, &[JournalRecord::Settled { source: from.clone(), accepted: adopted }]);
+        self.step(i, MemberInput::AdoptionResolved(source));
+        if adopted {
+            let mine = journal_state.owed.into_iter().filter(|(_, e)| e.source.as_ref() == Some(&from));
             for (msg, entry) in mine.collect::<Vec<_>>() {
                 self.go_on(i, msg, entry);
             }
@@ -468,17 +475,19 @@
                         self.bodies.insert(self.order, envelope);
                         continue;
                     }
-                    self.step(to, Input::Heard(envelope));
+                    self.step(to, MemberInput::Received(envelope));
                 }
                 continue;
             }
             if let Some(n) = self.answers.iter().position(|a| a.0 <= self.now) {
-                let (_, i, life, id, msg) = self.answers.remove(n);
-                if self.life_of(i) == life && self.processes[i].as_ref().is_some_and(|p| !p.paused) {
+                let (_, i, incarnation, id, msg) = self.answers.remove(n);
+                if self.incarnation_of(i) == incarnation
+                    && self.processes[i].as_ref().is_some_and(|p| !p.paused)
+                {
                     self.seen.ends.entry(id).or_default().push((i, true));
                     self.write(i, &[JournalRecord::End { msg, end: End::Delivered }]);
-                } else if self.life_of(i) == life {
-                    self.answers.push((self.now + 50 * MS, i, life, id, msg));
+                } else if self.incarnation_of(i) == incarnation {
+                    self.answers.push((self.now + 50 * MS, i, incarnation, id, msg));
                 }
                 continue;
             }
@@ -486,7 +495,7 @@
                 let now = self.now;
                 let due = |p: &Process| !p.paused && p.member.wake_at().is_some_and(|at| at <= now);
                 if self.processes[i].as_ref().is_some_and(due) {
-                    self.step(i, Input::Tick);
+                    self.step(i, MemberInput::Tick);
                     self.act(i);
                 }
             }
--- a/fleet/tests/explore.rs
+++ b/fleet/tests/explore.rs
@@ -8,12 +8,12 @@
 use digest_file::{Counts, compare_with_file};
 use quillmount_core::journal::{self, AcceptedMessage, End, JournalContents, JournalRecord, Records};
 use quillmount_core::store::Store;
-use quillmount_fleet::Token;
+use quillmount_fleet::NodeId;
 use quillmount_fleet::agreement::{self, AgreementError, Opened};
-use quillmount_fleet::member::{Input, Log, Member, Output, Stores};
-use quillmount_fleet::message::{Envelope, Message};
-use quillmount_fleet::plan::{Missing, Peer, Plan};
-use quillmount_fleet::state::{Agreed, Command, Epoch, Part, Source, part_of};
+use quillmount_fleet::config::{FleetConfig, MissingReplicas, Peer};
+use quillmount_fleet::member::{AgreementLog, Member, MemberInput, MemberOutput, StoreDirectory};
+use quillmount_fleet::message::{Envelope, FleetMessage};
+use quillmount_fleet::state::{Epoch, FleetCommand, FleetState, PartitionId, PartitionState, partition_of};
 use spurshore::Micros;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -105,7 +105,7 @@
     }
 }
 
-impl Stores for Folder {
+impl StoreDirectory for Folder {
     type Store = File;
     fn open(&mut self, name: &str) -> io::Result<File> {
         if !hand(|h| h.dead) {
@@ -127,44 +127,44 @@
 /// The agreed log as one member sees it.
 #[derive(Clone, Default)]
 struct Line {
-    token: Token,
-    leader: Cell<Option<Token>>,
+    node_id: NodeId,
+    leader: Cell<Option<NodeId>>,
     /// A majority would confirm that it leads.
     sure: Cell<bool>,
-    told: RefCell<Vec<agreement::Output>>,
+    told: RefCell<Vec<agreement::AgreementOutput>>,
     proposed: RefCell<Vec<Vec<u8>>>,
 }
 
-impl Log for Line {
-    fn begin(&mut self, _: Micros) -> Result<Vec<agreement::Output>, AgreementError> {
+impl AgreementLog for Line {
+    fn bootstrap(&mut self, _: Micros) -> Result<Vec<agreement::AgreementOutput>, AgreementError> {
         Ok(Vec::new())
     }
-    fn step(&mut self, input: agreement::Input, _: Micros) -> Vec<agreement::Output> {
+    fn step(&mut self, input: agreement::AgreementInput, _: Micros) -> Vec<agreement::AgreementOutput> {
         match input {
-            agreement::Input::Tick => self.told.take(),
-            agreement::Input::Read { ticket } if self.sure.get() => {
-                vec![agreement::Output::Readable { ticket }]
+            agreement::AgreementInput::Tick => self.told.take(),
+            agreement::AgreementInput::ReadIndex { ticket } if self.sure.get() => {
+                vec![agreement::AgreementOutput::ReadReady { ticket }]
             }
-            agreement::Input::Propose { command, .. } => {
+            agreement::AgreementInput::Propose { command, .. } => {
                 self.proposed.borrow_mut().push(command);
                 Vec::new()
             }
             _ => Vec::new(),
         }
     }
-    fn leader(&self) -> Option<Token> {
+    fn leader(&self) -> Option<NodeId> {
         self.leader.get()
     }
     fn leads(&self) -> bool {
-        self.leader.get() == Some(self.token)
+        self.leader.get() == Some(self.node_id)
     }
-    fn token(&self) -> Token {
-        self.token
+    fn node_id(&self) -> NodeId {
+        self.node_id
     }
-    fn voters(&self) -> Vec<Token> {
+    fn voters(&self) -> Vec<NodeId> {
         Vec::new()
     }
-    fn learners(&self) -> Vec<Token> {
+    fn learners(&self) -> Vec<NodeId> {
         Vec::new()
     }
     fn wake_at(&self) -> Option<Micros> {
@@ -191,7 +191,7 @@
 #[derive(Clone)]
 struct Process {
     member: Member<Folder, Line>,
-    life: u64,
+    incarnation: u64,
     applied: usize,
     mark: u64,
     safe: u64,
@@ -215,10 +215,10 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    Deliver { from: usize, to: usize, token: Token, message: Message },
-    Commit { life: u64, term: u64, command: Vec<u8> },
+    Deliver { from: usize, to: usize, node_id: NodeId, message: FleetMessage },
+    Commit { incarnation: u64, term: u64, command: Vec<u8> },
     Apply(usize),
-    Answer { to: usize, life: u64, id: String, msg: u64 },
+    Answer { to: usize, incarnation: u64, id: String, msg: u64 },
     HandIn(usize),
     Start(usize),
     Resume(usize),
@@ -289,9 +289,9 @@
     processes: Vec<Option<Process>>,
     queue: BTreeMap<(Micros, u64), Event>,
     order: u64,
-    lives: u64,
+    incarnations: u64,
     log: Vec<Vec<u8>>,
-    agreed: Agreed,
+    state: FleetState,
     leader: usize,
     term: u64,
     cut: BTreeSet<(usize, usize)>,
@@ -309,18 +309,18 @@
     name[1..].parse().unwrap()
 }
 
-fn plan(me: usize, copies: usize) -> Plan {
-    Plan {
-        me: name(me),
+fn config(local_name: usize, copies: usize) -> FleetConfig {
+    FleetConfig {
+        local_name: name(local_name),
         peers: (0..N).map(|i| Peer { name: name(i), host: String::new() }).collect(),
         voters: (0..N).map(name).collect(),
         lease: LEASE,
         drift: 0.01,
-        copies,
-        missing: Missing::Require,
+        replicas: copies,
+        missing_replicas: MissingReplicas::Require,
         budgets: Vec::new(),
-        call: 2 * LEASE,
-        quiet: LEASE,
+        max_call: 2 * LEASE,
+        max_idle: LEASE,
     }
 }
 
@@ -334,9 +334,9 @@
             processes: vec![None; N],
             queue: BTreeMap::new(),
             order: 0,
-            lives: 0,
+            incarnations: 0,
             log: Vec::new(),
-            agreed: Agreed::default(),
+            state: FleetState::default(),
             leader: 0,
             term: 1,
             cut: BTreeSet::new(),
@@ -453,24 +453,26 @@
             {
                 self.processes[to].as_mut().unwrap().inbox.push(event);
             }
-            Event::Deliver { from, to, token, message } => {
-                if let (Message::Granted { ticket, .. }, Some(p)) = (&message, &mut self.processes[to])
+            Event::Deliver { from, to, node_id, message } => {
+                if let (FleetMessage::LeaseGranted { ticket, .. }, Some(p)) =
+                    (&message, &mut self.processes[to])
                     && let Some(asked) = p.asked.get(ticket)
                 {
-                    p.leased = p.leased.max(asked + p.member.plan.own_lease());
+                    p.leased = p.leased.max(asked + p.member.config.member_lease());
                 }
-                let envelope = Envelope { from: name(from), to: name(to), token, messages: vec![message] };
-                self.step(to, Input::Heard(envelope));
+                let envelope = Envelope { from: name(from), to: name(to), node_id, messages: vec![message] };
+                self.step(to, MemberInput::Received(envelope));
             }
-            Event::Commit { life, term, command } => {
-                let leads = self.processes[self.leader].as_ref().is_some_and(|p| p.life == life);
+            Event::Commit { incarnation, term, command } => {
+                let leads =
+                    self.processes[self.leader].as_ref().is_some_and(|p| p.incarnation == incarnation);
                 if leads && term == self.term && self.carries(self.leader) {
                     self.commit(command);
                 }
             }
             Event::Apply(i) | Event::Tick(i) => self.beat(i),
-            Event::Answer { to, life, id, msg } => {
-                if self.processes[to].as_ref().is_some_and(|p| p.life == life) {
+            Event::Answer { to, incarnation, id, msg } => {
+                if self.processes[to].as_ref().is_some_and(|p| p.incarnation == incarnation) {
                     let end = End::Delivered;
                     // Nobody is told of a delivery: the answer is its end.
                     self.seen.ends.insert(id.clone());
@@ -545,21 +547,22 @@
             return;
         }
         let leader = self.processes[self.leader].as_ref().filter(|p| !p.paused);
-        let leader = leader.map(|p| p.member.agreement().token());
+        let leader = leader.map(|p| p.member.agreement().node_id());
         let told = leader.filter(|_| self.hears(self.leader, i));
         let Some(p) = &mut self.processes[i] else { return };
         p.beat = self.now + 50 * MS;
         let line = p.member.agreement();
-        if let Some(token) = told {
-            if line.leader.get() != Some(token) {
-                line.leader.set(Some(token));
-                let leader = agreement::Output::Leader { leader: Some(token), term: self.term };
+        if let Some(node_id) = told {
+            if line.leader.get() != Some(node_id) {
+                line.leader.set(Some(node_id));
+                let leader =
+                    agreement::AgreementOutput::LeaderChanged { leader: Some(node_id), term: self.term };
                 line.told.borrow_mut().push(leader);
             }
             if self.now >= p.behind {
                 for (n, command) in self.log.iter().enumerate().skip(p.applied) {
                     let (index, command) = (n as u64 + 1, command.clone());
-                    line.told.borrow_mut().push(agreement::Output::Committed {
+                    line.told.borrow_mut().push(agreement::AgreementOutput::Committed {
                         index,
                         ticket: None,
                         command,
@@ -574,21 +577,21 @@
                 }
             }
         }
-        self.step(i, Input::Tick);
+        self.step(i, MemberInput::Tick);
         self.act(i);
     }
 
     fn commit(&mut self, command: Vec<u8>) {
-        let read: Command = postcard::from_bytes(&command).unwrap();
-        if let Command::Gone { name, epoch } = &read
-            && self.agreed.epoch_of(name) == Some(*epoch)
+        let read: FleetCommand = postcard::from_bytes(&command).unwrap();
+        if let FleetCommand::Deregister { name, epoch } = &read
+            && self.state.epoch_of(name) == Some(*epoch)
         {
             let p = self.processes[number(name)].as_ref().filter(|p| !p.paused);
             if p.is_some_and(|p| p.member.epoch() == Some(*epoch) && p.leased > self.now) {
                 self.wrong(format!("lease: {name} counts as gone, and has a lease"));
             }
         }
-        self.agreed.apply(read);
+        self.state.apply(read);
         self.log.push(command);
         self.beat(self.leader);
         let leader = self.leader;
@@ -598,23 +601,23 @@
     }
 
     fn start(&mut self, i: usize) {
-        self.lives += 1;
-        let life = self.lives * 1_000 + i as u64 + 1;
+        self.incarnations += 1;
+        let incarnation = self.incarnations * 1_000 + i as u64 + 1;
         let kept = hand(|h| h.disks[i].get("token").cloned());
-        let token = kept.as_ref().map_or(life, |t| u64::from_le_bytes(t[..].try_into().unwrap()));
-        hand(|h| h.disks[i].insert("token".into(), token.to_le_bytes().into()));
+        let node_id = kept.as_ref().map_or(incarnation, |t| u64::from_le_bytes(t[..].try_into().unwrap()));
+        hand(|h| h.disks[i].insert("token".into(), node_id.to_le_bytes().into()));
         let applied = hand(|h| h.disks[i].get("applied").cloned());
         let applied = applied.map_or(0, |t| u64::from_le_bytes(t[..].try_into().unwrap())) as usize;
         let committed = self.log[..applied].iter().enumerate().map(|(n, c)| (n as u64 + 1, c.clone()));
         let committed = committed.collect();
         let opened = Opened { new: kept.is_none(), state: Vec::new(), index: 0, committed };
-        let line = Line { token, ..Line::default() };
-        let plan = plan(i, self.case.copies);
-        let (member, out) = Member::with_log(plan, Folder(i), line, opened, life, self.now).unwrap();
+        let line = Line { node_id, ..Line::default() };
+        let config = config(i, self.case.copies);
+        let (member, out) = Member::with_log(config, Folder(i), line, opened, incarnation, self.now).unwrap();
         let mark = File(i, "journal".into()).len();
         self.processes[i] = Some(Process {
             member,
-            life,
+            incarnation,
             applied,
             mark,
             safe: 0,
@@ -634,18 +637,18 @@
         self.elect(false);
     }
 
-    fn step(&mut self, i: usize, input: Input) {
+    fn step(&mut self, i: usize, input: MemberInput) {
         let now = self.clock(i);
         let sure = i == self.leader && self.carries(i);
         let Some(p) = self.processes[i].as_mut() else { return };
         p.member.agreement().sure.set(sure);
         let out = p.member.step(input, now).unwrap();
         let proposed = p.member.agreement().proposed.take();
-        let life = p.life;
+        let incarnation = p.incarnation;
         for command in proposed {
             if i == self.leader && effect(true) {
                 // To a majority and back.
-                self.at(2 * MS, Event::Commit { life, term: self.term, command });
+                self.at(2 * MS, Event::Commit { incarnation, term: self.term, command });
             }
         }
         self.carry_out(i, out);
@@ -657,7 +660,7 @@
         p.mark += bytes.len() as u64;
         let mark = p.mark;
         File(i, "journal".into()).append(&bytes).unwrap();
-        self.step(i, Input::Wrote(bytes));
+        self.step(i, MemberInput::JournalAppended(bytes));
         mark
     }
 
@@ -701,7 +704,7 @@
             };
             let Some(n) = p.due.iter().position(ready) else { return };
             let (due, stale, leased) = (p.due.remove(n).1, p.stale.is_some(), p.leased);
-            let (life, epoch) = (p.life, p.member.epoch());
+            let (incarnation, epoch) = (p.incarnation, p.member.epoch());
             if !effect(true) {
                 return;
             }
@@ -719,7 +722,7 @@
                     if leased <= now {
                         self.wrong(format!("lease: {} calls {id} without one", name(i)));
                     }
-                    if !stale && self.agreed.epoch_of(&name(i)) != epoch {
+                    if !stale && self.state.epoch_of(&name(i)) != epoch {
                         self.wrong(format!("owner: {} calls {id}, and is replaced", name(i)));
                     }
                     let key = (name(i), id.clone());
@@ -734,82 +737,88 @@
                     if debit && *all > 1 {
                         self.wrong(format!("once: debit {id} is called again, by {}", name(i)));
                     }
-                    self.at(self.case.trip, Event::Answer { to: i, life, id, msg });
+                    self.at(self.case.trip, Event::Answer { to: i, incarnation, id, msg });
                 }
             }
         }
     }
 
-    fn carry_out(&mut self, i: usize, out: Vec<Output>) {
+    fn carry_out(&mut self, i: usize, out: Vec<MemberOutput>) {
         for output in out {
             match output {
-                Output::Send(to, message) => self.send(i, &to, message),
-                Output::Joined { kept, .. } => self.joined(i, kept),
-                Output::Safe(mark) => {
+                MemberOutput::Send(to, message) => self.send(i, &to, message),
+                MemberOutput::Joined { retained, .. } => self.joined(i, retained),
+                MemberOutput::Replicated(mark) => {
                     if let Some(p) = self.processes[i].as_mut() {
                         p.safe = mark;
                     }
                     self.act(i);
                 }
-                Output::Copies { enough, .. } => {
+                MemberOutput::Replicas { enough, .. } => {
                     if let Some(p) = self.processes[i].as_mut() {
                         p.enough = enough;
                     }
                 }
-                Output::Adopt { parts, settled, bytes } => self.adopt(i, &parts, &settled, &bytes),
-                Output::Settle { source, kept } => self.settle(i, source, kept),
-                Output::Replaced => {
+                MemberOutput::Adopt { partitions, settled, bytes } => {
+                    self.adopt(i, &partitions, &settled, &bytes)
+                }
+                MemberOutput::ResolveAdoption { source, adopted } => {
+                    self.resolve_adoption(i, source, adopted)
+                }
+                MemberOutput::Fenced => {
                     if !hand(|h| h.dead) {
                         self.processes[i] = None;
                         self.start(i);
                     }
                     return;
                 }
-                Output::Lease(until) => {
+                MemberOutput::Lease(until) => {
                     if let Some(p) = self.processes[i].as_mut().filter(|p| p.member.agreement().leads()) {
                         // Its own word to itself.
                         p.leased = p.leased.max(until);
                     }
                     self.act(i);
                 }
-                Output::Note(note) => tell(|| format!("{} {note}", name(i))),
-                Output::Left | Output::Orders(_) => {}
-                Output::Settlement(_) | Output::Settlements | Output::Heard { .. } => {}
+                MemberOutput::Notice(note) => tell(|| format!("{} {note}", name(i))),
+                MemberOutput::Left | MemberOutput::CloseConnections(_) => {}
+                MemberOutput::Settlement(_)
+                | MemberOutput::SettlementsRestored
+                | MemberOutput::SettlementReceived { .. } => {}
             }
         }
     }
 
-    fn send(&mut self, from: usize, to: &str, message: Message) {
+    fn send(&mut self, from: usize, to: &str, message: FleetMessage) {
         let now = self.clock(from);
         let Some(p) = self.processes[from].as_mut() else { return };
-        let token = p.member.agreement().token();
-        let lease = matches!(message, Message::Renew { .. } | Message::Granted { .. });
-        if let Message::Renew { ticket, .. } = message {
+        let node_id = p.member.agreement().node_id();
+        let lease = matches!(message, FleetMessage::RenewLease { .. } | FleetMessage::LeaseGranted { .. });
+        if let FleetMessage::RenewLease { ticket, .. } = message {
             p.asked.insert(ticket, now);
         }
         if effect(!lease) {
-            self.at(MS, Event::Deliver { from, to: number(to), token, message });
+            self.at(MS, Event::Deliver { from, to: number(to), node_id, message });
         }
     }
 
-    fn joined(&mut self, i: usize, kept: bool) {
+    fn joined(&mut self, i: usize, retained: bool) {
         let mut file = File(i, "journal".into());
         let Some(p) = self.processes[i].as_mut() else { return };
-        let line = p.member.agreed_line();
-        if !kept {
-            p.member.note_line(None).unwrap();
+        let lineage = p.member.agreed_lineage();
+        if !retained {
+            p.member.record_lineage(None).unwrap();
             p.mark = 0;
             file.replace(&[]).unwrap();
         }
-        p.member.note_line(line).unwrap();
+        p.member.record_lineage(lineage).unwrap();
         p.joined = true;
         let bytes = file.read().unwrap();
-        let (book, _) = JournalContents::read(&bytes);
-        p.next = p.next.max(book.next);
-        let unsettled: BTreeSet<Source> =
-            book.owed.values().filter_map(|e| e.source.as_ref().map(Source::from)).collect();
-        self.step(i, Input::Book { bytes, unsettled: unsettled.into_iter().collect() });
-        for (msg, entry) in book.owed.into_iter().filter(|(_, e)| e.source.is_none()) {
+        let (journal_state, _) = JournalContents::read(&bytes);
+        p.next = p.next.max(journal_state.next);
+        let unsettled: BTreeSet<PartitionId> =
+            journal_state.owed.values().filter_map(|e| e.source.as_ref().map(PartitionId::from)).collect();
+        self.step(i, MemberInput::JournalOpened { bytes, unsettled: unsettled.into_iter().collect() });
+        for (msg, entry) in journal_state.owed.into_iter().filter(|(_, e)| e.source.is_none()) {
             self.go_on(i, msg, entry);
         }
     }
@@ -830,13 +839,13 @@
         }
     }
 
-    fn adopt(&mut self, i: usize, parts: &[Source], settled: &BTreeSet<Source>, bytes: &[u8]) {
-        let (book, _) = JournalContents::read(bytes);
+    fn adopt(&mut self, i: usize, partitions: &[PartitionId], settled: &BTreeSet<PartitionId>, bytes: &[u8]) {
+        let (journal_state, _) = JournalContents::read(bytes);
         let mut records = Vec::new();
-        for entry in book.owed.into_values() {
-            let part = part_of(entry.taken.dest);
-            let Some(source) = parts.iter().find(|s| s.part == part) else { continue };
-            if entry.source.as_ref().is_some_and(|s| !settled.contains(&Source::from(s))) {
+        for entry in journal_state.owed.into_values() {
+            let partition = partition_of(entry.taken.dest);
+            let Some(source) = partitions.iter().find(|s| s.partition == partition) else { continue };
+            if entry.source.as_ref().is_some_and(|s| !settled.contains(&PartitionId::from(s))) {
                 continue;
             }
             let Some(p) = self.processes[i].as_mut() else { return };
@@ -850,25 +859,25 @@
             records.extend(entry.end.map(|end| JournalRecord::End { msg, end }));
         }
         self.write(i, &records);
-        for source in parts {
-            self.step(i, Input::Adopted(source.clone()));
+        for source in partitions {
+            self.step(i, MemberInput::Adopted(source.clone()));
         }
     }
 
-    fn settle(&mut self, i: usize, source: Source, kept: bool) {
-        let (book, _) = JournalContents::read(&File(i, "journal".into()).read().unwrap());
+    fn resolve_adoption(&mut self, i: usize, source: PartitionId, adopted: bool) {
+        let (journal_state, _) = JournalContents::read(&File(i, "journal".into()).read().unwrap());
         let from: journal::Source = (&source).into();
-        if kept {
+        if adopted {
             let key = (from.owner.clone(), from.epoch, from.part);
             let by = *self.seen.kept.entry(key).or_insert(i);
             if by != i {
                 self.wrong(format!("part: {source} is settled by {} and {}", name(by), name(i)));
             }
         }
-        self.write(i, &[JournalRecord::Settled { source: from.clone(), accepted: kept }]);
-        self.step(i, Input::Settled(source));
-        if kept {
-            let mine = book.owed.into_iter().filter(|(_, e)| e.source.as_ref() == Some(&from));
+        self.write(i, &[JournalRecord::Settled { source: from.clone(), accepted: adopted }]);
+        self.step(i, MemberInput::AdoptionResolved(source));
+        if adopted {
+            let mine = journal_state.owed.into_iter().filter(|(_, e)| e.source.as_ref() == Some(&from));
             for (msg, entry) in mine.collect::<Vec<_>>() {
                 self.go_on(i, msg, entry);
             }
@@ -909,21 +918,27 @@
     /// Whoever serves and is named as a copy's holder has what was answered 202 and is not ended.
     fn look_at_holders(&mut self) {
         let owed: Vec<_> = self.seen.taken_on.iter().filter(|id| !self.seen.ends.contains(*id)).collect();
-        let Some(book) = self.agreed.books.iter().find(|(id, b)| {
-            id.owner == name(self.case.owner) && b.version > 0 && b.line == id.epoch && b.line <= N as Epoch
+        let Some(journal_state) = self.state.journals.iter().find(|(id, b)| {
+            id.owner == name(self.case.owner)
+                && b.version > 0
+                && b.lineage == id.epoch
+                && b.lineage <= N as Epoch
         }) else {
             return;
         };
-        let untaken = |n: usize| match &book.1.sealed {
-            Some(parts) => matches!(parts[part_of(self.case.messages[n].0)], Part::Waiting | Part::Given(..)),
+        let untaken = |n: usize| match &journal_state.1.sealed {
+            Some(parts) => matches!(
+                parts[partition_of(self.case.messages[n].0)],
+                PartitionState::Unassigned | PartitionState::Assigned(..)
+            ),
             None => true,
         };
         for (id, n) in owed.into_iter().map(|id| (id, id[1..].parse::<usize>().unwrap())) {
-            for holder in book.1.copies.iter().map(|h| number(h)).filter(|_| untaken(n)) {
+            for holder in journal_state.1.replicas.iter().map(|h| number(h)).filter(|_| untaken(n)) {
                 let Some(p) = &self.processes[holder] else { continue };
                 // Only one that has come back under its present folder is counted on.
-                let member = self.agreed.members.get(&name(holder));
-                if member.is_none_or(|m| !m.serving || m.life != p.life) {
+                let member = self.state.members.get(&name(holder));
+                if member.is_none_or(|m| !m.serving || m.incarnation != p.incarnation) {
                     continue;
                 }
                 let mine = format!(".{}", name(self.case.owner));
@@ -946,7 +961,7 @@
     fn over(&self) -> bool {
         let late = self.now > self.zero + OVER;
         let ended = self.seen.taken_on.iter().all(|id| self.seen.ends.contains(id));
-        let calm = self.agreed.books.values().all(|b| b.sealed.is_none());
+        let calm = self.state.journals.values().all(|b| b.sealed.is_none());
         late || self.healed && ended && calm && (0..N).all(|i| self.ready(i))
     }
 
@@ -960,8 +975,8 @@
 
     /// Whether the fleet promises anything where this folder is lost: not if a book is nowhere else.
     fn bears_loss(&self, i: usize) -> bool {
-        self.agreed.books.iter().filter(|(_, b)| b.version > 0).all(|(id, b)| {
-            let elsewhere = b.copies.iter().any(|holder| number(holder) != i);
+        self.state.journals.iter().filter(|(_, b)| b.version > 0).all(|(id, b)| {
+            let elsewhere = b.replicas.iter().any(|holder| number(holder) != i);
             elsewhere || b.sealed.is_none() && number(&id.owner) != i
         })
     }
@@ -1232,7 +1247,7 @@
 
 /// The pairs that once broke a property: a copy started again, a copy lost behind its owner's back, a process registered twice.
 #[test]
-fn pairs_that_were_found_hold() {
+fn pairs_found_by_earlier_searches_pass() {
     let pairs: [fn(&Fault) -> bool; 3] = [
         |f| matches!(f, Fault::Cut(0, 1) | Fault::Kill(0, 0, Back::Soon)),
         |f| matches!(f, Fault::Cut(0, 1) | Fault::Kill(2, _, Back::SoonEmpty)),
@@ -1251,7 +1266,7 @@
 /// The same with those faults that reach furthest.
 #[cfg(not(debug_assertions))]
 #[test]
-fn no_two_losses_break_a_takeover() {
+fn no_two_process_losses_break_a_takeover() {
     let far = |f: &Fault| {
         matches!(f, Fault::Kill(_, _, Back::Late | Back::SoonEmpty) | Fault::Pause(_) | Fault::Behind(_))
     };
@@ -1275,7 +1290,7 @@
     // Handed in when the lease has run out, and the leader's words do not come.
     let late = vec![(1, true, 0), (2, true, LEASE * 2)];
     let all = [
-        (Break::SafeAtOnce, "recorded:", case(1, 1, 1, kill)),
+        (Break::ReplicatedAtOnce, "recorded:", case(1, 1, 1, kill)),
         (
             Break::LeaseIgnored,
             "lease:",
@@ -1284,7 +1299,7 @@
         (Break::NoGrace, "lease:", case(1, 1, 1, |f| matches!(f, Fault::Depose))),
         // Its owner is lost, and one of its two copies.
         (
-            Break::EmptyCopyKept,
+            Break::EmptyReplicaTrusted,
             "held:",
             case(1, 2, 2, |f| {
                 matches!(f, Fault::Kill(1, 0, Back::AtTheEnd) | Fault::Kill(0, 0, Back::SoonEmpty))
@@ -1292,7 +1307,7 @@
         ),
         // The taker is lost between its call and the word that it is the taker.
         (
-            Break::TakenAtOnce,
+            Break::AdoptedAtOnce,
             "once: part:",
             case(1, 1, 2, |f| matches!(f, Fault::Kill(1, _, Back::AtTheEnd) | Fault::Kill(0, 0, _))),
         ),
--- a/fleet/tests/parts/budget.rs
+++ b/fleet/tests/parts/budget.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
-use quillmount_fleet::budget::{Agreed, Budget, Command, Event, Tenant, agreed, check};
+use quillmount_fleet::budget::{Budget, BudgetCommand, BudgetEvent, BudgetState, Tenant, check, state};
 
 fn tenant(name: &str, weight: f64, floor: u32, ceiling: Option<u32>) -> Tenant {
     Tenant { name: name.into(), weight, floor, ceiling }
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn each_thing_that_is_wrong_is_told_with_its_path() {
+fn each_problem_is_reported_with_its_path() {
     let good = budget(1, 10, 1, vec![tenant("a", 1.0, 3, Some(3)), tenant("b", 0.5, 4, None)]);
     assert_eq!(check(std::slice::from_ref(&good), 3), []);
     let told = |budgets: &[Budget], couriers| {
@@ -53,24 +53,24 @@
     Config { cases, failure_persistence: None, rng_seed: RngSeed::Fixed(28), ..Config::default() }
 }
 
-fn command() -> impl Strategy<Value = Command> {
+fn command() -> impl Strategy<Value = BudgetCommand> {
     let courier = prop::sample::select(vec!["a".to_string(), "b".into(), "c".into()]);
     let tenant = prop::sample::select(vec!["t".to_string(), "u".into()]);
     let set = (tenant, courier.clone(), 1..4u64, 0..9u32, 0..12u64);
     prop_oneof![
         1 => (6..12u32, 0..3u32).prop_map(|(connections, floor)| {
             let couriers = vec!["a".into(), "b".into()];
-            Command::Budget { dest: 1, connections, floor, couriers }
+            BudgetCommand::Budget { dest: 1, connections, floor, couriers }
         }),
-        2 => (courier.clone(), 1..4u64).prop_map(|(courier, epoch)| Command::Joined { courier, epoch }),
-        1 => (courier.clone(), 1..4u64).prop_map(|(courier, epoch)| Command::Lapsed { courier, epoch }),
-        1 => (courier.clone(), 1..4u64).prop_map(|(courier, epoch)| Command::Expired { courier, epoch }),
-        1 => (courier, 1..4u64).prop_map(|(courier, epoch)| Command::Aged { courier, epoch }),
+        2 => (courier.clone(), 1..4u64).prop_map(|(courier, epoch)| BudgetCommand::Joined { courier, epoch }),
+        1 => (courier.clone(), 1..4u64).prop_map(|(courier, epoch)| BudgetCommand::Lapsed { courier, epoch }),
+        1 => (courier.clone(), 1..4u64).prop_map(|(courier, epoch)| BudgetCommand::Expired { courier, epoch }),
+        1 => (courier, 1..4u64).prop_map(|(courier, epoch)| BudgetCommand::Aged { courier, epoch }),
         8 => set.clone().prop_map(|(tenant, courier, epoch, to, _)| {
-            Command::Set { dest: 1, tenant, courier, epoch, to }
+            BudgetCommand::Set { dest: 1, tenant, courier, epoch, to }
         }),
         4 => set.prop_map(|(tenant, courier, epoch, to, number)| {
-            Command::Released { dest: 1, tenant, courier, epoch, number, to }
+            BudgetCommand::Released { dest: 1, tenant, courier, epoch, number, to }
         }),
     ]
 }
@@ -82,27 +82,27 @@
     /// from it by nothing but its own confirmation or its end.
     #[test]
     fn no_command_grants_what_the_budget_lacks(commands in prop::collection::vec(command(), 1..60)) {
-        let mut agreed = Agreed::default();
+        let mut budget_state = BudgetState::default();
         for command in &commands {
-            let before = agreed.committed(1);
-            let old = agreed.clone();
-            let events = agreed.apply(command);
-            let (after, budget) = (agreed.committed(1), agreed.partner(1).map_or(0, |p| p.connections));
+            let before = budget_state.committed(1);
+            let old = budget_state.clone();
+            let events = budget_state.apply(command);
+            let (after, budget) = (budget_state.committed(1), budget_state.partner(1).map_or(0, |p| p.connections));
             prop_assert!(after <= before.max(u64::from(budget)), "{before} to {after} by {command:?}");
-            if events.iter().any(|e| matches!(e, Event::Refused { .. })) {
+            if events.iter().any(|e| matches!(e, BudgetEvent::Rejected { .. })) {
                 prop_assert_eq!(before, after);
             }
             for (_, partner) in old.partners() {
                 for courier in ["a", "b", "c"] {
                     let Some(epoch) = old.member(courier).map(|m| m.epoch) else { continue };
-                    for (tenant, held) in partner.held(courier, epoch) {
-                        let now = agreed.partner(1).map(|p| p.holding(courier, epoch, tenant));
+                    for (tenant, old_share) in partner.shares(courier, epoch) {
+                        let now = budget_state.partner(1).map(|p| p.share(courier, epoch, tenant));
                         let now = now.unwrap_or_default();
-                        let ended = matches!(command, Command::Expired { .. } | Command::Aged { .. });
-                        let told = matches!(command, Command::Released { number, to, .. }
-                            if *number == held.number && held.recalled.is_some() && now.granted >= *to);
-                        let kept = now.granted >= held.granted || ended || told;
-                        prop_assert!(kept, "{held:?} {now:?} by {command:?}");
+                        let ended = matches!(command, BudgetCommand::Expired { .. } | BudgetCommand::Aged { .. });
+                        let told = matches!(command, BudgetCommand::Released { number, to, .. }
+                            if *number == old_share.number && old_share.recalled.is_some() && now.granted >= *to);
+                        let is_covered = now.granted >= old_share.granted || ended || told;
+                        prop_assert!(is_covered, "{old_share:?} {now:?} by {command:?}");
                     }
                 }
             }
@@ -111,10 +111,10 @@
 }
 
 #[test]
-fn a_confirmation_of_an_earlier_recall_says_nothing_of_the_next() {
-    let mut agreed = Agreed::default();
-    let set = |to| Command::Set { dest: 1, tenant: "t".into(), courier: "a".into(), epoch: 1, to };
-    let released = |number, to| Command::Released {
+fn a_confirmation_counts_for_its_own_recall_only() {
+    let mut budget_state = BudgetState::default();
+    let set = |to| BudgetCommand::Set { dest: 1, tenant: "t".into(), courier: "a".into(), epoch: 1, to };
+    let released = |number, to| BudgetCommand::Released {
         dest: 1,
         tenant: "t".into(),
         courier: "a".into(),
@@ -122,39 +122,49 @@
         number,
         to,
     };
-    agreed.apply(&Command::Budget { dest: 1, connections: 5, floor: 0, couriers: vec![] });
-    agreed.apply(&Command::Joined { courier: "a".into(), epoch: 1 });
-    assert_eq!(agreed.apply(&set(5)).len(), 1);
-    let [Event::Recalled { number, .. }] = agreed.apply(&set(2))[..] else { panic!("a recall is wanted") };
-    assert_eq!(agreed.committed(1), 5, "told is not met");
-    agreed.apply(&released(number, 4));
-    assert_eq!(agreed.committed(1), 4, "it may be met in parts");
-    agreed.apply(&released(number, 2));
-    agreed.apply(&set(5));
-    agreed.apply(&set(2));
-    let events = agreed.apply(&released(number, 2));
-    assert_eq!(events, [Event::Refused { why: agreed::Refused::Number }]);
-    assert_eq!(agreed.committed(1), 5);
+    budget_state.apply(&BudgetCommand::Budget { dest: 1, connections: 5, floor: 0, couriers: vec![] });
+    budget_state.apply(&BudgetCommand::Joined { courier: "a".into(), epoch: 1 });
+    assert_eq!(budget_state.apply(&set(5)).len(), 1);
+    let [BudgetEvent::Recalled { number, .. }] = budget_state.apply(&set(2))[..] else {
+        panic!("a recall is wanted")
+    };
+    assert_eq!(budget_state.committed(1), 5, "told is not met");
+    budget_state.apply(&released(number, 4));
+    assert_eq!(budget_state.committed(1), 4, "it may be met in parts");
+    budget_state.apply(&released(number, 2));
+    budget_state.apply(&set(5));
+    budget_state.apply(&set(2));
+    let events = budget_state.apply(&released(number, 2));
+    assert_eq!(events, [BudgetEvent::Rejected { reason: state::BudgetRejection::Number }]);
+    assert_eq!(budget_state.committed(1), 5);
 }
 
 #[test]
-fn an_earlier_life_counts_beside_the_present_one_until_its_time_is_over() {
-    let mut agreed = Agreed::default();
-    let joined = |epoch| Command::Joined { courier: "a".into(), epoch };
-    let set = |epoch, to| Command::Set { dest: 1, tenant: "t".into(), courier: "a".into(), epoch, to };
-    agreed.apply(&Command::Budget { dest: 1, connections: 9, floor: 2, couriers: vec!["a".into()] });
-    agreed.apply(&joined(1));
-    agreed.apply(&set(1, 4));
-    assert_eq!(agreed.committed(1), 6, "a floor that an earlier life may use counts beside");
-    agreed.apply(&Command::Aged { courier: "a".into(), epoch: 1 });
-    assert_eq!(agreed.committed(1), 4, "the floor is part of what is granted");
-    agreed.apply(&joined(2));
-    agreed.apply(&set(2, 9));
-    assert_eq!(agreed.committed(1), 9);
-    assert_eq!(agreed.partner(1).unwrap().holding("a", 2, "t").granted, 5);
-    agreed.apply(&Command::Lapsed { courier: "a".into(), epoch: 2 });
-    assert_eq!(agreed.apply(&set(2, 6)), [Event::Refused { why: agreed::Refused::Epoch }]);
-    assert_eq!(agreed.committed(1), 9, "a lapsed courier's connections may be open yet");
-    agreed.apply(&Command::Expired { courier: "a".into(), epoch: 2 });
-    assert_eq!(agreed.committed(1), 2, "its floor is kept");
+fn an_earlier_epoch_counts_until_it_expires() {
+    let mut budget_state = BudgetState::default();
+    let joined = |epoch| BudgetCommand::Joined { courier: "a".into(), epoch };
+    let set = |epoch, to| BudgetCommand::Set { dest: 1, tenant: "t".into(), courier: "a".into(), epoch, to };
+    budget_state.apply(&BudgetCommand::Budget {
+        dest: 1,
+        connections: 9,
+        floor: 2,
+        couriers: vec!["a".into()],
+    });
+    budget_state.apply(&joined(1));
+    budget_state.apply(&set(1, 4));
+    assert_eq!(budget_state.committed(1), 6, "a floor that an earlier life may use counts beside");
+    budget_state.apply(&BudgetCommand::Aged { courier: "a".into(), epoch: 1 });
+    assert_eq!(budget_state.committed(1), 4, "the floor is part of what is granted");
+    budget_state.apply(&joined(2));
+    budget_state.apply(&set(2, 9));
+    assert_eq!(budget_state.committed(1), 9);
+    assert_eq!(budget_state.partner(1).unwrap().share("a", 2, "t").granted, 5);
+    budget_state.apply(&BudgetCommand::Lapsed { courier: "a".into(), epoch: 2 });
+    assert_eq!(
+        budget_state.apply(&set(2, 6)),
+        [BudgetEvent::Rejected { reason: state::BudgetRejection::Epoch }]
+    );
+    assert_eq!(budget_state.committed(1), 9, "a lapsed courier's connections may be open yet");
+    budget_state.apply(&BudgetCommand::Expired { courier: "a".into(), epoch: 2 });
+    assert_eq!(budget_state.committed(1), 2, "its floor is kept");
 }
--- a/fleet/tests/parts/divide.rs
+++ b/fleet/tests/parts/divide.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
-use quillmount_fleet::budget::divide::{Claim, ONE, Part, STICK, divide};
+use quillmount_fleet::budget::divide::{Allocation, Claim, HYSTERESIS, ONE_CONNECTION, divide};
 
 const NAMES: [&str; 8] = ["a", "b", "c", "d", "e", "f", "g", "h"];
 
@@ -10,12 +10,12 @@
     Config { cases, failure_persistence: None, rng_seed: RngSeed::Fixed(28), ..Config::default() }
 }
 
-fn claim(n: usize, (weight, floor, room, asks, credit): (u64, u32, u32, u32, i64)) -> Claim<'static> {
-    Claim { name: NAMES[n], weight, floor, ceiling: floor + room, asks, held: 0, credit, overdue: 0 }
+fn claim(n: usize, (weight, floor, room, demand, credit): (u64, u32, u32, u32, i64)) -> Claim<'static> {
+    Claim { name: NAMES[n], weight, floor, ceiling: floor + room, demand, current: 0, credit, overdue: 0 }
 }
 
 fn claims(most: usize) -> impl Strategy<Value = Vec<Claim<'static>>> {
-    let credit = prop_oneof![Just(0), -ONE..ONE];
+    let credit = prop_oneof![Just(0), -ONE_CONNECTION..ONE_CONNECTION];
     let one = (1..6u64, 0..4u32, 1..12u32, 0..14u32, credit);
     prop::collection::vec(one, 0..=most)
         .prop_map(|all| all.into_iter().enumerate().map(|(n, one)| claim(n, one)).collect())
@@ -54,9 +54,9 @@
     #![proptest_config(fixed(1500))]
 
     #[test]
-    fn parts_are_the_exact_ones_made_whole_by_the_largest_remainder(pool in 0..24u32, all in claims(5)) {
+    fn allocations_round_by_the_largest_remainder(pool in 0..24u32, all in claims(5)) {
         let parts = divide(pool, &all);
-        let high = |c: &Claim| c.asks.min(c.ceiling);
+        let high = |c: &Claim| c.demand.min(c.ceiling);
         let low = |c: &Claim| c.floor.min(high(c));
         let (lows, highs): (u32, u32) = (all.iter().map(low).sum(), all.iter().map(high).sum());
         let whole: u32 = parts.iter().map(|p| p.whole).sum();
@@ -70,9 +70,9 @@
                 all.iter().map(|c| if lows > pool { (0, low(c)) } else { (low(c), high(c)) }).collect();
             let weights: Vec<u64> = all.iter().map(|c| c.weight).collect();
             let (exact, by) = by_brute_force(pool, &bounds, &weights);
-            let key = |n: usize| (exact[n] % by) * i128::from(ONE) + i128::from(all[n].credit) * by;
+            let key = |n: usize| (exact[n] % by) * i128::from(ONE_CONNECTION) + i128::from(all[n].credit) * by;
             for (n, part) in parts.iter().enumerate() {
-                prop_assert_eq!(i128::from(part.fair), exact[n] * i128::from(ONE) / by);
+                prop_assert_eq!(i128::from(part.fair), exact[n] * i128::from(ONE_CONNECTION) / by);
                 let more = i128::from(part.whole) - exact[n] / by;
                 prop_assert!(more == 0 || (more == 1 && exact[n] % by > 0));
                 let passed_over = |m: usize| exact[m] % by > 0 && i128::from(parts[m].whole) == exact[m] / by;
@@ -85,7 +85,7 @@
     #[test]
     fn the_order_of_the_claims_changes_nothing(pool in 0..24u32, all in claims(8).prop_shuffle()) {
         let by_name = |claims: &[Claim<'static>]| {
-            let mut named: Vec<(&str, Part)> =
+            let mut named: Vec<(&str, Allocation)> =
                 claims.iter().map(|c| c.name).zip(divide(pool, claims)).collect();
             named.sort_by_key(|(name, _)| *name);
             named
@@ -102,8 +102,8 @@
     let mut served = vec![0; 1000];
     for _ in 0..10 {
         let all = names.iter().zip(&served).map(|(name, served)| {
-            let credit = -ONE * i64::from(*served);
-            Claim { name, weight: 1, floor: 0, ceiling: 100, asks: 1, held: 0, credit, overdue: 0 }
+            let credit = -ONE_CONNECTION * i64::from(*served);
+            Claim { name, weight: 1, floor: 0, ceiling: 100, demand: 1, current: 0, credit, overdue: 0 }
         });
         let all: Vec<Claim> = all.collect();
         let parts = divide(100, &all);
@@ -114,27 +114,28 @@
 }
 
 #[test]
-fn who_is_overdue_comes_first_and_who_holds_keeps_it_against_a_little_more() {
-    let all =
-        |held, overdue| [claim(0, (50, 0, 9, 9, 0)), Claim { held, overdue, ..claim(1, (50, 0, 9, 9, 0)) }];
+fn overdue_claims_come_first_and_hysteresis_protects_current_ones() {
+    let all = |current, overdue| {
+        [claim(0, (50, 0, 9, 9, 0)), Claim { current, overdue, ..claim(1, (50, 0, 9, 9, 0)) }]
+    };
     let whole = |claims: &[Claim]| divide(3, claims).iter().map(|p| p.whole).collect::<Vec<_>>();
     assert_eq!(whole(&all(0, 0)), [2, 1], "a tie goes by name");
     assert_eq!(whole(&all(2, 0)), [1, 2], "what is held stays");
     assert_eq!(whole(&all(0, 1)), [1, 2]);
     let mut credited = all(2, 0);
-    credited[0].credit = STICK + 1;
+    credited[0].credit = HYSTERESIS + 1;
     assert_eq!(whole(&credited), [2, 1]);
 }
 
 #[test]
-fn large_numbers_don_t_overflow() {
+fn large_numbers_do_not_overflow() {
     let huge = |name| Claim {
         name,
         weight: 1_000_000_000_000,
         floor: 0,
         ceiling: u32::MAX,
-        asks: u32::MAX,
-        held: 0,
+        demand: u32::MAX,
+        current: 0,
         credit: i64::MIN,
         overdue: 0,
     };
--- a/fleet/tests/parts/forward.rs
+++ b/fleet/tests/parts/forward.rs
@@ -1,46 +1,74 @@
 //! What is asked of a home elsewhere.
 
 use quillmount_fleet::settlement::forward::{
-    ASK_AGAIN, ASKS_MAX, Ask, Desk, Input, Message, Output, PATIENCE, Word,
+    ForwardInput, ForwardOutput, MAX_PENDING_REQUESTS, REQUEST_RETRY, REQUEST_TIMEOUT, RequestForwarder,
+    SettlementMessage, SettlementReply, SettlementRequest,
 };
-use quillmount_fleet::settlement::{Agreed, Command, Error, SettlementId};
+use quillmount_fleet::settlement::{SettlementCommand, SettlementError, SettlementId, SettlementRegistry};
 
 #[test]
-fn an_ask_follows_its_home_and_is_answered_in_time() {
+fn a_request_follows_the_owner_and_is_answered_in_time() {
     let id = SettlementId { tenant: "north".into(), name: "a".into(), dest: 7 };
-    let (mut agreed, mut desk) = (Agreed::default(), Desk::new("x", 1));
-    let ask = Ask::Closing { of: 3 };
-    let asked = Input::Ask { ticket: 1, id: id.clone(), ask: ask.clone() };
-    let open = Command::Open { id: id.clone(), home: "x".into(), home_epoch: 1 };
-    assert_eq!(desk.step(&agreed, asked.clone(), 0), [Output::Agree(open)], "it has no home yet");
-    let other = Command::Open { id: id.clone(), home: "y".into(), home_epoch: 4 };
-    let opened = agreed.apply(&other).remove(0);
-    let send = Output::Send { to: "y".into(), message: Message::Ask { id: id.clone(), ask: ask.clone() } };
+    let (mut registry, mut forwarder) = (SettlementRegistry::default(), RequestForwarder::new("x", 1));
+    let request = SettlementRequest::Closing { total: 3 };
+    let requested = ForwardInput::Request { ticket: 1, id: id.clone(), request: request.clone() };
+    let open = SettlementCommand::Open { id: id.clone(), owner: "x".into(), owner_epoch: 1 };
     assert_eq!(
-        desk.step(&agreed, Input::Agreed(opened), 10),
+        forwarder.step(&registry, requested.clone(), 0),
+        [ForwardOutput::Propose(open)],
+        "it has no home yet"
+    );
+    let other = SettlementCommand::Open { id: id.clone(), owner: "y".into(), owner_epoch: 4 };
+    let opened = registry.apply(&other).remove(0);
+    let send = ForwardOutput::Send {
+        to: "y".into(),
+        message: SettlementMessage::Request { id: id.clone(), request: request.clone() },
+    };
+    assert_eq!(
+        forwarder.step(&registry, ForwardInput::Committed(opened), 10),
         std::slice::from_ref(&send),
         "another was first"
     );
-    assert_eq!(desk.wake_at(), Some(10 + ASK_AGAIN));
-    assert_eq!(desk.step(&agreed, Input::Tick, 10 + ASK_AGAIN), [send], "its word was lost");
-    let word = Input::Word { id: id.clone(), ask: ask.clone(), word: Word::TakenOn };
-    let answer = Output::Answer { ticket: 1, word: Word::TakenOn };
-    assert_eq!(desk.step(&agreed, word.clone(), 60_000), [answer]);
-    assert_eq!((desk.step(&agreed, word, 70_000), desk.is_empty()), (vec![], true), "it came twice");
-    desk.step(&agreed, asked, 70_000);
-    let late = desk.step(&agreed, Input::Tick, 70_000 + PATIENCE);
-    assert!(matches!(&late[..], [Output::Answer { word: Word::Refused(Error::NoWord(_)), .. }]));
+    assert_eq!(forwarder.wake_at(), Some(10 + REQUEST_RETRY));
+    assert_eq!(
+        forwarder.step(&registry, ForwardInput::Tick, 10 + REQUEST_RETRY),
+        [send],
+        "its word was lost"
+    );
+    let reply =
+        ForwardInput::Reply { id: id.clone(), request: request.clone(), reply: SettlementReply::Accepted };
+    let answer = ForwardOutput::Answer { ticket: 1, reply: SettlementReply::Accepted };
+    assert_eq!(forwarder.step(&registry, reply.clone(), 60_000), [answer]);
+    assert_eq!(
+        (forwarder.step(&registry, reply, 70_000), forwarder.is_empty()),
+        (vec![], true),
+        "it came twice"
+    );
+    forwarder.step(&registry, requested, 70_000);
+    let late = forwarder.step(&registry, ForwardInput::Tick, 70_000 + REQUEST_TIMEOUT);
+    assert!(matches!(
+        &late[..],
+        [ForwardOutput::Answer { reply: SettlementReply::Rejected(SettlementError::NoReply(_)), .. }]
+    ));
 }
 
 #[test]
-fn a_desk_holds_so_many_asks_and_no_more() {
-    let (agreed, mut desk) = (Agreed::default(), Desk::new("x", 1));
+fn a_forwarder_limits_its_pending_requests() {
+    let (registry, mut forwarder) = (SettlementRegistry::default(), RequestForwarder::new("x", 1));
     let id = SettlementId { tenant: "north".into(), name: "a".into(), dest: 7 };
-    let mut ask = |ticket| {
-        let asked = Input::Ask { ticket, id: id.clone(), ask: Ask::Closing { of: 3 } };
-        desk.step(&agreed, asked, 0).remove(0)
+    let mut request = |ticket| {
+        let requested = ForwardInput::Request {
+            ticket,
+            id: id.clone(),
+            request: SettlementRequest::Closing { total: 3 },
+        };
+        forwarder.step(&registry, requested, 0).remove(0)
     };
-    (0..ASKS_MAX as u64).for_each(|ticket| assert!(matches!(ask(ticket), Output::Agree(_))));
-    let refused = ask(ASKS_MAX as u64);
-    assert!(matches!(refused, Output::Answer { word: Word::Refused(Error::Busy { .. }), .. }));
+    (0..MAX_PENDING_REQUESTS as u64)
+        .for_each(|ticket| assert!(matches!(request(ticket), ForwardOutput::Propose(_))));
+    let refused = request(MAX_PENDING_REQUESTS as u64);
+    assert!(matches!(
+        refused,
+        ForwardOutput::Answer { reply: SettlementReply::Rejected(SettlementError::Busy { .. }), .. }
+    ));
 }
--- a/fleet/tests/parts/main.rs
+++ b/fleet/tests/parts/main.rs
@@ -1,16 +1,16 @@
 //! The machines of a fleet, each by itself.
 
-mod agreed;
 mod budget;
 mod calls;
+mod config;
 mod divide;
 mod forward;
-mod holder;
-mod home;
-mod kept;
+mod journal_lines;
 mod leader;
 mod lease;
-mod lines;
-mod plan;
+mod local;
+mod owner;
+mod progress;
+mod registry;
 mod session;
 mod translator;
--- a/fleet/tests/parts/translator.rs
+++ b/fleet/tests/parts/translator.rs
@@ -1,15 +1,17 @@
 //! The boundaries of one mode as those of the other.
 
-use quillmount_fleet::settlement::Error;
-use quillmount_fleet::settlement::translator::{FromSession, Mark, Step, ToSession, read, write};
+use quillmount_fleet::settlement::SettlementError;
+use quillmount_fleet::settlement::translator::{
+    FromSession, SessionStep, SettlementHeader, ToSession, format_header, parse_header,
+};
 
 #[test]
 fn fields_of_the_header_are_read_as_they_are_written() {
-    let mark = Mark { settlement: "evening-4".into(), position: Some(3), of: Some(12) };
-    let text = write(7, &mark);
+    let header = SettlementHeader { settlement: "evening-4".into(), position: Some(3), total: Some(12) };
+    let text = format_header(7, &header);
     assert_eq!(text, "dest=7,settlement=evening-4,position=3,of=12");
-    assert_eq!(read("north", &text), Ok(Some(mark)));
-    assert_eq!(read("north", "dest=7"), Ok(None));
+    assert_eq!(parse_header("north", &text), Ok(Some(header)));
+    assert_eq!(parse_header("north", "dest=7"), Ok(None));
     for (text, field) in [
         ("dest=7,position=3", "settlement"),
         ("settlement=a,settlement=a", "settlement"),
@@ -18,11 +20,16 @@
         ("settlement=a,position=99999999999999999999", "position"),
         ("settlement=a;position=1;of=x", "of"),
     ] {
-        let Err(Error::Field { field: found, .. }) = read("north", text) else { panic!("{text}") };
+        let Err(SettlementError::Field { field: found, .. }) = parse_header("north", text) else {
+            panic!("{text}")
+        };
         assert_eq!(found, field, "{text}");
     }
-    assert!(matches!(read("north", "settlement=a,position=0"), Err(Error::Zero(_))));
-    assert!(matches!(read("north", "settlement=a,position=4,of=3"), Err(Error::Beyond { of: 3, .. })));
+    assert!(matches!(parse_header("north", "settlement=a,position=0"), Err(SettlementError::Zero(_))));
+    assert!(matches!(
+        parse_header("north", "settlement=a,position=4,of=3"),
+        Err(SettlementError::Beyond { total: 3, .. })
+    ));
 }
 
 /// Any order of the messages becomes the one order of a session, and that the marks again.
@@ -36,49 +43,57 @@
         while !left.is_empty() {
             let position = left.remove(rest % left.len());
             rest /= left.len() + 1;
-            let of = (position == 4).then_some(4);
-            steps.extend(session.message(position, of, &format!("m{position}"), position).unwrap());
+            let total = (position == 4).then_some(4);
+            steps.extend(session.message(position, total, &format!("m{position}"), position).unwrap());
         }
-        let open = Step::Open(Mark { settlement: "a".into(), position: None, of: None });
-        let carried = (1..=4).map(Step::Carry);
-        let wanted: Vec<Step> = std::iter::once(open).chain(carried).chain([Step::Close]).collect();
+        let open =
+            SessionStep::Open(SettlementHeader { settlement: "a".into(), position: None, total: None });
+        let carried = (1..=4).map(SessionStep::Carry);
+        let wanted: Vec<SessionStep> =
+            std::iter::once(open).chain(carried).chain([SessionStep::Close]).collect();
         assert_eq!(steps, wanted);
         let mut back = FromSession::new("north");
         for position in 1..=4 {
-            let named = Mark { settlement: "a".into(), position: None, of: None };
-            let mark = back.message((position == 1).then_some(&named), position == 4).unwrap();
-            assert_eq!((mark.position, mark.of), (Some(position), (position == 4).then_some(4)));
+            let named = SettlementHeader { settlement: "a".into(), position: None, total: None };
+            let header = back.message((position == 1).then_some(&named), position == 4).unwrap();
+            assert_eq!((header.position, header.total), (Some(position), (position == 4).then_some(4)));
         }
         assert_eq!(back.ended(), None, "the last message said it");
     }
 }
 
 #[test]
-fn what_contradicts_is_refused_and_changes_nothing() {
+fn contradictions_are_rejected_without_effect() {
     let mut session = ToSession::new("north", "a", 1);
     session.message(2, None, "m2", 2).unwrap();
     let before = session.clone();
-    assert!(matches!(session.message(2, None, "other", 2), Err(Error::PositionTwice { .. })));
-    assert!(matches!(session.message(2, None, "m2", 3), Err(Error::PositionTwice { .. })));
-    assert!(matches!(session.message(0, None, "m0", 0), Err(Error::Zero(_))));
-    assert!(matches!(session.message(1, Some(1), "m1", 1), Err(Error::Beyond { of: 1, .. })));
-    let Err(Error::Gap { at, .. }) = session.close(2) else { panic!() };
+    assert!(matches!(session.message(2, None, "other", 2), Err(SettlementError::PositionTwice { .. })));
+    assert!(matches!(session.message(2, None, "m2", 3), Err(SettlementError::PositionTwice { .. })));
+    assert!(matches!(session.message(0, None, "m0", 0), Err(SettlementError::Zero(_))));
+    assert!(matches!(session.message(1, Some(1), "m1", 1), Err(SettlementError::Beyond { total: 1, .. })));
+    let Err(SettlementError::Gap { at, .. }) = session.close(2) else { panic!() };
     assert_eq!((at.position, &session), (1, &before));
     session.message(1, Some(3), "m1", 1).unwrap();
-    assert!(matches!(session.message(3, Some(4), "m3", 3), Err(Error::TwoCounts { of: 3, other: 4, .. })));
-    assert!(matches!(session.message(4, None, "m4", 4), Err(Error::Beyond { of: 3, .. })));
-    assert_eq!(session.message(3, None, "m3", 3).unwrap(), [Step::Carry(3), Step::Close]);
+    assert!(matches!(
+        session.message(3, Some(4), "m3", 3),
+        Err(SettlementError::TwoCounts { total: 3, other: 4, .. })
+    ));
+    assert!(matches!(session.message(4, None, "m4", 4), Err(SettlementError::Beyond { total: 3, .. })));
+    assert_eq!(session.message(3, None, "m3", 3).unwrap(), [SessionStep::Carry(3), SessionStep::Close]);
 }
 
 #[test]
 fn a_connection_carries_one_settlement_and_ends_in_order() {
-    let named = |name: &str, position| Mark { settlement: name.into(), position, of: None };
+    let named = |name: &str, position| SettlementHeader { settlement: name.into(), position, total: None };
     let mut session = FromSession::new("north");
-    assert!(matches!(session.message(None, false), Err(Error::NotOpened(_))));
+    assert!(matches!(session.message(None, false), Err(SettlementError::NotOpened(_))));
     assert_eq!(session.message(Some(&named("a", Some(4))), false).unwrap().position, Some(4));
-    assert!(matches!(session.message(Some(&named("b", None)), false), Err(Error::OtherOpen { .. })));
-    assert!(matches!(session.message(Some(&named("a", Some(7))), false), Err(Error::Gap { .. })));
+    assert!(matches!(
+        session.message(Some(&named("b", None)), false),
+        Err(SettlementError::OtherOpen { .. })
+    ));
+    assert!(matches!(session.message(Some(&named("a", Some(7))), false), Err(SettlementError::Gap { .. })));
     assert_eq!(session.message(None, false).unwrap().position, Some(5));
     assert_eq!((session.ended(), session.ended()), (Some(("a".into(), 5)), None));
-    assert!(matches!(session.message(None, false), Err(Error::AfterClosing(_))));
+    assert!(matches!(session.message(None, false), Err(SettlementError::AfterClosing(_))));
 }
