--- a/fleet/tests/settlement.rs
+++ b/fleet/tests/settlement.rs
@@ -10,8 +10,10 @@
 use digest_file::{Counts, SEEDS, compare_with_file};
 use quillmount_fleet::settlement::session::linger;
 use quillmount_fleet::settlement::{
-    Agreed, Ask, Book, Command, Desk, End, Error, Event, Hand, Homes, Input, Limits, Message, Mode, Outcome,
-    Output, Record, Repeat, Resume, SettlementId, Verdict, Word, forward,
+    End, JournalRef, Mode, Outcome, OwnedSettlements, OwnerInput, OwnerOutput, Repeat, RequestForwarder,
+    Resume, SequencedMessage, SettlementCommand, SettlementError, SettlementEvent, SettlementId,
+    SettlementLimits, SettlementMessage, SettlementRecord, SettlementRegistry, SettlementReply,
+    SettlementRequest, Verdict, forward,
 };
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
@@ -35,19 +37,19 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Entry {
-    Command(Command),
-    Gone { book: Book, takers: Vec<Book> },
+    Command(SettlementCommand),
+    Gone { journal: JournalRef, successors: Vec<JournalRef> },
 }
 
 /// Something on its way.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Flight {
-    Hand { to: usize, ticket: u64, id: SettlementId, ask: Ask },
-    Net { to: usize, message: Message, from: usize },
-    Propose(Command),
-    Write { c: usize, epoch: u64, seq: u64, records: Vec<Record> },
+    Submit { to: usize, ticket: u64, id: SettlementId, request: SettlementRequest },
+    Net { to: usize, message: SettlementMessage, from: usize },
+    Propose(SettlementCommand),
+    Write { c: usize, epoch: u64, seq: u64, records: Vec<SettlementRecord> },
     Written { c: usize, epoch: u64, seq: u64, is_there: bool },
-    Fetch { c: usize, epoch: u64, id: SettlementId, term: u64, books: Vec<Book> },
+    Fetch { c: usize, epoch: u64, id: SettlementId, term: u64, journals: Vec<JournalRef> },
     Call { c: usize, epoch: u64, call: Call },
     Answer { c: usize, epoch: u64, id: SettlementId, attempt: u64, outcome: Outcome, lost: bool },
     Close { c: usize, epoch: u64, id: SettlementId, session: u32, opens: bool },
@@ -78,10 +80,10 @@
 struct Courier {
     life: Life,
     epoch: u64,
-    agreed: Agreed,
+    registry: SettlementRegistry,
     applied: usize,
-    homes: Homes,
-    desk: Desk,
+    owned: OwnedSettlements,
+    forwarder: RequestForwarder,
     is_taken_over: bool,
 }
 
@@ -102,7 +104,7 @@
 /// What is known of a settlement beforehand.
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct Plan {
-    of: u64,
+    total: u64,
     repeat: Repeat,
     deadline: Micros,
 }
@@ -112,13 +114,13 @@
     now: Micros,
     log: Vec<Entry>,
     /// What the log says, for the test itself.
-    truth: Agreed,
+    truth: SettlementRegistry,
     couriers: Vec<Courier>,
     flights: Vec<(Micros, Flight)>,
-    books: BTreeMap<Book, (Vec<Record>, bool)>,
+    journals: BTreeMap<JournalRef, (Vec<SettlementRecord>, bool)>,
     plans: BTreeMap<SettlementId, Plan>,
     seen: BTreeMap<SettlementId, Seen>,
-    asked: BTreeMap<u64, (usize, SettlementId, Ask)>,
+    pending_requests: BTreeMap<u64, (usize, SettlementId, SettlementRequest)>,
     modes: BTreeMap<u64, Mode>,
     budget: u32,
     pinned: BTreeMap<(usize, u64), BTreeSet<(SettlementId, u32)>>,
@@ -138,13 +140,13 @@
         let mut world = World {
             now: 1_000,
             log: Vec::new(),
-            truth: Agreed::default(),
+            truth: SettlementRegistry::default(),
             couriers: Vec::new(),
             flights: Vec::new(),
-            books: BTreeMap::new(),
+            journals: BTreeMap::new(),
             plans: BTreeMap::new(),
             seen: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            pending_requests: BTreeMap::new(),
             modes,
             budget,
             pinned: BTreeMap::new(),
@@ -159,20 +161,20 @@
 
     /// One that has just registered, with the agreed state as it is.
     fn courier(&mut self, c: usize, epoch: u64) -> Courier {
-        let limits = Limits { idle: 8_000_000, ..Limits::default() };
-        let mut homes = Homes::new(&name(c), epoch, limits);
-        self.modes.iter().for_each(|(dest, one)| homes.set_mode(*dest, mode(*one)));
+        let limits = SettlementLimits { idle: 8_000_000, ..SettlementLimits::default() };
+        let mut owned = OwnedSettlements::new(&name(c), epoch, limits);
+        self.modes.iter().for_each(|(dest, one)| owned.set_mode(*dest, mode(*one)));
         for dest in self.modes.keys() {
-            homes.set_budget("north", *dest, self.budget);
+            owned.set_budget("north", *dest, self.budget);
         }
-        self.books.insert(Book { courier: name(c), epoch }, (Vec::new(), false));
+        self.journals.insert(JournalRef { courier: name(c), epoch }, (Vec::new(), false));
         Courier {
             life: Life::Up,
             epoch,
-            agreed: self.truth.clone(),
+            registry: self.truth.clone(),
             applied: self.log.len(),
-            homes,
-            desk: Desk::new(&name(c), epoch),
+            owned,
+            forwarder: RequestForwarder::new(&name(c), epoch),
             is_taken_over: false,
         }
     }
@@ -185,60 +187,76 @@
         self.flights.push((0, flight));
     }
 
-    fn book(&self, c: usize) -> Book {
-        Book { courier: name(c), epoch: self.couriers[c].epoch }
+    fn journal(&self, c: usize) -> JournalRef {
+        JournalRef { courier: name(c), epoch: self.couriers[c].epoch }
     }
 
     /// Plans a settlement, without handing it in.
-    fn plan(&mut self, id: &SettlementId, of: u64, repeat: Repeat, deadline: Micros) {
-        self.plans.insert(id.clone(), Plan { of, repeat, deadline });
+    fn plan(&mut self, id: &SettlementId, total: u64, repeat: Repeat, deadline: Micros) {
+        self.plans.insert(id.clone(), Plan { total, repeat, deadline });
         self.seen.insert(id.clone(), Seen::default());
     }
 
-    fn hand(&self, id: &SettlementId, position: u64) -> Ask {
+    fn sequenced(&self, id: &SettlementId, position: u64) -> SettlementRequest {
         let plan = &self.plans[id];
-        let of = (position == plan.of).then_some(plan.of);
-        let msg = format!("{}-{position}", id.name);
+        let total = (position == plan.total).then_some(plan.total);
+        let message_id = format!("{}-{position}", id.name);
         let deadline = plan.deadline;
-        Ask::Hand(Hand { position, of, msg, repeat: plan.repeat, deadline, size: 100, print: position })
+        SettlementRequest::Submit(SequencedMessage {
+            position,
+            total,
+            message_id,
+            repeat: plan.repeat,
+            deadline,
+            size: 100,
+            checksum: position,
+        })
     }
 
-    fn homes(&mut self, c: usize, input: Input) {
+    fn step_owned(&mut self, c: usize, input: OwnerInput) {
         let courier = &mut self.couriers[c];
-        let outputs = courier.homes.step(&courier.agreed, input, self.now);
-        outputs.into_iter().for_each(|output| self.home_output(c, output));
+        let outputs = courier.owned.step(&courier.registry, input, self.now);
+        outputs.into_iter().for_each(|output| self.owner_output(c, output));
     }
 
-    fn desk(&mut self, c: usize, input: forward::Input) {
+    fn step_forwarder(&mut self, c: usize, input: forward::ForwardInput) {
         let courier = &mut self.couriers[c];
-        let outputs = courier.desk.step(&courier.agreed, input, self.now);
+        let outputs = courier.forwarder.step(&courier.registry, input, self.now);
         for output in outputs {
             match output {
-                forward::Output::Send { to, message } => {
+                forward::ForwardOutput::Send { to, message } => {
                     self.fly(Flight::Net { to: number(&to), message, from: c });
                 }
-                forward::Output::Agree(command) => self.fly(Flight::Propose(command)),
-                forward::Output::Answer { ticket, word } => self.answer(ticket, word),
+                forward::ForwardOutput::Propose(command) => self.fly(Flight::Propose(command)),
+                forward::ForwardOutput::Answer { ticket, reply } => self.answer(ticket, reply),
             }
         }
     }
 
-    fn home_output(&mut self, c: usize, output: Output) {
+    fn owner_output(&mut self, c: usize, output: OwnerOutput) {
         let epoch = self.couriers[c].epoch;
         match output {
-            Output::Write { seq, records } => self.fly(Flight::Write { c, epoch, seq, records }),
-            Output::Fetch { id, term, books } => self.fly(Flight::Fetch { c, epoch, id, term, books }),
-            Output::Agree(command) => self.fly(Flight::Propose(command)),
-            Output::Word { to, id, ask, word } => {
-                self.fly(Flight::Net { to: number(&to), message: Message::Word { id, ask, word }, from: c });
+            OwnerOutput::Write { seq, records } => self.fly(Flight::Write { c, epoch, seq, records }),
+            OwnerOutput::Fetch { id, term, journals } => {
+                self.fly(Flight::Fetch { c, epoch, id, term, journals })
             }
-            Output::Send { id, position, attempt, by, session, opens, .. } => {
+            OwnerOutput::Propose(command) => self.fly(Flight::Propose(command)),
+            OwnerOutput::Reply { to, id, request, reply } => {
+                self.fly(Flight::Net {
+                    to: number(&to),
+                    message: SettlementMessage::Reply { id, request, reply },
+                    from: c,
+                });
+            }
+            OwnerOutput::Send { id, position, attempt, by, session, opens, .. } => {
                 let call = Call { id, position, attempt, by, session, opens };
                 self.fly(Flight::Call { c, epoch, call });
             }
-            Output::Close { id, session, opens } => self.fly(Flight::Close { c, epoch, id, session, opens }),
-            Output::Drop { id, session } => self.fly(Flight::Drop { c, epoch, id, session }),
-            Output::Pin { id, session } => {
+            OwnerOutput::Close { id, session, opens } => {
+                self.fly(Flight::Close { c, epoch, id, session, opens })
+            }
+            OwnerOutput::Drop { id, session } => self.fly(Flight::Drop { c, epoch, id, session }),
+            OwnerOutput::Pin { id, session } => {
                 let held = self.pinned.entry((c, id.dest)).or_default();
                 held.insert((id.clone(), session));
                 // A lowered budget is met as sessions end; none is given until it is.
@@ -249,13 +267,13 @@
                         name(c)
                     ));
                 }
-                self.homes(c, Input::Pinned { id, session });
+                self.step_owned(c, OwnerInput::Pinned { id, session });
             }
-            Output::Unpin { id, session } => {
+            OwnerOutput::Unpin { id, session } => {
                 let held = self.pinned.entry((c, id.dest)).or_default();
                 held.remove(&(id, session));
             }
-            Output::End { id, position, end, .. } => {
+            OwnerOutput::End { id, position, end, .. } => {
                 let seen = self.seen.get_mut(&id).unwrap();
                 let first = *seen.ends.entry(position).or_insert(end);
                 let (ran, verdict) = (seen.ran.get(&position).copied().unwrap_or(0), seen.verdict);
@@ -272,36 +290,38 @@
                     _ => {}
                 }
             }
-            Output::Forget { id } => {
-                let book = Book { courier: name(c), epoch };
-                self.books.get_mut(&book).unwrap().0.retain(|record| *record.id() != id);
+            OwnerOutput::Forget { id } => {
+                let journal = JournalRef { courier: name(c), epoch };
+                self.journals.get_mut(&journal).unwrap().0.retain(|record| *record.id() != id);
             }
         }
     }
 
     /// A consumer hears the word, and asks elsewhere where that helps.
-    fn answer(&mut self, ticket: u64, word: Word) {
-        let Some((c, id, ask)) = self.asked.remove(&ticket) else { return };
-        match word {
-            Word::TakenOn => {
-                ask.hand().into_iter().for_each(|hand| {
-                    self.seen.get_mut(&id).unwrap().taken.insert(hand.position);
+    fn answer(&mut self, ticket: u64, reply: SettlementReply) {
+        let Some((c, id, request)) = self.pending_requests.remove(&ticket) else { return };
+        match reply {
+            SettlementReply::Accepted => {
+                request.sequenced().into_iter().for_each(|sequenced| {
+                    self.seen.get_mut(&id).unwrap().taken.insert(sequenced.position);
                 });
             }
-            Word::Ended(_) => {}
-            Word::Refused(Error::NoWord(_) | Error::NoRoom(_) | Error::Busy { .. }) => {
-                self.ask_elsewhere(c, ticket, id, ask);
+            SettlementReply::Ended(_) => {}
+            SettlementReply::Rejected(
+                SettlementError::NoReply(_) | SettlementError::StorageFull(_) | SettlementError::Busy { .. },
+            ) => {
+                self.request_elsewhere(c, ticket, id, request);
             }
-            Word::Refused(Error::Over { .. } | Error::Late(_)) => {}
-            Word::Refused(error) => self.wrong(format!("a hand-in was refused: {error}")),
+            SettlementReply::Rejected(SettlementError::Ended { .. } | SettlementError::Late(_)) => {}
+            SettlementReply::Rejected(error) => self.wrong(format!("a hand-in was refused: {error}")),
         }
     }
 
-    fn ask_elsewhere(&mut self, c: usize, ticket: u64, id: SettlementId, ask: Ask) {
+    fn request_elsewhere(&mut self, c: usize, ticket: u64, id: SettlementId, request: SettlementRequest) {
         let others = (1..=self.couriers.len()).map(|step| (c + step) % self.couriers.len());
         let to = others.into_iter().find(|to| self.couriers[*to].life == Life::Up);
         if let (Some(to), true) = (to, ticket % 10 < TRIES) {
-            self.fly(Flight::Hand { to, ticket: ticket + 1, id, ask });
+            self.fly(Flight::Submit { to, ticket: ticket + 1, id, request });
         }
     }
 
@@ -312,7 +332,7 @@
     /// The courier that has to be there for this, in which registration.
     fn needs(flight: &Flight) -> Option<(usize, Option<u64>)> {
         match flight {
-            Flight::Hand { to, .. } | Flight::Net { to, .. } => Some((*to, None)),
+            Flight::Submit { to, .. } | Flight::Net { to, .. } => Some((*to, None)),
             Flight::Propose(_) => None,
             Flight::Write { c, epoch, .. }
             | Flight::Written { c, epoch, .. }
@@ -344,51 +364,57 @@
     /// `fault`: the partner's answer to a call.
     fn deliver(&mut self, flight: Flight, fault: Option<Fault>) {
         match flight {
-            Flight::Hand { to, ticket, id, ask } => match self.couriers[to].life {
+            Flight::Submit { to, ticket, id, request } => match self.couriers[to].life {
                 Life::Up => {
-                    self.asked.insert(ticket, (to, id.clone(), ask.clone()));
-                    self.desk(to, forward::Input::Ask { ticket, id, ask });
+                    self.pending_requests.insert(ticket, (to, id.clone(), request.clone()));
+                    self.step_forwarder(to, forward::ForwardInput::Request { ticket, id, request });
                 }
-                _ => self.ask_elsewhere(to, ticket, id, ask),
+                _ => self.request_elsewhere(to, ticket, id, request),
             },
             Flight::Net { to, message, from } if self.couriers[to].life == Life::Up => match message {
-                Message::Ask { id, ask } => self.homes(to, Input::Ask { from: name(from), id, ask }),
-                Message::Word { id, ask, word } => self.desk(to, forward::Input::Word { id, ask, word }),
+                SettlementMessage::Request { id, request } => {
+                    self.step_owned(to, OwnerInput::Request { from: name(from), id, request })
+                }
+                SettlementMessage::Reply { id, request, reply } => {
+                    self.step_forwarder(to, forward::ForwardInput::Reply { id, request, reply })
+                }
             },
             Flight::Propose(command) => self.append(Entry::Command(command)),
             Flight::Write { c, epoch, seq, records } => {
-                let (book, is_sealed) =
-                    self.books.get_mut(&Book { courier: name(c), epoch }).expect("each courier has one");
+                let (journal, is_sealed) = self
+                    .journals
+                    .get_mut(&JournalRef { courier: name(c), epoch })
+                    .expect("each courier has one");
                 let is_there = !*is_sealed;
                 if is_there {
-                    book.extend(records);
+                    journal.extend(records);
                 }
                 self.fly(Flight::Written { c, epoch, seq, is_there });
             }
             Flight::Written { c, epoch, seq, is_there } if self.is_current(c, epoch) => {
-                self.homes(c, if is_there { Input::Written { seq } } else { Input::Sealed });
+                self.step_owned(c, if is_there { OwnerInput::Written { seq } } else { OwnerInput::Sealed });
             }
-            Flight::Fetch { c, epoch, id, term, books } if self.is_current(c, epoch) => {
-                let read = |book: &Book| self.books[book].0.clone();
-                let books = books.iter().map(read).collect();
-                self.homes(c, Input::Fetched { id, term, books });
+            Flight::Fetch { c, epoch, id, term, journals } if self.is_current(c, epoch) => {
+                let read = |journal: &JournalRef| self.journals[journal].0.clone();
+                let journals = journals.iter().map(read).collect();
+                self.step_owned(c, OwnerInput::Fetched { id, term, journals });
             }
             Flight::Call { c, epoch, call } if self.is_current(c, epoch) => self.call(c, epoch, call, fault),
             Flight::Answer { c, epoch, id, attempt, outcome, lost } if self.is_current(c, epoch) => {
-                self.homes(c, Input::Outcome { id, attempt, outcome, lost });
+                self.step_owned(c, OwnerInput::Outcome { id, attempt, outcome, lost });
             }
             Flight::Close { c, epoch, id, session, opens } if self.is_current(c, epoch) => {
                 self.closing(c, epoch, id, session, opens, fault);
             }
             Flight::Confirmed { c, epoch, id, session } if self.is_current(c, epoch) => {
-                self.homes(c, Input::Confirmed { id, session });
+                self.step_owned(c, OwnerInput::Confirmed { id, session });
             }
             Flight::Drop { c, epoch, id, session } => {
                 self.seen.get_mut(&id).unwrap().sessions.remove(&(c, epoch, session));
                 self.fly(Flight::Lost { c, epoch, id, session });
             }
             Flight::Lost { c, epoch, id, session } if self.is_current(c, epoch) => {
-                self.homes(c, Input::SessionLost { id, session });
+                self.step_owned(c, OwnerInput::SessionLost { id, session });
             }
             _ => {}
         }
@@ -445,7 +471,7 @@
         }
         let outcome = match fault {
             None | Some(Fault::NotReached) => Outcome::Delivered,
-            Some(Fault::Reset | Fault::Error) => Outcome::MayHaveRun,
+            Some(Fault::Reset | Fault::SettlementError) => Outcome::MayHaveRun,
             Some(Fault::Refused) => Outcome::Failed,
         };
         self.fly(answer(outcome, lost));
@@ -468,14 +494,14 @@
 
     fn closing(&mut self, c: usize, epoch: u64, id: SettlementId, n: u32, opens: bool, fault: Option<Fault>) {
         let is_there = self.touch(&id, (c, epoch, n), opens);
-        let of = self.plans[&id].of;
+        let total = self.plans[&id].total;
         let seen = self.seen.get_mut(&id).unwrap();
         seen.sessions.remove(&(c, epoch, n));
         if !is_there || fault.is_some() {
             return self.fly(Flight::Lost { c, epoch, id, session: n });
         }
         seen.is_confirmed = true;
-        if !(1..=of).all(|position| seen.ran.contains_key(&position)) {
+        if !(1..=total).all(|position| seen.ran.contains_key(&position)) {
             self.wrong(format!("{}: closed before all of it had run", id.name));
         }
         self.fly(Flight::Confirmed { c, epoch, id, session: n });
@@ -484,22 +510,24 @@
     fn append(&mut self, entry: Entry) {
         let events = match &entry {
             Entry::Command(command) => self.truth.apply(command),
-            Entry::Gone { book, takers } => self.truth.gone(&book.courier, book.epoch, takers),
+            Entry::Gone { journal, successors } => {
+                self.truth.gone(&journal.courier, journal.epoch, successors)
+            }
         };
         self.log.push(entry);
         for event in events {
-            if let Event::Closed { id, verdict, .. } = event {
+            if let SettlementEvent::Closed { id, verdict, .. } = event {
                 self.decided(&id, verdict);
             }
         }
     }
 
     fn decided(&mut self, id: &SettlementId, verdict: Verdict) {
-        let of = self.plans[id].of;
+        let total = self.plans[id].total;
         let seen = self.seen.get_mut(id).unwrap();
         let first = *seen.verdict.get_or_insert(verdict);
         let last = match verdict {
-            Verdict::Closed { of } => of,
+            Verdict::Closed { total } => total,
             Verdict::Broken { at, .. } => at - 1,
         };
         let is_whole = (1..=last).all(|p| seen.ends.get(&p) == Some(&End::Delivered));
@@ -507,7 +535,7 @@
         let is_confirmed = seen.is_confirmed || seen.in_session == Some(false);
         match verdict {
             _ if first != verdict => self.wrong(format!("{}: {first:?}, then {verdict:?}", id.name)),
-            Verdict::Closed { of: told } if told != of || !is_whole || !is_confirmed => {
+            Verdict::Closed { total: told } if told != total || !is_whole || !is_confirmed => {
                 self.wrong(format!("{}: closed, and is not", id.name));
             }
             Verdict::Broken { at, .. } if !is_whole || greatest > at => {
@@ -523,48 +551,54 @@
         let entry = self.log[courier.applied].clone();
         courier.applied += 1;
         let events = match &entry {
-            Entry::Command(command) => courier.agreed.apply(command),
-            Entry::Gone { book, takers } => courier.agreed.gone(&book.courier, book.epoch, takers),
+            Entry::Command(command) => courier.registry.apply(command),
+            Entry::Gone { journal, successors } => {
+                courier.registry.gone(&journal.courier, journal.epoch, successors)
+            }
         };
-        if let Entry::Gone { book, .. } = &entry
-            && *book == self.book(c)
+        if let Entry::Gone { journal, .. } = &entry
+            && *journal == self.journal(c)
         {
-            return self.homes(c, Input::Sealed);
+            return self.step_owned(c, OwnerInput::Sealed);
         }
         for event in events {
-            self.homes(c, Input::Agreed(event.clone()));
-            self.desk(c, forward::Input::Agreed(event));
+            self.step_owned(c, OwnerInput::Committed(event.clone()));
+            self.step_forwarder(c, forward::ForwardInput::Committed(event));
         }
     }
 
     fn lose(&mut self, c: usize, life: Life) {
         self.couriers[c].life = life;
         if life == Life::Dead {
-            self.seen.values_mut().for_each(|seen| seen.sessions.retain(|(of, ..), _| *of != c));
+            self.seen.values_mut().for_each(|seen| seen.sessions.retain(|(total, ..), _| *total != c));
             self.flights.retain(|(_, f)| {
-                Self::needs(f).is_none_or(|(of, epoch)| of != c || epoch.is_none())
+                Self::needs(f).is_none_or(|(total, epoch)| total != c || epoch.is_none())
                     || matches!(f, Flight::Drop { .. })
             });
         }
         // Consumers that hear nothing ask elsewhere.
-        let asked: Vec<u64> =
-            self.asked.iter().filter(|(_, (of, ..))| *of == c).map(|(ticket, _)| *ticket).collect();
-        for ticket in asked {
-            let (c, id, ask) = self.asked.remove(&ticket).unwrap();
-            self.ask_elsewhere(c, ticket, id, ask);
+        let requested: Vec<u64> = self
+            .pending_requests
+            .iter()
+            .filter(|(_, (total, ..))| *total == c)
+            .map(|(ticket, _)| *ticket)
+            .collect();
+        for ticket in requested {
+            let (c, id, request) = self.pending_requests.remove(&ticket).unwrap();
+            self.request_elsewhere(c, ticket, id, request);
         }
     }
 
     /// The lease has lapsed: the book is sealed, and the others take what was there.
     fn take_over(&mut self, c: usize) {
-        let book = self.book(c);
-        self.books.get_mut(&book).unwrap().1 = true;
+        let journal = self.journal(c);
+        self.journals.get_mut(&journal).unwrap().1 = true;
         self.couriers[c].is_taken_over = true;
         // Calls to a courier that has not answered for so long are given up.
         self.flights.retain(|(_, flight)| !matches!(flight, Flight::Net { to, .. } if *to == c));
         let up = (0..self.couriers.len()).filter(|o| *o != c && !self.couriers[*o].is_taken_over);
-        let takers = up.map(|other| self.book(other)).collect();
-        self.append(Entry::Gone { book, takers });
+        let successors = up.map(|other| self.journal(other)).collect();
+        self.append(Entry::Gone { journal, successors });
     }
 
     /// Back with an empty memory, as a registration of its own.
@@ -575,18 +609,18 @@
         }
         let epoch = self.couriers[c].epoch + 1;
         self.couriers[c] = self.courier(c, epoch);
-        self.pinned.retain(|(of, _), _| *of != c);
+        self.pinned.retain(|(total, _), _| *total != c);
     }
 
     fn drain(&mut self, c: usize, by: Micros) {
         let others = (0..self.couriers.len()).filter(|o| *o != c && self.couriers[*o].life == Life::Up);
-        let takers: Vec<Book> = others.map(|other| self.book(other)).collect();
-        self.homes(c, Input::Drain { takers, by });
+        let successors: Vec<JournalRef> = others.map(|other| self.journal(other)).collect();
+        self.step_owned(c, OwnerInput::Drain { successors, by });
     }
 
     fn wake_at(&self) -> Option<Micros> {
         let up = self.couriers.iter().filter(|courier| courier.life == Life::Up);
-        let wakes = up.flat_map(|courier| [courier.homes.wake_at(), courier.desk.wake_at()]).flatten();
+        let wakes = up.flat_map(|courier| [courier.owned.wake_at(), courier.forwarder.wake_at()]).flatten();
         wakes.chain(self.partner_wake()).min()
     }
 
@@ -614,12 +648,12 @@
         for c in 0..self.couriers.len() {
             let courier = &self.couriers[c];
             let is_due = |at: Option<Micros>| courier.life == Life::Up && at.is_some_and(|at| at <= now);
-            let (homes, desk) = (is_due(courier.homes.wake_at()), is_due(courier.desk.wake_at()));
-            if homes {
-                self.homes(c, Input::Tick);
+            let (owned, forwarder) = (is_due(courier.owned.wake_at()), is_due(courier.forwarder.wake_at()));
+            if owned {
+                self.step_owned(c, OwnerInput::Tick);
             }
-            if desk {
-                self.desk(c, forward::Input::Tick);
+            if forwarder {
+                self.step_forwarder(c, forward::ForwardInput::Tick);
             }
         }
     }
@@ -638,8 +672,8 @@
         }
         for courier in self.couriers.clone() {
             let is_up = courier.life == Life::Up && courier.applied == self.log.len();
-            if is_up && (courier.homes.sizes(), courier.desk.len()) != ((0, 0, 0), 0) {
-                self.wrong(format!("a courier still holds {:?}", courier.homes.sizes()));
+            if is_up && (courier.owned.sizes(), courier.forwarder.len()) != ((0, 0, 0), 0) {
+                self.wrong(format!("a courier still holds {:?}", courier.owned.sizes()));
             }
         }
     }
@@ -650,7 +684,7 @@
     /// It ran, and the connection broke.
     Reset,
     /// It ran, and 500 came back.
-    Error,
+    SettlementError,
     /// The partner will never have it.
     Refused,
     NotReached,
@@ -668,7 +702,7 @@
     faults: u32,
     drains: u32,
     /// Hand-ins that are made: the order in which consumers come.
-    hands: VecDeque<(usize, u64, SettlementId)>,
+    sequenced_messages: VecDeque<(usize, u64, SettlementId)>,
 }
 
 #[derive(Clone, Debug)]
@@ -676,7 +710,7 @@
     Deliver(Flight),
     Fault(Flight, Fault),
     Apply(usize),
-    Hand,
+    SequencedMessage,
     /// So many of its writes are in the book, and a call or closing of its reached the partner: it knows of
     /// neither.
     Lose(usize, Life, usize, bool),
@@ -696,9 +730,9 @@
         }
         // What only tells a consumer, or comes to nobody, changes nothing by waiting.
         let is_plain = match flight {
-            Flight::Net { message: Message::Word { .. }, .. } | Flight::Drop { .. } => true,
+            Flight::Net { message: SettlementMessage::Reply { .. }, .. } | Flight::Drop { .. } => true,
             Flight::Net { to, from, .. } if to == from => true,
-            Flight::Propose(Command::Open { .. } | Command::Up { .. }) => true,
+            Flight::Propose(SettlementCommand::Open { .. } | SettlementCommand::CaughtUp { .. }) => true,
             // One that is back from a pause goes on with what it has, and the later it learns of its seal the
             // worse.
             Flight::Written { c, .. } | Flight::Write { c, .. } if is_back(*c) => true,
@@ -720,18 +754,19 @@
         return vec![Move::Apply(c)];
     }
     moves.extend(all.clone().filter(up).filter(behind).map(Move::Apply));
-    if !left.hands.is_empty() {
-        moves.push(Move::Hand);
+    if !left.sequenced_messages.is_empty() {
+        moves.push(Move::SequencedMessage);
     }
     let is_quiet = moves.is_empty();
     // Only a home's loss is worth a look.
     let is_home = |c: &usize| {
         let courier = &world.couriers[*c];
-        courier.homes.sizes().0 > 0 || world.truth.homes().any(|(_, home)| home.is(&name(*c), courier.epoch))
+        courier.owned.sizes().0 > 0
+            || world.truth.owners().any(|(_, owner)| owner.is_at(&name(*c), courier.epoch))
     };
     for c in all.clone().filter(up).filter(is_home) {
         let lives = [(left.kills, Life::Dead), (left.pauses, Life::Paused)];
-        let theirs = |f: &Flight| World::needs(f).is_some_and(|(of, epoch)| of == c && epoch.is_some());
+        let theirs = |f: &Flight| World::needs(f).is_some_and(|(total, epoch)| total == c && epoch.is_some());
         let flights = || world.flights.iter().map(|(_, flight)| flight).filter(|f| theirs(f));
         let writes = flights().filter(|f| matches!(f, Flight::Write { .. })).count();
         let has_call = flights().any(|f| matches!(f, Flight::Call { .. } | Flight::Close { .. }));
@@ -780,17 +815,17 @@
             at_once(world, flight, Some(*fault));
         }
         Move::Apply(c) => world.apply(*c),
-        Move::Hand => {
-            let (to, position, id) = left.hands.pop_front().unwrap();
-            let ask = world.hand(&id, position);
-            let ticket = (print(&id.name) % 1_000 * 10 + position) * 10;
-            world.deliver(Flight::Hand { to, ticket, id, ask }, None);
+        Move::SequencedMessage => {
+            let (to, position, id) = left.sequenced_messages.pop_front().unwrap();
+            let request = world.sequenced(&id, position);
+            let ticket = (checksum(&id.name) % 1_000 * 10 + position) * 10;
+            world.deliver(Flight::Submit { to, ticket, id, request }, None);
         }
         Move::Lose(c, life, writes, has_call) => {
             let n = if *life == Life::Dead { &mut left.kills } else { &mut left.pauses };
             *n -= 1;
             let is_theirs =
-                |f: &Flight| World::needs(f).is_some_and(|(of, epoch)| of == *c && epoch.is_some());
+                |f: &Flight| World::needs(f).is_some_and(|(total, epoch)| total == *c && epoch.is_some());
             for _ in 0..*writes {
                 let is_next = |f: &Flight| matches!(f, Flight::Write { .. }) && is_theirs(f);
                 let next =
@@ -807,7 +842,7 @@
             }
             world.lose(*c, *life);
             // Its consumers have left it; what it would ask for them is asked twice in the simulation.
-            world.couriers[*c].desk = Desk::new(&name(*c), world.couriers[*c].epoch);
+            world.couriers[*c].forwarder = RequestForwarder::new(&name(*c), world.couriers[*c].epoch);
         }
         Move::TakeOver(c) => world.take_over(*c),
         Move::Resume(c) => world.couriers[*c].life = Life::Up,
@@ -820,7 +855,7 @@
             world.tick();
         }
     }
-    world.flights.sort_by_cached_key(|(_, flight)| print(flight));
+    world.flights.sort_by_cached_key(|(_, flight)| checksum(flight));
 }
 
 /// What arrives, and the word that comes back of it: a loss in between is a case of [`Move::Lose`].
@@ -837,12 +872,12 @@
         )
     };
     if is_asked && world.flights.last().is_some_and(|(_, f)| is_word(f) && world.is_deliverable(f)) {
-        let (_, word) = world.flights.pop().unwrap();
-        world.deliver(word, None);
+        let (_, reply) = world.flights.pop().unwrap();
+        world.deliver(reply, None);
     }
 }
 
-fn print(what: &impl Hash) -> u64 {
+fn checksum(what: &impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
     what.hash(&mut hasher);
     hasher.finish()
@@ -868,7 +903,7 @@
         for one in all {
             let (mut next, mut left) = (world.clone(), left.clone());
             step(&mut next, &mut left, &one);
-            let is_quiet = next.flights.is_empty() && left.hands.is_empty();
+            let is_quiet = next.flights.is_empty() && left.sequenced_messages.is_empty();
             if is_quiet && moves(&next, &left).is_empty() {
                 if !next.is_over() {
                     next.wrong(format!("{}: nothing can happen, and it is not over", id.name));
@@ -889,7 +924,7 @@
                 return Explored { states: known.len(), ends, wrong: Some((wrong, path(at))) };
             }
             // Two independent prints: none of some million states is taken for another.
-            if known.insert((print(&(&next, &left)), print(&(1u8, &left, &next)))) {
+            if known.insert((checksum(&(&next, &left)), checksum(&(1u8, &left, &next)))) {
                 assert!(known.len() <= most, "more than {most} states");
                 paths.push((at, format!("{one:?}")));
                 queue.push_back((next, left, paths.len() - 1));
@@ -905,12 +940,18 @@
 
 const LATE: Micros = 60_000_000;
 
-fn case(one: Mode, repeat: Repeat, hands: &[(usize, u64)], of: u64) -> (World, Left, SettlementId) {
+fn case(
+    one: Mode,
+    repeat: Repeat,
+    sequenced_messages: &[(usize, u64)],
+    total: u64,
+) -> (World, Left, SettlementId) {
     let mut world = World::new(2, BTreeMap::from([(7, one)]), 4);
     let id = settlement("s", 7);
-    world.plan(&id, of, repeat, LATE);
-    let hands = hands.iter().map(|(to, position)| (*to, *position, id.clone())).collect();
-    let left = Left { kills: 0, pauses: 0, faults: 0, drains: 0, hands };
+    world.plan(&id, total, repeat, LATE);
+    let sequenced_messages =
+        sequenced_messages.iter().map(|(to, position)| (*to, *position, id.clone())).collect();
+    let left = Left { kills: 0, pauses: 0, faults: 0, drains: 0, sequenced_messages };
     (world, left, id)
 }
 
@@ -929,15 +970,15 @@
 const REPEATS: [(&str, Repeat); 2] = [("debits", Repeat::Never), ("keyed", Repeat::Within(30_000_000))];
 
 /// A home that is lost at each point, in each mode; says how many states that were.
-fn takeovers(life: Life, hands: &[(usize, u64)], of: u64) -> usize {
+fn takeovers(life: Life, sequenced_messages: &[(usize, u64)], total: u64) -> usize {
     let mut states = 0;
     for (name, one) in MODES {
         for (what, repeat) in REPEATS {
-            let (world, mut left, id) = case(one, repeat, hands, of);
+            let (world, mut left, id) = case(one, repeat, sequenced_messages, total);
             *(if life == Life::Dead { &mut left.kills } else { &mut left.pauses }) = 1;
             let found = run_case(&format!("{name}, {what}, {life:?}"), world, left, &id);
             assert!(found.wrong.is_none());
-            assert!(found.ends.contains_key(&Verdict::Closed { of }));
+            assert!(found.ends.contains_key(&Verdict::Closed { total }));
             states += found.states;
         }
     }
@@ -951,14 +992,14 @@
 }
 
 #[test]
-fn a_home_that_is_paused_at_each_point_of_a_settlement_of_two() {
+fn an_owner_paused_at_each_point_of_a_settlement_of_two() {
     takeovers(Life::Paused, &REVERSED[1..], 2);
 }
 
 /// Minutes: by hand, and at each change of the machines.
 #[test]
 #[ignore = "three minutes"]
-fn a_home_that_is_paused_at_each_point_of_a_settlement_of_three() {
+fn an_owner_paused_at_each_point_of_a_settlement_of_three() {
     takeovers(Life::Paused, REVERSED, 3);
 }
 
@@ -972,7 +1013,7 @@
             (left.drains, left.faults) = (1, 1);
             let found = run_case(&format!("{name}, {what}, drained, one fault"), world, left, &id);
             assert!(found.wrong.is_none());
-            assert!(found.ends.contains_key(&Verdict::Closed { of: 2 }));
+            assert!(found.ends.contains_key(&Verdict::Closed { total: 2 }));
         }
     }
 }
@@ -987,13 +1028,13 @@
     for one in [&id, &other] {
         world.plan(one, 2, Repeat::Never, LATE);
     }
-    left.hands = [(0, 1, &id), (0, 1, &other), (0, 2, &other), (0, 2, &id)]
+    left.sequenced_messages = [(0, 1, &id), (0, 1, &other), (0, 2, &other), (0, 2, &id)]
         .map(|(to, position, id)| (to, position, id.clone()))
         .into();
     left.faults = 1;
     let found = run_case("two settlements, one pin", world, left, &id);
     assert!(found.wrong.is_none());
-    assert!(found.ends.contains_key(&Verdict::Closed { of: 2 }));
+    assert!(found.ends.contains_key(&Verdict::Closed { total: 2 }));
 }
 
 // ------------------------------------------------------------
@@ -1057,26 +1098,27 @@
     let mut blows: Vec<(Micros, Blow)> = Vec::new();
     for s in 0..COUNT {
         let id = settlement(&format!("s{s}"), 1 + dice.below(4));
-        let of = 1 + dice.below(6);
+        let total = 1 + dice.below(6);
         let from = 1_000 + dice.below(20_000_000);
         let repeat = match dice.below(3) {
             0 => Repeat::Never,
             1 => Repeat::Within(15_000_000),
             _ => Repeat::Freely,
         };
-        world.plan(&id, of, repeat, from + 15_000_000);
-        let hole = dice.odds(20).then(|| 1 + dice.below(of));
-        for position in (1..=of).filter(|position| Some(*position) != hole) {
+        world.plan(&id, total, repeat, from + 15_000_000);
+        let hole = dice.odds(20).then(|| 1 + dice.below(total));
+        for position in (1..=total).filter(|position| Some(*position) != hole) {
             // In order, reversed, or all at once; at any courier, and now and then at two.
             let step = match s % 3 {
                 0 => position * 100_000,
-                1 => (of - position) * 100_000,
+                1 => (total - position) * 100_000,
                 _ => dice.below(1_000),
             };
             for copy in 0..1 + u64::from(dice.odds(100)) {
                 let to = dice.below(n as u64) as usize;
                 let ticket = ((s * 10 + position) * 10 + copy) * 10;
-                let flight = Flight::Hand { to, ticket, id: id.clone(), ask: world.hand(&id, position) };
+                let flight =
+                    Flight::Submit { to, ticket, id: id.clone(), request: world.sequenced(&id, position) };
                 world.flights.push((from + step, flight));
             }
         }
@@ -1095,7 +1137,7 @@
     while world.wrong.is_none() {
         schedule(&mut world, &mut dice);
         totals.most_flights = totals.most_flights.max(world.flights.len());
-        let held = world.couriers.iter().map(|c| c.homes.sizes().1).max();
+        let held = world.couriers.iter().map(|c| c.owned.sizes().1).max();
         totals.most_held = totals.most_held.max(held.unwrap_or(0));
         let next = (0..world.flights.len()).filter(|n| world.is_deliverable(&world.flights[*n].1));
         let next = next.min_by_key(|n| world.flights[*n].0);
@@ -1134,7 +1176,7 @@
         }
     }
     // A settlement of which nothing ever arrived is none.
-    let is_open = |id: &SettlementId, seen: &Seen| seen.verdict.is_none() && world.truth.home(id).is_some();
+    let is_open = |id: &SettlementId, seen: &Seen| seen.verdict.is_none() && world.truth.owner(id).is_some();
     if let Some((id, _)) = world.seen.iter().find(|(id, seen)| is_open(id, seen)) {
         world.wrong.get_or_insert(format!("{id:?} has no verdict"));
     }
@@ -1180,7 +1222,7 @@
 /// Counts what arrives.
 fn count(counts: &mut Counts, now: Micros, flight: &Flight) {
     match flight {
-        Flight::Hand { to, ticket, .. } => counts.count("submissions", &[now, *to as u64, *ticket]),
+        Flight::Submit { to, ticket, .. } => counts.count("submissions", &[now, *to as u64, *ticket]),
         Flight::Net { to, from, .. } => counts.count("messages", &[now, *to as u64, *from as u64]),
         Flight::Propose(_) => counts.count("proposals", &[now]),
         Flight::Write { c, epoch, seq, records } => {
@@ -1215,7 +1257,7 @@
     let fault = matches!(flight, Flight::Call { .. } | Flight::Close { .. }).then(|| dice.below(400));
     let fault = match fault {
         Some(0) => Some(Fault::Reset),
-        Some(1) => Some(Fault::Error),
+        Some(1) => Some(Fault::SettlementError),
         Some(2) if dice.odds(300) => Some(Fault::Refused),
         Some(3..=12) => Some(Fault::NotReached),
         _ => None,
@@ -1260,11 +1302,13 @@
             }
             blows.push((back.max(lapse) + 1_000_000, Blow::Restart(c, epoch)));
         }
-        Blow::TakeOver(c, of) if epoch(world, c) == of && world.couriers[c].life != Life::Up => {
+        Blow::TakeOver(c, total) if epoch(world, c) == total && world.couriers[c].life != Life::Up => {
             world.take_over(c);
         }
-        Blow::Resume(c, of) if epoch(world, c) == of => world.couriers[c].life = Life::Up,
-        Blow::Restart(c, of) if epoch(world, c) == of && world.couriers[c].is_taken_over => world.restart(c),
+        Blow::Resume(c, total) if epoch(world, c) == total => world.couriers[c].life = Life::Up,
+        Blow::Restart(c, total) if epoch(world, c) == total && world.couriers[c].is_taken_over => {
+            world.restart(c)
+        }
         Blow::Drain(c) if world.couriers[c].life == Life::Up && !world.couriers[c].is_taken_over => {
             totals.drains += 1;
             let by = world.now + 100_000 + dice.below(2_000_000);
@@ -1273,21 +1317,23 @@
                 blows.push((by + dice.below(2_000_000), Blow::Undrain(c)));
             }
         }
-        Blow::Undrain(c) if world.couriers[c].life == Life::Up => world.homes(c, Input::Undrain),
+        Blow::Undrain(c) if world.couriers[c].life == Life::Up => {
+            world.step_owned(c, OwnerInput::CancelDrain)
+        }
         // The partner of destination 4 changes its mode, and one courier hears of it: what is open keeps its
         // own.
         Blow::Mode(c) => {
             let one = [Mode::Message, NEVER, AFTER][dice.below(3) as usize];
             world.modes.insert(4, one);
-            world.couriers[c].homes.set_mode(4, mode(one));
+            world.couriers[c].owned.set_mode(4, mode(one));
         }
         Blow::Budget => {
             let budget = 2 + dice.below(8) as u32;
             world.budget = budget;
             for c in 0..world.couriers.len() {
                 for (dest, _) in DESTS {
-                    let outputs = world.couriers[c].homes.set_budget("north", dest, budget);
-                    outputs.into_iter().for_each(|output| world.home_output(c, output));
+                    let outputs = world.couriers[c].owned.set_budget("north", dest, budget);
+                    outputs.into_iter().for_each(|output| world.owner_output(c, output));
                 }
             }
         }
--- a/fleet/tests/stored_forms.rs
+++ b/fleet/tests/stored_forms.rs
@@ -11,17 +11,19 @@
 use fixtures::fixture;
 use quillmount_core::journal::{self, JournalContents, JournalRecord};
 use quillmount_core::store::{Memory, Store};
-use quillmount_fleet::agreement::{Agreement, Change, Input, Limits, Output};
-use quillmount_fleet::budget::{self, Budget, Gate, Line, Report, Tenant, Terms};
-use quillmount_fleet::member::Stores;
-use quillmount_fleet::message::{Envelope, Message, Place};
-use quillmount_fleet::settlement::lines::{Parcel, Written};
+use quillmount_fleet::agreement::{
+    Agreement, AgreementInput, AgreementLimits, AgreementOutput, MembershipChange,
+};
+use quillmount_fleet::budget::{self, Budget, BudgetGate, Report, ReportLine, Tenant, TimeBounds};
+use quillmount_fleet::member::StoreDirectory;
+use quillmount_fleet::message::{Envelope, FleetMessage, ReplicaPosition};
+use quillmount_fleet::settlement::journal_lines::{JournalLine, MessagePayload};
 use quillmount_fleet::settlement::{
-    self, Ask, At, Cause, End, Error, Hand, Kept, Mode, Outcome, Record, Repeat, Resume, SettlementId,
-    Verdict, Word,
+    self, Cause, End, Mode, Outcome, PositionRef, Repeat, Resume, SequencedMessage, SettlementError,
+    SettlementId, SettlementProgress, SettlementRecord, SettlementReply, SettlementRequest, Verdict,
 };
-use quillmount_fleet::shares::Count;
-use quillmount_fleet::state::{Agreed, BookId, Command, PARTS, Part, Source};
+use quillmount_fleet::shares::BudgetKind;
+use quillmount_fleet::state::{FleetCommand, FleetState, JournalId, PARTITIONS, PartitionId, PartitionState};
 use std::collections::{BTreeMap, BTreeSet};
 
 const NOW: u64 = 1_700_000_000_000_000;
@@ -30,24 +32,24 @@
     SettlementId { tenant: "north".into(), name: "evening".into(), dest: 700 }
 }
 
-fn hand(position: u64, repeat: Repeat) -> Hand {
-    Hand {
+fn sequenced(position: u64, repeat: Repeat) -> SequencedMessage {
+    SequencedMessage {
         position,
-        of: position.is_multiple_of(2).then_some(300),
-        msg: format!("m{position}"),
+        total: position.is_multiple_of(2).then_some(300),
+        message_id: format!("m{position}"),
         repeat,
         deadline: NOW + position,
         size: 1_000,
-        print: 0xdead_beef,
+        checksum: 0xdead_beef,
     }
 }
 
-fn book(owner: &str, epoch: u64) -> BookId {
-    BookId { owner: owner.into(), epoch }
+fn journal_id(owner: &str, epoch: u64) -> JournalId {
+    JournalId { owner: owner.into(), epoch }
 }
 
-fn source(owner: &str, epoch: u64, part: usize) -> Source {
-    Source { book: book(owner, epoch), part }
+fn source(owner: &str, epoch: u64, partition: usize) -> PartitionId {
+    PartitionId { journal: journal_id(owner, epoch), partition }
 }
 
 fn verdicts() -> Vec<Verdict> {
@@ -62,51 +64,52 @@
         Cause::RecordsLost,
     ];
     let broken = causes.into_iter().map(|cause| Verdict::Broken { at: 200, cause });
-    [Verdict::Closed { of: 300 }].into_iter().chain(broken).collect()
+    [Verdict::Closed { total: 300 }].into_iter().chain(broken).collect()
 }
 
 fn ends() -> Vec<End> {
     vec![End::Delivered, End::MayHaveRun, End::Failed, End::OutOfTime, End::NeverRan { broken_at: 200 }]
 }
 
-fn errors() -> Vec<Error> {
+fn errors() -> Vec<SettlementError> {
     let at = || id().at(200);
     vec![
-        Error::Field { at: at(), field: "position".into() },
-        Error::Zero(at()),
-        Error::Beyond { at: at(), of: 300 },
-        Error::TwoCounts { at: at(), of: 300, other: 301 },
-        Error::PositionTwice { at: at(), first: "m1".into() },
-        Error::Gap { at: at(), of: 300 },
-        Error::OtherOpen { at: at(), open: "noon".into() },
-        Error::NotOpened(at()),
-        Error::AfterClosing(At::default()),
-        Error::TooLong { at: at(), most: 300 },
-        Error::Late(at()),
-        Error::TooMuch { at: at(), held: 1, bytes: 300, after: 1_000 },
-        Error::TooManyOpen { at: at(), open: 300, after: 1_000 },
-        Error::Busy { at: at(), asks: 300, after: 1_000 },
-        Error::NoRoom(at()),
-        Error::NoWord(at()),
-        Error::Over { at: at(), verdict: Verdict::Closed { of: 300 } },
-        Error::NoPin { at: at(), budget: 1, least: 300 },
+        SettlementError::Field { at: at(), field: "position".into() },
+        SettlementError::Zero(at()),
+        SettlementError::Beyond { at: at(), total: 300 },
+        SettlementError::TwoCounts { at: at(), total: 300, other: 301 },
+        SettlementError::PositionTwice { at: at(), first: "m1".into() },
+        SettlementError::Gap { at: at(), total: 300 },
+        SettlementError::OtherOpen { at: at(), open: "noon".into() },
+        SettlementError::NotOpened(at()),
+        SettlementError::AfterClosing(PositionRef::default()),
+        SettlementError::TooLong { at: at(), most: 300 },
+        SettlementError::Late(at()),
+        SettlementError::TooManyWaiting { at: at(), waiting: 1, bytes: 300, after: 1_000 },
+        SettlementError::TooManyOpen { at: at(), open: 300, after: 1_000 },
+        SettlementError::Busy { at: at(), pending: 300, after: 1_000 },
+        SettlementError::StorageFull(at()),
+        SettlementError::NoReply(at()),
+        SettlementError::Ended { at: at(), verdict: Verdict::Closed { total: 300 } },
+        SettlementError::NoPinnableConnection { at: at(), budget: 1, least: 300 },
     ]
 }
 
 fn report() -> Report {
-    let line = |n: u64, released| Line { dest: n, tenant: format!("t{n}"), asks: 300, open: 2, released };
+    let line =
+        |n: u64, released| ReportLine { dest: n, tenant: format!("t{n}"), demand: 300, open: 2, released };
     Report {
         courier: "a".into(),
         epoch: 300,
-        turn: 301,
+        sequence: 301,
         clear: true,
         left: false,
         lines: vec![line(1, None), line(300, Some((302, 1)))],
     }
 }
 
-fn budget_commands() -> Vec<budget::Command> {
-    use budget::Command::*;
+fn budget_commands() -> Vec<budget::BudgetCommand> {
+    use budget::BudgetCommand::*;
     let courier = || "a".to_string();
     let (dest, epoch, tenant) = (700, 300, || "north".to_string());
     vec![
@@ -123,77 +126,98 @@
     ]
 }
 
-fn settlement_commands() -> Vec<settlement::Command> {
-    use settlement::Command::*;
-    let verdict = Verdict::Closed { of: 300 };
+fn settlement_commands() -> Vec<settlement::SettlementCommand> {
+    use settlement::SettlementCommand::*;
+    let verdict = Verdict::Closed { total: 300 };
     vec![
-        Open { id: id(), home: "a".into(), home_epoch: 300 },
+        Open { id: id(), owner: "a".into(), owner_epoch: 300 },
         Move { id: id(), term: 301, to: "b".into(), to_epoch: 302, boundary: true },
-        Up { id: id(), term: 301 },
+        CaughtUp { id: id(), term: 301 },
         Close { id: id(), term: 301, verdict, until: NOW },
-        Stay { courier: "a".into(), epoch: 300 },
+        CancelDrain { courier: "a".into(), epoch: 300 },
         Forget { before: NOW },
     ]
 }
 
 /// One of each kind of command that couriers agree on.
-fn commands() -> Vec<Command> {
-    let copies = BTreeSet::from(["b".to_string(), "c".to_string()]);
+fn commands() -> Vec<FleetCommand> {
+    let replicas = BTreeSet::from(["b".to_string(), "c".to_string()]);
     let mut all = vec![
-        Command::Join { name: "a".into(), token: 0xfeed_beef, life: 300, book: None },
-        Command::Join { name: "a".into(), token: 1, life: 2, book: Some(300) },
-        Command::Gone { name: "a".into(), epoch: 300 },
-        Command::Copies { book: book("a", 300), version: 301, copies },
-        Command::Taken { source: source("a", 300, 15), by: "b".into(), epoch: 302 },
-        Command::Done { source: source("a", 300, 15), by: "b".into(), epoch: 302 },
+        FleetCommand::Join { name: "a".into(), node_id: 0xfeed_beef, incarnation: 300, journal: None },
+        FleetCommand::Join { name: "a".into(), node_id: 1, incarnation: 2, journal: Some(300) },
+        FleetCommand::Deregister { name: "a".into(), epoch: 300 },
+        FleetCommand::SetReplicas { journal: journal_id("a", 300), version: 301, replicas },
+        FleetCommand::Adopted { source: source("a", 300, 15), by: "b".into(), epoch: 302 },
+        FleetCommand::Done { source: source("a", 300, 15), by: "b".into(), epoch: 302 },
     ];
-    all.extend(budget_commands().into_iter().map(|command| Command::Share(Count::Connections, command)));
-    all.extend(budget_commands().into_iter().map(|command| Command::Share(Count::Calls, command)));
-    all.extend(settlement_commands().into_iter().map(Command::Settlement));
+    all.extend(
+        budget_commands().into_iter().map(|command| FleetCommand::Budget(BudgetKind::Connections, command)),
+    );
+    all.extend(budget_commands().into_iter().map(|command| FleetCommand::Budget(BudgetKind::Calls, command)));
+    all.extend(settlement_commands().into_iter().map(FleetCommand::Settlement));
     all
 }
 
 /// One of each kind of message between couriers.
-fn messages() -> Vec<Message> {
-    let place = |len| Place { generation: 2, len };
+fn messages() -> Vec<FleetMessage> {
+    let position_at = |len| ReplicaPosition { generation: 2, len };
     let bytes = Bytes::from_static(b"bytes");
-    let settlement = |message| Message::Settlement { message: Box::new(message), parcel: bytes.clone() };
-    let mut all =
-        vec![Message::Hello { fresh: true }, Message::Here { fresh: false }, Message::Agree(bytes.clone())];
-    all.extend(commands().into_iter().map(Message::Propose));
+    let settlement =
+        |message| FleetMessage::Settlement { message: Box::new(message), payload: bytes.clone() };
+    let mut all = vec![
+        FleetMessage::Hello { fresh: true },
+        FleetMessage::HelloReply { fresh: false },
+        FleetMessage::Agreement(bytes.clone()),
+    ];
+    all.extend(commands().into_iter().map(FleetMessage::Propose));
     all.extend([
-        Message::Renew { epoch: 300, ticket: 301 },
-        Message::Granted { epoch: 300, ticket: 301 },
-        Message::Append { book: book("a", 300), generation: 2, whole: 400, at: 500, bytes: bytes.clone() },
-        Message::Copied { book: book("a", 300), place: place(500), staged: place(0) },
-        Message::Fetch { book: book("a", 300), at: 500 },
-        Message::Page { book: book("a", 300), at: 500, total: 600, bytes: bytes.clone() },
-        Message::NoBook { book: book("a", 300) },
-        Message::Shares(Count::Connections, report()),
-        Message::Shares(Count::Calls, report()),
+        FleetMessage::RenewLease { epoch: 300, ticket: 301 },
+        FleetMessage::LeaseGranted { epoch: 300, ticket: 301 },
+        FleetMessage::Append {
+            journal: journal_id("a", 300),
+            generation: 2,
+            complete_len: 400,
+            offset: 500,
+            bytes: bytes.clone(),
+        },
+        FleetMessage::AppendAck {
+            journal: journal_id("a", 300),
+            position: position_at(500),
+            staged: position_at(0),
+        },
+        FleetMessage::Fetch { journal: journal_id("a", 300), offset: 500 },
+        FleetMessage::Page { journal: journal_id("a", 300), offset: 500, total: 600, bytes: bytes.clone() },
+        FleetMessage::UnknownJournal { journal: journal_id("a", 300) },
+        FleetMessage::BudgetReport(BudgetKind::Connections, report()),
+        FleetMessage::BudgetReport(BudgetKind::Calls, report()),
     ]);
-    let asks = [
-        Ask::Hand(hand(1, Repeat::Never)),
-        Ask::Hand(hand(200, Repeat::Within(6_000_000))),
-        Ask::Hand(hand(201, Repeat::Freely)),
-        Ask::Closing { of: 300 },
+    let requests = [
+        SettlementRequest::Submit(sequenced(1, Repeat::Never)),
+        SettlementRequest::Submit(sequenced(200, Repeat::Within(6_000_000))),
+        SettlementRequest::Submit(sequenced(201, Repeat::Freely)),
+        SettlementRequest::Closing { total: 300 },
     ];
-    all.extend(asks.clone().map(|ask| settlement(settlement::Message::Ask { id: id(), ask })));
-    let words = [Word::TakenOn].into_iter().chain(ends().into_iter().map(Word::Ended));
-    let words = words.chain(errors().into_iter().map(Word::Refused));
     all.extend(
-        words.map(|word| settlement(settlement::Message::Word { id: id(), ask: asks[3].clone(), word })),
+        requests
+            .clone()
+            .map(|request| settlement(settlement::SettlementMessage::Request { id: id(), request })),
     );
+    let replies =
+        [SettlementReply::Accepted].into_iter().chain(ends().into_iter().map(SettlementReply::Ended));
+    let replies = replies.chain(errors().into_iter().map(SettlementReply::Rejected));
+    all.extend(replies.map(|reply| {
+        settlement(settlement::SettlementMessage::Reply { id: id(), request: requests[3].clone(), reply })
+    }));
     all
 }
 
 /// Each in an envelope of its own, behind its length.
 #[test]
 fn messages_between_couriers_are_read_and_written_as_ever() {
-    let envelope = |message: &Message| Envelope {
+    let envelope = |message: &FleetMessage| Envelope {
         from: "a".into(),
         to: "b".into(),
-        token: 0xfeed_beef,
+        node_id: 0xfeed_beef,
         messages: vec![message.clone()],
     };
     let written: Vec<Vec<u8>> = messages().iter().map(|message| envelope(message).encode()).collect();
@@ -208,15 +232,15 @@
 }
 
 /// Each kind of record that a settlement's home writes, and a copy of all that they come to.
-fn settlement_records() -> Vec<Record> {
+fn settlement_records() -> Vec<SettlementRecord> {
     let mut all = vec![
-        Record::Opened { id: id(), term: 1, mode: Mode::Message },
-        Record::Opened {
+        SettlementRecord::Opened { id: id(), term: 1, mode: Mode::Message },
+        SettlementRecord::Opened {
             id: id(),
             term: 2,
             mode: Mode::Session { resume: Resume::Never, linger: 5_000_000 },
         },
-        Record::Opened {
+        SettlementRecord::Opened {
             id: id(),
             term: 3,
             mode: Mode::Session { resume: Resume::AfterAnswer, linger: 5_000_000 },
@@ -224,10 +248,15 @@
     ];
     let repeats = [Repeat::Never, Repeat::Within(6_000_000), Repeat::Freely];
     let hands = (1..).zip(repeats.into_iter().cycle()).take(7);
-    all.extend(hands.map(|(n, repeat)| Record::HandIn { id: id(), hand: hand(n, repeat) }));
-    all.push(Record::Count { id: id(), of: 300 });
-    all.extend([Record::Session { id: id(), n: 1 }, Record::SessionEnded { id: id(), n: 1 }]);
-    all.push(Record::Session { id: id(), n: 300 });
+    all.extend(
+        hands.map(|(n, repeat)| SettlementRecord::Submitted { id: id(), sequenced: sequenced(n, repeat) }),
+    );
+    all.push(SettlementRecord::Count { id: id(), total: 300 });
+    all.extend([
+        SettlementRecord::Session { id: id(), n: 1 },
+        SettlementRecord::SessionEnded { id: id(), n: 1 },
+    ]);
+    all.push(SettlementRecord::Session { id: id(), n: 300 });
     let outcomes = [
         Outcome::Delivered,
         Outcome::NeverRan { after: 1_000 },
@@ -236,14 +265,14 @@
         Outcome::OutOfTime,
     ];
     for (position, outcome) in (1..).zip(outcomes) {
-        all.push(Record::Released { id: id(), position, at: NOW + position });
-        all.push(Record::Outcome { id: id(), position, outcome });
+        all.push(SettlementRecord::Released { id: id(), position, at: NOW + position });
+        all.push(SettlementRecord::Outcome { id: id(), position, outcome });
     }
-    all.push(Record::Released { id: id(), position: 6, at: NOW + 6 });
-    let kept = Kept::read(&id(), &[all.clone()]);
-    all.push(Record::Copy { id: id(), kept: Box::new(kept) });
-    all.push(Record::Copy { id: id(), kept: Box::default() });
-    all.extend(verdicts().into_iter().map(|verdict| Record::Verdict { id: id(), verdict }));
+    all.push(SettlementRecord::Released { id: id(), position: 6, at: NOW + 6 });
+    let progress = SettlementProgress::read(&id(), &[all.clone()]);
+    all.push(SettlementRecord::Snapshot { id: id(), progress: Box::new(progress) });
+    all.push(SettlementRecord::Snapshot { id: id(), progress: Box::default() });
+    all.extend(verdicts().into_iter().map(|verdict| SettlementRecord::Verdict { id: id(), verdict }));
     all
 }
 
@@ -253,16 +282,19 @@
     let written: Vec<Vec<u8>> = records.iter().map(|record| record.encode().unwrap()).collect();
     let stored = fixture("settlement_records.bin", &postcard::to_stdvec(&written).unwrap());
     let stored: Vec<Vec<u8>> = postcard::from_bytes(&stored).unwrap();
-    let read: Vec<Record> = stored.iter().map(|bytes| Record::decode(bytes).unwrap()).collect();
+    let read: Vec<SettlementRecord> =
+        stored.iter().map(|bytes| SettlementRecord::decode(bytes).unwrap()).collect();
     assert_eq!(read, records);
     // What they come to before the copy, in detail.
-    let copy = records.iter().position(|record| matches!(record, Record::Copy { .. })).unwrap();
-    let kept = Kept::read(&id(), &[read[..copy].to_vec()]);
-    assert_eq!((kept.term, kept.of, kept.next), (3, Some(300), 2));
-    assert_eq!(kept.mode, Some(Mode::Session { resume: Resume::AfterAnswer, linger: 5_000_000 }));
-    assert_eq!((kept.sessions, kept.session, kept.verdict), (300, Some(300), None));
-    assert_eq!((kept.waiting, kept.bytes), (4, 4_000));
-    let held = |n: u64| (kept.hands[&n].out, kept.hands[&n].first, kept.hands[&n].end);
+    let copy = records.iter().position(|record| matches!(record, SettlementRecord::Snapshot { .. })).unwrap();
+    let progress = SettlementProgress::read(&id(), &[read[..copy].to_vec()]);
+    assert_eq!((progress.term, progress.total, progress.next), (3, Some(300), 2));
+    assert_eq!(progress.mode, Some(Mode::Session { resume: Resume::AfterAnswer, linger: 5_000_000 }));
+    assert_eq!((progress.sessions, progress.session, progress.verdict), (300, Some(300), None));
+    assert_eq!((progress.waiting, progress.bytes), (4, 4_000));
+    let held = |n: u64| {
+        (progress.positions[&n].sent_at, progress.positions[&n].first_attempt, progress.positions[&n].end)
+    };
     assert_eq!(held(1), (None, None, Some(End::Delivered)));
     assert_eq!(held(2), (None, None, None));
     assert_eq!(held(3), (None, Some(NOW + 3), None));
@@ -270,62 +302,73 @@
     assert_eq!(held(5), (None, None, Some(End::OutOfTime)));
     assert_eq!(held(6), (Some(NOW + 6), None, None));
     assert_eq!(held(7), (None, None, None));
-    assert_eq!(kept.hands[&2].hand, hand(2, Repeat::Within(6_000_000)));
+    assert_eq!(progress.positions[&2].sequenced, sequenced(2, Repeat::Within(6_000_000)));
 }
 
 /// The same as lines of a courier's journal, some with the message that is to be sent.
 #[test]
 fn lines_of_settlements_are_read_and_written_as_ever() {
-    let parcel = |key: Option<&str>, tenant: Option<&str>| Parcel {
+    let payload = |key: Option<&str>, tenant: Option<&str>| MessagePayload {
         class: "fee-debit".into(),
         key: key.map(Into::into),
         tenant: tenant.map(Into::into),
         body: Bytes::from_static(b"body"),
     };
-    let parcels = [parcel(None, None), parcel(Some("k"), Some("north"))];
-    assert_eq!(parcels.each_ref().map(Parcel::print), PRINTS, "one position has one checksum");
+    let payloads = [payload(None, None), payload(Some("k"), Some("north"))];
+    assert_eq!(payloads.each_ref().map(MessagePayload::checksum), CHECKSUMS, "one position has one checksum");
     let record = settlement_records().remove(3);
-    let mut all: Vec<Written> = settlement_records().into_iter().map(Written::Record).collect();
-    all.push(Written::HandIn(record.clone(), parcels[0].clone()));
-    all.push(Written::HandIn(record, parcels[1].clone()));
-    all.push(Written::Parcel { position: 300, parcel: parcels[1].clone() });
+    let mut all: Vec<JournalLine> = settlement_records().into_iter().map(JournalLine::Record).collect();
+    all.push(JournalLine::Submitted(record.clone(), payloads[0].clone()));
+    all.push(JournalLine::Submitted(record, payloads[1].clone()));
+    all.push(JournalLine::Payload { position: 300, payload: payloads[1].clone() });
     let lines: Vec<JournalRecord> = all.iter().map(|one| one.line(&id()).unwrap()).collect();
     let written: Vec<u8> = lines.iter().flat_map(|line| journal::frame(line).unwrap()).collect();
     let stored = fixture("settlement_journal.bin", &written);
     let (book, sound) = JournalContents::read(&stored);
     assert_eq!((sound, book.settlements.0.len()), (stored.len(), 1));
-    let (of, kept) = book.settlements.0.first_key_value().unwrap();
+    let (of, progress) = book.settlements.0.first_key_value().unwrap();
     assert_eq!(of, "north\u{1f}evening\u{1f}700");
     // The last copy stands for all before it.
-    let last = all.iter().rposition(|one| matches!(one, Written::Record(Record::Copy { .. }))).unwrap();
-    assert_eq!(kept.len(), all.len() - last);
-    for (line, one) in kept.iter().zip(&all[last..]) {
-        let read = Written::read(line).unwrap();
+    let last = all
+        .iter()
+        .rposition(|one| matches!(one, JournalLine::Record(SettlementRecord::Snapshot { .. })))
+        .unwrap();
+    assert_eq!(progress.len(), all.len() - last);
+    for (line, one) in progress.iter().zip(&all[last..]) {
+        let read = JournalLine::read(line).unwrap();
         assert_eq!(read.line(&id()), one.line(&id()));
         assert_eq!(read.record(), one.clone().record());
     }
-    let Some(Written::Parcel { position, parcel }) = Written::read(&kept[kept.len() - 1]) else { panic!() };
-    assert_eq!((position, &parcel), (300, &parcels[1]));
+    let Some(JournalLine::Payload { position, payload }) = JournalLine::read(&progress[progress.len() - 1])
+    else {
+        panic!()
+    };
+    assert_eq!((position, &payload), (300, &payloads[1]));
 }
 
-const PRINTS: [u64; 2] = [2_978_035_951, 4_073_335_627];
+const CHECKSUMS: [u64; 2] = [2_978_035_951, 4_073_335_627];
 
 /// A state in which something of each kind is agreed.
-fn agreed() -> Agreed {
-    let mut agreed = Agreed::default();
-    let join = |name: &str, life, book| Command::Join { name: name.into(), token: 7 + life, life, book };
+fn fleet_state() -> FleetState {
+    let mut agreed = FleetState::default();
+    let join = |name: &str, incarnation, journal| FleetCommand::Join {
+        name: name.into(),
+        node_id: 7 + incarnation,
+        incarnation,
+        journal,
+    };
     for (name, life) in [("a", 300), ("b", 301), ("c", 302)] {
         agreed.apply(join(name, life, None));
     }
-    let copies = |owner: &str, epoch, copy: &str| Command::Copies {
-        book: book(owner, epoch),
+    let copies = |owner: &str, epoch, copy: &str| FleetCommand::SetReplicas {
+        journal: journal_id(owner, epoch),
         version: 0,
-        copies: BTreeSet::from([copy.to_string()]),
+        replicas: BTreeSet::from([copy.to_string()]),
     };
     agreed.apply(copies("a", 1, "b"));
     agreed.apply(copies("b", 2, "c"));
-    for count in [Count::Connections, Count::Calls] {
-        let set = |tenant: &str, courier: &str, epoch, to| budget::Command::Set {
+    for count in [BudgetKind::Connections, BudgetKind::Calls] {
+        let set = |tenant: &str, courier: &str, epoch, to| budget::BudgetCommand::Set {
             dest: 700,
             tenant: tenant.into(),
             courier: courier.into(),
@@ -334,50 +377,57 @@
         };
         let couriers = vec!["a".into(), "b".into(), "c".into()];
         for command in [
-            budget::Command::Budget { dest: 700, connections: 18, floor: 2, couriers: couriers.clone() },
-            budget::Command::Aged { courier: "a".into(), epoch: 1 },
+            budget::BudgetCommand::Budget {
+                dest: 700,
+                connections: 18,
+                floor: 2,
+                couriers: couriers.clone(),
+            },
+            budget::BudgetCommand::Aged { courier: "a".into(), epoch: 1 },
             set("north", "a", 1, 5),
             set("north", "b", 2, 4),
             set("south", "b", 2, 3),
             // Recalled, and not confirmed.
             set("north", "b", 2, 1),
             // Raised, without room for it.
-            budget::Command::Budget { dest: 700, connections: 18, floor: 6, couriers },
+            budget::BudgetCommand::Budget { dest: 700, connections: 18, floor: 6, couriers },
         ] {
-            agreed.apply(Command::Share(count, command));
+            agreed.apply(FleetCommand::Budget(count, command));
         }
     }
     let name = |n: u64| SettlementId { name: format!("s{n}"), dest: n, ..id() };
     for n in 0..20 {
         let home = (["a", "b"][n as usize % 2], 1 + n % 2);
-        let open = settlement::Command::Open { id: name(n), home: home.0.into(), home_epoch: home.1 };
-        agreed.apply(Command::Settlement(open));
+        let open =
+            settlement::SettlementCommand::Open { id: name(n), owner: home.0.into(), owner_epoch: home.1 };
+        agreed.apply(FleetCommand::Settlement(open));
     }
     for (n, verdict) in (0..).zip(verdicts()) {
-        let term = agreed.settlements.home(&name(n)).unwrap().term;
-        let close = settlement::Command::Close { id: name(n), term, verdict, until: NOW + n };
-        agreed.apply(Command::Settlement(close));
+        let term = agreed.settlements.owner(&name(n)).unwrap().term;
+        let close = settlement::SettlementCommand::Close { id: name(n), term, verdict, until: NOW + n };
+        agreed.apply(FleetCommand::Settlement(close));
     }
     let moved = name(10);
-    let term = agreed.settlements.home(&moved).unwrap().term;
-    let to = settlement::Command::Move { id: moved, term, to: "c".into(), to_epoch: 3, boundary: true };
-    agreed.apply(Command::Settlement(to));
+    let term = agreed.settlements.owner(&moved).unwrap().term;
+    let to =
+        settlement::SettlementCommand::Move { id: moved, term, to: "c".into(), to_epoch: 3, boundary: true };
+    agreed.apply(FleetCommand::Settlement(to));
     // Its book is sealed, and parts of it are at each step of their way.
-    agreed.apply(Command::Gone { name: "b".into(), epoch: 2 });
-    let given: Vec<(Source, String, u64)> = ["a", "c"]
+    agreed.apply(FleetCommand::Deregister { name: "b".into(), epoch: 2 });
+    let given: Vec<(PartitionId, String, u64)> = ["a", "c"]
         .into_iter()
         .zip([1, 3])
         .flat_map(|(name, epoch)| {
             agreed
-                .given_to(name, epoch)
+                .assigned_to(name, epoch)
                 .map(move |source| (source, name.to_string(), epoch))
                 .collect::<Vec<_>>()
         })
         .collect();
     for (n, (source, by, epoch)) in given.into_iter().enumerate().filter(|(n, _)| n % 3 > 0) {
-        agreed.apply(Command::Taken { source: source.clone(), by: by.clone(), epoch });
+        agreed.apply(FleetCommand::Adopted { source: source.clone(), by: by.clone(), epoch });
         if n % 3 == 2 {
-            agreed.apply(Command::Done { source, by, epoch });
+            agreed.apply(FleetCommand::Done { source, by, epoch });
         }
     }
     // It is back, and its old book is others'.
@@ -387,43 +437,43 @@
 
 #[test]
 fn the_agreed_state_is_read_and_written_as_ever() {
-    let state = agreed();
+    let state = fleet_state();
     let stored = fixture("agreed_state.bin", &postcard::to_stdvec(&state).unwrap());
-    let read: Agreed = postcard::from_bytes(&stored).unwrap();
+    let read: FleetState = postcard::from_bytes(&stored).unwrap();
     assert_eq!(read, state);
     assert_eq!(read.epoch, 4);
     let member = |name: &str| {
         let m = &read.members[name];
-        (m.token, m.life, m.epoch, m.serving)
+        (m.node_id, m.incarnation, m.epoch, m.serving)
     };
     assert_eq!(member("a"), (307, 300, 1, true));
     assert_eq!(member("b"), (407, 400, 4, true));
     assert_eq!(member("c"), (309, 302, 3, true));
-    let sealed = &read.books[&book("b", 2)];
+    let sealed = &read.journals[&journal_id("b", 2)];
     let parts = sealed.sealed.as_ref().unwrap();
-    assert_eq!((sealed.line, parts.len()), (2, PARTS));
-    let done = parts.iter().filter(|part| **part == Part::Done).count();
-    let taken = parts.iter().filter(|part| matches!(part, Part::Taken(..))).count();
-    let given = parts.iter().filter(|part| matches!(part, Part::Given(..))).count();
+    assert_eq!((sealed.lineage, parts.len()), (2, PARTITIONS));
+    let done = parts.iter().filter(|part| **part == PartitionState::Done).count();
+    let taken = parts.iter().filter(|part| matches!(part, PartitionState::Adopted(..))).count();
+    let given = parts.iter().filter(|part| matches!(part, PartitionState::Assigned(..))).count();
     assert_eq!((given, taken, done), (6, 5, 5));
-    let own = &read.books[&book("a", 1)];
-    assert_eq!((own.line, own.sealed.is_none()), (1, true));
+    let own = &read.journals[&journal_id("a", 1)];
+    assert_eq!((own.lineage, own.sealed.is_none()), (1, true));
     for shared in [&read.shared.connections, &read.shared.calls] {
         let partner = shared.partner(700).unwrap();
         assert_eq!(partner.connections, 18);
         let held = |courier: &str, epoch| {
-            let held = partner.held(courier, epoch);
+            let held = partner.shares(courier, epoch);
             held.map(|(t, h)| (t.to_string(), h.granted, h.recalled, h.number)).collect::<Vec<_>>()
         };
         assert_eq!(held("a", 1), [("north".into(), 5, None, 1)]);
         assert_eq!(held("b", 2), [("north".into(), 4, Some(1), 4), ("south".into(), 3, None, 3)]);
-        let floors = ["a", "b", "c"].map(|c| (partner.floor(c), partner.floor_to_be(c)));
+        let floors = ["a", "b", "c"].map(|c| (partner.floor(c), partner.target_floor(c)));
         assert_eq!(floors, [(6, 6), (6, 6), (2, 6)], "one has no room yet");
     }
     let name = |n: u64| SettlementId { name: format!("s{n}"), dest: n, ..id() };
-    let home = read.settlements.home(&name(10)).unwrap();
+    let home = read.settlements.owner(&name(10)).unwrap();
     assert_eq!((home.courier.as_str(), home.epoch), ("c", 3));
-    assert_eq!(read.settlements.home(&name(0)), None, "it is over");
+    assert_eq!(read.settlements.owner(&name(0)), None, "it is over");
     // An earlier version's state goes on as this one's.
     let (mut one, mut other) = (read, state);
     for command in commands() {
@@ -435,7 +485,7 @@
 /// What a courier may use of partners' budgets, with connections in each state.
 #[test]
 fn what_a_courier_holds_of_budgets_is_read_and_written_as_ever() {
-    let terms = Terms { call: 2_000_000, quiet: 1_000_000, lease: 2_000_000 };
+    let terms = TimeBounds { max_call: 2_000_000, max_idle: 1_000_000, lease: 2_000_000 };
     let tenant = |name: &str| Tenant { name: name.into(), weight: 2.5, floor: 1, ceiling: Some(9) };
     let budget = Budget {
         dest: 700,
@@ -445,17 +495,17 @@
         courier_floor: 2,
         tenants: vec![tenant("north")],
     };
-    let mut gate = Gate::new("a", terms, &[budget], NOW);
-    let state = agreed();
+    let mut gate = BudgetGate::new("a", terms, &[budget], NOW);
+    let state = fleet_state();
     gate.joined(1);
-    gate.leased(NOW + 60_000_000);
-    gate.agreed(&state.shared.connections, &state.shared.calls, NOW + 1);
-    gate.wants(700, "north", 9, NOW + 2);
+    gate.extend_lease(NOW + 60_000_000);
+    gate.apply_state(&state.shared.connections, &state.shared.calls, NOW + 1);
+    gate.set_waiting(700, "north", 9, NOW + 2);
     let mut permits = Vec::new();
     for n in 0..8 {
         let now = NOW + 10 + n;
-        if let Ok(permit) = gate.may_begin(700, "north", now) {
-            gate.connections.opens(700, permit.conn, now);
+        if let Ok(permit) = gate.acquire(700, "north", now) {
+            gate.connections.confirm_open(700, permit.conn, now);
             permits.push(permit);
         }
     }
@@ -464,13 +514,13 @@
     gate.connections.closing(700, permits[1].conn, NOW + 31);
     gate.reports(NOW + 300_000);
     let stored = fixture("budget_gate.bin", &postcard::to_stdvec(&gate).unwrap());
-    let mut read: Gate = postcard::from_bytes(&stored).unwrap();
+    let mut read: BudgetGate = postcard::from_bytes(&stored).unwrap();
     assert_eq!(read, gate);
-    assert_eq!((read.connections.open(700), read.connections.open_of(700, "north")), (5, 5));
+    assert_eq!((read.connections.open(700), read.connections.open_for(700, "north")), (5, 5));
     for now in [NOW + 400_000, NOW + 900_000, NOW + 9_000_000] {
         assert_eq!(read.tick(now), gate.tick(now));
         assert_eq!(read.reports(now), gate.reports(now));
-        assert_eq!(read.may_begin(700, "north", now), gate.may_begin(700, "north", now));
+        assert_eq!(read.acquire(700, "north", now), gate.acquire(700, "north", now));
     }
     assert_eq!(read, gate);
 }
@@ -488,24 +538,24 @@
 
 impl Agreeing {
     fn start(&mut self, token: u64) {
-        let limits = Limits { seed: 7, ..Limits::default() };
+        let limits = AgreementLimits { seed: 7, ..AgreementLimits::default() };
         let (node, _) = Agreement::open(Memory::default(), token, limits, self.now).unwrap();
         self.nodes.insert(token, node);
         self.state.insert(token, Default::default());
     }
 
-    fn take(&mut self, token: u64, out: Vec<Output>) {
+    fn take(&mut self, token: u64, out: Vec<AgreementOutput>) {
         let mut wanted = false;
         for output in out {
             match output {
-                Output::Send { to, bytes } => self.sent.push((token, to, bytes)),
-                Output::Committed { index, command, .. } => {
+                AgreementOutput::Send { to, bytes } => self.sent.push((token, to, bytes)),
+                AgreementOutput::Committed { index, command, .. } => {
                     let (through, state) = self.state.get_mut(&token).unwrap();
                     *through = index;
                     state.extend(command);
                 }
-                Output::Restored { index, state } => drop(self.state.insert(token, (index, state))),
-                Output::SnapshotWanted => wanted = true,
+                AgreementOutput::Restored { index, state } => drop(self.state.insert(token, (index, state))),
+                AgreementOutput::SnapshotWanted => wanted = true,
                 _ => {}
             }
         }
@@ -514,7 +564,7 @@
         }
     }
 
-    fn step(&mut self, token: u64, input: Input) {
+    fn step(&mut self, token: u64, input: AgreementInput) {
         let out = self.nodes.get_mut(&token).unwrap().step(input, self.now);
         self.take(token, out);
     }
@@ -527,59 +577,68 @@
                 let (from, to, bytes) = self.sent[self.read].clone();
                 self.read += 1;
                 if self.nodes.contains_key(&to) && ![Some(from), Some(to)].contains(&self.cut) {
-                    self.step(to, Input::Heard { from, bytes });
+                    self.step(to, AgreementInput::Receive { from, bytes });
                 }
             }
             let wake = self.nodes.iter().filter_map(|(token, node)| Some((node.wake_at()?, *token))).min();
             let Some((at, token)) = wake.filter(|(at, _)| *at <= until) else { break };
             self.now = self.now.max(at);
-            self.step(token, Input::Tick);
+            self.step(token, AgreementInput::Tick);
         }
         self.now = until;
     }
 
     fn snapshot(&mut self, token: u64) {
         let (through, state) = self.state[&token].clone();
-        self.step(token, Input::Snapshot { through, state });
+        self.step(token, AgreementInput::Snapshot { through, state });
     }
 
     /// An election, commands, changes of each kind, a snapshot for one that is behind, and a leader that hands over.
     fn play() -> Agreeing {
         let mut all = Agreeing { now: SEC, ..Agreeing::default() };
         all.start(1);
-        let out = all.nodes.get_mut(&1).unwrap().begin(SEC).unwrap();
+        let out = all.nodes.get_mut(&1).unwrap().bootstrap(SEC).unwrap();
         all.take(1, out);
         all.run(SEC);
         for (ticket, token) in [(10, 2), (20, 3), (30, 4)] {
             all.start(token);
-            all.step(1, Input::Change { ticket, change: Change::AddLearner(token) });
+            all.step(
+                1,
+                AgreementInput::ChangeMembership { ticket, change: MembershipChange::AddLearner(token) },
+            );
             all.run(SEC / 2);
             if token < 4 {
-                all.step(1, Input::Change { ticket: ticket + 1, change: Change::Promote(token) });
+                all.step(
+                    1,
+                    AgreementInput::ChangeMembership {
+                        ticket: ticket + 1,
+                        change: MembershipChange::Promote(token),
+                    },
+                );
                 all.run(SEC / 2);
             }
         }
         for (n, command) in (0..).zip(commands()) {
             let command = postcard::to_stdvec(&command).unwrap();
-            all.step(1, Input::Propose { ticket: 100 + n, command });
+            all.step(1, AgreementInput::Propose { ticket: 100 + n, command });
         }
         all.run(SEC / 2);
-        all.step(1, Input::Read { ticket: 200 });
+        all.step(1, AgreementInput::ReadIndex { ticket: 200 });
         all.run(SEC / 2);
         // One is cut off while the others go on and shorten their logs.
         all.cut = Some(3);
-        all.step(1, Input::Change { ticket: 40, change: Change::Remove(4) });
+        all.step(1, AgreementInput::ChangeMembership { ticket: 40, change: MembershipChange::Remove(4) });
         all.run(SEC / 2);
         all.nodes.remove(&4);
-        all.step(1, Input::Propose { ticket: 300, command: b"behind".to_vec() });
+        all.step(1, AgreementInput::Propose { ticket: 300, command: b"behind".to_vec() });
         all.run(SEC / 2);
         [1, 2].into_iter().for_each(|token| all.snapshot(token));
-        all.step(1, Input::Propose { ticket: 301, command: b"after the snapshot".to_vec() });
+        all.step(1, AgreementInput::Propose { ticket: 301, command: b"after the snapshot".to_vec() });
         all.run(3 * SEC);
         all.cut = None;
         all.run(2 * SEC);
         let leader = *all.nodes.iter().find(|(_, node)| node.leads()).unwrap().0;
-        all.step(leader, Input::HandOver { to: leader % 3 + 1 });
+        all.step(leader, AgreementInput::TransferLeadership { to: leader % 3 + 1 });
         all.run(2 * SEC);
         // The leader is cut off, and the others elect one of them.
         all.cut = all.nodes.iter().find(|(_, node)| node.leads()).map(|(token, _)| *token);
@@ -611,9 +670,9 @@
         let stored = fixture(&name, node.into_store().bytes());
         for torn in [0, 1, 5] {
             let bytes = [&stored[..], &stored[..torn]].concat();
-            let opened = Agreement::open(Memory::of(bytes), 99, Limits::default(), SEC);
+            let opened = Agreement::open(Memory::of(bytes), 99, AgreementLimits::default(), SEC);
             let (read, opened) = opened.unwrap();
-            assert_eq!((read.token(), opened.new), (token, false));
+            assert_eq!((read.node_id(), opened.new), (token, false));
             assert_eq!((read.term(), read.voters()), (term, voters.clone()));
             assert_eq!(voters, [1, 2, 3]);
             let state: Vec<u8> = [opened.state]
@@ -662,7 +721,7 @@
     let owed: Vec<usize> =
         folders.iter().map(|folder| JournalContents::read(&folder["journal"]).0.owed.len()).collect();
     assert_eq!(owed, [6, 4, 4], "two of the lost courier's are at the first");
-    let known = world.processes[0].as_ref().unwrap().member.agreed().clone();
+    let known = world.processes[0].as_ref().unwrap().member.state().clone();
     // New processes go on with these folders.
     let mut next = World::new(3, 8);
     next.now = world.now + SEC;
@@ -677,14 +736,17 @@
     for i in 0..2 {
         let process = next.processes[i].as_ref().unwrap();
         // The last that was agreed need not be known for agreed at once.
-        let read = process.member.agreed();
-        assert_eq!((read.epoch, &read.members, &read.books), (known.epoch, &known.members, &known.books));
+        let read = process.member.state();
+        assert_eq!(
+            (read.epoch, &read.members, &read.journals),
+            (known.epoch, &known.members, &known.journals)
+        );
         assert_eq!(read.shared.connections.partner(1), known.shared.connections.partner(1));
         assert_eq!(read.shared.calls.partner(1), known.shared.calls.partner(1));
         assert!(!process.member.is_first(), "courier {i}");
     }
     assert!(next.until(next.now + 10 * SEC, |w| (0..3).all(|i| w.ready(i))), "{:#?}", next.seen.notes);
-    let tokens = |w: &World, i: usize| w.processes[i].as_ref().unwrap().member.agreement().token();
+    let tokens = |w: &World, i: usize| w.processes[i].as_ref().unwrap().member.agreement().node_id();
     assert_eq!([tokens(&next, 0), tokens(&next, 1)], [tokens(&world, 0), tokens(&world, 1)]);
     next.run(10 * SEC);
     let ended = |n: usize| {
--- a/fleet/tests/takeover.rs
+++ b/fleet/tests/takeover.rs
@@ -21,7 +21,7 @@
 
 /// The thinnest takeover: a message that was taken on and whose call has not left is called by another courier.
 #[test]
-fn what_a_lost_courier_had_taken_on_is_taken_over_once() {
+fn messages_of_a_lost_courier_are_adopted_once() {
     for seed in 0..20 {
         let mut world = fleet(3, seed);
         world.trip = 60 * SEC;
@@ -36,14 +36,14 @@
         assert_eq!(world.seen.ends["debit"], [(world.seen.ends["debit"][0].0, false)]);
         assert_eq!(world.seen.calls["notice"].len(), 2);
         world.run(5 * SEC);
-        let state = world.processes[1].as_ref().unwrap().member.agreed();
-        assert_eq!(state.books.len(), 2, "the sealed book is over: {state:#?}");
+        let state = world.processes[1].as_ref().unwrap().member.state();
+        assert_eq!(state.journals.len(), 2, "the sealed book is over: {state:#?}");
     }
 }
 
 /// A courier that is replaced with a page on its way, and goes on for a while, as at a planned stop, sleeps between its looks.
 #[test]
-fn a_replaced_courier_is_not_woken_for_what_it_copies_no_more() {
+fn a_fenced_courier_is_not_woken_for_replication() {
     let mut world = fleet(3, 3);
     world.stays = true;
     (1..3).for_each(|i| world.cut.extend([(0, i), (i, 0)]));
@@ -54,7 +54,7 @@
     for _ in 0..100 {
         let wakes = world.processes[0].as_ref().unwrap().member.wake_at().unwrap();
         world.now = world.now.max(wakes);
-        world.step(0, Input::Tick);
+        world.step(0, MemberInput::Tick);
         let next = world.processes[0].as_ref().unwrap().member.wake_at().unwrap();
         assert!(next > world.now, "it is to be woken at once, again and again");
     }
@@ -62,7 +62,7 @@
 
 /// A copy that has all is not late when the next record comes, however long there was none.
 #[test]
-fn a_copy_is_not_late_for_a_time_without_records() {
+fn a_replica_does_not_lag_while_no_record_is_written() {
     let mut world = fleet(3, 4);
     for n in 0..3 {
         assert!(world.hand_in(0, &format!("m{n}"), 1, false));
@@ -75,15 +75,15 @@
 /// The operators name other voters while the fleet serves, the leader not among them: those agree from then on, and the loss
 /// of one that does not vote any more, and of one that does, is borne.
 #[test]
-fn voters_are_exchanged_while_serving() {
+fn voters_are_replaced_while_serving() {
     for seed in 0..5 {
         let mut world = fleet(5, seed);
         let named: Vec<_> = world.names[2..5].to_vec();
         for p in world.processes.iter_mut().flatten() {
-            p.member.plan.voters.clone_from(&named);
+            p.member.config.voters.clone_from(&named);
         }
         let tokens = |w: &World| {
-            let of = |i: usize| w.processes[i].as_ref().unwrap().member.agreement().token();
+            let of = |i: usize| w.processes[i].as_ref().unwrap().member.agreement().node_id();
             let mut tokens = vec![of(2), of(3), of(4)];
             tokens.sort_unstable();
             tokens
@@ -105,12 +105,12 @@
 
 /// The courier that a copy is to be at serves and can't be reached by the owner, from the first: another is chosen.
 #[test]
-fn a_copy_that_never_is_one_is_replaced() {
+fn a_replica_that_never_catches_up_is_replaced() {
     let mut world = World::new(7, 5);
     world.start_all();
     let best = |w: &World, i: usize| {
-        let plan = &w.processes[i].as_ref().unwrap().member.plan;
-        let first = plan.copy_order(&w.names.iter().cloned().collect()).remove(0);
+        let config = &w.processes[i].as_ref().unwrap().member.config;
+        let first = config.replica_order(&w.names.iter().cloned().collect()).remove(0);
         w.names.iter().position(|name| *name == first).unwrap()
     };
     // Neither has a part in the agreement that the other needs.
@@ -122,21 +122,21 @@
 
 /// A courier is lost before its book ever had a copy: the book is nobody else's when it is back.
 #[test]
-fn a_book_without_a_copy_stays_its_owners() {
+fn a_journal_without_a_replica_stays_with_its_owner() {
     let mut world = fleet(3, 6);
     world.kill(0);
     world.run(5 * SEC);
     // Its new book gets no copy.
-    (1..3).for_each(|i| world.cut_books.extend([(0, i)]));
+    (1..3).for_each(|i| world.cut_pages.extend([(0, i)]));
     world.start(0);
     assert!(world.until(world.now + 5 * SEC, |w| w.processes[0].as_ref().is_some_and(|p| p.joined)));
-    let line = world.processes[0].as_ref().unwrap().member.agreed_line();
+    let line = world.processes[0].as_ref().unwrap().member.agreed_lineage();
     world.kill(0);
     world.run(5 * SEC);
-    world.cut_books.clear();
+    world.cut_pages.clear();
     world.start(0);
     assert!(world.until(world.now + 5 * SEC, |w| w.ready(0)));
-    assert_eq!(world.processes[0].as_ref().unwrap().member.agreed_line(), line);
+    assert_eq!(world.processes[0].as_ref().unwrap().member.agreed_lineage(), line);
 }
 
 /// A day of faults: couriers killed, paused, cut off one way and both, started again with their folder and, where `folders`
@@ -207,13 +207,13 @@
 }
 
 #[test]
-fn no_fault_loses_a_message_or_calls_a_debit_twice() {
+fn no_fault_loses_a_message_or_repeats_a_debit() {
     let taken = days(0..16, false);
     assert!(taken > 16 * 30, "only {taken} messages were taken on");
 }
 
 #[test]
-fn a_lost_folder_loses_no_message() {
+fn losing_a_folder_loses_no_message() {
     let taken = days(100..110, true);
     assert!(taken > 10 * 30, "only {taken} messages were taken on");
 }
