--- a/core/src/call.rs
+++ b/core/src/call.rs
@@ -176,7 +176,7 @@
             }),
         };
         let leaks = matches!(output.end, Some(CallEnd::TimedOut | CallEnd::GivenUp));
-        self.is_counted &= !(leaks && breaks::on(Break::PoolLeak));
+        self.is_counted &= !(leaks && breaks::is_enabled(Break::PoolLeak));
         if self.is_counted && (output.end.is_some() || output.action == ConnectionAction::Close) {
             pool.end();
             self.is_counted = false;
--- a/core/src/disabled.rs
+++ b/core/src/disabled.rs
@@ -1,7 +1,7 @@
 //! Endpoints that operators have taken out: a set of ids, laid over whatever discovery lists.
 
 use serde::{Deserialize, Serialize};
-use spurshore::ListState;
+use spurshore::EndpointState;
 use std::collections::BTreeSet;
 
 /// Ids that may be held at once: more than a courier's list has, and 90 KB of the journal at most.
@@ -49,7 +49,7 @@
     }
 
     /// What the module is shown of an endpoint that discovery lists so.
-    pub fn effective_state(&self, id: &str, listed: ListState) -> ListState {
-        if listed == ListState::Ready && self.contains(id) { ListState::Draining } else { listed }
+    pub fn effective_state(&self, id: &str, listed: EndpointState) -> EndpointState {
+        if listed == EndpointState::Ready && self.contains(id) { EndpointState::Draining } else { listed }
     }
 }
--- a/core/src/flow.rs
+++ b/core/src/flow.rs
@@ -169,7 +169,7 @@
             return 0;
         }
         let most = match (self.length, self.source) {
-            (Some(length), Source::Coming) if !breaks::on(Break::LastByteEarly) => {
+            (Some(length), Source::Coming) if !breaks::is_enabled(Break::LastByteEarly) => {
                 self.received.min(length.saturating_sub(1))
             }
             _ => self.received,
@@ -213,7 +213,7 @@
 
     /// An attempt begins, from the first byte on; false: it can't have all of it.
     pub fn begin(&mut self, now: Micros) -> bool {
-        if !self.is_replayable() && !breaks::on(Break::CommittedAgain) {
+        if !self.is_replayable() && !breaks::is_enabled(Break::RetryAfterCommit) {
             return false;
         }
         (self.sending, self.paused, self.sent) = (true, false, 0);
@@ -229,7 +229,7 @@
 
     /// The destination told to wait, or its wait is over.
     pub fn set_paused(&mut self, paused: bool, now: Micros) {
-        self.paused = paused && !breaks::on(Break::PauseIgnored);
+        self.paused = paused && !breaks::is_enabled(Break::IgnoreStreamPause);
         self.settle(now);
     }
 
--- a/core/src/hub.rs
+++ b/core/src/hub.rs
@@ -228,7 +228,7 @@
         while let Some(step) = steps.pop_front() {
             match step {
                 RouterAction::Call(call) => todo.push(DriverAction::Begin(call)),
-                RouterAction::NotWritten(_) if breaks::on(Break::HeldBackLost) => {}
+                RouterAction::NotWritten(_) if breaks::is_enabled(Break::HeldBackLost) => {}
                 RouterAction::NotWritten(call) => {
                     steps.extend(self.router.call_ended(call, CallEnd::HeldBack, now));
                 }
@@ -237,13 +237,13 @@
                 RouterAction::Forget(endpoint) => close(&mut todo, self.pool.forget(endpoint)),
                 RouterAction::CloseIdle(endpoint) => close(&mut todo, self.pool.close_idle(endpoint)),
                 RouterAction::Gate { endpoint, open } => {
-                    let open = open || breaks::on(Break::IgnoreDrain);
+                    let open = open || breaks::is_enabled(Break::IgnoreDrain);
                     close(&mut todo, self.pool.set_gate(endpoint, open));
                     if !open {
                         self.signal_calls_at(endpoint, AttemptInput::Shut, &mut todo);
                     }
                 }
-                RouterAction::BackOff { .. } if breaks::on(Break::IgnoreWait) => {}
+                RouterAction::BackOff { .. } if breaks::is_enabled(Break::IgnoreWait) => {}
                 RouterAction::BackOff { endpoint, until } => {
                     self.pool.back_off(endpoint, until);
                     self.signal_calls_at(endpoint, AttemptInput::BackOff, &mut todo);
--- a/core/src/journal.rs
+++ b/core/src/journal.rs
@@ -481,7 +481,7 @@
         let bytes = journal.store.read().map_err(io("read"))?;
         let mut contents = JournalContents::default();
         let sound = decode(&bytes, &mut contents);
-        if sound < bytes.len() && !breaks::on(Break::TornKept) {
+        if sound < bytes.len() && !breaks::is_enabled(Break::TornKept) {
             notes.push(Note::Torn(bytes.len() - sound));
             // A record behind a torn one would never be read again.
             journal.compact(now, notes)?;
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -18,7 +18,7 @@
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
-use spurshore::{ListState, Micros, MsgId};
+use spurshore::{EndpointState, Micros, MsgId};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -158,7 +158,7 @@
     pub kind: String,
     pub zone: String,
     pub weight: f64,
-    pub state: ListState,
+    pub state: EndpointState,
 }
 
 /// A list of endpoints, whole or what changed.
--- a/core/src/machine/attempt.rs
+++ b/core/src/machine/attempt.rs
@@ -183,7 +183,7 @@
     pub fn is_half(&self) -> bool {
         self.streamed
             && matches!(self.state, AttemptState::Writing { written: 1.. })
-            && !breaks::on(Break::HalfSentNeverRan)
+            && !breaks::is_enabled(Break::HalfSentNeverRan)
     }
 
     pub fn step(&mut self, input: AttemptInput, now: Micros) -> AttemptOutput {
@@ -192,7 +192,7 @@
             (Finished, _) => NOTHING,
             (Closing { end, until }, AttemptInput::Tick) if now >= until => self.given_up(end),
             (Closing { end, .. }, AttemptInput::End | AttemptInput::Reset) => self.given_up(end),
-            (Closing { .. }, AttemptInput::Read) if breaks::on(Break::AnswerUnread) => NOTHING,
+            (Closing { .. }, AttemptInput::Read) if breaks::is_enabled(Break::AnswerUnread) => NOTHING,
             // It crossed with the word to give up: what it tells holds all the same.
             (Closing { .. }, AttemptInput::Read) => {
                 match (self.decode)(&self.answer, self.answer.len() > self.most) {
@@ -212,7 +212,7 @@
                 self.transition(Writing { written: 0 }, ConnectionAction::Nothing)
             }
             (New, AttemptInput::Start { .. }) => self.transition(Connecting, ConnectionAction::Open),
-            (_, AttemptInput::Ended) if breaks::on(Break::SendAfterEnd) => NOTHING,
+            (_, AttemptInput::Ended) if breaks::is_enabled(Break::SendAfterEnd) => NOTHING,
             (Writing { .. }, AttemptInput::Ended) if self.is_half() => self.close(CallEnd::GivenUp, now),
             (New | Connecting | Writing { .. }, AttemptInput::Ended) => {
                 self.end(ConnectionAction::Close, CallEnd::HeldBack)
@@ -256,7 +256,7 @@
             // Its driver pauses: broken off, a body that may have had no effect would be one that may.
             (Writing { .. }, AttemptInput::BackOff) if self.is_half() => NOTHING,
             // A call counts once its last byte has come: written on now, it would come within the wait.
-            (Writing { .. }, AttemptInput::BackOff) if !breaks::on(Break::WriteOnInWait) => {
+            (Writing { .. }, AttemptInput::BackOff) if !breaks::is_enabled(Break::WriteOnInWait) => {
                 self.end(ConnectionAction::Close, CallEnd::HeldBack)
             }
             // Only a write that failed proves, from here on, that the call never ran.
@@ -292,7 +292,7 @@
     }
 
     fn close(&mut self, end: CallEnd, now: Micros) -> AttemptOutput {
-        let action = if self.is_unsent() || breaks::on(Break::AnswerUnread) {
+        let action = if self.is_unsent() || breaks::is_enabled(Break::AnswerUnread) {
             ConnectionAction::Close
         } else {
             ConnectionAction::Finish
@@ -354,7 +354,7 @@
     /// No more of the answer will come.
     fn final_answer(&mut self) -> AttemptOutput {
         match (self.decode)(&self.answer, true) {
-            Answer::Whole { end, .. } if breaks::on(Break::KeepSpoilt) => {
+            Answer::Whole { end, .. } if breaks::is_enabled(Break::KeepSpoilt) => {
                 self.end(ConnectionAction::Keep, end)
             }
             Answer::Whole { end, .. } => self.end(ConnectionAction::Close, end),
--- a/core/src/machine/watch.rs
+++ b/core/src/machine/watch.rs
@@ -2,7 +2,7 @@
 
 use super::Machine;
 use spurshore::Micros;
-use spurshore_tables::draw;
+use spurshore_tables::random_unit;
 
 /// By the protocol a watch that has nothing to tell says so that often, with an empty line.
 pub const HEARTBEAT: Micros = 2_000_000;
@@ -175,7 +175,7 @@
     }
 
     fn draw(&mut self, none: f64) -> f64 {
-        if self.seed == 0 { none } else { draw(&mut self.seed) }
+        if self.seed == 0 { none } else { random_unit(&mut self.seed) }
     }
 
     /// Before a question that has to be answered at once.
--- a/core/src/router.rs
+++ b/core/src/router.rs
@@ -15,11 +15,11 @@
 use serde::{Deserialize, Serialize};
 use spurshore::breaks::{self, Break};
 use spurshore::{
-    Effect, Entry, Facade, Item, ListKind, ListState, Message, Micros, MsgId, Order, Outcome, PastAttempt,
-    Report, Settings, SettingsError,
+    CallItem, CallReport, Effect, EndpointEntry, EndpointState, Instruction, ListUpdate, Message, Micros,
+    MsgId, Outcome, PastAttempt, Policy, Settings, SettingsError,
 };
-use spurshore_settings::{Env, Names, settings};
-use spurshore_tables::Line;
+use spurshore_settings::{NameTable, SenderSettings, decode_settings};
+use spurshore_tables::IndexedQueue;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -128,18 +128,18 @@
 
 #[derive(Clone, Debug)]
 pub struct Router<S> {
-    facade: Facade,
+    policy: Policy,
     classes: Arc<[String]>,
     /// What a repeat of each class may do.
     effects: Arc<[Effect]>,
     kinds: Arc<[String]>,
     /// For each kind: the endpoints of a destination are separate routes.
     separate_routes: Arc<[bool]>,
-    zones: Arc<Names>,
+    zones: Arc<NameTable>,
     open_cap: usize,
     /// Streams at once.
     streams_most: usize,
-    endpoint_names: Arc<Names>,
+    endpoint_names: Arc<NameTable>,
     endpoints: BTreeMap<u32, KnownEndpoint>,
     /// Those of each destination, and those that are gone by when they went.
     by_dest: BTreeMap<u64, BTreeSet<u32>>,
@@ -163,13 +163,13 @@
     bundles: BTreeMap<CallId, Vec<CallId>>,
     waits: BTreeSet<(Micros, CallId)>,
     /// A message that is not waited for any longer may be sent again while its call goes on for the others.
-    second_copies: bool,
+    hedged_requests: bool,
     tenants: Arc<[String]>,
     /// The values of a report of load, where answers hold one.
     load_fields: Arc<[String]>,
-    notices: Line,
+    notices: IndexedQueue,
     /// Ended, and the store has refused the record so far; told once it is written.
-    unwritten: Line,
+    unwritten: IndexedQueue,
     /// When the store is asked again.
     write_at: Micros,
     next: MsgId,
@@ -188,24 +188,24 @@
     /// taken on has its place: where these alone are more than the module's share of the table, it would turn some away
     /// before it tried them. New ones are let in below `open_cap` as ever.
     fn with_settings(
-        env: &Env,
+        env: &SenderSettings,
         streams: Option<StreamLimits>,
         owed: usize,
-        facade: impl FnOnce(Settings) -> Result<Facade, SettingsError>,
+        policy: impl FnOnce(Settings) -> Result<Policy, SettingsError>,
         journal: Journal<S>,
         next: MsgId,
         notes: Vec<Note>,
     ) -> Result<Self, RouterError> {
         let (mut settings, zones) = settings_of(env, streams)?;
-        let open_cap = settings.open_cap as usize;
+        let open_cap = settings.max_open_messages as usize;
         // The module sheds beyond nine tenths.
         let capacity = u32::try_from(owed + owed / 8 + 2).unwrap_or(u32::MAX);
         if owed > open_cap / 10 * 9 {
-            settings.open_cap = settings.open_cap.max(capacity);
+            settings.max_open_messages = settings.max_open_messages.max(capacity);
         }
         let effects = settings.classes.iter().map(|class| class.effect).collect();
         Ok(Router {
-            facade: facade(settings)?,
+            policy: policy(settings)?,
             classes: env.categories.iter().map(|c| c.name.clone()).collect(),
             effects,
             kinds: env.skus.as_slice().into(),
@@ -229,14 +229,14 @@
             out_at: BTreeSet::new(),
             bundles: BTreeMap::new(),
             waits: BTreeSet::new(),
-            second_copies: env.limits.second_copies.unwrap_or(true),
+            hedged_requests: env.limits.hedged_requests.unwrap_or(true),
             tenants: env.tenants.iter().map(|t| t.name.clone()).collect(),
             load_fields: match env.load_report.via.as_deref() {
                 Some("answers") => env.load_report.fields.as_slice().into(),
                 _ => Arc::default(),
             },
-            notices: Line::default(),
-            unwritten: Line::default(),
+            notices: IndexedQueue::default(),
+            unwritten: IndexedQueue::default(),
             write_at: Micros::MAX,
             next,
             stopping: None,
@@ -285,7 +285,7 @@
             return Intake::UnknownClass;
         };
         // An id is fresh with every submission, and the end that is told under it must be its own.
-        let known = self.ids.get(&id).filter(|_| !breaks::on(Break::TakeOnTwice));
+        let known = self.ids.get(&id).filter(|_| !breaks::is_enabled(Break::TakeOnTwice));
         if let Some(msg) = known {
             // One that waits for the fleet's word is not owed yet.
             return match self.owed.get(msg).and_then(|owed| owed.end) {
@@ -323,7 +323,7 @@
         let (taken_id, taken_key, taken_body) = (id.clone(), key.clone(), body.clone());
         let taken = AcceptedMessage { id: taken_id, class, key: taken_key, dest, deadline, body: taken_body };
         let written = self.journal.submit(msg, taken, stream, now, &mut self.notes);
-        if let Some(e) = written.err().filter(|_| !breaks::on(Break::TakeOnUnwritten)) {
+        if let Some(e) = written.err().filter(|_| !breaks::is_enabled(Break::TakeOnUnwritten)) {
             actions.push(RouterAction::Note(Note::JournalFull(e)));
             return Intake::Rejected { after: OVERLOAD_RETRY_AFTER };
         }
@@ -340,9 +340,10 @@
         );
         actions.push(RouterAction::Note(Note::Accepted { msg, dest, class, time_left }));
         let tenant = number;
-        let message = Message { id: msg, class, tenant, key: None, deadline, hint: None, dest, stream, size };
-        let orders = self.facade.pick(now, message);
-        self.carry_out(orders, now, actions);
+        let message =
+            Message { id: msg, class, tenant, key: None, deadline, work_hint: None, dest, stream, size };
+        let instructions = self.policy.submit(now, message);
+        self.carry_out(instructions, now, actions);
         self.rejected_at_once(msg, now).map_or(Intake::Accepted, |after| Intake::Rejected { after })
     }
 
@@ -373,8 +374,8 @@
         let mut actions = Vec::new();
         self.retry_writes(now, &mut actions);
         self.detach_late(now, &mut actions);
-        let orders = self.facade.tick(now);
-        self.carry_out(orders, now, &mut actions);
+        let instructions = self.policy.tick(now);
+        self.carry_out(instructions, now, &mut actions);
         self.drain_notes(&mut actions);
         actions
     }
@@ -382,7 +383,7 @@
     pub fn wake_at(&self) -> Option<Micros> {
         let retry = (!self.unwritten.is_empty()).then_some(self.write_at);
         let late = self.waits.first().map(|(until, _)| *until);
-        self.facade.wake_at().into_iter().chain(retry).chain(late).min()
+        self.policy.wake_at().into_iter().chain(retry).chain(late).min()
     }
 
     /// Notes the ends that the store has refused. Told without its record, an end would be forgotten by a
@@ -414,8 +415,8 @@
     pub fn stop(&mut self, now: Micros, at: Micros) -> Vec<RouterAction> {
         let mut actions = Vec::new();
         self.stopping = Some(now.saturating_add(at.saturating_sub(now) / 2));
-        let orders = self.facade.stop(now, at);
-        self.carry_out(orders, now, &mut actions);
+        let instructions = self.policy.stop(now, at);
+        self.carry_out(instructions, now, &mut actions);
         self.drain_notes(&mut actions);
         actions
     }
@@ -463,23 +464,23 @@
         self.journal.disk()
     }
 
-    fn carry_out(&mut self, orders: Vec<Order>, now: Micros, actions: &mut Vec<RouterAction>) {
-        for order in orders {
-            match order {
-                Order::Call { endpoint, items } => {
+    fn carry_out(&mut self, instructions: Vec<Instruction>, now: Micros, actions: &mut Vec<RouterAction>) {
+        for instruction in instructions {
+            match instruction {
+                Instruction::Call { endpoint, items } => {
                     self.call(endpoint, &items, now, actions);
                 }
-                Order::GiveUp { msg, attempt } => {
+                Instruction::Abandon { msg, attempt } => {
                     let item = CallId { msg, attempt };
                     let lead = self.out.get(&item).map_or(item, |out| out.lead);
                     if !self.detach(item, CallEnd::GivenUp, now, actions) {
                         actions.push(RouterAction::GiveUp(lead));
                     }
                 }
-                Order::Reject { msg, after } => self.end(msg, Ending::Deferred(after), now, actions),
-                Order::Fail { msg } => self.end(msg, Ending::Undeliverable, now, actions),
-                Order::CloseIdle { endpoint } => actions.push(RouterAction::CloseIdle(endpoint)),
-                Order::Note(text) => actions.push(RouterAction::Note(Note::Decided(self.named(&text)))),
+                Instruction::Reject { msg, after } => self.end(msg, Ending::Deferred(after), now, actions),
+                Instruction::Fail { msg } => self.end(msg, Ending::Undeliverable, now, actions),
+                Instruction::CloseIdle { endpoint } => actions.push(RouterAction::CloseIdle(endpoint)),
+                Instruction::Log(text) => actions.push(RouterAction::Note(Note::Decided(self.named(&text)))),
             }
         }
     }
@@ -493,7 +494,7 @@
         }
         actions.push(RouterAction::Note(Note::Ended { msg, ending }));
         let written = self.write(&JournalRecord::End { msg, end: ending.into() }, now);
-        if written || breaks::on(Break::EndUnwritten) {
+        if written || breaks::is_enabled(Break::EndUnwritten) {
             self.report_end(msg, ending, actions);
         } else {
             self.unwritten.push_back(msg);
@@ -542,7 +543,7 @@
     }
 
     fn remember(&mut self, id: String, end: End, until: Micros) {
-        if !breaks::on(Break::ForgetOver) {
+        if !breaks::is_enabled(Break::ForgetCompleted) {
             self.ended.remember(id, end, until);
         }
     }
@@ -566,12 +567,15 @@
 }
 
 /// What the module is told, and the zones' numbers.
-fn settings_of(env: &Env, streams: Option<StreamLimits>) -> Result<(Settings, Names), RouterError> {
-    let mut zones = Names::default();
-    let mut settings: Settings = settings(env, &mut zones).map_err(RouterError::Decode)?;
+fn settings_of(
+    env: &SenderSettings,
+    streams: Option<StreamLimits>,
+) -> Result<(Settings, NameTable), RouterError> {
+    let mut zones = NameTable::default();
+    let mut settings: Settings = decode_settings(env, &mut zones).map_err(RouterError::Decode)?;
     if let Some(limits) = streams {
         let slots = (limits.part_of_slots * f64::from(settings.slots)) as u32;
-        (settings.stream_slots, settings.stream_part) = (slots.max(1), limits.part_of_window);
+        (settings.stream_slots, settings.stream_window_share) = (slots.max(1), limits.part_of_window);
     }
     Ok((settings, zones))
 }
--- a/core/src/router/calls.rs
+++ b/core/src/router/calls.rs
@@ -74,9 +74,9 @@
             reports.extend(self.message_ended(*item, *end, advised_wait, now, &mut actions));
         }
         // The module learns of a call with its last message: one that succeeded says most of the destination.
-        reports.sort_by_key(|r: &Report| r.outcome == Outcome::Ok);
-        let orders = self.facade.report_all(now, &reports, &self.reported(report));
-        self.carry_out(orders, now, &mut actions);
+        reports.sort_by_key(|r: &CallReport| r.outcome == Outcome::Ok);
+        let instructions = self.policy.report_all(now, &reports, &self.reported(report));
+        self.carry_out(instructions, now, &mut actions);
         self.drain_notes(&mut actions);
         actions
     }
@@ -111,7 +111,7 @@
         advised_wait: Micros,
         now: Micros,
         actions: &mut Vec<RouterAction>,
-    ) -> Option<Report> {
+    ) -> Option<CallReport> {
         let CallId { msg, attempt } = item;
         let Some(OutstandingMessage { sent, journaled, written, until, .. }) = self.out.remove(&item) else {
             self.delivered_late(msg, end, now, actions);
@@ -142,7 +142,7 @@
             self.delivered(msg, end, now, actions);
         } else if self.owed.contains_key(&msg) {
             let never_ran = matches!(outcome, Outcome::Full | Outcome::Moot | Outcome::ConnectFailed)
-                || breaks::on(Break::OutcomeNever);
+                || breaks::is_enabled(Break::OutcomeNever);
             if let Some(attempt) = journaled {
                 self.write(&JournalRecord::Outcome { msg, attempt, never_ran }, now);
             }
@@ -150,7 +150,7 @@
         }
         let finished = self.owed.get(&msg).is_none_or(|owed| owed.end.is_some());
         let elapsed = now.saturating_sub(written.unwrap_or(sent));
-        Some(Report { msg, attempt, outcome, elapsed, finished, wait })
+        Some(CallReport { msg, attempt, outcome, elapsed, finished, wait })
     }
 
     /// An endpoint has said that a message is delivered, or over. Whether a delivery about the end of its time counts depends
@@ -174,8 +174,8 @@
             self.delivered(msg, end, now, actions);
             let calls_out = self.out.range(calls_of(msg)).map(|(_, out)| RouterAction::Ended(out.lead));
             actions.extend(calls_out);
-            let orders = self.facade.ended(now, msg);
-            self.carry_out(orders, now, actions);
+            let instructions = self.policy.ended(now, msg);
+            self.carry_out(instructions, now, actions);
         }
     }
 
@@ -193,8 +193,8 @@
             return false;
         }
         let report = self.message_ended(item, end, 0, now, actions);
-        let orders = self.facade.report_all(now, report.as_slice(), &[]);
-        self.carry_out(orders, now, actions);
+        let instructions = self.policy.report_all(now, report.as_slice(), &[]);
+        self.carry_out(instructions, now, actions);
         true
     }
 
@@ -203,7 +203,7 @@
         while let Some((until, item)) = self.waits.first().copied().filter(|(until, _)| *until <= now) {
             self.waits.remove(&(until, item));
             let lead = self.out.get(&item).map(|out| out.lead);
-            if !self.second_copies {
+            if !self.hedged_requests {
                 // Sent again it would be a second copy while the call is out.
                 actions.extend(lead.map(RouterAction::GiveUp));
             } else {
@@ -226,25 +226,25 @@
     /// What another life has to know of an attempt in this zone; the strictest where the settings do not say.
     fn repeat_effect(&self, class: Option<usize>, zone: u32) -> RepeatEffect {
         match class.and_then(|class| self.effects.get(class)) {
-            Some(Effect::Safe) => RepeatEffect::Safe,
-            Some(Effect::Keyed { span, by_zone }) => {
-                let name = || self.zones.name(u64::from(zone)).to_string();
+            Some(Effect::Idempotent) => RepeatEffect::Safe,
+            Some(Effect::Deduplicated { span, by_zone }) => {
+                let name = || self.zones.resolve(u64::from(zone)).to_string();
                 RepeatEffect::Keyed { span: *span, zone: by_zone.then(name) }
             }
-            Some(Effect::Unsafe) | None => RepeatEffect::Unsafe,
+            Some(Effect::NonIdempotent) | None => RepeatEffect::Unsafe,
         }
     }
 
     pub(super) fn call(
         &mut self,
         endpoint: u32,
-        items: &[Item],
+        items: &[CallItem],
         now: Micros,
         actions: &mut Vec<RouterAction>,
     ) {
         let known = self.endpoints.get(&endpoint).and_then(|p| Some((p.addr?, p.zone, p.dest)));
         let mut payloads = Vec::with_capacity(items.len());
-        for &Item { msg, attempt, timeout, by } in items {
+        for &CallItem { msg, attempt, timeout, send_before: by } in items {
             match self.owed.get(&msg).filter(|_| known.is_some()) {
                 Some(owed) => {
                     let (call, payload, stream) =
@@ -290,7 +290,7 @@
             JournalRecord::Sent { msg: item.msg, sent: now, effect: self.repeat_effect(class, zone) }
         };
         let records: Vec<JournalRecord> = payloads.iter().map(record).collect();
-        if !breaks::on(Break::AttemptUnwritten) && !self.write_all(&records, now) {
+        if !breaks::is_enabled(Break::AttemptUnwritten) && !self.write_all(&records, now) {
             return actions.push(RouterAction::NotWritten(lead));
         }
         // The journal counts what it has, and the module what it ordered: a record that the disk refused
--- a/core/src/router/list.rs
+++ b/core/src/router/list.rs
@@ -15,13 +15,13 @@
     pub(super) kind: usize,
     pub(super) weight: f64,
     /// As discovery lists it.
-    pub(super) state: ListState,
+    pub(super) state: EndpointState,
     pub(super) gone: Option<Micros>,
 }
 
 /// A name's number; a name that is known copies nothing.
-pub(super) fn number(names: &mut Arc<Names>, name: &str) -> u64 {
-    names.known(name).unwrap_or_else(|| Arc::make_mut(names).number(name))
+pub(super) fn number(names: &mut Arc<NameTable>, name: &str) -> u64 {
+    names.get(name).unwrap_or_else(|| Arc::make_mut(names).intern(name))
 }
 
 impl<S: Store> Router<S> {
@@ -32,7 +32,7 @@
         if list.full {
             for (n, p) in &mut self.endpoints {
                 // What a whole list omits is gone, as if it said so.
-                p.state = ListState::Gone;
+                p.state = EndpointState::Gone;
                 if p.gone.is_none() {
                     p.gone = Some(now);
                     self.gone_since.insert((now, *n));
@@ -46,16 +46,16 @@
             let zone = number(&mut self.zones, &p.zone) as u32;
             let kind = self.kinds.iter().position(|k| *k == p.kind).unwrap_or(usize::MAX);
             let addr = p.addr.or(self.endpoints.get(&n).and_then(|known| known.addr));
-            let gone = (p.state == ListState::Gone).then_some(now);
+            let gone = (p.state == EndpointState::Gone).then_some(now);
             let (dest, weight, state) = (p.dest, p.weight, p.state);
             self.record_endpoint(n, KnownEndpoint { addr, dest, zone, kind, weight, state, gone });
             let state = self.disabled.effective_state(&p.id, state);
-            actions.push(RouterAction::Gate { endpoint: n, open: state == ListState::Ready });
-            entries.push(Entry { endpoint: n, dest, kind, zone, weight, state, cold: false });
+            actions.push(RouterAction::Gate { endpoint: n, open: state == EndpointState::Ready });
+            entries.push(EndpointEntry { endpoint: n, dest, kind, zone, weight, state, returning: false });
         }
-        let kind = if list.full { ListKind::Whole } else { ListKind::Delta };
-        let orders = self.facade.list(now, kind, entries);
-        self.carry_out(orders, now, &mut actions);
+        let kind = if list.full { ListUpdate::Full } else { ListUpdate::Delta };
+        let instructions = self.policy.update_list(now, kind, entries);
+        self.carry_out(instructions, now, &mut actions);
         self.forget_endpoints(now, &mut actions);
         self.drain_notes(&mut actions);
         actions
@@ -69,7 +69,7 @@
         if self.disabled.contains(id) {
             return Ok(Vec::new());
         }
-        if self.endpoint_names.known(id).is_none() || id.len() > ID_MAX {
+        if self.endpoint_names.get(id).is_none() || id.len() > ID_MAX {
             return Err(DisableError::Unknown(id.into()));
         }
         if self.disabled.is_full() {
@@ -86,7 +86,7 @@
     /// Nobody has the id, or its record could not be written: nothing has changed.
     pub fn enable(&mut self, id: &str, now: Micros) -> Result<Vec<RouterAction>, DisableError> {
         if !self.disabled.contains(id) {
-            let known = self.endpoint_names.known(id).is_some();
+            let known = self.endpoint_names.get(id).is_some();
             return if known { Ok(Vec::new()) } else { Err(DisableError::Unknown(id.into())) };
         }
         self.journal.set_disabled(id, false, now, &mut self.notes)?;
@@ -104,16 +104,16 @@
     }
 
     /// Shows the module and the pool an endpoint as it stands now; `cold`: it may have been restarted.
-    fn show(&mut self, id: &str, cold: bool, now: Micros) -> Vec<RouterAction> {
+    fn show(&mut self, id: &str, returning: bool, now: Micros) -> Vec<RouterAction> {
         let mut actions = Vec::new();
-        let n = self.endpoint_names.known(id).and_then(|n| u32::try_from(n).ok());
+        let n = self.endpoint_names.get(id).and_then(|n| u32::try_from(n).ok());
         if let Some((n, known)) = n.and_then(|n| Some((n, self.endpoints.get(&n)?))) {
             let &KnownEndpoint { dest, zone, kind, weight, state, .. } = known;
             let state = self.disabled.effective_state(id, state);
-            actions.push(RouterAction::Gate { endpoint: n, open: state == ListState::Ready });
-            let entry = Entry { endpoint: n, dest, kind, zone, weight, state, cold };
-            let orders = self.facade.list(now, ListKind::Delta, vec![entry]);
-            self.carry_out(orders, now, &mut actions);
+            actions.push(RouterAction::Gate { endpoint: n, open: state == EndpointState::Ready });
+            let entry = EndpointEntry { endpoint: n, dest, kind, zone, weight, state, returning };
+            let instructions = self.policy.update_list(now, ListUpdate::Delta, vec![entry]);
+            self.carry_out(instructions, now, &mut actions);
         }
         self.drain_notes(&mut actions);
         actions
@@ -147,7 +147,7 @@
         forgotten.sort_unstable();
         for n in forgotten {
             self.drop_endpoint(n);
-            Arc::make_mut(&mut self.endpoint_names).forget(u64::from(n));
+            Arc::make_mut(&mut self.endpoint_names).remove(u64::from(n));
             actions.push(RouterAction::Forget(n));
         }
     }
@@ -156,7 +156,7 @@
     pub(super) fn named(&self, text: &str) -> String {
         let number = text.strip_prefix("endpoint ").and_then(|rest| rest.split_once(':'));
         match number.and_then(|(n, rest)| Some((n.parse().ok()?, rest))) {
-            Some((n, rest)) => format!("provider {}:{rest}", self.endpoint_names.name(n)),
+            Some((n, rest)) => format!("provider {}:{rest}", self.endpoint_names.resolve(n)),
             None => text.to_string(),
         }
     }
--- a/core/src/router/restore.rs
+++ b/core/src/router/restore.rs
@@ -12,7 +12,7 @@
     /// # Errors
     /// The settings make no courier, or the store can't be read.
     pub fn open(
-        env: &Env,
+        env: &SenderSettings,
         seed: u64,
         known: EndpointList,
         store: S,
@@ -27,7 +27,7 @@
     /// # Errors
     /// The settings make no courier, or the store can't be read.
     pub fn open_with(
-        env: &Env,
+        env: &SenderSettings,
         streams: Option<StreamLimits>,
         seed: u64,
         known: EndpointList,
@@ -45,9 +45,9 @@
             let calls = contents.owed.values_mut().flat_map(|entry| &mut entry.calls);
             calls.filter(|call| call.never_ran != Some(true)).for_each(|call| call.sent = 0);
         }
-        let facade = |settings| Facade::new(settings, seed);
+        let policy = |settings| Policy::new(settings, seed);
         let mut router =
-            Self::with_settings(env, streams, contents.owed.len(), facade, journal, contents.next, notes)?;
+            Self::with_settings(env, streams, contents.owed.len(), policy, journal, contents.next, notes)?;
         router.disabled = contents.disabled;
         let mut actions = router.list(known, now);
         router.list_received = false;
@@ -120,7 +120,7 @@
         actions: &mut Vec<RouterAction>,
     ) {
         let AcceptedMessage { id, class, key, dest, deadline, body } = entry.taken;
-        let journaled = entry.end.filter(|_| !breaks::on(Break::ForgetEnd));
+        let journaled = entry.end.filter(|_| !breaks::is_enabled(Break::ForgetEnd));
         let end = journaled.map(|end| match end {
             End::Deferred { after } => Ending::Deferred(after),
             End::Delivered | End::Undeliverable => Ending::Undeliverable,
@@ -174,14 +174,14 @@
             tenant: None,
             key: None,
             deadline,
-            hint: None,
+            work_hint: None,
             dest,
             stream: false,
             size,
         };
-        let past = if breaks::on(Break::ForgetPast) { Vec::new() } else { past };
-        let orders = self.facade.restore(now, message, past);
-        self.carry_out(orders, now, actions);
+        let past = if breaks::is_enabled(Break::ForgetPast) { Vec::new() } else { past };
+        let instructions = self.policy.restore(now, message, past);
+        self.carry_out(instructions, now, actions);
     }
 
     /// An attempt of another life as the module is to see it: the stricter holds of what a repeat could do then and could
@@ -192,11 +192,14 @@
         let effect = *self.effects.get(class)?;
         match (&call.effect, effect) {
             // Nothing ran, nothing was stricter, or the module never repeats it.
-            (None | Some(RepeatEffect::Safe), _) | (_, Effect::Unsafe) => Some(as_is),
+            (None | Some(RepeatEffect::Safe), _) | (_, Effect::NonIdempotent) => Some(as_is),
             _ if !may_have_run => Some(as_is),
-            (Some(RepeatEffect::Unsafe), _) | (Some(RepeatEffect::Keyed { .. }), Effect::Safe) => None,
-            (Some(RepeatEffect::Keyed { zone: Some(_), .. }), Effect::Keyed { by_zone: false, .. }) => None,
-            (Some(RepeatEffect::Keyed { span: then, zone }), Effect::Keyed { span, .. }) => {
+            (Some(RepeatEffect::Unsafe), _) | (Some(RepeatEffect::Keyed { .. }), Effect::Idempotent) => None,
+            (
+                Some(RepeatEffect::Keyed { zone: Some(_), .. }),
+                Effect::Deduplicated { by_zone: false, .. },
+            ) => None,
+            (Some(RepeatEffect::Keyed { span: then, zone }), Effect::Deduplicated { span, .. }) => {
                 let zone = zone.as_ref().map_or(ELSEWHERE, |name| list::number(&mut self.zones, name) as u32);
                 // Sent so much earlier, its span of today ends with the one of then.
                 Some(PastAttempt {
--- a/core/src/router/state.rs
+++ b/core/src/router/state.rs
@@ -9,9 +9,9 @@
     settings: u32,
     /// Bytes of the journal then. Where it is longer a third process had the lock in between, and decided.
     journal: u64,
-    facade: Facade,
-    zones: Names,
-    endpoint_names: Names,
+    policy: Policy,
+    zones: NameTable,
+    endpoint_names: NameTable,
     endpoints: BTreeMap<u32, KnownEndpoint>,
     disabled: DisabledEndpoints,
     version: u64,
@@ -39,12 +39,19 @@
 }
 
 /// Tells settings apart: a state's numbers stand for other names under others.
-pub fn settings_fingerprint(env: &Env, streams: Option<StreamLimits>) -> Result<u32, RouterError> {
+pub fn settings_fingerprint(env: &SenderSettings, streams: Option<StreamLimits>) -> Result<u32, RouterError> {
     let (settings, _) = settings_of(env, streams)?;
     let classes: Vec<_> = env.categories.iter().map(|c| &c.name).collect();
     let tenants: Vec<_> = env.tenants.iter().map(|t| &t.name).collect();
     let names = format!("{classes:?} {:?} {tenants:?} {:?} {:?}", env.skus, env.zone, env.failure_domains);
-    Ok(crc32fast::hash(format!("{settings:?} {names} {streams:?}").as_bytes()))
+    Ok(crc32fast::hash(format!("{} {names} {}", settings.mark_text(), streams_text(streams)).as_bytes()))
+}
+
+/// The limits of streams in the same stable form as [`Settings::mark_text`]: its names never follow a rename.
+fn streams_text(streams: Option<StreamLimits>) -> String {
+    let Some(limits) = streams else { return "None".into() };
+    let (most, slots, window) = (limits.most, limits.part_of_slots, limits.part_of_window);
+    format!("Some(StreamLimits {{ most: {most:?}, part_of_slots: {slots:?}, part_of_window: {window:?} }})")
 }
 
 impl<S: Store> Router<S> {
@@ -55,9 +62,9 @@
         RouterState {
             settings,
             journal: self.journal.store().len(),
-            facade: self.facade.clone(),
-            zones: Names::clone(&self.zones),
-            endpoint_names: Names::clone(&self.endpoint_names),
+            policy: self.policy.clone(),
+            zones: NameTable::clone(&self.zones),
+            endpoint_names: NameTable::clone(&self.endpoint_names),
             endpoints: self.endpoints.clone(),
             disabled: self.disabled.clone(),
             version: self.version,
@@ -79,7 +86,7 @@
     /// # Errors
     /// The state is none for these settings or this journal, or the store can't be read.
     pub fn resume(
-        env: &Env,
+        env: &SenderSettings,
         streams: Option<StreamLimits>,
         state: RouterState,
         store: S,
@@ -100,15 +107,15 @@
         {
             return Err(ResumeError::OtherJournal);
         }
-        let facade = |settings| state.facade.resume(settings);
+        let policy = |settings| state.policy.resume(settings);
         let mut router =
-            Self::with_settings(env, streams, state.owed.len(), facade, journal, state.next, notes)?;
+            Self::with_settings(env, streams, state.owed.len(), policy, journal, state.next, notes)?;
         (router.zones, router.endpoint_names) = (Arc::new(state.zones), Arc::new(state.endpoint_names));
         router.disabled = state.disabled;
         let mut actions = Vec::new();
         for (n, known) in state.endpoints {
-            let shown = router.disabled.effective_state(router.endpoint_names.name(n.into()), known.state);
-            actions.push(RouterAction::Gate { endpoint: n, open: shown == ListState::Ready });
+            let shown = router.disabled.effective_state(router.endpoint_names.resolve(n.into()), known.state);
+            actions.push(RouterAction::Gate { endpoint: n, open: shown == EndpointState::Ready });
             router.record_endpoint(n, known);
         }
         (router.version, router.list_received) = (state.version, state.list_received);
--- a/core/src/router/streams.rs
+++ b/core/src/router/streams.rs
@@ -70,7 +70,7 @@
     ) {
         let Some(stream) = self.owed.get_mut(&msg).and_then(|owed| owed.stream.as_mut()) else { return };
         stream.may_have_run |= !never_ran;
-        if (stream.committed && !breaks::on(Break::CommittedAgain)) || stream.finished {
+        if (stream.committed && !breaks::is_enabled(Break::RetryAfterCommit)) || stream.finished {
             let ending = stream.ending();
             self.end(msg, ending, now, actions);
         }
@@ -81,8 +81,8 @@
         let mut actions = Vec::new();
         if let Some(out) = self.out.get_mut(&call) {
             out.written = Some(now);
-            let orders = self.facade.written(now, call.msg, call.attempt);
-            self.carry_out(orders, now, &mut actions);
+            let instructions = self.policy.written(now, call.msg, call.attempt);
+            self.carry_out(instructions, now, &mut actions);
         }
         actions
     }
@@ -109,8 +109,8 @@
     fn end_stream(&mut self, msg: MsgId, now: Micros, actions: &mut Vec<RouterAction>) {
         let Some(stream) = self.owed.get(&msg).and_then(|owed| owed.stream) else { return };
         self.end(msg, stream.ending(), now, actions);
-        let orders = self.facade.ended(now, msg);
-        self.carry_out(orders, now, actions);
+        let instructions = self.policy.ended(now, msg);
+        self.carry_out(instructions, now, actions);
     }
 
     /// A stream's body will never be whole, or the process ends (`None`): its call is given up, and its end
@@ -137,7 +137,7 @@
         let mut actions = Vec::new();
         let Some(owed) = self.owed.get_mut(&msg) else { return actions };
         if let Some(stream) = &mut owed.stream {
-            stream.unanswerable |= !list_received && !breaks::on(Break::DeafForgotten);
+            stream.unanswerable |= !list_received && !breaks::is_enabled(Break::ForgetDisconnected);
         }
         match owed.end {
             Some(ending) if list_received => {
--- a/core/tests/adopt.rs
+++ b/core/tests/adopt.rs
@@ -9,8 +9,8 @@
 use quillmount_core::router::{Intake, Router};
 use quillmount_core::store::{Fault, Memory};
 use quillmount_core::{DeliveryCall, Ending, EndpointList, Submission};
-use spurshore::ListState;
-use spurshore_settings::{Category, Env};
+use spurshore::EndpointState;
+use spurshore_settings::{Category, SenderSettings};
 
 const DISK: u64 = 99_999;
 
@@ -20,15 +20,16 @@
         dedup_scope: scope.map(String::from),
         ..class(name, "dedup")
     };
-    let env = Env {
+    let env = SenderSettings {
         categories: vec![
             class("fee-debit", "fragile"),
             keyed("paid-notice", None),
             keyed("zone-notice", Some("zone")),
         ],
-        ..Env::default()
+        ..SenderSettings::default()
     };
-    let known = EndpointList { version: 1, full: true, endpoints: vec![endpoint("a", 1, ListState::Ready)] };
+    let known =
+        EndpointList { version: 1, full: true, endpoints: vec![endpoint("a", 1, EndpointState::Ready)] };
     let (router, steps) = Router::open(&env, 7, known.clone(), store, disk, NOW).unwrap();
     let mut hub = Hub::new(router, Pool::new(15_000_000, 9));
     hub.carry_out(steps, NOW);
--- a/core/tests/bundles.rs
+++ b/core/tests/bundles.rs
@@ -11,31 +11,35 @@
 use quillmount_core::{
     AnswerReport, CallEnd, DeliveryCall, Ending, EndpointList, EndpointListing, Submission,
 };
-use spurshore::{ListState, Micros};
-use spurshore_settings::{Category, Env, FamilyInfo};
+use spurshore::{EndpointState, Micros};
+use spurshore_settings::{Category, DestinationSettings, SenderSettings};
 
 fn worth((effect, name): (&str, &str)) -> Category {
-    Category { worth: Some(1.0), ..class(name, effect) }
+    Category { value: Some(1.0), ..class(name, effect) }
 }
 
 /// Classes `debit`, which may run once, and `quote`, which may be repeated.
-fn env() -> Env {
-    Env {
+fn env() -> SenderSettings {
+    SenderSettings {
         categories: ["fragile", "retryable"].into_iter().zip(["debit", "quote"]).map(worth).collect(),
         skus: vec!["k".into()],
         weight_source: Some("nominal".into()),
-        family_info: FamilyInfo { batch_by_kind: vec![20], call_slots: Some(16), ..FamilyInfo::default() },
+        family_info: DestinationSettings {
+            batch_by_kind: vec![20],
+            call_slots: Some(16),
+            ..DestinationSettings::default()
+        },
         limits: spurshore_settings::Limits {
             cancel: Some(true),
             max_attempts: Some(6),
             ..Default::default()
         },
-        ..Env::default()
+        ..SenderSettings::default()
     }
 }
 
 fn list() -> EndpointList {
-    let line = EndpointListing { kind: "k".into(), weight: 2.0, ..endpoint("a", 1, ListState::Ready) };
+    let line = EndpointListing { kind: "k".into(), weight: 2.0, ..endpoint("a", 1, EndpointState::Ready) };
     EndpointList { version: 1, full: true, endpoints: vec![line] }
 }
 
@@ -216,10 +220,12 @@
 #[test]
 fn a_wait_told_by_one_of_separate_routes_holds_no_other() {
     for (apart, held) in [(true, false), (false, true)] {
-        let env =
-            Env { family_info: FamilyInfo { separate_routes: vec![apart], ..env().family_info }, ..env() };
+        let env = SenderSettings {
+            family_info: DestinationSettings { separate_routes: vec![apart], ..env().family_info },
+            ..env()
+        };
         let route =
-            |id| EndpointListing { kind: "k".into(), weight: 2.0, ..endpoint(id, 1, ListState::Ready) };
+            |id| EndpointListing { kind: "k".into(), weight: 2.0, ..endpoint(id, 1, EndpointState::Ready) };
         let list = EndpointList { version: 1, full: true, endpoints: vec![route("a"), route("b")] };
         let (router, steps) = Router::open(&env, 7, list, Memory::default(), 999_999, NOW).unwrap();
         let mut hub: World = Hub::new(router, Pool::new(15_000_000, 9));
--- a/core/tests/common/mod.rs
+++ b/core/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use quillmount_core::hub::{DriverAction, Hub};
 use quillmount_core::store::Memory;
 use quillmount_core::{DeliveryCall, EndpointListing};
-use spurshore::{ListState, Micros};
+use spurshore::{EndpointState, Micros};
 use spurshore_settings::Category;
 
 pub const NOW: Micros = 1_000_000_000;
@@ -17,13 +17,13 @@
         name: name.into(),
         effect: Some(effect.into()),
         deadline_ms: 16_000.0,
-        promise_ms: 3_000.0,
+        latency_target_ms: 3_000.0,
         ..Category::default()
     }
 }
 
 /// An endpoint of a destination, of no kind that the settings know.
-pub fn endpoint(id: &str, dest: u64, state: ListState) -> EndpointListing {
+pub fn endpoint(id: &str, dest: u64, state: EndpointState) -> EndpointListing {
     let (addr, zone) = ("127.0.0.1:1".parse().ok(), String::new());
     EndpointListing { id: id.into(), addr, dest, kind: String::new(), zone, weight: 9.0, state }
 }
--- a/core/tests/disabled.rs
+++ b/core/tests/disabled.rs
@@ -10,29 +10,29 @@
 use quillmount_core::router::Router;
 use quillmount_core::store::{Fault, Memory};
 use quillmount_core::{CallEnd, DeliveryCall, EndpointList, Submission};
-use spurshore::{ListState, Micros};
-use spurshore_settings::{Category, Env};
+use spurshore::{EndpointState, Micros};
+use spurshore_settings::{Category, SenderSettings};
 
 const DISK: u64 = 99_999;
 
-fn env() -> Env {
+fn env() -> SenderSettings {
     let category = Category {
         name: "paid-notice".into(),
         effect: None,
         deadline_ms: 16_000.0,
-        promise_ms: 3_000.0,
+        latency_target_ms: 3_000.0,
         ..Category::default()
     };
-    Env { categories: vec![category], ..Env::default() }
+    SenderSettings { categories: vec![category], ..SenderSettings::default() }
 }
 
-fn list(full: bool, endpoints: &[(&str, ListState)]) -> EndpointList {
+fn list(full: bool, endpoints: &[(&str, EndpointState)]) -> EndpointList {
     let endpoints = endpoints.iter().map(|(id, state)| endpoint(id, 1, *state)).collect();
     EndpointList { version: 1, full, endpoints }
 }
 
 fn open(store: Memory) -> World {
-    let known = list(true, &[("a", ListState::Ready)]);
+    let known = list(true, &[("a", EndpointState::Ready)]);
     let (router, steps) = Router::open(&env(), 7, known, store, DISK, NOW).unwrap();
     let mut hub = Hub::new(router, Pool::new(15_000_000, 9));
     hub.carry_out(steps, NOW);
@@ -59,16 +59,17 @@
     for _ in 0..2 {
         hub.set_disabled("a", true, NOW).unwrap();
     }
-    let wholes = [(true, ListState::Ready), (false, ListState::Draining), (false, ListState::Ready)];
+    let wholes =
+        [(true, EndpointState::Ready), (false, EndpointState::Draining), (false, EndpointState::Ready)];
     for (n, (full, state)) in wholes.into_iter().enumerate() {
         assert_eq!(calls(hub.list(list(full, &[("a", state)]), NOW)).len(), 0);
         assert_eq!(hand_in(&mut hub, &format!("m{n}"), NOW).len(), 0, "{state:?}");
     }
     // Gone long enough to be forgotten, and listed again.
-    hub.list(list(true, &[("b", ListState::Draining)]), NOW);
-    hub.list(list(false, &[("c", ListState::Draining)]), NOW + 30_000_000);
+    hub.list(list(true, &[("b", EndpointState::Draining)]), NOW);
+    hub.list(list(false, &[("c", EndpointState::Draining)]), NOW + 30_000_000);
     let later = NOW + 30_000_000;
-    assert_eq!(calls(hub.list(list(false, &[("a", ListState::Ready)]), later)).len(), 0);
+    assert_eq!(calls(hub.list(list(false, &[("a", EndpointState::Ready)]), later)).len(), 0);
     assert_eq!(hand_in(&mut hub, "later", later).len(), 0);
     assert!(!calls(hub.set_disabled("a", false, later).unwrap()).is_empty(), "one call ends the hold");
     assert!(hub.set_disabled("a", false, later).unwrap().is_empty(), "once more changes nothing");
@@ -78,12 +79,12 @@
 #[test]
 fn an_endpoint_that_went_while_it_was_out_is_not_called_when_it_is_put_back() {
     let mut hub = open(Memory::default());
-    hub.list(list(true, &[("a", ListState::Ready)]), NOW);
+    hub.list(list(true, &[("a", EndpointState::Ready)]), NOW);
     hub.set_disabled("a", true, NOW).unwrap();
     assert_eq!(hand_in(&mut hub, "m", NOW).len(), 0);
-    hub.list(list(true, &[("b", ListState::Draining)]), NOW);
+    hub.list(list(true, &[("b", EndpointState::Draining)]), NOW);
     assert_eq!(calls(hub.set_disabled("a", false, NOW).unwrap()).len(), 0);
-    assert_eq!(calls(hub.list(list(false, &[("a", ListState::Ready)]), NOW)).len(), 1);
+    assert_eq!(calls(hub.list(list(false, &[("a", EndpointState::Ready)]), NOW)).len(), 1);
 }
 
 #[test]
@@ -138,7 +139,7 @@
 fn disabled_endpoints_are_bounded_by_their_number_and_by_the_share_of_the_disk() {
     let mut hub = open(Memory::default());
     let ids: Vec<String> = (0..=DISABLED_MAX).map(|n| format!("endpoint-{n}-{}", "x".repeat(90))).collect();
-    let endpoints: Vec<_> = ids.iter().map(|id| (id.as_str(), ListState::Ready)).collect();
+    let endpoints: Vec<_> = ids.iter().map(|id| (id.as_str(), EndpointState::Ready)).collect();
     hub.list(list(true, &endpoints), NOW);
     let held = ids.iter().filter(|id| hub.set_disabled(id, true, NOW).is_ok()).count();
     assert!((1..DISABLED_MAX).contains(&held), "{held}: here the disk is the narrower limit");
--- a/core/tests/ends.rs
+++ b/core/tests/ends.rs
@@ -7,8 +7,8 @@
 use quillmount_core::pool::Pool;
 use quillmount_core::router::Router;
 use quillmount_core::{CallEnd, CallId, Ending, EndpointList, Submission};
-use spurshore::{ListState, Micros};
-use spurshore_settings::Env;
+use spurshore::{EndpointState, Micros};
+use spurshore_settings::SenderSettings;
 
 const TIME: Micros = 16_000_000;
 /// Less than this before the end of its time it is about that end.
@@ -16,9 +16,9 @@
 
 /// A courier with a message of this class out in a call, which the module gives up with the message.
 fn out(effect: &str) -> (World, CallId) {
-    let env = Env { categories: vec![class("c", effect)], ..Env::default() };
+    let env = SenderSettings { categories: vec![class("c", effect)], ..SenderSettings::default() };
     let list =
-        || EndpointList { version: 1, full: true, endpoints: vec![endpoint("s", 1, ListState::Ready)] };
+        || EndpointList { version: 1, full: true, endpoints: vec![endpoint("s", 1, EndpointState::Ready)] };
     let memory = quillmount_core::store::Memory::default();
     let (router, steps) = Router::open(&env, 7, list(), memory, 999_999, NOW).unwrap();
     let mut hub = Hub::new(router, Pool::new(15_000_000, 9));
--- a/core/tests/handover_forms.rs
+++ b/core/tests/handover_forms.rs
@@ -19,8 +19,8 @@
     BundledMessage, CallEnd, CallId, DeliveryCall, Ending, EndpointList, EndpointListing, MessagePayload,
     Submission,
 };
-use spurshore::{Eye, ListState, Micros};
-use spurshore_settings::{Category, Env, FamilyInfo, Limits, Tenant};
+use spurshore::{EndpointState, Micros, StateVisitor};
+use spurshore_settings::{Category, DestinationSettings, Limits, SenderSettings, Tenant};
 use std::sync::Arc;
 
 const DISK: u64 = 999_999;
@@ -30,45 +30,49 @@
 
 /// All that an observer is shown, in order.
 #[derive(Default, PartialEq, Debug)]
-struct Words(Vec<u64>);
+struct VisitedValues(Vec<u64>);
 
-impl Eye for Words {
-    fn word(&mut self, word: u64) {
-        self.0.push(word);
+impl StateVisitor for VisitedValues {
+    fn visit_u64(&mut self, value: u64) {
+        self.0.push(value);
     }
-    fn time(&mut self, at: Micros) {
+    fn visit_time(&mut self, at: Micros) {
         self.0.push(at);
     }
-    fn message(&mut self, id: u64) {
+    fn visit_message(&mut self, id: u64) {
         self.0.push(id);
     }
-    fn endpoint(&mut self, id: u32) {
+    fn visit_endpoint(&mut self, id: u32) {
         self.0.push(id.into());
     }
 }
 
-fn words(hub: &World) -> Words {
-    let mut words = Words::default();
-    hub.router.see(&mut words);
-    words
+fn visited_values(hub: &World) -> VisitedValues {
+    let mut values = VisitedValues::default();
+    hub.router.visit_state(&mut values);
+    values
 }
 
-fn env() -> Env {
+fn env() -> SenderSettings {
     let keyed = Category {
         memory_span_ms: 6_000.0,
         dedup_scope: Some("zone".into()),
         ..class("paid-notice", "dedup")
     };
-    Env {
+    SenderSettings {
         categories: vec![class("fee-debit", "fragile"), keyed, class("quote", "retryable")],
         failure_domains: vec!["z".into(), "y".into()],
         zone: Some("z".into()),
         skus: vec!["k".into()],
         tenants: vec![Tenant { name: "north".into(), allowance_per_s: 2.0 }],
         weight_source: Some("nominal".into()),
-        family_info: FamilyInfo { batch_by_kind: vec![20], call_slots: Some(16), ..FamilyInfo::default() },
+        family_info: DestinationSettings {
+            batch_by_kind: vec![20],
+            call_slots: Some(16),
+            ..DestinationSettings::default()
+        },
         limits: Limits { cancel: Some(true), max_attempts: Some(6), ..Limits::default() },
-        ..Env::default()
+        ..SenderSettings::default()
     }
 }
 
@@ -80,13 +84,13 @@
         ..endpoint(&format!("s-{n}"), n / 2, state)
     };
     let states = [
-        ListState::Ready,
-        ListState::Ready,
-        ListState::Ready,
-        ListState::Draining,
-        ListState::Ready,
-        ListState::Ready,
-        ListState::Gone,
+        EndpointState::Ready,
+        EndpointState::Ready,
+        EndpointState::Ready,
+        EndpointState::Draining,
+        EndpointState::Ready,
+        EndpointState::Ready,
+        EndpointState::Gone,
     ];
     let endpoints = states.into_iter().zip(0..).map(|(state, n)| line(n, state)).collect();
     EndpointList { version: 41, full: true, endpoints }
@@ -180,7 +184,7 @@
     let mut next = Hub::new(router, Pool::new(15_000_000, 99));
     let todo = next.resume(&held, steps, now);
     assert!(calls(todo).is_empty(), "what is out is out still");
-    assert_eq!(words(&next), words(&hub));
+    assert_eq!(visited_values(&next), visited_values(&hub));
     assert_eq!(next.router.notices(99), hub.router.notices(99));
     assert_eq!(next.router.calls_out(), hub.router.calls_out());
     assert_eq!(next.router.load(), hub.router.load());
@@ -344,7 +348,7 @@
         Cut::Late(Late::Slow),
     ];
     let endings = vec![Ending::Undeliverable, Ending::Deferred(300)];
-    let listed = vec![ListState::Gone, ListState::Ready, ListState::Draining];
+    let listed = vec![EndpointState::Gone, EndpointState::Ready, EndpointState::Draining];
     let all = (call_ends, states, clients, cuts, endings, listed);
     let stored = fixture("handover_enums.bin", &postcard::to_allocvec(&all).unwrap());
     assert_eq!(postcard::from_bytes(&stored), Ok(all));
--- a/core/tests/list.rs
+++ b/core/tests/list.rs
@@ -4,14 +4,14 @@
 use quillmount_core::router::{Router, RouterAction};
 use quillmount_core::store::Memory;
 use quillmount_core::{EndpointList, EndpointListing};
-use spurshore::ListState;
-use spurshore_settings::Env;
+use spurshore::EndpointState;
+use spurshore_settings::SenderSettings;
 
 /// New endpoints replace old ones all day: what is kept of them must not grow with the day.
 #[test]
 fn an_endpoint_gone_for_good_leaves_every_table() {
     let known = EndpointList { version: 0, full: true, endpoints: Vec::new() };
-    let env = Env::default();
+    let env = SenderSettings::default();
     let (mut router, _) = Router::open(&env, 7, known, Memory::default(), 9_999, 0).unwrap();
     let (mut forgotten, mut most) = (0, 0);
     for n in 0..1_000 {
@@ -24,7 +24,7 @@
             weight: 0.0,
             state,
         };
-        let endpoints = vec![line(n, ListState::Ready), line(n.saturating_sub(1), ListState::Gone)];
+        let endpoints = vec![line(n, EndpointState::Ready), line(n.saturating_sub(1), EndpointState::Gone)];
         let list = EndpointList { version: n, full: false, endpoints };
         let steps = router.list(list, n * 1_000_000);
         forgotten += steps.iter().filter(|s| matches!(s, RouterAction::Forget(_))).count();
--- a/core/tests/repeats.rs
+++ b/core/tests/repeats.rs
@@ -10,8 +10,8 @@
 use quillmount_core::router::Router;
 use quillmount_core::store::Memory;
 use quillmount_core::{CallEnd, DeliveryCall, EndpointList, Submission};
-use spurshore::{ListState, Micros};
-use spurshore_settings::{Category, Env};
+use spurshore::{EndpointState, Micros};
+use spurshore_settings::{Category, SenderSettings};
 
 const SPAN: Micros = 1_000_000;
 /// Kept clear of the span's end: by the module as it orders a repeat, and by the call itself for its last byte.
@@ -19,19 +19,19 @@
 const BYTE_MARGIN: Micros = 50_000;
 
 /// Classes whose names say nothing, each with its effect.
-fn env(effects: &[&str]) -> Env {
+fn env(effects: &[&str]) -> SenderSettings {
     let categories = effects.iter().enumerate().map(|(n, effect)| {
         let span = if *effect == "dedup" { SPAN as f64 / 1e3 } else { 0.0 };
         Category { memory_span_ms: span, dedup_scope: Some("all".into()), ..class(&format!("c{n}"), effect) }
     });
-    Env { categories: categories.collect(), ..Env::default() }
+    SenderSettings { categories: categories.collect(), ..SenderSettings::default() }
 }
 
 fn list() -> EndpointList {
-    EndpointList { version: 1, full: true, endpoints: vec![endpoint("s", 1, ListState::Ready)] }
+    EndpointList { version: 1, full: true, endpoints: vec![endpoint("s", 1, EndpointState::Ready)] }
 }
 
-fn open(env: &Env, store: Memory, now: Micros) -> (World, Vec<DriverAction<u32>>) {
+fn open(env: &SenderSettings, store: Memory, now: Micros) -> (World, Vec<DriverAction<u32>>) {
     let (router, steps) = Router::open(env, 7, list(), store, 999_999, now).unwrap();
     let mut hub = Hub::new(router, Pool::new(15_000_000, 9));
     let mut todo = hub.carry_out(steps, now);
--- a/core/tests/restart.rs
+++ b/core/tests/restart.rs
@@ -12,8 +12,8 @@
 use quillmount_core::router::{Intake, Router, RouterAction, settings_fingerprint};
 use quillmount_core::store::{Fault, Memory};
 use quillmount_core::{CallEnd, DeliveryCall, Ending, EndpointList, EndpointListing, Notice, Submission};
-use spurshore::{ListState, Micros, MsgId};
-use spurshore_settings::{Category, Env, Tenant};
+use spurshore::{EndpointState, Micros, MsgId};
+use spurshore_settings::{Category, SenderSettings, Tenant};
 use std::collections::BTreeSet;
 
 const DISK: u64 = 3_000_000;
@@ -23,8 +23,8 @@
     Category { memory_span_ms: span_ms, dedup_scope: Some(scope.into()), ..class(name, "dedup") }
 }
 
-fn env(categories: Vec<Category>) -> Env {
-    Env { categories, ..Env::default() }
+fn env(categories: Vec<Category>) -> SenderSettings {
+    SenderSettings { categories, ..SenderSettings::default() }
 }
 
 fn list(lines: &[(&str, u64, &str)]) -> EndpointList {
@@ -32,7 +32,7 @@
     let line = |((id, dest, zone), port): (&(&str, u64, &str), u16)| EndpointListing {
         zone: (*zone).into(),
         addr: Some(([127, 0, 0, 1], port).into()),
-        ..endpoint(id, *dest, ListState::Ready)
+        ..endpoint(id, *dest, EndpointState::Ready)
     };
     EndpointList { version: 2, full: true, endpoints: lines.iter().zip(1..).map(line).collect() }
 }
@@ -60,7 +60,7 @@
 
 /// The next life, what it begins at once, and the errors that it logs.
 fn open(
-    env: &Env,
+    env: &SenderSettings,
     known: EndpointList,
     store: Memory,
     now: Micros,
@@ -109,8 +109,8 @@
 #[test]
 fn what_fills_the_table_is_kept_by_a_restart_and_tried_before_anything_new_comes_in() {
     for (cap, owed) in [(20, 20), (10, 20), (1, 3), (20, 18), (1_000, 1)] {
-        let settings = Env {
-            limits: spurshore_settings::Limits { open_cap: Some(cap), ..Default::default() },
+        let settings = SenderSettings {
+            limits: spurshore_settings::Limits { max_open_messages: Some(cap), ..Default::default() },
             ..env(vec![class("fee-debit", "fragile")])
         };
         let records: Vec<_> =
@@ -236,7 +236,7 @@
 /// of the next life number them.
 #[test]
 fn a_repeat_that_one_zone_alone_would_drop_goes_to_the_zone_of_that_name() {
-    let zoned = |zones: &[&str], own: &str| Env {
+    let zoned = |zones: &[&str], own: &str| SenderSettings {
         failure_domains: zones.iter().map(|z| z.to_string()).collect(),
         zone: Some(own.into()),
         ..env(vec![dedup("c", 6_000.0, "zone")])
@@ -298,7 +298,7 @@
 #[test]
 fn the_state_of_an_upgrade_is_not_taken_under_other_names() {
     let tenants = |names: [&str; 2]| names.map(|n| Tenant { name: n.into(), allowance_per_s: 5.0 }).into();
-    let settings = || Env {
+    let settings = || SenderSettings {
         tenants: tenants(["a", "b"]),
         failure_domains: vec!["x".into(), "y".into()],
         zone: Some("x".into()),
@@ -306,11 +306,15 @@
         ..env(vec![class("one", "fragile"), class("two", "fragile")])
     };
     let others = [
-        Env { tenants: tenants(["b", "a"]), ..settings() },
-        Env { failure_domains: vec!["y".into(), "x".into()], zone: Some("y".into()), ..settings() },
-        Env { skus: vec!["post".into(), "bank".into()], ..settings() },
-        Env { categories: vec![class("two", "fragile"), class("one", "fragile")], ..settings() },
-        Env { categories: vec![class("one", "retryable"), class("two", "fragile")], ..settings() },
+        SenderSettings { tenants: tenants(["b", "a"]), ..settings() },
+        SenderSettings {
+            failure_domains: vec!["y".into(), "x".into()],
+            zone: Some("y".into()),
+            ..settings()
+        },
+        SenderSettings { skus: vec!["post".into(), "bank".into()], ..settings() },
+        SenderSettings { categories: vec![class("two", "fragile"), class("one", "fragile")], ..settings() },
+        SenderSettings { categories: vec![class("one", "retryable"), class("two", "fragile")], ..settings() },
     ];
     let own = settings_fingerprint(&settings(), None).unwrap();
     assert_eq!(own, settings_fingerprint(&settings(), None).unwrap());
@@ -385,8 +389,8 @@
 /// A journal filled to the share of the disk: taken up whole, and by far within the time that a restart has.
 #[test]
 fn a_full_journal_is_taken_up_whole_and_soon() {
-    let settings = Env {
-        limits: spurshore_settings::Limits { open_cap: Some(20_000), ..Default::default() },
+    let settings = SenderSettings {
+        limits: spurshore_settings::Limits { max_open_messages: Some(20_000), ..Default::default() },
         ..env(vec![class("fee-debit", "fragile"), class("status", "retryable")])
     };
     let mut notes = Vec::new();
--- a/core/tests/restart_guard.rs
+++ b/core/tests/restart_guard.rs
@@ -9,19 +9,19 @@
 use quillmount_core::router::Router;
 use quillmount_core::store::Memory;
 use quillmount_core::{CallEnd, EndpointList};
-use spurshore::ListState;
-use spurshore_settings::Env;
+use spurshore::EndpointState;
+use spurshore_settings::SenderSettings;
 
 const LIFE: u64 = 16_000_000;
 
 #[test]
 fn what_a_restart_found_untried_is_not_given_up_early_for_want_of_a_turn() {
     for fate in [CallEnd::Full(0), CallEnd::CouldNotConnect, CallEnd::Reset] {
-        let env = Env {
+        let env = SenderSettings {
             categories: vec![class("fee-debit", "fragile")],
-            siblings: Some(3_000),
-            me: Some(1),
-            ..Env::default()
+            sender_count: Some(3_000),
+            sender_index: Some(1),
+            ..SenderSettings::default()
         };
         let taken = |n: u64| AcceptedMessage {
             id: format!("m{n}"),
@@ -35,7 +35,7 @@
             .flat_map(|msg| frame(&JournalRecord::Accept { msg, taken: taken(msg) }).unwrap())
             .collect();
         let known =
-            EndpointList { version: 1, full: true, endpoints: vec![endpoint("s", 1, ListState::Ready)] };
+            EndpointList { version: 1, full: true, endpoints: vec![endpoint("s", 1, EndpointState::Ready)] };
         let (router, steps) = Router::open(&env, 7, known, Memory::of(bytes), 99_999, NOW).unwrap();
         let mut hub = Hub::new(router, Pool::new(15_000_000, 99));
         let begun = common::calls(hub.carry_out(steps, NOW));
--- a/core/tests/resume.rs
+++ b/core/tests/resume.rs
@@ -8,8 +8,8 @@
 use quillmount_core::router::{Intake, ResumeError, Router, settings_fingerprint};
 use quillmount_core::store::Memory;
 use quillmount_core::{CallEnd, DeliveryCall, EndpointList, EndpointListing, Submission};
-use spurshore::{Eye, ListState, Micros};
-use spurshore_settings::{Category, Env};
+use spurshore::{EndpointState, Micros, StateVisitor};
+use spurshore_settings::{Category, SenderSettings};
 
 const DISK: u64 = 99_999;
 
@@ -17,31 +17,36 @@
 #[derive(Default, PartialEq, Debug)]
 struct Words(Vec<u64>);
 
-impl Eye for Words {
-    fn word(&mut self, word: u64) {
-        self.0.push(word);
+impl StateVisitor for Words {
+    fn visit_u64(&mut self, value: u64) {
+        self.0.push(value);
     }
-    fn time(&mut self, at: Micros) {
+    fn visit_time(&mut self, at: Micros) {
         self.0.push(at);
     }
-    fn message(&mut self, id: u64) {
+    fn visit_message(&mut self, id: u64) {
         self.0.push(id);
     }
-    fn endpoint(&mut self, id: u32) {
+    fn visit_endpoint(&mut self, id: u32) {
         self.0.push(id.into());
     }
 }
 
-fn env() -> Env {
+fn env() -> SenderSettings {
     let dedup = Category { memory_span_ms: 6_000.0, ..class("paid-notice", "dedup") };
-    Env { categories: vec![class("fee-debit", "fragile"), dedup], ..Env::default() }
+    SenderSettings { categories: vec![class("fee-debit", "fragile"), dedup], ..SenderSettings::default() }
 }
 
 fn list() -> EndpointList {
     let line =
         |n: u64, state| EndpointListing { zone: "z".into(), ..endpoint(&format!("s-{n}"), n / 2, state) };
-    let states =
-        [ListState::Ready, ListState::Ready, ListState::Ready, ListState::Draining, ListState::Ready];
+    let states = [
+        EndpointState::Ready,
+        EndpointState::Ready,
+        EndpointState::Ready,
+        EndpointState::Draining,
+        EndpointState::Ready,
+    ];
     let endpoints = states.into_iter().zip(0..).map(|(state, n)| line(n, state)).collect();
     EndpointList { version: 41, full: true, endpoints }
 }
@@ -88,7 +93,7 @@
 
 fn words(hub: &World) -> Words {
     let mut words = Words::default();
-    hub.router.see(&mut words);
+    hub.router.visit_state(&mut words);
     words
 }
 
@@ -138,7 +143,10 @@
 #[test]
 fn a_state_of_other_settings_or_beside_another_journal_is_not_gone_on_from() {
     let hub = busy();
-    let other = Env { categories: env().categories.into_iter().rev().collect(), ..Env::default() };
+    let other = SenderSettings {
+        categories: env().categories.into_iter().rev().collect(),
+        ..SenderSettings::default()
+    };
     let refused = Router::resume(&other, None, state(&hub).router, killed(&hub), DISK, NOW);
     assert!(matches!(refused.err(), Some(ResumeError::OtherSettings)));
     // A third process had the lock in between and wrote; or its journal is gone.
--- a/core/tests/router.rs
+++ b/core/tests/router.rs
@@ -4,19 +4,19 @@
 use quillmount_core::router::{Intake, Router, RouterAction};
 use quillmount_core::store::{Fault, Memory};
 use quillmount_core::{CallEnd, CallId, EndpointList, EndpointListing, Submission};
-use spurshore::ListState;
-use spurshore_settings::Env;
+use spurshore::EndpointState;
+use spurshore_settings::SenderSettings;
 
 /// A router with a ready endpoint for destination 1, where messages take effect once, and the time.
-fn opened(env: Env) -> (Router<Memory>, u64) {
+fn opened(env: SenderSettings) -> (Router<Memory>, u64) {
     let category = spurshore_settings::Category {
         name: "fee-debit".into(),
         effect: Some("fragile".into()),
         deadline_ms: 16_000.0,
-        promise_ms: 3_000.0,
+        latency_target_ms: 3_000.0,
         ..Default::default()
     };
-    let env = Env { categories: vec![category], ..env };
+    let env = SenderSettings { categories: vec![category], ..env };
     let line = EndpointListing {
         id: "s".into(),
         addr: "127.0.0.1:1".parse().ok(),
@@ -24,7 +24,7 @@
         kind: String::new(),
         zone: String::new(),
         weight: 0.0,
-        state: ListState::Ready,
+        state: EndpointState::Ready,
     };
     let known = EndpointList { version: 1, full: true, endpoints: vec![line] };
     let now = 1_000_000_000;
@@ -48,7 +48,11 @@
 /// A crowd's guard leaves the second no turn in its time: it is refused itself, and no notice tells of it.
 #[test]
 fn what_is_given_up_as_it_comes_is_not_taken_on() {
-    let (mut router, now) = opened(Env { siblings: Some(3_000), me: Some(1), ..Env::default() });
+    let (mut router, now) = opened(SenderSettings {
+        sender_count: Some(3_000),
+        sender_index: Some(1),
+        ..SenderSettings::default()
+    });
     let (intake, steps) = hand_in(&mut router, "a", now);
     let call = call(&steps);
     assert_eq!(intake, Intake::Accepted);
@@ -67,7 +71,7 @@
 /// journal, and the next outcome must still be noted for the attempt that it belongs to.
 #[test]
 fn an_outcome_is_noted_for_its_own_attempt_after_one_that_was_refused() {
-    let (mut router, now) = opened(Env::default());
+    let (mut router, now) = opened(SenderSettings::default());
     // The take-on is written, and the attempt behind it is not.
     router.journal_mut().store_mut().fail(Fault::Full { after: 1 });
     let (_, steps) = hand_in(&mut router, "m", now);
--- a/core/tests/watch.rs
+++ b/core/tests/watch.rs
@@ -6,7 +6,7 @@
     Watch, WatchInput, WatchOutput, WatchState,
 };
 use spurshore::Micros;
-use spurshore_tables::draw;
+use spurshore_tables::random_unit;
 
 const FLEETS: [u32; 4] = [3, 100, 300, 5_000];
 const HEEDS: [Micros; 2] = [500_000, 1_000_000];
@@ -215,8 +215,8 @@
 const REPEATS: [Micros; 4] = [1_000_000, 3_000_000, 7_000_000, 15_000_000];
 
 fn fate(seed: &mut u64, silent: bool) -> Fate {
-    let kind = if silent { 1 } else { (draw(seed) * 9.0) as u32 };
-    let mut upto = |most: f64| (draw(seed) * most) as Micros;
+    let kind = if silent { 1 } else { (random_unit(seed) * 9.0) as u32 };
+    let mut upto = |most: f64| (random_unit(seed) * most) as Micros;
     match kind {
         0 => Fate::Fails(upto(5e4)),
         1 | 2 => Fate::Silent,
@@ -426,7 +426,7 @@
             for _ in 0..40 {
                 let mut watch = courier(fleet, me, false, heed).where_pushed(true);
                 let silent = followed(&mut watch);
-                let back = silent + SILENCE + (draw(&mut seed) * 20e6) as Micros;
+                let back = silent + SILENCE + (random_unit(&mut seed) * 20e6) as Micros;
                 let took = told_at_return(&mut watch, &mut 0, back, how, heed / 8);
                 assert!(took <= heed, "{fleet} couriers, {heed}, {me} {how:?}, back at {back}: {took}");
             }
@@ -444,7 +444,7 @@
             let mut seed = u64::from(me) * 31 + 7;
             for n in 0..40 {
                 let mut watch = courier(fleet, me, true, heed).where_pushed(true);
-                let back = if n == 0 { 0 } else { (draw(&mut seed) * 20e6) as Micros };
+                let back = if n == 0 { 0 } else { (random_unit(&mut seed) * 20e6) as Micros };
                 let took = told_at_return(&mut watch, &mut 0, back, how, heed / 8);
                 assert!(took <= heed, "{fleet} couriers, {heed}, {me} {how:?}, back at {back}: {took}");
                 // Refused, as by an agent that starts; then it is silent.
@@ -454,7 +454,7 @@
                     watch.step(BROKEN, at);
                 }
                 let asked = next_ask(&mut watch);
-                let long = (draw(&mut seed) * 20e6) as Micros + ANSWER_WITHIN;
+                let long = (random_unit(&mut seed) * 20e6) as Micros + ANSWER_WITHIN;
                 let took = told_at_return(&mut watch, &mut 1, asked + long, how, heed / 8);
                 assert!(
                     took <= heed,
--- a/courier/src/program/config.rs
+++ b/courier/src/program/config.rs
@@ -4,8 +4,8 @@
 use quillmount_operator::problems::{self, Problem};
 use quillmount_protocol::discovery::{DiscoveryError, List};
 use serde::Deserialize;
-use spurshore::Facade;
-use spurshore_settings::{Env, Names, settings};
+use spurshore::Policy;
+use spurshore_settings::{NameTable, SenderSettings, decode_settings};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -42,9 +42,9 @@
 
 impl ConfigOwner {
     fn of(file: &File) -> ConfigOwner {
-        let Env { categories, tenants, skus, me, .. } = &file.settings;
+        let SenderSettings { categories, tenants, skus, sender_index, .. } = &file.settings;
         ConfigOwner {
-            courier: (file.name.clone(), *me),
+            courier: (file.name.clone(), *sender_index),
             classes: categories.iter().map(|c| (c.name.clone(), c.effect.clone())).collect(),
             tenants: tenants.iter().map(|t| t.name.clone()).collect(),
             kinds: skus.iter().cloned().collect(),
@@ -76,7 +76,7 @@
     #[serde(default)]
     limits: Limits,
     known: Option<List>,
-    settings: Env,
+    settings: SenderSettings,
 }
 
 impl File {
@@ -125,7 +125,7 @@
     /// Bytes that the files in `state` may take together.
     pub disk: u64,
     pub known: EndpointList,
-    pub env: Env,
+    pub env: SenderSettings,
 }
 
 impl Config {
@@ -181,8 +181,8 @@
         for (n, server) in file.known.into_iter().flat_map(List::entries).enumerate() {
             found.extend(server.err().map(|e| Problem::new(format!("$.known.servers[{n}]"), e.to_string())));
         }
-        let sound = settings(&file.settings, &mut Names::default());
-        let module = sound.and_then(|s| Facade::new(s, 0).map(drop).map_err(|e| e.to_string()));
+        let sound = decode_settings(&file.settings, &mut NameTable::default());
+        let module = sound.and_then(|s| Policy::new(s, 0).map(drop).map_err(|e| e.to_string()));
         found.extend(module.err().map(|e| Problem::new("$.settings", e)));
         found
     }
--- a/courier/src/program/run.rs
+++ b/courier/src/program/run.rs
@@ -20,7 +20,7 @@
 use quillmount_core::{flow, hub};
 use quillmount_operator::{Operator, OperatorError};
 use rustix::process::{Resource, getrlimit};
-use spurshore_settings::{Names, settings};
+use spurshore_settings::{NameTable, decode_settings};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -206,13 +206,13 @@
     let connections = Rc::new(Connections::new(clock.clone(), most, config.memory / BODIES));
     let (moves, discovery) = watch::channel(config.discovery);
     let service = OperatorService::new(courier.clone(), connections.clone(), config.state.clone());
-    let settings = settings(&config.env, &mut Names::default()).map_err(RouterError::Decode)?;
+    let settings = decode_settings(&config.env, &mut NameTable::default()).map_err(RouterError::Decode)?;
     let others = platform::Fleet {
-        couriers: settings.siblings,
+        couriers: settings.sender_count,
         seed: config.seed,
         starts: resumed_parts.is_none(),
-        heed: settings.heed,
-        pushed: !settings.must_ask,
+        heed: settings.drain_grace,
+        pushed: !settings.subscription_required,
     };
     let begin = {
         let (courier, connections) = (courier.clone(), connections.clone());
--- a/examples/held.rs
+++ b/examples/waiting_messages.rs
@@ -1,7 +1,7 @@
 //! What a step of the decisions costs by the number of messages that are held for a destination in an outage:
 //! microseconds a step, in one run, so that the rows can be set against each other.
 //!
-//!     cargo run --release --example held
+//!     cargo run --release --example waiting_messages
 
 use spurshore::*;
 use std::time::Instant;
@@ -22,57 +22,57 @@
 }
 
 fn settings(held: u64) -> Settings {
-    let class = Class {
-        effect: Effect::Unsafe,
-        aim: 3 * SEC,
-        aim_stretch: 0.0,
+    let class = MessageClass {
+        effect: Effect::NonIdempotent,
+        latency_target: 3 * SEC,
+        latency_target_stretch: 0.0,
         deadline: 12 * SEC,
-        worth: 1.0,
-        late_worth: 0.4,
+        value: 1.0,
+        late_value: 0.4,
         keep_order: false,
     };
     Settings {
         slots: 24,
-        open_cap: 2 * held as u32,
+        max_open_messages: 2 * held as u32,
         cancel: true,
-        siblings: 2,
+        sender_count: 2,
         weight_is_rate: true,
         classes: vec![class],
-        kinds: vec![Kind { separate_routes: false, batch: 1 }],
+        kinds: vec![DestinationKind { separate_routes: false, batch: 1 }],
         ..Settings::default()
     }
 }
 
 /// Messages come to a destination whose calls all time out, and as many are ended.
-fn cost(held: u64, mut decide: impl FnMut(Micros, &[Event]) -> Vec<Action>) -> f64 {
-    let entries = (0..20).map(|n| Entry {
+fn cost(held: u64, mut decide: impl FnMut(Micros, &[DispatchEvent]) -> Vec<DispatchAction>) -> f64 {
+    let entries = (0..20).map(|n| EndpointEntry {
         endpoint: n,
         dest: n.into(),
         kind: 0,
         zone: 0,
         weight: 20.0,
-        state: ListState::Ready,
-        cold: false,
+        state: EndpointState::Ready,
+        returning: false,
     });
-    let list = Event::List { kind: ListKind::Whole, entries: entries.collect() };
+    let list = DispatchEvent::List { kind: ListUpdate::Full, entries: entries.collect() };
     let (mut now, mut id, mut out) = (SEC, 0, Vec::new());
     let submit = |id: u64, now: Micros| {
         let deadline = now + 12 * SEC;
-        Event::Submit(Message {
+        DispatchEvent::Submit(Message {
             id,
             class: 0,
             tenant: None,
             key: None,
             deadline,
-            hint: None,
+            work_hint: None,
             dest: 0,
             stream: false,
             size: 0,
         })
     };
-    let mut step = |now: Micros, events: &[Event]| {
+    let mut step = |now: Micros, events: &[DispatchEvent]| {
         for action in decide(now, events) {
-            if let Action::Send { msg, .. } = action {
+            if let DispatchAction::Send { msg, .. } = action {
                 out.push(msg);
             }
         }
@@ -90,7 +90,7 @@
         id += 1;
         let mut events = vec![submit(id, now)];
         if let Some(msg) = calls.pop() {
-            events.push(Event::Completed(Completed {
+            events.push(DispatchEvent::Completed(Completion {
                 msg,
                 attempt: 0,
                 outcome: Outcome::Timeout,
--- a/explore/src/case.rs
+++ b/explore/src/case.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use spurshore::Micros;
-use spurshore_settings::Env;
+use spurshore_settings::SenderSettings;
 use std::collections::BTreeSet;
 
 /// One kind of event that the world may choose; what is kind always may.
@@ -185,7 +185,7 @@
     }
 
     /// The settings, as the platform tells them, decoded by the one decoder.
-    pub fn env(&self) -> Result<Env, serde_json::Error> {
+    pub fn env(&self) -> Result<SenderSettings, serde_json::Error> {
         serde_json::from_value(serde_json::json!({
             "me": 0, "siblings": 1, "discovery": "automatic", "skus": ["bank"], "weight_source": "rough",
             "failure_domains": ["a"], "zone": "a",
--- a/explore/src/fingerprint.rs
+++ b/explore/src/fingerprint.rs
@@ -1,6 +1,6 @@
 //! Fingerprints of states: 128 bits over all that matters for what comes next.
 
-use spurshore::{EndpointId, Eye, Micros, MsgId};
+use spurshore::{EndpointId, Micros, MsgId, StateVisitor};
 use std::hash::{Hash, Hasher};
 
 /// An eye that makes a number of what it sees: two independent 64-bit mixes (the finalizer of
@@ -34,7 +34,7 @@
         if self.ids.is_some() {
             self.now = now;
         } else {
-            self.word(now);
+            self.visit_u64(now);
         }
     }
 
@@ -47,28 +47,28 @@
     }
 }
 
-impl Eye for Fingerprint {
-    fn word(&mut self, word: u64) {
-        self.one = mix(self.one ^ word).wrapping_add(0x9E37_79B9_7F4A_7C15);
+impl StateVisitor for Fingerprint {
+    fn visit_u64(&mut self, value: u64) {
+        self.one = mix(self.one ^ value).wrapping_add(0x9E37_79B9_7F4A_7C15);
         self.two =
-            (self.two.rotate_left(23) ^ word).wrapping_mul(0x9FB2_1C65_1E98_DF25).rotate_left(31) ^ self.one;
+            (self.two.rotate_left(23) ^ value).wrapping_mul(0x9FB2_1C65_1E98_DF25).rotate_left(31) ^ self.one;
     }
 
-    fn time(&mut self, at: Micros) {
+    fn visit_time(&mut self, at: Micros) {
         match at {
-            0 | Micros::MAX => self.word(at),
-            _ => self.word(at.wrapping_sub(self.now).wrapping_add(1 << 62)),
+            0 | Micros::MAX => self.visit_u64(at),
+            _ => self.visit_u64(at.wrapping_sub(self.now).wrapping_add(1 << 62)),
         }
     }
 
-    fn message(&mut self, id: MsgId) {
+    fn visit_message(&mut self, id: MsgId) {
         let rank = self.ids.as_ref().and_then(|(m, _)| m.binary_search(&id).ok());
-        self.word(rank.map_or(id.wrapping_add(1 << 40), |n| n as u64));
+        self.visit_u64(rank.map_or(id.wrapping_add(1 << 40), |n| n as u64));
     }
 
-    fn endpoint(&mut self, id: EndpointId) {
+    fn visit_endpoint(&mut self, id: EndpointId) {
         let rank = self.ids.as_ref().and_then(|(_, e)| e.binary_search(&id).ok());
-        self.word(rank.map_or(u64::from(id) + (1 << 40), |n| n as u64));
+        self.visit_u64(rank.map_or(u64::from(id) + (1 << 40), |n| n as u64));
     }
 }
 
@@ -81,24 +81,24 @@
         for chunk in bytes.chunks(8) {
             let mut word = [0; 8];
             word[..chunk.len()].copy_from_slice(chunk);
-            self.word(u64::from_le_bytes(word));
+            self.visit_u64(u64::from_le_bytes(word));
         }
-        self.word(bytes.len() as u64);
+        self.visit_u64(bytes.len() as u64);
     }
 
     fn write_u8(&mut self, n: u8) {
-        self.word(n.into());
+        self.visit_u64(n.into());
     }
     fn write_u32(&mut self, n: u32) {
-        self.word(n.into());
+        self.visit_u64(n.into());
     }
     fn write_u64(&mut self, n: u64) {
-        self.word(n);
+        self.visit_u64(n);
     }
     fn write_usize(&mut self, n: usize) {
-        self.word(n as u64);
+        self.visit_u64(n as u64);
     }
     fn write_isize(&mut self, n: isize) {
-        self.word(n as u64);
+        self.visit_u64(n as u64);
     }
 }
--- a/explore/src/main.rs
+++ b/explore/src/main.rs
@@ -362,7 +362,7 @@
             other => report_failure(format!("{name} is not found by {}: {other:?}", property.name())),
         }
     }
-    spurshore::breaks::clear();
+    spurshore::breaks::disable();
     println!("\n| case that holds | depth | states | seconds |\n| --- | --- | --- | --- |");
     for text in quillmount_explore::proof::VERIFIED_CASES {
         let (case, bounds) = parse_case(text)?.prepare()?;
@@ -527,6 +527,6 @@
 fn set_break(name: Option<&str>) -> Result<(), String> {
     match name {
         None => Ok(()),
-        Some(name) => spurshore::breaks::set(name).map_err(|e| format!("--break: {e}")),
+        Some(name) => spurshore::breaks::enable(name).map_err(|e| format!("--break: {e}")),
     }
 }
--- a/explore/src/streams.rs
+++ b/explore/src/streams.rs
@@ -15,7 +15,7 @@
 use quillmount_core::store::Memory;
 use quillmount_core::{CallEnd, CallId, Ending, EndpointList, EndpointListing, Notice, Submission};
 use quillmount_protocol::delivery;
-use spurshore::{ListState, Micros, MsgId};
+use spurshore::{EndpointState, Micros, MsgId};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
 const START: Micros = 1_000_000_000_000;
@@ -203,7 +203,7 @@
         kind: "bank".into(),
         zone: "a".into(),
         weight: 50.0,
-        state: ListState::Ready,
+        state: EndpointState::Ready,
     };
     let list = EndpointList { version: 1, full: true, endpoints: vec![provider] };
     let limits = Some(StreamLimits { most: 2, part_of_slots: 0.5, part_of_window: 0.5 });
@@ -244,7 +244,7 @@
     fn key(&self) -> u128 {
         let mut hasher = Fingerprint::exact();
         hasher.start_at(self.now);
-        self.hub.router.see(&mut hasher);
+        self.hub.router.visit_state(&mut hasher);
         hasher.hash(&(&self.bodies, &self.answer_deadlines, self.wait_until.max(self.now), self.killed));
         for (id, call) in &self.outstanding {
             hasher.hash(&(id, format!("{:?}", call.state()), call.attempt().answer(), call.connection()));
--- a/explore/src/world.rs
+++ b/explore/src/world.rs
@@ -16,7 +16,7 @@
 use quillmount_core::store::{Fault, Memory};
 use quillmount_core::{CallEnd, CallId, EndpointList, EndpointListing, Notice, Submission};
 use quillmount_protocol::delivery;
-use spurshore::{ListState, Micros};
+use spurshore::{EndpointState, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -1036,9 +1036,9 @@
 
     /// All that matters for what comes next.
     pub fn hash_into(&self, hasher: &mut crate::fingerprint::Fingerprint) {
-        use spurshore::Eye;
+        use spurshore::StateVisitor;
         hasher.start_at(self.now);
-        self.hub.router.see(hasher);
+        self.hub.router.visit_state(hasher);
         hasher.hash(&(
             self.process_key(),
             self.incarnations,
@@ -1051,7 +1051,7 @@
             hasher.hash(&(line.port, line.dest, line.state, line.version > known_version));
         }
         hasher.hash(&(self.notices.state().kind(), self.notices.most(), self.sent_notices.len()));
-        hasher.time(self.notices.wake_at().unwrap_or(0));
+        hasher.visit_time(self.notices.wake_at().unwrap_or(0));
         for n in &self.sent_notices {
             hasher.hash(&(&n.id, n.ending));
         }
@@ -1059,7 +1059,7 @@
             hasher.hash(&(&n.id, n.ending));
         }
         if let watch::WatchState::BackingOff { until } = self.watch.state() {
-            hasher.time(until);
+            hasher.visit_time(until);
         }
         for (id, out) in &self.calls {
             hasher.hash(&(
@@ -1071,35 +1071,35 @@
                 out.call.attempt().answer(),
             ));
             match out.call.state() {
-                AttemptState::Reading { by } => hasher.time(by),
+                AttemptState::Reading { by } => hasher.visit_time(by),
                 AttemptState::Closing { end, until } => {
                     hasher.hash(&end);
-                    hasher.time(until);
+                    hasher.visit_time(until);
                 }
                 AttemptState::Writing { written } => hasher.hash(&(1u8, written)),
                 AttemptState::Connecting => {
-                    hasher.word(2);
-                    hasher.time(out.dial);
+                    hasher.visit_u64(2);
+                    hasher.visit_time(out.dial);
                 }
-                AttemptState::New => hasher.word(3),
-                AttemptState::Awaiting => hasher.word(4),
-                AttemptState::Finished => hasher.word(5),
+                AttemptState::New => hasher.visit_u64(3),
+                AttemptState::Awaiting => hasher.visit_u64(4),
+                AttemptState::Finished => hasher.visit_u64(5),
             }
-            hasher.time(out.deadline);
+            hasher.visit_time(out.deadline);
         }
         for (n, open, paused_until) in self.hub.pool.gates() {
             hasher.hash(&(n, open));
-            hasher.time(paused_until.max(self.now));
+            hasher.visit_time(paused_until.max(self.now));
         }
         for (n, c, since) in self.hub.pool.idle() {
             hasher.hash(&(n, self.closed.contains(c), self.spoilt.contains(c)));
-            hasher.time(since);
+            hasher.visit_time(since);
         }
         if self.case.incarnations > 1 {
             for (n, entry) in &self.book().owed {
                 hasher.hash(&(n, &entry.taken.id, entry.calls.len()));
                 for call in &entry.calls {
-                    hasher.time(call.sent);
+                    hasher.visit_time(call.sent);
                     hasher.hash(&call.never_ran);
                 }
                 hasher.hash(&entry.end.map(|e| format!("{e:?}")));
@@ -1107,23 +1107,23 @@
         }
         for m in &self.monitor.messages {
             hasher.hash(&(m.class, m.dest, m.key, m.acceptance, m.notice, m.delivered, m.gone, m.settled));
-            hasher.time(m.deadline);
+            hasher.visit_time(m.deadline);
             for s in &m.calls {
                 hasher.hash(&(s.incarnation, s.attempt, s.never_ran, s.open, s.last.is_some()));
-                hasher.time(s.first);
+                hasher.visit_time(s.first);
             }
         }
         for (n, announced_at) in &self.monitor.drains {
             hasher.hash(n);
             // Past the limit a drain is one that holds.
-            hasher.time((*announced_at).max(self.now.saturating_sub(DRAIN_GRACE + 1)));
+            hasher.visit_time((*announced_at).max(self.now.saturating_sub(DRAIN_GRACE + 1)));
         }
         for (dest, (from, until)) in self.monitor.waits.iter().filter(|(_, (_, until))| *until > self.now) {
             hasher.hash(dest);
-            hasher.time(*from);
-            hasher.time(*until);
+            hasher.visit_time(*from);
+            hasher.visit_time(*until);
         }
-        hasher.time(if self.monitor.grace_until > self.now { self.monitor.grace_until } else { 0 });
+        hasher.visit_time(if self.monitor.grace_until > self.now { self.monitor.grace_until } else { 0 });
     }
 
     fn process_key(&self) -> (u8, Micros) {
@@ -1224,9 +1224,9 @@
         zone: "a".into(),
         weight: 50.0,
         state: match line.state {
-            0 => ListState::Gone,
-            1 => ListState::Ready,
-            _ => ListState::Draining,
+            0 => EndpointState::Gone,
+            1 => EndpointState::Ready,
+            _ => EndpointState::Draining,
         },
     });
     EndpointList { version, full: true, endpoints: endpoints.collect() }
--- a/fleet/src/settlement/mod.rs
+++ b/fleet/src/settlement/mod.rs
@@ -57,9 +57,9 @@
     /// A key that counts in one zone only is no protection here: a home may move to another.
     fn from(effect: Effect) -> Repeat {
         match effect {
-            Effect::Safe => Repeat::Freely,
-            Effect::Keyed { span, by_zone: false } => Repeat::Within(span),
-            Effect::Keyed { by_zone: true, .. } | Effect::Unsafe => Repeat::Never,
+            Effect::Idempotent => Repeat::Freely,
+            Effect::Deduplicated { span, by_zone: false } => Repeat::Within(span),
+            Effect::Deduplicated { by_zone: true, .. } | Effect::NonIdempotent => Repeat::Never,
         }
     }
 }
--- a/fleet/tests/common/mod.rs
+++ b/fleet/tests/common/mod.rs
@@ -10,7 +10,7 @@
 use quillmount_fleet::message::{Envelope, FleetMessage};
 use quillmount_fleet::state::{PartitionId, partition_of};
 use spurshore::Micros;
-use spurshore_tables::draw;
+use spurshore_tables::random_unit;
 use std::cell::RefCell;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -214,7 +214,7 @@
     }
 
     fn chance(&mut self) -> f64 {
-        draw(&mut self.seed)
+        random_unit(&mut self.seed)
     }
 
     fn send(&mut self, from: usize, to: Name, message: FleetMessage) {
--- a/protocol/src/discovery.rs
+++ b/protocol/src/discovery.rs
@@ -3,7 +3,7 @@
 use quillmount_core::{EndpointList, EndpointListing};
 use serde::Deserialize;
 use serde::de::IgnoredAny;
-use spurshore_settings::state_of_name;
+use spurshore_settings::list_state_from_name;
 
 /// What is longer than this, with its indents, is no list of this platform.
 pub const LIST_MAX: usize = 4 * 1024 * 1024;
@@ -52,7 +52,7 @@
     pub fn entries(self) -> impl Iterator<Item = Result<EndpointListing, DiscoveryError>> {
         self.servers.into_iter().map(|s| {
             let entry = |what: String| DiscoveryError::Entry { id: s.id.clone(), what };
-            let state = state_of_name(&s.state).map_err(entry)?;
+            let state = list_state_from_name(&s.state).map_err(entry)?;
             let addr = s.addr.as_deref().filter(|a| !a.is_empty()).map(str::parse).transpose();
             let addr = addr.map_err(|e| entry(format!("addr {:?}: {e}", s.addr)))?;
             Ok(EndpointListing {
--- a/protocol/tests/stored_forms.rs
+++ b/protocol/tests/stored_forms.rs
@@ -19,10 +19,10 @@
 use quillmount_protocol::operator::{self, BadCall, Line, OperatorCall};
 use quillmount_protocol::submission::{self, Head, Malformed};
 use quillmount_protocol::{delivery, notice, stream};
-use spurshore::ListState;
+use spurshore::EndpointState;
 use std::sync::Arc;
 
-fn endpoint(id: &str, addr: Option<&str>, dest: u64, state: ListState) -> EndpointListing {
+fn endpoint(id: &str, addr: Option<&str>, dest: u64, state: EndpointState) -> EndpointListing {
     let (kind, zone) = (String::new(), String::new());
     EndpointListing {
         id: id.into(),
@@ -45,14 +45,15 @@
         kind: "bank".into(),
         zone: "ü".into(),
         weight: 2.5,
-        ..endpoint("s-\"1\"", Some("10.1.0.18:7070"), 3, ListState::Ready)
+        ..endpoint("s-\"1\"", Some("10.1.0.18:7070"), 3, EndpointState::Ready)
     };
     let second = EndpointListing {
         weight: 1.0,
-        ..endpoint("s-2", Some("[2001:db8::1]:7070"), 4, ListState::Draining)
+        ..endpoint("s-2", Some("[2001:db8::1]:7070"), 4, EndpointState::Draining)
     };
     let whole = EndpointList { version: 42, full: true, endpoints: vec![first, second] };
-    let gone = vec![endpoint("s-2", None, 4, ListState::Gone), endpoint("s-3", None, 4, ListState::Gone)];
+    let gone =
+        vec![endpoint("s-2", None, 4, EndpointState::Gone), endpoint("s-3", None, 4, EndpointState::Gone)];
     let delta = EndpointList { version: 43, full: false, endpoints: gone };
     let empty = EndpointList { version: 44, full: false, endpoints: vec![] };
     assert_eq!(said.lists, [whole, delta, empty]);
--- a/settings/tests/stored_forms.rs
+++ b/settings/tests/stored_forms.rs
@@ -1,11 +1,13 @@
 //! The settings object as a file: every field is read to the same value and comes to the same settings of the library.
 
-use spurshore::{Decay, Effect, ListState};
-use spurshore_settings::{Env, Names, settings, state_of_code, state_of_name};
+use spurshore::{Decay, Effect, EndpointState};
+use spurshore_settings::{
+    NameTable, SenderSettings, decode_settings, list_state_from_code, list_state_from_name,
+};
 
 const FULL: &str = include_str!("fixtures/settings_full.json");
 
-fn full() -> Env {
+fn full() -> SenderSettings {
     serde_json::from_str(FULL).unwrap()
 }
 
@@ -15,9 +17,9 @@
     let category = &env.categories[0];
     assert_eq!(category.name, "fee-debit");
     assert_eq!(category.effect.as_deref(), Some("fragile"));
-    assert_eq!((category.promise_ms, category.deadline_ms), (3_000.0, 16_000.0));
+    assert_eq!((category.latency_target_ms, category.deadline_ms), (3_000.0, 16_000.0));
     assert_eq!(
-        (category.aim_stretch, category.worth, category.late_worth),
+        (category.latency_target_stretch, category.value, category.late_value),
         (Some(1.5), Some(2.0), Some(0.4))
     );
     assert_eq!(category.keep_order, Some(true));
@@ -33,19 +35,19 @@
     assert_eq!(env.family_info.separate_routes, [false, true]);
     let limits = &env.limits;
     assert_eq!(
-        (limits.cancel, limits.retry_after, limits.second_copies),
+        (limits.cancel, limits.retry_after, limits.hedged_requests),
         (Some(true), Some(false), Some(false))
     );
     assert_eq!((limits.dial_timeout_ms, limits.keepalive_ms), (Some(1_000.0), Some(15_000.0)));
     assert_eq!((limits.max_attempts, limits.max_retry_after_ms), (Some(9), Some(3_500.0)));
-    assert_eq!((limits.open_cap, limits.streams_per_conn), (Some(100), Some(2)));
+    assert_eq!((limits.max_open_messages, limits.streams_per_connection), (Some(100), Some(2)));
     assert_eq!(env.load_report.fields, ["x0", "x1"]);
     assert_eq!(env.load_report.via.as_deref(), Some("answers"));
-    assert_eq!((env.me, env.siblings, env.over_share_worth), (Some(1), Some(3), Some(0.1)));
+    assert_eq!((env.sender_index, env.sender_count, env.above_share_value), (Some(1), Some(3), Some(0.1)));
     let rules = &env.rules;
-    assert_eq!((rules.cold_from, rules.cold_ms), (Some(0.22), Some(9_200.0)));
-    assert_eq!((rules.fall_ms, rules.fall_multiple), (Some(3_000.0), Some(2.0)));
-    assert_eq!((rules.key_quiet_ms, rules.stop_sending_within_ms), (Some(70.0), Some(450.0)));
+    assert_eq!((rules.slow_start_share, rules.slow_start_ms), (Some(0.22), Some(9_200.0)));
+    assert_eq!((rules.overload_span_ms, rules.overload_multiple), (Some(3_000.0), Some(2.0)));
+    assert_eq!((rules.key_cooldown_ms, rules.drain_grace_ms), (Some(70.0), Some(450.0)));
     assert_eq!(env.skus, ["bank", "depot"]);
     let tenants: Vec<_> = env.tenants.iter().map(|t| (t.name.as_str(), t.allowance_per_s)).collect();
     assert_eq!(tenants, [("north", 2.5), ("south", 0.0)]);
@@ -54,65 +56,92 @@
 
 #[test]
 fn they_come_to_the_same_settings() {
-    let mut zones = Names::default();
-    let s = settings(&full(), &mut zones).unwrap();
-    assert_eq!((zones.known("z1"), zones.known("z2"), s.zone), (Some(0), Some(1), 1));
-    assert_eq!((s.me, s.siblings, s.slots, s.open_cap, s.max_attempts), (1, 3, 8, 100, 9));
+    let mut zones = NameTable::default();
+    let s = decode_settings(&full(), &mut zones).unwrap();
+    assert_eq!((zones.get("z1"), zones.get("z2"), s.zone), (Some(0), Some(1), 1));
+    assert_eq!(
+        (s.sender_index, s.sender_count, s.slots, s.max_open_messages, s.max_attempts),
+        (1, 3, 8, 100, 9)
+    );
     assert_eq!((s.cancel, s.retry_after, s.max_retry_after), (true, false, 3_500_000));
-    assert_eq!((s.must_ask, s.weight_is_rate, s.weight_is_rough), (true, true, true));
-    assert_eq!((s.limit_report, s.keepalive, s.streams_per_conn), (Some((0, 1)), 15_000_000, 2));
-    assert_eq!((s.cold_from, s.cold, s.fall, s.fall_multiple), (0.22, 9_200_000, 3_000_000, 2.0));
-    assert_eq!((s.key_quiet, s.heed, s.decay), (70_000, 450_000, Decay::Halving));
-    assert_eq!((s.over_share_worth, s.cross_zone_price), (0.1, 0.25));
+    assert_eq!((s.subscription_required, s.weight_is_rate, s.weight_is_approximate), (true, true, true));
+    assert_eq!((s.limit_report, s.keepalive, s.streams_per_connection), (Some((0, 1)), 15_000_000, 2));
+    assert_eq!(
+        (s.slow_start_share, s.slow_start, s.overload_span, s.overload_multiple),
+        (0.22, 9_200_000, 3_000_000, 2.0)
+    );
+    assert_eq!((s.key_cooldown, s.drain_grace, s.decay), (70_000, 450_000, Decay::Halving));
+    assert_eq!((s.above_share_value, s.cross_zone_price), (0.1, 0.25));
     assert_eq!(s.tenants, [2.5, 0.0]);
     let kinds: Vec<_> = s.kinds.iter().map(|kind| (kind.separate_routes, kind.batch)).collect();
     assert_eq!(kinds, [(false, 20), (true, 1)]);
     let classes: Vec<_> = s.classes.iter().map(|class| class.effect).collect();
-    let keyed = |by_zone| Effect::Keyed { span: 6_000_000, by_zone };
-    assert_eq!(classes, [Effect::Unsafe, keyed(true), keyed(false), Effect::Safe, Effect::Unsafe]);
+    let keyed = |by_zone| Effect::Deduplicated { span: 6_000_000, by_zone };
+    assert_eq!(
+        classes,
+        [Effect::NonIdempotent, keyed(true), keyed(false), Effect::Idempotent, Effect::NonIdempotent]
+    );
     let class = &s.classes[0];
-    assert_eq!((class.aim, class.aim_stretch, class.deadline), (3_000_000, 1.5, 16_000_000));
-    assert_eq!((class.worth, class.late_worth, class.keep_order), (2.0, 0.4, true));
+    assert_eq!(
+        (class.latency_target, class.latency_target_stretch, class.deadline),
+        (3_000_000, 1.5, 16_000_000)
+    );
+    assert_eq!((class.value, class.late_value, class.keep_order), (2.0, 0.4, true));
     let class = &s.classes[4];
-    assert_eq!((class.aim, class.aim_stretch, class.deadline), (0, 0.0, 0));
-    assert_eq!((class.worth, class.late_worth, class.keep_order), (1.0, 0.0, false));
+    assert_eq!((class.latency_target, class.latency_target_stretch, class.deadline), (0, 0.0, 0));
+    assert_eq!((class.value, class.late_value, class.keep_order), (1.0, 0.0, false));
 }
 
 /// Fields that are absent, and values that are not known.
 #[test]
 fn what_is_absent_or_unknown_is_taken_as_ever() {
-    let read = |text: &str| serde_json::from_str::<Env>(text).unwrap();
-    let s = settings(&read("{}"), &mut Names::default()).unwrap();
-    assert_eq!((s.me, s.siblings, s.slots, s.open_cap, s.max_attempts), (0, 1, 16, 1_000, 3));
+    let read = |text: &str| serde_json::from_str::<SenderSettings>(text).unwrap();
+    let s = decode_settings(&read("{}"), &mut NameTable::default()).unwrap();
+    assert_eq!(
+        (s.sender_index, s.sender_count, s.slots, s.max_open_messages, s.max_attempts),
+        (0, 1, 16, 1_000, 3)
+    );
     assert_eq!((s.cancel, s.retry_after, s.max_retry_after), (false, true, 3_000_000));
-    assert_eq!((s.must_ask, s.weight_is_rate, s.weight_is_rough), (false, false, true));
-    assert_eq!((s.keepalive, s.streams_per_conn, s.cold_from, s.cold), (5_000_000, 1, 0.2, 10_000_000));
-    assert_eq!((s.fall, s.fall_multiple, s.key_quiet, s.heed), (2_000_000, 1.5, 0, 500_000));
-    assert_eq!((s.decay, s.over_share_worth, s.cross_zone_price), (Decay::Linear, 1.0, 0.0));
+    assert_eq!((s.subscription_required, s.weight_is_rate, s.weight_is_approximate), (false, false, true));
+    assert_eq!(
+        (s.keepalive, s.streams_per_connection, s.slow_start_share, s.slow_start),
+        (5_000_000, 1, 0.2, 10_000_000)
+    );
+    assert_eq!(
+        (s.overload_span, s.overload_multiple, s.key_cooldown, s.drain_grace),
+        (2_000_000, 1.5, 0, 500_000)
+    );
+    assert_eq!((s.decay, s.above_share_value, s.cross_zone_price), (Decay::Linear, 1.0, 0.0));
     let odd =
         read(r#"{"weight_source": "nominal", "categories": [{"name": "x", "effect": "odd"}], "unknown": 1}"#);
-    assert_eq!(settings(&odd, &mut Names::default()).err().unwrap(), "effect: \"odd\" is not known");
+    assert_eq!(
+        decode_settings(&odd, &mut NameTable::default()).err().unwrap(),
+        "effect: \"odd\" is not known"
+    );
 }
 
 #[test]
 fn states_of_the_list_have_the_same_codes_and_names() {
-    let states =
-        [(0, "gone", ListState::Gone), (1, "ready", ListState::Ready), (2, "draining", ListState::Draining)];
+    let states = [
+        (0, "gone", EndpointState::Gone),
+        (1, "ready", EndpointState::Ready),
+        (2, "draining", EndpointState::Draining),
+    ];
     for (code, name, state) in states {
-        assert_eq!((state_of_code(code), state_of_name(name)), (Ok(state), Ok(state)));
+        assert_eq!((list_state_from_code(code), list_state_from_name(name)), (Ok(state), Ok(state)));
     }
-    assert!(state_of_code(3).is_err() && state_of_name("Ready").is_err());
+    assert!(list_state_from_code(3).is_err() && list_state_from_name("Ready").is_err());
 }
 
 /// Numbers and names of an instance, as one process hands them to the next.
 #[test]
 fn names_are_handed_over_as_ever() {
-    let mut names = Names::default();
-    assert_eq!(["a", "b", "c"].map(|name| names.number(name)), [0, 1, 2]);
-    names.forget(1);
+    let mut names = NameTable::default();
+    assert_eq!(["a", "b", "c"].map(|name| names.intern(name)), [0, 1, 2]);
+    names.remove(1);
     let text = serde_json::to_string(&names).unwrap();
     assert_eq!(text, r#"{"to_number":{"a":0,"c":2},"to_name":{"0":"a","2":"c"},"next":3}"#);
-    let mut read: Names = serde_json::from_str(&text).unwrap();
-    assert_eq!((read.known("a"), read.known("b"), read.name(2)), (Some(0), None, "c"));
-    assert_eq!(read.number("d"), 3);
+    let mut read: NameTable = serde_json::from_str(&text).unwrap();
+    assert_eq!((read.get("a"), read.get("b"), read.resolve(2)), (Some(0), None, "c"));
+    assert_eq!(read.intern("d"), 3);
 }
--- a/src/breaks.rs
+++ b/src/breaks.rs
@@ -18,8 +18,8 @@
     RetryAfterReset: "retry-after-reset", "a reset counts as a call that never ran";
     RetryAfterGiveUp: "retry-after-give-up", "a call that was given up counts as one that never ran";
     RefuseDebit: "refuse-debit", "a debit that may have run is deferred";
-    SpanByOne: "span-by-one", "a repeat may go out a microsecond after its key's span";
-    RepeatLate: "repeat-late", "a repeat may connect and be written after its key's span";
+    RetryAtSpanEnd: "span-by-one", "a repeat may go out a microsecond after its key's span";
+    RetryAfterSpan: "repeat-late", "a repeat may connect and be written after its key's span";
     AnswerLate: "answer-late", "a message is given up 400 ms after its time";
     SlotTooMany: "slot-too-many", "one call more than there are slots";
     AttemptTooMany: "attempt-too-many", "one attempt more than there may be";
@@ -29,16 +29,16 @@
     SendAfterEnd: "send-after-end", "a call that has not left goes on when its message has ended";
     AnswerUnread: "answer-unread", "a call that is given up closes its connection at once";
     LastByteEarly: "last-byte-early", "the last byte of a streamed body leaves before its digest is known";
-    DeafForgotten: "deaf-forgotten", "the end of a stream whose consumer has gone is told to nobody";
+    ForgetDisconnected: "deaf-forgotten", "the end of a stream whose consumer has gone is told to nobody";
     HalfSentNeverRan: "half-sent-never-ran", "a half-sent stream counts as a call that never ran";
-    CommittedAgain: "committed-again", "a stream of which a part is gone has another attempt";
-    ShareIgnored: "share-ignored", "streams begin beyond their share of slots and windows";
-    PauseIgnored: "pause-ignored", "a half-sent stream goes on while its destination waits";
+    RetryAfterCommit: "committed-again", "a stream of which a part is gone has another attempt";
+    IgnoreStreamShare: "share-ignored", "streams begin beyond their share of slots and windows";
+    IgnoreStreamPause: "pause-ignored", "a half-sent stream goes on while its destination waits";
     LostWake: "lost-wake", "a step at the time of a wake-up hides the next one";
     KeepSpoilt: "keep-spoilt", "a connection is kept after an answer that broke off";
     PoolLeak: "pool-leak", "a call that was given up counts in the pool for good";
     TakeOnTwice: "take-on-twice", "an id that is owed is taken on once more";
-    ForgetOver: "forget-over", "an id that is over is not remembered";
+    ForgetCompleted: "forget-over", "an id that is over is not remembered";
     TakeOnUnwritten: "take-on-unwritten", "202 without a record, where the disk refuses it";
     AttemptUnwritten: "attempt-unwritten", "a call leaves before its record is written";
     OutcomeNever: "outcome-never", "every outcome is noted as proof that the call never ran";
@@ -55,15 +55,15 @@
 
 /// Whether this break is on; the whole process has one at most.
 #[cfg(feature = "breaks")]
-pub fn on(one: Break) -> bool {
+pub fn is_enabled(chosen: Break) -> bool {
     let n = CHOSEN.load(std::sync::atomic::Ordering::Relaxed);
-    NUMBERED.get(n) == Some(&one)
+    NUMBERED.get(n) == Some(&chosen)
 }
 
 /// Never: this build has no breaks.
 #[cfg(not(feature = "breaks"))]
 #[inline(always)]
-pub const fn on(_: Break) -> bool {
+pub const fn is_enabled(_: Break) -> bool {
     false
 }
 
@@ -71,7 +71,7 @@
 ///
 /// # Errors
 /// No break has the name, or this build has none.
-pub fn set(name: &str) -> Result<(), String> {
+pub fn enable(name: &str) -> Result<(), String> {
     let Some(n) = ALL.iter().position(|(one, _)| *one == name) else {
         return Err(format!("no break is named {name:?}"));
     };
@@ -83,7 +83,7 @@
 }
 
 /// Takes every break off.
-pub fn clear() {
+pub fn disable() {
     #[cfg(feature = "breaks")]
     CHOSEN.store(usize::MAX, std::sync::atomic::Ordering::Relaxed);
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -13,12 +13,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Idempotent: may be repeated and refused freely.
-    Safe,
+    Idempotent,
     /// Repeats are dropped for `span` from the first attempt that may have run, by the whole
     /// destination or, if `by_zone`, by the endpoints of one zone only.
-    Keyed { span: Micros, by_zone: bool },
+    Deduplicated { span: Micros, by_zone: bool },
     /// May take effect once: a repeat needs proof that no earlier attempt ran.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// How worth falls after the aim.
@@ -30,23 +30,23 @@
 
 /// A class of messages.
 #[derive(Clone, Debug)]
-pub struct Class {
+pub struct MessageClass {
     pub effect: Effect,
-    pub aim: Micros,
+    pub latency_target: Micros,
     /// The aim grows by this multiple of the message's own work; 0 for none.
-    pub aim_stretch: f64,
+    pub latency_target_stretch: f64,
     pub deadline: Micros,
-    pub worth: f64,
-    pub late_worth: f64,
+    pub value: f64,
+    pub late_value: f64,
     pub keep_order: bool,
 }
 
 /// Bytes that the messages of one call take together at most: no body on the wire may be larger than 64 KiB.
-pub const CALL_MOST: u64 = 64 * 1024 - 2;
+pub const MAX_CALL_BYTES: u64 = 64 * 1024 - 2;
 
 /// A kind of destination.
 #[derive(Clone, Copy, Debug)]
-pub struct Kind {
+pub struct DestinationKind {
     pub separate_routes: bool,
     /// Messages that one call may carry; 0 counts as 1.
     pub batch: u32,
@@ -55,57 +55,57 @@
 /// What an instance is told at its start. `Settings::default()` serves for what is absent.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This sender's number, from 0, among its `siblings`.
-    pub me: u32,
-    pub siblings: u32,
+    /// This sender's number, from 0, among its `sender_count`.
+    pub sender_index: u32,
+    pub sender_count: u32,
     pub slots: u32,
-    pub open_cap: u32,
+    pub max_open_messages: u32,
     pub max_attempts: u32,
     /// True where `Cancel` is permitted.
     pub cancel: bool,
     pub retry_after: bool,
     pub max_retry_after: Micros,
-    /// True where the list comes only after a `Watch` or `Fetch`.
-    pub must_ask: bool,
+    /// True where the list comes only after a `Subscribe`.
+    pub subscription_required: bool,
     /// True where an entry's `weight` is a rate of calls a second; false: it says nothing.
     pub weight_is_rate: bool,
     /// True where such a rate may be up to half too high or too low.
-    pub weight_is_rough: bool,
+    pub weight_is_approximate: bool,
     /// Where a report holds the share of an allowance that is left, and the limit in calls a second.
     pub limit_report: Option<(usize, usize)>,
     pub zone: u32,
     pub keepalive: Micros,
-    pub streams_per_conn: u32,
-    pub cold_from: f64,
-    pub cold: Micros,
-    pub fall: Micros,
-    pub fall_multiple: f64,
-    pub key_quiet: Micros,
+    pub streams_per_connection: u32,
+    pub slow_start_share: f64,
+    pub slow_start: Micros,
+    pub overload_span: Micros,
+    pub overload_multiple: f64,
+    pub key_cooldown: Micros,
     /// Nothing new goes to an endpoint later than this after its drain was told.
-    pub heed: Micros,
+    pub drain_grace: Micros,
     pub decay: Decay,
-    pub over_share_worth: f64,
+    pub above_share_value: f64,
     pub cross_zone_price: f64,
-    pub classes: Vec<Class>,
+    pub classes: Vec<MessageClass>,
     /// Slots for streams that are on their way to their last byte, and their part of a destination's window.
     pub stream_slots: u32,
-    pub stream_part: f64,
+    pub stream_window_share: f64,
     /// Messages a second inside each tenant's share, over all senders; 0 for no such limit.
     pub tenants: Vec<f64>,
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<DestinationKind>,
 }
 
 impl Default for Settings {
     #[rustfmt::skip]
     fn default() -> Self {
         Settings {
-            me: 0, siblings: 1, slots: 16, open_cap: 1000, max_attempts: 3,
-            cancel: false, must_ask: false, retry_after: true, max_retry_after: 3_000_000,
-            weight_is_rate: false, weight_is_rough: true, limit_report: None,
-            zone: 0, cross_zone_price: 0.0, keepalive: 5_000_000, streams_per_conn: 1,
-            stream_slots: 0, stream_part: 0.0,
-            cold_from: 0.2, cold: 10_000_000, fall: 2_000_000, fall_multiple: 1.5, key_quiet: 0, heed: 500_000,
-            decay: Decay::Linear, over_share_worth: 1.0,
+            sender_index: 0, sender_count: 1, slots: 16, max_open_messages: 1000, max_attempts: 3,
+            cancel: false, subscription_required: false, retry_after: true, max_retry_after: 3_000_000,
+            weight_is_rate: false, weight_is_approximate: true, limit_report: None,
+            zone: 0, cross_zone_price: 0.0, keepalive: 5_000_000, streams_per_connection: 1,
+            stream_slots: 0, stream_window_share: 0.0,
+            slow_start_share: 0.2, slow_start: 10_000_000, overload_span: 2_000_000, overload_multiple: 1.5, key_cooldown: 0, drain_grace: 500_000,
+            decay: Decay::Linear, above_share_value: 1.0,
             classes: Vec::new(), tenants: Vec::new(), kinds: Vec::new(),
         }
     }
@@ -116,8 +116,8 @@
     /// No instance can run under them.
     pub fn check(&self) -> Result<(), SettingsError> {
         let sound = |x: f64| x.is_finite() && x >= 0.0;
-        let shares = [self.cold_from, self.fall_multiple, self.over_share_worth];
-        let worths = self.classes.iter().flat_map(|c| [c.worth, c.late_worth, c.aim_stretch]);
+        let shares = [self.slow_start_share, self.overload_multiple, self.above_share_value];
+        let worths = self.classes.iter().flat_map(|c| [c.value, c.late_value, c.latency_target_stretch]);
         let all = shares.into_iter().chain(worths).all(sound);
         let wrong = "no slot, no attempt, or a share or worth that is no number of zero or more";
         if self.slots > 0 && self.max_attempts > 0 && all { Ok(()) } else { Err(SettingsError(wrong)) }
@@ -137,7 +137,7 @@
 impl std::error::Error for SettingsError {}
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Deserialize, serde::Serialize)]
-pub enum ListState {
+pub enum EndpointState {
     Gone,
     Ready,
     Draining,
@@ -145,22 +145,22 @@
 
 /// One line of the list of endpoints.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct EndpointEntry {
     pub endpoint: EndpointId,
     pub dest: DestId,
     pub kind: usize,
     pub zone: u32,
     pub weight: f64,
-    pub state: ListState,
+    pub state: EndpointState,
     /// It was out by the operators' word and may have been restarted: the destination counts as returning.
-    pub cold: bool,
+    pub returning: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum ListUpdate {
     Delta,
     /// The whole list, fresh or cached: what is not in it is gone.
-    Whole,
+    Full,
     Failed,
 }
 
@@ -172,9 +172,9 @@
     pub key: Option<u64>,
     pub deadline: Micros,
     /// A guess of the message's own work, if given.
-    pub hint: Option<Micros>,
+    pub work_hint: Option<Micros>,
     pub dest: DestId,
-    /// Its body is passed on as it comes: a call's time counts from [`Event::Written`] on.
+    /// Its body is passed on as it comes: a call's time counts from [`DispatchEvent::Written`] on.
     pub stream: bool,
     /// Bytes that it takes in a call with others; 0 where that does not matter.
     pub size: u64,
@@ -202,10 +202,10 @@
 }
 
 #[derive(Clone, Debug)]
-pub enum Event {
+pub enum DispatchEvent {
     List {
-        kind: ListKind,
-        entries: Vec<Entry>,
+        kind: ListUpdate,
+        entries: Vec<EndpointEntry>,
     },
     Submit(Message),
     /// A message taken on in an earlier life of this sender, with the attempts it has had.
@@ -217,14 +217,14 @@
     Stop {
         at: Micros,
     },
-    Completed(Completed),
+    Completed(Completion),
     /// The last byte of a stream's call was written.
     Written {
         msg: MsgId,
         attempt: u32,
     },
     /// The result of a probe; none is ever sent, so it is ignored.
-    Checked {
+    ProbeCompleted {
         endpoint: EndpointId,
         outcome: Outcome,
         elapsed: Micros,
@@ -250,7 +250,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Completed {
+pub struct Completion {
     pub msg: MsgId,
     pub attempt: u32,
     pub outcome: Outcome,
@@ -263,19 +263,19 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Action {
+pub enum DispatchAction {
     Send {
         msg: MsgId,
         endpoint: EndpointId,
         timeout: Micros,
         /// No byte of it may leave from then on: a repeat would not be dropped any more. The clock's end
         /// where nothing sets such a time.
-        by: Micros,
+        send_before: Micros,
         /// It travels in the call of the `Send` before it, to the same endpoint.
-        joins: bool,
+        joins_previous: bool,
     },
     /// End the message; the client may come again after `after` (0: no advice).
-    Refuse {
+    Reject {
         msg: MsgId,
         after: Micros,
     },
@@ -290,7 +290,7 @@
     CloseIdle {
         endpoint: EndpointId,
     },
-    Watch,
+    Subscribe,
     /// A line for the on-call record.
     Log(String),
     Timer {
@@ -302,7 +302,7 @@
 /// A lane as seen from outside, for tests and for on-call staff.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LaneView {
-    pub cal: Option<f64>,
+    pub smoothed_latency: Option<f64>,
     pub window: f64,
     pub threshold: f64,
     pub in_flight: u32,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,26 +1,26 @@
 //! Decisions of a dispatcher that delivers notifications to outside receivers.
 //!
 //! The library is sans-I/O: it owns no clock, thread or socket. Each sender holds one
-//! [`Dispatcher`], hands it batches of [`Event`]s with the clock in microseconds and carries out
-//! the [`Action`]s that come back, in order.
+//! [`Dispatcher`], hands it batches of [`DispatchEvent`]s with the clock in microseconds and carries out
+//! the [`DispatchAction`]s that come back, in order.
 //!
 //! ```
 //! use spurshore::*;
 //!
 //! let mut settings = Settings::default();
 //! settings.slots = 8;
-//! settings.classes.push(Class {
-//!     effect: Effect::Safe, aim: 1_000_000, aim_stretch: 0.0, deadline: 8_000_000,
-//!     worth: 1.0, late_worth: 0.0, keep_order: false,
+//! settings.classes.push(MessageClass {
+//!     effect: Effect::Idempotent, latency_target: 1_000_000, latency_target_stretch: 0.0, deadline: 8_000_000,
+//!     value: 1.0, late_value: 0.0, keep_order: false,
 //! });
 //! let mut d = Dispatcher::new(settings, 7).unwrap();
-//! let entry = Entry { endpoint: 0, dest: 5, kind: 0, zone: 0, weight: 4.0, state: ListState::Ready, cold: false };
-//! let msg = Message { id: 1, class: 0, tenant: None, key: None, deadline: 8_000_000, hint: None, dest: 5, stream: false, size: 0 };
+//! let entry = EndpointEntry { endpoint: 0, dest: 5, kind: 0, zone: 0, weight: 4.0, state: EndpointState::Ready, returning: false };
+//! let msg = Message { id: 1, class: 0, tenant: None, key: None, deadline: 8_000_000, work_hint: None, dest: 5, stream: false, size: 0 };
 //! let actions = d.step(0, &[
-//!     Event::List { kind: ListKind::Whole, entries: vec![entry] },
-//!     Event::Submit(msg),
+//!     DispatchEvent::List { kind: ListUpdate::Full, entries: vec![entry] },
+//!     DispatchEvent::Submit(msg),
 //! ]);
-//! assert!(matches!(actions[0], Action::Send { msg: 1, endpoint: 0, .. }));
+//! assert!(matches!(actions[0], DispatchAction::Send { msg: 1, endpoint: 0, .. }));
 //! ```
 //!
 //! Events that name an unknown message, attempt or endpoint are ignored; so is a message whose
@@ -28,12 +28,13 @@
 //! A clock that runs backwards counts as standing still.
 
 pub mod breaks;
-mod facade;
 mod interface;
+mod policy;
 mod rules;
-mod seen;
+mod settings_mark;
+mod state_visitor;
 
-pub use facade::{Facade, Item, Order, Report};
 pub use interface::*;
+pub use policy::{CallItem, CallReport, Instruction, Policy};
 pub use rules::Dispatcher;
-pub use seen::Eye;
+pub use state_visitor::StateVisitor;
--- a/src/facade.rs
+++ b/src/policy.rs
@@ -9,11 +9,11 @@
 
 /// One thing that the host is to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum Instruction {
     /// Make one call with these messages, one at least.
-    Call { endpoint: EndpointId, items: Vec<Item> },
+    Call { endpoint: EndpointId, items: Vec<CallItem> },
     /// Stop waiting for a call; report it as cancelled.
-    GiveUp { msg: MsgId, attempt: u32 },
+    Abandon { msg: MsgId, attempt: u32 },
     /// End the message: handing it in again is harmless, `after` this long (0: no advice).
     Reject { msg: MsgId, after: Micros },
     /// End the message with no promise about its effect.
@@ -21,22 +21,22 @@
     /// Close the idle connections to an endpoint.
     CloseIdle { endpoint: EndpointId },
     /// A line for the on-call record.
-    Note(String),
+    Log(String),
 }
 
 /// A message of a call: its attempt's number. It is waited for `timeout` at most, and no byte of the call may leave
 /// at `by` or later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Item {
+pub struct CallItem {
     pub msg: MsgId,
     pub attempt: u32,
     pub timeout: Micros,
-    pub by: Micros,
+    pub send_before: Micros,
 }
 
 /// How one call ended.
 #[derive(Clone, Copy, Debug)]
-pub struct Report {
+pub struct CallReport {
     pub msg: MsgId,
     pub attempt: u32,
     pub outcome: Outcome,
@@ -50,16 +50,20 @@
 /// A sender's decisions behind plain calls. The clock is any that an earlier life shared: whole
 /// microseconds, such as Unix time.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Facade {
+pub struct Policy {
     dispatcher: Dispatcher,
     /// Calls ordered so far for each message that is not over.
-    calls: BTreeMap<MsgId, u32>,
+    attempts_ordered: BTreeMap<MsgId, u32>,
     wake: Option<Micros>,
 }
 
-impl Facade {
+impl Policy {
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        Ok(Facade { dispatcher: Dispatcher::new(settings, seed)?, calls: BTreeMap::new(), wake: None })
+        Ok(Policy {
+            dispatcher: Dispatcher::new(settings, seed)?,
+            attempts_ordered: BTreeMap::new(),
+            wake: None,
+        })
     }
 
     /// Goes on from another process's state (this value, read back), under settings that say the same.
@@ -72,28 +76,28 @@
     }
 
     /// A message was handed in: which calls go out now?
-    pub fn pick(&mut self, now: Micros, message: Message) -> Vec<Order> {
-        self.calls.insert(message.id, 0);
-        self.step(now, Event::Submit(message))
+    pub fn submit(&mut self, now: Micros, message: Message) -> Vec<Instruction> {
+        self.attempts_ordered.insert(message.id, 0);
+        self.step(now, DispatchEvent::Submit(message))
     }
 
     /// A message of an earlier life, with the attempts that it has had.
-    pub fn restore(&mut self, now: Micros, message: Message, past: Vec<PastAttempt>) -> Vec<Order> {
-        self.calls.insert(message.id, past.len() as u32);
-        self.step(now, Event::Restore { message, past })
+    pub fn restore(&mut self, now: Micros, message: Message, past: Vec<PastAttempt>) -> Vec<Instruction> {
+        self.attempts_ordered.insert(message.id, past.len() as u32);
+        self.step(now, DispatchEvent::Restore { message, past })
     }
 
     /// A call ended, for its only message.
-    pub fn report(&mut self, now: Micros, r: Report) -> Vec<Order> {
+    pub fn report(&mut self, now: Micros, r: CallReport) -> Vec<Instruction> {
         self.report_all(now, &[r], &[])
     }
 
     /// A call ended, for all of its messages that it still had: they are learnt together, before anything is decided.
     /// `load`: the report of its answer, if that holds one.
-    pub fn report_all(&mut self, now: Micros, ends: &[Report], load: &[f64]) -> Vec<Order> {
-        let completed = |r: &Report| {
-            let &Report { msg, attempt, outcome, elapsed, finished, wait } = r;
-            Event::Completed(Completed {
+    pub fn report_all(&mut self, now: Micros, ends: &[CallReport], load: &[f64]) -> Vec<Instruction> {
+        let completed = |r: &CallReport| {
+            let &CallReport { msg, attempt, outcome, elapsed, finished, wait } = r;
+            DispatchEvent::Completed(Completion {
                 msg,
                 attempt,
                 outcome,
@@ -104,35 +108,40 @@
             })
         };
         for r in ends.iter().filter(|r| r.finished) {
-            self.calls.remove(&r.msg);
+            self.attempts_ordered.remove(&r.msg);
         }
         self.step_all(now, &ends.iter().map(completed).collect::<Vec<_>>())
     }
 
     /// The last byte of a stream's call was written: its time at the destination begins.
-    pub fn written(&mut self, now: Micros, msg: MsgId, attempt: u32) -> Vec<Order> {
-        self.step(now, Event::Written { msg, attempt })
+    pub fn written(&mut self, now: Micros, msg: MsgId, attempt: u32) -> Vec<Instruction> {
+        self.step(now, DispatchEvent::Written { msg, attempt })
     }
 
     /// The message has its end by other means; calls of it that are out are still to be reported.
-    pub fn ended(&mut self, now: Micros, msg: MsgId) -> Vec<Order> {
-        self.calls.remove(&msg);
-        self.step(now, Event::Hangup { msg })
+    pub fn ended(&mut self, now: Micros, msg: MsgId) -> Vec<Instruction> {
+        self.attempts_ordered.remove(&msg);
+        self.step(now, DispatchEvent::Hangup { msg })
     }
 
     /// Time has passed; due at `wake_at` at the latest.
-    pub fn tick(&mut self, now: Micros) -> Vec<Order> {
-        self.step(now, Event::Timer { tag: 0 })
+    pub fn tick(&mut self, now: Micros) -> Vec<Instruction> {
+        self.step(now, DispatchEvent::Timer { tag: 0 })
     }
 
     /// The list of endpoints, or changes to it.
-    pub fn list(&mut self, now: Micros, kind: ListKind, entries: Vec<Entry>) -> Vec<Order> {
-        self.step(now, Event::List { kind, entries })
+    pub fn update_list(
+        &mut self,
+        now: Micros,
+        kind: ListUpdate,
+        entries: Vec<EndpointEntry>,
+    ) -> Vec<Instruction> {
+        self.step(now, DispatchEvent::List { kind, entries })
     }
 
     /// The process ends at `at`: nothing new starts that would hardly be over by then.
-    pub fn stop(&mut self, now: Micros, at: Micros) -> Vec<Order> {
-        self.step(now, Event::Stop { at })
+    pub fn stop(&mut self, now: Micros, at: Micros) -> Vec<Instruction> {
+        self.step(now, DispatchEvent::Stop { at })
     }
 
     /// When `tick` is wanted next.
@@ -141,14 +150,14 @@
     }
 
     /// Shows an eye all that decides.
-    pub fn see(&self, eye: &mut impl crate::Eye) {
-        let Facade { dispatcher, calls, wake } = self;
-        dispatcher.see(eye);
-        for (id, n) in calls {
-            eye.message(*id);
-            eye.word((*n).into());
+    pub fn visit_state(&self, visitor: &mut impl crate::StateVisitor) {
+        let Policy { dispatcher, attempts_ordered, wake } = self;
+        dispatcher.visit_state(visitor);
+        for (id, n) in attempts_ordered {
+            visitor.visit_message(*id);
+            visitor.visit_u64((*n).into());
         }
-        eye.time(wake.unwrap_or(Micros::MAX));
+        visitor.visit_time(wake.unwrap_or(Micros::MAX));
     }
 
     /// From here on draws come from this seed.
@@ -156,56 +165,61 @@
         self.dispatcher.reseed(seed);
     }
 
-    fn step(&mut self, now: Micros, event: Event) -> Vec<Order> {
+    fn step(&mut self, now: Micros, event: DispatchEvent) -> Vec<Instruction> {
         self.step_all(now, &[event])
     }
 
-    fn step_all(&mut self, now: Micros, events: &[Event]) -> Vec<Order> {
+    fn step_all(&mut self, now: Micros, events: &[DispatchEvent]) -> Vec<Instruction> {
         // Any step serves a wake-up that is due, and the dispatcher then asks for its next one: kept
         // beside that, the old time would hide it, and the tick at the old time would take both away.
-        let tick = matches!(events, [Event::Timer { .. }]);
-        if self.wake.is_some_and(|at| at <= now) && (tick || !breaks::on(Break::LostWake)) {
+        let tick = matches!(events, [DispatchEvent::Timer { .. }]);
+        if self.wake.is_some_and(|at| at <= now) && (tick || !breaks::is_enabled(Break::LostWake)) {
             self.wake = None;
         }
         let actions = self.dispatcher.step(now, events);
-        let mut orders = Vec::with_capacity(actions.len());
+        let mut instructions = Vec::with_capacity(actions.len());
         for action in actions {
-            let joins = matches!(action, Action::Send { joins: true, .. });
-            match (self.order(now, action), orders.last_mut()) {
-                (Some(Order::Call { items, .. }), Some(Order::Call { items: call, .. })) if joins => {
+            let joins = matches!(action, DispatchAction::Send { joins_previous: true, .. });
+            match (self.instruction(now, action), instructions.last_mut()) {
+                (Some(Instruction::Call { items, .. }), Some(Instruction::Call { items: call, .. }))
+                    if joins =>
+                {
                     call.extend(items)
                 }
-                (order, _) => orders.extend(order),
+                (instruction, _) => instructions.extend(instruction),
             }
         }
-        orders
+        instructions
     }
 
-    fn order(&mut self, now: Micros, action: Action) -> Option<Order> {
+    fn instruction(&mut self, now: Micros, action: DispatchAction) -> Option<Instruction> {
         Some(match action {
-            Action::Send { msg, endpoint, timeout, by, .. } => {
-                let calls = self.calls.entry(msg).or_default();
+            DispatchAction::Send { msg, endpoint, timeout, send_before, .. } => {
+                let calls = self.attempts_ordered.entry(msg).or_default();
                 *calls += 1;
-                Order::Call { endpoint, items: vec![Item { msg, attempt: *calls - 1, timeout, by }] }
+                Instruction::Call {
+                    endpoint,
+                    items: vec![CallItem { msg, attempt: *calls - 1, timeout, send_before }],
+                }
             }
-            Action::Refuse { msg, after } => {
-                self.calls.remove(&msg);
-                Order::Reject { msg, after }
+            DispatchAction::Reject { msg, after } => {
+                self.attempts_ordered.remove(&msg);
+                Instruction::Reject { msg, after }
             }
-            Action::Fail { msg } => {
-                self.calls.remove(&msg);
-                Order::Fail { msg }
+            DispatchAction::Fail { msg } => {
+                self.attempts_ordered.remove(&msg);
+                Instruction::Fail { msg }
             }
-            Action::Cancel { msg, attempt } => Order::GiveUp { msg, attempt },
-            Action::CloseIdle { endpoint } => Order::CloseIdle { endpoint },
-            Action::Log(text) => Order::Note(text),
-            Action::Timer { after, .. } => {
+            DispatchAction::Cancel { msg, attempt } => Instruction::Abandon { msg, attempt },
+            DispatchAction::CloseIdle { endpoint } => Instruction::CloseIdle { endpoint },
+            DispatchAction::Log(text) => Instruction::Log(text),
+            DispatchAction::Timer { after, .. } => {
                 let at = now.saturating_add(after);
                 self.wake = Some(self.wake.map_or(at, |wake| wake.min(at)));
                 return None;
             }
             // The host watches discovery from its start to its end, asked or not.
-            Action::Watch => return None,
+            DispatchAction::Subscribe => return None,
         })
     }
 }
--- a/src/rules/state.rs
+++ b/src/rules/state.rs
@@ -2,54 +2,65 @@
 //! settings, which every process reads itself.
 
 use super::*;
-use spurshore_tables::Latency;
+use spurshore_tables::LatencyEstimate;
 use std::collections::VecDeque;
 
 #[rustfmt::skip]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Deserialize, serde::Serialize)]
-pub enum Ran { Out, Never, Maybe }
+pub enum Execution { InFlight, NeverRan, MayHaveRun }
 
 /// Calls are counted; one carries one message or several.
-pub type CallNo = u64;
+pub type CallNumber = u64;
 
 #[rustfmt::skip]
 #[derive(Clone, Debug, serde::Deserialize, serde::Serialize)]
 pub struct Attempt {
-    pub endpoint: EndpointId, pub zone: u32, pub lane: usize, pub call: CallNo, pub sent: Micros, pub ran: Ran,
+    pub endpoint: EndpointId, pub zone: u32, pub lane: usize, pub call: CallNumber, pub sent: Micros, pub execution: Execution,
     /// It went over a connection that had been idle; it was called off; its body is on its way.
-    pub reused: bool, pub withdrawn: bool, pub flows: bool,
+    pub reused_connection: bool, pub cancelled: bool, pub streams_body: bool,
     /// From when its latency counts: a stream's from its last byte on.
-    pub from: Micros,
+    pub latency_from: Micros,
 }
 
 #[rustfmt::skip]
 #[derive(Clone, Debug, serde::Deserialize, serde::Serialize)]
-pub struct Msg {
-    pub class: usize, pub worth: f64, pub key: Option<u64>, pub dest: DestId,
-    pub born: Micros, pub came: Micros, pub aim: Micros, pub deadline: Micros,
+pub struct PendingMessage {
+    pub class: usize, pub value: f64, pub key: Option<u64>, pub dest: DestId,
+    pub created_at: Micros, pub received_at: Micros, pub latency_target: Micros, pub deadline: Micros,
     /// Owed an answer still; an ended message stays until its attempts are over.
-    pub open: bool, pub old: bool, pub stream: bool, pub size: u64, pub attempts: Vec<Attempt>,
+    pub is_open: bool, pub restored: bool, pub stream: bool, pub size: u64, pub attempts: Vec<Attempt>,
     /// Its place among those held.
-    pub place: u64,
+    pub position: u64,
 }
 
 impl Attempt {
     /// One of an earlier life: it holds no slot and its lane is not known any more.
-    pub fn of_past(p: &PastAttempt) -> Self {
-        let ran = if p.may_have_run { Ran::Maybe } else { Ran::Never };
-        let (endpoint, lane, (sent, from)) = (EndpointId::MAX, usize::MAX, (p.sent, p.sent));
-        let (zone, reused, withdrawn, flows) = (p.zone, false, false, false);
-        Attempt { endpoint, zone, lane, call: CallNo::MAX, sent, from, ran, reused, withdrawn, flows }
+    pub fn from_past(p: &PastAttempt) -> Self {
+        let execution = if p.may_have_run { Execution::MayHaveRun } else { Execution::NeverRan };
+        let (endpoint, lane, (sent, latency_from)) = (EndpointId::MAX, usize::MAX, (p.sent, p.sent));
+        let (zone, reused_connection, cancelled, streams_body) = (p.zone, false, false, false);
+        Attempt {
+            endpoint,
+            zone,
+            lane,
+            call: CallNumber::MAX,
+            sent,
+            latency_from,
+            execution,
+            reused_connection,
+            cancelled,
+            streams_body,
+        }
     }
 }
 
-impl Msg {
-    pub fn is_out(&self) -> bool {
-        self.attempts.iter().any(|a| a.ran == Ran::Out)
+impl PendingMessage {
+    pub fn is_in_flight(&self) -> bool {
+        self.attempts.iter().any(|a| a.execution == Execution::InFlight)
     }
     /// The first attempt that ran, may have run or still may.
-    pub fn first_maybe(&self) -> Option<&Attempt> {
-        self.attempts.iter().find(|a| a.ran != Ran::Never)
+    pub fn first_possible_run(&self) -> Option<&Attempt> {
+        self.attempts.iter().find(|a| a.execution != Execution::NeverRan)
     }
 }
 
@@ -58,33 +69,33 @@
 pub struct Endpoint {
     pub dest: DestId, pub lane: usize, pub zone: u32, pub rate: f64, pub listed: bool, pub calls: u32,
     /// When each idle connection was last used.
-    pub idle: Vec<Micros>,
+    pub idle_since: Vec<Micros>,
     /// When it last answered and refused a connection, and until when its table is taken to be full.
-    pub answered: Micros, pub refused: Micros, pub crowded: Micros,
+    pub last_answer: Micros, pub last_refusal: Micros, pub full_until: Micros,
     /// Drawn anew with each call: decides between equals.
-    pub lot: f64,
+    pub tie_break: f64,
 }
 
 /// A call that is out: its messages without an outcome, and whether one of them was not waited for any longer.
 #[derive(Clone, Debug, Default, serde::Deserialize, serde::Serialize)]
-pub struct Out {
-    pub left: Vec<MsgId>,
-    pub late: bool,
+pub struct CallInFlight {
+    pub pending: Vec<MsgId>,
+    pub timed_out: bool,
 }
 
 #[derive(Clone, Debug, Default, serde::Deserialize, serde::Serialize)]
-pub struct Dest {
+pub struct Destination {
     pub kind: usize,
     pub lanes: Vec<usize>,
     /// Messages without an attempt out.
-    pub held: Held<Alike>,
+    pub waiting: AgeGroups<ValueGroup>,
 }
 
 /// What messages have in common whose worth goes by their age alone, and that may go to the same places.
 #[rustfmt::skip]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Deserialize, serde::Serialize)]
-pub struct Alike {
-    pub class: usize, pub worth: u64, pub aim: Micros, pub life: Micros, pub zone: Option<u32>, pub stream: bool, pub ordered: bool,
+pub struct ValueGroup {
+    pub class: usize, pub value_bits: u64, pub latency_target: Micros, pub lifetime: Micros, pub zone: Option<u32>, pub stream: bool, pub ordered: bool,
 }
 
 #[rustfmt::skip]
@@ -92,28 +103,28 @@
 pub struct Lane {
     pub dest: DestId, pub endpoints: Vec<EndpointId>,
     /// Calls out, oldest first, with the time each was sent.
-    pub live: VecDeque<(CallNo, Micros)>,
+    pub in_flight: VecDeque<(CallNumber, Micros)>,
     /// Streams on their way to their last byte; they are in `live` from there on.
-    pub flows: u32,
-    pub w: f64, pub latency: Latency,
+    pub open_streams: u32,
+    pub window: f64, pub latency: LatencyEstimate,
     /// Average latency of answered calls, and time-outs in a row: patience comes from these.
-    pub answered: f64, pub timeouts: u32,
+    pub answered_latency: f64, pub timeouts_in_row: u32,
     /// When the latest of the calls that succeeded was sent.
-    pub ok_sent: Micros,
+    pub last_success_sent: Micros,
     /// Someone was held back by the window since the last update.
-    pub pressed: bool,
-    pub shrunk: Micros, pub wait_until: Micros,
+    pub window_limited: bool,
+    pub last_shrink: Micros, pub wait_until: Micros,
     /// The last eight outcomes, a bit for each that was no success, and for each error; failures and refusals in a row.
-    pub recent: u8, pub errors: u8, pub fails: u32, pub fulls: u32,
+    pub recent_failures: u8, pub recent_errors: u8, pub failures_in_row: u32, pub refusals_in_row: u32,
     /// When the first call since the last success was sent that failed or was refused.
-    pub bad_from: Micros,
-    pub out: bool, pub trial: Option<CallNo>,
+    pub first_failure_sent: Micros,
+    pub in_outage: bool, pub trial_call: Option<CallNumber>,
     /// Until when the guard binds; when the latest failure was seen, and until when the lane is kept for it.
-    pub guard: Micros, pub bad_at: Micros, pub keep: Micros,
+    pub guard_until: Micros, pub last_failure_seen: Micros, pub keep_until: Micros,
     /// Times of calls within the last `fall` span, and of the last one.
-    pub sent: VecDeque<Micros>, pub last_sent: Micros,
+    pub recent_sends: VecDeque<Micros>, pub last_sent: Micros,
     /// When its calls so far would have gone out if they had kept to their gap.
-    pub paced: Micros,
+    pub paced_at: Micros,
 }
 
 impl Dispatcher {
@@ -121,9 +132,9 @@
     ///
     /// # Errors
     /// No instance can run under them.
-    pub(crate) fn resume(mut self, set: Settings) -> Result<Self, SettingsError> {
-        set.check()?;
-        self.set = Arc::new(set);
+    pub(crate) fn resume(mut self, settings: Settings) -> Result<Self, SettingsError> {
+        settings.check()?;
+        self.settings = Arc::new(settings);
         Ok(self)
     }
 }
--- a/tables/src/aged.rs
+++ b/tables/src/age_groups.rs
@@ -5,25 +5,25 @@
 use std::ops::Bound::{Excluded, Included};
 
 /// So few are all looked at: that costs less than looking for ends.
-pub const FEW: usize = 8;
+pub const SCAN_ALL_UP_TO: usize = 8;
 
 /// Birth, place among those held, number.
-type Item = (u64, u64, u64);
+type AgedItem = (u64, u64, u64);
 
 /// Things of one kind, by birth. What one is worth goes by its age alone, and rises or falls steadily between a few
 /// ages: then the best is the oldest or the youngest of those between two such ages, at any time, and no order has to be
 /// kept up as time passes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Aged {
-    all: BTreeSet<Item>,
+pub struct AgeSet {
+    all: BTreeSet<AgedItem>,
 }
 
-impl Aged {
-    pub fn insert(&mut self, item: Item) {
+impl AgeSet {
+    pub fn insert(&mut self, item: AgedItem) {
         self.all.insert(item);
     }
 
-    pub fn remove(&mut self, item: Item) {
+    pub fn remove(&mut self, item: AgedItem) {
         self.all.remove(&item);
     }
 
@@ -41,85 +41,87 @@
     ///
     /// # Panics
     /// The cuts do not ascend.
-    pub fn ends(&self, now: u64, cuts: impl FnOnce() -> Vec<u64>) -> Vec<u64> {
-        if self.all.len() <= FEW {
+    pub fn candidates(&self, now: u64, breakpoints: impl FnOnce() -> Vec<u64>) -> Vec<u64> {
+        if self.all.len() <= SCAN_ALL_UP_TO {
             return self.iter().collect();
         }
-        let cuts = cuts();
-        let mut ends = Vec::with_capacity(4 * (cuts.len() + 1));
+        let breakpoints = breakpoints();
+        let mut candidates = Vec::with_capacity(4 * (breakpoints.len() + 1));
         let mut younger = Included((u64::MAX, u64::MAX, u64::MAX));
-        let mut tell = |from, to| {
+        let mut add_range_ends = |from, to| {
             let mut range = self.all.range((from, to));
-            ends.extend(range.next().map(|(.., id)| *id));
-            ends.extend(range.next_back().map(|(.., id)| *id));
+            candidates.extend(range.next().map(|(.., id)| *id));
+            candidates.extend(range.next_back().map(|(.., id)| *id));
         };
-        for (n, cut) in cuts.iter().enumerate() {
-            let Some(born) = now.checked_sub(*cut) else { break };
-            if n > 0 && cuts[n - 1] == *cut {
+        for (n, breakpoint) in breakpoints.iter().enumerate() {
+            let Some(created) = now.checked_sub(*breakpoint) else { break };
+            if n > 0 && breakpoints[n - 1] == *breakpoint {
                 continue;
             }
             // Those that are younger than the cut; those just as old are a stretch of their own.
-            tell(Excluded((born, u64::MAX, u64::MAX)), younger);
-            tell(Included((born, 0, 0)), Included((born, u64::MAX, u64::MAX)));
-            younger = Excluded((born, 0, 0));
+            add_range_ends(Excluded((created, u64::MAX, u64::MAX)), younger);
+            add_range_ends(Included((created, 0, 0)), Included((created, u64::MAX, u64::MAX)));
+            younger = Excluded((created, 0, 0));
         }
-        tell(Included((0, 0, 0)), younger);
-        ends
+        add_range_ends(Included((0, 0, 0)), younger);
+        candidates
     }
 }
 
 /// These ages, and each less `ahead`, in ascending order: between two of them both what a thing is worth and what it will be
 /// worth by then are steady, where the first is steady between the ages.
-pub fn cuts(ages: &[u64], ahead: u64) -> Vec<u64> {
-    let mut cuts: Vec<u64> = ages.iter().flat_map(|age| [age.saturating_sub(ahead), *age]).collect();
-    cuts.sort_unstable();
-    cuts
+pub fn breakpoints(ages: &[u64], ahead: u64) -> Vec<u64> {
+    let mut breakpoints: Vec<u64> = ages.iter().flat_map(|age| [age.saturating_sub(ahead), *age]).collect();
+    breakpoints.sort_unstable();
+    breakpoints
 }
 
 /// Things that wait, in the order of their places, and those of each kind by age. Adding and taking away costs O(log n).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(bound(deserialize = "K: Ord + Deserialize<'de>"))]
-pub struct Held<K> {
-    places: BTreeMap<u64, u64>,
-    kinds: BTreeMap<K, Aged>,
+pub struct AgeGroups<K> {
+    by_position: BTreeMap<u64, u64>,
+    groups: BTreeMap<K, AgeSet>,
 }
 
-impl<K> Default for Held<K> {
+impl<K> Default for AgeGroups<K> {
     fn default() -> Self {
-        Held { places: BTreeMap::new(), kinds: BTreeMap::new() }
+        AgeGroups { by_position: BTreeMap::new(), groups: BTreeMap::new() }
     }
 }
 
-impl<K: Ord> Held<K> {
-    pub fn insert(&mut self, kind: K, item: Item) {
-        self.places.insert(item.1, item.2);
-        self.kinds.entry(kind).or_default().insert(item);
+impl<K: Ord> AgeGroups<K> {
+    pub fn insert(&mut self, key: K, item: AgedItem) {
+        self.by_position.insert(item.1, item.2);
+        self.groups.entry(key).or_default().insert(item);
     }
 
     /// Takes away what is there; a kind of which there is none left is forgotten.
-    pub fn remove(&mut self, kind: &K, item: Item) {
-        let Some(aged) = self.places.remove(&item.1).and_then(|_| self.kinds.get_mut(kind)) else { return };
-        aged.remove(item);
-        if aged.is_empty() {
-            self.kinds.remove(kind);
+    pub fn remove(&mut self, key: &K, item: AgedItem) {
+        let Some(age_set) = self.by_position.remove(&item.1).and_then(|_| self.groups.get_mut(key)) else {
+            return;
+        };
+        age_set.remove(item);
+        if age_set.is_empty() {
+            self.groups.remove(key);
         }
     }
 
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.by_position.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.by_position.is_empty()
     }
 
     /// Their numbers, in the order of their places.
     pub fn iter(&self) -> impl Iterator<Item = u64> {
-        self.places.values().copied()
+        self.by_position.values().copied()
     }
 
     /// The kinds that are there, with those of each.
-    pub fn alike(&self) -> impl Iterator<Item = (&K, &Aged)> {
-        self.kinds.iter()
+    pub fn groups(&self) -> impl Iterator<Item = (&K, &AgeSet)> {
+        self.groups.iter()
     }
 }
--- a/tables/src/line.rs
+++ b/tables/src/indexed_queue.rs
@@ -5,45 +5,45 @@
 
 /// Numbers in the order in which they came, each of them once. Coming, leaving and looking for one cost O(log n).
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct IndexedQueue {
     order: BTreeMap<i64, u64>,
-    places: BTreeMap<u64, i64>,
+    positions: BTreeMap<u64, i64>,
 }
 
-impl Line {
+impl IndexedQueue {
     /// It comes last, unless it is there already.
     pub fn push_back(&mut self, id: u64) {
-        let place = self.order.last_key_value().map_or(0, |(last, _)| last + 1);
-        self.stands(id, place);
+        let position = self.order.last_key_value().map_or(0, |(last, _)| last + 1);
+        self.insert_at(id, position);
     }
 
     /// It comes first, unless it is there already.
     pub fn push_front(&mut self, id: u64) {
-        let place = self.order.first_key_value().map_or(0, |(first, _)| first - 1);
-        self.stands(id, place);
+        let position = self.order.first_key_value().map_or(0, |(first, _)| first - 1);
+        self.insert_at(id, position);
     }
 
-    fn stands(&mut self, id: u64, place: i64) {
+    fn insert_at(&mut self, id: u64, position: i64) {
         if !self.contains(id) {
-            self.places.insert(id, place);
-            self.order.insert(place, id);
+            self.positions.insert(id, position);
+            self.order.insert(position, id);
         }
     }
 
     pub fn pop_front(&mut self) -> Option<u64> {
         let (_, id) = self.order.pop_first()?;
-        self.places.remove(&id);
+        self.positions.remove(&id);
         Some(id)
     }
 
     pub fn remove(&mut self, id: u64) {
-        if let Some(place) = self.places.remove(&id) {
-            self.order.remove(&place);
+        if let Some(position) = self.positions.remove(&id) {
+            self.order.remove(&position);
         }
     }
 
     pub fn contains(&self, id: u64) -> bool {
-        self.places.contains_key(&id)
+        self.positions.contains_key(&id)
     }
 
     pub fn len(&self) -> usize {
--- a/tables/tests/dues.rs
+++ b/tables/tests/timer_queue.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
-use spurshore_tables::{Dues, take_sent};
+use spurshore_tables::{TimerQueue, remove_timed};
 use std::collections::{BTreeMap, VecDeque};
 
 /// The same draws each time.
@@ -15,30 +15,30 @@
 
     #[test]
     fn the_first_is_the_least_of_what_was_noted_last(steps in prop::collection::vec((0u64..9, 0u64..50, any::<bool>()), 1..100)) {
-        let (mut dues, mut plain) = (Dues::default(), BTreeMap::new());
+        let (mut timers, mut plain) = (TimerQueue::default(), BTreeMap::new());
         for (id, at, set) in steps {
             if set {
-                dues.set(id, at);
+                timers.set(id, at);
                 plain.insert(id, at);
             } else {
-                dues.remove(id);
+                timers.remove(id);
                 plain.remove(&id);
             }
-            prop_assert_eq!(dues.first(), plain.values().min().copied());
+            prop_assert_eq!(timers.next_due(), plain.values().min().copied());
             let mut due: Vec<u64> = plain.iter().filter(|(_, at)| **at <= 25).map(|(id, _)| *id).collect();
-            let mut told: Vec<u64> = dues.by(25).collect();
+            let mut found: Vec<u64> = timers.due_by(25).collect();
             due.sort_unstable();
-            told.sort_unstable();
-            prop_assert_eq!(told, due);
+            found.sort_unstable();
+            prop_assert_eq!(found, due);
         }
     }
 }
 
 #[test]
-fn one_of_those_sent_at_one_time_is_taken() {
+fn one_of_those_sent_at_one_time_is_removed() {
     let mut list = VecDeque::from([(7, 1), (8, 5), (9, 5), (8, 6)]);
-    take_sent(&mut list, 9, 5);
+    remove_timed(&mut list, 9, 5);
     // No call of 7 was sent then.
-    take_sent(&mut list, 7, 5);
+    remove_timed(&mut list, 7, 5);
     assert_eq!(list, [(7, 1), (8, 5), (8, 6)]);
 }
--- a/tests/bundles.rs
+++ b/tests/bundles.rs
@@ -7,10 +7,10 @@
 /// A destination whose calls carry up to `batch` messages, with a listed rate that lets one sender call every 1/6 s.
 fn known(slots: u32, batch: u32) -> World {
     let mut set = settings(slots);
-    set.kinds = vec![Kind { separate_routes: false, batch }];
-    set.weight_is_rough = false;
+    set.kinds = vec![DestinationKind { separate_routes: false, batch }];
+    set.weight_is_approximate = false;
     let mut w = World::new(set, 7);
-    w.list(ListKind::Whole, &[entry(0, 0)]);
+    w.list(ListUpdate::Full, &[entry(0, 0)]);
     w
 }
 
@@ -26,8 +26,10 @@
     let mut calls: Vec<Vec<MsgId>> = Vec::new();
     for (_, action) in &w.log {
         match action {
-            Action::Send { msg, joins: true, .. } => calls.last_mut().expect("it joins one").push(*msg),
-            Action::Send { msg, .. } => calls.push(vec![*msg]),
+            DispatchAction::Send { msg, joins_previous: true, .. } => {
+                calls.last_mut().expect("it joins one").push(*msg)
+            }
+            DispatchAction::Send { msg, .. } => calls.push(vec![*msg]),
             _ => {}
         }
     }
@@ -35,16 +37,16 @@
 }
 
 /// Ends all of a call's messages in one step, as hosts do.
-fn finish(w: &mut World, msgs: &[MsgId], outcome: Outcome, wait: Micros) -> Vec<Action> {
+fn finish(w: &mut World, msgs: &[MsgId], outcome: Outcome, wait: Micros) -> Vec<DispatchAction> {
     let now = w.now;
-    let ends: Vec<Event> = msgs
+    let ends: Vec<DispatchEvent> = msgs
         .iter()
         .map(|msg| {
             let attempt = w.attempts[msg] - 1;
             let (_, sent, _) = w.out.remove(&(*msg, attempt)).expect("the attempt is out");
             let (finished, elapsed) = (outcome == Outcome::Ok, now - sent);
             let (msg, report) = (*msg, Vec::new());
-            Event::Completed(Completed { msg, attempt, outcome, elapsed, finished, wait, report })
+            DispatchEvent::Completed(Completion { msg, attempt, outcome, elapsed, finished, wait, report })
         })
         .collect();
     w.step(&ends)
@@ -115,13 +117,13 @@
         finish(&mut w, &call, outcome, 0);
         w.pass(5 * SEC);
         assert_eq!((w.sends(debit), w.answers(debit).len()), (1, 1), "{outcome:?}");
-        assert!(matches!(w.answers(debit)[..], [Action::Fail { .. }]), "{outcome:?}");
+        assert!(matches!(w.answers(debit)[..], [DispatchAction::Fail { .. }]), "{outcome:?}");
         assert!(w.sends(safe) > 1, "{outcome:?}");
     }
 }
 
 #[test]
-fn a_call_that_is_turned_away_holds_the_destination_for_its_wait_and_then_all_go_again() {
+fn a_rejected_call_blocks_the_destination_for_its_wait_and_then_all_are_retried() {
     let mut w = known(8, 20);
     w.one(0, 0);
     for n in 0..19 {
@@ -132,7 +134,7 @@
     let before = w.log.len();
     finish(&mut w, &call, Outcome::Full, 2 * SEC);
     w.pass(2 * SEC - 1_000);
-    let early = w.log[before..].iter().any(|(_, a)| matches!(a, Action::Send { .. }));
+    let early = w.log[before..].iter().any(|(_, a)| matches!(a, DispatchAction::Send { .. }));
     assert!(!early, "nothing leaves in a told wait");
     w.pass(SEC);
     assert!(call.iter().all(|m| w.sends(*m) == 2), "nothing had run: {call:?}");
@@ -156,7 +158,7 @@
     let mut w = known(8, 20);
     w.one(0, 0);
     for _ in 0..12 {
-        w.with(0, 0, |m| m.size = CALL_MOST / 3);
+        w.with(0, 0, |m| m.size = MAX_CALL_BYTES / 3);
     }
     w.pass(900_000);
     let seen = calls(&w);
@@ -165,7 +167,7 @@
 
 /// Guards against a destination that opens at a time that it told: all senders come at that moment, with all that they hold.
 #[test]
-fn a_wait_longer_than_any_limit_tells_of_an_outage_and_binds_the_guard() {
+fn a_wait_longer_than_any_limit_is_an_outage_and_binds_the_guard() {
     let mut w = known(8, 20);
     let first = w.one(0, 0);
     w.finish_after(first, 300_000, Outcome::Ok);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,13 +8,13 @@
 
 /// Classes 0 safe, 1 keyed for 5 s, 2 unsafe, 3 unsafe in order; kind 0 shares one limit.
 pub fn settings(slots: u32) -> Settings {
-    let class = |effect, keep_order| Class {
+    let class = |effect, keep_order| MessageClass {
         effect,
-        aim: SEC,
-        aim_stretch: 0.0,
+        latency_target: SEC,
+        latency_target_stretch: 0.0,
         deadline: 20 * SEC,
-        worth: 1.0,
-        late_worth: 0.1,
+        value: 1.0,
+        late_value: 0.1,
         keep_order,
     };
     Settings {
@@ -23,19 +23,27 @@
         cancel: true,
         weight_is_rate: true,
         classes: vec![
-            class(Effect::Safe, false),
-            class(Effect::Keyed { span: 5 * SEC, by_zone: false }, false),
-            class(Effect::Unsafe, false),
-            class(Effect::Unsafe, true),
+            class(Effect::Idempotent, false),
+            class(Effect::Deduplicated { span: 5 * SEC, by_zone: false }, false),
+            class(Effect::NonIdempotent, false),
+            class(Effect::NonIdempotent, true),
         ],
-        kinds: vec![Kind { separate_routes: false, batch: 1 }],
-        key_quiet: 300_000,
+        kinds: vec![DestinationKind { separate_routes: false, batch: 1 }],
+        key_cooldown: 300_000,
         ..Settings::default()
     }
 }
 
-pub fn entry(endpoint: EndpointId, dest: DestId) -> Entry {
-    Entry { endpoint, dest, kind: 0, zone: 0, weight: 6.0, state: ListState::Ready, cold: false }
+pub fn entry(endpoint: EndpointId, dest: DestId) -> EndpointEntry {
+    EndpointEntry {
+        endpoint,
+        dest,
+        kind: 0,
+        zone: 0,
+        weight: 6.0,
+        state: EndpointState::Ready,
+        returning: false,
+    }
 }
 
 pub struct World {
@@ -46,7 +54,7 @@
     /// Attempts out: (message, attempt) with the endpoint, the time sent and the time-out.
     pub out: BTreeMap<(MsgId, u32), (EndpointId, Micros, Micros)>,
     pub attempts: BTreeMap<MsgId, u32>,
-    pub log: Vec<(Micros, Action)>,
+    pub log: Vec<(Micros, DispatchAction)>,
 }
 
 impl World {
@@ -62,17 +70,17 @@
         }
     }
 
-    pub fn step(&mut self, events: &[Event]) -> Vec<Action> {
+    pub fn step(&mut self, events: &[DispatchEvent]) -> Vec<DispatchAction> {
         let acts = self.d.step(self.now, events);
         for a in &acts {
             self.log.push((self.now, a.clone()));
             match a {
-                Action::Send { msg, endpoint, timeout, .. } => {
+                DispatchAction::Send { msg, endpoint, timeout, .. } => {
                     let n = self.attempts.entry(*msg).or_default();
                     self.out.insert((*msg, *n), (*endpoint, self.now, *timeout));
                     *n += 1;
                 }
-                Action::Timer { after, .. } => {
+                DispatchAction::Timer { after, .. } => {
                     let at = self.now + after;
                     self.next_timer = Some(self.next_timer.map_or(at, |t| t.min(at)));
                 }
@@ -82,8 +90,8 @@
         acts
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: &[Entry]) {
-        self.step(&[Event::List { kind, entries: entries.to_vec() }]);
+    pub fn list(&mut self, kind: ListUpdate, entries: &[EndpointEntry]) {
+        self.step(&[DispatchEvent::List { kind, entries: entries.to_vec() }]);
     }
 
     /// Hands in one message of a class for a destination; returns its number.
@@ -100,9 +108,9 @@
         let (id, deadline, stream) = (self.next, self.now + 20 * SEC, false);
         self.next += 1;
         let mut m =
-            Message { id, class, tenant: None, key: None, deadline, hint: None, dest, stream, size: 0 };
+            Message { id, class, tenant: None, key: None, deadline, work_hint: None, dest, stream, size: 0 };
         change(&mut m);
-        self.step(&[Event::Submit(m)]);
+        self.step(&[DispatchEvent::Submit(m)]);
         id
     }
 
@@ -112,32 +120,38 @@
         while let Some(t) = self.next_timer.filter(|t| *t <= end) {
             self.now = self.now.max(t);
             self.next_timer = None;
-            self.step(&[Event::Timer { tag: 0 }]);
+            self.step(&[DispatchEvent::Timer { tag: 0 }]);
         }
         self.now = end;
     }
 
     /// Ends the message's latest attempt after `span` more.
-    pub fn finish_after(&mut self, msg: MsgId, span: Micros, outcome: Outcome) -> Vec<Action> {
+    pub fn finish_after(&mut self, msg: MsgId, span: Micros, outcome: Outcome) -> Vec<DispatchAction> {
         self.pass(span);
         self.finish(msg, outcome, 0)
     }
 
-    pub fn finish(&mut self, msg: MsgId, outcome: Outcome, wait: Micros) -> Vec<Action> {
+    pub fn finish(&mut self, msg: MsgId, outcome: Outcome, wait: Micros) -> Vec<DispatchAction> {
         self.finish_with(msg, outcome, wait, &[])
     }
 
     /// The same with a report of load in the answer.
-    pub fn finish_reporting(&mut self, msg: MsgId, outcome: Outcome, report: &[f64]) -> Vec<Action> {
+    pub fn finish_reporting(&mut self, msg: MsgId, outcome: Outcome, report: &[f64]) -> Vec<DispatchAction> {
         self.finish_with(msg, outcome, 0, report)
     }
 
-    fn finish_with(&mut self, msg: MsgId, outcome: Outcome, wait: Micros, report: &[f64]) -> Vec<Action> {
+    fn finish_with(
+        &mut self,
+        msg: MsgId,
+        outcome: Outcome,
+        wait: Micros,
+        report: &[f64],
+    ) -> Vec<DispatchAction> {
         let attempt = self.attempts[&msg] - 1;
         let (_, sent, _) = self.out.remove(&(msg, attempt)).expect("the attempt is out");
         let finished = outcome == Outcome::Ok;
         let elapsed = self.now - sent;
-        self.step(&[Event::Completed(Completed {
+        self.step(&[DispatchEvent::Completed(Completion {
             msg,
             attempt,
             outcome,
@@ -149,12 +163,12 @@
     }
 
     pub fn sends(&self, msg: MsgId) -> usize {
-        self.log.iter().filter(|(_, a)| matches!(a, Action::Send { msg: m, .. } if *m == msg)).count()
+        self.log.iter().filter(|(_, a)| matches!(a, DispatchAction::Send { msg: m, .. } if *m == msg)).count()
     }
 
-    pub fn answers(&self, msg: MsgId) -> Vec<Action> {
-        let of = |a: &Action| match a {
-            Action::Refuse { msg: m, .. } | Action::Fail { msg: m } => *m == msg,
+    pub fn answers(&self, msg: MsgId) -> Vec<DispatchAction> {
+        let of = |a: &DispatchAction| match a {
+            DispatchAction::Reject { msg: m, .. } | DispatchAction::Fail { msg: m } => *m == msg,
             _ => false,
         };
         self.log.iter().filter(|(_, a)| of(a)).map(|(_, a)| a.clone()).collect()
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -8,8 +8,8 @@
 /// Destinations 0 to n - 1 of one endpoint each, all having answered in 100 ms.
 fn known(slots: u32, n: u32) -> World {
     let mut w = World::new(settings(slots), 3);
-    let entries: Vec<Entry> = (0..n).map(|e| entry(e, u64::from(e))).collect();
-    w.list(ListKind::Whole, &entries);
+    let entries: Vec<EndpointEntry> = (0..n).map(|e| entry(e, u64::from(e))).collect();
+    w.list(ListUpdate::Full, &entries);
     for d in 0..n {
         let m = w.one(0, u64::from(d));
         w.finish_after(m, 100_000, Outcome::Ok);
@@ -27,11 +27,11 @@
     let cancels: Vec<MsgId> = w
         .log
         .iter()
-        .filter_map(|(_, a)| if let Action::Cancel { msg, .. } = a { Some(*msg) } else { None })
+        .filter_map(|(_, a)| if let DispatchAction::Cancel { msg, .. } = a { Some(*msg) } else { None })
         .collect();
     assert!(!cancels.is_empty() && cancels.iter().all(|m| stuck.contains(m)));
     w.finish(cancels[0], Outcome::Cancelled, 0);
-    assert_eq!(w.answers(cancels[0]), [Action::Fail { msg: cancels[0] }]);
+    assert_eq!(w.answers(cancels[0]), [DispatchAction::Fail { msg: cancels[0] }]);
     assert_eq!(w.sends(other), 1);
 }
 
@@ -40,7 +40,7 @@
     let mut w = known(2, 3);
     let stuck = [w.one(0, 0), w.one(0, 1)];
     let other = w.one(0, 2);
-    let cancel = Action::Cancel { msg: stuck[0], attempt: 0 };
+    let cancel = DispatchAction::Cancel { msg: stuck[0], attempt: 0 };
     w.pass(750_000);
     assert!(w.log.iter().all(|(_, a)| *a != cancel), "100 ms are usual");
     w.pass(100_000);
@@ -68,12 +68,12 @@
         }
         let lane = w.d.lane(0).unwrap();
         assert!(!lane.in_outage);
-        assert!((lane.cal.unwrap() - 100_000.0).abs() < 1.0, "{lane:?}");
+        assert!((lane.smoothed_latency.unwrap() - 100_000.0).abs() < 1.0, "{lane:?}");
     }
 }
 
 #[test]
-fn a_wait_told_by_a_call_sent_before_a_success_still_binds() {
+fn a_wait_reported_by_a_call_sent_before_a_success_still_binds() {
     let mut w = known(8, 1);
     let early = w.one(2, 0);
     w.pass(10_000);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn what_is_held_is_ended_early_enough_to_tell_it_twice() {
+fn waiting_messages_expire_early_enough_to_be_reported_twice() {
     let mut w = World::new(settings(8), 1);
     let m = w.one(0, 5);
     let deadline = w.now + 20 * SEC;
@@ -103,16 +103,16 @@
     let mut set = settings(4);
     set.cancel = false;
     let mut w = World::new(set, 3);
-    w.list(ListKind::Whole, &[entry(0, 0)]);
+    w.list(ListUpdate::Full, &[entry(0, 0)]);
     let m = w.one(2, 0);
     let (_, _, timeout) = w.out[&(m, 0)];
     assert!(timeout < 10 * SEC);
     w.pass(9 * SEC);
-    assert!(!w.log.iter().any(|(_, a)| matches!(a, Action::Cancel { .. })));
+    assert!(!w.log.iter().any(|(_, a)| matches!(a, DispatchAction::Cancel { .. })));
 }
 
 #[test]
-fn timeouts_do_not_feed_the_next_patience_beyond_two_doublings() {
+fn timeouts_double_the_next_timeout_at_most_twice() {
     let mut w = known(8, 1);
     for _ in 0..6 {
         let m = w.one(0, 0);
@@ -127,7 +127,7 @@
         assert!(timeout <= 4 * 10 * SEC / 3, "a time-out of {timeout} us");
         w.pass(timeout);
         w.finish(m, Outcome::Timeout, 0);
-        w.step(&[Event::Hangup { msg: m }]);
+        w.step(&[DispatchEvent::Hangup { msg: m }]);
         w.out.clear();
         w.pass(3 * SEC);
     }
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn an_overdue_call_holds_the_lane_back() {
+fn an_overdue_call_reduces_the_window_of_its_lane() {
     let mut w = known(8, 1);
     w.one(0, 0);
     w.pass(2_200_000);
@@ -210,11 +210,11 @@
 #[test]
 fn a_message_bound_to_a_zone_without_endpoints_blocks_no_other() {
     let mut set = settings(8);
-    set.classes[1].effect = Effect::Keyed { span: 5 * SEC, by_zone: true };
+    set.classes[1].effect = Effect::Deduplicated { span: 5 * SEC, by_zone: true };
     let mut w = World::new(set, 1);
-    w.list(ListKind::Whole, &[entry(0, 5)]);
+    w.list(ListUpdate::Full, &[entry(0, 5)]);
     let bound = w.one(1, 5);
-    w.list(ListKind::Whole, &[Entry { zone: 1, ..entry(1, 5) }]);
+    w.list(ListUpdate::Full, &[EndpointEntry { zone: 1, ..entry(1, 5) }]);
     w.finish_after(bound, 500_000, Outcome::Timeout);
     let free = w.one(0, 5);
     w.pass(2 * SEC);
@@ -222,17 +222,17 @@
 }
 
 #[test]
-fn before_the_holding_limit_the_least_valuable_is_refused_with_a_time_to_come_back() {
+fn before_the_open_message_limit_the_least_valuable_is_rejected_with_a_retry_time() {
     let mut set = settings(8);
-    set.open_cap = 10;
-    set.classes[0].worth = 5.0;
+    set.max_open_messages = 10;
+    set.classes[0].value = 5.0;
     let mut w = World::new(set, 1);
     let cheap = w.one(1, 5);
     for _ in 0..9 {
         w.one(0, 5);
     }
-    assert!(matches!(w.answers(cheap)[..], [Action::Refuse { after, .. }] if after > 0));
-    assert_eq!(w.log.iter().filter(|(_, a)| matches!(a, Action::Refuse { .. })).count(), 1);
+    assert!(matches!(w.answers(cheap)[..], [DispatchAction::Reject { after, .. }] if after > 0));
+    assert_eq!(w.log.iter().filter(|(_, a)| matches!(a, DispatchAction::Reject { .. })).count(), 1);
 }
 
 #[test]
@@ -242,5 +242,5 @@
     let n = w.one(0, 0);
     w.finish_after(m, 1_000, Outcome::Ok);
     let acts = w.finish_after(n, 1_000, Outcome::ConnectFailed);
-    assert!(acts.contains(&Action::CloseIdle { endpoint: 0 }));
+    assert!(acts.contains(&DispatchAction::CloseIdle { endpoint: 0 }));
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 use spurshore::*;
-use spurshore_tables::draw;
+use spurshore_tables::random_unit;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -49,12 +49,12 @@
     rate: impl Fn(u64) -> f64,
 ) -> Sums {
     let mut set = settings(4);
-    (set.siblings, set.fall, set.fall_multiple) = (senders, 3 * SEC, 2.0);
-    (set.cold_from, set.cold) = (0.25, 8 * SEC);
+    (set.sender_count, set.overload_span, set.overload_multiple) = (senders, 3 * SEC, 2.0);
+    (set.slow_start_share, set.slow_start) = (0.25, 8 * SEC);
     let mut worlds: Vec<World> = (0..senders)
         .map(|me| {
-            let mut w = World::new(Settings { me, ..set.clone() }, u64::from(me) + 1);
-            w.list(ListKind::Whole, &[Entry { weight: listed, ..entry(0, 0) }]);
+            let mut w = World::new(Settings { sender_index: me, ..set.clone() }, u64::from(me) + 1);
+            w.list(ListUpdate::Full, &[EndpointEntry { weight: listed, ..entry(0, 0) }]);
             w
         })
         .collect();
@@ -63,8 +63,8 @@
     let mut due: BinaryHeap<Reverse<Due>> = BinaryHeap::new();
     let mut at = begin;
     while at < begin + seconds * SEC {
-        at += (-(1.0 - draw(&mut seed)).ln() / load((at - begin) / SEC).max(1e-3) * 1e6) as Micros;
-        due.push(Reverse((at, (draw(&mut seed) * f64::from(senders)) as usize, None)));
+        at += (-(1.0 - random_unit(&mut seed)).ln() / load((at - begin) / SEC).max(1e-3) * 1e6) as Micros;
+        due.push(Reverse((at, (random_unit(&mut seed) * f64::from(senders)) as usize, None)));
     }
     let mut came = std::collections::BTreeMap::new();
     while let Some(Reverse((now, n, what))) = due.pop() {
@@ -90,7 +90,7 @@
         // All that was sent in this step arrives at the limit in the order of time.
         let sent: Vec<MsgId> = w.log[before..]
             .iter()
-            .filter_map(|(_, a)| if let Action::Send { msg, .. } = a { Some(*msg) } else { None })
+            .filter_map(|(_, a)| if let DispatchAction::Send { msg, .. } = a { Some(*msg) } else { None })
             .collect();
         for msg in sent {
             limit.rate = rate((now - begin) / SEC);
--- a/tests/fleet_cold.rs
+++ b/tests/fleet_cold.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 use spurshore::*;
-use spurshore_tables::draw;
+use spurshore_tables::random_unit;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
@@ -96,8 +96,8 @@
         let past = vec![PastAttempt { zone: 0, sent: at, may_have_run: false }; calls as usize];
         let (deadline, class, stream, size) = (at + LIFE, 0, false, 0);
         let message =
-            Message { id, class, tenant: None, key: None, deadline, hint: None, dest, stream, size };
-        w.step(&[Event::Restore { message, past }]);
+            Message { id, class, tenant: None, key: None, deadline, work_hint: None, dest, stream, size };
+        w.step(&[DispatchEvent::Restore { message, past }]);
     }
     w
 }
@@ -111,11 +111,11 @@
 impl Day<'_> {
     fn settings(&self) -> Settings {
         let mut set = settings(5);
-        (set.siblings, set.fall, set.fall_multiple) = (self.senders, FALL, 2.0);
-        (set.cold_from, set.cold, set.open_cap) = (COLD_FROM, COLD, self.open_cap);
+        (set.sender_count, set.overload_span, set.overload_multiple) = (self.senders, FALL, 2.0);
+        (set.slow_start_share, set.slow_start, set.max_open_messages) = (COLD_FROM, COLD, self.open_cap);
         (set.max_attempts, set.decay) = (8, Decay::Halving);
         for class in &mut set.classes {
-            (class.aim, class.deadline, class.late_worth) = (3 * SEC, LIFE, 0.4);
+            (class.latency_target, class.deadline, class.late_value) = (3 * SEC, LIFE, 0.4);
         }
         set
     }
@@ -126,12 +126,14 @@
 
     fn play(&self) -> Sums {
         let rates: Vec<f64> = self.listed.iter().map(|r| r / self.rough).collect();
-        let list: Vec<Entry> =
-            (0u32..).zip(self.listed).map(|(e, r)| Entry { weight: *r, ..entry(e, e.into()) }).collect();
+        let list: Vec<EndpointEntry> = (0u32..)
+            .zip(self.listed)
+            .map(|(e, r)| EndpointEntry { weight: *r, ..entry(e, e.into()) })
+            .collect();
         let mut worlds: Vec<World> = (0..self.senders)
             .map(|me| {
-                let mut w = World::new(Settings { me, ..self.settings() }, u64::from(me) + 1);
-                w.list(ListKind::Whole, &list);
+                let mut w = World::new(Settings { sender_index: me, ..self.settings() }, u64::from(me) + 1);
+                w.list(ListUpdate::Full, &list);
                 w
             })
             .collect();
@@ -142,8 +144,8 @@
         for (dest, rate) in (0..).zip(self.listed) {
             let mut at = begin;
             while at < end {
-                at += (-(1.0 - draw(&mut seed)).ln() / (rate * self.load) * 1e6) as Micros;
-                let part = draw(&mut seed).powi(if self.faults.uneven { 2 } else { 1 });
+                at += (-(1.0 - random_unit(&mut seed)).ln() / (rate * self.load) * 1e6) as Micros;
+                let part = random_unit(&mut seed).powi(if self.faults.uneven { 2 } else { 1 });
                 due.push(Reverse((at, (part * f64::from(self.senders)) as usize, None, dest)));
             }
         }
@@ -151,13 +153,14 @@
         let restarts = self.faults.restarts as usize;
         for n in 0..restarts {
             // Any of them, the busy ones too.
-            let (n, at) = (n * worlds.len() / restarts, to - 2 * SEC + (draw(&mut seed) * 2e6) as Micros);
+            let (n, at) =
+                (n * worlds.len() / restarts, to - 2 * SEC + (random_unit(&mut seed) * 2e6) as Micros);
             mark(at, n, RESTART);
-            mark(at + (draw(&mut seed) * 1e6) as Micros, n, LIST);
+            mark(at + (random_unit(&mut seed) * 1e6) as Micros, n, LIST);
         }
         for n in 0..worlds.len() * usize::from(self.faults.listed_cold) {
             mark(from, n, DRAIN);
-            mark(to + if n % 5 == 4 { (draw(&mut seed) * 2e6) as Micros } else { 0 }, n, LIST);
+            mark(to + if n % 5 == 4 { (random_unit(&mut seed) * 2e6) as Micros } else { 0 }, n, LIST);
         }
         let (mut calls_made, mut fresh_life) = (0, vec![false; worlds.len()]);
         // Tokens and when they were counted; calls taken; calls of the cold time, and whether of a knowing sender.
@@ -183,22 +186,22 @@
                         .map(|((_, id), (at, dest))| (*id, *at, *dest))
                         .collect();
                     let me = u32::try_from(n).unwrap();
-                    *w = next_life(w, Settings { me, ..self.settings() }, &open);
+                    *w = next_life(w, Settings { sender_index: me, ..self.settings() }, &open);
                     (knows[n], fresh_life[n]) = (false, true);
                     before = 0;
                 }
                 Some((DRAIN, _)) => {
-                    let entry = Entry { state: ListState::Draining, ..list[0].clone() };
-                    w.list(ListKind::Delta, &[entry]);
+                    let entry = EndpointEntry { state: EndpointState::Draining, ..list[0].clone() };
+                    w.list(ListUpdate::Delta, &[entry]);
                 }
                 Some((LIST, _)) => {
                     let gone = self.faults.listed_cold && now < to;
-                    let state = if gone { ListState::Draining } else { ListState::Ready };
+                    let state = if gone { EndpointState::Draining } else { EndpointState::Ready };
                     let cold = self.faults.listed_cold && !gone;
                     knows[n] |= cold;
-                    let first = Entry { state, cold, ..list[0].clone() };
+                    let first = EndpointEntry { state, returning: cold, ..list[0].clone() };
                     let rest = list[1..].iter().cloned();
-                    w.list(ListKind::Whole, &std::iter::once(first).chain(rest).collect::<Vec<_>>());
+                    w.list(ListUpdate::Full, &std::iter::once(first).chain(rest).collect::<Vec<_>>());
                 }
                 // Its call was of an earlier life, or is over.
                 Some((msg, _)) if msg != WAKE && !is_out(w, msg, now) => {}
@@ -222,10 +225,10 @@
                 }
                 _ => {}
             }
-            let acts: Vec<Action> = w.log[before..].iter().map(|(_, a)| a.clone()).collect();
+            let acts: Vec<DispatchAction> = w.log[before..].iter().map(|(_, a)| a.clone()).collect();
             for act in acts {
                 match act {
-                    Action::Send { msg, timeout, .. } => {
+                    DispatchAction::Send { msg, timeout, .. } => {
                         calls_made += 1;
                         let lags = self.faults.laggards > 0 && calls_made % self.faults.laggards == 0;
                         let dest = came[&(n, msg)].1;
@@ -254,7 +257,7 @@
                         };
                         due.push(Reverse((over, n, Some((msg, how)), dest)));
                     }
-                    Action::Refuse { msg, after } => {
+                    DispatchAction::Reject { msg, after } => {
                         let (at, dest) = came[&(n, msg)];
                         done.insert((n, msg));
                         let why = match after {
@@ -300,7 +303,7 @@
 
 /// Destination 0 shuts for eight seconds while the fleet asks for its listed rate, which is half too high.
 #[test]
-fn a_cold_return_gets_from_knowing_senders_two_thirds_of_what_brings_it_down_at_most() {
+fn senders_that_saw_a_failure_send_a_cold_destination_at_most_two_thirds_of_its_overload() {
     for (senders, listed) in
         [(3, 6.0), (100, 24.0), (100, 80.0), (300, 24.0), (300, 50.0), (300, 120.0), (300, 200.0)]
     {
@@ -397,7 +400,7 @@
 
 /// No outage, only limits that bind.
 #[test]
-fn few_messages_are_given_back_untried_where_only_limits_bind() {
+fn few_messages_are_rejected_untried_where_only_limits_bind() {
     for (senders, listed) in [(3, [6.0, 12.0, 24.0]), (100, [24.0, 50.0, 100.0]), (300, [24.0, 80.0, 240.0])]
     {
         for tells in [false, true] {
--- a/tests/full_tables.rs
+++ b/tests/full_tables.rs
@@ -5,16 +5,16 @@
 use spurshore::*;
 
 /// Many senders: each meets a destination too seldom to see an answer between two refusals.
-fn crowd() -> World {
+fn sparsely_served_world() -> World {
     let mut set = settings(8);
-    (set.siblings, set.me) = (300, 7);
+    (set.sender_count, set.sender_index) = (300, 7);
     World::new(set, 7)
 }
 
 /// A sender with a connection at rest at destination 7, after connects were refused there: the connections it closes.
 fn closed_after(refused: &[DestId], apart: Micros) -> Vec<EndpointId> {
-    let mut w = crowd();
-    w.list(ListKind::Whole, &[entry(0, 5), entry(1, 6), entry(2, 7)]);
+    let mut w = sparsely_served_world();
+    w.list(ListUpdate::Full, &[entry(0, 5), entry(1, 6), entry(2, 7)]);
     let rests = w.one(0, 7);
     w.finish_after(rests, SEC / 10, Outcome::Ok);
     for dest in refused {
@@ -23,14 +23,14 @@
         w.pass(apart);
     }
     let closes = w.log.iter().filter_map(|(_, act)| match act {
-        Action::CloseIdle { endpoint } => Some(*endpoint),
+        DispatchAction::CloseIdle { endpoint } => Some(*endpoint),
         _ => None,
     });
     closes.collect()
 }
 
 #[test]
-fn connects_refused_at_two_destinations_close_what_rests_anywhere() {
+fn connects_refused_at_two_destinations_close_all_idle_connections() {
     assert_eq!(closed_after(&[5, 6], SEC), [2]);
 }
 
@@ -42,28 +42,28 @@
 
 /// Where few share a destination, an outage of two is the likelier.
 #[test]
-fn outside_crowds_two_destinations_that_refuse_close_nothing_elsewhere() {
+fn with_few_senders_two_refusing_destinations_close_nothing_elsewhere() {
     let mut w = World::new(settings(8), 7);
-    w.list(ListKind::Whole, &[entry(0, 5), entry(1, 6), entry(2, 7)]);
+    w.list(ListUpdate::Full, &[entry(0, 5), entry(1, 6), entry(2, 7)]);
     let rests = w.one(0, 7);
     w.finish_after(rests, SEC / 10, Outcome::Ok);
     for dest in [5, 6] {
         let msg = w.one(0, dest);
         w.finish_after(msg, SEC / 100, Outcome::ConnectFailed);
     }
-    assert!(!w.log.iter().any(|(_, act)| *act == Action::CloseIdle { endpoint: 2 }));
+    assert!(!w.log.iter().any(|(_, act)| *act == DispatchAction::CloseIdle { endpoint: 2 }));
 }
 
 /// While they are full each connection is closed after its call, also where none was refused.
 #[test]
-fn what_is_opened_while_tables_are_full_is_closed_after_its_call() {
-    let mut w = crowd();
-    w.list(ListKind::Whole, &[entry(0, 5), entry(1, 6), entry(2, 7)]);
+fn connections_opened_while_tables_are_full_are_closed_after_their_call() {
+    let mut w = sparsely_served_world();
+    w.list(ListUpdate::Full, &[entry(0, 5), entry(1, 6), entry(2, 7)]);
     for dest in [5, 6] {
         let msg = w.one(0, dest);
         w.finish_after(msg, SEC / 100, Outcome::ConnectFailed);
     }
     let msg = w.one(0, 7);
     let acts = w.finish_after(msg, SEC / 10, Outcome::Ok);
-    assert!(acts.contains(&Action::CloseIdle { endpoint: 2 }), "{acts:?}");
+    assert!(acts.contains(&DispatchAction::CloseIdle { endpoint: 2 }), "{acts:?}");
 }
--- a/tests/guard.rs
+++ b/tests/guard.rs
@@ -11,14 +11,17 @@
 
 fn set(senders: u32, me: u32) -> Settings {
     let mut set = settings(8);
-    (set.siblings, set.me, set.fall, set.fall_multiple) = (senders, me, FALL, 2.0);
-    (set.cold_from, set.cold, set.weight_is_rough) = (0.2, COLD, true);
+    (set.sender_count, set.sender_index, set.overload_span, set.overload_multiple) = (senders, me, FALL, 2.0);
+    (set.slow_start_share, set.slow_start, set.weight_is_approximate) = (0.2, COLD, true);
     set
 }
 
 fn world(senders: u32, me: u32, weight: f64) -> World {
     let mut w = World::new(set(senders, me), u64::from(me));
-    w.list(ListKind::Whole, &[Entry { weight, ..entry(0, 5) }, Entry { weight, ..entry(1, 5) }]);
+    w.list(
+        ListUpdate::Full,
+        &[EndpointEntry { weight, ..entry(0, 5) }, EndpointEntry { weight, ..entry(1, 5) }],
+    );
     w
 }
 
@@ -30,7 +33,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Kind {
+enum FaultKind {
     Refused,
     Silent,
     NoConnect,
@@ -53,10 +56,10 @@
 
 /// All senders have a message every two seconds and call in the outage's first second. Returns the
 /// times of the calls that knowing senders made, until the destination is warm again.
-fn crowd_of(
+fn calls_of_senders(
     senders: u32,
     weight: f64,
-    kind: Kind,
+    kind: FaultKind,
     outages: &[(Micros, Micros)],
     clocks: bool,
 ) -> Vec<Micros> {
@@ -67,7 +70,7 @@
     }
     let start: Vec<Micros> = worlds.iter().map(|w| w.now).collect();
     let mut seen = vec![Seen::default(); worlds.len()];
-    let (mut knowing, mut calls) = (Vec::new(), 0u64);
+    let (mut calls_of_informed_senders, mut calls) = (Vec::new(), 0u64);
     let end = outages.last().unwrap().1 + COLD;
     let mut due: Vec<Vec<(Micros, MsgId, Outcome)>> = vec![Vec::new(); worlds.len()];
     for now in (0..end).step_by(20_000) {
@@ -95,36 +98,36 @@
             let sends: Vec<(MsgId, Micros)> = w.log[before..]
                 .iter()
                 .filter_map(|(_, a)| match a {
-                    Action::Send { msg, timeout, .. } => Some((*msg, *timeout)),
+                    DispatchAction::Send { msg, timeout, .. } => Some((*msg, *timeout)),
                     _ => None,
                 })
                 .collect();
             for (msg, timeout) in sends {
                 calls += 1;
                 if binds {
-                    knowing.push(now);
+                    calls_of_informed_senders.push(now);
                 }
                 due[n].push(match kind {
                     _ if !down => (now + 100_000, msg, Outcome::Ok),
-                    Kind::Refused => (now + 20_000, msg, Outcome::Full),
-                    Kind::Silent => (now + timeout, msg, Outcome::Timeout),
-                    Kind::NoConnect => (now + SEC, msg, Outcome::ConnectFailed),
-                    Kind::Errors if calls % 12 == 0 => (now + 40_000, msg, Outcome::Ok),
-                    Kind::Errors => (now + 40_000, msg, Outcome::Error),
+                    FaultKind::Refused => (now + 20_000, msg, Outcome::Full),
+                    FaultKind::Silent => (now + timeout, msg, Outcome::Timeout),
+                    FaultKind::NoConnect => (now + SEC, msg, Outcome::ConnectFailed),
+                    FaultKind::Errors if calls % 12 == 0 => (now + 40_000, msg, Outcome::Ok),
+                    FaultKind::Errors => (now + 40_000, msg, Outcome::Error),
                 });
             }
         }
     }
     assert!(seen.iter().filter(|s| s.failed.is_some()).count() * 10 >= worlds.len() * 9);
-    knowing
+    calls_of_informed_senders
 }
 
 fn worst(calls: &[Micros]) -> usize {
     calls.iter().map(|t| calls.iter().filter(|u| (*t..t + FALL).contains(u)).count()).max().unwrap_or(0)
 }
 
-fn holds(senders: u32, weight: f64, kind: Kind, outage: Micros) {
-    let calls = crowd_of(senders, weight, kind, &[(0, outage)], true);
+fn assert_bound_holds(senders: u32, weight: f64, kind: FaultKind, outage: Micros) {
+    let calls = calls_of_senders(senders, weight, kind, &[(0, outage)], true);
     let (worst, most) = (worst(&calls), bound(weight));
     assert!(
         worst <= most,
@@ -135,39 +138,41 @@
 
 #[test]
 fn forty_senders_keep_to_the_bound() {
-    for kind in [Kind::Refused, Kind::Silent, Kind::NoConnect, Kind::Errors] {
+    for kind in [FaultKind::Refused, FaultKind::Silent, FaultKind::NoConnect, FaultKind::Errors] {
         for outage in [6, 14, 27] {
-            holds(40, 6.0, kind, outage * SEC);
+            assert_bound_holds(40, 6.0, kind, outage * SEC);
         }
     }
 }
 
 #[test]
 fn two_hundred_and_seventy_senders_keep_to_the_bound() {
-    for kind in [Kind::Refused, Kind::Silent, Kind::NoConnect, Kind::Errors] {
-        holds(270, 6.0, kind, 9 * SEC);
-        holds(270, 45.0, kind, 16 * SEC);
+    for kind in [FaultKind::Refused, FaultKind::Silent, FaultKind::NoConnect, FaultKind::Errors] {
+        assert_bound_holds(270, 6.0, kind, 9 * SEC);
+        assert_bound_holds(270, 45.0, kind, 16 * SEC);
     }
 }
 
 #[test]
 fn a_thousand_senders_keep_to_the_bound() {
-    for (kind, outage) in [(Kind::Refused, 12), (Kind::Silent, 9), (Kind::NoConnect, 5), (Kind::Errors, 12)] {
-        holds(1_000, 6.0, kind, outage * SEC);
+    for (kind, outage) in
+        [(FaultKind::Refused, 12), (FaultKind::Silent, 9), (FaultKind::NoConnect, 5), (FaultKind::Errors, 12)]
+    {
+        assert_bound_holds(1_000, 6.0, kind, outage * SEC);
     }
-    holds(1_000, 100.0, Kind::Refused, 8 * SEC);
+    assert_bound_holds(1_000, 100.0, FaultKind::Refused, 8 * SEC);
 }
 
 #[test]
 fn a_destination_that_stops_and_returns_twice_is_not_pushed_over() {
-    let calls = crowd_of(270, 20.0, Kind::Refused, &[(0, 8 * SEC), (14 * SEC, 24 * SEC)], true);
+    let calls = calls_of_senders(270, 20.0, FaultKind::Refused, &[(0, 8 * SEC), (14 * SEC, 24 * SEC)], true);
     assert!(worst(&calls) <= bound(20.0), "{} in a span", worst(&calls));
 }
 
 /// Clocks that do not agree leave the mean as it is; calls then meet by chance only.
 #[test]
 fn senders_whose_clocks_differ_are_spread() {
-    let calls = crowd_of(270, 45.0, Kind::Refused, &[(0, 20 * SEC)], false);
+    let calls = calls_of_senders(270, 45.0, FaultKind::Refused, &[(0, 20 * SEC)], false);
     let most = bound(45.0) as f64;
     let spans = 31.0 / 1.5;
     assert!(calls.len() as f64 <= spans * (most + 1.0), "{} calls", calls.len());
@@ -190,7 +195,7 @@
         w.one(0, 5);
         w.pass(SEC);
     }
-    w.log[before..].iter().filter(|(_, a)| matches!(a, Action::Send { .. })).count()
+    w.log[before..].iter().filter(|(_, a)| matches!(a, DispatchAction::Send { .. })).count()
 }
 
 #[test]
@@ -209,9 +214,9 @@
 fn a_rough_weight_is_taken_to_be_half_too_high() {
     let calls = |rough: bool| {
         let mut s = set(270, FAR);
-        s.weight_is_rough = rough;
+        s.weight_is_approximate = rough;
         let mut w = World::new(s, 1);
-        w.list(ListKind::Whole, &[Entry { weight: 30.0, ..entry(0, 5) }]);
+        w.list(ListUpdate::Full, &[EndpointEntry { weight: 30.0, ..entry(0, 5) }]);
         let m = w.one(0, 5);
         w.finish(m, Outcome::Error, 0);
         let mut n = 0;
@@ -236,7 +241,7 @@
 }
 
 #[test]
-fn the_guard_ends_a_cold_time_after_a_success_and_a_failure_meanwhile_starts_it_anew() {
+fn the_guard_ends_one_slow_start_after_a_success_and_a_failure_meanwhile_restarts_it() {
     for disturbed in [false, true] {
         let mut w = failed_once(40);
         let mut probe = None;
@@ -270,21 +275,21 @@
     let mut s = set(270, FAR);
     s.kinds = vec![Routes::APART];
     let mut w = World::new(s, 1);
-    w.list(ListKind::Whole, &[entry(0, 5)]);
+    w.list(ListUpdate::Full, &[entry(0, 5)]);
     let m = w.one(0, 5);
     w.finish(m, Outcome::ConnectFailed, 0);
-    w.list(ListKind::Whole, &[entry(7, 9)]);
+    w.list(ListUpdate::Full, &[entry(7, 9)]);
     w.pass(5 * SEC);
-    w.list(ListKind::Whole, &[entry(0, 5)]);
+    w.list(ListUpdate::Full, &[entry(0, 5)]);
     assert_eq!(sends_in(&mut w, 30 * SEC), 0, "the route is known");
     let mut w = failed_once(270);
-    w.list(ListKind::Whole, &[entry(8, 5)]);
+    w.list(ListUpdate::Full, &[entry(8, 5)]);
     assert_eq!(sends_in(&mut w, 30 * SEC), 0, "the destination is known");
 }
 
 struct Routes;
 impl Routes {
-    const APART: spurshore::Kind = spurshore::Kind { separate_routes: true, batch: 1 };
+    const APART: spurshore::DestinationKind = spurshore::DestinationKind { separate_routes: true, batch: 1 };
 }
 
 #[test]
@@ -325,7 +330,7 @@
     for _ in 0..3 {
         let m = w.one(0, 5);
         w.finish_after(m, 1_000, Outcome::Error);
-        w.step(&[Event::Hangup { msg: m }]);
+        w.step(&[DispatchEvent::Hangup { msg: m }]);
         w.pass(2 * SEC);
     }
     assert!(w.d.lane(0).unwrap().in_outage);
@@ -355,14 +360,14 @@
     w.finish(early, Outcome::Timeout, 0);
     assert!(is_free(&mut w), "a call sent in the outage tells nothing of what came after");
     let (mut w, early) = returning();
-    w.step(&[Event::Hangup { msg: early }]);
+    w.step(&[DispatchEvent::Hangup { msg: early }]);
     w.finish(early, Outcome::Moot, 0);
     w.pass(2 * SEC);
     let m = w.one(0, 5);
     w.finish_after(m, 1_000, Outcome::Full);
     assert!(is_free(&mut w), "one refusal among successes is a limit's");
     let (mut w, early) = returning();
-    w.step(&[Event::Hangup { msg: early }]);
+    w.step(&[DispatchEvent::Hangup { msg: early }]);
     w.finish(early, Outcome::Moot, 0);
     w.pass(2 * SEC);
     let m = w.one(0, 5);
@@ -371,30 +376,33 @@
 }
 
 #[test]
-fn what_cannot_go_in_its_time_is_answered_at_once() {
+fn a_message_that_cannot_be_sent_in_time_is_rejected_at_once() {
     let mut s = set(270, FAR);
-    s.classes[1].effect = Effect::Keyed { span: 5 * SEC, by_zone: true };
+    s.classes[1].effect = Effect::Deduplicated { span: 5 * SEC, by_zone: true };
     let mut w = World::new(s, 1);
-    w.list(ListKind::Whole, &[entry(0, 5)]);
+    w.list(ListUpdate::Full, &[entry(0, 5)]);
     let m = w.one(0, 5);
     let keyed = w.one(1, 5);
     w.finish(m, Outcome::Error, 0);
-    assert!(matches!(w.answers(m)[..], [Action::Refuse { after, .. }] if after > 0));
+    assert!(matches!(w.answers(m)[..], [DispatchAction::Reject { after, .. }] if after > 0));
     w.finish(keyed, Outcome::Error, 0);
-    assert_eq!(w.answers(keyed), [Action::Fail { msg: keyed }], "it may have run in one zone");
+    assert_eq!(w.answers(keyed), [DispatchAction::Fail { msg: keyed }], "it may have run in one zone");
     for class in [0, 1, 2] {
         let m = w.one(class, 5);
-        assert!(matches!(w.answers(m)[..], [Action::Refuse { after, .. }] if after > 0), "class {class}");
+        assert!(
+            matches!(w.answers(m)[..], [DispatchAction::Reject { after, .. }] if after > 0),
+            "class {class}"
+        );
     }
 }
 
 #[test]
-fn a_wait_told_and_the_guard_both_bind() {
+fn a_reported_wait_and_the_guard_both_bind() {
     let mut w = world(40, 3, 6.0);
     let m = w.one(0, 5);
-    let told = w.now + 100 * SEC;
+    let report_limit = w.now + 100 * SEC;
     w.finish(m, Outcome::Full, 100 * SEC);
-    while w.now + SEC < told {
+    while w.now + SEC < report_limit {
         w.one(0, 5);
         w.pass(SEC);
     }
@@ -405,11 +413,11 @@
     assert_eq!(sends_in(&mut w, 20 * SEC), 0, "the guard outlasts the wait");
 }
 
-fn told(w: &mut World, left: f64) {
+fn report_limit(w: &mut World, left: f64) {
     let m = w.one(0, 5);
     let report = vec![left, 6.0];
     w.out.remove(&(m, 0));
-    w.step(&[Event::Completed(Completed {
+    w.step(&[DispatchEvent::Completed(Completion {
         msg: m,
         attempt: 0,
         outcome: Outcome::Full,
@@ -421,27 +429,27 @@
 }
 
 #[test]
-fn a_limit_told_as_used_up_is_no_outage() {
+fn a_limit_reported_as_used_up_is_no_outage() {
     for (left, none) in [(0.1, false), (0.95, true), (f64::NAN, true)] {
         let mut s = set(270, FAR);
         s.limit_report = Some((0, 1));
         let mut w = World::new(s, 1);
-        w.list(ListKind::Whole, &[entry(0, 5)]);
-        told(&mut w, left);
+        w.list(ListUpdate::Full, &[entry(0, 5)]);
+        report_limit(&mut w, left);
         assert_eq!(sends_in(&mut w, 25 * SEC) == 0, none, "{left} of the allowance left");
     }
 }
 
 /// A third time-out would take as long again: what is held meanwhile would all come at once.
 #[test]
-fn two_time_outs_in_a_row_bind_the_guard_outside_crowds_and_two_errors_do_not() {
+fn with_few_senders_two_time_outs_in_a_row_bind_the_guard_and_two_errors_do_not() {
     let calls = |outcome| {
         let mut w = World::new(Settings { slots: 64, ..set(3, 0) }, 0);
-        w.list(ListKind::Whole, &[Entry { weight: 30.0, ..entry(0, 5) }]);
+        w.list(ListUpdate::Full, &[EndpointEntry { weight: 30.0, ..entry(0, 5) }]);
         let first = [w.one(0, 5), w.one(0, 5)];
         w.pass(SEC);
         for m in first {
-            w.step(&[Event::Hangup { msg: m }]);
+            w.step(&[DispatchEvent::Hangup { msg: m }]);
         }
         for m in first {
             w.finish(m, outcome, 0);
@@ -453,7 +461,7 @@
             w.pass(15_000);
             answer_all_but(&mut w, None);
         }
-        w.log[before..].iter().filter(|(_, a)| matches!(a, Action::Send { .. })).count()
+        w.log[before..].iter().filter(|(_, a)| matches!(a, DispatchAction::Send { .. })).count()
     };
     let (silent, errors) = (calls(Outcome::Timeout), calls(Outcome::Error));
     assert!(silent == 4 && errors > 10, "{silent} calls in a span after silence, {errors} after errors");
@@ -464,9 +472,12 @@
 fn an_endpoint_put_back_counts_as_back_from_an_outage() {
     let calls = |cold| {
         let mut w = World::new(Settings { slots: 64, ..set(3, 0) }, 0);
-        w.list(ListKind::Whole, &[Entry { weight: 30.0, ..entry(0, 5) }]);
-        w.list(ListKind::Delta, &[Entry { state: ListState::Draining, weight: 30.0, ..entry(0, 5) }]);
-        w.list(ListKind::Delta, &[Entry { cold, weight: 30.0, ..entry(0, 5) }]);
+        w.list(ListUpdate::Full, &[EndpointEntry { weight: 30.0, ..entry(0, 5) }]);
+        w.list(
+            ListUpdate::Delta,
+            &[EndpointEntry { state: EndpointState::Draining, weight: 30.0, ..entry(0, 5) }],
+        );
+        w.list(ListUpdate::Delta, &[EndpointEntry { returning: cold, weight: 30.0, ..entry(0, 5) }]);
         for _ in 0..20 {
             w.one(0, 5);
         }
