--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -11,7 +11,7 @@
 /// A world with one destination of one endpoint and eight slots: the cap is six calls.
 fn world() -> World {
     let mut w = World::new(settings(8), 1);
-    w.list(ListKind::Whole, &[entry(0, 5)]);
+    w.list(ListUpdate::Full, &[entry(0, 5)]);
     w
 }
 
@@ -19,7 +19,7 @@
 fn a_new_lane_starts_at_half_the_cap() {
     let w = world();
     near(w.d.lane(0).unwrap().window, 3.0);
-    assert_eq!(w.d.lane(0).unwrap().cal, None);
+    assert_eq!(w.d.lane(0).unwrap().smoothed_latency, None);
 }
 
 #[test]
@@ -27,10 +27,10 @@
     let mut w = world();
     w.one(0, 5);
     w.finish_after(0, 100_000, Outcome::Ok);
-    near(w.d.lane(0).unwrap().cal.unwrap(), 100_000.0);
+    near(w.d.lane(0).unwrap().smoothed_latency.unwrap(), 100_000.0);
     w.one(0, 5);
     w.finish_after(1, 200_000, Outcome::Ok);
-    near(w.d.lane(0).unwrap().cal.unwrap(), 0.3 * 200_000.0 + 0.7 * 100_000.0);
+    near(w.d.lane(0).unwrap().smoothed_latency.unwrap(), 0.3 * 200_000.0 + 0.7 * 100_000.0);
 }
 
 #[test]
@@ -38,7 +38,7 @@
     let mut w = world();
     w.one(0, 5);
     w.finish_after(0, 10, Outcome::Ok);
-    near(w.d.lane(0).unwrap().cal.unwrap(), 1_000.0);
+    near(w.d.lane(0).unwrap().smoothed_latency.unwrap(), 1_000.0);
 }
 
 #[test]
@@ -72,7 +72,7 @@
     w.one(0, 5);
     w.finish_after(1, 4_000_000, Outcome::Ok);
     let cal = 0.3 * 4_000_000.0 + 0.7 * 10_000.0;
-    near(w.d.lane(0).unwrap().cal.unwrap(), cal);
+    near(w.d.lane(0).unwrap().smoothed_latency.unwrap(), cal);
     near(w.d.lane(0).unwrap().threshold, 160_000.0);
     near(w.d.lane(0).unwrap().window, 0.98 * 3.0 + 0.02 * (160_000.0 / cal * 3.0 + 0.1));
 }
@@ -99,11 +99,11 @@
     w.finish_after(0, 100_000, Outcome::Ok);
     w.one(0, 5);
     w.finish_after(1, 1_500_000, Outcome::Timeout);
-    near(w.d.lane(0).unwrap().cal.unwrap(), 0.3 * 1_500_000.0 + 0.7 * 100_000.0);
+    near(w.d.lane(0).unwrap().smoothed_latency.unwrap(), 0.3 * 1_500_000.0 + 0.7 * 100_000.0);
 }
 
 #[test]
-fn full_halves_the_window_once_for_what_was_out_together() {
+fn refusals_of_calls_in_flight_together_halve_the_window_once() {
     let mut w = world();
     for _ in 0..3 {
         w.one(0, 5);
@@ -122,7 +122,7 @@
     w.finish_after(0, 100_000, Outcome::Ok);
     w.one(0, 5);
     w.finish_after(1, 2_000, Outcome::Error);
-    near(w.d.lane(0).unwrap().cal.unwrap(), 100_000.0);
+    near(w.d.lane(0).unwrap().smoothed_latency.unwrap(), 100_000.0);
     near(w.d.lane(0).unwrap().window, 3.0);
 }
 
@@ -131,7 +131,7 @@
     let mut set = settings(8);
     set.kinds[0].separate_routes = true;
     let mut w = World::new(set, 1);
-    w.list(ListKind::Whole, &[entry(0, 5), entry(1, 5), entry(2, 5)]);
+    w.list(ListUpdate::Full, &[entry(0, 5), entry(1, 5), entry(2, 5)]);
     for _ in 0..20 {
         w.one(0, 5);
     }
@@ -156,9 +156,9 @@
 fn the_least_time_out_is_two_thirds_of_the_shortest_time_for_which_a_key_is_remembered() {
     for span in [3 * SEC, 6 * SEC] {
         let mut set = settings(8);
-        set.classes[1].effect = Effect::Keyed { span, by_zone: false };
+        set.classes[1].effect = Effect::Deduplicated { span, by_zone: false };
         let mut w = World::new(set, 1);
-        w.list(ListKind::Whole, &[entry(0, 5)]);
+        w.list(ListUpdate::Full, &[entry(0, 5)]);
         let m = w.one(0, 5);
         assert_eq!(w.out[&(m, 0)].2, 2 * span / 3);
     }
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -49,10 +49,10 @@
         self.msgs.values().flat_map(|m| &m.sent).filter(|s| s.may_have_run.is_none()).count()
     }
 
-    fn check(&mut self, now: Micros, acts: &[Action]) -> Result<(), TestCaseError> {
+    fn check(&mut self, now: Micros, acts: &[DispatchAction]) -> Result<(), TestCaseError> {
         for a in acts {
             match a {
-                Action::Send { msg, endpoint, timeout, .. } => {
+                DispatchAction::Send { msg, endpoint, timeout, .. } => {
                     prop_assert!(self.out() < SLOTS, "a send without a slot");
                     prop_assert_eq!(self.listed.get(endpoint), Some(&true), "a send to one not ready");
                     let wait = self.waits.get(&wait_scope(*endpoint)).copied().unwrap_or(0);
@@ -80,7 +80,7 @@
                     let until = (now + timeout).min(m.deadline);
                     m.sent.push(Sent { endpoint: *endpoint, at: now, until, may_have_run: None });
                 }
-                Action::Refuse { msg, .. } | Action::Fail { msg } => {
+                DispatchAction::Reject { msg, .. } | DispatchAction::Fail { msg } => {
                     let m = self.msgs.get_mut(msg).unwrap();
                     prop_assert!(!m.over, "two answers");
                     let late = now.saturating_sub(m.deadline + 20_000);
@@ -91,12 +91,12 @@
                         m.sent.len()
                     );
                     let may = m.sent.iter().any(|s| s.may_have_run != Some(false));
-                    if matches!(a, Action::Refuse { .. }) {
+                    if matches!(a, DispatchAction::Reject { .. }) {
                         prop_assert!(m.class < 2 || !may, "an unsafe refusal");
                     }
                     m.over = true;
                 }
-                Action::Cancel { msg, attempt } => {
+                DispatchAction::Cancel { msg, attempt } => {
                     prop_assert!((*attempt as usize) < self.msgs[msg].sent.len());
                 }
                 _ => {}
@@ -118,7 +118,7 @@
     }
 
     /// Notes the fates and gives the events that tell them.
-    fn outcomes(&mut self, now: Micros, fates: Vec<(MsgId, usize, Outcome)>) -> Vec<Event> {
+    fn outcomes(&mut self, now: Micros, fates: Vec<(MsgId, usize, Outcome)>) -> Vec<DispatchEvent> {
         let mut events = Vec::new();
         let mut excused = Vec::new();
         for (id, n, outcome) in fates {
@@ -136,7 +136,7 @@
             }
             let elapsed = now - m.sent[n].at;
             let (msg, attempt, report) = (id, n as u32, Vec::new());
-            events.push(Event::Completed(Completed {
+            events.push(DispatchEvent::Completed(Completion {
                 msg,
                 attempt,
                 outcome,
@@ -155,9 +155,9 @@
 }
 
 /// Adds the timers that were asked for; each one comes, whatever happened since.
-fn note_timers(now: Micros, timers: &mut Vec<Micros>, acts: &[Action]) {
+fn note_timers(now: Micros, timers: &mut Vec<Micros>, acts: &[DispatchAction]) {
     for a in acts {
-        if let Action::Timer { after, .. } = a {
+        if let DispatchAction::Timer { after, .. } = a {
             timers.push(now + after);
         }
     }
@@ -175,25 +175,25 @@
 }
 
 /// Plays one sequence; each step lets time pass and makes one thing happen.
-fn play(seed: u64, steps: &[(u8, u8, u8)]) -> Result<Vec<Vec<Action>>, TestCaseError> {
+fn play(seed: u64, steps: &[(u8, u8, u8)]) -> Result<Vec<Vec<DispatchAction>>, TestCaseError> {
     let mut set = settings(SLOTS as u32);
-    set.kinds.push(Kind { separate_routes: true, batch: 1 });
-    set.open_cap = 30;
+    set.kinds.push(DestinationKind { separate_routes: true, batch: 1 });
+    set.max_open_messages = 30;
     // Alone, among few and in a crowd, where the guard of a returning destination acts.
-    set.siblings = [1, 3, 40, 300][seed as usize % 4];
-    set.me = (seed >> 8) as u32 % set.siblings;
+    set.sender_count = [1, 3, 40, 300][seed as usize % 4];
+    set.sender_index = (seed >> 8) as u32 % set.sender_count;
     let mut d = Dispatcher::new(set, seed).unwrap();
     let mut c = Checker::default();
     let mut all = Vec::new();
     let (mut now, mut next, mut timers) = (5 * SEC, 0u64, Vec::new());
-    let record = |endpoint: u32, state| Entry {
+    let record = |endpoint: u32, state| EndpointEntry {
         kind: usize::from(dest_of(endpoint) == 2),
         state,
         ..entry(endpoint, dest_of(endpoint))
     };
-    let entries: Vec<Entry> = (0..6).map(|n| record(n, ListState::Ready)).collect();
+    let entries: Vec<EndpointEntry> = (0..6).map(|n| record(n, EndpointState::Ready)).collect();
     c.listed = (0..6).map(|n| (n, true)).collect();
-    let acts = d.step(now, &[Event::List { kind: ListKind::Whole, entries }]);
+    let acts = d.step(now, &[DispatchEvent::List { kind: ListUpdate::Full, entries }]);
     note_timers(now, &mut timers, &acts);
     c.check(now, &acts)?;
     let quiet = [(255u8, 255u8, 0u8); 300];
@@ -225,14 +225,14 @@
                 next += 1;
                 let sent = Vec::new();
                 c.msgs.insert(id, Tracked { class, key, dest, deadline, over: false, sent });
-                let hint = None;
-                events.push(Event::Submit(Message {
+                let work_hint = None;
+                events.push(DispatchEvent::Submit(Message {
                     id,
                     class,
                     tenant: None,
                     key,
                     deadline,
-                    hint,
+                    work_hint,
                     dest,
                     stream: false,
                     size: 0,
@@ -253,17 +253,24 @@
             }
             6 => {
                 let endpoint = u32::from(a % 6);
-                let state = [ListState::Gone, ListState::Ready, ListState::Ready, ListState::Draining]
-                    [usize::from(b % 4)];
-                c.listed.insert(endpoint, state == ListState::Ready);
-                events.push(Event::List { kind: ListKind::Delta, entries: vec![record(endpoint, state)] });
+                let state = [
+                    EndpointState::Gone,
+                    EndpointState::Ready,
+                    EndpointState::Ready,
+                    EndpointState::Draining,
+                ][usize::from(b % 4)];
+                c.listed.insert(endpoint, state == EndpointState::Ready);
+                events.push(DispatchEvent::List {
+                    kind: ListUpdate::Delta,
+                    entries: vec![record(endpoint, state)],
+                });
             }
             7 if what != 255 && b > 200 => {
                 let open: Vec<MsgId> = c.msgs.iter().filter(|(_, m)| !m.over).map(|(id, _)| *id).collect();
                 if !open.is_empty() {
                     let id = open[usize::from(a) % open.len()];
                     c.msgs.get_mut(&id).unwrap().over = true;
-                    events.push(Event::Hangup { msg: id });
+                    events.push(DispatchEvent::Hangup { msg: id });
                 }
             }
             _ => {}
--- a/tests/reports.rs
+++ b/tests/reports.rs
@@ -7,17 +7,18 @@
 /// One of many senders, whose list tells no rates and whose answers report the limit as their second value.
 fn sender() -> World {
     let mut set = settings(8);
-    (set.siblings, set.me, set.fall, set.fall_multiple) = (300, 7, 2 * SEC, 2.5);
-    (set.cold_from, set.cold, set.weight_is_rate, set.weight_is_rough) = (0.2, 10 * SEC, false, false);
+    (set.sender_count, set.sender_index, set.overload_span, set.overload_multiple) = (300, 7, 2 * SEC, 2.5);
+    (set.slow_start_share, set.slow_start, set.weight_is_rate, set.weight_is_approximate) =
+        (0.2, 10 * SEC, false, false);
     set.limit_report = Some((0, 1));
     let mut w = World::new(set, 7);
-    w.list(ListKind::Whole, &[entry(0, 5), entry(1, 5)]);
+    w.list(ListUpdate::Full, &[entry(0, 5), entry(1, 5)]);
     w
 }
 
 /// How many of twenty messages, one in half a second, are turned away as they come, once a call has been refused at
 /// a destination whose answers report this.
-fn turned_away(report: &[f64]) -> usize {
+fn rejected_calls(report: &[f64]) -> usize {
     let mut w = sender();
     let first = w.one(0, 5);
     w.pass(SEC / 10);
@@ -34,13 +35,13 @@
 /// refusal; a report tells that it takes more.
 #[test]
 fn a_reported_limit_counts_as_the_rate_where_the_list_tells_none() {
-    assert_eq!(turned_away(&[0.9, 90.0]), 0);
-    assert!(turned_away(&[]) > 15, "{}", turned_away(&[]));
+    assert_eq!(rejected_calls(&[0.9, 90.0]), 0);
+    assert!(rejected_calls(&[]) > 15, "{}", rejected_calls(&[]));
 }
 
 #[test]
-fn a_report_that_tells_no_limit_changes_nothing() {
-    assert_eq!(turned_away(&[0.0, 0.0]), turned_away(&[]));
+fn a_report_without_a_limit_changes_nothing() {
+    assert_eq!(rejected_calls(&[0.0, 0.0]), rejected_calls(&[]));
 }
 
 /// The list goes on to be read, and takes no rate that was reported.
@@ -50,7 +51,7 @@
     let first = w.one(0, 5);
     w.pass(SEC / 10);
     w.finish_reporting(first, Outcome::Ok, &[0.4, 90.0]);
-    w.list(ListKind::Delta, &[entry(0, 5), entry(1, 5)]);
+    w.list(ListUpdate::Delta, &[entry(0, 5), entry(1, 5)]);
     let refused = w.one(0, 5);
     w.pass(SEC / 10);
     w.finish(refused, Outcome::Full, 0);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -6,7 +6,7 @@
 
 fn world() -> World {
     let mut w = World::new(settings(8), 1);
-    w.list(ListKind::Whole, &[entry(0, 5), entry(1, 6)]);
+    w.list(ListUpdate::Full, &[entry(0, 5), entry(1, 6)]);
     w
 }
 
@@ -17,8 +17,8 @@
     w.pass(19 * SEC);
     assert!(w.answers(m).is_empty(), "it merely waits: the list may still change");
     w.pass(SEC + 20_000);
-    assert!(matches!(w.answers(m)[..], [Action::Refuse { .. }]));
-    w.list(ListKind::Delta, &[entry(7, 99)]);
+    assert!(matches!(w.answers(m)[..], [DispatchAction::Reject { .. }]));
+    w.list(ListUpdate::Delta, &[entry(7, 99)]);
     assert_eq!(w.sends(m), 0);
 }
 
@@ -28,16 +28,16 @@
     let m = w.one(2, 5);
     w.pass(20 * SEC);
     w.finish(m, Outcome::Timeout, 0);
-    assert_eq!(w.answers(m), [Action::Fail { msg: m }]);
+    assert_eq!(w.answers(m), [DispatchAction::Fail { msg: m }]);
 }
 
 #[test]
-fn an_unsafe_message_that_may_have_run_fails_at_once_and_is_not_sent_again() {
+fn a_non_idempotent_message_that_may_have_run_fails_at_once_and_is_not_retried() {
     for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Cancelled] {
         let mut w = world();
         let m = w.one(2, 5);
         w.finish_after(m, 100_000, outcome);
-        assert_eq!(w.answers(m), [Action::Fail { msg: m }], "{outcome:?}");
+        assert_eq!(w.answers(m), [DispatchAction::Fail { msg: m }], "{outcome:?}");
         w.pass(30 * SEC);
         assert_eq!(w.sends(m), 1);
         assert_eq!(w.answers(m).len(), 1);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn an_unsafe_message_that_provably_never_ran_is_sent_again() {
+fn a_non_idempotent_message_that_provably_never_ran_is_retried() {
     for outcome in [Outcome::Full, Outcome::ConnectFailed, Outcome::Moot] {
         let mut w = world();
         let m = w.one(2, 5);
@@ -64,22 +64,25 @@
     w.pass(5 * SEC);
     w.finish(m, Outcome::Timeout, 0);
     assert_eq!(w.sends(m), 2);
-    assert!(matches!(w.answers(m)[..], [Action::Refuse { .. }]), "the whole destination drops repeats");
+    assert!(
+        matches!(w.answers(m)[..], [DispatchAction::Reject { .. }]),
+        "the whole destination drops repeats"
+    );
 }
 
 #[test]
 fn a_key_remembered_by_one_zone_binds_the_repeat_to_it_and_forbids_a_refusal() {
     let mut set = settings(8);
-    set.classes[1].effect = Effect::Keyed { span: 5 * SEC, by_zone: true };
+    set.classes[1].effect = Effect::Deduplicated { span: 5 * SEC, by_zone: true };
     let mut w = World::new(set, 1);
-    let far = Entry { zone: 1, ..entry(1, 5) };
-    w.list(ListKind::Whole, &[entry(0, 5)]);
+    let far = EndpointEntry { zone: 1, ..entry(1, 5) };
+    w.list(ListUpdate::Full, &[entry(0, 5)]);
     let m = w.one(1, 5);
-    w.list(ListKind::Whole, &[far]);
+    w.list(ListUpdate::Full, &[far]);
     w.finish_after(m, SEC, Outcome::Timeout);
     w.pass(10 * SEC);
     assert_eq!(w.sends(m), 1);
-    assert_eq!(w.answers(m), [Action::Fail { msg: m }]);
+    assert_eq!(w.answers(m), [DispatchAction::Fail { msg: m }]);
 }
 
 #[test]
@@ -87,14 +90,16 @@
     for how in 0..3 {
         let mut w = world();
         match how {
-            0 => w.list(ListKind::Delta, &[Entry { state: ListState::Draining, ..entry(0, 5) }]),
-            1 => w.list(ListKind::Delta, &[Entry { state: ListState::Gone, ..entry(0, 5) }]),
-            _ => w.list(ListKind::Whole, &[entry(1, 6)]),
+            0 => {
+                w.list(ListUpdate::Delta, &[EndpointEntry { state: EndpointState::Draining, ..entry(0, 5) }])
+            }
+            1 => w.list(ListUpdate::Delta, &[EndpointEntry { state: EndpointState::Gone, ..entry(0, 5) }]),
+            _ => w.list(ListUpdate::Full, &[entry(1, 6)]),
         }
         let m = w.one(0, 5);
         w.pass(5 * SEC);
         assert_eq!(w.sends(m), 0);
-        w.list(ListKind::Delta, &[entry(0, 5)]);
+        w.list(ListUpdate::Delta, &[entry(0, 5)]);
         assert_eq!(w.sends(m), 1, "listed again, it is used again");
     }
 }
@@ -119,7 +124,7 @@
     let mut set = settings(8);
     set.kinds[0].separate_routes = true;
     let mut w = World::new(set, 1);
-    w.list(ListKind::Whole, &[entry(0, 5), entry(1, 5)]);
+    w.list(ListUpdate::Full, &[entry(0, 5), entry(1, 5)]);
     let m = w.one(0, 5);
     let first = w.out[&(m, 0)].0;
     w.finish_after(m, 1_000, Outcome::Full);
@@ -136,7 +141,7 @@
     let free = w.keyed(3, 5, Some(8));
     assert_eq!((w.sends(a), w.sends(b), w.sends(free)), (1, 0, 1));
     w.finish_after(a, 100_000, Outcome::Timeout);
-    assert_eq!(w.answers(a), [Action::Fail { msg: a }]);
+    assert_eq!(w.answers(a), [DispatchAction::Fail { msg: a }]);
     w.finish(free, Outcome::Ok, 0);
     w.pass(290_000);
     assert_eq!(w.sends(b), 0);
@@ -145,11 +150,11 @@
 }
 
 #[test]
-fn a_hung_up_head_holds_its_key_until_its_attempt_has_an_outcome() {
+fn an_abandoned_head_blocks_its_key_until_its_attempt_has_an_outcome() {
     let mut w = world();
     let a = w.keyed(3, 5, Some(9));
     let b = w.keyed(3, 5, Some(9));
-    w.step(&[Event::Hangup { msg: a }]);
+    w.step(&[DispatchEvent::Hangup { msg: a }]);
     w.pass(100_000);
     assert_eq!(w.sends(b), 0);
     w.finish(a, Outcome::Ok, 0);
@@ -159,7 +164,7 @@
 #[test]
 fn no_send_is_ever_moot_for_slots_or_attempts() {
     let mut w = World::new(settings(2), 1);
-    w.list(ListKind::Whole, &[entry(0, 5), entry(1, 6), entry(2, 7)]);
+    w.list(ListUpdate::Full, &[entry(0, 5), entry(1, 6), entry(2, 7)]);
     for d in [5, 6, 7, 5, 6, 7] {
         w.one(0, d);
     }
@@ -180,10 +185,10 @@
 #[test]
 fn a_returning_destination_gets_no_more_than_this_senders_part_while_cold() {
     let mut set = settings(16);
-    (set.siblings, set.fall, set.fall_multiple) = (2, 2 * SEC, 1.5);
-    (set.cold_from, set.cold) = (0.2, 10 * SEC);
+    (set.sender_count, set.overload_span, set.overload_multiple) = (2, 2 * SEC, 1.5);
+    (set.slow_start_share, set.slow_start) = (0.2, 10 * SEC);
     let mut w = World::new(set, 1);
-    w.list(ListKind::Whole, &[entry(0, 5)]);
+    w.list(ListUpdate::Full, &[entry(0, 5)]);
     for _ in 0..40 {
         w.one(0, 5);
     }
@@ -219,13 +224,13 @@
 }
 
 #[test]
-fn a_failed_list_call_is_asked_again_after_a_pause() {
+fn a_failed_list_subscription_is_retried_after_a_backoff() {
     let mut set = settings(8);
-    set.must_ask = true;
+    set.subscription_required = true;
     let mut w = World::new(set, 1);
-    assert!(w.step(&[]).contains(&Action::Watch));
-    w.step(&[Event::List { kind: ListKind::Failed, entries: Vec::new() }]);
-    let watches = |w: &World| w.log.iter().filter(|(_, a)| *a == Action::Watch).count();
+    assert!(w.step(&[]).contains(&DispatchAction::Subscribe));
+    w.step(&[DispatchEvent::List { kind: ListUpdate::Failed, entries: Vec::new() }]);
+    let watches = |w: &World| w.log.iter().filter(|(_, a)| *a == DispatchAction::Subscribe).count();
     assert_eq!(watches(&w), 1);
     w.pass(SEC);
     assert_eq!(watches(&w), 2);
@@ -237,7 +242,7 @@
 fn unknown_things_in_a_well_formed_event_are_ignored() {
     let mut w = world();
     let m = w.one(0, 5);
-    let lost = Completed {
+    let lost = Completion {
         msg: 77,
         attempt: 0,
         outcome: Outcome::Ok,
@@ -246,27 +251,27 @@
         wait: 0,
         report: vec![],
     };
-    let odd = Completed { msg: m, attempt: 9, ..lost.clone() };
+    let odd = Completion { msg: m, attempt: 9, ..lost.clone() };
     let bad = Message {
         id: 50,
         class: 9,
         tenant: Some(3),
         key: None,
         deadline: 0,
-        hint: None,
+        work_hint: None,
         dest: 5,
         stream: false,
         size: 0,
     };
     w.step(&[
-        Event::Completed(lost),
-        Event::Completed(odd),
-        Event::Hangup { msg: 78 },
-        Event::Checked { endpoint: 99, outcome: Outcome::Ok, elapsed: 1, report: vec![] },
-        Event::Timer { tag: 5 },
-        Event::Peer { from: 1, body: vec![1] },
-        Event::Headers { msg: m, attempt: 0 },
-        Event::Submit(bad),
+        DispatchEvent::Completed(lost),
+        DispatchEvent::Completed(odd),
+        DispatchEvent::Hangup { msg: 78 },
+        DispatchEvent::ProbeCompleted { endpoint: 99, outcome: Outcome::Ok, elapsed: 1, report: vec![] },
+        DispatchEvent::Timer { tag: 5 },
+        DispatchEvent::Peer { from: 1, body: vec![1] },
+        DispatchEvent::Headers { msg: m, attempt: 0 },
+        DispatchEvent::Submit(bad),
     ]);
     w.finish_after(m, 1_000, Outcome::Ok);
     assert_eq!(w.sends(m), 1);
@@ -276,6 +281,6 @@
 fn impossible_settings_give_a_typed_error() {
     assert!(Dispatcher::new(Settings { slots: 0, ..settings(1) }, 1).is_err());
     assert!(Dispatcher::new(Settings { max_attempts: 0, ..settings(1) }, 1).is_err());
-    assert!(Dispatcher::new(Settings { fall_multiple: f64::NAN, ..settings(1) }, 1).is_err());
-    assert!(Dispatcher::new(Settings { cold_from: -1.0, ..settings(1) }, 1).is_err());
+    assert!(Dispatcher::new(Settings { overload_multiple: f64::NAN, ..settings(1) }, 1).is_err());
+    assert!(Dispatcher::new(Settings { slow_start_share: -1.0, ..settings(1) }, 1).is_err());
 }
--- a/window/src/lib.rs
+++ b/window/src/lib.rs
@@ -5,7 +5,7 @@
 //! multiple of the latency that the fastest tenth of the last minute's calls beat.
 
 use serde::{Deserialize, Serialize};
-use spurshore_tables::Latency;
+use spurshore_tables::LatencyEstimate;
 
 /// Microseconds of a steady clock.
 pub type Micros = u64;
@@ -44,14 +44,14 @@
 pub struct Window {
     parameters: Parameters,
     size: f64,
-    latency: Latency,
+    latency: LatencyEstimate,
 }
 
 impl Window {
     /// The window of a new endpoint: half of its largest.
     pub fn new(parameters: Parameters, slots: u32) -> Window {
         let size = (f64::from(max_window(slots)) / 2.0).max(1.0);
-        Window { parameters, size, latency: Latency::new(LATENCY_FLOOR) }
+        Window { parameters, size, latency: LatencyEstimate::new(LATENCY_FLOOR) }
     }
 
     /// Takes the latency of a call (microseconds); a time-out counts at its full length.
@@ -82,7 +82,7 @@
 
     /// Smoothed latency, microseconds.
     pub fn smoothed(&self) -> Option<f64> {
-        self.latency.cal
+        self.latency.smoothed
     }
 
     /// Latency that the fastest tenth beat, microseconds.
--- a/wirehost/src/wire.rs
+++ b/wirehost/src/wire.rs
@@ -3,7 +3,9 @@
 use base64::Engine;
 use serde::{Deserialize, Serialize};
 use spurshore::*;
-use spurshore_settings::{Env, Names, micros, settings, state_of_code};
+use spurshore_settings::{
+    NameTable, SenderSettings, decode_settings, list_state_from_code, micros_from_millis,
+};
 use std::collections::BTreeMap;
 use std::io::Write;
 
@@ -22,7 +24,7 @@
     Init {
         i: i64,
         init_seed: u64,
-        env: Box<Env>,
+        env: Box<SenderSettings>,
     },
     Endpoints {
         i: i64,
@@ -118,15 +120,15 @@
 
 struct Instance {
     dispatcher: Dispatcher,
-    events: Vec<Event>,
+    events: Vec<DispatchEvent>,
     /// Events in hand or a life that just began: it may act in this reply.
     active: bool,
-    messages: Names,
-    receivers: Names,
-    keys: Names,
+    messages: NameTable,
+    receivers: NameTable,
+    keys: NameTable,
     classes: Vec<String>,
     tenants: Vec<String>,
-    zones: Names,
+    zones: NameTable,
     kinds: Vec<String>,
 }
 
@@ -175,12 +177,12 @@
         }
         let (i, event) = match message {
             In::BeginBatch { moment_ms } => {
-                self.clock = Some(micros("moment_ms", moment_ms)?);
+                self.clock = Some(micros_from_millis("moment_ms", moment_ms)?);
                 return Ok(false);
             }
             In::Eob => return Ok(true),
             In::Pool { number, records } => {
-                records.iter().try_for_each(|r| state_of_code(r.state).map(drop))?;
+                records.iter().try_for_each(|r| list_state_from_code(r.state).map(drop))?;
                 self.pools.insert(number, records);
                 return Ok(false);
             }
@@ -211,31 +213,31 @@
                     Some(p) => Some(position("project", &inst.tenants, &p)?),
                     None => None,
                 };
-                let hint = match size_hint_ms {
-                    Some(ms) if flags.unwrap_or(0) & 1 != 0 => Some(micros("size_hint_ms", ms)?),
+                let work_hint = match size_hint_ms {
+                    Some(ms) if flags.unwrap_or(0) & 1 != 0 => Some(micros_from_millis("size_hint_ms", ms)?),
                     _ => None,
                 };
                 let message = Message {
-                    id: inst.messages.number(&xid),
+                    id: inst.messages.intern(&xid),
                     class,
                     tenant,
-                    key: route_key.map(|k| inst.keys.number(&k)),
-                    deadline: micros("client_deadline_ms", client_deadline_ms)?,
-                    hint,
+                    key: route_key.map(|k| inst.keys.intern(&k)),
+                    deadline: micros_from_millis("client_deadline_ms", client_deadline_ms)?,
+                    work_hint,
                     dest: far_end,
                     stream: false,
                     size: 0,
                 };
-                (i, Some(Event::Submit(message)))
+                (i, Some(DispatchEvent::Submit(message)))
             }
             In::Completed { i, xid, send_no, reason, cost_time_ms, finished, note, pressure } => {
                 let inst = self.instance(i)?;
                 let outcome = outcome(reason)?;
                 let wait = if outcome == Outcome::Full { note.unwrap_or(0.0) } else { 0.0 };
-                let wait = micros("note", wait)?;
-                let elapsed = micros("cost_time_ms", cost_time_ms.unwrap_or(0.0))?;
-                let event = inst.messages.known(&xid).map(|msg| {
-                    Event::Completed(Completed {
+                let wait = micros_from_millis("note", wait)?;
+                let elapsed = micros_from_millis("cost_time_ms", cost_time_ms.unwrap_or(0.0))?;
+                let event = inst.messages.get(&xid).map(|msg| {
+                    DispatchEvent::Completed(Completion {
                         msg,
                         attempt: send_no,
                         outcome,
@@ -250,28 +252,25 @@
             In::PeerData { i, neighbour, body } => {
                 let engine = base64::engine::general_purpose::STANDARD;
                 let body = engine.decode(body).map_err(|e| format!("body: {e}"))?;
-                (i, Some(Event::Peer { from: neighbour, body }))
+                (i, Some(DispatchEvent::Peer { from: neighbour, body }))
             }
             In::Hangup { i, xid } => {
-                let msg = self.instance(i)?.messages.known(&xid);
-                (i, msg.map(|msg| Event::Hangup { msg }))
+                let msg = self.instance(i)?.messages.get(&xid);
+                (i, msg.map(|msg| DispatchEvent::Hangup { msg }))
             }
             In::CheckResult { i, receiver, cost_time_ms, reason, pressure } => {
-                let elapsed = micros("cost_time_ms", cost_time_ms.unwrap_or(0.0))?;
+                let elapsed = micros_from_millis("cost_time_ms", cost_time_ms.unwrap_or(0.0))?;
                 let outcome = outcome(reason)?;
                 let report = pressure.unwrap_or_default();
-                let event = self.instance(i)?.receivers.known(&receiver).map(|n| Event::Checked {
-                    endpoint: n as EndpointId,
-                    outcome,
-                    elapsed,
-                    report,
+                let event = self.instance(i)?.receivers.get(&receiver).map(|n| {
+                    DispatchEvent::ProbeCompleted { endpoint: n as EndpointId, outcome, elapsed, report }
                 });
                 (i, event)
             }
-            In::DeadlineHit { i, tag } => (i, Some(Event::Timer { tag })),
+            In::DeadlineHit { i, tag } => (i, Some(DispatchEvent::Timer { tag })),
             In::Headers { i, xid, send_no } => {
-                let msg = self.instance(i)?.messages.known(&xid);
-                (i, msg.map(|msg| Event::Headers { msg, attempt: send_no }))
+                let msg = self.instance(i)?.messages.get(&xid);
+                (i, msg.map(|msg| DispatchEvent::Headers { msg, attempt: send_no }))
             }
         };
         let inst = self.instance(i)?;
@@ -280,16 +279,16 @@
         Ok(false)
     }
 
-    fn start(&mut self, i: i64, seed: u64, env: &Env) -> Result<(), String> {
-        let mut zones = Names::default();
-        let settings = settings(env, &mut zones)?;
+    fn start(&mut self, i: i64, seed: u64, env: &SenderSettings) -> Result<(), String> {
+        let mut zones = NameTable::default();
+        let settings = decode_settings(env, &mut zones)?;
         let instance = Instance {
             dispatcher: Dispatcher::new(settings, seed).map_err(|e| e.to_string())?,
             events: Vec::new(),
             active: true,
-            messages: Names::default(),
-            receivers: Names::default(),
-            keys: Names::default(),
+            messages: NameTable::default(),
+            receivers: NameTable::default(),
+            keys: NameTable::default(),
             classes: env.categories.iter().map(|c| c.name.clone()).collect(),
             tenants: env.tenants.iter().map(|t| t.name.clone()).collect(),
             zones,
@@ -299,12 +298,12 @@
         Ok(())
     }
 
-    fn list(&mut self, i: i64, kind: u8, number: Option<u32>) -> Result<Option<Event>, String> {
+    fn list(&mut self, i: i64, kind: u8, number: Option<u32>) -> Result<Option<DispatchEvent>, String> {
         let inst = self.instances.get_mut(&i).ok_or_else(|| format!("i: no instance {i} is up"))?;
         let kind = match kind {
-            0 => ListKind::Delta,
-            1 | 2 => ListKind::Whole,
-            3 => return Ok(Some(Event::List { kind: ListKind::Failed, entries: Vec::new() })),
+            0 => ListUpdate::Delta,
+            1 | 2 => ListUpdate::Full,
+            3 => return Ok(Some(DispatchEvent::List { kind: ListUpdate::Failed, entries: Vec::new() })),
             other => return Err(format!("kind: no list has the code {other}")),
         };
         let number = number.ok_or("missing field `ref`")?;
@@ -312,17 +311,17 @@
         let mut entries = Vec::with_capacity(records.len());
         for r in records {
             let kind = r.kind.as_ref().and_then(|k| inst.kinds.iter().position(|x| x == k));
-            entries.push(Entry {
-                endpoint: inst.receivers.number(&r.receiver) as EndpointId,
+            entries.push(EndpointEntry {
+                endpoint: inst.receivers.intern(&r.receiver) as EndpointId,
                 dest: r.dest,
                 kind: kind.unwrap_or(usize::MAX),
-                zone: r.locality.as_ref().map_or(0, |z| inst.zones.number(z) as u32),
+                zone: r.locality.as_ref().map_or(0, |z| inst.zones.intern(z) as u32),
                 weight: r.size.unwrap_or(0.0),
-                state: state_of_code(r.state)?,
-                cold: false,
+                state: list_state_from_code(r.state)?,
+                returning: false,
             });
         }
-        Ok(Some(Event::List { kind, entries }))
+        Ok(Some(DispatchEvent::List { kind, entries }))
     }
 
     /// Steps every instance that had an event and writes what it does.
@@ -340,25 +339,27 @@
 }
 
 impl Instance {
-    fn out<'a>(&'a self, i: i64, action: &'a Action) -> Out<'a> {
-        let message = |n: &MsgId| self.messages.name(*n);
-        let receiver = |n: &EndpointId| self.receivers.name(u64::from(*n));
+    fn out<'a>(&'a self, i: i64, action: &'a DispatchAction) -> Out<'a> {
+        let message = |n: &MsgId| self.messages.resolve(*n);
+        let receiver = |n: &EndpointId| self.receivers.resolve(u64::from(*n));
         match action {
-            Action::Send { msg, endpoint, timeout, .. } => Out::PassOn {
+            DispatchAction::Send { msg, endpoint, timeout, .. } => Out::PassOn {
                 i,
                 xid: message(msg),
                 patience_ms: millis(*timeout),
                 receiver: receiver(endpoint),
             },
-            Action::Refuse { msg, after } => {
+            DispatchAction::Reject { msg, after } => {
                 Out::Bounce { i, xid: message(msg), not_before_for_ms: millis(*after) }
             }
-            Action::Fail { msg } => Out::Lose { i, xid: message(msg) },
-            Action::Cancel { msg, attempt } => Out::Withdraw { i, xid: message(msg), send_no: *attempt },
-            Action::CloseIdle { endpoint } => Out::FreeLinks { i, receiver: receiver(endpoint) },
-            Action::Log(text) => Out::Print { i, text },
-            Action::Watch => Out::Subscribe { i, want: true },
-            Action::Timer { after, tag } => Out::Schedule { i, offset_ms: millis(*after), tag: *tag },
+            DispatchAction::Fail { msg } => Out::Lose { i, xid: message(msg) },
+            DispatchAction::Cancel { msg, attempt } => {
+                Out::Withdraw { i, xid: message(msg), send_no: *attempt }
+            }
+            DispatchAction::CloseIdle { endpoint } => Out::FreeLinks { i, receiver: receiver(endpoint) },
+            DispatchAction::Log(text) => Out::Print { i, text },
+            DispatchAction::Subscribe => Out::Subscribe { i, want: true },
+            DispatchAction::Timer { after, tag } => Out::Schedule { i, offset_ms: millis(*after), tag: *tag },
         }
     }
 }
--- a/wirehost/tests/wire.rs
+++ b/wirehost/tests/wire.rs
@@ -79,7 +79,7 @@
 /// A sender far down in a long row is refused once: its message goes back to the client, unless the
 /// answer told of a used-up limit. The fields of the report stand in the order of the settings.
 #[test]
-fn the_senders_number_and_the_told_limit_reach_the_library() {
+fn the_senders_number_and_the_reported_limit_reach_the_policy() {
     for (pressure, bounced) in [("[6.0,0.1]", false), ("[6.0,0.95]", true), ("[0.0,0.1]", true)] {
         let extra = r#""me":150,"siblings":270,"weight_source":"rough","load_report":{"fields":["x1","x0"],"via":"answers"},"limits":{"retry_after":true,"max_attempts":6},"#;
         let input = START.replace(r#""unknown_key":1,"#, extra).replace(r#""size":1,"#, r#""size":6,"#)
