--- a/tables/tests/age_groups.rs
+++ b/courier/containers/tests/age_groups.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
-use spurshore_tables::AgeSet;
+use quillmount_containers::AgeSet;
 
 /// Worth by age: steady between the cuts, and with a step at each.
 fn value(age: i64, breakpoints: &[u64], slopes: &[i64]) -> i64 {
--- a/tables/tests/indexed_queue.rs
+++ b/courier/containers/tests/indexed_queue.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
-use spurshore_tables::IndexedQueue;
+use quillmount_containers::IndexedQueue;
 use std::collections::VecDeque;
 
 /// The same draws each time.
--- a/tables/tests/sliding_decile.rs
+++ b/courier/containers/tests/sliding_decile.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
-use spurshore_tables::{MAX_SAMPLES, SlidingDecile};
+use quillmount_containers::{MAX_SAMPLES, SlidingDecile};
 
 /// The same draws each time.
 fn fixed() -> Config {
--- a/tables/tests/timer_queue.rs
+++ b/courier/containers/tests/timer_queue.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
-use spurshore_tables::{TimerQueue, remove_timed};
+use quillmount_containers::{TimerQueue, remove_timed};
 use std::collections::{BTreeMap, VecDeque};
 
 /// The same draws each time.
--- a/core/src/admission.rs
+++ b/courier/core/src/admission.rs
@@ -1,7 +1,7 @@
 //! The clients' connections as a table: who goes first where room is short.
 
 use crate::machine::client::{ClientConnection, ClientState};
-use spurshore::Micros;
+use quillmount_policy::Micros;
 use std::collections::HashMap;
 
 /// A client that has come to ask has asked by then; who has not goes first when room is short.
--- a/core/src/call.rs
+++ b/courier/core/src/call.rs
@@ -6,9 +6,9 @@
 use crate::machine::connection::{ConnectionInput, EndpointConnection};
 use crate::pool::Pool;
 use crate::{CallEnd, DeliveryCall};
+use quillmount_policy::Micros;
+use quillmount_policy::breaks::{self, Break};
 use serde::{Deserialize, Serialize};
-use spurshore::Micros;
-use spurshore::breaks::{self, Break};
 
 /// A call that is out. `C` is a connection to an endpoint.
 #[derive(Clone, Debug)]
--- a/core/src/disabled.rs
+++ b/courier/core/src/disabled.rs
@@ -1,7 +1,7 @@
 //! Endpoints that operators have taken out: a set of ids, laid over whatever discovery lists.
 
+use quillmount_policy::EndpointState;
 use serde::{Deserialize, Serialize};
-use spurshore::EndpointState;
 use std::collections::BTreeSet;
 
 /// Ids that may be held at once: more than a courier's list has, and 90 KB of the journal at most.
--- a/core/src/ended.rs
+++ b/courier/core/src/ended.rs
@@ -1,7 +1,7 @@
 //! Ids of submissions that are over, each remembered with its end until its time is up.
 
 use crate::journal::End;
-use spurshore::Micros;
+use quillmount_policy::Micros;
 use std::collections::{HashMap, VecDeque};
 
 /// Ids remembered at most.
--- a/core/src/flow.rs
+++ b/courier/core/src/flow.rs
@@ -2,8 +2,8 @@
 //! the driver keeps the bytes between [`Flow::base`] and [`Flow::received`]. `docs/streaming-design.md` says why.
 
 use crate::machine::Machine;
-use spurshore::Micros;
-use spurshore::breaks::{self, Break};
+use quillmount_policy::Micros;
+use quillmount_policy::breaks::{self, Break};
 
 /// How slow a side may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -293,7 +293,7 @@
 impl Machine for Flow {
     type Input = FlowInput;
     const NAME: &'static str = "A streamed body";
-    const ABOUT: &'static str = "`core/src/flow.rs`: a body of two bytes in a window of one, from the client to an \
+    const ABOUT: &'static str = "`courier/core/src/flow.rs`: a body of two bytes in a window of one, from the client to an \
         attempt. *read* and *write* say what may be done next, *finish* that its end may be written, *again* that \
         another attempt could have all of it.";
 
--- a/core/src/hub.rs
+++ b/courier/core/src/hub.rs
@@ -9,9 +9,9 @@
 use crate::router::{self, Intake, Router, RouterAction, StreamEnd};
 use crate::store::Store;
 use crate::{AnswerReport, CallEnd, CallId, DeliveryCall, Ending, EndpointList, Notice, Submission};
+use quillmount_policy::breaks::{self, Break};
+use quillmount_policy::{Micros, MsgId};
 use serde::{Deserialize, Serialize};
-use spurshore::breaks::{self, Break};
-use spurshore::{Micros, MsgId};
 use std::collections::VecDeque;
 
 /// What the driver is to do, in order.
--- a/core/src/journal.rs
+++ b/courier/core/src/journal.rs
@@ -2,9 +2,9 @@
 //! its length and checksum.
 
 use bytes::Bytes;
+use quillmount_policy::breaks::{self, Break};
+use quillmount_policy::{Micros, MsgId};
 use serde::{Deserialize, Serialize};
-use spurshore::breaks::{self, Break};
-use spurshore::{Micros, MsgId};
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::Arc;
--- a/core/src/lib.rs
+++ b/courier/core/src/lib.rs
@@ -17,8 +17,8 @@
 pub mod turns;
 
 use bytes::Bytes;
+use quillmount_policy::{EndpointState, Micros, MsgId};
 use serde::{Deserialize, Serialize};
-use spurshore::{EndpointState, Micros, MsgId};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
--- a/core/src/machine/attempt.rs
+++ b/courier/core/src/machine/attempt.rs
@@ -2,9 +2,9 @@
 
 use super::Machine;
 use crate::CallEnd;
+use quillmount_policy::Micros;
+use quillmount_policy::breaks::{self, Break};
 use serde::{Deserialize, Serialize};
-use spurshore::Micros;
-use spurshore::breaks::{self, Break};
 
 /// An answer that has begun comes whole within this; endpoints write it in one go.
 pub const ANSWER_COMPLETION: Micros = 100_000;
@@ -372,7 +372,7 @@
 impl Machine for Attempt {
     type Input = (AttemptInput, &'static str);
     const NAME: &'static str = "An attempt";
-    const ABOUT: &'static str = "`core/src/machine/attempt.rs`: one delivery call, from the router's order to its end. \
+    const ABOUT: &'static str = "`courier/core/src/machine/attempt.rs`: one delivery call, from the router's order to its end. \
         *open*, *end sending*, *close* and *keep* say what becomes of the connection.";
 
     fn states() -> Vec<(&'static str, &'static str, Self)> {
@@ -497,7 +497,7 @@
 impl Machine for Streamed {
     type Input = <Attempt as Machine>::Input;
     const NAME: &'static str = "An attempt of a stream";
-    const ABOUT: &'static str = "`core/src/machine/attempt.rs` again, where the body is passed on as it comes: it may \
+    const ABOUT: &'static str = "`courier/core/src/machine/attempt.rs` again, where the body is passed on as it comes: it may \
         have run from its first byte on, and may be answered before its last.";
 
     fn states() -> Vec<(&'static str, &'static str, Self)> {
--- a/core/src/machine/client.rs
+++ b/courier/core/src/machine/client.rs
@@ -120,7 +120,7 @@
 impl Machine for ClientConnection {
     type Input = ClientInput;
     const NAME: &'static str = "A client's connection";
-    const ABOUT: &'static str = "`core/src/machine/client.rs`, ranked by `core/src/admission.rs`: it asks, is answered, rests, and leaves.";
+    const ABOUT: &'static str = "`courier/core/src/machine/client.rs`, ranked by `courier/core/src/admission.rs`: it asks, is answered, rests, and leaves.";
 
     fn states() -> Vec<(&'static str, &'static str, Self)> {
         let at = |state| ClientConnection { state };
--- a/core/src/machine/connection.rs
+++ b/courier/core/src/machine/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to an endpoint.
 
 use super::Machine;
-use spurshore::Micros;
+use quillmount_policy::Micros;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ConnectionState {
@@ -98,7 +98,7 @@
 impl Machine for EndpointConnection {
     type Input = (ConnectionInput, Micros);
     const NAME: &'static str = "A connection to an endpoint";
-    const ABOUT: &'static str = "`core/src/machine/connection.rs`, kept by `core/src/pool.rs`: it carries one call at a time and rests between calls.";
+    const ABOUT: &'static str = "`courier/core/src/machine/connection.rs`, kept by `courier/core/src/pool.rs`: it carries one call at a time and rests between calls.";
 
     fn states() -> Vec<(&'static str, &'static str, Self)> {
         let at = |state| EndpointConnection { state, idle_timeout: 10 };
--- a/core/src/machine/drain.rs
+++ b/courier/core/src/machine/drain.rs
@@ -1,7 +1,7 @@
 //! Whether clients are wanted: a drained courier empties, and does not end.
 
 use super::Machine;
-use spurshore::Micros;
+use quillmount_policy::Micros;
 
 /// How long a no to the front's question leaves connections at rest as they are. The front asks ten times a second and
 /// deals out connections for 0.2 s after the no: asked to leave before, their clients would come back here.
@@ -79,7 +79,7 @@
     type Input = (DrainInput, Micros);
     const NAME: &'static str = "A courier's drain";
     const ABOUT: &'static str =
-        "`core/src/machine/drain.rs`: operators empty the courier, and take clients again.";
+        "`courier/core/src/machine/drain.rs`: operators empty the courier, and take clients again.";
 
     fn states() -> Vec<(&'static str, &'static str, Self)> {
         vec![
--- a/core/src/machine/handover.rs
+++ b/courier/core/src/machine/handover.rs
@@ -5,7 +5,7 @@
 //! lock is free.
 
 use super::Machine;
-use spurshore::Micros;
+use quillmount_policy::Micros;
 
 /// The sender's tasks give up their parts within this: each does when it is next waiting.
 pub const COLLECT_TIMEOUT: Micros = 150_000;
@@ -238,7 +238,7 @@
     type Input = (SenderInput, Micros);
     const NAME: &'static str = "The sender of an upgrade";
     const ABOUT: &'static str =
-        "`core/src/machine/handover.rs`: the process that decides, and hands over to the next.";
+        "`courier/core/src/machine/handover.rs`: the process that decides, and hands over to the next.";
 
     fn states() -> Vec<(&'static str, &'static str, Self)> {
         let at = |state| HandoverSender { state };
@@ -285,8 +285,7 @@
 impl Machine for HandoverReceiver {
     type Input = (ReceiverInput, Micros);
     const NAME: &'static str = "The receiver of an upgrade";
-    const ABOUT: &'static str =
-        "`core/src/machine/handover.rs`: the process that starts, with the folder of one that may run.";
+    const ABOUT: &'static str = "`courier/core/src/machine/handover.rs`: the process that starts, with the folder of one that may run.";
 
     fn states() -> Vec<(&'static str, &'static str, Self)> {
         let fresh = HandoverReceiver::new(0);
--- a/core/src/machine/lifecycle.rs
+++ b/courier/core/src/machine/lifecycle.rs
@@ -3,7 +3,7 @@
 use super::Machine;
 use super::drain::{self, Drain};
 use super::handover::{HandoverSender, SenderInput, SenderOutput, SenderState};
-use spurshore::Micros;
+use quillmount_policy::Micros;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 enum LifecycleState {
@@ -203,7 +203,7 @@
 impl Machine for Lifecycle {
     type Input = (LifecycleInput, Micros);
     const NAME: &'static str = "A courier's lifecycle";
-    const ABOUT: &'static str = "`core/src/machine/lifecycle.rs`: from its start to its end. It holds the courier's drain and \
+    const ABOUT: &'static str = "`courier/core/src/machine/lifecycle.rs`: from its start to its end. It holds the courier's drain and \
         the sender of an upgrade, whose own tables follow; a drain goes along through a hand-over, a stop and back.";
 
     fn states() -> Vec<(&'static str, &'static str, Self)> {
--- a/core/src/machine/notices.rs
+++ b/courier/core/src/machine/notices.rs
@@ -1,8 +1,8 @@
 //! The notices to the platform: told, sent, confirmed, or lost and sent again.
 
 use super::Machine;
-use spurshore::Micros;
-use spurshore::breaks::{self, Break};
+use quillmount_policy::Micros;
+use quillmount_policy::breaks::{self, Break};
 
 /// The platform takes notices at once; one try must leave time for another.
 pub const ATTEMPT_TIMEOUT: Micros = 250_000;
@@ -136,8 +136,7 @@
 impl Machine for Notices {
     type Input = (NoticeInput, Micros);
     const NAME: &'static str = "The notices";
-    const ABOUT: &'static str =
-        "`core/src/machine/notices.rs`: many at a time, and again until the platform has confirmed each.";
+    const ABOUT: &'static str = "`courier/core/src/machine/notices.rs`: many at a time, and again until the platform has confirmed each.";
 
     fn states() -> Vec<(&'static str, &'static str, Self)> {
         let at = |state, batch| Notices { state, batch };
--- a/core/src/machine/watch.rs
+++ b/courier/core/src/machine/watch.rs
@@ -1,8 +1,8 @@
 //! The watch on discovery at one address.
 
 use super::Machine;
-use spurshore::Micros;
-use spurshore_tables::random_unit;
+use quillmount_containers::random_unit;
+use quillmount_policy::Micros;
 
 /// By the protocol a watch that has nothing to tell says so that often, with an empty line.
 pub const HEARTBEAT: Micros = 2_000_000;
@@ -347,7 +347,7 @@
 impl Machine for Watch {
     type Input = (WatchInput, Micros);
     const NAME: &'static str = "The watch on discovery";
-    const ABOUT: &'static str = "`core/src/machine/watch.rs`: one address's watch. \
+    const ABOUT: &'static str = "`courier/core/src/machine/watch.rs`: one address's watch. \
         An empty line is due every 2 s; after 2.5 s of \
         silence the watch is broken, and is asked for anew 25 ms later for each courier of the fleet, 1.5 \
         s at most, at a time that is drawn: the answer is there 1 s before what was missed counts as told, \
--- a/core/src/note.rs
+++ b/courier/core/src/note.rs
@@ -2,7 +2,7 @@
 
 use crate::Ending;
 use crate::journal::JournalError;
-use spurshore::{Micros, MsgId};
+use quillmount_policy::{Micros, MsgId};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Level {
--- a/core/src/pool.rs
+++ b/courier/core/src/pool.rs
@@ -1,7 +1,7 @@
 //! The connections to the endpoints: which calls may start where, and what rests for the next one.
 
 use crate::machine::connection::{ConnectionInput, EndpointConnection};
-use spurshore::Micros;
+use quillmount_policy::Micros;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
--- a/core/src/router.rs
+++ b/courier/core/src/router.rs
@@ -12,14 +12,14 @@
     AnswerReport, BundledMessage, CallEnd, CallId, DeliveryCall, Ending, EndpointList, MessagePayload,
     Notice, Submission,
 };
-use serde::{Deserialize, Serialize};
-use spurshore::breaks::{self, Break};
-use spurshore::{
+use quillmount_containers::IndexedQueue;
+use quillmount_policy::breaks::{self, Break};
+use quillmount_policy::{
     CallItem, CallReport, Effect, EndpointEntry, EndpointState, Instruction, ListUpdate, Message, Micros,
     MsgId, Outcome, PastAttempt, Policy, Settings, SettingsError,
 };
-use spurshore_settings::{NameTable, SenderSettings, decode_settings};
-use spurshore_tables::IndexedQueue;
+use quillmount_settings::{NameTable, SenderSettings, decode_settings};
+use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/core/src/router/seen.rs
+++ b/courier/core/src/router/seen.rs
@@ -1,7 +1,7 @@
 //! Shows an eye every field of the router that decides.
 
 use super::*;
-use spurshore::StateVisitor;
+use quillmount_policy::StateVisitor;
 
 impl<S: Store> Router<S> {
     /// Shows all that decides, but for the journal, which its reader sees.
--- a/core/tests/adopt.rs
+++ b/courier/core/tests/adopt.rs
@@ -9,8 +9,8 @@
 use quillmount_core::router::{Intake, Router};
 use quillmount_core::store::{Fault, Memory};
 use quillmount_core::{DeliveryCall, Ending, EndpointList, Submission};
-use spurshore::EndpointState;
-use spurshore_settings::{Category, SenderSettings};
+use quillmount_policy::EndpointState;
+use quillmount_settings::{Category, SenderSettings};
 
 const DISK: u64 = 99_999;
 
--- a/core/tests/attempts.rs
+++ b/courier/core/tests/attempts.rs
@@ -4,7 +4,7 @@
 use quillmount_core::machine::attempt::{
     ANSWER_COMPLETION, Answer, Attempt, AttemptInput, AttemptState, CLOSING_TIME, ConnectionAction, Decode,
 };
-use spurshore::Micros;
+use quillmount_policy::Micros;
 
 const NOW: Micros = 1_000_000_000;
 const BY: Micros = NOW + 950_000;
--- a/core/tests/bundles.rs
+++ b/courier/core/tests/bundles.rs
@@ -11,8 +11,8 @@
 use quillmount_core::{
     AnswerReport, CallEnd, DeliveryCall, Ending, EndpointList, EndpointListing, Submission,
 };
-use spurshore::{EndpointState, Micros};
-use spurshore_settings::{Category, DestinationSettings, SenderSettings};
+use quillmount_policy::{EndpointState, Micros};
+use quillmount_settings::{Category, DestinationSettings, SenderSettings};
 
 fn worth((effect, name): (&str, &str)) -> Category {
     Category { value: Some(1.0), ..class(name, effect) }
@@ -29,7 +29,7 @@
             call_slots: Some(16),
             ..DestinationSettings::default()
         },
-        limits: spurshore_settings::Limits {
+        limits: quillmount_settings::Limits {
             cancel: Some(true),
             max_attempts: Some(6),
             ..Default::default()
--- a/core/tests/common/mod.rs
+++ b/courier/core/tests/common/mod.rs
@@ -4,8 +4,8 @@
 use quillmount_core::hub::{DriverAction, Hub};
 use quillmount_core::store::Memory;
 use quillmount_core::{DeliveryCall, EndpointListing};
-use spurshore::{EndpointState, Micros};
-use spurshore_settings::Category;
+use quillmount_policy::{EndpointState, Micros};
+use quillmount_settings::Category;
 
 pub const NOW: Micros = 1_000_000_000;
 
--- a/core/tests/disabled.rs
+++ b/courier/core/tests/disabled.rs
@@ -10,8 +10,8 @@
 use quillmount_core::router::Router;
 use quillmount_core::store::{Fault, Memory};
 use quillmount_core::{CallEnd, DeliveryCall, EndpointList, Submission};
-use spurshore::{EndpointState, Micros};
-use spurshore_settings::{Category, SenderSettings};
+use quillmount_policy::{EndpointState, Micros};
+use quillmount_settings::{Category, SenderSettings};
 
 const DISK: u64 = 99_999;
 
--- a/core/tests/ends.rs
+++ b/courier/core/tests/ends.rs
@@ -7,8 +7,8 @@
 use quillmount_core::pool::Pool;
 use quillmount_core::router::Router;
 use quillmount_core::{CallEnd, CallId, Ending, EndpointList, Submission};
-use spurshore::{EndpointState, Micros};
-use spurshore_settings::SenderSettings;
+use quillmount_policy::{EndpointState, Micros};
+use quillmount_settings::SenderSettings;
 
 const TIME: Micros = 16_000_000;
 /// Less than this before the end of its time it is about that end.
--- a/core/tests/handover_forms.rs
+++ b/courier/core/tests/handover_forms.rs
@@ -19,8 +19,8 @@
     BundledMessage, CallEnd, CallId, DeliveryCall, Ending, EndpointList, EndpointListing, MessagePayload,
     Submission,
 };
-use spurshore::{EndpointState, Micros, StateVisitor};
-use spurshore_settings::{Category, DestinationSettings, Limits, SenderSettings, Tenant};
+use quillmount_policy::{EndpointState, Micros, StateVisitor};
+use quillmount_settings::{Category, DestinationSettings, Limits, SenderSettings, Tenant};
 use std::sync::Arc;
 
 const DISK: u64 = 999_999;
--- a/core/tests/lifecycle.rs
+++ b/courier/core/tests/lifecycle.rs
@@ -4,7 +4,7 @@
 use quillmount_core::machine::drain;
 use quillmount_core::machine::handover::{SenderInput, SenderOutput};
 use quillmount_core::machine::lifecycle::{Lifecycle, LifecycleInput, LifecycleOutput};
-use spurshore::Micros;
+use quillmount_policy::Micros;
 use std::collections::{BTreeSet, HashSet};
 
 /// All that can happen, each at once and after all that is waited for.
--- a/core/tests/list.rs
+++ b/courier/core/tests/list.rs
@@ -4,8 +4,8 @@
 use quillmount_core::router::{Router, RouterAction};
 use quillmount_core::store::Memory;
 use quillmount_core::{EndpointList, EndpointListing};
-use spurshore::EndpointState;
-use spurshore_settings::SenderSettings;
+use quillmount_policy::EndpointState;
+use quillmount_settings::SenderSettings;
 
 /// New endpoints replace old ones all day: what is kept of them must not grow with the day.
 #[test]
--- a/core/tests/pool.rs
+++ b/courier/core/tests/pool.rs
@@ -2,7 +2,7 @@
 
 use quillmount_core::machine::connection::ConnectionInput;
 use quillmount_core::pool::Pool;
-use spurshore::Micros;
+use quillmount_policy::Micros;
 
 const ADDR: &str = "127.0.0.1:1";
 
--- a/core/tests/repeats.rs
+++ b/courier/core/tests/repeats.rs
@@ -10,8 +10,8 @@
 use quillmount_core::router::Router;
 use quillmount_core::store::Memory;
 use quillmount_core::{CallEnd, DeliveryCall, EndpointList, Submission};
-use spurshore::{EndpointState, Micros};
-use spurshore_settings::{Category, SenderSettings};
+use quillmount_policy::{EndpointState, Micros};
+use quillmount_settings::{Category, SenderSettings};
 
 const SPAN: Micros = 1_000_000;
 /// Kept clear of the span's end: by the module as it orders a repeat, and by the call itself for its last byte.
--- a/core/tests/restart.rs
+++ b/courier/core/tests/restart.rs
@@ -12,8 +12,8 @@
 use quillmount_core::router::{Intake, Router, RouterAction, settings_fingerprint};
 use quillmount_core::store::{Fault, Memory};
 use quillmount_core::{CallEnd, DeliveryCall, Ending, EndpointList, EndpointListing, Notice, Submission};
-use spurshore::{EndpointState, Micros, MsgId};
-use spurshore_settings::{Category, SenderSettings, Tenant};
+use quillmount_policy::{EndpointState, Micros, MsgId};
+use quillmount_settings::{Category, SenderSettings, Tenant};
 use std::collections::BTreeSet;
 
 const DISK: u64 = 3_000_000;
@@ -110,7 +110,7 @@
 fn what_fills_the_table_is_kept_by_a_restart_and_tried_before_anything_new_comes_in() {
     for (cap, owed) in [(20, 20), (10, 20), (1, 3), (20, 18), (1_000, 1)] {
         let settings = SenderSettings {
-            limits: spurshore_settings::Limits { max_open_messages: Some(cap), ..Default::default() },
+            limits: quillmount_settings::Limits { max_open_messages: Some(cap), ..Default::default() },
             ..env(vec![class("fee-debit", "fragile")])
         };
         let records: Vec<_> =
@@ -390,7 +390,7 @@
 #[test]
 fn a_full_journal_is_taken_up_whole_and_soon() {
     let settings = SenderSettings {
-        limits: spurshore_settings::Limits { max_open_messages: Some(20_000), ..Default::default() },
+        limits: quillmount_settings::Limits { max_open_messages: Some(20_000), ..Default::default() },
         ..env(vec![class("fee-debit", "fragile"), class("status", "retryable")])
     };
     let mut notes = Vec::new();
--- a/core/tests/restart_guard.rs
+++ b/courier/core/tests/restart_guard.rs
@@ -9,8 +9,8 @@
 use quillmount_core::router::Router;
 use quillmount_core::store::Memory;
 use quillmount_core::{CallEnd, EndpointList};
-use spurshore::EndpointState;
-use spurshore_settings::SenderSettings;
+use quillmount_policy::EndpointState;
+use quillmount_settings::SenderSettings;
 
 const LIFE: u64 = 16_000_000;
 
--- a/core/tests/resume.rs
+++ b/courier/core/tests/resume.rs
@@ -8,8 +8,8 @@
 use quillmount_core::router::{Intake, ResumeError, Router, settings_fingerprint};
 use quillmount_core::store::Memory;
 use quillmount_core::{CallEnd, DeliveryCall, EndpointList, EndpointListing, Submission};
-use spurshore::{EndpointState, Micros, StateVisitor};
-use spurshore_settings::{Category, SenderSettings};
+use quillmount_policy::{EndpointState, Micros, StateVisitor};
+use quillmount_settings::{Category, SenderSettings};
 
 const DISK: u64 = 99_999;
 
--- a/core/tests/router.rs
+++ b/courier/core/tests/router.rs
@@ -4,12 +4,12 @@
 use quillmount_core::router::{Intake, Router, RouterAction};
 use quillmount_core::store::{Fault, Memory};
 use quillmount_core::{CallEnd, CallId, EndpointList, EndpointListing, Submission};
-use spurshore::EndpointState;
-use spurshore_settings::SenderSettings;
+use quillmount_policy::EndpointState;
+use quillmount_settings::SenderSettings;
 
 /// A router with a ready endpoint for destination 1, where messages take effect once, and the time.
 fn opened(env: SenderSettings) -> (Router<Memory>, u64) {
-    let category = spurshore_settings::Category {
+    let category = quillmount_settings::Category {
         name: "fee-debit".into(),
         effect: Some("fragile".into()),
         deadline_ms: 16_000.0,
--- a/core/tests/settings_mark.rs
+++ b/courier/core/tests/settings_mark.rs
@@ -1,7 +1,7 @@
 //! The mark by which two processes compare their settings on an upgrade: renames in the code leave it as it is.
 
 use quillmount_core::router::{self, StreamLimits};
-use spurshore_settings::{Category, DestinationSettings, SenderSettings, Tenant};
+use quillmount_settings::{Category, DestinationSettings, SenderSettings, Tenant};
 
 fn category(name: &str, effect: &str, scope: Option<&str>) -> Category {
     Category {
--- a/core/tests/watch.rs
+++ b/courier/core/tests/watch.rs
@@ -1,12 +1,12 @@
 //! The watch on discovery: when it asks, how often a fleet does, and that what discovery has and can be reached
 //! for is here in time, whatever failed before.
 
+use quillmount_containers::random_unit;
 use quillmount_core::machine::watch::{
     ANSWER_WITHIN, HEARTBEAT, HEARTBEAT_SLACK, HEED_MAX, NOTIFIED_WITHIN, REQUEST_INTERVAL_MAX, SILENCE,
     Watch, WatchInput, WatchOutput, WatchState,
 };
-use spurshore::Micros;
-use spurshore_tables::random_unit;
+use quillmount_policy::Micros;
 
 const FLEETS: [u32; 4] = [3, 100, 300, 5_000];
 const HEEDS: [Micros; 2] = [500_000, 1_000_000];
--- a/wirehost/src/main.rs
+++ b/courier/drill/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts spurshore instances on the simulator's wire: translation only, no decisions.
+//! Hosts instances of the policy on the simulator's wire: translation only, no decisions.
 
 mod wire;
 
@@ -8,7 +8,7 @@
     let stdin = std::io::stdin().lock();
     let stdout = std::io::BufWriter::new(std::io::stdout().lock());
     if let Err(message) = serve(stdin, stdout) {
-        eprintln!("spurshore-wirehost: {message}");
+        eprintln!("quillmount-drill: {message}");
         std::process::exit(1);
     }
 }
--- a/wirehost/src/wire.rs
+++ b/courier/drill/src/wire.rs
@@ -1,11 +1,11 @@
 //! The wire's messages and their translation to the library's types and back.
 
 use base64::Engine;
-use serde::{Deserialize, Serialize};
-use spurshore::*;
-use spurshore_settings::{
+use quillmount_policy::*;
+use quillmount_settings::{
     NameTable, SenderSettings, decode_settings, list_state_from_code, micros_from_millis,
 };
+use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::io::Write;
 
--- a/wirehost/tests/wire.rs
+++ b/courier/drill/tests/wire.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output, Stdio};
 
 fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_spurshore-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_quillmount-drill"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/fleet/src/agreement.rs
+++ b/courier/fleet/src/agreement.rs
@@ -10,10 +10,10 @@
 mod wire;
 
 use quillmount_core::store::Store;
+use quillmount_policy::Micros;
 use raft::prelude::{ConfChange, ConfChangeType, Config, Entry as RaftEntry, Message};
 use raft::{INVALID_ID, ProgressState, RawNode, SnapshotStatus, StateRole};
 use serde::{Deserialize, Serialize};
-use spurshore::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::mem;
--- a/fleet/src/budget/calls.rs
+++ b/courier/fleet/src/budget/calls.rs
@@ -6,8 +6,8 @@
 
 use super::local::{LocalBudget, Permit, Refusal, RefusalReason};
 use super::{Budget, BudgetState, CLOCK_DRIFT_DIVISOR, ConnectionOrder, Report, TimeBounds};
+use quillmount_policy::Micros;
 use serde::{Deserialize, Serialize};
-use spurshore::Micros;
 
 /// Calls of one partner in a span; each is remembered for its span by the courier that began it.
 pub const MAX_CALLS: u32 = 100_000;
--- a/fleet/src/budget/leader.rs
+++ b/courier/fleet/src/budget/leader.rs
@@ -22,8 +22,8 @@
 use super::divide::{Claim, MAX_CREDIT, ONE_CONNECTION, divide};
 use super::state::{BudgetCommand, BudgetState, PartnerBudget};
 use super::{Budget, TimeBounds};
+use quillmount_policy::Micros;
 use serde::{Deserialize, Serialize};
-use spurshore::Micros;
 use std::collections::BTreeMap;
 
 /// The leader looks at the division once in this: moves come in batches, and an entry of the log takes about
--- a/fleet/src/budget/local.rs
+++ b/courier/fleet/src/budget/local.rs
@@ -8,8 +8,8 @@
 use super::leader::{Report, ReportLine};
 use super::state::BudgetState;
 use super::{MAX_TENANTS, TimeBounds};
+use quillmount_policy::Micros;
 use serde::{Deserialize, Serialize};
-use spurshore::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A refused call counts as one that waits for so long; it comes back within that, or wants it no more.
--- a/fleet/src/budget/mod.rs
+++ b/courier/fleet/src/budget/mod.rs
@@ -37,8 +37,8 @@
 pub use local::{ConnectionOrder, LocalBudget, Permit, PermitKind, Refusal, RefusalReason};
 pub use state::{BudgetCommand, BudgetEvent, BudgetState};
 
+use quillmount_policy::Micros;
 use serde::{Deserialize, Serialize};
-use spurshore::Micros;
 use std::collections::BTreeMap;
 
 /// Partners with a budget; each is looked at in each of the leader's rounds.
--- a/fleet/src/config.rs
+++ b/courier/fleet/src/config.rs
@@ -1,7 +1,7 @@
 //! What an operator wants of a fleet, as its machines go by it.
 
 use crate::budget::{Budget, TimeBounds};
-use spurshore::Micros;
+use quillmount_policy::Micros;
 use std::collections::BTreeSet;
 
 /// A courier's name in its fleet, as the operator file has it.
--- a/fleet/src/lease.rs
+++ b/courier/fleet/src/lease.rs
@@ -4,7 +4,7 @@
 
 use crate::config::{FleetConfig, Name};
 use crate::state::Epoch;
-use spurshore::Micros;
+use quillmount_policy::Micros;
 use std::collections::BTreeMap;
 
 /// A lease is asked for so many times in its length: two words may be lost.
--- a/fleet/src/member/mod.rs
+++ b/courier/fleet/src/member/mod.rs
@@ -29,7 +29,7 @@
 use bytes::Bytes;
 use quillmount_core::journal;
 use quillmount_core::store::Store;
-use spurshore::Micros;
+use quillmount_policy::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 
--- a/fleet/src/replication.rs
+++ b/courier/fleet/src/replication.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use quillmount_core::journal::{self, JournalRecord, Records};
 use quillmount_core::store::Store;
-use spurshore::Micros;
+use quillmount_policy::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 
--- a/fleet/src/settlement/error.rs
+++ b/courier/fleet/src/settlement/error.rs
@@ -1,8 +1,8 @@
 //! What goes wrong with settlements, for consumers and operators.
 
 use super::Verdict;
+use quillmount_policy::Micros;
 use serde::{Deserialize, Serialize};
-use spurshore::Micros;
 use std::fmt;
 
 /// Where in a settlement.
--- a/fleet/src/settlement/forward.rs
+++ b/courier/fleet/src/settlement/forward.rs
@@ -6,8 +6,8 @@
 
 use super::registry::{SettlementCommand, SettlementEvent, SettlementRegistry};
 use super::{End, SequencedMessage, SettlementError, SettlementId};
+use quillmount_policy::Micros;
 use serde::{Deserialize, Serialize};
-use spurshore::Micros;
 use std::collections::BTreeMap;
 
 /// Retry interval: without a word the home is asked again.
--- a/fleet/src/settlement/journal_lines.rs
+++ b/courier/fleet/src/settlement/journal_lines.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use quillmount_core::Submission;
 use quillmount_core::journal::{End, JournalContents, JournalRecord, SettlementLine, Settlements};
+use quillmount_policy::Micros;
 use serde::{Deserialize, Serialize};
-use spurshore::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a courier keeps of a message until its turn.
--- a/fleet/src/settlement/mod.rs
+++ b/courier/fleet/src/settlement/mod.rs
@@ -26,8 +26,8 @@
 pub use progress::{SettlementProgress, SettlementRecord};
 pub use registry::{JournalRef, SettlementCommand, SettlementEvent, SettlementOwner, SettlementRegistry};
 
+use quillmount_policy::{Effect, Micros};
 use serde::{Deserialize, Serialize};
-use spurshore::{Effect, Micros};
 
 /// A settlement, in the whole fleet: a name may be used again once its verdict is forgotten.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/fleet/src/settlement/owner.rs
+++ b/courier/fleet/src/settlement/owner.rs
@@ -16,7 +16,7 @@
 use super::registry::{self, JournalRef, SettlementCommand, SettlementEvent, SettlementRegistry};
 use super::session::{self, MAX_SESSIONS, PINNABLE_FRACTION, Pins, Session, SessionKey};
 use super::{Cause, End, Mode, Outcome, Resume, SettlementError, SettlementId, Verdict, translator};
-use spurshore::Micros;
+use quillmount_policy::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Retry interval of what nobody has confirmed: a command, or a call for records.
--- a/fleet/src/settlement/progress.rs
+++ b/courier/fleet/src/settlement/progress.rs
@@ -2,8 +2,8 @@
 
 use super::breaks::{self, Break};
 use super::{Cause, End, Mode, Outcome, Repeat, SequencedMessage, SettlementId, Verdict};
+use quillmount_policy::Micros;
 use serde::{Deserialize, Serialize};
-use spurshore::Micros;
 use std::collections::BTreeMap;
 
 /// One line of a book about a settlement. It is in the book, and in a copy, before anything is done about it.
--- a/fleet/src/settlement/registry.rs
+++ b/courier/fleet/src/settlement/registry.rs
@@ -5,8 +5,8 @@
 //! had, so that a command that comes late or twice changes nothing.
 
 use super::{SettlementId, Verdict};
+use quillmount_policy::Micros;
 use serde::{Deserialize, Serialize};
-use spurshore::Micros;
 use std::collections::BTreeMap;
 
 /// Settlements open at once in the fleet: some 200 bytes each, so 13 MB of state and snapshot at most.
--- a/fleet/src/settlement/session.rs
+++ b/courier/fleet/src/settlement/session.rs
@@ -10,7 +10,7 @@
 //! mode always has the other half.
 
 use super::SettlementId;
-use spurshore::Micros;
+use quillmount_policy::Micros;
 use std::collections::{BTreeSet, VecDeque};
 
 /// Of a tenant's budget at a partner, one connection in so many may be pinned.
--- a/fleet/src/shares.rs
+++ b/courier/fleet/src/shares.rs
@@ -7,8 +7,8 @@
 };
 use crate::config::Name;
 use crate::state::Epoch;
+use quillmount_policy::Micros;
 use serde::{Deserialize, Serialize};
-use spurshore::Micros;
 
 /// Which of the two is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
--- a/fleet/tests/agreement.rs
+++ b/courier/fleet/tests/agreement.rs
@@ -1,15 +1,12 @@
 //! The agreement on a virtual clock, over links that lose, double, delay and part, from seeds.
 
-#[path = "../../tests/common/digest.rs"]
-mod digest_file;
-
-use digest_file::{Counts, SEEDS, compare_with_file};
 use quillmount_core::store::{Fault, Memory};
 use quillmount_fleet::NodeId;
 use quillmount_fleet::agreement::{
     Agreement, AgreementError, AgreementInput, AgreementLimits, AgreementOutput, MembershipChange,
     RejectReason,
 };
+use quillmount_test_support::digest::{Counts, SEEDS, compare_with_file};
 use std::collections::{BTreeMap, BTreeSet};
 
 const SECOND: u64 = 1_000_000;
--- a/fleet/tests/budget.rs
+++ b/courier/fleet/tests/budget.rs
@@ -1,12 +1,9 @@
 //! Budgets under faults: the code that runs, with couriers, a leader, a log and a partner on a virtual clock.
 //! The partner counts its open connections itself, after every event.
 
-#[path = "../../tests/common/digest.rs"]
-mod digest_file;
-
-use digest_file::{Counts, SEEDS, compare_with_file};
 use quillmount_fleet::budget::leader::{MAX_MOVES_PER_SECOND, starvation};
 use quillmount_fleet::budget::*;
+use quillmount_test_support::digest::{Counts, SEEDS, compare_with_file};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
--- a/fleet/tests/common/mod.rs
+++ b/courier/fleet/tests/common/mod.rs
@@ -1,6 +1,7 @@
 //! A fleet on one virtual clock: members, their folders, what is on its way between them, and a courier's journal at each.
 
 use bytes::Bytes;
+use quillmount_containers::random_unit;
 use quillmount_core::journal::{self, AcceptedMessage, End, JournalContents, JournalRecord};
 use quillmount_core::store::Store;
 use quillmount_fleet::agreement::AgreementLimits;
@@ -9,8 +10,7 @@
 use quillmount_fleet::member::{Member, MemberOutput, StoreDirectory};
 use quillmount_fleet::message::{Envelope, FleetMessage};
 use quillmount_fleet::state::{PartitionId, partition_of};
-use spurshore::Micros;
-use spurshore_tables::random_unit;
+use quillmount_policy::Micros;
 use std::cell::RefCell;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
--- a/fleet/tests/explore.rs
+++ b/courier/fleet/tests/explore.rs
@@ -1,11 +1,7 @@
 //! Every fault at every step of a small fleet: the members' own code, on a virtual clock, with the agreed log as a model (one
 //! order, each member applies it at its own pace, a majority commits). `docs/exploration.md` says what is left out.
 
-#[path = "../../tests/common/digest.rs"]
-mod digest_file;
-
 use bytes::Bytes;
-use digest_file::{Counts, compare_with_file};
 use quillmount_core::journal::{self, AcceptedMessage, End, JournalContents, JournalRecord, Records};
 use quillmount_core::store::Store;
 use quillmount_fleet::NodeId;
@@ -14,7 +10,8 @@
 use quillmount_fleet::member::{AgreementLog, Member, MemberInput, MemberOutput, StoreDirectory};
 use quillmount_fleet::message::{Envelope, FleetMessage};
 use quillmount_fleet::state::{Epoch, FleetCommand, FleetState, PartitionId, PartitionState, partition_of};
-use spurshore::Micros;
+use quillmount_policy::Micros;
+use quillmount_test_support::digest::{Counts, compare_with_file};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
--- a/fleet/tests/parts/calls.rs
+++ b/courier/fleet/tests/parts/calls.rs
@@ -5,7 +5,7 @@
     Budget, BudgetCommand, BudgetGate, BudgetState, ConnectionOrder, PermitKind, RefusalReason, Tenant,
     TimeBounds,
 };
-use spurshore::Micros;
+use quillmount_policy::Micros;
 
 const BOUNDS: TimeBounds = TimeBounds { max_call: 2_000_000, max_idle: 500_000, lease: 1_000_000 };
 const SPAN: Micros = 1_020_001;
--- a/fleet/tests/parts/local.rs
+++ b/courier/fleet/tests/parts/local.rs
@@ -5,7 +5,7 @@
     Budget, BudgetCommand, BudgetState, ConnectionOrder, LocalBudget, Permit, PermitKind, RefusalReason,
     TimeBounds,
 };
-use spurshore::Micros;
+use quillmount_policy::Micros;
 
 const MS: Micros = 1_000;
 const BOUNDS: TimeBounds = TimeBounds { max_call: 2_000 * MS, max_idle: 500 * MS, lease: 1_000 * MS };
--- a/fleet/tests/parts/owner.rs
+++ b/courier/fleet/tests/parts/owner.rs
@@ -7,7 +7,7 @@
     Cause, End, JournalRef, Mode, Outcome, Repeat, Resume, SequencedMessage, SettlementCommand,
     SettlementError, SettlementId, SettlementRegistry, SettlementReply, SettlementRequest, Verdict,
 };
-use spurshore::Micros;
+use quillmount_policy::Micros;
 
 /// One home; whatever it writes is in its book at once.
 struct Alone {
--- a/fleet/tests/settlement.rs
+++ b/courier/fleet/tests/settlement.rs
@@ -4,10 +4,6 @@
 //! The machines are the ones that run. The world around them is small: a log that every courier applies at
 //! its own pace, books that can be sealed, a partner that notes what ran, and consumers that ask again.
 
-#[path = "../../tests/common/digest.rs"]
-mod digest_file;
-
-use digest_file::{Counts, SEEDS, compare_with_file};
 use quillmount_fleet::settlement::session::linger;
 use quillmount_fleet::settlement::{
     End, JournalRef, Mode, Outcome, OwnedSettlements, OwnerInput, OwnerOutput, Repeat, RequestForwarder,
@@ -15,6 +11,7 @@
     SettlementLimits, SettlementMessage, SettlementRecord, SettlementRegistry, SettlementReply,
     SettlementRequest, Verdict, forward,
 };
+use quillmount_test_support::digest::{Counts, SEEDS, compare_with_file};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::hash::{Hash, Hasher};
--- a/fleet/tests/takeover.rs
+++ b/courier/fleet/tests/takeover.rs
@@ -144,7 +144,7 @@
 fn faults(n: usize, seed: u64, folders: bool) -> World {
     let mut world = fleet(n, seed);
     let mut draws = seed ^ 0x5eed;
-    let mut pick = move |most: usize| (spurshore_tables::random_unit(&mut draws) * most as f64) as usize;
+    let mut pick = move |most: usize| (quillmount_containers::random_unit(&mut draws) * most as f64) as usize;
     (world.loss, world.doubled) = (0.02, 0.02);
     // Whose fault is under way: one more than a fleet with one copy of each book has to bear is never begun.
     for step in 0..60 {
--- a/operator/tests/file.rs
+++ b/courier/operator/tests/file.rs
@@ -79,7 +79,7 @@
 /// `docs/schema/operator.json` is what `quillmount schema` prints; the example holds to it.
 #[test]
 fn the_schema_on_the_page_is_fresh_and_the_example_has_everything_off() {
-    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
+    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let page = std::fs::read_to_string(root.join("docs/schema/operator.json")).unwrap();
     assert_eq!(page, Operator::schema_text(), "`quillmount schema > docs/schema/operator.json` renews it");
     let example = Operator::load(&root.join("deploy/operator.json")).unwrap();
--- a/examples/waiting_messages.rs
+++ b/courier/policy/examples/waiting_messages.rs
@@ -3,7 +3,7 @@
 //!
 //!     cargo run --release --example waiting_messages
 
-use spurshore::*;
+use quillmount_policy::*;
 use std::time::Instant;
 
 const SEC: Micros = 1_000_000;
--- a/src/lib.rs
+++ b/courier/policy/src/lib.rs
@@ -5,7 +5,7 @@
 //! the [`DispatchAction`]s that come back, in order.
 //!
 //! ```
-//! use spurshore::*;
+//! use quillmount_policy::*;
 //!
 //! let mut settings = Settings::default();
 //! settings.slots = 8;
--- a/src/rules.rs
+++ b/courier/policy/src/rules.rs
@@ -1,10 +1,10 @@
-//! Every decision of the dispatcher (its interface: `src/interface.rs`); nothing is decided elsewhere.
+//! Every decision of the dispatcher (its interface: `courier/policy/src/interface.rs`); nothing is decided elsewhere.
 //! One mechanism decides the ordinary call: per lane (a destination, or a route where routes are separate) a
 //! smoothed latency CAL and a window w, after Gulati and Ahmad; DEPARTURE marks what departs (docs/design.md)
 
 use crate::breaks::{self, Break};
 use crate::interface::*;
-use spurshore_tables::{AgeGroups, LatencyEstimate, TimerQueue, breakpoints, random_unit, remove_timed};
+use quillmount_containers::{AgeGroups, LatencyEstimate, TimerQueue, breakpoints, random_unit, remove_timed};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
--- a/src/rules/state.rs
+++ b/courier/policy/src/rules/state.rs
@@ -2,7 +2,7 @@
 //! settings, which every process reads itself.
 
 use super::*;
-use spurshore_tables::LatencyEstimate;
+use quillmount_containers::LatencyEstimate;
 use std::collections::VecDeque;
 
 #[rustfmt::skip]
--- a/tests/bundles.rs
+++ b/courier/policy/tests/bundles.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::{SEC, World, entry, settings};
-use spurshore::*;
+use quillmount_policy::*;
 
 /// A destination whose calls carry up to `batch` messages, with a listed rate that lets one sender call every 1/6 s.
 fn known(slots: u32, batch: u32) -> World {
--- a/tests/common/mod.rs
+++ b/courier/policy/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A scripted host: it keeps the clock, the list of attempts out and what was answered.
 #![allow(dead_code)]
 
-use spurshore::*;
+use quillmount_policy::*;
 use std::collections::BTreeMap;
 
 pub const SEC: Micros = 1_000_000;
--- a/tests/failures.rs
+++ b/courier/policy/tests/failures.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use spurshore::*;
+use quillmount_policy::*;
 use std::collections::VecDeque;
 
 /// Destinations 0 to n - 1 of one endpoint each, all having answered in 100 ms.
--- a/tests/fleet_cold.rs
+++ b/courier/policy/tests/fleet_cold.rs
@@ -2,8 +2,8 @@
 
 mod common;
 use common::*;
-use spurshore::*;
-use spurshore_tables::random_unit;
+use quillmount_containers::random_unit;
+use quillmount_policy::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
--- a/tests/full_tables.rs
+++ b/courier/policy/tests/full_tables.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use spurshore::*;
+use quillmount_policy::*;
 
 /// Many senders: each meets a destination too seldom to see an answer between two refusals.
 fn sparsely_served_world() -> World {
--- a/tests/guard.rs
+++ b/courier/policy/tests/guard.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use spurshore::*;
+use quillmount_policy::*;
 
 const FALL: Micros = 3 * SEC / 2;
 const COLD: Micros = 11 * SEC;
@@ -289,7 +289,8 @@
 
 struct Routes;
 impl Routes {
-    const APART: spurshore::DestinationKind = spurshore::DestinationKind { separate_routes: true, batch: 1 };
+    const APART: quillmount_policy::DestinationKind =
+        quillmount_policy::DestinationKind { separate_routes: true, batch: 1 };
 }
 
 #[test]
--- a/tests/many_destinations.rs
+++ b/courier/policy/tests/many_destinations.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use spurshore::*;
+use quillmount_policy::*;
 use std::collections::BTreeSet;
 
 fn senders_of_one_kind(senders: u32, seed: u64) -> World {
--- a/tests/mechanism.rs
+++ b/courier/policy/tests/mechanism.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use spurshore::*;
+use quillmount_policy::*;
 
 fn near(a: f64, b: f64) {
     assert!((a - b).abs() < 1e-6 * b.abs().max(1.0), "{a} is not {b}");
--- a/tests/policy.rs
+++ b/courier/policy/tests/policy.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::{SEC, entry, settings};
-use spurshore::*;
+use quillmount_policy::*;
 
 const NOW: Micros = 100 * SEC;
 
--- a/tests/random.rs
+++ b/courier/policy/tests/random.rs
@@ -4,7 +4,7 @@
 use common::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
-use spurshore::*;
+use quillmount_policy::*;
 use std::collections::BTreeMap;
 
 struct Sent {
--- a/tests/reports.rs
+++ b/courier/policy/tests/reports.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use spurshore::*;
+use quillmount_policy::*;
 
 /// One of many senders, whose list tells no rates and whose answers report the limit as their second value.
 fn sender() -> World {
--- a/tests/rules.rs
+++ b/courier/policy/tests/rules.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use spurshore::*;
+use quillmount_policy::*;
 
 fn world() -> World {
     let mut w = World::new(settings(8), 1);
--- a/courier/src/fleet/budget.rs
+++ b/courier/program/src/fleet/budget.rs
@@ -17,7 +17,7 @@
 use quillmount_core::{CallId, Submission};
 use quillmount_fleet::budget::{BudgetGate, ConnectionOrder, Permit, PermitKind};
 use quillmount_fleet::member::Member;
-use spurshore::Micros;
+use quillmount_policy::Micros;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
--- a/courier/src/fleet/settlements.rs
+++ b/courier/program/src/fleet/settlements.rs
@@ -25,8 +25,8 @@
     SettlementReply, SettlementRequest, translator,
 };
 use quillmount_fleet::state::{Epoch, JournalId, PartitionId, PartitionState, partition_of};
+use quillmount_policy::Micros;
 use quillmount_protocol::submission;
-use spurshore::Micros;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
--- a/courier/src/program/config.rs
+++ b/courier/program/src/program/config.rs
@@ -2,10 +2,10 @@
 
 use quillmount_core::EndpointList;
 use quillmount_operator::problems::{self, Problem};
+use quillmount_policy::Policy;
 use quillmount_protocol::discovery::{DiscoveryError, List};
+use quillmount_settings::{NameTable, SenderSettings, decode_settings};
 use serde::Deserialize;
-use spurshore::Policy;
-use spurshore_settings::{NameTable, SenderSettings, decode_settings};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/courier/src/transport/clock.rs
+++ b/courier/program/src/transport/clock.rs
@@ -1,6 +1,6 @@
 //! Unix time in microseconds that never runs backwards while the process lives.
 
-use spurshore::Micros;
+use quillmount_policy::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 #[derive(Clone, Debug)]
--- a/courier/src/transport/courier.rs
+++ b/courier/program/src/transport/courier.rs
@@ -23,7 +23,7 @@
 use quillmount_core::{
     AnswerReport, CallEnd, CallId, DeliveryCall, Ending, EndpointList, Notice, StreamHead, Submission,
 };
-use spurshore::{Micros, MsgId};
+use quillmount_policy::{Micros, MsgId};
 use std::cell::{OnceCell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/courier/src/transport/gate.rs
+++ b/courier/program/src/transport/gate.rs
@@ -4,7 +4,7 @@
 //! Without a fleet there is no gate, and nothing waits.
 
 use super::clock::Clock;
-use spurshore::Micros;
+use quillmount_policy::Micros;
 use std::cell::{Cell, RefCell};
 use tokio::sync::Notify;
 
--- a/courier/src/transport/handover.rs
+++ b/courier/program/src/transport/handover.rs
@@ -1,6 +1,6 @@
 //! An upgrade on sockets: what moves from one process to the next, and the two sides' drivers.
 //!
-//! `core/src/machine/handover.rs` decides; `docs/operators-design.md` says why all sockets move.
+//! `courier/core/src/machine/handover.rs` decides; `docs/operators-design.md` says why all sockets move.
 
 use super::channel::{self, Channel};
 use super::clock::Clock;
--- a/courier/tests/command.rs
+++ b/courier/program/tests/command.rs
@@ -24,7 +24,7 @@
 }
 
 fn root(path: &str) -> String {
-    format!("{}/../{path}", env!("CARGO_MANIFEST_DIR"))
+    format!("{}/../../{path}", env!("CARGO_MANIFEST_DIR"))
 }
 
 #[test]
@@ -32,7 +32,7 @@
     let sound = quillmount(&[
         "check",
         "--config",
-        &root("example/config.json"),
+        &root("courier/example/config.json"),
         "--operator",
         &root("deploy/operator.json"),
     ]);
--- a/courier/tests/fleet/settlements.rs
+++ b/courier/program/tests/fleet/settlements.rs
@@ -2,9 +2,9 @@
 //! nothing after a break.
 
 use super::*;
+use quillmount_policy::Micros;
 use quillmount_standins::audit::{History, SettlementEnd, SettlementOutcome, SettlementPosition};
 use quillmount_standins::fleet::link::LinkMode;
-use spurshore::Micros;
 use std::time::Instant;
 use tokio::task::spawn_local;
 
--- a/protocol/src/delivery.rs
+++ b/courier/protocol/src/delivery.rs
@@ -5,8 +5,8 @@
 use httparse::{EMPTY_HEADER, Header, Response, Status};
 use quillmount_core::machine::attempt::{Answer, Decode};
 use quillmount_core::{CallEnd, DeliveryCall, MessagePayload};
+use quillmount_policy::Micros;
 use serde::{Deserialize, Serialize};
-use spurshore::Micros;
 use std::collections::HashMap;
 
 use super::submission::BODY_MAX;
--- a/protocol/src/discovery.rs
+++ b/courier/protocol/src/discovery.rs
@@ -1,9 +1,9 @@
 //! Discovery's lists: whole in the configuration, and one after the other on a watch.
 
 use quillmount_core::{EndpointList, EndpointListing};
+use quillmount_settings::list_state_from_name;
 use serde::Deserialize;
 use serde::de::IgnoredAny;
-use spurshore_settings::list_state_from_name;
 
 /// What is longer than this, with its indents, is no list of this platform.
 pub const LIST_MAX: usize = 4 * 1024 * 1024;
--- a/protocol/src/lib.rs
+++ b/courier/protocol/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod stream;
 pub mod submission;
 
-use spurshore::Micros;
+use quillmount_policy::Micros;
 
 /// A span with a unit: `480m` milliseconds, `250u` microseconds; whole or decimal.
 fn span(text: &str) -> Option<Micros> {
--- a/protocol/src/submission.rs
+++ b/courier/protocol/src/submission.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use quillmount_core::Submission;
 use quillmount_core::router::Intake;
-use spurshore::Micros;
+use quillmount_policy::Micros;
 
 /// The platform's limit on any body.
 pub const BODY_MAX: usize = 64 * 1024;
--- a/protocol/tests/delivery.rs
+++ b/courier/protocol/tests/delivery.rs
@@ -2,8 +2,8 @@
 
 use quillmount_core::machine::attempt::Answer;
 use quillmount_core::{CallEnd, DeliveryCall, MessagePayload};
+use quillmount_policy::Micros;
 use quillmount_protocol::delivery::{decode, decode_each, each, encode, load};
-use spurshore::Micros;
 
 /// Whatever the pieces in which an answer comes, it says one thing, and only with its last byte where it is no 200.
 #[test]
--- a/protocol/tests/stored_forms.rs
+++ b/courier/protocol/tests/stored_forms.rs
@@ -15,11 +15,11 @@
     BundledMessage, CallEnd, CallId, DeliveryCall, Ending, EndpointList, EndpointListing, MessagePayload,
     Notice, StreamHead, Submission,
 };
+use quillmount_policy::EndpointState;
 use quillmount_protocol::discovery::{Lists, watch_path};
 use quillmount_protocol::operator::{self, BadCall, Line, OperatorCall};
 use quillmount_protocol::submission::{self, Head, Malformed};
 use quillmount_protocol::{delivery, notice, stream};
-use spurshore::EndpointState;
 use std::sync::Arc;
 
 fn endpoint(id: &str, addr: Option<&str>, dest: u64, state: EndpointState) -> EndpointListing {
--- a/settings/src/lib.rs
+++ b/courier/settings/src/lib.rs
@@ -1,8 +1,8 @@
 //! What a sender is told at its start, decoded once for both programs: the simulator's adapter and
 //! the courier on sockets read the same settings object, with the same names and units.
 
+use quillmount_policy::*;
 use serde::{Deserialize, Serialize};
-use spurshore::*;
 use std::collections::BTreeMap;
 
 #[derive(Deserialize, Default)]
--- a/settings/tests/stored_forms.rs
+++ b/courier/settings/tests/stored_forms.rs
@@ -1,7 +1,7 @@
 //! The settings object as a file: every field is read to the same value and comes to the same settings of the library.
 
-use spurshore::{Decay, Effect, EndpointState};
-use spurshore_settings::{
+use quillmount_policy::{Decay, Effect, EndpointState};
+use quillmount_settings::{
     NameTable, SenderSettings, decode_settings, list_state_from_code, list_state_from_name,
 };
 
--- a/batch/tests/cluster/core.rs
+++ b/tier/batch/tests/cluster/core.rs
@@ -1,5 +1,5 @@
 //! The core of a world: its real members, with leases of stores, the planning of views, and the views' way to the stores. What
-//! leases and polls do here is what `node/src/control_member/` does on sockets.
+//! leases and polls do here is what `tier/node/src/control_member/` does on sockets.
 
 use crate::world::{MILLI, Random};
 use quillmount_batch::Micros;
--- a/batch/tests/cluster/digest.rs
+++ b/tier/batch/tests/cluster/digest.rs
@@ -1,7 +1,7 @@
 //! Digests of the first fifty seeded days of a shard's stores, with one authority for the views and with a core of members.
 
-use crate::digest_file::{SEEDS, compare_with_file};
 use crate::random_faults::{RunSummary, run_seed, run_seed_with_core};
+use quillmount_test_support::digest::{SEEDS, compare_with_file};
 use std::path::Path;
 
 fn compare(name: &str, run_seed: fn(u64) -> RunSummary) {
--- a/batch/tests/cluster/main.rs
+++ b/tier/batch/tests/cluster/main.rs
@@ -4,8 +4,6 @@
 mod audit;
 mod core;
 mod digest;
-#[path = "../../../tests/common/digest.rs"]
-mod digest_file;
 mod exploration;
 mod random_faults;
 mod scenarios;
--- a/batch/tests/cluster/world.rs
+++ b/tier/batch/tests/cluster/world.rs
@@ -3,11 +3,11 @@
 
 use crate::audit::Auditor;
 use crate::core::{Core, CoreEvent, Poll};
-use crate::digest_file::Counts;
 use quillmount_batch::{
     JobEntry, Micros, ShardAction, ShardJobs, ShardReplica, ShardReplicaId, StoreRecord, WriteId,
 };
 use quillmount_control::{ControlState, Retirement, ShardPlanInputs};
+use quillmount_test_support::digest::Counts;
 use quillmount_wire::messages::{
     DiskId, Item, ItemResult, Job, NodeInfo, NodeRole, Phase, Response, ShardMessage, ShardOperation,
     ShardReport, ShardView,
--- a/control/tests/members/digest.rs
+++ b/tier/control/tests/members/digest.rs
@@ -1,7 +1,7 @@
 //! Digests of the first fifty seeded days of core members and their operators.
 
-use crate::digest_file::{SEEDS, compare_with_file};
 use crate::play_day;
+use quillmount_test_support::digest::{SEEDS, compare_with_file};
 use std::path::Path;
 
 #[test]
--- a/control/tests/members/main.rs
+++ b/tier/control/tests/members/main.rs
@@ -2,8 +2,6 @@
 //! orders sent again; every history is checked against one register. `SEEDS=N` plays so many days.
 
 mod digest;
-#[path = "../../../tests/common/digest.rs"]
-mod digest_file;
 mod history;
 mod world;
 
--- a/control/tests/members/world.rs
+++ b/tier/control/tests/members/world.rs
@@ -1,9 +1,9 @@
 //! Core members on virtual time, with operators who send orders to any of them and send them again, and a record of what
 //! every caller was told and when.
 
-use crate::digest_file::Counts;
 use crate::history::{Answer, Call, History};
 use quillmount_control::{ControlState, Member, MemberAction, Order, OrderKind, OrderOutcome, RegisterWrite};
+use quillmount_test_support::digest::Counts;
 use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, Register, RegisterMessage};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/replication/tests/cluster/digest.rs
+++ b/tier/replication/tests/cluster/digest.rs
@@ -1,7 +1,7 @@
 //! Digests of the first fifty seeded days of a cluster.
 
-use crate::digest_file::{SEEDS, compare_with_file};
 use crate::with_random_faults;
+use quillmount_test_support::digest::{SEEDS, compare_with_file};
 use std::path::Path;
 
 #[test]
--- a/replication/tests/cluster/main.rs
+++ b/tier/replication/tests/cluster/main.rs
@@ -1,8 +1,6 @@
 //! Whole clusters on virtual time: kills, cuts, freezes and wiped disks by seed, and an auditor of what was acknowledged.
 
 mod digest;
-#[path = "../../../tests/common/digest.rs"]
-mod digest_file;
 mod exploration;
 mod world;
 
--- a/replication/tests/cluster/world.rs
+++ b/tier/replication/tests/cluster/world.rs
@@ -1,7 +1,7 @@
 //! Clusters on virtual time, with an auditor of what was acknowledged.
 
-use crate::digest_file::Counts;
 use quillmount_replication::{RegisterAction, RegisterReplica, Timing};
+use quillmount_test_support::digest::Counts;
 use quillmount_wire::messages::{DiskId, Register, RegisterMessage};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/window/src/lib.rs
+++ b/tier/window/src/lib.rs
@@ -4,8 +4,8 @@
 //! `w(t+1) = (1 - gamma) w + gamma (threshold / CAL w + beta)`, clamped between one and `w_max`. The threshold is a
 //! multiple of the latency that the fastest tenth of the last minute's calls beat.
 
+use quillmount_containers::LatencyEstimate;
 use serde::{Deserialize, Serialize};
-use spurshore_tables::LatencyEstimate;
 
 /// Microseconds of a steady clock.
 pub type Micros = u64;
--- a/explore/src/case.rs
+++ b/tools/explore/src/case.rs
@@ -1,8 +1,8 @@
 //! What is explored: the size of the world and the events that may happen in it.
 
+use quillmount_policy::Micros;
+use quillmount_settings::SenderSettings;
 use serde::{Deserialize, Serialize};
-use spurshore::Micros;
-use spurshore_settings::SenderSettings;
 use std::collections::BTreeSet;
 
 /// One kind of event that the world may choose; what is kind always may.
--- a/explore/src/clients.rs
+++ b/tools/explore/src/clients.rs
@@ -1,6 +1,6 @@
 //! The consumers' connections, in a world of their own: every order of what a few consumers do against a
 //! table with room for fewer. The machines and the table are the courier's; the driver's few lines
-//! (`courier/src/transport/server.rs`) are played here.
+//! (`courier/program/src/transport/server.rs`) are played here.
 
 use quillmount_core::admission::{Admission, Decision};
 use quillmount_core::machine::client::{ClientConnection, ClientInput, ClientOutput, ClientState};
--- a/explore/src/export.rs
+++ b/tools/explore/src/export.rs
@@ -1,4 +1,4 @@
-//! A path as a recorded exchange (`courier/tests/exchanges`), for the program on sockets.
+//! A path as a recorded exchange (`courier/program/tests/exchanges`), for the program on sockets.
 //!
 //! Not every move can be played there: a test on sockets has no say over half a write, a refused dial, the disk or
 //! a microsecond. Such a path is refused, with the move that it fails at.
--- a/explore/src/fingerprint.rs
+++ b/tools/explore/src/fingerprint.rs
@@ -1,6 +1,6 @@
 //! Fingerprints of states: 128 bits over all that matters for what comes next.
 
-use spurshore::{EndpointId, Micros, MsgId, StateVisitor};
+use quillmount_policy::{EndpointId, Micros, MsgId, StateVisitor};
 use std::hash::{Hash, Hasher};
 
 /// An eye that makes a number of what it sees: two independent 64-bit mixes (the finalizer of
--- a/explore/src/main.rs
+++ b/tools/explore/src/main.rs
@@ -327,7 +327,7 @@
         code = EXIT_VIOLATED;
     };
     println!("| break | property | depth | states | seconds |\n| --- | --- | --- | --- | --- |");
-    for (name, about) in spurshore::breaks::ALL {
+    for (name, about) in quillmount_policy::breaks::ALL {
         if let Some((_, size, property)) = STREAM_BREAKS.iter().find(|(one, ..)| one == name) {
             set_break(Some(name))?;
             let begun = Instant::now();
@@ -362,7 +362,7 @@
             other => report_failure(format!("{name} is not found by {}: {other:?}", property.name())),
         }
     }
-    spurshore::breaks::disable();
+    quillmount_policy::breaks::disable();
     println!("\n| case that holds | depth | states | seconds |\n| --- | --- | --- | --- |");
     for text in quillmount_explore::proof::VERIFIED_CASES {
         let (case, bounds) = parse_case(text)?.prepare()?;
@@ -521,12 +521,12 @@
         }
     }
     println!("breaks (built with --features breaks):");
-    spurshore::breaks::ALL.iter().for_each(|(name, about)| println!("  {name:24} {about}"));
+    quillmount_policy::breaks::ALL.iter().for_each(|(name, about)| println!("  {name:24} {about}"));
 }
 
 fn set_break(name: Option<&str>) -> Result<(), String> {
     match name {
         None => Ok(()),
-        Some(name) => spurshore::breaks::enable(name).map_err(|e| format!("--break: {e}")),
+        Some(name) => quillmount_policy::breaks::enable(name).map_err(|e| format!("--break: {e}")),
     }
 }
--- a/explore/src/monitor.rs
+++ b/tools/explore/src/monitor.rs
@@ -3,8 +3,8 @@
 
 use crate::case::{CLASSES, Case};
 use quillmount_core::Ending;
+use quillmount_policy::Micros;
 use serde::{Deserialize, Serialize};
-use spurshore::Micros;
 use std::collections::BTreeMap;
 
 /// What must hold; `docs/exploration.md` words them at length.
--- a/explore/src/streams.rs
+++ b/tools/explore/src/streams.rs
@@ -1,6 +1,6 @@
 //! Streamed bodies, in a world of their own: every order of what a consumer, a provider, the platform and a kill do to a
 //! body of a few units in a window for fewer, or to two bodies for one destination. Hub, module, journal, attempt and
-//! flow are the courier's; the driver's few lines (`courier/src/transport/streams.rs`) are played here. What is judged
+//! flow are the courier's; the driver's few lines (`courier/program/src/transport/streams.rs`) are played here. What is judged
 //! is judged by the bytes that a provider has had and by the words that consumer and platform have heard.
 
 use crate::case::{CLASSES, Case};
@@ -14,8 +14,8 @@
 use quillmount_core::router::{Intake, Router, StreamEnd, StreamLimits};
 use quillmount_core::store::Memory;
 use quillmount_core::{CallEnd, CallId, Ending, EndpointList, EndpointListing, Notice, Submission};
+use quillmount_policy::{EndpointState, Micros, MsgId};
 use quillmount_protocol::delivery;
-use spurshore::{EndpointState, Micros, MsgId};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
 const START: Micros = 1_000_000_000_000;
--- a/explore/src/world.rs
+++ b/tools/explore/src/world.rs
@@ -15,8 +15,8 @@
 use quillmount_core::router::{Intake, Router};
 use quillmount_core::store::{Fault, Memory};
 use quillmount_core::{CallEnd, CallId, EndpointList, EndpointListing, Notice, Submission};
+use quillmount_policy::{EndpointState, Micros};
 use quillmount_protocol::delivery;
-use spurshore::{EndpointState, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -1036,7 +1036,7 @@
 
     /// All that matters for what comes next.
     pub fn hash_into(&self, hasher: &mut crate::fingerprint::Fingerprint) {
-        use spurshore::StateVisitor;
+        use quillmount_policy::StateVisitor;
         hasher.start_at(self.now);
         self.hub.router.visit_state(hasher);
         hasher.hash(&(
--- a/explore/tests/found.rs
+++ b/tools/explore/tests/found.rs
@@ -35,9 +35,9 @@
             panic!("{path}: move {}: {violation}", n + 1);
         }
         if cfg!(feature = "breaks") {
-            spurshore::breaks::enable(defect).unwrap();
+            quillmount_policy::breaks::enable(defect).unwrap();
             let broken = play(&case, &file.path, |_, _, _| {}).unwrap().map(|(_, violation)| violation);
-            spurshore::breaks::disable();
+            quillmount_policy::breaks::disable();
             assert_eq!(broken.as_ref(), Some(&file.violation), "{path} with {defect}");
         }
     }
--- a/standins/src/audit.rs
+++ b/tools/standins/src/audit.rs
@@ -14,7 +14,7 @@
 
 use crate::record::BodyDigest;
 use quillmount_core::journal::{End, JournalContents, JournalRecord, Records};
-use spurshore::Micros;
+use quillmount_policy::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A delivery so long before the end of its message's time, or later, may be followed by a notice of its end.
--- a/standins/src/audit/finding.rs
+++ b/tools/standins/src/audit/finding.rs
@@ -1,7 +1,7 @@
 //! What the auditor found, with its evidence.
 
 use super::ObservedCall;
-use spurshore::Micros;
+use quillmount_policy::Micros;
 use std::fmt;
 
 /// A call, as evidence.
--- a/standins/src/audit/settlements.rs
+++ b/tools/standins/src/audit/settlements.rs
@@ -1,7 +1,7 @@
 //! Settlements: whole, in order, and nothing after a break.
 
 use super::finding::{Finding, SettlementFault as Fault};
-use spurshore::Micros;
+use quillmount_policy::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
--- a/standins/src/courier.rs
+++ b/tools/standins/src/courier.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 /// The example's configuration, with other addresses.
-const CONFIG: &str = include_str!("../../example/config.json");
+const CONFIG: &str = include_str!("../../../courier/example/config.json");
 /// Lines of the log that are kept for whoever asks; what comes when they are full is let go.
 const LINES_MAX: usize = 4_096;
 /// A stopping courier ends within 3.4 s.
--- a/standins/src/fleet.rs
+++ b/tools/standins/src/fleet.rs
@@ -72,7 +72,7 @@
 use tokio::time::timeout;
 
 /// The example's configuration, with other addresses.
-const CONFIG: &str = include_str!("../../example/config.json");
+const CONFIG: &str = include_str!("../../../courier/example/config.json");
 /// Only a broken program waits for so long.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 /// A whole test.
--- a/standins/src/record.rs
+++ b/tools/standins/src/record.rs
@@ -5,7 +5,7 @@
 use crate::fleet::fault::{FaultPhase, FaultTarget, InjectedFault};
 use crate::fleet::link::LinkEvent;
 use crate::http::Head;
-use spurshore::Micros;
+use quillmount_policy::Micros;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
--- a/standins/tests/audit.rs
+++ b/tools/standins/tests/audit.rs
@@ -5,12 +5,12 @@
 use proptest::test_runner::{Config, RngSeed};
 use quillmount_core::journal::{self, End, JournalRecord};
 use quillmount_core::store::Memory;
+use quillmount_policy::Micros;
 use quillmount_standins::audit::{
     Budget, ConnectionCount, FaultWindow, Finding, History, Journal, Notice, ObservedCall, Seal,
     SettlementEnd, SettlementOutcome, SettlementPosition, Submission, audit,
 };
 use quillmount_standins::record::BodyDigest;
-use spurshore::Micros;
 
 const SEC: Micros = 1_000_000;
 /// When it all begins.
--- a/tests/common/digest.rs
+++ b/tools/test-support/src/digest.rs
@@ -1,8 +1,6 @@
 //! Digests of seeded runs: labelled counts and a trace hash for each seed, compared byte for byte with a file that is kept
 //! beside the tests. A change that only makes the code more readable leaves them equal. Set `WRITE_FIXTURES=1` to write
 //! the file anew, after a change that is meant to alter behaviour.
-// A world that draws nothing by seed uses a part of it only.
-#![allow(dead_code)]
 
 use std::collections::BTreeMap;
 use std::path::Path;
--- /dev/null
+++ b/tools/test-support/src/lib.rs
@@ -0,0 +1,3 @@
+//! What the tests of several packages share. No program uses it.
+
+pub mod digest;
