--- a/courier/example/toy_provider.rs
+++ b/courier/example/toy_endpoint.rs
@@ -11,11 +11,11 @@
 use std::time::Duration;
 
 fn main() -> Result<()> {
-    let provider = TcpListener::bind("127.0.0.1:9001")?;
+    let endpoint = TcpListener::bind("127.0.0.1:9001")?;
     let platform = TcpListener::bind("127.0.0.1:8500")?;
     println!("provider on 127.0.0.1:9001, platform on 127.0.0.1:8500");
     thread::spawn(move || each(platform, serve_platform));
-    each(provider, serve_provider);
+    each(endpoint, serve_endpoint);
     Ok(())
 }
 
@@ -51,7 +51,7 @@
     Ok(Some((first, id, String::from_utf8_lossy(&body).into_owned())))
 }
 
-fn serve_provider(mut stream: TcpStream) -> Result<()> {
+fn serve_endpoint(mut stream: TcpStream) -> Result<()> {
     let mut reader = BufReader::new(stream.try_clone()?);
     let mut busy = BTreeSet::new();
     while let Some((_, id, body)) = request(&mut reader)? {
--- a/courier/operator/src/fleet.rs
+++ b/courier/operator/src/fleet.rs
@@ -169,8 +169,8 @@
             return Vec::new();
         }
         let mut found = Vec::new();
-        let mut must = |holds: bool, path: String, what: String| {
-            if !holds {
+        let mut must = |is_valid: bool, path: String, what: String| {
+            if !is_valid {
                 found.push(Problem::new(format!("$.fleet.{path}"), what));
             }
         };
@@ -181,8 +181,8 @@
             "members".into(),
             format!("{} couriers, where {MEMBERS_MOST} are the most", self.members.len()),
         );
-        let addr = |told: &str| -> Result<SocketAddr, String> {
-            let addr: SocketAddr = told.parse().map_err(|_| format!("{told:?} is no address with a port"))?;
+        let addr = |text: &str| -> Result<SocketAddr, String> {
+            let addr: SocketAddr = text.parse().map_err(|_| format!("{text:?} is no address with a port"))?;
             match self.beyond_loopback || addr.ip().is_loopback() {
                 true => Ok(addr),
                 false => Err(format!("{addr} is off this machine: `beyond_loopback` lets it through")),
--- a/courier/program/examples/fleet_budget.rs
+++ b/courier/program/examples/fleet_budget.rs
@@ -29,7 +29,7 @@
 const FLOOD: usize = 100;
 /// Other tenants; each hands a message in at each courier in turn, after such a pause.
 const OTHERS: usize = 5;
-const PAUSE: Duration = Duration::from_millis(33);
+const SUBMIT_INTERVAL: Duration = Duration::from_millis(33);
 const TIME: Duration = Duration::from_secs(8);
 /// Between two losses, and until the lost is back.
 const LOSS: Duration = Duration::from_secs(4);
@@ -46,7 +46,7 @@
 }
 
 /// What one part came to.
-struct Came {
+struct Measurement {
     most: usize,
     /// Calls and connections at the partner, by time, as parts of the budget.
     busy: f64,
@@ -54,7 +54,7 @@
     /// Of the other tenants: taken on, delivered, milliseconds from one to the other.
     others: usize,
     delivered: usize,
-    took: Vec<u64>,
+    durations: Vec<u64>,
     flood: usize,
     findings: usize,
 }
@@ -84,31 +84,35 @@
     for (name, part) in parts {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let played = runtime.and_then(|runtime| {
-            tokio::task::LocalSet::new().block_on(&runtime, part_of(&program, part, seconds, seed))
+            tokio::task::LocalSet::new().block_on(&runtime, play_part(&program, part, seconds, seed))
         });
         match played {
             Err(e) => {
                 eprintln!("fleet_budget: {e}");
                 std::process::exit(1);
             }
-            Ok(mut came) => {
-                came.took.sort_unstable();
+            Ok(mut measurement) => {
+                measurement.durations.sort_unstable();
                 let at = |part: f64| {
-                    came.took.get((came.took.len() as f64 * part) as usize).copied().unwrap_or_default()
+                    measurement
+                        .durations
+                        .get((measurement.durations.len() as f64 * part) as usize)
+                        .copied()
+                        .unwrap_or_default()
                 };
                 println!(
                     "{name}: most open {} of {CONNECTIONS}; busy {:.3}, open {:.3} of the budget; \
                      others {} of {} delivered ({:.3}), median {} ms, 99th {} ms; flood {} delivered; findings {}",
-                    came.most,
-                    came.busy,
-                    came.open,
-                    came.delivered,
-                    came.others,
-                    came.delivered as f64 / came.others.max(1) as f64,
+                    measurement.most,
+                    measurement.busy,
+                    measurement.open,
+                    measurement.delivered,
+                    measurement.others,
+                    measurement.delivered as f64 / measurement.others.max(1) as f64,
                     at(0.5),
                     at(0.99),
-                    came.flood,
-                    came.findings
+                    measurement.flood,
+                    measurement.findings
                 );
             }
         }
@@ -133,44 +137,43 @@
     }
 }
 
-async fn part_of(program: &Path, part: Part, seconds: u64, seed: u64) -> std::io::Result<Came> {
+async fn play_part(program: &Path, part: Part, seconds: u64, seed: u64) -> std::io::Result<Measurement> {
     let setup = setup(program, seed);
     let mut draws = setup.generator();
     let mut fleet = Fleet::start(setup).await?;
     for courier in 0..COURIERS {
-        while fleet.get(courier, "/-/ready").await.map_or(0, |told| told.0) != 200 {
+        while fleet.get(courier, "/-/ready").await.map_or(0, |submission| submission.0) != 200 {
             sleep(Duration::from_millis(10)).await;
         }
     }
     let begun = fleet.recorder.now();
     let end = begun + seconds * 1_000_000;
     for tenant in 0..if part == Part::Flood { 0 } else { OTHERS } {
-        let consumers: Vec<_> = (0..COURIERS).map(|courier| fleet.client(courier)).collect();
+        let clients: Vec<_> = (0..COURIERS).map(|courier| fleet.client(courier)).collect();
         let recorder = fleet.recorder.clone();
         spawn_local(async move {
             for n in 0.. {
-                sleep(PAUSE).await;
+                sleep(SUBMIT_INTERVAL).await;
                 if recorder.now() >= end {
                     return;
                 }
-                let (consumer, name) = (consumers[n % COURIERS].clone(), format!("other{tenant}"));
+                let (client, name) = (clients[n % COURIERS].clone(), format!("other{tenant}"));
                 let message = message(&name, &format!("{name}-{n}"));
                 // A lost courier's front answers nothing.
                 spawn_local(async move {
-                    let _ =
-                        tokio::time::timeout(Duration::from_secs(2), consumer.submit(&message, b"x")).await;
+                    let _ = tokio::time::timeout(Duration::from_secs(2), client.submit(&message, b"x")).await;
                 });
             }
         });
     }
     // What the flooding tenant has in hand, by courier.
-    let in_hand: Rc<RefCell<BTreeMap<usize, usize>>> = Rc::default();
+    let in_flight: Rc<RefCell<BTreeMap<usize, usize>>> = Rc::default();
     let mut number = 0;
     let mut loss_at = begun + LOSS.as_micros() as u64;
     let mut lost = None;
     while fleet.recorder.now() < end {
         sleep(Duration::from_millis(1)).await;
-        release(&fleet, &in_hand);
+        release(&fleet, &in_flight);
         let now = fleet.recorder.now();
         if part == Part::Lossy && now >= loss_at {
             loss_at = now + LOSS.as_micros() as u64;
@@ -185,25 +188,24 @@
                     }
                 }
             }
-            in_hand.borrow_mut().clear();
+            in_flight.borrow_mut().clear();
         }
         if part == Part::Alone {
             continue;
         }
         for courier in (0..COURIERS).filter(|courier| lost != Some(*courier)) {
-            let has = in_hand.borrow().get(&courier).copied().unwrap_or(0);
+            let has = in_flight.borrow().get(&courier).copied().unwrap_or(0);
             // A few at once: it is one thread that plays all consumers.
             for _ in has..FLOOD.min(has + 10) {
                 number += 1;
-                *in_hand.borrow_mut().entry(courier).or_default() += 1;
-                let (consumer, message) =
-                    (fleet.client(courier), message("flood", &format!("flood-{number}")));
-                let in_hand = in_hand.clone();
+                *in_flight.borrow_mut().entry(courier).or_default() += 1;
+                let (client, message) = (fleet.client(courier), message("flood", &format!("flood-{number}")));
+                let in_flight = in_flight.clone();
                 spawn_local(async move {
-                    let told =
-                        tokio::time::timeout(Duration::from_secs(2), consumer.submit(&message, b"x")).await;
-                    if told.is_ok_and(|status| status != 202)
-                        && let Some(has) = in_hand.borrow_mut().get_mut(&courier)
+                    let answer =
+                        tokio::time::timeout(Duration::from_secs(2), client.submit(&message, b"x")).await;
+                    if answer.is_ok_and(|status| status != 202)
+                        && let Some(has) = in_flight.borrow_mut().get_mut(&courier)
                     {
                         *has = has.saturating_sub(1);
                     }
@@ -211,25 +213,25 @@
             }
         }
     }
-    let over = fleet.recorder.now();
+    let ended = fleet.recorder.now();
     // What is owed has its end.
     let all = end + TIME.as_micros() as u64 + 2_000_000;
     fleet.heal().await?;
     while fleet.recorder.now() < all {
         sleep(Duration::from_millis(1)).await;
-        release(&fleet, &in_hand);
+        release(&fleet, &in_flight);
     }
-    Ok(came(&fleet, begun + WARM, over))
+    Ok(measurement(&fleet, begun + WARM, ended))
 }
 
 /// The partner answers what it has had for long enough.
-fn release(fleet: &Fleet, in_hand: &Rc<RefCell<BTreeMap<usize, usize>>>) {
+fn release(fleet: &Fleet, in_flight: &Rc<RefCell<BTreeMap<usize, usize>>>) {
     let now = fleet.recorder.now();
     fleet.partner(0).release_where(Answer::ok(), |call| {
         let ready = call.whole.is_some_and(|whole| whole.at + TAKES <= now);
         if ready
             && call.id.starts_with("flood")
-            && let Some(has) = in_hand.borrow_mut().get_mut(&call.courier)
+            && let Some(has) = in_flight.borrow_mut().get_mut(&call.courier)
         {
             *has = has.saturating_sub(1);
         }
@@ -237,17 +239,17 @@
     });
 }
 
-fn came(fleet: &Fleet, from: u64, to: u64) -> Came {
+fn measurement(fleet: &Fleet, from: u64, to: u64) -> Measurement {
     let mut history = fleet.history(AuditRules::default());
     history.budgets = vec![Budget { partner: 0, from: 0, most: CONNECTIONS }];
     let findings = audit(&history);
     findings.iter().take(5).for_each(|finding| println!("  {finding:?}"));
     fleet.recorder.read(|record| {
-        let within = |begun: u64, over: u64| over.min(to).saturating_sub(begun.max(from)) as f64;
+        let within = |begun: u64, ended: u64| ended.min(to).saturating_sub(begun.max(from)) as f64;
         let all = (CONNECTIONS as u64 * (to - from)) as f64;
         let busy = record.calls.iter().map(|call| {
-            let over = call.answered.map(|(when, _)| when).or(call.abandoned).map_or(to, |when| when.at);
-            within(call.began.at, over)
+            let ended = call.answered.map(|(when, _)| when).or(call.abandoned).map_or(to, |when| when.at);
+            within(call.began.at, ended)
         });
         let ends = record.connection_changes.iter().skip(1).map(|open| open.when.at).chain([to]);
         let open = record
@@ -258,30 +260,30 @@
         let others: Vec<_> = record
             .submissions
             .iter()
-            .filter(|told| told.id.starts_with("other"))
-            .filter(|told| told.answer.is_some_and(|(_, status)| status == 202))
+            .filter(|submission| submission.id.starts_with("other"))
+            .filter(|submission| submission.answer.is_some_and(|(_, status)| status == 202))
             .collect();
-        let took: Vec<u64> = {
+        let durations: Vec<u64> = {
             let mut first = BTreeMap::new();
             for call in record.calls.iter().filter(|call| call.id.starts_with("other")) {
                 if let Some((when, 200)) = call.answered {
                     first.entry(call.id.as_str()).or_insert(when.at);
                 }
             }
-            let took = others
-                .iter()
-                .filter_map(|told| Some((first.get(told.id.as_str())? - told.submitted_at.at) / 1000));
-            took.collect()
+            let durations = others.iter().filter_map(|submission| {
+                Some((first.get(submission.id.as_str())? - submission.submitted_at.at) / 1000)
+            });
+            durations.collect()
         };
         let flood =
             record.calls.iter().filter(|call| call.id.starts_with("flood") && call.answered.is_some());
-        Came {
+        Measurement {
             most: record.open_connections(0).1,
             busy: busy.sum::<f64>() / all,
             open: open.sum::<f64>() / all,
             others: others.len(),
-            delivered: took.len(),
-            took,
+            delivered: durations.len(),
+            durations,
             flood: flood.count(),
             findings: findings.len(),
         }
--- a/courier/program/examples/fleet_copies.rs
+++ b/courier/program/examples/fleet_copies.rs
@@ -17,7 +17,7 @@
 use tokio::task::spawn_local;
 
 /// Consumers, each with one message at a time and a connection for each.
-const CONSUMERS: usize = 16;
+const CLIENTS: usize = 16;
 
 /// What one play came to.
 struct Play {
@@ -80,24 +80,24 @@
     let ends = Instant::now() + Duration::from_secs(seconds);
     let number = Rc::new(Cell::new(0u64));
     let times = Rc::new(RefCell::new(Vec::new()));
-    let consumers: Vec<_> = (0..CONSUMERS)
+    let clients: Vec<_> = (0..CLIENTS)
         .map(|_| {
-            let (consumer, number, times) = (fleet.client(0), number.clone(), times.clone());
+            let (client, number, times) = (fleet.client(0), number.clone(), times.clone());
             spawn_local(async move {
                 while Instant::now() < ends {
                     let n = number.replace(number.get() + 1);
                     let message =
                         MessageRequest::new("fee-debit", &format!("m{n}"), 1, Duration::from_secs(16));
                     let asked = Instant::now();
-                    if consumer.submit(&message, b"body").await == 202 {
+                    if client.submit(&message, b"body").await == 202 {
                         times.borrow_mut().push(asked.elapsed().as_secs_f64() * 1e3);
                     }
                 }
             })
         })
         .collect();
-    for consumer in consumers {
-        let _ = consumer.await;
+    for client in clients {
+        let _ = client.await;
     }
     let mut times = times.take();
     times.sort_by(f64::total_cmp);
--- a/courier/program/examples/fleet_losses.rs
+++ b/courier/program/examples/fleet_losses.rs
@@ -23,12 +23,12 @@
 const COPIES: usize = 2;
 const LEASE: &str = "1500ms";
 /// Consumers at each courier, each with one message at a time.
-const CONSUMERS: usize = 2;
+const CLIENTS_PER_COURIER: usize = 2;
 /// Between two messages of a consumer.
-const PAUSE: Duration = Duration::from_millis(25);
+const SUBMIT_INTERVAL: Duration = Duration::from_millis(25);
 /// One in so many calls is held for a while by the partner, so that something is in hand.
 const HELD: u64 = 6;
-const HOLD: Duration = Duration::from_millis(300);
+const RELEASE_AFTER: Duration = Duration::from_millis(300);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
@@ -77,14 +77,14 @@
     let number = Rc::new(Cell::new(0u64));
     let lost: Rc<RefCell<BTreeSet<usize>>> = Rc::default();
     for courier in 0..COURIERS {
-        for _ in 0..CONSUMERS {
-            let consumer = fleet.client(courier);
+        for _ in 0..CLIENTS_PER_COURIER {
+            let client = fleet.client(courier);
             let (going, number, lost) = (going.clone(), number.clone(), lost.clone());
             spawn_local(async move {
                 while going.get() {
                     // A front that notices a loss within seconds; a few messages get there before.
                     if lost.borrow().contains(&courier) {
-                        sleep(PAUSE).await;
+                        sleep(SUBMIT_INTERVAL).await;
                         continue;
                     }
                     let n = number.get();
@@ -95,12 +95,12 @@
                         key: (class == "paid-notice").then(|| format!("k{n}")),
                         ..MessageRequest::new(class, &format!("m{n}"), 1 + n % 4, time)
                     };
-                    let given = consumer.submit(&message, b"body");
-                    let told = tokio::time::timeout(Duration::from_millis(400), given).await;
-                    if told.is_ok_and(|status| status == 202) {
-                        sleep(PAUSE).await;
+                    let given = client.submit(&message, b"body");
+                    let answer = tokio::time::timeout(Duration::from_millis(400), given).await;
+                    if answer.is_ok_and(|status| status == 202) {
+                        sleep(SUBMIT_INTERVAL).await;
                     } else {
-                        sleep(PAUSE * 4).await;
+                        sleep(SUBMIT_INTERVAL * 4).await;
                     }
                 }
             });
@@ -108,7 +108,7 @@
     }
     let (mut taken, mut none) = (Vec::new(), 0);
     for n in 0..losses {
-        release(&fleet, HOLD).await;
+        release(&fleet, RELEASE_AFTER).await;
         let kind = [Kind::Kill, Kind::Pause, Kind::Cut][draws.usize(0..3)];
         let first = draws.usize(0..COURIERS);
         let mut victims = BTreeSet::from([first]);
@@ -127,11 +127,17 @@
             }
         }
         let mine: BTreeSet<String> = fleet.recorder.read(|record| {
-            let told =
-                record.submissions.iter().rev().take_while(|told| told.submitted_at.at + 17_000_000 > at);
-            let by = told.filter(|told| victims.contains(&told.courier));
-            let taken_on = by.filter(|told| told.answer.is_some_and(|(_, status)| status == 202));
-            taken_on.filter(|told| !record.has_ended(&told.id)).map(|told| told.id.clone()).collect()
+            let recent = record
+                .submissions
+                .iter()
+                .rev()
+                .take_while(|submission| submission.submitted_at.at + 17_000_000 > at);
+            let by = recent.filter(|submission| victims.contains(&submission.courier));
+            let taken_on = by.filter(|submission| submission.answer.is_some_and(|(_, status)| status == 202));
+            taken_on
+                .filter(|submission| !record.has_ended(&submission.id))
+                .map(|submission| submission.id.clone())
+                .collect()
         });
         if mine.is_empty() {
             none += 1;
@@ -155,7 +161,7 @@
         lost.borrow_mut().clear();
         // Copies are made up for before the next loss: two at once is the most that two copies bear.
         for courier in 0..COURIERS {
-            while fleet.get(courier, "/-/ready").await.map_or(0, |told| told.0) != 200 {
+            while fleet.get(courier, "/-/ready").await.map_or(0, |answer| answer.0) != 200 {
                 release(&fleet, Duration::from_millis(20)).await;
             }
         }
@@ -166,9 +172,13 @@
         release(&fleet, Duration::from_millis(100)).await;
     }
     let findings = audit(&fleet.history(AuditRules::default()));
-    let (told, on, calls, notices) = fleet.recorder.read(|record| {
-        let on = record.submissions.iter().filter(|told| told.answer.is_some_and(|(_, s)| s == 202)).count();
-        (record.submissions.len(), on, record.calls.len(), record.notices.len())
+    let (submitted, accepted, calls, notices) = fleet.recorder.read(|record| {
+        let accepted = record
+            .submissions
+            .iter()
+            .filter(|submission| submission.answer.is_some_and(|(_, s)| s == 202))
+            .count();
+        (record.submissions.len(), accepted, record.calls.len(), record.notices.len())
     });
     taken.sort_unstable();
     let at = |part: f64| taken.get(((taken.len() as f64 * part) as usize).min(taken.len().saturating_sub(1)));
@@ -176,7 +186,7 @@
     println!(
         "losses {losses} (seed {seed}, lease {LEASE}, {COURIERS} couriers, {COPIES} copies), {none} with nothing in hand"
     );
-    println!("messages handed in {told}, taken on {on}, calls {calls}, notices {notices}");
+    println!("messages submitted {submitted}, accepted {accepted}, calls {calls}, notices {notices}");
     println!(
         "from a loss to a taker's first word: median {}, 99th percentile {}, worst {}",
         seconds(at(0.5)),
--- a/courier/program/examples/per_message.rs
+++ b/courier/program/examples/per_message.rs
@@ -56,10 +56,10 @@
     let folder = std::env::temp_dir().join(format!("quillmount-cost-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder)?;
-    let (provider, platform) = (TcpListener::bind("127.0.0.1:0")?, TcpListener::bind("127.0.0.1:0")?);
-    let config = config(&folder, &provider, &platform)?;
+    let (endpoint, platform) = (TcpListener::bind("127.0.0.1:0")?, TcpListener::bind("127.0.0.1:0")?);
+    let config = config(&folder, &endpoint, &platform)?;
     let (answered, answers) = channel();
-    each(provider, move |stream| serve_provider(stream, &answered));
+    each(endpoint, move |stream| serve_endpoint(stream, &answered));
     each(platform, serve_platform);
     let mut command = Command::new(if counted { "valgrind" } else { program });
     if counted {
@@ -68,14 +68,14 @@
     }
     command.env("GW_CONFIG", &config).env("GW_STATE", folder.join("state")).env("RUST_LOG", "info");
     let mut child = command.stderr(Stdio::piped()).spawn()?;
-    let told = hand_in(&mut child, messages, &answers);
+    let submitted = submit_all(&mut child, messages, &answers);
     let memory = resident(child.id());
     // SIGTERM, which the courier takes for a planned stop.
     Command::new("kill").arg(child.id().to_string()).status()?;
     child.wait()?;
-    let text = told?.join().map_err(|_| Error::other("its log could not be read"))?;
-    let number = |words: &str| {
-        let rest = text.rsplit_once(words)?.1;
+    let text = submitted?.join().map_err(|_| Error::other("its log could not be read"))?;
+    let number = |label: &str| {
+        let rest = text.rsplit_once(label)?.1;
         rest.split(|c: char| !c.is_ascii_digit()).next()?.parse::<f64>().ok()
     };
     let delivered = number(" delivered=").unwrap_or(0.0);
@@ -90,12 +90,12 @@
     Ok((instructions, memory?))
 }
 
-fn config(folder: &Path, provider: &TcpListener, platform: &TcpListener) -> Result<PathBuf> {
+fn config(folder: &Path, endpoint: &TcpListener, platform: &TcpListener) -> Result<PathBuf> {
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../example/config.json");
     let text = std::fs::read_to_string(example)?
         .replace("127.0.0.1:7070", "127.0.0.1:0")
         .replace("127.0.0.1:8500", &platform.local_addr()?.to_string())
-        .replace("127.0.0.1:9001", &provider.local_addr()?.to_string());
+        .replace("127.0.0.1:9001", &endpoint.local_addr()?.to_string());
     let path = folder.join("config.json");
     std::fs::write(&path, text)?;
     Ok(path)
@@ -103,7 +103,11 @@
 
 /// Hands in messages one after the other, each once its provider has answered the one before; what the
 /// courier goes on to say is read beside it.
-fn hand_in(child: &mut Child, messages: u64, answers: &Receiver<()>) -> Result<thread::JoinHandle<String>> {
+fn submit_all(
+    child: &mut Child,
+    messages: u64,
+    answers: &Receiver<()>,
+) -> Result<thread::JoinHandle<String>> {
     let mut log = BufReader::new(child.stderr.take().ok_or_else(|| Error::other("no log"))?);
     let addr = loop {
         let mut line = String::new();
@@ -179,7 +183,7 @@
     Ok(Some(first))
 }
 
-fn serve_provider(mut stream: TcpStream, answered: &Sender<()>) -> Result<()> {
+fn serve_endpoint(mut stream: TcpStream, answered: &Sender<()>) -> Result<()> {
     stream.set_nodelay(true)?;
     let mut reader = BufReader::new(stream.try_clone()?);
     while message(&mut reader)?.is_some() {
--- a/courier/program/examples/streaming.rs
+++ b/courier/program/examples/streaming.rs
@@ -67,19 +67,19 @@
 }
 
 /// A courier whose destinations 1 to `dests` all stand at one provider.
-fn courier(provider: SocketAddr, dests: u64) -> Result<Courier> {
-    let (tell, told) = std::sync::mpsc::channel();
+fn courier(endpoint: SocketAddr, dests: u64) -> Result<Courier> {
+    let (sender, receiver) = std::sync::mpsc::channel();
     thread::spawn(move || -> Result<()> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         tokio::task::LocalSet::new().block_on(&runtime, async {
             let (observer, _) = Observer::channel();
             let (_keep, list) = tokio::sync::watch::channel(String::new());
-            let _ = tell.send(platform::open(observer, list).await?);
+            let _ = sender.send(platform::open(observer, list).await?);
             std::future::pending::<Result<()>>().await
         })
     });
-    let platform = told.recv().map_err(Error::other)?;
-    let mut setup = Setup::new(program()?, platform, (1..=dests).map(|dest| (dest, provider)).collect());
+    let platform = receiver.recv().map_err(Error::other)?;
+    let mut setup = Setup::new(program()?, platform, (1..=dests).map(|dest| (dest, endpoint)).collect());
     setup.operator = Some(json!({"version": 1, "streams": {"on": true, "largest": "8 GiB", "longest": "1h",
         "memory": "32 MiB", "share_of_slots": 1.0, "share_of_window": 1.0}}));
     (setup.slots, setup.open_cap) = (400, 4_000);
@@ -117,7 +117,7 @@
 
 /// A provider that reads at `rate` bytes a second (0: as fast as it can) and answers 200; bodies of over 64 KiB are
 /// read up to `stop` bytes.
-fn provider(rate: u64, stop: u64, arrivals: Arrivals) -> Result<SocketAddr> {
+fn endpoint(rate: u64, stop: u64, arrivals: Arrivals) -> Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let addr = listener.local_addr()?;
     thread::spawn(move || {
@@ -224,7 +224,7 @@
 }
 
 fn speed() -> Result<()> {
-    let sink = provider(0, u64::MAX, Arrivals::default())?;
+    let sink = endpoint(0, u64::MAX, Arrivals::default())?;
     let courier = courier(sink, 1)?;
     let (relay, at) = bare(sink, 0)?;
     let (large, large_at) = bare(sink, BLOCK)?;
@@ -258,7 +258,7 @@
 }
 
 fn memory(streams: u64, seconds: u64) -> Result<()> {
-    let slow = provider(50_000, u64::MAX, Arrivals::default())?;
+    let slow = endpoint(50_000, u64::MAX, Arrivals::default())?;
     let courier = courier(slow, streams)?;
     let idle = courier.memory().0;
     for n in 1..=streams {
@@ -325,14 +325,14 @@
 /// The small messages' median and 99th percentile in milliseconds, and what the streams moved, in GB/s.
 fn beside(what: &str, streams: usize, stop: u64) -> Result<(f64, f64, f64)> {
     let arrivals = Arrivals::default();
-    let sink = provider(0, stop, arrivals.clone())?;
+    let sink = endpoint(0, stop, arrivals.clone())?;
     let courier = courier(sink, STREAMS as u64)?;
-    let (over, moved) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
+    let (ended, moved) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
     for n in 0..streams {
-        let (to, over, moved) = (courier.addr, over.clone(), moved.clone());
+        let (to, ended, moved) = (courier.addr, ended.clone(), moved.clone());
         thread::spawn(move || {
             for round in 0.. {
-                if over.load(Relaxed) {
+                if ended.load(Relaxed) {
                     return;
                 }
                 let text = head(&format!("l{n}-{round}"), n as u64 + 1, GB / 10, 600);
@@ -344,7 +344,7 @@
     }
     thread::sleep(Duration::from_secs(2));
     let sent = submit(courier.addr)?;
-    over.store(true, Relaxed);
+    ended.store(true, Relaxed);
     thread::sleep(Duration::from_millis(500));
     let arrivals = arrivals.lock().map_err(|_| Error::other("a thread died"))?;
     let taken = |(id, at): (&String, &Instant)| Some(arrivals.get(id)?.saturating_duration_since(*at));
--- a/tools/explore/src/action.rs
+++ b/tools/explore/src/action.rs
@@ -31,7 +31,9 @@
     Wait,
     Slots,
     Exhausted,
-    Over,
+    /// 410: the endpoint says that nothing more is owed for the message.
+    #[serde(rename = "over")]
+    Gone,
     /// 200 at first, then it breaks off.
     CutOk,
     /// 503 at first, then it breaks off.
@@ -52,7 +54,7 @@
             Answer::Wait => b"HTTP/1.1 429 X\r\nRetry-After: 0.7\r\nContent-Length: 0\r\n\r\n",
             Answer::Slots => b"HTTP/1.1 503 X\r\nX-Over-Slots: 1\r\nContent-Length: 0\r\n\r\n",
             Answer::Exhausted => b"HTTP/1.1 504 X\r\nContent-Length: 0\r\n\r\n",
-            Answer::Over => b"HTTP/1.1 410 X\r\nContent-Length: 0\r\n\r\n",
+            Answer::Gone => b"HTTP/1.1 410 X\r\nContent-Length: 0\r\n\r\n",
             Answer::CutOk => b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart",
             Answer::CutFull => b"HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\npart",
             Answer::Interim => b"HTTP/1.1 102 X\r\n\r\n",
@@ -69,7 +71,7 @@
 
     /// It proves that the call never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Answer::Full | Answer::Wait | Answer::Slots | Answer::Exhausted | Answer::Over)
+        matches!(self, Answer::Full | Answer::Wait | Answer::Slots | Answer::Exhausted | Answer::Gone)
     }
 }
 
--- a/tools/explore/src/fingerprint.rs
+++ b/tools/explore/src/fingerprint.rs
@@ -79,9 +79,9 @@
 
     fn write(&mut self, bytes: &[u8]) {
         for chunk in bytes.chunks(8) {
-            let mut word = [0; 8];
-            word[..chunk.len()].copy_from_slice(chunk);
-            self.visit_u64(u64::from_le_bytes(word));
+            let mut buffer = [0; 8];
+            buffer[..chunk.len()].copy_from_slice(chunk);
+            self.visit_u64(u64::from_le_bytes(buffer));
         }
         self.visit_u64(bytes.len() as u64);
     }
--- a/tools/explore/src/main.rs
+++ b/tools/explore/src/main.rs
@@ -284,8 +284,8 @@
 
 /// The arguments of a case in `proof`, as `check` would have them.
 fn parse_case(text: &str) -> Result<Check, String> {
-    let words = ["quillmount-explore", "check"].into_iter().chain(text.split_whitespace());
-    match Cli::try_parse_from(words).map_err(|e| e.to_string())?.command {
+    let arguments = ["quillmount-explore", "check"].into_iter().chain(text.split_whitespace());
+    match Cli::try_parse_from(arguments).map_err(|e| e.to_string())?.command {
         Command::Check(check) => Ok(check),
         _ => Err(format!("{text:?} is no case")),
     }
--- a/tools/explore/src/monitor.rs
+++ b/tools/explore/src/monitor.rs
@@ -153,15 +153,15 @@
         now: Micros,
         message: usize,
         attempt: u32,
-        provider: u8,
+        endpoint: u8,
     ) -> Result<(), Violation> {
         if let Some(announced_at) =
-            self.drains.get(&provider).filter(|announced_at| now > **announced_at + DRAIN_GRACE)
+            self.drains.get(&endpoint).filter(|announced_at| now > **announced_at + DRAIN_GRACE)
         {
             return violated(
                 Property::Drain,
                 format!(
-                    "m{message} goes to provider {provider} {} us after its drain was told",
+                    "m{message} goes to provider {endpoint} {} us after its drain was told",
                     now - announced_at
                 ),
             );
--- a/tools/explore/src/world.rs
+++ b/tools/explore/src/world.rs
@@ -169,8 +169,8 @@
 
     /// Numbers of messages and providers that are in use, in order.
     pub fn active_ids(&self) -> (Vec<u64>, Vec<u32>) {
-        let (messages, providers) = self.hub.router.names();
-        (messages.collect(), providers.collect())
+        let (messages, endpoints) = self.hub.router.names();
+        (messages.collect(), endpoints.collect())
     }
 
     pub fn is_up(&self) -> bool {
@@ -239,7 +239,7 @@
                         (Answer::Wait, Some(FaultKind::Wait)),
                         (Answer::Slots, Some(FaultKind::Slots)),
                         (Answer::Exhausted, Some(FaultKind::Exhausted)),
-                        (Answer::Over, Some(FaultKind::MessageGone)),
+                        (Answer::Gone, Some(FaultKind::MessageGone)),
                         (Answer::CutOk, Some(FaultKind::TruncatedAnswer)),
                         (Answer::CutFull, Some(FaultKind::TruncatedAnswer)),
                         (Answer::Interim, Some(FaultKind::Interim)),
@@ -764,7 +764,7 @@
         let m = &mut self.monitor.messages[message];
         // Later it counts for nobody but the provider.
         m.delivered |= answer.delivers() && self.now < m.deadline;
-        m.gone |= answer == Answer::Over;
+        m.gone |= answer == Answer::Gone;
         if answer == Answer::Wait {
             let until = self.now + Answer::WAIT_MS * 1_000;
             let wait = self.monitor.waits.entry(m.dest).or_insert((self.now, until));
