--- a/tier/node/src/clock.rs
+++ b/tier/node/src/clock.rs
@@ -1,25 +1,31 @@
-//! Clocks: the steady one for every decision, the time of day for usage windows only.
+//! The clocks of a process, and the random numbers that it identifies itself with.
+//!
+//! Every decision is made on the steady clock ([`micros`]), which no correction of the machine's time moves. The time of
+//! day ([`wall_seconds`]) numbers usage windows and quota claims, which have to mean the same on all machines.
 
 use std::sync::OnceLock;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Microseconds of the steady clock since the process began, a second ahead so that spans can be taken off.
+/// Added to the steady clock, microseconds: an earlier moment can be computed by subtraction right from the start.
+const STEADY_CLOCK_ORIGIN: u64 = 1_000_000;
+
+/// Microseconds on the steady clock, counted from one second before its first use in this process.
 pub fn micros() -> u64 {
     static START: OnceLock<Instant> = OnceLock::new();
-    START.get_or_init(Instant::now).elapsed().as_micros() as u64 + 1_000_000
+    START.get_or_init(Instant::now).elapsed().as_micros() as u64 + STEADY_CLOCK_ORIGIN
 }
 
-/// Seconds since the start of 1970.
+/// Seconds since 1970-01-01 00:00 UTC by the machine's clock; 0 if that clock stands before it.
 pub fn wall_seconds() -> f64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |span| span.as_secs_f64())
 }
 
-/// A span of milliseconds.
+/// Converts milliseconds to a duration; negative values count as 0.
 pub fn millis(span: f64) -> Duration {
     Duration::from_micros((span.max(0.0) * 1000.0) as u64)
 }
 
-/// A number that nobody can guess; 1 or more.
+/// Draws an identifier from the system's random numbers, never 0. Where there are none, the steady clock stands in.
 pub fn random_id() -> u64 {
     getrandom::u64().unwrap_or_else(|_| micros()).max(1)
 }
--- a/tier/node/src/commands.rs
+++ b/tier/node/src/commands.rs
@@ -1,10 +1,14 @@
-//! The command line.
+//! The command line: its subcommands, and what each of them starts.
 
 use crate::{control_member, edge, store};
 use argh::FromArgs;
 use miette::IntoDiagnostic;
 use quillmount_wire::configuration::Configuration;
 use quillmount_wire::settings::Settings;
+use std::path::Path;
+
+/// Filter of the log where neither `--log` nor `RUST_LOG` is given.
+const LOG_DEFAULT: &str = "warn";
 
 /// Serving tier for language-model endpoints with a batch interface.
 #[derive(FromArgs)]
@@ -67,17 +71,7 @@
 #[argh(subcommand, name = "version")]
 struct Version {}
 
-/// Filter of the log where `RUST_LOG` says nothing.
-const LOG_DEFAULT: &str = "warn";
-
-/// Starts the log on standard error.
-fn init_log(filter: &str) {
-    let filter = tracing_subscriber::EnvFilter::try_from_default_env()
-        .unwrap_or_else(|_| tracing_subscriber::EnvFilter::new(filter));
-    tracing_subscriber::fmt().with_env_filter(filter).with_ansi(false).with_writer(std::io::stderr).init();
-}
-
-/// Runs a command.
+/// Runs a command to its end: a role until it is asked to stop. An error is a message for the person who started it.
 pub async fn run(command: CommandLine) -> miette::Result<()> {
     match command.command {
         Command::Courier(Courier { log }) => {
@@ -90,7 +84,7 @@
         }
         Command::Check(check) => run_check(&check),
         Command::Inspect(inspect) => {
-            control_member::inspect::print(std::path::Path::new(&inspect.folder)).into_diagnostic()
+            control_member::inspect::print(Path::new(&inspect.folder)).into_diagnostic()
         }
         Command::Version(Version {}) => {
             println!("quillmount-node {}", env!("CARGO_PKG_VERSION"));
@@ -99,6 +93,7 @@
     }
 }
 
+/// Checks the files that are given; the first fault found is the error.
 fn run_check(check: &Check) -> miette::Result<()> {
     if let Some(path) = &check.settings {
         Settings::parse(&std::fs::read_to_string(path).into_diagnostic()?, path)?;
@@ -111,3 +106,10 @@
     }
     Ok(())
 }
+
+/// Starts the log on standard error; `RUST_LOG` goes before `filter`.
+fn init_log(filter: &str) {
+    let filter = tracing_subscriber::EnvFilter::try_from_default_env()
+        .unwrap_or_else(|_| tracing_subscriber::EnvFilter::new(filter));
+    tracing_subscriber::fmt().with_env_filter(filter).with_ansi(false).with_writer(std::io::stderr).init();
+}
--- a/tier/node/src/control_member/bootstrap.rs
+++ b/tier/node/src/control_member/bootstrap.rs
@@ -1,6 +1,11 @@
-//! The first start of the whole system.
+//! The first start of a new system: members that find their disks empty agree on who they are, and one of them writes the
+//! first value of the control state.
+//!
+//! Each announces itself to all seeds until every seed has answered and the gathering time is over. The member with the
+//! lowest address then writes the first value. A member that learns of an existing value stops: the primary admits it when
+//! it polls.
 
-use super::register::ControlMember;
+use super::member::ControlMember;
 use crate::clock;
 use crate::node::Node;
 use quillmount_control::ControlState;
@@ -10,23 +15,23 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Pause between two rounds of announcements.
+/// Delay between two rounds of announcements.
 const ROUND_INTERVAL: Duration = Duration::from_millis(100);
-/// A seed without an answer for so long is asked again.
+/// A seed without an answer for this long counts as silent in this round.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// All start within less than this, microseconds.
+/// Time in which all machines of a new system start, microseconds.
 const GATHER_TIME: u64 = 1_500_000;
-/// Newcomers remembered at most.
+/// Most announcing machines that are remembered.
 const KNOWN_LIMIT: usize = 64;
 
-/// Machines with an empty disk that have told of themselves at the first start.
+/// Members with an empty disk that have announced themselves, by internal address.
 #[derive(Default)]
 pub struct NodeAnnouncements {
     known: RefCell<BTreeMap<String, NodeInfo>>,
 }
 
 impl NodeAnnouncements {
-    /// Takes note of one that could be a member from the first.
+    /// Records a machine that could be a member from the start.
     pub fn record(&self, node: &NodeInfo) {
         let mut known = self.known.borrow_mut();
         if known.len() < KNOWN_LIMIT || known.contains_key(&node.internal) {
@@ -34,13 +39,25 @@
         }
     }
 
-    /// All that are known, by address.
+    /// All that are known, sorted by address.
     pub fn all(&self) -> Vec<NodeInfo> {
         self.known.borrow().values().cloned().collect()
     }
 }
 
-/// Answers an announcement; `core` is the member here, if this machine has one.
+/// The outcome of a round of announcements.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum AnnounceRound {
+    /// Every seed has answered.
+    Complete,
+    /// At least one seed did not answer.
+    Incomplete,
+    /// The system has a value already: a latecomer must not write another.
+    HasBegun,
+}
+
+/// Answers an announcement of `from`; `core` is this machine's member, if it has one. `bootstrap` says whether the sender is
+/// to take part in the first start.
 pub fn answer(
     node: &Node,
     core: Option<&ControlMember>,
@@ -51,12 +68,12 @@
     if bootstrap && from.role == NodeRole::Core {
         announcements.record(from);
     }
-    // Whoever knows of a value, or of a table, knows that the system has begun.
-    let empty = core.is_none_or(ControlMember::is_blank) && node.last_answer.get() == 0;
+    // A value in the register, or an answer of a primary, shows that the system exists already.
+    let empty = core.is_none_or(ControlMember::is_blank) && !node.core.has_ever_answered();
     Response::Announced { node: node.info.clone(), empty, known: announcements.all() }
 }
 
-/// Announces this machine to all seeds until a first value is there; the first by address writes it.
+/// Announces this machine to all seeds until there is a first value, which the member with the lowest address writes.
 pub async fn run(core: Rc<ControlMember>, announcements: Rc<NodeAnnouncements>) {
     let began = clock::micros();
     announcements.record(&core.node.info);
@@ -64,7 +81,7 @@
         let complete = match announce(&core, &announcements).await {
             AnnounceRound::Complete => true,
             AnnounceRound::Incomplete => false,
-            // It is admitted by its polls.
+            // The primary admits this machine when it polls.
             AnnounceRound::HasBegun => return,
         };
         let gathered = clock::micros().saturating_sub(began) > GATHER_TIME;
@@ -78,22 +95,12 @@
     }
 }
 
-/// What a round of announcements came to.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum AnnounceRound {
-    /// Every seed has answered.
-    Complete,
-    Incomplete,
-    /// The system has a value already: one that is late must not write another.
-    HasBegun,
-}
-
-/// One round.
+/// Announces this machine to each seed once, and records the machines that they know.
 async fn announce(core: &ControlMember, announcements: &NodeAnnouncements) -> AnnounceRound {
     let request = Request::Announce { node: core.node.info.clone(), bootstrap: true };
     let mut round = AnnounceRound::Complete;
-    for peer in &core.node.settings.seeds {
-        let address = core.node.settings.internal_address_of(peer);
+    for seed in &core.node.settings.seeds {
+        let address = core.node.settings.internal_address_of(seed);
         if address == core.node.info.internal {
             continue;
         }
@@ -106,6 +113,7 @@
     round
 }
 
+/// Proposes the control state that has these members, and nothing else.
 fn write_first_value(core: &ControlMember, members: Vec<NodeInfo>) {
     let addresses: Vec<(DiskId, String)> =
         members.iter().map(|node| (node.disk, node.internal.clone())).collect();
--- a/tier/node/src/control_member/leases.rs
+++ b/tier/node/src/control_member/leases.rs
@@ -1,43 +1,51 @@
-//! Leases of couriers and stores at the primary of the core, and what came with them.
+//! Leases of couriers and stores at the primary of the core, with what each process last reported.
+//!
+//! Every poll renews its sender's lease. Leases are in memory only: a new primary starts with none, and knows who is live
+//! once all processes have polled it.
 
+use super::usage::UsageTotals;
 use crate::clock;
 use quillmount_control::{LastHeard, all_reported};
 use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, Poll, ServiceLoad, ShardReport, UsageWindow};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A process that has not polled for so long has lost its lease, microseconds.
+/// A lease that was not renewed for this long has expired, microseconds.
 const LEASE_DURATION: u64 = 1_100_000;
-/// Leases at most.
+/// From this many leases on, expired ones are dropped.
 const LEASE_LIMIT: usize = 4096;
-/// Couriers named as relays.
-const RELAYS: usize = 6;
-/// Usage windows kept.
-const WINDOW_LIMIT: usize = 16;
-/// Shard reports are used for so long, microseconds.
+/// Most couriers that are named as relays.
+const RELAY_LIMIT: usize = 6;
+/// Shard reports count for this long after the poll that brought them, microseconds.
 const REPORT_TTL: u64 = 600_000;
 
+/// The lease of one process.
 struct Lease {
     node: NodeInfo,
+    /// Moment of the last poll on the steady clock, microseconds.
     renewed: u64,
     draining: bool,
     reports: Vec<ShardReport>,
+    /// Calls that could run at once, by service.
     demand: Vec<(String, f64)>,
+    /// Items of batch jobs that wait or run, by service.
     items: Vec<(String, u32)>,
 }
 
-/// Counts of one process in one window, by tenant.
-type Counts = BTreeMap<String, u64>;
+impl Lease {
+    fn is_store(&self) -> bool {
+        self.node.role == NodeRole::Store
+    }
+}
 
-/// All leases.
+/// The leases of all processes, by disk.
 #[derive(Default)]
 pub struct Leases {
     leases: HashMap<DiskId, Lease>,
-    /// By window, then by the process's incarnation.
-    usage: BTreeMap<u64, HashMap<u64, Counts>>,
+    usage: UsageTotals,
 }
 
 impl Leases {
-    /// Renews the lease of a poll's sender.
+    /// Renews the lease of a poll's sender and records what the poll reports.
     pub fn renew(&mut self, poll: &Poll) {
         let now = clock::micros();
         if self.leases.len() >= LEASE_LIMIT {
@@ -52,36 +60,25 @@
             items: poll.items.clone(),
         };
         self.leases.insert(poll.node.disk, lease);
-        for UsageWindow { window, counts } in &poll.usage {
-            let counts = counts.iter().cloned().collect();
-            self.usage.entry(*window).or_default().insert(poll.incarnation, counts);
-        }
-        while self.usage.len() > WINDOW_LIMIT {
-            self.usage.pop_first();
-        }
-    }
-
-    fn live(&self) -> impl Iterator<Item = &Lease> {
-        let now = clock::micros();
-        self.leases.values().filter(move |lease| now.saturating_sub(lease.renewed) < LEASE_DURATION)
+        self.usage.update(poll.incarnation, &poll.usage);
     }
 
-    /// Processes alive.
+    /// Number of live processes that are not draining: those that share the endpoints.
     pub fn senders(&self) -> u32 {
         self.live().filter(|lease| !lease.draining).count() as u32
     }
 
-    /// Places that all live processes need at once at a service's endpoints.
+    /// Calls to a service that could run at once, summed over all live processes.
     pub fn demand(&self, service: &str) -> f64 {
         let needs = self.live().flat_map(|lease| &lease.demand);
         needs.filter(|(name, _)| name == service).map(|(_, places)| places).sum()
     }
 
-    /// What each service's endpoints are asked for.
+    /// Demand of live requests and items of batch jobs on each service, sorted by service.
     pub fn loads(&self) -> Vec<ServiceLoad> {
         let mut loads: BTreeMap<&str, ServiceLoad> = BTreeMap::new();
         for lease in self.live() {
-            if lease.node.role != NodeRole::Store {
+            if !lease.is_store() {
                 for (service, places) in &lease.demand {
                     loads.entry(service).or_default().live_demand += places;
                 }
@@ -95,7 +92,7 @@
         loads.into_iter().map(named).collect()
     }
 
-    /// Some couriers without a disk, of every zone in turn.
+    /// Internal addresses of some live couriers without a disk, taken from each zone in turn.
     pub fn relays(&self) -> Vec<String> {
         let mut zones: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
         let couriers = self.live().filter(|lease| lease.node.role == NodeRole::Courier && !lease.draining);
@@ -103,30 +100,30 @@
             zones.entry(&lease.node.zone).or_default().push(&lease.node.internal);
         }
         zones.values_mut().for_each(|zone| zone.sort_unstable());
-        let rank = |rank: usize| zones.values().filter_map(move |zone| zone.get(rank));
-        (0..RELAYS).flat_map(rank).take(RELAYS).map(|address| (*address).to_owned()).collect()
+        let of_rank = |rank: usize| zones.values().filter_map(move |zone| zone.get(rank));
+        (0..RELAY_LIMIT).flat_map(of_rank).take(RELAY_LIMIT).map(|address| (*address).to_owned()).collect()
     }
 
-    /// Stores alive.
+    /// Disks of the live stores.
     pub fn live_stores(&self) -> BTreeSet<DiskId> {
-        self.live().filter(|lease| lease.node.role == NodeRole::Store).map(|lease| lease.node.disk).collect()
+        self.live().filter(|lease| lease.is_store()).map(|lease| lease.node.disk).collect()
     }
 
-    /// Stores about to stop.
+    /// Disks of the live processes that are draining.
     pub fn draining_stores(&self) -> BTreeSet<DiskId> {
         self.live().filter(|lease| lease.draining).map(|lease| lease.node.disk).collect()
     }
 
-    /// What primaries of shards reported lately.
+    /// Recent reports of shard primaries.
     pub fn reports(&self) -> Vec<ShardReport> {
         let now = clock::micros();
         let recent = self.leases.values().filter(|lease| now.saturating_sub(lease.renewed) < REPORT_TTL);
         recent.flat_map(|lease| lease.reports.iter().cloned()).collect()
     }
 
-    /// Whether every process that counts requests has polled since a moment of the steady clock.
+    /// Whether every process that counts requests has polled since a moment of the steady clock (microseconds).
     pub fn all_heard_since(&self, since: u64) -> bool {
-        let couriers = self.leases.values().filter(|lease| lease.node.role != NodeRole::Store);
+        let couriers = self.leases.values().filter(|lease| !lease.is_store());
         let heard = couriers.map(|lease| LastHeard {
             name: &lease.node.name,
             at: lease.renewed,
@@ -135,19 +132,18 @@
         all_reported(heard, since, clock::micros())
     }
 
-    /// Whether a process has polled since a moment of the steady clock, or is stopping.
+    /// Whether a process has polled since a moment of the steady clock (microseconds), or is draining.
     pub fn heard_since(&self, disk: DiskId, since: u64) -> bool {
         self.leases.get(&disk).is_some_and(|lease| lease.draining || lease.renewed >= since)
     }
 
-    /// Requests that began in a window, as far as told.
+    /// Requests that began to run in a usage window, as far as reported.
     pub fn usage(&self, window: u64) -> UsageWindow {
-        let mut total: BTreeMap<String, u64> = BTreeMap::new();
-        for counts in self.usage.get(&window).into_iter().flat_map(HashMap::values) {
-            for (tenant, count) in counts {
-                *total.entry(tenant.clone()).or_default() += count;
-            }
-        }
-        UsageWindow { window, counts: total.into_iter().collect() }
+        self.usage.total(window)
+    }
+
+    fn live(&self) -> impl Iterator<Item = &Lease> {
+        let now = clock::micros();
+        self.leases.values().filter(move |lease| now.saturating_sub(lease.renewed) < LEASE_DURATION)
     }
 }
--- a/tier/node/src/control_member/mod.rs
+++ b/tier/node/src/control_member/mod.rs
@@ -1,14 +1,20 @@
-//! The core: couriers with a disk agree on the control state, and their primary serves it.
+//! A member of the core: couriers with a disk agree on the control state, and their primary serves it.
+//!
+//! [`ControlMember`] carries out what the consensus group of `quillmount_control` decides. The modules beside it are
+//! tasks and answers on top of it, most of which act only at the primary: answers to polls (`polls`, with the `leases` of
+//! who polls and their `usage` counts), the operator's interface (`operator`), the endpoint list (`directory`), planning
+//! and calls to the platform (`singletons`, `scaling`), and announcements (`bootstrap`, `seeds`).
 
 pub mod bootstrap;
 pub mod directory;
 pub mod inspect;
-pub mod leases;
+mod leases;
+mod member;
 pub mod operator;
 pub mod polls;
-pub mod register;
 pub mod scaling;
 pub mod seeds;
 pub mod singletons;
+mod usage;
 
-pub use register::ControlMember;
+pub use member::ControlMember;
--- a/tier/node/src/control_member/operator.rs
+++ b/tier/node/src/control_member/operator.rs
@@ -1,36 +1,37 @@
-//! The operator's interface.
+//! The operator's interface over HTTP: reading and changing the configuration, and retiring stores.
+//!
+//! Only the primary of the core answers; other couriers redirect to it. Where the outcome of a change is unknown the
+//! connection is closed without an answer, as neither success nor failure would be true.
 
-use super::register::{ChangeError, ControlMember};
+use super::member::{ChangeError, ControlMember};
 use crate::http::{HttpRequest, HttpResponse};
 use crate::node::Node;
 use miniserde::{Serialize, json};
 use quillmount_control::{Order, OrderKind, OrderOutcome, Retirement};
 use std::rc::Rc;
 
-/// Status of an error, as JSON.
+/// Text of an error, as JSON.
 #[derive(Serialize)]
 struct ErrorBody {
     #[serde(rename = "Error")]
     error: String,
 }
 
+/// Phase of a retirement, as JSON.
 #[derive(Serialize)]
 struct PhaseBody {
     #[serde(rename = "Phase")]
     phase: String,
 }
 
+/// Version that a change of the configuration produced, as JSON.
 #[derive(Serialize)]
 struct VersionBody {
     #[serde(rename = "Gen")]
     version: u64,
 }
 
-fn error_response(status: u16, error: impl std::fmt::Display) -> HttpResponse {
-    HttpResponse::json(status, json::to_string(&ErrorBody { error: error.to_string() }))
-}
-
-/// Answers a request of the operator; `None` where the outcome is uncertain.
+/// Answers a request of the operator; `None` where the outcome is unknown. `core` is this machine's member, if it has one.
 pub async fn answer(
     node: Rc<Node>,
     core: Option<Rc<ControlMember>>,
@@ -42,7 +43,7 @@
     }
 }
 
-/// Sends the caller to the primary.
+/// Redirects the caller to the primary, if its address is known and is not this one.
 fn redirect(node: &Node, request: &HttpRequest) -> HttpResponse {
     match node.primary_admin().filter(|admin| Some(admin) != node.settings.sockets.admin.as_ref()) {
         Some(admin) => {
@@ -53,26 +54,27 @@
     }
 }
 
-fn unavailable() -> HttpResponse {
-    error_response(503, "no primary of the core is known here: come again")
-        .with_header("Retry-After", "0.2".to_owned())
-}
-
+/// Answers at the primary.
 async fn serve(core: &Rc<ControlMember>, request: &HttpRequest) -> Option<HttpResponse> {
     let method = request.head.method.as_str();
     let path = request.head.target.split('?').next().unwrap_or_default();
     let segments: Vec<&str> = path.trim_start_matches('/').split('/').collect();
     match (method, segments.as_slice()) {
-        ("POST", ["-", "config", "put"]) => order(core, OrderKind::Put, request).await,
-        ("POST", ["-", "config", "patch"]) => order(core, OrderKind::Patch, request).await,
-        ("GET", ["-", "config", "get"]) => read(core).await,
-        ("POST", ["-", "retire", store, "start"]) => retire(core, store).await,
-        ("GET", ["-", "retire", store, "get"]) => Some(retirement(core, store).await),
+        ("POST", ["-", "config", "put"]) => change_configuration(core, OrderKind::Put, request).await,
+        ("POST", ["-", "config", "patch"]) => change_configuration(core, OrderKind::Patch, request).await,
+        ("GET", ["-", "config", "get"]) => read_configuration(core).await,
+        ("POST", ["-", "retire", store, "start"]) => start_retirement(core, store).await,
+        ("GET", ["-", "retire", store, "get"]) => Some(retirement_status(core, store).await),
         _ => Some(error_response(404, "there is no such call")),
     }
 }
 
-async fn order(core: &ControlMember, kind: OrderKind, request: &HttpRequest) -> Option<HttpResponse> {
+/// Applies a put or patch of the configuration.
+async fn change_configuration(
+    core: &ControlMember,
+    kind: OrderKind,
+    request: &HttpRequest,
+) -> Option<HttpResponse> {
     let base = match request.head.headers.get("Base-Version").map(|base| base.trim().parse()) {
         Some(Ok(base)) => base,
         None => 0,
@@ -90,14 +92,15 @@
             Some(error_response(412, format!("version {current} is in place, not {base}")))
         }
         Ok(OrderOutcome::Invalid(error)) => Some(error_response(400, error)),
-        // It may have been taken long ago: neither yes nor no would be certain.
+        // The same order may have been applied long ago: neither success nor failure is certain.
         Ok(OrderOutcome::Expired) => None,
         Err(ChangeError::NotPrimary) => Some(unavailable()),
         Err(ChangeError::Uncertain) => None,
     }
 }
 
-async fn read(core: &ControlMember) -> Option<HttpResponse> {
+/// Returns the configuration in force, confirmed by a majority.
+async fn read_configuration(core: &ControlMember) -> Option<HttpResponse> {
     if core.confirm().await.is_err() {
         return Some(unavailable());
     }
@@ -108,29 +111,41 @@
     })
 }
 
-async fn retire(core: &ControlMember, store: &str) -> Option<HttpResponse> {
+/// Starts to move all shards away from a store.
+async fn start_retirement(core: &ControlMember, store: &str) -> Option<HttpResponse> {
     let tolerated_failures = core.node.settings.fault_tolerance.machines;
     match core.change(|state| state.retire(store, tolerated_failures)).await {
         Ok(Retirement::Unknown) => Some(error_response(404, "there is no such store")),
         Ok(Retirement::TooFew) => Some(error_response(409, "too few stores would be left")),
-        Ok(Retirement::Serving | Retirement::Done) => Some(phase("serving")),
+        Ok(Retirement::Serving | Retirement::Done) => Some(phase_response("serving")),
         Err(ChangeError::NotPrimary) => Some(unavailable()),
         Err(ChangeError::Uncertain) => None,
     }
 }
 
-fn phase(phase: &str) -> HttpResponse {
-    HttpResponse::json(200, json::to_string(&PhaseBody { phase: phase.to_owned() }))
-}
-
-async fn retirement(core: &ControlMember, store: &str) -> HttpResponse {
+/// Tells how far the retirement of a store is.
+async fn retirement_status(core: &ControlMember, store: &str) -> HttpResponse {
     if core.confirm().await.is_err() {
         return unavailable();
     }
     match core.committed().map(|state| state.retirement(store)) {
-        Some(Retirement::Done) => phase("done"),
-        Some(Retirement::Serving | Retirement::TooFew) => phase("serving"),
+        Some(Retirement::Done) => phase_response("done"),
+        Some(Retirement::Serving | Retirement::TooFew) => phase_response("serving"),
         Some(Retirement::Unknown) => error_response(404, "there is no such store"),
         None => unavailable(),
     }
 }
+
+/// The answer while no primary is known, or this member is no longer primary.
+fn unavailable() -> HttpResponse {
+    error_response(503, "no primary of the core is known here: come again")
+        .with_header("Retry-After", "0.2".to_owned())
+}
+
+fn phase_response(phase: &str) -> HttpResponse {
+    HttpResponse::json(200, json::to_string(&PhaseBody { phase: phase.to_owned() }))
+}
+
+fn error_response(status: u16, error: impl std::fmt::Display) -> HttpResponse {
+    HttpResponse::json(status, json::to_string(&ErrorBody { error: error.to_string() }))
+}
--- a/tier/node/src/control_member/polls.rs
+++ b/tier/node/src/control_member/polls.rs
@@ -1,18 +1,21 @@
-//! Long polls of couriers and stores at the core.
+//! Answers the long polls of couriers and stores.
+//!
+//! At the primary a poll renews its sender's lease and is answered once there are newer tables than the sender has
+//! ([`answer`]). A courier without a member of the core passes polls on to the primary ([`relay`]).
 
-use super::register::ControlMember;
+use super::member::ControlMember;
 use crate::node::Node;
 use quillmount_control::Admission;
 use quillmount_wire::messages::{NodeRole, Poll, Request, Response, TableVersions, Tables};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A poll that is passed on without an answer for so long has failed.
+/// A relayed poll without an answer for this long has failed.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(700);
-/// A poll is held no longer, whatever it asks.
+/// Longest time for which an answer is delayed, whatever the poll allows.
 const MAX_WAIT_LIMIT: Duration = Duration::from_secs(5);
 
-/// Answers a poll, with tables that the asker does not have, or without any after its hold.
+/// Answers a poll with the tables that are newer than the sender's, or without any after the time that it allows.
 pub async fn answer(core: &Rc<ControlMember>, poll: Poll) -> Response {
     if core.serving().is_none() {
         return Response::NotPrimary { hint: core.primary_address() };
@@ -21,43 +24,30 @@
     if !admit(core, &poll).await {
         return Response::NotPrimary { hint: core.primary_address() };
     }
-    // The first table of an incarnation is confirmed: a courier must not begin with one that is no longer in force.
+    // A process must not start with tables that are no longer in force: its first ones are confirmed by a majority.
     if poll.known_versions.configuration == 0 && core.confirm().await.is_err() {
         return Response::NotPrimary { hint: None };
     }
-    let max_wait = Duration::from_millis(poll.max_wait_ms).min(MAX_WAIT_LIMIT);
-    let deadline = tokio::time::Instant::now() + max_wait;
-    loop {
-        let changed = core.changed.notified();
-        let Some(tables) = newer_tables(core, poll.known_versions) else {
-            return Response::NotPrimary { hint: core.primary_address() };
-        };
-        let empty =
-            tables.configuration.is_none() && tables.placement.is_none() && tables.directory.is_none();
-        if !empty || tokio::time::Instant::now() >= deadline {
-            let loads =
-                if poll.node.role == NodeRole::Store { core.leases.borrow().loads() } else { Vec::new() };
-            return Response::Tables(Tables { loads, ..tables });
-        }
-        let _ = tokio::time::timeout_at(deadline, changed).await;
+    match wait_for_tables(core, &poll).await {
+        Some(tables) => Response::Tables(tables),
+        None => Response::NotPrimary { hint: core.primary_address() },
     }
 }
 
-/// Passes a poll on to the primary, for a courier that can't reach it.
+/// Passes a poll on to the primary, for a process that can't reach it.
 pub async fn relay(node: &Node, poll: Poll) -> Response {
-    let primary = node.known_primary.borrow().clone();
-    match primary.filter(|_| !poll.relayed && node.has_recent_primary()) {
-        Some(primary) => {
-            let request = Request::Poll(Poll { relayed: true, ..poll });
-            let answer = node.links.call(&primary, &request, RELAY_TIMEOUT).await;
-            answer.unwrap_or(Response::NotPrimary { hint: None })
-        }
-        // What this courier last heard may be as old as what the asker knows.
-        None => Response::NotPrimary { hint: None },
+    // A poll passes one relay at most. Without a recent primary, what this courier knows may be as old as what the sender
+    // knows.
+    if poll.relayed || !node.core.has_recent_primary() {
+        return Response::NotPrimary { hint: None };
     }
+    let Some(primary) = node.core.primary() else { return Response::NotPrimary { hint: None } };
+    let request = Request::Poll(Poll { relayed: true, ..poll });
+    let answer = node.links.call(&primary, &request, RELAY_TIMEOUT).await;
+    answer.unwrap_or(Response::NotPrimary { hint: None })
 }
 
-/// Admits a newcomer with a disk; whether the poll may be answered.
+/// Adds an unknown process with a disk to the placement; whether its poll may be answered.
 async fn admit(core: &Rc<ControlMember>, poll: &Poll) -> bool {
     let Some(state) = core.committed() else { return false };
     let node = &poll.node;
@@ -77,26 +67,59 @@
         })
         .await;
     if admitted == Ok(Admission::Rejected) {
-        tracing::warn!(node = node.name, "no room for another member");
+        tracing::warn!(
+            node = node.name,
+            disk = node.disk,
+            "rejected a new member: the member limit is reached"
+        );
     }
     admitted.is_ok()
 }
 
-/// Committed tables that are newer than those of the asker; `None` if this member no longer serves, or can't be sure of it:
-/// tables are handed out only while a majority was heard lately.
-fn newer_tables(core: &ControlMember, have: TableVersions) -> Option<Tables> {
+/// Waits until there are tables newer than the sender's, or its time is up; `None` if this member may not serve them.
+async fn wait_for_tables(core: &ControlMember, poll: &Poll) -> Option<Tables> {
+    let max_wait = Duration::from_millis(poll.max_wait_ms).min(MAX_WAIT_LIMIT);
+    let deadline = tokio::time::Instant::now() + max_wait;
+    loop {
+        // Registered before the tables are read, so that no change in between is missed.
+        let changed = core.changed.notified();
+        let tables = newer_tables(core, poll.known_versions)?;
+        let empty =
+            tables.configuration.is_none() && tables.placement.is_none() && tables.directory.is_none();
+        if !empty || tokio::time::Instant::now() >= deadline {
+            let loads =
+                if poll.node.role == NodeRole::Store { core.leases.borrow().loads() } else { Vec::new() };
+            return Some(Tables { loads, ..tables });
+        }
+        // A timeout is handled by the deadline above.
+        let _ = tokio::time::timeout_at(deadline, changed).await;
+    }
+}
+
+/// Committed tables that are newer than those of the sender. `None` unless this member is primary and a majority has
+/// confirmed that recently.
+fn newer_tables(core: &ControlMember, known: TableVersions) -> Option<Tables> {
     let epoch = core.serving()?;
     let state = core.committed_if_recent()?;
     let configuration =
-        (state.version > have.configuration).then(|| (state.version, state.configuration.clone()));
-    let placement = (state.placement_version > have.placement)
+        (state.version > known.configuration).then(|| (state.version, state.configuration.clone()));
+    let placement = (state.placement_version > known.placement)
         .then(|| (state.placement_version, state.placement.clone()));
     let directory = core.directory.borrow();
-    // Who has the list of another epoch's reader gets the whole of this one's.
-    let known = if have.directory.0 == epoch { have.directory.1 } else { 0 };
-    let directory = directory.update_since(known).map(|update| ((epoch, directory.version()), update));
+    // Versions of a list count within one epoch: a sender with the list of another epoch gets this one completely.
+    let (known_epoch, known_version) = known.directory;
+    let known_version = if known_epoch == epoch { known_version } else { 0 };
+    let directory =
+        directory.update_since(known_version).map(|update| ((epoch, directory.version()), update));
     let leases = core.leases.borrow();
-    let (senders, relays) = (leases.senders(), leases.relays());
-    let primary = core.node.info.internal.clone();
-    Some(Tables { epoch, configuration, placement, directory, senders, primary, relays, loads: Vec::new() })
+    Some(Tables {
+        epoch,
+        configuration,
+        placement,
+        directory,
+        senders: leases.senders(),
+        primary: core.node.info.internal.clone(),
+        relays: leases.relays(),
+        loads: Vec::new(),
+    })
 }
--- a/tier/node/src/control_member/scaling.rs
+++ b/tier/node/src/control_member/scaling.rs
@@ -1,7 +1,10 @@
-//! Orders endpoints as the demand of couriers and stores asks for.
+//! Autoscaling: orders endpoints from the platform according to the demand of couriers and stores.
+//!
+//! The primary of the core computes a desired number for each service from the demand that the leases report, and orders
+//! it zone by zone wherever it differs from the last order.
 
-use super::register::ControlMember;
-use super::singletons::{may_act, singleton_call};
+use super::member::ControlMember;
+use super::singletons::{call_as_singleton, may_act};
 use crate::clock;
 use miniserde::{Serialize, json};
 use quillmount_control::Scaler;
@@ -10,11 +13,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Pause between two looks at the demand.
+/// Interval between two evaluations of the demand.
 const SCALE_INTERVAL: Duration = Duration::from_millis(500);
 /// The name of this role in the settings.
 const ROLE: &str = "autoscaler";
 
+/// An order for one service in one zone, as JSON.
 #[derive(Serialize)]
 struct ScaleBody {
     #[serde(rename = "Backend")]
@@ -25,16 +29,24 @@
     desired: u32,
 }
 
-/// What this holder knows and has ordered in one epoch.
+/// What this member knows and has ordered as primary of one epoch.
 #[derive(Default)]
 struct ScaleOrders {
     epoch: u64,
     scalers: HashMap<String, Scaler>,
-    /// By service and zone.
+    /// Last number that the platform accepted, by service and zone.
     ordered: HashMap<(String, String), u32>,
 }
 
-/// Follows the demand whenever this member holds the role.
+/// The endpoints of one service.
+struct ServiceEndpoints {
+    /// Number of endpoints that are up, by zone; zones where all are draining count 0.
+    up_by_zone: BTreeMap<String, u32>,
+    /// Calls that one endpoint runs at a time.
+    capacity: f64,
+}
+
+/// Scales every service whenever this member is primary.
 pub async fn run(core: Rc<ControlMember>) {
     let mut orders = ScaleOrders::default();
     loop {
@@ -51,39 +63,39 @@
     }
 }
 
-/// Endpoints of a service that are up, by zone, and the places of one.
-fn count_endpoints(core: &ControlMember, service: &str) -> (BTreeMap<String, u32>, f64) {
-    let mut zones: BTreeMap<String, u32> = BTreeMap::new();
+fn count_endpoints(core: &ControlMember, service: &str) -> ServiceEndpoints {
+    let mut up_by_zone: BTreeMap<String, u32> = BTreeMap::new();
     let mut capacity = 1.0;
     for endpoint in core.directory.borrow().list().iter() {
         if endpoint.service == service {
-            *zones.entry(endpoint.zone.clone()).or_default() += u32::from(!endpoint.draining);
+            *up_by_zone.entry(endpoint.zone.clone()).or_default() += u32::from(!endpoint.draining);
             capacity = f64::from(endpoint.capacity);
         }
     }
-    (zones, capacity)
+    ServiceEndpoints { up_by_zone, capacity }
 }
 
+/// Orders the desired number of endpoints of a service in each of its zones, if it is to be scaled.
 async fn scale(core: &Rc<ControlMember>, orders: &mut ScaleOrders, service: &Service) {
     let Some(bounds) = &service.autoscale else { return };
-    let (zones, capacity) = count_endpoints(core, &service.name);
-    if zones.is_empty() {
+    let ServiceEndpoints { up_by_zone, capacity } = count_endpoints(core, &service.name);
+    if up_by_zone.is_empty() {
         return;
     }
     let demand = core.leases.borrow().demand(&service.name);
     let scaler = orders.scalers.entry(service.name.clone()).or_default();
-    let desired = scaler.desired(clock::micros(), demand, capacity, zones.len(), bounds);
+    let desired = scaler.desired(clock::micros(), demand, capacity, up_by_zone.len(), bounds);
     if !may_act(core, orders.epoch, ROLE) {
         return;
     }
-    for (zone, up) in zones {
+    for (zone, up) in up_by_zone {
         let subject = (service.name.clone(), zone.clone());
         let current = orders.ordered.get(&subject).copied().unwrap_or(up);
         if current == desired {
             continue;
         }
         let body = ScaleBody { service: service.name.clone(), zone, desired };
-        let status = singleton_call(core, orders.epoch, "/scale", json::to_string(&body)).await;
+        let status = call_as_singleton(core, orders.epoch, "/scale", json::to_string(&body)).await;
         if status == Some(200) {
             orders.ordered.insert(subject, desired);
         }
--- a/tier/node/src/control_member/seeds.rs
+++ b/tier/node/src/control_member/seeds.rs
@@ -1,17 +1,18 @@
-//! Tells the seeds who is primary.
+//! Announces the primary to the seeds.
 //!
-//! The settings file may name couriers that are no members of the core. After a start of all machines they know of nobody,
-//! and those without a disk know only them: the primary, whose disk knows the members, makes itself known there.
+//! The settings file may name couriers as seeds that are no members of the core. After a restart of all machines these
+//! know no address of the core, and couriers without a disk know only them. The primary, whose disk names the members,
+//! therefore announces itself there.
 
-use super::register::ControlMember;
+use super::member::ControlMember;
 use quillmount_wire::messages::Request;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Pause between two rounds.
+/// Interval between two announcements.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Tells seeds that are no members, whenever this member serves as primary.
+/// Announces this member to the seeds that are no members of the core, whenever it serves as primary.
 pub async fn announce_primary(core: Rc<ControlMember>) {
     loop {
         tokio::time::sleep(ANNOUNCE_INTERVAL).await;
@@ -23,7 +24,7 @@
 
 fn announce_once(core: &ControlMember) {
     let request = Request::PrimaryHint { address: core.node.info.internal.clone() };
-    let members = core.node.members.borrow();
+    let members = core.node.core.members();
     for address in core.node.seed_addresses() {
         if !members.contains(&address) {
             core.node.links.notify(&address, &request);
--- /dev/null
+++ b/tier/node/src/control_member/singletons/platform.rs
@@ -0,0 +1,38 @@
+//! Calls to the platform in a singleton role: only by the primary, with its epoch as fencing token.
+
+use crate::clock;
+use crate::control_member::ControlMember;
+use crate::http;
+use std::time::Duration;
+
+/// A call to the platform without an answer for this long has failed.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
+
+/// Whether this member, as primary of `epoch`, may act in a role: the platform has that role, and the lease of an earlier
+/// primary that may still be acting has expired.
+pub fn may_act(core: &ControlMember, epoch: u64, role: &str) -> bool {
+    let settings = &core.node.settings;
+    let awaiting_lease_expiry =
+        epoch > 1 && core.time_as_primary() < clock::millis(settings.slo.lease_ms).as_micros() as u64;
+    !awaiting_lease_expiry
+        && settings
+            .cloud_api
+            .as_ref()
+            .is_some_and(|cloud| cloud.singleton_roles.iter().any(|known| known == role))
+}
+
+/// Posts JSON to the platform as the holder of a singleton role; returns the status. `None` if there was no answer, this
+/// member is no longer primary of `epoch`, or the settings name no platform.
+pub async fn call_as_singleton(core: &ControlMember, epoch: u64, target: &str, body: String) -> Option<u16> {
+    if core.serving() != Some(epoch) {
+        return None;
+    }
+    let address = &core.node.settings.cloud_api.as_ref()?.address;
+    let headers = [
+        ("Holder", core.node.info.name.clone()),
+        ("Fence", epoch.to_string()),
+        ("Content-Type", "application/json".to_owned()),
+    ];
+    let answer = http::call(address, "POST", target, &headers, body.as_bytes(), CALL_TIMEOUT).await;
+    answer.map(|(status, _)| status)
+}
--- /dev/null
+++ b/tier/node/src/control_member/singletons/shard_planning.rs
@@ -0,0 +1,56 @@
+//! Keeps the placement in line with the processes that are live: views of shards, and members of the core.
+
+use crate::control_member::ControlMember;
+use quillmount_control::ShardPlanInputs;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Interval between two checks of the placement.
+const PLAN_INTERVAL: Duration = Duration::from_millis(100);
+/// Time after its election from which a primary knows all live processes by their polls, microseconds.
+const LEASES_KNOWN: u64 = 1_200_000;
+
+/// Changes the shards' views and the core's members as stores and members come and go, whenever this member is primary.
+pub async fn plan_shards(core: Rc<ControlMember>) {
+    loop {
+        tokio::time::sleep(PLAN_INTERVAL).await;
+        if core.serving().is_none() || core.time_as_primary() < LEASES_KNOWN {
+            continue;
+        }
+        remove_silent_members(&core).await;
+        update_views(&core).await;
+    }
+}
+
+/// Removes members of the core that are silent, as far as enough others are left.
+async fn remove_silent_members(core: &Rc<ControlMember>) {
+    let silent = core.silent_members();
+    let tolerated_failures = core.node.settings.fault_tolerance.machines;
+    let Some(state) = core.committed() else { return };
+    // A change costs a round of consensus: a trial on a copy shows whether there is anything to change.
+    if !silent.is_empty() && (*state).clone().remove_silent_core_members(&silent, tolerated_failures) {
+        let changed =
+            core.change(|state| state.remove_silent_core_members(&silent, tolerated_failures)).await;
+        tracing::info!(?changed, silent = silent.len(), "silent core members were taken out");
+    }
+}
+
+async fn update_views(core: &Rc<ControlMember>) {
+    let inputs = plan_inputs(core);
+    let Some(state) = core.committed() else { return };
+    // As above: a trial on a copy.
+    if (*state).clone().plan_shards(&inputs) {
+        let changed = core.change(|state| state.plan_shards(&inputs)).await;
+        tracing::info!(?changed, live = inputs.live.len(), "views of shards changed");
+    }
+}
+
+fn plan_inputs(core: &ControlMember) -> ShardPlanInputs {
+    let leases = core.leases.borrow();
+    ShardPlanInputs {
+        live: leases.live_stores(),
+        draining: leases.draining_stores(),
+        reports: leases.reports(),
+        tolerated_failures: core.node.settings.fault_tolerance.machines,
+    }
+}
--- /dev/null
+++ b/tier/node/src/control_member/singletons/usage_reports.rs
@@ -0,0 +1,98 @@
+//! Reports the usage of each window to the platform, exactly once.
+//!
+//! The counts of a window are committed in the control state before they are sent, so that every primary that sends the
+//! report, also a later one, sends the same numbers; the platform ignores the second.
+
+use super::platform::{call_as_singleton, may_act};
+use crate::clock;
+use crate::control_member::ControlMember;
+use miniserde::{Serialize, json};
+use quillmount_control::{SETTLE_S, may_finalize};
+use quillmount_wire::messages::UsageWindow;
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Interval between two checks for windows that are due.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
+/// The name of this role in the settings.
+const ROLE: &str = "metering";
+
+/// A usage report, as JSON.
+#[derive(Serialize)]
+struct UsageBody {
+    #[serde(rename = "WinNo")]
+    window: u64,
+    #[serde(rename = "Tallies")]
+    counts: BTreeMap<String, u64>,
+}
+
+/// Reports each window that has ended, whenever this member is primary.
+pub async fn report_usage(core: Rc<ControlMember>) {
+    let mut sent: BTreeSet<u64> = BTreeSet::new();
+    let mut sent_in = 0;
+    loop {
+        tokio::time::sleep(REPORT_INTERVAL).await;
+        let Some(epoch) = core.serving() else { continue };
+        if sent_in != epoch {
+            sent.clear();
+            sent_in = epoch;
+        }
+        if !may_act(&core, epoch, ROLE) {
+            continue;
+        }
+        for window in due_windows(&core) {
+            if !sent.contains(&window) && report_window(&core, epoch, window).await {
+                sent.insert(window);
+            }
+        }
+    }
+}
+
+/// Windows that have ended and may still be reported.
+fn due_windows(core: &ControlMember) -> Vec<u64> {
+    let slo = &core.node.settings.slo;
+    let now = clock::wall_seconds();
+    let last = ((now - SETTLE_S) / slo.report_s) as u64;
+    let first = ((now - slo.usage_delay_s - slo.report_s) / slo.report_s).max(0.0) as u64;
+    (first..last).collect()
+}
+
+/// Commits the counts of a window, then sends them; whether the platform has them.
+async fn report_window(core: &Rc<ControlMember>, epoch: u64, window: u64) -> bool {
+    let counted = core.leases.borrow().usage(window);
+    let finalized =
+        core.committed().is_some_and(|state| state.usage.iter().any(|finalized| finalized.window == window));
+    if !finalized && (counted.counts.is_empty() || !is_settled(core, window)) {
+        return false;
+    }
+    let Ok(report) = core.change(|state| state.finalize_usage(counted)).await else { return false };
+    send_usage(core, epoch, &report).await
+}
+
+/// Whether the counts of a window are complete, or so late that the report does not wait any longer.
+fn is_settled(core: &ControlMember, window: u64) -> bool {
+    let slo = &core.node.settings.slo;
+    let age_s = clock::wall_seconds() - (window + 1) as f64 * slo.report_s;
+    let settled = clock::millis((age_s - SETTLE_S).max(0.0) * 1000.0).as_micros() as u64;
+    let since = clock::micros().saturating_sub(settled);
+    let complete = core.leases.borrow().all_heard_since(since) && members_heard_since(core, since);
+    may_finalize(age_s, slo.usage_delay_s, complete)
+}
+
+/// Whether every member of the core has polled since a moment of the steady clock. Members count requests as well, and a
+/// new primary knows them from the placement before they first poll it.
+fn members_heard_since(core: &ControlMember, since: u64) -> bool {
+    let Some(state) = core.committed() else { return false };
+    let leases = core.leases.borrow();
+    state.placement.core.iter().all(|member| leases.heard_since(member.disk, since))
+}
+
+async fn send_usage(core: &ControlMember, epoch: u64, report: &UsageWindow) -> bool {
+    let body = UsageBody { window: report.window, counts: report.counts.iter().cloned().collect() };
+    let status = call_as_singleton(core, epoch, "/usage", json::to_string(&body)).await;
+    let total: u64 = report.counts.iter().map(|(_, count)| count).sum();
+    tracing::info!(window = report.window, total, ?status, "usage reported");
+    // 409: an earlier report of this window was accepted.
+    matches!(status, Some(200 | 409))
+}
--- a/tier/node/src/disk.rs
+++ b/tier/node/src/disk.rs
@@ -1,38 +1,59 @@
-//! A thread that writes records to a ring and syncs them, many at a time.
+//! Writes records to a ring of segment files on a thread of its own, so that the event loop never waits for a sync.
+//!
+//! The thread syncs once for all records that are queued (group commit). Records reach the disk in the order of the calls
+//! of [`DiskWriter::append`]; each call gives an [`AppendReceipt`] that resolves once its record is synced.
 
 use quillmount_storage::{Ring, RingRecord, RingSize, StorageError};
 use std::path::Path;
 use std::sync::mpsc;
 use tokio::sync::oneshot;
 
-/// Where a record went.
+/// Most records that one sync covers.
+const GROUP_LIMIT: usize = 256;
+
+/// Where a record was written.
 #[derive(Clone, Copy, Debug)]
 pub struct Written {
+    /// Number of the segment that has the record.
     pub segment: u64,
-    /// Segments that can still be opened.
+    /// Number of segments that can still be opened.
     pub free: usize,
 }
 
-enum DiskCommand {
-    Append {
-        body: Vec<u8>,
-        done: oneshot::Sender<Result<Written, StorageError>>,
-    },
-    /// Frees the segments before this one.
-    Release(u64),
+/// Why a record is not known to be on the disk.
+#[derive(Debug, thiserror::Error)]
+pub enum AppendError {
+    /// The ring is full or the disk refused the write or the sync.
+    #[error(transparent)]
+    Storage(#[from] StorageError),
+    /// The writer's thread has ended; the record may or may not be on the disk.
+    #[error("the disk writer thread has ended")]
+    WriterStopped,
 }
 
-/// Handle of the thread.
+/// The outcome of one append, which is still to come.
+#[derive(Debug)]
+#[must_use = "a record counts as written only once its receipt says so"]
+pub struct AppendReceipt(oneshot::Receiver<Result<Written, StorageError>>);
+
+impl AppendReceipt {
+    /// Waits until the record is synced, or could not be.
+    pub async fn synced(self) -> Result<Written, AppendError> {
+        match self.0.await {
+            Ok(written) => Ok(written?),
+            Err(_) => Err(AppendError::WriterStopped),
+        }
+    }
+}
+
+/// Handle of a writer thread, which runs until the last handle is dropped.
 #[derive(Clone)]
 pub struct DiskWriter {
     commands: mpsc::Sender<DiskCommand>,
 }
 
-/// Records synced together at most.
-const GROUP_LIMIT: usize = 256;
-
 impl DiskWriter {
-    /// Opens the ring of a folder and starts its thread; returns what the ring holds.
+    /// Opens the ring in `folder` and starts its thread. Also returns the records that the ring has, oldest first.
     pub fn open(folder: &Path, size: RingSize) -> Result<(DiskWriter, Vec<RingRecord>), StorageError> {
         let (ring, records) = Ring::open(folder, size, crate::clock::random_id())?;
         let (commands, queue) = mpsc::channel();
@@ -40,53 +61,75 @@
         Ok((DiskWriter { commands }, records))
     }
 
-    /// Appends a record; the receiver is told once it is synced. Records keep the order of the calls.
-    pub fn append(&self, body: Vec<u8>) -> oneshot::Receiver<Result<Written, StorageError>> {
+    /// Queues a record to be appended and synced. Records are written in the order of the calls.
+    pub fn append(&self, body: Vec<u8>) -> AppendReceipt {
         let (done, receiver) = oneshot::channel();
-        // A thread that has ended drops the sender: the receiver then tells a loss.
+        // If the thread has ended, the sender is dropped here: the receipt then resolves to `WriterStopped`.
         let _ = self.commands.send(DiskCommand::Append { body, done });
-        receiver
+        AppendReceipt(receiver)
     }
 
-    /// Frees the segments before `segment`, in the order of the calls.
+    /// Frees all segments before `segment`, after the records queued so far.
     pub fn release(&self, segment: u64) {
         let _ = self.commands.send(DiskCommand::Release(segment));
     }
 }
 
-type PendingAppend = (Written, oneshot::Sender<Result<Written, StorageError>>);
+/// What the thread is to do.
+enum DiskCommand {
+    /// Append a record and report it once it is synced.
+    Append { body: Vec<u8>, done: oneshot::Sender<Result<Written, StorageError>> },
+    /// Free the segments before this one.
+    Release(u64),
+}
+
+/// A record that is appended and not synced yet.
+struct UnsyncedRecord {
+    written: Written,
+    done: oneshot::Sender<Result<Written, StorageError>>,
+}
 
 fn run_writer(mut ring: Ring, queue: &mpsc::Receiver<DiskCommand>) {
     while let Ok(first) = queue.recv() {
-        let mut waiting: Vec<PendingAppend> = Vec::new();
-        execute(&mut ring, first, &mut waiting);
-        while waiting.len() < GROUP_LIMIT
+        let mut unsynced: Vec<UnsyncedRecord> = Vec::new();
+        execute(&mut ring, first, &mut unsynced);
+        while unsynced.len() < GROUP_LIMIT
             && let Ok(next) = queue.try_recv()
         {
-            execute(&mut ring, next, &mut waiting);
+            execute(&mut ring, next, &mut unsynced);
         }
-        if waiting.is_empty() {
-            continue;
-        }
-        let synced = ring.sync();
-        for (written, done) in waiting {
-            let answer = match &synced {
-                Ok(()) => Ok(written),
-                Err(error) => Err(StorageError::Io(std::io::Error::other(error.to_string()))),
-            };
-            let _ = done.send(answer);
+        if !unsynced.is_empty() {
+            sync(&mut ring, unsynced);
         }
     }
 }
 
-fn execute(ring: &mut Ring, command: DiskCommand, waiting: &mut Vec<PendingAppend>) {
+fn execute(ring: &mut Ring, command: DiskCommand, unsynced: &mut Vec<UnsyncedRecord>) {
     match command {
         DiskCommand::Release(segment) => ring.release(segment),
         DiskCommand::Append { body, done } => match ring.append(&body) {
-            Ok(segment) => waiting.push((Written { segment, free: ring.free() }, done)),
+            Ok(segment) => {
+                let written = Written { segment, free: ring.free() };
+                unsynced.push(UnsyncedRecord { written, done });
+            }
             Err(error) => {
+                // The caller may have stopped waiting.
                 let _ = done.send(Err(error));
             }
         },
     }
 }
+
+/// Syncs the ring and reports the outcome to everyone whose record it covers.
+fn sync(ring: &mut Ring, unsynced: Vec<UnsyncedRecord>) {
+    let synced = ring.sync();
+    for UnsyncedRecord { written, done } in unsynced {
+        let outcome = match &synced {
+            Ok(()) => Ok(written),
+            // An I/O error can't be cloned: each caller gets its text.
+            Err(error) => Err(StorageError::Io(std::io::Error::other(error.to_string()))),
+        };
+        // The caller may have stopped waiting.
+        let _ = done.send(outcome);
+    }
+}
--- a/tier/node/src/main.rs
+++ b/tier/node/src/main.rs
@@ -1,10 +1,16 @@
-//! The serving tier: starts a role of it, or checks and inspects what a role uses.
+//! The program `quillmount-node`: runs one process of the serving tier, or checks and inspects the files of one.
+//!
+//! A process is a courier (`edge`, with a member of the replicated control state in `control_member` where its machine has
+//! a disk) or a store (`store`). Both share `node` and its connections (`rpc` between processes, `upstream` to endpoints,
+//! `http`), and follow the core through `subscription`. All tasks run on one thread; only writes to disk have their own
+//! (`disk`).
 
 mod clock;
 mod commands;
 mod control_member;
 mod disk;
 mod edge;
+mod endpoint_list;
 mod http;
 mod node;
 mod rpc;
--- a/tier/node/src/store/compaction.rs
+++ b/tier/node/src/store/compaction.rs
@@ -23,7 +23,7 @@
 /// Writes every shard once more. Older segments go only once all of it is synced: what stands before the marker is of no
 /// use from then on.
 async fn compact(store: &Rc<Store>) {
-    let Ok(Ok(start)) = store.disk.append(StoreRecord::RewriteStart.encode()).await else { return };
+    let Ok(start) = store.disk.append(StoreRecord::RewriteStart.encode()).synced().await else { return };
     for shard in &store.shards {
         if !shard.rewrite(store).await {
             tracing::warn!(shard = shard.number, "the ring can't be compacted now");
--- a/tier/node/src/store/mod.rs
+++ b/tier/node/src/store/mod.rs
@@ -8,7 +8,7 @@
 mod term;
 
 use crate::clock;
-use crate::disk::{DiskWriter, Written};
+use crate::disk::{AppendReceipt, DiskWriter};
 use crate::edge::{RoleError, listen, wait_for_stop};
 use crate::node::Node;
 use crate::rpc::{self, Handler};
@@ -24,7 +24,7 @@
 use std::path::Path;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::sync::{Notify, mpsc, oneshot};
+use tokio::sync::{Notify, mpsc};
 
 /// Bytes of one file of the ring.
 const SEGMENT_BYTES: u64 = 8 << 20;
@@ -50,7 +50,7 @@
 struct PendingWrite {
     shard: Rc<Shard>,
     write: WriteId,
-    written: oneshot::Receiver<Result<Written, StorageError>>,
+    receipt: AppendReceipt,
 }
 
 /// A store.
@@ -108,9 +108,9 @@
 
     /// Sends a replica's record to the disk; the replica is told in the same order.
     pub fn write(&self, shard: &Rc<Shard>, write: WriteId, record: &StoreRecord) {
-        let written = self.disk.append(record.encode());
+        let receipt = self.disk.append(record.encode());
         // The other end is held for as long as the store runs.
-        let _ = self.writes.send(PendingWrite { shard: shard.clone(), write, written });
+        let _ = self.writes.send(PendingWrite { shard: shard.clone(), write, receipt });
     }
 }
 
@@ -145,19 +145,15 @@
 
 /// Tells the replicas what became of their records.
 async fn report_writes(store: Rc<Store>, mut pending: mpsc::UnboundedReceiver<PendingWrite>) {
-    while let Some(PendingWrite { shard, write, written }) = pending.recv().await {
-        let synced = match written.await {
-            Ok(Ok(written)) => {
+    while let Some(PendingWrite { shard, write, receipt }) = pending.recv().await {
+        let synced = match receipt.synced().await {
+            Ok(written) => {
                 store.free_segments.set(written.free);
                 compaction::start_if_due(&store);
                 true
             }
-            Ok(Err(error)) => {
-                tracing::error!(%error, "a record of the store could not be written");
-                false
-            }
-            Err(_) => {
-                tracing::error!("the disk's thread has ended");
+            Err(error) => {
+                tracing::error!(%error, shard = shard.number, "failed to write a record of a shard");
                 false
             }
         };
--- a/tier/node/src/subscription.rs
+++ b/tier/node/src/subscription.rs
@@ -1,126 +1,130 @@
-//! The long poll: heartbeat, usage and reports to the core; tables from it.
+//! The long poll of a courier or store: heartbeat, usage counts and reports to the core, tables from it.
+//!
+//! [`run`] polls one address after another until the primary of the core, or a relay, answers, then stays with that one.
+//! The core answers as soon as it has newer tables, or without any after [`MAX_WAIT`]. While the core is silent,
+//! [`read_list_without_core`] keeps the endpoints current.
+
+mod direct_list;
+mod table_update;
+
+pub use direct_list::read_list_without_core;
 
 use crate::clock;
-use crate::control_member::directory::read_list;
-use crate::node::{Node, TableSnapshot};
-use quillmount_control::{Contacts, apply_update};
-use quillmount_dataplane::routes::RouteTable;
-use quillmount_wire::configuration::Configuration;
+use crate::node::Node;
+use quillmount_control::Contacts;
 use quillmount_wire::messages::{Poll, Request, Response, ShardReport, Tables};
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long the core may hold a poll.
+/// Longest time for which the core may delay its answer to a poll.
 const MAX_WAIT: Duration = Duration::from_millis(300);
-/// A poll without an answer for so long is given up.
+/// A poll without an answer for this long has failed.
 const POLL_TIMEOUT: Duration = Duration::from_millis(650);
-/// Pause after a poll that found no primary.
+/// Delay after a poll that found no primary.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
-/// One poll of so many that a relay answers is followed by one to the primary itself.
+/// Delay before the next address is polled: one that refuses connections fails at once.
+const NEXT_ADDRESS_DELAY: Duration = Duration::from_millis(5);
+/// Behind a relay, one poll in this many is followed by one to the primary itself.
 const DIRECT_EVERY: u64 = 10;
-/// Silence of the core after which a process reads the platform's list itself, microseconds.
-const CORE_SILENCE: u64 = 1_200_000;
-/// Pause between two readings of its own.
-const OWN_READ_INTERVAL: Duration = Duration::from_millis(900);
 
-/// What a role tells the core with each poll.
+/// What a role reports to the core with each poll.
 pub trait Reporter {
-    /// Reports of the shards whose primary this process is.
+    /// Reports on the shards whose primary this process is.
     fn shards(&self) -> Vec<ShardReport>;
-    /// What it needs of endpoints now.
+
+    /// The present demand of this process on endpoints.
     fn needs(&self) -> Needs;
 }
 
-/// What a process needs of endpoints, by service.
-#[derive(Default)]
+/// Demand of a process on endpoints, by service.
+#[derive(Clone, Debug, Default)]
 pub struct Needs {
-    /// Places beyond the calls in flight.
+    /// Calls that could run at once, beyond those in flight.
     pub demand: HashMap<String, f64>,
     /// Items of batch jobs that wait or run here.
     pub items: HashMap<String, u32>,
 }
 
-/// Polls for as long as the process lives.
+/// How a poll ended.
+enum PollOutcome {
+    /// Tables came, or the poll was cut short to send a report.
+    Answered,
+    /// The other side is not the primary; it may name the one that is.
+    Redirected { hint: Option<String> },
+    /// There was no answer.
+    Failed,
+}
+
+/// Polls the core for as long as the process runs.
 pub async fn run(node: Rc<Node>, reporter: Rc<dyn Reporter>) {
     let mut contacts = Contacts::default();
     loop {
-        let contact = node.contact.borrow().clone();
-        let address = contact.or_else(|| contacts.next_address(&node.core_addresses(), clock::micros()));
+        let poll_address = node.core.poll_address();
+        let address = poll_address.or_else(|| contacts.next_address(&node.core_addresses(), clock::micros()));
         let Some(address) = address else {
             tokio::time::sleep(RETRY_DELAY).await;
             continue;
         };
         match poll_once(&node, &address, &*reporter).await {
             PollOutcome::Answered => {}
-            PollOutcome::Redirected(hint) => {
+            PollOutcome::Redirected { hint } => {
                 let now = clock::micros();
                 let hint = hint.filter(|hint| *hint != address && contacts.may_follow(hint, now));
-                let known = hint.is_some();
-                *node.contact.borrow_mut() = hint;
-                tokio::time::sleep(if known { RETRY_DELAY / 4 } else { RETRY_DELAY }).await;
+                let delay = if hint.is_some() { NEXT_ADDRESS_DELAY } else { RETRY_DELAY };
+                node.core.set_poll_address(hint);
+                tokio::time::sleep(delay).await;
             }
             PollOutcome::Failed => {
                 contacts.record_failure(&address, clock::micros());
-                *node.contact.borrow_mut() = None;
-                // One that refuses connections fails at once.
-                tokio::time::sleep(RETRY_DELAY / 4).await;
+                node.core.set_poll_address(None);
+                tokio::time::sleep(NEXT_ADDRESS_DELAY).await;
             }
         }
     }
 }
 
-enum PollOutcome {
-    Answered,
-    Redirected(Option<String>),
-    Failed,
-}
-
-/// Sends one poll and takes its answer.
-async fn poll_once(node: &Rc<Node>, address: &str, reporter: &dyn Reporter) -> PollOutcome {
+/// Sends one poll and applies its answer.
+async fn poll_once(node: &Node, address: &str, reporter: &dyn Reporter) -> PollOutcome {
     let stopping = node.stopping.get();
-    let Needs { demand, items } = reporter.needs();
-    let poll = Poll {
-        node: node.info.clone(),
-        incarnation: node.incarnation,
-        known_versions: node.tables().versions,
-        max_wait_ms: if stopping { 0 } else { MAX_WAIT.as_millis() as u64 },
-        usage: node.usage(),
-        shards: reporter.shards(),
-        draining: stopping,
-        relayed: false,
-        demand: total_demand(node, demand),
-        items: items.into_iter().collect(),
-    };
-    let request = Request::Poll(poll);
+    let request = Request::Poll(make_poll(node, reporter, stopping));
     let call = node.links.call(address, &request, POLL_TIMEOUT);
-    // A report that can't wait goes with a poll of its own; the answer to this one is not lost, only asked for again.
+    // A report that can't wait goes with a new poll, which also asks for what this one was to bring.
     let answer = tokio::select! {
         answer = call => answer,
         () = node.report_due.notified() => return PollOutcome::Answered,
     };
     match answer {
-        Ok(Response::Tables(mut tables)) => {
-            // Behind a relay the primary itself is tried now and then.
-            let direct = address == tables.primary || !clock::random_id().is_multiple_of(DIRECT_EVERY);
-            *node.contact.borrow_mut() =
-                Some(if direct { address.to_owned() } else { tables.primary.clone() });
-            node.last_answer.set(clock::micros());
-            *node.known_primary.borrow_mut() = Some(tables.primary.clone());
-            *node.relays.borrow_mut() = tables.relays.clone();
-            *node.loads.borrow_mut() = Rc::new(std::mem::take(&mut tables.loads));
-            apply(node, tables);
+        Ok(Response::Tables(tables)) => {
+            take_tables(node, address, tables);
             if stopping {
+                // Polls of a draining process are answered at once.
                 tokio::time::sleep(RETRY_DELAY).await;
             }
             PollOutcome::Answered
         }
-        Ok(Response::NotPrimary { hint }) => PollOutcome::Redirected(hint),
+        Ok(Response::NotPrimary { hint }) => PollOutcome::Redirected { hint },
         _ => PollOutcome::Failed,
     }
 }
 
-/// Places needed at once: calls in flight, and those beyond them.
+fn make_poll(node: &Node, reporter: &dyn Reporter, stopping: bool) -> Poll {
+    let Needs { demand, items } = reporter.needs();
+    Poll {
+        node: node.info.clone(),
+        incarnation: node.incarnation,
+        known_versions: node.tables().versions,
+        max_wait_ms: if stopping { 0 } else { MAX_WAIT.as_millis() as u64 },
+        usage: node.usage(),
+        shards: reporter.shards(),
+        draining: stopping,
+        relayed: false,
+        demand: total_demand(node, demand),
+        items: items.into_iter().collect(),
+    }
+}
+
+/// Demand with the calls in flight added; services without any are left out.
 fn total_demand(node: &Node, mut demand: HashMap<String, f64>) -> Vec<(String, f64)> {
     for (service, calls) in node.dispatcher.borrow().in_flight() {
         *demand.entry(service).or_default() += f64::from(calls);
@@ -128,70 +132,13 @@
     demand.into_iter().filter(|(_, places)| *places > 0.0).collect()
 }
 
-/// Puts newer tables in force; older ones are passed over.
-fn apply(node: &Node, tables: Tables) {
-    let current = node.tables();
-    let mut next: TableSnapshot = (*current).clone();
-    let mut changed = false;
-    if let Some((version, text)) = tables.configuration
-        && version > current.versions.configuration
-    {
-        match Configuration::read(&text) {
-            Ok(configuration) => {
-                next.routes = Rc::new(RouteTable::compile(&configuration));
-                next.versions.configuration = version;
-                changed = true;
-            }
-            Err(error) => tracing::error!(%error, version, "the configuration in force can't be read"),
-        }
-    }
-    if let Some((version, placement)) = tables.placement
-        && version > current.versions.placement
-    {
-        next.placement = Rc::new(placement);
-        next.versions.placement = version;
-        changed = true;
-    }
-    if let Some((version, update)) = tables.directory
-        && version > current.versions.directory
-    {
-        next.endpoints = Rc::new(apply_update(&current.endpoints, update));
-        next.versions.directory = version;
-        changed = true;
-    }
-    if tables.senders != current.senders {
-        next.senders = tables.senders;
-        changed = true;
-    }
-    if changed {
-        if current.versions.configuration == 0 && next.versions.configuration > 0 {
-            tracing::info!(version = next.versions.configuration, "first configuration in force");
-        }
-        node.swap_tables(next);
-    }
-}
-
-/// Reads the platform's list while the core is silent.
-pub async fn read_list_without_core(node: Rc<Node>) {
-    loop {
-        tokio::time::sleep(OWN_READ_INTERVAL).await;
-        let silent = clock::micros().saturating_sub(node.last_answer.get()) > CORE_SILENCE;
-        if !silent {
-            continue;
-        }
-        // The file may have changed without a signal.
-        node.reload_seeds();
-        if node.last_answer.get() == 0 {
-            continue;
-        }
-        if let Some(list) = read_list(&node).await {
-            let current = node.tables();
-            if clock::micros().saturating_sub(node.last_answer.get()) > CORE_SILENCE {
-                // Changes to the core's list don't fit this one: the core is asked for all of its own next.
-                let mut versions = current.versions;
-                versions.directory.1 = 0;
-                node.swap_tables(TableSnapshot { versions, endpoints: Rc::new(list), ..(*current).clone() });
-            }
-        }
-    }
+/// Records where the core answers, and puts its tables in force.
+fn take_tables(node: &Node, address: &str, mut tables: Tables) {
+    // Behind a relay the primary itself is tried now and then.
+    let stay = address == tables.primary || !clock::random_id().is_multiple_of(DIRECT_EVERY);
+    let next = if stay { address } else { &tables.primary };
+    node.core.set_poll_address(Some(next.to_owned()));
+    node.core.record_answer(&tables.primary, &tables.relays);
+    *node.loads.borrow_mut() = Rc::new(std::mem::take(&mut tables.loads));
+    table_update::apply(node, tables);
 }
--- /dev/null
+++ b/tier/node/src/subscription/direct_list.rs
@@ -0,0 +1,45 @@
+//! The fallback of a process that has lost the core: it reads the platform's list of endpoints itself.
+
+use crate::endpoint_list;
+use crate::node::{Node, TableSnapshot};
+use quillmount_wire::messages::Endpoint;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Silence of the core after which a process reads the list itself, microseconds.
+const CORE_SILENCE: u64 = 1_200_000;
+/// Interval between two readings.
+const READ_INTERVAL: Duration = Duration::from_millis(900);
+
+/// Reads the platform's list whenever the core is silent, for as long as the process runs.
+pub async fn read_list_without_core(node: Rc<Node>) {
+    loop {
+        tokio::time::sleep(READ_INTERVAL).await;
+        if !is_core_silent(&node) {
+            continue;
+        }
+        // The file may have changed without a signal.
+        node.reload_seeds();
+        if !node.core.has_ever_answered() {
+            continue;
+        }
+        if let Some(list) = endpoint_list::read(&node).await {
+            let current = node.tables();
+            // The core may have come back meanwhile: its list then goes before this one.
+            if is_core_silent(&node) {
+                install(&node, &current, list);
+            }
+        }
+    }
+}
+
+fn is_core_silent(node: &Node) -> bool {
+    node.core.silence() > CORE_SILENCE
+}
+
+fn install(node: &Node, current: &TableSnapshot, list: Vec<Endpoint>) {
+    // An incremental update of the core's list does not apply to this one: version 0 makes the core send all of its own.
+    let mut versions = current.versions;
+    versions.directory.1 = 0;
+    node.swap_tables(TableSnapshot { versions, endpoints: Rc::new(list), ..current.clone() });
+}
