--- a/tier/node/src/control_member/member.rs
+++ b/tier/node/src/control_member/member.rs
@@ -178,7 +178,7 @@
             let known = state.placement.core.iter().map(|member| (member.disk, member.internal.clone()));
             self.addresses.borrow_mut().extend(known);
             self.node
-                .core
+                .core_contact
                 .set_members(state.placement.core.into_iter().map(|member| member.internal).collect());
         }
     }
--- a/tier/node/src/control_member/polls.rs
+++ b/tier/node/src/control_member/polls.rs
@@ -38,10 +38,10 @@
 pub async fn relay(node: &Node, poll: Poll) -> Response {
     // A poll passes one relay at most. Without a recent primary, what this courier knows may be as old as what the sender
     // knows.
-    if poll.relayed || !node.core.has_recent_primary() {
+    if poll.relayed || !node.core_contact.has_recent_primary() {
         return Response::NotPrimary { hint: None };
     }
-    let Some(primary) = node.core.primary() else { return Response::NotPrimary { hint: None } };
+    let Some(primary) = node.core_contact.primary() else { return Response::NotPrimary { hint: None } };
     let request = Request::Poll(Poll { relayed: true, ..poll });
     let answer = node.links.call(&primary, &request, RELAY_TIMEOUT).await;
     answer.unwrap_or(Response::NotPrimary { hint: None })
--- a/tier/node/src/edge/mod.rs
+++ b/tier/node/src/edge/mod.rs
@@ -154,7 +154,7 @@
                     Some(bootstrap::answer(&node, core.as_deref(), &announcements, &from, bootstrap))
                 }
                 (Request::PrimaryHint { address }, _) => {
-                    node.core.note_primary(address);
+                    node.core_contact.note_primary(address);
                     None
                 }
                 (Request::Register { from, address, to, message }, Some(core)) => {
--- a/tier/node/src/node.rs
+++ b/tier/node/src/node.rs
@@ -50,7 +50,7 @@
     /// Notified when a report to the core can't wait for the next poll.
     pub report_due: Notify,
     /// Where the core answers.
-    pub core: CoreContact,
+    pub core_contact: CoreContact,
     /// Demand on each service, as the primary last reported it; stores only.
     pub loads: RefCell<Rc<Vec<ServiceLoad>>>,
     /// Start of the process on the steady clock, microseconds.
@@ -80,7 +80,7 @@
             capacity_freed: Notify::new(),
             stopping: Cell::new(false),
             report_due: Notify::new(),
-            core: CoreContact::default(),
+            core_contact: CoreContact::default(),
             loads: RefCell::default(),
             tables: watch::Sender::new(Rc::default()),
             usage: RefCell::default(),
@@ -156,18 +156,18 @@
     pub fn core_addresses(&self) -> Vec<String> {
         let mut addresses: Vec<String> =
             self.tables().placement.core.iter().map(|member| member.internal.clone()).collect();
-        for address in self.core.members().into_iter().chain(self.seed_addresses()) {
+        for address in self.core_contact.members().into_iter().chain(self.seed_addresses()) {
             if !addresses.contains(&address) {
                 addresses.push(address);
             }
         }
-        addresses.extend(self.core.relays().into_iter().filter(|relay| *relay != self.info.internal));
+        addresses.extend(self.core_contact.relays().into_iter().filter(|relay| *relay != self.info.internal));
         addresses
     }
 
     /// Address of the operator's interface at the core's primary, if that member is in the placement.
     pub fn primary_admin(&self) -> Option<String> {
-        let primary = self.core.primary()?;
+        let primary = self.core_contact.primary()?;
         let tables = self.tables();
         let member = tables.placement.core.iter().find(|member| member.internal == primary)?;
         member.admin.clone()
--- a/tier/node/src/store/compaction.rs
+++ b/tier/node/src/store/compaction.rs
@@ -1,17 +1,13 @@
-//! Frees the ring: writes all that is kept once more, then lets older segments go.
+//! Compaction of the ring: writes all live jobs once more, then releases the older segments.
 
-use super::Store;
+use super::state::Store;
 use quillmount_batch::StoreRecord;
 use std::rc::Rc;
 
-/// Part of the segments that is free when a compaction begins: what is kept fits into it, with room for what is written
-/// meanwhile.
-const DUE_FRACTION: f64 = 0.5;
-
-/// Starts a compaction if little is free and none runs.
+/// Starts a compaction if little of the ring is free and none is running. The task ends by itself; a compaction that
+/// fails is started again with the next record that is written.
 pub fn start_if_due(store: &Rc<Store>) {
-    let due = (store.free_segments.get() as f64) < store.segments as f64 * DUE_FRACTION;
-    if due && !store.compacting.replace(true) {
+    if store.journal.needs_compaction() && !store.compacting.replace(true) {
         let store = store.clone();
         tokio::task::spawn_local(async move {
             compact(&store).await;
@@ -20,15 +16,15 @@
     }
 }
 
-/// Writes every shard once more. Older segments go only once all of it is synced: what stands before the marker is of no
-/// use from then on.
+/// Writes the jobs of every shard once more, behind a start marker. Only once all of that is synced are the records before
+/// the marker no longer needed, and their segments released.
 async fn compact(store: &Rc<Store>) {
-    let Ok(start) = store.disk.append(StoreRecord::RewriteStart.encode()).synced().await else { return };
+    let Ok(start) = store.journal.append(&StoreRecord::RewriteStart).synced().await else { return };
     for shard in &store.shards {
         if !shard.rewrite(store).await {
-            tracing::warn!(shard = shard.number, "the ring can't be compacted now");
+            tracing::warn!(shard = shard.number, "failed to compact the ring");
             return;
         }
     }
-    store.disk.release(start.segment);
+    store.journal.release(start.segment);
 }
--- a/tier/node/src/store/items/attempt.rs
+++ b/tier/node/src/store/items/attempt.rs
@@ -1,172 +1,224 @@
-//! One run of an item at one endpoint.
+//! One attempt to run an item at one endpoint.
+//!
+//! An endpoint answers with a stream of numbered events. If an attempt breaks off after some of them, the next one resumes
+//! behind the last event, also at another endpoint.
 
-use super::{ItemRun, append_result};
+use super::item_run::ItemRun;
+use super::results::append_result;
 use crate::clock;
-use crate::store::Store;
+use crate::store::state::Store;
 use crate::upstream::{BodyProgress, UpstreamAnswer, UpstreamError, UpstreamRequest};
 use quillmount_dataplane::dispatch::{CallOutcome, Reservation};
-use quillmount_dataplane::events::EventReader;
+use quillmount_dataplane::events::{EventReader, SseEvent};
 use quillmount_wire::messages::Phase;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// An endpoint that is silent for so long is left; the item goes on elsewhere.
+/// An endpoint that sends nothing for this long is given up; the item continues elsewhere.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(4000);
-/// Pause of an item after a failure.
+/// Delay before an item is queued again after an attempt without progress.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Largest text of one item, bytes.
 const TEXT_LIMIT: usize = 4 << 20;
 /// Largest answer that is not a stream, bytes.
 const ANSWER_LIMIT: usize = 1 << 20;
 
-/// How a run at one endpoint ended.
-enum RunOutcome {
+/// How an attempt ended.
+enum AttemptOutcome {
+    /// The text is complete.
     Complete,
-    /// The endpoint can never do it.
+    /// The item can't be processed, at any endpoint.
     Unprocessable,
+    /// The endpoint ran the item and failed; counts towards the route's maximum.
     Failed,
-    /// To be tried again, or gone on with, elsewhere.
+    /// The item is to be retried or resumed; does not count.
     Retry(CallOutcome),
+    /// The job or the term ended meanwhile.
     Cancelled,
 }
 
-/// Runs an item at an endpoint, and lists its result or puts it back.
-pub(super) async fn run(store: Rc<Store>, mut run: ItemRun, reservation: Reservation) {
-    let sent = clock::micros();
-    let mut first = None;
+/// An item that runs at an endpoint.
+struct Attempt {
+    store: Rc<Store>,
+    run: ItemRun,
+    reservation: Reservation,
+    /// Start on the steady clock, microseconds.
+    sent: u64,
+    /// Microseconds from the start to the first event, once that has come.
+    first_event_latency: Option<u64>,
+}
+
+/// Runs an item at the endpoint that is reserved for it, then commits its result or queues it again.
+pub async fn run(store: Rc<Store>, run: ItemRun, reservation: Reservation) {
     let resumed = run.last_event.is_some();
     let cancel = run.tracked.cancel.clone();
-    let ended = tokio::select! {
-        ended = exchange(&store, &mut run, &reservation, sent, &mut first) => ended,
-        () = cancel.cancelled() => RunOutcome::Cancelled,
+    let mut attempt = Attempt { store, run, reservation, sent: clock::micros(), first_event_latency: None };
+    let outcome = tokio::select! {
+        outcome = attempt.exchange() => outcome,
+        () = cancel.cancelled() => AttemptOutcome::Cancelled,
     };
-    let end = match (&ended, first) {
-        (RunOutcome::Retry(end), _) => *end,
-        (RunOutcome::Failed, _) => CallOutcome::Error,
-        (RunOutcome::Complete | RunOutcome::Cancelled, Some(_)) if resumed => CallOutcome::Resumed,
-        (RunOutcome::Complete | RunOutcome::Cancelled, Some(latency)) => CallOutcome::FirstEvent(latency),
-        _ => CallOutcome::Abandoned,
-    };
-    store.node.dispatcher.borrow_mut().finish(&reservation, end, first.is_some(), clock::micros());
-    store.node.capacity_freed.notify_waiters();
-    match ended {
-        RunOutcome::Complete => {
-            let text = run.text.join("\n");
-            append_result(&store, run, Phase::Done, text);
-        }
-        RunOutcome::Unprocessable => append_result(&store, run, Phase::DeadLetter, String::new()),
-        RunOutcome::Cancelled => {}
-        RunOutcome::Failed => {
-            run.failures += 1;
-            if run.failures >= run.max_attempts(&store) {
-                return append_result(&store, run, Phase::DeadLetter, String::new());
-            }
-            requeue(store, run, reservation, true).await;
-        }
-        RunOutcome::Retry(_) => requeue(store, run, reservation, first.is_none()).await,
-    }
+    attempt.release_reservation(&outcome, resumed);
+    attempt.conclude(outcome).await;
 }
 
-async fn requeue(store: Rc<Store>, mut run: ItemRun, reservation: Reservation, no_progress: bool) {
-    if no_progress {
-        run.tried.push(reservation.id);
-        tokio::time::sleep(RETRY_DELAY).await;
-    } else {
-        run.tried.clear();
+impl Attempt {
+    /// Sends the request and reads the answer.
+    async fn exchange(&mut self) -> AttemptOutcome {
+        let bytes = self.run.request(&self.reservation);
+        let request = UpstreamRequest {
+            endpoint: &self.reservation.id,
+            address: &self.reservation.address,
+            request_id: &self.run.item().id,
+            bytes: &bytes,
+        };
+        let mut answer = match self.store.node.upstreams.send(request, SILENCE_TIMEOUT).await {
+            Ok(answer) => answer,
+            Err(UpstreamError::Silent) => {
+                return AttemptOutcome::Retry(CallOutcome::TimedOut(self.elapsed()));
+            }
+            Err(_) => return AttemptOutcome::Retry(CallOutcome::Lost),
+        };
+        let head = &answer.head;
+        let stream =
+            head.headers.get("Content-Type").is_some_and(|kind| kind.starts_with("text/event-stream"));
+        if head.status != 200 || !stream {
+            return self.read_status(answer).await;
+        }
+        let outcome = self.read_events(&mut answer).await;
+        if matches!(outcome, AttemptOutcome::Complete) {
+            answer.release(&self.store.node.upstreams);
+        }
+        outcome
     }
-    store.item_queue.enqueue(run);
-}
 
-async fn exchange(
-    store: &Rc<Store>,
-    run: &mut ItemRun,
-    reservation: &Reservation,
-    sent: u64,
-    first: &mut Option<u64>,
-) -> RunOutcome {
-    let bytes = run.request(reservation);
-    let id = run.item().id.clone();
-    let request = UpstreamRequest {
-        endpoint: &reservation.id,
-        address: &reservation.address,
-        request_id: &id,
-        bytes: &bytes,
-    };
-    let mut answer = match store.node.upstreams.send(request, SILENCE_TIMEOUT).await {
-        Ok(answer) => answer,
-        Err(UpstreamError::Silent) => {
-            return RunOutcome::Retry(CallOutcome::TimedOut(clock::micros().saturating_sub(sent)));
+    /// Reads an answer that is not a stream of events.
+    async fn read_status(&self, mut answer: UpstreamAnswer) -> AttemptOutcome {
+        let status = answer.head.status;
+        let not_run = answer.head.headers.get("Not-Run").is_some();
+        let complete = tokio::time::timeout(SILENCE_TIMEOUT, answer.read_all(ANSWER_LIMIT)).await;
+        if !matches!(complete, Ok(Some(_))) {
+            return AttemptOutcome::Retry(CallOutcome::Lost);
         }
-        Err(_) => return RunOutcome::Retry(CallOutcome::Lost),
-    };
-    let head = &answer.head;
-    let stream = head.headers.get("Content-Type").is_some_and(|kind| kind.starts_with("text/event-stream"));
-    if head.status == 200 && stream {
-        let ended = read_events(store, run, reservation, &mut answer, sent, first).await;
-        if matches!(ended, RunOutcome::Complete) {
-            answer.release(&store.node.upstreams);
+        answer.release(&self.store.node.upstreams);
+        match status {
+            421 => AttemptOutcome::Retry(CallOutcome::Replaced),
+            _ if not_run => AttemptOutcome::Retry(CallOutcome::Refused),
+            422 => AttemptOutcome::Unprocessable,
+            500 => AttemptOutcome::Failed,
+            _ => AttemptOutcome::Retry(CallOutcome::Error),
         }
-        return ended;
     }
-    let (status, not_run) = (head.status, head.headers.get("Not-Run").is_some());
-    let complete = tokio::time::timeout(SILENCE_TIMEOUT, answer.read_all(ANSWER_LIMIT)).await;
-    if !matches!(complete, Ok(Some(_))) {
-        return RunOutcome::Retry(CallOutcome::Lost);
-    }
-    answer.release(&store.node.upstreams);
-    match status {
-        421 => RunOutcome::Retry(CallOutcome::Replaced),
-        _ if not_run => RunOutcome::Retry(CallOutcome::Refused),
-        422 => RunOutcome::Unprocessable,
-        500 => RunOutcome::Failed,
-        _ => RunOutcome::Retry(CallOutcome::Error),
-    }
-}
 
-async fn read_events(
-    store: &Rc<Store>,
-    run: &mut ItemRun,
-    reservation: &Reservation,
-    answer: &mut UpstreamAnswer,
-    sent: u64,
-    first: &mut Option<u64>,
-) -> RunOutcome {
-    let mut events = EventReader::default();
-    loop {
-        let mut bytes = Vec::new();
-        let Ok(progress) = tokio::time::timeout(SILENCE_TIMEOUT, answer.read(&mut bytes)).await else {
-            return RunOutcome::Retry(CallOutcome::TimedOut(clock::micros().saturating_sub(sent)));
-        };
-        events.add(&bytes);
+    /// Reads events until the stream ends.
+    async fn read_events(&mut self, answer: &mut UpstreamAnswer) -> AttemptOutcome {
+        let mut events = EventReader::default();
         loop {
-            let event = match events.next_event() {
-                Ok(Some(event)) => event,
-                Ok(None) => break,
-                Err(_) => return RunOutcome::Retry(CallOutcome::Error),
+            let mut bytes = Vec::new();
+            let Ok(progress) = tokio::time::timeout(SILENCE_TIMEOUT, answer.read(&mut bytes)).await else {
+                return AttemptOutcome::Retry(CallOutcome::TimedOut(self.elapsed()));
             };
-            if first.is_none() {
-                *first = Some(clock::micros().saturating_sub(sent));
-                store.node.dispatcher.borrow_mut().first_event(reservation);
-                store.node.capacity_freed.notify_waiters();
+            events.add(&bytes);
+            loop {
+                let event = match events.next_event() {
+                    Ok(Some(event)) => event,
+                    Ok(None) => break,
+                    Err(_) => return AttemptOutcome::Retry(CallOutcome::Error),
+                };
+                if !self.add_event(event) {
+                    return AttemptOutcome::Retry(CallOutcome::Error);
+                }
             }
-            // Without its number an event can't be placed, and one out of its turn belongs to another run.
-            let expected = run.last_event.map(|last| last + 1);
-            if event.id.is_none() || expected.is_some_and(|expected| event.id != Some(expected)) {
-                return RunOutcome::Retry(CallOutcome::Error);
+            if self.run.text.iter().map(String::len).sum::<usize>() > TEXT_LIMIT {
+                // No valid answer is this long: the item starts from the beginning, until the job gives it up.
+                self.run.text.clear();
+                self.run.last_event = None;
+                return AttemptOutcome::Retry(CallOutcome::Error);
             }
-            run.last_event = event.id;
-            run.text.push(event.data.unwrap_or_default());
+            match progress {
+                BodyProgress::More => {}
+                BodyProgress::End if events.remainder() == 0 => return AttemptOutcome::Complete,
+                _ => return AttemptOutcome::Retry(CallOutcome::Lost),
+            }
+        }
+    }
+
+    /// Appends an event to the item's text; whether it is the one that follows the last.
+    fn add_event(&mut self, event: SseEvent) -> bool {
+        if self.first_event_latency.is_none() {
+            self.first_event_latency = Some(self.elapsed());
+            self.store.node.dispatcher.borrow_mut().first_event(&self.reservation);
+            self.store.node.capacity_freed.notify_waiters();
         }
-        if run.text.iter().map(String::len).sum::<usize>() > TEXT_LIMIT {
-            // No endpoint's whole answer is this long: from the start again, until the job gives it up.
-            run.text.clear();
-            run.last_event = None;
-            return RunOutcome::Retry(CallOutcome::Error);
+        // An event without a number can't be placed, and one out of sequence belongs to another run.
+        let expected = self.run.last_event.map(|last| last + 1);
+        if event.id.is_none() || expected.is_some_and(|expected| event.id != Some(expected)) {
+            return false;
         }
-        match progress {
-            BodyProgress::More => {}
-            BodyProgress::End if events.remainder() == 0 => return RunOutcome::Complete,
-            _ => return RunOutcome::Retry(CallOutcome::Lost),
+        self.run.last_event = event.id;
+        self.run.text.push(event.data.unwrap_or_default());
+        true
+    }
+
+    /// Microseconds since the start.
+    fn elapsed(&self) -> u64 {
+        clock::micros().saturating_sub(self.sent)
+    }
+
+    /// Reports the attempt to the dispatcher and frees the endpoint's capacity. `resumed` says whether the attempt started
+    /// behind the first event.
+    fn release_reservation(&self, outcome: &AttemptOutcome, resumed: bool) {
+        let call_outcome = match (outcome, self.first_event_latency) {
+            (AttemptOutcome::Retry(call_outcome), _) => *call_outcome,
+            (AttemptOutcome::Failed, _) => CallOutcome::Error,
+            (AttemptOutcome::Complete | AttemptOutcome::Cancelled, Some(_)) if resumed => {
+                CallOutcome::Resumed
+            }
+            (AttemptOutcome::Complete | AttemptOutcome::Cancelled, Some(latency)) => {
+                CallOutcome::FirstEvent(latency)
+            }
+            _ => CallOutcome::Abandoned,
+        };
+        let node = &self.store.node;
+        let began = self.first_event_latency.is_some();
+        node.dispatcher.borrow_mut().finish(&self.reservation, call_outcome, began, clock::micros());
+        node.capacity_freed.notify_waiters();
+    }
+
+    /// Commits the item's result, or queues the item again.
+    async fn conclude(mut self, outcome: AttemptOutcome) {
+        match outcome {
+            AttemptOutcome::Complete => {
+                let text = self.run.text.join("\n");
+                append_result(&self.store, self.run, Phase::Done, text);
+            }
+            AttemptOutcome::Unprocessable => self.give_up(),
+            AttemptOutcome::Cancelled => {}
+            AttemptOutcome::Failed => {
+                self.run.failures += 1;
+                if self.run.failures >= self.run.max_attempts(&self.store.node.tables().routes) {
+                    self.give_up();
+                } else {
+                    self.requeue_without_progress().await;
+                }
+            }
+            AttemptOutcome::Retry(_) if self.first_event_latency.is_none() => {
+                self.requeue_without_progress().await;
+            }
+            AttemptOutcome::Retry(_) => {
+                self.run.tried.clear();
+                self.store.item_queue.enqueue(self.run);
+            }
         }
     }
+
+    fn give_up(self) {
+        append_result(&self.store, self.run, Phase::DeadLetter, String::new());
+    }
+
+    /// Queues the item again after a delay, and prefers other endpoints for the next attempt.
+    async fn requeue_without_progress(mut self) {
+        self.run.tried.push(self.reservation.id);
+        tokio::time::sleep(RETRY_DELAY).await;
+        self.store.item_queue.enqueue(self.run);
+    }
 }
--- a/tier/node/src/store/items/queue.rs
+++ b/tier/node/src/store/items/queue.rs
@@ -1,26 +1,23 @@
-//! The line of items that wait for room.
+//! The queue of items that wait for capacity, ordered by due time.
 
-use super::ItemRun;
+use super::item_run::ItemRun;
 use crate::clock;
-use crate::store::Store;
-use crate::store::term::PrimaryTerm;
-use quillmount_dataplane::batch_share::{BatchCapacity, BatchShare};
+use crate::store::shard::ServedShard;
 use quillmount_dataplane::routes::RouteTable;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
-use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Due time of a route that states none, ms.
+/// Time until an item is due where its route states none, milliseconds.
 const DEFAULT_DUE_MS: f64 = 60_000.0;
-/// Time in which waiting items are to be done, and the time that one takes, seconds: inputs of the endpoint count.
+/// Time in which the waiting items are to be done, seconds. Together with [`ITEM_S`] it determines how many endpoints are
+/// ordered for them.
 const BACKLOG_S: f64 = 12.0;
+/// Time that one item takes, seconds.
 const ITEM_S: f64 = 1.0;
 
-/// A share is worked out anew after so long, microseconds.
-const SHARE_AGE: u64 = 50_000;
-
-/// Place in the line: what can still be in time, by due time; then what is late, by due time.
+/// Position in the queue: items that can still be in time by due time, then late ones by due time; equal ones in the order
+/// in which they were added.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     late: bool,
@@ -28,50 +25,39 @@
     number: u64,
 }
 
-/// Places needed for items that wait, by service, if they are to be done within [`BACKLOG_S`].
+/// Calls that have to run at once for the waiting items to be done within [`BACKLOG_S`], by service.
+#[must_use]
 pub fn demand_of_backlog(waiting: &HashMap<String, u32>) -> HashMap<String, f64> {
-    let places = |items: u32| f64::from(items) * ITEM_S / BACKLOG_S;
-    waiting.iter().map(|(service, items)| (service.clone(), places(*items))).collect()
-}
-
-/// A share of a service's endpoints as it was last worked out.
-#[derive(Clone, Copy)]
-struct CachedShare {
-    /// Steady clock.
-    at: u64,
-    share: BatchShare,
-    batch_capacity: BatchCapacity,
+    let calls = |items: u32| f64::from(items) * ITEM_S / BACKLOG_S;
+    waiting.iter().map(|(service, items)| (service.clone(), calls(*items))).collect()
 }
 
-/// Items that wait for room.
+/// Items that wait for capacity.
 #[derive(Default)]
 pub struct ItemQueue {
     queue: RefCell<BTreeMap<QueueKey, ItemRun>>,
     last_number: Cell<u64>,
-    /// Shares of endpoints, by service.
-    shares: RefCell<HashMap<String, CachedShare>>,
     added: Notify,
 }
 
 impl ItemQueue {
-    /// Takes all unlisted items of a shard whose primary begins to serve.
-    pub fn add_shard(&self, store: &Store, term: &Rc<PrimaryTerm>) {
-        let jobs: Vec<String> = term.shard.replica().jobs().jobs.keys().cloned().collect();
-        jobs.iter().for_each(|job| self.add_job(store, term, job));
+    /// Adds all items without a result of a shard that is served from now on.
+    pub fn add_shard(&self, routes: &RouteTable, served: &ServedShard) {
+        let jobs: Vec<String> = served.shard.replica().jobs().jobs.keys().cloned().collect();
+        jobs.iter().for_each(|job| self.add_job(routes, served, job));
     }
 
-    /// Takes the unlisted items of a job.
-    pub fn add_job(&self, store: &Store, term: &Rc<PrimaryTerm>, job: &str) {
-        let tables = store.node.tables();
-        let replica = term.shard.replica();
+    /// Adds the items of a job that have no result, unless the job has ended.
+    pub fn add_job(&self, routes: &RouteTable, served: &ServedShard, job: &str) {
+        let replica = served.shard.replica();
         let Some(entry) = replica.jobs().jobs.get(job).filter(|entry| !entry.ended) else { return };
-        let tracked = term.track(job);
-        let route = tables.routes.by_name(&entry.job.route);
-        let due_ms = route.and_then(|route| route.route.due_ms).unwrap_or(DEFAULT_DUE_MS);
+        let tracked = served.term.track(job);
+        let due_ms =
+            routes.by_name(&entry.job.route).and_then(|route| route.route.due_ms).unwrap_or(DEFAULT_DUE_MS);
         let due = tracked.first_seen + clock::millis(due_ms).as_micros() as u64;
         for item in (0..entry.job.items.len() as u32).filter(|item| !entry.is_listed(*item)) {
             self.enqueue(ItemRun {
-                term: term.clone(),
+                served: served.clone(),
                 tracked: tracked.clone(),
                 job: entry.job.clone(),
                 item,
@@ -84,33 +70,17 @@
         }
     }
 
-    /// This store's share of a service's endpoints, worked out anew now and then.
-    pub(super) fn share(
-        &self,
-        service: &str,
-        now: u64,
-        compute: impl FnOnce(&mut BatchCapacity) -> BatchShare,
-    ) -> BatchShare {
-        let known = self.shares.borrow().get(service).copied();
-        if let Some(known) = known.filter(|known| now.saturating_sub(known.at) < SHARE_AGE) {
-            return known.share;
-        }
-        let mut batch_capacity = known.map_or_else(|| BatchCapacity::new(now), |known| known.batch_capacity);
-        let share = compute(&mut batch_capacity);
-        self.shares.borrow_mut().insert(service.to_owned(), CachedShare { at: now, share, batch_capacity });
-        share
-    }
-
-    /// Waits until an item is put in the line.
-    pub(super) async fn added(&self) {
+    /// Waits until an item is enqueued.
+    pub async fn added(&self) {
         self.added.notified().await;
     }
 
-    pub(super) fn is_empty(&self) -> bool {
+    /// Whether no item waits.
+    pub fn is_empty(&self) -> bool {
         self.queue.borrow().is_empty()
     }
 
-    /// Items that wait, by service.
+    /// Number of items that wait, by service.
     pub fn waiting(&self, routes: &RouteTable) -> HashMap<String, u32> {
         let mut waiting: HashMap<String, u32> = HashMap::new();
         for run in self.queue.borrow().values() {
@@ -122,21 +92,21 @@
         waiting
     }
 
-    /// Puts an item in the line, and tells of it.
-    pub(super) fn enqueue(&self, run: ItemRun) {
+    /// Adds an item and wakes the task that starts items.
+    pub fn enqueue(&self, run: ItemRun) {
         self.insert(run);
         self.added.notify_one();
     }
 
-    /// Puts an item in the line.
-    pub(super) fn insert(&self, run: ItemRun) {
+    /// Adds an item without waking anyone.
+    pub fn insert(&self, run: ItemRun) {
         self.last_number.set(self.last_number.get() + 1);
         let key = QueueKey { late: run.is_late(), due: run.due, number: self.last_number.get() };
         self.queue.borrow_mut().insert(key, run);
     }
 
-    /// The next item; one that has become late in the line goes behind those that can be in time.
-    pub(super) fn pop(&self) -> Option<ItemRun> {
+    /// Removes the next item. One that has become late while it waited goes behind those that can still be in time.
+    pub fn pop(&self) -> Option<ItemRun> {
         loop {
             let (key, run) = self.queue.borrow_mut().pop_first()?;
             if key.late == run.is_late() {
--- /dev/null
+++ b/tier/node/src/store/items/results.rs
@@ -0,0 +1,20 @@
+//! Lists the results of items in their jobs.
+
+use super::item_run::ItemRun;
+use crate::store::state::Store;
+use quillmount_wire::messages::{ItemResult, Phase, ShardOperation};
+use std::rc::Rc;
+
+/// Commits the result of an item. The task ends with the operation; an item whose result is not committed is run again by
+/// the shard's next primary.
+pub fn append_result(store: &Rc<Store>, run: ItemRun, phase: Phase, text: String) {
+    if !run.served.term.is_serving() {
+        return;
+    }
+    let result = ItemResult { item: run.item, phase, text };
+    let operation = ShardOperation::Append { job: run.job.id.clone(), result };
+    let store = store.clone();
+    tokio::task::spawn_local(async move {
+        let _ = run.served.shard.commit(&store, operation).await;
+    });
+}
--- /dev/null
+++ b/tier/node/src/store/items/shares.rs
@@ -0,0 +1,44 @@
+//! This store's shares of the endpoints, computed again now and then.
+
+use quillmount_dataplane::batch_share::{BatchCapacity, BatchShare};
+use std::cell::RefCell;
+use std::collections::HashMap;
+
+/// A share is used for this long before it is computed again, microseconds.
+const SHARE_TTL: u64 = 50_000;
+
+/// A share of a service's endpoints, as it was last computed.
+#[derive(Clone, Copy)]
+struct CachedShare {
+    /// Moment of the computation on the steady clock, microseconds.
+    computed_at: u64,
+    share: BatchShare,
+    batch_capacity: BatchCapacity,
+}
+
+/// Shares of the endpoints, by service.
+#[derive(Default)]
+pub struct BatchShares {
+    shares: RefCell<HashMap<String, CachedShare>>,
+}
+
+impl BatchShares {
+    /// The share of a service's endpoints at `now` (steady clock, microseconds). If the last one is too old, `compute`
+    /// makes a new one from the capacity for batch items, which it updates.
+    pub fn get(
+        &self,
+        service: &str,
+        now: u64,
+        compute: impl FnOnce(&mut BatchCapacity) -> BatchShare,
+    ) -> BatchShare {
+        let known = self.shares.borrow().get(service).copied();
+        if let Some(known) = known.filter(|known| now.saturating_sub(known.computed_at) < SHARE_TTL) {
+            return known.share;
+        }
+        let mut batch_capacity = known.map_or_else(|| BatchCapacity::new(now), |known| known.batch_capacity);
+        let share = compute(&mut batch_capacity);
+        let cached = CachedShare { computed_at: now, share, batch_capacity };
+        self.shares.borrow_mut().insert(service.to_owned(), cached);
+        share
+    }
+}
--- a/tier/node/src/store/serve.rs
+++ b/tier/node/src/store/serve.rs
@@ -1,51 +1,45 @@
-//! Calls of couriers at the primary of a shard.
+//! Answers the calls of couriers and of other stores.
+//!
+//! Calls about jobs are answered only by the primary of the job's shard, in the epoch that the caller names. A positive
+//! answer, and every read, is first confirmed with the other replicas: it shows the newest committed state.
 
-use super::Store;
 use super::quota::{self, ClaimError};
-use super::shard::CommitError;
-use super::term::PrimaryTerm;
+use super::shard::{CommitError, ServedShard};
+use super::state::Store;
 use crate::clock;
 use quillmount_batch::JobEntry;
-use quillmount_wire::messages::{Epoch, Job, Phase, Request, Response, ShardOperation};
+use quillmount_wire::messages::{DiskId, Epoch, Job, Phase, Request, Response, ShardMessage, ShardOperation};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Bytes of results in one answer, about; at least one result is given.
+/// Bytes of results from which on an answer takes no further one.
 const RESULT_BYTES: usize = 900_000;
-/// How long a read may wait for its confirmation, microseconds.
+/// Bytes that a result takes in an answer beside its text, about.
+const RESULT_OVERHEAD: usize = 128;
+/// Longest time for which a read waits for its confirmation, microseconds.
 const CONFIRM_TIMEOUT: u64 = 900_000;
 
 /// Answers any call.
 pub async fn answer(store: &Rc<Store>, request: Request) -> Response {
     match request {
-        Request::Shard { to, shard, epoch, message } => {
-            let mine = to == store.node.info.disk;
-            match store.shards.get(shard as usize).filter(|_| mine).cloned() {
-                Some(shard) => shard.answer(store, epoch, message).await,
-                None => Response::WrongEpoch,
-            }
+        Request::Shard { to, shard, epoch, message } => replicate(store, to, shard, epoch, message).await,
+        Request::Submit { shard, epoch, job } => {
+            let Some(served) = serving(store, shard, epoch) else { return Response::WrongEpoch };
+            submit(store, &served, job).await
         }
-        Request::Submit { shard, epoch, job } => match serving(store, shard, epoch) {
-            Some(term) => submit(store, &term, job).await,
-            None => Response::WrongEpoch,
-        },
         Request::Read { shard, epoch, job, tenant, start_after, wait_ms } => {
-            match serving(store, shard, epoch) {
-                Some(term) => {
-                    let job_reader = JobReader { store, term: &term, job: &job, tenant: &tenant };
-                    job_reader.results(start_after, wait_ms).await
-                }
-                None => Response::WrongEpoch,
-            }
+            let Some(served) = serving(store, shard, epoch) else { return Response::WrongEpoch };
+            let job = TenantJob { store, served: &served, job: &job, tenant: &tenant };
+            job.results(start_after, wait_ms).await
+        }
+        Request::Body { shard, epoch, job, tenant, item } => {
+            let Some(served) = serving(store, shard, epoch) else { return Response::WrongEpoch };
+            TenantJob { store, served: &served, job: &job, tenant: &tenant }.body(&item).await
+        }
+        Request::End { shard, epoch, job, tenant } => {
+            let Some(served) = serving(store, shard, epoch) else { return Response::WrongEpoch };
+            TenantJob { store, served: &served, job: &job, tenant: &tenant }.end().await
         }
-        Request::Body { shard, epoch, job, tenant, item } => match serving(store, shard, epoch) {
-            Some(term) => JobReader { store, term: &term, job: &job, tenant: &tenant }.body(&item).await,
-            None => Response::WrongEpoch,
-        },
-        Request::End { shard, epoch, job, tenant } => match serving(store, shard, epoch) {
-            Some(term) => JobReader { store, term: &term, job: &job, tenant: &tenant }.end().await,
-            None => Response::WrongEpoch,
-        },
         Request::Claim(claim) => quota::answer(store, &claim),
         Request::Statements(statements) => {
             quota::apply_statements(store, &statements);
@@ -58,33 +52,52 @@
     }
 }
 
-fn serving(store: &Store, shard: u32, epoch: Epoch) -> Option<Rc<PrimaryTerm>> {
-    let term = store.shards.get(shard as usize)?.serving(epoch)?;
+/// Passes a message of a shard's primary to the replica here. One to another disk id was meant for a disk that this machine
+/// had before.
+async fn replicate(
+    store: &Rc<Store>,
+    to: DiskId,
+    shard: u32,
+    epoch: Epoch,
+    message: ShardMessage,
+) -> Response {
+    let mine = to == store.node.info.disk;
+    match store.shards.get(shard as usize).filter(|_| mine).cloned() {
+        Some(shard) => shard.answer(store, epoch, message).await,
+        None => Response::WrongEpoch,
+    }
+}
+
+/// The shard, if this store serves it in this epoch.
+fn serving(store: &Store, shard: u32, epoch: Epoch) -> Option<ServedShard> {
+    let served = store.shards.get(shard as usize)?.serving(epoch)?;
     // Without a configuration the routes of items are unknown.
-    (store.node.tables().versions.configuration > 0).then_some(term)
+    (store.node.tables().versions.configuration > 0).then_some(served)
 }
 
-async fn submit(store: &Rc<Store>, term: &Rc<PrimaryTerm>, job: Job) -> Response {
-    let shard = &term.shard;
+async fn submit(store: &Rc<Store>, served: &ServedShard, job: Job) -> Response {
+    let shard = &served.shard;
     let known = shard.replica().jobs().jobs.contains_key(&job.id);
     if known {
         let until = clock::micros() + CONFIRM_TIMEOUT;
         return if shard.confirm(store, until).await { Response::Done } else { Response::Uncertain };
     }
-    if !shard.replica().is_pending(&job.id) && !store.has_capacity() {
-        return Response::Full;
-    }
-    if shard.replica().is_pending(&job.id) {
+    let pending = shard.replica().is_pending(&job.id);
+    if pending {
+        // A retry waits for the same outcome as the first submission: its tokens are claimed already.
         return commit_response(shard.commit(store, ShardOperation::Submit(job)).await);
     }
-    // Held until the outcome is there: until then the claim counts beside what is committed.
-    let claimed = match quota::claim(store, term, &job).await {
-        Ok(claimed) => claimed,
+    if !store.has_capacity() {
+        return Response::Full;
+    }
+    // The claim counts until the outcome is known: from then on the committed job does.
+    let claim = match quota::claim(store, served, &job).await {
+        Ok(claim) => claim,
         Err(ClaimError::Exceeded) => return Response::Full,
         Err(ClaimError::Unknown) => return Response::WrongEpoch,
     };
     let outcome = shard.commit(store, ShardOperation::Submit(job)).await;
-    drop(claimed);
+    drop(claim);
     commit_response(outcome)
 }
 
@@ -96,62 +109,69 @@
     }
 }
 
-/// A call that names a job.
-struct JobReader<'a> {
+/// A job, as far as one tenant may see it.
+struct TenantJob<'a> {
     store: &'a Rc<Store>,
-    term: &'a PrimaryTerm,
+    served: &'a ServedShard,
     job: &'a str,
     tenant: &'a str,
 }
 
-impl JobReader<'_> {
-    /// Looks at the job, if it is there and the tenant's.
-    fn with_job<T>(&self, inspect: impl FnOnce(&JobEntry) -> T) -> Option<T> {
-        let replica = self.term.shard.replica();
-        replica.jobs().jobs.get(self.job).filter(|entry| entry.job.tenant == self.tenant).map(inspect)
-    }
-
-    /// Gives an answer only if this store may still give one.
-    async fn confirmed(&self, response: Response) -> Response {
-        let shard = &self.term.shard;
-        let pending = shard.replica().is_pending(self.job);
-        let certain = !pending && shard.confirm(self.store, clock::micros() + CONFIRM_TIMEOUT).await;
-        if certain { response } else { Response::Uncertain }
-    }
-
+impl TenantJob<'_> {
+    /// Answers with results from `start_after` on; waits up to `wait_ms` while there are none and the job runs.
     async fn results(&self, start_after: u64, wait_ms: u64) -> Response {
+        let term = &self.served.term;
         let deadline = tokio::time::Instant::now() + Duration::from_millis(wait_ms);
         loop {
-            let updates = self.term.updates.notified();
-            let more = self.with_job(|entry| entry.results.len() as u64 > start_after || entry.ended);
+            // Registered before the job is read, so that no update in between is missed.
+            let updates = term.updates.notified();
+            let more = self.inspect(|entry| entry.results.len() as u64 > start_after || entry.ended);
             let waiting = more == Some(false) && tokio::time::Instant::now() < deadline;
-            if !waiting || !self.term.is_serving() {
+            if !waiting || !term.is_serving() {
                 break;
             }
+            // A timeout is handled by the deadline above.
             let _ = tokio::time::timeout_at(deadline, updates).await;
         }
         let response =
-            self.with_job(|entry| results_response(entry, start_after)).unwrap_or(Response::NotFound);
+            self.inspect(|entry| results_response(entry, start_after)).unwrap_or(Response::NotFound);
         self.confirmed(response).await
     }
 
+    /// Answers with the body of an item.
     async fn body(&self, item: &str) -> Response {
-        let body = self.with_job(|entry| entry.item(item).map(|item| item.body.clone())).flatten();
+        let body = self.inspect(|entry| entry.item(item).map(|item| item.body.clone())).flatten();
         self.confirmed(body.map_or(Response::NotFound, Response::Body)).await
     }
 
+    /// Ends the job: items that have no result yet do not run any more.
     async fn end(&self) -> Response {
-        match self.with_job(|entry| entry.ended) {
+        match self.inspect(|entry| entry.ended) {
             None => self.confirmed(Response::NotFound).await,
             Some(true) => self.confirmed(Response::Done).await,
             Some(false) => {
-                let change = ShardOperation::End { job: self.job.to_owned() };
-                commit_response(self.term.shard.commit(self.store, change).await)
+                let operation = ShardOperation::End { job: self.job.to_owned() };
+                commit_response(self.served.shard.commit(self.store, operation).await)
             }
         }
     }
+
+    /// Evaluates a function on the job; `None` if it does not exist or is another tenant's.
+    fn inspect<T>(&self, inspect: impl FnOnce(&JobEntry) -> T) -> Option<T> {
+        let replica = self.served.shard.replica();
+        replica.jobs().jobs.get(self.job).filter(|entry| entry.job.tenant == self.tenant).map(inspect)
+    }
+
+    /// Returns the response only if what it was read from is confirmed to be the newest committed state.
+    async fn confirmed(&self, response: Response) -> Response {
+        let shard = &self.served.shard;
+        let pending = shard.replica().is_pending(self.job);
+        let certain = !pending && shard.confirm(self.store, clock::micros() + CONFIRM_TIMEOUT).await;
+        if certain { response } else { Response::Uncertain }
+    }
 }
 
+/// As many results after the first `start_after` as fit into one answer, at least one if there is any.
 fn results_response(entry: &JobEntry, start_after: u64) -> Response {
     let mut bytes = 0;
     let mut results: Vec<(String, Phase, String)> = Vec::new();
@@ -159,7 +179,7 @@
         if bytes + result.text.len() > RESULT_BYTES && !results.is_empty() {
             break;
         }
-        bytes += result.text.len() + 128;
+        bytes += result.text.len() + RESULT_OVERHEAD;
         let id = entry.job.items.get(result.item as usize).map(|item| item.id.clone()).unwrap_or_default();
         results.push((id, result.phase, result.text.clone()));
     }
--- a/tier/node/src/store/shard.rs
+++ b/tier/node/src/store/shard.rs
@@ -1,237 +1,277 @@
 //! A shard's replica on sockets and disk: carries out what [`ShardReplica`] decides.
+//!
+//! `ShardReplica` is the replication state machine, without I/O. Whatever happens here (a call, a commit, a synced write, an
+//! answer, a tick) is handed to it, and the actions that it returns are performed. What reaches beyond the shard goes to
+//! the store through [`ShardHost`].
 
-use super::Store;
 use super::term::PrimaryTerm;
+use super::waiters::Waiters;
 use crate::clock;
+use crate::node::Node;
 use quillmount_batch::{
-    CallId, Micros, OperationId, RequestId, ShardAction, ShardReplica, ShardReplicaId, StoreRecord,
+    CallId, Micros, OperationId, ShardAction, ShardReplica, ShardReplicaId, StoreRecord, WriteId,
 };
 use quillmount_wire::messages::{
     DiskId, Epoch, Request, Response, ShardMessage, ShardOperation, ShardReport, ShardView,
 };
 use std::cell::{Cell, Ref, RefCell};
-use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::sync::oneshot;
 
 /// Why an operation was not committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommitError {
-    /// It was not begun: nothing happened.
+    /// It was not started: nothing happened.
     NotStarted,
-    /// Members may hold it.
+    /// The outcome is unknown: replicas may have it.
     Uncertain,
 }
 
-/// Callers that wait for what the replica says.
-#[derive(Default)]
-struct PendingReplies {
-    answers: HashMap<RequestId, oneshot::Sender<Response>>,
-    operations: HashMap<OperationId, oneshot::Sender<Result<(), CommitError>>>,
-    reads: HashMap<u64, oneshot::Sender<bool>>,
-    rewrites: HashMap<RequestId, oneshot::Sender<bool>>,
+/// What a shard needs of the store that it belongs to.
+pub trait ShardHost: 'static {
+    /// The process.
+    fn node(&self) -> &Node;
+
+    /// Queues a record of a shard's replica for the disk; [`Shard::on_written`] is to be called for each, in the same order.
+    fn write(&self, shard: u32, write: WriteId, record: &StoreRecord);
+
+    /// Asks for [`Shard::tick`] to be called.
+    fn request_tick(&self);
+
+    /// The store serves the shard as primary from now on.
+    fn on_term_started(&self, served: &ServedShard);
+
+    /// A job was committed in a shard that is served here.
+    fn on_job_committed(&self, served: &ServedShard, job: &str);
 }
 
-/// A shard as one store has it.
+/// A shard, as one store has it.
 pub struct Shard {
+    /// Index of the shard in the placement.
     pub number: u32,
     replica: RefCell<ShardReplica>,
-    /// The term under way, while this store serves as primary.
+    /// The present term, while this store serves as primary.
     term: RefCell<Option<Rc<PrimaryTerm>>>,
-    waiting: RefCell<PendingReplies>,
+    /// Calls of other stores.
+    calls: Waiters<Response>,
+    operations: Waiters<Result<(), CommitError>>,
+    reads: Waiters<bool>,
+    rewrites: Waiters<bool>,
     last_id: Cell<u64>,
 }
 
+/// A shard together with the term in which this store serves it as primary.
+#[derive(Clone)]
+pub struct ServedShard {
+    /// The shard.
+    pub shard: Rc<Shard>,
+    /// The term, which may have ended since.
+    pub term: Rc<PrimaryTerm>,
+}
+
+/// A call that a replica makes to another one.
+struct OutgoingCall {
+    call: CallId,
+    member: DiskId,
+    epoch: Epoch,
+    message: ShardMessage,
+    timeout: Micros,
+}
+
 impl Shard {
+    /// A shard whose replica has nothing yet.
     pub fn new(identity: ShardReplicaId) -> Shard {
         Shard {
             number: identity.shard,
             replica: RefCell::new(ShardReplica::new(identity)),
             term: RefCell::new(None),
-            waiting: RefCell::default(),
+            calls: Waiters::default(),
+            operations: Waiters::default(),
+            reads: Waiters::default(),
+            rewrites: Waiters::default(),
             last_id: Cell::new(0),
         }
     }
 
-    fn allocate_id(&self) -> u64 {
-        self.last_id.set(self.last_id.get() + 1);
-        self.last_id.get()
-    }
-
-    /// Takes a record that was found on the disk.
+    /// Restores a record that was found on the disk; records come in the order in which they were written.
     pub fn recover(&self, record: StoreRecord) {
         self.replica.borrow_mut().recover(record);
     }
 
+    /// The replica's state.
     pub fn replica(&self) -> Ref<'_, ShardReplica> {
         self.replica.borrow()
     }
 
-    /// The term under way, if any.
+    /// The present term, if this store serves as primary.
     pub fn term(&self) -> Option<Rc<PrimaryTerm>> {
         self.term.borrow().clone()
     }
 
-    /// The term under way, if this store serves in this epoch.
-    pub fn serving(&self, epoch: Epoch) -> Option<Rc<PrimaryTerm>> {
+    /// This shard and its present term, if this store serves as primary.
+    pub fn served(self: &Rc<Self>) -> Option<ServedShard> {
+        self.term().map(|term| ServedShard { shard: self.clone(), term })
+    }
+
+    /// This shard and its present term, if this store serves as primary in this epoch.
+    pub fn serving(self: &Rc<Self>, epoch: Epoch) -> Option<ServedShard> {
         let serves = self.replica().serving() == Some(epoch);
-        self.term().filter(|_| serves)
+        self.served().filter(|_| serves)
     }
 
-    /// What the core is to know of the members.
+    /// What the primary has to report to the core about the other replicas, if anything.
     pub fn report(&self) -> Option<ShardReport> {
         self.replica.borrow_mut().report()
     }
 
-    pub fn follow_view(self: &Rc<Self>, store: &Rc<Store>, view: &ShardView) {
+    /// Adopts the shard's view in the placement, if it is newer.
+    pub fn follow_view<H: ShardHost>(self: &Rc<Self>, host: &Rc<H>, view: &ShardView) {
         let actions = self.replica.borrow_mut().follow_view(view, clock::micros());
-        self.perform(store, actions);
+        self.perform(host, actions);
     }
 
-    /// Lets time pass, if that may change something; whether it may.
-    pub fn tick(self: &Rc<Self>, store: &Rc<Store>) -> bool {
+    /// Ticks the replica if it waits for time to pass; whether it does.
+    pub fn tick<H: ShardHost>(self: &Rc<Self>, host: &Rc<H>) -> bool {
         if !self.replica().needs_tick() {
             return false;
         }
         let actions = self.replica.borrow_mut().tick(clock::micros());
-        self.perform(store, actions);
+        self.perform(host, actions);
         true
     }
 
     /// A record is synced, or could not be written.
-    pub fn on_written(self: &Rc<Self>, store: &Rc<Store>, write: u64, synced: bool) {
+    pub fn on_written<H: ShardHost>(self: &Rc<Self>, host: &Rc<H>, write: WriteId, synced: bool) {
         let actions = self.replica.borrow_mut().on_written(write, synced, clock::micros());
-        self.perform(store, actions);
+        self.perform(host, actions);
     }
 
     /// Answers a call of the shard's primary.
-    pub async fn answer(self: &Rc<Self>, store: &Rc<Store>, epoch: Epoch, message: ShardMessage) -> Response {
+    pub async fn answer<H: ShardHost>(
+        self: &Rc<Self>,
+        host: &Rc<H>,
+        epoch: Epoch,
+        message: ShardMessage,
+    ) -> Response {
         let request = self.allocate_id();
-        let (sender, receiver) = oneshot::channel();
-        self.waiting.borrow_mut().answers.insert(request, sender);
+        let response = self.calls.register(request);
         let actions = self.replica.borrow_mut().receive(request, epoch, message, clock::random_id());
-        self.perform(store, actions);
-        receiver.await.unwrap_or(Response::Uncertain)
+        self.perform(host, actions);
+        response.await.unwrap_or(Response::Uncertain)
     }
 
-    /// Commits an operation.
-    pub async fn commit(
+    /// Commits an operation as primary; returns once its outcome is known.
+    pub async fn commit<H: ShardHost>(
         self: &Rc<Self>,
-        store: &Rc<Store>,
+        host: &Rc<H>,
         change: ShardOperation,
     ) -> Result<(), CommitError> {
         let operation = self.allocate_id();
-        let (sender, receiver) = oneshot::channel();
-        self.waiting.borrow_mut().operations.insert(operation, sender);
+        let outcome = self.operations.register(operation);
         let actions = self.replica.borrow_mut().commit(operation, change, clock::micros());
-        self.perform(store, actions);
-        receiver.await.unwrap_or(Err(CommitError::Uncertain))
+        self.perform(host, actions);
+        outcome.await.unwrap_or(Err(CommitError::Uncertain))
     }
 
-    /// Whether this store still is primary: what it has committed is the newest there is.
-    pub async fn confirm(self: &Rc<Self>, store: &Rc<Store>, until: Micros) -> bool {
+    /// Confirms with the other replicas that this store is still primary, and so that its committed state is the newest;
+    /// whether that succeeds by `until` (steady clock, microseconds).
+    pub async fn confirm<H: ShardHost>(self: &Rc<Self>, host: &Rc<H>, until: Micros) -> bool {
         let read = self.allocate_id();
-        let (sender, receiver) = oneshot::channel();
-        self.waiting.borrow_mut().reads.insert(read, sender);
+        let confirmed = self.reads.register(read);
         let actions = self.replica.borrow_mut().confirm(read, until, clock::micros());
-        self.perform(store, actions);
-        receiver.await.unwrap_or(false)
+        self.perform(host, actions);
+        confirmed.await.unwrap_or(false)
     }
 
-    /// Writes all jobs once more; whether they are synced.
-    pub async fn rewrite(self: &Rc<Self>, store: &Rc<Store>) -> bool {
+    /// Writes all jobs to the disk once more; whether they are synced.
+    pub async fn rewrite<H: ShardHost>(self: &Rc<Self>, host: &Rc<H>) -> bool {
         let request = self.allocate_id();
-        let (sender, receiver) = oneshot::channel();
-        self.waiting.borrow_mut().rewrites.insert(request, sender);
+        let complete = self.rewrites.register(request);
         let actions = self.replica.borrow_mut().rewrite(request);
-        self.perform(store, actions);
-        receiver.await.unwrap_or(false)
+        self.perform(host, actions);
+        complete.await.unwrap_or(false)
     }
 
-    fn perform(self: &Rc<Self>, store: &Rc<Store>, actions: Vec<ShardAction>) {
-        let mut queue: VecDeque<ShardAction> = actions.into();
-        while let Some(action) = queue.pop_front() {
-            self.perform_one(store, action);
+    fn allocate_id(&self) -> u64 {
+        self.last_id.set(self.last_id.get() + 1);
+        self.last_id.get()
+    }
+
+    fn perform<H: ShardHost>(self: &Rc<Self>, host: &Rc<H>, actions: Vec<ShardAction>) {
+        for action in actions {
+            self.perform_one(host, action);
         }
         if self.replica().needs_tick() {
-            store.tick_needed.notify_one();
+            host.request_tick();
         }
     }
 
-    fn perform_one(self: &Rc<Self>, store: &Rc<Store>, action: ShardAction) {
+    fn perform_one<H: ShardHost>(self: &Rc<Self>, host: &Rc<H>, action: ShardAction) {
         match action {
-            ShardAction::Write { write, record } => store.write(self, write, &record),
+            ShardAction::Write { write, record } => host.write(self.number, write, &record),
             ShardAction::Call { call, member, epoch, message, timeout } => {
-                let (shard, store) = (self.clone(), store.clone());
-                tokio::task::spawn_local(async move {
-                    shard.call(&store, (call, member), epoch, message, timeout).await;
-                });
+                let (shard, host) = (self.clone(), host.clone());
+                let outgoing = OutgoingCall { call, member, epoch, message, timeout };
+                // Ends with the call's answer or timeout, which the replica waits for.
+                tokio::task::spawn_local(async move { shard.call(&host, outgoing).await });
             }
-            ShardAction::Answer { request, response } => {
-                send(self.waiting.borrow_mut().answers.remove(&request), response);
-            }
-            ShardAction::Committed { operation, change } => self.committed(store, operation, &change),
+            ShardAction::Answer { request, response } => self.calls.complete(request, response),
+            ShardAction::Committed { operation, change } => self.on_committed(host, operation, &change),
             ShardAction::Uncertain { operation } => {
-                self.complete_operation(operation, Err(CommitError::Uncertain))
+                self.operations.complete(operation, Err(CommitError::Uncertain));
             }
             ShardAction::NotStarted { operation } => {
-                self.complete_operation(operation, Err(CommitError::NotStarted))
+                self.operations.complete(operation, Err(CommitError::NotStarted));
             }
-            ShardAction::Serving { epoch } => self.begin_term(store, epoch),
+            ShardAction::Serving { epoch } => self.begin_term(host, epoch),
             ShardAction::SteppedDown => self.end_term(),
-            ShardAction::ReadConfirmed { read } => send(self.waiting.borrow_mut().reads.remove(&read), true),
-            ShardAction::ReadRejected { read } => send(self.waiting.borrow_mut().reads.remove(&read), false),
-            ShardAction::ReportDue => store.node.report_due.notify_one(),
-            ShardAction::Rewritten { request, complete } => {
-                send(self.waiting.borrow_mut().rewrites.remove(&request), complete);
-            }
+            ShardAction::ReadConfirmed { read } => self.reads.complete(read, true),
+            ShardAction::ReadRejected { read } => self.reads.complete(read, false),
+            ShardAction::ReportDue => host.node().report_due.notify_one(),
+            ShardAction::Rewritten { request, complete } => self.rewrites.complete(request, complete),
         }
     }
 
-    async fn call(
-        self: &Rc<Self>,
-        store: &Rc<Store>,
-        (call, member): (CallId, DiskId),
-        epoch: Epoch,
-        message: ShardMessage,
-        timeout: Micros,
-    ) {
-        let tables = store.node.tables();
-        let target = tables.placement.stores.iter().find(|node| node.disk == member);
+    /// Makes a call to another replica and hands its answer, or that there is none, to the replica.
+    async fn call<H: ShardHost>(self: &Rc<Self>, host: &Rc<H>, outgoing: OutgoingCall) {
+        let OutgoingCall { call, member, epoch, message, timeout } = outgoing;
+        let node = host.node();
+        let tables = node.tables();
+        let target = tables.placement.stores.iter().find(|store| store.disk == member);
         let answer = match target {
             Some(target) => {
                 let request = Request::Shard { to: member, shard: self.number, epoch, message };
                 let timeout = Duration::from_micros(timeout);
-                store.node.links.call(&target.internal, &request, timeout).await.ok()
+                node.links.call(&target.internal, &request, timeout).await.ok()
             }
             None => None,
         };
         let actions = self.replica.borrow_mut().on_answer(call, answer, clock::micros());
-        self.perform(store, actions);
+        self.perform(host, actions);
     }
 
-    fn complete_operation(&self, operation: OperationId, result: Result<(), CommitError>) {
-        send(self.waiting.borrow_mut().operations.remove(&operation), result);
-    }
-
-    fn committed(self: &Rc<Self>, store: &Rc<Store>, operation: OperationId, change: &ShardOperation) {
-        self.complete_operation(operation, Ok(()));
-        let Some(term) = self.term() else { return };
+    fn on_committed<H: ShardHost>(
+        self: &Rc<Self>,
+        host: &Rc<H>,
+        operation: OperationId,
+        change: &ShardOperation,
+    ) {
+        self.operations.complete(operation, Ok(()));
+        let Some(served) = self.served() else { return };
         match change {
-            ShardOperation::Submit(job) => store.item_queue.add_job(store, &term, &job.id),
-            ShardOperation::End { job } => term.cancel(job),
-            ShardOperation::Forget { job } => term.forget(job),
+            ShardOperation::Submit(job) => host.on_job_committed(&served, &job.id),
+            ShardOperation::End { job } => served.term.cancel(job),
+            ShardOperation::Forget { job } => served.term.forget(job),
             ShardOperation::Append { .. } => {}
         }
-        term.updates.notify_waiters();
+        served.term.updates.notify_waiters();
     }
 
-    fn begin_term(self: &Rc<Self>, store: &Rc<Store>, epoch: Epoch) {
+    fn begin_term<H: ShardHost>(self: &Rc<Self>, host: &Rc<H>, epoch: Epoch) {
         tracing::info!(shard = self.number, epoch, "serving");
-        let term = PrimaryTerm::new(self.clone(), epoch);
+        let term = PrimaryTerm::new(epoch);
         *self.term.borrow_mut() = Some(term.clone());
-        store.item_queue.add_shard(store, &term);
+        host.on_term_started(&ServedShard { shard: self.clone(), term });
     }
 
     fn end_term(&self) {
@@ -241,10 +281,3 @@
         }
     }
 }
-
-/// Tells a caller, which may have left.
-fn send<T>(sender: Option<oneshot::Sender<T>>, value: T) {
-    if let Some(sender) = sender {
-        let _ = sender.send(value);
-    }
-}
--- /dev/null
+++ b/tier/node/src/store/state.rs
@@ -0,0 +1,124 @@
+//! The state of a store that its tasks share.
+
+use super::items::queue::{ItemQueue, demand_of_backlog};
+use super::items::shares::BatchShares;
+use super::journal::{Journal, OpenedJournal, PendingWrite};
+use super::shard::{ServedShard, Shard, ShardHost};
+use crate::node::Node;
+use crate::subscription::{Needs, Reporter};
+use quillmount_batch::{ShardReplicaId, StoreRecord, WriteId};
+use quillmount_control::SHARDS;
+use quillmount_storage::{RingRecord, StorageError};
+use quillmount_wire::messages::ShardReport;
+use std::cell::Cell;
+use std::path::Path;
+use std::rc::Rc;
+use tokio::sync::{Notify, mpsc};
+
+/// Fraction of the memory that jobs may take.
+const MEMORY_FRACTION: f64 = 0.4;
+
+/// A store: its replicas of all shards, and the items that wait to run.
+pub struct Store {
+    /// The process.
+    pub node: Rc<Node>,
+    /// The ring on the disk.
+    pub journal: Journal,
+    /// All shards, by number.
+    pub shards: Vec<Rc<Shard>>,
+    /// Items of the shards that are served here, as far as they wait.
+    pub item_queue: ItemQueue,
+    /// This store's shares of the endpoints.
+    pub batch_shares: BatchShares,
+    /// Notified when a replica waits for time to pass.
+    pub tick_needed: Notify,
+    /// Whether a compaction of the ring is running.
+    pub compacting: Cell<bool>,
+}
+
+impl Store {
+    /// Opens the ring in `folder` and restores the shards from it. Also returns the queue of the shards' writes, which
+    /// `replica_tasks` follows.
+    pub fn open(
+        node: Rc<Node>,
+        folder: &Path,
+    ) -> Result<(Rc<Store>, mpsc::UnboundedReceiver<PendingWrite>), StorageError> {
+        let disk_mb = node.settings.limits.disk_mb as f64;
+        let OpenedJournal { journal, records, pending } = Journal::open(folder, disk_mb)?;
+        let tolerated_failures = node.settings.fault_tolerance.machines;
+        let identity = |shard| ShardReplicaId { disk: node.info.disk, shard, tolerated_failures };
+        let shards: Vec<Rc<Shard>> =
+            (0..SHARDS as u32).map(|shard| Rc::new(Shard::new(identity(shard)))).collect();
+        recover(&shards, records);
+        let store = Store {
+            node,
+            journal,
+            shards,
+            item_queue: ItemQueue::default(),
+            batch_shares: BatchShares::default(),
+            tick_needed: Notify::new(),
+            compacting: Cell::new(false),
+        };
+        Ok((Rc::new(store), pending))
+    }
+
+    /// Whether there is capacity for a new job, in memory and on the disk.
+    pub fn has_capacity(&self) -> bool {
+        let memory = self.node.settings.limits.ram_mb as f64 * 1e6 * MEMORY_FRACTION;
+        let used: usize = self.shards.iter().map(|shard| shard.replica().jobs().bytes()).sum();
+        (used as f64) < memory.min(self.journal.live_bytes_limit()) && self.journal.accepts_jobs()
+    }
+}
+
+impl ShardHost for Store {
+    fn node(&self) -> &Node {
+        &self.node
+    }
+
+    fn write(&self, shard: u32, write: WriteId, record: &StoreRecord) {
+        self.journal.write(shard, write, record);
+    }
+
+    fn request_tick(&self) {
+        self.tick_needed.notify_one();
+    }
+
+    fn on_term_started(&self, served: &ServedShard) {
+        self.item_queue.add_shard(&self.node.tables().routes, served);
+    }
+
+    fn on_job_committed(&self, served: &ServedShard, job: &str) {
+        self.item_queue.add_job(&self.node.tables().routes, served, job);
+    }
+}
+
+impl Reporter for Store {
+    fn shards(&self) -> Vec<ShardReport> {
+        self.shards.iter().filter_map(|shard| shard.report()).collect()
+    }
+
+    fn needs(&self) -> Needs {
+        let mut items = self.item_queue.waiting(&self.node.tables().routes);
+        let demand = demand_of_backlog(&items);
+        for (service, running) in self.node.dispatcher.borrow().in_flight() {
+            *items.entry(service).or_default() += running;
+        }
+        Needs { demand, items }
+    }
+}
+
+fn recover(shards: &[Rc<Shard>], records: Vec<RingRecord>) {
+    for record in records {
+        match StoreRecord::decode(&record.body) {
+            Ok(decoded) => {
+                let shard = decoded.shard().and_then(|shard| shards.get(shard as usize));
+                if let Some(shard) = shard {
+                    shard.recover(decoded);
+                }
+            }
+            Err(error) => {
+                tracing::error!(%error, segment = record.segment, "failed to decode a record of the ring");
+            }
+        }
+    }
+}
--- a/tier/node/src/store/term.rs
+++ b/tier/node/src/store/term.rs
@@ -1,7 +1,6 @@
-//! What a store remembers of a shard while it serves as its primary, beyond what is replicated.
+//! What a store remembers while it serves a shard as primary, beyond what is replicated.
 
-use super::quota::TermQuota;
-use super::shard::Shard;
+use super::term_quota::TermQuota;
 use crate::clock;
 use quillmount_wire::messages::Epoch;
 use std::cell::{Cell, RefCell};
@@ -9,86 +8,88 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Told when the items of a job are no longer to run.
-#[derive(Default)]
+/// Signals that the items of a job are no longer to run. Once set it stays set.
+#[derive(Debug, Default)]
 pub struct CancelSignal {
     cancelled: Cell<bool>,
     notify: Notify,
 }
 
 impl CancelSignal {
-    fn cancel(&self) {
-        self.cancelled.set(true);
-        self.notify.notify_waiters();
-    }
-
+    /// Whether the signal is set.
     pub fn is_cancelled(&self) -> bool {
         self.cancelled.get()
     }
 
-    /// Waits for the end of the job, or of the term.
+    /// Waits until the signal is set.
     pub async fn cancelled(&self) {
         let notified = self.notify.notified();
         if !self.cancelled.get() {
             notified.await;
         }
     }
+
+    fn cancel(&self) {
+        self.cancelled.set(true);
+        self.notify.notify_waiters();
+    }
 }
 
-/// A job, as the primary that serves knows it.
-#[derive(Clone)]
+/// A job, as the serving primary knows it.
+#[derive(Clone, Debug)]
 pub struct TrackedJob {
-    /// When this primary first knew of it, steady clock: never before it was sent.
+    /// Moment on the steady clock, microseconds, at which this primary first saw the job; never before it was submitted.
     pub first_seen: u64,
+    /// Set when the job, or the primary's term, has ended.
     pub cancel: Rc<CancelSignal>,
 }
 
-/// A primary that serves, until its replica ends that.
+/// The time for which a store serves a shard as primary, from its election until its replica steps down.
 pub struct PrimaryTerm {
-    pub shard: Rc<Shard>,
-    ended: Cell<bool>,
-    /// Told when something was committed, and at the end.
+    /// Notified when something was committed, and when the term ends.
     pub updates: Notify,
-    tracked: RefCell<HashMap<String, TrackedJob>>,
+    /// The quota ledger of the shard, and the claims that its primary makes.
     pub quota: TermQuota,
+    ended: Cell<bool>,
+    tracked: RefCell<HashMap<String, TrackedJob>>,
 }
 
 impl PrimaryTerm {
     /// Begins to serve in this epoch.
-    pub fn new(shard: Rc<Shard>, epoch: Epoch) -> Rc<PrimaryTerm> {
+    pub fn new(epoch: Epoch) -> Rc<PrimaryTerm> {
         Rc::new(PrimaryTerm {
-            shard,
-            ended: Cell::new(false),
             updates: Notify::new(),
-            tracked: RefCell::default(),
             quota: TermQuota::new(epoch),
+            ended: Cell::new(false),
+            tracked: RefCell::default(),
         })
     }
 
+    /// Whether the term has not ended.
     pub fn is_serving(&self) -> bool {
         !self.ended.get()
     }
 
-    /// Ends the term: no item of its jobs runs on.
+    /// Ends the term: cancels the items of all its jobs and wakes those who wait for updates.
     pub fn end(&self) {
         self.ended.set(true);
         self.updates.notify_waiters();
         self.tracked.borrow().values().for_each(|tracked| tracked.cancel.cancel());
     }
 
-    /// What is remembered of a job.
+    /// What is remembered of a job; from now on, if the job is new to this term.
     pub fn track(&self, job: &str) -> TrackedJob {
         let mut tracked = self.tracked.borrow_mut();
         let new = || TrackedJob { first_seen: clock::micros(), cancel: Rc::default() };
         tracked.entry(job.to_owned()).or_insert_with(new).clone()
     }
 
-    /// A job has ended: its items run no more.
+    /// Cancels the items of a job that has ended.
     pub fn cancel(&self, job: &str) {
         self.track(job).cancel.cancel();
     }
 
-    /// A job was forgotten.
+    /// Drops what is remembered of a job that is no longer retained.
     pub fn forget(&self, job: &str) {
         self.tracked.borrow_mut().remove(job);
     }
--- /dev/null
+++ b/tier/node/src/store/waiters.rs
@@ -0,0 +1,34 @@
+//! Callers that wait for the outcome of something that another task completes.
+
+use std::cell::RefCell;
+use std::collections::HashMap;
+use tokio::sync::oneshot;
+
+/// Waiting callers, by the id of what they wait for.
+pub struct Waiters<T> {
+    senders: RefCell<HashMap<u64, oneshot::Sender<T>>>,
+}
+
+impl<T> Default for Waiters<T> {
+    fn default() -> Self {
+        Waiters { senders: RefCell::default() }
+    }
+}
+
+impl<T> Waiters<T> {
+    /// Registers a caller; the receiver gets the outcome of `id`.
+    pub fn register(&self, id: u64) -> oneshot::Receiver<T> {
+        let (sender, receiver) = oneshot::channel();
+        self.senders.borrow_mut().insert(id, sender);
+        receiver
+    }
+
+    /// Passes an outcome to the caller that waits for `id`, if there is one.
+    pub fn complete(&self, id: u64, outcome: T) {
+        let sender = self.senders.borrow_mut().remove(&id);
+        if let Some(sender) = sender {
+            // The caller may have stopped waiting.
+            let _ = sender.send(outcome);
+        }
+    }
+}
--- a/tier/node/src/subscription.rs
+++ b/tier/node/src/subscription.rs
@@ -60,7 +60,7 @@
 pub async fn run(node: Rc<Node>, reporter: Rc<dyn Reporter>) {
     let mut contacts = Contacts::default();
     loop {
-        let poll_address = node.core.poll_address();
+        let poll_address = node.core_contact.poll_address();
         let address = poll_address.or_else(|| contacts.next_address(&node.core_addresses(), clock::micros()));
         let Some(address) = address else {
             tokio::time::sleep(RETRY_DELAY).await;
@@ -72,12 +72,12 @@
                 let now = clock::micros();
                 let hint = hint.filter(|hint| *hint != address && contacts.may_follow(hint, now));
                 let delay = if hint.is_some() { NEXT_ADDRESS_DELAY } else { RETRY_DELAY };
-                node.core.set_poll_address(hint);
+                node.core_contact.set_poll_address(hint);
                 tokio::time::sleep(delay).await;
             }
             PollOutcome::Failed => {
                 contacts.record_failure(&address, clock::micros());
-                node.core.set_poll_address(None);
+                node.core_contact.set_poll_address(None);
                 tokio::time::sleep(NEXT_ADDRESS_DELAY).await;
             }
         }
@@ -137,8 +137,8 @@
     // Behind a relay the primary itself is tried now and then.
     let stay = address == tables.primary || !clock::random_id().is_multiple_of(DIRECT_EVERY);
     let next = if stay { address } else { &tables.primary };
-    node.core.set_poll_address(Some(next.to_owned()));
-    node.core.record_answer(&tables.primary, &tables.relays);
+    node.core_contact.set_poll_address(Some(next.to_owned()));
+    node.core_contact.record_answer(&tables.primary, &tables.relays);
     *node.loads.borrow_mut() = Rc::new(std::mem::take(&mut tables.loads));
     table_update::apply(node, tables);
 }
--- a/tier/node/src/subscription/direct_list.rs
+++ b/tier/node/src/subscription/direct_list.rs
@@ -20,7 +20,7 @@
         }
         // The file may have changed without a signal.
         node.reload_seeds();
-        if !node.core.has_ever_answered() {
+        if !node.core_contact.has_ever_answered() {
             continue;
         }
         if let Some(list) = endpoint_list::read(&node).await {
@@ -34,7 +34,7 @@
 }
 
 fn is_core_silent(node: &Node) -> bool {
-    node.core.silence() > CORE_SILENCE
+    node.core_contact.silence() > CORE_SILENCE
 }
 
 fn install(node: &Node, current: &TableSnapshot, list: Vec<Endpoint>) {
