--- a/tier/node/src/control_member/member.rs
+++ b/tier/node/src/control_member/member.rs
@@ -8,7 +8,7 @@
 use crate::clock;
 use crate::disk::{AppendError, DiskWriter};
 use crate::node::Node;
-use quillmount_control::{ControlState, Directory, Member, MemberAction, RegisterWrite, Ticket};
+use quillmount_control::{ControlState, Directory, Member, MemberAction, NotPrimary, RegisterWrite, Ticket};
 use quillmount_storage::{RingRecord, RingSize, StorageError};
 use quillmount_wire::messages::{DiskId, Epoch, Register, RegisterMessage, Request, decode, encode};
 use std::cell::RefCell;
@@ -26,11 +26,13 @@
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(3000);
 
 /// Why a change of the control state was not confirmed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChangeError {
     /// This member is not the primary: nothing was changed.
+    #[error("this member is not the primary of the core")]
     NotPrimary,
     /// The outcome is unknown: the change may or may not come into force.
+    #[error("the outcome of the change is unknown")]
     Uncertain,
 }
 
@@ -40,7 +42,7 @@
     pub node: Rc<Node>,
     /// Notified when there may be newer tables for pollers.
     pub changed: Notify,
-    /// Leases granted in this epoch; empty where this member is not primary.
+    /// Leases granted in the last epoch in which this member was primary; meaningful only while it is.
     pub leases: RefCell<Leases>,
     /// The list of endpoints as read in this epoch; empty where this member is not primary.
     pub directory: RefCell<Directory>,
@@ -149,15 +151,15 @@
     /// committed.
     pub async fn change<T>(&self, change: impl FnOnce(&mut ControlState) -> T) -> Result<T, ChangeError> {
         let begun = self.member.borrow_mut().change(change, clock::micros());
-        let (outcome, ticket, actions) = begun.map_err(|_| ChangeError::NotPrimary)?;
+        let (outcome, ticket, actions) = begun.map_err(|NotPrimary| ChangeError::NotPrimary)?;
         if self.wait_for(ticket, actions).await { Ok(outcome) } else { Err(ChangeError::Uncertain) }
     }
 
     /// Confirms with a majority that this member is still primary, and so that its committed state is the newest.
-    pub async fn confirm(&self) -> Result<(), ChangeError> {
+    pub async fn confirm(&self) -> Result<(), NotPrimary> {
         let begun = self.member.borrow_mut().confirm(clock::micros());
-        let (ticket, actions) = begun.map_err(|_| ChangeError::NotPrimary)?;
-        if self.wait_for(ticket, actions).await { Ok(()) } else { Err(ChangeError::NotPrimary) }
+        let (ticket, actions) = begun?;
+        if self.wait_for(ticket, actions).await { Ok(()) } else { Err(NotPrimary) }
     }
 
     /// Performs the actions of a change or read, then waits for its ticket; whether that was confirmed in time.
@@ -183,6 +185,7 @@
         }
     }
 
+    /// Performs actions in their order, which the state machine relies on.
     fn perform(&self, actions: Vec<MemberAction>) {
         for action in actions {
             self.perform_one(action);
--- a/tier/node/src/control_member/operator.rs
+++ b/tier/node/src/control_member/operator.rs
@@ -17,11 +17,22 @@
     error: String,
 }
 
+/// How far the retirement of a store is.
+#[derive(Serialize)]
+enum RetirementPhase {
+    /// The store still has shards, or was not asked to give them up.
+    #[serde(rename = "serving")]
+    Serving,
+    /// The store has no shards left: it can be stopped.
+    #[serde(rename = "done")]
+    Done,
+}
+
 /// Phase of a retirement, as JSON.
 #[derive(Serialize)]
 struct PhaseBody {
     #[serde(rename = "Phase")]
-    phase: String,
+    phase: RetirementPhase,
 }
 
 /// Version that a change of the configuration produced, as JSON.
@@ -117,7 +128,7 @@
     match core.change(|state| state.retire(store, tolerated_failures)).await {
         Ok(Retirement::Unknown) => Some(error_response(404, "there is no such store")),
         Ok(Retirement::TooFew) => Some(error_response(409, "too few stores would be left")),
-        Ok(Retirement::Serving | Retirement::Done) => Some(phase_response("serving")),
+        Ok(Retirement::Serving | Retirement::Done) => Some(phase_response(RetirementPhase::Serving)),
         Err(ChangeError::NotPrimary) => Some(unavailable()),
         Err(ChangeError::Uncertain) => None,
     }
@@ -129,8 +140,8 @@
         return unavailable();
     }
     match core.committed().map(|state| state.retirement(store)) {
-        Some(Retirement::Done) => phase_response("done"),
-        Some(Retirement::Serving | Retirement::TooFew) => phase_response("serving"),
+        Some(Retirement::Done) => phase_response(RetirementPhase::Done),
+        Some(Retirement::Serving | Retirement::TooFew) => phase_response(RetirementPhase::Serving),
         Some(Retirement::Unknown) => error_response(404, "there is no such store"),
         None => unavailable(),
     }
@@ -142,8 +153,8 @@
         .with_header("Retry-After", "0.2".to_owned())
 }
 
-fn phase_response(phase: &str) -> HttpResponse {
-    HttpResponse::json(200, json::to_string(&PhaseBody { phase: phase.to_owned() }))
+fn phase_response(phase: RetirementPhase) -> HttpResponse {
+    HttpResponse::json(200, json::to_string(&PhaseBody { phase }))
 }
 
 fn error_response(status: u16, error: impl std::fmt::Display) -> HttpResponse {
--- a/tier/node/src/store/quota.rs
+++ b/tier/node/src/store/quota.rs
@@ -44,11 +44,13 @@
 }
 
 /// Why a job's tokens were not granted.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClaimError {
     /// They exceed the limit.
+    #[error("the tokens exceed the limit")]
     Exceeded,
     /// The ledger did not answer or can't decide now; nothing was reserved.
+    #[error("the quota ledger gave no decision")]
     Unknown,
 }
 
--- a/tier/node/src/store/shard.rs
+++ b/tier/node/src/store/shard.rs
@@ -19,11 +19,13 @@
 use std::time::Duration;
 
 /// Why an operation was not committed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CommitError {
     /// It was not started: nothing happened.
+    #[error("the operation was not started")]
     NotStarted,
     /// The outcome is unknown: replicas may have it.
+    #[error("the outcome of the operation is unknown")]
     Uncertain,
 }
 
@@ -197,6 +199,7 @@
         self.last_id.get()
     }
 
+    /// Performs actions in their order, which the replica relies on.
     fn perform<H: ShardHost>(self: &Rc<Self>, host: &Rc<H>, actions: Vec<ShardAction>) {
         for action in actions {
             self.perform_one(host, action);
