--- a/tier/node/src/clock.rs
+++ b/tier/node/src/clock.rs
@@ -29,3 +29,8 @@
 pub fn random_id() -> u64 {
     getrandom::u64().unwrap_or_else(|_| micros()).max(1)
 }
+
+/// Draws a random number from 0 up to, but not including, 1, in steps of 1/10,000.
+pub fn random_fraction() -> f64 {
+    (random_id() % 10_000) as f64 / 10_000.0
+}
--- a/tier/node/src/commands.rs
+++ b/tier/node/src/commands.rs
@@ -1,6 +1,6 @@
 //! The command line: its subcommands, and what each of them starts.
 
-use crate::{control_member, edge, store};
+use crate::{edge, inspect, store};
 use argh::FromArgs;
 use miette::IntoDiagnostic;
 use quillmount_wire::configuration::Configuration;
@@ -83,9 +83,7 @@
             store::run(Settings::load()?).await.into_diagnostic()
         }
         Command::Check(check) => run_check(&check),
-        Command::Inspect(inspect) => {
-            control_member::inspect::print(Path::new(&inspect.folder)).into_diagnostic()
-        }
+        Command::Inspect(options) => inspect::print(Path::new(&options.folder)).into_diagnostic(),
         Command::Version(Version {}) => {
             println!("quillmount-node {}", env!("CARGO_PKG_VERSION"));
             Ok(())
--- a/tier/node/src/control_member/mod.rs
+++ b/tier/node/src/control_member/mod.rs
@@ -7,7 +7,6 @@
 
 pub mod bootstrap;
 pub mod directory;
-pub mod inspect;
 mod leases;
 mod member;
 pub mod operator;
--- a/tier/node/src/main.rs
+++ b/tier/node/src/main.rs
@@ -12,6 +12,7 @@
 mod edge;
 mod endpoint_list;
 mod http;
+mod inspect;
 mod node;
 mod rpc;
 mod store;
--- a/tier/node/src/store/items/item_run.rs
+++ b/tier/node/src/store/items/item_run.rs
@@ -25,7 +25,7 @@
     pub tracked: TrackedJob,
     /// The job.
     pub job: Rc<Job>,
-    /// Index of the item in its job.
+    /// Index of the item in its job, always a valid one.
     pub item: u32,
     /// Data of the events received so far.
     pub text: Vec<String>,
@@ -77,8 +77,7 @@
             return NextStep::DeadLetter;
         }
         let profile = RequestProfile::parse(self.header("Token-Count"), self.header("Prompt-Prefix"));
-        let draw = (clock::random_id() % 10_000) as f64 / 10_000.0;
-        let service = route.pick_service(draw).unwrap_or_default().to_owned();
+        let service = route.pick_service(clock::random_fraction()).unwrap_or_default().to_owned();
         NextStep::Reserve { service, profile }
     }
 
