--- a/tier/control/src/breaks.rs
+++ b/tier/control/src/breaks.rs
@@ -1,31 +1,32 @@
-//! Deliberate breaks of the control state's code, each of which the tests have to find; no release build has them.
+//! Deliberate faults in the code of the control state, for the proof that the tests detect them; no release build has
+//! them.
 
-/// What is broken.
+/// A fault that can be switched on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Break {
-    /// A primary answers reads and refusals without asking a majority.
+    /// A primary confirms reads and rejections without hearing from a majority.
     ReadWithoutRound,
-    /// A member promises and acknowledges before its register is on its disk.
+    /// A member promises and acknowledges before its register is synced.
     AnsweredBeforeSync,
     /// A change is confirmed when it is proposed.
     ConfirmedWhenProposed,
-    /// A primary that hears no majority hands out its tables.
+    /// A primary that hears from no majority serves its state.
     StaleTables,
-    /// An order is known again by its body alone, whatever it builds on.
+    /// The digest of an order leaves the base version out.
     DigestWithoutBase,
-    /// An order that comes again is not known.
+    /// A retried order is not recognized.
     OrderForgotten,
-    /// An order is taken whatever version it builds on.
+    /// An order is applied whatever version it builds on.
     BaseIgnored,
-    /// An order that may have been forgotten is refused.
+    /// An order that may have been applied and forgotten is rejected.
     ForgottenRefused,
-    /// A store that leaves counts members that are gone as copies.
+    /// A retiring store is dropped although members that are gone are counted as its replacement.
     RetiringCountsGone,
     /// A report of an older epoch changes a view.
     ReportOfOlderEpoch,
-    /// A store that joins counts as in sync at once.
+    /// A joining store counts as in sync at once.
     JoiningAtOnce,
-    /// The set in sync shrinks to the members that are alive, however few.
+    /// The in-sync set shrinks to the live members, however few.
     ShrinksBelowMinimum,
 }
 
--- a/tier/control/src/directory.rs
+++ b/tier/control/src/directory.rs
@@ -1,41 +1,40 @@
-//! The endpoints' list with the changes that led to it, so that those who have an earlier version get these only.
+//! The endpoint list with its recent changes, so that a subscriber with an earlier version gets only the difference.
+//!
+//! The primary of the core replaces the list with each reading ([`Directory::replace`]) and sends each subscriber
+//! what [`Directory::update_since`] gives; the subscriber applies it with [`apply_update`].
 
 use quillmount_wire::messages::{DirectoryUpdate, Endpoint};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// Earlier versions that are remembered; who has an older one gets the whole list.
+/// Number of versions of which the changes are remembered; a subscriber with an older one gets the full list.
 const HISTORY_LIMIT: usize = 64;
 
-/// The list of one reader, from its first reading on.
+/// The endpoint list as one primary has read it, from its first reading on.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     list: Rc<Vec<Endpoint>>,
-    /// Counts the versions; 0 before the first.
+    /// Counts the changes of `list`; 0 before the first reading.
     version: u64,
-    /// Ids that changed with each of the last versions, the newest last.
+    /// Ids that changed with each of the last versions, the newest last; at most [`HISTORY_LIMIT`].
     history: VecDeque<BTreeSet<String>>,
 }
 
-/// Whether two entries differ in what couriers act on: not in how many milliseconds of a cold start are left.
-fn differs(one: &Endpoint, other: &Endpoint) -> bool {
-    let plain = |endpoint: &Endpoint| Endpoint {
-        warmup_left_ms: if endpoint.warmup_left_ms > 0.0 { 1.0 } else { 0.0 },
-        ..endpoint.clone()
-    };
-    plain(one) != plain(other)
-}
-
 impl Directory {
+    /// The current list.
+    #[must_use]
     pub fn list(&self) -> &Rc<Vec<Endpoint>> {
         &self.list
     }
 
+    /// Version of the current list; 0 before the first reading.
+    #[must_use]
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Takes a reading; whether anything changed. The first always counts as a change.
+    /// Replaces the list by a new reading; returns whether anything changed. The first reading always counts as a
+    /// change.
     pub fn replace(&mut self, list: Vec<Endpoint>) -> bool {
         let changed = changed_ids(&self.list, &list);
         if changed.is_empty() && self.version > 0 {
@@ -50,7 +49,8 @@
         true
     }
 
-    /// News for one who has version `known_version`; nothing if that is this one.
+    /// The update for a subscriber that has version `known_version`; `None` if that is the current one or a later one.
+    #[must_use]
     pub fn update_since(&self, known_version: u64) -> Option<DirectoryUpdate> {
         if known_version >= self.version {
             return None;
@@ -60,37 +60,53 @@
             return Some(DirectoryUpdate::Full((*self.list).clone()));
         }
         let ids: BTreeSet<&String> = self.history.iter().rev().take(missing).flatten().collect();
-        let known: BTreeMap<&str, &Endpoint> =
-            self.list.iter().map(|endpoint| (endpoint.id.as_str(), endpoint)).collect();
-        let changed = ids.iter().filter_map(|id| known.get(id.as_str()).map(|endpoint| (*endpoint).clone()));
-        let removed = ids.iter().filter(|id| !known.contains_key(id.as_str())).map(|id| (*id).clone());
+        let current = by_id(&self.list);
+        let changed =
+            ids.iter().filter_map(|id| current.get(id.as_str()).map(|endpoint| (*endpoint).clone()));
+        let removed = ids.iter().filter(|id| !current.contains_key(id.as_str())).map(|id| (*id).clone());
         Some(DirectoryUpdate::Delta { changed: changed.collect(), removed: removed.collect() })
     }
 }
 
-fn changed_ids(old: &[Endpoint], new: &[Endpoint]) -> BTreeSet<String> {
-    let before: BTreeMap<&str, &Endpoint> =
-        old.iter().map(|endpoint| (endpoint.id.as_str(), endpoint)).collect();
-    let after: BTreeSet<&str> = new.iter().map(|endpoint| endpoint.id.as_str()).collect();
-    let changed = new
-        .iter()
-        .filter(|endpoint| before.get(endpoint.id.as_str()).is_none_or(|old| differs(old, endpoint)));
-    let removed = before.keys().filter(|id| !after.contains(*id)).map(|id| (*id).to_owned());
-    changed.map(|endpoint| endpoint.id.clone()).chain(removed).collect()
-}
-
-/// The list after news, ordered by id.
+/// The list of a subscriber after an update; ordered by id if the update is a difference.
+#[must_use]
 pub fn apply_update(list: &[Endpoint], update: DirectoryUpdate) -> Vec<Endpoint> {
     match update {
         DirectoryUpdate::Full(list) => list,
         DirectoryUpdate::Delta { changed, removed } => {
-            let mut all: BTreeMap<String, Endpoint> =
+            let mut endpoints: BTreeMap<String, Endpoint> =
                 list.iter().map(|endpoint| (endpoint.id.clone(), endpoint.clone())).collect();
-            removed.iter().for_each(|id| {
-                all.remove(id);
-            });
-            all.extend(changed.into_iter().map(|endpoint| (endpoint.id.clone(), endpoint)));
-            all.into_values().collect()
+            for id in &removed {
+                endpoints.remove(id);
+            }
+            endpoints.extend(changed.into_iter().map(|endpoint| (endpoint.id.clone(), endpoint)));
+            endpoints.into_values().collect()
         }
     }
 }
+
+/// Ids that were added, removed or changed between two readings.
+fn changed_ids(old: &[Endpoint], new: &[Endpoint]) -> BTreeSet<String> {
+    let before = by_id(old);
+    let after = by_id(new);
+    let changed = new
+        .iter()
+        .filter(|endpoint| before.get(endpoint.id.as_str()).is_none_or(|old| differs(old, endpoint)))
+        .map(|endpoint| endpoint.id.clone());
+    let removed = before.keys().filter(|id| !after.contains_key(*id)).map(|id| (*id).to_owned());
+    changed.chain(removed).collect()
+}
+
+fn by_id(list: &[Endpoint]) -> BTreeMap<&str, &Endpoint> {
+    list.iter().map(|endpoint| (endpoint.id.as_str(), endpoint)).collect()
+}
+
+/// Whether two entries differ in what couriers act on. They act on whether an endpoint is warming up, not on how many
+/// milliseconds of that are left.
+fn differs(one: &Endpoint, other: &Endpoint) -> bool {
+    let without_countdown = |endpoint: &Endpoint| Endpoint {
+        warmup_left_ms: if endpoint.warmup_left_ms > 0.0 { 1.0 } else { 0.0 },
+        ..endpoint.clone()
+    };
+    without_countdown(one) != without_countdown(other)
+}
--- a/tier/control/src/lib.rs
+++ b/tier/control/src/lib.rs
@@ -1,20 +1,29 @@
-//! The control state and every change of it. Deterministic: no I/O, no clock. And how a process finds the core.
+//! The control state of the serving tier, and the state machine of the core members that replicate it.
+//!
+//! [`ControlState`] is a deterministic value: configuration, members, stores, shard views and usage reports.
+//! Each change of it is a method that decides from the state and its arguments alone. [`Member`] replicates the
+//! state over the core: the caller hands it messages, completed writes and the time, and carries out the
+//! [`MemberAction`]s that it returns. Neither does I/O nor reads a clock, so that tests drive whole clusters on
+//! virtual time.
+//!
+//! [`Contacts`] and [`Directory`] serve the processes that poll the core: which address to poll next, and how the
+//! endpoint list is sent as a difference to an earlier version.
 
+mod admission;
 pub mod breaks;
 mod contacts;
 mod directory;
 mod member;
-mod members;
 mod orders;
 mod scaling;
 mod shards;
 mod state;
 mod usage;
 
+pub use admission::Admission;
 pub use contacts::Contacts;
 pub use directory::{Directory, apply_update};
 pub use member::{Member, MemberAction, NotPrimary, RegisterWrite, Ticket};
-pub use members::Admission;
 pub use orders::{APPLIED_ORDERS_LIMIT, Order, OrderKind, OrderOutcome};
 pub use scaling::Scaler;
 pub use shards::{Retirement, SHARDS, ShardPlanInputs, shard_of};
--- a/tier/control/src/orders.rs
+++ b/tier/control/src/orders.rs
@@ -1,71 +1,81 @@
-//! The operator's configuration orders.
+//! The operator's orders: requests to replace or patch the configuration.
+//!
+//! An order names the version that it builds on and is applied only if that is the version in force. An operator who
+//! got no clear answer sends the order again, so that applied orders are remembered by a digest and a retry is
+//! acknowledged with the version that the first attempt produced.
 
 use crate::breaks::{self, Break};
 use crate::state::{AppliedOrder, ControlState};
 use quillmount_wire::configuration::{Configuration, ConfigurationError, apply_patch};
 
-/// Orders remembered, so that one that comes again is acknowledged again; the oldest go first.
+/// Upper bound on remembered orders; the oldest are dropped.
 pub const APPLIED_ORDERS_LIMIT: usize = 16_384;
 
+/// Offset basis of the 128-bit FNV-1a hash (Fowler-Noll-Vo).
+const FNV_OFFSET: u128 = 0x6c62_272e_07bb_0142_62b8_2175_6295_c58d;
+/// Prime of the 128-bit FNV-1a hash.
+const FNV_PRIME: u128 = 0x0000_0000_0100_0000_0000_0000_0000_013b;
+
 /// How an order changes the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderKind {
-    /// The body is a whole configuration.
+    /// The body is a complete configuration.
     Put,
-    /// The body changes named items.
+    /// The body adds, replaces and removes items by name.
     Patch,
 }
 
-/// An order of the operator.
+/// An operator's request to change the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
+    /// How the body is applied.
     pub kind: OrderKind,
-    /// The version that it builds on.
+    /// Version of the configuration that the order builds on.
     pub base: u64,
+    /// JSON text of the configuration or of the patch.
     pub body: String,
 }
 
-/// What becomes of an order.
+/// Outcome of an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// In force from now on, or taken before.
+    /// The order is applied, by this attempt or an earlier one.
     Applied {
+        /// Version that the order produced.
         version: u64,
     },
-    /// Another version is current.
+    /// The order builds on another version than the one in force; nothing changed.
     VersionMismatch {
+        /// Version in force.
         current: u64,
     },
+    /// The resulting configuration is invalid; nothing changed.
     Invalid(ConfigurationError),
-    /// It builds on a version of which the orders are no longer remembered: it may have been taken, so that nothing is said.
+    /// The order builds on a version whose orders are no longer remembered. An earlier attempt may have been applied
+    /// or not: the order may be neither acknowledged nor rejected.
     Expired,
 }
 
-/// FNV-1a over 128 bits.
-const FNV_OFFSET: u128 = 0x6c62_272e_07bb_0142_62b8_2175_6295_c58d;
-const FNV_PRIME: u128 = 0x0000_0000_0100_0000_0000_0000_0000_013b;
-
 impl Order {
-    /// Digest by which an order that comes again is known.
+    /// Digest (FNV-1a) by which a retry of the order is recognized.
+    #[must_use]
     pub fn digest(&self) -> u128 {
         let kind = match self.kind {
             OrderKind::Put => 1u8,
             OrderKind::Patch => 2,
         };
-        let base = self.base.to_le_bytes();
-        let base = if breaks::on(Break::DigestWithoutBase) { [0; 8] } else { base };
+        let base = if breaks::on(Break::DigestWithoutBase) { [0; 8] } else { self.base.to_le_bytes() };
         let bytes = std::iter::once(kind).chain(base).chain(self.body.bytes());
         bytes.fold(FNV_OFFSET, |digest, byte| (digest ^ u128::from(byte)).wrapping_mul(FNV_PRIME))
     }
 }
 
 impl ControlState {
-    /// Takes an order or says why not; only a verdict of `Applied` changes the state.
+    /// Applies an order; the state changes only if this attempt is the one that applies it.
     pub fn apply_order(&mut self, order: &Order) -> OrderOutcome {
         let digest = order.digest();
-        let known = |applied: &&AppliedOrder| applied.digest == digest && !breaks::on(Break::OrderForgotten);
-        if let Some(applied) = self.applied_orders.iter().rev().find(known) {
-            return OrderOutcome::Applied { version: applied.version };
+        if let Some(version) = self.applied_version(digest) {
+            return OrderOutcome::Applied { version };
         }
         if order.base < self.forgotten_version && !breaks::on(Break::ForgottenRefused) {
             return OrderOutcome::Expired;
@@ -85,8 +95,17 @@
         }
     }
 
-    /// Forgets the oldest orders beyond the limit. Each built on a version below the one that it made, and no other order that
-    /// was taken builds on these.
+    /// Version that the order with this digest produced, if it is remembered.
+    fn applied_version(&self, digest: u128) -> Option<u64> {
+        if breaks::on(Break::OrderForgotten) {
+            return None;
+        }
+        let applied = self.applied_orders.iter().rev().find(|applied| applied.digest == digest)?;
+        Some(applied.version)
+    }
+
+    /// Drops the oldest orders beyond the limit. Each of them built on a version below the one that it produced, and
+    /// no other applied order builds on these versions: what builds on `forgotten_version` or later is still known.
     fn forget_old_orders(&mut self) {
         let excess = self.applied_orders.len().saturating_sub(APPLIED_ORDERS_LIMIT);
         if let Some(last) = self.applied_orders.drain(..excess).next_back() {
@@ -94,6 +113,7 @@
         }
     }
 
+    /// Version and JSON text of the configuration that an order leads to.
     fn next_configuration(&self, order: &Order) -> Result<(u64, String), ConfigurationError> {
         let text = match order.kind {
             OrderKind::Put => order.body.clone(),
--- a/tier/control/src/scaling.rs
+++ b/tier/control/src/scaling.rs
@@ -1,27 +1,38 @@
-//! How many endpoints a service needs in each zone.
+//! Autoscaling: how many endpoints a service should have in each zone.
+//!
+//! The caller samples the demand of a service at intervals and orders the number that [`Scaler::desired`] returns.
 
+use quillmount_replication::Micros;
 use quillmount_wire::configuration::Autoscale;
 use std::collections::VecDeque;
 
-/// Microseconds of a steady clock.
-type Micros = u64;
-
-/// Part of the endpoints' places that demand may fill before more endpoints are ordered.
+/// Fraction of the endpoints' capacity that demand may fill before more endpoints are ordered.
 const TARGET_UTILIZATION: f64 = 0.75;
-/// Demand of so long ago keeps endpoints from being given up, microseconds.
+/// Time for which past demand prevents scaling down, microseconds.
 const DEMAND_WINDOW: Micros = 8_000_000;
-/// Samples remembered at most.
+/// Upper bound on remembered samples.
 const SAMPLE_LIMIT: usize = 256;
 
-/// Follows the demand of one service: up at once, down only when its highest demand of the last seconds allows.
+/// Demand at one moment, in concurrent requests.
+#[derive(Clone, Copy, Debug)]
+struct DemandSample {
+    at: Micros,
+    demand: f64,
+}
+
+/// Follows the demand of one service: scales up at once, and down only as far as the highest demand within
+/// the last 8 seconds allows.
 #[derive(Clone, Debug, Default)]
 pub struct Scaler {
-    /// Places needed at once, and when.
-    samples: VecDeque<(Micros, f64)>,
+    /// Samples of the demand window, oldest first.
+    samples: VecDeque<DemandSample>,
 }
 
 impl Scaler {
-    /// Takes the places needed at once, and says how many endpoints each zone should have.
+    /// Records the current demand and returns how many endpoints each zone should have.
+    ///
+    /// `demand` and `capacity` (of one endpoint) are in concurrent requests. The result is within `bounds`; where
+    /// these contradict each other, the floor wins.
     pub fn desired(
         &mut self,
         now: Micros,
@@ -30,15 +41,21 @@
         zones: usize,
         bounds: &Autoscale,
     ) -> u32 {
-        self.samples.push_back((now, demand));
+        self.record(DemandSample { at: now, demand });
+        let peak = self.samples.iter().map(|sample| sample.demand).fold(0.0, f64::max);
+        let endpoints = peak / TARGET_UTILIZATION / capacity.max(1.0);
+        let per_zone = (endpoints / zones.max(1) as f64).ceil();
+        per_zone.clamp(bounds.floor, bounds.ceiling.max(bounds.floor)) as u32
+    }
+
+    /// Adds a sample and drops those that are out of the window or beyond the limit.
+    fn record(&mut self, sample: DemandSample) {
+        let now = sample.at;
+        self.samples.push_back(sample);
         while self.samples.len() > SAMPLE_LIMIT
-            || self.samples.front().is_some_and(|(at, _)| now.saturating_sub(*at) > DEMAND_WINDOW)
+            || self.samples.front().is_some_and(|oldest| now.saturating_sub(oldest.at) > DEMAND_WINDOW)
         {
             self.samples.pop_front();
         }
-        let highest = self.samples.iter().map(|(_, demand)| *demand).fold(0.0, f64::max);
-        let endpoints = highest / TARGET_UTILIZATION / capacity.max(1.0);
-        let each = (endpoints / zones.max(1) as f64).ceil();
-        each.clamp(bounds.floor, bounds.ceiling.max(bounds.floor)) as u32
     }
 }
--- a/tier/control/src/usage.rs
+++ b/tier/control/src/usage.rs
@@ -1,31 +1,38 @@
-//! Usage reports: a window's counts are fixed here before they are sent.
+//! Usage reports: when the counts of a window are final, and the record of those that are.
+//!
+//! A report is sent by the primary of the core, possibly several of them in turn. The counts are committed to the
+//! control state before they are sent ([`ControlState::finalize_usage`]), so that a retry sends the same counts.
 
 use crate::state::ControlState;
+use quillmount_replication::Micros;
 use quillmount_wire::messages::UsageWindow;
 use std::collections::BTreeMap;
 
-/// Microseconds of a steady clock.
-type Micros = u64;
-
-/// A window's counts are taken for complete once all processes were heard so long after its end, seconds: polls come more
-/// often, and clocks differ by less.
+/// The counts of a window are complete once every process was heard from this long after the window's end, seconds.
+/// Processes poll more often than that, and their clocks differ by less.
 pub const SETTLE_S: f64 = 1.0;
-/// Part of the time until a report is due that may pass while counts are missing. The rest is for a successor.
+/// Fraction of the time until a report is due for which missing counts are waited for. The rest is left to a
+/// successor of the primary.
 const WAIT_FRACTION: f64 = 0.7;
-/// Who was not heard for so long is not waited for.
+/// A process that was silent for this time is no longer waited for, microseconds.
 const FORGET_AFTER: Micros = 12_000_000;
+/// Upper bound on remembered reports; the oldest are dropped. A report is due some seconds after its window.
+const USAGE_LIMIT: usize = 64;
 
-/// When a process was last heard.
+/// When a process was last heard from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LastHeard<'a> {
-    /// The machine's name, which is the same in all lives.
+    /// Name of the machine, which all incarnations of the process share.
     pub name: &'a str,
+    /// Time of its last poll, microseconds of the steady clock.
     pub at: Micros,
-    /// It is stopping, and told all that it counted.
+    /// The process is stopping and has reported all of its counts.
     pub draining: bool,
 }
 
-/// Whether every process that counts has been heard since a moment.
+/// Whether every process that counts requests has been heard from since a moment.
+///
+/// Of several incarnations of one machine the one heard from last stands for it.
 pub fn all_reported<'a>(processes: impl Iterator<Item = LastHeard<'a>>, since: Micros, now: Micros) -> bool {
     let mut latest: BTreeMap<&str, LastHeard> = BTreeMap::new();
     for heard in processes {
@@ -34,20 +41,20 @@
             *known = heard;
         }
     }
-    let waited_for = |heard: &&LastHeard| !heard.draining && now.saturating_sub(heard.at) < FORGET_AFTER;
-    latest.values().filter(waited_for).all(|heard| heard.at >= since)
+    let awaited = |heard: &&LastHeard| !heard.draining && now.saturating_sub(heard.at) < FORGET_AFTER;
+    latest.values().filter(awaited).all(|heard| heard.at >= since)
 }
 
-/// Whether the counts of a window may be fixed, `age_s` after its end, where its report is due `delay_s` after it.
+/// Whether the counts of a window may be finalized `age_s` seconds after its end, if its report is due `delay_s`
+/// seconds after it; `complete` tells whether every process has reported its counts.
+#[must_use]
 pub fn may_finalize(age_s: f64, delay_s: f64, complete: bool) -> bool {
-    age_s >= if complete { SETTLE_S } else { delay_s * WAIT_FRACTION }
+    let wait_s = if complete { SETTLE_S } else { delay_s * WAIT_FRACTION };
+    age_s >= wait_s
 }
 
-/// Reports kept; the oldest go first. They are due some seconds after their window.
-pub const USAGE_LIMIT: usize = 64;
-
 impl ControlState {
-    /// Fixes the counts of a window, unless they are fixed already; returns what counts.
+    /// Finalizes the counts of a window, unless an earlier report did; returns the final counts.
     pub fn finalize_usage(&mut self, report: UsageWindow) -> UsageWindow {
         if let Some(finalized) = self.usage.iter().find(|finalized| finalized.window == report.window) {
             return finalized.clone();
