--- /dev/null
+++ b/tier/control/src/shards/view.rs
@@ -0,0 +1,61 @@
+//! Rules for the view of one shard: the size of its in-sync set and who may leave that.
+//!
+//! The in-sync set is that of primary-backup replication with a configuration manager (Lin et al., "PacificA:
+//! Replication in Log-Based Distributed Storage Systems", 2008): an operation is acknowledged once every member of the
+//! set has synced it, so that each of them can become primary.
+
+use crate::breaks::{self, Break};
+use quillmount_wire::messages::{DiskId, ShardView};
+
+/// Whether a store has a replica of the shard or is building one.
+pub(super) fn has_replica(view: &ShardView, disk: DiskId) -> bool {
+    view.in_sync.contains(&disk) || view.joining.contains(&disk)
+}
+
+/// Number of replicas to aim for: one more than have to be synced, so that the loss of one delays nothing.
+pub(super) fn target_replicas(tolerated_failures: usize, stores: usize) -> usize {
+    (tolerated_failures + 2).min(stores)
+}
+
+/// Members that stay in sync; all of them if too few would remain. `None` if no member is alive.
+///
+/// If a primary hears from too few of the others, the primary itself is the one that leaves.
+pub(super) fn remaining_members(
+    view: &ShardView,
+    alive: impl Fn(DiskId) -> bool,
+    unresponsive: impl Fn(DiskId) -> bool,
+    tolerated_failures: usize,
+) -> Option<Vec<DiskId>> {
+    let alive_members: Vec<DiskId> = view.in_sync.iter().copied().filter(|disk| alive(*disk)).collect();
+    if alive_members.is_empty() {
+        return None;
+    }
+    if breaks::on(Break::ShrinksBelowMinimum) {
+        return Some(alive_members);
+    }
+    let enough = |members: &[DiskId]| members.len() > tolerated_failures;
+    let is_primary = |disk: DiskId| disk == view.primary;
+    let responsive: Vec<DiskId> =
+        alive_members.iter().copied().filter(|disk| is_primary(*disk) || !unresponsive(*disk)).collect();
+    if enough(&responsive) {
+        return Some(responsive);
+    }
+    let others: Vec<DiskId> = alive_members.iter().copied().filter(|disk| !is_primary(*disk)).collect();
+    let any_unresponsive = alive_members.iter().any(|disk| unresponsive(*disk));
+    if any_unresponsive && enough(&others) {
+        return Some(others);
+    }
+    if enough(&alive_members) {
+        return Some(alive_members);
+    }
+    Some(view.in_sync.clone())
+}
+
+/// Restores the former order if the joining members are the same as before. A mere reordering would count as a change
+/// of the view, and with each of those the primary restarts all repairs.
+pub(super) fn preserve_order(joining: &mut Vec<DiskId>, before: &[DiskId]) {
+    let same = joining.len() == before.len() && joining.iter().all(|disk| before.contains(disk));
+    if same {
+        *joining = before.to_vec();
+    }
+}
