--- a/tier/control/src/member.rs
+++ b/tier/control/src/member.rs
@@ -1,6 +1,19 @@
-//! A member of the core: the replicated register, and changes and reads of the control state while this member is primary.
-//! No I/O, no clock.
-
+//! A member of the core: the replicated register, and changes and reads of the control state while it is primary.
+//!
+//! [`Member`] does no I/O and reads no clock. The caller
+//! - creates it with the register that is on the disk ([`Member::new`]),
+//! - passes in every message ([`Member::receive`]), every completed write ([`Member::persisted`]) and, every few tens
+//!   of milliseconds, the time ([`Member::tick`]),
+//! - submits changes ([`Member::change`]) and reads ([`Member::confirm`]), each of which gets a [`Ticket`],
+//! - and carries out the [`MemberAction`]s that each call returns, in their order.
+//!
+//! Messages of a member to itself are delivered here. The replication itself is that of
+//! [`RegisterReplica`].
+
+mod action;
+mod pending;
+
+use self::pending::PendingWork;
 use crate::breaks::{self, Break};
 use crate::state::ControlState;
 use quillmount_replication::{Micros, RegisterAction, RegisterReplica, Timing};
@@ -8,145 +21,107 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// A core member without an answer for so long may be replaced by a newcomer, microseconds.
-const REPLACEABLE_AFTER: Micros = 2_000_000;
+pub use self::action::{MemberAction, RegisterWrite, Ticket};
 
-/// A change or a read that waits for its confirmation.
-pub type Ticket = u64;
-/// A register on its way to the disk.
-pub type RegisterWrite = u64;
-
-/// What the caller has to do.
-#[derive(Clone, Debug, PartialEq)]
-pub enum MemberAction {
-    Send {
-        to: DiskId,
-        message: RegisterMessage,
-    },
-    /// Sync the register, in the order of these outputs; [`Member::persisted`] is told.
-    Persist {
-        write: RegisterWrite,
-        register: Register,
-    },
-    /// What the ticket stands for is certain: a change, and all that its outcome rests on, is committed; a read shows the
-    /// newest state.
-    Confirmed {
-        ticket: Ticket,
-    },
-    /// It can't be made certain here: a change may or may not come into force.
-    Uncertain {
-        ticket: Ticket,
-    },
-    /// Elected; nothing is served before the first commit of this epoch.
-    Elected {
-        epoch: Epoch,
-    },
-    SteppedDown,
-    /// There is news for those who poll.
-    StateChanged,
-    /// Another value was accepted: it may name other members.
-    Accepted,
-}
+/// A core member that did not answer for this time may be replaced by another machine, microseconds.
+const REPLACEABLE_AFTER: Micros = 2_000_000;
 
-/// Nothing was changed: this member does not serve as primary.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// The request was rejected and nothing changed: this member does not serve as primary.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("this core member does not serve as primary")]
 pub struct NotPrimary;
 
-/// What a primary works on.
-#[derive(Default)]
-struct PendingWork {
-    /// Committed state with all changes since.
-    state: ControlState,
-    /// Counts changes of `state`.
-    generation: u64,
-    /// Generation of the last proposal, and of the last one that was committed.
-    proposed: u64,
-    committed: u64,
-    /// Changes by the generation that they wait for.
-    changes: BTreeMap<Ticket, u64>,
-    reads: BTreeSet<Ticket>,
-    /// When members last answered.
-    answered: BTreeMap<DiskId, Micros>,
-}
-
 /// A member of the core.
 pub struct Member {
     me: DiskId,
     replica: RegisterReplica,
+    /// Reset when this member is elected and when it steps down.
     work: PendingWork,
-    /// State committed in this epoch, while this member is primary.
+    /// State committed in this epoch; `None` while this member does not serve as primary.
     committed: Option<Rc<ControlState>>,
-    elected: Micros,
+    /// When this member was last elected.
+    elected_at: Micros,
+    /// What follows each write that is in flight.
     writes: BTreeMap<RegisterWrite, Vec<RegisterAction>>,
+    /// The last ticket or write that was numbered.
     last_id: u64,
+    /// Actions to be returned by the current call.
     actions: Vec<MemberAction>,
 }
 
 impl Member {
-    /// A member with what its disk holds; `tolerated_failures` disks may be lost at once.
+    /// A member with the register that its disk holds; `tolerated_failures` disks may be lost at once.
     pub fn new(me: DiskId, tolerated_failures: usize, register: Register, now: Micros) -> Member {
         Member {
             me,
             replica: RegisterReplica::new(me, tolerated_failures, register, Timing::default(), now),
             work: PendingWork::default(),
             committed: None,
-            elected: 0,
+            elected_at: 0,
             writes: BTreeMap::new(),
             last_id: 0,
             actions: Vec::new(),
         }
     }
 
+    /// The replica of the register.
+    #[must_use]
     pub fn replica(&self) -> &RegisterReplica {
         &self.replica
     }
 
-    /// The epoch in which this member serves: elected, and its first value committed.
+    /// The epoch in which this member serves: it was elected, and its first value is committed.
+    #[must_use]
     pub fn serving(&self) -> Option<Epoch> {
         self.committed.as_ref()?;
         self.replica.primary_epoch()
     }
 
-    /// State committed in this epoch.
+    /// The newest state committed in this epoch; `None` unless this member serves.
+    #[must_use]
     pub fn committed(&self) -> Option<Rc<ControlState>> {
         self.committed.clone()
     }
 
-    /// State committed in this epoch, while a majority was heard so lately that it is at most that old.
+    /// As [`Member::committed`], but `None` also if no majority was heard from recently. The state is at most as old
+    /// as the last contact with a majority.
+    #[must_use]
     pub fn committed_if_recent(&self, now: Micros) -> Option<Rc<ControlState>> {
         let recent = self.replica.has_recent_majority(now) || breaks::on(Break::StaleTables);
         self.committed.clone().filter(|_| recent)
     }
 
-    /// For how long this member has been primary, microseconds.
+    /// Time since this member was last elected, microseconds. Meaningful while it is primary.
+    #[must_use]
     pub fn time_as_primary(&self, now: Micros) -> Micros {
-        now.saturating_sub(self.elected)
+        now.saturating_sub(self.elected_at)
     }
 
-    /// Members that have not answered for long.
+    /// Members, this one aside, that have not answered this primary for 2 seconds.
+    #[must_use]
     pub fn silent_members(&self, now: Micros) -> BTreeSet<DiskId> {
         let silent = |disk: &DiskId| {
-            let last = self.work.answered.get(disk).copied().unwrap_or(self.elected);
-            *disk != self.me && now.saturating_sub(last) > REPLACEABLE_AFTER
+            let last_reply = self.work.last_reply(*disk).unwrap_or(self.elected_at);
+            *disk != self.me && now.saturating_sub(last_reply) > REPLACEABLE_AFTER
         };
         self.replica.members().iter().copied().filter(silent).collect()
     }
 
-    /// Writes the first value of the whole system.
+    /// Proposes the first state of a new system, on one member only; without effect if there is a register already.
     pub fn bootstrap(&mut self, state: &ControlState, now: Micros) -> Vec<MemberAction> {
         let actions = self.replica.bootstrap(state.core_disks(), state.encode(), now);
         self.perform(actions, now);
         self.take_actions()
     }
 
-    /// Leaves the primary's place, before the process stops.
+    /// Hands the leadership over to another member, before the process stops.
     pub fn resign(&mut self, now: Micros) -> Vec<MemberAction> {
         let actions = self.replica.resign(now);
         self.perform(actions, now);
         self.take_actions()
     }
 
-    /// Lets time pass.
+    /// Advances the time.
     pub fn tick(&mut self, now: Micros) -> Vec<MemberAction> {
         let actions = self.replica.tick(now);
         self.perform(actions, now);
@@ -154,38 +129,30 @@
         self.take_actions()
     }
 
-    /// Takes a message of another member.
+    /// Handles a message of another member.
     pub fn receive(&mut self, from: DiskId, message: RegisterMessage, now: Micros) -> Vec<MemberAction> {
         let actions = self.handle_message(from, message, now);
         self.perform(actions, now);
         self.take_actions()
     }
 
-    fn handle_message(&mut self, from: DiskId, message: RegisterMessage, now: Micros) -> Vec<RegisterAction> {
-        if matches!(message, RegisterMessage::HeartbeatReply { .. } | RegisterMessage::Acknowledge { .. }) {
-            self.work.answered.insert(from, now);
-        }
-        let accepts = matches!(message, RegisterMessage::Accept { .. });
-        let actions = self.replica.receive(from, message, now);
-        if accepts {
-            self.actions.push(MemberAction::Accepted);
-        }
-        actions
-    }
-
-    /// A register is synced; one that could not be written is not told of.
+    /// Continues after a write that is synced.
     pub fn persisted(&mut self, write: RegisterWrite, now: Micros) -> Vec<MemberAction> {
         let then = self.writes.remove(&write).unwrap_or_default();
         self.perform(then, now);
         self.take_actions()
     }
 
-    /// A register could not be written: nothing that was to follow does.
+    /// Drops what was to follow a write, which failed.
     pub fn persist_failed(&mut self, write: RegisterWrite) {
         self.writes.remove(&write);
     }
 
-    /// Changes the control state. The outcome holds once [`MemberAction::Confirmed`] comes for the ticket.
+    /// Applies a change to the control state.
+    ///
+    /// Returns the outcome of `change`, a ticket and the actions to carry out. The outcome is valid only once
+    /// [`MemberAction::Confirmed`] is returned for the ticket, by this call or a later one. A change that alters
+    /// nothing is confirmed as well, once the state that it saw is known to be the newest.
     pub fn change<T>(
         &mut self,
         change: impl FnOnce(&mut ControlState) -> T,
@@ -194,25 +161,23 @@
         if self.serving().is_none() {
             return Err(NotPrimary);
         }
-        let before = self.work.state.clone();
-        let outcome = change(&mut self.work.state);
-        if self.work.state != before {
-            self.work.generation += 1;
-        }
+        let outcome = self.work.apply(change);
         let ticket = self.allocate_id();
-        let generation = self.work.generation;
-        if generation > self.work.committed {
-            self.work.changes.insert(ticket, generation);
+        if self.work.has_uncommitted_changes() {
+            self.work.await_commit(ticket);
             self.propose(now);
         } else {
-            // Nothing was changed and nothing is under way: what is committed is the newest only if a majority says so.
+            // Nothing changed and nothing is in flight: the outcome rests on the committed state, which is the newest
+            // only if a majority confirms that this member still is primary.
             self.read(ticket, now);
         }
         Ok((outcome, ticket, self.take_actions()))
     }
 
-    /// Asks a majority whether this member still is primary: what is committed when [`MemberAction::Confirmed`] comes is the
-    /// newest there was when this was asked.
+    /// Begins a linearizable read: asks a majority whether this member still is primary.
+    ///
+    /// Once [`MemberAction::Confirmed`] is returned for the ticket, [`Member::committed`] is at least as new as
+    /// any state that was committed when the read began.
     pub fn confirm(&mut self, now: Micros) -> Result<(Ticket, Vec<MemberAction>), NotPrimary> {
         if self.serving().is_none() {
             return Err(NotPrimary);
@@ -224,9 +189,10 @@
 
     fn read(&mut self, ticket: Ticket, now: Micros) {
         if breaks::on(Break::ReadWithoutRound) {
-            return self.actions.push(MemberAction::Confirmed { ticket });
+            self.actions.push(MemberAction::Confirmed { ticket });
+            return;
         }
-        self.work.reads.insert(ticket);
+        self.work.await_read(ticket);
         let actions = self.replica.confirm_read(ticket, now);
         self.perform(actions, now);
     }
@@ -240,6 +206,21 @@
         std::mem::take(&mut self.actions)
     }
 
+    fn handle_message(&mut self, from: DiskId, message: RegisterMessage, now: Micros) -> Vec<RegisterAction> {
+        let is_reply =
+            matches!(message, RegisterMessage::HeartbeatReply { .. } | RegisterMessage::Acknowledge { .. });
+        if is_reply {
+            self.work.record_reply(from, now);
+        }
+        let is_proposal = matches!(message, RegisterMessage::Accept { .. });
+        let actions = self.replica.receive(from, message, now);
+        if is_proposal {
+            self.actions.push(MemberAction::Accepted);
+        }
+        actions
+    }
+
+    /// Carries out actions of the replica, and those that follow from its messages to itself.
     fn perform(&mut self, actions: Vec<RegisterAction>, now: Micros) {
         let mut queue: VecDeque<RegisterAction> = actions.into();
         while let Some(action) = queue.pop_front() {
@@ -252,11 +233,7 @@
                 RegisterAction::Committed { accepted } => self.on_committed(&accepted, now),
                 RegisterAction::Elected { epoch } => self.on_elected(epoch, now),
                 RegisterAction::SteppedDown => self.on_stepped_down(),
-                RegisterAction::ReadConfirmed { read } => {
-                    if self.work.reads.remove(&read) {
-                        self.actions.push(MemberAction::Confirmed { ticket: read });
-                    }
-                }
+                RegisterAction::ReadConfirmed { read } => self.on_read_confirmed(read),
             }
         }
     }
@@ -276,9 +253,23 @@
         self.actions.push(MemberAction::Persist { write, register });
     }
 
+    fn on_committed(&mut self, accepted: &Accepted, now: Micros) {
+        // A value that can't be decoded can't be served: this member does not begin to serve, or goes on with the
+        // state that it had.
+        let Ok(state) = ControlState::decode(&accepted.value.payload) else { return };
+        if self.committed.is_none() {
+            self.work.state = state.clone();
+        }
+        let confirmed = self.work.record_commit();
+        self.committed = Some(Rc::new(state));
+        self.push_confirmed(confirmed);
+        self.actions.push(MemberAction::StateChanged);
+        self.propose(now);
+    }
+
     fn on_elected(&mut self, epoch: Epoch, now: Micros) {
         self.abandon_work();
-        self.elected = now;
+        self.elected_at = now;
         self.actions.push(MemberAction::Elected { epoch });
     }
 
@@ -287,47 +278,37 @@
         self.actions.push(MemberAction::SteppedDown);
     }
 
-    fn abandon_work(&mut self) {
-        self.committed = None;
-        let work = std::mem::take(&mut self.work);
-        for ticket in work.changes.into_keys().chain(work.reads) {
-            self.actions.push(MemberAction::Uncertain { ticket });
+    fn on_read_confirmed(&mut self, ticket: Ticket) {
+        if self.work.finish_read(ticket) {
+            self.actions.push(MemberAction::Confirmed { ticket });
         }
     }
 
-    fn on_committed(&mut self, accepted: &Accepted, now: Micros) {
-        // A value that can't be read can't be served: this member does not begin, or goes on with what it had.
-        let Ok(state) = ControlState::decode(&accepted.value.payload) else { return };
-        let work = &mut self.work;
-        if self.committed.is_none() {
-            work.state = state.clone();
-        }
-        work.committed = work.proposed;
-        let committed = work.committed;
-        let (done, waiting) = std::mem::take(&mut work.changes)
-            .into_iter()
-            .partition(|(_, generation)| *generation <= committed);
-        work.changes = waiting;
-        let done: BTreeMap<Ticket, u64> = done;
-        self.committed = Some(Rc::new(state));
-        self.actions.extend(done.into_keys().map(|ticket| MemberAction::Confirmed { ticket }));
-        self.actions.push(MemberAction::StateChanged);
-        self.propose(now);
+    /// Ends the work of an epoch: whatever was not confirmed is uncertain.
+    fn abandon_work(&mut self) {
+        self.committed = None;
+        let work = std::mem::take(&mut self.work);
+        self.actions.extend(work.into_tickets().map(|ticket| MemberAction::Uncertain { ticket }));
     }
 
-    /// Proposes the changes that wait, once the register is idle.
+    /// Proposes the changes so far, unless a proposal is in flight.
     fn propose(&mut self, now: Micros) {
-        let due = self.work.generation > self.work.proposed && self.committed.is_some();
+        let due = self.work.has_unproposed_changes() && self.committed.is_some();
         if !due || !self.replica.can_propose() {
             return;
         }
-        self.work.proposed = self.work.generation;
+        self.work.record_proposal();
         if breaks::on(Break::ConfirmedWhenProposed) {
-            let all = std::mem::take(&mut self.work.changes);
-            self.actions.extend(all.into_keys().map(|ticket| MemberAction::Confirmed { ticket }));
+            let all = self.work.take_changes();
+            self.push_confirmed(all);
         }
-        let (members, payload) = (self.work.state.core_disks(), self.work.state.encode());
+        let members = self.work.state.core_disks();
+        let payload = self.work.state.encode();
         let actions = self.replica.propose(members, payload, now);
         self.perform(actions, now);
     }
+
+    fn push_confirmed(&mut self, tickets: Vec<Ticket>) {
+        self.actions.extend(tickets.into_iter().map(|ticket| MemberAction::Confirmed { ticket }));
+    }
 }
--- /dev/null
+++ b/tier/control/src/member/action.rs
@@ -0,0 +1,51 @@
+//! What a member asks its caller to do.
+
+use quillmount_wire::messages::{DiskId, Epoch, Register, RegisterMessage};
+
+/// Identifies a change or a read that waits for its confirmation; unique per member and process.
+pub type Ticket = u64;
+/// Identifies a write of the register to the disk; unique per member and process.
+pub type RegisterWrite = u64;
+
+/// What the caller has to do or know, in this order.
+#[derive(Clone, Debug, PartialEq)]
+pub enum MemberAction {
+    /// Send a message to another member. It may be lost, delayed or repeated.
+    Send {
+        /// Disk of the receiver.
+        to: DiskId,
+        /// What is sent.
+        message: RegisterMessage,
+    },
+    /// Write the register to the disk and sync it, in the order of these actions; then call
+    /// [`Member::persisted`](super::Member::persisted), or
+    /// [`Member::persist_failed`](super::Member::persist_failed) if that failed.
+    Persist {
+        /// Passed back with the outcome.
+        write: RegisterWrite,
+        /// The whole register, which replaces the one on the disk.
+        register: Register,
+    },
+    /// A change, and all that its outcome rests on, is committed; or, for a read,
+    /// [`Member::committed`](super::Member::committed) is at least as new as when the read began.
+    Confirmed {
+        /// The change or read.
+        ticket: Ticket,
+    },
+    /// A change or read can no longer be confirmed here; the change may or may not be committed by another primary.
+    Uncertain {
+        /// The change or read.
+        ticket: Ticket,
+    },
+    /// This member is primary; it serves after the first commit in this epoch.
+    Elected {
+        /// Epoch in which it is primary.
+        epoch: Epoch,
+    },
+    /// This member is no longer primary.
+    SteppedDown,
+    /// The primary committed a state: subscribers may have updates to fetch.
+    StateChanged,
+    /// A proposal arrived, and the register may hold another value, which may name other members.
+    Accepted,
+}
