--- a/tier/replication/src/breaks.rs
+++ b/tier/replication/src/breaks.rs
@@ -1,7 +1,10 @@
-//! The switch for deliberate breaks, which tests put on to show that they are found; no release build has them.
+//! The switch for deliberate faults in the code, which tests turn on to prove that they detect them; no release build
+//! has it.
 
-/// Makes `on` and `set` for one enumeration of breaks. One at most is on, for the thread that put it on, so that tests side by
-/// side don't meet; where the crate that calls this lacks the feature `breaks`, none ever is.
+/// Defines the functions `on` and `set` for an enumeration of faults.
+///
+/// At most one fault is on, for the thread that turned it on, so that tests in parallel do not interfere. If the crate
+/// that calls this is built without its feature `breaks`, no fault is ever on.
 #[macro_export]
 macro_rules! break_switch {
     ($Break:ty) => {
@@ -10,20 +13,20 @@
             static CHOSEN: std::cell::Cell<Option<$Break>> = const { std::cell::Cell::new(None) };
         }
 
-        /// Whether this break is on, for this thread.
+        /// Whether this fault is on, for this thread.
         #[cfg(feature = "breaks")]
         pub fn on(one: $Break) -> bool {
             CHOSEN.get() == Some(one)
         }
 
-        /// Never: this build has no breaks.
+        /// Whether this fault is on: never, as this build has no faults.
         #[cfg(not(feature = "breaks"))]
         #[inline(always)]
         pub const fn on(_: $Break) -> bool {
             false
         }
 
-        /// Puts a break on, or all off, for this thread.
+        /// Turns a fault on and all others off, for this thread.
         #[cfg(feature = "breaks")]
         pub fn set(one: Option<$Break>) {
             CHOSEN.set(one);
--- a/tier/replication/src/group.rs
+++ b/tier/replication/src/group.rs
@@ -1,27 +1,32 @@
-//! The members of a group as its primary sees them: who has to sync a batch before it is committed.
+//! The members of a shard as its primary sees them: who has to sync a batch before it is committed.
 //!
-//! The view (primary, in-sync set, joining members) is decided elsewhere, by the core; the primary follows it, tells of
-//! members that fell silent or caught up, and commits only what every member that may count as in sync has synced.
+//! The core decides the view (primary, in-sync set, joining members), in increasing epochs. The primary follows it
+//! ([`ReplicaGroup::follow`]), records which members caught up, answered or did not (`mark_*`), reports these to the
+//! core ([`ReplicaGroup::report`]), and commits a batch only once every member that may count as in sync has synced it
+//! ([`ReplicaGroup::commit`]).
+//!
+//! This is the primary's part of primary-backup replication with a configuration manager (Lin et al., "PacificA:
+//! Replication in Log-Based Distributed Storage Systems", 2008).
 
-use crate::quorum;
 use quillmount_wire::messages::{DiskId, Epoch, ShardReport, ShardView};
 use std::collections::BTreeSet;
 
-/// A primary's knowledge of its group, in the epochs of one term.
+/// A primary's knowledge of its shard's members, for as long as it stays primary.
 #[derive(Clone, Debug)]
 pub struct ReplicaGroup {
     view: ShardView,
     tolerated_failures: usize,
-    /// Members that are level and receive every operation.
+    /// Members that have everything and receive every new batch.
     caught_up: BTreeSet<DiskId>,
+    /// Members that did not answer last time.
     unresponsive: BTreeSet<DiskId>,
-    /// Joining members that the core was told of as level in this epoch: it may count them as in sync at any moment, so
-    /// that nothing is committed without them from then on.
+    /// Joining members that were reported to the core as caught up in this epoch. The core may count them as in sync
+    /// at any moment, so that nothing is committed without them from then on.
     reported: BTreeSet<DiskId>,
 }
 
 impl ReplicaGroup {
-    /// A primary begins; `tolerated_failures` disks may be lost at once.
+    /// The group of a new primary; `tolerated_failures` disks may be lost at once.
     pub fn new(view: ShardView, tolerated_failures: usize) -> ReplicaGroup {
         ReplicaGroup {
             view,
@@ -32,63 +37,72 @@
         }
     }
 
-    /// A primary that may have reported in this term before its process, or its work, was interrupted: every joining
-    /// member may have been told of as level, so that all of them count.
+    /// The group of a primary that was interrupted while it was primary. It may have reported any joining member as
+    /// caught up, so that all of them count as reported.
     pub fn resume(view: ShardView, tolerated_failures: usize) -> ReplicaGroup {
         let reported = view.joining.iter().copied().collect();
         ReplicaGroup { reported, ..ReplicaGroup::new(view, tolerated_failures) }
     }
 
+    /// The current view.
+    #[must_use]
     pub fn view(&self) -> &ShardView {
         &self.view
     }
 
+    /// The epoch of the current view.
+    #[must_use]
     pub fn epoch(&self) -> Epoch {
         self.view.epoch
     }
 
-    /// Follows a newer view of the same term.
+    /// Follows a newer view with the same primary.
     pub fn follow(&mut self, view: ShardView) {
         let is_member = |member: &DiskId| view.in_sync.contains(member) || view.joining.contains(member);
         self.caught_up.retain(is_member);
         self.unresponsive.retain(is_member);
-        // The core takes no report of an older epoch.
+        // The core ignores reports of an older epoch.
         self.reported.clear();
         self.view = view;
     }
 
-    /// Members in sync, this one aside.
+    /// Members in sync, the primary aside.
+    #[must_use]
     pub fn in_sync(&self) -> Vec<DiskId> {
         self.view.in_sync.iter().copied().filter(|member| *member != self.view.primary).collect()
     }
 
-    /// Members that are not level.
+    /// Members, in sync or joining, that have not caught up with this primary.
+    #[must_use]
     pub fn lagging(&self) -> Vec<DiskId> {
         let all = self.in_sync().into_iter().chain(self.view.joining.iter().copied());
         all.filter(|member| !self.caught_up.contains(member)).collect()
     }
 
+    /// Whether a member has everything and receives every new batch.
+    #[must_use]
     pub fn is_caught_up(&self, member: DiskId) -> bool {
         self.caught_up.contains(&member)
     }
 
-    /// A member is level and answers.
+    /// Records that a member has caught up, and answers.
     pub fn mark_caught_up(&mut self, member: DiskId) {
         self.unresponsive.remove(&member);
         self.caught_up.insert(member);
     }
 
-    /// A member has lost what it had: it has to be brought level again.
+    /// Records that a member lost what it had, or missed a batch: it has to catch up once more.
     pub fn mark_behind(&mut self, member: DiskId) {
         self.caught_up.remove(&member);
     }
 
-    /// A member answered.
+    /// Records that a member answered.
     pub fn mark_responsive(&mut self, member: DiskId) {
         self.unresponsive.remove(&member);
     }
 
-    /// A member did not answer; whether that is new. One that only joins delays nothing from now on.
+    /// Records that a member did not answer; returns whether it did before. A joining member that was not reported as
+    /// caught up delays no batch from then on.
     pub fn mark_unresponsive(&mut self, member: DiskId) -> bool {
         if self.view.joining.contains(&member) && !self.reported.contains(&member) {
             self.caught_up.remove(&member);
@@ -96,45 +110,54 @@
         self.unresponsive.insert(member)
     }
 
-    /// Whether every member in sync is level, and enough disks receive what comes.
+    /// Whether every member in sync has caught up, and enough disks receive new batches to commit them.
+    #[must_use]
     pub fn is_ready(&self) -> bool {
         let all_caught_up = self.in_sync().iter().all(|member| self.caught_up.contains(member));
-        all_caught_up
-            && self.caught_up.len() + 1 >= quorum::required_copies(self.tolerated_failures, usize::MAX)
+        all_caught_up && self.has_enough_copies(&self.caught_up)
     }
 
     /// Members that have to sync a batch before it is committed.
+    #[must_use]
     pub fn required(&self) -> BTreeSet<DiskId> {
         self.in_sync().into_iter().chain(self.reported.iter().copied()).collect()
     }
 
-    /// Members that are sent a batch and have not synced it. A batch that is `stuck` goes to joining members that are not
-    /// level as well: only once they are can a lost member leave.
+    /// Members that a batch is sent to and that are not among those that have `synced` it. A batch that is `stuck` is
+    /// also sent to joining members that have not caught up: a lost member can be replaced only once they have.
+    #[must_use]
     pub fn waiting(&self, synced: &BTreeSet<DiskId>, stuck: bool) -> Vec<DiskId> {
-        let joined =
+        let joining =
             self.view.joining.iter().copied().filter(|member| stuck || self.caught_up.contains(member));
-        let all: BTreeSet<DiskId> = self.required().into_iter().chain(joined).collect();
+        let all: BTreeSet<DiskId> = self.required().into_iter().chain(joining).collect();
         all.difference(synced).copied().collect()
     }
 
-    /// Whether a batch that these members have synced, besides this one, is committed. A joining member that has missed
-    /// it is level no more.
+    /// Commits a batch that the primary and the `synced` members have synced, if these are enough; returns whether it
+    /// is committed. A joining member that has missed the batch no longer counts as caught up.
     pub fn commit(&mut self, synced: &BTreeSet<DiskId>) -> bool {
-        let enough = synced.len() + 1 >= quorum::required_copies(self.tolerated_failures, usize::MAX);
-        if !enough || !self.required().is_subset(synced) {
+        if !self.has_enough_copies(synced) || !self.required().is_subset(synced) {
             return false;
         }
         self.caught_up.retain(|member| synced.contains(member));
         true
     }
 
-    /// What the core is to know; nothing while all is well.
+    /// The report to the core; `None` if there is nothing to report. Members that are reported as caught up are
+    /// required from then on.
     pub fn report(&mut self, shard: u32) -> Option<ShardReport> {
         let is_caught_up = |member: &DiskId| self.caught_up.contains(member);
         let caught_up: Vec<DiskId> = self.view.joining.iter().copied().filter(is_caught_up).collect();
         self.reported.extend(&caught_up);
         let unresponsive: Vec<DiskId> = self.unresponsive.iter().copied().collect();
-        let nothing_to_report = caught_up.is_empty() && unresponsive.is_empty();
-        (!nothing_to_report).then_some(ShardReport { shard, epoch: self.view.epoch, unresponsive, caught_up })
+        if caught_up.is_empty() && unresponsive.is_empty() {
+            return None;
+        }
+        Some(ShardReport { shard, epoch: self.view.epoch, unresponsive, caught_up })
+    }
+
+    /// Whether these members and the primary are more disks than may be lost at once.
+    fn has_enough_copies(&self, members: &BTreeSet<DiskId>) -> bool {
+        members.len() + 1 > self.tolerated_failures
     }
 }
