--- a/tier/replication/src/replica.rs
+++ b/tier/replication/src/replica.rs
@@ -1,126 +1,55 @@
-//! One member of the replicated snapshot: its state, and what it does when time passes or a message comes.
-
+//! One replica of the register: a member of the core.
+//!
+//! [`RegisterReplica`] is a state machine. The caller
+//! - creates it with the register that is on the disk ([`RegisterReplica::new`]),
+//! - passes in every message that arrives ([`RegisterReplica::receive`]) and, every few tens of milliseconds, the time
+//!   ([`RegisterReplica::tick`]),
+//! - on the primary proposes values ([`RegisterReplica::propose`]) and begins reads
+//!   ([`RegisterReplica::confirm_read`]),
+//! - and carries out the [`RegisterAction`]s that each call returns, in their order. Whatever must not happen before a
+//!   sync is inside the [`RegisterAction::Persist`] that it waits for.
+//!
+//! The same messages and times lead to the same actions: the jitter of elections comes from a generator seeded by the
+//! disk's identity and the start time.
+//!
+//! This module has the state and dispatches to `election`, `proposals` and `heartbeats`; `primary` has what only a
+//! primary knows.
+
+mod action;
 mod election;
+mod heartbeats;
+mod position;
+mod primary;
 mod proposals;
-mod reads;
+mod role;
+mod timing;
 
+use self::position::Position;
+use self::role::Role;
+use self::timing::ElectionTimer;
 use crate::quorum;
-use quillmount_wire::messages::{Accepted, DiskId, Epoch, Register, RegisterMessage, RegisterValue};
-use std::collections::{BTreeMap, BTreeSet};
-
-/// Microseconds of a steady clock.
-pub type Micros = u64;
-/// Epoch of the first value of the whole system.
-const FIRST_EPOCH: Epoch = 1;
-
-/// Intervals, microseconds.
-#[derive(Clone, Copy, Debug)]
-pub struct Timing {
-    /// Between two heartbeats of a primary.
-    pub heartbeat: Micros,
-    /// From a start, or a refused candidacy, to the next canvass; chance is added. A primary that is there is protected by the
-    /// members that hear it.
-    pub pre_vote_delay: Micros,
-    /// Silence after which a member stands for election; half of it is added by rank and chance.
-    pub election: Micros,
-    /// Silence after which a member leaves the in-sync set, and a primary without a majority steps down.
-    pub silence: Micros,
-}
+use quillmount_wire::messages::{DiskId, Epoch, Register, RegisterMessage};
 
-impl Default for Timing {
-    fn default() -> Self {
-        Timing { heartbeat: 150_000, pre_vote_delay: 40_000, election: 700_000, silence: 500_000 }
-    }
-}
+pub use self::action::{ReadId, RegisterAction};
+pub use self::timing::{Micros, Timing};
 
-/// What the caller has to do.
-#[derive(Clone, Debug, PartialEq)]
-pub enum RegisterAction {
-    Send {
-        to: DiskId,
-        message: RegisterMessage,
-    },
-    /// Sync the register, then do the rest.
-    Persist {
-        register: Register,
-        then: Vec<RegisterAction>,
-    },
-    /// This value is acknowledged by enough members; primary only.
-    Committed {
-        accepted: Accepted,
-    },
-    /// Elected; the value is that of the register, not yet committed in this epoch.
-    Elected {
-        epoch: Epoch,
-    },
-    /// No longer primary: what was proposed and not committed is uncertain.
-    SteppedDown,
-    /// The read asked for under this number may be answered.
-    ReadConfirmed {
-        read: u64,
-    },
-}
+/// Stands for no member where a promise was given to none.
+const NOBODY: DiskId = 0;
 
-/// What a member is doing.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Role {
-    Follower {
-        primary: Option<DiskId>,
-    },
-    /// Asks whether an election would succeed, without changing anything.
-    PreCandidate {
-        epoch: Epoch,
-        grants: BTreeSet<DiskId>,
-    },
-    Candidate {
-        epoch: Epoch,
-        promises: BTreeMap<DiskId, Option<Accepted>>,
-    },
-    Primary(Box<PrimaryState>),
-}
-
-/// State of a primary.
-#[derive(Clone, Debug, PartialEq)]
-pub struct PrimaryState {
-    epoch: Epoch,
-    elected: Micros,
-    /// The value under way, and who has acknowledged it.
-    proposal: Option<Proposal>,
-    committed: Option<Accepted>,
-    last_sequence: u64,
-    round: u64,
-    /// Rounds that members answered, and when.
-    last_replies: BTreeMap<DiskId, (u64, Micros)>,
-    pending_reads: BTreeMap<u64, u64>,
-    next_heartbeat: Micros,
-}
-
-#[derive(Clone, Debug, PartialEq)]
-struct Proposal {
-    accepted: Accepted,
-    acknowledged: BTreeSet<DiskId>,
-    since: Micros,
-    /// When it was last sent.
-    last_sent: Micros,
-}
-
-/// A member of the replicated snapshot.
+/// A member of the core, as far as the register is concerned.
 #[derive(Clone, Debug)]
 pub struct RegisterReplica {
     me: DiskId,
     tolerated_failures: usize,
     timing: Timing,
+    /// What was promised and accepted here. The disk may be behind by what the caller has still to sync.
     register: Register,
     role: Role,
-    /// When a primary was last heard, or the last try at an election began.
-    last_contact: Micros,
-    /// Spreads elections.
-    jitter: Micros,
-    jitter_state: u64,
+    election_timer: ElectionTimer,
 }
 
 impl RegisterReplica {
-    /// A member with what its disk holds; `tolerated_failures` disks may be lost at once.
+    /// A member with the register that its disk holds; `tolerated_failures` disks may be lost at once.
     pub fn new(
         me: DiskId,
         tolerated_failures: usize,
@@ -128,128 +57,68 @@
         timing: Timing,
         now: Micros,
     ) -> RegisterReplica {
+        let mut election_timer = ElectionTimer::new(timing.election_timeout, me ^ now, now);
+        election_timer.expire_after(timing.pre_vote_delay, now);
         let role = Role::Follower { primary: None };
-        let mut replica = RegisterReplica {
-            me,
-            tolerated_failures,
-            timing,
-            register,
-            role,
-            last_contact: now,
-            jitter: 0,
-            jitter_state: me ^ now,
-        };
-        replica.renew_jitter();
-        replica.schedule_pre_vote(timing.pre_vote_delay, now);
-        replica
+        RegisterReplica { me, tolerated_failures, timing, register, role, election_timer }
     }
 
-    /// Whether the disk holds no value. Such a member never stands. It votes only where a value names it by the identity
-    /// of its disk, as messages are for an identity: one that was drawn on an empty disk has forgotten nothing.
+    /// Whether this member has accepted no value.
+    ///
+    /// Such a member never stands for election. It votes only for candidates that know it as a member by the identity
+    /// of its disk: an identity is drawn on an empty disk, so that a member without a value has forgotten none.
+    #[must_use]
     pub fn is_blank(&self) -> bool {
         self.register.accepted.is_none()
     }
 
+    /// What was promised and accepted here.
+    #[must_use]
     pub fn register(&self) -> &Register {
         &self.register
     }
 
-    pub fn role(&self) -> &Role {
-        &self.role
-    }
-
-    /// Members by the newest value here.
+    /// Members by the newest value accepted here; empty if there is none.
+    #[must_use]
     pub fn members(&self) -> &[DiskId] {
         self.register.accepted.as_ref().map_or(&[], |accepted| &accepted.value.members)
     }
 
-    /// Who is primary, as far as known here.
-    pub fn primary(&self) -> Option<DiskId> {
+    /// The primary, if it was heard from recently; this member, if it is primary.
+    #[must_use]
+    pub fn recent_primary(&self, now: Micros) -> Option<DiskId> {
         match &self.role {
-            Role::Follower { primary } => *primary,
+            Role::Follower { primary } => primary.filter(|_| self.has_recent_primary(now)),
             Role::Primary(_) => Some(self.me),
-            _ => None,
+            Role::PreCandidate { .. } | Role::Candidate { .. } => None,
         }
     }
 
-    /// The primary, if it was heard so lately that it may be taken to be there.
-    pub fn recent_primary(&self, now: Micros) -> Option<DiskId> {
-        self.primary().filter(|_| self.has_recent_primary(now))
-    }
-
     /// The epoch in which this member is primary.
+    #[must_use]
     pub fn primary_epoch(&self) -> Option<Epoch> {
-        match &self.role {
-            Role::Primary(primary) => Some(primary.epoch),
-            _ => None,
-        }
+        self.role.as_primary().map(|primary| primary.epoch)
     }
 
-    /// Whether a proposal may be made now.
+    /// Whether this member is primary, has committed a value in its epoch, and has no proposal in flight.
+    #[must_use]
     pub fn can_propose(&self) -> bool {
-        matches!(&self.role, Role::Primary(primary) if primary.proposal.is_none() && primary.committed.is_some())
-    }
-
-    /// Members that answered the primary lately, itself included.
-    pub fn live_members(&self, now: Micros) -> BTreeSet<DiskId> {
-        match &self.role {
-            Role::Primary(primary) => self.responsive_members(primary, now),
-            _ => BTreeSet::new(),
-        }
-    }
-
-    fn responsive_members(&self, primary: &PrimaryState, now: Micros) -> BTreeSet<DiskId> {
-        let mut live: BTreeSet<DiskId> = primary
-            .last_replies
-            .iter()
-            .filter(|(_, (_, at))| now.saturating_sub(*at) < self.timing.silence)
-            .map(|(member, _)| *member)
-            .collect();
-        live.insert(self.me);
-        live
-    }
-
-    fn step_down(&mut self, now: Micros, primary: Option<DiskId>) -> Vec<RegisterAction> {
-        let was_primary = matches!(self.role, Role::Primary(_));
-        self.role = Role::Follower { primary };
-        self.last_contact = now;
-        self.renew_jitter();
-        if was_primary { vec![RegisterAction::SteppedDown] } else { Vec::new() }
+        let primary = self.role.as_primary();
+        primary.is_some_and(|primary| primary.proposal.is_none() && primary.committed.is_some())
     }
 
-    /// Lets time pass.
+    /// Advances the time.
     pub fn tick(&mut self, now: Micros) -> Vec<RegisterAction> {
-        match &self.role {
-            Role::Primary(primary) => {
-                let due = now >= primary.next_heartbeat;
-                if self.has_lost_majority(primary, now) {
-                    return self.step_down(now, None);
-                }
-                let mut actions = self.try_commit(now);
-                actions.extend(self.resend_proposal(now));
-                if due {
-                    actions.extend(self.send_heartbeats(now));
-                }
-                actions
-            }
-            _ if now.saturating_sub(self.last_contact) > self.timing.election + self.jitter => {
-                self.start_pre_vote(now)
-            }
-            _ => Vec::new(),
+        if self.role.as_primary().is_some() {
+            self.tick_as_primary(now)
+        } else if self.election_timer.is_expired(now) {
+            self.start_pre_vote(now)
+        } else {
+            Vec::new()
         }
     }
 
-    /// Whether a primary no longer hears a majority. A change of members counts once it is committed: newcomers have
-    /// not answered anything before.
-    fn has_lost_majority(&self, primary: &PrimaryState, now: Micros) -> bool {
-        let settled = now.saturating_sub(primary.elected) > self.timing.silence;
-        let live = self.responsive_members(primary, now);
-        let value =
-            primary.committed.as_ref().or(self.register.accepted.as_ref()).map(|accepted| &accepted.value);
-        settled && value.is_some_and(|value| !quorum::is_quorum(value, &live))
-    }
-
-    /// Takes a message of another member, or of this one to itself.
+    /// Handles a message of another member, or of this one to itself.
     pub fn receive(&mut self, from: DiskId, message: RegisterMessage, now: Micros) -> Vec<RegisterAction> {
         match message {
             RegisterMessage::PreVote { epoch } => self.on_pre_vote(from, epoch, now),
@@ -262,24 +131,89 @@
             }
             RegisterMessage::Heartbeat { epoch, round } => self.on_heartbeat(from, epoch, round, now),
             RegisterMessage::HeartbeatReply { epoch, round, accepted_epoch, accepted_sequence } => {
-                self.on_heartbeat_reply(from, epoch, round, (accepted_epoch, accepted_sequence), now)
+                let newest = Position { epoch: accepted_epoch, sequence: accepted_sequence };
+                self.on_heartbeat_reply(from, epoch, round, newest, now)
             }
             RegisterMessage::Reject { promised } => self.on_reject(promised, now),
             RegisterMessage::Resign { epoch, successor } => self.on_resign(from, epoch, successor, now),
         }
     }
 
+    fn tick_as_primary(&mut self, now: Micros) -> Vec<RegisterAction> {
+        if self.has_lost_majority(now) {
+            return self.step_down(now, None);
+        }
+        let mut actions = self.try_commit(now);
+        actions.extend(self.resend_proposal(now));
+        actions.extend(self.send_due_heartbeats(now));
+        actions
+    }
+
+    /// Whether a primary no longer hears from a quorum, once it has had the time to (Ongaro 2014, section 6.2). A
+    /// change of members counts once it is committed: before that, new members have answered nothing.
+    fn has_lost_majority(&self, now: Micros) -> bool {
+        let Some(primary) = self.role.as_primary() else { return false };
+        let silence_timeout = self.timing.silence_timeout;
+        let had_time = now.saturating_sub(primary.elected_at) > silence_timeout;
+        let responsive = primary.responsive_members(silence_timeout, now);
+        let newest = primary.committed.as_ref().or(self.register.accepted.as_ref());
+        had_time && newest.is_some_and(|accepted| !quorum::is_quorum(&accepted.value, &responsive))
+    }
+
+    /// Whether a primary was heard from so recently that an election would only disrupt it.
+    fn has_recent_primary(&self, now: Micros) -> bool {
+        match &self.role {
+            Role::Primary(_) => true,
+            Role::Follower { primary: Some(_) } => self.election_timer.is_recent(now),
+            _ => false,
+        }
+    }
+
+    /// Notes that a primary was heard from.
     fn follow_primary(&mut self, primary: DiskId, now: Micros) -> Vec<RegisterAction> {
         if let Role::Follower { primary: known } = &mut self.role {
             *known = Some(primary);
-            self.last_contact = now;
+            self.election_timer.restart(now);
             return Vec::new();
         }
         self.step_down(now, Some(primary))
     }
-}
 
-/// Members of a value, those before a change included.
-fn all_members(value: &RegisterValue) -> BTreeSet<DiskId> {
-    value.members.iter().chain(value.prior.iter().flatten()).copied().collect()
+    /// Becomes a follower, whatever the role was.
+    fn step_down(&mut self, now: Micros, primary: Option<DiskId>) -> Vec<RegisterAction> {
+        let was_primary = self.role.as_primary().is_some();
+        self.role = Role::Follower { primary };
+        self.election_timer.restart(now);
+        self.election_timer.renew_jitter();
+        if was_primary { vec![RegisterAction::SteppedDown] } else { Vec::new() }
+    }
+
+    /// Promises an epoch to a member: no value of a lower epoch will be accepted.
+    fn promise(&mut self, epoch: Epoch, to: DiskId) {
+        self.register.promised = epoch;
+        self.register.promised_to = to;
+    }
+
+    /// Whether a message of a primary has to be rejected, because a higher epoch was promised.
+    ///
+    /// A promise of the same epoch to another candidate is no obstacle: the sender was elected by a majority, so that
+    /// the other never will be. The first epoch has no election: only the member to which it was promised, the one
+    /// that wrote the first value, is followed in it.
+    fn must_reject(&self, from: DiskId, epoch: Epoch) -> bool {
+        let promised = self.register.promised;
+        let promised_to_another = epoch == promised && self.register.promised_to != from;
+        epoch < promised || (promised_to_another && epoch == Position::FIRST.epoch)
+    }
+
+    /// Rejects a message with the epoch that was promised here.
+    fn reject(&self, to: DiskId) -> Vec<RegisterAction> {
+        let message = RegisterMessage::Reject { promised: self.register.promised };
+        vec![RegisterAction::Send { to, message }]
+    }
+
+    /// Syncs the register, then sends a message that rests on it.
+    fn persist_and_send(&self, to: DiskId, message: RegisterMessage) -> RegisterAction {
+        let then = vec![RegisterAction::Send { to, message }];
+        RegisterAction::Persist { register: self.register.clone(), then }
+    }
 }
--- a/tier/replication/src/replica/election.rs
+++ b/tier/replication/src/replica/election.rs
@@ -1,128 +1,89 @@
-//! Elections: canvassing, promises, and who follows whom.
-
-use super::{Micros, PrimaryState, RegisterAction, RegisterReplica, Role, all_members};
-use crate::quorum;
+//! Elections: pre-vote, promises, rejection and resignation.
+//!
+//! A member that hears from no primary first asks whether it could win ([`RegisterMessage::PreVote`]; Ongaro 2014,
+//! section 9.6), and only if a majority grants that, asks for promises of the next epoch
+//! ([`RegisterMessage::Prepare`], phase 1 of Paxos). With the promises of a quorum it is primary and proposes the
+//! newest value that one of them had accepted.
+
+use super::action::RegisterAction;
+use super::position::Position;
+use super::primary::Primary;
+use super::role::Role;
+use super::timing::Micros;
+use super::{NOBODY, RegisterReplica};
+use crate::quorum::{self, all_members};
 use quillmount_wire::messages::{Accepted, DiskId, Epoch, RegisterMessage, RegisterValue};
 use std::collections::{BTreeMap, BTreeSet};
 
 impl RegisterReplica {
-    pub(super) fn renew_jitter(&mut self) {
-        self.jitter_state =
-            self.jitter_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        self.jitter = (self.jitter_state >> 33) % (self.timing.election / 2 + 1);
-    }
-
-    /// The next canvass comes after a heartbeat's time: a primary that is there is heard by then, and canvassing changes
-    /// nothing, so that a system without a primary need not wait for longer.
-    pub(super) fn retry_pre_vote(&mut self, now: Micros) {
-        self.schedule_pre_vote(self.timing.heartbeat, now);
-    }
-
-    /// Sets the time of the next canvass, with a part of the jitter added.
-    pub(super) fn schedule_pre_vote(&mut self, span: Micros, now: Micros) {
-        let wait = span + self.jitter / 4;
-        self.last_contact = now.saturating_sub((self.timing.election + self.jitter).saturating_sub(wait));
-    }
-
-    /// Leaves the primary's place to a member that is in sync.
+    /// Hands the leadership over to a member that answers, which stands for election at once (Ongaro 2014, section
+    /// 3.10). Without effect unless this member is primary.
     pub fn resign(&mut self, now: Micros) -> Vec<RegisterAction> {
-        let Role::Primary(primary) = &self.role else { return Vec::new() };
-        let live = self.responsive_members(primary, now);
+        let Some(primary) = self.role.as_primary() else { return Vec::new() };
         let epoch = primary.epoch;
-        let others: Vec<DiskId> =
-            self.members().iter().copied().filter(|member| *member != self.me).collect();
-        let successor = others.iter().copied().find(|member| live.contains(member));
+        let responsive = primary.responsive_members(self.timing.silence_timeout, now);
+        let mut others = self.members().to_vec();
+        others.retain(|member| *member != self.me);
+        let successor = others.iter().copied().find(|member| responsive.contains(member));
         let mut actions = self.step_down(now, None);
         if let Some(successor) = successor {
             let message = RegisterMessage::Resign { epoch, successor };
-            actions
-                .extend(others.into_iter().map(|to| RegisterAction::Send { to, message: message.clone() }));
+            actions.extend(RegisterAction::broadcast(others, &message));
         }
         actions
     }
 
     pub(super) fn become_primary(&mut self, epoch: Epoch, now: Micros) {
-        self.role = Role::Primary(Box::new(PrimaryState {
-            epoch,
-            elected: now,
-            proposal: None,
-            committed: None,
-            last_sequence: 0,
-            round: 0,
-            last_replies: BTreeMap::new(),
-            pending_reads: BTreeMap::new(),
-            next_heartbeat: now,
-        }));
-    }
-
-    pub(super) fn is_majority_of_members(&self, live: &BTreeSet<DiskId>) -> bool {
-        self.register.accepted.as_ref().is_none_or(|accepted| quorum::is_quorum(&accepted.value, live))
+        self.role = Role::Primary(Box::new(Primary::new(self.me, epoch, now)));
     }
 
+    /// Asks the members whether an election would succeed; only a member of the newest value here does.
     pub(super) fn start_pre_vote(&mut self, now: Micros) -> Vec<RegisterAction> {
-        self.renew_jitter();
-        self.retry_pre_vote(now);
+        self.election_timer.renew_jitter();
+        // The next attempt need not wait for the whole election timeout, as a pre-vote changes nothing: after a
+        // heartbeat interval a primary that is there has been heard.
+        self.election_timer.expire_after(self.timing.heartbeat_interval, now);
         let Some(accepted) = &self.register.accepted else { return Vec::new() };
         if !accepted.value.members.contains(&self.me) {
             return Vec::new();
         }
         let epoch = self.register.promised + 1;
-        let targets = all_members(&accepted.value);
         self.role = Role::PreCandidate { epoch, grants: BTreeSet::new() };
-        targets
-            .into_iter()
-            .map(|to| RegisterAction::Send { to, message: RegisterMessage::PreVote { epoch } })
-            .collect()
+        RegisterAction::broadcast(all_members(&accepted.value), &RegisterMessage::PreVote { epoch })
     }
 
-    pub(super) fn start_election(&mut self, epoch: Epoch, now: Micros) -> Vec<RegisterAction> {
+    /// Asks the members to promise an epoch.
+    fn start_election(&mut self, epoch: Epoch, now: Micros) -> Vec<RegisterAction> {
         let Some(accepted) = &self.register.accepted else { return Vec::new() };
-        let targets = all_members(&accepted.value);
-        self.last_contact = now;
+        self.election_timer.restart(now);
         self.role = Role::Candidate { epoch, promises: BTreeMap::new() };
-        targets
-            .into_iter()
-            .map(|to| RegisterAction::Send { to, message: RegisterMessage::Prepare { epoch } })
-            .collect()
-    }
-
-    /// Whether a primary was heard so lately that an election would only disturb it.
-    pub(super) fn has_recent_primary(&self, now: Micros) -> bool {
-        match &self.role {
-            Role::Primary(_) => true,
-            Role::Follower { primary: Some(_) } => {
-                now.saturating_sub(self.last_contact) < self.timing.election / 2
-            }
-            _ => false,
-        }
+        RegisterAction::broadcast(all_members(&accepted.value), &RegisterMessage::Prepare { epoch })
     }
 
     pub(super) fn on_pre_vote(&mut self, from: DiskId, epoch: Epoch, now: Micros) -> Vec<RegisterAction> {
         if from != self.me && self.has_recent_primary(now) {
             return Vec::new();
         }
-        let message = if epoch > self.register.promised {
-            RegisterMessage::PreVoteGranted { epoch }
-        } else {
-            RegisterMessage::Reject { promised: self.register.promised }
-        };
-        vec![RegisterAction::Send { to: from, message }]
+        if epoch <= self.register.promised {
+            return self.reject(from);
+        }
+        vec![RegisterAction::Send { to: from, message: RegisterMessage::PreVoteGranted { epoch } }]
     }
 
     pub(super) fn on_pre_vote_granted(
         &mut self,
         from: DiskId,
-        message_epoch: Epoch,
+        granted_epoch: Epoch,
         now: Micros,
     ) -> Vec<RegisterAction> {
         let Role::PreCandidate { epoch, grants } = &mut self.role else { return Vec::new() };
-        if *epoch != message_epoch {
+        if *epoch != granted_epoch {
             return Vec::new();
         }
         grants.insert(from);
-        let grants = grants.clone();
-        if self.is_majority_of_members(&grants) {
-            self.start_election(message_epoch, now)
+        let accepted = self.register.accepted.as_ref();
+        if accepted.is_none_or(|accepted| quorum::is_quorum(&accepted.value, grants)) {
+            self.start_election(granted_epoch, now)
         } else {
             Vec::new()
         }
@@ -135,78 +96,74 @@
         if epoch <= self.register.promised {
             return self.reject(from);
         }
-        self.register.promised = epoch;
-        self.register.promised_to = from;
+        self.promise(epoch, from);
         let mut actions = Vec::new();
         if from != self.me {
             actions.extend(self.step_down(now, None));
         }
         let promise = RegisterMessage::Promise { epoch, accepted: self.register.accepted.clone() };
-        let then = vec![RegisterAction::Send { to: from, message: promise }];
-        actions.push(RegisterAction::Persist { register: self.register.clone(), then });
+        actions.push(self.persist_and_send(from, promise));
         actions
     }
 
     pub(super) fn on_promise(
         &mut self,
         from: DiskId,
-        message_epoch: Epoch,
+        promised_epoch: Epoch,
         accepted: Option<Accepted>,
         now: Micros,
     ) -> Vec<RegisterAction> {
         let Role::Candidate { epoch, promises } = &mut self.role else { return Vec::new() };
-        if *epoch != message_epoch {
+        if *epoch != promised_epoch {
             return Vec::new();
         }
         promises.insert(from, accepted);
-        let newest =
-            promises.values().flatten().max_by_key(|accepted| (accepted.epoch, accepted.sequence)).cloned();
+        let newest = promises.values().flatten().max_by_key(|accepted| Position::from(*accepted)).cloned();
         let Some(newest) = newest else { return Vec::new() };
-        let answered: BTreeSet<DiskId> = promises.keys().copied().collect();
-        if !quorum::is_quorum(&newest.value, &answered) {
-            return self.prepare_added_members(&newest.value, message_epoch);
+        let promised_by: BTreeSet<DiskId> = promises.keys().copied().collect();
+        if !quorum::is_quorum(&newest.value, &promised_by) {
+            return self.prepare_added_members(&newest.value, promised_epoch);
         }
         if !newest.value.members.contains(&self.me) {
             return self.step_down(now, None);
         }
-        self.become_primary(message_epoch, now);
-        let mut actions = vec![RegisterAction::Elected { epoch: message_epoch }];
+        self.become_primary(promised_epoch, now);
+        let mut actions = vec![RegisterAction::Elected { epoch: promised_epoch }];
         actions.extend(self.send_proposal(newest.value, now));
         actions
     }
 
-    /// Asks members that only the newest value names for their promise as well.
-    pub(super) fn prepare_added_members(&self, value: &RegisterValue, epoch: Epoch) -> Vec<RegisterAction> {
-        let own =
-            self.register.accepted.as_ref().map(|accepted| all_members(&accepted.value)).unwrap_or_default();
-        all_members(value)
-            .into_iter()
-            .filter(|member| !own.contains(member))
-            .map(|to| RegisterAction::Send { to, message: RegisterMessage::Prepare { epoch } })
-            .collect()
+    /// Asks members that only the newest value names to promise the epoch as well.
+    fn prepare_added_members(&self, newest: &RegisterValue, epoch: Epoch) -> Vec<RegisterAction> {
+        let accepted = self.register.accepted.as_ref();
+        let known = accepted.map(|accepted| all_members(&accepted.value)).unwrap_or_default();
+        let mut added = all_members(newest);
+        added.retain(|member| !known.contains(member));
+        RegisterAction::broadcast(added, &RegisterMessage::Prepare { epoch })
     }
 
     pub(super) fn on_reject(&mut self, promised: Epoch, now: Micros) -> Vec<RegisterAction> {
-        let stale = match &self.role {
-            // A rival of the same epoch refuses its own promise only: the others may still be a majority.
+        let is_outdated = match &self.role {
+            // A rejection with the same epoch is of a member that promised it to a rival: the others may still be a
+            // majority.
             Role::Primary(primary) => promised > primary.epoch,
             Role::Candidate { epoch, .. } => promised > *epoch,
             Role::PreCandidate { epoch, .. } => promised >= *epoch,
             Role::Follower { .. } => false,
         };
-        if !stale {
+        if !is_outdated {
             if matches!(self.role, Role::Candidate { .. }) {
-                self.schedule_pre_vote(self.timing.pre_vote_delay, now);
+                self.election_timer.expire_after(self.timing.pre_vote_delay, now);
             }
             return Vec::new();
         }
-        // The next try begins above what was promised elsewhere; no promise is made by this.
-        if promised > self.register.promised && self.register.accepted.is_some() {
-            self.register.promised = promised;
-            self.register.promised_to = 0;
+        // The next attempt uses an epoch above the one that was promised elsewhere. Nothing is promised to anybody
+        // by this, so that it need not be synced.
+        if promised > self.register.promised && !self.is_blank() {
+            self.promise(promised, NOBODY);
         }
         let actions = self.step_down(now, None);
-        self.schedule_pre_vote(self.timing.pre_vote_delay, now);
+        self.election_timer.expire_after(self.timing.pre_vote_delay, now);
         actions
     }
 
@@ -217,8 +174,8 @@
         successor: DiskId,
         now: Micros,
     ) -> Vec<RegisterAction> {
-        let known = self.register.promised == epoch && self.register.promised_to == from;
-        if !known || self.is_blank() {
+        let is_current = self.register.promised == epoch && self.register.promised_to == from;
+        if !is_current || self.is_blank() {
             return Vec::new();
         }
         self.role = Role::Follower { primary: None };
--- a/tier/replication/src/replica/heartbeats.rs
+++ b/tier/replication/src/replica/heartbeats.rs
@@ -1,34 +1,41 @@
-//! Heartbeats, and reads that are confirmed by a round of them.
+//! Heartbeats, and the reads that a round of them confirms (Raft's ReadIndex; Ongaro 2014, section 6.4).
 
-use super::{Micros, RegisterAction, RegisterReplica, Role};
+use super::RegisterReplica;
+use super::action::{ReadId, RegisterAction};
+use super::position::Position;
+use super::timing::Micros;
 use crate::quorum;
 use quillmount_wire::messages::{DiskId, Epoch, RegisterMessage};
 
 impl RegisterReplica {
-    /// Whether this primary heard a majority within the silence after which it would step down: what it has committed was the
-    /// newest then.
+    /// Whether this member is primary, has committed a value, and heard from a quorum within the silence timeout: the
+    /// value was the newest then.
+    #[must_use]
     pub fn has_recent_majority(&self, now: Micros) -> bool {
-        let Role::Primary(primary) = &self.role else { return false };
-        let live = self.responsive_members(primary, now);
-        primary.committed.as_ref().is_some_and(|accepted| quorum::is_quorum(&accepted.value, &live))
+        let Some(primary) = self.role.as_primary() else { return false };
+        let responsive = primary.responsive_members(self.timing.silence_timeout, now);
+        primary.committed.as_ref().is_some_and(|accepted| quorum::is_quorum(&accepted.value, &responsive))
     }
 
-    /// Asks for a read that is confirmed by a majority; [`RegisterAction::ReadConfirmed`] follows with the same number.
-    pub fn confirm_read(&mut self, read: u64, now: Micros) -> Vec<RegisterAction> {
-        let Role::Primary(primary) = &mut self.role else { return Vec::new() };
-        let round = primary.round + 1;
-        primary.pending_reads.insert(read, round);
+    /// Begins a read: sends a round of heartbeats, and returns [`RegisterAction::ReadConfirmed`] once a quorum has
+    /// answered it. A read that is pending when this member steps down is dropped without an action.
+    pub fn confirm_read(&mut self, read: ReadId, now: Micros) -> Vec<RegisterAction> {
+        let Some(primary) = self.role.as_primary_mut() else { return Vec::new() };
+        primary.add_read(read);
         self.send_heartbeats(now)
     }
 
-    pub(super) fn send_heartbeats(&mut self, now: Micros) -> Vec<RegisterAction> {
-        let timing = self.timing;
-        let members = self.members().to_vec();
-        let Role::Primary(primary) = &mut self.role else { return Vec::new() };
-        primary.round += 1;
-        primary.next_heartbeat = now + timing.heartbeat;
-        let message = RegisterMessage::Heartbeat { epoch: primary.epoch, round: primary.round };
-        members.into_iter().map(|to| RegisterAction::Send { to, message: message.clone() }).collect()
+    pub(super) fn send_due_heartbeats(&mut self, now: Micros) -> Vec<RegisterAction> {
+        let is_due = self.role.as_primary().is_some_and(|primary| now >= primary.next_heartbeat);
+        if is_due { self.send_heartbeats(now) } else { Vec::new() }
+    }
+
+    fn send_heartbeats(&mut self, now: Micros) -> Vec<RegisterAction> {
+        let Some(primary) = self.role.as_primary_mut() else { return Vec::new() };
+        let epoch = primary.epoch;
+        let round = primary.begin_round(self.timing.heartbeat_interval, now);
+        let members = self.members().iter().copied();
+        RegisterAction::broadcast(members, &RegisterMessage::Heartbeat { epoch, round })
     }
 
     pub(super) fn on_heartbeat(
@@ -48,21 +55,20 @@
         if from != self.me {
             actions.extend(self.follow_primary(from, now));
         }
-        let position =
-            self.register.accepted.as_ref().map_or((0, 0), |position| (position.epoch, position.sequence));
+        let newest = Position::of_newest(self.register.accepted.as_ref());
         let reply = RegisterMessage::HeartbeatReply {
             epoch,
             round,
-            accepted_epoch: position.0,
-            accepted_sequence: position.1,
+            accepted_epoch: newest.epoch,
+            accepted_sequence: newest.sequence,
         };
-        let send = RegisterAction::Send { to: from, message: reply };
-        if epoch > self.register.promised || from != self.register.promised_to {
-            self.register.promised = epoch;
-            self.register.promised_to = from;
-            actions.push(RegisterAction::Persist { register: self.register.clone(), then: vec![send] });
+        // A heartbeat of an epoch that was not promised to its sender counts as a promise, which has to be synced.
+        let is_promised = epoch <= self.register.promised && from == self.register.promised_to;
+        if is_promised {
+            actions.push(RegisterAction::Send { to: from, message: reply });
         } else {
-            actions.push(send);
+            self.promise(epoch, from);
+            actions.push(self.persist_and_send(from, reply));
         }
         actions
     }
@@ -70,55 +76,39 @@
     pub(super) fn on_heartbeat_reply(
         &mut self,
         from: DiskId,
-        message_epoch: Epoch,
+        epoch: Epoch,
         round: u64,
-        position: (Epoch, u64),
+        newest: Position,
         now: Micros,
     ) -> Vec<RegisterAction> {
-        let current = self.register.accepted.clone();
-        let Role::Primary(primary) = &mut self.role else { return Vec::new() };
-        if primary.epoch != message_epoch {
+        let Some(primary) = self.role.as_primary_mut() else { return Vec::new() };
+        if primary.epoch != epoch {
             return Vec::new();
         }
-        let known = primary.last_replies.get(&from).map_or(0, |(known, _)| *known);
-        primary.last_replies.insert(from, (round.max(known), now));
+        primary.record_heartbeat_reply(from, round, now);
+        let committed = Position::of_newest(primary.committed.as_ref());
         let mut actions = Vec::new();
-        // A member that missed the last value gets it, so that it is level when the next one comes.
-        let committed =
-            primary.committed.as_ref().map_or((0, 0), |position| (position.epoch, position.sequence));
-        if position < committed
-            && let Some(accepted) =
-                current.filter(|position| (position.epoch, position.sequence) >= committed)
+        // A member that missed the last value gets it now, so that it is up to date when the next one comes.
+        if newest < committed
+            && let Some(accepted) = &self.register.accepted
+            && Position::from(accepted) >= committed
         {
-            actions.push(RegisterAction::Send { to: from, message: RegisterMessage::Accept { accepted } });
+            let message = RegisterMessage::Accept { accepted: accepted.clone() };
+            actions.push(RegisterAction::Send { to: from, message });
         }
         actions.extend(self.release_reads());
         actions
     }
 
-    pub(super) fn release_reads(&mut self) -> Vec<RegisterAction> {
-        let Some(value) = self.register.accepted.as_ref().map(|accepted| accepted.value.clone()) else {
-            return Vec::new();
-        };
-        let Role::Primary(primary) = &mut self.role else { return Vec::new() };
+    /// Confirms the reads whose round of heartbeats a quorum has answered; none before the first commit in this epoch,
+    /// as a value of an earlier epoch may be committed only by that.
+    fn release_reads(&mut self) -> Vec<RegisterAction> {
+        let Some(accepted) = &self.register.accepted else { return Vec::new() };
+        let Some(primary) = self.role.as_primary_mut() else { return Vec::new() };
         if primary.committed.is_none() {
             return Vec::new();
         }
-        let last_replies = &primary.last_replies;
-        let confirmed = |round: u64| {
-            let answered =
-                last_replies.iter().filter(|(_, (last, _))| *last >= round).map(|(member, _)| *member);
-            quorum::is_quorum(&value, &answered.collect())
-        };
-        let ready: Vec<u64> = primary
-            .pending_reads
-            .iter()
-            .filter(|(_, round)| confirmed(**round))
-            .map(|(read, _)| *read)
-            .collect();
-        ready.iter().for_each(|read| {
-            primary.pending_reads.remove(read);
-        });
-        ready.into_iter().map(|read| RegisterAction::ReadConfirmed { read }).collect()
+        let confirmed = primary.take_confirmed_reads(&accepted.value);
+        confirmed.into_iter().map(|read| RegisterAction::ReadConfirmed { read }).collect()
     }
 }
--- a/tier/replication/src/replica/proposals.rs
+++ b/tier/replication/src/replica/proposals.rs
@@ -1,86 +1,57 @@
-//! Values: proposed by the primary, accepted by the members, committed once enough have acknowledged.
+//! Proposals (phase 2 of Paxos): sent by the primary, accepted by the members, committed once enough of them have
+//! synced the value.
 
-use super::{FIRST_EPOCH, Micros, Proposal, RegisterAction, RegisterReplica, Role, all_members};
-use crate::quorum;
+use super::RegisterReplica;
+use super::action::RegisterAction;
+use super::position::Position;
+use super::timing::Micros;
+use crate::quorum::all_members;
 use quillmount_wire::messages::{Accepted, DiskId, Epoch, RegisterMessage, RegisterValue};
-use std::collections::BTreeSet;
 
 impl RegisterReplica {
-    /// Writes the first value of the whole system, at the first start only.
+    /// Proposes the first value of a new system, on one member only and without an election. Without effect if this
+    /// member has promised or accepted anything.
     pub fn bootstrap(&mut self, members: Vec<DiskId>, payload: Vec<u8>, now: Micros) -> Vec<RegisterAction> {
         if !self.is_blank() || self.register.promised > 0 {
             return Vec::new();
         }
-        self.become_primary(1, now);
-        self.register.promised = 1;
-        self.register.promised_to = self.me;
-        let mut actions = vec![RegisterAction::Elected { epoch: 1 }];
+        let epoch = Position::FIRST.epoch;
+        self.become_primary(epoch, now);
+        self.promise(epoch, self.me);
+        let mut actions = vec![RegisterAction::Elected { epoch }];
         actions.extend(self.send_proposal(RegisterValue { members, prior: None, payload }, now));
         actions
     }
 
-    /// Proposes the next snapshot; the caller has checked [`RegisterReplica::can_propose`]. A change of members carries the old ones.
+    /// Proposes the next value; without effect unless [`RegisterReplica::can_propose`]. If the members change, the
+    /// value names the former ones as well, and a second proposal without them follows its commit.
     pub fn propose(&mut self, members: Vec<DiskId>, payload: Vec<u8>, now: Micros) -> Vec<RegisterAction> {
         if !self.can_propose() {
             return Vec::new();
         }
-        let old = self.members().to_vec();
-        let prior = (old != members).then_some(old);
+        let former = self.members().to_vec();
+        let prior = (former != members).then_some(former);
         self.send_proposal(RegisterValue { members, prior, payload }, now)
     }
 
     pub(super) fn send_proposal(&mut self, value: RegisterValue, now: Micros) -> Vec<RegisterAction> {
-        let Role::Primary(primary) = &mut self.role else { return Vec::new() };
-        primary.last_sequence += 1;
-        let accepted = Accepted { epoch: primary.epoch, sequence: primary.last_sequence, value };
-        let targets = all_members(&accepted.value);
-        let proposal = Proposal {
-            accepted: accepted.clone(),
-            acknowledged: BTreeSet::new(),
-            since: now,
-            last_sent: now,
-        };
-        primary.proposal = Some(proposal);
-        targets
-            .into_iter()
-            .map(|to| RegisterAction::Send {
-                to,
-                message: RegisterMessage::Accept { accepted: accepted.clone() },
-            })
-            .collect()
+        let Some(primary) = self.role.as_primary_mut() else { return Vec::new() };
+        let accepted = primary.begin_proposal(value, now);
+        let members = all_members(&accepted.value);
+        RegisterAction::broadcast(members, &RegisterMessage::Accept { accepted })
     }
 
-    /// Sends a proposal again to members that have not acknowledged it for a heartbeat's time.
+    /// Sends the proposal in flight again to members that have not acknowledged it for a heartbeat interval.
     pub(super) fn resend_proposal(&mut self, now: Micros) -> Vec<RegisterAction> {
-        let heartbeat = self.timing.heartbeat;
-        let Role::Primary(primary) = &mut self.role else { return Vec::new() };
+        let Some(primary) = self.role.as_primary_mut() else { return Vec::new() };
         let Some(proposal) = &mut primary.proposal else { return Vec::new() };
-        if now.saturating_sub(proposal.last_sent) < heartbeat {
+        if now.saturating_sub(proposal.last_sent) < self.timing.heartbeat_interval {
             return Vec::new();
         }
         proposal.last_sent = now;
-        all_members(&proposal.accepted.value)
-            .into_iter()
-            .filter(|member| !proposal.acknowledged.contains(member))
-            .map(|to| RegisterAction::Send {
-                to,
-                message: RegisterMessage::Accept { accepted: proposal.accepted.clone() },
-            })
-            .collect()
-    }
-
-    /// Whether a primary's message is refused. A promise of the same epoch to another candidate does not stand against one who
-    /// was elected: a majority promised to the one who sends as primary, so that the other never will be. The first value of
-    /// the whole system is written without an election, and only its writer is followed in that epoch.
-    pub(super) fn must_reject(&self, from: DiskId, epoch: Epoch) -> bool {
-        let promised = self.register.promised;
-        let foreign = epoch == promised && self.register.promised_to != from;
-        epoch < promised || (foreign && epoch == FIRST_EPOCH)
-    }
-
-    pub(super) fn reject(&self, to: DiskId) -> Vec<RegisterAction> {
-        let message = RegisterMessage::Reject { promised: self.register.promised };
-        vec![RegisterAction::Send { to, message }]
+        let mut missing = all_members(&proposal.accepted.value);
+        missing.retain(|member| !proposal.acknowledged.contains(member));
+        RegisterAction::broadcast(missing, &RegisterMessage::Accept { accepted: proposal.accepted.clone() })
     }
 
     pub(super) fn on_accept(&mut self, from: DiskId, accepted: Accepted, now: Micros) -> Vec<RegisterAction> {
@@ -94,39 +65,34 @@
         if from != self.me {
             actions.extend(self.follow_primary(from, now));
         }
-        let (epoch, sequence) = (accepted.epoch, accepted.sequence);
-        let position =
-            self.register.accepted.as_ref().map_or((0, 0), |position| (position.epoch, position.sequence));
-        let message = RegisterMessage::Acknowledge { epoch, sequence };
-        if position >= (epoch, sequence) {
-            // Sent again: what was acknowledged before it is on the way to the disk in the same order.
-            if position == (epoch, sequence) {
-                let then = vec![RegisterAction::Send { to: from, message }];
-                actions.push(RegisterAction::Persist { register: self.register.clone(), then });
-            }
+        let proposed = Position::from(&accepted);
+        let current = Position::of_newest(self.register.accepted.as_ref());
+        if current > proposed {
             return actions;
         }
-        self.register.promised = epoch;
-        self.register.promised_to = from;
-        self.register.accepted = Some(accepted);
-        let then = vec![RegisterAction::Send { to: from, message }];
-        actions.push(RegisterAction::Persist { register: self.register.clone(), then });
+        if current < proposed {
+            self.promise(accepted.epoch, from);
+            self.register.accepted = Some(accepted);
+        }
+        // A repeated proposal is acknowledged after another sync: the first one may still be in flight.
+        let acknowledgement =
+            RegisterMessage::Acknowledge { epoch: proposed.epoch, sequence: proposed.sequence };
+        actions.push(self.persist_and_send(from, acknowledgement));
         actions
     }
 
     pub(super) fn on_acknowledge(
         &mut self,
         from: DiskId,
-        message_epoch: Epoch,
+        epoch: Epoch,
         sequence: u64,
         now: Micros,
     ) -> Vec<RegisterAction> {
-        let Role::Primary(primary) = &mut self.role else { return Vec::new() };
-        if primary.epoch != message_epoch {
+        let Some(primary) = self.role.as_primary_mut() else { return Vec::new() };
+        if primary.epoch != epoch {
             return Vec::new();
         }
-        let round = primary.last_replies.get(&from).map_or(0, |(round, _)| *round);
-        primary.last_replies.insert(from, (round, now));
+        primary.record_reply(from, now);
         let Some(proposal) = &mut primary.proposal else { return Vec::new() };
         if proposal.accepted.sequence != sequence {
             return Vec::new();
@@ -135,35 +101,20 @@
         self.try_commit(now)
     }
 
-    /// Commits once a majority, enough disks, and every member that is in sync have acknowledged.
+    /// Commits the proposal in flight once it may be.
     pub(super) fn try_commit(&mut self, now: Micros) -> Vec<RegisterAction> {
-        let Role::Primary(primary) = &self.role else { return Vec::new() };
-        let Some(proposal) = &primary.proposal else { return Vec::new() };
-        let value = &proposal.accepted.value;
-        let members = all_members(value);
-        let acknowledged = &proposal.acknowledged;
-        let first = proposal.accepted.epoch == 1 && proposal.accepted.sequence == 1;
-        let enough = acknowledged.len()
-            >= quorum::required_copies(self.tolerated_failures, value.members.len())
-            && acknowledged.contains(&self.me)
-            && quorum::is_quorum(value, acknowledged);
-        let overdue = now.saturating_sub(proposal.since) > self.timing.silence;
-        let waiting = |member: &DiskId| members.contains(member) && !acknowledged.contains(member);
-        let complete = if first {
-            members.iter().all(|member| acknowledged.contains(member))
-        } else {
-            overdue || !self.responsive_members(primary, now).iter().any(waiting)
-        };
-        if !enough || !complete {
+        let Some(primary) = self.role.as_primary_mut() else { return Vec::new() };
+        if !primary.may_commit(self.tolerated_failures, self.timing.silence_timeout, now) {
             return Vec::new();
         }
-        let Role::Primary(primary) = &mut self.role else { return Vec::new() };
         let Some(proposal) = primary.proposal.take() else { return Vec::new() };
-        primary.committed = Some(proposal.accepted.clone());
-        let value = proposal.accepted.value.clone();
-        let mut actions = vec![RegisterAction::Committed { accepted: proposal.accepted }];
+        let accepted = proposal.accepted;
+        primary.committed = Some(accepted.clone());
+        let value = accepted.value.clone();
+        let mut actions = vec![RegisterAction::Committed { accepted }];
         if value.prior.is_some() {
-            // The members before the change are needed no more: for as long as the value named them, their losses would count.
+            // The former members are no longer needed. As long as the value names them, a quorum has to include a
+            // majority of them, so that their failures would count.
             actions.extend(self.send_proposal(RegisterValue { prior: None, ..value }, now));
         }
         actions
