--- a/tier/control/tests/contacts.rs
+++ b/tier/control/tests/contacts.rs
@@ -1,4 +1,4 @@
-//! Whom a process asks next for the tables.
+//! Which address of the core a process polls next.
 
 use quillmount_control::Contacts;
 
@@ -11,16 +11,16 @@
 #[test]
 fn addresses_are_used_in_turn() {
     let mut contacts = Contacts::default();
-    let asked: Vec<String> = (0..4).filter_map(|_| contacts.next_address(&seeds(), 0)).collect();
-    assert_eq!(asked, ["b", "c", "a", "b"]);
+    let polled: Vec<String> = (0..4).filter_map(|_| contacts.next_address(&seeds(), 0)).collect();
+    assert_eq!(polled, ["b", "c", "a", "b"]);
 }
 
 #[test]
 fn a_failed_address_is_skipped_while_there_are_others() {
     let mut contacts = Contacts::default();
     contacts.record_failure("b", 0);
-    let asked: Vec<String> = (0..3).filter_map(|_| contacts.next_address(&seeds(), 1_000 * MILLI)).collect();
-    assert_eq!(asked, ["c", "a", "c"]);
+    let polled: Vec<String> = (0..3).filter_map(|_| contacts.next_address(&seeds(), 1_000 * MILLI)).collect();
+    assert_eq!(polled, ["c", "a", "c"]);
     assert_eq!(contacts.next_address(&seeds(), 2_000 * MILLI).as_deref(), Some("a"));
     assert_eq!(contacts.next_address(&seeds(), 2_000 * MILLI).as_deref(), Some("b"));
 }
@@ -28,13 +28,13 @@
 #[test]
 fn when_all_failed_the_earliest_failure_is_next() {
     let mut contacts = Contacts::default();
-    let mut asked = Vec::new();
+    let mut polled = Vec::new();
     for round in 0..6 {
         let address = contacts.next_address(&seeds(), round * 300 * MILLI).expect("there are addresses");
         contacts.record_failure(&address, round * 300 * MILLI);
-        asked.push(address);
+        polled.push(address);
     }
-    assert_eq!(asked, ["b", "c", "a", "b", "c", "a"]);
+    assert_eq!(polled, ["b", "c", "a", "b", "c", "a"]);
 }
 
 #[test]
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_primary_that_was_not_up_yet_is_followed_once_a_member_hears_it() {
+fn a_hint_to_a_failed_address_is_followed_once_it_is_newer_than_the_failure() {
     let mut contacts = Contacts::default();
     contacts.record_failure("a", 0);
     assert!(!contacts.may_follow("a", 300 * MILLI));
--- a/tier/control/tests/directory.rs
+++ b/tier/control/tests/directory.rs
@@ -1,4 +1,4 @@
-//! News of the endpoints' list lead every follower to the same list.
+//! Updates of the endpoint list lead every subscriber to the same list.
 
 use quickcheck::QuickCheck;
 use quillmount_control::{Directory, apply_update};
@@ -23,30 +23,30 @@
 }
 
 #[test]
-fn a_follower_at_any_version_ends_with_the_same_list() {
-    fn same(readings: Vec<Vec<(u8, bool)>>, from: usize) -> bool {
+fn a_subscriber_at_any_version_ends_with_the_same_list() {
+    fn subscriber_agrees(readings: Vec<Vec<(u8, bool)>>, from: usize) -> bool {
         let mut directory = Directory::default();
-        let (mut mine, mut have) = (Vec::new(), 0);
+        let (mut known, mut known_version) = (Vec::new(), 0);
         let from = from % (readings.len() + 1);
         for (number, reading) in readings.iter().enumerate() {
             directory.replace(list(reading));
             if number < from {
-                if let Some(update) = directory.update_since(have) {
-                    mine = apply_update(&mine, update);
+                if let Some(update) = directory.update_since(known_version) {
+                    known = apply_update(&known, update);
                 }
-                have = directory.version();
+                known_version = directory.version();
             }
         }
-        if let Some(update) = directory.update_since(have) {
-            mine = apply_update(&mine, update);
+        if let Some(update) = directory.update_since(known_version) {
+            known = apply_update(&known, update);
         }
-        mine == **directory.list()
+        known == **directory.list()
     }
-    QuickCheck::new().tests(500).quickcheck(same as fn(Vec<Vec<(u8, bool)>>, usize) -> bool);
+    QuickCheck::new().tests(500).quickcheck(subscriber_agrees as fn(Vec<Vec<(u8, bool)>>, usize) -> bool);
 }
 
 #[test]
-fn only_what_changed_is_sent_and_a_newcomer_gets_all() {
+fn only_changes_are_sent_and_a_new_subscriber_gets_the_full_list() {
     let mut directory = Directory::default();
     assert!(directory.replace((0..100).map(|id| endpoint(id, false, 0.0)).collect()));
     assert!(!directory.replace((0..100).map(|id| endpoint(id, false, 0.0)).collect()));
--- /dev/null
+++ b/tier/control/tests/members/faults.rs
@@ -0,0 +1,120 @@
+//! Runs with random faults by seed: kills, cuts, freezes and lost disks.
+
+use crate::world::{MILLI, SECOND, Time, World};
+use quillmount_wire::messages::DiskId;
+
+/// Plays a run with random faults and checks its history; returns the world at its end.
+pub fn run_seed(seed: u64) -> World {
+    let (members, tolerated_failures) = match seed % 3 {
+        0 => (3, 1),
+        1 => (4, 1),
+        _ => (5, 2),
+    };
+    let mut world = World::new(members, tolerated_failures, 4, seed);
+    world.run(2 * SECOND);
+    for _ in 0..14 {
+        inject_fault(&mut world);
+        let gap = world.random.next(900);
+        world.run(gap * MILLI);
+    }
+    end_faults(&mut world);
+    // Everything is killed right after some order.
+    restart_all(&mut world, 300 * MILLI);
+    world.run(2 * SECOND);
+    end_faults(&mut world);
+    world.run(SECOND);
+    world.busy = false;
+    world.run(3 * SECOND);
+    world.history.check();
+    let primary = world.primary().expect("a primary");
+    let state = world.machines[&primary].member.committed().unwrap();
+    assert_eq!(state.version, world.history.newest_version(), "LOST: the newest version");
+    world
+}
+
+/// Disks of all machines.
+pub fn disks(world: &World) -> Vec<DiskId> {
+    world.machines.keys().copied().collect()
+}
+
+/// Kills all machines, and starts them again after the same time.
+pub fn restart_all(world: &mut World, down: Time) {
+    for disk in disks(world) {
+        world.kill(disk);
+        world.restart_after(disk, down);
+    }
+}
+
+/// Any machine, the primary in half of the cases.
+fn any_machine(world: &mut World) -> DiskId {
+    let disks = disks(world);
+    let any = disks[world.random.next(disks.len() as u64) as usize];
+    if world.random.chance(50) { world.primary().unwrap_or(any) } else { any }
+}
+
+/// Injects a fault that the seed decides.
+fn inject_fault(world: &mut World) {
+    let disk = any_machine(world);
+    let span = (100 + world.random.next(2_500)) * MILLI;
+    match world.random.next(9) {
+        0 | 1 => {
+            world.kill(disk);
+            world.restart_after(disk, span);
+        }
+        2 | 3 => {
+            let until = world.now + span;
+            let machine = world.machines.get_mut(&disk).unwrap();
+            machine.frozen_until = machine.frozen_until.max(until);
+        }
+        4 => {
+            for disk in disks(world) {
+                world.kill(disk);
+                let down = (50 + world.random.next(1_000)) * MILLI;
+                world.restart_after(disk, down);
+            }
+        }
+        5 | 6 => partition(world, disk),
+        7 => world.cuts.clear(),
+        _ if world.is_healed() => {
+            let new = world.wipe(disk);
+            let until = world.now + span / 2;
+            world.machines.get_mut(&new).unwrap().frozen_until = until;
+        }
+        _ => {}
+    }
+}
+
+/// Cuts one machine or half of them off from the others, both ways or one way.
+fn partition(world: &mut World, disk: DiskId) {
+    let disks = disks(world);
+    let half = world.random.chance(30);
+    let (into, out) = match world.random.next(4) {
+        0 => (true, false),
+        1 => (false, true),
+        _ => (true, true),
+    };
+    let isolated: Vec<DiskId> =
+        if half { disks.iter().copied().take(disks.len() / 2).collect() } else { vec![disk] };
+    for one in &isolated {
+        for other in disks.iter().filter(|other| !isolated.contains(other)) {
+            if into {
+                world.cuts.insert((*other, *one));
+            }
+            if out {
+                world.cuts.insert((*one, *other));
+            }
+        }
+    }
+}
+
+/// Ends the cuts and waits until the core has recovered.
+pub fn end_faults(world: &mut World) {
+    world.cuts.clear();
+    for _ in 0..120 {
+        world.run(250 * MILLI);
+        if world.is_healed() {
+            return;
+        }
+    }
+    panic!("STUCK: the core has not recovered 30 s after the last fault");
+}
--- /dev/null
+++ b/tier/control/tests/members/world/operators.rs
@@ -0,0 +1,174 @@
+//! Operators: they read the configuration and send orders to any core member, and send a request again until it has a
+//! clear answer.
+
+use super::{Event, MILLI, SECOND, Time, WaitingCall, World};
+use crate::history::{Answer, Call};
+use quillmount_control::{Order, OrderKind, OrderOutcome};
+use quillmount_wire::messages::DiskId;
+
+/// How long an operator waits for an answer before it sends the request again.
+const ANSWER_TIMEOUT: Time = SECOND;
+/// Percentage of answers that are lost on their way to the operator.
+const LOST_ANSWERS: u64 = 25;
+
+/// What an operator is doing.
+enum Task {
+    Read,
+    Order(Order),
+}
+
+pub(super) struct Operator {
+    task: Task,
+    /// The last call of this task: its index in the history.
+    call: usize,
+    sent_at: Time,
+    done: bool,
+    /// Orders of this operator that were applied, to be sent again much later.
+    applied_orders: Vec<Order>,
+}
+
+impl Operator {
+    /// An operator without a task.
+    pub(super) fn idle() -> Operator {
+        Operator { task: Task::Read, call: 0, sent_at: 0, done: true, applied_orders: Vec::new() }
+    }
+}
+
+/// A configuration of this version; `text` tells it from others of the same version.
+fn configuration(version: u64, text: u64) -> String {
+    format!(
+        r#"{{"Gen":{version},"Routes":[{{"Name":"r{text}","Host":"h","PathPrefix":"/","DeadlineMs":1000,"Backend":"s"}}],"Backends":[{{"Name":"s"}}]}}"#
+    )
+}
+
+fn patch(version: u64, text: u64) -> String {
+    format!(r#"{{"Gen":{version},"Upsert":{{"Backends":[{{"Name":"s{text}"}}]}}}}"#)
+}
+
+/// What an operator is told of an order, once the outcome is confirmed.
+fn answer_of(outcome: OrderOutcome) -> Answer {
+    match outcome {
+        OrderOutcome::Applied { version } => Answer::Applied { version },
+        OrderOutcome::VersionMismatch { .. } => Answer::VersionMismatch,
+        OrderOutcome::Invalid(_) => Answer::Invalid,
+        OrderOutcome::Expired => Answer::Unclear,
+    }
+}
+
+impl World {
+    /// Lets every operator begin a task or repeat a request.
+    pub(super) fn operate(&mut self) {
+        for operator in 0..self.operators.len() {
+            let now = self.now;
+            if self.operators[operator].done {
+                if self.busy && self.random.chance(20) {
+                    self.begin_task(operator);
+                }
+            } else if now > self.operators[operator].sent_at + ANSWER_TIMEOUT {
+                // Without an answer the same request is sent again, to any machine.
+                self.send_call(operator);
+            }
+        }
+    }
+
+    /// Begins a read, an order on the version that was read last, or the retry of an order that was applied long ago.
+    fn begin_task(&mut self, operator: usize) {
+        let text = self.next_text;
+        self.next_text += 1;
+        let base = self.history.newest_shown(operator);
+        let version = base + 1 + self.random.next(3);
+        let applied = self.operators[operator].applied_orders.clone();
+        let put = |body: String| Task::Order(Order { kind: OrderKind::Put, base, body });
+        let task = match self.random.next(10) {
+            0..=2 => Task::Read,
+            3 if !applied.is_empty() => {
+                let index = self.random.next(applied.len() as u64) as usize;
+                Task::Order(applied[index].clone())
+            }
+            4..=6 if base > 0 => {
+                Task::Order(Order { kind: OrderKind::Patch, base, body: patch(version, text) })
+            }
+            // Two operators may send the very same body on different versions.
+            7 if base > 0 => put(configuration(version + 50, 1_000_000)),
+            _ => put(configuration(version, text)),
+        };
+        self.operators[operator].task = task;
+        self.operators[operator].done = false;
+        self.send_call(operator);
+    }
+
+    /// Sends the request of a task to the primary or to any machine.
+    fn send_call(&mut self, operator: usize) {
+        let disks: Vec<DiskId> = self.machines.keys().copied().collect();
+        let to = disks[self.random.next(disks.len() as u64) as usize];
+        // Half of the operators know the primary.
+        let to = if self.random.chance(50) { self.primary().unwrap_or(to) } else { to };
+        self.operators[operator].sent_at = self.now;
+        let at = self.now + MILLI + self.random.next(3_000);
+        self.schedule(at, Event::CallArrives { operator, to });
+    }
+
+    pub(super) fn receive_call(&mut self, operator: usize, to: DiskId) {
+        if self.operators[operator].done || !self.is_running(to) {
+            return;
+        }
+        let now = self.now;
+        let order = match &self.operators[operator].task {
+            Task::Read => None,
+            Task::Order(order) => Some(order.clone()),
+        };
+        let call =
+            self.history.record_call(Call { order: order.clone(), began: now, ended: None, answer: None });
+        self.operators[operator].call = call;
+        let member = &mut self.machines.get_mut(&to).unwrap().member;
+        let begun = match order {
+            None => member.confirm(now).map(|(ticket, actions)| (ticket, actions, None)),
+            Some(order) => member
+                .change(|state| state.apply_order(&order), now)
+                .map(|(outcome, ticket, actions)| (ticket, actions, Some(answer_of(outcome)))),
+        };
+        match begun {
+            Ok((ticket, actions, answer)) => {
+                let machine = self.machines.get_mut(&to).unwrap();
+                machine.waiting.insert(ticket, WaitingCall { operator, call, answer });
+                self.perform(to, actions);
+            }
+            Err(_) => self.answer_operator(operator, call, Answer::Unclear),
+        }
+    }
+
+    /// Answers the call that waits for this ticket, if there is one.
+    pub(super) fn confirmed(&mut self, disk: DiskId, ticket: u64) {
+        let machine = self.machines.get_mut(&disk).unwrap();
+        let Some(WaitingCall { operator, call, answer }) = machine.waiting.remove(&ticket) else { return };
+        let answer = answer.unwrap_or_else(|| match machine.member.committed() {
+            Some(state) => Answer::Shows { version: state.version, text: state.configuration.clone() },
+            None => Answer::Unclear,
+        });
+        self.answer_operator(operator, call, answer);
+    }
+
+    /// An answer goes out, and may be lost on its way.
+    pub(super) fn answer_operator(&mut self, operator: usize, call: usize, answer: Answer) {
+        self.history.answered(call, &answer, self.now);
+        if !self.random.chance(LOST_ANSWERS) {
+            let at = self.now + MILLI + self.random.next(4_000);
+            self.schedule(at, Event::AnswerArrives { operator, call, answer });
+        }
+    }
+
+    pub(super) fn receive_answer(&mut self, operator: usize, call: usize, answer: Answer) {
+        let state = &mut self.operators[operator];
+        if state.done || state.call != call {
+            return;
+        }
+        match (&answer, &state.task) {
+            // The request is sent again after the timeout.
+            (Answer::Unclear, _) => return,
+            (Answer::Applied { .. }, Task::Order(order)) => state.applied_orders.push(order.clone()),
+            _ => {}
+        }
+        state.done = true;
+        self.history.shown(operator, &answer);
+    }
+}
--- /dev/null
+++ b/tier/control/tests/members/world/trace.rs
@@ -0,0 +1,42 @@
+//! The trace of what the members put out, for the digests of seeded runs. Labels and numbers are part of the digests.
+
+use super::World;
+use quillmount_control::MemberAction;
+use quillmount_wire::messages::{DiskId, RegisterMessage};
+
+impl World {
+    /// Adds an action of a member to the trace.
+    pub(super) fn count(&mut self, disk: DiskId, action: &MemberAction) {
+        let now = self.now;
+        match action {
+            MemberAction::Send { to, message } => {
+                let (label, epoch) = match message {
+                    RegisterMessage::PreVote { epoch } => ("pre_vote_requests", *epoch),
+                    RegisterMessage::PreVoteGranted { epoch } => ("pre_votes", *epoch),
+                    RegisterMessage::Prepare { epoch } => ("prepares", *epoch),
+                    RegisterMessage::Promise { epoch, .. } => ("promises", *epoch),
+                    RegisterMessage::Accept { accepted } => ("accepts", accepted.epoch),
+                    RegisterMessage::Acknowledge { epoch, .. } => ("acknowledgements", *epoch),
+                    RegisterMessage::Heartbeat { epoch, .. } => ("heartbeats", *epoch),
+                    RegisterMessage::HeartbeatReply { epoch, .. } => ("heartbeat_replies", *epoch),
+                    RegisterMessage::Reject { promised } => ("rejections", *promised),
+                    RegisterMessage::Resign { epoch, .. } => ("resignations", *epoch),
+                };
+                self.counts.count(label, &[now, disk, *to, epoch]);
+            }
+            MemberAction::Persist { register, .. } => {
+                let payload = register.accepted.as_ref().map_or(0, |accepted| accepted.value.payload.len());
+                self.counts.count("writes", &[now, disk, payload as u64]);
+            }
+            MemberAction::Confirmed { ticket } => self.counts.count("confirmed", &[now, disk, *ticket]),
+            MemberAction::Uncertain { ticket } => self.counts.count("uncertain", &[now, disk, *ticket]),
+            MemberAction::Elected { epoch } => self.counts.count("elections", &[now, disk, *epoch]),
+            MemberAction::SteppedDown => self.counts.count("step_downs", &[now, disk]),
+            MemberAction::StateChanged => {
+                let version = self.machines[&disk].member.committed().map_or(0, |state| state.version);
+                self.counts.count("commits", &[now, disk, version]);
+            }
+            MemberAction::Accepted => self.counts.count("accepted_values", &[now, disk]),
+        }
+    }
+}
--- a/tier/control/tests/orders.rs
+++ b/tier/control/tests/orders.rs
@@ -1,4 +1,4 @@
-//! The operator's orders: what is taken, what is refused, what comes again.
+//! The operator's orders: what is applied, what is rejected, and what a retry gets.
 
 use quillmount_control::{APPLIED_ORDERS_LIMIT, ControlState, Order, OrderKind, OrderOutcome};
 use quillmount_wire::configuration::{Configuration, ConfigurationError};
@@ -9,7 +9,7 @@
     )
 }
 
-fn whole(version: u64, routes: &[String]) -> String {
+fn configuration(version: u64, routes: &[String]) -> String {
     format!(
         r#"{{"Gen":{version},"Routes":[{}],"Backends":[{{"Name":"s","Probe":"/healthz","MaxConns":100,"Extra":{{"kept":1.5}}}}],"Limits":{{"HdrBytes":16384,"BodyBytes":4194304,"HdrMs":3000,"IdleMs":15000}},"Accounts":[{{"Name":"t","Apikeys":["k1","k2"],"Prio":1}}]}}"#,
         routes.join(",")
@@ -24,17 +24,17 @@
     Order { kind: OrderKind::Patch, base, body: body.to_owned() }
 }
 
-fn started() -> ControlState {
+fn state_at_version_5() -> ControlState {
     let mut state = ControlState::default();
-    let first = put(0, whole(5, &[route("r", "/a/", "s")]));
+    let first = put(0, configuration(5, &[route("r", "/a/", "s")]));
     assert_eq!(state.apply_order(&first), OrderOutcome::Applied { version: 5 });
     state
 }
 
 #[test]
 fn a_repeated_order_is_acknowledged_even_after_later_versions() {
-    let mut state = started();
-    let first = put(0, whole(5, &[route("r", "/a/", "s")]));
+    let mut state = state_at_version_5();
+    let first = put(0, configuration(5, &[route("r", "/a/", "s")]));
     let second = patch(5, r#"{"Gen":9,"Upsert":{},"Remove":{}}"#);
     assert_eq!(state.apply_order(&second), OrderOutcome::Applied { version: 9 });
     let before = state.clone();
@@ -45,7 +45,7 @@
 
 #[test]
 fn of_two_orders_on_one_version_one_is_applied() {
-    let mut state = started();
+    let mut state = state_at_version_5();
     let (one, other) =
         (patch(5, r#"{"Gen":7,"Remove":{"Routes":["r"]}}"#), patch(5, r#"{"Gen":7,"Upsert":{}}"#));
     assert_eq!(state.apply_order(&one), OrderOutcome::Applied { version: 7 });
@@ -53,11 +53,11 @@
     assert_eq!(state.apply_order(&one), OrderOutcome::Applied { version: 7 });
 }
 
-fn refused(body: String) -> ConfigurationError {
-    let mut state = started();
+fn rejection(body: String) -> ConfigurationError {
+    let mut state = state_at_version_5();
     let before = state.clone();
     let outcome = state.apply_order(&put(5, body));
-    assert_eq!(state, before, "a refused order changes nothing");
+    assert_eq!(state, before, "a rejected order changes nothing");
     match outcome {
         OrderOutcome::Invalid(error) => error,
         other => panic!("{other:?}"),
@@ -65,40 +65,46 @@
 }
 
 #[test]
-fn invalid_configurations_are_refused_each_with_its_reason() {
-    let cut = whole(6, &[route("r", "/a/", "s")]);
-    assert!(matches!(refused(cut[..cut.len() - 20].to_owned()), ConfigurationError::Unreadable(_)));
-    assert!(matches!(refused(whole(5, &[])), ConfigurationError::NotNewer { version: 5, current: 5 }));
-    assert!(matches!(refused(whole(4, &[])), ConfigurationError::NotNewer { .. }));
+fn each_invalid_configuration_is_rejected_with_its_reason() {
+    let complete = configuration(6, &[route("r", "/a/", "s")]);
     assert!(matches!(
-        refused(whole(6, &[route("r", "/a/", "gone")])),
+        rejection(complete[..complete.len() - 20].to_owned()),
+        ConfigurationError::Unreadable(_)
+    ));
+    assert!(matches!(
+        rejection(configuration(5, &[])),
+        ConfigurationError::NotNewer { version: 5, current: 5 }
+    ));
+    assert!(matches!(rejection(configuration(4, &[])), ConfigurationError::NotNewer { .. }));
+    assert!(matches!(
+        rejection(configuration(6, &[route("r", "/a/", "gone")])),
         ConfigurationError::UnknownService { .. }
     ));
-    let same_place = whole(6, &[route("r", "/a/", "s"), route("q", "/a/", "s")]);
-    assert!(matches!(refused(same_place), ConfigurationError::DuplicateRoute { .. }));
-    let same_name = whole(6, &[route("r", "/a/", "s"), route("r", "/b/", "s")]);
-    assert!(matches!(refused(same_name), ConfigurationError::DuplicateName { kind: "Routes", .. }));
-    let no_weight = whole(
+    let same_prefix = configuration(6, &[route("r", "/a/", "s"), route("q", "/a/", "s")]);
+    assert!(matches!(rejection(same_prefix), ConfigurationError::DuplicateRoute { .. }));
+    let same_name = configuration(6, &[route("r", "/a/", "s"), route("r", "/b/", "s")]);
+    assert!(matches!(rejection(same_name), ConfigurationError::DuplicateName { kind: "Routes", .. }));
+    let no_weight = configuration(
         6,
         &[route("r", "/a/", "s").replace(r#""Backend":"s""#, r#""Shares":[{"Backend":"s","Wt":0}]"#)],
     );
-    assert!(matches!(refused(no_weight), ConfigurationError::ZeroWeight { .. }));
-    let no_timeout = whole(6, &[route("r", "/a/", "s").replace("4000", "0")]);
-    assert!(matches!(refused(no_timeout), ConfigurationError::ZeroTimeout { .. }));
+    assert!(matches!(rejection(no_weight), ConfigurationError::ZeroWeight { .. }));
+    let no_timeout = configuration(6, &[route("r", "/a/", "s").replace("4000", "0")]);
+    assert!(matches!(rejection(no_timeout), ConfigurationError::ZeroTimeout { .. }));
     let shared_key =
-        whole(6, &[]).replace(r#""Accounts":["#, r#""Accounts":[{"Name":"u","Apikeys":["k2"]},"#);
-    assert!(matches!(refused(shared_key), ConfigurationError::SharedKey { .. }));
-    let missing = whole(6, &[route("r", "/a/", "s").replace(r#""Host":"a.example","#, "")]);
+        configuration(6, &[]).replace(r#""Accounts":["#, r#""Accounts":[{"Name":"u","Apikeys":["k2"]},"#);
+    assert!(matches!(rejection(shared_key), ConfigurationError::SharedKey { .. }));
+    let missing = configuration(6, &[route("r", "/a/", "s").replace(r#""Host":"a.example","#, "")]);
     assert_eq!(
-        refused(missing),
+        rejection(missing),
         ConfigurationError::Unreadable("Routes[r] lacks a field or has one of another type".to_owned())
     );
-    assert!(matches!(refused("[".repeat(100_000)), ConfigurationError::Unreadable(_)));
+    assert!(matches!(rejection("[".repeat(100_000)), ConfigurationError::Unreadable(_)));
 }
 
 #[test]
 fn a_patch_replaces_adds_and_removes_by_name_and_keeps_the_rest() {
-    let mut state = started();
+    let mut state = state_at_version_5();
     let body = format!(
         r#"{{"Gen":8,"Upsert":{{"Routes":[{},{}]}},"Remove":{{"Accounts":["t"]}}}}"#,
         route("r", "/moved/", "s"),
@@ -114,18 +120,18 @@
 
 #[test]
 fn the_state_survives_its_encoding() {
-    let mut state = started();
+    let mut state = state_at_version_5();
     state.placement_version = 3;
     assert_eq!(ControlState::decode(&state.encode()).unwrap(), state);
     assert!(ControlState::decode(&state.encode()[..40]).is_err());
 }
 
-/// One that may have been taken and is no longer remembered is neither confirmed nor refused; all that are remembered are
-/// confirmed with their number.
+/// An order that may have been applied and is no longer remembered is neither acknowledged nor rejected; those that are
+/// remembered are acknowledged with the version that they produced.
 #[test]
 fn an_order_older_than_the_remembered_ones_gets_no_clear_answer() {
-    let mut state = started();
-    let order = |base: u64| put(base, whole(base + 1, &[route("r", "/a/", "s")]));
+    let mut state = state_at_version_5();
+    let order = |base: u64| put(base, configuration(base + 1, &[route("r", "/a/", "s")]));
     let last = 5 + APPLIED_ORDERS_LIMIT as u64 + 20;
     for base in 5..last {
         assert_eq!(state.apply_order(&order(base)), OrderOutcome::Applied { version: base + 1 });
@@ -140,17 +146,19 @@
             assert_eq!(repeated, OrderOutcome::Applied { version: base + 1 }, "{base}");
         }
     }
-    // One that was never taken and builds on a version that is remembered is refused.
-    let never =
-        put(before.forgotten_version + 1, whole(before.forgotten_version + 2, &[route("never", "/n/", "s")]));
+    // An order that was never applied and builds on a remembered version is rejected.
+    let never = put(
+        before.forgotten_version + 1,
+        configuration(before.forgotten_version + 2, &[route("never", "/n/", "s")]),
+    );
     assert_eq!(state.apply_order(&never), OrderOutcome::VersionMismatch { current: last });
     assert_eq!(state, before);
 }
 
 /// The largest state that is designed for: 1,500 tenants, and as many orders as are remembered.
 #[test]
-fn a_state_of_full_size_fits_a_record() {
-    /// Bytes of a segment of a core member's ring, less its heads.
+fn a_state_of_the_largest_size_fits_a_record() {
+    /// Bytes of a segment of a core member's ring, less its headers.
     const RECORD_LIMIT: usize = (4 << 20) - 128;
     let tenants: Vec<String> = (0..1_500)
         .map(|tenant| {
@@ -174,7 +182,7 @@
     assert!(bytes < RECORD_LIMIT, "{bytes}");
 }
 
-/// The break of the memory's bound is found by the test above.
+/// The deliberate fault of the bound on remembered orders is detected by a test above.
 #[cfg(feature = "breaks")]
 #[test]
 fn the_break_of_forgotten_orders_is_found() {
--- a/tier/control/tests/scaling.rs
+++ b/tier/control/tests/scaling.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn goes_up_at_once_and_down_only_after_the_highest_demand_is_past() {
+fn scales_up_at_once_and_down_only_after_the_peak_has_left_the_window() {
     let mut scaler = Scaler::default();
     assert_eq!(scaler.desired(SECOND, 0.0, 16.0, 3, &bounds()), 3);
     assert_eq!(scaler.desired(2 * SECOND, 288.0, 16.0, 3, &bounds()), 8);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn keeps_to_the_bounds() {
+fn stays_within_the_bounds() {
     let mut scaler = Scaler::default();
     assert_eq!(scaler.desired(SECOND, 1e9, 16.0, 3, &bounds()), 12);
     let reversed = Autoscale { floor: 5.0, ceiling: 2.0, boot_s: None };
--- a/tier/control/tests/shards.rs
+++ b/tier/control/tests/shards.rs
@@ -1,4 +1,4 @@
-//! Views of shards: who may lead, who counts, what is never given up.
+//! Views of shards: which members may lead, which count as in sync, and when one may leave.
 
 use quillmount_control::{Admission, ControlState, Retirement, SHARDS, ShardPlanInputs, shard_of};
 use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, ShardReport, ShardView};
@@ -23,7 +23,7 @@
     }
 }
 
-fn started(disks: &[DiskId]) -> ControlState {
+fn state_with_shards(disks: &[DiskId]) -> ControlState {
     let mut state = ControlState::default();
     disks.iter().for_each(|disk| assert_eq!(state.admit_store(&store(*disk)), Admission::Admitted));
     assert!(state.plan_shards(&inputs(disks)));
@@ -31,14 +31,14 @@
 }
 
 /// Plans until nothing changes; joining members catch up at once.
-fn settle(state: &mut ControlState, mut inputs: ShardPlanInputs) {
+fn plan_until_stable(state: &mut ControlState, mut inputs: ShardPlanInputs) {
     for _ in 0..20 {
         inputs.reports = reports(state, &inputs.live);
         if !state.plan_shards(&inputs) {
             return;
         }
     }
-    panic!("the views never settle");
+    panic!("the views never become stable");
 }
 
 fn reports(state: &ControlState, live: &BTreeSet<DiskId>) -> Vec<ShardReport> {
@@ -55,18 +55,18 @@
 fn shards_are_created_and_spread_once_there_are_enough_stores() {
     let mut state = ControlState::default();
     state.admit_store(&store(1));
-    assert!(!state.plan_shards(&inputs(&[1])), "one store can't keep what one loss may take");
-    let state = started(&[1, 2, 3]);
+    assert!(!state.plan_shards(&inputs(&[1])), "one store can't survive the loss of one");
+    let state = state_with_shards(&[1, 2, 3]);
     assert_eq!(state.placement.shards.len(), SHARDS);
     for disk in [1, 2, 3] {
-        let lead = state.placement.shards.iter().filter(|view| view.primary == disk).count();
-        assert!((5..=6).contains(&lead), "store {disk} leads {lead}");
+        let led = state.placement.shards.iter().filter(|view| view.primary == disk).count();
+        assert!((5..=6).contains(&led), "store {disk} leads {led}");
     }
 }
 
 #[test]
 fn a_dead_primary_is_replaced_by_an_in_sync_member_in_a_higher_epoch() {
-    let mut state = started(&[1, 2, 3]);
+    let mut state = state_with_shards(&[1, 2, 3]);
     let before = state.placement.shards.clone();
     state.plan_shards(&inputs(&[2, 3]));
     for (old, new) in before.iter().zip(&state.placement.shards) {
@@ -78,13 +78,13 @@
 
 #[test]
 fn the_in_sync_set_never_shrinks_below_the_required_replicas() {
-    let mut state = started(&[1, 2, 3]);
+    let mut state = state_with_shards(&[1, 2, 3]);
     state.plan_shards(&inputs(&[2, 3]));
     state.plan_shards(&inputs(&[3]));
     assert!(state.placement.shards.iter().all(|view| view.in_sync.len() >= 2));
     let unchanged = state.placement.shards.clone();
     state.plan_shards(&inputs(&[]));
-    assert_eq!(state.placement.shards, unchanged, "without any store alive all wait");
+    assert_eq!(state.placement.shards, unchanged, "without a live store no view changes");
 }
 
 #[test]
@@ -97,7 +97,7 @@
     // Two are lost, one more is to be emptied.
     state.retire("store-3", 2);
     let left = ShardPlanInputs { tolerated_failures: 2, ..inputs(&[3, 4, 5, 6]) };
-    settle(&mut state, left);
+    plan_until_stable(&mut state, left);
     for view in &state.placement.shards {
         assert!(view.in_sync.len() >= 3, "{view:?}");
         assert!(!view.in_sync.contains(&1) && !view.in_sync.contains(&2), "{view:?}");
@@ -106,19 +106,19 @@
 
 #[test]
 fn only_a_member_that_caught_up_in_this_epoch_is_promoted() {
-    let mut state = started(&[1, 2, 3]);
-    settle(&mut state, inputs(&[2, 3]));
+    let mut state = state_with_shards(&[1, 2, 3]);
+    plan_until_stable(&mut state, inputs(&[2, 3]));
     state.plan_shards(&inputs(&[1, 2, 3]));
     assert!(state.placement.shards.iter().all(|view| view.joining == [1]));
     let stale = ShardReport { shard: 0, epoch: 1, unresponsive: Vec::new(), caught_up: vec![1] };
     state.plan_shards(&ShardPlanInputs { reports: vec![stale], ..inputs(&[1, 2, 3]) });
     assert_eq!(state.placement.shards[0].joining, [1]);
-    settle(&mut state, inputs(&[1, 2, 3]));
+    plan_until_stable(&mut state, inputs(&[1, 2, 3]));
     assert!(state.placement.shards.iter().all(|view| view.in_sync.len() == 3));
 }
 
-/// One that does not answer and that no other can stand in for stays as it is: a change of the view would only make the
-/// primary begin its repairs anew.
+/// A joining member that does not answer and that no other store can replace stays: a change of the view would only make
+/// the primary restart its repairs.
 #[test]
 fn slow_joining_members_do_not_change_views_repeatedly() {
     let mut state = ControlState::default();
@@ -126,28 +126,28 @@
     let with = |live: &[DiskId], reports| ShardPlanInputs { tolerated_failures: 2, reports, ..inputs(live) };
     assert!(state.plan_shards(&with(&[1, 2, 3, 4], Vec::new())));
     // Two disks are lost at once, and both machines are back without what they had.
-    for (disk, place) in [(33, 3), (34, 4)] {
-        state.admit_store(&NodeInfo { disk, ..store(place) });
+    for (disk, former) in [(33, 3), (34, 4)] {
+        state.admit_store(&NodeInfo { disk, ..store(former) });
     }
     let live = [1, 2, 33, 34];
     while state.plan_shards(&with(&live, Vec::new())) {}
     let before = state.placement.shards.clone();
-    for mute in [33, 34] {
+    for unresponsive in [33, 34] {
         let report = |(shard, view): (usize, &ShardView)| ShardReport {
             shard: shard as u32,
             epoch: view.epoch,
-            unresponsive: vec![mute],
+            unresponsive: vec![unresponsive],
             caught_up: Vec::new(),
         };
         let reports = state.placement.shards.iter().enumerate().map(report).collect();
         state.plan_shards(&with(&live, reports));
-        assert_eq!(state.placement.shards, before, "{mute}");
+        assert_eq!(state.placement.shards, before, "{unresponsive}");
     }
 }
 
 #[test]
 fn a_primary_that_hears_too_few_others_is_replaced() {
-    let mut state = started(&[1, 2, 3]);
+    let mut state = state_with_shards(&[1, 2, 3]);
     let view = state.placement.shards[0].clone();
     let others: Vec<DiskId> = view.in_sync.iter().copied().filter(|disk| *disk != view.primary).collect();
     let report =
@@ -160,7 +160,7 @@
 
 #[test]
 fn a_wiped_store_joins_as_a_new_empty_one() {
-    let mut state = started(&[1, 2, 3]);
+    let mut state = state_with_shards(&[1, 2, 3]);
     let wiped = NodeInfo { disk: 31, ..store(3) };
     assert_eq!(state.admit_store(&wiped), Admission::Admitted);
     assert_eq!(state.admit_store(&wiped), Admission::Known);
@@ -173,11 +173,11 @@
 
 #[test]
 fn a_store_is_retired_only_when_every_replica_is_elsewhere() {
-    let mut state = started(&[1, 2, 3]);
+    let mut state = state_with_shards(&[1, 2, 3]);
     assert_eq!(state.retire("store-9", 1), Retirement::Unknown);
     assert_eq!(state.retire("store-1", 1), Retirement::Serving);
     assert_eq!(state.retirement("store-1"), Retirement::Serving);
-    settle(&mut state, inputs(&[1, 2, 3]));
+    plan_until_stable(&mut state, inputs(&[1, 2, 3]));
     assert_eq!(state.retirement("store-1"), Retirement::Done);
     assert!(state.placement.shards.iter().all(|view| !view.in_sync.contains(&1) && view.in_sync.len() == 2));
     assert_eq!(state.retire("store-2", 1), Retirement::TooFew);
@@ -185,8 +185,8 @@
 
 #[test]
 fn a_draining_store_with_the_only_live_replica_stays() {
-    let mut state = started(&[1, 2, 3]);
-    // The others that have copies are gone, one of them for good, and two empty stores are there instead.
+    let mut state = state_with_shards(&[1, 2, 3]);
+    // The others that have replicas are gone, and two empty stores have come instead.
     assert_eq!(state.admit_store(&store(4)), Admission::Admitted);
     assert_eq!(state.admit_store(&store(5)), Admission::Admitted);
     assert_eq!(state.retire("store-1", 1), Retirement::Serving);
@@ -194,18 +194,18 @@
         state.plan_shards(&inputs(&[1, 4, 5]));
     }
     for view in state.placement.shards.iter() {
-        assert_eq!(view.primary, 1, "the only copy that is alive leads: {view:?}");
+        assert_eq!(view.primary, 1, "the only live replica leads: {view:?}");
         assert!(view.in_sync.contains(&1), "{view:?}");
     }
     assert_eq!(state.retirement("store-1"), Retirement::Serving);
     // Once others have caught up, it goes.
-    settle(&mut state, inputs(&[1, 4, 5]));
+    plan_until_stable(&mut state, inputs(&[1, 4, 5]));
     assert_eq!(state.retirement("store-1"), Retirement::Done);
     assert!(state.placement.shards.iter().all(|view| view.in_sync.contains(&4) && view.in_sync.contains(&5)));
 }
 
 #[test]
-fn a_core_member_with_a_lost_disk_is_replaced_in_its_place() {
+fn a_core_member_with_a_lost_disk_is_replaced_by_its_next_disk() {
     let mut state = ControlState::default();
     let core =
         |disk: DiskId, name: &str| NodeInfo { name: name.to_owned(), role: NodeRole::Core, ..store(disk) };
@@ -214,7 +214,7 @@
     }
     state.admit_core_member(&core(33, "c"), &BTreeSet::new());
     assert_eq!(state.core_disks(), [1, 2, 33]);
-    // Another machine takes the place of one that is silent, and one more is added where none is.
+    // Another machine replaces a silent one, and is added if none is silent.
     state.admit_core_member(&core(4, "d"), &BTreeSet::from([2]));
     assert_eq!(state.core_disks(), [1, 4, 33]);
     state.admit_core_member(&core(5, "e"), &BTreeSet::new());
@@ -241,7 +241,7 @@
     assert!(counts.iter().all(|count| (50..=160).contains(count)), "{counts:?}");
 }
 
-/// Each deliberate break of the planning of views is found by one of the tests above.
+/// Each deliberate fault of the planner is detected by one of the tests above.
 #[cfg(feature = "breaks")]
 #[test]
 fn each_break_of_views_is_found() {
--- a/tier/control/tests/stored_register.rs
+++ b/tier/control/tests/stored_register.rs
@@ -51,7 +51,7 @@
     UsageWindow { window, counts }
 }
 
-/// A state to which every kind of change was made.
+/// A state that went through every kind of change.
 fn control_state() -> ControlState {
     let mut state = ControlState::default();
     (1..=3).for_each(|number| _ = state.admit_core_member(&core(number), &BTreeSet::new()));
@@ -126,7 +126,7 @@
         .map(|(digest, version)| AppliedOrder { digest: *digest, version })
         .collect();
     assert_eq!(state.applied_orders, applied_orders);
-    // Orders that come again are known by their digest; others are judged by their base.
+    // A retried order is recognized by its digest; others are judged by their base.
     assert_eq!(
         state.apply_order(&order(OrderKind::Put, 0, CONFIGURATION)),
         OrderOutcome::Applied { version: 3 }
@@ -186,7 +186,7 @@
         ([201, 203].as_slice(), [202].as_slice())
     );
     for (shard, view) in views.iter().enumerate().skip(1) {
-        let disk = |copy: usize| 201 + ((shard + copy) % 4) as u64;
+        let disk = |replica: usize| 201 + ((shard + replica) % 4) as u64;
         assert_eq!((view.epoch, view.primary, view.since), (1, disk(0), 1), "shard {shard}");
         assert_eq!(view.in_sync, [disk(0), disk(1), disk(2)], "shard {shard}");
         assert!(view.joining.is_empty(), "shard {shard}");
--- a/tier/control/tests/usage.rs
+++ b/tier/control/tests/usage.rs
@@ -1,4 +1,4 @@
-//! When the counts of a usage window are fixed.
+//! When the counts of a usage window are finalized.
 
 use quillmount_control::{LastHeard, all_reported, may_finalize};
 
