--- a/tier/replication/tests/cluster/exploration.rs
+++ b/tier/replication/tests/cluster/exploration.rs
@@ -1,19 +1,22 @@
-//! A fault at every step of a small case: three members, two primaries or more, each message lost, late or repeated, each
-//! sync cut by a kill before or after it, and pairs of these.
+//! A fault at every step of a small run with three members and at least two primaries: each message lost, late or repeated,
+//! a kill before or after each sync, and pairs of these.
 
 use crate::world::{Fault, MILLI, SECOND, Time, World};
 
-/// When the first primary is killed, how long it is down, and when the case ends.
+/// When the first primary is killed.
 const KILL_AT: Time = 100 * MILLI;
+/// How long it stays down.
 const DOWN: Time = 300 * MILLI;
-const SETTLE_TIME: Time = 1400 * MILLI;
-/// A member that a fault kills is back after so long.
+/// How long the run goes on after its restart.
+const RECOVERY_TIME: Time = 1400 * MILLI;
+/// How long a member stays down that a fault kills.
 const RESTART: Time = 60 * MILLI;
-/// Every how many of a kind of fault are paired.
+/// Of the kills one in so many is the first fault of a pair.
 const KILL_STRIDE: usize = 3;
+/// Of all faults one in so many is the second fault of a pair.
 const FAULT_STRIDE: usize = 7;
 
-/// Plays the case; the auditor of the world ends it at the first broken promise.
+/// Plays the run; the auditor of the world ends it at the first violation.
 fn run_with_faults(faults: &[Fault]) -> World {
     let mut world = World::new(3, 1, 11);
     world.faults = faults.to_vec();
@@ -21,19 +24,19 @@
     world.kill(1);
     world.run(DOWN);
     world.start(1);
-    world.run(SETTLE_TIME);
+    world.run(RECOVERY_TIME);
     world
 }
 
-/// Plays the case and sees that the members serve and acknowledge again after it.
-fn run_to_the_end(faults: &[Fault]) {
+/// Plays the run and checks that the cluster acknowledges changes after it.
+fn run_and_recover(faults: &[Fault]) {
     let mut world = run_with_faults(faults);
     world.faults.clear();
-    (1..=3)
-        .filter(|disk| !world.nodes[disk].up)
-        .collect::<Vec<_>>()
-        .into_iter()
-        .for_each(|disk| world.start(disk));
+    for disk in 1..=3 {
+        if !world.nodes[&disk].up {
+            world.start(disk);
+        }
+    }
     let before = world.acknowledged.len();
     let until = world.now + 3 * SECOND;
     while world.acknowledged.len() <= before && world.now < until {
@@ -44,7 +47,7 @@
 }
 
 fn message_faults(messages: usize) -> Vec<Fault> {
-    let of = |at| {
+    let faults_at = |at| {
         [
             Fault::Lose(at),
             Fault::Delay(at, 40 * MILLI),
@@ -52,34 +55,36 @@
             Fault::Repeat(at, 500 * MILLI),
         ]
     };
-    (0..messages).flat_map(of).collect()
+    (0..messages).flat_map(faults_at).collect()
 }
 
 fn sync_faults(syncs: usize) -> Vec<Fault> {
-    let of = |at| [Fault::KillBefore(at, RESTART), Fault::KillAfter(at, RESTART)];
-    (0..syncs).flat_map(of).collect()
+    let faults_at = |at| [Fault::KillBefore(at, RESTART), Fault::KillAfter(at, RESTART)];
+    (0..syncs).flat_map(faults_at).collect()
 }
 
 #[test]
 fn a_fault_at_any_one_step_loses_nothing_and_the_cluster_recovers() {
-    let calm = run_with_faults(&[]);
-    assert!(calm.nodes.values().any(|node| node.replica.primary_epoch().is_some_and(|epoch| epoch >= 2)));
+    let faultless = run_with_faults(&[]);
+    assert!(
+        faultless.nodes.values().any(|node| node.replica.primary_epoch().is_some_and(|epoch| epoch >= 2))
+    );
     let faults: Vec<Fault> =
-        message_faults(calm.messages).into_iter().chain(sync_faults(calm.syncs)).collect();
-    println!("{} messages, {} syncs, {} cases", calm.messages, calm.syncs, faults.len());
-    faults.iter().for_each(|fault| run_to_the_end(&[*fault]));
+        message_faults(faultless.messages).into_iter().chain(sync_faults(faultless.syncs)).collect();
+    println!("{} messages, {} syncs, {} cases", faultless.messages, faultless.syncs, faults.len());
+    faults.iter().for_each(|fault| run_and_recover(&[*fault]));
 }
 
 #[test]
 fn two_kills_or_a_kill_and_a_lost_message_lose_nothing_and_the_cluster_recovers() {
-    let calm = run_with_faults(&[]);
-    let kills = sync_faults(calm.syncs);
+    let faultless = run_with_faults(&[]);
+    let kills = sync_faults(faultless.syncs);
     let second: Vec<Fault> =
-        message_faults(calm.messages).into_iter().chain(kills.clone()).step_by(FAULT_STRIDE).collect();
+        message_faults(faultless.messages).into_iter().chain(kills.clone()).step_by(FAULT_STRIDE).collect();
     let mut cases = 0;
     for one in kills.iter().step_by(KILL_STRIDE) {
         for other in second.iter().filter(|other| *other != one) {
-            run_to_the_end(&[*one, *other]);
+            run_and_recover(&[*one, *other]);
             cases += 1;
         }
     }
--- /dev/null
+++ b/tier/replication/tests/cluster/faults.rs
@@ -0,0 +1,94 @@
+//! Runs with random faults by seed, one node at a time: kills, cuts one and both ways, freezes, and lost disks.
+
+use crate::world::{MILLI, SECOND, World, encode};
+use quillmount_wire::messages::{DiskId, Register};
+
+/// Number of faults of a run.
+const FAULTS: usize = 12;
+/// Identities of disks that replace others are above this one.
+const FIRST_NEW_DISK: DiskId = 1000;
+
+/// Plays a run; returns the world at its end.
+pub fn run_with_random_faults(members: u64, tolerated_failures: usize, seed: u64) -> World {
+    let mut world = World::new(members, tolerated_failures, seed);
+    world.run(SECOND);
+    let mut last_disk = FIRST_NEW_DISK;
+    for _ in 0..FAULTS {
+        let disks: Vec<DiskId> = world.nodes.keys().copied().collect();
+        let victim = disks[world.random.next(disks.len() as u64) as usize];
+        match world.random.next(6) {
+            0 => kill_and_restart(&mut world, victim),
+            1 => freeze(&mut world, victim),
+            2 | 3 => partition(&mut world, victim, &disks),
+            4 => restart_all(&mut world, &disks),
+            _ => {
+                last_disk += 1;
+                replace(&mut world, victim, last_disk);
+            }
+        }
+        let calm = world.random.next(2500);
+        world.run((1500 + calm) * MILLI);
+    }
+    world.run(4 * SECOND);
+    world
+}
+
+fn kill_and_restart(world: &mut World, disk: DiskId) {
+    world.kill(disk);
+    let down = world.random.next(1500);
+    world.run(down * MILLI);
+    world.start(disk);
+}
+
+fn freeze(world: &mut World, disk: DiskId) {
+    let until = world.now + world.random.next(2500) * MILLI;
+    world.nodes.get_mut(&disk).unwrap().frozen_until = until;
+    world.run(2600 * MILLI);
+}
+
+/// Cuts a node off from the others, both ways, one way or not at all.
+fn partition(world: &mut World, disk: DiskId, disks: &[DiskId]) {
+    let (into, out) = (world.random.next(3) > 0, world.random.next(3) > 0);
+    for other in disks.iter().copied().filter(|other| *other != disk) {
+        if into {
+            world.cuts.insert((other, disk));
+        }
+        if out {
+            world.cuts.insert((disk, other));
+        }
+    }
+    let span = world.random.next(3000);
+    world.run(span * MILLI);
+    world.cuts.clear();
+}
+
+fn restart_all(world: &mut World, disks: &[DiskId]) {
+    disks.iter().for_each(|disk| world.kill(*disk));
+    world.run(20 * MILLI);
+    disks.iter().for_each(|disk| world.start(*disk));
+}
+
+/// Replaces the disk of a member: the machine comes back with another identity, which the primary admits.
+pub fn replace(world: &mut World, old: DiskId, new: DiskId) {
+    world.kill(old);
+    world.nodes.remove(&old);
+    world.add_node(new, Register::default());
+    for _ in 0..400 {
+        world.run(10 * MILLI);
+        let now = world.now;
+        let Some(primary) = world.primary() else { continue };
+        let node = world.nodes.get_mut(&primary).unwrap();
+        if node.replica.members().contains(&new) {
+            return;
+        }
+        if !node.replica.can_propose() {
+            continue;
+        }
+        let members =
+            node.replica.members().iter().map(|member| if *member == old { new } else { *member }).collect();
+        let payload = encode(&node.committed.clone().unwrap());
+        let actions = node.replica.propose(members, payload, now);
+        world.perform(primary, actions);
+    }
+    panic!("{new} was not admitted in place of {old}");
+}
--- a/tier/replication/tests/cluster/main.rs
+++ b/tier/replication/tests/cluster/main.rs
@@ -1,35 +1,13 @@
-//! Whole clusters on virtual time: kills, cuts, freezes and wiped disks by seed, and an auditor of what was acknowledged.
+//! Whole clusters on virtual time: scenarios, random faults by seed, and a fault at every step of a small run.
 
 mod digest;
 mod exploration;
+mod faults;
 mod world;
 
-use quillmount_wire::messages::{DiskId, Register, RegisterMessage};
+use faults::{replace, run_with_random_faults};
+use quillmount_wire::messages::{Register, RegisterMessage};
 use world::{MILLI, SECOND, Time, World, encode};
-/// Replaces the disk of a member: the machine comes back as another identity, which the primary admits.
-fn replace(world: &mut World, old: DiskId, new: DiskId) {
-    world.kill(old);
-    world.nodes.remove(&old);
-    world.add_node(new, Register::default());
-    for _ in 0..400 {
-        world.run(10 * MILLI);
-        let now = world.now;
-        let Some(primary) = world.primary() else { continue };
-        let node = world.nodes.get_mut(&primary).unwrap();
-        if node.replica.members().contains(&new) {
-            return;
-        }
-        if !node.replica.can_propose() {
-            continue;
-        }
-        let members =
-            node.replica.members().iter().map(|member| if *member == old { new } else { *member }).collect();
-        let payload = encode(&node.committed.clone().unwrap());
-        let actions = node.replica.propose(members, payload, now);
-        world.perform(primary, actions);
-    }
-    panic!("the newcomer {new} for {old} was not admitted");
-}
 
 #[test]
 fn an_undisturbed_cluster_elects_once_and_commits() {
@@ -52,7 +30,7 @@
 }
 
 #[test]
-fn a_primary_that_is_cut_off_one_way_steps_down_and_another_serves() {
+fn a_primary_that_is_partitioned_in_any_direction_steps_down_and_another_serves() {
     for (into, out) in [(true, false), (false, true), (true, true)] {
         let mut world = World::new(3, 1, 3);
         world.run(SECOND);
@@ -95,7 +73,7 @@
 }
 
 #[test]
-fn all_members_killed_at_once_come_back_with_all_that_was_acknowledged() {
+fn members_killed_all_at_once_lose_nothing_acknowledged() {
     for seed in 0..20 {
         let mut world = World::new(3, 1, seed);
         world.run(SECOND + seed * 7 * MILLI);
@@ -147,7 +125,7 @@
     world.run(SECOND);
     replace(&mut world, 3, 103);
     world.run(SECOND);
-    // The newcomer now makes up for the loss of another.
+    // The new member now makes up for the loss of another.
     world.kill(1);
     let before = world.acknowledged.len();
     world.run(3 * SECOND);
@@ -155,7 +133,7 @@
 }
 
 #[test]
-fn a_blank_member_never_stands_and_takes_no_value_that_does_not_name_it() {
+fn a_blank_member_never_stands_and_accepts_no_value_that_does_not_name_it() {
     let mut world = World::new(3, 1, 7);
     world.run(SECOND);
     let value = world.nodes[&1].replica.register().accepted.clone().unwrap();
@@ -167,8 +145,9 @@
     assert!(node.replica.is_blank());
 }
 
-/// A third member is dead, and a fourth that hears nobody yet is proposed beside it: three of the four are needed.
-fn with_unheard_newcomer(seed: u64) -> World {
+/// A cluster whose third member is down while a fourth, which is not connected yet, is proposed as a member: three of the
+/// four are needed.
+fn with_unconnected_new_member(seed: u64) -> World {
     let mut world = World::new(3, 1, seed);
     world.run(SECOND);
     world.kill(3);
@@ -185,8 +164,8 @@
 }
 
 #[test]
-fn a_primary_stays_when_a_newcomer_takes_time_to_answer() {
-    let mut world = with_unheard_newcomer(8);
+fn a_primary_stays_while_a_new_member_does_not_answer_yet() {
+    let mut world = with_unconnected_new_member(8);
     world.run(300 * MILLI);
     world.cuts.clear();
     let before = world.acknowledged.len();
@@ -196,73 +175,22 @@
 }
 
 #[test]
-fn a_change_of_members_that_missed_the_newcomer_does_not_block_the_next_primary() {
-    let mut world = with_unheard_newcomer(9);
+fn a_change_of_members_that_the_new_one_missed_does_not_block_the_next_primary() {
+    let mut world = with_unconnected_new_member(9);
     world.run(50 * MILLI);
-    // Both old members hold the change, the newcomer holds nothing: all start anew.
+    // Both old members have accepted the change, the new one has nothing: the old ones restart.
     [1, 2].into_iter().for_each(|disk| world.kill(disk));
     [1, 2].into_iter().for_each(|disk| world.start(disk));
     world.cuts.clear();
     let before = world.acknowledged.len();
     world.run(4 * SECOND);
-    assert!(world.acknowledged.len() > before, "the newcomer's vote was needed and not given");
-}
-
-/// Faults by seed: kills, cuts one and both ways, freezes, and disks that are lost, one member in trouble at a time.
-fn with_random_faults(members: u64, tolerated_failures: usize, seed: u64) -> World {
-    let mut world = World::new(members, tolerated_failures, seed);
-    world.run(SECOND);
-    let mut next_disk = 1000;
-    for _ in 0..12 {
-        let disks: Vec<DiskId> = world.nodes.keys().copied().collect();
-        let victim = disks[world.random.next(disks.len() as u64) as usize];
-        match world.random.next(6) {
-            0 => {
-                world.kill(victim);
-                let down = world.random.next(1500);
-                world.run(down * MILLI);
-                world.start(victim);
-            }
-            1 => {
-                let until = world.now + world.random.next(2500) * MILLI;
-                world.nodes.get_mut(&victim).unwrap().frozen_until = until;
-                world.run(2600 * MILLI);
-            }
-            2 | 3 => {
-                let (into, out) = (world.random.next(3) > 0, world.random.next(3) > 0);
-                for other in disks.iter().copied().filter(|other| *other != victim) {
-                    if into {
-                        world.cuts.insert((other, victim));
-                    }
-                    if out {
-                        world.cuts.insert((victim, other));
-                    }
-                }
-                let span = world.random.next(3000);
-                world.run(span * MILLI);
-                world.cuts.clear();
-            }
-            4 => {
-                disks.iter().for_each(|disk| world.kill(*disk));
-                world.run(20 * MILLI);
-                disks.iter().for_each(|disk| world.start(*disk));
-            }
-            _ => {
-                next_disk += 1;
-                replace(&mut world, victim, next_disk);
-            }
-        }
-        let calm = world.random.next(2500);
-        world.run((1500 + calm) * MILLI);
-    }
-    world.run(4 * SECOND);
-    world
+    assert!(world.acknowledged.len() > before, "the new member's promise was needed and not given");
 }
 
 #[test]
 fn nothing_acknowledged_is_lost_through_mixed_faults() {
     for seed in 0..40 {
-        let world = with_random_faults(3, 1, seed);
+        let world = run_with_random_faults(3, 1, seed);
         assert!(world.acknowledged.len() > 300, "seed {seed}: {}", world.acknowledged.len());
     }
 }
@@ -270,14 +198,14 @@
 #[test]
 fn six_members_that_tolerate_two_failures_lose_nothing() {
     for seed in 0..12 {
-        let world = with_random_faults(6, 2, seed);
+        let world = run_with_random_faults(6, 2, seed);
         assert!(world.acknowledged.len() > 300, "seed {seed}: {}", world.acknowledged.len());
     }
 }
 
 #[test]
 fn a_seed_always_gives_the_same_run() {
-    let (one, other) = (with_random_faults(3, 1, 77), with_random_faults(3, 1, 77));
+    let (one, other) = (run_with_random_faults(3, 1, 77), run_with_random_faults(3, 1, 77));
     assert_eq!(one.acknowledged, other.acknowledged);
     assert_eq!(one.reads_confirmed, other.reads_confirmed);
 }
--- a/tier/replication/tests/cluster/world.rs
+++ b/tier/replication/tests/cluster/world.rs
@@ -1,15 +1,21 @@
-//! Clusters on virtual time, with an auditor of what was acknowledged.
+//! Clusters on virtual time. Clients add numbers to a set, which is the replicated value; an auditor checks that no
+//! acknowledged number is lost and that no confirmed read is stale.
 
-use quillmount_replication::{RegisterAction, RegisterReplica, Timing};
+mod step_faults;
+mod trace;
+
+pub use self::step_faults::Fault;
+use quillmount_replication::{ReadId, RegisterAction, RegisterReplica, Timing};
 use quillmount_test_support::digest::Counts;
 use quillmount_wire::messages::{DiskId, Register, RegisterMessage};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Microseconds of virtual time.
 pub type Time = u64;
 pub const MILLI: Time = 1_000;
 pub const SECOND: Time = 1_000_000;
 
-/// A small generator, so that a seed always plays the same.
+/// A linear congruential generator, so that a seed always gives the same run.
 pub struct Random(pub u64);
 
 impl Random {
@@ -19,63 +25,57 @@
     }
 }
 
-pub enum Event {
+enum Event {
     Deliver { from: DiskId, to: DiskId, message: RegisterMessage },
     Synced { node: DiskId, incarnation: u64, register: Register, then: Vec<RegisterAction> },
     Start { node: DiskId },
 }
 
-/// One fault at one step: messages between members, and syncs, are counted from 0.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
-    /// The message is lost.
-    Lose(usize),
-    /// It comes so much later.
-    Delay(usize, Time),
-    /// It comes twice, the second time so much later.
-    Repeat(usize, Time),
-    /// The member is killed before the sync reaches the disk, and started again after so long.
-    KillBefore(usize, Time),
-    /// It is killed after the sync, before anything follows from it.
-    KillAfter(usize, Time),
-}
-
 pub struct Node {
     pub replica: RegisterReplica,
-    pub disk: Register,
-    pub incarnation: u64,
+    /// What is synced.
+    disk: Register,
+    /// Rises with each kill, so that syncs of a killed process go nowhere.
+    incarnation: u64,
     pub up: bool,
+    /// Until then the process handles nothing; messages wait.
     pub frozen_until: Time,
-    /// Reads under way: what had been acknowledged when they were asked for.
-    pub reads: BTreeMap<u64, BTreeSet<u32>>,
+    /// Pending reads: what had been acknowledged when each began.
+    reads: BTreeMap<ReadId, BTreeSet<u32>>,
+    /// What this node has committed as primary in its current epoch.
     pub committed: Option<BTreeSet<u32>>,
 }
 
 pub struct World {
     pub now: Time,
     pub random: Random,
-    pub order: u64,
-    pub events: BTreeMap<(Time, u64), Event>,
+    /// Number of the last event, which orders events of the same time.
+    last_event: u64,
+    events: BTreeMap<(Time, u64), Event>,
     pub nodes: BTreeMap<DiskId, Node>,
+    /// Links, from one node to another, on which messages are lost.
     pub cuts: BTreeSet<(DiskId, DiskId)>,
+    /// Every number that a primary has committed.
     pub acknowledged: BTreeSet<u32>,
-    pub next_id: u32,
-    pub next_read: u64,
-    pub tolerated_failures: usize,
+    last_number: u32,
+    last_read: ReadId,
+    tolerated_failures: usize,
     pub reads_confirmed: usize,
     pub faults: Vec<Fault>,
-    /// Messages between members that arrived, and syncs that ended, so far.
+    /// Messages between members that arrived so far.
     pub messages: usize,
+    /// Syncs that completed so far.
     pub syncs: usize,
     /// What the members put out, for the digests.
     pub counts: Counts,
 }
 
-pub fn encode(ids: &BTreeSet<u32>) -> Vec<u8> {
-    ids.iter().flat_map(|id| id.to_le_bytes()).collect()
+/// Encodes a set as the payload of a value.
+pub fn encode(numbers: &BTreeSet<u32>) -> Vec<u8> {
+    numbers.iter().flat_map(|number| number.to_le_bytes()).collect()
 }
 
-pub fn decode(payload: &[u8]) -> BTreeSet<u32> {
+fn decode(payload: &[u8]) -> BTreeSet<u32> {
     payload
         .chunks_exact(4)
         .map(|bytes| u32::from_le_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]))
@@ -87,13 +87,13 @@
         let mut world = World {
             now: SECOND,
             random: Random(seed),
-            order: 0,
+            last_event: 0,
             events: BTreeMap::new(),
             nodes: BTreeMap::new(),
             cuts: BTreeSet::new(),
             acknowledged: BTreeSet::new(),
-            next_id: 0,
-            next_read: 0,
+            last_number: 0,
+            last_read: 0,
             tolerated_failures,
             reads_confirmed: 0,
             faults: Vec::new(),
@@ -131,9 +131,9 @@
         self.nodes.insert(disk, node);
     }
 
-    pub fn schedule(&mut self, at: Time, event: Event) {
-        self.order += 1;
-        self.events.insert((at, self.order), event);
+    fn schedule(&mut self, at: Time, event: Event) {
+        self.last_event += 1;
+        self.events.insert((at, self.last_event), event);
     }
 
     pub fn perform(&mut self, disk: DiskId, actions: Vec<RegisterAction>) {
@@ -150,69 +150,40 @@
                     self.schedule(at, Event::Synced { node: disk, incarnation, register, then });
                 }
                 RegisterAction::Committed { accepted } => {
-                    let ids = decode(&accepted.value.payload);
-                    // A primary that was frozen may learn late that its last value was kept: then all of it is known.
-                    assert!(
-                        self.acknowledged.is_subset(&ids) || ids.is_subset(&self.acknowledged),
-                        "acknowledged and lost: {:?}",
-                        self.acknowledged.difference(&ids).collect::<Vec<_>>()
-                    );
-                    self.acknowledged.extend(&ids);
-                    self.nodes.get_mut(&disk).unwrap().committed = Some(ids);
+                    self.on_committed(disk, decode(&accepted.value.payload));
                 }
                 RegisterAction::Elected { .. } | RegisterAction::SteppedDown => {
                     let node = self.nodes.get_mut(&disk).unwrap();
                     node.committed = None;
                     node.reads.clear();
                 }
-                RegisterAction::ReadConfirmed { read } => {
-                    let node = self.nodes.get_mut(&disk).unwrap();
-                    let before = node.reads.remove(&read).expect("asked for");
-                    let mine = node.committed.clone().expect("a primary that reads has committed");
-                    assert!(
-                        before.is_subset(&mine),
-                        "a confirmed read is older than what was acknowledged before it"
-                    );
-                    self.reads_confirmed += 1;
-                }
+                RegisterAction::ReadConfirmed { read } => self.on_read_confirmed(disk, read),
             }
         }
     }
 
-    fn count(&mut self, disk: DiskId, action: &RegisterAction) {
-        let now = self.now;
-        match action {
-            RegisterAction::Send { to, message } => {
-                let (label, epoch) = match message {
-                    RegisterMessage::PreVote { epoch } => ("pre_vote_requests", *epoch),
-                    RegisterMessage::PreVoteGranted { epoch } => ("pre_votes", *epoch),
-                    RegisterMessage::Prepare { epoch } => ("prepares", *epoch),
-                    RegisterMessage::Promise { epoch, .. } => ("promises", *epoch),
-                    RegisterMessage::Accept { accepted } => ("accepts", accepted.epoch),
-                    RegisterMessage::Acknowledge { epoch, .. } => ("acknowledgements", *epoch),
-                    RegisterMessage::Heartbeat { epoch, .. } => ("heartbeats", *epoch),
-                    RegisterMessage::HeartbeatReply { epoch, .. } => ("heartbeat_replies", *epoch),
-                    RegisterMessage::Reject { promised } => ("rejections", *promised),
-                    RegisterMessage::Resign { epoch, .. } => ("resignations", *epoch),
-                };
-                self.counts.count(label, &[now, disk, *to, epoch]);
-            }
-            RegisterAction::Persist { register, then } => {
-                let payload = register.accepted.as_ref().map_or(0, |accepted| accepted.value.payload.len());
-                self.counts.count("writes", &[now, disk, payload as u64, then.len() as u64]);
-            }
-            RegisterAction::Committed { accepted } => {
-                self.counts.count("commits", &[now, disk, accepted.epoch, accepted.sequence]);
-            }
-            RegisterAction::Elected { epoch } => self.counts.count("elections", &[now, disk, *epoch]),
-            RegisterAction::SteppedDown => self.counts.count("step_downs", &[now, disk]),
-            RegisterAction::ReadConfirmed { read } => {
-                self.counts.count("reads_confirmed", &[now, disk, *read])
-            }
-        }
+    /// A committed set has all that was acknowledged before. The last commit of a primary that was frozen may be
+    /// noticed late: then all of it is acknowledged already.
+    fn on_committed(&mut self, disk: DiskId, numbers: BTreeSet<u32>) {
+        assert!(
+            self.acknowledged.is_subset(&numbers) || numbers.is_subset(&self.acknowledged),
+            "acknowledged and lost: {:?}",
+            self.acknowledged.difference(&numbers).collect::<Vec<_>>()
+        );
+        self.acknowledged.extend(&numbers);
+        self.nodes.get_mut(&disk).unwrap().committed = Some(numbers);
+    }
+
+    /// A confirmed read shows all that was acknowledged before it began.
+    fn on_read_confirmed(&mut self, disk: DiskId, read: ReadId) {
+        let node = self.nodes.get_mut(&disk).unwrap();
+        let before = node.reads.remove(&read).expect("a pending read");
+        let shown = node.committed.clone().expect("a primary that reads has committed");
+        assert!(before.is_subset(&shown), "a confirmed read is older than what was acknowledged before it");
+        self.reads_confirmed += 1;
     }
 
-    pub fn step(&mut self) {
+    fn step(&mut self) {
         let due = self.now + MILLI;
         while let Some((&key, _)) = self.events.first_key_value()
             && key.0 <= due
@@ -233,59 +204,59 @@
         }
     }
 
-    pub fn handle_event(&mut self, event: Event) {
-        let now = self.now;
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Deliver { from, to, message } => {
-                if from != to && self.cuts.contains(&(from, to)) {
-                    return;
-                }
-                if from != to && self.message_fails(from, to, &message) {
-                    return;
-                }
-                let Some(node) = self.nodes.get_mut(&to) else { return };
-                if !node.up {
-                    return;
-                }
-                if node.frozen_until > now {
-                    // What comes to a frozen process waits for it.
-                    let at = node.frozen_until;
-                    self.schedule(at, Event::Deliver { from, to, message });
-                    return;
-                }
-                let actions = node.replica.receive(from, message, now);
-                self.perform(to, actions);
-            }
-            Event::Synced { node: disk, incarnation, register, then } => {
-                let Some(node) = self.nodes.get_mut(&disk) else { return };
-                if !node.up || node.incarnation != incarnation {
-                    return;
-                }
-                self.syncs += 1;
-                let number = self.syncs - 1;
-                if let Some(down) =
-                    self.kill_at(|fault| matches!(fault, Fault::KillBefore(at, _) if at == number))
-                {
-                    return self.restart_later(disk, down);
-                }
-                self.nodes.get_mut(&disk).unwrap().disk = register;
-                if let Some(down) =
-                    self.kill_at(|fault| matches!(fault, Fault::KillAfter(at, _) if at == number))
-                {
-                    return self.restart_later(disk, down);
-                }
-                self.perform(disk, then);
+            Event::Deliver { from, to, message } => self.deliver(from, to, message),
+            Event::Synced { node, incarnation, register, then } => {
+                self.complete_sync(node, incarnation, register, then);
             }
             Event::Start { node } => self.start(node),
         }
     }
 
-    /// For how long a member is down that a fault kills at this step.
-    fn kill_at(&self, matches: impl Fn(Fault) -> bool) -> Option<Time> {
-        self.faults.iter().copied().find(|fault| matches(*fault)).and_then(|fault| match fault {
-            Fault::KillBefore(_, down) | Fault::KillAfter(_, down) => Some(down),
-            _ => None,
-        })
+    fn deliver(&mut self, from: DiskId, to: DiskId, message: RegisterMessage) {
+        if from != to && self.cuts.contains(&(from, to)) {
+            return;
+        }
+        if from != to && self.message_fails(from, to, &message) {
+            return;
+        }
+        let now = self.now;
+        let Some(node) = self.nodes.get_mut(&to) else { return };
+        if !node.up {
+            return;
+        }
+        if node.frozen_until > now {
+            // What arrives at a frozen process waits for it.
+            let at = node.frozen_until;
+            self.schedule(at, Event::Deliver { from, to, message });
+            return;
+        }
+        let actions = node.replica.receive(from, message, now);
+        self.perform(to, actions);
+    }
+
+    fn complete_sync(
+        &mut self,
+        disk: DiskId,
+        incarnation: u64,
+        register: Register,
+        then: Vec<RegisterAction>,
+    ) {
+        let Some(node) = self.nodes.get_mut(&disk) else { return };
+        if !node.up || node.incarnation != incarnation {
+            return;
+        }
+        let sync = self.syncs;
+        self.syncs += 1;
+        if let Some(down) = self.killed_before_sync(sync) {
+            return self.restart_later(disk, down);
+        }
+        self.nodes.get_mut(&disk).unwrap().disk = register;
+        if let Some(down) = self.killed_after_sync(sync) {
+            return self.restart_later(disk, down);
+        }
+        self.perform(disk, then);
     }
 
     fn restart_later(&mut self, disk: DiskId, down: Time) {
@@ -293,32 +264,6 @@
         self.schedule(self.now + down, Event::Start { node: disk });
     }
 
-    /// Whether a fault keeps this message from being delivered now.
-    fn message_fails(&mut self, from: DiskId, to: DiskId, message: &RegisterMessage) -> bool {
-        self.messages += 1;
-        let number = self.messages - 1;
-        let fault = self.faults.iter().copied().find(|fault| match fault {
-            Fault::Lose(at) | Fault::Delay(at, _) | Fault::Repeat(at, _) => *at == number,
-            Fault::KillBefore(..) | Fault::KillAfter(..) => false,
-        });
-        let redeliver = |world: &mut World, later: Time| {
-            let event = Event::Deliver { from, to, message: message.clone() };
-            world.schedule(world.now + later, event);
-        };
-        match fault {
-            Some(Fault::Lose(_)) => true,
-            Some(Fault::Delay(_, later)) => {
-                redeliver(self, later);
-                true
-            }
-            Some(Fault::Repeat(_, later)) => {
-                redeliver(self, later);
-                false
-            }
-            _ => false,
-        }
-    }
-
     pub fn kill(&mut self, disk: DiskId) {
         let node = self.nodes.get_mut(&disk).unwrap();
         node.up = false;
@@ -335,8 +280,8 @@
         node.up = true;
     }
 
-    /// Some client's work: a change or a read at whoever takes itself for the primary.
-    pub fn work(&mut self) {
+    /// Requests of clients: a change or a read at each node that serves as primary.
+    fn serve_clients(&mut self) {
         let now = self.now;
         let disks: Vec<DiskId> = self.nodes.keys().copied().collect();
         for disk in disks {
@@ -346,16 +291,16 @@
                 continue;
             }
             if node.replica.can_propose() && self.random.next(2) == 0 {
-                let mut ids = node.committed.clone().unwrap();
-                self.next_id += 1;
-                ids.insert(self.next_id);
+                let mut numbers = node.committed.clone().unwrap();
+                self.last_number += 1;
+                numbers.insert(self.last_number);
                 let members = node.replica.members().to_vec();
-                let actions = node.replica.propose(members, encode(&ids), now);
+                let actions = node.replica.propose(members, encode(&numbers), now);
                 self.perform(disk, actions);
             } else {
-                self.next_read += 1;
-                node.reads.insert(self.next_read, acknowledged);
-                let actions = node.replica.confirm_read(self.next_read, now);
+                self.last_read += 1;
+                node.reads.insert(self.last_read, acknowledged);
+                let actions = node.replica.confirm_read(self.last_read, now);
                 self.perform(disk, actions);
             }
         }
@@ -365,7 +310,7 @@
         let end = self.now + span;
         while self.now < end {
             if self.now.is_multiple_of(20 * MILLI) {
-                self.work();
+                self.serve_clients();
             }
             self.step();
         }
--- /dev/null
+++ b/tier/replication/tests/cluster/world/trace.rs
@@ -0,0 +1,41 @@
+//! The trace of what the members put out, for the digests of seeded runs. Labels and numbers are part of the digests.
+
+use super::World;
+use quillmount_replication::RegisterAction;
+use quillmount_wire::messages::{DiskId, RegisterMessage};
+
+impl World {
+    /// Adds an action of a member to the trace.
+    pub(super) fn count(&mut self, disk: DiskId, action: &RegisterAction) {
+        let now = self.now;
+        match action {
+            RegisterAction::Send { to, message } => {
+                let (label, epoch) = match message {
+                    RegisterMessage::PreVote { epoch } => ("pre_vote_requests", *epoch),
+                    RegisterMessage::PreVoteGranted { epoch } => ("pre_votes", *epoch),
+                    RegisterMessage::Prepare { epoch } => ("prepares", *epoch),
+                    RegisterMessage::Promise { epoch, .. } => ("promises", *epoch),
+                    RegisterMessage::Accept { accepted } => ("accepts", accepted.epoch),
+                    RegisterMessage::Acknowledge { epoch, .. } => ("acknowledgements", *epoch),
+                    RegisterMessage::Heartbeat { epoch, .. } => ("heartbeats", *epoch),
+                    RegisterMessage::HeartbeatReply { epoch, .. } => ("heartbeat_replies", *epoch),
+                    RegisterMessage::Reject { promised } => ("rejections", *promised),
+                    RegisterMessage::Resign { epoch, .. } => ("resignations", *epoch),
+                };
+                self.counts.count(label, &[now, disk, *to, epoch]);
+            }
+            RegisterAction::Persist { register, then } => {
+                let payload = register.accepted.as_ref().map_or(0, |accepted| accepted.value.payload.len());
+                self.counts.count("writes", &[now, disk, payload as u64, then.len() as u64]);
+            }
+            RegisterAction::Committed { accepted } => {
+                self.counts.count("commits", &[now, disk, accepted.epoch, accepted.sequence]);
+            }
+            RegisterAction::Elected { epoch } => self.counts.count("elections", &[now, disk, *epoch]),
+            RegisterAction::SteppedDown => self.counts.count("step_downs", &[now, disk]),
+            RegisterAction::ReadConfirmed { read } => {
+                self.counts.count("reads_confirmed", &[now, disk, *read])
+            }
+        }
+    }
+}
--- a/tier/replication/tests/group.rs
+++ b/tier/replication/tests/group.rs
@@ -1,4 +1,4 @@
-//! What a primary may commit, through changes of its view.
+//! What the primary of a shard may commit, through changes of its view.
 
 use quillmount_replication::ReplicaGroup;
 use quillmount_wire::messages::{DiskId, Epoch, ShardView};
@@ -8,7 +8,7 @@
     ShardView { epoch, primary: 1, since: 1, in_sync: in_sync.to_vec(), joining: joining.to_vec() }
 }
 
-fn set(members: &[DiskId]) -> BTreeSet<DiskId> {
+fn disks(members: &[DiskId]) -> BTreeSet<DiskId> {
     members.iter().copied().collect()
 }
 
@@ -19,30 +19,30 @@
 }
 
 #[test]
-fn a_batch_is_committed_once_every_member_in_sync_has_it() {
+fn a_batch_is_committed_once_every_member_in_sync_has_synced_it() {
     let mut group = caught_up_group(view(1, &[1, 2, 3], &[]), &[2, 3]);
     assert!(group.is_ready());
-    assert_eq!(group.waiting(&set(&[2]), false), [3]);
-    assert!(!group.commit(&set(&[2])));
-    assert!(group.commit(&set(&[2, 3])));
+    assert_eq!(group.waiting(&disks(&[2]), false), [3]);
+    assert!(!group.commit(&disks(&[2])));
+    assert!(group.commit(&disks(&[2, 3])));
 }
 
 #[test]
 fn one_copy_alone_is_never_enough() {
     let mut group = caught_up_group(view(1, &[1], &[]), &[]);
     assert!(!group.is_ready());
-    assert!(!group.commit(&set(&[])));
-    // A joining member that is level makes the second copy.
+    assert!(!group.commit(&disks(&[])));
+    // A joining member that has caught up is the second copy.
     group.follow(view(2, &[1], &[4]));
     group.mark_caught_up(4);
     assert!(group.is_ready());
-    assert!(group.commit(&set(&[4])));
+    assert!(group.commit(&disks(&[4])));
 }
 
 #[test]
 fn a_joining_member_delays_nothing_until_it_is_reported() {
     let mut group = caught_up_group(view(1, &[1, 2], &[4]), &[2, 4]);
-    assert!(group.commit(&set(&[2])), "it was not told of as level");
+    assert!(group.commit(&disks(&[2])), "it was not reported as caught up");
     assert!(!group.is_caught_up(4), "it has missed a batch");
     assert_eq!(group.report(0), None);
 }
@@ -51,23 +51,23 @@
 fn nothing_is_committed_without_a_member_reported_as_caught_up() {
     let mut group = caught_up_group(view(1, &[1, 2], &[4]), &[2, 4]);
     assert_eq!(group.report(0).unwrap().caught_up, [4]);
-    assert!(!group.commit(&set(&[2])));
+    assert!(!group.commit(&disks(&[2])));
     group.mark_unresponsive(4);
-    assert!(!group.commit(&set(&[2])), "the core may have made it the primary");
-    assert!(group.commit(&set(&[2, 4])));
+    assert!(!group.commit(&disks(&[2])), "the core may have made it the primary");
+    assert!(group.commit(&disks(&[2, 4])));
 }
 
 #[test]
 fn a_stuck_batch_lets_joining_members_catch_up_so_that_a_lost_one_can_leave() {
     let mut group = caught_up_group(view(1, &[1, 2], &[4]), &[2]);
-    assert_eq!(group.waiting(&set(&[]), false), [2]);
-    assert_eq!(group.waiting(&set(&[]), true), [2, 4]);
+    assert_eq!(group.waiting(&disks(&[]), false), [2]);
+    assert_eq!(group.waiting(&disks(&[]), true), [2, 4]);
     group.mark_unresponsive(2);
     group.mark_caught_up(4);
-    assert!(!group.commit(&set(&[4])));
+    assert!(!group.commit(&disks(&[4])));
     assert_eq!(group.report(0).unwrap().caught_up, [4]);
     group.follow(view(2, &[1, 4], &[]));
-    assert!(group.commit(&set(&[4])));
+    assert!(group.commit(&disks(&[4])));
 }
 
 #[test]
@@ -75,16 +75,16 @@
     let mut group = caught_up_group(view(1, &[1, 2], &[4]), &[2, 4]);
     group.report(0);
     group.follow(view(2, &[1, 2], &[]));
-    assert!(group.commit(&set(&[2])));
+    assert!(group.commit(&disks(&[2])));
     let mut promoted = caught_up_group(view(1, &[1, 2], &[4]), &[2, 4]);
     promoted.report(0);
     promoted.follow(view(2, &[1, 2, 4], &[]));
-    assert!(!promoted.commit(&set(&[2])));
-    assert!(promoted.commit(&set(&[2, 4])));
+    assert!(!promoted.commit(&disks(&[2])));
+    assert!(promoted.commit(&disks(&[2, 4])));
 }
 
 #[test]
-fn silence_is_reported_until_the_member_answers_or_leaves() {
+fn an_unresponsive_member_is_reported_until_it_answers_or_leaves() {
     let mut group = caught_up_group(view(1, &[1, 2, 3], &[]), &[2, 3]);
     assert!(group.mark_unresponsive(3));
     assert!(!group.mark_unresponsive(3));
