--- /dev/null
+++ b/tier/storage/src/files.rs
@@ -0,0 +1,73 @@
+//! The files of a ring in their folder: names, creation, opening.
+//!
+//! Files are preallocated: a file has its full length on the disk before a segment is written to it, so that appending needs no
+//! change of metadata.
+
+use crate::error::StorageError;
+use std::collections::VecDeque;
+use std::fs::{self, File, OpenOptions};
+use std::path::{Path, PathBuf};
+
+/// Name of every file of a ring, before its index.
+pub(crate) const FILE_PREFIX: &str = "segment-";
+
+/// Capacity of a ring.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RingSize {
+    /// Bytes of one file.
+    pub segment: u64,
+    /// Largest number of files, at least two. A file is created when all existing ones are in use.
+    pub segments: usize,
+}
+
+/// A file of the ring.
+pub(crate) struct SegmentFile {
+    /// Number of the segment that it contains; 0 before the first.
+    pub(crate) number: u64,
+    pub(crate) file: File,
+}
+
+/// Opens the existing files in the order of their creation, or creates the first one.
+pub(crate) fn open_files(folder: &Path, size: RingSize) -> Result<VecDeque<SegmentFile>, StorageError> {
+    fs::create_dir_all(folder)?;
+    let mut files = VecDeque::new();
+    while files.len() < size.segments {
+        let path = segment_path(folder, files.len(), size);
+        if !files.is_empty() && !path.exists() {
+            break;
+        }
+        let file = open_or_create_file(&path, size.segment)?;
+        files.push_back(SegmentFile { number: 0, file });
+    }
+    sync_folder(folder)?;
+    Ok(files)
+}
+
+/// Creates the file that follows `file_count` others, and syncs it and its folder.
+pub(crate) fn create_file(folder: &Path, file_count: usize, size: RingSize) -> Result<File, StorageError> {
+    let path = segment_path(folder, file_count, size);
+    let file = open_or_create_file(&path, size.segment)?;
+    sync_folder(folder)?;
+    Ok(file)
+}
+
+/// Makes the names of new files durable.
+pub(crate) fn sync_folder(folder: &Path) -> std::io::Result<()> {
+    File::open(folder)?.sync_all()
+}
+
+/// The file created after `file_count` others. As long as no file was reused, its index is the number of its segment.
+fn segment_path(folder: &Path, file_count: usize, size: RingSize) -> PathBuf {
+    let index = (file_count + 1) % size.segments;
+    folder.join(format!("{FILE_PREFIX}{index:03}"))
+}
+
+/// Opens a file of the ring, or creates it with its full length, synced.
+fn open_or_create_file(path: &Path, bytes: u64) -> std::io::Result<File> {
+    let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)?;
+    if file.metadata()?.len() < bytes {
+        file.set_len(bytes)?;
+        file.sync_all()?;
+    }
+    Ok(file)
+}
--- a/tier/storage/src/identity.rs
+++ b/tier/storage/src/identity.rs
@@ -1,24 +1,30 @@
-//! The identity of a disk: drawn when its folder is found empty.
+//! The identity of a disk: a random number, drawn when its folder is found empty and stored there.
 
-use crate::StorageError;
+use crate::error::StorageError;
+use crate::files::sync_folder;
 use std::fs::{self, File};
 use std::io::Write;
 use std::path::Path;
 
-/// Name of the file that holds it.
+/// Name of the file with the identity: 16 hexadecimal digits and a newline.
 const FILE_NAME: &str = "identity";
-/// Name under which it is written first.
+/// Name under which the file is written before it is renamed, so that a crash leaves no partial identity.
 const TEMPORARY_FILE_NAME: &str = "identity.new";
 
 /// Identity of a disk, and whether it was drawn just now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Identity {
+    /// The identity.
     pub disk: u64,
-    /// The folder was empty: nothing that the machine held before is here.
+    /// The folder was empty: data that the machine stored before is lost.
     pub fresh: bool,
 }
 
-/// Reads the identity of a folder, or writes `drawn` as its identity if there is none.
+/// Reads the identity of a folder, or stores the random number `drawn` as its identity if there is none.
+///
+/// # Errors
+///
+/// [`StorageError::Io`] if the folder or the file cannot be created or synced.
 pub fn load_identity(folder: &Path, drawn: u64) -> Result<Identity, StorageError> {
     fs::create_dir_all(folder)?;
     let path = folder.join(FILE_NAME);
@@ -32,6 +38,6 @@
     file.write_all(format!("{drawn:016x}\n").as_bytes())?;
     file.sync_all()?;
     fs::rename(&temporary, &path)?;
-    File::open(folder)?.sync_all()?;
+    sync_folder(folder)?;
     Ok(Identity { disk: drawn, fresh: true })
 }
--- a/tier/storage/src/lib.rs
+++ b/tier/storage/src/lib.rs
@@ -1,11 +1,24 @@
-//! A ring of preallocated files that holds records, oldest first. It begins with one file and grows to its limit by whole files.
+//! Durable storage of a node: a ring of preallocated files with checksummed records, and the identity of a disk.
 //!
-//! A segment is one file: a head with its number, then records. A record's checksum covers the checksum of the record
-//! before it, so that bytes of an earlier lap, or behind a torn record, are never taken for records. Recovery ends a
-//! segment at the first record that does not fit; what follows it was never synced.
+//! The caller opens a [`Ring`], replays the records found, then appends and syncs records, and releases the oldest segments once
+//! their records are superseded. A ring starts with one file and grows to its limit by whole files; after that the file of the
+//! oldest released segment is reused.
+//!
+//! A segment is one file: a header with the segment's number, then records. A record's checksum covers the checksum of the record
+//! before it, so that bytes of an earlier lap, or after a torn record, are never read as records. Recovery ends a segment at the
+//! first record that does not verify; anything after it was never synced.
 
+mod error;
+mod files;
+mod format;
 mod identity;
+mod recovery;
 mod ring;
+mod segment;
 
+pub use error::StorageError;
+pub use files::RingSize;
 pub use identity::{Identity, load_identity};
-pub use ring::{Ring, RingRecord, RingSize, StorageError, read_records};
+pub use recovery::read_records;
+pub use ring::Ring;
+pub use segment::RingRecord;
