--- /dev/null
+++ b/tier/batch/src/job.rs
@@ -0,0 +1,121 @@
+//! One job of a shard with its results.
+
+use crate::digests::{end_digest, job_digest, result_digest};
+use quillmount_wire::messages::{Item, ItemResult, Job, JobState};
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+
+/// Estimated memory of an item besides its body, bytes.
+pub(crate) const ITEM_OVERHEAD_BYTES: usize = 256;
+/// Estimated memory of a result besides its text, bytes.
+const RESULT_OVERHEAD_BYTES: usize = 64;
+
+/// Estimated memory of a result, bytes.
+pub(crate) fn result_bytes(result: &ItemResult) -> usize {
+    result.text.len() + RESULT_OVERHEAD_BYTES
+}
+
+/// A job, its results and their digest.
+#[derive(Clone, Debug)]
+pub struct JobEntry {
+    /// The job as it was submitted; shared with tasks that run its items.
+    pub job: Rc<Job>,
+    /// Results in the order in which they were added, one per item at most.
+    pub results: Vec<ItemResult>,
+    /// The job takes no further results.
+    pub ended: bool,
+    /// Indices of the items that have a result.
+    items_with_result: BTreeSet<u32>,
+    /// Index of each item by its id.
+    item_indices: BTreeMap<String, u32>,
+    /// Tokens of the items that have no result.
+    waiting_tokens: u64,
+    /// Digest of the submitted job, its results in order, and its end.
+    digest: u64,
+}
+
+impl JobEntry {
+    /// A job without results.
+    pub(crate) fn new(job: Job) -> JobEntry {
+        let digest = job_digest(&job);
+        let item_indices =
+            job.items.iter().enumerate().map(|(index, item)| (item.id.clone(), index as u32)).collect();
+        let waiting_tokens = job.items.iter().map(|item| item.tokens).sum();
+        JobEntry {
+            job: Rc::new(job),
+            results: Vec::new(),
+            ended: false,
+            items_with_result: BTreeSet::new(),
+            item_indices,
+            waiting_tokens,
+            digest,
+        }
+    }
+
+    /// A copy of the job for another member.
+    pub fn state(&self) -> JobState {
+        JobState { job: (*self.job).clone(), results: self.results.clone(), ended: self.ended }
+    }
+
+    /// Whether the item of this index has its result.
+    pub fn has_result(&self, item: u32) -> bool {
+        self.items_with_result.contains(&item)
+    }
+
+    /// Whether every item has its result.
+    pub fn is_complete(&self) -> bool {
+        self.items_with_result.len() == self.job.items.len()
+    }
+
+    /// Tokens of the items that have no result; 0 once the job has ended.
+    pub fn waiting_tokens(&self) -> u64 {
+        if self.ended { 0 } else { self.waiting_tokens }
+    }
+
+    /// The item of this id.
+    pub fn item(&self, id: &str) -> Option<&Item> {
+        self.item_indices.get(id).and_then(|index| self.job.items.get(*index as usize))
+    }
+
+    /// Estimated memory, bytes.
+    pub fn bytes(&self) -> usize {
+        let items: usize = self.job.items.iter().map(|item| item.body.len() + ITEM_OVERHEAD_BYTES).sum();
+        items + self.results.iter().map(result_bytes).sum::<usize>()
+    }
+
+    /// Digest of the job, its results and its end: equal at members that have the same.
+    pub(crate) fn digest(&self) -> u64 {
+        self.digest
+    }
+
+    /// Adds a result, unless the job has ended, has no such item, or the item has its result.
+    pub(crate) fn append(&mut self, result: ItemResult) {
+        let exists = (result.item as usize) < self.job.items.len();
+        if self.ended || !exists || !self.items_with_result.insert(result.item) {
+            return;
+        }
+        let tokens = self.job.items.get(result.item as usize).map_or(0, |item| item.tokens);
+        self.waiting_tokens = self.waiting_tokens.saturating_sub(tokens);
+        self.digest = result_digest(self.digest, &result);
+        self.results.push(result);
+    }
+
+    /// Ends the job.
+    pub(crate) fn end(&mut self) {
+        if !self.ended {
+            self.ended = true;
+            self.digest = end_digest(self.digest);
+        }
+    }
+}
+
+impl From<JobState> for JobEntry {
+    fn from(state: JobState) -> JobEntry {
+        let mut entry = JobEntry::new(state.job);
+        state.results.into_iter().for_each(|result| entry.append(result));
+        if state.ended {
+            entry.end();
+        }
+        entry
+    }
+}
--- a/tier/batch/src/lib.rs
+++ b/tier/batch/src/lib.rs
@@ -1,21 +1,25 @@
-//! Batch jobs of one shard: operations, positions, digests for repair, and the replica that keeps them on several stores.
-//! No I/O, no clock.
+//! Batch jobs of one shard, replicated on several stores: operations, digests for repair, the records on the disk, and the quota of
+//! waiting tokens. No I/O and no clock.
+//!
+//! The caller drives a [`ShardReplica`]: it recovers the records found on the disk, reports calls, answers, completed writes, views
+//! and the time, and performs the [`ShardAction`]s returned. [`QuotaLedger`] and [`PendingClaims`] limit the tokens that a tenant may
+//! have waiting on a route over all shards.
 
+mod action;
 pub mod breaks;
 mod digests;
-mod primary;
-mod primary_role;
+mod ids;
+mod job;
 mod quota;
 mod record;
 mod replica;
-mod rewrite;
-mod shard;
+mod shard_jobs;
 
+pub use action::ShardAction;
 pub use digests::{BUCKETS, bucket_of, different_buckets};
-pub use primary::{MEMBER_TIMEOUT, RETRY_DELAY};
+pub use ids::{CallId, Micros, OperationId, ReadId, RequestId, ShardReplicaId, WriteId};
+pub use job::JobEntry;
 pub use quota::{ClaimOutcome, PendingClaims, QuotaLedger};
 pub use record::StoreRecord;
-pub use replica::{
-    CallId, Micros, OperationId, ReadId, RequestId, ShardAction, ShardReplica, ShardReplicaId, WriteId,
-};
-pub use shard::{JobEntry, ShardJobs};
+pub use replica::{MEMBER_TIMEOUT, RETRY_DELAY, ShardReplica};
+pub use shard_jobs::{JobDifference, ShardJobs};
--- /dev/null
+++ b/tier/batch/src/replica/member.rs
@@ -0,0 +1,91 @@
+//! A replica as member: accepts operations and repairs of the primary, and answers once they are durable.
+
+use super::state::ShardReplica;
+use super::writes::WritePurpose;
+use crate::breaks::{self, Break};
+use crate::digests::different_buckets;
+use crate::ids::RequestId;
+use crate::record::StoreRecord;
+use crate::shard_jobs::JobDifference;
+use quillmount_wire::messages::{BucketDigest, JobState, Response, ShardMessage, ShardOperation};
+
+impl ShardReplica {
+    /// The answer to a message that this replica cannot accept in its present state.
+    pub(super) fn rejection(&self, message: &ShardMessage) -> Option<Response> {
+        let (session, is_repair) = match message {
+            ShardMessage::Confirm => return None,
+            _ if self.damaged => return Some(Response::Full),
+            ShardMessage::CompareBuckets { .. } => return None,
+            ShardMessage::CompareJobs { session, .. } | ShardMessage::Install { session, .. } => {
+                (*session, true)
+            }
+            ShardMessage::Replicate { session, .. } => (*session, false),
+        };
+        let wrong_session = session != self.session && !breaks::on(Break::SessionIgnored);
+        // A repair message may arrive late or twice: it must not undo later operations.
+        let late_repair = is_repair && self.caught_up && !breaks::on(Break::RepairAfterCaughtUp);
+        let early_operations = !is_repair && !self.caught_up && !breaks::on(Break::SessionIgnored);
+        (wrong_session || late_repair || early_operations).then_some(Response::Behind)
+    }
+
+    /// Applies a message that was not rejected; the answer follows, for changes once they are durable.
+    pub(super) fn handle_message(&mut self, request: RequestId, message: ShardMessage, draw: u64) {
+        match message {
+            ShardMessage::Confirm => self.answer(request, Response::Done),
+            ShardMessage::CompareBuckets { buckets } => self.start_session(request, &buckets, draw),
+            ShardMessage::CompareJobs { buckets, jobs, .. } => {
+                let JobDifference { mut dropped, wanted } = self.jobs.compare(&buckets, &jobs);
+                if breaks::on(Break::DroppedJobRetained) {
+                    dropped.clear();
+                }
+                self.install(request, dropped, Vec::new(), None, Response::DifferentJobs(wanted));
+            }
+            ShardMessage::Install { jobs, next, .. } => {
+                self.caught_up = next.is_some();
+                self.install(request, Vec::new(), jobs, next, Response::Done);
+            }
+            ShardMessage::Replicate { first, operations, .. } => {
+                self.apply_operations(request, first, operations);
+            }
+        }
+    }
+
+    /// Starts the session of a repair; a drawn 0 becomes 1 because 0 stands for no session.
+    fn start_session(&mut self, request: RequestId, buckets: &[BucketDigest], draw: u64) {
+        self.session = draw.max(1);
+        self.caught_up = false;
+        let buckets = different_buckets(&self.jobs.buckets(), buckets);
+        self.answer(request, Response::DifferentBuckets { session: self.session, buckets });
+    }
+
+    fn install(
+        &mut self,
+        request: RequestId,
+        dropped: Vec<String>,
+        jobs: Vec<JobState>,
+        next: Option<u64>,
+        response: Response,
+    ) {
+        let (shard, epoch) = (self.identity.shard, self.epoch);
+        self.apply_and_persist(request, StoreRecord::Install { shard, epoch, dropped, jobs, next }, response);
+    }
+
+    fn apply_operations(&mut self, request: RequestId, first: u64, operations: Vec<ShardOperation>) {
+        if first > self.jobs.next {
+            return self.answer(request, Response::Behind);
+        }
+        let next = first + operations.len() as u64;
+        let (shard, epoch) = (self.identity.shard, self.epoch);
+        let record = StoreRecord::Operations { shard, epoch, first, operations };
+        self.apply_and_persist(request, record, Response::Replicated { next });
+    }
+
+    /// Applies a record and writes it; the answer waits until it is durable.
+    fn apply_and_persist(&mut self, request: RequestId, record: StoreRecord, response: Response) {
+        self.jobs.recover(record.clone());
+        if breaks::on(Break::AcknowledgedBeforeSync) {
+            self.answer(request, response.clone());
+        }
+        self.write(record, WritePurpose::Answer { request, response: Box::new(response) });
+    }
+}
--- /dev/null
+++ b/tier/batch/src/replica/member_calls.rs
@@ -0,0 +1,45 @@
+//! Calls of a primary to the other members, and what follows when one does not answer.
+
+use super::primary::CallPurpose;
+use super::state::ShardReplica;
+use crate::action::ShardAction;
+use crate::ids::Micros;
+use quillmount_wire::messages::{DiskId, ShardMessage};
+
+/// Delay before a failed attempt is retried, microseconds.
+pub const RETRY_DELAY: Micros = 40_000;
+/// A member that does not answer within this time is reported to the core as unresponsive, microseconds.
+pub const MEMBER_TIMEOUT: Micros = 400_000;
+
+impl ShardReplica {
+    /// Calls a member, if this store is primary.
+    pub(super) fn call(
+        &mut self,
+        member: DiskId,
+        message: ShardMessage,
+        timeout: Micros,
+        purpose: CallPurpose,
+    ) {
+        let call = self.allocate_id();
+        let Some(primary) = &mut self.primary else { return };
+        primary.calls.insert(call, purpose);
+        let epoch = primary.epoch();
+        self.actions.push(ShardAction::Call { call, member, epoch, message, timeout });
+    }
+
+    /// Does not call a member again before the retry delay has passed.
+    pub(super) fn retry_later(&mut self, member: DiskId, now: Micros) {
+        if let Some(primary) = &mut self.primary {
+            primary.retry_at.insert(member, now + RETRY_DELAY);
+        }
+    }
+
+    /// Notes that a member did not answer or failed; the core has to know if that is new.
+    pub(super) fn mark_unresponsive(&mut self, member: DiskId, now: Micros) {
+        self.retry_later(member, now);
+        let is_new = self.primary.as_mut().is_some_and(|primary| primary.group.mark_unresponsive(member));
+        if is_new {
+            self.actions.push(ShardAction::ReportDue);
+        }
+    }
+}
--- /dev/null
+++ b/tier/batch/src/replica/repair.rs
@@ -0,0 +1,147 @@
+//! Repair: brings members that lag behind to the primary's state.
+//!
+//! A repair has four steps, each a call: the digests of all buckets; the digests of all jobs of the buckets that differ; the jobs
+//! that differ, in messages of bounded size; the number of the next operation. It starts over if the shard has changed meanwhile.
+
+use super::primary::{CallPurpose, Repair, RepairStep};
+use super::state::ShardReplica;
+use crate::action::ShardAction;
+use crate::breaks::{self, Break};
+use crate::ids::Micros;
+use quillmount_wire::messages::{DiskId, JobState, Response, ShardMessage};
+use std::collections::VecDeque;
+
+/// Time-out of the first step, microseconds. It is short because that step shows whether the member is there at all.
+const FIRST_STEP_TIMEOUT: Micros = 250_000;
+/// Time-out of a later step, microseconds.
+const STEP_TIMEOUT: Micros = 800_000;
+/// Consecutive first steps without an answer after which a joining member is reported to the core as unresponsive.
+const JOINING_MISSES: u32 = 5;
+/// Approximate size of the jobs in one message, bytes. Many repairs may share a network link, and messages of other shards wait
+/// behind them.
+const INSTALL_BYTES: usize = 256 << 10;
+
+impl ShardReplica {
+    /// Starts the repair of each lagging member that may be called.
+    pub(super) fn start_repairs(&mut self, now: Micros) {
+        let Some(primary) = &self.primary else { return };
+        // During a batch only the members that it waits for are repaired.
+        let lagging = match &primary.batch {
+            None => primary.group.lagging(),
+            Some(batch) => {
+                let waiting = primary.group.waiting(&batch.synced, batch.stuck);
+                waiting.into_iter().filter(|member| !primary.group.is_caught_up(*member)).collect()
+            }
+        };
+        let is_due =
+            |member: &DiskId| !primary.repairs.contains_key(member) && primary.may_call(*member, now);
+        let due: Vec<DiskId> = lagging.into_iter().filter(is_due).collect();
+        for member in due {
+            self.compare_buckets(member, false);
+        }
+    }
+
+    /// The answer to a step, or `None` after a time-out.
+    pub(super) fn on_repair_answer(&mut self, member: DiskId, answer: Option<Response>, now: Micros) {
+        let Some(primary) = &mut self.primary else { return };
+        let Some(repair) = primary.repairs.remove(&member) else { return };
+        let is_stale = repair.base != self.jobs.next && !breaks::on(Break::StaleRepair);
+        match (repair.step, answer) {
+            // The member has seen a newer view, which this store will receive as well.
+            (_, Some(Response::WrongEpoch)) => self.retry_later(member, now),
+            (_, Some(Response::Behind)) => self.retry_later(member, now),
+            (_, Some(answer)) if is_stale && !matches!(answer, Response::Full) => {
+                self.compare_buckets(member, true);
+            }
+            (RepairStep::Buckets, Some(Response::DifferentBuckets { session, buckets })) => {
+                primary.misses.remove(&member);
+                if !buckets.is_empty() && primary.is_copying() {
+                    // Jobs are copied to one member at a time: in parallel each copy would only be slower.
+                    return self.retry_later(member, now);
+                }
+                self.compare_jobs(member, session, buckets);
+            }
+            (RepairStep::Jobs { session }, Some(Response::DifferentJobs(wanted))) => {
+                self.install_next(member, session, wanted.into());
+            }
+            (RepairStep::Install { session, remaining }, Some(Response::Done)) => {
+                self.install_next(member, session, remaining);
+            }
+            (RepairStep::CatchUp { session }, Some(Response::Done)) => self.mark_caught_up(member, session),
+            (RepairStep::Buckets, None) => self.on_missed_answer(member, now),
+            // The first step of the next attempt shows whether the member is there.
+            (_, None) => self.retry_later(member, now),
+            _ => self.mark_unresponsive(member, now),
+        }
+    }
+
+    /// A member did not answer the first step. A joining member that delays no commit gets more attempts, because a link filled by
+    /// copies is slow.
+    fn on_missed_answer(&mut self, member: DiskId, now: Micros) {
+        let Some(primary) = &mut self.primary else { return };
+        let misses = primary.misses.entry(member).or_default();
+        *misses += 1;
+        if *misses >= JOINING_MISSES || primary.group.required().contains(&member) {
+            self.mark_unresponsive(member, now);
+        } else {
+            self.retry_later(member, now);
+        }
+    }
+
+    /// Sends the first step. `answered` is true if the repair starts over because the shard has changed.
+    fn compare_buckets(&mut self, member: DiskId, answered: bool) {
+        let message = ShardMessage::CompareBuckets { buckets: self.jobs.buckets() };
+        let base = self.jobs.next;
+        if let Some(primary) = &mut self.primary {
+            primary.repairs.insert(member, Repair { step: RepairStep::Buckets, base, answered });
+        }
+        self.call(member, message, FIRST_STEP_TIMEOUT, CallPurpose::Repair(member));
+    }
+
+    /// Sends the digests of the jobs in the buckets that differ; if none does, the last step.
+    fn compare_jobs(&mut self, member: DiskId, session: u64, buckets: Vec<u32>) {
+        if buckets.is_empty() {
+            return self.install_next(member, session, VecDeque::new());
+        }
+        let jobs = self.jobs.digests(&buckets);
+        let message = ShardMessage::CompareJobs { session, buckets, jobs };
+        self.send_step(member, RepairStep::Jobs { session }, message);
+    }
+
+    /// Sends the next jobs, or after the last of them the number of the next operation.
+    fn install_next(&mut self, member: DiskId, session: u64, mut remaining: VecDeque<String>) {
+        let mut jobs: Vec<JobState> = Vec::new();
+        let mut bytes = 0;
+        while bytes < INSTALL_BYTES
+            && let Some(id) = remaining.pop_front()
+        {
+            let Some(entry) = self.jobs.jobs.get(&id) else { continue };
+            jobs.push(entry.state());
+            bytes += entry.bytes();
+        }
+        let is_last = jobs.is_empty();
+        let next = is_last.then_some(self.jobs.next);
+        let step = if is_last {
+            RepairStep::CatchUp { session }
+        } else {
+            RepairStep::Install { session, remaining }
+        };
+        self.send_step(member, step, ShardMessage::Install { session, jobs, next });
+    }
+
+    fn send_step(&mut self, member: DiskId, step: RepairStep, message: ShardMessage) {
+        let base = self.jobs.next;
+        if let Some(primary) = &mut self.primary {
+            primary.repairs.insert(member, Repair { step, base, answered: true });
+        }
+        self.call(member, message, STEP_TIMEOUT, CallPurpose::Repair(member));
+    }
+
+    fn mark_caught_up(&mut self, member: DiskId, session: u64) {
+        if let Some(primary) = &mut self.primary {
+            primary.sessions.insert(member, session);
+            primary.group.mark_caught_up(member);
+            self.actions.push(ShardAction::ReportDue);
+        }
+    }
+}
--- /dev/null
+++ b/tier/batch/src/replica/rewrite.rs
@@ -0,0 +1,98 @@
+//! Rewrites: a shard's jobs are written once more, so that older segments of the ring can be released, or because the disk lacks
+//! something that is in memory.
+
+use super::state::ShardReplica;
+use super::writes::{Rewrite, WritePurpose};
+use crate::action::ShardAction;
+use crate::breaks::{self, Break};
+use crate::record::StoreRecord;
+use quillmount_wire::messages::JobState;
+
+/// Approximate size at which a record of jobs is closed, bytes.
+const RECORD_BYTES: usize = 2 << 20;
+
+impl ShardReplica {
+    /// Starts a rewrite that is due. It waits for the end of a batch, which is on the disk but not in memory.
+    pub(super) fn rewrite_if_due(&mut self) {
+        if !self.rewrites.due || self.is_replicating() || self.rewrites.running.is_some() {
+            return;
+        }
+        self.rewrites.due = false;
+        let records = self.snapshot_records();
+        self.rewrites.running = Some(Rewrite {
+            remaining: records.len(),
+            failed: false,
+            requests: std::mem::take(&mut self.rewrites.requests),
+            after_failure: self.damaged,
+        });
+        for record in records {
+            self.write(record, WritePurpose::Rewrite);
+        }
+    }
+
+    /// Starts a rewrite that supplies what a failed write left out, once no write is in flight.
+    pub(super) fn rewrite_after_failure(&mut self) {
+        if self.damaged && self.rewrites.running.is_none() && self.writes.is_empty() {
+            self.rewrites.due = true;
+            self.rewrite_if_due();
+        }
+    }
+
+    /// A record of the running rewrite was written, or that failed.
+    pub(super) fn rewrite_written(&mut self, synced: bool) {
+        let Some(rewrite) = &mut self.rewrites.running else { return };
+        rewrite.remaining = rewrite.remaining.saturating_sub(1);
+        rewrite.failed |= !synced;
+        if rewrite.remaining > 0 {
+            return;
+        }
+        let complete = !rewrite.failed;
+        if complete && rewrite.after_failure {
+            self.damaged = false;
+        }
+        let requests = std::mem::take(&mut rewrite.requests);
+        self.rewrites.running = None;
+        self.actions.extend(requests.into_iter().map(|request| ShardAction::Rewritten { request, complete }));
+    }
+
+    /// Records that give the complete shard, whatever was written before. The last one names all jobs, so that recovery drops others.
+    fn snapshot_records(&self) -> Vec<StoreRecord> {
+        let (shard, epoch, next) = (self.identity.shard, self.epoch, self.jobs.next);
+        let skipped = usize::from(breaks::on(Break::RewriteDropsJob));
+        let mut records = self.job_records(skipped);
+        let last = if breaks::on(Break::RewriteKeepsDropped) {
+            let (dropped, jobs) = (Vec::new(), Vec::new());
+            StoreRecord::Install { shard, epoch, dropped, jobs, next: Some(next) }
+        } else {
+            let jobs = self.jobs.jobs.keys().skip(skipped).cloned().collect();
+            let last_primary_epoch = self.last_primary_epoch;
+            StoreRecord::RewriteEnd { shard, epoch, last_primary_epoch, jobs, next }
+        };
+        records.push(last);
+        records
+    }
+
+    /// All jobs but the first `skipped`, in records of bounded size.
+    fn job_records(&self, skipped: usize) -> Vec<StoreRecord> {
+        let (shard, epoch) = (self.identity.shard, self.epoch);
+        let install = |jobs: Vec<JobState>| {
+            let dropped = Vec::new();
+            StoreRecord::Install { shard, epoch, dropped, jobs, next: None }
+        };
+        let mut records = Vec::new();
+        let mut jobs: Vec<JobState> = Vec::new();
+        let mut bytes = 0;
+        for entry in self.jobs.jobs.values().skip(skipped) {
+            jobs.push(entry.state());
+            bytes += entry.bytes();
+            if bytes > RECORD_BYTES {
+                bytes = 0;
+                records.push(install(std::mem::take(&mut jobs)));
+            }
+        }
+        if !jobs.is_empty() {
+            records.push(install(jobs));
+        }
+        records
+    }
+}
--- a/tier/batch/tests/cluster/world.rs
+++ b/tier/batch/tests/cluster/world.rs
@@ -734,7 +734,7 @@
     fn append(&mut self, name: u32) {
         let Some(job) = self.any_job(name) else { return };
         let entry = &self.stores[&name].replica.jobs().jobs[&job];
-        let Some(item) = (0..ITEMS).find(|item| !entry.is_listed(*item)) else { return };
+        let Some(item) = (0..ITEMS).find(|item| !entry.has_result(*item)) else { return };
         // Each run of an item gives another text.
         let text = format!("run {}", self.allocate_id());
         let result = ItemResult { item, phase: Phase::Done, text };
--- a/tier/batch/tests/shard.rs
+++ b/tier/batch/tests/shard.rs
@@ -1,7 +1,7 @@
 //! Operations, positions and repair of a shard.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use quillmount_batch::{ShardJobs, StoreRecord, different_buckets};
+use quillmount_batch::{JobDifference, ShardJobs, StoreRecord, different_buckets};
 use quillmount_wire::messages::{Item, ItemResult, Job, JobState, Phase, ShardOperation};
 
 fn job(id: &str, items: usize) -> Job {
@@ -100,7 +100,7 @@
 /// Brings `member` level with `primary` by digests, as the stores do.
 fn repair(primary: &ShardJobs, member: &mut ShardJobs) -> usize {
     let different = different_buckets(&member.buckets(), &primary.buckets());
-    let (dropped, wanted) = member.compare(&different, &primary.digests(&different));
+    let JobDifference { dropped, wanted } = member.compare(&different, &primary.digests(&different));
     let jobs: Vec<JobState> = wanted.iter().map(|id| primary.jobs[id].state()).collect();
     let sent = jobs.len();
     member.install(&dropped, jobs, Some(primary.next));
--- a/tier/batch/tests/stored_records.rs
+++ b/tier/batch/tests/stored_records.rs
@@ -148,7 +148,7 @@
     assert_eq!(item.body, b"body of b");
     assert_eq!(first.item("a").unwrap().body, [0, 1, 255]);
     assert_eq!(first.results, [result(1, Phase::Done, "Grüße")]);
-    assert!(!first.ended && !first.is_complete() && first.is_listed(1) && !first.is_listed(0));
+    assert!(!first.ended && !first.is_complete() && first.has_result(1) && !first.has_result(0));
     let third = &jobs.jobs["job-3"];
     assert_eq!(third.results, [result(2, Phase::Done, "z is done"), result(0, Phase::DeadLetter, "gave up")]);
     assert_eq!((third.ended, third.waiting_tokens(), third.job.items.len()), (false, 13, 3));
--- a/tier/node/src/store/items/queue.rs
+++ b/tier/node/src/store/items/queue.rs
@@ -69,7 +69,7 @@
         let route = tables.routes.by_name(&entry.job.route);
         let due_ms = route.and_then(|route| route.route.due_ms).unwrap_or(DEFAULT_DUE_MS);
         let due = tracked.first_seen + clock::millis(due_ms).as_micros() as u64;
-        for item in (0..entry.job.items.len() as u32).filter(|item| !entry.is_listed(*item)) {
+        for item in (0..entry.job.items.len() as u32).filter(|item| !entry.has_result(*item)) {
             self.enqueue(ItemRun {
                 term: term.clone(),
                 tracked: tracked.clone(),
