--- a/tier/batch/src/breaks.rs
+++ b/tier/batch/src/breaks.rs
@@ -1,49 +1,50 @@
-//! Deliberate breaks of the shards' code, each of which the tests have to find; no release build has them.
+//! Deliberate faults in this package (mutations), each of which the tests have to detect. Only builds with the feature `breaks` have
+//! them: `set` turns one on for the calling thread, and `on` asks for it.
 
-/// What is broken.
+/// A deliberate fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Break {
-    /// A batch that was not committed stays on the primary's disk and is forgotten in its memory.
+    /// A primary that steps down does not apply its uncommitted batch, which is on its disk.
     UncommittedForgotten,
     /// A primary serves before its epoch is on its disk.
     TermNotSynced,
-    /// A replica forgets at a restart which epochs it has seen.
+    /// A replica does not recover the highest epoch seen at a restart.
     EpochForgotten,
     /// A member acknowledges operations before they are on its disk.
     AcknowledgedBeforeSync,
     /// A primary counts its own copy before it is on its disk.
     CommittedBeforeOwnSync,
-    /// A failed write changes nothing: what is in memory is taken for what is on the disk.
+    /// A failed write is treated as a successful one.
     FailedWriteIgnored,
-    /// A primary answers reads without asking the other members.
+    /// A primary confirms reads without asking the other members.
     ReadWithoutRound,
-    /// A primary serves before the members in sync are level.
+    /// A primary serves before the members in sync have caught up.
     ServesBeforeCaughtUp,
-    /// A member takes operations of an older session.
+    /// A member accepts operations of an older session.
     SessionIgnored,
-    /// A member takes what a repair sent although operations came after it.
+    /// A member accepts repair messages after the repair, when operations may have followed.
     RepairAfterCaughtUp,
-    /// A member answers an older epoch.
+    /// A member answers calls of an older epoch.
     OlderEpochAnswered,
-    /// A primary that begins again in its term forgets which joining members it has reported as level.
+    /// A primary that resumes its term does not count joining members that it may have reported as caught up.
     ReportForgotten,
-    /// A batch is committed with too few copies.
+    /// A batch is committed without the required copies.
     OneCopyEnough,
-    /// A repair goes on although the shard has changed since its comparison.
+    /// A repair continues although the shard has changed since its comparison.
     StaleRepair,
-    /// A repair keeps jobs that the primary does not have.
+    /// A repair does not remove jobs that the primary does not have.
     DroppedJobRetained,
     /// A rewrite leaves a job out.
     RewriteDropsJob,
-    /// The final record of a rewrite does not name the jobs that are kept, so that dropped ones come back.
+    /// The last record of a rewrite does not name the jobs, so that removed ones reappear at recovery.
     RewriteKeepsDropped,
-    /// Operations are numbered from 0 again by each primary.
+    /// Each primary numbers operations from 0.
     NumbersRestart,
-    /// A primary that is deposed goes on with its batch.
+    /// A primary that sees a higher epoch does not step down.
     DeposedGoesOn,
 }
 
-/// Every break.
+/// Every deliberate fault.
 pub const ALL: [Break; 19] = [
     Break::UncommittedForgotten,
     Break::TermNotSynced,
--- a/tier/batch/src/quota.rs
+++ b/tier/batch/src/quota.rs
@@ -1,71 +1,84 @@
-//! Tokens that a tenant may have waiting on a route, counted over all shards.
+//! Quota of waiting tokens: how many tokens a tenant may have waiting on a route, counted over all shards.
 //!
-//! The primary of one shard, drawn from tenant and route, keeps the ledger of that pair. The primary of any other shard
-//! claims tokens there before it takes a job, and states now and then what its shard holds. A ledger that begins knows
-//! nothing: it grants only once it has a statement of every shard that was made for it, so that no claim goes to an older
-//! ledger any more. All figures err upwards: what was claimed counts until its outcome is certain.
+//! For each tenant and route, one shard is chosen whose primary has the ledger. The primary of any shard claims a job's tokens at the
+//! ledger before it accepts the job, and states periodically all tokens that its shard has. A new ledger starts empty and grants
+//! nothing until it has a statement of every shard that was addressed to it; from then on no claim goes to an earlier ledger. All
+//! figures err upwards: claimed tokens count until the outcome of the claim is certain.
 
 use quillmount_wire::messages::{Epoch, QuotaClaim, QuotaKey, QuotaStatement};
 use std::collections::BTreeMap;
 
-/// What becomes of a claim.
+/// Outcome of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// The tokens count from now on.
+    /// The tokens are reserved.
     Granted,
-    /// They don't fit.
+    /// The tokens do not fit within the limit.
     Exceeded,
-    /// This ledger does not know of all shards yet, or the claim is meant for another.
+    /// This ledger lacks statements of some shards, or the claim is for an earlier ledger.
     Unknown,
 }
 
-/// What one shard holds, as far as known.
+/// Tokens of one shard as the ledger knows them.
 #[derive(Default)]
 struct ShardReservations {
-    /// Sequence of the newest statement or claim.
-    sequence: u64,
+    /// Epoch of the newest statement or claim.
     epoch: Epoch,
+    /// Sequence number of the newest statement or claim.
+    sequence: u64,
     tokens: BTreeMap<QuotaKey, u64>,
 }
 
-/// The ledger of one term of a shard's primary, for the pairs that the shard is to keep.
+impl ShardReservations {
+    /// Notes the position of a statement or claim; `false` if it is not newer than the newest one.
+    fn advance_to(&mut self, epoch: Epoch, sequence: u64) -> bool {
+        if (epoch, sequence) <= (self.epoch, self.sequence) {
+            return false;
+        }
+        self.epoch = epoch;
+        self.sequence = sequence;
+        true
+    }
+}
+
+/// The ledger of one term of a shard's primary, for the keys that the shard is chosen for.
 pub struct QuotaLedger {
-    /// Epoch in which the primary began to serve: what is meant for an older one is passed over.
+    /// Epoch in which the primary started to serve: statements and claims for an earlier one are ignored.
     since: Epoch,
-    shards: u32,
+    /// Number of shards of the system.
+    shard_count: u32,
+    /// By number of the shard.
     reservations: BTreeMap<u32, ShardReservations>,
 }
 
 impl QuotaLedger {
-    /// An empty ledger for so many shards.
-    pub fn new(since: Epoch, shards: u32) -> QuotaLedger {
-        QuotaLedger { since, shards, reservations: BTreeMap::new() }
+    /// An empty ledger of the primary that serves since this epoch.
+    pub fn new(since: Epoch, shard_count: u32) -> QuotaLedger {
+        QuotaLedger { since, shard_count, reservations: BTreeMap::new() }
     }
 
-    /// Takes what a shard states: all that it holds of the pairs kept here.
+    /// Replaces the tokens of a shard by those that it states, unless the statement is for an earlier ledger or out of date.
     pub fn apply_statement(&mut self, statement: &QuotaStatement) {
-        if statement.ledger_epoch < self.since || statement.shard >= self.shards {
+        if statement.ledger_epoch < self.since || statement.shard >= self.shard_count {
             return;
         }
         let reservation = self.reservations.entry(statement.shard).or_default();
-        if (statement.epoch, statement.sequence) > (reservation.epoch, reservation.sequence) {
-            reservation.epoch = statement.epoch;
-            reservation.sequence = statement.sequence;
+        if reservation.advance_to(statement.epoch, statement.sequence) {
             reservation.tokens = statement.reserved.iter().cloned().collect();
         }
     }
 
-    /// Takes a claim; `limit` is what this store knows of the route, if it knows any.
+    /// Reserves the tokens of a claim if they fit. `limit` is the route's limit as this store knows it, if it does; the lower of it and
+    /// the claim's own counts.
+    #[must_use]
     pub fn claim(&mut self, claim: &QuotaClaim, limit: Option<u64>) -> ClaimOutcome {
-        let meant = claim.ledger_epoch >= self.since && claim.shard < self.shards;
-        if !meant || self.reservations.len() < self.shards as usize {
+        let is_addressed_here = claim.ledger_epoch >= self.since && claim.shard < self.shard_count;
+        if !is_addressed_here || self.reservations.len() < self.shard_count as usize {
             return ClaimOutcome::Unknown;
         }
         let limit = limit.map_or(claim.limit, |limit| limit.min(claim.limit));
         let Some(reservation) = self.reservations.get_mut(&claim.shard) else { return ClaimOutcome::Unknown };
-        if (claim.epoch, claim.sequence) > (reservation.epoch, reservation.sequence) {
-            reservation.epoch = claim.epoch;
-            reservation.sequence = claim.sequence;
+        if reservation.advance_to(claim.epoch, claim.sequence) {
             reservation.tokens.insert(claim.key.clone(), claim.reserved);
         }
         if self.total(&claim.key) + claim.tokens > limit {
@@ -76,25 +89,25 @@
         ClaimOutcome::Granted
     }
 
-    /// Tokens of a pair over all shards.
+    /// Tokens of a key over all shards.
     pub fn total(&self, key: &QuotaKey) -> u64 {
         self.reservations.values().filter_map(|reservation| reservation.tokens.get(key)).sum()
     }
 }
 
-/// Claims of one shard whose outcome is not certain yet, while its primary serves.
+/// Claims of one shard's primary, during one term, whose outcome is not yet certain.
 #[derive(Default)]
 pub struct PendingClaims {
     tokens: BTreeMap<QuotaKey, u64>,
 }
 
 impl PendingClaims {
-    /// A claim begins: it counts from before it is sent.
+    /// Adds a claim; to be called before it is sent.
     pub fn begin(&mut self, key: &QuotaKey, tokens: u64) {
         *self.tokens.entry(key.clone()).or_default() += tokens;
     }
 
-    /// A claim is over: its job is committed and counted as such, or nothing of it was begun.
+    /// Removes a claim: its job is committed and counted as waiting, or was not started.
     pub fn end(&mut self, key: &QuotaKey, tokens: u64) {
         if let Some(pending) = self.tokens.get_mut(key) {
             *pending = pending.saturating_sub(tokens);
@@ -104,12 +117,12 @@
         }
     }
 
-    /// What is claimed of a pair.
+    /// Tokens claimed of a key.
     pub fn claimed(&self, key: &QuotaKey) -> u64 {
         self.tokens.get(key).copied().unwrap_or(0)
     }
 
-    /// What a shard holds: its unlisted items and what is claimed.
+    /// Adds the claimed tokens to those of items that wait.
     pub fn add_to(&self, mut waiting: BTreeMap<QuotaKey, u64>) -> BTreeMap<QuotaKey, u64> {
         for (key, tokens) in &self.tokens {
             *waiting.entry(key.clone()).or_default() += tokens;
