--- /dev/null
+++ b/tier/wire/src/configuration/error.rs
@@ -0,0 +1,68 @@
+//! Why a configuration, or a change of one, is rejected.
+
+/// Why a configuration is rejected. The texts are answers to operators.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ConfigurationError {
+    /// The text is not JSON, or a field is missing or of another type; with the detail.
+    #[error("the configuration can't be read: {0}")]
+    Unreadable(String),
+    /// A route refers to a service that does not exist.
+    #[error("Routes[{route}]: there is no service {service}")]
+    UnknownService {
+        /// Name of the route.
+        route: String,
+        /// Name of the missing service.
+        service: String,
+    },
+    /// Two routes match the same requests.
+    #[error("Routes[{first}] and Routes[{second}] have the same host and prefix")]
+    DuplicateRoute {
+        /// Name of the earlier route.
+        first: String,
+        /// Name of the later route.
+        second: String,
+    },
+    /// Two items of one list have the same name.
+    #[error("{kind}[{name}] is there twice")]
+    DuplicateName {
+        /// Name of the list.
+        kind: &'static str,
+        /// Name of the items.
+        name: String,
+    },
+    /// The weights of a route's services sum to 0, or one is negative.
+    #[error("Routes[{route}].Shares: the weights sum to 0")]
+    ZeroWeight {
+        /// Name of the route.
+        route: String,
+    },
+    /// The deadline of a route is not above 0.
+    #[error("Routes[{route}].DeadlineMs is 0")]
+    ZeroTimeout {
+        /// Name of the route.
+        route: String,
+    },
+    /// Two tenants have the same key.
+    #[error("Accounts[{first}] and Accounts[{second}] share a key")]
+    SharedKey {
+        /// Name of the earlier tenant.
+        first: String,
+        /// Name of the later tenant.
+        second: String,
+    },
+    /// The version is not above that of the configuration in force.
+    #[error("Gen: {version} is not above the current {current}")]
+    NotNewer {
+        /// Version of the rejected configuration.
+        version: u64,
+        /// Version of the configuration in force.
+        current: u64,
+    },
+}
+
+impl ConfigurationError {
+    /// The document cannot be read, for this reason.
+    pub(super) fn unreadable(detail: &str) -> ConfigurationError {
+        ConfigurationError::Unreadable(detail.to_owned())
+    }
+}
--- a/tier/wire/src/frame.rs
+++ b/tier/wire/src/frame.rs
@@ -1,97 +1,128 @@
-//! Frames between couriers: a fixed head, then one `rkyv` message.
+//! Frames between processes: a header of fixed size, then one `rkyv` message.
 //!
-//! Head, little endian: magic (4 bytes, names the version), kind (1), length of the body (4), CRC-32 of the body (4),
-//! call number (8).
+//! Header, little endian: magic (4 bytes, identifies protocol and version), kind (1), length of the body (4), CRC-32 of the body
+//! (4), call number (8). The reader decodes the header, reads the body into an [`aligned_buffer`], verifies it and decodes the
+//! message. After any error the connection is closed, because the position of the next frame is unknown.
 
 use rkyv::util::AlignedVec;
-use std::fmt;
 
-/// Names protocol and version.
+/// Identifies protocol and version.
 pub const MAGIC: [u8; 4] = *b"QMF1";
-/// Bytes of a head.
+/// Size of a header, bytes.
 pub const HEADER_BYTES: usize = 21;
-/// Largest body, bytes.
+/// Size of the largest body, bytes.
 pub const BODY_LIMIT: usize = 32 << 20;
 
-/// What a frame is in its conversation.
+/// Offsets of the fields after the magic.
+const KIND_OFFSET: usize = 4;
+const LENGTH_OFFSET: usize = 5;
+const CHECKSUM_OFFSET: usize = 9;
+const CALL_OFFSET: usize = 13;
+
+/// The part that a frame has in a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameKind {
-    /// Nobody waits for an answer.
+    /// A message without a response.
     Notification,
+    /// A request that is answered by a response of the same call number.
     Request,
+    /// The response to a request.
     Response,
 }
 
-/// Why a frame was not accepted: its connection is closed.
-#[derive(Debug, PartialEq, Eq)]
+impl FrameKind {
+    /// The byte that stands for the kind.
+    fn to_byte(self) -> u8 {
+        match self {
+            FrameKind::Notification => 0,
+            FrameKind::Request => 1,
+            FrameKind::Response => 2,
+        }
+    }
+
+    fn from_byte(byte: u8) -> Result<FrameKind, FrameError> {
+        match byte {
+            0 => Ok(FrameKind::Notification),
+            1 => Ok(FrameKind::Request),
+            2 => Ok(FrameKind::Response),
+            other => Err(FrameError::UnknownKind(other)),
+        }
+    }
+}
+
+/// Why a frame was not accepted.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
+    /// The magic is not that of this version.
+    #[error("a frame of another version")]
     WrongVersion,
+    /// The byte for the kind has no meaning.
+    #[error("a frame of unknown kind {0}")]
     UnknownKind(u8),
+    /// The body, of this size in bytes, is above [`BODY_LIMIT`].
+    #[error("a frame of {0} bytes, {BODY_LIMIT} at most")]
     TooLarge(usize),
+    /// The body does not have the checksum in the header.
+    #[error("a frame with a wrong checksum")]
     WrongChecksum,
+    /// The body is no message of the expected type; with the detail of the decoder.
+    #[error("a frame that holds no message: {0}")]
     Malformed(String),
 }
 
-impl fmt::Display for FrameError {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            FrameError::WrongVersion => write!(out, "a frame of another version"),
-            FrameError::UnknownKind(kind) => write!(out, "a frame of unknown kind {kind}"),
-            FrameError::TooLarge(bytes) => write!(out, "a frame of {bytes} bytes, {BODY_LIMIT} at most"),
-            FrameError::WrongChecksum => write!(out, "a frame with a wrong checksum"),
-            FrameError::Malformed(detail) => write!(out, "a frame that holds no message: {detail}"),
-        }
-    }
-}
-
-impl std::error::Error for FrameError {}
-
-/// Head of a frame.
+/// Header of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FrameHeader {
+    /// The part that the frame has in its call.
     pub kind: FrameKind,
+    /// Size of the body, bytes.
     pub length: usize,
+    /// CRC-32 of the body.
     pub checksum: u32,
+    /// Number of the call, unique among the calls in flight on a connection.
     pub call: u64,
 }
 
 impl FrameHeader {
-    /// Decodes a head.
+    /// Decodes a header.
+    ///
+    /// # Errors
+    ///
+    /// [`FrameError::WrongVersion`], [`FrameError::UnknownKind`] or [`FrameError::TooLarge`].
     pub fn decode(bytes: &[u8; HEADER_BYTES]) -> Result<FrameHeader, FrameError> {
-        if bytes[..4] != MAGIC {
+        if bytes[..KIND_OFFSET] != MAGIC {
             return Err(FrameError::WrongVersion);
         }
-        let kind = match bytes[4] {
-            0 => FrameKind::Notification,
-            1 => FrameKind::Request,
-            2 => FrameKind::Response,
-            other => return Err(FrameError::UnknownKind(other)),
-        };
-        let read_u32 =
-            |at: usize| u32::from_le_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]]);
-        let length = read_u32(5) as usize;
+        let kind = FrameKind::from_byte(bytes[KIND_OFFSET])?;
+        let length = read_u32(bytes, LENGTH_OFFSET) as usize;
         if length > BODY_LIMIT {
             return Err(FrameError::TooLarge(length));
         }
-        let call = u64::from(read_u32(13)) | u64::from(read_u32(17)) << 32;
-        Ok(FrameHeader { kind, length, checksum: read_u32(9), call })
+        let checksum = read_u32(bytes, CHECKSUM_OFFSET);
+        let call =
+            u64::from(read_u32(bytes, CALL_OFFSET)) | u64::from(read_u32(bytes, CALL_OFFSET + 4)) << 32;
+        Ok(FrameHeader { kind, length, checksum, call })
     }
 
-    /// Whether `body` is the one this head announces.
+    /// Checks the body against the checksum.
+    ///
+    /// # Errors
+    ///
+    /// [`FrameError::WrongChecksum`] if they do not match.
     pub fn verify(&self, body: &[u8]) -> Result<(), FrameError> {
         if crc32fast::hash(body) == self.checksum { Ok(()) } else { Err(FrameError::WrongChecksum) }
     }
 }
 
-/// Puts a head before a body.
+fn read_u32(bytes: &[u8; HEADER_BYTES], offset: usize) -> u32 {
+    u32::from_le_bytes([bytes[offset], bytes[offset + 1], bytes[offset + 2], bytes[offset + 3]])
+}
+
+/// Encodes a frame: header and body.
 pub fn encode(kind: FrameKind, call: u64, body: &[u8]) -> Vec<u8> {
     let mut frame = Vec::with_capacity(HEADER_BYTES + body.len());
     frame.extend_from_slice(&MAGIC);
-    frame.push(match kind {
-        FrameKind::Notification => 0,
-        FrameKind::Request => 1,
-        FrameKind::Response => 2,
-    });
+    frame.push(kind.to_byte());
     frame.extend_from_slice(&(body.len() as u32).to_le_bytes());
     frame.extend_from_slice(&crc32fast::hash(body).to_le_bytes());
     frame.extend_from_slice(&call.to_le_bytes());
@@ -99,7 +130,7 @@
     frame
 }
 
-/// A buffer that `rkyv` can read from.
+/// A buffer of this length, filled with zeros and aligned so that `rkyv` can decode a message in it.
 pub fn aligned_buffer(length: usize) -> AlignedVec {
     let mut buffer = AlignedVec::new();
     buffer.resize(length, 0);
--- a/tier/wire/src/lib.rs
+++ b/tier/wire/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the serving tier reads and speaks: settings of a process, the operator's configuration, and the messages and
-//! frames between couriers. Decoding only; no I/O.
+//! What the processes of the serving tier read and exchange: the settings of a process, the operator's configuration, and the
+//! messages between processes with their frames. Encoding and decoding only; apart from [`settings`], which reads its file, no I/O.
 
 pub mod configuration;
 pub mod frame;
