--- a/tier/window/src/lib.rs
+++ b/tier/window/src/lib.rs
@@ -1,8 +1,10 @@
 //! The latency window of one endpoint: how many calls one courier may have outstanding there.
 //!
-//! After Gulati and Ahmad's flow control: smoothed latency `CAL(t) = (1 - alpha) l + alpha CAL(t-1)`, window
-//! `w(t+1) = (1 - gamma) w + gamma (threshold / CAL w + beta)`, clamped between one and `w_max`. The threshold is a
-//! multiple of the latency that the fastest tenth of the last minute's calls beat.
+//! After the flow control of Gulati and Ahmad (published in PARDA, FAST 2009): smoothed latency `CAL(t) = (1 - alpha) l + alpha
+//! CAL(t-1)`, window `w(t+1) = (1 - gamma) w + gamma (threshold / CAL w + beta)`, clamped between one and [`max_window`]. The
+//! threshold is a multiple of the baseline, the lower decile of the latencies of the last minute. The caller reports the latency of
+//! each finished call by [`Window::sample`] and each refusal by [`Window::refused`], and keeps at most [`Window::size`] calls
+//! outstanding.
 
 use quillmount_containers::LatencyEstimate;
 use serde::{Deserialize, Serialize};
@@ -10,21 +12,21 @@
 /// Microseconds of a steady clock.
 pub type Micros = u64;
 
-/// Floor of a latency and of a baseline, microseconds.
+/// Lower bound of latencies and of the baseline, microseconds.
 pub const LATENCY_FLOOR: f64 = 1_000.0;
-/// The baseline looks back this far, microseconds.
+/// Span of the samples that give the baseline, microseconds.
 pub const BASELINE_SPAN: Micros = 60_000_000;
 
-/// What a deployment may choose.
+/// Parameters of the flow control, which a deployment may choose.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Parameters {
-    /// Weight of the past in the smoothed latency.
+    /// Weight of the past in the smoothed latency, 0 to 1.
     pub alpha: f64,
-    /// Step of one update.
+    /// Weight of the new value in an update of the window, 0 to 1.
     pub gamma: f64,
-    /// Constant growth, calls.
+    /// Growth per update that does not depend on latency, calls.
     pub beta: f64,
-    /// Threshold over the baseline.
+    /// Threshold as a multiple of the baseline.
     pub multiple: f64,
 }
 
@@ -34,7 +36,8 @@
     }
 }
 
-/// Three quarters of the slots rounded down, one at least.
+/// Largest window for an endpoint of which this courier has so many slots: three quarters, rounded down, at least one.
+#[must_use]
 pub fn max_window(slots: u32) -> u32 {
     (slots * 3 / 4).max(1)
 }
@@ -43,50 +46,55 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Window {
     parameters: Parameters,
+    /// Calls; its integral part is the limit.
     size: f64,
     latency: LatencyEstimate,
 }
 
 impl Window {
-    /// The window of a new endpoint: half of its largest.
+    /// The window of a new endpoint: half of the largest.
+    #[must_use]
     pub fn new(parameters: Parameters, slots: u32) -> Window {
         let size = (f64::from(max_window(slots)) / 2.0).max(1.0);
         Window { parameters, size, latency: LatencyEstimate::new(LATENCY_FLOOR) }
     }
 
-    /// Takes the latency of a call (microseconds); a time-out counts at its full length.
+    /// Adds the latency of a finished call, microseconds; a call that timed out counts with its time-out.
     pub fn sample(&mut self, now: Micros, latency: f64, slots: u32) {
         let latency = latency.max(LATENCY_FLOOR);
         let Parameters { alpha, gamma, beta, multiple } = self.parameters;
-        let from = now.saturating_sub(BASELINE_SPAN);
-        let smoothed = self.latency.add(now, latency, alpha, from, LATENCY_FLOOR);
+        let oldest = now.saturating_sub(BASELINE_SPAN);
+        let smoothed = self.latency.add(now, latency, alpha, oldest, LATENCY_FLOOR);
         let ratio = multiple * self.latency.baseline / smoothed;
         self.size = (1.0 - gamma) * self.size + gamma * (ratio * self.size + beta);
         self.clamp(slots);
     }
 
-    /// A refusal halves the window.
+    /// Halves the window after a refusal.
     pub fn refused(&mut self, slots: u32) {
         self.size /= 2.0;
         self.clamp(slots);
     }
 
-    fn clamp(&mut self, slots: u32) {
-        self.size = self.size.clamp(1.0, f64::from(max_window(slots)));
-    }
-
-    /// Calls that may be outstanding.
+    /// Number of calls that may be outstanding.
+    #[must_use]
     pub fn size(&self) -> u32 {
         self.size as u32
     }
 
-    /// Smoothed latency, microseconds.
+    /// Smoothed latency, microseconds; `None` before the first sample.
+    #[must_use]
     pub fn smoothed(&self) -> Option<f64> {
         self.latency.smoothed
     }
 
-    /// Latency that the fastest tenth beat, microseconds.
+    /// Lower decile of the latencies within [`BASELINE_SPAN`], microseconds.
+    #[must_use]
     pub fn baseline(&self) -> f64 {
         self.latency.baseline
     }
+
+    fn clamp(&mut self, slots: u32) {
+        self.size = self.size.clamp(1.0, f64::from(max_window(slots)));
+    }
 }
