--- /dev/null
+++ b/courier/fleet/src/agreement/compaction.rs
@@ -0,0 +1,77 @@
+//! Compaction of the log: a snapshot takes the place of the entries that it contains.
+
+use quillmount_core::store::Store;
+
+use super::log::{self, HardState, LogEntry, PersistedLog, StateSnapshot};
+use super::{Agreement, AgreementError, AgreementOutput};
+
+/// After a failed compaction the next snapshot is requested when the log file has grown by this fraction of
+/// its limit.
+const RETRY_GROWTH_DIVISOR: u64 = 8;
+
+impl<S: Store> Agreement<S> {
+    pub(super) fn handle_snapshot(&mut self, through: u64, state: Vec<u8>, out: &mut Vec<AgreementOutput>) {
+        if let Err(error) = self.compact_log(through, state) {
+            self.snapshot_requested = false;
+            self.postpone_snapshot();
+            out.push(AgreementOutput::Failed(error));
+        }
+    }
+
+    /// Requests a snapshot if the log file has grown by its limit, or if a courier that lags behind needs one.
+    pub(super) fn request_snapshot_if_due(&mut self, out: &mut Vec<AgreementOutput>) {
+        let snapshot_needed = self.node.store().snapshot_needed.replace(false);
+        if self.halted
+            || self.snapshot_requested
+            || !(snapshot_needed || self.file.store.len() >= self.snapshot_at)
+        {
+            return;
+        }
+        if self.applied() > self.node.store().snapshot.index {
+            self.snapshot_requested = true;
+            out.push(AgreementOutput::SnapshotWanted);
+        } else if !snapshot_needed {
+            // Nothing was committed since the last snapshot: the file has grown by entries that were
+            // overwritten, and is written again without them.
+            let snapshot = self.node.store().snapshot.clone();
+            if let Err(error) = self.rewrite_log(snapshot) {
+                self.postpone_snapshot();
+                out.push(AgreementOutput::Failed(error));
+            }
+        }
+    }
+
+    fn postpone_snapshot(&mut self) {
+        self.snapshot_at = self.file.store.len() + self.limits.log_bytes / RETRY_GROWTH_DIVISOR;
+    }
+
+    fn compact_log(&mut self, through: u64, state: Vec<u8>) -> Result<(), AgreementError> {
+        if through != self.delivered_index || self.halted {
+            return Err(AgreementError::StaleSnapshot { through, applied: self.delivered_index });
+        }
+        if state.len() > self.limits.state_bytes {
+            return Err(AgreementError::StateTooLarge { bytes: state.len(), limit: self.limits.state_bytes });
+        }
+        let index = self.node.raft.raft_log.applied;
+        let memory = self.node.store();
+        let term = raft::Storage::term(memory, index).map_err(|e| AgreementError::Engine(e.to_string()))?;
+        let (voters, learners) = log::voters_and_learners(&memory.membership);
+        self.rewrite_log(StateSnapshot { index, term, voters, learners, state })
+    }
+
+    /// Replaces the file by the snapshot and the entries after it.
+    fn rewrite_log(&mut self, snapshot: StateSnapshot) -> Result<(), AgreementError> {
+        let memory = self.node.store();
+        let later =
+            memory.entries.iter().filter(|e| e.index > snapshot.index).map(LogEntry::from_raft).collect();
+        let hard_state = HardState::from_raft(&self.node.raft.hard_state());
+        let persisted = PersistedLog { node_id: self.node_id, hard_state, snapshot, entries: later };
+        self.file.rewrite(&persisted)?;
+        self.node.mut_store().compact(persisted.snapshot);
+        // Couriers that wait for a snapshot answer with their position, so that it is sent at once.
+        self.node.ping();
+        self.snapshot_requested = false;
+        self.snapshot_at = self.file.base + self.limits.log_bytes;
+        Ok(())
+    }
+}
--- a/courier/fleet/src/agreement/wire.rs
+++ b/courier/fleet/src/agreement/wire.rs
@@ -1,4 +1,7 @@
-//! What couriers tell each other about the agreement, as it goes over the fleet's connections.
+//! The agreement's messages, as they go over the connections between couriers.
+//!
+//! A message is a byte with the format version, the CRC-32 of the body as a little-endian `u32`, and the body
+//! in postcard's encoding. [`decode`] rejects whatever the Raft library would panic on.
 
 use raft::prelude::{Message, MessageType};
 use serde::{Deserialize, Serialize};
@@ -7,10 +10,10 @@
 use super::{AgreementError, DecodeError};
 use crate::NodeId;
 
-/// The form of these values; others are refused.
+/// Version of the message format; messages of another one are rejected.
 const FORMAT_VERSION: u8 = 1;
 
-/// The engine's messages between couriers; it has others, which stay within one process.
+/// The types of Raft messages between couriers. The library has others, which stay within one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum MessageKind {
     Append,
@@ -38,6 +41,7 @@
     (MessageKind::TimeoutNow, MessageType::MsgTimeoutNow),
 ];
 
+/// The body of a message: the fields of the library's [`Message`] that couriers need.
 #[derive(Debug, Serialize, Deserialize)]
 struct WireMessage {
     kind: MessageKind,
@@ -55,9 +59,9 @@
     context: Vec<u8>,
 }
 
-/// `None`: not one that leaves this courier.
+/// Encodes a message; `None`: it is of a type that is not sent to other couriers.
 pub(super) fn encode(message: &Message) -> Option<Vec<u8>> {
-    let kind = MESSAGE_KINDS.iter().find(|(_, of)| *of == message.get_msg_type())?.0;
+    let (kind, _) = *MESSAGE_KINDS.iter().find(|(_, raft_type)| *raft_type == message.get_msg_type())?;
     let wire = WireMessage {
         kind,
         from: message.from,
@@ -80,15 +84,19 @@
     Some(bytes)
 }
 
-/// Reads what `from` has sent to `to`, and sees to it that no value in it is one that the engine would end
-/// the process for.
+/// Decodes a message of `from` to `to`.
+///
+/// # Errors
+///
+/// The bytes are no message of this version between these couriers, or a value in it is one that the Raft
+/// library would panic on.
 pub(super) fn decode(bytes: &[u8], from: NodeId, to: NodeId) -> Result<Message, AgreementError> {
     let malformed = |what| AgreementError::Malformed { from, what };
-    let [form, a, b, c, d, body @ ..] = bytes else { return Err(malformed(DecodeError::Short)) };
-    if *form != FORMAT_VERSION {
-        return Err(malformed(DecodeError::Version(*form)));
+    let [version, c0, c1, c2, c3, body @ ..] = bytes else { return Err(malformed(DecodeError::Short)) };
+    if *version != FORMAT_VERSION {
+        return Err(malformed(DecodeError::Version(*version)));
     }
-    if crc32fast::hash(body) != u32::from_le_bytes([*a, *b, *c, *d]) {
+    if crc32fast::hash(body) != u32::from_le_bytes([*c0, *c1, *c2, *c3]) {
         return Err(malformed(DecodeError::Checksum));
     }
     let (wire, rest) =
@@ -99,14 +107,24 @@
     if wire.from != from || wire.to != to || from == to || from == 0 {
         return Err(malformed(DecodeError::Misaddressed));
     }
-    validate(&wire).ok_or_else(|| malformed(DecodeError::Value))?;
+    if !entries_are_valid(&wire) || !snapshot_is_valid(&wire) {
+        return Err(malformed(DecodeError::Value));
+    }
+    let (_, raft_type) = *MESSAGE_KINDS
+        .iter()
+        .find(|(kind, _)| *kind == wire.kind)
+        .ok_or_else(|| malformed(DecodeError::Value))?;
     let mut message = Message::default();
-    let kind = MESSAGE_KINDS.iter().find(|(kind, _)| *kind == wire.kind);
-    message.set_msg_type(kind.ok_or_else(|| malformed(DecodeError::Value))?.1);
-    (message.from, message.to, message.term) = (wire.from, wire.to, wire.term);
-    (message.log_term, message.index) = (wire.log_term, wire.index);
-    (message.commit, message.commit_term) = (wire.commit, wire.commit_term);
-    (message.reject, message.reject_hint) = (wire.reject, wire.hint);
+    message.set_msg_type(raft_type);
+    message.from = wire.from;
+    message.to = wire.to;
+    message.term = wire.term;
+    message.log_term = wire.log_term;
+    message.index = wire.index;
+    message.commit = wire.commit;
+    message.commit_term = wire.commit_term;
+    message.reject = wire.reject;
+    message.reject_hint = wire.hint;
     message.set_entries(wire.entries.iter().map(LogEntry::to_raft).collect());
     if let Some(snapshot) = &wire.snapshot {
         message.set_snapshot(snapshot.to_raft());
@@ -115,27 +133,30 @@
     Ok(message)
 }
 
-/// Entries in their order, of terms that only grow; an image with those who take part.
-fn validate(wire: &WireMessage) -> Option<()> {
+/// Whether the entries follow the message's index without gaps, and their terms never decrease.
+fn entries_are_valid(wire: &WireMessage) -> bool {
     let (mut term, mut index) = (wire.log_term, wire.index);
     for entry in &wire.entries {
-        index = index.checked_add(1)?;
-        if entry.index != index || entry.term < term || entry.term > wire.term {
-            return None;
+        let Some(next) = index.checked_add(1) else { return false };
+        if entry.index != next || entry.term < term || entry.term > wire.term {
+            return false;
         }
-        term = entry.term;
+        (term, index) = (entry.term, next);
     }
-    let sound = match &wire.snapshot {
-        Some(snapshot) => {
-            let mut all: Vec<NodeId> = snapshot.voters.iter().chain(&snapshot.learners).copied().collect();
-            all.sort_unstable();
-            let once = all.windows(2).all(|two| two[0] != two[1]) && all.first() != Some(&0);
-            once && snapshot.index > 0
-                && snapshot.term > 0
-                && snapshot.term <= wire.term
-                && !snapshot.voters.is_empty()
-        }
-        None => wire.kind != MessageKind::Snapshot,
+    true
+}
+
+/// Whether the snapshot is there if the message is one, and has members, each of them once.
+fn snapshot_is_valid(wire: &WireMessage) -> bool {
+    let Some(snapshot) = &wire.snapshot else {
+        return wire.kind != MessageKind::Snapshot;
     };
-    sound.then_some(())
+    let mut members: Vec<NodeId> = snapshot.voters.iter().chain(&snapshot.learners).copied().collect();
+    members.sort_unstable();
+    let unique = members.windows(2).all(|pair| pair[0] != pair[1]) && members.first() != Some(&0);
+    unique
+        && snapshot.index > 0
+        && snapshot.term > 0
+        && snapshot.term <= wire.term
+        && !snapshot.voters.is_empty()
 }
