--- a/courier/fleet/src/member/interface.rs
+++ b/courier/fleet/src/member/interface.rs
@@ -1,167 +1,104 @@
-//! What a member takes and gives, why it can fail, and what its log is told.
+//! What a driver hands to [`Member::step`](super::Member::step) and what it gets back.
 
-use super::*;
-
-/// Why a courier can't go on as a member of its fleet.
-#[derive(Debug, thiserror::Error)]
-pub enum MemberError {
-    #[error(transparent)]
-    Agreement(#[from] AgreementError),
-    #[error(
-        "fleet: what is kept of it in the lasting folder can't be read or written: {0}; check the folder's disk and rights"
-    )]
-    Store(#[from] io::Error),
-    #[error(
-        "fleet: its state of an earlier process can't be read: {0}; start with an empty fleet folder, as a new member"
-    )]
-    State(#[from] postcard::Error),
-}
+use super::MemberNotice;
+use crate::budget::ConnectionOrder;
+use crate::config::Name;
+use crate::message::{Envelope, FleetMessage};
+use crate::settlement;
+use crate::state::{Epoch, PartitionId};
+use bytes::Bytes;
+use quillmount_policy::Micros;
+use std::collections::BTreeSet;
 
+/// An input of [`Member::step`](super::Member::step).
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberInput {
-    /// Time has passed; wanted at `wake_at` at the latest.
+    /// Time has passed. Wanted at [`Member::wake_at`](super::Member::wake_at) at the latest.
     Tick,
+    /// An envelope of another courier has arrived.
     Received(Envelope),
-    /// What the journal holds now that the courier has joined, and parts in it that it does not say to be settled.
+    /// The courier's own journal is open, after [`MemberOutput::Joined`].
     JournalOpened {
+        /// The journal's contents.
         bytes: Vec<u8>,
+        /// Adopted partitions in it whose adoption the journal does not record as resolved.
         unsettled: Vec<PartitionId>,
     },
-    /// The journal has grown by these.
+    /// These bytes were appended to the journal.
     JournalAppended(Vec<u8>),
-    /// The journal is these now.
+    /// The journal was compacted: its contents are these now.
     JournalReplaced(Vec<u8>),
-    /// A part of a sealed book is in the journal, as it was when so much was written.
+    /// The partition's records are in the journal, at the end of what was reported as appended.
     Adopted(PartitionId),
-    /// The journal says whose the part is.
+    /// The journal records how the partition's adoption was resolved.
     AdoptionResolved(PartitionId),
-    /// A planned stop: the book is for others from here on.
+    /// A planned stop: the courier leaves the fleet, and its journal is for others to take over.
     Leave,
-    /// Of a settlement's home; said again by whoever wants it, until it is agreed.
+    /// A command about a settlement, to be proposed. Its sender repeats it until it is committed.
     Settlement(settlement::SettlementCommand),
 }
 
+/// An output of [`Member::step`](super::Member::step); the driver carries them out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberOutput {
+    /// A message to another courier. It may be lost, duplicated or late.
     Send(Name, FleetMessage),
-    /// It is a member under this epoch. Where the book in its folder is not its own any more (`retained` is false), nothing of
-    /// what it says may be done.
+    /// The courier is registered.
     Joined {
+        /// The epoch of its registration.
         epoch: Epoch,
+        /// Whether the journal in its folder is still its own. If not, others have taken it over, and nothing
+        /// in it may be acted on.
         retained: bool,
     },
-    /// It may act until then by its own clock, if nothing else is said.
+    /// The courier may act until this time of its own clock, unless the lease is extended or revoked.
     Lease(Micros),
-    /// All that was written up to this mark is where it has to be.
+    /// The journal is replicated up to this offset in bytes, counted over all that was ever written.
     Replicated(u64),
-    /// Records are safe once they are at all of these; not enough: it may not take on (see [`MissingReplicas`]).
+    /// The replicas of the journal have changed.
     Replicas {
+        /// The couriers that have to have a record before it counts as written.
         at: BTreeSet<Name>,
+        /// Whether these are enough to accept messages (see [`MissingReplicas`](crate::config::MissingReplicas)).
         enough: bool,
     },
-    /// These parts of this sealed book are to be written into the journal, in one piece; of what came to that book from
-    /// others only the parts in `settled` were its own.
+    /// Partitions of a sealed journal are to be written into the own journal, at once.
     Adopt {
+        /// The partitions, all of the same journal.
         partitions: Vec<PartitionId>,
+        /// Partitions that the owner of the sealed journal had itself adopted. Of other partitions' records in
+        /// that journal nothing was its own.
         settled: BTreeSet<PartitionId>,
+        /// The sealed journal's contents.
         bytes: Vec<u8>,
     },
-    /// The part is its own: it goes on with it. Or somebody else has it.
+    /// The adoption of a partition is decided.
     ResolveAdoption {
+        /// The partition.
         source: PartitionId,
+        /// Whether it belongs to this courier, which acts on its records from now on. If not, another courier
+        /// has it.
         adopted: bool,
     },
-    /// Its book is no longer its own: the process has to begin anew.
+    /// The registration is void, and others may take over the journal: the process has to start again.
     Fenced,
-    /// The fleet knows that it has left.
+    /// The fleet has agreed that this courier has left.
     Left,
-    /// Connections to partners that are to be closed.
+    /// Connections to partners that have to be closed.
     CloseConnections(Vec<ConnectionOrder>),
-    /// What is agreed about a settlement has changed.
+    /// The agreed state of a settlement has changed.
     Settlement(settlement::SettlementEvent),
-    /// The agreed state came as a whole: what became of settlements' homes in between is not known.
+    /// The agreed state was replaced by a snapshot: changes of settlements on the way to it are not reported.
     SettlementsRestored,
-    /// Another courier's ask or word about a settlement.
+    /// Another courier's message about a settlement.
     SettlementReceived {
+        /// The sender.
         from: Name,
+        /// The message.
         message: settlement::SettlementMessage,
+        /// The body that goes with it.
         payload: Bytes,
     },
+    /// Something for the process's log.
     Notice(MemberNotice),
 }
-
-/// What the log is told.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum MemberNotice {
-    Joined {
-        epoch: Epoch,
-        retained: bool,
-    },
-    Deregistered {
-        name: Name,
-        epoch: Epoch,
-    },
-    Sealed(JournalId),
-    TakeoverStarted {
-        journal: JournalId,
-        partitions: usize,
-        bytes: usize,
-    },
-    ReplicaUnavailable {
-        journal: JournalId,
-    },
-    ReplicaLagging {
-        name: Name,
-    },
-    ReplicaRejected {
-        journal: JournalId,
-        what: String,
-    },
-    Leading(bool),
-    LeaseLost(bool),
-    Bootstrapping,
-    /// Those who agree are these from now on.
-    Voters(Vec<Name>),
-    /// The agreement's own word.
-    Agreement(String),
-}
-
-impl std::fmt::Display for MemberNotice {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            MemberNotice::Joined { epoch, retained: true } => {
-                write!(f, "fleet: member under epoch {epoch}, with the book in the folder")
-            }
-            MemberNotice::Joined { epoch, retained: false } => {
-                write!(
-                    f,
-                    "fleet: member under epoch {epoch}, with a new book: others have what was owed before"
-                )
-            }
-            MemberNotice::Deregistered { name, epoch } => write!(f, "fleet: {name} is gone (epoch {epoch})"),
-            MemberNotice::Sealed(journal) => write!(f, "fleet: book {journal} is sealed"),
-            MemberNotice::TakeoverStarted { journal, partitions, bytes } => {
-                write!(f, "fleet: takes over {partitions} parts of book {journal} ({bytes} bytes)")
-            }
-            MemberNotice::ReplicaUnavailable { journal } => write!(
-                f,
-                "fleet: no copy of book {journal} answers: start its owner or a holder of a copy with its folder"
-            ),
-            MemberNotice::ReplicaLagging { name } => {
-                write!(f, "fleet: the copy at {name} is late and is replaced: look at the link to it")
-            }
-            MemberNotice::ReplicaRejected { journal, what } => {
-                write!(f, "fleet: a copy of book {journal} can't be kept: {what}; look at the folder's disk")
-            }
-            MemberNotice::Leading(true) => write!(f, "fleet: leads"),
-            MemberNotice::Leading(false) => write!(f, "fleet: leads no more"),
-            MemberNotice::LeaseLost(true) => {
-                write!(f, "fleet: its lease is over: cut off, or too few voters are up; nothing is begun")
-            }
-            MemberNotice::LeaseLost(false) => write!(f, "fleet: has a lease"),
-            MemberNotice::Agreement(what) => write!(f, "fleet: {what}"),
-            MemberNotice::Voters(voters) => write!(f, "fleet: voters are {}", voters.join(", ")),
-            MemberNotice::Bootstrapping => write!(f, "fleet: begins a new one, as its first voter"),
-        }
-    }
-}
--- a/courier/fleet/src/member/log.rs
+++ b/courier/fleet/src/member/log.rs
@@ -1,26 +1,38 @@
-//! The agreed log, as a member uses it.
+//! The replicated log, as a member uses it.
 
-use super::*;
+use crate::NodeId;
+use crate::agreement::{Agreement, AgreementError, AgreementInput, AgreementOutput};
+use quillmount_core::store::Store;
+use quillmount_policy::Micros;
 
-/// The one log that all couriers agree on, as a member uses it: [`Agreement`], or a model of one where this is explored.
+/// The replicated log that all couriers agree on: [`Agreement`], or a model of it in explorations of a fleet.
 pub trait AgreementLog {
+    /// See [`Agreement::bootstrap`].
+    ///
     /// # Errors
-    /// There is one already, or it can't be written.
-    fn bootstrap(&mut self, now: Micros) -> Result<Vec<agreement::AgreementOutput>, AgreementError>;
-    fn step(&mut self, input: agreement::AgreementInput, now: Micros) -> Vec<agreement::AgreementOutput>;
+    /// The log is not empty, or can't be written.
+    fn bootstrap(&mut self, now: Micros) -> Result<Vec<AgreementOutput>, AgreementError>;
+    /// See [`Agreement::step`].
+    fn step(&mut self, input: AgreementInput, now: Micros) -> Vec<AgreementOutput>;
+    /// The leader, as far as it is known here.
     fn leader(&self) -> Option<NodeId>;
+    /// Whether this courier believes to lead.
     fn leads(&self) -> bool;
+    /// This courier's id.
     fn node_id(&self) -> NodeId;
+    /// The voters, in the order of their ids.
     fn voters(&self) -> Vec<NodeId>;
+    /// The learners, in the order of their ids.
     fn learners(&self) -> Vec<NodeId>;
+    /// When it wants [`AgreementInput::Tick`] at the latest.
     fn wake_at(&self) -> Option<Micros>;
 }
 
 impl<S: Store> AgreementLog for Agreement<S> {
-    fn bootstrap(&mut self, now: Micros) -> Result<Vec<agreement::AgreementOutput>, AgreementError> {
+    fn bootstrap(&mut self, now: Micros) -> Result<Vec<AgreementOutput>, AgreementError> {
         Agreement::bootstrap(self, now)
     }
-    fn step(&mut self, input: agreement::AgreementInput, now: Micros) -> Vec<agreement::AgreementOutput> {
+    fn step(&mut self, input: AgreementInput, now: Micros) -> Vec<AgreementOutput> {
         Agreement::step(self, input, now)
     }
     fn leader(&self) -> Option<NodeId> {
--- a/courier/fleet/src/member/mod.rs
+++ b/courier/fleet/src/member/mod.rs
@@ -1,181 +1,150 @@
-//! One courier of a fleet: its part in the agreement, its lease, its own book at other couriers, copies of theirs, and what
-//! it takes over from those that are lost. Whoever drives it moves messages, keeps time and carries its outputs out in order.
+//! One courier of a fleet: its part in the agreement, its lease, the replicas of its journal at other couriers, the
+//! replicas that it keeps for them, and its takeovers of sealed journals.
+//!
+//! A [`Member`] has no clock, thread or socket. Its driver hands it inputs with the time ([`Member::step`]) and
+//! carries out the outputs in order. It writes to its [`StoreDirectory`] before it returns anything that depends on
+//! what it wrote.
+//!
+//! `interface`, `notice` and `error` are what the driver sees; `log` and `stores` what it provides. The other modules
+//! are steps of the machine: `messages` and `agreement_outputs` dispatch what arrives, `fleet_events` applies changes
+//! of the agreed state, and `registration`, `own_journal`, `takeover`, `proposals`, `budget_shares` and `leadership`
+//! do what is due as time passes. `replica_host` keeps the replicas of others.
 
-mod agreement_events;
+mod agreement_outputs;
+mod budget_shares;
+mod error;
+mod fleet_events;
 mod interface;
-mod lead;
+mod leadership;
 mod log;
-mod peers;
+mod messages;
+mod notice;
+mod own_journal;
+mod proposals;
+mod registration;
+mod replica_host;
 mod stores;
-mod upkeep;
+mod takeover;
 
-pub use interface::{MemberError, MemberInput, MemberNotice, MemberOutput};
+pub use error::MemberError;
+pub use interface::{MemberInput, MemberOutput};
 pub use log::AgreementLog;
+pub use notice::MemberNotice;
 pub use stores::StoreDirectory;
 
 use crate::NodeId;
-use crate::agreement::{self, Agreement, AgreementError, MembershipChange};
+use crate::agreement::{Agreement, AgreementInput, AgreementLimits, Opened};
 use crate::breaks::{self, Break};
-use crate::budget::ConnectionOrder;
-use crate::config::{FleetConfig, MissingReplicas, Name};
+use crate::config::{FleetConfig, Name};
 use crate::lease::{GrantedLeases, HeldLease};
-use crate::message::{Envelope, FleetMessage};
-use crate::replication::{JournalReplica, JournalReplicator};
-use crate::settlement;
+use crate::message::FleetMessage;
+use crate::replication::{JournalReplica, JournalReplicator, MAX_REPLICA_BYTES};
+use crate::settlement::SettlementCommand;
 use crate::shares::BudgetShares;
-use crate::state::{
-    Epoch, FleetCommand, FleetEvent, FleetState, JournalId, PartitionId, PartitionState, Registration,
-};
-use bytes::Bytes;
-use quillmount_core::journal;
+use crate::state::{Epoch, FleetCommand, FleetState, JournalId};
+use own_journal::OwnReplication;
+use proposals::OutstandingProposal;
 use quillmount_core::store::Store;
 use quillmount_policy::Micros;
+use registration::{Discovery, PendingRenewal};
 use std::collections::{BTreeMap, BTreeSet};
-use std::io;
+use stores::{AGREEMENT_STORE, IDENTITY_STORE, journal_of_store, read_lineage};
+use takeover::Takeovers;
 
-/// What is wanted of the fleet is said again after so long, until it is so: a word may be lost, and so may a leader.
+/// Time after which a request to the fleet is repeated until it has its effect, in microseconds: a message may be
+/// lost, and so may a leader.
 const RETRY_INTERVAL: Micros = 250_000;
-/// A copy that confirms nothing for so many leases is replaced, and not chosen again for as many more.
-const MAX_LAG_LEASES: Micros = 2;
-/// A page of a sealed book is asked for again after so long, at the next of its copies.
-const FETCH_RETRY_INTERVAL: Micros = 300_000;
-/// No sealed book is longer, as no copy is.
-const MAX_JOURNAL_BYTES: u64 = crate::replication::MAX_REPLICA_BYTES;
-/// Settlements' verdicts are looked through for old ones so often.
-const VERDICT_SWEEP_INTERVAL: Micros = 10_000_000;
-/// Bytes for copies of others' books, where the driver says nothing else.
-const DEFAULT_REPLICA_CAPACITY: u64 = 16 * crate::replication::MAX_REPLICA_BYTES;
-/// Between two looks at what else is to be done: short against a lease.
+/// Time between two rounds of maintenance at the most, in microseconds: short against a lease.
 const MAINTENANCE_INTERVAL: Micros = 50_000;
+/// Bytes for replicas of others' journals, unless the driver sets another limit.
+const DEFAULT_REPLICA_CAPACITY: u64 = 16 * MAX_REPLICA_BYTES;
 
-/// A sealed book that is being read.
-#[derive(Clone, Debug, PartialEq, Eq)]
-struct SealedFetch {
-    bytes: Vec<u8>,
-    /// Of its copies, the one that is asked.
-    replica_index: usize,
-    retry_at: Micros,
-    /// Copies that said they have none, one after the other.
-    missing_replies: usize,
-}
-
-/// A part that is in the journal, and not settled.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct PendingAdoption {
-    /// It counts when the journal is safe up to there.
-    offset: u64,
-    /// The courier goes on with it; `done`: and its journal says so.
-    adopted: bool,
-    recorded: bool,
-}
-
-/// The machine.
+/// One courier's state machine in its fleet.
 #[derive(Clone)]
 pub struct Member<D: StoreDirectory, L = Agreement<<D as StoreDirectory>::Store>> {
+    /// The fleet's settings.
     pub config: FleetConfig,
-    /// Bytes that copies of others' books may take here; a seal is written beyond it.
+    /// Maximum bytes that replicas of others' journals may use. Seals are written even beyond it.
     pub replica_capacity: u64,
     stores: D,
     agreement: L,
     state: FleetState,
-    /// Its own process.
+    /// Random number of this process, which tells it from earlier ones of the same courier.
     incarnation: u64,
+    /// Lineage of the journal in the folder; `None`: there is none that counts.
     lineage: Option<Epoch>,
+    /// Where the lineage is stored.
     identity: D::Store,
     is_first: bool,
-    fresh: bool,
-    /// Other voters whose folders know of no fleet.
-    fresh_voters: BTreeSet<Name>,
+    discovery: Discovery,
     names_by_node: BTreeMap<NodeId, Name>,
-    /// Other couriers that know of a fleet: none is begun beside it.
-    initialized_peers: BTreeSet<Name>,
-    /// What was agreed up to there is in the state.
+    /// Index of the last log entry that `state` contains.
     applied_index: u64,
-    /// Its own registration, from the moment when it was agreed.
+    /// The epoch of this process's registration, from its commit on.
     epoch: Option<Epoch>,
+    /// The registration is void. It stays so until the process ends.
     fenced: bool,
     lease: HeldLease,
+    /// What was last reported of the lease.
     lease_lost: bool,
     is_leader: bool,
     granted_leases: GrantedLeases,
-    reads: BTreeMap<u64, (Name, Epoch, u64)>,
-    ticket: u64,
-    replicator: Option<JournalReplicator>,
-    proposed: BTreeSet<Name>,
-    lagging: BTreeMap<Name, Micros>,
-    replicated_offset: u64,
-    reported_replicas: Option<(BTreeSet<Name>, bool)>,
+    /// Lease renewals that wait for the leadership's confirmation, by the agreement's ticket.
+    pending_renewals: BTreeMap<u64, PendingRenewal>,
+    /// Ticket of the last request to the agreement.
+    last_ticket: u64,
+    replication: OwnReplication,
+    /// Replicas of others' journals.
     replicas: BTreeMap<JournalId, JournalReplica<D::Store>>,
-    /// Books of which a copy was last refused here, by the store.
+    /// Journals whose replica the store has rejected bytes of, as was reported.
     rejected_replicas: BTreeSet<JournalId>,
-    fetches: BTreeMap<JournalId, SealedFetch>,
-    pending: BTreeMap<PartitionId, PendingAdoption>,
-    outstanding: Vec<(FleetCommand, Micros)>,
+    takeovers: Takeovers,
+    outstanding: Vec<OutstandingProposal>,
     leaving: bool,
     left: bool,
     shares: BudgetShares,
-    /// Those that were last told to agree.
-    voters: Vec<Name>,
+    reported_voters: Vec<Name>,
     maintenance_at: Micros,
-    hello_at: Micros,
-    expire_at: Micros,
-    forget_at: Micros,
-}
-
-/// What the lasting folder says of the book beside it: the line of the journal, if there is one that counts.
-fn read_identity<S: Store>(store: &mut S) -> Result<Option<Epoch>, MemberError> {
-    let bytes = store.read()?;
-    Ok(if bytes.is_empty() { None } else { postcard::from_bytes(&bytes)? })
-}
-
-fn store_name(journal: &JournalId) -> String {
-    format!("copy.{}.{}", journal.epoch, journal.owner)
-}
-
-fn journal_of_store(name: &str) -> Option<JournalId> {
-    let (epoch, owner) = name.strip_prefix("copy.")?.split_once('.')?;
-    Some(JournalId { owner: owner.into(), epoch: epoch.parse().ok()? })
+    next_expiry_at: Micros,
+    next_verdict_sweep_at: Micros,
 }
 
 impl<D: StoreDirectory> Member<D> {
-    /// Takes up what the folder has; `incarnation` and `node_id` are drawn at random by the caller, the second for a new folder.
+    /// Opens the agreement's log and the rest of the folder. The caller draws `incarnation` and `node_id` at random;
+    /// the second is for a new folder.
     ///
     /// # Errors
-    /// What is there can't be read.
+    /// A store can't be opened, read or decoded.
     pub fn open(
         config: FleetConfig,
         mut stores: D,
         incarnation: u64,
         node_id: NodeId,
-        limits: agreement::AgreementLimits,
+        limits: AgreementLimits,
         now: Micros,
     ) -> Result<(Self, Vec<MemberOutput>), MemberError> {
-        let (agreement, opened) = Agreement::open(stores.open("agreement")?, node_id, limits, now)?;
+        let (agreement, opened) = Agreement::open(stores.open(AGREEMENT_STORE)?, node_id, limits, now)?;
         Member::with_log(config, stores, agreement, opened, incarnation, now)
     }
 }
 
 impl<D: StoreDirectory, L: AgreementLog> Member<D, L> {
-    /// Takes up what the folder has beside the log, which was opened already.
+    /// Opens what the folder has besides the agreement's log, which the caller has opened.
     ///
     /// # Errors
-    /// What is there can't be read.
+    /// A store can't be opened, read or decoded.
     pub fn with_log(
         config: FleetConfig,
         mut stores: D,
         agreement: L,
-        opened: agreement::Opened,
+        opened: Opened,
         incarnation: u64,
         now: Micros,
     ) -> Result<(Self, Vec<MemberOutput>), MemberError> {
-        let mut identity = stores.open("identity")?;
-        let (is_first, lineage) = (identity.is_empty(), read_identity(&mut identity)?);
-        let mut replicas = BTreeMap::new();
-        for name in stores.names()? {
-            if let Some(journal) = journal_of_store(&name) {
-                replicas.insert(journal, JournalReplica::open(stores.open(&name)?)?);
-            }
-        }
+        let mut identity = stores.open(IDENTITY_STORE)?;
+        let is_first = identity.is_empty();
+        let lineage = read_lineage(&mut identity)?;
+        let replicas = open_replicas(&mut stores)?;
         let shares = BudgetShares::new(
             &config.local_name,
             config.time_bounds(),
@@ -184,7 +153,6 @@
             now,
         );
         let mut member = Member {
-            shares,
             config,
             replica_capacity: DEFAULT_REPLICA_CAPACITY,
             stores,
@@ -194,10 +162,8 @@
             lineage,
             identity,
             is_first,
-            fresh: opened.new,
-            fresh_voters: BTreeSet::new(),
+            discovery: Discovery::new(opened.new, now),
             names_by_node: BTreeMap::new(),
-            initialized_peers: BTreeSet::new(),
             applied_index: 0,
             epoch: None,
             fenced: false,
@@ -205,58 +171,66 @@
             lease_lost: true,
             is_leader: false,
             granted_leases: GrantedLeases::default(),
-            reads: BTreeMap::new(),
-            ticket: 0,
-            replicator: None,
-            proposed: BTreeSet::new(),
-            lagging: BTreeMap::new(),
-            replicated_offset: 0,
-            reported_replicas: None,
+            pending_renewals: BTreeMap::new(),
+            last_ticket: 0,
+            replication: OwnReplication::default(),
             replicas,
             rejected_replicas: BTreeSet::new(),
-            fetches: BTreeMap::new(),
-            pending: BTreeMap::new(),
+            takeovers: Takeovers::default(),
             outstanding: Vec::new(),
             leaving: false,
             left: false,
-            voters: Vec::new(),
+            shares,
+            reported_voters: Vec::new(),
             maintenance_at: now,
-            hello_at: now,
-            expire_at: now,
-            forget_at: now,
+            next_expiry_at: now,
+            next_verdict_sweep_at: now,
         };
         let mut out = Vec::new();
-        member.restore(&opened.state)?;
+        member.apply_opened(opened, now, &mut out)?;
+        Ok((member, out))
+    }
+
+    fn apply_opened(
+        &mut self,
+        opened: Opened,
+        now: Micros,
+        out: &mut Vec<MemberOutput>,
+    ) -> Result<(), MemberError> {
+        self.restore(&opened.state)?;
         for (_, command) in opened.committed {
-            member.apply(&command, now, &mut out)?;
+            self.apply_command(&command, now, out)?;
         }
-        // A log that was begun and tells nothing yet: it is none of a new folder all the same.
-        member.fresh &= member.agreement.voters().is_empty();
-        member.index_node_names();
-        Ok((member, out))
+        // A log that has voters belongs to a fleet, even if nothing in it is known to be committed.
+        self.discovery.fresh &= self.agreement.voters().is_empty();
+        self.index_node_names();
+        Ok(())
     }
 
+    /// The state that the fleet has agreed on, as far as it is known here.
     pub fn state(&self) -> &FleetState {
         &self.state
     }
 
+    /// The replicated log.
     pub fn agreement(&self) -> &L {
         &self.agreement
     }
 
-    /// The epoch under which it serves.
+    /// The epoch of this process's registration, once it is committed.
     pub fn epoch(&self) -> Option<Epoch> {
         self.epoch
     }
 
-    /// It is a member, and may act.
+    /// Whether the courier is a member with a valid lease, so that it may accept messages and begin calls.
     pub fn may_act(&self, now: Micros) -> bool {
         self.epoch.is_some() && !self.fenced && (self.lease.is_valid(now) || breaks::on(Break::LeaseIgnored))
     }
 
+    /// When it wants [`MemberInput::Tick`] at the latest.
     pub fn wake_at(&self) -> Option<Micros> {
-        // One that is replaced or has left copies nothing more: a page that is due would be so for ever.
-        let replicator = self.replicator.as_ref().filter(|_| !self.fenced && !self.left);
+        // After it is fenced or has left no page is sent any more: one that is due would stay due for ever.
+        let replicator = self.replication.replicator.as_ref().filter(|_| !self.fenced && !self.left);
         let times = [
             Some(self.maintenance_at),
             self.agreement.wake_at(),
@@ -265,105 +239,127 @@
         times.into_iter().flatten().min()
     }
 
-    /// No process with this folder was ever one of a fleet: a journal that is there is nobody else's.
+    /// Whether no earlier process with this folder was a member of a fleet, and no other process had this courier's
+    /// name: a journal in the folder belongs to nobody else.
     pub fn is_first(&self) -> bool {
         self.is_first
     }
 
-    /// Notes the line of the journal that is in the folder from now on; `None`: what is there is worth nothing.
+    /// Stores the lineage of the journal that is in the folder from now on; `None`: the journal there is void.
     ///
     /// # Errors
-    /// The folder refuses it.
+    /// It can't be written.
     pub fn record_lineage(&mut self, lineage: Option<Epoch>) -> Result<(), MemberError> {
         self.identity.replace(&postcard::to_allocvec(&lineage)?)?;
         self.lineage = lineage;
         Ok(())
     }
 
-    /// The line of the book under which it serves.
+    /// The lineage of this courier's journal that the fleet has agreed on.
     pub fn agreed_lineage(&self) -> Option<Epoch> {
         self.state.journals.get(&self.journal_id()?).map(|journal| journal.lineage)
     }
 
-    /// Its book is sealed, or over: all that it owed is others' by now.
+    /// Whether the courier has left the fleet and its journal is sealed or retired: others have what was in it.
     pub fn has_left(&self) -> bool {
-        let own = self.journal_id().and_then(|journal| self.state.journals.get(&journal));
+        let own = self.journal_id().and_then(|id| self.state.journals.get(&id));
         self.left && own.is_none_or(|journal| journal.sealed.is_some())
     }
 
-    fn journal_id(&self) -> Option<JournalId> {
-        Some(JournalId { owner: self.config.local_name.clone(), epoch: self.epoch? })
-    }
-
+    /// Takes one input at the time `now` and returns what is to be done, in order.
+    ///
     /// # Errors
-    /// What has to outlast the process can't be written: the member says nothing more, and its lease runs out.
+    /// Something can't be written that has to outlast the process. The member must not be used any more; its lease
+    /// expires.
     pub fn step(&mut self, input: MemberInput, now: Micros) -> Result<Vec<MemberOutput>, MemberError> {
         let mut out = Vec::new();
         match input {
-            MemberInput::Tick => self.step_agreement(agreement::AgreementInput::Tick, now, &mut out)?,
+            MemberInput::Tick => self.step_agreement(AgreementInput::Tick, now, &mut out)?,
             MemberInput::Received(envelope) => self.receive(envelope, now, &mut out)?,
             MemberInput::JournalOpened { bytes, unsettled } => {
                 if let Some(journal) = self.journal_id() {
-                    let replicator = JournalReplicator::new(journal, bytes);
-                    let pending =
-                        PendingAdoption { offset: replicator.written(), adopted: false, recorded: false };
-                    self.pending = unsettled.into_iter().map(|source| (source, pending)).collect();
-                    self.replicator = Some(replicator);
+                    self.replication.replicator = Some(JournalReplicator::new(journal, bytes));
+                    self.resume_adoptions(unsettled);
                 }
             }
             MemberInput::JournalAppended(bytes) => {
-                if let Some(replicator) = &mut self.replicator {
+                if let Some(replicator) = &mut self.replication.replicator {
                     replicator.appended(&bytes);
                 }
             }
             MemberInput::JournalReplaced(bytes) => {
-                if let Some(replicator) = &mut self.replicator {
+                if let Some(replicator) = &mut self.replication.replicator {
                     replicator.replaced(bytes);
                 }
             }
-            MemberInput::Adopted(source) => {
-                let offset = self.replicator.as_ref().map_or(0, JournalReplicator::written);
-                self.pending.insert(source, PendingAdoption { offset, adopted: false, recorded: false });
-            }
-            MemberInput::AdoptionResolved(source) => {
-                let offset = self.replicator.as_ref().map_or(0, JournalReplicator::written);
-                if let Some(pending) = self.pending.get_mut(&source) {
-                    (pending.offset, pending.recorded) = (offset, true);
-                }
-            }
+            MemberInput::Adopted(source) => self.adoption_written(source),
+            MemberInput::AdoptionResolved(source) => self.adoption_recorded(&source),
             MemberInput::Leave => {
                 self.leaving = true;
                 self.shares.gate.leave();
             }
-            MemberInput::Settlement(command) => {
-                if let Some(leader) = self.leader().filter(|_| self.epoch.is_some()) {
-                    self.send_to(
-                        leader,
-                        FleetMessage::Propose(FleetCommand::Settlement(command)),
-                        now,
-                        &mut out,
-                    )?;
-                }
-            }
+            MemberInput::Settlement(command) => self.send_settlement_command(command, now, &mut out)?,
         }
         self.run_maintenance(now, &mut out)?;
         Ok(out)
     }
-}
 
-impl From<&PartitionId> for journal::Source {
-    fn from(source: &PartitionId) -> Self {
-        journal::Source {
-            owner: source.journal.owner.clone(),
-            epoch: source.journal.epoch,
-            part: source.partition as u32,
+    /// Does what is due as time passes.
+    fn run_maintenance(&mut self, now: Micros, out: &mut Vec<MemberOutput>) -> Result<(), MemberError> {
+        self.maintenance_at = now + MAINTENANCE_INTERVAL;
+        self.send_hello(now, out)?;
+        if self.fenced || self.left {
+            return Ok(());
+        }
+        self.renew_lease(now, out)?;
+        self.maintain_replicas(now, out);
+        self.maintain_budget_shares(now, out)?;
+        self.fetch_sealed(now, out)?;
+        self.propose_wanted(now, out)?;
+        if self.is_leader {
+            self.lead(now, out)?;
         }
+        Ok(())
+    }
+
+    fn send_settlement_command(
+        &mut self,
+        command: SettlementCommand,
+        now: Micros,
+        out: &mut Vec<MemberOutput>,
+    ) -> Result<(), MemberError> {
+        let Some(leader) = self.leader().filter(|_| self.epoch.is_some()) else { return Ok(()) };
+        self.send_to(leader, FleetMessage::Propose(FleetCommand::Settlement(command)), now, out)
+    }
+
+    /// The leader's name, if there is a leader and its name is known.
+    fn leader(&self) -> Option<Name> {
+        let node_id = self.agreement.leader()?;
+        if node_id == self.agreement.node_id() {
+            return Some(self.config.local_name.clone());
+        }
+        self.names_by_node.get(&node_id).cloned()
+    }
+
+    /// The own journal, under the epoch of this process's registration.
+    fn journal_id(&self) -> Option<JournalId> {
+        Some(JournalId { owner: self.config.local_name.clone(), epoch: self.epoch? })
+    }
+
+    fn next_ticket(&mut self) -> u64 {
+        self.last_ticket += 1;
+        self.last_ticket
     }
 }
 
-impl From<&journal::Source> for PartitionId {
-    fn from(source: &journal::Source) -> Self {
-        let journal = JournalId { owner: source.owner.clone(), epoch: source.epoch };
-        PartitionId { journal, partition: source.part as usize }
+fn open_replicas<D: StoreDirectory>(
+    stores: &mut D,
+) -> Result<BTreeMap<JournalId, JournalReplica<D::Store>>, MemberError> {
+    let mut replicas = BTreeMap::new();
+    for name in stores.names()? {
+        if let Some(journal) = journal_of_store(&name) {
+            replicas.insert(journal, JournalReplica::open(stores.open(&name)?)?);
+        }
     }
+    Ok(replicas)
 }
--- a/courier/fleet/src/state.rs
+++ b/courier/fleet/src/state.rs
@@ -1,5 +1,9 @@
-//! What the fleet agrees on: who is a member under which epoch, whose book is whose, who holds copies of it, and who takes
-//! over what of it. Every courier applies the same commands in the same order; nothing here knows the time.
+//! The replicated state of the fleet: who is a member under which epoch, which journals exist, where their replicas
+//! are, and who takes over what of them.
+//!
+//! Every courier applies the same committed commands in the same order ([`FleetState::apply`]), so that all have the
+//! same state. Nothing here depends on the time. The state is stored and sent in postcard's encoding, which goes by
+//! position: fields and variants must not be reordered.
 
 use crate::NodeId;
 use crate::breaks::{self, Break};
@@ -7,26 +11,32 @@
 use crate::config::{Name, rendezvous_weight};
 use crate::settlement;
 use crate::shares::{BudgetKind, SharedBudgets};
+use quillmount_core::journal;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Grows with each registration of any courier: whoever acts under an older one has been replaced.
+/// Number of a registration. It grows with each registration of any courier, and serves as a fencing token: a process
+/// with an older epoch of the same courier has been replaced.
 pub type Epoch = u64;
 
-/// A sealed book is taken over in so many parts, by destination: a dozen takers share one loss, and the state stays small.
+/// Number of partitions, by destination, in which a sealed journal is taken over: a dozen couriers can share the load
+/// of a lost one, and the state stays small.
 pub const PARTITIONS: usize = 16;
-/// Sealed books at once: beyond, no new member is registered until takers have done their work, since each loss adds one.
+/// Maximum number of journals, sealed ones included. Beyond it no member is registered until takeovers are complete,
+/// as each lost courier adds a sealed journal.
 pub const MAX_JOURNALS: usize = 4_096;
 
-/// The part of a book that a destination's messages are in.
+/// The partition of a journal that has the messages to a destination.
 pub fn partition_of(dest: u64) -> usize {
     (rendezvous_weight(&dest.to_le_bytes(), "") % PARTITIONS as u64) as usize
 }
 
-/// A book's name: the courier that writes it, and the epoch under which it does.
+/// Identifies a journal.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct JournalId {
+    /// The courier that writes it.
     pub owner: Name,
+    /// The epoch under which the owner writes it.
     pub epoch: Epoch,
 }
 
@@ -36,10 +46,12 @@
     }
 }
 
-/// A part of a sealed book.
+/// Identifies a partition of a sealed journal.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PartitionId {
+    /// The sealed journal.
     pub journal: JournalId,
+    /// Number of the partition, less than [`PARTITIONS`].
     pub partition: usize,
 }
 
@@ -49,139 +61,253 @@
     }
 }
 
+impl From<&PartitionId> for journal::Source {
+    fn from(source: &PartitionId) -> Self {
+        journal::Source {
+            owner: source.journal.owner.clone(),
+            epoch: source.journal.epoch,
+            part: source.partition as u32,
+        }
+    }
+}
+
+impl From<&journal::Source> for PartitionId {
+    fn from(source: &journal::Source) -> Self {
+        let journal = JournalId { owner: source.owner.clone(), epoch: source.epoch };
+        PartitionId { journal, partition: source.part as usize }
+    }
+}
+
+/// The latest registration of a courier.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registration {
+    /// The courier's id in the agreement.
     pub node_id: NodeId,
-    /// Drawn by its process.
+    /// Random number of its process.
     pub incarnation: u64,
+    /// Number of the registration.
     pub epoch: Epoch,
-    /// Its lease has not lapsed, and it has not left.
+    /// Whether it is a member: its lease has not expired, and it has not left.
     pub serving: bool,
 }
 
-/// Who has a part of a sealed book.
+/// Whose a partition of a sealed journal is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PartitionState {
-    /// Nobody is there to take it.
+    /// No courier serves that could take it over.
     Unassigned,
-    /// To be copied into this courier's book.
+    /// This courier, under this epoch, is to copy it into its own journal.
     Assigned(Name, Epoch),
-    /// It is in this courier's book, and its.
+    /// It is in this courier's journal, and this courier acts on it.
     Adopted(Name, Epoch),
-    /// That book says so itself: nothing more is to be remembered here.
+    /// That journal itself records the adoption, so that nothing has to be known here.
     Done,
 }
 
+/// A journal and its replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedJournal {
-    /// The epoch under which it began: the same as long as its owner goes on with the same journal.
+    /// The epoch under which it was begun. It stays the same as long as its owner goes on with it.
     pub lineage: Epoch,
-    /// Those at which each record has to be before it counts.
+    /// The couriers that have to have a record before it counts as written.
     pub replicas: BTreeSet<Name>,
-    /// Grows with each change of `replicas`, and with each folder that a copy may have been lost with. Where it is 0, nothing
-    /// that was written there counts.
+    /// Grows with each change of `replicas`, and with each folder that may have been lost with a replica. While it is
+    /// 0, nothing that was written to the journal counts.
     pub version: u64,
-    /// `None`: its owner writes it.
+    /// The owner of each partition; `None`: the journal is not sealed, and its owner writes it.
     pub sealed: Option<Vec<PartitionState>>,
 }
 
-/// Everything that is agreed.
+impl ReplicatedJournal {
+    /// Whether it is sealed and all of its partitions are done.
+    fn is_complete(&self) -> bool {
+        let sealed = self.sealed.as_ref();
+        sealed.is_some_and(|partitions| partitions.iter().all(|state| *state == PartitionState::Done))
+    }
+}
+
+/// The replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetState {
+    /// The epoch of the latest registration.
     pub epoch: Epoch,
+    /// The latest registration of each courier that ever was a member.
     pub members: BTreeMap<Name, Registration>,
+    /// All journals of which something is still to be known.
     pub journals: BTreeMap<JournalId, ReplicatedJournal>,
-    /// Partners' budgets, and who holds what of them.
+    /// Partners' budgets, and the couriers' shares of them.
     pub shared: SharedBudgets,
-    /// Settlements' homes, and the verdicts of those that are over.
+    /// The owners of settlements, and the verdicts of finished ones.
     pub settlements: settlement::SettlementRegistry,
 }
 
-/// One change of it. Each says under which circumstances it holds, so that a late or repeated one changes nothing.
+/// A change of the replicated state. Each names the conditions under which it is valid, so that a late or repeated one
+/// changes nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FleetCommand {
-    /// A courier's process has started; `journal`: the line of the book in its folder.
-    Join { name: Name, node_id: NodeId, incarnation: u64, journal: Option<Epoch> },
-    /// Its lease has lapsed, or it has left: its book is sealed.
-    Deregister { name: Name, epoch: Epoch },
-    /// The owner wants these copies; `version`: the one that it knows.
-    SetReplicas { journal: JournalId, version: u64, replicas: BTreeSet<Name> },
-    /// The part is in the taker's book.
-    Adopted { source: PartitionId, by: Name, epoch: Epoch },
-    /// The taker's book says so.
-    Done { source: PartitionId, by: Name, epoch: Epoch },
-    /// Of a partner's budget.
+    /// A courier's process has started and wants to be registered.
+    Join {
+        /// The courier.
+        name: Name,
+        /// Its id in the agreement.
+        node_id: NodeId,
+        /// Random number of the process.
+        incarnation: u64,
+        /// Lineage of the journal in its folder, if there is one.
+        journal: Option<Epoch>,
+    },
+    /// A courier's lease has expired, or it leaves: its journal is sealed.
+    Deregister {
+        /// The courier.
+        name: Name,
+        /// The registration that ends.
+        epoch: Epoch,
+    },
+    /// A journal's owner wants these replicas.
+    SetReplicas {
+        /// The journal.
+        journal: JournalId,
+        /// The version that the owner knows.
+        version: u64,
+        /// The wanted replicas.
+        replicas: BTreeSet<Name>,
+    },
+    /// A partition's records are in the journal of the courier that it is assigned to.
+    Adopted {
+        /// The partition.
+        source: PartitionId,
+        /// The courier.
+        by: Name,
+        /// The courier's registration.
+        epoch: Epoch,
+    },
+    /// The adopting courier's journal records the adoption.
+    Done {
+        /// The partition.
+        source: PartitionId,
+        /// The courier.
+        by: Name,
+        /// The courier's registration.
+        epoch: Epoch,
+    },
+    /// A change of a partner's budget.
     Budget(BudgetKind, budget::BudgetCommand),
-    /// Of a settlement's home.
+    /// A change of a settlement.
     Settlement(settlement::SettlementCommand),
 }
 
-/// What a command has changed.
+/// What a command has changed in the replicated state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FleetEvent {
-    /// It serves under this epoch; `retained`: the book in its folder is still its own.
+    /// A courier is registered.
     Joined {
+        /// The courier.
         name: Name,
+        /// Number of the registration.
         epoch: Epoch,
+        /// Random number of its process.
         incarnation: u64,
+        /// Whether the journal in its folder is still its own.
         retained: bool,
     },
+    /// A courier's registration has ended.
     Deregistered {
+        /// The courier.
         name: Name,
+        /// Number of the registration.
         epoch: Epoch,
     },
-    /// The same book under a new epoch, since its owner's process is another.
+    /// A journal has a new epoch, as its owner goes on with it in a new process.
     Renamed {
+        /// Its former id.
         from: JournalId,
+        /// Its id now.
         to: JournalId,
     },
+    /// A journal is sealed: its owner may not write it any more.
     Sealed(JournalId),
-    /// Its copies are others.
+    /// A journal has other replicas, or another version.
     ReplicasChanged(JournalId),
-    /// Somebody else has it, or somebody at all.
+    /// A partition is assigned to another courier, or to the first one.
     Assigned(PartitionId),
+    /// A partition is adopted by this courier under this epoch.
     Adopted(PartitionId, Name, Epoch),
-    /// All of a book is in others.
+    /// A journal is forgotten: all of its partitions are done, or it never had replicas.
     Retired(JournalId),
-    /// What couriers may use of partners' budgets is another.
+    /// Couriers' shares of partners' budgets have changed.
     BudgetsChanged,
+    /// A settlement has changed.
     Settlement(settlement::SettlementEvent),
 }
 
+/// The fields of [`FleetCommand::Join`].
+struct JoinRequest {
+    name: Name,
+    node_id: NodeId,
+    incarnation: u64,
+    journal: Option<Epoch>,
+}
+
+impl JoinRequest {
+    fn is_of(&self, registration: &Registration) -> bool {
+        registration.node_id == self.node_id && registration.incarnation == self.incarnation
+    }
+}
+
 impl FleetState {
-    /// Those that serve.
+    /// The couriers that serve.
     pub fn serving(&self) -> BTreeSet<Name> {
-        self.members.iter().filter(|(_, m)| m.serving).map(|(name, _)| name.clone()).collect()
+        self.serving_members().map(|(name, _)| name.clone()).collect()
     }
 
-    /// The epoch under which a courier serves.
+    /// The registrations of the couriers that serve.
+    pub(crate) fn serving_members(&self) -> impl Iterator<Item = (&Name, &Registration)> {
+        self.members.iter().filter(|(_, member)| member.serving)
+    }
+
+    /// The epoch under which a courier serves, if it does.
     pub fn epoch_of(&self, name: &str) -> Option<Epoch> {
         self.members.get(name).filter(|m| m.serving).map(|m| m.epoch)
     }
 
+    /// Whose a partition is; `None`: there is no such journal, or it is not sealed.
     pub fn partition(&self, source: &PartitionId) -> Option<&PartitionState> {
         self.journals.get(&source.journal)?.sealed.as_ref()?.get(source.partition)
     }
 
-    /// What a courier is to take over: parts that are given to it under this epoch.
+    /// The partitions that a courier is to take over: those that are assigned to it under this epoch.
     pub fn assigned_to<'a>(&'a self, name: &'a str, epoch: Epoch) -> impl Iterator<Item = PartitionId> + 'a {
-        self.journals.iter().flat_map(move |(journal, b)| {
-            let partitions = b.sealed.iter().flatten().enumerate();
-            partitions.filter_map(move |(partition, p)| match p {
-                PartitionState::Assigned(to, at) if to == name && *at == epoch => {
-                    Some(PartitionId { journal: journal.clone(), partition })
-                }
-                _ => None,
-            })
+        self.partitions_where(move |partition| {
+            matches!(partition, PartitionState::Assigned(to, at) if to == name && *at == epoch)
         })
     }
 
-    /// Applies a command; one that does not hold any more changes nothing and tells nothing.
+    /// The partitions that a courier has adopted under this epoch, and that are not done.
+    pub fn adopted_by<'a>(&'a self, name: &'a str, epoch: Epoch) -> impl Iterator<Item = PartitionId> + 'a {
+        self.partitions_where(move |partition| {
+            matches!(partition, PartitionState::Adopted(by, at) if by == name && *at == epoch)
+        })
+    }
+
+    fn partitions_where<'a>(
+        &'a self,
+        is_wanted: impl Fn(&PartitionState) -> bool + Copy + 'a,
+    ) -> impl Iterator<Item = PartitionId> + 'a {
+        self.journals.iter().flat_map(move |(id, journal)| {
+            let partitions = journal.sealed.iter().flatten().enumerate();
+            partitions
+                .filter(move |(_, partition)| is_wanted(partition))
+                .map(move |(partition, _)| PartitionId { journal: id.clone(), partition })
+        })
+    }
+
+    /// Applies a command and returns what it has changed. A command whose conditions do not hold any more changes
+    /// nothing.
     pub fn apply(&mut self, command: FleetCommand) -> Vec<FleetEvent> {
         let mut events = Vec::new();
         match command {
             FleetCommand::Join { name, node_id, incarnation, journal } => {
-                self.join(name, node_id, incarnation, journal, &mut events)
+                self.join(JoinRequest { name, node_id, incarnation, journal }, &mut events)
             }
             FleetCommand::Deregister { name, epoch } => {
                 if self.epoch_of(&name) == Some(epoch) {
@@ -189,27 +315,9 @@
                 }
             }
             FleetCommand::SetReplicas { journal, version, replicas } => {
-                let serving = self.serving();
-                if let Some(b) = self.journals.get_mut(&journal)
-                    && b.sealed.is_none()
-                    && b.version == version
-                    && replicas.is_subset(&serving)
-                    && !replicas.contains(&journal.owner)
-                {
-                    (b.replicas, b.version) = (replicas, version + 1);
-                    events.push(FleetEvent::ReplicasChanged(journal));
-                }
-            }
-            FleetCommand::Adopted { source, by, epoch } => {
-                let is_current = self.epoch_of(&by) == Some(epoch);
-                if let Some(partition) = self.partition_mut(&source)
-                    && is_current
-                    && *partition == PartitionState::Assigned(by.clone(), epoch)
-                {
-                    *partition = PartitionState::Adopted(by.clone(), epoch);
-                    events.push(FleetEvent::Adopted(source, by, epoch));
-                }
+                self.set_replicas(journal, version, replicas, &mut events);
             }
+            FleetCommand::Adopted { source, by, epoch } => self.adopt(source, by, epoch, &mut events),
             FleetCommand::Done { source, by, epoch } => {
                 if let Some(partition) = self.partition_mut(&source)
                     && *partition == PartitionState::Adopted(by, epoch)
@@ -218,23 +326,13 @@
                     self.retire_completed(&mut events);
                 }
             }
-            FleetCommand::Budget(count, command) => {
-                if self.shared.apply(count, &command) {
+            FleetCommand::Budget(kind, command) => {
+                if self.shared.apply(kind, &command) {
                     events.push(FleetEvent::BudgetsChanged);
                 }
             }
             FleetCommand::Settlement(command) => {
-                // Only a member that serves is home to any.
-                let is_current = match &command {
-                    settlement::SettlementCommand::Open { owner, owner_epoch, .. } => {
-                        self.epoch_of(owner) == Some(*owner_epoch)
-                    }
-                    settlement::SettlementCommand::Move { to, to_epoch, .. } => {
-                        self.epoch_of(to) == Some(*to_epoch)
-                    }
-                    _ => true,
-                };
-                if is_current {
+                if self.owner_is_serving(&command) {
                     events.extend(self.settlements.apply(&command).into_iter().map(FleetEvent::Settlement));
                 }
             }
@@ -242,24 +340,57 @@
         events
     }
 
-    fn partition_mut(&mut self, source: &PartitionId) -> Option<&mut PartitionState> {
-        self.journals.get_mut(&source.journal)?.sealed.as_mut()?.get_mut(source.partition)
-    }
-
-    fn join(
+    fn set_replicas(
         &mut self,
-        name: Name,
-        node_id: NodeId,
-        incarnation: u64,
-        journal: Option<Epoch>,
+        id: JournalId,
+        version: u64,
+        replicas: BTreeSet<Name>,
         events: &mut Vec<FleetEvent>,
     ) {
-        // Asked twice, since the first word may have been lost: the same life keeps what it got.
-        if self
-            .members
-            .get(&name)
-            .is_some_and(|m| m.serving && m.node_id == node_id && m.incarnation == incarnation)
+        let serving = self.serving();
+        let Some(journal) = self.journals.get_mut(&id) else { return };
+        if journal.sealed.is_none()
+            && journal.version == version
+            && replicas.is_subset(&serving)
+            && !replicas.contains(&id.owner)
         {
+            journal.replicas = replicas;
+            journal.version = version + 1;
+            events.push(FleetEvent::ReplicasChanged(id));
+        }
+    }
+
+    fn adopt(&mut self, source: PartitionId, by: Name, epoch: Epoch, events: &mut Vec<FleetEvent>) {
+        if self.epoch_of(&by) != Some(epoch) {
+            return;
+        }
+        let Some(partition) = self.partition_mut(&source) else { return };
+        if *partition == PartitionState::Assigned(by.clone(), epoch) {
+            *partition = PartitionState::Adopted(by.clone(), epoch);
+            events.push(FleetEvent::Adopted(source, by, epoch));
+        }
+    }
+
+    /// Whether the courier that a settlement is to be owned by serves under the given epoch. Commands that name no
+    /// new owner are always valid in this respect.
+    fn owner_is_serving(&self, command: &settlement::SettlementCommand) -> bool {
+        match command {
+            settlement::SettlementCommand::Open { owner, owner_epoch, .. } => {
+                self.epoch_of(owner) == Some(*owner_epoch)
+            }
+            settlement::SettlementCommand::Move { to, to_epoch, .. } => self.epoch_of(to) == Some(*to_epoch),
+            _ => true,
+        }
+    }
+
+    fn partition_mut(&mut self, source: &PartitionId) -> Option<&mut PartitionState> {
+        self.journals.get_mut(&source.journal)?.sealed.as_mut()?.get_mut(source.partition)
+    }
+
+    fn join(&mut self, request: JoinRequest, events: &mut Vec<FleetEvent>) {
+        let former = self.members.get(&request.name).cloned();
+        // A repeated request of the same process, as a reply may have been lost.
+        if former.as_ref().is_some_and(|former| former.serving && request.is_of(former)) {
             return;
         }
         if self.journals.len() >= MAX_JOURNALS {
@@ -267,54 +398,20 @@
         }
         self.epoch += 1;
         let epoch = self.epoch;
-        let old = self.members.get(&name).cloned();
-        if let Some(m) = &old
-            && m.node_id != node_id
+        if former.as_ref().is_some_and(|former| former.node_id != request.node_id)
             && !breaks::on(Break::EmptyReplicaTrusted)
         {
-            // Its folder is lost, and with it all copies that it held for others.
-            self.drop_replicas_at(&name, true, events);
+            // Its folder is lost, and all replicas in it.
+            self.drop_replicas_at(&request.name, true, events);
         }
-        let from = old.map(|m| JournalId { owner: name.clone(), epoch: m.epoch });
-        // Its own book is still its own if nobody has taken any of it.
-        let retained = from.filter(|from| {
-            let unadopted =
-                |p: &PartitionState| matches!(p, PartitionState::Unassigned | PartitionState::Assigned(..));
-            let own = |b: &ReplicatedJournal| {
-                journal == Some(b.lineage) && b.sealed.iter().flatten().all(unadopted)
-            };
-            self.journals.get(from).is_some_and(own)
-        });
-        let to = JournalId { owner: name.clone(), epoch };
+        let former_journal =
+            former.map(|former| JournalId { owner: request.name.clone(), epoch: former.epoch });
+        let retained = former_journal.filter(|id| self.is_retained(id, request.journal));
         match &retained {
-            Some(from) => {
-                if let Some(b) = self.journals.remove(from) {
-                    let serving = self.serving();
-                    let replicas =
-                        b.replicas.into_iter().filter(|replica| serving.contains(replica)).collect();
-                    let b = ReplicatedJournal { sealed: None, version: b.version + 1, replicas, ..b };
-                    self.journals.insert(to.clone(), b);
-                }
-                self.reassign_partitions(&name, from.epoch, epoch);
-                events.push(FleetEvent::Renamed { from: from.clone(), to });
-            }
-            None => {
-                if let Some(m) = self.members.get(&name).cloned() {
-                    if m.serving {
-                        self.deregister(&name, m.epoch, events);
-                    }
-                    let id = JournalId { owner: name.clone(), epoch: m.epoch };
-                    if self.journals.get(&id).is_some_and(|b| b.version == 0) {
-                        self.journals.remove(&id);
-                        events.push(FleetEvent::Retired(id));
-                    }
-                }
-                self.journals.insert(
-                    to,
-                    ReplicatedJournal { lineage: epoch, replicas: BTreeSet::new(), version: 0, sealed: None },
-                );
-            }
+            Some(from) => self.rename_journal(from, epoch, events),
+            None => self.begin_journal(&request.name, epoch, events),
         }
+        let JoinRequest { name, node_id, incarnation, .. } = request;
         self.members.insert(name.clone(), Registration { node_id, incarnation, epoch, serving: true });
         self.shared.joined(&name, epoch);
         events.push(FleetEvent::Joined {
@@ -329,9 +426,51 @@
         self.assign_partitions(events);
     }
 
-    /// A process that goes on with its book goes on with what it had to take over, too.
+    /// Whether a courier that has a journal of the lineage `lineage` in its folder goes on with the journal `id`: if
+    /// it is that one, and nobody has adopted any of it.
+    fn is_retained(&self, id: &JournalId, lineage: Option<Epoch>) -> bool {
+        let Some(journal) = self.journals.get(id) else { return false };
+        lineage == Some(journal.lineage)
+            && journal.sealed.iter().flatten().all(|partition| {
+                matches!(partition, PartitionState::Unassigned | PartitionState::Assigned(..))
+            })
+    }
+
+    /// The owner goes on with its journal under a new epoch.
+    fn rename_journal(&mut self, from: &JournalId, epoch: Epoch, events: &mut Vec<FleetEvent>) {
+        let to = JournalId { owner: from.owner.clone(), epoch };
+        if let Some(mut journal) = self.journals.remove(from) {
+            let serving = self.serving();
+            journal.sealed = None;
+            journal.version += 1;
+            journal.replicas.retain(|replica| serving.contains(replica));
+            self.journals.insert(to.clone(), journal);
+        }
+        self.reassign_partitions(&from.owner, from.epoch, epoch);
+        events.push(FleetEvent::Renamed { from: from.clone(), to });
+    }
+
+    /// The courier begins a new journal. A former one that never had replicas is forgotten: nobody can read it.
+    fn begin_journal(&mut self, name: &Name, epoch: Epoch, events: &mut Vec<FleetEvent>) {
+        if let Some(former) = self.members.get(name).cloned() {
+            if former.serving {
+                self.deregister(name, former.epoch, events);
+            }
+            let id = JournalId { owner: name.clone(), epoch: former.epoch };
+            if self.journals.get(&id).is_some_and(|journal| journal.version == 0) {
+                self.journals.remove(&id);
+                events.push(FleetEvent::Retired(id));
+            }
+        }
+        self.journals.insert(
+            JournalId { owner: name.clone(), epoch },
+            ReplicatedJournal { lineage: epoch, replicas: BTreeSet::new(), version: 0, sealed: None },
+        );
+    }
+
+    /// A courier that goes on with its journal goes on with its takeovers, too.
     fn reassign_partitions(&mut self, name: &str, from: Epoch, to: Epoch) {
-        let partitions = self.journals.values_mut().filter_map(|b| b.sealed.as_mut()).flatten();
+        let partitions = self.journals.values_mut().filter_map(|journal| journal.sealed.as_mut()).flatten();
         for partition in partitions {
             match partition {
                 PartitionState::Assigned(by, epoch) | PartitionState::Adopted(by, epoch)
@@ -344,10 +483,12 @@
         }
     }
 
-    /// A sealed book's copy may be needed when its holder is back; one whose folder is lost (`lost`) will not.
+    /// Removes a courier from the replicas. Its replicas of sealed journals stay listed, as they may be needed when it
+    /// is back, unless its folder is lost (`lost`).
     fn drop_replicas_at(&mut self, name: &str, lost: bool, events: &mut Vec<FleetEvent>) {
-        for (id, journal) in self.journals.iter_mut().filter(|(_, b)| lost || b.sealed.is_none()) {
-            // An owner that has not heard of it yet may ask for the copy that was lost: that word is void.
+        let affected = self.journals.iter_mut().filter(|(_, journal)| lost || journal.sealed.is_none());
+        for (id, journal) in affected {
+            // An owner that does not know of the loss yet may propose the lost replica: the new version voids that.
             let may_be_requested = lost && journal.sealed.is_none() && journal.version > 0;
             if journal.replicas.remove(name) || may_be_requested {
                 journal.version += 1;
@@ -357,15 +498,15 @@
     }
 
     fn deregister(&mut self, name: &str, epoch: Epoch, events: &mut Vec<FleetEvent>) {
-        if let Some(m) = self.members.get_mut(name) {
-            m.serving = false;
+        if let Some(member) = self.members.get_mut(name) {
+            member.serving = false;
         }
         self.shared.gone(name, epoch);
         self.settlements.deregister(name, epoch);
         events.push(FleetEvent::Deregistered { name: name.into(), epoch });
         self.drop_replicas_at(name, false, events);
         let id = JournalId { owner: name.into(), epoch };
-        // Of a book that never had a copy nothing can be taken over: it stays its owner's, as it is.
+        // A journal that never had a replica can't be taken over: it stays its owner's.
         if let Some(journal) = self.journals.get_mut(&id).filter(|journal| journal.version > 0) {
             journal.sealed = Some(vec![PartitionState::Unassigned; PARTITIONS]);
             events.push(FleetEvent::Sealed(id));
@@ -380,21 +521,23 @@
         self.assign_partitions(events);
     }
 
-    /// A courier goes on with its book: it is home to its settlements again.
+    /// A courier that goes on with its journal owns its settlements again.
     fn reclaim_settlements(&mut self, name: &str, from: Epoch, to: Epoch, events: &mut Vec<FleetEvent>) {
         let journals = &self.journals;
         let read = |journal: &settlement::JournalRef, dest: u64| {
             let id = JournalId { owner: journal.courier.clone(), epoch: journal.epoch };
-            let partition = journals.get(&id).and_then(|b| b.sealed.as_ref()?.get(partition_of(dest)));
+            let sealed = journals.get(&id).and_then(|journal| journal.sealed.as_ref());
+            let partition = sealed.and_then(|partitions| partitions.get(partition_of(dest)));
             !matches!(partition, Some(PartitionState::Unassigned | PartitionState::Assigned(..)))
         };
         events.extend(self.settlements.reclaim(name, from, to, read).into_iter().map(FleetEvent::Settlement));
     }
 
-    /// Names takers for what waits: by part, so that each message has exactly one and the work spreads.
+    /// Assigns unassigned partitions and lost settlements to serving couriers, by rendezvous hashing of the partition's
+    /// number: each message gets exactly one courier, and the load is spread.
     fn assign_partitions(&mut self, events: &mut Vec<FleetEvent>) {
         let serving: Vec<(Name, Epoch)> =
-            self.members.iter().filter(|(_, m)| m.serving).map(|(name, m)| (name.clone(), m.epoch)).collect();
+            self.serving_members().map(|(name, member)| (name.clone(), member.epoch)).collect();
         for (id, journal) in &mut self.journals {
             for (n, partition) in journal.sealed.iter_mut().flatten().enumerate() {
                 let best = serving.iter().max_by_key(|(name, _)| rendezvous_weight(&n.to_le_bytes(), name));
@@ -404,7 +547,7 @@
                 }
             }
         }
-        // A settlement's records are in the part of its destination.
+        // A settlement's records are in the partition of its destination.
         let members = &self.members;
         let serves =
             |name: &str, epoch: Epoch| members.get(name).is_some_and(|m| m.serving && m.epoch == epoch);
@@ -418,21 +561,17 @@
         );
     }
 
-    /// Forgets books of which all is in others; what was in those, is in their takers' by now.
+    /// Forgets journals of which all partitions are done. What such a journal had adopted itself is done with it: its
+    /// partitions took those records along. That may complete other journals in turn.
     fn retire_completed(&mut self, events: &mut Vec<FleetEvent>) {
         loop {
-            let done = |b: &ReplicatedJournal| {
-                b.sealed
-                    .as_ref()
-                    .is_some_and(|partitions| partitions.iter().all(|p| *p == PartitionState::Done))
-            };
-            let Some(id) = self.journals.iter().find(|(_, b)| done(b)).map(|(id, _)| id.clone()) else {
-                return;
-            };
+            let complete = self.journals.iter().find(|(_, journal)| journal.is_complete());
+            let Some(id) = complete.map(|(id, _)| id.clone()) else { return };
             self.journals.remove(&id);
-            let partitions = self.journals.values_mut().filter_map(|b| b.sealed.as_mut()).flatten();
-            for partition in partitions.filter(|p| **p == PartitionState::Adopted(id.owner.clone(), id.epoch))
-            {
+            let adopted = PartitionState::Adopted(id.owner.clone(), id.epoch);
+            let partitions =
+                self.journals.values_mut().filter_map(|journal| journal.sealed.as_mut()).flatten();
+            for partition in partitions.filter(|partition| **partition == adopted) {
                 *partition = PartitionState::Done;
             }
             events.push(FleetEvent::Retired(id));
