--- a/courier/fleet/src/breaks.rs
+++ b/courier/fleet/src/breaks.rs
@@ -1,7 +1,9 @@
-//! Deliberate breaks of the fleet's code, each of which the tests have to find; no release build has them.
+//! Deliberate faults in the fleet's code, by which the tests prove that they can fail. Only builds with the feature
+//! `breaks` have them, and no release build does.
 
-/// The switch for one enumeration of breaks: `on` says whether one is on, `set` puts it on, or all off. One at most is on, for
-/// the thread that put it on, so that tests side by side don't meet; without the feature `breaks` none ever is.
+/// Defines the switch of an enumeration of faults: `on` says whether one is enabled, `set` enables one or none. At most
+/// one is enabled, for the thread that enabled it, so that tests can run in parallel. Without the feature `breaks` none
+/// ever is.
 macro_rules! switch {
     ($Break:ty) => {
         #[cfg(feature = "breaks")]
@@ -9,20 +11,20 @@
             static CHOSEN: std::cell::Cell<Option<$Break>> = const { std::cell::Cell::new(None) };
         }
 
-        /// Whether this break is on.
+        /// Whether this fault is enabled in this thread.
         #[cfg(feature = "breaks")]
         pub fn on(one: $Break) -> bool {
             CHOSEN.get() == Some(one)
         }
 
-        /// Never: this build has no breaks.
+        /// Never: this build has no deliberate faults.
         #[cfg(not(feature = "breaks"))]
         #[inline(always)]
         pub const fn on(_: $Break) -> bool {
             false
         }
 
-        /// Puts a break on, or all off, for this thread.
+        /// Enables a fault, or none, for this thread.
         #[cfg(feature = "breaks")]
         pub fn set(one: Option<$Break>) {
             CHOSEN.set(one);
@@ -31,20 +33,20 @@
 }
 pub(crate) use switch;
 
-/// What is broken.
+/// The deliberate faults in replication, leases and takeovers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Break {
-    /// A copy takes records of an owner whose book is sealed.
+    /// A replica accepts records of an owner whose journal is sealed.
     SealIgnored,
-    /// What is written counts before any copy has it.
+    /// What is written counts as replicated before any replica has it.
     ReplicatedAtOnce,
-    /// A part is gone on with before the fleet has agreed that it is taken.
+    /// A member acts on a partition before the fleet has committed its adoption.
     AdoptedAtOnce,
     /// A member acts without a lease.
     LeaseIgnored,
-    /// A new leader counts members as gone at once.
+    /// A new leader counts members as gone without waiting for the length of a lease.
     NoGrace,
-    /// A copy that came back with an empty folder counts as in step.
+    /// A replica whose courier came back with an empty folder counts as caught up.
     EmptyReplicaTrusted,
 }
 
