--- a/courier/fleet/src/settlement/breaks.rs
+++ b/courier/fleet/src/settlement/breaks.rs
@@ -1,29 +1,30 @@
-//! Deliberate breaks of the settlements' code, behind the feature `breaks`: its tests prove with them that
-//! they can fail. Without the feature every one is off at compile time.
+//! Deliberate faults in the settlements' code, behind the feature `breaks`: with them the tests prove that they can
+//! fail. Without the feature each is off at compile time.
 
+/// A deliberate fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Break {
-    /// A debit that may have run is sent again.
+    /// A message that may have run and is not idempotent is sent again.
     DebitRepeated,
     /// A session's settlement counts as closed before the partner has confirmed it.
     ClosedEarly,
-    /// A position that is missing is passed over.
+    /// A missing position is skipped.
     SkipHole,
-    /// What was handed in goes on after a break.
+    /// Positions after a break are sent.
     AfterBreak,
-    /// A position is sent before its record is in the book.
+    /// A position is sent before its record is in the journal.
     SendUnwritten,
-    /// A taker opens its session at once.
+    /// A new owner opens its session without waiting for the lost owner's to end.
     NoLinger,
-    /// A taker takes an attempt that was out for one that never ran.
+    /// A new owner counts an attempt that was in flight as one that never ran.
     OutNeverRan,
-    /// A home that was asked to move goes on while the move is being agreed.
+    /// An owner that proposed a move continues while it is being agreed on.
     ReleaseInMove,
-    /// A hand-in is answered before its record is in the book.
+    /// A submission is acknowledged before its record is in the journal.
     ReplyUnwritten,
 }
 
-/// Each break.
+/// Every fault.
 pub const ALL: &[Break] = &[
     Break::DebitRepeated,
     Break::ClosedEarly,
--- /dev/null
+++ b/courier/fleet/src/settlement/owner/capacity.rs
@@ -0,0 +1,70 @@
+//! Capacity: the connections that sessions reserve, and the pending messages of each tenant.
+
+use super::interface::{ATTEMPT_BACKOFF, OwnerOutput};
+use super::machine::TenantOverload;
+use super::owned::OwnedSettlements;
+use crate::settlement::model::SettlementId;
+use crate::settlement::session::{Pins, SessionKey};
+use quillmount_policy::Micros;
+
+impl OwnedSettlements {
+    /// Requests a connection of the tenant's budget for this session.
+    pub(super) fn pin(&mut self, id: &SettlementId, session: u32, outputs: &mut Vec<OwnerOutput>) {
+        let key = (id.tenant.clone(), id.dest);
+        let budget = self.budgets.get(&key).copied().unwrap_or(0);
+        let pins = self.pins.entry(key).or_insert_with(|| Pins::new(budget));
+        let granted = pins.request((id.clone(), session));
+        outputs.extend(pin_outputs(granted));
+    }
+
+    /// Returns the session's connection, or withdraws its request for one.
+    pub(super) fn unpin(&mut self, id: &SettlementId, session: u32, outputs: &mut Vec<OwnerOutput>) {
+        let key = (id.tenant.clone(), id.dest);
+        let session_key = (id.clone(), session);
+        let Some(pins) = self.pins.get_mut(&key) else { return };
+        let was_pinned = pins.is_pinned(&session_key);
+        let granted = pins.release(&session_key);
+        if pins.is_unused() {
+            self.pins.remove(&key);
+        }
+        if was_pinned {
+            outputs.push(OwnerOutput::Unpin { id: id.clone(), session });
+        }
+        outputs.extend(pin_outputs(granted));
+    }
+
+    /// A settlement's pending messages and their bytes have changed from `old` to `new`.
+    pub(super) fn change_load(&mut self, id: &SettlementId, old: (u64, u64), new: (u64, u64)) {
+        if old == new {
+            return;
+        }
+        let load = self.loads.entry(id.tenant.clone()).or_default();
+        *load = (load.0 + new.0 - old.0, load.1 + new.1 - old.1);
+        if *load == (0, 0) {
+            self.loads.remove(&id.tenant);
+        }
+    }
+
+    /// Whether the tenant may have one more pending message, of this size.
+    pub(super) fn check_tenant_load(
+        &self,
+        id: &SettlementId,
+        size: u64,
+        now: Micros,
+    ) -> Result<(), TenantOverload> {
+        let (waiting, bytes) = self.loads.get(&id.tenant).copied().unwrap_or_default();
+        if waiting < self.limits.tenant_count && bytes + size <= self.limits.tenant_bytes {
+            return Ok(());
+        }
+        let first = SettlementId { tenant: id.tenant.clone(), name: String::new(), dest: 0 };
+        let of_tenant = self.settlements.range(first..).take_while(|(other, _)| other.tenant == id.tenant);
+        let soonest = of_tenant.filter_map(|(_, settlement)| settlement.earliest_deadline()).min();
+        let after = soonest.unwrap_or(now).saturating_sub(now).max(ATTEMPT_BACKOFF);
+        Err(TenantOverload { waiting, bytes, after })
+    }
+}
+
+/// The outputs that notify sessions of the connections they were granted.
+pub(super) fn pin_outputs(granted: Vec<SessionKey>) -> impl Iterator<Item = OwnerOutput> {
+    granted.into_iter().map(|(id, session)| OwnerOutput::Pin { id, session })
+}
--- /dev/null
+++ b/courier/fleet/src/settlement/owner/owned.rs
@@ -0,0 +1,282 @@
+//! The settlements of one courier: passes each input to its settlement and keeps the times at which they are due.
+
+use super::capacity::pin_outputs;
+use super::interface::{OwnerInput, OwnerOutput, RETRY_INTERVAL, SettlementLimits};
+use super::machine::{Context, Handover, PinChange, Settlement, earlier};
+use crate::settlement::model::{Mode, SettlementId};
+use crate::settlement::progress::SettlementProgress;
+use crate::settlement::registry::{SettlementCommand, SettlementOwner, SettlementRegistry};
+use crate::settlement::request::SettlementRequest;
+use crate::settlement::session::{Pins, SessionKey};
+use quillmount_policy::Micros;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// The settlements of one courier in one registration.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct OwnedSettlements {
+    pub(super) local_name: String,
+    pub(super) epoch: u64,
+    pub(super) limits: SettlementLimits,
+    /// By destination.
+    pub(super) modes: BTreeMap<u64, Mode>,
+    /// By tenant and destination.
+    pub(super) budgets: BTreeMap<(String, u64), u32>,
+    pub(super) settlements: BTreeMap<SettlementId, Settlement>,
+    /// By tenant: pending messages, and their bytes.
+    pub(super) loads: BTreeMap<String, (u64, u64)>,
+    /// By tenant and destination.
+    pub(super) pins: BTreeMap<(String, u64), Pins>,
+    /// Sessions of settlements that have ended or moved, until their connections are gone.
+    pub(super) dropping: BTreeSet<SessionKey>,
+    /// When each settlement wants to act next.
+    pub(super) due: BTreeSet<(Micros, SettlementId)>,
+    /// The settlement of each write that is under way.
+    pub(super) writes: BTreeMap<u64, SettlementId>,
+    /// The number of the last write.
+    pub(super) seq: u64,
+    pub(super) draining: Option<Handover>,
+    /// When to repeat that this courier is not leaving any more, until it is agreed on.
+    pub(super) cancel_drain_at: Option<Micros>,
+    pub(super) is_sealed: bool,
+}
+
+/// One step: the agreed state and the time that it sees, and what it leads to.
+pub(super) struct OwnerStep<'a> {
+    pub(super) registry: &'a SettlementRegistry,
+    pub(super) now: Micros,
+    pub(super) outputs: Vec<OwnerOutput>,
+}
+
+impl OwnedSettlements {
+    /// None yet: a courier of this name begins a registration under this epoch.
+    pub fn new(local_name: &str, epoch: u64, limits: SettlementLimits) -> OwnedSettlements {
+        OwnedSettlements {
+            local_name: local_name.into(),
+            epoch,
+            limits,
+            modes: BTreeMap::new(),
+            budgets: BTreeMap::new(),
+            settlements: BTreeMap::new(),
+            loads: BTreeMap::new(),
+            pins: BTreeMap::new(),
+            dropping: BTreeSet::new(),
+            due: BTreeSet::new(),
+            writes: BTreeMap::new(),
+            seq: 0,
+            draining: None,
+            cancel_drain_at: None,
+            is_sealed: false,
+        }
+    }
+
+    /// The mode in which the partner wants settlements that are opened from now on.
+    /// How a partner wants the settlements that are opened from now on.
+    pub fn set_mode(&mut self, dest: u64, mode: Mode) {
+        self.modes.insert(dest, mode);
+    }
+
+    /// The connections that a tenant may have at a partner from this courier; half of them may be reserved for
+    /// sessions. Returns the reservations that it makes possible.
+    pub fn set_budget(&mut self, tenant: &str, dest: u64, budget: u32) -> Vec<OwnerOutput> {
+        let key = (tenant.to_string(), dest);
+        self.budgets.insert(key.clone(), budget);
+        let granted = self.pins.get_mut(&key).map(|pins| pins.set_budget(budget)).unwrap_or_default();
+        pin_outputs(granted).collect()
+    }
+
+    /// When an [`OwnerInput::Tick`] is wanted.
+    /// When an [`OwnerInput::Tick`] is wanted.
+    pub fn wake_at(&self) -> Option<Micros> {
+        earlier(self.due.first().map(|(at, _)| *at), self.cancel_drain_at)
+    }
+
+    /// The number of settlements, of their pending messages, and the bytes of these.
+    pub fn sizes(&self) -> (usize, u64, u64) {
+        let (messages, bytes) = self
+            .loads
+            .values()
+            .fold((0, 0), |(messages, bytes), (count, size)| (messages + count, bytes + size));
+        (self.settlements.len(), messages, bytes)
+    }
+
+    /// The connections that are reserved for a tenant's sessions at a partner.
+    /// Connections that are pinned for a tenant at a partner.
+    pub fn pinned(&self, tenant: &str, dest: u64) -> usize {
+        self.pins.get(&(tenant.to_string(), dest)).map_or(0, Pins::pinned)
+    }
+
+    /// Handles one input; returns what is to be done, in order.
+    pub fn step(
+        &mut self,
+        registry: &SettlementRegistry,
+        input: OwnerInput,
+        now: Micros,
+    ) -> Vec<OwnerOutput> {
+        if self.is_sealed {
+            return self.step_sealed(input);
+        }
+        let mut step = OwnerStep { registry, now, outputs: Vec::new() };
+        match input {
+            OwnerInput::Committed(event) => self.committed(event, &mut step),
+            OwnerInput::Snapshot => self.snapshot_installed(&mut step),
+            OwnerInput::Fetched { id, term, journals } => {
+                let progress = SettlementProgress::read(&id, &journals);
+                self.with_settlement(&id, &mut step, |s, _, cx| s.fetched(term, progress, cx));
+            }
+            OwnerInput::Unreadable { id, term } => {
+                self.with_settlement(&id, &mut step, |s, _, cx| s.records_lost(term, cx));
+            }
+            OwnerInput::Request { from, id, request } => self.request(&from, &id, request, &mut step),
+            OwnerInput::Written { seq } => {
+                if let Some(id) = self.writes.remove(&seq) {
+                    self.with_settlement(&id, &mut step, |s, _, cx| s.written(seq, cx));
+                }
+            }
+            OwnerInput::WriteRejected { seq } => {
+                if let Some(id) = self.writes.remove(&seq) {
+                    self.with_settlement(&id, &mut step, |s, _, cx| s.write_rejected(seq, cx));
+                }
+            }
+            OwnerInput::Outcome { id, attempt, outcome, lost } => {
+                self.with_settlement(&id, &mut step, |s, _, cx| s.attempt_ended(attempt, outcome, lost, cx));
+            }
+            OwnerInput::SessionLost { id, session } => self.session_lost(&id, session, &mut step),
+            OwnerInput::Confirmed { id, session } => {
+                self.with_settlement(&id, &mut step, |s, _, cx| s.closing_confirmed(session, cx));
+            }
+            OwnerInput::Pinned { id, session } => self.session_pinned(id, session, &mut step),
+            OwnerInput::Drain { successors, by } => self.drain(Handover { successors, by }, &mut step),
+            OwnerInput::CancelDrain => self.cancel_drain(&mut step),
+            OwnerInput::Sealed => self.seal(&mut step.outputs),
+            OwnerInput::Tick => self.tick(&mut step),
+        }
+        step.outputs
+    }
+
+    fn request(&mut self, from: &str, id: &SettlementId, request: SettlementRequest, step: &mut OwnerStep) {
+        let size = request.sequenced().map_or(0, |sequenced| sequenced.size);
+        let tenant_load = self.check_tenant_load(id, size, step.now);
+        self.with_settlement(id, step, |s, _, cx| {
+            cx.tenant_load = tenant_load;
+            s.handle_request(from, request, cx);
+        });
+    }
+
+    fn session_lost(&mut self, id: &SettlementId, session: u32, step: &mut OwnerStep) {
+        if self.dropping.remove(&(id.clone(), session)) {
+            self.unpin(id, session, &mut step.outputs);
+        }
+        self.with_settlement(id, step, |s, _, cx| s.session_lost(session, cx));
+    }
+
+    fn session_pinned(&mut self, id: SettlementId, session: u32, step: &mut OwnerStep) {
+        let mut is_wanted = false;
+        self.with_settlement(&id, step, |s, _, cx| is_wanted = s.session_pinned(session, cx));
+        let key = (id.tenant.clone(), id.dest);
+        let session_key = (id, session);
+        let is_known = self.pins.get(&key).is_some_and(|pins| pins.is_pinned(&session_key));
+        if !is_wanted && !is_known {
+            step.outputs.push(OwnerOutput::Unpin { id: session_key.0, session });
+        }
+    }
+
+    fn drain(&mut self, handover: Handover, step: &mut OwnerStep) {
+        self.draining = Some(handover.clone());
+        let ids: Vec<SettlementId> = self.settlements.keys().cloned().collect();
+        for id in ids {
+            let handover = handover.clone();
+            self.with_settlement(&id, step, |s, _, cx| s.drain(handover, cx));
+        }
+    }
+
+    fn cancel_drain(&mut self, step: &mut OwnerStep) {
+        self.draining = None;
+        self.settlements.values_mut().for_each(Settlement::cancel_drain);
+        self.propose_cancel_drain(step);
+    }
+
+    /// Proposes that this courier is not leaving, until it is agreed on.
+    fn propose_cancel_drain(&mut self, step: &mut OwnerStep) {
+        let is_leaving = self.draining.is_none() && step.registry.is_leaving(&self.local_name, self.epoch);
+        self.cancel_drain_at = is_leaving.then(|| step.now.saturating_add(RETRY_INTERVAL));
+        if is_leaving {
+            let (courier, epoch) = (self.local_name.clone(), self.epoch);
+            step.outputs.push(OwnerOutput::Propose(SettlementCommand::CancelDrain { courier, epoch }));
+        }
+    }
+
+    fn tick(&mut self, step: &mut OwnerStep) {
+        let due = self.due.iter().take_while(|(at, _)| *at <= step.now);
+        let due: Vec<SettlementId> = due.map(|(_, id)| id.clone()).collect();
+        for id in due {
+            self.with_settlement(&id, step, |s, owner, cx| s.tick(owner, cx));
+        }
+        if self.cancel_drain_at.is_some_and(|at| step.now >= at) {
+            self.propose_cancel_drain(step);
+        }
+    }
+
+    /// Sealed: only connections that are still to be dropped matter.
+    fn step_sealed(&mut self, input: OwnerInput) -> Vec<OwnerOutput> {
+        match input {
+            OwnerInput::SessionLost { id, session } if self.dropping.remove(&(id.clone(), session)) => {
+                vec![OwnerOutput::Unpin { id, session }]
+            }
+            OwnerInput::Pinned { id, session } => vec![OwnerOutput::Unpin { id, session }],
+            _ => Vec::new(),
+        }
+    }
+
+    fn seal(&mut self, outputs: &mut Vec<OwnerOutput>) {
+        self.is_sealed = true;
+        let ids: Vec<SettlementId> = self.settlements.keys().cloned().collect();
+        ids.iter().for_each(|id| self.remove(id, outputs));
+        self.writes.clear();
+        self.cancel_drain_at = None;
+    }
+
+    /// Runs a step of one settlement, if the agreed state names this courier as its owner under its term.
+    pub(super) fn with_settlement(
+        &mut self,
+        id: &SettlementId,
+        step: &mut OwnerStep,
+        act: impl FnOnce(&mut Settlement, &SettlementOwner, &mut Context),
+    ) {
+        let owner = step.registry.owner(id).filter(|owner| owner.is_at(&self.local_name, self.epoch));
+        let Some(owner) = owner else { return };
+        let Some(settlement) = self.settlements.get_mut(id).filter(|s| s.term == owner.term) else { return };
+        let (old_load, old_wake) = (settlement.load(), settlement.wake_at());
+        let mut cx = Context {
+            limits: &self.limits,
+            local_name: &self.local_name,
+            now: step.now,
+            seq: &mut self.seq,
+            budget: self.budgets.get(&(id.tenant.clone(), id.dest)).copied().unwrap_or(0),
+            tenant_load: Ok(()),
+            outputs: Vec::new(),
+            pins: Vec::new(),
+        };
+        act(settlement, owner, &mut cx);
+        let (new_load, new_wake) = (settlement.load(), settlement.wake_at());
+        let Context { outputs, pins, .. } = cx;
+        if old_wake != new_wake {
+            if let Some(at) = old_wake {
+                self.due.remove(&(at, id.clone()));
+            }
+            self.due.extend(new_wake.map(|at| (at, id.clone())));
+        }
+        for output in &outputs {
+            if let OwnerOutput::Write { seq, .. } = output {
+                self.writes.insert(*seq, id.clone());
+            }
+        }
+        step.outputs.extend(outputs);
+        self.change_load(id, old_load, new_load);
+        for change in pins {
+            match change {
+                PinChange::Request(session) => self.pin(id, session, &mut step.outputs),
+                PinChange::Release(session) => self.unpin(id, session, &mut step.outputs),
+            }
+        }
+    }
+}
--- a/courier/fleet/src/settlement/progress.rs
+++ b/courier/fleet/src/settlement/progress.rs
@@ -1,61 +1,89 @@
-//! What a home's book says of a settlement: the home acts on it, and a taker goes on from it.
+//! A settlement's records in its owner's journal, and the progress that they add up to: the owner acts on it, and a
+//! later owner continues from it.
 
 use super::breaks::{self, Break};
-use super::{Cause, End, Mode, Outcome, Repeat, SequencedMessage, SettlementId, Verdict};
+use super::model::{Cause, End, Mode, Outcome, Repeat, SequencedMessage, SettlementId, Verdict};
 use quillmount_policy::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One line of a book about a settlement. It is in the book, and in a copy, before anything is done about it.
+/// One record of a journal about a settlement. It is in the journal, and in a replica of it, before anything is done
+/// about it. Encoded by position: variants and fields keep their order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum SettlementRecord {
+    /// An owner begins the settlement.
     Opened {
+        /// The settlement.
         id: SettlementId,
+        /// The owner's term.
         term: u64,
+        /// The mode that the settlement is carried in.
         mode: Mode,
     },
+    /// A message is accepted.
     Submitted {
+        /// The settlement.
         id: SettlementId,
+        /// The message.
         sequenced: SequencedMessage,
     },
-    /// The number of all, told on its own.
+    /// The number of messages, from a closing.
     Count {
+        /// The settlement.
         id: SettlementId,
+        /// The number of messages.
         total: u64,
     },
-    /// The session of this number is about to be opened.
+    /// A session is about to be opened.
     Session {
+        /// The settlement.
         id: SettlementId,
+        /// The session's number, from 1.
         n: u32,
     },
-    /// Its connection is surely gone.
+    /// A session's connection is known to be gone.
     SessionEnded {
+        /// The settlement.
         id: SettlementId,
+        /// The session's number.
         n: u32,
     },
-    /// An attempt is about to leave.
+    /// An attempt is about to be made.
     Released {
+        /// The settlement.
         id: SettlementId,
+        /// The position that is sent.
         position: u64,
+        /// The owner's time.
         at: Micros,
     },
+    /// An attempt has ended.
     Outcome {
+        /// The settlement.
         id: SettlementId,
+        /// The position that was sent.
         position: u64,
+        /// How the attempt ended.
         outcome: Outcome,
     },
+    /// The settlement has ended.
     Verdict {
+        /// The settlement.
         id: SettlementId,
+        /// How it ended.
         verdict: Verdict,
     },
-    /// All that earlier books say, at a new home.
+    /// All that the journals of earlier owners say, written by a new owner.
     Snapshot {
+        /// The settlement.
         id: SettlementId,
+        /// What the earlier records add up to.
         progress: Box<SettlementProgress>,
     },
 }
 
 impl SettlementRecord {
+    /// The settlement that it is about.
     pub fn id(&self) -> &SettlementId {
         match self {
             SettlementRecord::Opened { id, .. }
@@ -70,14 +98,16 @@
         }
     }
 
-    /// Bytes that it takes in a book.
+    /// Its bytes in a journal.
     ///
     /// # Errors
-    /// It has no form, which nothing here brings about.
+    /// It can't be encoded, which no value of these types brings about.
     pub fn encode(&self) -> Result<Vec<u8>, postcard::Error> {
         postcard::to_allocvec(self)
     }
 
+    /// The record that has these bytes.
+    ///
     /// # Errors
     /// The bytes are no record.
     pub fn decode(bytes: &[u8]) -> Result<SettlementRecord, postcard::Error> {
@@ -85,34 +115,41 @@
     }
 }
 
-/// A position that was handed in.
+/// A position whose message was accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PositionState {
+    /// The message.
     pub sequenced: SequencedMessage,
-    /// An attempt is out since then.
+    /// Since when an attempt is in flight.
     pub sent_at: Option<Micros>,
-    /// When the first attempt that may have run was released: a repeat's span counts from there.
+    /// When the first attempt that may have run was released: the idempotency window begins there.
     pub first_attempt: Option<Micros>,
+    /// How the message ended, if it has.
     pub end: Option<End>,
 }
 
-/// A settlement as its records tell it.
+/// A settlement as its records describe it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SettlementProgress {
+    /// The term of the owner that wrote last.
     pub term: u64,
-    /// `None`: nothing is written yet.
+    /// The mode that it was opened in; `None`: nothing is written yet.
     pub mode: Option<Mode>,
+    /// Its accepted messages, by position.
     pub positions: BTreeMap<u64, PositionState>,
+    /// The number of messages, once it is known.
     pub total: Option<u64>,
     /// The first position that is not delivered.
     pub next: u64,
-    /// Sessions so far.
+    /// The number of sessions that were opened.
     pub sessions: u32,
-    /// The one that may be open.
+    /// The session that may be open.
     pub session: Option<u32>,
+    /// How it ended, if it has.
     pub verdict: Option<Verdict>,
-    /// Messages that wait for their end, and their bytes.
+    /// Accepted messages that have not ended.
     pub waiting: u64,
+    /// The bytes of these.
     pub bytes: u64,
 }
 
@@ -134,19 +171,21 @@
 }
 
 impl SettlementProgress {
-    /// What these books say together, oldest home first. A later home's copy stands for all before it.
+    /// What these journals say together, the earliest owner's first. A later owner's snapshot replaces all before it.
     pub fn read(id: &SettlementId, journals: &[Vec<SettlementRecord>]) -> SettlementProgress {
         let mut progress = SettlementProgress::default();
         for journal in journals {
-            // A courier that was home twice has both lives in its book.
-            let mut is_old = false;
+            // A courier that was the owner twice has the records of both terms in its journal.
+            let mut is_outdated = false;
             for record in journal.iter().filter(|record| record.id() == id) {
                 match record {
-                    SettlementRecord::Opened { term, .. } => is_old = *term < progress.term,
-                    SettlementRecord::Snapshot { progress: copy, .. } => is_old = copy.term < progress.term,
+                    SettlementRecord::Opened { term, .. } => is_outdated = *term < progress.term,
+                    SettlementRecord::Snapshot { progress: copy, .. } => {
+                        is_outdated = copy.term < progress.term
+                    }
                     _ => {}
                 }
-                if !is_old {
+                if !is_outdated {
                     progress.apply(record);
                 }
             }
@@ -154,6 +193,7 @@
         progress
     }
 
+    /// Applies one record.
     pub fn apply(&mut self, record: &SettlementRecord) {
         match record {
             SettlementRecord::Opened { term, mode, .. } if *term > self.term => {
@@ -162,7 +202,7 @@
             }
             SettlementRecord::Opened { .. } => {}
             SettlementRecord::Snapshot { progress, .. } => *self = (**progress).clone(),
-            // What comes after the verdict was never answered with a yes.
+            // What follows the verdict was never acknowledged as accepted.
             SettlementRecord::Submitted { sequenced, .. } if self.verdict.is_none() => {
                 if !self.positions.contains_key(&sequenced.position) {
                     self.waiting += 1;
@@ -193,7 +233,7 @@
 
     fn apply_outcome(&mut self, position: u64, outcome: Outcome) {
         let Some(state) = self.positions.get_mut(&position) else { return };
-        let out = state.sent_at.take();
+        let sent_at = state.sent_at.take();
         let end = match outcome {
             Outcome::Delivered => End::Delivered,
             Outcome::Failed => End::Failed,
@@ -201,7 +241,7 @@
             Outcome::OutOfTime => End::OutOfTime,
             Outcome::NeverRan { .. } => return,
             Outcome::MayHaveRun => {
-                state.first_attempt = state.first_attempt.or(out);
+                state.first_attempt = state.first_attempt.or(sent_at);
                 return;
             }
         };
@@ -226,7 +266,7 @@
         self.verdict = Some(verdict);
         let Verdict::Broken { at, cause } = verdict else { return };
         let open: Vec<u64> =
-            self.positions.iter().filter(|(_, h)| h.end.is_none()).map(|(p, _)| *p).collect();
+            self.positions.iter().filter(|(_, state)| state.end.is_none()).map(|(p, _)| *p).collect();
         for position in open {
             let state = &self.positions[&position];
             let may_have_run = state.first_attempt.is_some() || state.sent_at.is_some();
@@ -241,11 +281,11 @@
         }
     }
 
-    /// An attempt that was out when the home was lost counts as one that may have run.
+    /// An attempt that was in flight when the owner was lost counts as one that may have run.
     pub fn take_over(&mut self) {
-        let out: Vec<u64> =
-            self.positions.iter().filter(|(_, h)| h.sent_at.is_some()).map(|(p, _)| *p).collect();
-        for position in out {
+        let in_flight: Vec<u64> =
+            self.positions.iter().filter(|(_, state)| state.sent_at.is_some()).map(|(p, _)| *p).collect();
+        for position in in_flight {
             let outcome = match breaks::on(Break::OutNeverRan) {
                 true => Outcome::NeverRan { after: 0 },
                 false => Outcome::MayHaveRun,
@@ -254,7 +294,7 @@
         }
     }
 
-    /// Whether this position may go out now, as far as repeats are concerned.
+    /// Whether this position may be sent now, as far as repeats are concerned.
     pub fn may_send(&self, state: &PositionState, now: Micros) -> bool {
         match (state.first_attempt, state.sequenced.repeat) {
             (None, _) | (_, Repeat::Freely) => true,
@@ -263,7 +303,7 @@
         }
     }
 
-    /// Until when a byte of it may leave.
+    /// Until when a byte of this position may be sent.
     pub fn send_deadline(&self, state: &PositionState) -> Micros {
         match (state.first_attempt, state.sequenced.repeat) {
             (Some(first), Repeat::Within(span)) => state.sequenced.deadline.min(first.saturating_add(span)),
@@ -271,7 +311,7 @@
         }
     }
 
-    /// A partner may know of earlier sessions that positions were sent in.
+    /// The partner may have received a message: one was delivered or may have run.
     pub fn has_started(&self) -> bool {
         self.next > 1 || self.positions.get(&self.next).is_some_and(|state| state.first_attempt.is_some())
     }
--- a/courier/fleet/src/settlement/registry.rs
+++ b/courier/fleet/src/settlement/registry.rs
@@ -1,116 +1,185 @@
-//! The part of the agreed state that is about settlements: their homes, and the verdicts of those that are
-//! over.
+//! The part of the agreed state that is about settlements: their owners, and the verdicts of those that have ended.
 //!
-//! [`SettlementRegistry::apply`] knows no clock: times come in as values. Each home has a term, which no other home ever
-//! had, so that a command that comes late or twice changes nothing.
+//! [`SettlementRegistry::apply`] reads no clock: times are in the commands. Each ownership has a term that no other
+//! ever had, so that a late or repeated command changes nothing. State and commands are encoded by position.
 
-use super::{SettlementId, Verdict};
+use super::model::{SettlementId, Verdict};
 use quillmount_policy::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Settlements open at once in the fleet: some 200 bytes each, so 13 MB of state and snapshot at most.
+/// Settlements that may be open at once in the fleet: some 200 bytes each, so 13 MB of state and snapshot at most.
 pub const MAX_OPEN: usize = 65_536;
-/// Of one tenant: no tenant takes more than a quarter of the table.
+/// Settlements of one tenant that may be open at once: no tenant takes more than a quarter of the table.
 pub const MAX_OPEN_PER_TENANT: u32 = 16_384;
-/// Verdicts remembered at once. When so many are, nothing new is opened: forgetting one early would let a
-/// late message open its settlement anew, after a break.
+/// Open settlements and remembered verdicts together. At this number nothing new is opened: forgetting a verdict early
+/// would let a late message open its settlement a second time, after a break.
 pub const MAX_VERDICTS: usize = 262_144;
 
-/// One courier's book in one registration.
+/// One courier's journal in one registration.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct JournalRef {
+    /// The courier's name.
     pub courier: String,
+    /// The registration's epoch.
     pub epoch: u64,
 }
 
-/// Where a settlement lives.
+/// The owner of a settlement.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SettlementOwner {
+    /// The courier's name.
     pub courier: String,
+    /// The epoch of its registration.
     pub epoch: u64,
-    /// Greater with each home of any settlement.
+    /// Grows with each change of owner of any settlement.
     pub term: u64,
-    /// Books of earlier homes whose records the present one has not written into its own yet, oldest first.
-    /// One more with each home that was lost before it had.
+    /// Journals of earlier owners whose records the present one has not copied into its own yet, earliest first.
+    /// One more with each owner that was lost before it had.
     pub earlier_journals: Vec<JournalRef>,
 }
 
 impl SettlementOwner {
+    /// Whether it is this courier in this registration.
     pub fn is_at(&self, courier: &str, epoch: u64) -> bool {
         self.courier == courier && self.epoch == epoch
     }
 }
 
-/// A settlement that is over.
+/// A settlement that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct EndedSettlement {
+    /// How it ended.
     pub verdict: Verdict,
-    /// No message of it can come later than this.
+    /// No message of it can arrive later than this; the verdict is remembered until then.
     pub until: Micros,
 }
 
+/// A command to the agreed state. A late or repeated one changes nothing.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum SettlementCommand {
-    /// The first of them makes the home.
-    Open { id: SettlementId, owner: String, owner_epoch: u64 },
-    /// The home of this term gives it away; `boundary`: with nothing out and no session open. Who gives one
-    /// away is leaving, and is given none: two that are drained at once would hand one to and fro.
-    Move { id: SettlementId, term: u64, to: String, to_epoch: u64, boundary: bool },
-    /// The home of this term has all that was in earlier books in its own.
-    CaughtUp { id: SettlementId, term: u64 },
-    /// The home of this term has decided; the verdict is kept until then.
-    Close { id: SettlementId, term: u64, verdict: Verdict, until: Micros },
+    /// A courier proposes to own a settlement; the first such command makes it the owner.
+    Open {
+        /// The settlement.
+        id: SettlementId,
+        /// The courier's name.
+        owner: String,
+        /// The epoch of its registration.
+        owner_epoch: u64,
+    },
+    /// The owner of this term gives the settlement to another courier. Whoever gives one away is leaving and is given
+    /// none, as two couriers that drain at once would otherwise pass one back and forth.
+    Move {
+        /// The settlement.
+        id: SettlementId,
+        /// The present owner's term.
+        term: u64,
+        /// The name of the next owner.
+        to: String,
+        /// The epoch of its registration.
+        to_epoch: u64,
+        /// Nothing is in flight and no session is open.
+        boundary: bool,
+    },
+    /// The owner of this term has copied all records of earlier journals into its own.
+    CaughtUp {
+        /// The settlement.
+        id: SettlementId,
+        /// The owner's term.
+        term: u64,
+    },
+    /// The owner of this term has ended the settlement.
+    Close {
+        /// The settlement.
+        id: SettlementId,
+        /// The owner's term.
+        term: u64,
+        /// How it ended.
+        verdict: Verdict,
+        /// The verdict is remembered until then.
+        until: Micros,
+    },
     /// This courier is not leaving any more.
-    CancelDrain { courier: String, epoch: u64 },
-    /// By the leader's clock, less the drift that is allowed for, this time is over.
-    Forget { before: Micros },
+    CancelDrain {
+        /// The courier's name.
+        courier: String,
+        /// The epoch of its registration.
+        epoch: u64,
+    },
+    /// Verdicts that are remembered until an earlier time are forgotten.
+    Forget {
+        /// The leader's time, less the allowed clock drift.
+        before: Micros,
+    },
 }
 
 /// What a command changed, or why it did not.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum SettlementEvent {
+    /// The settlement has its first owner.
     Opened {
+        /// The settlement.
         id: SettlementId,
+        /// The owner.
         owner: JournalRef,
+        /// The owner's term.
         term: u64,
     },
-    /// There are too many; so many are open.
+    /// Too many settlements are open or remembered.
     NotOpened {
+        /// The settlement.
         id: SettlementId,
+        /// The number of open settlements.
         open: u64,
     },
+    /// The settlement has another owner.
     Moved {
+        /// The settlement.
         id: SettlementId,
+        /// The earlier owner.
         from: JournalRef,
+        /// The new owner.
         to: JournalRef,
+        /// The new owner's term.
         term: u64,
+        /// Nothing was in flight and no session was open.
         boundary: bool,
     },
-    /// The courier that was to have it is no member any more, or is leaving itself.
+    /// The move was rejected: its destination is no member any more, or is leaving itself.
     NotMoved {
+        /// The settlement.
         id: SettlementId,
+        /// The present owner's term.
         term: u64,
+        /// The courier that was to own it next.
         to: JournalRef,
     },
-    /// Nobody needs the records in these books any more.
+    /// The settlement's records in these journals are no longer needed.
     CaughtUp {
+        /// The settlement.
         id: SettlementId,
+        /// The journals of earlier owners.
         journals: Vec<JournalRef>,
     },
+    /// The settlement has ended.
     Closed {
+        /// The settlement.
         id: SettlementId,
+        /// Its last owner.
         owner: JournalRef,
+        /// How it ended.
         verdict: Verdict,
     },
 }
 
+/// The agreed state of all settlements.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SettlementRegistry {
     open: BTreeMap<SettlementId, SettlementOwner>,
+    /// The number of open settlements of each tenant.
     tenants: BTreeMap<String, u32>,
     ended: BTreeMap<SettlementId, EndedSettlement>,
-    /// By courier: the last epoch that is gone. As many as the fleet ever had names.
+    /// By courier: the last epoch whose registration has ended. One for each name that the fleet ever had.
     deregistered: BTreeMap<String, u64>,
     /// Couriers that are leaving, each in this epoch.
     leaving: BTreeMap<String, u64>,
@@ -118,24 +187,27 @@
 }
 
 impl SettlementRegistry {
+    /// The owner of an open settlement.
     pub fn owner(&self, id: &SettlementId) -> Option<&SettlementOwner> {
         self.open.get(id)
     }
 
+    /// How a settlement ended, while that is remembered.
     pub fn verdict(&self, id: &SettlementId) -> Option<Verdict> {
         self.ended.get(id).map(|ended| ended.verdict)
     }
 
-    /// Settlements that are open, with their homes.
+    /// The open settlements with their owners.
     pub fn owners(&self) -> impl Iterator<Item = (&SettlementId, &SettlementOwner)> {
         self.open.iter()
     }
 
-    /// How many are open, and how many verdicts are remembered.
+    /// The number of open settlements, and of remembered verdicts.
     pub fn sizes(&self) -> (usize, usize) {
         (self.open.len(), self.ended.len())
     }
 
+    /// Whether this courier is leaving: it is given no settlement.
     pub fn is_leaving(&self, courier: &str, epoch: u64) -> bool {
         self.leaving.get(courier) == Some(&epoch)
     }
@@ -149,54 +221,22 @@
         self.last_term
     }
 
-    /// The home, if it is of this term.
+    /// The owner, if it is still of this term.
     fn owner_in_term(&mut self, id: &SettlementId, term: u64) -> Option<&mut SettlementOwner> {
         self.open.get_mut(id).filter(|owner| owner.term == term)
     }
 
+    /// Applies one committed command; returns what it changed, or why it did not.
     pub fn apply(&mut self, command: &SettlementCommand) -> Vec<SettlementEvent> {
         match command {
             SettlementCommand::Open { id, owner, owner_epoch } => self.open(id, owner, *owner_epoch),
             SettlementCommand::Move { id, term, to, to_epoch, boundary } => {
                 let to = JournalRef { courier: to.clone(), epoch: *to_epoch };
-                let is_refused =
-                    self.is_gone(&to.courier, to.epoch) || self.is_leaving(&to.courier, to.epoch);
-                let Some(owner) = self.owner_in_term(id, *term) else { return Vec::new() };
-                let (from, epoch) = (owner.courier.clone(), owner.epoch);
-                if is_refused {
-                    return vec![SettlementEvent::NotMoved { id: id.clone(), term: *term, to }];
-                }
-                if from != to.courier {
-                    self.leaving.insert(from, epoch);
-                }
-                self.move_to(id, to, *boundary).into_iter().collect()
-            }
-            SettlementCommand::CaughtUp { id, term } => {
-                let journals =
-                    self.owner_in_term(id, *term).map(|owner| std::mem::take(&mut owner.earlier_journals));
-                let journals = journals.filter(|journals| !journals.is_empty());
-                journals
-                    .map(|journals| SettlementEvent::CaughtUp { id: id.clone(), journals })
-                    .into_iter()
-                    .collect()
+                self.give_away(id, *term, to, *boundary)
             }
+            SettlementCommand::CaughtUp { id, term } => self.caught_up(id, *term),
             SettlementCommand::Close { id, term, verdict, until } => {
-                if self.owner_in_term(id, *term).is_none() {
-                    return Vec::new();
-                }
-                let Some(owner) = self.open.remove(id) else { return Vec::new() };
-                if let Some(open) = self.tenants.get_mut(&id.tenant) {
-                    *open -= 1;
-                    if *open == 0 {
-                        self.tenants.remove(&id.tenant);
-                    }
-                }
-                self.ended.insert(id.clone(), EndedSettlement { verdict: *verdict, until: *until });
-                let journals = (!owner.earlier_journals.is_empty())
-                    .then(|| SettlementEvent::CaughtUp { id: id.clone(), journals: owner.earlier_journals });
-                let owner = JournalRef { courier: owner.courier, epoch: owner.epoch };
-                let closed = SettlementEvent::Closed { id: id.clone(), owner, verdict: *verdict };
-                std::iter::once(closed).chain(journals).collect()
+                self.close(id, *term, EndedSettlement { verdict: *verdict, until: *until })
             }
             SettlementCommand::CancelDrain { courier, epoch } => {
                 if self.is_leaving(courier, *epoch) {
@@ -233,6 +273,55 @@
         }]
     }
 
+    fn give_away(
+        &mut self,
+        id: &SettlementId,
+        term: u64,
+        to: JournalRef,
+        boundary: bool,
+    ) -> Vec<SettlementEvent> {
+        let is_rejected = self.is_gone(&to.courier, to.epoch) || self.is_leaving(&to.courier, to.epoch);
+        let Some(owner) = self.owner_in_term(id, term) else { return Vec::new() };
+        let (from, epoch) = (owner.courier.clone(), owner.epoch);
+        if is_rejected {
+            return vec![SettlementEvent::NotMoved { id: id.clone(), term, to }];
+        }
+        if from != to.courier {
+            self.leaving.insert(from, epoch);
+        }
+        self.move_to(id, to, boundary).into_iter().collect()
+    }
+
+    fn caught_up(&mut self, id: &SettlementId, term: u64) -> Vec<SettlementEvent> {
+        let Some(owner) = self.owner_in_term(id, term) else { return Vec::new() };
+        let journals = std::mem::take(&mut owner.earlier_journals);
+        if journals.is_empty() {
+            return Vec::new();
+        }
+        vec![SettlementEvent::CaughtUp { id: id.clone(), journals }]
+    }
+
+    fn close(&mut self, id: &SettlementId, term: u64, ended: EndedSettlement) -> Vec<SettlementEvent> {
+        if self.owner_in_term(id, term).is_none() {
+            return Vec::new();
+        }
+        let Some(owner) = self.open.remove(id) else { return Vec::new() };
+        if let Some(open) = self.tenants.get_mut(&id.tenant) {
+            *open -= 1;
+            if *open == 0 {
+                self.tenants.remove(&id.tenant);
+            }
+        }
+        self.ended.insert(id.clone(), ended);
+        let journals = owner.earlier_journals;
+        let owner = JournalRef { courier: owner.courier, epoch: owner.epoch };
+        let mut events = vec![SettlementEvent::Closed { id: id.clone(), owner, verdict: ended.verdict }];
+        if !journals.is_empty() {
+            events.push(SettlementEvent::CaughtUp { id: id.clone(), journals });
+        }
+        events
+    }
+
     fn move_to(&mut self, id: &SettlementId, to: JournalRef, boundary: bool) -> Option<SettlementEvent> {
         let term = self.next_term();
         let owner = self.open.get_mut(id)?;
@@ -242,36 +331,32 @@
         Some(SettlementEvent::Moved { id: id.clone(), from, to, term, boundary })
     }
 
-    /// A courier's registration is over and its book sealed: each of its settlements goes to one of the
-    /// takers, by rendezvous hashing. Without a taker they stay where they are until there is one.
+    /// A courier's registration has ended and its journal is sealed: each of its settlements goes to one of the
+    /// successors, by rendezvous hashing. Without a successor they stay where they are until there is one.
     pub fn gone(&mut self, courier: &str, epoch: u64, successors: &[JournalRef]) -> Vec<SettlementEvent> {
-        let last = self.deregistered.entry(courier.to_string()).or_insert(epoch);
-        *last = (*last).max(epoch);
-        if self.leaving.get(courier).is_some_and(|leaving| *leaving <= epoch) {
-            self.leaving.remove(courier);
-        }
-        let theirs = self.open.iter().filter(|(_, owner)| owner.courier == courier && owner.epoch <= epoch);
-        let theirs: Vec<SettlementId> = theirs.map(|(id, _)| id.clone()).collect();
+        self.deregister(courier, epoch);
+        let owned = self.open.iter().filter(|(_, owner)| owner.courier == courier && owner.epoch <= epoch);
+        let owned: Vec<SettlementId> = owned.map(|(id, _)| id.clone()).collect();
         let successors: Vec<JournalRef> = successors
             .iter()
             .filter(|successor| !self.is_gone(&successor.courier, successor.epoch))
             .cloned()
             .collect();
-        // One that is leaving takes what nobody else can.
-        let staying = successors.iter().filter(|t| !self.is_leaving(&t.courier, t.epoch)).cloned();
+        // A courier that is leaving itself is given what nobody else can own.
+        let is_staying = |successor: &&JournalRef| !self.is_leaving(&successor.courier, successor.epoch);
+        let staying = successors.iter().filter(is_staying).cloned();
         let staying: Vec<JournalRef> = staying.collect();
         let successors = if staying.is_empty() { successors } else { staying };
-        let moved = theirs.into_iter().filter_map(|id| {
+        let moved = owned.into_iter().filter_map(|id| {
             let to = successor(&id, &successors)?.clone();
             self.move_to(&id, to, false)
         });
         moved.collect()
     }
-}
 
-impl SettlementRegistry {
-    /// Settlements whose home serves no more (`serves` says so) go to whoever has the part of the lost book that their
-    /// destination is in. Without a taker they stay where they are until there is one.
+    /// Settlements whose owner no longer serves, as `serves` says of a courier and epoch, go to the `successor` for their
+    /// destination: whoever adopts that partition of the lost journal. Without a successor they stay where they are
+    /// until there is one.
     pub fn reassign_lost(
         &mut self,
         serves: impl Fn(&str, u64) -> bool,
@@ -282,7 +367,7 @@
         lost.into_iter().filter_map(|id| self.move_to(&id, successor(id.dest)?, false)).collect()
     }
 
-    /// A courier's registration is over: it is given none any more.
+    /// A courier's registration has ended: it is given no settlement any more.
     pub fn deregister(&mut self, courier: &str, epoch: u64) {
         let last = self.deregistered.entry(courier.to_string()).or_insert(epoch);
         *last = (*last).max(epoch);
@@ -291,8 +376,9 @@
         }
     }
 
-    /// A courier goes on with its book under another epoch: what it was home to is its own again, and so is what others
-    /// were to take over, as nobody has read that book. `read(journal, dest)`: that book's part is in another by now.
+    /// A courier continues with its journal under another epoch: it owns its settlements again, and those that others
+    /// were to take over, as nobody has read that journal. `read(journal, dest)` says whether the partition of that
+    /// destination has been copied from the journal into another.
     pub fn reclaim(
         &mut self,
         courier: &str,
@@ -314,7 +400,7 @@
                 continue;
             }
             let Some(n) = owner.earlier_journals.iter().position(|journal| *journal == old) else { continue };
-            // It was home too, and never came to read what was before it: then it has written nothing.
+            // It was an owner too, and never read the journals before its own: then it has written nothing.
             if n > 0 && !read(&owner.earlier_journals[n - 1], id.dest) {
                 owner.earlier_journals.remove(n);
                 continue;
@@ -322,7 +408,7 @@
             owner.earlier_journals.truncate(n);
             moved.extend(self.move_to(&id, new.clone(), false));
             if let Some(owner) = self.open.get_mut(&id) {
-                // Whoever was to have it has written nothing.
+                // Whoever was to own it has written nothing.
                 owner.earlier_journals.truncate(n);
                 owner.earlier_journals.push(old.clone());
             }
@@ -331,17 +417,18 @@
     }
 }
 
-/// Whom this settlement goes to: the same for everybody, and spread over all of them.
+/// The courier that this settlement goes to: the same at every courier, and spread evenly over all successors.
 pub fn successor<'a>(id: &SettlementId, successors: &'a [JournalRef]) -> Option<&'a JournalRef> {
     successors.iter().max_by_key(|successor| (rendezvous_weight(id, &successor.courier), *successor))
 }
 
-/// FNV-1a, written out: couriers of different builds have to agree on it.
+/// FNV-1a (Fowler, Noll, Vo; 64 bits) with a final mix, implemented here because couriers of different builds have to
+/// agree on it.
 fn rendezvous_weight(id: &SettlementId, courier: &str) -> u64 {
     let fields = [id.tenant.as_bytes(), id.name.as_bytes(), &id.dest.to_le_bytes(), courier.as_bytes()];
     let step = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
     let hash =
         fields.iter().fold(0xcbf2_9ce4_8422_2325, |hash, field| step(field.iter().fold(hash, step), &0xff));
-    // The last bytes alone would decide: names often differ there only.
+    // Without the mix the last bytes alone would decide, and names often differ only there.
     (hash ^ (hash >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9)
 }
--- a/courier/fleet/src/settlement/session.rs
+++ b/courier/fleet/src/settlement/session.rs
@@ -1,36 +1,35 @@
-//! A partner's session: one connection of the tenant's budget, held from the opening of a settlement to its
-//! closing.
+//! Session mode: the state machine of a session, which keeps one connection of the tenant's budget from the opening of a
+//! settlement to its closing, and the reservations ("pins") of such connections.
 //!
-//! **No deadlock, no starvation.** A settlement asks for its one connection only when its next position is
-//! there to be sent, and holds nothing else that another could wait for while it waits: a circle of
-//! settlements that wait for each other can't come about. One that holds a connection waits for its consumers
-//! and its partner alone, and each of these waits ends by a clock: a call by its time, a missing position by
-//! the time of those behind it, a pause by the idle limit, a closing by [`CLOSING_TIMEOUT`]. So a pin comes free
-//! within a stated time, and who waits first is served first. At most half of a budget may be pinned: message
-//! mode always has the other half.
-
-use super::SettlementId;
+//! **No deadlock, no starvation.** A settlement requests its one connection only when its next position can be sent,
+//! and has nothing reserved that another could wait for while it waits: settlements can't wait for each other in a
+//! circle. One that has a connection waits only for its clients and its partner, and each of these waits is bounded: a
+//! call by its deadline, a missing position by the deadlines of those behind it, silence by the idle limit, a closing
+//! by [`CLOSING_TIMEOUT`]. So a reservation ends within a stated time, and reservations are granted in the order of
+//! the requests. At most half of a budget may be reserved: message mode always has the other half.
+
+use super::model::SettlementId;
 use quillmount_policy::Micros;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Of a tenant's budget at a partner, one connection in so many may be pinned.
+/// One connection in so many of a tenant's budget at a partner may be reserved for sessions.
 pub const PINNABLE_FRACTION: u32 = 2;
-/// A new session's first byte leaves within this after its record, or not at all.
+/// A new session's first byte is sent within this after its record is written, or not at all.
 pub const SESSION_OPEN_TIMEOUT: Micros = 1_000_000;
-/// A partner that has not confirmed the closing by then does not: as long as it may take for a call.
+/// Time-out of the partner's confirmation of a closing: as long as a call may take.
 pub const CLOSING_TIMEOUT: Micros = 2_000_000;
-/// Sessions that one settlement may have; a partner that loses more is no use to it.
+/// Sessions that one settlement may have before it breaks.
 pub const MAX_SESSIONS: u32 = 16;
 
-/// How long after a takeover the lost home's connection may still be open at a partner that closes idle ones
-/// after `idle` and answers within `longest`: it may have been opened up to [`SESSION_OPEN_TIMEOUT`] after its record. 1%
-/// for clocks.
+/// How long after a takeover the lost owner's connection may still be open at a partner that closes idle connections
+/// after `idle` and answers within `longest`. It may have been opened up to [`SESSION_OPEN_TIMEOUT`] after its record;
+/// 1% is added for clock drift.
 pub fn linger(idle: Micros, longest: Micros) -> Micros {
     let sum = SESSION_OPEN_TIMEOUT.saturating_add(idle).saturating_add(longest);
     sum.saturating_add(sum.div_ceil(100))
 }
 
-/// The connections of one tenant's budget at one partner that sessions hold, at one courier.
+/// The connections of one tenant's budget at one partner that are reserved for sessions, at one courier.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Pins {
     budget: u32,
@@ -42,29 +41,33 @@
 pub type SessionKey = (SettlementId, u32);
 
 impl Pins {
+    /// No reservation yet, of a budget of so many connections.
     pub fn new(budget: u32) -> Pins {
         Pins { budget, ..Pins::default() }
     }
 
+    /// The budget, in connections.
     pub fn budget(&self) -> u32 {
         self.budget
     }
 
-    /// How many may be pinned.
+    /// How many connections may be reserved.
     pub fn limit(&self) -> usize {
         (self.budget / PINNABLE_FRACTION) as usize
     }
 
+    /// How many connections are reserved.
     pub fn pinned(&self) -> usize {
         self.pinned.len()
     }
 
-    /// A lowered budget is met as sessions end; a raised one serves who waits.
+    /// Changes the budget; returns the sessions that are granted a connection. A lowered one is met as sessions end.
     pub fn set_budget(&mut self, budget: u32) -> Vec<SessionKey> {
         self.budget = budget;
         self.grant()
     }
 
+    /// Requests a connection for a session; returns the sessions that are granted one.
     pub fn request(&mut self, session_key: SessionKey) -> Vec<SessionKey> {
         if !self.pinned.contains(&session_key) && !self.waiting.contains(&session_key) {
             self.waiting.push_back(session_key);
@@ -72,17 +75,19 @@
         self.grant()
     }
 
-    /// This holder needs none any more; says who has one now.
+    /// The session needs no connection any more; returns the sessions that are granted one.
     pub fn release(&mut self, session_key: &SessionKey) -> Vec<SessionKey> {
         self.waiting.retain(|waiting| waiting != session_key);
         self.pinned.remove(session_key);
         self.grant()
     }
 
+    /// Whether this session has a connection.
     pub fn is_pinned(&self, session_key: &SessionKey) -> bool {
         self.pinned.contains(session_key)
     }
 
+    /// Nothing is reserved or requested.
     pub fn is_unused(&self) -> bool {
         self.pinned.is_empty() && self.waiting.is_empty()
     }
@@ -98,69 +103,82 @@
     }
 }
 
+/// Where a session is between its opening and its closing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum SessionState {
+    /// There is no session.
     #[default]
     None,
-    /// A connection of the budget is asked for.
+    /// A connection of the budget is requested.
     Waiting,
-    /// It has one, and has not opened it.
+    /// A connection is reserved, and not opened.
     Pinned,
+    /// The connection is open.
     Open,
-    /// Everything is answered, and the closing is out.
+    /// Everything is answered, and the closing is in flight.
     Closing {
+        /// When it times out.
         until: Micros,
     },
-    /// It is to be closed, and nothing more is sent on it.
+    /// The connection is to be closed, and nothing more is sent on it.
     Dropping,
 }
 
+/// One input of [`Session::step`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionInput {
-    /// A position, or the closing, is there to be sent.
+    /// A position, or the closing, can be sent.
     Want,
-    /// The budget's connection is this session's.
+    /// A connection of the budget is reserved for this session.
     Pinned,
-    /// Its record is in the book: send the position.
+    /// The position's record is in the journal: send it.
     Send,
     /// All positions are answered.
     Close,
     /// The partner has confirmed the closing.
     Confirmed,
-    /// The settlement ends or moves: nothing more goes out here.
+    /// The settlement ends or moves: nothing more is sent here.
     Leave,
     /// The connection is gone.
     Lost,
-    /// The time that the state waits for has come.
+    /// The time of [`Session::wake_at`] has come.
     Tick,
 }
 
+/// What a step of a session calls for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionOutput {
+    /// Nothing; the input has no meaning in this state, or only changed it.
     Nothing,
+    /// Request a connection of the budget.
     Pin,
+    /// Return the connection, or withdraw the request for one.
     Unpin,
     /// Connect, name the settlement, and send.
     Open,
+    /// Send on the open connection.
     Send,
     /// Connect, name the settlement, and close.
     OpenAndClose,
+    /// Close the session in order.
     Close,
     /// Close the connection without a closing.
     Drop,
 }
 
-/// The machine of one session.
+/// The state machine of one session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Session {
     state: SessionState,
 }
 
 impl Session {
+    /// The present state.
     pub fn state(&self) -> SessionState {
         self.state
     }
 
+    /// Whether its connection is open.
     pub fn is_open(&self) -> bool {
         matches!(self.state, SessionState::Open | SessionState::Closing { .. })
     }
@@ -173,6 +191,7 @@
         }
     }
 
+    /// Handles one input; returns what it calls for.
     pub fn step(&mut self, input: SessionInput, now: Micros) -> SessionOutput {
         let closing = SessionState::Closing { until: now.saturating_add(CLOSING_TIMEOUT) };
         let (state, output) = match (self.state, input) {
--- a/courier/fleet/src/settlement/translator.rs
+++ b/courier/fleet/src/settlement/translator.rs
@@ -1,31 +1,33 @@
-//! The boundaries of a settlement in message mode and in session mode, each turned into the other.
+//! The boundaries of a settlement in message mode and in session mode, each converted into the other's.
 //!
-//! Message mode: each message carries `settlement` and `position`, and the last one `total`, beside `dest` in
-//! `X-Addressing`. Session mode: the first message on a connection names the settlement, with a `position`
-//! only where it goes on from an earlier session; the order on the connection is the position; `Connection:
-//! close` on the last message, or an orderly end after the last answer, is the closing. A connection that
+//! Message mode: each message carries `settlement` and `position`, and the last one `of` (the number of messages),
+//! beside `dest` in the header `X-Addressing`. Session mode: the first message on a connection names the settlement,
+//! with a `position` only where it continues an earlier session; the order on the connection is the position;
+//! `Connection: close` on the last message, or an orderly end after the last answer, is the closing. A connection that
 //! breaks closes nothing.
 
-use super::{PositionRef, SettlementError};
+use super::error::SettlementError;
+use super::model::PositionRef;
 use std::collections::BTreeMap;
 
-/// The longest name of a settlement, as for ids and keys.
+/// The longest name of a settlement in bytes, as for ids and keys.
 pub const NAME_MAX: usize = 256;
 
-/// What one message says of its settlement.
+/// What one message's `X-Addressing` says of its settlement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettlementHeader {
+    /// The settlement's name.
     pub settlement: String,
-    /// `None`: the connection says it.
+    /// The message's position; `None`: the connection's order gives it.
     pub position: Option<u64>,
-    /// The number of all.
+    /// The number of messages, where it is given.
     pub total: Option<u64>,
 }
 
-/// What an `X-Addressing` says of a settlement; `None` where it names none. `dest` is the front's affair.
+/// Parses what `X-Addressing` says of a settlement; `None` where it names none. `dest` is parsed by the server.
 ///
 /// # Errors
-/// A field comes twice, is malformed, or stands there without its settlement.
+/// A field is repeated, malformed, or without its settlement.
 pub fn parse_header(tenant: &str, addressing: &str) -> Result<Option<SettlementHeader>, SettlementError> {
     let mut fields: BTreeMap<&str, &str> = BTreeMap::new();
     let wrong = |settlement: &str, field: &str| SettlementError::Field {
@@ -71,13 +73,13 @@
     }
 }
 
-/// A name that stands in a field as it is.
+/// Whether the text can be a settlement's name, which is written to the header as it is.
 pub fn is_name(text: &str) -> bool {
-    let sound = |b: u8| b.is_ascii_graphic() && !b",;=".contains(&b);
-    !text.is_empty() && text.len() <= NAME_MAX && text.bytes().all(sound)
+    let is_allowed = |b: u8| b.is_ascii_graphic() && !b",;=".contains(&b);
+    !text.is_empty() && text.len() <= NAME_MAX && text.bytes().all(is_allowed)
 }
 
-/// The value of `X-Addressing` that says this.
+/// The value of `X-Addressing` for this destination and settlement.
 pub fn format_header(dest: u64, header: &SettlementHeader) -> String {
     let mut text = format!("dest={dest},settlement={}", header.settlement);
     for (name, value) in [("position", header.position), ("of", header.total)] {
@@ -88,7 +90,7 @@
     text
 }
 
-/// A connection in session mode: gives each message on it its mark.
+/// A client's connection in session mode: gives each message on it its header in message mode.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct FromSession {
     tenant: String,
@@ -99,6 +101,7 @@
 }
 
 impl FromSession {
+    /// A new connection of this tenant.
     pub fn new(tenant: &str) -> Self {
         FromSession { tenant: tenant.into(), ..FromSession::default() }
     }
@@ -108,10 +111,10 @@
         PositionRef { tenant: self.tenant.clone(), settlement, position }
     }
 
-    /// The next message; `named`: what it says itself; `is_last`: it asks for the end of the connection.
+    /// The next message's header. `named`: its own; `is_last`: it asks to close the connection.
     ///
     /// # Errors
-    /// It can't belong to this session; the session is as it was.
+    /// It can't belong to this session, which has not changed.
     pub fn message(
         &mut self,
         named: Option<&SettlementHeader>,
@@ -132,14 +135,14 @@
             }
             (Some(open), _) => open.clone(),
         };
-        let told = named.and_then(|header| header.position);
-        let position = match told {
+        let named_position = named.and_then(|header| header.position);
+        let position = match named_position {
             Some(0) => return Err(SettlementError::Zero(self.at(0))),
-            // Only the first message may say where it goes on.
-            Some(told) if self.settlement.is_some() && told != self.position + 1 => {
-                return Err(SettlementError::Gap { at: self.at(self.position + 1), total: told });
+            // Only the first message may say where it continues.
+            Some(named) if self.settlement.is_some() && named != self.position + 1 => {
+                return Err(SettlementError::Gap { at: self.at(self.position + 1), total: named });
             }
-            told => told.unwrap_or(self.position + 1),
+            _ => named_position.unwrap_or(self.position + 1),
         };
         let total = named.and_then(|header| header.total);
         match total {
@@ -160,7 +163,8 @@
         })
     }
 
-    /// The connection ended in order after its last answer: the number of all, if that says something new.
+    /// The connection ended in order after its last answer: the settlement and its number of messages, unless that was
+    /// given before.
     pub fn ended(&mut self) -> Option<(String, u64)> {
         let settlement = self.settlement.clone().filter(|_| !self.is_closed && self.position > 0)?;
         self.is_closed = true;
@@ -168,19 +172,19 @@
     }
 }
 
-/// What is done on a partner's connection.
+/// What is done next on a partner's connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SessionStep {
     /// On a new connection: the first message names the settlement, and its position where it is not the
     /// first.
     Open(SettlementHeader),
-    /// The message of this position goes next.
+    /// Send the message of this position.
     Carry(u64),
-    /// All are answered: end the connection in order.
+    /// Everything is answered: end the connection in order.
     Close,
 }
 
-/// Messages with their marks, in any order, turned into the steps of one session.
+/// Messages of message mode, in any order, converted into the steps of one session.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ToSession {
     at: PositionRef,
@@ -188,12 +192,12 @@
     total: Option<u64>,
     is_open: bool,
     is_closed: bool,
-    /// Id and print of each position that came.
+    /// Id and checksum of each position that was given.
     seen: BTreeMap<u64, (String, u64)>,
 }
 
 impl ToSession {
-    /// A session that begins with this position; 1, save where an earlier session was lost.
+    /// A session that begins with this position: 1, except where an earlier session was lost.
     pub fn new(tenant: &str, settlement: &str, from: u64) -> Self {
         let at = PositionRef { tenant: tenant.into(), settlement: settlement.into(), position: 0 };
         ToSession { at, next: from, total: None, is_open: false, is_closed: false, seen: BTreeMap::new() }
@@ -203,10 +207,10 @@
         PositionRef { position, ..self.at.clone() }
     }
 
-    /// Takes a message; says what is done on the connection now, in order.
+    /// Accepts a message; returns what is done on the connection now, in order.
     ///
     /// # Errors
-    /// It contradicts what came before; nothing has changed.
+    /// It contradicts an earlier message; nothing has changed.
     pub fn message(
         &mut self,
         position: u64,
@@ -228,10 +232,10 @@
         Ok(self.steps())
     }
 
-    /// The number of all, on its own: every position has to be there.
+    /// The closing with the number of messages: every position has to have been given.
     ///
     /// # Errors
-    /// It contradicts what came before, or a position is missing; nothing has changed.
+    /// It contradicts an earlier message, or a position is missing; nothing has changed.
     pub fn close(&mut self, total: u64) -> Result<Vec<SessionStep>, SettlementError> {
         check(&self.at(total), Some(total), self.total, self.seen.keys().next_back().copied())?;
         if let Some(missing) = (self.next..=total).find(|position| !self.seen.contains_key(position)) {
@@ -264,10 +268,10 @@
     }
 }
 
-/// Whether a position and a count can be, beside the count and the greatest position of before.
+/// Checks a position and a number of messages against the number that is `known` and the `greatest` position so far.
 ///
 /// # Errors
-/// They can't.
+/// They contradict these, or are 0.
 pub fn check(
     at: &PositionRef,
     total: Option<u64>,
--- a/courier/fleet/tests/parts/forward.rs
+++ b/courier/fleet/tests/parts/forward.rs
@@ -1,10 +1,12 @@
-//! What is asked of a home elsewhere.
+//! Requests that are forwarded to another courier.
 
 use quillmount_fleet::settlement::forward::{
     ForwardInput, ForwardOutput, MAX_PENDING_REQUESTS, REQUEST_RETRY, REQUEST_TIMEOUT, RequestForwarder,
-    SettlementMessage, SettlementReply, SettlementRequest,
 };
-use quillmount_fleet::settlement::{SettlementCommand, SettlementError, SettlementId, SettlementRegistry};
+use quillmount_fleet::settlement::{
+    SettlementCommand, SettlementError, SettlementId, SettlementMessage, SettlementRegistry, SettlementReply,
+    SettlementRequest,
+};
 
 #[test]
 fn a_request_follows_the_owner_and_is_answered_in_time() {
