--- a/courier/fleet/src/budget/breaks.rs
+++ b/courier/fleet/src/budget/breaks.rs
@@ -1,28 +1,30 @@
-//! Deliberate breaks of this module's code, behind the feature `breaks`: the simulation proves with them that
-//! it can fail. One at most is on, for the thread that put it on, so that tests side by side don't meet.
+//! Deliberate faults in the budgets' code, behind the feature `breaks`: with them the simulation proves that it can
+//! fail. At most one is on, for the thread that set it, so that parallel tests don't interfere.
 
+/// A deliberate fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Break {
-    /// A raise is agreed on without room for it.
+    /// A raise is committed without capacity for it.
     CapacityIgnored,
-    /// A recall counts as met when it is told.
+    /// A recall counts as met as soon as it is committed.
     RecallUnconfirmed,
-    /// A connection that closes no longer counts.
+    /// A closing connection no longer counts.
     ClosingUncounted,
-    /// A courier goes on with all that it held when its lease is over.
+    /// A courier continues to use its grants after its lease.
     LeaseIgnored,
-    /// What a lapsed courier held is free at once.
+    /// The shares of a lapsed courier are free at once.
     LapseFreesAtOnce,
-    /// A process uses its floor at once, though its earlier life's connections may be open.
+    /// A process uses its floor at once, though connections of an earlier process may be open.
     FloorTooSoon,
     /// A confirmation of an earlier recall counts for the present one.
     NumberIgnored,
     /// A tenant's floor is divided like anything else.
     FloorForgotten,
-    /// Who goes without is never overdue and gathers no credit.
+    /// A tenant without a connection is never overdue and gathers no credit.
     TurnsForgotten,
 }
 
+/// Every fault.
 pub const ALL: &[Break] = &[
     Break::CapacityIgnored,
     Break::RecallUnconfirmed,
--- a/courier/fleet/src/budget/calls.rs
+++ b/courier/fleet/src/budget/calls.rs
@@ -1,24 +1,26 @@
-//! Calls a span: the budget of connections once more, with an [`BudgetState`](super::BudgetState), a
-//! [`BudgetLeader`](super::Leader) and a [`LocalBudget`] of its own. Where that has a connection, here is a call: it
-//! counts from its first byte until a span later, by the courier's clock and with a margin for its drift. So
-//! in no span do more calls begin than the budget has, under the same faults; what the network holds up on
-//! its way may arrive closer together than it was sent.
-
-use super::local::{LocalBudget, Permit, Refusal, RefusalReason};
-use super::{Budget, BudgetState, CLOCK_DRIFT_DIVISOR, ConnectionOrder, Report, TimeBounds};
+//! Calls in a span of time: the budget of connections once more, with a [`BudgetState`], a
+//! [`BudgetLeader`](super::BudgetLeader) and a [`LocalBudget`] of its own, where a call stands for a connection. It
+//! counts from its first byte until a span later, by the courier's clock and with a margin for its drift. So in no span
+//! do more calls begin than the budget has, under the same faults. What the network delays on its way may arrive closer
+//! together than it was sent.
+
+use super::local::{ConnectionOrder, LocalBudget, Permit, Refusal, RefusalReason};
+use super::model::{Budget, CLOCK_DRIFT_DIVISOR, Tenant, TimeBounds};
+use super::report::Report;
+use super::state::BudgetState;
 use quillmount_policy::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Calls of one partner in a span; each is remembered for its span by the courier that began it.
+/// Calls of one partner in a span, at most; the courier that began one remembers it for the span.
 pub const MAX_CALLS: u32 = 100_000;
 
-/// The budget of calls as one of connections, if the partner has one. Tenants have the same weights; floors
-/// and ceilings are of connections alone. A courier that is cut off has the same part of the calls as of the
+/// The budget of calls in the form of one of connections, if the partner has one. Tenants have the same weights; floors
+/// and ceilings are of connections only. A courier that is cut off has the same part of the calls as of the
 /// connections.
 pub fn call_budget(budget: &Budget) -> Option<Budget> {
     let (calls, _) = (budget.calls?.min(MAX_CALLS), budget.span_ms?);
     let floor = u64::from(budget.courier_floor) * u64::from(calls) / u64::from(budget.connections.max(1));
-    let tenants = budget.tenants.iter().map(|t| super::Tenant { floor: 0, ceiling: None, ..t.clone() });
+    let tenants = budget.tenants.iter().map(|t| Tenant { floor: 0, ceiling: None, ..t.clone() });
     Some(Budget {
         connections: calls,
         courier_floor: u32::try_from(floor).unwrap_or(calls),
@@ -27,29 +29,33 @@
     })
 }
 
-/// The terms of the calls' leader and holder: nothing is longer open than the longest span.
+/// The bounds on time for the calls' leader and couriers: no call counts for longer than the longest span.
 pub fn call_bounds(bounds: TimeBounds, budgets: &[Budget]) -> TimeBounds {
     let spans = budgets.iter().filter_map(|b| b.calls.and(b.span_ms));
     let longest = spans.max().unwrap_or(0).saturating_mul(1_000);
     TimeBounds { max_call: 0, max_idle: longest, lease: bounds.lease }
 }
 
-/// Both of a courier's sides: a call goes out if it has a connection and is one of the span's.
+/// Both of a courier's local budgets: a call is sent if it has a connection and the span has a call left. An upgrade
+/// hands it over in postcard's form, which goes by position.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BudgetGate {
+    /// The budgets of connections.
     pub connections: LocalBudget,
+    /// The budgets of calls.
     pub calls: LocalBudget,
 }
 
 impl BudgetGate {
+    /// A process that starts, with these budgets configured.
     pub fn new(local_name: &str, bounds: TimeBounds, budgets: &[Budget], now: Micros) -> BudgetGate {
         let mut connections = LocalBudget::new(local_name, bounds, now);
-        let mut calls = LocalBudget::for_calls(local_name, self::call_bounds(bounds, budgets), now);
+        let mut calls = LocalBudget::for_calls(local_name, call_bounds(bounds, budgets), now);
         for budget in budgets {
-            connections.budget(budget);
-            if let (Some(one), Some(span)) = (call_budget(budget), budget.span_ms) {
-                calls.budget(&one);
-                let span = span.saturating_mul(1_000);
+            connections.set_budget(budget);
+            if let (Some(call_budget), Some(span_ms)) = (call_budget(budget), budget.span_ms) {
+                calls.set_budget(&call_budget);
+                let span = span_ms.saturating_mul(1_000);
                 calls.set_close_timeout(
                     budget.dest,
                     span.saturating_add(span / CLOCK_DRIFT_DIVISOR).saturating_add(1),
@@ -59,22 +65,31 @@
         BudgetGate { connections, calls }
     }
 
+    /// The courier is a member with this epoch.
     pub fn joined(&mut self, epoch: u64) {
         self.connections.joined(epoch);
         self.calls.joined(epoch);
     }
 
+    /// The courier's lease runs until then.
     pub fn extend_lease(&mut self, until: Micros) {
         self.connections.extend_lease(until);
         self.calls.extend_lease(until);
     }
 
+    /// The courier's lease was revoked.
+    pub fn end_lease(&mut self) {
+        self.connections.end_lease();
+        self.calls.end_lease();
+    }
+
+    /// A planned stop: nothing more is begun.
     pub fn leave(&mut self) {
         self.connections.leave();
         self.calls.leave();
     }
 
-    /// Both parts of the agreed state, as far as they are known here.
+    /// The agreed state of both, as far as it is known here.
     pub fn apply_state(
         &mut self,
         connections: &BudgetState,
@@ -85,26 +100,28 @@
         self.connections.apply_state(connections, now)
     }
 
+    /// Removes and closes what is overdue: see [`LocalBudget::tick`].
     pub fn tick(&mut self, now: Micros) -> Vec<ConnectionOrder> {
         self.calls.tick(now);
         self.connections.tick(now)
     }
 
-    /// What the leader of the connections and that of the calls are to know, if it is time.
+    /// The reports on connections and on calls, as far as they are due.
     pub fn reports(&mut self, now: Micros) -> (Option<Report>, Option<Report>) {
         (self.connections.report(now), self.calls.report(now))
     }
 
-    /// So many calls of the tenant would go out now, beside those that are out.
+    /// The tenant has so many calls waiting, beside those in flight.
     pub fn set_waiting(&mut self, dest: u64, tenant: &str, count: u32, now: Micros) {
         self.connections.set_waiting(dest, tenant, count, now);
         self.calls.set_waiting(dest, tenant, count, now);
     }
 
-    /// May a call of the tenant go out now? Its permit is for the connection; the call counts from now on,
-    /// also if it is never written.
+    /// A permit for a call of the tenant. It is for the connection; the call counts from now on, even if it is never
+    /// written.
     ///
-    /// # Errors There is no connection for it, or the span's calls are begun, and when one may be had.
+    /// # Errors
+    /// There is no connection for it, or the span has no call left; the refusal says when to retry.
     pub fn acquire(&mut self, dest: u64, tenant: &str, now: Micros) -> Result<Permit, Refusal> {
         self.calls.release_expired(dest, now);
         let call_permit = match self.calls.has_budget(dest) {
@@ -120,7 +137,7 @@
         permit
     }
 
-    /// Whether the refusal is for want of calls in this span: another endpoint of the partner won't help.
+    /// Whether the span has no call left: another endpoint of the partner won't help.
     pub fn is_rate_limited(refusal: &Refusal) -> bool {
         refusal.reason == RefusalReason::RateLimited
     }
--- a/courier/fleet/src/budget/divide.rs
+++ b/courier/fleet/src/budget/divide.rs
@@ -1,130 +1,154 @@
-//! The division of whole connections: weighted max-min by what is asked for now, exact, and the same at every
-//! courier whatever the order in which the claims are told.
+//! The division of whole connections: weighted max-min fairness (Bertsekas and Gallager, Data Networks, section 6.5.2) by
+//! what is demanded now. It is exact, and the same at every courier whatever the order of the claims.
 
 use super::breaks::{Break, on};
 use std::cmp::Reverse;
 
 /// One connection, in the units of [`Claim::credit`] and [`Allocation::fair`].
 pub const ONE_CONNECTION: i64 = 1_000_000;
-/// Hysteresis: who holds a seat keeps it against one whose claim to it is greater by less than this: a quarter of a
-/// connection. Without it, demand that wavers would turn seats over at each look.
+/// Hysteresis: a claim keeps a connection that it has against one whose remainder is greater by less than this, a quarter
+/// of a connection. Without it, demand that varies a little would move connections in each round.
 pub const HYSTERESIS: i64 = ONE_CONNECTION / 4;
-/// Credits count up to so many connections either way: who asked for long can't hoard.
+/// Credits count up to so many millionths of a connection either way, so that none accumulates without bound.
 pub const MAX_CREDIT: i64 = 4 * ONE_CONNECTION;
 
-/// What one tenant (or one courier inside a tenant) claims.
+/// The claim of one tenant, or of one courier inside a tenant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claim<'a> {
     /// Breaks ties; no two claims of one division have the same.
     pub name: &'a str,
-    /// Above nought; see [`super::Tenant::weight_millionths`].
+    /// Above 0; see [`Tenant::weight_millionths`](super::Tenant::weight_millionths).
     pub weight: u64,
-    /// Kept for it as far as it asks for it.
+    /// Connections that it gets first, as far as it demands them.
     pub floor: u32,
+    /// The most connections that it may get.
     pub ceiling: u32,
     /// Connections that it would use now.
     pub demand: u32,
-    /// What it holds now: see [`HYSTERESIS`].
+    /// Connections that it has now: see [`HYSTERESIS`].
     pub current: u32,
-    /// Millionths of a connection that it was short of its fair part before; negative if it had more.
+    /// Millionths of a connection that it was short of its fair part in earlier rounds; negative if it had more.
     pub credit: i64,
-    /// How long it has gone without a connection, if for longer than its fair part lets it; else 0. It comes
-    /// first.
+    /// For how many microseconds it has had no connection, if longer than its fair part allows; else 0. Overdue claims
+    /// come first.
     pub overdue: u64,
 }
 
 /// What one claim gets.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Allocation {
+    /// Connections.
     pub whole: u32,
-    /// The exact part before it was made whole, in millionths, rounded down.
+    /// The exact part before rounding to whole connections, in millionths, rounded down.
     pub fair: i64,
 }
 
-/// Divides `pool` connections. What comes back is in the order of the claims; its sum is the pool, or all
-/// that is asked for within the ceilings if that is less.
+/// Divides `pool` connections. The result is in the order of the claims; its sum is the pool, or all that is demanded
+/// within the ceilings if that is less.
 ///
-/// Each claim's exact part is `level * weight`, not below its floor nor above what it asks for and its
-/// ceiling, with one level for all. Each gets the whole part of that, and the rest is dealt by one connection
-/// to the largest remainders (with the credit of earlier divisions, and what is overdue first). If the floors
-/// that are asked for are more than the pool, the pool is divided among these floors alone.
+/// Each claim's exact part is `level * weight`, not below its floor nor above its demand and its ceiling, with one level
+/// for all. Each gets the whole part of that, and the rest goes one connection each to the largest remainders (with the
+/// credit of earlier rounds, and overdue claims first). If the demanded floors are more than the pool, the pool is
+/// divided among these floors alone.
 pub fn divide(pool: u32, claims: &[Claim]) -> Vec<Allocation> {
-    let high = |c: &Claim| c.demand.min(c.ceiling);
-    let low = |c: &Claim| if on(Break::FloorForgotten) { 0 } else { c.floor.min(high(c)) };
-    let lows: u64 = claims.iter().map(|c| u64::from(low(c))).sum();
-    let bounds: Vec<(u32, u32)> = match lows > u64::from(pool) {
-        true => claims.iter().map(|c| (0, low(c))).collect(),
-        false => claims.iter().map(|c| (low(c), high(c))).collect(),
-    };
-    let highs: u64 = bounds.iter().map(|(_, high)| u64::from(*high)).sum();
-    if highs <= u64::from(pool) {
-        return bounds
-            .iter()
-            .map(|(_, high)| Allocation { whole: *high, fair: i64::from(*high) * ONE_CONNECTION })
-            .collect();
+    let bounds = claim_bounds(pool, claims);
+    let most: u64 = bounds.iter().map(|bound| u64::from(bound.high)).sum();
+    if most <= u64::from(pool) {
+        let all =
+            |bound: &Bounds| Allocation { whole: bound.high, fair: i64::from(bound.high) * ONE_CONNECTION };
+        return bounds.iter().map(all).collect();
     }
-    let (level, by) = level(pool, claims, &bounds);
-    // Exact parts over the common denominator `by`.
-    let exact = claims.iter().zip(&bounds).map(|(claim, (low, high))| {
-        (level * u128::from(claim.weight)).clamp(u128::from(*low) * by, u128::from(*high) * by)
-    });
+    let level = level(pool, claims, &bounds);
+    let exact = claims.iter().zip(&bounds).map(|(claim, bound)| level.exact_part(claim, bound));
     let exact: Vec<u128> = exact.collect();
-    let mut parts: Vec<Allocation> = exact
-        .iter()
-        .map(|part| Allocation {
-            whole: (part / by) as u32,
-            fair: (part * ONE_CONNECTION as u128 / by) as i64,
-        })
-        .collect();
-    let dealt: u64 = parts.iter().map(|p| u64::from(p.whole)).sum();
-    let rest = u64::from(pool).saturating_sub(dealt) as usize;
-    let mut next: Vec<usize> = (0..claims.len()).filter(|n| !exact[*n].is_multiple_of(by)).collect();
+    let mut parts: Vec<Allocation> = exact.iter().map(|part| level.whole_part(*part)).collect();
+    let whole: u64 = parts.iter().map(|part| u64::from(part.whole)).sum();
+    let rest = u64::from(pool).saturating_sub(whole) as usize;
+    let mut next: Vec<usize> =
+        (0..claims.len()).filter(|n| !exact[*n].is_multiple_of(level.denominator)).collect();
     next.sort_by_key(|n| {
         let claim = &claims[*n];
         let hysteresis = if claim.current > parts[*n].whole { HYSTERESIS } else { 0 };
         let credit = claim.credit.clamp(-MAX_CREDIT, MAX_CREDIT) + hysteresis;
-        let key = (exact[*n] % by) as i128 * i128::from(ONE_CONNECTION) + i128::from(credit) * by as i128;
+        let remainder = (exact[*n] % level.denominator) as i128 * i128::from(ONE_CONNECTION);
+        let key = remainder + i128::from(credit) * level.denominator as i128;
         (Reverse(claim.overdue), Reverse(key), claim.name)
     });
     next.into_iter().take(rest).for_each(|n| parts[n].whole += 1);
     parts
 }
 
-/// The level at which the bounded parts add up to the pool, as a fraction. The highs add up to more than the
-/// pool, the lows to no more.
-fn level(pool: u32, claims: &[Claim], bounds: &[(u32, u32)]) -> (u128, u128) {
-    // As the level rises from nought, a claim starts to grow at low / weight and stops at high / weight.
-    let mut turns: Vec<(u32, u64, bool)> = Vec::with_capacity(claims.len() * 2);
-    for (claim, (low, high)) in claims.iter().zip(bounds) {
-        if low < high {
-            let weight = claim.weight.max(1);
-            turns.push((*low, weight, true));
-            turns.push((*high, weight, false));
+/// The least and the most that a claim may get.
+struct Bounds {
+    low: u32,
+    high: u32,
+}
+
+fn claim_bounds(pool: u32, claims: &[Claim]) -> Vec<Bounds> {
+    let high = |claim: &Claim| claim.demand.min(claim.ceiling);
+    let low = |claim: &Claim| if on(Break::FloorForgotten) { 0 } else { claim.floor.min(high(claim)) };
+    let least: u64 = claims.iter().map(|claim| u64::from(low(claim))).sum();
+    let bounds = |claim: &Claim| match least > u64::from(pool) {
+        true => Bounds { low: 0, high: low(claim) },
+        false => Bounds { low: low(claim), high: high(claim) },
+    };
+    claims.iter().map(bounds).collect()
+}
+
+/// The part of a claim for each unit of its weight, as a fraction.
+struct Level {
+    numerator: u128,
+    /// Exact parts are over this denominator.
+    denominator: u128,
+}
+
+impl Level {
+    fn exact_part(&self, claim: &Claim, bounds: &Bounds) -> u128 {
+        let (low, high) = (u128::from(bounds.low), u128::from(bounds.high));
+        (self.numerator * u128::from(claim.weight)).clamp(low * self.denominator, high * self.denominator)
+    }
+
+    fn whole_part(&self, exact: u128) -> Allocation {
+        Allocation {
+            whole: (exact / self.denominator) as u32,
+            fair: (exact * ONE_CONNECTION as u128 / self.denominator) as i64,
         }
     }
-    let at = |(n, weight, _): &(u32, u64, bool)| (u128::from(*n), u128::from(*weight));
-    turns.sort_by(|a, b| {
-        let ((n, v), (m, w)) = (at(a), at(b));
-        (n * w).cmp(&(m * v))
-    });
-    let mut fixed: u128 = bounds.iter().map(|(low, _)| u128::from(*low)).sum();
+}
+
+/// Where a claim starts or stops to grow as the level rises: at `connections / weight`.
+struct Turn {
+    connections: u128,
+    weight: u128,
+    starts: bool,
+}
+
+/// The level at which the bounded parts add up to the pool. The highs add up to more than the pool, the lows to no
+/// more.
+fn level(pool: u32, claims: &[Claim], bounds: &[Bounds]) -> Level {
+    let mut turns: Vec<Turn> = Vec::with_capacity(claims.len() * 2);
+    for (claim, bound) in claims.iter().zip(bounds).filter(|(_, bound)| bound.low < bound.high) {
+        let weight = u128::from(claim.weight.max(1));
+        turns.push(Turn { connections: bound.low.into(), weight, starts: true });
+        turns.push(Turn { connections: bound.high.into(), weight, starts: false });
+    }
+    turns.sort_by(|a, b| (a.connections * b.weight).cmp(&(b.connections * a.weight)));
+    // `fixed` has the parts that don't grow; a growing part is its weight times the level.
+    let mut fixed: u128 = bounds.iter().map(|bound| u128::from(bound.low)).sum();
     let mut growing: u128 = 0;
     let pool = u128::from(pool);
-    for turn in &turns {
-        let (n, weight) = at(turn);
-        // At this level n / weight: is the sum the pool already?
-        if growing > 0 && fixed * weight + growing * n >= pool * weight {
+    for Turn { connections, weight, starts } in turns {
+        let is_reached = fixed * weight + growing * connections >= pool * weight;
+        if growing > 0 && is_reached {
             break;
         }
-        // `fixed` holds the parts that don't grow; a growing one is its weight times the level.
-        if turn.2 {
-            (fixed, growing) = (fixed - n, growing + weight);
-        } else {
-            (fixed, growing) = (fixed + n, growing - weight);
-        }
+        (fixed, growing) = match starts {
+            true => (fixed - connections, growing + weight),
+            false => (fixed + connections, growing - weight),
+        };
     }
     match growing {
-        0 => (0, 1),
-        _ => (pool - fixed.min(pool), growing),
+        0 => Level { numerator: 0, denominator: 1 },
+        _ => Level { numerator: pool - fixed.min(pool), denominator: growing },
     }
 }
--- /dev/null
+++ b/courier/fleet/src/budget/local/mod.rs
@@ -0,0 +1,227 @@
+//! A courier's own side of the budgets: what it may have open at each partner, and what it has.
+//!
+//! A connection counts from its permit until it is closed at the partner: while it is opened, used, idle and closed, and
+//! so does one whose call was given up. It belongs to the tenant whose call is on it, or was last; an idle one may be
+//! taken by another tenant's call, and then belongs to that tenant.
+//!
+//! The caller applies each change of the agreed state ([`LocalBudget::apply_state`]), acquires a [`Permit`] before each
+//! call ([`LocalBudget::acquire`]), tells what becomes of the connection, and sends the reports
+//! ([`LocalBudget::report`]) to the leader. It carries out the returned [`ConnectionOrder`]s.
+//!
+//! Inside: `connections` has the state of one partner, `permit` decides on calls, `closing` ends connections, and
+//! `reporting` writes the reports.
+
+mod closing;
+mod connections;
+mod permit;
+mod reporting;
+
+pub use closing::ConnectionOrder;
+pub use connections::WAITING_TTL;
+pub use permit::{
+    INITIAL_GRANT_TIME, MIN_RETRY_AFTER, PERMIT_TTL, Permit, PermitKind, Refusal, RefusalReason,
+};
+pub use reporting::{MIN_REPORT_INTERVAL, REPORT_INTERVAL};
+
+use super::breaks::{Break, on};
+use super::model::{Budget, TimeBounds};
+use super::state::{BudgetState, PartnerBudget};
+use connections::{Grant, PartnerConnections};
+use quillmount_policy::Micros;
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+
+/// What one courier was granted and uses. An upgrade hands it to the next process in postcard's form, which goes by
+/// position.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct LocalBudget {
+    local_name: String,
+    bounds: TimeBounds,
+    epoch: u64,
+    lease_until: Micros,
+    /// From then on no earlier process's connections are open.
+    floor_from: Micros,
+    partners: BTreeMap<u64, PartnerConnections>,
+    /// It counts the calls of a span in place of connections: see [`super::calls`].
+    counts_calls: bool,
+    /// It begins nothing more.
+    leaving: bool,
+    /// The number of the last connection.
+    last_connection: u64,
+    /// The number of the last report.
+    sequence: u64,
+    /// Something has changed since the last report.
+    changed: bool,
+    /// When the last report was made.
+    reported: Option<Micros>,
+}
+
+/// What the courier's membership allows at a point in time.
+#[derive(Clone, Copy)]
+struct Allowance {
+    /// The lease has expired: grants don't count.
+    is_cut_off: bool,
+    /// No earlier process can have used the floor, and this one isn't leaving.
+    has_floor: bool,
+    is_leaving: bool,
+}
+
+impl Allowance {
+    /// The connections of the courier's floor at the partner.
+    fn floor(self, partner: &PartnerConnections) -> u32 {
+        if self.has_floor { partner.floor() } else { 0 }
+    }
+
+    /// The most connections that there may be once one more is begun.
+    fn cap(self, partner: &PartnerConnections) -> u32 {
+        let floor = self.floor(partner);
+        if self.is_cut_off || self.is_leaving { floor } else { floor.max(partner.usable) }
+    }
+
+    /// The connections that the tenant may use.
+    fn usable(self, partner: &PartnerConnections, tenant: &str) -> u32 {
+        if self.is_cut_off { 0 } else { partner.usable(tenant) }
+    }
+}
+
+impl LocalBudget {
+    /// A process that starts. What an earlier process of the same name had open may still be open for
+    /// [`TimeBounds::drain_time`].
+    pub fn new(local_name: &str, bounds: TimeBounds, now: Micros) -> LocalBudget {
+        let floor_from = if on(Break::FloorTooSoon) { now } else { now.saturating_add(bounds.drain_time()) };
+        LocalBudget {
+            local_name: local_name.to_string(),
+            bounds,
+            epoch: 0,
+            lease_until: 0,
+            floor_from,
+            partners: BTreeMap::new(),
+            counts_calls: false,
+            leaving: false,
+            last_connection: 0,
+            sequence: 0,
+            changed: true,
+            reported: None,
+        }
+    }
+
+    /// The same for the calls of a span: see [`super::calls`].
+    pub(super) fn for_calls(local_name: &str, bounds: TimeBounds, now: Micros) -> LocalBudget {
+        LocalBudget { counts_calls: true, ..LocalBudget::new(local_name, bounds, now) }
+    }
+
+    /// Configures a partner's budget; the tenants' weights divide this courier's floor while it is cut off.
+    pub fn set_budget(&mut self, budget: &Budget) {
+        let partner = self.partners.entry(budget.dest).or_default();
+        partner.configured = budget.courier_floor;
+        partner.close_timeout = self.bounds.close_timeout();
+        partner.weights = budget.tenants.iter().map(|t| (t.name.clone(), t.weight_millionths())).collect();
+        self.changed = true;
+    }
+
+    /// Closing connections of this partner count for so long.
+    pub(super) fn set_close_timeout(&mut self, dest: u64, span: Micros) {
+        if let Some(partner) = self.partners.get_mut(&dest) {
+            partner.close_timeout = span;
+        }
+    }
+
+    /// Whether the partner has a budget: calls to others need no permit.
+    pub fn has_budget(&self, dest: u64) -> bool {
+        self.partners.contains_key(&dest)
+    }
+
+    /// The courier is a member with this epoch; nothing is granted under it yet.
+    pub fn joined(&mut self, epoch: u64) {
+        if epoch > self.epoch {
+            self.epoch = epoch;
+            self.partners.values_mut().for_each(|p| (p.usable, p.grants) = Default::default());
+            self.changed = true;
+        }
+    }
+
+    /// The courier's lease runs until then, by its own clock.
+    pub fn extend_lease(&mut self, until: Micros) {
+        self.lease_until = self.lease_until.max(until);
+    }
+
+    /// The courier's lease has ended at once: it was revoked.
+    pub fn end_lease(&mut self) {
+        self.lease_until = 0;
+    }
+
+    /// A planned stop: nothing more is begun, and idle connections are closed at the next [`LocalBudget::tick`].
+    pub fn leave(&mut self) {
+        (self.leaving, self.changed) = (true, true);
+    }
+
+    /// It is leaving, and nothing is open any more. If its next report is not agreed on before the process ends, the
+    /// end counts as a crash.
+    pub fn has_left(&self) -> bool {
+        self.leaving && self.partners.values().all(|p| p.connections.is_empty())
+    }
+
+    /// The agreed state as far as it is known here; called after each applied entry, or once for many.
+    pub fn apply_state(&mut self, budget_state: &BudgetState, now: Micros) -> Vec<ConnectionOrder> {
+        let member = budget_state.member(&self.local_name).filter(|m| m.epoch == self.epoch && !m.lapsed);
+        let is_member = member.is_some();
+        if member.is_some_and(|m| m.aged) {
+            self.floor_from = self.floor_from.min(now);
+        }
+        for (_, partner) in self.partners.iter_mut().filter(|(d, _)| budget_state.partner(**d).is_none()) {
+            partner.grants.clear();
+            partner.usable = 0;
+        }
+        for (dest, agreed) in budget_state.partners() {
+            self.apply_partner(dest, agreed, is_member, now);
+        }
+        self.tick(now)
+    }
+
+    fn apply_partner(&mut self, dest: u64, agreed: &PartnerBudget, is_member: bool, now: Micros) {
+        let close_timeout = self.bounds.close_timeout();
+        let partner = self
+            .partners
+            .entry(dest)
+            .or_insert_with(|| PartnerConnections { close_timeout, ..PartnerConnections::default() });
+        partner.agreed_floor = Some(agreed.floor(&self.local_name));
+        let mut grants = BTreeMap::new();
+        for (tenant, share) in agreed.shares(&self.local_name, self.epoch).filter(|_| is_member) {
+            let old = partner.grants.get(tenant).copied().unwrap_or_default();
+            grants.insert(tenant.to_string(), Grant::new(share, &old));
+            if old.usable == 0 && share.usable() > 0 {
+                partner.granted(tenant, now);
+            }
+        }
+        self.changed |= grants != partner.grants;
+        partner.grants = grants;
+        partner.usable = partner.sum(|grant| grant.usable);
+    }
+
+    fn is_cut_off(&self, now: Micros) -> bool {
+        now >= self.lease_until && !on(Break::LeaseIgnored)
+    }
+
+    fn allowance(&self, now: Micros) -> Allowance {
+        Allowance {
+            is_cut_off: self.is_cut_off(now),
+            has_floor: now >= self.floor_from && !self.leaving,
+            is_leaving: self.leaving,
+        }
+    }
+
+    /// The connections at a partner, in any state.
+    pub fn open(&self, dest: u64) -> u32 {
+        self.partners.get(&dest).map_or(0, |p| p.connections.len() as u32)
+    }
+
+    /// The connections of a tenant at a partner, in any state.
+    pub fn open_for(&self, dest: u64, tenant: &str) -> u32 {
+        self.partners.get(&dest).map_or(0, |p| p.open(tenant))
+    }
+
+    /// For how long a closing connection counts at most.
+    pub fn close_timeout_of(&self, dest: u64) -> Micros {
+        self.partners.get(&dest).map_or(self.bounds.close_timeout(), |p| p.close_timeout)
+    }
+}
--- a/courier/fleet/tests/budget.rs
+++ b/courier/fleet/tests/budget.rs
@@ -184,7 +184,7 @@
         for n in 0..couriers {
             let (rate, ahead) = (sim.rng.within(0, 19_000) as i64 - 9_500, sim.rng.within(S, 1_000 * S));
             let mut local_budget = LocalBudget::new(&sim.names[n], BOUNDS, ahead);
-            local_budget.budget(&sim.budget);
+            local_budget.set_budget(&sim.budget);
             sim.nodes.push(Node {
                 local_budget,
                 budget_state: BudgetState::default(),
@@ -252,7 +252,7 @@
     fn lead(&mut self) {
         self.term += 1;
         self.leader = BudgetLeader::new(BOUNDS);
-        self.leader.budget(&self.budget);
+        self.leader.set_budget(&self.budget);
         self.leader_rate = self.rng.within(0, 19_000) as i64 - 9_500;
         let until = self.leads() + BOUNDS.lease * 103 / 100;
         self.leases = (0..self.nodes.len()).map(|n| (n, until)).collect();
@@ -479,7 +479,7 @@
                         self.send(Event::Heard(n, life, Box::new(say)));
                     }
                 }
-                if self.nodes[n].local_budget.left()
+                if self.nodes[n].local_budget.has_left()
                     && self.nodes[n].budget_state.member(&self.names[n]).is_none_or(|m| m.left)
                 {
                     self.crash(n);
@@ -700,7 +700,7 @@
                 (node.up, node.life, node.epoch) = (true, node.life + 1, 0);
                 (node.budget_state, node.applied, node.renewed) = (BudgetState::default(), 0, 0);
                 node.local_budget = LocalBudget::new(&self.names[n], BOUNDS, now);
-                node.local_budget.budget(&self.budget);
+                node.local_budget.set_budget(&self.budget);
                 let life = node.life;
                 self.after(MS, Event::Wake(n, life));
             }
--- a/courier/fleet/tests/parts/local.rs
+++ b/courier/fleet/tests/parts/local.rs
@@ -24,7 +24,7 @@
     let mut local_budget = LocalBudget::new("me", BOUNDS, 0);
     let budget =
         Budget { dest: 1, connections: 20, calls: None, span_ms: None, courier_floor: 1, tenants: vec![] };
-    local_budget.budget(&budget);
+    local_budget.set_budget(&budget);
     local_budget.joined(1);
     let now = BOUNDS.drain_time();
     local_budget.extend_lease(now + BOUNDS.lease);
@@ -123,7 +123,7 @@
     let mut local_budget = LocalBudget::new("me", BOUNDS, 5 * MS);
     let budget =
         Budget { dest: 1, connections: 4, calls: None, span_ms: None, courier_floor: 2, tenants: vec![] };
-    local_budget.budget(&budget);
+    local_budget.set_budget(&budget);
     let refused = local_budget.acquire(1, "a", 6 * MS).unwrap_err();
     assert_eq!(
         (refused.reason, refused.after),
@@ -191,7 +191,7 @@
     let (mut local_budget, budget_state, now) = local_budget(&[]);
     let budget =
         Budget { dest: 1, connections: 20, calls: None, span_ms: None, courier_floor: 3, tenants: vec![] };
-    local_budget.budget(&budget);
+    local_budget.set_budget(&budget);
     local_budget.apply_state(&budget_state, now);
     assert!(local_budget.acquire(1, "a", now).is_ok());
     assert!(local_budget.acquire(1, "a", now).is_err(), "one is agreed on");
