--- a/courier/core/src/disabled.rs
+++ b/courier/core/src/disabled.rs
@@ -17,7 +17,7 @@
     #[error("{DISABLED_MAX} endpoints are out already")]
     TooMany,
     #[error("not written: {0}")]
-    NotWritten(#[from] crate::journal::JournalError),
+    NotWritten(#[from] crate::journal::error::JournalError),
 }
 
 /// The set.
--- /dev/null
+++ b/courier/core/src/journal/mod.rs
@@ -0,0 +1,24 @@
+//! The journal of owed messages: append-only records in a [`Store`](crate::store::Store) that outlasts the process.
+//!
+//! The router writes a record before it acts on what the record says, so that after a crash a new process can go on from
+//! the journal alone. [`JournalRecord`] is the stored form, [`frame`] and [`Records`] are its encoding,
+//! [`JournalContents`] is what a sequence of records amounts to, and [`Journal`] appends records and compacts the store
+//! within a limit on disk space.
+//!
+//! Records are encoded with postcard, by position: neither the order of variants and fields nor the type of a field may
+//! change, since a new version reads what an older one has written.
+
+mod contents;
+pub mod error;
+mod frame;
+mod record;
+mod settlements;
+mod space;
+mod writer;
+
+pub use contents::{JournalContents, JournalEntry, PastCall};
+pub use error::JournalError;
+pub use frame::{Records, frame};
+pub use record::{AcceptedMessage, End, JournalRecord, RepeatEffect, SettlementLine, Source};
+pub use settlements::Settlements;
+pub use writer::Journal;
--- a/courier/core/src/note.rs
+++ b/courier/core/src/note.rs
@@ -1,7 +1,7 @@
 //! What the core has to say to staff: typed here, written into the log by whoever drives it.
 
 use crate::Ending;
-use crate::journal::JournalError;
+use crate::journal::error::JournalError;
 use quillmount_policy::{Micros, MsgId};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/courier/core/src/router/settle.rs
+++ b/courier/core/src/router/settle.rs
@@ -37,7 +37,7 @@
         accepted: bool,
         now: Micros,
     ) -> Result<Vec<RouterAction>, JournalError> {
-        let record = JournalRecord::Settled { source: source.clone(), accepted: accepted };
+        let record = JournalRecord::Settled { source: source.clone(), accepted };
         self.journal.append_all(&[record], now, &mut self.notes)?;
         let mut actions = Vec::new();
         for (msg, entry) in self.unsettled.remove(source).unwrap_or_default() {
--- a/courier/core/tests/stored_forms.rs
+++ b/courier/core/tests/stored_forms.rs
@@ -144,7 +144,7 @@
 #[test]
 fn a_journal_is_read_record_by_record_and_written_as_it_was() {
     let stored = fixture("journal.bin", &framed(&records()));
-    let read: Vec<(usize, JournalRecord)> = Records::of(&stored).collect();
+    let read: Vec<(usize, JournalRecord)> = Records::new(&stored).collect();
     let (offsets, values): (Vec<_>, Vec<_>) = read.into_iter().unzip();
     assert_eq!(values, records());
     assert_eq!(framed(&values), stored);
@@ -182,7 +182,7 @@
     assert_eq!(length, compacted.len());
     // In this copy an attempt of an earlier version has no zone, and numbers of what is over are not kept.
     assert_eq!(read, JournalContents { next: 301, ..restored_now() });
-    let count = Records::of(&compacted).count();
+    let count = Records::new(&compacted).count();
     assert_eq!(count, 20);
     // Read again, it is left as it is.
     let mut notes = Vec::new();
@@ -245,6 +245,6 @@
         JournalRecord::From { msg: 3, source: source("a", 1, 4) },
         JournalRecord::Attempt { msg: 3, zone: 0, sent: NOW },
     ];
-    assert_eq!(Records::of(&adopted).map(|(_, record)| record).collect::<Vec<_>>(), copy);
+    assert_eq!(Records::new(&adopted).map(|(_, record)| record).collect::<Vec<_>>(), copy);
     assert_eq!(framed(&copy), adopted);
 }
--- a/courier/fleet/src/replication.rs
+++ b/courier/fleet/src/replication.rs
@@ -221,7 +221,7 @@
     /// The store can't be read.
     pub fn open(mut store: S) -> io::Result<Self> {
         let bytes = store.read()?;
-        let sealed = Records::of(&bytes).any(|(_, record)| matches!(record, JournalRecord::Sealed));
+        let sealed = Records::new(&bytes).any(|(_, record)| matches!(record, JournalRecord::Sealed));
         Ok(JournalReplica {
             store,
             position: ReplicaPosition::default(),
@@ -317,8 +317,9 @@
     /// A store can't be read or written.
     pub fn rename(mut self, mut store: S) -> io::Result<JournalReplica<S>> {
         let bytes = self.store.read()?;
-        let end =
-            Records::of(&bytes).find(|(_, record)| matches!(record, JournalRecord::Sealed)).map(|(at, _)| at);
+        let end = Records::new(&bytes)
+            .find(|(_, record)| matches!(record, JournalRecord::Sealed))
+            .map(|(at, _)| at);
         store.replace(&bytes[..end.unwrap_or(bytes.len())])?;
         JournalReplica::open(store)
     }
--- a/courier/fleet/tests/explore.rs
+++ b/courier/fleet/tests/explore.rs
@@ -887,7 +887,7 @@
             for (file, bytes) in disk.iter().filter(|(file, _)| file.starts_with("copy.")) {
                 let owner = file.rsplit('.').next().unwrap_or_default().to_string();
                 let seal = journal::frame(&JournalRecord::Sealed).unwrap().len();
-                let end = Records::of(bytes).enumerate().find(|(_, (_, r))| *r == JournalRecord::Sealed);
+                let end = Records::new(bytes).enumerate().find(|(_, (_, r))| *r == JournalRecord::Sealed);
                 if end.as_ref().is_some_and(|(_, (at, _))| at + seal < bytes.len()) {
                     let what = format!("sealed: {}'s copy {file} takes more", name(i));
                     self.bad.get_or_insert(what);
@@ -895,7 +895,7 @@
                 let end = end.map(|(n, _)| n);
                 let mut ids = BTreeMap::new();
                 let mut tries: BTreeMap<String, usize> = BTreeMap::new();
-                for (_, record) in Records::of(bytes).take(end.unwrap_or(usize::MAX)) {
+                for (_, record) in Records::new(bytes).take(end.unwrap_or(usize::MAX)) {
                     match record {
                         JournalRecord::Accept { msg, taken } => drop(ids.insert(msg, taken.id)),
                         JournalRecord::Attempt { msg, .. } => {
@@ -943,7 +943,7 @@
                 let mut copies =
                     copies.filter(|(file, _)| file.starts_with("copy.") && file.ends_with(&mine));
                 let has = |bytes: &[u8]| {
-                    Records::of(bytes)
+                    Records::new(bytes)
                         .any(|(_, r)| matches!(r, JournalRecord::Accept { taken, .. } if taken.id == *id))
                 };
                 if !copies.any(|(_, bytes)| has(bytes)) {
--- a/courier/program/src/program/inspect.rs
+++ b/courier/program/src/program/inspect.rs
@@ -149,7 +149,7 @@
 /// The journal can't be read, or ends in what is no record.
 pub fn show(folder: &Path, json: bool) -> Result<(), Error> {
     let (path, bytes) = read(folder)?;
-    for (at, record) in Records::of(&bytes) {
+    for (at, record) in Records::new(&bytes) {
         let line = Line::of(at, &record);
         match json {
             true => println!("{}", serde_json::to_string(&line)?),
@@ -174,7 +174,7 @@
 /// The journal can't be read, or ends in what is no record.
 pub fn verify(folder: &Path) -> Result<(), Error> {
     let (path, bytes) = read(folder)?;
-    let records = Records::of(&bytes).count();
+    let records = Records::new(&bytes).count();
     let (contents, sound) = JournalContents::read(&bytes);
     whole(&path, sound, bytes.len())?;
     println!("{}: {records} records in {sound} bytes, {} owed: sound", path.display(), contents.owed.len());
--- a/tools/standins/src/audit.rs
+++ b/tools/standins/src/audit.rs
@@ -483,7 +483,7 @@
         type MessageProgress = (String, RepeatPolicy, Vec<bool>, Option<End>);
         let mut owed: BTreeMap<_, MessageProgress> = BTreeMap::new();
         let courier = journal.courier;
-        for (at, record) in Records::of(&journal.bytes) {
+        for (at, record) in Records::new(&journal.bytes) {
             match record {
                 JournalRecord::Accept { msg, taken } | JournalRecord::Stream { msg, taken } => {
                     let class = rules.classes.get(&taken.class).copied().unwrap_or(RepeatPolicy::Once);
