--- a/courier/core/src/hub.rs
+++ b/courier/core/src/hub.rs
@@ -97,30 +97,17 @@
         Ok(self.carry_out(steps?, now))
     }
 
-    /// Takes over what another courier's book owes; see [`Router::adopt`].
+    /// Adopts the messages of another courier's journal; see [`Router::adopt`].
     ///
     /// # Errors
-    /// The journal has no room, or its store refused the records: then nothing is taken over.
+    /// The journal is full, or its store refused the records: nothing was adopted.
     pub fn adopt(
         &mut self,
         entries: Vec<JournalEntry>,
+        settlements: &Settlements,
         now: Micros,
     ) -> Result<Vec<DriverAction<C>>, JournalError> {
-        let steps = self.router.adopt(entries, now)?;
-        Ok(self.carry_out(steps, now))
-    }
-
-    /// The same, with lines about settlements; see [`Router::adopt_with`].
-    ///
-    /// # Errors
-    /// The journal has no room, or its store refused the records: then nothing is taken over.
-    pub fn adopt_with(
-        &mut self,
-        entries: Vec<JournalEntry>,
-        lines: &Settlements,
-        now: Micros,
-    ) -> Result<Vec<DriverAction<C>>, JournalError> {
-        let steps = self.router.adopt_with(entries, lines, now)?;
+        let steps = self.router.adopt(entries, settlements, now)?;
         Ok(self.carry_out(steps, now))
     }
 
@@ -138,7 +125,7 @@
         Ok(self.carry_out(steps, now))
     }
 
-    /// The fleet has said whose the messages of a source are; see [`Router::settle_from`].
+    /// The fleet has said whose the messages of a source are; see [`Router::settle_source`].
     ///
     /// # Errors
     /// The store refused the record: they go on to wait.
@@ -148,7 +135,7 @@
         accepted: bool,
         now: Micros,
     ) -> Result<Vec<DriverAction<C>>, JournalError> {
-        let steps = self.router.settle_from(source, accepted, now)?;
+        let steps = self.router.settle_source(source, accepted, now)?;
         Ok(self.carry_out(steps, now))
     }
 
--- a/courier/core/src/journal/contents.rs
+++ b/courier/core/src/journal/contents.rs
@@ -18,6 +18,13 @@
     pub never_ran: Option<bool>,
 }
 
+impl PastCall {
+    /// Nothing proves that the attempt had no effect.
+    pub fn may_have_run(&self) -> bool {
+        self.never_ran != Some(true)
+    }
+}
+
 /// An owed message as a journal records it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JournalEntry {
--- a/courier/core/src/lib.rs
+++ b/courier/core/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod turns;
 
 use bytes::Bytes;
-use quillmount_policy::{EndpointState, Micros, MsgId};
+use quillmount_policy::{EndpointState, Micros, MsgId, Outcome};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -98,31 +98,62 @@
     pub body: Bytes,
 }
 
-/// How a delivery call ended.
+/// How a delivery call ended, or what its answer says about one of its messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum CallEnd {
+    /// The message was delivered.
     Delivered,
-    /// A whole answer that tells of each of the call's messages how it fared. No message ends so.
+    /// The answer is complete and has an end for each message of the call. No message ends so.
     Each,
+    /// The endpoint answered with an error.
     Error,
-    /// The answer can't be trusted beyond this: it may have run, and it asks to wait so long (0: it
-    /// does not).
+    /// The answer can't be trusted beyond this: the call may have had an effect, and the endpoint asks to wait for so many
+    /// microseconds (0: it does not).
     Spoilt(Micros),
-    /// Turned away, and told to wait so long (0: not told).
+    /// The endpoint rejected the call for want of capacity, and asks to wait for so many microseconds (0: it does not).
     Full(Micros),
+    /// The endpoint had no slot for the call.
     NoSlot,
-    /// The message has had all its attempts; its end is still owed.
+    /// The message has had all its attempts; it is still owed an end.
     Exhausted,
-    /// Nothing more is owed for the message.
+    /// The message has ended already; nothing more is owed for it.
     Gone,
-    /// Held back by the courier itself before its first byte.
+    /// The courier held the call back before its first byte.
     HeldBack,
+    /// No connection could be established, or none that could be written to.
     CouldNotConnect,
+    /// The connection was reset after the call may have had an effect.
     Reset,
+    /// The call's time was up.
     TimedOut,
+    /// The courier cancelled the call.
     GivenUp,
 }
 
+impl CallEnd {
+    /// How long the endpoint asks to wait, in microseconds; 0: it does not.
+    pub(crate) fn wait(self) -> Micros {
+        match self {
+            CallEnd::Full(wait) | CallEnd::Spoilt(wait) => wait,
+            _ => 0,
+        }
+    }
+
+    /// The outcome as the policy is told of it.
+    pub(crate) fn outcome(self) -> Outcome {
+        match self {
+            CallEnd::Delivered => Outcome::Ok,
+            CallEnd::Error | CallEnd::Each | CallEnd::Spoilt(_) => Outcome::Error,
+            CallEnd::Full(_) => Outcome::Full,
+            CallEnd::NoSlot | CallEnd::Exhausted | CallEnd::Gone | CallEnd::HeldBack => Outcome::Moot,
+            CallEnd::CouldNotConnect => Outcome::ConnectFailed,
+            CallEnd::Reset => Outcome::Reset,
+            CallEnd::TimedOut => Outcome::Timeout,
+            CallEnd::GivenUp => Outcome::Cancelled,
+        }
+    }
+}
+
 /// What an answer says beside how each message fared.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AnswerReport {
--- /dev/null
+++ b/courier/core/src/router/adoption.rs
@@ -0,0 +1,101 @@
+//! Adopting messages from the journal of another courier.
+//!
+//! The messages are first written to this courier's journal with their [`Source`]. Until the fleet has decided who owns
+//! what comes from a source, its messages wait, and nobody else may use their ids.
+
+use super::{Router, RouterAction};
+use crate::journal::{End, JournalEntry, JournalError, JournalRecord, Settlements, Source};
+use crate::note::Note;
+use crate::store::Store;
+use quillmount_policy::{Micros, MsgId};
+use std::collections::{BTreeMap, BTreeSet};
+
+impl<S: Store> Router<S> {
+    /// Adopts the messages and settlement lines of another courier's journal, under numbers of this router; either all of
+    /// them or none.
+    ///
+    /// A message whose id is owed or has ended here is left out, with a note for each, so that adopting twice changes
+    /// nothing. The caller vouches for the times of the attempts: for one that was in flight, the last time at which the
+    /// other courier may have been sending.
+    ///
+    /// # Errors
+    /// The journal is full, or its store refused the records: nothing was adopted.
+    pub fn adopt(
+        &mut self,
+        entries: Vec<JournalEntry>,
+        settlements: &Settlements,
+        now: Micros,
+    ) -> Result<Vec<RouterAction>, JournalError> {
+        self.forget_ended(now);
+        let mut actions = Vec::new();
+        let mut adopted = BTreeMap::new();
+        let mut ids = BTreeSet::new();
+        for entry in entries {
+            let id = &entry.taken.id;
+            let is_known = self.ids.contains_key(id) || self.ended.contains(id);
+            if is_known || entry.end == Some(End::Delivered) || !ids.insert(id.clone()) {
+                actions.push(RouterAction::Note(Note::NotAdopted { id: id.clone() }));
+                continue;
+            }
+            adopted.insert(self.next + adopted.len() as MsgId, entry);
+        }
+        if !adopted.is_empty() || !settlements.0.is_empty() {
+            self.journal.adopt(adopted.clone(), settlements, now, &mut self.notes)?;
+        }
+        self.next += adopted.len() as MsgId;
+        self.counters.adopted += adopted.len() as u64;
+        for (msg, entry) in adopted {
+            self.restore_or_defer(msg, entry, now, &mut actions);
+        }
+        self.drain_notes(&mut actions);
+        Ok(actions)
+    }
+
+    /// The sources whose owner the fleet has not decided yet.
+    pub fn unsettled(&self) -> impl Iterator<Item = &Source> {
+        self.unsettled.keys()
+    }
+
+    /// The fleet has decided whether this courier owns the messages of a source. The decision is written to the journal
+    /// before anything else is done.
+    ///
+    /// # Errors
+    /// The store refused the record: the messages go on waiting.
+    pub fn settle_source(
+        &mut self,
+        source: &Source,
+        accepted: bool,
+        now: Micros,
+    ) -> Result<Vec<RouterAction>, JournalError> {
+        let record = JournalRecord::Settled { source: source.clone(), accepted };
+        self.journal.append_all(&[record], now, &mut self.notes)?;
+        let mut actions = Vec::new();
+        for (msg, entry) in self.unsettled.remove(source).unwrap_or_default() {
+            if accepted {
+                self.restore(msg, JournalEntry { source: None, ..entry }, now, &mut actions);
+            } else {
+                self.ids.remove(&entry.taken.id);
+                self.journal.settled(msg, "");
+            }
+        }
+        self.drain_notes(&mut actions);
+        Ok(actions)
+    }
+
+    /// Goes on with a message from the journal, unless it has a source and thus has to wait.
+    pub(super) fn restore_or_defer(
+        &mut self,
+        msg: MsgId,
+        entry: JournalEntry,
+        now: Micros,
+        actions: &mut Vec<RouterAction>,
+    ) {
+        match &entry.source {
+            None => self.restore(msg, entry, now, actions),
+            Some(source) => {
+                self.ids.insert(entry.taken.id.clone(), msg);
+                self.unsettled.entry(source.clone()).or_default().push((msg, entry));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/courier/core/src/router/endpoints.rs
@@ -0,0 +1,133 @@
+//! The table of endpoints that discovery has listed.
+
+use quillmount_policy::{EndpointState, Micros};
+use quillmount_settings::NameTable;
+use serde::{Deserialize, Serialize};
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+/// An endpoint that is gone is forgotten after this many microseconds, if no call is in flight there: it may come back
+/// under its id, and its destination may have a new one by then.
+const FORGET_GONE_AFTER: Micros = 20_000_000;
+
+/// The number of a kind that the settings lack.
+pub(super) const UNKNOWN_KIND: usize = usize::MAX;
+
+/// An endpoint as discovery lists it. Encoded by position in a [`RouterState`](super::RouterState).
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub(super) struct KnownEndpoint {
+    pub(super) addr: Option<SocketAddr>,
+    pub(super) dest: u64,
+    pub(super) zone: u32,
+    /// [`UNKNOWN_KIND`]: none that the settings know.
+    pub(super) kind: usize,
+    pub(super) weight: f64,
+    /// As discovery lists it, whether it is disabled or not.
+    pub(super) state: EndpointState,
+    /// Since when it is gone, if it is.
+    pub(super) gone: Option<Micros>,
+}
+
+/// The number of a name, a new one if the name is new. A known name copies nothing, since tables are shared between
+/// clones of a router.
+pub(super) fn intern(names: &mut Arc<NameTable>, name: &str) -> u64 {
+    names.get(name).unwrap_or_else(|| Arc::make_mut(names).intern(name))
+}
+
+/// The endpoints by number.
+#[derive(Clone, Debug, Default)]
+pub(super) struct EndpointTable {
+    pub(super) names: Arc<NameTable>,
+    pub(super) endpoints: BTreeMap<u32, KnownEndpoint>,
+    /// The endpoints of each destination.
+    pub(super) by_dest: BTreeMap<u64, BTreeSet<u32>>,
+    /// The endpoints that are gone, by the time since when.
+    pub(super) gone_since: BTreeSet<(Micros, u32)>,
+}
+
+impl EndpointTable {
+    /// The number of an endpoint's id, a new one if the id is new.
+    pub(super) fn intern(&mut self, id: &str) -> u32 {
+        intern(&mut self.names, id) as u32
+    }
+
+    /// An endpoint's id; empty if it was forgotten.
+    pub(super) fn id(&self, number: u32) -> &str {
+        self.names.resolve(u64::from(number))
+    }
+
+    /// Whether an endpoint with this id was listed and not forgotten since.
+    pub(super) fn knows(&self, id: &str) -> bool {
+        self.names.get(id).is_some()
+    }
+
+    /// The endpoint with this id and its number.
+    pub(super) fn find(&self, id: &str) -> Option<(u32, &KnownEndpoint)> {
+        let number = u32::try_from(self.names.get(id)?).ok()?;
+        Some((number, self.endpoints.get(&number)?))
+    }
+
+    pub(super) fn get(&self, number: u32) -> Option<&KnownEndpoint> {
+        self.endpoints.get(&number)
+    }
+
+    /// The numbers of all endpoints, in order.
+    pub(super) fn numbers(&self) -> impl Iterator<Item = u32> {
+        self.endpoints.keys().copied()
+    }
+
+    /// Whether the destination has an endpoint.
+    pub(super) fn has_dest(&self, dest: u64) -> bool {
+        self.by_dest.contains_key(&dest)
+    }
+
+    /// The endpoints of a destination, in order.
+    pub(super) fn of_dest(&self, dest: u64) -> impl Iterator<Item = u32> {
+        self.by_dest.get(&dest).into_iter().flatten().copied()
+    }
+
+    /// Marks all endpoints as gone: a full list lists those that are not.
+    pub(super) fn mark_all_gone(&mut self, now: Micros) {
+        for (number, endpoint) in &mut self.endpoints {
+            endpoint.state = EndpointState::Gone;
+            if endpoint.gone.is_none() {
+                endpoint.gone = Some(now);
+                self.gone_since.insert((now, *number));
+            }
+        }
+    }
+
+    /// Adds an endpoint or replaces what is known of it.
+    pub(super) fn insert(&mut self, number: u32, endpoint: KnownEndpoint) {
+        self.remove(number);
+        self.by_dest.entry(endpoint.dest).or_default().insert(number);
+        self.gone_since.extend(endpoint.gone.map(|gone| (gone, number)));
+        self.endpoints.insert(number, endpoint);
+    }
+
+    /// The endpoints that have been gone for long enough to be forgotten.
+    pub(super) fn expired(&self, now: Micros) -> impl Iterator<Item = u32> {
+        let expired = move |&&(gone, _): &&(Micros, u32)| now >= gone + FORGET_GONE_AFTER;
+        self.gone_since.iter().take_while(expired).map(|(_, number)| *number)
+    }
+
+    /// Removes an endpoint and its name.
+    pub(super) fn forget(&mut self, number: u32) {
+        self.remove(number);
+        Arc::make_mut(&mut self.names).remove(u64::from(number));
+    }
+
+    fn remove(&mut self, number: u32) {
+        let Some(endpoint) = self.endpoints.remove(&number) else { return };
+        if let Some(same_dest) = self.by_dest.get_mut(&endpoint.dest) {
+            same_dest.remove(&number);
+            if same_dest.is_empty() {
+                self.by_dest.remove(&endpoint.dest);
+            }
+        }
+        if let Some(gone) = endpoint.gone {
+            self.gone_since.remove(&(gone, number));
+        }
+    }
+}
--- /dev/null
+++ b/courier/core/src/router/ends.rs
@@ -0,0 +1,141 @@
+//! The ends of messages: how they are written, reported and remembered.
+
+use super::stream::StreamEnd;
+use super::{Router, RouterAction};
+use crate::journal::{End, JournalRecord};
+use crate::note::Note;
+use crate::store::Store;
+use crate::{Ending, Notice};
+use quillmount_policy::breaks::{self, Break};
+use quillmount_policy::{Micros, MsgId};
+
+/// How long after the store has refused an end it is tried again, in microseconds: short against the 300 ms within which
+/// an end must be reported.
+const WRITE_RETRY_INTERVAL: Micros = 50_000;
+
+impl<S: Store> Router<S> {
+    /// The notices that the platform has yet to confirm, the oldest first, `most` of them at most.
+    pub fn notices(&self, most: usize) -> Vec<Notice> {
+        let ended = self.notices.iter().take(most).filter_map(|msg| Some((msg, self.owed.get(&msg)?)));
+        ended
+            .filter_map(|(msg, owed)| Some(Notice { msg, id: owed.payload.id.clone(), ending: owed.end? }))
+            .collect()
+    }
+
+    /// The platform has confirmed these notices.
+    pub fn notices_confirmed(&mut self, notices: &[Notice], now: Micros) -> Vec<RouterAction> {
+        let mut actions = Vec::new();
+        for notice in notices {
+            self.write(&JournalRecord::Confirmed { msg: notice.msg }, now);
+            self.notices.remove(notice.msg);
+            self.remove_owed(notice.msg, notice.ending.into());
+        }
+        self.counters.notices += notices.len() as u64;
+        self.drain_notes(&mut actions);
+        actions
+    }
+
+    /// Gives an owed message an end other than delivery. The end is reported once it is written; an end that the message
+    /// already has stays.
+    pub(super) fn end(&mut self, msg: MsgId, ending: Ending, now: Micros, actions: &mut Vec<RouterAction>) {
+        let Some(owed) = self.owed.get_mut(&msg).filter(|owed| owed.end.is_none()) else { return };
+        owed.end = Some(ending);
+        self.count_ending(ending);
+        actions.push(RouterAction::Note(Note::Ended { msg, ending }));
+        let written = self.write(&JournalRecord::End { msg, end: ending.into() }, now);
+        if written || breaks::is_enabled(Break::EndUnwritten) {
+            self.report_end(msg, ending, actions);
+        } else {
+            self.unwritten.push_back(msg);
+            self.write_retry_at = self.write_retry_at.min(now.saturating_add(WRITE_RETRY_INTERVAL));
+        }
+        actions.extend(self.outstanding.calls_with(msg).map(RouterAction::Ended));
+    }
+
+    pub(super) fn count_ending(&mut self, ending: Ending) {
+        match ending {
+            Ending::Undeliverable => self.counters.undeliverable += 1,
+            Ending::Deferred(_) => self.counters.deferred += 1,
+        }
+    }
+
+    /// The message was delivered: nothing more is owed.
+    pub(super) fn complete(&mut self, msg: MsgId, now: Micros) {
+        if self.owed.contains_key(&msg) {
+            self.write(&JournalRecord::End { msg, end: End::Delivered }, now);
+            self.notify_watcher(msg, End::Delivered);
+            self.notices.remove(msg);
+            self.unwritten.remove(msg);
+            self.remove_owed(msg, End::Delivered);
+        }
+    }
+
+    /// Writes the ends that the store has refused. Reported without its record, an end would be forgotten in a crash, and
+    /// the next process would choose another, or send the message again.
+    pub(super) fn retry_writes(&mut self, now: Micros, actions: &mut Vec<RouterAction>) {
+        if now < self.write_retry_at {
+            return;
+        }
+        self.write_retry_at = now.saturating_add(WRITE_RETRY_INTERVAL);
+        while let Some(msg) = self.unwritten.pop_front() {
+            let Some(owed) = self.owed.get_mut(&msg) else { continue };
+            let Some(ending) = owed.end else { continue };
+            // From the deadline on an end must be reported, written or not; a later process reports the same, since it
+            // finds the deadline passed.
+            let due = now >= owed.deadline;
+            let ending = if due { Ending::Undeliverable } else { ending };
+            owed.end = Some(ending);
+            if !self.write(&JournalRecord::End { msg, end: ending.into() }, now) && !due {
+                self.unwritten.push_front(msg);
+                return;
+            }
+            self.report_end(msg, ending, actions);
+        }
+        self.write_retry_at = Micros::MAX;
+    }
+
+    /// Reports an end to a stream's client, which still waits, or else to the platform.
+    fn report_end(&mut self, msg: MsgId, ending: Ending, actions: &mut Vec<RouterAction>) {
+        self.notify_watcher(msg, ending.into());
+        match self.owed.get(&msg).and_then(|owed| owed.stream) {
+            Some(stream) if !stream.unanswerable => {
+                let end = match (stream.cut, ending) {
+                    (Some(cut), _) => StreamEnd::Cut(cut),
+                    (None, Ending::Deferred(after)) => StreamEnd::Deferred(after),
+                    (None, Ending::Undeliverable) => StreamEnd::Failed,
+                };
+                actions.push(RouterAction::Answer { msg, end });
+            }
+            _ => self.add_notice(msg, actions),
+        }
+    }
+
+    /// The platform is to get a notice of the message's end.
+    pub(super) fn add_notice(&mut self, msg: MsgId, actions: &mut Vec<RouterAction>) {
+        self.notices.push_back(msg);
+        actions.push(RouterAction::Notify);
+    }
+
+    /// The message is owed no more; its end is remembered until its deadline.
+    pub(super) fn remove_owed(&mut self, msg: MsgId, end: End) {
+        if let Some(owed) = self.owed.remove(&msg) {
+            let id = &owed.payload.id;
+            self.ids.remove(id);
+            self.journal.settled(msg, id);
+            self.remember_ended(id.clone(), end, owed.deadline);
+        }
+    }
+
+    pub(super) fn remember_ended(&mut self, id: String, end: End, until: Micros) {
+        if !breaks::is_enabled(Break::ForgetCompleted) {
+            self.ended.remember(id, end, until);
+        }
+    }
+
+    /// Forgets the ends whose time is up, or that are too many.
+    pub(super) fn forget_ended(&mut self, now: Micros) {
+        while let Some(id) = self.ended.forget(now) {
+            self.journal.forgotten(&id);
+        }
+    }
+}
--- a/courier/core/src/router/restore.rs
+++ b/courier/core/src/router/restore.rs
@@ -1,16 +1,31 @@
-//! What an earlier life owes, or another courier's book: from the journal back to work.
+//! Restoring a router from the journal of an earlier process.
 
-use super::*;
+use super::config::DecodedSettings;
+use super::endpoints::intern;
+use super::owed::{OwedMessage, UNKNOWN_CLASS, ending_of};
+use super::stream::Stream;
+use super::{Router, RouterAction, RouterError, StreamLimits};
+use crate::journal::{AcceptedMessage, Journal, JournalContents, JournalEntry, PastCall, RepeatEffect};
+use crate::note::Note;
+use crate::store::Store;
+use crate::{Ending, EndpointList, MessagePayload};
+use quillmount_policy::breaks::{self, Break};
+use quillmount_policy::{Effect, Micros, MsgId, PastAttempt, Policy};
+use quillmount_settings::SenderSettings;
+use std::sync::Arc;
 
-/// The zone of an attempt whose zone is not told: none that has a number here, so that a repeat which only one zone would
-/// know for what it is goes to none.
-const ELSEWHERE: u32 = u32::MAX;
+/// The zone of an attempt whose zone is not known: no zone has this number, so that a repeat which only the endpoints of
+/// that zone would drop goes to none.
+const UNKNOWN_ZONE: u32 = u32::MAX;
 
 impl<S: Store> Router<S> {
-    /// Reads the journal and takes up what it owes; the steps are the first to carry out. No streams are taken on.
+    /// Reads the journal and goes on with the messages that it holds; the actions are the first to carry out. No streams
+    /// are accepted.
+    ///
+    /// `known` is the endpoint list of the earlier process, and `disk` the most that the journal may take, in bytes.
     ///
     /// # Errors
-    /// The settings make no courier, or the store can't be read.
+    /// The settings are not valid, or the store can't be read.
     pub fn open(
         env: &SenderSettings,
         seed: u64,
@@ -22,10 +37,10 @@
         Self::open_with(env, None, seed, known, store, disk, now)
     }
 
-    /// The same, with streams within their limits, if there are any.
+    /// The same as [`Router::open`], with streams within these limits.
     ///
     /// # Errors
-    /// The settings make no courier, or the store can't be read.
+    /// The settings are not valid, or the store can't be read.
     pub fn open_with(
         env: &SenderSettings,
         streams: Option<StreamLimits>,
@@ -37,177 +52,110 @@
     ) -> Result<(Self, Vec<RouterAction>), RouterError> {
         let mut notes = Vec::new();
         let (journal, mut contents) = Journal::open(store, disk, now, &mut notes)?;
-        // Set back, the clock does not tell how old an attempt is, and no repeat is known to come within its span.
-        let calls = || contents.owed.values().flat_map(|entry| &entry.calls);
-        let ahead = calls().map(|call| call.sent.saturating_sub(now)).max().unwrap_or(0);
-        if ahead > 0 {
-            notes.push(Note::SetBack { ahead });
-            let calls = contents.owed.values_mut().flat_map(|entry| &mut entry.calls);
-            calls.filter(|call| call.never_ran != Some(true)).for_each(|call| call.sent = 0);
-        }
-        let policy = |settings| Policy::new(settings, seed);
-        let mut router =
-            Self::with_settings(env, streams, contents.owed.len(), policy, journal, contents.next, notes)?;
+        notes.extend(correct_clock(&mut contents, now));
+        let settings = DecodedSettings::new(env, streams)?.with_owed(contents.owed.len());
+        let policy = Policy::new(settings.policy, seed)?;
+        let mut router = Self::new(settings.config, settings.zones, policy, journal);
+        router.next = contents.next;
+        router.notes = notes;
         router.disabled = contents.disabled;
         let mut actions = router.list(known, now);
         router.list_received = false;
         for (id, end, until) in contents.ended {
-            router.remember(id, end, until);
+            router.remember_ended(id, end, until);
         }
         router.counters.restored = contents.owed.len() as u64;
         for (msg, entry) in contents.owed {
-            router.adopted(msg, entry, now, &mut actions);
+            router.restore_or_defer(msg, entry, now, &mut actions);
         }
         router.drain_notes(&mut actions);
         Ok((router, actions))
     }
 
-    /// Takes over what another courier's book owes, under numbers of this router's own: into its journal, and from there
-    /// as after a restart. What is open or over here under its id already is let be, with a note for each; so a second
-    /// time changes nothing. The moments of attempts are the caller's word: for one that was out, the last at which the
-    /// other courier may still have written.
-    ///
-    /// # Errors
-    /// The journal has no room, or its store refused the records: then nothing is taken over.
-    pub fn adopt(
-        &mut self,
-        entries: Vec<journal::JournalEntry>,
-        now: Micros,
-    ) -> Result<Vec<RouterAction>, JournalError> {
-        self.adopt_with(entries, &journal::Settlements::default(), now)
-    }
-
-    /// The same, with lines about settlements: all or nothing.
-    ///
-    /// # Errors
-    /// The journal has no room, or its store refused the records: then nothing is taken over.
-    pub fn adopt_with(
-        &mut self,
-        entries: Vec<journal::JournalEntry>,
-        lines: &journal::Settlements,
-        now: Micros,
-    ) -> Result<Vec<RouterAction>, JournalError> {
-        self.forget(now);
-        let mut actions = Vec::new();
-        let (mut fresh, mut ids) = (BTreeMap::new(), BTreeSet::new());
-        for entry in entries {
-            let id = &entry.taken.id;
-            let known = self.ids.contains_key(id) || self.ended.contains(id);
-            if known || entry.end == Some(End::Delivered) || !ids.insert(id.clone()) {
-                actions.push(RouterAction::Note(Note::NotAdopted { id: id.clone() }));
-                continue;
-            }
-            fresh.insert(self.next + fresh.len() as MsgId, entry);
-        }
-        if !fresh.is_empty() || !lines.0.is_empty() {
-            self.journal.adopt(fresh.clone(), lines, now, &mut self.notes)?;
-        }
-        self.next += fresh.len() as MsgId;
-        self.counters.adopted += fresh.len() as u64;
-        for (msg, entry) in fresh {
-            self.adopted(msg, entry, now, &mut actions);
-        }
-        self.drain_notes(&mut actions);
-        Ok(actions)
-    }
-
-    /// Goes on with a submission of another life, which the journal has: an attempt without an outcome may have run.
+    /// Goes on with a message from the journal. An attempt without an outcome may have had an effect.
     pub(super) fn restore(
         &mut self,
         msg: MsgId,
-        entry: journal::JournalEntry,
+        entry: JournalEntry,
         now: Micros,
         actions: &mut Vec<RouterAction>,
     ) {
-        let AcceptedMessage { id, class, key, dest, deadline, body } = entry.taken;
-        let journaled = entry.end.filter(|_| !breaks::is_enabled(Break::ForgetEnd));
-        let end = journaled.map(|end| match end {
-            End::Deferred { after } => Ending::Deferred(after),
-            End::Delivered | End::Undeliverable => Ending::Undeliverable,
-        });
-        // Numbers of classes are this life's: what was taken on goes by its class's name.
-        let known = self.classes.iter().position(|c| *c == class);
+        let JournalEntry { taken, calls, end, stream, source: _ } = entry;
+        let AcceptedMessage { id, class: class_name, key, dest, deadline, body } = taken;
+        let end = end.filter(|_| !breaks::is_enabled(Break::ForgetEnd)).map(ending_of);
+        let may_have_run = calls.iter().any(PastCall::may_have_run);
+        let stream = stream.then(|| Stream::of_another_process(may_have_run));
+        // Numbers of classes depend on the settings, so the journal has their names.
+        let class = self.class_number(&class_name);
         self.ids.insert(id.clone(), msg);
-        let size = size(&id, key.as_deref(), &body);
-        let payload = Arc::new(MessagePayload { id: id.clone(), key, tenant: None, body });
-        let journaled = entry.calls.len() as u32;
-        // Its client and its body went with the life before.
-        let stream = entry.stream.then(|| Stream {
-            committed: true,
-            may_have_run: entry.calls.iter().any(|call| call.never_ran != Some(true)),
-            unanswerable: true,
-            ..Stream::default()
-        });
-        let number = known.unwrap_or(usize::MAX);
-        self.owed.insert(msg, OwedMessage { payload, class: number, dest, deadline, end, journaled, stream });
+        let owed = OwedMessage {
+            payload: Arc::new(MessagePayload { id: id.clone(), key, tenant: None, body }),
+            class: class.unwrap_or(UNKNOWN_CLASS),
+            dest,
+            deadline,
+            end,
+            journaled: calls.len() as u32,
+            stream,
+        };
+        let message = owed.policy_message(msg, None);
+        self.owed.insert(msg, owed);
         if end.is_some() {
-            self.notices.push_back(msg);
-            actions.push(RouterAction::Notify);
-            return;
+            return self.add_notice(msg, actions);
         }
-        let Some(number) = known else {
-            // The settings have changed since: nothing can be decided about it any more.
-            let ran = entry.calls.iter().any(|call| call.never_ran != Some(true));
-            actions.push(RouterAction::Note(Note::UnknownClass { id, class }));
-            return self.end(
-                msg,
-                if ran { Ending::Undeliverable } else { Ending::Deferred(0) },
-                now,
-                actions,
-            );
+        let Some(class) = class else {
+            // The settings have changed: nothing can be decided about the message any more.
+            let ending = if may_have_run { Ending::Undeliverable } else { Ending::Deferred(0) };
+            actions.push(RouterAction::Note(Note::UnknownClass { id, class: class_name }));
+            return self.end(msg, ending, now, actions);
         };
         if let Some(stream) = stream {
             return self.end(msg, stream.ending(), now, actions);
         }
         if deadline <= now {
-            // Nothing can be delivered any more, and an end that the store refused may have been told.
+            // It can't be delivered any more, and an end that the store refused may have been reported.
             return self.end(msg, Ending::Undeliverable, now, actions);
         }
-        let Some(past) = entry.calls.iter().map(|call| self.past(number, call)).collect::<Option<Vec<_>>>()
-        else {
-            actions.push(RouterAction::Note(Note::OtherEffect { id, class }));
+        let past: Option<Vec<_>> = calls.iter().map(|call| self.past_attempt(class, call)).collect();
+        let Some(past) = past else {
+            actions.push(RouterAction::Note(Note::OtherEffect { id, class: class_name }));
             return self.end(msg, Ending::Undeliverable, now, actions);
         };
-        let message = Message {
-            id: msg,
-            class: number,
-            tenant: None,
-            key: None,
-            deadline,
-            work_hint: None,
-            dest,
-            stream: false,
-            size,
-        };
         let past = if breaks::is_enabled(Break::ForgetPast) { Vec::new() } else { past };
         let instructions = self.policy.restore(now, message, past);
         self.carry_out(instructions, now, actions);
     }
 
-    /// An attempt of another life as the module is to see it: the stricter holds of what a repeat could do then and could
-    /// do now. `None`: the class's effect of today can't say what was stricter then, and no repeat is allowed.
-    fn past(&mut self, class: usize, call: &journal::PastCall) -> Option<PastAttempt> {
-        let may_have_run = call.never_ran != Some(true);
-        let as_is = PastAttempt { zone: ELSEWHERE, sent: call.sent, may_have_run };
-        let effect = *self.effects.get(class)?;
+    /// An attempt of an earlier process as the policy is to see it: with the stricter of what a repeat could do then and
+    /// could do now. `None`: the class's present effect can't express what was stricter then, and no repeat is allowed.
+    fn past_attempt(&mut self, class: usize, call: &PastCall) -> Option<PastAttempt> {
+        let may_have_run = call.may_have_run();
+        let unchanged = PastAttempt { zone: UNKNOWN_ZONE, sent: call.sent, may_have_run };
+        let effect = *self.config.effects.get(class)?;
         match (&call.effect, effect) {
-            // Nothing ran, nothing was stricter, or the module never repeats it.
-            (None | Some(RepeatEffect::Safe), _) | (_, Effect::NonIdempotent) => Some(as_is),
-            _ if !may_have_run => Some(as_is),
+            // The attempt had no effect, nothing was stricter, or the policy never repeats it.
+            (None | Some(RepeatEffect::Safe), _) | (_, Effect::NonIdempotent) => Some(unchanged),
+            _ if !may_have_run => Some(unchanged),
             (Some(RepeatEffect::Unsafe), _) | (Some(RepeatEffect::Keyed { .. }), Effect::Idempotent) => None,
             (
                 Some(RepeatEffect::Keyed { zone: Some(_), .. }),
                 Effect::Deduplicated { by_zone: false, .. },
             ) => None,
-            (Some(RepeatEffect::Keyed { span: then, zone }), Effect::Deduplicated { span, .. }) => {
-                let zone = zone.as_ref().map_or(ELSEWHERE, |name| list::number(&mut self.zones, name) as u32);
-                // Sent so much earlier, its span of today ends with the one of then.
-                Some(PastAttempt {
-                    zone,
-                    sent: call.sent.saturating_sub(span.saturating_sub(*then)),
-                    may_have_run,
-                })
+            (Some(RepeatEffect::Keyed { span: past_span, zone }), Effect::Deduplicated { span, .. }) => {
+                let zone = zone.as_ref().map_or(UNKNOWN_ZONE, |name| intern(&mut self.zones, name) as u32);
+                // Dated back by the difference, today's span ends when the former one does.
+                let sent = call.sent.saturating_sub(span.saturating_sub(*past_span));
+                Some(PastAttempt { zone, sent, may_have_run })
             }
         }
     }
 }
+
+/// If the clock was set back, it does not tell how old an attempt is, and no repeat is known to come within its span: dates
+/// all attempts that may have had an effect to the beginning of time.
+fn correct_clock(contents: &mut JournalContents, now: Micros) -> Option<Note> {
+    let calls = contents.owed.values().flat_map(|entry| &entry.calls);
+    let ahead = calls.map(|call| call.sent.saturating_sub(now)).max().filter(|ahead| *ahead > 0)?;
+    let calls = contents.owed.values_mut().flat_map(|entry| &mut entry.calls);
+    calls.filter(|call| call.may_have_run()).for_each(|call| call.sent = 0);
+    Some(Note::SetBack { ahead })
+}
--- /dev/null
+++ b/courier/core/src/router/results.rs
@@ -0,0 +1,149 @@
+//! The ends of delivery calls.
+
+use super::owed::OwedMessage;
+use super::stream::StreamEnd;
+use super::{Router, RouterAction};
+use crate::journal::JournalRecord;
+use crate::store::Store;
+use crate::{AnswerReport, CallEnd, CallId, Ending};
+use quillmount_policy::breaks::{self, Break};
+use quillmount_policy::{CallReport, Micros, MsgId, Outcome};
+
+/// A delivery counts by the time at which the message's client sent it, and the time left is known here from when it was
+/// read. A delivery that is reported less than this before the deadline, in microseconds, may have come after it.
+const DEADLINE_MARGIN: Micros = 50_000;
+
+impl<S: Store> Router<S> {
+    /// A delivery call ended in the same way for all of its messages.
+    pub fn call_ended(&mut self, call: CallId, end: CallEnd, now: Micros) -> Vec<RouterAction> {
+        self.call_ended_with_report(call, end, &AnswerReport::default(), now)
+    }
+
+    /// A delivery call ended in the same way for all of its messages, and its answer had a report.
+    pub fn call_ended_with_report(
+        &mut self,
+        call: CallId,
+        end: CallEnd,
+        report: &AnswerReport,
+        now: Micros,
+    ) -> Vec<RouterAction> {
+        let ends = vec![end; self.outstanding.len_of(call)];
+        self.call_ended_each(call, &ends, report, now)
+    }
+
+    /// A delivery call ended with an end for each of its messages, in the order in which they were sent.
+    pub fn call_ended_each(
+        &mut self,
+        call: CallId,
+        ends: &[CallEnd],
+        report: &AnswerReport,
+        now: Micros,
+    ) -> Vec<RouterAction> {
+        let mut actions = Vec::new();
+        let mut reports = Vec::new();
+        let Some((items, endpoint, dest)) = self.outstanding.remove_call(call) else { return actions };
+        let wait = ends.iter().map(|end| end.wait()).max().unwrap_or(0).max(report.wait);
+        if wait > 0 {
+            let until = now.saturating_add(wait);
+            let bound = self.endpoints_bound_by(endpoint, dest);
+            actions.extend(bound.map(|endpoint| RouterAction::BackOff { endpoint, until }));
+        }
+        for (item, end) in items.iter().zip(ends) {
+            reports.extend(self.message_ended(*item, *end, report.wait, now, &mut actions));
+        }
+        // The policy judges a call by its last message; one that succeeded says most about the destination.
+        reports.sort_by_key(|report: &CallReport| report.outcome == Outcome::Ok);
+        let instructions = self.policy.report_all(now, &reports, &self.load_values(report));
+        self.carry_out(instructions, now, &mut actions);
+        self.drain_notes(&mut actions);
+        actions
+    }
+
+    /// Whether the settings name fields of a load report that answers hold.
+    pub fn reads_load_reports(&self) -> bool {
+        !self.config.load_fields.is_empty()
+    }
+
+    /// The endpoints that are bound by one endpoint's advice to wait, as the policy heeds it: that one alone where
+    /// endpoints are separate routes, else all of the destination. Applied to more, the advice would hold back again and
+    /// again what the policy sends to another route.
+    fn endpoints_bound_by(&self, endpoint: u32, dest: u64) -> impl Iterator<Item = u32> {
+        let kind = self.endpoints.get(endpoint).map_or(usize::MAX, |known| known.kind);
+        let separate_routes = self.config.separate_routes.get(kind).copied().unwrap_or(false);
+        self.endpoints.of_dest(dest).filter(move |number| !separate_routes || *number == endpoint)
+    }
+
+    /// The values of a load report in the order of the settings; empty if one is missing or is not a finite number of 0 or
+    /// more.
+    fn load_values(&self, report: &AnswerReport) -> Vec<f64> {
+        let value =
+            |name: &String| report.load.iter().find(|(field, _)| field == name).map(|(_, value)| *value);
+        let values: Option<Vec<f64>> = self.config.load_fields.iter().map(value).collect();
+        values.filter(|values| values.iter().all(|v| v.is_finite() && *v >= 0.0)).unwrap_or_default()
+    }
+
+    /// A message of a call has this end; returns what the policy is to learn of it, nothing if the message had left the
+    /// call before.
+    pub(super) fn message_ended(
+        &mut self,
+        item: CallId,
+        end: CallEnd,
+        advised_wait: Micros,
+        now: Micros,
+        actions: &mut Vec<RouterAction>,
+    ) -> Option<CallReport> {
+        let CallId { msg, attempt } = item;
+        let Some(message) = self.outstanding.remove(item) else {
+            self.delivered_late(msg, end, now, actions);
+            return None;
+        };
+        self.counters.count_call(end);
+        let outcome = end.outcome();
+        let stream_end = self.owed.get(&msg).filter(|owed| owed.stream.is_some()).map(|owed| owed.end);
+        if stream_end.is_some() && end == CallEnd::Gone {
+            // The message was withdrawn or its time was up: it is not delivered, and its client waits for an answer.
+            self.end(msg, Ending::Undeliverable, now, actions);
+        } else if matches!(end, CallEnd::Delivered | CallEnd::Gone) {
+            if stream_end == Some(None) {
+                actions.push(RouterAction::Answer { msg, end: StreamEnd::Delivered });
+            }
+            self.delivered(msg, end, now, actions);
+        } else if self.owed.contains_key(&msg) {
+            let never_ran = matches!(outcome, Outcome::Full | Outcome::Moot | Outcome::ConnectFailed)
+                || breaks::is_enabled(Break::OutcomeNever);
+            if let Some(attempt) = message.journaled {
+                self.write(&JournalRecord::Outcome { msg, attempt, never_ran }, now);
+            }
+            self.stream_call_ended(msg, never_ran, now, actions);
+        }
+        let finished = self.owed.get(&msg).is_none_or(|owed| owed.end.is_some());
+        let elapsed = now.saturating_sub(message.written.unwrap_or(message.sent));
+        let wait = end.wait().max(advised_wait);
+        Some(CallReport { msg, attempt, outcome, elapsed, finished, wait })
+    }
+
+    /// An endpoint has said that a message is delivered or already ended. Whether a delivery close to the deadline counts
+    /// depends on the clock that is asked; the end is reported as well then, which does no harm where the delivery counts.
+    fn delivered(&mut self, msg: MsgId, end: CallEnd, now: Micros, actions: &mut Vec<RouterAction>) {
+        let is_late = |owed: &OwedMessage| {
+            owed.stream.is_none() && now.saturating_add(DEADLINE_MARGIN) >= owed.deadline
+        };
+        if end == CallEnd::Delivered && self.owed.get(&msg).is_some_and(is_late) {
+            // An end that the policy has chosen already stays.
+            self.end(msg, Ending::Undeliverable, now, actions);
+        } else {
+            self.complete(msg, now);
+        }
+    }
+
+    /// A call has delivered a message that was not waited for any longer: its other calls are not needed.
+    fn delivered_late(&mut self, msg: MsgId, end: CallEnd, now: Micros, actions: &mut Vec<RouterAction>) {
+        let is_open = self.owed.get(&msg).is_some_and(|owed| owed.end.is_none());
+        if is_open && matches!(end, CallEnd::Delivered | CallEnd::Gone) {
+            self.delivered(msg, end, now, actions);
+            actions.extend(self.outstanding.calls_with(msg).map(RouterAction::Ended));
+            let instructions = self.policy.ended(now, msg);
+            self.carry_out(instructions, now, actions);
+        }
+    }
+}
--- a/courier/core/src/router/state.rs
+++ b/courier/core/src/router/state.rs
@@ -1,13 +1,27 @@
-//! The router's state from one process to the next.
+//! The router's state as one process hands it over to the next.
 
-use super::*;
+use super::config::DecodedSettings;
+use super::endpoints::KnownEndpoint;
+use super::outstanding::{OutstandingCalls, OutstandingMessage};
+use super::owed::OwedMessage;
+use super::{ResumeError, Router, RouterAction, RouterError, StreamLimits, settings_fingerprint};
+use crate::CallId;
+use crate::counters::Counters;
+use crate::disabled::DisabledEndpoints;
+use crate::journal::{End, Journal, JournalContents};
+use crate::store::Store;
+use quillmount_policy::{EndpointState, Micros, MsgId, Policy};
+use quillmount_settings::{NameTable, SenderSettings};
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+use std::sync::Arc;
 
-/// All that a router decides from, but for its settings and its journal's file.
+/// All that a router decides from, except for its settings and its journal. Encoded by position.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RouterState {
-    /// Of the settings that the state was made under.
+    /// The [`settings_fingerprint`] of the settings that the numbers in the state belong to.
     settings: u32,
-    /// Bytes of the journal then. Where it is longer a third process had the lock in between, and decided.
+    /// The journal's length in bytes. If the journal is longer, a third process had the lock in between, and decided.
     journal: u64,
     policy: Policy,
     zones: NameTable,
@@ -22,40 +36,22 @@
     bundles: BTreeMap<CallId, Vec<CallId>>,
     notices: Vec<MsgId>,
     unwritten: Vec<MsgId>,
-    write_at: Micros,
+    write_retry_at: Micros,
     next: MsgId,
     counters: Counters,
 }
 
-/// Why a state can't be gone on from; the journal still can.
-#[derive(Debug, thiserror::Error)]
-pub enum ResumeError {
-    #[error("the other process runs under other settings")]
-    OtherSettings,
-    #[error("the journal does not tell of the same messages")]
-    OtherJournal,
-    #[error(transparent)]
-    Router(#[from] RouterError),
-}
-
-/// Tells settings apart: a state's numbers stand for other names under others.
-pub fn settings_fingerprint(env: &SenderSettings, streams: Option<StreamLimits>) -> Result<u32, RouterError> {
-    let (settings, _) = settings_of(env, streams)?;
-    let classes: Vec<_> = env.categories.iter().map(|c| &c.name).collect();
-    let tenants: Vec<_> = env.tenants.iter().map(|t| &t.name).collect();
-    let names = format!("{classes:?} {:?} {tenants:?} {:?} {:?}", env.skus, env.zone, env.failure_domains);
-    Ok(crc32fast::hash(format!("{} {names} {}", settings.mark_text(), streams_text(streams)).as_bytes()))
-}
-
-/// The limits of streams in the same stable form as [`Settings::mark_text`]: its names never follow a rename.
-fn streams_text(streams: Option<StreamLimits>) -> String {
-    let Some(limits) = streams else { return "None".into() };
-    let (most, slots, window) = (limits.most, limits.part_of_slots, limits.part_of_window);
-    format!("Some(StreamLimits {{ most: {most:?}, part_of_slots: {slots:?}, part_of_window: {window:?} }})")
+impl RouterState {
+    /// Whether the state and the journal hold the same messages.
+    fn matches(&self, contents: &JournalContents) -> bool {
+        contents.owed.keys().eq(self.owed.keys())
+            && contents.disabled == self.disabled
+            && contents.next <= self.next
+    }
 }
 
 impl<S: Store> Router<S> {
-    /// All that it decides from; `settings`: their [`settings_fingerprint`].
+    /// The state to hand over; `settings` is their [`settings_fingerprint`].
     pub fn state(&self, settings: u32) -> RouterState {
         let ended = self.ended.iter();
         let ended = ended.filter_map(|(id, end, until)| Some((id.to_string(), end?, until)));
@@ -64,27 +60,28 @@
             journal: self.journal.store().len(),
             policy: self.policy.clone(),
             zones: NameTable::clone(&self.zones),
-            endpoint_names: NameTable::clone(&self.endpoint_names),
-            endpoints: self.endpoints.clone(),
+            endpoint_names: NameTable::clone(&self.endpoints.names),
+            endpoints: self.endpoints.endpoints.clone(),
             disabled: self.disabled.clone(),
             version: self.version,
             list_received: self.list_received,
             owed: self.owed.clone(),
             ended: ended.collect(),
-            out: self.out.clone(),
-            bundles: self.bundles.clone(),
+            out: self.outstanding.messages.clone(),
+            bundles: self.outstanding.bundles.clone(),
             notices: self.notices.iter().collect(),
             unwritten: self.unwritten.iter().collect(),
-            write_at: self.write_at,
+            write_retry_at: self.write_retry_at,
             next: self.next,
             counters: self.counters.clone(),
         }
     }
 
-    /// Goes on from another process's state, whose journal the store holds; the steps are the first to carry out.
+    /// Resumes from another process's state, whose journal is in the store; the actions are the first to carry out.
+    /// `disk` is the most that the journal may take, in bytes.
     ///
     /// # Errors
-    /// The state is none for these settings or this journal, or the store can't be read.
+    /// The state does not belong to these settings or this journal, or the store can't be read.
     pub fn resume(
         env: &SenderSettings,
         streams: Option<StreamLimits>,
@@ -101,36 +98,29 @@
         }
         let mut notes = Vec::new();
         let (journal, contents) = Journal::open(store, disk, now, &mut notes).map_err(RouterError::from)?;
-        if !contents.owed.keys().eq(state.owed.keys())
-            || contents.disabled != state.disabled
-            || contents.next > state.next
-        {
+        if !state.matches(&contents) {
             return Err(ResumeError::OtherJournal);
         }
-        let policy = |settings| state.policy.resume(settings);
-        let mut router =
-            Self::with_settings(env, streams, state.owed.len(), policy, journal, state.next, notes)?;
-        (router.zones, router.endpoint_names) = (Arc::new(state.zones), Arc::new(state.endpoint_names));
+        let settings = DecodedSettings::new(env, streams)?.with_owed(state.owed.len());
+        let policy = state.policy.resume(settings.policy).map_err(RouterError::from)?;
+        let mut router = Self::new(settings.config, state.zones, policy, journal);
+        router.notes = notes;
+        router.next = state.next;
         router.disabled = state.disabled;
         let mut actions = Vec::new();
-        for (n, known) in state.endpoints {
-            let shown = router.disabled.effective_state(router.endpoint_names.resolve(n.into()), known.state);
-            actions.push(RouterAction::Gate { endpoint: n, open: shown == EndpointState::Ready });
-            router.record_endpoint(n, known);
-        }
-        (router.version, router.list_received) = (state.version, state.list_received);
+        router.resume_endpoints(state.endpoint_names, state.endpoints, &mut actions);
+        router.version = state.version;
+        router.list_received = state.list_received;
         for (id, end, until) in state.ended {
-            router.remember(id, end, until);
+            router.remember_ended(id, end, until);
         }
         router.ids = state.owed.iter().map(|(msg, owed)| (owed.payload.id.clone(), *msg)).collect();
         router.owed = state.owed;
-        router.out_at = state.out.values().map(|out| (out.endpoint, out.lead)).collect();
-        let several = state.out.iter().filter(|(_, out)| state.bundles.contains_key(&out.lead));
-        router.waits = several.map(|(item, out)| (out.until, *item)).collect();
-        (router.out, router.bundles) = (state.out, state.bundles);
+        router.outstanding = OutstandingCalls::restore(state.out, state.bundles);
         state.notices.into_iter().for_each(|msg| router.notices.push_back(msg));
         state.unwritten.into_iter().for_each(|msg| router.unwritten.push_back(msg));
-        (router.write_at, router.counters) = (state.write_at, state.counters);
+        router.write_retry_at = state.write_retry_at;
+        router.counters = state.counters;
         if !router.notices.is_empty() {
             actions.push(RouterAction::Notify);
         }
@@ -138,8 +128,17 @@
         Ok((router, actions))
     }
 
-    /// The calls that are out.
-    pub fn calls_out(&self) -> Vec<CallId> {
-        self.out_at.iter().map(|(_, call)| *call).collect()
+    fn resume_endpoints(
+        &mut self,
+        names: NameTable,
+        endpoints: BTreeMap<u32, KnownEndpoint>,
+        actions: &mut Vec<RouterAction>,
+    ) {
+        self.endpoints.names = Arc::new(names);
+        for (endpoint, known) in endpoints {
+            let state = self.disabled.effective_state(self.endpoints.id(endpoint), known.state);
+            actions.push(RouterAction::Gate { endpoint, open: state == EndpointState::Ready });
+            self.endpoints.insert(endpoint, known);
+        }
     }
 }
--- /dev/null
+++ b/courier/core/src/router/submission.rs
@@ -0,0 +1,197 @@
+//! Submissions: whether a message is accepted.
+
+use super::owed::{OwedMessage, accepted_message};
+use super::stream::{OVERLOAD_RETRY_AFTER, Stream};
+use super::{Intake, Router, RouterAction};
+use crate::journal::{End, JournalRecord};
+use crate::note::Note;
+use crate::store::Store;
+use crate::{Ending, MessagePayload, Submission};
+use quillmount_policy::Micros;
+use quillmount_policy::MsgId;
+use quillmount_policy::breaks::{self, Break};
+use std::sync::Arc;
+
+/// The advice with a rejection by a courier that is shutting down, in microseconds: by then the front sends clients to
+/// other couriers only.
+const STOPPING_RETRY_AFTER: Micros = 500_000;
+/// The advice with a rejection for a destination that the list of an earlier process lacks, in microseconds.
+const UNKNOWN_LIST_RETRY_AFTER: Micros = 500_000;
+
+impl<S: Store> Router<S> {
+    /// A client submits a message.
+    pub fn submit(&mut self, submission: Submission, now: Micros) -> (Intake, Vec<RouterAction>) {
+        self.submit_message(submission, false, now)
+    }
+
+    /// A client begins to submit a message whose body is passed on as it arrives.
+    ///
+    /// The message's end comes as [`RouterAction::Answer`]. The number is the message's if it is accepted.
+    pub fn submit_stream(
+        &mut self,
+        submission: Submission,
+        now: Micros,
+    ) -> (Intake, MsgId, Vec<RouterAction>) {
+        let msg = self.next;
+        let (intake, actions) = self.submit_message(submission, true, now);
+        self.counters.streams += u64::from(intake == Intake::Accepted);
+        (intake, msg, actions)
+    }
+
+    /// Whether a message with this id was accepted, as far back as is remembered.
+    pub fn knows(&self, id: &str) -> bool {
+        self.ids.contains_key(id) || self.ended.get(id).is_some()
+    }
+
+    /// Why a submission with this class and destination would never be accepted, if that is so.
+    pub fn refuses(&self, class: &str, dest: u64) -> Option<Intake> {
+        if self.class_number(class).is_none() {
+            return Some(Intake::UnknownClass);
+        }
+        (self.list_received && !self.endpoints.has_dest(dest)).then_some(Intake::UnknownDest)
+    }
+
+    /// The number of a class under the current settings.
+    pub(super) fn class_number(&self, class: &str) -> Option<usize> {
+        self.config.classes.iter().position(|name| name == class)
+    }
+
+    fn submit_message(
+        &mut self,
+        submission: Submission,
+        stream: bool,
+        now: Micros,
+    ) -> (Intake, Vec<RouterAction>) {
+        let mut actions = Vec::new();
+        let intake = self.intake(submission, stream, now, &mut actions);
+        self.drain_notes(&mut actions);
+        match intake {
+            Intake::Accepted => self.counters.taken_on += 1,
+            Intake::Delivered => self.counters.repeated += 1,
+            Intake::Rejected { .. } => self.counters.rejected += 1,
+            Intake::Failed | Intake::Open | Intake::UnknownClass | Intake::UnknownDest => {
+                self.counters.malformed += 1
+            }
+        }
+        (intake, actions)
+    }
+
+    fn intake(
+        &mut self,
+        submission: Submission,
+        stream: bool,
+        now: Micros,
+        actions: &mut Vec<RouterAction>,
+    ) -> Intake {
+        self.forget_ended(now);
+        let Some(class) = self.class_number(&submission.class) else { return Intake::UnknownClass };
+        let refused = self.duplicate(&submission.id).or_else(|| self.rejection(submission.dest, stream, now));
+        if let Some(intake) = refused {
+            return intake;
+        }
+        let msg = match self.accept(submission, class, stream, now, actions) {
+            Ok(msg) => msg,
+            Err(intake) => return intake,
+        };
+        let rejected = self.rejected_at_once(msg, now);
+        rejected.map_or(Intake::Accepted, |after| Intake::Rejected { after })
+    }
+
+    /// The answer to a submission whose id is known: each message has an id of its own, and the end that is reported under
+    /// it must be that message's.
+    fn duplicate(&self, id: &str) -> Option<Intake> {
+        let known = self.ids.get(id).filter(|_| !breaks::is_enabled(Break::TakeOnTwice));
+        if let Some(msg) = known {
+            // An unsettled message is not owed yet.
+            return Some(match self.owed.get(msg).and_then(|owed| owed.end) {
+                None => Intake::Open,
+                Some(Ending::Deferred(after)) => Intake::Rejected { after },
+                Some(Ending::Undeliverable) => Intake::Failed,
+            });
+        }
+        self.ended.get(id).map(|end| match end {
+            End::Delivered => Intake::Delivered,
+            End::Deferred { after } => Intake::Rejected { after },
+            End::Undeliverable => Intake::Failed,
+        })
+    }
+
+    /// Why a new message is rejected, if it is.
+    fn rejection(&self, dest: u64, stream: bool, now: Micros) -> Option<Intake> {
+        // No later process could send a stream's body.
+        if self.stopping.is_some_and(|until| now >= until || stream) {
+            return Some(Intake::Rejected { after: STOPPING_RETRY_AFTER });
+        }
+        if !self.endpoints.has_dest(dest) {
+            // Until discovery has sent a list, the list is an older one and lacks what is new.
+            return Some(if self.list_received {
+                Intake::UnknownDest
+            } else {
+                Intake::Rejected { after: UNKNOWN_LIST_RETRY_AFTER }
+            });
+        }
+        if self.ids.len() - self.notices.len() >= self.config.open_cap {
+            return Some(Intake::Rejected { after: OVERLOAD_RETRY_AFTER });
+        }
+        let streams = || self.owed.values().filter(|owed| owed.stream.is_some()).count();
+        if stream && streams() >= self.config.streams_most {
+            return Some(Intake::Rejected { after: OVERLOAD_RETRY_AFTER });
+        }
+        None
+    }
+
+    /// Writes a message to the journal and shows it to the policy.
+    ///
+    /// # Errors
+    /// The journal is full: the answer to the client.
+    fn accept(
+        &mut self,
+        submission: Submission,
+        class: usize,
+        stream: bool,
+        now: Micros,
+        actions: &mut Vec<RouterAction>,
+    ) -> Result<MsgId, Intake> {
+        let msg = self.next;
+        let deadline = now.saturating_add(submission.time_left);
+        let accepted = accepted_message(&submission, deadline);
+        let written = self.journal.submit(msg, accepted, stream, now, &mut self.notes);
+        if let Some(error) = written.err().filter(|_| !breaks::is_enabled(Break::TakeOnUnwritten)) {
+            actions.push(RouterAction::Note(Note::JournalFull(error)));
+            return Err(Intake::Rejected { after: OVERLOAD_RETRY_AFTER });
+        }
+        self.next += 1;
+        let Submission { id, class: _, key, dest, tenant, time_left, body } = submission;
+        self.ids.insert(id.clone(), msg);
+        let tenant_number =
+            tenant.as_ref().and_then(|name| self.config.tenants.iter().position(|tenant| tenant == name));
+        let payload = Arc::new(MessagePayload { id, key, tenant: tenant.map(String::into_boxed_str), body });
+        let stream = stream.then(Stream::default);
+        let owed = OwedMessage { payload, class, dest, deadline, end: None, journaled: 0, stream };
+        let message = owed.policy_message(msg, tenant_number);
+        self.owed.insert(msg, owed);
+        actions.push(RouterAction::Note(Note::Accepted { msg, dest, class, time_left }));
+        let instructions = self.policy.submit(now, message);
+        self.carry_out(instructions, now, actions);
+        Ok(msg)
+    }
+
+    /// If the policy shed a message in the step that brought it, without an attempt: the advice to its client, in
+    /// microseconds. The client, which still waits, learns that the message is not accepted, instead of the platform
+    /// getting a notice later. Streams are answered in their own way.
+    fn rejected_at_once(&mut self, msg: MsgId, now: Micros) -> Option<Micros> {
+        let owed = self.owed.get(&msg).filter(|owed| owed.stream.is_none() && owed.journaled == 0)?;
+        let Some(Ending::Deferred(after)) = owed.end else { return None };
+        if self.outstanding.is_in_flight(msg) {
+            return None;
+        }
+        let end = End::Deferred { after };
+        self.notify_watcher(msg, end);
+        self.write(&JournalRecord::Confirmed { msg }, now);
+        self.notices.remove(msg);
+        self.unwritten.remove(msg);
+        self.remove_owed(msg, end);
+        self.counters.deferred -= 1;
+        Some(after)
+    }
+}
--- a/courier/core/tests/adopt.rs
+++ b/courier/core/tests/adopt.rs
@@ -3,7 +3,9 @@
 mod common;
 use common::{NOW, World, calls, class, endpoint, killed};
 use quillmount_core::hub::{DriverAction, Hub};
-use quillmount_core::journal::{AcceptedMessage, End, JournalContents, JournalEntry, JournalError, PastCall};
+use quillmount_core::journal::{
+    AcceptedMessage, End, JournalContents, JournalEntry, JournalError, PastCall, Settlements,
+};
 use quillmount_core::note::Note;
 use quillmount_core::pool::Pool;
 use quillmount_core::router::{Intake, Router};
@@ -76,7 +78,7 @@
         JournalEntry { taken: AcceptedMessage { deadline: NOW, ..owed("late").taken }, ..owed("late") };
     let stream = JournalEntry { stream: true, ..out("stream") };
     let entries = vec![out("out"), owed("fresh"), refused, ended.clone(), late, stream];
-    let todo = hub.adopt(entries, NOW).unwrap();
+    let todo = hub.adopt(entries, &Settlements::default(), NOW).unwrap();
     assert!(todo.iter().any(|one| matches!(one, DriverAction::Notify)));
     assert_eq!(ids(calls(todo)), ["fresh", "back"], "what never ran is sent, and nothing else");
     let mut ends = told(&hub);
@@ -99,9 +101,9 @@
 fn a_repeat_that_only_one_zone_would_know_goes_to_none() {
     let mut hub = open(Memory::default(), DISK);
     let entries = vec![of("paid-notice", out("anywhere")), of("zone-notice", out("zone"))];
-    assert_eq!(ids(calls(hub.adopt(entries, NOW).unwrap())), ["anywhere"]);
+    assert_eq!(ids(calls(hub.adopt(entries, &Settlements::default(), NOW).unwrap())), ["anywhere"]);
     let fresh = of("zone-notice", owed("first"));
-    assert_eq!(ids(calls(hub.adopt(vec![fresh], NOW).unwrap())), ["first"]);
+    assert_eq!(ids(calls(hub.adopt(vec![fresh], &Settlements::default(), NOW).unwrap())), ["first"]);
 }
 
 #[test]
@@ -115,12 +117,12 @@
         };
         todo.iter().filter_map(id).collect()
     };
-    let todo = hub.adopt(entries(), NOW).unwrap();
+    let todo = hub.adopt(entries(), &Settlements::default(), NOW).unwrap();
     assert_eq!(skipped(&todo), ["fresh"]);
     let call = calls(todo).remove(0).call;
     for _ in 0..2 {
         let before = killed(&hub).bytes().to_vec();
-        let todo = hub.adopt(entries(), NOW).unwrap();
+        let todo = hub.adopt(entries(), &Settlements::default(), NOW).unwrap();
         assert_eq!((skipped(&todo).len(), calls(todo).len()), (3, 0));
         assert_eq!(killed(&hub).bytes(), before);
         // The second time both are over.
@@ -131,35 +133,39 @@
     assert_eq!((hub.router.counters.adopted, hub.router.load()), (2, (0, 0)));
     // An id that was delivered elsewhere is none to go on with.
     let delivered = JournalEntry { end: Some(End::Delivered), ..owed("delivered") };
-    assert_eq!(skipped(&hub.adopt(vec![delivered], NOW).unwrap()), ["delivered"]);
+    assert_eq!(skipped(&hub.adopt(vec![delivered], &Settlements::default(), NOW).unwrap()), ["delivered"]);
 }
 
 #[test]
 fn a_refusal_or_a_kill_in_the_middle_leaves_nothing_half_taken_over() {
     let entries = || vec![out("a"), out("b"), owed("c")];
     let mut hub = open(Memory::default(), DISK);
-    hub.adopt(vec![owed("own")], NOW).unwrap();
+    hub.adopt(vec![owed("own")], &Settlements::default(), NOW).unwrap();
     let before = killed(&hub);
     hub.router.journal_mut().store_mut().fail(Fault::Full { after: 0 });
-    assert!(matches!(hub.adopt(entries(), NOW), Err(JournalError::Io { .. })));
+    assert!(matches!(hub.adopt(entries(), &Settlements::default(), NOW), Err(JournalError::Io { .. })));
     hub.router.journal_mut().store_mut().fail(Fault::None);
     assert_eq!((hub.router.load().0, killed(&hub).bytes()), (1, before.bytes()));
-    assert_eq!(ids(calls(hub.adopt(entries(), NOW).unwrap())), ["c"], "later there is room");
+    assert_eq!(
+        ids(calls(hub.adopt(entries(), &Settlements::default(), NOW).unwrap())),
+        ["c"],
+        "later there is room"
+    );
     // No part of the disk holds them: what is there stays.
     let mut small = open(Memory::default(), 4_000);
-    assert!(matches!(small.adopt(entries(), NOW), Err(JournalError::Full)));
+    assert!(matches!(small.adopt(entries(), &Settlements::default(), NOW), Err(JournalError::Full)));
     assert_eq!((small.router.load(), killed(&small).bytes().len()), ((0, 0), 0));
     // Wherever a kill cuts, no debit that was out is owed without its attempt.
     for after in 0..8 {
         for bytes in 0..200 {
             let mut hub = open(Memory::default(), DISK);
             hub.router.journal_mut().store_mut().fail(Fault::Die { after, bytes });
-            hub.adopt(entries(), NOW).unwrap();
+            hub.adopt(entries(), &Settlements::default(), NOW).unwrap();
             let (contents, _) = JournalContents::read(killed(&hub).bytes());
             let safe = contents.owed.values().all(|entry| entry.taken.id == "c" || !entry.calls.is_empty());
             assert!(safe, "write {after}, {bytes} bytes: {contents:?}");
             let mut next = open(killed(&hub), DISK);
-            next.adopt(entries(), NOW).unwrap();
+            next.adopt(entries(), &Settlements::default(), NOW).unwrap();
             assert_eq!(next.router.load().0, 3);
         }
     }
@@ -173,7 +179,8 @@
     let source = |part| Source { owner: "a".into(), epoch: 3, part };
     let from = |part, entry| JournalEntry { source: Some(source(part)), ..entry };
     let mut hub = open(Memory::default(), DISK);
-    let todo = hub.adopt(vec![from(1, owed("m1")), from(2, owed("m2"))], NOW).unwrap();
+    let todo =
+        hub.adopt(vec![from(1, owed("m1")), from(2, owed("m2"))], &Settlements::default(), NOW).unwrap();
     assert!(ids(calls(todo)).is_empty() && hub.router.load().0 == 0);
     let store = Memory::of(hub.router.journal().store().bytes().to_vec());
     let mut hub = open(store, DISK);
@@ -189,6 +196,6 @@
     assert_eq!(left, [("m1", None)]);
     let again = owed("m2");
     // The other one's id may come again.
-    let todo = hub.adopt(vec![again], NOW).unwrap();
+    let todo = hub.adopt(vec![again], &Settlements::default(), NOW).unwrap();
     assert_eq!(ids(calls(todo)), ["m2"]);
 }
--- a/courier/program/src/transport/courier.rs
+++ b/courier/program/src/transport/courier.rs
@@ -259,7 +259,7 @@
         entries: Vec<JournalEntry>,
         lines: &Settlements,
     ) -> Result<(), JournalError> {
-        let todo = self.handle.hub.borrow_mut().adopt_with(entries, lines, self.clock.now())?;
+        let todo = self.handle.hub.borrow_mut().adopt(entries, lines, self.clock.now())?;
         self.carry_out(todo);
         Ok(())
     }
