--- a/courier/core/src/flow.rs
+++ b/courier/core/src/flow.rs
@@ -1,7 +1,7 @@
 //! One body on its way: what has come of it, what is kept, what has left. No bytes here, only their numbers;
 //! the driver keeps the bytes between [`Flow::base`] and [`Flow::received`]. `docs/streaming-design.md` says why.
 
-use crate::machine::Machine;
+use crate::machine::transition_table::Machine;
 use quillmount_policy::Micros;
 use quillmount_policy::breaks::{self, Break};
 
--- a/courier/core/src/hub.rs
+++ b/courier/core/src/hub.rs
@@ -220,7 +220,9 @@
                     steps.extend(self.router.call_ended(call, CallEnd::HeldBack, now));
                 }
                 RouterAction::GiveUp(call) => todo.push(DriverAction::Signal(call, AttemptInput::GiveUp)),
-                RouterAction::Ended(call) => todo.push(DriverAction::Signal(call, AttemptInput::Ended)),
+                RouterAction::Ended(call) => {
+                    todo.push(DriverAction::Signal(call, AttemptInput::MessageEnded))
+                }
                 RouterAction::Forget(endpoint) => close(&mut todo, self.pool.forget(endpoint)),
                 RouterAction::CloseIdle(endpoint) => close(&mut todo, self.pool.close_idle(endpoint)),
                 RouterAction::Gate { endpoint, open } => {
--- a/courier/core/src/machine/client.rs
+++ b/courier/core/src/machine/client.rs
@@ -1,6 +1,6 @@
 //! One client's connection: it asks, is answered, rests, and leaves.
 
-use super::Machine;
+use super::transition_table::Machine;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub enum ClientState {
--- a/courier/core/src/machine/connection.rs
+++ b/courier/core/src/machine/connection.rs
@@ -1,6 +1,6 @@
 //! One connection to an endpoint.
 
-use super::Machine;
+use super::transition_table::Machine;
 use quillmount_policy::Micros;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/courier/core/src/machine/drain.rs
+++ b/courier/core/src/machine/drain.rs
@@ -1,6 +1,6 @@
 //! Whether clients are wanted: a drained courier empties, and does not end.
 
-use super::Machine;
+use super::transition_table::Machine;
 use quillmount_policy::Micros;
 
 /// How long a no to the front's question leaves connections at rest as they are. The front asks ten times a second and
--- a/courier/core/src/machine/lifecycle.rs
+++ b/courier/core/src/machine/lifecycle.rs
@@ -1,8 +1,8 @@
 //! A courier's life, from its start to its end: whether it serves, wants clients, hands over or stops.
 
-use super::Machine;
 use super::drain::{self, Drain};
 use super::handover::{HandoverSender, SenderInput, SenderOutput, SenderState};
+use super::transition_table::Machine;
 use quillmount_policy::Micros;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
--- a/courier/core/src/machine/notices.rs
+++ b/courier/core/src/machine/notices.rs
@@ -1,6 +1,6 @@
 //! The notices to the platform: told, sent, confirmed, or lost and sent again.
 
-use super::Machine;
+use super::transition_table::Machine;
 use quillmount_policy::Micros;
 use quillmount_policy::breaks::{self, Break};
 
--- a/courier/core/src/machine/watch.rs
+++ b/courier/core/src/machine/watch.rs
@@ -1,6 +1,6 @@
 //! The watch on discovery at one address.
 
-use super::Machine;
+use super::transition_table::Machine;
 use quillmount_containers::random_unit;
 use quillmount_policy::Micros;
 
--- a/courier/program/src/transport/courier.rs
+++ b/courier/program/src/transport/courier.rs
@@ -327,7 +327,7 @@
 
     /// The process ends: what has not left of a call stays here, and the next life knows that it never ran.
     pub fn keep_unsent(&self) {
-        self.signals.borrow().values().for_each(|signals| signals.signal(AttemptInput::Ended));
+        self.signals.borrow().values().for_each(|signals| signals.signal(AttemptInput::MessageEnded));
     }
 
     /// The last byte of its call has left.
--- a/courier/program/src/transport/endpoints.rs
+++ b/courier/program/src/transport/endpoints.rs
@@ -41,7 +41,7 @@
         match input {
             AttemptInput::GiveUp => self.give_up.set(true),
             AttemptInput::BackOff => self.back_off.set(true),
-            AttemptInput::Ended => self.ended.set(true),
+            AttemptInput::MessageEnded => self.ended.set(true),
             _ => return,
         }
         self.changed.notify_one();
@@ -91,7 +91,7 @@
         let unsent = matches!(state, AttemptState::Connecting | AttemptState::Writing { .. });
         match state {
             _ if self.give_up.get() => Some(AttemptInput::GiveUp),
-            _ if unsent && self.ended.get() => Some(AttemptInput::Ended),
+            _ if unsent && self.ended.get() => Some(AttemptInput::MessageEnded),
             _ if self.late.get() => Some(AttemptInput::Deadline),
             AttemptState::Writing { .. } if self.back_off.take() => Some(AttemptInput::BackOff),
             _ => None,
@@ -119,7 +119,7 @@
 pub async fn read(stream: &mut (impl AsyncRead + Unpin), answer: &mut Vec<u8>) -> AttemptInput {
     answer.reserve(READ);
     match stream.read_buf(answer).await {
-        Ok(0) => AttemptInput::End,
+        Ok(0) => AttemptInput::PeerClosed,
         Ok(_) => AttemptInput::Read,
         Err(_) => AttemptInput::Reset,
     }
--- a/tools/explore/src/world.rs
+++ b/tools/explore/src/world.rs
@@ -497,7 +497,7 @@
                 Ok(())
             }
             Action::ReadAnswer(call_ref) => self.read(call_ref),
-            Action::EndpointClosed(call_ref) => self.input(call_ref, AttemptInput::End),
+            Action::EndpointClosed(call_ref) => self.input(call_ref, AttemptInput::PeerClosed),
             Action::Reset(call_ref) => self.input(call_ref, AttemptInput::Reset),
             Action::Deadline(call_ref) => self.input(call_ref, AttemptInput::Deadline),
             Action::CallTick(call_ref) => self.input(call_ref, AttemptInput::Tick),
