--- a/courier/core/src/machine/client.rs
+++ b/courier/core/src/machine/client.rs
@@ -1,70 +1,86 @@
-//! One client's connection: it asks, is answered, rests, and leaves.
+//! One client's connection: it brings requests, gets answers, is idle in between, and is closed.
 
 use super::transition_table::Machine;
 
+/// The state of a [`ClientConnection`]. Encoded by position when it is handed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub enum ClientState {
-    /// Has yet to send a whole request: its `first`, or one more; `last`: its answer ends the connection.
+    /// A request is not complete.
     Requesting {
+        /// It is the connection's first request.
         first: bool,
+        /// Its answer ends the connection.
         last: bool,
     },
-    /// An answer is being written, the last one if `closes`.
+    /// An answer is being written.
     Answering {
+        /// The request was a readiness check.
         probed: bool,
+        /// The answer ends the connection.
         closes: bool,
     },
-    /// Rests between requests; `probed`: it has but seen that the courier is ready, and is about to ask.
+    /// Between requests.
     Idle {
+        /// The last request was a readiness check, so that a submission is likely to follow.
         probed: bool,
     },
-    /// Is to go: closes, or answers what came in this moment and closes.
+    /// To be closed: a request that arrives at this moment is still answered.
     Leaving,
-    /// Answered for the last time; what still comes is let go.
+    /// The last answer is written; what still arrives is discarded.
     Closing,
+    /// Closed.
     Closed,
 }
 
+/// What happens to a [`ClientConnection`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientInput {
-    /// A request is whole or malformed, and has its answer; `closes`: nothing can follow on this connection.
-    Requested { probe: bool, closes: bool },
-    /// It ended, or its time was up, before a byte of a request.
+    /// A request is complete or malformed, and has its answer.
+    Requested {
+        /// It was a readiness check.
+        probe: bool,
+        /// Nothing can follow it on this connection.
+        closes: bool,
+    },
+    /// The connection ended, or its time was up, before a byte of a request.
     Silent,
-    /// The connection broke, or the answer was not taken in time.
+    /// The connection broke, or the answer was not read in time.
     Broken,
-    /// The answer is written; `closes`: it said that the connection ends.
+    /// The answer is written.
     Answered,
-    /// Bytes of another request have come.
+    /// Bytes of another request have arrived.
     Readable,
-    /// It has rested for as long as it may, or was asked to leave.
+    /// It was idle for as long as it may be, or is to be closed.
     Leave,
-    /// Nothing came during the last look.
+    /// Nothing arrived during the last read.
     NothingArrived,
-    /// Nothing more comes, or the time for it is up.
+    /// Nothing more arrives, or the time for it is up.
     Lingered,
 }
 
-/// What is to be done next.
+/// What the driver of a [`ClientConnection`] is to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ClientOutput {
+    /// Nothing.
     Nothing,
     /// Read a request.
     Read,
-    /// Write the answer; it ends the connection if `closes`.
+    /// Write the answer.
     Answer {
+        /// It ends the connection.
         closes: bool,
     },
-    /// Wait for bytes, for the word to leave, or until the rest is over.
+    /// Wait for bytes, for a request to close, or until the idle time is over.
     Rest,
-    /// Wait a moment for a request that may be on its way: written as its connection closes, it would be lost.
+    /// Wait a moment for a request that may be on its way: sent while the connection is closed, it would be lost.
     AwaitLastRequest,
-    /// End the sending side and read what still comes, so that the answer is not lost to a reset.
+    /// End the sending side and read what still arrives, so that the answer is not lost to a reset.
     Linger,
+    /// Close the connection.
     Close,
 }
 
-/// The machine.
+/// The machine of a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ClientConnection {
     state: ClientState,
@@ -77,20 +93,23 @@
 }
 
 impl ClientConnection {
-    /// Goes on with a connection that another process had in this state; says what is to be done next.
+    /// Resumes a connection that another process had in this state; returns what is to be done next.
     pub fn resumed(state: ClientState) -> (Self, ClientOutput) {
         let is_idle = matches!(state, ClientState::Idle { .. });
         (ClientConnection { state }, if is_idle { ClientOutput::Rest } else { ClientOutput::Read })
     }
 
+    /// The current state.
     pub fn state(&self) -> ClientState {
         self.state
     }
 
+    /// No request is in progress.
     pub fn is_idle(&self) -> bool {
         matches!(self.state, ClientState::Idle { .. })
     }
 
+    /// Applies an input.
     pub fn step(&mut self, input: ClientInput) -> ClientOutput {
         use ClientState::*;
         let (state, output) = match (self.state, input) {
--- a/courier/core/src/machine/connection.rs
+++ b/courier/core/src/machine/connection.rs
@@ -1,61 +1,77 @@
-//! One connection to an endpoint.
+//! One connection to an endpoint, which carries one call at a time and is idle between calls.
 
 use super::transition_table::Machine;
 use quillmount_policy::Micros;
 
+/// The state of an [`EndpointConnection`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ConnectionState {
+    /// It is being established.
     Opening,
+    /// A call uses it.
     Calling,
-    Idle { since: Micros },
+    /// It waits for the next call.
+    Idle {
+        /// Since when.
+        since: Micros,
+    },
+    /// It is closed, or was never established.
     Closed,
 }
 
+/// What happens to an [`EndpointConnection`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionInput {
+    /// It was established.
     Connected,
+    /// It was refused, or not established in time.
     Failed,
-    /// Its call ended, and the next may begin on it; `open`: the endpoint is still listed as ready.
+    /// Its call ended, and the next may begin on it.
     CallCompleted {
+        /// The endpoint is still listed as ready.
         open: bool,
     },
-    /// Its call ended, and it can't be used again.
+    /// Its call ended, and it can't be reused.
     CallFailed,
-    /// A call begins on it; `quiet`: nothing has come on it meanwhile, no end and no bytes.
+    /// A call begins on it.
     Reused {
+        /// Nothing has come on it meanwhile, neither an end nor bytes.
         quiet: bool,
     },
-    /// A look at one that rests.
+    /// An idle connection is checked.
     Checked {
+        /// Nothing has come on it meanwhile, neither an end nor bytes.
         quiet: bool,
     },
-    /// The endpoint drains or is gone, the module has its idle connections closed, or room is short.
+    /// The endpoint drains or is gone, the policy has its idle connections closed, or there are too many connections.
     Close,
 }
 
-/// The machine: a connection carries one call at a time, and rests between calls.
+/// The machine of a connection to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct EndpointConnection {
     state: ConnectionState,
-    /// How long it may rest.
+    /// How long it may be idle.
     idle_timeout: Micros,
 }
 
 impl EndpointConnection {
+    /// A connection that is being established.
     pub fn opening(idle_timeout: Micros) -> Self {
         EndpointConnection { state: ConnectionState::Opening, idle_timeout }
     }
 
-    /// One that rests since then, at another process until now.
+    /// A connection that has been idle since then, at another process until now.
     pub fn idle(idle_timeout: Micros, since: Micros) -> Self {
         EndpointConnection { state: ConnectionState::Idle { since }, idle_timeout }
     }
 
+    /// The current state.
     pub fn state(&self) -> ConnectionState {
         self.state
     }
 
-    /// Since when it rests, if it does.
+    /// Since when it is idle, if it is.
     pub fn since(&self) -> Option<Micros> {
         match self.state {
             ConnectionState::Idle { since } => Some(since),
@@ -63,7 +79,7 @@
         }
     }
 
-    /// True where the connection is to be closed now.
+    /// Applies an input at the time `now`. True: the connection is to be closed.
     pub fn step(&mut self, input: ConnectionInput, now: Micros) -> bool {
         let (next, close) = match (self.state, input) {
             (ConnectionState::Opening, ConnectionInput::Connected) => (ConnectionState::Calling, false),
@@ -81,7 +97,7 @@
                 ConnectionState::Idle { since },
                 ConnectionInput::Reused { quiet } | ConnectionInput::Checked { quiet },
             ) if !quiet || now.saturating_sub(since) >= self.idle_timeout => {
-                // What came on it would be taken for an answer; what is too old is closed by the endpoint.
+                // What has come on it would be taken for an answer; the endpoint closes what is too old.
                 (ConnectionState::Closed, true)
             }
             (ConnectionState::Idle { .. }, ConnectionInput::Reused { .. }) => {
--- a/courier/core/src/machine/drain.rs
+++ b/courier/core/src/machine/drain.rs
@@ -1,53 +1,65 @@
-//! Whether clients are wanted: a drained courier empties, and does not end.
+//! Draining: whether clients are to come to this courier. A drained courier loses its clients and goes on running.
 
 use super::transition_table::Machine;
 use quillmount_policy::Micros;
 
-/// How long a no to the front's question leaves connections at rest as they are. The front asks ten times a second and
-/// deals out connections for 0.2 s after the no: asked to leave before, their clients would come back here.
+/// How long idle connections stay after the front was first told that the courier is not ready, in microseconds. The front
+/// checks ten times a second and goes on assigning connections here for 0.2 s after that: closed earlier, clients would come
+/// back.
 pub const FRONT_GRACE: Micros = 500_000;
-/// Between two looks for connections that rest: few do, since answers close theirs.
+/// The time between two checks for idle connections, in microseconds: there are few, since answers close theirs.
 pub const IDLE_CHECK_INTERVAL: Micros = 100_000;
 
+/// The state of a [`Drain`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum DrainState {
+    /// Clients are welcome.
     #[default]
     Serving,
-    /// The front is told no; connections that rest are asked to leave from then on.
-    Drained { next_check: Micros },
+    /// The front is told that the courier is not ready.
+    Drained {
+        /// When idle connections are closed next.
+        next_check: Micros,
+    },
 }
 
+/// What happens to a [`Drain`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainInput {
+    /// Operators drain the courier.
     Drain,
+    /// Operators end the drain.
     Undrain,
-    /// The time that the state waits for has come.
+    /// The time of [`Drain::wake_at`] has come.
     Tick,
 }
 
+/// What the driver of a [`Drain`] is to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainOutput {
+    /// Nothing.
     Nothing,
-    /// Every answer ends its connection from now on.
+    /// Close each connection after its answer from now on.
     CloseAfterAnswers,
-    /// Connections that rest are to leave.
+    /// Close idle connections.
     CloseIdle,
-    /// Connections are kept again.
+    /// Keep connections open after answers again.
     KeepConnections,
 }
 
-/// The machine.
+/// The machine of a drain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Drain {
     state: DrainState,
 }
 
 impl Drain {
+    /// Operators have drained the courier.
     pub fn is_drained(&self) -> bool {
         self.state != DrainState::Serving
     }
 
-    /// When a [`Input::Tick`] is wanted.
+    /// When a [`DrainInput::Tick`] is wanted.
     pub fn wake_at(&self) -> Option<Micros> {
         match self.state {
             DrainState::Serving => None,
@@ -55,6 +67,7 @@
         }
     }
 
+    /// Applies an input at the time `now`.
     pub fn step(&mut self, input: DrainInput, now: Micros) -> DrainOutput {
         let (state, output) = match (self.state, input) {
             (DrainState::Serving, DrainInput::Drain) => (
--- a/courier/core/src/machine/lifecycle.rs
+++ b/courier/core/src/machine/lifecycle.rs
@@ -1,4 +1,6 @@
-//! A courier's life, from its start to its end: whether it serves, wants clients, hands over or stops.
+//! The lifecycle of a courier's process: whether it serves, wants clients, hands over or shuts down.
+//!
+//! It composes the [`Drain`] and the [`HandoverSender`], whose outputs it passes on.
 
 use super::drain::{self, Drain};
 use super::handover::{HandoverSender, SenderInput, SenderOutput, SenderState};
@@ -7,70 +9,75 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 enum LifecycleState {
-    /// What an earlier life left is taken up.
+    /// What an earlier process left is being restored.
     #[default]
     Starting,
     Serving,
-    /// Another process has asked for all, or has it on its way.
+    /// Another process has requested a handover, which is under way.
     Handover(HandoverSender),
-    /// A planned stop, the graceful shutdown.
+    /// The graceful shutdown.
     Stopping,
-    /// Another process decides, or the planned stop is done.
+    /// Another process decides, or the graceful shutdown is done.
     Ended,
 }
 
+/// What happens to a [`Lifecycle`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecycleInput {
-    /// All that an earlier life left is taken up.
+    /// All that an earlier process left is restored.
     Serve,
-    /// What comes of another process that wants to take over.
+    /// Something happened in the handover to another process.
     Handover(SenderInput),
-    /// What operators want of clients, or the time to look.
+    /// Operators drain the courier or end the drain, or the drain's time has come.
     Drain(drain::DrainInput),
-    /// A signal asks for the planned stop.
+    /// A signal requests the graceful shutdown.
     Stop,
-    /// The planned stop is done, or a fleet has given all to others.
+    /// The graceful shutdown is done, or the fleet has given all to other couriers.
     End,
 }
 
+/// What the driver of a [`Lifecycle`] is to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecycleOutput {
+    /// Nothing.
     Nothing,
+    /// This, for the handover.
     Handover(SenderOutput),
+    /// This, for the drain.
     Drain(drain::DrainOutput),
-    /// The planned stop begins.
+    /// Begin the graceful shutdown.
     Stop,
-    /// There is nothing to stop: the process ends.
+    /// End the process: there is nothing to shut down.
     Exit,
 }
 
-/// The machine.
+/// The machine of the lifecycle.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Lifecycle {
     state: LifecycleState,
     drain: Drain,
-    /// When the first signal came that asked for the planned stop. One that comes while all is being handed over waits:
-    /// the process that still holds the lock afterwards stops as planned, one that has let go has nothing left to stop.
+    /// When the first signal came that requested the graceful shutdown. During a handover it waits: a process that still has
+    /// the lock afterwards shuts down, one that has released it has nothing left to shut down.
     stop: Option<Micros>,
 }
 
 impl Lifecycle {
-    /// It takes clients' messages on, and operators hear that it is ready.
+    /// It accepts messages, and operators see that it is ready.
     pub fn is_serving(&self) -> bool {
         matches!(self.state, LifecycleState::Serving | LifecycleState::Handover(_))
     }
 
-    /// Whether the front may send clients here.
+    /// The front may send clients here.
     pub fn accepts_clients(&self) -> bool {
         self.is_serving() && self.stop.is_none() && !self.drain.is_drained()
     }
 
-    /// Operators have emptied it: the front is told no.
+    /// Operators have drained it: the front is told that it is not ready.
     pub fn is_drained(&self) -> bool {
         self.drain.is_drained()
     }
 
-    /// Tasks give their parts up to another process, or have.
+    /// Tasks give up their parts to another process, or have done so.
     pub fn is_releasing(&self) -> bool {
         matches!(self.state, LifecycleState::Handover(_) | LifecycleState::Ended)
     }
@@ -83,22 +90,22 @@
         }
     }
 
-    /// When the signal came whose planned stop is under way.
+    /// When the signal came whose graceful shutdown is under way.
     pub fn stopping(&self) -> Option<Micros> {
         self.stop.filter(|_| self.state == LifecycleState::Stopping)
     }
 
-    /// What is dropped from here on is taken up by another life.
+    /// Another process restores what is dropped from now on.
     pub fn has_ended(&self) -> bool {
         self.state == LifecycleState::Ended
     }
 
-    /// A signal has asked for the process's end.
+    /// A signal has requested the graceful shutdown.
     pub fn stop_requested(&self) -> bool {
         self.stop.is_some()
     }
 
-    /// When a tick is wanted of the hand-over.
+    /// When a tick of the handover is wanted.
     pub fn handover_deadline(&self) -> Option<Micros> {
         match &self.state {
             LifecycleState::Handover(sender) => sender.wake_at(),
@@ -106,11 +113,12 @@
         }
     }
 
-    /// When a tick is wanted of the drain.
+    /// When a tick of the drain is wanted.
     pub fn drain_check_at(&self) -> Option<Micros> {
         self.drain.wake_at().filter(|_| self.state != LifecycleState::Ended)
     }
 
+    /// Applies an input at the time `now`.
     pub fn step(&mut self, input: LifecycleInput, now: Micros) -> LifecycleOutput {
         match (self.state, input) {
             (LifecycleState::Starting, LifecycleInput::Serve) => {
@@ -141,7 +149,7 @@
             (_, LifecycleInput::Handover(SenderInput::Requested)) => {
                 LifecycleOutput::Handover(SenderOutput::Busy)
             }
-            // What changed now would not be among what is handed over.
+            // A change would not be part of what is handed over.
             (
                 LifecycleState::Handover(_),
                 LifecycleInput::Drain(drain::DrainInput::Drain | drain::DrainInput::Undrain),
@@ -191,7 +199,7 @@
     }
 }
 
-/// A life that these inputs lead to, all of them at one moment.
+/// The lifecycle that these inputs lead to, all of them at one time.
 fn after(inputs: &[LifecycleInput]) -> Lifecycle {
     let mut lifecycle = Lifecycle::default();
     for input in inputs {
--- a/courier/core/src/machine/notices.rs
+++ b/courier/core/src/machine/notices.rs
@@ -1,28 +1,39 @@
-//! The notices to the platform: told, sent, confirmed, or lost and sent again.
+//! The notices to the platform: when they are sent, and when sending is retried.
+//!
+//! The router has the notices themselves; this machine decides how many of them the driver sends in one request.
 
 use super::transition_table::Machine;
 use quillmount_policy::Micros;
 use quillmount_policy::breaks::{self, Break};
 
-/// The platform takes notices at once; one try must leave time for another.
+/// How long a request may take, in microseconds. The platform answers at once; one attempt must leave time for another.
 pub const ATTEMPT_TIMEOUT: Micros = 250_000;
-/// After a try that failed.
+/// The delay after a failed attempt, in microseconds.
 pub const RETRY_DELAY: Micros = 50_000;
-/// Notices in one body: well under the platform's 64 KiB.
+/// The most notices in one request: well below the platform's limit of 64 KiB.
 pub const BATCH_MAX: usize = 200;
 
+/// The state of [`Notices`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum NoticeState {
-    /// Nothing is to be told.
+    /// No request is in flight.
     Quiet,
-    /// So many are on their way; without a word by then they count as lost.
-    Sent { count: usize, until: Micros },
-    /// A try has failed.
-    BackingOff { until: Micros },
+    /// A request is in flight.
+    Sent {
+        /// The number of its notices.
+        count: usize,
+        /// When it counts as lost.
+        until: Micros,
+    },
+    /// An attempt has failed.
+    BackingOff {
+        /// When the next one is made.
+        until: Micros,
+    },
 }
 
 impl NoticeState {
-    /// The state without its time.
+    /// The state without its time: its number and the count of notices in flight.
     pub fn kind(self) -> (u8, usize) {
         match self {
             NoticeState::Quiet => (0, 0),
@@ -32,39 +43,43 @@
     }
 }
 
+/// What happens to [`Notices`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoticeInput {
-    /// So many are to be told.
+    /// So many notices are to be sent.
     Wanted(usize),
-    /// 204.
+    /// The platform has answered with 204.
     Confirmed,
-    /// 400: one of them can't be read.
+    /// The platform has answered with 400: one of the notices can't be read.
     Unreadable,
-    /// Another word, none, or a connection that failed.
+    /// Another answer, none, or a connection that failed.
     Lost,
-    /// Discovery has moved: told twice does no harm, told late does.
+    /// Discovery has moved: a notice that is sent twice does no harm, one that is late does.
     Moved,
-    /// The time that the state waits for has come.
+    /// The time of [`Notices::wake_at`] has come.
     Tick,
 }
 
+/// What the driver of [`Notices`] is to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoticeOutput {
+    /// Nothing.
     Nothing,
-    /// Send the oldest, so many at most.
+    /// Send the oldest notices, so many at most.
     Send(usize),
-    /// What was sent is told, and owed no more.
+    /// The notices that were sent are confirmed.
     Confirmed,
-    /// The single one that was sent can't be read, and is let go: it must not keep the others back.
+    /// Drop the single notice that was sent: it can't be read, and must not hold back the others.
     Discard,
-    /// Look again what is to be told.
+    /// Check again which notices are to be sent.
     Retry,
 }
 
-/// The machine.
+/// The machine of the notices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Notices {
     state: NoticeState,
+    /// The most notices of the next request.
     batch: usize,
 }
 
@@ -75,11 +90,12 @@
 }
 
 impl Notices {
+    /// The current state.
     pub fn state(&self) -> NoticeState {
         self.state
     }
 
-    /// When a [`Input::Tick`] is wanted.
+    /// When a [`NoticeInput::Tick`] is wanted.
     pub fn wake_at(&self) -> Option<Micros> {
         match self.state {
             NoticeState::Quiet => None,
@@ -87,11 +103,12 @@
         }
     }
 
-    /// Most notices that the next try may hold.
+    /// The most notices that the next request may hold.
     pub fn most(&self) -> usize {
         self.batch
     }
 
+    /// Applies an input at the time `now`.
     pub fn step(&mut self, input: NoticeInput, now: Micros) -> NoticeOutput {
         let (state, output) = match (self.state, input) {
             (NoticeState::Quiet, NoticeInput::Wanted(count)) if count > 0 => {
@@ -105,7 +122,7 @@
                 self.batch = BATCH_MAX;
                 (NoticeState::Quiet, NoticeOutput::Confirmed)
             }
-            // Find the one that can't be read: one at a time.
+            // Send one at a time, to find the one that can't be read.
             (NoticeState::Sent { count, .. }, NoticeInput::Unreadable) if count > 1 => {
                 self.batch = 1;
                 (NoticeState::Quiet, NoticeOutput::Retry)
