--- a/courier/core/src/ended.rs
+++ b/courier/core/src/ended.rs
@@ -1,35 +1,38 @@
-//! Ids of submissions that are over, each remembered with its end until its time is up.
+//! The ends of messages that are no longer owed, each remembered under the message's id until its deadline.
 
 use crate::journal::End;
 use quillmount_policy::Micros;
 use std::collections::{HashMap, VecDeque};
 
-/// Ids remembered at most.
+/// The most ends that are remembered.
 const REMEMBERED: usize = 4_096;
 
-/// The memory of what is over.
+/// The remembered ends.
 #[derive(Clone, Debug, Default)]
 pub struct EndedMessages {
     ends: HashMap<String, End>,
-    /// As they came, with until when each is remembered.
+    /// The ids in the order in which they were added, with the time until when each is remembered.
     order: VecDeque<(String, Micros)>,
 }
 
 impl EndedMessages {
+    /// The end of the message with this id.
     pub fn get(&self, id: &str) -> Option<End> {
         self.ends.get(id).copied()
     }
 
+    /// Whether an end is remembered under this id.
     pub fn contains(&self, id: &str) -> bool {
         self.ends.contains_key(id)
     }
 
+    /// Adds an end.
     pub fn remember(&mut self, id: String, end: End, until: Micros) {
         self.ends.insert(id.clone(), end);
         self.order.push_back((id, until));
     }
 
-    /// Forgets the oldest, if its time is up or there are too many.
+    /// Forgets the oldest end if its time is up or there are too many; returns its id.
     pub fn forget(&mut self, now: Micros) -> Option<String> {
         let due = self.order.front().is_some_and(|(_, until)| *until <= now);
         if !due && self.order.len() <= REMEMBERED {
@@ -40,7 +43,8 @@
         Some(id)
     }
 
-    /// Each as it came, and until when it is remembered; one that came twice has its end once.
+    /// The ids in the order in which they were added, each with its end and until when it is remembered. For an id that was
+    /// added twice, the end may be forgotten already.
     pub fn iter(&self) -> impl ExactSizeIterator<Item = (&str, Option<End>, Micros)> {
         self.order.iter().map(|(id, until)| (id.as_str(), self.get(id), *until))
     }
--- a/courier/core/src/flow.rs
+++ b/courier/core/src/flow.rs
@@ -1,120 +1,76 @@
-//! One body on its way: what has come of it, what is kept, what has left. No bytes here, only their numbers;
-//! the driver keeps the bytes between [`Flow::base`] and [`Flow::received`]. `docs/streaming-design.md` says why.
+//! A streamed body: what was received of it, what is buffered, and what was sent.
+//!
+//! The machine counts bytes and has none itself; the driver buffers those between [`Flow::base`] and [`Flow::received`].
+//! `docs/streaming-design.md` has the reasons for the window and the pace.
 
-use crate::machine::transition_table::Machine;
-use quillmount_policy::Micros;
-use quillmount_policy::breaks::{self, Break};
-
-/// How slow a side may be.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Pace {
-    /// Without a byte for so long, a side that could move one has stalled.
-    pub stall: Micros,
-    /// Within this much time in which it could have moved bytes, it moves `least` of them.
-    pub span: Micros,
-    pub least: u64,
-}
-
-/// Why a side is given up.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
-pub enum Late {
-    /// Not a byte.
-    Stalled,
-    /// Too few.
-    Slow,
-}
+mod pace;
+mod table;
 
-/// One side of a flow, and how it keeps up. Time counts only while it is up to this side to move bytes.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct SideProgress {
-    pace: Pace,
-    /// Since when it is up to this side.
-    since: Option<Micros>,
-    /// For how long it was before that, and what it moved, within this span.
-    waited: Micros,
-    moved: u64,
-}
-
-impl SideProgress {
-    fn new(pace: Pace) -> Self {
-        SideProgress { pace, since: None, waited: 0, moved: 0 }
-    }
+pub use pace::{Late, Pace};
+pub use table::FlowInput;
 
-    /// It is up to this side, or not.
-    fn set_turn(&mut self, up: bool, now: Micros) {
-        match (up, self.since) {
-            (true, None) => self.since = Some(now),
-            (false, Some(since)) => {
-                self.waited += now.saturating_sub(since);
-                self.since = None;
-            }
-            _ => {}
-        }
-    }
-
-    fn record_bytes(&mut self, bytes: u64, now: Micros) {
-        if let Some(since) = self.since.replace(now) {
-            self.waited += now.saturating_sub(since);
-        }
-        self.moved += bytes;
-        if self.waited >= self.pace.span && self.moved >= self.pace.least {
-            (self.waited, self.moved) = (0, 0);
-        }
-    }
-
-    /// Where it is up to this side, when it has stalled, or was too slow, if nothing moves until then.
-    fn late_at(&self) -> Option<(Micros, Late)> {
-        let since = self.since?;
-        let stalled = (since.saturating_add(self.pace.stall), Late::Stalled);
-        let left = self.pace.span.saturating_sub(self.waited);
-        let slow = (since.saturating_add(left), Late::Slow);
-        Some(if self.moved < self.pace.least { stalled.min(slow) } else { stalled })
-    }
-}
+use pace::SideProgress;
+use quillmount_policy::Micros;
+use quillmount_policy::breaks::{self, Break};
 
-/// Why a body will never be whole.
+/// Why a body will never be complete. Encoded by position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub enum Cut {
     /// The client's connection ended or broke.
     Gone,
-    /// Its framing can't be read: chunks that are none, extensions without end, trailers.
+    /// Its framing can't be read: malformed chunks, endless extensions, trailers.
     Malformed,
-    /// More than it may have.
+    /// It is longer than it may be.
     TooLarge,
-    /// Its digest is another.
+    /// Its digest does not match.
     Digest,
+    /// The client was too slow.
     Late(Late),
 }
 
-/// Whether all of it has come.
+/// Whether all of a body was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Source {
+    /// More is to come.
     Coming,
-    /// To its last byte, and its digest holds if it has one.
+    /// All of it was received, and its digest matches if it has one.
     Whole,
+    /// It will never be complete.
     Cut(Cut),
 }
 
-/// One body's state.
+/// A side of a body.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum FlowSide {
+    /// The client, which sends the body.
+    Client,
+    /// The endpoint, which receives it.
+    Endpoint,
+}
+
+/// The state of a body.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Flow {
+    /// The most bytes that are buffered.
     window: u64,
+    /// The length that the client announced.
     length: Option<u64>,
     received: u64,
-    /// Bytes before this one are dropped.
+    /// The bytes before this offset are dropped. Invariant: `received - base <= window`.
     base: u64,
+    /// The bytes sent in the present attempt. Invariant: `sent <= received`.
     sent: u64,
     source: Source,
-    /// An attempt is out whose body may be written.
+    /// An attempt is in flight whose body may be written.
     sending: bool,
-    /// The destination has told to wait: nothing leaves.
+    /// The destination has asked to wait: nothing is sent.
     paused: bool,
     client: SideProgress,
     endpoint: SideProgress,
 }
 
 impl Flow {
-    /// A body of which at most `window` bytes are kept, one at least; `length`: as the client told it.
+    /// A body of which at most `window` bytes are buffered, one at least. `length` is what the client announced.
     pub fn new(window: u64, length: Option<u64>, client: Pace, endpoint: Pace, now: Micros) -> Self {
         let mut flow = Flow {
             window: window.max(1),
@@ -128,30 +84,31 @@
             client: SideProgress::new(client),
             endpoint: SideProgress::new(endpoint),
         };
-        flow.settle(now);
+        flow.update(now);
         flow
     }
 
+    /// Whether all of it was received.
     pub fn source(&self) -> Source {
         self.source
     }
 
-    /// Bytes that have come.
+    /// The bytes received.
     pub fn received(&self) -> u64 {
         self.received
     }
 
-    /// The first byte that is kept.
+    /// The offset of the first byte that is buffered.
     pub fn base(&self) -> u64 {
         self.base
     }
 
-    /// Bytes that have left in this attempt.
+    /// The bytes sent in the present attempt.
     pub fn sent(&self) -> u64 {
         self.sent
     }
 
-    /// How many bytes may be read now; never more than the body still has.
+    /// How many bytes may be read now; never more than the body still has to come.
     pub fn capacity(&self) -> u64 {
         if self.source != Source::Coming {
             return 0;
@@ -162,8 +119,8 @@
 
     /// How many bytes may be written now.
     ///
-    /// Of a body with a length the last byte stays until the whole has come and holds: what has another
-    /// digest, or is cut short, must not look whole. A body in chunks is whole with its last chunk only.
+    /// The last byte of a body with a length is not sent before all of it was received and its digest matches: a body that is
+    /// cut short or corrupt must not look complete. A body in chunks is complete with its last chunk only.
     pub fn sendable(&self) -> u64 {
         if !self.sending || self.paused || matches!(self.source, Source::Cut(_)) {
             return 0;
@@ -177,72 +134,81 @@
         most.saturating_sub(self.sent)
     }
 
-    /// Every byte has left, and the body is whole: its end may be written.
+    /// The body is complete and every byte was sent: its end may be written.
     pub fn may_finish(&self) -> bool {
         self.sending && !self.paused && self.source == Source::Whole && self.sent == self.received
     }
 
-    /// Nothing of it has been dropped, and it may still become whole: another attempt can have all of it.
+    /// Nothing of it was dropped, and it may still become complete: another attempt can have all of it.
     pub fn is_replayable(&self) -> bool {
         self.base == 0 && !matches!(self.source, Source::Cut(_))
     }
 
-    /// Bytes were read.
+    /// Bytes were read from the client.
+    ///
+    /// # Panics
+    /// More bytes were read than [`Flow::capacity`] allows.
     pub fn receive(&mut self, bytes: u64, now: Micros) {
         assert!(bytes <= self.capacity(), "no more is read than there is room for");
         self.received += bytes;
         self.client.record_bytes(bytes, now);
-        self.settle(now);
+        self.update(now);
     }
 
-    /// The body came to its end, and its digest holds.
+    /// The body came to its end, and its digest matches.
     pub fn complete(&mut self, now: Micros) {
         if self.source == Source::Coming {
             self.source = Source::Whole;
-            self.settle(now);
+            self.update(now);
         }
     }
 
-    /// It never will.
+    /// The body will never be complete.
     pub fn cut(&mut self, why: Cut, now: Micros) {
         if self.source == Source::Coming {
             self.source = Source::Cut(why);
-            self.settle(now);
+            self.update(now);
         }
     }
 
-    /// An attempt begins, from the first byte on; false: it can't have all of it.
+    /// An attempt begins with the first byte. False: it can't have the whole body.
     pub fn begin(&mut self, now: Micros) -> bool {
         if !self.is_replayable() && !breaks::is_enabled(Break::RetryAfterCommit) {
             return false;
         }
-        (self.sending, self.paused, self.sent) = (true, false, 0);
-        self.settle(now);
+        self.sending = true;
+        self.paused = false;
+        self.sent = 0;
+        self.update(now);
         true
     }
 
-    /// The attempt's connection is of no more use.
+    /// The attempt's connection can't be used any more.
     pub fn end(&mut self, now: Micros) {
-        (self.sending, self.paused) = (false, false);
-        self.settle(now);
+        self.sending = false;
+        self.paused = false;
+        self.update(now);
     }
 
-    /// The destination told to wait, or its wait is over.
+    /// The destination has asked to wait, or its wait is over.
     pub fn set_paused(&mut self, paused: bool, now: Micros) {
         self.paused = paused && !breaks::is_enabled(Break::IgnoreStreamPause);
-        self.settle(now);
+        self.update(now);
     }
 
-    /// Bytes were written; those before [`Flow::base`] need not be kept any more.
+    /// Bytes were written to the endpoint; those before [`Flow::base`] need not be buffered any more.
+    ///
+    /// # Panics
+    /// More bytes were written than were received.
     pub fn send(&mut self, bytes: u64, now: Micros) {
-        // It may have been paused or cut since they were given to the socket.
+        // The body may have been paused or cut since the bytes were given to the socket.
         assert!(self.sent + bytes <= self.received, "no more is written than has come");
         self.sent += bytes;
         self.endpoint.record_bytes(bytes, now);
-        self.settle(now);
+        self.update(now);
     }
 
-    /// Where it is up to this side: when it has stalled, or was too slow, if nothing moves until then.
+    /// If it is this side's turn: when it will have stalled, or been too slow, if it moves nothing until then.
     pub fn late_at(&self, who: FlowSide) -> Option<(Micros, Late)> {
         match who {
             FlowSide::Client => self.client.late_at(),
@@ -250,126 +216,22 @@
         }
     }
 
-    /// Whether this side has been too slow by now.
+    /// Whether this side has stalled or was too slow by now.
     pub fn late(&self, who: FlowSide, now: Micros) -> Option<Late> {
         self.late_at(who).filter(|(at, _)| *at <= now).map(|(_, late)| late)
     }
 
-    fn settle(&mut self, now: Micros) {
-        // A window that is full of what has left is worth more as room than for another attempt.
+    /// Drops what need not be buffered, and sets whose turn it is.
+    fn update(&mut self, now: Micros) {
+        // A window full of bytes that were sent is of more use for further bytes than for another attempt.
         let full = self.received - self.base >= self.window && self.source == Source::Coming;
         if (full || self.base > 0) && self.sending {
             self.base = self.base.max(self.sent);
         }
         self.client.set_turn(self.capacity() > 0, now);
-        let (some, finish) = (self.sendable() > 0, self.may_finish());
-        self.endpoint.set_turn(some && !finish, now);
+        self.endpoint.set_turn(self.sendable() > 0 && !self.may_finish(), now);
         debug_assert!(self.base <= self.sent || !self.sending || self.base == 0);
         debug_assert!(self.sent <= self.received && self.received - self.base <= self.window);
         debug_assert!(self.length.is_none_or(|length| self.received <= length));
     }
 }
-
-/// A side of a flow.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum FlowSide {
-    Client,
-    Endpoint,
-}
-
-/// What can happen to a body, for its table.
-#[derive(Clone, Copy, Debug)]
-pub enum FlowInput {
-    Receive,
-    Whole,
-    Cut,
-    Begin,
-    Send,
-    End,
-    Pause,
-    Resume,
-}
-
-impl Machine for Flow {
-    type Input = FlowInput;
-    const NAME: &'static str = "A streamed body";
-    const ABOUT: &'static str = "`courier/core/src/flow.rs`: a body of two bytes in a window of one, from the client to an \
-        attempt. *read* and *write* say what may be done next, *finish* that its end may be written, *again* that \
-        another attempt could have all of it.";
-
-    fn states() -> Vec<(&'static str, &'static str, Self)> {
-        let pace = Pace { stall: 10, span: 60, least: 1 };
-        let fresh = || Flow::new(1, Some(2), pace, pace, 0);
-        let with = |steps: &[FlowInput]| {
-            let mut flow = fresh();
-            steps.iter().for_each(|input| drop(flow.apply(*input)));
-            flow
-        };
-        use FlowInput::*;
-        vec![
-            ("Empty", "nothing has come", fresh()),
-            ("Buffered", "all that came is kept, and no attempt is out", with(&[Receive])),
-            ("Sending", "an attempt is out, and all that came is kept", with(&[Begin])),
-            ("Committed", "an attempt is out, and what it has had is dropped", with(&[Receive, Begin, Send])),
-            ("Lost", "no attempt is out, and none can have all of it", with(&[Receive, Begin, Send, End])),
-            ("Paused", "an attempt is out, and the destination told to wait", with(&[Receive, Begin, Pause])),
-            (
-                "Last",
-                "all has come, and the last byte is to leave",
-                with(&[Receive, Begin, Send, Receive, Whole]),
-            ),
-            ("Done", "all has left", with(&[Receive, Begin, Send, Receive, Whole, Send])),
-            ("Cut", "it will never be whole", with(&[Receive, Begin, Cut])),
-        ]
-    }
-
-    fn inputs() -> Vec<(&'static str, &'static str, Self::Input)> {
-        vec![
-            ("receive", "the next byte has come, where there is room", FlowInput::Receive),
-            ("whole", "the body's end has come, and its digest holds", FlowInput::Whole),
-            ("cut", "it was cut short, or its digest is another", FlowInput::Cut),
-            ("begin", "an attempt begins", FlowInput::Begin),
-            ("send", "the next byte has left, where one may", FlowInput::Send),
-            ("end", "the attempt is over", FlowInput::End),
-            ("pause", "the destination told to wait", FlowInput::Pause),
-            ("resume", "the wait is over", FlowInput::Resume),
-        ]
-    }
-
-    fn state(&self) -> &'static str {
-        match (self.source, self.sending) {
-            (Source::Cut(_), _) => "Cut",
-            (_, true) if self.paused => "Paused",
-            (Source::Whole, true) if self.sent == self.received => "Done",
-            (Source::Whole, true) => "Last",
-            (_, true) if self.base > 0 => "Committed",
-            (_, true) => "Sending",
-            (_, false) if self.base > 0 => "Lost",
-            (_, false) if self.received > 0 => "Buffered",
-            _ => "Empty",
-        }
-    }
-
-    fn apply(&mut self, input: Self::Input) -> String {
-        match input {
-            FlowInput::Receive if self.capacity() > 0 => self.receive(1, 1),
-            // The last byte is there by then.
-            FlowInput::Whole if self.length == Some(self.received) => self.complete(1),
-            FlowInput::Cut => self.cut(Cut::Gone, 1),
-            FlowInput::Begin => drop(self.begin(1)),
-            FlowInput::Send if self.sendable() > 0 => self.send(1, 1),
-            FlowInput::End => self.end(1),
-            FlowInput::Pause => self.set_paused(true, 1),
-            FlowInput::Resume => self.set_paused(false, 1),
-            FlowInput::Receive | FlowInput::Whole | FlowInput::Send => {}
-        }
-        let may = [
-            ("read", self.capacity() > 0),
-            ("write", self.sendable() > 0),
-            ("finish", self.may_finish()),
-            ("again", !self.sending && self.is_replayable()),
-        ];
-        let may: Vec<&str> = may.into_iter().filter(|(_, may)| *may).map(|(what, _)| what).collect();
-        may.join(", ")
-    }
-}
--- a/courier/core/src/store.rs
+++ b/courier/core/src/store.rs
@@ -1,40 +1,57 @@
-//! Where the journal lives: a small folder of the courier, or memory where the rules are explored.
+//! Where the journal is stored: a small folder of the courier, or memory in tests and exploration.
 
 use std::io;
 
-/// Bytes that outlast the process. Nothing of it is synced: what is written survives the process, and
-/// the machine's loss takes all of it.
+/// Bytes that outlast the process. Nothing is synced: what is written survives the process, but not the machine.
 pub trait Store {
-    /// Bytes that are in it.
+    /// The number of bytes stored.
     fn len(&self) -> u64;
 
+    /// Whether nothing is stored.
     fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// All of it.
+    /// Reads all bytes.
+    ///
+    /// # Errors
+    /// The store can't be read.
     fn read(&mut self) -> io::Result<Vec<u8>>;
 
-    /// Adds bytes at its end. An error means that none of them are in it; a kill may leave any prefix.
+    /// Appends bytes. A crash may leave any prefix of them.
+    ///
+    /// # Errors
+    /// The store can't be written; none of the bytes are stored.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
 
-    /// Puts these bytes in the place of all others: a kill leaves the old ones or the new ones, whole.
+    /// Replaces all bytes by these. A crash leaves either all old bytes or all new ones.
+    ///
+    /// # Errors
+    /// The store can't be written; the old bytes are stored.
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()>;
 }
 
-/// What the next writes of a [`Memory`] come to.
+/// What goes wrong in the next writes to a [`Memory`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
+    /// Nothing.
     #[default]
     None,
-    /// After so many more writes the disk is full: each one is refused, and leaves nothing.
-    Full { after: u32 },
-    /// After so many more writes the process dies in the middle of one, of which so many bytes remain.
-    /// Nothing that it does from there on reaches the store.
-    Die { after: u32, bytes: usize },
+    /// The disk is full: each write fails and stores nothing.
+    Full {
+        /// After so many successful writes.
+        after: u32,
+    },
+    /// The process crashes in the middle of a write. Nothing that it does afterwards reaches the store.
+    Die {
+        /// After so many successful writes.
+        after: u32,
+        /// The number of bytes of that write that are stored.
+        bytes: usize,
+    },
 }
 
-/// A store in memory, with faults on request.
+/// A store in memory, into which faults can be injected.
 #[derive(Clone, Debug, Default)]
 pub struct Memory {
     bytes: Vec<u8>,
@@ -44,31 +61,33 @@
 }
 
 impl Memory {
-    /// What a kill has left.
+    /// A store with these bytes, as a crash has left them.
     pub fn of(bytes: Vec<u8>) -> Self {
         Memory { bytes, ..Memory::default() }
     }
 
+    /// The bytes stored.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// From now on; counts of writes begin anew.
+    /// Injects a fault; the count of writes starts from 0.
     pub fn fail(&mut self, fault: Fault) {
-        (self.fault, self.writes) = (fault, 0);
+        self.fault = fault;
+        self.writes = 0;
     }
 
-    /// Writes since the fault was set, refused ones included.
+    /// The number of writes since the fault was injected, with those that failed.
     pub fn writes(&self) -> u32 {
         self.writes
     }
 
-    /// The process has died in a write.
+    /// The process has crashed in a write.
     pub fn is_dead(&self) -> bool {
         self.dead
     }
 
-    fn write(&mut self, bytes: &[u8], whole: bool) -> io::Result<()> {
+    fn write(&mut self, bytes: &[u8], replaces: bool) -> io::Result<()> {
         if self.dead {
             return Ok(());
         }
@@ -78,12 +97,12 @@
             Fault::Full { after } if n >= after => return Err(io::ErrorKind::StorageFull.into()),
             Fault::Die { after, bytes: left } if n >= after => {
                 self.dead = true;
-                // A copy is put in place whole or not at all.
-                if !whole {
+                // A replacement is stored entirely or not at all.
+                if !replaces {
                     self.bytes.extend_from_slice(&bytes[..left.min(bytes.len())]);
                 }
             }
-            _ if whole => self.bytes = bytes.to_vec(),
+            _ if replaces => self.bytes = bytes.to_vec(),
             _ => self.bytes.extend_from_slice(bytes),
         }
         Ok(())
--- a/courier/core/src/turns.rs
+++ b/courier/core/src/turns.rs
@@ -1,23 +1,25 @@
-//! What streams may move in one turn of the loop, so that the small messages that wait in it are not held up.
+//! How many bytes streams may move in one turn of the event loop, so that small messages are not delayed.
 //!
-//! A turn is one pass over all that is ready. Streams together move up to a number of bytes in it; one that moves
-//! more than was left, since a read or a write is done whole, leaves a debt that the next turns pay back first.
+//! A turn is one pass over all that is ready. Streams together may move a fixed number of bytes in it. A read or write is
+//! not divided, so it may exceed what was left; the debt is subtracted from the next turns.
 
-/// The account of all streams.
+/// The byte budget of all streams.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Turns {
+    /// Bytes per turn.
     quantum: i64,
+    /// Bytes left in this turn; negative: a debt.
     left: i64,
 }
 
 impl Turns {
-    /// `quantum`: bytes a turn, one at least.
+    /// A budget of so many bytes per turn, one at least.
     pub fn new(quantum: u64) -> Self {
         let quantum = i64::try_from(quantum).unwrap_or(i64::MAX).max(1);
         Turns { quantum, left: quantum }
     }
 
-    /// Whether something may still be moved in this turn.
+    /// Whether more may be moved in this turn.
     pub fn may(&self) -> bool {
         self.left > 0
     }
@@ -27,7 +29,7 @@
         self.left = self.left.saturating_sub(i64::try_from(bytes).unwrap_or(i64::MAX));
     }
 
-    /// The next turn begins: what is left over is not saved up, what is owed is paid first.
+    /// The next turn begins. What was left over is not carried over, a debt is.
     pub fn next(&mut self) {
         self.left = self.left.saturating_add(self.quantum).min(self.quantum);
     }
