--- a/courier/program/src/transport/courier.rs
+++ b/courier/program/src/transport/courier.rs
@@ -259,7 +259,7 @@
         entries: Vec<JournalEntry>,
         lines: &Settlements,
     ) -> Result<(), JournalError> {
-        let todo = self.handle.hub.borrow_mut().adopt_with(entries, lines, self.clock.now())?;
+        let todo = self.handle.hub.borrow_mut().adopt(entries, lines, self.clock.now())?;
         self.carry_out(todo);
         Ok(())
     }
@@ -327,7 +327,7 @@
 
     /// The process ends: what has not left of a call stays here, and the next life knows that it never ran.
     pub fn keep_unsent(&self) {
-        self.signals.borrow().values().for_each(|signals| signals.signal(AttemptInput::Ended));
+        self.signals.borrow().values().for_each(|signals| signals.signal(AttemptInput::MessageEnded));
     }
 
     /// The last byte of its call has left.
