--- /dev/null
+++ b/courier/policy/src/dispatcher/health.rs
@@ -0,0 +1,256 @@
+//! What the outcome of a call says of its route: latency and window, back-off, outages and the slow-start guard.
+
+use super::message::Attempt;
+use super::pacing::{CALLS_AHEAD, PACE_INTERVAL_MAX};
+use super::retry::backoff;
+use super::route::Route;
+use super::state::Dispatcher;
+use super::time::{NEVER, SECOND};
+use super::window::{LATENCY_FLOOR, LATENCY_SMOOTHING, window_cap};
+use crate::actions::DispatchAction;
+use crate::events::{Completion, Outcome};
+use crate::ids::{EndpointId, Micros};
+
+/// What a refusal as full, or a repeated failure, leaves of the window: the design's half.
+const WINDOW_SHRINK: f64 = 0.5;
+/// Refusals this soon after a shrink come of the same used-up span, microseconds.
+const SHRINK_INTERVAL: Micros = SECOND;
+/// Least window of a route that is paced by a known rate: a rate half too high, of a limit cut to a fifth.
+const PACED_WINDOW_MIN: f64 = 0.125;
+/// Failures in a row that make an outage: errors seldom come in pairs. Two time-outs already bind the guard.
+const OUTAGE_FAILURES: u32 = 3;
+/// Failures among the last eight calls that make an outage.
+const OUTAGE_RECENT_FAILURES: u32 = 6;
+/// More failures than this among the last eight calls halve the cap of the window.
+const HALF_CAP_RECENT_FAILURES: u32 = 4;
+/// Errors among the last eight calls of an endpoint that fails a part of them: only the guard binds. In the background
+/// one call in a hundred fails.
+const GUARD_ERRORS: u32 = 3;
+/// Refusals for so long (microseconds), or a longer wait that the receiver asks for, make an outage too: a limit's span
+/// is two seconds at most.
+const OUTAGE_REFUSAL_SPAN: Micros = 5 * SECOND / 2;
+/// A rest over the time for which the route has failed.
+const FAILED_TIME_FACTOR: f64 = 2.0;
+/// A rest over the time that the call took to fail: slow failures come of an outage.
+const SLOW_FAILURE_FACTOR: f64 = 6.0;
+/// The first rest over the time between two turns of the sender.
+const FIRST_REST_SHARE: f64 = 0.1;
+/// Spread of rests: the messages of a burst fail together.
+const REST_JITTER: f64 = 0.8;
+/// Spread of pauses, so that senders do not fall into step.
+pub const JITTER: f64 = 0.2;
+/// Less than this of an allowance left, as reported late, is none: calls were counted a moment ago.
+const ALLOWANCE_USED_UP: f64 = 0.75;
+
+/// The outcome of a call, with what was known of its route before it counted.
+struct CallResult {
+    endpoint: EndpointId,
+    route: usize,
+    outcome: Outcome,
+    /// Start of the call's latency.
+    sent: Micros,
+    /// Duration of the call, microseconds.
+    elapsed: f64,
+    /// How long the receiver asked to wait; 0 for no such request.
+    wait: Micros,
+    /// It is a stream whose last byte was not written: its duration is no latency.
+    streaming: bool,
+    /// Random factor for pauses.
+    jitter: f64,
+    sparsely_served: bool,
+    /// Time between two turns of this sender, microseconds.
+    turn_cycle: f64,
+    /// As of [`Dispatcher::paced_interval`], if the window shrinks now.
+    paced_interval: Option<f64>,
+    /// A refusal whose load report shows a used-up allowance: a limit, not an outage.
+    allowance_used_up: bool,
+}
+
+impl Dispatcher {
+    /// Updates a route by the outcome of one of its calls.
+    pub(super) fn update_health(&mut self, attempt: &Attempt, completion: &Completion) {
+        let result = self.call_result(attempt, completion);
+        if result.outcome == Outcome::Moot {
+            return;
+        }
+        let now = self.now;
+        let route = &mut self.routes[result.route];
+        route.count_outcome(now, &result);
+        match result.outcome {
+            Outcome::Ok => self.on_success(&result),
+            Outcome::Full => route.refusals_in_row += 1,
+            _ => route.failures_in_row += 1,
+        }
+        if result.outcome != Outcome::Ok {
+            self.back_off(&result);
+        }
+        let outage_begins = self.detect_outage(&result);
+        self.clamp_window(&result);
+        self.update_guard(&result, outage_begins);
+    }
+
+    fn call_result(&mut self, attempt: &Attempt, completion: &Completion) -> CallResult {
+        let jitter = self.jitter();
+        let route = self.endpoints[&attempt.endpoint].route;
+        CallResult {
+            endpoint: attempt.endpoint,
+            route,
+            // Only calls long overdue are cancelled.
+            outcome: match completion.outcome {
+                Outcome::Cancelled => Outcome::Timeout,
+                outcome => outcome,
+            },
+            sent: attempt.latency_from,
+            elapsed: completion.elapsed as f64,
+            wait: completion.wait,
+            streaming: attempt.streams_body,
+            jitter,
+            sparsely_served: self.is_sparsely_served(route),
+            turn_cycle: self.turn_cycle(route) as f64,
+            paced_interval: self.paced_interval(route, true),
+            allowance_used_up: self.is_allowance_used_up(completion),
+        }
+    }
+
+    fn is_allowance_used_up(&self, completion: &Completion) -> bool {
+        let reported = |field: usize| completion.report.get(field).copied().unwrap_or(1.0);
+        self.settings.limit_report.is_some_and(|(left, rate)| {
+            completion.outcome == Outcome::Full && reported(rate) > 0.0 && reported(left) < ALLOWANCE_USED_UP
+        })
+    }
+
+    /// Updates the answered latency and ends failures in a row; a success of a call sent after the last failure ends an
+    /// outage, and the guard after the slow start.
+    fn on_success(&mut self, result: &CallResult) {
+        let has_turns = !result.sparsely_served && result.turn_cycle > self.settings.overload_span as f64;
+        let route = &mut self.routes[result.route];
+        route.add_answered_latency(result);
+        route.last_success_sent = route.last_success_sent.max(result.sent);
+        route.failures_in_row = 0;
+        route.refusals_in_row = 0;
+        route.first_failure_sent = NEVER;
+        if result.sent <= route.last_failure_seen {
+            return;
+        }
+        if route.in_outage {
+            route.in_outage = false;
+            route.window = route.window.max(1.0);
+            let text = format!("endpoint {}: answers again", result.endpoint);
+            self.actions.push(DispatchAction::Log(text));
+        }
+        let last_span = if has_turns { self.settings.overload_span } else { 0 };
+        route.guard_until = route.guard_until.min(self.now + self.settings.slow_start + last_span);
+    }
+
+    /// Shrinks the window and sets the pause before the next call.
+    ///
+    /// DEPARTURE: a used-up span or a receiver that is down is tried once more after a growing pause; one failure among
+    /// successes is not. Harmful where one call in many is refused at random.
+    fn back_off(&mut self, result: &CallResult) {
+        let now = self.now;
+        let route = &mut self.routes[result.route];
+        let in_row = route.failures_in_row + route.refusals_in_row;
+        let is_repeated = route.refusals_in_row > 0 || in_row > 1;
+        let pause = if is_repeated { backoff(in_row - 1, result.jitter) } else { 0 };
+        // Once a span, and once for calls that were in flight together: they all say the same.
+        if is_repeated && result.sent >= route.last_shrink && now >= route.last_shrink + SHRINK_INTERVAL {
+            route.window *= WINDOW_SHRINK;
+            route.last_shrink = now;
+        }
+        route.first_failure_sent = route.first_failure_sent.min(result.sent);
+        let spread = 1.0 + REST_JITTER * (result.jitter - 1.0) / JITTER;
+        let paced_interval = result.paced_interval.filter(|_| result.outcome == Outcome::Full);
+        let rests = is_repeated
+            && result.turn_cycle > 2.0 * self.settings.overload_span as f64
+            && (result.allowance_used_up || !result.sparsely_served)
+            && paced_interval.is_none();
+        let rest = if rests { self.rest(result, spread) } else { 0 };
+        let route = &mut self.routes[result.route];
+        route.wait_until = route.wait_until.max(now + pause.max(rest));
+        if let Some(interval) = paced_interval {
+            // Nothing is saved up any more: the next goes a whole gap later, each sender at its own time.
+            let gap = interval / route.window.max(PACED_WINDOW_MIN) * (CALLS_AHEAD + spread);
+            route.paced_at = route.paced_at.max(now + gap as Micros);
+        }
+    }
+
+    /// A pause in proportion to the time for which the route has failed.
+    ///
+    /// DEPARTURE: for where each call says little and many senders have messages waiting. Guards also a limit that
+    /// refused calls use up; it makes late what was waiting.
+    fn rest(&self, result: &CallResult, spread: f64) -> Micros {
+        let failed_for = (self.now - self.routes[result.route].first_failure_sent) as f64;
+        let first = (result.turn_cycle * FIRST_REST_SHARE)
+            .min(self.settings.slow_start as f64 / 2.0)
+            .max(result.elapsed * SLOW_FAILURE_FACTOR);
+        let rest = first.max(failed_for * FAILED_TIME_FACTOR) * spread;
+        rest.min(result.turn_cycle) as Micros
+    }
+
+    /// Whether the route is found to be down with this outcome.
+    fn detect_outage(&mut self, result: &CallResult) -> bool {
+        let route = &mut self.routes[result.route];
+        let mostly_fails =
+            route.recent_failures.count_ones() >= OUTAGE_RECENT_FAILURES && route.failures_in_row > 0;
+        let refuses_long = route.refusals_in_row > 1
+            && self.now >= route.first_failure_sent.saturating_add(OUTAGE_REFUSAL_SPAN);
+        let long_wait = result.outcome == Outcome::Full && result.wait > OUTAGE_REFUSAL_SPAN;
+        let is_shut = !result.allowance_used_up && (refuses_long || long_wait);
+        let fails = route.failures_in_row >= OUTAGE_FAILURES || is_shut || mostly_fails;
+        let begins = !route.in_outage && fails;
+        if begins {
+            route.in_outage = true;
+            let text = format!("endpoint {}: outage, last outcome {:?}", result.endpoint, result.outcome);
+            self.actions.push(DispatchAction::Log(text));
+        }
+        begins
+    }
+
+    /// Keeps the window within the cap, half of that while most recent calls fail, and a floor that the longest gap sets.
+    fn clamp_window(&mut self, result: &CallResult) {
+        let cap = window_cap(self.settings.slots);
+        let route = &mut self.routes[result.route];
+        let mostly_fails = route.recent_failures.count_ones() > HALF_CAP_RECENT_FAILURES;
+        let top = if mostly_fails { cap / 2 } else { cap };
+        let latency = route.latency.smoothed.unwrap_or(LATENCY_FLOOR);
+        let floor = match result.paced_interval {
+            Some(_) => PACED_WINDOW_MIN,
+            None => (latency / PACE_INTERVAL_MAX).min(1.0),
+        };
+        route.window = route.window.clamp(floor, top.max(1) as f64);
+    }
+
+    /// Counts a failure for the guard, unless it comes of a limit.
+    fn update_guard(&mut self, result: &CallResult, outage_begins: bool) {
+        let route = &self.routes[result.route];
+        let is_limit = result.allowance_used_up
+            || (result.outcome == Outcome::Full && !route.in_outage && !result.sparsely_served);
+        let errs_often = result.outcome == Outcome::Error && route.recent_errors.count_ones() >= GUARD_ERRORS;
+        if outage_begins || (result.outcome != Outcome::Ok && !is_limit) {
+            let binds = outage_begins || errs_often || route.timeouts_in_row > 1;
+            self.note_failure_seen(result.route, binds);
+        }
+    }
+}
+
+impl Route {
+    /// Counts a call's latency and its outcome among the recent ones.
+    fn count_outcome(&mut self, now: Micros, result: &CallResult) {
+        let outcome = result.outcome;
+        if (outcome == Outcome::Ok || outcome == Outcome::Timeout) && !result.streaming {
+            self.add_latency_sample(now, result.elapsed);
+        }
+        self.recent_failures = (self.recent_failures << 1) | (outcome != Outcome::Ok) as u8;
+        self.recent_errors = (self.recent_errors << 1) | (outcome == Outcome::Error) as u8;
+        self.timeouts_in_row = if outcome == Outcome::Timeout { self.timeouts_in_row + 1 } else { 0 };
+    }
+
+    /// Adds an answered call to the average from which time-outs derive. A stream that was answered before its last byte
+    /// leaves the average as it is, if there is one.
+    fn add_answered_latency(&mut self, result: &CallResult) {
+        let average = self.answered_latency;
+        let elapsed = if result.streaming && average > 0.0 { average } else { result.elapsed };
+        let old = if average > 0.0 { average } else { elapsed };
+        self.answered_latency = old + (1.0 - LATENCY_SMOOTHING) * (elapsed - old);
+    }
+}
--- /dev/null
+++ b/courier/policy/src/dispatcher/key_order.rs
@@ -0,0 +1,49 @@
+//! Order by key: of the messages of one key only the first may be sent.
+
+use super::message::PendingMessage;
+use super::state::Dispatcher;
+use crate::events::Outcome;
+use crate::ids::{Micros, MsgId};
+
+impl Dispatcher {
+    /// Puts a message at the end of its key's queue.
+    pub(super) fn push_to_key_queue(&mut self, key: Option<u64>, id: MsgId) {
+        if let Some(key) = key {
+            self.key_queues.entry(key).or_default().messages.push_back(id);
+        }
+    }
+
+    /// Whether the order of its key lets the message go now. The cooldown binds messages without an attempt; `wake` is
+    /// brought forward to its end.
+    pub(super) fn is_next_of_key(&self, id: MsgId, message: &PendingMessage, wake: &mut Micros) -> bool {
+        let Some(queue) = message.key.and_then(|key| self.key_queues.get(&key)) else {
+            return true;
+        };
+        let cools_down = message.attempts.is_empty() && queue.cooldown_until > self.now;
+        if cools_down {
+            *wake = (*wake).min(queue.cooldown_until);
+        }
+        queue.messages.front() == Some(&id) && !cools_down
+    }
+
+    /// Starts the key's cooldown where a call ended without an answer: the receiver may still run it.
+    pub(super) fn cool_down_key(&mut self, key: Option<u64>, outcome: Outcome) {
+        let (Some(key), Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) = (key, outcome) else {
+            return;
+        };
+        let queue = self.key_queues.entry(key).or_default();
+        queue.cooldown_until = queue.cooldown_until.max(self.now + self.settings.key_cooldown);
+    }
+
+    /// Takes a message out of its key's queue, which makes way for the next one.
+    pub(super) fn remove_from_key_queue(&mut self, key: Option<u64>, id: MsgId) {
+        let Some(queue) = key.and_then(|key| self.key_queues.get_mut(&key)) else {
+            return;
+        };
+        queue.messages.retain(|queued| *queued != id);
+        let next = queue.messages.front().and_then(|next| self.messages.get(next));
+        self.ready_destinations.extend(next.map(|message| message.dest));
+        let now = self.now;
+        self.key_queues.retain(|_, queue| !queue.messages.is_empty() || queue.cooldown_until > now);
+    }
+}
--- /dev/null
+++ b/courier/policy/src/dispatcher/retry.rs
@@ -0,0 +1,70 @@
+//! Whether a message may be sent once more, and where to: a retry must do no harm.
+
+use super::message::PendingMessage;
+use super::state::Dispatcher;
+use crate::breaks::{self, Break};
+use crate::ids::Micros;
+use crate::settings::Effect;
+
+/// Margin before the end of a deduplication span, microseconds: covers the trip to the receiver.
+pub const KEY_MEMORY_MARGIN: Micros = 100_000;
+/// First pause after refusals or failures in a row, microseconds.
+const BACKOFF_FIRST: f64 = 0.4 * 1e6;
+/// Longest pause, microseconds.
+const BACKOFF_MAX: f64 = 1.5 * 1e6;
+/// Growth of the pause with each further refusal or failure.
+const BACKOFF_GROWTH: f64 = 1.5;
+
+/// The pause after a failure that came after `earlier_failures` others in a row, microseconds.
+pub fn backoff(earlier_failures: u32, jitter: f64) -> Micros {
+    let pause = BACKOFF_FIRST * BACKOFF_GROWTH.powi(earlier_failures.min(20) as i32);
+    (pause.min(BACKOFF_MAX) * jitter) as Micros
+}
+
+impl Dispatcher {
+    /// Whether the message may be rejected: a rejection promises that it may be submitted once more without harm.
+    pub(super) fn may_reject(&self, message: &PendingMessage) -> bool {
+        let effect = self.settings.classes[message.class].effect;
+        let repeatable = matches!(effect, Effect::Idempotent | Effect::Deduplicated { by_zone: false, .. });
+        repeatable || message.first_possible_run().is_none() || breaks::is_enabled(Break::RefuseDebit)
+    }
+
+    /// Whether the attempts so far allow another one at all; to which zone: [`Dispatcher::bound_zone`].
+    pub(super) fn may_send(&self, message: &PendingMessage) -> bool {
+        let max_attempts = self.settings.max_attempts + breaks::is_enabled(Break::AttemptTooMany) as u32;
+        if message.attempts.len() as u32 >= max_attempts {
+            return false;
+        }
+        let Some(first) = message.first_possible_run() else {
+            return true;
+        };
+        match self.settings.classes[message.class].effect {
+            Effect::Idempotent => true,
+            Effect::Deduplicated { span, .. } if breaks::is_enabled(Break::RetryAtSpanEnd) => {
+                self.now <= first.sent + span + 1
+            }
+            Effect::Deduplicated { span, .. } => self.now + KEY_MEMORY_MARGIN <= first.sent + span,
+            Effect::NonIdempotent => false,
+        }
+    }
+
+    /// The zone that remembers the message's deduplication key: an endpoint elsewhere would not drop the retry.
+    pub(super) fn bound_zone(&self, message: &PendingMessage) -> Option<u32> {
+        let effect = self.settings.classes[message.class].effect;
+        let by_zone = matches!(effect, Effect::Deduplicated { by_zone: true, .. });
+        message.first_possible_run().filter(|_| by_zone).map(|first| first.zone)
+    }
+
+    /// The time from which no byte of a further attempt may leave, since a repeat would not be dropped any more.
+    ///
+    /// A host that connects or writes up to then abandons the call; half the margin covers the trip.
+    pub(super) fn send_before(&self, message: &PendingMessage) -> Micros {
+        let is_broken =
+            breaks::is_enabled(Break::RetryAfterSpan) || breaks::is_enabled(Break::RetryAtSpanEnd);
+        match (self.settings.classes[message.class].effect, message.first_possible_run()) {
+            _ if is_broken => Micros::MAX,
+            (Effect::Deduplicated { span, .. }, Some(first)) => first.sent + span - KEY_MEMORY_MARGIN / 2,
+            _ => Micros::MAX,
+        }
+    }
+}
--- a/courier/policy/src/lib.rs
+++ b/courier/policy/src/lib.rs
@@ -1,7 +1,7 @@
 //! Decisions of a dispatcher that delivers notifications to outside receivers.
 //!
-//! The library is sans-I/O: it owns no clock, thread or socket. Each sender holds one
-//! [`Dispatcher`], hands it batches of [`DispatchEvent`]s with the clock in microseconds and carries out
+//! The library is sans-I/O: it owns no clock, thread or socket. Each sender has one
+//! [`Dispatcher`] (or a [`Policy`], which wraps one for hosts that own sockets), hands it batches of [`DispatchEvent`]s with the clock in microseconds and carries out
 //! the [`DispatchAction`]s that come back, in order.
 //!
 //! ```
@@ -24,17 +24,26 @@
 //! ```
 //!
 //! Events that name an unknown message, attempt or endpoint are ignored; so is a message whose
-//! number is in use or whose class or tenant the settings lack, and any event that came before.
+//! number is in use or whose class the settings lack, and any event that came before.
 //! A clock that runs backwards counts as standing still.
 
 pub mod breaks;
-mod interface;
+
+mod actions;
+mod dispatcher;
+mod events;
+mod ids;
 mod policy;
-mod rules;
+mod settings;
 mod settings_mark;
 mod state_visitor;
 
-pub use interface::*;
+pub use actions::{DispatchAction, RouteView};
+pub use dispatcher::Dispatcher;
+pub use events::{
+    Completion, DispatchEvent, EndpointEntry, EndpointState, ListUpdate, Message, Outcome, PastAttempt,
+};
+pub use ids::{DestId, EndpointId, Micros, MsgId};
 pub use policy::{CallItem, CallReport, Instruction, Policy};
-pub use rules::Dispatcher;
+pub use settings::{Decay, DestinationKind, Effect, MAX_CALL_BYTES, MessageClass, Settings, SettingsError};
 pub use state_visitor::StateVisitor;
--- a/courier/policy/src/policy.rs
+++ b/courier/policy/src/policy.rs
@@ -1,9 +1,13 @@
 //! The dispatcher in blocking style, for hosts that own sockets: hand something in, get back what to
 //! do, in order. Hosts see neither events nor actions, and number no attempts themselves.
 
+use crate::StateVisitor;
+use crate::actions::DispatchAction;
 use crate::breaks::{self, Break};
-use crate::interface::*;
-use crate::rules::Dispatcher;
+use crate::dispatcher::Dispatcher;
+use crate::events::{Completion, DispatchEvent, EndpointEntry, ListUpdate, Message, Outcome, PastAttempt};
+use crate::ids::{EndpointId, Micros, MsgId};
+use crate::settings::{Settings, SettingsError};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -150,7 +154,7 @@
     }
 
     /// Shows an eye all that decides.
-    pub fn visit_state(&self, visitor: &mut impl crate::StateVisitor) {
+    pub fn visit_state(&self, visitor: &mut impl StateVisitor) {
         let Policy { dispatcher, attempts_ordered, wake } = self;
         dispatcher.visit_state(visitor);
         for (id, n) in attempts_ordered {
--- a/courier/policy/src/settings_mark.rs
+++ b/courier/policy/src/settings_mark.rs
@@ -1,7 +1,7 @@
 //! The text of the settings by which two processes compare them on an upgrade. Its names are those of the
 //! first version and never follow a rename in the code: an older process would take the settings for others.
 
-use crate::interface::{Decay, DestinationKind, Effect, MessageClass, Settings};
+use crate::settings::{Decay, DestinationKind, Effect, MessageClass, Settings};
 use std::fmt::{Debug, Formatter, Result};
 
 impl Settings {
--- a/courier/policy/src/state_visitor.rs
+++ b/courier/policy/src/state_visitor.rs
@@ -1,6 +1,6 @@
 //! A look at all that decides, for whoever explores its states: each value is shown once, by what it is.
 
-use crate::interface::{EndpointId, Micros, MsgId};
+use crate::ids::{EndpointId, Micros, MsgId};
 
 /// Sees values in a fixed order. Two states that look the same behave the same from there on, save for
 /// names and for the clock's zero; what an eye makes of names and times is its own affair.
--- a/courier/policy/tests/guard.rs
+++ b/courier/policy/tests/guard.rs
@@ -256,7 +256,7 @@
         w.finish(probe.expect("its turn comes"), Outcome::Ok, 0);
         assert_eq!(sends_in(&mut w, 10 * SEC), 0, "cold for eleven seconds");
         if disturbed {
-            // The lane is free again; one failure, and it is not.
+            // The route is free again; one failure, and it is not.
             w.pass(2 * SEC);
             let m = w.out.keys().next().map(|k| k.0).expect("what was held goes");
             w.finish(m, Outcome::Error, 0);
@@ -334,9 +334,9 @@
         w.step(&[DispatchEvent::Hangup { msg: m }]);
         w.pass(2 * SEC);
     }
-    assert!(w.d.lane(0).unwrap().in_outage);
+    assert!(w.d.route(0).unwrap().in_outage);
     w.one(0, 5);
-    while w.d.lane(0).unwrap().in_outage {
+    while w.d.route(0).unwrap().in_outage {
         w.pass(SEC);
         answer_all_but(&mut w, Some(early));
     }
