--- a/courier/containers/src/indexed_queue.rs
+++ b/courier/containers/src/indexed_queue.rs
@@ -1,9 +1,9 @@
-//! A line in which anyone may leave from its place.
+//! A double-ended queue of ids from which any of them can be removed, wherever it stands.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Numbers in the order in which they came, each of them once. Coming, leaving and looking for one cost O(log n).
+/// Ids in order, each of them once. Insertion, removal and search cost O(log n).
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct IndexedQueue {
     order: BTreeMap<i64, u64>,
@@ -11,13 +11,13 @@
 }
 
 impl IndexedQueue {
-    /// It comes last, unless it is there already.
+    /// Adds an id at the end; one that is in the queue stays at its position.
     pub fn push_back(&mut self, id: u64) {
         let position = self.order.last_key_value().map_or(0, |(last, _)| last + 1);
         self.insert_at(id, position);
     }
 
-    /// It comes first, unless it is there already.
+    /// Adds an id at the front; one that is in the queue stays at its position.
     pub fn push_front(&mut self, id: u64) {
         let position = self.order.first_key_value().map_or(0, |(first, _)| first - 1);
         self.insert_at(id, position);
@@ -30,30 +30,36 @@
         }
     }
 
+    /// Removes and returns the first id.
     pub fn pop_front(&mut self) -> Option<u64> {
         let (_, id) = self.order.pop_first()?;
         self.positions.remove(&id);
         Some(id)
     }
 
+    /// Removes an id, if it is in the queue.
     pub fn remove(&mut self, id: u64) {
         if let Some(position) = self.positions.remove(&id) {
             self.order.remove(&position);
         }
     }
 
+    /// Whether the id is in the queue.
     pub fn contains(&self, id: u64) -> bool {
         self.positions.contains_key(&id)
     }
 
+    /// Number of ids.
     pub fn len(&self) -> usize {
         self.order.len()
     }
 
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.order.is_empty()
     }
 
+    /// The ids, first to last.
     pub fn iter(&self) -> impl Iterator<Item = u64> {
         self.order.values().copied()
     }
--- a/courier/containers/src/lib.rs
+++ b/courier/containers/src/lib.rs
@@ -1,4 +1,9 @@
-//! Containers for decisions whose cost does not grow with what is held. They know of no message and of no rule.
+//! Containers and estimators for decisions over many items, whose cost a decision grows with the logarithm of their number
+//! at most. They know nothing of messages or policies: items are `u64` ids, times are `u64` in any unit that the caller
+//! keeps to.
+//!
+//! The decision module keeps them in its state and the serving tier's window uses [`LatencyEstimate`]. They are part of
+//! stored state: the order and the types of their fields stay.
 
 mod age_groups;
 mod indexed_queue;
@@ -12,11 +17,15 @@
 pub use sliding_decile::{MAX_SAMPLES, SlidingDecile};
 pub use timer_queue::{TimerQueue, remove_timed};
 
-/// The next number of a seed's, from 0 up to 1: splitmix64, after Steele, Lea and Flood (2014).
+/// The next random number, from 0 (included) to 1 (excluded), of the generator whose state is `seed`.
+///
+/// SplitMix64: Steele, Lea and Flood, "Fast splittable pseudorandom number generators" (OOPSLA 2014).
 pub fn random_unit(seed: &mut u64) -> f64 {
     *seed = seed.wrapping_add(0x9E37_79B9_7F4A_7C15);
-    let mut z = *seed;
-    z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
-    z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
-    ((z ^ (z >> 31)) >> 11) as f64 / (1u64 << 53) as f64
+    let mut mixed = *seed;
+    mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
+    mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
+    mixed ^= mixed >> 31;
+    // The upper 53 bits: as many as the fraction of an f64 represents exactly.
+    (mixed >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/courier/containers/src/timer_queue.rs
+++ b/courier/containers/src/timer_queue.rs
@@ -1,9 +1,9 @@
-//! When each of many things is due (a timer queue), and calls by the time they were sent.
+//! A queue of timers, one for each id, and a search in lists that ascend by time.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A time for each number, and the first of all: O(log n) a change.
+/// Timers by id. A change costs O(log n), the earliest of them O(log n).
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TimerQueue {
     due_times: BTreeMap<u64, u64>,
@@ -11,7 +11,7 @@
 }
 
 impl TimerQueue {
-    /// Notes when it is due, in place of what was noted before.
+    /// Sets the timer of an id, in place of an earlier one.
     pub fn set(&mut self, id: u64, at: u64) {
         if let Some(old) = self.due_times.insert(id, at) {
             self.order.remove(&(old, id));
@@ -19,27 +19,28 @@
         self.order.insert((at, id));
     }
 
+    /// Removes the timer of an id, if there is one.
     pub fn remove(&mut self, id: u64) {
         if let Some(at) = self.due_times.remove(&id) {
             self.order.remove(&(at, id));
         }
     }
 
-    /// When the first of all is due.
+    /// When the earliest timer is due; `None` without timers.
     pub fn next_due(&self) -> Option<u64> {
         self.order.first().map(|(at, _)| *at)
     }
 
-    /// Those that are due by then, the first first.
+    /// Ids of the timers that are due by `now`, earliest first. They stay in the queue.
     pub fn due_by(&self, now: u64) -> impl Iterator<Item = u64> {
         self.order.range(..=(now, u64::MAX)).map(|(_, id)| *id)
     }
 }
 
-/// Takes the entry of `id`, noted at `at`, out of a list that ascends by time; nothing where it is not there.
+/// Removes the entry of `id` with the time `at` from a list of (id, time) that ascends by time, if it is there.
 pub fn remove_timed(list: &mut VecDeque<(u64, u64)>, id: u64, at: u64) {
     let first = list.partition_point(|(_, t)| *t < at);
-    if let Some(n) = list.range(first..).position(|(one, _)| *one == id) {
+    if let Some(n) = list.range(first..).position(|(entry, _)| *entry == id) {
         list.remove(first + n);
     }
 }
--- a/courier/policy/src/breaks.rs
+++ b/courier/policy/src/breaks.rs
@@ -1,12 +1,15 @@
-//! Deliberate breaks of the code, each behind the feature `breaks`: the exploration proves with them that
-//! it can fail. Without the feature every one of them is off at compile time.
+//! Deliberate faults in the code, each behind the feature `breaks`: explorations and tests prove with them that they can
+//! fail. Without the feature every one of them is off at compile time.
 
 macro_rules! breaks {
     ($($name:ident: $text:literal, $about:literal;)*) => {
+        /// A deliberate fault; its documentation says what the code does while it is enabled.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-        pub enum Break { $($name),* }
+        pub enum Break {
+            $(#[doc = $about] $name),*
+        }
 
-        /// Each break's name, and what it does.
+        /// The name of each break on the command line, and what the code does while it is enabled.
         pub const ALL: &[(&str, &str)] = &[$(($text, $about)),*];
 
         #[cfg(feature = "breaks")]
@@ -53,26 +56,26 @@
 #[cfg(feature = "breaks")]
 static CHOSEN: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(usize::MAX);
 
-/// Whether this break is on; the whole process has one at most.
+/// Whether this break is enabled; the whole process has one at most.
 #[cfg(feature = "breaks")]
 pub fn is_enabled(chosen: Break) -> bool {
     let n = CHOSEN.load(std::sync::atomic::Ordering::Relaxed);
     NUMBERED.get(n) == Some(&chosen)
 }
 
-/// Never: this build has no breaks.
+/// False: this build has no breaks.
 #[cfg(not(feature = "breaks"))]
 #[inline(always)]
 pub const fn is_enabled(_: Break) -> bool {
     false
 }
 
-/// Puts a break on, for the whole process.
+/// Enables a break by its name, for the whole process, in place of an earlier one.
 ///
 /// # Errors
 /// No break has the name, or this build has none.
 pub fn enable(name: &str) -> Result<(), String> {
-    let Some(n) = ALL.iter().position(|(one, _)| *one == name) else {
+    let Some(n) = ALL.iter().position(|(known, _)| *known == name) else {
         return Err(format!("no break is named {name:?}"));
     };
     #[cfg(feature = "breaks")]
@@ -82,7 +85,7 @@
     if cfg!(feature = "breaks") { Ok(()) } else { Err("this program was built without breaks".into()) }
 }
 
-/// Takes every break off.
+/// Disables every break.
 pub fn disable() {
     #[cfg(feature = "breaks")]
     CHOSEN.store(usize::MAX, std::sync::atomic::Ordering::Relaxed);
--- a/courier/policy/src/policy.rs
+++ b/courier/policy/src/policy.rs
@@ -1,5 +1,8 @@
-//! The dispatcher in blocking style, for hosts that own sockets: hand something in, get back what to
-//! do, in order. Hosts see neither events nor actions, and number no attempts themselves.
+//! The dispatcher for hosts that own sockets: one method for each thing that can happen, which returns what to do, in order.
+//!
+//! The host calls a method of [`Policy`] for each submission, answer and change of the endpoint list, carries out the
+//! [`Instruction`]s, and calls [`Policy::tick`] at [`Policy::wake_at`]. It sees neither events nor timers, gets the messages
+//! of one call together, and numbers no attempts itself.
 
 use crate::StateVisitor;
 use crate::actions::DispatchAction;
@@ -14,54 +17,86 @@
 /// One thing that the host is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Instruction {
-    /// Make one call with these messages, one at least.
-    Call { endpoint: EndpointId, items: Vec<CallItem> },
-    /// Stop waiting for a call; report it as cancelled.
-    Abandon { msg: MsgId, attempt: u32 },
-    /// End the message: handing it in again is harmless, `after` this long (0: no advice).
-    Reject { msg: MsgId, after: Micros },
-    /// End the message with no promise about its effect.
-    Fail { msg: MsgId },
+    /// Make one call.
+    Call {
+        /// Where to.
+        endpoint: EndpointId,
+        /// Its messages, one at least.
+        items: Vec<CallItem>,
+    },
+    /// Stop waiting for a call, and report it as cancelled.
+    Abandon {
+        /// A message of the call.
+        msg: MsgId,
+        /// Number of its attempt, from 0.
+        attempt: u32,
+    },
+    /// End the message as not accepted; submitting it once more does no harm.
+    Reject {
+        /// The message.
+        msg: MsgId,
+        /// Advice when to submit it once more, from now on (0: none).
+        after: Micros,
+    },
+    /// End the message as failed; nothing is promised about its effect.
+    Fail {
+        /// The message.
+        msg: MsgId,
+    },
     /// Close the idle connections to an endpoint.
-    CloseIdle { endpoint: EndpointId },
-    /// A line for the on-call record.
+    CloseIdle {
+        /// The endpoint.
+        endpoint: EndpointId,
+    },
+    /// A line for the on-call log.
     Log(String),
 }
 
-/// A message of a call: its attempt's number. It is waited for `timeout` at most, and no byte of the call may leave
-/// at `by` or later.
+/// A message of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallItem {
+    /// The message.
     pub msg: MsgId,
+    /// Number of its attempt, from 0.
     pub attempt: u32,
+    /// How long to wait for its answer.
     pub timeout: Micros,
+    /// No byte of the call may leave at this time of the clock or later.
     pub send_before: Micros,
 }
 
-/// How one call ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug)]
 pub struct CallReport {
+    /// The message.
     pub msg: MsgId,
+    /// Number of its attempt, from 0.
     pub attempt: u32,
+    /// How it ended.
     pub outcome: Outcome,
+    /// Duration of the call.
     pub elapsed: Micros,
-    /// True: nothing more is owed for the message.
+    /// True: the message has its result.
     pub finished: bool,
-    /// For `Outcome::Full`: how long to wait; 0 for none told.
+    /// For [`Outcome::Full`]: how long the receiver asks to wait; 0 for no such request.
     pub wait: Micros,
 }
 
-/// A sender's decisions behind plain calls. The clock is any that an earlier life shared: whole
-/// microseconds, such as Unix time.
+/// A sender's decisions behind plain calls. The clock counts whole microseconds and is one that earlier processes shared,
+/// such as Unix time.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Policy {
     dispatcher: Dispatcher,
-    /// Calls ordered so far for each message that is not over.
+    /// Calls ordered so far for each message without a result.
     attempts_ordered: BTreeMap<MsgId, u32>,
     wake: Option<Micros>,
 }
 
 impl Policy {
+    /// A fresh instance; `seed` starts its random numbers.
+    ///
+    /// # Errors
+    /// No instance can run under the settings.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         Ok(Policy {
             dispatcher: Dispatcher::new(settings, seed)?,
@@ -70,37 +105,37 @@
         })
     }
 
-    /// Goes on from another process's state (this value, read back), under settings that say the same.
+    /// Continues from another process's state (this value, deserialized), under settings that are equal to that one's.
     ///
     /// # Errors
-    /// No instance can run under them.
+    /// No instance can run under the settings.
     pub fn resume(mut self, settings: Settings) -> Result<Self, SettingsError> {
         self.dispatcher = self.dispatcher.resume(settings)?;
         Ok(self)
     }
 
-    /// A message was handed in: which calls go out now?
+    /// A message was submitted.
     pub fn submit(&mut self, now: Micros, message: Message) -> Vec<Instruction> {
         self.attempts_ordered.insert(message.id, 0);
         self.step(now, DispatchEvent::Submit(message))
     }
 
-    /// A message of an earlier life, with the attempts that it has had.
+    /// A message that an earlier process accepted, with the attempts that it has had.
     pub fn restore(&mut self, now: Micros, message: Message, past: Vec<PastAttempt>) -> Vec<Instruction> {
         self.attempts_ordered.insert(message.id, past.len() as u32);
         self.step(now, DispatchEvent::Restore { message, past })
     }
 
-    /// A call ended, for its only message.
-    pub fn report(&mut self, now: Micros, r: CallReport) -> Vec<Instruction> {
-        self.report_all(now, &[r], &[])
+    /// A call of one message ended.
+    pub fn report(&mut self, now: Micros, report: CallReport) -> Vec<Instruction> {
+        self.report_all(now, &[report], &[])
     }
 
-    /// A call ended, for all of its messages that it still had: they are learnt together, before anything is decided.
-    /// `load`: the report of its answer, if that holds one.
-    pub fn report_all(&mut self, now: Micros, ends: &[CallReport], load: &[f64]) -> Vec<Instruction> {
-        let completed = |r: &CallReport| {
-            let &CallReport { msg, attempt, outcome, elapsed, finished, wait } = r;
+    /// A call ended for all messages that it still had: the reports are taken in together, before anything is decided.
+    /// `load`: the load report of its answer; empty for none.
+    pub fn report_all(&mut self, now: Micros, reports: &[CallReport], load: &[f64]) -> Vec<Instruction> {
+        let completed = |report: &CallReport| {
+            let &CallReport { msg, attempt, outcome, elapsed, finished, wait } = report;
             DispatchEvent::Completed(Completion {
                 msg,
                 attempt,
@@ -111,29 +146,29 @@
                 report: load.to_vec(),
             })
         };
-        for r in ends.iter().filter(|r| r.finished) {
-            self.attempts_ordered.remove(&r.msg);
+        for report in reports.iter().filter(|report| report.finished) {
+            self.attempts_ordered.remove(&report.msg);
         }
-        self.step_all(now, &ends.iter().map(completed).collect::<Vec<_>>())
+        self.step_all(now, &reports.iter().map(completed).collect::<Vec<_>>())
     }
 
-    /// The last byte of a stream's call was written: its time at the destination begins.
+    /// The last byte of a stream's call was written: its latency counts from now on.
     pub fn written(&mut self, now: Micros, msg: MsgId, attempt: u32) -> Vec<Instruction> {
         self.step(now, DispatchEvent::Written { msg, attempt })
     }
 
-    /// The message has its end by other means; calls of it that are out are still to be reported.
+    /// The message has its result by other means, or needs none. Its calls in flight are still to be reported.
     pub fn ended(&mut self, now: Micros, msg: MsgId) -> Vec<Instruction> {
         self.attempts_ordered.remove(&msg);
         self.step(now, DispatchEvent::Hangup { msg })
     }
 
-    /// Time has passed; due at `wake_at` at the latest.
+    /// Time has passed. To be called at [`Policy::wake_at`] at the latest.
     pub fn tick(&mut self, now: Micros) -> Vec<Instruction> {
         self.step(now, DispatchEvent::Timer { tag: 0 })
     }
 
-    /// The list of endpoints, or changes to it.
+    /// The endpoint list, or changes to it.
     pub fn update_list(
         &mut self,
         now: Micros,
@@ -143,17 +178,17 @@
         self.step(now, DispatchEvent::List { kind, entries })
     }
 
-    /// The process ends at `at`: nothing new starts that would hardly be over by then.
+    /// The process ends at `at`: nothing new starts that would hardly have ended by then.
     pub fn stop(&mut self, now: Micros, at: Micros) -> Vec<Instruction> {
         self.step(now, DispatchEvent::Stop { at })
     }
 
-    /// When `tick` is wanted next.
+    /// When [`Policy::tick`] is to be called next; `None` where only events change anything.
     pub fn wake_at(&self) -> Option<Micros> {
         self.wake
     }
 
-    /// Shows an eye all that decides.
+    /// Shows all state that decides.
     pub fn visit_state(&self, visitor: &mut impl StateVisitor) {
         let Policy { dispatcher, attempts_ordered, wake } = self;
         dispatcher.visit_state(visitor);
@@ -164,7 +199,7 @@
         visitor.visit_time(wake.unwrap_or(Micros::MAX));
     }
 
-    /// From here on draws come from this seed.
+    /// Restarts the random numbers from this seed.
     pub fn reseed(&mut self, seed: u64) {
         self.dispatcher.reseed(seed);
     }
@@ -174,8 +209,8 @@
     }
 
     fn step_all(&mut self, now: Micros, events: &[DispatchEvent]) -> Vec<Instruction> {
-        // Any step serves a wake-up that is due, and the dispatcher then asks for its next one: kept
-        // beside that, the old time would hide it, and the tick at the old time would take both away.
+        // Any step serves a wake-up that is due, and the dispatcher then requests its next one. Beside that the old time
+        // would hide the new one, and the tick at the old time would clear both.
         let tick = matches!(events, [DispatchEvent::Timer { .. }]);
         if self.wake.is_some_and(|at| at <= now) && (tick || !breaks::is_enabled(Break::LostWake)) {
             self.wake = None;
@@ -222,7 +257,7 @@
                 self.wake = Some(self.wake.map_or(at, |wake| wake.min(at)));
                 return None;
             }
-            // The host watches discovery from its start to its end, asked or not.
+            // The host watches discovery all the time, subscribed or not.
             DispatchAction::Subscribe => return None,
         })
     }
--- a/courier/policy/src/state_visitor.rs
+++ b/courier/policy/src/state_visitor.rs
@@ -1,21 +1,26 @@
-//! A look at all that decides, for whoever explores its states: each value is shown once, by what it is.
+//! Access to all state that decides, for explorers that compare states: each value is visited once, by what it stands for.
 
 use crate::ids::{EndpointId, Micros, MsgId};
 
-/// Sees values in a fixed order. Two states that look the same behave the same from there on, save for
-/// names and for the clock's zero; what an eye makes of names and times is its own affair.
+/// Visits values in a fixed order. Two states with the same visits behave the same from there on, except for the ids of
+/// messages and endpoints and the clock's zero; a visitor may map those to a canonical form.
 pub trait StateVisitor {
+    /// A number, or anything that is compared as one.
     fn visit_u64(&mut self, value: u64);
-    /// A time of the clock, 0 and the clock's end included, which stand for never.
+    /// A time of the clock. 0 and the clock's end are included and stand for never.
     fn visit_time(&mut self, at: Micros);
+    /// The id of a message; the greatest one stands for none.
     fn visit_message(&mut self, id: MsgId);
+    /// The id of an endpoint; the greatest one stands for none.
     fn visit_endpoint(&mut self, id: EndpointId);
 
-    fn visit_f64(&mut self, x: f64) {
-        self.visit_u64(x.to_bits());
+    /// A floating-point number, by its bits.
+    fn visit_f64(&mut self, value: f64) {
+        self.visit_u64(value.to_bits());
     }
 
-    fn visit_bool(&mut self, x: bool) {
-        self.visit_u64(x.into());
+    /// A flag.
+    fn visit_bool(&mut self, value: bool) {
+        self.visit_u64(value.into());
     }
 }
