--- /dev/null
+++ b/courier/settings/src/decode.rs
@@ -0,0 +1,124 @@
+//! Translation of the settings object to the decision module's settings.
+
+use crate::names::NameTable;
+use crate::sender_settings::{Category, Limits, LoadReportSettings, RuleSettings, SenderSettings};
+use quillmount_policy::{Decay, DestinationKind, Effect, MessageClass, Micros, Settings};
+
+/// Spans beyond this are taken for mistakes, microseconds.
+const MAX_MICROS: f64 = 9e15;
+
+/// Milliseconds as whole microseconds, rounded to the nearest; a negative number counts as none. `name`: the setting or
+/// field, for the error.
+///
+/// # Errors
+/// The number is not finite or too large.
+pub fn micros_from_millis(name: &str, millis: f64) -> Result<Micros, String> {
+    let micros = millis * 1000.0;
+    if !micros.is_finite() || micros.abs() > MAX_MICROS {
+        return Err(format!("{name}: {millis} is not a time"));
+    }
+    Ok(micros.max(0.0).round() as Micros)
+}
+
+/// The decision module's settings. The zones get their numbers in `zones`, in the order of the list and then the sender's.
+///
+/// # Errors
+/// A time is none, or the effect of a class is not known; the text names the setting.
+pub fn decode_settings(env: &SenderSettings, zones: &mut NameTable) -> Result<Settings, String> {
+    let mut settings = Settings::default();
+    for zone in &env.failure_domains {
+        zones.intern(zone);
+    }
+    set(&mut settings.sender_index, env.sender_index);
+    set(&mut settings.sender_count, env.sender_count);
+    set(&mut settings.slots, env.family_info.call_slots);
+    set(&mut settings.above_share_value, env.above_share_value);
+    apply_limits(&mut settings, &env.limits)?;
+    apply_rules(&mut settings, &env.rules)?;
+    settings.subscription_required = env.discovery.as_deref() == Some("subscribe");
+    apply_rates(&mut settings, env.weight_source.as_deref(), &env.load_report);
+    if env.family_info.decay.as_deref() == Some("halving") {
+        settings.decay = Decay::Halving;
+    }
+    settings.zone = env.zone.as_deref().map_or(0, |zone| zones.intern(zone) as u32);
+    settings.cross_zone_price = env.deductions.cross_zone;
+    settings.tenants = env.tenants.iter().map(|tenant| tenant.allowance_per_s).collect();
+    settings.kinds = (0..env.skus.len()).map(|index| destination_kind(env, index)).collect();
+    settings.classes = env.categories.iter().map(message_class).collect::<Result<_, _>>()?;
+    Ok(settings)
+}
+
+fn apply_limits(settings: &mut Settings, limits: &Limits) -> Result<(), String> {
+    set(&mut settings.max_open_messages, limits.max_open_messages);
+    set(&mut settings.max_attempts, limits.max_attempts);
+    set(&mut settings.cancel, limits.cancel);
+    set(&mut settings.retry_after, limits.retry_after);
+    set(&mut settings.streams_per_connection, limits.streams_per_connection);
+    set_time(&mut settings.max_retry_after, "max_retry_after_ms", limits.max_retry_after_ms)?;
+    set_time(&mut settings.keepalive, "keepalive_ms", limits.keepalive_ms)
+}
+
+fn apply_rules(settings: &mut Settings, rules: &RuleSettings) -> Result<(), String> {
+    set(&mut settings.slow_start_share, rules.slow_start_share);
+    set(&mut settings.overload_multiple, rules.overload_multiple);
+    set_time(&mut settings.slow_start, "cold_ms", rules.slow_start_ms)?;
+    set_time(&mut settings.overload_span, "fall_ms", rules.overload_span_ms)?;
+    set_time(&mut settings.drain_grace, "stop_sending_within_ms", rules.drain_grace_ms)?;
+    set_time(&mut settings.key_cooldown, "key_quiet_ms", rules.key_cooldown_ms)
+}
+
+/// Where rates come from: weights of the endpoint list, or limits in load reports.
+fn apply_rates(settings: &mut Settings, weight_source: Option<&str>, load_report: &LoadReportSettings) {
+    settings.weight_is_rate = matches!(weight_source, Some("nominal" | "rough"));
+    let field = |name: &str| load_report.fields.iter().position(|field| field == name);
+    if load_report.via.as_deref() == Some("answers") {
+        settings.limit_report = field("x0").zip(field("x1"));
+    }
+    // Where the list has no rate and answers report the limit, that limit is exact.
+    settings.weight_is_approximate =
+        weight_source != Some("nominal") && (settings.weight_is_rate || settings.limit_report.is_none());
+}
+
+fn destination_kind(env: &SenderSettings, index: usize) -> DestinationKind {
+    DestinationKind {
+        separate_routes: env.family_info.separate_routes.get(index).copied().unwrap_or(false),
+        batch: env.family_info.batch_by_kind.get(index).copied().unwrap_or(1),
+    }
+}
+
+fn message_class(category: &Category) -> Result<MessageClass, String> {
+    Ok(MessageClass {
+        effect: effect(category)?,
+        latency_target: micros_from_millis("promise_ms", category.latency_target_ms)?,
+        latency_target_stretch: category.latency_target_stretch.unwrap_or(0.0),
+        deadline: micros_from_millis("deadline_ms", category.deadline_ms)?,
+        value: category.value.unwrap_or(1.0),
+        late_value: category.late_value.unwrap_or(0.0),
+        keep_order: category.keep_order.unwrap_or(false),
+    })
+}
+
+fn effect(category: &Category) -> Result<Effect, String> {
+    match category.effect.as_deref() {
+        Some("retryable") => Ok(Effect::Idempotent),
+        Some("dedup") => Ok(Effect::Deduplicated {
+            span: micros_from_millis("memory_span_ms", category.memory_span_ms)?,
+            by_zone: category.dedup_scope.as_deref() == Some("zone"),
+        }),
+        Some("fragile") | None => Ok(Effect::NonIdempotent),
+        Some(other) => Err(format!("effect: {other:?} is not known")),
+    }
+}
+
+fn set<T>(setting: &mut T, value: Option<T>) {
+    if let Some(value) = value {
+        *setting = value;
+    }
+}
+
+fn set_time(setting: &mut Micros, name: &str, millis: Option<f64>) -> Result<(), String> {
+    if let Some(millis) = millis {
+        *setting = micros_from_millis(name, millis)?;
+    }
+    Ok(())
+}
--- /dev/null
+++ b/courier/settings/src/endpoint_state.rs
@@ -0,0 +1,29 @@
+//! States of the endpoint list by their codes and names on the wire.
+
+use quillmount_policy::EndpointState;
+
+/// A state of the endpoint list by its code on the simulator's wire.
+///
+/// # Errors
+/// No state has the code.
+pub fn list_state_from_code(code: u8) -> Result<EndpointState, String> {
+    match code {
+        0 => Ok(EndpointState::Gone),
+        1 => Ok(EndpointState::Ready),
+        2 => Ok(EndpointState::Draining),
+        other => Err(format!("state: no state has the code {other}")),
+    }
+}
+
+/// A state of the endpoint list by its name in the answers of the discovery service.
+///
+/// # Errors
+/// No state has the name.
+pub fn list_state_from_name(name: &str) -> Result<EndpointState, String> {
+    match name {
+        "gone" => Ok(EndpointState::Gone),
+        "ready" => Ok(EndpointState::Ready),
+        "draining" => Ok(EndpointState::Draining),
+        other => Err(format!("state: {other:?} is not known")),
+    }
+}
