--- /dev/null
+++ b/tier/dataplane/src/dispatch/outcome.rs
@@ -0,0 +1,25 @@
+//! How a call at an endpoint ended.
+
+use quillmount_window::Micros;
+
+/// How a call ended, for the window and the backoff of its endpoint.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum CallOutcome {
+    /// It succeeded; the time to its first event, microseconds.
+    FirstEvent(Micros),
+    /// The endpoint sent nothing for this time, microseconds.
+    TimedOut(Micros),
+    /// The endpoint rejected it because it is full; the request has not run.
+    Refused,
+    /// Another endpoint answered at the address: this endpoint is gone for good.
+    Replaced,
+    /// The endpoint could not be reached, or the connection broke.
+    Lost,
+    /// The endpoint answered with an error of its own.
+    Error,
+    /// It continued a stream that another call began. Its first event comes after those that the endpoint skips, so its latency
+    /// says nothing about the load.
+    Resumed,
+    /// The caller ended it; this says nothing about the endpoint.
+    Abandoned,
+}
--- a/tier/dataplane/src/events.rs
+++ b/tier/dataplane/src/events.rs
@@ -1,52 +1,57 @@
-//! Event streams (`text/event-stream`): whole events and their ids.
+//! Event streams (`text/event-stream`; WHATWG HTML, section 9.2 "Server-sent events"): complete events and their ids.
 
-/// Largest event, bytes: a longer one is spoilt.
+/// Largest size of one event, bytes.
 pub const EVENT_LIMIT: usize = 1 << 20;
 
-/// A whole event.
+/// A complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SseEvent {
-    /// Its bytes as they came, the empty line included.
+    /// Its bytes as they were received, with the empty line that ends it.
     pub raw: Vec<u8>,
+    /// Its `id` field, if that is a number.
     pub id: Option<u64>,
-    /// Lines of data, joined by line feeds.
+    /// Its `data` fields, joined by line feeds.
     pub data: Option<String>,
 }
 
-/// Cuts a stream into events.
+/// An event is larger than [`EVENT_LIMIT`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("an event is larger than {EVENT_LIMIT} bytes")]
+pub struct EventTooLong;
+
+/// Splits the bytes of a stream into events.
 #[derive(Clone, Debug, Default)]
 pub struct EventReader {
+    /// Bytes that belong to no returned event.
     pending: Vec<u8>,
+    /// How many of the pending bytes are known to contain no end of an event.
     searched: usize,
 }
 
-/// The stream holds an event that is too long.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EventTooLong;
-
 impl EventReader {
-    /// Adds bytes of the stream.
+    /// Adds received bytes of the stream.
     pub fn add(&mut self, bytes: &[u8]) {
         self.pending.extend_from_slice(bytes);
     }
 
-    /// The next whole event.
+    /// The next complete event, `None` if more bytes are needed.
     pub fn next_event(&mut self) -> Result<Option<SseEvent>, EventTooLong> {
         let Some(end) = self.event_end() else {
+            // An end of three bytes may have begun in the last two.
             self.searched = self.pending.len().saturating_sub(3);
             return if self.pending.len() > EVENT_LIMIT { Err(EventTooLong) } else { Ok(None) };
         };
         let raw: Vec<u8> = self.pending.drain(..end).collect();
         self.searched = 0;
-        Ok(Some(parse(raw)))
+        Ok(Some(parse_event(raw)))
     }
 
-    /// Bytes of an event that is not whole.
+    /// Number of received bytes that belong to an incomplete event.
     pub fn remainder(&self) -> usize {
         self.pending.len()
     }
 
-    /// Where the first whole event ends: behind an empty line.
+    /// Offset behind the first complete event, which an empty line ends.
     fn event_end(&self) -> Option<usize> {
         let bytes = &self.pending;
         (self.searched..bytes.len()).find_map(|at| {
@@ -62,7 +67,7 @@
     }
 }
 
-fn parse(raw: Vec<u8>) -> SseEvent {
+fn parse_event(raw: Vec<u8>) -> SseEvent {
     let text = String::from_utf8_lossy(&raw);
     let mut id = None;
     let mut data: Option<String> = None;
@@ -71,15 +76,19 @@
         let value = value.strip_prefix(' ').unwrap_or(value);
         match field {
             "id" => id = value.trim().parse().ok(),
-            "data" => match &mut data {
-                Some(data) => {
-                    data.push('\n');
-                    data.push_str(value);
-                }
-                None => data = Some(value.to_owned()),
-            },
+            "data" => append_data(&mut data, value),
             _ => {}
         }
     }
     SseEvent { raw, id, data }
 }
+
+fn append_data(data: &mut Option<String>, line: &str) {
+    match data {
+        Some(data) => {
+            data.push('\n');
+            data.push_str(line);
+        }
+        None => *data = Some(line.to_owned()),
+    }
+}
--- a/tier/dataplane/src/lib.rs
+++ b/tier/dataplane/src/lib.rs
@@ -1,13 +1,20 @@
-//! Decisions and codecs of the data plane: which route a request belongs to, whether its key is good, which endpoint
-//! takes it, and how HTTP/1 heads, bodies and event streams are read. No I/O, no clock.
+//! Decisions and codecs of the data plane, without I/O and without a clock.
+//!
+//! - [`routes`] compiles a configuration: which route a request belongs to, and what its key allows.
+//! - [`dispatch`] chooses an endpoint for a request and follows the load and the failures of each endpoint.
+//! - [`batch_share`] limits what batch work may use of the endpoints.
+//! - [`request_profile`] and [`prefix_cache`] estimate how much of a prompt an endpoint still has to process.
+//! - [`head`], [`body`] and [`events`] read and write HTTP/1.1 heads, bodies and event streams.
+//!
+//! The caller passes the time in (microseconds of a steady clock) and carries out what is decided here.
 
 pub mod batch_share;
 pub mod body;
 pub mod dispatch;
-mod endpoint_state;
 pub mod events;
 pub mod head;
+mod prefill;
 pub mod prefix_cache;
-mod rank;
+mod rendezvous;
 pub mod request_profile;
 pub mod routes;
--- a/tier/dataplane/src/routes.rs
+++ b/tier/dataplane/src/routes.rs
@@ -1,109 +1,131 @@
-//! Routes and keys of a configuration, compiled for look-ups.
+//! Routes, tenants and services of a configuration, compiled for look-up.
 
 use crate::dispatch::ServiceShare;
 use quillmount_wire::configuration::{ClientLimits, Configuration, Route, Service, Tenant};
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Memory of an endpoint whose service states none, tokens.
+/// Prompt memory of an endpoint whose service states none, tokens.
 const DEFAULT_TOKEN_MEMORY: f64 = 200_000.0;
-
-/// How a route's requests may be repeated, and how they are answered.
+/// Connections to an endpoint whose service states none.
+const DEFAULT_CONNECTIONS: f64 = 64.0;
+/// Largest number of connections to an endpoint.
+const MAX_CONNECTIONS: f64 = 65_536.0;
+/// Largest number of attempts of one request.
+const MAX_ATTEMPTS: u64 = 16;
+/// Scheme of the `Authorization` header before the key.
+const KEY_SCHEME: &str = "Token ";
+
+/// How the requests of a route are answered, and whether they may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mode {
-    /// May run more than once.
+pub enum RouteMode {
+    /// Requests are idempotent.
     Safe,
-    /// May run once a try.
+    /// Requests have side effects and must not be retried once they may have run.
     Mutating,
-    /// Answered by events.
+    /// Requests are answered by an event stream.
     Stream,
-    /// Batch jobs.
+    /// Requests submit batch jobs.
     Bulk,
 }
 
-/// A route as requests use it.
+impl From<&Route> for RouteMode {
+    /// An unknown or missing mode counts as [`RouteMode::Mutating`], the most restrictive one.
+    fn from(route: &Route) -> RouteMode {
+        match route.mode.as_deref() {
+            Some("stream") => RouteMode::Stream,
+            Some("bulk") => RouteMode::Bulk,
+            Some("safe") => RouteMode::Safe,
+            _ => RouteMode::Mutating,
+        }
+    }
+}
+
+/// A route with its settings in the form in which requests need them.
 #[derive(Clone, Debug)]
 pub struct CompiledRoute {
+    /// The route as configured.
     pub route: Route,
-    pub mode: Mode,
+    /// How requests are answered, and whether they may run more than once.
+    pub mode: RouteMode,
+    /// Whether a broken stream can be continued behind its last event.
     pub resumable: bool,
+    /// Largest number of endpoints that may run one request, 1 to 16.
     pub max_attempts: u32,
+    /// Priority of requests whose tenant has none.
     pub priority: i64,
 }
 
+impl From<&Route> for CompiledRoute {
+    fn from(route: &Route) -> CompiledRoute {
+        CompiledRoute {
+            mode: RouteMode::from(route),
+            resumable: route.resumable.unwrap_or(false),
+            max_attempts: route.max_attempts.unwrap_or(1).clamp(1, MAX_ATTEMPTS) as u32,
+            priority: route.priority.unwrap_or(0),
+            route: route.clone(),
+        }
+    }
+}
+
 impl CompiledRoute {
-    /// Whether a request may run more than once in a try.
+    /// Whether a request may be retried after an endpoint may have run it.
     pub fn idempotent(&self) -> bool {
         match self.mode {
-            Mode::Safe | Mode::Bulk => true,
-            Mode::Stream => self.resumable,
-            Mode::Mutating => false,
+            RouteMode::Safe | RouteMode::Bulk => true,
+            RouteMode::Stream => self.resumable,
+            RouteMode::Mutating => false,
         }
     }
 
-    /// The service for a request, chosen by weight; `draw` is in 0..1.
+    /// The service for a request, chosen by weight. `draw` is a random number, 0 or more and less than 1.
     pub fn pick_service(&self, draw: f64) -> Option<&str> {
-        let shares = self.route.services();
-        let total: f64 = shares.iter().map(|(_, weight)| weight).sum();
+        let weighted = self.route.services();
+        let total: f64 = weighted.iter().map(|(_, weight)| weight).sum();
         let mut left = draw * total;
-        for (service, weight) in &shares {
+        for (service, weight) in &weighted {
             if left < *weight {
                 return Some(service);
             }
             left -= weight;
         }
-        shares.iter().rev().find(|(_, weight)| *weight > 0.0).map(|(service, _)| *service)
+        // Rounding may leave a rest behind the last weight.
+        weighted.iter().rev().find(|(_, weight)| *weight > 0.0).map(|(service, _)| *service)
     }
 }
 
-/// What a key allows.
+/// Whose request it is, by its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Access {
-    /// The configuration has no tenants, or the route is public and no key was given.
+    /// No tenant's, and allowed: the configuration has no tenants, or the route is public and no known key was sent.
     Anonymous,
+    /// The request of the tenant of this name.
     Tenant(Rc<str>),
+    /// The key is missing or unknown.
     Denied,
 }
 
-/// Compiled configuration; swapped whole.
+/// A compiled configuration; immutable, replaced as a whole.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
+    /// Version of the configuration, 0 for none.
     pub version: u64,
+    /// Limits for the connections and requests of clients.
     pub limits: ClientLimits,
-    hosts: HashMap<String, Vec<Rc<CompiledRoute>>>,
-    names: HashMap<String, Rc<CompiledRoute>>,
-    keys: HashMap<String, Rc<str>>,
+    /// Services by name.
+    pub services: HashMap<String, Service>,
+    /// Routes by normalized host, those with the longest prefix first.
+    routes_by_host: HashMap<String, Vec<Rc<CompiledRoute>>>,
+    routes_by_name: HashMap<String, Rc<CompiledRoute>>,
+    tenants_by_key: HashMap<String, Rc<str>>,
+    /// Priorities of tenants that have one.
     priorities: HashMap<Rc<str>, i64>,
+    /// Whether the configuration has tenants.
     requires_key: bool,
-    pub services: HashMap<String, Service>,
-}
-
-fn mode_of(route: &Route) -> Mode {
-    match route.mode.as_deref() {
-        Some("stream") => Mode::Stream,
-        Some("bulk") => Mode::Bulk,
-        Some("safe") => Mode::Safe,
-        _ => Mode::Mutating,
-    }
-}
-
-fn compile_route(route: &Route) -> CompiledRoute {
-    CompiledRoute {
-        mode: mode_of(route),
-        resumable: route.resumable.unwrap_or(false),
-        max_attempts: route.max_attempts.unwrap_or(1).clamp(1, 16) as u32,
-        priority: route.priority.unwrap_or(0),
-        route: route.clone(),
-    }
-}
-
-/// A host as it is compared: without a port, in lower case.
-fn host_name(host: &str) -> String {
-    host.split(':').next().unwrap_or_default().to_ascii_lowercase()
 }
 
 impl RouteTable {
-    /// Compiles a configuration that was checked.
+    /// Compiles a valid configuration.
     pub fn compile(configuration: &Configuration) -> RouteTable {
         let mut table = RouteTable {
             version: configuration.version,
@@ -112,14 +134,16 @@
             ..RouteTable::default()
         };
         for route in &configuration.routes {
-            let compiled = Rc::new(compile_route(route));
-            table.names.insert(route.name.clone(), compiled.clone());
-            table.hosts.entry(host_name(&route.host)).or_default().push(compiled);
+            let compiled = Rc::new(CompiledRoute::from(route));
+            table.routes_by_name.insert(route.name.clone(), compiled.clone());
+            table.routes_by_host.entry(normalize_host(&route.host)).or_default().push(compiled);
         }
-        for routes in table.hosts.values_mut() {
+        for routes in table.routes_by_host.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.route.prefix.len()));
         }
-        configuration.tenants.iter().flatten().for_each(|tenant| table.add_tenant(tenant));
+        for tenant in configuration.tenants.iter().flatten() {
+            table.add_tenant(tenant);
+        }
         table.services =
             configuration.services.iter().map(|service| (service.name.clone(), service.clone())).collect();
         table
@@ -128,33 +152,36 @@
     fn add_tenant(&mut self, tenant: &Tenant) {
         let name: Rc<str> = tenant.name.as_str().into();
         for key in tenant.keys.iter().flatten() {
-            self.keys.insert(key.clone(), name.clone());
+            self.tenants_by_key.insert(key.clone(), name.clone());
         }
         if let Some(priority) = tenant.priority {
             self.priorities.insert(name, priority);
         }
     }
 
-    /// The route of this host whose prefix begins the path and is longest.
+    /// The route of a host with the longest prefix of a path. `host` may contain a port, and `path` a query.
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<CompiledRoute>> {
         let path = path.split('?').next().unwrap_or_default();
-        self.hosts.get(&host_name(host))?.iter().find(|route| path.starts_with(&route.route.prefix))
+        self.routes_by_host
+            .get(&normalize_host(host))?
+            .iter()
+            .find(|route| path.starts_with(&route.route.prefix))
     }
 
-    /// The route of this name.
+    /// The route with this name.
     pub fn by_name(&self, name: &str) -> Option<&Rc<CompiledRoute>> {
-        self.names.get(name)
+        self.routes_by_name.get(name)
     }
 
-    /// Whether any route limits the tokens that may wait.
+    /// Whether any route limits the tokens of queued requests.
     pub fn limits_waiting(&self) -> bool {
-        self.names.values().any(|route| route.route.waiting_limit().is_some())
+        self.routes_by_name.values().any(|route| route.route.waiting_limit().is_some())
     }
 
-    /// What the `Authorization` header of a request allows.
+    /// Whose request it is by its `Authorization` header. `public`: the route needs no key.
     pub fn access(&self, authorization: Option<&str>, public: bool) -> Access {
-        let key = authorization.and_then(|value| value.strip_prefix("Token ")).map(str::trim);
-        let tenant = key.and_then(|key| self.keys.get(key));
+        let key = authorization.and_then(|value| value.strip_prefix(KEY_SCHEME)).map(str::trim);
+        let tenant = key.and_then(|key| self.tenants_by_key.get(key));
         match tenant {
             Some(tenant) => Access::Tenant(tenant.clone()),
             None if public || !self.requires_key => Access::Anonymous,
@@ -162,18 +189,18 @@
         }
     }
 
-    /// Rank of a request: the tenant's before the route's.
+    /// Priority of a request: the tenant's, or the route's if the tenant has none.
     pub fn priority(&self, tenant: Option<&str>, route: &CompiledRoute) -> i64 {
         tenant.and_then(|tenant| self.priorities.get(tenant)).copied().unwrap_or(route.priority)
     }
 
-    /// Connections that all callers together may have to an endpoint of this service.
+    /// Connections that all senders together may have to an endpoint of a service.
     pub fn connections(&self, service: &str) -> u32 {
         let configured = self.services.get(service).and_then(|service| service.connections);
-        configured.unwrap_or(64.0).clamp(1.0, 65_536.0) as u32
+        configured.unwrap_or(DEFAULT_CONNECTIONS).clamp(1.0, MAX_CONNECTIONS) as u32
     }
 
-    /// What one of so many senders may use of each endpoint of this service.
+    /// What one of `senders` processes may use of each endpoint of a service.
     pub fn share(&self, service: &str, senders: u32) -> ServiceShare {
         let runtime = self.services.get(service).and_then(|service| service.runtime.as_ref());
         let memory = runtime.and_then(|runtime| runtime.token_memory).unwrap_or(DEFAULT_TOKEN_MEMORY);
@@ -181,3 +208,8 @@
         ServiceShare { slots: self.connections(service) / senders.max(1), cache_tokens }
     }
 }
+
+/// A host in the form in which hosts are compared: without a port, in lower case.
+fn normalize_host(host: &str) -> String {
+    host.split(':').next().unwrap_or_default().to_ascii_lowercase()
+}
--- a/tier/dataplane/tests/codecs.rs
+++ b/tier/dataplane/tests/codecs.rs
@@ -1,4 +1,4 @@
-//! Heads, bodies and event streams, whole and in pieces.
+//! Heads, bodies and event streams, complete and split at any byte.
 
 use quickcheck::QuickCheck;
 use quillmount_dataplane::body::{BodyReader, LAST_CHUNK, write_chunk};
@@ -6,7 +6,7 @@
 use quillmount_dataplane::head::{Framing, HeadError, parse_request, parse_response};
 
 #[test]
-fn a_request_is_read_with_its_target_unaltered() {
+fn a_request_target_is_parsed_unaltered() {
     let bytes =
         b"POST /a%2Fb/?x=1 HTTP/1.1\r\nHost: H.example\r\nContent-Length: 3\r\nRequest-Id: 9c\r\n\r\nabc";
     let (head, length) = parse_request(bytes).unwrap().unwrap();
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn framing_that_two_readers_could_read_in_two_ways_is_refused() {
+fn ambiguous_framing_is_rejected() {
     for lines in [
         "Content-Length: 3\r\nContent-Length: 3",
         "Content-Length: 3\r\nTransfer-Encoding: chunked",
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn an_answer_without_a_length_ends_with_its_connection() {
+fn a_response_without_a_length_ends_with_its_connection() {
     let (head, _) = parse_response(b"HTTP/1.1 200 OK\r\n\r\n", false).unwrap().unwrap();
     assert_eq!(head.framing, Framing::UntilClose);
     assert!(!head.keep_alive);
@@ -44,28 +44,29 @@
 
 #[test]
 fn chunked_bodies_are_read_in_reads_of_any_size() {
-    fn same(chunks: Vec<Vec<u8>>, chunk_size: usize) -> bool {
+    fn decodes_to_its_content(chunks: Vec<Vec<u8>>, read_size: usize) -> bool {
         let mut wire = Vec::new();
         chunks.iter().for_each(|chunk| write_chunk(chunk, &mut wire));
         wire.extend_from_slice(LAST_CHUNK);
         wire.extend_from_slice(b"next");
-        let (mut reader, mut input, mut output) = (BodyReader::new(Framing::Chunked), Vec::new(), Vec::new());
-        for chunk_size in wire.chunks(chunk_size % 7 + 1) {
-            input.extend_from_slice(chunk_size);
+        let mut reader = BodyReader::new(Framing::Chunked);
+        let (mut input, mut output) = (Vec::new(), Vec::new());
+        for received in wire.chunks(read_size % 7 + 1) {
+            input.extend_from_slice(received);
             reader.read(&mut input, &mut output).unwrap();
         }
         reader.is_done() && output == chunks.concat() && input == b"next"
     }
-    QuickCheck::new().tests(300).quickcheck(same as fn(Vec<Vec<u8>>, usize) -> bool);
+    QuickCheck::new().tests(300).quickcheck(decodes_to_its_content as fn(Vec<Vec<u8>>, usize) -> bool);
 }
 
 #[test]
-fn malformed_chunks_are_refused() {
+fn malformed_chunks_are_rejected() {
     for wire in ["zz\r\n", "-1\r\n", "\r\n", "ffffffffffffffffff\r\n", "3\r\nabcX\r\n"] {
         let mut reader = BodyReader::new(Framing::Chunked);
         let (mut input, mut output) = (wire.as_bytes().to_vec(), Vec::new());
-        let first = reader.read(&mut input, &mut output);
-        assert!(first.is_err(), "{wire:?}");
+        let result = reader.read(&mut input, &mut output);
+        assert!(result.is_err(), "{wire:?}");
     }
     let mut endless = vec![b'1'; 5000];
     assert!(BodyReader::new(Framing::Chunked).read(&mut endless, &mut Vec::new()).is_err());
@@ -73,7 +74,7 @@
 
 #[test]
 fn no_bytes_make_a_reader_panic() {
-    fn any(bytes: Vec<u8>) -> bool {
+    fn parses_without_panic(bytes: Vec<u8>) -> bool {
         let _ = parse_request(&bytes);
         let _ = parse_response(&bytes, false);
         let _ = BodyReader::new(Framing::Chunked).read(&mut bytes.clone(), &mut Vec::new());
@@ -82,23 +83,23 @@
         while let Ok(Some(_)) = events.next_event() {}
         true
     }
-    QuickCheck::new().tests(2000).quickcheck(any as fn(Vec<u8>) -> bool);
+    QuickCheck::new().tests(2000).quickcheck(parses_without_panic as fn(Vec<u8>) -> bool);
 }
 
 #[test]
 fn events_are_complete_however_they_are_split() {
     let stream = b"id: 1\ndata: one\n\nversions: 3\nid: 2\ndata: two\ndata: lines\n\n: comment\r\n\r\nid: 3\ndata:x\n\nid: 4\nda";
-    for chunk_size in 1..stream.len() {
+    for read_size in 1..stream.len() {
         let mut reader = EventReader::default();
         let mut events = Vec::new();
-        for bytes in stream.chunks(chunk_size) {
+        for bytes in stream.chunks(read_size) {
             reader.add(bytes);
             while let Some(event) = reader.next_event().unwrap() {
                 events.push(event);
             }
         }
         let ids: Vec<Option<u64>> = events.iter().map(|event| event.id).collect();
-        assert_eq!(ids, [Some(1), Some(2), None, Some(3)], "pieces of {chunk_size}");
+        assert_eq!(ids, [Some(1), Some(2), None, Some(3)], "reads of {read_size} bytes");
         assert_eq!(events[1].data.as_deref(), Some("two\nlines"));
         assert_eq!(events[3].data.as_deref(), Some("x"));
         assert_eq!(reader.remainder(), "id: 4\nda".len());
--- a/tier/dataplane/tests/dispatch.rs
+++ b/tier/dataplane/tests/dispatch.rs
@@ -1,10 +1,10 @@
-//! Routes, keys, and the choice of an endpoint.
+//! Routes, keys, the choice of an endpoint, and the share of batch work.
 
 use quillmount_dataplane::batch_share::{BatchCapacity, BatchShare, SenderItems, batch_fraction};
 use quillmount_dataplane::dispatch::{CallOutcome, Dispatcher, ReserveError, ServiceShare};
 use quillmount_dataplane::prefix_cache::PrefixCache;
 use quillmount_dataplane::request_profile::{PromptSegment, RequestProfile};
-use quillmount_dataplane::routes::{Access, Mode, RouteTable};
+use quillmount_dataplane::routes::{Access, RouteMode, RouteTable};
 use quillmount_window::Parameters;
 use quillmount_wire::configuration::Configuration;
 use quillmount_wire::messages::Endpoint;
@@ -30,7 +30,7 @@
     assert_eq!(name("a.example", "/x").as_deref(), None);
     assert_eq!(name("b.example", "/x/").as_deref(), Some("open"));
     assert_eq!(name("c.example", "/x/").as_deref(), None);
-    assert_eq!(table.by_name("long").unwrap().mode, Mode::Bulk);
+    assert_eq!(table.by_name("long").unwrap().mode, RouteMode::Bulk);
 }
 
 #[test]
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn weights_share_requests_between_services() {
+fn requests_are_divided_between_services_by_weight() {
     let table = table();
     let route = table.by_name("long").unwrap();
     let first = (0..1000).filter(|draw| route.pick_service(f64::from(*draw) / 1000.0) == Some("s")).count();
@@ -134,9 +134,9 @@
 }
 
 #[test]
-fn couriers_that_never_talk_send_one_shared_prompt_to_one_endpoint() {
-    let parts = vec![PromptSegment { id: 77, tokens: 13_000 }, PromptSegment { id: 5, tokens: 400 }];
-    let profile = RequestProfile { segments: parts, prompt_tokens: 13_400, output_tokens: 100 };
+fn processes_that_never_communicate_prefer_the_same_endpoint_for_a_shared_prompt() {
+    let segments = vec![PromptSegment { id: 77, tokens: 13_000 }, PromptSegment { id: 5, tokens: 400 }];
+    let profile = RequestProfile { segments, prompt_tokens: 13_400, output_tokens: 100 };
     let choice =
         |seed| seeded(seed, &["1", "2", "3", "4", "5"]).reserve("s", &profile, None, &[], 1).unwrap().id;
     let first = choice(0);
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn couriers_with_little_to_send_do_not_all_choose_the_same_endpoint() {
+fn processes_spread_short_requests_over_all_endpoints() {
     let ids: Vec<String> = (0..20).map(|id| id.to_string()).collect();
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
     let mut counts: HashMap<String, u32> = HashMap::new();
@@ -156,7 +156,7 @@
     assert!(counts.len() == 20 && counts.values().all(|count| *count < 45), "{counts:?}");
 }
 
-/// Senders with so many items each.
+/// Senders with the given numbers of items.
 fn senders(items: impl IntoIterator<Item = u32>) -> Vec<SenderItems> {
     let senders = items.into_iter().zip(1..);
     senders.map(|(items, number)| SenderItems { sender: number * 7919, items }).collect()
@@ -167,26 +167,26 @@
     for stores in 1..12u64 {
         let senders = senders((0..stores).map(|_| 5));
         let mut reserved = 0;
-        for me in &senders {
-            let quota = BatchShare::new(*me, &senders, 0.6);
+        for sender in &senders {
+            let share = BatchShare::new(*sender, &senders, 0.6);
             let mut dispatcher = dispatcher(&["1"]);
             while reserved < 100
-                && dispatcher.reserve("s", &RequestProfile::default(), Some(&quota), &[], 1).is_ok()
+                && dispatcher.reserve("s", &RequestProfile::default(), Some(&share), &[], 1).is_ok()
             {
                 reserved += 1;
             }
         }
-        // One alone is bound by its window; nine places of sixteen are for batch work.
+        // A single sender is limited by its window; nine of the sixteen slots are for batch work.
         let expected = if stores == 1 { 6 } else { 9 };
         assert_eq!(reserved, expected, "{stores} stores");
     }
 }
 
-/// Items that each sender may have at all endpoints together, each endpoint a fresh dispatcher.
+/// Items that each sender may have in flight at all endpoints together; each endpoint has a dispatcher of its own.
 fn admitted_items(senders: &[SenderItems], endpoints: u32) -> Vec<u32> {
-    let places = |me: SenderItems| {
-        let share = BatchShare::new(me, senders, 0.6);
-        let at = |id: String| {
+    let admitted = |sender: SenderItems| {
+        let share = BatchShare::new(sender, senders, 0.6);
+        let admitted_at = |id: String| {
             let mut dispatcher = dispatcher(&[&id]);
             (0..20)
                 .take_while(|_| {
@@ -194,16 +194,16 @@
                 })
                 .count() as u32
         };
-        (0..endpoints).map(|id| at(id.to_string())).sum()
+        (0..endpoints).map(|id| admitted_at(id.to_string())).sum()
     };
-    senders.iter().map(|sender| places(*sender)).collect()
+    senders.iter().map(|sender| admitted(*sender)).collect()
 }
 
 #[test]
 fn batch_capacity_goes_where_the_items_are() {
     let admitted = admitted_items(&senders([600, 200, 0, 200]), 50);
-    // Nine places at each of fifty endpoints; a fifth of them evenly among the three that have items. One sender is bound by
-    // its window as well, six calls at an endpoint; one without items may begin as soon as it has one.
+    // Nine slots at each of fifty endpoints, a fifth of them divided evenly among the three senders with items. The window
+    // limits each sender to six calls at an endpoint as well. A sender without items counts as having one.
     assert!((230..=270).contains(&admitted[0]), "{admitted:?}");
     assert!((85..=115).contains(&admitted[1]) && (85..=115).contains(&admitted[3]), "{admitted:?}");
     assert!((10..=35).contains(&admitted[2]), "{admitted:?}");
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn batch_work_has_what_live_requests_leave() {
+fn batch_work_gets_the_slots_that_live_requests_leave() {
     assert_eq!(batch_fraction(0.0, 100), 0.75);
     assert!((batch_fraction(20.0, 100) - 0.55).abs() < 1e-9);
     assert_eq!(batch_fraction(90.0, 100), 0.35);
@@ -231,8 +231,8 @@
     let mut capacity = BatchCapacity::new(0);
     assert_eq!(capacity.update(5_000_000, None), 0.1, "nothing is known of live requests");
     assert!((capacity.update(6_000_000, Some(0.75)) - 0.25).abs() < 1e-9);
-    let parts: Vec<f64> = (7..12).map(|second| capacity.update(second * 1_000_000, Some(0.75))).collect();
-    assert!(parts.is_sorted() && parts[0] < 0.45 && parts[4] == 0.75, "{parts:?}");
+    let fractions: Vec<f64> = (7..12).map(|second| capacity.update(second * 1_000_000, Some(0.75))).collect();
+    assert!(fractions.is_sorted() && fractions[0] < 0.45 && fractions[4] == 0.75, "{fractions:?}");
     assert_eq!(capacity.update(12_000_000, Some(0.35)), 0.35);
     assert!(capacity.update(12_500_000, Some(0.75)) < 0.43);
 }
@@ -257,7 +257,7 @@
     cache.record(&[segment(4, 400)]);
     cache.record(&[segment(1, 400)]);
     cache.record(&[segment(5, 200)]);
-    assert_eq!(cache.cached_tokens(&[segment(4, 400)]), 400, "1000 are held: 4, 1 and 5");
+    assert_eq!(cache.cached_tokens(&[segment(4, 400)]), 400, "1000 tokens fit: 4, 1 and 5");
     assert_eq!(cache.cached_tokens(&[segment(2, 100)]), 0, "unused longest");
     cache.resize(700);
     assert_eq!(cache.cached_tokens(&[segment(1, 400)]), 400);
@@ -280,7 +280,7 @@
     assert_eq!(cache.cached_tokens(&[segment(1, 1001)]), 0);
 }
 
-/// Whether calls with these first events leave the window of an endpoint open for more than one call.
+/// Whether calls with these times to the first event leave the window of an endpoint open for more than one call.
 fn stays_open(first_event_ms: impl Fn(f64) -> f64) -> bool {
     let mut dispatcher = dispatcher(&["1"]);
     let mut now = 0;
@@ -296,56 +296,57 @@
         let latency = (first_event_ms(f64::from(tokens)) * 1000.0) as u64;
         dispatcher.finish(&reservation, CallOutcome::FirstEvent(latency), false, now);
     }
-    let second =
-        |dispatcher: &mut Dispatcher| dispatcher.reserve("s", &RequestProfile::default(), None, &[], now);
-    second(&mut dispatcher).is_ok() && second(&mut dispatcher).is_ok()
+    let mut can_reserve = || dispatcher.reserve("s", &RequestProfile::default(), None, &[], now).is_ok();
+    can_reserve() && can_reserve()
 }
 
 #[test]
-fn long_prefill_does_not_close_the_window_and_slowness_does() {
+fn a_slow_endpoint_closes_its_window_and_long_prefill_does_not() {
     assert!(stays_open(|tokens| 10.0 + tokens / 128.0));
     assert!(stays_open(|tokens| 10.0 + tokens / 80.0));
     assert!(!stays_open(|tokens| if tokens > 1000.0 { 1500.0 } else { 10.0 }));
 }
 
 #[test]
-fn pending_prefill_blocks_further_items_and_no_live_request() {
+fn pending_prefill_blocks_batch_items_but_no_live_request() {
     let mut dispatcher = dispatcher(&["1"]);
     let senders = senders([5, 5, 5]);
-    let quota = BatchShare::new(senders[0], &senders, 0.6);
+    let share = BatchShare::new(senders[0], &senders, 0.6);
     let profile = RequestProfile { segments: Vec::new(), prompt_tokens: 1500, output_tokens: 1 };
-    let first = dispatcher.reserve("s", &profile, Some(&quota), &[], 1).unwrap();
-    assert_eq!(dispatcher.reserve("s", &profile, Some(&quota), &[], 1), Err(ReserveError::Busy));
+    let first = dispatcher.reserve("s", &profile, Some(&share), &[], 1).unwrap();
+    assert_eq!(dispatcher.reserve("s", &profile, Some(&share), &[], 1), Err(ReserveError::Busy));
     assert!(dispatcher.reserve("s", &profile, None, &[], 1).is_ok());
     dispatcher.first_event(&first);
     assert_eq!(
-        dispatcher.reserve("s", &profile, Some(&quota), &[], 1),
+        dispatcher.reserve("s", &profile, Some(&share), &[], 1),
         Err(ReserveError::Busy),
         "the live one"
     );
     let mut dispatcher = seeded(2, &["1"]);
-    let first = dispatcher.reserve("s", &profile, Some(&quota), &[], 1).unwrap();
+    let first = dispatcher.reserve("s", &profile, Some(&share), &[], 1).unwrap();
     dispatcher.first_event(&first);
-    assert!(dispatcher.reserve("s", &profile, Some(&quota), &[], 1).is_ok());
+    assert!(dispatcher.reserve("s", &profile, Some(&share), &[], 1).is_ok());
 }
 
 #[test]
 fn the_first_event_of_a_resumed_stream_does_not_close_the_window() {
     let mut dispatcher = dispatcher(&["1"]);
-    let mut window = |end: fn(u64) -> CallOutcome, now: u64| {
+    let mut window_after = |outcome: fn(u64) -> CallOutcome, now: u64| {
         for round in 0..20 {
             let at = now + round * 10_000;
             let reservation = dispatcher.reserve("s", &RequestProfile::default(), None, &[], at).unwrap();
-            dispatcher.finish(&reservation, end(at), false, at);
+            dispatcher.finish(&reservation, outcome(at), false, at);
         }
-        let places: Vec<_> = (0..100)
+        let reservations: Vec<_> = (0..100)
             .map_while(|_| dispatcher.reserve("s", &RequestProfile::default(), None, &[], now).ok())
             .collect();
-        places.iter().for_each(|reserve| dispatcher.finish(reserve, CallOutcome::Abandoned, false, now));
-        places.len()
+        for reservation in &reservations {
+            dispatcher.finish(reservation, CallOutcome::Abandoned, false, now);
+        }
+        reservations.len()
     };
-    let open = window(|_| CallOutcome::FirstEvent(10_000), 1_000_000);
+    let open = window_after(|_| CallOutcome::FirstEvent(10_000), 1_000_000);
     assert!(open > 1);
-    assert_eq!(window(|_| CallOutcome::Resumed, 2_000_000), open);
-    assert_eq!(window(|_| CallOutcome::FirstEvent(400_000), 3_000_000), 1);
+    assert_eq!(window_after(|_| CallOutcome::Resumed, 2_000_000), open);
+    assert_eq!(window_after(|_| CallOutcome::FirstEvent(400_000), 3_000_000), 1);
 }
--- a/tier/node/src/edge/connection.rs
+++ b/tier/node/src/edge/connection.rs
@@ -4,7 +4,7 @@
 use crate::clock;
 use crate::http::{Connection, HttpRequest, HttpResponse};
 use crate::node::{Node, TableSnapshot};
-use quillmount_dataplane::routes::{Access, Mode};
+use quillmount_dataplane::routes::{Access, RouteMode};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -200,7 +200,7 @@
         Access::Tenant(tenant) => Some(tenant),
         Access::Anonymous => None,
     };
-    if route.mode == Mode::Bulk && request.head.method == "POST" {
+    if route.mode == RouteMode::Bulk && request.head.method == "POST" {
         return batch_api::submit(node, connection, &request, &route, tenant.as_deref()).await;
     }
     forward::serve(node, connection, request, &route, tenant.as_deref()).await
