--- a/tier/node/src/edge/mod.rs
+++ b/tier/node/src/edge/mod.rs
@@ -53,7 +53,7 @@
 
 /// Listens, or says on what it could not.
 pub fn listen(address: &str) -> Result<tokio::net::TcpListener, RoleError> {
-    rpc::listen(address).map_err(|source| RoleError::Listen { address: address.to_owned(), source })
+    crate::socket::listen(address).map_err(|source| RoleError::Listen { address: address.to_owned(), source })
 }
 
 /// How long new connections may still come after SIGTERM: readiness is asked for each second and has to fail twice.
--- a/tier/node/src/main.rs
+++ b/tier/node/src/main.rs
@@ -8,6 +8,7 @@
 mod http;
 mod node;
 mod rpc;
+mod socket;
 mod store;
 mod subscription;
 mod upstream;
--- a/tier/node/src/rpc/client.rs
+++ b/tier/node/src/rpc/client.rs
@@ -1,184 +1,199 @@
-//! Connections to other processes, opened when they are needed.
+//! Sends calls to other processes, on connections that are opened when they are needed.
 
-use super::{read_frame, set_socket_options};
-use crate::clock;
+use super::read_frame::read_frame;
+use crate::{clock, socket};
 use quillmount_wire::frame::{FrameKind, encode};
 use quillmount_wire::messages::{Request, Response};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::io::AsyncWriteExt;
+use tokio::io::{AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
-use tokio::net::tcp::OwnedReadHalf;
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::{Notify, mpsc, oneshot};
 
-/// Frames that wait for one connection at most.
+/// Largest number of frames queued for one connection.
 const QUEUE_LIMIT: usize = 1024;
-/// A connection that does not come up in this time is given up.
-const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Bytes sent and not acknowledged for so long end a connection.
-const SILENCE: Duration = Duration::from_millis(1500);
+/// Size of a connection's read buffer, bytes.
+const READ_BUFFER_BYTES: usize = 4096;
 
-/// Why a call has no answer.
+/// Why a call has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// It was not sent: nothing happened.
+    /// It was not sent, so it has no effect.
     NotSent,
-    /// It may have been received.
+    /// The peer may have received it.
     Lost,
 }
 
+/// A call that waits for its response.
+struct PendingCall {
+    number: u64,
+    response: oneshot::Sender<Response>,
+}
+
 struct OutgoingFrame {
-    frame: Vec<u8>,
-    call: Option<(u64, oneshot::Sender<Response>)>,
+    bytes: Vec<u8>,
+    /// The call that the frame carries; `None` for a notification.
+    call: Option<PendingCall>,
 }
 
-/// State of one link that its calls look at.
+/// State of a link that its calls and its connection share.
 #[derive(Default)]
 struct LinkState {
-    /// When bytes were last read, steady clock.
-    heard: Cell<u64>,
-    /// Ends the connection.
+    /// When a frame was last received or the connection opened, microseconds of the steady clock.
+    last_received: Cell<u64>,
+    /// Closes the connection.
     close: Notify,
-    waiting: RefCell<HashMap<u64, oneshot::Sender<Response>>>,
+    /// Calls on the current connection, by number.
+    pending: RefCell<HashMap<u64, oneshot::Sender<Response>>>,
+}
+
+impl LinkState {
+    fn register(&self, call: Option<PendingCall>) {
+        if let Some(PendingCall { number, response }) = call {
+            self.pending.borrow_mut().insert(number, response);
+        }
+    }
 }
 
+/// The way to one address, with a connection while one is needed.
 #[derive(Clone)]
 struct PeerLink {
     queue: mpsc::Sender<OutgoingFrame>,
     state: Rc<LinkState>,
 }
 
-/// All connections of this process to others, by address.
+/// The links of this process to others, by address.
 #[derive(Default)]
 pub struct PeerLinks {
     links: RefCell<HashMap<String, PeerLink>>,
-    calls: Cell<u64>,
+    /// Number of the last call.
+    last_call: Cell<u64>,
 }
 
 impl PeerLinks {
-    fn link(&self, address: &str) -> PeerLink {
-        let mut links = self.links.borrow_mut();
-        if let Some(link) = links.get(address) {
-            return link.clone();
-        }
-        let (queue, outgoing) = mpsc::channel(QUEUE_LIMIT);
-        let link = PeerLink { queue, state: Rc::default() };
-        tokio::task::spawn_local(run_link(address.to_owned(), outgoing, link.state.clone()));
-        links.insert(address.to_owned(), link.clone());
-        link
-    }
-
-    /// Sends a message that nobody answers; it is lost if the other side can't be reached.
+    /// Sends a message without a response. It is lost if the peer can't be reached.
     pub fn notify(&self, address: &str, request: &Request) {
-        let frame = encode(FrameKind::Notification, 0, &request.encode());
-        let _ = self.link(address).queue.try_send(OutgoingFrame { frame, call: None });
+        let bytes = encode(FrameKind::Notification, 0, &request.encode());
+        let _ = self.link(address).queue.try_send(OutgoingFrame { bytes, call: None });
     }
 
-    /// Calls and waits for the answer.
+    /// Sends a request and waits for the response, at most for `time_limit`.
     pub async fn call(
         &self,
         address: &str,
         request: &Request,
-        time: Duration,
+        time_limit: Duration,
     ) -> Result<Response, CallError> {
-        let number = self.calls.get() + 1;
-        self.calls.set(number);
+        let number = self.last_call.get() + 1;
+        self.last_call.set(number);
         let link = self.link(address);
-        let (answer, receiver) = oneshot::channel();
-        let frame = encode(FrameKind::Request, number, &request.encode());
-        let sent = clock::micros();
-        link.queue
-            .try_send(OutgoingFrame { frame, call: Some((number, answer)) })
-            .map_err(|_| CallError::NotSent)?;
-        match tokio::time::timeout(time, receiver).await {
+        let (response, receiver) = oneshot::channel();
+        let bytes = encode(FrameKind::Request, number, &request.encode());
+        let sent_at = clock::micros();
+        let frame = OutgoingFrame { bytes, call: Some(PendingCall { number, response }) };
+        link.queue.try_send(frame).map_err(|_| CallError::NotSent)?;
+        match tokio::time::timeout(time_limit, receiver).await {
             Ok(Ok(response)) => Ok(response),
             Ok(Err(_)) => Err(CallError::Lost),
             Err(_) => {
-                link.state.waiting.borrow_mut().remove(&number);
-                // Nothing came back at all since: the connection is taken for dead.
-                if link.state.heard.get() < sent {
+                link.state.pending.borrow_mut().remove(&number);
+                // Nothing at all was received since then: the connection is presumed dead.
+                if link.state.last_received.get() < sent_at {
                     link.state.close.notify_waiters();
                 }
                 Err(CallError::Lost)
             }
         }
     }
+
+    fn link(&self, address: &str) -> PeerLink {
+        let mut links = self.links.borrow_mut();
+        if let Some(link) = links.get(address) {
+            return link.clone();
+        }
+        let (queue, outgoing) = mpsc::channel(QUEUE_LIMIT);
+        let link = PeerLink { queue, state: Rc::default() };
+        // Detached: it ends when these links are dropped, with the process.
+        tokio::task::spawn_local(run_link(address.to_owned(), outgoing, link.state.clone()));
+        links.insert(address.to_owned(), link.clone());
+        link
+    }
 }
 
+/// Opens a connection for each frame that finds none, and serves it until it breaks.
 async fn run_link(address: String, mut outgoing: mpsc::Receiver<OutgoingFrame>, state: Rc<LinkState>) {
     while let Some(first) = outgoing.recv().await {
-        match connect(&address).await {
-            Some(stream) => run_connection(stream, first, &mut outgoing, &state).await,
-            // What waits is dropped: its callers are told at once.
+        match socket::connect(&address).await {
+            Some(stream) => run_connection(&address, stream, first, &mut outgoing, &state).await,
+            // Dropping the queued frames fails their calls at once.
             None => while outgoing.try_recv().is_ok() {},
         }
-        state.waiting.borrow_mut().clear();
+        state.pending.borrow_mut().clear();
     }
 }
 
-/// Opens a connection with the process's usual options.
-pub async fn connect(address: &str) -> Option<TcpStream> {
-    let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
-    set_socket_options(&stream, SILENCE);
-    Some(stream)
-}
-
+/// Writes frames and reads responses until the connection breaks or is to be closed.
 async fn run_connection(
+    address: &str,
     stream: TcpStream,
     first: OutgoingFrame,
     outgoing: &mut mpsc::Receiver<OutgoingFrame>,
     state: &Rc<LinkState>,
 ) {
-    state.heard.set(clock::micros());
+    state.last_received.set(clock::micros());
     let (reader, mut writer) = stream.into_split();
-    let mut reading = tokio::task::spawn_local(read_answers(reader, state.clone()));
-    let mut next = Some(first);
-    loop {
-        if let Some(OutgoingFrame { mut frame, call }) = next.take() {
-            register_call(state, call);
-            // What else waits goes out with the same write.
-            while let Ok(more) = outgoing.try_recv() {
-                frame.extend_from_slice(&more.frame);
-                register_call(state, more.call);
-            }
-            let written = tokio::select! {
-                written = writer.write_all(&frame) => written.is_ok(),
-                () = state.close.notified() => false,
-            };
-            if !written {
-                break;
-            }
-        }
-        tokio::select! {
-            more = outgoing.recv() => match more {
-                Some(more) => next = Some(more),
+    let mut reading = tokio::task::spawn_local(read_responses(address.to_owned(), reader, state.clone()));
+    let mut next = first;
+    while write_queued(&mut writer, next, outgoing, state).await {
+        next = tokio::select! {
+            frame = outgoing.recv() => match frame {
+                Some(frame) => frame,
                 None => break,
             },
             _ = &mut reading => break,
             () = state.close.notified() => break,
-        }
+        };
     }
     reading.abort();
 }
 
-fn register_call(state: &LinkState, call: Option<(u64, oneshot::Sender<Response>)>) {
-    if let Some((number, answer)) = call {
-        state.waiting.borrow_mut().insert(number, answer);
+/// Writes a frame and all that are queued behind it with one write. Returns whether that succeeded.
+async fn write_queued(
+    writer: &mut OwnedWriteHalf,
+    first: OutgoingFrame,
+    outgoing: &mut mpsc::Receiver<OutgoingFrame>,
+    state: &LinkState,
+) -> bool {
+    let mut bytes = first.bytes;
+    state.register(first.call);
+    while let Ok(frame) = outgoing.try_recv() {
+        bytes.extend_from_slice(&frame.bytes);
+        state.register(frame.call);
+    }
+    tokio::select! {
+        written = writer.write_all(&bytes) => written.is_ok(),
+        () = state.close.notified() => false,
     }
 }
 
-async fn read_answers(reader: OwnedReadHalf, state: Rc<LinkState>) {
-    let mut reader = tokio::io::BufReader::with_capacity(4096, reader);
-    while let Ok((head, body)) = read_frame(&mut reader).await {
-        state.heard.set(clock::micros());
-        let Ok(response) = Response::decode(&body) else {
-            tracing::warn!("an answer that holds no message: connection closed");
-            return;
+/// Passes responses to their calls until the connection ends or a response is unreadable.
+async fn read_responses(address: String, reader: OwnedReadHalf, state: Rc<LinkState>) {
+    let mut reader = BufReader::with_capacity(READ_BUFFER_BYTES, reader);
+    while let Ok((header, body)) = read_frame(&mut reader).await {
+        state.last_received.set(clock::micros());
+        let response = match Response::decode(&body) {
+            Ok(response) => response,
+            Err(error) => {
+                tracing::warn!(peer = address, %error, "closing the connection to a peer: unreadable response");
+                return;
+            }
         };
-        if let Some(answer) = state.waiting.borrow_mut().remove(&head.call) {
-            let _ = answer.send(response);
+        if let Some(call) = state.pending.borrow_mut().remove(&header.call) {
+            // Fails if the caller no longer waits.
+            let _ = call.send(response);
         }
     }
 }
--- /dev/null
+++ b/tier/node/src/upstream/pool.rs
@@ -0,0 +1,79 @@
+//! Idle connections to endpoints, kept for the next request.
+
+use crate::clock;
+use quillmount_dataplane::head::ResponseHead;
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::io::ErrorKind;
+use tokio::net::TcpStream;
+
+/// How long a connection is kept idle if the endpoint states nothing, microseconds.
+const IDLE_TIMEOUT: u64 = 2_000_000;
+/// Subtracted from the time that the endpoint states, microseconds, so that this side closes first.
+const IDLE_MARGIN: u64 = 800_000;
+/// Largest number of idle connections to one endpoint.
+const IDLE_LIMIT: usize = 16;
+
+struct IdleConnection {
+    stream: TcpStream,
+    /// Microseconds of the steady clock.
+    expires_at: u64,
+}
+
+/// Idle connections by the id of their endpoint.
+#[derive(Default)]
+pub(super) struct IdlePool {
+    by_endpoint: RefCell<HashMap<String, Vec<IdleConnection>>>,
+}
+
+impl IdlePool {
+    /// Removes a connection on which another request can be sent. Those that expired, were closed by the endpoint, or carry
+    /// unexpected bytes are dropped.
+    pub(super) fn take(&self, endpoint: &str) -> Option<TcpStream> {
+        let now = clock::micros();
+        let mut by_endpoint = self.by_endpoint.borrow_mut();
+        let connections = by_endpoint.get_mut(endpoint)?;
+        while let Some(connection) = connections.pop() {
+            let quiet = is_quiet(&connection.stream);
+            if connection.expires_at > now && quiet {
+                return Some(connection.stream);
+            }
+        }
+        None
+    }
+
+    /// Keeps a connection behind an answer with this head, for as long as the head allows.
+    pub(super) fn put(&self, endpoint: String, stream: TcpStream, head: &ResponseHead) {
+        let stated = head.headers.get("Keep-Alive").and_then(keep_alive_seconds);
+        let idle_time =
+            stated.map_or(IDLE_TIMEOUT, |seconds| (seconds * 1_000_000).saturating_sub(IDLE_MARGIN));
+        let mut by_endpoint = self.by_endpoint.borrow_mut();
+        let connections = by_endpoint.entry(endpoint).or_default();
+        if connections.len() < IDLE_LIMIT {
+            connections.push(IdleConnection { stream, expires_at: clock::micros() + idle_time });
+        }
+    }
+
+    /// Closes expired connections, and those to endpoints that are not `open`.
+    pub(super) fn close_expired(&self, open: impl Fn(&str) -> bool) {
+        let now = clock::micros();
+        self.by_endpoint.borrow_mut().retain(|endpoint, connections| {
+            connections.retain(|connection| connection.expires_at > now);
+            !connections.is_empty() && open(endpoint)
+        });
+    }
+}
+
+/// Whether a connection is open and nothing was received on it.
+fn is_quiet(stream: &TcpStream) -> bool {
+    matches!(stream.try_read(&mut [0; 1]), Err(error) if error.kind() == ErrorKind::WouldBlock)
+}
+
+/// Seconds of a `Keep-Alive` header: a number, alone or behind `timeout=`.
+fn keep_alive_seconds(value: &str) -> Option<u64> {
+    let parameter = value
+        .split(',')
+        .map(str::trim)
+        .find_map(|parameter| parameter.strip_prefix("timeout=").or(Some(parameter)))?;
+    parameter.parse().ok()
+}
