--- a/tier/dataplane/src/head.rs
+++ b/tier/dataplane/src/head.rs
@@ -130,7 +130,16 @@
     pub keep_alive: bool,
 }
 
+/// Status of a request that reached a server for which it is not meant (RFC 9110, section 15.5.20).
+pub const MISDIRECTED_REQUEST: u16 = 421;
+
 impl ResponseHead {
+    /// Whether the endpoint promises that the request has not run: it states so in a `Not-Run` header, or is not the endpoint that
+    /// the request names.
+    pub fn promises_not_run(&self) -> bool {
+        self.status == MISDIRECTED_REQUEST || self.headers.get("Not-Run").is_some()
+    }
+
     /// Whether the body is an event stream ([`crate::events`]).
     pub fn is_event_stream(&self) -> bool {
         self.headers.get("Content-Type").is_some_and(|kind| kind.starts_with("text/event-stream"))
--- a/tier/node/src/edge/admission.rs
+++ b/tier/node/src/edge/admission.rs
@@ -1,54 +1,56 @@
-//! Requests that wait for room at an endpoint, and for how long.
+//! Requests that wait for a free slot at an endpoint, and for how long.
 
 use crate::clock;
 use crate::node::Node;
 use quillmount_dataplane::dispatch::{Reservation, ReserveError};
 use quillmount_dataplane::request_profile::RequestProfile;
+use std::time::Duration;
 
-/// Part of the objective for which a request waits for room.
+/// Fraction of a route's latency target for which a request waits for a slot.
 const WAIT_FRACTION_OF_TARGET: f64 = 0.24;
-/// Objective of a route that states none, ms.
+/// Latency target of a route that states none, milliseconds.
 const DEFAULT_TARGET_MS: f64 = 500.0;
-/// Longest time between two looks for room, ms.
+/// Longest time between two attempts to reserve a slot, milliseconds.
 const CAPACITY_CHECK_MS: f64 = 20.0;
 
-/// Until when a request that came at `arrived` waits for room, steady clock.
-pub fn wait_until(arrived: u64, target_ms: Option<f64>, deadline: u64) -> u64 {
+/// Until when a request that arrived at `arrived` waits for a slot. All times are microseconds of the steady clock.
+pub(super) fn wait_until(arrived: u64, target_ms: Option<f64>, deadline: u64) -> u64 {
     let wait = target_ms.unwrap_or(DEFAULT_TARGET_MS) * WAIT_FRACTION_OF_TARGET;
     (arrived + clock::millis(wait).as_micros() as u64).min(deadline)
 }
 
-/// Waits for a place, until a time of the steady clock.
-pub async fn reserve(
+/// Waits for a slot at an endpoint that is not in `tried`, until a time in microseconds of the steady clock.
+pub(super) async fn reserve(
     node: &Node,
     service: &str,
     profile: &RequestProfile,
     tried: &[String],
     until: u64,
 ) -> Result<Reservation, ReserveError> {
-    let _waiting = WaitingGuard::begin(node, service);
+    let _waiting = WaitingGuard::new(node, service);
     loop {
+        // Created before the attempt, so that no slot that becomes free meanwhile is missed.
         let capacity_freed = node.capacity_freed.notified();
         let now = clock::micros();
         let reserved = node.dispatcher.borrow_mut().reserve(service, profile, None, tried, now);
         match reserved {
             Ok(reservation) => return Ok(reservation),
-            Err(reason) if now >= until => return Err(reason),
+            Err(error) if now >= until => return Err(error),
             Err(_) => {}
         }
-        let left = clock::millis(CAPACITY_CHECK_MS).min(std::time::Duration::from_micros(until - now));
-        let _ = tokio::time::timeout(left, capacity_freed).await;
+        let wait = clock::millis(CAPACITY_CHECK_MS).min(Duration::from_micros(until - now));
+        let _ = tokio::time::timeout(wait, capacity_freed).await;
     }
 }
 
-/// Counts a request among those that wait, for as long as it lives.
+/// Counts a request among those that wait, until this is dropped.
 struct WaitingGuard<'a> {
     node: &'a Node,
     service: &'a str,
 }
 
 impl<'a> WaitingGuard<'a> {
-    fn begin(node: &'a Node, service: &'a str) -> WaitingGuard<'a> {
+    fn new(node: &'a Node, service: &'a str) -> WaitingGuard<'a> {
         node.count_waiting(service, 1);
         WaitingGuard { node, service }
     }
--- a/tier/node/src/edge/forward/stream.rs
+++ b/tier/node/src/edge/forward/stream.rs
@@ -1,117 +1,142 @@
-//! An answer that is a stream: its events are passed on as they come.
+//! Forwards an event stream: complete events, as they arrive.
 
-use super::{AttemptOutcome, Forward, response_head};
-use crate::clock;
-use crate::edge::connection::ServeOutcome;
+use super::head::response_head;
+use super::request::{Attempt, AttemptOutcome, ForwardedRequest, unless_disconnected};
+use crate::edge::response::ServeOutcome;
 use crate::http::{Connection, HttpResponse};
 use crate::upstream::{BodyProgress, UpstreamAnswer};
 use quillmount_dataplane::body::{LAST_CHUNK, write_chunk};
-use quillmount_dataplane::dispatch::{CallOutcome, Reservation};
-use quillmount_dataplane::events::EventReader;
+use quillmount_dataplane::dispatch::CallOutcome;
+use quillmount_dataplane::events::{EventReader, EventTooLong};
+use quillmount_dataplane::head::ResponseHead;
+use tokio::time::timeout;
 
-/// The first event of one attempt.
-#[derive(Clone, Copy)]
-struct FirstEvent {
-    /// From the sending of the request, microseconds.
-    latency: u64,
-    /// The endpoint was asked to go on behind an event.
+/// Why the events of an endpoint can't be forwarded.
+enum StreamError {
+    /// An event is too long.
+    TooLong,
+    /// An event does not follow the last one that the client has.
+    OutOfSequence,
+}
+
+impl From<EventTooLong> for StreamError {
+    fn from(_: EventTooLong) -> Self {
+        StreamError::TooLong
+    }
+}
+
+/// The part of a stream that one endpoint sends.
+struct EndpointStream {
+    events: EventReader,
+    /// Time from the start of the attempt to the first event, microseconds; `None` before that event.
+    first_event: Option<u64>,
+    /// Whether the endpoint continues a stream behind an event that the client has.
     resumed: bool,
+    keep_alive: bool,
 }
 
-impl Forward<'_> {
-    /// Passes events on as they come, each one whole.
-    pub(super) async fn forward_stream(
-        &mut self,
-        connection: &mut Connection,
-        reservation: &Reservation,
-        mut answer: UpstreamAnswer,
-        sent: u64,
-        keep_alive: bool,
-    ) -> AttemptOutcome {
-        let keep_alive = keep_alive && !self.node.stopping.get();
-        let mut events = EventReader::default();
-        let mut first: Option<FirstEvent> = None;
-        let resumed = self.last_event.is_some();
-        loop {
-            let mut bytes = Vec::new();
-            let first_byte_timeout = self.first_byte_timeout();
-            let progress = tokio::select! {
-                progress = tokio::time::timeout(first_byte_timeout, answer.read(&mut bytes)) => progress,
-                () = connection.client_disconnected() => {
-                    self.end_stream(reservation, CallOutcome::Abandoned, first);
-                    return AttemptOutcome::Done(ServeOutcome::Abort);
-                }
-            };
-            let Ok(progress) = progress else {
-                let spent = clock::micros().saturating_sub(sent);
-                self.end_stream(reservation, CallOutcome::TimedOut(spent), first);
-                return AttemptOutcome::Retry(HttpResponse::text(504, "the endpoint fell silent"));
-            };
-            events.add(&bytes);
-            let mut out = Vec::new();
-            let Ok(any) = self.forward_events(&mut events, &mut out) else {
-                self.end_stream(reservation, CallOutcome::Error, first);
-                return AttemptOutcome::Retry(HttpResponse::text(502, "the endpoint sent no events"));
-            };
-            if any && first.is_none() {
-                first = Some(FirstEvent { latency: clock::micros().saturating_sub(sent), resumed });
-                self.node.dispatcher.borrow_mut().first_event(reservation);
-                self.count();
-            }
-            let complete = progress == BodyProgress::End && events.remainder() == 0;
-            let mut packet = Vec::new();
-            if (any || complete) && !self.begun {
-                self.begun = true;
-                packet = response_head(&answer.head, keep_alive);
-                packet.extend_from_slice(b"Transfer-Encoding: chunked\r\n\r\n");
-            }
-            write_chunk(&out, &mut packet);
-            if complete {
-                packet.extend_from_slice(LAST_CHUNK);
-            }
-            if !packet.is_empty() && connection.write(&packet).await.is_err() {
-                self.end_stream(reservation, CallOutcome::Abandoned, first);
-                return AttemptOutcome::Done(ServeOutcome::Abort);
-            }
-            if complete {
-                self.end_stream(reservation, CallOutcome::Abandoned, first);
-                answer.release(&self.node.upstreams);
-                return AttemptOutcome::Done(if keep_alive {
-                    ServeOutcome::KeepAlive
-                } else {
-                    ServeOutcome::Close
-                });
-            }
-            if progress != BodyProgress::More {
-                self.end_stream(reservation, CallOutcome::Lost, first);
-                return AttemptOutcome::Retry(HttpResponse::text(502, "the endpoint broke off"));
-            }
+/// Forwards events until the stream ends or can't be continued at this endpoint.
+pub(super) async fn forward(
+    request: &mut ForwardedRequest<'_>,
+    connection: &mut Connection,
+    attempt: &Attempt<'_>,
+    mut answer: UpstreamAnswer,
+) -> AttemptOutcome {
+    let mut stream = EndpointStream {
+        events: EventReader::default(),
+        first_event: None,
+        resumed: request.last_event.is_some(),
+        keep_alive: request.keep_alive() && !request.node.stopping.get(),
+    };
+    loop {
+        let mut bytes = Vec::new();
+        let reading = timeout(request.silence_limit(), answer.read(&mut bytes));
+        let Some(read) = unless_disconnected(connection, reading).await else {
+            stream.finish(request, attempt, CallOutcome::Abandoned);
+            return AttemptOutcome::Done(ServeOutcome::Abort);
+        };
+        let Ok(progress) = read else {
+            stream.finish(request, attempt, CallOutcome::TimedOut(attempt.elapsed()));
+            return AttemptOutcome::Retry(HttpResponse::text(504, "the endpoint fell silent"));
+        };
+        let Ok(content) = stream.accept(request, attempt, &bytes) else {
+            stream.finish(request, attempt, CallOutcome::Error);
+            return AttemptOutcome::Retry(HttpResponse::text(502, "the endpoint sent no events"));
+        };
+        let complete = progress == BodyProgress::End && stream.events.remainder() == 0;
+        let packet = stream.encode(request, &answer.head, &content, complete);
+        if !packet.is_empty() && connection.write(&packet).await.is_err() {
+            stream.finish(request, attempt, CallOutcome::Abandoned);
+            return AttemptOutcome::Done(ServeOutcome::Abort);
+        }
+        if complete {
+            stream.finish(request, attempt, CallOutcome::Abandoned);
+            answer.release(&request.node.upstreams);
+            return AttemptOutcome::Done(ServeOutcome::after_write(Ok(()), stream.keep_alive));
+        }
+        if progress != BodyProgress::More {
+            stream.finish(request, attempt, CallOutcome::Lost);
+            return AttemptOutcome::broken();
         }
     }
+}
 
-    /// Takes whole events; whether there were any.
-    fn forward_events(&mut self, events: &mut EventReader, out: &mut Vec<u8>) -> Result<bool, ()> {
-        let mut any = false;
-        while let Some(event) = events.next_event().map_err(|_| ())? {
-            // A stream that goes on has to go on where it was left.
-            if let (Some(last), Some(id)) = (self.last_event, event.id)
+impl EndpointStream {
+    /// Adds received bytes and returns the bytes of the events that are complete now.
+    fn accept(
+        &mut self,
+        request: &mut ForwardedRequest<'_>,
+        attempt: &Attempt<'_>,
+        bytes: &[u8],
+    ) -> Result<Vec<u8>, StreamError> {
+        self.events.add(bytes);
+        let mut content = Vec::new();
+        while let Some(event) = self.events.next_event()? {
+            if let (Some(last), Some(id)) = (request.last_event, event.id)
                 && id != last + 1
             {
-                return Err(());
+                return Err(StreamError::OutOfSequence);
             }
-            any = true;
-            self.last_event = event.id.or(self.last_event);
-            out.extend_from_slice(&event.raw);
+            request.last_event = event.id.or(request.last_event);
+            content.extend_from_slice(&event.raw);
+        }
+        if !content.is_empty() && self.first_event.is_none() {
+            self.first_event = Some(attempt.elapsed());
+            request.node.dispatcher.borrow_mut().first_event(attempt.reservation);
+            request.count_usage();
+        }
+        Ok(content)
+    }
+
+    /// Bytes for the client: the head before the first events, the events as a chunk, and the end of a complete stream.
+    fn encode(
+        &self,
+        request: &mut ForwardedRequest<'_>,
+        head: &ResponseHead,
+        content: &[u8],
+        complete: bool,
+    ) -> Vec<u8> {
+        let mut packet = Vec::new();
+        if (!content.is_empty() || complete) && !request.head_sent {
+            request.head_sent = true;
+            packet = response_head(head, self.keep_alive);
+            packet.extend_from_slice(b"Transfer-Encoding: chunked\r\n\r\n");
+        }
+        write_chunk(content, &mut packet);
+        if complete {
+            packet.extend_from_slice(LAST_CHUNK);
         }
-        Ok(any)
+        packet
     }
 
-    fn end_stream(&self, reservation: &Reservation, end: CallOutcome, first: Option<FirstEvent>) {
-        let end = match (end, first) {
-            (CallOutcome::Abandoned, Some(FirstEvent { resumed: true, .. })) => CallOutcome::Resumed,
-            (CallOutcome::Abandoned, Some(FirstEvent { latency, .. })) => CallOutcome::FirstEvent(latency),
-            (end, _) => end,
+    /// Reports the end of the attempt. [`CallOutcome::Abandoned`] stands for an end that is not the endpoint's fault; the latency of
+    /// the first event counts then, if there was one.
+    fn finish(&self, request: &ForwardedRequest<'_>, attempt: &Attempt<'_>, outcome: CallOutcome) {
+        let outcome = match (outcome, self.first_event) {
+            (CallOutcome::Abandoned, Some(_)) if self.resumed => CallOutcome::Resumed,
+            (CallOutcome::Abandoned, Some(latency)) => CallOutcome::FirstEvent(latency),
+            (outcome, _) => outcome,
         };
-        self.finish(reservation, end, first.is_some());
+        request.finish(attempt, outcome, self.first_event.is_some());
     }
 }
--- a/tier/node/src/main.rs
+++ b/tier/node/src/main.rs
@@ -7,6 +7,7 @@
 mod edge;
 mod http;
 mod node;
+mod role;
 mod rpc;
 mod socket;
 mod store;
--- /dev/null
+++ b/tier/node/src/role.rs
@@ -0,0 +1,58 @@
+//! What the roles of a process, courier and store, have in common: their errors, listening, and the wait for a signal to stop.
+
+use crate::node::Node;
+use crate::socket;
+use quillmount_storage::StorageError;
+use tokio::net::TcpListener;
+use tokio::signal::unix::{SignalKind, signal};
+
+/// Why a role could not run.
+///
+/// Each message includes its cause, so the variants have no [`source`](std::error::Error::source): the cause would be printed
+/// twice.
+#[derive(Debug, thiserror::Error)]
+pub enum RoleError {
+    /// The data folder is unreadable or damaged.
+    #[error("the data folder can't be used: {0}")]
+    Storage(StorageError),
+    /// An address can't be listened on.
+    #[error("can't listen on {address}: {error}")]
+    Listen {
+        /// The address, as the settings state it.
+        address: String,
+        /// What the operating system reported.
+        error: std::io::Error,
+    },
+    /// The handlers of signals can't be installed.
+    #[error("signals can't be taken: {0}")]
+    Signals(std::io::Error),
+}
+
+impl From<StorageError> for RoleError {
+    fn from(error: StorageError) -> Self {
+        RoleError::Storage(error)
+    }
+}
+
+/// Listens on an address of the settings.
+pub fn listen(address: &str) -> Result<TcpListener, RoleError> {
+    socket::listen(address).map_err(|error| RoleError::Listen { address: address.to_owned(), error })
+}
+
+/// Waits for SIGTERM or SIGINT and marks the node as stopping. SIGHUP reloads the seeds; all other settings are fixed until the
+/// process ends.
+pub async fn wait_for_stop(node: &Node) -> Result<(), RoleError> {
+    let mut terminate = signal(SignalKind::terminate()).map_err(RoleError::Signals)?;
+    let mut interrupt = signal(SignalKind::interrupt()).map_err(RoleError::Signals)?;
+    let mut hangup = signal(SignalKind::hangup()).map_err(RoleError::Signals)?;
+    loop {
+        tokio::select! {
+            _ = terminate.recv() => break,
+            _ = interrupt.recv() => break,
+            _ = hangup.recv() => node.reload_seeds(),
+        }
+    }
+    node.stopping.set(true);
+    node.report_due.notify_one();
+    Ok(())
+}
--- a/tier/node/src/store/mod.rs
+++ b/tier/node/src/store/mod.rs
@@ -9,8 +9,8 @@
 
 use crate::clock;
 use crate::disk::{DiskWriter, Written};
-use crate::edge::{RoleError, listen, wait_for_stop};
 use crate::node::Node;
+use crate::role::{RoleError, listen, wait_for_stop};
 use crate::rpc::{self, Handler};
 use crate::subscription::{self, Needs, Reporter};
 use items::ItemQueue;
--- a/tier/node/src/upstream/client.rs
+++ b/tier/node/src/upstream/client.rs
@@ -36,7 +36,7 @@
         request: UpstreamRequest<'_>,
         time_limit: Duration,
     ) -> Result<UpstreamAnswer, UpstreamError> {
-        let connection = match self.idle.take(request.endpoint) {
+        let connection = match self.idle.checkout(request.endpoint) {
             Some(stream) => OpenConnection { stream, fresh: false },
             None => {
                 let stream = socket::connect_within(request.address, CONNECT_TIMEOUT, USER_TIMEOUT)
@@ -64,7 +64,7 @@
     /// Keeps the connection for another request if that is possible, and closes it otherwise.
     pub fn release(self, upstreams: &Upstreams) {
         if self.is_reusable() {
-            upstreams.idle.put(self.endpoint, self.stream, &self.head);
+            upstreams.idle.insert(self.endpoint, self.stream, &self.head);
         }
     }
 }
--- a/tier/node/src/upstream/pool.rs
+++ b/tier/node/src/upstream/pool.rs
@@ -29,7 +29,7 @@
 impl IdlePool {
     /// Removes a connection on which another request can be sent. Those that expired, were closed by the endpoint, or carry
     /// unexpected bytes are dropped.
-    pub(super) fn take(&self, endpoint: &str) -> Option<TcpStream> {
+    pub(super) fn checkout(&self, endpoint: &str) -> Option<TcpStream> {
         let now = clock::micros();
         let mut by_endpoint = self.by_endpoint.borrow_mut();
         let connections = by_endpoint.get_mut(endpoint)?;
@@ -43,7 +43,7 @@
     }
 
     /// Keeps a connection behind an answer with this head, for as long as the head allows.
-    pub(super) fn put(&self, endpoint: String, stream: TcpStream, head: &ResponseHead) {
+    pub(super) fn insert(&self, endpoint: String, stream: TcpStream, head: &ResponseHead) {
         let stated = head.headers.get("Keep-Alive").and_then(keep_alive_seconds);
         let idle_time =
             stated.map_or(IDLE_TIMEOUT, |seconds| (seconds * 1_000_000).saturating_sub(IDLE_MARGIN));
