--- /dev/null
+++ b/tier/dataplane/tests/routes.rs
@@ -0,0 +1,47 @@
+//! Routes, keys and the choice of a service.
+
+use quillmount_dataplane::routes::{Access, RouteMode, RouteTable};
+use quillmount_wire::configuration::Configuration;
+
+const CONFIGURATION: &str = r#"{"Gen":3,"Routes":[
+  {"Name":"short","Host":"a.example","PathPrefix":"/x/","Mode":"stream","DeadlineMs":4000,"Prio":2,"Backend":"s","Tries":2},
+  {"Name":"long","Host":"a.example","PathPrefix":"/x/y/","Mode":"bulk","DeadlineMs":4000,"Shares":[{"Backend":"s","Wt":90},{"Backend":"t","Wt":10}]},
+  {"Name":"open","Host":"b.example","PathPrefix":"/","Mode":"safe","DeadlineMs":4000,"Backend":"s","Public":true}],
+ "Backends":[{"Name":"s","MaxConns":120},{"Name":"t"}],
+ "Accounts":[{"Name":"kaje","Apikeys":["k1","k2"],"Prio":1},{"Name":"vopu","Apikeys":["k3"]}]}"#;
+
+fn table() -> RouteTable {
+    RouteTable::compile(&Configuration::read(CONFIGURATION).unwrap())
+}
+
+#[test]
+fn the_longest_prefix_of_the_host_decides() {
+    let table = table();
+    let name = |host, path| table.find(host, path).map(|route| route.route.name.clone());
+    assert_eq!(name("a.example", "/x/q").as_deref(), Some("short"));
+    assert_eq!(name("A.example:80", "/x/y/q?z=/x/").as_deref(), Some("long"));
+    assert_eq!(name("a.example", "/x").as_deref(), None);
+    assert_eq!(name("b.example", "/x/").as_deref(), Some("open"));
+    assert_eq!(name("c.example", "/x/").as_deref(), None);
+    assert_eq!(table.by_name("long").unwrap().mode, RouteMode::Bulk);
+}
+
+#[test]
+fn keys_name_their_tenant_and_unknown_ones_are_denied() {
+    let table = table();
+    assert_eq!(table.access(Some("Token k2"), false), Access::Tenant("kaje".into()));
+    assert_eq!(table.access(Some("Token k9"), false), Access::Denied);
+    assert_eq!(table.access(Some("k1"), false), Access::Denied);
+    assert_eq!(table.access(None, false), Access::Denied);
+    assert_eq!(table.access(None, true), Access::Anonymous);
+    let route = table.by_name("short").unwrap();
+    assert_eq!((table.priority(Some("kaje"), route), table.priority(Some("vopu"), route)), (1, 2));
+}
+
+#[test]
+fn requests_are_divided_between_services_by_weight() {
+    let table = table();
+    let route = table.by_name("long").unwrap();
+    let first = (0..1000).filter(|draw| route.pick_service(f64::from(*draw) / 1000.0) == Some("s")).count();
+    assert_eq!(first, 900);
+}
--- a/tier/node/src/edge/forward/request.rs
+++ b/tier/node/src/edge/forward/request.rs
@@ -23,12 +23,17 @@
 
 /// A request with the progress of its attempts.
 pub(super) struct ForwardedRequest<'a> {
+    /// The process that forwards it.
     pub(super) node: &'a Rc<Node>,
+    /// The request as the client sent it.
     pub(super) request: HttpRequest,
+    /// Its route.
     pub(super) route: &'a CompiledRoute,
+    /// Name of its tenant, if it has one.
     pub(super) tenant: Option<&'a str>,
     /// The service of the route that was drawn for it.
     pub(super) service: String,
+    /// The load that it puts on an endpoint.
     pub(super) profile: RequestProfile,
     /// Microseconds of the steady clock.
     pub(super) deadline: u64,
@@ -63,6 +68,7 @@
 
 /// One attempt at one endpoint.
 pub(super) struct Attempt<'a> {
+    /// The reserved slot.
     pub(super) reservation: &'a Reservation,
     /// When it began, microseconds of the steady clock.
     pub(super) started_at: u64,
--- a/tier/node/src/http/connection.rs
+++ b/tier/node/src/http/connection.rs
@@ -40,9 +40,10 @@
     pub arrived: u64,
 }
 
-/// A connection with the bytes that were read and not yet used.
+/// A connection with a buffer for what was read.
 pub struct Connection {
     stream: TcpStream,
+    /// Bytes that were read and not yet used.
     pub(super) buffer: Vec<u8>,
 }
 
--- a/tier/node/src/upstream/answer.rs
+++ b/tier/node/src/upstream/answer.rs
@@ -20,7 +20,9 @@
 pub struct UpstreamAnswer {
     /// Status and headers.
     pub head: ResponseHead,
+    /// The connection, behind what was read of the answer.
     pub(super) stream: TcpStream,
+    /// Id of the endpoint.
     pub(super) endpoint: String,
     /// Bytes that were read behind the part of the body that was returned.
     buffer: Vec<u8>,
@@ -30,6 +32,7 @@
 }
 
 impl UpstreamAnswer {
+    /// An answer of which the head was received.
     pub(super) fn new(received: ReceivedHead, stream: TcpStream, endpoint: String) -> UpstreamAnswer {
         let ReceivedHead { head, buffer, fully_sent } = received;
         let reader = BodyReader::new(head.framing);
--- a/tier/node/src/upstream/exchange.rs
+++ b/tier/node/src/upstream/exchange.rs
@@ -29,6 +29,7 @@
 
 /// A connection on which a request is sent.
 pub(super) struct OpenConnection {
+    /// The connection.
     pub(super) stream: TcpStream,
     /// Whether no request was sent on it before.
     pub(super) fresh: bool,
@@ -36,6 +37,7 @@
 
 /// The head of an answer, and what was read behind it.
 pub(super) struct ReceivedHead {
+    /// Status and headers.
     pub(super) head: ResponseHead,
     /// Bytes behind the head.
     pub(super) buffer: Vec<u8>,
