--- a/tier/node/src/edge/forward/mod.rs
+++ b/tier/node/src/edge/forward/mod.rs
@@ -1,8 +1,8 @@
 //! Forwards a request to endpoints, one attempt after the other, and passes the answer on to the client.
 //!
-//! An attempt reserves a slot at an endpoint, sends the request and forwards the answer. A request is retried at another endpoint
-//! if it has certainly not run, or if its route allows it to run again (`request`). `attempt` sends it and judges the answer;
-//! `stream` and `buffered` forward the two kinds of bodies; `head` writes the heads.
+//! An attempt reserves a slot at an endpoint, sends the request and forwards the answer. A request is retried at another
+//! endpoint if it has certainly not run, or if its route allows it to run twice (`request` has the rules). `attempt` sends it
+//! and judges the answer; `stream` and `buffered` forward the two kinds of bodies; `head` writes the heads.
 
 mod attempt;
 mod buffered;
--- a/tier/node/src/edge/forward/stream.rs
+++ b/tier/node/src/edge/forward/stream.rs
@@ -129,8 +129,8 @@
         packet
     }
 
-    /// Reports the end of the attempt. [`CallOutcome::Abandoned`] stands for an end that is not the endpoint's fault; the latency of
-    /// the first event counts then, if there was one.
+    /// Reports the end of the attempt. [`CallOutcome::Abandoned`] stands for an end that is not the endpoint's fault; the
+    /// latency of the first event counts then, if there was one.
     fn finish(&self, request: &ForwardedRequest<'_>, attempt: &Attempt<'_>, outcome: CallOutcome) {
         let outcome = match (outcome, self.first_event) {
             (CallOutcome::Abandoned, Some(_)) if self.resumed => CallOutcome::Resumed,
--- a/tier/node/tests/tier/interfaces.rs
+++ b/tier/node/tests/tier/interfaces.rs
@@ -1,11 +1,11 @@
-//! Calls of operators and of clients of batch jobs: status, headers and the whole body of each answer.
+//! Calls of operators and of clients with batch jobs: status, content type and complete body of each response.
 
 use crate::harness::{Answer, KEY, Tier, configuration, eventually, header, http};
 
 const JSON: &str = "application/json";
 const TEXT: &str = "text/plain";
 
-/// A batch job with one item that ends well and one that never does.
+/// A batch job with one item that succeeds and one that never can.
 const JOB: &str = r#"{"Requests":[{"Id":"i0","Path":"/bulk/0","Headers":{"Model":"m"},"Body":"cXVpbGw=","Tokens":10},{"Id":"i1","Path":"/bulk/poison"}]}"#;
 
 fn send(address: &str, call: &str, headers: &str, body: &str) -> Option<Answer> {
@@ -21,7 +21,7 @@
     assert_eq!(header(&answer.head, "Content-Type").as_deref(), Some(kind), "{what}");
 }
 
-/// Sends a call to the courier that is the core's primary, until that is known and answers.
+/// Sends an operator's call to all couriers until the core's primary answers it.
 fn operate(tier: &Tier, call: &str, headers: &str, body: &str) -> Answer {
     eventually(call, || {
         let answers =
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn answers_to_operators_and_clients_have_their_bodies() {
+fn operator_and_batch_calls_have_exact_responses() {
     let tier = Tier::start();
     let first = configuration(3);
     check_operator(&tier, &first);
@@ -72,7 +72,7 @@
     check("redirect", &elsewhere, 307, TEXT, "the primary is elsewhere\n");
     let location = header(&elsewhere.head, "Location").unwrap();
     assert!(admins.clone().any(|admin| location == format!("http://{admin}/-/config/get?x=1")), "{location}");
-    // Before all stores are known to the core, too few would be left.
+    // A store can be retired only while the core knows enough others.
     for store in 0..3 {
         let call = format!("GET /-/retire/store-{store}/get");
         eventually("the store is known", || (operate(tier, &call, "", "").status == 200).then_some(()));
@@ -93,7 +93,7 @@
     let client = tier.client_address(0);
     let with_id = format!("Request-Id: job-1\r\nAuthorization: {KEY}\r\n");
     let key = format!("Authorization: {KEY}\r\n");
-    // Stores may be busy or not known yet.
+    // The stores may be busy, or not known to the courier yet.
     let call = |call: &str, headers: &str, body: &str| {
         eventually(call, || {
             send(&client, call, headers, body).filter(|answer| ![503, 504].contains(&answer.status))
@@ -104,15 +104,16 @@
     check("no id", &call("POST /bulk/", &key, JOB), 400, TEXT, "the body is no batch job\n");
     let dead = r#"{"Id":"i1","Phase":"dead_letter","Text":""}"#;
     let done = r#"{"Id":"i0","Phase":"done","Text":"kaje\ntwo\nthree"}"#;
-    let whole = |one: &str, other: &str| format!(r#"{{"Total":2,"NextCursor":2,"Outputs":[{one},{other}]}}"#);
+    let results =
+        |one: &str, other: &str| format!(r#"{{"Total":2,"NextCursor":2,"Outputs":[{one},{other}]}}"#);
     let read = eventually("both results", || {
         let answer = call("GET /-/lots/job-1", &format!("{key}Wait: 1000\r\n"), "");
         answer.body.contains(r#""NextCursor":2"#).then_some(answer)
     });
-    let expected = if read.body == whole(dead, done) { whole(dead, done) } else { whole(done, dead) };
+    let expected = if read.body == results(dead, done) { results(dead, done) } else { results(done, dead) };
     check("results", &read, 200, JSON, &expected);
-    let rest = call("GET /-/lots/job-1?StartAfter=2", &key, "");
-    check("no more results", &rest, 200, JSON, r#"{"Total":2,"NextCursor":2,"Outputs":[]}"#);
+    let no_more = call("GET /-/lots/job-1?StartAfter=2", &key, "");
+    check("no more results", &no_more, 200, JSON, r#"{"Total":2,"NextCursor":2,"Outputs":[]}"#);
     check("body", &call("GET /-/items/job-1?Id=i0", &key, ""), 200, "application/octet-stream", "quill");
     check("no item", &call("GET /-/items/job-1?Id=i7", &key, ""), 404, TEXT, "there is no such item\n");
     check("no such job", &call("GET /-/lots/job-2", &key, ""), 404, TEXT, "there is no such job\n");
--- a/tier/node/tests/tier/stop.rs
+++ b/tier/node/tests/tier/stop.rs
@@ -1,14 +1,14 @@
-//! A courier that is asked to stop.
+//! The graceful shutdown of a courier.
 
 use crate::harness::{KEY, Tier, configuration, eventually, order, send_request, send_request_to};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// From here on after SIGTERM nothing more is taken.
+/// How long requests are accepted after SIGTERM.
 const ACCEPT_FOR: Duration = Duration::from_millis(3000);
 
-/// A request that comes late is refused while what was taken before still runs: passed on it would be cut with the process.
+/// A request that arrives late is rejected while accepted ones still run: forwarded, it would break off with the process.
 #[test]
 fn a_stopping_courier_rejects_late_requests_and_finishes_the_rest() {
     let mut tier = Tier::start();
@@ -18,20 +18,22 @@
     eventually("a first answer", || served("/safe/first"));
     let address = tier.client_address(1);
     std::thread::scope(|scope| {
-        // It lasts for the whole of its deadline, four seconds: the process has to live as long.
+        // It lasts until its deadline, four seconds, and the process has to run that long.
         let long = scope.spawn(|| send_request_to(&address, "/once/long/silent", KEY, 4000));
         eventually("the long request is at its endpoint", || {
             (tier.arrivals("r-/once/long/silent") > 0).then_some(())
         });
         tier.terminate_courier(1);
         let terminated_at = Instant::now();
-        // A head that begins in time, and ends late.
+        // A request whose head begins in time and ends late.
         let mut late = TcpStream::connect(&address).unwrap();
         eventually("a second has passed", || (terminated_at.elapsed() > ACCEPT_FOR / 3).then_some(()));
         late.write_all(b"POST /safe/late HTTP/1.1\r\nHost: a.example\r\nRequest-Id: r-/safe/late\r\n")
             .unwrap();
         let margin = Duration::from_millis(150);
-        eventually("nothing more is taken", || (terminated_at.elapsed() > ACCEPT_FOR + margin).then_some(()));
+        eventually("requests are no longer accepted", || {
+            (terminated_at.elapsed() > ACCEPT_FOR + margin).then_some(())
+        });
         let rest = format!("Deadline: 900\r\nAuthorization: {KEY}\r\nContent-Length: 0\r\n\r\n");
         late.write_all(rest.as_bytes()).unwrap();
         let mut answer = String::new();
