--- a/tier/node/src/rpc/mod.rs
+++ b/tier/node/src/rpc/mod.rs
@@ -4,6 +4,7 @@
 //! them with a [`Handler`]. The frames and messages are defined in `quillmount_wire`.
 
 mod client;
+mod link;
 mod read_frame;
 mod server;
 
