--- a/tier/dataplane/src/head/headers.rs
+++ b/tier/dataplane/src/head/headers.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// Headers that apply to one connection only (RFC 9110, section 7.6.1), or that an intermediary writes anew.
+/// Headers that apply to one connection only (RFC 9110, section 7.6.1), or that an intermediary replaces.
 const CONNECTION_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
--- a/tier/dataplane/src/prefill.rs
+++ b/tier/dataplane/src/prefill.rs
@@ -5,13 +5,13 @@
 /// Prompt tokens that an endpoint is assumed to process in one millisecond.
 pub(crate) const PREFILL_TOKENS_PER_MS: f64 = 128.0;
 
-/// Expected time to the first event of a call whose whole prompt is cached, milliseconds.
+/// Expected time to the first event of a call whose complete prompt is cached, milliseconds.
 const CACHED_FIRST_EVENT_MS: f64 = 20.0;
 
 /// Latency sample of a streamed call for the window of its endpoint, microseconds.
 ///
 /// The time to the first event is scaled by the expected prefill time, so that calls with long and with short prompts can be
-/// compared: a call that takes exactly the expected time counts as one whose whole prompt is cached.
+/// compared: a call that takes exactly the expected time counts as one whose complete prompt is cached.
 pub(crate) fn normalized_latency(first_event: Micros, uncached_tokens: f64) -> f64 {
     let prefill_time = (uncached_tokens / PREFILL_TOKENS_PER_MS * 1000.0) as Micros;
     let reference = CACHED_FIRST_EVENT_MS * 1000.0;
--- a/tier/dataplane/src/request_profile.rs
+++ b/tier/dataplane/src/request_profile.rs
@@ -32,7 +32,7 @@
         RequestProfile { segments, prompt_tokens, output_tokens }
     }
 
-    /// Tokens of the whole prompt.
+    /// Tokens of the complete prompt.
     pub(crate) fn tokens(&self) -> u32 {
         let segments: u32 = self.segments.iter().map(|segment| segment.tokens).fold(0, u32::saturating_add);
         segments.max(self.prompt_tokens)
--- a/tier/node/src/edge/batch_api/primary_call.rs
+++ b/tier/node/src/edge/batch_api/primary_call.rs
@@ -13,15 +13,18 @@
 const RETRY_DELAY: Duration = Duration::from_millis(30);
 
 /// Why no primary answered.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum Unanswered {
     /// No store was reached: the call has no effect.
+    #[error("no store was reached")]
     Unreached,
     /// A store may have carried out the call.
+    #[error("a store may have carried out the call")]
     Uncertain,
 }
 
-/// Calls the primary of a job's shard, again after each change of the primary, until a time in microseconds of the steady clock.
+/// Calls the primary of a job's shard and retries until a time in microseconds of the steady clock, following changes of the
+/// primary.
 ///
 /// `request` builds the request for a shard and its epoch. `max_wait` is the time for which the store may delay its answer.
 pub(super) async fn call_primary(
--- a/tier/node/src/edge/forward/stream.rs
+++ b/tier/node/src/edge/forward/stream.rs
@@ -12,19 +12,16 @@
 use tokio::time::timeout;
 
 /// Why the events of an endpoint can't be forwarded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum StreamError {
     /// An event is too long.
-    TooLong,
+    #[error(transparent)]
+    TooLong(#[from] EventTooLong),
     /// An event does not follow the last one that the client has.
+    #[error("an event is out of sequence")]
     OutOfSequence,
 }
 
-impl From<EventTooLong> for StreamError {
-    fn from(_: EventTooLong) -> Self {
-        StreamError::TooLong
-    }
-}
-
 /// The part of a stream that one endpoint sends.
 struct EndpointStream {
     events: EventReader,
--- a/tier/node/src/http/connection.rs
+++ b/tier/node/src/http/connection.rs
@@ -21,11 +21,13 @@
 const LINGER: Duration = Duration::from_millis(500);
 
 /// Why no request was read.
-#[derive(Debug)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestReadError {
     /// The connection ended between two requests, or broke.
+    #[error("the connection is closed")]
     Closed,
     /// The request has to be answered with this status, and the connection closed.
+    #[error("the request is rejected with status {0}")]
     Reject(u16),
 }
 
--- a/tier/node/src/rpc/client.rs
+++ b/tier/node/src/rpc/client.rs
@@ -10,11 +10,13 @@
 use tokio::sync::oneshot;
 
 /// Why a call has no response.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
     /// It was not sent, so it has no effect.
+    #[error("the call was not sent")]
     NotSent,
     /// The peer may have received it.
+    #[error("the call has no response")]
     Lost,
 }
 
--- a/tier/node/src/rpc/link.rs
+++ b/tier/node/src/rpc/link.rs
@@ -57,6 +57,8 @@
 }
 
 /// The queue of a link is full; the frame was not sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("too many frames are queued for a peer")]
 pub(super) struct QueueFull;
 
 impl PeerLink {
--- a/tier/node/src/upstream/client.rs
+++ b/tier/node/src/upstream/client.rs
@@ -13,13 +13,16 @@
 const USER_TIMEOUT: Duration = Duration::from_millis(2000);
 
 /// Why an endpoint sent no head of an answer.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UpstreamError {
     /// No byte was sent: the request has not run.
+    #[error("the request was not sent")]
     NotSent,
     /// The connection broke or carried no valid answer after bytes were sent: the request may have run.
+    #[error("the connection broke")]
     Broken,
     /// The request was sent and no answer came in time: it may have run.
+    #[error("no answer came in time")]
     Silent,
 }
 
