--- /dev/null
+++ b/tier/dataplane/src/routes/table.rs
@@ -0,0 +1,136 @@
+//! The table of all routes, tenants and services of a configuration.
+
+use super::route::CompiledRoute;
+use crate::dispatch::ServiceShare;
+use quillmount_wire::configuration::{ClientLimits, Configuration, Service, Tenant};
+use std::collections::HashMap;
+use std::rc::Rc;
+
+/// Prompt memory of an endpoint whose service states none, tokens.
+const DEFAULT_TOKEN_MEMORY: f64 = 200_000.0;
+/// Connections to an endpoint whose service states none.
+const DEFAULT_CONNECTIONS: f64 = 64.0;
+/// Largest number of connections to an endpoint.
+const MAX_CONNECTIONS: f64 = 65_536.0;
+/// Scheme of the `Authorization` header before the key.
+const KEY_SCHEME: &str = "Token ";
+
+/// Whose request it is, by its key.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Access {
+    /// No tenant's, and allowed: the configuration has no tenants, or the route is public and no known key was sent.
+    Anonymous,
+    /// The request of the tenant of this name.
+    Tenant(Rc<str>),
+    /// The key is missing or unknown.
+    Denied,
+}
+
+/// A compiled configuration; immutable, replaced as a whole.
+#[derive(Clone, Debug, Default)]
+pub struct RouteTable {
+    /// Version of the configuration, 0 for none.
+    pub version: u64,
+    /// Limits for the connections and requests of clients.
+    pub limits: ClientLimits,
+    /// Services by name.
+    pub services: HashMap<String, Service>,
+    /// Routes by normalized host, those with the longest prefix first.
+    routes_by_host: HashMap<String, Vec<Rc<CompiledRoute>>>,
+    routes_by_name: HashMap<String, Rc<CompiledRoute>>,
+    tenants_by_key: HashMap<String, Rc<str>>,
+    /// Priorities of tenants that have one.
+    priorities: HashMap<Rc<str>, i64>,
+    /// Whether the configuration has tenants.
+    requires_key: bool,
+}
+
+impl RouteTable {
+    /// Compiles a valid configuration.
+    pub fn compile(configuration: &Configuration) -> RouteTable {
+        let mut table = RouteTable {
+            version: configuration.version,
+            limits: configuration.limits.clone().unwrap_or_default(),
+            requires_key: configuration.tenants.is_some(),
+            ..RouteTable::default()
+        };
+        for route in &configuration.routes {
+            let compiled = Rc::new(CompiledRoute::from(route));
+            table.routes_by_name.insert(route.name.clone(), compiled.clone());
+            table.routes_by_host.entry(normalize_host(&route.host)).or_default().push(compiled);
+        }
+        for routes in table.routes_by_host.values_mut() {
+            routes.sort_by_key(|route| std::cmp::Reverse(route.route.prefix.len()));
+        }
+        for tenant in configuration.tenants.iter().flatten() {
+            table.add_tenant(tenant);
+        }
+        table.services =
+            configuration.services.iter().map(|service| (service.name.clone(), service.clone())).collect();
+        table
+    }
+
+    fn add_tenant(&mut self, tenant: &Tenant) {
+        let name: Rc<str> = tenant.name.as_str().into();
+        for key in tenant.keys.iter().flatten() {
+            self.tenants_by_key.insert(key.clone(), name.clone());
+        }
+        if let Some(priority) = tenant.priority {
+            self.priorities.insert(name, priority);
+        }
+    }
+
+    /// The route of a host with the longest prefix of a path. `host` may contain a port, and `path` a query.
+    pub fn find(&self, host: &str, path: &str) -> Option<&Rc<CompiledRoute>> {
+        let path = path.split('?').next().unwrap_or_default();
+        self.routes_by_host
+            .get(&normalize_host(host))?
+            .iter()
+            .find(|route| path.starts_with(&route.route.prefix))
+    }
+
+    /// The route with this name.
+    pub fn by_name(&self, name: &str) -> Option<&Rc<CompiledRoute>> {
+        self.routes_by_name.get(name)
+    }
+
+    /// Whether any route limits the tokens of queued requests.
+    pub fn limits_waiting(&self) -> bool {
+        self.routes_by_name.values().any(|route| route.route.waiting_limit().is_some())
+    }
+
+    /// Whose request it is by its `Authorization` header. `public`: the route needs no key.
+    pub fn access(&self, authorization: Option<&str>, public: bool) -> Access {
+        let key = authorization.and_then(|value| value.strip_prefix(KEY_SCHEME)).map(str::trim);
+        let tenant = key.and_then(|key| self.tenants_by_key.get(key));
+        match tenant {
+            Some(tenant) => Access::Tenant(tenant.clone()),
+            None if public || !self.requires_key => Access::Anonymous,
+            None => Access::Denied,
+        }
+    }
+
+    /// Priority of a request: the tenant's, or the route's if the tenant has none.
+    pub fn priority(&self, tenant: Option<&str>, route: &CompiledRoute) -> i64 {
+        tenant.and_then(|tenant| self.priorities.get(tenant)).copied().unwrap_or(route.priority)
+    }
+
+    /// Connections that all senders together may have to an endpoint of a service.
+    pub fn connections(&self, service: &str) -> u32 {
+        let configured = self.services.get(service).and_then(|service| service.connections);
+        configured.unwrap_or(DEFAULT_CONNECTIONS).clamp(1.0, MAX_CONNECTIONS) as u32
+    }
+
+    /// What one of `senders` processes may use of each endpoint of a service.
+    pub fn share(&self, service: &str, senders: u32) -> ServiceShare {
+        let runtime = self.services.get(service).and_then(|service| service.runtime.as_ref());
+        let memory = runtime.and_then(|runtime| runtime.token_memory).unwrap_or(DEFAULT_TOKEN_MEMORY);
+        let cache_tokens = memory.max(0.0) as u64 / u64::from(senders.max(1));
+        ServiceShare { slots: self.connections(service) / senders.max(1), cache_tokens }
+    }
+}
+
+/// A host in the form in which hosts are compared: without a port, in lower case.
+fn normalize_host(host: &str) -> String {
+    host.split(':').next().unwrap_or_default().to_ascii_lowercase()
+}
--- a/tier/node/src/store/mod.rs
+++ b/tier/node/src/store/mod.rs
@@ -21,8 +21,8 @@
 mod waiters;
 
 use crate::clock;
-use crate::edge::{RoleError, listen, wait_for_stop};
 use crate::node::Node;
+use crate::role::{RoleError, listen, wait_for_stop};
 use crate::rpc::{self, Handler};
 use crate::subscription;
 use quillmount_storage::load_identity;
