--- a/tier/control/src/usage.rs
+++ b/tier/control/src/usage.rs
@@ -46,7 +46,7 @@
 }
 
 /// Whether the counts of a window may be finalized `age_s` seconds after its end, if its report is due `delay_s`
-/// seconds after it; `complete` tells whether every process has reported its counts.
+/// seconds after it; `complete` says whether every process has reported its counts.
 #[must_use]
 pub fn may_finalize(age_s: f64, delay_s: f64, complete: bool) -> bool {
     let wait_s = if complete { SETTLE_S } else { delay_s * WAIT_FRACTION };
--- a/tier/control/tests/members/world/operators.rs
+++ b/tier/control/tests/members/world/operators.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// A configuration of this version; `text` tells it from others of the same version.
+/// A configuration of this version; `text` distinguishes those of the same version.
 fn configuration(version: u64, text: u64) -> String {
     format!(
         r#"{{"Gen":{version},"Routes":[{{"Name":"r{text}","Host":"h","PathPrefix":"/","DeadlineMs":1000,"Backend":"s"}}],"Backends":[{{"Name":"s"}}]}}"#
@@ -45,7 +45,7 @@
     format!(r#"{{"Gen":{version},"Upsert":{{"Backends":[{{"Name":"s{text}"}}]}}}}"#)
 }
 
-/// What an operator is told of an order, once the outcome is confirmed.
+/// The answer to an order, once its outcome is confirmed.
 fn answer_of(outcome: OrderOutcome) -> Answer {
     match outcome {
         OrderOutcome::Applied { version } => Answer::Applied { version },
--- a/tier/replication/src/group.rs
+++ b/tier/replication/src/group.rs
@@ -66,16 +66,10 @@
         self.view = view;
     }
 
-    /// Members in sync, the primary aside.
-    #[must_use]
-    pub fn in_sync(&self) -> Vec<DiskId> {
-        self.view.in_sync.iter().copied().filter(|member| *member != self.view.primary).collect()
-    }
-
     /// Members, in sync or joining, that have not caught up with this primary.
     #[must_use]
     pub fn lagging(&self) -> Vec<DiskId> {
-        let all = self.in_sync().into_iter().chain(self.view.joining.iter().copied());
+        let all = self.backups().into_iter().chain(self.view.joining.iter().copied());
         all.filter(|member| !self.caught_up.contains(member)).collect()
     }
 
@@ -113,14 +107,14 @@
     /// Whether every member in sync has caught up, and enough disks receive new batches to commit them.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        let all_caught_up = self.in_sync().iter().all(|member| self.caught_up.contains(member));
+        let all_caught_up = self.backups().iter().all(|member| self.caught_up.contains(member));
         all_caught_up && self.has_enough_copies(&self.caught_up)
     }
 
     /// Members that have to sync a batch before it is committed.
     #[must_use]
     pub fn required(&self) -> BTreeSet<DiskId> {
-        self.in_sync().into_iter().chain(self.reported.iter().copied()).collect()
+        self.backups().into_iter().chain(self.reported.iter().copied()).collect()
     }
 
     /// Members that a batch is sent to and that are not among those that have `synced` it. A batch that is `stuck` is
@@ -156,6 +150,11 @@
         Some(ShardReport { shard, epoch: self.view.epoch, unresponsive, caught_up })
     }
 
+    /// Members in sync, the primary aside.
+    fn backups(&self) -> Vec<DiskId> {
+        self.view.in_sync.iter().copied().filter(|member| *member != self.view.primary).collect()
+    }
+
     /// Whether these members and the primary are more disks than may be lost at once.
     fn has_enough_copies(&self, members: &BTreeSet<DiskId>) -> bool {
         members.len() + 1 > self.tolerated_failures
--- a/tier/replication/src/lib.rs
+++ b/tier/replication/src/lib.rs
@@ -6,7 +6,7 @@
 //! Practice", 2014). An [epoch](quillmount_wire::messages::Epoch) is Paxos' proposal number and Raft's term. The
 //! caller hands in messages and the time, and carries out the [`RegisterAction`]s that it gets.
 //!
-//! [`ReplicaGroup`] is what the primary of a shard knows of the shard's members: it tells which of them have to
+//! [`ReplicaGroup`] is what the primary of a shard knows of the shard's members: it decides which of them have to
 //! sync a batch of operations before that is committed. The core decides which stores are members.
 
 mod breaks;
