--- a/courier/fleet/src/agreement.rs
+++ b/courier/fleet/src/agreement.rs
@@ -7,8 +7,8 @@
 //! it can be cloned and compared, so that its state space can be explored.
 //!
 //! Modules: [`limits`](AgreementLimits), `interface` (inputs and outputs) and `error` are what the caller sees;
-//! `requests`, `ticks`, `ready` and `compaction` are the steps of the machine; `log` is its storage, `wire` its
-//! messages, `explore` its copies and digests.
+//! `requests`, `ticks`, `ready` and `compaction` are the steps of the machine; `log` has the
+//! entries, `log_file` and `memory_log` store them, `wire` has the messages, `explore` copies and digests.
 
 mod compaction;
 mod error;
@@ -16,6 +16,8 @@
 mod interface;
 mod limits;
 mod log;
+mod log_file;
+mod memory_log;
 mod ready;
 mod requests;
 mod ticks;
@@ -33,7 +35,9 @@
 use std::collections::BTreeMap;
 
 use crate::NodeId;
-use log::{HardState, LogFile, MemoryLog, PersistedLog, StateSnapshot};
+use log::{HardState, StateSnapshot};
+use log_file::{LogFile, PersistedLog};
+use memory_log::MemoryLog;
 
 /// A proposal made here whose commit is pending.
 #[derive(Clone, Copy, Debug, Serialize)]
--- a/courier/fleet/src/agreement/compaction.rs
+++ b/courier/fleet/src/agreement/compaction.rs
@@ -2,7 +2,8 @@
 
 use quillmount_core::store::Store;
 
-use super::log::{self, HardState, LogEntry, PersistedLog, StateSnapshot};
+use super::log::{self, HardState, LogEntry, StateSnapshot};
+use super::log_file::PersistedLog;
 use super::{Agreement, AgreementError, AgreementOutput};
 
 /// After a failed compaction the next snapshot is requested when the log file has grown by this fraction of
--- a/courier/fleet/src/agreement/explore.rs
+++ b/courier/fleet/src/agreement/explore.rs
@@ -5,7 +5,8 @@
 use raft::RawNode;
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::log::{self, HardState, LogEntry, MemoryLog};
+use super::log::{self, HardState, LogEntry};
+use super::memory_log::MemoryLog;
 use super::{Agreement, new_raft_node};
 
 impl<S: Store> Agreement<S> {
--- a/courier/fleet/src/agreement/ready.rs
+++ b/courier/fleet/src/agreement/ready.rs
@@ -5,7 +5,8 @@
 use raft::{ReadState, Ready};
 use std::mem;
 
-use super::log::{HardState, LogEntry, Payload, PersistedLog, StateSnapshot};
+use super::log::{HardState, LogEntry, Payload, StateSnapshot};
+use super::log_file::PersistedLog;
 use super::{Agreement, AgreementError, AgreementOutput, Leadership, MembershipChange, RejectReason, wire};
 use crate::NodeId;
 
--- a/courier/fleet/tests/agreement.rs
+++ b/courier/fleet/tests/agreement.rs
@@ -40,8 +40,9 @@
     nodes: BTreeMap<NodeId, Node>,
     in_flight: BTreeMap<(u64, u64), (NodeId, NodeId, Vec<u8>)>,
     sent_count: u64,
-    /// Messages of a thousand that are lost, and that are duplicated.
+    /// Messages of a thousand that are lost.
     loss_permille: u64,
+    /// Messages of a thousand that are duplicated.
     duplicate_permille: u64,
     max_delay: u64,
     cut_links: BTreeSet<(NodeId, NodeId)>,
@@ -130,7 +131,7 @@
     fn stop_if_dead(&mut self, node_id: NodeId) -> bool {
         let now = self.now;
         let node = self.nodes.get_mut(&node_id).unwrap();
-        let dead = node.agreement.as_ref().is_none_or(|l| l.store().is_dead());
+        let dead = node.agreement.as_ref().is_none_or(|a| a.store().is_dead());
         if dead && let Some(agreement) = node.agreement.take() {
             node.disk = Memory::of(agreement.into_store().bytes().to_vec());
             node.restart_at = now + SECOND / 2;
@@ -504,7 +505,7 @@
     let open =
         |bytes: &[u8]| Agreement::open(Memory::of(bytes.to_vec()), 99, AgreementLimits::default(), SECOND);
     let (complete, all) = open(&bytes).unwrap();
-    let whole_state = [decode_state(&all.state), decode_commands(&all.committed)].concat();
+    let complete_state = [decode_state(&all.state), decode_commands(&all.committed)].concat();
     assert!(
         !all.state.is_empty() && !all.committed.is_empty() && complete.term() > 2,
         "{all:?} {}",
@@ -522,20 +523,16 @@
         let (agreement, opened) = open(&bytes[..len]).unwrap();
         assert_eq!(opened.new, agreement.node_id() == 99, "at {len}");
         let state = [decode_state(&opened.state), decode_commands(&opened.committed)].concat();
-        assert!(whole_state.starts_with(&state), "at {len}");
+        assert!(complete_state.starts_with(&state), "at {len}");
         let now = (agreement.term(), state.len());
         assert!(before <= now, "at {len}: {before:?} {now:?}");
         before = now;
         // A torn record is removed from the file, or what is written next would never be read.
         let sound = record_ends.iter().rfind(|end| **end <= len).unwrap();
         assert!(opened.new || agreement.store().bytes() == &bytes[..*sound], "at {len}");
-        let (reopened, open_with_records) = open(agreement.store().bytes()).unwrap();
-        let same = (
-            reopened.node_id(),
-            reopened.term(),
-            open_with_records.committed == opened.committed,
-            open_with_records.new,
-        );
+        let (reopened, contents) = open(agreement.store().bytes()).unwrap();
+        let same =
+            (reopened.node_id(), reopened.term(), contents.committed == opened.committed, contents.new);
         assert_eq!(same, (agreement.node_id(), agreement.term(), true, false), "at {len}");
     }
     for at in 0..bytes.len() {
@@ -691,8 +688,7 @@
 fn a_leader_that_was_paused_steps_down_first() {
     let mut fleet = Fleet::with_members(19, AgreementLimits::default(), 3, 0);
     fleet.commit(1);
-    let (agreement, now) = (fleet.agreement(1).clone(), fleet.now);
-    let mut agreement = agreement;
+    let (mut agreement, now) = (fleet.agreement(1).clone(), fleet.now);
     assert!(agreement.leads());
     let out = agreement.step(AgreementInput::Propose { ticket: 5, command: vec![1] }, now + 5 * SECOND);
     assert!(
@@ -922,9 +918,9 @@
 
 /// Opens a file of these records, all valid by themselves. Returns what is known to be committed.
 fn open_with_records(written: Vec<(HardState, Vec<Entry>)>) -> Result<Vec<(u64, Vec<u8>)>, AgreementError> {
-    let wrote = written.into_iter().map(|(hard_state, entries)| FileRecord::Append { hard_state, entries });
+    let appends = written.into_iter().map(|(hard_state, entries)| FileRecord::Append { hard_state, entries });
     let mut bytes = Vec::new();
-    for record in std::iter::once(FileRecord::Identity { form: 1, node_id: 5 }).chain(wrote) {
+    for record in std::iter::once(FileRecord::Identity { form: 1, node_id: 5 }).chain(appends) {
         let body = postcard::to_stdvec(&record).unwrap();
         let len = u32::try_from(body.len()).unwrap().to_le_bytes();
         bytes.extend(
--- a/courier/fleet/tests/common/mod.rs
+++ b/courier/fleet/tests/common/mod.rs
@@ -66,7 +66,7 @@
 enum Due {
     AcceptedMessage(String),
     Call { id: String, msg: u64, debit: bool },
-    Ended(String),
+    ReportEnd(String),
 }
 
 /// A courier's process: its member, and the rules of the journal that matter here.
@@ -101,7 +101,7 @@
     pub processes: Vec<Option<Process>>,
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
     envelopes: BTreeMap<u64, Envelope>,
-    order: u64,
+    last_envelope: u64,
     seed: u64,
     last_incarnation: u64,
     /// Links that are cut, from and to.
@@ -135,7 +135,7 @@
             processes: (0..n).map(|_| None).collect(),
             queue: BinaryHeap::new(),
             envelopes: BTreeMap::new(),
-            order: 0,
+            last_envelope: 0,
             seed,
             last_incarnation: 0,
             cut: BTreeSet::new(),
@@ -230,10 +230,10 @@
         let envelope = Envelope { from: self.names[from].clone(), to, node_id, messages: vec![message] };
         let times = if self.chance() < self.duplicated { 2 } else { 1 };
         for _ in 0..times {
-            self.order += 1;
+            self.last_envelope += 1;
             let late = if self.loss > 0.0 { (self.chance() * 4.0 * self.delay as f64) as Micros } else { 0 };
-            self.queue.push(Reverse((self.now + self.delay + late, self.order)));
-            self.envelopes.insert(self.order, envelope.clone());
+            self.queue.push(Reverse((self.now + self.delay + late, self.last_envelope)));
+            self.envelopes.insert(self.last_envelope, envelope.clone());
         }
     }
 
@@ -302,7 +302,7 @@
             let Some(n) = p.due.iter().position(ready) else { return };
             match p.due.remove(n).1 {
                 Due::AcceptedMessage(id) => drop(self.observed.accepted.insert(id)),
-                Due::Ended(id) => self.observed.ends.entry(id).or_default().push((i, false)),
+                Due::ReportEnd(id) => self.observed.ends.entry(id).or_default().push((i, false)),
                 Due::Call { id, msg, debit: _ } => {
                     self.observed.calls.entry(id.clone()).or_default().push((i, now));
                     // The endpoint's reply: delivered.
@@ -392,7 +392,7 @@
                 &[JournalRecord::End { msg, end: End::Undeliverable }, JournalRecord::Confirmed { msg }],
             );
             if let Some(p) = self.processes[i].as_mut() {
-                p.due.push((written, Due::Ended(id)));
+                p.due.push((written, Due::ReportEnd(id)));
             }
             self.act(i);
         } else {
@@ -471,9 +471,9 @@
                     let to = self.names.iter().position(|name| *name == envelope.to).unwrap();
                     if self.processes[to].as_ref().is_some_and(|p| p.paused) {
                         // It is read when the process is resumed.
-                        self.order += 1;
-                        self.queue.push(Reverse((self.now + 50 * MS, self.order)));
-                        self.envelopes.insert(self.order, envelope);
+                        self.last_envelope += 1;
+                        self.queue.push(Reverse((self.now + 50 * MS, self.last_envelope)));
+                        self.envelopes.insert(self.last_envelope, envelope);
                         continue;
                     }
                     self.step(to, MemberInput::Received(envelope));
--- a/courier/fleet/tests/explore.rs
+++ b/courier/fleet/tests/explore.rs
@@ -47,7 +47,7 @@
 }
 
 fn with_effects<T>(f: impl FnOnce(&mut Effects) -> T) -> T {
-    EFFECTS.with(|with_effects| f(&mut with_effects.borrow_mut()))
+    EFFECTS.with(|effects| f(&mut effects.borrow_mut()))
 }
 
 /// Counts an effect of the process that runs. Returns whether the process is still alive for it.
@@ -173,17 +173,9 @@
 #[derive(Clone, Debug)]
 enum Due {
     AcceptedMessage(String),
-    Call {
-        id: String,
-        msg: u64,
-        debit: bool,
-    },
+    Call { id: String, msg: u64, debit: bool },
     Delivered(String),
-    /// The end is to be reported.
-    Ended {
-        id: String,
-        msg: u64,
-    },
+    ReportEnd { id: String, msg: u64 },
 }
 
 #[derive(Clone)]
@@ -216,7 +208,7 @@
     Deliver { from: usize, to: usize, node_id: NodeId, message: FleetMessage },
     Commit { incarnation: u64, term: u64, command: Vec<u8> },
     Apply(usize),
-    Answer { to: usize, incarnation: u64, id: String, msg: u64 },
+    Reply { to: usize, incarnation: u64, id: String, msg: u64 },
     Submit(usize),
     Start(usize),
     Resume(usize),
@@ -409,7 +401,7 @@
     /// The process that an event is a step of.
     fn process_of(&self, event: &Event) -> Option<usize> {
         match event {
-            Event::Deliver { to, .. } | Event::Answer { to, .. } => Some(*to),
+            Event::Deliver { to, .. } | Event::Reply { to, .. } => Some(*to),
             Event::Apply(i) | Event::Tick(i) | Event::Resume(i) => Some(*i),
             Event::Submit(_) => Some(self.scenario.owner),
             _ => None,
@@ -423,7 +415,7 @@
         if n != 0 {
             self.queue.remove(&(at, n));
         }
-        let process_of = self.process_of(&event);
+        let process = self.process_of(&event);
         let disks = std::mem::take(&mut self.disks);
         with_effects(|h| *h = Effects { disks, die_at: die, ..Effects::default() });
         let matters = !matches!(event, Event::Tick(_) | Event::Deliver { .. } | Event::Apply(_));
@@ -431,7 +423,7 @@
         let h = with_effects(std::mem::take);
         self.disks = h.disks;
         if h.dead
-            && let Some(i) = process_of
+            && let Some(i) = process
         {
             self.processes[i] = None;
         }
@@ -448,7 +440,7 @@
         }
         match event {
             Event::Deliver { from, to, .. } if !self.is_connected(from, to) => {}
-            Event::Deliver { to, .. } | Event::Answer { to, .. }
+            Event::Deliver { to, .. } | Event::Reply { to, .. }
                 if self.processes[to].as_ref().is_some_and(|p| p.paused) =>
             {
                 self.processes[to].as_mut().unwrap().inbox.push(event);
@@ -456,9 +448,9 @@
             Event::Deliver { from, to, node_id, message } => {
                 if let (FleetMessage::LeaseGranted { ticket, .. }, Some(p)) =
                     (&message, &mut self.processes[to])
-                    && let Some(renewals) = p.renewals.get(ticket)
+                    && let Some(sent_at) = p.renewals.get(ticket)
                 {
-                    p.lease_until = p.lease_until.max(renewals + p.member.config.member_lease());
+                    p.lease_until = p.lease_until.max(sent_at + p.member.config.member_lease());
                 }
                 let envelope = Envelope { from: name(from), to: name(to), node_id, messages: vec![message] };
                 self.step(to, MemberInput::Received(envelope));
@@ -471,7 +463,7 @@
                 }
             }
             Event::Apply(i) | Event::Tick(i) => self.heartbeat(i),
-            Event::Answer { to, incarnation, id, msg } => {
+            Event::Reply { to, incarnation, id, msg } => {
                 if self.processes[to].as_ref().is_some_and(|p| p.incarnation == incarnation) {
                     let end = End::Delivered;
                     // A delivery is not reported: the answer itself is the end.
@@ -549,21 +541,21 @@
         }
         let leader = self.processes[self.leader].as_ref().filter(|p| !p.paused);
         let leader = leader.map(|p| p.member.agreement().node_id());
-        let outputs = leader.filter(|_| self.is_connected(self.leader, i));
+        let heard_leader = leader.filter(|_| self.is_connected(self.leader, i));
         let Some(p) = &mut self.processes[i] else { return };
         p.heartbeat_at = self.now + 50 * MS;
-        let line = p.member.agreement();
-        if let Some(node_id) = outputs {
-            if line.leader.get() != Some(node_id) {
-                line.leader.set(Some(node_id));
+        let log = p.member.agreement();
+        if let Some(node_id) = heard_leader {
+            if log.leader.get() != Some(node_id) {
+                log.leader.set(Some(node_id));
                 let leader =
                     agreement::AgreementOutput::LeaderChanged { leader: Some(node_id), term: self.term };
-                line.outputs.borrow_mut().push(leader);
+                log.outputs.borrow_mut().push(leader);
             }
             if self.now >= p.apply_paused_until {
                 for (n, command) in self.log.iter().enumerate().skip(p.applied) {
                     let (index, command) = (n as u64 + 1, command.clone());
-                    line.outputs.borrow_mut().push(agreement::AgreementOutput::Committed {
+                    log.outputs.borrow_mut().push(agreement::AgreementOutput::Committed {
                         index,
                         ticket: None,
                         command,
@@ -604,18 +596,18 @@
     fn start(&mut self, i: usize) {
         self.incarnations += 1;
         let incarnation = self.incarnations * 1_000 + i as u64 + 1;
-        let adopted_by = with_effects(|h| h.disks[i].get("token").cloned());
+        let stored_id = with_effects(|h| h.disks[i].get("token").cloned());
         let node_id =
-            adopted_by.as_ref().map_or(incarnation, |t| u64::from_le_bytes(t[..].try_into().unwrap()));
+            stored_id.as_ref().map_or(incarnation, |t| u64::from_le_bytes(t[..].try_into().unwrap()));
         with_effects(|h| h.disks[i].insert("token".into(), node_id.to_le_bytes().into()));
         let applied = with_effects(|h| h.disks[i].get("applied").cloned());
         let applied = applied.map_or(0, |t| u64::from_le_bytes(t[..].try_into().unwrap())) as usize;
         let committed = self.log[..applied].iter().enumerate().map(|(n, c)| (n as u64 + 1, c.clone()));
         let committed = committed.collect();
-        let opened = Opened { new: adopted_by.is_none(), state: Vec::new(), index: 0, committed };
-        let line = ModelLog { node_id, ..ModelLog::default() };
+        let opened = Opened { new: stored_id.is_none(), state: Vec::new(), index: 0, committed };
+        let log = ModelLog { node_id, ..ModelLog::default() };
         let config = config(i, self.scenario.copies);
-        let (member, out) = Member::with_log(config, Folder(i), line, opened, incarnation, self.now).unwrap();
+        let (member, out) = Member::with_log(config, Folder(i), log, opened, incarnation, self.now).unwrap();
         let written = File(i, "journal".into()).len();
         self.processes[i] = Some(Process {
             member,
@@ -714,7 +706,7 @@
             match due {
                 Due::AcceptedMessage(id) => drop(self.observed.accepted.insert(id)),
                 Due::Delivered(id) => drop(self.observed.delivered.insert(id)),
-                Due::Ended { id, msg } => {
+                Due::ReportEnd { id, msg } => {
                     if self.observed.delivered.contains(&id) {
                         self.fail(format!("end: {} says that {id} was not delivered, and it was", name(i)));
                     }
@@ -740,7 +732,7 @@
                     if debit && *all > 1 {
                         self.fail(format!("once: debit {id} is called again, by {}", name(i)));
                     }
-                    self.at(self.scenario.call_duration, Event::Answer { to: i, incarnation, id, msg });
+                    self.at(self.scenario.call_duration, Event::Reply { to: i, incarnation, id, msg });
                 }
             }
         }
@@ -832,11 +824,11 @@
         let may_have_run = entry.calls.iter().any(|c| c.never_ran != Some(true));
         if entry.end.is_some() {
             let written = self.processes[i].as_ref().map_or(0, |p| p.written);
-            self.act_when_replicated(i, written, Due::Ended { id, msg });
+            self.act_when_replicated(i, written, Due::ReportEnd { id, msg });
         } else if debit && may_have_run {
             let end = End::Undeliverable;
             let written = self.write(i, &[JournalRecord::End { msg, end }]);
-            self.act_when_replicated(i, written, Due::Ended { id, msg });
+            self.act_when_replicated(i, written, Due::ReportEnd { id, msg });
         } else {
             self.call(i, id, msg, debit);
         }
@@ -939,7 +931,8 @@
             None => true,
         };
         for (id, n) in owed.into_iter().map(|id| (id, id[1..].parse::<usize>().unwrap())) {
-            for host in journal_state.1.replicas.iter().map(|h| index_of(h)).filter(|_| not_adopted(n)) {
+            for host in journal_state.1.replicas.iter().map(|host| index_of(host)).filter(|_| not_adopted(n))
+            {
                 let Some(p) = &self.processes[host] else { continue };
                 // Only a process that is registered with its present folder is relied on.
                 let member = self.state.members.get(&name(host));
@@ -972,8 +965,8 @@
 
     /// Checks, at the end of a path, that each accepted message has ended.
     fn check_outcomes(&mut self) {
-        let endless = self.observed.accepted.iter().find(|id| !self.observed.ends.contains(*id)).cloned();
-        if let Some(id) = endless {
+        let without_end = self.observed.accepted.iter().find(|id| !self.observed.ends.contains(*id)).cloned();
+        if let Some(id) = without_end {
             self.fail(format!("end: {id} was answered 202 and has none"));
         }
     }
@@ -1290,7 +1283,7 @@
 #[cfg(not(debug_assertions))]
 #[test]
 fn no_two_process_losses_break_a_takeover() {
-    let far = |f: &Fault| {
+    let is_far_reaching = |f: &Fault| {
         matches!(
             f,
             Fault::Kill(_, _, Restart::AfterLease | Restart::WithinLeaseEmpty)
@@ -1298,7 +1291,7 @@
                 | Fault::PauseApply(_)
         )
     };
-    assert_no_violation(&scenarios(2, far)[..2]);
+    assert_no_violation(&scenarios(2, is_far_reaching)[..2]);
 }
 
 /// Each deliberate fault in the code is found by the named property, and the same path is correct without it.
@@ -1314,11 +1307,11 @@
         faults,
         only,
     };
-    let kill = |f: &Fault| matches!(f, Fault::Kill(_, _, Restart::AfterLeaseEmpty));
+    let is_kill = |f: &Fault| matches!(f, Fault::Kill(_, _, Restart::AfterLeaseEmpty));
     // Submitted when the lease has expired, while the leader's messages are lost.
     let late = vec![(1, true, 0), (2, true, LEASE * 2)];
     let all = [
-        (Break::ReplicatedAtOnce, "recorded:", scenario(1, 1, 1, kill)),
+        (Break::ReplicatedAtOnce, "recorded:", scenario(1, 1, 1, is_kill)),
         (
             Break::LeaseIgnored,
             "lease:",
