--- /dev/null
+++ b/courier/fleet/tests/agreement/records.rs
@@ -0,0 +1,48 @@
+//! Log files that are built record by record.
+
+use crate::fleet::SECOND;
+use quillmount_core::store::Memory;
+use quillmount_fleet::agreement::{Agreement, AgreementError, AgreementLimits};
+
+/// The records of the file format, version 1, as far as the tests here build them.
+#[derive(serde::Serialize)]
+pub enum FileRecord {
+    Identity { form: u16, node_id: u64 },
+    Append { hard_state: HardState, entries: Vec<Entry> },
+}
+
+/// Term, vote and commit.
+pub type HardState = (u64, u64, u64);
+
+/// Term, index and payload.
+pub type Entry = (u64, u64, Payload);
+
+#[derive(serde::Serialize)]
+#[allow(dead_code)]
+pub enum Payload {
+    Noop,
+    Command(Vec<u8>),
+}
+
+pub fn entry(index: u64, term: u64) -> Entry {
+    (term, index, Payload::Command(vec![index as u8, term as u8]))
+}
+
+/// Opens a file of these records, all valid by themselves. Returns what is known to be committed.
+pub fn open_with_records(
+    written: Vec<(HardState, Vec<Entry>)>,
+) -> Result<Vec<(u64, Vec<u8>)>, AgreementError> {
+    let appends = written.into_iter().map(|(hard_state, entries)| FileRecord::Append { hard_state, entries });
+    let mut bytes = Vec::new();
+    for record in std::iter::once(FileRecord::Identity { form: 1, node_id: 5 }).chain(appends) {
+        let body = postcard::to_stdvec(&record).unwrap();
+        let len = u32::try_from(body.len()).unwrap().to_le_bytes();
+        bytes.extend(
+            [len, crc32fast::hash(&len).to_le_bytes(), crc32fast::hash(&body).to_le_bytes()].concat(),
+        );
+        bytes.extend(body);
+    }
+    let (agreement, opened) = Agreement::open(Memory::of(bytes), 99, AgreementLimits::default(), SECOND)?;
+    assert_eq!((agreement.node_id(), opened.new), (5, false));
+    Ok(opened.committed)
+}
--- a/courier/fleet/tests/parts/config.rs
+++ b/courier/fleet/tests/parts/config.rs
@@ -18,7 +18,7 @@
     }
 }
 
-/// A copy beside its owner goes down with it: only where there is no other.
+/// A replica on its owner's host fails together with it: such a courier comes last.
 #[test]
 fn replicas_prefer_other_hosts() {
     let config = config(&[("a", "h1"), ("b", "h1"), ("c", "h2"), ("d", "")]);
@@ -27,7 +27,7 @@
     assert_eq!((order.len(), order[2].as_str()), (3, "b"), "{order:?}");
 }
 
-/// The member's lease, by a clock as slow as may be, is over before the leader's, by one as fast as may be.
+/// The member's lease, by the slowest clock, expires before the leader's, by the fastest one.
 #[test]
 fn a_lease_expires_at_the_member_first() {
     let config = config(&[("a", "")]);
--- a/courier/fleet/tests/parts/lease.rs
+++ b/courier/fleet/tests/parts/lease.rs
@@ -1,8 +1,8 @@
-//! Presence by lease.
+//! Leases.
 
 use quillmount_fleet::lease::GrantedLeases;
 
-/// A member that is still heard while the word that it is gone is on its way must not begin anew on that lease.
+/// A member whose deregistration is proposed gets no new lease, even if it sends a renewal before the commit.
 #[test]
 fn no_lease_is_granted_after_expiry_is_proposed() {
     let mut granted = GrantedLeases::default();
