--- a/courier/fleet/src/breaks.rs
+++ b/courier/fleet/src/breaks.rs
@@ -1,7 +1,8 @@
-//! Deliberate breaks of the fleet's code, each of which the tests have to find; no release build has them.
+//! Deliberate faults in the fleet's code, behind the feature `breaks`: the tests have to find each. No release build has
+//! them.
 
-/// The switch for one enumeration of breaks: `on` says whether one is on, `set` puts it on, or all off. One at most is on, for
-/// the thread that put it on, so that tests side by side don't meet; without the feature `breaks` none ever is.
+/// Defines `on` and `set` for an enumeration of faults. At most one fault is on, for the thread that set it, so that
+/// parallel tests don't interfere; without the feature `breaks` none ever is.
 macro_rules! switch {
     ($Break:ty) => {
         #[cfg(feature = "breaks")]
@@ -9,20 +10,20 @@
             static CHOSEN: std::cell::Cell<Option<$Break>> = const { std::cell::Cell::new(None) };
         }
 
-        /// Whether this break is on.
+        /// Whether this fault is on.
         #[cfg(feature = "breaks")]
         pub fn on(one: $Break) -> bool {
             CHOSEN.get() == Some(one)
         }
 
-        /// Never: this build has no breaks.
+        /// Always false: this build has no faults.
         #[cfg(not(feature = "breaks"))]
         #[inline(always)]
         pub const fn on(_: $Break) -> bool {
             false
         }
 
-        /// Puts a break on, or all off, for this thread.
+        /// Switches one fault on, or all off, for this thread.
         #[cfg(feature = "breaks")]
         pub fn set(one: Option<$Break>) {
             CHOSEN.set(one);
@@ -31,20 +32,20 @@
 }
 pub(crate) use switch;
 
-/// What is broken.
+/// A deliberate fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Break {
-    /// A copy takes records of an owner whose book is sealed.
+    /// A replica accepts records of an owner whose journal is sealed.
     SealIgnored,
-    /// What is written counts before any copy has it.
+    /// What is written counts before any replica has it.
     ReplicatedAtOnce,
-    /// A part is gone on with before the fleet has agreed that it is taken.
+    /// A partition is used before the fleet has agreed on its adoption.
     AdoptedAtOnce,
     /// A member acts without a lease.
     LeaseIgnored,
-    /// A new leader counts members as gone at once.
+    /// A new leader considers members gone at once.
     NoGrace,
-    /// A copy that came back with an empty folder counts as in step.
+    /// A replica that returns with an empty folder counts as up to date.
     EmptyReplicaTrusted,
 }
 
