--- a/courier/core/src/admission.rs
+++ b/courier/core/src/admission.rs
@@ -1,23 +1,22 @@
-//! The clients' connections as a table: who goes first where room is short.
+//! Connection admission: the table of the clients' connections, and which of them is closed when there are too many.
 
 use crate::machine::client::{ClientConnection, ClientState};
 use quillmount_policy::Micros;
 use std::collections::HashMap;
 
-/// A client that has come to ask has asked by then; who has not goes first when room is short.
+/// A client has sent its request within this, in microseconds; one that has not is closed first.
 pub const GRACE: Micros = 300_000;
-/// The last rank of those that have nothing to ask.
-const IDLE_RANK_MAX: u8 = 3;
-/// So many may leave at a time; there are descriptors for as many.
+/// The most connections that may be closing at a time beside the limit; there are file descriptors for as many.
 pub const LEAVING_MAX: usize = 16;
 
 #[derive(Clone, Copy, Debug)]
 struct TrackedConnection {
     state: ClientState,
+    /// Since when it is in this state.
     since: Micros,
-    /// Asked to leave, and has not said yet that it does.
+    /// Its task was asked to close it, and has not begun to.
     asked_to_close: bool,
-    /// Its request's body is passed on as it comes, which may take long.
+    /// The body of its request is passed on as it arrives, which may take long.
     streams: bool,
 }
 
@@ -30,29 +29,72 @@
         !self.asked_to_close && matches!(self.state, ClientState::Idle { .. })
     }
 
-    /// Cut off with no last look, a request that has just come whole would be lost. That may happen to a
-    /// connection's first one alone, which its client sends again.
+    /// Closed without a last read, a request that has just arrived would be lost. That may happen to a connection's first
+    /// request only, which its client sends again.
     fn needs_last_read(&self) -> bool {
         self.is_idle()
             || (!self.asked_to_close
                 && !self.streams
                 && matches!(self.state, ClientState::Requesting { first: false, .. }))
     }
+
+    fn rank(&self, now: Micros) -> EvictionRank {
+        match self.state {
+            _ if self.streams => EvictionRank::Streaming,
+            _ if self.is_closing() => EvictionRank::Closing,
+            ClientState::Closing | ClientState::Closed | ClientState::Answering { closes: true, .. } => {
+                EvictionRank::LastAnswer
+            }
+            ClientState::Requesting { .. } | ClientState::Answering { .. }
+                if now.saturating_sub(self.since) >= GRACE =>
+            {
+                EvictionRank::Slow
+            }
+            ClientState::Idle { probed: false } => EvictionRank::Idle,
+            ClientState::Idle { probed: true } => EvictionRank::Probed,
+            ClientState::Requesting { first: true, .. } => EvictionRank::FirstRequest,
+            ClientState::Requesting { .. } | ClientState::Answering { .. } | ClientState::Leaving => {
+                EvictionRank::Busy
+            }
+        }
+    }
 }
 
-/// What is to be done before one more is let in.
+/// In which order connections are closed, the first one first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum EvictionRank {
+    /// Its last answer is written, or being written.
+    LastAnswer,
+    /// Its client has been slow for [`GRACE`] to send a request or to read an answer.
+    Slow,
+    /// It is idle, and no request is expected at once.
+    Idle,
+    /// It is idle after a readiness check, so that a submission is likely to follow. The last rank without a request.
+    Probed,
+    /// It has begun its first request.
+    FirstRequest,
+    /// It is in the middle of a further request or an answer.
+    Busy,
+    /// It is closing already.
+    Closing,
+    /// It streams a body.
+    Streaming,
+}
+
+/// What is to be done before one more connection is admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
+    /// Admit it.
     Admit,
-    /// End this one at once; it has been taken off the table.
+    /// Close this one at once; it has been removed from the table.
     Evict(u64),
-    /// Ask this one to leave, and let the new one in beside it.
+    /// Ask this one to close, and admit the new one beside it.
     RequestClose(u64),
-    /// As many as may are leaving: wait for one of them.
+    /// [`LEAVING_MAX`] connections are closing: wait for one of them.
     Wait,
 }
 
-/// The table.
+/// The table of the clients' connections.
 #[derive(Clone, Debug)]
 pub struct Admission {
     all: HashMap<u64, TrackedConnection>,
@@ -61,12 +103,12 @@
 }
 
 impl Admission {
-    /// `most` connections at once, one at least, but for those that leave.
+    /// A table for `most` connections at once, one at least, beside those that are closing.
     pub fn new(most: usize) -> Self {
         Admission { all: HashMap::new(), most: most.max(1), next: 0 }
     }
 
-    /// A new connection; returns its number.
+    /// Adds a new connection; returns its number.
     pub fn enter(&mut self, now: Micros) -> u64 {
         let number = self.next;
         self.next += 1;
@@ -74,100 +116,91 @@
         number
     }
 
+    /// A connection is in this state from now on.
     pub fn set_state(&mut self, number: u64, state: ClientState, now: Micros) {
         self.all
             .insert(number, TrackedConnection { state, since: now, asked_to_close: false, streams: false });
     }
 
-    /// It streams from now on, until it is in another state: it does not make room, however long it takes.
+    /// A connection streams a body until it is in another state: it is not closed for others, however long it takes.
     pub fn mark_streaming(&mut self, number: u64) {
         self.all.entry(number).and_modify(|entry| (entry.streams, entry.asked_to_close) = (true, false));
     }
 
+    /// A connection is closed.
     pub fn remove(&mut self, number: u64) {
         self.all.remove(&number);
     }
 
-    /// Connections that may still ask: another process would go on with them.
+    /// The number of connections that may still bring requests: another process would resume them.
     pub fn handover_pending(&self) -> usize {
-        let gives = |e: &&TrackedConnection| {
+        let may_request = |e: &&TrackedConnection| {
             matches!(
                 e.state,
                 ClientState::Requesting { .. } | ClientState::Idle { .. } | ClientState::Leaving
             )
         };
-        self.all.values().filter(gives).count()
+        self.all.values().filter(may_request).count()
     }
 
+    /// Whether there is no connection.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 
-    /// Whether the word to leave still holds for it: it has not gone on to something else since.
+    /// Whether a connection is still asked to close: its state has not changed since.
     pub fn is_asked_to_close(&self, number: u64) -> bool {
         self.all.get(&number).is_some_and(|e| e.asked_to_close)
     }
 
-    /// Who was asked to leave and has not said yet that it does; for whoever explores it.
+    /// The connections that were asked to close and have not begun to, for exploration.
     pub fn asked_to_close(&self) -> Vec<u64> {
-        let mut asked_to_close: Vec<u64> =
+        let mut numbers: Vec<u64> =
             self.all.iter().filter(|(_, e)| e.asked_to_close).map(|(n, _)| *n).collect();
-        asked_to_close.sort_unstable();
-        asked_to_close
+        numbers.sort_unstable();
+        numbers
     }
 
-    /// Those that rest are to leave; returns their numbers.
+    /// Asks all idle connections to close; returns their numbers.
     pub fn close_all_idle(&mut self) -> Vec<u64> {
-        let resting = self.all.iter_mut().filter(|(_, e)| e.is_idle());
-        resting.map(|(n, e)| (e.asked_to_close = true, *n).1).collect()
+        let mut closing = Vec::new();
+        for (number, connection) in self.all.iter_mut().filter(|(_, connection)| connection.is_idle()) {
+            connection.asked_to_close = true;
+            closing.push(*number);
+        }
+        closing
     }
 
-    /// Who is asked to leave while it asks for one more is waited for no longer than for a last look.
+    /// Decides what is to be done before one more connection is admitted, by [`EvictionRank`].
     ///
-    /// First goes who was answered for the last time, then who was slow to ask, then who has rested
-    /// longest, but not with a request that has just come: that would be lost.
+    /// A connection that was asked to close in the middle of a further request is waited for no longer than one last read.
     pub fn decide(&mut self, now: Micros) -> Decision {
-        if self.all.len() < self.most { Decision::Admit } else { self.first_to_go(now, u8::MAX) }
+        if self.all.len() < self.most { Decision::Admit } else { self.evict(now, EvictionRank::Streaming) }
     }
 
-    /// The system has no descriptor left, whatever may be by the settings: who has nothing to ask gives one back.
+    /// The process has no file descriptor left, whatever the settings allow: a connection without a request is closed.
     pub fn reclaim_descriptor(&mut self, now: Micros) -> Decision {
-        self.first_to_go(now, IDLE_RANK_MAX)
+        self.evict(now, EvictionRank::Probed)
     }
 
-    /// Who goes first, of those whose rank is `most` at most.
-    fn first_to_go(&mut self, now: Micros, most: u8) -> Decision {
-        let rank = |e: &TrackedConnection| match e.state {
-            _ if e.streams => 7,
-            _ if e.is_closing() => 6,
-            ClientState::Closing | ClientState::Closed | ClientState::Answering { closes: true, .. } => 0,
-            ClientState::Requesting { .. } | ClientState::Answering { .. }
-                if now.saturating_sub(e.since) >= GRACE =>
-            {
-                1
-            }
-            ClientState::Idle { probed: false } => 2,
-            ClientState::Idle { .. } => IDLE_RANK_MAX,
-            ClientState::Requesting { first: true, .. } => 4,
-            ClientState::Requesting { .. } | ClientState::Answering { .. } | ClientState::Leaving => 5,
+    /// Closes the connection with the lowest rank, and of those the oldest, if its rank is `most` at most.
+    fn evict(&mut self, now: Micros, most: EvictionRank) -> Decision {
+        let closing = self.all.values().filter(|connection| connection.is_closing()).count();
+        let ranked = self.all.iter().map(|(n, connection)| (connection.rank(now), connection.since, *n));
+        let Some((_, _, number)) = ranked.filter(|(rank, ..)| *rank <= most).min() else {
+            return Decision::Admit;
         };
-        let leaving = self.all.values().filter(|e| e.is_closing()).count();
-        let all = self.all.iter().filter(|(_, e)| rank(e) <= most);
-        let first = all.min_by_key(|(n, e)| (rank(e), e.since, **n)).map(|(n, e)| (*n, *e));
-        match first {
-            None => Decision::Admit,
-            Some((_, e)) if (e.is_closing() || e.needs_last_read()) && leaving >= LEAVING_MAX => {
-                Decision::Wait
-            }
-            Some((_, e)) if e.is_closing() || e.streams => Decision::Admit,
-            Some((n, e)) if e.needs_last_read() => {
-                self.all.entry(n).and_modify(|e| e.asked_to_close = true);
-                Decision::RequestClose(n)
-            }
-            Some((n, _)) => {
-                self.all.remove(&n);
-                Decision::Evict(n)
-            }
+        let Some(connection) = self.all.get_mut(&number) else { return Decision::Admit };
+        if (connection.is_closing() || connection.needs_last_read()) && closing >= LEAVING_MAX {
+            Decision::Wait
+        } else if connection.is_closing() || connection.streams {
+            Decision::Admit
+        } else if connection.needs_last_read() {
+            connection.asked_to_close = true;
+            Decision::RequestClose(number)
+        } else {
+            self.all.remove(&number);
+            Decision::Evict(number)
         }
     }
 }
--- a/courier/core/src/call.rs
+++ b/courier/core/src/call.rs
@@ -1,4 +1,5 @@
-//! One delivery call with its connection: the attempt's machine, and what the connection pool is to know of it.
+//! One delivery call in flight with its connection: passes inputs to the attempt's machine and tells the connection pool of
+//! the results.
 
 use crate::machine::attempt::{
     Attempt, AttemptInput, AttemptSnapshot, AttemptState, ConnectionAction, Decode,
@@ -10,34 +11,36 @@
 use quillmount_policy::breaks::{self, Break};
 use serde::{Deserialize, Serialize};
 
-/// A call that is out. `C` is a connection to an endpoint.
+/// A call in flight. `C` is a connection to an endpoint.
 #[derive(Clone, Debug)]
 pub struct Call<C> {
+    /// What is to be delivered, and where.
     pub order: DeliveryCall,
     attempt: Attempt,
     connection: Option<(EndpointConnection, C)>,
-    /// The pool counts the call, until its connection is closed or kept.
+    /// The pool counts the call; it does until the connection is closed or becomes idle.
     is_counted: bool,
-    /// A refusal that closes its connection is taken for a full table of connections there. The driver says so before it
-    /// starts, where answers hold reports of load, so that a refusal by a limit is known for one; it is over where the call
-    /// starts on a connection that rested.
+    /// A rejection that closes its connection is taken for a full connection table at the endpoint. The driver sets this
+    /// before the start where answers hold load reports, which tell a rejection by a limit apart; a call that starts on an
+    /// idle connection clears it.
     pub full_closes: bool,
 }
 
-/// What a step came to.
+/// The outcome of a step.
 #[derive(Debug)]
 pub struct StepOutcome<C> {
-    /// The call is over, and is to be reported.
+    /// The call has ended so, which is to be reported.
     pub end: Option<CallEnd>,
-    /// The call's connection is to send nothing more, and is still read.
+    /// End the sending side of the call's connection, and go on reading it.
     pub finish: bool,
-    /// A connection to close: the call's own, or one that rested elsewhere and makes room.
+    /// A connection to close: the call's own, or an idle one to make way for the call's.
     pub to_close: Option<C>,
 }
 
-/// A call as another process goes on with it, beside its connection.
+/// A call as it is handed over to another process, without its connection. Encoded by position.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CallSnapshot {
+    /// What is to be delivered, and where.
     pub order: DeliveryCall,
     attempt: AttemptSnapshot,
     /// When its time is up.
@@ -45,7 +48,7 @@
 }
 
 impl<C> Call<C> {
-    /// Gives the call up to another process, with its connection; the pool does not count it any more.
+    /// The call and its connection for another process; the pool counts it no more. `until` is when its time is up.
     pub fn snapshot(self, pool: &mut Pool<C>, until: Micros) -> (CallSnapshot, Option<C>) {
         if self.is_counted {
             pool.end();
@@ -57,7 +60,7 @@
         )
     }
 
-    /// Goes on with another process's call. One that had not left yet is to be started.
+    /// Resumes another process's call. If nothing of it was sent, it is to be started.
     pub fn resumed(
         snapshot: CallSnapshot,
         decode: Decode,
@@ -78,37 +81,40 @@
         Call { order: snapshot.order, attempt, connection, is_counted, full_closes: false }
     }
 
-    /// `decode` reads answers, and never more than `most` bytes of one.
+    /// A call to be started. `decode` reads its answer, of which at most `most` bytes are read.
     pub fn new(order: DeliveryCall, decode: Decode, most: usize) -> Self {
         let attempt = Attempt::new(decode, most, order.by);
         Call { order, attempt, connection: None, is_counted: false, full_closes: false }
     }
 
-    /// The same for a stream, whose body is passed on as it comes.
+    /// The same for a call whose body is passed on as it arrives.
     pub fn streamed(order: DeliveryCall, decode: Decode, most: usize) -> Self {
         let attempt = Attempt::streamed(decode, most, order.by);
         Call { order, attempt, connection: None, is_counted: false, full_closes: false }
     }
 
+    /// The attempt's machine.
     pub fn attempt(&self) -> &Attempt {
         &self.attempt
     }
 
-    /// The connection and the answer's buffer, for whoever moves the bytes.
+    /// The connection and the answer's buffer, for moving bytes.
     pub fn parts(&mut self) -> Option<(&mut C, &mut Vec<u8>)> {
         let (_, connection) = self.connection.as_mut()?;
         Some((connection, self.attempt.answer_mut()))
     }
 
+    /// The connection, if the call has one.
     pub fn connection(&self) -> Option<&C> {
         self.connection.as_ref().map(|(_, connection)| connection)
     }
 
+    /// The attempt's state.
     pub fn state(&self) -> AttemptState {
         self.attempt.state()
     }
 
-    /// Begins: takes a connection that rests, or wants a new one ([`State::Connecting`]), or is held back.
+    /// Starts the call on an idle connection, or on a new one ([`AttemptState::Connecting`]), or holds it back.
     pub fn start(&mut self, pool: &mut Pool<C>, now: Micros, quiet: impl Fn(&C) -> bool) -> StepOutcome<C> {
         let (endpoint, addr) = (self.order.endpoint, self.order.addr);
         let open = pool.is_open(endpoint, now);
@@ -116,11 +122,11 @@
             self.connection = pool.begin(endpoint, addr, now, quiet);
             self.is_counted = true;
         }
-        let resting = self.rests();
+        let resting = self.starts_on_idle();
         self.step(pool, AttemptInput::Start { open, resting }, now)
     }
 
-    /// Begins on this connection, or on a new one where there is none: it has leave for no other.
+    /// Starts the call on this connection, or on a new one if there is none; it may use no other.
     pub fn start_on(
         &mut self,
         pool: &mut Pool<C>,
@@ -132,19 +138,20 @@
             return StepOutcome { to_close: on.map(|(_, connection)| connection), ..outcome };
         }
         pool.resume_call();
-        (self.connection, self.is_counted) = (on, true);
-        let resting = self.rests();
+        self.connection = on;
+        self.is_counted = true;
+        let resting = self.starts_on_idle();
         self.step(pool, AttemptInput::Start { open: true, resting }, now)
     }
 
-    /// Whether it starts on a connection that rested: a table that was full would not have let that one in.
-    fn rests(&mut self) -> bool {
+    /// Whether the call starts on an idle connection; a full connection table would not have admitted that one.
+    fn starts_on_idle(&mut self) -> bool {
         let resting = self.connection.is_some();
         self.full_closes &= !resting;
         resting
     }
 
-    /// The connection that it waited for is up.
+    /// The connection that the call waited for is established.
     pub fn connected(&mut self, pool: &mut Pool<C>, connection: C, now: Micros) -> StepOutcome<C> {
         let mut machine = pool.open();
         machine.step(ConnectionInput::Connected, now);
@@ -153,11 +160,11 @@
         self.step(pool, AttemptInput::Connected { open }, now)
     }
 
-    /// Anything else that happened.
+    /// Anything else happened.
     pub fn step(&mut self, pool: &mut Pool<C>, input: AttemptInput, now: Micros) -> StepOutcome<C> {
         let mut output = self.attempt.step(input, now);
-        // An endpoint whose table of connections is full takes a new one only to say so, and closes it: that is a connect
-        // that failed. A destination that is over its limit keeps the connection.
+        // An endpoint whose connection table is full accepts a new connection only to say so, and closes it: that is a failed
+        // connect. A destination that is over its limit keeps the connection open.
         if self.full_closes
             && output.action == ConnectionAction::Close
             && output.end == Some(CallEnd::Full(0))
--- a/courier/core/src/hub.rs
+++ b/courier/core/src/hub.rs
@@ -1,5 +1,7 @@
-//! The courier without its sockets: the router, the pool and the calls that are out, wired together. What
-//! is left to the driver is to move bytes, keep time and write the log.
+//! The courier without its sockets: the router and the connection pool, wired together.
+//!
+//! The driver reports what happened, carries out the [`DriverAction`]s that it gets back, in order, and is left to move
+//! bytes, keep the time and write the log. Each delivery call in flight is a [`Call`](crate::call::Call) of the driver's.
 
 use crate::disabled::DisableError;
 use crate::journal::{JournalEntry, JournalError, Settlements, Source};
@@ -14,87 +16,91 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// What the driver is to do, in order.
+/// What the driver is to do. `C` is a connection to an endpoint.
 #[derive(Debug)]
 pub enum DriverAction<C> {
-    /// Begin an attempt, with a machine of its own.
+    /// Begin this call.
     Begin(DeliveryCall),
-    /// Tell an attempt that is out: `GiveUp`, `Ended`, `Shut` or `Hold`.
+    /// Pass this input to a call in flight: `GiveUp`, `MessageEnded`, `Shut` or `BackOff`.
     Signal(CallId, AttemptInput),
-    /// Close these connections, which rested.
+    /// Close these idle connections.
     Close(Vec<C>),
-    /// There are notices to send.
+    /// There are notices to send; see [`Router::notices`].
     Notify,
-    /// A stream has its final answer.
+    /// Send the final answer of this stream; see [`RouterAction::Answer`].
     Answer(MsgId, StreamEnd),
-    /// A line for the log.
+    /// Write this to the log.
     Note(Note),
 }
 
-/// The courier's tables and decisions; `C` is a connection to an endpoint.
+/// The courier's tables and decisions. `S` is the journal's store, `C` a connection to an endpoint.
 #[derive(Clone, Debug)]
 pub struct Hub<S, C> {
+    /// The messages and calls.
     pub router: Router<S>,
+    /// The connections to endpoints.
     pub pool: Pool<C>,
 }
 
-/// What one process hands to the next, but for its sockets and what goes with them.
+/// What one process hands over to the next, except for its sockets and their calls. Encoded by position.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HubState {
+    /// The router's state.
     pub router: router::RouterState,
-    /// Until when endpoints take no call, by number.
+    /// The endpoints to which no call may start, by number, each with the time until when.
     pub backoffs: Vec<(u32, Micros)>,
 }
 
 impl<S: Store, C> Hub<S, C> {
+    /// A hub of these parts.
     pub fn new(router: Router<S>, pool: Pool<C>) -> Self {
         Hub { router, pool }
     }
 
-    /// A client hands in a submission; see [`Router::submit`].
+    /// A client submits a message; see [`Router::submit`].
     pub fn submit(&mut self, submission: Submission, now: Micros) -> (Intake, Vec<DriverAction<C>>) {
-        let (intake, steps) = self.router.submit(submission, now);
-        (intake, self.carry_out(steps, now))
+        let (intake, actions) = self.router.submit(submission, now);
+        (intake, self.carry_out(actions, now))
     }
 
-    /// A client begins to hand in a stream; see [`Router::submit_stream`].
+    /// A client begins to submit a stream; see [`Router::submit_stream`].
     pub fn submit_stream(
         &mut self,
         submission: Submission,
         now: Micros,
     ) -> (Intake, MsgId, Vec<DriverAction<C>>) {
-        let (intake, msg, steps) = self.router.submit_stream(submission, now);
-        (intake, msg, self.carry_out(steps, now))
+        let (intake, msg, actions) = self.router.submit_stream(submission, now);
+        (intake, msg, self.carry_out(actions, now))
     }
 
-    /// Something happened to a stream.
+    /// Something happened to a stream: applies it to the router.
     pub fn stream(
         &mut self,
-        act: impl FnOnce(&mut Router<S>) -> Vec<RouterAction>,
+        apply: impl FnOnce(&mut Router<S>) -> Vec<RouterAction>,
         now: Micros,
     ) -> Vec<DriverAction<C>> {
-        let steps = act(&mut self.router);
-        self.carry_out(steps, now)
+        let actions = apply(&mut self.router);
+        self.carry_out(actions, now)
     }
 
-    /// Discovery told of endpoints.
+    /// Discovery has sent a list of endpoints; see [`Router::list`].
     pub fn list(&mut self, list: EndpointList, now: Micros) -> Vec<DriverAction<C>> {
-        let steps = self.router.list(list, now);
-        self.carry_out(steps, now)
+        let actions = self.router.list(list, now);
+        self.carry_out(actions, now)
     }
 
-    /// Operators take an endpoint out or put it back; see [`Router::disable`].
+    /// Operators disable or enable an endpoint; see [`Router::disable`] and [`Router::enable`].
     ///
     /// # Errors
-    /// Nobody has the id, or its record could not be written: nothing has changed.
+    /// No endpoint has the id, too many are disabled, or the record could not be written: nothing has changed.
     pub fn set_disabled(
         &mut self,
         id: &str,
         disabled: bool,
         now: Micros,
     ) -> Result<Vec<DriverAction<C>>, DisableError> {
-        let steps = if disabled { self.router.disable(id, now) } else { self.router.enable(id, now) };
-        Ok(self.carry_out(steps?, now))
+        let actions = if disabled { self.router.disable(id, now) } else { self.router.enable(id, now) };
+        Ok(self.carry_out(actions?, now))
     }
 
     /// Adopts the messages of another courier's journal; see [`Router::adopt`].
@@ -107,63 +113,63 @@
         settlements: &Settlements,
         now: Micros,
     ) -> Result<Vec<DriverAction<C>>, JournalError> {
-        let steps = self.router.adopt(entries, settlements, now)?;
-        Ok(self.carry_out(steps, now))
+        let actions = self.router.adopt(entries, settlements, now)?;
+        Ok(self.carry_out(actions, now))
     }
 
-    /// Ends what was never handed in here, with a notice; see [`Router::end_unsent`].
+    /// Ends a message that was never submitted, with a notice; see [`Router::end_unsent`].
     ///
     /// # Errors
-    /// The journal has no room, or its store refused the records: then nothing has changed.
+    /// The store refused the records: nothing has changed.
     pub fn end_unsent(
         &mut self,
         submission: Submission,
         ending: Ending,
         now: Micros,
     ) -> Result<Vec<DriverAction<C>>, JournalError> {
-        let steps = self.router.end_unsent(submission, ending, now)?;
-        Ok(self.carry_out(steps, now))
+        let actions = self.router.end_unsent(submission, ending, now)?;
+        Ok(self.carry_out(actions, now))
     }
 
-    /// The fleet has said whose the messages of a source are; see [`Router::settle_source`].
+    /// The fleet has decided whether this courier owns the messages of a source; see [`Router::settle_source`].
     ///
     /// # Errors
-    /// The store refused the record: they go on to wait.
+    /// The store refused the record: the messages go on waiting.
     pub fn settle_source(
         &mut self,
         source: &Source,
         accepted: bool,
         now: Micros,
     ) -> Result<Vec<DriverAction<C>>, JournalError> {
-        let steps = self.router.settle_source(source, accepted, now)?;
-        Ok(self.carry_out(steps, now))
+        let actions = self.router.settle_source(source, accepted, now)?;
+        Ok(self.carry_out(actions, now))
     }
 
-    /// Time has passed; wanted at the router's `wake_at` at the latest.
+    /// Time has passed; to be called at [`Router::wake_at`] at the latest.
     pub fn tick(&mut self, now: Micros) -> Vec<DriverAction<C>> {
-        let steps = self.router.tick(now);
-        self.carry_out(steps, now)
+        let actions = self.router.tick(now);
+        self.carry_out(actions, now)
     }
 
-    /// Takes nothing on any more; the process ends at `at`.
+    /// Begins a graceful shutdown; the process ends at `at`. See [`Router::stop`].
     pub fn stop(&mut self, now: Micros, at: Micros) -> Vec<DriverAction<C>> {
-        let steps = self.router.stop(now, at);
-        self.carry_out(steps, now)
+        let actions = self.router.stop(now, at);
+        self.carry_out(actions, now)
     }
 
     /// The platform has confirmed these notices.
     pub fn notices_confirmed(&mut self, notices: &[Notice], now: Micros) -> Vec<DriverAction<C>> {
-        let steps = self.router.notices_confirmed(notices, now);
-        self.carry_out(steps, now)
+        let actions = self.router.notices_confirmed(notices, now);
+        self.carry_out(actions, now)
     }
 
-    /// An attempt is over.
+    /// A call ended in the same way for all of its messages.
     pub fn call_ended(&mut self, call: CallId, end: CallEnd, now: Micros) -> Vec<DriverAction<C>> {
-        let steps = self.router.call_ended(call, end, now);
-        self.carry_out(steps, now)
+        let actions = self.router.call_ended(call, end, now);
+        self.carry_out(actions, now)
     }
 
-    /// The same, with what its answer says besides.
+    /// A call ended in the same way for all of its messages, and its answer had a report.
     pub fn call_ended_with_report(
         &mut self,
         call: CallId,
@@ -171,11 +177,11 @@
         report: &AnswerReport,
         now: Micros,
     ) -> Vec<DriverAction<C>> {
-        let steps = self.router.call_ended_with_report(call, end, report, now);
-        self.carry_out(steps, now)
+        let actions = self.router.call_ended_with_report(call, end, report, now);
+        self.carry_out(actions, now)
     }
 
-    /// An attempt is over, with a word for each of its messages; see [`Router::call_ended_each`].
+    /// A call ended with an end for each of its messages; see [`Router::call_ended_each`].
     pub fn call_ended_each(
         &mut self,
         call: CallId,
@@ -183,41 +189,41 @@
         report: &AnswerReport,
         now: Micros,
     ) -> Vec<DriverAction<C>> {
-        let steps = self.router.call_ended_each(call, ends, report, now);
-        self.carry_out(steps, now)
+        let actions = self.router.call_ended_each(call, ends, report, now);
+        self.carry_out(actions, now)
     }
 
-    /// All that is decided from; `settings`: their mark.
+    /// The state to hand over; `settings` is their [`settings_fingerprint`](router::settings_fingerprint).
     pub fn state(&self, settings: u32) -> HubState {
         HubState { router: self.router.state(settings), backoffs: self.pool.backoffs() }
     }
 
-    /// Goes on from another process's state: what of it is not the router's, and its first steps.
+    /// Resumes from another process's state: the part of it that is not the router's, and the router's first actions.
     pub fn resume(
         &mut self,
         backoffs: &[(u32, Micros)],
-        steps: Vec<RouterAction>,
+        actions: Vec<RouterAction>,
         now: Micros,
     ) -> Vec<DriverAction<C>> {
         backoffs.iter().for_each(|(endpoint, until)| self.pool.back_off(*endpoint, *until));
-        self.carry_out(steps, now)
+        self.carry_out(actions, now)
     }
 
-    /// Nothing is owed, and no call is out.
+    /// No message is owed an end, and none is in flight.
     pub fn is_quiet(&self) -> bool {
         self.router.load() == (0, 0)
     }
 
-    /// What the router's steps come to.
-    pub fn carry_out(&mut self, steps: Vec<RouterAction>, now: Micros) -> Vec<DriverAction<C>> {
-        let mut todo = Vec::with_capacity(steps.len());
-        let mut steps = VecDeque::from(steps);
-        while let Some(step) = steps.pop_front() {
-            match step {
+    /// Applies the router's actions to the pool; returns what is left to the driver.
+    pub fn carry_out(&mut self, actions: Vec<RouterAction>, now: Micros) -> Vec<DriverAction<C>> {
+        let mut todo = Vec::with_capacity(actions.len());
+        let mut actions = VecDeque::from(actions);
+        while let Some(action) = actions.pop_front() {
+            match action {
                 RouterAction::Call(call) => todo.push(DriverAction::Begin(call)),
                 RouterAction::NotWritten(_) if breaks::is_enabled(Break::HeldBackLost) => {}
                 RouterAction::NotWritten(call) => {
-                    steps.extend(self.router.call_ended(call, CallEnd::HeldBack, now));
+                    actions.extend(self.router.call_ended(call, CallEnd::HeldBack, now));
                 }
                 RouterAction::GiveUp(call) => todo.push(DriverAction::Signal(call, AttemptInput::GiveUp)),
                 RouterAction::Ended(call) => {
