--- a/courier/core/tests/admission.rs
+++ b/courier/core/tests/admission.rs
@@ -4,7 +4,7 @@
 use quillmount_core::machine::client::ClientState;
 
 #[test]
-fn who_goes_first() {
+fn connections_are_evicted_in_the_order_of_their_rank() {
     let mut admission = Admission::new(4);
     let states = [
         ClientState::Requesting { first: true, last: false },
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn only_so_many_leave_at_a_time() {
+fn only_a_limited_number_of_connections_closes_at_a_time() {
     let mut admission = Admission::new(LEAVING_MAX + 2);
     (0..LEAVING_MAX as u64 + 2).for_each(|n| admission.set_state(n, ClientState::Idle { probed: false }, n));
     (0..LEAVING_MAX as u64).for_each(|n| assert_eq!(admission.decide(99), Decision::RequestClose(n)));
@@ -55,7 +55,7 @@
 
 /// Without a descriptor whoever has nothing to ask goes, below the table's own bound too; who asks stays.
 #[test]
-fn only_those_that_have_nothing_to_ask_give_a_descriptor_back() {
+fn descriptors_are_reclaimed_only_from_connections_without_a_request() {
     let mut admission = Admission::new(100);
     assert_eq!(admission.reclaim_descriptor(9), Decision::Admit);
     let asking = ClientState::Requesting { first: true, last: false };
--- a/courier/core/tests/adopt.rs
+++ b/courier/core/tests/adopt.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn what_another_journal_owes_goes_on_as_after_a_restart() {
+fn adopted_messages_go_on_as_after_a_restart() {
     let mut hub = open(Memory::default(), DISK);
     let refused = JournalEntry {
         calls: vec![PastCall { sent: 5, effect: None, never_ran: Some(true) }],
@@ -98,7 +98,7 @@
 
 /// Zones have other numbers at each courier: number 0 is this one's own here, and that of the lost one there.
 #[test]
-fn a_repeat_that_only_one_zone_would_know_goes_to_none() {
+fn an_adopted_message_deduplicated_by_an_unknown_zone_is_not_repeated() {
     let mut hub = open(Memory::default(), DISK);
     let entries = vec![of("paid-notice", out("anywhere")), of("zone-notice", out("zone"))];
     assert_eq!(ids(calls(hub.adopt(entries, &Settlements::default(), NOW).unwrap())), ["anywhere"]);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn what_is_open_or_ended_here_is_not_taken_over_again() {
+fn a_message_that_is_owed_or_ended_here_is_not_adopted() {
     let mut hub = open(Memory::default(), DISK);
     let entries = || vec![out("out"), owed("fresh"), owed("fresh")];
     let skipped = |todo: &[DriverAction<u32>]| -> Vec<String> {
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_refusal_or_a_kill_in_the_middle_leaves_nothing_half_taken_over() {
+fn a_refused_write_or_a_crash_adopts_nothing_in_part() {
     let entries = || vec![out("a"), out("b"), owed("c")];
     let mut hub = open(Memory::default(), DISK);
     hub.adopt(vec![owed("own")], &Settlements::default(), NOW).unwrap();
@@ -174,7 +174,7 @@
 /// Between the writing and the fleet's word nothing is done; a kill in between leaves it to be settled, and what another
 /// courier has got leaves the journal.
 #[test]
-fn messages_with_a_source_wait_for_the_fleets_decision() {
+fn adopted_messages_with_a_source_wait_for_the_decision_of_the_fleet() {
     use quillmount_core::journal::Source;
     let source = |part| Source { owner: "a".into(), epoch: 3, part };
     let from = |part, entry| JournalEntry { source: Some(source(part)), ..entry };
--- a/courier/core/tests/attempts.rs
+++ b/courier/core/tests/attempts.rs
@@ -46,7 +46,7 @@
 
 /// Between the order and the first byte the host may stand still: a repeat that is late by then stays.
 #[test]
-fn a_repeat_that_begins_after_its_span_does_not_leave() {
+fn a_repeat_that_starts_after_its_span_is_held_back() {
     for resting in [true, false] {
         for (now, state) in [(BY - 1, None), (BY, Some(CallEnd::HeldBack)), (BY + 9, Some(CallEnd::HeldBack))]
         {
@@ -70,7 +70,7 @@
 /// A connection that comes up late, or a write that lasts: neither the first byte of a repeat leaves after its time,
 /// nor the last.
 #[test]
-fn a_repeat_leaves_whole_within_its_span_or_not() {
+fn a_repeat_is_sent_completely_within_its_span_or_not_at_all() {
     let mut late = attempt(BY, "connecting");
     let output = late.step(AttemptInput::Connected { open: true }, BY);
     assert_eq!((output.action, output.end), (ConnectionAction::Close, Some(CallEnd::HeldBack)));
@@ -94,7 +94,7 @@
 /// Up to its last byte a call has not run, whatever stops it: its time, the module, a reset, its connect. From then
 /// on it may have.
 #[test]
-fn what_ends_before_its_last_byte_never_ran_and_what_ends_after_it_may_have() {
+fn an_attempt_that_ends_before_its_last_byte_never_ran_and_one_that_ends_later_may_have() {
     use CallEnd::{CouldNotConnect, GivenUp, HeldBack, Reset, Spoilt, TimedOut};
     let unsent = [
         ("connecting", AttemptInput::Refused, CouldNotConnect),
@@ -153,7 +153,7 @@
 
 /// What is told in the last moment holds: a refusal that crosses with the word to give up proves that it never ran.
 #[test]
-fn an_answer_that_crosses_with_the_end_of_waiting_counts() {
+fn an_answer_that_crosses_with_the_cancellation_counts() {
     for word in [AttemptInput::Deadline, AttemptInput::GiveUp] {
         let mut call = attempt(Micros::MAX, "awaiting");
         assert_eq!(call.step(word, NOW).action, ConnectionAction::Finish);
--- a/courier/core/tests/bundles.rs
+++ b/courier/core/tests/bundles.rs
@@ -88,7 +88,7 @@
 
 /// Each row of the outcome table, for the debit and for one of the quotes; the other one is delivered.
 #[test]
-fn each_message_of_a_call_gets_the_end_that_is_true_of_it() {
+fn each_message_of_a_call_gets_its_own_end() {
     let rows = [
         (CallEnd::Delivered, Some(End::Delivered), false),
         (CallEnd::Gone, Some(End::Delivered), false),
@@ -115,7 +115,7 @@
 
 /// A wait on an answer that delivers binds as any other.
 #[test]
-fn a_wait_told_beside_deliveries_holds_the_destination() {
+fn a_wait_advised_beside_deliveries_binds_the_destination() {
     let (mut hub, _) = open(Memory::default(), NOW);
     let (call, now) = bundle(&mut hub);
     hub.call_ended_each(
@@ -131,7 +131,7 @@
 
 /// What may be repeated is not waited for as long as a debit: it leaves the call, which goes on.
 #[test]
-fn a_message_whose_time_is_up_leaves_a_call_that_goes_on_and_is_settled_if_it_was_delivered() {
+fn a_message_that_timed_out_leaves_its_call_and_is_completed_if_the_call_delivered_it() {
     let (mut hub, _) = open(Memory::default(), NOW);
     let (call, now) = bundle(&mut hub);
     let at = now + 7_000_000;
@@ -153,7 +153,7 @@
 
 /// Killed at every byte of what the call's beginning and its end write: a debit that may have left is never sent again.
 #[test]
-fn a_kill_at_any_byte_of_a_call_repeats_no_debit_and_loses_no_message() {
+fn a_crash_at_any_byte_of_a_call_repeats_no_fragile_message_and_loses_none() {
     let (mut hub, _) = open(Memory::default(), NOW);
     let before = {
         let mut early = open(Memory::default(), NOW).0;
@@ -183,7 +183,7 @@
 
 /// The records of a call are there together or not at all, and without them nothing leaves.
 #[test]
-fn a_call_without_its_records_stays_here() {
+fn a_call_whose_records_were_refused_is_not_sent() {
     let (mut hub, _) = open(Memory::default(), NOW);
     for id in ["q0", "q1", "d2", "q3", "q4"] {
         hand_in(&mut hub, id, NOW);
@@ -201,7 +201,7 @@
 
 /// Another process goes on with a call and all of its messages.
 #[test]
-fn a_call_with_several_messages_moves_to_the_next_process_whole() {
+fn a_call_with_several_messages_is_handed_over_completely() {
     let (mut hub, _) = open(Memory::default(), NOW);
     let (call, now) = bundle(&mut hub);
     let mark = quillmount_core::router::settings_fingerprint(&env(), None).unwrap();
@@ -218,7 +218,7 @@
 /// Two routes of one destination, of which one tells a wait: the pool holds that one alone, as the module does, and what
 /// it sends to the other leaves.
 #[test]
-fn a_wait_told_by_one_of_separate_routes_holds_no_other() {
+fn a_wait_advised_by_one_of_separate_routes_binds_no_other() {
     for (apart, held) in [(true, false), (false, true)] {
         let env = SenderSettings {
             family_info: DestinationSettings { separate_routes: vec![apart], ..env().family_info },
@@ -247,7 +247,7 @@
 /// An answer after the time of the call's first message counts for none of them: the one that lives longest stands first,
 /// whatever the order of the module, and at the end of its time the call is waited for by nobody.
 #[test]
-fn the_message_with_the_latest_deadline_stands_first_in_a_call() {
+fn the_message_with_the_latest_deadline_leads_a_call() {
     let (mut hub, _) = open(Memory::default(), NOW);
     let alone: Vec<DeliveryCall> = ["q0", "q1"].iter().flat_map(|id| hand_in(&mut hub, id, NOW)).collect();
     for (n, id) in (0..).zip(["d2", "q3", "d4", "d5", "q6"]) {
@@ -274,7 +274,7 @@
 /// A quote that lives longer than the debits beside it is waited for less long: it is left behind, sent again or ended, and
 /// what the call's answer says of the debits has to count.
 #[test]
-fn who_is_waited_for_longest_stands_first_in_a_call() {
+fn the_message_with_the_longest_timeout_leads_a_call() {
     let (mut hub, _) = open(Memory::default(), NOW);
     let alone: Vec<DeliveryCall> = ["q0", "q1"].iter().flat_map(|id| hand_in(&mut hub, id, NOW)).collect();
     for (n, id) in (0..).zip(["d2", "q3", "d4", "q5"]) {
--- a/courier/core/tests/disabled.rs
+++ b/courier/core/tests/disabled.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn nothing_goes_to_a_disabled_endpoint_whatever_is_listed_until_one_call_puts_it_back() {
+fn no_call_goes_to_a_disabled_endpoint_whatever_is_listed_until_it_is_enabled() {
     let mut hub = open(Memory::default());
     assert!(matches!(hub.set_disabled("x", true, NOW), Err(DisableError::Unknown(_))));
     assert!(matches!(hub.set_disabled("x", false, NOW), Err(DisableError::Unknown(_))));
@@ -77,7 +77,7 @@
 
 /// A whole list that omits an endpoint says that it is gone: put back, it is gone still.
 #[test]
-fn an_endpoint_that_went_while_it_was_out_is_not_called_when_it_is_put_back() {
+fn an_endpoint_that_was_removed_while_disabled_gets_no_call_when_it_is_enabled() {
     let mut hub = open(Memory::default());
     hub.list(list(true, &[("a", EndpointState::Ready)]), NOW);
     hub.set_disabled("a", true, NOW).unwrap();
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_call_that_is_connecting_when_its_endpoint_is_taken_out_is_held_back() {
+fn a_call_that_is_connecting_when_its_endpoint_is_disabled_is_held_back() {
     let mut hub = open(Memory::default());
     let order = hand_in(&mut hub, "m", NOW).remove(0);
     let mut call = Call::new(order, |_, _| Answer::Awaited, 9);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_disabled_endpoint_is_there_after_a_kill_and_a_compaction_and_not_where_its_record_was_refused() {
+fn a_disabled_endpoint_survives_a_crash_and_a_compaction_unless_its_record_was_refused() {
     let mut hub = open(Memory::default());
     hub.router.journal_mut().store_mut().fail(Fault::Full { after: 0 });
     assert!(matches!(hub.set_disabled("a", true, NOW), Err(DisableError::NotWritten(_))));
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_kill_at_any_byte_of_a_disable_leaves_it_whole_or_not_at_all() {
+fn a_crash_at_any_byte_of_a_disable_leaves_all_or_nothing_of_it() {
     for bytes in 0..40 {
         let mut hub = open(Memory::default());
         hub.router.journal_mut().store_mut().fail(Fault::Die { after: 0, bytes });
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn disabled_endpoints_are_bounded_by_their_number_and_by_the_share_of_the_disk() {
+fn disabled_endpoints_are_limited_by_number_and_by_disk_space() {
     let mut hub = open(Memory::default());
     let ids: Vec<String> = (0..=DISABLED_MAX).map(|n| format!("endpoint-{n}-{}", "x".repeat(90))).collect();
     let endpoints: Vec<_> = ids.iter().map(|id| (id.as_str(), EndpointState::Ready)).collect();
--- a/courier/core/tests/drain.rs
+++ b/courier/core/tests/drain.rs
@@ -3,7 +3,7 @@
 use quillmount_core::machine::drain::{Drain, DrainInput, DrainOutput, FRONT_GRACE, IDLE_CHECK_INTERVAL};
 
 #[test]
-fn drains_once_and_looks_until_it_serves_again() {
+fn a_drain_starts_once_and_checks_for_idle_connections_until_it_ends() {
     let mut drain = Drain::default();
     assert_eq!(drain.step(DrainInput::Undrain, 1), DrainOutput::Nothing);
     assert_eq!(
--- a/courier/core/tests/ends.rs
+++ b/courier/core/tests/ends.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_delivery_about_the_end_of_its_time_is_followed_by_a_notice() {
+fn a_delivery_close_to_the_deadline_is_followed_by_a_notice() {
     for effect in ["fragile", "retryable"] {
         for (at, tells) in [
             (TIME / 2, false),
@@ -71,7 +71,7 @@
 
 /// The module has ended it in this very moment: the notice stays, though it is not on its way yet.
 #[test]
-fn a_delivery_behind_the_end_of_its_time_takes_no_notice_back() {
+fn a_delivery_after_the_deadline_withdraws_no_notice() {
     let (mut hub, call) = out("fragile");
     let mut now = NOW;
     while told(&hub).is_empty() {
--- a/courier/core/tests/flow.rs
+++ b/courier/core/tests/flow.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_body_within_its_window_can_be_sent_again_whole() {
+fn a_body_within_its_window_can_be_sent_again_completely() {
     let mut flow = flow(8, Some(5));
     flow.receive(5, 1);
     assert!(flow.begin(1) && flow.capacity() == 0 && flow.sendable() == 4, "the last byte stays");
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_full_window_of_what_has_left_is_dropped_and_commits() {
+fn a_full_window_of_sent_bytes_is_dropped_and_commits_the_body() {
     let mut flow = flow(4, None);
     assert!(flow.begin(0));
     flow.receive(4, 1);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn what_is_cut_never_finishes_and_nothing_more_of_it_leaves() {
+fn a_cut_body_never_finishes_and_no_more_of_it_is_sent() {
     let mut flow = flow(4, Some(4));
     assert!(flow.begin(0));
     flow.receive(4, 1);
@@ -47,7 +47,7 @@
 
 /// A side is late only by the time in which it could have moved.
 #[test]
-fn each_side_answers_for_its_own_time() {
+fn each_side_is_late_by_its_own_time_only() {
     let mut flow = flow(4, None);
     assert_eq!(flow.late_at(FlowSide::Client), Some((10, Late::Stalled)));
     flow.receive(4, 9);
--- a/courier/core/tests/full.rs
+++ b/courier/core/tests/full.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_refusal_that_closes_a_new_connection_is_a_connect_that_failed() {
+fn a_rejection_that_closes_a_new_connection_is_a_failed_connect() {
     let closes = |_: &[u8], _| Answer::Whole { end: CallEnd::Full(0), reusable: false };
     assert_eq!(end(closes, true, true), (Some(CallEnd::CouldNotConnect), (0, 0)));
     // Where no answer tells of a limit, it may be one all the same.
--- a/courier/core/tests/handover.rs
+++ b/courier/core/tests/handover.rs
@@ -328,7 +328,7 @@
 }
 
 #[test]
-fn one_process_decides_at_any_moment_and_knows_all_that_was_decided() {
+fn at_any_time_one_process_decides_and_knows_all_earlier_decisions() {
     let (seen, wrong) = search(Broken::Nothing);
     assert_eq!(wrong, None);
     // All ways of going on were met, and more than a handful of states.
@@ -351,7 +351,7 @@
 }
 
 #[test]
-fn each_departure_is_found() {
+fn each_injected_fault_is_found() {
     for broken in [Broken::JournalUnread, Broken::TakesBackLate, Broken::ResumesUnasked] {
         assert!(search(broken).1.is_some(), "{broken:?} is not found");
     }
@@ -360,7 +360,7 @@
 /// The holder is ended, or hands over to a third process, and that one takes the lock: it is asked like any other, however
 /// long the process has waited by then. Asked no more, it would be waited for until it ends by itself.
 #[test]
-fn whoever_takes_the_lock_after_the_lock_owner_was_killed_is_asked_in_its_turn() {
+fn a_new_owner_of_the_lock_is_asked_before_it_is_killed() {
     let mut taker = HandoverReceiver::new(0);
     let mut now = 0;
     let look = |taker: &mut HandoverReceiver, now: u64| {
--- a/courier/core/tests/handover_forms.rs
+++ b/courier/core/tests/handover_forms.rs
@@ -166,12 +166,12 @@
 }
 
 #[test]
-fn the_mark_of_settings_is_the_same_as_ever() {
+fn the_settings_fingerprint_is_that_of_earlier_versions() {
     assert_eq!(settings_fingerprint(&env(), STREAMS).unwrap(), MARK);
 }
 
 #[test]
-fn a_state_is_gone_on_from_and_sent_on_as_it_came() {
+fn a_stored_state_is_resumed_and_encoded_to_the_same_bytes() {
     let hub = busy();
     let stored = fixture("handover_state.bin", &encoded(&hub));
     let journal = fixture("handover_journal.bin", killed(&hub).bytes());
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn calls_that_are_out_are_handed_over_as_ever() {
+fn calls_in_flight_are_encoded_as_by_earlier_versions() {
     let until = NOW + 5_000;
     let states = [
         ("new", AttemptState::New),
@@ -306,7 +306,7 @@
 
 /// Values that no run of the above may have: each variant, by its place among the others.
 #[test]
-fn enums_that_are_handed_over_have_their_variants_in_the_same_places() {
+fn variants_of_encoded_enums_keep_their_positions() {
     let call_ends = vec![
         CallEnd::Delivered,
         CallEnd::Each,
--- a/courier/core/tests/journal.rs
+++ b/courier/core/tests/journal.rs
@@ -7,7 +7,7 @@
 /// A kill may leave any prefix: each is read back to what its whole records say, and nothing written
 /// behind it is hidden.
 #[test]
-fn every_prefix_tells_what_its_whole_records_say() {
+fn every_prefix_of_a_journal_reads_as_its_intact_records() {
     let taken = |n: u64| AcceptedMessage {
         id: format!("m{n}"),
         class: "fee-debit".into(),
--- a/courier/core/tests/lifecycle.rs
+++ b/courier/core/tests/lifecycle.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn the_table_names_every_state_of_the_lifecycle_that_can_be() {
+fn the_table_names_every_reachable_state() {
     let named: BTreeSet<_> = Lifecycle::states().into_iter().map(|(name, ..)| name).collect();
     let kinds: BTreeSet<_> = lives().iter().map(Machine::state).collect();
     assert_eq!(kinds, named);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn an_end_is_for_good() {
+fn the_ended_state_is_final() {
     for (lifecycle, input, output, next) in
         steps().into_iter().filter(|(lifecycle, ..)| lifecycle.has_ended())
     {
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn what_is_taken_back_is_as_it_was_before_it_was_asked_for() {
+fn an_abandoned_handover_restores_the_state_before_it() {
     for before in lives().into_iter().filter(|lifecycle| lifecycle.is_serving() && !lifecycle.is_releasing())
     {
         let mut asked = before;
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_stop_is_never_forgotten_and_waits_for_the_end_of_a_handover() {
+fn a_stop_during_a_handover_waits_for_its_end_and_is_not_lost() {
     for (lifecycle, input, output, next) in steps() {
         assert!(!lifecycle.stop_requested() || next.stop_requested(), "{lifecycle:?}, {input:?}");
         assert!(!next.stop_requested() || !next.accepts_clients(), "{lifecycle:?}, {input:?}");
--- a/courier/core/tests/list.rs
+++ b/courier/core/tests/list.rs
@@ -9,7 +9,7 @@
 
 /// New endpoints replace old ones all day: what is kept of them must not grow with the day.
 #[test]
-fn an_endpoint_gone_for_good_leaves_every_table() {
+fn an_endpoint_that_is_gone_for_good_is_removed_from_every_table() {
     let known = EndpointList { version: 0, full: true, endpoints: Vec::new() };
     let env = SenderSettings::default();
     let (mut router, _) = Router::open(&env, 7, known, Memory::default(), 9_999, 0).unwrap();
--- a/courier/core/tests/pool.rs
+++ b/courier/core/tests/pool.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_longest_idle_of_all_goes_when_capacity_is_short() {
+fn the_connection_idle_longest_is_evicted_at_the_limit() {
     let mut pool = Pool::new(15_000_000, 2);
     with_resting(&mut pool, 7, 70, 10);
     with_resting(&mut pool, 8, 80, 5);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_shut_gate_closes_what_rests_and_what_comes_to_rest() {
+fn a_shut_gate_closes_idle_connections_and_those_that_become_idle() {
     let mut pool = Pool::new(15_000_000, 9);
     with_resting(&mut pool, 7, 70, 10);
     assert_eq!(pool.set_gate(7, false), [70]);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn what_is_too_old_or_not_quiet_serves_no_call() {
+fn a_connection_that_is_too_old_or_not_quiet_serves_no_call() {
     let addr = ADDR.parse().unwrap();
     let mut pool = Pool::new(15_000_000, 9);
     with_resting(&mut pool, 7, 70, 10);
@@ -50,7 +50,7 @@
 
 /// A keep-alive of less than a second: what rests is closed while its endpoint still holds it.
 #[test]
-fn a_connection_rests_for_half_of_a_short_keep_alive() {
+fn a_connection_may_be_idle_for_half_of_a_short_keep_alive() {
     let addr = ADDR.parse().unwrap();
     for (idle, rest) in [(0, 0), (1, 0), (600_000, 300_000), (1_500_000, 750_000), (5_000_000, 4_000_000)] {
         let mut pool = Pool::new(idle, 9);
@@ -67,7 +67,7 @@
 
 /// The endpoint has moved: what leads to its old address serves no call.
 #[test]
-fn what_leads_to_an_old_address_serves_no_call() {
+fn a_connection_to_an_old_address_serves_no_call() {
     let mut pool = Pool::new(15_000_000, 9);
     with_resting(&mut pool, 7, 70, 10);
     assert!(pool.begin(7, "127.0.0.1:2".parse().unwrap(), 11, |_| true).is_none());
@@ -76,7 +76,7 @@
 
 /// An endpoint that is gone for good leaves no connection behind, at rest or as its last call ends.
 #[test]
-fn an_endpoint_that_is_gone_keeps_no_connection() {
+fn an_endpoint_that_is_gone_has_no_idle_connection() {
     let addr = ADDR.parse().unwrap();
     let mut pool = Pool::new(15_000_000, 9);
     with_resting(&mut pool, 7, 70, 10);
--- a/courier/core/tests/repeats.rs
+++ b/courier/core/tests/repeats.rs
@@ -69,7 +69,7 @@
 /// A reset at any moment of a span of one second: the repeat is ordered in time for its last byte, or the message ends
 /// at once.
 #[test]
-fn a_repeat_within_a_span_of_one_second_leaves_within_it() {
+fn a_repeat_within_a_span_of_one_second_is_sent_within_it() {
     let mut repeated = 0;
     for after in (50_000..1_200_000).step_by(50_000) {
         let (mut hub, _) = open(&env(&["dedup"]), Memory::default(), NOW);
@@ -93,7 +93,7 @@
 
 /// A connect may last longer than the span: a call that never left does not begin it, and the next has all of it.
 #[test]
-fn a_call_whose_connect_lasts_as_long_as_the_span_does_not_begin_it() {
+fn a_call_that_connects_for_as_long_as_the_span_does_not_start_the_span() {
     let (mut hub, _) = open(&env(&["dedup"]), Memory::default(), NOW);
     let first = hand_in(&mut hub, "m", 0, NOW);
     let late = NOW + SPAN + 200_000;
@@ -116,7 +116,7 @@
 
 /// After a kill the span goes on from the journal's moment of the first attempt.
 #[test]
-fn a_restart_goes_on_with_the_span_of_the_process_before() {
+fn a_restart_continues_the_span_of_the_earlier_process() {
     let env = env(&["dedup"]);
     for down in [100_000, 600_000, 899_999, 900_001, 950_000, SPAN, 5 * SPAN] {
         let (mut hub, _) = open(&env, Memory::default(), NOW);
@@ -134,7 +134,7 @@
 /// A clock that was set back makes an old attempt look young: how old it is can't be told, and it is not repeated. One
 /// that was set on makes it look older, which is safe. What has surely not run is sent whatever the clock says.
 #[test]
-fn a_clock_that_was_changed_between_two_processes_allows_no_repeat_past_its_span() {
+fn a_clock_changed_between_processes_allows_no_repeat_after_the_span() {
     let env = env(&["dedup", "fragile", "retryable"]);
     for (now, repeats) in
         [(NOW - 10 * SPAN, false), (NOW - 1, false), (NOW + 300_000, true), (NOW + 3_600 * SPAN, false)]
@@ -173,7 +173,7 @@
 
 /// Whatever the order of the classes, a message is repeated as its own class's effect allows.
 #[test]
-fn what_may_be_repeated_follows_from_the_effect_of_each_class_alone() {
+fn the_effect_of_a_class_alone_decides_what_may_be_repeated() {
     use CallEnd::*;
     let orders = [
         ["fragile", "dedup", "retryable"],
--- a/courier/core/tests/restart.rs
+++ b/courier/core/tests/restart.rs
@@ -107,7 +107,7 @@
 /// A table that was full, with calls out as the process was killed: the module sheds beyond nine tenths what it has
 /// only just been given, and all of this is.
 #[test]
-fn what_fills_the_table_is_kept_by_a_restart_and_tried_before_anything_new_comes_in() {
+fn messages_that_fill_the_table_survive_a_restart_and_are_tried_before_new_ones() {
     for (cap, owed) in [(20, 20), (10, 20), (1, 3), (20, 18), (1_000, 1)] {
         let settings = SenderSettings {
             limits: quillmount_settings::Limits { max_open_messages: Some(cap), ..Default::default() },
@@ -142,7 +142,7 @@
 /// Neither an empty `known` nor one that lacks the destination, nor discovery that is silent or fails ends what is owed
 /// before its time is up; the first list that has it is enough.
 #[test]
-fn what_is_untried_waits_for_a_list_to_the_end_of_its_time() {
+fn an_untried_message_waits_for_a_list_until_its_deadline() {
     let settings = env(vec![class("fee-debit", "fragile")]);
     for known in [none(), list(&[("x", 9, "z")])] {
         let records: Vec<_> =
@@ -158,7 +158,7 @@
 
 /// Classes renamed, reordered and removed: a class goes by its name alone.
 #[test]
-fn what_is_owed_goes_by_its_classs_name_and_ends_with_an_error_where_none_has_it() {
+fn a_restored_message_has_the_class_of_its_name_and_ends_with_an_error_without_one() {
     let records = [
         JournalRecord::Accept { msg: 1, taken: taken(1, "fee-debit") },
         JournalRecord::Sent { msg: 1, sent: NOW - 9, effect: RepeatEffect::Unsafe },
@@ -190,7 +190,7 @@
 
 /// The effect of a class has changed: an attempt that may have run was sent under the old one, and the stricter holds.
 #[test]
-fn the_stricter_effect_holds_for_what_may_have_run() {
+fn the_stricter_effect_applies_to_attempts_that_may_have_run() {
     let keyed = |span: Micros, zone: Option<&str>| RepeatEffect::Keyed { span, zone: zone.map(Into::into) };
     let now_safe = || class("c", "retryable");
     let now_once = || class("c", "fragile");
@@ -235,7 +235,7 @@
 /// A key that only one zone remembers: the zone goes by its name, through a copy too, however the settings and the lists
 /// of the next life number them.
 #[test]
-fn a_repeat_that_one_zone_alone_would_drop_goes_to_the_zone_of_that_name() {
+fn a_repeat_that_one_zone_alone_would_drop_goes_to_the_zone_with_that_name() {
     let zoned = |zones: &[&str], own: &str| SenderSettings {
         failure_domains: zones.iter().map(|z| z.to_string()).collect(),
         zone: Some(own.into()),
@@ -296,7 +296,7 @@
 
 /// The state of an upgrade numbers classes, zones and tenants: another order of the same figures is another customer.
 #[test]
-fn the_state_of_an_upgrade_is_not_taken_under_other_names() {
+fn the_state_of_an_upgrade_is_not_resumed_under_other_settings() {
     let tenants = |names: [&str; 2]| names.map(|n| Tenant { name: n.into(), allowance_per_s: 5.0 }).into();
     let settings = || SenderSettings {
         tenants: tenants(["a", "b"]),
@@ -326,7 +326,7 @@
 /// The process dies at any byte of any write of a message's way: between its record and the 202, its attempt and the first
 /// byte, its outcome and its end, its end and its notice. The next life has each step or the one before it.
 #[test]
-fn a_kill_at_any_byte_of_any_write_is_taken_up_by_the_next_process() {
+fn the_next_process_recovers_from_a_crash_at_any_byte_of_any_write() {
     let settings = env(vec![class("fee-debit", "fragile"), class("status", "retryable")]);
     let mut met = BTreeSet::new();
     for class in ["fee-debit", "status"] {
@@ -388,7 +388,7 @@
 
 /// A journal filled to the share of the disk: taken up whole, and by far within the time that a restart has.
 #[test]
-fn a_full_journal_is_taken_up_whole_and_soon() {
+fn a_full_journal_is_restored_completely_and_fast() {
     let settings = SenderSettings {
         limits: quillmount_settings::Limits { max_open_messages: Some(20_000), ..Default::default() },
         ..env(vec![class("fee-debit", "fragile"), class("status", "retryable")])
--- a/courier/core/tests/restart_guard.rs
+++ b/courier/core/tests/restart_guard.rs
@@ -15,7 +15,7 @@
 const LIFE: u64 = 16_000_000;
 
 #[test]
-fn what_a_restart_found_untried_is_not_given_up_early_for_want_of_a_turn() {
+fn a_restored_message_is_not_ended_early_before_its_first_attempt() {
     for fate in [CallEnd::Full(0), CallEnd::CouldNotConnect, CallEnd::Reset] {
         let env = SenderSettings {
             categories: vec![class("fee-debit", "fragile")],
--- a/courier/core/tests/resume.rs
+++ b/courier/core/tests/resume.rs
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn the_next_process_knows_all_that_the_one_before_knew_and_begins_nothing_twice() {
+fn a_resumed_process_has_the_whole_state_and_starts_no_call_twice() {
     let mut hub = busy();
     let (mut next, todo) = resumed(state(&hub), killed(&hub)).unwrap();
     assert_eq!(words(&next), words(&hub));
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_state_of_other_settings_or_beside_another_journal_is_not_gone_on_from() {
+fn a_state_of_other_settings_or_another_journal_is_not_resumed() {
     let hub = busy();
     let other = SenderSettings {
         categories: env().categories.into_iter().rev().collect(),
--- a/courier/core/tests/router.rs
+++ b/courier/core/tests/router.rs
@@ -47,7 +47,7 @@
 
 /// A crowd's guard leaves the second no turn in its time: it is refused itself, and no notice tells of it.
 #[test]
-fn what_is_given_up_as_it_comes_is_not_taken_on() {
+fn a_message_shed_at_once_is_not_accepted() {
     let (mut router, now) = opened(SenderSettings {
         sender_count: Some(3_000),
         sender_index: Some(1),
@@ -70,7 +70,7 @@
 /// The disk refuses the record of an attempt: its number is used up for the module and not for the
 /// journal, and the next outcome must still be noted for the attempt that it belongs to.
 #[test]
-fn an_outcome_is_noted_for_its_own_attempt_after_one_that_was_refused() {
+fn an_outcome_is_recorded_for_its_own_attempt_after_a_refused_record() {
     let (mut router, now) = opened(SenderSettings::default());
     // The take-on is written, and the attempt behind it is not.
     router.journal_mut().store_mut().fail(Fault::Full { after: 1 });
--- a/courier/core/tests/settings_mark.rs
+++ b/courier/core/tests/settings_mark.rs
@@ -20,7 +20,7 @@
 
 /// The numbers were printed by the version before the renames.
 #[test]
-fn the_mark_of_the_settings_is_that_of_earlier_versions() {
+fn the_fingerprint_of_the_settings_is_that_of_earlier_versions() {
     let settings = SenderSettings {
         categories: vec![
             category("fee-debit", "fragile", None),
--- a/courier/core/tests/states.rs
+++ b/courier/core/tests/states.rs
@@ -4,7 +4,7 @@
 
 /// The page and the code are held together: `UPDATE_STATES=1` writes the page anew.
 #[test]
-fn the_page_shows_the_tables_of_the_code() {
+fn the_documented_tables_are_those_of_the_code() {
     let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/states.md");
     let text = std::fs::read_to_string(page).unwrap();
     let (head, _) = text.split_once("\n## ").unwrap();
--- a/courier/core/tests/stored_forms.rs
+++ b/courier/core/tests/stored_forms.rs
@@ -163,7 +163,7 @@
 
 /// The last record was cut short by a kill: the rest is restored, and a copy without it takes the place of the whole.
 #[test]
-fn a_torn_journal_is_restored_and_compacted_as_ever() {
+fn a_torn_journal_is_restored_and_compacted_as_by_earlier_versions() {
     let mut torn = framed(&records());
     let sound = torn.len();
     let last = frame(&JournalRecord::Accept { msg: 301, taken: taken(301, Some("never whole")) }).unwrap();
@@ -194,7 +194,7 @@
 
 /// What a courier writes as it goes, by way of the journal's own calls, and what it takes over from another's.
 #[test]
-fn a_courier_writes_the_same_journal_as_ever() {
+fn a_courier_writes_the_same_journal_as_earlier_versions() {
     let mut notes = Vec::new();
     let (mut journal, _) = Journal::open(Memory::default(), DISK, NOW, &mut notes).unwrap();
     journal.submit(1, taken(1, None), false, NOW, &mut notes).unwrap();
--- a/courier/core/tests/turns.rs
+++ b/courier/core/tests/turns.rs
@@ -3,7 +3,7 @@
 use quillmount_core::turns::Turns;
 
 #[test]
-fn a_debt_is_paid_back_in_bytes_and_nothing_is_saved_up() {
+fn a_debt_is_paid_back_in_bytes_and_nothing_is_carried_over() {
     let mut turns = Turns::new(100);
     turns.spend(350);
     let mut waited = 0;
--- a/courier/core/tests/watch.rs
+++ b/courier/core/tests/watch.rs
@@ -53,7 +53,7 @@
 /// The silence may begin at any time from the last line to where the next is due; if the new question is
 /// lost, the one beside it is in time too.
 #[test]
-fn a_silent_watch_is_requested_again_and_answered_before_what_it_missed_counts_as_told() {
+fn a_silent_watch_is_renewed_and_answered_before_its_missed_changes_count() {
     for (fleet, heed) in FLEETS.into_iter().flat_map(|fleet| HEEDS.map(|heed| (fleet, heed))) {
         let mut asked = Vec::new();
         for me in 0..fleet {
@@ -80,7 +80,7 @@
 /// An agent that is silent while discovery is down may have a list from any moment on: whether it answers
 /// what was asked before or only what is asked from then on, a courier has the list in time to heed it.
 #[test]
-fn after_an_outage_of_any_length_an_agent_is_asked_in_time_to_heed_what_it_has() {
+fn after_an_outage_of_any_length_an_agent_gets_a_request_in_time() {
     for (fleet, heed) in FLEETS.into_iter().flat_map(|fleet| HEEDS.map(|heed| (fleet, heed))) {
         let mut all = Vec::new();
         for me in 0..fleet {
@@ -108,7 +108,7 @@
 /// Its list counts as told from the first moment, and one question may fail or be lost; after discovery
 /// has moved it counts 4 s later, and three may fail.
 #[test]
-fn a_process_that_starts_asks_in_time_to_heed_what_its_agent_has() {
+fn a_starting_process_sends_its_first_request_in_time() {
     for (fleet, heed) in FLEETS.into_iter().flat_map(|fleet| HEEDS.map(|heed| (fleet, heed))) {
         for me in 0..fleet {
             let mut watch = courier(fleet, me, true, heed);
@@ -138,7 +138,7 @@
 /// second, at first and later. No pause is so long that the answer would come later than 5 s after the
 /// last one.
 #[test]
-fn a_fleet_that_is_refused_requests_ever_less_often() {
+fn a_rejected_fleet_sends_requests_less_and_less_often() {
     let ask_on = |fleet: u32| {
         let (mut early, mut late) = (Vec::new(), Vec::new());
         for me in 0..fleet {
@@ -169,7 +169,7 @@
 
 /// What was told no is overloaded, and is not asked more often for answering late.
 #[test]
-fn an_agent_that_said_no_is_not_pressed_while_it_is_silent() {
+fn an_agent_that_rejected_a_request_gets_fewer_while_it_is_silent() {
     let mut watch = courier(300, 7, false, 1_000_000);
     for _ in 0..8 {
         watch.step(BROKEN, watch.wake_at().unwrap());
@@ -182,7 +182,7 @@
 
 /// Each watch ends at once, with a list: it does not count as one that lasted.
 #[test]
-fn watches_that_end_at_once_are_requested_ever_less_often() {
+fn watches_that_end_at_once_are_renewed_less_and_less_often() {
     let mut watch = courier(300, 7, false, 1_000_000);
     let (mut now, mut asked) = (0, 0);
     while now < 30_000_000 {
@@ -319,7 +319,7 @@
 /// Refused, reset, silent before the head, after it and in the middle of a list, over at once, followed and silent
 /// again, connects that hang: in any order, and discovery can be reached again just after any of it.
 #[test]
-fn what_discovery_has_and_can_be_reached_for_is_here_in_time_to_heed_it_whatever_failed_before() {
+fn changes_arrive_in_time_whatever_failed_before() {
     let mut worst = 0;
     for (fleet, heed) in [1, 3, 30, 300].into_iter().flat_map(|fleet| HEEDS.map(|heed| (fleet, heed))) {
         for seed in 0..800_u64 {
@@ -343,7 +343,7 @@
 /// An agent that was silent may tell a drain in the moment in which it is back, and answer only what is asked from
 /// then on: a few couriers ask it in time, and where lists are pushed, to an agent of each one's machine, all do.
 #[test]
-fn couriers_are_told_at_once_what_an_agent_has_after_an_outage() {
+fn couriers_receive_the_list_of_an_agent_at_once_after_an_outage() {
     for (fleet, heed) in SIZES.into_iter().flat_map(|fleet| HEEDS.map(|heed| (fleet, heed))) {
         for seed in 0..200_u64 {
             let watch = courier(fleet, (seed % u64::from(fleet)) as u32, seed % 2 == 0, heed);
@@ -417,7 +417,7 @@
 /// Where lists are pushed, what an agent gets at its return counts as told at once, in a fleet of any size: from the
 /// moment in which the silence can be found on, a question waits for it, or comes in time.
 #[test]
-fn where_lists_are_pushed_the_update_of_an_agent_that_was_silent_is_here_in_time_to_heed_it() {
+fn with_pushed_lists_the_update_of_a_silent_agent_arrives_in_time() {
     for (fleet, heed) in SIZES.into_iter().flat_map(|fleet| HEEDS.map(|heed| (fleet, heed))) {
         for (me, how) in
             (0..fleet.min(300)).flat_map(|me| [Return::Answers, Return::Resets].map(|how| (me, how)))
@@ -436,7 +436,7 @@
 
 /// From the first moment of a process on, which may start while its agent is silent; and where it had refused before.
 #[test]
-fn where_lists_are_pushed_a_process_that_starts_in_a_silence_is_told_at_its_end() {
+fn with_pushed_lists_a_process_started_in_a_silence_is_notified_at_its_end() {
     for (fleet, heed) in SIZES.into_iter().flat_map(|fleet| HEEDS.map(|heed| (fleet, heed))) {
         for (me, how) in
             (0..fleet.min(300)).flat_map(|me| [Return::Answers, Return::Resets].map(|how| (me, how)))
@@ -468,7 +468,7 @@
 /// The first question comes as soon as the silence is found, and in a large fleet the agent is asked no more often than
 /// in one of ten.
 #[test]
-fn where_lists_are_pushed_a_silent_agent_is_asked_as_often_as_in_a_small_fleet() {
+fn with_pushed_lists_a_silent_agent_gets_requests_as_often_as_in_a_small_fleet() {
     for (fleet, heed) in SIZES.into_iter().flat_map(|fleet| HEEDS.map(|heed| (fleet, heed))) {
         for me in 0..fleet.min(300) {
             let between = |fleet: u32| {
@@ -486,7 +486,7 @@
 /// From the last sign of life, from the last question that failed, and from the last that was asked, the next is
 /// answered `HEED_MAX` before what discovery has counts as told.
 #[test]
-fn no_two_questions_are_further_apart_than_the_bound_allows() {
+fn no_two_requests_are_further_apart_than_the_bound_allows() {
     const { assert!(REQUEST_INTERVAL_MAX + ANSWER_WITHIN + HEED_MAX <= NOTIFIED_WITHIN) }
     for (fleet, heed) in
         [1, 3, 10, 11, 30, 63, 64, 300, 5_000].into_iter().flat_map(|f| HEEDS.map(|h| (f, h)))
@@ -514,7 +514,7 @@
 
 /// The one that would be answered is not given up each time for another.
 #[test]
-fn a_question_beside_the_first_stays_out_for_as_long_as_its_answer_may_take() {
+fn a_hedged_request_stays_in_flight_for_as_long_as_its_answer_may_take() {
     let mut watch = courier(3, 1, false, 500_000);
     let mut out = vec![0];
     for _ in 0..60 {
@@ -537,7 +537,7 @@
 
 /// One of two questions fails: the other may be answered, and the next comes when it would have come.
 #[test]
-fn a_question_that_fails_leaves_the_others_out() {
+fn a_failed_request_leaves_the_others_in_flight() {
     let mut watch = courier(100, 7, false, 500_000);
     next_ask(&mut watch);
     let until = watch.wake_at();
@@ -549,7 +549,7 @@
 
 /// A watch that says nothing is not one that says no: the next outage finds it as quick as the first.
 #[test]
-fn silence_after_each_reopening_makes_no_question_later() {
+fn silence_after_each_renewal_delays_no_request() {
     for heed in HEEDS {
         let mut watch = courier(3, 1, false, heed);
         let mut asked = 0;
@@ -566,7 +566,7 @@
 
 /// Discovery moved there and back: the old place's answer does not end the watch where it is now.
 #[test]
-fn only_a_watch_where_discovery_is_ends_the_others_and_only_once_it_is_told_something() {
+fn only_a_watch_at_the_present_address_ends_the_others_and_only_once_it_received_something() {
     let mut watch = courier(3, 1, false, 500_000);
     assert_eq!(watch.step(WatchInput::Answered, 1), WatchOutput::Nothing, "a head says nothing of the list");
     assert_eq!(watch.step(WatchInput::Heard { moved: true }, 2), WatchOutput::Nothing);
