--- a/courier/core/tests/admission.rs
+++ b/courier/core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Who goes first where room for clients' connections is short.
+//! Which client connection is closed first when there are too many.
 
 use quillmount_core::admission::{Admission, Decision, GRACE, LEAVING_MAX};
 use quillmount_core::machine::client::ClientState;
@@ -53,7 +53,7 @@
     assert_eq!(admission.decide(99), Decision::Admit);
 }
 
-/// Without a descriptor whoever has nothing to ask goes, below the table's own bound too; who asks stays.
+/// Without a file descriptor a connection without a request is closed, below the table's own limit too.
 #[test]
 fn descriptors_are_reclaimed_only_from_connections_without_a_request() {
     let mut admission = Admission::new(100);
--- a/courier/core/tests/adopt.rs
+++ b/courier/core/tests/adopt.rs
@@ -1,7 +1,7 @@
-//! Work of a courier that is lost, taken over by another: by the rules of a restart, once, and whole or not at all.
+//! Adopting the messages of a courier that is lost: by the rules of a restart, once, and all or nothing.
 
 mod common;
-use common::{NOW, World, calls, class, endpoint, killed};
+use common::{NOW, World, calls, class, endpoint, store_after_crash};
 use quillmount_core::hub::{DriverAction, Hub};
 use quillmount_core::journal::{
     AcceptedMessage, End, JournalContents, JournalEntry, JournalError, PastCall, Settlements,
@@ -39,26 +39,26 @@
     hub
 }
 
-/// As a courier's book tells of one that is owed.
+/// A message as the journal of another courier has it.
 fn owed(id: &str) -> JournalEntry {
     let (class, body) = ("fee-debit".into(), bytes::Bytes::from_static(b"body"));
     let taken = AcceptedMessage { id: id.into(), class, key: None, dest: 1, deadline: NOW + 9_000_000, body };
     JournalEntry { taken, calls: Vec::new(), end: None, stream: false, source: None }
 }
 
-/// Its last attempt began, and nothing tells how it fared.
-fn out(id: &str) -> JournalEntry {
+/// The same, with an attempt whose outcome is not recorded.
+fn in_flight(id: &str) -> JournalEntry {
     JournalEntry { calls: vec![PastCall { sent: NOW - 9, effect: None, never_ran: None }], ..owed(id) }
 }
 
-fn of(class: &str, entry: JournalEntry) -> JournalEntry {
+fn with_class(class: &str, entry: JournalEntry) -> JournalEntry {
     JournalEntry {
         taken: AcceptedMessage { class: class.into(), key: Some("k".into()), ..entry.taken },
         ..entry
     }
 }
 
-fn told(hub: &World) -> Vec<(String, Ending)> {
+fn notices(hub: &World) -> Vec<(String, Ending)> {
     hub.router.notices(99).into_iter().map(|notice| (notice.id, notice.ending)).collect()
 }
 
@@ -76,40 +76,41 @@
     let ended = JournalEntry { end: Some(End::Deferred { after: 70 }), ..owed("ended") };
     let late =
         JournalEntry { taken: AcceptedMessage { deadline: NOW, ..owed("late").taken }, ..owed("late") };
-    let stream = JournalEntry { stream: true, ..out("stream") };
-    let entries = vec![out("out"), owed("fresh"), refused, ended.clone(), late, stream];
+    let stream = JournalEntry { stream: true, ..in_flight("stream") };
+    let entries = vec![in_flight("out"), owed("fresh"), refused, ended.clone(), late, stream];
     let todo = hub.adopt(entries, &Settlements::default(), NOW).unwrap();
     assert!(todo.iter().any(|one| matches!(one, DriverAction::Notify)));
     assert_eq!(ids(calls(todo)), ["fresh", "back"], "what never ran is sent, and nothing else");
-    let mut ends = told(&hub);
+    let mut ends = notices(&hub);
     ends.sort_by(|a, b| a.0.cmp(&b.0));
     let undeliverable = |id: &str| (id.to_string(), Ending::Undeliverable);
     let deferred = ("ended".to_string(), Ending::Deferred(70));
     assert_eq!(ends, [deferred, undeliverable("late"), undeliverable("out"), undeliverable("stream")]);
     assert_eq!(hub.router.counters.adopted, 6);
     // All of it is in this courier's own journal, its ends included: after a kill nothing is sent.
-    let (contents, _) = JournalContents::read(killed(&hub).bytes());
+    let (contents, _) = JournalContents::read(store_after_crash(&hub).bytes());
     assert_eq!((contents.owed.len(), contents.owed.values().filter(|e| e.end.is_some()).count()), (6, 4));
     assert!(contents.owed.values().any(|e| *e == ended));
-    let mut next = open(killed(&hub), DISK);
+    let mut next = open(store_after_crash(&hub), DISK);
     assert!(calls(next.tick(NOW)).is_empty());
-    assert_eq!(told(&next).len(), 6, "sent by this life, the debits may have run");
+    assert_eq!(notices(&next).len(), 6, "sent by this life, the debits may have run");
 }
 
-/// Zones have other numbers at each courier: number 0 is this one's own here, and that of the lost one there.
+/// Each courier numbers zones differently: number 0 is its own zone.
 #[test]
 fn an_adopted_message_deduplicated_by_an_unknown_zone_is_not_repeated() {
     let mut hub = open(Memory::default(), DISK);
-    let entries = vec![of("paid-notice", out("anywhere")), of("zone-notice", out("zone"))];
+    let entries =
+        vec![with_class("paid-notice", in_flight("anywhere")), with_class("zone-notice", in_flight("zone"))];
     assert_eq!(ids(calls(hub.adopt(entries, &Settlements::default(), NOW).unwrap())), ["anywhere"]);
-    let fresh = of("zone-notice", owed("first"));
+    let fresh = with_class("zone-notice", owed("first"));
     assert_eq!(ids(calls(hub.adopt(vec![fresh], &Settlements::default(), NOW).unwrap())), ["first"]);
 }
 
 #[test]
 fn a_message_that_is_owed_or_ended_here_is_not_adopted() {
     let mut hub = open(Memory::default(), DISK);
-    let entries = || vec![out("out"), owed("fresh"), owed("fresh")];
+    let entries = || vec![in_flight("out"), owed("fresh"), owed("fresh")];
     let skipped = |todo: &[DriverAction<u32>]| -> Vec<String> {
         let id = |one: &DriverAction<u32>| match one {
             DriverAction::Note(Note::NotAdopted { id }) => Some(id.clone()),
@@ -121,10 +122,10 @@
     assert_eq!(skipped(&todo), ["fresh"]);
     let call = calls(todo).remove(0).call;
     for _ in 0..2 {
-        let before = killed(&hub).bytes().to_vec();
+        let before = store_after_crash(&hub).bytes().to_vec();
         let todo = hub.adopt(entries(), &Settlements::default(), NOW).unwrap();
         assert_eq!((skipped(&todo).len(), calls(todo).len()), (3, 0));
-        assert_eq!(killed(&hub).bytes(), before);
+        assert_eq!(store_after_crash(&hub).bytes(), before);
         // The second time both are over.
         hub.call_ended(call, quillmount_core::CallEnd::Delivered, NOW);
         let notices = hub.router.notices(9);
@@ -138,14 +139,14 @@
 
 #[test]
 fn a_refused_write_or_a_crash_adopts_nothing_in_part() {
-    let entries = || vec![out("a"), out("b"), owed("c")];
+    let entries = || vec![in_flight("a"), in_flight("b"), owed("c")];
     let mut hub = open(Memory::default(), DISK);
     hub.adopt(vec![owed("own")], &Settlements::default(), NOW).unwrap();
-    let before = killed(&hub);
+    let before = store_after_crash(&hub);
     hub.router.journal_mut().store_mut().fail(Fault::Full { after: 0 });
     assert!(matches!(hub.adopt(entries(), &Settlements::default(), NOW), Err(JournalError::Io { .. })));
     hub.router.journal_mut().store_mut().fail(Fault::None);
-    assert_eq!((hub.router.load().0, killed(&hub).bytes()), (1, before.bytes()));
+    assert_eq!((hub.router.load().0, store_after_crash(&hub).bytes()), (1, before.bytes()));
     assert_eq!(
         ids(calls(hub.adopt(entries(), &Settlements::default(), NOW).unwrap())),
         ["c"],
@@ -154,25 +155,25 @@
     // No part of the disk holds them: what is there stays.
     let mut small = open(Memory::default(), 4_000);
     assert!(matches!(small.adopt(entries(), &Settlements::default(), NOW), Err(JournalError::Full)));
-    assert_eq!((small.router.load(), killed(&small).bytes().len()), ((0, 0), 0));
+    assert_eq!((small.router.load(), store_after_crash(&small).bytes().len()), ((0, 0), 0));
     // Wherever a kill cuts, no debit that was out is owed without its attempt.
     for after in 0..8 {
         for bytes in 0..200 {
             let mut hub = open(Memory::default(), DISK);
             hub.router.journal_mut().store_mut().fail(Fault::Die { after, bytes });
             hub.adopt(entries(), &Settlements::default(), NOW).unwrap();
-            let (contents, _) = JournalContents::read(killed(&hub).bytes());
+            let (contents, _) = JournalContents::read(store_after_crash(&hub).bytes());
             let safe = contents.owed.values().all(|entry| entry.taken.id == "c" || !entry.calls.is_empty());
             assert!(safe, "write {after}, {bytes} bytes: {contents:?}");
-            let mut next = open(killed(&hub), DISK);
+            let mut next = open(store_after_crash(&hub), DISK);
             next.adopt(entries(), &Settlements::default(), NOW).unwrap();
             assert_eq!(next.router.load().0, 3);
         }
     }
 }
 
-/// Between the writing and the fleet's word nothing is done; a kill in between leaves it to be settled, and what another
-/// courier has got leaves the journal.
+/// Between the writing and the fleet's decision nothing is done. A crash in between leaves the messages unsettled, and what
+/// another courier owns is removed from the journal.
 #[test]
 fn adopted_messages_with_a_source_wait_for_the_decision_of_the_fleet() {
     use quillmount_core::journal::Source;
--- a/courier/core/tests/attempts.rs
+++ b/courier/core/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempt's machine, at the moments where two of its events fall together.
+//! The attempt's machine where two of its inputs coincide.
 
 use quillmount_core::CallEnd;
 use quillmount_core::machine::attempt::{
@@ -10,7 +10,7 @@
 const BY: Micros = NOW + 950_000;
 const MOST: usize = 64;
 
-/// An answer is whole with `.`, an interim one with `;`; `200` at its beginning is believed without its end.
+/// An answer is complete with `.`, an interim one with `;`; `200` at its beginning counts without its end.
 const DECODE: Decode = |bytes, over| {
     let rest = bytes.rsplit(|byte| *byte == b';').next().unwrap_or_default();
     match rest.last() {
@@ -22,7 +22,7 @@
     }
 };
 
-/// A call whose request has two bytes; how many of them have left.
+/// An attempt whose request has two bytes, of which `state` says how many were sent.
 fn attempt(by: Micros, state: &str) -> Attempt {
     let mut attempt = Attempt::new(DECODE, MOST, by);
     if state == "new" {
@@ -44,7 +44,7 @@
     (output.action, output.end)
 }
 
-/// Between the order and the first byte the host may stand still: a repeat that is late by then stays.
+/// The machine may stand still between the order and the first byte: a repeat that is late by then is not sent.
 #[test]
 fn a_repeat_that_starts_after_its_span_is_held_back() {
     for resting in [true, false] {
@@ -67,8 +67,8 @@
     assert_eq!(first.step(AttemptInput::Start { open: true, resting: true }, BY).end, None);
 }
 
-/// A connection that comes up late, or a write that lasts: neither the first byte of a repeat leaves after its time,
-/// nor the last.
+/// A connection may be established late, and a write may take long: neither the first byte of a repeat is sent after its
+/// time nor the last.
 #[test]
 fn a_repeat_is_sent_completely_within_its_span_or_not_at_all() {
     let mut late = attempt(BY, "connecting");
@@ -91,8 +91,8 @@
     assert_eq!(whole.step(AttemptInput::Tick, BY).end, None);
 }
 
-/// Up to its last byte a call has not run, whatever stops it: its time, the module, a reset, its connect. From then
-/// on it may have.
+/// Up to its last byte a call has had no effect, whatever stops it: a time-out, the policy, a reset, a failed connect. From
+/// then on it may have had one.
 #[test]
 fn an_attempt_that_ends_before_its_last_byte_never_ran_and_one_that_ends_later_may_have() {
     use CallEnd::{CouldNotConnect, GivenUp, HeldBack, Reset, Spoilt, TimedOut};
@@ -151,7 +151,7 @@
     }
 }
 
-/// What is told in the last moment holds: a refusal that crosses with the word to give up proves that it never ran.
+/// A late answer counts: a rejection that crosses with the cancellation proves that the call had no effect.
 #[test]
 fn an_answer_that_crosses_with_the_cancellation_counts() {
     for word in [AttemptInput::Deadline, AttemptInput::GiveUp] {
@@ -162,7 +162,7 @@
     }
 }
 
-/// An interim answer may come in two parts; the answer that counts has its own time.
+/// An interim answer may come in two parts; the final answer has its own time.
 #[test]
 fn an_interim_answer_in_two_parts_does_not_end_a_call() {
     let mut call = attempt(Micros::MAX, "awaiting");
@@ -177,7 +177,7 @@
     );
 }
 
-/// An answer without an end is bounded in time once it has begun, and in bytes; interim ones in bytes, and by the
+/// An endless answer is limited in time once it has begun, and in bytes; interim answers are limited in bytes, and by the
 /// time of the call.
 #[test]
 fn an_endless_answer_ends_by_time_or_by_bytes() {
--- a/courier/core/tests/bundles.rs
+++ b/courier/core/tests/bundles.rs
@@ -1,7 +1,7 @@
-//! Calls that carry several messages, in the router: each message keeps its own end, whatever the others' are.
+//! Calls with several messages, in the router: each message has its own end, whatever the others' are.
 
 mod common;
-use common::{NOW, World, calls, class, endpoint, killed};
+use common::{NOW, World, calls, class, endpoint, store_after_crash};
 use quillmount_core::hub::{DriverAction, Hub};
 use quillmount_core::journal::{End, JournalContents};
 use quillmount_core::machine::attempt::AttemptInput;
@@ -14,14 +14,14 @@
 use quillmount_policy::{EndpointState, Micros};
 use quillmount_settings::{Category, DestinationSettings, SenderSettings};
 
-fn worth((effect, name): (&str, &str)) -> Category {
+fn category((effect, name): (&str, &str)) -> Category {
     Category { value: Some(1.0), ..class(name, effect) }
 }
 
 /// Classes `debit`, which may run once, and `quote`, which may be repeated.
 fn env() -> SenderSettings {
     SenderSettings {
-        categories: ["fragile", "retryable"].into_iter().zip(["debit", "quote"]).map(worth).collect(),
+        categories: ["fragile", "retryable"].into_iter().zip(["debit", "quote"]).map(category).collect(),
         skus: vec!["k".into()],
         weight_source: Some("nominal".into()),
         family_info: DestinationSettings {
@@ -50,17 +50,17 @@
     (hub, todo)
 }
 
-fn hand_in(hub: &mut World, id: &str, now: Micros) -> Vec<DeliveryCall> {
+fn submit(hub: &mut World, id: &str, now: Micros) -> Vec<DeliveryCall> {
     let class = if id.starts_with('d') { "debit" } else { "quote" };
     let body = bytes::Bytes::from_static(b"body");
     let (id, class, time_left) = (id.into(), class.into(), 16_000_000);
     calls(hub.submit(Submission { id, class, key: None, dest: 1, tenant: None, time_left, body }, now).1)
 }
 
-/// A debit and two quotes in one call, which leaves a moment after two that had to go alone.
+/// A debit and two quotes in one call, which follows two calls that had to go alone.
 fn bundle(hub: &mut World) -> (DeliveryCall, Micros) {
     let mut out: Vec<DeliveryCall> =
-        ["q0", "q1", "d2", "q3", "q4"].iter().flat_map(|id| hand_in(hub, id, NOW)).collect();
+        ["q0", "q1", "d2", "q3", "q4"].iter().flat_map(|id| submit(hub, id, NOW)).collect();
     assert_eq!(out.len(), 2, "the listed rate lets two go: {out:?}");
     let now = NOW + 900_000;
     for call in &out {
@@ -74,12 +74,12 @@
     (call, now)
 }
 
-/// The place of a message in the call.
+/// The position of a message in the call.
 fn place(call: &DeliveryCall, id: &str) -> usize {
     call.payloads().position(|p| p.id == id).unwrap()
 }
 
-/// How the journal says that a message ended.
+/// A message's end according to the journal.
 fn end_of(hub: &World, id: &str) -> Option<End> {
     let (contents, _) = JournalContents::read(hub.router.journal().store().bytes());
     let over = contents.ended.iter().find(|(over, ..)| over == id).map(|(_, end, _)| *end);
@@ -113,7 +113,7 @@
     }
 }
 
-/// A wait on an answer that delivers binds as any other.
+/// Advice to wait binds in an answer that delivers, too.
 #[test]
 fn a_wait_advised_beside_deliveries_binds_the_destination() {
     let (mut hub, _) = open(Memory::default(), NOW);
@@ -124,12 +124,12 @@
         &AnswerReport { wait: 2_000_000, ..AnswerReport::default() },
         now,
     );
-    assert!(hand_in(&mut hub, "q9", now + 10_000).is_empty());
+    assert!(submit(&mut hub, "q9", now + 10_000).is_empty());
     assert!(calls(hub.tick(now + 1_900_000)).is_empty());
     assert_eq!(calls(hub.tick(now + 2_100_000)).len(), 1);
 }
 
-/// What may be repeated is not waited for as long as a debit: it leaves the call, which goes on.
+/// An idempotent message is not waited for as long as a debit: it leaves the call, which goes on.
 #[test]
 fn a_message_that_timed_out_leaves_its_call_and_is_completed_if_the_call_delivered_it() {
     let (mut hub, _) = open(Memory::default(), NOW);
@@ -151,13 +151,13 @@
     assert!(hub.is_quiet(), "{:?}", hub.router.load());
 }
 
-/// Killed at every byte of what the call's beginning and its end write: a debit that may have left is never sent again.
+/// Crashes at every byte that the call's beginning and its end write: a debit that may have been sent is never repeated.
 #[test]
 fn a_crash_at_any_byte_of_a_call_repeats_no_fragile_message_and_loses_none() {
     let (mut hub, _) = open(Memory::default(), NOW);
     let before = {
         let mut early = open(Memory::default(), NOW).0;
-        ["q0", "q1", "d2", "q3", "q4"].iter().for_each(|id| drop(hand_in(&mut early, id, NOW)));
+        ["q0", "q1", "d2", "q3", "q4"].iter().for_each(|id| drop(submit(&mut early, id, NOW)));
         early.router.journal().store().bytes().len()
     };
     let (call, now) = bundle(&mut hub);
@@ -181,12 +181,12 @@
     }
 }
 
-/// The records of a call are there together or not at all, and without them nothing leaves.
+/// The records of a call are written together or not at all, and without them nothing is sent.
 #[test]
 fn a_call_whose_records_were_refused_is_not_sent() {
     let (mut hub, _) = open(Memory::default(), NOW);
     for id in ["q0", "q1", "d2", "q3", "q4"] {
-        hand_in(&mut hub, id, NOW);
+        submit(&mut hub, id, NOW);
     }
     let before = hub.router.journal().store().bytes().len();
     hub.router.journal_mut().store_mut().fail(Fault::Full { after: 0 });
@@ -199,14 +199,14 @@
     assert!(["d2", "q3", "q4"].iter().all(|id| ids.contains(id)), "{ids:?}");
 }
 
-/// Another process goes on with a call and all of its messages.
+/// Another process resumes a call with all of its messages.
 #[test]
 fn a_call_with_several_messages_is_handed_over_completely() {
     let (mut hub, _) = open(Memory::default(), NOW);
     let (call, now) = bundle(&mut hub);
     let mark = quillmount_core::router::settings_fingerprint(&env(), None).unwrap();
     let state = hub.state(mark).router;
-    let (router, steps) = Router::resume(&env(), None, state, killed(&hub), 999_999, now).unwrap();
+    let (router, steps) = Router::resume(&env(), None, state, store_after_crash(&hub), 999_999, now).unwrap();
     let mut next: World = Hub::new(router, Pool::new(15_000_000, 9));
     next.carry_out(steps, now);
     assert_eq!(next.router.calls_out(), [call.call]);
@@ -215,8 +215,8 @@
     assert_eq!(next.router.notices(9).iter().filter(|n| n.ending == Ending::Undeliverable).count(), 0);
 }
 
-/// Two routes of one destination, of which one tells a wait: the pool holds that one alone, as the module does, and what
-/// it sends to the other leaves.
+/// Two routes of one destination, of which one advises to wait: the pool blocks that one alone, as the policy does, and
+/// calls to the other are sent.
 #[test]
 fn a_wait_advised_by_one_of_separate_routes_binds_no_other() {
     for (apart, held) in [(true, false), (false, true)] {
@@ -230,26 +230,26 @@
         let (router, steps) = Router::open(&env, 7, list, Memory::default(), 999_999, NOW).unwrap();
         let mut hub: World = Hub::new(router, Pool::new(15_000_000, 9));
         hub.carry_out(steps, NOW);
-        let told = hand_in(&mut hub, "q0", NOW).remove(0);
+        let told = submit(&mut hub, "q0", NOW).remove(0);
         let other = 1 - told.endpoint;
         let now = NOW + 100_000;
         let mut out = calls(hub.call_ended(told.call, CallEnd::Full(2_000_000), now));
         assert!(!hub.pool.is_open(told.endpoint, now), "apart: {apart}");
         assert_eq!(hub.pool.is_open(other, now), !held, "apart: {apart}");
         out.extend((1..100).flat_map(|n| calls(hub.tick(now + n * 10_000))));
-        out.extend(hand_in(&mut hub, "q1", now + 1_000_000));
+        out.extend(submit(&mut hub, "q1", now + 1_000_000));
         // Whatever the module lets go within the wait, the pool lets through.
         assert_eq!(out.is_empty(), held, "apart: {apart}, {out:?}");
         assert!(out.iter().all(|call| call.endpoint == other), "apart: {apart}, {out:?}");
     }
 }
 
-/// An answer after the time of the call's first message counts for none of them: the one that lives longest stands first,
-/// whatever the order of the module, and at the end of its time the call is waited for by nobody.
+/// An answer after the deadline of the call's first message counts for none of them: so the one with the latest deadline
+/// leads, whatever the policy's order, and after its deadline nothing is waited for.
 #[test]
 fn the_message_with_the_latest_deadline_leads_a_call() {
     let (mut hub, _) = open(Memory::default(), NOW);
-    let alone: Vec<DeliveryCall> = ["q0", "q1"].iter().flat_map(|id| hand_in(&mut hub, id, NOW)).collect();
+    let alone: Vec<DeliveryCall> = ["q0", "q1"].iter().flat_map(|id| submit(&mut hub, id, NOW)).collect();
     for (n, id) in (0..).zip(["d2", "q3", "d4", "d5", "q6"]) {
         // The fourth has the most time left though it comes before the last.
         let (class, came) = (if id.starts_with('d') { "debit" } else { "quote" }, NOW + n * 100_000);
@@ -271,14 +271,14 @@
     }
 }
 
-/// A quote that lives longer than the debits beside it is waited for less long: it is left behind, sent again or ended, and
-/// what the call's answer says of the debits has to count.
+/// A quote with a later deadline than the debits beside it has a shorter timeout: it leaves the call and is sent again or
+/// ended, and what the call's answer says of the debits must count.
 #[test]
 fn the_message_with_the_longest_timeout_leads_a_call() {
     let (mut hub, _) = open(Memory::default(), NOW);
-    let alone: Vec<DeliveryCall> = ["q0", "q1"].iter().flat_map(|id| hand_in(&mut hub, id, NOW)).collect();
+    let alone: Vec<DeliveryCall> = ["q0", "q1"].iter().flat_map(|id| submit(&mut hub, id, NOW)).collect();
     for (n, id) in (0..).zip(["d2", "q3", "d4", "q5"]) {
-        assert_eq!(hand_in(&mut hub, id, NOW + n * 100_000).len(), 0);
+        assert_eq!(submit(&mut hub, id, NOW + n * 100_000).len(), 0);
     }
     alone.iter().for_each(|call| drop(hub.call_ended(call.call, CallEnd::Delivered, NOW + 450_000)));
     let now = NOW + 900_000;
--- a/courier/core/tests/common/mod.rs
+++ b/courier/core/tests/common/mod.rs
@@ -1,17 +1,17 @@
-//! A courier without sockets, for tests of the core: its table of classes, its endpoints, and what is to be begun.
+//! A courier without sockets, for the tests of this package: classes, endpoints, and the calls that begin.
 #![allow(dead_code)]
 
 use quillmount_core::hub::{DriverAction, Hub};
 use quillmount_core::store::Memory;
 use quillmount_core::{DeliveryCall, EndpointListing};
-use quillmount_policy::{EndpointState, Micros};
+use quillmount_policy::{EndpointState, Micros, StateVisitor};
 use quillmount_settings::Category;
 
 pub const NOW: Micros = 1_000_000_000;
 
 pub type World = Hub<Memory, u32>;
 
-/// A class of messages that live for 16 s.
+/// A class of messages with a deadline of 16 s.
 pub fn class(name: &str, effect: &str) -> Category {
     Category {
         name: name.into(),
@@ -34,7 +34,33 @@
         .collect()
 }
 
-/// What a kill leaves, and the next process reads.
-pub fn killed(hub: &World) -> Memory {
+/// What a crash leaves, and the next process reads.
+pub fn store_after_crash(hub: &World) -> Memory {
     Memory::of(hub.router.journal().store().bytes().to_vec())
 }
+
+/// All values that a visitor is shown, in order.
+#[derive(Default, PartialEq, Debug)]
+pub struct VisitedValues(Vec<u64>);
+
+impl StateVisitor for VisitedValues {
+    fn visit_u64(&mut self, value: u64) {
+        self.0.push(value);
+    }
+    fn visit_time(&mut self, at: Micros) {
+        self.0.push(at);
+    }
+    fn visit_message(&mut self, id: u64) {
+        self.0.push(id);
+    }
+    fn visit_endpoint(&mut self, id: u32) {
+        self.0.push(id.into());
+    }
+}
+
+/// What the router shows a visitor.
+pub fn visited_values(hub: &World) -> VisitedValues {
+    let mut values = VisitedValues::default();
+    hub.router.visit_state(&mut values);
+    values
+}
--- a/courier/core/tests/disabled.rs
+++ b/courier/core/tests/disabled.rs
@@ -1,7 +1,7 @@
-//! Endpoints that operators take out, in the core: what is listed, refused, killed and called meanwhile.
+//! Endpoints that operators disable: lists, refused writes, crashes and calls meanwhile.
 
 mod common;
-use common::{NOW, World, calls, endpoint, killed};
+use common::{NOW, World, calls, endpoint, store_after_crash};
 use quillmount_core::call::Call;
 use quillmount_core::disabled::{DISABLED_MAX, DisableError};
 use quillmount_core::hub::Hub;
@@ -39,7 +39,7 @@
     hub
 }
 
-fn hand_in(hub: &mut World, id: &str, now: Micros) -> Vec<DeliveryCall> {
+fn submit(hub: &mut World, id: &str, now: Micros) -> Vec<DeliveryCall> {
     let (class, time_left) = ("paid-notice".to_string(), 16_000_000);
     let body = bytes::Bytes::new();
     calls(
@@ -63,25 +63,25 @@
         [(true, EndpointState::Ready), (false, EndpointState::Draining), (false, EndpointState::Ready)];
     for (n, (full, state)) in wholes.into_iter().enumerate() {
         assert_eq!(calls(hub.list(list(full, &[("a", state)]), NOW)).len(), 0);
-        assert_eq!(hand_in(&mut hub, &format!("m{n}"), NOW).len(), 0, "{state:?}");
+        assert_eq!(submit(&mut hub, &format!("m{n}"), NOW).len(), 0, "{state:?}");
     }
     // Gone long enough to be forgotten, and listed again.
     hub.list(list(true, &[("b", EndpointState::Draining)]), NOW);
     hub.list(list(false, &[("c", EndpointState::Draining)]), NOW + 30_000_000);
     let later = NOW + 30_000_000;
     assert_eq!(calls(hub.list(list(false, &[("a", EndpointState::Ready)]), later)).len(), 0);
-    assert_eq!(hand_in(&mut hub, "later", later).len(), 0);
+    assert_eq!(submit(&mut hub, "later", later).len(), 0);
     assert!(!calls(hub.set_disabled("a", false, later).unwrap()).is_empty(), "one call ends the hold");
     assert!(hub.set_disabled("a", false, later).unwrap().is_empty(), "once more changes nothing");
 }
 
-/// A whole list that omits an endpoint says that it is gone: put back, it is gone still.
+/// A full list without an endpoint says that it is gone: enabled, it is still gone.
 #[test]
 fn an_endpoint_that_was_removed_while_disabled_gets_no_call_when_it_is_enabled() {
     let mut hub = open(Memory::default());
     hub.list(list(true, &[("a", EndpointState::Ready)]), NOW);
     hub.set_disabled("a", true, NOW).unwrap();
-    assert_eq!(hand_in(&mut hub, "m", NOW).len(), 0);
+    assert_eq!(submit(&mut hub, "m", NOW).len(), 0);
     hub.list(list(true, &[("b", EndpointState::Draining)]), NOW);
     assert_eq!(calls(hub.set_disabled("a", false, NOW).unwrap()).len(), 0);
     assert_eq!(calls(hub.list(list(false, &[("a", EndpointState::Ready)]), NOW)).len(), 1);
@@ -90,7 +90,7 @@
 #[test]
 fn a_call_that_is_connecting_when_its_endpoint_is_disabled_is_held_back() {
     let mut hub = open(Memory::default());
-    let order = hand_in(&mut hub, "m", NOW).remove(0);
+    let order = submit(&mut hub, "m", NOW).remove(0);
     let mut call = Call::new(order, |_, _| Answer::Awaited, 9);
     call.start(&mut hub.pool, NOW, |_| true);
     assert_eq!(call.state(), AttemptState::Connecting);
@@ -108,17 +108,17 @@
     hub.router.journal_mut().store_mut().fail(Fault::None);
     hub.set_disabled("a", true, NOW).unwrap();
     // A torn record at the end makes the next start write a copy.
-    let mut bytes = killed(&hub).bytes().to_vec();
+    let mut bytes = store_after_crash(&hub).bytes().to_vec();
     bytes.extend([9, 0, 0, 0, 1]);
     let mut next = open(Memory::of(bytes));
     assert!(next.router.disabled().contains("a"));
-    assert_eq!(hand_in(&mut next, "m", NOW).len(), 0);
+    assert_eq!(submit(&mut next, "m", NOW).len(), 0);
     next.router.journal_mut().store_mut().fail(Fault::Full { after: 0 });
     assert!(next.set_disabled("a", false, NOW).is_err());
     assert!(next.router.disabled().contains("a"), "refused, it is out still");
     next.router.journal_mut().store_mut().fail(Fault::None);
     assert_eq!(calls(next.set_disabled("a", false, NOW).unwrap()).len(), 1);
-    assert!(!open(killed(&next)).router.disabled().contains("a"));
+    assert!(!open(store_after_crash(&next)).router.disabled().contains("a"));
 }
 
 #[test]
@@ -127,11 +127,11 @@
         let mut hub = open(Memory::default());
         hub.router.journal_mut().store_mut().fail(Fault::Die { after: 0, bytes });
         hub.set_disabled("a", true, NOW).unwrap();
-        let mut next = open(killed(&hub));
+        let mut next = open(store_after_crash(&hub));
         let held = next.router.disabled().contains("a");
-        assert_eq!(hand_in(&mut next, "m", NOW).is_empty(), held, "{bytes} bytes");
+        assert_eq!(submit(&mut next, "m", NOW).is_empty(), held, "{bytes} bytes");
         next.set_disabled("a", true, NOW).unwrap();
-        assert!(open(killed(&next)).router.disabled().contains("a"), "{bytes} bytes");
+        assert!(open(store_after_crash(&next)).router.disabled().contains("a"), "{bytes} bytes");
     }
 }
 
@@ -143,5 +143,5 @@
     hub.list(list(true, &endpoints), NOW);
     let held = ids.iter().filter(|id| hub.set_disabled(id, true, NOW).is_ok()).count();
     assert!((1..DISABLED_MAX).contains(&held), "{held}: here the disk is the narrower limit");
-    assert!(2 * killed(&hub).bytes().len() as u64 <= DISK);
+    assert!(2 * store_after_crash(&hub).bytes().len() as u64 <= DISK);
 }
--- a/courier/core/tests/drain.rs
+++ b/courier/core/tests/drain.rs
@@ -1,4 +1,4 @@
-//! The drain.
+//! Draining a courier.
 
 use quillmount_core::machine::drain::{Drain, DrainInput, DrainOutput, FRONT_GRACE, IDLE_CHECK_INTERVAL};
 
--- a/courier/core/tests/ends.rs
+++ b/courier/core/tests/ends.rs
@@ -1,7 +1,7 @@
-//! A delivery about the end of a message's time, which may count or not by the clock of whoever judges it: its end is told.
+//! A delivery close to the deadline, which counts or not by the clock that is asked: the platform gets a notice.
 
 mod common;
-use common::{NOW, World, calls, class, endpoint, killed};
+use common::{NOW, World, calls, class, endpoint, store_after_crash};
 use quillmount_core::hub::Hub;
 use quillmount_core::journal::{End, JournalContents};
 use quillmount_core::pool::Pool;
@@ -11,11 +11,11 @@
 use quillmount_settings::SenderSettings;
 
 const TIME: Micros = 16_000_000;
-/// Less than this before the end of its time it is about that end.
+/// A delivery is close to the deadline less than this before it.
 const CLOSE: Micros = 50_000;
 
-/// A courier with a message of this class out in a call, which the module gives up with the message.
-fn out(effect: &str) -> (World, CallId) {
+/// A courier with a message of a class with this effect in flight.
+fn in_flight(effect: &str) -> (World, CallId) {
     let env = SenderSettings { categories: vec![class("c", effect)], ..SenderSettings::default() };
     let list =
         || EndpointList { version: 1, full: true, endpoints: vec![endpoint("s", 1, EndpointState::Ready)] };
@@ -31,7 +31,7 @@
     (hub, call)
 }
 
-fn told(hub: &World) -> Vec<Ending> {
+fn notices(hub: &World) -> Vec<Ending> {
     hub.router.notices(9).into_iter().map(|notice| notice.ending).collect()
 }
 
@@ -46,12 +46,12 @@
             (TIME, true),
             (TIME + 5_000, true),
         ] {
-            let (mut hub, call) = out(effect);
+            let (mut hub, call) = in_flight(effect);
             hub.call_ended(call, CallEnd::Delivered, NOW + at);
             let end = if tells { vec![Ending::Undeliverable] } else { Vec::new() };
-            assert_eq!(told(&hub), end, "{effect}, {at}");
+            assert_eq!(notices(&hub), end, "{effect}, {at}");
             // A kill before the platform has confirmed it: the next life tells it.
-            let (contents, _) = JournalContents::read(killed(&hub).bytes());
+            let (contents, _) = JournalContents::read(store_after_crash(&hub).bytes());
             let owed: Vec<_> = contents.owed.values().map(|entry| entry.end).collect();
             assert_eq!(
                 owed,
@@ -64,25 +64,25 @@
                 now = wake.max(now + 1);
                 assert!(calls(hub.tick(now)).is_empty());
             }
-            assert_eq!(told(&hub), end, "one end, the same");
+            assert_eq!(notices(&hub), end, "one end, the same");
         }
     }
 }
 
-/// The module has ended it in this very moment: the notice stays, though it is not on its way yet.
+/// The policy ends the message at this moment: the notice stays, though it is not sent yet.
 #[test]
 fn a_delivery_after_the_deadline_withdraws_no_notice() {
-    let (mut hub, call) = out("fragile");
+    let (mut hub, call) = in_flight("fragile");
     let mut now = NOW;
-    while told(&hub).is_empty() {
+    while notices(&hub).is_empty() {
         now = hub.router.wake_at().unwrap().max(now + 1);
         hub.tick(now);
     }
     assert!((NOW + TIME - CLOSE..=NOW + TIME + CLOSE).contains(&now), "{}", now - NOW);
     hub.call_ended(call, CallEnd::Delivered, now + 5_000);
-    assert_eq!(told(&hub), [Ending::Undeliverable]);
+    assert_eq!(notices(&hub), [Ending::Undeliverable]);
     // What the endpoint says to be over is.
-    let (mut hub, call) = out("fragile");
+    let (mut hub, call) = in_flight("fragile");
     hub.call_ended(call, CallEnd::Gone, NOW + TIME);
-    assert_eq!((told(&hub), hub.router.load().0), (vec![], 0));
+    assert_eq!((notices(&hub), hub.router.load().0), (vec![], 0));
 }
--- a/courier/core/tests/flow.rs
+++ b/courier/core/tests/flow.rs
@@ -1,4 +1,4 @@
-//! A body on its way, its window and its two sides.
+//! A streamed body, its window and its two sides.
 
 use quillmount_core::flow::{Cut, Flow, FlowSide, Late, Pace, Source};
 
@@ -45,7 +45,7 @@
     assert_eq!(flow.source(), Source::Cut(Cut::Digest));
 }
 
-/// A side is late only by the time in which it could have moved.
+/// A side is late only by the time in which it could have moved bytes.
 #[test]
 fn each_side_is_late_by_its_own_time_only() {
     let mut flow = flow(4, None);
--- a/courier/core/tests/full.rs
+++ b/courier/core/tests/full.rs
@@ -1,4 +1,4 @@
-//! An endpoint whose table of connections is full says so on a new connection, and closes it.
+//! An endpoint with a full connection table says so on a new connection, and closes it.
 
 use bytes::Bytes;
 use quillmount_core::call::Call;
@@ -25,7 +25,7 @@
     }
 }
 
-/// How a call ends whose answer refuses it, on a new connection or on one that rested.
+/// The end of a call that is rejected with this answer, on a new connection or an idle one.
 fn end(answer: fn(&[u8], bool) -> Answer, fresh: bool, reports: bool) -> (Option<CallEnd>, (usize, usize)) {
     let mut pool = Pool::new(15_000_000, 9);
     if !fresh {
--- a/courier/core/tests/handover.rs
+++ b/courier/core/tests/handover.rs
@@ -1,6 +1,6 @@
-//! Every order of steps in which two processes may follow one another, with a kill of each between any two of them.
+//! Every order of the steps of a handover between two processes, with a crash of each between any two steps.
 //!
-//! The machines are the courier's own; what stands around them here is the lock, the socket and the journal, as counts.
+//! The machines are the courier's own; the lock, the socket and the journal are modelled here.
 
 use quillmount_core::machine::handover::*;
 use std::collections::{BTreeSet, HashSet};
@@ -8,7 +8,7 @@
 /// Decisions that are written in one run of the world.
 const WRITES: u8 = 2;
 
-/// A deliberate departure, which the search has to find.
+/// An injected fault, which the search has to find.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Broken {
     Nothing,
@@ -357,8 +357,8 @@
     }
 }
 
-/// The holder is ended, or hands over to a third process, and that one takes the lock: it is asked like any other, however
-/// long the process has waited by then. Asked no more, it would be waited for until it ends by itself.
+/// The owner is killed, or hands over to a third process, which takes the lock: that one is asked like any other, however
+/// long the receiver has waited by then.
 #[test]
 fn a_new_owner_of_the_lock_is_asked_before_it_is_killed() {
     let mut taker = HandoverReceiver::new(0);
--- a/courier/core/tests/handover_forms.rs
+++ b/courier/core/tests/handover_forms.rs
@@ -1,11 +1,11 @@
-//! What one process hands to the next on an upgrade, as bytes: what an earlier version sent is gone on from, and the same
-//! state is sent as the same bytes. `WRITE_FIXTURES=1` writes the files anew.
+//! The encoding of what one process hands over to the next: the bytes of an earlier version are resumed from, and the same
+//! state is encoded to the same bytes. `WRITE_FIXTURES=1` writes the files.
 
 mod common;
 mod fixtures;
 
 use bytes::Bytes;
-use common::{NOW, World, calls, class, endpoint, killed};
+use common::{NOW, World, calls, class, endpoint, store_after_crash, visited_values};
 use fixtures::fixture;
 use quillmount_core::call::{Call, CallSnapshot};
 use quillmount_core::flow::{Cut, Late};
@@ -19,39 +19,14 @@
     BundledMessage, CallEnd, CallId, DeliveryCall, Ending, EndpointList, EndpointListing, MessagePayload,
     Submission,
 };
-use quillmount_policy::{EndpointState, Micros, StateVisitor};
+use quillmount_policy::{EndpointState, Micros};
 use quillmount_settings::{Category, DestinationSettings, Limits, SenderSettings, Tenant};
 use std::sync::Arc;
 
 const DISK: u64 = 999_999;
 const STREAMS: Option<StreamLimits> = Some(StreamLimits { most: 4, part_of_slots: 0.5, part_of_window: 0.5 });
-/// Of the settings below: a state of another mark is not gone on from.
-const MARK: u32 = 1_794_195_402;
-
-/// All that an observer is shown, in order.
-#[derive(Default, PartialEq, Debug)]
-struct VisitedValues(Vec<u64>);
-
-impl StateVisitor for VisitedValues {
-    fn visit_u64(&mut self, value: u64) {
-        self.0.push(value);
-    }
-    fn visit_time(&mut self, at: Micros) {
-        self.0.push(at);
-    }
-    fn visit_message(&mut self, id: u64) {
-        self.0.push(id);
-    }
-    fn visit_endpoint(&mut self, id: u32) {
-        self.0.push(id.into());
-    }
-}
-
-fn visited_values(hub: &World) -> VisitedValues {
-    let mut values = VisitedValues::default();
-    hub.router.visit_state(&mut values);
-    values
-}
+/// The fingerprint of the settings below: a state with another one is not resumed.
+const FINGERPRINT: u32 = 1_794_195_402;
 
 fn env() -> SenderSettings {
     let keyed = Category {
@@ -108,8 +83,8 @@
     }
 }
 
-/// A courier in the middle of much: calls out, some with several messages, one told to wait, failures that make an
-/// outage, ends that wait for the platform, endpoints that are out, messages that wait, streams in each state.
+/// A busy courier: calls in flight, some with several messages, an endpoint that advised to wait, failures that make an
+/// outage, notices that are not confirmed, disabled endpoints, waiting messages, streams in each state.
 fn busy() -> World {
     let (router, steps) =
         Router::open_with(&env(), STREAMS, 7, list(), Memory::default(), DISK, NOW).unwrap();
@@ -158,7 +133,7 @@
     hub
 }
 
-/// The pool tells of its waits in no order; here they are in that of their numbers, so that the bytes can be compared.
+/// The pool returns its waits in no order; they are sorted by endpoint here, so that the bytes can be compared.
 fn encoded(hub: &World) -> Vec<u8> {
     let mut state = hub.state(settings_fingerprint(&env(), STREAMS).unwrap());
     state.backoffs.sort_unstable();
@@ -167,14 +142,14 @@
 
 #[test]
 fn the_settings_fingerprint_is_that_of_earlier_versions() {
-    assert_eq!(settings_fingerprint(&env(), STREAMS).unwrap(), MARK);
+    assert_eq!(settings_fingerprint(&env(), STREAMS).unwrap(), FINGERPRINT);
 }
 
 #[test]
 fn a_stored_state_is_resumed_and_encoded_to_the_same_bytes() {
     let hub = busy();
     let stored = fixture("handover_state.bin", &encoded(&hub));
-    let journal = fixture("handover_journal.bin", killed(&hub).bytes());
+    let journal = fixture("handover_journal.bin", store_after_crash(&hub).bytes());
     let state: hub::HubState = postcard::from_bytes(&stored).unwrap();
     assert_eq!(postcard::to_allocvec(&state).unwrap(), stored, "read and written without a courier");
     let held = state.backoffs.clone();
@@ -189,7 +164,7 @@
     assert_eq!(next.router.calls_out(), hub.router.calls_out());
     assert_eq!(next.router.load(), hub.router.load());
     assert_eq!(encoded(&next), stored, "the next process would hand over the same");
-    assert_eq!(killed(&next).bytes(), journal);
+    assert_eq!(store_after_crash(&next).bytes(), journal);
     // What there is of each kind, so that the file is known to have it.
     let (open, out) = next.router.load();
     assert_eq!((open, out, next.router.notices(99).len()), (63, 17, 20));
@@ -206,7 +181,7 @@
     assert_eq!((counters.streams, counters.streams_cut), (4, 3));
 }
 
-/// An answer is whole with `.`.
+/// An answer is complete with `.`.
 const DECODE: Decode = |bytes, over| match bytes.last() {
     Some(b'.') => Answer::Whole { end: CallEnd::Delivered, reusable: true },
     _ if over => Answer::Whole { end: CallEnd::Spoilt(0), reusable: false },
@@ -238,7 +213,7 @@
     }
 }
 
-/// A call that is in this state, with its connection where it has one.
+/// A call in this state, with its connection if it has one.
 fn in_state(state: &str, several: bool) -> (CallSnapshot, Option<u32>) {
     let mut pool: Pool<u32> = Pool::new(15_000_000, 9);
     let mut call = Call::new(order(several), DECODE, 64);
@@ -304,7 +279,7 @@
     }
 }
 
-/// Values that no run of the above may have: each variant, by its place among the others.
+/// Each variant, with the position that it must have, also those that the state above does not contain.
 #[test]
 fn variants_of_encoded_enums_keep_their_positions() {
     let call_ends = vec![
--- a/courier/core/tests/journal.rs
+++ b/courier/core/tests/journal.rs
@@ -1,11 +1,10 @@
-//! The journal, cut anywhere.
+//! Reading a journal that is cut off anywhere.
 
 use bytes::Bytes;
 use quillmount_core::journal::{AcceptedMessage, End, Journal, JournalContents, JournalRecord, frame};
 use quillmount_core::store::Memory;
 
-/// A kill may leave any prefix: each is read back to what its whole records say, and nothing written
-/// behind it is hidden.
+/// A crash may leave any prefix: each is read as its intact records, and what is appended to it later is read, too.
 #[test]
 fn every_prefix_of_a_journal_reads_as_its_intact_records() {
     let taken = |n: u64| AcceptedMessage {
--- a/courier/core/tests/lifecycle.rs
+++ b/courier/core/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! A courier's life: each state that any order of inputs leads to.
+//! The lifecycle, in each state that any order of inputs leads to.
 
 use quillmount_core::machine::Machine;
 use quillmount_core::machine::drain;
@@ -7,14 +7,14 @@
 use quillmount_policy::Micros;
 use std::collections::{BTreeSet, HashSet};
 
-/// All that can happen, each at once and after all that is waited for.
+/// All inputs, each at time 0 and after all that is waited for.
 fn inputs() -> Vec<(LifecycleInput, Micros)> {
     let all: Vec<LifecycleInput> = Lifecycle::inputs().into_iter().map(|(.., (input, _))| input).collect();
     [0, 1_000_000].into_iter().flat_map(|now| all.clone().into_iter().map(move |one| (one, now))).collect()
 }
 
-/// Each life that any order of inputs leads to.
-fn lives() -> HashSet<Lifecycle> {
+/// Each state that any order of inputs leads to.
+fn reachable() -> HashSet<Lifecycle> {
     let mut known = HashSet::from([Lifecycle::default()]);
     let mut fresh = vec![Lifecycle::default()];
     while let Some(lifecycle) = fresh.pop() {
@@ -29,20 +29,20 @@
     known
 }
 
-/// For each life and input: the life before, the input, what is to be done, the life after.
+/// For each state and input: the state before, the input, the output, the state after.
 fn steps() -> Vec<(Lifecycle, LifecycleInput, LifecycleOutput, Lifecycle)> {
     let step = |lifecycle: Lifecycle, (input, now)| {
         let mut next = lifecycle;
         let output = next.step(input, now);
         (lifecycle, input, output, next)
     };
-    lives()
+    reachable()
         .into_iter()
         .flat_map(|lifecycle| inputs().into_iter().map(move |one| step(lifecycle, one)))
         .collect()
 }
 
-/// A life that these inputs lead to, all of them at one moment.
+/// The state that these inputs lead to, all of them at one time.
 fn after(inputs: &[LifecycleInput]) -> Lifecycle {
     let mut lifecycle = Lifecycle::default();
     for input in inputs {
@@ -54,7 +54,7 @@
 #[test]
 fn the_table_names_every_reachable_state() {
     let named: BTreeSet<_> = Lifecycle::states().into_iter().map(|(name, ..)| name).collect();
-    let kinds: BTreeSet<_> = lives().iter().map(Machine::state).collect();
+    let kinds: BTreeSet<_> = reachable().iter().map(Machine::state).collect();
     assert_eq!(kinds, named);
     assert!(Lifecycle::states().iter().all(|(name, _, lifecycle)| *name == lifecycle.state()));
 }
@@ -96,7 +96,8 @@
 
 #[test]
 fn an_abandoned_handover_restores_the_state_before_it() {
-    for before in lives().into_iter().filter(|lifecycle| lifecycle.is_serving() && !lifecycle.is_releasing())
+    for before in
+        reachable().into_iter().filter(|lifecycle| lifecycle.is_serving() && !lifecycle.is_releasing())
     {
         let mut asked = before;
         assert_eq!(
@@ -135,7 +136,7 @@
         assert_eq!(begins, output == LifecycleOutput::Stop || back, "{lifecycle:?}, {input:?}");
     }
     // Whatever state a hand-over is in, its time's end decides: who holds the lock stops as planned.
-    let told = lives()
+    let told = reachable()
         .into_iter()
         .filter(|lifecycle| lifecycle.stop_requested() && lifecycle.handover_deadline().is_some());
     let mut all = 0;
--- a/courier/core/tests/list.rs
+++ b/courier/core/tests/list.rs
@@ -7,7 +7,7 @@
 use quillmount_policy::EndpointState;
 use quillmount_settings::SenderSettings;
 
-/// New endpoints replace old ones all day: what is kept of them must not grow with the day.
+/// New endpoints replace old ones all day: the tables must not grow with them.
 #[test]
 fn an_endpoint_that_is_gone_for_good_is_removed_from_every_table() {
     let known = EndpointList { version: 0, full: true, endpoints: Vec::new() };
--- a/courier/core/tests/pool.rs
+++ b/courier/core/tests/pool.rs
@@ -1,4 +1,4 @@
-//! The connections to the endpoints: which rest, which are closed, and which serve a call.
+//! The connection pool: which connections are idle, which are closed, and which serve a call.
 
 use quillmount_core::machine::connection::ConnectionInput;
 use quillmount_core::pool::Pool;
@@ -48,7 +48,7 @@
     assert_eq!(pool.sweep(14_000_010, |_| true), [71]);
 }
 
-/// A keep-alive of less than a second: what rests is closed while its endpoint still holds it.
+/// With a keep-alive of less than a second an idle connection is closed while its endpoint still has it.
 #[test]
 fn a_connection_may_be_idle_for_half_of_a_short_keep_alive() {
     let addr = ADDR.parse().unwrap();
@@ -65,7 +65,7 @@
     }
 }
 
-/// The endpoint has moved: what leads to its old address serves no call.
+/// The endpoint has another address: a connection to the old one serves no call.
 #[test]
 fn a_connection_to_an_old_address_serves_no_call() {
     let mut pool = Pool::new(15_000_000, 9);
@@ -74,7 +74,7 @@
     assert_eq!(pool.load(), (1, 0));
 }
 
-/// An endpoint that is gone for good leaves no connection behind, at rest or as its last call ends.
+/// An endpoint that is gone for good has no idle connection, nor gets one when its last call ends.
 #[test]
 fn an_endpoint_that_is_gone_has_no_idle_connection() {
     let addr = ADDR.parse().unwrap();
--- a/courier/core/tests/repeats.rs
+++ b/courier/core/tests/repeats.rs
@@ -1,8 +1,8 @@
-//! Repeats under a key: they leave whole within the span for which the key is remembered, however short it is, or not
-//! at all; and what may be repeated is a matter of each class's settings.
+//! Repeats under a key: they are sent completely within the span for which the key is remembered, or not at all. What may be
+//! repeated depends on the settings of each class.
 
 mod common;
-use common::{NOW, World, calls, class, endpoint, killed};
+use common::{NOW, World, calls, class, endpoint, store_after_crash};
 use quillmount_core::hub::{DriverAction, Hub};
 use quillmount_core::journal::{End, JournalContents};
 use quillmount_core::note::Note;
@@ -14,11 +14,11 @@
 use quillmount_settings::{Category, SenderSettings};
 
 const SPAN: Micros = 1_000_000;
-/// Kept clear of the span's end: by the module as it orders a repeat, and by the call itself for its last byte.
+/// The margin before the span's end, for the policy's order of a repeat and for the call's last byte.
 const ORDER_MARGIN: Micros = 100_000;
 const BYTE_MARGIN: Micros = 50_000;
 
-/// Classes whose names say nothing, each with its effect.
+/// Classes with these effects.
 fn env(effects: &[&str]) -> SenderSettings {
     let categories = effects.iter().enumerate().map(|(n, effect)| {
         let span = if *effect == "dedup" { SPAN as f64 / 1e3 } else { 0.0 };
@@ -39,14 +39,14 @@
     (hub, todo)
 }
 
-fn hand_in(hub: &mut World, id: &str, class: usize, now: Micros) -> DeliveryCall {
+fn submit(hub: &mut World, id: &str, class: usize, now: Micros) -> DeliveryCall {
     let (key, body) = (Some(format!("k-{id}")), bytes::Bytes::from_static(b"body"));
     let (id, class, time_left) = (id.into(), format!("c{class}"), 16_000_000);
     let submission = Submission { id, class, key, dest: 1, tenant: None, time_left, body };
     calls(hub.submit(submission, now).1).remove(0)
 }
 
-/// Ticks as the hub wants, up to this time; the calls that are begun, with their moments.
+/// Ticks when the hub wants it, up to this time; returns the calls that begin, with their times.
 fn run(hub: &mut World, from: Micros, until: Micros) -> Vec<(Micros, DeliveryCall)> {
     let (mut now, mut begun) = (from, Vec::new());
     while let Some(at) = hub.router.wake_at().map(|at| at.max(now)).filter(|at| *at <= until) {
@@ -66,14 +66,14 @@
     matches!(end_of(hub, id), Some(End::Undeliverable | End::Deferred { .. }))
 }
 
-/// A reset at any moment of a span of one second: the repeat is ordered in time for its last byte, or the message ends
-/// at once.
+/// A reset at any time of a span of one second: the repeat is ordered in time for its last byte, or the message ends at
+/// once.
 #[test]
 fn a_repeat_within_a_span_of_one_second_is_sent_within_it() {
     let mut repeated = 0;
     for after in (50_000..1_200_000).step_by(50_000) {
         let (mut hub, _) = open(&env(&["dedup"]), Memory::default(), NOW);
-        let first = hand_in(&mut hub, "m", 0, NOW);
+        let first = submit(&mut hub, "m", 0, NOW);
         assert_eq!(first.by, Micros::MAX, "nothing is remembered yet");
         let mut begun: Vec<_> = calls(hub.call_ended(first.call, CallEnd::Reset, NOW + after))
             .into_iter()
@@ -91,11 +91,11 @@
     assert!(repeated >= 10, "{repeated}");
 }
 
-/// A connect may last longer than the span: a call that never left does not begin it, and the next has all of it.
+/// A connect may take longer than the span: a call that was never sent does not start it, and the next one has all of it.
 #[test]
 fn a_call_that_connects_for_as_long_as_the_span_does_not_start_the_span() {
     let (mut hub, _) = open(&env(&["dedup"]), Memory::default(), NOW);
-    let first = hand_in(&mut hub, "m", 0, NOW);
+    let first = submit(&mut hub, "m", 0, NOW);
     let late = NOW + SPAN + 200_000;
     let mut begun: Vec<_> = calls(hub.call_ended(first.call, CallEnd::CouldNotConnect, late))
         .into_iter()
@@ -114,14 +114,14 @@
     assert!(has_ended(&hub, "m"));
 }
 
-/// After a kill the span goes on from the journal's moment of the first attempt.
+/// After a crash the span continues from the time of the first attempt in the journal.
 #[test]
 fn a_restart_continues_the_span_of_the_earlier_process() {
     let env = env(&["dedup"]);
     for down in [100_000, 600_000, 899_999, 900_001, 950_000, SPAN, 5 * SPAN] {
         let (mut hub, _) = open(&env, Memory::default(), NOW);
-        hand_in(&mut hub, "m", 0, NOW);
-        let (mut next, todo) = open(&env, killed(&hub), NOW + down);
+        submit(&mut hub, "m", 0, NOW);
+        let (mut next, todo) = open(&env, store_after_crash(&hub), NOW + down);
         let mut begun = calls(todo);
         begun.extend(run(&mut next, NOW + down, NOW + down + SPAN).into_iter().map(|(_, call)| call));
         let in_time = down <= SPAN - ORDER_MARGIN;
@@ -131,8 +131,8 @@
     }
 }
 
-/// A clock that was set back makes an old attempt look young: how old it is can't be told, and it is not repeated. One
-/// that was set on makes it look older, which is safe. What has surely not run is sent whatever the clock says.
+/// A clock that was set back makes an old attempt look recent: its age is not known, and it is not repeated. One that was
+/// set forward makes it look older, which is safe. An attempt that had no effect is repeated whatever the clock says.
 #[test]
 fn a_clock_changed_between_processes_allows_no_repeat_after_the_span() {
     let env = env(&["dedup", "fragile", "retryable"]);
@@ -140,7 +140,7 @@
         [(NOW - 10 * SPAN, false), (NOW - 1, false), (NOW + 300_000, true), (NOW + 3_600 * SPAN, false)]
     {
         let (mut hub, _) = open(&env, Memory::default(), NOW - SPAN);
-        let never = hand_in(&mut hub, "never-ran", 1, NOW - SPAN);
+        let never = submit(&mut hub, "never-ran", 1, NOW - SPAN);
         hub.call_ended(never.call, CallEnd::Full(800_000), NOW - SPAN + 1_000);
         let later = NOW - SPAN + 2_000;
         hub.submit(
@@ -159,7 +159,7 @@
         let due = calls(hub.tick(NOW));
         let out: Vec<&str> = due.iter().map(|call| call.payload.id.as_str()).collect();
         assert!(out.contains(&"untried"), "{out:?}");
-        let before = killed(&hub);
+        let before = store_after_crash(&hub);
         let (mut next, todo) = open(&env, before, now);
         let noted = todo.iter().any(|one| matches!(one, DriverAction::Note(Note::SetBack { .. })));
         assert_eq!(noted, now < NOW, "{now}");
@@ -171,7 +171,7 @@
     }
 }
 
-/// Whatever the order of the classes, a message is repeated as its own class's effect allows.
+/// Whatever the order of the classes, a message is repeated as the effect of its own class allows.
 #[test]
 fn the_effect_of_a_class_alone_decides_what_may_be_repeated() {
     use CallEnd::*;
@@ -197,7 +197,7 @@
         for (n, effect) in effects.iter().enumerate() {
             for (end, may_have_run) in ends {
                 let (mut hub, _) = open(&env, Memory::default(), NOW);
-                let first = hand_in(&mut hub, "m", n, NOW);
+                let first = submit(&mut hub, "m", n, NOW);
                 let then = NOW + 1_000;
                 let mut begun = calls(hub.call_ended(first.call, end, then));
                 begun
--- a/courier/core/tests/restart.rs
+++ b/courier/core/tests/restart.rs
@@ -1,8 +1,8 @@
-//! What a restart finds, in the core: tried whatever else stands against it, and matched by name under other settings.
+//! Restarts: restored messages are tried whatever the load, and their classes are matched by name under other settings.
 
 mod common;
 use bytes::Bytes;
-use common::{NOW, World, calls, class, endpoint, killed};
+use common::{NOW, World, calls, class, endpoint, store_after_crash};
 use quillmount_core::hub::Hub;
 use quillmount_core::journal::{
     AcceptedMessage, End, Journal, JournalContents, JournalRecord, RepeatEffect, frame,
@@ -53,12 +53,12 @@
     }
 }
 
-/// A folder with these records.
+/// A journal's store with these records.
 fn folder(records: &[JournalRecord]) -> Memory {
     Memory::of(records.iter().flat_map(|record| frame(record).unwrap()).collect())
 }
 
-/// The next life, what it begins at once, and the errors that it logs.
+/// The next process, the calls that it begins at once, and the errors that it logs.
 fn open(
     env: &SenderSettings,
     known: EndpointList,
@@ -76,7 +76,7 @@
     (hub, begun, errors)
 }
 
-fn hand_in(hub: &mut World, id: &str, class: &str, now: Micros) -> (Intake, Vec<DeliveryCall>) {
+fn submit(hub: &mut World, id: &str, class: &str, now: Micros) -> (Intake, Vec<DeliveryCall>) {
     let (id, class, body) = (id.to_string(), class.to_string(), Bytes::from_static(b"body"));
     let key = Some(id.clone());
     let submission = Submission { id, class, key, dest: 1, tenant: None, time_left: LIFE, body };
@@ -88,8 +88,13 @@
     hub.router.notices(9_999).into_iter().map(|Notice { msg, ending, .. }| (msg, ending)).collect()
 }
 
-/// Plays on, each call delivered, until the time; the messages that were called.
-fn played(hub: &mut World, mut out: Vec<DeliveryCall>, mut now: Micros, until: Micros) -> BTreeSet<MsgId> {
+/// Goes on until this time and delivers each call; returns the messages that were delivered.
+fn deliver_all(
+    hub: &mut World,
+    mut out: Vec<DeliveryCall>,
+    mut now: Micros,
+    until: Micros,
+) -> BTreeSet<MsgId> {
     let mut called = BTreeSet::new();
     loop {
         while let Some(call) = out.pop() {
@@ -104,8 +109,8 @@
     }
 }
 
-/// A table that was full, with calls out as the process was killed: the module sheds beyond nine tenths what it has
-/// only just been given, and all of this is.
+/// The table was full when the process crashed, with calls in flight. The policy sheds new messages above nine tenths, and
+/// to it all restored ones are new.
 #[test]
 fn messages_that_fill_the_table_survive_a_restart_and_are_tried_before_new_ones() {
     for (cap, owed) in [(20, 20), (10, 20), (1, 3), (20, 18), (1_000, 1)] {
@@ -120,27 +125,28 @@
         // An upgrade right then keeps them too.
         let state = hub.state(settings_fingerprint(&settings, None).unwrap());
         let (next, _) =
-            Router::resume(&settings, None, state.router, killed(&hub), DISK, NOW + 1_000).unwrap();
+            Router::resume(&settings, None, state.router, store_after_crash(&hub), DISK, NOW + 1_000)
+                .unwrap();
         hub = Hub::new(next, Pool::new(15_000_000, 99));
         hub.tick(NOW + 1_000_000);
         assert_eq!(ends(&hub).len(), 0, "{owed} in a table of {cap}");
         let now = NOW + 1_000_000;
         let begun = calls(hub.list(list(&[("a", 1, "z")]), now));
         if owed >= u64::from(cap) {
-            let (intake, _) = hand_in(&mut hub, "new", "fee-debit", now);
+            let (intake, _) = submit(&mut hub, "new", "fee-debit", now);
             assert!(matches!(intake, Intake::Rejected { .. }), "{intake:?}");
         }
-        assert_eq!(played(&mut hub, begun, now, now + 10_000_000), (0..owed).collect(), "{cap}");
+        assert_eq!(deliver_all(&mut hub, begun, now, now + 10_000_000), (0..owed).collect(), "{cap}");
         // Its place goes with it: the table's limit is the settings' from here on.
         let taken_on = (0..2 * u64::from(cap).min(50)).filter(|n| {
-            hand_in(&mut hub, &format!("n{n}"), "fee-debit", now + 10_000_000).0 == Intake::Accepted
+            submit(&mut hub, &format!("n{n}"), "fee-debit", now + 10_000_000).0 == Intake::Accepted
         });
         assert!(taken_on.count() <= cap as usize);
     }
 }
 
-/// Neither an empty `known` nor one that lacks the destination, nor discovery that is silent or fails ends what is owed
-/// before its time is up; the first list that has it is enough.
+/// Neither an empty list nor one without the destination, nor a silent discovery ends a message before its deadline; the
+/// first list with the destination is enough.
 #[test]
 fn an_untried_message_waits_for_a_list_until_its_deadline() {
     let settings = env(vec![class("fee-debit", "fragile")]);
@@ -149,14 +155,14 @@
             (0..9).map(|msg| JournalRecord::Accept { msg, taken: taken(msg, "fee-debit") }).collect();
         let (mut hub, begun, _) = open(&settings, known, folder(&records), NOW);
         let late = NOW + LIFE - 1_000_000;
-        assert!(played(&mut hub, begun, NOW, late).is_empty());
+        assert!(deliver_all(&mut hub, begun, NOW, late).is_empty());
         assert_eq!(ends(&hub), []);
         let begun = calls(hub.list(list(&[("a", 1, "z")]), late));
-        assert_eq!(played(&mut hub, begun, late, late + 500_000).len(), 9);
+        assert_eq!(deliver_all(&mut hub, begun, late, late + 500_000).len(), 9);
     }
 }
 
-/// Classes renamed, reordered and removed: a class goes by its name alone.
+/// Classes renamed, reordered and removed: a class is identified by its name alone.
 #[test]
 fn a_restored_message_has_the_class_of_its_name_and_ends_with_an_error_without_one() {
     let records = [
@@ -179,7 +185,7 @@
     let mut found = ends(&hub);
     found.sort_by_key(|(msg, _)| *msg);
     assert_eq!(found, wanted);
-    assert_eq!(played(&mut hub, begun, NOW, NOW + 1_000_000), BTreeSet::from([2]));
+    assert_eq!(deliver_all(&mut hub, begun, NOW, NOW + 1_000_000), BTreeSet::from([2]));
     assert_eq!(errors.len(), 3, "{errors:?}");
     for (error, id) in errors.iter().zip(["m3", "m4", "m5"]) {
         for word in [id, "\"gone\"", "the old name"] {
@@ -188,7 +194,7 @@
     }
 }
 
-/// The effect of a class has changed: an attempt that may have run was sent under the old one, and the stricter holds.
+/// The effect of a class has changed: an attempt that may have run was sent under the old one, and the stricter one applies.
 #[test]
 fn the_stricter_effect_applies_to_attempts_that_may_have_run() {
     let keyed = |span: Micros, zone: Option<&str>| RepeatEffect::Keyed { span, zone: zone.map(Into::into) };
@@ -221,19 +227,19 @@
         let settings = env(vec![class("other", "retryable"), today]);
         let ran = [JournalRecord::Accept { msg: 1, taken: taken(1, "c") }, sent];
         let (mut hub, begun, errors) = open(&settings, list(&[("a", 1, "z")]), folder(&ran), NOW);
-        assert_eq!(!played(&mut hub, begun, NOW, NOW + LIFE).is_empty(), again, "{what}");
+        assert_eq!(!deliver_all(&mut hub, begun, NOW, NOW + LIFE).is_empty(), again, "{what}");
         assert_eq!(ends(&hub).len(), usize::from(!again), "{what}");
         assert!(errors.iter().all(|error| error.contains("\"m1\"") && error.contains("\"c\"")), "{errors:?}");
         // What has surely not run goes by today's effect.
         let never = JournalRecord::Outcome { msg: 1, attempt: 0, never_ran: true };
         let not = [ran[0].clone(), ran[1].clone(), never];
         let (mut hub, begun, errors) = open(&settings, list(&[("a", 1, "z")]), folder(&not), NOW);
-        assert_eq!((played(&mut hub, begun, NOW, NOW + LIFE).len(), errors.len()), (1, 0), "{what}");
+        assert_eq!((deliver_all(&mut hub, begun, NOW, NOW + LIFE).len(), errors.len()), (1, 0), "{what}");
     }
 }
 
-/// A key that only one zone remembers: the zone goes by its name, through a copy too, however the settings and the lists
-/// of the next life number them.
+/// A key that only one zone remembers: the zone is identified by its name, after a compaction too, however the settings and
+/// lists of the next process number the zones.
 #[test]
 fn a_repeat_that_one_zone_alone_would_drop_goes_to_the_zone_with_that_name() {
     let zoned = |zones: &[&str], own: &str| SenderSettings {
@@ -243,9 +249,9 @@
     };
     let (mut hub, ..) = open(&zoned(&["west", "east"], "west"), none(), Memory::default(), NOW);
     hub.list(list(&[("w", 1, "west"), ("f", 2, "far")]), NOW);
-    let (_, out) = hand_in(&mut hub, "m", "c", NOW);
+    let (_, out) = submit(&mut hub, "m", "c", NOW);
     assert_eq!(out.len(), 1);
-    let kill = killed(&hub);
+    let kill = store_after_crash(&hub);
     assert!(kill.bytes().windows(4).any(|word| word == b"west"));
     let mut torn = kill.bytes().to_vec();
     torn.extend([9, 0, 0, 0, 1]);
@@ -270,7 +276,7 @@
     assert_eq!(begun.len(), 0);
 }
 
-/// The wall clock was set back between two lives: how long ago an attempt was sent is not known any more.
+/// The wall clock was set back between two processes: how long ago an attempt was sent is not known any more.
 #[test]
 fn a_clock_that_was_set_back_lengthens_no_span_for_repeats() {
     let settings = env(vec![dedup("c", 2_000.0, "all"), class("s", "retryable")]);
@@ -286,7 +292,7 @@
     let known = || list(&[("a", 1, "z")]);
     let begun = |now| {
         let (mut hub, begun, _) = open(&settings, known(), folder(&records), now);
-        played(&mut hub, begun, now, now)
+        deliver_all(&mut hub, begun, now, now)
     };
     assert_eq!(begun(NOW), BTreeSet::from([1, 2, 3]));
     assert_eq!(begun(NOW - 1), BTreeSet::from([2, 3]), "the first may be as old as one likes");
@@ -294,7 +300,7 @@
     assert_eq!(begun(NOW + 3_000_000), BTreeSet::from([2, 3]));
 }
 
-/// The state of an upgrade numbers classes, zones and tenants: another order of the same figures is another customer.
+/// The state of an upgrade numbers classes, zones and tenants: in another order the same numbers mean others.
 #[test]
 fn the_state_of_an_upgrade_is_not_resumed_under_other_settings() {
     let tenants = |names: [&str; 2]| names.map(|n| Tenant { name: n.into(), allowance_per_s: 5.0 }).into();
@@ -323,8 +329,8 @@
     }
 }
 
-/// The process dies at any byte of any write of a message's way: between its record and the 202, its attempt and the first
-/// byte, its outcome and its end, its end and its notice. The next life has each step or the one before it.
+/// The process crashes at any byte of any write about a message: between its record and the 202, its attempt and the first
+/// byte, its outcome and its end, its end and its notice. The next process has each step or the one before it.
 #[test]
 fn the_next_process_recovers_from_a_crash_at_any_byte_of_any_write() {
     let settings = env(vec![class("fee-debit", "fragile"), class("status", "retryable")]);
@@ -336,7 +342,7 @@
                 hub.list(list(&[("a", 1, "z")]), NOW);
                 hub.router.journal_mut().store_mut().fail(Fault::Die { after, bytes });
                 let alive = |hub: &World| !hub.router.journal().store().is_dead();
-                let (_, out) = hand_in(&mut hub, "m", class, NOW);
+                let (_, out) = submit(&mut hub, "m", class, NOW);
                 // What a life does after its death reaches nobody: neither its 202 nor the first byte of a call.
                 let sent = alive(&hub) && !out.is_empty();
                 // The record of a take-on is the first write of all.
@@ -350,8 +356,9 @@
                     hub.notices_confirmed(&notices, NOW);
                 }
                 let told = alive(&hub);
-                let contents = JournalContents::read(killed(&hub).bytes()).0;
-                let (mut next, begun, _) = open(&settings, list(&[("a", 1, "z")]), killed(&hub), NOW);
+                let contents = JournalContents::read(store_after_crash(&hub).bytes()).0;
+                let (mut next, begun, _) =
+                    open(&settings, list(&[("a", 1, "z")]), store_after_crash(&hub), NOW);
                 let what =
                     format!("{class}, {last:?}, killed after {after} writes and {bytes} bytes: {contents:?}");
                 let found = (begun.len(), next.router.notices(9).len());
@@ -372,7 +379,7 @@
                 let over = last == CallEnd::Delivered || !notices.is_empty();
                 assert!(!(sent && told && over) || contents.owed.is_empty(), "{what}: over and told");
                 met.insert((accepted, sent, ended, told));
-                played(&mut next, begun, NOW, NOW + LIFE);
+                deliver_all(&mut next, begun, NOW, NOW + LIFE);
                 let (notices, later) = (next.router.notices(9), NOW + LIFE);
                 next.notices_confirmed(&notices, later);
                 assert_eq!(next.router.load(), (0, 0), "{what}: it has its end");
@@ -386,7 +393,7 @@
     assert!(places.iter().all(|place| met.contains(place)), "{met:?}");
 }
 
-/// A journal filled to the share of the disk: taken up whole, and by far within the time that a restart has.
+/// A journal filled to its limit is restored completely, well within the time that a restart has.
 #[test]
 fn a_full_journal_is_restored_completely_and_fast() {
     let settings = SenderSettings {
--- a/courier/core/tests/restart_guard.rs
+++ b/courier/core/tests/restart_guard.rs
@@ -1,4 +1,4 @@
-//! A restart beside a cold destination in a crowd, in the core: what was found untried is not given up for want of a turn.
+//! A restart with many messages for a destination in slow start: a restored message is not ended before it was tried.
 
 mod common;
 use bytes::Bytes;
--- a/courier/core/tests/resume.rs
+++ b/courier/core/tests/resume.rs
@@ -1,37 +1,18 @@
-//! An upgrade in the core: what one process hands over, the next decides from, as if nothing had happened.
+//! An upgrade: the next process decides from what was handed over, as if nothing had happened.
 
 mod common;
-use common::{NOW, World, calls, class, endpoint, killed};
+use common::{NOW, World, calls, class, endpoint, store_after_crash, visited_values};
 use quillmount_core::hub::{self, DriverAction, Hub};
 use quillmount_core::journal::Journal;
 use quillmount_core::pool::Pool;
 use quillmount_core::router::{Intake, ResumeError, Router, settings_fingerprint};
 use quillmount_core::store::Memory;
 use quillmount_core::{CallEnd, DeliveryCall, EndpointList, EndpointListing, Submission};
-use quillmount_policy::{EndpointState, Micros, StateVisitor};
+use quillmount_policy::{EndpointState, Micros};
 use quillmount_settings::{Category, SenderSettings};
 
 const DISK: u64 = 99_999;
 
-/// All that an eye is shown, in order.
-#[derive(Default, PartialEq, Debug)]
-struct Words(Vec<u64>);
-
-impl StateVisitor for Words {
-    fn visit_u64(&mut self, value: u64) {
-        self.0.push(value);
-    }
-    fn visit_time(&mut self, at: Micros) {
-        self.0.push(at);
-    }
-    fn visit_message(&mut self, id: u64) {
-        self.0.push(id);
-    }
-    fn visit_endpoint(&mut self, id: u32) {
-        self.0.push(id.into());
-    }
-}
-
 fn env() -> SenderSettings {
     let dedup = Category { memory_span_ms: 6_000.0, ..class("paid-notice", "dedup") };
     SenderSettings { categories: vec![class("fee-debit", "fragile"), dedup], ..SenderSettings::default() }
@@ -51,7 +32,7 @@
     EndpointList { version: 41, full: true, endpoints }
 }
 
-fn hand_in(hub: &mut World, n: u64, now: Micros) -> (Intake, Vec<DeliveryCall>) {
+fn submit(hub: &mut World, n: u64, now: Micros) -> (Intake, Vec<DeliveryCall>) {
     let class = if n.is_multiple_of(2) { "fee-debit" } else { "paid-notice" };
     let (id, key, body) = (format!("m{n}"), Some(format!("k{n}")), bytes::Bytes::from_static(b"body"));
     let time_left = 16_000_000;
@@ -60,8 +41,8 @@
     (intake, calls(todo))
 }
 
-/// One in the middle of much: calls out, one told to wait, failures that make an outage, ends that wait for the
-/// platform, an endpoint that is out, messages held.
+/// A busy courier: calls in flight, an endpoint that advised to wait, failures that make an outage, notices that are not
+/// confirmed, a disabled endpoint, waiting messages.
 fn busy() -> World {
     let (router, steps) = Router::open(&env(), 7, list(), Memory::default(), DISK, NOW).unwrap();
     let mut hub = Hub::new(router, Pool::new(15_000_000, 99));
@@ -79,7 +60,7 @@
     let mut out = Vec::new();
     for n in 0..40 {
         let now = NOW + n * 30_000;
-        out.extend(hand_in(&mut hub, n, now).1);
+        out.extend(submit(&mut hub, n, now).1);
         // The last destination answers nobody.
         if let Some(first) = out.iter().position(|call| call.dest != 2) {
             let call = out.remove(first);
@@ -91,12 +72,6 @@
     hub
 }
 
-fn words(hub: &World) -> Words {
-    let mut words = Words::default();
-    hub.router.visit_state(&mut words);
-    words
-}
-
 fn resumed(state: hub::HubState, store: Memory) -> Result<(World, Vec<DriverAction<u32>>), ResumeError> {
     let now = NOW + 2_000_000;
     let (router, steps) = Router::resume(&env(), None, state.router, store, DISK, now)?;
@@ -105,7 +80,7 @@
     Ok((next, todo))
 }
 
-/// As it crosses from one process to the other.
+/// The state after it was encoded and decoded.
 fn state(hub: &World) -> hub::HubState {
     let bytes = postcard::to_allocvec(&hub.state(settings_fingerprint(&env(), None).unwrap())).unwrap();
     postcard::from_bytes(&bytes).unwrap()
@@ -114,8 +89,8 @@
 #[test]
 fn a_resumed_process_has_the_whole_state_and_starts_no_call_twice() {
     let mut hub = busy();
-    let (mut next, todo) = resumed(state(&hub), killed(&hub)).unwrap();
-    assert_eq!(words(&next), words(&hub));
+    let (mut next, todo) = resumed(state(&hub), store_after_crash(&hub)).unwrap();
+    assert_eq!(visited_values(&next), visited_values(&hub));
     assert!(calls(todo).is_empty(), "what is out is out still");
     assert_eq!(next.router.notices(99), hub.router.notices(99));
     // A told wait binds each endpoint of its destination, and the gates stand as they did.
@@ -127,17 +102,17 @@
     let out: Vec<_> = next.router.calls_out();
     for (n, call) in (100..).zip(out) {
         let now = NOW + 2_000_000 + n * 10_000;
-        let (a, b) = (hand_in(&mut hub, n, now), hand_in(&mut next, n, now));
+        let (a, b) = (submit(&mut hub, n, now), submit(&mut next, n, now));
         assert_eq!((a.0, a.1.len()), (b.0, b.1.len()));
         let (a, b) =
             (hub.call_ended(call, CallEnd::Delivered, now), next.call_ended(call, CallEnd::Delivered, now));
         assert_eq!(calls(a).len(), calls(b).len());
         hub.tick(now);
         next.tick(now);
-        assert_eq!(words(&next), words(&hub), "after message {n}");
+        assert_eq!(visited_values(&next), visited_values(&hub), "after message {n}");
     }
     // The ids of before are known: open, or over.
-    assert!((0..40).all(|n| hand_in(&mut next, n, NOW + 2_500_000).0 != Intake::Accepted));
+    assert!((0..40).all(|n| submit(&mut next, n, NOW + 2_500_000).0 != Intake::Accepted));
 }
 
 #[test]
@@ -147,19 +122,19 @@
         categories: env().categories.into_iter().rev().collect(),
         ..SenderSettings::default()
     };
-    let refused = Router::resume(&other, None, state(&hub).router, killed(&hub), DISK, NOW);
+    let refused = Router::resume(&other, None, state(&hub).router, store_after_crash(&hub), DISK, NOW);
     assert!(matches!(refused.err(), Some(ResumeError::OtherSettings)));
     // A third process had the lock in between and wrote; or its journal is gone.
     let mut grown = busy();
-    hand_in(&mut grown, 1_001, NOW + 3_000_000);
+    submit(&mut grown, 1_001, NOW + 3_000_000);
     // The same messages are owed, and one of them has come further.
     let mut further = busy();
     let call = further.router.calls_out()[0];
     further.call_ended(call, CallEnd::Full(0), NOW + 3_000_000);
-    for store in [killed(&grown), killed(&further), Memory::default()] {
+    for store in [store_after_crash(&grown), store_after_crash(&further), Memory::default()] {
         assert!(matches!(resumed(state(&hub), store).err(), Some(ResumeError::OtherJournal)));
     }
     // The journal that is there serves as after a kill.
     let mut notes = Vec::new();
-    assert!(!Journal::open(killed(&hub), DISK, NOW, &mut notes).unwrap().1.owed.is_empty());
+    assert!(!Journal::open(store_after_crash(&hub), DISK, NOW, &mut notes).unwrap().1.owed.is_empty());
 }
--- a/courier/core/tests/router.rs
+++ b/courier/core/tests/router.rs
@@ -1,4 +1,4 @@
-//! The router's driving of module and journal, seen from outside.
+//! The router with the policy and the journal.
 
 use quillmount_core::journal::JournalContents;
 use quillmount_core::router::{Intake, Router, RouterAction};
@@ -7,7 +7,7 @@
 use quillmount_policy::EndpointState;
 use quillmount_settings::SenderSettings;
 
-/// A router with a ready endpoint for destination 1, where messages take effect once, and the time.
+/// A router with a ready endpoint for destination 1, whose messages must take effect once, and the time.
 fn opened(env: SenderSettings) -> (Router<Memory>, u64) {
     let category = quillmount_settings::Category {
         name: "fee-debit".into(),
@@ -33,7 +33,7 @@
     (router, now)
 }
 
-fn hand_in(router: &mut Router<Memory>, id: &str, now: u64) -> (Intake, Vec<RouterAction>) {
+fn submit(router: &mut Router<Memory>, id: &str, now: u64) -> (Intake, Vec<RouterAction>) {
     let (id, class, time_left, body) = (id.into(), "fee-debit".into(), 16_000_000, bytes::Bytes::new());
     router.submit(Submission { id, class, key: None, dest: 1, tenant: None, time_left, body }, now)
 }
@@ -45,7 +45,7 @@
     })
 }
 
-/// A crowd's guard leaves the second no turn in its time: it is refused itself, and no notice tells of it.
+/// The connection limit leaves no turn for the second message in its time: it is rejected, and there is no notice.
 #[test]
 fn a_message_shed_at_once_is_not_accepted() {
     let (mut router, now) = opened(SenderSettings {
@@ -53,12 +53,12 @@
         sender_index: Some(1),
         ..SenderSettings::default()
     });
-    let (intake, steps) = hand_in(&mut router, "a", now);
+    let (intake, steps) = submit(&mut router, "a", now);
     let call = call(&steps);
     assert_eq!(intake, Intake::Accepted);
     router.call_ended(call.unwrap(), CallEnd::Full(0), now);
     for _ in 0..2 {
-        let (intake, _) = hand_in(&mut router, "b", now);
+        let (intake, _) = submit(&mut router, "b", now);
         assert!(matches!(intake, Intake::Rejected { after } if after > 0), "{intake:?}");
     }
     let notices = router.notices(9).into_iter().map(|n| n.id).collect::<Vec<_>>();
@@ -67,14 +67,14 @@
     assert_eq!(contents.owed.len(), 1, "another life owes it nothing");
 }
 
-/// The disk refuses the record of an attempt: its number is used up for the module and not for the
-/// journal, and the next outcome must still be noted for the attempt that it belongs to.
+/// The store refuses the record of an attempt: its number is used up for the policy and not for the journal, and the next
+/// outcome must still be recorded for the attempt that it belongs to.
 #[test]
 fn an_outcome_is_recorded_for_its_own_attempt_after_a_refused_record() {
     let (mut router, now) = opened(SenderSettings::default());
     // The take-on is written, and the attempt behind it is not.
     router.journal_mut().store_mut().fail(Fault::Full { after: 1 });
-    let (_, steps) = hand_in(&mut router, "m", now);
+    let (_, steps) = submit(&mut router, "m", now);
     let refused = steps.iter().find_map(|s| match s {
         RouterAction::NotWritten(call) => Some(*call),
         _ => None,
