--- a/courier/core/tests/full.rs
+++ b/courier/core/tests/full.rs
@@ -1,4 +1,4 @@
-//! An endpoint whose table of connections is full says so on a new connection, and closes it.
+//! An endpoint with a full connection table says so on a new connection, and closes it.
 
 use bytes::Bytes;
 use quillmount_core::call::Call;
@@ -25,7 +25,7 @@
     }
 }
 
-/// How a call ends whose answer refuses it, on a new connection or on one that rested.
+/// The end of a call that is rejected with this answer, on a new connection or an idle one.
 fn end(answer: fn(&[u8], bool) -> Answer, fresh: bool, reports: bool) -> (Option<CallEnd>, (usize, usize)) {
     let mut pool = Pool::new(15_000_000, 9);
     if !fresh {
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_refusal_that_closes_a_new_connection_is_a_connect_that_failed() {
+fn a_rejection_that_closes_a_new_connection_is_a_failed_connect() {
     let closes = |_: &[u8], _| Answer::Whole { end: CallEnd::Full(0), reusable: false };
     assert_eq!(end(closes, true, true), (Some(CallEnd::CouldNotConnect), (0, 0)));
     // Where no answer tells of a limit, it may be one all the same.
