--- a/courier/policy/src/dispatcher/visit.rs
+++ b/courier/policy/src/dispatcher/visit.rs
@@ -7,8 +7,10 @@
 use super::time::NEVER;
 use super::window::LATENCY_THRESHOLD;
 use crate::actions::RouteView;
-use crate::ids::{DestId, EndpointId, MsgId};
+use crate::ids::{DestId, EndpointId, Micros, MsgId};
 use crate::state_visitor::StateVisitor;
+use quillmount_containers::LatencyEstimate;
+use std::collections::BTreeMap;
 
 impl Dispatcher {
     /// Shows all that decides. The settings stay as they are, and the actions are taken after each step.
@@ -43,64 +45,38 @@
             stop_at,
             actions: _,
         } = self;
-        for at in [*now, *next_expiry_check, *timer_at, *resubscribe_at, stop_at.unwrap_or(NEVER)] {
-            visitor.visit_time(at);
-        }
         let first_message = |call: &CallNumber| {
             let call = calls_in_flight.get(call);
             call.and_then(|call| call.pending.first()).copied().unwrap_or(MsgId::MAX)
         };
-        for value in [*rng_state, *resubscribe_delay, u64::from(*open_messages)] {
-            visitor.visit_u64(value);
-        }
+        let times = [*now, *next_expiry_check, *timer_at, *resubscribe_at, stop_at.unwrap_or(NEVER)];
+        visit_times(times, visitor);
+        visit_numbers([*rng_state, *resubscribe_delay, u64::from(*open_messages)], visitor);
         let ConnectRefusal { dest, at } = last_connect_refusal;
         visitor.visit_u64(*dest);
         visitor.visit_time(*at);
         visitor.visit_f64(*min_timeout);
-        visitor.visit_u64(messages.len() as u64);
-        for (id, message) in messages {
-            visitor.visit_message(*id);
-            visit_message(message, visitor);
-        }
-        visitor.visit_u64(endpoints.len() as u64);
-        for (id, endpoint) in endpoints {
-            visitor.visit_endpoint(*id);
-            visit_endpoint(endpoint, visitor);
-        }
-        visitor.visit_u64(destinations.len() as u64);
-        for (id, destination) in destinations {
-            visit_destination(*id, destination, visitor);
-        }
-        let lengths = [
-            waiting_destinations.len(),
-            routes.len(),
-            free_routes.len(),
-            calls_in_flight.len(),
-            key_queues.len(),
-        ];
-        for length in lengths {
-            visitor.visit_u64(length as u64);
-        }
-        for dest in waiting_destinations {
-            visitor.visit_u64(*dest);
-        }
+        visit_messages(messages, visitor);
+        visit_endpoints(endpoints, visitor);
+        visit_destinations(destinations, visitor);
+        visit_lengths(
+            [
+                waiting_destinations.len(),
+                routes.len(),
+                free_routes.len(),
+                calls_in_flight.len(),
+                key_queues.len(),
+            ],
+            visitor,
+        );
+        visit_numbers(waiting_destinations.iter().copied(), visitor);
         for route in routes {
             visit_route(route, first_message, visitor);
         }
-        for route in free_routes {
-            visitor.visit_u64(*route as u64);
-        }
-        // Calls are known by their messages: their numbers say only how many there were before.
-        for call in calls_in_flight.values() {
-            visit_call(call, visitor);
-        }
-        for (key, queue) in key_queues {
-            visit_key_queue(*key, queue, visitor);
-        }
-        for TenantShare { tokens, counted_at } in tenant_shares {
-            visitor.visit_f64(*tokens);
-            visitor.visit_time(*counted_at);
-        }
+        visit_lengths(free_routes.iter().copied(), visitor);
+        visit_calls(calls_in_flight, visitor);
+        visit_key_queues(key_queues, visitor);
+        visit_tenant_shares(tenant_shares, visitor);
     }
 
     /// What the sender knows of the route that serves `endpoint`; `None` where it does not know the endpoint.
@@ -116,61 +92,31 @@
     }
 }
 
-fn visit_endpoint(endpoint: &Endpoint, visitor: &mut impl StateVisitor) {
-    let Endpoint {
-        dest,
-        route,
-        zone,
-        rate,
-        listed,
-        calls,
-        idle_since,
-        last_answer,
-        last_refusal,
-        full_until,
-        tie_break,
-    } = endpoint;
-    let values =
-        [*dest, *route as u64, (*zone).into(), (*calls).into(), (*listed).into(), idle_since.len() as u64];
-    for value in values {
-        visitor.visit_u64(value);
-    }
-    for at in idle_since.iter().chain([last_answer, last_refusal, full_until]) {
-        visitor.visit_time(*at);
+fn visit_times(times: impl IntoIterator<Item = Micros>, visitor: &mut impl StateVisitor) {
+    for at in times {
+        visitor.visit_time(at);
     }
-    visitor.visit_f64(*rate);
-    visitor.visit_f64(*tie_break);
 }
 
-fn visit_destination(id: DestId, destination: &Destination, visitor: &mut impl StateVisitor) {
-    let Destination { kind, routes, waiting } = destination;
-    for value in [id, *kind as u64, routes.len() as u64, waiting.len() as u64] {
-        visitor.visit_u64(value);
-    }
-    for route in routes {
-        visitor.visit_u64(*route as u64);
-    }
-    for message in waiting.iter() {
-        visitor.visit_message(message);
+fn visit_numbers(numbers: impl IntoIterator<Item = u64>, visitor: &mut impl StateVisitor) {
+    for number in numbers {
+        visitor.visit_u64(number);
     }
 }
 
-fn visit_call(call: &CallInFlight, visitor: &mut impl StateVisitor) {
-    let CallInFlight { pending, timed_out } = call;
-    visitor.visit_bool(*timed_out);
-    for message in pending {
-        visitor.visit_message(*message);
+/// Lengths of tables, or indices of them.
+fn visit_lengths(lengths: impl IntoIterator<Item = usize>, visitor: &mut impl StateVisitor) {
+    for length in lengths {
+        visitor.visit_u64(length as u64);
     }
 }
 
-fn visit_key_queue(key: u64, queue: &KeyQueue, visitor: &mut impl StateVisitor) {
-    let KeyQueue { messages, cooldown_until } = queue;
-    visitor.visit_u64(key);
+fn visit_messages(messages: &BTreeMap<MsgId, PendingMessage>, visitor: &mut impl StateVisitor) {
     visitor.visit_u64(messages.len() as u64);
-    for message in messages {
-        visitor.visit_message(*message);
+    for (id, message) in messages {
+        visitor.visit_message(*id);
+        visit_message(message, visitor);
     }
-    visitor.visit_time(*cooldown_until);
 }
 
 fn visit_message(message: &PendingMessage, visitor: &mut impl StateVisitor) {
@@ -193,13 +139,10 @@
     visitor.visit_bool(*stream);
     visitor.visit_bool(*restored);
     visitor.visit_u64(*size);
-    for value in [*class as u64, *dest, *latency_target, u64::from(*is_open), attempts.len() as u64] {
-        visitor.visit_u64(value);
-    }
+    let numbers = [*class as u64, *dest, *latency_target, u64::from(*is_open), attempts.len() as u64];
+    visit_numbers(numbers, visitor);
     visitor.visit_u64(key.map_or(0, |key| key.wrapping_add(1)));
-    for at in [*created_at, *received_at, *deadline] {
-        visitor.visit_time(at);
-    }
+    visit_times([*created_at, *received_at, *deadline], visitor);
     visitor.visit_f64(*value);
     for attempt in attempts {
         visit_attempt(attempt, visitor);
@@ -223,15 +166,82 @@
     visitor.visit_time(*latency_from);
     visitor.visit_endpoint(*endpoint);
     visitor.visit_time(*sent);
-    let values = [
+    let numbers = [
         u64::from(*zone),
         *route as u64,
         *execution as u64,
         (*reused_connection).into(),
         (*cancelled).into(),
     ];
-    for value in values {
-        visitor.visit_u64(value);
+    visit_numbers(numbers, visitor);
+}
+
+fn visit_endpoints(endpoints: &BTreeMap<EndpointId, Endpoint>, visitor: &mut impl StateVisitor) {
+    visitor.visit_u64(endpoints.len() as u64);
+    for (id, endpoint) in endpoints {
+        visitor.visit_endpoint(*id);
+        visit_endpoint(endpoint, visitor);
+    }
+}
+
+fn visit_endpoint(endpoint: &Endpoint, visitor: &mut impl StateVisitor) {
+    let Endpoint {
+        dest,
+        route,
+        zone,
+        rate,
+        listed,
+        calls,
+        idle_since,
+        last_answer,
+        last_refusal,
+        full_until,
+        tie_break,
+    } = endpoint;
+    let numbers =
+        [*dest, *route as u64, (*zone).into(), (*calls).into(), (*listed).into(), idle_since.len() as u64];
+    visit_numbers(numbers, visitor);
+    visit_times(idle_since.iter().copied(), visitor);
+    visit_times([*last_answer, *last_refusal, *full_until], visitor);
+    visitor.visit_f64(*rate);
+    visitor.visit_f64(*tie_break);
+}
+
+fn visit_destinations(destinations: &BTreeMap<DestId, Destination>, visitor: &mut impl StateVisitor) {
+    visitor.visit_u64(destinations.len() as u64);
+    for (id, Destination { kind, routes, waiting }) in destinations {
+        visit_numbers([*id, *kind as u64, routes.len() as u64, waiting.len() as u64], visitor);
+        visit_lengths(routes.iter().copied(), visitor);
+        for message in waiting.iter() {
+            visitor.visit_message(message);
+        }
+    }
+}
+
+/// Calls are known by their messages: their numbers say only how many there were before.
+fn visit_calls(calls: &BTreeMap<CallNumber, CallInFlight>, visitor: &mut impl StateVisitor) {
+    for CallInFlight { pending, timed_out } in calls.values() {
+        visitor.visit_bool(*timed_out);
+        for message in pending {
+            visitor.visit_message(*message);
+        }
+    }
+}
+
+fn visit_key_queues(key_queues: &BTreeMap<u64, KeyQueue>, visitor: &mut impl StateVisitor) {
+    for (key, KeyQueue { messages, cooldown_until }) in key_queues {
+        visit_numbers([*key, messages.len() as u64], visitor);
+        for message in messages {
+            visitor.visit_message(*message);
+        }
+        visitor.visit_time(*cooldown_until);
+    }
+}
+
+fn visit_tenant_shares(shares: &[TenantShare], visitor: &mut impl StateVisitor) {
+    for TenantShare { tokens, counted_at } in shares {
+        visitor.visit_f64(*tokens);
+        visitor.visit_time(*counted_at);
     }
 }
 
@@ -244,15 +254,16 @@
         window,
         latency,
         answered_latency,
-        timeouts_in_row,
+        // `visit_outcomes` shows these.
+        timeouts_in_row: _,
         last_success_sent,
         window_limited,
         last_shrink,
         wait_until,
-        recent_failures,
-        recent_errors,
-        failures_in_row,
-        refusals_in_row,
+        recent_failures: _,
+        recent_errors: _,
+        failures_in_row: _,
+        refusals_in_row: _,
         first_failure_sent,
         in_outage,
         trial_call,
@@ -264,9 +275,7 @@
         paced_at,
     } = route;
     let lengths = [endpoints.len(), in_flight.len(), latency.samples().iter().len(), recent_sends.len()];
-    for length in lengths {
-        visitor.visit_u64(length as u64);
-    }
+    visit_lengths(lengths, visitor);
     for endpoint in endpoints {
         visitor.visit_endpoint(*endpoint);
     }
@@ -274,40 +283,41 @@
         visitor.visit_message(first_message(call));
         visitor.visit_time(*sent);
     }
+    visit_latency(latency, *open_streams, *window, *answered_latency, visitor);
+    visit_outcomes(route, visitor);
+    for flag in [*window_limited, *in_outage, trial_call.is_some()] {
+        visitor.visit_bool(flag);
+    }
+    visitor.visit_message(trial_call.as_ref().map_or(MsgId::MAX, first_message));
+    visit_times([*last_success_sent, *last_shrink, *wait_until, *first_failure_sent], visitor);
+    visit_times([*guard_until, *last_failure_seen, *keep_until, *last_sent, *paced_at], visitor);
+    visit_times(recent_sends.iter().copied(), visitor);
+}
+
+fn visit_latency(
+    latency: &LatencyEstimate,
+    open_streams: u32,
+    window: f64,
+    answered_latency: f64,
+    visitor: &mut impl StateVisitor,
+) {
     for (at, sample) in latency.samples().iter() {
         visitor.visit_time(at);
         visitor.visit_f64(sample);
     }
-    visitor.visit_u64((*open_streams).into());
-    for value in [*window, latency.smoothed.unwrap_or(-1.0), latency.baseline, *answered_latency] {
+    visitor.visit_u64(open_streams.into());
+    for value in [window, latency.smoothed.unwrap_or(-1.0), latency.baseline, answered_latency] {
         visitor.visit_f64(value);
     }
+}
+
+fn visit_outcomes(route: &Route, visitor: &mut impl StateVisitor) {
     let counts = [
-        u64::from(*timeouts_in_row),
-        (*recent_failures).into(),
-        (*recent_errors).into(),
-        (*failures_in_row).into(),
-        (*refusals_in_row).into(),
+        route.timeouts_in_row,
+        route.recent_failures.into(),
+        route.recent_errors.into(),
+        route.failures_in_row,
+        route.refusals_in_row,
     ];
-    for count in counts {
-        visitor.visit_u64(count);
-    }
-    for flag in [*window_limited, *in_outage, trial_call.is_some()] {
-        visitor.visit_bool(flag);
-    }
-    visitor.visit_message(trial_call.as_ref().map_or(MsgId::MAX, first_message));
-    let times = [
-        last_success_sent,
-        last_shrink,
-        wait_until,
-        first_failure_sent,
-        guard_until,
-        last_failure_seen,
-        keep_until,
-        last_sent,
-        paced_at,
-    ];
-    for at in times.into_iter().chain(recent_sends) {
-        visitor.visit_time(*at);
-    }
+    visit_numbers(counts.map(u64::from), visitor);
 }
--- a/courier/policy/tests/bundles.rs
+++ b/courier/policy/tests/bundles.rs
@@ -75,7 +75,7 @@
     let seen = calls(&w);
     assert!(seen.iter().map(Vec::len).sum::<usize>() > 8, "eight slots carried {seen:?}");
     assert!(seen.iter().all(|c| c.len() <= 20), "{seen:?}");
-    assert_eq!(w.d.route(0).unwrap().in_flight as usize, seen.len());
+    assert_eq!(w.dispatcher.route(0).unwrap().in_flight as usize, seen.len());
 }
 
 #[test]
@@ -96,16 +96,16 @@
     many(&mut w, 6);
     w.pass(400_000);
     let call = calls(&w).into_iter().find(|c| c.len() > 1).unwrap();
-    let before = w.d.route(0).unwrap().in_flight;
+    let before = w.dispatcher.route(0).unwrap().in_flight;
     w.finish(call[0], Outcome::Ok, 0);
-    assert_eq!(w.d.route(0).unwrap().in_flight, before);
+    assert_eq!(w.dispatcher.route(0).unwrap().in_flight, before);
     call[1..].iter().for_each(|m| drop(w.finish(*m, Outcome::Ok, 0)));
-    assert_eq!(w.d.route(0).unwrap().in_flight, before - 1);
+    assert_eq!(w.dispatcher.route(0).unwrap().in_flight, before - 1);
 }
 
 /// A call that fails for all: what may be repeated is sent again, a debit is failed and never sent again.
 #[test]
-fn of_a_call_that_fails_a_debit_is_ended_and_the_others_are_repeated() {
+fn of_a_call_that_fails_a_debit_is_ended_and_the_others_are_retried() {
     for outcome in [Outcome::Error, Outcome::Reset, Outcome::Timeout, Outcome::Cancelled] {
         let mut w = known(8, 20);
         w.one(0, 0);
@@ -174,10 +174,10 @@
     let second = w.one(0, 0);
     w.pass(100_000);
     w.finish(second, Outcome::Full, 9 * SEC);
-    assert!(w.d.route(0).unwrap().in_outage);
+    assert!(w.dispatcher.route(0).unwrap().in_outage);
     // A limit's span is no outage.
     let mut w = known(8, 20);
     let first = w.one(0, 0);
     w.finish_after(first, 300_000, Outcome::Full);
-    assert!(!w.d.route(0).unwrap().in_outage);
+    assert!(!w.dispatcher.route(0).unwrap().in_outage);
 }
--- a/courier/policy/tests/common/mod.rs
+++ b/courier/policy/tests/common/mod.rs
@@ -47,7 +47,7 @@
 }
 
 pub struct World {
-    pub d: Dispatcher,
+    pub dispatcher: Dispatcher,
     pub now: Micros,
     pub next: MsgId,
     pub next_timer: Option<Micros>,
@@ -60,7 +60,7 @@
 impl World {
     pub fn new(set: Settings, seed: u64) -> World {
         World {
-            d: Dispatcher::new(set, seed).unwrap(),
+            dispatcher: Dispatcher::new(set, seed).unwrap(),
             now: 10 * SEC,
             next: 0,
             next_timer: None,
@@ -71,7 +71,7 @@
     }
 
     pub fn step(&mut self, events: &[DispatchEvent]) -> Vec<DispatchAction> {
-        let acts = self.d.step(self.now, events);
+        let acts = self.dispatcher.step(self.now, events);
         for a in &acts {
             self.log.push((self.now, a.clone()));
             match a {
--- a/courier/policy/tests/failures.rs
+++ b/courier/policy/tests/failures.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn silent_lanes_give_their_slots_up_to_others() {
+fn silent_routes_give_their_slots_up_to_others() {
     let mut w = known(4, 5);
     let stuck: Vec<MsgId> = (0..4).map(|d| w.one(2, d)).collect();
     let other = w.one(0, 4);
@@ -66,7 +66,7 @@
             let (_, m) = hung.pop_front().unwrap();
             w.finish(m, Outcome::Timeout, 0);
         }
-        let route = w.d.route(0).unwrap();
+        let route = w.dispatcher.route(0).unwrap();
         assert!(!route.in_outage);
         assert!((route.smoothed_latency.unwrap() - 100_000.0).abs() < 1.0, "{route:?}");
     }
@@ -139,7 +139,7 @@
     let calls: Vec<MsgId> = (0..3).map(|_| w.one(0, 0)).collect();
     assert_eq!(w.out[&(calls[0], 0)].2, 10 * SEC / 3, "before the outage");
     calls.iter().for_each(|m| drop(w.finish(*m, Outcome::Error, 0)));
-    assert!(w.d.route(0).unwrap().in_outage);
+    assert!(w.dispatcher.route(0).unwrap().in_outage);
     w.pass(5 * SEC);
     let (_, _, timeout) = w.out.values().max_by_key(|(_, sent, _)| *sent).unwrap();
     assert_eq!(*timeout, SEC);
@@ -148,7 +148,7 @@
 #[test]
 fn a_used_up_span_halves_the_window_once_a_second() {
     let mut w = known(8, 1);
-    let before = w.d.route(0).unwrap().window;
+    let before = w.dispatcher.route(0).unwrap().window;
     w.pass(2 * SEC);
     let m = w.one(0, 0);
     let first = w.now;
@@ -160,11 +160,11 @@
         }
     }
     assert!(w.sends(m) >= 2, "it was refused more than once");
-    assert_eq!(w.d.route(0).unwrap().window, before / 2.0);
+    assert_eq!(w.dispatcher.route(0).unwrap().window, before / 2.0);
 }
 
 #[test]
-fn after_a_refusal_the_lane_pauses_for_longer_each_time() {
+fn after_a_refusal_the_route_pauses_for_longer_each_time() {
     let mut w = known(8, 1);
     let m = w.one(0, 0);
     let mut gaps = Vec::new();
@@ -190,7 +190,7 @@
         if w.out.contains_key(&(m, w.attempts[&m] - 1)) {
             w.finish(m, Outcome::Full, 0);
         }
-        if w.d.route(0).unwrap().in_outage {
+        if w.dispatcher.route(0).unwrap().in_outage {
             out_at.get_or_insert(w.now);
         }
     }
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn an_overdue_call_reduces_the_window_of_its_lane() {
+fn an_overdue_call_reduces_the_window_of_its_route() {
     let mut w = known(8, 1);
     w.one(0, 0);
     w.pass(2_200_000);
--- a/courier/policy/tests/fleet.rs
+++ b/courier/policy/tests/fleet.rs
@@ -106,7 +106,7 @@
 
 /// A clump of four seconds' worth, of a limit that is listed right, half too high or half too low.
 #[test]
-fn a_clump_over_the_limit_does_not_make_the_fleet_use_it_up_with_refusals() {
+fn a_burst_over_the_limit_does_not_make_the_fleet_use_it_up_with_refusals() {
     for senders in [100, 300] {
         for listed in [50.0, 75.0, 34.0] {
             let load = |s| if (4..7).contains(&s) { 100.0 } else { 25.0 };
--- a/courier/policy/tests/guard.rs
+++ b/courier/policy/tests/guard.rs
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn a_rough_weight_is_taken_to_be_half_too_high() {
+fn an_approximate_weight_is_taken_to_be_half_too_high() {
     let calls = |rough: bool| {
         let mut s = set(270, FAR);
         s.weight_is_approximate = rough;
@@ -334,9 +334,9 @@
         w.step(&[DispatchEvent::Hangup { msg: m }]);
         w.pass(2 * SEC);
     }
-    assert!(w.d.route(0).unwrap().in_outage);
+    assert!(w.dispatcher.route(0).unwrap().in_outage);
     w.one(0, 5);
-    while w.d.route(0).unwrap().in_outage {
+    while w.dispatcher.route(0).unwrap().in_outage {
         w.pass(SEC);
         answer_all_but(&mut w, Some(early));
     }
--- a/courier/policy/tests/many_destinations.rs
+++ b/courier/policy/tests/many_destinations.rs
@@ -66,11 +66,11 @@
     w.list(ListUpdate::Full, &[entry(0, 0)]);
     let m = w.one(0, 0);
     w.finish(m, Outcome::Ok, 0);
-    let before = w.d.route(0).unwrap();
+    let before = w.dispatcher.route(0).unwrap();
     let m = w.one(0, 0);
     w.finish(m, Outcome::Reset, 0);
     assert_eq!(w.sends(m), 2, "a repeatable message goes again at once");
-    let after = w.d.route(0).unwrap();
+    let after = w.dispatcher.route(0).unwrap();
     assert_eq!((before.window, before.smoothed_latency), (after.window, after.smoothed_latency));
     assert_eq!(closes(&w), 0, "the one connection was in use, and is gone");
 }
@@ -143,17 +143,17 @@
     let m = w.one(0, 5);
     w.finish(m, Outcome::Full, 3_000_000);
     w.list(ListUpdate::Full, &[entry(1, 6)]);
-    assert!(w.d.route(0).is_some(), "its wait is not over");
+    assert!(w.dispatcher.route(0).is_some(), "its wait is not over");
     w.list(ListUpdate::Full, &[entry(2, 5)]);
     w.pass(2 * SEC);
     assert_eq!(w.sends(m), 1, "the wait binds the replacement");
     w.pass(2 * SEC);
     assert_eq!(w.sends(m), 2);
     w.list(ListUpdate::Full, &[entry(1, 6)]);
-    assert!(w.d.route(2).is_some(), "a call is out there");
+    assert!(w.dispatcher.route(2).is_some(), "a call is out there");
     w.finish(m, Outcome::Ok, 0);
     w.list(ListUpdate::Full, &[entry(1, 6)]);
-    assert!(w.d.route(0).is_none() && w.d.route(2).is_none());
+    assert!(w.dispatcher.route(0).is_none() && w.dispatcher.route(2).is_none());
 }
 
 #[test]
--- a/courier/policy/tests/mechanism.rs
+++ b/courier/policy/tests/mechanism.rs
@@ -16,10 +16,10 @@
 }
 
 #[test]
-fn a_new_lane_starts_at_half_the_cap() {
+fn a_new_route_starts_at_half_the_cap() {
     let w = world();
-    near(w.d.route(0).unwrap().window, 3.0);
-    assert_eq!(w.d.route(0).unwrap().smoothed_latency, None);
+    near(w.dispatcher.route(0).unwrap().window, 3.0);
+    assert_eq!(w.dispatcher.route(0).unwrap().smoothed_latency, None);
 }
 
 #[test]
@@ -27,10 +27,10 @@
     let mut w = world();
     w.one(0, 5);
     w.finish_after(0, 100_000, Outcome::Ok);
-    near(w.d.route(0).unwrap().smoothed_latency.unwrap(), 100_000.0);
+    near(w.dispatcher.route(0).unwrap().smoothed_latency.unwrap(), 100_000.0);
     w.one(0, 5);
     w.finish_after(1, 200_000, Outcome::Ok);
-    near(w.d.route(0).unwrap().smoothed_latency.unwrap(), 0.3 * 200_000.0 + 0.7 * 100_000.0);
+    near(w.dispatcher.route(0).unwrap().smoothed_latency.unwrap(), 0.3 * 200_000.0 + 0.7 * 100_000.0);
 }
 
 #[test]
@@ -38,7 +38,7 @@
     let mut w = world();
     w.one(0, 5);
     w.finish_after(0, 10, Outcome::Ok);
-    near(w.d.route(0).unwrap().smoothed_latency.unwrap(), 1_000.0);
+    near(w.dispatcher.route(0).unwrap().smoothed_latency.unwrap(), 1_000.0);
 }
 
 #[test]
@@ -47,13 +47,13 @@
     for _ in 0..4 {
         w.one(0, 5);
     }
-    assert_eq!(w.d.route(0).unwrap().in_flight, 3, "the fourth waits for the window");
+    assert_eq!(w.dispatcher.route(0).unwrap().in_flight, 3, "the fourth waits for the window");
     w.finish_after(0, 100_000, Outcome::Ok);
     // Threshold / CAL is sixteen here: 0.98 x 3 + 0.02 x (16 x 3 + 0.1).
-    near(w.d.route(0).unwrap().window, 3.902);
+    near(w.dispatcher.route(0).unwrap().window, 3.902);
     w.finish_after(1, 0, Outcome::Ok);
     // The one that waited filled it again.
-    near(w.d.route(0).unwrap().window, 0.98 * 3.902 + 0.02 * (16.0 * 3.902 + 0.1));
+    near(w.dispatcher.route(0).unwrap().window, 0.98 * 3.902 + 0.02 * (16.0 * 3.902 + 0.1));
 }
 
 #[test]
@@ -61,7 +61,7 @@
     let mut w = world();
     w.one(0, 5);
     w.finish_after(0, 100_000, Outcome::Ok);
-    near(w.d.route(0).unwrap().window, 3.0);
+    near(w.dispatcher.route(0).unwrap().window, 3.0);
 }
 
 #[test]
@@ -72,9 +72,9 @@
     w.one(0, 5);
     w.finish_after(1, 4_000_000, Outcome::Ok);
     let cal = 0.3 * 4_000_000.0 + 0.7 * 10_000.0;
-    near(w.d.route(0).unwrap().smoothed_latency.unwrap(), cal);
-    near(w.d.route(0).unwrap().threshold, 160_000.0);
-    near(w.d.route(0).unwrap().window, 0.98 * 3.0 + 0.02 * (160_000.0 / cal * 3.0 + 0.1));
+    near(w.dispatcher.route(0).unwrap().smoothed_latency.unwrap(), cal);
+    near(w.dispatcher.route(0).unwrap().threshold, 160_000.0);
+    near(w.dispatcher.route(0).unwrap().window, 0.98 * 3.0 + 0.02 * (160_000.0 / cal * 3.0 + 0.1));
 }
 
 #[test]
@@ -85,11 +85,11 @@
         w.finish_after(n, 100_000 - n * 1_000, Outcome::Ok);
     }
     // Ten samples of 91 to 100 ms: the second fastest.
-    near(w.d.route(0).unwrap().threshold, 1_472_000.0);
+    near(w.dispatcher.route(0).unwrap().threshold, 1_472_000.0);
     w.pass(61_000_000);
     w.one(0, 5);
     w.finish_after(10, 300_000, Outcome::Ok);
-    near(w.d.route(0).unwrap().threshold, 4_800_000.0);
+    near(w.dispatcher.route(0).unwrap().threshold, 4_800_000.0);
 }
 
 #[test]
@@ -99,7 +99,7 @@
     w.finish_after(0, 100_000, Outcome::Ok);
     w.one(0, 5);
     w.finish_after(1, 1_500_000, Outcome::Timeout);
-    near(w.d.route(0).unwrap().smoothed_latency.unwrap(), 0.3 * 1_500_000.0 + 0.7 * 100_000.0);
+    near(w.dispatcher.route(0).unwrap().smoothed_latency.unwrap(), 0.3 * 1_500_000.0 + 0.7 * 100_000.0);
 }
 
 #[test]
@@ -110,9 +110,9 @@
     }
     w.pass(1_200_000);
     w.finish_after(0, 0, Outcome::Full);
-    near(w.d.route(0).unwrap().window, 1.5);
+    near(w.dispatcher.route(0).unwrap().window, 1.5);
     w.finish_after(1, 0, Outcome::Full);
-    near(w.d.route(0).unwrap().window, 1.5);
+    near(w.dispatcher.route(0).unwrap().window, 1.5);
 }
 
 #[test]
@@ -122,8 +122,8 @@
     w.finish_after(0, 100_000, Outcome::Ok);
     w.one(0, 5);
     w.finish_after(1, 2_000, Outcome::Error);
-    near(w.d.route(0).unwrap().smoothed_latency.unwrap(), 100_000.0);
-    near(w.d.route(0).unwrap().window, 3.0);
+    near(w.dispatcher.route(0).unwrap().smoothed_latency.unwrap(), 100_000.0);
+    near(w.dispatcher.route(0).unwrap().window, 3.0);
 }
 
 #[test]
@@ -149,11 +149,11 @@
         w.pass(1_500_000);
         w.finish_after(n, 0, Outcome::Full);
     }
-    near(w.d.route(0).unwrap().window, 0.75);
+    near(w.dispatcher.route(0).unwrap().window, 0.75);
 }
 
 #[test]
-fn the_least_time_out_is_two_thirds_of_the_shortest_time_for_which_a_key_is_remembered() {
+fn the_least_time_out_is_two_thirds_of_the_shortest_deduplication_span() {
     for span in [3 * SEC, 6 * SEC] {
         let mut set = settings(8);
         set.classes[1].effect = Effect::Deduplicated { span, by_zone: false };
--- a/courier/policy/tests/rules.rs
+++ b/courier/policy/tests/rules.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_message_without_an_endpoint_is_refused_before_its_time_is_up_and_never_sent() {
+fn a_message_without_an_endpoint_is_rejected_before_its_deadline_and_never_sent() {
     let mut w = world();
     let m = w.one(0, 99);
     w.pass(19 * SEC);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_keyed_message_is_repeated_only_within_the_memory_of_its_first_attempt() {
+fn a_deduplicated_message_is_retried_only_within_the_span_of_its_first_attempt() {
     let mut w = world();
     let m = w.one(1, 5);
     w.finish_after(m, SEC, Outcome::Timeout);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_key_remembered_by_one_zone_binds_the_repeat_to_it_and_forbids_a_refusal() {
+fn deduplication_by_one_zone_binds_the_retry_to_it_and_forbids_a_rejection() {
     let mut set = settings(8);
     set.classes[1].effect = Effect::Deduplicated { span: 5 * SEC, by_zone: true };
     let mut w = World::new(set, 1);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn no_send_goes_to_an_endpoint_that_drains_is_gone_or_left_a_whole_list() {
+fn no_send_goes_to_an_endpoint_that_drains_is_gone_or_not_in_a_full_list() {
     for how in 0..3 {
         let mut w = world();
         match how {
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn messages_of_a_key_go_in_turn_and_the_key_rests_after_a_timeout() {
+fn messages_of_a_key_go_in_order_and_the_key_cools_down_after_a_timeout() {
     let mut w = world();
     let a = w.keyed(3, 5, Some(9));
     let b = w.keyed(3, 5, Some(9));
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn impossible_settings_give_a_typed_error() {
+fn settings_that_no_instance_can_run_under_give_a_typed_error() {
     assert!(Dispatcher::new(Settings { slots: 0, ..settings(1) }, 1).is_err());
     assert!(Dispatcher::new(Settings { max_attempts: 0, ..settings(1) }, 1).is_err());
     assert!(Dispatcher::new(Settings { overload_multiple: f64::NAN, ..settings(1) }, 1).is_err());
