--- a/courier/containers/tests/age_groups.rs
+++ b/courier/containers/tests/age_groups.rs
@@ -1,10 +1,10 @@
-//! The ends of what is held by age, against a look at all of it.
+//! The candidates of a set by age, against a scan of all of it.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use quillmount_containers::AgeSet;
 
-/// Worth by age: steady between the cuts, and with a step at each.
+/// Value by age: monotonic between the breakpoints, and with a step at each.
 fn value(age: i64, breakpoints: &[u64], slopes: &[i64]) -> i64 {
     let n = breakpoints.iter().filter(|breakpoint| age >= **breakpoint as i64).count();
     slopes[n] * age + 7 * n as i64
--- a/courier/drill/tests/wire.rs
+++ b/courier/drill/tests/wire.rs
@@ -76,8 +76,8 @@
     assert!(String::from_utf8(out.stdout).unwrap().contains(r#""xid":"b""#));
 }
 
-/// A sender far down in a long row is refused once: its message goes back to the client, unless the
-/// answer told of a used-up limit. The fields of the report stand in the order of the settings.
+/// A sender with a late turn among many is refused once: its message is rejected, unless the answer reported
+/// a used-up limit. The fields of the report stand in the order of the settings.
 #[test]
 fn the_senders_number_and_the_reported_limit_reach_the_policy() {
     for (pressure, bounced) in [("[6.0,0.1]", false), ("[6.0,0.95]", true), ("[0.0,0.1]", true)] {
--- a/courier/policy/examples/waiting_messages.rs
+++ b/courier/policy/examples/waiting_messages.rs
@@ -1,5 +1,5 @@
-//! What a step of the decisions costs by the number of messages that are held for a destination in an outage:
-//! microseconds a step, in one run, so that the rows can be set against each other.
+//! The cost of a step by the number of messages that wait for a destination in an outage: microseconds a step, in one
+//! run, so that the rows can be compared.
 //!
 //!     cargo run --release --example waiting_messages
 
--- a/courier/policy/src/lib.rs
+++ b/courier/policy/src/lib.rs
@@ -1,8 +1,8 @@
 //! Decisions of a dispatcher that delivers notifications to outside receivers.
 //!
-//! The library is sans-I/O: it owns no clock, thread or socket. Each sender has one
-//! [`Dispatcher`] (or a [`Policy`], which wraps one for hosts that own sockets), hands it batches of [`DispatchEvent`]s with the clock in microseconds and carries out
-//! the [`DispatchAction`]s that come back, in order.
+//! The library does no I/O: it owns no clock, thread or socket. Each sender has one [`Dispatcher`] (or a [`Policy`], which
+//! wraps one for hosts that own sockets), gives it batches of [`DispatchEvent`]s with the clock in microseconds, and
+//! carries out the [`DispatchAction`]s that it returns, in order.
 //!
 //! ```
 //! use quillmount_policy::*;
--- a/courier/policy/src/settings_mark.rs
+++ b/courier/policy/src/settings_mark.rs
@@ -1,11 +1,11 @@
-//! The text of the settings by which two processes compare them on an upgrade. Its names are those of the
-//! first version and never follow a rename in the code: an older process would take the settings for others.
+//! The text of the settings, of which two processes compare a checksum on an upgrade. Its names are those of the first
+//! version and never follow a rename in the code: an older process would take the settings for different ones.
 
 use crate::settings::{Decay, DestinationKind, Effect, MessageClass, Settings};
 use std::fmt::{Debug, Formatter, Result};
 
 impl Settings {
-    /// The settings as one line of text in the stable form that a mark is made of.
+    /// The settings as one line of text, in the stable form whose checksum is compared.
     pub fn mark_text(&self) -> String {
         format!("{:?}", SettingsText(self))
     }
--- a/courier/policy/tests/bundles.rs
+++ b/courier/policy/tests/bundles.rs
@@ -1,4 +1,4 @@
-//! Calls that carry several messages: what a call counts as, what joins it, and what its fate tells.
+//! Calls that carry several messages: what a call counts as, what joins it, and what its outcome says.
 
 mod common;
 use common::{SEC, World, entry, settings};
@@ -14,10 +14,10 @@
     w
 }
 
-/// Hands in so many that may be repeated.
+/// Submits `n` idempotent messages.
 fn many(w: &mut World, n: u32) {
     for _ in 0..n {
-        w.one(0, 0);
+        w.submit(0, 0);
     }
 }
 
@@ -43,7 +43,7 @@
         .iter()
         .map(|msg| {
             let attempt = w.attempts[msg] - 1;
-            let (_, sent, _) = w.out.remove(&(*msg, attempt)).expect("the attempt is out");
+            let (_, sent, _) = w.in_flight.remove(&(*msg, attempt)).expect("the attempt is out");
             let (finished, elapsed) = (outcome == Outcome::Ok, now - sent);
             let (msg, report) = (*msg, Vec::new());
             DispatchEvent::Completed(Completion { msg, attempt, outcome, elapsed, finished, wait, report })
@@ -55,9 +55,9 @@
 #[test]
 fn a_message_at_a_free_destination_goes_at_once_and_those_behind_it_gather() {
     let mut w = known(8, 20);
-    let first = w.one(0, 0);
+    let first = w.submit(0, 0);
     assert_eq!(calls(&w), [[first]], "it waits for no company");
-    let more: Vec<MsgId> = (0..5).map(|n| w.one([0, 2][n % 2], 0)).collect();
+    let more: Vec<MsgId> = (0..5).map(|n| w.submit([0, 2][n % 2], 0)).collect();
     assert!(calls(&w).len() <= 2, "calls go out no faster than the limit lets this sender: {:?}", calls(&w));
     w.pass(400_000);
     let after = calls(&w);
@@ -83,7 +83,7 @@
     for batch in [0, 1] {
         let mut w = known(8, batch);
         for _ in 0..9 {
-            w.one(0, 0);
+            w.submit(0, 0);
         }
         assert!(calls(&w).iter().all(|c| c.len() == 1) && calls(&w).len() >= 3, "{:?}", calls(&w));
     }
@@ -103,14 +103,14 @@
     assert_eq!(w.dispatcher.route(0).unwrap().in_flight, before - 1);
 }
 
-/// A call that fails for all: what may be repeated is sent again, a debit is failed and never sent again.
+/// A call that fails for all of its messages: idempotent ones are retried, a debit fails and is never retried.
 #[test]
 fn of_a_call_that_fails_a_debit_is_ended_and_the_others_are_retried() {
     for outcome in [Outcome::Error, Outcome::Reset, Outcome::Timeout, Outcome::Cancelled] {
         let mut w = known(8, 20);
-        w.one(0, 0);
-        w.one(0, 0);
-        let (debit, safe) = (w.one(2, 0), w.one(0, 0));
+        w.submit(0, 0);
+        w.submit(0, 0);
+        let (debit, safe) = (w.submit(2, 0), w.submit(0, 0));
         w.pass(400_000);
         let call = calls(&w).into_iter().find(|c| c.contains(&debit)).unwrap();
         assert!(call.contains(&safe), "{call:?}");
@@ -125,9 +125,9 @@
 #[test]
 fn a_rejected_call_blocks_the_destination_for_its_wait_and_then_all_are_retried() {
     let mut w = known(8, 20);
-    w.one(0, 0);
+    w.submit(0, 0);
     for n in 0..19 {
-        w.one([0, 2][n % 2], 0);
+        w.submit([0, 2][n % 2], 0);
     }
     w.pass(400_000);
     let call = calls(&w).into_iter().max_by_key(Vec::len).unwrap();
@@ -144,40 +144,40 @@
 #[test]
 fn a_message_with_little_time_left_goes_alone() {
     let mut w = known(8, 20);
-    w.one(0, 0);
+    w.submit(0, 0);
     let soon = w.now + 500_000;
-    let late = w.with(0, 0, |m| m.deadline = soon);
+    let late = w.submit_with(0, 0, |m| m.deadline = soon);
     many(&mut w, 19);
     w.pass(480_000);
     assert!(calls(&w).iter().all(|c| !c.contains(&late) || c.len() == 1), "{:?}", calls(&w));
-    assert!(w.out.iter().filter(|((m, _), _)| *m != late).all(|(_, (.., timeout))| *timeout > SEC));
+    assert!(w.in_flight.iter().filter(|((m, _), _)| *m != late).all(|(_, (.., timeout))| *timeout > SEC));
 }
 
 #[test]
 fn a_call_is_bounded_in_bytes() {
     let mut w = known(8, 20);
-    w.one(0, 0);
+    w.submit(0, 0);
     for _ in 0..12 {
-        w.with(0, 0, |m| m.size = MAX_CALL_BYTES / 3);
+        w.submit_with(0, 0, |m| m.size = MAX_CALL_BYTES / 3);
     }
     w.pass(900_000);
     let seen = calls(&w);
     assert!(seen.iter().any(|c| c.len() > 1) && seen.iter().all(|c| c.len() <= 4), "{seen:?}");
 }
 
-/// Guards against a destination that opens at a time that it told: all senders come at that moment, with all that they hold.
+/// For a destination that opens at a time that it announced: all senders come at that moment, with all that waits.
 #[test]
 fn a_wait_longer_than_any_limit_is_an_outage_and_binds_the_guard() {
     let mut w = known(8, 20);
-    let first = w.one(0, 0);
+    let first = w.submit(0, 0);
     w.finish_after(first, 300_000, Outcome::Ok);
-    let second = w.one(0, 0);
+    let second = w.submit(0, 0);
     w.pass(100_000);
     w.finish(second, Outcome::Full, 9 * SEC);
     assert!(w.dispatcher.route(0).unwrap().in_outage);
     // A limit's span is no outage.
     let mut w = known(8, 20);
-    let first = w.one(0, 0);
+    let first = w.submit(0, 0);
     w.finish_after(first, 300_000, Outcome::Full);
     assert!(!w.dispatcher.route(0).unwrap().in_outage);
 }
--- a/courier/policy/tests/common/mod.rs
+++ b/courier/policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A scripted host: it keeps the clock, the list of attempts out and what was answered.
+//! A scripted host: it has the clock, the attempts in flight and a log of all actions.
 #![allow(dead_code)]
 
 use quillmount_policy::*;
@@ -6,7 +6,8 @@
 
 pub const SEC: Micros = 1_000_000;
 
-/// Classes 0 safe, 1 keyed for 5 s, 2 unsafe, 3 unsafe in order; kind 0 shares one limit.
+/// Classes: 0 idempotent, 1 deduplicated for 5 s, 2 not idempotent, 3 not idempotent and in order of the key. Kind 0 has
+/// one route for a destination.
 pub fn settings(slots: u32) -> Settings {
     let class = |effect, keep_order| MessageClass {
         effect,
@@ -51,8 +52,8 @@
     pub now: Micros,
     pub next: MsgId,
     pub next_timer: Option<Micros>,
-    /// Attempts out: (message, attempt) with the endpoint, the time sent and the time-out.
-    pub out: BTreeMap<(MsgId, u32), (EndpointId, Micros, Micros)>,
+    /// Attempts in flight: (message, attempt) with the endpoint, the time sent and the time-out.
+    pub in_flight: BTreeMap<(MsgId, u32), (EndpointId, Micros, Micros)>,
     pub attempts: BTreeMap<MsgId, u32>,
     pub log: Vec<(Micros, DispatchAction)>,
 }
@@ -64,7 +65,7 @@
             now: 10 * SEC,
             next: 0,
             next_timer: None,
-            out: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             attempts: BTreeMap::new(),
             log: Vec::new(),
         }
@@ -77,7 +78,7 @@
             match a {
                 DispatchAction::Send { msg, endpoint, timeout, .. } => {
                     let n = self.attempts.entry(*msg).or_default();
-                    self.out.insert((*msg, *n), (*endpoint, self.now, *timeout));
+                    self.in_flight.insert((*msg, *n), (*endpoint, self.now, *timeout));
                     *n += 1;
                 }
                 DispatchAction::Timer { after, .. } => {
@@ -94,17 +95,18 @@
         self.step(&[DispatchEvent::List { kind, entries: entries.to_vec() }]);
     }
 
-    /// Hands in one message of a class for a destination; returns its number.
-    pub fn one(&mut self, class: usize, dest: DestId) -> MsgId {
-        self.keyed(class, dest, None)
+    /// Submits a message of a class for a destination; returns its id.
+    pub fn submit(&mut self, class: usize, dest: DestId) -> MsgId {
+        self.submit_keyed(class, dest, None)
     }
 
-    pub fn keyed(&mut self, class: usize, dest: DestId, key: Option<u64>) -> MsgId {
-        self.with(class, dest, |m| m.key = key)
+    /// The same for one with a key.
+    pub fn submit_keyed(&mut self, class: usize, dest: DestId, key: Option<u64>) -> MsgId {
+        self.submit_with(class, dest, |message| message.key = key)
     }
 
-    /// The same for one that is out of the ordinary.
-    pub fn with(&mut self, class: usize, dest: DestId, change: impl FnOnce(&mut Message)) -> MsgId {
+    /// The same for one that `change` makes special.
+    pub fn submit_with(&mut self, class: usize, dest: DestId, change: impl FnOnce(&mut Message)) -> MsgId {
         let (id, deadline, stream) = (self.next, self.now + 20 * SEC, false);
         self.next += 1;
         let mut m =
@@ -114,7 +116,7 @@
         id
     }
 
-    /// Lets time pass; timers that come due are delivered, outcomes are not.
+    /// Advances the clock; timers that come due are delivered, outcomes are not.
     pub fn pass(&mut self, span: Micros) {
         let end = self.now + span;
         while let Some(t) = self.next_timer.filter(|t| *t <= end) {
@@ -135,7 +137,7 @@
         self.finish_with(msg, outcome, wait, &[])
     }
 
-    /// The same with a report of load in the answer.
+    /// The same with a load report in the answer.
     pub fn finish_reporting(&mut self, msg: MsgId, outcome: Outcome, report: &[f64]) -> Vec<DispatchAction> {
         self.finish_with(msg, outcome, 0, report)
     }
@@ -148,7 +150,7 @@
         report: &[f64],
     ) -> Vec<DispatchAction> {
         let attempt = self.attempts[&msg] - 1;
-        let (_, sent, _) = self.out.remove(&(msg, attempt)).expect("the attempt is out");
+        let (_, sent, _) = self.in_flight.remove(&(msg, attempt)).expect("the attempt is in flight");
         let finished = outcome == Outcome::Ok;
         let elapsed = self.now - sent;
         self.step(&[DispatchEvent::Completed(Completion {
--- a/courier/policy/tests/fleet.rs
+++ b/courier/policy/tests/fleet.rs
@@ -10,16 +10,16 @@
 /// Time that a call takes, there and back.
 const TRIP: Micros = 60_000;
 
-/// Over all senders: messages handed in, delivered within three seconds or later, and calls refused.
+/// Over all senders: messages submitted, delivered within three seconds or later, and calls refused.
 #[derive(Debug, Default)]
 struct Sums {
-    handed: u32,
+    submitted: u32,
     timely: u32,
     late: u32,
     refused: u32,
 }
 
-/// A destination that takes `rate` calls a second, half a second's worth saved up at most. A refused call uses it up too.
+/// A destination that accepts `rate` calls a second, with a burst of half a second's at most. A refused call counts too.
 struct Limit {
     rate: f64,
     level: f64,
@@ -27,17 +27,17 @@
 }
 
 impl Limit {
-    fn takes(&mut self, now: Micros) -> bool {
+    fn accepts(&mut self, now: Micros) -> bool {
         let depth = (self.rate / 2.0).max(1.0);
         self.level = (self.level + self.rate * (now - self.at) as f64 / 1e6).min(depth);
         self.at = now;
-        let takes = self.level >= 1.0;
+        let accepted = self.level >= 1.0;
         self.level = (self.level - 1.0).max(0.0);
-        takes
+        accepted
     }
 }
 
-/// When, at which sender: a message comes, or a call of it ends, taken or not.
+/// When, at which sender: a message comes, or a call of it ends, accepted or not.
 type Due = (Micros, usize, Option<(MsgId, bool)>);
 
 /// A day of `seconds`, with so many messages a second over all senders, and the limit's true rate, each by second.
@@ -73,8 +73,8 @@
         w.pass(now.saturating_sub(w.now));
         match what {
             None if now < begin + seconds * SEC => {
-                came.insert((n, w.one(0, 0)), now);
-                sums.handed += 1;
+                came.insert((n, w.submit(0, 0)), now);
+                sums.submitted += 1;
             }
             Some((msg, true)) => {
                 w.finish(msg, Outcome::Ok, 0);
@@ -94,8 +94,8 @@
             .collect();
         for msg in sent {
             limit.rate = rate((now - begin) / SEC);
-            let takes = limit.takes(now.max(limit.at));
-            due.push(Reverse((now + TRIP, n, Some((msg, takes)))));
+            let accepted = limit.accepts(now.max(limit.at));
+            due.push(Reverse((now + TRIP, n, Some((msg, accepted)))));
         }
         if let Some(t) = w.next_timer.filter(|t| *t < begin + (seconds + 20) * SEC) {
             due.push(Reverse((t.max(now), n, Some((MsgId::MAX, false)))));
@@ -104,14 +104,17 @@
     sums
 }
 
-/// A clump of four seconds' worth, of a limit that is listed right, half too high or half too low.
+/// A burst of four seconds' load, of a limit that is listed right, half too high or half too low.
 #[test]
 fn a_burst_over_the_limit_does_not_make_the_fleet_use_it_up_with_refusals() {
     for senders in [100, 300] {
         for listed in [50.0, 75.0, 34.0] {
             let load = |s| if (4..7).contains(&s) { 100.0 } else { 25.0 };
             let sums = play(senders, listed, 40, load, |_| 50.0);
-            assert!(f64::from(sums.refused) < 0.25 * f64::from(sums.handed), "{senders} {listed} {sums:?}");
+            assert!(
+                f64::from(sums.refused) < 0.25 * f64::from(sums.submitted),
+                "{senders} {listed} {sums:?}"
+            );
         }
     }
 }
--- a/courier/policy/tests/full_tables.rs
+++ b/courier/policy/tests/full_tables.rs
@@ -1,4 +1,4 @@
-//! Connects that are refused at once: an outage takes one destination, so that two of them tell of tables that are full.
+//! Connects that are refused at once: an outage affects one destination, so that two such refusals mean full tables.
 
 mod common;
 use common::*;
@@ -15,10 +15,10 @@
 fn closed_after(refused: &[DestId], apart: Micros) -> Vec<EndpointId> {
     let mut w = sparsely_served_world();
     w.list(ListUpdate::Full, &[entry(0, 5), entry(1, 6), entry(2, 7)]);
-    let rests = w.one(0, 7);
+    let rests = w.submit(0, 7);
     w.finish_after(rests, SEC / 10, Outcome::Ok);
     for dest in refused {
-        let msg = w.one(0, *dest);
+        let msg = w.submit(0, *dest);
         w.finish_after(msg, SEC / 100, Outcome::ConnectFailed);
         w.pass(apart);
     }
@@ -45,10 +45,10 @@
 fn with_few_senders_two_refusing_destinations_close_nothing_elsewhere() {
     let mut w = World::new(settings(8), 7);
     w.list(ListUpdate::Full, &[entry(0, 5), entry(1, 6), entry(2, 7)]);
-    let rests = w.one(0, 7);
+    let rests = w.submit(0, 7);
     w.finish_after(rests, SEC / 10, Outcome::Ok);
     for dest in [5, 6] {
-        let msg = w.one(0, dest);
+        let msg = w.submit(0, dest);
         w.finish_after(msg, SEC / 100, Outcome::ConnectFailed);
     }
     assert!(!w.log.iter().any(|(_, act)| *act == DispatchAction::CloseIdle { endpoint: 2 }));
@@ -60,10 +60,10 @@
     let mut w = sparsely_served_world();
     w.list(ListUpdate::Full, &[entry(0, 5), entry(1, 6), entry(2, 7)]);
     for dest in [5, 6] {
-        let msg = w.one(0, dest);
+        let msg = w.submit(0, dest);
         w.finish_after(msg, SEC / 100, Outcome::ConnectFailed);
     }
-    let msg = w.one(0, 7);
+    let msg = w.submit(0, 7);
     let acts = w.finish_after(msg, SEC / 10, Outcome::Ok);
     assert!(acts.contains(&DispatchAction::CloseIdle { endpoint: 2 }), "{acts:?}");
 }
--- a/courier/policy/tests/guard.rs
+++ b/courier/policy/tests/guard.rs
@@ -25,7 +25,7 @@
     w
 }
 
-/// Whole calls in any fall span: two thirds of N + 2 root N + 2, N being multiple x cold share x true rate x
+/// Whole calls in any overload span: two thirds of N + 2 root N + 2, N being multiple x cold share x true rate x
 /// span, where the listed rate may be half too high.
 fn bound(weight: f64) -> usize {
     let n = 2.0 * 0.2 * (weight / 1.5) * 1.5;
@@ -55,7 +55,7 @@
 }
 
 /// All senders have a message every two seconds and call in the outage's first second. Returns the
-/// times of the calls that knowing senders made, until the destination is warm again.
+/// times of the calls of senders that had seen a failure, until the destination is warm.
 fn calls_of_senders(
     senders: u32,
     weight: f64,
@@ -83,7 +83,7 @@
             let over: Vec<(Micros, MsgId, Outcome)> = over;
             let binds = seen[n].binds(now);
             for (_, m, outcome) in over {
-                let sent = w.out[&(m, w.attempts[&m] - 1)].1 - start[n];
+                let sent = w.in_flight[&(m, w.attempts[&m] - 1)].1 - start[n];
                 w.finish(m, outcome, 0);
                 let s = &mut seen[n];
                 if outcome != Outcome::Ok {
@@ -93,7 +93,7 @@
                 }
             }
             if (now + n as u64 * 20_000) % (2 * SEC) < 20_000 || (now == 0 && outages[0].0 == 0) {
-                w.one(0, 5);
+                w.submit(0, 5);
             }
             let sends: Vec<(MsgId, Micros)> = w.log[before..]
                 .iter()
@@ -183,7 +183,7 @@
 fn failed_once(senders: u32) -> World {
     let mut w = world(senders, if senders > 40 { FAR } else { 3 }, 6.0);
     for outcome in [Outcome::Ok, Outcome::Full] {
-        let m = w.one(0, 5);
+        let m = w.submit(0, 5);
         w.finish(m, outcome, 0);
     }
     w
@@ -192,7 +192,7 @@
 fn sends_in(w: &mut World, span: Micros) -> usize {
     let before = w.log.len();
     for _ in 0..span / SEC {
-        w.one(0, 5);
+        w.submit(0, 5);
         w.pass(SEC);
     }
     w.log[before..].iter().filter(|(_, a)| matches!(a, DispatchAction::Send { .. })).count()
@@ -202,7 +202,7 @@
 fn weights_that_say_nothing_take_the_strict_side_and_shut_nobody_out() {
     for weight in [0.0, -4.0, f64::NAN, f64::INFINITY] {
         let mut w = world(40, 3, weight);
-        let m = w.one(0, 5);
+        let m = w.submit(0, 5);
         w.finish(m, Outcome::Error, 0);
         // One call a second, half too high: three calls a span of all forty, a turn in 21 s.
         let sends = sends_in(&mut w, 300 * SEC);
@@ -217,12 +217,12 @@
         s.weight_is_approximate = rough;
         let mut w = World::new(s, 1);
         w.list(ListUpdate::Full, &[EndpointEntry { weight: 30.0, ..entry(0, 5) }]);
-        let m = w.one(0, 5);
+        let m = w.submit(0, 5);
         w.finish(m, Outcome::Error, 0);
         let mut n = 0;
         for _ in 0..200 {
             n += sends_in(&mut w, SEC);
-            let out: Vec<MsgId> = w.out.keys().map(|k| k.0).collect();
+            let out: Vec<MsgId> = w.in_flight.keys().map(|k| k.0).collect();
             out.into_iter().for_each(|m| drop(w.finish(m, Outcome::Error, 0)));
         }
         n
@@ -233,8 +233,8 @@
 #[test]
 fn a_success_of_a_call_sent_before_the_failure_was_seen_opens_nothing() {
     let mut w = world(270, FAR, 6.0);
-    let early = w.one(0, 5);
-    let failing = w.one(0, 5);
+    let early = w.submit(0, 5);
+    let failing = w.submit(0, 5);
     w.finish(failing, Outcome::Error, 0);
     w.finish_after(early, SEC, Outcome::Ok);
     assert_eq!(sends_in(&mut w, 40 * SEC), 0);
@@ -246,9 +246,9 @@
         let mut w = failed_once(40);
         let mut probe = None;
         for _ in 0..200 {
-            let m = w.one(0, 5);
+            let m = w.submit(0, 5);
             w.pass(SEC);
-            probe = w.out.keys().next().map(|k| k.0);
+            probe = w.in_flight.keys().next().map(|k| k.0);
             if probe.is_some() || w.answers(m).is_empty() && w.sends(m) > 0 {
                 break;
             }
@@ -256,16 +256,16 @@
         w.finish(probe.expect("its turn comes"), Outcome::Ok, 0);
         assert_eq!(sends_in(&mut w, 10 * SEC), 0, "cold for eleven seconds");
         if disturbed {
-            // The route is free again; one failure, and it is not.
+            // The route is free; after one failure it is not.
             w.pass(2 * SEC);
-            let m = w.out.keys().next().map(|k| k.0).expect("what was held goes");
+            let m = w.in_flight.keys().next().map(|k| k.0).expect("what was held goes");
             w.finish(m, Outcome::Error, 0);
-            let out: Vec<MsgId> = w.out.keys().map(|k| k.0).collect();
+            let out: Vec<MsgId> = w.in_flight.keys().map(|k| k.0).collect();
             out.into_iter().for_each(|m| drop(w.finish(m, Outcome::Ok, 0)));
             assert!(sends_in(&mut w, 12 * SEC) <= 1, "bound anew");
         } else {
             w.pass(2 * SEC);
-            assert!(sends_in(&mut w, 2 * SEC) > 0 || !w.out.is_empty(), "then free");
+            assert!(sends_in(&mut w, 2 * SEC) > 0 || !w.in_flight.is_empty(), "then free");
         }
     }
 }
@@ -276,7 +276,7 @@
     s.kinds = vec![Routes::APART];
     let mut w = World::new(s, 1);
     w.list(ListUpdate::Full, &[entry(0, 5)]);
-    let m = w.one(0, 5);
+    let m = w.submit(0, 5);
     w.finish(m, Outcome::ConnectFailed, 0);
     w.list(ListUpdate::Full, &[entry(7, 9)]);
     w.pass(5 * SEC);
@@ -296,9 +296,9 @@
 #[test]
 fn a_reset_of_a_reused_connection_counts_as_a_failure_seen() {
     let mut w = world(270, FAR, 6.0);
-    let m = w.one(0, 5);
+    let m = w.submit(0, 5);
     w.finish(m, Outcome::Ok, 0);
-    let m = w.one(0, 5);
+    let m = w.submit(0, 5);
     w.finish(m, Outcome::Reset, 0);
     assert_eq!(sends_in(&mut w, 30 * SEC), 0);
 }
@@ -308,9 +308,9 @@
     for (senders, weight) in [(2, 6.0), (3, 6.0), (5, 60.0)] {
         for outcome in [Outcome::Error, Outcome::Full] {
             let mut w = world(senders, 1, weight);
-            let m = w.one(0, 5);
+            let m = w.submit(0, 5);
             w.finish(m, Outcome::Ok, 0);
-            let m = w.one(0, 5);
+            let m = w.submit(0, 5);
             w.finish(m, outcome, 0);
             w.pass(2 * SEC);
             assert_eq!(w.sends(m), 2, "{senders} senders after {outcome:?}");
@@ -320,22 +320,22 @@
 
 /// Ends all calls but `one` well.
 fn answer_all_but(w: &mut World, one: Option<MsgId>) {
-    let out: Vec<MsgId> = w.out.keys().map(|k| k.0).filter(|m| Some(*m) != one).collect();
+    let out: Vec<MsgId> = w.in_flight.keys().map(|k| k.0).filter(|m| Some(*m) != one).collect();
     out.into_iter().for_each(|m| drop(w.finish(m, Outcome::Ok, 0)));
 }
 
 /// One of two senders just after an outage, with a call out that was sent before it.
 fn returning() -> (World, MsgId) {
     let mut w = world(2, 1, 6.0);
-    let early = w.one(0, 5);
+    let early = w.submit(0, 5);
     for _ in 0..3 {
-        let m = w.one(0, 5);
+        let m = w.submit(0, 5);
         w.finish_after(m, 1_000, Outcome::Error);
         w.step(&[DispatchEvent::Hangup { msg: m }]);
         w.pass(2 * SEC);
     }
     assert!(w.dispatcher.route(0).unwrap().in_outage);
-    w.one(0, 5);
+    w.submit(0, 5);
     while w.dispatcher.route(0).unwrap().in_outage {
         w.pass(SEC);
         answer_all_but(&mut w, Some(early));
@@ -349,7 +349,7 @@
     answer_all_but(w, None);
     w.pass(2 * SEC);
     (0..3).all(|_| {
-        let m = w.one(0, 5);
+        let m = w.submit(0, 5);
         answer_all_but(w, None);
         w.sends(m) == 1
     })
@@ -364,14 +364,14 @@
     w.step(&[DispatchEvent::Hangup { msg: early }]);
     w.finish(early, Outcome::Moot, 0);
     w.pass(2 * SEC);
-    let m = w.one(0, 5);
+    let m = w.submit(0, 5);
     w.finish_after(m, 1_000, Outcome::Full);
     assert!(is_free(&mut w), "one refusal among successes is a limit's");
     let (mut w, early) = returning();
     w.step(&[DispatchEvent::Hangup { msg: early }]);
     w.finish(early, Outcome::Moot, 0);
     w.pass(2 * SEC);
-    let m = w.one(0, 5);
+    let m = w.submit(0, 5);
     w.finish_after(m, 1_000, Outcome::Error);
     assert!(!is_free(&mut w), "an error is a failure seen");
 }
@@ -382,14 +382,14 @@
     s.classes[1].effect = Effect::Deduplicated { span: 5 * SEC, by_zone: true };
     let mut w = World::new(s, 1);
     w.list(ListUpdate::Full, &[entry(0, 5)]);
-    let m = w.one(0, 5);
-    let keyed = w.one(1, 5);
+    let m = w.submit(0, 5);
+    let keyed = w.submit(1, 5);
     w.finish(m, Outcome::Error, 0);
     assert!(matches!(w.answers(m)[..], [DispatchAction::Reject { after, .. }] if after > 0));
     w.finish(keyed, Outcome::Error, 0);
     assert_eq!(w.answers(keyed), [DispatchAction::Fail { msg: keyed }], "it may have run in one zone");
     for class in [0, 1, 2] {
-        let m = w.one(class, 5);
+        let m = w.submit(class, 5);
         assert!(
             matches!(w.answers(m)[..], [DispatchAction::Reject { after, .. }] if after > 0),
             "class {class}"
@@ -400,24 +400,24 @@
 #[test]
 fn a_reported_wait_and_the_guard_both_bind() {
     let mut w = world(40, 3, 6.0);
-    let m = w.one(0, 5);
+    let m = w.submit(0, 5);
     let report_limit = w.now + 100 * SEC;
     w.finish(m, Outcome::Full, 100 * SEC);
     while w.now + SEC < report_limit {
-        w.one(0, 5);
+        w.submit(0, 5);
         w.pass(SEC);
     }
     assert_eq!(w.attempts.len(), 1, "the wait outlasts a turn");
     let mut w = world(270, FAR, 6.0);
-    let m = w.one(0, 5);
+    let m = w.submit(0, 5);
     w.finish(m, Outcome::Full, 200_000);
     assert_eq!(sends_in(&mut w, 20 * SEC), 0, "the guard outlasts the wait");
 }
 
 fn report_limit(w: &mut World, left: f64) {
-    let m = w.one(0, 5);
+    let m = w.submit(0, 5);
     let report = vec![left, 6.0];
-    w.out.remove(&(m, 0));
+    w.in_flight.remove(&(m, 0));
     w.step(&[DispatchEvent::Completed(Completion {
         msg: m,
         attempt: 0,
@@ -441,13 +441,13 @@
     }
 }
 
-/// A third time-out would take as long again: what is held meanwhile would all come at once.
+/// A third time-out would take as long as the first two: what waits meanwhile would all come at once.
 #[test]
 fn with_few_senders_two_time_outs_in_a_row_bind_the_guard_and_two_errors_do_not() {
     let calls = |outcome| {
         let mut w = World::new(Settings { slots: 64, ..set(3, 0) }, 0);
         w.list(ListUpdate::Full, &[EndpointEntry { weight: 30.0, ..entry(0, 5) }]);
-        let first = [w.one(0, 5), w.one(0, 5)];
+        let first = [w.submit(0, 5), w.submit(0, 5)];
         w.pass(SEC);
         for m in first {
             w.step(&[DispatchEvent::Hangup { msg: m }]);
@@ -458,7 +458,7 @@
         w.pass(3 * SEC);
         let before = w.log.len();
         for _ in 1..FALL / 15_000 {
-            w.one(0, 5);
+            w.submit(0, 5);
             w.pass(15_000);
             answer_all_but(&mut w, None);
         }
@@ -480,9 +480,9 @@
         );
         w.list(ListUpdate::Delta, &[EndpointEntry { returning: cold, weight: 30.0, ..entry(0, 5) }]);
         for _ in 0..20 {
-            w.one(0, 5);
+            w.submit(0, 5);
         }
-        w.out.len()
+        w.in_flight.len()
     };
     // A third of what three senders may send within a span: 2 x 0.2 x (30 / 1.5) a second x 1.5 s.
     assert_eq!((calls(true), calls(false)), (4, 20));
--- a/courier/policy/tests/many_destinations.rs
+++ b/courier/policy/tests/many_destinations.rs
@@ -19,8 +19,8 @@
     let mut first = BTreeSet::new();
     for seed in 0..20 {
         let mut w = senders_of_one_kind(20, seed);
-        let m = w.one(0, 5);
-        first.insert(w.out[&(m, 0)].0);
+        let m = w.submit(0, 5);
+        first.insert(w.in_flight[&(m, 0)].0);
     }
     assert_eq!(first.len(), 2, "all senders took the same endpoint");
 }
@@ -34,9 +34,9 @@
     let mut w = World::new(settings(8), 1);
     w.list(ListUpdate::Full, &[entry(0, 0), entry(1, 1)]);
     for (bad, outcome) in [(1, Outcome::ConnectFailed), (0, Outcome::Ok), (0, Outcome::Reset)] {
-        let m = w.one(0, 0);
+        let m = w.submit(0, 0);
         w.finish(m, Outcome::Ok, 0);
-        let m = w.one(0, bad);
+        let m = w.submit(0, bad);
         w.finish(m, outcome, 0);
         w.pass(20 * SEC);
     }
@@ -48,14 +48,14 @@
     let mut w = World::new(settings(8), 1);
     w.list(ListUpdate::Full, &[entry(0, 0)]);
     for closed in [0, 1] {
-        let m = w.one(0, 0);
+        let m = w.submit(0, 0);
         w.finish(m, Outcome::ConnectFailed, 0);
         w.finish_after(m, 1_000, Outcome::Ok);
         assert_eq!(closes(&w), closed);
         w.pass(SEC);
     }
     w.pass(20 * SEC);
-    let m = w.one(0, 0);
+    let m = w.submit(0, 0);
     w.finish(m, Outcome::Ok, 0);
     assert_eq!(closes(&w), 1, "the table may have room again");
 }
@@ -64,10 +64,10 @@
 fn a_reset_of_an_idle_connection_says_nothing_about_the_destination() {
     let mut w = World::new(settings(8), 1);
     w.list(ListUpdate::Full, &[entry(0, 0)]);
-    let m = w.one(0, 0);
+    let m = w.submit(0, 0);
     w.finish(m, Outcome::Ok, 0);
     let before = w.dispatcher.route(0).unwrap();
-    let m = w.one(0, 0);
+    let m = w.submit(0, 0);
     w.finish(m, Outcome::Reset, 0);
     assert_eq!(w.sends(m), 2, "a repeatable message goes again at once");
     let after = w.dispatcher.route(0).unwrap();
@@ -79,9 +79,9 @@
 fn a_non_idempotent_message_reset_on_an_idle_connection_is_not_retried() {
     let mut w = World::new(settings(8), 1);
     w.list(ListUpdate::Full, &[entry(0, 0)]);
-    let m = w.one(0, 0);
+    let m = w.submit(0, 0);
     w.finish(m, Outcome::Ok, 0);
-    let m = w.one(2, 0);
+    let m = w.submit(2, 0);
     w.finish(m, Outcome::Reset, 0);
     w.pass(20 * SEC);
     assert_eq!(w.sends(m), 1);
@@ -93,11 +93,11 @@
     let mut w = World::new(settings(2), 1);
     w.list(ListUpdate::Full, &[entry(0, 0), entry(1, 1), entry(2, 2)]);
     for (dest, latency) in [(0, SEC), (1, SEC / 10), (2, SEC / 10)] {
-        let m = w.one(0, dest);
+        let m = w.submit(0, dest);
         w.finish_after(m, latency, Outcome::Ok);
     }
-    let busy = [w.one(0, 2), w.one(0, 1)];
-    let (slow, quick) = (w.one(0, 0), w.one(0, 1));
+    let busy = [w.submit(0, 2), w.submit(0, 1)];
+    let (slow, quick) = (w.submit(0, 0), w.submit(0, 1));
     assert_eq!((w.sends(slow), w.sends(quick)), (0, 0), "both slots are taken");
     w.finish_after(busy[1], SEC / 10, Outcome::Ok);
     assert_eq!((w.sends(slow), w.sends(quick)), (0, 1));
@@ -107,10 +107,10 @@
 fn with_two_slots_a_silent_destination_does_not_stop_the_others() {
     let mut w = World::new(settings(2), 1);
     w.list(ListUpdate::Full, &[entry(0, 0), entry(1, 1)]);
-    let silent = [w.one(0, 0), w.one(0, 0)];
+    let silent = [w.submit(0, 0), w.submit(0, 0)];
     assert_eq!(w.sends(silent[0]) + w.sends(silent[1]), 1, "one destination has one slot of two");
     for _ in 0..20 {
-        let m = w.one(0, 1);
+        let m = w.submit(0, 1);
         assert_eq!(w.sends(m), 1);
         w.finish_after(m, 100_000, Outcome::Ok);
     }
@@ -126,7 +126,7 @@
     w.list(ListUpdate::Full, &all);
     let mut sent = 0;
     for n in 0..5_000u64 {
-        let m = w.one(0, (n * 7) % 500);
+        let m = w.submit(0, (n * 7) % 500);
         sent += w.sends(m);
         w.finish_after(m, 50_000, Outcome::Ok);
     }
@@ -140,7 +140,7 @@
 fn endpoints_gone_and_idle_are_forgotten_but_waits_are_not() {
     let mut w = World::new(settings(8), 1);
     w.list(ListUpdate::Full, &[entry(0, 5)]);
-    let m = w.one(0, 5);
+    let m = w.submit(0, 5);
     w.finish(m, Outcome::Full, 3_000_000);
     w.list(ListUpdate::Full, &[entry(1, 6)]);
     assert!(w.dispatcher.route(0).is_some(), "its wait is not over");
@@ -161,7 +161,7 @@
     let mut w = World::new(settings(8), 1);
     w.list(ListUpdate::Full, &[entry(0, 5)]);
     w.list(ListUpdate::Delta, &[EndpointEntry { state: EndpointState::Draining, ..entry(0, 5) }]);
-    let m = w.one(0, 5);
+    let m = w.submit(0, 5);
     w.list(ListUpdate::Delta, &[EndpointEntry { state: EndpointState::Gone, ..entry(0, 5) }]);
     w.pass(9 * SEC);
     assert_eq!((w.sends(m), w.answers(m).len()), (0, 0));
@@ -173,9 +173,9 @@
 fn a_connect_that_fails_slowly_leaves_other_connections_alone() {
     let mut w = World::new(settings(8), 1);
     w.list(ListUpdate::Full, &[entry(0, 0), entry(1, 1)]);
-    let m = w.one(0, 0);
+    let m = w.submit(0, 0);
     w.finish(m, Outcome::Ok, 0);
-    let m = w.one(0, 1);
+    let m = w.submit(0, 1);
     w.finish_after(m, SEC, Outcome::ConnectFailed);
     assert_eq!(closes(&w), 0, "the place is down, no table is full");
 }
--- a/courier/policy/tests/policy.rs
+++ b/courier/policy/tests/policy.rs
@@ -81,7 +81,7 @@
 }
 
 /// Guards against a lost wake-up: something else happens at the very time for which a wake-up is set, and
-/// the module asks for its next one beside it. A message then waited past its time for the next event.
+/// the module requests its next one beside it. A message then waited past its time for the next event.
 #[test]
 fn a_step_at_the_time_of_a_wake_up_keeps_the_next_one() {
     let failed = |msg, attempt| CallReport {
--- a/courier/policy/tests/random.rs
+++ b/courier/policy/tests/random.rs
@@ -11,7 +11,7 @@
     endpoint: EndpointId,
     at: Micros,
     until: Micros,
-    /// None while out; then whether it may have run.
+    /// None while in flight; then whether it may have run.
     may_have_run: Option<bool>,
 }
 
@@ -20,7 +20,7 @@
     key: Option<u64>,
     dest: DestId,
     deadline: Micros,
-    over: bool,
+    ended: bool,
     sent: Vec<Sent>,
 }
 
@@ -29,7 +29,7 @@
     msgs: BTreeMap<MsgId, Tracked>,
     listed: BTreeMap<EndpointId, bool>,
     waits: BTreeMap<u64, Micros>,
-    rests: BTreeMap<u64, Micros>,
+    cooldowns: BTreeMap<u64, Micros>,
 }
 
 const SLOTS: usize = 6;
@@ -45,7 +45,7 @@
 }
 
 impl Checker {
-    fn out(&self) -> usize {
+    fn in_flight(&self) -> usize {
         self.msgs.values().flat_map(|m| &m.sent).filter(|s| s.may_have_run.is_none()).count()
     }
 
@@ -53,36 +53,39 @@
         for a in acts {
             match a {
                 DispatchAction::Send { msg, endpoint, timeout, .. } => {
-                    prop_assert!(self.out() < SLOTS, "a send without a slot");
+                    prop_assert!(self.in_flight() < SLOTS, "a send without a slot");
                     prop_assert_eq!(self.listed.get(endpoint), Some(&true), "a send to one not ready");
                     let wait = self.waits.get(&wait_scope(*endpoint)).copied().unwrap_or(0);
                     prop_assert!(now >= wait, "a send within a wait");
                     let key = self.msgs[msg].key;
                     if let Some(k) = key {
                         for (id, m) in self.msgs.range(..*msg).filter(|(_, m)| m.key == Some(k)) {
-                            let quiet = m.over && m.sent.iter().all(|s| s.may_have_run.is_some());
+                            let quiet = m.ended && m.sent.iter().all(|s| s.may_have_run.is_some());
                             prop_assert!(quiet, "{msg} overtakes {id} of its key");
                         }
-                        let rest = self.rests.get(&k).copied().unwrap_or(0);
+                        let cooldown = self.cooldowns.get(&k).copied().unwrap_or(0);
                         let first = self.msgs[msg].sent.is_empty();
-                        prop_assert!(!first || now >= rest, "a key that rests");
+                        prop_assert!(!first || now >= cooldown, "a key that cools down");
                     }
                     let m = self.msgs.get_mut(msg).unwrap();
-                    prop_assert!(!m.over, "a send after the answer");
+                    prop_assert!(!m.ended, "a send after the answer");
                     prop_assert_eq!(m.dest, dest_of(*endpoint));
                     prop_assert!(m.sent.len() < 6, "more attempts than allowed");
                     prop_assert!(m.sent.iter().all(|s| s.may_have_run.is_some()), "two at once");
                     let first = m.sent.iter().find(|s| s.may_have_run == Some(true));
                     if let Some(first) = first {
-                        prop_assert!(m.class < 2, "an unsafe message that may have run goes again");
-                        prop_assert!(m.class != 1 || now <= first.at + 5 * SEC, "memory is over");
+                        prop_assert!(
+                            m.class < 2,
+                            "a message that is not idempotent and may have run is retried"
+                        );
+                        prop_assert!(m.class != 1 || now <= first.at + 5 * SEC, "its span has ended");
                     }
                     let until = (now + timeout).min(m.deadline);
                     m.sent.push(Sent { endpoint: *endpoint, at: now, until, may_have_run: None });
                 }
                 DispatchAction::Reject { msg, .. } | DispatchAction::Fail { msg } => {
                     let m = self.msgs.get_mut(msg).unwrap();
-                    prop_assert!(!m.over, "two answers");
+                    prop_assert!(!m.ended, "two answers");
                     let late = now.saturating_sub(m.deadline + 20_000);
                     prop_assert!(
                         late == 0,
@@ -92,9 +95,9 @@
                     );
                     let may = m.sent.iter().any(|s| s.may_have_run != Some(false));
                     if matches!(a, DispatchAction::Reject { .. }) {
-                        prop_assert!(m.class < 2 || !may, "an unsafe refusal");
+                        prop_assert!(m.class < 2 || !may, "a rejection of one that may have run");
                     }
-                    m.over = true;
+                    m.ended = true;
                 }
                 DispatchAction::Cancel { msg, attempt } => {
                     prop_assert!((*attempt as usize) < self.msgs[msg].sent.len());
@@ -117,19 +120,19 @@
         due
     }
 
-    /// Notes the fates and gives the events that tell them.
-    fn outcomes(&mut self, now: Micros, fates: Vec<(MsgId, usize, Outcome)>) -> Vec<DispatchEvent> {
+    /// Records the outcomes and returns the events that report them.
+    fn outcomes(&mut self, now: Micros, outcomes_due: Vec<(MsgId, usize, Outcome)>) -> Vec<DispatchEvent> {
         let mut events = Vec::new();
         let mut excused = Vec::new();
-        for (id, n, outcome) in fates {
+        for (id, n, outcome) in outcomes_due {
             let m = self.msgs.get_mut(&id).unwrap();
             let never = matches!(outcome, Outcome::Full | Outcome::ConnectFailed);
             m.sent[n].may_have_run = Some(!never);
             if let (Some(k), Outcome::Timeout | Outcome::Reset) = (m.key, outcome) {
-                self.rests.insert(k, now + 300_000);
+                self.cooldowns.insert(k, now + 300_000);
             }
-            let finished = outcome == Outcome::Ok || m.over;
-            m.over |= finished;
+            let finished = outcome == Outcome::Ok || m.ended;
+            m.ended |= finished;
             let wait = if outcome == Outcome::Full && id % 2 == 0 { 700_000 } else { 0 };
             if wait > 0 {
                 excused.push((wait_scope(m.sent[n].endpoint), now + wait));
@@ -154,7 +157,7 @@
     }
 }
 
-/// Adds the timers that were asked for; each one comes, whatever happened since.
+/// Adds the timers that were set; each one fires, whatever happened since.
 fn note_timers(now: Micros, timers: &mut Vec<Micros>, acts: &[DispatchAction]) {
     for a in acts {
         if let DispatchAction::Timer { after, .. } = a {
@@ -179,11 +182,11 @@
     let mut set = settings(SLOTS as u32);
     set.kinds.push(DestinationKind { separate_routes: true, batch: 1 });
     set.max_open_messages = 30;
-    // Alone, among few and in a crowd, where the guard of a returning destination acts.
+    // Alone, among few and among so many that a destination is sparsely served and the guard binds early.
     set.sender_count = [1, 3, 40, 300][seed as usize % 4];
     set.sender_index = (seed >> 8) as u32 % set.sender_count;
-    let mut d = Dispatcher::new(set, seed).unwrap();
-    let mut c = Checker::default();
+    let mut dispatcher = Dispatcher::new(set, seed).unwrap();
+    let mut checker = Checker::default();
     let mut all = Vec::new();
     let (mut now, mut next, mut timers) = (5 * SEC, 0u64, Vec::new());
     let record = |endpoint: u32, state| EndpointEntry {
@@ -192,31 +195,31 @@
         ..entry(endpoint, dest_of(endpoint))
     };
     let entries: Vec<EndpointEntry> = (0..6).map(|n| record(n, EndpointState::Ready)).collect();
-    c.listed = (0..6).map(|n| (n, true)).collect();
-    let acts = d.step(now, &[DispatchEvent::List { kind: ListUpdate::Full, entries }]);
+    checker.listed = (0..6).map(|n| (n, true)).collect();
+    let acts = dispatcher.step(now, &[DispatchEvent::List { kind: ListUpdate::Full, entries }]);
     note_timers(now, &mut timers, &acts);
-    c.check(now, &acts)?;
+    checker.check(now, &acts)?;
     let quiet = [(255u8, 255u8, 0u8); 300];
     for (what, a, b) in steps.iter().copied().chain(quiet) {
         let pause = if what == 255 { 100_000 } else { 10_000 + u64::from(b) * 800 };
         let target = now + pause;
         // Timers and time-outs that come due before: a host delivers them first.
         loop {
-            let outs = c.msgs.values().flat_map(|m| &m.sent).filter(|s| s.may_have_run.is_none());
+            let outs = checker.msgs.values().flat_map(|m| &m.sent).filter(|s| s.may_have_run.is_none());
             let due = outs.map(|s| s.until).chain(timers.iter().copied()).min().filter(|t| *t < target);
             let Some(at) = due else { break };
             now = now.max(at);
             timers.retain(|t| *t > now);
-            let fates = c.timeouts(now);
-            let events = c.outcomes(now, fates);
-            let acts = d.step(now, &events);
+            let outcomes_due = checker.timeouts(now);
+            let events = checker.outcomes(now, outcomes_due);
+            let acts = dispatcher.step(now, &events);
             note_timers(now, &mut timers, &acts);
-            c.check(now, &acts)?;
+            checker.check(now, &acts)?;
             all.push(acts);
         }
         now = target;
         let mut events = Vec::new();
-        let mut fates = c.timeouts(now);
+        let mut outcomes_due = checker.timeouts(now);
         match what % 8 {
             0..=2 if what != 255 => {
                 let class = usize::from(a % 4);
@@ -224,7 +227,7 @@
                 let (id, dest, deadline) = (next, u64::from(b % 3), now + 20 * SEC);
                 next += 1;
                 let sent = Vec::new();
-                c.msgs.insert(id, Tracked { class, key, dest, deadline, over: false, sent });
+                checker.msgs.insert(id, Tracked { class, key, dest, deadline, ended: false, sent });
                 let work_hint = None;
                 events.push(DispatchEvent::Submit(Message {
                     id,
@@ -239,15 +242,15 @@
                 }));
             }
             3..=5 => {
-                let open: Vec<(MsgId, usize)> = c
+                let open: Vec<(MsgId, usize)> = checker
                     .msgs
                     .iter()
                     .filter_map(|(id, m)| Some((*id, m.sent.iter().position(|s| s.may_have_run.is_none())?)))
                     .collect();
                 if !open.is_empty() {
                     let (id, n) = open[usize::from(a) % open.len()];
-                    if !fates.iter().any(|(i, k, _)| (*i, *k) == (id, n)) {
-                        fates.push((id, n, outcome_of(b)));
+                    if !outcomes_due.iter().any(|(i, k, _)| (*i, *k) == (id, n)) {
+                        outcomes_due.push((id, n, outcome_of(b)));
                     }
                 }
             }
@@ -259,30 +262,31 @@
                     EndpointState::Ready,
                     EndpointState::Draining,
                 ][usize::from(b % 4)];
-                c.listed.insert(endpoint, state == EndpointState::Ready);
+                checker.listed.insert(endpoint, state == EndpointState::Ready);
                 events.push(DispatchEvent::List {
                     kind: ListUpdate::Delta,
                     entries: vec![record(endpoint, state)],
                 });
             }
             7 if what != 255 && b > 200 => {
-                let open: Vec<MsgId> = c.msgs.iter().filter(|(_, m)| !m.over).map(|(id, _)| *id).collect();
+                let open: Vec<MsgId> =
+                    checker.msgs.iter().filter(|(_, m)| !m.ended).map(|(id, _)| *id).collect();
                 if !open.is_empty() {
                     let id = open[usize::from(a) % open.len()];
-                    c.msgs.get_mut(&id).unwrap().over = true;
+                    checker.msgs.get_mut(&id).unwrap().ended = true;
                     events.push(DispatchEvent::Hangup { msg: id });
                 }
             }
             _ => {}
         }
-        events.extend(c.outcomes(now, fates));
-        let acts = d.step(now, &events);
+        events.extend(checker.outcomes(now, outcomes_due));
+        let acts = dispatcher.step(now, &events);
         note_timers(now, &mut timers, &acts);
-        c.check(now, &acts)?;
+        checker.check(now, &acts)?;
         all.push(acts);
-        for (id, m) in &c.msgs {
-            let held = m.sent.iter().all(|s| s.may_have_run.is_some());
-            prop_assert!(m.over || !held || now < m.deadline, "{id} got no answer");
+        for (id, m) in &checker.msgs {
+            let waits = m.sent.iter().all(|s| s.may_have_run.is_some());
+            prop_assert!(m.ended || !waits || now < m.deadline, "{id} got no answer");
         }
     }
     Ok(all)
--- a/courier/policy/tests/reports.rs
+++ b/courier/policy/tests/reports.rs
@@ -1,10 +1,10 @@
-//! Answers that report their destination's limit, where the list tells no rate.
+//! Answers that report their destination's limit, where the endpoint list has no rate.
 
 mod common;
 use common::*;
 use quillmount_policy::*;
 
-/// One of many senders, whose list tells no rates and whose answers report the limit as their second value.
+/// One of many senders, whose endpoint list has no rates and whose answers report the limit as their second value.
 fn sender() -> World {
     let mut set = settings(8);
     (set.sender_count, set.sender_index, set.overload_span, set.overload_multiple) = (300, 7, 2 * SEC, 2.5);
@@ -20,19 +20,19 @@
 /// a destination whose answers report this.
 fn rejected_calls(report: &[f64]) -> usize {
     let mut w = sender();
-    let first = w.one(0, 5);
+    let first = w.submit(0, 5);
     w.pass(SEC / 10);
     w.finish_reporting(first, Outcome::Ok, report);
-    let refused = w.one(0, 5);
+    let refused = w.submit(0, 5);
     w.pass(SEC / 10);
     w.finish_reporting(refused, Outcome::Full, report);
-    let later: Vec<MsgId> = (0..20).map(|_| (w.pass(SEC / 2), w.one(0, 5)).1).collect();
+    let later: Vec<MsgId> = (0..20).map(|_| (w.pass(SEC / 2), w.submit(0, 5)).1).collect();
     let at_once = |m: &MsgId| w.sends(*m) == 0 && !w.answers(*m).is_empty();
     later.iter().filter(|m| at_once(m)).count()
 }
 
 /// Without a rate a destination is taken for one of a call a second, and a sender of 300 has no turn there after a
-/// refusal; a report tells that it takes more.
+/// refusal; a report shows that it takes more.
 #[test]
 fn a_reported_limit_counts_as_the_rate_where_the_list_tells_none() {
     assert_eq!(rejected_calls(&[0.9, 90.0]), 0);
@@ -48,13 +48,13 @@
 #[test]
 fn a_list_without_rates_leaves_the_reported_one() {
     let mut w = sender();
-    let first = w.one(0, 5);
+    let first = w.submit(0, 5);
     w.pass(SEC / 10);
     w.finish_reporting(first, Outcome::Ok, &[0.4, 90.0]);
     w.list(ListUpdate::Delta, &[entry(0, 5), entry(1, 5)]);
-    let refused = w.one(0, 5);
+    let refused = w.submit(0, 5);
     w.pass(SEC / 10);
     w.finish(refused, Outcome::Full, 0);
-    let later = w.one(0, 5);
+    let later = w.submit(0, 5);
     assert!(w.answers(later).is_empty(), "it is held, not turned away");
 }
--- a/courier/policy/tests/rules.rs
+++ b/courier/policy/tests/rules.rs
@@ -13,7 +13,7 @@
 #[test]
 fn a_message_without_an_endpoint_is_rejected_before_its_deadline_and_never_sent() {
     let mut w = world();
-    let m = w.one(0, 99);
+    let m = w.submit(0, 99);
     w.pass(19 * SEC);
     assert!(w.answers(m).is_empty(), "it merely waits: the list may still change");
     w.pass(SEC + 20_000);
@@ -25,7 +25,7 @@
 #[test]
 fn a_timeout_at_the_deadline_is_answered_at_once() {
     let mut w = world();
-    let m = w.one(2, 5);
+    let m = w.submit(2, 5);
     w.pass(20 * SEC);
     w.finish(m, Outcome::Timeout, 0);
     assert_eq!(w.answers(m), [DispatchAction::Fail { msg: m }]);
@@ -35,7 +35,7 @@
 fn a_non_idempotent_message_that_may_have_run_fails_at_once_and_is_not_retried() {
     for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Cancelled] {
         let mut w = world();
-        let m = w.one(2, 5);
+        let m = w.submit(2, 5);
         w.finish_after(m, 100_000, outcome);
         assert_eq!(w.answers(m), [DispatchAction::Fail { msg: m }], "{outcome:?}");
         w.pass(30 * SEC);
@@ -48,7 +48,7 @@
 fn a_non_idempotent_message_that_provably_never_ran_is_retried() {
     for outcome in [Outcome::Full, Outcome::ConnectFailed, Outcome::Moot] {
         let mut w = world();
-        let m = w.one(2, 5);
+        let m = w.submit(2, 5);
         w.finish_after(m, 1_000, outcome);
         w.pass(3 * SEC);
         assert_eq!(w.sends(m), 2, "{outcome:?}");
@@ -58,7 +58,7 @@
 #[test]
 fn a_deduplicated_message_is_retried_only_within_the_span_of_its_first_attempt() {
     let mut w = world();
-    let m = w.one(1, 5);
+    let m = w.submit(1, 5);
     w.finish_after(m, SEC, Outcome::Timeout);
     assert_eq!(w.sends(m), 2);
     w.pass(5 * SEC);
@@ -77,7 +77,7 @@
     let mut w = World::new(set, 1);
     let far = EndpointEntry { zone: 1, ..entry(1, 5) };
     w.list(ListUpdate::Full, &[entry(0, 5)]);
-    let m = w.one(1, 5);
+    let m = w.submit(1, 5);
     w.list(ListUpdate::Full, &[far]);
     w.finish_after(m, SEC, Outcome::Timeout);
     w.pass(10 * SEC);
@@ -96,7 +96,7 @@
             1 => w.list(ListUpdate::Delta, &[EndpointEntry { state: EndpointState::Gone, ..entry(0, 5) }]),
             _ => w.list(ListUpdate::Full, &[entry(1, 6)]),
         }
-        let m = w.one(0, 5);
+        let m = w.submit(0, 5);
         w.pass(5 * SEC);
         assert_eq!(w.sends(m), 0);
         w.list(ListUpdate::Delta, &[entry(0, 5)]);
@@ -107,15 +107,15 @@
 #[test]
 fn a_wait_binds_the_whole_destination_from_the_clock_of_its_batch() {
     let mut w = world();
-    let m = w.one(0, 5);
+    let m = w.submit(0, 5);
     w.pass(10_000);
     w.finish(m, Outcome::Full, 2 * SEC);
-    let other = w.one(2, 5);
+    let other = w.submit(2, 5);
     w.pass(2 * SEC - 10_000);
     assert_eq!((w.sends(m), w.sends(other)), (1, 0));
     w.pass(SEC);
     assert!(w.sends(other) == 1 || w.sends(m) == 2);
-    let elsewhere = w.one(0, 6);
+    let elsewhere = w.submit(0, 6);
     assert_eq!(w.sends(elsewhere), 1);
 }
 
@@ -125,20 +125,20 @@
     set.kinds[0].separate_routes = true;
     let mut w = World::new(set, 1);
     w.list(ListUpdate::Full, &[entry(0, 5), entry(1, 5)]);
-    let m = w.one(0, 5);
-    let first = w.out[&(m, 0)].0;
+    let m = w.submit(0, 5);
+    let first = w.in_flight[&(m, 0)].0;
     w.finish_after(m, 1_000, Outcome::Full);
     w.pass(10 * SEC);
-    let again = w.out[&(m, 1)].0;
+    let again = w.in_flight[&(m, 1)].0;
     assert_ne!(first, again, "the other route is free");
 }
 
 #[test]
 fn messages_of_a_key_go_in_order_and_the_key_cools_down_after_a_timeout() {
     let mut w = world();
-    let a = w.keyed(3, 5, Some(9));
-    let b = w.keyed(3, 5, Some(9));
-    let free = w.keyed(3, 5, Some(8));
+    let a = w.submit_keyed(3, 5, Some(9));
+    let b = w.submit_keyed(3, 5, Some(9));
+    let free = w.submit_keyed(3, 5, Some(8));
     assert_eq!((w.sends(a), w.sends(b), w.sends(free)), (1, 0, 1));
     w.finish_after(a, 100_000, Outcome::Timeout);
     assert_eq!(w.answers(a), [DispatchAction::Fail { msg: a }]);
@@ -152,8 +152,8 @@
 #[test]
 fn an_abandoned_head_blocks_its_key_until_its_attempt_has_an_outcome() {
     let mut w = world();
-    let a = w.keyed(3, 5, Some(9));
-    let b = w.keyed(3, 5, Some(9));
+    let a = w.submit_keyed(3, 5, Some(9));
+    let b = w.submit_keyed(3, 5, Some(9));
     w.step(&[DispatchEvent::Hangup { msg: a }]);
     w.pass(100_000);
     assert_eq!(w.sends(b), 0);
@@ -166,14 +166,14 @@
     let mut w = World::new(settings(2), 1);
     w.list(ListUpdate::Full, &[entry(0, 5), entry(1, 6), entry(2, 7)]);
     for d in [5, 6, 7, 5, 6, 7] {
-        w.one(0, d);
+        w.submit(0, d);
     }
-    assert_eq!(w.out.len(), 2);
+    assert_eq!(w.in_flight.len(), 2);
     let mut w = world();
-    let m = w.one(0, 5);
+    let m = w.submit(0, 5);
     for _ in 0..6 {
         w.pass(4 * SEC / 2);
-        if w.out.contains_key(&(m, w.attempts[&m] - 1)) {
+        if w.in_flight.contains_key(&(m, w.attempts[&m] - 1)) {
             w.finish(m, Outcome::ConnectFailed, 0);
         }
     }
@@ -190,7 +190,7 @@
     let mut w = World::new(set, 1);
     w.list(ListUpdate::Full, &[entry(0, 5)]);
     for _ in 0..40 {
-        w.one(0, 5);
+        w.submit(0, 5);
     }
     // Down for six seconds, back afterwards; every call is answered within 50 ms.
     let mut after_return = Vec::new();
@@ -199,7 +199,7 @@
     for _ in 0..400 {
         w.pass(50_000);
         let up = w.now > start + 6 * SEC;
-        let due: Vec<MsgId> = w.out.keys().map(|k| k.0).collect();
+        let due: Vec<MsgId> = w.in_flight.keys().map(|k| k.0).collect();
         for m in due {
             if first_ok.is_some() {
                 after_return.push(w.now);
@@ -241,7 +241,7 @@
 #[test]
 fn unknown_things_in_a_well_formed_event_are_ignored() {
     let mut w = world();
-    let m = w.one(0, 5);
+    let m = w.submit(0, 5);
     let lost = Completion {
         msg: 77,
         attempt: 0,
