--- a/courier/program/src/fleet/budget.rs
+++ b/courier/program/src/fleet/budget.rs
@@ -8,10 +8,9 @@
 use super::stores::FileStores;
 use crate::transport::clock::Clock;
 use crate::transport::courier::Courier;
-use crate::transport::endpoints::{CallSignals, is_quiet};
+use crate::transport::endpoints::{CallSignals, TimedCall, is_quiet};
 use crate::transport::handle::Handle;
 use actix_rt::net::TcpStream;
-use quillmount_core::call::Call;
 use quillmount_core::machine::attempt::AttemptState;
 use quillmount_core::machine::connection::{ConnectionInput, EndpointConnection};
 use quillmount_core::{CallId, Submission};
@@ -217,7 +216,7 @@
     pub async fn acquire(
         self: &Rc<Self>,
         handle: &Handle,
-        (call, until): &mut (Call<Conn>, Micros),
+        TimedCall { call, until }: &mut TimedCall,
         signals: &CallSignals,
     ) -> Option<Box<ConnectionPermit>> {
         let order = &mut call.order;
--- a/courier/program/src/transport/endpoints.rs
+++ b/courier/program/src/transport/endpoints.rs
@@ -157,23 +157,27 @@
     }
 }
 
+/// A call, and when its time is up.
+pub struct TimedCall {
+    /// The call.
+    pub call: Call<Conn>,
+    /// It ends then at the latest.
+    pub until: Micros,
+}
+
 /// A call at its beginning, or in the middle where another process had it until now.
-pub fn begin(order: DeliveryCall, now: Micros) -> (Call<Conn>, Micros) {
+pub fn begin(order: DeliveryCall, now: Micros) -> TimedCall {
     let until = now.saturating_add(order.timeout);
     let decode = delivery::decoder(&order);
-    (Call::new(order, decode, ANSWER_MAX), until)
+    TimedCall { call: Call::new(order, decode, ANSWER_MAX), until }
 }
 
 /// Goes on with a call of another process.
-pub fn resume(
-    handle: &Handle,
-    snapshot: call::CallSnapshot,
-    connection: Option<TcpStream>,
-) -> (Call<Conn>, Micros) {
+pub fn resume(handle: &Handle, snapshot: call::CallSnapshot, connection: Option<TcpStream>) -> TimedCall {
     let (until, decode) = (snapshot.until, delivery::decoder(&snapshot.order));
     let connection = connection.map(Conn::Plain);
     let call = handle.pool(|pool| Call::resumed(snapshot, decode, ANSWER_MAX, connection, pool));
-    (call, until)
+    TimedCall { call, until }
 }
 
 /// What a call came to in this process.
@@ -189,7 +193,7 @@
 /// Makes one call, once; `until`: when its time is up.
 pub async fn call(
     handle: &Handle,
-    (mut call, until): (Call<Conn>, Micros),
+    TimedCall { mut call, until }: TimedCall,
     signals: &CallSignals,
     mut leave: Option<&mut ConnectionPermit>,
 ) -> CallOutcome {
