--- a/courier/program/src/fleet/budget.rs
+++ b/courier/program/src/fleet/budget.rs
@@ -7,20 +7,23 @@
 
 use super::stores::FileStores;
 use crate::transport::clock::Clock;
+use crate::transport::connection::{ConnectionEnd, ConnectionId, ConnectionObserver, ConnectionPermit};
+use crate::transport::connection_budget::ConnectionBudget;
 use crate::transport::courier::Courier;
-use crate::transport::endpoints::{CallSignals, TimedCall, is_quiet};
+use crate::transport::endpoints::{TimedCall, is_quiet};
 use crate::transport::handle::Handle;
+use crate::transport::signals::CallSignals;
 use actix_rt::net::TcpStream;
+use futures_util::future::LocalBoxFuture;
 use quillmount_core::machine::attempt::AttemptState;
-use quillmount_core::machine::connection::{ConnectionInput, EndpointConnection};
+use quillmount_core::machine::connection::ConnectionInput;
 use quillmount_core::{CallId, Submission};
 use quillmount_fleet::budget::{BudgetGate, ConnectionOrder, Permit, PermitKind};
 use quillmount_fleet::member::Member;
 use quillmount_policy::Micros;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
-use std::net::SocketAddr;
-use std::os::fd::{AsFd, OwnedFd};
+use std::os::fd::OwnedFd;
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::Notify;
@@ -32,114 +35,9 @@
 /// What a partner still says on a closed connection is read in such pieces, and let go.
 const READ_CHUNK: usize = 4_096;
 
-/// A connection to a provider.
-pub enum Conn {
-    /// Of a partner without a budget.
-    Plain(TcpStream),
-    Counted(Box<CountedConnection>),
-}
-
-/// A connection that counts; dropped, it is closed, and counts until the partner has closed it too.
-pub struct CountedConnection {
-    stream: TcpStream,
-    name: ConnectionId,
-    budgets: Rc<Budgets>,
-}
-
-/// A connection's partner and number.
-type ConnectionId = (u64, u64);
-
-impl Conn {
-    pub fn stream(&self) -> &TcpStream {
-        match self {
-            Conn::Plain(stream) => stream,
-            Conn::Counted(counted) => &counted.stream,
-        }
-    }
-
-    pub fn stream_mut(&mut self) -> &mut TcpStream {
-        match self {
-            Conn::Plain(stream) => stream,
-            Conn::Counted(counted) => &mut counted.stream,
-        }
-    }
-
-    /// For another process; one that counts can't go there, and is closed.
-    pub fn into_stream(self) -> Option<TcpStream> {
-        match self {
-            Conn::Plain(stream) => Some(stream),
-            Conn::Counted(_) => None,
-        }
-    }
-
-    fn is(&self, name: ConnectionId) -> bool {
-        matches!(self, Conn::Counted(counted) if counted.name == name)
-    }
-}
-
-impl Drop for CountedConnection {
-    fn drop(&mut self) {
-        // Held on to, so that its end at the partner can be read.
-        let fd = self.stream.as_fd().try_clone_to_owned().ok();
-        self.budgets.note_closed(ClosedConnection { name: self.name, end: ConnectionEnd::Closed(fd) });
-    }
-}
-
-/// What a call that waited may do: go out on a connection that rested, or open one.
-pub struct ConnectionPermit {
-    permit: Permit,
-    pub resting: Option<(EndpointConnection, Conn)>,
-    opening: Option<PendingOpen>,
-}
-
-impl ConnectionPermit {
-    /// Opens the connection that there is leave for; there is none for a second.
-    pub async fn connect(&mut self, addr: SocketAddr) -> Option<Conn> {
-        let mut opening = self.opening.take()?;
-        // Dropped from here on, it may have come to be.
-        opening.end = Some(ConnectionEnd::Closed(None));
-        match TcpStream::connect(addr).await {
-            Ok(stream) => {
-                opening.end = None;
-                let (name, budgets) = (opening.name, opening.budgets.clone());
-                Some(Conn::Counted(Box::new(CountedConnection { stream, name, budgets })))
-            }
-            Err(e) => {
-                if e.kind() == std::io::ErrorKind::ConnectionRefused {
-                    opening.end = Some(ConnectionEnd::NeverOpened);
-                }
-                None
-            }
-        }
-    }
-}
-
-/// Leave to open a connection.
-struct PendingOpen {
-    name: ConnectionId,
-    budgets: Rc<Budgets>,
-    /// What is true of it if it is dropped now; `None`: it is up.
-    end: Option<ConnectionEnd>,
-}
-
-impl Drop for PendingOpen {
-    fn drop(&mut self) {
-        if let Some(end) = self.end.take() {
-            self.budgets.note_closed(ClosedConnection { name: self.name, end });
-        }
-    }
-}
-
-/// How a connection ended.
-enum ConnectionEnd {
-    /// It never came to be.
-    NeverOpened,
-    /// This side has closed it; its socket, if there is one, tells when the other has.
-    Closed(Option<OwnedFd>),
-}
-
+/// A counted connection that has ended, until it is reported to the gate.
 struct ClosedConnection {
-    name: ConnectionId,
+    id: ConnectionId,
     end: ConnectionEnd,
 }
 
@@ -191,29 +89,13 @@
         }
     }
 
-    /// Whether the partner's connections are counted.
-    pub fn is_budgeted(&self, dest: u64) -> bool {
-        self.dests.contains(&dest)
-    }
-
     fn gate<T>(&self, act: impl FnOnce(&mut BudgetGate, Micros) -> T) -> T {
         act(&mut self.member.borrow_mut().shares().gate, self.clock.now())
     }
 
-    /// Whether a message is to be turned away: so many of its tenant's calls wait that its time would be over
-    /// before its turn; how long to wait then.
-    pub fn rejects(&self, submission: &Submission) -> Option<Micros> {
-        if !self.is_budgeted(submission.dest) {
-            return None;
-        }
-        let queues = self.queues.borrow();
-        let queue = queues.get(&(submission.dest, tenant_name(submission.tenant.as_deref())))?;
-        (queue.after > submission.time_left).then_some(queue.after)
-    }
-
     /// Waits for leave to make this call, as long as its time allows; `None`: it is held back, and has not
     /// run. The provider is told what is left of its time then.
-    pub async fn acquire(
+    async fn acquire_permit(
         self: &Rc<Self>,
         handle: &Handle,
         TimedCall { call, until }: &mut TimedCall,
@@ -228,21 +110,20 @@
         loop {
             let permit = self.permit(dest, &tenant, first, by, signals).await?;
             first = false;
-            let (name, now) = ((dest, permit.conn), self.clock.now());
+            let (id, now) = (ConnectionId { dest, conn: permit.conn }, self.clock.now());
             if !handle.pool(|pool| pool.is_open(endpoint, now)) {
                 self.return_permit(&permit);
                 return None;
             }
-            let (resting, opening) = match permit.begin {
+            let permit = match permit.begin {
                 PermitKind::Open => {
                     if !self.gate(|gate, now| gate.connections.confirm_open(dest, permit.conn, now)) {
                         continue;
                     }
-                    let (budgets, end) = (self.clone(), Some(ConnectionEnd::NeverOpened));
-                    (None, Some(PendingOpen { name, budgets, end }))
+                    ConnectionPermit::open(permit, self.clone())
                 }
                 PermitKind::Reuse => {
-                    let taken = handle.pool(|pool| pool.take_idle(endpoint, |conn| conn.is(name)));
+                    let taken = handle.pool(|pool| pool.take_idle(endpoint, |conn| conn.has_id(id)));
                     let Some((to, at, mut machine, conn)) = taken else {
                         // It went meanwhile.
                         self.report_closed();
@@ -255,12 +136,12 @@
                         self.report_closed();
                         continue;
                     }
-                    (Some((machine, conn)), None)
+                    ConnectionPermit::reuse(permit, machine, conn)
                 }
             };
             order.time_left = order.time_left.saturating_sub(now.saturating_sub(asked_at));
-            self.out.borrow_mut().insert(name, order.call);
-            return Some(Box::new(ConnectionPermit { permit, resting, opening }));
+            self.out.borrow_mut().insert(id, order.call);
+            return Some(Box::new(permit));
         }
     }
 
@@ -346,18 +227,6 @@
         self.work_added.notify_one();
     }
 
-    /// The call is over; its connection rests, or has said that it is gone.
-    pub fn release(&self, permit: ConnectionPermit) {
-        let used = permit.permit.clone();
-        // What it did not use is gone with it.
-        drop(permit);
-        self.out.borrow_mut().remove(&(used.dest, used.conn));
-        self.report_closed();
-        let orders = self.gate(|gate, now| gate.connections.released(&used, now));
-        self.queue_orders(orders);
-        self.serve();
-    }
-
     /// What the holder wants to be closed.
     pub fn queue_orders(&self, orders: Vec<ConnectionOrder>) {
         if !orders.is_empty() {
@@ -366,20 +235,16 @@
         }
     }
 
-    fn note_closed(&self, closed: ClosedConnection) {
-        self.closed.borrow_mut().push(closed);
-        self.work_added.notify_one();
-    }
-
     /// Tells the holder what ended.
     fn report_closed(&self) {
-        for ClosedConnection { name: (dest, conn), end } in self.closed.take() {
+        for ClosedConnection { id, end } in self.closed.take() {
+            let ConnectionId { dest, conn } = id;
             self.gate(|gate, now| match end {
                 ConnectionEnd::NeverOpened => gate.connections.closed(dest, conn, now),
                 ConnectionEnd::Closed(_) => gate.connections.closing(dest, conn, now),
             });
             if let ConnectionEnd::Closed(Some(fd)) = end {
-                self.closing.borrow_mut().push(((dest, conn), fd));
+                self.closing.borrow_mut().push((id, fd));
                 self.work_added.notify_one();
             }
         }
@@ -390,14 +255,14 @@
         loop {
             self.work_added.notified().await;
             for ConnectionOrder::Close { dest, conn } in self.orders.take() {
-                let name = (dest, conn);
-                drop(courier.handle.pool(|pool| pool.take_idle(0, |conn| conn.is(name))));
-                let call = self.out.borrow().get(&name).copied();
+                let id = ConnectionId { dest, conn };
+                drop(courier.handle.pool(|pool| pool.take_idle(0, |conn| conn.has_id(id))));
+                let call = self.out.borrow().get(&id).copied();
                 call.into_iter().for_each(|call| courier.cut(call));
             }
             self.report_closed();
-            for (name, fd) in self.closing.take() {
-                actix_rt::spawn(self.clone().watch(name, fd));
+            for (id, fd) in self.closing.take() {
+                actix_rt::spawn(self.clone().watch(id, fd));
             }
             self.serve();
         }
@@ -405,7 +270,7 @@
 
     /// Waits until the partner has closed it too. Where it does not tell, the connection counts for as long
     /// as a partner may keep one, and the socket is kept no longer than that.
-    async fn watch(self: Rc<Self>, (dest, conn): ConnectionId, fd: OwnedFd) {
+    async fn watch(self: Rc<Self>, ConnectionId { dest, conn }: ConnectionId, fd: OwnedFd) {
         let bound = self.gate(|gate, _| gate.connections.close_timeout_of(dest));
         let ends = async {
             let mut stream = TcpStream::from_std(std::net::TcpStream::from(fd))?;
@@ -422,6 +287,48 @@
     }
 }
 
+impl ConnectionBudget for Budgets {
+    fn is_budgeted(&self, dest: u64) -> bool {
+        self.dests.contains(&dest)
+    }
+
+    fn rejects(&self, submission: &Submission) -> Option<Micros> {
+        if !self.is_budgeted(submission.dest) {
+            return None;
+        }
+        let queues = self.queues.borrow();
+        let queue = queues.get(&(submission.dest, tenant_name(submission.tenant.as_deref())))?;
+        (queue.after > submission.time_left).then_some(queue.after)
+    }
+
+    fn acquire<'a>(
+        self: Rc<Self>,
+        handle: &'a Handle,
+        timed: &'a mut TimedCall,
+        signals: &'a CallSignals,
+    ) -> LocalBoxFuture<'a, Option<Box<ConnectionPermit>>> {
+        Box::pin(async move { self.acquire_permit(handle, timed, signals).await })
+    }
+
+    fn release(&self, permit: ConnectionPermit) {
+        let used = permit.permit().clone();
+        // What it did not use is gone with it.
+        drop(permit);
+        self.out.borrow_mut().remove(&ConnectionId { dest: used.dest, conn: used.conn });
+        self.report_closed();
+        let orders = self.gate(|gate, now| gate.connections.released(&used, now));
+        self.queue_orders(orders);
+        self.serve();
+    }
+}
+
+impl ConnectionObserver for Budgets {
+    fn connection_closed(&self, id: ConnectionId, end: ConnectionEnd) {
+        self.closed.borrow_mut().push(ClosedConnection { id, end });
+        self.work_added.notify_one();
+    }
+}
+
 /// A call that waits; dropped, it has left its line.
 struct QueueGuard<'a> {
     budgets: &'a Budgets,
--- a/courier/program/src/transport/courier.rs
+++ b/courier/program/src/transport/courier.rs
@@ -8,12 +8,14 @@
 mod streams;
 
 use super::clock::Clock;
-use super::endpoints::{self, CallSignals};
+use super::connection::EndpointStream;
+use super::connection_budget::ConnectionBudget;
+use super::endpoints;
 use super::gate::Gate;
 use super::handle::{Handle, HandoverPart, Parts};
 use super::journal_file::JournalFile;
+use super::signals::CallSignals;
 use super::streams::{Pipe, StreamRules, Streams};
-use crate::fleet::budget::{Budgets, Conn};
 use actix_http::Response;
 use actix_rt::net::TcpStream;
 use bytes::Bytes;
@@ -73,7 +75,7 @@
     pub gate: Option<Rc<Gate>>,
     settlement_hooks: OnceCell<SettlementHooks>,
     /// Where the connections to some destinations are limited for the fleet.
-    budgets: Option<Rc<Budgets>>,
+    budgets: Option<Rc<dyn ConnectionBudget>>,
 }
 
 impl Courier {
@@ -83,10 +85,10 @@
         clock: Clock,
         connect: Duration,
         router: Router<JournalFile>,
-        pool: Pool<Conn>,
+        pool: Pool<EndpointStream>,
         rules: Option<StreamRules>,
         gate: Option<Rc<Gate>>,
-        budgets: Option<Rc<Budgets>>,
+        budgets: Option<Rc<impl ConnectionBudget + 'static>>,
     ) -> Rc<Self> {
         Rc::new(Courier {
             streams: Rc::new(Streams::new(rules.as_ref().map_or(0, |rules| rules.turn))),
@@ -99,7 +101,7 @@
             notices: Notify::new(),
             gate,
             settlement_hooks: OnceCell::new(),
-            budgets,
+            budgets: budgets.map(|budgets| budgets as Rc<dyn ConnectionBudget>),
         })
     }
 
@@ -199,7 +201,7 @@
 
     /// Adds an idle connection of another process to the pool.
     pub fn add_idle(&self, endpoint: u32, addr: SocketAddr, since: Micros, stream: TcpStream) {
-        drop(self.handle.pool(|pool| pool.add_idle(endpoint, addr, since, Conn::Plain(stream))));
+        drop(self.handle.pool(|pool| pool.add_idle(endpoint, addr, since, EndpointStream::Plain(stream))));
     }
 
     /// Carries out the first actions of a state that another process had.
@@ -382,7 +384,7 @@
     }
 
     /// Carries out what the decisions ask for.
-    fn carry_out(self: &Rc<Self>, actions: Vec<DriverAction<Conn>>) {
+    fn carry_out(self: &Rc<Self>, actions: Vec<DriverAction<EndpointStream>>) {
         for action in actions {
             match action {
                 DriverAction::Begin(call) => self.begin_call(call),
--- a/courier/program/src/transport/courier/calls.rs
+++ b/courier/program/src/transport/courier/calls.rs
@@ -2,10 +2,11 @@
 //! its call, and reports the end to the router.
 
 use super::Courier;
-use crate::fleet::budget::ConnectionPermit;
-use crate::transport::endpoints::{self, CallOutcome, CallSignals, TimedCall};
+use crate::transport::connection::ConnectionPermit;
+use crate::transport::endpoints::{self, CallOutcome, TimedCall};
 use crate::transport::gate::Gate;
 use crate::transport::handle::HandoverPart;
+use crate::transport::signals::CallSignals;
 use crate::transport::streams::StreamCall;
 use actix_rt::net::TcpStream;
 use quillmount_core::call::CallSnapshot;
@@ -114,7 +115,7 @@
         };
         let budgets = self.budgets.as_ref().filter(|budgets| passed && budgets.is_budgeted(dest));
         let mut permit = match budgets {
-            Some(budgets) => Box::pin(budgets.acquire(&self.handle, &mut timed, &signals)).await,
+            Some(budgets) => budgets.clone().acquire(&self.handle, &mut timed, &signals).await,
             None => None,
         };
         let held_back = !passed || (budgets.is_some() && permit.is_none());
--- a/courier/program/src/transport/endpoints.rs
+++ b/courier/program/src/transport/endpoints.rs
@@ -1,13 +1,14 @@
-//! The sockets of the delivery calls: moves the bytes of the attempts, which decide in the core.
+//! The sockets of delivery calls: moves the bytes of the attempts, whose state machines are in the core.
 //!
-//! It stands below awc, which gives the word of an interim answer for that of the call, fails a call
-//! whose answer begins with 200 and can't be read to its end, lets go unseen what stands behind an
-//! answer, and can't bound the connections of all hosts together (README).
+//! It works on plain sockets instead of `awc`, which takes the status of an interim answer for that of the call, fails a
+//! call whose answer begins with 200 and can't be read to its end, discards unseen what follows an answer, and can't
+//! bound the connections of all hosts together (README).
 
 use super::clock::Clock;
+use super::connection::{ConnectionPermit, EndpointStream};
 use super::handle::Handle;
+use super::signals::CallSignals;
 use super::socket;
-use crate::fleet::budget::{Conn, ConnectionPermit};
 use actix_rt::net::TcpStream;
 use actix_rt::time::{sleep, timeout};
 use quillmount_core::call::{self, Call, StepOutcome};
@@ -15,107 +16,51 @@
 use quillmount_core::{AnswerReport, CallEnd, DeliveryCall};
 use quillmount_policy::Micros;
 use quillmount_protocol::delivery::{self, ANSWER_MAX};
-use std::cell::Cell;
 use std::net::SocketAddr;
+use std::pin::Pin;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWriteExt};
-use tokio::sync::Notify;
+use tokio::time::Sleep;
 
-/// Most answers fit into one read of this.
+/// Bytes that one read may take at least; most answers fit.
 const READ: usize = 1_024;
+/// The target of the line on closed connections, which operators filter by; it has the module's earlier name.
+const LOG_TARGET: &str = "quillmount::transport::providers";
 
-/// What a call that is out is told.
-#[derive(Default)]
-pub struct CallSignals {
-    give_up: Cell<bool>,
-    back_off: Cell<bool>,
-    ended: Cell<bool>,
-    late: Cell<bool>,
-    changed: Notify,
-    /// Another process goes on with the call.
-    handover: Notify,
+/// A call, and when its time is up.
+pub struct TimedCall {
+    /// The call.
+    pub call: Call<EndpointStream>,
+    /// It ends then at the latest.
+    pub until: Micros,
 }
 
-impl CallSignals {
-    /// A drain says nothing to a call whose first byte may have left, and the others ask at the gate.
-    pub fn signal(&self, input: AttemptInput) {
-        match input {
-            AttemptInput::GiveUp => self.give_up.set(true),
-            AttemptInput::BackOff => self.back_off.set(true),
-            AttemptInput::Ended => self.ended.set(true),
-            _ => return,
-        }
-        self.changed.notify_one();
-    }
-
-    /// Its time on its connection is up.
-    pub fn cut(&self) {
-        self.late.set(true);
-        self.changed.notify_one();
-    }
-
-    /// The call is to be given up to another process.
-    pub fn release(&self) {
-        self.handover.notify_one();
-    }
-
-    /// What was told to wait for is told to a call that has begun only.
-    pub fn clear_backoff(&self) {
-        self.back_off.set(false);
-    }
-
-    /// The next word that matters to a stream's attempt. Its time counts from its last byte, which may be later
-    /// than its message's time allows: it ends with its message.
-    pub async fn next_for_stream(&self, state: AttemptState) -> AttemptInput {
-        loop {
-            if self.ended.get() && !matches!(state, AttemptState::Connecting | AttemptState::Writing { .. }) {
-                return AttemptInput::Deadline;
-            }
-            if let Some(signal) = self.pending(state) {
-                return signal;
-            }
-            self.changed.notified().await;
-        }
-    }
-
-    /// The next word that matters to an attempt in this state.
-    pub async fn next(&self, state: AttemptState) -> AttemptInput {
-        loop {
-            if let Some(signal) = self.pending(state) {
-                return signal;
-            }
-            self.changed.notified().await;
-        }
-    }
-
-    fn pending(&self, state: AttemptState) -> Option<AttemptInput> {
-        let unsent = matches!(state, AttemptState::Connecting | AttemptState::Writing { .. });
-        match state {
-            _ if self.give_up.get() => Some(AttemptInput::GiveUp),
-            _ if unsent && self.ended.get() => Some(AttemptInput::Ended),
-            _ if self.late.get() => Some(AttemptInput::Deadline),
-            AttemptState::Writing { .. } if self.back_off.take() => Some(AttemptInput::BackOff),
-            _ => None,
-        }
-    }
+/// What a call came to in this process.
+pub enum CallOutcome {
+    /// The same for all of its messages, and what its answer reports besides.
+    Ended(CallEnd, AnswerReport),
+    /// The answer has an end for each message.
+    Each(Vec<CallEnd>, AnswerReport),
+    /// Another process goes on with it.
+    Released(Box<call::CallSnapshot>, Option<TcpStream>),
 }
 
 /// See [`socket::is_quiet`].
-pub fn is_quiet(conn: &Conn) -> bool {
-    socket::is_quiet(conn.stream())
+pub fn is_quiet(stream: &EndpointStream) -> bool {
+    socket::is_quiet(stream.stream())
 }
 
-/// Opens a connection; one that counts has leave for it.
-pub async fn connect(addr: SocketAddr, leave: Option<&mut ConnectionPermit>) -> Option<Conn> {
-    let conn = match leave {
-        None => Conn::Plain(TcpStream::connect(addr).await.ok()?),
-        Some(leave) => leave.connect(addr).await?,
+/// Opens a connection; one that counts needs its permit.
+pub async fn connect(addr: SocketAddr, permit: Option<&mut ConnectionPermit>) -> Option<EndpointStream> {
+    let stream = match permit {
+        None => EndpointStream::Plain(TcpStream::connect(addr).await.ok()?),
+        Some(permit) => permit.connect(addr).await?,
     };
-    // Else the last part of a larger call waits for the endpoint's acknowledgement.
-    conn.stream().set_nodelay(true).ok()?;
-    Some(conn)
+    // Otherwise the last part of a larger call waits for the endpoint's acknowledgement.
+    stream.stream().set_nodelay(true).ok()?;
+    Some(stream)
 }
 
-/// Adds to an answer what has come.
+/// Reads what has come of an answer, and appends it.
 pub async fn read(stream: &mut (impl AsyncRead + Unpin), answer: &mut Vec<u8>) -> AttemptInput {
     answer.reserve(READ);
     match stream.read_buf(answer).await {
@@ -134,7 +79,7 @@
     }
 }
 
-/// Waits for the time that an attempt's state waits for; for ever where there is none.
+/// Waits until this time; for ever where there is none.
 pub async fn tick(clock: &Clock, at: Option<Micros>) -> AttemptInput {
     match at {
         Some(at) => sleep(clock.until(at)).await,
@@ -143,29 +88,21 @@
     AttemptInput::Tick
 }
 
-/// Reads what the endpoint of a call that is given up still says, if its connection stands.
+/// Reads what the endpoint of a call that was given up still sends, if its connection is open.
 pub async fn read_remaining(
-    parts: Option<(&mut Conn, &mut Vec<u8>)>,
+    parts: Option<(&mut EndpointStream, &mut Vec<u8>)>,
     clock: &Clock,
-    rest: Option<Micros>,
+    wake_at: Option<Micros>,
 ) -> AttemptInput {
-    let Some((stream, answer)) = parts else { return tick(clock, rest).await };
+    let Some((stream, answer)) = parts else { return tick(clock, wake_at).await };
     tokio::select! {
         biased;
         read = read(stream.stream_mut(), answer) => read,
-        tick = tick(clock, rest) => tick,
+        tick = tick(clock, wake_at) => tick,
     }
 }
 
-/// A call, and when its time is up.
-pub struct TimedCall {
-    /// The call.
-    pub call: Call<Conn>,
-    /// It ends then at the latest.
-    pub until: Micros,
-}
-
-/// A call at its beginning, or in the middle where another process had it until now.
+/// A call at its beginning.
 pub fn begin(order: DeliveryCall, now: Micros) -> TimedCall {
     let until = now.saturating_add(order.timeout);
     let decode = delivery::decoder(&order);
@@ -175,138 +112,200 @@
 /// Goes on with a call of another process.
 pub fn resume(handle: &Handle, snapshot: call::CallSnapshot, connection: Option<TcpStream>) -> TimedCall {
     let (until, decode) = (snapshot.until, delivery::decoder(&snapshot.order));
-    let connection = connection.map(Conn::Plain);
+    let connection = connection.map(EndpointStream::Plain);
     let call = handle.pool(|pool| Call::resumed(snapshot, decode, ANSWER_MAX, connection, pool));
     TimedCall { call, until }
 }
 
-/// What a call came to in this process.
-pub enum CallOutcome {
-    /// For all of its messages alike, and what its answer says besides.
-    Ended(CallEnd, AnswerReport),
-    /// The answer tells of each message.
-    Each(Vec<CallEnd>, AnswerReport),
-    /// Another process goes on with it.
-    Released(Box<call::CallSnapshot>, Option<TcpStream>),
+/// Begins a call on an idle connection of the pool, or with what it has a permit for where connections are counted.
+pub fn start(
+    handle: &Handle,
+    call: &mut Call<EndpointStream>,
+    permit: Option<&mut ConnectionPermit>,
+) -> StepOutcome<EndpointStream> {
+    let now = handle.clock.now();
+    handle.pool(|pool| match permit {
+        None => call.start(pool, now, is_quiet),
+        Some(permit) => call.start_on(pool, permit.take_idle(), now),
+    })
 }
 
-/// Makes one call, once; `until`: when its time is up.
+/// Makes one call, once, from where it stands.
 pub async fn call(
     handle: &Handle,
-    TimedCall { mut call, until }: TimedCall,
+    TimedCall { call, until }: TimedCall,
     signals: &CallSignals,
-    mut leave: Option<&mut ConnectionPermit>,
+    permit: Option<&mut ConnectionPermit>,
 ) -> CallOutcome {
-    let (clock, addr) = (&handle.clock, call.order.addr);
-    let deadline = sleep(clock.until(until));
+    let deadline = sleep(handle.clock.until(until));
     tokio::pin!(deadline);
-    let mut request = Vec::new();
-    if handle.lifecycle().is_releasing() {
-        return release(handle, call, until);
-    }
-    let mut outcome = match call.state() {
-        AttemptState::New => start(handle, &mut call, leave.as_deref_mut()),
-        AttemptState::Writing { written: 1.. } => {
-            request = delivery::encode(&call.order);
-            StepOutcome { end: None, finish: false, to_close: None }
+    let call = CallDriver { handle, signals, permit, call, until, deadline, request: Vec::new() };
+    call.run().await
+}
+
+/// What has happened to a call.
+enum Progress {
+    Input(AttemptInput),
+    Connected(EndpointStream),
+    /// Another process is to go on with the call.
+    HandedOver,
+}
+
+/// Drives one call's state machine by its socket, its signals and the time.
+struct CallDriver<'a> {
+    handle: &'a Handle,
+    signals: &'a CallSignals,
+    permit: Option<&'a mut ConnectionPermit>,
+    call: Call<EndpointStream>,
+    until: Micros,
+    deadline: Pin<&'a mut Sleep>,
+    /// The bytes of the request, while it is written.
+    request: Vec<u8>,
+}
+
+impl CallDriver<'_> {
+    async fn run(mut self) -> CallOutcome {
+        let handle = self.handle;
+        if handle.lifecycle().is_releasing() {
+            return self.release();
         }
-        _ => StepOutcome { end: None, finish: false, to_close: None },
-    };
-    loop {
-        // What is to be closed is closed with it.
-        drop(outcome.to_close.take());
-        match outcome.end {
-            Some(CallEnd::Each) => {
-                let (ends, wait) = delivery::each(call.attempt().answer(), &call.order);
-                return CallOutcome::Each(ends, AnswerReport { wait, ..answer_report(handle, &call) });
+        let mut outcome = self.begin();
+        loop {
+            // A connection that is to be closed is closed here.
+            drop(outcome.to_close.take());
+            if let Some(end) = outcome.end {
+                return self.finish(end);
+            }
+            if std::mem::take(&mut outcome.finish)
+                && let Some((stream, _)) = self.call.parts()
+            {
+                // Where this fails, the connection is gone already.
+                let _ = stream.stream_mut().shutdown().await;
+            }
+            let state = self.call.state();
+            if matches!(state, AttemptState::Writing { written: 0 }) {
+                self.signals.clear_backoff();
+                self.request = delivery::encode(&self.call.order);
+            }
+            if handle.lifecycle().is_releasing() {
+                return self.release();
+            }
+            let progress = match state {
+                AttemptState::Connecting => self.connect().await,
+                AttemptState::Writing { written } => self.write(state, written).await,
+                AttemptState::Awaiting | AttemptState::Reading { .. } => self.read_answer(state).await,
+                AttemptState::Closing { .. } => {
+                    let wake_at = self.call.attempt().wake_at();
+                    Progress::Input(read_remaining(self.call.parts(), &handle.clock, wake_at).await)
+                }
+                _ => Progress::Input(AttemptInput::GiveUp),
+            };
+            match progress {
+                Progress::HandedOver => {}
+                Progress::Connected(stream) => {
+                    outcome = handle.pool(|pool| self.call.connected(pool, stream, handle.clock.now()));
+                }
+                Progress::Input(input) => outcome = self.step(state, input),
             }
-            Some(end) => return CallOutcome::Ended(end, answer_report(handle, &call)),
-            None => {}
-        }
-        if std::mem::take(&mut outcome.finish)
-            && let Some((stream, _)) = call.parts()
-        {
-            // Where it can't be told, the connection is gone already.
-            let _ = stream.stream_mut().shutdown().await;
         }
-        let (state, rest) = (call.state(), call.attempt().wake_at());
-        if matches!(state, AttemptState::Writing { written: 0 }) {
-            signals.clear_backoff();
-            request = delivery::encode(&call.order);
+    }
+
+    /// The first action of a call: to start it, or to go on with one that another process has begun.
+    fn begin(&mut self) -> StepOutcome<EndpointStream> {
+        match self.call.state() {
+            AttemptState::New => return start(self.handle, &mut self.call, self.permit.as_deref_mut()),
+            AttemptState::Writing { written: 1.. } => self.request = delivery::encode(&self.call.order),
+            _ => {}
         }
-        if handle.lifecycle().is_releasing() {
-            return release(handle, call, until);
+        StepOutcome { end: None, finish: false, to_close: None }
+    }
+
+    fn step(&mut self, state: AttemptState, input: AttemptInput) -> StepOutcome<EndpointStream> {
+        let now = self.handle.clock.now();
+        let outcome = self.handle.pool(|pool| self.call.step(pool, input, now));
+        if outcome.to_close.is_some() {
+            let bytes = self.call.attempt().answer().len();
+            tracing::debug!(
+                target: LOG_TARGET,
+                "connection closed: {input:?} while {state:?}, {bytes} bytes of an answer"
+            );
         }
-        let input = match (state, call.parts()) {
-            (AttemptState::Connecting, _) => tokio::select! {
-                biased;
-                // The word first: it may keep the call from leaving.
-                () = signals.handover.notified() => continue,
-                signal = signals.next(state) => signal,
-                stream = timeout(handle.connect, connect(addr, leave.as_deref_mut())) => match stream.ok().flatten() {
-                    Some(stream) => {
-                        outcome = handle.pool(|pool| call.connected(pool, stream, clock.now()));
-                        continue;
-                    }
+        outcome
+    }
+
+    async fn connect(&mut self) -> Progress {
+        let (handle, addr) = (self.handle, self.call.order.addr);
+        let wake_at = self.call.attempt().wake_at();
+        let input = tokio::select! {
+            biased;
+            // The signals first: they may keep the call from leaving.
+            () = self.signals.released() => return Progress::HandedOver,
+            signal = self.signals.next(AttemptState::Connecting) => signal,
+            stream = timeout(handle.connect, connect(addr, self.permit.as_deref_mut())) => {
+                match stream.ok().flatten() {
+                    Some(stream) => return Progress::Connected(stream),
                     None => AttemptInput::Refused,
-                },
-                () = &mut deadline => AttemptInput::Deadline,
-                tick = tick(clock, rest) => tick,
-            },
-            (AttemptState::Writing { written }, Some((stream, _))) => {
-                tokio::select! {
-                    biased;
-                    () = signals.handover.notified() => continue,
-                    signal = signals.next(state) => signal,
-                    wrote = write(stream.stream_mut(), &request[written..], clock, rest) => wrote,
-                    () = &mut deadline => AttemptInput::Deadline,
-                    tick = tick(clock, rest) => tick,
-                }
-            }
-            (AttemptState::Awaiting | AttemptState::Reading { .. }, Some((stream, answer))) => {
-                request = Vec::new();
-                tokio::select! {
-                    biased;
-                    read = read(stream.stream_mut(), answer) => read,
-                    () = signals.handover.notified() => continue,
-                    signal = signals.next(state) => signal,
-                    () = &mut deadline => AttemptInput::Deadline,
-                    tick = tick(clock, rest) => tick,
                 }
             }
-            (AttemptState::Closing { .. }, parts) => read_remaining(parts, clock, rest).await,
-            // No connection where there has to be one can't be; it would prove nothing.
-            _ => AttemptInput::GiveUp,
+            () = self.deadline.as_mut() => AttemptInput::Deadline,
+            tick = tick(&handle.clock, wake_at) => tick,
         };
-        outcome = handle.pool(|pool| call.step(pool, input, clock.now()));
-        if outcome.to_close.is_some() {
-            let bytes = call.attempt().answer().len();
-            tracing::debug!(target: "quillmount::transport::providers", "connection closed: {input:?} while {state:?}, {bytes} bytes of an answer");
-        }
+        Progress::Input(input)
     }
-}
 
-/// What the answer says beside how the messages fared: a report of load, where the settings name one.
-fn answer_report(handle: &Handle, call: &Call<Conn>) -> AnswerReport {
-    let answer = call.attempt().answer();
-    let reads_load = !answer.is_empty() && handle.hub.borrow().router.reads_load_reports();
-    AnswerReport { load: if reads_load { delivery::load(answer) } else { Vec::new() }, wait: 0 }
-}
+    async fn write(&mut self, state: AttemptState, written: usize) -> Progress {
+        let clock = &self.handle.clock;
+        let wake_at = self.call.attempt().wake_at();
+        // A call that writes has a connection; without one its answer would prove nothing.
+        let Some((stream, _)) = self.call.parts() else { return Progress::Input(AttemptInput::GiveUp) };
+        let input = tokio::select! {
+            biased;
+            () = self.signals.released() => return Progress::HandedOver,
+            signal = self.signals.next(state) => signal,
+            wrote = write(stream.stream_mut(), &self.request[written..], clock, wake_at) => wrote,
+            () = self.deadline.as_mut() => AttemptInput::Deadline,
+            tick = tick(clock, wake_at) => tick,
+        };
+        Progress::Input(input)
+    }
 
-/// Begins on what rests, or on what it has leave for where its partner's connections are counted.
-pub fn start(
-    handle: &Handle,
-    call: &mut Call<Conn>,
-    leave: Option<&mut ConnectionPermit>,
-) -> StepOutcome<Conn> {
-    let now = handle.clock.now();
-    handle.pool(|pool| match leave {
-        None => call.start(pool, now, is_quiet),
-        Some(leave) => call.start_on(pool, leave.resting.take(), now),
-    })
-}
+    async fn read_answer(&mut self, state: AttemptState) -> Progress {
+        let clock = &self.handle.clock;
+        let wake_at = self.call.attempt().wake_at();
+        let Some((stream, answer)) = self.call.parts() else { return Progress::Input(AttemptInput::GiveUp) };
+        self.request = Vec::new();
+        let input = tokio::select! {
+            biased;
+            read = read(stream.stream_mut(), answer) => read,
+            () = self.signals.released() => return Progress::HandedOver,
+            signal = self.signals.next(state) => signal,
+            () = self.deadline.as_mut() => AttemptInput::Deadline,
+            tick = tick(clock, wake_at) => tick,
+        };
+        Progress::Input(input)
+    }
 
-fn release(handle: &Handle, call: Call<Conn>, until: Micros) -> CallOutcome {
-    let (snapshot, connection) = handle.pool(|pool| call.snapshot(pool, until));
-    CallOutcome::Released(Box::new(snapshot), connection.and_then(Conn::into_stream))
+    /// The outcome of a call that has ended.
+    fn finish(self, end: CallEnd) -> CallOutcome {
+        let report = self.report();
+        if end != CallEnd::Each {
+            return CallOutcome::Ended(end, report);
+        }
+        let (ends, wait) = delivery::each(self.call.attempt().answer(), &self.call.order);
+        CallOutcome::Each(ends, AnswerReport { wait, ..report })
+    }
+
+    /// What the answer reports beside its messages' ends: the endpoint's load, where the settings name a header for it.
+    fn report(&self) -> AnswerReport {
+        let answer = self.call.attempt().answer();
+        let reads_load = !answer.is_empty() && self.handle.hub.borrow().router.reads_load_reports();
+        AnswerReport { load: if reads_load { delivery::load(answer) } else { Vec::new() }, wait: 0 }
+    }
+
+    /// Gives the call up to another process.
+    fn release(self) -> CallOutcome {
+        let CallDriver { handle, call, until, .. } = self;
+        let (snapshot, connection) = handle.pool(|pool| call.snapshot(pool, until));
+        CallOutcome::Released(Box::new(snapshot), connection.and_then(EndpointStream::into_stream))
+    }
 }
--- a/courier/program/src/transport/handle.rs
+++ b/courier/program/src/transport/handle.rs
@@ -2,8 +2,8 @@
 //! parts.
 
 use super::clock::Clock;
+use super::connection::EndpointStream;
 use super::journal_file::JournalFile;
-use crate::fleet::budget::Conn;
 use actix_rt::net::TcpStream;
 use quillmount_core::call;
 use quillmount_core::counters::Counters;
@@ -39,7 +39,7 @@
     pub clock: Clock,
     /// How long a connection to an endpoint may take to come up.
     pub connect: Duration,
-    pub(super) hub: RefCell<Hub<JournalFile, Conn>>,
+    pub(super) hub: RefCell<Hub<JournalFile, EndpointStream>>,
     lifecycle: Cell<Lifecycle>,
     /// A planned stop begins.
     stops: Notify,
@@ -47,7 +47,7 @@
 }
 
 impl Handle {
-    pub fn new(clock: Clock, connect: Duration, hub: Hub<JournalFile, Conn>) -> Self {
+    pub fn new(clock: Clock, connect: Duration, hub: Hub<JournalFile, EndpointStream>) -> Self {
         Handle {
             clock,
             connect,
@@ -90,7 +90,7 @@
     }
 
     /// The connections to the endpoints.
-    pub fn pool<T>(&self, act: impl FnOnce(&mut Pool<Conn>) -> T) -> T {
+    pub fn pool<T>(&self, act: impl FnOnce(&mut Pool<EndpointStream>) -> T) -> T {
         act(&mut self.hub.borrow_mut().pool)
     }
 
--- a/courier/program/src/transport/mod.rs
+++ b/courier/program/src/transport/mod.rs
@@ -7,6 +7,8 @@
 
 pub mod channel;
 pub mod clock;
+pub mod connection;
+pub mod connection_budget;
 pub mod courier;
 pub mod endpoints;
 pub mod frames;
@@ -18,6 +20,7 @@
 pub mod operators;
 pub mod platform;
 pub mod server;
+pub mod signals;
 pub mod socket;
 pub mod streams;
 
--- a/courier/program/src/transport/streams/send.rs
+++ b/courier/program/src/transport/streams/send.rs
@@ -1,9 +1,10 @@
 //! The endpoint's side of a stream: one delivery call that sends the body while it comes.
 
 use super::{CHUNK, Pipe};
-use crate::fleet::budget::{Conn, ConnectionPermit};
-use crate::transport::endpoints::{self, CallSignals, read, read_remaining, tick};
+use crate::transport::connection::{ConnectionPermit, EndpointStream};
+use crate::transport::endpoints::{self, read, read_remaining, tick};
 use crate::transport::handle::Handle;
+use crate::transport::signals::CallSignals;
 use actix_rt::time::timeout;
 use bytes::{Buf, Bytes};
 use quillmount_core::call::{Call, StepOutcome};
@@ -66,7 +67,7 @@
     signals: &'a CallSignals,
     pipe: &'a Pipe,
     permit: Option<&'a mut ConnectionPermit>,
-    call: Call<Conn>,
+    call: Call<EndpointStream>,
     progress: SendProgress,
     /// When the endpoint has to have answered; set once the request is written.
     answer_deadline: Option<Micros>,
@@ -155,7 +156,7 @@
         }
     }
 
-    fn step(&mut self, input: AttemptInput) -> StepOutcome<Conn> {
+    fn step(&mut self, input: AttemptInput) -> StepOutcome<EndpointStream> {
         let now = self.handle.clock.now();
         self.handle.pool(|pool| self.call.step(pool, input, now))
     }
@@ -188,7 +189,7 @@
     }
 
     /// Opens a connection; or what has happened instead.
-    async fn connect(&mut self) -> Result<Conn, AttemptInput> {
+    async fn connect(&mut self) -> Result<EndpointStream, AttemptInput> {
         let (handle, addr) = (self.handle, self.call.order.addr);
         let wake_at = self.call.attempt().wake_at();
         tokio::select! {
