--- a/courier/program/src/program/cli.rs
+++ b/courier/program/src/program/cli.rs
@@ -1,5 +1,7 @@
 //! The command line.
 
+use super::error::RunError;
+use super::process::RunEnd;
 use super::{check, demo, inspect, log, run};
 use clap::{CommandFactory, Parser, Subcommand};
 use quillmount_operator::Operator;
@@ -96,13 +98,13 @@
 fn serve(path: Option<PathBuf>) -> ExitCode {
     let operator = path.as_deref().map_or(Ok(Operator::default()), Operator::load);
     let begun = log::begin(operator.as_ref().map_or(&Default::default(), |o| &o.log));
-    let done = operator.map_err(run::RunError::from).and_then(|operator| {
-        let levels = begun.map_err(run::RunError::Log)?;
+    let done = operator.map_err(RunError::from).and_then(|operator| {
+        let levels = begun.map_err(RunError::Log)?;
         actix_rt::System::new().block_on(run::run(operator, path, levels))
     });
     match done {
-        Ok(run::RunEnd::Stopped) => ExitCode::SUCCESS,
-        Ok(run::RunEnd::Restart) => {
+        Ok(RunEnd::Stopped) => ExitCode::SUCCESS,
+        Ok(RunEnd::Restart) => {
             // The same process: whoever watches it, or signals it by its number, sees no other.
             // And the same program, though its file be another by now or gone.
             let e = std::process::Command::new("/proc/self/exe").args(std::env::args_os().skip(1)).exec();
