--- a/courier/fleet/src/budget/local/mod.rs
+++ b/courier/fleet/src/budget/local/mod.rs
@@ -5,7 +5,7 @@
 //! taken by another tenant's call, and then belongs to that tenant.
 //!
 //! The caller applies each change of the agreed state ([`LocalBudget::apply_state`]), acquires a [`Permit`] before each
-//! call ([`LocalBudget::acquire`]), tells what becomes of the connection, and sends the reports
+//! call ([`LocalBudget::acquire`]), reports what becomes of the connection, and sends the reports
 //! ([`LocalBudget::report`]) to the leader. It carries out the returned [`ConnectionOrder`]s.
 //!
 //! Inside: `connections` has the state of one partner, `permit` decides on calls, `closing` ends connections, and
--- a/courier/fleet/src/lib.rs
+++ b/courier/fleet/src/lib.rs
@@ -1,5 +1,8 @@
-//! Couriers as one fleet under failure: who is a member, what all agree on, whose book is where, and who takes over what.
-//! State machines without I/O: values in, values out, the time handed in (`docs/fleet-design.md`).
+//! Couriers as one fleet under failure: membership, the agreed state, the replication of each courier's journal, and the
+//! takeover of what a lost courier owned.
+//!
+//! All are state machines without I/O: inputs and the time are arguments, outputs are returned for the caller to carry
+//! out (`docs/fleet-design.md`).
 
 pub mod agreement;
 pub mod breaks;
--- a/courier/fleet/src/settlement/registry.rs
+++ b/courier/fleet/src/settlement/registry/mod.rs
@@ -3,6 +3,12 @@
 //! [`SettlementRegistry::apply`] reads no clock: times are in the commands. Each ownership has a term that no other
 //! ever had, so that a late or repeated command changes nothing. State and commands are encoded by position.
 
+mod command;
+mod placement;
+
+pub use command::{JournalRef, SettlementCommand, SettlementEvent};
+pub use placement::successor;
+
 use super::model::{SettlementId, Verdict};
 use quillmount_policy::Micros;
 use serde::{Deserialize, Serialize};
@@ -16,15 +22,6 @@
 /// would let a late message open its settlement a second time, after a break.
 pub const MAX_VERDICTS: usize = 262_144;
 
-/// One courier's journal in one registration.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct JournalRef {
-    /// The courier's name.
-    pub courier: String,
-    /// The registration's epoch.
-    pub epoch: u64,
-}
-
 /// The owner of a settlement.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SettlementOwner {
@@ -55,123 +52,6 @@
     pub until: Micros,
 }
 
-/// A command to the agreed state. A late or repeated one changes nothing.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum SettlementCommand {
-    /// A courier proposes to own a settlement; the first such command makes it the owner.
-    Open {
-        /// The settlement.
-        id: SettlementId,
-        /// The courier's name.
-        owner: String,
-        /// The epoch of its registration.
-        owner_epoch: u64,
-    },
-    /// The owner of this term gives the settlement to another courier. Whoever gives one away is leaving and is given
-    /// none, as two couriers that drain at once would otherwise pass one back and forth.
-    Move {
-        /// The settlement.
-        id: SettlementId,
-        /// The present owner's term.
-        term: u64,
-        /// The name of the next owner.
-        to: String,
-        /// The epoch of its registration.
-        to_epoch: u64,
-        /// Nothing is in flight and no session is open.
-        boundary: bool,
-    },
-    /// The owner of this term has copied all records of earlier journals into its own.
-    CaughtUp {
-        /// The settlement.
-        id: SettlementId,
-        /// The owner's term.
-        term: u64,
-    },
-    /// The owner of this term has ended the settlement.
-    Close {
-        /// The settlement.
-        id: SettlementId,
-        /// The owner's term.
-        term: u64,
-        /// How it ended.
-        verdict: Verdict,
-        /// The verdict is remembered until then.
-        until: Micros,
-    },
-    /// This courier is not leaving any more.
-    CancelDrain {
-        /// The courier's name.
-        courier: String,
-        /// The epoch of its registration.
-        epoch: u64,
-    },
-    /// Verdicts that are remembered until an earlier time are forgotten.
-    Forget {
-        /// The leader's time, less the allowed clock drift.
-        before: Micros,
-    },
-}
-
-/// What a command changed, or why it did not.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum SettlementEvent {
-    /// The settlement has its first owner.
-    Opened {
-        /// The settlement.
-        id: SettlementId,
-        /// The owner.
-        owner: JournalRef,
-        /// The owner's term.
-        term: u64,
-    },
-    /// Too many settlements are open or remembered.
-    NotOpened {
-        /// The settlement.
-        id: SettlementId,
-        /// The number of open settlements.
-        open: u64,
-    },
-    /// The settlement has another owner.
-    Moved {
-        /// The settlement.
-        id: SettlementId,
-        /// The earlier owner.
-        from: JournalRef,
-        /// The new owner.
-        to: JournalRef,
-        /// The new owner's term.
-        term: u64,
-        /// Nothing was in flight and no session was open.
-        boundary: bool,
-    },
-    /// The move was rejected: its destination is no member any more, or is leaving itself.
-    NotMoved {
-        /// The settlement.
-        id: SettlementId,
-        /// The present owner's term.
-        term: u64,
-        /// The courier that was to own it next.
-        to: JournalRef,
-    },
-    /// The settlement's records in these journals are no longer needed.
-    CaughtUp {
-        /// The settlement.
-        id: SettlementId,
-        /// The journals of earlier owners.
-        journals: Vec<JournalRef>,
-    },
-    /// The settlement has ended.
-    Closed {
-        /// The settlement.
-        id: SettlementId,
-        /// Its last owner.
-        owner: JournalRef,
-        /// How it ended.
-        verdict: Verdict,
-    },
-}
-
 /// The agreed state of all settlements.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SettlementRegistry {
@@ -416,19 +296,3 @@
         moved
     }
 }
-
-/// The courier that this settlement goes to: the same at every courier, and spread evenly over all successors.
-pub fn successor<'a>(id: &SettlementId, successors: &'a [JournalRef]) -> Option<&'a JournalRef> {
-    successors.iter().max_by_key(|successor| (rendezvous_weight(id, &successor.courier), *successor))
-}
-
-/// FNV-1a (Fowler, Noll, Vo; 64 bits) with a final mix, implemented here because couriers of different builds have to
-/// agree on it.
-fn rendezvous_weight(id: &SettlementId, courier: &str) -> u64 {
-    let fields = [id.tenant.as_bytes(), id.name.as_bytes(), &id.dest.to_le_bytes(), courier.as_bytes()];
-    let step = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
-    let hash =
-        fields.iter().fold(0xcbf2_9ce4_8422_2325, |hash, field| step(field.iter().fold(hash, step), &0xff));
-    // Without the mix the last bytes alone would decide, and names often differ only there.
-    (hash ^ (hash >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9)
-}
--- a/courier/fleet/tests/budget.rs
+++ b/courier/fleet/tests/budget.rs
@@ -49,17 +49,17 @@
     Renewed(usize, u32, u64, u64, usize),
     JoinedAs(usize, u32, u64),
     /// To the leader.
-    Heard(usize, u32, Box<Say>),
+    Received(usize, u32, Box<CourierMessage>),
     Commit(u64, usize),
     Lead(u64),
     /// A call begins that its process was held up before.
     Opens(usize, u32, u64, u64),
     Fault,
-    Mend(usize, Mend),
+    Repair(usize, Repair),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Mend {
+enum Repair {
     Cut,
     Partner,
     Pause,
@@ -67,7 +67,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Say {
+enum CourierMessage {
     Report(u64),
     Renew(u64, u64),
     Join,
@@ -85,17 +85,17 @@
     local_budget: LocalBudget,
     budget_state: BudgetState,
     applied: usize,
-    life: u32,
+    incarnation: u32,
     epoch: u64,
     /// Its clock: parts in a million fast, and how far ahead it began.
     rate: i64,
     ahead: u64,
     up: bool,
     paused: bool,
-    hears: bool,
-    heard: bool,
+    receives: bool,
+    sends: bool,
     partner: bool,
-    stash: Vec<Event>,
+    deferred: Vec<Event>,
     loads: BTreeMap<String, Load>,
     calls: BTreeMap<u64, (String, u64)>,
     renewed: u64,
@@ -125,7 +125,7 @@
     term: u64,
     leases: BTreeMap<usize, u64>,
     /// The process that joined with its epoch.
-    lives: BTreeMap<usize, (u64, u32)>,
+    incarnations: BTreeMap<usize, (u64, u32)>,
     messages: Vec<Report>,
     /// Open at the partner, and when it was last written on.
     open: BTreeMap<(usize, u32, u64), u64>,
@@ -168,7 +168,7 @@
             leader_rate: 0,
             term: 0,
             leases: BTreeMap::new(),
-            lives: BTreeMap::new(),
+            incarnations: BTreeMap::new(),
             messages: Vec::new(),
             open: BTreeMap::new(),
             lowered: None,
@@ -189,16 +189,16 @@
                 local_budget,
                 budget_state: BudgetState::default(),
                 applied: 0,
-                life: 0,
+                incarnation: 0,
                 epoch: 0,
                 rate,
                 ahead,
                 up: true,
                 paused: false,
-                hears: true,
-                heard: true,
+                receives: true,
+                sends: true,
                 partner: true,
-                stash: Vec::new(),
+                deferred: Vec::new(),
                 loads: BTreeMap::new(),
                 calls: BTreeMap::new(),
                 renewed: 0,
@@ -297,12 +297,12 @@
             Event::Entries(node, upto) => ("entries_delivered", *node, *upto as u64),
             Event::Renewed(node, _, epoch, ..) => ("leases_renewed", *node, *epoch),
             Event::JoinedAs(node, _, epoch) => ("joins_confirmed", *node, *epoch),
-            Event::Heard(node, ..) => ("messages_to_leader", *node, 0),
+            Event::Received(node, ..) => ("messages_to_leader", *node, 0),
             Event::Commit(term, at) => ("commits", *at, *term),
             Event::Lead(term) => ("leader_rounds", 0, *term),
             Event::Opens(node, _, conn, _) => ("late_openings", *node, *conn),
             Event::Fault => ("faults", 0, 0),
-            Event::Mend(node, _) => ("repairs", *node, 0),
+            Event::Repair(node, _) => ("repairs", *node, 0),
         };
         let open = self.open.len() as u64;
         self.counts.count(label, &[now, node as u64, number, open]);
@@ -310,35 +310,35 @@
 
     fn take(&mut self, event: Event) {
         match event {
-            Event::Wake(n, life)
-            | Event::Answer(n, life, ..)
-            | Event::Eof(n, life, _)
-            | Event::Renewed(n, life, ..)
-            | Event::JoinedAs(n, life, _)
-            | Event::Opens(n, life, ..) => {
-                if self.nodes[n].life != life || !self.nodes[n].up {
+            Event::Wake(n, incarnation)
+            | Event::Answer(n, incarnation, ..)
+            | Event::Eof(n, incarnation, _)
+            | Event::Renewed(n, incarnation, ..)
+            | Event::JoinedAs(n, incarnation, _)
+            | Event::Opens(n, incarnation, ..) => {
+                if self.nodes[n].incarnation != incarnation || !self.nodes[n].up {
                     return;
                 }
                 if self.nodes[n].paused {
-                    self.nodes[n].stash.push(event);
+                    self.nodes[n].deferred.push(event);
                     return;
                 }
                 self.at_node(n, event);
                 self.drive(n);
             }
             Event::Entries(n, upto) => {
-                if self.nodes[n].up && !self.nodes[n].paused && self.nodes[n].hears {
+                if self.nodes[n].up && !self.nodes[n].paused && self.nodes[n].receives {
                     self.entries(n, upto);
                     self.drive(n);
                 }
             }
-            Event::Fin(n, life, conn) => self.ended(n, life, conn),
-            Event::Quiet(n, life, conn, written) => {
-                if self.open.get(&(n, life, conn)) == Some(&written) {
-                    self.ended(n, life, conn);
+            Event::Fin(n, incarnation, conn) => self.ended(n, incarnation, conn),
+            Event::Quiet(n, incarnation, conn, written) => {
+                if self.open.get(&(n, incarnation, conn)) == Some(&written) {
+                    self.ended(n, incarnation, conn);
                 }
             }
-            Event::Heard(n, life, say) => self.heard(n, life, *say),
+            Event::Received(n, incarnation, message) => self.received(n, incarnation, *message),
             Event::Commit(term, at) => {
                 if term == self.term {
                     self.commit(self.proposed[at].clone());
@@ -366,7 +366,7 @@
                 }
             }
             Event::Fault => self.fault(),
-            Event::Mend(n, mend) => self.mend(n, mend),
+            Event::Repair(n, repair) => self.repair(n, repair),
         }
     }
 
@@ -383,10 +383,10 @@
         }
         if let BudgetCommand::Joined { courier, epoch } = &command
             && let Some(n) = self.names.iter().position(|name| name == courier)
-            && let Some((known, life)) = self.lives.get(&n)
+            && let Some((known, incarnation)) = self.incarnations.get(&n)
             && known == epoch
         {
-            self.send(Event::JoinedAs(n, *life, *epoch));
+            self.send(Event::JoinedAs(n, *incarnation, *epoch));
         }
         self.log.push(command);
         for n in 0..self.nodes.len() {
@@ -394,31 +394,31 @@
         }
     }
 
-    fn heard(&mut self, n: usize, life: u32, say: Say) {
+    fn received(&mut self, n: usize, incarnation: u32, message: CourierMessage) {
         let now = self.leads();
         let member = self.budget_state.member(&self.names[n]).cloned().unwrap_or_default();
-        match say {
-            Say::Report(at) => {
+        match message {
+            CourierMessage::Report(at) => {
                 let report = BudgetMessage::Report(self.messages[at as usize].clone());
                 let bytes = postcard::to_stdvec(&report).unwrap();
                 self.leader.receive(&postcard::from_bytes(&bytes).unwrap(), now);
             }
-            Say::Renew(epoch, sent) => {
+            CourierMessage::Renew(epoch, sent) => {
                 let until = self.leases.entry(n).or_insert(0);
                 if member.epoch == epoch && !member.lapsed && now < *until {
                     *until = now + BOUNDS.lease * 103 / 100;
-                    self.send(Event::Renewed(n, life, epoch, sent, self.log.len()));
+                    self.send(Event::Renewed(n, incarnation, epoch, sent, self.log.len()));
                 }
             }
-            Say::Join => {
-                let known = self.lives.get(&n).copied().unwrap_or_default();
-                if known.1 > life {
+            CourierMessage::Join => {
+                let known = self.incarnations.get(&n).copied().unwrap_or_default();
+                if known.1 > incarnation {
                     return;
                 }
-                if known == (member.epoch, life) && member.epoch > 0 && !member.lapsed {
-                    self.send(Event::JoinedAs(n, life, member.epoch));
+                if known == (member.epoch, incarnation) && member.epoch > 0 && !member.lapsed {
+                    self.send(Event::JoinedAs(n, incarnation, member.epoch));
                 } else {
-                    self.lives.insert(n, (member.epoch + 1, life));
+                    self.incarnations.insert(n, (member.epoch + 1, incarnation));
                     self.leases.insert(n, now + BOUNDS.lease * 103 / 100);
                     self.propose(BudgetCommand::Joined {
                         courier: self.names[n].clone(),
@@ -429,9 +429,9 @@
         }
     }
 
-    fn ended(&mut self, n: usize, life: u32, conn: u64) {
-        if self.open.remove(&(n, life, conn)).is_some() && self.nodes[n].partner {
-            self.after(2 * MS, Event::Eof(n, life, conn));
+    fn ended(&mut self, n: usize, incarnation: u32, conn: u64) {
+        if self.open.remove(&(n, incarnation, conn)).is_some() && self.nodes[n].partner {
+            self.after(2 * MS, Event::Eof(n, incarnation, conn));
         }
     }
 
@@ -450,7 +450,7 @@
 
     fn orders(&mut self, n: usize, orders: Vec<ConnectionOrder>) {
         for ConnectionOrder::Close { conn, .. } in orders {
-            let life = self.nodes[n].life;
+            let incarnation = self.nodes[n].incarnation;
             if let Some((tenant, _)) = self.nodes[n].calls.remove(&conn)
                 && let Some(load) = self.nodes[n].loads.get_mut(&tenant)
             {
@@ -458,32 +458,32 @@
             }
             if self.nodes[n].partner {
                 let span = self.rng.within(MS, 60 * MS);
-                self.after(span, Event::Fin(n, life, conn));
+                self.after(span, Event::Fin(n, incarnation, conn));
             }
         }
     }
 
     fn at_node(&mut self, n: usize, event: Event) {
         let now = self.local(n);
-        let life = self.nodes[n].life;
+        let incarnation = self.nodes[n].incarnation;
         match event {
             Event::Wake(..) => {
                 let orders = self.nodes[n].local_budget.tick(now);
                 self.orders(n, orders);
                 let node = &mut self.nodes[n];
                 if let Some(report) = node.local_budget.report(now) {
-                    let heard = node.heard;
+                    let sends = node.sends;
                     self.messages.push(report);
-                    let say = Say::Report(self.messages.len() as u64 - 1);
-                    if heard {
-                        self.send(Event::Heard(n, life, Box::new(say)));
+                    let message = CourierMessage::Report(self.messages.len() as u64 - 1);
+                    if sends {
+                        self.send(Event::Received(n, incarnation, Box::new(message)));
                     }
                 }
                 if self.nodes[n].local_budget.has_left()
                     && self.nodes[n].budget_state.member(&self.names[n]).is_none_or(|m| m.left)
                 {
                     self.crash(n);
-                    self.after(100 * MS, Event::Mend(n, Mend::Start));
+                    self.after(100 * MS, Event::Repair(n, Repair::Start));
                     return;
                 }
                 let node = &mut self.nodes[n];
@@ -493,12 +493,16 @@
                         .budget_state
                         .member(&self.names[n])
                         .is_some_and(|m| m.epoch >= node.epoch && m.lapsed);
-                    let say = if node.epoch == 0 || lapsed { Say::Join } else { Say::Renew(node.epoch, now) };
-                    if node.heard {
-                        self.send(Event::Heard(n, life, Box::new(say)));
+                    let message = if node.epoch == 0 || lapsed {
+                        CourierMessage::Join
+                    } else {
+                        CourierMessage::Renew(node.epoch, now)
+                    };
+                    if node.sends {
+                        self.send(Event::Received(n, incarnation, Box::new(message)));
                     }
                 }
-                self.after(10 * MS, Event::Wake(n, life));
+                self.after(10 * MS, Event::Wake(n, incarnation));
             }
             Event::Answer(_, _, conn, call) => {
                 let node = &mut self.nodes[n];
@@ -518,7 +522,7 @@
                     node.loads.get_mut(&tenant).unwrap().out -= 1;
                 }
             }
-            Event::Renewed(_, _, epoch, sent, upto) if self.nodes[n].hears => {
+            Event::Renewed(_, _, epoch, sent, upto) if self.nodes[n].receives => {
                 if self.nodes[n].epoch == epoch {
                     self.nodes[n].local_budget.extend_lease(sent + BOUNDS.lease);
                 }
@@ -526,7 +530,7 @@
             }
             Event::JoinedAs(_, _, epoch) => {
                 let node = &mut self.nodes[n];
-                if node.hears && epoch > node.epoch {
+                if node.receives && epoch > node.epoch {
                     node.epoch = epoch;
                     node.local_budget.joined(epoch);
                     let orders = node.local_budget.apply_state(&node.budget_state, now);
@@ -562,13 +566,13 @@
                 self.count += 1;
                 let call = self.count;
                 self.nodes[n].calls.insert(permit.conn, (tenant.clone(), call));
-                let life = self.nodes[n].life;
+                let incarnation = self.nodes[n].incarnation;
                 match permit.begin {
                     PermitKind::Reuse => self.writes(n, permit.conn, call),
                     // Now and then its process is held up in between.
                     PermitKind::Open if self.faults && self.rng.chance(3) => {
                         let span = self.rng.within(0, 30 * MS);
-                        self.after(span, Event::Opens(n, life, permit.conn, call));
+                        self.after(span, Event::Opens(n, incarnation, permit.conn, call));
                     }
                     PermitKind::Open => self.opens(n, permit.conn, call),
                 }
@@ -578,9 +582,9 @@
     }
 
     fn opens(&mut self, n: usize, conn: u64, call: u64) {
-        let (now, life) = (self.local(n), self.nodes[n].life);
+        let (now, incarnation) = (self.local(n), self.nodes[n].incarnation);
         if self.nodes[n].local_budget.confirm_open(DEST, conn, now) {
-            self.open.insert((n, life, conn), self.now);
+            self.open.insert((n, incarnation, conn), self.now);
             self.writes(n, conn, call);
         } else if let Some((tenant, _)) = self.nodes[n].calls.remove(&conn) {
             self.nodes[n].loads.get_mut(&tenant).unwrap().out -= 1;
@@ -588,18 +592,18 @@
     }
 
     fn writes(&mut self, n: usize, conn: u64, call: u64) {
-        let life = self.nodes[n].life;
+        let incarnation = self.nodes[n].incarnation;
         // The partner may have ended it; the courier reads that soon.
-        let Some(written) = self.open.get_mut(&(n, life, conn)) else { return };
+        let Some(written) = self.open.get_mut(&(n, incarnation, conn)) else { return };
         *written = self.now;
         let now = self.now;
-        self.after(BOUNDS.max_idle, Event::Quiet(n, life, conn, now));
+        self.after(BOUNDS.max_idle, Event::Quiet(n, incarnation, conn, now));
         let mut span = self.rng.within(self.calls.0, self.calls.1);
         if self.rng.chance(self.hang) {
             span = self.rng.within(self.calls.1, 2 * BOUNDS.max_call);
         }
         if self.nodes[n].partner {
-            self.after(span, Event::Answer(n, life, conn, call));
+            self.after(span, Event::Answer(n, incarnation, conn, call));
         }
     }
 
@@ -632,16 +636,17 @@
     fn crash(&mut self, n: usize) {
         let node = &mut self.nodes[n];
         (node.up, node.paused) = (false, false);
-        node.stash.clear();
+        node.deferred.clear();
         node.calls.clear();
         node.loads.values_mut().for_each(|l| l.out = 0);
         // Each connection is open at the partner until it has noticed; some for all their time.
-        let life = node.life;
-        let open: Vec<u64> = self.open.keys().filter(|k| (k.0, k.1) == (n, life)).map(|k| k.2).collect();
+        let incarnation = node.incarnation;
+        let open: Vec<u64> =
+            self.open.keys().filter(|k| (k.0, k.1) == (n, incarnation)).map(|k| k.2).collect();
         for conn in open {
             if self.rng.chance(50) {
                 let span = self.rng.within(MS, 500 * MS);
-                self.after(span, Event::Fin(n, life, conn));
+                self.after(span, Event::Fin(n, incarnation, conn));
             }
         }
     }
@@ -653,21 +658,21 @@
         match at {
             0..=3 => {
                 let way = self.rng.below(3);
-                (self.nodes[n].hears, self.nodes[n].heard) = (way == 0, way == 1);
-                self.after(span, Event::Mend(n, Mend::Cut));
+                (self.nodes[n].receives, self.nodes[n].sends) = (way == 0, way == 1);
+                self.after(span, Event::Repair(n, Repair::Cut));
             }
             4..=5 => {
                 self.nodes[n].partner = false;
-                self.after(span, Event::Mend(n, Mend::Partner));
+                self.after(span, Event::Repair(n, Repair::Partner));
             }
             6..=8 if self.nodes[n].up && !self.nodes[n].paused => {
                 self.nodes[n].paused = true;
-                self.after(span, Event::Mend(n, Mend::Pause));
+                self.after(span, Event::Repair(n, Repair::Pause));
             }
             9 if self.nodes[n].up => self.nodes[n].local_budget.leave(),
             10 if self.nodes[n].up => {
                 self.crash(n);
-                self.after(span / 4, Event::Mend(n, Mend::Start));
+                self.after(span / 4, Event::Repair(n, Repair::Start));
             }
             11 => self.lead(),
             12 if self.lowered.is_none() => {
@@ -684,27 +689,27 @@
         self.after(span, Event::Fault);
     }
 
-    fn mend(&mut self, n: usize, mend: Mend) {
-        match mend {
-            Mend::Cut => (self.nodes[n].hears, self.nodes[n].heard) = (true, true),
-            Mend::Partner => self.nodes[n].partner = true,
-            Mend::Pause => {
+    fn repair(&mut self, n: usize, repair: Repair) {
+        match repair {
+            Repair::Cut => (self.nodes[n].receives, self.nodes[n].sends) = (true, true),
+            Repair::Partner => self.nodes[n].partner = true,
+            Repair::Pause => {
                 self.nodes[n].paused = false;
-                for event in std::mem::take(&mut self.nodes[n].stash) {
+                for event in std::mem::take(&mut self.nodes[n].deferred) {
                     self.take(event);
                 }
             }
-            Mend::Start if !self.nodes[n].up => {
+            Repair::Start if !self.nodes[n].up => {
                 let now = self.local(n);
                 let node = &mut self.nodes[n];
-                (node.up, node.life, node.epoch) = (true, node.life + 1, 0);
+                (node.up, node.incarnation, node.epoch) = (true, node.incarnation + 1, 0);
                 (node.budget_state, node.applied, node.renewed) = (BudgetState::default(), 0, 0);
                 node.local_budget = LocalBudget::new(&self.names[n], BOUNDS, now);
                 node.local_budget.set_budget(&self.budget);
-                let life = node.life;
-                self.after(MS, Event::Wake(n, life));
+                let incarnation = node.incarnation;
+                self.after(MS, Event::Wake(n, incarnation));
             }
-            Mend::Start => {}
+            Repair::Start => {}
         }
     }
 
@@ -893,9 +898,9 @@
     sim.load(0, "a", 40);
     (1..4).for_each(|n| sim.load(n, "b", 7));
     sim.run(6 * S);
-    let held = sim.nodes[0].local_budget.open(DEST);
-    assert!(held >= 19, "{held} of 40 are at the courier that is cut off");
-    (sim.nodes[0].hears, sim.nodes[0].heard) = (false, false);
+    let open = sim.nodes[0].local_budget.open(DEST);
+    assert!(open >= 19, "{open} of 40 are at the courier that is cut off");
+    (sim.nodes[0].receives, sim.nodes[0].sends) = (false, false);
     sim.lower(20);
     let (at, _) = sim.lowered.unwrap();
     sim.run(at + 3 * S);
@@ -906,7 +911,7 @@
     assert_eq!(cut, 1, "its floor");
     assert!(others >= 18, "{others} of 19");
     // Back in the fleet, it has its part again.
-    (sim.nodes[0].hears, sim.nodes[0].heard) = (true, true);
+    (sim.nodes[0].receives, sim.nodes[0].sends) = (true, true);
     sim.run(sim.now + 4 * S);
     assert!(sim.busy("a") >= 9, "{}", sim.busy("a"));
     sim.sound();
@@ -1020,7 +1025,7 @@
 #[test]
 fn each_deliberate_break_is_found() {
     use quillmount_fleet::budget::breaks::{ALL, Break, set};
-    let mut kept = Vec::new();
+    let mut not_found = Vec::new();
     for one in ALL.iter().filter(|b| !matches!(b, Break::FloorForgotten | Break::TurnsForgotten)) {
         set(Some(*one));
         let found = (1..=40).find_map(|seed| {
@@ -1032,11 +1037,11 @@
         });
         match found {
             Some((seed, over)) => println!("{one:?}: seed {seed}: {over}"),
-            None => kept.push(*one),
+            None => not_found.push(*one),
         }
     }
     set(None);
-    assert_eq!(kept, [], "not found");
+    assert_eq!(not_found, [], "not found");
 }
 
 #[cfg(feature = "breaks")]
--- a/courier/fleet/tests/parts/budget.rs
+++ b/courier/fleet/tests/parts/budget.rs
@@ -1,4 +1,4 @@
-//! What a budget may say, and what is agreed on of it.
+//! The check of budgets, and their agreed state.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -16,23 +16,28 @@
 fn each_problem_is_reported_with_its_path() {
     let good = budget(1, 10, 1, vec![tenant("a", 1.0, 3, Some(3)), tenant("b", 0.5, 4, None)]);
     assert_eq!(check(std::slice::from_ref(&good), 3), []);
-    let told = |budgets: &[Budget], couriers| {
+    let messages = |budgets: &[Budget], couriers| {
         check(budgets, couriers).iter().map(ToString::to_string).collect::<Vec<_>>()
     };
     assert_eq!(
-        told(std::slice::from_ref(&good), 4),
+        messages(std::slice::from_ref(&good), 4),
         ["$.fleet.budgets[0].tenants: the floors of 1 add up to 11 of its 10 connections (7 of tenants, \
           and 1 for each of 4 couriers); lower floors or raise connections"]
     );
-    let wrong = |tenants| told(&[budget(1, 10, 0, tenants)], 3);
+    let wrong = |tenants| messages(&[budget(1, 10, 0, tenants)], 3);
     for weight in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e7] {
-        let told = wrong(vec![tenant("a", weight, 0, None)]);
-        assert_eq!(told.len(), 1, "{weight}");
-        assert!(told[0].starts_with("$.fleet.budgets[0].tenants[0].weight: "), "{}", told[0]);
-        assert!(told[0].contains("tenant \"a\"") && told[0].contains("say 0.000001"), "{}", told[0]);
+        let messages = wrong(vec![tenant("a", weight, 0, None)]);
+        assert_eq!(messages.len(), 1, "{weight}");
+        assert!(messages[0].starts_with("$.fleet.budgets[0].tenants[0].weight: "), "{}", messages[0]);
+        assert!(
+            messages[0].contains("tenant \"a\"") && messages[0].contains("say 0.000001"),
+            "{}",
+            messages[0]
+        );
     }
-    let path =
-        |told: Vec<String>| told.into_iter().map(|t| t.split(": ").next().unwrap().to_string()).collect();
+    let path = |messages: Vec<String>| {
+        messages.into_iter().map(|t| t.split(": ").next().unwrap().to_string()).collect()
+    };
     let paths: Vec<String> = path(wrong(vec![
         tenant("a", 1.0, 3, Some(2)),
         tenant("a", 1.0, 0, Some(0)),
@@ -42,7 +47,7 @@
     let wanted = ["[0].ceiling", "[1].name", "[1].ceiling", "[2].name"].map(|m| format!("{at}{m}"));
     assert_eq!(paths, wanted);
     let calls = Budget { calls: Some(5), ..budget(2, 0, 0, vec![]) };
-    let paths: Vec<String> = path(told(&[good.clone(), good, calls], 3));
+    let paths: Vec<String> = path(messages(&[good.clone(), good, calls], 3));
     assert_eq!(
         paths,
         ["$.fleet.budgets[1].dest", "$.fleet.budgets[2].connections", "$.fleet.budgets[2].span_ms"]
@@ -99,9 +104,9 @@
                         let now = budget_state.partner(1).map(|p| p.share(courier, epoch, tenant));
                         let now = now.unwrap_or_default();
                         let ended = matches!(command, BudgetCommand::Expired { .. } | BudgetCommand::Aged { .. });
-                        let told = matches!(command, BudgetCommand::Released { number, to, .. }
+                        let is_confirmed = matches!(command, BudgetCommand::Released { number, to, .. }
                             if *number == old_share.number && old_share.recalled.is_some() && now.granted >= *to);
-                        let is_covered = now.granted >= old_share.granted || ended || told;
+                        let is_covered = now.granted >= old_share.granted || ended || is_confirmed;
                         prop_assert!(is_covered, "{old_share:?} {now:?} by {command:?}");
                     }
                 }
@@ -128,7 +133,7 @@
     let [BudgetEvent::Recalled { number, .. }] = budget_state.apply(&set(2))[..] else {
         panic!("a recall is wanted")
     };
-    assert_eq!(budget_state.committed(1), 5, "told is not met");
+    assert_eq!(budget_state.committed(1), 5, "a recall that is proposed is not met");
     budget_state.apply(&released(number, 4));
     assert_eq!(budget_state.committed(1), 4, "it may be met in parts");
     budget_state.apply(&released(number, 2));
--- a/courier/fleet/tests/parts/calls.rs
+++ b/courier/fleet/tests/parts/calls.rs
@@ -1,4 +1,4 @@
-//! Calls a span.
+//! Budgets of calls in a span of time.
 
 use quillmount_fleet::budget::calls::call_budget;
 use quillmount_fleet::budget::{
@@ -65,7 +65,7 @@
     assert_eq!(permits.len(), 3);
     assert_eq!(gate.acquire(1, "a", 7_000_000).unwrap_err().reason, RefusalReason::AllInUse);
     assert_eq!(gate.calls.open(1), 0);
-    // Cut off, there is its floor's part.
+    // A courier that is cut off has its floor's part.
     permits.iter().for_each(|p| drop(gate.connections.released(p, 7_000_000)));
     for ConnectionOrder::Close { conn, .. } in gate.tick(20_000_000) {
         gate.connections.closed(1, conn, 20_000_000);
--- a/courier/fleet/tests/parts/divide.rs
+++ b/courier/fleet/tests/parts/divide.rs
@@ -1,4 +1,4 @@
-//! The division, against the exact parts found by trying.
+//! The division, compared with exact parts that are found by exhaustive search.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
--- a/courier/fleet/tests/parts/journal_lines.rs
+++ b/courier/fleet/tests/parts/journal_lines.rs
@@ -1,4 +1,4 @@
-//! What a taker gets of a sealed book.
+//! What a successor adopts of a sealed journal.
 
 use bytes::Bytes;
 use quillmount_core::journal::{self, AcceptedMessage, JournalContents, JournalRecord, frame};
@@ -11,8 +11,8 @@
 use quillmount_fleet::state::{JournalId, PartitionId, partition_of};
 use std::collections::BTreeSet;
 
-/// The lost home knew that position 1 was delivered, and had not written that for the settlement yet: its
-/// taker, which gets no entry of what is over, would send a debit a second time.
+/// The lost owner knew that position 1 was delivered, and had not recorded that for the settlement yet: its successor,
+/// which adopts no ended message, would send it a second time.
 #[test]
 fn a_successor_learns_ends_that_the_lost_owner_had_not_recorded() {
     let id = SettlementId { tenant: "north".into(), name: "evening".into(), dest: 7 };
--- a/courier/fleet/tests/parts/leader.rs
+++ b/courier/fleet/tests/parts/leader.rs
@@ -1,4 +1,4 @@
-//! The division by a new leader.
+//! The allocation by a new leader.
 
 use quillmount_fleet::budget::leader::{DEMAND_WINDOW, ROUND_INTERVAL};
 use quillmount_fleet::budget::{
@@ -29,7 +29,7 @@
     let mut leader = BudgetLeader::new(BOUNDS);
     leader.receive(&report("b", 2, 4), ROUND_INTERVAL);
     assert_eq!(leader.tick(&budget_state, ROUND_INTERVAL), [set("a", 2)], "half of it, not all");
-    // An older report of the other's is passed over.
+    // An older report of the other courier is ignored.
     leader.receive(&report("b", 1, 0), 2 * ROUND_INTERVAL);
     leader.receive(&report("a", 1, 4), 2 * ROUND_INTERVAL);
     let later = 2 * ROUND_INTERVAL + DEMAND_WINDOW;
--- a/courier/fleet/tests/parts/local.rs
+++ b/courier/fleet/tests/parts/local.rs
@@ -169,7 +169,7 @@
     local_budget.set_waiting(1, "a", 10, at);
     let after = local_budget.acquire(1, "a", at).unwrap_err().after;
     assert!((450 * MS..=550 * MS).contains(&after), "{after}");
-    // A tenant that holds nothing is told what a grant takes.
+    // The refusal of a tenant without a share names the time that a grant takes.
     assert_eq!(local_budget.acquire(1, "b", at).unwrap_err().after, INITIAL_GRANT_TIME);
 }
 
--- a/courier/fleet/tests/parts/owner.rs
+++ b/courier/fleet/tests/parts/owner.rs
@@ -1,4 +1,4 @@
-//! A settlement's home.
+//! The owner of settlements.
 
 use quillmount_fleet::settlement::owner::{
     ATTEMPT_BACKOFF, OwnedSettlements, OwnerInput, OwnerOutput, SettlementLimits,
@@ -9,8 +9,8 @@
 };
 use quillmount_policy::Micros;
 
-/// One home; whatever it writes is in its book at once.
-struct Alone {
+/// A single owner; whatever it writes is in its journal at once.
+struct SingleOwner {
     registry: SettlementRegistry,
     owned: OwnedSettlements,
     now: Micros,
@@ -33,9 +33,9 @@
     }
 }
 
-impl Alone {
-    fn new(limits: SettlementLimits) -> Alone {
-        Alone {
+impl SingleOwner {
+    fn new(limits: SettlementLimits) -> SingleOwner {
+        SingleOwner {
             registry: SettlementRegistry::default(),
             owned: OwnedSettlements::new("x", 1, limits),
             now: 1,
@@ -80,11 +80,11 @@
 
 #[test]
 fn contradictions_are_rejected_and_duplicates_are_accepted() {
-    let mut alone = Alone::new(SettlementLimits { positions: 50, ..SettlementLimits::default() });
-    alone.open("a");
+    let mut owner = SingleOwner::new(SettlementLimits { positions: 50, ..SettlementLimits::default() });
+    owner.open("a");
     for _ in 0..2 {
         assert_eq!(
-            alone.request("a", SettlementRequest::Submit(sequenced(3, None))),
+            owner.request("a", SettlementRequest::Submit(sequenced(3, None))),
             SettlementReply::Accepted
         );
     }
@@ -93,24 +93,24 @@
         checksum,
         ..sequenced(3, None)
     };
-    assert!(matches!(alone.refusal("a", other("m9", 3)), SettlementError::PositionTwice { .. }));
-    assert!(matches!(alone.refusal("a", other("m3", 9)), SettlementError::PositionTwice { .. }));
-    assert!(matches!(alone.refusal("a", sequenced(0, None)), SettlementError::Zero(_)));
-    assert!(matches!(alone.refusal("a", sequenced(2, Some(2))), SettlementError::Beyond { total: 2, .. }));
-    assert!(matches!(alone.refusal("a", sequenced(51, None)), SettlementError::TooLong { most: 50, .. }));
+    assert!(matches!(owner.refusal("a", other("m9", 3)), SettlementError::PositionTwice { .. }));
+    assert!(matches!(owner.refusal("a", other("m3", 9)), SettlementError::PositionTwice { .. }));
+    assert!(matches!(owner.refusal("a", sequenced(0, None)), SettlementError::Zero(_)));
+    assert!(matches!(owner.refusal("a", sequenced(2, Some(2))), SettlementError::Beyond { total: 2, .. }));
+    assert!(matches!(owner.refusal("a", sequenced(51, None)), SettlementError::TooLong { most: 50, .. }));
     assert_eq!(
-        alone.request("a", SettlementRequest::Submit(sequenced(3, Some(4)))),
+        owner.request("a", SettlementRequest::Submit(sequenced(3, Some(4)))),
         SettlementReply::Accepted,
         "the count is news"
     );
-    assert_eq!(alone.request("a", SettlementRequest::Closing { total: 4 }), SettlementReply::Accepted);
+    assert_eq!(owner.request("a", SettlementRequest::Closing { total: 4 }), SettlementReply::Accepted);
     assert!(matches!(
-        alone.refusal("a", sequenced(3, Some(5))),
+        owner.refusal("a", sequenced(3, Some(5))),
         SettlementError::TwoCounts { total: 4, other: 5, .. }
     ));
-    assert!(matches!(alone.refusal("a", sequenced(5, None)), SettlementError::Beyond { total: 4, .. }));
-    alone.now = 90_000;
-    let late = alone.refusal("a", sequenced(1, None));
+    assert!(matches!(owner.refusal("a", sequenced(5, None)), SettlementError::Beyond { total: 4, .. }));
+    owner.now = 90_000;
+    let late = owner.refusal("a", sequenced(1, None));
     assert!(matches!(late, SettlementError::Late(_)));
     let text = late.to_string();
     assert!(text.starts_with("tenant \"north\", settlement \"a\", position 1: "), "{text}");
@@ -119,32 +119,35 @@
 /// The tenant is full of messages that wait; the ones they wait for are taken all the same.
 #[test]
 fn a_full_tenant_gets_a_retry_time_and_the_next_position_is_accepted() {
-    let mut alone =
-        Alone::new(SettlementLimits { tenant_count: 3, tenant_bytes: 35, ..SettlementLimits::default() });
-    alone.open("a");
-    alone.open("b");
+    let mut owner = SingleOwner::new(SettlementLimits {
+        tenant_count: 3,
+        tenant_bytes: 35,
+        ..SettlementLimits::default()
+    });
+    owner.open("a");
+    owner.open("b");
     for position in 2..=4 {
         assert_eq!(
-            alone.request("a", SettlementRequest::Submit(sequenced(position, None))),
+            owner.request("a", SettlementRequest::Submit(sequenced(position, None))),
             SettlementReply::Accepted
         );
     }
-    let refused = alone.refusal("b", sequenced(2, None));
+    let refused = owner.refusal("b", sequenced(2, None));
     assert!(
         matches!(refused, SettlementError::TooManyWaiting { waiting: 3, bytes: 30, after: 89_999, .. }),
         "{refused:?}"
     );
-    assert_eq!(alone.request("a", SettlementRequest::Submit(sequenced(1, None))), SettlementReply::Accepted);
-    assert_eq!(alone.request("b", SettlementRequest::Submit(sequenced(1, None))), SettlementReply::Accepted);
-    assert_eq!(alone.owned.sizes(), (2, 5, 50));
+    assert_eq!(owner.request("a", SettlementRequest::Submit(sequenced(1, None))), SettlementReply::Accepted);
+    assert_eq!(owner.request("b", SettlementRequest::Submit(sequenced(1, None))), SettlementReply::Accepted);
+    assert_eq!(owner.owned.sizes(), (2, 5, 50));
 }
 
 #[test]
 fn a_waiting_settlement_ends_by_its_deadline_or_the_idle_limit() {
-    let mut alone = Alone::new(SettlementLimits { idle: 500, ..SettlementLimits::default() });
-    alone.open("a");
-    alone.open("b");
-    assert_eq!(alone.request("a", SettlementRequest::Submit(sequenced(2, None))), SettlementReply::Accepted);
+    let mut owner = SingleOwner::new(SettlementLimits { idle: 500, ..SettlementLimits::default() });
+    owner.open("a");
+    owner.open("b");
+    assert_eq!(owner.request("a", SettlementRequest::Submit(sequenced(2, None))), SettlementReply::Accepted);
     let verdicts = |outputs: Vec<OwnerOutput>| -> Vec<Verdict> {
         let all = outputs.into_iter().filter_map(|output| match output {
             OwnerOutput::Propose(SettlementCommand::Close { verdict, .. }) => Some(verdict),
@@ -152,24 +155,24 @@
         });
         all.collect()
     };
-    assert_eq!(alone.owned.wake_at(), Some(501));
-    alone.now = 501;
-    assert_eq!(verdicts(alone.step(OwnerInput::Tick)), [Verdict::Broken { at: 1, cause: Cause::Idle }]);
-    alone.now = 90_000;
-    let found = verdicts(alone.step(OwnerInput::Tick));
+    assert_eq!(owner.owned.wake_at(), Some(501));
+    owner.now = 501;
+    assert_eq!(verdicts(owner.step(OwnerInput::Tick)), [Verdict::Broken { at: 1, cause: Cause::Idle }]);
+    owner.now = 90_000;
+    let found = verdicts(owner.step(OwnerInput::Tick));
     assert!(found.contains(&Verdict::Broken { at: 1, cause: Cause::Missing }), "{found:?}");
-    assert!(matches!(alone.refusal("a", sequenced(1, None)), SettlementError::Ended { .. }));
+    assert!(matches!(owner.refusal("a", sequenced(1, None)), SettlementError::Ended { .. }));
     assert_eq!(
-        alone.request("a", SettlementRequest::Submit(sequenced(2, None))),
+        owner.request("a", SettlementRequest::Submit(sequenced(2, None))),
         SettlementReply::Ended(End::NeverRan { broken_at: 1 })
     );
-    assert_eq!(alone.owned.sizes().1, 0, "nothing waits any more");
+    assert_eq!(owner.owned.sizes().1, 0, "nothing waits any more");
 }
 
 #[test]
 fn an_outcome_of_an_earlier_attempt_is_ignored() {
-    let mut alone = Alone::new(SettlementLimits::default());
-    alone.open("a");
+    let mut owner = SingleOwner::new(SettlementLimits::default());
+    owner.open("a");
     let sent = |outputs: Vec<OwnerOutput>| {
         outputs.into_iter().find_map(|output| match output {
             OwnerOutput::Send { attempt, .. } => Some(attempt),
@@ -181,42 +184,42 @@
         id: id("a"),
         request: SettlementRequest::Submit(sequenced(1, Some(1))),
     };
-    let first = sent(alone.step(requested)).unwrap();
+    let first = sent(owner.step(requested)).unwrap();
     let outcome = |attempt, outcome| OwnerInput::Outcome { id: id("a"), attempt, outcome, lost: false };
-    alone.step(outcome(first, Outcome::NeverRan { after: 0 }));
-    alone.now += ATTEMPT_BACKOFF;
-    let second = sent(alone.step(OwnerInput::Tick)).unwrap();
-    assert_eq!(alone.step(outcome(first, Outcome::Delivered)), []);
+    owner.step(outcome(first, Outcome::NeverRan { after: 0 }));
+    owner.now += ATTEMPT_BACKOFF;
+    let second = sent(owner.step(OwnerInput::Tick)).unwrap();
+    assert_eq!(owner.step(outcome(first, Outcome::Delivered)), []);
     let closed = Verdict::Closed { total: 1 };
-    let outputs = alone.step(outcome(second, Outcome::Delivered));
+    let outputs = owner.step(outcome(second, Outcome::Delivered));
     let is_closed = |o: &OwnerOutput| matches!(o, OwnerOutput::Propose(SettlementCommand::Close { verdict, .. }) if *verdict == closed);
     assert!(outputs.iter().any(is_closed), "{outputs:?}");
 }
 
 #[test]
 fn a_budget_too_small_for_a_session_is_rejected_at_once() {
-    let mut alone = Alone::new(SettlementLimits::default());
-    alone.owned.set_mode(7, Mode::Session { resume: Resume::Never, linger: 0 });
-    alone.owned.set_budget("north", 7, 1);
-    alone.open("a");
+    let mut owner = SingleOwner::new(SettlementLimits::default());
+    owner.owned.set_mode(7, Mode::Session { resume: Resume::Never, linger: 0 });
+    owner.owned.set_budget("north", 7, 1);
+    owner.open("a");
     assert!(matches!(
-        alone.refusal("a", sequenced(1, None)),
+        owner.refusal("a", sequenced(1, None)),
         SettlementError::NoPinnableConnection { budget: 1, least: 2, .. }
     ));
-    alone.owned.set_budget("north", 7, 2);
-    assert_eq!(alone.request("a", SettlementRequest::Submit(sequenced(1, None))), SettlementReply::Accepted);
-    assert_eq!(alone.owned.pinned("north", 7), 1);
+    owner.owned.set_budget("north", 7, 2);
+    assert_eq!(owner.request("a", SettlementRequest::Submit(sequenced(1, None))), SettlementReply::Accepted);
+    assert_eq!(owner.owned.pinned("north", 7), 1);
 }
 
 #[test]
 fn an_owner_whose_records_are_lost_reports_an_unknown_position() {
-    let mut alone = Alone::new(SettlementLimits::default());
-    alone.registry.apply(&SettlementCommand::Open { id: id("a"), owner: "w".into(), owner_epoch: 1 });
+    let mut owner = SingleOwner::new(SettlementLimits::default());
+    owner.registry.apply(&SettlementCommand::Open { id: id("a"), owner: "w".into(), owner_epoch: 1 });
     let successor = JournalRef { courier: "x".into(), epoch: 1 };
-    let moved = alone.registry.gone("w", 1, &[successor]);
-    let mut outputs = alone.step(OwnerInput::Committed(moved[0].clone()));
+    let moved = owner.registry.gone("w", 1, &[successor]);
+    let mut outputs = owner.step(OwnerInput::Committed(moved[0].clone()));
     assert!(matches!(&outputs[..], [OwnerOutput::Fetch { term: 2, journals, .. }] if journals.len() == 2));
-    outputs = alone.step(OwnerInput::Unreadable { id: id("a"), term: 2 });
+    outputs = owner.step(OwnerInput::Unreadable { id: id("a"), term: 2 });
     let lost = Verdict::Broken { at: 0, cause: Cause::RecordsLost };
     let is_told = |o: &OwnerOutput| matches!(o, OwnerOutput::Propose(SettlementCommand::Close { verdict, .. }) if *verdict == lost);
     assert!(outputs.iter().any(is_told), "{outputs:?}");
--- a/courier/fleet/tests/parts/progress.rs
+++ b/courier/fleet/tests/parts/progress.rs
@@ -1,10 +1,10 @@
-//! What books tell of a settlement.
+//! What the records of journals add up to.
 
 use quillmount_fleet::settlement::{
     Mode, Outcome, Repeat, SequencedMessage, SettlementId, SettlementProgress, SettlementRecord,
 };
 
-/// A courier that was home before and after another has both lives in one book.
+/// A courier that was the owner before and after another has the records of both terms in one journal.
 #[test]
 fn the_latest_owners_snapshot_replaces_earlier_records() {
     let id = SettlementId { tenant: "north".into(), name: "a".into(), dest: 7 };
@@ -28,7 +28,7 @@
     let second = vec![copy(std::slice::from_ref(&first), 2), handed(3)];
     let mut both = first.clone();
     both.extend([copy(&[first.clone(), second.clone()], 3), handed(4)]);
-    // What the second home wrote late was never acted on.
+    // What the second owner wrote late was never acted on.
     let mut late = second.clone();
     late.push(handed(9));
     let progress = SettlementProgress::read(&id, &[both.clone(), late, both]);
@@ -36,8 +36,8 @@
     let mut taken = progress.clone();
     taken.take_over();
     assert_eq!(taken.positions[&1].first_attempt, Some(5), "it was out, and may have run");
-    // Home for the second time, it was lost before it had read anything: its book tells of the first
-    // only.
+    // As the owner for the second time it was lost before it had read anything: its journal has the records of the first
+    // term only.
     let mut second = second;
     second.push(SettlementRecord::Outcome { id: id.clone(), position: 1, outcome: Outcome::Delivered });
     let (once, again) = ([first.clone(), second.clone()], [first.clone(), second.clone(), first]);
--- a/courier/fleet/tests/parts/registry.rs
+++ b/courier/fleet/tests/parts/registry.rs
@@ -1,4 +1,4 @@
-//! What is agreed on of settlements.
+//! The agreed state of settlements.
 
 use quillmount_fleet::settlement::registry::MAX_OPEN_PER_TENANT;
 use quillmount_fleet::settlement::{
--- a/courier/fleet/tests/parts/session.rs
+++ b/courier/fleet/tests/parts/session.rs
@@ -1,4 +1,4 @@
-//! A partner's sessions, and their part of a budget.
+//! The sessions at a partner, and the connections that they reserve.
 
 use quillmount_fleet::settlement::SettlementId;
 use quillmount_fleet::settlement::session::{
--- a/courier/fleet/tests/parts/translator.rs
+++ b/courier/fleet/tests/parts/translator.rs
@@ -1,4 +1,4 @@
-//! The boundaries of one mode as those of the other.
+//! The conversion of a settlement's boundaries between the modes.
 
 use quillmount_fleet::settlement::SettlementError;
 use quillmount_fleet::settlement::translator::{
--- a/courier/fleet/tests/settlement.rs
+++ b/courier/fleet/tests/settlement.rs
@@ -1,8 +1,8 @@
-//! Settlements among couriers that lose messages, calls and each other: explored in small cases, simulated in
-//! large.
+//! Settlements at couriers that lose messages, calls and each other: explored exhaustively in small cases, simulated in
+//! large ones.
 //!
-//! The machines are the ones that run. The world around them is small: a log that every courier applies at
-//! its own pace, books that can be sealed, a partner that notes what ran, and consumers that ask again.
+//! The state machines are those of the fleet. The world around them is a model: a log that every courier applies at its
+//! own pace, journals that can be sealed, a partner that records what ran, and clients that retry.
 
 use quillmount_fleet::settlement::session::linger;
 use quillmount_fleet::settlement::{
@@ -20,8 +20,8 @@
 
 /// The partner closes a session that is idle for so long.
 const PARTNER_IDLE: Micros = 3_000_000;
-/// How often a consumer asks.
-const TRIES: u64 = 6;
+/// How often a client sends a request.
+const ATTEMPTS: u64 = 6;
 const NEVER: Mode = Mode::Session { resume: Resume::Never, linger: 0 };
 const AFTER: Mode = Mode::Session { resume: Resume::AfterAnswer, linger: 0 };
 
@@ -66,7 +66,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Life {
+enum ProcessState {
     Up,
     /// It does nothing, and its connections stay.
     Paused,
@@ -75,7 +75,7 @@
 
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct Courier {
-    life: Life,
+    process: ProcessState,
     epoch: u64,
     registry: SettlementRegistry,
     applied: usize,
@@ -84,7 +84,7 @@
     is_taken_over: bool,
 }
 
-/// What the partner and the consumers saw of one settlement.
+/// What the partner and the clients saw of one settlement.
 #[derive(Clone, Default, PartialEq, Eq, Hash)]
 struct Seen {
     /// By position: how often it ran.
@@ -166,7 +166,7 @@
         }
         self.journals.insert(JournalRef { courier: name(c), epoch }, (Vec::new(), false));
         Courier {
-            life: Life::Up,
+            process: ProcessState::Up,
             epoch,
             registry: self.truth.clone(),
             applied: self.log.len(),
@@ -294,7 +294,7 @@
         }
     }
 
-    /// A consumer hears the word, and asks elsewhere where that helps.
+    /// A client receives the answer, and retries elsewhere where that helps.
     fn answer(&mut self, ticket: u64, reply: SettlementReply) {
         let Some((c, id, request)) = self.pending_requests.remove(&ticket) else { return };
         match reply {
@@ -316,14 +316,14 @@
 
     fn request_elsewhere(&mut self, c: usize, ticket: u64, id: SettlementId, request: SettlementRequest) {
         let others = (1..=self.couriers.len()).map(|step| (c + step) % self.couriers.len());
-        let to = others.into_iter().find(|to| self.couriers[*to].life == Life::Up);
-        if let (Some(to), true) = (to, ticket % 10 < TRIES) {
+        let to = others.into_iter().find(|to| self.couriers[*to].process == ProcessState::Up);
+        if let (Some(to), true) = (to, ticket % 10 < ATTEMPTS) {
             self.fly(Flight::Submit { to, ticket: ticket + 1, id, request });
         }
     }
 
     fn is_current(&self, c: usize, epoch: u64) -> bool {
-        self.couriers[c].life == Life::Up && self.couriers[c].epoch == epoch
+        self.couriers[c].process == ProcessState::Up && self.couriers[c].epoch == epoch
     }
 
     /// The courier that has to be there for this, in which registration.
@@ -343,10 +343,11 @@
         }
     }
 
-    /// Whether it can arrive now: a paused courier neither takes nor sends, and a book is written in order.
+    /// Whether it can arrive now: a paused courier neither receives nor sends, and a journal is written in order.
     fn is_deliverable(&self, flight: &Flight) -> bool {
         let is_paused = Self::needs(flight).is_some_and(|(c, epoch)| {
-            self.couriers[c].life == Life::Paused && epoch.is_none_or(|epoch| epoch == self.couriers[c].epoch)
+            self.couriers[c].process == ProcessState::Paused
+                && epoch.is_none_or(|epoch| epoch == self.couriers[c].epoch)
         });
         let is_in_turn = match flight {
             Flight::Write { c, epoch, seq, .. } => !self.flights.iter().any(|(_, other)| match other {
@@ -361,21 +362,23 @@
     /// `fault`: the partner's answer to a call.
     fn deliver(&mut self, flight: Flight, fault: Option<Fault>) {
         match flight {
-            Flight::Submit { to, ticket, id, request } => match self.couriers[to].life {
-                Life::Up => {
+            Flight::Submit { to, ticket, id, request } => match self.couriers[to].process {
+                ProcessState::Up => {
                     self.pending_requests.insert(ticket, (to, id.clone(), request.clone()));
                     self.step_forwarder(to, forward::ForwardInput::Request { ticket, id, request });
                 }
                 _ => self.request_elsewhere(to, ticket, id, request),
             },
-            Flight::Net { to, message, from } if self.couriers[to].life == Life::Up => match message {
-                SettlementMessage::Request { id, request } => {
-                    self.step_owned(to, OwnerInput::Request { from: name(from), id, request })
-                }
-                SettlementMessage::Reply { id, request, reply } => {
-                    self.step_forwarder(to, forward::ForwardInput::Reply { id, request, reply })
+            Flight::Net { to, message, from } if self.couriers[to].process == ProcessState::Up => {
+                match message {
+                    SettlementMessage::Request { id, request } => {
+                        self.step_owned(to, OwnerInput::Request { from: name(from), id, request })
+                    }
+                    SettlementMessage::Reply { id, request, reply } => {
+                        self.step_forwarder(to, forward::ForwardInput::Reply { id, request, reply })
+                    }
                 }
-            },
+            }
             Flight::Propose(command) => self.append(Entry::Command(command)),
             Flight::Write { c, epoch, seq, records } => {
                 let (journal, is_sealed) = self
@@ -564,9 +567,9 @@
         }
     }
 
-    fn lose(&mut self, c: usize, life: Life) {
-        self.couriers[c].life = life;
-        if life == Life::Dead {
+    fn lose(&mut self, c: usize, process: ProcessState) {
+        self.couriers[c].process = process;
+        if process == ProcessState::Dead {
             self.seen.values_mut().for_each(|seen| seen.sessions.retain(|(total, ..), _| *total != c));
             self.flights.retain(|(_, f)| {
                 Self::needs(f).is_none_or(|(total, epoch)| total != c || epoch.is_none())
@@ -586,7 +589,7 @@
         }
     }
 
-    /// The lease has lapsed: the book is sealed, and the others take what was there.
+    /// The lease has lapsed: the journal is sealed, and the others take over what was there.
     fn take_over(&mut self, c: usize) {
         let journal = self.journal(c);
         self.journals.get_mut(&journal).unwrap().1 = true;
@@ -600,7 +603,7 @@
 
     /// Back with an empty memory, as a registration of its own.
     fn restart(&mut self, c: usize) {
-        self.lose(c, Life::Dead);
+        self.lose(c, ProcessState::Dead);
         if !self.couriers[c].is_taken_over {
             self.take_over(c);
         }
@@ -610,13 +613,14 @@
     }
 
     fn drain(&mut self, c: usize, by: Micros) {
-        let others = (0..self.couriers.len()).filter(|o| *o != c && self.couriers[*o].life == Life::Up);
+        let others =
+            (0..self.couriers.len()).filter(|o| *o != c && self.couriers[*o].process == ProcessState::Up);
         let successors: Vec<JournalRef> = others.map(|other| self.journal(other)).collect();
         self.step_owned(c, OwnerInput::Drain { successors, by });
     }
 
     fn wake_at(&self) -> Option<Micros> {
-        let up = self.couriers.iter().filter(|courier| courier.life == Life::Up);
+        let up = self.couriers.iter().filter(|courier| courier.process == ProcessState::Up);
         let wakes = up.flat_map(|courier| [courier.owned.wake_at(), courier.forwarder.wake_at()]).flatten();
         wakes.chain(self.partner_wake()).min()
     }
@@ -644,7 +648,8 @@
         }
         for c in 0..self.couriers.len() {
             let courier = &self.couriers[c];
-            let is_due = |at: Option<Micros>| courier.life == Life::Up && at.is_some_and(|at| at <= now);
+            let is_due =
+                |at: Option<Micros>| courier.process == ProcessState::Up && at.is_some_and(|at| at <= now);
             let (owned, forwarder) = (is_due(courier.owned.wake_at()), is_due(courier.forwarder.wake_at()));
             if owned {
                 self.step_owned(c, OwnerInput::Tick);
@@ -668,7 +673,7 @@
             }
         }
         for courier in self.couriers.clone() {
-            let is_up = courier.life == Life::Up && courier.applied == self.log.len();
+            let is_up = courier.process == ProcessState::Up && courier.applied == self.log.len();
             if is_up && (courier.owned.sizes(), courier.forwarder.len()) != ((0, 0, 0), 0) {
                 self.wrong(format!("a courier still holds {:?}", courier.owned.sizes()));
             }
@@ -708,9 +713,9 @@
     Fault(Flight, Fault),
     Apply(usize),
     SequencedMessage,
-    /// So many of its writes are in the book, and a call or closing of its reached the partner: it knows of
+    /// So many of its writes are in the journal, and a call or closing of its reached the partner: it knows of
     /// neither.
-    Lose(usize, Life, usize, bool),
+    Lose(usize, ProcessState, usize, bool),
     TakeOver(usize),
     Resume(usize),
     Drain(usize),
@@ -720,12 +725,12 @@
 fn moves(world: &World, left: &Left) -> Vec<Move> {
     let mut moves = Vec::new();
     let mut seen: HashSet<&Flight> = HashSet::new();
-    let is_back = |c: usize| world.couriers[c].life == Life::Up && world.couriers[c].is_taken_over;
+    let is_back = |c: usize| world.couriers[c].process == ProcessState::Up && world.couriers[c].is_taken_over;
     for (_, flight) in &world.flights {
         if !world.is_deliverable(flight) || !seen.insert(flight) {
             continue;
         }
-        // What only tells a consumer, or comes to nobody, changes nothing by waiting.
+        // What only answers a client, or reaches nobody, changes nothing by waiting.
         let is_plain = match flight {
             Flight::Net { message: SettlementMessage::Reply { .. }, .. } | Flight::Drop { .. } => true,
             Flight::Net { to, from, .. } if to == from => true,
@@ -733,7 +738,7 @@
             // One that is back from a pause goes on with what it has, and the later it learns of its seal the
             // worse.
             Flight::Written { c, .. } | Flight::Write { c, .. } if is_back(*c) => true,
-            _ => World::needs(flight).is_some_and(|(c, _)| world.couriers[c].life == Life::Dead),
+            _ => World::needs(flight).is_some_and(|(c, _)| world.couriers[c].process == ProcessState::Dead),
         };
         if is_plain {
             return vec![Move::Deliver(flight.clone())];
@@ -744,7 +749,7 @@
         }
         moves.push(Move::Deliver(flight.clone()));
     }
-    let up = |c: &usize| world.couriers[*c].life == Life::Up;
+    let up = |c: &usize| world.couriers[*c].process == ProcessState::Up;
     let all = 0..world.couriers.len();
     let behind = |c: &usize| world.couriers[*c].applied < world.log.len();
     if let Some(c) = all.clone().find(|c| is_back(*c) && behind(c)) {
@@ -755,22 +760,22 @@
         moves.push(Move::SequencedMessage);
     }
     let is_quiet = moves.is_empty();
-    // Only a home's loss is worth a look.
+    // Only the loss of an owner is explored.
     let is_home = |c: &usize| {
         let courier = &world.couriers[*c];
         courier.owned.sizes().0 > 0
             || world.truth.owners().any(|(_, owner)| owner.is_at(&name(*c), courier.epoch))
     };
     for c in all.clone().filter(up).filter(is_home) {
-        let lives = [(left.kills, Life::Dead), (left.pauses, Life::Paused)];
+        let lives = [(left.kills, ProcessState::Dead), (left.pauses, ProcessState::Paused)];
         let theirs = |f: &Flight| World::needs(f).is_some_and(|(total, epoch)| total == c && epoch.is_some());
         let flights = || world.flights.iter().map(|(_, flight)| flight).filter(|f| theirs(f));
         let writes = flights().filter(|f| matches!(f, Flight::Write { .. })).count();
         let has_call = flights().any(|f| matches!(f, Flight::Call { .. } | Flight::Close { .. }));
-        for (_, life) in lives.into_iter().filter(|(n, _)| *n > 0) {
+        for (_, process) in lives.into_iter().filter(|(n, _)| *n > 0) {
             for written in 0..=writes {
-                moves.push(Move::Lose(c, life, written, false));
-                moves.extend(has_call.then_some(Move::Lose(c, life, written, true)));
+                moves.push(Move::Lose(c, process, written, false));
+                moves.extend(has_call.then_some(Move::Lose(c, process, written, true)));
             }
         }
         if left.drains > 0 {
@@ -780,11 +785,11 @@
     let mut is_waiting = false;
     for c in all {
         let courier = &world.couriers[c];
-        is_waiting |= courier.life != Life::Up && !courier.is_taken_over;
-        if courier.life != Life::Up && !courier.is_taken_over {
+        is_waiting |= courier.process != ProcessState::Up && !courier.is_taken_over;
+        if courier.process != ProcessState::Up && !courier.is_taken_over {
             moves.push(Move::TakeOver(c));
         }
-        if courier.life == Life::Paused && courier.is_taken_over {
+        if courier.process == ProcessState::Paused && courier.is_taken_over {
             moves.push(Move::Resume(c));
         }
     }
@@ -818,8 +823,8 @@
             let ticket = (checksum(&id.name) % 1_000 * 10 + position) * 10;
             world.deliver(Flight::Submit { to, ticket, id, request }, None);
         }
-        Move::Lose(c, life, writes, has_call) => {
-            let n = if *life == Life::Dead { &mut left.kills } else { &mut left.pauses };
+        Move::Lose(c, process, writes, has_call) => {
+            let n = if *process == ProcessState::Dead { &mut left.kills } else { &mut left.pauses };
             *n -= 1;
             let is_theirs =
                 |f: &Flight| World::needs(f).is_some_and(|(total, epoch)| total == *c && epoch.is_some());
@@ -837,12 +842,12 @@
                 let flight = take(world, &call);
                 world.deliver(flight, None);
             }
-            world.lose(*c, *life);
+            world.lose(*c, *process);
             // Its consumers have left it; what it would ask for them is asked twice in the simulation.
             world.couriers[*c].forwarder = RequestForwarder::new(&name(*c), world.couriers[*c].epoch);
         }
         Move::TakeOver(c) => world.take_over(*c),
-        Move::Resume(c) => world.couriers[*c].life = Life::Up,
+        Move::Resume(c) => world.couriers[*c].process = ProcessState::Up,
         Move::Drain(c) => {
             left.drains -= 1;
             world.drain(*c, world.now + 4_000_000);
@@ -855,7 +860,7 @@
     world.flights.sort_by_cached_key(|(_, flight)| checksum(flight));
 }
 
-/// What arrives, and the word that comes back of it: a loss in between is a case of [`Move::Lose`].
+/// What arrives, and the reply to it: a loss in between is a case of [`Move::Lose`].
 fn at_once(world: &mut World, flight: Flight, fault: Option<Fault>) {
     let is_asked = matches!(
         flight,
@@ -966,41 +971,41 @@
 const MODES: [(&str, Mode); 3] = [("message", Mode::Message), ("never", NEVER), ("after answer", AFTER)];
 const REPEATS: [(&str, Repeat); 2] = [("debits", Repeat::Never), ("keyed", Repeat::Within(30_000_000))];
 
-/// A home that is lost at each point, in each mode; says how many states that were.
-fn takeovers(life: Life, sequenced_messages: &[(usize, u64)], total: u64) -> usize {
+/// An owner that is lost at each point, in each mode; prints the number of states.
+fn takeovers(process: ProcessState, sequenced_messages: &[(usize, u64)], total: u64) -> usize {
     let mut states = 0;
     for (name, one) in MODES {
         for (what, repeat) in REPEATS {
             let (world, mut left, id) = case(one, repeat, sequenced_messages, total);
-            *(if life == Life::Dead { &mut left.kills } else { &mut left.pauses }) = 1;
-            let found = run_case(&format!("{name}, {what}, {life:?}"), world, left, &id);
+            *(if process == ProcessState::Dead { &mut left.kills } else { &mut left.pauses }) = 1;
+            let found = run_case(&format!("{name}, {what}, {process:?}"), world, left, &id);
             assert!(found.wrong.is_none());
             assert!(found.ends.contains_key(&Verdict::Closed { total }));
             states += found.states;
         }
     }
-    println!("{life:?}: {states} states");
+    println!("{process:?}: {states} states");
     states
 }
 
 #[test]
 fn a_takeover_at_each_point_of_a_settlement_of_three() {
-    takeovers(Life::Dead, REVERSED, 3);
+    takeovers(ProcessState::Dead, REVERSED, 3);
 }
 
 #[test]
 fn an_owner_paused_at_each_point_of_a_settlement_of_two() {
-    takeovers(Life::Paused, &REVERSED[1..], 2);
+    takeovers(ProcessState::Paused, &REVERSED[1..], 2);
 }
 
-/// Minutes: by hand, and at each change of the machines.
+/// It takes minutes: run by hand at each change of the state machines.
 #[test]
 #[ignore = "three minutes"]
 fn an_owner_paused_at_each_point_of_a_settlement_of_three() {
-    takeovers(Life::Paused, REVERSED, 3);
+    takeovers(ProcessState::Paused, REVERSED, 3);
 }
 
-/// A drained home leaves at a boundary where it can, and in the middle where it must; a call may break at
+/// A draining owner leaves at a boundary where it can, and in the middle where it must; a call may break at
 /// each point.
 #[test]
 fn a_drain_and_a_fault_at_each_point_of_a_settlement_of_two() {
@@ -1074,7 +1079,7 @@
 /// What happens to couriers: a loss, and later its takeover and its return.
 #[derive(Clone, Copy)]
 enum Blow {
-    Lose(usize, Life),
+    Lose(usize, ProcessState),
     TakeOver(usize, u64),
     Resume(usize, u64),
     Restart(usize, u64),
@@ -1123,8 +1128,8 @@
     for _ in 0..dice.below(20) {
         let (at, c) = (dice.below(25_000_000), dice.below(n as u64) as usize);
         blows.push(match dice.below(10) {
-            0..=2 => (at, Blow::Lose(c, Life::Dead)),
-            3 | 4 => (at, Blow::Lose(c, Life::Paused)),
+            0..=2 => (at, Blow::Lose(c, ProcessState::Dead)),
+            3 | 4 => (at, Blow::Lose(c, ProcessState::Paused)),
             5..=7 => (at, Blow::Drain(c)),
             8 => (at, Blow::Mode(c)),
             _ => (at, Blow::Budget),
@@ -1160,7 +1165,8 @@
                     fly(&mut world, &mut dice, flight);
                 }
                 (None, None) => {
-                    let is_behind = |c: &Courier| c.life == Life::Up && c.applied < world.log.len();
+                    let is_behind =
+                        |c: &Courier| c.process == ProcessState::Up && c.applied < world.log.len();
                     let Some(c) = world.couriers.iter().position(is_behind) else { break };
                     world.apply(c);
                 }
@@ -1178,7 +1184,7 @@
         world.wrong.get_or_insert(format!("{id:?} has no verdict"));
     }
     (0..n).for_each(|c| {
-        while world.couriers[c].life == Life::Up && world.couriers[c].applied < world.log.len() {
+        while world.couriers[c].process == ProcessState::Up && world.couriers[c].applied < world.log.len() {
             world.apply(c);
         }
     });
@@ -1267,7 +1273,7 @@
     for c in 0..world.couriers.len() {
         let is_behind = world.couriers[c].applied < world.log.len();
         let is_idle = world.flights.is_empty() && world.wake_at().is_none();
-        if world.couriers[c].life == Life::Up && is_behind && (is_idle || dice.odds(500)) {
+        if world.couriers[c].process == ProcessState::Up && is_behind && (is_idle || dice.odds(500)) {
             world.apply(c);
         }
     }
@@ -1283,30 +1289,35 @@
     let epoch = |world: &World, c: usize| world.couriers[c].epoch;
     match blow {
         // One at least stays to take the others' settlements.
-        Blow::Lose(c, life) => {
-            let up = world.couriers.iter().filter(|o| o.life == Life::Up && !o.is_taken_over).count();
-            if world.couriers[c].life != Life::Up || world.couriers[c].is_taken_over || up < 2 {
+        Blow::Lose(c, process) => {
+            let up =
+                world.couriers.iter().filter(|o| o.process == ProcessState::Up && !o.is_taken_over).count();
+            if world.couriers[c].process != ProcessState::Up || world.couriers[c].is_taken_over || up < 2 {
                 return;
             }
             totals.losses += 1;
-            world.lose(c, life);
+            world.lose(c, process);
             let (now, epoch) = (world.now, epoch(world, c));
             let back = now + 100_000 + dice.below(5_000_000);
             let lapse = now + 1_000_000;
             blows.push((lapse, Blow::TakeOver(c, epoch)));
-            if life == Life::Paused {
+            if process == ProcessState::Paused {
                 blows.push((back, Blow::Resume(c, epoch)));
             }
             blows.push((back.max(lapse) + 1_000_000, Blow::Restart(c, epoch)));
         }
-        Blow::TakeOver(c, total) if epoch(world, c) == total && world.couriers[c].life != Life::Up => {
+        Blow::TakeOver(c, total)
+            if epoch(world, c) == total && world.couriers[c].process != ProcessState::Up =>
+        {
             world.take_over(c);
         }
-        Blow::Resume(c, total) if epoch(world, c) == total => world.couriers[c].life = Life::Up,
+        Blow::Resume(c, total) if epoch(world, c) == total => world.couriers[c].process = ProcessState::Up,
         Blow::Restart(c, total) if epoch(world, c) == total && world.couriers[c].is_taken_over => {
             world.restart(c)
         }
-        Blow::Drain(c) if world.couriers[c].life == Life::Up && !world.couriers[c].is_taken_over => {
+        Blow::Drain(c)
+            if world.couriers[c].process == ProcessState::Up && !world.couriers[c].is_taken_over =>
+        {
             totals.drains += 1;
             let by = world.now + 100_000 + dice.below(2_000_000);
             world.drain(c, by);
@@ -1314,7 +1325,7 @@
                 blows.push((by + dice.below(2_000_000), Blow::Undrain(c)));
             }
         }
-        Blow::Undrain(c) if world.couriers[c].life == Life::Up => {
+        Blow::Undrain(c) if world.couriers[c].process == ProcessState::Up => {
             world.step_owned(c, OwnerInput::CancelDrain)
         }
         // The partner of destination 4 changes its mode, and one courier hears of it: what is open keeps its
--- a/courier/fleet/tests/settlement_owners.rs
+++ b/courier/fleet/tests/settlement_owners.rs
@@ -1,4 +1,4 @@
-//! Where settlements live when their home is lost or back, by the state that all agree on.
+//! The owners of settlements in the agreed state when a courier is lost or returns.
 
 use quillmount_fleet::settlement::{self, SettlementEvent as Moved, SettlementId};
 use quillmount_fleet::state::{
@@ -10,7 +10,7 @@
     SettlementId { tenant: "north".into(), name: format!("evening-{dest}"), dest }
 }
 
-/// Three couriers, each with a copy at the next, and a settlement of each destination that is home at `x`.
+/// Three couriers, each with a replica at the next, and a settlement of each destination that `x` owns.
 fn fleet() -> (FleetState, [u64; 3]) {
     let mut state = FleetState::default();
     let epochs = ["x", "y", "z"].map(|name| {
@@ -36,9 +36,8 @@
     (state, epochs)
 }
 
-/// The taker of a settlement is the courier that has the part of the lost book that its destination is in, so
-/// that its records come to it with that part's; and what another is to take over goes on at the next when
-/// that one is lost too.
+/// A settlement goes to the courier that adopts its destination's partition of the lost journal, as its records come
+/// with that partition. When that courier is lost too, it goes to the next.
 #[test]
 fn a_settlement_follows_the_partition_of_its_destination() {
     let (mut state, [x, y, _]) = fleet();
@@ -65,7 +64,8 @@
     assert_eq!(state.apply(FleetCommand::Settlement(late)), [], "it is gone");
 }
 
-/// Who is back with a book that nobody has read is home again; what was taken over stays with its taker.
+/// A courier that returns with a journal that nobody has read owns its settlements again; what was taken over stays with
+/// its new owner.
 #[test]
 fn a_courier_that_returns_with_its_journal_owns_its_settlements_again() {
     for taken in [false, true] {
