--- a/courier/core/src/call.rs
+++ b/courier/core/src/call.rs
@@ -83,13 +83,13 @@
 
     /// A call to be started. `decode` reads its answer, of which at most `most` bytes are read.
     pub fn new(order: DeliveryCall, decode: Decode, most: usize) -> Self {
-        let attempt = Attempt::new(decode, most, order.by);
+        let attempt = Attempt::new(decode, most, order.send_before);
         Call { order, attempt, connection: None, is_counted: false, full_closes: false }
     }
 
     /// The same for a call whose body is passed on as it arrives.
     pub fn streamed(order: DeliveryCall, decode: Decode, most: usize) -> Self {
-        let attempt = Attempt::streamed(decode, most, order.by);
+        let attempt = Attempt::streamed(decode, most, order.send_before);
         Call { order, attempt, connection: None, is_counted: false, full_closes: false }
     }
 
--- a/courier/core/src/delivery.rs
+++ b/courier/core/src/delivery.rs
@@ -31,7 +31,7 @@
     /// How long the call is waited for, in microseconds: as long as any of its messages is.
     pub timeout: Micros,
     /// No byte of the call may be sent from this time on.
-    pub by: Micros,
+    pub send_before: Micros,
     /// The body is passed on as it arrives, and is not in the payload.
     pub stream: bool,
     /// Further messages of the call.
--- a/courier/core/src/flow.rs
+++ b/courier/core/src/flow.rs
@@ -30,7 +30,7 @@
 
 /// Whether all of a body was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Source {
+pub enum BodySource {
     /// More is to come.
     Coming,
     /// All of it was received, and its digest matches if it has one.
@@ -60,7 +60,7 @@
     base: u64,
     /// The bytes sent in the present attempt. Invariant: `sent <= received`.
     sent: u64,
-    source: Source,
+    source: BodySource,
     /// An attempt is in flight whose body may be written.
     sending: bool,
     /// The destination has asked to wait: nothing is sent.
@@ -78,7 +78,7 @@
             received: 0,
             base: 0,
             sent: 0,
-            source: if length == Some(0) { Source::Whole } else { Source::Coming },
+            source: if length == Some(0) { BodySource::Whole } else { BodySource::Coming },
             sending: false,
             paused: false,
             client: SideProgress::new(client),
@@ -89,7 +89,7 @@
     }
 
     /// Whether all of it was received.
-    pub fn source(&self) -> Source {
+    pub fn source(&self) -> BodySource {
         self.source
     }
 
@@ -110,7 +110,7 @@
 
     /// How many bytes may be read now; never more than the body still has to come.
     pub fn capacity(&self) -> u64 {
-        if self.source != Source::Coming {
+        if self.source != BodySource::Coming {
             return 0;
         }
         let free = self.window - (self.received - self.base);
@@ -122,11 +122,11 @@
     /// The last byte of a body with a length is not sent before all of it was received and its digest matches: a body that is
     /// cut short or corrupt must not look complete. A body in chunks is complete with its last chunk only.
     pub fn sendable(&self) -> u64 {
-        if !self.sending || self.paused || matches!(self.source, Source::Cut(_)) {
+        if !self.sending || self.paused || matches!(self.source, BodySource::Cut(_)) {
             return 0;
         }
         let most = match (self.length, self.source) {
-            (Some(length), Source::Coming) if !breaks::is_enabled(Break::LastByteEarly) => {
+            (Some(length), BodySource::Coming) if !breaks::is_enabled(Break::LastByteEarly) => {
                 self.received.min(length.saturating_sub(1))
             }
             _ => self.received,
@@ -136,12 +136,12 @@
 
     /// The body is complete and every byte was sent: its end may be written.
     pub fn may_finish(&self) -> bool {
-        self.sending && !self.paused && self.source == Source::Whole && self.sent == self.received
+        self.sending && !self.paused && self.source == BodySource::Whole && self.sent == self.received
     }
 
     /// Nothing of it was dropped, and it may still become complete: another attempt can have all of it.
     pub fn is_replayable(&self) -> bool {
-        self.base == 0 && !matches!(self.source, Source::Cut(_))
+        self.base == 0 && !matches!(self.source, BodySource::Cut(_))
     }
 
     /// Bytes were read from the client.
@@ -157,16 +157,16 @@
 
     /// The body came to its end, and its digest matches.
     pub fn complete(&mut self, now: Micros) {
-        if self.source == Source::Coming {
-            self.source = Source::Whole;
+        if self.source == BodySource::Coming {
+            self.source = BodySource::Whole;
             self.update(now);
         }
     }
 
     /// The body will never be complete.
     pub fn cut(&mut self, why: Cut, now: Micros) {
-        if self.source == Source::Coming {
-            self.source = Source::Cut(why);
+        if self.source == BodySource::Coming {
+            self.source = BodySource::Cut(why);
             self.update(now);
         }
     }
@@ -224,7 +224,7 @@
     /// Drops what need not be buffered, and sets whose turn it is.
     fn update(&mut self, now: Micros) {
         // A window full of bytes that were sent is of more use for further bytes than for another attempt.
-        let full = self.received - self.base >= self.window && self.source == Source::Coming;
+        let full = self.received - self.base >= self.window && self.source == BodySource::Coming;
         if (full || self.base > 0) && self.sending {
             self.base = self.base.max(self.sent);
         }
--- a/courier/core/src/flow/table.rs
+++ b/courier/core/src/flow/table.rs
@@ -1,6 +1,6 @@
 //! The transition table of a body.
 
-use super::{Cut, Flow, Pace, Source};
+use super::{BodySource, Cut, Flow, Pace};
 use crate::machine::transition_table::Machine;
 
 /// What can happen to a body, as the columns of its table.
@@ -72,10 +72,10 @@
 
     fn state(&self) -> &'static str {
         match (self.source, self.sending) {
-            (Source::Cut(_), _) => "Cut",
+            (BodySource::Cut(_), _) => "Cut",
             (_, true) if self.paused => "Paused",
-            (Source::Whole, true) if self.sent == self.received => "Done",
-            (Source::Whole, true) => "Last",
+            (BodySource::Whole, true) if self.sent == self.received => "Done",
+            (BodySource::Whole, true) => "Last",
             (_, true) if self.base > 0 => "Committed",
             (_, true) => "Sending",
             (_, false) if self.base > 0 => "Lost",
--- a/courier/core/src/router/calls.rs
+++ b/courier/core/src/router/calls.rs
@@ -202,7 +202,7 @@
         addr: target.addr,
         payload: lead.payload,
         timeout,
-        by: send_before,
+        send_before,
         stream: lead.stream,
         bundled: parts.map(|part| BundledMessage { call: part.call, payload: part.payload }).collect(),
         time_left,
--- a/courier/core/src/router/config.rs
+++ b/courier/core/src/router/config.rs
@@ -10,9 +10,9 @@
     /// Streams that may be open at once.
     pub most: usize,
     /// The share of the slots that streams may take; one slot at least.
-    pub part_of_slots: f64,
+    pub share_of_slots: f64,
     /// The share of each destination's window that streams may take; a window of one at least.
-    pub part_of_window: f64,
+    pub share_of_window: f64,
 }
 
 /// The part of the settings that the router itself uses. Classes, kinds and tenants are numbered by their positions.
@@ -87,9 +87,9 @@
     let mut zones = NameTable::default();
     let mut settings: Settings = decode_settings(env, &mut zones).map_err(RouterError::Decode)?;
     if let Some(limits) = streams {
-        let slots = (limits.part_of_slots * f64::from(settings.slots)) as u32;
+        let slots = (limits.share_of_slots * f64::from(settings.slots)) as u32;
         settings.stream_slots = slots.max(1);
-        settings.stream_window_share = limits.part_of_window;
+        settings.stream_window_share = limits.share_of_window;
     }
     Ok((settings, zones))
 }
@@ -109,6 +109,6 @@
 /// The limits of streams in the same stable form as [`Settings::mark_text`]: its names never follow a rename.
 fn streams_text(streams: Option<StreamLimits>) -> String {
     let Some(limits) = streams else { return "None".into() };
-    let (most, slots, window) = (limits.most, limits.part_of_slots, limits.part_of_window);
+    let (most, slots, window) = (limits.most, limits.share_of_slots, limits.share_of_window);
     format!("Some(StreamLimits {{ most: {most:?}, part_of_slots: {slots:?}, part_of_window: {window:?} }})")
 }
--- a/courier/core/tests/flow.rs
+++ b/courier/core/tests/flow.rs
@@ -1,6 +1,6 @@
 //! A streamed body, its window and its two sides.
 
-use quillmount_core::flow::{Cut, Flow, FlowSide, Late, Pace, Source};
+use quillmount_core::flow::{BodySource, Cut, Flow, FlowSide, Late, Pace};
 
 const PACE: Pace = Pace { stall: 10, span: 60, least: 6 };
 
@@ -42,7 +42,7 @@
     flow.cut(Cut::Digest, 1);
     assert_eq!((flow.sendable(), flow.may_finish(), flow.is_replayable()), (0, false, false));
     flow.complete(2);
-    assert_eq!(flow.source(), Source::Cut(Cut::Digest));
+    assert_eq!(flow.source(), BodySource::Cut(Cut::Digest));
 }
 
 /// A side is late only by the time in which it could have moved bytes.
--- a/courier/core/tests/full.rs
+++ b/courier/core/tests/full.rs
@@ -18,7 +18,7 @@
         addr: "127.0.0.1:1".parse().unwrap(),
         payload: Arc::new(payload),
         timeout: 1_000_000,
-        by: u64::MAX,
+        send_before: u64::MAX,
         stream: false,
         bundled: Vec::new(),
         time_left: 1_000_000,
--- a/courier/core/tests/handover_forms.rs
+++ b/courier/core/tests/handover_forms.rs
@@ -24,7 +24,8 @@
 use std::sync::Arc;
 
 const DISK: u64 = 999_999;
-const STREAMS: Option<StreamLimits> = Some(StreamLimits { most: 4, part_of_slots: 0.5, part_of_window: 0.5 });
+const STREAMS: Option<StreamLimits> =
+    Some(StreamLimits { most: 4, share_of_slots: 0.5, share_of_window: 0.5 });
 /// The fingerprint of the settings below: a state with another one is not resumed.
 const FINGERPRINT: u32 = 1_794_195_402;
 
@@ -206,7 +207,7 @@
         addr: if several { "[2001:db8::1]:7070" } else { "10.1.0.18:7070" }.parse().unwrap(),
         payload: payload(5),
         timeout: 950_000,
-        by: if several { NOW + 900_000 } else { Micros::MAX },
+        send_before: if several { NOW + 900_000 } else { Micros::MAX },
         stream: !several,
         bundled: if several { vec![bundled(6), bundled(7)] } else { vec![] },
         time_left: 850_000,
@@ -266,7 +267,10 @@
         assert_eq!(call.attempt().answer(), answer, "{name}");
         let (is, was) = (&call.order, order(several));
         assert_eq!((is.call, is.endpoint, is.dest, is.addr), (was.call, 3, 700, was.addr));
-        assert_eq!((is.timeout, is.by, is.stream, is.time_left), (950_000, was.by, !several, 850_000));
+        assert_eq!(
+            (is.timeout, is.send_before, is.stream, is.time_left),
+            (950_000, was.send_before, !several, 850_000)
+        );
         let payloads = |order: &DeliveryCall| {
             let of = |p: &MessagePayload| (p.id.clone(), p.key.clone(), p.body.clone());
             order.payloads().map(of).collect::<Vec<_>>()
--- a/courier/core/tests/repeats.rs
+++ b/courier/core/tests/repeats.rs
@@ -74,7 +74,7 @@
     for after in (50_000..1_200_000).step_by(50_000) {
         let (mut hub, _) = open(&env(&["dedup"]), Memory::default(), NOW);
         let first = submit(&mut hub, "m", 0, NOW);
-        assert_eq!(first.by, Micros::MAX, "nothing is remembered yet");
+        assert_eq!(first.send_before, Micros::MAX, "nothing is remembered yet");
         let mut begun: Vec<_> = calls(hub.call_ended(first.call, CallEnd::Reset, NOW + after))
             .into_iter()
             .map(|c| (NOW + after, c))
@@ -82,7 +82,7 @@
         begun.extend(run(&mut hub, NOW + after, NOW + 2 * SPAN));
         for (at, call) in &begun {
             assert!(*at <= NOW + SPAN - ORDER_MARGIN, "ordered {} after the first", at - NOW);
-            assert_eq!(call.by, NOW + SPAN - BYTE_MARGIN, "no byte of it leaves from then on");
+            assert_eq!(call.send_before, NOW + SPAN - BYTE_MARGIN, "no byte of it leaves from then on");
             repeated += 1;
         }
         assert_eq!(begun.is_empty(), has_ended(&hub, "m"), "{after}");
@@ -103,7 +103,7 @@
         .collect();
     begun.extend(run(&mut hub, late, late + 3 * SPAN));
     let (at, second) = begun.first().expect("it never ran and is tried again");
-    assert_eq!(second.by, Micros::MAX, "no attempt may have run yet");
+    assert_eq!(second.send_before, Micros::MAX, "no attempt may have run yet");
     // From here on one may have: the span is the second's, not the first's.
     let then = at + 100_000;
     let again = calls(hub.call_ended(second.call, CallEnd::Reset, then));
@@ -126,7 +126,7 @@
         begun.extend(run(&mut next, NOW + down, NOW + down + SPAN).into_iter().map(|(_, call)| call));
         let in_time = down <= SPAN - ORDER_MARGIN;
         assert_eq!(!begun.is_empty(), in_time, "{down}");
-        assert!(begun.iter().all(|call| call.by == NOW + SPAN - BYTE_MARGIN), "{down}");
+        assert!(begun.iter().all(|call| call.send_before == NOW + SPAN - BYTE_MARGIN), "{down}");
         assert_eq!(has_ended(&next, "m"), !in_time, "{down}");
     }
 }
@@ -207,7 +207,7 @@
                 assert_eq!(has_ended(&hub, "m"), !again, "{effect}, {end:?}");
                 let by =
                     if may_have_run && *effect == "dedup" { NOW + SPAN - BYTE_MARGIN } else { Micros::MAX };
-                assert!(begun.iter().all(|call| call.by == by), "{effect}, {end:?}");
+                assert!(begun.iter().all(|call| call.send_before == by), "{effect}, {end:?}");
             }
         }
     }
--- a/courier/core/tests/settings_mark.rs
+++ b/courier/core/tests/settings_mark.rs
@@ -43,7 +43,7 @@
         above_share_value: Some(0.25),
         ..SenderSettings::default()
     };
-    let streams = StreamLimits { most: 9, part_of_slots: 0.5, part_of_window: 0.25 };
+    let streams = StreamLimits { most: 9, share_of_slots: 0.5, share_of_window: 0.25 };
     assert_eq!(router::settings_fingerprint(&settings, None).unwrap(), 1_007_876_127);
     assert_eq!(router::settings_fingerprint(&settings, Some(streams)).unwrap(), 1_988_841_366);
 }
--- a/courier/program/src/fleet/budget.rs
+++ b/courier/program/src/fleet/budget.rs
@@ -223,7 +223,7 @@
         let order = &mut call.order;
         let (dest, endpoint, addr) = (order.dest, order.endpoint, order.addr);
         let tenant = tenant_name(order.payload.tenant.as_deref());
-        let by = order.by.min(until.saturating_sub(MIN_TIME_LEFT));
+        let by = order.send_before.min(until.saturating_sub(MIN_TIME_LEFT));
         let asked_at = self.clock.now();
         let mut first = true;
         loop {
--- a/courier/program/src/program/run.rs
+++ b/courier/program/src/program/run.rs
@@ -387,8 +387,8 @@
     };
     let limits = StreamLimits {
         most: section.most(),
-        part_of_slots: section.share_of_slots,
-        part_of_window: section.share_of_window,
+        share_of_slots: section.share_of_slots,
+        share_of_window: section.share_of_window,
     };
     let rules = StreamRules {
         classes: section.classes.clone(),
--- a/courier/program/src/transport/courier.rs
+++ b/courier/program/src/transport/courier.rs
@@ -516,8 +516,8 @@
         );
         let (id, addr) = (call.call, call.addr);
         let passes = self.gate.as_ref().map(|gate| {
-            call.by = call.by.min(gate.latest(self.clock.now()));
-            (gate.clone(), gate.written(), call.by)
+            call.send_before = call.send_before.min(gate.latest(self.clock.now()));
+            (gate.clone(), gate.written(), call.send_before)
         });
         let mut call = endpoints::begin(call, self.clock.now());
         call.0.full_closes = self.handle.hub.borrow().router.reads_load_reports();
--- a/courier/program/src/transport/streams.rs
+++ b/courier/program/src/transport/streams.rs
@@ -8,7 +8,7 @@
 use actix_rt::time::timeout;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use quillmount_core::call::Call;
-use quillmount_core::flow::{Cut, Flow, FlowSide, Pace, Source};
+use quillmount_core::flow::{BodySource, Cut, Flow, FlowSide, Pace};
 use quillmount_core::machine::attempt::{AttemptInput, AttemptState};
 use quillmount_core::router::StreamEnd;
 use quillmount_core::turns::Turns;
@@ -214,7 +214,7 @@
     // Whether a call is out, or one is still hoped for, is asked at that time, and after each that fails.
     let mut admits = true;
     loop {
-        while pipe.flow.borrow().source() == Source::Coming {
+        while pipe.flow.borrow().source() == BodySource::Coming {
             let capacity = pipe.flow.borrow().capacity();
             match body.next(buf) {
                 Next::Body(n) => {
@@ -254,7 +254,7 @@
                 flow.late_at(FlowSide::Client).map(|(at, _)| at).filter(|_| begun),
             )
         };
-        let reads = begun && capacity > 0 && source == Source::Coming;
+        let reads = begun && capacity > 0 && source == BodySource::Coming;
         if reads {
             pipe.streams.turn().await;
             buf.reserve(READ);
@@ -422,7 +422,7 @@
                     let flow = pipe.flow.borrow();
                     (
                         flow.late_at(FlowSide::Endpoint).map(|(at, _)| at),
-                        matches!(flow.source(), Source::Cut(_)),
+                        matches!(flow.source(), BodySource::Cut(_)),
                     )
                 };
                 if finished {
--- a/courier/protocol/tests/delivery.rs
+++ b/courier/protocol/tests/delivery.rs
@@ -45,7 +45,7 @@
         addr,
         payload,
         timeout,
-        by,
+        send_before: by,
         stream: false,
         bundled,
         time_left,
--- a/courier/protocol/tests/stored_forms.rs
+++ b/courier/protocol/tests/stored_forms.rs
@@ -214,7 +214,7 @@
         addr: "10.1.0.18:7070".parse().unwrap(),
         payload: payload("m1", key),
         timeout: 8_000_001,
-        by: u64::MAX,
+        send_before: u64::MAX,
         stream: false,
         bundled: if several { vec![bundled(2, "m2"), bundled(3, "m\"3")] } else { vec![] },
         time_left: 1_500_000,
--- a/tools/explore/src/streams.rs
+++ b/tools/explore/src/streams.rs
@@ -7,7 +7,7 @@
 use crate::fingerprint::Fingerprint;
 use crate::monitor::{Property, Violation, violated};
 use quillmount_core::call::{Call, StepOutcome};
-use quillmount_core::flow::{Cut, Flow, Pace, Source};
+use quillmount_core::flow::{BodySource, Cut, Flow, Pace};
 use quillmount_core::hub::{DriverAction, Hub};
 use quillmount_core::machine::attempt::{AttemptInput, AttemptState};
 use quillmount_core::pool::Pool;
@@ -206,7 +206,7 @@
         state: EndpointState::Ready,
     };
     let list = EndpointList { version: 1, full: true, endpoints: vec![provider] };
-    let limits = Some(StreamLimits { most: 2, part_of_slots: 0.5, part_of_window: 0.5 });
+    let limits = Some(StreamLimits { most: 2, share_of_slots: 0.5, share_of_window: 0.5 });
     let (router, steps) =
         Router::open_with(&env, limits, 1, list.clone(), store, 3_000_000, now).map_err(|e| e.to_string())?;
     let mut hub = Hub::new(router, Pool::new(15_000_000, 100));
@@ -281,7 +281,7 @@
         use StreamEvent::*;
         let (mut events, body, alone) = (Vec::new(), &self.bodies[n], self.size.bodies == 1);
         if let Some(flow) = body.flow.as_ref().filter(|_| body.connected && body.ends.is_empty()) {
-            let coming = flow.source() == Source::Coming;
+            let coming = flow.source() == BodySource::Coming;
             if coming && body.begun && flow.capacity() > 0 && flow.received() < self.size.length() {
                 events.push(Arrives);
             }
