--- a/courier/policy/src/breaks.rs
+++ b/courier/policy/src/breaks.rs
@@ -70,19 +70,36 @@
     false
 }
 
+/// Why a break cannot be enabled.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum BreakError {
+    /// No break has this name.
+    #[error("no break is named {0:?}")]
+    UnknownName(String),
+    /// The feature `breaks` is off.
+    #[error("this program was built without breaks")]
+    NotBuilt,
+}
+
 /// Enables a break by its name, for the whole process, in place of an earlier one.
 ///
 /// # Errors
 /// No break has the name, or this build has none.
-pub fn enable(name: &str) -> Result<(), String> {
-    let Some(n) = ALL.iter().position(|(known, _)| *known == name) else {
-        return Err(format!("no break is named {name:?}"));
-    };
-    #[cfg(feature = "breaks")]
-    CHOSEN.store(n, std::sync::atomic::Ordering::Relaxed);
-    #[cfg(not(feature = "breaks"))]
-    let _ = n;
-    if cfg!(feature = "breaks") { Ok(()) } else { Err("this program was built without breaks".into()) }
+pub fn enable(name: &str) -> Result<(), BreakError> {
+    let index = ALL.iter().position(|(known, _)| *known == name);
+    let index = index.ok_or_else(|| BreakError::UnknownName(name.to_string()))?;
+    choose(index)
+}
+
+#[cfg(feature = "breaks")]
+fn choose(index: usize) -> Result<(), BreakError> {
+    CHOSEN.store(index, std::sync::atomic::Ordering::Relaxed);
+    Ok(())
+}
+
+#[cfg(not(feature = "breaks"))]
+fn choose(_: usize) -> Result<(), BreakError> {
+    Err(BreakError::NotBuilt)
 }
 
 /// Disables every break.
--- a/courier/policy/src/settings.rs
+++ b/courier/policy/src/settings.rs
@@ -179,13 +179,6 @@
 }
 
 /// Settings that no instance can run under, with the reason.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("impossible settings: {0}")]
 pub struct SettingsError(pub &'static str);
-
-impl std::fmt::Display for SettingsError {
-    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(formatter, "impossible settings: {}", self.0)
-    }
-}
-
-impl std::error::Error for SettingsError {}
--- a/courier/policy/tests/random.rs
+++ b/courier/policy/tests/random.rs
@@ -177,119 +177,162 @@
     }
 }
 
-/// Plays one sequence; each step lets time pass and makes one thing happen.
-fn play(seed: u64, steps: &[(u8, u8, u8)]) -> Result<Vec<Vec<DispatchAction>>, TestCaseError> {
-    let mut set = settings(SLOTS as u32);
-    set.kinds.push(DestinationKind { separate_routes: true, batch: 1 });
-    set.max_open_messages = 30;
-    // Alone, among few and among so many that a destination is sparsely served and the guard binds early.
-    set.sender_count = [1, 3, 40, 300][seed as usize % 4];
-    set.sender_index = (seed >> 8) as u32 % set.sender_count;
-    let mut dispatcher = Dispatcher::new(set, seed).unwrap();
-    let mut checker = Checker::default();
-    let mut all = Vec::new();
-    let (mut now, mut next, mut timers) = (5 * SEC, 0u64, Vec::new());
-    let record = |endpoint: u32, state| EndpointEntry {
-        kind: usize::from(dest_of(endpoint) == 2),
-        state,
-        ..entry(endpoint, dest_of(endpoint))
-    };
-    let entries: Vec<EndpointEntry> = (0..6).map(|n| record(n, EndpointState::Ready)).collect();
-    checker.listed = (0..6).map(|n| (n, true)).collect();
-    let acts = dispatcher.step(now, &[DispatchEvent::List { kind: ListUpdate::Full, entries }]);
-    note_timers(now, &mut timers, &acts);
-    checker.check(now, &acts)?;
-    let quiet = [(255u8, 255u8, 0u8); 300];
-    for (what, a, b) in steps.iter().copied().chain(quiet) {
-        let pause = if what == 255 { 100_000 } else { 10_000 + u64::from(b) * 800 };
-        let target = now + pause;
-        // Timers and time-outs that come due before: a host delivers them first.
+fn listed(endpoint: EndpointId, state: EndpointState) -> EndpointEntry {
+    EndpointEntry { kind: usize::from(dest_of(endpoint) == 2), state, ..entry(endpoint, dest_of(endpoint)) }
+}
+
+/// A dispatcher that is played with and checked.
+struct Play {
+    dispatcher: Dispatcher,
+    checker: Checker,
+    now: Micros,
+    next: MsgId,
+    timers: Vec<Micros>,
+    /// Actions of each step after the first.
+    all: Vec<Vec<DispatchAction>>,
+}
+
+impl Play {
+    fn new(seed: u64) -> Play {
+        let mut set = settings(SLOTS as u32);
+        set.kinds.push(DestinationKind { separate_routes: true, batch: 1 });
+        set.max_open_messages = 30;
+        // Alone, among few and among so many that a destination is sparsely served and the guard binds early.
+        set.sender_count = [1, 3, 40, 300][seed as usize % 4];
+        set.sender_index = (seed >> 8) as u32 % set.sender_count;
+        Play {
+            dispatcher: Dispatcher::new(set, seed).unwrap(),
+            checker: Checker::default(),
+            now: 5 * SEC,
+            next: 0,
+            timers: Vec::new(),
+            all: Vec::new(),
+        }
+    }
+
+    fn list_all(&mut self) -> Result<(), TestCaseError> {
+        let entries: Vec<EndpointEntry> = (0..6).map(|n| listed(n, EndpointState::Ready)).collect();
+        self.checker.listed = (0..6).map(|n| (n, true)).collect();
+        self.step(&[DispatchEvent::List { kind: ListUpdate::Full, entries }]).map(drop)
+    }
+
+    fn step(&mut self, events: &[DispatchEvent]) -> Result<Vec<DispatchAction>, TestCaseError> {
+        let actions = self.dispatcher.step(self.now, events);
+        note_timers(self.now, &mut self.timers, &actions);
+        self.checker.check(self.now, &actions)?;
+        Ok(actions)
+    }
+
+    /// Lets time pass; a host delivers the timers and time-outs that come due before.
+    fn advance_to(&mut self, target: Micros) -> Result<(), TestCaseError> {
         loop {
-            let outs = checker.msgs.values().flat_map(|m| &m.sent).filter(|s| s.may_have_run.is_none());
-            let due = outs.map(|s| s.until).chain(timers.iter().copied()).min().filter(|t| *t < target);
+            let sent = self.checker.msgs.values().flat_map(|m| &m.sent);
+            let timeouts = sent.filter(|s| s.may_have_run.is_none()).map(|s| s.until);
+            let due = timeouts.chain(self.timers.iter().copied()).min().filter(|at| *at < target);
             let Some(at) = due else { break };
-            now = now.max(at);
-            timers.retain(|t| *t > now);
-            let outcomes_due = checker.timeouts(now);
-            let events = checker.outcomes(now, outcomes_due);
-            let acts = dispatcher.step(now, &events);
-            note_timers(now, &mut timers, &acts);
-            checker.check(now, &acts)?;
-            all.push(acts);
+            self.now = self.now.max(at);
+            let now = self.now;
+            self.timers.retain(|at| *at > now);
+            let timed_out = self.checker.timeouts(now);
+            let events = self.checker.outcomes(now, timed_out);
+            let actions = self.step(&events)?;
+            self.all.push(actions);
         }
-        now = target;
+        self.now = target;
+        Ok(())
+    }
+
+    /// Submits a message of class `a` for a destination and, in class 3, a key by `b`.
+    fn submit(&mut self, a: u8, b: u8) -> DispatchEvent {
+        let class = usize::from(a % 4);
+        let key = (class == 3).then_some(u64::from(b % 3));
+        let (id, dest, deadline) = (self.next, u64::from(b % 3), self.now + 20 * SEC);
+        self.next += 1;
+        let tracked = Tracked { class, key, dest, deadline, ended: false, sent: Vec::new() };
+        self.checker.msgs.insert(id, tracked);
+        DispatchEvent::Submit(Message {
+            id,
+            class,
+            tenant: None,
+            key,
+            deadline,
+            work_hint: None,
+            dest,
+            stream: false,
+            size: 0,
+        })
+    }
+
+    /// The attempt in flight that `a` chooses, if there is any.
+    fn choose_attempt(&self, a: u8) -> Option<(MsgId, usize)> {
+        let first_in_flight = |m: &Tracked| m.sent.iter().position(|s| s.may_have_run.is_none());
+        let in_flight: Vec<(MsgId, usize)> =
+            self.checker.msgs.iter().filter_map(|(id, m)| Some((*id, first_in_flight(m)?))).collect();
+        (!in_flight.is_empty()).then(|| in_flight[usize::from(a) % in_flight.len()])
+    }
+
+    /// Lists endpoint `a` in a state by `b`.
+    fn list(&mut self, a: u8, b: u8) -> DispatchEvent {
+        let endpoint = u32::from(a % 6);
+        let states =
+            [EndpointState::Gone, EndpointState::Ready, EndpointState::Ready, EndpointState::Draining];
+        let state = states[usize::from(b % 4)];
+        self.checker.listed.insert(endpoint, state == EndpointState::Ready);
+        DispatchEvent::List { kind: ListUpdate::Delta, entries: vec![listed(endpoint, state)] }
+    }
+
+    /// The client of the open message that `a` chooses has gone.
+    fn hang_up(&mut self, a: u8) -> Option<DispatchEvent> {
+        let open: Vec<MsgId> =
+            self.checker.msgs.iter().filter(|(_, m)| !m.ended).map(|(id, _)| *id).collect();
+        let msg = *open.get(usize::from(a).checked_rem(open.len())?)?;
+        self.checker.msgs.get_mut(&msg).unwrap().ended = true;
+        Some(DispatchEvent::Hangup { msg })
+    }
+
+    /// Makes one thing happen by these draws; with `QUIET` only the attempts end that have timed out.
+    fn happen(&mut self, (what, a, b): (u8, u8, u8)) -> Result<(), TestCaseError> {
         let mut events = Vec::new();
-        let mut outcomes_due = checker.timeouts(now);
+        let mut outcomes = self.checker.timeouts(self.now);
         match what % 8 {
-            0..=2 if what != 255 => {
-                let class = usize::from(a % 4);
-                let key = (class == 3).then_some(u64::from(b % 3));
-                let (id, dest, deadline) = (next, u64::from(b % 3), now + 20 * SEC);
-                next += 1;
-                let sent = Vec::new();
-                checker.msgs.insert(id, Tracked { class, key, dest, deadline, ended: false, sent });
-                let work_hint = None;
-                events.push(DispatchEvent::Submit(Message {
-                    id,
-                    class,
-                    tenant: None,
-                    key,
-                    deadline,
-                    work_hint,
-                    dest,
-                    stream: false,
-                    size: 0,
-                }));
-            }
+            0..=2 if what != QUIET => events.push(self.submit(a, b)),
             3..=5 => {
-                let open: Vec<(MsgId, usize)> = checker
-                    .msgs
-                    .iter()
-                    .filter_map(|(id, m)| Some((*id, m.sent.iter().position(|s| s.may_have_run.is_none())?)))
-                    .collect();
-                if !open.is_empty() {
-                    let (id, n) = open[usize::from(a) % open.len()];
-                    if !outcomes_due.iter().any(|(i, k, _)| (*i, *k) == (id, n)) {
-                        outcomes_due.push((id, n, outcome_of(b)));
-                    }
-                }
-            }
-            6 => {
-                let endpoint = u32::from(a % 6);
-                let state = [
-                    EndpointState::Gone,
-                    EndpointState::Ready,
-                    EndpointState::Ready,
-                    EndpointState::Draining,
-                ][usize::from(b % 4)];
-                checker.listed.insert(endpoint, state == EndpointState::Ready);
-                events.push(DispatchEvent::List {
-                    kind: ListUpdate::Delta,
-                    entries: vec![record(endpoint, state)],
-                });
-            }
-            7 if what != 255 && b > 200 => {
-                let open: Vec<MsgId> =
-                    checker.msgs.iter().filter(|(_, m)| !m.ended).map(|(id, _)| *id).collect();
-                if !open.is_empty() {
-                    let id = open[usize::from(a) % open.len()];
-                    checker.msgs.get_mut(&id).unwrap().ended = true;
-                    events.push(DispatchEvent::Hangup { msg: id });
+                let chosen = self.choose_attempt(a);
+                let has_timed_out =
+                    |chosen: &(MsgId, usize)| outcomes.iter().any(|(id, n, _)| (*id, *n) == *chosen);
+                if let Some((id, n)) = chosen.filter(|chosen| !has_timed_out(chosen)) {
+                    outcomes.push((id, n, outcome_of(b)));
                 }
             }
+            6 => events.push(self.list(a, b)),
+            7 if what != QUIET && b > 200 => events.extend(self.hang_up(a)),
             _ => {}
         }
-        events.extend(checker.outcomes(now, outcomes_due));
-        let acts = dispatcher.step(now, &events);
-        note_timers(now, &mut timers, &acts);
-        checker.check(now, &acts)?;
-        all.push(acts);
-        for (id, m) in &checker.msgs {
+        events.extend(self.checker.outcomes(self.now, outcomes));
+        let actions = self.step(&events)?;
+        self.all.push(actions);
+        for (id, m) in &self.checker.msgs {
             let waits = m.sent.iter().all(|s| s.may_have_run.is_some());
-            prop_assert!(m.ended || !waits || now < m.deadline, "{id} got no answer");
+            prop_assert!(m.ended || !waits || self.now < m.deadline, "{id} got no answer");
         }
+        Ok(())
+    }
+}
+
+/// In place of a draw: nothing new happens.
+const QUIET: u8 = 255;
+
+/// Plays one sequence; each step lets time pass and makes one thing happen.
+fn play(seed: u64, steps: &[(u8, u8, u8)]) -> Result<Vec<Vec<DispatchAction>>, TestCaseError> {
+    let mut play = Play::new(seed);
+    play.list_all()?;
+    let quiet = [(QUIET, QUIET, 0u8); 300];
+    for step in steps.iter().copied().chain(quiet) {
+        let pause = if step.0 == QUIET { 100_000 } else { 10_000 + u64::from(step.2) * 800 };
+        play.advance_to(play.now + pause)?;
+        play.happen(step)?;
     }
-    Ok(all)
+    Ok(play.all)
 }
 
 #[test]
