--- a/courier/policy/tests/fleet.rs
+++ b/courier/policy/tests/fleet.rs
@@ -40,6 +40,15 @@
 /// When, at which sender: a message comes, or a call of it ends, accepted or not.
 type Due = (Micros, usize, Option<(MsgId, bool)>);
 
+/// Messages that were sent.
+fn sent(log: &[(Micros, DispatchAction)]) -> Vec<MsgId> {
+    let message = |action: &DispatchAction| match action {
+        DispatchAction::Send { msg, .. } => Some(*msg),
+        _ => None,
+    };
+    log.iter().filter_map(|(_, action)| message(action)).collect()
+}
+
 /// A day of `seconds`, with so many messages a second over all senders, and the limit's true rate, each by second.
 fn play(
     senders: u32,
@@ -88,11 +97,7 @@
             _ => {}
         }
         // All that was sent in this step arrives at the limit in the order of time.
-        let sent: Vec<MsgId> = w.log[before..]
-            .iter()
-            .filter_map(|(_, a)| if let DispatchAction::Send { msg, .. } = a { Some(*msg) } else { None })
-            .collect();
-        for msg in sent {
+        for msg in sent(&w.log[before..]) {
             limit.rate = rate((now - begin) / SEC);
             let accepted = limit.accepts(now.max(limit.at));
             due.push(Reverse((now + TRIP, n, Some((msg, accepted)))));
--- a/courier/policy/tests/guard.rs
+++ b/courier/policy/tests/guard.rs
@@ -52,6 +52,15 @@
     fn binds(&self, now: Micros) -> bool {
         self.failed.is_some() && self.proven.is_none_or(|t| now < t + COLD)
     }
+
+    /// A call that was sent at `sent` ended.
+    fn record(&mut self, now: Micros, sent: Micros, outcome: Outcome) {
+        if outcome != Outcome::Ok {
+            (self.failed, self.proven) = (Some(now), None);
+        } else if self.failed.is_some_and(|failed| sent >= failed) {
+            self.proven = self.proven.or(Some(now));
+        }
+    }
 }
 
 /// All senders have a message every two seconds and call in the outage's first second. Returns the
@@ -85,12 +94,7 @@
             for (_, m, outcome) in over {
                 let sent = w.in_flight[&(m, w.attempts[&m] - 1)].1 - start[n];
                 w.finish(m, outcome, 0);
-                let s = &mut seen[n];
-                if outcome != Outcome::Ok {
-                    (s.failed, s.proven) = (Some(now), None);
-                } else if s.failed.is_some_and(|t| sent >= t) {
-                    s.proven = s.proven.or(Some(now));
-                }
+                seen[n].record(now, sent, outcome);
             }
             if (now + n as u64 * 20_000) % (2 * SEC) < 20_000 || (now == 0 && outages[0].0 == 0) {
                 w.submit(0, 5);
