--- a/courier/policy/src/dispatcher/visit.rs
+++ b/courier/policy/src/dispatcher/visit.rs
@@ -45,10 +45,6 @@
             stop_at,
             actions: _,
         } = self;
-        let first_message = |call: &CallNumber| {
-            let call = calls_in_flight.get(call);
-            call.and_then(|call| call.pending.first()).copied().unwrap_or(MsgId::MAX)
-        };
         let times = [*now, *next_expiry_check, *timer_at, *resubscribe_at, stop_at.unwrap_or(NEVER)];
         visit_times(times, visitor);
         visit_numbers([*rng_state, *resubscribe_delay, u64::from(*open_messages)], visitor);
@@ -70,9 +66,7 @@
             visitor,
         );
         visit_numbers(waiting_destinations.iter().copied(), visitor);
-        for route in routes {
-            visit_route(route, first_message, visitor);
-        }
+        visit_routes(routes, calls_in_flight, visitor);
         visit_lengths(free_routes.iter().copied(), visitor);
         visit_calls(calls_in_flight, visitor);
         visit_key_queues(key_queues, visitor);
@@ -245,6 +239,20 @@
     }
 }
 
+fn visit_routes(
+    routes: &[Route],
+    calls_in_flight: &BTreeMap<CallNumber, CallInFlight>,
+    visitor: &mut impl StateVisitor,
+) {
+    let first_message = |call: &CallNumber| {
+        let call = calls_in_flight.get(call);
+        call.and_then(|call| call.pending.first()).copied().unwrap_or(MsgId::MAX)
+    };
+    for route in routes {
+        visit_route(route, first_message, visitor);
+    }
+}
+
 fn visit_route(route: &Route, first_message: impl Fn(&CallNumber) -> MsgId, visitor: &mut impl StateVisitor) {
     let Route {
         dest: _,
