--- a/courier/operator/src/fleet.rs
+++ b/courier/operator/src/fleet.rs
@@ -1,27 +1,13 @@
 //! The section `fleet`: couriers that go on with each other's work when one is lost. Off by default, and off on the platform,
 //! whose couriers share nothing.
 
-use crate::problems::Problem;
 use crate::units::Span;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
-use std::collections::BTreeSet;
-use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Couriers of one fleet at most: each holds a connection to each, and the agreed state names all of them.
-const MEMBERS_MOST: usize = 1_000;
-/// A name goes into file names and log lines.
-const NAME_MOST: usize = 64;
-/// Clocks that differ by more are broken ones.
-const DRIFT_MOST: f64 = 0.05;
-/// A leader's silence is noticed after an election's time, twice in the worst case; a lease shorter than that would lapse
-/// with each leader that is lost.
-const LEASE_LEAST: Duration = Duration::from_millis(1_500);
-const LEASE_MOST: Duration = Duration::from_secs(60);
-const COPIES_MOST: usize = 3;
-/// No invoker call writes for longer: the longest time of a message, by the newest pages.
-const CALL_MOST: Duration = Duration::from_secs(30);
+/// The default of `partner_call`, and its limit: the longest time of a message by the platform's pages.
+pub(crate) const CALL_MAX: Duration = Duration::from_secs(30);
 
 /// Couriers as one fleet. Read at the start only, but for `voters`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
@@ -156,133 +142,8 @@
             budgets: Vec::new(),
             partner_idle: Span(Duration::from_secs(15)),
             settlements: Vec::new(),
-            partner_call: Span(CALL_MOST),
+            partner_call: Span(CALL_MAX),
             beyond_loopback: false,
         }
     }
 }
-
-impl Fleet {
-    /// What no type can say. A section that is off is not looked at.
-    pub(crate) fn problems(&self) -> Vec<Problem> {
-        if !self.on {
-            return Vec::new();
-        }
-        let mut found = Vec::new();
-        let mut must = |is_valid: bool, path: String, what: String| {
-            if !is_valid {
-                found.push(Problem::new(format!("$.fleet.{path}"), what));
-            }
-        };
-        let mut names = BTreeSet::new();
-        let mut addrs = BTreeSet::new();
-        must(
-            self.members.len() <= MEMBERS_MOST,
-            "members".into(),
-            format!("{} couriers, where {MEMBERS_MOST} are the most", self.members.len()),
-        );
-        let addr = |text: &str| -> Result<SocketAddr, String> {
-            let addr: SocketAddr = text.parse().map_err(|_| format!("{text:?} is no address with a port"))?;
-            match self.beyond_loopback || addr.ip().is_loopback() {
-                true => Ok(addr),
-                false => Err(format!("{addr} is off this machine: `beyond_loopback` lets it through")),
-            }
-        };
-        for (n, member) in self.members.iter().enumerate() {
-            let fits = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-            must(
-                !member.name.is_empty() && member.name.len() <= NAME_MOST && member.name.chars().all(fits),
-                format!("members[{n}].name"),
-                format!("{:?}: letters, digits, - and _, {NAME_MOST} at most", member.name),
-            );
-            must(
-                names.insert(&member.name),
-                format!("members[{n}].name"),
-                format!("{:?} is there twice: give each courier a name of its own", member.name),
-            );
-            match addr(&member.addr) {
-                Err(what) => must(false, format!("members[{n}].addr"), what),
-                Ok(addr) => must(
-                    addrs.insert(addr),
-                    format!("members[{n}].addr"),
-                    format!("{addr} is another member's too: give each courier an address of its own"),
-                ),
-            }
-        }
-        must(
-            names.contains(&self.me),
-            "me".into(),
-            format!("{:?} is not among the members: name this courier as it is named there", self.me),
-        );
-        if let Err(what) = addr(&self.listen) {
-            must(false, "listen".into(), what);
-        }
-        must(
-            matches!(self.voters.len(), 1 | 3 | 5),
-            "voters".into(),
-            format!(
-                "{} of them: name one, three or five, as an even number stands no more losses",
-                self.voters.len()
-            ),
-        );
-        let mut voters = BTreeSet::new();
-        for (n, voter) in self.voters.iter().enumerate() {
-            must(
-                names.contains(voter),
-                format!("voters[{n}]"),
-                format!("{voter:?} is not among the members"),
-            );
-            must(voters.insert(voter), format!("voters[{n}]"), format!("{voter:?} is there twice"));
-        }
-        let mut settled = BTreeSet::new();
-        for (n, settlement) in self.settlements.iter().enumerate() {
-            must(
-                settled.insert(settlement.dest),
-                format!("settlements[{n}].dest"),
-                format!(
-                    "{} is there twice: a partner takes all its settlements in one mode",
-                    settlement.dest
-                ),
-            );
-            must(
-                settlement.mode == SettlementMode::Message,
-                format!("settlements[{n}].mode"),
-                "sessions are not carried yet: say \"message\", or leave the partner out".into(),
-            );
-        }
-        must(
-            (0.0..=DRIFT_MOST).contains(&self.drift),
-            "drift".into(),
-            format!("from 0 to {DRIFT_MOST} is possible, not {}", self.drift),
-        );
-        must(
-            (LEASE_LEAST..=LEASE_MOST).contains(&self.lease.0),
-            "lease".into(),
-            format!(
-                "from {LEASE_LEAST:?}, in which a lost leader is replaced, to {LEASE_MOST:?} is possible, not {}",
-                self.lease
-            ),
-        );
-        must(
-            self.partner_call.0 > Duration::ZERO && self.partner_call.0 <= CALL_MOST,
-            "partner_call".into(),
-            format!("up to {CALL_MOST:?}, a message's longest time, is possible, not {}", self.partner_call),
-        );
-        must(
-            (1..=COPIES_MOST).contains(&self.copies),
-            "copies".into(),
-            format!("from 1 to {COPIES_MOST} is possible, not {}", self.copies),
-        );
-        must(
-            self.on_missing == OnMissing::Prefer || self.copies < self.members.len(),
-            "copies".into(),
-            format!(
-                "{} copies need {} members, and there are {}",
-                self.copies,
-                self.copies + 1,
-                self.members.len()
-            ),
-        );
-        found
-    }
-}
--- a/courier/operator/src/lib.rs
+++ b/courier/operator/src/lib.rs
@@ -5,6 +5,7 @@
 //! that no section has are refused: a misspelt limit would else be one that is not kept.
 
 pub mod fleet;
+mod fleet_problems;
 pub mod problems;
 pub mod units;
 
@@ -239,7 +240,7 @@
             return Err(vec![Problem::new("$.version", what)]);
         }
         let mut found = operator.streams.problems();
-        found.extend(operator.fleet.problems());
+        found.extend(fleet_problems::problems(&operator.fleet));
         if operator.fleet.on && operator.streams.on {
             let what = "bodies that are passed on have no copy: switch one of the two off";
             found.push(Problem::new("$.streams.on", what));
