--- a/courier/operator/src/fleet.rs
+++ b/courier/operator/src/fleet.rs
@@ -14,6 +14,8 @@
 #[serde(default)]
 #[schemars(deny_unknown_fields)]
 pub struct Fleet {
+    /// Whether the section is in force.
+    #[schemars(description = "")]
     pub on: bool,
     /// This courier's name among the members.
     pub me: String,
@@ -52,6 +54,8 @@
 pub struct FleetMember {
     /// Letters, digits, `-` and `_`.
     pub name: String,
+    /// Address and port at which this courier reaches it.
+    #[schemars(description = "")]
     pub addr: String,
     /// The machine or zone with which it is lost; copies go to others first.
     #[serde(default)]
@@ -69,7 +73,9 @@
     /// Calls in each span.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub calls: Option<u32>,
+    /// The span for which `calls` holds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
+    #[schemars(description = "")]
     pub span: Option<Span>,
     /// Connections that each courier may use even when it is cut off.
     #[serde(default)]
@@ -83,13 +89,19 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[schemars(deny_unknown_fields)]
 pub struct FleetTenant {
+    /// The name that clients give in `X-Account`.
+    #[schemars(description = "")]
     pub name: String,
+    /// Its weight in the division of what no floor reserves.
     #[serde(default = "one")]
+    #[schemars(description = "")]
     pub weight: f64,
     /// Kept for it when it asks for it.
     #[serde(default)]
     pub floor: u32,
+    /// Connections that it has at most; none: no limit of its own.
     #[serde(default, skip_serializing_if = "Option::is_none")]
+    #[schemars(description = "")]
     pub ceiling: Option<u32>,
 }
 
@@ -103,12 +115,16 @@
 pub struct FleetSettlement {
     /// The partner's destination.
     pub dest: u64,
+    /// How its messages go out.
     #[serde(default)]
+    #[schemars(description = "")]
     pub mode: SettlementMode,
 }
 
+/// How the messages of a settlement go to its partner.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
+#[schemars(description = "")]
 pub enum SettlementMode {
     /// Each message on its own, over any connection.
     #[default]
@@ -117,8 +133,10 @@
     Session,
 }
 
+/// What a courier does without a replica of its journal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
+#[schemars(description = "")]
 pub enum OnMissing {
     /// It refuses messages (503) and begins no call: a 202 always means two journals.
     #[default]
--- a/courier/operator/src/lib.rs
+++ b/courier/operator/src/lib.rs
@@ -3,6 +3,9 @@
 //!
 //! It is JSON with a version and a schema (`docs/schema/operator.json`), one section for each subsystem. Fields
 //! that no section has are refused: a misspelt limit would else be one that is not kept.
+//!
+//! The doc comments of the section types are the descriptions in that schema. Where a field is described here only,
+//! `#[schemars(description = "")]` keeps the description out of it.
 
 pub mod fleet;
 mod fleet_problems;
@@ -31,11 +34,17 @@
     /// The file's version: 1.
     #[schemars(range(min = 1, max = 1))]
     pub version: u32,
+    /// The section `log`.
     #[serde(default)]
+    #[schemars(description = "")]
     pub log: Log,
+    /// The section `streams`.
     #[serde(default)]
+    #[schemars(description = "")]
     pub streams: Streams,
+    /// The section `fleet`.
     #[serde(default)]
+    #[schemars(description = "")]
     pub fleet: Fleet,
 }
 
@@ -69,8 +78,10 @@
     }
 }
 
+/// The form of the lines on standard error.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
+#[schemars(description = "")]
 pub enum LogFormat {
     /// One line: time, level, module, text.
     #[default]
@@ -86,6 +97,8 @@
 #[serde(default)]
 #[schemars(deny_unknown_fields)]
 pub struct Streams {
+    /// Whether the section is in force.
+    #[schemars(description = "")]
     pub on: bool,
     /// The classes that may stream; none: all of them.
     pub classes: Vec<String>,
@@ -144,7 +157,9 @@
     pub stall: Span,
     /// It moves so much at least in each span of `over`.
     pub least: Size,
+    /// The span in which `least` has to be moved.
     #[serde(rename = "over")]
+    #[schemars(description = "")]
     pub interval: Span,
 }
 
@@ -155,12 +170,12 @@
 }
 
 impl Streams {
-    /// Streams at once: as many windows as the memory has room for.
+    /// The number of streams at once: as many windows as fit into `memory`.
     pub fn most(&self) -> usize {
         usize::try_from(self.memory.0 / self.window.0.max(1)).unwrap_or(usize::MAX)
     }
 
-    /// What no type can say.
+    /// All that is wrong with the section and that its types can't express.
     fn problems(&self) -> Vec<Problem> {
         let mut found = Vec::new();
         let mut must = |valid: bool, path: &str, what: String| {
@@ -200,13 +215,25 @@
     }
 }
 
-/// Why there is no operator file to go by.
+/// Why an operator file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorError {
+    /// The file can't be read, or is too long.
     #[error("{path}: {source}")]
-    Read { path: String, source: std::io::Error },
+    Read {
+        /// The file.
+        path: String,
+        /// What the system says.
+        source: std::io::Error,
+    },
+    /// The file was read, and something in it is wrong.
     #[error("{path}: {}", joined(.problems))]
-    Problems { path: String, problems: Vec<Problem> },
+    Problems {
+        /// The file.
+        path: String,
+        /// All that is wrong; never empty.
+        problems: Vec<Problem>,
+    },
 }
 
 fn joined(problems: &[Problem]) -> String {
@@ -214,7 +241,7 @@
 }
 
 impl Operator {
-    /// Reads a file and checks what no type can say.
+    /// Reads a file, and checks also what the types can't express.
     ///
     /// # Errors
     /// It can't be read, or all that is wrong with it, each with its path.
--- a/courier/operator/src/problems.rs
+++ b/courier/operator/src/problems.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 use std::fmt;
 
-/// More than this are not told: the file is something else altogether.
+/// Problems reported at most: a file with more is no file of this kind.
 pub const PROBLEMS_MAX: usize = 100;
 
 /// One thing that is wrong.
@@ -13,10 +13,12 @@
 pub struct Problem {
     /// Where, as in `$.log.format`; `$` is the file as a whole.
     pub path: String,
+    /// What is wrong there.
     pub what: String,
 }
 
 impl Problem {
+    /// A problem at a path.
     pub fn new(path: impl Into<String>, what: impl Into<String>) -> Self {
         Problem { path: path.into(), what: what.into() }
     }
--- a/courier/operator/src/units.rs
+++ b/courier/operator/src/units.rs
@@ -1,4 +1,4 @@
-//! Sizes and spans as text with units, so that nobody has to count noughts.
+//! Sizes and spans as text with units, so that nobody has to count zeros. A number without a unit is an error.
 
 use schemars::{JsonSchema, Schema, SchemaGenerator, json_schema};
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
--- a/courier/protocol/src/delivery.rs
+++ b/courier/protocol/src/delivery.rs
@@ -1,4 +1,4 @@
-//! Invoker calls: what an endpoint is sent, and what its answer means.
+//! Delivery calls: the request that an endpoint is sent, and what its response means for the messages in it.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -11,16 +11,16 @@
 
 use super::submission::BODY_MAX;
 
-/// Where every endpoint takes its calls.
+/// The path of a call with one message.
 pub(crate) const PATH: &str = "/events";
-/// Where those of the kinds that the settings name take calls with several messages.
+/// The path of a call with several messages, for endpoints of the kinds that the settings name.
 pub(crate) const BUNDLE_PATH: &str = "/events/bundle";
-/// The header in which an answer may report its destination's load.
+/// The header in which a response may report the destination's load.
 const LOAD_HEADER: &str = "x-backend-load";
-/// The platform's answers take some 200 bytes.
+/// Bytes of a response's head at most; the platform's have some 200.
 const HEAD_MAX: usize = 8 * 1024;
 const HEADERS_MAX: usize = 64;
-/// More of an answer than this is never read.
+/// Bytes of a response that are read at most.
 pub const ANSWER_MAX: usize = HEAD_MAX + BODY_MAX;
 
 /// A message of a call with several.
@@ -43,14 +43,14 @@
     }
 }
 
-/// How one message of a call with several fared.
+/// The result of one message of a call with several.
 #[derive(Deserialize)]
 struct MessageResult {
     id: String,
     state: String,
 }
 
-/// A call as it is written; id, key and body pass on unchanged, in Base64 where there are several.
+/// The bytes of a call's request. Id, key and body are those of the submission; bodies are in Base64 where there are several.
 pub fn encode(call: &DeliveryCall) -> Vec<u8> {
     if !call.bundled.is_empty() {
         let (addr, left) = (call.addr, call.time_left.div_ceil(1_000));
@@ -75,21 +75,21 @@
     [head.as_bytes(), &payload.body].concat()
 }
 
-/// Reads an answer; `over` where no more of it will come.
+/// Reads the response to a call with one message; `ended`: no more of it will come.
 ///
-/// A first line with 200 says that the message is delivered, whatever follows. Anything else is believed
-/// only if it is sound to its last byte: a refusal in a spoilt answer may be the remains of something else,
+/// A status line with 200 means that the message is delivered, whatever follows. Any other status counts
+/// only if the response is valid to its last byte: a rejection in a damaged response may be the rest of something else,
 /// and the call may have run.
 pub fn decode(bytes: &[u8], ended: bool) -> Answer {
     decoded(bytes, ended, false)
 }
 
-/// The same for a call with several messages, of which a 200 says nothing before its last byte.
+/// Reads the response to a call with several messages; a 200 means nothing before its last byte.
 pub fn decode_each(bytes: &[u8], ended: bool) -> Answer {
     decoded(bytes, ended, true)
 }
 
-/// How a call's answers are read.
+/// The function that reads a call's responses.
 pub fn decoder(call: &DeliveryCall) -> Decode {
     if call.bundled.is_empty() { decode } else { decode_each }
 }
@@ -103,7 +103,7 @@
     })
 }
 
-/// Walks past interim (1xx) answers, which stand before the one that counts, and shows that one: its bytes, how far its head
+/// Skips interim (1xx) responses and passes the final one to `read`: its bytes, how far its head
 /// could be parsed, and the head.
 fn past_interim<T>(bytes: &[u8], read: impl FnOnce(&[u8], httparse::Result<usize>, &Response) -> T) -> T {
     let mut rest = bytes;
@@ -118,8 +118,8 @@
     }
 }
 
-/// What a whole answer to a call with several messages tells of each, and the wait that it tells (0: none). Of one that it
-/// leaves out, names twice in two ways or in words that are not known, it says no more than that it may have run.
+/// The result of each message from the complete response to a call with several, and its `Retry-After` in microseconds
+/// (0: none). A message that is missing, is there twice with two results, or has an unknown one may have run.
 pub fn each(answer: &[u8], call: &DeliveryCall) -> (Vec<CallEnd>, Micros) {
     let (retry_after, body) = past_interim(answer, |rest, parsed, head| {
         let Ok(Status::Complete(end)) = parsed else { return (0, Vec::new()) };
@@ -130,7 +130,7 @@
             Some(length) => body.get(..length).unwrap_or(body).to_vec(),
             None if header("transfer-encoding").text().is_some() => {
                 let mut all = Vec::new();
-                // Read before, it is whole: what could not be read is not told of here.
+                // `decode_each` has found it complete before.
                 let _ = chunked(body, |part| all.extend_from_slice(part));
                 all
             }
@@ -163,7 +163,7 @@
     )
 }
 
-/// The report of its load that a whole answer holds; values that are no numbers are left out.
+/// The destination's load as a complete response reports it, by name; values that are no numbers are left out.
 pub fn load(answer: &[u8]) -> Vec<(String, f64)> {
     past_interim(answer, |_, parsed, head| {
         let Ok(Status::Complete(_)) = parsed else { return Vec::new() };
@@ -202,7 +202,7 @@
     if body.len() < length {
         return if ended { spoilt(bytes, retry_after, each) } else { Answer::Partial };
     }
-    // A second copy of the same answer takes nothing from the first; other bytes may mean that the
+    // A repetition of the same response takes nothing from the first; other bytes may mean that the
     // length is wrong, and with it the rest.
     let behind = &body[length..];
     if !behind.is_empty() && !bytes[..end + length].starts_with(behind) {
@@ -230,7 +230,7 @@
     Answer::Whole { end, reusable: ends && behind.is_empty() && !closes && head.version == Some(1) }
 }
 
-/// All that an answer still says that can't be read to its end.
+/// What a response that can't be read to its end still means.
 fn spoilt(bytes: &[u8], retry_after: Micros, each: bool) -> Answer {
     let ok = [&b"HTTP/1.1 200"[..], b"HTTP/1.0 200"].iter().any(|ok| bytes.starts_with(ok));
     let ok = ok && !each && !bytes.get(12).is_some_and(u8::is_ascii_digit);
--- a/courier/protocol/src/discovery.rs
+++ b/courier/protocol/src/discovery.rs
@@ -1,28 +1,40 @@
-//! Discovery's lists: whole in the configuration, and one after the other on a watch.
+//! Discovery's endpoint lists: one in the configuration, and a sequence of them on a watch (a long response of concatenated
+//! JSON objects). The caller feeds each chunk of a watch to [`Lists`] and applies the lists that are complete.
 
 use quillmount_core::{EndpointList, EndpointListing};
 use quillmount_settings::list_state_from_name;
 use serde::Deserialize;
 use serde::de::IgnoredAny;
 
-/// What is longer than this, with its indents, is no list of this platform.
+/// Bytes of one list at most, white space included.
 pub const LIST_MAX: usize = 4 * 1024 * 1024;
-/// So much more of a list that isn't whole yet shows that the watch lives. A list of some hundred endpoints is
-/// less: bytes that trickle are no sign of life.
+/// So many bytes more of an incomplete list show that the watch is alive. A list of some hundred endpoints is
+/// shorter: a trickle of bytes shows nothing.
 const PROGRESS_BYTES: usize = 64 * 1024;
 
+/// Why a list can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
+    /// It is not JSON, or lacks a field.
     #[error("a list that can't be read: {0}")]
     Json(#[from] serde_json::Error),
+    /// It begins with this character, where an object should begin.
     #[error("a list that begins with {0:?}, where an object should")]
     Start(char),
+    /// One of its entries is wrong.
     #[error("provider {id}: {what}")]
-    Entry { id: String, what: String },
+    Entry {
+        /// The endpoint's id.
+        id: String,
+        /// What is wrong with it.
+        what: String,
+    },
+    /// It is longer than [`LIST_MAX`].
     #[error("a list of more than {LIST_MAX} bytes")]
     TooLong,
 }
 
+/// A list as discovery writes it: all endpoints if `full`, else those that have changed.
 #[derive(Deserialize)]
 pub struct List {
     version: u64,
@@ -48,7 +60,7 @@
 }
 
 impl List {
-    /// Each line of it, in its order.
+    /// Its entries in their order, each checked by itself.
     pub fn entries(self) -> impl Iterator<Item = Result<EndpointListing, DiscoveryError>> {
         self.servers.into_iter().map(|s| {
             let entry = |what: String| DiscoveryError::Entry { id: s.id.clone(), what };
@@ -77,32 +89,33 @@
     }
 }
 
-/// Where changes after a version are watched.
+/// The path on which changes after a version are watched.
 pub fn watch_path(after: u64) -> String {
     format!("/api/targets?watch=1&after={after}")
 }
 
-/// Puts a watch's chunks together into lists, each one JSON object, on one line or indented over many. An
-/// empty line between two lists only says that the watch lives.
+/// Joins a watch's chunks into lists, each one JSON object, on one line or indented over many. An
+/// empty line between two lists only shows that the watch is alive.
 #[derive(Default)]
 pub struct Lists {
-    /// A list that has begun.
+    /// The bytes of a list that has begun and is incomplete.
     rest: Vec<u8>,
 }
 
-/// What a chunk said.
+/// What a chunk added.
 #[derive(Debug, Default)]
 pub struct ChunkOutcome {
-    /// The lists that ended in it.
+    /// The lists that it completed.
     pub lists: Vec<EndpointList>,
-    /// The watch lives: a list is whole, or an empty line came where none had begun. A list that has begun is no
-    /// sign of life: its rest may be missing for good; only one that goes on for long is, by the piece.
+    /// The watch is alive: a list is complete, or an empty line came where none had begun. The start of a list shows
+    /// nothing, as its rest may never come; a long one counts with each 64 KiB.
     pub alive: bool,
-    /// What came behind those lists is none; nothing that follows can be read.
+    /// Why what came behind those lists is no list; nothing that follows can be read.
     pub end: Option<DiscoveryError>,
 }
 
 impl Lists {
+    /// Adds a chunk of the watch's body.
     pub fn feed(&mut self, chunk: &[u8]) -> ChunkOutcome {
         let between = self.rest.is_empty() && !chunk.is_empty() && chunk.trim_ascii().is_empty();
         let mut outcome = ChunkOutcome { lists: Vec::new(), alive: between, end: None };
@@ -114,7 +127,7 @@
         outcome
     }
 
-    /// Reads what is whole by the last brace of `chunk`, which has come last.
+    /// Reads the lists that are complete by the last brace of `chunk`, which has come last.
     fn read(&mut self, chunk: &[u8], lists: &mut Vec<EndpointList>) -> Result<(), DiscoveryError> {
         // Only a brace ends a list; what is read ends in one, since a number that is cut reads as a wrong
         // one.
--- a/courier/protocol/src/lib.rs
+++ b/courier/protocol/src/lib.rs
@@ -1,4 +1,6 @@
-//! The platform's forms on HTTP: each is decoded once into a small typed value, and encoded once.
+//! The platform's HTTP/1.1 interfaces as typed values, without I/O: each message is decoded in one place and encoded in one.
+//! `submission` and `stream` serve clients, `delivery` calls endpoints, `discovery` and `notice` talk to the platform, and
+//! `operator` answers operators.
 
 pub mod delivery;
 pub mod discovery;
--- a/courier/protocol/src/notice.rs
+++ b/courier/protocol/src/notice.rs
@@ -1,8 +1,9 @@
-//! Notices to the platform: one JSON object on each line.
+//! Notices to the platform of how messages ended, for those that were not delivered: one JSON object on each line.
 
 use quillmount_core::{Ending, Notice};
 use serde::Serialize;
 
+/// The path to which notices are posted.
 pub const PATH: &str = "/v2/finals";
 
 #[derive(Serialize)]
@@ -13,7 +14,7 @@
     retry_after_ms: Option<u64>,
 }
 
-/// The body that tells of these endings.
+/// The body of a request with these notices. Waits are rounded up to whole milliseconds.
 pub fn encode(notices: &[Notice]) -> String {
     let mut body = String::new();
     for Notice { id, ending, .. } in notices {
--- a/courier/protocol/src/operator.rs
+++ b/courier/protocol/src/operator.rs
@@ -1,52 +1,60 @@
-//! What operators call: one line to a connection, and one line back.
+//! Operators' calls: one line of text for each connection, and one line in reply (`SUCCESS ...` or `FAILURE ...`).
 
-/// The longest line that is read: an id takes 128 bytes at most in discovery's list, a word eight.
+/// The longest line that is read: an id in discovery's list takes 128 bytes at most, a verb eight.
 pub const LINE_MAX: usize = 256;
 
 /// One call.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum OperatorCall {
-    /// Can this process serve?
+    /// Asks whether this process can serve.
     Ready,
-    /// Nothing more to this endpoint, until it is put back.
+    /// Sends nothing more to the endpoint with this id, until it is enabled.
     Disable(String),
-    /// Put the endpoint back.
+    /// Uses the endpoint with this id as before.
     Enable(String),
-    /// Empty the courier.
+    /// Drains the courier: it takes no new clients.
     Drain,
-    /// Take clients again.
+    /// Ends the drain.
     Undrain,
 }
 
-/// Why a line is no call.
+/// Why a line is no call. The text is the reply's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BadCall {
+    /// The line is longer than [`LINE_MAX`].
     #[error("the line is longer than {LINE_MAX} bytes")]
     TooLong,
+    /// The line is not UTF-8.
     #[error("the line is not UTF-8")]
     NotText,
+    /// The line has no verb.
     #[error("the line is empty")]
     Empty,
+    /// The verb is not known.
     #[error("no such call; there are READY, DISABLE ID, ENABLE ID, DRAIN and UNDRAIN")]
     Unknown,
+    /// An id is missing.
     #[error("this call takes one id")]
     NoId,
+    /// There are too many fields.
     #[error("something stands behind the call")]
     Surplus,
+    /// The caller has stopped sending before the end of the line.
     #[error("the line has no end")]
     Unended,
 }
 
-/// What has come on a connection so far.
+/// What has been received on a connection so far.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Line {
     /// Its end is still to come.
     Partial,
+    /// The line is complete.
     Whole(Result<OperatorCall, BadCall>),
 }
 
-/// Reads what has come; `ended`: the caller sends nothing more. One line counts, and what stands behind it is let go,
-/// whatever the pieces in which it came.
+/// Reads what has been received; `ended`: the caller sends nothing more. Only the first line counts, however it was split
+/// into packets; anything behind it is ignored.
 pub fn read(bytes: &[u8], ended: bool) -> Line {
     let Some(end) = bytes.iter().position(|b| *b == b'\n') else {
         return match bytes.len() {
--- a/courier/protocol/src/stream.rs
+++ b/courier/protocol/src/stream.rs
@@ -19,10 +19,12 @@
 const OVERHEAD_FREE: u64 = 64 * 1024;
 const OVERHEAD_TIMES: u64 = 7;
 
-/// How a body's end is told.
+/// How the end of a body is marked (RFC 9112, section 6).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Framing {
+    /// `Content-Length`, in bytes.
     Length(u64),
+    /// `Transfer-Encoding: chunked`.
     Chunked,
 }
 
@@ -47,13 +49,14 @@
     }
 }
 
-/// What stands next in a body.
+/// What is next in a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
     /// So many bytes at the front belong to the body; 0: more has to come first.
     Body(usize),
     /// The body is over.
     End,
+    /// The body can't be accepted, for this reason.
     Bad(Cut),
 }
 
@@ -93,7 +96,8 @@
         Body { at, most, body: 0, overhead: 0 }
     }
 
-    /// Takes framing off the front, and says what stands there.
+    /// Removes framing from the front of `buf`, and returns what is next there. Bytes of the body stay in `buf`: the caller
+    /// removes them and reports them to [`Body::took`].
     pub fn next(&mut self, buf: &mut BytesMut) -> Next {
         loop {
             match self.at {
@@ -143,7 +147,7 @@
         }
     }
 
-    /// So many bytes of the body were taken off the front.
+    /// Counts bytes of the body that the caller has removed from the front of the buffer.
     pub fn took(&mut self, bytes: u64) {
         self.body += bytes;
         if let At::Length(n) | At::Chunk(n) = &mut self.at {
@@ -152,7 +156,7 @@
     }
 }
 
-/// A chunk's size; what stands behind a semicolon is an extension, and let go.
+/// A chunk's size (RFC 9112, section 7.1); extensions behind a semicolon are ignored.
 fn size(line: &[u8]) -> Option<u64> {
     let digits = line.iter().take_while(|b| b.is_ascii_hexdigit()).count();
     let (size, rest) = line.split_at(digits);
@@ -162,7 +166,7 @@
     u64::from_str_radix(std::str::from_utf8(size).ok()?, 16).ok().filter(|_| sound)
 }
 
-/// The digest that a body is to have (RFC 9530).
+/// The SHA-256 digest that a client has announced for a body (`Content-Digest`, RFC 9530).
 #[derive(Clone)]
 pub struct Digest {
     wanted: [u8; 32],
@@ -195,24 +199,25 @@
         Ok(found)
     }
 
+    /// Adds the next bytes of the body.
     pub fn update(&mut self, bytes: &[u8]) {
         self.so_far.update(bytes);
     }
 
-    /// Whether the whole body is the one that it was said to be.
+    /// Whether the complete body has the announced digest.
     pub fn matches(self) -> bool {
         self.so_far.finalize().as_slice() == self.wanted
     }
 }
 
-/// `Content-Digest` as it was told, to be passed on.
+/// `Content-Digest` as the client sent it, to be forwarded.
 pub fn digest_text(headers: &HeaderMap) -> Option<String> {
     let all: Vec<&str> = headers.get_all("content-digest").filter_map(|v| v.to_str().ok()).collect();
     (!all.is_empty()).then(|| all.join(", "))
 }
 
-/// The head of a call; its body follows in the same framing. The endpoint is asked whether it will have it, so that
-/// one that won't can say so before a byte of the body has left.
+/// The head of a call; its body follows in the same framing. `Expect: 100-continue` lets the endpoint reject
+/// the call before a byte of the body is sent.
 pub fn encode_head(call: &DeliveryCall, head: &StreamHead) -> String {
     let payload = &call.payload;
     let key = payload.key.as_ref().map(|key| format!("Idempotency-Key: {key}\r\n")).unwrap_or_default();
@@ -234,7 +239,9 @@
     Bytes::from(format!("{bytes:x}\r\n"))
 }
 
+/// The line end behind a chunk's bytes.
 pub const CHUNK_END: Bytes = Bytes::from_static(b"\r\n");
+/// The last chunk, with the empty line that ends the body.
 pub const LAST_CHUNK: Bytes = Bytes::from_static(b"0\r\n\r\n");
 
 /// The final answer to a streamed submission.
--- a/courier/protocol/src/submission.rs
+++ b/courier/protocol/src/submission.rs
@@ -1,4 +1,4 @@
-//! What clients hand in, and the answer they get.
+//! Submissions: requests by which clients submit messages, and the responses to them.
 
 use actix_http::header::{self, HeaderMap, HeaderValue};
 use actix_http::{Method, Response, StatusCode};
@@ -14,37 +14,52 @@
 /// More time than this is not the platform's either.
 const TIME_MAX: Micros = 600_000_000;
 
-/// Why a request is no submission: a plain answer, never journalled.
+/// Why a request is no submission. The client gets the text with a 4xx; nothing is journalled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Malformed {
+    /// The path names no class.
     #[error("no such path")]
     Path,
+    /// The method is not POST.
     #[error("invocations are handed in with POST")]
     Method,
+    /// The message has no usable id.
     #[error("X-Correlation-Id is missing or malformed")]
     Id,
+    /// The idempotency key is empty, too long or not ASCII.
     #[error("Idempotency-Key is malformed")]
     Key,
+    /// There is no usable time limit, or it is too long.
     #[error("X-Time-Left wants a number and a unit, m or u")]
     TimeLeft,
+    /// There is no usable destination.
     #[error("X-Addressing wants dest=NUMBER")]
     Dest,
+    /// The request can't be parsed.
     #[error("no HTTP/1.1 request as RFC 9112 has it")]
     Unreadable,
+    /// The head is too long.
     #[error("the head is over 8 KiB")]
     HeadTooLarge,
+    /// The length of the body is missing or ambiguous.
     #[error("Content-Length is wanted, once, and no Transfer-Encoding")]
     Length,
+    /// The body is longer than [`BODY_MAX`].
     #[error("the body is over 64 KiB")]
     TooLarge,
+    /// The body is longer than its class may stream.
     #[error("the body is over the limit of its class")]
     ExceedsClassLimit,
+    /// The announced digest can't be parsed.
     #[error("Content-Digest is malformed")]
     Digest,
+    /// `Expect` has another value than `100-continue`.
     #[error("Expect knows 100-continue alone")]
     Expect,
+    /// The client has sent more before it had its answer.
     #[error("more than one request at a time")]
     Behind,
+    /// The request was incomplete when its time was up.
     #[error("the request did not arrive in time")]
     Slow,
 }
@@ -63,7 +78,7 @@
         }
     }
 
-    /// Where this request ends, and the next would begin, is not known or not to be trusted.
+    /// Whether the connection has to be closed: where the next request begins is unknown or not to be trusted.
     pub fn ends_connection(self) -> bool {
         use Malformed::*;
         matches!(
@@ -81,7 +96,7 @@
     }
 }
 
-/// Whether the empty line that ends a head has come.
+/// Whether the empty line that ends a head has been received.
 pub fn is_whole_head(bytes: &[u8]) -> bool {
     head_end(bytes).is_some()
 }
@@ -97,7 +112,10 @@
     head.iter().enumerate().any(|(at, b)| *b == b'\n' && (at == 0 || head[at - 1] != b'\r'))
 }
 
-/// How long the body is. Nothing but one Content-Length may say so.
+/// The length of the body in bytes; 0 without `Content-Length`.
+///
+/// # Errors
+/// The length is no number or over [`BODY_MAX`], or there is a `Transfer-Encoding`.
 pub fn length(headers: &HeaderMap) -> Result<usize, Malformed> {
     if headers.contains_key(header::TRANSFER_ENCODING) {
         return Err(Malformed::Length);
@@ -119,6 +137,7 @@
     dest: u64,
     tenant: Option<String>,
     time_left: Micros,
+    /// Bytes of the body; 0 for a stream.
     pub length: usize,
 }
 
@@ -150,6 +169,7 @@
         Head::decode_parts(method, path, headers, 0, longest)
     }
 
+    /// The message's class, the first part of the path.
     pub fn class(&self) -> &str {
         &self.class
     }
@@ -179,6 +199,7 @@
         Ok(Head { id, class, key, dest, tenant, time_left, length })
     }
 
+    /// The submission with its complete body.
     pub fn with_body(self, body: Bytes) -> Submission {
         let Head { id, class, key, dest, tenant, time_left, .. } = self;
         Submission { id, class, key, dest, tenant, time_left, body }
@@ -203,7 +224,7 @@
     dest.filter(|_| dests.next().is_none())
 }
 
-/// The answer to a submission.
+/// The response to a submission.
 pub fn answer(intake: Intake) -> Response<Bytes> {
     let (status, text) = match intake {
         Intake::Accepted => (StatusCode::ACCEPTED, "taken on\n"),
@@ -221,19 +242,19 @@
     response
 }
 
-/// The same in other words; with a wait it says when to come again.
+/// A response with its own status and text; `after` becomes `Retry-After`.
 pub fn answer_with(status: StatusCode, text: &str, after: Option<Micros>) -> Response<Bytes> {
     let mut response = plain(status, text);
     after.into_iter().for_each(|after| set_retry_after(&mut response, after));
     response
 }
 
-/// `X-Addressing`, whole.
+/// The complete value of `X-Addressing`; empty if there is none.
 pub fn addressing(headers: &HeaderMap) -> &str {
     text(headers, "x-addressing").unwrap_or_default()
 }
 
-/// Says when to come again: whole milliseconds, never less than told.
+/// Sets `Retry-After`, in seconds rounded up to whole milliseconds.
 pub(crate) fn set_retry_after(response: &mut Response<Bytes>, after: Micros) {
     let seconds = after.div_ceil(1_000) as f64 / 1_000.0;
     if let Ok(value) = HeaderValue::from_str(&seconds.to_string()) {
@@ -241,11 +262,12 @@
     }
 }
 
-/// The answer to what is no submission.
+/// The response to a request that is no submission.
 pub fn refuse(malformed: Malformed) -> Response<Bytes> {
     plain(malformed.status(), &format!("{malformed}\n"))
 }
 
+/// A response with a plain text.
 pub fn plain(status: StatusCode, text: &str) -> Response<Bytes> {
     let mut response = Response::with_body(status, Bytes::copy_from_slice(text.as_bytes()));
     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
