--- a/courier/core/tests/handover_forms.rs
+++ b/courier/core/tests/handover_forms.rs
@@ -2,11 +2,9 @@
 //! state is sent as the same bytes. `WRITE_FIXTURES=1` writes the files anew.
 
 mod common;
-mod fixtures;
 
 use bytes::Bytes;
 use common::{NOW, World, calls, class, endpoint, killed};
-use fixtures::fixture;
 use quillmount_core::call::{Call, CallSnapshot};
 use quillmount_core::flow::{Cut, Late};
 use quillmount_core::hub::{self, Hub};
@@ -21,8 +19,11 @@
 };
 use quillmount_policy::{EndpointState, Micros, StateVisitor};
 use quillmount_settings::{Category, DestinationSettings, Limits, SenderSettings, Tenant};
+use quillmount_test_support::fixtures::Fixtures;
 use std::sync::Arc;
 
+const FIXTURES: Fixtures = Fixtures::of_package(env!("CARGO_MANIFEST_DIR"));
+
 const DISK: u64 = 999_999;
 const STREAMS: Option<StreamLimits> = Some(StreamLimits { most: 4, part_of_slots: 0.5, part_of_window: 0.5 });
 /// Of the settings below: a state of another mark is not gone on from.
@@ -173,8 +174,8 @@
 #[test]
 fn a_state_is_gone_on_from_and_sent_on_as_it_came() {
     let hub = busy();
-    let stored = fixture("handover_state.bin", &encoded(&hub));
-    let journal = fixture("handover_journal.bin", killed(&hub).bytes());
+    let stored = FIXTURES.check("handover_state.bin", &encoded(&hub));
+    let journal = FIXTURES.check("handover_journal.bin", killed(&hub).bytes());
     let state: hub::HubState = postcard::from_bytes(&stored).unwrap();
     assert_eq!(postcard::to_allocvec(&state).unwrap(), stored, "read and written without a courier");
     let held = state.backoffs.clone();
@@ -279,7 +280,7 @@
     let all: Vec<_> = all.collect();
     let parts: Vec<(CallSnapshot, Option<u32>)> =
         all.iter().map(|(name, _, several)| in_state(name, *several)).collect();
-    let stored = fixture("handover_calls.bin", &postcard::to_allocvec(&parts).unwrap());
+    let stored = FIXTURES.check("handover_calls.bin", &postcard::to_allocvec(&parts).unwrap());
     let read: Vec<(CallSnapshot, Option<u32>)> = postcard::from_bytes(&stored).unwrap();
     assert_eq!(postcard::to_allocvec(&read).unwrap(), stored);
     assert_eq!(read.len(), all.len());
@@ -350,6 +351,6 @@
     let endings = vec![Ending::Undeliverable, Ending::Deferred(300)];
     let listed = vec![EndpointState::Gone, EndpointState::Ready, EndpointState::Draining];
     let all = (call_ends, states, clients, cuts, endings, listed);
-    let stored = fixture("handover_enums.bin", &postcard::to_allocvec(&all).unwrap());
+    let stored = FIXTURES.check("handover_enums.bin", &postcard::to_allocvec(&all).unwrap());
     assert_eq!(postcard::from_bytes(&stored), Ok(all));
 }
--- a/courier/core/tests/stored_forms.rs
+++ b/courier/core/tests/stored_forms.rs
@@ -1,18 +1,18 @@
 //! The journal as it stands on disk: bytes that an earlier version wrote are read to the same values, and the same values
 //! are written as the same bytes. `WRITE_FIXTURES=1` writes the files anew.
 
-mod fixtures;
-
 use bytes::Bytes;
-use fixtures::fixture;
 use quillmount_core::journal::{
     AcceptedMessage, End, Journal, JournalContents, JournalEntry, JournalRecord, PastCall, Records,
     RepeatEffect, SettlementLine, Settlements, Source, frame,
 };
 use quillmount_core::note::Note;
 use quillmount_core::store::Memory;
+use quillmount_test_support::fixtures::Fixtures;
 use std::collections::BTreeMap;
 
+const FIXTURES: Fixtures = Fixtures::of_package(env!("CARGO_MANIFEST_DIR"));
+
 const DISK: u64 = 1_000_000;
 const NOW: u64 = 1_700_000_000_000_000;
 
@@ -143,7 +143,7 @@
 
 #[test]
 fn a_journal_is_read_record_by_record_and_written_as_it_was() {
-    let stored = fixture("journal.bin", &framed(&records()));
+    let stored = FIXTURES.check("journal.bin", &framed(&records()));
     let read: Vec<(usize, JournalRecord)> = Records::new(&stored).collect();
     let (offsets, values): (Vec<_>, Vec<_>) = read.into_iter().unzip();
     assert_eq!(values, records());
@@ -168,12 +168,12 @@
     let sound = torn.len();
     let last = frame(&JournalRecord::Accept { msg: 301, taken: taken(301, Some("never whole")) }).unwrap();
     torn.extend(&last[..last.len() - 1]);
-    let torn = fixture("journal_torn.bin", &torn);
+    let torn = FIXTURES.check("journal_torn.bin", &torn);
     assert_eq!(JournalContents::read(&torn), (restored(), sound));
     let mut notes = Vec::new();
     let (journal, contents) = Journal::open(Memory::of(torn), DISK, NOW, &mut notes).unwrap();
     assert_eq!(contents, restored_now());
-    let compacted = fixture("journal_compacted.bin", journal.store().bytes());
+    let compacted = FIXTURES.check("journal_compacted.bin", journal.store().bytes());
     assert!(matches!(&notes[..], [Note::Torn(lost), Note::Compacted { from, to }]
         if *lost == last.len() - 1
             && *from == (sound + last.len() - 1) as u64
@@ -218,7 +218,7 @@
         steps[1].clone(),
         settlement(NORTH, line(b"opened", false, None)),
     ];
-    let stored = fixture("journal_written.bin", journal.store().bytes());
+    let stored = FIXTURES.check("journal_written.bin", journal.store().bytes());
     assert_eq!(stored, framed(&written));
     let more = JournalEntry {
         taken: taken(3, None),
@@ -232,7 +232,7 @@
         vec![line(b"taken over", true, Some(source("a", 1, 4)))],
     )]));
     journal.adopt(BTreeMap::from([(3, more)]), &lines, NOW, &mut notes).unwrap();
-    let adopted = fixture("journal_adopted.bin", journal.store().bytes());
+    let adopted = FIXTURES.check("journal_adopted.bin", journal.store().bytes());
     let copy = [
         JournalRecord::Disable { id: "s-2".into() },
         settlement(NORTH, line(b"opened", false, None)),
--- a/courier/fleet/tests/stored_forms.rs
+++ b/courier/fleet/tests/stored_forms.rs
@@ -3,12 +3,9 @@
 
 #[allow(dead_code)]
 mod common;
-#[path = "../../core/tests/fixtures/mod.rs"]
-mod fixtures;
 
 use bytes::Bytes;
 use common::{Disk, SEC, World};
-use fixtures::fixture;
 use quillmount_core::journal::{self, JournalContents, JournalRecord};
 use quillmount_core::store::{Memory, Store};
 use quillmount_fleet::agreement::{
@@ -24,8 +21,11 @@
 };
 use quillmount_fleet::shares::BudgetKind;
 use quillmount_fleet::state::{FleetCommand, FleetState, JournalId, PARTITIONS, PartitionId, PartitionState};
+use quillmount_test_support::fixtures::Fixtures;
 use std::collections::{BTreeMap, BTreeSet};
 
+const FIXTURES: Fixtures = Fixtures::of_package(env!("CARGO_MANIFEST_DIR"));
+
 const NOW: u64 = 1_700_000_000_000_000;
 
 fn id() -> SettlementId {
@@ -221,7 +221,7 @@
         messages: vec![message.clone()],
     };
     let written: Vec<Vec<u8>> = messages().iter().map(|message| envelope(message).encode()).collect();
-    let stored = fixture("envelopes.bin", &postcard::to_stdvec(&written).unwrap());
+    let stored = FIXTURES.check("envelopes.bin", &postcard::to_stdvec(&written).unwrap());
     let stored: Vec<Vec<u8>> = postcard::from_bytes(&stored).unwrap();
     assert_eq!(stored.len(), messages().len());
     for (bytes, message) in stored.iter().zip(messages()) {
@@ -280,7 +280,7 @@
 fn records_of_settlements_are_read_and_written_as_ever() {
     let records = settlement_records();
     let written: Vec<Vec<u8>> = records.iter().map(|record| record.encode().unwrap()).collect();
-    let stored = fixture("settlement_records.bin", &postcard::to_stdvec(&written).unwrap());
+    let stored = FIXTURES.check("settlement_records.bin", &postcard::to_stdvec(&written).unwrap());
     let stored: Vec<Vec<u8>> = postcard::from_bytes(&stored).unwrap();
     let read: Vec<SettlementRecord> =
         stored.iter().map(|bytes| SettlementRecord::decode(bytes).unwrap()).collect();
@@ -323,7 +323,7 @@
     all.push(JournalLine::Payload { position: 300, payload: payloads[1].clone() });
     let lines: Vec<JournalRecord> = all.iter().map(|one| one.line(&id()).unwrap()).collect();
     let written: Vec<u8> = lines.iter().flat_map(|line| journal::frame(line).unwrap()).collect();
-    let stored = fixture("settlement_journal.bin", &written);
+    let stored = FIXTURES.check("settlement_journal.bin", &written);
     let (book, sound) = JournalContents::read(&stored);
     assert_eq!((sound, book.settlements.0.len()), (stored.len(), 1));
     let (of, progress) = book.settlements.0.first_key_value().unwrap();
@@ -438,7 +438,7 @@
 #[test]
 fn the_agreed_state_is_read_and_written_as_ever() {
     let state = fleet_state();
-    let stored = fixture("agreed_state.bin", &postcard::to_stdvec(&state).unwrap());
+    let stored = FIXTURES.check("agreed_state.bin", &postcard::to_stdvec(&state).unwrap());
     let read: FleetState = postcard::from_bytes(&stored).unwrap();
     assert_eq!(read, state);
     assert_eq!(read.epoch, 4);
@@ -513,7 +513,7 @@
     gate.connections.released(&permits[0], NOW + 30);
     gate.connections.closing(700, permits[1].conn, NOW + 31);
     gate.reports(NOW + 300_000);
-    let stored = fixture("budget_gate.bin", &postcard::to_stdvec(&gate).unwrap());
+    let stored = FIXTURES.check("budget_gate.bin", &postcard::to_stdvec(&gate).unwrap());
     let mut read: BudgetGate = postcard::from_bytes(&stored).unwrap();
     assert_eq!(read, gate);
     assert_eq!((read.connections.open(700), read.connections.open_for(700, "north")), (5, 5));
@@ -656,7 +656,7 @@
 #[test]
 fn messages_of_the_agreement_are_read_and_answered_as_ever() {
     let all = AgreementRun::play();
-    let stored = fixture("agreement_messages.bin", &postcard::to_stdvec(&all.sent).unwrap());
+    let stored = FIXTURES.check("agreement_messages.bin", &postcard::to_stdvec(&all.sent).unwrap());
     let stored: Vec<(u64, u64, Vec<u8>)> = postcard::from_bytes(&stored).unwrap();
     assert_eq!(stored, all.sent);
     // Behind form and checksum each has its kind's number: all ten are there.
@@ -671,7 +671,7 @@
     for (node_id, node) in all.nodes {
         let name = format!("agreement_log_{node_id}.bin");
         let (term, voters, through) = (node.term(), node.voters(), all.state[&node_id].clone());
-        let stored = fixture(&name, node.into_store().bytes());
+        let stored = FIXTURES.check(&name, node.into_store().bytes());
         for torn in [0, 1, 5] {
             let bytes = [&stored[..], &stored[..torn]].concat();
             let opened = Agreement::open(Memory::of(bytes), 99, AgreementLimits::default(), SEC);
@@ -719,7 +719,7 @@
         };
         disks.iter_mut().map(files).collect()
     };
-    let stored = fixture("fleet_folders.bin", &postcard::to_stdvec(&dump(&mut world.disks)).unwrap());
+    let stored = FIXTURES.check("fleet_folders.bin", &postcard::to_stdvec(&dump(&mut world.disks)).unwrap());
     let folders: Vec<BTreeMap<String, Vec<u8>>> = postcard::from_bytes(&stored).unwrap();
     let names: Vec<&str> = folders[0].keys().map(String::as_str).collect();
     assert_eq!(names, ["agreement", "copy.2.c001", "identity", "journal"]);
--- a/courier/operator/tests/stored_forms.rs
+++ b/courier/operator/tests/stored_forms.rs
@@ -1,17 +1,16 @@
 //! The operator file and its schema as files: every section with every field is read to the same values and written as the
 //! same text. `WRITE_FIXTURES=1` writes the files anew.
 
-#[path = "../../core/tests/fixtures/mod.rs"]
-mod fixtures;
-
-use fixtures::fixture;
 use quillmount_operator::fleet::{
     Fleet, FleetBudget, FleetMember, FleetSettlement, FleetTenant, OnMissing, SettlementMode,
 };
 use quillmount_operator::units::{Size, Span};
 use quillmount_operator::{Log, LogFormat, Operator, Pace, Streams};
+use quillmount_test_support::fixtures::Fixtures;
 use std::time::Duration;
 
+const FIXTURES: Fixtures = Fixtures::of_package(env!("CARGO_MANIFEST_DIR"));
+
 fn ms(n: u64) -> Span {
     Span(Duration::from_millis(n))
 }
@@ -102,7 +101,7 @@
         ("operator_streams.json", with_streams()),
     ] {
         let text = serde_json::to_string_pretty(&operator).unwrap() + "\n";
-        let stored = fixture(name, text.as_bytes());
+        let stored = FIXTURES.check(name, text.as_bytes());
         assert_eq!(Operator::parse(&stored).unwrap(), operator, "{name}");
     }
 }
@@ -119,5 +118,5 @@
 
 #[test]
 fn the_schema_is_the_same_as_ever() {
-    fixture("operator_schema.json", Operator::schema_text().as_bytes());
+    FIXTURES.check("operator_schema.json", Operator::schema_text().as_bytes());
 }
--- a/courier/program/tests/stored_forms.rs
+++ b/courier/program/tests/stored_forms.rs
@@ -3,18 +3,16 @@
 
 #![allow(dead_code, unused_imports)]
 
-#[path = "../../core/tests/fixtures/mod.rs"]
-mod fixtures;
 #[path = "../src/fleet/mod.rs"]
 mod fleet;
 #[path = "../src/transport/mod.rs"]
 mod transport;
 
-use fixtures::fixture;
 use quillmount_core::call;
 use quillmount_core::hub;
 use quillmount_core::machine::client;
 use quillmount_protocol::operator::OperatorCall;
+use quillmount_test_support::fixtures::Fixtures;
 use serde::Serialize;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -23,6 +21,8 @@
 use transport::frames::Frame;
 use transport::handle::HandoverPart;
 
+const FIXTURES: Fixtures = Fixtures::of_package(env!("CARGO_MANIFEST_DIR"));
+
 /// A state and calls that are out: the core's tests check what is in them.
 const STATE: &[u8] = include_bytes!("../../core/tests/fixtures/handover_state.bin");
 const CALLS: &[u8] = include_bytes!("../../core/tests/fixtures/handover_calls.bin");
@@ -125,7 +125,7 @@
 #[test]
 fn frames_of_an_upgrade_are_read_and_sent_as_ever() {
     play(async {
-        let stored = fixture("handover_frames.bin", &sent(&frames()).await);
+        let stored = FIXTURES.check("handover_frames.bin", &sent(&frames()).await);
         assert!(stored.starts_with(HELLO));
         let mut channel = heard(stored.clone()).await;
         let mut read = Vec::new();
@@ -172,7 +172,7 @@
 #[test]
 fn parts_of_an_upgrade_are_read_and_sent_as_ever() {
     play(async {
-        let stored = fixture("handover_parts.bin", &sent(&parts()).await);
+        let stored = FIXTURES.check("handover_parts.bin", &sent(&parts()).await);
         let mut channel = heard(stored.clone()).await;
         let mut read = Vec::new();
         for _ in parts() {
--- a/courier/protocol/tests/stored_forms.rs
+++ b/courier/protocol/tests/stored_forms.rs
@@ -1,13 +1,9 @@
 //! The platform's forms on HTTP as text: discovery's lists, submissions' heads and answers, calls to endpoints and their
 //! answers, notices and operators' lines. `WRITE_FIXTURES=1` writes the files anew.
 
-#[path = "../../core/tests/fixtures/mod.rs"]
-mod fixtures;
-
 use actix_http::header::{HeaderMap, HeaderName, HeaderValue};
 use actix_http::{Method, Response, StatusCode};
 use bytes::Bytes;
-use fixtures::fixture;
 use quillmount_core::flow::{Cut, Late};
 use quillmount_core::machine::attempt::Answer;
 use quillmount_core::router::{Intake, StreamEnd};
@@ -20,8 +16,11 @@
 use quillmount_protocol::operator::{self, BadCall, Line, OperatorCall};
 use quillmount_protocol::submission::{self, Head, Malformed};
 use quillmount_protocol::{delivery, notice, stream};
+use quillmount_test_support::fixtures::Fixtures;
 use std::sync::Arc;
 
+const FIXTURES: Fixtures = Fixtures::of_package(env!("CARGO_MANIFEST_DIR"));
+
 fn endpoint(id: &str, addr: Option<&str>, dest: u64, state: EndpointState) -> EndpointListing {
     let (kind, zone) = (String::new(), String::new());
     EndpointListing {
@@ -69,7 +68,7 @@
         notice("m3", Ending::Deferred(1)),
         notice("m4", Ending::Deferred(250_000)),
     ];
-    fixture("notices.jsonl", notice::encode(&notices).as_bytes());
+    FIXTURES.check("notices.jsonl", notice::encode(&notices).as_bytes());
     assert_eq!(notice::PATH, "/v2/finals");
 }
 
@@ -195,7 +194,7 @@
         .chain([other])
         .map(text)
         .collect();
-    fixture("answers.txt", all.join("----\n").as_bytes());
+    FIXTURES.check("answers.txt", all.join("----\n").as_bytes());
     let ending: Vec<bool> = malformed.iter().map(|why| why.ends_connection()).collect();
     let wanted = [false, false, false, false, false, false];
     assert_eq!((&ending[..6], ending[6..].iter().all(|ends| *ends)), (&wanted[..], true));
@@ -234,7 +233,7 @@
         ("call_stream_length.http", stream(Some(300), Some(digest)).into_bytes()),
         ("call_stream_chunked.http", stream(None, None).into_bytes()),
     ] {
-        fixture(name, &bytes);
+        FIXTURES.check(name, &bytes);
     }
     assert_eq!(stream::chunk_line(300), "12c\r\n");
     assert_eq!((stream::CHUNK_END, stream::LAST_CHUNK), ("\r\n".into(), "0\r\n\r\n".into()));
@@ -303,5 +302,5 @@
     ];
     let mut all: String = bad.iter().map(|why| operator::answer(Err(&why.to_string()))).collect();
     all += &operator::answer(Ok("ready"));
-    fixture("operator_answers.txt", all.as_bytes());
+    FIXTURES.check("operator_answers.txt", all.as_bytes());
 }
--- a/tier/batch/tests/stored_records.rs
+++ b/tier/batch/tests/stored_records.rs
@@ -1,15 +1,14 @@
 //! Records of a store as they are stored: a table of all forms, each read and written to the same bytes, and the shard that
 //! they give.
 
-#[path = "../../wire/tests/fixture_files/mod.rs"]
-mod fixture_files;
-
-use fixture_files::fixture_table;
 use quillmount_batch::{
     BUCKETS, ShardAction, ShardReplica, ShardReplicaId, StoreRecord, bucket_of, different_buckets,
 };
+use quillmount_test_support::fixtures::Fixtures;
 use quillmount_wire::messages::{Item, ItemResult, Job, JobState, Phase, QuotaKey, ShardOperation};
 
+const FIXTURES: Fixtures = Fixtures::of_package(env!("CARGO_MANIFEST_DIR"));
+
 fn item(id: &str, body: &[u8], tokens: u64) -> Item {
     let headers = vec![("Content-Type".to_owned(), "text/plain".to_owned())];
     Item { id: id.to_owned(), path: format!("/v1/{id}"), headers, body: body.to_vec(), tokens }
@@ -92,7 +91,7 @@
 fn stored() -> Vec<(String, StoreRecord)> {
     let made: Vec<(String, Vec<u8>)> =
         records().into_iter().map(|(name, record)| (name.to_owned(), record.encode())).collect();
-    let rows = fixture_table("records.txt", &made);
+    let rows = FIXTURES.check_table("records.txt", &made);
     rows.into_iter().map(|(name, bytes)| (name, StoreRecord::decode(&bytes).unwrap())).collect()
 }
 
@@ -193,7 +192,7 @@
             _ => None,
         })
         .collect();
-    let rows = fixture_table("rewrite.txt", &written);
+    let rows = FIXTURES.check_table("rewrite.txt", &written);
     assert_eq!(rows.len(), 2);
     let mut rewritten = ShardReplica::new(ShardReplicaId { disk: 201, shard: 3, tolerated_failures: 1 });
     rows.iter().for_each(|(_, bytes)| rewritten.recover(StoreRecord::decode(bytes).unwrap()));
--- a/tier/control/tests/stored_register.rs
+++ b/tier/control/tests/stored_register.rs
@@ -1,17 +1,16 @@
 //! The register of a core member as it is stored: the fixture is read, checked value by value, and written to the same bytes.
 
-#[path = "../../wire/tests/fixture_files/mod.rs"]
-mod fixture_files;
-
-use fixture_files::fixture;
 use quillmount_control::{
     AppliedOrder, ControlState, Member, Order, OrderKind, OrderOutcome, Retirement, ShardPlanInputs, shard_of,
 };
+use quillmount_test_support::fixtures::Fixtures;
 use quillmount_wire::messages::{
     Accepted, NodeInfo, NodeRole, Register, RegisterValue, ShardReport, UsageWindow, decode, encode,
 };
 use std::collections::BTreeSet;
 
+const FIXTURES: Fixtures = Fixtures::of_package(env!("CARGO_MANIFEST_DIR"));
+
 const STATE: &str = "control-state.bin";
 const REGISTER: &str = "register.bin";
 
@@ -81,18 +80,18 @@
 }
 
 fn stored_state() -> ControlState {
-    ControlState::decode(&fixture(STATE, &control_state().encode())).unwrap()
+    ControlState::decode(&FIXTURES.check(STATE, &control_state().encode())).unwrap()
 }
 
 fn stored_register() -> Register {
-    decode(&fixture(REGISTER, &encode(&register()))).unwrap()
+    decode(&FIXTURES.check(REGISTER, &encode(&register()))).unwrap()
 }
 
 #[test]
 fn a_stored_state_is_encoded_to_the_same_bytes() {
-    let bytes = fixture(STATE, &control_state().encode());
+    let bytes = FIXTURES.check(STATE, &control_state().encode());
     assert_eq!(ControlState::decode(&bytes).unwrap().encode(), bytes);
-    let bytes = fixture(REGISTER, &encode(&register()));
+    let bytes = FIXTURES.check(REGISTER, &encode(&register()));
     assert_eq!(encode(&decode::<Register>(&bytes).unwrap()), bytes);
 }
 
@@ -109,7 +108,7 @@
 
 #[test]
 fn an_empty_register_has_its_bytes() {
-    let bytes = fixture("register-empty.bin", &encode(&Register::default()));
+    let bytes = FIXTURES.check("register-empty.bin", &encode(&Register::default()));
     let register: Register = decode(&bytes).unwrap();
     assert_eq!((register.promised, register.promised_to, register.accepted), (0, 0, None));
 }
--- a/tier/node/tests/stored_data.rs
+++ b/tier/node/tests/stored_data.rs
@@ -1,13 +1,11 @@
 //! State folders of a core member and of a store as processes leave them: each is opened with the sizes that processes use,
 //! and printed by `inspect`.
 
-#[path = "../../wire/tests/fixture_files/mod.rs"]
-mod fixture_files;
-
-use fixture_files::{TemporaryFolder, file_names, fixture_folder};
 use quillmount_batch::{ShardAction, ShardReplica, ShardReplicaId, StoreRecord};
 use quillmount_control::{ControlState, Order, OrderKind, OrderOutcome, ShardPlanInputs};
 use quillmount_storage::{Ring, RingRecord, RingSize, load_identity};
+use quillmount_test_support::fixtures::{Fixtures, file_names};
+use quillmount_test_support::temporary::TemporaryFolder;
 use quillmount_wire::messages::{
     Accepted, Item, ItemResult, Job, NodeInfo, NodeRole, Phase, Register, RegisterValue, ShardOperation,
     decode, encode,
@@ -18,6 +16,8 @@
 use std::path::Path;
 use std::process::Command;
 
+const FIXTURES: Fixtures = Fixtures::of_package(env!("CARGO_MANIFEST_DIR"));
+
 /// The ring of a core member.
 const CORE_RING: RingSize = RingSize { segment: 4 << 20, segments: 4 };
 /// The ring of a store with a small disk.
@@ -34,7 +34,7 @@
 fn stored(name: &str, write: impl Fn(&Path)) -> TemporaryFolder {
     let made = TemporaryFolder::new();
     write(&made.0);
-    fixture_folder(name, &made.0)
+    FIXTURES.check_folder(name, &made.0)
 }
 
 fn node(name: &str, disk: u64, role: NodeRole) -> NodeInfo {
--- a/tier/storage/tests/stored_ring.rs
+++ b/tier/storage/tests/stored_ring.rs
@@ -1,14 +1,14 @@
 //! Files of rings and of an identity as they are stored: recovery of the fixtures, and what is appended behind them.
 
-#[path = "../../wire/tests/fixture_files/mod.rs"]
-mod fixture_files;
-
-use fixture_files::{TemporaryFolder, file_names, fixture, fixture_folder};
 use quillmount_storage::{Ring, RingRecord, RingSize, StorageError, load_identity, read_records};
+use quillmount_test_support::fixtures::{Fixtures, file_names};
+use quillmount_test_support::temporary::TemporaryFolder;
 use std::fs::{self, OpenOptions};
 use std::io::{Seek, SeekFrom, Write};
 use std::path::Path;
 
+const FIXTURES: Fixtures = Fixtures::of_package(env!("CARGO_MANIFEST_DIR"));
+
 const SIZE: RingSize = RingSize { segment: 256, segments: 4 };
 /// Bytes of a record of these rings.
 const BODY: usize = 40;
@@ -58,7 +58,7 @@
 fn stored(name: &str, write: impl Fn(&Path)) -> TemporaryFolder {
     let made = TemporaryFolder::new();
     write(&made.0);
-    fixture_folder(name, &made.0)
+    FIXTURES.check_folder(name, &made.0)
 }
 
 fn numbers(records: &[RingRecord]) -> Vec<(u64, u8)> {
@@ -122,7 +122,7 @@
     let made = TemporaryFolder::new();
     let drawn = load_identity(&made.0, 0x00ab_cdef_0123_4567).unwrap();
     assert_eq!((drawn.disk, drawn.fresh), (0x00ab_cdef_0123_4567, true));
-    let bytes = fixture("identity", &fs::read(made.0.join("identity")).unwrap());
+    let bytes = FIXTURES.check("identity", &fs::read(made.0.join("identity")).unwrap());
     assert_eq!(bytes, b"00abcdef01234567\n");
     let folder = TemporaryFolder::new();
     fs::write(folder.0.join("identity"), bytes).unwrap();
--- a/tier/wire/tests/message_bytes.rs
+++ b/tier/wire/tests/message_bytes.rs
@@ -1,10 +1,7 @@
 //! Messages between processes as they go over connections: tables of frames with every form of every message. Each frame is
 //! read the way a process reads it, and written to the same bytes.
 
-#[path = "fixture_files/mod.rs"]
-mod fixture_files;
-
-use fixture_files::fixture_table;
+use quillmount_test_support::fixtures::Fixtures;
 use quillmount_wire::frame::{FrameError, FrameHeader, FrameKind, HEADER_BYTES, aligned_buffer, encode};
 use quillmount_wire::messages::{
     Accepted, DirectoryUpdate, Endpoint, Item, ItemResult, Job, JobState, NodeInfo, NodeRole, Phase,
@@ -12,6 +9,8 @@
     ServiceLoad, ShardMessage, ShardOperation, ShardReport, ShardView, TableVersions, Tables, UsageWindow,
 };
 
+const FIXTURES: Fixtures = Fixtures::of_package(env!("CARGO_MANIFEST_DIR"));
+
 fn text(text: &str) -> String {
     text.to_owned()
 }
@@ -323,7 +322,7 @@
         (name, encode(FrameKind::Request, call_number(row), &request.encode()))
     };
     let made: Vec<(String, Vec<u8>)> = requests().into_iter().enumerate().map(frame).collect();
-    let stored = fixture_table("requests.txt", &made);
+    let stored = FIXTURES.check_table("requests.txt", &made);
     for (row, ((name, bytes), (_, expected))) in stored.iter().zip(requests()).enumerate() {
         let request = Request::decode(&read(row, bytes, FrameKind::Request)).unwrap();
         assert!(request == expected, "{name}");
@@ -338,7 +337,7 @@
         (name, encode(FrameKind::Response, call_number(row), &response.encode()))
     };
     let made: Vec<(String, Vec<u8>)> = responses().into_iter().enumerate().map(frame).collect();
-    let stored = fixture_table("responses.txt", &made);
+    let stored = FIXTURES.check_table("responses.txt", &made);
     for (row, ((name, bytes), (_, expected))) in stored.iter().zip(responses()).enumerate() {
         let response = Response::decode(&read(row, bytes, FrameKind::Response)).unwrap();
         assert!(response == expected, "{name}");
@@ -355,7 +354,7 @@
         .enumerate()
         .map(|(row, kind)| (format!("kind-{row}"), encode(*kind, 9, b"body")))
         .collect();
-    for ((_, bytes), kind) in fixture_table("frames.txt", &made).iter().zip(kinds) {
+    for ((_, bytes), kind) in FIXTURES.check_table("frames.txt", &made).iter().zip(kinds) {
         let head = FrameHeader::decode(bytes[..HEADER_BYTES].try_into().unwrap()).unwrap();
         assert!(head.kind == kind && head.verify(b"body").is_ok());
         assert_eq!((&bytes[..4], head.call, head.length), (b"QMF1".as_slice(), 9, 4));
--- a/tier/wire/tests/operator_files.rs
+++ b/tier/wire/tests/operator_files.rs
@@ -1,17 +1,16 @@
 //! Files that operators write, with every field: a configuration, changes of it, the settings of a process, and the texts
 //! that name what is wrong with them.
 
-#[path = "fixture_files/mod.rs"]
-mod fixture_files;
-
-use fixture_files::{fixture, fixture_path};
 use miniserde::json;
+use quillmount_test_support::fixtures::Fixtures;
 use quillmount_wire::configuration::{ClientLimits, Configuration, ConfigurationError, apply_patch};
 use quillmount_wire::settings::{PATH_VARIABLE, Settings, SettingsError};
 use std::fs;
 
+const FIXTURES: Fixtures = Fixtures::of_package(env!("CARGO_MANIFEST_DIR"));
+
 fn read(name: &str) -> String {
-    fs::read_to_string(fixture_path(name)).unwrap()
+    fs::read_to_string(FIXTURES.path(name)).unwrap()
 }
 
 fn configuration() -> Configuration {
@@ -75,7 +74,7 @@
 #[test]
 fn a_configuration_is_written_with_the_names_it_was_read_with() {
     let written = json::to_string(&configuration());
-    fixture("configuration-written.json", written.as_bytes());
+    FIXTURES.check("configuration-written.json", written.as_bytes());
     let again = Configuration::read(&written).unwrap();
     assert_eq!(json::to_string(&again), written);
 }
@@ -92,7 +91,7 @@
 #[test]
 fn a_change_of_named_items_gives_a_whole_configuration() {
     let patched = apply_patch(&read("configuration.json"), &read("configuration-patch.json")).unwrap();
-    fixture("configuration-patched.json", patched.as_bytes());
+    FIXTURES.check("configuration-patched.json", patched.as_bytes());
     let patched = Configuration::read(&patched).unwrap();
     patched.check(42).unwrap();
     let routes: Vec<&str> = patched.routes.iter().map(|route| route.name.as_str()).collect();
--- a/tools/test-support/src/digest.rs
+++ b/tools/test-support/src/digest.rs
@@ -8,8 +8,9 @@
 /// The seeds of each digest.
 pub const SEEDS: std::ops::RangeInclusive<u64> = 1..=50;
 
-/// The offset basis and the prime of the 64-bit FNV-1a hash.
+/// The offset basis of the 64-bit FNV-1a hash.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+/// The prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
 /// What one run counted. The labels and the numbers are the tests' own, so that renaming an item changes no digest.
@@ -56,7 +57,7 @@
 
 /// Compares the lines with the file, or writes it with `WRITE_FIXTURES=1`.
 pub fn compare_with_file(file: &Path, lines: &str) {
-    if std::env::var("WRITE_FIXTURES").is_ok_and(|value| value == "1") {
+    if crate::fixtures::are_written() {
         std::fs::write(file, lines).unwrap_or_else(|error| panic!("{}: {error}", file.display()));
     }
     let expected =
