--- a/tools/explore/src/action.rs
+++ b/tools/explore/src/action.rs
@@ -1,51 +1,66 @@
-//! What may happen next: each is one choice of the world, and a path is a list of them.
+//! The events of a world. A path of the exploration is a list of [`Transition`]s, which is also how counterexamples are
+//! recorded (JSON).
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A call by its message, in the order of handing in, and its number.
+/// A call, named by its message and the number of the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallRef {
+    /// Index of the message, in the order of submission.
     pub message: u64,
+    /// Number of the attempt, as the router gave it.
     pub attempt: u32,
 }
 
+/// How much of a request the driver writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WriteExtent {
+    /// Up to the last byte.
     #[serde(rename = "whole")]
     Complete,
     /// Some bytes, not all.
     #[serde(rename = "part")]
     Partial,
-    /// The connection broke.
+    /// The connection breaks before the last byte.
     Broken,
 }
 
+/// What an endpoint answers to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Answer {
+    /// 200.
     Ok,
+    /// 500: the call may have run.
     Error,
+    /// 503: rejected, the call never ran.
     Full,
+    /// 429, with a wait of [`Answer::WAIT_MS`].
     Wait,
+    /// 503 with `X-Over-Slots`: more calls at once than the endpoint accepts.
     Slots,
+    /// 504: all attempts are used up.
     Exhausted,
-    /// 410: the endpoint says that nothing more is owed for the message.
+    /// 410: nothing more is owed for the message.
     #[serde(rename = "over")]
     Gone,
-    /// 200 at first, then it breaks off.
+    /// 200, and then the connection breaks off.
     CutOk,
-    /// 503 at first, then it breaks off.
+    /// 503, and then the connection breaks off.
     CutFull,
+    /// 102: an interim answer; the final one follows.
     Interim,
+    /// 200 twice on the same connection.
     Copy,
 }
 
 impl Answer {
-    /// How long a told wait lasts, in milliseconds.
+    /// The wait that [`Answer::Wait`] asks for, in milliseconds.
     pub const WAIT_MS: u64 = 700;
 
+    /// The bytes of the answer on the connection.
     pub fn bytes(self) -> &'static [u8] {
         match self {
             Answer::Ok => b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
@@ -64,106 +79,135 @@
         }
     }
 
-    /// It says that the message is delivered.
+    /// Whether it confirms the delivery of the message.
     pub fn delivers(self) -> bool {
         matches!(self, Answer::Ok | Answer::CutOk | Answer::Copy)
     }
 
-    /// It proves that the call never ran.
+    /// Whether it proves that the call never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Answer::Full | Answer::Wait | Answer::Slots | Answer::Exhausted | Answer::Gone)
     }
 }
 
+/// One event that may happen in a world. The serialized names are those of recorded paths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Action {
+    /// A client submits a new message.
     #[serde(rename = "hand-in")]
     Submit {
+        /// Index into [`crate::case::CLASSES`].
         class: u8,
+        /// The destination.
         dest: u64,
     },
+    /// A client submits a message again, under the same id.
     #[serde(rename = "again")]
-    Resubmit {
-        message: u64,
-    },
+    Resubmit { message: u64 },
+    /// A client submits a new message with the key of an earlier one.
     #[serde(rename = "same-key")]
-    SubmitSameKey {
-        message: u64,
-    },
+    SubmitSameKey { message: u64 },
+    /// The connection for a call is established.
     #[serde(rename = "up")]
     Connected(CallRef),
-    /// Refused, or not up in time.
+    /// The connection is refused, or not established in time.
     Refused(CallRef),
+    /// The driver writes a part of the request, or all of it.
     Write(CallRef, WriteExtent),
+    /// The endpoint answers, and the answer is read at once.
     Answer(CallRef, Answer),
-    /// The answer is in the courier's socket, and not read yet.
+    /// The answer arrives in the courier's socket, and is not read yet.
     #[serde(rename = "arrives")]
     AnswerArrived(CallRef, Answer),
-    /// What is in the socket is read.
+    /// The answer in the socket is read.
     #[serde(rename = "read")]
     ReadAnswer(CallRef),
-    /// The provider ends its side.
+    /// The endpoint closes its side of the connection.
     #[serde(rename = "end")]
     EndpointClosed(CallRef),
+    /// The endpoint resets the connection after the last byte of the request.
     Reset(CallRef),
+    /// The call times out.
     Deadline(CallRef),
-    /// The time that an attempt waits for has come.
+    /// A timer of the attempt expires.
     CallTick(CallRef),
-    /// The module wanted to be woken.
+    /// The timer of the router expires.
     Tick,
+    /// An endpoint begins to drain, by its index on the list.
     #[serde(rename = "drain")]
     EndpointDraining(u8),
+    /// An endpoint leaves the list.
     #[serde(rename = "gone")]
     EndpointGone(u8),
+    /// An endpoint is ready again, under the same id.
     #[serde(rename = "ready")]
     EndpointReady(u8),
+    /// A new endpoint appears at the address of one that is gone.
     #[serde(rename = "replace")]
     EndpointReplaced(u8),
+    /// Discovery sends the full list.
     #[serde(rename = "whole")]
     FullList,
+    /// The watch on discovery breaks.
     WatchBreak,
+    /// The backoff of the watch ends, and it resumes.
     WatchTick,
+    /// The courier sends a batch of notices.
     SendNotices,
+    /// The platform confirms the notices in flight.
     Confirmed,
-    /// `received`: the platform has them, and only its word was lost.
+    /// The notices in flight get no confirmation.
     #[serde(rename = "lost")]
     NoticesLost {
+        /// The platform has received them: only its confirmation is lost.
         #[serde(rename = "got")]
         received: bool,
     },
+    /// The time-out or the backoff of notices ends.
     NoticeTick,
+    /// The last confirmation arrives a second time.
     #[serde(rename = "twice")]
     ConfirmedTwice,
-    /// The first of a provider's resting connections is closed by it.
+    /// An endpoint closes the first of its idle connections; the number is that of the endpoint in the router.
     #[serde(rename = "idle")]
     IdleClosed(u32),
+    /// The disk refuses writes from now on.
     DiskFull,
+    /// The disk accepts writes again.
     DiskFree,
+    /// SIGTERM: a graceful shutdown begins.
     Term,
+    /// The process ends by itself.
     Exit,
+    /// SIGKILL between two transitions.
     Kill,
+    /// The process starts again.
     Start,
-    /// The clock goes on, to this time.
+    /// The clock goes on.
     #[serde(rename = "pass")]
     AdvanceClock {
+        /// Microseconds since the beginning of the world.
         to: u64,
     },
 }
 
-/// A kill in the middle of what a choice does.
+/// A kill in the middle of a transition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CrashPoint {
-    /// After so many whole writes to the store.
+    /// Complete writes to the store before the kill.
     pub after: u32,
-    /// Inside the next one.
+    /// The write after those reaches the store in part.
     pub torn: bool,
 }
 
+/// An action, with or without a kill in the middle of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Transition {
+    /// What happens.
     #[serde(rename = "choice")]
     pub action: Action,
+    /// Where the process is killed meanwhile.
     #[serde(rename = "die", default, skip_serializing_if = "Option::is_none")]
     pub crash: Option<CrashPoint>,
 }
--- a/tools/explore/src/case.rs
+++ b/tools/explore/src/case.rs
@@ -1,4 +1,4 @@
-//! What is explored: the size of the world and the events that may happen in it.
+//! What is explored: the size of the world, and the faults that may occur in it.
 
 use quillmount_policy::Micros;
 use quillmount_settings::SenderSettings;
@@ -95,34 +95,38 @@
     TornWrite,
 }
 
-/// The world's size and habits.
+/// The size of a world, its faults and its limits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Case {
+    /// Endpoints on the first list.
     pub endpoints: u8,
+    /// Destinations, to which the endpoints belong in turn.
     pub destinations: u8,
+    /// Messages that clients submit.
     pub messages: u8,
-    /// Runs of the courier: kills and planned stops are one less.
+    /// Incarnations of the process: kills and graceful shutdowns are one less.
     #[serde(rename = "lives")]
     pub incarnations: u8,
     /// Attempts for a message at most.
     pub attempts: u32,
-    /// Calls out at once at most.
+    /// Calls in flight at most.
     pub slots: u32,
-    /// Messages held at most.
+    /// Messages pending at most.
     pub open_cap: u32,
+    /// Faults that may occur.
     pub events: BTreeSet<FaultKind>,
-    /// Events that are not kind, on one path at most; `None`: as many as there are chances.
+    /// Faults on one path at most; `None`: any number.
     pub faults: Option<u32>,
-    /// All messages are handed in before the clock goes on.
+    /// All messages are submitted before the clock goes on.
     pub at_once: bool,
-    /// Also stop the clock a microsecond before and after each moment that counts.
+    /// The clock also stops a microsecond before and after each moment that matters.
     pub edges: bool,
     /// Milliseconds that a message may take.
     pub time_left: u32,
-    /// Milliseconds for which a repeat of a notice is dropped.
+    /// Milliseconds for which the platform drops a repeated notice by its key.
     pub span: u32,
-    /// The module's draws come from this seed at each step.
+    /// Seed of the random draws of the router, set anew at each transition.
     pub seed: u64,
 }
 
@@ -147,15 +151,19 @@
     }
 }
 
+/// A case that can't be explored.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CaseError {
+    /// A size out of its range: its option, the least and the greatest value, and the value.
     #[error("{0}: from {1} to {2} are possible, not {3}")]
     Range(&'static str, u64, u64, u64),
 }
 
 impl Case {
+    /// Checks each size against its range.
+    ///
     /// # Errors
-    /// A size that no world can have, or that no search would end for.
+    /// A size that no world can have, or whose search would not end.
     pub fn check(&self) -> Result<(), CaseError> {
         let within = |what, value: u64, from: u64, to: u64| match (from..=to).contains(&value) {
             true => Ok(()),
@@ -172,19 +180,25 @@
         within("span", self.span.into(), 100, 60_000)
     }
 
+    /// Whether this fault may occur.
     pub fn allows(&self, event: FaultKind) -> bool {
         self.events.contains(&event)
     }
 
+    /// Time that a message may take, in microseconds.
     pub fn time_left(&self) -> Micros {
         Micros::from(self.time_left) * 1_000
     }
 
+    /// Time for which the platform drops repeated notices, in microseconds.
     pub fn span(&self) -> Micros {
         Micros::from(self.span) * 1_000
     }
 
-    /// The settings, as the platform tells them, decoded by the one decoder.
+    /// The settings of the courier, read by the same decoder as those of the platform.
+    ///
+    /// # Errors
+    /// The settings can't be decoded.
     pub fn env(&self) -> Result<SenderSettings, serde_json::Error> {
         serde_json::from_value(serde_json::json!({
             "me": 0, "siblings": 1, "discovery": "automatic", "skus": ["bank"], "weight_source": "rough",
@@ -205,5 +219,5 @@
     }
 }
 
-/// The classes by number: one may take effect once, the other is dropped by its key for a while.
+/// The message classes by number: the first may run once only, the second is dropped by its key when repeated within a span.
 pub const CLASSES: [&str; 2] = ["fee-debit", "paid-notice"];
--- a/tools/explore/src/fingerprint.rs
+++ b/tools/explore/src/fingerprint.rs
@@ -3,8 +3,8 @@
 use quillmount_policy::{EndpointId, Micros, MsgId, StateVisitor};
 use std::hash::{Hash, Hasher};
 
-/// An eye that makes a number of what it sees: two independent 64-bit mixes (the finalizer of
-/// MurmurHash3 over a running sum, with other constants for each).
+/// A hasher of states: two independent 64-bit mixes (the finalizer of MurmurHash3 over a running sum, with other constants
+/// for each).
 pub struct Fingerprint {
     one: u64,
     two: u64,
@@ -25,11 +25,12 @@
         Fingerprint { one: 0x9E37_79B9_7F4A_7C15, two: 0x2545_F491_4F6C_DD1D, now: 0, ids: None }
     }
 
-    /// Names by rank among these, which are in order, and times against the present.
+    /// Names by rank among these, which are in ascending order, and times relative to the present.
     pub fn canonical(messages: Vec<MsgId>, endpoints: Vec<EndpointId>) -> Self {
         Fingerprint { ids: Some((messages, endpoints)), ..Fingerprint::exact() }
     }
 
+    /// Sets the present; hashes it, unless times are relative to it.
     pub fn start_at(&mut self, now: Micros) {
         if self.ids.is_some() {
             self.now = now;
@@ -38,10 +39,12 @@
         }
     }
 
+    /// Hashes a value by its `Hash`.
     pub fn hash(&mut self, value: &impl Hash) {
         value.hash(self);
     }
 
+    /// The fingerprint of all that was hashed.
     pub fn digest(&self) -> u128 {
         u128::from(mix(self.one)) << 64 | u128::from(mix(self.two))
     }
--- a/tools/explore/src/monitor.rs
+++ b/tools/explore/src/monitor.rs
@@ -1,5 +1,5 @@
-//! What the outside sees of a courier, and the properties that it must keep. It shares no code with what
-//! it judges, and believes bytes and times only.
+//! What clients, endpoints and the platform see of a courier, and the properties that it must keep. The monitor shares no
+//! code with what it checks: it relies on bytes and times alone.
 
 use crate::case::{CLASSES, Case};
 use quillmount_core::Ending;
@@ -7,21 +7,29 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What must hold; `docs/exploration.md` words them at length.
+/// What must hold in every world; `docs/exploration.md` has the properties in full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Property {
+    /// One final answer for each accepted message, in time, and none for others.
     FinalAnswer,
+    /// No call is repeated while an earlier one may have run, but within the span of a key.
     NoRepeat,
+    /// No call begins to an endpoint that has drained for longer than the grace period.
     Drain,
+    /// No call reaches a destination during a wait that it asked for.
     Wait,
+    /// Messages go out as submitted, and limits of attempts, slots and pending messages are kept.
     Unchanged,
+    /// What was accepted is in the store, and every prefix of the store can be read.
     #[serde(rename = "kept")]
     Durability,
+    /// Without further faults every message ends, and every table is empty then.
     Liveness,
 }
 
 impl Property {
+    /// All properties, with the sentence that is printed for each.
     pub const ALL: [(Property, &'static str); 7] = [
         (
             Property::FinalAnswer,
@@ -38,6 +46,7 @@
         (Property::Liveness, "if the world turns kind, everything owed ends and every table empties"),
     ];
 
+    /// The name that is printed, and written in recorded paths.
     pub fn name(self) -> &'static str {
         match self {
             Property::FinalAnswer => "final-answer",
@@ -55,46 +64,56 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{}: {what}", .property.name())]
 pub struct Violation {
+    /// The property.
     pub property: Property,
+    /// What was seen, in a sentence.
     pub what: String,
 }
 
+/// A violation as an error.
+///
+/// # Errors
+/// Always.
 pub fn violated<T>(property: Property, what: String) -> Result<T, Violation> {
     Err(Violation { property, what })
 }
 
-/// Time limits of the rules are longer on sockets by this.
+/// Tolerance of deadlines, in microseconds: on sockets they are met this much later.
 pub const SLACK: Micros = 50_000;
-/// The final answer may come so long after the message's time.
+/// The final answer may come this long after the deadline of the message.
 const ANSWER_GRACE: Micros = 300_000;
-/// Nothing new goes to an endpoint so long after its drain was told.
+/// Calls may begin to an endpoint for this long after its drain was announced, in microseconds.
 pub const DRAIN_GRACE: Micros = 1_000_000;
-/// Calls that come so soon after a wait was told are let through.
+/// Calls that reach a destination this soon after its wait began are tolerated.
 const WAIT_GRACE: Micros = 100_000;
-/// A restarted courier's notices are not overdue before this long after it is ready.
+/// No notice is overdue until this long after the courier has started.
 const READY_GRACE: Micros = 1_500_000;
 
+/// Whether a message was accepted, as the client knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Acceptance {
+    /// It was rejected.
     No,
-    /// Its record is whole, and the consumer never heard of it.
+    /// It is in the store, but the client got no answer.
     Unheard,
-    /// The consumer has its 202.
+    /// The client got 202.
     Heard,
 }
 
-/// One call as its provider sees it.
+/// One call as its endpoint sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ObservedCall {
-    /// The courier's life that sent it: numbers of calls that never left are used again in the next.
+    /// The incarnation of the courier that sent it: numbers of attempts that never left are used again by the next.
     pub incarnation: u8,
+    /// Number of the attempt.
     pub attempt: u32,
+    /// When its first byte was written.
     pub first: Micros,
     /// When its last byte was written: from then on it may run.
     pub last: Option<Micros>,
-    /// An answer proves that it did not.
+    /// An answer proves that it never ran.
     pub never_ran: bool,
-    /// Neither answered nor ended.
+    /// It is neither answered nor ended.
     pub open: bool,
 }
 
@@ -104,49 +123,63 @@
     }
 }
 
+/// One message as clients, endpoints and platform see it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ObservedMessage {
+    /// Index into [`CLASSES`].
     pub class: u8,
+    /// The destination.
     pub dest: u64,
+    /// The idempotency key.
     pub key: u64,
+    /// When its time is up.
     pub deadline: Micros,
+    /// What the client knows.
     pub acceptance: Acceptance,
+    /// All calls for it, in order.
     pub calls: Vec<ObservedCall>,
-    /// What the platform was told of its end.
+    /// How it ended, by the notice that the platform has.
     pub notice: Option<Ending>,
-    /// A provider has said 200.
+    /// An endpoint has answered 200 before the deadline.
     pub delivered: bool,
-    /// A provider has said that it is over.
+    /// An endpoint has answered 410.
     pub gone: bool,
-    /// The courier has read one of these words, and lived to note it.
+    /// The courier has read one of these answers, and has not crashed before it stored that.
     pub settled: bool,
 }
 
 impl ObservedMessage {
+    /// Whether it has an end: a notice, a delivery, or an answer that it is gone.
     pub fn is_final(&self) -> bool {
         self.notice.is_some() || self.delivered || self.gone
     }
 
-    /// The first send that may have run.
+    /// The first call that may have run.
     pub fn first_possible_run(&self) -> Option<&ObservedCall> {
         self.calls.iter().find(|s| s.may_have_run())
     }
 }
 
+/// What the outside has seen so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Monitor {
-    /// Lives of the courier before this one.
+    /// Incarnations of the courier before this one.
     pub incarnation: u8,
+    /// Messages in the order of submission.
     pub messages: Vec<ObservedMessage>,
-    /// When each provider's drain was told.
+    /// When the drain of each endpoint was announced.
     pub drains: BTreeMap<u8, Micros>,
-    /// The wait that each destination told last: from when, until when.
+    /// The last wait that each destination asked for: since when, and until when.
     pub waits: BTreeMap<u64, (Micros, Micros)>,
     /// No notice is overdue before.
     pub grace_until: Micros,
 }
 
 impl Monitor {
+    /// The first byte of a call is written.
+    ///
+    /// # Errors
+    /// The call may not begin: a drain, the slots, an earlier end, the attempts, or its number forbid it.
     pub fn first_byte(
         &mut self,
         case: &Case,
@@ -200,6 +233,10 @@
         Ok(())
     }
 
+    /// The last byte of a call is written.
+    ///
+    /// # Errors
+    /// The call may not run: a wait, or an earlier call that may have run, forbids it.
     pub fn last_byte(
         &mut self,
         case: &Case,
@@ -241,7 +278,7 @@
         Ok(())
     }
 
-    /// A provider has answered, or the connection of a call has ended.
+    /// An endpoint has answered, or the connection of a call has ended.
     pub fn call_ended(&mut self, message: usize, attempt: u32, never_ran: bool) {
         let incarnation = self.incarnation;
         let own = |s: &&mut ObservedCall| (s.incarnation, s.attempt) == (incarnation, attempt);
@@ -250,7 +287,10 @@
         }
     }
 
-    /// The platform gets a notice.
+    /// The platform receives a notice.
+    ///
+    /// # Errors
+    /// The message was not accepted, has ended otherwise, or may still be running.
     pub fn notice(&mut self, message: usize, ending: Ending) -> Result<(), Violation> {
         let m = &mut self.messages[message];
         if m.acceptance == Acceptance::No {
@@ -279,13 +319,14 @@
         Ok(())
     }
 
-    /// All calls that were out have lost their connections.
+    /// The process has ended: all calls in flight have lost their connections.
     pub fn crashed(&mut self) {
         self.messages.iter_mut().flat_map(|m| &mut m.calls).for_each(|s| s.open = false);
         self.waits.clear();
         self.incarnation += 1;
     }
 
+    /// The process has started.
     pub fn ready(&mut self, now: Micros) {
         self.grace_until = self.grace_until.max(now + READY_GRACE);
     }
@@ -295,7 +336,10 @@
         (m.deadline + ANSWER_GRACE + SLACK).max(self.grace_until)
     }
 
-    /// What must hold at every moment.
+    /// Checks what must hold at every moment.
+    ///
+    /// # Errors
+    /// The end of a message is overdue.
     pub fn check(&self, now: Micros) -> Result<(), Violation> {
         for (n, m) in self.messages.iter().enumerate() {
             if m.acceptance == Acceptance::Heard && !m.is_final() && now > self.overdue_at(m) {
--- /dev/null
+++ b/tools/explore/src/world/actions.rs
@@ -0,0 +1,299 @@
+//! What may happen next: every action that is possible in a state.
+
+use crate::action::{Action, Answer, CallRef, WriteExtent};
+use crate::case::{CLASSES, FaultKind};
+use crate::world::state::{ENDPOINTS_MAX, OutstandingCall, ProcessState, START, World, call_ref};
+use quillmount_core::machine::attempt::{AttemptState, CLOSING_TIME};
+use quillmount_core::machine::notices::NoticeState;
+use quillmount_core::machine::watch::WatchState;
+use quillmount_policy::{EndpointState, Micros};
+use std::collections::BTreeSet;
+
+/// Answers of an endpoint, with the fault that each counts as.
+const ANSWERS: [(Answer, Option<FaultKind>); 11] = [
+    (Answer::Ok, None),
+    (Answer::Error, Some(FaultKind::Error)),
+    (Answer::Full, Some(FaultKind::Full)),
+    (Answer::Wait, Some(FaultKind::Wait)),
+    (Answer::Slots, Some(FaultKind::Slots)),
+    (Answer::Exhausted, Some(FaultKind::Exhausted)),
+    (Answer::Gone, Some(FaultKind::MessageGone)),
+    (Answer::CutOk, Some(FaultKind::TruncatedAnswer)),
+    (Answer::CutFull, Some(FaultKind::TruncatedAnswer)),
+    (Answer::Interim, Some(FaultKind::Interim)),
+    (Answer::Copy, Some(FaultKind::DuplicateAnswer)),
+];
+
+/// The actions collected so far, and what keeps the clock from going on.
+#[derive(Default)]
+struct OpenActions {
+    actions: Vec<Action>,
+    /// One of them is due now: time can't go on before it.
+    urgent: bool,
+    /// A connection or an answer is due before any time-out, as the case has no such fault.
+    awaits_answer: bool,
+}
+
+impl OpenActions {
+    fn push_urgent(&mut self, action: Action) {
+        self.actions.push(action);
+        self.urgent = true;
+    }
+}
+
+impl World {
+    /// Every action that is possible in this state, in a fixed order.
+    pub fn actions(&self) -> Vec<Action> {
+        if let ProcessState::Down { until } = self.process {
+            return self.actions_while_down(until);
+        }
+        if let Some(writes) = self.first_writes() {
+            return writes;
+        }
+        let mut open = OpenActions::default();
+        for out in self.calls.values() {
+            self.call_actions(out, &mut open);
+        }
+        if self.hub.router.wake_at().is_some_and(|at| self.now >= at) {
+            open.push_urgent(Action::Tick);
+        }
+        self.notice_actions(&mut open.actions, &mut open.urgent);
+        self.submission_actions(&mut open.actions);
+        self.watch_actions(&mut open);
+        self.discovery_actions(&mut open.actions);
+        self.idle_connection_actions(&mut open.actions);
+        self.disk_actions(&mut open.actions);
+        self.process_actions(&mut open);
+        let awaits_submissions =
+            self.case.at_once && self.monitor.messages.len() < self.case.messages as usize;
+        if !open.urgent && !open.awaits_answer && !awaits_submissions {
+            let next = self.next_time_point();
+            open.actions.extend(next.map(|to| Action::AdvanceClock { to: to - START }));
+        }
+        open.actions
+    }
+
+    /// Whether the action changes nothing but a value that no other possible action reads or writes, and that no property
+    /// sees: the end of the backoff of notices. It commutes with all of them.
+    pub fn is_independent(&self, action: Action) -> bool {
+        action == Action::NoticeTick && matches!(self.notices.state(), NoticeState::BackingOff { .. })
+    }
+
+    fn actions_while_down(&self, until: Micros) -> Vec<Action> {
+        let to = until - START;
+        let mut actions = vec![if self.now >= until { Action::Start } else { Action::AdvanceClock { to } }];
+        self.discovery_actions(&mut actions);
+        actions
+    }
+
+    /// The writes of a call that has its connection, and has sent nothing. The driver writes at once: no other action
+    /// comes in between.
+    fn first_writes(&self) -> Option<Vec<Action>> {
+        let is_unwritten =
+            |out: &&OutstandingCall| matches!(out.call.state(), AttemptState::Writing { written: 0 });
+        let call_ref = call_ref(self.calls.values().find(is_unwritten)?);
+        let mut writes = vec![Action::Write(call_ref, WriteExtent::Complete)];
+        if self.allows(FaultKind::PartialWrite) {
+            writes.push(Action::Write(call_ref, WriteExtent::Partial));
+        }
+        if self.allows(FaultKind::Break) {
+            writes.push(Action::Write(call_ref, WriteExtent::Broken));
+        }
+        Some(writes)
+    }
+
+    /// What may happen to one call.
+    fn call_actions(&self, out: &OutstandingCall, open: &mut OpenActions) {
+        let (call_ref, state) = (call_ref(out), out.call.state());
+        if !matches!(state, AttemptState::Closing { .. }) && self.now >= out.deadline {
+            open.push_urgent(Action::Deadline(call_ref));
+        }
+        if out.call.attempt().wake_at().is_some_and(|at| self.now >= at) {
+            open.push_urgent(Action::CallTick(call_ref));
+        }
+        match state {
+            AttemptState::Connecting => self.connecting_actions(call_ref, out.dial_deadline, open),
+            AttemptState::Writing { .. } => {
+                open.actions.push(Action::Write(call_ref, WriteExtent::Complete));
+                if self.allows(FaultKind::Break) {
+                    open.actions.push(Action::Write(call_ref, WriteExtent::Broken));
+                }
+            }
+            AttemptState::Awaiting | AttemptState::Closing { .. } if out.arrived.is_some() => {
+                open.push_urgent(Action::ReadAnswer(call_ref));
+            }
+            AttemptState::Awaiting => self.answer_actions(call_ref, out.interim, open),
+            AttemptState::Reading { .. } => open.actions.push(Action::EndpointClosed(call_ref)),
+            // An answer may cross with the cancellation of its call; once the endpoint has seen that, it sends no more.
+            AttemptState::Closing { until, .. }
+                if self.now + CLOSING_TIME == until && out.call.connection().is_some() =>
+            {
+                self.arrival_actions(call_ref, &mut open.actions);
+            }
+            AttemptState::New | AttemptState::Closing { .. } | AttemptState::Finished => {}
+        }
+    }
+
+    fn connecting_actions(&self, call_ref: CallRef, dial_deadline: Micros, open: &mut OpenActions) {
+        open.actions.push(Action::Connected(call_ref));
+        let late = self.now >= dial_deadline;
+        if late || self.allows(FaultKind::Refuse) {
+            open.actions.push(Action::Refused(call_ref));
+        }
+        open.urgent |= late;
+        open.awaits_answer |= !self.allows(FaultKind::NeverConnects);
+    }
+
+    fn answer_actions(&self, call_ref: CallRef, had_interim: bool, open: &mut OpenActions) {
+        for (answer, fault) in ANSWERS {
+            let is_allowed = fault.is_none_or(|fault| self.allows(fault));
+            if is_allowed && !(had_interim && answer == Answer::Interim) {
+                open.actions.push(Action::Answer(call_ref, answer));
+            }
+        }
+        if self.allows(FaultKind::Reset) {
+            open.actions.push(Action::Reset(call_ref));
+        }
+        self.arrival_actions(call_ref, &mut open.actions);
+        open.awaits_answer |= !self.allows(FaultKind::Timeout);
+    }
+
+    /// Answers that may stand in the socket unread.
+    fn arrival_actions(&self, call_ref: CallRef, all: &mut Vec<Action>) {
+        if self.allows(FaultKind::Race) {
+            all.push(Action::AnswerArrived(call_ref, Answer::Ok));
+            all.extend(self.allows(FaultKind::Wait).then_some(Action::AnswerArrived(call_ref, Answer::Wait)));
+        }
+    }
+
+    /// What may happen to notices; sets `urgent` where time can't go on before it has.
+    fn notice_actions(&self, all: &mut Vec<Action>, urgent: &mut bool) {
+        match self.notices.state() {
+            NoticeState::Quiet => {
+                if !self.hub.router.notices(1).is_empty() {
+                    all.push(Action::SendNotices);
+                    *urgent = true;
+                }
+            }
+            NoticeState::Sent { until, .. } => {
+                all.push(Action::Confirmed);
+                // The platform accepts notices at once, and loses none twice in a row.
+                let may_lose = self.allows(FaultKind::Lose) && self.consecutive_losses == 0;
+                if may_lose {
+                    all.extend([
+                        Action::NoticesLost { received: true },
+                        Action::NoticesLost { received: false },
+                    ]);
+                    all.extend((self.now >= until).then_some(Action::NoticeTick));
+                }
+                *urgent |= !may_lose || self.now >= until;
+            }
+            NoticeState::BackingOff { until } => {
+                if self.now >= until {
+                    all.push(Action::NoticeTick);
+                    *urgent = true;
+                }
+            }
+        }
+        if self.allows(FaultKind::ConfirmedTwice) && !self.confirmed_notices.is_empty() {
+            all.push(Action::ConfirmedTwice);
+        }
+    }
+
+    /// Submissions of new messages and of repeated ones.
+    fn submission_actions(&self, all: &mut Vec<Action>) {
+        let submitted = self.monitor.messages.len();
+        let more = submitted < self.case.messages as usize;
+        if more {
+            // Destinations that differ in name only are one: the next new one, or one that was used.
+            let used = self.monitor.messages.iter().map(|m| m.dest + 1).max().unwrap_or(0);
+            for dest in 0..u64::from(self.case.destinations).min(used + 1) {
+                all.extend((0..CLASSES.len() as u8).map(|class| Action::Submit { class, dest }));
+            }
+        }
+        for message in 0..submitted as u64 {
+            // After its deadline no client retries it.
+            let open = self.now < self.monitor.messages[message as usize].deadline;
+            all.extend((open && self.allows(FaultKind::Resubmit)).then_some(Action::Resubmit { message }));
+            let keyed = self.monitor.messages[message as usize].class == 1;
+            all.extend(
+                (more && keyed && self.allows(FaultKind::SubmitSameKey))
+                    .then_some(Action::SubmitSameKey { message }),
+            );
+        }
+    }
+
+    /// Changes of the endpoint list.
+    fn discovery_actions(&self, all: &mut Vec<Action>) {
+        for (n, line) in self.endpoint_list.iter().enumerate() {
+            let n8 = n as u8;
+            all.extend(
+                (line.state == EndpointState::Ready && self.allows(FaultKind::Drain))
+                    .then_some(Action::EndpointDraining(n8)),
+            );
+            all.extend(
+                (line.state != EndpointState::Gone && self.allows(FaultKind::Gone))
+                    .then_some(Action::EndpointGone(n8)),
+            );
+            all.extend(
+                (line.state != EndpointState::Ready && self.allows(FaultKind::Ready))
+                    .then_some(Action::EndpointReady(n8)),
+            );
+            let free = !self
+                .endpoint_list
+                .iter()
+                .enumerate()
+                .any(|(m, l)| m != n && l.port == line.port && l.state != EndpointState::Gone);
+            let has_capacity = self.endpoint_list.len() < ENDPOINTS_MAX;
+            let replace =
+                line.state == EndpointState::Gone && free && has_capacity && self.allows(FaultKind::Replace);
+            all.extend(replace.then_some(Action::EndpointReplaced(n8)));
+        }
+        all.extend(
+            (self.is_up() && self.is_following() && self.allows(FaultKind::FullList))
+                .then_some(Action::FullList),
+        );
+    }
+
+    /// The end of the backoff of the watch on discovery, and its breaks.
+    fn watch_actions(&self, open: &mut OpenActions) {
+        if matches!(self.watch.state(), WatchState::BackingOff { until } if self.now >= until) {
+            open.push_urgent(Action::WatchTick);
+        }
+        if self.allows(FaultKind::Watch) && self.is_following() {
+            open.actions.push(Action::WatchBreak);
+        }
+    }
+
+    fn idle_connection_actions(&self, actions: &mut Vec<Action>) {
+        if self.allows(FaultKind::Idle) {
+            let idle = self.hub.pool.idle().filter(|(_, connection, _)| !self.closed.contains(connection));
+            let endpoints: BTreeSet<u32> = idle.map(|(endpoint, ..)| endpoint).collect();
+            actions.extend(endpoints.into_iter().map(Action::IdleClosed));
+        }
+    }
+
+    fn disk_actions(&self, actions: &mut Vec<Action>) {
+        if self.disk_full {
+            actions.push(Action::DiskFree);
+        } else if self.allows(FaultKind::Disk) {
+            actions.push(Action::DiskFull);
+        }
+    }
+
+    /// Ends of the process: by itself, by SIGTERM and by SIGKILL.
+    fn process_actions(&self, open: &mut OpenActions) {
+        let can_restart = self.incarnations < self.case.incarnations;
+        if let ProcessState::Stopping { end } = self.process {
+            if self.now >= end || self.hub.is_quiet() {
+                open.actions.push(Action::Exit);
+            }
+            open.urgent |= self.now >= end;
+        } else if can_restart && self.allows(FaultKind::Term) {
+            open.actions.push(Action::Term);
+        }
+        if can_restart && self.allows(FaultKind::Kill) {
+            open.actions.push(Action::Kill);
+        }
+    }
+}
--- /dev/null
+++ b/tools/explore/src/world/discovery.rs
@@ -0,0 +1,75 @@
+//! Discovery: the endpoint list, its changes, and the watch that brings them to the courier.
+
+use crate::monitor::Violation;
+use crate::world::state::{ListEntry, World};
+use quillmount_core::machine::watch::WatchInput;
+use quillmount_core::{EndpointList, EndpointListing};
+use quillmount_policy::EndpointState;
+use std::net::SocketAddr;
+
+impl World {
+    /// Changes the state of an endpoint on the list.
+    pub(super) fn change(&mut self, n: u8, state: EndpointState) -> Result<(), Violation> {
+        self.list_version += 1;
+        let line = &mut self.endpoint_list[n as usize];
+        (line.state, line.version) = (state, self.list_version);
+        if self.is_up() && self.is_following() { self.send_list(false) } else { Ok(()) }
+    }
+
+    /// A new endpoint, under a new id, appears at the address of one that is gone.
+    pub(super) fn replace_endpoint(&mut self, n: u8) -> Result<(), Violation> {
+        let ListEntry { port, dest, .. } = self.endpoint_list[n as usize];
+        self.endpoint_list.push(ListEntry { port, dest, state: EndpointState::Ready, version: 0 });
+        self.change(self.endpoint_list.len() as u8 - 1, EndpointState::Ready)
+    }
+
+    /// Discovery sends the changes since the version that the courier has, or the full list.
+    pub(super) fn send_list(&mut self, full: bool) -> Result<(), Violation> {
+        let known_version = self.hub.router.version();
+        let included = |line: &ListEntry| {
+            if full { line.state != EndpointState::Gone } else { line.version > known_version }
+        };
+        let list = EndpointList { full, ..list_update(&self.endpoint_list, self.list_version, included) };
+        for (n, line) in self.endpoint_list.iter().enumerate() {
+            if line.state == EndpointState::Ready {
+                self.monitor.drains.remove(&(n as u8));
+            } else {
+                self.monitor.drains.entry(n as u8).or_insert(self.now);
+            }
+        }
+        let todo = self.hub.list(list, self.now);
+        self.execute(todo)
+    }
+
+    /// The watch on discovery breaks.
+    pub(super) fn break_watch(&mut self) -> Result<(), Violation> {
+        self.watch.step(WatchInput::Broken { moved: false }, self.now);
+        Ok(())
+    }
+
+    /// The watch is opened again after its backoff, and answered with the changes since.
+    pub(super) fn resume_watch(&mut self) -> Result<(), Violation> {
+        self.watch.step(WatchInput::Tick { moved: false }, self.now);
+        self.watch.step(WatchInput::Answered, self.now);
+        self.send_list(false)
+    }
+}
+
+/// The entries of the list that are included, as one update at this version.
+pub(super) fn list_update(
+    entries: &[ListEntry],
+    version: u64,
+    included: impl Fn(&ListEntry) -> bool,
+) -> EndpointList {
+    let included = entries.iter().enumerate().filter(|(_, entry)| included(entry));
+    let endpoints = included.map(|(n, entry)| EndpointListing {
+        id: format!("p{n}"),
+        addr: Some(SocketAddr::from(([127, 0, 0, 1], entry.port))),
+        dest: entry.dest,
+        kind: "bank".into(),
+        zone: "a".into(),
+        weight: 50.0,
+        state: entry.state,
+    });
+    EndpointList { version, full: true, endpoints: endpoints.collect() }
+}
--- /dev/null
+++ b/tools/explore/src/world/hash.rs
@@ -0,0 +1,160 @@
+//! The hash of a state: all that matters for what may come next.
+
+use crate::fingerprint::Fingerprint;
+use crate::monitor::DRAIN_GRACE;
+use crate::world::state::{OutstandingCall, ProcessState, World};
+use quillmount_core::machine::attempt::AttemptState;
+use quillmount_core::machine::watch::WatchState;
+use quillmount_policy::{Micros, StateVisitor};
+
+impl World {
+    /// Hashes all that matters for the future of this state, and nothing else.
+    pub fn hash_into(&self, hasher: &mut Fingerprint) {
+        hasher.start_at(self.now);
+        self.hub.router.visit_state(hasher);
+        self.hash_process(hasher);
+        self.hash_list(hasher);
+        self.hash_notices(hasher);
+        self.hash_watch(hasher);
+        self.hash_calls(hasher);
+        self.hash_pool(hasher);
+        self.hash_journal(hasher);
+        self.hash_messages(hasher);
+        self.hash_limits(hasher);
+    }
+
+    /// The process, its incarnations, its disk and the faults so far.
+    fn hash_process(&self, hasher: &mut Fingerprint) {
+        hasher.hash(&(
+            self.process_key(),
+            self.incarnations,
+            self.case.faults.map(|_| self.faults),
+            self.disk_full,
+            self.consecutive_losses,
+        ));
+    }
+
+    /// The endpoint list, and which of its entries the courier has not received.
+    fn hash_list(&self, hasher: &mut Fingerprint) {
+        let known_version = self.hub.router.version();
+        for line in &self.endpoint_list {
+            hasher.hash(&(line.port, line.dest, line.state as u8, line.version > known_version));
+        }
+    }
+
+    /// Notices in flight, and those that may be confirmed twice.
+    fn hash_notices(&self, hasher: &mut Fingerprint) {
+        hasher.hash(&(self.notices.state().kind(), self.notices.most(), self.sent_notices.len()));
+        hasher.visit_time(self.notices.wake_at().unwrap_or(0));
+        for n in &self.sent_notices {
+            hasher.hash(&(&n.id, n.ending));
+        }
+        for n in &self.confirmed_notices {
+            hasher.hash(&(&n.id, n.ending));
+        }
+    }
+
+    /// The backoff of the watch on discovery.
+    fn hash_watch(&self, hasher: &mut Fingerprint) {
+        if let WatchState::BackingOff { until } = self.watch.state() {
+            hasher.visit_time(until);
+        }
+    }
+
+    /// Calls in flight.
+    fn hash_calls(&self, hasher: &mut Fingerprint) {
+        for (id, out) in &self.calls {
+            hasher.hash(&(
+                id,
+                out.message,
+                out.endpoint,
+                out.interim,
+                out.arrived,
+                out.call.attempt().answer(),
+            ));
+            hash_attempt_state(out, hasher);
+            hasher.visit_time(out.deadline);
+        }
+    }
+
+    /// Gates and idle connections.
+    fn hash_pool(&self, hasher: &mut Fingerprint) {
+        for (n, open, paused_until) in self.hub.pool.gates() {
+            hasher.hash(&(n, open));
+            hasher.visit_time(paused_until.max(self.now));
+        }
+        for (n, c, since) in self.hub.pool.idle() {
+            hasher.hash(&(n, self.closed.contains(c), self.unusable.contains(c)));
+            hasher.visit_time(since);
+        }
+    }
+
+    /// What a restart would read, where there may be one.
+    fn hash_journal(&self, hasher: &mut Fingerprint) {
+        if self.case.incarnations > 1 {
+            for (n, entry) in &self.journal_contents().owed {
+                hasher.hash(&(n, &entry.taken.id, entry.calls.len()));
+                for call in &entry.calls {
+                    hasher.visit_time(call.sent);
+                    hasher.hash(&call.never_ran);
+                }
+                hasher.hash(&entry.end.map(|e| format!("{e:?}")));
+            }
+        }
+    }
+
+    /// Messages as the monitor sees them.
+    fn hash_messages(&self, hasher: &mut Fingerprint) {
+        for m in &self.monitor.messages {
+            hasher.hash(&(m.class, m.dest, m.key, m.acceptance, m.notice, m.delivered, m.gone, m.settled));
+            hasher.visit_time(m.deadline);
+            for s in &m.calls {
+                hasher.hash(&(s.incarnation, s.attempt, s.never_ran, s.open, s.last.is_some()));
+                hasher.visit_time(s.first);
+            }
+        }
+    }
+
+    /// Drains, waits and the grace period that the monitor checks against.
+    fn hash_limits(&self, hasher: &mut Fingerprint) {
+        for (n, announced_at) in &self.monitor.drains {
+            hasher.hash(n);
+            // All drains past their grace period are alike.
+            hasher.visit_time((*announced_at).max(self.now.saturating_sub(DRAIN_GRACE + 1)));
+        }
+        for (dest, (from, until)) in self.monitor.waits.iter().filter(|(_, (_, until))| *until > self.now) {
+            hasher.hash(dest);
+            hasher.visit_time(*from);
+            hasher.visit_time(*until);
+        }
+        hasher.visit_time(if self.monitor.grace_until > self.now { self.monitor.grace_until } else { 0 });
+    }
+
+    /// The state of the process with times relative to the present, for hashing.
+    fn process_key(&self) -> (u8, Micros) {
+        match self.process {
+            ProcessState::Up => (0, 0),
+            ProcessState::Stopping { end } => (1, end - self.now),
+            ProcessState::Down { until } => (2, until - self.now),
+        }
+    }
+}
+
+/// Hashes the state of an attempt, with the times that still matter in it.
+fn hash_attempt_state(out: &OutstandingCall, hasher: &mut Fingerprint) {
+    match out.call.state() {
+        AttemptState::Reading { by } => hasher.visit_time(by),
+        AttemptState::Closing { end, until } => {
+            hasher.hash(&end);
+            hasher.visit_time(until);
+        }
+        AttemptState::Writing { written } => hasher.hash(&(1u8, written)),
+        AttemptState::Connecting => {
+            hasher.visit_u64(2);
+            hasher.visit_time(out.dial_deadline);
+        }
+        AttemptState::New => hasher.visit_u64(3),
+        AttemptState::Awaiting => hasher.visit_u64(4),
+        AttemptState::Finished => hasher.visit_u64(5),
+    }
+}
