--- a/tools/standins/src/partner.rs
+++ b/tools/standins/src/partner.rs
@@ -1,10 +1,10 @@
-//! A provider that a whole fleet calls: it records every call and every connection, and answers as a test
-//! says, at once or when it is told to.
+//! A partner that a whole fleet of couriers calls: it records every call and every connection, and answers as the script of
+//! the test has it, at once or when it is released.
 
 use crate::fleet::fault::{Fault, InjectedFault};
 use crate::http::{BodyRemainder, Head, Reader};
 use crate::listener::{CourierListener, ListenerMode};
-use crate::record::{BodyDigest, ConnectionChange, RecordedCall, Recorder};
+use crate::record::{BodyDigest, ConnectionChange, RecordedCall, Recorder, Stamp};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::{oneshot, watch};
 
-/// Bytes that are read of a body at once.
+/// Bytes of a body that are read at once.
 const READ: usize = 256 * 1024;
 
 /// What a partner does with a call whose body has come.
@@ -34,15 +34,17 @@
 }
 
 impl Answer {
+    /// 200.
     pub fn ok() -> Answer {
         Answer::Line("200 OK".into())
     }
 
+    /// 500: the call may have run.
     pub fn failed() -> Answer {
         Answer::Line("500 Internal Server Error".into())
     }
 
-    /// Turned away, to come again after so many seconds, whole or decimal.
+    /// 429: rejected, to be retried after this many seconds (an integer or a decimal).
     pub fn full(wait: &str) -> Answer {
         Answer::Line(format!("429 Too Many Requests\r\nRetry-After: {wait}"))
     }
@@ -54,7 +56,7 @@
         }
     }
 
-    /// What the call does has been done, or may have been: a refusal alone says that it was not.
+    /// Whether the call has run, or may have: only a rejection says that it did not.
     fn ran(&self) -> bool {
         !matches!(self.status(), 429 | 503 | 504 | 410)
     }
@@ -64,22 +66,23 @@
     number: usize,
     recorder: Recorder,
     answers: Box<dyn Fn(&RecordedCall) -> Answer>,
-    /// Calls that wait, by their number in the record.
+    /// Calls that wait to be released, by their index in the record.
     pending: RefCell<BTreeMap<usize, oneshot::Sender<Answer>>>,
-    /// Its connections, and whose they are.
+    /// Open connections, with the courier of each.
     open: RefCell<BTreeMap<u64, (usize, OwnedFd)>>,
 }
 
-/// A partner with a door for each courier.
+/// A partner with a listener for each courier.
 pub struct Partner {
+    /// The destination that it serves.
     pub dest: u64,
     listeners: Vec<CourierListener>,
     shared: Rc<PartnerState>,
 }
 
 impl Partner {
-    /// Opens the partner with this number, for so many couriers. `answers` is asked when a call's body has
-    /// come; a call with several messages is one call without an id. Must run in a `LocalSet`.
+    /// Opens the partner with this number, for this many couriers. `answers` gives the answer when the body of a call has been
+    /// read; a call with several messages is one call without an id. Must run in a `LocalSet`.
     ///
     /// # Errors
     /// No port could be had.
@@ -98,7 +101,7 @@
                 let shared = shared.clone();
                 async move {
                     if let Ok(connection) = shared.connection_opened(&stream, courier) {
-                        // What broke is told of with the call.
+                        // An error of the connection is recorded with its call.
                         let _ = serve(stream, connection, courier, &shared, mode).await;
                         shared.connection_closed(connection);
                     }
@@ -109,12 +112,12 @@
         Ok(Partner { dest, listeners, shared })
     }
 
-    /// Where this courier reaches it.
+    /// The address for this courier.
     pub fn addr(&self, courier: usize) -> SocketAddr {
         self.listeners[courier].addr()
     }
 
-    /// From now on, for this courier.
+    /// Sets the mode of the listener of this courier, from now on.
     pub fn set(&self, courier: usize, mode: ListenerMode) {
         self.listeners[courier].set(mode);
         let partner = self.shared.number;
@@ -125,29 +128,29 @@
         self.listeners[courier].mode() == ListenerMode::Open
     }
 
-    /// Answers all calls of a message that are held so; returns how many there were.
+    /// Answers all pending calls of a message; returns how many there were.
     pub fn release(&self, id: &str, answer: Answer) -> usize {
         self.release_where(answer, |call| call.id == id)
     }
 
-    /// Answers all calls that are held and meant so.
-    pub fn release_where(&self, answer: Answer, meant: impl Fn(&RecordedCall) -> bool) -> usize {
+    /// Answers all pending calls that are selected; returns how many there were.
+    pub fn release_where(&self, answer: Answer, selects: impl Fn(&RecordedCall) -> bool) -> usize {
         let mut pending = self.shared.pending.borrow_mut();
-        let meant = self.shared.recorder.read(|record| {
-            let meant = |n: &usize| meant(&record.calls[*n]);
-            pending.keys().copied().filter(meant).collect::<Vec<_>>()
+        let selected = self.shared.recorder.read(|record| {
+            let selects = |n: &usize| selects(&record.calls[*n]);
+            pending.keys().copied().filter(selects).collect::<Vec<_>>()
         });
-        for n in &meant {
-            // One that has gone meanwhile needs no answer.
+        for n in &selected {
+            // A call whose connection has ended meanwhile needs no answer.
             pending.remove(n).map(|to| to.send(answer.clone()));
         }
-        meant.len()
+        selected.len()
     }
 }
 
 impl PartnerState {
-    /// A connection came: those that the other side has closed before are counted out first, so that the
-    /// count is never more than what is open, in whatever order the two are heard of here.
+    /// Records a new connection. Those that the courier has closed before are removed first, so that the count never exceeds
+    /// what is open, in whatever order opening and closing are noticed here.
     fn connection_opened(&self, stream: &TcpStream, courier: usize) -> Result<u64> {
         let gone: Vec<u64> = {
             let open = self.open.borrow();
@@ -189,12 +192,12 @@
         });
     }
 
-    /// The other side has closed this connection.
+    /// Whether the courier has closed this connection.
     fn is_gone(&self, connection: u64) -> bool {
         self.open.borrow().get(&connection).is_none_or(|(_, fd)| hung_up(fd))
     }
 
-    fn note(&self, call: usize, note: impl FnOnce(&mut RecordedCall, crate::record::Stamp)) {
+    fn note(&self, call: usize, note: impl FnOnce(&mut RecordedCall, Stamp)) {
         self.recorder.write(|record, when| note(&mut record.calls[call], when));
     }
 }
@@ -206,6 +209,7 @@
     result.is_ok_and(|n| n > 0) && fds[0].revents().intersects(ends)
 }
 
+/// Serves one connection of a courier until one side closes it.
 async fn serve(
     stream: TcpStream,
     connection: u64,
@@ -213,114 +217,155 @@
     shared: &PartnerState,
     mode: watch::Receiver<ListenerMode>,
 ) -> Result<()> {
-    let (from, mut to) = stream.into_split();
-    let mut reader = Reader::new(from);
-    while let Some(head) = reader.head().await? {
-        if !call(head, &mut reader, &mut to, connection, courier, shared, &mode).await? {
+    let (from, to) = stream.into_split();
+    let mut session = Session { reader: Reader::new(from), to, connection, courier, shared, mode };
+    while let Some(head) = session.reader.head().await? {
+        if !session.call(head).await? {
             break;
         }
     }
     Ok(())
 }
 
-/// One call; false: the connection is to end.
-async fn call(
-    head: Head,
-    reader: &mut Reader<OwnedReadHalf>,
-    to: &mut OwnedWriteHalf,
+/// One connection, with what its calls need.
+struct Session<'a> {
+    reader: Reader<OwnedReadHalf>,
+    to: OwnedWriteHalf,
+    /// Number of the connection, over all partners.
     connection: u64,
+    /// The courier whose listener it came through.
     courier: usize,
-    shared: &PartnerState,
-    mode: &watch::Receiver<ListenerMode>,
-) -> Result<bool> {
-    let text = |name| head.header(name).map(str::to_string);
-    let (id, key, tenant) =
-        (text("x-correlation-id").unwrap_or_default(), text("idempotency-key"), text("x-account"));
-    if head.header("expect").is_some() {
-        to.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
+    shared: &'a PartnerState,
+    mode: watch::Receiver<ListenerMode>,
+}
+
+/// The connection of a call ended before its answer.
+fn abandon(call: &mut RecordedCall, when: Stamp) {
+    call.abandoned = Some(when);
+}
+
+impl Session<'_> {
+    /// Serves one call; false: the connection is to end.
+    async fn call(&mut self, head: Head) -> Result<bool> {
+        if head.header("expect").is_some() {
+            self.to.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
+        }
+        let body = BodyRemainder::from(head.framing());
+        let n = self.record_call(head);
+        if !self.read_body(n, body).await {
+            return Ok(false);
+        }
+        let mut answer = self.shared.recorder.read(|record| (self.shared.answers)(&record.calls[n]));
+        if answer == Answer::Pending {
+            match self.released(n).await {
+                Some(released) => answer = released,
+                None => return Ok(false),
+            }
+        }
+        self.answer(n, answer).await
     }
-    let mut left = BodyRemainder::from(head.framing());
-    let n = shared.recorder.write(|record, began| {
-        record.call(RecordedCall {
-            began,
-            partner: shared.number,
-            courier,
-            connection,
-            id,
-            key,
-            tenant,
-            head,
-            body: BodyDigest::default(),
-            whole: None,
-            ran: false,
-            answered: None,
-            unheard: false,
-            abandoned: None,
+
+    /// Records the beginning of a call, and returns its index in the record.
+    fn record_call(&self, head: Head) -> usize {
+        let text = |name| head.header(name).map(str::to_string);
+        let id = text("x-correlation-id").unwrap_or_default();
+        let key = text("idempotency-key");
+        let tenant = text("x-account");
+        self.shared.recorder.write(|record, began| {
+            record.call(RecordedCall {
+                began,
+                partner: self.shared.number,
+                courier: self.courier,
+                connection: self.connection,
+                id,
+                key,
+                tenant,
+                head,
+                body: BodyDigest::default(),
+                whole: None,
+                ran: false,
+                answered: None,
+                unheard: false,
+                abandoned: None,
+            })
         })
-    });
-    let abandoned = |call: &mut RecordedCall, when| call.abandoned = Some(when);
-    let (mut crc, mut bytes) = (crc32fast::Hasher::new(), 0);
-    loop {
-        match reader.body(&mut left, READ).await {
-            Ok(Some(part)) => {
-                bytes += part.len() as u64;
-                crc.update(&part);
+    }
+
+    /// Reads the body to its end; false: the connection broke before.
+    async fn read_body(&mut self, n: usize, mut left: BodyRemainder) -> bool {
+        let mut crc = crc32fast::Hasher::new();
+        let mut bytes = 0;
+        let complete = loop {
+            match self.reader.body(&mut left, READ).await {
+                Ok(Some(part)) => {
+                    bytes += part.len() as u64;
+                    crc.update(&part);
+                }
+                Ok(None) => break true,
+                Err(_) => break false,
             }
-            Ok(None) => break,
-            Err(_) => {
-                shared.note(n, |call, when| {
-                    call.body = BodyDigest { bytes, crc: crc.finalize() };
-                    abandoned(call, when);
-                });
-                return Ok(false);
+        };
+        self.shared.note(n, |call, when| {
+            call.body = BodyDigest { bytes, crc: crc.finalize() };
+            if complete {
+                call.whole = Some(when);
+                call.ran = true;
+            } else {
+                abandon(call, when);
             }
-        }
+        });
+        complete
     }
-    shared.note(n, |call, when| {
-        (call.body, call.whole, call.ran) = (BodyDigest { bytes, crc: crc.finalize() }, Some(when), true);
-    });
-    let mut answer = shared.recorder.read(|record| (shared.answers)(&record.calls[n]));
-    if answer == Answer::Pending {
+
+    /// Waits for the answer that [`Partner::release`] gives; `None`: the connection ended before.
+    async fn released(&mut self, n: usize) -> Option<Answer> {
         let (release, released) = oneshot::channel();
-        shared.pending.borrow_mut().insert(n, release);
+        self.shared.pending.borrow_mut().insert(n, release);
         tokio::select! {
             biased;
-            result = released => answer = result.unwrap_or(Answer::Silent),
-            // Nothing more comes before the answer but the end.
-            _ = reader.head() => {
-                shared.pending.borrow_mut().remove(&n);
-                shared.note(n, abandoned);
-                return Ok(false);
+            answer = released => Some(answer.unwrap_or(Answer::Silent)),
+            // Before the answer nothing can come but the end.
+            _ = self.reader.head() => {
+                self.shared.pending.borrow_mut().remove(&n);
+                self.shared.note(n, abandon);
+                None
             }
         }
     }
-    let (status, ran) = (answer.status(), answer.ran());
-    let line = match answer {
-        Answer::Line(line) => line,
-        Answer::Reset => {
-            let _ = to.as_ref().set_zero_linger();
-            shared.note(n, abandoned);
-            return Ok(false);
-        }
-        Answer::Pending | Answer::Silent => {
-            let _ = reader.head().await;
-            shared.note(n, abandoned);
+
+    /// Writes the answer, or does what stands in its place; false: the connection is to end.
+    async fn answer(&mut self, n: usize, answer: Answer) -> Result<bool> {
+        let (status, ran) = (answer.status(), answer.ran());
+        let line = match answer {
+            Answer::Line(line) => line,
+            Answer::Reset => {
+                let _ = self.to.as_ref().set_zero_linger();
+                self.shared.note(n, abandon);
+                return Ok(false);
+            }
+            Answer::Pending | Answer::Silent => {
+                let _ = self.reader.head().await;
+                self.shared.note(n, abandon);
+                return Ok(false);
+            }
+        };
+        if self.shared.is_gone(self.connection) {
+            self.shared.note(n, |call, when| {
+                call.ran = ran;
+                abandon(call, when);
+            });
             return Ok(false);
         }
-    };
-    if shared.is_gone(connection) {
-        shared.note(n, |call, when| {
+        let unheard = *self.mode.borrow() == ListenerMode::AnswersLost;
+        // Recorded first, so that the effects of the answer come after it in the record.
+        self.shared.note(n, |call, when| {
             call.ran = ran;
-            abandoned(call, when);
+            call.answered = Some((when, status));
+            call.unheard = unheard;
         });
-        return Ok(false);
-    }
-    let unheard = *mode.borrow() == ListenerMode::AnswersLost;
-    // Noted first: what the answer brings about is seen behind it.
-    shared
-        .note(n, |call, when| (call.ran, call.answered, call.unheard) = (ran, Some((when, status)), unheard));
-    if !unheard {
-        to.write_all(format!("HTTP/1.1 {line}\r\nContent-Length: 0\r\n\r\n").as_bytes()).await?;
+        if !unheard {
+            self.to.write_all(format!("HTTP/1.1 {line}\r\nContent-Length: 0\r\n\r\n").as_bytes()).await?;
+        }
+        Ok(true)
     }
-    Ok(true)
 }
