--- a/courier/core/tests/handover_forms.rs
+++ b/courier/core/tests/handover_forms.rs
@@ -2,11 +2,9 @@
 //! state is encoded to the same bytes. `WRITE_FIXTURES=1` writes the files.
 
 mod common;
-mod fixtures;
 
 use bytes::Bytes;
 use common::{NOW, World, calls, class, endpoint, store_after_crash, visited_values};
-use fixtures::fixture;
 use quillmount_core::call::{Call, CallSnapshot};
 use quillmount_core::flow::{Cut, Late};
 use quillmount_core::hub::{self, Hub};
@@ -21,8 +19,11 @@
 };
 use quillmount_policy::{EndpointState, Micros};
 use quillmount_settings::{Category, DestinationSettings, Limits, SenderSettings, Tenant};
+use quillmount_test_support::fixtures::Fixtures;
 use std::sync::Arc;
 
+const FIXTURES: Fixtures = Fixtures::of_package(env!("CARGO_MANIFEST_DIR"));
+
 const DISK: u64 = 999_999;
 const STREAMS: Option<StreamLimits> =
     Some(StreamLimits { most: 4, share_of_slots: 0.5, share_of_window: 0.5 });
@@ -149,8 +150,8 @@
 #[test]
 fn a_stored_state_is_resumed_and_encoded_to_the_same_bytes() {
     let hub = busy();
-    let stored = fixture("handover_state.bin", &encoded(&hub));
-    let journal = fixture("handover_journal.bin", store_after_crash(&hub).bytes());
+    let stored = FIXTURES.check("handover_state.bin", &encoded(&hub));
+    let journal = FIXTURES.check("handover_journal.bin", store_after_crash(&hub).bytes());
     let state: hub::HubState = postcard::from_bytes(&stored).unwrap();
     assert_eq!(postcard::to_allocvec(&state).unwrap(), stored, "read and written without a courier");
     let held = state.backoffs.clone();
@@ -255,7 +256,7 @@
     let all: Vec<_> = all.collect();
     let parts: Vec<(CallSnapshot, Option<u32>)> =
         all.iter().map(|(name, _, several)| in_state(name, *several)).collect();
-    let stored = fixture("handover_calls.bin", &postcard::to_allocvec(&parts).unwrap());
+    let stored = FIXTURES.check("handover_calls.bin", &postcard::to_allocvec(&parts).unwrap());
     let read: Vec<(CallSnapshot, Option<u32>)> = postcard::from_bytes(&stored).unwrap();
     assert_eq!(postcard::to_allocvec(&read).unwrap(), stored);
     assert_eq!(read.len(), all.len());
@@ -329,6 +330,6 @@
     let endings = vec![Ending::Undeliverable, Ending::Deferred(300)];
     let listed = vec![EndpointState::Gone, EndpointState::Ready, EndpointState::Draining];
     let all = (call_ends, states, clients, cuts, endings, listed);
-    let stored = fixture("handover_enums.bin", &postcard::to_allocvec(&all).unwrap());
+    let stored = FIXTURES.check("handover_enums.bin", &postcard::to_allocvec(&all).unwrap());
     assert_eq!(postcard::from_bytes(&stored), Ok(all));
 }
--- a/courier/program/src/transport/courier/calls.rs
+++ b/courier/program/src/transport/courier/calls.rs
@@ -79,8 +79,8 @@
             attempt = order.call.attempt
         );
         let pass = self.gate.as_ref().map(|gate| {
-            order.by = order.by.min(gate.latest(self.clock.now()));
-            GatePass { gate: gate.clone(), mark: gate.written(), by: order.by }
+            order.send_before = order.send_before.min(gate.latest(self.clock.now()));
+            GatePass { gate: gate.clone(), mark: gate.written(), by: order.send_before }
         });
         let mut timed = endpoints::begin(order, self.clock.now());
         timed.call.full_closes = self.handle.hub.borrow().router.reads_load_reports();
--- a/courier/program/src/transport/streams/receive.rs
+++ b/courier/program/src/transport/streams/receive.rs
@@ -6,7 +6,7 @@
 use actix_rt::net::TcpStream;
 use actix_rt::time::Instant;
 use bytes::{BufMut, BytesMut};
-use quillmount_core::flow::{Cut, FlowSide, Source};
+use quillmount_core::flow::{BodySource, Cut, FlowSide};
 use quillmount_core::router::StreamEnd;
 use quillmount_protocol::stream::{Body, Digest, Next};
 use std::time::Duration;
@@ -64,7 +64,7 @@
                 let late_at = flow.late_at(FlowSide::Client).map(|(at, _)| at).filter(|_| begun);
                 (flow.capacity(), flow.source(), late_at)
             };
-            let reads = begun && capacity > 0 && source == Source::Coming;
+            let reads = begun && capacity > 0 && source == BodySource::Coming;
             if reads {
                 pipe.streams.turn().await;
                 self.buf.reserve(CHUNK);
@@ -98,7 +98,7 @@
     /// Passes on what is read of the body, as far as the window has capacity.
     fn pass_on(&mut self, fail: &impl Fn(StreamFailure)) {
         let (clock, pipe) = (&self.handle.clock, self.pipe);
-        while pipe.flow.borrow().source() == Source::Coming {
+        while pipe.flow.borrow().source() == BodySource::Coming {
             let capacity = pipe.flow.borrow().capacity();
             match self.body.next(self.buf) {
                 Next::Body(length) => {
--- a/courier/program/src/transport/streams/send.rs
+++ b/courier/program/src/transport/streams/send.rs
@@ -8,7 +8,7 @@
 use actix_rt::time::timeout;
 use bytes::{Buf, Bytes};
 use quillmount_core::call::{Call, StepOutcome};
-use quillmount_core::flow::{FlowSide, Source};
+use quillmount_core::flow::{BodySource, FlowSide};
 use quillmount_core::machine::attempt::{AttemptInput, AttemptState};
 use quillmount_core::{CallEnd, DeliveryCall};
 use quillmount_policy::Micros;
@@ -219,7 +219,7 @@
         let (late_at, cut) = {
             let flow = self.pipe.flow.borrow();
             let late_at = flow.late_at(FlowSide::Endpoint).map(|(at, _)| at);
-            (late_at, matches!(flow.source(), Source::Cut(_)))
+            (late_at, matches!(flow.source(), BodySource::Cut(_)))
         };
         let wake_at = self.call.attempt().wake_at();
         if late_at.is_some_and(|at| at <= now) {
--- a/tier/storage/tests/ring.rs
+++ b/tier/storage/tests/ring.rs
@@ -1,10 +1,7 @@
 //! The ring through restarts, torn and missing writes.
 
-#[path = "../../wire/tests/fixture_files/mod.rs"]
-mod fixture_files;
-
-use fixture_files::TemporaryFolder;
 use quillmount_storage::{Ring, RingRecord, RingSize, StorageError, load_identity, read_records};
+use quillmount_test_support::temporary::TemporaryFolder;
 use std::fs::{self, OpenOptions};
 use std::io::{Seek, SeekFrom, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
