--- a/courier/program/src/transport/channel.rs
+++ b/courier/program/src/transport/channel.rs
@@ -16,20 +16,22 @@
 use tokio::io::Interest;
 use tokio::net::UnixStream;
 
-/// What both sides say first: another version is not read, and its process restores from the journal instead.
+/// The first bytes from both sides, with the version: another version is not read, and its process restores from the
+/// journal instead.
 const HELLO: [u8; 6] = *b"qmh\x00\x00\x03";
-/// A frame holds the whole state at most: what is owed, which fits into the share of the disk, and what is known of
-/// some thousands of destinations.
+/// The longest frame, in bytes. The longest one has the complete state: the open messages, which fit into the disk quota,
+/// and the state of some thousands of destinations.
 const FRAME_MAX: usize = 16 * 1024 * 1024;
+/// Bytes that one read may take.
 const READ: usize = 64 * 1024;
 /// Descriptors in one message, sent and read: one to a frame, and the kernel never joins two such messages.
 const FDS: usize = 4;
 
-/// A socket's name holds 108 bytes with its end.
+/// The longest name of a Unix socket, in bytes: 108 with the zero byte.
 const NAME_MAX: usize = 107;
 
-/// Where the process that holds the folder listens for the next one. A long name goes by way of the folder's
-/// descriptor, which is to be kept until the name has served.
+/// The path at which the process that has the folder listens for the next one. A long path goes by way of the folder's
+/// descriptor, which has to stay open while the path is used.
 ///
 /// # Errors
 /// The folder can't be opened.
@@ -42,10 +44,10 @@
     Ok((format!("/proc/self/fd/{}/handover", folder.as_raw_fd()).into(), Some(folder)))
 }
 
-/// Reaches the process that holds the folder.
+/// Connects to the process that has the folder.
 ///
 /// # Errors
-/// None listens there.
+/// No process listens there.
 pub async fn reach(folder: &Path) -> io::Result<UnixStream> {
     let (path, _folder) = path(folder)?;
     UnixStream::connect(path).await
@@ -59,10 +61,10 @@
 }
 
 impl Channel {
-    /// Greets the other side.
+    /// Exchanges the versions with the other side.
     ///
     /// # Errors
-    /// It is gone, or of another version.
+    /// The other side is gone, or of another version.
     pub async fn open(stream: UnixStream) -> io::Result<Channel> {
         let mut channel = Channel { stream, inbox: Vec::new(), fds: VecDeque::new() };
         channel.write(&HELLO, None).await?;
@@ -76,12 +78,12 @@
         Ok(channel)
     }
 
-    /// The other side's process.
+    /// The process id of the other side.
     pub fn peer(stream: &UnixStream) -> Option<i32> {
         stream.peer_cred().ok()?.pid()
     }
 
-    /// Sends a frame, and a descriptor with it.
+    /// Sends a frame, with a descriptor if one is given.
     ///
     /// # Errors
     /// The other side is gone.
@@ -94,10 +96,10 @@
         self.write(&bytes, fd).await
     }
 
-    /// The next frame; its descriptor is the next of [`Channel::fd`].
+    /// Receives the next frame; its descriptor, if it has one, is the next of [`Channel::fd`].
     ///
     /// # Errors
-    /// The other side is gone, or says what can't be read.
+    /// The other side is gone, or sends what can't be decoded.
     pub async fn recv<T: DeserializeOwned>(&mut self) -> io::Result<T> {
         let wrong = |what: String| io::Error::new(ErrorKind::InvalidData, what);
         loop {
@@ -116,7 +118,7 @@
         }
     }
 
-    /// The next descriptor that came.
+    /// The next descriptor that was received.
     pub fn fd(&mut self) -> Option<OwnedFd> {
         self.fds.pop_front()
     }
@@ -174,7 +176,7 @@
     }
 }
 
-/// A connection that came from another process.
+/// The connection behind a descriptor of another process.
 ///
 /// # Errors
 /// The descriptor is no socket.
--- a/courier/program/src/transport/frames.rs
+++ b/courier/program/src/transport/frames.rs
@@ -1,4 +1,6 @@
-//! What two processes of a courier say to each other.
+//! The frames between two processes of a courier, and how an operator's call is passed on.
+//!
+//! They are encoded by postcard, by position: variants and fields are never reordered.
 
 use super::channel::{self, Channel};
 use actix_rt::time::timeout;
@@ -9,39 +11,49 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// An operator's call that is passed on is answered within this: it is owed an answer within 1 s.
-pub const PASS_ON: Duration = Duration::from_millis(800);
+/// An operator's call that is passed on is answered within this time: operators get an answer within 1 s.
+pub const PASS_ON_TIMEOUT: Duration = Duration::from_millis(800);
 
+/// One frame between two processes of a courier.
 #[derive(Serialize, Deserialize)]
 pub enum Frame {
-    /// The first word of a process that starts.
+    /// The first frame of a process that starts: it requests the handover.
     Request,
-    /// The first word of one that has handed over: an operator's call.
+    /// The first frame of a process that has handed over: an operator's call.
     Call(OperatorCall),
-    /// The answer to that.
+    /// The answer to an operator's call.
     Said(String),
+    /// No handover is possible now.
     Busy,
-    /// So many parts follow, each with a word whether a descriptor comes with it.
+    /// The state; the parts follow, each with a flag whether a descriptor comes with it.
     State {
+        /// The state of the decisions.
         state: Box<hub::HubState>,
+        /// Whether the courier is drained.
         drained: bool,
+        /// How many parts follow.
         parts: usize,
-        /// How far the clock that all times are told by runs ahead of the system's.
+        /// How far the clock of all times in the state runs ahead of the system's, in microseconds.
         ahead: i64,
     },
+    /// All parts have come.
     Got,
+    /// The sender has given all up; the folder's lock comes with it.
     LetGo,
 }
 
 /// Passes an operator's call on to the process that has taken over.
+///
+/// # Errors
+/// The process can't be reached, or does not answer within [`PASS_ON_TIMEOUT`].
 pub async fn pass_on(folder: &Path, call: &OperatorCall) -> io::Result<String> {
     let passed = async {
         let mut channel = Channel::open(channel::reach(folder).await?).await?;
         channel.send(&Frame::Call(call.clone()), None).await?;
         match channel.recv().await? {
-            Frame::Said(said) => Ok(said),
+            Frame::Said(answer) => Ok(answer),
             _ => Err(io::Error::other("no answer")),
         }
     };
-    timeout(PASS_ON, passed).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
+    timeout(PASS_ON_TIMEOUT, passed).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
--- a/courier/program/src/transport/gate.rs
+++ b/courier/program/src/transport/gate.rs
@@ -1,68 +1,78 @@
-//! The gate between what is written and what may be done for it, where the courier is one of a fleet: an answer, a call or a
-//! notice waits until the journal's records up to then are at the copies, and until the courier may act.
+//! The gate between the journal and its effects, where the courier is one of a fleet: an answer, a call or a notice waits
+//! until the journal's records up to then are at the replicas, and until the courier's lease allows it to act.
 //!
-//! Without a fleet there is no gate, and nothing waits.
+//! The journal's file reports each write ([`Gate::note`]); the fleet's task takes the writes to the replicas and reports the
+//! watermark, the lease and the replicas back. Without a fleet there is no gate, and nothing waits.
 
 use super::clock::Clock;
 use quillmount_policy::Micros;
 use std::cell::{Cell, RefCell};
 use tokio::sync::Notify;
 
-/// Advice with a rejection while the courier may not take on: its fleet notices a loss within a lease, which is of seconds.
+/// The `Retry-After` of a rejection while the gate is closed: the fleet notices a loss within a lease, which takes seconds.
 const GATE_CLOSED_RETRY_AFTER: Micros = 1_000_000;
-/// Records that have waited so long for a copy: clients wait 0.4 s for a word, and one that would come too late is refused.
-const LATE: Micros = 200_000;
+/// The gate closes once a record has waited this long for a replica: clients wait 0.4 s for an answer, and a message whose
+/// answer would come too late is rejected.
+const REPLICATION_TIMEOUT: Micros = 200_000;
 
-/// A call's last byte leaves so long before its key's span ends, as a repeat's does.
+/// A call's last byte leaves this long before the retention of its idempotency key ends, as a retry's does.
 const KEY_MARGIN: Micros = 50_000;
 
 /// What a write did to the journal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JournalWrite {
+    /// These bytes were appended.
     Bytes(Vec<u8>),
-    /// All of it is these.
+    /// The complete journal was replaced by these bytes.
     Whole(Vec<u8>),
 }
 
-/// The gate, and what was written since the fleet's part was last told.
+/// The gate, and the writes that the fleet's task has not taken yet.
 pub struct Gate {
     clock: Clock,
-    /// The shortest time that a partner remembers a key, if any does.
-    span: Option<Micros>,
+    /// The shortest time that a destination retains an idempotency key, if any does.
+    key_retention: Option<Micros>,
+    /// Bytes that were written in total: the watermark of the journal.
     written: Cell<u64>,
+    /// The watermark up to which all is replicated.
     safe: Cell<u64>,
-    /// The oldest mark that is not safe, and since when.
+    /// The oldest watermark that is not replicated, and since when it waits.
     waits: Cell<Option<(u64, Micros)>>,
-    /// It may act until then.
+    /// The end of the lease.
     until: Cell<Micros>,
-    /// Copies of the journal, and whether they are enough to take on.
+    /// Replicas of the journal, and whether they are enough to accept messages.
     copies: Cell<(usize, bool)>,
-    /// The epoch under which the courier serves, and parts of others' books that are on their way into its own.
-    member: Cell<(u64, usize)>,
+    /// The epoch under which the courier serves.
+    epoch: Cell<u64>,
+    /// Shards of other couriers' journals that are being taken over.
+    taking: Cell<usize>,
     unreported: RefCell<Vec<JournalWrite>>,
     /// Something was written.
     pub wrote: Notify,
+    /// The watermark or the lease has changed.
     moved: Notify,
 }
 
 impl Gate {
-    pub fn new(clock: Clock, span: Option<Micros>) -> Self {
+    /// A closed gate; `key_retention`: the shortest time that a destination retains an idempotency key, if any does.
+    pub fn new(clock: Clock, key_retention: Option<Micros>) -> Self {
         Gate {
             clock,
-            span,
+            key_retention,
             written: Cell::new(0),
             safe: Cell::new(0),
             waits: Cell::new(None),
             until: Cell::new(0),
             copies: Cell::new((0, false)),
-            member: Cell::new((0, 0)),
+            epoch: Cell::new(0),
+            taking: Cell::new(0),
             unreported: RefCell::default(),
             wrote: Notify::new(),
             moved: Notify::new(),
         }
     }
 
-    /// The journal is as long as this now, and none of it counts as written in this life.
+    /// The journal has `written` bytes at the start; none of them is reported as a write.
     pub fn begin(&self, written: u64) {
         self.unreported.borrow_mut().clear();
         self.written.set(written);
@@ -81,18 +91,20 @@
         self.wrote.notify_one();
     }
 
-    /// No byte of a call that is recorded now may leave from then on: a courier that was paused behind the record, and has been
-    /// taken over meanwhile, would else write after the partner has forgotten the key that the taker's repeat had.
+    /// The time from which on no byte of a call that is recorded now may leave: a courier that was suspended after the record,
+    /// and taken over meanwhile, would otherwise write after the destination has forgotten the key that the new owner's retry
+    /// had.
     pub fn latest(&self, now: Micros) -> Micros {
-        self.span.map_or(Micros::MAX, |span| now.saturating_add(span.saturating_sub(KEY_MARGIN)))
+        self.key_retention
+            .map_or(Micros::MAX, |retention| now.saturating_add(retention.saturating_sub(KEY_MARGIN)))
     }
 
-    /// What was written since the last call, in order.
+    /// The writes since the last call, in order.
     pub fn take_writes(&self) -> Vec<JournalWrite> {
         self.unreported.take()
     }
 
-    /// All that was written up to this mark is where it has to be.
+    /// All that was written up to this watermark is replicated.
     pub fn set_safe(&self, mark: u64) {
         self.safe.set(mark);
         let (written, now) = (self.written.get(), self.clock.now());
@@ -102,26 +114,28 @@
         self.moved.notify_waiters();
     }
 
+    /// The lease ends then.
     pub fn set_until(&self, until: Micros) {
         self.until.set(until);
         self.moved.notify_waiters();
     }
 
+    /// The journal has so many replicas; `enough`: messages may be accepted.
     pub fn set_copies(&self, copies: usize, enough: bool) {
         self.copies.set((copies, enough));
     }
 
+    /// The courier serves under this epoch.
     pub fn set_epoch(&self, epoch: u64) {
-        self.member.set((epoch, self.member.get().1));
+        self.epoch.set(epoch);
     }
 
-    /// So many parts more, or fewer, of others' books are on their way into the own one.
-    pub fn add_taking(&self, parts: isize) {
-        let (epoch, taking) = self.member.get();
-        self.member.set((epoch, taking.saturating_add_signed(parts)));
+    /// This many shards more, or fewer, of other couriers' journals are being taken over.
+    pub fn add_taking(&self, shards: isize) {
+        self.taking.set(self.taking.get().saturating_add_signed(shards));
     }
 
-    /// Why the courier may not take on, if it may not.
+    /// Why the courier may not accept messages, if it may not: the text for the health check.
     pub fn closed(&self) -> Option<&'static str> {
         match self.takes_on() {
             Ok(()) => None,
@@ -131,10 +145,11 @@
         }
     }
 
-    /// The fleet's part of what an operator is told: the epoch, 0 for none; milliseconds left of the lease; copies of the
-    /// journal; bytes that are not at all of them; parts of others' books that are being taken over.
+    /// The fleet's part of the counters: the epoch, 0 for none; milliseconds left of the lease; replicas of the journal;
+    /// bytes that are not replicated; shards of other couriers' journals that are being taken over.
     pub fn report(&self) -> String {
-        let ((copies, enough), (epoch, taking)) = (self.copies.get(), self.member.get());
+        let (copies, enough) = self.copies.get();
+        let (epoch, taking) = (self.epoch.get(), self.taking.get());
         let left = self.until.get().saturating_sub(self.clock.now()) / 1_000;
         let behind = self.written.get().saturating_sub(self.safe.get());
         format!(
@@ -146,21 +161,24 @@
         self.clock.now() < self.until.get()
     }
 
-    /// Whether the courier may take on; else how long to wait.
+    /// Whether the courier may accept messages.
     ///
     /// # Errors
-    /// It may not: this long is advised.
+    /// It may not: the client is to retry after this time.
     pub fn takes_on(&self) -> Result<(), Micros> {
-        let late = self.waits.get().is_some_and(|(_, since)| self.clock.now() > since.saturating_add(LATE));
+        let late = self
+            .waits
+            .get()
+            .is_some_and(|(_, since)| self.clock.now() > since.saturating_add(REPLICATION_TIMEOUT));
         if self.may_act() && self.copies.get().1 && !late { Ok(()) } else { Err(GATE_CLOSED_RETRY_AFTER) }
     }
 
-    /// A mark of all that is written by now.
+    /// The watermark of all that is written by now.
     pub fn written(&self) -> u64 {
         self.written.get()
     }
 
-    /// Waits until all up to this mark is safe, and the courier may act; false: `by` has come before.
+    /// Waits until all up to this watermark is replicated and the courier may act; false if that takes until `by`.
     pub async fn pass(&self, mark: u64, by: Micros) -> bool {
         loop {
             let moved = self.moved.notified();
@@ -178,7 +196,7 @@
         }
     }
 
-    /// Waits until all that is written by now is safe, however long that takes; a lease is not asked for.
+    /// Waits until all that is written by now is replicated, however long that takes; no lease is needed.
     pub async fn copied(&self) {
         let mark = self.written.get();
         loop {
--- a/courier/program/src/transport/handle.rs
+++ b/courier/program/src/transport/handle.rs
@@ -1,5 +1,5 @@
-//! What the tasks on sockets know of their courier: its time, its life, its tables, and where they leave their
-//! parts.
+//! What the tasks on sockets share with their courier: its clock, its lifecycle, its state and pool, and where they leave
+//! their parts for a handover.
 
 use super::clock::Clock;
 use super::connection::EndpointStream;
@@ -18,24 +18,38 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// What moves with a descriptor, or without where none is held.
+/// A part of a handover, which moves with its descriptor if it has one. It is encoded by postcard, by position: variants
+/// and fields are never reordered.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum HandoverPart {
     /// The listening socket of the clients.
     Listener,
     /// A client's connection, and what has been read of its request.
-    Client { state: client::ClientState, bytes: Vec<u8> },
-    /// A connection to an endpoint, at rest.
-    IdleConnection { endpoint: u32, addr: SocketAddr, since: Micros },
-    /// A call that is out.
+    Client {
+        /// The state of the connection.
+        state: client::ClientState,
+        /// The bytes of the request that were read.
+        bytes: Vec<u8>,
+    },
+    /// An idle connection to an endpoint.
+    IdleConnection {
+        /// The number of the endpoint.
+        endpoint: u32,
+        /// The address that it is connected to.
+        addr: SocketAddr,
+        /// Since when it is idle.
+        since: Micros,
+    },
+    /// A call in flight.
     Call(Box<call::CallSnapshot>),
 }
 
-/// Parts with the sockets that they have: as this process holds them, or as they come from another.
+/// Parts with the sockets that they have: as streams in this process, or as descriptors from another one.
 pub type Parts<S> = Vec<(HandoverPart, Option<S>)>;
 
-/// What a courier's tasks share.
+/// What a courier's tasks share with it.
 pub struct Handle {
+    /// The time that all deadlines are given in.
     pub clock: Clock,
     /// How long a connection to an endpoint may take to come up.
     pub connect: Duration,
@@ -47,6 +61,7 @@
 }
 
 impl Handle {
+    /// A handle on this state; `connect`: how long a connection to an endpoint may take to come up.
     pub fn new(clock: Clock, connect: Duration, hub: Hub<JournalFile, EndpointStream>) -> Self {
         Handle {
             clock,
@@ -58,12 +73,12 @@
         }
     }
 
-    /// Where the courier is in its life.
+    /// Where the courier is in its lifecycle.
     pub fn lifecycle(&self) -> Lifecycle {
         self.lifecycle.get()
     }
 
-    /// Something happened to its life; what is to be done.
+    /// Steps the lifecycle; returns what is to be done.
     pub fn step_lifecycle(&self, input: lifecycle::LifecycleInput) -> lifecycle::LifecycleOutput {
         let mut lifecycle = self.lifecycle.get();
         let output = lifecycle.step(input, self.clock.now());
@@ -74,32 +89,32 @@
         output
     }
 
-    /// Waits for a planned stop; when it was asked for.
+    /// Waits for a planned stop; returns when it was requested.
     pub async fn stops(&self) -> Micros {
         loop {
             match self.lifecycle().stopping() {
-                Some(asked) => return asked,
+                Some(requested_at) => return requested_at,
                 None => self.stops.notified().await,
             }
         }
     }
 
-    /// Counts what the router does not see.
-    pub fn count(&self, one: impl FnOnce(&mut Counters)) {
-        one(&mut self.hub.borrow_mut().router.counters);
+    /// Changes the counters of what the router does not see.
+    pub fn count(&self, change: impl FnOnce(&mut Counters)) {
+        change(&mut self.hub.borrow_mut().router.counters);
     }
 
-    /// The connections to the endpoints.
+    /// Uses the pool of connections to endpoints.
     pub fn pool<T>(&self, act: impl FnOnce(&mut Pool<EndpointStream>) -> T) -> T {
         act(&mut self.hub.borrow_mut().pool)
     }
 
-    /// A part of a stream's body is gone.
+    /// A part of a stream's body has been released: the stream can't be retried.
     pub fn stream_committed(&self, msg: MsgId) {
         self.hub.borrow_mut().router.stream_committed(msg);
     }
 
-    /// A task gives its part up.
+    /// A task gives its part up for the handover.
     pub fn release(&self, part: HandoverPart, stream: Option<TcpStream>) {
         self.parts.borrow_mut().push((part, stream));
     }
--- a/courier/program/src/transport/inherited.rs
+++ b/courier/program/src/transport/inherited.rs
@@ -1,34 +1,48 @@
-//! The clients' listening socket, where another process holds it and this one inherits it.
+//! The clients' listening socket, where a supervisor has opened it and this process inherits it (socket activation).
 
 use rustix::net::sockopt::{socket_acceptconn, socket_type};
 use rustix::net::{SocketType, getsockname};
 use rustix::process::{PidfdFlags, PidfdGetfdFlags, getpid, pidfd_getfd, pidfd_open};
 use std::net::{SocketAddr, TcpListener};
 
+/// Why an inherited descriptor can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum InheritedError {
+    /// The text is no number of a descriptor.
     #[error("{0:?} is no descriptor's number")]
     NoNumber(String),
+    /// The descriptor is not open, or can't be duplicated.
     #[error("descriptor {0} can't be had: {1}")]
     Closed(i32, std::io::Error),
+    /// The descriptor is no socket.
     #[error("descriptor {0} is no socket")]
     NoSocket(i32),
+    /// The socket is not a TCP socket.
     #[error("descriptor {0} is no TCP socket")]
     NotTcp(i32),
+    /// The socket does not listen.
     #[error("descriptor {0} does not listen")]
     NotListening(i32),
+    /// The socket listens on another address.
     #[error("descriptor {fd} listens on {at}, and {wanted} is wanted")]
-    Elsewhere { fd: i32, at: SocketAddr, wanted: SocketAddr },
+    Elsewhere {
+        /// The descriptor.
+        fd: i32,
+        /// The address that the socket listens on.
+        at: SocketAddr,
+        /// The address of the configuration.
+        wanted: SocketAddr,
+    },
 }
 
 /// The listener behind the inherited descriptor, which stays open beside it.
 ///
 /// # Errors
-/// It is none, or one for another address; port 0 stands for any.
+/// It is no listening TCP socket, or one for another address than `wanted`, whose port 0 stands for any.
 pub fn listener(number: &str, wanted: SocketAddr) -> Result<TcpListener, InheritedError> {
     let fd: i32 = number.parse().map_err(|_| InheritedError::NoNumber(number.into()))?;
     let closed = |e: rustix::io::Errno| InheritedError::Closed(fd, e.into());
-    // A copy by way of the own process's descriptor: no descriptor is taken by its mere number.
+    // Duplicated by way of this process's own pidfd: safe code can't own a descriptor by its mere number.
     let own = pidfd_open(getpid(), PidfdFlags::empty()).map_err(closed)?;
     let socket = pidfd_getfd(own, fd, PidfdGetfdFlags::empty()).map_err(closed)?;
     let at = getsockname(&socket).map_err(|_| InheritedError::NoSocket(fd))?;
--- a/courier/program/src/transport/journal_file.rs
+++ b/courier/program/src/transport/journal_file.rs
@@ -1,4 +1,4 @@
-//! The journal's file in the folder that lasts.
+//! The journal's file in the folder that outlasts the process.
 
 use super::gate::{Gate, JournalWrite};
 use quillmount_core::store::Store;
@@ -7,42 +7,43 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// Where a replacement stands until it is whole.
+/// The path of a replacement until it is complete.
 fn replacement_path(path: &Path) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
     name.push(".new");
     name.into()
 }
 
-/// An append-only file, and its atomic replacement: a whole copy is written beside it and renamed.
+/// An append-only file, and its atomic replacement: a complete copy is written beside it and renamed.
 pub struct JournalFile {
     path: PathBuf,
     file: File,
     len: u64,
-    /// A write failed and what it left could not be cut off yet: it would hide every later record.
+    /// A write failed and what it left could not be truncated yet: it would make every later record unreadable.
     torn: bool,
-    /// Whoever waits for what is written to be copied elsewhere, too.
+    /// Where the journal is replicated: waits until the records are at the replicas.
     gate: Option<Rc<Gate>>,
 }
 
 impl JournalFile {
-    /// Opens the file in this folder; makes both where they are missing.
+    /// Opens the journal in this folder; creates both where they are missing.
     ///
     /// # Errors
-    /// The folder or its file can't be made, opened or rid of a half copy; the text names the path.
+    /// The folder or its file can't be created or opened, or an incomplete replacement can't be removed; the text names
+    /// the path.
     pub fn open(folder: &Path) -> io::Result<JournalFile> {
         Self::open_file(folder, "journal")
     }
 
-    /// The same, with a file of another name.
+    /// Like [`JournalFile::open`], with a file of another name.
     ///
     /// # Errors
-    /// The folder or its file can't be made, opened or rid of a half copy; the text names the path.
+    /// Those of [`JournalFile::open`].
     pub fn open_file(folder: &Path, name: &str) -> io::Result<JournalFile> {
         let path = folder.join(name);
         let named = |e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", path.display()));
         fs::create_dir_all(folder).map_err(named)?;
-        // A replacement that a kill cut short: the old file still tells all.
+        // A replacement that a kill has interrupted: the old file is still complete.
         match fs::remove_file(replacement_path(&path)) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(named(e)),
             _ => {}
@@ -52,7 +53,7 @@
         Ok(JournalFile { path, file, len, torn: false, gate: None })
     }
 
-    /// Tells of each write from here on.
+    /// Reports each write to the gate from here on.
     pub fn with_gate(self, gate: Rc<Gate>) -> JournalFile {
         JournalFile { gate: Some(gate), ..self }
     }
@@ -61,7 +62,8 @@
         io::Error::new(e.kind(), format!("{}: {e}", self.path.display()))
     }
 
-    fn cut(&mut self) -> io::Result<()> {
+    /// Truncates what a failed write has left.
+    fn truncate(&mut self) -> io::Result<()> {
         self.torn = true;
         self.file.set_len(self.len).map_err(|e| self.named(e))?;
         self.torn = false;
@@ -80,11 +82,11 @@
 
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         if self.torn {
-            self.cut()?;
+            self.truncate()?;
         }
         if let Err(e) = self.file.write_all(bytes) {
-            // Whether it can be cut off now or only before the next write, this one has failed.
-            let _ = self.cut();
+            // Whether it can be truncated now or only before the next write, this write has failed.
+            let _ = self.truncate();
             return Err(self.named(e));
         }
         self.len += bytes.len() as u64;
--- a/courier/program/src/transport/mod.rs
+++ b/courier/program/src/transport/mod.rs
@@ -1,9 +1,15 @@
-//! Sockets: the server that clients reach, and the clients of endpoints and of the platform.
+//! The sockets of the courier's process: the server that clients reach, and the clients of endpoints and of the platform.
 //!
-//! Each file knows only those before it: `clock`, `channel`, `gate`, `folder`, `socket`; `frames`, and `handle`, which
-//! is what tasks know of their courier; `endpoints` and `streams`, which move the bytes of calls and bodies; `courier`,
-//! which wires them to the decisions; `platform` and `server`, whose tasks hand in what happens; `operators`;
-//! `handover`.
+//! The decisions are made in `quillmount_core`; this module reports what happens on the sockets, and carries out the
+//! actions that the decisions return. Each file uses only those before it:
+//!
+//! - `clock`, `gate`, `journal_file`, `socket`, `signals`, `inherited`, `channel` and `frames` stand by themselves or on
+//!   each other;
+//! - `connection` is a connection to an endpoint, `handle` what all tasks share with their courier;
+//! - `endpoints` and `streams` move the bytes of calls and bodies, `connection_budget` limits their connections;
+//! - `courier` connects them to the decisions;
+//! - `platform` and `server` are the tasks that report to the courier, `operators` carries out operators' calls;
+//! - `handover` passes all of it on to the next process at an upgrade.
 
 pub mod channel;
 pub mod clock;
@@ -29,18 +35,20 @@
 use actix_tls::connect::{Connection, Connector};
 use std::time::Duration;
 
-/// A client that does what it is told once: awc's own answer to redirects, its five seconds for any
-/// answer and its default headers all act behind the caller's back.
-/// A connection comes up within `connect`; small writes on it leave `at_once`.
-pub(crate) fn plain_client(connect: Duration, at_once: bool) -> awc::Client {
+/// How long a client's connection may be reused: practically for ever, since a new one costs the endpoint work.
+const CONNECTION_LIFETIME: Duration = Duration::from_secs(86_400);
+
+/// An HTTP client that sends each request once and unchanged: without awc's redirects, its timeout of five seconds for any
+/// answer and its default headers. A connection has to come up within `connect_timeout`; with `nodelay`, small writes are
+/// not delayed (`TCP_NODELAY`).
+pub(crate) fn plain_client(connect_timeout: Duration, nodelay: bool) -> awc::Client {
     // A head and its body are two writes: the second must not wait for the acknowledgement of the first.
-    let dial = Connector::default().service().map(move |conn: Connection<awc::http::Uri, TcpStream>| {
-        let _ = conn.io_ref().set_nodelay(at_once);
+    let connect = Connector::default().service().map(move |conn: Connection<awc::http::Uri, TcpStream>| {
+        let _ = conn.io_ref().set_nodelay(nodelay);
         conn
     });
-    let connector = awc::Connector::new().connector(dial).timeout(connect);
-    // No lifetime: a connection that works is kept, since a new one costs the endpoint work.
-    let connector = connector.conn_lifetime(Duration::from_secs(86_400)).limit(0);
+    let connector = awc::Connector::new().connector(connect).timeout(connect_timeout);
+    let connector = connector.conn_lifetime(CONNECTION_LIFETIME).limit(0);
     awc::Client::builder()
         .connector(connector)
         .disable_redirects()
--- a/courier/program/src/transport/operators.rs
+++ b/courier/program/src/transport/operators.rs
@@ -1,4 +1,6 @@
-//! The listener that operators call, and what their calls come to.
+//! The listener that operators call, and the service that carries their calls out.
+//!
+//! A caller sends one line and gets one line; `quillmount_protocol::operator` has their form.
 
 use super::courier::Courier;
 use super::frames;
@@ -15,43 +17,45 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::Notify;
 
-/// Callers at once. Some connect and say nothing for seconds; one more ends whoever has waited longest. Their
-/// descriptors are set aside beside those of clients and endpoints.
+/// Callers at once. Some connect and send nothing for seconds; one more ends the one that is connected longest. Their
+/// descriptors are reserved beside those of clients and endpoints.
 pub const CALLERS: usize = 32;
-/// A caller has called by then.
-const CALL: Duration = Duration::from_secs(5);
-/// What is read behind an answer, so that it is not lost to a reset.
+/// A caller's line has to come within this time.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// After an answer, this time and this many bytes are waited for, so that the answer is not lost to a reset.
 const LINGER: Duration = Duration::from_millis(200);
 const LINGER_MAX: usize = 64 * 1024;
-/// Between two looks who decides, while this process hands over.
-const LOOK: Duration = Duration::from_millis(2);
-/// After an accept that failed, for want of descriptors mostly.
-const ACCEPT_REST: Duration = Duration::from_millis(20);
+/// The interval at which is checked which process decides, while this one hands over.
+const HANDOVER_POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// The pause after an accept that failed, for want of descriptors mostly.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Where operators' calls are carried out.
 pub struct OperatorService {
     courier: Rc<Courier>,
     connections: Rc<Connections>,
-    moved: Notify,
+    /// The time of the next drain check has changed.
+    drain_check_moved: Notify,
     /// Where the process listens that takes over.
     folder: PathBuf,
 }
 
 impl OperatorService {
+    /// A service for the calls to this courier; `folder`: where the next process listens.
     pub fn new(courier: Rc<Courier>, connections: Rc<Connections>, folder: PathBuf) -> Rc<Self> {
-        Rc::new(OperatorService { courier, connections, moved: Notify::new(), folder })
+        Rc::new(OperatorService { courier, connections, drain_check_moved: Notify::new(), folder })
     }
 
-    /// Goes on with the drain of another process.
+    /// Continues the drain of the previous process.
     pub fn drained(&self) {
         self.step(DrainInput::Drain);
     }
 
-    /// The answer to a call, from this process or from the one that has taken over.
+    /// Carries a call out, in this process or in the one that has taken over; returns the line to answer.
     pub async fn answer(&self, call: OperatorCall) -> String {
-        // What changes now would not be among what is handed over; it is not known yet who decides.
+        // A change now would be missing in the state that is handed over; it is not decided yet which process serves.
         while self.courier.handle.lifecycle().is_releasing() && !self.courier.handle.lifecycle().has_ended() {
-            sleep(LOOK).await;
+            sleep(HANDOVER_POLL_INTERVAL).await;
         }
         let said = if self.courier.handle.lifecycle().has_ended() {
             match frames::pass_on(&self.folder, &call).await {
@@ -67,16 +71,16 @@
         operator::answer(said.as_deref().map_err(String::as_str))
     }
 
-    /// Looks for connections at rest while the courier is drained.
+    /// Closes idle connections at regular intervals while the courier is drained; never returns.
     pub async fn keep_time(self: Rc<Self>) {
         loop {
             let wake = self.courier.handle.lifecycle().drain_check_at();
             match wake {
-                None => self.moved.notified().await,
+                None => self.drain_check_moved.notified().await,
                 Some(at) => {
                     tokio::select! {
                         () = sleep(self.courier.clock.until(at)) => {}
-                        () = self.moved.notified() => {}
+                        () = self.drain_check_moved.notified() => {}
                     }
                     self.step(DrainInput::Tick);
                 }
@@ -100,7 +104,7 @@
                 );
                 let stops = self.courier.handle.lifecycle().stopping().is_some();
                 self.connections.close_after_answers(drained || stops);
-                self.moved.notify_one();
+                self.drain_check_moved.notify_one();
             }
             DrainOutput::CloseIdle => drop(self.connections.close_idle()),
         }
@@ -110,7 +114,7 @@
         self.courier.set_disabled(id, disabled).map_err(|e| e.to_string())
     }
 
-    /// Carries a call out; what is to be said of it, or why nothing was done.
+    /// Carries a call out in this process; the text of the answer, or why nothing was done.
     fn call(&self, call: &OperatorCall) -> Result<String, String> {
         let lifecycle = self.courier.handle.lifecycle();
         match call {
@@ -131,17 +135,17 @@
     }
 }
 
-/// Accepts callers until it is dropped. Without a desk each is told that this process does not serve yet: it may be
+/// Accepts callers until it is dropped. Without a service each is answered that this process does not serve yet: it may be
 /// waiting for another to hand over.
 pub async fn serve(listener: &TcpListener, service: Option<Rc<OperatorService>>) {
     let mut callers: VecDeque<tokio::task::JoinHandle<()>> = VecDeque::new();
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                // Where it can't be said, an answer waits a moment.
+                // Where this fails, an answer waits a moment.
                 let _ = stream.set_nodelay(true);
                 callers.retain(|caller| !caller.is_finished());
-                // Who has waited longest has had most time to call.
+                // The oldest caller has had the most time to call.
                 while callers.len() >= CALLERS
                     && let Some(silent) = callers.pop_front()
                 {
@@ -150,16 +154,16 @@
                 callers.push_back(actix_rt::spawn(serve_caller(stream, service.clone())));
             }
             Err(e) => {
-                tracing::warn!("operators: accept: {e}");
-                sleep(ACCEPT_REST).await;
+                tracing::warn!(error = %e, "operators: accepting a connection failed");
+                sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
 }
 
-/// One caller: a line, its answer, the end.
+/// Serves one caller: reads its line, answers it, and closes the connection.
 async fn serve_caller(mut stream: TcpStream, service: Option<Rc<OperatorService>>) {
-    let Ok(Some(call)) = timeout(CALL, read_call(&mut stream)).await else { return };
+    let Ok(Some(call)) = timeout(CALL_TIMEOUT, read_call(&mut stream)).await else { return };
     let answer = match (call, service) {
         (Ok(call), Some(service)) => service.answer(call).await,
         (Ok(_), None) => operator::answer(Err("this process does not serve yet")),
@@ -173,7 +177,7 @@
         stream.shutdown().await
     };
     if timeout(LINGER, written).await.is_ok_and(|written| written.is_ok()) {
-        // What the caller still sends would reset the connection, and the answer with it.
+        // Bytes that the caller still sends would reset the connection, and the answer would be lost.
         let (mut rest, mut left) = ([0; 1_024], LINGER_MAX);
         let drained = async {
             while left > 0 {
@@ -187,7 +191,7 @@
     }
 }
 
-/// Reads one line, in whatever pieces it comes; `None`: the caller has gone without a word.
+/// Reads one line, in whatever chunks it comes; `None`: the caller has gone without sending anything.
 async fn read_call(stream: &mut TcpStream) -> Option<Result<OperatorCall, BadCall>> {
     let mut bytes = Vec::with_capacity(64);
     let mut chunk = [0; LINE_MAX];
--- a/courier/program/src/transport/platform.rs
+++ b/courier/program/src/transport/platform.rs
@@ -1,4 +1,6 @@
-//! The sockets of the platform: the watch on discovery, and the notices.
+//! The HTTP clients of the platform: the watch on discovery, and the notices of messages' ends.
+//!
+//! [`Watch`] and [`Notices`] decide when to request, to hedge and to back off; this module carries that out.
 
 use super::courier::Courier;
 use actix_rt::time::{sleep, timeout};
@@ -15,22 +17,25 @@
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
 
-/// Where the platform is; it may move while the courier runs.
+/// The address of the platform; it may change while the courier runs.
 pub type Discovery = watch::Receiver<SocketAddr>;
 
-/// What a courier knows of the others that ask the platform.
+/// The other couriers that watch the same discovery, and how this one is to watch.
 #[derive(Clone, Copy, Debug)]
 pub struct Fleet {
+    /// How many couriers there are.
     pub couriers: u32,
+    /// The seed of this courier's random delays.
     pub seed: u64,
-    /// Others may start in this moment: the first question waits for a part of a moment.
+    /// Others may start at the same time: the first request waits for a short random delay.
     pub starts: bool,
-    /// Within which a drain has to be heeded.
+    /// The time within which a drain has to take effect.
     pub heed: Micros,
-    /// Lists are pushed to an agent of the courier's own machine.
+    /// Lists are pushed to an agent on the courier's own machine.
     pub pushed: bool,
 }
 
+/// Why a watch ended.
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
     #[error("no answer: {0}")]
@@ -47,15 +52,15 @@
     List(#[from] discovery::DiscoveryError),
 }
 
-/// Watches discovery for as long as the courier runs, whatever discovery does. When it moves, the old
-/// watch goes on until the new one has answered, so that no change is missed in between.
+/// Watches discovery for as long as the courier runs, whatever fails. When its address changes, the old watch goes on until
+/// the new one has answered, so that no change is missed in between.
 pub async fn watch(courier: Rc<Courier>, mut discovery: Discovery, mut fleet: Fleet) {
     let mut tasks = Tasks::default();
     loop {
         let older = &mut tasks.0;
         let addr = *discovery.borrow_and_update();
         let task = actix_rt::spawn(follow(courier.clone(), addr, discovery.clone(), older.clone(), fleet));
-        // A new place is asked at once: the old one closes its watches.
+        // A new address is requested at once: the old one closes its watches.
         fleet.starts = false;
         older.retain(|task| !task.is_finished());
         older.push(task.abort_handle());
@@ -65,7 +70,7 @@
     }
 }
 
-/// The watches, which end with their keeper.
+/// The tasks of the watches; aborted on drop.
 #[derive(Default)]
 struct Tasks(Vec<AbortHandle>);
 
@@ -75,7 +80,7 @@
     }
 }
 
-/// Watches at one address, until discovery has moved from there.
+/// Watches at one address, until discovery has moved away.
 async fn follow(
     courier: Rc<Courier>,
     addr: SocketAddr,
@@ -111,7 +116,7 @@
             }
         };
         let Err(e) = ended;
-        // Silence, and the end of a pause, are the machine's own findings.
+        // The machine detects silence, and the end of a backoff, by the time.
         let input = match e {
             WatchError::Silent => WatchInput::Tick { moved: moved() },
             _ => WatchInput::Broken { moved: moved() },
@@ -134,9 +139,9 @@
 type Answer = Result<awc::ClientResponse, WatchError>;
 type PendingRequest = LocalBoxFuture<'static, Answer>;
 
-/// Asks on a connection of its own: one that rested may be dead, and nothing would say so.
+/// Requests a watch on a new connection: an idle one may be dead, which nothing would show.
 fn request(addr: SocketAddr, after: u64) -> PendingRequest {
-    // It is given up before.
+    // The request is given up before this limit.
     let client = super::plain_client(Duration::from_micros(2 * NOTIFIED_WITHIN), true);
     let asked = client.get(format!("http://{addr}{}", discovery::watch_path(after))).send();
     Box::pin(async move {
@@ -149,16 +154,19 @@
     })
 }
 
-/// The questions that are out, in the order in which they were asked; one that failed leaves its place empty.
+/// The requests in flight, in the order in which they were sent; one that failed leaves its slot empty.
 #[derive(Default)]
 struct PendingRequests(Vec<Option<PendingRequest>>);
 
-/// What became of them.
+/// What became of the requests in flight.
 enum PollOutcome {
+    /// The first one that was answered.
     Answer(Box<awc::ClientResponse>),
-    /// One has failed; `last`: no other is out.
+    /// One has failed.
     Failed {
+        /// Why.
         with: WatchError,
+        /// No other is in flight.
         last: bool,
     },
 }
@@ -178,7 +186,7 @@
     }
 }
 
-/// Waits for an answer to what is out, and follows it to its end.
+/// Waits for an answer to the requests in flight, and follows its lists until it ends.
 async fn watch_once(
     courier: &Rc<Courier>,
     machine: &mut Watch,
@@ -217,7 +225,7 @@
     }
 }
 
-/// Waits for as long as the machine does.
+/// Waits for `what` as long as the machine does.
 async fn in_time<T>(
     courier: &Courier,
     machine: &Watch,
@@ -239,7 +247,7 @@
             courier.notices_wanted().await;
             continue;
         };
-        // In a fleet: an end is told once others know it too, and by whoever may.
+        // In a fleet, an end is reported once it is replicated, and only under a lease.
         courier.may_act().await;
         courier.count(|c| c.notice_tries += 1);
         let addr = *discovery.borrow_and_update();
@@ -256,7 +264,7 @@
                 Ok(204) => notices::NoticeInput::Confirmed,
                 Ok(400) => notices::NoticeInput::Unreadable,
                 other => {
-                    tracing::warn!("notices: {} not confirmed: {other:?}", notices.len());
+                    tracing::warn!(notices = notices.len(), result = ?other, "notices: the platform did not confirm");
                     notices::NoticeInput::Lost
                 }
             },
@@ -265,7 +273,7 @@
         match machine.step(input, courier.clock.now()) {
             notices::NoticeOutput::Confirmed => courier.notices_confirmed(&notices),
             notices::NoticeOutput::Discard => {
-                tracing::error!("notices: the platform can't read the one for {:?}", notices[0].id);
+                tracing::error!(id = ?notices[0].id, "notices: the platform can't read a notice: it is discarded");
                 courier.notices_confirmed(&notices);
             }
             _ => {}
