--- a/courier/core/src/journal/writer.rs
+++ b/courier/core/src/journal/writer.rs
@@ -37,7 +37,7 @@
         let (mut contents, intact) = JournalContents::read(&bytes);
         contents.ended.retain(|(.., until)| *until > now);
         let mut journal = Journal { store, usage: SpaceUsage::new(limit, &contents)? };
-        if intact < bytes.len() && !breaks::is_enabled(Break::TornKept) {
+        if intact < bytes.len() && !breaks::is_enabled(Break::KeepTornRecord) {
             notes.push(Note::Torn(bytes.len() - intact));
             // A record behind a torn one would never be read.
             journal.compact(now, notes)?;
--- a/courier/core/src/machine/attempt/table.rs
+++ b/courier/core/src/machine/attempt/table.rs
@@ -12,9 +12,9 @@
 
     fn states() -> Vec<(&'static str, &'static str, Self)> {
         // For the table an answer is whole with `.`, and does not count yet with `1`.
-        let decode: Decode = |bytes, over| match bytes.last() {
-            Some(b'.') => Answer::Whole { end: CallEnd::Delivered, reusable: !over },
-            _ if over => Answer::Whole { end: CallEnd::Spoilt(0), reusable: false },
+        let decode: Decode = |bytes, closed| match bytes.last() {
+            Some(b'.') => Answer::Whole { end: CallEnd::Delivered, reusable: !closed },
+            _ if closed => Answer::Whole { end: CallEnd::Spoilt(0), reusable: false },
             Some(b'1') => Answer::Awaited,
             _ => Answer::Partial,
         };
--- a/courier/fleet/src/settlement/owner/takeover.rs
+++ b/courier/fleet/src/settlement/owner/takeover.rs
@@ -29,7 +29,7 @@
         }
         self.progress = progress;
         self.progress.term = self.term;
-        self.progress.take_over();
+        self.progress.begin_ownership();
         self.mode = *self.progress.mode.get_or_insert(self.mode);
         if let (Mode::Session { linger, .. }, Some(_)) = (self.mode, self.progress.session)
             && !breaks::on(Break::NoLinger)
--- a/courier/fleet/src/settlement/progress.rs
+++ b/courier/fleet/src/settlement/progress.rs
@@ -282,7 +282,7 @@
     }
 
     /// An attempt that was in flight when the owner was lost counts as one that may have run.
-    pub fn take_over(&mut self) {
+    pub fn begin_ownership(&mut self) {
         let in_flight: Vec<u64> =
             self.positions.iter().filter(|(_, state)| state.sent_at.is_some()).map(|(p, _)| *p).collect();
         for position in in_flight {
--- a/courier/fleet/tests/parts/journal_lines.rs
+++ b/courier/fleet/tests/parts/journal_lines.rs
@@ -54,7 +54,7 @@
     let records: Vec<SettlementRecord> =
         of.iter().filter_map(JournalLine::read).filter_map(JournalLine::record).collect();
     let mut progress = SettlementProgress::read(&id, &[records]);
-    progress.take_over();
+    progress.begin_ownership();
     assert_eq!(
         (progress.next, progress.positions[&1].end, progress.positions[&2].end),
         (2, Some(End::Delivered), None)
--- a/courier/fleet/tests/parts/progress.rs
+++ b/courier/fleet/tests/parts/progress.rs
@@ -34,7 +34,7 @@
     let progress = SettlementProgress::read(&id, &[both.clone(), late, both]);
     assert_eq!((progress.term, progress.waiting, progress.bytes), (3, 4, 40));
     let mut taken = progress.clone();
-    taken.take_over();
+    taken.begin_ownership();
     assert_eq!(taken.positions[&1].first_attempt, Some(5), "it was out, and may have run");
     // As the owner for the second time it was lost before it had read anything: its journal has the records of the first
     // term only.
--- a/courier/operator/src/fleet_problems.rs
+++ b/courier/operator/src/fleet_problems.rs
@@ -42,8 +42,8 @@
 
 impl<'a> Checks<'a> {
     /// Notes a problem at `path` below the section unless the check holds.
-    fn require(&mut self, holds: bool, path: impl std::fmt::Display, what: impl Into<String>) {
-        if !holds {
+    fn require(&mut self, is_valid: bool, path: impl std::fmt::Display, what: impl Into<String>) {
+        if !is_valid {
             self.found.push(Problem::new(format!("$.fleet.{path}"), what));
         }
     }
--- a/courier/policy/src/breaks.rs
+++ b/courier/policy/src/breaks.rs
@@ -48,7 +48,7 @@
     ForgetPast: "forget-past", "a restart forgets the attempts of an earlier life";
     ForgetEnd: "forget-end", "a restart takes up what has ended";
     EndUnwritten: "end-unwritten", "an end is told though its record was refused";
-    TornKept: "torn-kept", "a torn record stays, and hides what is written behind it";
+    KeepTornRecord: "torn-kept", "a torn record stays, and hides what is written behind it";
     NoticeOnce: "notice-once", "a notice is sent once, confirmed or not";
     HeldBackLost: "held-back-lost", "a call without a record is never reported";
 }
--- a/courier/policy/src/dispatcher/health.rs
+++ b/courier/policy/src/dispatcher/health.rs
@@ -151,7 +151,7 @@
         let route = &mut self.routes[result.route];
         let in_row = route.failures_in_row + route.refusals_in_row;
         let is_repeated = route.refusals_in_row > 0 || in_row > 1;
-        let pause = if is_repeated { backoff(in_row - 1, result.jitter) } else { 0 };
+        let delay = if is_repeated { backoff(in_row - 1, result.jitter) } else { 0 };
         // Once a span, and once for calls that were in flight together: they all say the same.
         if is_repeated && result.sent >= route.last_shrink && now >= route.last_shrink + SHRINK_INTERVAL {
             route.window *= WINDOW_SHRINK;
@@ -166,7 +166,7 @@
             && paced_interval.is_none();
         let rest = if rests { self.rest(result, spread) } else { 0 };
         let route = &mut self.routes[result.route];
-        route.wait_until = route.wait_until.max(now + pause.max(rest));
+        route.wait_until = route.wait_until.max(now + delay.max(rest));
         if let Some(interval) = paced_interval {
             // Nothing is saved up any more: the next goes a whole gap later, each sender at its own time.
             let gap = interval / route.window.max(PACED_WINDOW_MIN) * (CALLS_AHEAD + spread);
--- a/courier/policy/src/dispatcher/retry.rs
+++ b/courier/policy/src/dispatcher/retry.rs
@@ -17,8 +17,8 @@
 
 /// The pause after a failure that came after `earlier_failures` others in a row, microseconds.
 pub fn backoff(earlier_failures: u32, jitter: f64) -> Micros {
-    let pause = BACKOFF_FIRST * BACKOFF_GROWTH.powi(earlier_failures.min(20) as i32);
-    (pause.min(BACKOFF_MAX) * jitter) as Micros
+    let delay = BACKOFF_FIRST * BACKOFF_GROWTH.powi(earlier_failures.min(20) as i32);
+    (delay.min(BACKOFF_MAX) * jitter) as Micros
 }
 
 impl Dispatcher {
--- a/courier/program/examples/fleet.rs
+++ b/courier/program/examples/fleet.rs
@@ -36,7 +36,7 @@
     setup.partner(1, |_| Answer::Pending);
     let mut fleet = Fleet::start(setup).await?;
     for courier in 0..3 {
-        while fleet.get(courier, "/-/ready").await.map_or(0, |told| told.0) != 200 {
+        while fleet.get(courier, "/-/ready").await.map_or(0, |answer| answer.0) != 200 {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
         println!("courier {} is ready, process {}", fleet.name(courier), fleet.id(courier).unwrap_or(0));
--- a/courier/program/examples/per_message.rs
+++ b/courier/program/examples/per_message.rs
@@ -140,7 +140,7 @@
         stream.write_all(request.as_bytes())?;
         match message(&mut reader)? {
             Some(first) if first.contains(" 202 ") => {}
-            word => return Err(Error::other(format!("message {n} is answered {word:?}"))),
+            answer => return Err(Error::other(format!("message {n} is answered {answer:?}"))),
         }
         answers.recv().map_err(|_| Error::other("the provider has gone"))?;
     }
--- a/courier/program/src/fleet/mod.rs
+++ b/courier/program/src/fleet/mod.rs
@@ -276,7 +276,7 @@
                 SettlementHost::start(self, courier, local_name, epoch, self.settlements.clone(), lines);
             let _ = self.settlement_host.set(host);
         }
-        actix_rt::spawn(self.clone().take_over(courier.clone()));
+        actix_rt::spawn(self.clone().run_takeovers(courier.clone()));
         if let Some(budgets) = &self.budgets {
             actix_rt::spawn(budgets.clone().run(courier.clone()));
         }
@@ -466,7 +466,7 @@
     }
 
     /// What the member wants of the courier's journal and router.
-    async fn take_over(self: Rc<Self>, courier: Rc<Courier>) {
+    async fn run_takeovers(self: Rc<Self>, courier: Rc<Courier>) {
         loop {
             let task = self.tasks.borrow_mut().pop_front();
             let Some(task) = task else {
@@ -479,9 +479,9 @@
             let mut lines = Settlements::default();
             let done = match &task {
                 Task::Adopt { partitions, settled, bytes } => {
-                    let (book, _) = JournalContents::read(bytes);
-                    lines = adopted_lines(partitions, settled, &book);
-                    courier.adopt(adopted_entries(partitions, settled, book), &lines)
+                    let (contents, _) = JournalContents::read(bytes);
+                    lines = adopted_lines(partitions, settled, &contents);
+                    courier.adopt(adopted_entries(partitions, settled, contents), &lines)
                 }
                 Task::ResolveAdoption { source, adopted } => courier.settle_from(&source.into(), *adopted),
             };
@@ -542,9 +542,9 @@
 fn adopted_entries(
     partitions: &[PartitionId],
     settled: &BTreeSet<PartitionId>,
-    book: JournalContents,
+    contents: JournalContents,
 ) -> Vec<journal::JournalEntry> {
-    let owed = book.owed.into_values().filter_map(|entry| {
+    let owed = contents.owed.into_values().filter_map(|entry| {
         let partition = partition_of(entry.taken.dest);
         let source = partitions.iter().find(|source| source.partition == partition)?;
         // What had come to that book from others, and was not agreed to be its own, is somebody else's.
--- a/courier/program/src/program/process.rs
+++ b/courier/program/src/program/process.rs
@@ -58,7 +58,7 @@
     /// The rest of the fleet has taken over the courier's work.
     Replaced,
     /// Another process has taken over by an upgrade.
-    HandedOver,
+    Transferred,
 }
 
 impl Process {
@@ -109,7 +109,7 @@
                 self.courier.handle.step_lifecycle(LifecycleInput::End);
                 RunEnd::Restart
             }
-            ServeEnd::HandedOver => {
+            ServeEnd::Transferred => {
                 self.forward_operators(signals).await;
                 RunEnd::Stopped
             }
@@ -123,7 +123,7 @@
                 _ = signals.interrupt.recv() => self.request_stop(),
                 requested_at = self.courier.handle.stops() => return ServeEnd::StopRequested(requested_at),
                 () = replaced(self.fleet.as_deref()) => return ServeEnd::Replaced,
-                () = self.active.gone.notified() => return ServeEnd::HandedOver,
+                () = self.active.gone.notified() => return ServeEnd::Transferred,
                 _ = signals.report.recv() => {
                     tracing::info!("{}: {}", self.config.name, self.courier.report());
                 }
--- a/courier/program/src/transport/handover.rs
+++ b/courier/program/src/transport/handover.rs
@@ -7,7 +7,7 @@
 mod sender;
 
 pub use receiver::{listener, take};
-pub use sender::ActiveProcess;
+pub use sender::{ActiveProcess, Tasks};
 
 use super::handle::Parts;
 use quillmount_core::hub;
--- a/tools/explore/src/streams.rs
+++ b/tools/explore/src/streams.rs
@@ -196,7 +196,7 @@
     let (time_left, slots) = ((TIME_LEFT / 1_000) as u32, if size.bodies > 1 { 8 } else { 4 });
     let case = Case { attempts: size.attempts, time_left, slots, ..Case::default() };
     let env = case.env().map_err(|e| e.to_string())?;
-    let provider = EndpointListing {
+    let endpoint = EndpointListing {
         id: "p0".into(),
         addr: Some(([127, 0, 0, 1], 1).into()),
         dest: 0,
@@ -205,7 +205,7 @@
         weight: 50.0,
         state: EndpointState::Ready,
     };
-    let list = EndpointList { version: 1, full: true, endpoints: vec![provider] };
+    let list = EndpointList { version: 1, full: true, endpoints: vec![endpoint] };
     let limits = Some(StreamLimits { most: 2, share_of_slots: 0.5, share_of_window: 0.5 });
     let (router, steps) =
         Router::open_with(&env, limits, 1, list.clone(), store, 3_000_000, now).map_err(|e| e.to_string())?;
--- a/tools/standins/src/courier.rs
+++ b/tools/standins/src/courier.rs
@@ -283,15 +283,15 @@
     ///
     /// # Errors
     /// It did not say them in time.
-    pub async fn wait_for_log(&self, words: &str) -> Result<()> {
+    pub async fn wait_for_log(&self, text: &str) -> Result<()> {
         let by = Instant::now() + STOP;
         while Instant::now() < by {
-            if self.log.try_iter().any(|line| line.contains(words)) {
+            if self.log.try_iter().any(|line| line.contains(text)) {
                 return Ok(());
             }
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
-        Err(Error::other(format!("the courier did not say {words:?}")))
+        Err(Error::other(format!("the courier did not say {text:?}")))
     }
 
     /// SIGHUP.
