--- a/courier/program/src/fleet/mod.rs
+++ b/courier/program/src/fleet/mod.rs
@@ -1,9 +1,10 @@
-//! A courier as one of a fleet, on sockets: its member machine, the ways to the others, and what the machine's words come to
-//! for the courier. All of it is there only where the operator file's section `fleet` is on.
+//! A courier as a member of a fleet, on sockets: drives the member machine (`quillmount_fleet::member`), sends and receives its
+//! messages, and carries its outputs out on the courier. Only where the operator file's section `fleet` is on.
 
 pub mod budget;
 mod links;
 mod listener;
+mod settings;
 mod settlements;
 mod stores;
 
@@ -15,14 +16,15 @@
 use links::PeerLink;
 use quillmount_core::journal::{self, JournalContents, Settlements};
 use quillmount_fleet::agreement;
-use quillmount_fleet::budget::{Budget, BudgetProblem, Tenant};
-use quillmount_fleet::config::{FleetConfig, MissingReplicas, Name, Peer};
+use quillmount_fleet::budget::BudgetProblem;
+use quillmount_fleet::config::Name;
 use quillmount_fleet::member::{Member, MemberError, MemberInput, MemberNotice, MemberOutput};
 use quillmount_fleet::message::Envelope;
 use quillmount_fleet::settlement::journal_lines::adopted_lines;
 use quillmount_fleet::state::{Epoch, PartitionId, partition_of};
-use quillmount_operator::fleet::{FleetBudget, FleetTenant, OnMissing};
 use quillmount_policy::Micros;
+use settings::config_from;
+pub use settings::problems;
 use settlements::SettlementHost;
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -82,20 +84,20 @@
     ResolveAdoption { source: PartitionId, adopted: bool },
 }
 
-/// The courier's part of its fleet.
+/// This courier's membership of its fleet.
 pub struct Fleet {
     clock: Clock,
     member: Rc<RefCell<Member<FileStores>>>,
     /// Where partners' connections are shared.
     pub budgets: Option<Rc<Budgets>>,
-    links: BTreeMap<Name, Rc<PeerLink>>,
+    links: PeerLinks,
     pub gate: Rc<Gate>,
     tasks: RefCell<VecDeque<Task>>,
     task_added: Notify,
     joined: Cell<Option<(Epoch, bool)>>,
     joined_notify: Notify,
     is_fenced: Cell<bool>,
-    /// Its book is others' by now: the process has to begin anew.
+    /// Notified once the journal is sealed: others have its work, and the process has to start over.
     pub fenced_notify: Notify,
     left: Notify,
     timers_changed: Notify,
@@ -104,53 +106,23 @@
     settlement_host: OnceCell<Rc<SettlementHost>>,
 }
 
-fn config_from(settings: &quillmount_operator::fleet::Fleet) -> FleetConfig {
-    FleetConfig {
-        local_name: settings.me.clone(),
-        peers: settings
-            .members
-            .iter()
-            .map(|member| Peer { name: member.name.clone(), host: member.host.clone() })
-            .collect(),
-        voters: settings.voters.clone(),
-        lease: settings.lease.0.as_micros() as Micros,
-        drift: settings.drift,
-        replicas: settings.copies,
-        missing_replicas: match settings.on_missing {
-            OnMissing::Require => MissingReplicas::Require,
-            OnMissing::Prefer => MissingReplicas::Prefer,
-        },
-        budgets: budgets_from(settings),
-        max_call: settings.partner_call.0.as_micros() as Micros,
-        max_idle: settings.partner_idle.0.as_micros() as Micros,
-    }
-}
-
-fn budgets_from(settings: &quillmount_operator::fleet::Fleet) -> Vec<Budget> {
-    let tenant = |settings: &FleetTenant| Tenant {
-        name: settings.name.clone(),
-        weight: settings.weight,
-        floor: settings.floor,
-        ceiling: settings.ceiling,
-    };
-    let budget = |settings: &FleetBudget| Budget {
-        dest: settings.dest,
-        connections: settings.connections,
-        calls: settings.calls,
-        span_ms: settings.span.map(|span| span.0.as_millis() as u64),
-        courier_floor: settings.courier_floor,
-        tenants: settings.tenants.iter().map(tenant).collect(),
-    };
-    settings.budgets.iter().map(budget).collect()
-}
-
-/// What the section's types can't say, and its own checks do not know, each with its path.
-pub fn problems(settings: &quillmount_operator::fleet::Fleet) -> Vec<BudgetProblem> {
-    if settings.on {
-        quillmount_fleet::budget::check(&budgets_from(settings), settings.members.len())
-    } else {
-        Vec::new()
+/// The links to the other members, by name.
+type PeerLinks = BTreeMap<Name, Rc<PeerLink>>;
+/// The address to which each link leads.
+type PeerAddresses = Vec<(Rc<PeerLink>, SocketAddr)>;
+
+/// A link to each other member, and the address to which each is to lead.
+fn peer_links(
+    settings: &quillmount_operator::fleet::Fleet,
+) -> Result<(PeerLinks, PeerAddresses), FleetError> {
+    let mut links = BTreeMap::new();
+    let mut addresses = Vec::new();
+    for peer in settings.members.iter().filter(|peer| peer.name != settings.me) {
+        let link = PeerLink::new(peer.name.clone());
+        addresses.push((link.clone(), address("members", &peer.addr)?));
+        links.insert(peer.name.clone(), link);
     }
+    Ok((links, addresses))
 }
 
 fn address(what: &'static str, value: &str) -> Result<SocketAddr, FleetError> {
@@ -184,13 +156,7 @@
             Member::open(config_from(settings), files, incarnation, node_id, limits, clock.now())?;
         member.replica_capacity =
             disk.saturating_mul(settings.copies as u64).saturating_mul(REPLICA_DISK_FACTOR);
-        let mut links = BTreeMap::new();
-        let mut addresses = Vec::new();
-        for peer in settings.members.iter().filter(|peer| peer.name != settings.me) {
-            let link = PeerLink::new(peer.name.clone());
-            addresses.push((link.clone(), address("members", &peer.addr)?));
-            links.insert(peer.name.clone(), link);
-        }
+        let (links, addresses) = peer_links(settings)?;
         let node_id = member.agreement().node_id();
         let member = Rc::new(RefCell::new(member));
         let dests: BTreeSet<u64> = settings.budgets.iter().map(|budget| budget.dest).collect();
@@ -283,7 +249,7 @@
         Ok(())
     }
 
-    /// A planned stop: the book is for others, at once, and the journal is put aside.
+    /// A planned stop: gives the journal to others without waiting for the lease to lapse, and puts its file aside.
     ///
     /// # Errors
     /// The folder refuses it.
@@ -313,7 +279,7 @@
         }
     }
 
-    /// Another courier's words; what is said to it at once.
+    /// Handles another courier's messages; returns the messages that go back in the same exchange.
     pub fn receive(&self, envelope: Envelope) -> Option<Envelope> {
         let from = envelope.from.clone();
         let out = self.member.borrow_mut().step(MemberInput::Received(envelope), self.clock.now());
@@ -369,34 +335,18 @@
                 MemberOutput::Lease(until) => self.gate.set_until(until),
                 MemberOutput::Replicated(mark) => self.gate.set_safe(mark),
                 MemberOutput::Replicas { at, enough } => {
-                    let at: Vec<&str> = at.iter().map(Name::as_str).collect();
-                    match (at.is_empty(), enough) {
-                        (false, _) => tracing::info!("fleet: the journal is copied to {}", at.join(", ")),
-                        (true, true) => {
-                            tracing::warn!("fleet: no copy of the journal is left: it goes on alone")
-                        }
-                        (true, false) => {
-                            tracing::warn!("fleet: no copy of the journal yet: nothing is taken on")
-                        }
-                    }
+                    log_replicas(&at, enough);
                     self.gate.set_copies(at.len(), enough);
                 }
                 MemberOutput::Adopt { partitions, settled, bytes } => {
                     self.gate.add_taking(partitions.len() as isize);
-                    self.tasks.borrow_mut().push_back(Task::Adopt { partitions, settled, bytes });
-                    self.task_added.notify_one();
+                    self.add_task(Task::Adopt { partitions, settled, bytes });
                 }
                 MemberOutput::ResolveAdoption { source, adopted } => {
                     self.gate.add_taking(-1);
-                    self.tasks.borrow_mut().push_back(Task::ResolveAdoption { source, adopted });
-                    self.task_added.notify_one();
-                }
-                MemberOutput::Fenced => {
-                    self.gate.set_until(0);
-                    self.is_fenced.set(true);
-                    self.settlement_host.get().into_iter().for_each(|host| host.fenced());
-                    self.fenced_notify.notify_one();
+                    self.add_task(Task::ResolveAdoption { source, adopted });
                 }
+                MemberOutput::Fenced => self.fenced(),
                 MemberOutput::Left => self.left.notify_waiters(),
                 // What came before it was there, it reads from the agreed state.
                 MemberOutput::Settlement(event) => {
@@ -421,7 +371,22 @@
         replies
     }
 
-    /// Wakes the member whenever it wants to.
+    /// The fleet has sealed this courier's journal: nothing more is done here.
+    fn fenced(&self) {
+        self.gate.set_until(0);
+        self.is_fenced.set(true);
+        if let Some(host) = self.settlement_host.get() {
+            host.fenced();
+        }
+        self.fenced_notify.notify_one();
+    }
+
+    fn add_task(&self, task: Task) {
+        self.tasks.borrow_mut().push_back(task);
+        self.task_added.notify_one();
+    }
+
+    /// Calls the member's timers at the times that it asks for.
     async fn run_timers(self: Rc<Self>) {
         loop {
             let wake = self.member.borrow().wake_at();
@@ -439,7 +404,7 @@
         }
     }
 
-    /// Hands on what was written: all of one turn of the loop together.
+    /// Passes what was written to the journal on to its replicas: all of one turn of the event loop together.
     async fn replicate(self: Rc<Self>) {
         loop {
             self.gate.wrote.notified().await;
@@ -465,7 +430,7 @@
         }
     }
 
-    /// What the member wants of the courier's journal and router.
+    /// Carries out the member's tasks on the courier's journal and router.
     async fn take_over(self: Rc<Self>, courier: Rc<Courier>) {
         loop {
             let task = self.tasks.borrow_mut().pop_front();
@@ -554,6 +519,15 @@
     owed.collect()
 }
 
+fn log_replicas(at: &BTreeSet<Name>, enough: bool) {
+    let at: Vec<&str> = at.iter().map(Name::as_str).collect();
+    match (at.is_empty(), enough) {
+        (false, _) => tracing::info!("fleet: the journal is copied to {}", at.join(", ")),
+        (true, true) => tracing::warn!("fleet: no copy of the journal is left: it goes on alone"),
+        (true, false) => tracing::warn!("fleet: no copy of the journal yet: nothing is taken on"),
+    }
+}
+
 fn log_notice(note: &MemberNotice) {
     match note {
         MemberNotice::ReplicaUnavailable { .. }
--- a/courier/program/src/fleet/settlements.rs
+++ b/courier/program/src/fleet/settlements.rs
@@ -1,5 +1,5 @@
-//! Settlements on sockets: a consumer's message of one goes to its home, the home writes it down, and hands
-//! its router one position after the other.
+//! Settlements on sockets: a client's message of a settlement is forwarded to the settlement's owner, which journals it and
+//! submits one position after the other to its router.
 //!
 //! The machines are `quillmount_fleet::settlement`'s. Whatever they want done waits until all that the
 //! journal has by then is at its copies ([`SettlementHost::act`]), in the order in which they want it.
@@ -36,7 +36,7 @@
 /// another at once.
 const BROKEN_RETRY_AFTER: Micros = 1_000_000;
 
-/// A message that its consumer waits for the home's word on.
+/// A message whose client waits for the owner's reply.
 struct PendingRequest {
     id: SettlementId,
     request: SettlementRequest,
@@ -57,7 +57,7 @@
     lines: Settlements,
     payloads: BTreeMap<(SettlementId, u64), MessagePayload>,
     pending_actions: VecDeque<PendingAction>,
-    /// Commands that a consumer's message asks for.
+    /// Commands for the fleet's leader that clients' messages need.
     proposals: VecDeque<quillmount_fleet::settlement::SettlementCommand>,
     /// Records that the store has refused, to be written again.
     unwritten: Vec<(u64, SettlementId, Vec<JournalRecord>)>,
@@ -173,7 +173,7 @@
         }
     }
 
-    /// A consumer's message; `None`: it is of no settlement that is carried.
+    /// Takes a client's message; `None`: it belongs to no settlement that is carried.
     fn hand_in(self: Rc<Self>, submission: &Submission, addressing: &str) -> Option<HandIn> {
         if !self.dests.contains(&submission.dest) {
             return None;
@@ -208,32 +208,42 @@
             size: payload.body.len() as u64,
             checksum: payload.checksum(),
         };
-        let request = SettlementRequest::Submit(sequenced);
+        let reply = self.request(id, SettlementRequest::Submit(sequenced), payload);
+        Some(Box::pin(async move { self.respond(reply.await.ok()) }))
+    }
+
+    /// Sends a request to the settlement's owner; its reply comes through the channel.
+    fn request(
+        &self,
+        id: SettlementId,
+        request: SettlementRequest,
+        payload: MessagePayload,
+    ) -> oneshot::Receiver<SettlementReply> {
         let (answer, reply) = oneshot::channel();
+        let pending = PendingRequest { id: id.clone(), request: request.clone(), payload, answer };
         let ticket = {
             let mut state = self.state.borrow_mut();
             state.ticket += 1;
             let ticket = state.ticket;
-            state
-                .pending_requests
-                .insert(ticket, PendingRequest { id: id.clone(), request: request.clone(), payload, answer });
+            state.pending_requests.insert(ticket, pending);
             ticket
         };
         self.step_forwarder(forward::ForwardInput::Request { ticket, id, request });
-        Some(Box::pin(async move {
-            let reply = reply.await;
-            let refused = |after| {
+        reply
+    }
+
+    /// The client's response; `None`: the request was dropped without a reply.
+    fn respond(&self, reply: Option<SettlementReply>) -> Response<Bytes> {
+        match reply {
+            Some(SettlementReply::Accepted) => submission::answer(Intake::Accepted),
+            Some(SettlementReply::Ended(End::Delivered)) => submission::answer(Intake::Delivered),
+            Some(SettlementReply::Ended(_)) => submission::answer(Intake::Failed),
+            Some(SettlementReply::Rejected(error)) => refusal(&error),
+            None => {
                 self.courier.count(|c| c.rejected += 1);
-                submission::answer(Intake::Rejected { after })
-            };
-            match reply {
-                Ok(SettlementReply::Accepted) => submission::answer(Intake::Accepted),
-                Ok(SettlementReply::Ended(End::Delivered)) => submission::answer(Intake::Delivered),
-                Ok(SettlementReply::Ended(_)) => submission::answer(Intake::Failed),
-                Ok(SettlementReply::Rejected(error)) => refusal(&error),
-                Err(_) => refused(REQUEST_RETRY),
+                submission::answer(Intake::Rejected { after: REQUEST_RETRY })
             }
-        }))
+        }
     }
 
     fn step_forwarder(&self, input: forward::ForwardInput) {
--- a/courier/program/src/program/demo.rs
+++ b/courier/program/src/program/demo.rs
@@ -78,36 +78,43 @@
     courier.send_sigterm()?;
     let clean = courier.wait_for_exit().await?.success();
 
+    print_timelines(begun, story);
+    let wrong = wrong_ends(&ids, &ends);
+    match (wrong.is_empty(), clean) {
+        (true, true) => {
+            println!("\n{} messages, one final answer each; the courier has stopped", ids.len());
+            Ok(())
+        }
+        (true, false) => Err("the courier did not stop as it should".into()),
+        (false, _) => Err(wrong.join("; ").into()),
+    }
+}
+
+/// Prints what became of each message, with the seconds since `begun`.
+fn print_timelines(begun: Instant, mut story: BTreeMap<String, Vec<(Instant, String)>>) {
     for (kind, _, about) in KINDS {
         for class in CLASSES {
-            let id = format!("{kind}-{class}");
             println!("{class}, {about}");
-            let lines = story.get_mut(&id).map(std::mem::take).unwrap_or_default();
-            // What one stand-in saw later may be heard sooner.
-            let mut lines: Vec<_> = lines.into_iter().collect();
+            let mut lines = story.remove(&format!("{kind}-{class}")).unwrap_or_default();
+            // Stand-ins are independent: their observations may arrive out of order.
             lines.sort_by_key(|(at, _)| *at);
             for (at, line) in lines {
                 println!("  {:7.3} s  {line}", at.saturating_duration_since(begun).as_secs_f64());
             }
         }
     }
-    let wrong: Vec<String> = ids
-        .iter()
+}
+
+/// The messages that have not exactly one end.
+fn wrong_ends(ids: &[String], ends: &BTreeMap<String, usize>) -> Vec<String> {
+    ids.iter()
         .map(|id| (id, ends.get(id).copied().unwrap_or(0)))
         .filter(|(_, ends)| *ends != 1)
         .map(|(id, ends)| format!("{id} has {ends} final answers"))
-        .collect();
-    match (wrong.is_empty(), clean) {
-        (true, true) => {
-            println!("\n{} messages, one final answer each; the courier has stopped", ids.len());
-            Ok(())
-        }
-        (true, false) => Err("the courier did not stop as it should".into()),
-        (false, _) => Err(wrong.join("; ").into()),
-    }
+        .collect()
 }
 
-/// Hears what the stand-ins see until every message has its end, and a moment longer; returns the number of ends
+/// Collects the stand-ins' observations until every message has its end, and a moment longer; returns the number of ends
 /// of each.
 async fn listen(
     seen: &mut mpsc::Receiver<Observation>,
--- a/courier/program/src/program/inspect.rs
+++ b/courier/program/src/program/inspect.rs
@@ -1,6 +1,6 @@
 //! `quillmount journal`: what stands in a courier's folder, read and never changed.
 
-use quillmount_core::journal::{JournalContents, JournalRecord, Records};
+use quillmount_core::journal::{AcceptedMessage, JournalContents, JournalRecord, Records};
 use serde::Serialize;
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -15,9 +15,9 @@
 }
 
 /// One record, as it is shown.
-#[derive(Serialize)]
+#[derive(Default, Serialize)]
 struct Line<'a> {
-    /// Where it begins in the file.
+    /// The byte of the file at which the record begins.
     at: usize,
     record: &'static str,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -44,37 +44,16 @@
 }
 
 impl<'a> Line<'a> {
-    fn of(at: usize, record: &'a JournalRecord) -> Self {
-        let time = |micros: u64| {
-            let time = UNIX_EPOCH.checked_add(Duration::from_micros(micros));
-            time.map(|time| humantime::format_rfc3339_micros(time).to_string())
-        };
-        let empty = Line {
-            at,
-            record: "",
-            msg: None,
-            id: None,
-            class: None,
-            key: None,
-            dest: None,
-            body_bytes: None,
-            attempt: None,
-            never_ran: None,
-            end: None,
-            time: None,
-        };
+    /// The record that begins at a byte.
+    fn new(at: usize, record: &'a JournalRecord) -> Self {
+        let empty = Line { at, ..Line::default() };
         match record {
-            JournalRecord::Accept { msg, taken } | JournalRecord::Stream { msg, taken } => Line {
-                record: if matches!(record, JournalRecord::Stream { .. }) { "stream" } else { "take-on" },
-                msg: Some(*msg),
-                id: Some(&taken.id),
-                class: Some(&taken.class),
-                key: taken.key.as_deref(),
-                dest: Some(taken.dest),
-                body_bytes: Some(taken.body.len()),
-                time: time(taken.deadline),
-                ..empty
-            },
+            JournalRecord::Accept { msg, taken } => {
+                Line { record: "take-on", msg: Some(*msg), ..Line::accepted(at, taken) }
+            }
+            JournalRecord::Stream { msg, taken } => {
+                Line { record: "stream", msg: Some(*msg), ..Line::accepted(at, taken) }
+            }
             JournalRecord::Attempt { msg, sent, .. } | JournalRecord::Sent { msg, sent, .. } => {
                 Line { record: "attempt", msg: Some(*msg), time: time(*sent), ..empty }
             }
@@ -119,6 +98,26 @@
             }
         }
     }
+
+    /// The fields of a message that was accepted.
+    fn accepted(at: usize, message: &'a AcceptedMessage) -> Self {
+        Line {
+            at,
+            id: Some(&message.id),
+            class: Some(&message.class),
+            key: message.key.as_deref(),
+            dest: Some(message.dest),
+            body_bytes: Some(message.body.len()),
+            time: time(message.deadline),
+            ..Line::default()
+        }
+    }
+}
+
+/// A time in microseconds since 1970, as RFC 3339 has it.
+fn time(micros: u64) -> Option<String> {
+    let time = UNIX_EPOCH.checked_add(Duration::from_micros(micros))?;
+    Some(humantime::format_rfc3339_micros(time).to_string())
 }
 
 impl fmt::Display for Line<'_> {
@@ -150,7 +149,7 @@
 pub fn show(folder: &Path, json: bool) -> Result<(), Error> {
     let (path, bytes) = read(folder)?;
     for (at, record) in Records::of(&bytes) {
-        let line = Line::of(at, &record);
+        let line = Line::new(at, &record);
         match json {
             true => println!("{}", serde_json::to_string(&line)?),
             false => println!("{line}"),
@@ -165,7 +164,7 @@
             contents.ended.len()
         );
     }
-    whole(&path, sound, bytes.len())
+    check_complete(&path, sound, bytes.len())
 }
 
 /// Says whether every byte belongs to a sound record.
@@ -176,12 +175,13 @@
     let (path, bytes) = read(folder)?;
     let records = Records::of(&bytes).count();
     let (contents, sound) = JournalContents::read(&bytes);
-    whole(&path, sound, bytes.len())?;
+    check_complete(&path, sound, bytes.len())?;
     println!("{}: {records} records in {sound} bytes, {} owed: sound", path.display(), contents.owed.len());
     Ok(())
 }
 
-fn whole(path: &Path, sound: usize, all: usize) -> Result<(), Error> {
+/// Fails unless the sound records make up the complete file.
+fn check_complete(path: &Path, sound: usize, all: usize) -> Result<(), Error> {
     if sound == all {
         return Ok(());
     }
--- a/courier/program/src/program/reload.rs
+++ b/courier/program/src/program/reload.rs
@@ -15,20 +15,31 @@
 /// What a SIGHUP reads again, and where the new values go.
 pub struct Reload {
     /// Path of the configuration.
-    pub path: String,
+    path: String,
     /// The courier and customer that the configuration has to belong to.
-    pub owner: ConfigOwner,
+    owner: ConfigOwner,
     /// Path of the operator file, where there is one.
-    pub operator: Option<PathBuf>,
+    operator: Option<PathBuf>,
     /// The log levels in force.
-    pub levels: Levels,
+    levels: Levels,
     /// Discovery's address, which the watch and the notices follow.
-    pub discovery: watch::Sender<SocketAddr>,
+    discovery: watch::Sender<SocketAddr>,
     /// The courier's fleet, whose voters may change.
-    pub fleet: Option<Rc<Fleet>>,
+    fleet: Option<Rc<Fleet>>,
 }
 
 impl Reload {
+    /// Reads the files of this configuration and of the operator file at `operator`, where there is one.
+    pub fn new(
+        config: &Config,
+        operator: Option<PathBuf>,
+        levels: Levels,
+        discovery: watch::Sender<SocketAddr>,
+        fleet: Option<Rc<Fleet>>,
+    ) -> Reload {
+        Reload { path: config.path.clone(), owner: config.owner.clone(), operator, levels, discovery, fleet }
+    }
+
     /// Reads both files again on each SIGHUP; a file that can't be read changes nothing.
     pub async fn run(self, mut hangup: Signal, courier: Rc<Courier>) {
         while hangup.recv().await.is_some() {
--- a/courier/program/src/program/run.rs
+++ b/courier/program/src/program/run.rs
@@ -7,13 +7,14 @@
 use super::reload::Reload;
 use super::signals::Signals;
 use super::startup::{self, OpenedRouter};
-use crate::fleet;
+use crate::fleet::{self, Fleet};
 use crate::transport::clock::Clock;
 use crate::transport::courier::Courier;
-use crate::transport::handover::ActiveProcess;
+use crate::transport::handover::{ActiveProcess, Lock, ReceivedState};
 use crate::transport::operators::OperatorService;
 use crate::transport::platform;
 use crate::transport::server::Connections;
+use actix_rt::net::TcpListener;
 use quillmount_core::pool::Pool;
 use quillmount_core::router::{self, RouterError};
 use quillmount_operator::Operator;
@@ -34,29 +35,16 @@
     let (mut signals, hangup) = Signals::install()?;
     let config = Config::load(|name| std::env::var(name).ok())?;
     let clock = Clock::start();
-    let most = startup::connection_limit(&config, &operator);
+    let connection_limit = startup::connection_limit(&config, &operator);
     let inherited = startup::inherited_listener(&config)?;
     let operators = startup::bind_operators(&config).await?;
 
-    let acquired = startup::acquire_folder(&config, &clock, &mut signals, operators.as_ref()).await?;
-    let Some((lock, received)) = acquired else {
-        tracing::info!("{}: stopped; it had taken nothing over, and the other process goes on", config.name);
-        return Ok(RunEnd::Stopped);
-    };
-    let clock = received.as_ref().map_or(clock, |received| Clock::start_ahead(received.ahead));
-    let fleet = if operator.fleet.on {
-        let joined =
-            startup::join_fleet(&config, &operator, &clock, &mut signals, operators.as_ref()).await?;
-        let Some(fleet) = joined else { return Ok(RunEnd::Stopped) };
-        Some(fleet)
-    } else {
-        fleet::may_be_off(&config.state)?;
-        None
-    };
+    let acquired = acquire(&config, &operator, clock, &mut signals, operators.as_ref()).await?;
+    let Some(Acquired { lock, received, clock, fleet }) = acquired else { return Ok(RunEnd::Stopped) };
 
     let budgets = fleet.as_ref().and_then(|fleet| fleet.budgets.clone());
     let gate = fleet.as_ref().map(|fleet| fleet.gate.clone());
-    let pool = Pool::new(config.idle().as_micros() as u64, most);
+    let pool = Pool::new(config.idle().as_micros() as u64, connection_limit);
     let (limits, rules) = startup::stream_rules(&operator.streams).unzip();
     let settings_fingerprint = router::settings_fingerprint(&config.env, limits)?;
     let opened = startup::open_router(&config, limits, gate.as_ref(), received, clock.now())?;
@@ -66,15 +54,10 @@
         fleet.attach(&courier, &config.state)?;
     }
     let listener = startup::client_listener(&config, fleet.is_some(), inherited, resumed.as_mut())?;
-    tracing::info!(
-        "{}: serving on {}; discovery at {}; {}",
-        config.name,
-        listener.local_addr().unwrap_or(config.listen),
-        config.discovery,
-        courier.report()
-    );
+    log_serving(&config, &listener, &courier);
 
-    let connections = Rc::new(Connections::new(clock.clone(), most, config.memory / MEMORY_PER_BODIES));
+    let connections =
+        Rc::new(Connections::new(clock.clone(), connection_limit, config.memory / MEMORY_PER_BODIES));
     let (discovery_changes, discovery) = watch::channel(config.discovery);
     let service = OperatorService::new(courier.clone(), connections.clone(), config.state.clone());
     let others = other_couriers(&config, resumed.is_none())?;
@@ -94,14 +77,7 @@
         tasks: RefCell::default(),
         gone: Notify::new(),
     });
-    let reload = Reload {
-        path: config.path.clone(),
-        owner: config.owner.clone(),
-        operator: path,
-        levels,
-        discovery: discovery_changes,
-        fleet: fleet.clone(),
-    };
+    let reload = Reload::new(&config, path, levels, discovery_changes, fleet.clone());
 
     let process = Process { config, clock, courier, connections, service, active, fleet };
     process.resume(actions, resumed);
@@ -111,6 +87,56 @@
     Ok(process.run(&mut signals).await)
 }
 
+/// What the process has before it opens its journal.
+struct Acquired {
+    /// The state folder's lock.
+    lock: Lock,
+    /// What another process has handed over.
+    received: Option<ReceivedState>,
+    /// Ahead of the system's clock as far as that of the process before.
+    clock: Clock,
+    fleet: Option<Rc<Fleet>>,
+}
+
+/// Acquires the state folder and joins the fleet. `None`: a stop was requested first.
+///
+/// # Errors
+/// The folder can't be had, or the fleet can't be joined.
+async fn acquire(
+    config: &Config,
+    operator: &Operator,
+    clock: Clock,
+    signals: &mut Signals,
+    operators: Option<&TcpListener>,
+) -> Result<Option<Acquired>, RunError> {
+    let acquired = startup::acquire_folder(config, &clock, signals, operators).await?;
+    let Some((lock, received)) = acquired else {
+        tracing::info!("{}: stopped; it had taken nothing over, and the other process goes on", config.name);
+        return Ok(None);
+    };
+    let clock = received.as_ref().map_or(clock, |received| Clock::start_ahead(received.ahead));
+    let fleet = if operator.fleet.on {
+        match startup::join_fleet(config, operator, &clock, signals, operators).await? {
+            Some(fleet) => Some(fleet),
+            None => return Ok(None),
+        }
+    } else {
+        fleet::may_be_off(&config.state)?;
+        None
+    };
+    Ok(Some(Acquired { lock, received, clock, fleet }))
+}
+
+fn log_serving(config: &Config, listener: &TcpListener, courier: &Courier) {
+    tracing::info!(
+        "{}: serving on {}; discovery at {}; {}",
+        config.name,
+        listener.local_addr().unwrap_or(config.listen),
+        config.discovery,
+        courier.report()
+    );
+}
+
 /// What the watch of discovery has to know of the customer's other couriers. `starts`: this process goes on with nobody's work.
 ///
 /// # Errors
