--- a/tools/standins/src/audit.rs
+++ b/tools/standins/src/audit.rs
@@ -1,10 +1,9 @@
-//! The auditor: from what consumers were told, what partners and the platform saw, and each courier's
-//! journal, it finds every rule that was broken. Values in, findings out: no I/O, no clock; the order of
-//! the lists does not matter.
+//! The auditor: from the answers to clients, from what partners and the platform received, and from the journals of the
+//! couriers it finds every rule that was broken. [`audit`] is a pure function of a [`History`]; the order of its lists does
+//! not matter.
 //!
-//! What it knows nothing of it does not judge: a message whose answer never came to its consumer owes no
-//! end, a call that a courier in trouble may not have heard the answer of may end otherwise, and a takeover
-//! is told by [`Seal`]s.
+//! What is unknown is no finding: a message whose client got no answer needs no end, a call in a [`FaultWindow`] may end
+//! otherwise, as the courier may have missed its answer, and a takeover is given by [`Seal`]s.
 
 mod finding;
 mod settlements;
@@ -17,33 +16,35 @@
 use quillmount_policy::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A delivery so long before the end of its message's time, or later, may be followed by a notice of its end.
+/// A delivery this close to the deadline of its message, or later, may be followed by a notice of its end.
 const CLOSE: Micros = 50_000;
 
-/// What may be done with a class's messages a second time.
+/// Whether messages of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepeatPolicy {
-    /// Nothing once a call may have run.
+    /// Not once a call may have run.
     Once,
-    /// With their key, and within so long of the first call that may have run.
-    Keyed { span: Micros },
+    /// With their key, within a span after the first call that may have run.
+    Keyed {
+        /// The span, in microseconds.
+        span: Micros,
+    },
     /// Anything.
     Safe,
 }
 
-/// What the auditor goes by.
+/// The rules of an audit; times in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AuditRules {
-    /// One that is not here may not be repeated.
+    /// Classes by name; messages of others may not be repeated.
     pub classes: BTreeMap<String, RepeatPolicy>,
-    /// A notice may come so long after its message's time.
+    /// A notice may come this long after the deadline of its message.
     pub grace: Micros,
-    /// A call may be seen so long after it was sent, and an answer heard so long after it was written.
+    /// A call may arrive this long after it was sent, and an answer this long after it was written.
     pub transit: Micros,
-    /// Before a courier is lost, or after it is back, answers of so long may not have been heard or written
-    /// down.
+    /// Answers written this long before a fault of a courier, or after it, may not have been received or stored.
     pub slack: Micros,
-    /// A partner's connections may stay above a budget that was lowered for so long.
+    /// Connections of a partner may exceed a lowered budget for this long.
     pub attrition: Micros,
 }
 
@@ -61,48 +62,63 @@
     }
 }
 
-/// A message as a consumer handed it in; one may do so several times.
+/// A submission of a message by a client; a message may be submitted several times.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Submission {
+    /// The id of the message.
     pub id: String,
+    /// Its class.
     pub class: String,
+    /// Its idempotency key.
     pub key: Option<String>,
+    /// Its destination.
     pub dest: u64,
+    /// Its body.
     pub body: BodyDigest,
+    /// The courier that it was submitted to.
     pub courier: usize,
+    /// When it was submitted.
     pub submitted_at: Micros,
+    /// The time that it may take.
     pub time_left: Micros,
     /// When it was answered, and with which status; 0: the connection broke.
     pub answered: Option<(Micros, u16)>,
 }
 
 impl Submission {
-    /// It was told that the message is taken on, now or before.
+    /// When the client was answered that the message is accepted, now or before.
     fn taken_on(&self) -> Option<Micros> {
         self.answered.filter(|(_, status)| matches!(status, 200 | 202)).map(|(at, _)| at)
     }
 
-    /// It was told that the message is none of the courier's. 409 tells of one that it has, or had.
+    /// Whether the client was answered that the message is rejected. 409 is for a message that the courier has, or had.
     fn refused(&self) -> bool {
         self.answered.is_some_and(|(_, status)| !matches!(status, 0 | 200 | 202 | 409))
     }
 }
 
-/// A call as its partner saw it.
+/// A call as its partner received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObservedCall {
+    /// The id of the message.
     pub id: String,
+    /// Its idempotency key.
     pub key: Option<String>,
+    /// The destination of the partner.
     pub dest: u64,
+    /// What was received of the body.
     pub body: BodyDigest,
+    /// The courier that made it.
     pub courier: usize,
+    /// The number of its connection.
     pub connection: u64,
-    /// Its head came.
+    /// When its head was received.
     pub began: Micros,
-    /// All of it came.
+    /// Whether its body was complete.
     pub whole: bool,
-    /// It was run, or nothing says that it was not.
+    /// Whether it ran, or may have.
     pub ran: bool,
+    /// When it was answered, and with which status.
     pub answered: Option<(Micros, u16)>,
     /// The answer is known not to have left.
     pub unheard: bool,
@@ -117,51 +133,62 @@
 /// A notice to the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Notice {
+    /// The id of the message.
     pub id: String,
-    /// `undeliverable` or `deferred`; a notice that tells the same again is harmless.
+    /// `undeliverable` or `deferred`; a repeated notice with the same status is harmless.
     pub status: String,
+    /// The courier that sent it.
     pub courier: usize,
+    /// When it was received.
     pub at: Micros,
 }
 
-/// What a partner has open from a moment on.
+/// Connections that a partner has open from a moment on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionCount {
+    /// The partner, by its number.
     pub partner: usize,
+    /// From when on.
     pub at: Micros,
+    /// How many there are.
     pub open: usize,
 }
 
-/// What a partner allows from a moment on.
+/// Connections that a partner allows from a moment on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
+    /// The partner, by its number.
     pub partner: usize,
+    /// From when on.
     pub from: Micros,
+    /// How many are allowed.
     pub most: usize,
 }
 
-/// A journal's bytes.
+/// The bytes of a journal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Journal {
-    /// Whose messages they are.
+    /// The courier that owns it.
     pub courier: usize,
-    /// A copy at another courier: it proves that a message is known, and no more.
+    /// A replica at another courier: it proves that a message is known, and no more.
     pub copy: bool,
+    /// Its bytes.
     pub bytes: Vec<u8>,
 }
 
-/// A courier's book was closed, and others have taken over what was in it.
+/// The journal of a courier was sealed, and others have taken over its messages.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Seal {
+    /// The courier that owned it.
     pub courier: usize,
+    /// When it was sealed.
     pub at: Micros,
-    /// Each message that was taken over, and how many attempts of it the copies knew: those may still be
-    /// seen.
+    /// Each message that was taken over, with the number of its attempts that the replicas knew of: those may still arrive.
     pub messages: BTreeMap<String, usize>,
 }
 
 impl Seal {
-    /// The seal of a book whose copy had these bytes.
+    /// The seal of a journal whose replica had these bytes.
     pub fn of(courier: usize, at: Micros, copy: &[u8]) -> Seal {
         let owed = JournalContents::read(copy).0.owed;
         let messages = owed.into_values().map(|entry| (entry.taken.id, entry.calls.len())).collect();
@@ -169,37 +196,48 @@
     }
 }
 
-/// For this time a courier may not have heard or written down what it should: it was lost, paused or cut off.
+/// A time in which a courier may have failed to receive or to store something: it was killed, suspended or partitioned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FaultWindow {
+    /// The courier.
     pub courier: usize,
+    /// When it began.
     pub from: Micros,
-    /// `None`: it lasts.
+    /// When it ended; `None`: it lasts.
     pub to: Option<Micros>,
 }
 
 /// All that is known of a run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
+    /// The rules that it is checked against.
     pub rules: AuditRules,
-    /// When it was written: what was not due by then is not missed.
+    /// When it was recorded: what was not due by then is not missing.
     pub at: Micros,
+    /// Submissions by clients.
     pub submissions: Vec<Submission>,
+    /// Calls to partners.
     pub calls: Vec<ObservedCall>,
+    /// Notices to the platform.
     pub notices: Vec<Notice>,
+    /// Connections to partners.
     pub connections: Vec<ConnectionCount>,
-    /// A partner without one may be called over any number.
+    /// Budgets of partners; one without any allows any number of connections.
     pub budgets: Vec<Budget>,
-    /// All couriers', or none: then what is not due is not looked for.
+    /// Journals of all couriers, or none: then nothing is looked up in them.
     pub journals: Vec<Journal>,
+    /// Seals of journals that were taken over.
     pub seals: Vec<Seal>,
+    /// Times at which couriers may have missed something.
     pub fault_windows: Vec<FaultWindow>,
+    /// Positions of settlements, as partners received them.
     pub positions: Vec<SettlementPosition>,
+    /// Ends of settlements.
     pub ends: Vec<SettlementEnd>,
 }
 
 impl History {
-    /// The courier may have missed an answer that was written then, or may write late what it began then.
+    /// Whether the courier may have missed an answer that was written in this time, or may have stored late what it began then.
     fn in_fault_window(&self, courier: usize, from: Micros, to: Micros) -> bool {
         let slack = self.rules.slack;
         self.fault_windows.iter().any(|window| {
--- a/tools/standins/src/audit/settlements.rs
+++ b/tools/standins/src/audit/settlements.rs
@@ -8,11 +8,13 @@
 /// A position of a settlement as its partner saw it come.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettlementPosition {
+    /// The name of the settlement.
     pub settlement: String,
     /// From 1.
     pub position: u32,
     /// The number of all, where this one said it.
     pub of: Option<u32>,
+    /// When it was received.
     pub at: Micros,
     /// It was run, or nothing says that it was not: one that was turned away counts for nothing.
     pub ran: bool,
@@ -23,11 +25,15 @@
 /// How a settlement ended, as the platform or a consumer was told.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettlementEnd {
+    /// The name of the settlement.
     pub settlement: String,
+    /// How it ended.
     pub outcome: SettlementOutcome,
+    /// When this was reported.
     pub at: Micros,
 }
 
+/// The outcome of a settlement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SettlementOutcome {
     /// All were run, so many.
--- a/tools/standins/src/client.rs
+++ b/tools/standins/src/client.rs
@@ -15,18 +15,24 @@
 /// An invocation as a consumer writes its head.
 #[derive(Clone, Debug)]
 pub struct MessageRequest {
+    /// The class of the message.
     pub class: String,
+    /// The id of the message.
     pub id: String,
+    /// Its idempotency key.
     pub key: Option<String>,
+    /// Its destination.
     pub dest: u64,
     /// What follows in `X-Addressing`, as in `,settlement=evening,position=1`.
     pub of: String,
+    /// The time that it may take.
     pub time_left: Duration,
     /// Further headers, each with its line end; the body's framing is one of them unless it is small.
     pub headers: String,
 }
 
 impl MessageRequest {
+    /// A request without a key or further headers.
     pub fn new(class: &str, id: &str, dest: u64, time_left: Duration) -> Self {
         let (of, headers) = Default::default();
         MessageRequest { class: class.into(), id: id.into(), key: None, dest, of, time_left, headers }
@@ -76,6 +82,7 @@
 /// A body as a consumer sends it.
 #[derive(Clone, Debug)]
 pub struct BodyScript {
+    /// Length of the body.
     pub bytes: u64,
     /// In chunks of this size; 0: with a length.
     pub chunk: usize,
@@ -90,6 +97,7 @@
 }
 
 impl BodyScript {
+    /// A body of this length, sent at once.
     pub fn of(bytes: u64) -> Self {
         BodyScript { bytes, chunk: 0, rate: 0, stall: None, cut_at: None, expects_continue: false }
     }
--- a/tools/standins/src/courier.rs
+++ b/tools/standins/src/courier.rs
@@ -21,7 +21,9 @@
 /// What a courier is started with.
 #[derive(Clone, Debug)]
 pub struct Setup {
+    /// The program `quillmount`.
     pub program: PathBuf,
+    /// The address of the platform.
     pub platform: SocketAddr,
     /// Each provider, by its destination.
     pub endpoints: Vec<(u64, SocketAddr)>,
@@ -29,6 +31,7 @@
     pub operator: Option<Value>,
     /// Put into the configuration as JSON merge does, one level deep in `limits` and `settings`.
     pub slots: u32,
+    /// Messages pending at most.
     pub open_cap: u32,
     /// Likewise in `limits`, as in `{"sockets": 64}`.
     pub limits: Value,
@@ -43,6 +46,7 @@
 }
 
 impl Setup {
+    /// A setup with default settings and limits.
     pub fn new(program: impl Into<PathBuf>, platform: SocketAddr, endpoints: Vec<(u64, SocketAddr)>) -> Self {
         let program = program.into();
         let levels = "info".into();
@@ -66,18 +70,22 @@
 pub struct Courier {
     setup: Setup,
     child: Child,
+    /// The folder of the process, with its configuration and state.
     pub folder: PathBuf,
     /// Where consumers reach it.
     pub addr: SocketAddr,
     /// Where operators call it, if they may.
     pub operators: Option<SocketAddr>,
+    /// The lines of its log.
     pub log: Receiver<String>,
 }
 
 /// A courier's process that another has followed, or that has only begun; dropped, it is killed.
 pub struct PreviousProcess {
     child: Child,
+    /// The address for operators, if there is one.
     pub operators: Option<SocketAddr>,
+    /// The lines of its log.
     pub log: Receiver<String>,
 }
 
--- a/tools/standins/src/endpoint.rs
+++ b/tools/standins/src/endpoint.rs
@@ -52,6 +52,7 @@
         EndpointScript { answer: Some(text.into()), ..EndpointScript::default() }
     }
 
+    /// Never answers.
     pub fn silent() -> Self {
         EndpointScript { answer: None, ..EndpointScript::default() }
     }
--- a/tools/standins/src/fleet.rs
+++ b/tools/standins/src/fleet.rs
@@ -96,9 +96,11 @@
 
 /// What a fleet is started with.
 pub struct FleetSetup {
+    /// The program `quillmount`.
     pub program: PathBuf,
     /// Other programs, by courier: a version before beside this one.
     pub programs: BTreeMap<usize, PathBuf>,
+    /// Number of couriers.
     pub couriers: usize,
     /// Of the couriers' own generators, and of [`FleetSetup::generator`].
     pub seed: u64,
@@ -117,6 +119,7 @@
 }
 
 impl FleetSetup {
+    /// A fleet without partners, and with default settings.
     pub fn new(program: impl Into<PathBuf>, couriers: usize) -> FleetSetup {
         FleetSetup {
             program: program.into(),
@@ -158,7 +161,9 @@
 
 /// A running fleet; dropped, its processes are killed and its folders removed.
 pub struct Fleet {
+    /// The record of the run.
     pub recorder: Recorder,
+    /// The platform.
     pub platform: Platform,
     partners: Vec<Partner>,
     members: Vec<FleetCourier>,
@@ -276,6 +281,7 @@
         self.members.len()
     }
 
+    /// The name of a courier.
     pub fn name(&self, courier: usize) -> &str {
         &self.members[courier].name
     }
@@ -320,6 +326,7 @@
         &self.links[&(from, to)]
     }
 
+    /// A partner, by its number.
     pub fn partner(&self, number: usize) -> &Partner {
         &self.partners[number]
     }
@@ -623,6 +630,7 @@
 /// Hands in messages at one courier, and records what it is told.
 #[derive(Clone, Debug)]
 pub struct FleetClient {
+    /// The courier, by its number.
     pub courier: usize,
     addr: SocketAddr,
     recorder: Recorder,
--- a/tools/standins/src/fleet/fault.rs
+++ b/tools/standins/src/fleet/fault.rs
@@ -1,11 +1,11 @@
-//! What a harness does to couriers, links and doors, as values: each is noted in the record when it is done.
+//! Faults that a harness injects into couriers, links and listeners, as values: each is recorded when it is injected.
 
 use super::link;
 use crate::listener;
 use crate::record::{Recorder, Stamp};
 use std::fmt;
 
-/// Something that is done.
+/// A fault that the harness injects, or the repair of one. Couriers and partners are given by their numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// SIGKILL.
@@ -22,37 +22,51 @@
     Sigterm(usize),
     /// SIGHUP.
     Sighup(usize),
+    /// The mode of a link changes.
     Link {
+        /// The courier that calls.
         from: usize,
+        /// The courier that is called.
         to: usize,
+        /// What the link does from now on.
         mode: link::LinkMode,
     },
     /// What becomes of the next request on a link.
     Request {
+        /// The courier that calls.
         from: usize,
+        /// The courier that is called.
         to: usize,
+        /// What becomes of the request.
         fault: link::RequestFault,
     },
+    /// All connections of a link are closed.
     Close {
+        /// The courier that calls.
         from: usize,
+        /// The courier that is called.
         to: usize,
     },
-    /// A partner's door for this courier.
+    /// The mode of a partner's listener for one courier changes.
     Partner {
+        /// The courier.
         courier: usize,
+        /// The partner.
         partner: usize,
+        /// What the listener does from now on.
         mode: listener::ListenerMode,
     },
-    /// The platform's door for this courier.
+    /// The mode of the platform's listener for one courier changes.
     Platform {
+        /// The courier.
         courier: usize,
+        /// What the listener does from now on.
         mode: listener::ListenerMode,
     },
 }
 
 impl Fault {
-    /// One of all that do harm, by the seed of the generator, among so many couriers (two at least) and
-    /// partners.
+    /// A random fault, drawn from the generator, among this many couriers (two at least) and partners.
     pub fn random(seed: &mut fastrand::Rng, couriers: usize, partners: usize) -> Fault {
         let courier = seed.usize(0..couriers);
         let to = (courier + seed.usize(1..couriers)) % couriers;
@@ -72,7 +86,7 @@
         }
     }
 
-    /// Where it harms this courier or mends it: that may miss an answer, or be taken for lost.
+    /// What it does to this courier: after a fault the courier may miss an answer, or be taken for lost.
     pub(crate) fn effect_on(&self, courier: usize) -> Option<(FaultTarget, FaultPhase)> {
         let lasts = |is_repair: bool| if is_repair { FaultPhase::Ends } else { FaultPhase::Begins };
         let (is, target, phase) = match *self {
@@ -101,7 +115,7 @@
     }
 }
 
-/// Where a courier is harmed.
+/// What of a courier a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum FaultTarget {
     Process,
@@ -110,7 +124,7 @@
     Platform,
 }
 
-/// How long it lasts.
+/// Whether a fault begins, ends, or is over at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FaultPhase {
     Begins,
@@ -118,10 +132,12 @@
     Moment,
 }
 
-/// A strike, and when it was done.
+/// A fault, and when it was injected.
 #[derive(Clone, Copy, Debug)]
 pub struct InjectedFault {
+    /// When it was injected.
     pub when: Stamp,
+    /// The fault.
     pub what: Fault,
 }
 
--- a/tools/standins/src/fleet/link.rs
+++ b/tools/standins/src/fleet/link.rs
@@ -35,6 +35,7 @@
 /// What a link does until it is told otherwise.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkMode {
+    /// Bytes pass at once.
     #[default]
     Pass,
     /// Nothing gets through either way, not even the end of a connection. Connections there are go silent,
@@ -111,20 +112,30 @@
 /// Something that happened on a link.
 #[derive(Clone, Debug)]
 pub struct LinkEvent {
+    /// When it happened.
     pub when: Stamp,
+    /// The courier that calls.
     pub from: usize,
+    /// The courier that is called.
     pub to: usize,
     /// The connection's number on this link, from 0.
     pub connection: u64,
+    /// What happened.
     pub what: LinkEventKind,
 }
 
+/// What happens on a link.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LinkEventKind {
     /// A connection came.
     ConnectionOpened,
     /// A request's head was read, with this path, and so many bytes of body to come.
-    Request { path: String, body: u64 },
+    Request {
+        /// Its path.
+        path: String,
+        /// Bytes of its body.
+        body: u64,
+    },
     /// A request is held at its first byte.
     RequestBlocked,
     /// All of a request has been written to the one that it is for.
@@ -219,6 +230,7 @@
         self.addr
     }
 
+    /// The mode now.
     pub fn mode(&self) -> LinkMode {
         *self.shared.mode.borrow()
     }
--- a/tools/standins/src/gate.rs
+++ b/tools/standins/src/gate.rs
@@ -1,5 +1,4 @@
-//! A listening address that is a harness's for as long as it wants, whoever listens there: open, silent or
-//! refusing.
+//! A listening address that a harness reserves for as long as it wants, whoever listens there: open, silent or refusing.
 
 use std::collections::BTreeSet;
 use std::io::Result;
@@ -9,23 +8,26 @@
 
 /// Connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
-/// A queue with room takes a connection at once; one that has none takes none for good.
+/// A queue with capacity accepts a connection within this time; a full one never does.
 const FILL: Duration = Duration::from_millis(20);
 /// Connections that fill a queue of length 0; one does on Linux, the second shows that it is full.
 const FILLERS: usize = 2;
 
-/// A port on 127.0.0.1 that nobody else is dealt: a socket that is bound and never listens keeps it. The
+/// A port on 127.0.0.1 that nobody else is given: a socket that is bound and never listens reserves it. The
 /// system's search for a free port, for a listener as for a connection, passes it by; whoever binds it by
 /// its number with SO_REUSEADDR, as std and tokio do, may listen there, and again after its end.
 #[derive(Debug)]
 pub struct Port {
+    /// The address.
     pub addr: SocketAddr,
     _reservation: TcpSocket,
 }
 
 impl Port {
+    /// Reserves a free port.
+    ///
     /// # Errors
-    /// No port could be had.
+    /// The system has no port.
     pub fn reserve() -> Result<Port> {
         let reservation = TcpSocket::new_v4()?;
         reservation.set_reuseaddr(true)?;
@@ -41,9 +43,10 @@
     }
 }
 
-/// How a gate meets those who come.
+/// How a gate meets new connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptMode {
+    /// A connection is accepted.
     Open,
     /// A connection does not come up: the system drops its first packet.
     Silent,
@@ -63,18 +66,23 @@
 }
 
 impl Gate {
+    /// Opens a listener on a port of its own.
+    ///
     /// # Errors
-    /// No port could be had.
+    /// The system has no port.
     pub fn open() -> Result<Gate> {
         let port = Port::reserve()?;
         let listener = Some(port.listen()?);
         Ok(Gate { port, listener, fillers: Vec::new(), queued: BTreeSet::new() })
     }
 
+    /// The address.
     pub fn addr(&self) -> SocketAddr {
         self.port.addr
     }
 
+    /// Changes how connections are met, from now on.
+    ///
     /// # Errors
     /// The system does not let it listen.
     pub fn set(&mut self, accept_mode: AcceptMode) -> Result<()> {
@@ -94,8 +102,8 @@
                     rustix::net::listen(&*listener, BACKLOG as i32)?;
                     self.fillers.clear();
                 } else if self.fillers.is_empty() {
-                    // A queue of length 0 still takes one; who waits in it already is met when it opens
-                    // again.
+                    // A queue of length 0 still accepts one connection; those that are in it already are accepted
+                    // when the gate opens again.
                     rustix::net::listen(&*listener, 0)?;
                     for _ in 0..FILLERS {
                         let Ok(filler) = Plain::connect_timeout(&self.port.addr, FILL) else { break };
--- a/tools/standins/src/http.rs
+++ b/tools/standins/src/http.rs
@@ -4,15 +4,19 @@
 use std::io::{Error, ErrorKind, Result};
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// A longer head is none of a courier's.
+/// Bytes of a head at most: no courier sends a longer one.
 const HEAD_MAX: usize = 64 * 1024;
+/// Bytes that are read at once.
 const READ: usize = 64 * 1024;
+/// Headers of a head at most.
 const HEADERS_MAX: usize = 64;
 
 /// How a body ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
+    /// After this many bytes.
     Length(u64),
+    /// With its last chunk.
     Chunked,
 }
 
@@ -25,10 +29,12 @@
 }
 
 impl Head {
+    /// The value of the first header with this name, in whatever case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
     }
 
+    /// How the body behind this head ends.
     pub fn framing(&self) -> Framing {
         match self.header("transfer-encoding") {
             Some(_) => Framing::Chunked,
@@ -43,7 +49,7 @@
     }
 }
 
-/// A side of a connection that is read, with what has come and not been used.
+/// The side of a connection that is read, with the bytes that were received and not used yet.
 pub struct Reader<R> {
     from: R,
     buf: BytesMut,
@@ -54,11 +60,12 @@
 }
 
 impl<R: AsyncRead + Unpin> Reader<R> {
+    /// A reader without any bytes yet.
     pub fn new(from: R) -> Self {
         Reader { from, buf: BytesMut::new() }
     }
 
-    /// The side itself; what has come and was not used goes.
+    /// The side itself; received bytes that were not used are lost.
     pub fn into_inner(self) -> R {
         self.from
     }
@@ -71,7 +78,7 @@
     /// The next head; `None` at the connection's end.
     ///
     /// # Errors
-    /// The connection broke, or what came is no head.
+    /// The connection broke, or the bytes are no head.
     pub async fn head(&mut self) -> Result<Option<Head>> {
         loop {
             if let Some(end) = self.buf.windows(4).position(|four| four == b"\r\n\r\n") {
@@ -97,7 +104,7 @@
         }
     }
 
-    /// The next bytes of a body, `most` at most; `None` at its end. `left` is the reader's own count.
+    /// The next bytes of a body, `most` at most; `None` at its end. `left` is where in the body the reader is.
     ///
     /// # Errors
     /// The connection broke or ended before the body did, or its chunks can't be read.
@@ -140,15 +147,18 @@
     }
 }
 
-/// What is still to come of a body.
+/// What is left to be read of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyRemainder {
+    /// This many bytes.
     Bytes(u64),
-    /// Before the first chunk's size.
+    /// Chunks; next is the size of the first.
     Begin,
+    /// This many bytes of a chunk, and further chunks.
     Chunk(u64),
-    /// Behind the last chunk's size.
+    /// The line end behind the size of the last chunk.
     End,
+    /// Nothing.
     Done,
 }
 
--- a/tools/standins/src/lib.rs
+++ b/tools/standins/src/lib.rs
@@ -25,18 +25,28 @@
 /// Something that a stand-in saw.
 #[derive(Clone, Debug)]
 pub struct Observation {
+    /// When it was observed.
     pub at: Instant,
     /// The message's id, where one is known.
     pub id: String,
+    /// What was observed.
     pub what: ObservationKind,
 }
 
+/// What a stand-in observes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ObservationKind {
     /// A call's head has come.
     CallBegan,
     /// A call's body: its bytes, their CRC-32, and whether it came to its end as its head has it.
-    Body { bytes: u64, crc: u32, whole: bool },
+    Body {
+        /// Bytes received.
+        bytes: u64,
+        /// Their CRC-32.
+        crc: u32,
+        /// Whether it was complete.
+        whole: bool,
+    },
     /// The first line of an answer that was written, with the wait that it told.
     Answered(String),
     /// The courier closed the call's connection before it was answered.
@@ -52,6 +62,7 @@
 pub struct Observer(mpsc::Sender<Observation>);
 
 impl Observer {
+    /// An observer, and the receiver of its observations.
     pub fn channel() -> (Observer, mpsc::Receiver<Observation>) {
         let (to, from) = mpsc::channel(EVENTS_MAX);
         (Observer(to), from)
--- a/tools/standins/src/listener.rs
+++ b/tools/standins/src/listener.rs
@@ -1,5 +1,5 @@
-//! The door through which one courier reaches a stand-in, so that it can be cut off from that one alone,
-//! and its calls are known for its own.
+//! The listener through which one courier reaches a stand-in. Each courier has its own, so that it can be partitioned from
+//! one stand-in alone, and its calls are known for its own.
 
 use crate::gate::{AcceptMode, Gate};
 use std::future::Future;
@@ -9,16 +9,17 @@
 use tokio::sync::watch;
 use tokio::task::{AbortHandle, JoinSet, spawn_local};
 
-/// How a stand-in's door stands.
+/// What a listener does with connections and answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ListenerMode {
+    /// Connections are accepted, and answered.
     #[default]
     Open,
-    /// Connections there go silent, and new ones do not come up; what is on its way comes when it opens.
+    /// Connections go silent, and new ones are not established; bytes in flight arrive when it opens.
     Partitioned,
     /// The same, and new ones are refused.
     PartitionedRefusing,
-    /// What comes is met; no answer leaves.
+    /// Calls are received, but no answer leaves.
     AnswersLost,
 }
 
@@ -27,7 +28,7 @@
         matches!(self, ListenerMode::Partitioned | ListenerMode::PartitionedRefusing)
     }
 
-    /// One of all, by the seed of the generator.
+    /// A random mode, drawn from the generator.
     pub fn random(seed: &mut fastrand::Rng) -> ListenerMode {
         [
             ListenerMode::Open,
@@ -38,7 +39,7 @@
     }
 }
 
-/// A door; closed with all its connections when it is dropped.
+/// A listener for one courier; closed with all its connections when it is dropped.
 pub struct CourierListener {
     addr: SocketAddr,
     mode: watch::Sender<ListenerMode>,
@@ -52,11 +53,10 @@
 }
 
 impl CourierListener {
-    /// Opens one; `serve` is run for each connection, and stands still while the door is cut. Must run in a
-    /// `LocalSet`.
+    /// Opens a listener; `serve` runs for each connection, and stands still during a partition. Must run in a `LocalSet`.
     ///
     /// # Errors
-    /// No port could be had.
+    /// The system has no port.
     pub(crate) fn open<F>(
         serve: impl Fn(TcpStream, watch::Receiver<ListenerMode>) -> F + 'static,
     ) -> Result<CourierListener>
@@ -70,15 +70,17 @@
         Ok(CourierListener { addr, mode, task })
     }
 
+    /// The address for the courier.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// From now on.
+    /// Sets the mode, from now on.
     pub(crate) fn set(&self, mode: ListenerMode) {
         self.mode.send_replace(mode);
     }
 
+    /// The mode now.
     pub fn mode(&self) -> ListenerMode {
         *self.mode.borrow()
     }
@@ -116,7 +118,7 @@
     }
 }
 
-/// Goes on with it only while the door is not cut.
+/// Runs a future, but not during a partition.
 async fn while_open(mut mode: watch::Receiver<ListenerMode>, what: impl Future<Output = ()>) {
     tokio::pin!(what);
     loop {
--- a/tools/standins/src/platform.rs
+++ b/tools/standins/src/platform.rs
@@ -109,6 +109,7 @@
 
 /// A discovery whose every answer is written by hand; closed when it is dropped.
 pub struct ManualDiscovery {
+    /// The address of the platform.
     pub addr: SocketAddr,
     accept_mode: watch::Sender<AcceptMode>,
     requests: mpsc::Receiver<DiscoveryRequest>,
@@ -123,6 +124,7 @@
 
 /// A question that has come, and its connection; dropped, that is closed.
 pub struct DiscoveryRequest {
+    /// When it was received.
     pub at: Instant,
     /// The version after which changes are wanted.
     pub after: u64,
--- a/tools/standins/src/record.rs
+++ b/tools/standins/src/record.rs
@@ -1,5 +1,5 @@
-//! What a harness saw, in one order: log lines, calls, connections, notices, consumers' answers, links.
-//! Whoever waits for something waits here, for an event and never for a time.
+//! The record of a run, in one order: log lines, calls, connections, notices, answers to clients, links, faults. Tests wait
+//! for what appears here ([`Recorder::wait_until`]), never for a time.
 
 use crate::audit::{self, AuditRules, ConnectionCount, FaultWindow, History, ObservedCall, Submission};
 use crate::fleet::fault::{FaultPhase, FaultTarget, InjectedFault};
@@ -14,124 +14,158 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout_at};
 
-/// Lines of each courier that an error tells.
+/// Log lines of each courier that an error shows.
 const TAIL: usize = 12;
 
-/// When something was seen: its number among all that was, and the Unix time.
+/// When something was recorded. Stamps are in the order of recording.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Stamp {
+    /// Its number in the whole record, from 1.
     pub n: u64,
+    /// Unix time in microseconds.
     pub at: Micros,
 }
 
 /// A line of a courier's log.
 #[derive(Clone, Debug)]
 pub struct LogLine {
+    /// When it was read.
     pub when: Stamp,
+    /// The courier that wrote it.
     pub courier: usize,
-    /// Which of its processes, from 1.
+    /// The incarnation of its process, from 1.
     pub incarnation: u32,
+    /// The line without its end.
     pub text: String,
 }
 
-/// A body as far as it came.
+/// Length and checksum of a body, or of what was received of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BodyDigest {
+    /// Its length.
     pub bytes: u64,
     /// CRC-32.
     pub crc: u32,
 }
 
 impl BodyDigest {
+    /// The digest of these bytes.
     pub fn of(bytes: &[u8]) -> BodyDigest {
         BodyDigest { bytes: bytes.len() as u64, crc: crc32fast::hash(bytes) }
     }
 }
 
-/// A call as its partner saw it.
+/// A call as its partner received it.
 #[derive(Clone, Debug)]
 pub struct RecordedCall {
-    /// Its head has come.
+    /// When its head was received.
     pub began: Stamp,
+    /// The number of the partner.
     pub partner: usize,
-    /// Whose door it came through.
+    /// The courier whose listener it came through.
     pub courier: usize,
-    /// Its connection's number, from 0, over all partners.
+    /// The number of its connection, from 0, over all partners.
     pub connection: u64,
+    /// The id of its message.
     pub id: String,
+    /// Its idempotency key.
     pub key: Option<String>,
     /// `X-Account`.
     pub tenant: Option<String>,
+    /// Its head.
     pub head: Head,
+    /// What was received of its body.
     pub body: BodyDigest,
-    /// The body has come to its end.
+    /// When its body was complete.
     pub whole: Option<Stamp>,
-    /// What it does has been done: it was whole, and the answer does not say otherwise.
+    /// Whether it has run: it was complete, and the answer does not say otherwise.
     pub ran: bool,
-    /// An answer with this status was written, or would have been if the door let it out.
+    /// When it was answered and with which status, even if the listener let no answer out.
     pub answered: Option<(Stamp, u16)>,
-    /// The answer did not leave, by the door's word.
+    /// The listener let no answer out.
     pub unheard: bool,
-    /// The connection ended before it was answered.
+    /// When its connection ended before the answer.
     pub abandoned: Option<Stamp>,
 }
 
-/// The connections that a partner has open changed to so many.
+/// A connection to a partner was opened or closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionChange {
+    /// When.
     pub when: Stamp,
+    /// The partner.
     pub partner: usize,
+    /// The number of the connection.
     pub connection: u64,
+    /// The courier.
     pub courier: usize,
-    /// It came, or it went.
+    /// Whether it was opened.
     pub opened: bool,
-    /// All that the partner has open now, whosesoever.
+    /// Connections that are open at the partner now, from all couriers.
     pub open: usize,
 }
 
-/// A notice, as a line of JSON.
+/// A notice as the platform received it.
 #[derive(Clone, Debug)]
 pub struct RecordedNotice {
+    /// When it was received.
     pub when: Stamp,
-    /// Whose door it came through.
+    /// The courier whose listener it came through.
     pub courier: usize,
+    /// The id of its message.
     pub id: String,
+    /// The notice, a line of JSON.
     pub line: String,
 }
 
-/// A message as a consumer handed it in.
+/// A message as a client submitted it.
 #[derive(Clone, Debug)]
 pub struct RecordedSubmission {
-    /// Before the first byte was sent.
+    /// Before its first byte was sent.
     pub submitted_at: Stamp,
+    /// The courier.
     pub courier: usize,
+    /// The id of the message.
     pub id: String,
+    /// Its class.
     pub class: String,
+    /// Its idempotency key.
     pub key: Option<String>,
+    /// Its destination.
     pub dest: u64,
+    /// The time that it may take, in microseconds.
     pub time_left: Micros,
+    /// Its body.
     pub body: BodyDigest,
-    /// `None`: no answer came. 0 as status: the connection broke.
+    /// When it was answered and with which status; 0: the connection broke. `None`: no answer yet.
     pub answer: Option<(Stamp, u16)>,
 }
 
-/// All that was seen, each kind in its order.
+/// All that was recorded of a run, each kind in its order.
 #[derive(Debug, Default)]
 pub struct RunRecord {
     n: u64,
+    /// Log lines of all couriers.
     pub lines: Vec<LogLine>,
+    /// Calls to all partners.
     pub calls: Vec<RecordedCall>,
+    /// Connections to all partners.
     pub connection_changes: Vec<ConnectionChange>,
+    /// Notices to the platform.
     pub notices: Vec<RecordedNotice>,
+    /// Submissions by clients.
     pub submissions: Vec<RecordedSubmission>,
+    /// Events on links between couriers.
     pub link_events: Vec<LinkEvent>,
-    /// What the harness did to couriers, links and doors.
+    /// Faults that the harness injected.
     pub injected_faults: Vec<InjectedFault>,
-    /// Couriers' names, and which process of each is the latest that was seen to end.
+    /// Names of the couriers.
     pub(crate) names: Vec<String>,
+    /// The last incarnation of each courier whose end was seen.
     pub(crate) ended: Vec<u32>,
+    /// Connections to partners so far.
     pub(crate) connections: u64,
-    /// The places of a message's calls and of the notices about it.
+    /// Indices of the calls and of the notices of each message.
     by_message: HashMap<String, (Vec<usize>, Vec<usize>)>,
 }
 
@@ -148,20 +182,20 @@
         by_message.iter().map(|n| &self.notices[*n])
     }
 
-    /// Puts a call in, and returns its place.
+    /// Records a call, and returns its index.
     pub(crate) fn call(&mut self, call: RecordedCall) -> usize {
         self.by_message.entry(call.id.clone()).or_default().0.push(self.calls.len());
         self.calls.push(call);
         self.calls.len() - 1
     }
 
-    /// Puts a notice in.
+    /// Records a notice.
     pub(crate) fn notice(&mut self, notice: RecordedNotice) {
         self.by_message.entry(notice.id.clone()).or_default().1.push(self.notices.len());
         self.notices.push(notice);
     }
 
-    /// The lines of one process of a courier that have these words.
+    /// Log lines of one incarnation of a courier that contain this text.
     pub fn log_lines_with<'a>(
         &'a self,
         courier: usize,
@@ -172,13 +206,13 @@
         self.lines.iter().filter(of).filter(move |line| line.text.contains(words))
     }
 
-    /// A 200 was written for the message, or a notice about it came.
+    /// Whether the message was answered 200 by a partner, or a notice about it was received.
     pub fn has_ended(&self, id: &str) -> bool {
         let delivered = |call: &RecordedCall| call.answered.is_some_and(|(_, status)| status == 200);
         self.calls_of(id).any(delivered) || self.notices_of(id).next().is_some()
     }
 
-    /// Connections that a partner has open, and the most that it ever had.
+    /// Connections that a partner has open now, and the most that it ever had.
     pub fn open_connections(&self, partner: usize) -> (usize, usize) {
         let of =
             || self.connection_changes.iter().filter(|open| open.partner == partner).map(|open| open.open);
@@ -187,8 +221,8 @@
 }
 
 impl RunRecord {
-    /// What was seen, as the auditor takes it; `dests` are the partners' destinations. What was done to a
-    /// courier troubles it until all is well with it again: it runs, its links pass, its doors are open.
+    /// The record in the form of the auditor. `dests` are the destinations of the partners. A fault window of a courier lasts until
+    /// the fault is repaired: it runs, its links pass, its listeners are open.
     pub fn history(&self, rules: AuditRules, at: Micros, dests: &[u64]) -> History {
         let submission = self.submissions.iter().map(|submission| Submission {
             id: submission.id.clone(),
@@ -258,13 +292,14 @@
     }
 }
 
-/// Something did not happen in time.
+/// Something was not recorded in time.
 #[derive(Clone, thiserror::Error)]
 pub struct WaitTimeout {
     /// What was waited for.
     pub what: String,
+    /// How long it was waited for.
     pub within: Duration,
-    /// The last lines of each courier's log, and a word on what else was seen.
+    /// The last log lines of each courier, and a summary of the record.
     pub tail: String,
 }
 
@@ -287,7 +322,7 @@
     }
 }
 
-/// The record, shared by all that write to it on one thread.
+/// The record of a run, shared by all that write to it on one thread.
 #[derive(Clone, Debug)]
 pub struct Recorder(Rc<RecorderState>);
 
@@ -307,12 +342,12 @@
 }
 
 impl Recorder {
-    /// Unix time, in microseconds.
+    /// Unix time in microseconds, by a clock that never goes back.
     pub fn now(&self) -> Micros {
         self.0.begun.1 + self.0.begun.0.elapsed().as_micros() as Micros
     }
 
-    /// Writes to the record, and wakes who waits.
+    /// Writes to the record, and wakes all that wait for a change.
     pub fn write<T>(&self, write: impl FnOnce(&mut RunRecord, Stamp) -> T) -> T {
         let mut record = self.0.record.borrow_mut();
         record.n += 1;
@@ -323,14 +358,15 @@
         written
     }
 
+    /// Reads the record.
     pub fn read<T>(&self, read: impl FnOnce(&RunRecord) -> T) -> T {
         read(&self.0.record.borrow())
     }
 
-    /// Waits until `found` finds something in the record; it is asked again after each change.
+    /// Waits until `found` finds something in the record; it is called again after each change.
     ///
     /// # Errors
-    /// It was not found in time; the error tells the last lines of each courier.
+    /// Nothing was found in time; the error shows the last log lines of each courier.
     pub async fn wait_until<T>(
         &self,
         what: &str,
@@ -341,7 +377,7 @@
         loop {
             let changed = self.0.changed.notified();
             tokio::pin!(changed);
-            // From here on a change is not missed.
+            // A change between the look at the record and the wait is not missed.
             changed.as_mut().enable();
             if let Some(found) = self.read(&mut found) {
                 return Ok(found);
--- a/tools/standins/src/test_bed.rs
+++ b/tools/standins/src/test_bed.rs
@@ -22,7 +22,9 @@
 
 /// The courier, and what its stand-ins see; must run in a `LocalSet`.
 pub struct TestBed {
+    /// The courier.
     pub courier: Courier,
+    /// Observations of the platform and the endpoint.
     pub observations: mpsc::Receiver<Observation>,
     /// What discovery tells from here on.
     pub list: watch::Sender<String>,
@@ -108,7 +110,9 @@
 
 /// A consumer's connection, of which every byte is the test's own.
 pub struct ClientConnection {
+    /// The side that is read.
     pub from: Reader<OwnedReadHalf>,
+    /// The side that is written.
     pub to: OwnedWriteHalf,
 }
 
