--- a/courier/program/src/fleet/mod.rs
+++ b/courier/program/src/fleet/mod.rs
@@ -274,7 +274,7 @@
         member.config.voters = config.voters.clone();
         if member.config != config || !settings.on {
             tracing::warn!(
-                "fleet: only `voters` is read while serving: start again for the rest of the section"
+                "fleet: only the voters are read while serving: start again for the rest of the section"
             );
         }
     }
--- a/courier/program/src/fleet/settlements.rs
+++ b/courier/program/src/fleet/settlements.rs
@@ -416,8 +416,8 @@
                         tracing::error!(
                             "settlement: an end can't be written: {e}; again in {RETRY_INTERVAL} us"
                         );
-                        let again = self.now().saturating_add(RETRY_INTERVAL);
-                        actix_rt::time::sleep(self.courier.clock.until(again)).await;
+                        let retry_at = self.now().saturating_add(RETRY_INTERVAL);
+                        actix_rt::time::sleep(self.courier.clock.until(retry_at)).await;
                     }
                 }
             }
@@ -559,20 +559,20 @@
         let written = self.courier.end_unsent(payload.to_message(message_id, id.dest, 0), ending);
         if written.is_err() {
             // Told again before anything behind it.
-            let again = OwnerOutput::End { id, position, message_id: message_id.into(), end };
-            self.state.borrow_mut().pending_actions.push_front(PendingAction::Perform(Box::new(again)));
+            let end_action = OwnerOutput::End { id, position, message_id: message_id.into(), end };
+            self.state.borrow_mut().pending_actions.push_front(PendingAction::Perform(Box::new(end_action)));
         }
         written
     }
 
     fn forget(&self, id: &SettlementId) {
-        let over = JournalRecord::SettlementEnded { of: settlement_key(id) };
-        // Where it can't be written the next life finds the settlement over, and forgets it then.
-        if let Err(e) = self.courier.write_settlement(std::slice::from_ref(&over), false) {
+        let ended = JournalRecord::SettlementEnded { of: settlement_key(id) };
+        // Where it can't be written the next life finds the settlement ended, and forgets it then.
+        if let Err(e) = self.courier.write_settlement(std::slice::from_ref(&ended), false) {
             tracing::warn!("settlement: {e}");
         }
         let mut state = self.state.borrow_mut();
-        state.lines.apply(&over);
+        state.lines.apply(&ended);
         state.fetching.remove(id);
         state.payloads.retain(|(of, _), _| of != id);
     }
--- a/tools/checks/src/names.rs
+++ b/tools/checks/src/names.rs
@@ -76,14 +76,14 @@
 
 /// Identifiers of production code that contain a withdrawn word, with the first file that uses each.
 pub fn identifiers_with_withdrawn_words(root: &Path, rules: &NamingRules) -> BTreeMap<String, String> {
-    let comment = Regex::new(r"//[^\n]*").expect("a valid pattern");
-    let string = Regex::new(r#""(?:(?s:\\.)|[^"\\])*""#).expect("a valid pattern");
+    // In one pass, so that a quote in a comment, or slashes in a string, are what they are there.
+    let not_code =
+        Regex::new(r#""(?:(?s:\\.)|[^"\\])*"|'(?:\\.|[^'\\])'|//[^\n]*"#).expect("a valid pattern");
     let identifier = Regex::new(r"\b[A-Za-z_][A-Za-z0-9_]*\b").expect("a valid pattern");
     let mut found = BTreeMap::new();
     for path in production_files(root) {
         let Ok(text) = std::fs::read_to_string(&path) else { continue };
-        let text = comment.replace_all(&text, "");
-        let text = string.replace_all(&text, "\"\"");
+        let text = not_code.replace_all(&text, "");
         for hit in identifier.find_iter(&text) {
             if rules.contains_withdrawn_word(hit.as_str()) {
                 found.entry(hit.as_str().to_owned()).or_insert_with(|| display_path(root, &path));
--- a/tools/explore/src/streams.rs
+++ b/tools/explore/src/streams.rs
@@ -463,8 +463,8 @@
         let class = CLASSES[usize::from(self.size.class)].to_string();
         let key = (self.size.class == 1).then(|| format!("k{n}"));
         let (id, body) = (format!("m{n}"), Default::default());
-        let invocation = Submission { id, class, key, dest: 0, tenant: None, time_left: TIME_LEFT, body };
-        let (intake, msg, todo) = self.hub.submit_stream(invocation, self.now);
+        let submission = Submission { id, class, key, dest: 0, tenant: None, time_left: TIME_LEFT, body };
+        let (intake, msg, todo) = self.hub.submit_stream(submission, self.now);
         if intake != Intake::Accepted {
             return violated(Property::FinalAnswer, format!("it is not taken on: {intake:?}"));
         }
--- a/tools/standins/src/fleet.rs
+++ b/tools/standins/src/fleet.rs
@@ -348,15 +348,11 @@
     ///
     /// # Errors
     /// It did not in time.
-    pub async fn wait_for_log(
-        &self,
-        courier: usize,
-        words: &str,
-    ) -> std::result::Result<String, WaitTimeout> {
+    pub async fn wait_for_log(&self, courier: usize, text: &str) -> std::result::Result<String, WaitTimeout> {
         let (incarnation, name) = (self.incarnation(courier), self.name(courier));
-        let what = format!("{name}, life {incarnation}, says {words:?}");
+        let what = format!("{name}, life {incarnation}, says {text:?}");
         self.wait_until(&what, WAIT_TIMEOUT, |record| {
-            Some(record.log_lines_with(courier, incarnation, words).next()?.text.clone())
+            Some(record.log_lines_with(courier, incarnation, text).next()?.text.clone())
         })
         .await
     }
