--- a/tools/standins/src/audit.rs
+++ b/tools/standins/src/audit.rs
@@ -445,14 +445,14 @@
         let mut moments: Vec<ConnectionCount> = events.iter().copied().chain(looks).collect();
         moments.sort_by_key(|event| event.at);
         // One finding for each time that it goes over.
-        let mut over = false;
+        let mut ended = false;
         for ConnectionCount { at, open, .. } in moments {
             let most = allowed(at);
             let goes = most.is_some_and(|most| open > most);
-            if goes && !over {
+            if goes && !ended {
                 found.push(Finding::BudgetExceeded { partner, at, open, most: most.unwrap_or(0) });
             }
-            over = goes;
+            ended = goes;
         }
     }
 }
--- a/tools/standins/src/record.rs
+++ b/tools/standins/src/record.rs
@@ -200,10 +200,10 @@
         &'a self,
         courier: usize,
         incarnation: u32,
-        words: &'a str,
+        text: &'a str,
     ) -> impl Iterator<Item = &'a LogLine> {
         let of = move |line: &&LogLine| line.courier == courier && line.incarnation == incarnation;
-        self.lines.iter().filter(of).filter(move |line| line.text.contains(words))
+        self.lines.iter().filter(of).filter(move |line| line.text.contains(text))
     }
 
     /// Whether the message was answered 200 by a partner, or a notice about it was received.
