--- a/tools/standins/src/audit.rs
+++ b/tools/standins/src/audit.rs
@@ -283,7 +283,7 @@
     found
 }
 
-/// One end for each message that was taken on, and none for another.
+/// One end for each accepted message, and none for others.
 fn ends(
     id: &str,
     message: &MessageHistory,
@@ -291,66 +291,93 @@
     journal_index: &JournalIndex,
     found: &mut Vec<Finding>,
 ) {
-    let (id, rules) = (id.to_string(), &history.rules);
     let Some(first) = message.submissions.first() else {
         let (calls, notices) = (message.calls.len(), message.notices.len());
-        found.push(Finding::Unknown { id, calls, notices });
+        found.push(Finding::Unknown { id: id.to_string(), calls, notices });
         return;
     };
     let delivered = message.calls.iter().any(|observed| observed.delivered().is_some());
-    if message.submissions.iter().all(|submission| submission.refused())
-        && (message.calls.len() + message.notices.len()) > 0
-    {
-        let (calls, notices) = (message.calls.len(), message.notices.len());
+    check_rejected(id, message, first, found);
+    check_reported_delivery(id, message, delivered, found);
+    check_notices(id, message, found);
+    check_single_end(id, message, history, found);
+    if !delivered && message.notices.is_empty() {
+        check_missing_end(id, message, history, journal_index, found);
+    }
+}
+
+/// No call and no notice of a message that was rejected each time.
+fn check_rejected(id: &str, message: &MessageHistory, first: &Submission, found: &mut Vec<Finding>) {
+    let (calls, notices) = (message.calls.len(), message.notices.len());
+    if message.submissions.iter().all(|submission| submission.refused()) && calls + notices > 0 {
         let status = first.answered.map_or(0, |(_, status)| status);
-        found.push(Finding::RefusedButEnded { id: id.clone(), status, calls, notices });
+        found.push(Finding::RefusedButEnded { id: id.to_string(), status, calls, notices });
     }
+}
+
+/// No client is answered that a message is delivered which no partner has answered 200.
+fn check_reported_delivery(id: &str, message: &MessageHistory, delivered: bool, found: &mut Vec<Finding>) {
     let reported_delivered =
         message.submissions.iter().find(|submission| submission.answered.is_some_and(|a| a.1 == 200));
     if let Some(submission) = reported_delivered.filter(|_| !delivered) {
-        found.push(Finding::NotDelivered { id: id.clone(), courier: submission.courier });
+        found.push(Finding::NotDelivered { id: id.to_string(), courier: submission.courier });
     }
+}
+
+/// All notices of a message have the same status.
+fn check_notices(id: &str, message: &MessageHistory, found: &mut Vec<Finding>) {
     for pair in message.notices.windows(2) {
         if pair[0].status != pair[1].status {
             let (first, second) = (pair[0].status.clone(), pair[1].status.clone());
             let couriers = (pair[0].courier, pair[1].courier);
-            found.push(Finding::ConflictingNotices { id: id.clone(), first, second, couriers });
+            found.push(Finding::ConflictingNotices { id: id.to_string(), first, second, couriers });
         }
     }
-    // About the end of its time a delivery may count or not, and its end is told too.
-    let ends = message
+}
+
+/// No notice of a message whose delivery its courier knows of.
+fn check_single_end(id: &str, message: &MessageHistory, history: &History, found: &mut Vec<Finding>) {
+    // A delivery close to the deadline may count or not: then the platform is notified as well.
+    let deadline = message
         .submissions
         .iter()
         .filter_map(|submission| Some(submission.answered?.0 + submission.time_left))
         .max();
-    let close = |at: Micros| ends.is_some_and(|ends| at + CLOSE >= ends);
+    let is_close = |at: Micros| deadline.is_some_and(|deadline| at + CLOSE >= deadline);
     let was_heard = |observed: &&&ObservedCall| {
-        let at = observed.delivered().filter(|at| !observed.unheard && !close(*at));
+        let at = observed.delivered().filter(|at| !observed.unheard && !is_close(*at));
         at.is_some_and(|at| !history.in_fault_window(observed.courier, observed.began, at))
     };
     if let (Some(notice), Some(call)) = (message.notices.first(), message.calls.iter().find(was_heard)) {
         let (call, status, notified_at) = (CallEvidence::of(call), notice.status.clone(), notice.at);
-        found.push(Finding::EndedTwice { id: id.clone(), call, status, notified_at });
+        found.push(Finding::EndedTwice { id: id.to_string(), call, status, notified_at });
     }
-    let taken = message
+}
+
+/// An accepted message without an end is not yet due, and is in a journal.
+fn check_missing_end(
+    id: &str,
+    message: &MessageHistory,
+    history: &History,
+    journal_index: &JournalIndex,
+    found: &mut Vec<Finding>,
+) {
+    let accepted = message
         .submissions
         .iter()
         .filter_map(|submission| Some((submission.taken_on()?, submission)))
-        .min_by_key(|t| t.0);
-    let Some((at, taken)) = taken else { return };
-    if delivered || !message.notices.is_empty() {
-        return;
-    }
-    let deadline = at + taken.time_left;
-    let courier = taken.courier;
-    if history.at > deadline + rules.grace {
-        found.push(Finding::Lost { id, courier, taken: at, deadline });
+        .min_by_key(|(at, _)| *at);
+    let Some((taken, submission)) = accepted else { return };
+    let (id, courier) = (id.to_string(), submission.courier);
+    let deadline = taken + submission.time_left;
+    if history.at > deadline + history.rules.grace {
+        found.push(Finding::Lost { id, courier, taken, deadline });
     } else if !history.journals.is_empty() && !journal_index.known.contains(&id) {
-        found.push(Finding::Forgotten { id, courier, taken: at });
+        found.push(Finding::Forgotten { id, courier, taken });
     }
 }
 
-/// No call that is not allowed, and each with what was handed in.
+/// Each call is allowed, and carries what was submitted.
 fn calls(id: &str, message: &MessageHistory, history: &History, found: &mut Vec<Finding>) {
     let Some(submission) = message.submissions.first() else { return };
     let (id, rules) = (id.to_string(), &history.rules);
