--- a/tools/standins/src/audit.rs
+++ b/tools/standins/src/audit.rs
@@ -472,14 +472,14 @@
         let mut moments: Vec<ConnectionCount> = events.iter().copied().chain(looks).collect();
         moments.sort_by_key(|event| event.at);
         // One finding for each time that it goes over.
-        let mut ended = false;
+        let mut was_exceeding = false;
         for ConnectionCount { at, open, .. } in moments {
             let most = allowed(at);
             let goes = most.is_some_and(|most| open > most);
-            if goes && !ended {
+            if goes && !was_exceeding {
                 found.push(Finding::BudgetExceeded { partner, at, open, most: most.unwrap_or(0) });
             }
-            ended = goes;
+            was_exceeding = goes;
         }
     }
 }
--- a/tools/standins/src/fleet.rs
+++ b/tools/standins/src/fleet.rs
@@ -88,8 +88,8 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let played = async { timeout(TEST, test()).await };
     let Ok(runtime) = runtime else { panic!("no runtime could be had") };
-    let over = tokio::task::LocalSet::new().block_on(&runtime, played);
-    assert!(over.is_ok(), "the test did not come to its end within {TEST:?}");
+    let outcome = tokio::task::LocalSet::new().block_on(&runtime, played);
+    assert!(outcome.is_ok(), "the test did not come to its end within {TEST:?}");
 }
 
 type AnswerScript = Box<dyn Fn(&RecordedCall) -> Answer>;
@@ -181,14 +181,14 @@
 }
 
 /// Puts one value over another, field by field.
-pub(crate) fn merge(into: &mut Value, over: &Value) {
-    match (into, over) {
-        (Value::Object(into), Value::Object(over)) => {
-            for (name, value) in over {
+pub(crate) fn merge(into: &mut Value, changes: &Value) {
+    match (into, changes) {
+        (Value::Object(into), Value::Object(changes)) => {
+            for (name, value) in changes {
                 merge(into.entry(name.clone()).or_insert(Value::Null), value);
             }
         }
-        (into, over) => *into = over.clone(),
+        (into, changes) => *into = changes.clone(),
     }
 }
 
--- a/tools/standins/src/test_bed.rs
+++ b/tools/standins/src/test_bed.rs
@@ -172,8 +172,8 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let Ok(runtime) = runtime else { panic!("no runtime could be had") };
     let played = async { timeout(3 * WAIT_TIMEOUT, test()).await };
-    let over = tokio::task::LocalSet::new().block_on(&runtime, played);
-    assert!(over.is_ok(), "the test did not come to its end");
+    let outcome = tokio::task::LocalSet::new().block_on(&runtime, played);
+    assert!(outcome.is_ok(), "the test did not come to its end");
 }
 
 /// The status of a GET on a connection of its own.
