--- a/courier/program/src/transport/endpoints.rs
+++ b/courier/program/src/transport/endpoints.rs
@@ -148,7 +148,7 @@
     Input(AttemptInput),
     Connected(EndpointStream),
     /// Another process is to go on with the call.
-    HandedOver,
+    Released,
 }
 
 /// Drives one call's state machine by its socket, its signals and the time.
@@ -201,7 +201,7 @@
                 _ => Progress::Input(AttemptInput::GiveUp),
             };
             match progress {
-                Progress::HandedOver => {}
+                Progress::Released => {}
                 Progress::Connected(stream) => {
                     outcome = handle.pool(|pool| self.call.connected(pool, stream, handle.clock.now()));
                 }
@@ -239,7 +239,7 @@
         let input = tokio::select! {
             biased;
             // The signals first: they may keep the call from leaving.
-            () = self.signals.released() => return Progress::HandedOver,
+            () = self.signals.released() => return Progress::Released,
             signal = self.signals.next(AttemptState::Connecting) => signal,
             stream = timeout(handle.connect, connect(addr, self.permit.as_deref_mut())) => {
                 match stream.ok().flatten() {
@@ -260,7 +260,7 @@
         let Some((stream, _)) = self.call.parts() else { return Progress::Input(AttemptInput::GiveUp) };
         let input = tokio::select! {
             biased;
-            () = self.signals.released() => return Progress::HandedOver,
+            () = self.signals.released() => return Progress::Released,
             signal = self.signals.next(state) => signal,
             wrote = write(stream.stream_mut(), &self.request[written..], clock, wake_at) => wrote,
             () = self.deadline.as_mut() => AttemptInput::Deadline,
@@ -277,7 +277,7 @@
         let input = tokio::select! {
             biased;
             read = read(stream.stream_mut(), answer) => read,
-            () = self.signals.released() => return Progress::HandedOver,
+            () = self.signals.released() => return Progress::Released,
             signal = self.signals.next(state) => signal,
             () = self.deadline.as_mut() => AttemptInput::Deadline,
             tick = tick(clock, wake_at) => tick,
--- a/courier/program/src/transport/server/client.rs
+++ b/courier/program/src/transport/server/client.rs
@@ -32,14 +32,14 @@
     Received(Received),
     TimedOut,
     /// Another process goes on waiting.
-    HandedOver,
+    Released,
 }
 
 /// What the connection's machine is told next.
 enum Progress {
     Input(ClientInput),
     /// Nothing has happened, since the connection is to be handed over.
-    HandedOver,
+    Released,
     /// A request was read; its answer is to be written when the machine says so.
     Answer(Answer, ClientInput),
 }
@@ -95,7 +95,7 @@
             };
             let input = match progress {
                 Progress::Input(input) => input,
-                Progress::HandedOver => continue,
+                Progress::Released => continue,
                 Progress::Answer(received, input) => {
                     answer = Some(received);
                     input
@@ -141,7 +141,7 @@
             biased;
             _ = self.socket.stream.readable() => Progress::Input(ClientInput::Readable),
             () = self.leave.notified() => match self.is_releasing() {
-                true => Progress::HandedOver,
+                true => Progress::Released,
                 false => Progress::Input(ClientInput::Leave),
             },
             () = sleep(IDLE_TIMEOUT) => Progress::Input(ClientInput::Leave),
@@ -163,7 +163,7 @@
         let mut is_extended = false;
         let received = loop {
             match self.await_request(connections, deadline).await? {
-                RequestWait::HandedOver => return Ok(Progress::HandedOver),
+                RequestWait::Released => return Ok(Progress::Released),
                 RequestWait::Received(received) => break received,
                 RequestWait::TimedOut => {}
             }
@@ -197,7 +197,7 @@
                 received = &mut request => return Ok(RequestWait::Received(received?)),
                 () = leave.notified() => {
                     if courier.handle.lifecycle().is_releasing() {
-                        return Ok(RequestWait::HandedOver);
+                        return Ok(RequestWait::Released);
                     }
                     // Capacity is short: a request on its way has a moment left. A signal that was sent while the
                     // connection was idle does not count: its request had come by then, and has its full time.
