--- a/tools/explore/src/action.rs
+++ b/tools/explore/src/action.rs
@@ -104,10 +104,16 @@
     },
     /// A client submits a message again, under the same id.
     #[serde(rename = "again")]
-    Resubmit { message: u64 },
+    Resubmit {
+        /// Index of the message.
+        message: u64,
+    },
     /// A client submits a new message with the key of an earlier one.
     #[serde(rename = "same-key")]
-    SubmitSameKey { message: u64 },
+    SubmitSameKey {
+        /// Index of the earlier message.
+        message: u64,
+    },
     /// The connection for a call is established.
     #[serde(rename = "up")]
     Connected(CallRef),
--- a/tools/explore/src/clients.rs
+++ b/tools/explore/src/clients.rs
@@ -61,7 +61,9 @@
 /// What came of a search.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClientSearch {
+    /// Different states visited.
     pub states: usize,
+    /// Events of the longest path.
     pub depth: usize,
     /// The events that lead to a request that is lost, and what was lost.
     pub counterexample: Option<(Vec<String>, String)>,
--- a/tools/explore/src/main.rs
+++ b/tools/explore/src/main.rs
@@ -320,83 +320,124 @@
     }
 }
 
+/// Plays the whole proof: every break is found, every case holds, and the reduction changes no verdict.
 fn prove() -> Result<u8, String> {
-    let mut code = EXIT_VERIFIED;
-    let mut report_failure = |text: String| {
+    let mut proof = Proof { code: EXIT_VERIFIED };
+    proof.breaks()?;
+    quillmount_policy::breaks::disable();
+    proof.verified_cases()?;
+    proof.verified_streams()?;
+    proof.reduction()?;
+    Ok(proof.code)
+}
+
+/// A proof so far.
+struct Proof {
+    code: u8,
+}
+
+impl Proof {
+    fn report_failure(&mut self, text: String) {
         println!("WRONG: {text}");
-        code = EXIT_VIOLATED;
-    };
-    println!("| break | property | depth | states | seconds |\n| --- | --- | --- | --- | --- |");
-    for (name, about) in quillmount_policy::breaks::ALL {
-        if let Some((_, size, property)) = STREAM_BREAKS.iter().find(|(one, ..)| one == name) {
-            set_break(Some(name))?;
-            let begun = Instant::now();
-            let found = explore(*size)?;
-            match found.counterexample.map(|(path, violation)| (path.len(), found.states, violation)) {
-                Some((depth, states, violation)) if violation.property == *property => println!(
-                    "| `{name}` | {} | {depth} | {states} | {:.2} |",
-                    property.name(),
-                    begun.elapsed().as_secs_f64()
-                ),
-                other => report_failure(format!("{name} is not found by {}: {other:?}", property.name())),
+        self.code = EXIT_VIOLATED;
+    }
+
+    /// Each deliberate break is found, by streams or by a case, as a violation of its property.
+    fn breaks(&mut self) -> Result<(), String> {
+        println!("| break | property | depth | states | seconds |\n| --- | --- | --- | --- | --- |");
+        for (name, about) in quillmount_policy::breaks::ALL {
+            if let Some((_, size, property)) = STREAM_BREAKS.iter().find(|(one, ..)| one == name) {
+                self.stream_break(name, *size, *property)?;
+                continue;
+            }
+            match quillmount_explore::proof::BREAKS.iter().find(|(one, ..)| one == name) {
+                Some((_, case, property)) => self.case_break(name, case, *property)?,
+                None => self.report_failure(format!("no case is there to find {name} ({about})")),
             }
-            continue;
         }
-        let proof = quillmount_explore::proof::BREAKS.iter().find(|(one, ..)| one == name);
-        let Some((_, case, property)) = proof else {
-            report_failure(format!("no case is there to find {name} ({about})"));
-            continue;
-        };
+        Ok(())
+    }
+
+    fn stream_break(&mut self, name: &str, size: Size, property: Property) -> Result<(), String> {
+        set_break(Some(name))?;
+        let begun = Instant::now();
+        let found = explore(size)?;
+        match found.counterexample.map(|(path, violation)| (path.len(), found.states, violation)) {
+            Some((depth, states, violation)) if violation.property == property => println!(
+                "| `{name}` | {} | {depth} | {states} | {:.2} |",
+                property.name(),
+                begun.elapsed().as_secs_f64()
+            ),
+            other => self.report_failure(format!("{name} is not found by {}: {other:?}", property.name())),
+        }
+        Ok(())
+    }
+
+    fn case_break(&mut self, name: &str, case: &str, property: Property) -> Result<(), String> {
         let mut check = parse_case(case)?;
-        (check.broken, check.time) = (Some(name.to_string()), Duration::from_secs(60));
+        check.broken = Some(name.to_string());
+        check.time = Duration::from_secs(60);
         let (case, bounds) = check.prepare()?;
         let found = search(&case, &bounds, |_| {})?;
         match found.verdict {
-            Verdict::Broken { violation, path } if violation.property == *property => println!(
+            Verdict::Broken { violation, path } if violation.property == property => println!(
                 "| `{name}` | {} | {} | {} | {:.2} |",
                 property.name(),
                 path.len(),
                 found.states,
                 found.seconds
             ),
-            other => report_failure(format!("{name} is not found by {}: {other:?}", property.name())),
+            other => self.report_failure(format!("{name} is not found by {}: {other:?}", property.name())),
         }
+        Ok(())
     }
-    quillmount_policy::breaks::disable();
-    println!("\n| case that holds | depth | states | seconds |\n| --- | --- | --- | --- |");
-    for text in quillmount_explore::proof::VERIFIED_CASES {
-        let (case, bounds) = parse_case(text)?.prepare()?;
-        let found = search(&case, &bounds, |_| {})?;
-        match found.verdict {
-            Verdict::Verified => {
-                println!("| `{text}` | {} | {} | {:.2} |", found.depth, found.states, found.seconds)
+
+    fn verified_cases(&mut self) -> Result<(), String> {
+        println!("\n| case that holds | depth | states | seconds |\n| --- | --- | --- | --- |");
+        for text in quillmount_explore::proof::VERIFIED_CASES {
+            let (case, bounds) = parse_case(text)?.prepare()?;
+            let found = search(&case, &bounds, |_| {})?;
+            match found.verdict {
+                Verdict::Verified => {
+                    println!("| `{text}` | {} | {} | {:.2} |", found.depth, found.states, found.seconds)
+                }
+                other => self.report_failure(format!("{text}: {other:?}")),
             }
-            other => report_failure(format!("{text}: {other:?}")),
         }
+        Ok(())
     }
-    let explored: Vec<_> = std::thread::scope(|scope| {
-        let begin = |size| scope.spawn(move || (size, explore(size)));
-        let threads: Vec<_> = VERIFIED_SIZES.iter().copied().map(begin).collect();
-        threads.into_iter().map(|t| t.join().expect("a search does not panic")).collect()
-    });
-    for (size, found) in explored {
-        let found = found?;
-        match found.counterexample {
-            None => println!("| streams: {size:?} | {} | {} | |", found.depth, found.states),
-            other => report_failure(format!("streams: {size:?}: {other:?}")),
+
+    /// All sizes of streams at once: each takes one thread.
+    fn verified_streams(&mut self) -> Result<(), String> {
+        let explored: Vec<_> = std::thread::scope(|scope| {
+            let begin = |size| scope.spawn(move || (size, explore(size)));
+            let threads: Vec<_> = VERIFIED_SIZES.iter().copied().map(begin).collect();
+            threads.into_iter().map(|t| t.join().expect("a search does not panic")).collect()
+        });
+        for (size, found) in explored {
+            let found = found?;
+            match found.counterexample {
+                None => println!("| streams: {size:?} | {} | {} | |", found.depth, found.states),
+                other => self.report_failure(format!("streams: {size:?}: {other:?}")),
+            }
         }
+        Ok(())
     }
-    for text in quillmount_explore::proof::REDUCTION_CASES {
-        let (case, mut bounds) = parse_case(text)?.prepare()?;
-        let reduced = search(&case, &bounds, |_| {})?;
-        bounds.reduction = false;
-        let plain = search(&case, &bounds, |_| {})?;
-        println!("\n{text}: {} states, {} without the reduction", reduced.states, plain.states);
-        if !matches!((&reduced.verdict, &plain.verdict), (Verdict::Verified, Verdict::Verified)) {
-            report_failure(format!("{text}: {:?} and {:?}", reduced.verdict, plain.verdict));
+
+    /// With and without the reduction the cases come to the same verdict.
+    fn reduction(&mut self) -> Result<(), String> {
+        for text in quillmount_explore::proof::REDUCTION_CASES {
+            let (case, mut bounds) = parse_case(text)?.prepare()?;
+            let reduced = search(&case, &bounds, |_| {})?;
+            bounds.reduction = false;
+            let plain = search(&case, &bounds, |_| {})?;
+            println!("\n{text}: {} states, {} without the reduction", reduced.states, plain.states);
+            if !matches!((&reduced.verdict, &plain.verdict), (Verdict::Verified, Verdict::Verified)) {
+                self.report_failure(format!("{text}: {:?} and {:?}", reduced.verdict, plain.verdict));
+            }
         }
+        Ok(())
     }
-    Ok(code)
 }
 
 fn summary(found: &SearchReport) -> String {
--- a/tools/explore/src/streams.rs
+++ b/tools/explore/src/streams.rs
@@ -1,7 +1,7 @@
-//! Streamed bodies, in a world of their own: every order of what a consumer, a provider, the platform and a kill do to a
+//! Streamed bodies, in a world of their own: every order of what a client, an endpoint, the platform and a kill do to a
 //! body of a few units in a window for fewer, or to two bodies for one destination. Hub, module, journal, attempt and
-//! flow are the courier's; the driver's few lines (`courier/program/src/transport/streams.rs`) are played here. What is judged
-//! is judged by the bytes that a provider has had and by the words that consumer and platform have heard.
+//! flow are the courier's; the driver's few lines (`courier/program/src/transport/streams.rs`) are played here. The properties
+//! are checked by the bytes that an endpoint has received, and by the answers and notices of client and platform.
 
 use crate::case::{CLASSES, Case};
 use crate::fingerprint::Fingerprint;
@@ -20,9 +20,9 @@
 
 const START: Micros = 1_000_000_000_000;
 const TIME_LEFT: Micros = 4_000_000;
-/// What a consumer's 400 ms leave for a call to begin.
+/// Time until a call has to begin, of the 400 ms that a client waits for its answer to the head; in microseconds.
 const ADMISSION_TIME: Micros = 300_000;
-/// What a provider tells its destination's callers to wait.
+/// The wait that an endpoint asks for, in microseconds.
 const WAIT_TIME: Micros = 700_000;
 /// Streams that may be on their way to their last byte at once: half of the first window, and one at least.
 const STREAM_SHARE: usize = 1;
@@ -32,7 +32,9 @@
 pub struct Size {
     /// 0: a debit; 1: a notice, which is dropped by its key when repeated.
     pub class: u8,
+    /// The body comes in chunks, without a length.
     pub chunked: bool,
+    /// Attempts for a message at most.
     pub attempts: u32,
     /// The process may be killed once.
     pub kills: bool,
@@ -54,45 +56,60 @@
 /// One event, and the body that it happens to.
 pub type BodyEvent = (usize, StreamEvent);
 
-/// What happens.
+/// One event of the client, of the endpoint, of the platform or of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StreamEvent {
+    /// The client submits the head of the message.
     HandIn,
-    /// A unit of the body comes; its end; it never will.
+    /// The client sends a unit of the body.
     Arrives,
+    /// The client has sent all of the body.
     IsWhole,
+    /// The digest of the body is wrong.
     Digest,
+    /// The client disconnects before the end of its body.
     Gone,
+    /// The connection to the endpoint is established.
     Up,
+    /// The connection to the endpoint is refused.
     Refused,
-    /// The driver writes a unit; the body's end; it can't.
+    /// The driver writes a unit of the body.
     Writes,
+    /// The driver writes the end of the body.
     Finishes,
+    /// The driver can't write.
     WriteFails,
-    /// What the provider says, at whatever time.
+    /// The endpoint answers 200, at whatever time.
     Ok,
+    /// The endpoint answers 500.
     Error,
+    /// The endpoint answers 503: the call never ran.
     Full,
+    /// The endpoint answers 429, with a wait.
     Wait,
+    /// The endpoint resets the connection.
     Breaks,
-    /// The provider stalls, or does not answer.
+    /// The endpoint stalls, or does not answer.
     TimeUp,
-    /// What a call waits for has come.
+    /// A timer of the attempt expires.
     CallTick,
-    /// The wait that the destination told is over, and the driver goes on.
+    /// The wait that the destination asked for has ended, and the driver goes on.
     Resumes,
-    /// No call has begun in time.
+    /// No call has begun within the time for admission.
     Unbegun,
-    /// The module is woken, at its time.
+    /// The clock goes on to the next timer.
     Wake,
-    /// The consumer hears its answer, or has gone.
+    /// The client receives its answer.
     Hears,
+    /// The client has disconnected before its answer.
     Deaf,
+    /// The platform receives and confirms the notices.
     Confirmed,
+    /// SIGKILL, and a new start.
     Kill,
 }
 
-/// What a provider has had of one attempt.
+/// What an endpoint has received of one attempt.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct ReceivedBody {
     units: u64,
@@ -101,20 +118,21 @@
     never: bool,
 }
 
-/// One streamed invocation, with both its ends.
+/// One streamed message, from its client to its endpoint.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Body {
     msg: Option<MsgId>,
     flow: Option<Flow>,
     begun: bool,
-    /// Until when its driver writes nothing, since the destination told to wait.
+    /// Until when its driver writes nothing, as the destination asked for a wait.
     paused_until: Option<Micros>,
     received: BTreeMap<u32, ReceivedBody>,
-    /// The consumer sent all of it, and it was what its digest said.
+    /// The client has sent all of it, and its digest was right.
     intact: bool,
     connected: bool,
-    /// The answer that waits to be written, and the ends that were heard.
+    /// The answer that is to be written.
     answer: Option<StreamEnd>,
+    /// Ends that client or platform have received.
     ends: Vec<StreamEnd>,
 }
 
@@ -125,28 +143,31 @@
     hub: Hub<Memory, u32>,
     bodies: Vec<Body>,
     outstanding: BTreeMap<CallId, Call<u32>>,
-    /// When each call that is wholly written is over.
+    /// When each call that is written to its end times out.
     answer_deadlines: BTreeMap<CallId, Micros>,
-    /// Until when the destination wants no byte of a call.
+    /// Until when the destination accepts no byte of a call.
     wait_until: Micros,
     killed: bool,
     connection: u32,
 }
 
-/// What came of a search.
+/// The result of an exploration.
 #[derive(Clone, Debug)]
 pub struct StreamSearch {
+    /// Different states visited.
     pub states: usize,
+    /// Events of the longest path.
     pub depth: usize,
-    /// States in which a body waits, half sent, since its destination told another stream to.
+    /// States in which a body waits, sent in part, as its destination asked another stream for a wait.
     pub paused_states: usize,
+    /// A shortest path to a violation, if there is one.
     pub counterexample: Option<(Vec<BodyEvent>, Violation)>,
 }
 
 /// Explores every order of events, breadth first.
 ///
 /// # Errors
-/// The settings make no courier.
+/// The router rejects the settings.
 pub fn explore(size: Size) -> Result<StreamSearch, String> {
     let root = StreamWorld::new(size)?;
     let mut known = HashSet::from([root.key()]);
@@ -155,7 +176,7 @@
     while let Some((world, path)) = queue.pop_front() {
         depth = depth.max(path.len());
         let events = world.events();
-        // A kill is no way to end well.
+        // A state from which only a kill leads on has to be quiescent.
         if events.iter().all(|(_, event)| *event == StreamEvent::Kill)
             && let Err(violation) = world.check_quiescent()
         {
@@ -351,11 +372,7 @@
                 self.flow_mut(n, |flow| flow.receive(1, now));
                 Result::Ok(())
             }
-            IsWhole => {
-                self.bodies[n].intact = true;
-                self.flow_mut(n, |flow| flow.complete(now));
-                Result::Ok(())
-            }
+            IsWhole => self.complete_body(n),
             Digest => self.cut(n, Cut::Digest),
             Gone => {
                 self.bodies[n].connected = false;
@@ -388,59 +405,83 @@
             Breaks => self.input(n, AttemptInput::Reset),
             TimeUp => self.input(n, AttemptInput::Deadline),
             CallTick => self.input(n, AttemptInput::Tick),
-            Resumes => {
-                self.bodies[n].paused_until = None;
-                self.flow_mut(n, |flow| flow.set_paused(false, now));
-                Result::Ok(())
-            }
-            Unbegun => {
-                let Some(msg) = self.bodies[n].msg else { return Result::Ok(()) };
-                let todo = self.hub.stream(|router| router.stream_unbegun(msg, now), now);
-                // Asked once; where a call is out, it begins or is over.
-                self.bodies[n].begun = true;
-                self.execute(todo)
-            }
+            Resumes => self.resume(n),
+            Unbegun => self.expire_admission(n),
             Wake => {
                 self.now = self.next_time().unwrap_or(now);
                 let todo = self.hub.tick(self.now);
                 self.execute(todo)
             }
-            Hears => {
-                let end = self.bodies[n].answer.take();
-                self.bodies[n].ends.extend(end);
-                self.bodies[n].connected = false;
-                self.answered(n, true)
-            }
-            Deaf => {
-                let body = &mut self.bodies[n];
-                let delivered = body.answer.take() == Some(StreamEnd::Delivered);
-                // Nothing more is owed for what was delivered.
-                body.ends.extend(delivered.then_some(StreamEnd::Delivered));
-                body.connected = false;
-                self.answered(n, false)
-            }
-            Confirmed => {
-                let notices = self.hub.router.notices(9);
-                for Notice { ending, id, .. } in &notices {
-                    let body = id.strip_prefix('m').and_then(|n| n.parse::<usize>().ok());
-                    let Some(body) = body.and_then(|n| self.bodies.get_mut(n)) else {
-                        return violated(
-                            Property::FinalAnswer,
-                            format!("an end of {id:?}, which nobody handed in"),
-                        );
-                    };
-                    body.ends.push(match ending {
-                        Ending::Undeliverable => StreamEnd::Failed,
-                        Ending::Deferred(after) => StreamEnd::Deferred(*after),
-                    });
-                }
-                let todo = self.hub.notices_confirmed(&notices, now);
-                self.execute(todo)
-            }
+            Hears => self.hear_answer(n),
+            Deaf => self.miss_answer(n),
+            Confirmed => self.confirm_notices(),
             Kill => self.kill(),
         }
     }
 
+    /// The client has sent the body to its end, with the digest that it promised.
+    fn complete_body(&mut self, n: usize) -> Result<(), Violation> {
+        let now = self.now;
+        self.bodies[n].intact = true;
+        self.flow_mut(n, |flow| flow.complete(now));
+        Ok(())
+    }
+
+    /// The pause that the destination asked for has ended.
+    fn resume(&mut self, n: usize) -> Result<(), Violation> {
+        let now = self.now;
+        self.bodies[n].paused_until = None;
+        self.flow_mut(n, |flow| flow.set_paused(false, now));
+        Ok(())
+    }
+
+    /// No call has begun within the time for admission.
+    fn expire_admission(&mut self, n: usize) -> Result<(), Violation> {
+        let now = self.now;
+        let Some(msg) = self.bodies[n].msg else { return Ok(()) };
+        let todo = self.hub.stream(|router| router.stream_unbegun(msg, now), now);
+        // This happens once: a call in flight begins the body, or has ended.
+        self.bodies[n].begun = true;
+        self.execute(todo)
+    }
+
+    /// The client receives its answer.
+    fn hear_answer(&mut self, n: usize) -> Result<(), Violation> {
+        let end = self.bodies[n].answer.take();
+        self.bodies[n].ends.extend(end);
+        self.bodies[n].connected = false;
+        self.answered(n, true)
+    }
+
+    /// The client has disconnected before its answer could be written.
+    fn miss_answer(&mut self, n: usize) -> Result<(), Violation> {
+        let body = &mut self.bodies[n];
+        let delivered = body.answer.take() == Some(StreamEnd::Delivered);
+        // Nothing more is owed for what was delivered.
+        body.ends.extend(delivered.then_some(StreamEnd::Delivered));
+        body.connected = false;
+        self.answered(n, false)
+    }
+
+    /// The platform receives all notices, and confirms them.
+    fn confirm_notices(&mut self) -> Result<(), Violation> {
+        let now = self.now;
+        let notices = self.hub.router.notices(9);
+        for Notice { ending, id, .. } in &notices {
+            let body = id.strip_prefix('m').and_then(|n| n.parse::<usize>().ok());
+            let Some(body) = body.and_then(|n| self.bodies.get_mut(n)) else {
+                return violated(Property::FinalAnswer, format!("an end of {id:?}, which nobody handed in"));
+            };
+            body.ends.push(match ending {
+                Ending::Undeliverable => StreamEnd::Failed,
+                Ending::Deferred(after) => StreamEnd::Deferred(*after),
+            });
+        }
+        let todo = self.hub.notices_confirmed(&notices, now);
+        self.execute(todo)
+    }
+
+    /// Changes a flow, and notifies the router once it can't be replayed from its beginning any more.
     fn flow_mut(&mut self, n: usize, act: impl FnOnce(&mut Flow)) {
         let body = &mut self.bodies[n];
         if let Some(flow) = &mut body.flow {
@@ -452,7 +493,7 @@
         }
     }
 
-    /// What the provider has had of the call that is out.
+    /// Changes what the endpoint has received of the call in flight.
     fn update_received(&mut self, n: usize, change: impl FnOnce(&mut ReceivedBody)) {
         if let Some((id, _)) = self.call(n) {
             change(self.bodies[n].received.entry(id.attempt).or_default());
@@ -490,7 +531,7 @@
         self.execute(todo)
     }
 
-    /// A byte to the provider: not while its destination waits.
+    /// Checks that a byte may leave: not during a wait that the destination asked for.
     fn may_write(&self) -> Result<(), Violation> {
         if self.now < self.wait_until {
             return violated(
@@ -584,7 +625,7 @@
         self.execute(todo)
     }
 
-    /// An attempt hears a word; where it is told to wait and goes on all the same, its driver pauses.
+    /// Passes an input to an attempt; where it is to back off and goes on writing, its driver pauses.
     fn deliver_input(&mut self, id: CallId, input: AttemptInput) -> Result<(), Violation> {
         let now = self.now;
         self.step_id(id, |call, pool| call.step(pool, input, now))?;
@@ -647,7 +688,7 @@
         }
     }
 
-    /// What must hold in every state, by what provider, consumer and platform know.
+    /// Properties of every state, by what endpoint, client and platform have seen.
     fn check_invariants(&self) -> Result<(), Violation> {
         let flows = |call: &&Call<u32>| {
             matches!(call.state(), AttemptState::Connecting | AttemptState::Writing { .. })
@@ -709,7 +750,7 @@
     }
 }
 
-/// The sizes that are explored, and hold.
+/// The sizes that are explored, for which every property holds.
 pub const VERIFIED_SIZES: &[Size] = &[
     FIXED_LENGTH,
     CHUNKED,
@@ -717,12 +758,14 @@
     Size { class: 1, chunked: true, attempts: 2, kills: true, bodies: 1 },
     TWO_BODIES,
 ];
-/// A debit of a stated length, one in chunks, and two debits for one destination.
+/// A debit of a stated length.
 const FIXED_LENGTH: Size = Size { class: 0, chunked: false, attempts: 2, kills: true, bodies: 1 };
+/// A debit in chunks.
 const CHUNKED: Size = Size { chunked: true, ..FIXED_LENGTH };
+/// Two debits for one destination.
 const TWO_BODIES: Size = Size { attempts: 1, kills: false, bodies: 2, ..FIXED_LENGTH };
 
-/// Breaks that are found here, where, and the property that each one breaks.
+/// Deliberate breaks that are found here, the size that finds each, and the property that it violates.
 pub const BREAKS: &[(&str, Size, Property)] = &[
     ("last-byte-early", FIXED_LENGTH, Property::Unchanged),
     ("deaf-forgotten", FIXED_LENGTH, Property::Liveness),
