--- a/courier/program/tests/calls.rs
+++ b/courier/program/tests/calls.rs
@@ -465,16 +465,26 @@
                 "a reset" => {
                     socket2::SockRef::from(&theirs).set_linger(Some(Duration::ZERO)).unwrap();
                     drop(theirs);
+                    assert!(has_arrived(&ours), "{what}: the system has it");
                     assert!(!socket::is_quiet(&ours), "{what}");
                     continue;
                 }
                 _ => {}
             }
+            assert_eq!(has_arrived(&ours), what != "nothing", "{what}: whether the system has it");
             assert_eq!(socket::is_quiet(&ours), what == "nothing", "{what}");
         }
     });
 }
 
+/// Whether the system has something to read, or an end, for the socket. On a busy machine that takes a moment even on loopback;
+/// the runtime is not asked.
+fn has_arrived(stream: &TcpStream) -> bool {
+    let mut waiting = [rustix::event::PollFd::new(stream, rustix::event::PollFlags::IN)];
+    let limit = rustix::event::Timespec { tv_sec: 0, tv_nsec: 300_000_000 };
+    rustix::event::poll(&mut waiting, Some(&limit)).unwrap() > 0
+}
+
 /// A provider that reads slowly: what had no room until it was too late does not leave when there is some.
 #[test]
 fn a_write_that_waits_for_room_until_it_is_too_late_sends_no_more() {
