--- a/courier/program/src/fleet/budget.rs
+++ b/courier/program/src/fleet/budget.rs
@@ -1,9 +1,9 @@
-//! Partners' budgets on sockets: a call to a partner with a budget has leave for its connection before its
+//! Partners' connection budgets on sockets: a call to a partner with a budget needs a permit for its connection before its
 //! first byte, and each such connection counts from before its connect until its end is known.
 //!
-//! What may be begun is the [`LocalBudget`](quillmount_fleet::budget::LocalBudget)'s word; here calls stand in line for
-//! it, each tenant's in their order, and what became of connections is told. A connection tells of its own
-//! end when it is dropped, wherever that is: no way of the pool or of a call can forget it.
+//! [`LocalBudget`](quillmount_fleet::budget::LocalBudget) decides which permits there are. Here calls queue for them, in
+//! order for each tenant, and the ends of connections are reported back. A connection reports its own
+//! end when it is dropped, so that neither the pool nor a call can leave it out.
 
 use super::stores::FileStores;
 use crate::transport::clock::Clock;
@@ -28,11 +28,11 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::Notify;
 
-/// A call that would get its connection later than this before its time is up is held back instead: it never
-/// ran, while one that goes out then may have, and its answer comes as its message is given up. Some calls'
-/// time; one that needn't wait goes out.
+/// Microseconds that a call needs before its time is up to be sent after it has queued. One with less has surely not
+/// run, while one sent that late may have, with its response coming when the message has been given up. A call that need
+/// not queue is sent at any time.
 const MIN_TIME_LEFT: Micros = 250_000;
-/// What a partner still says on a closed connection is read in such pieces, and let go.
+/// Bytes that are read at once, and discarded, of what a partner still sends on a closed connection.
 const READ_CHUNK: usize = 4_096;
 
 /// A counted connection that has ended, until it is reported to the gate.
@@ -41,34 +41,34 @@
     end: ConnectionEnd,
 }
 
-/// A call's place in its tenant's line.
+/// A call in its tenant's queue.
 #[derive(Default)]
 struct QueuedCall {
     permit: Cell<Option<Permit>>,
     notified: Notify,
 }
 
-/// Calls of one tenant to one partner that wait for leave.
+/// Calls of one tenant to one partner that wait for permits.
 #[derive(Default)]
 struct TenantQueue {
     calls: VecDeque<Rc<QueuedCall>>,
-    /// How long one that comes now would wait, by the last refusal.
+    /// Microseconds that a new call would wait, by the last rejection.
     after: Micros,
 }
 
 type TenantQueues = BTreeMap<(u64, Box<str>), TenantQueue>;
 
-/// The lines, and what is to be done about connections.
+/// The queues of calls, and what is to be done about connections.
 pub struct Budgets {
     clock: Clock,
     member: Rc<RefCell<Member<FileStores>>>,
     /// Partners with a budget.
     dests: BTreeSet<u64>,
     queues: RefCell<TenantQueues>,
-    /// Calls that are out, by their connection.
+    /// Calls in flight, by their connection.
     out: RefCell<HashMap<ConnectionId, CallId>>,
     closed: RefCell<Vec<ClosedConnection>>,
-    /// Closed by this side, and to be watched until the partner has closed them.
+    /// Connections closed by this side, to be watched until the partner has closed them.
     closing: RefCell<Vec<(ConnectionId, OwnedFd)>>,
     orders: RefCell<Vec<ConnectionOrder>>,
     work_added: Notify,
@@ -125,7 +125,7 @@
                 PermitKind::Reuse => {
                     let taken = handle.pool(|pool| pool.take_idle(endpoint, |conn| conn.has_id(id)));
                     let Some((to, at, mut machine, conn)) = taken else {
-                        // It went meanwhile.
+                        // It was closed meanwhile.
                         self.report_closed();
                         self.gate(|gate, now| gate.connections.closing(dest, permit.conn, now));
                         continue;
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Waits for its turn; `None`: its time is up, or it is not to go out any more.
+    /// Waits for a permit; `None`: the time is up, or the call is not to be made any more.
     async fn permit(
         &self,
         dest: u64,
@@ -160,7 +160,7 @@
             let queue = queues.entry((dest, tenant.into())).or_default();
             match first {
                 true => queue.calls.push_back(queued.clone()),
-                // It was at the front, and what it got was of no use.
+                // It was at the front, and its permit could not be used.
                 false => queue.calls.push_front(queued.clone()),
             }
         }
@@ -192,7 +192,7 @@
         queue.and_then(|queue| queue.calls.front()).is_some_and(|front| Rc::ptr_eq(front, queued))
     }
 
-    /// Gives leave to whoever may have it now.
+    /// Gives permits to all calls that may have one now.
     pub fn serve(&self) {
         let mut queues = self.queues.borrow_mut();
         if !queues.is_empty() {
@@ -214,7 +214,7 @@
         }
     }
 
-    /// A permit was of no use: nothing was opened or written.
+    /// Returns a permit that was not used: nothing was opened or written.
     fn return_permit(&self, permit: &Permit) {
         let orders = self.gate(|gate, now| match permit.begin {
             PermitKind::Open => {
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Closes what is to be closed, and watches what is closing; for ever.
+    /// Closes connections as ordered, and watches those that are closing. Never ends.
     pub async fn run(self: Rc<Self>, courier: Rc<Courier>) {
         loop {
             self.work_added.notified().await;
