--- a/tools/standins/src/fleet.rs
+++ b/tools/standins/src/fleet.rs
@@ -159,6 +159,22 @@
     operator: Value,
 }
 
+impl FleetCourier {
+    /// A courier that is not started, with ports of its own and without its configuration.
+    fn new(n: usize, root: &Path, setup: &FleetSetup) -> Result<FleetCourier> {
+        Ok(FleetCourier {
+            name: name(n),
+            folder: root.join(name(n)),
+            program: setup.programs.get(&n).unwrap_or(&setup.program).clone(),
+            process: None,
+            incarnations: 0,
+            ports: [Port::reserve()?, Port::reserve()?, Port::reserve()?],
+            config: Value::Null,
+            operator: setup.operator.clone(),
+        })
+    }
+}
+
 /// A running fleet; dropped, its processes are killed and its folders removed.
 pub struct Fleet {
     /// The record of the run.
@@ -210,7 +226,7 @@
     ///
     /// # Errors
     /// The system has no port or folder.
-    pub fn prepare(setup: FleetSetup) -> Result<Fleet> {
+    pub fn prepare(mut setup: FleetSetup) -> Result<Fleet> {
         let (recorder, couriers) = (Recorder::default(), setup.couriers);
         recorder.write(|record, _| {
             record.names = (0..couriers).map(name).collect();
@@ -218,23 +234,12 @@
         });
         let platform = Platform::open(couriers, recorder.clone())?;
         let mut partners = Vec::new();
-        for (n, (dest, answers)) in setup.partners.into_iter().enumerate() {
+        for (n, (dest, answers)) in std::mem::take(&mut setup.partners).into_iter().enumerate() {
             partners.push(Partner::open(n, dest, couriers, recorder.clone(), answers)?);
         }
         let root = tempfile::Builder::new().prefix("quillmount-fleet-").tempdir()?;
-        let mut members = Vec::new();
-        for n in 0..couriers {
-            members.push(FleetCourier {
-                name: name(n),
-                folder: root.path().join(name(n)),
-                program: setup.programs.get(&n).unwrap_or(&setup.program).clone(),
-                process: None,
-                incarnations: 0,
-                ports: [Port::reserve()?, Port::reserve()?, Port::reserve()?],
-                config: Value::Null,
-                operator: setup.operator.clone(),
-            });
-        }
+        let members =
+            (0..couriers).map(|n| FleetCourier::new(n, root.path(), &setup)).collect::<Result<Vec<_>>>()?;
         let mut links = BTreeMap::new();
         for (from, to) in (0..couriers).flat_map(|from| (0..couriers).map(move |to| (from, to))) {
             if from != to {
@@ -242,38 +247,55 @@
                 links.insert((from, to), link);
             }
         }
-        let names: Vec<String> = members.iter().map(|member| member.name.clone()).collect();
-        for (n, member) in members.iter_mut().enumerate() {
-            let servers = partners.iter().enumerate().map(|(p, partner)| {
-                json!({"id": format!("partner-{p}"), "addr": partner.addr(n), "zone": "bkk-dc1", "kind": "bank",
-                       "cell": partner.dest, "state": "ready", "weight": 1000.0, "started_ms": 0})
-            });
-            let mut config: Value = serde_json::from_str(CONFIG)?;
-            let mut seed = fastrand::Rng::with_seed(setup.seed.wrapping_add(n as u64));
-            let [listen, operators, fleet] = member.ports.each_ref().map(|port| port.addr);
-            let own = json!({"name": member.name, "listen": listen, "operator": operators,
-                "discovery": platform.addr(n), "seed": format!("{:016x}", seed.u64(..)),
-                "known": {"servers": servers.collect::<Vec<_>>()},
-                "settings": {"me": n, "siblings": couriers}});
-            merge(&mut config, &own);
-            merge(&mut config, &setup.config);
-            setup.configs.get(&n).into_iter().for_each(|own| merge(&mut config, own));
-            member.config = config;
+        let levels = std::mem::take(&mut setup.levels);
+        let mut fleet = Fleet { recorder, platform, partners, members, links, levels, _root: root };
+        for n in 0..couriers {
+            fleet.members[n].config = fleet.configuration(n, &setup)?;
             if let Some(more) = &setup.fleet {
-                let others = names.iter().enumerate().map(|(to, name)| {
-                    let addr = links.get(&(n, to)).map_or(fleet, Link::addr);
-                    json!({"name": name, "addr": addr, "host": format!("h{to}")})
-                });
-                let voters = &names[..if couriers < VOTERS { 1 } else { VOTERS }];
-                let mut section = json!({"on": true, "me": member.name, "listen": fleet,
-                    "members": others.collect::<Vec<_>>(), "voters": voters});
-                merge(&mut section, more);
-                member.operator["fleet"] = section;
+                fleet.members[n].operator["fleet"] = fleet.operator_section(n, more);
             }
-            std::fs::create_dir_all(member.folder.join("state"))?;
-            member.write()?;
+            std::fs::create_dir_all(fleet.members[n].folder.join("state"))?;
+            fleet.members[n].write()?;
         }
-        Ok(Fleet { recorder, platform, partners, members, links, levels: setup.levels, _root: root })
+        Ok(fleet)
+    }
+
+    /// The configuration of a courier: the example's, with the addresses of the harness and what the setup changes.
+    fn configuration(&self, n: usize, setup: &FleetSetup) -> Result<Value> {
+        let member = &self.members[n];
+        let servers = self.partners.iter().enumerate().map(|(p, partner)| {
+            json!({"id": format!("partner-{p}"), "addr": partner.addr(n), "zone": "bkk-dc1", "kind": "bank",
+                   "cell": partner.dest, "state": "ready", "weight": 1000.0, "started_ms": 0})
+        });
+        let mut seed = fastrand::Rng::with_seed(setup.seed.wrapping_add(n as u64));
+        let [listen, operators, _] = member.ports.each_ref().map(|port| port.addr);
+        let own = json!({"name": member.name, "listen": listen, "operator": operators,
+            "discovery": self.platform.addr(n), "seed": format!("{:016x}", seed.u64(..)),
+            "known": {"servers": servers.collect::<Vec<_>>()},
+            "settings": {"me": n, "siblings": self.members.len()}});
+        let mut config: Value = serde_json::from_str(CONFIG)?;
+        merge(&mut config, &own);
+        merge(&mut config, &setup.config);
+        if let Some(own) = setup.configs.get(&n) {
+            merge(&mut config, own);
+        }
+        Ok(config)
+    }
+
+    /// The section `fleet` of a courier's operator file, with what the setup changes.
+    fn operator_section(&self, n: usize, more: &Value) -> Value {
+        let member = &self.members[n];
+        let listen = member.ports[2].addr;
+        let others = self.members.iter().enumerate().map(|(to, other)| {
+            let addr = self.links.get(&(n, to)).map_or(listen, Link::addr);
+            json!({"name": other.name, "addr": addr, "host": format!("h{to}")})
+        });
+        let voters = if self.members.len() < VOTERS { 1 } else { VOTERS };
+        let voters: Vec<&str> = self.members[..voters].iter().map(|voter| voter.name.as_str()).collect();
+        let mut section = json!({"on": true, "me": member.name, "listen": listen,
+            "members": others.collect::<Vec<_>>(), "voters": voters});
+        merge(&mut section, more);
+        section
     }
 
     /// How many couriers there are, running or not.
