--- a/tools/explore/src/action.rs
+++ b/tools/explore/src/action.rs
@@ -244,13 +244,7 @@
             Action::Refused(call_ref) => {
                 write!(f, "the connection for {call_ref} is refused or never comes up")
             }
-            Action::Write(call_ref, WriteExtent::Complete) => {
-                write!(f, "{call_ref} is written to its last byte")
-            }
-            Action::Write(call_ref, WriteExtent::Partial) => write!(f, "{call_ref} is written in part"),
-            Action::Write(call_ref, WriteExtent::Broken) => {
-                write!(f, "the connection breaks before the last byte of {call_ref}")
-            }
+            Action::Write(call_ref, extent) => describe_write(f, *call_ref, *extent),
             Action::Answer(call_ref, Answer::Wait) => {
                 write!(f, "{call_ref} is answered 429, with a wait of {} ms", Answer::WAIT_MS)
             }
@@ -291,6 +285,15 @@
     }
 }
 
+/// What a write comes to, as text.
+fn describe_write(f: &mut fmt::Formatter<'_>, call_ref: CallRef, extent: WriteExtent) -> fmt::Result {
+    match extent {
+        WriteExtent::Complete => write!(f, "{call_ref} is written to its last byte"),
+        WriteExtent::Partial => write!(f, "{call_ref} is written in part"),
+        WriteExtent::Broken => write!(f, "the connection breaks before the last byte of {call_ref}"),
+    }
+}
+
 impl fmt::Display for Transition {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.action)?;
--- a/tools/explore/src/export.rs
+++ b/tools/explore/src/export.rs
@@ -3,7 +3,7 @@
 //! Not every move can be played there: a test on sockets has no say over half a write, a refused dial, the disk or
 //! a microsecond. Such a path is refused, with the move that it fails at.
 
-use crate::action::{Action, CallRef, Transition, WriteExtent};
+use crate::action::{Action, Answer, CallRef, Transition, WriteExtent};
 use crate::case::{CLASSES, Case};
 use crate::search::play;
 use crate::world::World;
@@ -46,29 +46,12 @@
     before: &World,
     after: &World,
 ) -> Result<(), &'static str> {
-    // A call is told by its provider's name; one at a time there, since the file names no connection.
+    // A call is named by its endpoint, and there is one at a time, since the file names no connections.
     let party =
         |call_ref: CallRef| before.endpoint_of(call_ref).or(after.endpoint_of(call_ref)).map_or(1, |n| n + 1);
     match action {
         Action::Submit { .. } | Action::Resubmit { .. } | Action::SubmitSameKey { .. } => {
-            let message = match action {
-                Action::Resubmit { message } => message as usize,
-                _ => after.monitor.messages.len() - 1,
-            };
-            let m = &after.monitor.messages[message];
-            let body = format!("body of m{message}");
-            let _ = writeln!(text, "consumer\n> POST /{} HTTP/1.1", CLASSES[m.class as usize]);
-            let _ = writeln!(text, "> X-Correlation-Id: m{message}");
-            if m.class == 1 {
-                let _ = writeln!(text, "> Idempotency-Key: k{}", m.key);
-            }
-            let _ = writeln!(
-                text,
-                "> X-Time-Left: {}m\n> X-Addressing: dest={}",
-                before.time_left_ms(),
-                m.dest + 1
-            );
-            let _ = writeln!(text, "> Content-Length: {}\n>\n> {body}", body.len());
+            submission(text, action, before, after);
         }
         Action::Connected(_) => {}
         Action::Write(call_ref, WriteExtent::Complete) => {
@@ -77,11 +60,7 @@
         Action::Write(..) => return Err("half a write"),
         Action::Answer(call_ref, answer) => {
             let _ = writeln!(text, "provider p{}", party(call_ref));
-            let bytes = String::from_utf8_lossy(answer.bytes());
-            bytes.trim_end_matches("\r\n").split("\r\n").for_each(|line| {
-                let _ = writeln!(text, "> {line}");
-            });
-            text.push_str(">\n");
+            answer_lines(text, answer);
         }
         Action::Reset(call_ref) | Action::EndpointClosed(call_ref) => {
             let _ = writeln!(text, "shut p{}", party(call_ref));
@@ -121,6 +100,32 @@
     Ok(())
 }
 
+/// A submission, as a client writes it.
+fn submission(text: &mut String, action: Action, before: &World, after: &World) {
+    let message = match action {
+        Action::Resubmit { message } => message as usize,
+        _ => after.monitor.messages.len() - 1,
+    };
+    let m = &after.monitor.messages[message];
+    let body = format!("body of m{message}");
+    let _ = writeln!(text, "consumer\n> POST /{} HTTP/1.1", CLASSES[m.class as usize]);
+    let _ = writeln!(text, "> X-Correlation-Id: m{message}");
+    if m.class == 1 {
+        let _ = writeln!(text, "> Idempotency-Key: k{}", m.key);
+    }
+    let _ = writeln!(text, "> X-Time-Left: {}m\n> X-Addressing: dest={}", before.time_left_ms(), m.dest + 1);
+    let _ = writeln!(text, "> Content-Length: {}\n>\n> {body}", body.len());
+}
+
+/// The lines of an answer, as an endpoint writes it.
+fn answer_lines(text: &mut String, answer: Answer) {
+    let bytes = String::from_utf8_lossy(answer.bytes());
+    bytes.trim_end_matches("\r\n").split("\r\n").for_each(|line| {
+        let _ = writeln!(text, "> {line}");
+    });
+    text.push_str(">\n");
+}
+
 fn list(text: &mut String, world: &World, version: u64) {
     let servers: Vec<String> = world
         .endpoints()
