--- a/courier/core/src/admission.rs
+++ b/courier/core/src/admission.rs
@@ -171,7 +171,7 @@
         closing
     }
 
-    /// Decides what is to be done before one more connection is admitted, by [`EvictionRank`].
+    /// Decides what is to be done before one more connection is admitted, by `EvictionRank`.
     ///
     /// A connection that was asked to close in the middle of a further request is waited for no longer than one last read.
     pub fn decide(&mut self, now: Micros) -> Decision {
--- a/courier/program/src/transport/courier.rs
+++ b/courier/program/src/transport/courier.rs
@@ -260,7 +260,7 @@
         self.handle.hub.borrow().router.unsettled().cloned().collect()
     }
 
-    /// The fleet has decided whether this courier owns the messages of a source; see [`Router::settle_from`].
+    /// The fleet has decided whether this courier owns the messages of a source; see [`Router::settle_source`].
     ///
     /// # Errors
     /// The store refused the record: the messages go on waiting.
--- a/tools/standins/src/fleet.rs
+++ b/tools/standins/src/fleet.rs
@@ -3,7 +3,7 @@
 //! Each courier is a process of the program with a folder of its own. Its way to each other one is a
 //! [`Link`] of the harness, whose script changes at a call; so are its doors to each partner and to the
 //! platform. All that is seen is in one [`RunRecord`], in one order. A test waits for what it needs there
-//! ([`Fleet::until`]) and never for a time; at its end [`Fleet::history`] goes to the auditor
+//! ([`Fleet::wait_until`]) and never for a time; at its end [`Fleet::history`] goes to the auditor
 //! ([`crate::audit`]).
 //!
 //! Couriers, and the ports at which they listen for consumers and for each other, are known before the
@@ -619,7 +619,7 @@
     }
 
     /// Hands a message in at a courier, and returns the answer's status, 0 where the connection broke. To
-    /// do so beside other things, see [`Fleet::consumer`].
+    /// do so beside other things, see [`Fleet::client`].
     pub async fn submit(&self, courier: usize, message: &MessageRequest, body: &[u8]) -> u16 {
         self.client(courier).submit(message, body).await
     }
