--- a/courier/program/tests/streams.rs
+++ b/courier/program/tests/streams.rs
@@ -103,11 +103,30 @@
     }
 
     async fn notice(&mut self, id: &str) -> String {
-        self.wait_for(id, |what| match what {
-            ObservationKind::Notice(line) => Some(line.clone()),
-            _ => None,
-        })
-        .await
+        self.wait_for(id, notice_line).await
+    }
+
+    /// Whether the endpoint saw the complete body, and the notice to the platform. The two come on connections of
+    /// their own, so either may be seen first.
+    async fn body_and_notice(&mut self, id: &str) -> (bool, String) {
+        let (mut complete, mut notice) = (None, None);
+        while complete.is_none() || notice.is_none() {
+            let what = self
+                .wait_for(id, |what| {
+                    matches!(what, ObservationKind::Body { .. } | ObservationKind::Notice(_))
+                        .then(|| what.clone())
+                })
+                .await;
+            match &what {
+                ObservationKind::Body { whole, .. } => {
+                    assert_eq!(complete.replace(*whole), None, "{id}: a second body");
+                }
+                other => {
+                    assert_eq!(notice.replace(notice_line(other).unwrap()), None, "{id}: a second notice")
+                }
+            }
+        }
+        complete.zip(notice).unwrap()
     }
 
     /// What has been seen and not been looked at.
@@ -116,6 +135,13 @@
     }
 }
 
+fn notice_line(what: &ObservationKind) -> Option<String> {
+    match what {
+        ObservationKind::Notice(line) => Some(line.clone()),
+        _ => None,
+    }
+}
+
 fn debit(id: &str) -> MessageRequest {
     MessageRequest::new("fee-debit", id, 1, LONG)
 }
@@ -219,13 +245,10 @@
         ];
         for (id, body) in cases {
             let told = test_bed.sends(debit(id), body);
-            let (_, _, whole) = test_bed.body(id).await;
-            assert!(!whole, "{id}");
+            let (complete, notice) = test_bed.body_and_notice(id).await;
+            assert!(!complete, "{id}");
+            assert_eq!(notice, format!("{{\"id\":\"{id}\",\"status\":\"undeliverable\"}}"));
             assert_eq!(told.await.unwrap().status(), 0, "{id}: it has gone");
-            assert_eq!(
-                test_bed.notice(id).await,
-                format!("{{\"id\":\"{id}\",\"status\":\"undeliverable\"}}")
-            );
         }
     });
 }
