--- a/courier/core/src/hub.rs
+++ b/courier/core/src/hub.rs
@@ -7,8 +7,8 @@
 use crate::journal::{JournalEntry, JournalError, Settlements, Source};
 use crate::machine::attempt::AttemptInput;
 use crate::note::Note;
-use crate::pool::Pool;
-use crate::router::{self, Intake, Router, RouterAction, StreamEnd};
+use crate::pool::{EndpointBackoff, Pool};
+use crate::router::{self, Intake, Router, RouterAction, RouterLoad, StreamEnd};
 use crate::store::Store;
 use crate::{AnswerReport, CallEnd, CallId, DeliveryCall, Ending, EndpointList, Notice, Submission};
 use quillmount_policy::breaks::{self, Break};
@@ -47,8 +47,8 @@
 pub struct HubState {
     /// The router's state.
     pub router: router::RouterState,
-    /// The endpoints to which no call may start, by number, each with the time until when.
-    pub backoffs: Vec<(u32, Micros)>,
+    /// The endpoints to which no call may start for a while.
+    pub backoffs: Vec<EndpointBackoff>,
 }
 
 impl<S: Store, C> Hub<S, C> {
@@ -201,17 +201,17 @@
     /// Resumes from another process's state: the part of it that is not the router's, and the router's first actions.
     pub fn resume(
         &mut self,
-        backoffs: &[(u32, Micros)],
+        backoffs: &[EndpointBackoff],
         actions: Vec<RouterAction>,
         now: Micros,
     ) -> Vec<DriverAction<C>> {
-        backoffs.iter().for_each(|(endpoint, until)| self.pool.back_off(*endpoint, *until));
+        backoffs.iter().for_each(|backoff| self.pool.back_off(backoff.endpoint, backoff.until));
         self.carry_out(actions, now)
     }
 
     /// No message is owed an end, and none is in flight.
     pub fn is_quiet(&self) -> bool {
-        self.router.load() == (0, 0)
+        self.router.load() == RouterLoad::default()
     }
 
     /// Applies the router's actions to the pool; returns what is left to the driver.
--- a/courier/core/src/pool.rs
+++ b/courier/core/src/pool.rs
@@ -5,6 +5,7 @@
 
 use crate::machine::connection::{ConnectionInput, EndpointConnection};
 use quillmount_policy::Micros;
+use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
@@ -33,6 +34,72 @@
     }
 }
 
+/// An idle connection that was removed from the pool for a call, with its state machine.
+#[derive(Clone, Debug)]
+pub struct TakenConnection<C> {
+    /// The endpoint for which it was opened.
+    pub endpoint: u32,
+    /// The address to which it was opened.
+    pub addr: SocketAddr,
+    /// Its state machine, still in the idle state.
+    pub machine: EndpointConnection,
+    /// The connection.
+    pub connection: C,
+}
+
+/// An idle connection that was removed from the pool to be handed over to another process.
+#[derive(Clone, Debug)]
+pub struct DetachedConnection<C> {
+    /// The endpoint for which it was opened.
+    pub endpoint: u32,
+    /// The address to which it was opened.
+    pub addr: SocketAddr,
+    /// When it became idle.
+    pub idle_since: Micros,
+    /// The connection.
+    pub connection: C,
+}
+
+/// An idle connection in the pool, for exploration.
+#[derive(Clone, Copy, Debug)]
+pub struct IdleView<'a, C> {
+    /// The endpoint for which it was opened.
+    pub endpoint: u32,
+    /// The connection.
+    pub connection: &'a C,
+    /// When it became idle.
+    pub idle_since: Micros,
+}
+
+/// Whether calls to an endpoint may start.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct EndpointGate {
+    /// The endpoint.
+    pub endpoint: u32,
+    /// The endpoint accepts calls: it is neither draining nor gone.
+    pub open: bool,
+    /// No call may start before this time; a time in the past, or 0, if there is no such limit.
+    pub backoff_until: Micros,
+}
+
+/// An endpoint to which no call may start before a time. Encoded by position when it is handed over.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct EndpointBackoff {
+    /// The endpoint.
+    pub endpoint: u32,
+    /// The time from which calls may start again.
+    pub until: Micros,
+}
+
+/// The connections that count towards the pool's limit.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct PoolLoad {
+    /// Calls in flight, each of which has at most one connection.
+    pub calls: usize,
+    /// Idle connections.
+    pub idle: usize,
+}
+
 /// The pool. Connections that it returns to be closed may simply be dropped if they are sockets.
 #[derive(Clone, Debug)]
 pub struct Pool<C> {
@@ -70,20 +137,23 @@
 
     /// Until when no call to the endpoint may start: a time in the past, or 0, if there is no such limit.
     pub fn backoff_until(&self, endpoint: u32) -> Micros {
-        self.all.get(&endpoint).map_or(0, |p| p.backoff_until)
+        self.all.get(&endpoint).map_or(0, |state| state.backoff_until)
     }
 
     /// Whether a call to the endpoint may start now.
     pub fn is_open(&self, endpoint: u32, now: Micros) -> bool {
-        self.all.get(&endpoint).is_none_or(|p| !p.shut && now >= p.backoff_until)
+        self.all.get(&endpoint).is_none_or(|state| !state.shut && now >= state.backoff_until)
     }
 
     /// Removes the endpoint's idle connections and returns them to be closed. A call in flight closes its own when it ends.
     pub fn close_idle(&mut self, endpoint: u32) -> Vec<C> {
         let Some(endpoint) = self.all.get_mut(&endpoint) else { return Vec::new() };
         self.idle_count -= endpoint.idle.len();
-        let all = endpoint.idle.drain(..);
-        all.map(|mut r| (r.machine.step(ConnectionInput::Close, 0), r.connection).1).collect()
+        let close = |mut idle: IdleConnection<C>| {
+            idle.machine.step(ConnectionInput::Close, 0);
+            idle.connection
+        };
+        endpoint.idle.drain(..).map(close).collect()
     }
 
     /// The endpoint is gone for good. Returns connections to close.
@@ -114,29 +184,31 @@
         None
     }
 
-    /// Removes an idle connection that `matches`, of `endpoint` if it has one, else of any other. Returns its endpoint and
-    /// address, too.
-    pub fn take_idle(
-        &mut self,
-        endpoint: u32,
-        matches: impl Fn(&C) -> bool,
-    ) -> Option<(u32, SocketAddr, EndpointConnection, C)> {
-        let at = |p: &EndpointConnections<C>| p.idle.iter().position(|r| matches(&r.connection));
-        let here = self.all.get(&endpoint).and_then(at).map(|n| (endpoint, n));
-        let (found, n) = here.or_else(|| self.all.iter().find_map(|(found, p)| Some((*found, at(p)?))))?;
-        let IdleConnection { machine, addr, connection } = self.all.get_mut(&found)?.idle.remove(n);
+    /// Removes an idle connection that `matches`, of `endpoint` if it has one, else of any other endpoint.
+    pub fn take_idle(&mut self, endpoint: u32, matches: impl Fn(&C) -> bool) -> Option<TakenConnection<C>> {
+        let position = |endpoint: &EndpointConnections<C>| {
+            endpoint.idle.iter().position(|idle| matches(&idle.connection))
+        };
+        let own = self.all.get(&endpoint).and_then(position).map(|index| (endpoint, index));
+        let (endpoint, index) =
+            own.or_else(|| self.all.iter().find_map(|(other, state)| Some((*other, position(state)?))))?;
+        let IdleConnection { machine, addr, connection } = self.all.get_mut(&endpoint)?.idle.remove(index);
         self.idle_count -= 1;
-        Some((found, addr, machine, connection))
+        Some(TakenConnection { endpoint, addr, machine, connection })
     }
 
-    /// Removes all idle connections: of each the endpoint, the address, since when it is idle, and the connection.
-    pub fn take_all_idle(&mut self) -> Vec<(u32, SocketAddr, Micros, C)> {
+    /// Removes all idle connections, to be handed over.
+    pub fn take_all_idle(&mut self) -> Vec<DetachedConnection<C>> {
         self.idle_count = 0;
-        let all = self.all.iter_mut().flat_map(|(n, p)| p.idle.drain(..).map(|r| (*n, r)));
-        all.filter_map(|(n, r)| Some((n, r.addr, r.machine.since()?, r.connection))).collect()
+        let endpoints = self.all.iter_mut();
+        let idle = endpoints.flat_map(|(number, state)| state.idle.drain(..).map(|idle| (*number, idle)));
+        let detached = idle.filter_map(|(endpoint, IdleConnection { machine, addr, connection })| {
+            Some(DetachedConnection { endpoint, addr, idle_since: machine.since()?, connection })
+        });
+        detached.collect()
     }
 
-    /// Adds an idle connection of another process; returns it if the endpoint may have none.
+    /// Adds a connection that became idle in another process; returns it to be closed if the endpoint is draining or gone.
     pub fn add_idle(&mut self, endpoint: u32, addr: SocketAddr, since: Micros, connection: C) -> Option<C> {
         let connections = self.all.entry(endpoint).or_default();
         if connections.shut {
@@ -156,9 +228,13 @@
         self.calls += 1;
     }
 
-    /// The endpoints to which no call may start for a while, each with the time until when.
-    pub fn backoffs(&self) -> Vec<(u32, Micros)> {
-        self.all.iter().filter(|(_, p)| p.backoff_until > 0).map(|(n, p)| (*n, p.backoff_until)).collect()
+    /// The endpoints for which a time was set before which no call may start, in no particular order.
+    pub fn backoffs(&self) -> Vec<EndpointBackoff> {
+        let backoff = |(endpoint, state): (&u32, &EndpointConnections<C>)| EndpointBackoff {
+            endpoint: *endpoint,
+            until: state.backoff_until,
+        };
+        self.all.iter().filter(|(_, state)| state.backoff_until > 0).map(backoff).collect()
     }
 
     /// The machine of a new connection, for a call that found no idle one.
@@ -194,12 +270,12 @@
     pub fn sweep(&mut self, now: Micros, quiet: impl Fn(&C) -> bool) -> Vec<C> {
         let mut gone = Vec::new();
         for endpoint in self.all.values_mut() {
-            for mut r in std::mem::take(&mut endpoint.idle) {
-                let quiet = quiet(&r.connection);
-                if r.machine.step(ConnectionInput::Checked { quiet }, now) {
-                    gone.push(r.connection);
+            for mut idle in std::mem::take(&mut endpoint.idle) {
+                let quiet = quiet(&idle.connection);
+                if idle.machine.step(ConnectionInput::Checked { quiet }, now) {
+                    gone.push(idle.connection);
                 } else {
-                    endpoint.idle.push(r);
+                    endpoint.idle.push(idle);
                 }
             }
         }
@@ -214,32 +290,43 @@
             return None;
         }
         // The oldest connection of an endpoint is its first.
-        let since = |p: &EndpointConnections<C>| p.idle.first().and_then(|r| r.machine.since());
-        let oldest = self.all.iter().filter_map(|(n, p)| Some((since(p)?, *n))).min()?.1;
-        let mut oldest = self.all.get_mut(&oldest)?.idle.remove(0);
+        let idle_since =
+            |state: &EndpointConnections<C>| state.idle.first().and_then(|idle| idle.machine.since());
+        let candidates = self.all.iter().filter_map(|(number, state)| Some((idle_since(state)?, *number)));
+        let (_, endpoint) = candidates.min()?;
+        let mut oldest = self.all.get_mut(&endpoint)?.idle.remove(0);
         oldest.machine.step(ConnectionInput::Close, 0);
         self.idle_count -= 1;
         Some(oldest.connection)
     }
 
-    /// The number of counted calls and of idle connections.
-    pub fn load(&self) -> (usize, usize) {
-        debug_assert_eq!(self.idle_count, self.all.values().map(|p| p.idle.len()).sum());
-        (self.calls, self.idle_count)
+    /// The connections that count towards the limit.
+    pub fn load(&self) -> PoolLoad {
+        debug_assert_eq!(self.idle_count, self.all.values().map(|state| state.idle.len()).sum());
+        PoolLoad { calls: self.calls, idle: self.idle_count }
     }
 
-    /// The idle connections by endpoint, with the time since when; for exploration.
-    pub fn idle(&self) -> impl Iterator<Item = (u32, &C, Micros)> {
+    /// The idle connections, sorted by endpoint; for exploration.
+    pub fn idle(&self) -> impl Iterator<Item = IdleView<'_, C>> {
         let mut all: Vec<_> = self.all.iter().collect();
-        all.sort_by_key(|(n, _)| **n);
-        all.into_iter().flat_map(|(n, p)| {
-            p.idle.iter().map(|r| (*n, &r.connection, r.machine.since().unwrap_or_default()))
+        all.sort_by_key(|(endpoint, _)| **endpoint);
+        all.into_iter().flat_map(|(endpoint, state)| {
+            state.idle.iter().map(|idle| IdleView {
+                endpoint: *endpoint,
+                connection: &idle.connection,
+                idle_since: idle.machine.since().unwrap_or_default(),
+            })
         })
     }
 
-    /// Of each endpoint: whether calls may start, and not before when.
-    pub fn gates(&self) -> Vec<(u32, bool, Micros)> {
-        let mut all: Vec<_> = self.all.iter().map(|(n, p)| (*n, !p.shut, p.backoff_until)).collect();
+    /// Whether calls may start, for each endpoint, sorted by endpoint.
+    pub fn gates(&self) -> Vec<EndpointGate> {
+        let gate = |(endpoint, state): (&u32, &EndpointConnections<C>)| EndpointGate {
+            endpoint: *endpoint,
+            open: !state.shut,
+            backoff_until: state.backoff_until,
+        };
+        let mut all: Vec<_> = self.all.iter().map(gate).collect();
         all.sort_unstable();
         all
     }
--- a/courier/core/src/router/calls.rs
+++ b/courier/core/src/router/calls.rs
@@ -168,8 +168,8 @@
         if !self.outstanding.has_others(item) {
             return false;
         }
-        let report = self.message_ended(item, end, 0, now, actions);
-        let instructions = self.policy.report_all(now, report.as_slice(), &[]);
+        let completion = self.message_ended(item, end, 0, now, actions);
+        let instructions = self.policy.report_all(now, completion.into_iter().collect());
         self.carry_out(instructions, now, actions);
         true
     }
--- a/courier/core/src/router/mod.rs
+++ b/courier/core/src/router/mod.rs
@@ -16,6 +16,7 @@
 mod endpoints;
 mod ends;
 mod error;
+mod options;
 mod outstanding;
 mod owed;
 mod restore;
@@ -30,6 +31,7 @@
 pub use action::{Intake, RouterAction};
 pub use config::{StreamLimits, settings_fingerprint};
 pub use error::{ResumeError, RouterError, UnknownId};
+pub use options::RouterOptions;
 pub use state::RouterState;
 pub use stream::{OVERLOAD_RETRY_AFTER, StreamEnd};
 
@@ -50,6 +52,15 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
+/// The sizes of a router's tables.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RouterLoad {
+    /// Messages that are owed an end.
+    pub owed: usize,
+    /// Messages that are in flight in a delivery call.
+    pub in_flight: usize,
+}
+
 /// The courier's tables and decisions; see the [module](self).
 #[derive(Clone, Debug)]
 pub struct Router<S> {
@@ -153,9 +164,9 @@
         actions
     }
 
-    /// The number of messages that are owed an end, and of messages in flight.
-    pub fn load(&self) -> (usize, usize) {
-        (self.owed.len(), self.outstanding.messages.len())
+    /// The sizes of the router's tables.
+    pub fn load(&self) -> RouterLoad {
+        RouterLoad { owed: self.owed.len(), in_flight: self.outstanding.messages.len() }
     }
 
     /// The journal, for exploration and inspection.
@@ -178,7 +189,7 @@
         for instruction in instructions {
             match instruction {
                 Instruction::Call { endpoint, items } => self.call(endpoint, &items, now, actions),
-                Instruction::Abandon { msg, attempt } => {
+                Instruction::Cancel { msg, attempt } => {
                     let item = CallId { msg, attempt };
                     let call = self.outstanding.call_of(item).unwrap_or(item);
                     if !self.detach(item, CallEnd::GivenUp, now, actions) {
--- a/courier/core/src/router/restore.rs
+++ b/courier/core/src/router/restore.rs
@@ -4,14 +4,13 @@
 use super::endpoints::intern;
 use super::owed::{OwedMessage, UNKNOWN_CLASS, ending_of};
 use super::stream::Stream;
-use super::{Router, RouterAction, RouterError, StreamLimits};
+use super::{Router, RouterAction, RouterError, RouterOptions};
 use crate::journal::{AcceptedMessage, Journal, JournalContents, JournalEntry, PastCall, RepeatEffect};
 use crate::note::Note;
 use crate::store::Store;
 use crate::{Ending, EndpointList, MessagePayload};
 use quillmount_policy::breaks::{self, Break};
 use quillmount_policy::{Effect, Micros, MsgId, PastAttempt, Policy};
-use quillmount_settings::SenderSettings;
 use std::sync::Arc;
 
 /// The zone of an attempt whose zone is not known: no zone has this number, so that a repeat which only the endpoints of
@@ -19,42 +18,23 @@
 const UNKNOWN_ZONE: u32 = u32::MAX;
 
 impl<S: Store> Router<S> {
-    /// Reads the journal and goes on with the messages that it holds; the actions are the first to carry out. No streams
-    /// are accepted.
-    ///
-    /// `known` is the endpoint list of the earlier process, and `disk` the most that the journal may take, in bytes.
+    /// Reads the journal in `store` and continues with the messages that it holds; the actions are the first to carry out.
+    /// `known` is the endpoint list of the earlier process.
     ///
     /// # Errors
     /// The settings are not valid, or the store can't be read.
     pub fn open(
-        env: &SenderSettings,
-        seed: u64,
-        known: EndpointList,
-        store: S,
-        disk: u64,
-        now: Micros,
-    ) -> Result<(Self, Vec<RouterAction>), RouterError> {
-        Self::open_with(env, None, seed, known, store, disk, now)
-    }
-
-    /// The same as [`Router::open`], with streams within these limits.
-    ///
-    /// # Errors
-    /// The settings are not valid, or the store can't be read.
-    pub fn open_with(
-        env: &SenderSettings,
-        streams: Option<StreamLimits>,
-        seed: u64,
+        options: &RouterOptions<'_>,
         known: EndpointList,
         store: S,
-        disk: u64,
         now: Micros,
     ) -> Result<(Self, Vec<RouterAction>), RouterError> {
         let mut notes = Vec::new();
-        let (journal, mut contents) = Journal::open(store, disk, now, &mut notes)?;
+        let (journal, mut contents) = Journal::open(store, options.journal_limit, now, &mut notes)?;
         notes.extend(correct_clock(&mut contents, now));
-        let settings = DecodedSettings::new(env, streams)?.with_owed(contents.owed.len());
-        let policy = Policy::new(settings.policy, seed)?;
+        let settings = DecodedSettings::new(options.settings, options.streams)?;
+        let settings = settings.with_owed(contents.owed.len());
+        let policy = Policy::new(settings.policy, options.seed)?;
         let mut router = Self::new(settings.config, settings.zones, policy, journal);
         router.next = contents.next;
         router.notes = notes;
--- a/courier/core/src/router/results.rs
+++ b/courier/core/src/router/results.rs
@@ -7,7 +7,7 @@
 use crate::store::Store;
 use crate::{AnswerReport, CallEnd, CallId, Ending};
 use quillmount_policy::breaks::{self, Break};
-use quillmount_policy::{CallReport, Micros, MsgId, Outcome};
+use quillmount_policy::{Completion, Micros, MsgId, Outcome};
 
 /// A delivery counts by the time at which the message's client sent it, and the time left is known here from when it was
 /// read. A delivery that is reported less than this before the deadline, in microseconds, may have come after it.
@@ -40,7 +40,7 @@
         now: Micros,
     ) -> Vec<RouterAction> {
         let mut actions = Vec::new();
-        let mut reports = Vec::new();
+        let mut completions = Vec::new();
         let Some((items, endpoint, dest)) = self.outstanding.remove_call(call) else { return actions };
         let wait = ends.iter().map(|end| end.wait()).max().unwrap_or(0).max(report.wait);
         if wait > 0 {
@@ -49,11 +49,15 @@
             actions.extend(bound.map(|endpoint| RouterAction::BackOff { endpoint, until }));
         }
         for (item, end) in items.iter().zip(ends) {
-            reports.extend(self.message_ended(*item, *end, report.wait, now, &mut actions));
+            completions.extend(self.message_ended(*item, *end, report.wait, now, &mut actions));
+        }
+        let load_report = self.load_values(report);
+        for completion in &mut completions {
+            completion.load_report.clone_from(&load_report);
         }
         // The policy judges a call by its last message; one that succeeded says most about the destination.
-        reports.sort_by_key(|report: &CallReport| report.outcome == Outcome::Ok);
-        let instructions = self.policy.report_all(now, &reports, &self.load_values(report));
+        completions.sort_by_key(|completion: &Completion| completion.outcome == Outcome::Ok);
+        let instructions = self.policy.report_all(now, completions);
         self.carry_out(instructions, now, &mut actions);
         self.drain_notes(&mut actions);
         actions
@@ -82,8 +86,8 @@
         values.filter(|values| values.iter().all(|v| v.is_finite() && *v >= 0.0)).unwrap_or_default()
     }
 
-    /// A message of a call has this end; returns what the policy is to learn of it, nothing if the message had left the
-    /// call before.
+    /// A message of a call has this end; returns its completion for the policy, without a load report, or `None` if the
+    /// message had left the call before.
     pub(super) fn message_ended(
         &mut self,
         item: CallId,
@@ -91,7 +95,7 @@
         advised_wait: Micros,
         now: Micros,
         actions: &mut Vec<RouterAction>,
-    ) -> Option<CallReport> {
+    ) -> Option<Completion> {
         let CallId { msg, attempt } = item;
         let Some(message) = self.outstanding.remove(item) else {
             self.delivered_late(msg, end, now, actions);
@@ -119,7 +123,7 @@
         let finished = self.owed.get(&msg).is_none_or(|owed| owed.end.is_some());
         let elapsed = now.saturating_sub(message.written.unwrap_or(message.sent));
         let wait = end.wait().max(advised_wait);
-        Some(CallReport { msg, attempt, outcome, elapsed, finished, wait })
+        Some(Completion { msg, attempt, outcome, elapsed, finished, wait, load_report: Vec::new() })
     }
 
     /// An endpoint has said that a message is delivered or already ended. Whether a delivery close to the deadline counts
--- a/courier/core/src/router/state.rs
+++ b/courier/core/src/router/state.rs
@@ -4,14 +4,14 @@
 use super::endpoints::KnownEndpoint;
 use super::outstanding::{OutstandingCalls, OutstandingMessage};
 use super::owed::OwedMessage;
-use super::{ResumeError, Router, RouterAction, RouterError, StreamLimits, settings_fingerprint};
+use super::{ResumeError, Router, RouterAction, RouterError, RouterOptions, settings_fingerprint};
 use crate::CallId;
 use crate::counters::Counters;
 use crate::disabled::DisabledEndpoints;
 use crate::journal::{End, Journal, JournalContents};
 use crate::store::Store;
 use quillmount_policy::{EndpointState, Micros, MsgId, Policy};
-use quillmount_settings::{NameTable, SenderSettings};
+use quillmount_settings::NameTable;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -77,31 +77,29 @@
         }
     }
 
-    /// Resumes from another process's state, whose journal is in the store; the actions are the first to carry out.
-    /// `disk` is the most that the journal may take, in bytes.
+    /// Resumes from another process's state, whose journal is in `store`; the actions are the first to carry out.
     ///
     /// # Errors
     /// The state does not belong to these settings or this journal, or the store can't be read.
     pub fn resume(
-        env: &SenderSettings,
-        streams: Option<StreamLimits>,
+        options: &RouterOptions<'_>,
         state: RouterState,
         store: S,
-        disk: u64,
         now: Micros,
     ) -> Result<(Self, Vec<RouterAction>), ResumeError> {
-        if state.settings != settings_fingerprint(env, streams)? {
+        if state.settings != settings_fingerprint(options.settings, options.streams)? {
             return Err(ResumeError::OtherSettings);
         }
         if store.len() != state.journal {
             return Err(ResumeError::OtherJournal);
         }
         let mut notes = Vec::new();
-        let (journal, contents) = Journal::open(store, disk, now, &mut notes).map_err(RouterError::from)?;
+        let journal = Journal::open(store, options.journal_limit, now, &mut notes);
+        let (journal, contents) = journal.map_err(RouterError::from)?;
         if !state.matches(&contents) {
             return Err(ResumeError::OtherJournal);
         }
-        let settings = DecodedSettings::new(env, streams)?.with_owed(state.owed.len());
+        let settings = DecodedSettings::new(options.settings, options.streams)?.with_owed(state.owed.len());
         let policy = state.policy.resume(settings.policy).map_err(RouterError::from)?;
         let mut router = Self::new(settings.config, state.zones, policy, journal);
         router.notes = notes;
--- a/courier/core/tests/adopt.rs
+++ b/courier/core/tests/adopt.rs
@@ -1,14 +1,14 @@
 //! Adopting the messages of a courier that is lost: by the rules of a restart, once, and all or nothing.
 
 mod common;
-use common::{NOW, World, calls, class, endpoint, store_after_crash};
+use common::{NOW, World, calls, class, endpoint, options, store_after_crash};
 use quillmount_core::hub::{DriverAction, Hub};
 use quillmount_core::journal::{
     AcceptedMessage, End, JournalContents, JournalEntry, JournalError, PastCall, Settlements,
 };
 use quillmount_core::note::Note;
 use quillmount_core::pool::Pool;
-use quillmount_core::router::{Intake, Router};
+use quillmount_core::router::{Intake, Router, RouterLoad};
 use quillmount_core::store::{Fault, Memory};
 use quillmount_core::{DeliveryCall, Ending, EndpointList, Submission};
 use quillmount_policy::EndpointState;
@@ -32,7 +32,7 @@
     };
     let known =
         EndpointList { version: 1, full: true, endpoints: vec![endpoint("a", 1, EndpointState::Ready)] };
-    let (router, steps) = Router::open(&env, 7, known.clone(), store, disk, NOW).unwrap();
+    let (router, steps) = Router::open(&options(&env, disk), known.clone(), store, NOW).unwrap();
     let mut hub = Hub::new(router, Pool::new(15_000_000, 9));
     hub.carry_out(steps, NOW);
     hub.list(known, NOW);
@@ -131,7 +131,7 @@
         let notices = hub.router.notices(9);
         hub.notices_confirmed(&notices, NOW);
     }
-    assert_eq!((hub.router.counters.adopted, hub.router.load()), (2, (0, 0)));
+    assert_eq!((hub.router.counters.adopted, hub.router.load()), (2, RouterLoad::default()));
     // An id that was delivered elsewhere is none to go on with.
     let delivered = JournalEntry { end: Some(End::Delivered), ..owed("delivered") };
     assert_eq!(skipped(&hub.adopt(vec![delivered], &Settlements::default(), NOW).unwrap()), ["delivered"]);
@@ -146,7 +146,7 @@
     hub.router.journal_mut().store_mut().fail(Fault::Full { after: 0 });
     assert!(matches!(hub.adopt(entries(), &Settlements::default(), NOW), Err(JournalError::Io { .. })));
     hub.router.journal_mut().store_mut().fail(Fault::None);
-    assert_eq!((hub.router.load().0, store_after_crash(&hub).bytes()), (1, before.bytes()));
+    assert_eq!((hub.router.load().owed, store_after_crash(&hub).bytes()), (1, before.bytes()));
     assert_eq!(
         ids(calls(hub.adopt(entries(), &Settlements::default(), NOW).unwrap())),
         ["c"],
@@ -155,7 +155,7 @@
     // No part of the disk holds them: what is there stays.
     let mut small = open(Memory::default(), 4_000);
     assert!(matches!(small.adopt(entries(), &Settlements::default(), NOW), Err(JournalError::Full)));
-    assert_eq!((small.router.load(), store_after_crash(&small).bytes().len()), ((0, 0), 0));
+    assert_eq!((small.router.load(), store_after_crash(&small).bytes().len()), (RouterLoad::default(), 0));
     // Wherever a kill cuts, no debit that was out is owed without its attempt.
     for after in 0..8 {
         for bytes in 0..200 {
@@ -167,7 +167,7 @@
             assert!(safe, "write {after}, {bytes} bytes: {contents:?}");
             let mut next = open(store_after_crash(&hub), DISK);
             next.adopt(entries(), &Settlements::default(), NOW).unwrap();
-            assert_eq!(next.router.load().0, 3);
+            assert_eq!(next.router.load().owed, 3);
         }
     }
 }
@@ -182,7 +182,7 @@
     let mut hub = open(Memory::default(), DISK);
     let todo =
         hub.adopt(vec![from(1, owed("m1")), from(2, owed("m2"))], &Settlements::default(), NOW).unwrap();
-    assert!(ids(calls(todo)).is_empty() && hub.router.load().0 == 0);
+    assert!(ids(calls(todo)).is_empty() && hub.router.load().owed == 0);
     let store = Memory::of(hub.router.journal().store().bytes().to_vec());
     let mut hub = open(store, DISK);
     assert_eq!(hub.router.unsettled().cloned().collect::<Vec<_>>(), [source(1), source(2)]);
--- a/courier/core/tests/bundles.rs
+++ b/courier/core/tests/bundles.rs
@@ -1,7 +1,7 @@
 //! Calls with several messages, in the router: each message has its own end, whatever the others' are.
 
 mod common;
-use common::{NOW, World, calls, class, endpoint, store_after_crash};
+use common::{NOW, World, calls, class, endpoint, options, store_after_crash};
 use quillmount_core::hub::{DriverAction, Hub};
 use quillmount_core::journal::{End, JournalContents};
 use quillmount_core::machine::attempt::AttemptInput;
@@ -44,7 +44,7 @@
 }
 
 fn open(store: Memory, now: Micros) -> (World, Vec<DriverAction<u32>>) {
-    let (router, steps) = Router::open(&env(), 7, list(), store, 999_999, now).unwrap();
+    let (router, steps) = Router::open(&options(&env(), 999_999), list(), store, now).unwrap();
     let mut hub = Hub::new(router, Pool::new(15_000_000, 9));
     let todo = hub.carry_out(steps, now);
     (hub, todo)
@@ -206,7 +206,8 @@
     let (call, now) = bundle(&mut hub);
     let mark = quillmount_core::router::settings_fingerprint(&env(), None).unwrap();
     let state = hub.state(mark).router;
-    let (router, steps) = Router::resume(&env(), None, state, store_after_crash(&hub), 999_999, now).unwrap();
+    let (router, steps) =
+        Router::resume(&options(&env(), 999_999), state, store_after_crash(&hub), now).unwrap();
     let mut next: World = Hub::new(router, Pool::new(15_000_000, 9));
     next.carry_out(steps, now);
     assert_eq!(next.router.calls_out(), [call.call]);
@@ -227,7 +228,7 @@
         let route =
             |id| EndpointListing { kind: "k".into(), weight: 2.0, ..endpoint(id, 1, EndpointState::Ready) };
         let list = EndpointList { version: 1, full: true, endpoints: vec![route("a"), route("b")] };
-        let (router, steps) = Router::open(&env, 7, list, Memory::default(), 999_999, NOW).unwrap();
+        let (router, steps) = Router::open(&options(&env, 999_999), list, Memory::default(), NOW).unwrap();
         let mut hub: World = Hub::new(router, Pool::new(15_000_000, 9));
         hub.carry_out(steps, NOW);
         let told = submit(&mut hub, "q0", NOW).remove(0);
--- a/courier/core/tests/common/mod.rs
+++ b/courier/core/tests/common/mod.rs
@@ -2,15 +2,21 @@
 #![allow(dead_code)]
 
 use quillmount_core::hub::{DriverAction, Hub};
+use quillmount_core::router::RouterOptions;
 use quillmount_core::store::Memory;
 use quillmount_core::{DeliveryCall, EndpointListing};
 use quillmount_policy::{EndpointState, Micros, StateVisitor};
-use quillmount_settings::Category;
+use quillmount_settings::{Category, SenderSettings};
 
 pub const NOW: Micros = 1_000_000_000;
 
 pub type World = Hub<Memory, u32>;
 
+/// A router's options without streams.
+pub fn options(settings: &SenderSettings, journal_limit: u64) -> RouterOptions<'_> {
+    RouterOptions { settings, streams: None, seed: 7, journal_limit }
+}
+
 /// A class of messages with a deadline of 16 s.
 pub fn class(name: &str, effect: &str) -> Category {
     Category {
--- a/courier/core/tests/disabled.rs
+++ b/courier/core/tests/disabled.rs
@@ -1,7 +1,7 @@
 //! Endpoints that operators disable: lists, refused writes, crashes and calls meanwhile.
 
 mod common;
-use common::{NOW, World, calls, endpoint, store_after_crash};
+use common::{NOW, World, calls, endpoint, options, store_after_crash};
 use quillmount_core::call::Call;
 use quillmount_core::disabled::{DISABLED_MAX, DisableError};
 use quillmount_core::hub::Hub;
@@ -33,7 +33,7 @@
 
 fn open(store: Memory) -> World {
     let known = list(true, &[("a", EndpointState::Ready)]);
-    let (router, steps) = Router::open(&env(), 7, known, store, DISK, NOW).unwrap();
+    let (router, steps) = Router::open(&options(&env(), DISK), known, store, NOW).unwrap();
     let mut hub = Hub::new(router, Pool::new(15_000_000, 9));
     hub.carry_out(steps, NOW);
     hub
--- a/courier/core/tests/ends.rs
+++ b/courier/core/tests/ends.rs
@@ -1,7 +1,7 @@
 //! A delivery close to the deadline, which counts or not by the clock that is asked: the platform gets a notice.
 
 mod common;
-use common::{NOW, World, calls, class, endpoint, store_after_crash};
+use common::{NOW, World, calls, class, endpoint, options, store_after_crash};
 use quillmount_core::hub::Hub;
 use quillmount_core::journal::{End, JournalContents};
 use quillmount_core::pool::Pool;
@@ -20,7 +20,7 @@
     let list =
         || EndpointList { version: 1, full: true, endpoints: vec![endpoint("s", 1, EndpointState::Ready)] };
     let memory = quillmount_core::store::Memory::default();
-    let (router, steps) = Router::open(&env, 7, list(), memory, 999_999, NOW).unwrap();
+    let (router, steps) = Router::open(&options(&env, 999_999), list(), memory, NOW).unwrap();
     let mut hub = Hub::new(router, Pool::new(15_000_000, 9));
     hub.carry_out(steps, NOW);
     hub.list(list(), NOW);
@@ -84,5 +84,5 @@
     // What the endpoint says to be over is.
     let (mut hub, call) = in_flight("fragile");
     hub.call_ended(call, CallEnd::Gone, NOW + TIME);
-    assert_eq!((notices(&hub), hub.router.load().0), (vec![], 0));
+    assert_eq!((notices(&hub), hub.router.load().owed), (vec![], 0));
 }
--- a/courier/core/tests/full.rs
+++ b/courier/core/tests/full.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use quillmount_core::call::Call;
 use quillmount_core::machine::attempt::{Answer, AttemptInput};
-use quillmount_core::pool::Pool;
+use quillmount_core::pool::{Pool, PoolLoad};
 use quillmount_core::{CallEnd, CallId, DeliveryCall, MessagePayload};
 use std::sync::Arc;
 
@@ -26,7 +26,7 @@
 }
 
 /// The end of a call that is rejected with this answer, on a new connection or an idle one.
-fn end(answer: fn(&[u8], bool) -> Answer, fresh: bool, reports: bool) -> (Option<CallEnd>, (usize, usize)) {
+fn end(answer: fn(&[u8], bool) -> Answer, fresh: bool, reports: bool) -> (Option<CallEnd>, PoolLoad) {
     let mut pool = Pool::new(15_000_000, 9);
     if !fresh {
         assert!(pool.add_idle(7, order().addr, NOW, 70).is_none());
@@ -44,14 +44,15 @@
 
 #[test]
 fn a_rejection_that_closes_a_new_connection_is_a_failed_connect() {
+    let load = |calls, idle| PoolLoad { calls, idle };
     let closes = |_: &[u8], _| Answer::Whole { end: CallEnd::Full(0), reusable: false };
-    assert_eq!(end(closes, true, true), (Some(CallEnd::CouldNotConnect), (0, 0)));
+    assert_eq!(end(closes, true, true), (Some(CallEnd::CouldNotConnect), load(0, 0)));
     // Where no answer tells of a limit, it may be one all the same.
-    assert_eq!(end(closes, true, false), (Some(CallEnd::Full(0)), (0, 0)));
+    assert_eq!(end(closes, true, false), (Some(CallEnd::Full(0)), load(0, 0)));
     // What was taken before was not for want of room, and what is kept or tells a wait is not either.
-    assert_eq!(end(closes, false, true), (Some(CallEnd::Full(0)), (0, 0)));
+    assert_eq!(end(closes, false, true), (Some(CallEnd::Full(0)), load(0, 0)));
     let keeps = |_: &[u8], _| Answer::Whole { end: CallEnd::Full(0), reusable: true };
-    assert_eq!(end(keeps, true, true), (Some(CallEnd::Full(0)), (0, 1)));
+    assert_eq!(end(keeps, true, true), (Some(CallEnd::Full(0)), load(0, 1)));
     let waits = |_: &[u8], _| Answer::Whole { end: CallEnd::Full(9), reusable: false };
     assert_eq!(end(waits, true, true).0, Some(CallEnd::Full(9)));
 }
--- a/courier/core/tests/handover_forms.rs
+++ b/courier/core/tests/handover_forms.rs
@@ -10,8 +10,8 @@
 use quillmount_core::hub::{self, Hub};
 use quillmount_core::machine::attempt::{Answer, AttemptInput, AttemptState, Decode};
 use quillmount_core::machine::client;
-use quillmount_core::pool::Pool;
-use quillmount_core::router::{Router, StreamLimits, settings_fingerprint};
+use quillmount_core::pool::{EndpointBackoff, Pool};
+use quillmount_core::router::{Router, RouterLoad, RouterOptions, StreamLimits, settings_fingerprint};
 use quillmount_core::store::Memory;
 use quillmount_core::{
     BundledMessage, CallEnd, CallId, DeliveryCall, Ending, EndpointList, EndpointListing, MessagePayload,
@@ -85,11 +85,14 @@
     }
 }
 
+fn options(settings: &SenderSettings) -> RouterOptions<'_> {
+    RouterOptions { settings, streams: STREAMS, seed: 7, journal_limit: DISK }
+}
+
 /// A busy courier: calls in flight, some with several messages, an endpoint that advised to wait, failures that make an
 /// outage, notices that are not confirmed, disabled endpoints, waiting messages, streams in each state.
 fn busy() -> World {
-    let (router, steps) =
-        Router::open_with(&env(), STREAMS, 7, list(), Memory::default(), DISK, NOW).unwrap();
+    let (router, steps) = Router::open(&options(&env()), list(), Memory::default(), NOW).unwrap();
     let mut hub = Hub::new(router, Pool::new(15_000_000, 99));
     hub.carry_out(steps, NOW);
     hub.list(list(), NOW);
@@ -154,12 +157,12 @@
     let journal = FIXTURES.check("handover_journal.bin", store_after_crash(&hub).bytes());
     let state: hub::HubState = postcard::from_bytes(&stored).unwrap();
     assert_eq!(postcard::to_allocvec(&state).unwrap(), stored, "read and written without a courier");
-    let held = state.backoffs.clone();
+    let backoffs = state.backoffs.clone();
     let now = NOW + 2_000_000;
     let (router, steps) =
-        Router::resume(&env(), STREAMS, state.router, Memory::of(journal.clone()), DISK, now).unwrap();
+        Router::resume(&options(&env()), state.router, Memory::of(journal.clone()), now).unwrap();
     let mut next = Hub::new(router, Pool::new(15_000_000, 99));
-    let todo = next.resume(&held, steps, now);
+    let todo = next.resume(&backoffs, steps, now);
     assert!(calls(todo).is_empty(), "what is out is out still");
     assert_eq!(visited_values(&next), visited_values(&hub));
     assert_eq!(next.router.notices(99), hub.router.notices(99));
@@ -168,9 +171,10 @@
     assert_eq!(encoded(&next), stored, "the next process would hand over the same");
     assert_eq!(store_after_crash(&next).bytes(), journal);
     // What there is of each kind, so that the file is known to have it.
-    let (open, out) = next.router.load();
-    assert_eq!((open, out, next.router.notices(99).len()), (63, 17, 20));
-    assert_eq!(held, [(2, NOW + 20_039_000), (3, NOW + 20_039_000)]);
+    assert_eq!(next.router.load(), RouterLoad { owed: 63, in_flight: 17 });
+    assert_eq!(next.router.notices(99).len(), 20);
+    let backoff = |endpoint| EndpointBackoff { endpoint, until: NOW + 20_039_000 };
+    assert_eq!(backoffs, [2, 3].map(backoff));
     let call = |msg| CallId { msg, attempt: 0 };
     assert_eq!(next.router.calls_out(), [5, 35, 50, 2, 17].map(call));
     assert_eq!(next.router.disabled().iter().collect::<Vec<_>>(), ["s-1"]);
--- a/courier/core/tests/list.rs
+++ b/courier/core/tests/list.rs
@@ -1,5 +1,7 @@
 //! The endpoints as discovery lists them.
 
+mod common;
+use common::options;
 use quillmount_core::disabled::DisableError;
 use quillmount_core::router::{Router, RouterAction};
 use quillmount_core::store::Memory;
@@ -12,7 +14,7 @@
 fn an_endpoint_that_is_gone_for_good_is_removed_from_every_table() {
     let known = EndpointList { version: 0, full: true, endpoints: Vec::new() };
     let env = SenderSettings::default();
-    let (mut router, _) = Router::open(&env, 7, known, Memory::default(), 9_999, 0).unwrap();
+    let (mut router, _) = Router::open(&options(&env, 9_999), known, Memory::default(), 0).unwrap();
     let (mut forgotten, mut most) = (0, 0);
     for n in 0..1_000 {
         let line = |n: u64, state| EndpointListing {
--- a/courier/core/tests/pool.rs
+++ b/courier/core/tests/pool.rs
@@ -1,7 +1,7 @@
 //! The connection pool: which connections are idle, which are closed, and which serve a call.
 
 use quillmount_core::machine::connection::ConnectionInput;
-use quillmount_core::pool::Pool;
+use quillmount_core::pool::{Pool, PoolLoad};
 use quillmount_policy::Micros;
 
 const ADDR: &str = "127.0.0.1:1";
@@ -22,7 +22,7 @@
     with_resting(&mut pool, 8, 80, 5);
     assert_eq!(pool.evict_idle(), None);
     assert!(pool.begin(9, ADDR.parse().unwrap(), 20, |_| true).is_none());
-    assert_eq!((pool.evict_idle(), pool.load()), (Some(80), (1, 1)));
+    assert_eq!((pool.evict_idle(), pool.load()), (Some(80), PoolLoad { calls: 1, idle: 1 }));
 }
 
 #[test]
@@ -61,7 +61,7 @@
         }
         with_resting(&mut pool, 7, 71, 10);
         assert!(pool.begin(7, addr, 10 + rest, |_| true).is_none(), "{idle}");
-        assert_eq!(pool.load(), (1, 0), "{idle}: what is too old is closed");
+        assert_eq!(pool.load(), PoolLoad { calls: 1, idle: 0 }, "{idle}: what is too old is closed");
     }
 }
 
@@ -71,7 +71,7 @@
     let mut pool = Pool::new(15_000_000, 9);
     with_resting(&mut pool, 7, 70, 10);
     assert!(pool.begin(7, "127.0.0.1:2".parse().unwrap(), 11, |_| true).is_none());
-    assert_eq!(pool.load(), (1, 0));
+    assert_eq!(pool.load(), PoolLoad { calls: 1, idle: 0 });
 }
 
 /// An endpoint that is gone for good has no idle connection, nor gets one when its last call ends.
@@ -86,6 +86,6 @@
     assert_eq!(pool.keep_idle(7, addr, link, connection, 12), Some(70), "its call ends after it went");
     pool.end();
     assert_eq!(pool.add_idle(7, addr, 12, 71), Some(71), "one of another process");
-    assert_eq!((pool.forget(7), pool.load()), (vec![], (0, 1)));
+    assert_eq!((pool.forget(7), pool.load()), (vec![], PoolLoad { calls: 0, idle: 1 }));
     assert_eq!(pool.set_gate(8, false), [80]);
 }
--- a/courier/core/tests/repeats.rs
+++ b/courier/core/tests/repeats.rs
@@ -2,7 +2,7 @@
 //! repeated depends on the settings of each class.
 
 mod common;
-use common::{NOW, World, calls, class, endpoint, store_after_crash};
+use common::{NOW, World, calls, class, endpoint, options, store_after_crash};
 use quillmount_core::hub::{DriverAction, Hub};
 use quillmount_core::journal::{End, JournalContents};
 use quillmount_core::note::Note;
@@ -32,7 +32,7 @@
 }
 
 fn open(env: &SenderSettings, store: Memory, now: Micros) -> (World, Vec<DriverAction<u32>>) {
-    let (router, steps) = Router::open(env, 7, list(), store, 999_999, now).unwrap();
+    let (router, steps) = Router::open(&options(env, 999_999), list(), store, now).unwrap();
     let mut hub = Hub::new(router, Pool::new(15_000_000, 9));
     let mut todo = hub.carry_out(steps, now);
     todo.extend(hub.list(list(), now));
--- a/courier/core/tests/restart.rs
+++ b/courier/core/tests/restart.rs
@@ -2,14 +2,14 @@
 
 mod common;
 use bytes::Bytes;
-use common::{NOW, World, calls, class, endpoint, store_after_crash};
+use common::{NOW, World, calls, class, endpoint, options, store_after_crash};
 use quillmount_core::hub::Hub;
 use quillmount_core::journal::{
     AcceptedMessage, End, Journal, JournalContents, JournalRecord, RepeatEffect, frame,
 };
 use quillmount_core::note::{Level, Note};
 use quillmount_core::pool::Pool;
-use quillmount_core::router::{Intake, Router, RouterAction, settings_fingerprint};
+use quillmount_core::router::{Intake, Router, RouterAction, RouterLoad, settings_fingerprint};
 use quillmount_core::store::{Fault, Memory};
 use quillmount_core::{CallEnd, DeliveryCall, Ending, EndpointList, EndpointListing, Notice, Submission};
 use quillmount_policy::{EndpointState, Micros, MsgId};
@@ -65,7 +65,7 @@
     store: Memory,
     now: Micros,
 ) -> (World, Vec<DeliveryCall>, Vec<String>) {
-    let (router, steps) = Router::open(env, 7, known, store, DISK, now).unwrap();
+    let (router, steps) = Router::open(&options(env, DISK), known, store, now).unwrap();
     let errors = steps.iter().filter_map(|step| match step {
         RouterAction::Note(note) if note.level() == Level::Error => Some(note.to_string()),
         _ => None,
@@ -125,7 +125,7 @@
         // An upgrade right then keeps them too.
         let state = hub.state(settings_fingerprint(&settings, None).unwrap());
         let (next, _) =
-            Router::resume(&settings, None, state.router, store_after_crash(&hub), DISK, NOW + 1_000)
+            Router::resume(&options(&settings, DISK), state.router, store_after_crash(&hub), NOW + 1_000)
                 .unwrap();
         hub = Hub::new(next, Pool::new(15_000_000, 99));
         hub.tick(NOW + 1_000_000);
@@ -382,7 +382,7 @@
                 deliver_all(&mut next, begun, NOW, NOW + LIFE);
                 let (notices, later) = (next.router.notices(9), NOW + LIFE);
                 next.notices_confirmed(&notices, later);
-                assert_eq!(next.router.load(), (0, 0), "{what}: it has its end");
+                assert_eq!(next.router.load(), RouterLoad::default(), "{what}: it has its end");
             }
         }
     }
@@ -420,7 +420,7 @@
     let begun = std::time::Instant::now();
     let (hub, begun_calls, _) = open(&settings, list(&[("a", 1, "z")]), journal.store().clone(), NOW);
     let took = begun.elapsed();
-    assert_eq!(hub.router.load().0 as u64, owed);
+    assert_eq!(hub.router.load().owed as u64, owed);
     assert!(!begun_calls.is_empty());
     println!("{owed} invocations, {} bytes: {took:?}", journal.disk());
     assert!(took < std::time::Duration::from_secs(10), "{took:?} for {owed}");
--- a/courier/core/tests/restart_guard.rs
+++ b/courier/core/tests/restart_guard.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use bytes::Bytes;
-use common::{NOW, class, endpoint};
+use common::{NOW, class, endpoint, options};
 use quillmount_core::hub::Hub;
 use quillmount_core::journal::{AcceptedMessage, JournalRecord, frame};
 use quillmount_core::pool::Pool;
@@ -36,7 +36,7 @@
             .collect();
         let known =
             EndpointList { version: 1, full: true, endpoints: vec![endpoint("s", 1, EndpointState::Ready)] };
-        let (router, steps) = Router::open(&env, 7, known, Memory::of(bytes), 99_999, NOW).unwrap();
+        let (router, steps) = Router::open(&options(&env, 99_999), known, Memory::of(bytes), NOW).unwrap();
         let mut hub = Hub::new(router, Pool::new(15_000_000, 99));
         let begun = common::calls(hub.carry_out(steps, NOW));
         for call in begun {
--- a/courier/core/tests/resume.rs
+++ b/courier/core/tests/resume.rs
@@ -1,7 +1,7 @@
 //! An upgrade: the next process decides from what was handed over, as if nothing had happened.
 
 mod common;
-use common::{NOW, World, calls, class, endpoint, store_after_crash, visited_values};
+use common::{NOW, World, calls, class, endpoint, options, store_after_crash, visited_values};
 use quillmount_core::hub::{self, DriverAction, Hub};
 use quillmount_core::journal::Journal;
 use quillmount_core::pool::Pool;
@@ -44,7 +44,7 @@
 /// A busy courier: calls in flight, an endpoint that advised to wait, failures that make an outage, notices that are not
 /// confirmed, a disabled endpoint, waiting messages.
 fn busy() -> World {
-    let (router, steps) = Router::open(&env(), 7, list(), Memory::default(), DISK, NOW).unwrap();
+    let (router, steps) = Router::open(&options(&env(), DISK), list(), Memory::default(), NOW).unwrap();
     let mut hub = Hub::new(router, Pool::new(15_000_000, 99));
     hub.carry_out(steps, NOW);
     hub.list(list(), NOW);
@@ -68,13 +68,13 @@
         }
     }
     let (load, notices) = (hub.router.load(), hub.router.notices(9).len());
-    assert!(load.1 > 0 && notices > 0, "{load:?}, {notices}");
+    assert!(load.in_flight > 0 && notices > 0, "{load:?}, {notices}");
     hub
 }
 
 fn resumed(state: hub::HubState, store: Memory) -> Result<(World, Vec<DriverAction<u32>>), ResumeError> {
     let now = NOW + 2_000_000;
-    let (router, steps) = Router::resume(&env(), None, state.router, store, DISK, now)?;
+    let (router, steps) = Router::resume(&options(&env(), DISK), state.router, store, now)?;
     let mut next = Hub::new(router, Pool::new(15_000_000, 99));
     let todo = next.resume(&state.backoffs, steps, now);
     Ok((next, todo))
@@ -122,7 +122,7 @@
         categories: env().categories.into_iter().rev().collect(),
         ..SenderSettings::default()
     };
-    let refused = Router::resume(&other, None, state(&hub).router, store_after_crash(&hub), DISK, NOW);
+    let refused = Router::resume(&options(&other, DISK), state(&hub).router, store_after_crash(&hub), NOW);
     assert!(matches!(refused.err(), Some(ResumeError::OtherSettings)));
     // A third process had the lock in between and wrote; or its journal is gone.
     let mut grown = busy();
--- a/courier/core/tests/router.rs
+++ b/courier/core/tests/router.rs
@@ -1,5 +1,7 @@
 //! The router with the policy and the journal.
 
+mod common;
+use common::options;
 use quillmount_core::journal::JournalContents;
 use quillmount_core::router::{Intake, Router, RouterAction};
 use quillmount_core::store::{Fault, Memory};
@@ -28,7 +30,8 @@
     };
     let known = EndpointList { version: 1, full: true, endpoints: vec![line] };
     let now = 1_000_000_000;
-    let (mut router, _) = Router::open(&env, 7, known.clone(), Memory::default(), 99_999, now).unwrap();
+    let (mut router, _) =
+        Router::open(&options(&env, 99_999), known.clone(), Memory::default(), now).unwrap();
     router.list(known, now);
     (router, now)
 }
@@ -62,7 +65,7 @@
         assert!(matches!(intake, Intake::Rejected { after } if after > 0), "{intake:?}");
     }
     let notices = router.notices(9).into_iter().map(|n| n.id).collect::<Vec<_>>();
-    assert_eq!((notices, router.load().0), (vec!["a".to_string()], 1));
+    assert_eq!((notices, router.load().owed), (vec!["a".to_string()], 1));
     let (contents, _) = JournalContents::read(router.journal().store().bytes());
     assert_eq!(contents.owed.len(), 1, "another life owes it nothing");
 }
--- a/courier/drill/src/instance.rs
+++ b/courier/drill/src/instance.rs
@@ -100,7 +100,7 @@
             elapsed,
             finished: completed.finished.unwrap_or(false),
             wait,
-            report: completed.pressure.unwrap_or_default(),
+            load_report: completed.pressure.unwrap_or_default(),
         });
         Ok(completion.map(DispatchEvent::Completed))
     }
--- a/courier/policy/examples/waiting_messages.rs
+++ b/courier/policy/examples/waiting_messages.rs
@@ -97,7 +97,7 @@
                 elapsed: SEC,
                 finished: false,
                 wait: 0,
-                report: Vec::new(),
+                load_report: Vec::new(),
             }));
         }
         calls.extend(step(now, &events));
--- a/courier/policy/src/events.rs
+++ b/courier/policy/src/events.rs
@@ -169,7 +169,7 @@
     },
 }
 
-/// The end of an attempt.
+/// How an attempt ended: one message's part in the end of a call.
 #[derive(Clone, Debug)]
 pub struct Completion {
     /// The message.
@@ -184,6 +184,6 @@
     pub finished: bool,
     /// For [`Outcome::Full`]: how long the receiver asks to wait; 0 for no such request.
     pub wait: Micros,
-    /// Load report of the answer; empty for none.
-    pub report: Vec<f64>,
+    /// Load report of the answer: the values of its fields in the order of the settings; empty if it has none.
+    pub load_report: Vec<f64>,
 }
--- a/courier/policy/src/lib.rs
+++ b/courier/policy/src/lib.rs
@@ -38,12 +38,12 @@
 mod settings_mark;
 mod state_visitor;
 
-pub use actions::{DispatchAction, RouteView};
+pub use actions::{CallItem, DispatchAction, Instruction, RouteView};
 pub use dispatcher::Dispatcher;
 pub use events::{
     Completion, DispatchEvent, EndpointEntry, EndpointState, ListUpdate, Message, Outcome, PastAttempt,
 };
 pub use ids::{DestId, EndpointId, Micros, MsgId};
-pub use policy::{CallItem, CallReport, Instruction, Policy};
+pub use policy::Policy;
 pub use settings::{Decay, DestinationKind, Effect, MAX_CALL_BYTES, MessageClass, Settings, SettingsError};
 pub use state_visitor::StateVisitor;
--- a/courier/policy/src/policy.rs
+++ b/courier/policy/src/policy.rs
@@ -1,87 +1,19 @@
-//! The dispatcher for hosts that own sockets: one method for each thing that can happen, which returns what to do, in order.
+//! The dispatcher for hosts that own sockets: one method for each kind of event, which returns what to do, in order.
 //!
-//! The host calls a method of [`Policy`] for each submission, answer and change of the endpoint list, carries out the
-//! [`Instruction`]s, and calls [`Policy::tick`] at [`Policy::wake_at`]. It sees neither events nor timers, gets the messages
-//! of one call together, and numbers no attempts itself.
+//! The host calls a method of [`Policy`] for each submission, completed call and change of the endpoint list, carries out
+//! the [`Instruction`]s, and calls [`Policy::tick`] at [`Policy::wake_at`]. How instructions relate to the dispatcher's
+//! actions is described at [`Instruction`].
 
 use crate::StateVisitor;
-use crate::actions::DispatchAction;
+use crate::actions::{CallItem, DispatchAction, Instruction};
 use crate::breaks::{self, Break};
 use crate::dispatcher::Dispatcher;
-use crate::events::{Completion, DispatchEvent, EndpointEntry, ListUpdate, Message, Outcome, PastAttempt};
-use crate::ids::{EndpointId, Micros, MsgId};
+use crate::events::{Completion, DispatchEvent, EndpointEntry, ListUpdate, Message, PastAttempt};
+use crate::ids::{Micros, MsgId};
 use crate::settings::{Settings, SettingsError};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One thing that the host is to do.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Instruction {
-    /// Make one call.
-    Call {
-        /// Where to.
-        endpoint: EndpointId,
-        /// Its messages, one at least.
-        items: Vec<CallItem>,
-    },
-    /// Stop waiting for a call, and report it as cancelled.
-    Abandon {
-        /// A message of the call.
-        msg: MsgId,
-        /// Number of its attempt, from 0.
-        attempt: u32,
-    },
-    /// End the message as not accepted; submitting it once more does no harm.
-    Reject {
-        /// The message.
-        msg: MsgId,
-        /// Advice when to submit it once more, from now on (0: none).
-        after: Micros,
-    },
-    /// End the message as failed; nothing is promised about its effect.
-    Fail {
-        /// The message.
-        msg: MsgId,
-    },
-    /// Close the idle connections to an endpoint.
-    CloseIdle {
-        /// The endpoint.
-        endpoint: EndpointId,
-    },
-    /// A line for the on-call log.
-    Log(String),
-}
-
-/// A message of a call.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CallItem {
-    /// The message.
-    pub msg: MsgId,
-    /// Number of its attempt, from 0.
-    pub attempt: u32,
-    /// How long to wait for its answer.
-    pub timeout: Micros,
-    /// No byte of the call may leave at this time of the clock or later.
-    pub send_before: Micros,
-}
-
-/// How an attempt ended.
-#[derive(Clone, Copy, Debug)]
-pub struct CallReport {
-    /// The message.
-    pub msg: MsgId,
-    /// Number of its attempt, from 0.
-    pub attempt: u32,
-    /// How it ended.
-    pub outcome: Outcome,
-    /// Duration of the call.
-    pub elapsed: Micros,
-    /// True: the message has its result.
-    pub finished: bool,
-    /// For [`Outcome::Full`]: how long the receiver asks to wait; 0 for no such request.
-    pub wait: Micros,
-}
-
 /// A sender's decisions behind plain calls. The clock counts whole microseconds and is one that earlier processes shared,
 /// such as Unix time.
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -126,30 +58,18 @@
         self.step(now, DispatchEvent::Restore { message, past })
     }
 
-    /// A call of one message ended.
-    pub fn report(&mut self, now: Micros, report: CallReport) -> Vec<Instruction> {
-        self.report_all(now, &[report], &[])
+    /// A call with one message ended.
+    pub fn report(&mut self, now: Micros, completion: Completion) -> Vec<Instruction> {
+        self.report_all(now, vec![completion])
     }
 
-    /// A call ended for all messages that it still had: the reports are taken in together, before anything is decided.
-    /// `load`: the load report of its answer; empty for none.
-    pub fn report_all(&mut self, now: Micros, reports: &[CallReport], load: &[f64]) -> Vec<Instruction> {
-        let completed = |report: &CallReport| {
-            let &CallReport { msg, attempt, outcome, elapsed, finished, wait } = report;
-            DispatchEvent::Completed(Completion {
-                msg,
-                attempt,
-                outcome,
-                elapsed,
-                finished,
-                wait,
-                report: load.to_vec(),
-            })
-        };
-        for report in reports.iter().filter(|report| report.finished) {
-            self.attempts_ordered.remove(&report.msg);
+    /// A call ended for all messages that it still had: all completions are taken in before anything is decided.
+    pub fn report_all(&mut self, now: Micros, completions: Vec<Completion>) -> Vec<Instruction> {
+        for completion in completions.iter().filter(|completion| completion.finished) {
+            self.attempts_ordered.remove(&completion.msg);
         }
-        self.step_all(now, &reports.iter().map(completed).collect::<Vec<_>>())
+        let events: Vec<_> = completions.into_iter().map(DispatchEvent::Completed).collect();
+        self.step_all(now, &events)
     }
 
     /// The last byte of a stream's call was written: its latency counts from now on.
@@ -249,7 +169,7 @@
                 self.attempts_ordered.remove(&msg);
                 Instruction::Fail { msg }
             }
-            DispatchAction::Cancel { msg, attempt } => Instruction::Abandon { msg, attempt },
+            DispatchAction::Cancel { msg, attempt } => Instruction::Cancel { msg, attempt },
             DispatchAction::CloseIdle { endpoint } => Instruction::CloseIdle { endpoint },
             DispatchAction::Log(text) => Instruction::Log(text),
             DispatchAction::Timer { after, .. } => {
--- a/courier/policy/tests/bundles.rs
+++ b/courier/policy/tests/bundles.rs
@@ -45,8 +45,16 @@
             let attempt = w.attempts[msg] - 1;
             let (_, sent, _) = w.in_flight.remove(&(*msg, attempt)).expect("the attempt is out");
             let (finished, elapsed) = (outcome == Outcome::Ok, now - sent);
-            let (msg, report) = (*msg, Vec::new());
-            DispatchEvent::Completed(Completion { msg, attempt, outcome, elapsed, finished, wait, report })
+            let (msg, load_report) = (*msg, Vec::new());
+            DispatchEvent::Completed(Completion {
+                msg,
+                attempt,
+                outcome,
+                elapsed,
+                finished,
+                wait,
+                load_report,
+            })
         })
         .collect();
     w.step(&ends)
--- a/courier/policy/tests/common/mod.rs
+++ b/courier/policy/tests/common/mod.rs
@@ -160,7 +160,7 @@
             elapsed,
             finished,
             wait,
-            report: report.to_vec(),
+            load_report: report.to_vec(),
         })])
     }
 
--- a/courier/policy/tests/guard.rs
+++ b/courier/policy/tests/guard.rs
@@ -420,7 +420,7 @@
 
 fn report_limit(w: &mut World, left: f64) {
     let m = w.submit(0, 5);
-    let report = vec![left, 6.0];
+    let load_report = vec![left, 6.0];
     w.in_flight.remove(&(m, 0));
     w.step(&[DispatchEvent::Completed(Completion {
         msg: m,
@@ -429,7 +429,7 @@
         elapsed: 20_000,
         finished: false,
         wait: 0,
-        report,
+        load_report,
     })]);
 }
 
--- a/courier/policy/tests/policy.rs
+++ b/courier/policy/tests/policy.rs
@@ -30,7 +30,13 @@
     PastAttempt { zone: 0, sent, may_have_run }
 }
 
-/// The messages of the first order, which is a call.
+/// The end of an attempt, which is its message's result if it was accepted.
+fn completion(msg: MsgId, attempt: u32, outcome: Outcome, elapsed: Micros) -> Completion {
+    let finished = outcome == Outcome::Ok;
+    Completion { msg, attempt, outcome, elapsed, finished, wait: 0, load_report: Vec::new() }
+}
+
+/// The messages of the first instruction, which is a call.
 fn items(instructions: &[Instruction]) -> Vec<CallItem> {
     let Some(Instruction::Call { items, .. }) = instructions.first() else { panic!("{instructions:?}") };
     items.clone()
@@ -44,8 +50,7 @@
         matches!(first[..], [Instruction::Call { endpoint: 0, .. }]) && items(&first)[0].msg == 1,
         "{first:?}"
     );
-    let error =
-        CallReport { msg: 1, attempt: 0, outcome: Outcome::Error, elapsed: 9, finished: false, wait: 0 };
+    let error = completion(1, 0, Outcome::Error, 9);
     let second = f.report(NOW + 9, error);
     assert!(matches!(second[..], [Instruction::Call { .. }]) && items(&second)[0].attempt == 1, "{second:?}");
 }
@@ -70,11 +75,9 @@
 /// might have run is lost.
 #[test]
 fn near_a_stop_only_calls_that_can_finish_are_started() {
-    let ok =
-        |msg, elapsed| CallReport { msg, attempt: 0, outcome: Outcome::Ok, elapsed, finished: true, wait: 0 };
     let mut f = policy();
     f.submit(NOW, message(1, 2));
-    f.report(NOW + SEC, ok(1, SEC));
+    f.report(NOW + SEC, completion(1, 0, Outcome::Ok, SEC));
     assert!(f.stop(NOW + SEC, NOW + 4 * SEC).is_empty());
     assert!(matches!(f.submit(NOW + SEC, message(2, 2))[..], [Instruction::Call { .. }]));
     assert!(!f.submit(NOW + 3 * SEC, message(3, 2)).iter().any(|o| matches!(o, Instruction::Call { .. })));
@@ -84,14 +87,7 @@
 /// the module requests its next one beside it. A message then waited past its time for the next event.
 #[test]
 fn a_step_at_the_time_of_a_wake_up_keeps_the_next_one() {
-    let failed = |msg, attempt| CallReport {
-        msg,
-        attempt,
-        outcome: Outcome::ConnectFailed,
-        elapsed: 9,
-        finished: false,
-        wait: 0,
-    };
+    let failed = |msg, attempt| completion(msg, attempt, Outcome::ConnectFailed, 9);
     let mut f = policy();
     f.submit(NOW, message(1, 2));
     f.report(NOW, failed(1, 0));
--- a/courier/policy/tests/random.rs
+++ b/courier/policy/tests/random.rs
@@ -138,7 +138,7 @@
                 excused.push((wait_scope(m.sent[n].endpoint), now + wait));
             }
             let elapsed = now - m.sent[n].at;
-            let (msg, attempt, report) = (id, n as u32, Vec::new());
+            let (msg, attempt, load_report) = (id, n as u32, Vec::new());
             events.push(DispatchEvent::Completed(Completion {
                 msg,
                 attempt,
@@ -146,7 +146,7 @@
                 elapsed,
                 finished,
                 wait,
-                report,
+                load_report,
             }));
         }
         for (scope, until) in excused {
--- a/courier/policy/tests/rules.rs
+++ b/courier/policy/tests/rules.rs
@@ -249,7 +249,7 @@
         elapsed: 5,
         finished: true,
         wait: 0,
-        report: vec![],
+        load_report: vec![],
     };
     let odd = Completion { msg: m, attempt: 9, ..lost.clone() };
     let bad = Message {
--- a/courier/program/src/fleet/budget.rs
+++ b/courier/program/src/fleet/budget.rs
@@ -124,19 +124,20 @@
                 }
                 PermitKind::Reuse => {
                     let taken = handle.pool(|pool| pool.take_idle(endpoint, |conn| conn.has_id(id)));
-                    let Some((to, at, mut machine, conn)) = taken else {
+                    let Some(mut taken) = taken else {
                         // It was closed meanwhile.
                         self.report_closed();
                         self.gate(|gate, now| gate.connections.closing(dest, permit.conn, now));
                         continue;
                     };
-                    let quiet = (to, at) == (endpoint, addr) && is_quiet(&conn);
-                    if machine.step(ConnectionInput::Reused { quiet }, now) {
-                        drop(conn);
+                    let is_same = (taken.endpoint, taken.addr) == (endpoint, addr);
+                    let quiet = is_same && is_quiet(&taken.connection);
+                    if taken.machine.step(ConnectionInput::Reused { quiet }, now) {
+                        drop(taken);
                         self.report_closed();
                         continue;
                     }
-                    ConnectionPermit::reuse(permit, machine, conn)
+                    ConnectionPermit::reuse(permit, taken.machine, taken.connection)
                 }
             };
             order.time_left = order.time_left.saturating_sub(now.saturating_sub(asked_at));
--- a/courier/program/src/program/startup.rs
+++ b/courier/program/src/program/startup.rs
@@ -14,7 +14,8 @@
 use crate::transport::server::{BACKLOG, BACKLOG_IN_FLEET, listen};
 use crate::transport::streams::StreamRules;
 use actix_rt::net::TcpListener;
-use quillmount_core::router::{Router, RouterAction, StreamLimits};
+use quillmount_core::pool::EndpointBackoff;
+use quillmount_core::router::{Router, RouterAction, RouterOptions, StreamLimits};
 use quillmount_core::{flow, hub};
 use quillmount_operator::Operator;
 use quillmount_policy::Micros;
@@ -39,7 +40,7 @@
 /// What another process handed over beside the router's state.
 pub struct ResumedParts {
     /// Endpoints in backoff, each with the time in microseconds at which it ends.
-    pub backoffs: Vec<(u32, Micros)>,
+    pub backoffs: Vec<EndpointBackoff>,
     /// An operator has drained the courier.
     pub drained: bool,
     /// Sockets, and what they are in the middle of.
@@ -153,10 +154,16 @@
     received: Option<ReceivedState>,
     now: Micros,
 ) -> Result<OpenedRouter, RunError> {
+    let options = RouterOptions {
+        settings: &config.env,
+        streams: limits,
+        seed: config.seed,
+        journal_limit: config.disk,
+    };
     if let Some(received) = received {
         let ReceivedState { state: hub::HubState { router: state, backoffs }, drained, parts, .. } = received;
         let journal = open_journal(config, gate)?;
-        match Router::resume(&config.env, limits, state, journal, config.disk, now) {
+        match Router::resume(&options, state, journal, now) {
             Ok((router, actions)) => {
                 let resumed = Some(ResumedParts { backoffs, drained, parts });
                 return Ok(OpenedRouter { router, actions, resumed });
@@ -168,8 +175,7 @@
         }
     }
     let journal = open_journal(config, gate)?;
-    let (router, actions) =
-        Router::open_with(&config.env, limits, config.seed, config.known.clone(), journal, config.disk, now)?;
+    let (router, actions) = Router::open(&options, config.known.clone(), journal, now)?;
     Ok(OpenedRouter { router, actions, resumed: None })
 }
 
--- a/courier/program/src/transport/courier.rs
+++ b/courier/program/src/transport/courier.rs
@@ -24,8 +24,8 @@
 use quillmount_core::hub::{self, DriverAction, Hub};
 use quillmount_core::journal::{End, JournalEntry, JournalError, JournalRecord, Settlements, Source};
 use quillmount_core::note::{Level, Note};
-use quillmount_core::pool::Pool;
-use quillmount_core::router::{Intake, Router, RouterAction, UnknownId};
+use quillmount_core::pool::{DetachedConnection, EndpointBackoff, Pool};
+use quillmount_core::router::{Intake, Router, RouterAction, RouterLoad, UnknownId};
 use quillmount_core::{CallId, Ending, EndpointList, Notice, Submission};
 use quillmount_policy::{Micros, MsgId};
 use std::cell::{OnceCell, RefCell};
@@ -193,8 +193,9 @@
     pub fn frozen(&self, settings: u32) -> (hub::HubState, Parts<TcpStream>) {
         let mut parts = self.handle.take_parts();
         let resting = self.handle.pool(Pool::take_all_idle);
-        parts.extend(resting.into_iter().map(|(endpoint, addr, since, conn)| {
-            (HandoverPart::IdleConnection { endpoint, addr, since }, conn.into_stream())
+        parts.extend(resting.into_iter().map(|idle| {
+            let DetachedConnection { endpoint, addr, idle_since: since, connection } = idle;
+            (HandoverPart::IdleConnection { endpoint, addr, since }, connection.into_stream())
         }));
         (self.handle.hub.borrow().state(settings), parts)
     }
@@ -205,7 +206,7 @@
     }
 
     /// Carries out the first actions of a state that another process had.
-    pub fn resume(self: &Rc<Self>, backoffs: &[(u32, Micros)], first: Vec<RouterAction>) {
+    pub fn resume(self: &Rc<Self>, backoffs: &[EndpointBackoff], first: Vec<RouterAction>) {
         let actions = self.handle.hub.borrow_mut().resume(backoffs, first, self.clock.now());
         self.carry_out(actions);
     }
@@ -331,14 +332,15 @@
 
     /// Whether any call is in flight.
     pub fn has_calls_out(&self) -> bool {
-        self.handle.hub.borrow().router.load().1 > 0
+        self.handle.hub.borrow().router.load().in_flight > 0
     }
 
     /// The counters, as one line for the log.
     pub fn report(&self) -> String {
         let router = &self.handle.hub.borrow().router;
-        let (owed, out) = router.load();
-        let own = format!("{} owed={owed} calls_out={out} journal_bytes={}", router.counters, router.disk());
+        let RouterLoad { owed, in_flight } = router.load();
+        let own =
+            format!("{} owed={owed} calls_out={in_flight} journal_bytes={}", router.counters, router.disk());
         match &self.gate {
             Some(gate) => format!("{own} {}", gate.report()),
             None => own,
--- a/tools/explore/src/streams.rs
+++ b/tools/explore/src/streams.rs
@@ -11,7 +11,7 @@
 use quillmount_core::hub::{DriverAction, Hub};
 use quillmount_core::machine::attempt::{AttemptInput, AttemptState};
 use quillmount_core::pool::Pool;
-use quillmount_core::router::{Intake, Router, StreamEnd, StreamLimits};
+use quillmount_core::router::{Intake, Router, RouterLoad, RouterOptions, StreamEnd, StreamLimits};
 use quillmount_core::store::Memory;
 use quillmount_core::{CallEnd, CallId, Ending, EndpointList, EndpointListing, Notice, Submission};
 use quillmount_policy::{EndpointState, Micros, MsgId};
@@ -228,8 +228,8 @@
     };
     let list = EndpointList { version: 1, full: true, endpoints: vec![endpoint] };
     let limits = Some(StreamLimits { most: 2, share_of_slots: 0.5, share_of_window: 0.5 });
-    let (router, steps) =
-        Router::open_with(&env, limits, 1, list.clone(), store, 3_000_000, now).map_err(|e| e.to_string())?;
+    let options = RouterOptions { settings: &env, streams: limits, seed: 1, journal_limit: 3_000_000 };
+    let (router, steps) = Router::open(&options, list.clone(), store, now).map_err(|e| e.to_string())?;
     let mut hub = Hub::new(router, Pool::new(15_000_000, 100));
     let mut todo = hub.carry_out(steps, now);
     todo.extend(hub.list(list, now));
@@ -741,8 +741,8 @@
     }
 
     fn check_quiescent(&self) -> Result<(), Violation> {
-        let (owed, outstanding) = self.hub.router.load();
-        let (calls, _) = self.hub.pool.load();
+        let RouterLoad { owed, in_flight: outstanding } = self.hub.router.load();
+        let calls = self.hub.pool.load().calls;
         match (owed, outstanding, calls, self.bodies.iter().all(|body| body.ends.len() == 1)) {
             (0, 0, 0, true) => Ok(()),
             left => violated(Property::Liveness, format!("owed, out, in the pool, one end each: {left:?}")),
--- a/tools/explore/src/world/actions.rs
+++ b/tools/explore/src/world/actions.rs
@@ -267,8 +267,8 @@
 
     fn idle_connection_actions(&self, actions: &mut Vec<Action>) {
         if self.allows(FaultKind::Idle) {
-            let idle = self.hub.pool.idle().filter(|(_, connection, _)| !self.closed.contains(connection));
-            let endpoints: BTreeSet<u32> = idle.map(|(endpoint, ..)| endpoint).collect();
+            let idle = self.hub.pool.idle().filter(|idle| !self.closed.contains(idle.connection));
+            let endpoints: BTreeSet<u32> = idle.map(|idle| idle.endpoint).collect();
             actions.extend(endpoints.into_iter().map(Action::IdleClosed));
         }
     }
--- a/tools/explore/src/world/calls.rs
+++ b/tools/explore/src/world/calls.rs
@@ -123,15 +123,17 @@
 
     /// The endpoint closes the first of its idle connections that it has not closed yet.
     pub(super) fn close_idle(&mut self, endpoint: u32) -> Result<(), Violation> {
-        let is_open = |of: u32, connection: &u32| of == endpoint && !self.closed.contains(connection);
-        let first = self.hub.pool.idle().find(|(of, connection, _)| is_open(*of, connection));
-        self.closed.extend(first.map(|(_, connection, _)| *connection));
+        let mut idle = self.hub.pool.idle();
+        let first = idle.find(|idle| idle.endpoint == endpoint && !self.closed.contains(idle.connection));
+        let first = first.map(|idle| *idle.connection);
+        drop(idle);
+        self.closed.extend(first);
         Ok(())
     }
 
     /// Forgets marks of connections that no longer exist.
     pub(super) fn retain_live_connections(&mut self) {
-        let resting: BTreeSet<u32> = self.hub.pool.idle().map(|(_, c, _)| *c).collect();
+        let resting: BTreeSet<u32> = self.hub.pool.idle().map(|idle| *idle.connection).collect();
         self.closed.retain(|c| resting.contains(c));
         self.unusable
             .retain(|c| resting.contains(c) || self.calls.values().any(|o| o.call.connection() == Some(c)));
--- a/tools/explore/src/world/hash.rs
+++ b/tools/explore/src/world/hash.rs
@@ -5,6 +5,7 @@
 use crate::world::state::{OutstandingCall, ProcessState, World};
 use quillmount_core::machine::attempt::AttemptState;
 use quillmount_core::machine::watch::WatchState;
+use quillmount_core::pool::IdleView;
 use quillmount_policy::{Micros, StateVisitor};
 
 impl World {
@@ -79,13 +80,13 @@
 
     /// Gates and idle connections.
     fn hash_pool(&self, hasher: &mut Fingerprint) {
-        for (n, open, paused_until) in self.hub.pool.gates() {
-            hasher.hash(&(n, open));
-            hasher.visit_time(paused_until.max(self.now));
+        for gate in self.hub.pool.gates() {
+            hasher.hash(&(gate.endpoint, gate.open));
+            hasher.visit_time(gate.backoff_until.max(self.now));
         }
-        for (n, c, since) in self.hub.pool.idle() {
-            hasher.hash(&(n, self.closed.contains(c), self.unusable.contains(c)));
-            hasher.visit_time(since);
+        for IdleView { endpoint, connection, idle_since } in self.hub.pool.idle() {
+            hasher.hash(&(endpoint, self.closed.contains(connection), self.unusable.contains(connection)));
+            hasher.visit_time(idle_since);
         }
     }
 
--- a/tools/explore/src/world/invariants.rs
+++ b/tools/explore/src/world/invariants.rs
@@ -3,6 +3,7 @@
 use crate::monitor::{Acceptance, Property, Violation, violated};
 use crate::world::state::World;
 use quillmount_core::machine::attempt::AttemptState;
+use quillmount_core::router::RouterLoad;
 
 impl World {
     /// Properties of every state, beyond what the monitor sees from outside.
@@ -14,7 +15,7 @@
         if pending > self.case.open_cap as usize {
             return violated(Property::Unchanged, format!("{pending} messages are held"));
         }
-        let (calls, _) = self.hub.pool.load();
+        let calls = self.hub.pool.load().calls;
         let counted = self
             .calls
             .values()
@@ -31,13 +32,13 @@
     /// # Errors
     /// Something is left.
     pub fn check_quiescent(&self) -> Result<(), Violation> {
-        let (owed, out) = self.hub.router.load();
+        let RouterLoad { owed, in_flight: out } = self.hub.router.load();
         let open =
             self.monitor.messages.iter().position(|m| m.acceptance == Acceptance::Heard && !m.is_final());
         if let Some(n) = open {
             return violated(Property::Liveness, format!("m{n} has no end, and nothing can happen any more"));
         }
-        let (calls, _) = self.hub.pool.load();
+        let calls = self.hub.pool.load().calls;
         let left = [("owed", owed), ("calls", out), ("attempts", self.calls.len()), ("pool", calls)];
         match left.into_iter().find(|(_, n)| *n > 0) {
             Some((what, n)) => {
--- a/tools/explore/src/world/process.rs
+++ b/tools/explore/src/world/process.rs
@@ -10,7 +10,7 @@
 use quillmount_core::machine::notices::Notices;
 use quillmount_core::machine::watch::{Watch, WatchInput};
 use quillmount_core::pool::Pool;
-use quillmount_core::router::{Router, RouterAction};
+use quillmount_core::router::{Router, RouterAction, RouterOptions};
 use quillmount_core::store::Memory;
 use quillmount_policy::{EndpointState, Micros};
 use std::collections::{BTreeMap, BTreeSet};
@@ -145,7 +145,7 @@
 /// Opens a router on the store.
 fn restore(case: &Case, store: Memory, known: EndpointList, now: Micros) -> Result<Restored, String> {
     let env = case.env().map_err(|e| e.to_string())?;
-    let (router, steps) =
-        Router::open(&env, case.seed, known, store, DISK_BYTES, now).map_err(|e| e.to_string())?;
+    let options = RouterOptions { settings: &env, streams: None, seed: case.seed, journal_limit: DISK_BYTES };
+    let (router, steps) = Router::open(&options, known, store, now).map_err(|e| e.to_string())?;
     Ok((Hub::new(router, Pool::new(15_000_000, 100)), steps))
 }
--- a/tools/explore/src/world/time.rs
+++ b/tools/explore/src/world/time.rs
@@ -55,9 +55,9 @@
                 points.extend(m.first_possible_run().map(|s| s.first + self.case.span()));
             }
         }
-        let owed = self.hub.router.load().0 > 0;
+        let owed = self.hub.router.load().owed > 0;
         if owed || self.monitor.messages.len() < self.case.messages as usize {
-            points.extend(self.hub.pool.gates().into_iter().map(|(.., paused_until)| paused_until));
+            points.extend(self.hub.pool.gates().into_iter().map(|gate| gate.backoff_until));
             points.extend(self.monitor.drains.values().map(|announced_at| announced_at + DRAIN_GRACE));
         }
     }
