--- a/courier/policy/examples/waiting_messages.rs
+++ b/courier/policy/examples/waiting_messages.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// Messages come to a destination whose calls all time out, and as many are ended.
+/// Messages are submitted for a destination whose calls all time out, and as many messages end.
 fn cost(held: u64, mut decide: impl FnMut(Micros, &[DispatchEvent]) -> Vec<DispatchAction>) -> f64 {
     let entries = (0..20).map(|n| EndpointEntry {
         endpoint: n,
--- a/courier/policy/src/actions.rs
+++ b/courier/policy/src/actions.rs
@@ -21,21 +21,21 @@
     Send {
         /// The message.
         msg: MsgId,
-        /// Where to.
+        /// The endpoint to call.
         endpoint: EndpointId,
-        /// How long to wait for the answer.
+        /// How long to wait for the answer, microseconds.
         timeout: Micros,
-        /// No byte of it may leave from then on: a repeat would not be dropped any more. The clock's end where nothing
-        /// sets such a time.
+        /// No byte of it may be sent from this time on, since the receiver would no longer drop a repeat;
+        /// [`Micros::MAX`] where there is no such time.
         send_before: Micros,
-        /// It travels in the call of the `Send` before it, to the same endpoint.
+        /// It belongs to the same call as the `Send` before it, to the same endpoint.
         joins_previous: bool,
     },
-    /// End the message as not accepted; submitting it once more does no harm.
+    /// End the message as not accepted; it may safely be submitted again.
     Reject {
         /// The message.
         msg: MsgId,
-        /// Advice when to submit it once more, from now on (0: none).
+        /// Advice when to submit it again, from now on, microseconds; 0: no advice.
         after: Micros,
     },
     /// End the message as failed; nothing is promised about its effect.
@@ -57,11 +57,11 @@
     },
     /// Subscribe to the endpoint list.
     Subscribe,
-    /// A line for the on-call log.
+    /// A line for the log.
     Log(String),
-    /// Set the timer, beside those that are set already.
+    /// Set the timer, in addition to those already set.
     Timer {
-        /// From now on.
+        /// Delay from now on, microseconds.
         after: Micros,
         /// Returned when it fires; always 0 at present.
         tag: u64,
@@ -126,12 +126,12 @@
 pub struct RouteView {
     /// Smoothed latency CAL, microseconds; `None` before the first sample.
     pub smoothed_latency: Option<f64>,
-    /// Calls that may be in flight at once; below one it sets a pace.
+    /// Calls that may be in flight at once; below one it limits the rate of calls.
     pub window: f64,
     /// Latency above which the window shrinks, microseconds.
     pub threshold: f64,
     /// Calls in flight that count in the window.
     pub in_flight: u32,
-    /// It is taken to be down.
+    /// It is considered down.
     pub in_outage: bool,
 }
--- a/courier/policy/src/dispatcher.rs
+++ b/courier/policy/src/dispatcher.rs
@@ -9,11 +9,11 @@
 //! | [`retry`] | whether a message may be sent once more and where to, and the back-off |
 //! | [`window`], [`pacing`], [`slow_start`] | when a route may take a call |
 //! | [`choice`], [`send`], [`dispatch`] | which message goes next and to which endpoint, the call and its time-out |
-//! | [`outcomes`], [`connections`], [`health`] | what is learned from the end of a call |
+//! | [`outcomes`], [`connections`], [`health`] | what the end of a call changes |
 //! | [`visit`] | shows the state, for explorations and on-call staff |
 //!
 //! A route (a destination or, where its kind has separate routes, one of its endpoints) has a smoothed latency CAL and a
-//! window of calls, after Gulati and Ahmad; DEPARTURE marks what departs from them (`docs/design.md`).
+//! window of calls, after Gulati and Ahmad; DEPARTURE marks where the code departs from them (`docs/design.md`).
 
 mod choice;
 mod connections;
@@ -50,7 +50,7 @@
 use std::sync::Arc;
 use time::{NEVER, SECOND};
 
-/// The least time-out, as a part of the shortest deduplication span: leaves time for a retry.
+/// The least time-out, as a fraction of the shortest deduplication span: leaves time for a retry.
 const MIN_TIMEOUT_SHARE: f64 = 2.0 / 3.0;
 /// Deduplication span that stands for the shortest one where no class has any, microseconds.
 const DEFAULT_DEDUPLICATION_SPAN: Micros = 5 * SECOND;
@@ -113,7 +113,7 @@
             DispatchEvent::Completed(completion) => self.on_completed(completion),
             DispatchEvent::Written { msg, attempt } => self.on_written(*msg, *attempt),
             DispatchEvent::Hangup { msg } => self.finish(*msg),
-            // A timer only wakes; no probe is ever sent, no note of a peer is used, and headers decide nothing.
+            // A timer only triggers the step; health checks are never requested, and nothing depends on peers or headers.
             DispatchEvent::Timer { .. }
             | DispatchEvent::ProbeCompleted { .. }
             | DispatchEvent::Peer { .. }
@@ -121,7 +121,7 @@
         }
     }
 
-    /// A random factor around 1 for pauses.
+    /// A random factor around 1 for back-offs.
     fn jitter(&mut self) -> f64 {
         1.0 + JITTER * (2.0 * random_unit(&mut self.rng_state) - 1.0)
     }
--- a/courier/policy/src/dispatcher/choice.rs
+++ b/courier/policy/src/dispatcher/choice.rs
@@ -1,4 +1,4 @@
-//! Which message goes next on a route, and to which of its endpoints.
+//! Which message is sent next on a route, and to which of its endpoints.
 
 use super::message::{PendingMessage, ValueGroup};
 use super::route::Endpoint;
@@ -13,7 +13,7 @@
 const NEW_CONNECTION_COST: f64 = 0.5;
 /// Cost of crossing a zone, in calls in flight.
 const ZONE_CROSSING_COST: f64 = 0.75;
-/// Weight of a message's present value against what waiting would lose.
+/// Weight of a message's present value against the loss by waiting.
 const PRESENT_VALUE_WEIGHT: f64 = 0.25;
 /// How long a call is likely to occupy its slot where nothing is known, microseconds.
 const UNKNOWN_SLOT_TIME: f64 = 0.25 * SECOND as f64;
@@ -28,7 +28,7 @@
 /// A message that may be sent now, and where it would go.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
-    /// Value won for each microsecond of the slot.
+    /// Value gained for each microsecond of the slot.
     pub(super) merit: f64,
     pub(super) message: MsgId,
     pub(super) to: RankedEndpoint,
@@ -62,8 +62,8 @@
         best
     }
 
-    /// The message of a route with the most to be won now, and where it goes. One that is bound to a zone, waits for its
-    /// key's order or may not be sent never blocks the others. `call_endpoint`: it joins a call to that endpoint.
+    /// The message of a route with the greatest gain now, and its endpoint. One that is bound to a zone, waits for its key's
+    /// order or may not be sent never blocks the others. `call_endpoint`: it joins a call to that endpoint.
     pub(super) fn best_message(
         &self,
         route: usize,
@@ -80,7 +80,7 @@
             Some(endpoint) => RankedEndpoint { cost: 0.0, endpoint },
             None => self.choose_endpoint(route, None)?,
         };
-        // One with less time left than calls there may take would cut the others' short, and goes alone.
+        // A message with less time left than calls there may take would shorten the others' time-out, and is sent alone.
         let min_deadline =
             if call_endpoint.is_some() { self.now + chosen.call_timeout(self.min_timeout) } else { 0 };
         let slot_time = self.expected_slot_time(route);
@@ -128,7 +128,7 @@
         }
     }
 
-    /// What is won for each microsecond of the slot if the message is answered then, not a horizon later.
+    /// The value gained for each microsecond of the slot if the message is answered then rather than a horizon later.
     fn merit(&self, message: &PendingMessage, answer_at: Micros, slot_time: f64) -> f64 {
         let value = self.value_at(message, answer_at);
         (PRESENT_VALUE_WEIGHT * value + value - self.value_at(message, answer_at + HORIZON)) / slot_time
@@ -148,8 +148,8 @@
         }
     }
 
-    /// Whether one more stream may begin: streams have a stated part of the slots and of a destination's window. None is
-    /// a trial, as the end of an outage would show only with its last byte.
+    /// Whether one more stream may begin: streams have a configured share of the slots and of a destination's window. No
+    /// stream is a trial call, since it would reveal the end of an outage only with its last byte.
     fn may_start_stream(&self, route: usize) -> bool {
         let all_streams = self.routes.iter().map(|route| route.open_streams).sum::<u32>();
         let route = &self.routes[route];
@@ -159,7 +159,7 @@
         !route.in_outage && (has_capacity || breaks::is_enabled(Break::IgnoreStreamShare))
     }
 
-    /// The listed endpoint of a route, in `zone` if one is given, that costs least.
+    /// The listed endpoint of a route, in `zone` if one is given, with the least cost.
     fn choose_endpoint(&self, route: usize, zone: Option<u32>) -> Option<RankedEndpoint> {
         let endpoints = self.routes[route].endpoints.iter().map(|id| (*id, &self.endpoints[id]));
         let usable = endpoints
--- a/courier/policy/src/dispatcher/connections.rs
+++ b/courier/policy/src/dispatcher/connections.rs
@@ -1,4 +1,4 @@
-//! What the end of a call says of an endpoint's connections: which idle ones to close, and where connections are scarce.
+//! What the end of a call says about an endpoint's connections: which idle ones to close, and where connections are scarce.
 
 use super::state::{ConnectRefusal, Dispatcher};
 use super::time::SECOND;
@@ -7,17 +7,17 @@
 use crate::ids::{EndpointId, Micros};
 use std::ops::RangeInclusive;
 
-/// A connect that fails within this met a full table, not an endpoint that is down, microseconds.
+/// A connect that fails within this was refused by a full table rather than by an endpoint that is down, microseconds.
 const QUICK_CONNECT_FAILURE: Micros = SECOND / 2;
 /// Two such failures within this, at two destinations or with an answer between, mean full tables, microseconds.
 const CONNECT_REFUSAL_SPAN: Micros = 10 * SECOND;
-/// How long after that connections are taken to be scarce there, microseconds.
+/// How long after that connections are considered scarce there, microseconds.
 const CONNECTIONS_SCARCE_SPAN: Micros = 10 * SECOND;
 
 impl Dispatcher {
-    /// Closes what is idle where a connect failed quickly or an idle connection was reset: an endpoint that went down
-    /// took all of them along. One that refuses connections, yet answers on those it has, holds as many as it can:
-    /// there each is closed after its call for a while. Takes the rate from the answer's load report.
+    /// Closes idle connections where a connect failed quickly or an idle connection was reset: an endpoint that went down
+    /// has lost all of them. An endpoint that refuses connections, yet answers on those it has, has a full table: for a
+    /// while each connection there is closed after its call. Takes the rate from the answer's load report.
     pub(super) fn update_connections(
         &mut self,
         id: EndpointId,
@@ -59,8 +59,8 @@
         }
     }
 
-    /// A connect failed quickly. After one at another destination the sender's own table is taken to be full (where
-    /// routes are sparsely served), after one at this endpoint with an answer between the endpoint's.
+    /// A connect failed quickly. After such a failure at another destination the sender's own table is considered full (where
+    /// routes are sparsely served); after one at this endpoint, with an answer in between, the endpoint's table is.
     fn note_connect_refusal(&mut self, id: EndpointId, sparsely_served: bool) {
         let now = self.now;
         let previous = self.last_connect_refusal;
--- a/courier/policy/src/dispatcher/dispatch.rs
+++ b/courier/policy/src/dispatcher/dispatch.rs
@@ -1,4 +1,4 @@
-//! Fills the free slots with calls, and gives up a call where slots are short.
+//! Fills the free slots with calls, and cancels a call where slots are scarce.
 
 use super::choice::Candidate;
 use super::message::{Attempt, CallInFlight};
@@ -12,19 +12,20 @@
 use crate::settings::Effect;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Bounds on a call's age when it gives up its slot, slots being short, microseconds: hung calls fill all.
+/// Bounds on the age at which a call is cancelled for its slot when slots are scarce, microseconds: calls that hang would
+/// otherwise occupy all slots.
 const RECLAIM_AGE_MIN: f64 = 0.3 * 1e6;
 const RECLAIM_AGE_MAX: f64 = 4.0 * 1e6;
 
 impl Dispatcher {
-    /// Fills free slots, the most to be won for the slot's time first. Returns when to look for calls once more.
+    /// Fills free slots, the greatest gain for the slot's time first. Returns when to look for calls again.
     pub(super) fn dispatch(&mut self) -> Micros {
         let mut wake = NEVER;
         let mut candidates: BTreeMap<DestId, Candidate> = BTreeMap::new();
         self.ready_destinations.extend(self.blocked_destinations.due_by(self.now));
         let ready =
             if self.has_free_slot() { std::mem::take(&mut self.ready_destinations) } else { BTreeSet::new() };
-        // Collected, as considering a destination changes the state.
+        // Collected, since considering a destination changes the state.
         let ready: Vec<DestId> =
             ready.into_iter().filter(|dest| self.waiting_destinations.contains(dest)).collect();
         for dest in ready {
@@ -52,8 +53,8 @@
         (self.calls_in_flight.len() as u32) < slots
     }
 
-    /// The best message for a destination. Where there is none, records when time may change that; under the guard it
-    /// may at any moment.
+    /// The best message for a destination. If there is none, records when that may change without an event; under the guard
+    /// it may change at any time.
     fn consider(&mut self, dest: DestId, wake: &mut Micros) -> Option<Candidate> {
         let mut own_wake = NEVER;
         let best = self.best_for_destination(dest, &mut own_wake);
@@ -68,9 +69,9 @@
         best
     }
 
-    /// Cancels the call that is longest overdue, if other destinations could send. Returns when to check once more.
+    /// Cancels the call that is longest overdue, if other destinations could send. Returns when to check again.
     ///
-    /// DEPARTURE: guards against silent destinations that occupy every slot; it may end a call that was only slow.
+    /// DEPARTURE: protects against silent destinations that occupy every slot; it may cancel a call that was only slow.
     fn reclaim_slot(&mut self) -> Micros {
         let calls = self.calls_in_flight.iter().filter_map(|(number, call)| {
             let attempt = self.messages[call.pending.first()?].attempts.last()?;
@@ -100,7 +101,7 @@
         NEVER
     }
 
-    /// When a call may be made to give up its slot: later if a message of it is not idempotent.
+    /// When a call may be cancelled for its slot: later if one of its messages is not idempotent.
     fn reclaim_at(&self, call: &CallInFlight, attempt: &Attempt) -> Micros {
         let latency = self.routes[attempt.route].answered_latency;
         let age_limit = (TIMEOUT_LATENCIES * latency).clamp(RECLAIM_AGE_MIN, RECLAIM_AGE_MAX);
--- a/courier/policy/src/dispatcher/endpoint_list.rs
+++ b/courier/policy/src/dispatcher/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: which endpoints, routes and destinations there are, and when to subscribe to it once more.
+//! The endpoint list: which endpoints, routes and destinations there are, and when to subscribe to it again.
 
 use super::route::{Endpoint, Route};
 use super::state::Dispatcher;
@@ -8,13 +8,13 @@
 use crate::events::{EndpointEntry, EndpointState, ListUpdate};
 use crate::ids::Micros;
 
-/// First pause before subscribing to a list service that failed, microseconds; it doubles with each failure.
+/// First back-off before subscribing again after discovery failed, microseconds; it doubles with each failure.
 pub const RESUBSCRIBE_FIRST: Micros = SECOND / 2;
-/// Longest such pause, microseconds.
+/// Longest such back-off, microseconds.
 const RESUBSCRIBE_MAX: Micros = 4 * SECOND;
 
 impl Dispatcher {
-    /// Takes in a list of endpoints, a change to it, or its failure.
+    /// Applies a list of endpoints, a change to it, or its failure.
     pub(super) fn on_list(&mut self, kind: ListUpdate, entries: &[EndpointEntry]) {
         if kind == ListUpdate::Failed {
             self.schedule_resubscription();
@@ -29,7 +29,7 @@
         for entry in entries {
             self.apply_entry(entry);
         }
-        // DEPARTURE: one that operators put back counts as back from an outage, though no failure was seen.
+        // DEPARTURE: one that operators enable again counts as returning from an outage, though no failure was seen.
         for entry in entries.iter().filter(|entry| entry.returning && entry.state == EndpointState::Ready) {
             self.note_failure_seen(self.endpoints[&entry.endpoint].route, true);
         }
--- a/courier/policy/src/dispatcher/expiry.rs
+++ b/courier/policy/src/dispatcher/expiry.rs
@@ -12,10 +12,10 @@
 use std::collections::BTreeSet;
 
 /// A message ends this long before its deadline, microseconds: a fiftieth of its time, within these bounds. A notice that
-/// is not confirmed is sent once more after 0.3 s, and would come too late by then.
+/// is not confirmed is sent again after 0.3 s, which would otherwise be too late.
 const EXPIRY_LEAD_MAX: Micros = 150_000;
 const EXPIRY_LEAD_MIN: Micros = 10_000;
-/// The part of a message's time that is its lead.
+/// The fraction of a message's time by which it ends early.
 const EXPIRY_LEAD_DIVISOR: Micros = 50;
 /// How late the deliberate break `AnswerLate` ends a message, microseconds after its deadline.
 const BREAK_LATENESS: Micros = 400_000;
@@ -38,8 +38,8 @@
         self.next_expiry_check
     }
 
-    /// Ends a message that was not delivered: rejects it where that is harmless, else fails it. `after`: the advice when
-    /// to submit it once more.
+    /// Ends a message that was not delivered: rejects it if it may safely be submitted again, otherwise fails it. `after`:
+    /// the advice when to submit it again.
     pub(super) fn end_unserved(&mut self, id: MsgId, after: Micros) {
         let after = if self.settings.retry_after { after.min(self.settings.max_retry_after) } else { 0 };
         self.actions.push(if self.may_reject(&self.messages[&id]) {
@@ -62,8 +62,8 @@
         } else {
             message.deadline.saturating_sub(lead)
         };
-        // A turn that comes too late is none: other senders, which may have seen no failure, may still deliver the
-        // message. One that was missed is looked for anew. A restored message without an attempt is not ended for this.
+        // A turn that is too late counts as none: other senders, which may have seen no failure, may still deliver the
+        // message. A missed turn is computed again. A restored message without an attempt is not ended for this.
         let last = match turn {
             turn if turn == 0 || message.restored && message.attempts.is_empty() => last,
             turn if turn < last => last.min(turn + self.settings.overload_span / TURN_GAP_DIVISOR),
@@ -81,7 +81,7 @@
         }
     }
 
-    /// When a waiting message, behind `before` others, may have its turn on the route that lets it go first; 0 where it
+    /// When a waiting message, behind `before` others, may have its turn on the route with the earliest one; 0 where it
     /// need not wait for a turn. Only sparsely served routes count.
     pub(super) fn expected_turn(&self, message: &PendingMessage, before: u64) -> Micros {
         let Some(destination) = self.destinations.get(&message.dest) else {
--- a/courier/policy/src/dispatcher/health.rs
+++ b/courier/policy/src/dispatcher/health.rs
@@ -1,4 +1,4 @@
-//! What the outcome of a call says of its route: latency and window, back-off, outages and the slow-start guard.
+//! What the outcome of a call changes in its route: latency and window, back-off, outages and the slow-start guard.
 
 use super::message::Attempt;
 use super::pacing::{CALLS_AHEAD, PACE_INTERVAL_MAX};
@@ -11,35 +11,36 @@
 use crate::events::{Completion, Outcome};
 use crate::ids::{EndpointId, Micros};
 
-/// What a refusal as full, or a repeated failure, leaves of the window: the design's half.
+/// The factor by which a refusal as full, or a repeated failure, shrinks the window: the design's value.
 const WINDOW_SHRINK: f64 = 0.5;
-/// Refusals this soon after a shrink come of the same used-up span, microseconds.
+/// Refusals this soon after a shrink are due to the same exhausted span of the limit, microseconds.
 const SHRINK_INTERVAL: Micros = SECOND;
-/// Least window of a route that is paced by a known rate: a rate half too high, of a limit cut to a fifth.
+/// Least window of a route that is paced by a known rate: covers a rate that is half too high, of a limit that was reduced
+/// to a fifth.
 const PACED_WINDOW_MIN: f64 = 0.125;
-/// Failures in a row that make an outage: errors seldom come in pairs. Two time-outs already bind the guard.
+/// Failures in a row that mean an outage: errors seldom come in pairs. Two time-outs already activate the guard.
 const OUTAGE_FAILURES: u32 = 3;
-/// Failures among the last eight calls that make an outage.
+/// Failures among the last eight calls that mean an outage.
 const OUTAGE_RECENT_FAILURES: u32 = 6;
 /// More failures than this among the last eight calls halve the cap of the window.
 const HALF_CAP_RECENT_FAILURES: u32 = 4;
-/// Errors among the last eight calls of an endpoint that fails a part of them: only the guard binds. In the background
-/// one call in a hundred fails.
+/// Errors among the last eight calls that activate the guard without an outage: the endpoint fails a fraction of its
+/// calls. Normally one call in a hundred fails.
 const GUARD_ERRORS: u32 = 3;
-/// Refusals for so long (microseconds), or a longer wait that the receiver asks for, make an outage too: a limit's span
-/// is two seconds at most.
+/// Refusals for this long, or a longer wait that the receiver asks for, mean an outage too, microseconds: a limit's span is
+/// two seconds at most.
 const OUTAGE_REFUSAL_SPAN: Micros = 5 * SECOND / 2;
-/// A rest over the time for which the route has failed.
+/// The proportional back-off, as a multiple of the time for which the route has failed.
 const FAILED_TIME_FACTOR: f64 = 2.0;
-/// A rest over the time that the call took to fail: slow failures come of an outage.
+/// The proportional back-off, as a multiple of the time that the call took to fail: slow failures indicate an outage.
 const SLOW_FAILURE_FACTOR: f64 = 6.0;
-/// The first rest over the time between two turns of the sender.
-const FIRST_REST_SHARE: f64 = 0.1;
-/// Spread of rests: the messages of a burst fail together.
-const REST_JITTER: f64 = 0.8;
-/// Spread of pauses, so that senders do not fall into step.
+/// The first proportional back-off, as a fraction of the time between two turns of the sender.
+const FIRST_BACKOFF_SHARE: f64 = 0.1;
+/// Jitter of the proportional back-off: the messages of a burst fail together.
+const PROPORTIONAL_JITTER: f64 = 0.8;
+/// Jitter of back-offs, so that senders do not synchronise.
 pub const JITTER: f64 = 0.2;
-/// Less than this of an allowance left, as reported late, is none: calls were counted a moment ago.
+/// An allowance of which less than this is reported as left counts as used up, since the report is a little late.
 const ALLOWANCE_USED_UP: f64 = 0.75;
 
 /// The outcome of a call, with what was known of its route before it counted.
@@ -53,14 +54,14 @@
     elapsed: f64,
     /// How long the receiver asked to wait; 0 for no such request.
     wait: Micros,
-    /// It is a stream whose last byte was not written: its duration is no latency.
+    /// It is a stream whose last byte was not written, so its duration is not a latency.
     streaming: bool,
-    /// Random factor for pauses.
+    /// Random factor for back-offs.
     jitter: f64,
     sparsely_served: bool,
     /// Time between two turns of this sender, microseconds.
     turn_cycle: f64,
-    /// As of [`Dispatcher::paced_interval`], if the window shrinks now.
+    /// The result of [`Dispatcher::paced_interval`], if the window shrinks now.
     paced_interval: Option<f64>,
     /// A refusal whose load report shows a used-up allowance: a limit, not an outage.
     allowance_used_up: bool,
@@ -95,7 +96,7 @@
         CallResult {
             endpoint: attempt.endpoint,
             route,
-            // Only calls long overdue are cancelled.
+            // Only calls that are long overdue are cancelled.
             outcome: match completion.outcome {
                 Outcome::Cancelled => Outcome::Timeout,
                 outcome => outcome,
@@ -142,52 +143,52 @@
         route.guard_until = route.guard_until.min(self.now + self.settings.slow_start + last_span);
     }
 
-    /// Shrinks the window and sets the pause before the next call.
+    /// Shrinks the window and sets the back-off before the next call.
     ///
-    /// DEPARTURE: a used-up span or a receiver that is down is tried once more after a growing pause; one failure among
-    /// successes is not. Harmful where one call in many is refused at random.
+    /// DEPARTURE: a receiver whose limit is exhausted or that is down is retried after a growing back-off; a single failure
+    /// among successes causes none. This is a disadvantage where one call in many is refused at random.
     fn back_off(&mut self, result: &CallResult) {
         let now = self.now;
         let route = &mut self.routes[result.route];
         let in_row = route.failures_in_row + route.refusals_in_row;
         let is_repeated = route.refusals_in_row > 0 || in_row > 1;
         let delay = if is_repeated { backoff(in_row - 1, result.jitter) } else { 0 };
-        // Once a span, and once for calls that were in flight together: they all say the same.
+        // Once in a span, and once for calls that were in flight together: they all give the same information.
         if is_repeated && result.sent >= route.last_shrink && now >= route.last_shrink + SHRINK_INTERVAL {
             route.window *= WINDOW_SHRINK;
             route.last_shrink = now;
         }
         route.first_failure_sent = route.first_failure_sent.min(result.sent);
-        let spread = 1.0 + REST_JITTER * (result.jitter - 1.0) / JITTER;
+        let spread = 1.0 + PROPORTIONAL_JITTER * (result.jitter - 1.0) / JITTER;
         let paced_interval = result.paced_interval.filter(|_| result.outcome == Outcome::Full);
-        let rests = is_repeated
+        let is_proportional = is_repeated
             && result.turn_cycle > 2.0 * self.settings.overload_span as f64
             && (result.allowance_used_up || !result.sparsely_served)
             && paced_interval.is_none();
-        let rest = if rests { self.rest(result, spread) } else { 0 };
+        let proportional = if is_proportional { self.proportional_backoff(result, spread) } else { 0 };
         let route = &mut self.routes[result.route];
-        route.wait_until = route.wait_until.max(now + delay.max(rest));
+        route.wait_until = route.wait_until.max(now + delay.max(proportional));
         if let Some(interval) = paced_interval {
-            // Nothing is saved up any more: the next goes a whole gap later, each sender at its own time.
+            // No unused calls are carried over: the next one goes a full interval later, for each sender at its own time.
             let gap = interval / route.window.max(PACED_WINDOW_MIN) * (CALLS_AHEAD + spread);
             route.paced_at = route.paced_at.max(now + gap as Micros);
         }
     }
 
-    /// A pause in proportion to the time for which the route has failed.
+    /// A back-off in proportion to the time for which the route has failed, microseconds.
     ///
-    /// DEPARTURE: for where each call says little and many senders have messages waiting. Guards also a limit that
-    /// refused calls use up; it makes late what was waiting.
-    fn rest(&self, result: &CallResult, spread: f64) -> Micros {
+    /// DEPARTURE: for cases in which a single call gives little information and many senders have messages waiting. It also
+    /// protects a limit to which refused calls count. The cost is that waiting messages become late.
+    fn proportional_backoff(&self, result: &CallResult, spread: f64) -> Micros {
         let failed_for = (self.now - self.routes[result.route].first_failure_sent) as f64;
-        let first = (result.turn_cycle * FIRST_REST_SHARE)
+        let first = (result.turn_cycle * FIRST_BACKOFF_SHARE)
             .min(self.settings.slow_start as f64 / 2.0)
             .max(result.elapsed * SLOW_FAILURE_FACTOR);
-        let rest = first.max(failed_for * FAILED_TIME_FACTOR) * spread;
-        rest.min(result.turn_cycle) as Micros
+        let backoff = first.max(failed_for * FAILED_TIME_FACTOR) * spread;
+        backoff.min(result.turn_cycle) as Micros
     }
 
-    /// Whether the route is found to be down with this outcome.
+    /// Whether an outage of the route is detected with this outcome.
     fn detect_outage(&mut self, result: &CallResult) -> bool {
         let route = &mut self.routes[result.route];
         let mostly_fails =
@@ -220,7 +221,7 @@
         route.window = route.window.clamp(floor, top.max(1) as f64);
     }
 
-    /// Counts a failure for the guard, unless it comes of a limit.
+    /// Counts a failure for the guard, unless it is due to a limit.
     fn update_guard(&mut self, result: &CallResult, outage_begins: bool) {
         let route = &self.routes[result.route];
         let is_limit = result.allowance_used_up
--- a/courier/policy/src/dispatcher/key_order.rs
+++ b/courier/policy/src/dispatcher/key_order.rs
@@ -13,8 +13,8 @@
         }
     }
 
-    /// Whether the order of its key lets the message go now. The cooldown binds messages without an attempt; `wake` is
-    /// brought forward to its end.
+    /// Whether the order of its key allows the message to be sent now. The cooldown applies to messages without an attempt;
+    /// `wake` is brought forward to its end.
     pub(super) fn is_next_of_key(&self, id: MsgId, message: &PendingMessage, wake: &mut Micros) -> bool {
         let Some(queue) = message.key.and_then(|key| self.key_queues.get(&key)) else {
             return true;
@@ -35,7 +35,7 @@
         queue.cooldown_until = queue.cooldown_until.max(self.now + self.settings.key_cooldown);
     }
 
-    /// Takes a message out of its key's queue, which makes way for the next one.
+    /// Removes a message from its key's queue, so that the next one may be sent.
     pub(super) fn remove_from_key_queue(&mut self, key: Option<u64>, id: MsgId) {
         let Some(queue) = key.and_then(|key| self.key_queues.get_mut(&key)) else {
             return;
--- a/courier/policy/src/dispatcher/message.rs
+++ b/courier/policy/src/dispatcher/message.rs
@@ -22,11 +22,11 @@
 /// One attempt to deliver a message.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Attempt {
-    /// Endpoint it went to; [`EndpointId::MAX`] for an attempt of an earlier process.
+    /// Endpoint to which it was sent; [`EndpointId::MAX`] for an attempt of an earlier process.
     pub endpoint: EndpointId,
     /// Zone of that endpoint.
     pub zone: u32,
-    /// Route it took, an index of the dispatcher's routes; [`usize::MAX`] for an attempt of an earlier process.
+    /// Its route, an index of the dispatcher's routes; [`usize::MAX`] for an attempt of an earlier process.
     pub route: usize,
     /// Call that carried it.
     pub call: CallNumber,
@@ -81,7 +81,7 @@
     pub latency_target: Micros,
     /// Time of the clock by which it must have its result.
     pub deadline: Micros,
-    /// The client is still owed a result. A message that has one stays until its attempts have ended.
+    /// The client is still owed a result. A message that has one stays in the table until its attempts have ended.
     pub is_open: bool,
     /// It was accepted by an earlier process.
     pub restored: bool,
@@ -116,14 +116,14 @@
     pub timed_out: bool,
 }
 
-/// What messages have in common that may go to the same endpoints and whose value differs by their age alone.
+/// The common properties of messages that may go to the same endpoints and whose value differs by their age alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize, Serialize)]
 pub struct ValueGroup {
     /// Index of the class in the settings.
     pub class: usize,
     /// Bits of the value while on time, an `f64`.
     pub value_bits: u64,
-    /// Age up to which the value stays.
+    /// Age up to which they keep their full value.
     pub latency_target: Micros,
     /// Time from creation to deadline.
     pub lifetime: Micros,
--- a/courier/policy/src/dispatcher/outcomes.rs
+++ b/courier/policy/src/dispatcher/outcomes.rs
@@ -1,4 +1,4 @@
-//! The end of an attempt and of its call: what is learned from it, and what becomes of the message.
+//! The end of an attempt and of its call: the updates of the state, and what happens to the message.
 
 use super::message::{Attempt, Execution};
 use super::state::Dispatcher;
@@ -7,9 +7,9 @@
 use crate::ids::MsgId;
 use quillmount_containers::remove_timed;
 
-/// Whether an end of an attempt is the first, or the last, of its call's.
+/// Whether the end of an attempt is the first or the last one of its call.
 struct CallProgress {
-    /// It says something of the call that was not known yet.
+    /// It gives information about the call that was not known yet.
     is_first_result: bool,
     /// No other message of the call is without an outcome.
     is_last: bool,
@@ -18,8 +18,8 @@
 impl Dispatcher {
     /// The last byte of a stream was written: its latency counts from now on.
     ///
-    /// DEPARTURE: until then it occupies a slot but no part of the window. Counted from the first byte, a slow client's
-    /// backlog would be learned as the receiver's latency.
+    /// DEPARTURE: until then it occupies a slot but does not count in the window. Counted from the first byte, a slow
+    /// client would appear as latency of the receiver.
     pub(super) fn on_written(&mut self, id: MsgId, attempt: u32) {
         let message = self.messages.get_mut(&id);
         let attempt = message.and_then(|message| message.attempts.get_mut(attempt as usize));
@@ -51,11 +51,11 @@
             self.release_call(&attempt);
             self.update_connections(attempt.endpoint, completion, attempt.reused_connection);
         }
-        // What was sent before a call that succeeded says nothing new, nor does a stream that its client broke off.
+        // A call that was sent before one that succeeded gives no new information, nor does a stream that its client cut.
         let client_left = attempt.streams_body && completion.outcome == Outcome::Cancelled;
         if !is_stale && progress.is_first_result && !client_left {
             if attempt.reused_connection && completion.outcome == Outcome::Reset {
-                // It says nothing of the destination's health; but the rule counts it as a failure seen.
+                // It does not indicate the destination's health, but the rule counts it as a failure seen.
                 self.note_failure_seen(attempt.route, false);
             } else {
                 self.update_health(&attempt, completion);
@@ -85,8 +85,8 @@
         Some(ended)
     }
 
-    /// Takes the message out of its call. The messages of one call share its outcome, which is learned with the last
-    /// one's; a time-out is learned with the first.
+    /// Removes the message from its call. The messages of one call share its outcome, which counts with the last of them; a
+    /// time-out counts with the first.
     fn update_call(&mut self, attempt: &Attempt, completion: &Completion) -> CallProgress {
         let call = self.calls_in_flight.get_mut(&attempt.call).expect("an attempt in flight has its call");
         call.pending.retain(|message| *message != completion.msg);
@@ -99,7 +99,7 @@
         CallProgress { is_first_result, is_last }
     }
 
-    /// Frees the slot of a call that has ended, and its part of the window.
+    /// Frees the slot of a call that has ended, and its place in the window.
     fn release_call(&mut self, attempt: &Attempt) {
         self.calls_in_flight.remove(&attempt.call);
         let route = &mut self.routes[attempt.route];
--- a/courier/policy/src/dispatcher/pacing.rs
+++ b/courier/policy/src/dispatcher/pacing.rs
@@ -1,17 +1,18 @@
-//! When a route may take its next call, and the gaps between its calls where a rate is known.
+//! When a route may take its next call, and the interval between its calls where a rate is known.
 
 use super::slow_start::MIN_RATE;
 use super::state::Dispatcher;
 use super::window::{BASELINE_SPAN, LATENCY_FLOOR};
 use crate::ids::Micros;
 
-/// Longest gap between two calls of a route with a window below one, microseconds: about a limit's fixed span.
+/// Longest interval between two calls of a route with a window below one, microseconds: about a limit's fixed span.
 pub const PACE_INTERVAL_MAX: f64 = 2.0 * 1e6;
-/// Calls that may go out ahead of their gap.
+/// Calls that may be sent ahead of their interval.
 pub const CALLS_AHEAD: f64 = 1.0;
 
 impl Dispatcher {
-    /// When the route may take its next call, as far as can be known; at or before the present: now.
+    /// The earliest time at which the route may take its next call, as far as is known; a time not after the present means
+    /// now.
     pub(super) fn available_at(&self, route: usize) -> Micros {
         let wait_until = self.routes[route].wait_until;
         let at = if self.routes[route].in_outage {
@@ -46,7 +47,7 @@
             at = at.max(first + timeout);
         }
         if window < 1.0 && self.paced_interval(route, false).is_none() {
-            // DEPARTURE: a window below one is a pace, a call every CAL / w.
+            // DEPARTURE: a window w below one limits the rate to a call every CAL / w.
             let latency = open.latency.smoothed.unwrap_or(LATENCY_FLOOR);
             at = at.max(open.last_sent + (latency / window).min(PACE_INTERVAL_MAX) as Micros);
         }
@@ -73,8 +74,8 @@
         kind.is_some_and(|kind| kind.separate_routes)
     }
 
-    /// Time between two calls of this sender if all senders have their part of a known limit. Messages that one call may
-    /// carry together gather meanwhile, instead of each using up a part of the limit.
+    /// Time between two calls of this sender if all senders share a known limit equally. Messages that fit into one call
+    /// accumulate meanwhile, instead of each using up a share of the limit.
     pub(super) fn call_gap(&self, route: usize) -> Micros {
         let rate = if self.batch_limit(route) > 1 { self.listed_rate(route) } else { None };
         let batch_gap = rate.map(|rate| 1e6 * self.settings.sender_count.max(1) as f64 / rate);
@@ -83,12 +84,12 @@
         batch_gap.or_else(window_gap).unwrap_or(0.0) as Micros
     }
 
-    /// Time in which this sender's part of the known rate allows one call, microseconds, if the route is paced by it.
+    /// Time in which this sender's share of the known rate allows one call, microseconds, if the route is paced by it.
     ///
-    /// DEPARTURE: no window of whole calls keeps to a part of a known rate that is under a call in CAL. A route whose
-    /// window was shrunk within a minute (or `shrinks` now) sends a window of calls in that time, as all other senders
-    /// continue too. It makes late what reaches one sender in a burst. Separate routes leave a choice, and sparsely served
-    /// ones have turns instead.
+    /// DEPARTURE: a window of full calls cannot enforce a share of a known rate that is below one call in CAL. A route whose
+    /// window was shrunk within a minute (or `shrinks` now) sends a window of calls in that time, since all other senders
+    /// continue as well. The cost is that a burst at one sender is delivered late. It does not apply to separate routes, among
+    /// which there is a choice, nor to sparsely served ones, which have turns instead.
     pub(super) fn paced_interval(&self, route: usize, shrinks: bool) -> Option<f64> {
         let paced = &self.routes[route];
         let senders = self.settings.sender_count.max(1) as f64;
--- a/courier/policy/src/dispatcher/queue.rs
+++ b/courier/policy/src/dispatcher/queue.rs
@@ -5,12 +5,12 @@
 use crate::events::{Message, PastAttempt};
 use crate::ids::{Micros, MsgId};
 
-/// Seconds of a tenant's share that may come at once and still be inside it.
+/// Seconds of a tenant's rate that may be submitted at once without exceeding its share.
 const TENANT_BURST: f64 = 2.0;
 
 impl Dispatcher {
-    /// Accepts a message. `past`: it is restored from an earlier process, with these attempts. Ignored where the message
-    /// is known or its class is not.
+    /// Accepts a message. `past`: it is restored from an earlier process, with these attempts. Ignored if the message is
+    /// known already or its class is not known.
     pub(super) fn on_submit(&mut self, message: &Message, past: Option<&[PastAttempt]>) {
         let is_known = self.messages.contains_key(&message.id);
         let Some(class) = self.settings.classes.get(message.class).filter(|_| !is_known) else {
@@ -43,7 +43,7 @@
         self.enqueue(message.id);
     }
 
-    /// What a message of this tenant is worth in proportion: less where it is beyond this sender's part of the tenant's
+    /// The factor of the value of a message of this tenant: reduced if it exceeds this sender's fraction of the tenant's
     /// share. Takes a token of the share for it.
     fn tenant_value_factor(&mut self, tenant: Option<usize>) -> f64 {
         let Some(tenant) = tenant else { return 1.0 };
@@ -59,7 +59,7 @@
         if is_above_share { self.settings.above_share_value } else { 1.0 }
     }
 
-    /// Lets a message wait for a call, behind those that wait already.
+    /// Adds a message to its destination's queue, behind those that wait already.
     pub(super) fn enqueue(&mut self, id: MsgId) {
         self.next_position += 1;
         self.messages.get_mut(&id).expect("the caller knows it").position = self.next_position;
@@ -75,7 +75,7 @@
         self.next_expiry_check = self.next_expiry_check.min(expiry);
     }
 
-    /// Takes a message out of its destination's queue.
+    /// Removes a message from its destination's queue.
     pub(super) fn dequeue(&mut self, id: MsgId) {
         let message = &self.messages[&id];
         let group = self.value_group(message);
--- a/courier/policy/src/dispatcher/retry.rs
+++ b/courier/policy/src/dispatcher/retry.rs
@@ -1,4 +1,4 @@
-//! Whether a message may be sent once more, and where to: a retry must do no harm.
+//! Whether a message may be retried, and where to: a retry must not take effect twice.
 
 use super::message::PendingMessage;
 use super::state::Dispatcher;
@@ -6,23 +6,23 @@
 use crate::ids::Micros;
 use crate::settings::Effect;
 
-/// Margin before the end of a deduplication span, microseconds: covers the trip to the receiver.
+/// Margin before the end of a deduplication span, microseconds: covers the latency to the receiver.
 pub const KEY_MEMORY_MARGIN: Micros = 100_000;
-/// First pause after refusals or failures in a row, microseconds.
+/// First back-off after refusals or failures in a row, microseconds.
 const BACKOFF_FIRST: f64 = 0.4 * 1e6;
-/// Longest pause, microseconds.
+/// Longest back-off, microseconds.
 const BACKOFF_MAX: f64 = 1.5 * 1e6;
-/// Growth of the pause with each further refusal or failure.
+/// Growth factor of the back-off with each further refusal or failure.
 const BACKOFF_GROWTH: f64 = 1.5;
 
-/// The pause after a failure that came after `earlier_failures` others in a row, microseconds.
+/// The back-off after a failure that follows `earlier_failures` others in a row, microseconds.
 pub fn backoff(earlier_failures: u32, jitter: f64) -> Micros {
     let delay = BACKOFF_FIRST * BACKOFF_GROWTH.powi(earlier_failures.min(20) as i32);
     (delay.min(BACKOFF_MAX) * jitter) as Micros
 }
 
 impl Dispatcher {
-    /// Whether the message may be rejected: a rejection promises that it may be submitted once more without harm.
+    /// Whether the message may be rejected: a rejection promises that it may safely be submitted again.
     pub(super) fn may_reject(&self, message: &PendingMessage) -> bool {
         let effect = self.settings.classes[message.class].effect;
         let repeatable = matches!(effect, Effect::Idempotent | Effect::Deduplicated { by_zone: false, .. });
@@ -55,9 +55,9 @@
         message.first_possible_run().filter(|_| by_zone).map(|first| first.zone)
     }
 
-    /// The time from which no byte of a further attempt may leave, since a repeat would not be dropped any more.
+    /// The time from which no byte of a further attempt may be sent, since the receiver would no longer drop a repeat.
     ///
-    /// A host that connects or writes up to then abandons the call; half the margin covers the trip.
+    /// A host that is still connecting or writing then abandons the call; half the margin covers the network latency.
     pub(super) fn send_before(&self, message: &PendingMessage) -> Micros {
         let is_broken =
             breaks::is_enabled(Break::RetryAfterSpan) || breaks::is_enabled(Break::RetryAtSpanEnd);
--- a/courier/policy/src/dispatcher/route.rs
+++ b/courier/policy/src/dispatcher/route.rs
@@ -28,7 +28,7 @@
     pub last_answer: Micros,
     /// When it last refused a connection.
     pub last_refusal: Micros,
-    /// Until when its connection table is taken to be full.
+    /// Until when its connection table is considered full.
     pub full_until: Micros,
     /// Drawn at random with each call; decides between endpoints of equal cost.
     pub tie_break: f64,
@@ -56,7 +56,7 @@
     pub in_flight: VecDeque<(CallNumber, Micros)>,
     /// Streams whose last byte has not been written; from then on they are in `in_flight`.
     pub open_streams: u32,
-    /// Calls that may be in flight at once; below one it sets a pace.
+    /// Calls that may be in flight at once; below one it limits the rate of calls.
     pub window: f64,
     /// Smoothed latency (CAL) and its baseline.
     pub latency: LatencyEstimate,
@@ -66,11 +66,11 @@
     pub timeouts_in_row: u32,
     /// When the latest of the calls that succeeded was sent.
     pub last_success_sent: Micros,
-    /// The window held back a message since its last update.
+    /// The window has delayed a message since its last update.
     pub window_limited: bool,
     /// When the window was last shrunk; 0 for never.
     pub last_shrink: Micros,
-    /// No call is made before: back-off, or a wait that the receiver asked for.
+    /// No call is made before this time: back-off, or a wait that the receiver asked for.
     pub wait_until: Micros,
     /// The last eight outcomes, a bit for each, the latest lowest; set for all but a success.
     pub recent_failures: u8,
@@ -80,9 +80,9 @@
     pub failures_in_row: u32,
     /// Refusals as full since the last success.
     pub refusals_in_row: u32,
-    /// When the first call was sent that failed or was refused since the last success; the clock's end for none.
+    /// When the first call was sent that failed or was refused since the last success; [`Micros::MAX`] for none.
     pub first_failure_sent: Micros,
-    /// The route is taken to be down: one trial call at a time.
+    /// The route is considered down: one trial call at a time.
     pub in_outage: bool,
     /// The trial call in flight.
     pub trial_call: Option<CallNumber>,
@@ -90,12 +90,12 @@
     pub guard_until: Micros,
     /// When the latest failure was seen.
     pub last_failure_seen: Micros,
-    /// Until when the route is kept for the guard's sake, though no endpoint is left.
+    /// Until when the route stays in the table for the guard, although it has no endpoint left.
     pub keep_until: Micros,
     /// Times of the calls within the last overload span, weighted by their messages.
     pub recent_sends: VecDeque<Micros>,
     /// When the last call was sent.
     pub last_sent: Micros,
-    /// When its calls so far would have been sent had each kept the gap to the one before.
+    /// When the last of its calls so far would have been sent with the full interval between any two.
     pub paced_at: Micros,
 }
--- a/courier/policy/src/dispatcher/send.rs
+++ b/courier/policy/src/dispatcher/send.rs
@@ -9,15 +9,15 @@
 
 /// What each further message adds to a call's weight under the guard.
 const EXTRA_MESSAGE_WEIGHT: f64 = 0.25;
-/// A time-out ends a message that is not idempotent: it is waited for this many times as long as others.
+/// A time-out ends a message that is not idempotent, so its time-out is this many times as long as that of others.
 pub const NON_IDEMPOTENT_TIMEOUT_FACTOR: f64 = 2.0;
 
-/// A call that is being put together.
+/// A call that is being assembled.
 #[derive(Clone, Copy)]
 struct NewCall {
     number: CallNumber,
     endpoint: EndpointId,
-    /// It goes over a connection that was idle.
+    /// It uses a connection that was idle.
     reused_connection: bool,
 }
 
@@ -42,7 +42,7 @@
         self.count_call(route, number, self.messages[&id].stream, gap, size);
     }
 
-    /// Adds further messages to the call of `id`, as far as it may carry them. Returns how many it has.
+    /// Adds further messages to the call of `id`, up to its limits. Returns how many it has.
     fn fill_call(&mut self, id: MsgId, call: NewCall) -> u32 {
         let route = self.endpoints[&call.endpoint].route;
         let max_size = self.batch_limit(route);
@@ -53,7 +53,7 @@
         let mut size = 1;
         let mut bytes = first.size;
         while size < max_size && !goes_alone {
-            // When to look for a message once more is known from the dispatch that makes this call.
+            // The dispatch that makes this call records when to look for a message again.
             let mut ignored_wake = NEVER;
             let next = self.best_message(route, Some(call.endpoint), &mut ignored_wake);
             let Some(next) = next.filter(|next| bytes + self.messages[&next.message].size <= MAX_CALL_BYTES)
@@ -69,8 +69,8 @@
 
     /// Counts a call of `size` messages in its route's window and under the guard.
     ///
-    /// DEPARTURE: a call is one in the window, for a slot and under the guard, whatever it carries; each further message
-    /// makes it a little heavier under the guard.
+    /// DEPARTURE: a call counts as one in the window, for a slot and under the guard, however many messages it carries; each
+    /// further message adds a little to its weight under the guard.
     fn count_call(&mut self, index: usize, call: CallNumber, stream: bool, gap: Micros, size: u32) {
         let now = self.now;
         let route = &mut self.routes[index];
--- a/courier/policy/src/dispatcher/shedding.rs
+++ b/courier/policy/src/dispatcher/shedding.rs
@@ -6,11 +6,11 @@
 use super::value::HORIZON;
 use crate::ids::{Micros, MsgId};
 
-/// Part of the limit of open messages at which shedding starts.
+/// Fraction of the limit of open messages at which shedding starts.
 const SHED_THRESHOLD: f64 = 0.9;
-/// Tenths of a message's time after which it counts as late; what just came or is late is shed first.
+/// Tenths of a message's time after which it counts as late; messages that are new or late are shed first.
 const EARLY_TENTHS: Micros = 7;
-/// Advice to the client of a message that is shed: submit it once more after this, microseconds.
+/// Advice to the client of a message that is shed: submit it again after this, microseconds.
 const SHED_RETRY_AFTER: Micros = 2 * SECOND;
 
 impl Dispatcher {
@@ -38,7 +38,7 @@
         worst.map(|(.., id)| id)
     }
 
-    /// Whether a message came before this step and has not had most of its time.
+    /// Whether a message was received before this step and most of its time is left.
     fn is_early(&self, message: &PendingMessage) -> bool {
         let lifetime = message.deadline.saturating_sub(message.received_at);
         let late = message.received_at + lifetime / 10 * EARLY_TENTHS;
--- a/courier/policy/src/dispatcher/slow_start.rs
+++ b/courier/policy/src/dispatcher/slow_start.rs
@@ -2,8 +2,8 @@
 //!
 //! DEPARTURE: a destination that starts with cold caches fails again under the load that it had before. From an outage
 //! on, or from the first failure where many senders share a destination, all senders together keep to a budget of calls
-//! in any overload span, until a later success is as old as the slow start takes. Senders know nothing of each other:
-//! each keeps to its part of the budget and, where that part is less than a whole call, takes turns by its number
+//! in any overload span, until the time of the slow start has passed since a later success. Senders do not communicate: each
+//! keeps to its share of the budget and, where that share is less than a full call, takes turns by its number
 //! (`docs/design.md`).
 
 use super::state::Dispatcher;
@@ -14,16 +14,16 @@
 const GUARD_SHARE: f64 = 2.0 / 3.0;
 /// How much too high an approximate weight may be.
 const WEIGHT_ERROR: f64 = 1.5;
-/// Turns leave this part of an overload span between spans; each begins within half of that.
+/// The fraction of an overload span that turns leave free between spans; each turn begins within half of that.
 pub const TURN_GAP_DIVISOR: Micros = 16;
 /// Parts of a round of turns, which has a multiple of this many turns; and parts of what each of them adds.
 const ROUND_PARTS: u64 = 4;
-/// The least rate, calls a second, that all senders may count on: shuts nobody out for good.
+/// The least rate of all senders together, calls a second, so that no sender is excluded permanently.
 pub const MIN_RATE: f64 = 0.01;
 
 impl Dispatcher {
     /// Records that the sender has seen a failure of a route. In an outage, or where the route is sparsely served, the
-    /// guard binds from now on.
+    /// guard is active from now on.
     pub(super) fn note_failure_seen(&mut self, route: usize, in_outage: bool) {
         let binds = in_outage || self.is_sparsely_served(route) || self.now < self.routes[route].guard_until;
         let keep_until = self.now.saturating_add(self.turn_cycle(route));
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Whether a sender's part of a route's budget is so rare that it hardly sees three failures in a row: less than a
-    /// call in twice the time of the slow start.
+    /// Whether a sender's share of a route's budget is so small that it rarely sees three failures in a row: less than a call
+    /// in twice the time of the slow start.
     pub(super) fn is_sparsely_served(&self, route: usize) -> bool {
         let budget = GUARD_SHARE * self.calls_allowed(route, self.settings.slow_start_share);
         self.settings.sender_count as f64 * self.settings.overload_span as f64
@@ -53,10 +53,10 @@
         turn.saturating_mul(self.turns_per_round()).min(NEVER / 32)
     }
 
-    /// This sender's turn, from `from` on, where its part of the budget is no whole call: `from` itself, a later time, or
-    /// when the guard lifts. `None` where there are no turns to wait for.
+    /// This sender's turn, from `from` on, where its share of the budget is less than a full call: `from` itself, a later
+    /// time, or the end of the guard. `None` where there are no turns to wait for.
     ///
-    /// As the budget grows, ever more quarters of a round hold a turn, as evenly over all senders as the first does.
+    /// As the budget grows, more and more quarters of a round contain a turn, each as evenly over all senders as the first.
     pub(super) fn next_turn(&self, route: usize, from: Micros) -> Option<Micros> {
         let guarded = &self.routes[route];
         let from = from.max(self.now);
@@ -67,7 +67,7 @@
         let part = round / ROUND_PARTS;
         let cold_budget = self.guard_budget(route, self.settings.slow_start_share);
         let grown = (budget / cold_budget * ROUND_PARTS as f64) as u64;
-        // The parts are used in the order 0, 2, 1, 3, and each sender starts the count at another one.
+        // The quarters are used in the order 0, 2, 1, 3, and each sender starts the count at another one.
         let has_turn = |n: &u64| {
             (n % 2 * 2 + n / 2 % 2) * ROUND_PARTS + (own_turn + n / ROUND_PARTS) % ROUND_PARTS < grown
         };
@@ -84,8 +84,8 @@
         takes_turns.then_some(turn.min(guarded.guard_until.max(from)))
     }
 
-    /// Earliest time at which this sender's part of the budget, whole calls in any overload span, has one left. Where the
-    /// senders took turns before, those whose turns come first have one more.
+    /// Earliest time at which this sender's share of the budget, in full calls in any overload span, allows another call.
+    /// Where the senders took turns before, those whose turns come first have one more.
     pub(super) fn after_budget(&self, route: usize, at: Micros) -> Micros {
         let guarded = &self.routes[route];
         let senders = u64::from(self.settings.sender_count.max(1));
@@ -99,7 +99,7 @@
         at.max(binding.map_or(0, |n| guarded.recent_sends[n] + self.settings.overload_span))
     }
 
-    /// Turns in a round: one for each sender, rounded up to whole parts.
+    /// Turns in a round: one for each sender, rounded up so that the quarters are equal.
     fn turns_per_round(&self) -> u64 {
         u64::from(self.settings.sender_count.max(1)).next_multiple_of(ROUND_PARTS)
     }
@@ -112,16 +112,16 @@
             / 1e6
     }
 
-    /// The guard's budget (S), calls in an overload span at this share of the capacity: a part of B + 2 root B + 2, of
-    /// which more bring the destination down.
+    /// The guard's budget (S), calls in an overload span at this share of the capacity: a fraction of B + 2 root B + 2, above
+    /// which the destination fails.
     fn guard_budget(&self, route: usize, share: f64) -> f64 {
         let allowed = self.calls_allowed(route, share);
         GUARD_SHARE * (allowed + 2.0 * allowed.sqrt() + 2.0)
     }
 
-    /// The budget at the share of its capacity that the destination surely had a span ago, less how late senders are on
-    /// average: each sees a return by its next call, half the time between two late. A sparsely served destination keeps
-    /// to the cold budget, as few calls say anything of it.
+    /// The budget at the share of its capacity that the destination certainly had a span ago, reduced by the average delay of
+    /// the senders: each notices a return with its next call, half the time between two calls late. A sparsely served
+    /// destination keeps the cold budget, since few calls give information about it.
     fn slow_start_budget(&self, route: usize) -> f64 {
         let start_share = self.settings.slow_start_share;
         let cold_budget = self.guard_budget(route, start_share);
--- a/courier/policy/src/dispatcher/state.rs
+++ b/courier/policy/src/dispatcher/state.rs
@@ -1,5 +1,5 @@
-//! The dispatcher's state, from which every decision is made. It goes from one process to the next (all but the settings
-//! and the actions), by position: the order and the types of the fields stay.
+//! The dispatcher's state, from which every decision is made. All but the settings and the actions is handed over from one
+//! process to the next, encoded by position: the order and the types of the fields must not change.
 
 use super::message::{CallInFlight, CallNumber, PendingMessage};
 use super::route::{Destination, Endpoint, Route};
@@ -31,14 +31,14 @@
     pub(super) destinations: BTreeMap<DestId, Destination>,
     /// Destinations with waiting messages.
     pub(super) waiting_destinations: BTreeSet<DestId>,
-    /// Those to be considered at the next dispatch.
+    /// Destinations to be considered at the next dispatch.
     pub(super) ready_destinations: BTreeSet<DestId>,
-    /// When time alone may let the others send.
+    /// When the other destinations may send without a further event.
     pub(super) blocked_destinations: TimerQueue,
     pub(super) routes: Vec<Route>,
     /// Indices of `routes` that are free for use.
     pub(super) free_routes: Vec<usize>,
-    /// Each occupies a slot.
+    /// Calls in flight; each occupies a slot.
     pub(super) calls_in_flight: BTreeMap<CallNumber, CallInFlight>,
     pub(super) next_call: CallNumber,
     pub(super) key_queues: BTreeMap<u64, KeyQueue>,
@@ -50,12 +50,12 @@
     pub(super) guarded_routes: BTreeSet<usize>,
     /// The last position that was given to a waiting message.
     pub(super) next_position: u64,
-    /// No message expires before.
+    /// No message expires before this time.
     pub(super) next_expiry_check: Micros,
-    /// When the host's timer fires; the clock's end for none.
+    /// When the host's timer fires; [`Micros::MAX`] for none.
     pub(super) timer_at: Micros,
     pub(super) last_connect_refusal: ConnectRefusal,
-    /// When to subscribe to the endpoint list; the clock's end for never.
+    /// When to subscribe to the endpoint list; [`Micros::MAX`] for never.
     pub(super) resubscribe_at: Micros,
     /// Back-off after the next failure of the endpoint list.
     pub(super) resubscribe_delay: Micros,
@@ -71,11 +71,11 @@
 pub(super) struct KeyQueue {
     /// Messages in order of submission; only the first may be sent.
     pub(super) messages: VecDeque<MsgId>,
-    /// No first attempt is made before: an earlier call with the key may still run.
+    /// No first attempt is made before this time: an earlier call with the key may still run.
     pub(super) cooldown_until: Micros,
 }
 
-/// What is left of a tenant's share (a token bucket).
+/// The tokens left in a tenant's share (a token bucket).
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub(super) struct TenantShare {
     /// Messages that are still inside the share.
--- a/courier/policy/src/dispatcher/visit.rs
+++ b/courier/policy/src/dispatcher/visit.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 
 impl Dispatcher {
-    /// Shows all that decides. The settings stay as they are, and the actions are taken after each step.
+    /// Shows all state that decisions depend on. The settings do not change, and the actions are empty between steps.
     pub fn visit_state(&self, visitor: &mut impl StateVisitor) {
         let Dispatcher {
             settings: _,
@@ -33,7 +33,7 @@
             next_call: _,
             key_queues,
             tenant_shares,
-            // These follow from the rest; a position only orders the messages that wait.
+            // These are derived from the other fields; a position only orders the messages that wait.
             message_expiries: _,
             guarded_routes: _,
             next_position: _,
@@ -212,7 +212,7 @@
     }
 }
 
-/// Calls are known by their messages: their numbers say only how many there were before.
+/// Calls are identified by their messages: their numbers only count the calls before them.
 fn visit_calls(calls: &BTreeMap<CallNumber, CallInFlight>, visitor: &mut impl StateVisitor) {
     for CallInFlight { pending, timed_out } in calls.values() {
         visitor.visit_bool(*timed_out);
--- a/courier/policy/src/events.rs
+++ b/courier/policy/src/events.rs
@@ -6,7 +6,7 @@
 /// State of an endpoint by the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub enum EndpointState {
-    /// It has left the list.
+    /// It is not in the list any more.
     Gone,
     /// It accepts calls.
     Ready,
@@ -29,7 +29,7 @@
     pub weight: f64,
     /// Its state.
     pub state: EndpointState,
-    /// Operators had taken it out and it may have been restarted: the destination counts as returning from an outage.
+    /// Operators had disabled it and it may have been restarted: the destination counts as returning from an outage.
     pub returning: bool,
 }
 
@@ -38,9 +38,9 @@
 pub enum ListUpdate {
     /// Its entries change the list.
     Delta,
-    /// It is the complete list, current or cached: what is not in it is gone.
+    /// It is the complete list, current or cached: endpoints that it lacks are gone.
     Full,
-    /// The list service failed; there are no entries.
+    /// Discovery failed; there are no entries.
     Failed,
 }
 
@@ -63,7 +63,7 @@
     pub dest: DestId,
     /// Its body is forwarded as it arrives: a call's latency counts from [`DispatchEvent::Written`] on.
     pub stream: bool,
-    /// Bytes that it takes in a call with others; 0 where that does not matter.
+    /// Bytes that it takes in a call with other messages; 0 where calls have no size limit.
     pub size: u64,
 }
 
@@ -93,9 +93,9 @@
     ConnectFailed,
     /// The connection broke after the call was sent.
     Reset,
-    /// The sender or its client gave the call up.
+    /// The sender or its client cancelled the call.
     Cancelled,
-    /// The call was never made, for a reason that says nothing of the receiver.
+    /// The call was never made, for a reason unrelated to the receiver.
     Moot,
 }
 
@@ -104,7 +104,7 @@
 pub enum DispatchEvent {
     /// The endpoint list, or a change to it.
     List {
-        /// How it relates to the one before.
+        /// How it relates to the list before it.
         kind: ListUpdate,
         /// Its entries.
         entries: Vec<EndpointEntry>,
@@ -118,7 +118,7 @@
         /// The attempts that it has had.
         past: Vec<PastAttempt>,
     },
-    /// The process ends at this time: nothing new starts that would hardly have ended by then.
+    /// The process ends at this time: no call starts that is unlikely to end before it.
     Stop {
         /// Planned end, by the clock.
         at: Micros,
@@ -150,17 +150,17 @@
     },
     /// The timer fired.
     Timer {
-        /// As of the action that set it.
+        /// The tag of the action that set it.
         tag: u64,
     },
-    /// A note of a peer. Nothing is decided from notes at present.
+    /// A message of a peer. No decision depends on these at present.
     Peer {
         /// Number of the sender that it came from.
         from: u32,
-        /// The note.
+        /// Its content.
         body: Vec<u8>,
     },
-    /// The headers of an answer arrived; they decide nothing.
+    /// The headers of an answer arrived. No decision depends on them.
     Headers {
         /// The message.
         msg: MsgId,
--- a/courier/policy/src/ids.rs
+++ b/courier/policy/src/ids.rs
@@ -1,4 +1,4 @@
-//! Numbers by which the module and its host know messages, endpoints and destinations, and the unit of its clock.
+//! Numbers by which the policy and its host identify messages, endpoints and destinations, and the unit of the clock.
 
 /// A time of the clock or a span: whole microseconds.
 pub type Micros = u64;
--- a/courier/policy/src/lib.rs
+++ b/courier/policy/src/lib.rs
@@ -23,9 +23,8 @@
 //! assert!(matches!(actions[0], DispatchAction::Send { msg: 1, endpoint: 0, .. }));
 //! ```
 //!
-//! Events that name an unknown message, attempt or endpoint are ignored; so is a message whose
-//! number is in use or whose class the settings lack, and any event that came before.
-//! A clock that runs backwards counts as standing still.
+//! Events that name an unknown message, attempt or endpoint are ignored; so are a message whose number is in use or whose
+//! class the settings lack, and an event that was processed before. A clock that runs backwards counts as standing still.
 
 pub mod breaks;
 
--- a/courier/policy/src/policy.rs
+++ b/courier/policy/src/policy.rs
@@ -14,8 +14,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A sender's decisions behind plain calls. The clock counts whole microseconds and is one that earlier processes shared,
-/// such as Unix time.
+/// A sender's decisions behind plain calls. The clock counts whole microseconds and is shared with earlier processes, such
+/// as Unix time.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Policy {
     dispatcher: Dispatcher,
@@ -63,7 +63,7 @@
         self.report_all(now, vec![completion])
     }
 
-    /// A call ended for all messages that it still had: all completions are taken in before anything is decided.
+    /// A call ended for all messages that it still had: all completions are processed before anything is decided.
     pub fn report_all(&mut self, now: Micros, completions: Vec<Completion>) -> Vec<Instruction> {
         for completion in completions.iter().filter(|completion| completion.finished) {
             self.attempts_ordered.remove(&completion.msg);
@@ -98,17 +98,17 @@
         self.step(now, DispatchEvent::List { kind, entries })
     }
 
-    /// The process ends at `at`: nothing new starts that would hardly have ended by then.
+    /// The process ends at `at`: no call starts that is unlikely to end before it.
     pub fn stop(&mut self, now: Micros, at: Micros) -> Vec<Instruction> {
         self.step(now, DispatchEvent::Stop { at })
     }
 
-    /// When [`Policy::tick`] is to be called next; `None` where only events change anything.
+    /// When [`Policy::tick`] is to be called next; `None` if only events can change anything.
     pub fn wake_at(&self) -> Option<Micros> {
         self.wake
     }
 
-    /// Shows all state that decides.
+    /// Shows all state that decisions depend on.
     pub fn visit_state(&self, visitor: &mut impl StateVisitor) {
         let Policy { dispatcher, attempts_ordered, wake } = self;
         dispatcher.visit_state(visitor);
@@ -129,7 +129,7 @@
     }
 
     fn step_all(&mut self, now: Micros, events: &[DispatchEvent]) -> Vec<Instruction> {
-        // Any step serves a wake-up that is due, and the dispatcher then requests its next one. Beside that the old time
+        // Any step serves a wake-up that is due, and the dispatcher then requests its next one. If the old time stayed, it
         // would hide the new one, and the tick at the old time would clear both.
         let tick = matches!(events, [DispatchEvent::Timer { .. }]);
         if self.wake.is_some_and(|at| at <= now) && (tick || !breaks::is_enabled(Break::LostWake)) {
--- a/courier/policy/src/settings.rs
+++ b/courier/policy/src/settings.rs
@@ -2,35 +2,35 @@
 
 use crate::ids::Micros;
 
-/// What delivering a message of a class more than once may do.
+/// The effect of delivering a message of a class more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// A repeat does no harm: the message may be retried and rejected freely.
+    /// A repeat has no further effect: the message may be retried and rejected freely.
     Idempotent,
     /// The receiver drops repeats.
     Deduplicated {
         /// How long it does so, from the first attempt that may have run, microseconds.
         span: Micros,
-        /// Only the endpoints of one zone drop them; false: the whole destination.
+        /// Only the endpoints of one zone drop them; false: all endpoints of the destination.
         by_zone: bool,
     },
-    /// May take effect once: a retry needs proof that no earlier attempt ran.
+    /// Must take effect at most once: a retry needs proof that no earlier attempt ran.
     NonIdempotent,
 }
 
 /// How a message's value falls after its latency target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decay {
-    /// In a straight line, down to the class's late value at the deadline.
+    /// Linearly, down to the class's late value at the deadline.
     Linear,
-    /// By half with each further latency target, down to the class's late value; nothing from the deadline on.
+    /// By half with each further latency target, down to the class's late value; zero from the deadline on.
     Halving,
 }
 
 /// A class of messages.
 #[derive(Clone, Debug)]
 pub struct MessageClass {
-    /// What a repeat may do.
+    /// The effect of a repeat.
     pub effect: Effect,
     /// Age up to which a message keeps its full value, microseconds.
     pub latency_target: Micros,
@@ -40,9 +40,9 @@
     pub deadline: Micros,
     /// Value of a message that is on time: zero or more, without a unit.
     pub value: f64,
-    /// Part of the value that is left just before the deadline.
+    /// Fraction of the value that is left just before the deadline.
     pub late_value: f64,
-    /// Messages with the same key go one after another, in the order of submission.
+    /// Messages with the same key are sent one after another, in the order of submission.
     pub keep_order: bool,
 }
 
@@ -58,7 +58,7 @@
     pub batch: u32,
 }
 
-/// What an instance is configured with. `Settings::default()` serves for what is absent.
+/// The configuration of an instance. Absent fields have the values of `Settings::default()`.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// This sender's number, from 0, among its `sender_count`.
@@ -73,13 +73,13 @@
     pub max_attempts: u32,
     /// True where [`Cancel`](crate::DispatchAction::Cancel) is permitted.
     pub cancel: bool,
-    /// A rejection may carry advice when to submit the message once more.
+    /// A rejection may carry advice when to submit the message again.
     pub retry_after: bool,
     /// Longest such advice, microseconds.
     pub max_retry_after: Micros,
     /// True where the endpoint list comes only after a [`Subscribe`](crate::DispatchAction::Subscribe).
     pub subscription_required: bool,
-    /// True where an entry's `weight` is a rate of calls a second; false: it says nothing.
+    /// True where an entry's `weight` is a rate of calls a second; false: it has no meaning.
     pub weight_is_rate: bool,
     /// True where such a rate may be up to half too high or too low.
     pub weight_is_approximate: bool,
@@ -101,7 +101,7 @@
     pub overload_multiple: f64,
     /// How long no other message of a key is sent after a call without an answer, microseconds.
     pub key_cooldown: Micros,
-    /// Nothing new goes to an endpoint later than this after its drain was announced, microseconds.
+    /// No call starts to an endpoint later than this after its drain was announced, microseconds.
     pub drain_grace: Micros,
     /// How values fall after the latency target.
     pub decay: Decay,
@@ -113,7 +113,7 @@
     pub classes: Vec<MessageClass>,
     /// Streams whose last byte has not been written, at most.
     pub stream_slots: u32,
-    /// Their part of a route's window.
+    /// The share of a route's window that streams may use.
     pub stream_window_share: f64,
     /// Messages a second inside each tenant's share, over all senders; 0 for no such limit.
     pub tenants: Vec<f64>,
--- a/courier/policy/src/state_visitor.rs
+++ b/courier/policy/src/state_visitor.rs
@@ -1,4 +1,4 @@
-//! Access to all state that decides, for explorers that compare states: each value is visited once, by what it stands for.
+//! Access to all state that decisions depend on, for explorers that compare states: each value is visited once, by its kind.
 
 use crate::ids::{EndpointId, Micros, MsgId};
 
@@ -7,11 +7,11 @@
 pub trait StateVisitor {
     /// A number, or anything that is compared as one.
     fn visit_u64(&mut self, value: u64);
-    /// A time of the clock. 0 and the clock's end are included and stand for never.
+    /// A time of the clock. 0 and [`Micros::MAX`] are included and mean never.
     fn visit_time(&mut self, at: Micros);
-    /// The id of a message; the greatest one stands for none.
+    /// The id of a message; [`MsgId::MAX`] means none.
     fn visit_message(&mut self, id: MsgId);
-    /// The id of an endpoint; the greatest one stands for none.
+    /// The id of an endpoint; [`EndpointId::MAX`] means none.
     fn visit_endpoint(&mut self, id: EndpointId);
 
     /// A floating-point number, by its bits.
