--- a/courier/core/src/admission.rs
+++ b/courier/core/src/admission.rs
@@ -6,7 +6,7 @@
 
 /// A client has sent its request within this, in microseconds; one that has not is closed first.
 pub const GRACE: Micros = 300_000;
-/// The most connections that may be closing at a time beside the limit; there are file descriptors for as many.
+/// The most connections that may be closing at a time in addition to the limit; file descriptors are reserved for as many.
 pub const LEAVING_MAX: usize = 16;
 
 #[derive(Clone, Copy, Debug)]
@@ -14,7 +14,7 @@
     state: ClientState,
     /// Since when it is in this state.
     since: Micros,
-    /// Its task was asked to close it, and has not begun to.
+    /// Its task was requested to close it, and has not begun to.
     asked_to_close: bool,
     /// The body of its request is passed on as it arrives, which may take long.
     streams: bool,
@@ -88,7 +88,7 @@
     Admit,
     /// Close this one at once; it has been removed from the table.
     Evict(u64),
-    /// Ask this one to close, and admit the new one beside it.
+    /// Request this one to close, and admit the new one in parallel.
     RequestClose(u64),
     /// [`LEAVING_MAX`] connections are closing: wait for one of them.
     Wait,
@@ -103,7 +103,7 @@
 }
 
 impl Admission {
-    /// A table for `most` connections at once, one at least, beside those that are closing.
+    /// A table for `most` connections at once, one at least, in addition to those that are closing.
     pub fn new(most: usize) -> Self {
         Admission { all: HashMap::new(), most: most.max(1), next: 0 }
     }
@@ -148,12 +148,12 @@
         self.all.is_empty()
     }
 
-    /// Whether a connection is still asked to close: its state has not changed since.
+    /// Whether a request to close a connection is still pending: its state has not changed since.
     pub fn is_asked_to_close(&self, number: u64) -> bool {
         self.all.get(&number).is_some_and(|e| e.asked_to_close)
     }
 
-    /// The connections that were asked to close and have not begun to, for exploration.
+    /// The connections with a pending request to close, for exploration.
     pub fn asked_to_close(&self) -> Vec<u64> {
         let mut numbers: Vec<u64> =
             self.all.iter().filter(|(_, e)| e.asked_to_close).map(|(n, _)| *n).collect();
@@ -161,7 +161,7 @@
         numbers
     }
 
-    /// Asks all idle connections to close; returns their numbers.
+    /// Requests all idle connections to close; returns their numbers.
     pub fn close_all_idle(&mut self) -> Vec<u64> {
         let mut closing = Vec::new();
         for (number, connection) in self.all.iter_mut().filter(|(_, connection)| connection.is_idle()) {
--- a/courier/core/src/call.rs
+++ b/courier/core/src/call.rs
@@ -1,4 +1,4 @@
-//! One delivery call in flight with its connection: passes inputs to the attempt's machine and tells the connection pool of
+//! One delivery call in flight with its connection: passes inputs to the attempt's machine and notifies the connection pool of
 //! the results.
 
 use crate::machine::attempt::{
@@ -87,7 +87,7 @@
         Call { order, attempt, connection: None, is_counted: false, full_closes: false }
     }
 
-    /// The same for a call whose body is passed on as it arrives.
+    /// The same for a call whose body is forwarded as it arrives.
     pub fn streamed(order: DeliveryCall, decode: Decode, most: usize) -> Self {
         let attempt = Attempt::streamed(decode, most, order.send_before);
         Call { order, attempt, connection: None, is_counted: false, full_closes: false }
@@ -163,8 +163,8 @@
     /// Anything else happened.
     pub fn step(&mut self, pool: &mut Pool<C>, input: AttemptInput, now: Micros) -> StepOutcome<C> {
         let mut output = self.attempt.step(input, now);
-        // An endpoint whose connection table is full accepts a new connection only to say so, and closes it: that is a failed
-        // connect. A destination that is over its limit keeps the connection open.
+        // An endpoint whose connection table is full accepts a new connection only to reject the call, and closes it: that is
+        // a failed connect. A destination that is over its limit keeps the connection open.
         if self.full_closes
             && output.action == ConnectionAction::Close
             && output.end == Some(CallEnd::Full(0))
--- a/courier/core/src/counters.rs
+++ b/courier/core/src/counters.rs
@@ -45,9 +45,9 @@
     errors,
     /// Attempts whose answer could not be trusted.
     spoilt,
-    /// Attempts rejected for want of capacity.
+    /// Attempts rejected for lack of capacity.
     full,
-    /// Attempts rejected for want of capacity with advice to wait.
+    /// Attempts rejected for lack of capacity with advice to wait.
     told_to_wait,
     /// Attempts for which the endpoint had no slot.
     no_slot,
--- a/courier/core/src/delivery.rs
+++ b/courier/core/src/delivery.rs
@@ -36,7 +36,7 @@
     pub stream: bool,
     /// Further messages of the call.
     pub bundled: Vec<BundledMessage>,
-    /// The time left that the endpoint is told, in microseconds: that of the message with the least.
+    /// The time left that the call states, in microseconds: that of the message with the least.
     pub time_left: Micros,
 }
 
@@ -71,7 +71,7 @@
     pub body: Bytes,
 }
 
-/// How a delivery call ended, or what its answer says about one of its messages.
+/// The end of a delivery call, or of one of its messages according to its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum CallEnd {
     /// The message was delivered.
@@ -83,7 +83,7 @@
     /// The answer can't be trusted beyond this: the call may have had an effect, and the endpoint asks to wait for so many
     /// microseconds (0: it does not).
     Spoilt(Micros),
-    /// The endpoint rejected the call for want of capacity, and asks to wait for so many microseconds (0: it does not).
+    /// The endpoint rejected the call for lack of capacity, and asks to wait for so many microseconds (0: it does not).
     Full(Micros),
     /// The endpoint had no slot for the call.
     NoSlot,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// The outcome as the policy is told of it.
+    /// The outcome as it is reported to the policy.
     pub(crate) fn outcome(self) -> Outcome {
         match self {
             CallEnd::Delivered => Outcome::Ok,
@@ -127,10 +127,10 @@
     }
 }
 
-/// What an answer says beside the ends of its messages.
+/// The contents of an answer in addition to the ends of its messages.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AnswerReport {
-    /// How long the endpoint asks to wait, in microseconds, beside the waits in the messages' ends; 0: it does not.
+    /// How long the endpoint asks to wait, in microseconds, in addition to the waits in the messages' ends; 0: it does not.
     pub wait: Micros,
     /// The destination's load report: names and values, whose meaning is in the settings.
     pub load: Vec<(String, f64)>,
--- a/courier/core/src/flow.rs
+++ b/courier/core/src/flow.rs
@@ -1,6 +1,6 @@
 //! A streamed body: what was received of it, what is buffered, and what was sent.
 //!
-//! The machine counts bytes and has none itself; the driver buffers those between [`Flow::base`] and [`Flow::received`].
+//! The machine only counts bytes; the driver buffers those between [`Flow::base`] and [`Flow::received`].
 //! `docs/streaming-design.md` has the reasons for the window and the pace.
 
 mod pace;
@@ -31,7 +31,7 @@
 /// Whether all of a body was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum BodySource {
-    /// More is to come.
+    /// More bytes are expected.
     Coming,
     /// All of it was received, and its digest matches if it has one.
     Whole,
@@ -155,7 +155,7 @@
         self.update(now);
     }
 
-    /// The body came to its end, and its digest matches.
+    /// The body is complete, and its digest matches.
     pub fn complete(&mut self, now: Micros) {
         if self.source == BodySource::Coming {
             self.source = BodySource::Whole;
--- a/courier/core/src/flow/pace.rs
+++ b/courier/core/src/flow/pace.rs
@@ -22,13 +22,13 @@
     Slow,
 }
 
-/// How one side keeps up. Time counts only while it is this side's turn to move bytes.
+/// The progress of one side. Time counts only while it is this side's turn to move bytes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct SideProgress {
     pace: Pace,
-    /// Since when it is this side's turn, if it is.
+    /// The time since which it has been this side's turn, if it is.
     since: Option<Micros>,
-    /// For how long it was this side's turn before that, within the present span.
+    /// How long it was this side's turn before that, within the present span.
     waited: Micros,
     /// The bytes moved within the present span.
     moved: u64,
@@ -39,7 +39,7 @@
         SideProgress { pace, since: None, waited: 0, moved: 0 }
     }
 
-    /// It is this side's turn from now on, or is not.
+    /// Sets whether it is this side's turn from now on.
     pub(super) fn set_turn(&mut self, is_turn: bool, now: Micros) {
         match (is_turn, self.since) {
             (true, None) => self.since = Some(now),
--- a/courier/core/src/flow/table.rs
+++ b/courier/core/src/flow/table.rs
@@ -10,7 +10,7 @@
     Receive,
     /// The end was received, and the digest matches.
     Whole,
-    /// The body was cut.
+    /// The body was cut short or is corrupt.
     Cut,
     /// An attempt begins.
     Begin,
@@ -27,9 +27,9 @@
 impl Machine for Flow {
     type Input = FlowInput;
     const NAME: &'static str = "A streamed body";
-    const ABOUT: &'static str = "`courier/core/src/flow.rs`: a body of two bytes in a window of one, from the client to an \
-        attempt. *read* and *write* say what may be done next, *finish* that its end may be written, *again* that \
-        another attempt could have all of it.";
+    const ABOUT: &'static str = "`courier/core/src/flow.rs`: a body of two bytes with a window of one byte, from the client to an \
+        attempt. *read* and *write* mean that the next byte may be read or written, *finish* that the end of the body may be \
+        written, *replay* that another attempt could send the full body.";
 
     fn states() -> Vec<(&'static str, &'static str, Self)> {
         let pace = Pace { stall: 10, span: 60, least: 1 };
@@ -41,31 +41,43 @@
         };
         use FlowInput::*;
         vec![
-            ("Empty", "nothing has come", fresh()),
-            ("Buffered", "all that came is kept, and no attempt is out", with(&[Receive])),
-            ("Sending", "an attempt is out, and all that came is kept", with(&[Begin])),
-            ("Committed", "an attempt is out, and what it has had is dropped", with(&[Receive, Begin, Send])),
-            ("Lost", "no attempt is out, and none can have all of it", with(&[Receive, Begin, Send, End])),
-            ("Paused", "an attempt is out, and the destination told to wait", with(&[Receive, Begin, Pause])),
+            ("Empty", "nothing was received", fresh()),
+            ("Buffered", "all received bytes are buffered, and no attempt is in flight", with(&[Receive])),
+            ("Sending", "an attempt is in flight, and all received bytes are buffered", with(&[Begin])),
+            (
+                "Committed",
+                "an attempt is in flight, and the bytes that were sent are dropped",
+                with(&[Receive, Begin, Send]),
+            ),
+            (
+                "Lost",
+                "no attempt is in flight, and none could send the full body",
+                with(&[Receive, Begin, Send, End]),
+            ),
+            (
+                "Paused",
+                "an attempt is in flight, and the destination asked to wait",
+                with(&[Receive, Begin, Pause]),
+            ),
             (
                 "Last",
-                "all has come, and the last byte is to leave",
+                "all bytes were received, and the last one is to be sent",
                 with(&[Receive, Begin, Send, Receive, Whole]),
             ),
-            ("Done", "all has left", with(&[Receive, Begin, Send, Receive, Whole, Send])),
-            ("Cut", "it will never be whole", with(&[Receive, Begin, Cut])),
+            ("Done", "all bytes were sent", with(&[Receive, Begin, Send, Receive, Whole, Send])),
+            ("Cut", "the body will never be complete", with(&[Receive, Begin, Cut])),
         ]
     }
 
     fn inputs() -> Vec<(&'static str, &'static str, Self::Input)> {
         vec![
-            ("receive", "the next byte has come, where there is room", FlowInput::Receive),
-            ("whole", "the body's end has come, and its digest holds", FlowInput::Whole),
-            ("cut", "it was cut short, or its digest is another", FlowInput::Cut),
+            ("receive", "the next byte was received, if the window allows it", FlowInput::Receive),
+            ("complete", "the end of the body was received, and its digest matches", FlowInput::Whole),
+            ("cut", "the body was cut short, or its digest does not match", FlowInput::Cut),
             ("begin", "an attempt begins", FlowInput::Begin),
-            ("send", "the next byte has left, where one may", FlowInput::Send),
-            ("end", "the attempt is over", FlowInput::End),
-            ("pause", "the destination told to wait", FlowInput::Pause),
+            ("send", "the next byte was sent, if one may be", FlowInput::Send),
+            ("end", "the attempt ended", FlowInput::End),
+            ("pause", "the destination asked to wait", FlowInput::Pause),
             ("resume", "the wait is over", FlowInput::Resume),
         ]
     }
@@ -101,7 +113,7 @@
             ("read", self.capacity() > 0),
             ("write", self.sendable() > 0),
             ("finish", self.may_finish()),
-            ("again", !self.sending && self.is_replayable()),
+            ("replay", !self.sending && self.is_replayable()),
         ];
         let may: Vec<&str> = may.into_iter().filter(|(_, may)| *may).map(|(what, _)| what).collect();
         may.join(", ")
--- a/courier/core/src/hub.rs
+++ b/courier/core/src/hub.rs
@@ -1,7 +1,7 @@
 //! The courier without its sockets: the router and the connection pool, wired together.
 //!
-//! The driver reports what happened, carries out the [`DriverAction`]s that it gets back, in order, and is left to move
-//! bytes, keep the time and write the log. Each delivery call in flight is a [`Call`](crate::call::Call) of the driver's.
+//! The driver reports what happened and carries out the [`DriverAction`]s that it gets back, in order. It moves the bytes,
+//! provides the time and writes the log. Each delivery call in flight is a [`Call`](crate::call::Call) of the driver's.
 
 use crate::disabled::DisableError;
 use crate::journal::{JournalEntry, JournalError, Settlements, Source};
@@ -209,12 +209,12 @@
         self.carry_out(actions, now)
     }
 
-    /// No message is owed an end, and none is in flight.
+    /// Whether no message is owed an end and none is in flight.
     pub fn is_quiet(&self) -> bool {
         self.router.load() == RouterLoad::default()
     }
 
-    /// Applies the router's actions to the pool; returns what is left to the driver.
+    /// Applies the router's actions to the pool; returns the actions for the driver.
     pub fn carry_out(&mut self, actions: Vec<RouterAction>, now: Micros) -> Vec<DriverAction<C>> {
         let mut todo = Vec::with_capacity(actions.len());
         let mut actions = VecDeque::from(actions);
--- a/courier/core/src/journal/contents.rs
+++ b/courier/core/src/journal/contents.rs
@@ -1,4 +1,4 @@
-//! What the records of a journal amount to, and the fewest records that say the same.
+//! The state that results from the records of a journal, and the fewest records with the same result.
 
 use super::frame::Records;
 use super::record::{AcceptedMessage, End, JournalRecord, RepeatEffect, Source};
@@ -12,7 +12,7 @@
 pub struct PastCall {
     /// When it began.
     pub sent: Micros,
-    /// What a repeat of it may do; `None`: an earlier version sent it and did not record that.
+    /// The effect that a repeat of it may have; `None`: an earlier version sent it and did not record that.
     pub effect: Option<RepeatEffect>,
     /// Its outcome proves that it had no effect; `None`: it was in flight when the process ended.
     pub never_ran: Option<bool>,
@@ -36,7 +36,7 @@
     pub end: Option<End>,
     /// Its body was streamed and is not in the journal.
     pub stream: bool,
-    /// It comes from there, and the fleet has not decided yet who owns it.
+    /// The journal that it comes from, if the fleet has not decided yet who owns it.
     pub source: Option<Source>,
 }
 
@@ -70,7 +70,7 @@
     }
 }
 
-/// What a journal holds: the messages that are owed an end, and the ends that are remembered.
+/// The contents of a journal: the messages that are owed an end, and the ends that are remembered.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct JournalContents {
     /// The owed messages by number.
@@ -163,7 +163,7 @@
         }
     }
 
-    /// The fewest records that restore the contents; ends whose time is up are left out.
+    /// The fewest records that restore the contents; expired ends are left out.
     pub(super) fn records(self, now: Micros) -> impl Iterator<Item = JournalRecord> {
         let disabled: Vec<_> =
             self.disabled.iter().map(|id| JournalRecord::Disable { id: id.into() }).collect();
--- a/courier/core/src/journal/error.rs
+++ b/courier/core/src/journal/error.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::sync::Arc;
 
-/// An operation on the journal failed; nothing of what was to be written is in the store.
+/// An operation on the journal failed; nothing of it was written to the store.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum JournalError {
     /// The store could not be read or written.
--- a/courier/core/src/journal/frame.rs
+++ b/courier/core/src/journal/frame.rs
@@ -1,7 +1,7 @@
-//! The encoding of records: each stands behind its length and its checksum.
+//! The encoding of records: each is preceded by its length and its checksum.
 //!
 //! A frame is the payload's length (4 bytes, little-endian), the payload's CRC-32 (4 bytes, little-endian) and the
-//! payload, a [`JournalRecord`] in postcard. Reading stops at the first frame that is cut short or whose checksum does
+//! payload, a [`JournalRecord`] in postcard. Reading stops at the first frame that is truncated or whose checksum does
 //! not match: a crash in the middle of a write leaves such a torn record at the end.
 
 use super::error::JournalError;
@@ -50,7 +50,7 @@
         Records { bytes, offset: 0 }
     }
 
-    /// The offset behind the last record read; at the end, the length of the part that is intact.
+    /// The offset after the last record read; at the end, the length of the intact part.
     pub(super) fn offset(&self) -> usize {
         self.offset
     }
--- a/courier/core/src/journal/mod.rs
+++ b/courier/core/src/journal/mod.rs
@@ -1,6 +1,6 @@
 //! The journal of owed messages: append-only records in a [`Store`](crate::store::Store) that outlasts the process.
 //!
-//! The router writes a record before it acts on what the record says, so that after a crash a new process can go on from
+//! The router writes a record before it acts accordingly, so that after a crash a new process can continue from
 //! the journal alone. [`JournalRecord`] is the stored form, [`frame`] and [`Records`] are its encoding,
 //! [`JournalContents`] is what a sequence of records amounts to, and [`Journal`] appends records and compacts the store
 //! within a limit on disk space.
--- a/courier/core/src/journal/record.rs
+++ b/courier/core/src/journal/record.rs
@@ -78,10 +78,10 @@
     From {
         /// The message.
         msg: MsgId,
-        /// Where it comes from.
+        /// The journal that it comes from.
         source: Source,
     },
-    /// The fleet has decided who owns all that came from this source.
+    /// The fleet has decided who owns the messages and lines of this source.
     Settled {
         /// The source.
         source: Source,
@@ -111,7 +111,7 @@
     },
 }
 
-/// What a repeat of an attempt may do, by the settings under which it was sent: a later process may have others. Zones
+/// The effect that a repeat of an attempt may have, by the settings under which it was sent: a later process may have others. Zones
 /// are named, since their numbers depend on the settings.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RepeatEffect {
@@ -128,7 +128,7 @@
     Unsafe,
 }
 
-/// A line about a settlement, as far as the journal has to understand it.
+/// A line about a settlement, as far as the journal interprets it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettlementLine {
     /// The destination of the settlement.
@@ -141,7 +141,7 @@
     pub source: Option<Source>,
 }
 
-/// Where a message comes from: one partition of the journal of a courier that is lost.
+/// The source of a message: one partition of the journal of a courier that is lost.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Source {
     /// The name of the courier that owned the journal.
--- a/courier/core/src/journal/settlements.rs
+++ b/courier/core/src/journal/settlements.rs
@@ -3,9 +3,9 @@
 use super::record::{JournalRecord, SettlementLine, Source};
 use std::collections::BTreeMap;
 
-/// The most that the record of a line takes beside its variable parts, in bytes.
+/// The most that the record of a line takes in addition to its variable parts, in bytes.
 const LINE_OVERHEAD: u64 = 48;
-/// The most that a line's source takes beside its owner's name, in bytes.
+/// The most that a line's source takes in addition to its owner's name, in bytes.
 const SOURCE_OVERHEAD: usize = 32;
 
 /// The lines of each settlement by its id, in the order in which they were written.
--- a/courier/core/src/journal/space.rs
+++ b/courier/core/src/journal/space.rs
@@ -13,11 +13,11 @@
 
 /// Files are counted in blocks of this size, in bytes.
 pub(super) const BLOCK: u64 = 512;
-/// What each owed message may still need for its attempts, their outcomes and its end, in bytes.
+/// The space that each owed message may still need for its attempts, their outcomes and its end, in bytes.
 pub(super) const RESERVE: u64 = 512;
 /// Blocks that files may be rounded up by.
 const ROUNDING_BLOCKS: u64 = 4;
-/// The most that the record of an endpoint's or an ended message's id takes beside the id, in bytes.
+/// The most that the record of an endpoint's or an ended message's id takes in addition to the id, in bytes.
 const ID_RECORD_OVERHEAD: u64 = 48;
 
 /// The space that a journal's live records take, in bytes.
@@ -25,7 +25,7 @@
 pub(super) struct SpaceUsage {
     /// The most that all files together may take.
     limit: u64,
-    /// What each owed message takes after a compaction, at most.
+    /// The most that each owed message takes after a compaction, in bytes.
     owed: BTreeMap<MsgId, u64>,
     /// The sum of `owed`.
     owed_sum: u64,
@@ -60,7 +60,7 @@
         self.owed_sum + self.ended + self.disabled + self.settlements
     }
 
-    /// So many more live bytes would not fit: the old file and its compacted replacement exist side by side for a moment.
+    /// So many more live bytes would not fit: during a compaction the old file and its replacement exist side by side.
     pub(super) fn exceeds_limit(&self, more: u64) -> bool {
         2 * (self.compacted() + more) + ROUNDING_BLOCKS * BLOCK > self.limit
     }
--- a/courier/core/src/journal/writer.rs
+++ b/courier/core/src/journal/writer.rs
@@ -146,7 +146,7 @@
         self.append(&frames(records)?, now, notes)
     }
 
-    /// Releases the space of a message that is no longer owed, but for the memory of its id.
+    /// Releases the space of a message that is no longer owed, except for the record of its id and end.
     pub fn settled(&mut self, msg: MsgId, id: &str) {
         self.usage.finish(msg, id);
     }
@@ -159,7 +159,7 @@
     /// Records entries of another courier's journal under numbers of this one, all of them or none.
     ///
     /// They are written with a compaction instead of being appended: a crash that left a message without its attempts
-    /// would let the next process repeat what may have had an effect.
+    /// would let the next process repeat an attempt that may have had an effect.
     ///
     /// # Errors
     /// The journal is full, or the store refused the replacement.
@@ -199,7 +199,7 @@
         self.store.append(frame).map_err(JournalError::io("write"))
     }
 
-    /// Replaces the stored records by the fewest that say the same.
+    /// Replaces the stored records by the fewest with the same contents.
     fn compact(&mut self, now: Micros, notes: &mut Vec<Note>) -> Result<(), JournalError> {
         self.rewrite(BTreeMap::new(), &Settlements::default(), now, notes)
     }
--- a/courier/core/src/lib.rs
+++ b/courier/core/src/lib.rs
@@ -1,10 +1,10 @@
-//! The courier without its transport: which messages are owed an end, and how each gets there.
+//! The courier without its transport: which messages are owed an end, and how each reaches it.
 //!
-//! [`hub::Hub`] wires the parts together for a driver that moves the bytes, keeps the time and writes the log:
+//! [`hub::Hub`] wires the parts together for a driver that moves the bytes, provides the time and writes the log:
 //! [`router::Router`] with the [`journal`] and the policy, the connection [`pool`], and a [`call::Call`] for each delivery
 //! call in flight. The state machines of attempts, connections and the process itself are in [`machine`].
 //!
-//! Nothing here knows of HTTP: another front end can submit the same values and gets the same decisions.
+//! Nothing here depends on HTTP: another front end can submit the same values and gets the same decisions.
 
 pub mod admission;
 pub mod call;
--- a/courier/core/src/machine/attempt.rs
+++ b/courier/core/src/machine/attempt.rs
@@ -19,7 +19,7 @@
 /// all an advice to wait, can still be read.
 pub const CLOSING_TIME: Micros = 5_000;
 
-/// What the bytes of an answer say so far.
+/// The result of decoding the bytes of an answer so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// The final answer has not begun.
@@ -28,14 +28,14 @@
     Partial,
     /// The final answer is complete.
     Whole {
-        /// What it says of the call.
+        /// The result of the call according to the answer.
         end: CallEnd,
         /// The next call may begin on the connection.
         reusable: bool,
     },
 }
 
-/// Decodes an answer's bytes. The flag says that no more of them will come; then the answer is [`Answer::Whole`].
+/// Decodes an answer's bytes. The flag says that the answer has ended; the result is [`Answer::Whole`] then.
 pub type Decode = fn(&[u8], bool) -> Answer;
 
 /// The state of an [`Attempt`]. Encoded by position when it is handed over.
@@ -57,9 +57,9 @@
         /// When it must be complete.
         by: Micros,
     },
-    /// The attempt is over, and what the endpoint says for a short time is still read.
+    /// The attempt is cancelled, and bytes that the endpoint sends are still read for a short time.
     Closing {
-        /// How it ended, unless the endpoint says something else.
+        /// How it ends unless an answer is read.
         end: CallEnd,
         /// When the end is reported.
         until: Micros,
@@ -108,9 +108,9 @@
     MessageEnded,
     /// The endpoint is draining or gone.
     Shut,
-    /// The destination has told another call to wait.
+    /// The destination has asked another call to wait.
     BackOff,
-    /// The time of [`Attempt::wake_at`] has come.
+    /// The time of [`Attempt::wake_at`] is reached.
     Tick,
 }
 
@@ -121,7 +121,7 @@
     Nothing,
     /// Open one.
     Open,
-    /// End the sending side: the endpoint sees that the call is cancelled, and what it has said can still be read.
+    /// Close the sending side: the endpoint sees that the call is cancelled, and bytes that it has sent can still be read.
     Finish,
     /// Close it.
     Close,
@@ -134,7 +134,7 @@
 pub struct AttemptOutput {
     /// With the connection.
     pub action: ConnectionAction,
-    /// The attempt is over and ended so.
+    /// The attempt has ended with this result.
     pub end: Option<CallEnd>,
 }
 
@@ -150,7 +150,7 @@
     /// No byte of the request may be sent from this time on.
     by: Micros,
     decode: Decode,
-    /// The body is passed on as it arrives. The endpoint may act on a part of it, so the attempt may have had an effect
+    /// The body is forwarded as it arrives. The endpoint may act on a part of it, so the attempt may have had an effect
     /// from its first byte on, and may be answered before its last.
     streamed: bool,
 }
@@ -211,12 +211,12 @@
         &mut self.answer
     }
 
-    /// The endpoint has asked for the body with an interim answer.
+    /// The endpoint has requested the body with an interim answer.
     pub fn is_asked(&self) -> bool {
         !self.answer.is_empty() && (self.decode)(&self.answer, false) == Answer::Awaited
     }
 
-    /// When an [`AttemptInput::Tick`] is wanted.
+    /// When an [`AttemptInput::Tick`] is due.
     pub fn wake_at(&self) -> Option<Micros> {
         match self.state {
             AttemptState::Reading { by } => Some(by),
@@ -293,7 +293,7 @@
                 self.close(CallEnd::GivenUp, now)
             }
             AttemptInput::MessageEnded => self.message_ended(),
-            // What was sent of a body can't be taken back, and the rest is not sent.
+            // The bytes sent of a body can't be withdrawn, and the others are not sent.
             AttemptInput::Tick if now >= self.by && self.is_half() => self.close(CallEnd::GivenUp, now),
             // If the call were sent later, the endpoint might not drop a repeat any more.
             AttemptInput::Connected { .. } | AttemptInput::Tick if now >= self.by => {
@@ -308,7 +308,7 @@
                 let written = written + bytes;
                 self.transition(AttemptState::Writing { written }, ConnectionAction::Nothing)
             }
-            // The driver pauses: cut off here, a body that may have had no effect would be one that may have.
+            // The driver pauses the stream: ending it here would turn a call without an effect into one that may have had one.
             AttemptInput::BackOff if self.is_half() => NOTHING,
             // A call counts once its last byte arrives: written on now, it would arrive during the wait.
             AttemptInput::BackOff if !breaks::is_enabled(Break::WriteOnInWait) => {
@@ -352,7 +352,7 @@
             AttemptInput::Tick if now >= until => self.closed(end),
             AttemptInput::PeerClosed | AttemptInput::Reset => self.closed(end),
             AttemptInput::Read if breaks::is_enabled(Break::AnswerUnread) => NOTHING,
-            // The answer crossed with the cancellation: what it says holds all the same.
+            // The answer crossed with the cancellation, and counts nevertheless.
             AttemptInput::Read => match (self.decode)(&self.answer, self.answer.len() > self.most) {
                 Answer::Whole { end, .. } => self.end(ConnectionAction::Close, end),
                 Answer::Awaited | Answer::Partial => NOTHING,
@@ -399,7 +399,7 @@
         self.transition(AttemptState::Closing { end, until: now.saturating_add(CLOSING_TIME) }, action)
     }
 
-    /// The closing time is over: the call ended as it was to, unless the first line of the answer says that it was
+    /// The closing time is over: the call ends as planned, unless the first line of the answer says that it was
     /// delivered.
     fn closed(&mut self, end: CallEnd) -> AttemptOutput {
         let answer = (!self.answer.is_empty()).then(|| (self.decode)(&self.answer, true));
@@ -422,7 +422,7 @@
         self.transition(AttemptState::Closing { end, until }, ConnectionAction::Nothing)
     }
 
-    /// An answer before the body's last byte: nobody reads the rest of the body any more.
+    /// An answer before the body's last byte: the endpoint does not read the rest of the body any more.
     fn read_early(&mut self, now: Micros) -> AttemptOutput {
         match (self.decode)(&self.answer, self.answer.len() > self.most) {
             Answer::Awaited => NOTHING,
@@ -454,7 +454,7 @@
         }
     }
 
-    /// No more of the answer will come.
+    /// The answer has ended.
     fn final_answer(&mut self) -> AttemptOutput {
         match (self.decode)(&self.answer, true) {
             Answer::Whole { end, .. } if breaks::is_enabled(Break::KeepSpoilt) => {
--- a/courier/core/src/machine/attempt/table.rs
+++ b/courier/core/src/machine/attempt/table.rs
@@ -7,11 +7,11 @@
 impl Machine for Attempt {
     type Input = (AttemptInput, &'static str);
     const NAME: &'static str = "An attempt";
-    const ABOUT: &'static str = "`courier/core/src/machine/attempt.rs`: one delivery call, from the router's order to its end. \
-        *open*, *end sending*, *close* and *keep* say what becomes of the connection.";
+    const ABOUT: &'static str = "`courier/core/src/machine/attempt.rs`: one delivery call, from the router's action to its end. \
+        *open*, *close the sending side*, *close* and *keep* are the actions on the connection.";
 
     fn states() -> Vec<(&'static str, &'static str, Self)> {
-        // For the table an answer is whole with `.`, and does not count yet with `1`.
+        // In the table an answer is complete with `.`, and an interim one with `1`.
         let decode: Decode = |bytes, closed| match bytes.last() {
             Some(b'.') => Answer::Whole { end: CallEnd::Delivered, reusable: !closed },
             _ if closed => Answer::Whole { end: CallEnd::Spoilt(0), reusable: false },
@@ -23,29 +23,33 @@
             Attempt { state, answer: answer.to_vec(), ..fresh }
         };
         vec![
-            ("New", "ordered, not begun", at(AttemptState::New, b"")),
+            ("New", "created, not started", at(AttemptState::New, b"")),
             (
                 "Connecting",
-                "no connection rested there, and a new one is on its way",
+                "there was no idle connection, and a new one is being opened",
                 at(AttemptState::Connecting, b""),
             ),
             (
                 "Writing",
-                "less than all of the request is written: it has not run",
+                "the request is not completely written: the call had no effect",
                 at(AttemptState::Writing { written: 1 }, b""),
             ),
-            ("Awaiting", "all of it is written: it may have run", at(AttemptState::Awaiting, b"")),
+            (
+                "Awaiting",
+                "the request is completely written: the call may have had an effect",
+                at(AttemptState::Awaiting, b""),
+            ),
             (
                 "Reading",
-                "a part of the answer has come; the rest has 100 ms",
+                "a part of the answer was read; the rest must follow within 100 ms",
                 at(AttemptState::Reading { by: 1 }, b"2"),
             ),
             (
                 "Closing",
-                "given up after its last byte, and its sending has ended (a stream's connection is closed if nothing of its body was written); the end is told 5 ms later, or what was still read",
+                "cancelled after its last byte, and the sending side is closed (a stream's connection is closed if nothing of its body was written); its end is reported 5 ms later, or the answer that was still read",
                 at(AttemptState::Closing { end: CallEnd::TimedOut, until: 2 }, b""),
             ),
-            ("Finished", "its end has been told", at(AttemptState::Finished, b"")),
+            ("Finished", "its end is reported", at(AttemptState::Finished, b"")),
         ]
     }
 
@@ -53,40 +57,44 @@
         vec![
             (
                 "start, shut",
-                "begun while the endpoint drains, is gone or has told to wait",
+                "started while the endpoint is draining, is gone or has asked to wait",
                 (AttemptInput::Start { open: false, resting: false }, ""),
             ),
             (
-                "start, resting",
-                "begun where a connection rests",
+                "start, idle",
+                "started where an idle connection exists",
                 (AttemptInput::Start { open: true, resting: true }, ""),
             ),
-            ("start", "begun where none does", (AttemptInput::Start { open: true, resting: false }, "")),
-            ("connected", "the connection is up", (AttemptInput::Connected { open: true }, "")),
+            ("start", "started where none exists", (AttemptInput::Start { open: true, resting: false }, "")),
+            ("connected", "the connection is established", (AttemptInput::Connected { open: true }, "")),
             (
                 "connected, shut",
-                "it is up, but calls may not start there any more",
+                "it is established, but calls may not start there any more",
                 (AttemptInput::Connected { open: false }, ""),
             ),
-            ("refused", "it was refused, or did not come up in time", (AttemptInput::Refused, "")),
-            ("wrote", "some more bytes are written", (AttemptInput::Wrote { bytes: 1, left: 1 }, "")),
+            ("refused", "it was refused, or not established in time", (AttemptInput::Refused, "")),
+            (
+                "wrote",
+                "more bytes are written, but not the last one",
+                (AttemptInput::Wrote { bytes: 1, left: 1 }, ""),
+            ),
             ("wrote last", "the last byte is written", (AttemptInput::Wrote { bytes: 1, left: 0 }, "")),
             (
                 "write failed",
                 "the connection broke before the last byte was written",
                 (AttemptInput::WriteFailed, ""),
             ),
-            ("read interim", "bytes of an answer that does not count yet (1xx)", (AttemptInput::Read, "1")),
-            ("read part", "bytes of an answer, with more to come", (AttemptInput::Read, "2")),
-            ("read all", "the answer is whole", (AttemptInput::Read, ".")),
-            ("end", "the endpoint ended its side", (AttemptInput::PeerClosed, "")),
+            ("read interim", "an interim answer (1xx)", (AttemptInput::Read, "1")),
+            ("read part", "a part of an answer", (AttemptInput::Read, "2")),
+            ("read all", "the last part of an answer", (AttemptInput::Read, ".")),
+            ("end", "the endpoint closed its sending side", (AttemptInput::PeerClosed, "")),
             ("reset", "the connection was reset", (AttemptInput::Reset, "")),
-            ("deadline", "the time of the call is up", (AttemptInput::Deadline, "")),
-            ("give up", "the module calls it off", (AttemptInput::GiveUp, "")),
-            ("ended", "its message has its end", (AttemptInput::MessageEnded, "")),
-            ("shut", "the endpoint drains or is gone", (AttemptInput::Shut, "")),
-            ("hold", "its destination told another call to wait", (AttemptInput::BackOff, "")),
-            ("tick", "the time that the state waits for has come", (AttemptInput::Tick, "")),
+            ("deadline", "the call's time-out has passed", (AttemptInput::Deadline, "")),
+            ("give up", "the policy cancels the call", (AttemptInput::GiveUp, "")),
+            ("ended", "its message has ended", (AttemptInput::MessageEnded, "")),
+            ("shut", "the endpoint is draining or gone", (AttemptInput::Shut, "")),
+            ("back off", "the destination asked another call to wait", (AttemptInput::BackOff, "")),
+            ("tick", "the time that the state waits for is reached", (AttemptInput::Tick, "")),
         ]
     }
 
@@ -116,7 +124,7 @@
         let action = match output.action {
             ConnectionAction::Nothing => "",
             ConnectionAction::Open => "open",
-            ConnectionAction::Finish => "end sending",
+            ConnectionAction::Finish => "close the sending side",
             ConnectionAction::Close => "close",
             ConnectionAction::Keep => "keep",
         };
@@ -125,15 +133,15 @@
     }
 }
 
-/// An attempt whose body is passed on as it comes, for its table.
+/// An attempt whose body is forwarded as it arrives, for its table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Streamed(Attempt);
 
 impl Machine for Streamed {
     type Input = <Attempt as Machine>::Input;
     const NAME: &'static str = "An attempt of a stream";
-    const ABOUT: &'static str = "`courier/core/src/machine/attempt.rs` again, where the body is passed on as it comes: it may \
-        have run from its first byte on, and may be answered before its last.";
+    const ABOUT: &'static str = "`courier/core/src/machine/attempt.rs` with a body that is forwarded as it arrives: the \
+        call may have had an effect from its first byte on, and may be answered before its last.";
 
     fn states() -> Vec<(&'static str, &'static str, Self)> {
         let mut states: Vec<_> = Attempt::states()
@@ -142,9 +150,13 @@
             .collect();
         let at = states.iter().position(|(name, ..)| *name == "Writing").unwrap_or(0);
         let (_, _, Streamed(half)) = states[at].clone();
-        states[at] = ("Half", "a part of its body is written: it may have run", Streamed(half.clone()));
+        states[at] = (
+            "HalfWritten",
+            "a part of its body is written: the call may have had an effect",
+            Streamed(half.clone()),
+        );
         let head = Streamed(Attempt { state: AttemptState::Writing { written: 0 }, ..half });
-        states.insert(at, ("Writing", "no byte of its body is written: it has not run", head));
+        states.insert(at, ("Writing", "no byte of its body is written: the call had no effect", head));
         states
     }
 
@@ -153,7 +165,7 @@
     }
 
     fn state(&self) -> &'static str {
-        if self.0.is_half() { "Half" } else { Machine::state(&self.0) }
+        if self.0.is_half() { "HalfWritten" } else { Machine::state(&self.0) }
     }
 
     fn apply(&mut self, input: Self::Input) -> String {
--- a/courier/core/src/machine/client.rs
+++ b/courier/core/src/machine/client.rs
@@ -24,7 +24,7 @@
         /// The last request was a readiness check, so that a submission is likely to follow.
         probed: bool,
     },
-    /// To be closed: a request that arrives at this moment is still answered.
+    /// To be closed: a request that arrives just now is still answered.
     Leaving,
     /// The last answer is written; what still arrives is discarded.
     Closing,
@@ -54,7 +54,7 @@
     Leave,
     /// Nothing arrived during the last read.
     NothingArrived,
-    /// Nothing more arrives, or the time for it is up.
+    /// Nothing more arrives, or the time for it has passed.
     Lingered,
 }
 
@@ -72,7 +72,7 @@
     },
     /// Wait for bytes, for a request to close, or until the idle time is over.
     Rest,
-    /// Wait a moment for a request that may be on its way: sent while the connection is closed, it would be lost.
+    /// Wait briefly for a request that may be in transit: sent while the connection is closed, it would be lost.
     AwaitLastRequest,
     /// End the sending side and read what still arrives, so that the answer is not lost to a reset.
     Linger,
@@ -139,34 +139,42 @@
 impl Machine for ClientConnection {
     type Input = ClientInput;
     const NAME: &'static str = "A client's connection";
-    const ABOUT: &'static str = "`courier/core/src/machine/client.rs`, ranked by `courier/core/src/admission.rs`: it asks, is answered, rests, and leaves.";
+    const ABOUT: &'static str = "`courier/core/src/machine/client.rs`, ranked by `courier/core/src/admission.rs`: requests, answers, idle times and the close.";
 
     fn states() -> Vec<(&'static str, &'static str, Self)> {
         let at = |state| ClientConnection { state };
         let asking = |first, last| at(ClientState::Requesting { first, last });
         vec![
-            ("Requesting", "has yet to send its first whole request", asking(true, false)),
-            ("RequestingMore", "has begun one more", asking(false, false)),
-            ("RequestingLast", "has begun one more while it was to leave", asking(false, true)),
+            ("Requesting", "its first request is not complete", asking(true, false)),
+            ("RequestingMore", "a further request has begun", asking(false, false)),
+            (
+                "RequestingLast",
+                "a further request has begun while the connection was to be closed",
+                asking(false, true),
+            ),
             (
                 "Answering",
-                "its answer is being written",
+                "an answer is being written",
                 at(ClientState::Answering { probed: false, closes: false }),
             ),
             (
                 "AnsweringProbe",
-                "the same, to a look whether the courier is ready",
+                "the same, to a readiness check",
                 at(ClientState::Answering { probed: true, closes: false }),
             ),
             (
                 "AnsweringLast",
-                "its last answer is being written",
+                "the last answer is being written",
                 at(ClientState::Answering { probed: false, closes: true }),
             ),
             ("Idle", "between requests", at(ClientState::Idle { probed: false })),
-            ("Probed", "rests, and is about to ask", at(ClientState::Idle { probed: true })),
-            ("Leaving", "to go, after a last look", at(ClientState::Leaving)),
-            ("Closing", "answered for the last time", at(ClientState::Closing)),
+            (
+                "Probed",
+                "idle after a readiness check, about to send a request",
+                at(ClientState::Idle { probed: true }),
+            ),
+            ("Leaving", "to be closed after a last read", at(ClientState::Leaving)),
+            ("Closing", "the last answer is written", at(ClientState::Closing)),
             ("Closed", "closed", at(ClientState::Closed)),
         ]
     }
@@ -174,27 +182,31 @@
     fn inputs() -> Vec<(&'static str, &'static str, Self::Input)> {
         vec![
             (
-                "asked",
-                "a request is whole, or malformed, and has its answer",
+                "requested",
+                "a request is complete or malformed, and its answer is known",
                 ClientInput::Requested { probe: false, closes: false },
             ),
             (
-                "asked, probe",
-                "it only asked whether the courier is ready",
+                "requested, probe",
+                "it is a readiness check",
                 ClientInput::Requested { probe: true, closes: false },
             ),
             (
-                "asked, closes",
-                "nothing can follow it on this connection",
+                "requested, closes",
+                "no request can follow it on this connection",
                 ClientInput::Requested { probe: false, closes: true },
             ),
-            ("silent", "an end, or its time is up, before a byte of a request", ClientInput::Silent),
-            ("broken", "the connection broke, or the answer was not taken in time", ClientInput::Broken),
+            ("silent", "an end or a time-out before the first byte of a request", ClientInput::Silent),
+            (
+                "broken",
+                "the connection broke, or the answer could not be written in time",
+                ClientInput::Broken,
+            ),
             ("answered", "the answer is written", ClientInput::Answered),
-            ("readable", "bytes of another request have come", ClientInput::Readable),
-            ("leave", "it has rested for as long as it may, or room is short", ClientInput::Leave),
-            ("looked", "nothing came during the last look", ClientInput::NothingArrived),
-            ("lingered", "nothing more comes, or the time for it is up", ClientInput::Lingered),
+            ("readable", "bytes of another request were received", ClientInput::Readable),
+            ("leave", "the idle time-out has passed, or capacity is short", ClientInput::Leave),
+            ("nothing arrived", "nothing was received during the last read", ClientInput::NothingArrived),
+            ("lingered", "nothing more arrives, or the time for it has passed", ClientInput::Lingered),
         ]
     }
 
@@ -218,10 +230,10 @@
         match self.step(input) {
             ClientOutput::Nothing => "",
             ClientOutput::Read => "read",
-            ClientOutput::Answer { closes: false } => "answer",
-            ClientOutput::Answer { closes: true } => "answer, the last",
-            ClientOutput::Rest => "rest",
-            ClientOutput::AwaitLastRequest => "look",
+            ClientOutput::Answer { closes: false } => "write the answer",
+            ClientOutput::Answer { closes: true } => "write the last answer",
+            ClientOutput::Rest => "wait for a request",
+            ClientOutput::AwaitLastRequest => "read once more",
             ClientOutput::Linger => "linger",
             ClientOutput::Close => "close",
         }
--- a/courier/core/src/machine/connection.rs
+++ b/courier/core/src/machine/connection.rs
@@ -35,12 +35,12 @@
     CallFailed,
     /// A call begins on it.
     Reused {
-        /// Nothing has come on it meanwhile, neither an end nor bytes.
+        /// Nothing has arrived on it meanwhile, neither an end nor bytes.
         quiet: bool,
     },
     /// An idle connection is checked.
     Checked {
-        /// Nothing has come on it meanwhile, neither an end nor bytes.
+        /// Nothing has arrived on it meanwhile, neither an end nor bytes.
         quiet: bool,
     },
     /// The endpoint drains or is gone, the policy has its idle connections closed, or there are too many connections.
@@ -97,7 +97,7 @@
                 ConnectionState::Idle { since },
                 ConnectionInput::Reused { quiet } | ConnectionInput::Checked { quiet },
             ) if !quiet || now.saturating_sub(since) >= self.idle_timeout => {
-                // What has come on it would be taken for an answer; the endpoint closes what is too old.
+                // Bytes on it would be taken for an answer; the endpoint closes connections that are too old.
                 (ConnectionState::Closed, true)
             }
             (ConnectionState::Idle { .. }, ConnectionInput::Reused { .. }) => {
@@ -114,56 +114,60 @@
 impl Machine for EndpointConnection {
     type Input = (ConnectionInput, Micros);
     const NAME: &'static str = "A connection to an endpoint";
-    const ABOUT: &'static str = "`courier/core/src/machine/connection.rs`, kept by `courier/core/src/pool.rs`: it carries one call at a time and rests between calls.";
+    const ABOUT: &'static str = "`courier/core/src/machine/connection.rs`, owned by `courier/core/src/pool.rs` between calls: it carries one call at a time.";
 
     fn states() -> Vec<(&'static str, &'static str, Self)> {
         let at = |state| EndpointConnection { state, idle_timeout: 10 };
         vec![
-            ("Opening", "on its way", at(ConnectionState::Opening)),
-            ("Calling", "a call is out on it", at(ConnectionState::Calling)),
-            ("Idle", "no call is out on it", at(ConnectionState::Idle { since: 0 })),
-            ("Closed", "gone", at(ConnectionState::Closed)),
+            ("Opening", "being opened", at(ConnectionState::Opening)),
+            ("Calling", "a call is in flight on it", at(ConnectionState::Calling)),
+            ("Idle", "no call is in flight on it", at(ConnectionState::Idle { since: 0 })),
+            ("Closed", "closed", at(ConnectionState::Closed)),
         ]
     }
 
     fn inputs() -> Vec<(&'static str, &'static str, Self::Input)> {
         vec![
-            ("up", "the connection is up", (ConnectionInput::Connected, 1)),
-            ("failed", "refused, or not up in time", (ConnectionInput::Failed, 1)),
+            ("up", "the connection is established", (ConnectionInput::Connected, 1)),
+            ("failed", "refused, or not established in time", (ConnectionInput::Failed, 1)),
             (
-                "kept",
-                "its call ended with a whole answer",
+                "call completed",
+                "its call ended with a complete answer",
                 (ConnectionInput::CallCompleted { open: true }, 1),
             ),
             (
-                "kept, shut",
-                "the same, and the endpoint drains or is gone by then",
+                "call completed, shut",
+                "the same, and the endpoint is draining or gone by then",
                 (ConnectionInput::CallCompleted { open: false }, 1),
             ),
-            ("dropped", "its call ended otherwise", (ConnectionInput::CallFailed, 1)),
-            ("taken", "a call wants it", (ConnectionInput::Reused { quiet: true }, 1)),
+            ("call failed", "its call ended otherwise", (ConnectionInput::CallFailed, 1)),
+            ("reused", "a call is to use it", (ConnectionInput::Reused { quiet: true }, 1)),
             (
-                "taken, not quiet",
-                "a call wants it, and bytes or an end have come on it",
+                "reused, not quiet",
+                "a call is to use it, and bytes or an end were received on it",
                 (ConnectionInput::Reused { quiet: false }, 1),
             ),
             (
-                "taken, old",
-                "a call wants it, and it has rested for too long",
+                "reused, old",
+                "a call is to use it, and it was idle for too long",
                 (ConnectionInput::Reused { quiet: true }, 10),
             ),
-            ("looked at, quiet", "the sweep, once a second", (ConnectionInput::Checked { quiet: true }, 1)),
+            ("checked, quiet", "the sweep, once a second", (ConnectionInput::Checked { quiet: true }, 1)),
             (
-                "looked at, old",
-                "the sweep, when it has rested for too long",
+                "checked, old",
+                "the sweep, when it was idle for too long",
                 (ConnectionInput::Checked { quiet: true }, 10),
             ),
             (
-                "looked at, not quiet",
-                "the sweep, when bytes or an end have come",
+                "checked, not quiet",
+                "the sweep, when bytes or an end were received",
                 (ConnectionInput::Checked { quiet: false }, 1),
             ),
-            ("close", "a drain, the module's word, or room is short", (ConnectionInput::Close, 1)),
+            (
+                "close",
+                "a drain, an instruction of the policy, or capacity is short",
+                (ConnectionInput::Close, 1),
+            ),
         ]
     }
 
--- a/courier/core/src/machine/drain.rs
+++ b/courier/core/src/machine/drain.rs
@@ -1,9 +1,9 @@
-//! Draining: whether clients are to come to this courier. A drained courier loses its clients and goes on running.
+//! Draining: whether clients are to connect to this courier. A drained courier loses its clients and continues to run.
 
 use super::transition_table::Machine;
 use quillmount_policy::Micros;
 
-/// How long idle connections stay after the front was first told that the courier is not ready, in microseconds. The front
+/// How long idle connections stay after the front was first notified that the courier is not ready, in microseconds. The front
 /// checks ten times a second and goes on assigning connections here for 0.2 s after that: closed earlier, clients would come
 /// back.
 pub const FRONT_GRACE: Micros = 500_000;
@@ -16,7 +16,7 @@
     /// Clients are welcome.
     #[default]
     Serving,
-    /// The front is told that the courier is not ready.
+    /// The front is notified that the courier is not ready.
     Drained {
         /// When idle connections are closed next.
         next_check: Micros,
@@ -30,7 +30,7 @@
     Drain,
     /// Operators end the drain.
     Undrain,
-    /// The time of [`Drain::wake_at`] has come.
+    /// The time of [`Drain::wake_at`] is reached.
     Tick,
 }
 
@@ -43,7 +43,7 @@
     CloseAfterAnswers,
     /// Close idle connections.
     CloseIdle,
-    /// Keep connections open after answers again.
+    /// Keep connections open after answers from now on.
     KeepConnections,
 }
 
@@ -59,7 +59,7 @@
         self.state != DrainState::Serving
     }
 
-    /// When a [`DrainInput::Tick`] is wanted.
+    /// When a [`DrainInput::Tick`] is due.
     pub fn wake_at(&self) -> Option<Micros> {
         match self.state {
             DrainState::Serving => None,
@@ -92,14 +92,14 @@
     type Input = (DrainInput, Micros);
     const NAME: &'static str = "A courier's drain";
     const ABOUT: &'static str =
-        "`courier/core/src/machine/drain.rs`: operators empty the courier, and take clients again.";
+        "`courier/core/src/machine/drain.rs`: operators drain the courier, or end the drain.";
 
     fn states() -> Vec<(&'static str, &'static str, Self)> {
         vec![
-            ("Serving", "clients are wanted", Drain::default()),
+            ("Serving", "clients may connect", Drain::default()),
             (
                 "Drained",
-                "the front is told no, and answers end their connections",
+                "the front is notified that the courier is not ready, and each answer ends its connection",
                 Drain { state: DrainState::Drained { next_check: FRONT_GRACE } },
             ),
         ]
@@ -107,9 +107,9 @@
 
     fn inputs() -> Vec<(&'static str, &'static str, Self::Input)> {
         vec![
-            ("DRAIN", "the operators' call", (DrainInput::Drain, FRONT_GRACE)),
-            ("UNDRAIN", "the operators' call", (DrainInput::Undrain, FRONT_GRACE)),
-            ("tick", "the time to look for connections that rest", (DrainInput::Tick, FRONT_GRACE)),
+            ("DRAIN", "the operators' command", (DrainInput::Drain, FRONT_GRACE)),
+            ("UNDRAIN", "the operators' command", (DrainInput::Undrain, FRONT_GRACE)),
+            ("tick", "the time to close idle connections", (DrainInput::Tick, FRONT_GRACE)),
         ]
     }
 
@@ -123,9 +123,9 @@
     fn apply(&mut self, (input, now): Self::Input) -> String {
         match self.step(input, now) {
             DrainOutput::Nothing => "",
-            DrainOutput::CloseAfterAnswers => "answers end their connections",
-            DrainOutput::CloseIdle => "connections at rest are to leave",
-            DrainOutput::KeepConnections => "connections are kept",
+            DrainOutput::CloseAfterAnswers => "close connections after answers",
+            DrainOutput::CloseIdle => "close idle connections",
+            DrainOutput::KeepConnections => "keep connections",
         }
         .to_string()
     }
--- a/courier/core/src/machine/handover.rs
+++ b/courier/core/src/machine/handover.rs
@@ -1,7 +1,7 @@
 //! An upgrade: one process hands all that it is doing to the next, which has the same folder.
 //!
-//! The owner of the folder's lock decides and writes the journal. The sender releases the lock last and says so; the
-//! receiver resumes from what was handed over only if it is told that. Otherwise it restores from the journal once the lock
+//! The owner of the folder's lock decides and writes the journal. The sender releases the lock last and reports it; the
+//! receiver resumes from the state only after that report. Otherwise it restores from the journal once the lock
 //! is free.
 
 mod receiver;
--- a/courier/core/src/machine/handover/receiver.rs
+++ b/courier/core/src/machine/handover/receiver.rs
@@ -1,11 +1,11 @@
-//! The process that starts and takes over.
+//! The receiver of a handover: the process that starts and takes over.
 
 use crate::machine::transition_table::Machine;
 use quillmount_policy::Micros;
 
-/// An owner of the lock that sends nothing for so long hangs, in microseconds: it is killed, and its journal restored.
+/// An owner of the lock that sends nothing for this long hangs, in microseconds: it is killed, and its journal restored.
 pub const OWNER_SILENCE_MAX: Micros = 1_500_000;
-/// How long after an owner said that it hands over to another the lock is tried again, in microseconds.
+/// How long after an owner reported that it hands over to another process the lock is tried again, in microseconds.
 pub const LOCK_RETRY_INTERVAL: Micros = 50_000;
 /// If the owner has not handed over within this, the receiver kills it, in microseconds: the receiver must serve within
 /// 6 s.
@@ -19,17 +19,17 @@
         /// When it tries next.
         retry_at: Micros,
     },
-    /// Has asked the lock's owner for a handover.
+    /// Has requested a handover from the lock's owner.
     Requesting {
-        /// When the owner counts as failed if nothing more comes.
+        /// When the owner counts as failed if nothing more is received.
         until: Micros,
     },
-    /// Has all parts, has confirmed them, and waits until the owner says that the lock is free.
+    /// Has all parts, has confirmed them, and waits until the owner reports that the lock is free.
     Confirming {
-        /// When the owner counts as failed if nothing more comes.
+        /// When the owner counts as failed if nothing more is received.
         until: Micros,
     },
-    /// Has resumed from what was handed over.
+    /// Has resumed from the state that was handed over.
     Resumed,
     /// Has restored from the journal.
     Restored,
@@ -52,7 +52,7 @@
     Released,
     /// The owner can't be reached, its connection broke, or what it sent can't be read.
     Lost,
-    /// The time of [`HandoverReceiver::wake_at`] has come.
+    /// The time of [`HandoverReceiver::wake_at`] is reached.
     Tick,
 }
 
@@ -63,13 +63,13 @@
     Nothing,
     /// Try for the lock.
     Lock,
-    /// Ask the lock's owner for a handover.
+    /// Request a handover from the lock's owner.
     Request,
     /// Confirm that all parts have been received.
     Confirm,
     /// Kill the owner, which hangs or does not hand over, then try for the lock.
     KillOwner,
-    /// Resume from what was handed over.
+    /// Resume from the state that was handed over.
     Resume,
     /// Restore from the journal.
     Restore,
@@ -104,7 +104,7 @@
         self.state
     }
 
-    /// When a [`ReceiverInput::Tick`] is wanted.
+    /// When a [`ReceiverInput::Tick`] is due.
     pub fn wake_at(&self) -> Option<Micros> {
         match self.state {
             ReceiverState::Locking { retry_at } => Some(retry_at),
@@ -122,14 +122,14 @@
         let (state, output) = match (self.state, input) {
             (Locking { .. }, Locked) if self.complete => (Resumed, ReceiverOutput::Resume),
             (Locking { .. }, Locked) => (Restored, ReceiverOutput::Restore),
-            // A third process has taken the released lock: what was handed over here is of no use.
+            // A third process has taken the released lock: the state that was handed over is out of date.
             (Locking { .. }, LockTaken) if self.complete => {
                 self.complete = false;
                 (locking, ReceiverOutput::Nothing)
             }
             (Locking { .. }, LockTaken) if self.failed || now >= self.latest => {
                 self.failed = false;
-                // The lock's next owner has not been asked yet.
+                // The lock's next owner has not received a request yet.
                 self.latest = now.saturating_add(KILL_OWNER_AFTER);
                 (locking, ReceiverOutput::KillOwner)
             }
@@ -161,8 +161,8 @@
 
 impl Machine for HandoverReceiver {
     type Input = (ReceiverInput, Micros);
-    const NAME: &'static str = "The receiver of an upgrade";
-    const ABOUT: &'static str = "`courier/core/src/machine/handover.rs`: the process that starts, with the folder of one that may run.";
+    const NAME: &'static str = "The receiver of a handover";
+    const ABOUT: &'static str = "`courier/core/src/machine/handover/receiver.rs`: the process that starts, in the folder of another one that may be running.";
 
     fn states() -> Vec<(&'static str, &'static str, Self)> {
         let fresh = HandoverReceiver::new(0);
@@ -170,33 +170,45 @@
         let locking = ReceiverState::Locking { retry_at: 0 };
         vec![
             ("Locking", "tries for the lock", at(locking)),
-            ("LockingFailed", "the same, asked in vain", HandoverReceiver { failed: true, ..fresh }),
+            (
+                "LockingFailed",
+                "the same, after a handover that failed",
+                HandoverReceiver { failed: true, ..fresh },
+            ),
             (
                 "LockingComplete",
-                "the same, and the lock's owner let go",
+                "the same, after the lock's owner released it",
                 HandoverReceiver { complete: true, ..fresh },
             ),
-            ("Requesting", "has asked the lock's owner", at(ReceiverState::Requesting { until: 1 })),
-            ("Confirming", "has all, and has said so", at(ReceiverState::Confirming { until: 1 })),
+            (
+                "Requesting",
+                "has requested a handover from the lock's owner",
+                at(ReceiverState::Requesting { until: 1 }),
+            ),
+            (
+                "Confirming",
+                "has all parts, and has confirmed them",
+                at(ReceiverState::Confirming { until: 1 }),
+            ),
             (
                 "Resumed",
-                "goes on from what it was handed",
+                "continues from the state that was handed over",
                 HandoverReceiver { complete: true, ..at(ReceiverState::Resumed) },
             ),
-            ("Restored", "goes on from the journal", at(ReceiverState::Restored)),
+            ("Restored", "continues from the journal", at(ReceiverState::Restored)),
         ]
     }
 
     fn inputs() -> Vec<(&'static str, &'static str, Self::Input)> {
         vec![
-            ("locked", "the lock is this process's", (ReceiverInput::Locked, 1)),
-            ("held", "another holds it", (ReceiverInput::LockTaken, 1)),
-            ("busy", "the lock's owner hands over to another", (ReceiverInput::Busy, 1)),
-            ("part", "a part has come", (ReceiverInput::Part, 1)),
-            ("all", "all has come, and can be read", (ReceiverInput::Complete, 1)),
-            ("let go", "the lock's owner has let go", (ReceiverInput::Released, 1)),
-            ("lost", "the connection broke, or it can't be read", (ReceiverInput::Lost, 1)),
-            ("tick", "the state's time is up", (ReceiverInput::Tick, 1)),
+            ("locked", "this process has the lock", (ReceiverInput::Locked, 1)),
+            ("lock taken", "another process has it", (ReceiverInput::LockTaken, 1)),
+            ("busy", "the lock's owner hands over to another process", (ReceiverInput::Busy, 1)),
+            ("part", "a part was received", (ReceiverInput::Part, 1)),
+            ("complete", "all parts were received and can be decoded", (ReceiverInput::Complete, 1)),
+            ("released", "the lock's owner has released it", (ReceiverInput::Released, 1)),
+            ("lost", "the connection broke, or its data can't be decoded", (ReceiverInput::Lost, 1)),
+            ("tick", "the time-out of the state has passed", (ReceiverInput::Tick, 1)),
         ]
     }
 
@@ -216,9 +228,9 @@
         match self.step(input, now) {
             ReceiverOutput::Nothing => "",
             ReceiverOutput::Lock => "try for the lock",
-            ReceiverOutput::Request => "ask",
+            ReceiverOutput::Request => "request a handover",
             ReceiverOutput::Confirm => "confirm",
-            ReceiverOutput::KillOwner => "end the lock's owner",
+            ReceiverOutput::KillOwner => "kill the lock's owner",
             ReceiverOutput::Resume => "resume",
             ReceiverOutput::Restore => "restore",
         }
--- a/courier/core/src/machine/handover/sender.rs
+++ b/courier/core/src/machine/handover/sender.rs
@@ -1,9 +1,9 @@
-//! The process that decides now and hands over.
+//! The sender of a handover: the process that decides now.
 
 use crate::machine::transition_table::Machine;
 use quillmount_policy::Micros;
 
-/// The sender's tasks must give up their parts within this, in microseconds: each does when it next waits.
+/// The sender's tasks must release their parts within this, in microseconds: each does when it next waits.
 pub const COLLECT_TIMEOUT: Micros = 150_000;
 /// The receiver must confirm within this, in microseconds: nobody decides until then, and clients wait 0.4 s for an answer.
 pub const TRANSFER_TIMEOUT: Micros = 200_000;
@@ -14,12 +14,12 @@
     /// The process decides, and no other has asked for a handover.
     #[default]
     Deciding,
-    /// Its tasks give up their parts.
+    /// Its tasks release their parts.
     Collecting {
         /// When the handover is abandoned.
         until: Micros,
     },
-    /// Nothing is decided: all parts are sent, and the receiver is to confirm them.
+    /// All parts are sent and the receiver is to confirm them; no decisions are made.
     Sending {
         /// When the handover is abandoned.
         until: Micros,
@@ -31,15 +31,15 @@
 /// What happens to a [`HandoverSender`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SenderInput {
-    /// A receiver asks that can read what this process writes.
+    /// A receiver that can decode this process's state has requested a handover.
     Requested,
-    /// Each task has given up its part, or has nothing to give.
+    /// Each task has released its part or has none.
     Collected,
     /// The receiver has confirmed all parts.
     Received,
     /// The receiver's connection broke, or it sent what can't be read.
     Lost,
-    /// The time of [`HandoverSender::wake_at`] has come.
+    /// The time of [`HandoverSender::wake_at`] is reached.
     Tick,
 }
 
@@ -48,11 +48,11 @@
 pub enum SenderOutput {
     /// Nothing.
     Nothing,
-    /// Have the tasks give up their parts.
+    /// Have the tasks release their parts.
     Collect,
     /// Send the state and the parts.
     Send,
-    /// Put the parts back to work: nothing has been handed over.
+    /// Resume the parts here: nothing has been handed over.
     TakeBack,
     /// Release the lock, then notify the receiver.
     Release,
@@ -72,7 +72,7 @@
         self.state
     }
 
-    /// When a [`SenderInput::Tick`] is wanted.
+    /// When a [`SenderInput::Tick`] is due.
     pub fn wake_at(&self) -> Option<Micros> {
         match self.state {
             SenderState::Collecting { until } | SenderState::Sending { until } => Some(until),
@@ -92,7 +92,7 @@
             (Collecting { .. }, Collected) => {
                 (Sending { until: now.saturating_add(TRANSFER_TIMEOUT) }, SenderOutput::Send)
             }
-            // A task that does not give up its part would go on working beside the next process.
+            // A task that does not release its part would continue in parallel with the next process.
             (Collecting { until } | Sending { until }, Tick) if now >= until => {
                 (Deciding, SenderOutput::TakeBack)
             }
@@ -107,27 +107,26 @@
 
 impl Machine for HandoverSender {
     type Input = (SenderInput, Micros);
-    const NAME: &'static str = "The sender of an upgrade";
-    const ABOUT: &'static str =
-        "`courier/core/src/machine/handover.rs`: the process that decides, and hands over to the next.";
+    const NAME: &'static str = "The sender of a handover";
+    const ABOUT: &'static str = "`courier/core/src/machine/handover/sender.rs`: the process that decides, and hands over to the next one.";
 
     fn states() -> Vec<(&'static str, &'static str, Self)> {
         let at = |state| HandoverSender { state };
         vec![
-            ("Deciding", "nobody has asked", at(SenderState::Deciding)),
-            ("Collecting", "its tasks give up their parts", at(SenderState::Collecting { until: 1 })),
-            ("Sending", "nothing is decided; all is on its way", at(SenderState::Sending { until: 1 })),
-            ("Gone", "another decides", at(SenderState::Gone)),
+            ("Deciding", "no handover was requested", at(SenderState::Deciding)),
+            ("Collecting", "its tasks release their parts", at(SenderState::Collecting { until: 1 })),
+            ("Sending", "all parts are sent; no decisions are made", at(SenderState::Sending { until: 1 })),
+            ("Gone", "another process decides", at(SenderState::Gone)),
         ]
     }
 
     fn inputs() -> Vec<(&'static str, &'static str, Self::Input)> {
         vec![
-            ("asked", "a receiver of the same version and settings", (SenderInput::Requested, 1)),
-            ("collected", "each task has given up its part", (SenderInput::Collected, 1)),
-            ("got", "the receiver has all of it", (SenderInput::Received, 1)),
+            ("requested", "by a receiver of the same version and settings", (SenderInput::Requested, 1)),
+            ("collected", "each task has released its part", (SenderInput::Collected, 1)),
+            ("received", "the receiver has all parts", (SenderInput::Received, 1)),
             ("lost", "the receiver's connection broke", (SenderInput::Lost, 1)),
-            ("tick", "the state's time is up", (SenderInput::Tick, 1)),
+            ("tick", "the time-out of the state has passed", (SenderInput::Tick, 1)),
         ]
     }
 
@@ -143,11 +142,11 @@
     fn apply(&mut self, (input, now): Self::Input) -> String {
         match self.step(input, now) {
             SenderOutput::Nothing => "",
-            SenderOutput::Collect => "collect",
-            SenderOutput::Send => "send all",
-            SenderOutput::TakeBack => "take back",
-            SenderOutput::Release => "let go of the lock, say so",
-            SenderOutput::Busy => "say busy",
+            SenderOutput::Collect => "collect parts",
+            SenderOutput::Send => "send all parts",
+            SenderOutput::TakeBack => "resume the parts",
+            SenderOutput::Release => "release the lock and report it",
+            SenderOutput::Busy => "answer that it is busy",
         }
         .to_string()
     }
--- a/courier/core/src/machine/lifecycle.rs
+++ b/courier/core/src/machine/lifecycle.rs
@@ -28,7 +28,7 @@
     Serve,
     /// Something happened in the handover to another process.
     Handover(SenderInput),
-    /// Operators drain the courier or end the drain, or the drain's time has come.
+    /// Operators drain the courier or end the drain, or the drain's timer is due.
     Drain(drain::DrainInput),
     /// A signal requests the graceful shutdown.
     Stop,
@@ -56,7 +56,7 @@
 pub struct Lifecycle {
     state: LifecycleState,
     drain: Drain,
-    /// When the first signal came that requested the graceful shutdown. During a handover it waits: a process that still has
+    /// When the first signal arrived that requested the graceful shutdown. During a handover it waits: a process that still has
     /// the lock afterwards shuts down, one that has released it has nothing left to shut down.
     stop: Option<Micros>,
 }
@@ -72,17 +72,17 @@
         self.is_serving() && self.stop.is_none() && !self.drain.is_drained()
     }
 
-    /// Operators have drained it: the front is told that it is not ready.
+    /// Operators have drained it: the front is notified that it is not ready.
     pub fn is_drained(&self) -> bool {
         self.drain.is_drained()
     }
 
-    /// Tasks give up their parts to another process, or have done so.
+    /// Tasks release their parts to another process, or have done so.
     pub fn is_releasing(&self) -> bool {
         matches!(self.state, LifecycleState::Handover(_) | LifecycleState::Ended)
     }
 
-    /// Nothing is decided here, for now or for good.
+    /// No decisions are made here, temporarily or permanently.
     pub fn is_frozen(&self) -> bool {
         match self.state {
             LifecycleState::Handover(sender) => matches!(sender.state(), SenderState::Sending { .. }),
@@ -90,7 +90,7 @@
         }
     }
 
-    /// When the signal came whose graceful shutdown is under way.
+    /// When the signal arrived whose graceful shutdown is under way.
     pub fn stopping(&self) -> Option<Micros> {
         self.stop.filter(|_| self.state == LifecycleState::Stopping)
     }
@@ -105,7 +105,7 @@
         self.stop.is_some()
     }
 
-    /// When a tick of the handover is wanted.
+    /// When a tick of the handover is due.
     pub fn handover_deadline(&self) -> Option<Micros> {
         match &self.state {
             LifecycleState::Handover(sender) => sender.wake_at(),
@@ -113,7 +113,7 @@
         }
     }
 
-    /// When a tick of the drain is wanted.
+    /// When a tick of the drain is due.
     pub fn drain_check_at(&self) -> Option<Micros> {
         self.drain.wake_at().filter(|_| self.state != LifecycleState::Ended)
     }
@@ -149,7 +149,7 @@
             (_, LifecycleInput::Handover(SenderInput::Requested)) => {
                 LifecycleOutput::Handover(SenderOutput::Busy)
             }
-            // A change would not be part of what is handed over.
+            // A change would not be in the state that is handed over.
             (
                 LifecycleState::Handover(_),
                 LifecycleInput::Drain(drain::DrainInput::Drain | drain::DrainInput::Undrain),
@@ -211,41 +211,45 @@
 impl Machine for Lifecycle {
     type Input = (LifecycleInput, Micros);
     const NAME: &'static str = "A courier's lifecycle";
-    const ABOUT: &'static str = "`courier/core/src/machine/lifecycle.rs`: from its start to its end. It holds the courier's drain and \
-        the sender of an upgrade, whose own tables follow; a drain goes along through a hand-over, a stop and back.";
+    const ABOUT: &'static str = "`courier/core/src/machine/lifecycle.rs`: from its start to its end. It contains the courier's drain \
+        and the sender of a handover, whose own tables follow; a drain stays in effect through a handover, a stop and back.";
 
     fn states() -> Vec<(&'static str, &'static str, Self)> {
         use LifecycleInput::{Handover, Serve, Stop};
         use SenderInput::{Collected, Received, Requested};
         let drain = LifecycleInput::Drain(drain::DrainInput::Drain);
         vec![
-            ("Starting", "what an earlier life left is taken up", after(&[])),
-            ("Serving", "messages are taken on", after(&[Serve])),
-            ("Drained", "the same, and the front is told no", after(&[Serve, drain])),
+            ("Starting", "the state of an earlier process is restored", after(&[])),
+            ("Serving", "messages are accepted", after(&[Serve])),
+            (
+                "Drained",
+                "the same, and the front is notified that the courier is not ready",
+                after(&[Serve, drain]),
+            ),
             (
                 "Collecting",
-                "tasks give up their parts to another process",
+                "tasks release their parts to another process",
                 after(&[Serve, Handover(Requested)]),
             ),
             (
                 "CollectingStopRequested",
-                "the same, and it is to stop",
+                "the same, and a stop was requested",
                 after(&[Serve, Handover(Requested), Stop]),
             ),
             (
                 "Sending",
-                "nothing is decided; all is on its way",
+                "all parts are sent; no decisions are made",
                 after(&[Serve, Handover(Requested), Handover(Collected)]),
             ),
             (
                 "SendingStopRequested",
-                "the same, and it is to stop",
+                "the same, and a stop was requested",
                 after(&[Serve, Handover(Requested), Handover(Collected), Stop]),
             ),
-            ("Stopping", "the planned stop", after(&[Serve, Stop])),
+            ("Stopping", "graceful shutdown", after(&[Serve, Stop])),
             (
                 "Ended",
-                "another process decides, or the planned stop is done",
+                "another process decides, or the shutdown is complete",
                 after(&[Serve, Handover(Requested), Handover(Collected), Handover(Received)]),
             ),
         ]
@@ -254,26 +258,30 @@
     fn inputs() -> Vec<(&'static str, &'static str, Self::Input)> {
         use super::handover::TRANSFER_TIMEOUT;
         vec![
-            ("serve", "all that an earlier life left is taken up", (LifecycleInput::Serve, 0)),
-            ("DRAIN", "the operators' call", (LifecycleInput::Drain(drain::DrainInput::Drain), 0)),
-            ("UNDRAIN", "the operators' call", (LifecycleInput::Drain(drain::DrainInput::Undrain), 0)),
+            ("serve", "the state of an earlier process is restored completely", (LifecycleInput::Serve, 0)),
+            ("DRAIN", "the operators' command", (LifecycleInput::Drain(drain::DrainInput::Drain), 0)),
+            ("UNDRAIN", "the operators' command", (LifecycleInput::Drain(drain::DrainInput::Undrain), 0)),
             (
-                "look",
-                "the time to look for connections that rest",
+                "drain tick",
+                "the time to close idle connections",
                 (LifecycleInput::Drain(drain::DrainInput::Tick), drain::FRONT_GRACE),
             ),
             ("stop", "SIGTERM or SIGINT", (LifecycleInput::Stop, 0)),
             (
-                "asked",
-                "another process wants to take over",
+                "requested",
+                "another process requests a handover",
                 (LifecycleInput::Handover(SenderInput::Requested), 0),
             ),
             (
                 "collected",
-                "each task has given up its part",
+                "each task has released its part",
                 (LifecycleInput::Handover(SenderInput::Collected), 0),
             ),
-            ("got", "the other process has all of it", (LifecycleInput::Handover(SenderInput::Received), 0)),
+            (
+                "received",
+                "the other process has all parts",
+                (LifecycleInput::Handover(SenderInput::Received), 0),
+            ),
             (
                 "lost",
                 "the other process's connection broke",
@@ -281,12 +289,12 @@
             ),
             (
                 "tick",
-                "the hand-over's time is up",
+                "the time-out of the handover has passed",
                 (LifecycleInput::Handover(SenderInput::Tick), TRANSFER_TIMEOUT),
             ),
             (
                 "end",
-                "the planned stop is done, or its fleet has given all to others",
+                "the shutdown is complete, or the fleet has transferred all messages to other couriers",
                 (LifecycleInput::End, 0),
             ),
         ]
@@ -312,16 +320,18 @@
         match self.step(input, now) {
             LifecycleOutput::Nothing => "",
             LifecycleOutput::Handover(SenderOutput::Nothing) => "",
-            LifecycleOutput::Handover(SenderOutput::Collect) => "collect",
-            LifecycleOutput::Handover(SenderOutput::Send) => "send all",
-            LifecycleOutput::Handover(SenderOutput::TakeBack) => "take back",
-            LifecycleOutput::Handover(SenderOutput::Release) => "let go of the lock, say so",
-            LifecycleOutput::Handover(SenderOutput::Busy) => "say busy",
+            LifecycleOutput::Handover(SenderOutput::Collect) => "collect parts",
+            LifecycleOutput::Handover(SenderOutput::Send) => "send all parts",
+            LifecycleOutput::Handover(SenderOutput::TakeBack) => "resume the parts",
+            LifecycleOutput::Handover(SenderOutput::Release) => "release the lock and report it",
+            LifecycleOutput::Handover(SenderOutput::Busy) => "answer that it is busy",
             LifecycleOutput::Drain(drain::DrainOutput::Nothing) => "",
-            LifecycleOutput::Drain(drain::DrainOutput::CloseAfterAnswers) => "answers end their connections",
-            LifecycleOutput::Drain(drain::DrainOutput::CloseIdle) => "connections at rest are to leave",
-            LifecycleOutput::Drain(drain::DrainOutput::KeepConnections) => "connections are kept",
-            LifecycleOutput::Stop => "begin the planned stop",
+            LifecycleOutput::Drain(drain::DrainOutput::CloseAfterAnswers) => {
+                "close connections after answers"
+            }
+            LifecycleOutput::Drain(drain::DrainOutput::CloseIdle) => "close idle connections",
+            LifecycleOutput::Drain(drain::DrainOutput::KeepConnections) => "keep connections",
+            LifecycleOutput::Stop => "begin the shutdown",
             LifecycleOutput::Exit => "end the process",
         }
         .to_string()
--- a/courier/core/src/machine/notices.rs
+++ b/courier/core/src/machine/notices.rs
@@ -52,11 +52,11 @@
     Confirmed,
     /// The platform has answered with 400: one of the notices can't be read.
     Unreadable,
-    /// Another answer, none, or a connection that failed.
+    /// Another answer, no answer, or a failed connection.
     Lost,
-    /// Discovery has moved: a notice that is sent twice does no harm, one that is late does.
+    /// Discovery has moved: a duplicate notice has no effect, a late one does.
     Moved,
-    /// The time of [`Notices::wake_at`] has come.
+    /// The time of [`Notices::wake_at`] is reached.
     Tick,
 }
 
@@ -69,7 +69,7 @@
     Send(usize),
     /// The notices that were sent are confirmed.
     Confirmed,
-    /// Drop the single notice that was sent: it can't be read, and must not hold back the others.
+    /// Drop the single notice that was sent: the platform can't read it, and it must not block the others.
     Discard,
     /// Check again which notices are to be sent.
     Retry,
@@ -95,7 +95,7 @@
         self.state
     }
 
-    /// When a [`NoticeInput::Tick`] is wanted.
+    /// When a [`NoticeInput::Tick`] is due.
     pub fn wake_at(&self) -> Option<Micros> {
         match self.state {
             NoticeState::Quiet => None,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The most notices that the next request may hold.
+    /// The most notices that the next request may contain.
     pub fn most(&self) -> usize {
         self.batch
     }
@@ -153,18 +153,18 @@
 impl Machine for Notices {
     type Input = (NoticeInput, Micros);
     const NAME: &'static str = "The notices";
-    const ABOUT: &'static str = "`courier/core/src/machine/notices.rs`: many at a time, and again until the platform has confirmed each.";
+    const ABOUT: &'static str = "`courier/core/src/machine/notices.rs`: sent to the platform in batches, and again until it has confirmed each of them.";
 
     fn states() -> Vec<(&'static str, &'static str, Self)> {
         let at = |state, batch| Notices { state, batch };
         let sent = |count| NoticeState::Sent { count, until: 10 };
         vec![
-            ("Quiet", "nothing is on its way", at(NoticeState::Quiet, BATCH_MAX)),
-            ("Sent", "several are on their way, for 0.25 s at most", at(sent(2), BATCH_MAX)),
-            ("SentOne", "a single one is", at(sent(1), 1)),
+            ("Quiet", "no notice is in flight", at(NoticeState::Quiet, BATCH_MAX)),
+            ("Sent", "several notices are in flight, for 0.25 s at most", at(sent(2), BATCH_MAX)),
+            ("SentOne", "a single notice is in flight", at(sent(1), 1)),
             (
                 "BackingOff",
-                "a try has failed; 50 ms until the next",
+                "a request has failed; the next one follows after 50 ms",
                 at(NoticeState::BackingOff { until: 10 }, BATCH_MAX),
             ),
         ]
@@ -172,12 +172,12 @@
 
     fn inputs() -> Vec<(&'static str, &'static str, Self::Input)> {
         vec![
-            ("wanted", "several are to be told", (NoticeInput::Wanted(2), 1)),
-            ("confirmed", "204", (NoticeInput::Confirmed, 1)),
-            ("unreadable", "400", (NoticeInput::Unreadable, 1)),
-            ("lost", "any other word, or a connection that failed", (NoticeInput::Lost, 1)),
+            ("wanted", "several notices are to be sent", (NoticeInput::Wanted(2), 1)),
+            ("confirmed", "the answer is 204", (NoticeInput::Confirmed, 1)),
+            ("unreadable", "the answer is 400", (NoticeInput::Unreadable, 1)),
+            ("lost", "another answer, none, or a failed connection", (NoticeInput::Lost, 1)),
             ("moved", "discovery has moved", (NoticeInput::Moved, 1)),
-            ("tick", "the time that the state waits for has come", (NoticeInput::Tick, 10)),
+            ("tick", "the time that the state waits for is reached", (NoticeInput::Tick, 10)),
         ]
     }
 
@@ -194,9 +194,9 @@
         match self.step(input, now) {
             NoticeOutput::Nothing => "",
             NoticeOutput::Send(_) => "send",
-            NoticeOutput::Confirmed => "told",
-            NoticeOutput::Discard => "let go",
-            NoticeOutput::Retry => "look again",
+            NoticeOutput::Confirmed => "mark as confirmed",
+            NoticeOutput::Discard => "discard",
+            NoticeOutput::Retry => "retry",
         }
         .to_string()
     }
--- a/courier/core/src/machine/transition_table.rs
+++ b/courier/core/src/machine/transition_table.rs
@@ -1,4 +1,4 @@
-//! The transitions of a state machine as a table, read off its code, for the documentation.
+//! The transitions of a state machine as a table, generated from its code, for the documentation.
 
 use std::fmt::Write;
 
@@ -13,14 +13,14 @@
     pub states: Vec<(&'static str, &'static str)>,
     /// The name and meaning of each input.
     pub inputs: Vec<(&'static str, &'static str)>,
-    /// By state and input: the next state and what is to be done; `None` where nothing changes.
+    /// By state and input: the next state and the action; `None` where nothing changes.
     pub cells: Vec<Vec<Option<(String, String)>>>,
 }
 
 /// A machine that can be put into any of its states, for its table and for exploration. Its examples leave out no state
 /// and no input.
 pub trait Machine: Clone + PartialEq {
-    /// What the machine reacts to.
+    /// The type of its inputs.
     type Input: Clone;
     /// The machine's name, as the heading of its table.
     const NAME: &'static str;
@@ -32,7 +32,7 @@
     fn inputs() -> Vec<(&'static str, &'static str, Self::Input)>;
     /// The state's name, as in [`Machine::states`].
     fn state(&self) -> &'static str;
-    /// Applies an input at a time after all that the state waits for; returns what is to be done.
+    /// Applies an input at a time after all times that the state waits for; returns the action.
     fn apply(&mut self, input: Self::Input) -> String;
 
     /// The machine's transitions.
--- a/courier/core/src/machine/watch.rs
+++ b/courier/core/src/machine/watch.rs
@@ -33,11 +33,11 @@
     },
     /// A request is answered, and changes are received as they come.
     Following {
-        /// When the watch counts as broken if nothing comes.
+        /// When the watch counts as broken if nothing is received.
         until: Micros,
         /// When the answer began.
         since: Micros,
-        /// Something has come a while after the answer began.
+        /// Something was received a while after the answer began.
         lasts: bool,
     },
     /// Broken; the next request waits.
@@ -52,9 +52,9 @@
 /// What happens to a [`Watch`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchInput {
-    /// The head of an answer has come, with status 200.
+    /// The head of an answer was received, with status 200.
     Answered,
-    /// A list has come, or an empty line between two lists.
+    /// A list was received, or an empty line between two lists.
     Heard {
         /// Discovery is at another address by now.
         moved: bool,
@@ -66,7 +66,7 @@
         /// Discovery is at another address by now.
         moved: bool,
     },
-    /// The time of [`Watch::wake_at`] has come.
+    /// The time of [`Watch::wake_at`] is reached.
     Tick {
         /// Discovery is at another address by now.
         moved: bool,
@@ -87,7 +87,7 @@
     },
     /// This address sends the list: end the watches at older addresses.
     EndOlderWatches,
-    /// Do nothing for so long, in microseconds.
+    /// Send no request for this long, in microseconds.
     BackOff(Micros),
     /// End the watch for good.
     Stop,
@@ -101,22 +101,22 @@
     failed: u32,
     /// The couriers of the fleet.
     couriers: u32,
-    /// Within which a drain must be heeded.
+    /// The time within which a drain must be heeded.
     heed: Micros,
-    /// The seed of the random draws; 0: nothing is drawn.
+    /// The seed of the random draws; 0: there is no jitter.
     seed: u64,
-    /// Lists are pushed: requests go to an agent on the courier's own machine, which answers at no cost. What the agent has
-    /// counts as received from the moment when it is back after a silence, and it answers the requests that are in flight
+    /// Lists are pushed: requests go to an agent on the courier's own machine, which answers at no cost. The agent's list
+    /// counts as received from the time at which it is back after an outage, and it answers the requests that are in flight
     /// then: so one always is.
     pushed: bool,
-    /// With pushed lists: since when requests are in flight without any answer.
+    /// With pushed lists: the time since which requests have been in flight without any answer.
     unanswered_since: Option<Micros>,
-    /// With pushed lists: when a request failed that was counted.
+    /// With pushed lists: when the last counted failure of a request was.
     failed_at: Micros,
 }
 
 impl Watch {
-    /// The watch of a single courier, which sends a request at once and draws nothing.
+    /// The watch of a single courier, which sends a request at once and uses no jitter.
     pub fn new(now: Micros) -> Self {
         let mut watch = Watch {
             state: WatchState::Stopped,
@@ -136,7 +136,7 @@
     ///
     /// `heed` is the time within which a drain must be heeded: requests come often enough for that even if one fails or is
     /// lost. With `starts`, when other couriers may start at the same time, the first request waits for a quarter of it at
-    /// most, and a [`WatchInput::Tick`] is wanted first.
+    /// most, and a [`WatchInput::Tick`] is due first.
     pub fn of_fleet(now: Micros, couriers: u32, seed: u64, starts: bool, heed: Micros) -> Self {
         let heed = heed.clamp(HEED_MIN, HEED_MAX);
         let mut watch = Watch { couriers, heed, seed: seed | 1, ..Watch::new(now) };
@@ -164,7 +164,7 @@
         self.state
     }
 
-    /// When a [`WatchInput::Tick`] is wanted.
+    /// When a [`WatchInput::Tick`] is due.
     pub fn wake_at(&self) -> Option<Micros> {
         match self.state {
             WatchState::Requesting { until, .. }
@@ -232,11 +232,11 @@
     }
 
     fn fell_silent(&mut self, lasted: bool, now: Micros) -> WatchOutput {
-        // Silence is no failure: the watch has lasted long enough to be renewed at once.
+        // A time-out is no failure if the watch lasted: it is renewed at once.
         if lasted {
             self.failed = 0;
         }
-        // An agent may be back at any moment, and must find a request then.
+        // An agent may be back at any time, and a request must be in flight then.
         let spread = if self.pushed { 0 } else { self.spread(RENEWAL_SPREAD_MAX) };
         let wait = (self.draw(1.0) * spread as f64) as Micros;
         self.back_off(wait, now)
@@ -265,7 +265,7 @@
         (Micros::from(self.couriers) * SPREAD_PER_COURIER).min(most)
     }
 
-    /// Draws from 0 to 1; `fixed` where nothing is drawn.
+    /// A random number from 0 to 1; `fixed` where there is no jitter.
     fn draw(&mut self, fixed: f64) -> f64 {
         if self.seed == 0 { fixed } else { random_unit(&mut self.seed) }
     }
@@ -276,8 +276,8 @@
         (self.draw(1.0) * spread as f64) as Micros
     }
 
-    /// The delay of a request after one that failed: half of the backoff at least, since who rejects a request has too much
-    /// to do.
+    /// The delay of a request after one that failed: half of the backoff at least, since a server that rejects requests is
+    /// overloaded.
     fn backoff(&mut self) -> Micros {
         let first = self.spread(NOTIFIED_WITHIN / 3).max(RETRY_FIRST);
         let most = (Micros::from(self.couriers) * BACKOFF_PER_COURIER).clamp(RETRY_MAX, REQUEST_INTERVAL_MAX);
@@ -285,26 +285,26 @@
         ((0.5 + 0.5 * self.draw(1.0)) * backoff as f64) as Micros
     }
 
-    /// The same, but ending no later than [`REQUEST_INTERVAL_MAX`] after the last request or sign of life: what failed late
-    /// has used up a part of the backoff.
+    /// The same, but ending no later than [`REQUEST_INTERVAL_MAX`] after the last request or heartbeat: a late failure has
+    /// used up a part of the backoff.
     fn backoff_after(&mut self, last: Micros, now: Micros) -> Micros {
         self.backoff().min(last.saturating_add(REQUEST_INTERVAL_MAX).saturating_sub(now))
     }
 
     /// Sends a request, and plans the hedged one.
     ///
-    /// An agent is silent while discovery is down, and may have a list at any moment after that, which counts from then on:
-    /// until it answers, it gets requests often enough to heed that list in time, fewer if it has rejected one.
+    /// An agent does not answer while discovery is down, and may have a list at any time after that, which counts from then
+    /// on: until it answers, it gets requests often enough to heed that list in time, fewer if it has rejected one.
     fn request(&mut self, since: Micros, second: Option<Micros>, now: Micros) {
         let mut interval = ((0.375 + 0.25 * self.draw(0.5)) * self.heed as f64) as Micros;
         if self.failed > 0 {
             interval = self.backoff().max(interval);
         }
-        // A discovery with many clients may be silent because of them: over the whole fleet it gets no more than one hedged
+        // A discovery with many clients may be slow to answer because of them: over the whole fleet it gets no more than one hedged
         // request in each `HEDGE_PER_COURIER`, or one from each courier in `REQUEST_INTERVAL_MAX`.
         let fleet = (Micros::from(self.couriers) * HEDGE_PER_COURIER).min(HEDGE_DELAY_MAX);
         let fleet = ((1.0 - HEDGE_JITTER + 2.0 * HEDGE_JITTER * self.draw(0.5)) * fleet as f64) as Micros;
-        // An agent has one courier as its client, and is asked at no cost, like the discovery of a small fleet. A quarter of
+        // An agent has one courier as its client, and requests to it cost little, as in a small fleet. A quarter of
         // `heed` is left for the answer.
         let is_small = self.pushed || self.couriers <= SMALL_FLEET;
         interval = interval.max(if is_small { fleet.min(self.heed / 4 * 3) } else { fleet });
@@ -327,13 +327,13 @@
         WatchOutput::BackOff(wait)
     }
 
-    /// Counts a failure. A watch that did not last is one: renewed at once, it might end at once for ever.
+    /// Counts a failure. A watch that did not last is one: renewed at once, it might end at once again and again.
     fn count_failure(&mut self, lasted: bool) {
         self.failed = if lasted { 0 } else { self.failed.saturating_add(1) };
     }
 
-    /// Counts a request that failed. With pushed lists, an agent that is back from a silence may reset all requests that it
-    /// no longer knows, in one moment: these count as one failure, the first.
+    /// Counts a request that failed. With pushed lists, an agent that is back after an outage may reset at once all requests
+    /// that it no longer knows: these count as one failure, the first.
     fn request_failed(&mut self, now: Micros) {
         if !self.pushed {
             return self.count_failure(false);
--- a/courier/core/src/machine/watch/table.rs
+++ b/courier/core/src/machine/watch/table.rs
@@ -7,62 +7,64 @@
 impl Machine for Watch {
     type Input = (WatchInput, Micros);
     const NAME: &'static str = "The watch on discovery";
-    const ABOUT: &'static str = "`courier/core/src/machine/watch.rs`: one address's watch. \
-        An empty line is due every 2 s; after 2.5 s of \
-        silence the watch is broken, and is asked for anew 25 ms later for each courier of the fleet, 1.5 \
-        s at most, at a time that is drawn: the answer is there 1 s before what was missed counts as told, \
-        6 s after the silence began. Where lists are pushed it is asked for at once, since what the agent of the \
-        courier's own machine has counts as told when that is back, and what is out then is answered: from here on \
-        a question always is. A start, and a watch that ended, wait for a quarter of \
-        `stop_sending_within_ms` (`heed`, of 1 s at most) at most. A question that is not answered stays \
-        out, and another is asked beside it after 3 to 5 eighths of `heed`, in a fleet after some 50 ms a courier \
-        (4 s at most, and three quarters of `heed` up to ten couriers, or where lists are pushed); the first stays out for 6 s, and one more \
-        for the 1 s that an answer may take. After a question that failed (or a watch that did not last) the pause is 25 ms a \
-        courier, from 0.1 s to 2 s, and doubles up to 2 s, in a fleet up to 4 s, of which half \
-        is drawn, and that counts from the question where it failed late; it holds between questions without an answer too, until a watch lasts; where lists are pushed, the first that \
-        fails, and one that fails after 1 s without a word, are followed as a start is, after 50 ms at least: who is back resets \
-        what it no longer knows. So no two questions are \
-        more than 4 s apart, and what discovery has and can be reached for is here 5 s later. Whatever it does, \
-        the last list goes on to hold.";
+    const ABOUT: &'static str = "`courier/core/src/machine/watch.rs`: the watch on discovery at one address.\n\n\
+        - **Time-out.** An empty line is due every 2 s; after 2.5 s without data the watch counts as broken. It is renewed \
+        after a random delay of up to 25 ms for each courier of the fleet, at most 1.5 s: so the answer arrives 1 s before \
+        the missed changes must have taken effect, 6 s after the last data. Where lists are pushed it is renewed at once: \
+        the list of the agent on the courier's own machine counts as received as soon as the agent is back, and the agent \
+        answers the requests that are in flight then, so from here on a request always is.\n\
+        - **Start.** A process that starts, and a watch that ended, wait for at most a quarter of `heed` \
+        (`stop_sending_within_ms`, at most 1 s).\n\
+        - **Hedged requests.** A request without an answer stays in flight, and a hedged one follows after 3 to 5 eighths of \
+        `heed`, in a fleet after about 50 ms for each courier (at most 4 s; three quarters of `heed` for up to ten couriers \
+        or where lists are pushed). The first request stays in flight for 6 s, and one more for the 1 s that an answer may \
+        take.\n\
+        - **Backoff.** After a failed request, or a watch that did not last, the backoff is 25 ms for each courier, at least \
+        0.1 s and at most 2 s. It doubles up to 2 s, in a fleet up to 4 s; half of it is random, and after a late failure it \
+        counts from the request. It also applies between requests without an answer, until a watch lasts. Where lists are \
+        pushed, the first failed request, and one that fails after 1 s without an answer, are followed by the delay of a \
+        start, at least 50 ms: an agent that is back resets requests that it no longer knows.\n\n\
+        So no two requests are more than 4 s apart, and a change that discovery has, while it can be reached, arrives within \
+        5 s. The last list stays in effect all the time.";
 
     fn states() -> Vec<(&'static str, &'static str, Self)> {
         let at = |state| Watch { state, ..Watch::new(0) };
         vec![
             (
                 "Requesting",
-                "the request is out",
+                "requests are in flight",
                 at(WatchState::Requesting { until: 10, since: 0, second: None, last: 0 }),
             ),
             (
                 "Following",
-                "the answer has begun; 2.5 s of silence end it",
+                "the answer has begun; it ends after 2.5 s without data",
                 at(WatchState::Following { until: 10, since: 0, lasts: true }),
             ),
-            ("BackingOff", "broken, until the next try", at(WatchState::BackingOff { until: 10 })),
-            ("Stopped", "discovery is elsewhere", at(WatchState::Stopped)),
+            ("BackingOff", "broken; the next request waits", at(WatchState::BackingOff { until: 10 })),
+            ("Stopped", "discovery has moved to another address", at(WatchState::Stopped)),
         ]
     }
 
     fn inputs() -> Vec<(&'static str, &'static str, Self::Input)> {
         vec![
-            ("answered", "the answer's head, with 200", (WatchInput::Answered, 1)),
+            ("answered", "the head of an answer with status 200", (WatchInput::Answered, 1)),
             (
                 "heard",
-                "a list is whole, or an empty line between lists",
+                "a list is complete, or an empty line between lists",
                 (WatchInput::Heard { moved: false }, 1),
             ),
             ("heard, moved", "the same, after discovery has moved", (WatchInput::Heard { moved: true }, 1)),
-            ("lost", "a question failed, and another is out", (WatchInput::Lost, 1)),
+            ("lost", "a request failed, and another is in flight", (WatchInput::Lost, 1)),
             (
                 "broken",
-                "no question is out any more, an end, or what can't be read",
+                "the last request in flight failed, or the answer ended or can't be read",
                 (WatchInput::Broken { moved: false }, 1),
             ),
             ("broken, moved", "the same, after discovery has moved", (WatchInput::Broken { moved: true }, 1)),
-            ("tick", "the time that the state waits for has come", (WatchInput::Tick { moved: false }, 10)),
+            ("tick", "the time that the state waits for is reached", (WatchInput::Tick { moved: false }, 10)),
             (
                 "tick, late",
-                "the same, 6 s after the first question that is out",
+                "the same, 6 s after the first request in flight was sent",
                 (WatchInput::Tick { moved: false }, NOTIFIED_WITHIN),
             ),
             ("tick, moved", "the same, after discovery has moved", (WatchInput::Tick { moved: true }, 10)),
@@ -81,10 +83,10 @@
     fn apply(&mut self, (input, now): Self::Input) -> String {
         match self.step(input, now) {
             WatchOutput::Nothing => "",
-            WatchOutput::Request => "ask",
-            WatchOutput::Hedge { .. } => "ask beside",
+            WatchOutput::Request => "request",
+            WatchOutput::Hedge { .. } => "send a hedged request",
             WatchOutput::EndOlderWatches => "end older watches",
-            WatchOutput::BackOff(_) => "pause",
+            WatchOutput::BackOff(_) => "back off",
             WatchOutput::Stop => "stop",
         }
         .to_string()
--- a/courier/core/src/machine/watch/timing.rs
+++ b/courier/core/src/machine/watch/timing.rs
@@ -1,11 +1,11 @@
 //! The times of the watch, all in microseconds, and the bound that they keep.
 //!
-//! Whatever discovery sends must count here within [`NOTIFIED_WITHIN`] of the last sign of life, and a drain must be heeded
-//! before that. At the same time discovery must not be overloaded by a fleet that loses it all at once and asks it again.
+//! A list that discovery sends must take effect here within [`NOTIFIED_WITHIN`] of the last heartbeat, and a drain must be heeded
+//! before that. At the same time discovery must not be overloaded by a fleet that loses it at once and sends requests again.
 
 use quillmount_policy::Micros;
 
-/// By the protocol a watch without changes sends an empty line that often.
+/// By the protocol a watch without changes sends an empty line at this interval.
 pub const HEARTBEAT: Micros = 2_000_000;
 /// How late that line may be.
 pub const HEARTBEAT_SLACK: Micros = 500_000;
@@ -20,10 +20,10 @@
 pub(super) const HEED_MIN: Micros = 100_000;
 /// A request is answered within this. An agent answers at once; a loaded machine takes longer.
 pub const ANSWER_WITHIN: Micros = 1_000_000;
-/// No two requests are further apart, nor is one from the last sign of life: whatever became of those before, a request
+/// No two requests are further apart, nor is one from the last heartbeat: whatever happened to those before, a request
 /// that comes so long after discovery can be reached is answered [`HEED_MAX`] before its changes count.
 pub const REQUEST_INTERVAL_MAX: Micros = NOTIFIED_WITHIN - HEED_MAX - ANSWER_WITHIN;
-/// The requests of a fleet after a silence, which all of it may notice at once, are spread over at most this: the last one
+/// The requests of a fleet after a time-out, which all couriers may notice at once, are spread over at most this: the last one
 /// is answered [`HEED_MAX`] before what was missed counts.
 pub(super) const RENEWAL_SPREAD_MAX: Micros = NOTIFIED_WITHIN - HEED_MAX - ANSWER_WITHIN - SILENCE;
 /// The first backoff after a failed request.
@@ -38,14 +38,14 @@
 /// What each courier adds to the time before a hedged request. Forty-eight couriers with one every 2 s each, together one in
 /// 42 ms, were too many.
 pub(super) const HEDGE_PER_COURIER: Micros = 50_000;
-/// The part by which that time is drawn shorter or longer.
+/// The fraction by which that time is randomly shortened or extended.
 pub(super) const HEDGE_JITTER: f64 = 0.25;
-/// The most that it may come to before the draw: drawn a quarter longer it is [`REQUEST_INTERVAL_MAX`].
+/// The most that it may be before jitter: extended by a quarter it is [`REQUEST_INTERVAL_MAX`].
 pub(super) const HEDGE_DELAY_MAX: Micros = REQUEST_INTERVAL_MAX * 4 / 5;
 /// So few couriers may send hedged requests as often as heeding a drain in time requires.
 pub(super) const SMALL_FLEET: u32 = 10;
 
-/// The bound: from the last sign of life over the silence and the spread, from a failed request over the longest backoff,
+/// The bound: from the last heartbeat over the time-out and the spread, from a failed request over the longest backoff,
 /// and from an unanswered request to the hedged one, the next answer comes [`HEED_MAX`] before [`NOTIFIED_WITHIN`].
 const _: () = {
     assert!(SILENCE + RENEWAL_SPREAD_MAX <= REQUEST_INTERVAL_MAX);
--- a/courier/core/src/note.rs
+++ b/courier/core/src/note.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum Note {
     /// A message was accepted.
-    #[error("taken on: {msg} for destination {dest}, class {class}, {time_left} us")]
+    #[error("accepted: {msg} for destination {dest}, class {class}, {time_left} us")]
     Accepted {
         /// Its number.
         msg: MsgId,
@@ -88,7 +88,7 @@
          clock be set before the courier starts"
     )]
     SetBack {
-        /// By so much at least.
+        /// By at least this, microseconds.
         ahead: Micros,
     },
     /// A message of another courier was not adopted, since its id is known here.
@@ -98,7 +98,7 @@
         id: String,
     },
     /// The policy ordered a call for a message or to an endpoint that is not known.
-    #[error("call {attempt} of invocation {msg} to provider {endpoint}: not known")]
+    #[error("call {attempt} of message {msg} to endpoint {endpoint}: not known")]
     UnknownCall {
         /// The number of the message.
         msg: MsgId,
--- a/courier/core/src/pool.rs
+++ b/courier/core/src/pool.rs
@@ -17,7 +17,7 @@
     connection: C,
 }
 
-/// What is stored for one endpoint. A new endpoint at the same address has its own.
+/// The state of one endpoint. A new endpoint at the same address has its own.
 #[derive(Clone, Debug)]
 struct EndpointConnections<C> {
     /// Calls may not start: the endpoint is draining or gone.
@@ -103,7 +103,7 @@
 /// The pool. Connections that it returns to be closed may simply be dropped if they are sockets.
 #[derive(Clone, Debug)]
 pub struct Pool<C> {
-    /// How long a connection may be idle.
+    /// How long a connection may be idle, microseconds.
     idle_timeout: Micros,
     /// The most connections at once, with those of calls.
     connections_max: usize,
@@ -123,7 +123,7 @@
         Pool { idle_timeout, connections_max, calls: 0, idle_count: 0, all: HashMap::new() }
     }
 
-    /// Calls to the endpoint may start, or may not any more. Returns connections to close.
+    /// Sets whether calls to the endpoint may start. Returns connections to close.
     pub fn set_gate(&mut self, endpoint: u32, open: bool) -> Vec<C> {
         self.all.entry(endpoint).or_default().shut = !open;
         if open { Vec::new() } else { self.close_idle(endpoint) }
@@ -135,7 +135,7 @@
         endpoint.backoff_until = endpoint.backoff_until.max(until);
     }
 
-    /// Until when no call to the endpoint may start: a time in the past, or 0, if there is no such limit.
+    /// The time before which no call to the endpoint may start: in the past, or 0, if there is no such limit.
     pub fn backoff_until(&self, endpoint: u32) -> Micros {
         self.all.get(&endpoint).map_or(0, |state| state.backoff_until)
     }
--- a/courier/core/src/router/action.rs
+++ b/courier/core/src/router/action.rs
@@ -1,4 +1,4 @@
-//! What the router answers and asks its driver to do.
+//! The router's answers to submissions, and the actions for its driver.
 
 use super::stream::StreamEnd;
 use crate::note::Note;
@@ -18,7 +18,7 @@
     Ended(CallId),
     /// Close the idle connections to this endpoint.
     CloseIdle(u32),
-    /// The endpoint is gone for good: drop all that is stored for it.
+    /// The endpoint is permanently gone: drop all state of it.
     Forget(u32),
     /// Calls to an endpoint may start, or may not any more.
     Gate {
--- a/courier/core/src/router/adoption.rs
+++ b/courier/core/src/router/adoption.rs
@@ -1,7 +1,7 @@
 //! Adopting messages from the journal of another courier.
 //!
 //! The messages are first written to this courier's journal with their [`Source`]. Until the fleet has decided who owns
-//! what comes from a source, its messages wait, and nobody else may use their ids.
+//! the messages of a source, they wait, and no other message may use their ids.
 
 use super::{Router, RouterAction};
 use crate::journal::{End, JournalEntry, JournalError, JournalRecord, Settlements, Source};
@@ -15,7 +15,7 @@
     /// them or none.
     ///
     /// A message whose id is owed or has ended here is left out, with a note for each, so that adopting twice changes
-    /// nothing. The caller vouches for the times of the attempts: for one that was in flight, the last time at which the
+    /// nothing. The caller is responsible for the times of the attempts: for one that was in flight, the last time at which the
     /// other courier may have been sending.
     ///
     /// # Errors
@@ -82,7 +82,7 @@
         Ok(actions)
     }
 
-    /// Goes on with a message from the journal, unless it has a source and thus has to wait.
+    /// Continues with a message from the journal, unless it has a source and thus has to wait.
     pub(super) fn restore_or_defer(
         &mut self,
         msg: MsgId,
--- a/courier/core/src/router/calls.rs
+++ b/courier/core/src/router/calls.rs
@@ -85,8 +85,8 @@
     /// The messages of a call, the one that is to lead it first.
     ///
     /// An endpoint measures a call's time by its first message: an answer after that message's end counts for none of
-    /// them, whatever it says. So the message that is waited for longest leads, and of those the one with the latest
-    /// deadline: a message that is waited for less may be sent again or ended meanwhile, while the call goes on.
+    /// them, whatever its contents. So the message with the longest time-out leads, and of those the one with the latest
+    /// deadline: a message with a shorter one may be sent again or ended while the call continues.
     fn call_parts(
         &self,
         endpoint: u32,
@@ -145,7 +145,7 @@
         }
     }
 
-    /// What a later process has to know of an attempt in this zone; the strictest if the settings do not say.
+    /// The effect that a later process has to assume of an attempt in this zone; the strictest if the settings lack its class.
     fn repeat_effect(&self, class: usize, zone: u32) -> RepeatEffect {
         match self.config.effects.get(class) {
             Some(Effect::Idempotent) => RepeatEffect::Safe,
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Lets a message leave a call that goes on for others. False: the message is the call's last, and stays.
+    /// Removes a message from a call that continues for others. False: the message is the call's last, and stays.
     pub(super) fn detach(
         &mut self,
         item: CallId,
@@ -174,7 +174,7 @@
         true
     }
 
-    /// Lets the messages whose own time is up leave calls that go on for others.
+    /// Removes the messages whose own time-out has passed from calls that continue for others.
     pub(super) fn detach_timed_out(&mut self, now: Micros, actions: &mut Vec<RouterAction>) {
         while let Some(item) = self.outstanding.pop_timed_out(now) {
             if self.config.hedged_requests {
--- a/courier/core/src/router/config.rs
+++ b/courier/core/src/router/config.rs
@@ -20,7 +20,7 @@
 pub(super) struct RouterConfig {
     /// The names of the classes.
     pub(super) classes: Vec<String>,
-    /// What a repeat of a message of each class may do.
+    /// The effect of a repeat of a message of each class.
     pub(super) effects: Vec<Effect>,
     /// The names of the kinds of endpoints.
     pub(super) kinds: Vec<String>,
@@ -34,7 +34,7 @@
     pub(super) open_cap: usize,
     /// Streams that may be open at once.
     pub(super) streams_most: usize,
-    /// A message that is not waited for any longer may be sent again while its call goes on for the others.
+    /// A message whose time-out has passed may be sent again while its call continues for the others.
     pub(super) hedged_requests: bool,
 }
 
@@ -68,7 +68,7 @@
         Ok(DecodedSettings { config, policy, zones })
     }
 
-    /// Makes space in the policy's table for so many messages that are owed already.
+    /// Extends the policy's table for so many messages that are owed already.
     ///
     /// Where these alone exceed the policy's share of the table, it would shed some before trying them. New messages are
     /// accepted up to `open_cap` as before.
--- a/courier/core/src/router/discovery.rs
+++ b/courier/core/src/router/discovery.rs
@@ -81,7 +81,7 @@
         self.endpoints.id(endpoint)
     }
 
-    /// Records what a list says of an endpoint. A listing without an address keeps the known one.
+    /// Records an endpoint's line of a list. A line without an address leaves the known one.
     fn add_listing(&mut self, listing: &EndpointListing, now: Micros) {
         let number = self.endpoints.intern(&listing.id);
         let zone = intern(&mut self.zones, &listing.zone) as u32;
--- a/courier/core/src/router/endpoints.rs
+++ b/courier/core/src/router/endpoints.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// An endpoint that is gone is forgotten after this many microseconds, if no call is in flight there: it may come back
+/// An endpoint that is gone is forgotten after this many microseconds, if no call is in flight there: it may return
 /// under its id, and its destination may have a new one by then.
 const FORGET_GONE_AFTER: Micros = 20_000_000;
 
@@ -20,12 +20,12 @@
     pub(super) addr: Option<SocketAddr>,
     pub(super) dest: u64,
     pub(super) zone: u32,
-    /// [`UNKNOWN_KIND`]: none that the settings know.
+    /// [`UNKNOWN_KIND`] if the settings lack it.
     pub(super) kind: usize,
     pub(super) weight: f64,
     /// As discovery lists it, whether it is disabled or not.
     pub(super) state: EndpointState,
-    /// Since when it is gone, if it is.
+    /// When it was removed from the list, if it was.
     pub(super) gone: Option<Micros>,
 }
 
@@ -42,7 +42,7 @@
     pub(super) endpoints: BTreeMap<u32, KnownEndpoint>,
     /// The endpoints of each destination.
     pub(super) by_dest: BTreeMap<u64, BTreeSet<u32>>,
-    /// The endpoints that are gone, by the time since when.
+    /// The endpoints that are gone, by the time at which they left the list.
     pub(super) gone_since: BTreeSet<(Micros, u32)>,
 }
 
--- a/courier/core/src/router/ends.rs
+++ b/courier/core/src/router/ends.rs
@@ -116,7 +116,7 @@
         actions.push(RouterAction::Notify);
     }
 
-    /// The message is owed no more; its end is remembered until its deadline.
+    /// The message is no longer owed; its end is remembered until its deadline.
     pub(super) fn remove_owed(&mut self, msg: MsgId, end: End) {
         if let Some(owed) = self.owed.remove(&msg) {
             let id = &owed.payload.id;
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Forgets the ends whose time is up, or that are too many.
+    /// Forgets the ends that are expired or too many.
     pub(super) fn forget_ended(&mut self, now: Micros) {
         while let Some(id) = self.ended.forget(now) {
             self.journal.forgotten(&id);
--- a/courier/core/src/router/error.rs
+++ b/courier/core/src/router/error.rs
@@ -24,7 +24,7 @@
     #[error("the other process runs under other settings")]
     OtherSettings,
     /// The state and the journal differ: a third process has written to the journal in between.
-    #[error("the journal does not tell of the same messages")]
+    #[error("the journal does not contain the same messages")]
     OtherJournal,
     /// The router can't be built.
     #[error(transparent)]
--- a/courier/core/src/router/mod.rs
+++ b/courier/core/src/router/mod.rs
@@ -1,8 +1,8 @@
-//! The router: which messages are owed an end, which calls are in flight, and what the transport is to do next.
+//! The router: which messages are owed an end, which calls are in flight, and the next actions of the transport.
 //!
 //! The driver reports what happened (a submission, an endpoint list, the end of a call, the passing of time) together
 //! with the current time, and carries out the [`RouterAction`]s that it gets back, in order. The router owns no socket
-//! and no clock. It lets the policy decide, keeps the tables of messages and calls that the decisions need, and writes
+//! and no clock. It leaves the decisions to the policy, maintains the tables of messages and calls that they need, and writes
 //! each step to the journal before it acts on it.
 //!
 //! The tables are in `endpoints`, `outstanding` and `owed`. Each of the other modules adds the operations of one concern
@@ -97,7 +97,7 @@
     watched: BTreeSet<String>,
     /// The ends of watched messages that have not been reported yet.
     watched_ends: Vec<(String, End)>,
-    /// What is to be logged and has not been returned with an action yet.
+    /// Notes for the log that have not been returned with the actions yet.
     notes: Vec<Note>,
     /// Counts of what the router has done.
     pub counters: Counters,
@@ -143,7 +143,7 @@
         actions
     }
 
-    /// When the next [`Router::tick`] is wanted.
+    /// When the next [`Router::tick`] is due.
     pub fn wake_at(&self) -> Option<Micros> {
         let retry = (!self.unwritten.is_empty()).then_some(self.write_retry_at);
         let timeout = self.outstanding.next_timeout();
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Returns what is to be logged with the actions.
+    /// Adds the pending notes to the actions.
     fn drain_notes(&mut self, actions: &mut Vec<RouterAction>) {
         actions.extend(self.notes.drain(..).map(RouterAction::Note));
     }
--- a/courier/core/src/router/outstanding.rs
+++ b/courier/core/src/router/outstanding.rs
@@ -128,7 +128,7 @@
         self.timeouts.first().map(|(until, _)| *until)
     }
 
-    /// Takes the next message of a call with several whose time is up.
+    /// Removes the next message of a call with several messages whose time-out has passed.
     pub(super) fn pop_timed_out(&mut self, now: Micros) -> Option<CallId> {
         let (until, item) = *self.timeouts.first().filter(|(until, _)| *until <= now)?;
         self.timeouts.remove(&(until, item));
--- a/courier/core/src/router/owed.rs
+++ b/courier/core/src/router/owed.rs
@@ -10,7 +10,7 @@
 /// The number of a class that the settings lack.
 pub(super) const UNKNOWN_CLASS: usize = usize::MAX;
 
-/// The most that a message takes in a call with others beside its contents: field names, quotes and commas, in bytes.
+/// The most that a message takes in a call with others in addition to its contents: field names, quotes and commas, in bytes.
 const BUNDLED_OVERHEAD: usize = 32;
 
 /// A message that is owed its end. Encoded by position in a [`RouterState`](super::RouterState).
--- a/courier/core/src/router/restore.rs
+++ b/courier/core/src/router/restore.rs
@@ -52,7 +52,7 @@
         Ok((router, actions))
     }
 
-    /// Goes on with a message from the journal. An attempt without an outcome may have had an effect.
+    /// Continues with a message from the journal. An attempt without an outcome may have had an effect.
     pub(super) fn restore(
         &mut self,
         msg: MsgId,
--- a/courier/core/src/router/results.rs
+++ b/courier/core/src/router/results.rs
@@ -55,7 +55,7 @@
         for completion in &mut completions {
             completion.load_report.clone_from(&load_report);
         }
-        // The policy judges a call by its last message; one that succeeded says most about the destination.
+        // The policy evaluates a call by its last message; a success is the most significant for the destination.
         completions.sort_by_key(|completion: &Completion| completion.outcome == Outcome::Ok);
         let instructions = self.policy.report_all(now, completions);
         self.carry_out(instructions, now, &mut actions);
@@ -69,8 +69,8 @@
     }
 
     /// The endpoints that are bound by one endpoint's advice to wait, as the policy heeds it: that one alone where
-    /// endpoints are separate routes, else all of the destination. Applied to more, the advice would hold back again and
-    /// again what the policy sends to another route.
+    /// endpoints are separate routes, else all of the destination. Applied to more, the advice would repeatedly delay calls
+    /// that the policy makes to another route.
     fn endpoints_bound_by(&self, endpoint: u32, dest: u64) -> impl Iterator<Item = u32> {
         let kind = self.endpoints.get(endpoint).map_or(usize::MAX, |known| known.kind);
         let separate_routes = self.config.separate_routes.get(kind).copied().unwrap_or(false);
@@ -105,7 +105,7 @@
         let outcome = end.outcome();
         let stream_end = self.owed.get(&msg).filter(|owed| owed.stream.is_some()).map(|owed| owed.end);
         if stream_end.is_some() && end == CallEnd::Gone {
-            // The message was withdrawn or its time was up: it is not delivered, and its client waits for an answer.
+            // The message was withdrawn or its deadline had passed: it is not delivered, and its client waits for an answer.
             self.end(msg, Ending::Undeliverable, now, actions);
         } else if matches!(end, CallEnd::Delivered | CallEnd::Gone) {
             if stream_end == Some(None) {
@@ -126,8 +126,8 @@
         Some(Completion { msg, attempt, outcome, elapsed, finished, wait, load_report: Vec::new() })
     }
 
-    /// An endpoint has said that a message is delivered or already ended. Whether a delivery close to the deadline counts
-    /// depends on the clock that is asked; the end is reported as well then, which does no harm where the delivery counts.
+    /// An endpoint has answered that a message is delivered or has already ended. Whether a delivery close to the deadline
+    /// counts depends on the clock that is used; the end is reported as well then, which has no effect if the delivery counts.
     fn delivered(&mut self, msg: MsgId, end: CallEnd, now: Micros, actions: &mut Vec<RouterAction>) {
         let is_late = |owed: &OwedMessage| {
             owed.stream.is_none() && now.saturating_add(DEADLINE_MARGIN) >= owed.deadline
--- a/courier/core/src/router/settlement.rs
+++ b/courier/core/src/router/settlement.rs
@@ -1,5 +1,5 @@
-//! What the keeper of settlements needs: the ends of a settlement's messages, ends for those that were never submitted, and
-//! a place in the journal for its own lines.
+//! Operations for the owner of settlements: the ends of a settlement's messages, ends for those that were never submitted,
+//! and the journal's records of its lines.
 
 use super::owed::{OwedMessage, UNKNOWN_CLASS, accepted_message};
 use super::{Router, RouterAction, UnknownId};
@@ -70,7 +70,7 @@
         let Submission { id, key, dest, body, .. } = submission;
         self.ids.insert(id.clone(), msg);
         let owed = OwedMessage {
-            // Nothing of it is sent, so its tenant does not matter.
+            // It is never sent, so its tenant does not matter.
             payload: Arc::new(MessagePayload { id, key, tenant: None, body }),
             class: UNKNOWN_CLASS,
             dest,
--- a/courier/core/src/router/stream.rs
+++ b/courier/core/src/router/stream.rs
@@ -5,7 +5,7 @@
 use quillmount_policy::Micros;
 use serde::{Deserialize, Serialize};
 
-/// The advice with a rejection for want of capacity, in microseconds; the policy gives the same for a message that it
+/// The advice with a rejection for lack of capacity, in microseconds; the policy gives the same for a message that it
 /// sheds.
 pub const OVERLOAD_RETRY_AFTER: Micros = 2_000_000;
 
@@ -14,7 +14,7 @@
 pub enum StreamEnd {
     /// The message was delivered.
     Delivered,
-    /// The message had no effect; the client may submit it again after so long, in microseconds.
+    /// The message had no effect; the client may submit it again after this, in microseconds.
     Deferred(Micros),
     /// The message was not delivered, and may have had an effect.
     Failed,
@@ -22,7 +22,7 @@
     Cut(Cut),
 }
 
-/// What is known of a message whose body is passed on as it arrives. Encoded by position in a
+/// The state of a message whose body is forwarded as it arrives. Encoded by position in a
 /// [`RouterState`](super::RouterState).
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub(super) struct Stream {
--- a/courier/core/src/router/streams.rs
+++ b/courier/core/src/router/streams.rs
@@ -1,4 +1,4 @@
-//! Messages whose body is passed on as it arrives.
+//! Messages whose body is forwarded as it arrives.
 
 use super::{Router, RouterAction};
 use crate::CallId;
--- a/courier/core/src/router/submission.rs
+++ b/courier/core/src/router/submission.rs
@@ -24,9 +24,9 @@
         self.submit_message(submission, false, now)
     }
 
-    /// A client begins to submit a message whose body is passed on as it arrives.
+    /// A client begins to submit a message whose body is forwarded as it arrives.
     ///
-    /// The message's end comes as [`RouterAction::Answer`]. The number is the message's if it is accepted.
+    /// The message's end is reported as [`RouterAction::Answer`]. The number is the message's if it is accepted.
     pub fn submit_stream(
         &mut self,
         submission: Submission,
--- a/courier/core/src/store.rs
+++ b/courier/core/src/store.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-/// Bytes that outlast the process. Nothing is synced: what is written survives the process, but not the machine.
+/// Bytes that outlast the process. Writes are not synced: they survive the process, but not the machine.
 pub trait Store {
     /// The number of bytes stored.
     fn len(&self) -> u64;
@@ -31,7 +31,7 @@
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()>;
 }
 
-/// What goes wrong in the next writes to a [`Memory`].
+/// The fault of the next writes to a [`Memory`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
     /// Nothing.
--- a/courier/core/src/submission.rs
+++ b/courier/core/src/submission.rs
@@ -1,4 +1,4 @@
-//! Submissions: what a client sends, and the ends that it or the platform is told.
+//! Submissions: the messages of clients, and the ends that are reported to them or to the platform.
 
 use bytes::Bytes;
 use quillmount_policy::{Micros, MsgId};
@@ -23,7 +23,7 @@
     pub body: Bytes,
 }
 
-/// What the head of a streamed submission says of the body; it is passed on to endpoints.
+/// The properties of a streamed submission's body according to its head; they are forwarded to endpoints.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamHead {
     /// The length in bytes; `None`: the body comes in chunks.
