--- a/courier/core/src/ended.rs
+++ b/courier/core/src/ended.rs
@@ -7,6 +7,17 @@
 /// The most ends that are remembered.
 const REMEMBERED: usize = 4_096;
 
+/// A remembered id.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RememberedId<'a> {
+    /// The message's id.
+    pub id: &'a str,
+    /// Its end; `None` if the id was added twice and the end is forgotten already.
+    pub end: Option<End>,
+    /// How long the id is remembered.
+    pub until: Micros,
+}
+
 /// The remembered ends.
 #[derive(Clone, Debug, Default)]
 pub struct EndedMessages {
@@ -43,9 +54,8 @@
         Some(id)
     }
 
-    /// The ids in the order in which they were added, each with its end and until when it is remembered. For an id that was
-    /// added twice, the end may be forgotten already.
-    pub fn iter(&self) -> impl ExactSizeIterator<Item = (&str, Option<End>, Micros)> {
-        self.order.iter().map(|(id, until)| (id.as_str(), self.get(id), *until))
+    /// The ids in the order in which they were added.
+    pub fn iter(&self) -> impl ExactSizeIterator<Item = RememberedId<'_>> {
+        self.order.iter().map(|(id, until)| RememberedId { id, end: self.get(id), until: *until })
     }
 }
--- a/courier/core/src/flow.rs
+++ b/courier/core/src/flow.rs
@@ -6,7 +6,7 @@
 mod pace;
 mod table;
 
-pub use pace::{Late, Pace};
+pub use pace::{Late, Pace, PaceDeadline};
 pub use table::FlowInput;
 
 use pace::SideProgress;
@@ -208,8 +208,8 @@
         self.update(now);
     }
 
-    /// If it is this side's turn: when it will have stalled, or been too slow, if it moves nothing until then.
-    pub fn late_at(&self, who: FlowSide) -> Option<(Micros, Late)> {
+    /// When the side will be late if it moves nothing until then; `None` if it is not its turn.
+    pub fn late_at(&self, who: FlowSide) -> Option<PaceDeadline> {
         match who {
             FlowSide::Client => self.client.late_at(),
             FlowSide::Endpoint => self.endpoint.late_at(),
@@ -218,7 +218,7 @@
 
     /// Whether this side has stalled or was too slow by now.
     pub fn late(&self, who: FlowSide, now: Micros) -> Option<Late> {
-        self.late_at(who).filter(|(at, _)| *at <= now).map(|(_, late)| late)
+        self.late_at(who).filter(|deadline| deadline.at <= now).map(|deadline| deadline.late)
     }
 
     /// Drops what need not be buffered, and sets whose turn it is.
--- a/courier/core/src/flow/pace.rs
+++ b/courier/core/src/flow/pace.rs
@@ -5,15 +5,15 @@
 /// How slow a side may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Pace {
-    /// A side that could move bytes has stalled after so long without one, in microseconds.
+    /// A side that could move bytes has stalled after this time without one, in microseconds.
     pub stall: Micros,
-    /// Within so much time in which it could move bytes, in microseconds, a side must move `least` of them.
+    /// Within this time in which it could move bytes, in microseconds, a side must move `least` of them.
     pub span: Micros,
     /// The least number of bytes to move within `span`.
     pub least: u64,
 }
 
-/// Why a side is given up.
+/// Why a side counts as late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
 pub enum Late {
     /// It moved no byte.
@@ -22,6 +22,15 @@
     Slow,
 }
 
+/// The time at which a side counts as late if it moves no byte until then.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct PaceDeadline {
+    /// The time.
+    pub at: Micros,
+    /// Why it counts as late then.
+    pub late: Late,
+}
+
 /// The progress of one side. Time counts only while it is this side's turn to move bytes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct SideProgress {
@@ -63,12 +72,12 @@
         }
     }
 
-    /// If it is this side's turn: when it will have stalled, or been too slow, if it moves nothing until then.
-    pub(super) fn late_at(&self) -> Option<(Micros, Late)> {
+    /// When the side will be late if it moves nothing until then; `None` if it is not its turn.
+    pub(super) fn late_at(&self) -> Option<PaceDeadline> {
         let since = self.since?;
-        let stalled = (since.saturating_add(self.pace.stall), Late::Stalled);
+        let stalled = PaceDeadline { at: since.saturating_add(self.pace.stall), late: Late::Stalled };
         let left = self.pace.span.saturating_sub(self.waited);
-        let slow = (since.saturating_add(left), Late::Slow);
+        let slow = PaceDeadline { at: since.saturating_add(left), late: Late::Slow };
         Some(if self.moved < self.pace.least { stalled.min(slow) } else { stalled })
     }
 }
--- a/courier/core/src/journal/contents.rs
+++ b/courier/core/src/journal/contents.rs
@@ -5,6 +5,7 @@
 use super::settlements::Settlements;
 use crate::disabled::DisabledEndpoints;
 use quillmount_policy::{Micros, MsgId};
+use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// An attempt of a message that a journal records.
@@ -70,13 +71,24 @@
     }
 }
 
+/// The end of a message that is no longer owed. Encoded by position when it is handed over.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct RememberedEnd {
+    /// The message's id.
+    pub id: String,
+    /// How it ended.
+    pub end: End,
+    /// How long the end is remembered: the message's deadline.
+    pub until: Micros,
+}
+
 /// The contents of a journal: the messages that are owed an end, and the ends that are remembered.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct JournalContents {
     /// The owed messages by number.
     pub owed: BTreeMap<MsgId, JournalEntry>,
-    /// The ids of ended messages, each with its end and until when it is remembered.
-    pub ended: Vec<(String, End, Micros)>,
+    /// The ends of messages that are no longer owed, in the order in which they were recorded.
+    pub ended: Vec<RememberedEnd>,
     /// The endpoints that operators have disabled.
     pub disabled: DisabledEndpoints,
     /// The settlements that this courier owns.
@@ -121,7 +133,7 @@
                     self.finish(msg, end);
                 }
             }
-            JournalRecord::Ended { id, end, until } => self.ended.push((id, end, until)),
+            JournalRecord::Ended { id, end, until } => self.ended.push(RememberedEnd { id, end, until }),
             JournalRecord::Disable { id } => self.disabled.insert(&id),
             JournalRecord::Enable { id } => self.disabled.remove(&id),
             JournalRecord::From { msg, source } => {
@@ -150,7 +162,7 @@
     /// The message is no longer owed; its end is remembered.
     fn finish(&mut self, msg: MsgId, end: End) {
         if let Some(entry) = self.owed.remove(&msg) {
-            self.ended.push((entry.taken.id, end, entry.taken.deadline));
+            self.ended.push(RememberedEnd { id: entry.taken.id, end, until: entry.taken.deadline });
         }
     }
 
@@ -167,8 +179,8 @@
     pub(super) fn records(self, now: Micros) -> impl Iterator<Item = JournalRecord> {
         let disabled: Vec<_> =
             self.disabled.iter().map(|id| JournalRecord::Disable { id: id.into() }).collect();
-        let ended = self.ended.into_iter().filter(move |(.., until)| *until > now);
-        let ended = ended.map(|(id, end, until)| JournalRecord::Ended { id, end, until });
+        let ended = self.ended.into_iter().filter(move |ended| ended.until > now);
+        let ended = ended.map(|RememberedEnd { id, end, until }| JournalRecord::Ended { id, end, until });
         let owed = self.owed.into_iter().flat_map(|(msg, entry)| entry.records(msg));
         disabled.into_iter().chain(ended).chain(self.settlements.records()).chain(owed)
     }
--- a/courier/core/src/journal/mod.rs
+++ b/courier/core/src/journal/mod.rs
@@ -16,7 +16,7 @@
 mod space;
 mod writer;
 
-pub use contents::{JournalContents, JournalEntry, PastCall};
+pub use contents::{JournalContents, JournalEntry, PastCall, RememberedEnd};
 pub use error::JournalError;
 pub use frame::{Records, frame};
 pub use record::{AcceptedMessage, End, JournalRecord, RepeatEffect, SettlementLine, Source};
--- a/courier/core/src/journal/space.rs
+++ b/courier/core/src/journal/space.rs
@@ -44,7 +44,7 @@
             limit,
             owed: BTreeMap::new(),
             owed_sum: 0,
-            ended: contents.ended.iter().map(|(id, ..)| id_len_max(id)).sum(),
+            ended: contents.ended.iter().map(|ended| id_len_max(&ended.id)).sum(),
             disabled: contents.disabled.iter().map(id_len_max).sum(),
             settlements: contents.settlements.encoded_len_max(),
         };
--- a/courier/core/src/journal/writer.rs
+++ b/courier/core/src/journal/writer.rs
@@ -35,7 +35,7 @@
     ) -> Result<(Self, JournalContents), JournalError> {
         let bytes = store.read().map_err(JournalError::io("read"))?;
         let (mut contents, intact) = JournalContents::read(&bytes);
-        contents.ended.retain(|(.., until)| *until > now);
+        contents.ended.retain(|ended| ended.until > now);
         let mut journal = Journal { store, usage: SpaceUsage::new(limit, &contents)? };
         if intact < bytes.len() && !breaks::is_enabled(Break::KeepTornRecord) {
             notes.push(Note::Torn(bytes.len() - intact));
--- a/courier/core/src/router/ends.rs
+++ b/courier/core/src/router/ends.rs
@@ -2,7 +2,7 @@
 
 use super::stream::StreamEnd;
 use super::{Router, RouterAction};
-use crate::journal::{End, JournalRecord};
+use crate::journal::{End, JournalRecord, RememberedEnd};
 use crate::note::Note;
 use crate::store::Store;
 use crate::{Ending, Notice};
@@ -122,11 +122,12 @@
             let id = &owed.payload.id;
             self.ids.remove(id);
             self.journal.settled(msg, id);
-            self.remember_ended(id.clone(), end, owed.deadline);
+            self.remember_ended(RememberedEnd { id: id.clone(), end, until: owed.deadline });
         }
     }
 
-    pub(super) fn remember_ended(&mut self, id: String, end: End, until: Micros) {
+    pub(super) fn remember_ended(&mut self, ended: RememberedEnd) {
+        let RememberedEnd { id, end, until } = ended;
         if !breaks::is_enabled(Break::ForgetCompleted) {
             self.ended.remember(id, end, until);
         }
--- a/courier/core/src/router/mod.rs
+++ b/courier/core/src/router/mod.rs
@@ -52,6 +52,17 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
+/// An owed message, for exploration.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct OwedView<'a> {
+    /// Its id.
+    pub id: &'a str,
+    /// Its deadline.
+    pub deadline: Micros,
+    /// Its end, while the platform has not confirmed the notice.
+    pub end: Option<Ending>,
+}
+
 /// The sizes of a router's tables.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RouterLoad {
--- a/courier/core/src/router/outstanding.rs
+++ b/courier/core/src/router/outstanding.rs
@@ -23,6 +23,13 @@
     pub(super) until: Micros,
 }
 
+/// A call that was removed from the table, with its messages in the order in which they were sent.
+pub(super) struct EndedCall {
+    pub(super) items: Vec<CallId>,
+    pub(super) endpoint: u32,
+    pub(super) dest: u64,
+}
+
 /// The calls that are in flight.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OutstandingCalls {
@@ -99,15 +106,14 @@
         self.bundles.get(&call).map_or(1, Vec::len)
     }
 
-    /// Removes a call that has ended, but not its messages; returns these, and its endpoint and destination. `None`: the
-    /// call is not known.
-    pub(super) fn remove_call(&mut self, call: CallId) -> Option<(Vec<CallId>, u32, u64)> {
+    /// Removes a call that has ended, but not its messages. `None`: the call is not known.
+    pub(super) fn remove_call(&mut self, call: CallId) -> Option<EndedCall> {
         let items = self.bundles.remove(&call).unwrap_or_else(|| vec![call]);
         // One message at least is waited for as long as the call is in flight.
         let message = items.iter().find_map(|item| self.messages.get(item))?;
         let (endpoint, dest) = (message.endpoint, message.dest);
         self.by_endpoint.remove(&(endpoint, call));
-        Some((items, endpoint, dest))
+        Some(EndedCall { items, endpoint, dest })
     }
 
     /// Removes a message, which is not waited for any longer.
--- a/courier/core/src/router/restore.rs
+++ b/courier/core/src/router/restore.rs
@@ -41,9 +41,7 @@
         router.disabled = contents.disabled;
         let mut actions = router.list(known, now);
         router.list_received = false;
-        for (id, end, until) in contents.ended {
-            router.remember_ended(id, end, until);
-        }
+        contents.ended.into_iter().for_each(|end| router.remember_ended(end));
         router.counters.restored = contents.owed.len() as u64;
         for (msg, entry) in contents.owed {
             router.restore_or_defer(msg, entry, now, &mut actions);
--- a/courier/core/src/router/results.rs
+++ b/courier/core/src/router/results.rs
@@ -1,5 +1,6 @@
 //! The ends of delivery calls.
 
+use super::outstanding::EndedCall;
 use super::owed::OwedMessage;
 use super::stream::StreamEnd;
 use super::{Router, RouterAction};
@@ -41,7 +42,9 @@
     ) -> Vec<RouterAction> {
         let mut actions = Vec::new();
         let mut completions = Vec::new();
-        let Some((items, endpoint, dest)) = self.outstanding.remove_call(call) else { return actions };
+        let Some(EndedCall { items, endpoint, dest }) = self.outstanding.remove_call(call) else {
+            return actions;
+        };
         let wait = ends.iter().map(|end| end.wait()).max().unwrap_or(0).max(report.wait);
         if wait > 0 {
             let until = now.saturating_add(wait);
--- a/courier/core/src/router/state.rs
+++ b/courier/core/src/router/state.rs
@@ -8,7 +8,7 @@
 use crate::CallId;
 use crate::counters::Counters;
 use crate::disabled::DisabledEndpoints;
-use crate::journal::{End, Journal, JournalContents};
+use crate::journal::{Journal, JournalContents, RememberedEnd};
 use crate::store::Store;
 use quillmount_policy::{EndpointState, Micros, MsgId, Policy};
 use quillmount_settings::NameTable;
@@ -31,7 +31,7 @@
     version: u64,
     list_received: bool,
     owed: BTreeMap<MsgId, OwedMessage>,
-    ended: Vec<(String, End, Micros)>,
+    ended: Vec<RememberedEnd>,
     out: BTreeMap<CallId, OutstandingMessage>,
     bundles: BTreeMap<CallId, Vec<CallId>>,
     notices: Vec<MsgId>,
@@ -53,8 +53,9 @@
 impl<S: Store> Router<S> {
     /// The state to hand over; `settings` is their [`settings_fingerprint`].
     pub fn state(&self, settings: u32) -> RouterState {
-        let ended = self.ended.iter();
-        let ended = ended.filter_map(|(id, end, until)| Some((id.to_string(), end?, until)));
+        let ended = self.ended.iter().filter_map(|ended| {
+            Some(RememberedEnd { id: ended.id.to_string(), end: ended.end?, until: ended.until })
+        });
         RouterState {
             settings,
             journal: self.journal.store().len(),
@@ -109,9 +110,7 @@
         router.resume_endpoints(state.endpoint_names, state.endpoints, &mut actions);
         router.version = state.version;
         router.list_received = state.list_received;
-        for (id, end, until) in state.ended {
-            router.remember_ended(id, end, until);
-        }
+        state.ended.into_iter().for_each(|end| router.remember_ended(end));
         router.ids = state.owed.iter().map(|(msg, owed)| (owed.payload.id.clone(), *msg)).collect();
         router.owed = state.owed;
         router.outstanding = OutstandingCalls::restore(state.out, state.bundles);
--- a/courier/core/src/router/visit.rs
+++ b/courier/core/src/router/visit.rs
@@ -1,11 +1,12 @@
 //! The router's state for exploration: every value that decides is shown to a visitor, in a fixed order.
 
-use super::Router;
 use super::endpoints::KnownEndpoint;
 use super::outstanding::OutstandingMessage;
 use super::owed::OwedMessage;
 use super::stream::Stream;
+use super::{OwedView, Router};
 use crate::Ending;
+use crate::ended::RememberedId;
 use crate::journal::End;
 use crate::store::Store;
 use quillmount_policy::{Micros, MsgId, StateVisitor};
@@ -49,7 +50,7 @@
         lens.into_iter().for_each(|len| visitor.visit_u64(len as u64));
         endpoints.iter().for_each(|(number, known)| self.visit_endpoint(*number, known, visitor));
         owed.iter().for_each(|(msg, owed)| visit_owed(*msg, owed, visitor));
-        for (id, end, until) in ended.iter() {
+        for RememberedId { id, end, until } in ended.iter() {
             visit_text(id, visitor);
             visitor.visit_time(until);
             visit_end(end, visitor);
@@ -82,9 +83,13 @@
         (self.owed.keys().copied(), self.endpoints.numbers())
     }
 
-    /// The id and the deadline of each owed message, and its end where that waits for the platform's confirmation.
-    pub fn owed(&self) -> impl Iterator<Item = (&str, Micros, Option<Ending>)> {
-        self.owed.values().map(|owed| (owed.payload.id.as_str(), owed.deadline, owed.end))
+    /// The owed messages, by number.
+    pub fn owed(&self) -> impl Iterator<Item = OwedView<'_>> {
+        self.owed.values().map(|owed| OwedView {
+            id: &owed.payload.id,
+            deadline: owed.deadline,
+            end: owed.end,
+        })
     }
 
     fn visit_endpoint(&self, number: u32, known: &KnownEndpoint, visitor: &mut impl StateVisitor) {
--- a/courier/core/tests/flow.rs
+++ b/courier/core/tests/flow.rs
@@ -1,6 +1,6 @@
 //! A streamed body, its window and its two sides.
 
-use quillmount_core::flow::{BodySource, Cut, Flow, FlowSide, Late, Pace};
+use quillmount_core::flow::{BodySource, Cut, Flow, FlowSide, Late, Pace, PaceDeadline};
 
 const PACE: Pace = Pace { stall: 10, span: 60, least: 6 };
 
@@ -49,7 +49,7 @@
 #[test]
 fn each_side_is_late_by_its_own_time_only() {
     let mut flow = flow(4, None);
-    assert_eq!(flow.late_at(FlowSide::Client), Some((10, Late::Stalled)));
+    assert_eq!(flow.late_at(FlowSide::Client), Some(PaceDeadline { at: 10, late: Late::Stalled }));
     flow.receive(4, 9);
     assert_eq!(flow.late_at(FlowSide::Client), None, "there is no room");
     assert_eq!(flow.late_at(FlowSide::Endpoint), None, "no attempt is out");
@@ -65,9 +65,13 @@
         flow.receive(flow.capacity(), at);
         assert_eq!(flow.late(FlowSide::Endpoint, at), None);
     }
-    assert_eq!(flow.late_at(FlowSide::Endpoint), Some((9_055, Late::Stalled)));
+    assert_eq!(flow.late_at(FlowSide::Endpoint), Some(PaceDeadline { at: 9_055, late: Late::Stalled }));
     flow.set_paused(true, 9_047);
     flow.set_paused(false, 9_050);
-    assert_eq!(flow.late_at(FlowSide::Endpoint), Some((9_058, Late::Slow)), "eight of its span are left");
+    assert_eq!(
+        flow.late_at(FlowSide::Endpoint),
+        Some(PaceDeadline { at: 9_058, late: Late::Slow }),
+        "eight of its span are left"
+    );
     assert_eq!(flow.late_at(FlowSide::Client), None);
 }
--- a/courier/core/tests/repeats.rs
+++ b/courier/core/tests/repeats.rs
@@ -58,7 +58,7 @@
 
 fn end_of(hub: &World, id: &str) -> Option<End> {
     let (contents, _) = JournalContents::read(hub.router.journal().store().bytes());
-    let over = contents.ended.iter().find(|(over, ..)| over == id).map(|(_, end, _)| *end);
+    let over = contents.ended.iter().find(|ended| ended.id == id).map(|ended| ended.end);
     over.or_else(|| contents.owed.values().find(|e| e.taken.id == id).and_then(|e| e.end))
 }
 
--- a/courier/core/tests/stored_forms.rs
+++ b/courier/core/tests/stored_forms.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use quillmount_core::journal::{
     AcceptedMessage, End, Journal, JournalContents, JournalEntry, JournalRecord, PastCall, Records,
-    RepeatEffect, SettlementLine, Settlements, Source, frame,
+    RememberedEnd, RepeatEffect, SettlementLine, Settlements, Source, frame,
 };
 use quillmount_core::note::Note;
 use quillmount_core::store::Memory;
@@ -115,13 +115,14 @@
         source: Some(source("c", 300, 7)),
         ..entry(300, None)
     };
+    let remembered = |id: &str, end, until| RememberedEnd { id: id.into(), end, until };
     let mut contents = JournalContents {
         owed: BTreeMap::from([(1, first), (2, stream), (3, ended), (8, entry(8, None)), (300, from)]),
         ended: vec![
-            ("m4".into(), End::Delivered, NOW + 16_000_004),
-            ("m5".into(), End::Deferred { after: 250_000 }, NOW + 16_000_005),
-            ("m6".into(), End::Undeliverable, NOW + 6),
-            ("m7".into(), End::Deferred { after: 0 }, NOW - 7),
+            remembered("m4", End::Delivered, NOW + 16_000_004),
+            remembered("m5", End::Deferred { after: 250_000 }, NOW + 16_000_005),
+            remembered("m6", End::Undeliverable, NOW + 6),
+            remembered("m7", End::Deferred { after: 0 }, NOW - 7),
         ],
         settlements: Settlements(BTreeMap::from([(
             NORTH.into(),
@@ -137,7 +138,7 @@
 /// The same without what nobody has to remember any more.
 fn restored_now() -> JournalContents {
     let mut contents = restored();
-    contents.ended.retain(|(.., until)| *until > NOW);
+    contents.ended.retain(|ended| ended.until > NOW);
     contents
 }
 
--- a/courier/fleet/src/settlement/journal_lines.rs
+++ b/courier/fleet/src/settlement/journal_lines.rs
@@ -124,7 +124,8 @@
     settled: &BTreeSet<PartitionId>,
     journal: &JournalContents,
 ) -> Settlements {
-    let ends: BTreeMap<&str, End> = journal.ended.iter().map(|(id, end, _)| (id.as_str(), *end)).collect();
+    let ends: BTreeMap<&str, End> =
+        journal.ended.iter().map(|ended| (ended.id.as_str(), ended.end)).collect();
     let mut adopted = Settlements::default();
     for (key, lines) in &journal.settlements.0 {
         let own = |line: &&SettlementLine| {
--- a/courier/policy/src/dispatcher/connections.rs
+++ b/courier/policy/src/dispatcher/connections.rs
@@ -41,7 +41,7 @@
         if self.settings.weight_is_rate {
             return;
         }
-        let reported = self.settings.limit_report.and_then(|fields| completion.load_report.get(fields.1));
+        let reported = self.settings.limit_report.and_then(|fields| completion.load_report.get(fields.rate));
         if let Some(rate) = reported.filter(|rate| **rate > 0.0) {
             self.endpoints.get_mut(&id).expect("the caller knows the endpoint").rate = *rate;
         }
--- a/courier/policy/src/dispatcher/health.rs
+++ b/courier/policy/src/dispatcher/health.rs
@@ -115,8 +115,10 @@
 
     fn is_allowance_used_up(&self, completion: &Completion) -> bool {
         let reported = |field: usize| completion.load_report.get(field).copied().unwrap_or(1.0);
-        self.settings.limit_report.is_some_and(|(left, rate)| {
-            completion.outcome == Outcome::Full && reported(rate) > 0.0 && reported(left) < ALLOWANCE_USED_UP
+        self.settings.limit_report.is_some_and(|fields| {
+            completion.outcome == Outcome::Full
+                && reported(fields.rate) > 0.0
+                && reported(fields.left) < ALLOWANCE_USED_UP
         })
     }
 
--- a/courier/policy/src/lib.rs
+++ b/courier/policy/src/lib.rs
@@ -44,5 +44,7 @@
 };
 pub use ids::{DestId, EndpointId, Micros, MsgId};
 pub use policy::Policy;
-pub use settings::{Decay, DestinationKind, Effect, MAX_CALL_BYTES, MessageClass, Settings, SettingsError};
+pub use settings::{
+    Decay, DestinationKind, Effect, LimitReportFields, MAX_CALL_BYTES, MessageClass, Settings, SettingsError,
+};
 pub use state_visitor::StateVisitor;
--- a/courier/policy/src/settings.rs
+++ b/courier/policy/src/settings.rs
@@ -58,6 +58,15 @@
     pub batch: u32,
 }
 
+/// Indices of the fields of a load report that describe a limit.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LimitReportFields {
+    /// The calls of the allowance that are left.
+    pub left: usize,
+    /// The limit, calls a second.
+    pub rate: usize,
+}
+
 /// The configuration of an instance. Absent fields have the values of `Settings::default()`.
 #[derive(Clone, Debug)]
 pub struct Settings {
@@ -83,8 +92,8 @@
     pub weight_is_rate: bool,
     /// True where such a rate may be up to half too high or too low.
     pub weight_is_approximate: bool,
-    /// Fields of a load report that hold the share of an allowance that is left, and the limit in calls a second.
-    pub limit_report: Option<(usize, usize)>,
+    /// Fields of a load report that describe a limit, where answers have them.
+    pub limit_report: Option<LimitReportFields>,
     /// Zone in which the sender runs.
     pub zone: u32,
     /// How long an idle connection can be used, microseconds.
--- a/courier/policy/src/settings_mark.rs
+++ b/courier/policy/src/settings_mark.rs
@@ -35,7 +35,7 @@
             .field("must_ask", &settings.subscription_required)
             .field("weight_is_rate", &settings.weight_is_rate)
             .field("weight_is_rough", &settings.weight_is_approximate)
-            .field("limit_report", &settings.limit_report)
+            .field("limit_report", &settings.limit_report.map(|fields| (fields.left, fields.rate)))
             .field("zone", &settings.zone)
             .field("keepalive", &settings.keepalive)
             .field("streams_per_conn", &settings.streams_per_connection)
--- a/courier/policy/tests/guard.rs
+++ b/courier/policy/tests/guard.rs
@@ -437,7 +437,7 @@
 fn a_limit_reported_as_used_up_is_no_outage() {
     for (left, none) in [(0.1, false), (0.95, true), (f64::NAN, true)] {
         let mut s = set(270, FAR);
-        s.limit_report = Some((0, 1));
+        s.limit_report = Some(LimitReportFields { left: 0, rate: 1 });
         let mut w = World::new(s, 1);
         w.list(ListUpdate::Full, &[entry(0, 5)]);
         report_limit(&mut w, left);
--- a/courier/policy/tests/reports.rs
+++ b/courier/policy/tests/reports.rs
@@ -10,7 +10,7 @@
     (set.sender_count, set.sender_index, set.overload_span, set.overload_multiple) = (300, 7, 2 * SEC, 2.5);
     (set.slow_start_share, set.slow_start, set.weight_is_rate, set.weight_is_approximate) =
         (0.2, 10 * SEC, false, false);
-    set.limit_report = Some((0, 1));
+    set.limit_report = Some(LimitReportFields { left: 0, rate: 1 });
     let mut w = World::new(set, 7);
     w.list(ListUpdate::Full, &[entry(0, 5), entry(1, 5)]);
     w
--- a/courier/program/src/transport/streams/receive.rs
+++ b/courier/program/src/transport/streams/receive.rs
@@ -61,7 +61,7 @@
             }
             let (capacity, source, late_at) = {
                 let flow = pipe.flow.borrow();
-                let late_at = flow.late_at(FlowSide::Client).map(|(at, _)| at).filter(|_| begun);
+                let late_at = flow.late_at(FlowSide::Client).map(|deadline| deadline.at).filter(|_| begun);
                 (flow.capacity(), flow.source(), late_at)
             };
             let reads = begun && capacity > 0 && source == BodySource::Coming;
--- a/courier/program/src/transport/streams/send.rs
+++ b/courier/program/src/transport/streams/send.rs
@@ -218,7 +218,7 @@
         }
         let (late_at, cut) = {
             let flow = self.pipe.flow.borrow();
-            let late_at = flow.late_at(FlowSide::Endpoint).map(|(at, _)| at);
+            let late_at = flow.late_at(FlowSide::Endpoint).map(|deadline| deadline.at);
             (late_at, matches!(flow.source(), BodySource::Cut(_)))
         };
         let wake_at = self.call.attempt().wake_at();
--- a/courier/settings/src/decode.rs
+++ b/courier/settings/src/decode.rs
@@ -72,7 +72,9 @@
     settings.weight_is_rate = matches!(weight_source, Some("nominal" | "rough"));
     let field = |name: &str| load_report.fields.iter().position(|field| field == name);
     if load_report.via.as_deref() == Some("answers") {
-        settings.limit_report = field("x0").zip(field("x1"));
+        let fields = field("x0").zip(field("x1"));
+        settings.limit_report =
+            fields.map(|(left, rate)| quillmount_policy::LimitReportFields { left, rate });
     }
     // Where the list has no rate and answers report the limit, that limit is exact.
     settings.weight_is_approximate =
--- a/courier/settings/tests/stored_forms.rs
+++ b/courier/settings/tests/stored_forms.rs
@@ -65,7 +65,10 @@
     );
     assert_eq!((s.cancel, s.retry_after, s.max_retry_after), (true, false, 3_500_000));
     assert_eq!((s.subscription_required, s.weight_is_rate, s.weight_is_approximate), (true, true, true));
-    assert_eq!((s.limit_report, s.keepalive, s.streams_per_connection), (Some((0, 1)), 15_000_000, 2));
+    assert_eq!(
+        (s.limit_report.map(|fields| (fields.left, fields.rate)), s.keepalive, s.streams_per_connection),
+        (Some((0, 1)), 15_000_000, 2)
+    );
     assert_eq!(
         (s.slow_start_share, s.slow_start, s.overload_span, s.overload_multiple),
         (0.22, 9_200_000, 3_000_000, 2.0)
--- a/tools/explore/src/world/calls.rs
+++ b/tools/explore/src/world/calls.rs
@@ -7,6 +7,7 @@
 use quillmount_core::hub::DriverAction;
 use quillmount_core::machine::attempt::{AttemptInput, AttemptState};
 use quillmount_core::pool::Pool;
+use quillmount_core::router::OwedView;
 use quillmount_core::{CallEnd, CallId, DeliveryCall};
 use quillmount_policy::Micros;
 use quillmount_protocol::delivery;
@@ -222,12 +223,12 @@
         let there = self.calls[&id].call.order.addr.port() == line.port && line.dest == m.dest;
         // Once the end of a message is chosen nothing of it may be sent.
         let name = format!("m{message}");
-        let owed = self.hub.router.owed().find(|(id, ..)| *id == name);
+        let owed = self.hub.router.owed().find(|owed| owed.id == name);
         match (same, there, owed) {
             (false, ..) => violated(Property::Unchanged, format!("m{message} goes out as {text:?}")),
             (_, false, _) => violated(Property::Unchanged, format!("m{message} goes to provider {endpoint}")),
             (.., None) => violated(Property::FinalAnswer, format!("m{message} is sent after its end")),
-            (.., Some((.., Some(end)))) => {
+            (.., Some(OwedView { end: Some(end), .. })) => {
                 violated(Property::FinalAnswer, format!("m{message} is sent after it has ended as {end:?}"))
             }
             _ => Ok(()),
--- a/tools/explore/src/world/invariants.rs
+++ b/tools/explore/src/world/invariants.rs
@@ -11,7 +11,7 @@
         if !self.is_up() {
             return Ok(());
         }
-        let pending = self.hub.router.owed().filter(|(.., end)| end.is_none()).count();
+        let pending = self.hub.router.owed().filter(|owed| owed.end.is_none()).count();
         if pending > self.case.open_cap as usize {
             return violated(Property::Unchanged, format!("{pending} messages are held"));
         }
--- a/tools/standins/src/audit.rs
+++ b/tools/standins/src/audit.rs
@@ -497,7 +497,7 @@
         for journal in journals {
             let (contents, sound) = JournalContents::read(&journal.bytes);
             known.extend(contents.owed.values().map(|entry| entry.taken.id.clone()));
-            known.extend(contents.ended.iter().map(|(id, ..)| id.clone()));
+            known.extend(contents.ended.iter().map(|ended| ended.id.clone()));
             if !journal.copy {
                 own.push((journal, contents, sound));
             }
