--- a/courier/core/src/call.rs
+++ b/courier/core/src/call.rs
@@ -18,10 +18,10 @@
     pub order: DeliveryCall,
     attempt: Attempt,
     connection: Option<(EndpointConnection, C)>,
-    /// The pool counts the call; it does until the connection is closed or becomes idle.
+    /// The pool counts the call, until its connection is closed or becomes idle.
     is_counted: bool,
     /// A rejection that closes its connection is taken for a full connection table at the endpoint. The driver sets this
-    /// before the start where answers hold load reports, which tell a rejection by a limit apart; a call that starts on an
+    /// before the start where answers have load reports, which distinguish a rejection by a limit; a call that starts on an
     /// idle connection clears it.
     pub full_closes: bool,
 }
@@ -29,7 +29,7 @@
 /// The outcome of a step.
 #[derive(Debug)]
 pub struct StepOutcome<C> {
-    /// The call has ended so, which is to be reported.
+    /// The end of the call, which is to be reported.
     pub end: Option<CallEnd>,
     /// End the sending side of the call's connection, and go on reading it.
     pub finish: bool,
--- a/courier/core/src/machine/attempt.rs
+++ b/courier/core/src/machine/attempt.rs
@@ -100,11 +100,11 @@
     PeerClosed,
     /// The connection was reset.
     Reset,
-    /// The time of the call is up.
+    /// The call's time-out has passed.
     Deadline,
     /// The call is cancelled.
     GiveUp,
-    /// The message has its end, and what has not been sent of the call is not to be sent.
+    /// The message has ended, and no further byte of the call is to be sent.
     MessageEnded,
     /// The endpoint is draining or gone.
     Shut,
@@ -114,7 +114,7 @@
     Tick,
 }
 
-/// What is to be done with the connection.
+/// The action on the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionAction {
     /// Nothing.
@@ -129,10 +129,10 @@
     Keep,
 }
 
-/// What is to be done after an input.
+/// The output of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptOutput {
-    /// With the connection.
+    /// The action on the connection.
     pub action: ConnectionAction,
     /// The attempt has ended with this result.
     pub end: Option<CallEnd>,
--- a/courier/core/src/machine/handover/sender.rs
+++ b/courier/core/src/machine/handover/sender.rs
@@ -5,13 +5,13 @@
 
 /// The sender's tasks must release their parts within this, in microseconds: each does when it next waits.
 pub const COLLECT_TIMEOUT: Micros = 150_000;
-/// The receiver must confirm within this, in microseconds: nobody decides until then, and clients wait 0.4 s for an answer.
+/// The receiver must confirm within this, in microseconds: no process decides until then, and clients wait 0.4 s for an answer.
 pub const TRANSFER_TIMEOUT: Micros = 200_000;
 
 /// The state of a [`HandoverSender`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum SenderState {
-    /// The process decides, and no other has asked for a handover.
+    /// The process decides, and no handover was requested.
     #[default]
     Deciding,
     /// Its tasks release their parts.
--- a/courier/core/src/router/restore.rs
+++ b/courier/core/src/router/restore.rs
@@ -128,8 +128,8 @@
     }
 }
 
-/// If the clock was set back, it does not tell how old an attempt is, and no repeat is known to come within its span: dates
-/// all attempts that may have had an effect to the beginning of time.
+/// If the clock was set back, the age of an attempt is unknown, and no repeat is certain to be within its span: dates all
+/// attempts that may have had an effect back to the clock's zero.
 fn correct_clock(contents: &mut JournalContents, now: Micros) -> Option<Note> {
     let calls = contents.owed.values().flat_map(|entry| &entry.calls);
     let ahead = calls.map(|call| call.sent.saturating_sub(now)).max().filter(|ahead| *ahead > 0)?;
--- a/courier/core/tests/admission.rs
+++ b/courier/core/tests/admission.rs
@@ -23,7 +23,7 @@
         [admission.decide(20), admission.decide(20)],
         [Decision::RequestClose(2), Decision::RequestClose(1)]
     );
-    // Who leaves holds a place still: of the rest the slow one goes first, then the first to have come.
+    // A closing connection still counts: of the others the slow one is closed first, then the oldest.
     assert_eq!(
         [admission.decide(20 + GRACE), admission.decide(20 + GRACE)],
         [Decision::Evict(0), Decision::Admit]
--- a/courier/core/tests/adopt.rs
+++ b/courier/core/tests/adopt.rs
@@ -126,13 +126,13 @@
         let todo = hub.adopt(entries(), &Settlements::default(), NOW).unwrap();
         assert_eq!((skipped(&todo).len(), calls(todo).len()), (3, 0));
         assert_eq!(store_after_crash(&hub).bytes(), before);
-        // The second time both are over.
+        // The second time both have ended.
         hub.call_ended(call, quillmount_core::CallEnd::Delivered, NOW);
         let notices = hub.router.notices(9);
         hub.notices_confirmed(&notices, NOW);
     }
     assert_eq!((hub.router.counters.adopted, hub.router.load()), (2, RouterLoad::default()));
-    // An id that was delivered elsewhere is none to go on with.
+    // A message that was delivered elsewhere is not continued.
     let delivered = JournalEntry { end: Some(End::Delivered), ..owed("delivered") };
     assert_eq!(skipped(&hub.adopt(vec![delivered], &Settlements::default(), NOW).unwrap()), ["delivered"]);
 }
@@ -152,11 +152,11 @@
         ["c"],
         "later there is room"
     );
-    // No part of the disk holds them: what is there stays.
+    // The disk has no space for them: its contents stay.
     let mut small = open(Memory::default(), 4_000);
     assert!(matches!(small.adopt(entries(), &Settlements::default(), NOW), Err(JournalError::Full)));
     assert_eq!((small.router.load(), store_after_crash(&small).bytes().len()), (RouterLoad::default(), 0));
-    // Wherever a kill cuts, no debit that was out is owed without its attempt.
+    // Wherever a kill interrupts the write, no debit that was in flight is owed without its attempt.
     for after in 0..8 {
         for bytes in 0..200 {
             let mut hub = open(Memory::default(), DISK);
@@ -172,8 +172,8 @@
     }
 }
 
-/// Between the writing and the fleet's decision nothing is done. A crash in between leaves the messages unsettled, and what
-/// another courier owns is removed from the journal.
+/// Between the write and the fleet's decision nothing is done. A crash in between leaves the messages unsettled, and those
+/// that another courier owns are removed from the journal.
 #[test]
 fn adopted_messages_with_a_source_wait_for_the_decision_of_the_fleet() {
     use quillmount_core::journal::Source;
@@ -196,7 +196,7 @@
     let left: Vec<_> = contents.owed.values().map(|e| (e.taken.id.as_str(), e.source.clone())).collect();
     assert_eq!(left, [("m1", None)]);
     let again = owed("m2");
-    // The other one's id may come again.
+    // The other one's id may be submitted again.
     let todo = hub.adopt(vec![again], &Settlements::default(), NOW).unwrap();
     assert_eq!(ids(calls(todo)), ["m2"]);
 }
--- a/courier/core/tests/attempts.rs
+++ b/courier/core/tests/attempts.rs
@@ -62,7 +62,7 @@
             }
         }
     }
-    // One that is no repeat has no such time.
+    // An attempt that is no repeat has no such time.
     let mut first = attempt(Micros::MAX, "new");
     assert_eq!(first.step(AttemptInput::Start { open: true, resting: true }, BY).end, None);
 }
@@ -85,7 +85,7 @@
             "{state}"
         );
     }
-    // Its last byte has left: it is waited for as any.
+    // Its last byte was sent: it has the usual time-out.
     let mut whole = attempt(BY, "awaiting");
     assert_eq!(whole.wake_at(), None);
     assert_eq!(whole.step(AttemptInput::Tick, BY).end, None);
@@ -118,7 +118,7 @@
         let output = call.step(input, NOW);
         assert_eq!(output.end, Some(end), "{state}, {input:?}");
         assert_eq!(call.state(), AttemptState::Finished, "{state}, {input:?}");
-        // Nothing of it may leave any more; a refused connect has no connection.
+        // No byte of it may be sent any more; a refused connect has no connection.
         let gone =
             if input == AttemptInput::Refused { ConnectionAction::Nothing } else { ConnectionAction::Close };
         assert_eq!(output.action, gone, "{state}, {input:?}");
--- a/courier/core/tests/bundles.rs
+++ b/courier/core/tests/bundles.rs
@@ -129,7 +129,7 @@
     assert_eq!(calls(hub.tick(now + 2_100_000)).len(), 1);
 }
 
-/// An idempotent message is not waited for as long as a debit: it leaves the call, which goes on.
+/// The time-out of an idempotent message is shorter than a debit's: it leaves the call, which continues.
 #[test]
 fn a_message_that_timed_out_leaves_its_call_and_is_completed_if_the_call_delivered_it() {
     let (mut hub, _) = open(Memory::default(), NOW);
@@ -239,7 +239,7 @@
         assert_eq!(hub.pool.is_open(other, now), !held, "apart: {apart}");
         out.extend((1..100).flat_map(|n| calls(hub.tick(now + n * 10_000))));
         out.extend(submit(&mut hub, "q1", now + 1_000_000));
-        // Whatever the module lets go within the wait, the pool lets through.
+        // Every call that the policy makes during the wait passes the pool.
         assert_eq!(out.is_empty(), held, "apart: {apart}, {out:?}");
         assert!(out.iter().all(|call| call.endpoint == other), "apart: {apart}, {out:?}");
     }
@@ -252,7 +252,7 @@
     let (mut hub, _) = open(Memory::default(), NOW);
     let alone: Vec<DeliveryCall> = ["q0", "q1"].iter().flat_map(|id| submit(&mut hub, id, NOW)).collect();
     for (n, id) in (0..).zip(["d2", "q3", "d4", "d5", "q6"]) {
-        // The fourth has the most time left though it comes before the last.
+        // The fourth has the most time left although it is before the last.
         let (class, came) = (if id.starts_with('d') { "debit" } else { "quote" }, NOW + n * 100_000);
         let time_left = if id == "d5" { 15_900_000 } else { 15_500_000 };
         let (id, class, body) = (id.into(), class.into(), bytes::Bytes::from_static(b"body"));
@@ -265,7 +265,7 @@
     assert_eq!((ids.len(), ids[0]), (5, "d5"), "{ids:?}");
     let over = NOW + 300_000 + 15_900_000;
     assert!(NOW + 900_000 + call.timeout <= over, "{} us", call.timeout);
-    // The answer would come a moment later.
+    // The answer would arrive just after that.
     hub.call_ended(call.call, CallEnd::TimedOut, over);
     for id in ["d2", "d4", "d5"] {
         assert_eq!(end_of(&hub, id), Some(End::Undeliverable), "{id}");
@@ -273,7 +273,7 @@
 }
 
 /// A quote with a later deadline than the debits beside it has a shorter timeout: it leaves the call and is sent again or
-/// ended, and what the call's answer says of the debits must count.
+/// ended, and the call's answer must count for the debits.
 #[test]
 fn the_message_with_the_longest_timeout_leads_a_call() {
     let (mut hub, _) = open(Memory::default(), NOW);
@@ -286,10 +286,10 @@
     let call = calls(hub.tick(now)).remove(0);
     let ids: Vec<&str> = call.payloads().map(|p| p.id.as_str()).collect();
     assert_eq!((ids.len(), ids[0]), (4, "d4"), "{ids:?}");
-    // The first one's wait is the call's: nobody leaves later, and it does not leave before.
+    // The time-out of the first one is the call's: no message leaves later, and the first does not leave before.
     assert_eq!(now + call.timeout, NOW + 200_000 + 16_000_000);
     assert!(call.time_left < call.timeout);
-    // Long after the quotes were left behind.
+    // Long after the quotes have left the call.
     let mut at = now;
     while at < now + call.timeout - 1_000_000 {
         at = hub.router.wake_at().map_or(now + call.timeout, |wake| wake.max(at + 1));
--- a/courier/core/tests/disabled.rs
+++ b/courier/core/tests/disabled.rs
@@ -107,7 +107,7 @@
     assert!(!hub.router.disabled().contains("a"));
     hub.router.journal_mut().store_mut().fail(Fault::None);
     hub.set_disabled("a", true, NOW).unwrap();
-    // A torn record at the end makes the next start write a copy.
+    // Because of a torn record at the end the next start rewrites the journal.
     let mut bytes = store_after_crash(&hub).bytes().to_vec();
     bytes.extend([9, 0, 0, 0, 1]);
     let mut next = open(Memory::of(bytes));
--- a/courier/core/tests/ends.rs
+++ b/courier/core/tests/ends.rs
@@ -1,4 +1,4 @@
-//! A delivery close to the deadline, which counts or not by the clock that is asked: the platform gets a notice.
+//! A delivery close to the deadline, which counts or not depending on the clock: the platform gets a notice.
 
 mod common;
 use common::{NOW, World, calls, class, endpoint, options, store_after_crash};
@@ -50,7 +50,7 @@
             hub.call_ended(call, CallEnd::Delivered, NOW + at);
             let end = if tells { vec![Ending::Undeliverable] } else { Vec::new() };
             assert_eq!(notices(&hub), end, "{effect}, {at}");
-            // A kill before the platform has confirmed it: the next life tells it.
+            // A kill before the platform has confirmed it: the next process sends it.
             let (contents, _) = JournalContents::read(store_after_crash(&hub).bytes());
             let owed: Vec<_> = contents.owed.values().map(|entry| entry.end).collect();
             assert_eq!(
@@ -69,7 +69,7 @@
     }
 }
 
-/// The policy ends the message at this moment: the notice stays, though it is not sent yet.
+/// The policy ends the message at this time: the notice stays, though it is not sent yet.
 #[test]
 fn a_delivery_after_the_deadline_withdraws_no_notice() {
     let (mut hub, call) = in_flight("fragile");
@@ -81,7 +81,7 @@
     assert!((NOW + TIME - CLOSE..=NOW + TIME + CLOSE).contains(&now), "{}", now - NOW);
     hub.call_ended(call, CallEnd::Delivered, now + 5_000);
     assert_eq!(notices(&hub), [Ending::Undeliverable]);
-    // What the endpoint says to be over is.
+    // A message that the endpoint reports as ended has ended.
     let (mut hub, call) = in_flight("fragile");
     hub.call_ended(call, CallEnd::Gone, NOW + TIME);
     assert_eq!((notices(&hub), hub.router.load().owed), (vec![], 0));
--- a/courier/core/tests/full.rs
+++ b/courier/core/tests/full.rs
@@ -1,4 +1,4 @@
-//! An endpoint with a full connection table says so on a new connection, and closes it.
+//! An endpoint with a full connection table rejects the call on a new connection, and closes it.
 
 use bytes::Bytes;
 use quillmount_core::call::Call;
@@ -47,9 +47,9 @@
     let load = |calls, idle| PoolLoad { calls, idle };
     let closes = |_: &[u8], _| Answer::Whole { end: CallEnd::Full(0), reusable: false };
     assert_eq!(end(closes, true, true), (Some(CallEnd::CouldNotConnect), load(0, 0)));
-    // Where no answer tells of a limit, it may be one all the same.
+    // Where answers have no load report, it may be a rejection by a limit.
     assert_eq!(end(closes, true, false), (Some(CallEnd::Full(0)), load(0, 0)));
-    // What was taken before was not for want of room, and what is kept or tells a wait is not either.
+    // A connection that was accepted before was not rejected for lack of capacity, nor one that is kept or advises to wait.
     assert_eq!(end(closes, false, true), (Some(CallEnd::Full(0)), load(0, 0)));
     let keeps = |_: &[u8], _| Answer::Whole { end: CallEnd::Full(0), reusable: true };
     assert_eq!(end(keeps, true, true), (Some(CallEnd::Full(0)), load(0, 1)));
--- a/courier/core/tests/handover.rs
+++ b/courier/core/tests/handover.rs
@@ -12,18 +12,18 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Broken {
     Nothing,
-    /// The taker goes on from what came though the journal has grown since: a third process may have had the lock.
+    /// The receiver resumes although the journal has grown since: a third process may have had the lock.
     JournalUnread,
-    /// It takes its parts back although the taker's word has come.
+    /// The sender resumes its parts although the receiver has confirmed them.
     TakesBackLate,
-    /// The taker goes on from what came, though the giver has not let go.
+    /// The receiver resumes although the sender has not released the lock.
     ResumesUnasked,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Word {
     Ask,
-    /// All that is known, as a count of decisions.
+    /// The state of the decisions, as their count.
     All(u8),
     Got,
     LetGo,
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Process {
     Unborn,
-    /// `has`: what came over.
+    /// `has`: the state that was handed over.
     Taking {
         machine: HandoverReceiver,
         has: Option<u8>,
@@ -51,7 +51,7 @@
     all: [Process; 3],
     lock: Option<usize>,
     written: u8,
-    /// Who asked whom, and the words on their way.
+    /// The sides of each connection, and the messages in transit.
     talk: Option<(usize, usize)>,
     to_giver: Vec<Word>,
     to_taker: Vec<Word>,
@@ -89,7 +89,7 @@
         let mut all = Vec::new();
         for n in 0..3 {
             match self.all[n] {
-                // The second starts at any time, and the third too: an upgrade during another.
+                // The second process starts at any time, and so does the third: an upgrade during another one.
                 Process::Unborn if n > 0 => {
                     let mut w = self.clone();
                     w.all[n] = Process::Taking { machine: HandoverReceiver::new(0), has: None };
@@ -131,7 +131,7 @@
         w
     }
 
-    /// The connection of a process ends; the other side hears what was on its way, then the end.
+    /// The connection of a process ends; the other side receives the messages in transit, then the end.
     fn breaks(&mut self, n: usize) {
         let Some((taker, giver)) = self.talk.filter(|(t, g)| n == *t || n == *g) else { return };
         self.talk = None;
@@ -151,7 +151,7 @@
         }
     }
 
-    /// The giver takes a step.
+    /// The sender makes a step.
     fn given(
         &self,
         n: usize,
@@ -163,7 +163,7 @@
     ) -> World {
         let mut w = self.clone();
         if broken == Broken::TakesBackLate && input == SenderInput::Received {
-            // Its answer is lost on the way, and it goes on as before.
+            // Its answer is lost, and it continues as before.
             w.lock = None;
             w.to_taker.push(Word::LetGo);
             w.all[n] = Process::Deciding { machine: HandoverSender::default(), knows };
@@ -200,7 +200,7 @@
         vec![w]
     }
 
-    /// The taker takes a step, and does what it comes to.
+    /// The receiver makes a step, and carries out its output.
     fn took(
         &mut self,
         n: usize,
@@ -217,7 +217,7 @@
         let mut todo = machine.step(input, now);
         let mut has = has;
         if matches!(machine.state(), ReceiverState::Locking { .. }) && input == ReceiverInput::Tick {
-            // Whatever it was saying is over.
+            // Its messages in transit are lost.
             self.hangs_up(n);
         }
         loop {
@@ -238,7 +238,7 @@
                         self.to_giver.push(Word::Ask);
                         ReceiverOutput::Nothing
                     }
-                    // It serves another, starts, or is gone meanwhile.
+                    // It serves another process, is starting, or has ended meanwhile.
                     _ => machine.step(ReceiverInput::Busy, 0),
                 },
                 ReceiverOutput::Confirm => {
@@ -252,7 +252,7 @@
                     ReceiverOutput::Nothing
                 }
                 ReceiverOutput::Resume => {
-                    // The journal tells whether anything was decided since.
+                    // The journal shows whether anything was decided since.
                     let stale = has != Some(self.written) && broken != Broken::JournalUnread;
                     let knows = if stale { self.written } else { has.expect("it came over") };
                     self.all[n] = Process::Deciding { machine: HandoverSender::default(), knows };
@@ -292,7 +292,7 @@
         }
     }
 
-    /// One word arrives, on either side.
+    /// One message arrives, on either side.
     fn hears(&self, broken: Broken) -> Vec<World> {
         let (mut all, Some((taker, giver))) = (Vec::new(), self.talk) else { return Vec::new() };
         if let (Some(word), Process::Deciding { machine, knows }) = (self.to_giver.first(), self.all[giver]) {
@@ -331,7 +331,7 @@
 fn at_any_time_one_process_decides_and_knows_all_earlier_decisions() {
     let (seen, wrong) = search(Broken::Nothing);
     assert_eq!(wrong, None);
-    // All ways of going on were met, and more than a handful of states.
+    // All outcomes were reached, and more than a few states.
     let met: BTreeSet<&str> = seen
         .iter()
         .flat_map(|w| w.all)
@@ -357,8 +357,8 @@
     }
 }
 
-/// The owner is killed, or hands over to a third process, which takes the lock: that one is asked like any other, however
-/// long the receiver has waited by then.
+/// The owner is killed, or hands over to a third process, which takes the lock: that one gets a request like any other,
+/// however long the receiver has waited by then.
 #[test]
 fn a_new_owner_of_the_lock_is_asked_before_it_is_killed() {
     let mut taker = HandoverReceiver::new(0);
@@ -367,7 +367,7 @@
         assert_eq!(taker.step(ReceiverInput::Tick, now), ReceiverOutput::Lock);
         taker.step(ReceiverInput::LockTaken, now)
     };
-    // Busy to the last, as one that starts slowly or serves another.
+    // Busy until the end, like one that starts slowly or serves another process.
     let mut ended = 0;
     while ended == 0 {
         match look(&mut taker, now) {
--- a/courier/core/tests/handover_forms.rs
+++ b/courier/core/tests/handover_forms.rs
@@ -1,5 +1,5 @@
-//! The encoding of what one process hands over to the next: the bytes of an earlier version are resumed from, and the same
-//! state is encoded to the same bytes. `WRITE_FIXTURES=1` writes the files.
+//! The encoding of the state that one process hands over to the next: the bytes of an earlier version can be resumed, and the
+//! same state is encoded to the same bytes. `WRITE_FIXTURES=1` writes the files.
 
 mod common;
 
@@ -111,7 +111,7 @@
         let now = NOW + n * 30_000;
         out.extend(calls(hub.submit(submission(n), now).1));
         out.extend(calls(hub.tick(now)));
-        // The last destination answers nobody.
+        // The last destination never answers.
         if let Some(first) = out.iter().position(|call| call.dest != 2) {
             let call = out.remove(first);
             let end = ends[n as usize % ends.len()];
@@ -170,7 +170,7 @@
     assert_eq!(next.router.load(), hub.router.load());
     assert_eq!(encoded(&next), stored, "the next process would hand over the same");
     assert_eq!(store_after_crash(&next).bytes(), journal);
-    // What there is of each kind, so that the file is known to have it.
+    // The counts of each kind, which show that the file contains it.
     assert_eq!(next.router.load(), RouterLoad { owed: 63, in_flight: 17 });
     assert_eq!(next.router.notices(99).len(), 20);
     let backoff = |endpoint| EndpointBackoff { endpoint, until: NOW + 20_039_000 };
--- a/courier/core/tests/journal.rs
+++ b/courier/core/tests/journal.rs
@@ -1,4 +1,4 @@
-//! Reading a journal that is cut off anywhere.
+//! Reading a journal that is truncated at any byte.
 
 use bytes::Bytes;
 use quillmount_core::journal::{AcceptedMessage, End, Journal, JournalContents, JournalRecord, frame};
@@ -25,7 +25,7 @@
         JournalRecord::End { msg: 2, end: End::Delivered },
     ];
     let mut bytes = Vec::new();
-    // After each whole record: where it ends, and what is known then.
+    // After each full record: where it ends, and the contents up to there.
     let mut known = vec![(0, JournalContents::default())];
     for record in &records {
         bytes.extend(frame(record).unwrap());
--- a/courier/core/tests/lifecycle.rs
+++ b/courier/core/tests/lifecycle.rs
@@ -7,7 +7,7 @@
 use quillmount_policy::Micros;
 use std::collections::{BTreeSet, HashSet};
 
-/// All inputs, each at time 0 and after all that is waited for.
+/// All inputs, each at time 0 and after all times that a state waits for.
 fn inputs() -> Vec<(LifecycleInput, Micros)> {
     let all: Vec<LifecycleInput> = Lifecycle::inputs().into_iter().map(|(.., (input, _))| input).collect();
     [0, 1_000_000].into_iter().flat_map(|now| all.clone().into_iter().map(move |one| (one, now))).collect()
@@ -88,7 +88,7 @@
                 && !matches!(output, LifecycleOutput::Handover(SenderOutput::Collect | SenderOutput::Send))
         );
         assert_eq!(next.is_drained(), lifecycle.is_drained(), "{input:?}");
-        // Another process decides only once this one has let go.
+        // Another process decides only after this one has released the lock.
         let goes = lifecycle.has_ended() || output == LifecycleOutput::Handover(SenderOutput::Release);
         assert_eq!(next.has_ended(), goes, "{input:?}");
     }
@@ -130,12 +130,12 @@
         assert!(!lifecycle.stop_requested() || next.stop_requested(), "{lifecycle:?}, {input:?}");
         assert!(!next.stop_requested() || !next.accepts_clients(), "{lifecycle:?}, {input:?}");
         assert!(!next.stop_requested() || next.is_releasing() || next.stopping().is_some(), "{next:?}");
-        // It begins from where nothing was under way, or with the last step back.
+        // It begins from a state without a handover, or as the handover is taken back.
         let begins = next.stopping().is_some() && lifecycle.stopping().is_none();
         let back = output == LifecycleOutput::Handover(SenderOutput::TakeBack) && lifecycle.stop_requested();
         assert_eq!(begins, output == LifecycleOutput::Stop || back, "{lifecycle:?}, {input:?}");
     }
-    // Whatever state a hand-over is in, its time's end decides: who holds the lock stops as planned.
+    // In any state of a handover its time-out decides: the process that has the lock shuts down as planned.
     let told = reachable()
         .into_iter()
         .filter(|lifecycle| lifecycle.stop_requested() && lifecycle.handover_deadline().is_some());
@@ -146,13 +146,13 @@
         all += 1;
     }
     assert!(all > 3);
-    // It counts from the first signal, whatever came after it.
+    // It counts from the first signal, whatever follows.
     let mut told = after(&[LifecycleInput::Serve, LifecycleInput::Handover(SenderInput::Requested)]);
     told.step(LifecycleInput::Stop, 5);
     told.step(LifecycleInput::Stop, 9);
     told.step(LifecycleInput::Handover(SenderInput::Tick), 2_000_000);
     assert_eq!(told.stopping(), Some(5));
-    // Who has let go has nothing to stop, whether it was told before or after.
+    // A process that has released the lock has nothing to shut down, whether the signal arrived before or after.
     let mut gone = after(&[
         LifecycleInput::Serve,
         LifecycleInput::Handover(SenderInput::Requested),
--- a/courier/core/tests/repeats.rs
+++ b/courier/core/tests/repeats.rs
@@ -155,7 +155,7 @@
             },
             later,
         );
-        // The wait is over by now.
+        // The wait has ended by now.
         let due = calls(hub.tick(NOW));
         let out: Vec<&str> = due.iter().map(|call| call.payload.id.as_str()).collect();
         assert!(out.contains(&"untried"), "{out:?}");
--- a/courier/core/tests/restart.rs
+++ b/courier/core/tests/restart.rs
@@ -28,7 +28,7 @@
 }
 
 fn list(lines: &[(&str, u64, &str)]) -> EndpointList {
-    // Each has a port by its place.
+    // The port of each follows from its position.
     let line = |((id, dest, zone), port): (&(&str, u64, &str), u16)| EndpointListing {
         zone: (*zone).into(),
         addr: Some(([127, 0, 0, 1], port).into()),
@@ -88,7 +88,7 @@
     hub.router.notices(9_999).into_iter().map(|Notice { msg, ending, .. }| (msg, ending)).collect()
 }
 
-/// Goes on until this time and delivers each call; returns the messages that were delivered.
+/// Continues until this time and delivers each call; returns the messages that were delivered.
 fn deliver_all(
     hub: &mut World,
     mut out: Vec<DeliveryCall>,
@@ -122,7 +122,7 @@
             (0..owed).map(|msg| JournalRecord::Accept { msg, taken: taken(msg, "fee-debit") }).collect();
         let (mut hub, begun, _) = open(&settings, none(), folder(&records), NOW);
         assert_eq!((ends(&hub).len(), begun.len()), (0, 0), "{owed} in a table of {cap}");
-        // An upgrade right then keeps them too.
+        // An upgrade at that time keeps them too.
         let state = hub.state(settings_fingerprint(&settings, None).unwrap());
         let (next, _) =
             Router::resume(&options(&settings, DISK), state.router, store_after_crash(&hub), NOW + 1_000)
@@ -137,7 +137,7 @@
             assert!(matches!(intake, Intake::Rejected { .. }), "{intake:?}");
         }
         assert_eq!(deliver_all(&mut hub, begun, now, now + 10_000_000), (0..owed).collect(), "{cap}");
-        // Its place goes with it: the table's limit is the settings' from here on.
+        // Its space is removed with it: from here on the table's limit is that of the settings.
         let taken_on = (0..2 * u64::from(cap).min(50)).filter(|n| {
             submit(&mut hub, &format!("n{n}"), "fee-debit", now + 10_000_000).0 == Intake::Accepted
         });
@@ -179,7 +179,7 @@
     ];
     let settings = env(vec![class("paid-notice", "retryable"), class("fee-debit", "fragile")]);
     let (mut hub, begun, errors) = open(&settings, list(&[("a", 1, "z")]), folder(&records), NOW);
-    // What never ran may be handed in again; of the rest nobody can promise anything.
+    // A message that never ran may be submitted again; for the others nothing can be promised.
     let failed = Ending::Undeliverable;
     let wanted = [(1, failed), (3, Ending::Deferred(0)), (4, failed), (5, Ending::Deferred(0))];
     let mut found = ends(&hub);
@@ -230,7 +230,7 @@
         assert_eq!(!deliver_all(&mut hub, begun, NOW, NOW + LIFE).is_empty(), again, "{what}");
         assert_eq!(ends(&hub).len(), usize::from(!again), "{what}");
         assert!(errors.iter().all(|error| error.contains("\"m1\"") && error.contains("\"c\"")), "{errors:?}");
-        // What has surely not run goes by today's effect.
+        // For an attempt that certainly did not run, the present effect applies.
         let never = JournalRecord::Outcome { msg: 1, attempt: 0, never_ran: true };
         let not = [ran[0].clone(), ran[1].clone(), never];
         let (mut hub, begun, errors) = open(&settings, list(&[("a", 1, "z")]), folder(&not), NOW);
@@ -296,7 +296,7 @@
     };
     assert_eq!(begun(NOW), BTreeSet::from([1, 2, 3]));
     assert_eq!(begun(NOW - 1), BTreeSet::from([2, 3]), "the first may be as old as one likes");
-    // Set forward, it only cuts a span short.
+    // Set forward, it only shortens a span.
     assert_eq!(begun(NOW + 3_000_000), BTreeSet::from([2, 3]));
 }
 
@@ -343,9 +343,9 @@
                 hub.router.journal_mut().store_mut().fail(Fault::Die { after, bytes });
                 let alive = |hub: &World| !hub.router.journal().store().is_dead();
                 let (_, out) = submit(&mut hub, "m", class, NOW);
-                // What a life does after its death reaches nobody: neither its 202 nor the first byte of a call.
+                // Nothing that a process does after its crash has an effect: neither its 202 nor the first byte of a call.
                 let sent = alive(&hub) && !out.is_empty();
-                // The record of a take-on is the first write of all.
+                // The record of the acceptance is the first write.
                 let accepted = alive(&hub) || after > 0;
                 if sent {
                     hub.call_ended(out[0].call, last, NOW);
@@ -406,7 +406,7 @@
     while journal.submit(owed, taken(owed, "status"), false, NOW, &mut notes).is_ok() {
         owed += 1;
     }
-    // Two attempts of each, the first refused, and as much again of what is over.
+    // Two attempts of each, the first refused, and as many bytes of ended messages.
     for msg in 0..owed {
         let sent = || JournalRecord::Sent { msg, sent: NOW, effect: RepeatEffect::Safe };
         let refused = JournalRecord::Outcome { msg, attempt: 0, never_ran: true };
--- a/courier/core/tests/restart_guard.rs
+++ b/courier/core/tests/restart_guard.rs
@@ -42,7 +42,7 @@
         for call in begun {
             hub.call_ended(call.call, fate, NOW + 1_000);
         }
-        // To seven tenths of their time none that no call was made for is told of.
+        // Until seven tenths of their time no notice is sent for a message without a call.
         let mut now = NOW + 1_000;
         while let Some(at) = hub.router.wake_at().filter(|at| *at < NOW + LIFE / 10 * 7) {
             now = now.max(at);
--- a/courier/core/tests/resume.rs
+++ b/courier/core/tests/resume.rs
@@ -1,4 +1,4 @@
-//! An upgrade: the next process decides from what was handed over, as if nothing had happened.
+//! An upgrade: the next process decides from the state that was handed over, as if nothing had happened.
 
 mod common;
 use common::{NOW, World, calls, class, endpoint, options, store_after_crash, visited_values};
@@ -61,7 +61,7 @@
     for n in 0..40 {
         let now = NOW + n * 30_000;
         out.extend(submit(&mut hub, n, now).1);
-        // The last destination answers nobody.
+        // The last destination never answers.
         if let Some(first) = out.iter().position(|call| call.dest != 2) {
             let call = out.remove(first);
             out.extend(calls(hub.call_ended(call.call, ends[n as usize % ends.len()], now + 9_000)));
@@ -93,12 +93,12 @@
     assert_eq!(visited_values(&next), visited_values(&hub));
     assert!(calls(todo).is_empty(), "what is out is out still");
     assert_eq!(next.router.notices(99), hub.router.notices(99));
-    // A told wait binds each endpoint of its destination, and the gates stand as they did.
+    // The advice to wait applies to each endpoint of its destination, and calls may start to the same endpoints as before.
     let now = NOW + 1_250_000;
     let gates = |hub: &World| (0..5).map(|n| hub.pool.is_open(n, now)).collect::<Vec<_>>();
     assert_eq!(gates(&next), gates(&hub));
     assert!(!gates(&next)[1] && !gates(&next)[3], "one is out, and one drains");
-    // From here on both decide alike: what is handed in, what ends, and as time passes.
+    // From here on both make the same decisions: for submissions, for ends, and as time passes.
     let out: Vec<_> = next.router.calls_out();
     for (n, call) in (100..).zip(out) {
         let now = NOW + 2_000_000 + n * 10_000;
@@ -111,7 +111,7 @@
         next.tick(now);
         assert_eq!(visited_values(&next), visited_values(&hub), "after message {n}");
     }
-    // The ids of before are known: open, or over.
+    // The earlier ids are known, of open and of ended messages.
     assert!((0..40).all(|n| submit(&mut next, n, NOW + 2_500_000).0 != Intake::Accepted));
 }
 
@@ -127,14 +127,14 @@
     // A third process had the lock in between and wrote; or its journal is gone.
     let mut grown = busy();
     submit(&mut grown, 1_001, NOW + 3_000_000);
-    // The same messages are owed, and one of them has come further.
+    // The same messages are owed, and one of them has made progress.
     let mut further = busy();
     let call = further.router.calls_out()[0];
     further.call_ended(call, CallEnd::Full(0), NOW + 3_000_000);
     for store in [store_after_crash(&grown), store_after_crash(&further), Memory::default()] {
         assert!(matches!(resumed(state(&hub), store).err(), Some(ResumeError::OtherJournal)));
     }
-    // The journal that is there serves as after a kill.
+    // The journal is restored as after a kill.
     let mut notes = Vec::new();
     assert!(!Journal::open(store_after_crash(&hub), DISK, NOW, &mut notes).unwrap().1.owed.is_empty());
 }
--- a/courier/core/tests/router.rs
+++ b/courier/core/tests/router.rs
@@ -75,7 +75,7 @@
 #[test]
 fn an_outcome_is_recorded_for_its_own_attempt_after_a_refused_record() {
     let (mut router, now) = opened(SenderSettings::default());
-    // The take-on is written, and the attempt behind it is not.
+    // The acceptance is written, and the attempt after it is not.
     router.journal_mut().store_mut().fail(Fault::Full { after: 1 });
     let (_, steps) = submit(&mut router, "m", now);
     let refused = steps.iter().find_map(|s| match s {
--- a/courier/core/tests/settings_mark.rs
+++ b/courier/core/tests/settings_mark.rs
@@ -1,4 +1,4 @@
-//! The mark by which two processes compare their settings on an upgrade: renames in the code leave it as it is.
+//! The fingerprint by which two processes compare their settings on an upgrade: renames in the code do not change it.
 
 use quillmount_core::router::{self, StreamLimits};
 use quillmount_settings::{Category, DestinationSettings, SenderSettings, Tenant};
--- a/courier/core/tests/states.rs
+++ b/courier/core/tests/states.rs
@@ -1,8 +1,8 @@
-//! The page of the machines.
+//! The page of the state machines.
 
 use quillmount_core::machine::{Table, tables};
 
-/// The page and the code are held together: `UPDATE_STATES=1` writes the page anew.
+/// The page must agree with the code: `UPDATE_STATES=1` rewrites the page.
 #[test]
 fn the_documented_tables_are_those_of_the_code() {
     let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/states.md");
--- a/courier/core/tests/stored_forms.rs
+++ b/courier/core/tests/stored_forms.rs
@@ -1,5 +1,5 @@
-//! The journal as it stands on disk: bytes that an earlier version wrote are read to the same values, and the same values
-//! are written as the same bytes. `WRITE_FIXTURES=1` writes the files anew.
+//! The journal's form on disk: bytes that an earlier version wrote are read to the same values, and the same values
+//! are written as the same bytes. `WRITE_FIXTURES=1` rewrites the files.
 
 use bytes::Bytes;
 use quillmount_core::journal::{
@@ -90,7 +90,7 @@
     records.iter().flat_map(|record| frame(record).unwrap()).collect()
 }
 
-/// What the records come to.
+/// The contents that result from the records.
 fn restored() -> JournalContents {
     let call = |n, effect, never_ran| PastCall { sent: NOW + n, effect, never_ran };
     let entry =
@@ -135,7 +135,7 @@
     contents
 }
 
-/// The same without what nobody has to remember any more.
+/// The same without expired ends.
 fn restored_now() -> JournalContents {
     let mut contents = restored();
     contents.ended.retain(|ended| ended.until > NOW);
@@ -162,7 +162,7 @@
     assert_eq!(journal.store().bytes(), stored, "a sound journal is left as it is");
 }
 
-/// The last record was cut short by a kill: the rest is restored, and a copy without it takes the place of the whole.
+/// The last record was truncated by a kill: the others are restored, and a rewritten journal without it replaces the file.
 #[test]
 fn a_torn_journal_is_restored_and_compacted_as_by_earlier_versions() {
     let mut torn = framed(&records());
@@ -181,11 +181,11 @@
             && *to == compacted.len() as u64));
     let (mut read, length) = JournalContents::read(&compacted);
     assert_eq!(length, compacted.len());
-    // In this copy an attempt of an earlier version has no zone, and numbers of what is over are not kept.
+    // In the rewritten journal an attempt of an earlier version has no zone, and ended messages have no numbers.
     assert_eq!(read, JournalContents { next: 301, ..restored_now() });
     let count = Records::new(&compacted).count();
     assert_eq!(count, 20);
-    // Read again, it is left as it is.
+    // Read again, it does not change.
     let mut notes = Vec::new();
     let (again, contents) = Journal::open(Memory::of(compacted.clone()), DISK, NOW, &mut notes).unwrap();
     assert_eq!((again.store().bytes(), notes.is_empty()), (&compacted[..], true));
@@ -193,7 +193,7 @@
     assert_eq!((contents.owed, contents.settlements), (read.owed, read.settlements));
 }
 
-/// What a courier writes as it goes, by way of the journal's own calls, and what it takes over from another's.
+/// The records that a courier writes through the journal's functions, and those that it adopts from another one's.
 #[test]
 fn a_courier_writes_the_same_journal_as_earlier_versions() {
     let mut notes = Vec::new();
--- a/courier/core/tests/watch.rs
+++ b/courier/core/tests/watch.rs
@@ -1,5 +1,5 @@
-//! The watch on discovery: when it asks, how often a fleet does, and that what discovery has and can be reached
-//! for is here in time, whatever failed before.
+//! The watch on discovery: when it sends requests, how often a fleet does, and that a list arrives in time once discovery can
+//! be reached, whatever failed before.
 
 use quillmount_containers::random_unit;
 use quillmount_core::machine::watch::{
@@ -10,7 +10,7 @@
 
 const FLEETS: [u32; 4] = [3, 100, 300, 5_000];
 const HEEDS: [Micros; 2] = [500_000, 1_000_000];
-/// In larger fleets a question that is lost costs more time, so that discovery can answer the others.
+/// In larger fleets a lost request costs more time, so that discovery can answer the others.
 const FEW: u32 = 10;
 const TICK: WatchInput = WatchInput::Tick { moved: false };
 const BROKEN: WatchInput = WatchInput::Broken { moved: false };
@@ -20,7 +20,7 @@
     Watch::of_fleet(0, fleet, u64::from(me) * 77, starts, heed)
 }
 
-/// Waits for as long as the machine does; true: it asks, at the time returned.
+/// Waits for as long as the machine does; true: it sends a request, at the time returned.
 fn tick(watch: &mut Watch) -> (Micros, bool) {
     let now = watch.wake_at().unwrap();
     (now, matches!(watch.step(TICK, now), WatchOutput::Request | WatchOutput::Hedge { .. }))
@@ -34,7 +34,7 @@
     }
 }
 
-/// Followed from 0 on, with a line every 2 s, of which the last came at the time returned.
+/// A watch followed from 0 on, with a line every 2 s; returns the time of the last one.
 fn followed(watch: &mut Watch) -> Micros {
     watch.step(WatchInput::Answered, 0);
     for beat in 0..=3 {
@@ -43,15 +43,15 @@
     3 * HEARTBEAT
 }
 
-/// The most questions within any second.
+/// The most requests within any second.
 fn busiest(mut asked: Vec<Micros>) -> usize {
     asked.sort_unstable();
     let begun = |end: usize| asked.partition_point(|at| at + 1_000_000 <= asked[end]);
     (0..asked.len()).map(|end| end + 1 - begun(end)).max().unwrap_or(0)
 }
 
-/// The silence may begin at any time from the last line to where the next is due; if the new question is
-/// lost, the one beside it is in time too.
+/// The outage may begin at any time from the last line to the time at which the next is due; if the new request is lost,
+/// the hedged one is in time too.
 #[test]
 fn a_silent_watch_is_renewed_and_answered_before_its_missed_changes_count() {
     for (fleet, heed) in FLEETS.into_iter().flat_map(|fleet| HEEDS.map(|heed| (fleet, heed))) {
@@ -59,7 +59,7 @@
         for me in 0..fleet {
             let mut watch = courier(fleet, me, false, heed);
             let last = followed(&mut watch);
-            // A line that is half a second late is waited for.
+            // A line may be half a second late.
             assert_eq!(watch.step(TICK, last + HEARTBEAT + HEARTBEAT_SLACK - 1), WatchOutput::Nothing);
             let first = next_ask(&mut watch);
             let beside = next_ask(&mut watch);
@@ -71,14 +71,14 @@
                 assert!(in_time || fleet > FEW, "{fleet} couriers, {heed}: {beside}");
             }
         }
-        // All of them fell silent at one moment.
+        // All of them stopped receiving data at the same time.
         let (most, even) = (busiest(asked), fleet as usize * 2 / 3);
         assert!(fleet < 100 || most <= even * 6 / 5, "{fleet} couriers: {most} a second");
     }
 }
 
-/// An agent that is silent while discovery is down may have a list from any moment on: whether it answers
-/// what was asked before or only what is asked from then on, a courier has the list in time to heed it.
+/// An agent that does not answer while discovery is down may have a list at any time: whether it answers earlier requests or
+/// only those sent from then on, a courier has the list in time to heed it.
 #[test]
 fn after_an_outage_of_any_length_an_agent_gets_a_request_in_time() {
     for (fleet, heed) in FLEETS.into_iter().flat_map(|fleet| HEEDS.map(|heed| (fleet, heed))) {
@@ -95,7 +95,7 @@
                 let most = if fleet > FEW { REQUEST_INTERVAL_MAX } else { heed * 5 / 8 };
                 assert!(pair[1] - pair[0] <= most, "{fleet} couriers, {heed}: {pair:?}");
             }
-            // The first of each came when the silence was found.
+            // The first request of each was sent when the time-out was detected.
             all.extend(asked.into_iter().skip(1));
         }
         let most = busiest(all);
@@ -105,8 +105,8 @@
     }
 }
 
-/// Its list counts as told from the first moment, and one question may fail or be lost; after discovery
-/// has moved it counts 4 s later, and three may fail.
+/// Its list counts as notified at once, and one request may fail or be lost; after discovery has moved it counts 4 s later,
+/// and three may fail.
 #[test]
 fn a_starting_process_sends_its_first_request_in_time() {
     for (fleet, heed) in FLEETS.into_iter().flat_map(|fleet| HEEDS.map(|heed| (fleet, heed))) {
@@ -134,9 +134,8 @@
     }
 }
 
-/// A fleet that loses discovery at one moment, and is told no each time: how often it asks within any
-/// second, at first and later. No pause is so long that the answer would come later than 5 s after the
-/// last one.
+/// A fleet that loses discovery at one time, and whose requests are all rejected: how many requests it sends within any
+/// second, at first and later. No backoff is so long that the answer would arrive later than 5 s after the last one.
 #[test]
 fn a_rejected_fleet_sends_requests_less_and_less_often() {
     let ask_on = |fleet: u32| {
@@ -163,11 +162,11 @@
         let (early, late) = ask_on(fleet);
         assert!(early <= first && late <= later, "{fleet}: {early} in the busiest second, {late} later");
     }
-    // A small fleet asks as often as before.
+    // A small fleet sends as many requests as before.
     assert!(ask_on(3).1 >= 2);
 }
 
-/// What was told no is overloaded, and is not asked more often for answering late.
+/// A discovery that rejects requests is overloaded, and does not get more of them when it answers late.
 #[test]
 fn an_agent_that_rejected_a_request_gets_fewer_while_it_is_silent() {
     let mut watch = courier(300, 7, false, 1_000_000);
@@ -195,20 +194,20 @@
     assert!(asked <= 14, "{asked} questions in 30 s");
 }
 
-/// What becomes of one question, by the time that has gone by since it was asked.
+/// What happens to one request, by the time since it was sent.
 #[derive(Clone, Copy, Debug)]
 enum Fate {
-    /// Refused, reset, another status: it fails then.
+    /// Refused, reset, another status: it fails at this time.
     Fails(Micros),
-    /// Not a byte, for good.
+    /// No byte is ever received.
     Silent,
-    /// Its connection is not up yet: the system repeats the first packet after 1, 3, 7 and 15 s.
+    /// Its connection is not established yet: the system repeats the first packet after 1, 3, 7 and 15 s.
     Hangs,
-    /// The head comes; a list too, where `list`; then nothing, or bytes that never become one.
+    /// The head is received, and a list if `list` is set; then nothing, or bytes that never complete a list.
     Head { at: Micros, list: bool },
-    /// The head, and a list; rubbish, a cut or the end follow then.
+    /// The head and a list; then malformed bytes, a reset or the end.
     Ends { at: Micros, end: Micros },
-    /// It is followed for so many lines, and falls silent.
+    /// So many lines are received, then no more data.
     Beats { at: Micros, lines: u64 },
 }
 
@@ -230,19 +229,19 @@
     }
 }
 
-/// A question that is out, and when it was asked.
+/// A request in flight, and when it was sent.
 type Out = Option<(Micros, Fate)>;
 
-/// Plays one courier until it has a list that was asked for when discovery could be reached again, which it can from
-/// just after the `calm`th moment at which anything happens; from then on what is asked is answered `late` later,
-/// and what was asked before goes on as it would: where that says anything more, the time counts from its last
-/// byte, as for any watch that falls silent. Returns how long it took.
+/// Runs one courier until it has a list that it requested when discovery could be reached again, which is from just after
+/// the `calm`th event on. From then on a request is answered `late` after it, and earlier requests continue as they would:
+/// if one of them receives more bytes, the time counts from its last byte, as for any watch without data. Returns how long
+/// it took.
 fn told_after(mut watch: Watch, seed: u64, calm: u32, late: Micros, silent: bool) -> Micros {
     let (mut seed, mut now, mut back) = (seed | 1, 0, None::<Micros>);
     let first = |seed: &mut u64| Some((0, fate(seed, silent)));
     let pauses = matches!(watch.state(), WatchState::BackingOff { .. });
     let mut out: Vec<Out> = if pauses { vec![] } else { vec![first(&mut seed)] };
-    // What the answer that is followed has still to say: lines, then its end.
+    // The remaining data of the current answer: lines, then its end.
     let mut says: Vec<(Micros, WatchInput)> = Vec::new();
     let mut follows = false;
     let mut moments = 0;
@@ -256,7 +255,7 @@
             "never told: {watch:?}, {out:?}, {says:?}, back at {back:?}, now {now}"
         );
         let reached = |asked: Micros| back.is_some_and(|back| asked >= back);
-        // A connect that hangs is a question that is asked when the system repeats it.
+        // A connect that hangs counts as a request that is sent when the system repeats it.
         let arrives = |(asked, fate): (Micros, Fate)| match fate {
             Fate::Hangs if !reached(asked) => REPEATS.iter().map(|r| asked + r).find(|at| reached(*at)),
             _ => Some(asked).filter(|at| reached(*at)),
@@ -316,8 +315,8 @@
     }
 }
 
-/// Refused, reset, silent before the head, after it and in the middle of a list, over at once, followed and silent
-/// again, connects that hang: in any order, and discovery can be reached again just after any of it.
+/// Refused, reset, no data before the head, after it and in the middle of a list, ended at once, followed and then without
+/// data, connects that hang: in any order, and discovery can be reached again just after any of them.
 #[test]
 fn changes_arrive_in_time_whatever_failed_before() {
     let mut worst = 0;
@@ -336,12 +335,12 @@
             }
         }
     }
-    // It is a bound that is met, not one that nothing comes near.
+    // The bound is reached, not only respected.
     assert!(worst > REQUEST_INTERVAL_MAX, "{worst}");
 }
 
-/// An agent that was silent may tell a drain in the moment in which it is back, and answer only what is asked from
-/// then on: a few couriers ask it in time, and where lists are pushed, to an agent of each one's machine, all do.
+/// An agent may announce a drain as soon as it is back after an outage, and answer only requests that are sent from then on:
+/// the requests of a few couriers are in time, and those of all where lists are pushed to an agent on each one's machine.
 #[test]
 fn couriers_receive_the_list_of_an_agent_at_once_after_an_outage() {
     for (fleet, heed) in SIZES.into_iter().flat_map(|fleet| HEEDS.map(|heed| (fleet, heed))) {
@@ -356,17 +355,17 @@
     }
 }
 
-/// What an agent does with the questions that came while it was silent, in the moment in which it is back.
+/// What an agent does, as soon as it is back, with the requests that arrived during its outage.
 #[derive(Clone, Copy, Debug)]
 enum Return {
     Answers,
     Resets,
 }
 
-/// How long after an agent's return its news is here; `out`: the questions that wait for it. What it answers is here
-/// `late` later.
+/// How long after an agent's return its list arrives; `out`: the requests in flight. An answer arrives `late` after it was
+/// sent.
 fn told_at_return(watch: &mut Watch, out: &mut usize, back: Micros, how: Return, late: Micros) -> Micros {
-    /// Asks or waits when the state's time has come; true: a question is out that was asked now.
+    /// Sends a request or waits when the state's time is reached; true: a request was sent now.
     fn on(watch: &mut Watch, out: &mut usize) -> (Micros, bool) {
         let now = watch.wake_at().unwrap();
         let keep = match watch.step(TICK, now) {
@@ -386,7 +385,7 @@
     }
     if *out > 0 {
         match how {
-            // Unless it is given up before the answer is here, for another that is answered as late.
+            // Unless it is cancelled before the answer arrives, for another one that is answered as late.
             Return::Answers => {
                 let mut here = back + late;
                 while watch.wake_at().is_some_and(|at| at < here) {
@@ -414,8 +413,8 @@
 
 const SIZES: [u32; 9] = [1, 3, 10, 11, 30, 64, 100, 300, 5_000];
 
-/// Where lists are pushed, what an agent gets at its return counts as told at once, in a fleet of any size: from the
-/// moment in which the silence can be found on, a question waits for it, or comes in time.
+/// Where lists are pushed, an agent's list counts as notified as soon as it is back, in a fleet of any size: from the time at
+/// which the outage can be detected, a request is in flight or is sent in time.
 #[test]
 fn with_pushed_lists_the_update_of_a_silent_agent_arrives_in_time() {
     for (fleet, heed) in SIZES.into_iter().flat_map(|fleet| HEEDS.map(|heed| (fleet, heed))) {
@@ -434,7 +433,7 @@
     }
 }
 
-/// From the first moment of a process on, which may start while its agent is silent; and where it had refused before.
+/// The same from the start of a process, which may start while its agent is down, and after a refusal.
 #[test]
 fn with_pushed_lists_a_process_started_in_a_silence_is_notified_at_its_end() {
     for (fleet, heed) in SIZES.into_iter().flat_map(|fleet| HEEDS.map(|heed| (fleet, heed))) {
@@ -447,7 +446,7 @@
                 let back = if n == 0 { 0 } else { (random_unit(&mut seed) * 20e6) as Micros };
                 let took = told_at_return(&mut watch, &mut 0, back, how, heed / 8);
                 assert!(took <= heed, "{fleet} couriers, {heed}, {me} {how:?}, back at {back}: {took}");
-                // Refused, as by an agent that starts; then it is silent.
+                // Refused, as by an agent that is starting; then there is no data.
                 let mut watch = courier(fleet, me, true, heed).where_pushed(true);
                 for _ in 0..n % 6 {
                     let at = next_ask(&mut watch);
@@ -465,8 +464,8 @@
     }
 }
 
-/// The first question comes as soon as the silence is found, and in a large fleet the agent is asked no more often than
-/// in one of ten.
+/// The first request is sent as soon as the outage is detected, and in a large fleet the agent gets no more requests than in
+/// one of ten.
 #[test]
 fn with_pushed_lists_a_silent_agent_gets_requests_as_often_as_in_a_small_fleet() {
     for (fleet, heed) in SIZES.into_iter().flat_map(|fleet| HEEDS.map(|heed| (fleet, heed))) {
@@ -483,8 +482,8 @@
     }
 }
 
-/// From the last sign of life, from the last question that failed, and from the last that was asked, the next is
-/// answered `HEED_MAX` before what discovery has counts as told.
+/// Counted from the last heartbeat, from the last request that failed, and from the last one that was sent, the next answer
+/// arrives `HEED_MAX` before discovery's list counts as notified.
 #[test]
 fn no_two_requests_are_further_apart_than_the_bound_allows() {
     const { assert!(REQUEST_INTERVAL_MAX + ANSWER_WITHIN + HEED_MAX <= NOTIFIED_WITHIN) }
@@ -498,7 +497,7 @@
             let mut refused = courier(fleet, me, false, heed).where_pushed(me % 2 == 0);
             let mut before = 0;
             for n in 0..40 {
-                // Silent and refused by turns, and several at once.
+                // Without data and refused alternately, and several at once.
                 if n % 3 == 0 {
                     refused.step(BROKEN, before);
                 } else if n % 3 == 1 {
@@ -512,7 +511,7 @@
     }
 }
 
-/// The one that would be answered is not given up each time for another.
+/// The request that would be answered is not cancelled for each new one.
 #[test]
 fn a_hedged_request_stays_in_flight_for_as_long_as_its_answer_may_take() {
     let mut watch = courier(3, 1, false, 500_000);
@@ -524,7 +523,7 @@
             WatchOutput::Hedge { keep } => {
                 assert!(keep == 1 || keep == 2, "three are out at most");
                 let given_up = out.split_off(keep.min(out.len()));
-                // What goes is the last of three, or the second, which has had its time.
+                // The last of three is cancelled, or the second, whose time has passed.
                 let second = given_up.first().filter(|_| keep == 1);
                 assert!(second.is_none_or(|asked| at - asked >= ANSWER_WITHIN), "{second:?} at {at}");
             }
@@ -535,7 +534,7 @@
     }
 }
 
-/// One of two questions fails: the other may be answered, and the next comes when it would have come.
+/// One of two requests fails: the other may be answered, and the next one is sent at the same time as without the failure.
 #[test]
 fn a_failed_request_leaves_the_others_in_flight() {
     let mut watch = courier(100, 7, false, 500_000);
@@ -547,7 +546,7 @@
     assert_eq!(watch.step(HEARD, until.unwrap()), WatchOutput::EndOlderWatches);
 }
 
-/// A watch that says nothing is not one that says no: the next outage finds it as quick as the first.
+/// A time-out is not a rejection: in the next outage a request is sent as soon as in the first.
 #[test]
 fn silence_after_each_renewal_delays_no_request() {
     for heed in HEEDS {
@@ -564,7 +563,7 @@
     }
 }
 
-/// Discovery moved there and back: the old place's answer does not end the watch where it is now.
+/// Discovery moved to another address and back: the other address's answer does not end the watch at the current one.
 #[test]
 fn only_a_watch_at_the_present_address_ends_the_others_and_only_once_it_received_something() {
     let mut watch = courier(3, 1, false, 500_000);
--- a/courier/policy/tests/bundles.rs
+++ b/courier/policy/tests/bundles.rs
@@ -1,4 +1,4 @@
-//! Calls that carry several messages: what a call counts as, what joins it, and what its outcome says.
+//! Calls that carry several messages: how a call counts, which messages join it, and what its outcome changes.
 
 mod common;
 use common::{SEC, World, entry, settings};
@@ -148,7 +148,7 @@
     assert!(call.iter().all(|m| w.sends(*m) == 2), "nothing had run: {call:?}");
 }
 
-/// It would cut the others' call short, and what it could still win is little.
+/// It would shorten the others' time-out, and its own value is small.
 #[test]
 fn a_message_with_little_time_left_goes_alone() {
     let mut w = known(8, 20);
@@ -173,7 +173,7 @@
     assert!(seen.iter().any(|c| c.len() > 1) && seen.iter().all(|c| c.len() <= 4), "{seen:?}");
 }
 
-/// For a destination that opens at a time that it announced: all senders come at that moment, with all that waits.
+/// For a destination that opens at a time that it announced: all senders call then, with all waiting messages.
 #[test]
 fn a_wait_longer_than_any_limit_is_an_outage_and_binds_the_guard() {
     let mut w = known(8, 20);
@@ -183,7 +183,7 @@
     w.pass(100_000);
     w.finish(second, Outcome::Full, 9 * SEC);
     assert!(w.dispatcher.route(0).unwrap().in_outage);
-    // A limit's span is no outage.
+    // A limit's span is not an outage.
     let mut w = known(8, 20);
     let first = w.submit(0, 0);
     w.finish_after(first, 300_000, Outcome::Full);
--- a/courier/policy/tests/fleet_cold.rs
+++ b/courier/policy/tests/fleet_cold.rs
@@ -43,7 +43,7 @@
     faults: Faults,
 }
 
-/// What goes wrong beside the outage.
+/// The faults in addition to the outage.
 #[derive(Clone, Copy, Debug, Default)]
 struct Faults {
     /// Some senders get several times the mean.
@@ -55,8 +55,8 @@
     restarts: u32,
     /// One call in so many arrives a second and a half late, and counts when it does, though it had timed out by then.
     laggards: u64,
-    /// Operators take destination 0 off the list while it is shut and put it back as cold; every fifth sender learns
-    /// of that up to two seconds late.
+    /// Operators remove destination 0 from the list while it is shut and add it again as cold; every fifth sender gets the
+    /// list up to two seconds late.
     listed_cold: bool,
 }
 
@@ -475,7 +475,7 @@
         (30, 32, [8.0, 60.0]),
         (100, 8, [24.0, 100.0]),
         (300, 4, [24.0, 300.0]),
-        // Whole calls in a span, where the budget is no less than the number of senders.
+        // Full calls in a span, where the budget is at least the number of senders.
         (20, 24, [60.0, 100.0]),
         (30, 24, [90.0, 140.0]),
         (100, 12, [150.0, 240.0]),
--- a/courier/policy/tests/full_tables.rs
+++ b/courier/policy/tests/full_tables.rs
@@ -4,14 +4,14 @@
 use common::*;
 use quillmount_policy::*;
 
-/// Many senders: each meets a destination too seldom to see an answer between two refusals.
+/// Many senders: each calls a destination too seldom to see an answer between two refusals.
 fn sparsely_served_world() -> World {
     let mut set = settings(8);
     (set.sender_count, set.sender_index) = (300, 7);
     World::new(set, 7)
 }
 
-/// A sender with a connection at rest at destination 7, after connects were refused there: the connections it closes.
+/// A sender with an idle connection at destination 7, after connects were refused there: the connections it closes.
 fn closed_after(refused: &[DestId], apart: Micros) -> Vec<EndpointId> {
     let mut w = sparsely_served_world();
     w.list(ListUpdate::Full, &[entry(0, 5), entry(1, 6), entry(2, 7)]);
--- a/courier/policy/tests/guard.rs
+++ b/courier/policy/tests/guard.rs
@@ -25,7 +25,7 @@
     w
 }
 
-/// Whole calls in any overload span: two thirds of N + 2 root N + 2, N being multiple x cold share x true rate x
+/// Full calls in any overload span: two thirds of N + 2 root N + 2, N being multiple x cold share x true rate x
 /// span, where the listed rate may be half too high.
 fn bound(weight: f64) -> usize {
     let n = 2.0 * 0.2 * (weight / 1.5) * 1.5;
@@ -41,7 +41,7 @@
     Errors,
 }
 
-/// A sender as the test sees it, apart from the module.
+/// A sender as the test sees it, independent of the policy.
 #[derive(Default, Clone)]
 struct Seen {
     failed: Option<Micros>,
@@ -445,7 +445,7 @@
     }
 }
 
-/// A third time-out would take as long as the first two: what waits meanwhile would all come at once.
+/// A third time-out would take as long as the first two: all waiting messages would be sent at once.
 #[test]
 fn with_few_senders_two_time_outs_in_a_row_bind_the_guard_and_two_errors_do_not() {
     let calls = |outcome| {
@@ -472,7 +472,7 @@
     assert!(silent == 4 && errors > 10, "{silent} calls in a span after silence, {errors} after errors");
 }
 
-/// Operators have put an endpoint back: nobody saw a failure, and it is cold all the same.
+/// Operators have enabled an endpoint again: no sender saw a failure, and it is cold nevertheless.
 #[test]
 fn an_endpoint_put_back_counts_as_back_from_an_outage() {
     let calls = |cold| {
--- a/courier/policy/tests/policy.rs
+++ b/courier/policy/tests/policy.rs
@@ -1,4 +1,4 @@
-//! The facade, and what it adds for a host that restarts or is about to stop.
+//! `Policy`, and what it adds for a host that restarts or is about to stop.
 
 mod common;
 use common::{SEC, entry, settings};
@@ -55,8 +55,7 @@
     assert!(matches!(second[..], [Instruction::Call { .. }]) && items(&second)[0].attempt == 1, "{second:?}");
 }
 
-/// Guards against a second effect after a restart: the record of an attempt that was out is all that
-/// is left of it.
+/// Guards against a second effect after a restart: the record of an attempt that was in flight is all that is left of it.
 #[test]
 fn a_restored_message_keeps_the_rules_of_its_past_attempts() {
     let unsafe_and_maybe = policy().restore(NOW, message(1, 2), vec![past(NOW - SEC, true)]);
@@ -71,8 +70,7 @@
     assert!(matches!(used_up[..], [Instruction::Reject { msg: 1, .. }]), "{used_up:?}");
 }
 
-/// Guards against calls that a planned stop would cut off: they might have run, and a debit that
-/// might have run is lost.
+/// Guards against calls that a planned stop would interrupt: they might have run, and a debit that might have run is lost.
 #[test]
 fn near_a_stop_only_calls_that_can_finish_are_started() {
     let mut f = policy();
@@ -84,7 +82,7 @@
 }
 
 /// Guards against a lost wake-up: something else happens at the very time for which a wake-up is set, and
-/// the module requests its next one beside it. A message then waited past its time for the next event.
+/// the dispatcher requests its next one as well. A message then waited past its time for the next event.
 #[test]
 fn a_step_at_the_time_of_a_wake_up_keeps_the_next_one() {
     let failed = |msg, attempt| completion(msg, attempt, Outcome::ConnectFailed, 9);
--- a/courier/policy/tests/random.rs
+++ b/courier/policy/tests/random.rs
@@ -1,4 +1,4 @@
-//! Random legal event sequences against a checker of the rules that shares no code with the module.
+//! Random legal event sequences against a checker of the rules that shares no code with the policy.
 
 mod common;
 use common::*;
@@ -290,7 +290,7 @@
         Some(DispatchEvent::Hangup { msg })
     }
 
-    /// Makes one thing happen by these draws; with `QUIET` only the attempts end that have timed out.
+    /// Makes one event happen by these draws; with `QUIET` only the attempts end that have timed out.
     fn happen(&mut self, (what, a, b): (u8, u8, u8)) -> Result<(), TestCaseError> {
         let mut events = Vec::new();
         let mut outcomes = self.checker.timeouts(self.now);
--- a/courier/policy/tests/reports.rs
+++ b/courier/policy/tests/reports.rs
@@ -16,7 +16,7 @@
     w
 }
 
-/// How many of twenty messages, one in half a second, are turned away as they come, once a call has been refused at
+/// How many of twenty messages, one in half a second, are rejected on submission, once a call has been refused at
 /// a destination whose answers report this.
 fn rejected_calls(report: &[f64]) -> usize {
     let mut w = sender();
@@ -31,8 +31,8 @@
     later.iter().filter(|m| at_once(m)).count()
 }
 
-/// Without a rate a destination is taken for one of a call a second, and a sender of 300 has no turn there after a
-/// refusal; a report shows that it takes more.
+/// Without a rate a destination is assumed to accept a call a second, and a sender of 300 has no turn there after a
+/// refusal; a report shows that it accepts more.
 #[test]
 fn a_reported_limit_counts_as_the_rate_where_the_list_tells_none() {
     assert_eq!(rejected_calls(&[0.9, 90.0]), 0);
@@ -44,7 +44,7 @@
     assert_eq!(rejected_calls(&[0.0, 0.0]), rejected_calls(&[]));
 }
 
-/// The list goes on to be read, and takes no rate that was reported.
+/// Lists are still processed, and do not change a rate that was reported.
 #[test]
 fn a_list_without_rates_leaves_the_reported_one() {
     let mut w = sender();
