--- a/courier/core/src/flow/table.rs
+++ b/courier/core/src/flow/table.rs
@@ -1,7 +1,7 @@
 //! The transition table of a body.
 
 use super::{BodySource, Cut, Flow, Pace};
-use crate::machine::transition_table::Machine;
+use crate::machine::transition_table::{Example, Machine, examples};
 
 /// What can happen to a body, as the columns of its table.
 #[derive(Clone, Copy, Debug)]
@@ -31,7 +31,7 @@
         attempt. *read* and *write* mean that the next byte may be read or written, *finish* that the end of the body may be \
         written, *replay* that another attempt could send the full body.";
 
-    fn states() -> Vec<(&'static str, &'static str, Self)> {
+    fn states() -> Vec<Example<Self>> {
         let pace = Pace { stall: 10, span: 60, least: 1 };
         let fresh = || Flow::new(1, Some(2), pace, pace, 0);
         let with = |steps: &[FlowInput]| {
@@ -40,7 +40,7 @@
             flow
         };
         use FlowInput::*;
-        vec![
+        examples([
             ("Empty", "nothing was received", fresh()),
             ("Buffered", "all received bytes are buffered, and no attempt is in flight", with(&[Receive])),
             ("Sending", "an attempt is in flight, and all received bytes are buffered", with(&[Begin])),
@@ -66,11 +66,11 @@
             ),
             ("Done", "all bytes were sent", with(&[Receive, Begin, Send, Receive, Whole, Send])),
             ("Cut", "the body will never be complete", with(&[Receive, Begin, Cut])),
-        ]
+        ])
     }
 
-    fn inputs() -> Vec<(&'static str, &'static str, Self::Input)> {
-        vec![
+    fn inputs() -> Vec<Example<Self::Input>> {
+        examples([
             ("receive", "the next byte was received, if the window allows it", FlowInput::Receive),
             ("complete", "the end of the body was received, and its digest matches", FlowInput::Whole),
             ("cut", "the body was cut short, or its digest does not match", FlowInput::Cut),
@@ -79,7 +79,7 @@
             ("end", "the attempt ended", FlowInput::End),
             ("pause", "the destination asked to wait", FlowInput::Pause),
             ("resume", "the wait is over", FlowInput::Resume),
-        ]
+        ])
     }
 
     fn state(&self) -> &'static str {
--- a/courier/core/src/machine/attempt/table.rs
+++ b/courier/core/src/machine/attempt/table.rs
@@ -2,7 +2,7 @@
 
 use super::{Answer, Attempt, AttemptInput, AttemptState, ConnectionAction, Decode};
 use crate::CallEnd;
-use crate::machine::transition_table::Machine;
+use crate::machine::transition_table::{Example, Machine, examples};
 
 impl Machine for Attempt {
     type Input = (AttemptInput, &'static str);
@@ -10,7 +10,7 @@
     const ABOUT: &'static str = "`courier/core/src/machine/attempt.rs`: one delivery call, from the router's action to its end. \
         *open*, *close the sending side*, *close* and *keep* are the actions on the connection.";
 
-    fn states() -> Vec<(&'static str, &'static str, Self)> {
+    fn states() -> Vec<Example<Self>> {
         // In the table an answer is complete with `.`, and an interim one with `1`.
         let decode: Decode = |bytes, closed| match bytes.last() {
             Some(b'.') => Answer::Whole { end: CallEnd::Delivered, reusable: !closed },
@@ -22,7 +22,7 @@
             let fresh = Attempt::new(decode, 9, 2);
             Attempt { state, answer: answer.to_vec(), ..fresh }
         };
-        vec![
+        examples([
             ("New", "created, not started", at(AttemptState::New, b"")),
             (
                 "Connecting",
@@ -50,11 +50,11 @@
                 at(AttemptState::Closing { end: CallEnd::TimedOut, until: 2 }, b""),
             ),
             ("Finished", "its end is reported", at(AttemptState::Finished, b"")),
-        ]
+        ])
     }
 
-    fn inputs() -> Vec<(&'static str, &'static str, Self::Input)> {
-        vec![
+    fn inputs() -> Vec<Example<Self::Input>> {
+        examples([
             (
                 "start, shut",
                 "started while the endpoint is draining, is gone or has asked to wait",
@@ -95,7 +95,7 @@
             ("shut", "the endpoint is draining or gone", (AttemptInput::Shut, "")),
             ("back off", "the destination asked another call to wait", (AttemptInput::BackOff, "")),
             ("tick", "the time that the state waits for is reached", (AttemptInput::Tick, "")),
-        ]
+        ])
     }
 
     fn state(&self) -> &'static str {
@@ -143,24 +143,25 @@
     const ABOUT: &'static str = "`courier/core/src/machine/attempt.rs` with a body that is forwarded as it arrives: the \
         call may have had an effect from its first byte on, and may be answered before its last.";
 
-    fn states() -> Vec<(&'static str, &'static str, Self)> {
-        let mut states: Vec<_> = Attempt::states()
-            .into_iter()
-            .map(|(name, about, attempt)| (name, about, Streamed(Attempt { streamed: true, ..attempt })))
-            .collect();
-        let at = states.iter().position(|(name, ..)| *name == "Writing").unwrap_or(0);
-        let (_, _, Streamed(half)) = states[at].clone();
-        states[at] = (
-            "HalfWritten",
-            "a part of its body is written: the call may have had an effect",
-            Streamed(half.clone()),
-        );
-        let head = Streamed(Attempt { state: AttemptState::Writing { written: 0 }, ..half });
-        states.insert(at, ("Writing", "no byte of its body is written: the call had no effect", head));
+    fn states() -> Vec<Example<Self>> {
+        let streamed = |example: Example<Attempt>| Example {
+            name: example.name,
+            meaning: example.meaning,
+            value: Streamed(Attempt { streamed: true, ..example.value }),
+        };
+        let mut states: Vec<_> = Attempt::states().into_iter().map(streamed).collect();
+        let index = states.iter().position(|example| example.name == "Writing").unwrap_or(0);
+        let Streamed(half) = states[index].value.clone();
+        let unsent = Streamed(Attempt { state: AttemptState::Writing { written: 0 }, ..half.clone() });
+        let half_written = examples([
+            ("Writing", "no byte of its body is written: the call had no effect", unsent),
+            ("HalfWritten", "a part of its body is written: the call may have had an effect", Streamed(half)),
+        ]);
+        states.splice(index..=index, half_written);
         states
     }
 
-    fn inputs() -> Vec<(&'static str, &'static str, Self::Input)> {
+    fn inputs() -> Vec<Example<Self::Input>> {
         Attempt::inputs()
     }
 
--- a/courier/core/src/machine/client.rs
+++ b/courier/core/src/machine/client.rs
@@ -1,6 +1,6 @@
 //! One client's connection: it brings requests, gets answers, is idle in between, and is closed.
 
-use super::transition_table::Machine;
+use super::transition_table::{Example, Machine, examples};
 
 /// The state of a [`ClientConnection`]. Encoded by position when it is handed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
@@ -141,10 +141,10 @@
     const NAME: &'static str = "A client's connection";
     const ABOUT: &'static str = "`courier/core/src/machine/client.rs`, ranked by `courier/core/src/admission.rs`: requests, answers, idle times and the close.";
 
-    fn states() -> Vec<(&'static str, &'static str, Self)> {
+    fn states() -> Vec<Example<Self>> {
         let at = |state| ClientConnection { state };
         let asking = |first, last| at(ClientState::Requesting { first, last });
-        vec![
+        examples([
             ("Requesting", "its first request is not complete", asking(true, false)),
             ("RequestingMore", "a further request has begun", asking(false, false)),
             (
@@ -176,11 +176,11 @@
             ("Leaving", "to be closed after a last read", at(ClientState::Leaving)),
             ("Closing", "the last answer is written", at(ClientState::Closing)),
             ("Closed", "closed", at(ClientState::Closed)),
-        ]
+        ])
     }
 
-    fn inputs() -> Vec<(&'static str, &'static str, Self::Input)> {
-        vec![
+    fn inputs() -> Vec<Example<Self::Input>> {
+        examples([
             (
                 "requested",
                 "a request is complete or malformed, and its answer is known",
@@ -207,7 +207,7 @@
             ("leave", "the idle time-out has passed, or capacity is short", ClientInput::Leave),
             ("nothing arrived", "nothing was received during the last read", ClientInput::NothingArrived),
             ("lingered", "nothing more arrives, or the time for it has passed", ClientInput::Lingered),
-        ]
+        ])
     }
 
     fn state(&self) -> &'static str {
--- a/courier/core/src/machine/connection.rs
+++ b/courier/core/src/machine/connection.rs
@@ -1,6 +1,6 @@
 //! One connection to an endpoint, which carries one call at a time and is idle between calls.
 
-use super::transition_table::Machine;
+use super::transition_table::{Example, Machine, examples};
 use quillmount_policy::Micros;
 
 /// The state of an [`EndpointConnection`].
@@ -116,18 +116,18 @@
     const NAME: &'static str = "A connection to an endpoint";
     const ABOUT: &'static str = "`courier/core/src/machine/connection.rs`, owned by `courier/core/src/pool.rs` between calls: it carries one call at a time.";
 
-    fn states() -> Vec<(&'static str, &'static str, Self)> {
+    fn states() -> Vec<Example<Self>> {
         let at = |state| EndpointConnection { state, idle_timeout: 10 };
-        vec![
+        examples([
             ("Opening", "being opened", at(ConnectionState::Opening)),
             ("Calling", "a call is in flight on it", at(ConnectionState::Calling)),
             ("Idle", "no call is in flight on it", at(ConnectionState::Idle { since: 0 })),
             ("Closed", "closed", at(ConnectionState::Closed)),
-        ]
+        ])
     }
 
-    fn inputs() -> Vec<(&'static str, &'static str, Self::Input)> {
-        vec![
+    fn inputs() -> Vec<Example<Self::Input>> {
+        examples([
             ("up", "the connection is established", (ConnectionInput::Connected, 1)),
             ("failed", "refused, or not established in time", (ConnectionInput::Failed, 1)),
             (
@@ -168,7 +168,7 @@
                 "a drain, an instruction of the policy, or capacity is short",
                 (ConnectionInput::Close, 1),
             ),
-        ]
+        ])
     }
 
     fn state(&self) -> &'static str {
--- a/courier/core/src/machine/drain.rs
+++ b/courier/core/src/machine/drain.rs
@@ -1,6 +1,6 @@
 //! Draining: whether clients are to connect to this courier. A drained courier loses its clients and continues to run.
 
-use super::transition_table::Machine;
+use super::transition_table::{Example, Machine, examples};
 use quillmount_policy::Micros;
 
 /// How long idle connections stay after the front was first notified that the courier is not ready, in microseconds. The front
@@ -94,23 +94,23 @@
     const ABOUT: &'static str =
         "`courier/core/src/machine/drain.rs`: operators drain the courier, or end the drain.";
 
-    fn states() -> Vec<(&'static str, &'static str, Self)> {
-        vec![
+    fn states() -> Vec<Example<Self>> {
+        examples([
             ("Serving", "clients may connect", Drain::default()),
             (
                 "Drained",
                 "the front is notified that the courier is not ready, and each answer ends its connection",
                 Drain { state: DrainState::Drained { next_check: FRONT_GRACE } },
             ),
-        ]
+        ])
     }
 
-    fn inputs() -> Vec<(&'static str, &'static str, Self::Input)> {
-        vec![
+    fn inputs() -> Vec<Example<Self::Input>> {
+        examples([
             ("DRAIN", "the operators' command", (DrainInput::Drain, FRONT_GRACE)),
             ("UNDRAIN", "the operators' command", (DrainInput::Undrain, FRONT_GRACE)),
             ("tick", "the time to close idle connections", (DrainInput::Tick, FRONT_GRACE)),
-        ]
+        ])
     }
 
     fn state(&self) -> &'static str {
--- a/courier/core/src/machine/handover/receiver.rs
+++ b/courier/core/src/machine/handover/receiver.rs
@@ -1,6 +1,6 @@
 //! The receiver of a handover: the process that starts and takes over.
 
-use crate::machine::transition_table::Machine;
+use crate::machine::transition_table::{Example, Machine, examples};
 use quillmount_policy::Micros;
 
 /// An owner of the lock that sends nothing for this long hangs, in microseconds: it is killed, and its journal restored.
@@ -164,11 +164,11 @@
     const NAME: &'static str = "The receiver of a handover";
     const ABOUT: &'static str = "`courier/core/src/machine/handover/receiver.rs`: the process that starts, in the folder of another one that may be running.";
 
-    fn states() -> Vec<(&'static str, &'static str, Self)> {
+    fn states() -> Vec<Example<Self>> {
         let fresh = HandoverReceiver::new(0);
         let at = |state| HandoverReceiver { state, ..fresh };
         let locking = ReceiverState::Locking { retry_at: 0 };
-        vec![
+        examples([
             ("Locking", "tries for the lock", at(locking)),
             (
                 "LockingFailed",
@@ -196,11 +196,11 @@
                 HandoverReceiver { complete: true, ..at(ReceiverState::Resumed) },
             ),
             ("Restored", "continues from the journal", at(ReceiverState::Restored)),
-        ]
+        ])
     }
 
-    fn inputs() -> Vec<(&'static str, &'static str, Self::Input)> {
-        vec![
+    fn inputs() -> Vec<Example<Self::Input>> {
+        examples([
             ("locked", "this process has the lock", (ReceiverInput::Locked, 1)),
             ("lock taken", "another process has it", (ReceiverInput::LockTaken, 1)),
             ("busy", "the lock's owner hands over to another process", (ReceiverInput::Busy, 1)),
@@ -209,7 +209,7 @@
             ("released", "the lock's owner has released it", (ReceiverInput::Released, 1)),
             ("lost", "the connection broke, or its data can't be decoded", (ReceiverInput::Lost, 1)),
             ("tick", "the time-out of the state has passed", (ReceiverInput::Tick, 1)),
-        ]
+        ])
     }
 
     fn state(&self) -> &'static str {
--- a/courier/core/src/machine/handover/sender.rs
+++ b/courier/core/src/machine/handover/sender.rs
@@ -1,6 +1,6 @@
 //! The sender of a handover: the process that decides now.
 
-use crate::machine::transition_table::Machine;
+use crate::machine::transition_table::{Example, Machine, examples};
 use quillmount_policy::Micros;
 
 /// The sender's tasks must release their parts within this, in microseconds: each does when it next waits.
@@ -110,24 +110,24 @@
     const NAME: &'static str = "The sender of a handover";
     const ABOUT: &'static str = "`courier/core/src/machine/handover/sender.rs`: the process that decides, and hands over to the next one.";
 
-    fn states() -> Vec<(&'static str, &'static str, Self)> {
+    fn states() -> Vec<Example<Self>> {
         let at = |state| HandoverSender { state };
-        vec![
+        examples([
             ("Deciding", "no handover was requested", at(SenderState::Deciding)),
             ("Collecting", "its tasks release their parts", at(SenderState::Collecting { until: 1 })),
             ("Sending", "all parts are sent; no decisions are made", at(SenderState::Sending { until: 1 })),
             ("Gone", "another process decides", at(SenderState::Gone)),
-        ]
+        ])
     }
 
-    fn inputs() -> Vec<(&'static str, &'static str, Self::Input)> {
-        vec![
+    fn inputs() -> Vec<Example<Self::Input>> {
+        examples([
             ("requested", "by a receiver of the same version and settings", (SenderInput::Requested, 1)),
             ("collected", "each task has released its part", (SenderInput::Collected, 1)),
             ("received", "the receiver has all parts", (SenderInput::Received, 1)),
             ("lost", "the receiver's connection broke", (SenderInput::Lost, 1)),
             ("tick", "the time-out of the state has passed", (SenderInput::Tick, 1)),
-        ]
+        ])
     }
 
     fn state(&self) -> &'static str {
--- a/courier/core/src/machine/lifecycle.rs
+++ b/courier/core/src/machine/lifecycle.rs
@@ -4,7 +4,7 @@
 
 use super::drain::{self, Drain};
 use super::handover::{HandoverSender, SenderInput, SenderOutput, SenderState};
-use super::transition_table::Machine;
+use super::transition_table::{Example, Machine, examples};
 use quillmount_policy::Micros;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -214,11 +214,11 @@
     const ABOUT: &'static str = "`courier/core/src/machine/lifecycle.rs`: from its start to its end. It contains the courier's drain \
         and the sender of a handover, whose own tables follow; a drain stays in effect through a handover, a stop and back.";
 
-    fn states() -> Vec<(&'static str, &'static str, Self)> {
+    fn states() -> Vec<Example<Self>> {
         use LifecycleInput::{Handover, Serve, Stop};
         use SenderInput::{Collected, Received, Requested};
         let drain = LifecycleInput::Drain(drain::DrainInput::Drain);
-        vec![
+        examples([
             ("Starting", "the state of an earlier process is restored", after(&[])),
             ("Serving", "messages are accepted", after(&[Serve])),
             (
@@ -252,12 +252,12 @@
                 "another process decides, or the shutdown is complete",
                 after(&[Serve, Handover(Requested), Handover(Collected), Handover(Received)]),
             ),
-        ]
+        ])
     }
 
-    fn inputs() -> Vec<(&'static str, &'static str, Self::Input)> {
+    fn inputs() -> Vec<Example<Self::Input>> {
         use super::handover::TRANSFER_TIMEOUT;
-        vec![
+        examples([
             ("serve", "the state of an earlier process is restored completely", (LifecycleInput::Serve, 0)),
             ("DRAIN", "the operators' command", (LifecycleInput::Drain(drain::DrainInput::Drain), 0)),
             ("UNDRAIN", "the operators' command", (LifecycleInput::Drain(drain::DrainInput::Undrain), 0)),
@@ -297,7 +297,7 @@
                 "the shutdown is complete, or the fleet has transferred all messages to other couriers",
                 (LifecycleInput::End, 0),
             ),
-        ]
+        ])
     }
 
     fn state(&self) -> &'static str {
--- a/courier/core/src/machine/mod.rs
+++ b/courier/core/src/machine/mod.rs
@@ -14,7 +14,7 @@
 pub mod transition_table;
 pub mod watch;
 
-pub use transition_table::{Machine, Table};
+pub use transition_table::{Cell, Example, Machine, Table, Term, examples};
 
 /// The tables of all machines.
 pub fn tables() -> Vec<Table> {
--- a/courier/core/src/machine/notices.rs
+++ b/courier/core/src/machine/notices.rs
@@ -2,7 +2,7 @@
 //!
 //! The router has the notices themselves; this machine decides how many of them the driver sends in one request.
 
-use super::transition_table::Machine;
+use super::transition_table::{Example, Machine, examples};
 use quillmount_policy::Micros;
 use quillmount_policy::breaks::{self, Break};
 
@@ -155,10 +155,10 @@
     const NAME: &'static str = "The notices";
     const ABOUT: &'static str = "`courier/core/src/machine/notices.rs`: sent to the platform in batches, and again until it has confirmed each of them.";
 
-    fn states() -> Vec<(&'static str, &'static str, Self)> {
+    fn states() -> Vec<Example<Self>> {
         let at = |state, batch| Notices { state, batch };
         let sent = |count| NoticeState::Sent { count, until: 10 };
-        vec![
+        examples([
             ("Quiet", "no notice is in flight", at(NoticeState::Quiet, BATCH_MAX)),
             ("Sent", "several notices are in flight, for 0.25 s at most", at(sent(2), BATCH_MAX)),
             ("SentOne", "a single notice is in flight", at(sent(1), 1)),
@@ -167,18 +167,18 @@
                 "a request has failed; the next one follows after 50 ms",
                 at(NoticeState::BackingOff { until: 10 }, BATCH_MAX),
             ),
-        ]
+        ])
     }
 
-    fn inputs() -> Vec<(&'static str, &'static str, Self::Input)> {
-        vec![
+    fn inputs() -> Vec<Example<Self::Input>> {
+        examples([
             ("wanted", "several notices are to be sent", (NoticeInput::Wanted(2), 1)),
             ("confirmed", "the answer is 204", (NoticeInput::Confirmed, 1)),
             ("unreadable", "the answer is 400", (NoticeInput::Unreadable, 1)),
             ("lost", "another answer, none, or a failed connection", (NoticeInput::Lost, 1)),
             ("moved", "discovery has moved", (NoticeInput::Moved, 1)),
             ("tick", "the time that the state waits for is reached", (NoticeInput::Tick, 10)),
-        ]
+        ])
     }
 
     fn state(&self) -> &'static str {
--- a/courier/core/src/machine/watch/table.rs
+++ b/courier/core/src/machine/watch/table.rs
@@ -1,7 +1,7 @@
 //! The transition table of the watch.
 
 use super::{NOTIFIED_WITHIN, Watch, WatchInput, WatchOutput, WatchState};
-use crate::machine::transition_table::Machine;
+use crate::machine::transition_table::{Example, Machine, examples};
 use quillmount_policy::Micros;
 
 impl Machine for Watch {
@@ -27,9 +27,9 @@
         So no two requests are more than 4 s apart, and a change that discovery has, while it can be reached, arrives within \
         5 s. The last list stays in effect all the time.";
 
-    fn states() -> Vec<(&'static str, &'static str, Self)> {
+    fn states() -> Vec<Example<Self>> {
         let at = |state| Watch { state, ..Watch::new(0) };
-        vec![
+        examples([
             (
                 "Requesting",
                 "requests are in flight",
@@ -42,11 +42,11 @@
             ),
             ("BackingOff", "broken; the next request waits", at(WatchState::BackingOff { until: 10 })),
             ("Stopped", "discovery has moved to another address", at(WatchState::Stopped)),
-        ]
+        ])
     }
 
-    fn inputs() -> Vec<(&'static str, &'static str, Self::Input)> {
-        vec![
+    fn inputs() -> Vec<Example<Self::Input>> {
+        examples([
             ("answered", "the head of an answer with status 200", (WatchInput::Answered, 1)),
             (
                 "heard",
@@ -68,7 +68,7 @@
                 (WatchInput::Tick { moved: false }, NOTIFIED_WITHIN),
             ),
             ("tick, moved", "the same, after discovery has moved", (WatchInput::Tick { moved: true }, 10)),
-        ]
+        ])
     }
 
     fn state(&self) -> &'static str {
--- a/courier/core/tests/lifecycle.rs
+++ b/courier/core/tests/lifecycle.rs
@@ -9,7 +9,7 @@
 
 /// All inputs, each at time 0 and after all times that a state waits for.
 fn inputs() -> Vec<(LifecycleInput, Micros)> {
-    let all: Vec<LifecycleInput> = Lifecycle::inputs().into_iter().map(|(.., (input, _))| input).collect();
+    let all: Vec<LifecycleInput> = Lifecycle::inputs().into_iter().map(|example| example.value.0).collect();
     [0, 1_000_000].into_iter().flat_map(|now| all.clone().into_iter().map(move |one| (one, now))).collect()
 }
 
@@ -53,10 +53,10 @@
 
 #[test]
 fn the_table_names_every_reachable_state() {
-    let named: BTreeSet<_> = Lifecycle::states().into_iter().map(|(name, ..)| name).collect();
+    let named: BTreeSet<_> = Lifecycle::states().into_iter().map(|example| example.name).collect();
     let kinds: BTreeSet<_> = reachable().iter().map(Machine::state).collect();
     assert_eq!(kinds, named);
-    assert!(Lifecycle::states().iter().all(|(name, _, lifecycle)| *name == lifecycle.state()));
+    assert!(Lifecycle::states().iter().all(|example| example.name == example.value.state()));
 }
 
 #[test]
