--- a/courier/core/src/call.rs
+++ b/courier/core/src/call.rs
@@ -1,4 +1,4 @@
-//! One delivery call in flight with its connection: passes inputs to the attempt's machine and tells the connection pool of
+//! One delivery call in flight with its connection: passes inputs to the attempt's machine and notifies the connection pool of
 //! the results.
 
 use crate::machine::attempt::{
@@ -18,10 +18,10 @@
     pub order: DeliveryCall,
     attempt: Attempt,
     connection: Option<(EndpointConnection, C)>,
-    /// The pool counts the call; it does until the connection is closed or becomes idle.
+    /// The pool counts the call, until its connection is closed or becomes idle.
     is_counted: bool,
     /// A rejection that closes its connection is taken for a full connection table at the endpoint. The driver sets this
-    /// before the start where answers hold load reports, which tell a rejection by a limit apart; a call that starts on an
+    /// before the start where answers have load reports, which distinguish a rejection by a limit; a call that starts on an
     /// idle connection clears it.
     pub full_closes: bool,
 }
@@ -29,7 +29,7 @@
 /// The outcome of a step.
 #[derive(Debug)]
 pub struct StepOutcome<C> {
-    /// The call has ended so, which is to be reported.
+    /// The end of the call, which is to be reported.
     pub end: Option<CallEnd>,
     /// End the sending side of the call's connection, and go on reading it.
     pub finish: bool,
@@ -87,7 +87,7 @@
         Call { order, attempt, connection: None, is_counted: false, full_closes: false }
     }
 
-    /// The same for a call whose body is passed on as it arrives.
+    /// The same for a call whose body is forwarded as it arrives.
     pub fn streamed(order: DeliveryCall, decode: Decode, most: usize) -> Self {
         let attempt = Attempt::streamed(decode, most, order.send_before);
         Call { order, attempt, connection: None, is_counted: false, full_closes: false }
@@ -163,8 +163,8 @@
     /// Anything else happened.
     pub fn step(&mut self, pool: &mut Pool<C>, input: AttemptInput, now: Micros) -> StepOutcome<C> {
         let mut output = self.attempt.step(input, now);
-        // An endpoint whose connection table is full accepts a new connection only to say so, and closes it: that is a failed
-        // connect. A destination that is over its limit keeps the connection open.
+        // An endpoint whose connection table is full accepts a new connection only to reject the call, and closes it: that is
+        // a failed connect. A destination that is over its limit keeps the connection open.
         if self.full_closes
             && output.action == ConnectionAction::Close
             && output.end == Some(CallEnd::Full(0))
--- a/courier/core/src/flow.rs
+++ b/courier/core/src/flow.rs
@@ -1,12 +1,12 @@
 //! A streamed body: what was received of it, what is buffered, and what was sent.
 //!
-//! The machine counts bytes and has none itself; the driver buffers those between [`Flow::base`] and [`Flow::received`].
+//! The machine only counts bytes; the driver buffers those between [`Flow::base`] and [`Flow::received`].
 //! `docs/streaming-design.md` has the reasons for the window and the pace.
 
 mod pace;
 mod table;
 
-pub use pace::{Late, Pace};
+pub use pace::{Late, Pace, PaceDeadline};
 pub use table::FlowInput;
 
 use pace::SideProgress;
@@ -31,7 +31,7 @@
 /// Whether all of a body was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum BodySource {
-    /// More is to come.
+    /// More bytes are expected.
     Coming,
     /// All of it was received, and its digest matches if it has one.
     Whole,
@@ -155,7 +155,7 @@
         self.update(now);
     }
 
-    /// The body came to its end, and its digest matches.
+    /// The body is complete, and its digest matches.
     pub fn complete(&mut self, now: Micros) {
         if self.source == BodySource::Coming {
             self.source = BodySource::Whole;
@@ -208,8 +208,8 @@
         self.update(now);
     }
 
-    /// If it is this side's turn: when it will have stalled, or been too slow, if it moves nothing until then.
-    pub fn late_at(&self, who: FlowSide) -> Option<(Micros, Late)> {
+    /// When the side will be late if it moves nothing until then; `None` if it is not its turn.
+    pub fn late_at(&self, who: FlowSide) -> Option<PaceDeadline> {
         match who {
             FlowSide::Client => self.client.late_at(),
             FlowSide::Endpoint => self.endpoint.late_at(),
@@ -218,7 +218,7 @@
 
     /// Whether this side has stalled or was too slow by now.
     pub fn late(&self, who: FlowSide, now: Micros) -> Option<Late> {
-        self.late_at(who).filter(|(at, _)| *at <= now).map(|(_, late)| late)
+        self.late_at(who).filter(|deadline| deadline.at <= now).map(|deadline| deadline.late)
     }
 
     /// Drops what need not be buffered, and sets whose turn it is.
--- a/courier/core/src/journal/contents.rs
+++ b/courier/core/src/journal/contents.rs
@@ -1,10 +1,11 @@
-//! What the records of a journal amount to, and the fewest records that say the same.
+//! The state that results from the records of a journal, and the fewest records with the same result.
 
 use super::frame::Records;
 use super::record::{AcceptedMessage, End, JournalRecord, RepeatEffect, Source};
 use super::settlements::Settlements;
 use crate::disabled::DisabledEndpoints;
 use quillmount_policy::{Micros, MsgId};
+use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// An attempt of a message that a journal records.
@@ -12,7 +13,7 @@
 pub struct PastCall {
     /// When it began.
     pub sent: Micros,
-    /// What a repeat of it may do; `None`: an earlier version sent it and did not record that.
+    /// The effect that a repeat of it may have; `None`: an earlier version sent it and did not record that.
     pub effect: Option<RepeatEffect>,
     /// Its outcome proves that it had no effect; `None`: it was in flight when the process ended.
     pub never_ran: Option<bool>,
@@ -36,7 +37,7 @@
     pub end: Option<End>,
     /// Its body was streamed and is not in the journal.
     pub stream: bool,
-    /// It comes from there, and the fleet has not decided yet who owns it.
+    /// The journal that it comes from, if the fleet has not decided yet who owns it.
     pub source: Option<Source>,
 }
 
@@ -70,13 +71,24 @@
     }
 }
 
-/// What a journal holds: the messages that are owed an end, and the ends that are remembered.
+/// The end of a message that is no longer owed. Encoded by position when it is handed over.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct RememberedEnd {
+    /// The message's id.
+    pub id: String,
+    /// How it ended.
+    pub end: End,
+    /// How long the end is remembered: the message's deadline.
+    pub until: Micros,
+}
+
+/// The contents of a journal: the messages that are owed an end, and the ends that are remembered.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct JournalContents {
     /// The owed messages by number.
     pub owed: BTreeMap<MsgId, JournalEntry>,
-    /// The ids of ended messages, each with its end and until when it is remembered.
-    pub ended: Vec<(String, End, Micros)>,
+    /// The ends of messages that are no longer owed, in the order in which they were recorded.
+    pub ended: Vec<RememberedEnd>,
     /// The endpoints that operators have disabled.
     pub disabled: DisabledEndpoints,
     /// The settlements that this courier owns.
@@ -121,7 +133,7 @@
                     self.finish(msg, end);
                 }
             }
-            JournalRecord::Ended { id, end, until } => self.ended.push((id, end, until)),
+            JournalRecord::Ended { id, end, until } => self.ended.push(RememberedEnd { id, end, until }),
             JournalRecord::Disable { id } => self.disabled.insert(&id),
             JournalRecord::Enable { id } => self.disabled.remove(&id),
             JournalRecord::From { msg, source } => {
@@ -150,7 +162,7 @@
     /// The message is no longer owed; its end is remembered.
     fn finish(&mut self, msg: MsgId, end: End) {
         if let Some(entry) = self.owed.remove(&msg) {
-            self.ended.push((entry.taken.id, end, entry.taken.deadline));
+            self.ended.push(RememberedEnd { id: entry.taken.id, end, until: entry.taken.deadline });
         }
     }
 
@@ -163,12 +175,12 @@
         }
     }
 
-    /// The fewest records that restore the contents; ends whose time is up are left out.
+    /// The fewest records that restore the contents; expired ends are left out.
     pub(super) fn records(self, now: Micros) -> impl Iterator<Item = JournalRecord> {
         let disabled: Vec<_> =
             self.disabled.iter().map(|id| JournalRecord::Disable { id: id.into() }).collect();
-        let ended = self.ended.into_iter().filter(move |(.., until)| *until > now);
-        let ended = ended.map(|(id, end, until)| JournalRecord::Ended { id, end, until });
+        let ended = self.ended.into_iter().filter(move |ended| ended.until > now);
+        let ended = ended.map(|RememberedEnd { id, end, until }| JournalRecord::Ended { id, end, until });
         let owed = self.owed.into_iter().flat_map(|(msg, entry)| entry.records(msg));
         disabled.into_iter().chain(ended).chain(self.settlements.records()).chain(owed)
     }
--- a/courier/core/src/router/ends.rs
+++ b/courier/core/src/router/ends.rs
@@ -2,7 +2,7 @@
 
 use super::stream::StreamEnd;
 use super::{Router, RouterAction};
-use crate::journal::{End, JournalRecord};
+use crate::journal::{End, JournalRecord, RememberedEnd};
 use crate::note::Note;
 use crate::store::Store;
 use crate::{Ending, Notice};
@@ -116,23 +116,24 @@
         actions.push(RouterAction::Notify);
     }
 
-    /// The message is owed no more; its end is remembered until its deadline.
+    /// The message is no longer owed; its end is remembered until its deadline.
     pub(super) fn remove_owed(&mut self, msg: MsgId, end: End) {
         if let Some(owed) = self.owed.remove(&msg) {
             let id = &owed.payload.id;
             self.ids.remove(id);
             self.journal.settled(msg, id);
-            self.remember_ended(id.clone(), end, owed.deadline);
+            self.remember_ended(RememberedEnd { id: id.clone(), end, until: owed.deadline });
         }
     }
 
-    pub(super) fn remember_ended(&mut self, id: String, end: End, until: Micros) {
+    pub(super) fn remember_ended(&mut self, ended: RememberedEnd) {
+        let RememberedEnd { id, end, until } = ended;
         if !breaks::is_enabled(Break::ForgetCompleted) {
             self.ended.remember(id, end, until);
         }
     }
 
-    /// Forgets the ends whose time is up, or that are too many.
+    /// Forgets the ends that are expired or too many.
     pub(super) fn forget_ended(&mut self, now: Micros) {
         while let Some(id) = self.ended.forget(now) {
             self.journal.forgotten(&id);
--- a/courier/core/src/router/mod.rs
+++ b/courier/core/src/router/mod.rs
@@ -1,8 +1,8 @@
-//! The router: which messages are owed an end, which calls are in flight, and what the transport is to do next.
+//! The router: which messages are owed an end, which calls are in flight, and the next actions of the transport.
 //!
 //! The driver reports what happened (a submission, an endpoint list, the end of a call, the passing of time) together
 //! with the current time, and carries out the [`RouterAction`]s that it gets back, in order. The router owns no socket
-//! and no clock. It lets the policy decide, keeps the tables of messages and calls that the decisions need, and writes
+//! and no clock. It leaves the decisions to the policy, maintains the tables of messages and calls that they need, and writes
 //! each step to the journal before it acts on it.
 //!
 //! The tables are in `endpoints`, `outstanding` and `owed`. Each of the other modules adds the operations of one concern
@@ -16,6 +16,7 @@
 mod endpoints;
 mod ends;
 mod error;
+mod options;
 mod outstanding;
 mod owed;
 mod restore;
@@ -30,6 +31,7 @@
 pub use action::{Intake, RouterAction};
 pub use config::{StreamLimits, settings_fingerprint};
 pub use error::{ResumeError, RouterError, UnknownId};
+pub use options::RouterOptions;
 pub use state::RouterState;
 pub use stream::{OVERLOAD_RETRY_AFTER, StreamEnd};
 
@@ -50,6 +52,26 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
+/// An owed message, for exploration.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct OwedView<'a> {
+    /// Its id.
+    pub id: &'a str,
+    /// Its deadline.
+    pub deadline: Micros,
+    /// Its end, while the platform has not confirmed the notice.
+    pub end: Option<Ending>,
+}
+
+/// The sizes of a router's tables.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RouterLoad {
+    /// Messages that are owed an end.
+    pub owed: usize,
+    /// Messages that are in flight in a delivery call.
+    pub in_flight: usize,
+}
+
 /// The courier's tables and decisions; see the [module](self).
 #[derive(Clone, Debug)]
 pub struct Router<S> {
@@ -86,7 +108,7 @@
     watched: BTreeSet<String>,
     /// The ends of watched messages that have not been reported yet.
     watched_ends: Vec<(String, End)>,
-    /// What is to be logged and has not been returned with an action yet.
+    /// Notes for the log that have not been returned with the actions yet.
     notes: Vec<Note>,
     /// Counts of what the router has done.
     pub counters: Counters,
@@ -132,7 +154,7 @@
         actions
     }
 
-    /// When the next [`Router::tick`] is wanted.
+    /// When the next [`Router::tick`] is due.
     pub fn wake_at(&self) -> Option<Micros> {
         let retry = (!self.unwritten.is_empty()).then_some(self.write_retry_at);
         let timeout = self.outstanding.next_timeout();
@@ -153,9 +175,9 @@
         actions
     }
 
-    /// The number of messages that are owed an end, and of messages in flight.
-    pub fn load(&self) -> (usize, usize) {
-        (self.owed.len(), self.outstanding.messages.len())
+    /// The sizes of the router's tables.
+    pub fn load(&self) -> RouterLoad {
+        RouterLoad { owed: self.owed.len(), in_flight: self.outstanding.messages.len() }
     }
 
     /// The journal, for exploration and inspection.
@@ -178,7 +200,7 @@
         for instruction in instructions {
             match instruction {
                 Instruction::Call { endpoint, items } => self.call(endpoint, &items, now, actions),
-                Instruction::Abandon { msg, attempt } => {
+                Instruction::Cancel { msg, attempt } => {
                     let item = CallId { msg, attempt };
                     let call = self.outstanding.call_of(item).unwrap_or(item);
                     if !self.detach(item, CallEnd::GivenUp, now, actions) {
@@ -195,7 +217,7 @@
         }
     }
 
-    /// Returns what is to be logged with the actions.
+    /// Adds the pending notes to the actions.
     fn drain_notes(&mut self, actions: &mut Vec<RouterAction>) {
         actions.extend(self.notes.drain(..).map(RouterAction::Note));
     }
--- a/courier/core/src/router/restore.rs
+++ b/courier/core/src/router/restore.rs
@@ -4,14 +4,13 @@
 use super::endpoints::intern;
 use super::owed::{OwedMessage, UNKNOWN_CLASS, ending_of};
 use super::stream::Stream;
-use super::{Router, RouterAction, RouterError, StreamLimits};
+use super::{Router, RouterAction, RouterError, RouterOptions};
 use crate::journal::{AcceptedMessage, Journal, JournalContents, JournalEntry, PastCall, RepeatEffect};
 use crate::note::Note;
 use crate::store::Store;
 use crate::{Ending, EndpointList, MessagePayload};
 use quillmount_policy::breaks::{self, Break};
 use quillmount_policy::{Effect, Micros, MsgId, PastAttempt, Policy};
-use quillmount_settings::SenderSettings;
 use std::sync::Arc;
 
 /// The zone of an attempt whose zone is not known: no zone has this number, so that a repeat which only the endpoints of
@@ -19,51 +18,30 @@
 const UNKNOWN_ZONE: u32 = u32::MAX;
 
 impl<S: Store> Router<S> {
-    /// Reads the journal and goes on with the messages that it holds; the actions are the first to carry out. No streams
-    /// are accepted.
-    ///
-    /// `known` is the endpoint list of the earlier process, and `disk` the most that the journal may take, in bytes.
+    /// Reads the journal in `store` and continues with the messages that it holds; the actions are the first to carry out.
+    /// `known` is the endpoint list of the earlier process.
     ///
     /// # Errors
     /// The settings are not valid, or the store can't be read.
     pub fn open(
-        env: &SenderSettings,
-        seed: u64,
+        options: &RouterOptions<'_>,
         known: EndpointList,
         store: S,
-        disk: u64,
-        now: Micros,
-    ) -> Result<(Self, Vec<RouterAction>), RouterError> {
-        Self::open_with(env, None, seed, known, store, disk, now)
-    }
-
-    /// The same as [`Router::open`], with streams within these limits.
-    ///
-    /// # Errors
-    /// The settings are not valid, or the store can't be read.
-    pub fn open_with(
-        env: &SenderSettings,
-        streams: Option<StreamLimits>,
-        seed: u64,
-        known: EndpointList,
-        store: S,
-        disk: u64,
         now: Micros,
     ) -> Result<(Self, Vec<RouterAction>), RouterError> {
         let mut notes = Vec::new();
-        let (journal, mut contents) = Journal::open(store, disk, now, &mut notes)?;
+        let (journal, mut contents) = Journal::open(store, options.journal_limit, now, &mut notes)?;
         notes.extend(correct_clock(&mut contents, now));
-        let settings = DecodedSettings::new(env, streams)?.with_owed(contents.owed.len());
-        let policy = Policy::new(settings.policy, seed)?;
+        let settings = DecodedSettings::new(options.settings, options.streams)?;
+        let settings = settings.with_owed(contents.owed.len());
+        let policy = Policy::new(settings.policy, options.seed)?;
         let mut router = Self::new(settings.config, settings.zones, policy, journal);
         router.next = contents.next;
         router.notes = notes;
         router.disabled = contents.disabled;
         let mut actions = router.list(known, now);
         router.list_received = false;
-        for (id, end, until) in contents.ended {
-            router.remember_ended(id, end, until);
-        }
+        contents.ended.into_iter().for_each(|end| router.remember_ended(end));
         router.counters.restored = contents.owed.len() as u64;
         for (msg, entry) in contents.owed {
             router.restore_or_defer(msg, entry, now, &mut actions);
@@ -72,7 +50,7 @@
         Ok((router, actions))
     }
 
-    /// Goes on with a message from the journal. An attempt without an outcome may have had an effect.
+    /// Continues with a message from the journal. An attempt without an outcome may have had an effect.
     pub(super) fn restore(
         &mut self,
         msg: MsgId,
@@ -150,8 +128,8 @@
     }
 }
 
-/// If the clock was set back, it does not tell how old an attempt is, and no repeat is known to come within its span: dates
-/// all attempts that may have had an effect to the beginning of time.
+/// If the clock was set back, the age of an attempt is unknown, and no repeat is certain to be within its span: dates all
+/// attempts that may have had an effect back to the clock's zero.
 fn correct_clock(contents: &mut JournalContents, now: Micros) -> Option<Note> {
     let calls = contents.owed.values().flat_map(|entry| &entry.calls);
     let ahead = calls.map(|call| call.sent.saturating_sub(now)).max().filter(|ahead| *ahead > 0)?;
--- a/courier/core/src/router/results.rs
+++ b/courier/core/src/router/results.rs
@@ -1,5 +1,6 @@
 //! The ends of delivery calls.
 
+use super::outstanding::EndedCall;
 use super::owed::OwedMessage;
 use super::stream::StreamEnd;
 use super::{Router, RouterAction};
@@ -7,7 +8,7 @@
 use crate::store::Store;
 use crate::{AnswerReport, CallEnd, CallId, Ending};
 use quillmount_policy::breaks::{self, Break};
-use quillmount_policy::{CallReport, Micros, MsgId, Outcome};
+use quillmount_policy::{Completion, Micros, MsgId, Outcome};
 
 /// A delivery counts by the time at which the message's client sent it, and the time left is known here from when it was
 /// read. A delivery that is reported less than this before the deadline, in microseconds, may have come after it.
@@ -40,8 +41,10 @@
         now: Micros,
     ) -> Vec<RouterAction> {
         let mut actions = Vec::new();
-        let mut reports = Vec::new();
-        let Some((items, endpoint, dest)) = self.outstanding.remove_call(call) else { return actions };
+        let mut completions = Vec::new();
+        let Some(EndedCall { items, endpoint, dest }) = self.outstanding.remove_call(call) else {
+            return actions;
+        };
         let wait = ends.iter().map(|end| end.wait()).max().unwrap_or(0).max(report.wait);
         if wait > 0 {
             let until = now.saturating_add(wait);
@@ -49,11 +52,15 @@
             actions.extend(bound.map(|endpoint| RouterAction::BackOff { endpoint, until }));
         }
         for (item, end) in items.iter().zip(ends) {
-            reports.extend(self.message_ended(*item, *end, report.wait, now, &mut actions));
+            completions.extend(self.message_ended(*item, *end, report.wait, now, &mut actions));
+        }
+        let load_report = self.load_values(report);
+        for completion in &mut completions {
+            completion.load_report.clone_from(&load_report);
         }
-        // The policy judges a call by its last message; one that succeeded says most about the destination.
-        reports.sort_by_key(|report: &CallReport| report.outcome == Outcome::Ok);
-        let instructions = self.policy.report_all(now, &reports, &self.load_values(report));
+        // The policy evaluates a call by its last message; a success is the most significant for the destination.
+        completions.sort_by_key(|completion: &Completion| completion.outcome == Outcome::Ok);
+        let instructions = self.policy.report_all(now, completions);
         self.carry_out(instructions, now, &mut actions);
         self.drain_notes(&mut actions);
         actions
@@ -65,8 +72,8 @@
     }
 
     /// The endpoints that are bound by one endpoint's advice to wait, as the policy heeds it: that one alone where
-    /// endpoints are separate routes, else all of the destination. Applied to more, the advice would hold back again and
-    /// again what the policy sends to another route.
+    /// endpoints are separate routes, else all of the destination. Applied to more, the advice would repeatedly delay calls
+    /// that the policy makes to another route.
     fn endpoints_bound_by(&self, endpoint: u32, dest: u64) -> impl Iterator<Item = u32> {
         let kind = self.endpoints.get(endpoint).map_or(usize::MAX, |known| known.kind);
         let separate_routes = self.config.separate_routes.get(kind).copied().unwrap_or(false);
@@ -82,8 +89,8 @@
         values.filter(|values| values.iter().all(|v| v.is_finite() && *v >= 0.0)).unwrap_or_default()
     }
 
-    /// A message of a call has this end; returns what the policy is to learn of it, nothing if the message had left the
-    /// call before.
+    /// A message of a call has this end; returns its completion for the policy, without a load report, or `None` if the
+    /// message had left the call before.
     pub(super) fn message_ended(
         &mut self,
         item: CallId,
@@ -91,7 +98,7 @@
         advised_wait: Micros,
         now: Micros,
         actions: &mut Vec<RouterAction>,
-    ) -> Option<CallReport> {
+    ) -> Option<Completion> {
         let CallId { msg, attempt } = item;
         let Some(message) = self.outstanding.remove(item) else {
             self.delivered_late(msg, end, now, actions);
@@ -101,7 +108,7 @@
         let outcome = end.outcome();
         let stream_end = self.owed.get(&msg).filter(|owed| owed.stream.is_some()).map(|owed| owed.end);
         if stream_end.is_some() && end == CallEnd::Gone {
-            // The message was withdrawn or its time was up: it is not delivered, and its client waits for an answer.
+            // The message was withdrawn or its deadline had passed: it is not delivered, and its client waits for an answer.
             self.end(msg, Ending::Undeliverable, now, actions);
         } else if matches!(end, CallEnd::Delivered | CallEnd::Gone) {
             if stream_end == Some(None) {
@@ -119,11 +126,11 @@
         let finished = self.owed.get(&msg).is_none_or(|owed| owed.end.is_some());
         let elapsed = now.saturating_sub(message.written.unwrap_or(message.sent));
         let wait = end.wait().max(advised_wait);
-        Some(CallReport { msg, attempt, outcome, elapsed, finished, wait })
+        Some(Completion { msg, attempt, outcome, elapsed, finished, wait, load_report: Vec::new() })
     }
 
-    /// An endpoint has said that a message is delivered or already ended. Whether a delivery close to the deadline counts
-    /// depends on the clock that is asked; the end is reported as well then, which does no harm where the delivery counts.
+    /// An endpoint has answered that a message is delivered or has already ended. Whether a delivery close to the deadline
+    /// counts depends on the clock that is used; the end is reported as well then, which has no effect if the delivery counts.
     fn delivered(&mut self, msg: MsgId, end: CallEnd, now: Micros, actions: &mut Vec<RouterAction>) {
         let is_late = |owed: &OwedMessage| {
             owed.stream.is_none() && now.saturating_add(DEADLINE_MARGIN) >= owed.deadline
--- a/courier/core/tests/repeats.rs
+++ b/courier/core/tests/repeats.rs
@@ -2,7 +2,7 @@
 //! repeated depends on the settings of each class.
 
 mod common;
-use common::{NOW, World, calls, class, endpoint, store_after_crash};
+use common::{NOW, World, calls, class, endpoint, options, store_after_crash};
 use quillmount_core::hub::{DriverAction, Hub};
 use quillmount_core::journal::{End, JournalContents};
 use quillmount_core::note::Note;
@@ -32,7 +32,7 @@
 }
 
 fn open(env: &SenderSettings, store: Memory, now: Micros) -> (World, Vec<DriverAction<u32>>) {
-    let (router, steps) = Router::open(env, 7, list(), store, 999_999, now).unwrap();
+    let (router, steps) = Router::open(&options(env, 999_999), list(), store, now).unwrap();
     let mut hub = Hub::new(router, Pool::new(15_000_000, 9));
     let mut todo = hub.carry_out(steps, now);
     todo.extend(hub.list(list(), now));
@@ -58,7 +58,7 @@
 
 fn end_of(hub: &World, id: &str) -> Option<End> {
     let (contents, _) = JournalContents::read(hub.router.journal().store().bytes());
-    let over = contents.ended.iter().find(|(over, ..)| over == id).map(|(_, end, _)| *end);
+    let over = contents.ended.iter().find(|ended| ended.id == id).map(|ended| ended.end);
     over.or_else(|| contents.owed.values().find(|e| e.taken.id == id).and_then(|e| e.end))
 }
 
@@ -155,7 +155,7 @@
             },
             later,
         );
-        // The wait is over by now.
+        // The wait has ended by now.
         let due = calls(hub.tick(NOW));
         let out: Vec<&str> = due.iter().map(|call| call.payload.id.as_str()).collect();
         assert!(out.contains(&"untried"), "{out:?}");
--- a/courier/core/tests/resume.rs
+++ b/courier/core/tests/resume.rs
@@ -1,7 +1,7 @@
-//! An upgrade: the next process decides from what was handed over, as if nothing had happened.
+//! An upgrade: the next process decides from the state that was handed over, as if nothing had happened.
 
 mod common;
-use common::{NOW, World, calls, class, endpoint, store_after_crash, visited_values};
+use common::{NOW, World, calls, class, endpoint, options, store_after_crash, visited_values};
 use quillmount_core::hub::{self, DriverAction, Hub};
 use quillmount_core::journal::Journal;
 use quillmount_core::pool::Pool;
@@ -44,7 +44,7 @@
 /// A busy courier: calls in flight, an endpoint that advised to wait, failures that make an outage, notices that are not
 /// confirmed, a disabled endpoint, waiting messages.
 fn busy() -> World {
-    let (router, steps) = Router::open(&env(), 7, list(), Memory::default(), DISK, NOW).unwrap();
+    let (router, steps) = Router::open(&options(&env(), DISK), list(), Memory::default(), NOW).unwrap();
     let mut hub = Hub::new(router, Pool::new(15_000_000, 99));
     hub.carry_out(steps, NOW);
     hub.list(list(), NOW);
@@ -61,20 +61,20 @@
     for n in 0..40 {
         let now = NOW + n * 30_000;
         out.extend(submit(&mut hub, n, now).1);
-        // The last destination answers nobody.
+        // The last destination never answers.
         if let Some(first) = out.iter().position(|call| call.dest != 2) {
             let call = out.remove(first);
             out.extend(calls(hub.call_ended(call.call, ends[n as usize % ends.len()], now + 9_000)));
         }
     }
     let (load, notices) = (hub.router.load(), hub.router.notices(9).len());
-    assert!(load.1 > 0 && notices > 0, "{load:?}, {notices}");
+    assert!(load.in_flight > 0 && notices > 0, "{load:?}, {notices}");
     hub
 }
 
 fn resumed(state: hub::HubState, store: Memory) -> Result<(World, Vec<DriverAction<u32>>), ResumeError> {
     let now = NOW + 2_000_000;
-    let (router, steps) = Router::resume(&env(), None, state.router, store, DISK, now)?;
+    let (router, steps) = Router::resume(&options(&env(), DISK), state.router, store, now)?;
     let mut next = Hub::new(router, Pool::new(15_000_000, 99));
     let todo = next.resume(&state.backoffs, steps, now);
     Ok((next, todo))
@@ -93,12 +93,12 @@
     assert_eq!(visited_values(&next), visited_values(&hub));
     assert!(calls(todo).is_empty(), "what is out is out still");
     assert_eq!(next.router.notices(99), hub.router.notices(99));
-    // A told wait binds each endpoint of its destination, and the gates stand as they did.
+    // The advice to wait applies to each endpoint of its destination, and calls may start to the same endpoints as before.
     let now = NOW + 1_250_000;
     let gates = |hub: &World| (0..5).map(|n| hub.pool.is_open(n, now)).collect::<Vec<_>>();
     assert_eq!(gates(&next), gates(&hub));
     assert!(!gates(&next)[1] && !gates(&next)[3], "one is out, and one drains");
-    // From here on both decide alike: what is handed in, what ends, and as time passes.
+    // From here on both make the same decisions: for submissions, for ends, and as time passes.
     let out: Vec<_> = next.router.calls_out();
     for (n, call) in (100..).zip(out) {
         let now = NOW + 2_000_000 + n * 10_000;
@@ -111,7 +111,7 @@
         next.tick(now);
         assert_eq!(visited_values(&next), visited_values(&hub), "after message {n}");
     }
-    // The ids of before are known: open, or over.
+    // The earlier ids are known, of open and of ended messages.
     assert!((0..40).all(|n| submit(&mut next, n, NOW + 2_500_000).0 != Intake::Accepted));
 }
 
@@ -122,19 +122,19 @@
         categories: env().categories.into_iter().rev().collect(),
         ..SenderSettings::default()
     };
-    let refused = Router::resume(&other, None, state(&hub).router, store_after_crash(&hub), DISK, NOW);
+    let refused = Router::resume(&options(&other, DISK), state(&hub).router, store_after_crash(&hub), NOW);
     assert!(matches!(refused.err(), Some(ResumeError::OtherSettings)));
     // A third process had the lock in between and wrote; or its journal is gone.
     let mut grown = busy();
     submit(&mut grown, 1_001, NOW + 3_000_000);
-    // The same messages are owed, and one of them has come further.
+    // The same messages are owed, and one of them has made progress.
     let mut further = busy();
     let call = further.router.calls_out()[0];
     further.call_ended(call, CallEnd::Full(0), NOW + 3_000_000);
     for store in [store_after_crash(&grown), store_after_crash(&further), Memory::default()] {
         assert!(matches!(resumed(state(&hub), store).err(), Some(ResumeError::OtherJournal)));
     }
-    // The journal that is there serves as after a kill.
+    // The journal is restored as after a kill.
     let mut notes = Vec::new();
     assert!(!Journal::open(store_after_crash(&hub), DISK, NOW, &mut notes).unwrap().1.owed.is_empty());
 }
--- a/courier/policy/src/lib.rs
+++ b/courier/policy/src/lib.rs
@@ -23,9 +23,8 @@
 //! assert!(matches!(actions[0], DispatchAction::Send { msg: 1, endpoint: 0, .. }));
 //! ```
 //!
-//! Events that name an unknown message, attempt or endpoint are ignored; so is a message whose
-//! number is in use or whose class the settings lack, and any event that came before.
-//! A clock that runs backwards counts as standing still.
+//! Events that name an unknown message, attempt or endpoint are ignored; so are a message whose number is in use or whose
+//! class the settings lack, and an event that was processed before. A clock that runs backwards counts as standing still.
 
 pub mod breaks;
 
@@ -38,12 +37,14 @@
 mod settings_mark;
 mod state_visitor;
 
-pub use actions::{DispatchAction, RouteView};
+pub use actions::{CallItem, DispatchAction, Instruction, RouteView};
 pub use dispatcher::Dispatcher;
 pub use events::{
     Completion, DispatchEvent, EndpointEntry, EndpointState, ListUpdate, Message, Outcome, PastAttempt,
 };
 pub use ids::{DestId, EndpointId, Micros, MsgId};
-pub use policy::{CallItem, CallReport, Instruction, Policy};
-pub use settings::{Decay, DestinationKind, Effect, MAX_CALL_BYTES, MessageClass, Settings, SettingsError};
+pub use policy::Policy;
+pub use settings::{
+    Decay, DestinationKind, Effect, LimitReportFields, MAX_CALL_BYTES, MessageClass, Settings, SettingsError,
+};
 pub use state_visitor::StateVisitor;
--- a/courier/policy/tests/guard.rs
+++ b/courier/policy/tests/guard.rs
@@ -25,7 +25,7 @@
     w
 }
 
-/// Whole calls in any overload span: two thirds of N + 2 root N + 2, N being multiple x cold share x true rate x
+/// Full calls in any overload span: two thirds of N + 2 root N + 2, N being multiple x cold share x true rate x
 /// span, where the listed rate may be half too high.
 fn bound(weight: f64) -> usize {
     let n = 2.0 * 0.2 * (weight / 1.5) * 1.5;
@@ -41,7 +41,7 @@
     Errors,
 }
 
-/// A sender as the test sees it, apart from the module.
+/// A sender as the test sees it, independent of the policy.
 #[derive(Default, Clone)]
 struct Seen {
     failed: Option<Micros>,
@@ -420,7 +420,7 @@
 
 fn report_limit(w: &mut World, left: f64) {
     let m = w.submit(0, 5);
-    let report = vec![left, 6.0];
+    let load_report = vec![left, 6.0];
     w.in_flight.remove(&(m, 0));
     w.step(&[DispatchEvent::Completed(Completion {
         msg: m,
@@ -429,7 +429,7 @@
         elapsed: 20_000,
         finished: false,
         wait: 0,
-        report,
+        load_report,
     })]);
 }
 
@@ -437,7 +437,7 @@
 fn a_limit_reported_as_used_up_is_no_outage() {
     for (left, none) in [(0.1, false), (0.95, true), (f64::NAN, true)] {
         let mut s = set(270, FAR);
-        s.limit_report = Some((0, 1));
+        s.limit_report = Some(LimitReportFields { left: 0, rate: 1 });
         let mut w = World::new(s, 1);
         w.list(ListUpdate::Full, &[entry(0, 5)]);
         report_limit(&mut w, left);
@@ -445,7 +445,7 @@
     }
 }
 
-/// A third time-out would take as long as the first two: what waits meanwhile would all come at once.
+/// A third time-out would take as long as the first two: all waiting messages would be sent at once.
 #[test]
 fn with_few_senders_two_time_outs_in_a_row_bind_the_guard_and_two_errors_do_not() {
     let calls = |outcome| {
@@ -472,7 +472,7 @@
     assert!(silent == 4 && errors > 10, "{silent} calls in a span after silence, {errors} after errors");
 }
 
-/// Operators have put an endpoint back: nobody saw a failure, and it is cold all the same.
+/// Operators have enabled an endpoint again: no sender saw a failure, and it is cold nevertheless.
 #[test]
 fn an_endpoint_put_back_counts_as_back_from_an_outage() {
     let calls = |cold| {
--- a/courier/policy/tests/reports.rs
+++ b/courier/policy/tests/reports.rs
@@ -10,13 +10,13 @@
     (set.sender_count, set.sender_index, set.overload_span, set.overload_multiple) = (300, 7, 2 * SEC, 2.5);
     (set.slow_start_share, set.slow_start, set.weight_is_rate, set.weight_is_approximate) =
         (0.2, 10 * SEC, false, false);
-    set.limit_report = Some((0, 1));
+    set.limit_report = Some(LimitReportFields { left: 0, rate: 1 });
     let mut w = World::new(set, 7);
     w.list(ListUpdate::Full, &[entry(0, 5), entry(1, 5)]);
     w
 }
 
-/// How many of twenty messages, one in half a second, are turned away as they come, once a call has been refused at
+/// How many of twenty messages, one in half a second, are rejected on submission, once a call has been refused at
 /// a destination whose answers report this.
 fn rejected_calls(report: &[f64]) -> usize {
     let mut w = sender();
@@ -31,8 +31,8 @@
     later.iter().filter(|m| at_once(m)).count()
 }
 
-/// Without a rate a destination is taken for one of a call a second, and a sender of 300 has no turn there after a
-/// refusal; a report shows that it takes more.
+/// Without a rate a destination is assumed to accept a call a second, and a sender of 300 has no turn there after a
+/// refusal; a report shows that it accepts more.
 #[test]
 fn a_reported_limit_counts_as_the_rate_where_the_list_tells_none() {
     assert_eq!(rejected_calls(&[0.9, 90.0]), 0);
@@ -44,7 +44,7 @@
     assert_eq!(rejected_calls(&[0.0, 0.0]), rejected_calls(&[]));
 }
 
-/// The list goes on to be read, and takes no rate that was reported.
+/// Lists are still processed, and do not change a rate that was reported.
 #[test]
 fn a_list_without_rates_leaves_the_reported_one() {
     let mut w = sender();
--- a/tools/explore/src/world/calls.rs
+++ b/tools/explore/src/world/calls.rs
@@ -7,6 +7,7 @@
 use quillmount_core::hub::DriverAction;
 use quillmount_core::machine::attempt::{AttemptInput, AttemptState};
 use quillmount_core::pool::Pool;
+use quillmount_core::router::OwedView;
 use quillmount_core::{CallEnd, CallId, DeliveryCall};
 use quillmount_policy::Micros;
 use quillmount_protocol::delivery;
@@ -123,15 +124,17 @@
 
     /// The endpoint closes the first of its idle connections that it has not closed yet.
     pub(super) fn close_idle(&mut self, endpoint: u32) -> Result<(), Violation> {
-        let is_open = |of: u32, connection: &u32| of == endpoint && !self.closed.contains(connection);
-        let first = self.hub.pool.idle().find(|(of, connection, _)| is_open(*of, connection));
-        self.closed.extend(first.map(|(_, connection, _)| *connection));
+        let mut idle = self.hub.pool.idle();
+        let first = idle.find(|idle| idle.endpoint == endpoint && !self.closed.contains(idle.connection));
+        let first = first.map(|idle| *idle.connection);
+        drop(idle);
+        self.closed.extend(first);
         Ok(())
     }
 
     /// Forgets marks of connections that no longer exist.
     pub(super) fn retain_live_connections(&mut self) {
-        let resting: BTreeSet<u32> = self.hub.pool.idle().map(|(_, c, _)| *c).collect();
+        let resting: BTreeSet<u32> = self.hub.pool.idle().map(|idle| *idle.connection).collect();
         self.closed.retain(|c| resting.contains(c));
         self.unusable
             .retain(|c| resting.contains(c) || self.calls.values().any(|o| o.call.connection() == Some(c)));
@@ -220,12 +223,12 @@
         let there = self.calls[&id].call.order.addr.port() == line.port && line.dest == m.dest;
         // Once the end of a message is chosen nothing of it may be sent.
         let name = format!("m{message}");
-        let owed = self.hub.router.owed().find(|(id, ..)| *id == name);
+        let owed = self.hub.router.owed().find(|owed| owed.id == name);
         match (same, there, owed) {
             (false, ..) => violated(Property::Unchanged, format!("m{message} goes out as {text:?}")),
             (_, false, _) => violated(Property::Unchanged, format!("m{message} goes to provider {endpoint}")),
             (.., None) => violated(Property::FinalAnswer, format!("m{message} is sent after its end")),
-            (.., Some((.., Some(end)))) => {
+            (.., Some(OwedView { end: Some(end), .. })) => {
                 violated(Property::FinalAnswer, format!("m{message} is sent after it has ended as {end:?}"))
             }
             _ => Ok(()),
