--- a/tools/test-support/src/digest.rs
+++ b/tools/test-support/src/digest.rs
@@ -1,6 +1,6 @@
-//! Digests of seeded runs: labelled counts and a trace hash for each seed, compared byte for byte with a file that is kept
-//! beside the tests. A change that only makes the code more readable leaves them equal. Set `WRITE_FIXTURES=1` to write
-//! the file anew, after a change that is meant to alter behaviour.
+//! Digests of seeded runs: labelled counts and a trace hash for each seed, compared byte for byte with a file beside the
+//! tests. A change that only makes the code more readable leaves them equal. Set `WRITE_FIXTURES=1` to rewrite the file,
+//! after a change that is meant to alter behaviour.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -55,7 +55,22 @@
     }
 }
 
+/// Runs each of [`SEEDS`] and compares the lines of their counts with the file of this name in the folder `tests/digests` of
+/// a package, which a test names as `env!("CARGO_MANIFEST_DIR")`.
+///
+/// # Panics
+/// A line differs, or the file can't be read or written.
+#[track_caller]
+pub fn check_seeds(package: &str, name: &str, run: impl Fn(u64) -> Counts) {
+    let lines: String = SEEDS.map(|seed| run(seed).line(seed)).collect();
+    compare_with_file(&Path::new(package).join("tests/digests").join(name), &lines);
+}
+
 /// Compares the lines with the file, or writes it with `WRITE_FIXTURES=1`.
+///
+/// # Panics
+/// A line differs, or the file can't be read or written.
+#[track_caller]
 pub fn compare_with_file(file: &Path, lines: &str) {
     if crate::fixtures::are_written() {
         std::fs::write(file, lines).unwrap_or_else(|error| panic!("{}: {error}", file.display()));
--- a/tools/test-support/src/lib.rs
+++ b/tools/test-support/src/lib.rs
@@ -1,6 +1,13 @@
 //! What the tests of several packages share; no program uses it. [`fixtures`] compares stored forms with files that an
-//! earlier version wrote, [`digest`] compares seeded runs with their kept figures, [`temporary`] gives folders to write into.
+//! earlier version wrote, [`digest`] compares seeded runs with their recorded figures, [`temporary`] gives folders to write
+//! into. For worlds on virtual time, [`simulation`] runs events in order, [`random`] draws by seed, [`process`] and
+//! [`network`] model processes and links that fail, and [`seeds`] runs many seeds.
 
 pub mod digest;
 pub mod fixtures;
+pub mod network;
+pub mod process;
+pub mod random;
+pub mod seeds;
+pub mod simulation;
 pub mod temporary;
