--- a/tier/replication/tests/cluster/exploration.rs
+++ b/tier/replication/tests/cluster/exploration.rs
@@ -1,7 +1,8 @@
 //! A fault at every step of a small run with three members and at least two primaries: each message lost, late or repeated,
 //! a kill before or after each sync, and pairs of these.
 
-use crate::world::{Fault, MILLI, SECOND, Time, World};
+use crate::world::{Fault, World};
+use quillmount_test_support::simulation::{MILLI, SECOND, Simulation, Time};
 
 /// When the first primary is killed.
 const KILL_AT: Time = 100 * MILLI;
@@ -33,13 +34,13 @@
     let mut world = run_with_faults(faults);
     world.faults.clear();
     for disk in 1..=3 {
-        if !world.nodes[&disk].up {
+        if !world.nodes[&disk].process.is_up() {
             world.start(disk);
         }
     }
     let before = world.acknowledged.len();
-    let until = world.now + 3 * SECOND;
-    while world.acknowledged.len() <= before && world.now < until {
+    let until = world.now() + 3 * SECOND;
+    while world.acknowledged.len() <= before && world.now() < until {
         world.run(20 * MILLI);
     }
     assert!(world.primary().is_some(), "no primary after {faults:?}");
--- a/tier/replication/tests/cluster/faults.rs
+++ b/tier/replication/tests/cluster/faults.rs
@@ -1,6 +1,8 @@
 //! Runs with random faults by seed, one node at a time: kills, cuts one and both ways, freezes, and lost disks.
 
-use crate::world::{MILLI, SECOND, World, encode};
+use crate::world::{World, encode};
+use quillmount_test_support::network::CutDirections;
+use quillmount_test_support::simulation::{MILLI, SECOND, Simulation};
 use quillmount_wire::messages::{DiskId, Register};
 
 /// Number of faults of a run.
@@ -8,15 +10,15 @@
 /// Identities of disks that replace others are above this one.
 const FIRST_NEW_DISK: DiskId = 1000;
 
-/// Plays a run; returns the world at its end.
+/// Runs a cluster through random faults; returns the world at its end.
 pub fn run_with_random_faults(members: u64, tolerated_failures: usize, seed: u64) -> World {
     let mut world = World::new(members, tolerated_failures, seed);
     world.run(SECOND);
     let mut last_disk = FIRST_NEW_DISK;
     for _ in 0..FAULTS {
         let disks: Vec<DiskId> = world.nodes.keys().copied().collect();
-        let victim = disks[world.random.next(disks.len() as u64) as usize];
-        match world.random.next(6) {
+        let victim = disks[world.random.index(disks.len())];
+        match world.random.below(6) {
             0 => kill_and_restart(&mut world, victim),
             1 => freeze(&mut world, victim),
             2 | 3 => partition(&mut world, victim, &disks),
@@ -26,7 +28,7 @@
                 replace(&mut world, victim, last_disk);
             }
         }
-        let calm = world.random.next(2500);
+        let calm = world.random.below(2500);
         world.run((1500 + calm) * MILLI);
     }
     world.run(4 * SECOND);
@@ -35,31 +37,25 @@
 
 fn kill_and_restart(world: &mut World, disk: DiskId) {
     world.kill(disk);
-    let down = world.random.next(1500);
+    let down = world.random.below(1500);
     world.run(down * MILLI);
     world.start(disk);
 }
 
 fn freeze(world: &mut World, disk: DiskId) {
-    let until = world.now + world.random.next(2500) * MILLI;
-    world.nodes.get_mut(&disk).unwrap().frozen_until = until;
+    let until = world.now() + world.random.below(2500) * MILLI;
+    world.nodes.get_mut(&disk).unwrap().process.freeze_until(until);
     world.run(2600 * MILLI);
 }
 
 /// Cuts a node off from the others, both ways, one way or not at all.
 fn partition(world: &mut World, disk: DiskId, disks: &[DiskId]) {
-    let (into, out) = (world.random.next(3) > 0, world.random.next(3) > 0);
-    for other in disks.iter().copied().filter(|other| *other != disk) {
-        if into {
-            world.cuts.insert((other, disk));
-        }
-        if out {
-            world.cuts.insert((disk, other));
-        }
-    }
-    let span = world.random.next(3000);
+    let inbound = world.random.below(3) > 0;
+    let outbound = world.random.below(3) > 0;
+    world.partitions.isolate(&[disk], disks, CutDirections { inbound, outbound });
+    let span = world.random.below(3000);
     world.run(span * MILLI);
-    world.cuts.clear();
+    world.partitions.heal();
 }
 
 fn restart_all(world: &mut World, disks: &[DiskId]) {
@@ -75,7 +71,7 @@
     world.add_node(new, Register::default());
     for _ in 0..400 {
         world.run(10 * MILLI);
-        let now = world.now;
+        let now = world.now();
         let Some(primary) = world.primary() else { continue };
         let node = world.nodes.get_mut(&primary).unwrap();
         if node.replica.members().contains(&new) {
--- a/tier/replication/tests/cluster/main.rs
+++ b/tier/replication/tests/cluster/main.rs
@@ -1,4 +1,4 @@
-//! Whole clusters on virtual time: scenarios, random faults by seed, and a fault at every step of a small run.
+//! Complete clusters on virtual time: scenarios, random faults by seed, and a fault at every step of a small run.
 
 mod digest;
 mod exploration;
@@ -6,8 +6,10 @@
 mod world;
 
 use faults::{replace, run_with_random_faults};
+use quillmount_test_support::network::CutDirections;
+use quillmount_test_support::simulation::{MILLI, SECOND, Simulation, Time};
 use quillmount_wire::messages::{Register, RegisterMessage};
-use world::{MILLI, SECOND, Time, World, encode};
+use world::{World, encode};
 
 #[test]
 fn an_undisturbed_cluster_elects_once_and_commits() {
@@ -31,21 +33,14 @@
 
 #[test]
 fn a_primary_that_is_partitioned_in_any_direction_steps_down_and_another_serves() {
-    for (into, out) in [(true, false), (false, true), (true, true)] {
+    for directions in [CutDirections::INBOUND, CutDirections::OUTBOUND, CutDirections::BOTH] {
         let mut world = World::new(3, 1, 3);
         world.run(SECOND);
-        for other in [2, 3] {
-            if into {
-                world.cuts.insert((other, 1));
-            }
-            if out {
-                world.cuts.insert((1, other));
-            }
-        }
+        world.partitions.isolate(&[1], &[2, 3], directions);
         let before = world.acknowledged.len();
         world.run(3 * SECOND);
-        assert!(world.nodes[&1].committed.is_none(), "cut into {into}, out {out}");
-        assert!(world.acknowledged.len() > before + 20, "cut into {into}, out {out}");
+        assert!(world.nodes[&1].committed.is_none(), "{directions:?}");
+        assert!(world.acknowledged.len() > before + 20, "{directions:?}");
     }
 }
 
@@ -53,7 +48,7 @@
 fn a_resignation_transfers_leadership_without_an_election_timeout() {
     let mut world = World::new(3, 1, 4);
     world.run(SECOND);
-    let now = world.now;
+    let now = world.now();
     let actions = world.nodes.get_mut(&1).unwrap().replica.resign(now);
     world.perform(1, actions);
     world.run(100 * MILLI);
@@ -94,14 +89,14 @@
     world.run(50 * MILLI);
     for disk in 1..=members {
         world.start(disk);
-        let apart = world.random.next(3) * MILLI;
+        let apart = world.random.below(3) * MILLI;
         world.run(apart);
     }
-    let started = world.now;
-    while world.primary().is_none() && world.now < started + 10 * SECOND {
+    let started = world.now();
+    while world.primary().is_none() && world.now() < started + 10 * SECOND {
         world.run(MILLI);
     }
-    world.now - started
+    world.now() - started
 }
 
 #[test]
@@ -138,7 +133,7 @@
     world.run(SECOND);
     let value = world.nodes[&1].replica.register().accepted.clone().unwrap();
     world.add_node(9, Register::default());
-    let now = world.now;
+    let now = world.now();
     let node = world.nodes.get_mut(&9).unwrap();
     assert!(node.replica.tick(now + 60 * SECOND).is_empty());
     assert!(node.replica.receive(1, RegisterMessage::Accept { accepted: value }, now).is_empty());
@@ -153,8 +148,8 @@
     world.kill(3);
     world.run(SECOND);
     world.add_node(4, Register::default());
-    world.cuts.extend([(1, 4), (2, 4)]);
-    let now = world.now;
+    world.partitions.isolate(&[4], &[1, 2], CutDirections::INBOUND);
+    let now = world.now();
     let node = world.nodes.get_mut(&1).unwrap();
     let payload = encode(&node.committed.clone().unwrap());
     let actions = node.replica.propose(vec![1, 2, 3, 4], payload, now);
@@ -167,7 +162,7 @@
 fn a_primary_stays_while_a_new_member_does_not_answer_yet() {
     let mut world = with_unconnected_new_member(8);
     world.run(300 * MILLI);
-    world.cuts.clear();
+    world.partitions.heal();
     let before = world.acknowledged.len();
     world.run(SECOND);
     assert_eq!(world.primary(), Some(1));
@@ -181,7 +176,7 @@
     // Both old members have accepted the change, the new one has nothing: the old ones restart.
     [1, 2].into_iter().for_each(|disk| world.kill(disk));
     [1, 2].into_iter().for_each(|disk| world.start(disk));
-    world.cuts.clear();
+    world.partitions.heal();
     let before = world.acknowledged.len();
     world.run(4 * SECOND);
     assert!(world.acknowledged.len() > before, "the new member's promise was needed and not given");
--- a/tier/replication/tests/cluster/world.rs
+++ b/tier/replication/tests/cluster/world.rs
@@ -7,27 +7,25 @@
 pub use self::step_faults::Fault;
 use quillmount_replication::{ReadId, RegisterAction, RegisterReplica, Timing};
 use quillmount_test_support::digest::Counts;
+use quillmount_test_support::network::{MESSAGE_DELAY, Partitions, REGISTER_SYNC_DELAY};
+use quillmount_test_support::process::Process;
+use quillmount_test_support::random::Random;
+use quillmount_test_support::simulation::{MILLI, SECOND, Simulation, Time, Timeline};
 use quillmount_wire::messages::{DiskId, Register, RegisterMessage};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Microseconds of virtual time.
-pub type Time = u64;
-pub const MILLI: Time = 1_000;
-pub const SECOND: Time = 1_000_000;
+/// How often clients send a request to each primary.
+const REQUEST_INTERVAL: Time = 20 * MILLI;
+/// How often a node's clock is advanced.
+const TICK_INTERVAL: Time = 25 * MILLI;
 
-/// A linear congruential generator, so that a seed always gives the same run.
-pub struct Random(pub u64);
-
-impl Random {
-    pub fn next(&mut self, below: u64) -> u64 {
-        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (self.0 >> 33) % below.max(1)
-    }
-}
-
-enum Event {
+/// What happens at a time.
+pub enum Event {
+    /// A message arrives at a node.
     Deliver { from: DiskId, to: DiskId, message: RegisterMessage },
+    /// A register is on the disk of a node, whose process performs what was to follow.
     Synced { node: DiskId, incarnation: u64, register: Register, then: Vec<RegisterAction> },
+    /// The process of a node starts.
     Start { node: DiskId },
 }
 
@@ -35,11 +33,7 @@
     pub replica: RegisterReplica,
     /// What is synced.
     disk: Register,
-    /// Rises with each kill, so that syncs of a killed process go nowhere.
-    incarnation: u64,
-    pub up: bool,
-    /// Until then the process handles nothing; messages wait.
-    pub frozen_until: Time,
+    pub process: Process,
     /// Pending reads: what had been acknowledged when each began.
     reads: BTreeMap<ReadId, BTreeSet<u32>>,
     /// What this node has committed as primary in its current epoch.
@@ -47,14 +41,10 @@
 }
 
 pub struct World {
-    pub now: Time,
+    timeline: Timeline<Event>,
     pub random: Random,
-    /// Number of the last event, which orders events of the same time.
-    last_event: u64,
-    events: BTreeMap<(Time, u64), Event>,
     pub nodes: BTreeMap<DiskId, Node>,
-    /// Links, from one node to another, on which messages are lost.
-    pub cuts: BTreeSet<(DiskId, DiskId)>,
+    pub partitions: Partitions<DiskId>,
     /// Every number that a primary has committed.
     pub acknowledged: BTreeSet<u32>,
     last_number: u32,
@@ -85,12 +75,10 @@
 impl World {
     pub fn new(members: u64, tolerated_failures: usize, seed: u64) -> World {
         let mut world = World {
-            now: SECOND,
-            random: Random(seed),
-            last_event: 0,
-            events: BTreeMap::new(),
+            timeline: Timeline::new(SECOND),
+            random: Random::new(seed),
             nodes: BTreeMap::new(),
-            cuts: BTreeSet::new(),
+            partitions: Partitions::none(),
             acknowledged: BTreeSet::new(),
             last_number: 0,
             last_read: 0,
@@ -105,7 +93,7 @@
             world.add_node(disk, Register::default());
         }
         let all: Vec<DiskId> = (1..=members).collect();
-        let now = world.now;
+        let now = world.now();
         let actions = world.nodes.get_mut(&1).unwrap().replica.bootstrap(all, Vec::new(), now);
         world.perform(1, actions);
         world
@@ -117,36 +105,29 @@
             self.tolerated_failures,
             register.clone(),
             Timing::default(),
-            self.now,
+            self.now(),
         );
         let node = Node {
             replica,
             disk: register,
-            incarnation: 1,
-            up: true,
-            frozen_until: 0,
+            process: Process::running(1),
             reads: BTreeMap::new(),
             committed: None,
         };
         self.nodes.insert(disk, node);
     }
 
-    fn schedule(&mut self, at: Time, event: Event) {
-        self.last_event += 1;
-        self.events.insert((at, self.last_event), event);
-    }
-
     pub fn perform(&mut self, disk: DiskId, actions: Vec<RegisterAction>) {
         for action in actions {
             self.count(disk, &action);
             match action {
                 RegisterAction::Send { to, message } => {
-                    let delay = if to == disk { 0 } else { 500 + self.random.next(1500) };
-                    self.schedule(self.now + delay, Event::Deliver { from: disk, to, message });
+                    let delay = if to == disk { 0 } else { MESSAGE_DELAY.draw(&mut self.random) };
+                    self.schedule(self.now() + delay, Event::Deliver { from: disk, to, message });
                 }
                 RegisterAction::Persist { register, then } => {
-                    let incarnation = self.nodes[&disk].incarnation;
-                    let at = self.now + 300 + self.random.next(2000);
+                    let incarnation = self.nodes[&disk].process.incarnation();
+                    let at = self.now() + REGISTER_SYNC_DELAY.draw(&mut self.random);
                     self.schedule(at, Event::Synced { node: disk, incarnation, register, then });
                 }
                 RegisterAction::Committed { accepted } => {
@@ -183,52 +164,32 @@
         self.reads_confirmed += 1;
     }
 
-    fn step(&mut self) {
-        let due = self.now + MILLI;
-        while let Some((&key, _)) = self.events.first_key_value()
-            && key.0 <= due
-        {
-            let event = self.events.remove(&key).unwrap();
-            self.now = self.now.max(key.0);
-            self.handle_event(event);
-        }
-        self.now = due;
+    fn tick(&mut self) {
+        let now = self.now();
         let disks: Vec<DiskId> = self.nodes.keys().copied().collect();
         for disk in disks {
-            let now = self.now;
             let node = self.nodes.get_mut(&disk).unwrap();
-            if node.up && node.frozen_until <= now && now.is_multiple_of(25 * MILLI) {
+            if node.process.is_running(now) {
                 let actions = node.replica.tick(now);
                 self.perform(disk, actions);
             }
         }
     }
 
-    fn handle_event(&mut self, event: Event) {
-        match event {
-            Event::Deliver { from, to, message } => self.deliver(from, to, message),
-            Event::Synced { node, incarnation, register, then } => {
-                self.complete_sync(node, incarnation, register, then);
-            }
-            Event::Start { node } => self.start(node),
-        }
-    }
-
     fn deliver(&mut self, from: DiskId, to: DiskId, message: RegisterMessage) {
-        if from != to && self.cuts.contains(&(from, to)) {
+        if from != to && self.partitions.is_cut(from, to) {
             return;
         }
         if from != to && self.message_fails(from, to, &message) {
             return;
         }
-        let now = self.now;
+        let now = self.now();
         let Some(node) = self.nodes.get_mut(&to) else { return };
-        if !node.up {
+        if !node.process.is_up() {
             return;
         }
-        if node.frozen_until > now {
+        if let Some(at) = node.process.resumes_at(now) {
             // What arrives at a frozen process waits for it.
-            let at = node.frozen_until;
             self.schedule(at, Event::Deliver { from, to, message });
             return;
         }
@@ -244,7 +205,7 @@
         then: Vec<RegisterAction>,
     ) {
         let Some(node) = self.nodes.get_mut(&disk) else { return };
-        if !node.up || node.incarnation != incarnation {
+        if !node.process.is_up() || node.process.incarnation() != incarnation {
             return;
         }
         let sync = self.syncs;
@@ -261,36 +222,35 @@
 
     fn restart_later(&mut self, disk: DiskId, down: Time) {
         self.kill(disk);
-        self.schedule(self.now + down, Event::Start { node: disk });
+        self.schedule(self.now() + down, Event::Start { node: disk });
     }
 
     pub fn kill(&mut self, disk: DiskId) {
         let node = self.nodes.get_mut(&disk).unwrap();
-        node.up = false;
-        node.incarnation += 1;
+        node.process.kill();
         node.committed = None;
         node.reads.clear();
     }
 
     pub fn start(&mut self, disk: DiskId) {
-        let (now, tolerated_failures) = (self.now, self.tolerated_failures);
+        let (now, tolerated_failures) = (self.now(), self.tolerated_failures);
         let node = self.nodes.get_mut(&disk).unwrap();
         node.replica =
             RegisterReplica::new(disk, tolerated_failures, node.disk.clone(), Timing::default(), now);
-        node.up = true;
+        node.process.start();
     }
 
     /// Requests of clients: a change or a read at each node that serves as primary.
     fn serve_clients(&mut self) {
-        let now = self.now;
+        let now = self.now();
         let disks: Vec<DiskId> = self.nodes.keys().copied().collect();
         for disk in disks {
             let acknowledged = self.acknowledged.clone();
             let node = self.nodes.get_mut(&disk).unwrap();
-            if !node.up || node.frozen_until > now || node.committed.is_none() {
+            if !node.process.is_running(now) || node.committed.is_none() {
                 continue;
             }
-            if node.replica.can_propose() && self.random.next(2) == 0 {
+            if node.replica.can_propose() && self.random.below(2) == 0 {
                 let mut numbers = node.committed.clone().unwrap();
                 self.last_number += 1;
                 numbers.insert(self.last_number);
@@ -306,18 +266,42 @@
         }
     }
 
-    pub fn run(&mut self, span: Time) {
-        let end = self.now + span;
-        while self.now < end {
-            if self.now.is_multiple_of(20 * MILLI) {
-                self.serve_clients();
+    pub fn primary(&self) -> Option<DiskId> {
+        let serving = |(_, node): &(&DiskId, &Node)| node.process.is_up() && node.committed.is_some();
+        self.nodes.iter().filter(serving).map(|(disk, _)| *disk).next()
+    }
+}
+
+impl Simulation for World {
+    type Event = Event;
+
+    fn timeline(&self) -> &Timeline<Event> {
+        &self.timeline
+    }
+
+    fn timeline_mut(&mut self) -> &mut Timeline<Event> {
+        &mut self.timeline
+    }
+
+    fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::Deliver { from, to, message } => self.deliver(from, to, message),
+            Event::Synced { node, incarnation, register, then } => {
+                self.complete_sync(node, incarnation, register, then);
             }
-            self.step();
+            Event::Start { node } => self.start(node),
         }
     }
 
-    pub fn primary(&self) -> Option<DiskId> {
-        let serving = |(_, node): &(&DiskId, &Node)| node.up && node.committed.is_some();
-        self.nodes.iter().filter(serving).map(|(disk, _)| *disk).next()
+    fn before_step(&mut self) {
+        if self.is_due_every(REQUEST_INTERVAL) {
+            self.serve_clients();
+        }
+    }
+
+    fn after_step(&mut self) {
+        if self.is_due_every(TICK_INTERVAL) {
+            self.tick();
+        }
     }
 }
--- a/tier/replication/tests/cluster/world/step_faults.rs
+++ b/tier/replication/tests/cluster/world/step_faults.rs
@@ -1,6 +1,7 @@
 //! Faults at single steps: a message that is lost, late or repeated, a kill before or after a sync.
 
-use super::{Event, Time, World};
+use super::{Event, World};
+use quillmount_test_support::simulation::{Simulation, Time};
 use quillmount_wire::messages::{DiskId, RegisterMessage};
 
 /// A fault at one step: messages between members, and syncs, are counted from 0.
@@ -45,7 +46,7 @@
         });
         let redeliver = |world: &mut World, later: Time| {
             let event = Event::Deliver { from, to, message: message.clone() };
-            world.schedule(world.now + later, event);
+            world.schedule(world.now() + later, event);
         };
         match fault {
             Some(Fault::Lose(_)) => true,
