--- a/tier/control/tests/members/faults.rs
+++ b/tier/control/tests/members/faults.rs
@@ -1,9 +1,16 @@
 //! Runs with random faults by seed: kills, cuts, freezes and lost disks.
 
-use crate::world::{MILLI, SECOND, Time, World};
+use crate::world::World;
+use quillmount_test_support::network::CutDirections;
+use quillmount_test_support::simulation::{MILLI, SECOND, Simulation, Time};
 use quillmount_wire::messages::DiskId;
 
-/// Plays a run with random faults and checks its history; returns the world at its end.
+/// How long the core may take to recover once all faults have ended.
+const RECOVERY_LIMIT: Time = 30 * SECOND;
+/// How often it is checked whether the core has recovered.
+const RECOVERY_CHECK_INTERVAL: Time = 250 * MILLI;
+
+/// Runs core members with random faults and checks its history; returns the world at its end.
 pub fn run_seed(seed: u64) -> World {
     let (members, tolerated_failures) = match seed % 3 {
         0 => (3, 1),
@@ -14,7 +21,7 @@
     world.run(2 * SECOND);
     for _ in 0..14 {
         inject_fault(&mut world);
-        let gap = world.random.next(900);
+        let gap = world.random.below(900);
         world.run(gap * MILLI);
     }
     end_faults(&mut world);
@@ -48,37 +55,36 @@
 /// Any machine, the primary in half of the cases.
 fn any_machine(world: &mut World) -> DiskId {
     let disks = disks(world);
-    let any = disks[world.random.next(disks.len() as u64) as usize];
+    let any = disks[world.random.index(disks.len())];
     if world.random.chance(50) { world.primary().unwrap_or(any) } else { any }
 }
 
 /// Injects a fault that the seed decides.
 fn inject_fault(world: &mut World) {
     let disk = any_machine(world);
-    let span = (100 + world.random.next(2_500)) * MILLI;
-    match world.random.next(9) {
+    let span = (100 + world.random.below(2_500)) * MILLI;
+    match world.random.below(9) {
         0 | 1 => {
             world.kill(disk);
             world.restart_after(disk, span);
         }
         2 | 3 => {
-            let until = world.now + span;
-            let machine = world.machines.get_mut(&disk).unwrap();
-            machine.frozen_until = machine.frozen_until.max(until);
+            let until = world.now() + span;
+            world.machines.get_mut(&disk).unwrap().process.freeze_until(until);
         }
         4 => {
             for disk in disks(world) {
                 world.kill(disk);
-                let down = (50 + world.random.next(1_000)) * MILLI;
+                let down = (50 + world.random.below(1_000)) * MILLI;
                 world.restart_after(disk, down);
             }
         }
         5 | 6 => partition(world, disk),
-        7 => world.cuts.clear(),
+        7 => world.partitions.heal(),
         _ if world.is_healed() => {
             let new = world.wipe(disk);
-            let until = world.now + span / 2;
-            world.machines.get_mut(&new).unwrap().frozen_until = until;
+            let until = world.now() + span / 2;
+            world.machines.get_mut(&new).unwrap().process.freeze_until(until);
         }
         _ => {}
     }
@@ -88,33 +94,18 @@
 fn partition(world: &mut World, disk: DiskId) {
     let disks = disks(world);
     let half = world.random.chance(30);
-    let (into, out) = match world.random.next(4) {
-        0 => (true, false),
-        1 => (false, true),
-        _ => (true, true),
+    let directions = match world.random.below(4) {
+        0 => CutDirections::INBOUND,
+        1 => CutDirections::OUTBOUND,
+        _ => CutDirections::BOTH,
     };
-    let isolated: Vec<DiskId> =
-        if half { disks.iter().copied().take(disks.len() / 2).collect() } else { vec![disk] };
-    for one in &isolated {
-        for other in disks.iter().filter(|other| !isolated.contains(other)) {
-            if into {
-                world.cuts.insert((*other, *one));
-            }
-            if out {
-                world.cuts.insert((*one, *other));
-            }
-        }
-    }
+    let isolated = if half { disks[..disks.len() / 2].to_vec() } else { vec![disk] };
+    world.partitions.isolate(&isolated, &disks, directions);
 }
 
 /// Ends the cuts and waits until the core has recovered.
 pub fn end_faults(world: &mut World) {
-    world.cuts.clear();
-    for _ in 0..120 {
-        world.run(250 * MILLI);
-        if world.is_healed() {
-            return;
-        }
-    }
-    panic!("STUCK: the core has not recovered 30 s after the last fault");
+    world.partitions.heal();
+    let recovered = world.run_until(RECOVERY_CHECK_INTERVAL, RECOVERY_LIMIT, World::is_healed);
+    assert!(recovered, "STUCK: the core has not recovered 30 s after the last fault");
 }
--- a/tier/control/tests/members/main.rs
+++ b/tier/control/tests/members/main.rs
@@ -7,25 +7,22 @@
 mod world;
 
 use faults::{disks, end_faults, restart_all, run_seed};
+use quillmount_test_support::network::CutDirections;
+use quillmount_test_support::seeds;
+use quillmount_test_support::simulation::{MILLI, SECOND, Simulation};
 use quillmount_wire::messages::DiskId;
-use world::{MILLI, SECOND, World};
+use world::World;
 
 /// Seeds that are run unless `SEEDS` names another number.
 const DEFAULT_SEEDS: u64 = 120;
 
-fn seeds() -> u64 {
-    std::env::var("SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(DEFAULT_SEEDS)
-}
-
 #[test]
 fn every_history_of_operators_is_linearizable() {
-    let mut answers = 0;
-    for seed in 1..=seeds() {
-        let run = std::panic::catch_unwind(|| run_seed(seed).history.clear_answers());
-        answers += run.unwrap_or_else(|_| panic!("the run of seed {seed}"));
-    }
-    println!("{} runs: {answers} clear answers", seeds());
-    assert!(answers as u64 > 20 * seeds(), "{answers} clear answers");
+    let count = seeds::count(DEFAULT_SEEDS);
+    let answers = seeds::run_each(count, |seed| run_seed(seed).history.clear_answers());
+    let answers: usize = answers.into_iter().sum();
+    println!("{count} runs: {answers} clear answers");
+    assert!(answers as u64 > 20 * count, "{answers} clear answers");
 }
 
 /// A primary that is cut off serves no state and confirms nothing from then on, while the others go on.
@@ -36,14 +33,11 @@
         world.run(3 * SECOND);
         let old = world.primary().unwrap();
         let others: Vec<DiskId> = world.machines.keys().copied().filter(|disk| *disk != old).collect();
-        for other in &others {
-            world.cuts.insert((old, *other));
-            world.cuts.insert((*other, old));
-        }
+        world.partitions.isolate(&[old], &others, CutDirections::BOTH);
         let before = world.history.newest_version();
         // After half a second it serves no state, and another is primary within twenty.
         world.run(600 * MILLI);
-        let now = world.now;
+        let now = world.now();
         assert!(world.machines[&old].member.committed_if_recent(now).is_none(), "seed {seed}");
         world.run(20 * SECOND);
         assert_ne!(world.primary(), Some(old), "seed {seed}");
@@ -59,10 +53,11 @@
         let mut world = World::new(3, 1, 3, seed);
         world.run(3 * SECOND);
         let old = world.primary().unwrap();
-        world.machines.get_mut(&old).unwrap().frozen_until = world.now + 3 * SECOND;
+        let until = world.now() + 3 * SECOND;
+        world.machines.get_mut(&old).unwrap().process.freeze_until(until);
         world.run(2_999 * MILLI);
         // Before anything that waited for it is handled, and before its next tick.
-        let now = world.now;
+        let now = world.now();
         assert!(world.machines[&old].member.committed_if_recent(now).is_none(), "seed {seed}");
         world.run(2 * SECOND);
         end_faults(&mut world);
@@ -153,13 +148,12 @@
                     world.restart_after(primary, 1_500 * MILLI);
                 }
                 1 => {
-                    let until = world.now + 1_500 * MILLI;
-                    world.machines.get_mut(&primary).unwrap().frozen_until = until;
+                    let until = world.now() + 1_500 * MILLI;
+                    world.machines.get_mut(&primary).unwrap().process.freeze_until(until);
                 }
                 _ => {
-                    for other in disks(&world).into_iter().filter(|disk| *disk != primary) {
-                        world.cuts.insert((primary, other));
-                    }
+                    let all = disks(&world);
+                    world.partitions.isolate(&[primary], &all, CutDirections::OUTBOUND);
                 }
             }
             world.run(2 * SECOND);
@@ -185,11 +179,11 @@
         Break::OrderForgotten,
         Break::BaseIgnored,
     ];
-    std::panic::set_hook(Box::new(|_| {}));
+    let silenced = seeds::SilencedPanics::begin();
     let mut missed = Vec::new();
     for one in detected_by_runs {
         breaks::set(Some(one));
-        let found = (1..=RUNS).find(|seed| std::panic::catch_unwind(|| _ = run_seed(*seed)).is_err());
+        let found = seeds::first_failing(1..=RUNS, |seed| _ = run_seed(seed));
         breaks::set(None);
         println!("{one:?}: found by seed {found:?}");
         if found.is_none() {
@@ -197,10 +191,10 @@
         }
     }
     breaks::set(Some(Break::StaleTables));
-    if std::panic::catch_unwind(a_frozen_primary_serves_no_stale_state_when_it_resumes).is_ok() {
+    if !seeds::fails(a_frozen_primary_serves_no_stale_state_when_it_resumes) {
         missed.push(Break::StaleTables);
     }
     breaks::set(None);
-    let _ = std::panic::take_hook();
+    drop(silenced);
     assert!(missed.is_empty(), "not found: {missed:?}");
 }
--- a/tier/control/tests/members/world.rs
+++ b/tier/control/tests/members/world.rs
@@ -9,33 +9,31 @@
 use crate::history::{Answer, History};
 use quillmount_control::{ControlState, Member, MemberAction, RegisterWrite, Ticket};
 use quillmount_test_support::digest::Counts;
+use quillmount_test_support::network::{MESSAGE_DELAY, Partitions, REGISTER_SYNC_DELAY};
+use quillmount_test_support::process::Process;
+use quillmount_test_support::random::Random;
+use quillmount_test_support::simulation::{MILLI, SECOND, Simulation, Time, Timeline};
 use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, Register, RegisterMessage};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Microseconds of virtual time.
-pub type Time = u64;
-pub const MILLI: Time = 1_000;
-pub const SECOND: Time = 1_000_000;
+/// How often a member's clock is advanced.
+const TICK_INTERVAL: Time = 25 * MILLI;
+/// How often a machine that is not a member yet may be admitted.
+const ADMISSION_INTERVAL: Time = 50 * MILLI;
+/// How often operators look at their tasks.
+const OPERATOR_INTERVAL: Time = 10 * MILLI;
 
-/// A linear congruential generator, so that a seed always gives the same run.
-pub struct Random(pub u64);
-
-impl Random {
-    pub fn next(&mut self, below: u64) -> u64 {
-        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (self.0 >> 33) % below.max(1)
-    }
-
-    pub fn chance(&mut self, of_hundred: u64) -> bool {
-        self.next(100) < of_hundred
-    }
-}
-
-enum Event {
+/// What happens at a time.
+pub enum Event {
+    /// A message between members arrives.
     Deliver { from: DiskId, to: DiskId, message: RegisterMessage },
+    /// A register is on the disk of a machine.
     Synced { to: DiskId, incarnation: u64, write: RegisterWrite, register: Register },
+    /// The process of a machine starts.
     Start { to: DiskId },
+    /// An operator's request arrives at a machine.
     CallArrives { operator: usize, to: DiskId },
+    /// The answer to a call arrives at its operator.
     AnswerArrives { operator: usize, call: usize, answer: Answer },
 }
 
@@ -53,23 +51,15 @@
     pub member: Member,
     /// What is synced.
     disk: Register,
-    /// Rises with each kill, so that syncs of a killed process go nowhere.
-    incarnation: u64,
-    pub up: bool,
-    /// Until then the process handles nothing; what arrives waits.
-    pub frozen_until: Time,
+    pub process: Process,
     waiting: BTreeMap<Ticket, WaitingCall>,
 }
 
 pub struct World {
-    pub now: Time,
+    timeline: Timeline<Event>,
     pub random: Random,
-    /// Number of the last event, which orders events of the same time.
-    last_event: u64,
-    events: BTreeMap<(Time, u64), Event>,
     pub machines: BTreeMap<DiskId, Machine>,
-    /// Links, from one machine to another, on which messages are lost.
-    pub cuts: BTreeSet<(DiskId, DiskId)>,
+    pub partitions: Partitions<DiskId>,
     operators: Vec<Operator>,
     pub history: History,
     pub tolerated_failures: usize,
@@ -96,12 +86,10 @@
 impl World {
     pub fn new(members: u32, tolerated_failures: usize, operators: usize, seed: u64) -> World {
         let mut world = World {
-            now: SECOND,
-            random: Random(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ seed),
-            last_event: 0,
-            events: BTreeMap::new(),
+            timeline: Timeline::new(SECOND),
+            random: Random::from_mixed_seed(seed),
             machines: BTreeMap::new(),
-            cuts: BTreeSet::new(),
+            partitions: Partitions::none(),
             operators: Vec::new(),
             history: History::default(),
             tolerated_failures,
@@ -116,7 +104,7 @@
         let mut state = ControlState::default();
         state.placement.core =
             world.machines.iter().map(|(disk, machine)| node_info(machine.name, *disk)).collect();
-        let now = world.now;
+        let now = world.now();
         let actions = world.machines.get_mut(&1).unwrap().member.bootstrap(&state, now);
         world.perform(1, actions);
         world.operators.extend((0..operators).map(|_| Operator::idle()));
@@ -127,34 +115,26 @@
     pub fn add_machine(&mut self, name: u32) -> DiskId {
         self.last_disk += 1;
         let disk = self.last_disk;
-        let member = Member::new(disk, self.tolerated_failures, Register::default(), self.now);
+        let member = Member::new(disk, self.tolerated_failures, Register::default(), self.now());
         let machine = Machine {
             name,
             member,
             disk: Register::default(),
-            incarnation: 1,
-            up: true,
-            frozen_until: 0,
+            process: Process::running(1),
             waiting: BTreeMap::new(),
         };
         self.machines.insert(disk, machine);
         disk
     }
 
-    fn schedule(&mut self, at: Time, event: Event) {
-        self.last_event += 1;
-        self.events.insert((at, self.last_event), event);
-    }
-
     pub fn kill(&mut self, disk: DiskId) {
         let machine = self.machines.get_mut(&disk).unwrap();
-        machine.up = false;
-        machine.incarnation += 1;
+        machine.process.kill();
         machine.waiting.clear();
     }
 
     pub fn restart_after(&mut self, disk: DiskId, down: Time) {
-        self.schedule(self.now + down, Event::Start { to: disk });
+        self.schedule(self.now() + down, Event::Start { to: disk });
     }
 
     /// Replaces a machine by one with an empty disk; the primary admits it when it is idle.
@@ -170,12 +150,13 @@
         let Some(primary) = self.primary() else { return };
         let Some(state) = self.machines[&primary].member.committed() else { return };
         let known: BTreeSet<DiskId> = state.core_disks().into_iter().collect();
-        let newcomer = self.machines.iter().find(|(disk, machine)| machine.up && !known.contains(*disk));
+        let newcomer =
+            self.machines.iter().find(|(disk, machine)| machine.process.is_up() && !known.contains(*disk));
         let Some(node) = newcomer.map(|(disk, machine)| node_info(machine.name, *disk)) else { return };
-        if self.cuts.contains(&(node.disk, primary)) || !self.is_running(primary) {
+        if self.partitions.is_cut(node.disk, primary) || !self.is_running(primary) {
             return;
         }
-        let now = self.now;
+        let now = self.now();
         let member = &mut self.machines.get_mut(&primary).unwrap().member;
         let silent = member.silent_members(now);
         if let Ok((_, _, actions)) = member.change(|state| state.admit_core_member(&node, &silent), now) {
@@ -184,7 +165,9 @@
     }
 
     pub fn primary(&self) -> Option<DiskId> {
-        let serving = |(_, machine): &(&DiskId, &Machine)| machine.up && machine.member.serving().is_some();
+        let serving = |(_, machine): &(&DiskId, &Machine)| {
+            machine.process.is_up() && machine.member.serving().is_some()
+        };
         let all = self.machines.iter().filter(serving);
         all.max_by_key(|(_, machine)| machine.member.serving()).map(|(disk, _)| *disk)
     }
@@ -207,95 +190,43 @@
         };
         let all: BTreeSet<DiskId> = self.machines.keys().copied().collect();
         let members: BTreeSet<DiskId> = state.core_disks().into_iter().collect();
-        let healed = |machine: &Machine| machine.up && up_to_date(machine) && has_one_member_list(machine);
+        let healed = |machine: &Machine| {
+            machine.process.is_up() && up_to_date(machine) && has_one_member_list(machine)
+        };
         members == all && self.machines.values().all(healed)
     }
 
     fn is_running(&self, disk: DiskId) -> bool {
-        self.machines.get(&disk).is_some_and(|machine| machine.up && machine.frozen_until <= self.now)
-    }
-
-    pub fn run(&mut self, span: Time) {
-        let end = self.now + span;
-        while self.now < end {
-            self.step();
-        }
-    }
-
-    fn step(&mut self) {
-        let due = self.now + MILLI;
-        while let Some((&key, _)) = self.events.first_key_value()
-            && key.0 <= due
-        {
-            let event = self.events.remove(&key).unwrap();
-            self.now = self.now.max(key.0);
-            self.handle_event(event);
-        }
-        self.now = due;
-        if self.now.is_multiple_of(25 * MILLI) {
-            self.tick();
-        }
-        if self.now.is_multiple_of(50 * MILLI) {
-            self.admit();
-        }
-        if self.now.is_multiple_of(10 * MILLI) {
-            self.operate();
-        }
+        self.machines.get(&disk).is_some_and(|machine| machine.process.is_running(self.now()))
     }
 
     fn tick(&mut self) {
         let disks: Vec<DiskId> = self.machines.keys().copied().collect();
         for disk in disks {
             if self.is_running(disk) {
-                let now = self.now;
+                let now = self.now();
                 let actions = self.machines.get_mut(&disk).unwrap().member.tick(now);
                 self.perform(disk, actions);
             }
         }
     }
 
-    fn handle_event(&mut self, event: Event) {
-        let to = match &event {
-            Event::Deliver { to, .. } | Event::Synced { to, .. } | Event::CallArrives { to, .. } => Some(*to),
-            Event::Start { .. } | Event::AnswerArrives { .. } => None,
+    fn complete_sync(&mut self, disk: DiskId, incarnation: u64, write: RegisterWrite, register: Register) {
+        let now = self.now();
+        let machine = self.machines.get_mut(&disk);
+        let Some(machine) = machine.filter(|machine| machine.process.incarnation() == incarnation) else {
+            return;
         };
-        if let Some(machine) = to.and_then(|to| self.machines.get(&to))
-            && machine.frozen_until > self.now
-        {
-            // What arrives at a frozen process waits for it.
-            let at = machine.frozen_until;
-            return self.schedule(at, event);
-        }
-        let now = self.now;
-        match event {
-            Event::Deliver { from, to, message } => {
-                if self.is_running(to) && !self.cuts.contains(&(from, to)) {
-                    let actions = self.machines.get_mut(&to).unwrap().member.receive(from, message, now);
-                    self.perform(to, actions);
-                }
-            }
-            Event::Synced { to, incarnation, write, register } => {
-                let Some(machine) =
-                    self.machines.get_mut(&to).filter(|machine| machine.incarnation == incarnation)
-                else {
-                    return;
-                };
-                machine.disk = register;
-                let actions = machine.member.persisted(write, now);
-                self.perform(to, actions);
-            }
-            Event::Start { to } => self.start(to),
-            Event::CallArrives { operator, to } => self.receive_call(operator, to),
-            Event::AnswerArrives { operator, call, answer } => self.receive_answer(operator, call, answer),
-        }
+        machine.disk = register;
+        let actions = machine.member.persisted(write, now);
+        self.perform(disk, actions);
     }
 
     fn start(&mut self, disk: DiskId) {
-        let (now, tolerated_failures) = (self.now, self.tolerated_failures);
-        if let Some(machine) = self.machines.get_mut(&disk).filter(|machine| !machine.up) {
+        let (now, tolerated_failures) = (self.now(), self.tolerated_failures);
+        if let Some(machine) = self.machines.get_mut(&disk).filter(|machine| !machine.process.is_up()) {
             machine.member = Member::new(disk, tolerated_failures, machine.disk.clone(), now);
-            machine.up = true;
-            machine.frozen_until = 0;
+            machine.process.start();
         }
     }
 
@@ -304,15 +235,15 @@
             self.count(disk, &action);
             match action {
                 MemberAction::Send { to, message } => {
-                    let delay = 500 + self.random.next(1_500);
-                    let late = if self.random.chance(1) { self.random.next(800) * MILLI } else { 0 };
+                    let delay = MESSAGE_DELAY.draw(&mut self.random);
+                    let late = if self.random.chance(1) { self.random.below(800) * MILLI } else { 0 };
                     if !self.random.chance(1) {
-                        self.schedule(self.now + delay + late, Event::Deliver { from: disk, to, message });
+                        self.schedule(self.now() + delay + late, Event::Deliver { from: disk, to, message });
                     }
                 }
                 MemberAction::Persist { write, register } => {
-                    let incarnation = self.machines[&disk].incarnation;
-                    let at = self.now + 300 + self.random.next(2_000);
+                    let incarnation = self.machines[&disk].process.incarnation();
+                    let at = self.now() + REGISTER_SYNC_DELAY.draw(&mut self.random);
                     self.schedule(at, Event::Synced { to: disk, incarnation, write, register });
                 }
                 MemberAction::Confirmed { ticket } => self.confirmed(disk, ticket),
@@ -324,7 +255,7 @@
                 }
                 MemberAction::StateChanged => {
                     let state = self.machines[&disk].member.committed().unwrap();
-                    self.history.committed(&state, self.now);
+                    self.history.committed(&state, self.now());
                     self.audit_copies(&state);
                 }
                 MemberAction::Elected { .. } | MemberAction::SteppedDown | MemberAction::Accepted => {}
@@ -344,3 +275,55 @@
         assert!(copies >= self.tolerated_failures, "COPIES: {copies} of version {}", state.version);
     }
 }
+
+impl Simulation for World {
+    type Event = Event;
+
+    fn timeline(&self) -> &Timeline<Event> {
+        &self.timeline
+    }
+
+    fn timeline_mut(&mut self) -> &mut Timeline<Event> {
+        &mut self.timeline
+    }
+
+    fn handle_event(&mut self, event: Event) {
+        let to = match &event {
+            Event::Deliver { to, .. } | Event::Synced { to, .. } | Event::CallArrives { to, .. } => Some(*to),
+            Event::Start { .. } | Event::AnswerArrives { .. } => None,
+        };
+        if let Some(machine) = to.and_then(|to| self.machines.get(&to))
+            && let Some(at) = machine.process.resumes_at(self.now())
+        {
+            // What arrives at a frozen process waits for it.
+            return self.schedule(at, event);
+        }
+        let now = self.now();
+        match event {
+            Event::Deliver { from, to, message } => {
+                if self.is_running(to) && !self.partitions.is_cut(from, to) {
+                    let actions = self.machines.get_mut(&to).unwrap().member.receive(from, message, now);
+                    self.perform(to, actions);
+                }
+            }
+            Event::Synced { to, incarnation, write, register } => {
+                self.complete_sync(to, incarnation, write, register);
+            }
+            Event::Start { to } => self.start(to),
+            Event::CallArrives { operator, to } => self.receive_call(operator, to),
+            Event::AnswerArrives { operator, call, answer } => self.receive_answer(operator, call, answer),
+        }
+    }
+
+    fn after_step(&mut self) {
+        if self.is_due_every(TICK_INTERVAL) {
+            self.tick();
+        }
+        if self.is_due_every(ADMISSION_INTERVAL) {
+            self.admit();
+        }
+        if self.is_due_every(OPERATOR_INTERVAL) {
+            self.operate();
+        }
+    }
+}
--- a/tier/control/tests/members/world/operators.rs
+++ b/tier/control/tests/members/world/operators.rs
@@ -1,13 +1,19 @@
 //! Operators: they read the configuration and send orders to any core member, and send a request again until it has a
 //! clear answer.
 
-use super::{Event, MILLI, SECOND, Time, WaitingCall, World};
+use super::{Event, WaitingCall, World};
 use crate::history::{Answer, Call};
 use quillmount_control::{Order, OrderKind, OrderOutcome};
+use quillmount_test_support::network::DelayRange;
+use quillmount_test_support::simulation::{MILLI, SECOND, Simulation, Time};
 use quillmount_wire::messages::DiskId;
 
 /// How long an operator waits for an answer before it sends the request again.
 const ANSWER_TIMEOUT: Time = SECOND;
+/// How long a request is on its way to a machine.
+const REQUEST_DELAY: DelayRange = DelayRange { shortest: MILLI, spread: 3_000 };
+/// How long an answer is on its way to its operator.
+const ANSWER_DELAY: DelayRange = DelayRange { shortest: MILLI, spread: 4_000 };
 /// Percentage of answers that are lost on their way to the operator.
 const LOST_ANSWERS: u64 = 25;
 
@@ -59,7 +65,7 @@
     /// Lets every operator begin a task or repeat a request.
     pub(super) fn operate(&mut self) {
         for operator in 0..self.operators.len() {
-            let now = self.now;
+            let now = self.now();
             if self.operators[operator].done {
                 if self.busy && self.random.chance(20) {
                     self.begin_task(operator);
@@ -76,13 +82,13 @@
         let text = self.next_text;
         self.next_text += 1;
         let base = self.history.newest_shown(operator);
-        let version = base + 1 + self.random.next(3);
+        let version = base + 1 + self.random.below(3);
         let applied = self.operators[operator].applied_orders.clone();
         let put = |body: String| Task::Order(Order { kind: OrderKind::Put, base, body });
-        let task = match self.random.next(10) {
+        let task = match self.random.below(10) {
             0..=2 => Task::Read,
             3 if !applied.is_empty() => {
-                let index = self.random.next(applied.len() as u64) as usize;
+                let index = self.random.index(applied.len());
                 Task::Order(applied[index].clone())
             }
             4..=6 if base > 0 => {
@@ -100,11 +106,11 @@
     /// Sends the request of a task to the primary or to any machine.
     fn send_call(&mut self, operator: usize) {
         let disks: Vec<DiskId> = self.machines.keys().copied().collect();
-        let to = disks[self.random.next(disks.len() as u64) as usize];
+        let to = disks[self.random.index(disks.len())];
         // Half of the operators know the primary.
         let to = if self.random.chance(50) { self.primary().unwrap_or(to) } else { to };
-        self.operators[operator].sent_at = self.now;
-        let at = self.now + MILLI + self.random.next(3_000);
+        self.operators[operator].sent_at = self.now();
+        let at = self.now() + REQUEST_DELAY.draw(&mut self.random);
         self.schedule(at, Event::CallArrives { operator, to });
     }
 
@@ -112,7 +118,7 @@
         if self.operators[operator].done || !self.is_running(to) {
             return;
         }
-        let now = self.now;
+        let now = self.now();
         let order = match &self.operators[operator].task {
             Task::Read => None,
             Task::Order(order) => Some(order.clone()),
@@ -150,9 +156,9 @@
 
     /// An answer goes out, and may be lost on its way.
     pub(super) fn answer_operator(&mut self, operator: usize, call: usize, answer: Answer) {
-        self.history.answered(call, &answer, self.now);
+        self.history.answered(call, &answer, self.now());
         if !self.random.chance(LOST_ANSWERS) {
-            let at = self.now + MILLI + self.random.next(4_000);
+            let at = self.now() + ANSWER_DELAY.draw(&mut self.random);
             self.schedule(at, Event::AnswerArrives { operator, call, answer });
         }
     }
--- a/tier/control/tests/members/world/trace.rs
+++ b/tier/control/tests/members/world/trace.rs
@@ -2,12 +2,13 @@
 
 use super::World;
 use quillmount_control::MemberAction;
+use quillmount_test_support::simulation::Simulation;
 use quillmount_wire::messages::{DiskId, RegisterMessage};
 
 impl World {
     /// Adds an action of a member to the trace.
     pub(super) fn count(&mut self, disk: DiskId, action: &MemberAction) {
-        let now = self.now;
+        let now = self.now();
         match action {
             MemberAction::Send { to, message } => {
                 let (label, epoch) = match message {
