--- a/tier/batch/tests/cluster/actions.rs
+++ b/tier/batch/tests/cluster/actions.rs
@@ -1,11 +1,22 @@
 //! Performs the actions of replicas on the network and disks of a world.
 
 use crate::clients::PendingCall;
-use crate::events::Event;
-use crate::world::{MILLI, World};
-use quillmount_batch::{ShardAction, ShardJobs, StoreRecord, WriteId};
+use crate::events::{Caller, Event};
+use crate::world::World;
+use quillmount_batch::{Micros, ShardAction, ShardJobs, StoreRecord, WriteId};
+use quillmount_test_support::network::DelayRange;
+use quillmount_test_support::simulation::{MILLI, Simulation};
 use quillmount_wire::messages::ShardMessage;
 
+/// How long a request or an answer is on its way to another store.
+const STORE_MESSAGE_DELAY: DelayRange = DelayRange { shortest: 500, spread: 2_000 };
+/// Percentage of requests that arrive twice.
+const REPEATED_REQUESTS: u64 = 2;
+/// How long a sync of a store's disk takes.
+const RECORD_SYNC_DELAY: DelayRange = DelayRange { shortest: 300, spread: 2_500 };
+/// By how much a slow disk takes longer.
+const SLOW_DISK_DELAY: Micros = 300 * MILLI;
+
 impl World {
     pub fn perform(&mut self, name: u32, actions: Vec<ShardAction>) {
         for action in actions {
@@ -16,7 +27,7 @@
     }
 
     fn count(&mut self, name: u32, action: &ShardAction) {
-        let (now, store) = (self.now, u64::from(name));
+        let (now, store) = (self.now(), u64::from(name));
         match action {
             ShardAction::Write { .. } => self.counts.count("writes", &[now, store]),
             ShardAction::Call { call, member, epoch, message, timeout } => {
@@ -52,26 +63,23 @@
         match action {
             ShardAction::Write { write, record } => self.write(name, write, record),
             ShardAction::Call { call, member, epoch, message, timeout } => {
-                let incarnation = self.stores[&name].incarnation;
-                let delay = 500 + self.random.next(2_000);
-                let copies = if self.random.chance(2) { 2 } else { 1 };
+                let incarnation = self.stores[&name].process.incarnation();
+                let from = Caller { store: name, call, incarnation };
+                let delay = STORE_MESSAGE_DELAY.draw(&mut self.random);
+                let copies = if self.random.chance(REPEATED_REQUESTS) { 2 } else { 1 };
                 for copy in 0..copies {
-                    let at = self.now + delay + copy * self.random.next(600) * MILLI;
+                    let at = self.now() + delay + copy * self.random.below(600) * MILLI;
                     let message = message.clone();
-                    self.schedule(
-                        at,
-                        Event::Request { from: name, to: member, call, incarnation, epoch, message },
-                    );
+                    self.schedule(at, Event::Request { from, to: member, epoch, message });
                 }
-                self.schedule(self.now + timeout, Event::Reply { to: name, call, incarnation, answer: None });
+                self.schedule(self.now() + timeout, Event::Reply { to: from, answer: None });
             }
             ShardAction::Answer { request, response } => {
                 let caller = self.stores.get_mut(&name).unwrap().requests.remove(&request);
-                if let Some((to, call, incarnation)) =
-                    caller.filter(|(to, ..)| !self.cuts.contains(&(name, *to)))
-                {
-                    let at = self.now + 500 + self.random.next(2_000);
-                    self.schedule(at, Event::Reply { to, call, incarnation, answer: Some(response) });
+                let is_reachable = |to: &Caller| !self.partitions.is_cut(name, to.store);
+                if let Some(to) = caller.filter(is_reachable) {
+                    let at = self.now() + STORE_MESSAGE_DELAY.draw(&mut self.random);
+                    self.schedule(at, Event::Reply { to, answer: Some(response) });
                 }
             }
             ShardAction::Committed { operation, change } => self.committed(operation, &change),
@@ -94,13 +102,13 @@
     }
 
     fn write(&mut self, name: u32, write: WriteId, record: StoreRecord) {
-        let now = self.now;
-        let span = 300 + self.random.next(2_500);
+        let now = self.now();
+        let span = RECORD_SYNC_DELAY.draw(&mut self.random);
         let store = self.stores.get_mut(&name).unwrap();
-        let slow = if store.disk_slow_until > now { 300 * MILLI } else { 0 };
+        let slow = if store.disk_slow_until > now { SLOW_DISK_DELAY } else { 0 };
         let at = (now + span + slow).max(store.last_sync + 1);
         store.last_sync = at;
-        let incarnation = store.incarnation;
+        let incarnation = store.process.incarnation();
         if store.disk_fails_until > now {
             store.failing += 1;
             return self.schedule(at, Event::NotWritten { store: name, incarnation, write });
@@ -114,7 +122,7 @@
     fn rewritten(&mut self, name: u32, complete: bool) {
         let store = self.stores.get_mut(&name).unwrap();
         let Some(from) = store.rewrite_from.take().filter(|_| complete) else { return };
-        let gone = self.random.next(from as u64 + 1) as usize;
+        let gone = self.random.index(from + 1);
         store.records.drain(..gone);
         store.released += gone;
         store.synced -= gone;
--- a/tier/batch/tests/cluster/clients.rs
+++ b/tier/batch/tests/cluster/clients.rs
@@ -1,7 +1,8 @@
 //! Clients of a world: submissions, results, ends and reads at stores that serve, and what they know of the outcomes.
 
-use crate::world::{ITEMS, MILLI, World, job};
+use crate::world::{ITEMS, World, job};
 use quillmount_batch::{JobEntry, ShardJobs};
+use quillmount_test_support::simulation::{MILLI, Simulation};
 use quillmount_wire::messages::{ItemResult, Phase, ShardOperation};
 
 /// A call of a client that waits for its outcome; by the number of the operation or read.
@@ -40,11 +41,11 @@
 
     /// Clients call every store that considers itself primary.
     pub fn work(&mut self) {
-        let serving: Vec<u32> = self.stores.keys().copied().filter(|name| self.awake(*name)).collect();
+        let serving: Vec<u32> = self.stores.keys().copied().filter(|name| self.is_running(*name)).collect();
         let serving: Vec<u32> =
             serving.into_iter().filter(|name| self.stores[name].replica.serving().is_some()).collect();
         for name in serving {
-            match self.random.next(10) {
+            match self.random.below(10) {
                 0 | 1 => self.submit(name),
                 2..=5 => self.append(name),
                 6 if self.random.chance(10) => self.end(name),
@@ -56,7 +57,7 @@
     fn commit(&mut self, name: u32, pending_calls: PendingCall, change: ShardOperation) {
         let operation = self.allocate_id();
         self.pending_calls.insert(operation, pending_calls);
-        let now = self.now;
+        let now = self.now();
         let actions = self.stores.get_mut(&name).unwrap().replica.commit(operation, change, now);
         self.perform(name, actions);
     }
@@ -72,8 +73,8 @@
         if jobs.is_empty() {
             return None;
         }
-        let place = self.random.next(jobs.len() as u64) as usize;
-        Some(jobs[place].clone())
+        let index = self.random.index(jobs.len());
+        Some(jobs[index].clone())
     }
 
     fn append(&mut self, name: u32) {
@@ -97,8 +98,8 @@
         if known.is_empty() {
             return;
         }
-        let place = self.random.next(known.len() as u64) as usize;
-        let job = known[place].clone();
+        let index = self.random.index(known.len());
+        let job = known[index].clone();
         self.read(name, &job);
     }
 
@@ -113,7 +114,7 @@
         let read = self.allocate_id();
         self.pending_calls
             .insert(read, PendingCall::Read { job: job.to_owned(), found, must_exist, at_least });
-        let now = self.now;
+        let now = self.now();
         let until = now + 900 * MILLI;
         let actions = self.stores.get_mut(&name).unwrap().replica.confirm(read, until, now);
         self.perform(name, actions);
--- a/tier/batch/tests/cluster/core.rs
+++ b/tier/batch/tests/cluster/core.rs
@@ -1,26 +1,28 @@
 //! The core of a world: its real members, with leases of stores, the planning of views, and the views' way to the stores. What
 //! leases and polls do here is what `tier/node/src/control_member/` does on sockets.
 
-use crate::random::Random;
-use crate::world::MILLI;
+use crate::leases::StoreLeases;
 use quillmount_batch::Micros;
-use quillmount_control::{ControlState, Member, MemberAction, RegisterWrite, ShardPlanInputs};
+use quillmount_control::{ControlState, Member, MemberAction, RegisterWrite};
+use quillmount_test_support::network::{MESSAGE_DELAY, Partitions, REGISTER_SYNC_DELAY};
+use quillmount_test_support::process::Process;
+use quillmount_test_support::random::Random;
+use quillmount_test_support::simulation::MILLI;
 use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, Register, RegisterMessage, ShardReport};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
-/// A store that has not polled for so long has lost its lease.
-const LEASE: Micros = 1_100 * MILLI;
-/// Reports of a store are used for so long.
-const REPORT_TTL: Micros = 600 * MILLI;
 /// A new primary knows who is alive after this time.
 const LEASES_KNOWN: Micros = 1_200 * MILLI;
 /// Identities of core members begin here.
-const FIRST: DiskId = 1;
+const FIRST_DISK: DiskId = 1;
 
 /// An event for a core machine.
 pub enum CoreEvent {
+    /// A message between members arrives.
     Deliver { from: DiskId, to: DiskId, message: RegisterMessage },
+    /// A register is on the disk of a machine.
     Synced { to: DiskId, incarnation: u64, write: RegisterWrite, register: Register },
+    /// The process of a machine starts.
     Start { to: DiskId },
 }
 
@@ -30,23 +32,25 @@
     pub reports: Vec<ShardReport>,
 }
 
+/// A core machine: its process and its disk.
 pub struct Machine {
     pub member: Member,
+    /// What is synced.
     disk: Register,
-    incarnation: u64,
-    pub up: bool,
-    pub frozen_until: Micros,
+    pub process: Process,
     /// Leases of stores, in this epoch.
-    leases: BTreeMap<DiskId, (Micros, Vec<ShardReport>)>,
+    leases: StoreLeases,
 }
 
+/// The machines of the core, and what they have put out.
 pub struct Core {
     pub machines: BTreeMap<DiskId, Machine>,
-    /// Pairs of members of which the second receives nothing from the first.
-    pub cuts: BTreeSet<(DiskId, DiskId)>,
+    /// Cut links between members.
+    pub partitions: Partitions<DiskId>,
     tolerated_failures: usize,
     /// The newest state that any primary has committed.
     pub newest: ControlState,
+    /// Events that the world has to schedule.
     pub due: Vec<(Micros, CoreEvent)>,
     /// Primaries whose state has changed.
     pub changed: Vec<DiskId>,
@@ -61,49 +65,44 @@
         let machine = |disk: DiskId| Machine {
             member: Member::new(disk, tolerated_failures, Register::default(), now),
             disk: Register::default(),
-            incarnation: 1,
-            up: true,
-            frozen_until: 0,
-            leases: BTreeMap::new(),
+            process: Process::running(1),
+            leases: StoreLeases::default(),
         };
         let machines: BTreeMap<DiskId, Machine> =
-            (FIRST..FIRST + members).map(|disk| (disk, machine(disk))).collect();
+            (FIRST_DISK..FIRST_DISK + members).map(|disk| (disk, machine(disk))).collect();
         let mut state = ControlState::default();
         state.placement.core = machines.keys().map(|disk| core_node(*disk)).collect();
-        let (due, changed) = (Vec::new(), Vec::new());
-        let newest = ControlState::default();
         let mut core = Core {
             machines,
-            cuts: BTreeSet::new(),
+            partitions: Partitions::none(),
             tolerated_failures,
-            newest,
-            due,
-            changed,
+            newest: ControlState::default(),
+            due: Vec::new(),
+            changed: Vec::new(),
             messages: 0,
             writes: 0,
             elections: 0,
         };
-        let actions = core.machines.get_mut(&FIRST).unwrap().member.bootstrap(&state, now);
-        core.perform(FIRST, actions, now, random);
+        let actions = core.machines.get_mut(&FIRST_DISK).unwrap().member.bootstrap(&state, now);
+        core.perform(FIRST_DISK, actions, now, random);
         core
     }
 
-    pub fn awake(&self, disk: DiskId, now: Micros) -> bool {
-        self.machines.get(&disk).is_some_and(|machine| machine.up && machine.frozen_until <= now)
+    pub fn is_running(&self, disk: DiskId, now: Micros) -> bool {
+        self.machines.get(&disk).is_some_and(|machine| machine.process.is_running(now))
     }
 
     /// Machines that consider themselves primary and are not frozen.
     pub fn serving(&self, now: Micros) -> Vec<DiskId> {
         let serves = |(disk, machine): &(&DiskId, &Machine)| {
-            self.awake(**disk, now) && machine.member.serving().is_some()
+            self.is_running(**disk, now) && machine.member.serving().is_some()
         };
         self.machines.iter().filter(serves).map(|(disk, _)| *disk).collect()
     }
 
     pub fn kill(&mut self, disk: DiskId) {
         if let Some(machine) = self.machines.get_mut(&disk) {
-            machine.up = false;
-            machine.incarnation += 1;
+            machine.process.kill();
         }
     }
 
@@ -113,7 +112,7 @@
 
     pub fn tick(&mut self, now: Micros, random: &mut Random) {
         let disks: Vec<DiskId> = self.machines.keys().copied().collect();
-        for disk in disks.into_iter().filter(|disk| self.awake(*disk, now)).collect::<Vec<_>>() {
+        for disk in disks.into_iter().filter(|disk| self.is_running(*disk, now)).collect::<Vec<_>>() {
             let actions = self.machines.get_mut(&disk).unwrap().member.tick(now);
             self.perform(disk, actions, now, random);
         }
@@ -125,29 +124,29 @@
             CoreEvent::Deliver { to, .. } | CoreEvent::Synced { to, .. } | CoreEvent::Start { to } => *to,
         };
         let Some(machine) = self.machines.get_mut(&to) else { return };
-        if machine.up && machine.frozen_until > now {
-            let at = machine.frozen_until;
+        if machine.process.is_up()
+            && let Some(at) = machine.process.resumes_at(now)
+        {
             return self.due.push((at, event));
         }
         match event {
             CoreEvent::Deliver { from, to, message } => {
-                if machine.up && !self.cuts.contains(&(from, to)) {
+                if machine.process.is_up() && !self.partitions.is_cut(from, to) {
                     let actions = machine.member.receive(from, message, now);
                     self.perform(to, actions, now, random);
                 }
             }
             CoreEvent::Synced { to, incarnation, write, register } => {
-                if machine.incarnation == incarnation {
+                if machine.process.incarnation() == incarnation {
                     machine.disk = register;
                     let actions = machine.member.persisted(write, now);
                     self.perform(to, actions, now, random);
                 }
             }
             CoreEvent::Start { to } => {
-                if !machine.up {
+                if !machine.process.is_up() {
                     machine.member = Member::new(to, self.tolerated_failures, machine.disk.clone(), now);
-                    machine.up = true;
-                    machine.frozen_until = 0;
+                    machine.process.start();
                     machine.leases.clear();
                 }
             }
@@ -159,13 +158,13 @@
             match action {
                 MemberAction::Send { to, message } => {
                     self.messages += 1;
-                    let at = now + 500 + random.next(1_500);
+                    let at = now + MESSAGE_DELAY.draw(random);
                     self.due.push((at, CoreEvent::Deliver { from: disk, to, message }));
                 }
                 MemberAction::Persist { write, register } => {
                     self.writes += 1;
-                    let incarnation = self.machines[&disk].incarnation;
-                    let at = now + 300 + random.next(2_000);
+                    let incarnation = self.machines[&disk].process.incarnation();
+                    let at = now + REGISTER_SYNC_DELAY.draw(random);
                     self.due.push((at, CoreEvent::Synced { to: disk, incarnation, write, register }));
                 }
                 MemberAction::Elected { .. } => {
@@ -190,7 +189,7 @@
     pub fn poll(&mut self, disk: DiskId, poll: Poll, now: Micros, random: &mut Random) {
         let Some(machine) = self.machines.get_mut(&disk) else { return };
         let Some(state) = machine.member.committed() else { return };
-        machine.leases.insert(poll.node.disk, (now, poll.reports));
+        machine.leases.renew(poll.node.disk, now, poll.reports);
         if !state.placement.stores.contains(&poll.node) {
             self.change(disk, now, random, |state| {
                 state.admit_store(&poll.node);
@@ -222,12 +221,7 @@
             {
                 continue;
             }
-            let leases = &machine.leases;
-            let live = leases.iter().filter(|(_, (at, _))| now - at < LEASE).map(|(disk, _)| *disk).collect();
-            let recent = leases.values().filter(|(at, _)| now - at < REPORT_TTL);
-            let reports = recent.flat_map(|(_, reports)| reports.iter().cloned()).collect();
-            let tolerated_failures = self.tolerated_failures;
-            let inputs = ShardPlanInputs { live, draining: BTreeSet::new(), reports, tolerated_failures };
+            let inputs = machine.leases.plan_inputs(now, self.tolerated_failures);
             let plan = |state: &mut ControlState| {
                 state.plan_shards(&inputs);
                 state.placement.shards.truncate(1);
--- a/tier/batch/tests/cluster/events.rs
+++ b/tier/batch/tests/cluster/events.rs
@@ -2,18 +2,51 @@
 
 use crate::core::CoreEvent;
 use crate::world::{Store, World};
-use quillmount_batch::WriteId;
+use quillmount_batch::{Micros, WriteId};
+use quillmount_test_support::simulation::{MILLI, Simulation, Timeline};
 use quillmount_wire::messages::{DiskId, Response, ShardMessage, ShardReport, ShardView};
 
+/// How often a store polls the core.
+const POLL_INTERVAL: Micros = 150 * MILLI;
+/// How often the core plans the views.
+const PLAN_INTERVAL: Micros = 100 * MILLI;
+/// How often the clocks of replicas are advanced.
+const TICK_INTERVAL: Micros = 20 * MILLI;
+/// How often clients send requests.
+const WORK_INTERVAL: Micros = 15 * MILLI;
+/// How long a poll is on its way.
+const POLL_DELAY: Micros = 2 * MILLI;
+/// How long a late poll is on its way.
+const LATE_POLL_DELAY: Micros = 400 * MILLI;
+/// Percentage of polls that are late.
+const LATE_POLLS: u64 = 3;
+
+/// The store that sent a request.
+#[derive(Clone, Copy)]
+pub struct Caller {
+    pub store: u32,
+    /// The number that it gave to its call.
+    pub call: u64,
+    pub incarnation: u64,
+}
+
 /// What happens at a time.
 pub enum Event {
-    Request { from: u32, to: DiskId, call: u64, incarnation: u64, epoch: u64, message: ShardMessage },
-    Reply { to: u32, call: u64, incarnation: u64, answer: Option<Response> },
+    /// A request of one store arrives at another.
+    Request { from: Caller, to: DiskId, epoch: u64, message: ShardMessage },
+    /// The answer to a call arrives, or none came in time.
+    Reply { to: Caller, answer: Option<Response> },
+    /// A record is on the disk.
     Synced { store: u32, incarnation: u64, write: WriteId, position: usize },
+    /// A record could not be written.
     NotWritten { store: u32, incarnation: u64, write: WriteId },
+    /// A view arrives at a store.
     View { to: u32, incarnation: u64, view: ShardView },
+    /// A store's poll arrives at the core.
     Poll { from: u32, disk: DiskId, reports: Vec<ShardReport> },
+    /// The process of a store starts.
     Start { store: u32 },
+    /// An event for a core member.
     Core(CoreEvent),
 }
 
@@ -24,68 +57,102 @@
             Event::Request { to, .. } => {
                 world.stores.values().find(|store| store.disk == *to).map(|store| store.name)
             }
-            Event::Reply { to, .. } | Event::View { to, .. } => Some(*to),
+            Event::Reply { to, .. } => Some(to.store),
+            Event::View { to, .. } => Some(*to),
             Event::Synced { store, .. } | Event::NotWritten { store, .. } => Some(*store),
             Event::Poll { .. } | Event::Start { .. } | Event::Core(_) => None,
         }
     }
 }
 
-impl World {
-    pub fn handle_event(&mut self, event: Event) {
+impl Simulation for World {
+    type Event = Event;
+
+    fn timeline(&self) -> &Timeline<Event> {
+        &self.timeline
+    }
+
+    fn timeline_mut(&mut self) -> &mut Timeline<Event> {
+        &mut self.timeline
+    }
+
+    fn handle_event(&mut self, event: Event) {
         let receiver = event.receiver(self);
         if let Some(store) = receiver.and_then(|to| self.stores.get(&to))
-            && store.frozen_until > self.now
+            && let Some(at) = store.process.resumes_at(self.now())
         {
-            // Events for a frozen process wait until it runs again.
-            let at = store.frozen_until;
+            // Events for a frozen process wait until it resumes.
             return self.schedule(at, event);
         }
         match event {
-            Event::Request { from, call, incarnation, epoch, message, .. } => {
-                let reachable = receiver.filter(|to| self.awake(*to) && !self.cuts.contains(&(from, *to)));
-                if let Some(to) = reachable {
-                    self.deliver_request(to, (from, call, incarnation), epoch, message);
-                }
-            }
-            Event::Reply { to, call, incarnation, answer } => {
-                let now = self.now;
-                if let Some(store) = self.awake_in(to, incarnation) {
-                    let actions = store.replica.on_answer(call, answer, now);
-                    self.perform(to, actions);
+            Event::Request { from, epoch, message, .. } => {
+                let reaches = |to: &u32| self.is_running(*to) && !self.partitions.is_cut(from.store, *to);
+                if let Some(to) = receiver.filter(reaches) {
+                    self.deliver_request(to, from, epoch, message);
                 }
             }
+            Event::Reply { to, answer } => self.deliver_answer(to, answer),
             Event::Synced { store, incarnation, write, position } => {
                 self.finish_write(store, incarnation, write, position);
             }
             Event::NotWritten { store, incarnation, write } => self.fail_write(store, incarnation, write),
-            Event::View { to, incarnation, view } => {
-                let now = self.now;
-                if let Some(store) = self.awake_in(to, incarnation) {
-                    let actions = store.replica.follow_view(&view, now);
-                    self.perform(to, actions);
-                }
-            }
+            Event::View { to, incarnation, view } => self.deliver_view(to, incarnation, &view),
             Event::Poll { from, disk, reports } => self.receive_poll(from, disk, reports),
             Event::Start { store } => self.start(store),
             Event::Core(event) => {
                 if let Some(core) = &mut self.core {
-                    core.handle_event(event, self.now, &mut self.random);
+                    core.handle_event(event, self.timeline.now(), &mut self.random);
                 }
             }
         }
     }
 
+    fn after_step(&mut self) {
+        self.run_core();
+        if self.is_due_every(TICK_INTERVAL) {
+            self.tick();
+        }
+        if self.is_due_every(PLAN_INTERVAL) {
+            self.plan();
+        }
+        if self.busy && self.is_due_every(WORK_INTERVAL) {
+            self.work();
+        }
+    }
+}
+
+impl World {
     /// The store, if its process runs and is still the one of this incarnation.
-    fn awake_in(&mut self, name: u32, incarnation: u64) -> Option<&mut Store> {
-        let awake = self.awake(name);
-        self.stores.get_mut(&name).filter(|store| awake && store.incarnation == incarnation)
+    fn running_in(&mut self, name: u32, incarnation: u64) -> Option<&mut Store> {
+        let is_running = self.is_running(name);
+        let same = |store: &&mut Store| is_running && store.process.incarnation() == incarnation;
+        self.stores.get_mut(&name).filter(same)
+    }
+
+    /// The store, if its process is still the one of this incarnation; it may be frozen.
+    fn store_in(&mut self, name: u32, incarnation: u64) -> Option<&mut Store> {
+        self.stores.get_mut(&name).filter(|store| store.process.incarnation() == incarnation)
     }
 
-    /// `caller` is the calling store, its number of the call, and its incarnation.
-    fn deliver_request(&mut self, to: u32, caller: (u32, u64, u64), epoch: u64, message: ShardMessage) {
+    fn deliver_answer(&mut self, to: Caller, answer: Option<Response>) {
+        let now = self.now();
+        if let Some(store) = self.running_in(to.store, to.incarnation) {
+            let actions = store.replica.on_answer(to.call, answer, now);
+            self.perform(to.store, actions);
+        }
+    }
+
+    fn deliver_view(&mut self, to: u32, incarnation: u64, view: &ShardView) {
+        let now = self.now();
+        if let Some(store) = self.running_in(to, incarnation) {
+            let actions = store.replica.follow_view(view, now);
+            self.perform(to, actions);
+        }
+    }
+
+    fn deliver_request(&mut self, to: u32, caller: Caller, epoch: u64, message: ShardMessage) {
         let request = self.allocate_id();
-        let draw = self.random.next(u64::MAX) << 20 | request;
+        let draw = self.random.below(u64::MAX) << 20 | request;
         let store = self.stores.get_mut(&to).unwrap();
         store.requests.insert(request, caller);
         let actions = store.replica.receive(request, epoch, message, draw);
@@ -93,10 +160,8 @@
     }
 
     fn finish_write(&mut self, name: u32, incarnation: u64, write: WriteId, position: usize) {
-        let now = self.now;
-        let Some(store) = self.stores.get_mut(&name).filter(|store| store.incarnation == incarnation) else {
-            return;
-        };
+        let now = self.now();
+        let Some(store) = self.store_in(name, incarnation) else { return };
         let synced = position + 1 - store.released;
         for record in &store.records[store.synced..synced] {
             store.on_disk.recover(record.clone());
@@ -107,10 +172,8 @@
     }
 
     fn fail_write(&mut self, name: u32, incarnation: u64, write: WriteId) {
-        let now = self.now;
-        let Some(store) = self.stores.get_mut(&name).filter(|store| store.incarnation == incarnation) else {
-            return;
-        };
+        let now = self.now();
+        let Some(store) = self.store_in(name, incarnation) else { return };
         store.failing -= 1;
         let actions = store.replica.on_written(write, false, now);
         self.perform(name, actions);
@@ -123,8 +186,27 @@
         if self.core.is_some() {
             self.poll_core(from, disk, reports);
         } else {
-            self.leases.insert(disk, (self.now, reports));
+            self.leases.renew(disk, self.timeline.now(), reports);
             self.admit(from, disk);
         }
     }
+
+    /// Advances the clocks of running stores, which poll the core at times.
+    fn tick(&mut self) {
+        let names: Vec<u32> = self.stores.keys().copied().collect();
+        for name in names.into_iter().filter(|name| self.is_running(*name)).collect::<Vec<_>>() {
+            let now = self.now();
+            let store = self.stores.get_mut(&name).unwrap();
+            let actions = if store.replica.needs_tick() { store.replica.tick(now) } else { Vec::new() };
+            if now >= store.last_poll + POLL_INTERVAL {
+                store.last_poll = now;
+                let reports = store.replica.report().into_iter().collect();
+                let disk = store.disk;
+                // A poll may be late, and come after its sender has been started again.
+                let delay = if self.random.chance(LATE_POLLS) { LATE_POLL_DELAY } else { POLL_DELAY };
+                self.schedule(now + delay, Event::Poll { from: name, disk, reports });
+            }
+            self.perform(name, actions);
+        }
+    }
 }
--- a/tier/batch/tests/cluster/exploration.rs
+++ b/tier/batch/tests/cluster/exploration.rs
@@ -1,7 +1,8 @@
 //! Small cases with a fault at every moment of them.
 
 use crate::random_faults::{end_faults, power_off_all, read_back, wipe};
-use crate::world::{MILLI, SECOND, World};
+use crate::world::World;
+use quillmount_test_support::simulation::{MILLI, SECOND, Simulation};
 
 /// A world in which jobs are at work, always the same.
 fn busy(stores: u32) -> World {
--- a/tier/batch/tests/cluster/random_faults.rs
+++ b/tier/batch/tests/cluster/random_faults.rs
@@ -1,20 +1,30 @@
-//! Days of mixed faults, drawn by seed.
+//! Runs with mixed faults, drawn by seed.
 
-use crate::world::{MILLI, SECOND, World};
+use crate::world::World;
 use quillmount_batch::Micros;
 use quillmount_test_support::digest::Counts;
+use quillmount_test_support::network::CutDirections;
+use quillmount_test_support::simulation::{MILLI, SECOND, Simulation};
 
-/// What a day did.
+/// Number of faults of a run.
+const FAULTS: usize = 14;
+/// Percentage of faults that affect the core, if there is one.
+const CORE_FAULTS: u64 = 40;
+/// How long the shard may take to recover once all faults have ended.
+const RECOVERY_LIMIT: Micros = 30 * SECOND;
+/// How often it is checked whether the shard has recovered.
+const RECOVERY_CHECK_INTERVAL: Micros = 250 * MILLI;
+
+/// What a run did.
 pub struct RunSummary {
     pub commits: usize,
     pub reads: usize,
-    pub faults: usize,
     /// What the stores and the core put out, for the digests.
     pub counts: Counts,
 }
 
-/// Plays a day: faults for some seconds, calm, a closing loss of power of everything, at times with a lost disk, and a
-/// reading of all that was acknowledged.
+/// Runs the stores of a shard through faults for some seconds, a time without faults and a final loss of power of all stores,
+/// at times with a lost disk, and then reads all that was acknowledged.
 pub fn run_seed(seed: u64) -> RunSummary {
     let tolerated_failures = if seed.is_multiple_of(4) { 2 } else { 1 };
     let stores = tolerated_failures as u32 + 2 + (seed % 3) as u32;
@@ -30,19 +40,18 @@
 
 fn run_faults(mut world: World) -> RunSummary {
     world.run(4 * SECOND);
-    let mut faults = 0;
-    for _ in 0..14 {
-        if world.core.is_some() && world.random.chance(40) {
+    for _ in 0..FAULTS {
+        if world.core.is_some() && world.random.chance(CORE_FAULTS) {
             inject_core_fault(&mut world);
         } else {
             inject_fault(&mut world);
         }
-        faults += 1;
-        let gap = world.random.next(900);
+        let gap = world.random.below(900);
         world.run(gap * MILLI);
     }
     end_faults(&mut world);
     final_power_loss(&mut world);
+    let end_time = world.now();
     let mut counts = world.counts;
     if let Some(core) = &world.core {
         counts.set("core_messages", core.messages);
@@ -54,15 +63,15 @@
     counts.set("jobs_acknowledged", world.auditor.acknowledged.len() as u64);
     counts.set("audited_reads", world.auditor.reads as u64);
     counts.set("audited_commits", world.auditor.commits as u64);
-    counts.set("end_time_us", world.now);
-    RunSummary { commits: world.auditor.commits, reads: world.auditor.reads, faults, counts }
+    counts.set("end_time_us", end_time);
+    RunSummary { commits: world.auditor.commits, reads: world.auditor.reads, counts }
 }
 
 fn any_store(world: &mut World) -> u32 {
     let names: Vec<u32> =
         world.stores.values().filter(|store| !store.removed).map(|store| store.name).collect();
-    let place = world.random.next(names.len() as u64) as usize;
-    names[place]
+    let index = world.random.index(names.len());
+    names[index]
 }
 
 fn primary_or_any(world: &mut World) -> u32 {
@@ -73,12 +82,12 @@
 }
 
 fn span(world: &mut World, from: u64, below: u64) -> Micros {
-    (from + world.random.next(below - from)) * MILLI
+    (from + world.random.below(below - from)) * MILLI
 }
 
 fn inject_fault(world: &mut World) {
     let store = primary_or_any(world);
-    match world.random.next(13) {
+    match world.random.below(13) {
         0 | 1 => {
             let (down, power) = (span(world, 50, 2500), world.random.chance(50));
             world.kill(store, power);
@@ -86,9 +95,8 @@
         }
         2 | 3 => {
             let span = span(world, 100, 3500);
-            let until = world.now + span;
-            let store = world.stores.get_mut(&store).unwrap();
-            store.frozen_until = store.frozen_until.max(until);
+            let until = world.now() + span;
+            world.stores.get_mut(&store).unwrap().process.freeze_until(until);
         }
         4 => kill_many(world),
         5 => cut_between(world, store),
@@ -96,17 +104,17 @@
             world.cut_from_core.insert(store);
         }
         7 => {
-            world.cuts.clear();
+            world.partitions.heal();
             world.cut_from_core.clear();
         }
         8 => {
             let span = span(world, 100, 1200);
-            let until = world.now + span;
+            let until = world.now() + span;
             world.stores.get_mut(&store).unwrap().disk_fails_until = until;
         }
         9 => {
             let span = span(world, 500, 3000);
-            let until = world.now + span;
+            let until = world.now() + span;
             world.stores.get_mut(&store).unwrap().disk_slow_until = until;
         }
         10 => world.compact(store),
@@ -117,8 +125,8 @@
 
 /// A fault at the core: a member killed, all killed, one frozen, one or half cut off, or all cuts healed.
 fn inject_core_fault(world: &mut World) {
-    let now = world.now;
-    let (choice, down, draw) = (world.random.next(7), span(world, 50, 2500), world.random.next(1 << 20));
+    let now = world.now();
+    let (choice, down, draw) = (world.random.below(7), span(world, 50, 2500), world.random.below(1 << 20));
     let Some(core) = &mut world.core else { return };
     let disks: Vec<u64> = core.machines.keys().copied().collect();
     let any = disks[draw as usize % disks.len()];
@@ -135,21 +143,15 @@
             }
         }
         3 | 4 => {
-            let machine = core.machines.get_mut(&one).unwrap();
-            machine.frozen_until = machine.frozen_until.max(now + down);
+            core.machines.get_mut(&one).unwrap().process.freeze_until(now + down);
         }
         5 => {
-            let here: Vec<u64> = if draw % 3 == 0 { disks[..disks.len() / 2].to_vec() } else { vec![one] };
-            for here_one in &here {
-                for other in disks.iter().filter(|other| !here.contains(other)) {
-                    core.cuts.insert((*here_one, *other));
-                    if draw % 5 > 0 {
-                        core.cuts.insert((*other, *here_one));
-                    }
-                }
-            }
+            let isolated: Vec<u64> =
+                if draw % 3 == 0 { disks[..disks.len() / 2].to_vec() } else { vec![one] };
+            let directions = CutDirections { inbound: draw % 5 > 0, outbound: true };
+            core.partitions.isolate(&isolated, &disks, directions);
         }
-        _ => core.cuts.clear(),
+        _ => core.partitions.heal(),
     }
 }
 
@@ -168,20 +170,14 @@
 /// A store is cut off from the others, or only one way, or from one of them.
 fn cut_between(world: &mut World, store: u32) {
     let others: Vec<u32> = world.stores.keys().copied().filter(|name| *name != store).collect();
-    let (into, out) = match world.random.next(3) {
-        0 => (true, false),
-        1 => (false, true),
-        _ => (true, true),
+    let directions = match world.random.below(3) {
+        0 => CutDirections::INBOUND,
+        1 => CutDirections::OUTBOUND,
+        _ => CutDirections::BOTH,
     };
-    let one = world.random.chance(40);
-    for other in others.into_iter().take(if one { 1 } else { usize::MAX }) {
-        if into {
-            world.cuts.insert((other, store));
-        }
-        if out {
-            world.cuts.insert((store, other));
-        }
-    }
+    let from_one = world.random.chance(40);
+    let count = if from_one { others.len().min(1) } else { others.len() };
+    world.partitions.isolate(&[store], &others[..count], directions);
 }
 
 /// Empties a store while another, empty one is added, so that enough remain.
@@ -201,8 +197,8 @@
     world.kill(store, true);
     world.add_store(store);
     let down = span(world, 100, 1500);
-    let until = world.now + down;
-    world.stores.get_mut(&store).unwrap().frozen_until = until;
+    let until = world.now() + down;
+    world.stores.get_mut(&store).unwrap().process.freeze_until(until);
 }
 
 /// Takes the power of every store, for so long.
@@ -216,18 +212,13 @@
 
 /// Ends all faults and waits until the shard is healthy.
 pub fn end_faults(world: &mut World) {
-    world.cuts.clear();
+    world.partitions.heal();
     world.cut_from_core.clear();
     if let Some(core) = &mut world.core {
-        core.cuts.clear();
-    }
-    for _ in 0..120 {
-        world.run(250 * MILLI);
-        if world.is_healed() {
-            return;
-        }
+        core.partitions.heal();
     }
-    panic!("STUCK: the shard is not whole 30 s after the last fault: {:?}", world.view());
+    let recovered = world.run_until(RECOVERY_CHECK_INTERVAL, RECOVERY_LIMIT, World::is_healed);
+    assert!(recovered, "STUCK: the shard has not recovered 30 s after the last fault: {:?}", world.view());
 }
 
 /// Everything loses power, at times with one disk; then all that was acknowledged is read.
--- a/tier/batch/tests/cluster/scenarios.rs
+++ b/tier/batch/tests/cluster/scenarios.rs
@@ -1,7 +1,9 @@
 //! Runs by name, each of which brings one of the operators' worst days about.
 
 use crate::random_faults::{end_faults, power_off_all, read_back, wipe};
-use crate::world::{MILLI, SECOND, World};
+use crate::world::World;
+use quillmount_test_support::network::CutDirections;
+use quillmount_test_support::simulation::{MILLI, SECOND, Simulation};
 
 /// All runs, for the proof that deliberate breaks are found.
 #[cfg(feature = "breaks")]
@@ -38,10 +40,7 @@
     for seed in 1..=30 {
         let mut world = started(3, 1, seed);
         let old = world.primary().unwrap();
-        for other in (1..=3).filter(|name| *name != old) {
-            world.cuts.insert((old, other));
-            world.cuts.insert((other, old));
-        }
+        world.partitions.isolate(&[old], &[1, 2, 3], CutDirections::BOTH);
         world.cut_from_core.insert(old);
         world.run(4 * SECOND);
         assert_ne!(world.primary(), Some(old), "seed {seed}");
@@ -56,7 +55,8 @@
     for seed in 1..=30 {
         let mut world = started(3, 1, seed);
         let old = world.primary().unwrap();
-        world.stores.get_mut(&old).unwrap().frozen_until = world.now + 3 * SECOND;
+        let until = world.now() + 3 * SECOND;
+        world.stores.get_mut(&old).unwrap().process.freeze_until(until);
         world.run(2_500 * MILLI);
         // The others forget all that is only in memory, just before it wakes.
         for other in (1..=3).filter(|name| *name != old) {
@@ -102,7 +102,7 @@
         let mut world = started(3, 1, seed);
         let names: Vec<u32> = world.stores.keys().copied().collect();
         for name in names {
-            world.stores.get_mut(&name).unwrap().disk_fails_until = world.now + 600 * MILLI;
+            world.stores.get_mut(&name).unwrap().disk_fails_until = world.now() + 600 * MILLI;
             world.run(300 * MILLI);
         }
         world.run(SECOND);
@@ -142,7 +142,8 @@
         world.kill(members[1], true);
         world.add_store(members[1]);
         for name in &members[2..] {
-            world.stores.get_mut(name).unwrap().frozen_until = world.now + 4 * SECOND;
+            let until = world.now() + 4 * SECOND;
+            world.stores.get_mut(name).unwrap().process.freeze_until(until);
         }
         world.run(8 * SECOND);
         end_faults(&mut world);
@@ -155,12 +156,7 @@
 fn a_healed_partition_loses_nothing_that_was_confirmed() {
     for seed in 1..=30 {
         let mut world = started(4, 1, seed);
-        for one in [1, 2] {
-            for other in [3, 4] {
-                world.cuts.insert((one, other));
-                world.cuts.insert((other, one));
-            }
-        }
+        world.partitions.isolate(&[1, 2], &[3, 4], CutDirections::BOTH);
         world.run(5 * SECOND);
         end_faults(&mut world);
         power_off_and_read(&mut world);
--- a/tier/batch/tests/quota.rs
+++ b/tier/batch/tests/quota.rs
@@ -1,10 +1,8 @@
 //! The ledger of waiting tokens: nothing is granted beyond the limit, whichever messages come late and whichever store has it.
 
-mod random;
-
 use quillmount_batch::{ClaimOutcome, PendingClaims, QuotaLedger};
+use quillmount_test_support::random::Random;
 use quillmount_wire::messages::{QuotaClaim, QuotaKey, QuotaStatement};
-use random::Random;
 use std::collections::BTreeMap;
 
 const LIMIT: u64 = 1_000;
@@ -100,7 +98,7 @@
     fn new(seed: u64) -> World {
         World {
             seed,
-            random: Random(seed),
+            random: Random::new(seed),
             shards: (0..SHARDS).map(|_| Shard { ledger_epoch: 1, ..Shard::default() }).collect(),
             ledgers: BTreeMap::from([(1, QuotaLedger::new(1, SHARDS))]),
             newest: 1,
@@ -110,18 +108,18 @@
     }
 
     fn step(&mut self) {
-        let number = self.random.next(u64::from(SHARDS)) as u32;
+        let number = self.random.below(u64::from(SHARDS)) as u32;
         self.shards[number as usize].sequence += 1;
-        match self.random.next(14) {
+        match self.random.below(14) {
             0 | 1 => self.send_claim(number),
             2 | 3 => self.send_statement(number),
             4 => {
-                let finished = self.random.next(300);
+                let finished = self.random.below(300);
                 let shard = &mut self.shards[number as usize];
                 shard.committed = shard.committed.saturating_sub(finished);
             }
             5 => self.shards[number as usize].ledger_epoch = self.newest,
-            6 if self.random.next(10) == 0 => {
+            6 if self.random.below(10) == 0 => {
                 self.newest += 1;
                 self.ledgers.insert(self.newest, QuotaLedger::new(self.newest, SHARDS));
             }
@@ -131,7 +129,7 @@
     }
 
     fn send_claim(&mut self, number: u32) {
-        let tokens = 50 + self.random.next(200);
+        let tokens = 50 + self.random.below(200);
         let shard = &mut self.shards[number as usize];
         let reserved = shard.committed + shard.pending.claimed(&key());
         shard.pending.begin(&key(), tokens);
@@ -148,7 +146,7 @@
     }
 
     fn deliver_any(&mut self) {
-        let index = self.random.next(self.in_flight.len() as u64) as usize;
+        let index = self.random.index(self.in_flight.len());
         let (ledger_epoch, message) = self.in_flight.swap_remove(index);
         let ledger = self.ledgers.get_mut(&ledger_epoch).unwrap();
         match message {
