--- a/tier/replication/tests/cluster/world/trace.rs
+++ b/tier/replication/tests/cluster/world/trace.rs
@@ -2,8 +2,9 @@
 
 use super::World;
 use quillmount_replication::RegisterAction;
+use quillmount_test_support::register::trace_label;
 use quillmount_test_support::simulation::Simulation;
-use quillmount_wire::messages::{DiskId, RegisterMessage};
+use quillmount_wire::messages::DiskId;
 
 impl World {
     /// Adds an action of a member to the trace.
@@ -11,18 +12,7 @@
         let now = self.now();
         match action {
             RegisterAction::Send { to, message } => {
-                let (label, epoch) = match message {
-                    RegisterMessage::PreVote { epoch } => ("pre_vote_requests", *epoch),
-                    RegisterMessage::PreVoteGranted { epoch } => ("pre_votes", *epoch),
-                    RegisterMessage::Prepare { epoch } => ("prepares", *epoch),
-                    RegisterMessage::Promise { epoch, .. } => ("promises", *epoch),
-                    RegisterMessage::Accept { accepted } => ("accepts", accepted.epoch),
-                    RegisterMessage::Acknowledge { epoch, .. } => ("acknowledgements", *epoch),
-                    RegisterMessage::Heartbeat { epoch, .. } => ("heartbeats", *epoch),
-                    RegisterMessage::HeartbeatReply { epoch, .. } => ("heartbeat_replies", *epoch),
-                    RegisterMessage::Reject { promised } => ("rejections", *promised),
-                    RegisterMessage::Resign { epoch, .. } => ("resignations", *epoch),
-                };
+                let (label, epoch) = trace_label(message);
                 self.counts.count(label, &[now, disk, *to, epoch]);
             }
             RegisterAction::Persist { register, then } => {
