--- a/tier/batch/tests/cluster/main.rs
+++ b/tier/batch/tests/cluster/main.rs
@@ -52,7 +52,7 @@
     let fails = |run: &fn()| seeds::fails(run);
     let silenced = seeds::SilencedPanics::begin();
     let mut missed = Vec::new();
-    for broken in breaks::ALL {
+    for &broken in breaks::ALL {
         breaks::set(Some(broken));
         let steps = steps::ALL.iter().position(fails);
         let scenario = steps.is_none().then(|| scenarios::ALL.iter().position(fails)).flatten();
--- a/tier/replication/src/lib.rs
+++ b/tier/replication/src/lib.rs
@@ -9,7 +9,6 @@
 //! [`ReplicaGroup`] is what the primary of a shard knows of the shard's members: it decides which of them have to
 //! sync a batch of operations before that is committed. The core decides which stores are members.
 
-mod breaks;
 mod group;
 mod quorum;
 mod replica;
