--- a/tier/batch/tests/cluster/actions.rs
+++ b/tier/batch/tests/cluster/actions.rs
@@ -3,9 +3,9 @@
 use crate::clients::PendingCall;
 use crate::events::{Caller, Event};
 use crate::world::World;
-use quillmount_batch::{Micros, ShardAction, ShardJobs, StoreRecord, WriteId};
+use quillmount_batch::{ShardAction, ShardJobs, StoreRecord, WriteId};
 use quillmount_test_support::network::DelayRange;
-use quillmount_test_support::simulation::{MILLI, Simulation};
+use quillmount_test_support::simulation::{MILLI, Simulation, Time};
 use quillmount_wire::messages::ShardMessage;
 
 /// How long a request or an answer is on its way to another store.
@@ -15,7 +15,7 @@
 /// How long a sync of a store's disk takes.
 const RECORD_SYNC_DELAY: DelayRange = DelayRange { shortest: 300, spread: 2_500 };
 /// By how much a slow disk takes longer.
-const SLOW_DISK_DELAY: Micros = 300 * MILLI;
+const SLOW_DISK_DELAY: Time = 300 * MILLI;
 
 impl World {
     pub fn perform(&mut self, name: u32, actions: Vec<ShardAction>) {
--- a/tier/batch/tests/cluster/clients.rs
+++ b/tier/batch/tests/cluster/clients.rs
@@ -1,6 +1,7 @@
 //! Clients of a world: submissions, results, ends and reads at stores that serve, and what they know of the outcomes.
 
-use crate::world::{ITEMS, World, job};
+use crate::jobs::{ITEMS, job};
+use crate::world::World;
 use quillmount_batch::{JobEntry, ShardJobs};
 use quillmount_test_support::simulation::{MILLI, Simulation};
 use quillmount_wire::messages::{ItemResult, Phase, ShardOperation};
--- a/tier/batch/tests/cluster/core.rs
+++ b/tier/batch/tests/cluster/core.rs
@@ -1,18 +1,17 @@
-//! The core of a world: its real members, with leases of stores, the planning of views, and the views' way to the stores. What
-//! leases and polls do here is what `tier/node/src/control_member/` does on sockets.
+//! The core of a world: its real members, with leases of stores and the planning of views. What leases and polls do here is
+//! what `tier/node/src/control_member/` does on sockets.
 
 use crate::leases::StoreLeases;
-use quillmount_batch::Micros;
 use quillmount_control::{ControlState, Member, MemberAction, RegisterWrite};
 use quillmount_test_support::network::{MESSAGE_DELAY, Partitions, REGISTER_SYNC_DELAY};
 use quillmount_test_support::process::Process;
 use quillmount_test_support::random::Random;
-use quillmount_test_support::simulation::MILLI;
+use quillmount_test_support::simulation::{MILLI, Time};
 use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, Register, RegisterMessage, ShardReport};
 use std::collections::BTreeMap;
 
 /// A new primary knows who is alive after this time.
-const LEASES_KNOWN: Micros = 1_200 * MILLI;
+const LEASES_KNOWN: Time = 1_200 * MILLI;
 /// Identities of core members begin here.
 const FIRST_DISK: DiskId = 1;
 
@@ -51,7 +50,7 @@
     /// The newest state that any primary has committed.
     pub newest: ControlState,
     /// Events that the world has to schedule.
-    pub due: Vec<(Micros, CoreEvent)>,
+    pub due: Vec<(Time, CoreEvent)>,
     /// Primaries whose state has changed.
     pub changed: Vec<DiskId>,
     /// Messages that members sent, registers that they wrote and elections that they won, so far.
@@ -61,7 +60,8 @@
 }
 
 impl Core {
-    pub fn new(members: u64, tolerated_failures: usize, now: Micros, random: &mut Random) -> Core {
+    /// A core of so many members, whose first one is the primary.
+    pub fn new(members: u64, tolerated_failures: usize, now: Time, random: &mut Random) -> Core {
         let machine = |disk: DiskId| Machine {
             member: Member::new(disk, tolerated_failures, Register::default(), now),
             disk: Register::default(),
@@ -88,29 +88,33 @@
         core
     }
 
-    pub fn is_running(&self, disk: DiskId, now: Micros) -> bool {
+    /// Whether the machine exists, is up and is not frozen.
+    pub fn is_running(&self, disk: DiskId, now: Time) -> bool {
         self.machines.get(&disk).is_some_and(|machine| machine.process.is_running(now))
     }
 
     /// Machines that consider themselves primary and are not frozen.
-    pub fn serving(&self, now: Micros) -> Vec<DiskId> {
+    pub fn serving(&self, now: Time) -> Vec<DiskId> {
         let serves = |(disk, machine): &(&DiskId, &Machine)| {
             self.is_running(**disk, now) && machine.member.serving().is_some()
         };
         self.machines.iter().filter(serves).map(|(disk, _)| *disk).collect()
     }
 
+    /// Kills the process of a machine.
     pub fn kill(&mut self, disk: DiskId) {
         if let Some(machine) = self.machines.get_mut(&disk) {
             machine.process.kill();
         }
     }
 
-    pub fn restart_at(&mut self, disk: DiskId, at: Micros) {
+    /// Starts the process of a machine at this time.
+    pub fn restart_at(&mut self, disk: DiskId, at: Time) {
         self.due.push((at, CoreEvent::Start { to: disk }));
     }
 
-    pub fn tick(&mut self, now: Micros, random: &mut Random) {
+    /// Advances the clocks of all running members.
+    pub fn tick(&mut self, now: Time, random: &mut Random) {
         let disks: Vec<DiskId> = self.machines.keys().copied().collect();
         for disk in disks.into_iter().filter(|disk| self.is_running(*disk, now)).collect::<Vec<_>>() {
             let actions = self.machines.get_mut(&disk).unwrap().member.tick(now);
@@ -119,7 +123,7 @@
     }
 
     /// Handles an event; postpones it if its machine is frozen.
-    pub fn handle_event(&mut self, event: CoreEvent, now: Micros, random: &mut Random) {
+    pub fn handle_event(&mut self, event: CoreEvent, now: Time, random: &mut Random) {
         let to = match &event {
             CoreEvent::Deliver { to, .. } | CoreEvent::Synced { to, .. } | CoreEvent::Start { to } => *to,
         };
@@ -153,7 +157,7 @@
         }
     }
 
-    fn perform(&mut self, disk: DiskId, actions: Vec<MemberAction>, now: Micros, random: &mut Random) {
+    fn perform(&mut self, disk: DiskId, actions: Vec<MemberAction>, now: Time, random: &mut Random) {
         for action in actions {
             match action {
                 MemberAction::Send { to, message } => {
@@ -186,7 +190,7 @@
     }
 
     /// A store polls this machine: its lease is renewed, and it is admitted if it is new.
-    pub fn poll(&mut self, disk: DiskId, poll: Poll, now: Micros, random: &mut Random) {
+    pub fn poll(&mut self, disk: DiskId, poll: Poll, now: Time, random: &mut Random) {
         let Some(machine) = self.machines.get_mut(&disk) else { return };
         let Some(state) = machine.member.committed() else { return };
         machine.leases.renew(poll.node.disk, now, poll.reports);
@@ -201,7 +205,7 @@
     pub fn change(
         &mut self,
         disk: DiskId,
-        now: Micros,
+        now: Time,
         random: &mut Random,
         change: impl FnOnce(&mut ControlState),
     ) {
@@ -212,7 +216,7 @@
     }
 
     /// Every machine that considers itself primary plans the views by the leases that it knows.
-    pub fn plan(&mut self, now: Micros, random: &mut Random) {
+    pub fn plan(&mut self, now: Time, random: &mut Random) {
         for disk in self.serving(now) {
             let machine = &self.machines[&disk];
             let Some(state) = machine.member.committed() else { continue };
--- a/tier/batch/tests/cluster/events.rs
+++ b/tier/batch/tests/cluster/events.rs
@@ -1,23 +1,24 @@
 //! Events of a world in the order of virtual time, and what each does to a store.
 
 use crate::core::CoreEvent;
-use crate::world::{Store, World};
-use quillmount_batch::{Micros, WriteId};
-use quillmount_test_support::simulation::{MILLI, Simulation, Timeline};
+use crate::store::Store;
+use crate::world::World;
+use quillmount_batch::WriteId;
+use quillmount_test_support::simulation::{MILLI, Simulation, Time, Timeline};
 use quillmount_wire::messages::{DiskId, Response, ShardMessage, ShardReport, ShardView};
 
 /// How often a store polls the core.
-const POLL_INTERVAL: Micros = 150 * MILLI;
+const POLL_INTERVAL: Time = 150 * MILLI;
 /// How often the core plans the views.
-const PLAN_INTERVAL: Micros = 100 * MILLI;
+const PLAN_INTERVAL: Time = 100 * MILLI;
 /// How often the clocks of replicas are advanced.
-const TICK_INTERVAL: Micros = 20 * MILLI;
+const TICK_INTERVAL: Time = 20 * MILLI;
 /// How often clients send requests.
-const WORK_INTERVAL: Micros = 15 * MILLI;
+const WORK_INTERVAL: Time = 15 * MILLI;
 /// How long a poll is on its way.
-const POLL_DELAY: Micros = 2 * MILLI;
+const POLL_DELAY: Time = 2 * MILLI;
 /// How long a late poll is on its way.
-const LATE_POLL_DELAY: Micros = 400 * MILLI;
+const LATE_POLL_DELAY: Time = 400 * MILLI;
 /// Percentage of polls that are late.
 const LATE_POLLS: u64 = 3;
 
--- a/tier/batch/tests/cluster/exploration.rs
+++ b/tier/batch/tests/cluster/exploration.rs
@@ -1,18 +1,20 @@
 //! Small cases with a fault at every moment of them.
 
-use crate::random_faults::{end_faults, power_off_all, read_back, wipe};
+use crate::random_faults::wipe;
+use crate::recovery::{end_faults, power_off_all, read_back};
 use crate::world::World;
 use quillmount_test_support::simulation::{MILLI, SECOND, Simulation};
 
-/// A world in which jobs are at work, always the same.
-fn busy(stores: u32) -> World {
+/// A world in which clients submit and read, always the same.
+fn busy_world(stores: u32) -> World {
     let mut world = World::new(stores, 1, 5);
     world.run(2 * SECOND);
     assert!(world.is_healed());
     world
 }
 
-fn settle(world: &mut World) {
+/// Waits until the shard has recovered, and reads all that was acknowledged.
+fn recover_and_read_back(world: &mut World) {
     world.run(SECOND);
     end_faults(world);
     read_back(world);
@@ -22,10 +24,10 @@
 #[test]
 fn a_loss_of_power_at_every_moment_of_a_busy_span() {
     for moment in 0..200 {
-        let mut world = busy(3);
+        let mut world = busy_world(3);
         world.run(moment * MILLI);
         power_off_all(&mut world, 300 * MILLI);
-        settle(&mut world);
+        recover_and_read_back(&mut world);
     }
 }
 
@@ -34,7 +36,7 @@
 fn a_second_loss_at_every_moment_of_a_repair() {
     for moment in 0..120 {
         for second in 0..3 {
-            let mut world = busy(4);
+            let mut world = busy_world(4);
             let primary = world.primary().unwrap();
             wipe(&mut world, primary);
             world.run(moment * 20 * MILLI);
@@ -42,7 +44,7 @@
             let victim = names[second];
             world.kill(victim, true);
             world.restart_after(victim, 900 * MILLI);
-            settle(&mut world);
+            recover_and_read_back(&mut world);
         }
     }
 }
@@ -51,13 +53,13 @@
 #[test]
 fn a_restart_within_the_lease_at_every_moment() {
     for moment in 0..100 {
-        let mut world = busy(3);
+        let mut world = busy_world(3);
         world.run(moment * 2 * MILLI);
         let primary = world.primary().unwrap();
         world.kill(primary, true);
         world.restart_after(primary, 40 * MILLI);
         world.run(400 * MILLI);
         power_off_all(&mut world, 300 * MILLI);
-        settle(&mut world);
+        recover_and_read_back(&mut world);
     }
 }
--- a/tier/batch/tests/cluster/main.rs
+++ b/tier/batch/tests/cluster/main.rs
@@ -5,14 +5,18 @@
 mod audit;
 mod clients;
 mod core;
+mod core_faults;
 mod digest;
 mod events;
 mod exploration;
+mod jobs;
 mod leases;
 mod planning;
 mod random_faults;
+mod recovery;
 mod scenarios;
 mod steps;
+mod store;
 mod world;
 
 use quillmount_test_support::seeds;
--- a/tier/batch/tests/cluster/planning.rs
+++ b/tier/batch/tests/cluster/planning.rs
@@ -2,15 +2,17 @@
 
 use crate::core::{Core, Poll};
 use crate::events::Event;
-use crate::world::{Store, World};
-use quillmount_batch::{Micros, ShardJobs};
+use crate::store::Store;
+use crate::world::World;
+use quillmount_batch::ShardJobs;
 use quillmount_control::Retirement;
-use quillmount_test_support::simulation::{MILLI, Simulation};
+use quillmount_test_support::simulation::{MILLI, Simulation, Time};
 use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, ShardReport};
 
 /// How often the clocks of core members are advanced.
-const CORE_TICK_INTERVAL: Micros = 25 * MILLI;
+const CORE_TICK_INTERVAL: Time = 25 * MILLI;
 
+/// What a store says of itself in its polls.
 fn store_node(name: u32, disk: DiskId) -> NodeInfo {
     NodeInfo {
         name: format!("store-{name}"),
@@ -23,7 +25,7 @@
 }
 
 impl World {
-    /// Advances the core, and brings the views that it publishes to the stores that poll.
+    /// Advances the core, and sends the views that it publishes to the stores.
     pub fn run_core(&mut self) {
         let Some(mut core) = self.core.take() else { return };
         if self.is_due_every(CORE_TICK_INTERVAL) {
@@ -58,7 +60,7 @@
         if !serving.is_empty()
             && self.stores.get(&from).is_some_and(|store| store.disk == disk && !store.removed)
         {
-            let primary = serving[self.random.below(serving.len() as u64) as usize];
+            let primary = serving[self.random.index(serving.len())];
             let poll = Poll { node: store_node(from, disk), reports };
             core.poll(primary, poll, self.now(), &mut self.random);
             self.publish_view(&core, primary, Some(from));
@@ -66,7 +68,7 @@
         self.core = Some(core);
     }
 
-    /// The core: admits stores, plans the views, and brings them to the stores.
+    /// Plans the views at the core, or at the one authority, which then sends its view to the stores.
     pub fn plan(&mut self) {
         let now = self.now();
         if let Some(core) = &mut self.core {
@@ -95,6 +97,7 @@
         }
     }
 
+    /// Removes a store that was retired and is empty now, if there is one.
     fn remove_emptied(&mut self) -> Option<u32> {
         let emptied = |name: &&u32| {
             let store = &self.stores[*name];
@@ -109,6 +112,7 @@
         Some(name)
     }
 
+    /// Replaces the disk of a member by an empty one, once.
     fn wipe_any_member(&mut self) {
         let members = self.view().map(|view| view.in_sync.clone()).unwrap_or_default();
         let present = |store: &&Store| members.contains(&store.disk) && !store.removed;
@@ -118,6 +122,7 @@
         self.add_store(name);
     }
 
+    /// Admits a store by its poll, where there is no core.
     pub fn admit(&mut self, name: u32, disk: DiskId) {
         if self.stores.get(&name).is_some_and(|store| store.disk == disk && !store.removed) {
             self.control.admit_store(&store_node(name, disk));
--- a/tier/batch/tests/cluster/random_faults.rs
+++ b/tier/batch/tests/cluster/random_faults.rs
@@ -1,20 +1,16 @@
 //! Runs with mixed faults, drawn by seed.
 
+use crate::core_faults::inject_core_fault;
+use crate::recovery::{end_faults, final_power_loss};
 use crate::world::World;
-use quillmount_batch::Micros;
 use quillmount_test_support::digest::Counts;
 use quillmount_test_support::network::CutDirections;
-use quillmount_test_support::simulation::{MILLI, SECOND, Simulation};
+use quillmount_test_support::simulation::{MILLI, SECOND, Simulation, Time};
 
 /// Number of faults of a run.
 const FAULTS: usize = 14;
 /// Percentage of faults that affect the core, if there is one.
 const CORE_FAULTS: u64 = 40;
-/// How long the shard may take to recover once all faults have ended.
-const RECOVERY_LIMIT: Micros = 30 * SECOND;
-/// How often it is checked whether the shard has recovered.
-const RECOVERY_CHECK_INTERVAL: Micros = 250 * MILLI;
-
 /// What a run did.
 pub struct RunSummary {
     pub commits: usize,
@@ -38,6 +34,7 @@
     run_faults(World::with_core(2 * tolerated_failures as u64 + 1, stores, tolerated_failures, seed))
 }
 
+/// Runs a world through faults.
 fn run_faults(mut world: World) -> RunSummary {
     world.run(4 * SECOND);
     for _ in 0..FAULTS {
@@ -67,13 +64,15 @@
     RunSummary { commits: world.auditor.commits, reads: world.auditor.reads, counts }
 }
 
-fn any_store(world: &mut World) -> u32 {
+/// Draws a store that was not removed.
+pub fn any_store(world: &mut World) -> u32 {
     let names: Vec<u32> =
         world.stores.values().filter(|store| !store.removed).map(|store| store.name).collect();
     let index = world.random.index(names.len());
     names[index]
 }
 
+/// The primary, or any store.
 fn primary_or_any(world: &mut World) -> u32 {
     match world.primary() {
         Some(primary) if world.random.chance(60) => primary,
@@ -81,20 +80,22 @@
     }
 }
 
-fn span(world: &mut World, from: u64, below: u64) -> Micros {
+/// Draws a time of some milliseconds.
+pub fn draw_span(world: &mut World, from: u64, below: u64) -> Time {
     (from + world.random.below(below - from)) * MILLI
 }
 
+/// Injects a fault at a store or between stores.
 fn inject_fault(world: &mut World) {
     let store = primary_or_any(world);
     match world.random.below(13) {
         0 | 1 => {
-            let (down, power) = (span(world, 50, 2500), world.random.chance(50));
+            let (down, power) = (draw_span(world, 50, 2500), world.random.chance(50));
             world.kill(store, power);
             world.restart_after(store, down);
         }
         2 | 3 => {
-            let span = span(world, 100, 3500);
+            let span = draw_span(world, 100, 3500);
             let until = world.now() + span;
             world.stores.get_mut(&store).unwrap().process.freeze_until(until);
         }
@@ -108,12 +109,12 @@
             world.cut_from_core.clear();
         }
         8 => {
-            let span = span(world, 100, 1200);
+            let span = draw_span(world, 100, 1200);
             let until = world.now() + span;
             world.stores.get_mut(&store).unwrap().disk_fails_until = until;
         }
         9 => {
-            let span = span(world, 500, 3000);
+            let span = draw_span(world, 500, 3000);
             let until = world.now() + span;
             world.stores.get_mut(&store).unwrap().disk_slow_until = until;
         }
@@ -123,45 +124,13 @@
     }
 }
 
-/// A fault at the core: a member killed, all killed, one frozen, one or half cut off, or all cuts healed.
-fn inject_core_fault(world: &mut World) {
-    let now = world.now();
-    let (choice, down, draw) = (world.random.below(7), span(world, 50, 2500), world.random.below(1 << 20));
-    let Some(core) = &mut world.core else { return };
-    let disks: Vec<u64> = core.machines.keys().copied().collect();
-    let any = disks[draw as usize % disks.len()];
-    let one = core.serving(now).first().copied().filter(|_| draw % 2 == 0).unwrap_or(any);
-    match choice {
-        0 | 1 => {
-            core.kill(one);
-            core.restart_at(one, now + down);
-        }
-        2 => {
-            for disk in disks {
-                core.kill(disk);
-                core.restart_at(disk, now + down / 2 + disk * 10 * MILLI);
-            }
-        }
-        3 | 4 => {
-            core.machines.get_mut(&one).unwrap().process.freeze_until(now + down);
-        }
-        5 => {
-            let isolated: Vec<u64> =
-                if draw % 3 == 0 { disks[..disks.len() / 2].to_vec() } else { vec![one] };
-            let directions = CutDirections { inbound: draw % 5 > 0, outbound: true };
-            core.partitions.isolate(&isolated, &disks, directions);
-        }
-        _ => core.partitions.heal(),
-    }
-}
-
-/// Many processes end at the same moment.
+/// Kills many processes at the same moment.
 fn kill_many(world: &mut World) {
     let power = world.random.chance(50);
     let names: Vec<u32> = world.stores.keys().copied().collect();
     let spared = world.random.chance(30).then(|| any_store(world));
     for name in names.into_iter().filter(|name| Some(*name) != spared) {
-        let down = span(world, 50, 1500);
+        let down = draw_span(world, 50, 1500);
         world.kill(name, power);
         world.restart_after(name, down);
     }
@@ -196,68 +165,7 @@
     }
     world.kill(store, true);
     world.add_store(store);
-    let down = span(world, 100, 1500);
+    let down = draw_span(world, 100, 1500);
     let until = world.now() + down;
     world.stores.get_mut(&store).unwrap().process.freeze_until(until);
 }
-
-/// Takes the power of every store, for so long.
-pub fn power_off_all(world: &mut World, down: Micros) {
-    let names: Vec<u32> = world.stores.keys().copied().collect();
-    for name in names {
-        world.kill(name, true);
-        world.restart_after(name, down);
-    }
-}
-
-/// Ends all faults and waits until the shard is healthy.
-pub fn end_faults(world: &mut World) {
-    world.partitions.heal();
-    world.cut_from_core.clear();
-    if let Some(core) = &mut world.core {
-        core.partitions.heal();
-    }
-    let recovered = world.run_until(RECOVERY_CHECK_INTERVAL, RECOVERY_LIMIT, World::is_healed);
-    assert!(recovered, "STUCK: the shard has not recovered 30 s after the last fault: {:?}", world.view());
-}
-
-/// Everything loses power, at times with one disk; then all that was acknowledged is read.
-fn final_power_loss(world: &mut World) {
-    let lost = world.random.chance(50).then(|| any_store(world));
-    let names: Vec<u32> = world.stores.keys().copied().collect();
-    for name in names.into_iter().filter(|name| !world.stores[name].removed).collect::<Vec<_>>() {
-        world.kill(name, true);
-        if Some(name) == lost {
-            world.add_store(name);
-        } else {
-            let down = span(world, 100, 1500);
-            world.restart_after(name, down);
-        }
-    }
-    world.run(3 * SECOND);
-    end_faults(world);
-    read_back(world);
-}
-
-/// Reads all that was acknowledged, and compares the members.
-pub fn read_back(world: &mut World) {
-    world.busy = false;
-    world.run(SECOND);
-    let before = world.auditor.reads;
-    for _ in 0..10 {
-        world.read_all();
-        world.run(SECOND);
-        if world.auditor.reads >= before + world.auditor.acknowledged.len() {
-            return compare_members(world);
-        }
-    }
-    panic!("STUCK: what was acknowledged can't be read");
-}
-
-fn compare_members(world: &World) {
-    let Some(view) = world.view() else { return };
-    let members: Vec<_> = world.stores.values().filter(|store| view.in_sync.contains(&store.disk)).collect();
-    for pair in members.windows(2) {
-        world.auditor.members_agree(pair[0].replica.jobs(), pair[1].replica.jobs());
-    }
-}
--- a/tier/batch/tests/cluster/scenarios.rs
+++ b/tier/batch/tests/cluster/scenarios.rs
@@ -1,6 +1,7 @@
 //! Runs by name, each of which brings one of the operators' worst days about.
 
-use crate::random_faults::{end_faults, power_off_all, read_back, wipe};
+use crate::random_faults::wipe;
+use crate::recovery::{end_faults, power_off_all, read_back};
 use crate::world::World;
 use quillmount_test_support::network::CutDirections;
 use quillmount_test_support::simulation::{MILLI, SECOND, Simulation};
--- a/tier/batch/tests/cluster/steps.rs
+++ b/tier/batch/tests/cluster/steps.rs
@@ -1,6 +1,6 @@
 //! Single replicas taken through a few steps: what each has to wait for, and what it refuses.
 
-use crate::world::job;
+use crate::jobs::job;
 use quillmount_batch::{ShardAction, ShardReplica, ShardReplicaId, StoreRecord};
 use quillmount_wire::messages::{DiskId, Epoch, Response, ShardMessage, ShardOperation, ShardView};
 
--- a/tier/batch/tests/cluster/world.rs
+++ b/tier/batch/tests/cluster/world.rs
@@ -4,48 +4,19 @@
 use crate::audit::Auditor;
 use crate::clients::PendingCall;
 use crate::core::Core;
-use crate::events::{Caller, Event};
+use crate::events::Event;
 use crate::leases::StoreLeases;
-use quillmount_batch::{Micros, ShardJobs, ShardReplica, ShardReplicaId, StoreRecord};
+use crate::store::Store;
+use quillmount_batch::{ShardJobs, ShardReplicaId};
 use quillmount_control::ControlState;
 use quillmount_test_support::digest::Counts;
 use quillmount_test_support::network::Partitions;
-use quillmount_test_support::process::Process;
 use quillmount_test_support::random::Random;
-use quillmount_test_support::simulation::{SECOND, Simulation, Timeline};
-use quillmount_wire::messages::{DiskId, Item, Job, ShardView};
+use quillmount_test_support::simulation::{SECOND, Simulation, Time, Timeline};
+use quillmount_wire::messages::{DiskId, ShardView};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Items of a job.
-pub const ITEMS: u32 = 6;
-
-/// A store: its process and its disk.
-pub struct Store {
-    pub name: u32,
-    pub disk: DiskId,
-    pub process: Process,
-    /// Whether the store was retired and is gone for good.
-    pub removed: bool,
-    pub replica: ShardReplica,
-    /// Records on the disk, in the order of writing; the first `synced` of them survive a loss of power.
-    pub records: Vec<StoreRecord>,
-    pub synced: usize,
-    /// The jobs that the synced records give.
-    pub on_disk: ShardJobs,
-    /// Records that were released by compactions: positions are counted with them.
-    pub released: usize,
-    /// Number of records when the running rewrite started.
-    pub rewrite_from: Option<usize>,
-    pub disk_fails_until: Micros,
-    pub disk_slow_until: Micros,
-    /// Failed writes that the replica has not been notified of yet.
-    pub failing: usize,
-    pub last_sync: Micros,
-    pub last_poll: Micros,
-    /// Requests of other stores that the replica has not answered yet, by number.
-    pub requests: BTreeMap<u64, Caller>,
-}
-
+/// The stores of a shard, the network between them, the core, and the clients.
 pub struct World {
     pub timeline: Timeline<Event>,
     pub random: Random,
@@ -61,12 +32,13 @@
     pub leases: StoreLeases,
     pub tolerated_failures: usize,
     pub auditor: Auditor,
+    /// Calls of clients without an outcome, by the number of the operation or read.
     pub pending_calls: BTreeMap<u64, PendingCall>,
     next_id: u64,
     next_disk: DiskId,
-    /// Clients submit and read.
+    /// Whether clients submit and read.
     pub busy: bool,
-    /// A member loses its disk right after a store was emptied and removed.
+    /// Whether a member loses its disk right after a store was emptied and removed.
     pub wipe_behind_removal: bool,
     /// Durable contents of lost disks.
     pub lost_disks: Vec<ShardJobs>,
@@ -74,25 +46,8 @@
     pub counts: Counts,
 }
 
-pub fn job(id: &str) -> Job {
-    let item = |number: u32| Item {
-        id: format!("{id}-{number}"),
-        path: "/p".to_owned(),
-        headers: Vec::new(),
-        body: vec![number as u8; 8],
-        tokens: 1,
-    };
-    Job {
-        id: id.to_owned(),
-        tenant: "t".to_owned(),
-        route: "r".to_owned(),
-        host: "h".to_owned(),
-        path: "/p/".to_owned(),
-        items: (0..ITEMS).map(item).collect(),
-    }
-}
-
 impl World {
+    /// So many stores with empty disks, and one authority for the views.
     pub fn new(stores: u32, tolerated_failures: usize, seed: u64) -> World {
         let mut world = World {
             timeline: Timeline::new(SECOND),
@@ -124,6 +79,7 @@
         world
     }
 
+    /// The replica of the shard on this disk.
     fn identity(&self, disk: DiskId) -> ShardReplicaId {
         ShardReplicaId { disk, shard: 0, tolerated_failures: self.tolerated_failures }
     }
@@ -136,67 +92,42 @@
         if let Some(lost) = self.stores.remove(&name) {
             self.lost_disks.push(lost.on_disk);
         }
-        let store = Store {
-            name,
-            disk,
-            process: Process::running(incarnation),
-            removed: false,
-            replica: ShardReplica::new(self.identity(disk)),
-            records: Vec::new(),
-            synced: 0,
-            on_disk: ShardJobs::default(),
-            released: 0,
-            rewrite_from: None,
-            disk_fails_until: 0,
-            disk_slow_until: 0,
-            failing: 0,
-            last_sync: 0,
-            last_poll: 0,
-            requests: BTreeMap::new(),
-        };
+        let store = Store::with_empty_disk(name, self.identity(disk), incarnation);
         self.stores.insert(name, store);
     }
 
+    /// A new number for an operation, a read, a request or a job.
     pub fn allocate_id(&mut self) -> u64 {
         self.next_id += 1;
         self.next_id
     }
 
+    /// The view of the shard in force.
     pub fn view(&self) -> Option<&ShardView> {
         self.control.placement.shards.first()
     }
 
-    /// Ends a process; with `power` what was not synced may be lost.
+    /// Kills the process of a store; with `power` what was not synced may be lost.
     pub fn kill(&mut self, name: u32, power: bool) {
         let Some(store) = self.stores.get_mut(&name).filter(|store| store.process.is_up()) else { return };
-        store.process.kill();
-        store.requests.clear();
-        store.rewrite_from = None;
-        store.failing = 0;
-        let unsynced = store.records.len() - store.synced;
-        let surviving = if power { self.random.below(unsynced as u64 + 1) as usize } else { unsynced };
-        store.records.truncate(store.synced + surviving);
-        for record in &store.records[store.synced..] {
-            store.on_disk.recover(record.clone());
-        }
-        store.synced = store.records.len();
+        let unsynced = store.unsynced();
+        let surviving = if power { self.random.index(unsynced + 1) } else { unsynced };
+        store.kill(surviving);
     }
 
-    pub fn restart_after(&mut self, name: u32, down: Micros) {
+    /// Starts the process of a store after this time.
+    pub fn restart_after(&mut self, name: u32, down: Time) {
         self.schedule(self.now() + down, Event::Start { store: name });
     }
 
+    /// Starts the process of a store, unless it is up or removed.
     pub fn start(&mut self, name: u32) {
         let identity = self.identity(self.stores[&name].disk);
         let Some(store) = self.stores.get_mut(&name).filter(|store| !store.process.is_up() && !store.removed)
         else {
             return;
         };
-        store.process.start();
-        store.replica = ShardReplica::new(identity);
-        for record in &store.records {
-            store.replica.recover(record.clone());
-        }
+        store.start(identity);
     }
 
     /// Orders a store to be emptied; it is removed, with its disk, as soon as the core says that it is empty.
@@ -226,6 +157,7 @@
         }
     }
 
+    /// Whether the store exists, is up and is not frozen.
     pub fn is_running(&self, name: u32) -> bool {
         self.stores.get(&name).is_some_and(|store| store.process.is_running(self.now()))
     }
--- a/tier/control/tests/members/world.rs
+++ b/tier/control/tests/members/world.rs
@@ -2,40 +2,26 @@
 //!
 //! Messages, syncs and calls are events of a queue; a seed decides all delays and losses.
 
+mod events;
 mod operators;
 mod trace;
 
+use self::events::Event;
 use self::operators::Operator;
 use crate::history::{Answer, History};
-use quillmount_control::{ControlState, Member, MemberAction, RegisterWrite, Ticket};
+use quillmount_control::{ControlState, Member, MemberAction, Ticket};
 use quillmount_test_support::digest::Counts;
 use quillmount_test_support::network::{MESSAGE_DELAY, Partitions, REGISTER_SYNC_DELAY};
 use quillmount_test_support::process::Process;
 use quillmount_test_support::random::Random;
 use quillmount_test_support::simulation::{MILLI, SECOND, Simulation, Time, Timeline};
-use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, Register, RegisterMessage};
+use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, Register};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How often a member's clock is advanced.
-const TICK_INTERVAL: Time = 25 * MILLI;
-/// How often a machine that is not a member yet may be admitted.
-const ADMISSION_INTERVAL: Time = 50 * MILLI;
-/// How often operators look at their tasks.
-const OPERATOR_INTERVAL: Time = 10 * MILLI;
-
-/// What happens at a time.
-pub enum Event {
-    /// A message between members arrives.
-    Deliver { from: DiskId, to: DiskId, message: RegisterMessage },
-    /// A register is on the disk of a machine.
-    Synced { to: DiskId, incarnation: u64, write: RegisterWrite, register: Register },
-    /// The process of a machine starts.
-    Start { to: DiskId },
-    /// An operator's request arrives at a machine.
-    CallArrives { operator: usize, to: DiskId },
-    /// The answer to a call arrives at its operator.
-    AnswerArrives { operator: usize, call: usize, answer: Answer },
-}
+/// Percentage of messages between members that are up to 800 ms late.
+const LATE_MESSAGES: u64 = 1;
+/// Percentage of messages between members that are lost.
+const LOST_MESSAGES: u64 = 1;
 
 /// A call that waits for its ticket.
 struct WaitingCall {
@@ -46,15 +32,19 @@
     answer: Option<Answer>,
 }
 
+/// A core machine: its process and its disk.
 pub struct Machine {
+    /// Its number, which stays when its disk is replaced.
     pub name: u32,
     pub member: Member,
     /// What is synced.
     disk: Register,
     pub process: Process,
+    /// Calls that wait for their tickets.
     waiting: BTreeMap<Ticket, WaitingCall>,
 }
 
+/// The machines, the network between them, and the operators.
 pub struct World {
     timeline: Timeline<Event>,
     pub random: Random,
@@ -63,8 +53,9 @@
     operators: Vec<Operator>,
     pub history: History,
     pub tolerated_failures: usize,
+    /// The disk that was added last.
     last_disk: DiskId,
-    /// Tells configurations of the same version apart.
+    /// Distinguishes configurations of the same version.
     next_text: u64,
     /// Whether operators begin new tasks.
     pub busy: bool,
@@ -84,6 +75,7 @@
 }
 
 impl World {
+    /// A core of so many members in its first state, whose first member is the primary.
     pub fn new(members: u32, tolerated_failures: usize, operators: usize, seed: u64) -> World {
         let mut world = World {
             timeline: Timeline::new(SECOND),
@@ -111,7 +103,7 @@
         world
     }
 
-    /// A machine with an empty disk.
+    /// Adds a machine with an empty disk.
     pub fn add_machine(&mut self, name: u32) -> DiskId {
         self.last_disk += 1;
         let disk = self.last_disk;
@@ -127,12 +119,14 @@
         disk
     }
 
+    /// Kills the process of a machine; its waiting calls get no answer.
     pub fn kill(&mut self, disk: DiskId) {
         let machine = self.machines.get_mut(&disk).unwrap();
         machine.process.kill();
         machine.waiting.clear();
     }
 
+    /// Starts the process of a machine after this time.
     pub fn restart_after(&mut self, disk: DiskId, down: Time) {
         self.schedule(self.now() + down, Event::Start { to: disk });
     }
@@ -164,6 +158,7 @@
         }
     }
 
+    /// The machine that serves as primary in the highest epoch.
     pub fn primary(&self) -> Option<DiskId> {
         let serving = |(_, machine): &(&DiskId, &Machine)| {
             machine.process.is_up() && machine.member.serving().is_some()
@@ -196,48 +191,21 @@
         members == all && self.machines.values().all(healed)
     }
 
+    /// Whether the machine exists, is up and is not frozen.
     fn is_running(&self, disk: DiskId) -> bool {
         self.machines.get(&disk).is_some_and(|machine| machine.process.is_running(self.now()))
     }
 
-    fn tick(&mut self) {
-        let disks: Vec<DiskId> = self.machines.keys().copied().collect();
-        for disk in disks {
-            if self.is_running(disk) {
-                let now = self.now();
-                let actions = self.machines.get_mut(&disk).unwrap().member.tick(now);
-                self.perform(disk, actions);
-            }
-        }
-    }
-
-    fn complete_sync(&mut self, disk: DiskId, incarnation: u64, write: RegisterWrite, register: Register) {
-        let now = self.now();
-        let machine = self.machines.get_mut(&disk);
-        let Some(machine) = machine.filter(|machine| machine.process.incarnation() == incarnation) else {
-            return;
-        };
-        machine.disk = register;
-        let actions = machine.member.persisted(write, now);
-        self.perform(disk, actions);
-    }
-
-    fn start(&mut self, disk: DiskId) {
-        let (now, tolerated_failures) = (self.now(), self.tolerated_failures);
-        if let Some(machine) = self.machines.get_mut(&disk).filter(|machine| !machine.process.is_up()) {
-            machine.member = Member::new(disk, tolerated_failures, machine.disk.clone(), now);
-            machine.process.start();
-        }
-    }
-
+    /// Performs the actions of a member on the network, its disk and its calls.
     fn perform(&mut self, disk: DiskId, actions: Vec<MemberAction>) {
         for action in actions {
             self.count(disk, &action);
             match action {
                 MemberAction::Send { to, message } => {
                     let delay = MESSAGE_DELAY.draw(&mut self.random);
-                    let late = if self.random.chance(1) { self.random.below(800) * MILLI } else { 0 };
-                    if !self.random.chance(1) {
+                    let late =
+                        if self.random.chance(LATE_MESSAGES) { self.random.below(800) * MILLI } else { 0 };
+                    if !self.random.chance(LOST_MESSAGES) {
                         self.schedule(self.now() + delay + late, Event::Deliver { from: disk, to, message });
                     }
                 }
@@ -263,7 +231,7 @@
         }
     }
 
-    /// What is committed is on enough disks.
+    /// Checks that a committed state is on enough disks.
     fn audit_copies(&self, state: &ControlState) {
         let has_version = |machine: &&Machine| {
             let accepted = machine.disk.accepted.as_ref();
@@ -275,55 +243,3 @@
         assert!(copies >= self.tolerated_failures, "COPIES: {copies} of version {}", state.version);
     }
 }
-
-impl Simulation for World {
-    type Event = Event;
-
-    fn timeline(&self) -> &Timeline<Event> {
-        &self.timeline
-    }
-
-    fn timeline_mut(&mut self) -> &mut Timeline<Event> {
-        &mut self.timeline
-    }
-
-    fn handle_event(&mut self, event: Event) {
-        let to = match &event {
-            Event::Deliver { to, .. } | Event::Synced { to, .. } | Event::CallArrives { to, .. } => Some(*to),
-            Event::Start { .. } | Event::AnswerArrives { .. } => None,
-        };
-        if let Some(machine) = to.and_then(|to| self.machines.get(&to))
-            && let Some(at) = machine.process.resumes_at(self.now())
-        {
-            // What arrives at a frozen process waits for it.
-            return self.schedule(at, event);
-        }
-        let now = self.now();
-        match event {
-            Event::Deliver { from, to, message } => {
-                if self.is_running(to) && !self.partitions.is_cut(from, to) {
-                    let actions = self.machines.get_mut(&to).unwrap().member.receive(from, message, now);
-                    self.perform(to, actions);
-                }
-            }
-            Event::Synced { to, incarnation, write, register } => {
-                self.complete_sync(to, incarnation, write, register);
-            }
-            Event::Start { to } => self.start(to),
-            Event::CallArrives { operator, to } => self.receive_call(operator, to),
-            Event::AnswerArrives { operator, call, answer } => self.receive_answer(operator, call, answer),
-        }
-    }
-
-    fn after_step(&mut self) {
-        if self.is_due_every(TICK_INTERVAL) {
-            self.tick();
-        }
-        if self.is_due_every(ADMISSION_INTERVAL) {
-            self.admit();
-        }
-        if self.is_due_every(OPERATOR_INTERVAL) {
-            self.operate();
-        }
-    }
-}
--- a/tier/control/tests/members/world/operators.rs
+++ b/tier/control/tests/members/world/operators.rs
@@ -1,7 +1,8 @@
 //! Operators: they read the configuration and send orders to any core member, and send a request again until it has a
 //! clear answer.
 
-use super::{Event, WaitingCall, World};
+use super::events::Event;
+use super::{WaitingCall, World};
 use crate::history::{Answer, Call};
 use quillmount_control::{Order, OrderKind, OrderOutcome};
 use quillmount_test_support::network::DelayRange;
--- a/tier/replication/tests/cluster/world/step_faults.rs
+++ b/tier/replication/tests/cluster/world/step_faults.rs
@@ -1,6 +1,7 @@
 //! Faults at single steps: a message that is lost, late or repeated, a kill before or after a sync.
 
-use super::{Event, World};
+use super::World;
+use super::events::Event;
 use quillmount_test_support::simulation::{Simulation, Time};
 use quillmount_wire::messages::{DiskId, RegisterMessage};
 
