--- a/tier/replication/tests/cluster/world.rs
+++ b/tier/replication/tests/cluster/world.rs
@@ -1,66 +1,51 @@
 //! Clusters on virtual time. Clients add numbers to a set, which is the replicated value; an auditor checks that no
 //! acknowledged number is lost and that no confirmed read is stale.
 
+mod clients;
+mod events;
 mod step_faults;
 mod trace;
 
+pub use self::clients::encode;
 pub use self::step_faults::Fault;
+
+use self::clients::decode;
+use self::events::Event;
 use quillmount_replication::{ReadId, RegisterAction, RegisterReplica, Timing};
 use quillmount_test_support::digest::Counts;
-use quillmount_wire::messages::{DiskId, Register, RegisterMessage};
+use quillmount_test_support::network::{MESSAGE_DELAY, Partitions, REGISTER_SYNC_DELAY};
+use quillmount_test_support::process::Process;
+use quillmount_test_support::random::Random;
+use quillmount_test_support::simulation::{SECOND, Simulation, Timeline};
+use quillmount_wire::messages::{DiskId, Register};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Microseconds of virtual time.
-pub type Time = u64;
-pub const MILLI: Time = 1_000;
-pub const SECOND: Time = 1_000_000;
-
-/// A linear congruential generator, so that a seed always gives the same run.
-pub struct Random(pub u64);
-
-impl Random {
-    pub fn next(&mut self, below: u64) -> u64 {
-        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (self.0 >> 33) % below.max(1)
-    }
-}
-
-enum Event {
-    Deliver { from: DiskId, to: DiskId, message: RegisterMessage },
-    Synced { node: DiskId, incarnation: u64, register: Register, then: Vec<RegisterAction> },
-    Start { node: DiskId },
-}
-
+/// A node: its process and its disk.
 pub struct Node {
     pub replica: RegisterReplica,
     /// What is synced.
     disk: Register,
-    /// Rises with each kill, so that syncs of a killed process go nowhere.
-    incarnation: u64,
-    pub up: bool,
-    /// Until then the process handles nothing; messages wait.
-    pub frozen_until: Time,
+    pub process: Process,
     /// Pending reads: what had been acknowledged when each began.
     reads: BTreeMap<ReadId, BTreeSet<u32>>,
     /// What this node has committed as primary in its current epoch.
     pub committed: Option<BTreeSet<u32>>,
 }
 
+/// The nodes, the network between them, and what clients were promised.
 pub struct World {
-    pub now: Time,
+    timeline: Timeline<Event>,
     pub random: Random,
-    /// Number of the last event, which orders events of the same time.
-    last_event: u64,
-    events: BTreeMap<(Time, u64), Event>,
     pub nodes: BTreeMap<DiskId, Node>,
-    /// Links, from one node to another, on which messages are lost.
-    pub cuts: BTreeSet<(DiskId, DiskId)>,
+    pub partitions: Partitions<DiskId>,
     /// Every number that a primary has committed.
     pub acknowledged: BTreeSet<u32>,
     last_number: u32,
     last_read: ReadId,
     tolerated_failures: usize,
+    /// Number of confirmed reads.
     pub reads_confirmed: usize,
+    /// Faults at single steps.
     pub faults: Vec<Fault>,
     /// Messages between members that arrived so far.
     pub messages: usize,
@@ -70,27 +55,14 @@
     pub counts: Counts,
 }
 
-/// Encodes a set as the payload of a value.
-pub fn encode(numbers: &BTreeSet<u32>) -> Vec<u8> {
-    numbers.iter().flat_map(|number| number.to_le_bytes()).collect()
-}
-
-fn decode(payload: &[u8]) -> BTreeSet<u32> {
-    payload
-        .chunks_exact(4)
-        .map(|bytes| u32::from_le_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]))
-        .collect()
-}
-
 impl World {
+    /// A cluster with an empty set, whose first member is the primary.
     pub fn new(members: u64, tolerated_failures: usize, seed: u64) -> World {
         let mut world = World {
-            now: SECOND,
-            random: Random(seed),
-            last_event: 0,
-            events: BTreeMap::new(),
+            timeline: Timeline::new(SECOND),
+            random: Random::new(seed),
             nodes: BTreeMap::new(),
-            cuts: BTreeSet::new(),
+            partitions: Partitions::none(),
             acknowledged: BTreeSet::new(),
             last_number: 0,
             last_read: 0,
@@ -105,48 +77,43 @@
             world.add_node(disk, Register::default());
         }
         let all: Vec<DiskId> = (1..=members).collect();
-        let now = world.now;
+        let now = world.now();
         let actions = world.nodes.get_mut(&1).unwrap().replica.bootstrap(all, Vec::new(), now);
         world.perform(1, actions);
         world
     }
 
+    /// Adds a node with this register on its disk.
     pub fn add_node(&mut self, disk: DiskId, register: Register) {
         let replica = RegisterReplica::new(
             disk,
             self.tolerated_failures,
             register.clone(),
             Timing::default(),
-            self.now,
+            self.now(),
         );
         let node = Node {
             replica,
             disk: register,
-            incarnation: 1,
-            up: true,
-            frozen_until: 0,
+            process: Process::running(1),
             reads: BTreeMap::new(),
             committed: None,
         };
         self.nodes.insert(disk, node);
     }
 
-    fn schedule(&mut self, at: Time, event: Event) {
-        self.last_event += 1;
-        self.events.insert((at, self.last_event), event);
-    }
-
+    /// Performs the actions of a replica on the network, its disk and its clients.
     pub fn perform(&mut self, disk: DiskId, actions: Vec<RegisterAction>) {
         for action in actions {
             self.count(disk, &action);
             match action {
                 RegisterAction::Send { to, message } => {
-                    let delay = if to == disk { 0 } else { 500 + self.random.next(1500) };
-                    self.schedule(self.now + delay, Event::Deliver { from: disk, to, message });
+                    let delay = if to == disk { 0 } else { MESSAGE_DELAY.draw(&mut self.random) };
+                    self.schedule(self.now() + delay, Event::Deliver { from: disk, to, message });
                 }
                 RegisterAction::Persist { register, then } => {
-                    let incarnation = self.nodes[&disk].incarnation;
-                    let at = self.now + 300 + self.random.next(2000);
+                    let incarnation = self.nodes[&disk].process.incarnation();
+                    let at = self.now() + REGISTER_SYNC_DELAY.draw(&mut self.random);
                     self.schedule(at, Event::Synced { node: disk, incarnation, register, then });
                 }
                 RegisterAction::Committed { accepted } => {
@@ -162,162 +129,26 @@
         }
     }
 
-    /// A committed set has all that was acknowledged before. The last commit of a primary that was frozen may be
-    /// noticed late: then all of it is acknowledged already.
-    fn on_committed(&mut self, disk: DiskId, numbers: BTreeSet<u32>) {
-        assert!(
-            self.acknowledged.is_subset(&numbers) || numbers.is_subset(&self.acknowledged),
-            "acknowledged and lost: {:?}",
-            self.acknowledged.difference(&numbers).collect::<Vec<_>>()
-        );
-        self.acknowledged.extend(&numbers);
-        self.nodes.get_mut(&disk).unwrap().committed = Some(numbers);
-    }
-
-    /// A confirmed read shows all that was acknowledged before it began.
-    fn on_read_confirmed(&mut self, disk: DiskId, read: ReadId) {
-        let node = self.nodes.get_mut(&disk).unwrap();
-        let before = node.reads.remove(&read).expect("a pending read");
-        let shown = node.committed.clone().expect("a primary that reads has committed");
-        assert!(before.is_subset(&shown), "a confirmed read is older than what was acknowledged before it");
-        self.reads_confirmed += 1;
-    }
-
-    fn step(&mut self) {
-        let due = self.now + MILLI;
-        while let Some((&key, _)) = self.events.first_key_value()
-            && key.0 <= due
-        {
-            let event = self.events.remove(&key).unwrap();
-            self.now = self.now.max(key.0);
-            self.handle_event(event);
-        }
-        self.now = due;
-        let disks: Vec<DiskId> = self.nodes.keys().copied().collect();
-        for disk in disks {
-            let now = self.now;
-            let node = self.nodes.get_mut(&disk).unwrap();
-            if node.up && node.frozen_until <= now && now.is_multiple_of(25 * MILLI) {
-                let actions = node.replica.tick(now);
-                self.perform(disk, actions);
-            }
-        }
-    }
-
-    fn handle_event(&mut self, event: Event) {
-        match event {
-            Event::Deliver { from, to, message } => self.deliver(from, to, message),
-            Event::Synced { node, incarnation, register, then } => {
-                self.complete_sync(node, incarnation, register, then);
-            }
-            Event::Start { node } => self.start(node),
-        }
-    }
-
-    fn deliver(&mut self, from: DiskId, to: DiskId, message: RegisterMessage) {
-        if from != to && self.cuts.contains(&(from, to)) {
-            return;
-        }
-        if from != to && self.message_fails(from, to, &message) {
-            return;
-        }
-        let now = self.now;
-        let Some(node) = self.nodes.get_mut(&to) else { return };
-        if !node.up {
-            return;
-        }
-        if node.frozen_until > now {
-            // What arrives at a frozen process waits for it.
-            let at = node.frozen_until;
-            self.schedule(at, Event::Deliver { from, to, message });
-            return;
-        }
-        let actions = node.replica.receive(from, message, now);
-        self.perform(to, actions);
-    }
-
-    fn complete_sync(
-        &mut self,
-        disk: DiskId,
-        incarnation: u64,
-        register: Register,
-        then: Vec<RegisterAction>,
-    ) {
-        let Some(node) = self.nodes.get_mut(&disk) else { return };
-        if !node.up || node.incarnation != incarnation {
-            return;
-        }
-        let sync = self.syncs;
-        self.syncs += 1;
-        if let Some(down) = self.killed_before_sync(sync) {
-            return self.restart_later(disk, down);
-        }
-        self.nodes.get_mut(&disk).unwrap().disk = register;
-        if let Some(down) = self.killed_after_sync(sync) {
-            return self.restart_later(disk, down);
-        }
-        self.perform(disk, then);
-    }
-
-    fn restart_later(&mut self, disk: DiskId, down: Time) {
-        self.kill(disk);
-        self.schedule(self.now + down, Event::Start { node: disk });
-    }
-
+    /// Kills the process of a node.
     pub fn kill(&mut self, disk: DiskId) {
         let node = self.nodes.get_mut(&disk).unwrap();
-        node.up = false;
-        node.incarnation += 1;
+        node.process.kill();
         node.committed = None;
         node.reads.clear();
     }
 
+    /// Starts the process of a node from its disk.
     pub fn start(&mut self, disk: DiskId) {
-        let (now, tolerated_failures) = (self.now, self.tolerated_failures);
+        let (now, tolerated_failures) = (self.now(), self.tolerated_failures);
         let node = self.nodes.get_mut(&disk).unwrap();
         node.replica =
             RegisterReplica::new(disk, tolerated_failures, node.disk.clone(), Timing::default(), now);
-        node.up = true;
-    }
-
-    /// Requests of clients: a change or a read at each node that serves as primary.
-    fn serve_clients(&mut self) {
-        let now = self.now;
-        let disks: Vec<DiskId> = self.nodes.keys().copied().collect();
-        for disk in disks {
-            let acknowledged = self.acknowledged.clone();
-            let node = self.nodes.get_mut(&disk).unwrap();
-            if !node.up || node.frozen_until > now || node.committed.is_none() {
-                continue;
-            }
-            if node.replica.can_propose() && self.random.next(2) == 0 {
-                let mut numbers = node.committed.clone().unwrap();
-                self.last_number += 1;
-                numbers.insert(self.last_number);
-                let members = node.replica.members().to_vec();
-                let actions = node.replica.propose(members, encode(&numbers), now);
-                self.perform(disk, actions);
-            } else {
-                self.last_read += 1;
-                node.reads.insert(self.last_read, acknowledged);
-                let actions = node.replica.confirm_read(self.last_read, now);
-                self.perform(disk, actions);
-            }
-        }
-    }
-
-    pub fn run(&mut self, span: Time) {
-        let end = self.now + span;
-        while self.now < end {
-            if self.now.is_multiple_of(20 * MILLI) {
-                self.serve_clients();
-            }
-            self.step();
-        }
+        node.process.start();
     }
 
+    /// The first node that serves as primary.
     pub fn primary(&self) -> Option<DiskId> {
-        let serving = |(_, node): &(&DiskId, &Node)| node.up && node.committed.is_some();
+        let serving = |(_, node): &(&DiskId, &Node)| node.process.is_up() && node.committed.is_some();
         self.nodes.iter().filter(serving).map(|(disk, _)| *disk).next()
     }
 }
