--- a/tier/batch/tests/cluster/core.rs
+++ b/tier/batch/tests/cluster/core.rs
@@ -207,8 +207,8 @@
         change: impl FnOnce(&mut ControlState),
     ) {
         let begun = self.machines.get_mut(&disk).unwrap().member.change(change, now);
-        if let Ok((_, _, actions)) = begun {
-            self.perform(disk, actions, now, random);
+        if let Ok(submitted) = begun {
+            self.perform(disk, submitted.actions, now, random);
         }
     }
 
--- a/tier/control/src/member.rs
+++ b/tier/control/src/member.rs
@@ -16,12 +16,12 @@
 use self::pending::PendingWork;
 use crate::breaks::{self, Break};
 use crate::state::ControlState;
-use quillmount_replication::{Micros, RegisterAction, RegisterReplica, Timing};
+use quillmount_replication::{Micros, ReadId, RegisterAction, RegisterReplica, Timing};
 use quillmount_wire::messages::{Accepted, DiskId, Epoch, Register, RegisterMessage};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-pub use self::action::{MemberAction, RegisterWrite, Ticket};
+pub use self::action::{MemberAction, RegisterWrite, SubmittedChange, SubmittedRead, Ticket};
 
 /// A core member that did not answer for this time may be replaced by another machine, microseconds.
 const REPLACEABLE_AFTER: Micros = 2_000_000;
@@ -150,19 +150,19 @@
 
     /// Applies a change to the control state.
     ///
-    /// Returns the outcome of `change`, a ticket and the actions to carry out. The outcome is valid only once
-    /// [`MemberAction::Confirmed`] is returned for the ticket, by this call or a later one. A change that alters
-    /// nothing is confirmed as well, once the state that it saw is known to be the newest.
+    /// The outcome of `change` is valid only once [`MemberAction::Confirmed`] is returned for the ticket, by this call
+    /// or a later one. A change that alters nothing is confirmed as well, once the state that it saw is known to be
+    /// the newest.
     pub fn change<T>(
         &mut self,
         change: impl FnOnce(&mut ControlState) -> T,
         now: Micros,
-    ) -> Result<(T, Ticket, Vec<MemberAction>), NotPrimary> {
+    ) -> Result<SubmittedChange<T>, NotPrimary> {
         if self.serving().is_none() {
             return Err(NotPrimary);
         }
         let outcome = self.work.apply(change);
-        let ticket = self.allocate_id();
+        let ticket = Ticket(self.allocate_id());
         if self.work.has_uncommitted_changes() {
             self.work.await_commit(ticket);
             self.propose(now);
@@ -171,20 +171,20 @@
             // only if a majority confirms that this member still is primary.
             self.read(ticket, now);
         }
-        Ok((outcome, ticket, self.take_actions()))
+        Ok(SubmittedChange { outcome, ticket, actions: self.take_actions() })
     }
 
     /// Begins a linearizable read: asks a majority whether this member still is primary.
     ///
     /// Once [`MemberAction::Confirmed`] is returned for the ticket, [`Member::committed`] is at least as new as
     /// any state that was committed when the read began.
-    pub fn confirm(&mut self, now: Micros) -> Result<(Ticket, Vec<MemberAction>), NotPrimary> {
+    pub fn confirm(&mut self, now: Micros) -> Result<SubmittedRead, NotPrimary> {
         if self.serving().is_none() {
             return Err(NotPrimary);
         }
-        let ticket = self.allocate_id();
+        let ticket = Ticket(self.allocate_id());
         self.read(ticket, now);
-        Ok((ticket, self.take_actions()))
+        Ok(SubmittedRead { ticket, actions: self.take_actions() })
     }
 
     fn read(&mut self, ticket: Ticket, now: Micros) {
@@ -193,7 +193,7 @@
             return;
         }
         self.work.await_read(ticket);
-        let actions = self.replica.confirm_read(ticket, now);
+        let actions = self.replica.confirm_read(ticket.0, now);
         self.perform(actions, now);
     }
 
@@ -244,7 +244,7 @@
         then: Vec<RegisterAction>,
         queue: &mut VecDeque<RegisterAction>,
     ) {
-        let write = self.allocate_id();
+        let write = RegisterWrite(self.allocate_id());
         if breaks::on(Break::AnsweredBeforeSync) {
             queue.extend(then);
         } else {
@@ -278,7 +278,9 @@
         self.actions.push(MemberAction::SteppedDown);
     }
 
-    fn on_read_confirmed(&mut self, ticket: Ticket) {
+    /// The replica identifies a read by the number of its ticket.
+    fn on_read_confirmed(&mut self, read: ReadId) {
+        let ticket = Ticket(read);
         if self.work.finish_read(ticket) {
             self.actions.push(MemberAction::Confirmed { ticket });
         }
--- a/tier/control/src/member/action.rs
+++ b/tier/control/src/member/action.rs
@@ -3,9 +3,40 @@
 use quillmount_wire::messages::{DiskId, Epoch, Register, RegisterMessage};
 
 /// Identifies a change or a read that waits for its confirmation; unique per member and process.
-pub type Ticket = u64;
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct Ticket(pub(super) u64);
+
+impl Ticket {
+    /// The number of the ticket; tickets and writes of a member are numbered in one sequence.
+    #[must_use]
+    pub fn number(self) -> u64 {
+        self.0
+    }
+}
+
 /// Identifies a write of the register to the disk; unique per member and process.
-pub type RegisterWrite = u64;
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct RegisterWrite(pub(super) u64);
+
+/// A change that was applied to a primary's working copy of the state and is not confirmed yet.
+#[derive(Debug)]
+pub struct SubmittedChange<T> {
+    /// What the change returned. It is valid only once [`MemberAction::Confirmed`] is returned for the ticket.
+    pub outcome: T,
+    /// Identifies the change.
+    pub ticket: Ticket,
+    /// To be carried out now; the confirmation may be among them.
+    pub actions: Vec<MemberAction>,
+}
+
+/// A linearizable read that has begun and is not confirmed yet.
+#[derive(Debug)]
+pub struct SubmittedRead {
+    /// Identifies the read.
+    pub ticket: Ticket,
+    /// To be carried out now; the confirmation may be among them.
+    pub actions: Vec<MemberAction>,
+}
 
 /// What the caller has to do or know, in this order.
 #[derive(Clone, Debug, PartialEq)]
--- a/tier/control/tests/members/world.rs
+++ b/tier/control/tests/members/world.rs
@@ -178,8 +178,8 @@
         let now = self.now;
         let member = &mut self.machines.get_mut(&primary).unwrap().member;
         let silent = member.silent_members(now);
-        if let Ok((_, _, actions)) = member.change(|state| state.admit_core_member(&node, &silent), now) {
-            self.perform(primary, actions);
+        if let Ok(admission) = member.change(|state| state.admit_core_member(&node, &silent), now) {
+            self.perform(primary, admission.actions);
         }
     }
 
--- a/tier/control/tests/members/world/operators.rs
+++ b/tier/control/tests/members/world/operators.rs
@@ -3,7 +3,7 @@
 
 use super::{Event, MILLI, SECOND, Time, WaitingCall, World};
 use crate::history::{Answer, Call};
-use quillmount_control::{Order, OrderKind, OrderOutcome};
+use quillmount_control::{Order, OrderKind, OrderOutcome, Ticket};
 use quillmount_wire::messages::DiskId;
 
 /// How long an operator waits for an answer before it sends the request again.
@@ -122,10 +122,10 @@
         self.operators[operator].call = call;
         let member = &mut self.machines.get_mut(&to).unwrap().member;
         let begun = match order {
-            None => member.confirm(now).map(|(ticket, actions)| (ticket, actions, None)),
+            None => member.confirm(now).map(|read| (read.ticket, read.actions, None)),
             Some(order) => member
                 .change(|state| state.apply_order(&order), now)
-                .map(|(outcome, ticket, actions)| (ticket, actions, Some(answer_of(outcome)))),
+                .map(|change| (change.ticket, change.actions, Some(answer_of(change.outcome)))),
         };
         match begun {
             Ok((ticket, actions, answer)) => {
@@ -138,7 +138,7 @@
     }
 
     /// Answers the call that waits for this ticket, if there is one.
-    pub(super) fn confirmed(&mut self, disk: DiskId, ticket: u64) {
+    pub(super) fn confirmed(&mut self, disk: DiskId, ticket: Ticket) {
         let machine = self.machines.get_mut(&disk).unwrap();
         let Some(WaitingCall { operator, call, answer }) = machine.waiting.remove(&ticket) else { return };
         let answer = answer.unwrap_or_else(|| match machine.member.committed() {
--- a/tier/control/tests/members/world/trace.rs
+++ b/tier/control/tests/members/world/trace.rs
@@ -28,8 +28,12 @@
                 let payload = register.accepted.as_ref().map_or(0, |accepted| accepted.value.payload.len());
                 self.counts.count("writes", &[now, disk, payload as u64]);
             }
-            MemberAction::Confirmed { ticket } => self.counts.count("confirmed", &[now, disk, *ticket]),
-            MemberAction::Uncertain { ticket } => self.counts.count("uncertain", &[now, disk, *ticket]),
+            MemberAction::Confirmed { ticket } => {
+                self.counts.count("confirmed", &[now, disk, ticket.number()])
+            }
+            MemberAction::Uncertain { ticket } => {
+                self.counts.count("uncertain", &[now, disk, ticket.number()])
+            }
             MemberAction::Elected { epoch } => self.counts.count("elections", &[now, disk, *epoch]),
             MemberAction::SteppedDown => self.counts.count("step_downs", &[now, disk]),
             MemberAction::StateChanged => {
--- a/tier/node/src/control_member/member.rs
+++ b/tier/node/src/control_member/member.rs
@@ -8,7 +8,10 @@
 use crate::clock;
 use crate::disk::{AppendError, DiskWriter};
 use crate::node::Node;
-use quillmount_control::{ControlState, Directory, Member, MemberAction, NotPrimary, RegisterWrite, Ticket};
+use quillmount_control::{
+    ControlState, Directory, Member, MemberAction, NotPrimary, RegisterWrite, SubmittedChange, SubmittedRead,
+    Ticket,
+};
 use quillmount_storage::{RingRecord, RingSize, StorageError};
 use quillmount_wire::messages::{DiskId, Epoch, Register, RegisterMessage, Request, decode, encode};
 use std::cell::RefCell;
@@ -150,15 +153,16 @@
     /// Changes the control state as primary. Returns once the change, and everything that its outcome depends on, is
     /// committed.
     pub async fn change<T>(&self, change: impl FnOnce(&mut ControlState) -> T) -> Result<T, ChangeError> {
-        let begun = self.member.borrow_mut().change(change, clock::micros());
-        let (outcome, ticket, actions) = begun.map_err(|NotPrimary| ChangeError::NotPrimary)?;
+        let submitted = self.member.borrow_mut().change(change, clock::micros());
+        let SubmittedChange { outcome, ticket, actions } =
+            submitted.map_err(|NotPrimary| ChangeError::NotPrimary)?;
         if self.wait_for(ticket, actions).await { Ok(outcome) } else { Err(ChangeError::Uncertain) }
     }
 
     /// Confirms with a majority that this member is still primary, and so that its committed state is the newest.
     pub async fn confirm(&self) -> Result<(), NotPrimary> {
-        let begun = self.member.borrow_mut().confirm(clock::micros());
-        let (ticket, actions) = begun?;
+        let submitted = self.member.borrow_mut().confirm(clock::micros());
+        let SubmittedRead { ticket, actions } = submitted?;
         if self.wait_for(ticket, actions).await { Ok(()) } else { Err(NotPrimary) }
     }
 
