--- a/tier/batch/src/action.rs
+++ b/tier/batch/src/action.rs
@@ -1,7 +1,8 @@
 //! What a replica wants done; the caller performs the actions in the order in which they are returned.
 
-use crate::ids::{CallId, Micros, OperationId, ReadId, RequestId, WriteId};
+use crate::ids::{CallId, OperationId, ReadId, RequestId, WriteId};
 use crate::record::StoreRecord;
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{DiskId, Epoch, Response, ShardMessage, ShardOperation};
 
 /// An action for the caller of a [`ShardReplica`](crate::ShardReplica).
--- a/tier/batch/src/ids.rs
+++ b/tier/batch/src/ids.rs
@@ -2,8 +2,6 @@
 
 use quillmount_wire::messages::DiskId;
 
-/// Microseconds of a steady clock.
-pub type Micros = u64;
 /// Number of a call that a replica makes, given by the replica.
 pub type CallId = u64;
 /// Number of a call received from another store, or of a requested rewrite, given by the caller.
--- a/tier/batch/src/lib.rs
+++ b/tier/batch/src/lib.rs
@@ -17,7 +17,7 @@
 
 pub use action::ShardAction;
 pub use digests::{BUCKETS, bucket_of, different_buckets};
-pub use ids::{CallId, Micros, OperationId, ReadId, RequestId, ShardReplicaId, WriteId};
+pub use ids::{CallId, OperationId, ReadId, RequestId, ShardReplicaId, WriteId};
 pub use job::JobEntry;
 pub use quota::{ClaimOutcome, PendingClaims, QuotaLedger};
 pub use record::StoreRecord;
--- a/tier/batch/src/replica.rs
+++ b/tier/batch/src/replica.rs
@@ -24,8 +24,9 @@
 
 use crate::action::ShardAction;
 use crate::breaks::{self, Break};
-use crate::ids::{CallId, Micros, OperationId, ReadId, RequestId, WriteId};
+use crate::ids::{CallId, OperationId, ReadId, RequestId, WriteId};
 use primary::{CallPurpose, PendingRead, QueuedOperation};
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{Epoch, Response, ShardMessage, ShardOperation, ShardView};
 use writes::WritePurpose;
 
--- a/tier/batch/src/replica/member_calls.rs
+++ b/tier/batch/src/replica/member_calls.rs
@@ -3,7 +3,7 @@
 use super::primary::CallPurpose;
 use super::state::ShardReplica;
 use crate::action::ShardAction;
-use crate::ids::Micros;
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{DiskId, ShardMessage};
 
 /// Delay before a failed attempt is retried, microseconds.
--- a/tier/batch/src/replica/primary.rs
+++ b/tier/batch/src/replica/primary.rs
@@ -1,8 +1,9 @@
 //! The data of a primary: its group, and the repairs, batch and reads in flight.
 
-use crate::ids::{CallId, Micros, OperationId, ReadId, WriteId};
+use crate::ids::{CallId, OperationId, ReadId, WriteId};
 use crate::job::ITEM_OVERHEAD_BYTES;
 use quillmount_replication::ReplicaGroup;
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{DiskId, Epoch, ShardOperation};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/tier/batch/src/replica/reads.rs
+++ b/tier/batch/src/replica/reads.rs
@@ -5,7 +5,7 @@
 use super::primary::{CallPurpose, PendingRead, ReadRound};
 use super::state::ShardReplica;
 use crate::action::ShardAction;
-use crate::ids::Micros;
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{DiskId, Response, ShardMessage};
 
 impl ShardReplica {
--- a/tier/batch/src/replica/repair.rs
+++ b/tier/batch/src/replica/repair.rs
@@ -7,7 +7,7 @@
 use super::state::ShardReplica;
 use crate::action::ShardAction;
 use crate::breaks::{self, Break};
-use crate::ids::Micros;
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{DiskId, JobState, Response, ShardMessage};
 use std::collections::VecDeque;
 
--- a/tier/batch/src/replica/replication.rs
+++ b/tier/batch/src/replica/replication.rs
@@ -7,8 +7,9 @@
 use super::writes::WritePurpose;
 use crate::action::ShardAction;
 use crate::breaks::{self, Break};
-use crate::ids::{Micros, WriteId};
+use crate::ids::WriteId;
 use crate::record::StoreRecord;
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{DiskId, Response, ShardMessage, ShardOperation};
 use std::collections::BTreeSet;
 
--- a/tier/batch/tests/cluster/core.rs
+++ b/tier/batch/tests/cluster/core.rs
@@ -3,8 +3,8 @@
 
 use crate::random::Random;
 use crate::world::MILLI;
-use quillmount_batch::Micros;
 use quillmount_control::{ControlState, Member, MemberAction, RegisterWrite, ShardPlanInputs};
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, Register, RegisterMessage, ShardReport};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/tier/batch/tests/cluster/random_faults.rs
+++ b/tier/batch/tests/cluster/random_faults.rs
@@ -1,8 +1,8 @@
 //! Days of mixed faults, drawn by seed.
 
 use crate::world::{MILLI, SECOND, World};
-use quillmount_batch::Micros;
 use quillmount_test_support::digest::Counts;
+use quillmount_wire::Micros;
 
 /// What a day did.
 pub struct RunSummary {
--- a/tier/batch/tests/cluster/world.rs
+++ b/tier/batch/tests/cluster/world.rs
@@ -6,9 +6,10 @@
 use crate::core::{Core, Poll};
 use crate::events::Event;
 use crate::random::Random;
-use quillmount_batch::{Micros, ShardJobs, ShardReplica, ShardReplicaId, StoreRecord};
+use quillmount_batch::{ShardJobs, ShardReplica, ShardReplicaId, StoreRecord};
 use quillmount_control::{ControlState, Retirement, ShardPlanInputs};
 use quillmount_test_support::digest::Counts;
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{DiskId, Item, Job, NodeInfo, NodeRole, ShardReport, ShardView};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/tier/control/src/contacts.rs
+++ b/tier/control/src/contacts.rs
@@ -3,7 +3,7 @@
 //! The caller polls the address that [`Contacts::next_address`] gives, reports each one that did not answer with
 //! [`Contacts::record_failure`], and follows a member's hint to the primary only if [`Contacts::may_follow`] allows.
 
-use quillmount_replication::Micros;
+use quillmount_wire::Micros;
 use std::collections::HashMap;
 
 /// An address that did not answer is skipped for this time, as long as there are others; microseconds.
--- a/tier/control/src/member/pending.rs
+++ b/tier/control/src/member/pending.rs
@@ -5,7 +5,7 @@
 
 use super::action::Ticket;
 use crate::state::ControlState;
-use quillmount_replication::Micros;
+use quillmount_wire::Micros;
 use quillmount_wire::messages::DiskId;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/tier/control/src/scaling.rs
+++ b/tier/control/src/scaling.rs
@@ -2,7 +2,7 @@
 //!
 //! The caller samples the demand of a service at intervals and orders the number that [`Scaler::desired`] returns.
 
-use quillmount_replication::Micros;
+use quillmount_wire::Micros;
 use quillmount_wire::configuration::Autoscale;
 use std::collections::VecDeque;
 
--- a/tier/control/src/usage.rs
+++ b/tier/control/src/usage.rs
@@ -4,7 +4,7 @@
 //! control state before they are sent ([`ControlState::finalize_usage`]), so that a retry sends the same counts.
 
 use crate::state::ControlState;
-use quillmount_replication::Micros;
+use quillmount_wire::Micros;
 use quillmount_wire::messages::UsageWindow;
 use std::collections::BTreeMap;
 
--- a/tier/dataplane/src/batch_share/capacity.rs
+++ b/tier/dataplane/src/batch_share/capacity.rs
@@ -1,6 +1,6 @@
 //! The fraction of a service's slots that the batch work of all senders may occupy.
 
-use quillmount_window::Micros;
+use quillmount_wire::Micros;
 
 /// Fraction of all slots that neither live requests nor batch work fill: headroom for requests that arrive next.
 const SPARE_FRACTION: f64 = 0.2;
--- a/tier/dataplane/src/dispatch/dispatcher.rs
+++ b/tier/dataplane/src/dispatch/dispatcher.rs
@@ -6,7 +6,8 @@
 use crate::prefill::PREFILL_TOKENS_PER_MS;
 use crate::rendezvous;
 use crate::request_profile::RequestProfile;
-use quillmount_window::{Micros, Parameters};
+use quillmount_window::Parameters;
+use quillmount_wire::Micros;
 use quillmount_wire::messages::Endpoint;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
--- a/tier/dataplane/src/dispatch/endpoint_state.rs
+++ b/tier/dataplane/src/dispatch/endpoint_state.rs
@@ -5,7 +5,8 @@
 use crate::prefill::normalized_latency;
 use crate::prefix_cache::PrefixCache;
 use crate::request_profile::RequestProfile;
-use quillmount_window::{Micros, Parameters, Window};
+use quillmount_window::{Parameters, Window};
+use quillmount_wire::Micros;
 use quillmount_wire::messages::Endpoint;
 
 /// First and longest backoff after consecutive failures, microseconds.
--- a/tier/dataplane/src/dispatch/outcome.rs
+++ b/tier/dataplane/src/dispatch/outcome.rs
@@ -1,6 +1,6 @@
 //! How a call at an endpoint ended.
 
-use quillmount_window::Micros;
+use quillmount_wire::Micros;
 
 /// How a call ended, for the window and the backoff of its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/tier/dataplane/src/prefill.rs
+++ b/tier/dataplane/src/prefill.rs
@@ -1,6 +1,6 @@
 //! The assumed speed of prefill, the processing of a prompt before its first output token.
 
-use quillmount_window::Micros;
+use quillmount_wire::Micros;
 
 /// Prompt tokens that an endpoint is assumed to process in one millisecond.
 pub(crate) const PREFILL_TOKENS_PER_MS: f64 = 128.0;
--- a/tier/node/src/clock.rs
+++ b/tier/node/src/clock.rs
@@ -3,16 +3,17 @@
 //! Every decision is made on the steady clock ([`micros`]), which no correction of the machine's time moves. The time of
 //! day ([`wall_seconds`]) numbers usage windows and quota claims, which have to mean the same on all machines.
 
+use quillmount_wire::Micros;
 use std::sync::OnceLock;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Added to the steady clock, microseconds: an earlier moment can be computed by subtraction right from the start.
-const STEADY_CLOCK_ORIGIN: u64 = 1_000_000;
+const STEADY_CLOCK_ORIGIN: Micros = 1_000_000;
 
 /// Microseconds on the steady clock, counted from one second before its first use in this process.
-pub fn micros() -> u64 {
+pub fn micros() -> Micros {
     static START: OnceLock<Instant> = OnceLock::new();
-    START.get_or_init(Instant::now).elapsed().as_micros() as u64 + STEADY_CLOCK_ORIGIN
+    START.get_or_init(Instant::now).elapsed().as_micros() as Micros + STEADY_CLOCK_ORIGIN
 }
 
 /// Seconds since 1970-01-01 00:00 UTC by the machine's clock; 0 if that clock stands before it.
--- a/tier/node/src/control_member/bootstrap.rs
+++ b/tier/node/src/control_member/bootstrap.rs
@@ -9,6 +9,7 @@
 use crate::clock;
 use crate::node::Node;
 use quillmount_control::ControlState;
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, Request, Response};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -20,7 +21,7 @@
 /// A seed without an answer for this long counts as silent in this round.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time in which all machines of a new system start, microseconds.
-const GATHER_TIME: u64 = 1_500_000;
+const GATHER_TIME: Micros = 1_500_000;
 /// Most announcing machines that are remembered.
 const KNOWN_LIMIT: usize = 64;
 
--- a/tier/node/src/control_member/leases.rs
+++ b/tier/node/src/control_member/leases.rs
@@ -6,23 +6,24 @@
 use super::usage::UsageTotals;
 use crate::clock;
 use quillmount_control::{LastHeard, all_reported};
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, Poll, ServiceLoad, ShardReport, UsageWindow};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A lease that was not renewed for this long has expired, microseconds.
-const LEASE_DURATION: u64 = 1_100_000;
+const LEASE_DURATION: Micros = 1_100_000;
 /// From this many leases on, expired ones are dropped.
 const LEASE_LIMIT: usize = 4096;
 /// Most couriers that are named as relays.
 const RELAY_LIMIT: usize = 6;
 /// Shard reports count for this long after the poll that brought them, microseconds.
-const REPORT_TTL: u64 = 600_000;
+const REPORT_TTL: Micros = 600_000;
 
 /// The lease of one process.
 struct Lease {
     node: NodeInfo,
-    /// Moment of the last poll on the steady clock, microseconds.
-    renewed: u64,
+    /// Moment of the last poll.
+    renewed: Micros,
     draining: bool,
     reports: Vec<ShardReport>,
     /// Calls that could run at once, by service.
@@ -121,8 +122,8 @@
         recent.flat_map(|lease| lease.reports.iter().cloned()).collect()
     }
 
-    /// Whether every process that counts requests has polled since a moment of the steady clock (microseconds).
-    pub fn all_heard_since(&self, since: u64) -> bool {
+    /// Whether every process that counts requests has polled since a moment.
+    pub fn all_heard_since(&self, since: Micros) -> bool {
         let couriers = self.leases.values().filter(|lease| !lease.is_store());
         let heard = couriers.map(|lease| LastHeard {
             name: &lease.node.name,
@@ -132,8 +133,8 @@
         all_reported(heard, since, clock::micros())
     }
 
-    /// Whether a process has polled since a moment of the steady clock (microseconds), or is draining.
-    pub fn heard_since(&self, disk: DiskId, since: u64) -> bool {
+    /// Whether a process has polled since a moment, or is draining.
+    pub fn heard_since(&self, disk: DiskId, since: Micros) -> bool {
         self.leases.get(&disk).is_some_and(|lease| lease.draining || lease.renewed >= since)
     }
 
--- a/tier/node/src/control_member/member.rs
+++ b/tier/node/src/control_member/member.rs
@@ -13,6 +13,7 @@
     Ticket,
 };
 use quillmount_storage::{RingRecord, RingSize, StorageError};
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{DiskId, Epoch, Register, RegisterMessage, Request, decode, encode};
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
@@ -110,8 +111,8 @@
         self.member.borrow().committed_if_recent(clock::micros())
     }
 
-    /// Microseconds since this member became primary.
-    pub fn time_as_primary(&self) -> u64 {
+    /// Time since this member became primary.
+    pub fn time_as_primary(&self) -> Micros {
         self.member.borrow().time_as_primary(clock::micros())
     }
 
--- a/tier/node/src/control_member/singletons/shard_planning.rs
+++ b/tier/node/src/control_member/singletons/shard_planning.rs
@@ -2,13 +2,14 @@
 
 use crate::control_member::ControlMember;
 use quillmount_control::ShardPlanInputs;
+use quillmount_wire::Micros;
 use std::rc::Rc;
 use std::time::Duration;
 
 /// Interval between two checks of the placement.
 const PLAN_INTERVAL: Duration = Duration::from_millis(100);
 /// Time after its election from which a primary knows all live processes by their polls, microseconds.
-const LEASES_KNOWN: u64 = 1_200_000;
+const LEASES_KNOWN: Micros = 1_200_000;
 
 /// Changes the shards' views and the core's members as stores and members come and go, whenever this member is primary.
 pub async fn plan_shards(core: Rc<ControlMember>) {
--- a/tier/node/src/control_member/singletons/usage_reports.rs
+++ b/tier/node/src/control_member/singletons/usage_reports.rs
@@ -8,6 +8,7 @@
 use crate::control_member::ControlMember;
 use miniserde::{Serialize, json};
 use quillmount_control::{SETTLE_S, may_finalize};
+use quillmount_wire::Micros;
 use quillmount_wire::messages::UsageWindow;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -80,9 +81,9 @@
     may_finalize(age_s, slo.usage_delay_s, complete)
 }
 
-/// Whether every member of the core has polled since a moment of the steady clock. Members count requests as well, and a
+/// Whether every member of the core has polled since a moment. Members count requests as well, and a
 /// new primary knows them from the placement before they first poll it.
-fn members_heard_since(core: &ControlMember, since: u64) -> bool {
+fn members_heard_since(core: &ControlMember, since: Micros) -> bool {
     let Some(state) = core.committed() else { return false };
     let leases = core.leases.borrow();
     state.placement.core.iter().all(|member| leases.heard_since(member.disk, since))
--- a/tier/node/src/edge/admission.rs
+++ b/tier/node/src/edge/admission.rs
@@ -4,6 +4,7 @@
 use crate::node::Node;
 use quillmount_dataplane::dispatch::{Reservation, ReserveError};
 use quillmount_dataplane::request_profile::RequestProfile;
+use quillmount_wire::Micros;
 use std::time::Duration;
 
 /// Fraction of a route's latency target for which a request waits for a slot.
@@ -13,19 +14,19 @@
 /// Longest time between two attempts to reserve a slot, milliseconds.
 const CAPACITY_CHECK_MS: f64 = 20.0;
 
-/// Until when a request that arrived at `arrived` waits for a slot. All times are microseconds of the steady clock.
-pub(super) fn wait_until(arrived: u64, target_ms: Option<f64>, deadline: u64) -> u64 {
+/// Until when a request that arrived at `arrived` waits for a slot.
+pub(super) fn wait_until(arrived: Micros, target_ms: Option<f64>, deadline: Micros) -> Micros {
     let wait = target_ms.unwrap_or(DEFAULT_TARGET_MS) * WAIT_FRACTION_OF_TARGET;
     (arrived + clock::millis(wait).as_micros() as u64).min(deadline)
 }
 
-/// Waits for a slot at an endpoint that is not in `tried`, until a time in microseconds of the steady clock.
+/// Waits for a slot at an endpoint that is not in `tried`, at most until `until`.
 pub(super) async fn reserve(
     node: &Node,
     service: &str,
     profile: &RequestProfile,
     tried: &[String],
-    until: u64,
+    until: Micros,
 ) -> Result<Reservation, ReserveError> {
     let _waiting = WaitingGuard::new(node, service);
     loop {
--- a/tier/node/src/edge/batch_api/mod.rs
+++ b/tier/node/src/edge/batch_api/mod.rs
@@ -11,15 +11,16 @@
 use crate::node::Node;
 use primary_call::{Unanswered, call_primary};
 use quillmount_dataplane::routes::CompiledRoute;
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{Job, Request as StoreRequest, Response};
 use std::time::Duration;
 
 /// Longest time for which a client may let a read wait for results, milliseconds.
 const WAIT_LIMIT_MS: u64 = 5_000;
 /// How long the primary is looked for, microseconds.
-const SEARCH_TIME: u64 = 2_500_000;
+const SEARCH_TIME: Micros = 2_500_000;
 /// The same for reads that wait for a shorter time, microseconds. Clients repeat reads anyway.
-const READ_SEARCH_TIME: u64 = 800_000;
+const READ_SEARCH_TIME: Micros = 800_000;
 /// The same for submissions, as a multiple of the route's latency target.
 const SUBMIT_SEARCH_TARGETS: u64 = 2;
 /// Latency target of a route that states none, milliseconds.
--- a/tier/node/src/edge/batch_api/primary_call.rs
+++ b/tier/node/src/edge/batch_api/primary_call.rs
@@ -4,6 +4,7 @@
 use crate::node::Node;
 use crate::rpc::CallError;
 use quillmount_control::shard_of;
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{Epoch, Request as StoreRequest, Response};
 use std::time::Duration;
 
@@ -23,14 +24,13 @@
     Uncertain,
 }
 
-/// Calls the primary of a job's shard and retries until a time in microseconds of the steady clock, following changes of the
-/// primary.
+/// Calls the primary of a job's shard and retries until `until`, following changes of the primary.
 ///
 /// `request` builds the request for a shard and its epoch. `max_wait` is the time for which the store may delay its answer.
 pub(super) async fn call_primary(
     node: &Node,
     job: &str,
-    until: u64,
+    until: Micros,
     max_wait: Duration,
     request: impl Fn(u32, Epoch) -> StoreRequest,
 ) -> Result<Response, Unanswered> {
--- a/tier/node/src/edge/forward/request.rs
+++ b/tier/node/src/edge/forward/request.rs
@@ -8,6 +8,7 @@
 use quillmount_dataplane::dispatch::{CallOutcome, Reservation};
 use quillmount_dataplane::request_profile::RequestProfile;
 use quillmount_dataplane::routes::CompiledRoute;
+use quillmount_wire::Micros;
 use std::future::Future;
 use std::rc::Rc;
 use std::time::Duration;
@@ -35,8 +36,8 @@
     pub(super) service: String,
     /// The load that it puts on an endpoint.
     pub(super) profile: RequestProfile,
-    /// Microseconds of the steady clock.
-    pub(super) deadline: u64,
+    /// After this moment no further attempt begins, and the endpoint's answer is no longer waited for.
+    pub(super) deadline: Micros,
     /// Ids of the endpoints that were tried.
     pub(super) tried: Vec<String>,
     /// Number of attempts in which an endpoint may have run it.
@@ -70,13 +71,13 @@
 pub(super) struct Attempt<'a> {
     /// The reserved slot.
     pub(super) reservation: &'a Reservation,
-    /// When it began, microseconds of the steady clock.
-    pub(super) started_at: u64,
+    /// When it began.
+    pub(super) started_at: Micros,
 }
 
 impl Attempt<'_> {
-    /// Time since it began, microseconds.
-    pub(super) fn elapsed(&self) -> u64 {
+    /// Time since it began.
+    pub(super) fn elapsed(&self) -> Micros {
         clock::micros().saturating_sub(self.started_at)
     }
 }
@@ -136,8 +137,8 @@
         clock::micros() < self.deadline
     }
 
-    /// Until when the request waits for a slot, microseconds of the steady clock. A retry waits until the deadline.
-    pub(super) fn reserve_until(&self) -> u64 {
+    /// Until when the request waits for a slot. A retry waits until the deadline.
+    pub(super) fn reserve_until(&self) -> Micros {
         if self.runs > 0 {
             return self.deadline;
         }
--- a/tier/node/src/edge/forward/stream.rs
+++ b/tier/node/src/edge/forward/stream.rs
@@ -9,6 +9,7 @@
 use quillmount_dataplane::dispatch::CallOutcome;
 use quillmount_dataplane::events::{EventReader, EventTooLong};
 use quillmount_dataplane::head::ResponseHead;
+use quillmount_wire::Micros;
 use tokio::time::timeout;
 
 /// Why the events of an endpoint can't be forwarded.
@@ -25,8 +26,8 @@
 /// The part of a stream that one endpoint sends.
 struct EndpointStream {
     events: EventReader,
-    /// Time from the start of the attempt to the first event, microseconds; `None` before that event.
-    first_event: Option<u64>,
+    /// Time from the start of the attempt to the first event; `None` before that event.
+    first_event: Option<Micros>,
     /// Whether the endpoint continues a stream behind an event that the client has.
     resumed: bool,
     keep_alive: bool,
--- a/tier/node/src/http/connection.rs
+++ b/tier/node/src/http/connection.rs
@@ -4,6 +4,7 @@
 use crate::{clock, socket};
 use quillmount_dataplane::body::BodyReader;
 use quillmount_dataplane::head::{Framing, RequestHead, parse_request};
+use quillmount_wire::Micros;
 use quillmount_wire::configuration::ClientLimits;
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -38,8 +39,8 @@
     pub head: RequestHead,
     /// Content of the body.
     pub body: Vec<u8>,
-    /// When its last byte was read, microseconds of the steady clock.
-    pub arrived: u64,
+    /// When its last byte was read.
+    pub arrived: Micros,
 }
 
 /// A connection with a buffer for what was read.
--- a/tier/node/src/node.rs
+++ b/tier/node/src/node.rs
@@ -16,6 +16,7 @@
 use crate::upstream::Upstreams;
 use quillmount_dataplane::dispatch::{Dispatcher, ServiceShare};
 use quillmount_window::Parameters;
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{NodeInfo, ServiceLoad, UsageWindow};
 use quillmount_wire::settings::Settings;
 use std::cell::{Cell, RefCell};
@@ -53,8 +54,8 @@
     pub core_contact: CoreContact,
     /// Demand on each service, as the primary last reported it; stores only.
     pub loads: RefCell<Rc<Vec<ServiceLoad>>>,
-    /// Start of the process on the steady clock, microseconds.
-    started: u64,
+    /// Start of the process.
+    started: Micros,
     /// `Admin` addresses of the seeds, as the settings file names them now.
     seeds: RefCell<Vec<String>>,
     tables: watch::Sender<Rc<TableSnapshot>>,
--- a/tier/node/src/node/core_contact.rs
+++ b/tier/node/src/node/core_contact.rs
@@ -1,10 +1,11 @@
 //! What a process knows of the core: which address answers its polls, and who the primary is.
 
 use crate::clock;
+use quillmount_wire::Micros;
 use std::cell::{Cell, RefCell};
 
 /// An answer of the primary counts as recent for this long, microseconds.
-const RECENT_ANSWER: u64 = 1_500_000;
+const RECENT_ANSWER: Micros = 1_500_000;
 
 /// Addresses at which a process finds the core, and when the primary last answered it.
 #[derive(Debug, Default)]
@@ -14,8 +15,8 @@
     primary: RefCell<Option<String>>,
     relays: RefCell<Vec<String>>,
     members: RefCell<Vec<String>>,
-    /// Moment on the steady clock, microseconds; 0 before the first answer.
-    last_answer: Cell<u64>,
+    /// When the primary last answered; 0 before the first answer.
+    last_answer: Cell<Micros>,
 }
 
 impl CoreContact {
@@ -59,8 +60,8 @@
         self.has_ever_answered() && self.silence() < RECENT_ANSWER
     }
 
-    /// Microseconds since the primary last answered, or since the start of the clock.
-    pub fn silence(&self) -> u64 {
+    /// Time since the primary last answered, or since the start of the clock.
+    pub fn silence(&self) -> Micros {
         clock::micros().saturating_sub(self.last_answer.get())
     }
 
--- a/tier/node/src/rpc/link.rs
+++ b/tier/node/src/rpc/link.rs
@@ -2,6 +2,7 @@
 
 use super::read_frame::read_frame;
 use crate::{clock, socket};
+use quillmount_wire::Micros;
 use quillmount_wire::messages::Response;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -33,8 +34,8 @@
 /// State of a link that its calls and its connection share.
 #[derive(Default)]
 struct LinkState {
-    /// When a frame was last received or the connection opened, microseconds of the steady clock.
-    last_received: Cell<u64>,
+    /// When a frame was last received or the connection opened.
+    last_received: Cell<Micros>,
     /// Closes the connection.
     close: Notify,
     /// Calls on the current connection, by number.
@@ -78,7 +79,7 @@
 
     /// Forgets a call without a response. If nothing at all was received since it was sent, the connection is presumed dead and
     /// closed.
-    pub(super) fn abandon(&self, number: u64, sent_at: u64) {
+    pub(super) fn abandon(&self, number: u64, sent_at: Micros) {
         self.state.pending.borrow_mut().remove(&number);
         if self.state.last_received.get() < sent_at {
             self.state.close.notify_waiters();
--- a/tier/node/src/store/items.rs
+++ b/tier/node/src/store/items.rs
@@ -17,6 +17,7 @@
 use quillmount_dataplane::batch_share::{BatchCapacity, BatchShare, SenderItems, batch_fraction};
 use quillmount_dataplane::dispatch::Reservation;
 use quillmount_dataplane::request_profile::RequestProfile;
+use quillmount_wire::Micros;
 use quillmount_wire::messages::Phase;
 use results::append_result;
 use std::rc::Rc;
@@ -80,7 +81,7 @@
 
 /// This store's share of a service's endpoints: of the capacity that live requests leave, the part that its items have
 /// among those of all stores.
-fn batch_share(store: &Store, service: &str, now: u64, batch_capacity: &mut BatchCapacity) -> BatchShare {
+fn batch_share(store: &Store, service: &str, now: Micros, batch_capacity: &mut BatchCapacity) -> BatchShare {
     let loads = store.node.loads.borrow().clone();
     let load = loads.iter().find(|load| load.service == service);
     let known = load.into_iter().flat_map(|load| &load.items);
--- a/tier/node/src/store/items/attempt.rs
+++ b/tier/node/src/store/items/attempt.rs
@@ -10,6 +10,7 @@
 use crate::upstream::{BodyProgress, UpstreamAnswer, UpstreamError, UpstreamRequest};
 use quillmount_dataplane::dispatch::{CallOutcome, Reservation};
 use quillmount_dataplane::events::{EventReader, SseEvent};
+use quillmount_wire::Micros;
 use quillmount_wire::messages::Phase;
 use std::rc::Rc;
 use std::time::Duration;
@@ -42,10 +43,10 @@
     store: Rc<Store>,
     run: ItemRun,
     reservation: Reservation,
-    /// Start on the steady clock, microseconds.
-    sent: u64,
-    /// Microseconds from the start to the first event, once that has come.
-    first_event_latency: Option<u64>,
+    /// When the request was sent.
+    sent: Micros,
+    /// Time from the start to the first event, once that has come.
+    first_event_latency: Option<Micros>,
 }
 
 /// Runs an item at the endpoint that is reserved for it, then commits its result or queues it again.
@@ -159,8 +160,8 @@
         true
     }
 
-    /// Microseconds since the start.
-    fn elapsed(&self) -> u64 {
+    /// Time since the start.
+    fn elapsed(&self) -> Micros {
         clock::micros().saturating_sub(self.sent)
     }
 
--- a/tier/node/src/store/items/item_run.rs
+++ b/tier/node/src/store/items/item_run.rs
@@ -6,11 +6,12 @@
 use quillmount_dataplane::dispatch::Reservation;
 use quillmount_dataplane::request_profile::RequestProfile;
 use quillmount_dataplane::routes::RouteTable;
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{Item, Job};
 use std::rc::Rc;
 
 /// An item that is due sooner than this counts as late, microseconds: about the time that an item takes.
-const LATE_MARGIN: u64 = 700_000;
+const LATE_MARGIN: Micros = 700_000;
 /// Attempts of an item whose route is gone.
 const DEFAULT_MAX_ATTEMPTS: u32 = 1;
 /// Headers of an item that the request sets itself, or that concern one connection only.
@@ -35,8 +36,8 @@
     pub failures: u32,
     /// Endpoints tried since the last progress.
     pub tried: Vec<String>,
-    /// When the result is due: steady clock, microseconds.
-    pub due: u64,
+    /// When the result is due.
+    pub due: Micros,
 }
 
 /// What is to be done with an item before it runs.
--- a/tier/node/src/store/items/queue.rs
+++ b/tier/node/src/store/items/queue.rs
@@ -4,6 +4,7 @@
 use crate::clock;
 use crate::store::shard::ServedShard;
 use quillmount_dataplane::routes::RouteTable;
+use quillmount_wire::Micros;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use tokio::sync::Notify;
@@ -21,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     late: bool,
-    due: u64,
+    due: Micros,
     number: u64,
 }
 
--- a/tier/node/src/store/items/shares.rs
+++ b/tier/node/src/store/items/shares.rs
@@ -1,17 +1,18 @@
 //! This store's shares of the endpoints, computed again now and then.
 
 use quillmount_dataplane::batch_share::{BatchCapacity, BatchShare};
+use quillmount_wire::Micros;
 use std::cell::RefCell;
 use std::collections::HashMap;
 
 /// A share is used for this long before it is computed again, microseconds.
-const SHARE_TTL: u64 = 50_000;
+const SHARE_TTL: Micros = 50_000;
 
 /// A share of a service's endpoints, as it was last computed.
 #[derive(Clone, Copy)]
 struct CachedShare {
-    /// Moment of the computation on the steady clock, microseconds.
-    computed_at: u64,
+    /// Moment of the computation.
+    computed_at: Micros,
     share: BatchShare,
     batch_capacity: BatchCapacity,
 }
@@ -23,12 +24,12 @@
 }
 
 impl BatchShares {
-    /// The share of a service's endpoints at `now` (steady clock, microseconds). If the last one is too old, `compute`
+    /// The share of a service's endpoints at `now`. If the last one is too old, `compute`
     /// makes a new one from the capacity for batch items, which it updates.
     pub fn get(
         &self,
         service: &str,
-        now: u64,
+        now: Micros,
         compute: impl FnOnce(&mut BatchCapacity) -> BatchShare,
     ) -> BatchShare {
         let known = self.shares.borrow().get(service).copied();
--- a/tier/node/src/store/retention.rs
+++ b/tier/node/src/store/retention.rs
@@ -3,11 +3,12 @@
 use super::shard::{ServedShard, Shard};
 use super::state::Store;
 use crate::clock;
+use quillmount_wire::Micros;
 use quillmount_wire::messages::ShardOperation;
 use std::rc::Rc;
 
 /// Time for which a finished job is retained beyond the promised time, microseconds.
-const MARGIN: u64 = 30_000_000;
+const MARGIN: Micros = 30_000_000;
 
 /// Forgets the old jobs of a shard, if it is served here.
 pub fn forget_old_jobs(store: &Rc<Store>, shard: &Rc<Shard>) {
--- a/tier/node/src/store/serve.rs
+++ b/tier/node/src/store/serve.rs
@@ -8,6 +8,7 @@
 use super::state::Store;
 use crate::clock;
 use quillmount_batch::JobEntry;
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{DiskId, Epoch, Job, Phase, Request, Response, ShardMessage, ShardOperation};
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,7 +18,7 @@
 /// Bytes that a result takes in an answer beside its text, about.
 const RESULT_OVERHEAD: usize = 128;
 /// Longest time for which a read waits for its confirmation, microseconds.
-const CONFIRM_TIMEOUT: u64 = 900_000;
+const CONFIRM_TIMEOUT: Micros = 900_000;
 
 /// Answers any call.
 pub async fn answer(store: &Rc<Store>, request: Request) -> Response {
--- a/tier/node/src/store/shard.rs
+++ b/tier/node/src/store/shard.rs
@@ -9,8 +9,9 @@
 use crate::clock;
 use crate::node::Node;
 use quillmount_batch::{
-    CallId, Micros, OperationId, ShardAction, ShardReplica, ShardReplicaId, StoreRecord, WriteId,
+    CallId, OperationId, ShardAction, ShardReplica, ShardReplicaId, StoreRecord, WriteId,
 };
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{
     DiskId, Epoch, Request, Response, ShardMessage, ShardOperation, ShardReport, ShardView,
 };
@@ -176,7 +177,7 @@
     }
 
     /// Confirms with the other replicas that this store is still primary, and so that its committed state is the newest;
-    /// whether that succeeds by `until` (steady clock, microseconds).
+    /// whether that succeeds by `until`.
     pub async fn confirm<H: ShardHost>(self: &Rc<Self>, host: &Rc<H>, until: Micros) -> bool {
         let read = self.allocate_id();
         let confirmed = self.reads.register(read);
--- a/tier/node/src/store/term.rs
+++ b/tier/node/src/store/term.rs
@@ -2,6 +2,7 @@
 
 use super::term_quota::TermQuota;
 use crate::clock;
+use quillmount_wire::Micros;
 use quillmount_wire::messages::Epoch;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -38,8 +39,8 @@
 /// A job, as the serving primary knows it.
 #[derive(Clone, Debug)]
 pub struct TrackedJob {
-    /// Moment on the steady clock, microseconds, at which this primary first saw the job; never before it was submitted.
-    pub first_seen: u64,
+    /// When this primary first saw the job; never before it was submitted.
+    pub first_seen: Micros,
     /// Set when the job, or the primary's term, has ended.
     pub cancel: Rc<CancelSignal>,
 }
--- a/tier/node/src/subscription/direct_list.rs
+++ b/tier/node/src/subscription/direct_list.rs
@@ -2,12 +2,13 @@
 
 use crate::endpoint_list;
 use crate::node::{Node, TableSnapshot};
+use quillmount_wire::Micros;
 use quillmount_wire::messages::Endpoint;
 use std::rc::Rc;
 use std::time::Duration;
 
 /// Silence of the core after which a process reads the list itself, microseconds.
-const CORE_SILENCE: u64 = 1_200_000;
+const CORE_SILENCE: Micros = 1_200_000;
 /// Interval between two readings.
 const READ_INTERVAL: Duration = Duration::from_millis(900);
 
--- a/tier/node/src/upstream/pool.rs
+++ b/tier/node/src/upstream/pool.rs
@@ -2,22 +2,22 @@
 
 use crate::clock;
 use quillmount_dataplane::head::ResponseHead;
+use quillmount_wire::Micros;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::io::ErrorKind;
 use tokio::net::TcpStream;
 
 /// How long a connection is kept idle if the endpoint states nothing, microseconds.
-const IDLE_TIMEOUT: u64 = 2_000_000;
+const IDLE_TIMEOUT: Micros = 2_000_000;
 /// Subtracted from the time that the endpoint states, microseconds, so that this side closes first.
-const IDLE_MARGIN: u64 = 800_000;
+const IDLE_MARGIN: Micros = 800_000;
 /// Largest number of idle connections to one endpoint.
 const IDLE_LIMIT: usize = 16;
 
 struct IdleConnection {
     stream: TcpStream,
-    /// Microseconds of the steady clock.
-    expires_at: u64,
+    expires_at: Micros,
 }
 
 /// Idle connections by the id of their endpoint.
--- a/tier/replication/src/lib.rs
+++ b/tier/replication/src/lib.rs
@@ -15,4 +15,4 @@
 mod replica;
 
 pub use group::ReplicaGroup;
-pub use replica::{Micros, ReadId, RegisterAction, RegisterReplica, Timing};
+pub use replica::{ReadId, RegisterAction, RegisterReplica, Timing};
--- a/tier/replication/src/replica.rs
+++ b/tier/replication/src/replica.rs
@@ -28,10 +28,11 @@
 use self::role::Role;
 use self::timing::ElectionTimer;
 use crate::quorum;
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{DiskId, Epoch, Register, RegisterMessage};
 
 pub use self::action::{ReadId, RegisterAction};
-pub use self::timing::{Micros, Timing};
+pub use self::timing::Timing;
 
 /// Stands for no member where a promise was given to none.
 const NOBODY: DiskId = 0;
--- a/tier/replication/src/replica/election.rs
+++ b/tier/replication/src/replica/election.rs
@@ -9,9 +9,9 @@
 use super::position::Position;
 use super::primary::Primary;
 use super::role::Role;
-use super::timing::Micros;
 use super::{NOBODY, RegisterReplica};
 use crate::quorum::{self, all_members};
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{Accepted, DiskId, Epoch, RegisterMessage, RegisterValue};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/tier/replication/src/replica/heartbeats.rs
+++ b/tier/replication/src/replica/heartbeats.rs
@@ -3,8 +3,8 @@
 use super::RegisterReplica;
 use super::action::{ReadId, RegisterAction};
 use super::position::Position;
-use super::timing::Micros;
 use crate::quorum;
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{DiskId, Epoch, RegisterMessage};
 
 impl RegisterReplica {
--- a/tier/replication/src/replica/primary.rs
+++ b/tier/replication/src/replica/primary.rs
@@ -2,8 +2,8 @@
 
 use super::action::ReadId;
 use super::position::Position;
-use super::timing::Micros;
 use crate::quorum::{self, all_members};
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{Accepted, DiskId, Epoch, RegisterValue};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/tier/replication/src/replica/proposals.rs
+++ b/tier/replication/src/replica/proposals.rs
@@ -4,8 +4,8 @@
 use super::RegisterReplica;
 use super::action::RegisterAction;
 use super::position::Position;
-use super::timing::Micros;
 use crate::quorum::all_members;
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{Accepted, DiskId, Epoch, RegisterMessage, RegisterValue};
 
 impl RegisterReplica {
--- a/tier/replication/src/replica/timing.rs
+++ b/tier/replication/src/replica/timing.rs
@@ -1,7 +1,6 @@
 //! Intervals of a replica, and the timer that starts its elections.
 
-/// Time of a steady clock, or a span of it, in microseconds.
-pub type Micros = u64;
+use quillmount_wire::Micros;
 
 /// Intervals of the register's replicas; the same on all members.
 #[derive(Clone, Copy, Debug)]
--- a/tier/window/src/lib.rs
+++ b/tier/window/src/lib.rs
@@ -7,11 +7,9 @@
 //! outstanding.
 
 use quillmount_containers::LatencyEstimate;
+use quillmount_wire::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Microseconds of a steady clock.
-pub type Micros = u64;
-
 /// Lower bound of latencies and of the baseline, microseconds.
 pub const LATENCY_FLOOR: f64 = 1_000.0;
 /// Span of the samples that give the baseline, microseconds.
