--- a/tier/node/src/control_member/singletons/platform.rs
+++ b/tier/node/src/control_member/singletons/platform.rs
@@ -2,7 +2,7 @@
 
 use crate::clock;
 use crate::control_member::ControlMember;
-use crate::http;
+use crate::http::{self, ClientRequest};
 use std::time::Duration;
 
 /// A call to the platform without an answer for this long has failed.
@@ -33,6 +33,7 @@
         ("Fence", epoch.to_string()),
         ("Content-Type", "application/json".to_owned()),
     ];
-    let answer = http::call(address, "POST", target, &headers, body.as_bytes(), CALL_TIMEOUT).await;
-    answer.map(|(status, _)| status)
+    let request = ClientRequest { method: "POST", target, headers: &headers, body: body.as_bytes() };
+    let response = http::call(address, request, CALL_TIMEOUT).await?;
+    Some(response.status)
 }
--- a/tier/node/src/endpoint_list.rs
+++ b/tier/node/src/endpoint_list.rs
@@ -3,7 +3,7 @@
 //! Normally only the primary of the core reads it and distributes it (`control_member::directory`). A process that has
 //! lost the core reads it itself (`subscription::direct_list`).
 
-use crate::http;
+use crate::http::{self, ClientRequest};
 use crate::node::Node;
 use miniserde::{Deserialize, json};
 use quillmount_wire::messages::Endpoint;
@@ -91,9 +91,9 @@
 }
 
 async fn read_page(platform: &str, target: &str) -> Option<Page> {
-    let (status, body) = http::call(platform, "GET", target, &[], &[], PAGE_TIMEOUT).await?;
-    if status != 200 {
+    let response = http::call(platform, ClientRequest::get(target), PAGE_TIMEOUT).await?;
+    if response.status != 200 {
         return None;
     }
-    json::from_str(std::str::from_utf8(&body).ok()?).ok()
+    json::from_str(std::str::from_utf8(&response.body).ok()?).ok()
 }
--- a/tier/node/src/http/client.rs
+++ b/tier/node/src/http/client.rs
@@ -10,43 +10,59 @@
 /// Largest response, bytes.
 const RESPONSE_LIMIT: usize = 8 << 20;
 
-/// Sends a request and returns the status and the body of the response; `None` if no complete response arrives within
-/// `time_limit`.
-pub async fn call(
-    address: &str,
-    method: &str,
-    target: &str,
-    headers: &[(&str, String)],
-    body: &[u8],
-    time_limit: Duration,
-) -> Option<(u16, Vec<u8>)> {
-    let request = encode_request(address, method, target, headers, body);
-    timeout(time_limit, exchange(address, &request)).await.ok().flatten()
+/// A request of this program.
+#[derive(Clone, Copy, Debug)]
+pub struct ClientRequest<'a> {
+    /// Method.
+    pub method: &'a str,
+    /// Path and query.
+    pub target: &'a str,
+    /// Headers without those that name the host or frame the body.
+    pub headers: &'a [(&'a str, String)],
+    /// Content of the body.
+    pub body: &'a [u8],
 }
 
-fn encode_request(
-    address: &str,
-    method: &str,
-    target: &str,
-    headers: &[(&str, String)],
-    body: &[u8],
-) -> Vec<u8> {
-    let mut head = format!("{method} {target} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n");
-    for (name, value) in headers {
-        head.push_str(&format!("{name}: {value}\r\n"));
+/// The complete response to a [`ClientRequest`].
+#[derive(Clone, Debug)]
+pub struct ClientResponse {
+    /// Status code.
+    pub status: u16,
+    /// Content of the body.
+    pub body: Vec<u8>,
+}
+
+impl<'a> ClientRequest<'a> {
+    /// A `GET` request without headers of its own.
+    pub fn get(target: &'a str) -> ClientRequest<'a> {
+        ClientRequest { method: "GET", target, headers: &[], body: &[] }
     }
-    head.push_str(&format!("Content-Length: {}\r\n\r\n", body.len()));
-    let mut bytes = head.into_bytes();
-    bytes.extend_from_slice(body);
-    bytes
+
+    /// The request as it is sent to `host`, head and body.
+    fn encode(&self, host: &str) -> Vec<u8> {
+        let ClientRequest { method, target, headers, body } = self;
+        let mut head = format!("{method} {target} HTTP/1.1\r\nHost: {host}\r\nConnection: close\r\n");
+        for (name, value) in *headers {
+            head.push_str(&format!("{name}: {value}\r\n"));
+        }
+        head.push_str(&format!("Content-Length: {}\r\n\r\n", body.len()));
+        let mut bytes = head.into_bytes();
+        bytes.extend_from_slice(body);
+        bytes
+    }
+}
+
+/// Sends a request to an address and returns the response; `None` if no complete one arrives within `time_limit`.
+pub async fn call(address: &str, request: ClientRequest<'_>, time_limit: Duration) -> Option<ClientResponse> {
+    timeout(time_limit, exchange(address, &request.encode(address))).await.ok().flatten()
 }
 
-async fn exchange(address: &str, request: &[u8]) -> Option<(u16, Vec<u8>)> {
+async fn exchange(address: &str, request: &[u8]) -> Option<ClientResponse> {
     let mut connection = Connection::new(socket::connect(address).await?);
     connection.write(request).await.ok()?;
     let head = read_head(&mut connection).await?;
     let body = read_body(&mut connection, &head).await?;
-    Some((head.status, body))
+    Some(ClientResponse { status: head.status, body })
 }
 
 async fn read_head(connection: &mut Connection) -> Option<ResponseHead> {
--- a/tier/node/src/http/mod.rs
+++ b/tier/node/src/http/mod.rs
@@ -7,7 +7,7 @@
 mod response;
 mod server;
 
-pub use client::call;
+pub use client::{ClientRequest, call};
 pub use connection::{Connection, HttpRequest};
 pub use response::{HttpResponse, reason_phrase};
 pub use server::{HttpService, serve};
