--- a/tier/node/src/store/items/attempt.rs
+++ b/tier/node/src/store/items/attempt.rs
@@ -10,6 +10,7 @@
 use crate::upstream::{BodyProgress, UpstreamAnswer, UpstreamError, UpstreamRequest};
 use quillmount_dataplane::dispatch::{CallOutcome, Reservation};
 use quillmount_dataplane::events::{EventReader, SseEvent};
+use quillmount_dataplane::head::MISDIRECTED_REQUEST;
 use quillmount_wire::Micros;
 use quillmount_wire::messages::Phase;
 use std::rc::Rc;
@@ -79,10 +80,7 @@
             }
             Err(_) => return AttemptOutcome::Retry(CallOutcome::Lost),
         };
-        let head = &answer.head;
-        let stream =
-            head.headers.get("Content-Type").is_some_and(|kind| kind.starts_with("text/event-stream"));
-        if head.status != 200 || !stream {
+        if answer.head.status != 200 || !answer.head.is_event_stream() {
             return self.read_status(answer).await;
         }
         let outcome = self.read_events(&mut answer).await;
@@ -95,14 +93,14 @@
     /// Reads an answer that is not a stream of events.
     async fn read_status(&self, mut answer: UpstreamAnswer) -> AttemptOutcome {
         let status = answer.head.status;
-        let not_run = answer.head.headers.get("Not-Run").is_some();
+        let not_run = answer.head.promises_not_run();
         let complete = tokio::time::timeout(SILENCE_TIMEOUT, answer.read_all(ANSWER_LIMIT)).await;
         if !matches!(complete, Ok(Some(_))) {
             return AttemptOutcome::Retry(CallOutcome::Lost);
         }
         answer.release(&self.store.node.upstreams);
         match status {
-            421 => AttemptOutcome::Retry(CallOutcome::Replaced),
+            MISDIRECTED_REQUEST => AttemptOutcome::Retry(CallOutcome::Replaced),
             _ if not_run => AttemptOutcome::Retry(CallOutcome::Refused),
             422 => AttemptOutcome::Unprocessable,
             500 => AttemptOutcome::Failed,
