--- a/tier/batch/src/replica/member.rs
+++ b/tier/batch/src/replica/member.rs
@@ -38,11 +38,13 @@
                 if breaks::on(Break::DroppedJobRetained) {
                     dropped.clear();
                 }
-                self.install(request, dropped, Vec::new(), None, Response::DifferentJobs(wanted));
+                let record = self.install_record(dropped, Vec::new(), None);
+                self.apply_and_persist(request, record, Response::DifferentJobs(wanted));
             }
             ShardMessage::Install { jobs, next, .. } => {
                 self.caught_up = next.is_some();
-                self.install(request, Vec::new(), jobs, next, Response::Done);
+                let record = self.install_record(Vec::new(), jobs, next);
+                self.apply_and_persist(request, record, Response::Done);
             }
             ShardMessage::Replicate { first, operations, .. } => {
                 self.apply_operations(request, first, operations);
@@ -58,16 +60,8 @@
         self.answer(request, Response::DifferentBuckets { session: self.session, buckets });
     }
 
-    fn install(
-        &mut self,
-        request: RequestId,
-        dropped: Vec<String>,
-        jobs: Vec<JobState>,
-        next: Option<u64>,
-        response: Response,
-    ) {
-        let (shard, epoch) = (self.identity.shard, self.epoch);
-        self.apply_and_persist(request, StoreRecord::Install { shard, epoch, dropped, jobs, next }, response);
+    fn install_record(&self, dropped: Vec<String>, jobs: Vec<JobState>, next: Option<u64>) -> StoreRecord {
+        StoreRecord::Install { shard: self.identity.shard, epoch: self.epoch, dropped, jobs, next }
     }
 
     fn apply_operations(&mut self, request: RequestId, first: u64, operations: Vec<ShardOperation>) {
