--- a/tier/node/src/control_member/polls.rs
+++ b/tier/node/src/control_member/polls.rs
@@ -6,7 +6,9 @@
 use super::member::ControlMember;
 use crate::node::Node;
 use quillmount_control::Admission;
-use quillmount_wire::messages::{NodeRole, Poll, Request, Response, TableVersions, Tables};
+use quillmount_wire::messages::{
+    DirectoryVersion, NodeRole, Poll, Request, Response, TableVersions, Tables, Versioned,
+};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -101,16 +103,17 @@
 fn newer_tables(core: &ControlMember, known: TableVersions) -> Option<Tables> {
     let epoch = core.serving()?;
     let state = core.committed_if_recent()?;
-    let configuration =
-        (state.version > known.configuration).then(|| (state.version, state.configuration.clone()));
+    let configuration = (state.version > known.configuration)
+        .then(|| Versioned { version: state.version, content: state.configuration.clone() });
     let placement = (state.placement_version > known.placement)
-        .then(|| (state.placement_version, state.placement.clone()));
+        .then(|| Versioned { version: state.placement_version, content: state.placement.clone() });
     let directory = core.directory.borrow();
-    // Versions of a list count within one epoch: a sender with the list of another epoch gets this one completely.
-    let (known_epoch, known_version) = known.directory;
-    let known_version = if known_epoch == epoch { known_version } else { 0 };
-    let directory =
-        directory.update_since(known_version).map(|update| ((epoch, directory.version()), update));
+    // A sender with the list of another epoch gets this one completely.
+    let known_changes = if known.directory.epoch == epoch { known.directory.changes } else { 0 };
+    let directory = directory.update_since(known_changes).map(|update| Versioned {
+        version: DirectoryVersion { epoch, changes: directory.version() },
+        content: update,
+    });
     let leases = core.leases.borrow();
     Some(Tables {
         epoch,
--- a/tier/node/src/edge/batch_api/bodies.rs
+++ b/tier/node/src/edge/batch_api/bodies.rs
@@ -3,7 +3,7 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use miniserde::{Deserialize, Serialize, json};
-use quillmount_wire::messages::{Item, Phase};
+use quillmount_wire::messages::{Item, ItemOutcome, Phase};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Largest number of items of one job.
@@ -70,13 +70,12 @@
     submission.requests.into_iter().map(item).collect()
 }
 
-/// Encodes results, each the id, the phase and the text of an item. `total` counts all results of the job so far, and
-/// `start_after` those before the first of `results`.
-pub(super) fn encode_results(start_after: u64, total: u64, results: Vec<(String, Phase, String)>) -> String {
+/// Encodes results. `total` counts all items of the job, `start_after` the results before the first of `results`.
+pub(super) fn encode_results(start_after: u64, total: u64, results: Vec<ItemOutcome>) -> String {
     let next = start_after + results.len() as u64;
     let outputs = results
         .into_iter()
-        .map(|(id, phase, text)| ResultBody { id, phase: phase_name(phase).to_owned(), text })
+        .map(|ItemOutcome { id, phase, text }| ResultBody { id, phase: phase_name(phase).to_owned(), text })
         .collect();
     json::to_string(&ResultsBody { total, next, outputs })
 }
--- a/tier/node/src/store/serve.rs
+++ b/tier/node/src/store/serve.rs
@@ -9,7 +9,9 @@
 use crate::clock;
 use quillmount_batch::JobEntry;
 use quillmount_wire::Micros;
-use quillmount_wire::messages::{DiskId, Epoch, Job, Phase, Request, Response, ShardMessage, ShardOperation};
+use quillmount_wire::messages::{
+    DiskId, Epoch, ItemOutcome, Job, Request, Response, ShardMessage, ShardOperation,
+};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -175,14 +177,14 @@
 /// As many results after the first `start_after` as fit into one answer, at least one if there is any.
 fn results_response(entry: &JobEntry, start_after: u64) -> Response {
     let mut bytes = 0;
-    let mut results: Vec<(String, Phase, String)> = Vec::new();
+    let mut results: Vec<ItemOutcome> = Vec::new();
     for result in entry.results.iter().skip(start_after as usize) {
         if bytes + result.text.len() > RESULT_BYTES && !results.is_empty() {
             break;
         }
         bytes += result.text.len() + RESULT_OVERHEAD;
         let id = entry.job.items.get(result.item as usize).map(|item| item.id.clone()).unwrap_or_default();
-        results.push((id, result.phase, result.text.clone()));
+        results.push(ItemOutcome { id, phase: result.phase, text: result.text.clone() });
     }
     Response::Results { total: entry.job.items.len() as u64, results }
 }
--- a/tier/node/src/subscription/direct_list.rs
+++ b/tier/node/src/subscription/direct_list.rs
@@ -39,8 +39,8 @@
 }
 
 fn install(node: &Node, current: &TableSnapshot, list: Vec<Endpoint>) {
-    // An incremental update of the core's list does not apply to this one: version 0 makes the core send all of its own.
+    // An incremental update of the core's list does not apply to this one: no changes make the core send all of its own.
     let mut versions = current.versions;
-    versions.directory.1 = 0;
+    versions.directory.changes = 0;
     node.swap_tables(TableSnapshot { versions, endpoints: Rc::new(list), ..current.clone() });
 }
--- a/tier/node/src/subscription/table_update.rs
+++ b/tier/node/src/subscription/table_update.rs
@@ -4,7 +4,7 @@
 use quillmount_control::apply_update;
 use quillmount_dataplane::routes::RouteTable;
 use quillmount_wire::configuration::Configuration;
-use quillmount_wire::messages::Tables;
+use quillmount_wire::messages::{Tables, Versioned};
 use std::rc::Rc;
 
 /// Puts those tables of an answer in force that are newer than the present ones; older ones are ignored.
@@ -21,7 +21,7 @@
 fn updated(current: &TableSnapshot, tables: Tables) -> Option<TableSnapshot> {
     let mut next = current.clone();
     let mut changed = false;
-    if let Some((version, text)) = tables.configuration
+    if let Some(Versioned { version, content: text }) = tables.configuration
         && version > current.versions.configuration
         && let Some(routes) = compile_routes(version, &text)
     {
@@ -29,14 +29,14 @@
         next.versions.configuration = version;
         changed = true;
     }
-    if let Some((version, placement)) = tables.placement
+    if let Some(Versioned { version, content: placement }) = tables.placement
         && version > current.versions.placement
     {
         next.placement = Rc::new(placement);
         next.versions.placement = version;
         changed = true;
     }
-    if let Some((version, update)) = tables.directory
+    if let Some(Versioned { version, content: update }) = tables.directory
         && version > current.versions.directory
     {
         next.endpoints = Rc::new(apply_update(&current.endpoints, update));
--- a/tier/wire/src/messages/calls.rs
+++ b/tier/wire/src/messages/calls.rs
@@ -1,7 +1,7 @@
 //! The calls between processes: requests and their responses, of all planes.
 
 use super::encoding::{decode_aligned, encode};
-use super::jobs::{Job, Phase};
+use super::jobs::{ItemOutcome, Job};
 use super::node::{DiskId, Epoch, NodeInfo};
 use super::poll::{Poll, Tables};
 use super::quota::{QuotaClaim, QuotaStatement};
@@ -134,10 +134,10 @@
     NotFound,
     /// Results of a job.
     Results {
-        /// Number of results of the job so far.
+        /// Number of items of the job, with and without a result.
         total: u64,
-        /// Item id, how it ended, and text of each result after those skipped.
-        results: Vec<(String, Phase, String)>,
+        /// The results after those skipped.
+        results: Vec<ItemOutcome>,
     },
     /// Body of an item.
     Body(Vec<u8>),
--- a/tier/wire/src/messages/jobs.rs
+++ b/tier/wire/src/messages/jobs.rs
@@ -54,6 +54,17 @@
     pub text: String,
 }
 
+/// The result of an item as it is read: by the item's id.
+#[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
+pub struct ItemOutcome {
+    /// Id of the item.
+    pub id: String,
+    /// How it ended.
+    pub phase: Phase,
+    /// Text of the result, or the reason why it was given up.
+    pub text: String,
+}
+
 /// A change of a shard.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum ShardOperation {
--- a/tier/wire/src/messages/poll.rs
+++ b/tier/wire/src/messages/poll.rs
@@ -5,6 +5,16 @@
 use super::placement::{Placement, ShardReport};
 use rkyv::{Archive, Deserialize, Serialize};
 
+/// Version of the endpoint list. Lists are counted anew in each epoch of the core: those of two epochs can't be compared by
+/// their counters.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Archive, Serialize, Deserialize)]
+pub struct DirectoryVersion {
+    /// Epoch of the primary that read the list.
+    pub epoch: Epoch,
+    /// Number of changes of the list in this epoch; 0 for no list.
+    pub changes: u64,
+}
+
 /// Versions of the tables that a process has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct TableVersions {
@@ -12,8 +22,8 @@
     pub configuration: u64,
     /// Version of the placement.
     pub placement: u64,
-    /// Epoch of the primary that read the endpoint list, and its counter of changes.
-    pub directory: (Epoch, u64),
+    /// Version of the endpoint list.
+    pub directory: DirectoryVersion,
 }
 
 /// Requests of each tenant that started to run in one window of the wall clock.
@@ -61,17 +71,26 @@
     pub items: Vec<(DiskId, u32)>,
 }
 
+/// A table, or an update of it, with the version that it leads to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
+pub struct Versioned<V, T> {
+    /// The version.
+    pub version: V,
+    /// The table or the update.
+    pub content: T,
+}
+
 /// Response to a long poll, with only the tables that the sender of the poll does not have.
 #[derive(Clone, Debug, Default, PartialEq, Archive, Serialize, Deserialize)]
 pub struct Tables {
     /// Epoch of the core's primary.
     pub epoch: Epoch,
-    /// Version and text of the operator's configuration.
-    pub configuration: Option<(u64, String)>,
-    /// Version and contents of the placement.
-    pub placement: Option<(u64, Placement)>,
-    /// Version and update of the endpoint list.
-    pub directory: Option<((Epoch, u64), DirectoryUpdate)>,
+    /// Text of the operator's configuration.
+    pub configuration: Option<Versioned<u64, String>>,
+    /// The placement.
+    pub placement: Option<Versioned<u64, Placement>>,
+    /// Update of the endpoint list.
+    pub directory: Option<Versioned<DirectoryVersion, DirectoryUpdate>>,
     /// Number of live couriers and stores: they share an endpoint's connections.
     pub senders: u32,
     /// Internal address of the primary that responds.
--- a/tier/wire/tests/message_bytes.rs
+++ b/tier/wire/tests/message_bytes.rs
@@ -4,9 +4,10 @@
 use quillmount_test_support::fixtures::Fixtures;
 use quillmount_wire::frame::{FrameError, FrameHeader, FrameKind, HEADER_BYTES, aligned_buffer, encode};
 use quillmount_wire::messages::{
-    Accepted, DirectoryUpdate, Endpoint, Item, ItemResult, Job, JobState, NodeInfo, NodeRole, Phase,
-    Placement, Poll, QuotaClaim, QuotaKey, QuotaStatement, RegisterMessage, RegisterValue, Request, Response,
-    ServiceLoad, ShardMessage, ShardOperation, ShardReport, ShardView, TableVersions, Tables, UsageWindow,
+    Accepted, DirectoryUpdate, DirectoryVersion, Endpoint, Epoch, Item, ItemOutcome, ItemResult, Job,
+    JobState, NodeInfo, NodeRole, Phase, Placement, Poll, QuotaClaim, QuotaKey, QuotaStatement,
+    RegisterMessage, RegisterValue, Request, Response, ServiceLoad, ShardMessage, ShardOperation,
+    ShardReport, ShardView, TableVersions, Tables, UsageWindow, Versioned,
 };
 
 const FIXTURES: Fixtures = Fixtures::of_package(env!("CARGO_MANIFEST_DIR"));
@@ -97,11 +98,19 @@
     }
 }
 
+fn directory_version(epoch: Epoch, changes: u64) -> DirectoryVersion {
+    DirectoryVersion { epoch, changes }
+}
+
 fn poll() -> Poll {
     Poll {
         node: store(),
         incarnation: 31,
-        known_versions: TableVersions { configuration: 32, placement: 33, directory: (34, 35) },
+        known_versions: TableVersions {
+            configuration: 32,
+            placement: 33,
+            directory: directory_version(34, 35),
+        },
         max_wait_ms: 36,
         usage: vec![UsageWindow { window: 37, counts: vec![(text("tenant-1"), 38)] }],
         shards: vec![ShardReport { shard: 39, epoch: 40, unresponsive: vec![41], caught_up: vec![42, 43] }],
@@ -115,9 +124,12 @@
 fn tables() -> Tables {
     Tables {
         epoch: 51,
-        configuration: Some((52, text("{\"Gen\":52}"))),
-        placement: Some((53, placement())),
-        directory: Some(((54, 55), DirectoryUpdate::Full(vec![endpoint("e-1"), endpoint("e-2")]))),
+        configuration: Some(Versioned { version: 52, content: text("{\"Gen\":52}") }),
+        placement: Some(Versioned { version: 53, content: placement() }),
+        directory: Some(Versioned {
+            version: directory_version(54, 55),
+            content: DirectoryUpdate::Full(vec![endpoint("e-1"), endpoint("e-2")]),
+        }),
         senders: 56,
         primary: text("10.0.0.101:7360"),
         relays: vec![text("10.0.0.102:7360")],
@@ -272,10 +284,11 @@
 
 fn responses() -> Vec<(String, Response)> {
     let changes = DirectoryUpdate::Delta { changed: vec![endpoint("e-2")], removed: vec![text("e-3")] };
-    let changed = Tables { directory: Some(((54, 56), changes)), ..Tables::default() };
+    let changes = Versioned { version: directory_version(54, 56), content: changes };
+    let changed = Tables { directory: Some(changes), ..Tables::default() };
     let results = vec![
-        (text("i0"), Phase::Done, text("a text that is not short")),
-        (text("i1"), Phase::DeadLetter, text("")),
+        ItemOutcome { id: text("i0"), phase: Phase::Done, text: text("a text that is not short") },
+        ItemOutcome { id: text("i1"), phase: Phase::DeadLetter, text: text("") },
     ];
     let all = vec![
         ("announced", Response::Announced { node: core(), empty: true, known: vec![core(), courier()] }),
