--- a/tier/node/src/clock.rs
+++ b/tier/node/src/clock.rs
@@ -1,6 +1,6 @@
 //! The clocks of a process, and the random numbers that it identifies itself with.
 //!
-//! Every decision is made on the steady clock ([`micros`]), which no correction of the machine's time moves. The time of
+//! Every decision is made on the steady clock ([`now`]), which no correction of the machine's time moves. The time of
 //! day ([`wall_seconds`]) numbers usage windows and quota claims, which have to mean the same on all machines.
 
 use quillmount_wire::Micros;
@@ -10,8 +10,8 @@
 /// Added to the steady clock, microseconds: an earlier moment can be computed by subtraction right from the start.
 const STEADY_CLOCK_ORIGIN: Micros = 1_000_000;
 
-/// Microseconds on the steady clock, counted from one second before its first use in this process.
-pub fn micros() -> Micros {
+/// The present moment on the steady clock, which counts from one second before its first use in this process.
+pub fn now() -> Micros {
     static START: OnceLock<Instant> = OnceLock::new();
     START.get_or_init(Instant::now).elapsed().as_micros() as Micros + STEADY_CLOCK_ORIGIN
 }
@@ -21,14 +21,19 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |span| span.as_secs_f64())
 }
 
-/// Converts milliseconds to a duration; negative values count as 0.
-pub fn millis(span: f64) -> Duration {
-    Duration::from_micros((span.max(0.0) * 1000.0) as u64)
+/// Converts milliseconds, in which settings and configurations state spans of time; negative values count as 0.
+pub fn micros_from_ms(span_ms: f64) -> Micros {
+    (span_ms.max(0.0) * 1000.0) as Micros
+}
+
+/// As [`micros_from_ms`], for timers.
+pub fn duration_from_ms(span_ms: f64) -> Duration {
+    Duration::from_micros(micros_from_ms(span_ms))
 }
 
 /// Draws an identifier from the system's random numbers, never 0. Where there are none, the steady clock stands in.
 pub fn random_id() -> u64 {
-    getrandom::u64().unwrap_or_else(|_| micros()).max(1)
+    getrandom::u64().unwrap_or_else(|_| now()).max(1)
 }
 
 /// Draws a random number from 0 up to, but not including, 1, in steps of 1/10,000.
--- a/tier/node/src/control_member/bootstrap.rs
+++ b/tier/node/src/control_member/bootstrap.rs
@@ -76,7 +76,7 @@
 
 /// Announces this machine to all seeds until there is a first value, which the member with the lowest address writes.
 pub async fn run(core: Rc<ControlMember>, announcements: Rc<NodeAnnouncements>) {
-    let began = clock::micros();
+    let began = clock::now();
     announcements.record(&core.node.info);
     while core.is_blank() {
         let complete = match announce(&core, &announcements).await {
@@ -85,7 +85,7 @@
             // The primary admits this machine when it polls.
             AnnounceRound::HasBegun => return,
         };
-        let gathered = clock::micros().saturating_sub(began) > GATHER_TIME;
+        let gathered = clock::now().saturating_sub(began) > GATHER_TIME;
         let all = announcements.all();
         let first = all.first().is_some_and(|node| node.disk == core.node.info.disk);
         if complete && gathered && first && core.is_blank() {
--- a/tier/node/src/control_member/directory.rs
+++ b/tier/node/src/control_member/directory.rs
@@ -21,7 +21,7 @@
             tokio::time::sleep(ROLE_CHECK_INTERVAL).await;
             continue;
         };
-        let began = clock::micros();
+        let began = clock::now();
         let list = endpoint_list::read(&core.node).await;
         // What was read in an earlier epoch is not published in this one.
         if core.serving() != Some(epoch) {
@@ -32,7 +32,7 @@
             continue;
         };
         publish(&core, list);
-        let spent = Duration::from_micros(clock::micros().saturating_sub(began));
+        let spent = Duration::from_micros(clock::now().saturating_sub(began));
         tokio::time::sleep(READ_INTERVAL.saturating_sub(spent)).await;
     }
 }
--- a/tier/node/src/control_member/leases.rs
+++ b/tier/node/src/control_member/leases.rs
@@ -48,7 +48,7 @@
 impl Leases {
     /// Renews the lease of a poll's sender and records what the poll reports.
     pub fn renew(&mut self, poll: &Poll) {
-        let now = clock::micros();
+        let now = clock::now();
         if self.leases.len() >= LEASE_LIMIT {
             self.leases.retain(|_, lease| now.saturating_sub(lease.renewed) < LEASE_DURATION);
         }
@@ -117,7 +117,7 @@
 
     /// Recent reports of shard primaries.
     pub fn reports(&self) -> Vec<ShardReport> {
-        let now = clock::micros();
+        let now = clock::now();
         let recent = self.leases.values().filter(|lease| now.saturating_sub(lease.renewed) < REPORT_TTL);
         recent.flat_map(|lease| lease.reports.iter().cloned()).collect()
     }
@@ -130,7 +130,7 @@
             at: lease.renewed,
             draining: lease.draining,
         });
-        all_reported(heard, since, clock::micros())
+        all_reported(heard, since, clock::now())
     }
 
     /// Whether a process has polled since a moment, or is draining.
@@ -144,7 +144,7 @@
     }
 
     fn live(&self) -> impl Iterator<Item = &Lease> {
-        let now = clock::micros();
+        let now = clock::now();
         self.leases.values().filter(move |lease| now.saturating_sub(lease.renewed) < LEASE_DURATION)
     }
 }
--- a/tier/node/src/control_member/member.rs
+++ b/tier/node/src/control_member/member.rs
@@ -66,7 +66,7 @@
         let (disk, records) = DiskWriter::open(folder, RING)?;
         let register = newest_register(&disk, &records).unwrap_or_default();
         let tolerated_failures = node.settings.fault_tolerance.machines;
-        let member = Member::new(node.info.disk, tolerated_failures, register, clock::micros());
+        let member = Member::new(node.info.disk, tolerated_failures, register, clock::now());
         let core = Rc::new_cyclic(|this| ControlMember {
             node,
             changed: Notify::new(),
@@ -86,7 +86,7 @@
     pub async fn run(self: Rc<ControlMember>) {
         loop {
             tokio::time::sleep(TICK_INTERVAL).await;
-            let actions = self.member.borrow_mut().tick(clock::micros());
+            let actions = self.member.borrow_mut().tick(clock::now());
             self.perform(actions);
         }
     }
@@ -108,35 +108,35 @@
 
     /// The committed state, if this member is primary and a majority answered it recently.
     pub fn committed_if_recent(&self) -> Option<Rc<ControlState>> {
-        self.member.borrow().committed_if_recent(clock::micros())
+        self.member.borrow().committed_if_recent(clock::now())
     }
 
     /// Time since this member became primary.
     pub fn time_as_primary(&self) -> Micros {
-        self.member.borrow().time_as_primary(clock::micros())
+        self.member.borrow().time_as_primary(clock::now())
     }
 
     /// Internal address of the primary, if this member heard from it recently.
     pub fn primary_address(&self) -> Option<String> {
-        let primary = self.member.borrow().replica().recent_primary(clock::micros())?;
+        let primary = self.member.borrow().replica().recent_primary(clock::now())?;
         self.addresses.borrow().get(&primary).cloned()
     }
 
     /// Members of the core that have not answered for so long that they may be replaced.
     pub fn silent_members(&self) -> BTreeSet<DiskId> {
-        self.member.borrow().silent_members(clock::micros())
+        self.member.borrow().silent_members(clock::now())
     }
 
     /// Proposes the first value of a new system, whose members are `addresses`.
     pub fn bootstrap(&self, state: &ControlState, addresses: &[(DiskId, String)]) {
         self.addresses.borrow_mut().extend(addresses.iter().cloned());
-        let actions = self.member.borrow_mut().bootstrap(state, clock::micros());
+        let actions = self.member.borrow_mut().bootstrap(state, clock::now());
         self.perform(actions);
     }
 
     /// Gives up being primary and lets a successor stand for election, before the process stops.
     pub fn resign(&self) {
-        let actions = self.member.borrow_mut().resign(clock::micros());
+        let actions = self.member.borrow_mut().resign(clock::now());
         self.perform(actions);
     }
 
@@ -147,14 +147,14 @@
             return;
         }
         self.addresses.borrow_mut().insert(from, address);
-        let actions = self.member.borrow_mut().receive(from, message, clock::micros());
+        let actions = self.member.borrow_mut().receive(from, message, clock::now());
         self.perform(actions);
     }
 
     /// Changes the control state as primary. Returns once the change, and everything that its outcome depends on, is
     /// committed.
     pub async fn change<T>(&self, change: impl FnOnce(&mut ControlState) -> T) -> Result<T, ChangeError> {
-        let submitted = self.member.borrow_mut().change(change, clock::micros());
+        let submitted = self.member.borrow_mut().change(change, clock::now());
         let SubmittedChange { outcome, ticket, actions } =
             submitted.map_err(|NotPrimary| ChangeError::NotPrimary)?;
         if self.wait_for(ticket, actions).await { Ok(outcome) } else { Err(ChangeError::Uncertain) }
@@ -162,7 +162,7 @@
 
     /// Confirms with a majority that this member is still primary, and so that its committed state is the newest.
     pub async fn confirm(&self) -> Result<(), NotPrimary> {
-        let submitted = self.member.borrow_mut().confirm(clock::micros());
+        let submitted = self.member.borrow_mut().confirm(clock::now());
         let SubmittedRead { ticket, actions } = submitted?;
         if self.wait_for(ticket, actions).await { Ok(()) } else { Err(NotPrimary) }
     }
@@ -241,7 +241,7 @@
                 Ok(written) => {
                     // Each record is a complete register: older segments are of no use.
                     core.disk.release(written.segment);
-                    let actions = core.member.borrow_mut().persisted(write, clock::micros());
+                    let actions = core.member.borrow_mut().persisted(write, clock::now());
                     core.perform(actions);
                 }
                 Err(error) => {
--- a/tier/node/src/control_member/scaling.rs
+++ b/tier/node/src/control_member/scaling.rs
@@ -84,7 +84,7 @@
     }
     let demand = core.leases.borrow().demand(&service.name);
     let scaler = orders.scalers.entry(service.name.clone()).or_default();
-    let desired = scaler.desired(clock::micros(), demand, capacity, up_by_zone.len(), bounds);
+    let desired = scaler.desired(clock::now(), demand, capacity, up_by_zone.len(), bounds);
     if !may_act(core, orders.epoch, ROLE) {
         return;
     }
--- a/tier/node/src/control_member/singletons/platform.rs
+++ b/tier/node/src/control_member/singletons/platform.rs
@@ -13,7 +13,7 @@
 pub fn may_act(core: &ControlMember, epoch: u64, role: &str) -> bool {
     let settings = &core.node.settings;
     let awaiting_lease_expiry =
-        epoch > 1 && core.time_as_primary() < clock::millis(settings.slo.lease_ms).as_micros() as u64;
+        epoch > 1 && core.time_as_primary() < clock::micros_from_ms(settings.slo.lease_ms);
     !awaiting_lease_expiry
         && settings
             .cloud_api
--- a/tier/node/src/edge/admission.rs
+++ b/tier/node/src/edge/admission.rs
@@ -17,7 +17,7 @@
 /// Until when a request that arrived at `arrived` waits for a slot.
 pub(super) fn wait_until(arrived: Micros, target_ms: Option<f64>, deadline: Micros) -> Micros {
     let wait = target_ms.unwrap_or(DEFAULT_TARGET_MS) * WAIT_FRACTION_OF_TARGET;
-    (arrived + clock::millis(wait).as_micros() as u64).min(deadline)
+    (arrived + clock::micros_from_ms(wait)).min(deadline)
 }
 
 /// Waits for a slot at an endpoint that is not in `tried`, at most until `until`.
@@ -32,14 +32,14 @@
     loop {
         // Created before the attempt, so that no slot that becomes free meanwhile is missed.
         let capacity_freed = node.capacity_freed.notified();
-        let now = clock::micros();
+        let now = clock::now();
         let reserved = node.dispatcher.borrow_mut().reserve(service, profile, None, tried, now);
         match reserved {
             Ok(reservation) => return Ok(reservation),
             Err(error) if now >= until => return Err(error),
             Err(_) => {}
         }
-        let wait = clock::millis(CAPACITY_CHECK_MS).min(Duration::from_micros(until - now));
+        let wait = clock::duration_from_ms(CAPACITY_CHECK_MS).min(Duration::from_micros(until - now));
         let _ = tokio::time::timeout(wait, capacity_freed).await;
     }
 }
--- a/tier/node/src/edge/batch_api/mod.rs
+++ b/tier/node/src/edge/batch_api/mod.rs
@@ -55,7 +55,7 @@
         path: request.head.target.clone(),
         items,
     };
-    let target = clock::millis(route.route.target_ms.unwrap_or(DEFAULT_TARGET_MS)).as_micros() as u64;
+    let target = clock::micros_from_ms(route.route.target_ms.unwrap_or(DEFAULT_TARGET_MS));
     let until = request.arrived + target * SUBMIT_SEARCH_TARGETS;
     let submission = |shard, epoch| StoreRequest::Submit { shard, epoch, job: job.clone() };
     match call_primary(node, id, until, Duration::ZERO, submission).await {
--- a/tier/node/src/edge/batch_api/primary_call.rs
+++ b/tier/node/src/edge/batch_api/primary_call.rs
@@ -43,7 +43,7 @@
         let primary =
             view.and_then(|view| tables.placement.stores.iter().find(|store| store.disk == view.primary));
         if let (Some(view), Some(primary)) = (view, primary) {
-            let time_left = Duration::from_micros(until.saturating_sub(clock::micros()));
+            let time_left = Duration::from_micros(until.saturating_sub(clock::now()));
             let time_limit = max_wait + ANSWER_TIMEOUT.min(time_left.max(RETRY_DELAY));
             match node.links.call(&primary.internal, &request(shard, view.epoch), time_limit).await {
                 Ok(Response::WrongEpoch) | Err(CallError::NotSent) => {}
@@ -53,7 +53,7 @@
                 Ok(response) => return Ok(response),
             }
         }
-        if clock::micros() >= until {
+        if clock::now() >= until {
             return Err(if uncertain { Unanswered::Uncertain } else { Unanswered::Unreached });
         }
         tokio::time::sleep(RETRY_DELAY).await;
--- a/tier/node/src/edge/forward/attempt.rs
+++ b/tier/node/src/edge/forward/attempt.rs
@@ -21,7 +21,7 @@
     connection: &mut Connection,
     reservation: &Reservation,
 ) -> AttemptOutcome {
-    let attempt = Attempt { reservation, started_at: clock::micros() };
+    let attempt = Attempt { reservation, started_at: clock::now() };
     let mut bytes = request_head(request, &reservation.id, request.time_left());
     bytes.extend_from_slice(&request.request.body);
     request.runs += 1;
--- a/tier/node/src/edge/forward/request.rs
+++ b/tier/node/src/edge/forward/request.rs
@@ -78,7 +78,7 @@
 impl Attempt<'_> {
     /// Time since it began.
     pub(super) fn elapsed(&self) -> Micros {
-        clock::micros().saturating_sub(self.started_at)
+        clock::now().saturating_sub(self.started_at)
     }
 }
 
@@ -94,7 +94,7 @@
         let stated_ms: f64 =
             headers.get("Deadline").and_then(|value| value.trim().parse().ok()).unwrap_or(f64::MAX);
         let time_limit_ms = stated_ms.min(route.route.deadline_ms).clamp(0.0, MAX_DEADLINE_MS);
-        let deadline = request.arrived + clock::millis(time_limit_ms).as_micros() as u64;
+        let deadline = request.arrived + clock::micros_from_ms(time_limit_ms);
         let profile = RequestProfile::parse(headers.get("Token-Count"), headers.get("Prompt-Prefix"));
         let draw = (clock::random_id() % SERVICE_DRAWS) as f64 / SERVICE_DRAWS as f64;
         let service = route.pick_service(draw).unwrap_or_default().to_owned();
@@ -134,7 +134,7 @@
 
     /// Whether the deadline has not passed.
     pub(super) fn is_in_time(&self) -> bool {
-        clock::micros() < self.deadline
+        clock::now() < self.deadline
     }
 
     /// Until when the request waits for a slot. A retry waits until the deadline.
@@ -147,7 +147,7 @@
 
     /// Time until the deadline.
     pub(super) fn time_left(&self) -> Duration {
-        Duration::from_micros(self.deadline.saturating_sub(clock::micros()))
+        Duration::from_micros(self.deadline.saturating_sub(clock::now()))
     }
 
     /// How long an endpoint may be silent before its attempt is given up.
@@ -163,7 +163,7 @@
     /// Reports the end of an attempt to the dispatcher and wakes requests that wait for its slot.
     pub(super) fn finish(&self, attempt: &Attempt<'_>, outcome: CallOutcome, has_first_event: bool) {
         let mut dispatcher = self.node.dispatcher.borrow_mut();
-        dispatcher.finish(attempt.reservation, outcome, has_first_event, clock::micros());
+        dispatcher.finish(attempt.reservation, outcome, has_first_event, clock::now());
         self.node.capacity_freed.notify_waiters();
     }
 
--- a/tier/node/src/edge/shutdown.rs
+++ b/tier/node/src/edge/shutdown.rs
@@ -19,7 +19,7 @@
 
 /// Closes the connections of clients step by step; returns when all are closed, or at the end of the grace period.
 pub(super) async fn drain(node: &Node, connections: &ClientConnections) {
-    let grace = clock::millis(node.settings.slo.grace_s * 1000.0).saturating_sub(GRACE_MARGIN);
+    let grace = clock::duration_from_ms(node.settings.slo.grace_s * 1000.0).saturating_sub(GRACE_MARGIN);
     let started = Instant::now();
     sleep(CLOSE_IDLE_AFTER.min(grace)).await;
     connections.close_idle();
--- a/tier/node/src/http/connection.rs
+++ b/tier/node/src/http/connection.rs
@@ -123,16 +123,16 @@
 
     /// Reads a request whose first byte is in the buffer.
     async fn read_request(&mut self, limits: &ClientLimits) -> Result<HttpRequest, RequestReadError> {
-        let head = match timeout(clock::millis(limits.head_ms), self.read_head(limits)).await {
+        let head = match timeout(clock::duration_from_ms(limits.head_ms), self.read_head(limits)).await {
             Ok(head) => head?,
             Err(_) => return Err(RequestReadError::Reject(408)),
         };
         if head.headers.has_token("Expect", "100-continue") {
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.map_err(|_| RequestReadError::Closed)?;
         }
-        let idle_timeout = clock::millis(limits.idle_ms);
+        let idle_timeout = clock::duration_from_ms(limits.idle_ms);
         let body = self.read_body(head.framing, limits.body_bytes, idle_timeout).await?;
-        Ok(HttpRequest { head, body, arrived: clock::micros() })
+        Ok(HttpRequest { head, body, arrived: clock::now() })
     }
 
     async fn read_head(&mut self, limits: &ClientLimits) -> Result<RequestHead, RequestReadError> {
--- a/tier/node/src/node.rs
+++ b/tier/node/src/node.rs
@@ -74,7 +74,7 @@
             settings,
             info,
             incarnation,
-            started: clock::micros(),
+            started: clock::now(),
             links: PeerLinks::default(),
             upstreams: Upstreams::default(),
             dispatcher: RefCell::new(dispatcher),
@@ -91,7 +91,7 @@
 
     /// Seconds since the process began.
     pub fn uptime_s(&self) -> f64 {
-        clock::micros().saturating_sub(self.started) as f64 / 1e6
+        clock::now().saturating_sub(self.started) as f64 / 1e6
     }
 
     /// The tables in force.
--- a/tier/node/src/node/core_contact.rs
+++ b/tier/node/src/node/core_contact.rs
@@ -37,7 +37,7 @@
 
     /// Records an answer of the primary, which may have come through a relay.
     pub fn record_answer(&self, primary: &str, relays: &[String]) {
-        self.last_answer.set(clock::micros());
+        self.last_answer.set(clock::now());
         *self.primary.borrow_mut() = Some(primary.to_owned());
         *self.relays.borrow_mut() = relays.to_vec();
     }
@@ -62,7 +62,7 @@
 
     /// Time since the primary last answered, or since the start of the clock.
     pub fn silence(&self) -> Micros {
-        clock::micros().saturating_sub(self.last_answer.get())
+        clock::now().saturating_sub(self.last_answer.get())
     }
 
     /// Internal addresses of the core's members, as this machine's own register names them.
--- a/tier/node/src/rpc/client.rs
+++ b/tier/node/src/rpc/client.rs
@@ -47,7 +47,7 @@
         let link = self.link(address);
         let (response, receiver) = oneshot::channel();
         let bytes = encode(FrameKind::Request, number, &request.encode());
-        let sent_at = clock::micros();
+        let sent_at = clock::now();
         link.send(bytes, Some(PendingCall { number, response })).map_err(|_| CallError::NotSent)?;
         match tokio::time::timeout(time_limit, receiver).await {
             Ok(Ok(response)) => Ok(response),
--- a/tier/node/src/rpc/link.rs
+++ b/tier/node/src/rpc/link.rs
@@ -107,7 +107,7 @@
     outgoing: &mut mpsc::Receiver<OutgoingFrame>,
     state: &Rc<LinkState>,
 ) {
-    state.last_received.set(clock::micros());
+    state.last_received.set(clock::now());
     let (reader, mut writer) = stream.into_split();
     let mut reading = tokio::task::spawn_local(read_responses(address.to_owned(), reader, state.clone()));
     let mut next = first;
@@ -147,7 +147,7 @@
 async fn read_responses(address: String, reader: OwnedReadHalf, state: Rc<LinkState>) {
     let mut reader = BufReader::with_capacity(READ_BUFFER_BYTES, reader);
     while let Ok((header, body)) = read_frame(&mut reader).await {
-        state.last_received.set(clock::micros());
+        state.last_received.set(clock::now());
         let response = match Response::decode(&body) {
             Ok(response) => response,
             Err(error) => {
--- a/tier/node/src/store/items.rs
+++ b/tier/node/src/store/items.rs
@@ -67,7 +67,7 @@
 
 /// Reserves an endpoint for an item: one that was not tried since its last progress if possible, else any.
 fn reserve(store: &Store, run: &ItemRun, service: &str, profile: &RequestProfile) -> Option<Reservation> {
-    let now = clock::micros();
+    let now = clock::now();
     let share = store
         .batch_shares
         .get(service, now, |batch_capacity| batch_share(store, service, now, batch_capacity));
--- a/tier/node/src/store/items/attempt.rs
+++ b/tier/node/src/store/items/attempt.rs
@@ -54,7 +54,7 @@
 pub async fn run(store: Rc<Store>, run: ItemRun, reservation: Reservation) {
     let resumed = run.last_event.is_some();
     let cancel = run.tracked.cancel.clone();
-    let mut attempt = Attempt { store, run, reservation, sent: clock::micros(), first_event_latency: None };
+    let mut attempt = Attempt { store, run, reservation, sent: clock::now(), first_event_latency: None };
     let outcome = tokio::select! {
         outcome = attempt.exchange() => outcome,
         () = cancel.cancelled() => AttemptOutcome::Cancelled,
@@ -160,7 +160,7 @@
 
     /// Time since the start.
     fn elapsed(&self) -> Micros {
-        clock::micros().saturating_sub(self.sent)
+        clock::now().saturating_sub(self.sent)
     }
 
     /// Reports the attempt to the dispatcher and frees the endpoint's capacity. `resumed` says whether the attempt started
@@ -179,7 +179,7 @@
         };
         let node = &self.store.node;
         let began = self.first_event_latency.is_some();
-        node.dispatcher.borrow_mut().finish(&self.reservation, call_outcome, began, clock::micros());
+        node.dispatcher.borrow_mut().finish(&self.reservation, call_outcome, began, clock::now());
         node.capacity_freed.notify_waiters();
     }
 
--- a/tier/node/src/store/items/item_run.rs
+++ b/tier/node/src/store/items/item_run.rs
@@ -58,7 +58,7 @@
 impl ItemRun {
     /// Whether the item can no longer be done before it is due.
     pub fn is_late(&self) -> bool {
-        clock::micros() + LATE_MARGIN > self.due
+        clock::now() + LATE_MARGIN > self.due
     }
 
     /// The item as it was submitted.
@@ -72,8 +72,8 @@
             return NextStep::Drop;
         }
         let Some(route) = routes.by_name(&self.job.route) else { return NextStep::DeadLetter };
-        let age = clock::micros().saturating_sub(self.tracked.first_seen);
-        let retain = route.route.retain_s.map(|span| clock::millis(span * 1000.0).as_micros() as u64);
+        let age = clock::now().saturating_sub(self.tracked.first_seen);
+        let retain = route.route.retain_s.map(|span| clock::micros_from_ms(span * 1000.0));
         if retain.is_some_and(|retain| age > retain) {
             return NextStep::DeadLetter;
         }
--- a/tier/node/src/store/items/queue.rs
+++ b/tier/node/src/store/items/queue.rs
@@ -55,7 +55,7 @@
         let tracked = served.term.track(job);
         let due_ms =
             routes.by_name(&entry.job.route).and_then(|route| route.route.due_ms).unwrap_or(DEFAULT_DUE_MS);
-        let due = tracked.first_seen + clock::millis(due_ms).as_micros() as u64;
+        let due = tracked.first_seen + clock::micros_from_ms(due_ms);
         for item in (0..entry.job.items.len() as u32).filter(|item| !entry.has_result(*item)) {
             self.enqueue(ItemRun {
                 served: served.clone(),
--- a/tier/node/src/store/retention.rs
+++ b/tier/node/src/store/retention.rs
@@ -24,8 +24,8 @@
 
 /// Finished jobs that this primary first saw longer ago than they are retained.
 fn old_jobs(store: &Store, served: &ServedShard) -> Vec<String> {
-    let retention = clock::millis(store.node.settings.slo.poll_s * 1000.0).as_micros() as u64 + MARGIN;
-    let now = clock::micros();
+    let retention = clock::micros_from_ms(store.node.settings.slo.poll_s * 1000.0) + MARGIN;
+    let now = clock::now();
     let replica = served.shard.replica();
     let finished = replica.jobs().jobs.iter().filter(|(_, entry)| entry.ended || entry.is_complete());
     finished
--- a/tier/node/src/store/serve.rs
+++ b/tier/node/src/store/serve.rs
@@ -82,7 +82,7 @@
     let shard = &served.shard;
     let known = shard.replica().jobs().jobs.contains_key(&job.id);
     if known {
-        let until = clock::micros() + CONFIRM_TIMEOUT;
+        let until = clock::now() + CONFIRM_TIMEOUT;
         return if shard.confirm(store, until).await { Response::Done } else { Response::Uncertain };
     }
     let pending = shard.replica().is_pending(&job.id);
@@ -169,7 +169,7 @@
     async fn confirmed(&self, response: Response) -> Response {
         let shard = &self.served.shard;
         let pending = shard.replica().is_pending(self.job);
-        let certain = !pending && shard.confirm(self.store, clock::micros() + CONFIRM_TIMEOUT).await;
+        let certain = !pending && shard.confirm(self.store, clock::now() + CONFIRM_TIMEOUT).await;
         if certain { response } else { Response::Uncertain }
     }
 }
--- a/tier/node/src/store/shard.rs
+++ b/tier/node/src/store/shard.rs
@@ -129,7 +129,7 @@
 
     /// Adopts the shard's view in the placement, if it is newer.
     pub fn follow_view<H: ShardHost>(self: &Rc<Self>, host: &Rc<H>, view: &ShardView) {
-        let actions = self.replica.borrow_mut().follow_view(view, clock::micros());
+        let actions = self.replica.borrow_mut().follow_view(view, clock::now());
         self.perform(host, actions);
     }
 
@@ -138,14 +138,14 @@
         if !self.replica().needs_tick() {
             return false;
         }
-        let actions = self.replica.borrow_mut().tick(clock::micros());
+        let actions = self.replica.borrow_mut().tick(clock::now());
         self.perform(host, actions);
         true
     }
 
     /// A record is synced, or could not be written.
     pub fn on_written<H: ShardHost>(self: &Rc<Self>, host: &Rc<H>, write: WriteId, synced: bool) {
-        let actions = self.replica.borrow_mut().on_written(write, synced, clock::micros());
+        let actions = self.replica.borrow_mut().on_written(write, synced, clock::now());
         self.perform(host, actions);
     }
 
@@ -171,7 +171,7 @@
     ) -> Result<(), CommitError> {
         let operation = self.allocate_id();
         let outcome = self.operations.register(operation);
-        let actions = self.replica.borrow_mut().commit(operation, change, clock::micros());
+        let actions = self.replica.borrow_mut().commit(operation, change, clock::now());
         self.perform(host, actions);
         outcome.await.unwrap_or(Err(CommitError::Uncertain))
     }
@@ -181,7 +181,7 @@
     pub async fn confirm<H: ShardHost>(self: &Rc<Self>, host: &Rc<H>, until: Micros) -> bool {
         let read = self.allocate_id();
         let confirmed = self.reads.register(read);
-        let actions = self.replica.borrow_mut().confirm(read, until, clock::micros());
+        let actions = self.replica.borrow_mut().confirm(read, until, clock::now());
         self.perform(host, actions);
         confirmed.await.unwrap_or(false)
     }
@@ -250,7 +250,7 @@
             }
             None => None,
         };
-        let actions = self.replica.borrow_mut().on_answer(call, answer, clock::micros());
+        let actions = self.replica.borrow_mut().on_answer(call, answer, clock::now());
         self.perform(host, actions);
     }
 
--- a/tier/node/src/store/term.rs
+++ b/tier/node/src/store/term.rs
@@ -81,7 +81,7 @@
     /// What is remembered of a job; from now on, if the job is new to this term.
     pub fn track(&self, job: &str) -> TrackedJob {
         let mut tracked = self.tracked.borrow_mut();
-        let new = || TrackedJob { first_seen: clock::micros(), cancel: Rc::default() };
+        let new = || TrackedJob { first_seen: clock::now(), cancel: Rc::default() };
         tracked.entry(job.to_owned()).or_insert_with(new).clone()
     }
 
--- a/tier/node/src/subscription.rs
+++ b/tier/node/src/subscription.rs
@@ -61,7 +61,7 @@
     let mut contacts = Contacts::default();
     loop {
         let poll_address = node.core_contact.poll_address();
-        let address = poll_address.or_else(|| contacts.next_address(&node.core_addresses(), clock::micros()));
+        let address = poll_address.or_else(|| contacts.next_address(&node.core_addresses(), clock::now()));
         let Some(address) = address else {
             tokio::time::sleep(RETRY_DELAY).await;
             continue;
@@ -69,14 +69,14 @@
         match poll_once(&node, &address, &*reporter).await {
             PollOutcome::Answered => {}
             PollOutcome::Redirected { hint } => {
-                let now = clock::micros();
+                let now = clock::now();
                 let hint = hint.filter(|hint| *hint != address && contacts.may_follow(hint, now));
                 let delay = if hint.is_some() { NEXT_ADDRESS_DELAY } else { RETRY_DELAY };
                 node.core_contact.set_poll_address(hint);
                 tokio::time::sleep(delay).await;
             }
             PollOutcome::Failed => {
-                contacts.record_failure(&address, clock::micros());
+                contacts.record_failure(&address, clock::now());
                 node.core_contact.set_poll_address(None);
                 tokio::time::sleep(NEXT_ADDRESS_DELAY).await;
             }
--- a/tier/node/src/upstream/pool.rs
+++ b/tier/node/src/upstream/pool.rs
@@ -30,7 +30,7 @@
     /// Removes a connection on which another request can be sent. Those that expired, were closed by the endpoint, or carry
     /// unexpected bytes are dropped.
     pub(super) fn checkout(&self, endpoint: &str) -> Option<TcpStream> {
-        let now = clock::micros();
+        let now = clock::now();
         let mut by_endpoint = self.by_endpoint.borrow_mut();
         let connections = by_endpoint.get_mut(endpoint)?;
         while let Some(connection) = connections.pop() {
@@ -50,13 +50,13 @@
         let mut by_endpoint = self.by_endpoint.borrow_mut();
         let connections = by_endpoint.entry(endpoint).or_default();
         if connections.len() < IDLE_LIMIT {
-            connections.push(IdleConnection { stream, expires_at: clock::micros() + idle_time });
+            connections.push(IdleConnection { stream, expires_at: clock::now() + idle_time });
         }
     }
 
     /// Closes expired connections, and those to endpoints that are not `open`.
     pub(super) fn close_expired(&self, open: impl Fn(&str) -> bool) {
-        let now = clock::micros();
+        let now = clock::now();
         self.by_endpoint.borrow_mut().retain(|endpoint, connections| {
             connections.retain(|connection| connection.expires_at > now);
             !connections.is_empty() && open(endpoint)
