--- a/tier/dataplane/src/dispatch/outcome.rs
+++ b/tier/dataplane/src/dispatch/outcome.rs
@@ -23,3 +23,18 @@
     /// The caller ended it; this says nothing about the endpoint.
     Abandoned,
 }
+
+impl CallOutcome {
+    /// The outcome of a call whose events were read to the end of the stream, or until the caller ended it.
+    ///
+    /// `first_event` is the time to the first event, `None` if there was none; `resumed` says whether the call continued a stream
+    /// that another one began.
+    #[must_use]
+    pub fn without_fault(first_event: Option<Micros>, resumed: bool) -> CallOutcome {
+        match first_event {
+            Some(_) if resumed => CallOutcome::Resumed,
+            Some(latency) => CallOutcome::FirstEvent(latency),
+            None => CallOutcome::Abandoned,
+        }
+    }
+}
--- a/tier/node/src/edge/forward/attempt.rs
+++ b/tier/node/src/edge/forward/attempt.rs
@@ -23,12 +23,12 @@
 ) -> AttemptOutcome {
     let attempt = Attempt { reservation, started_at: clock::now() };
     let mut bytes = request_head(request, &reservation.id, request.time_left());
-    bytes.extend_from_slice(&request.request.body);
+    bytes.extend_from_slice(&request.client_request.body);
     request.runs += 1;
     let upstream_request = UpstreamRequest {
         endpoint: &reservation.id,
         address: &reservation.address,
-        request_id: request.request.head.headers.get("Request-Id").unwrap_or_default(),
+        request_id: request.client_request.head.headers.get("Request-Id").unwrap_or_default(),
         bytes: &bytes,
     };
     let sending = request.node.upstreams.send(upstream_request, request.silence_limit());
--- a/tier/node/src/edge/forward/head.rs
+++ b/tier/node/src/edge/forward/head.rs
@@ -11,7 +11,7 @@
 
 /// The head of a request for an endpoint, with the time that is left and the id of the endpoint that should run it.
 pub(super) fn request_head(request: &ForwardedRequest<'_>, endpoint: &str, time_left: Duration) -> Vec<u8> {
-    let head = &request.request.head;
+    let head = &request.client_request.head;
     let mut out = format!("{} {} HTTP/1.1\r\n", head.method, head.target);
     for (name, value) in &head.headers.0 {
         let own = OWN_HEADERS.iter().any(|own| name.eq_ignore_ascii_case(own));
@@ -27,7 +27,7 @@
     if let Some(last_event) = request.last_event {
         out.push_str(&format!("Last-Event-Id: {last_event}\r\n"));
     }
-    out.push_str(&format!("Content-Length: {}\r\n\r\n", request.request.body.len()));
+    out.push_str(&format!("Content-Length: {}\r\n\r\n", request.client_request.body.len()));
     out.into_bytes()
 }
 
--- a/tier/node/src/edge/forward/request.rs
+++ b/tier/node/src/edge/forward/request.rs
@@ -27,7 +27,7 @@
     /// The process that forwards it.
     pub(super) node: &'a Rc<Node>,
     /// The request as the client sent it.
-    pub(super) request: HttpRequest,
+    pub(super) client_request: HttpRequest,
     /// Its route.
     pub(super) route: &'a CompiledRoute,
     /// Name of its tenant, if it has one.
@@ -86,22 +86,22 @@
     /// A request without attempts. Draws the service.
     pub(super) fn new(
         node: &'a Rc<Node>,
-        request: HttpRequest,
+        client_request: HttpRequest,
         route: &'a CompiledRoute,
         tenant: Option<&'a str>,
     ) -> ForwardedRequest<'a> {
-        let headers = &request.head.headers;
+        let headers = &client_request.head.headers;
         let stated_ms: f64 =
             headers.get("Deadline").and_then(|value| value.trim().parse().ok()).unwrap_or(f64::MAX);
         let time_limit_ms = stated_ms.min(route.route.deadline_ms).clamp(0.0, MAX_DEADLINE_MS);
-        let deadline = request.arrived + clock::micros_from_ms(time_limit_ms);
+        let deadline = client_request.arrived + clock::micros_from_ms(time_limit_ms);
         let profile = RequestProfile::parse(headers.get("Token-Count"), headers.get("Prompt-Prefix"));
         let draw = (clock::random_id() % SERVICE_DRAWS) as f64 / SERVICE_DRAWS as f64;
         let service = route.pick_service(draw).unwrap_or_default().to_owned();
         let last_event = headers.get("Last-Event-Id").and_then(|value| value.trim().parse().ok());
         ForwardedRequest {
             node,
-            request,
+            client_request,
             route,
             tenant,
             service,
@@ -118,7 +118,7 @@
 
     /// Whether the client keeps the connection open for another request.
     pub(super) fn keep_alive(&self) -> bool {
-        self.request.head.keep_alive
+        self.client_request.head.keep_alive
     }
 
     /// Whether another endpoint may be tried.
@@ -142,7 +142,7 @@
         if self.runs > 0 {
             return self.deadline;
         }
-        admission::wait_until(self.request.arrived, self.route.route.target_ms, self.deadline)
+        admission::wait_until(self.client_request.arrived, self.route.route.target_ms, self.deadline)
     }
 
     /// Time until the deadline.
--- a/tier/node/src/edge/forward/stream.rs
+++ b/tier/node/src/edge/forward/stream.rs
@@ -50,30 +50,30 @@
         let mut bytes = Vec::new();
         let reading = timeout(request.silence_limit(), answer.read(&mut bytes));
         let Some(read) = unless_disconnected(connection, reading).await else {
-            stream.finish(request, attempt, CallOutcome::Abandoned);
+            stream.finish_without_fault(request, attempt);
             return AttemptOutcome::Done(ServeOutcome::Abort);
         };
         let Ok(progress) = read else {
-            stream.finish(request, attempt, CallOutcome::TimedOut(attempt.elapsed()));
+            stream.finish_with_fault(request, attempt, CallOutcome::TimedOut(attempt.elapsed()));
             return AttemptOutcome::Retry(HttpResponse::text(504, "the endpoint fell silent"));
         };
         let Ok(content) = stream.accept(request, attempt, &bytes) else {
-            stream.finish(request, attempt, CallOutcome::Error);
+            stream.finish_with_fault(request, attempt, CallOutcome::Error);
             return AttemptOutcome::Retry(HttpResponse::text(502, "the endpoint sent no events"));
         };
         let complete = progress == BodyProgress::End && stream.events.remainder() == 0;
         let packet = stream.encode(request, &answer.head, &content, complete);
         if !packet.is_empty() && connection.write(&packet).await.is_err() {
-            stream.finish(request, attempt, CallOutcome::Abandoned);
+            stream.finish_without_fault(request, attempt);
             return AttemptOutcome::Done(ServeOutcome::Abort);
         }
         if complete {
-            stream.finish(request, attempt, CallOutcome::Abandoned);
+            stream.finish_without_fault(request, attempt);
             answer.release(&request.node.upstreams);
             return AttemptOutcome::Done(ServeOutcome::after_write(Ok(()), stream.keep_alive));
         }
         if progress != BodyProgress::More {
-            stream.finish(request, attempt, CallOutcome::Lost);
+            stream.finish_with_fault(request, attempt, CallOutcome::Lost);
             return AttemptOutcome::broken();
         }
     }
@@ -127,14 +127,14 @@
         packet
     }
 
-    /// Reports the end of the attempt. [`CallOutcome::Abandoned`] stands for an end that is not the endpoint's fault; the
-    /// latency of the first event counts then, if there was one.
-    fn finish(&self, request: &ForwardedRequest<'_>, attempt: &Attempt<'_>, outcome: CallOutcome) {
-        let outcome = match (outcome, self.first_event) {
-            (CallOutcome::Abandoned, Some(_)) if self.resumed => CallOutcome::Resumed,
-            (CallOutcome::Abandoned, Some(latency)) => CallOutcome::FirstEvent(latency),
-            (outcome, _) => outcome,
-        };
+    /// Reports an attempt whose stream is complete, or whose client has disconnected.
+    fn finish_without_fault(&self, request: &ForwardedRequest<'_>, attempt: &Attempt<'_>) {
+        let outcome = CallOutcome::without_fault(self.first_event, self.resumed);
         request.finish(attempt, outcome, self.first_event.is_some());
     }
+
+    /// Reports an attempt that ended by a fault of its endpoint.
+    fn finish_with_fault(&self, request: &ForwardedRequest<'_>, attempt: &Attempt<'_>, fault: CallOutcome) {
+        request.finish(attempt, fault, self.first_event.is_some());
+    }
 }
--- a/tier/node/src/store/items/attempt.rs
+++ b/tier/node/src/store/items/attempt.rs
@@ -26,7 +26,7 @@
 const ANSWER_LIMIT: usize = 1 << 20;
 
 /// How an attempt ended.
-enum AttemptOutcome {
+enum ItemAttemptOutcome {
     /// The text is complete.
     Complete,
     /// The item can't be processed, at any endpoint.
@@ -40,7 +40,7 @@
 }
 
 /// An item that runs at an endpoint.
-struct Attempt {
+struct ItemAttempt {
     store: Rc<Store>,
     run: ItemRun,
     reservation: Reservation,
@@ -54,18 +54,18 @@
 pub async fn run(store: Rc<Store>, run: ItemRun, reservation: Reservation) {
     let resumed = run.last_event.is_some();
     let cancel = run.tracked.cancel.clone();
-    let mut attempt = Attempt { store, run, reservation, sent: clock::now(), first_event_latency: None };
+    let mut attempt = ItemAttempt { store, run, reservation, sent: clock::now(), first_event_latency: None };
     let outcome = tokio::select! {
         outcome = attempt.exchange() => outcome,
-        () = cancel.cancelled() => AttemptOutcome::Cancelled,
+        () = cancel.cancelled() => ItemAttemptOutcome::Cancelled,
     };
     attempt.release_reservation(&outcome, resumed);
     attempt.conclude(outcome).await;
 }
 
-impl Attempt {
+impl ItemAttempt {
     /// Sends the request and reads the answer.
-    async fn exchange(&mut self) -> AttemptOutcome {
+    async fn exchange(&mut self) -> ItemAttemptOutcome {
         let bytes = self.run.request(&self.reservation);
         let request = UpstreamRequest {
             endpoint: &self.reservation.id,
@@ -76,67 +76,67 @@
         let mut answer = match self.store.node.upstreams.send(request, SILENCE_TIMEOUT).await {
             Ok(answer) => answer,
             Err(UpstreamError::Silent) => {
-                return AttemptOutcome::Retry(CallOutcome::TimedOut(self.elapsed()));
+                return ItemAttemptOutcome::Retry(CallOutcome::TimedOut(self.elapsed()));
             }
-            Err(_) => return AttemptOutcome::Retry(CallOutcome::Lost),
+            Err(_) => return ItemAttemptOutcome::Retry(CallOutcome::Lost),
         };
         if answer.head.status != 200 || !answer.head.is_event_stream() {
             return self.read_status(answer).await;
         }
         let outcome = self.read_events(&mut answer).await;
-        if matches!(outcome, AttemptOutcome::Complete) {
+        if matches!(outcome, ItemAttemptOutcome::Complete) {
             answer.release(&self.store.node.upstreams);
         }
         outcome
     }
 
     /// Reads an answer that is not a stream of events.
-    async fn read_status(&self, mut answer: UpstreamAnswer) -> AttemptOutcome {
+    async fn read_status(&self, mut answer: UpstreamAnswer) -> ItemAttemptOutcome {
         let status = answer.head.status;
         let not_run = answer.head.promises_not_run();
         let complete = tokio::time::timeout(SILENCE_TIMEOUT, answer.read_all(ANSWER_LIMIT)).await;
         if !matches!(complete, Ok(Some(_))) {
-            return AttemptOutcome::Retry(CallOutcome::Lost);
+            return ItemAttemptOutcome::Retry(CallOutcome::Lost);
         }
         answer.release(&self.store.node.upstreams);
         match status {
-            MISDIRECTED_REQUEST => AttemptOutcome::Retry(CallOutcome::Replaced),
-            _ if not_run => AttemptOutcome::Retry(CallOutcome::Refused),
-            422 => AttemptOutcome::Unprocessable,
-            500 => AttemptOutcome::Failed,
-            _ => AttemptOutcome::Retry(CallOutcome::Error),
+            MISDIRECTED_REQUEST => ItemAttemptOutcome::Retry(CallOutcome::Replaced),
+            _ if not_run => ItemAttemptOutcome::Retry(CallOutcome::Refused),
+            422 => ItemAttemptOutcome::Unprocessable,
+            500 => ItemAttemptOutcome::Failed,
+            _ => ItemAttemptOutcome::Retry(CallOutcome::Error),
         }
     }
 
     /// Reads events until the stream ends.
-    async fn read_events(&mut self, answer: &mut UpstreamAnswer) -> AttemptOutcome {
+    async fn read_events(&mut self, answer: &mut UpstreamAnswer) -> ItemAttemptOutcome {
         let mut events = EventReader::default();
         loop {
             let mut bytes = Vec::new();
             let Ok(progress) = tokio::time::timeout(SILENCE_TIMEOUT, answer.read(&mut bytes)).await else {
-                return AttemptOutcome::Retry(CallOutcome::TimedOut(self.elapsed()));
+                return ItemAttemptOutcome::Retry(CallOutcome::TimedOut(self.elapsed()));
             };
             events.add(&bytes);
             loop {
                 let event = match events.next_event() {
                     Ok(Some(event)) => event,
                     Ok(None) => break,
-                    Err(_) => return AttemptOutcome::Retry(CallOutcome::Error),
+                    Err(_) => return ItemAttemptOutcome::Retry(CallOutcome::Error),
                 };
                 if !self.add_event(event) {
-                    return AttemptOutcome::Retry(CallOutcome::Error);
+                    return ItemAttemptOutcome::Retry(CallOutcome::Error);
                 }
             }
             if self.run.text.iter().map(String::len).sum::<usize>() > TEXT_LIMIT {
                 // No valid answer is this long: the item starts from the beginning, until the job gives it up.
                 self.run.text.clear();
                 self.run.last_event = None;
-                return AttemptOutcome::Retry(CallOutcome::Error);
+                return ItemAttemptOutcome::Retry(CallOutcome::Error);
             }
             match progress {
                 BodyProgress::More => {}
-                BodyProgress::End if events.remainder() == 0 => return AttemptOutcome::Complete,
-                _ => return AttemptOutcome::Retry(CallOutcome::Lost),
+                BodyProgress::End if events.remainder() == 0 => return ItemAttemptOutcome::Complete,
+                _ => return ItemAttemptOutcome::Retry(CallOutcome::Lost),
             }
         }
     }
@@ -165,17 +165,14 @@
 
     /// Reports the attempt to the dispatcher and frees the endpoint's capacity. `resumed` says whether the attempt started
     /// behind the first event.
-    fn release_reservation(&self, outcome: &AttemptOutcome, resumed: bool) {
-        let call_outcome = match (outcome, self.first_event_latency) {
-            (AttemptOutcome::Retry(call_outcome), _) => *call_outcome,
-            (AttemptOutcome::Failed, _) => CallOutcome::Error,
-            (AttemptOutcome::Complete | AttemptOutcome::Cancelled, Some(_)) if resumed => {
-                CallOutcome::Resumed
+    fn release_reservation(&self, outcome: &ItemAttemptOutcome, resumed: bool) {
+        let call_outcome = match outcome {
+            ItemAttemptOutcome::Retry(call_outcome) => *call_outcome,
+            ItemAttemptOutcome::Failed => CallOutcome::Error,
+            ItemAttemptOutcome::Complete | ItemAttemptOutcome::Cancelled => {
+                CallOutcome::without_fault(self.first_event_latency, resumed)
             }
-            (AttemptOutcome::Complete | AttemptOutcome::Cancelled, Some(latency)) => {
-                CallOutcome::FirstEvent(latency)
-            }
-            _ => CallOutcome::Abandoned,
+            ItemAttemptOutcome::Unprocessable => CallOutcome::Abandoned,
         };
         let node = &self.store.node;
         let began = self.first_event_latency.is_some();
@@ -184,15 +181,15 @@
     }
 
     /// Commits the item's result, or queues the item again.
-    async fn conclude(mut self, outcome: AttemptOutcome) {
+    async fn conclude(mut self, outcome: ItemAttemptOutcome) {
         match outcome {
-            AttemptOutcome::Complete => {
+            ItemAttemptOutcome::Complete => {
                 let text = self.run.text.join("\n");
                 append_result(&self.store, self.run, Phase::Done, text);
             }
-            AttemptOutcome::Unprocessable => self.give_up(),
-            AttemptOutcome::Cancelled => {}
-            AttemptOutcome::Failed => {
+            ItemAttemptOutcome::Unprocessable => self.give_up(),
+            ItemAttemptOutcome::Cancelled => {}
+            ItemAttemptOutcome::Failed => {
                 self.run.failures += 1;
                 if self.run.failures >= self.run.max_attempts(&self.store.node.tables().routes) {
                     self.give_up();
@@ -200,10 +197,10 @@
                     self.requeue_without_progress().await;
                 }
             }
-            AttemptOutcome::Retry(_) if self.first_event_latency.is_none() => {
+            ItemAttemptOutcome::Retry(_) if self.first_event_latency.is_none() => {
                 self.requeue_without_progress().await;
             }
-            AttemptOutcome::Retry(_) => {
+            ItemAttemptOutcome::Retry(_) => {
                 self.run.tried.clear();
                 self.store.item_queue.enqueue(self.run);
             }
