--- a/tier/node/src/control_member/bootstrap.rs
+++ b/tier/node/src/control_member/bootstrap.rs
@@ -10,7 +10,7 @@
 use crate::node::Node;
 use quillmount_control::ControlState;
 use quillmount_wire::Micros;
-use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, Request, Response};
+use quillmount_wire::messages::{NodeInfo, NodeRole, Request, Response};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -116,10 +116,8 @@
 
 /// Proposes the control state that has these members, and nothing else.
 fn write_first_value(core: &ControlMember, members: Vec<NodeInfo>) {
-    let addresses: Vec<(DiskId, String)> =
-        members.iter().map(|node| (node.disk, node.internal.clone())).collect();
     let mut state = ControlState::default();
     state.placement.core = members;
     state.placement_version = 1;
-    core.bootstrap(&state, &addresses);
+    core.bootstrap(&state);
 }
--- a/tier/node/src/control_member/leases.rs
+++ b/tier/node/src/control_member/leases.rs
@@ -72,7 +72,7 @@
     /// Calls to a service that could run at once, summed over all live processes.
     pub fn demand(&self, service: &str) -> f64 {
         let needs = self.live().flat_map(|lease| &lease.demand);
-        needs.filter(|(name, _)| name == service).map(|(_, places)| places).sum()
+        needs.filter(|(name, _)| name == service).map(|(_, calls)| calls).sum()
     }
 
     /// Demand of live requests and items of batch jobs on each service, sorted by service.
@@ -80,8 +80,8 @@
         let mut loads: BTreeMap<&str, ServiceLoad> = BTreeMap::new();
         for lease in self.live() {
             if !lease.is_store() {
-                for (service, places) in &lease.demand {
-                    loads.entry(service).or_default().live_demand += places;
+                for (service, calls) in &lease.demand {
+                    loads.entry(service).or_default().live_demand += calls;
                 }
             }
             for (service, items) in &lease.items {
@@ -111,12 +111,12 @@
     }
 
     /// Disks of the live processes that are draining.
-    pub fn draining_stores(&self) -> BTreeSet<DiskId> {
+    pub fn draining(&self) -> BTreeSet<DiskId> {
         self.live().filter(|lease| lease.draining).map(|lease| lease.node.disk).collect()
     }
 
     /// Recent reports of shard primaries.
-    pub fn reports(&self) -> Vec<ShardReport> {
+    pub fn shard_reports(&self) -> Vec<ShardReport> {
         let now = clock::now();
         let recent = self.leases.values().filter(|lease| now.saturating_sub(lease.renewed) < REPORT_TTL);
         recent.flat_map(|lease| lease.reports.iter().cloned()).collect()
--- a/tier/node/src/control_member/member.rs
+++ b/tier/node/src/control_member/member.rs
@@ -127,9 +127,9 @@
         self.member.borrow().silent_members(clock::now())
     }
 
-    /// Proposes the first value of a new system, whose members are `addresses`.
-    pub fn bootstrap(&self, state: &ControlState, addresses: &[(DiskId, String)]) {
-        self.addresses.borrow_mut().extend(addresses.iter().cloned());
+    /// Proposes the first value of a new system.
+    pub fn bootstrap(&self, state: &ControlState) {
+        self.addresses.borrow_mut().extend(member_addresses(state));
         let actions = self.member.borrow_mut().bootstrap(state, clock::now());
         self.perform(actions);
     }
@@ -182,8 +182,7 @@
         let member = self.member.borrow();
         let Some(accepted) = &member.replica().register().accepted else { return };
         if let Ok(state) = ControlState::decode(&accepted.value.payload) {
-            let known = state.placement.core.iter().map(|member| (member.disk, member.internal.clone()));
-            self.addresses.borrow_mut().extend(known);
+            self.addresses.borrow_mut().extend(member_addresses(&state));
             self.node
                 .core_contact
                 .set_members(state.placement.core.into_iter().map(|member| member.internal).collect());
@@ -255,6 +254,11 @@
     }
 }
 
+/// Internal addresses of the core's members in a state, by disk.
+fn member_addresses(state: &ControlState) -> impl Iterator<Item = (DiskId, String)> {
+    state.placement.core.iter().map(|member| (member.disk, member.internal.clone()))
+}
+
 /// The newest register among a ring's records; segments before it are released.
 fn newest_register(disk: &DiskWriter, records: &[RingRecord]) -> Option<Register> {
     let (segment, register) = records.iter().rev().find_map(|record| {
--- a/tier/node/src/control_member/mod.rs
+++ b/tier/node/src/control_member/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! [`ControlMember`] carries out what the consensus group of `quillmount_control` decides. The modules beside it are
 //! tasks and answers on top of it, most of which act only at the primary: answers to polls (`polls`, with the `leases` of
-//! who polls and their `usage` counts), the operator's interface (`operator`), the endpoint list (`directory`), planning
-//! and calls to the platform (`singletons`, `scaling`), and announcements (`bootstrap`, `seeds`).
+//! who polls and their `usage` counts), the operator's interface (`operator`), the endpoint list (`directory`), the
+//! placement, usage reports and autoscaling (`singletons`), and announcements (`bootstrap`, `seeds`).
 
 pub mod bootstrap;
 pub mod directory;
@@ -11,7 +11,6 @@
 mod member;
 pub mod operator;
 pub mod polls;
-pub mod scaling;
 pub mod seeds;
 pub mod singletons;
 mod usage;
--- a/tier/node/src/control_member/singletons/mod.rs
+++ b/tier/node/src/control_member/singletons/mod.rs
@@ -1,12 +1,13 @@
 //! Tasks that run once in the whole system: at the primary of the core, fenced by its epoch.
 //!
-//! The primary keeps the shards' views in line with the live stores (`shard_planning`) and reports usage to the platform
-//! (`usage_reports`). Calls to the platform go through `platform`, which makes sure that no two members act in one role.
+//! The primary adapts the placement to the live processes (`shard_planning`), reports usage to the platform (`usage_reports`) and orders
+//! endpoints from it (`scaling`). Calls to the platform go through `platform`, which makes sure that no two members act in one role.
 
 mod platform;
+mod scaling;
 mod shard_planning;
 mod usage_reports;
 
-pub use platform::{call_as_singleton, may_act};
-pub use shard_planning::plan_shards;
+pub use scaling::scale_services;
+pub use shard_planning::maintain_placement;
 pub use usage_reports::report_usage;
--- a/tier/node/src/control_member/scaling.rs
+++ b/tier/node/src/control_member/singletons/scaling.rs
@@ -3,9 +3,9 @@
 //! The primary of the core computes a desired number for each service from the demand that the leases report, and orders
 //! it zone by zone wherever it differs from the last order.
 
-use super::member::ControlMember;
-use super::singletons::{call_as_singleton, may_act};
+use super::platform::{call_as_singleton, may_act};
 use crate::clock;
+use crate::control_member::ControlMember;
 use miniserde::{Serialize, json};
 use quillmount_control::Scaler;
 use quillmount_wire::configuration::{Configuration, Service};
@@ -47,7 +47,7 @@
 }
 
 /// Scales every service whenever this member is primary.
-pub async fn run(core: Rc<ControlMember>) {
+pub async fn scale_services(core: Rc<ControlMember>) {
     let mut orders = ScaleOrders::default();
     loop {
         tokio::time::sleep(SCALE_INTERVAL).await;
--- a/tier/node/src/control_member/singletons/shard_planning.rs
+++ b/tier/node/src/control_member/singletons/shard_planning.rs
@@ -1,4 +1,4 @@
-//! Keeps the placement in line with the processes that are live: views of shards, and members of the core.
+//! Adapts the placement to the processes that are live: the views of the shards, and the members of the core.
 
 use crate::control_member::ControlMember;
 use quillmount_control::ShardPlanInputs;
@@ -12,7 +12,7 @@
 const LEASES_KNOWN: Micros = 1_200_000;
 
 /// Changes the shards' views and the core's members as stores and members come and go, whenever this member is primary.
-pub async fn plan_shards(core: Rc<ControlMember>) {
+pub async fn maintain_placement(core: Rc<ControlMember>) {
     loop {
         tokio::time::sleep(PLAN_INTERVAL).await;
         if core.serving().is_none() || core.time_as_primary() < LEASES_KNOWN {
@@ -50,8 +50,8 @@
     let leases = core.leases.borrow();
     ShardPlanInputs {
         live: leases.live_stores(),
-        draining: leases.draining_stores(),
-        reports: leases.reports(),
+        draining: leases.draining(),
+        reports: leases.shard_reports(),
         tolerated_failures: core.node.settings.fault_tolerance.machines,
     }
 }
--- a/tier/node/src/edge/client_connections.rs
+++ b/tier/node/src/edge/client_connections.rs
@@ -1,39 +1,13 @@
 //! The number of open connections of clients, their limit, and the steps of a graceful shutdown.
 
+use crate::latch::Latch;
 use crate::node::Node;
 use std::cell::Cell;
 use std::rc::Rc;
-use tokio::sync::Notify;
 
 /// Fraction of the file descriptors that clients may use; the others are for endpoints, other processes and the disk.
 const CLIENT_FRACTION: f64 = 0.5;
 
-/// A flag that is set once, and that tasks can wait for.
-#[derive(Default)]
-struct Latch {
-    set: Cell<bool>,
-    changed: Notify,
-}
-
-impl Latch {
-    fn set(&self) {
-        self.set.set(true);
-        self.changed.notify_waiters();
-    }
-
-    fn is_set(&self) -> bool {
-        self.set.get()
-    }
-
-    async fn wait(&self) {
-        // Created before the check, so that no notification is missed.
-        let changed = self.changed.notified();
-        if !self.is_set() {
-            changed.await;
-        }
-    }
-}
-
 /// All connections of clients.
 pub(super) struct ClientConnections {
     open: Cell<usize>,
--- a/tier/node/src/edge/mod.rs
+++ b/tier/node/src/edge/mod.rs
@@ -86,7 +86,7 @@
 struct CourierReporter(Rc<Node>);
 
 impl Reporter for CourierReporter {
-    fn shards(&self) -> Vec<ShardReport> {
+    fn shard_reports(&self) -> Vec<ShardReport> {
         Vec::new()
     }
 
@@ -106,9 +106,9 @@
     tokio::task::spawn_local(core.clone().run());
     tokio::task::spawn_local(control_member::seeds::announce_primary(core.clone()));
     tokio::task::spawn_local(control_member::directory::run(core.clone()));
-    tokio::task::spawn_local(control_member::singletons::plan_shards(core.clone()));
+    tokio::task::spawn_local(control_member::singletons::maintain_placement(core.clone()));
     tokio::task::spawn_local(control_member::singletons::report_usage(core.clone()));
-    tokio::task::spawn_local(control_member::scaling::run(core.clone()));
+    tokio::task::spawn_local(control_member::singletons::scale_services(core.clone()));
 }
 
 fn serve_clients(node: &Rc<Node>) -> Result<Rc<ClientConnections>, RoleError> {
@@ -123,7 +123,6 @@
 async fn close_expired_connections(node: Rc<Node>) {
     loop {
         tokio::time::sleep(CLEANUP_INTERVAL).await;
-        let dispatcher = node.dispatcher.borrow();
-        node.upstreams.close_expired(|endpoint| dispatcher.is_open(endpoint));
+        node.close_expired_connections();
     }
 }
--- a/tier/node/src/main.rs
+++ b/tier/node/src/main.rs
@@ -13,6 +13,7 @@
 mod endpoint_list;
 mod http;
 mod inspect;
+mod latch;
 mod node;
 mod role;
 mod rpc;
--- a/tier/node/src/node.rs
+++ b/tier/node/src/node.rs
@@ -114,6 +114,12 @@
         self.capacity_freed.notify_waiters();
     }
 
+    /// Closes idle connections to endpoints that expired, and those to endpoints that take no more requests.
+    pub fn close_expired_connections(&self) {
+        let dispatcher = self.dispatcher.borrow();
+        self.upstreams.close_expired(|endpoint| dispatcher.is_open(endpoint));
+    }
+
     /// Reads the seeds from the settings file again. If the file can't be read, the seeds stay as they are.
     pub fn reload_seeds(&self) {
         match Settings::load() {
--- a/tier/node/src/node/core_contact.rs
+++ b/tier/node/src/node/core_contact.rs
@@ -42,7 +42,7 @@
         *self.relays.borrow_mut() = relays.to_vec();
     }
 
-    /// Takes up a process's claim to be primary, unless the primary that is known answered recently.
+    /// Polls the process at `address` next, which announced itself as primary, unless the primary that is known answered recently.
     pub fn note_primary(&self, address: String) {
         if !self.has_recent_primary() {
             *self.primary.borrow_mut() = Some(address.clone());
--- a/tier/node/src/store/items/attempt.rs
+++ b/tier/node/src/store/items/attempt.rs
@@ -53,11 +53,11 @@
 /// Runs an item at the endpoint that is reserved for it, then commits its result or queues it again.
 pub async fn run(store: Rc<Store>, run: ItemRun, reservation: Reservation) {
     let resumed = run.last_event.is_some();
-    let cancel = run.tracked.cancel.clone();
+    let cancelled = run.tracked.cancelled.clone();
     let mut attempt = ItemAttempt { store, run, reservation, sent: clock::now(), first_event_latency: None };
     let outcome = tokio::select! {
         outcome = attempt.exchange() => outcome,
-        () = cancel.cancelled() => ItemAttemptOutcome::Cancelled,
+        () = cancelled.wait() => ItemAttemptOutcome::Cancelled,
     };
     attempt.release_reservation(&outcome, resumed);
     attempt.conclude(outcome).await;
--- a/tier/node/src/store/items/item_run.rs
+++ b/tier/node/src/store/items/item_run.rs
@@ -68,7 +68,7 @@
 
     /// Decides whether and where the item runs, by the routes in force. Draws the service at random where a route has several.
     pub fn next_step(&self, routes: &RouteTable) -> NextStep {
-        if self.tracked.cancel.is_cancelled() || !self.served.term.is_serving() {
+        if self.tracked.cancelled.is_set() || !self.served.term.is_serving() {
             return NextStep::Drop;
         }
         let Some(route) = routes.by_name(&self.job.route) else { return NextStep::DeadLetter };
--- a/tier/node/src/store/mod.rs
+++ b/tier/node/src/store/mod.rs
@@ -83,7 +83,6 @@
     loop {
         tokio::time::sleep(CLEANUP_INTERVAL).await;
         store.shards.iter().for_each(|shard| retention::forget_old_jobs(&store, shard));
-        let dispatcher = store.node.dispatcher.borrow();
-        store.node.upstreams.close_expired(|endpoint| dispatcher.is_open(endpoint));
+        store.node.close_expired_connections();
     }
 }
--- a/tier/node/src/store/state.rs
+++ b/tier/node/src/store/state.rs
@@ -93,7 +93,7 @@
 }
 
 impl Reporter for Store {
-    fn shards(&self) -> Vec<ShardReport> {
+    fn shard_reports(&self) -> Vec<ShardReport> {
         self.shards.iter().filter_map(|shard| shard.report()).collect()
     }
 
--- a/tier/node/src/store/term.rs
+++ b/tier/node/src/store/term.rs
@@ -2,6 +2,7 @@
 
 use super::term_quota::TermQuota;
 use crate::clock;
+use crate::latch::Latch;
 use quillmount_wire::Micros;
 use quillmount_wire::messages::Epoch;
 use std::cell::{Cell, RefCell};
@@ -9,40 +10,13 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Signals that the items of a job are no longer to run. Once set it stays set.
-#[derive(Debug, Default)]
-pub struct CancelSignal {
-    cancelled: Cell<bool>,
-    notify: Notify,
-}
-
-impl CancelSignal {
-    /// Whether the signal is set.
-    pub fn is_cancelled(&self) -> bool {
-        self.cancelled.get()
-    }
-
-    /// Waits until the signal is set.
-    pub async fn cancelled(&self) {
-        let notified = self.notify.notified();
-        if !self.cancelled.get() {
-            notified.await;
-        }
-    }
-
-    fn cancel(&self) {
-        self.cancelled.set(true);
-        self.notify.notify_waiters();
-    }
-}
-
 /// A job, as the serving primary knows it.
 #[derive(Clone, Debug)]
 pub struct TrackedJob {
     /// When this primary first saw the job; never before it was submitted.
     pub first_seen: Micros,
-    /// Set when the job, or the primary's term, has ended.
-    pub cancel: Rc<CancelSignal>,
+    /// Set when the job, or the primary's term, has ended: its items are no longer to run.
+    pub cancelled: Rc<Latch>,
 }
 
 /// The time for which a store serves a shard as primary, from its election until its replica steps down.
@@ -75,19 +49,19 @@
     pub fn end(&self) {
         self.ended.set(true);
         self.updates.notify_waiters();
-        self.tracked.borrow().values().for_each(|tracked| tracked.cancel.cancel());
+        self.tracked.borrow().values().for_each(|tracked| tracked.cancelled.set());
     }
 
     /// What is remembered of a job; from now on, if the job is new to this term.
     pub fn track(&self, job: &str) -> TrackedJob {
         let mut tracked = self.tracked.borrow_mut();
-        let new = || TrackedJob { first_seen: clock::now(), cancel: Rc::default() };
+        let new = || TrackedJob { first_seen: clock::now(), cancelled: Rc::default() };
         tracked.entry(job.to_owned()).or_insert_with(new).clone()
     }
 
     /// Cancels the items of a job that has ended.
     pub fn cancel(&self, job: &str) {
-        self.track(job).cancel.cancel();
+        self.track(job).cancelled.set();
     }
 
     /// Drops what is remembered of a job that is no longer retained.
--- a/tier/node/src/subscription.rs
+++ b/tier/node/src/subscription.rs
@@ -31,7 +31,7 @@
 /// What a role reports to the core with each poll.
 pub trait Reporter {
     /// Reports on the shards whose primary this process is.
-    fn shards(&self) -> Vec<ShardReport>;
+    fn shard_reports(&self) -> Vec<ShardReport>;
 
     /// The present demand of this process on endpoints.
     fn needs(&self) -> Needs;
@@ -48,7 +48,7 @@
 
 /// How a poll ended.
 enum PollOutcome {
-    /// Tables came, or the poll was cut short to send a report.
+    /// Tables came, or the poll was abandoned because a report is due.
     Answered,
     /// The other side is not the primary; it may name the one that is.
     Redirected { hint: Option<String> },
@@ -89,14 +89,14 @@
     let stopping = node.stopping.get();
     let request = Request::Poll(make_poll(node, reporter, stopping));
     let call = node.links.call(address, &request, POLL_TIMEOUT);
-    // A report that can't wait goes with a new poll, which also asks for what this one was to bring.
+    // A report that can't wait goes with a new poll, whose answer brings what this one would have brought.
     let answer = tokio::select! {
         answer = call => answer,
         () = node.report_due.notified() => return PollOutcome::Answered,
     };
     match answer {
         Ok(Response::Tables(tables)) => {
-            take_tables(node, address, tables);
+            accept_tables(node, address, tables);
             if stopping {
                 // Polls of a draining process are answered at once.
                 tokio::time::sleep(RETRY_DELAY).await;
@@ -116,7 +116,7 @@
         known_versions: node.tables().versions,
         max_wait_ms: if stopping { 0 } else { MAX_WAIT.as_millis() as u64 },
         usage: node.usage(),
-        shards: reporter.shards(),
+        shards: reporter.shard_reports(),
         draining: stopping,
         relayed: false,
         demand: total_demand(node, demand),
@@ -129,14 +129,15 @@
     for (service, calls) in node.dispatcher.borrow().in_flight() {
         *demand.entry(service).or_default() += f64::from(calls);
     }
-    demand.into_iter().filter(|(_, places)| *places > 0.0).collect()
+    demand.into_iter().filter(|(_, calls)| *calls > 0.0).collect()
 }
 
 /// Records where the core answers, and puts its tables in force.
-fn take_tables(node: &Node, address: &str, mut tables: Tables) {
+fn accept_tables(node: &Node, address: &str, mut tables: Tables) {
     // Behind a relay the primary itself is tried now and then.
-    let stay = address == tables.primary || !clock::random_id().is_multiple_of(DIRECT_EVERY);
-    let next = if stay { address } else { &tables.primary };
+    let is_relay = address != tables.primary;
+    let try_primary = is_relay && clock::random_id().is_multiple_of(DIRECT_EVERY);
+    let next = if try_primary { &tables.primary } else { address };
     node.core_contact.set_poll_address(Some(next.to_owned()));
     node.core_contact.record_answer(&tables.primary, &tables.relays);
     *node.loads.borrow_mut() = Rc::new(std::mem::take(&mut tables.loads));
