--- a/tier/node/src/edge/batch_api/mod.rs
+++ b/tier/node/src/edge/batch_api/mod.rs
@@ -10,6 +10,7 @@
 use crate::http::{HttpRequest, HttpResponse};
 use crate::node::Node;
 use primary_call::{Unanswered, call_primary};
+use quillmount_dataplane::head::RequestHead;
 use quillmount_dataplane::routes::CompiledRoute;
 use quillmount_wire::Micros;
 use quillmount_wire::messages::{Job, Request as StoreRequest, Response};
@@ -30,6 +31,32 @@
 const JOBS_PREFIX: &str = "/-/lots/";
 const ITEMS_PREFIX: &str = "/-/items/";
 
+/// A call that names a job by its id.
+enum JobCall<'a> {
+    /// Read results.
+    ReadResults { job: &'a str },
+    /// Drop the items that have no result.
+    End { job: &'a str },
+    /// Read the body of an item.
+    ReadItemBody { job: &'a str },
+}
+
+impl<'a> JobCall<'a> {
+    /// The call that a method and target stand for, if there is one.
+    fn parse(head: &'a RequestHead) -> Option<JobCall<'a>> {
+        let path = head.target.split('?').next()?;
+        if let Some(job) = path.strip_prefix(JOBS_PREFIX) {
+            return match head.method.as_str() {
+                "GET" => Some(JobCall::ReadResults { job }),
+                "DELETE" => Some(JobCall::End { job }),
+                _ => None,
+            };
+        }
+        let job = path.strip_prefix(ITEMS_PREFIX)?;
+        (head.method == "GET").then_some(JobCall::ReadItemBody { job })
+    }
+}
+
 /// Whether a target names a job rather than a route.
 pub(super) fn is_job_call(target: &str) -> bool {
     target.starts_with(JOBS_PREFIX) || target.starts_with(ITEMS_PREFIX)
@@ -73,13 +100,11 @@
 
 /// Answers a call that names a job of a tenant.
 pub(super) async fn answer(node: &Node, request: &HttpRequest, tenant: &str) -> HttpResponse {
-    let path = request.head.target.split('?').next().unwrap_or_default();
-    let (job_of_results, job_of_item) = (path.strip_prefix(JOBS_PREFIX), path.strip_prefix(ITEMS_PREFIX));
-    match (request.head.method.as_str(), job_of_results, job_of_item) {
-        ("GET", Some(job), _) => read_results(node, request, job, tenant).await,
-        ("DELETE", Some(job), _) => end_job(node, request, job, tenant).await,
-        ("GET", _, Some(job)) => read_item_body(node, request, job, tenant).await,
-        _ => HttpResponse::text(405, "there is no such call"),
+    match JobCall::parse(&request.head) {
+        Some(JobCall::ReadResults { job }) => read_results(node, request, job, tenant).await,
+        Some(JobCall::End { job }) => end_job(node, request, job, tenant).await,
+        Some(JobCall::ReadItemBody { job }) => read_item_body(node, request, job, tenant).await,
+        None => HttpResponse::text(405, "there is no such call"),
     }
 }
 
@@ -98,7 +123,7 @@
         wait_ms,
     };
     let max_wait = Duration::from_millis(wait_ms);
-    let until = request.arrived + u64::max(max_wait.as_micros() as u64, READ_SEARCH_TIME);
+    let until = request.arrived + Micros::max(max_wait.as_micros() as Micros, READ_SEARCH_TIME);
     match call_primary(node, job, until, max_wait, read).await {
         Ok(Response::Results { total, results }) => {
             HttpResponse::json(200, bodies::encode_results(start_after, total, results))
--- a/tier/node/src/edge/routing.rs
+++ b/tier/node/src/edge/routing.rs
@@ -15,10 +15,18 @@
 
 /// What serves a request.
 enum Destination {
-    /// The store of the batch job that the target names, for this tenant.
-    Job(Rc<str>),
-    /// The endpoints of a route, for a tenant if the request has one.
-    Route(Rc<CompiledRoute>, Option<Rc<str>>),
+    /// The store of the batch job that the target names.
+    Job {
+        /// Name of the tenant that the job has to belong to; empty where there are no tenants.
+        tenant: Rc<str>,
+    },
+    /// A route.
+    Route {
+        /// The route.
+        route: Rc<CompiledRoute>,
+        /// Name of the tenant, if the request has one.
+        tenant: Option<Rc<str>>,
+    },
 }
 
 /// Serves one request.
@@ -34,8 +42,8 @@
     }
     let response = match destination(&tables.routes, &request) {
         Err(response) => response,
-        Ok(Destination::Job(tenant)) => batch_api::answer(node, &request, &tenant).await,
-        Ok(Destination::Route(route, tenant)) => {
+        Ok(Destination::Job { tenant }) => batch_api::answer(node, &request, &tenant).await,
+        Ok(Destination::Route { route, tenant }) => {
             let tenant = tenant.as_deref();
             if route.mode != RouteMode::Bulk || request.head.method != "POST" {
                 return forward::serve(node, connection, request, &route, tenant).await;
@@ -67,17 +75,17 @@
     let authorization = request.head.headers.get("Authorization");
     if batch_api::is_job_call(target) {
         return match routes.access(authorization, false) {
-            Access::Tenant(tenant) => Ok(Destination::Job(tenant)),
+            Access::Tenant(tenant) => Ok(Destination::Job { tenant }),
             // Without tenants all jobs belong to the same one, which has no name.
-            Access::Anonymous => Ok(Destination::Job(Rc::from(""))),
+            Access::Anonymous => Ok(Destination::Job { tenant: Rc::from("") }),
             Access::Denied => Err(unknown_key()),
         };
     }
     let host = request.head.headers.get("Host").unwrap_or_default();
     let route = routes.find(host, target).ok_or_else(|| HttpResponse::text(404, "no route matches"))?;
     match routes.access(authorization, route.route.public.unwrap_or(false)) {
-        Access::Tenant(tenant) => Ok(Destination::Route(route.clone(), Some(tenant))),
-        Access::Anonymous => Ok(Destination::Route(route.clone(), None)),
+        Access::Tenant(tenant) => Ok(Destination::Route { route: route.clone(), tenant: Some(tenant) }),
+        Access::Anonymous => Ok(Destination::Route { route: route.clone(), tenant: None }),
         Access::Denied => Err(unknown_key()),
     }
 }
--- a/tier/node/src/store/mod.rs
+++ b/tier/node/src/store/mod.rs
@@ -28,7 +28,7 @@
 use quillmount_storage::load_identity;
 use quillmount_wire::messages::{NodeInfo, NodeRole};
 use quillmount_wire::settings::Settings;
-use state::Store;
+use state::{OpenedStore, Store};
 use std::path::Path;
 use std::rc::Rc;
 use std::time::Duration;
@@ -53,7 +53,7 @@
         role: NodeRole::Store,
     };
     let node = Node::new(settings, info);
-    let (store, pending) = Store::open(node.clone(), Path::new(&folder))?;
+    let OpenedStore { store, pending } = Store::open(node.clone(), Path::new(&folder))?;
     tracing::info!(name = node.info.name, "store started");
     let internal = listen(&node.info.internal)?;
     // All of these run until the process ends.
--- a/tier/node/src/store/quota.rs
+++ b/tier/node/src/store/quota.rs
@@ -61,6 +61,13 @@
     epoch: Epoch,
 }
 
+/// A statement with the process that gets it.
+struct AddressedStatement {
+    /// Internal address of the primary that has the ledger.
+    address: String,
+    statement: QuotaStatement,
+}
+
 /// Claims a job's tokens; `None` where its route does not limit them.
 pub async fn claim(
     store: &Rc<Store>,
@@ -160,7 +167,7 @@
 fn send_statements(store: &Rc<Store>) {
     let mut outgoing: HashMap<String, Vec<QuotaStatement>> = HashMap::new();
     for served in store.shards.iter().filter_map(|shard| shard.served()) {
-        for (address, statement) in statements(store, &served) {
+        for AddressedStatement { address, statement } in statements(store, &served) {
             outgoing.entry(address).or_default().push(statement);
         }
     }
@@ -173,8 +180,8 @@
     }
 }
 
-/// What one shard states to the primary of each ledger, with that primary's internal address.
-fn statements(store: &Store, served: &ServedShard) -> Vec<(String, QuotaStatement)> {
+/// What one shard states to the primary of each ledger.
+fn statements(store: &Store, served: &ServedShard) -> Vec<AddressedStatement> {
     let replica = served.shard.replica();
     let Some(epoch) = replica.serving() else { return Vec::new() };
     let quota = &served.term.quota;
@@ -194,7 +201,7 @@
             sequence,
             reserved: by_ledger_shard.get(&ledger_shard).cloned().unwrap_or_default(),
         };
-        Some((ledger.node.internal, statement))
+        Some(AddressedStatement { address: ledger.node.internal, statement })
     };
     (0..SHARDS as u32).filter_map(statement).collect()
 }
--- a/tier/node/src/store/state.rs
+++ b/tier/node/src/store/state.rs
@@ -36,13 +36,17 @@
     pub compacting: Cell<bool>,
 }
 
+/// A store that has just been opened.
+pub struct OpenedStore {
+    /// The store.
+    pub store: Rc<Store>,
+    /// Receives the writes of the shards' replicas in their order, for `replica_tasks`.
+    pub pending: mpsc::UnboundedReceiver<PendingWrite>,
+}
+
 impl Store {
-    /// Opens the ring in `folder` and restores the shards from it. Also returns the queue of the shards' writes, which
-    /// `replica_tasks` follows.
-    pub fn open(
-        node: Rc<Node>,
-        folder: &Path,
-    ) -> Result<(Rc<Store>, mpsc::UnboundedReceiver<PendingWrite>), StorageError> {
+    /// Opens the ring in `folder` and restores the shards from it.
+    pub fn open(node: Rc<Node>, folder: &Path) -> Result<OpenedStore, StorageError> {
         let disk_mb = node.settings.limits.disk_mb as f64;
         let OpenedJournal { journal, records, pending } = Journal::open(folder, disk_mb)?;
         let tolerated_failures = node.settings.fault_tolerance.machines;
@@ -59,7 +63,7 @@
             tick_needed: Notify::new(),
             compacting: Cell::new(false),
         };
-        Ok((Rc::new(store), pending))
+        Ok(OpenedStore { store: Rc::new(store), pending })
     }
 
     /// Whether there is capacity for a new job, in memory and on the disk.
