--- a/tier/control/src/orders.rs
+++ b/tier/control/src/orders.rs
@@ -56,6 +56,13 @@
     Expired,
 }
 
+/// A valid configuration that an order leads to.
+struct NextConfiguration {
+    version: u64,
+    /// JSON text.
+    text: String,
+}
+
 impl Order {
     /// Digest (FNV-1a) by which a retry of the order is recognized.
     #[must_use]
@@ -84,7 +91,7 @@
             return OrderOutcome::VersionMismatch { current: self.version };
         }
         match self.next_configuration(order) {
-            Ok((version, text)) => {
+            Ok(NextConfiguration { version, text }) => {
                 self.version = version;
                 self.configuration = text;
                 self.applied_orders.push(AppliedOrder { digest, version });
@@ -113,14 +120,14 @@
         }
     }
 
-    /// Version and JSON text of the configuration that an order leads to.
-    fn next_configuration(&self, order: &Order) -> Result<(u64, String), ConfigurationError> {
+    /// The configuration that an order leads to.
+    fn next_configuration(&self, order: &Order) -> Result<NextConfiguration, ConfigurationError> {
         let text = match order.kind {
             OrderKind::Put => order.body.clone(),
             OrderKind::Patch => apply_patch(&self.configuration, &order.body)?,
         };
         let configuration = Configuration::read(&text)?;
         configuration.check(self.version)?;
-        Ok((configuration.version, text))
+        Ok(NextConfiguration { version: configuration.version, text })
     }
 }
--- a/tier/dataplane/src/head/headers.rs
+++ b/tier/dataplane/src/head/headers.rs
@@ -2,9 +2,14 @@
 
 /// Names and values of headers, in their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Headers(pub Vec<(String, String)>);
+pub struct Headers(pub(super) Vec<(String, String)>);
 
 impl Headers {
+    /// All headers, name and value.
+    pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
+        self.0.iter().map(|(name, value)| (name.as_str(), value.as_str()))
+    }
+
     /// The first value of a header.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.get_all(name).next()
--- a/tier/node/src/commands.rs
+++ b/tier/node/src/commands.rs
@@ -105,7 +105,7 @@
     Ok(())
 }
 
-/// Starts the log on standard error; `RUST_LOG` goes before `filter`.
+/// Starts the log on standard error; `RUST_LOG` takes precedence over `filter`.
 fn init_log(filter: &str) {
     let filter = tracing_subscriber::EnvFilter::try_from_default_env()
         .unwrap_or_else(|_| tracing_subscriber::EnvFilter::new(filter));
--- a/tier/node/src/control_member/leases.rs
+++ b/tier/node/src/control_member/leases.rs
@@ -138,7 +138,7 @@
         self.leases.get(&disk).is_some_and(|lease| lease.draining || lease.renewed >= since)
     }
 
-    /// Requests that began to run in a usage window, as far as reported.
+    /// Requests that began to run in a usage window and were reported so far.
     pub fn usage(&self, window: u64) -> UsageWindow {
         self.usage.total(window)
     }
--- a/tier/node/src/control_member/operator.rs
+++ b/tier/node/src/control_member/operator.rs
@@ -134,7 +134,7 @@
     }
 }
 
-/// Tells how far the retirement of a store is.
+/// Answers how far the retirement of a store is.
 async fn retirement_status(core: &ControlMember, store: &str) -> HttpResponse {
     if core.confirm().await.is_err() {
         return unavailable();
--- a/tier/node/src/control_member/singletons/shard_planning.rs
+++ b/tier/node/src/control_member/singletons/shard_planning.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// Removes members of the core that are silent, as far as enough others are left.
+/// Removes members of the core that are silent, if enough others are left.
 async fn remove_silent_members(core: &Rc<ControlMember>) {
     let silent = core.silent_members();
     let tolerated_failures = core.node.settings.fault_tolerance.machines;
--- a/tier/node/src/edge/batch_api/mod.rs
+++ b/tier/node/src/edge/batch_api/mod.rs
@@ -108,7 +108,8 @@
     }
 }
 
-/// Reads the results behind the query parameter `StartAfter`, waiting for some as long as the header `Wait` (milliseconds) allows.
+/// Reads the results after the number of them that the query parameter `StartAfter` gives; waits for some as long as the header
+/// `Wait` (milliseconds) allows.
 async fn read_results(node: &Node, request: &HttpRequest, job: &str, tenant: &str) -> HttpResponse {
     let start_after =
         query_parameter(&request.head.target, "StartAfter").and_then(|value| value.parse().ok()).unwrap_or(0);
--- a/tier/node/src/edge/forward/head.rs
+++ b/tier/node/src/edge/forward/head.rs
@@ -13,7 +13,7 @@
 pub(super) fn request_head(request: &ForwardedRequest<'_>, endpoint: &str, time_left: Duration) -> Vec<u8> {
     let head = &request.client_request.head;
     let mut out = format!("{} {} HTTP/1.1\r\n", head.method, head.target);
-    for (name, value) in &head.headers.0 {
+    for (name, value) in head.headers.iter() {
         let own = OWN_HEADERS.iter().any(|own| name.eq_ignore_ascii_case(own));
         if !own && !is_connection_header(name, &head.headers) {
             out.push_str(&format!("{name}: {value}\r\n"));
@@ -35,7 +35,7 @@
 pub(super) fn response_head(head: &ResponseHead, keep_alive: bool) -> Vec<u8> {
     let phrase = if head.reason.is_empty() { reason_phrase(head.status) } else { &head.reason };
     let mut out = format!("HTTP/1.1 {} {}\r\n", head.status, phrase);
-    for (name, value) in &head.headers.0 {
+    for (name, value) in head.headers.iter() {
         if !is_connection_header(name, &head.headers) {
             out.push_str(&format!("{name}: {value}\r\n"));
         }
--- a/tier/node/src/edge/forward/stream.rs
+++ b/tier/node/src/edge/forward/stream.rs
@@ -28,7 +28,7 @@
     events: EventReader,
     /// Time from the start of the attempt to the first event; `None` before that event.
     first_event: Option<Micros>,
-    /// Whether the endpoint continues a stream behind an event that the client has.
+    /// Whether the endpoint continues a stream after an event that the client has.
     resumed: bool,
     keep_alive: bool,
 }
--- a/tier/node/src/edge/response.rs
+++ b/tier/node/src/edge/response.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// Writes a response of the courier itself. The connection is closed behind it without `keep_alive` or if the process stops.
+/// Writes a response of the courier itself. The connection is closed after it without `keep_alive` or if the process stops.
 pub(super) async fn respond(
     node: &Node,
     connection: &mut Connection,
--- a/tier/node/src/rpc/link.rs
+++ b/tier/node/src/rpc/link.rs
@@ -124,7 +124,7 @@
     reading.abort();
 }
 
-/// Writes a frame and all that are queued behind it with one write. Returns whether that succeeded.
+/// Writes a frame and all that are queued after it with one write. Returns whether that succeeded.
 async fn write_queued(
     writer: &mut OwnedWriteHalf,
     first: OutgoingFrame,
--- a/tier/node/src/rpc/server.rs
+++ b/tier/node/src/rpc/server.rs
@@ -64,7 +64,7 @@
             }
         };
         let (handler, responses) = (handler.clone(), responses.clone());
-        // Detached, so that a slow answer does not delay the calls behind it. It ends with the answer.
+        // Detached, so that a slow answer does not delay the calls that follow. It ends with the answer.
         tokio::task::spawn_local(async move {
             let response = handler(request).await;
             if let Some(response) = response
--- a/tier/node/src/store/compaction.rs
+++ b/tier/node/src/store/compaction.rs
@@ -4,7 +4,7 @@
 use quillmount_batch::StoreRecord;
 use std::rc::Rc;
 
-/// Starts a compaction if little of the ring is free and none is running. The task ends by itself; a compaction that
+/// Starts a compaction if little of the ring is free and none is running. The task ends with the compaction; one that
 /// fails is started again with the next record that is written.
 pub fn start_if_due(store: &Rc<Store>) {
     if store.journal.needs_compaction() && !store.compacting.replace(true) {
@@ -16,7 +16,7 @@
     }
 }
 
-/// Writes the jobs of every shard once more, behind a start marker. Only once all of that is synced are the records before
+/// Writes the jobs of every shard once more, after a start marker. Only once all of that is synced are the records before
 /// the marker no longer needed, and their segments released.
 async fn compact(store: &Rc<Store>) {
     let Ok(start) = store.journal.append(&StoreRecord::RewriteStart).synced().await else { return };
--- a/tier/node/src/store/items.rs
+++ b/tier/node/src/store/items.rs
@@ -1,4 +1,4 @@
-//! Runs the items of batch jobs with the capacity that endpoints have beside live requests.
+//! Runs the items of batch jobs with the capacity that live requests leave at the endpoints.
 //!
 //! [`run`] takes items from the queue (`queue`) in the order of their due times, reserves an endpoint for each, and starts
 //! an attempt (`attempt`), whose result is committed in the job's shard (`results`). How much of the endpoints this store
--- a/tier/node/src/store/items/attempt.rs
+++ b/tier/node/src/store/items/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt to run an item at one endpoint.
 //!
 //! An endpoint answers with a stream of numbered events. If an attempt breaks off after some of them, the next one resumes
-//! behind the last event, also at another endpoint.
+//! after the last event, also at another endpoint.
 
 use super::item_run::ItemRun;
 use super::results::append_result;
@@ -164,7 +164,7 @@
     }
 
     /// Reports the attempt to the dispatcher and frees the endpoint's capacity. `resumed` says whether the attempt started
-    /// behind the first event.
+    /// after the first event.
     fn release_reservation(&self, outcome: &ItemAttemptOutcome, resumed: bool) {
         let call_outcome = match outcome {
             ItemAttemptOutcome::Retry(call_outcome) => *call_outcome,
--- a/tier/node/src/store/items/queue.rs
+++ b/tier/node/src/store/items/queue.rs
@@ -106,7 +106,7 @@
         self.queue.borrow_mut().insert(key, run);
     }
 
-    /// Removes the next item. One that has become late while it waited goes behind those that can still be in time.
+    /// Removes the next item. One that has become late while it waited is sorted after those that can still be in time.
     pub fn pop(&self) -> Option<ItemRun> {
         loop {
             let (key, run) = self.queue.borrow_mut().pop_first()?;
--- a/tier/node/src/store/items/shares.rs
+++ b/tier/node/src/store/items/shares.rs
@@ -1,4 +1,4 @@
-//! This store's shares of the endpoints, computed again now and then.
+//! This store's shares of the endpoints, computed again when they are too old.
 
 use quillmount_dataplane::batch_share::{BatchCapacity, BatchShare};
 use quillmount_wire::Micros;
--- a/tier/node/src/store/serve.rs
+++ b/tier/node/src/store/serve.rs
@@ -15,9 +15,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Bytes of results from which on an answer takes no further one.
+/// Largest size of the results in one answer, bytes; a single larger result is sent on its own.
 const RESULT_BYTES: usize = 900_000;
-/// Bytes that a result takes in an answer beside its text, about.
+/// Bytes that a result takes in an answer in addition to its text, approximately.
 const RESULT_OVERHEAD: usize = 128;
 /// Longest time for which a read waits for its confirmation, microseconds.
 const CONFIRM_TIMEOUT: Micros = 900_000;
@@ -112,7 +112,7 @@
     }
 }
 
-/// A job, as far as one tenant may see it.
+/// A job in the view of one tenant: a job of another tenant does not exist for it.
 struct TenantJob<'a> {
     store: &'a Rc<Store>,
     served: &'a ServedShard,
--- a/tier/node/src/store/state.rs
+++ b/tier/node/src/store/state.rs
@@ -26,7 +26,7 @@
     pub journal: Journal,
     /// All shards, by number.
     pub shards: Vec<Rc<Shard>>,
-    /// Items of the shards that are served here, as far as they wait.
+    /// Items of the shards that are served here that wait for an endpoint.
     pub item_queue: ItemQueue,
     /// This store's shares of the endpoints.
     pub batch_shares: BatchShares,
--- a/tier/node/src/store/term_quota.rs
+++ b/tier/node/src/store/term_quota.rs
@@ -1,4 +1,4 @@
-//! Quotas on waiting tokens, as far as one primary's term goes: the ledger of its shard, and its own claims at others.
+//! Quotas on waiting tokens in one primary's term: the ledger of its shard, and its own claims at others.
 
 use crate::clock;
 use quillmount_batch::{ClaimOutcome, PendingClaims, QuotaLedger};
--- a/tier/node/src/subscription.rs
+++ b/tier/node/src/subscription.rs
@@ -25,7 +25,7 @@
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Delay before the next address is polled: one that refuses connections fails at once.
 const NEXT_ADDRESS_DELAY: Duration = Duration::from_millis(5);
-/// Behind a relay, one poll in this many is followed by one to the primary itself.
+/// Of the polls that go through a relay, one in this many (on average) is followed by one to the primary itself.
 const DIRECT_EVERY: u64 = 10;
 
 /// What a role reports to the core with each poll.
@@ -134,7 +134,7 @@
 
 /// Records where the core answers, and puts its tables in force.
 fn accept_tables(node: &Node, address: &str, mut tables: Tables) {
-    // Behind a relay the primary itself is tried now and then.
+    // Polls that go through a relay are mixed with some to the primary itself.
     let is_relay = address != tables.primary;
     let try_primary = is_relay && clock::random_id().is_multiple_of(DIRECT_EVERY);
     let next = if try_primary { &tables.primary } else { address };
--- a/tier/node/src/subscription/direct_list.rs
+++ b/tier/node/src/subscription/direct_list.rs
@@ -26,7 +26,7 @@
         }
         if let Some(list) = endpoint_list::read(&node).await {
             let current = node.tables();
-            // The core may have come back meanwhile: its list then goes before this one.
+            // The core may have come back meanwhile: its list then takes precedence.
             if is_core_silent(&node) {
                 install(&node, &current, list);
             }
--- a/tier/node/src/upstream/answer.rs
+++ b/tier/node/src/upstream/answer.rs
@@ -20,11 +20,11 @@
 pub struct UpstreamAnswer {
     /// Status and headers.
     pub head: ResponseHead,
-    /// The connection, behind what was read of the answer.
+    /// The connection; `buffer` has what was read of it and not used.
     pub(super) stream: TcpStream,
     /// Id of the endpoint.
     pub(super) endpoint: String,
-    /// Bytes that were read behind the part of the body that was returned.
+    /// Bytes that were read after the part of the body that was returned.
     buffer: Vec<u8>,
     reader: BodyReader,
     /// Whether the complete request was sent, so that another one can follow on the connection.
--- a/tier/node/src/upstream/exchange.rs
+++ b/tier/node/src/upstream/exchange.rs
@@ -35,11 +35,11 @@
     pub(super) fresh: bool,
 }
 
-/// The head of an answer, and what was read behind it.
+/// The head of an answer, and the bytes that were read after it.
 pub(super) struct ReceivedHead {
     /// Status and headers.
     pub(super) head: ResponseHead,
-    /// Bytes behind the head.
+    /// Bytes after the head.
     pub(super) buffer: Vec<u8>,
     /// Whether the complete request was sent.
     pub(super) fully_sent: bool,
--- a/tier/node/src/upstream/pool.rs
+++ b/tier/node/src/upstream/pool.rs
@@ -42,7 +42,7 @@
         None
     }
 
-    /// Keeps a connection behind an answer with this head, for as long as the head allows.
+    /// Keeps a connection idle after an answer with this head, for as long as the head allows.
     pub(super) fn insert(&self, endpoint: String, stream: TcpStream, head: &ResponseHead) {
         let stated = head.headers.get("Keep-Alive").and_then(keep_alive_seconds);
         let idle_time =
@@ -69,7 +69,7 @@
     matches!(stream.try_read(&mut [0; 1]), Err(error) if error.kind() == ErrorKind::WouldBlock)
 }
 
-/// Seconds of a `Keep-Alive` header: a number, alone or behind `timeout=`.
+/// Seconds of a `Keep-Alive` header: a number, alone or after `timeout=`.
 fn keep_alive_seconds(value: &str) -> Option<u64> {
     let parameter = value
         .split(',')
