--- a/tier/control/tests/members/world/operators.rs
+++ b/tier/control/tests/members/world/operators.rs
@@ -4,7 +4,7 @@
 use super::events::Event;
 use super::{WaitingCall, World};
 use crate::history::{Answer, Call};
-use quillmount_control::{Order, OrderKind, OrderOutcome};
+use quillmount_control::{Order, OrderKind, OrderOutcome, Ticket};
 use quillmount_test_support::network::DelayRange;
 use quillmount_test_support::simulation::{MILLI, SECOND, Simulation, Time};
 use quillmount_wire::messages::DiskId;
@@ -129,10 +129,10 @@
         self.operators[operator].call = call;
         let member = &mut self.machines.get_mut(&to).unwrap().member;
         let begun = match order {
-            None => member.confirm(now).map(|(ticket, actions)| (ticket, actions, None)),
+            None => member.confirm(now).map(|read| (read.ticket, read.actions, None)),
             Some(order) => member
                 .change(|state| state.apply_order(&order), now)
-                .map(|(outcome, ticket, actions)| (ticket, actions, Some(answer_of(outcome)))),
+                .map(|change| (change.ticket, change.actions, Some(answer_of(change.outcome)))),
         };
         match begun {
             Ok((ticket, actions, answer)) => {
@@ -145,7 +145,7 @@
     }
 
     /// Answers the call that waits for this ticket, if there is one.
-    pub(super) fn confirmed(&mut self, disk: DiskId, ticket: u64) {
+    pub(super) fn confirmed(&mut self, disk: DiskId, ticket: Ticket) {
         let machine = self.machines.get_mut(&disk).unwrap();
         let Some(WaitingCall { operator, call, answer }) = machine.waiting.remove(&ticket) else { return };
         let answer = answer.unwrap_or_else(|| match machine.member.committed() {
--- a/tier/node/src/control_member/bootstrap.rs
+++ b/tier/node/src/control_member/bootstrap.rs
@@ -9,7 +9,8 @@
 use crate::clock;
 use crate::node::Node;
 use quillmount_control::ControlState;
-use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, Request, Response};
+use quillmount_wire::Micros;
+use quillmount_wire::messages::{NodeInfo, NodeRole, Request, Response};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -20,7 +21,7 @@
 /// A seed without an answer for this long counts as silent in this round.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time in which all machines of a new system start, microseconds.
-const GATHER_TIME: u64 = 1_500_000;
+const GATHER_TIME: Micros = 1_500_000;
 /// Most announcing machines that are remembered.
 const KNOWN_LIMIT: usize = 64;
 
@@ -75,7 +76,7 @@
 
 /// Announces this machine to all seeds until there is a first value, which the member with the lowest address writes.
 pub async fn run(core: Rc<ControlMember>, announcements: Rc<NodeAnnouncements>) {
-    let began = clock::micros();
+    let began = clock::now();
     announcements.record(&core.node.info);
     while core.is_blank() {
         let complete = match announce(&core, &announcements).await {
@@ -84,7 +85,7 @@
             // The primary admits this machine when it polls.
             AnnounceRound::HasBegun => return,
         };
-        let gathered = clock::micros().saturating_sub(began) > GATHER_TIME;
+        let gathered = clock::now().saturating_sub(began) > GATHER_TIME;
         let all = announcements.all();
         let first = all.first().is_some_and(|node| node.disk == core.node.info.disk);
         if complete && gathered && first && core.is_blank() {
@@ -115,10 +116,8 @@
 
 /// Proposes the control state that has these members, and nothing else.
 fn write_first_value(core: &ControlMember, members: Vec<NodeInfo>) {
-    let addresses: Vec<(DiskId, String)> =
-        members.iter().map(|node| (node.disk, node.internal.clone())).collect();
     let mut state = ControlState::default();
     state.placement.core = members;
     state.placement_version = 1;
-    core.bootstrap(&state, &addresses);
+    core.bootstrap(&state);
 }
--- a/tier/node/src/control_member/leases.rs
+++ b/tier/node/src/control_member/leases.rs
@@ -6,23 +6,24 @@
 use super::usage::UsageTotals;
 use crate::clock;
 use quillmount_control::{LastHeard, all_reported};
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, Poll, ServiceLoad, ShardReport, UsageWindow};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A lease that was not renewed for this long has expired, microseconds.
-const LEASE_DURATION: u64 = 1_100_000;
+const LEASE_DURATION: Micros = 1_100_000;
 /// From this many leases on, expired ones are dropped.
 const LEASE_LIMIT: usize = 4096;
 /// Most couriers that are named as relays.
 const RELAY_LIMIT: usize = 6;
 /// Shard reports count for this long after the poll that brought them, microseconds.
-const REPORT_TTL: u64 = 600_000;
+const REPORT_TTL: Micros = 600_000;
 
 /// The lease of one process.
 struct Lease {
     node: NodeInfo,
-    /// Moment of the last poll on the steady clock, microseconds.
-    renewed: u64,
+    /// Moment of the last poll.
+    renewed: Micros,
     draining: bool,
     reports: Vec<ShardReport>,
     /// Calls that could run at once, by service.
@@ -47,7 +48,7 @@
 impl Leases {
     /// Renews the lease of a poll's sender and records what the poll reports.
     pub fn renew(&mut self, poll: &Poll) {
-        let now = clock::micros();
+        let now = clock::now();
         if self.leases.len() >= LEASE_LIMIT {
             self.leases.retain(|_, lease| now.saturating_sub(lease.renewed) < LEASE_DURATION);
         }
@@ -71,7 +72,7 @@
     /// Calls to a service that could run at once, summed over all live processes.
     pub fn demand(&self, service: &str) -> f64 {
         let needs = self.live().flat_map(|lease| &lease.demand);
-        needs.filter(|(name, _)| name == service).map(|(_, places)| places).sum()
+        needs.filter(|(name, _)| name == service).map(|(_, calls)| calls).sum()
     }
 
     /// Demand of live requests and items of batch jobs on each service, sorted by service.
@@ -79,8 +80,8 @@
         let mut loads: BTreeMap<&str, ServiceLoad> = BTreeMap::new();
         for lease in self.live() {
             if !lease.is_store() {
-                for (service, places) in &lease.demand {
-                    loads.entry(service).or_default().live_demand += places;
+                for (service, calls) in &lease.demand {
+                    loads.entry(service).or_default().live_demand += calls;
                 }
             }
             for (service, items) in &lease.items {
@@ -110,40 +111,40 @@
     }
 
     /// Disks of the live processes that are draining.
-    pub fn draining_stores(&self) -> BTreeSet<DiskId> {
+    pub fn draining(&self) -> BTreeSet<DiskId> {
         self.live().filter(|lease| lease.draining).map(|lease| lease.node.disk).collect()
     }
 
     /// Recent reports of shard primaries.
-    pub fn reports(&self) -> Vec<ShardReport> {
-        let now = clock::micros();
+    pub fn shard_reports(&self) -> Vec<ShardReport> {
+        let now = clock::now();
         let recent = self.leases.values().filter(|lease| now.saturating_sub(lease.renewed) < REPORT_TTL);
         recent.flat_map(|lease| lease.reports.iter().cloned()).collect()
     }
 
-    /// Whether every process that counts requests has polled since a moment of the steady clock (microseconds).
-    pub fn all_heard_since(&self, since: u64) -> bool {
+    /// Whether every process that counts requests has polled since a moment.
+    pub fn all_heard_since(&self, since: Micros) -> bool {
         let couriers = self.leases.values().filter(|lease| !lease.is_store());
         let heard = couriers.map(|lease| LastHeard {
             name: &lease.node.name,
             at: lease.renewed,
             draining: lease.draining,
         });
-        all_reported(heard, since, clock::micros())
+        all_reported(heard, since, clock::now())
     }
 
-    /// Whether a process has polled since a moment of the steady clock (microseconds), or is draining.
-    pub fn heard_since(&self, disk: DiskId, since: u64) -> bool {
+    /// Whether a process has polled since a moment, or is draining.
+    pub fn heard_since(&self, disk: DiskId, since: Micros) -> bool {
         self.leases.get(&disk).is_some_and(|lease| lease.draining || lease.renewed >= since)
     }
 
-    /// Requests that began to run in a usage window, as far as reported.
+    /// Requests that began to run in a usage window and were reported so far.
     pub fn usage(&self, window: u64) -> UsageWindow {
         self.usage.total(window)
     }
 
     fn live(&self) -> impl Iterator<Item = &Lease> {
-        let now = clock::micros();
+        let now = clock::now();
         self.leases.values().filter(move |lease| now.saturating_sub(lease.renewed) < LEASE_DURATION)
     }
 }
--- a/tier/node/src/control_member/member.rs
+++ b/tier/node/src/control_member/member.rs
@@ -8,8 +8,12 @@
 use crate::clock;
 use crate::disk::{AppendError, DiskWriter};
 use crate::node::Node;
-use quillmount_control::{ControlState, Directory, Member, MemberAction, NotPrimary, RegisterWrite, Ticket};
+use quillmount_control::{
+    ControlState, Directory, Member, MemberAction, NotPrimary, RegisterWrite, SubmittedChange, SubmittedRead,
+    Ticket,
+};
 use quillmount_storage::{RingRecord, RingSize, StorageError};
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{DiskId, Epoch, Register, RegisterMessage, Request, decode, encode};
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
@@ -62,7 +66,7 @@
         let (disk, records) = DiskWriter::open(folder, RING)?;
         let register = newest_register(&disk, &records).unwrap_or_default();
         let tolerated_failures = node.settings.fault_tolerance.machines;
-        let member = Member::new(node.info.disk, tolerated_failures, register, clock::micros());
+        let member = Member::new(node.info.disk, tolerated_failures, register, clock::now());
         let core = Rc::new_cyclic(|this| ControlMember {
             node,
             changed: Notify::new(),
@@ -82,7 +86,7 @@
     pub async fn run(self: Rc<ControlMember>) {
         loop {
             tokio::time::sleep(TICK_INTERVAL).await;
-            let actions = self.member.borrow_mut().tick(clock::micros());
+            let actions = self.member.borrow_mut().tick(clock::now());
             self.perform(actions);
         }
     }
@@ -104,35 +108,35 @@
 
     /// The committed state, if this member is primary and a majority answered it recently.
     pub fn committed_if_recent(&self) -> Option<Rc<ControlState>> {
-        self.member.borrow().committed_if_recent(clock::micros())
+        self.member.borrow().committed_if_recent(clock::now())
     }
 
-    /// Microseconds since this member became primary.
-    pub fn time_as_primary(&self) -> u64 {
-        self.member.borrow().time_as_primary(clock::micros())
+    /// Time since this member became primary.
+    pub fn time_as_primary(&self) -> Micros {
+        self.member.borrow().time_as_primary(clock::now())
     }
 
     /// Internal address of the primary, if this member heard from it recently.
     pub fn primary_address(&self) -> Option<String> {
-        let primary = self.member.borrow().replica().recent_primary(clock::micros())?;
+        let primary = self.member.borrow().replica().recent_primary(clock::now())?;
         self.addresses.borrow().get(&primary).cloned()
     }
 
     /// Members of the core that have not answered for so long that they may be replaced.
     pub fn silent_members(&self) -> BTreeSet<DiskId> {
-        self.member.borrow().silent_members(clock::micros())
+        self.member.borrow().silent_members(clock::now())
     }
 
-    /// Proposes the first value of a new system, whose members are `addresses`.
-    pub fn bootstrap(&self, state: &ControlState, addresses: &[(DiskId, String)]) {
-        self.addresses.borrow_mut().extend(addresses.iter().cloned());
-        let actions = self.member.borrow_mut().bootstrap(state, clock::micros());
+    /// Proposes the first value of a new system.
+    pub fn bootstrap(&self, state: &ControlState) {
+        self.addresses.borrow_mut().extend(member_addresses(state));
+        let actions = self.member.borrow_mut().bootstrap(state, clock::now());
         self.perform(actions);
     }
 
     /// Gives up being primary and lets a successor stand for election, before the process stops.
     pub fn resign(&self) {
-        let actions = self.member.borrow_mut().resign(clock::micros());
+        let actions = self.member.borrow_mut().resign(clock::now());
         self.perform(actions);
     }
 
@@ -143,22 +147,23 @@
             return;
         }
         self.addresses.borrow_mut().insert(from, address);
-        let actions = self.member.borrow_mut().receive(from, message, clock::micros());
+        let actions = self.member.borrow_mut().receive(from, message, clock::now());
         self.perform(actions);
     }
 
     /// Changes the control state as primary. Returns once the change, and everything that its outcome depends on, is
     /// committed.
     pub async fn change<T>(&self, change: impl FnOnce(&mut ControlState) -> T) -> Result<T, ChangeError> {
-        let begun = self.member.borrow_mut().change(change, clock::micros());
-        let (outcome, ticket, actions) = begun.map_err(|NotPrimary| ChangeError::NotPrimary)?;
+        let submitted = self.member.borrow_mut().change(change, clock::now());
+        let SubmittedChange { outcome, ticket, actions } =
+            submitted.map_err(|NotPrimary| ChangeError::NotPrimary)?;
         if self.wait_for(ticket, actions).await { Ok(outcome) } else { Err(ChangeError::Uncertain) }
     }
 
     /// Confirms with a majority that this member is still primary, and so that its committed state is the newest.
     pub async fn confirm(&self) -> Result<(), NotPrimary> {
-        let begun = self.member.borrow_mut().confirm(clock::micros());
-        let (ticket, actions) = begun?;
+        let submitted = self.member.borrow_mut().confirm(clock::now());
+        let SubmittedRead { ticket, actions } = submitted?;
         if self.wait_for(ticket, actions).await { Ok(()) } else { Err(NotPrimary) }
     }
 
@@ -177,8 +182,7 @@
         let member = self.member.borrow();
         let Some(accepted) = &member.replica().register().accepted else { return };
         if let Ok(state) = ControlState::decode(&accepted.value.payload) {
-            let known = state.placement.core.iter().map(|member| (member.disk, member.internal.clone()));
-            self.addresses.borrow_mut().extend(known);
+            self.addresses.borrow_mut().extend(member_addresses(&state));
             self.node
                 .core_contact
                 .set_members(state.placement.core.into_iter().map(|member| member.internal).collect());
@@ -236,7 +240,7 @@
                 Ok(written) => {
                     // Each record is a complete register: older segments are of no use.
                     core.disk.release(written.segment);
-                    let actions = core.member.borrow_mut().persisted(write, clock::micros());
+                    let actions = core.member.borrow_mut().persisted(write, clock::now());
                     core.perform(actions);
                 }
                 Err(error) => {
@@ -250,6 +254,11 @@
     }
 }
 
+/// Internal addresses of the core's members in a state, by disk.
+fn member_addresses(state: &ControlState) -> impl Iterator<Item = (DiskId, String)> {
+    state.placement.core.iter().map(|member| (member.disk, member.internal.clone()))
+}
+
 /// The newest register among a ring's records; segments before it are released.
 fn newest_register(disk: &DiskWriter, records: &[RingRecord]) -> Option<Register> {
     let (segment, register) = records.iter().rev().find_map(|record| {
--- a/tier/node/src/control_member/singletons/shard_planning.rs
+++ b/tier/node/src/control_member/singletons/shard_planning.rs
@@ -1,17 +1,18 @@
-//! Keeps the placement in line with the processes that are live: views of shards, and members of the core.
+//! Adapts the placement to the processes that are live: the views of the shards, and the members of the core.
 
 use crate::control_member::ControlMember;
 use quillmount_control::ShardPlanInputs;
+use quillmount_wire::Micros;
 use std::rc::Rc;
 use std::time::Duration;
 
 /// Interval between two checks of the placement.
 const PLAN_INTERVAL: Duration = Duration::from_millis(100);
 /// Time after its election from which a primary knows all live processes by their polls, microseconds.
-const LEASES_KNOWN: u64 = 1_200_000;
+const LEASES_KNOWN: Micros = 1_200_000;
 
 /// Changes the shards' views and the core's members as stores and members come and go, whenever this member is primary.
-pub async fn plan_shards(core: Rc<ControlMember>) {
+pub async fn maintain_placement(core: Rc<ControlMember>) {
     loop {
         tokio::time::sleep(PLAN_INTERVAL).await;
         if core.serving().is_none() || core.time_as_primary() < LEASES_KNOWN {
@@ -22,7 +23,7 @@
     }
 }
 
-/// Removes members of the core that are silent, as far as enough others are left.
+/// Removes members of the core that are silent, if enough others are left.
 async fn remove_silent_members(core: &Rc<ControlMember>) {
     let silent = core.silent_members();
     let tolerated_failures = core.node.settings.fault_tolerance.machines;
@@ -49,8 +50,8 @@
     let leases = core.leases.borrow();
     ShardPlanInputs {
         live: leases.live_stores(),
-        draining: leases.draining_stores(),
-        reports: leases.reports(),
+        draining: leases.draining(),
+        reports: leases.shard_reports(),
         tolerated_failures: core.node.settings.fault_tolerance.machines,
     }
 }
--- a/tier/node/src/edge/batch_api/mod.rs
+++ b/tier/node/src/edge/batch_api/mod.rs
@@ -10,16 +10,18 @@
 use crate::http::{HttpRequest, HttpResponse};
 use crate::node::Node;
 use primary_call::{Unanswered, call_primary};
+use quillmount_dataplane::head::RequestHead;
 use quillmount_dataplane::routes::CompiledRoute;
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{Job, Request as StoreRequest, Response};
 use std::time::Duration;
 
 /// Longest time for which a client may let a read wait for results, milliseconds.
 const WAIT_LIMIT_MS: u64 = 5_000;
 /// How long the primary is looked for, microseconds.
-const SEARCH_TIME: u64 = 2_500_000;
+const SEARCH_TIME: Micros = 2_500_000;
 /// The same for reads that wait for a shorter time, microseconds. Clients repeat reads anyway.
-const READ_SEARCH_TIME: u64 = 800_000;
+const READ_SEARCH_TIME: Micros = 800_000;
 /// The same for submissions, as a multiple of the route's latency target.
 const SUBMIT_SEARCH_TARGETS: u64 = 2;
 /// Latency target of a route that states none, milliseconds.
@@ -29,6 +31,32 @@
 const JOBS_PREFIX: &str = "/-/lots/";
 const ITEMS_PREFIX: &str = "/-/items/";
 
+/// A call that names a job by its id.
+enum JobCall<'a> {
+    /// Read results.
+    ReadResults { job: &'a str },
+    /// Drop the items that have no result.
+    End { job: &'a str },
+    /// Read the body of an item.
+    ReadItemBody { job: &'a str },
+}
+
+impl<'a> JobCall<'a> {
+    /// The call that a method and target stand for, if there is one.
+    fn parse(head: &'a RequestHead) -> Option<JobCall<'a>> {
+        let path = head.target.split('?').next()?;
+        if let Some(job) = path.strip_prefix(JOBS_PREFIX) {
+            return match head.method.as_str() {
+                "GET" => Some(JobCall::ReadResults { job }),
+                "DELETE" => Some(JobCall::End { job }),
+                _ => None,
+            };
+        }
+        let job = path.strip_prefix(ITEMS_PREFIX)?;
+        (head.method == "GET").then_some(JobCall::ReadItemBody { job })
+    }
+}
+
 /// Whether a target names a job rather than a route.
 pub(super) fn is_job_call(target: &str) -> bool {
     target.starts_with(JOBS_PREFIX) || target.starts_with(ITEMS_PREFIX)
@@ -54,7 +82,7 @@
         path: request.head.target.clone(),
         items,
     };
-    let target = clock::millis(route.route.target_ms.unwrap_or(DEFAULT_TARGET_MS)).as_micros() as u64;
+    let target = clock::micros_from_ms(route.route.target_ms.unwrap_or(DEFAULT_TARGET_MS));
     let until = request.arrived + target * SUBMIT_SEARCH_TARGETS;
     let submission = |shard, epoch| StoreRequest::Submit { shard, epoch, job: job.clone() };
     match call_primary(node, id, until, Duration::ZERO, submission).await {
@@ -72,17 +100,16 @@
 
 /// Answers a call that names a job of a tenant.
 pub(super) async fn answer(node: &Node, request: &HttpRequest, tenant: &str) -> HttpResponse {
-    let path = request.head.target.split('?').next().unwrap_or_default();
-    let (job_of_results, job_of_item) = (path.strip_prefix(JOBS_PREFIX), path.strip_prefix(ITEMS_PREFIX));
-    match (request.head.method.as_str(), job_of_results, job_of_item) {
-        ("GET", Some(job), _) => read_results(node, request, job, tenant).await,
-        ("DELETE", Some(job), _) => end_job(node, request, job, tenant).await,
-        ("GET", _, Some(job)) => read_item_body(node, request, job, tenant).await,
-        _ => HttpResponse::text(405, "there is no such call"),
+    match JobCall::parse(&request.head) {
+        Some(JobCall::ReadResults { job }) => read_results(node, request, job, tenant).await,
+        Some(JobCall::End { job }) => end_job(node, request, job, tenant).await,
+        Some(JobCall::ReadItemBody { job }) => read_item_body(node, request, job, tenant).await,
+        None => HttpResponse::text(405, "there is no such call"),
     }
 }
 
-/// Reads the results behind the query parameter `StartAfter`, waiting for some as long as the header `Wait` (milliseconds) allows.
+/// Reads the results after the number of them that the query parameter `StartAfter` gives; waits for some as long as the header
+/// `Wait` (milliseconds) allows.
 async fn read_results(node: &Node, request: &HttpRequest, job: &str, tenant: &str) -> HttpResponse {
     let start_after =
         query_parameter(&request.head.target, "StartAfter").and_then(|value| value.parse().ok()).unwrap_or(0);
@@ -97,7 +124,7 @@
         wait_ms,
     };
     let max_wait = Duration::from_millis(wait_ms);
-    let until = request.arrived + u64::max(max_wait.as_micros() as u64, READ_SEARCH_TIME);
+    let until = request.arrived + Micros::max(max_wait.as_micros() as Micros, READ_SEARCH_TIME);
     match call_primary(node, job, until, max_wait, read).await {
         Ok(Response::Results { total, results }) => {
             HttpResponse::json(200, bodies::encode_results(start_after, total, results))
--- a/tier/node/src/edge/forward/head.rs
+++ b/tier/node/src/edge/forward/head.rs
@@ -11,9 +11,9 @@
 
 /// The head of a request for an endpoint, with the time that is left and the id of the endpoint that should run it.
 pub(super) fn request_head(request: &ForwardedRequest<'_>, endpoint: &str, time_left: Duration) -> Vec<u8> {
-    let head = &request.request.head;
+    let head = &request.client_request.head;
     let mut out = format!("{} {} HTTP/1.1\r\n", head.method, head.target);
-    for (name, value) in &head.headers.0 {
+    for (name, value) in head.headers.iter() {
         let own = OWN_HEADERS.iter().any(|own| name.eq_ignore_ascii_case(own));
         if !own && !is_connection_header(name, &head.headers) {
             out.push_str(&format!("{name}: {value}\r\n"));
@@ -27,7 +27,7 @@
     if let Some(last_event) = request.last_event {
         out.push_str(&format!("Last-Event-Id: {last_event}\r\n"));
     }
-    out.push_str(&format!("Content-Length: {}\r\n\r\n", request.request.body.len()));
+    out.push_str(&format!("Content-Length: {}\r\n\r\n", request.client_request.body.len()));
     out.into_bytes()
 }
 
@@ -35,7 +35,7 @@
 pub(super) fn response_head(head: &ResponseHead, keep_alive: bool) -> Vec<u8> {
     let phrase = if head.reason.is_empty() { reason_phrase(head.status) } else { &head.reason };
     let mut out = format!("HTTP/1.1 {} {}\r\n", head.status, phrase);
-    for (name, value) in &head.headers.0 {
+    for (name, value) in head.headers.iter() {
         if !is_connection_header(name, &head.headers) {
             out.push_str(&format!("{name}: {value}\r\n"));
         }
--- a/tier/node/src/edge/forward/request.rs
+++ b/tier/node/src/edge/forward/request.rs
@@ -8,6 +8,7 @@
 use quillmount_dataplane::dispatch::{CallOutcome, Reservation};
 use quillmount_dataplane::request_profile::RequestProfile;
 use quillmount_dataplane::routes::CompiledRoute;
+use quillmount_wire::Micros;
 use std::future::Future;
 use std::rc::Rc;
 use std::time::Duration;
@@ -26,7 +27,7 @@
     /// The process that forwards it.
     pub(super) node: &'a Rc<Node>,
     /// The request as the client sent it.
-    pub(super) request: HttpRequest,
+    pub(super) client_request: HttpRequest,
     /// Its route.
     pub(super) route: &'a CompiledRoute,
     /// Name of its tenant, if it has one.
@@ -35,8 +36,8 @@
     pub(super) service: String,
     /// The load that it puts on an endpoint.
     pub(super) profile: RequestProfile,
-    /// Microseconds of the steady clock.
-    pub(super) deadline: u64,
+    /// After this moment no further attempt begins, and the endpoint's answer is no longer waited for.
+    pub(super) deadline: Micros,
     /// Ids of the endpoints that were tried.
     pub(super) tried: Vec<String>,
     /// Number of attempts in which an endpoint may have run it.
@@ -70,14 +71,14 @@
 pub(super) struct Attempt<'a> {
     /// The reserved slot.
     pub(super) reservation: &'a Reservation,
-    /// When it began, microseconds of the steady clock.
-    pub(super) started_at: u64,
+    /// When it began.
+    pub(super) started_at: Micros,
 }
 
 impl Attempt<'_> {
-    /// Time since it began, microseconds.
-    pub(super) fn elapsed(&self) -> u64 {
-        clock::micros().saturating_sub(self.started_at)
+    /// Time since it began.
+    pub(super) fn elapsed(&self) -> Micros {
+        clock::now().saturating_sub(self.started_at)
     }
 }
 
@@ -85,22 +86,22 @@
     /// A request without attempts. Draws the service.
     pub(super) fn new(
         node: &'a Rc<Node>,
-        request: HttpRequest,
+        client_request: HttpRequest,
         route: &'a CompiledRoute,
         tenant: Option<&'a str>,
     ) -> ForwardedRequest<'a> {
-        let headers = &request.head.headers;
+        let headers = &client_request.head.headers;
         let stated_ms: f64 =
             headers.get("Deadline").and_then(|value| value.trim().parse().ok()).unwrap_or(f64::MAX);
         let time_limit_ms = stated_ms.min(route.route.deadline_ms).clamp(0.0, MAX_DEADLINE_MS);
-        let deadline = request.arrived + clock::millis(time_limit_ms).as_micros() as u64;
+        let deadline = client_request.arrived + clock::micros_from_ms(time_limit_ms);
         let profile = RequestProfile::parse(headers.get("Token-Count"), headers.get("Prompt-Prefix"));
         let draw = (clock::random_id() % SERVICE_DRAWS) as f64 / SERVICE_DRAWS as f64;
         let service = route.pick_service(draw).unwrap_or_default().to_owned();
         let last_event = headers.get("Last-Event-Id").and_then(|value| value.trim().parse().ok());
         ForwardedRequest {
             node,
-            request,
+            client_request,
             route,
             tenant,
             service,
@@ -117,7 +118,7 @@
 
     /// Whether the client keeps the connection open for another request.
     pub(super) fn keep_alive(&self) -> bool {
-        self.request.head.keep_alive
+        self.client_request.head.keep_alive
     }
 
     /// Whether another endpoint may be tried.
@@ -133,20 +134,20 @@
 
     /// Whether the deadline has not passed.
     pub(super) fn is_in_time(&self) -> bool {
-        clock::micros() < self.deadline
+        clock::now() < self.deadline
     }
 
-    /// Until when the request waits for a slot, microseconds of the steady clock. A retry waits until the deadline.
-    pub(super) fn reserve_until(&self) -> u64 {
+    /// Until when the request waits for a slot. A retry waits until the deadline.
+    pub(super) fn reserve_until(&self) -> Micros {
         if self.runs > 0 {
             return self.deadline;
         }
-        admission::wait_until(self.request.arrived, self.route.route.target_ms, self.deadline)
+        admission::wait_until(self.client_request.arrived, self.route.route.target_ms, self.deadline)
     }
 
     /// Time until the deadline.
     pub(super) fn time_left(&self) -> Duration {
-        Duration::from_micros(self.deadline.saturating_sub(clock::micros()))
+        Duration::from_micros(self.deadline.saturating_sub(clock::now()))
     }
 
     /// How long an endpoint may be silent before its attempt is given up.
@@ -162,7 +163,7 @@
     /// Reports the end of an attempt to the dispatcher and wakes requests that wait for its slot.
     pub(super) fn finish(&self, attempt: &Attempt<'_>, outcome: CallOutcome, has_first_event: bool) {
         let mut dispatcher = self.node.dispatcher.borrow_mut();
-        dispatcher.finish(attempt.reservation, outcome, has_first_event, clock::micros());
+        dispatcher.finish(attempt.reservation, outcome, has_first_event, clock::now());
         self.node.capacity_freed.notify_waiters();
     }
 
--- a/tier/node/src/edge/forward/stream.rs
+++ b/tier/node/src/edge/forward/stream.rs
@@ -9,6 +9,7 @@
 use quillmount_dataplane::dispatch::CallOutcome;
 use quillmount_dataplane::events::{EventReader, EventTooLong};
 use quillmount_dataplane::head::ResponseHead;
+use quillmount_wire::Micros;
 use tokio::time::timeout;
 
 /// Why the events of an endpoint can't be forwarded.
@@ -25,9 +26,9 @@
 /// The part of a stream that one endpoint sends.
 struct EndpointStream {
     events: EventReader,
-    /// Time from the start of the attempt to the first event, microseconds; `None` before that event.
-    first_event: Option<u64>,
-    /// Whether the endpoint continues a stream behind an event that the client has.
+    /// Time from the start of the attempt to the first event; `None` before that event.
+    first_event: Option<Micros>,
+    /// Whether the endpoint continues a stream after an event that the client has.
     resumed: bool,
     keep_alive: bool,
 }
@@ -49,30 +50,30 @@
         let mut bytes = Vec::new();
         let reading = timeout(request.silence_limit(), answer.read(&mut bytes));
         let Some(read) = unless_disconnected(connection, reading).await else {
-            stream.finish(request, attempt, CallOutcome::Abandoned);
+            stream.finish_without_fault(request, attempt);
             return AttemptOutcome::Done(ServeOutcome::Abort);
         };
         let Ok(progress) = read else {
-            stream.finish(request, attempt, CallOutcome::TimedOut(attempt.elapsed()));
+            stream.finish_with_fault(request, attempt, CallOutcome::TimedOut(attempt.elapsed()));
             return AttemptOutcome::Retry(HttpResponse::text(504, "the endpoint fell silent"));
         };
         let Ok(content) = stream.accept(request, attempt, &bytes) else {
-            stream.finish(request, attempt, CallOutcome::Error);
+            stream.finish_with_fault(request, attempt, CallOutcome::Error);
             return AttemptOutcome::Retry(HttpResponse::text(502, "the endpoint sent no events"));
         };
         let complete = progress == BodyProgress::End && stream.events.remainder() == 0;
         let packet = stream.encode(request, &answer.head, &content, complete);
         if !packet.is_empty() && connection.write(&packet).await.is_err() {
-            stream.finish(request, attempt, CallOutcome::Abandoned);
+            stream.finish_without_fault(request, attempt);
             return AttemptOutcome::Done(ServeOutcome::Abort);
         }
         if complete {
-            stream.finish(request, attempt, CallOutcome::Abandoned);
+            stream.finish_without_fault(request, attempt);
             answer.release(&request.node.upstreams);
             return AttemptOutcome::Done(ServeOutcome::after_write(Ok(()), stream.keep_alive));
         }
         if progress != BodyProgress::More {
-            stream.finish(request, attempt, CallOutcome::Lost);
+            stream.finish_with_fault(request, attempt, CallOutcome::Lost);
             return AttemptOutcome::broken();
         }
     }
@@ -126,14 +127,14 @@
         packet
     }
 
-    /// Reports the end of the attempt. [`CallOutcome::Abandoned`] stands for an end that is not the endpoint's fault; the
-    /// latency of the first event counts then, if there was one.
-    fn finish(&self, request: &ForwardedRequest<'_>, attempt: &Attempt<'_>, outcome: CallOutcome) {
-        let outcome = match (outcome, self.first_event) {
-            (CallOutcome::Abandoned, Some(_)) if self.resumed => CallOutcome::Resumed,
-            (CallOutcome::Abandoned, Some(latency)) => CallOutcome::FirstEvent(latency),
-            (outcome, _) => outcome,
-        };
+    /// Reports an attempt whose stream is complete, or whose client has disconnected.
+    fn finish_without_fault(&self, request: &ForwardedRequest<'_>, attempt: &Attempt<'_>) {
+        let outcome = CallOutcome::without_fault(self.first_event, self.resumed);
         request.finish(attempt, outcome, self.first_event.is_some());
     }
+
+    /// Reports an attempt that ended by a fault of its endpoint.
+    fn finish_with_fault(&self, request: &ForwardedRequest<'_>, attempt: &Attempt<'_>, fault: CallOutcome) {
+        request.finish(attempt, fault, self.first_event.is_some());
+    }
 }
--- a/tier/node/src/node.rs
+++ b/tier/node/src/node.rs
@@ -16,6 +16,7 @@
 use crate::upstream::Upstreams;
 use quillmount_dataplane::dispatch::{Dispatcher, ServiceShare};
 use quillmount_window::Parameters;
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{NodeInfo, ServiceLoad, UsageWindow};
 use quillmount_wire::settings::Settings;
 use std::cell::{Cell, RefCell};
@@ -53,8 +54,8 @@
     pub core_contact: CoreContact,
     /// Demand on each service, as the primary last reported it; stores only.
     pub loads: RefCell<Rc<Vec<ServiceLoad>>>,
-    /// Start of the process on the steady clock, microseconds.
-    started: u64,
+    /// Start of the process.
+    started: Micros,
     /// `Admin` addresses of the seeds, as the settings file names them now.
     seeds: RefCell<Vec<String>>,
     tables: watch::Sender<Rc<TableSnapshot>>,
@@ -73,7 +74,7 @@
             settings,
             info,
             incarnation,
-            started: clock::micros(),
+            started: clock::now(),
             links: PeerLinks::default(),
             upstreams: Upstreams::default(),
             dispatcher: RefCell::new(dispatcher),
@@ -90,7 +91,7 @@
 
     /// Seconds since the process began.
     pub fn uptime_s(&self) -> f64 {
-        clock::micros().saturating_sub(self.started) as f64 / 1e6
+        clock::now().saturating_sub(self.started) as f64 / 1e6
     }
 
     /// The tables in force.
@@ -113,6 +114,12 @@
         self.capacity_freed.notify_waiters();
     }
 
+    /// Closes idle connections to endpoints that expired, and those to endpoints that take no more requests.
+    pub fn close_expired_connections(&self) {
+        let dispatcher = self.dispatcher.borrow();
+        self.upstreams.close_expired(|endpoint| dispatcher.is_open(endpoint));
+    }
+
     /// Reads the seeds from the settings file again. If the file can't be read, the seeds stay as they are.
     pub fn reload_seeds(&self) {
         match Settings::load() {
--- a/tier/node/src/node/core_contact.rs
+++ b/tier/node/src/node/core_contact.rs
@@ -1,10 +1,11 @@
 //! What a process knows of the core: which address answers its polls, and who the primary is.
 
 use crate::clock;
+use quillmount_wire::Micros;
 use std::cell::{Cell, RefCell};
 
 /// An answer of the primary counts as recent for this long, microseconds.
-const RECENT_ANSWER: u64 = 1_500_000;
+const RECENT_ANSWER: Micros = 1_500_000;
 
 /// Addresses at which a process finds the core, and when the primary last answered it.
 #[derive(Debug, Default)]
@@ -14,8 +15,8 @@
     primary: RefCell<Option<String>>,
     relays: RefCell<Vec<String>>,
     members: RefCell<Vec<String>>,
-    /// Moment on the steady clock, microseconds; 0 before the first answer.
-    last_answer: Cell<u64>,
+    /// When the primary last answered; 0 before the first answer.
+    last_answer: Cell<Micros>,
 }
 
 impl CoreContact {
@@ -36,12 +37,12 @@
 
     /// Records an answer of the primary, which may have come through a relay.
     pub fn record_answer(&self, primary: &str, relays: &[String]) {
-        self.last_answer.set(clock::micros());
+        self.last_answer.set(clock::now());
         *self.primary.borrow_mut() = Some(primary.to_owned());
         *self.relays.borrow_mut() = relays.to_vec();
     }
 
-    /// Takes up a process's claim to be primary, unless the primary that is known answered recently.
+    /// Polls the process at `address` next, which announced itself as primary, unless the primary that is known answered recently.
     pub fn note_primary(&self, address: String) {
         if !self.has_recent_primary() {
             *self.primary.borrow_mut() = Some(address.clone());
@@ -59,9 +60,9 @@
         self.has_ever_answered() && self.silence() < RECENT_ANSWER
     }
 
-    /// Microseconds since the primary last answered, or since the start of the clock.
-    pub fn silence(&self) -> u64 {
-        clock::micros().saturating_sub(self.last_answer.get())
+    /// Time since the primary last answered, or since the start of the clock.
+    pub fn silence(&self) -> Micros {
+        clock::now().saturating_sub(self.last_answer.get())
     }
 
     /// Internal addresses of the core's members, as this machine's own register names them.
--- a/tier/node/src/rpc/link.rs
+++ b/tier/node/src/rpc/link.rs
@@ -2,6 +2,7 @@
 
 use super::read_frame::read_frame;
 use crate::{clock, socket};
+use quillmount_wire::Micros;
 use quillmount_wire::messages::Response;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -33,8 +34,8 @@
 /// State of a link that its calls and its connection share.
 #[derive(Default)]
 struct LinkState {
-    /// When a frame was last received or the connection opened, microseconds of the steady clock.
-    last_received: Cell<u64>,
+    /// When a frame was last received or the connection opened.
+    last_received: Cell<Micros>,
     /// Closes the connection.
     close: Notify,
     /// Calls on the current connection, by number.
@@ -78,7 +79,7 @@
 
     /// Forgets a call without a response. If nothing at all was received since it was sent, the connection is presumed dead and
     /// closed.
-    pub(super) fn abandon(&self, number: u64, sent_at: u64) {
+    pub(super) fn abandon(&self, number: u64, sent_at: Micros) {
         self.state.pending.borrow_mut().remove(&number);
         if self.state.last_received.get() < sent_at {
             self.state.close.notify_waiters();
@@ -106,7 +107,7 @@
     outgoing: &mut mpsc::Receiver<OutgoingFrame>,
     state: &Rc<LinkState>,
 ) {
-    state.last_received.set(clock::micros());
+    state.last_received.set(clock::now());
     let (reader, mut writer) = stream.into_split();
     let mut reading = tokio::task::spawn_local(read_responses(address.to_owned(), reader, state.clone()));
     let mut next = first;
@@ -123,7 +124,7 @@
     reading.abort();
 }
 
-/// Writes a frame and all that are queued behind it with one write. Returns whether that succeeded.
+/// Writes a frame and all that are queued after it with one write. Returns whether that succeeded.
 async fn write_queued(
     writer: &mut OwnedWriteHalf,
     first: OutgoingFrame,
@@ -146,7 +147,7 @@
 async fn read_responses(address: String, reader: OwnedReadHalf, state: Rc<LinkState>) {
     let mut reader = BufReader::with_capacity(READ_BUFFER_BYTES, reader);
     while let Ok((header, body)) = read_frame(&mut reader).await {
-        state.last_received.set(clock::micros());
+        state.last_received.set(clock::now());
         let response = match Response::decode(&body) {
             Ok(response) => response,
             Err(error) => {
--- a/tier/node/src/store/items/item_run.rs
+++ b/tier/node/src/store/items/item_run.rs
@@ -6,11 +6,12 @@
 use quillmount_dataplane::dispatch::Reservation;
 use quillmount_dataplane::request_profile::RequestProfile;
 use quillmount_dataplane::routes::RouteTable;
+use quillmount_wire::Micros;
 use quillmount_wire::messages::{Item, Job};
 use std::rc::Rc;
 
 /// An item that is due sooner than this counts as late, microseconds: about the time that an item takes.
-const LATE_MARGIN: u64 = 700_000;
+const LATE_MARGIN: Micros = 700_000;
 /// Attempts of an item whose route is gone.
 const DEFAULT_MAX_ATTEMPTS: u32 = 1;
 /// Headers of an item that the request sets itself, or that concern one connection only.
@@ -35,8 +36,8 @@
     pub failures: u32,
     /// Endpoints tried since the last progress.
     pub tried: Vec<String>,
-    /// When the result is due: steady clock, microseconds.
-    pub due: u64,
+    /// When the result is due.
+    pub due: Micros,
 }
 
 /// What is to be done with an item before it runs.
@@ -57,7 +58,7 @@
 impl ItemRun {
     /// Whether the item can no longer be done before it is due.
     pub fn is_late(&self) -> bool {
-        clock::micros() + LATE_MARGIN > self.due
+        clock::now() + LATE_MARGIN > self.due
     }
 
     /// The item as it was submitted.
@@ -67,12 +68,12 @@
 
     /// Decides whether and where the item runs, by the routes in force. Draws the service at random where a route has several.
     pub fn next_step(&self, routes: &RouteTable) -> NextStep {
-        if self.tracked.cancel.is_cancelled() || !self.served.term.is_serving() {
+        if self.tracked.cancelled.is_set() || !self.served.term.is_serving() {
             return NextStep::Drop;
         }
         let Some(route) = routes.by_name(&self.job.route) else { return NextStep::DeadLetter };
-        let age = clock::micros().saturating_sub(self.tracked.first_seen);
-        let retain = route.route.retain_s.map(|span| clock::millis(span * 1000.0).as_micros() as u64);
+        let age = clock::now().saturating_sub(self.tracked.first_seen);
+        let retain = route.route.retain_s.map(|span| clock::micros_from_ms(span * 1000.0));
         if retain.is_some_and(|retain| age > retain) {
             return NextStep::DeadLetter;
         }
--- a/tier/node/src/store/items/queue.rs
+++ b/tier/node/src/store/items/queue.rs
@@ -4,6 +4,7 @@
 use crate::clock;
 use crate::store::shard::ServedShard;
 use quillmount_dataplane::routes::RouteTable;
+use quillmount_wire::Micros;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use tokio::sync::Notify;
@@ -21,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     late: bool,
-    due: u64,
+    due: Micros,
     number: u64,
 }
 
@@ -54,7 +55,7 @@
         let tracked = served.term.track(job);
         let due_ms =
             routes.by_name(&entry.job.route).and_then(|route| route.route.due_ms).unwrap_or(DEFAULT_DUE_MS);
-        let due = tracked.first_seen + clock::millis(due_ms).as_micros() as u64;
+        let due = tracked.first_seen + clock::micros_from_ms(due_ms);
         for item in (0..entry.job.items.len() as u32).filter(|item| !entry.has_result(*item)) {
             self.enqueue(ItemRun {
                 served: served.clone(),
@@ -105,7 +106,7 @@
         self.queue.borrow_mut().insert(key, run);
     }
 
-    /// Removes the next item. One that has become late while it waited goes behind those that can still be in time.
+    /// Removes the next item. One that has become late while it waited is sorted after those that can still be in time.
     pub fn pop(&self) -> Option<ItemRun> {
         loop {
             let (key, run) = self.queue.borrow_mut().pop_first()?;
--- a/tier/node/src/store/serve.rs
+++ b/tier/node/src/store/serve.rs
@@ -8,16 +8,19 @@
 use super::state::Store;
 use crate::clock;
 use quillmount_batch::JobEntry;
-use quillmount_wire::messages::{DiskId, Epoch, Job, Phase, Request, Response, ShardMessage, ShardOperation};
+use quillmount_wire::Micros;
+use quillmount_wire::messages::{
+    DiskId, Epoch, ItemOutcome, Job, Request, Response, ShardMessage, ShardOperation,
+};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Bytes of results from which on an answer takes no further one.
+/// Largest size of the results in one answer, bytes; a single larger result is sent on its own.
 const RESULT_BYTES: usize = 900_000;
-/// Bytes that a result takes in an answer beside its text, about.
+/// Bytes that a result takes in an answer in addition to its text, approximately.
 const RESULT_OVERHEAD: usize = 128;
 /// Longest time for which a read waits for its confirmation, microseconds.
-const CONFIRM_TIMEOUT: u64 = 900_000;
+const CONFIRM_TIMEOUT: Micros = 900_000;
 
 /// Answers any call.
 pub async fn answer(store: &Rc<Store>, request: Request) -> Response {
@@ -79,7 +82,7 @@
     let shard = &served.shard;
     let known = shard.replica().jobs().jobs.contains_key(&job.id);
     if known {
-        let until = clock::micros() + CONFIRM_TIMEOUT;
+        let until = clock::now() + CONFIRM_TIMEOUT;
         return if shard.confirm(store, until).await { Response::Done } else { Response::Uncertain };
     }
     let pending = shard.replica().is_pending(&job.id);
@@ -109,7 +112,7 @@
     }
 }
 
-/// A job, as far as one tenant may see it.
+/// A job in the view of one tenant: a job of another tenant does not exist for it.
 struct TenantJob<'a> {
     store: &'a Rc<Store>,
     served: &'a ServedShard,
@@ -166,7 +169,7 @@
     async fn confirmed(&self, response: Response) -> Response {
         let shard = &self.served.shard;
         let pending = shard.replica().is_pending(self.job);
-        let certain = !pending && shard.confirm(self.store, clock::micros() + CONFIRM_TIMEOUT).await;
+        let certain = !pending && shard.confirm(self.store, clock::now() + CONFIRM_TIMEOUT).await;
         if certain { response } else { Response::Uncertain }
     }
 }
@@ -174,14 +177,14 @@
 /// As many results after the first `start_after` as fit into one answer, at least one if there is any.
 fn results_response(entry: &JobEntry, start_after: u64) -> Response {
     let mut bytes = 0;
-    let mut results: Vec<(String, Phase, String)> = Vec::new();
+    let mut results: Vec<ItemOutcome> = Vec::new();
     for result in entry.results.iter().skip(start_after as usize) {
         if bytes + result.text.len() > RESULT_BYTES && !results.is_empty() {
             break;
         }
         bytes += result.text.len() + RESULT_OVERHEAD;
         let id = entry.job.items.get(result.item as usize).map(|item| item.id.clone()).unwrap_or_default();
-        results.push((id, result.phase, result.text.clone()));
+        results.push(ItemOutcome { id, phase: result.phase, text: result.text.clone() });
     }
     Response::Results { total: entry.job.items.len() as u64, results }
 }
--- a/tier/node/src/subscription.rs
+++ b/tier/node/src/subscription.rs
@@ -25,13 +25,13 @@
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Delay before the next address is polled: one that refuses connections fails at once.
 const NEXT_ADDRESS_DELAY: Duration = Duration::from_millis(5);
-/// Behind a relay, one poll in this many is followed by one to the primary itself.
+/// Of the polls that go through a relay, one in this many (on average) is followed by one to the primary itself.
 const DIRECT_EVERY: u64 = 10;
 
 /// What a role reports to the core with each poll.
 pub trait Reporter {
     /// Reports on the shards whose primary this process is.
-    fn shards(&self) -> Vec<ShardReport>;
+    fn shard_reports(&self) -> Vec<ShardReport>;
 
     /// The present demand of this process on endpoints.
     fn needs(&self) -> Needs;
@@ -48,7 +48,7 @@
 
 /// How a poll ended.
 enum PollOutcome {
-    /// Tables came, or the poll was cut short to send a report.
+    /// Tables came, or the poll was abandoned because a report is due.
     Answered,
     /// The other side is not the primary; it may name the one that is.
     Redirected { hint: Option<String> },
@@ -61,7 +61,7 @@
     let mut contacts = Contacts::default();
     loop {
         let poll_address = node.core_contact.poll_address();
-        let address = poll_address.or_else(|| contacts.next_address(&node.core_addresses(), clock::micros()));
+        let address = poll_address.or_else(|| contacts.next_address(&node.core_addresses(), clock::now()));
         let Some(address) = address else {
             tokio::time::sleep(RETRY_DELAY).await;
             continue;
@@ -69,14 +69,14 @@
         match poll_once(&node, &address, &*reporter).await {
             PollOutcome::Answered => {}
             PollOutcome::Redirected { hint } => {
-                let now = clock::micros();
+                let now = clock::now();
                 let hint = hint.filter(|hint| *hint != address && contacts.may_follow(hint, now));
                 let delay = if hint.is_some() { NEXT_ADDRESS_DELAY } else { RETRY_DELAY };
                 node.core_contact.set_poll_address(hint);
                 tokio::time::sleep(delay).await;
             }
             PollOutcome::Failed => {
-                contacts.record_failure(&address, clock::micros());
+                contacts.record_failure(&address, clock::now());
                 node.core_contact.set_poll_address(None);
                 tokio::time::sleep(NEXT_ADDRESS_DELAY).await;
             }
@@ -89,14 +89,14 @@
     let stopping = node.stopping.get();
     let request = Request::Poll(make_poll(node, reporter, stopping));
     let call = node.links.call(address, &request, POLL_TIMEOUT);
-    // A report that can't wait goes with a new poll, which also asks for what this one was to bring.
+    // A report that can't wait goes with a new poll, whose answer brings what this one would have brought.
     let answer = tokio::select! {
         answer = call => answer,
         () = node.report_due.notified() => return PollOutcome::Answered,
     };
     match answer {
         Ok(Response::Tables(tables)) => {
-            take_tables(node, address, tables);
+            accept_tables(node, address, tables);
             if stopping {
                 // Polls of a draining process are answered at once.
                 tokio::time::sleep(RETRY_DELAY).await;
@@ -116,7 +116,7 @@
         known_versions: node.tables().versions,
         max_wait_ms: if stopping { 0 } else { MAX_WAIT.as_millis() as u64 },
         usage: node.usage(),
-        shards: reporter.shards(),
+        shards: reporter.shard_reports(),
         draining: stopping,
         relayed: false,
         demand: total_demand(node, demand),
@@ -129,14 +129,15 @@
     for (service, calls) in node.dispatcher.borrow().in_flight() {
         *demand.entry(service).or_default() += f64::from(calls);
     }
-    demand.into_iter().filter(|(_, places)| *places > 0.0).collect()
+    demand.into_iter().filter(|(_, calls)| *calls > 0.0).collect()
 }
 
 /// Records where the core answers, and puts its tables in force.
-fn take_tables(node: &Node, address: &str, mut tables: Tables) {
-    // Behind a relay the primary itself is tried now and then.
-    let stay = address == tables.primary || !clock::random_id().is_multiple_of(DIRECT_EVERY);
-    let next = if stay { address } else { &tables.primary };
+fn accept_tables(node: &Node, address: &str, mut tables: Tables) {
+    // Polls that go through a relay are mixed with some to the primary itself.
+    let is_relay = address != tables.primary;
+    let try_primary = is_relay && clock::random_id().is_multiple_of(DIRECT_EVERY);
+    let next = if try_primary { &tables.primary } else { address };
     node.core_contact.set_poll_address(Some(next.to_owned()));
     node.core_contact.record_answer(&tables.primary, &tables.relays);
     *node.loads.borrow_mut() = Rc::new(std::mem::take(&mut tables.loads));
--- a/tier/node/src/subscription/direct_list.rs
+++ b/tier/node/src/subscription/direct_list.rs
@@ -2,12 +2,13 @@
 
 use crate::endpoint_list;
 use crate::node::{Node, TableSnapshot};
+use quillmount_wire::Micros;
 use quillmount_wire::messages::Endpoint;
 use std::rc::Rc;
 use std::time::Duration;
 
 /// Silence of the core after which a process reads the list itself, microseconds.
-const CORE_SILENCE: u64 = 1_200_000;
+const CORE_SILENCE: Micros = 1_200_000;
 /// Interval between two readings.
 const READ_INTERVAL: Duration = Duration::from_millis(900);
 
@@ -25,7 +26,7 @@
         }
         if let Some(list) = endpoint_list::read(&node).await {
             let current = node.tables();
-            // The core may have come back meanwhile: its list then goes before this one.
+            // The core may have come back meanwhile: its list then takes precedence.
             if is_core_silent(&node) {
                 install(&node, &current, list);
             }
@@ -38,8 +39,8 @@
 }
 
 fn install(node: &Node, current: &TableSnapshot, list: Vec<Endpoint>) {
-    // An incremental update of the core's list does not apply to this one: version 0 makes the core send all of its own.
+    // An incremental update of the core's list does not apply to this one: no changes make the core send all of its own.
     let mut versions = current.versions;
-    versions.directory.1 = 0;
+    versions.directory.changes = 0;
     node.swap_tables(TableSnapshot { versions, endpoints: Rc::new(list), ..current.clone() });
 }
--- a/tier/node/src/upstream/pool.rs
+++ b/tier/node/src/upstream/pool.rs
@@ -2,22 +2,22 @@
 
 use crate::clock;
 use quillmount_dataplane::head::ResponseHead;
+use quillmount_wire::Micros;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::io::ErrorKind;
 use tokio::net::TcpStream;
 
 /// How long a connection is kept idle if the endpoint states nothing, microseconds.
-const IDLE_TIMEOUT: u64 = 2_000_000;
+const IDLE_TIMEOUT: Micros = 2_000_000;
 /// Subtracted from the time that the endpoint states, microseconds, so that this side closes first.
-const IDLE_MARGIN: u64 = 800_000;
+const IDLE_MARGIN: Micros = 800_000;
 /// Largest number of idle connections to one endpoint.
 const IDLE_LIMIT: usize = 16;
 
 struct IdleConnection {
     stream: TcpStream,
-    /// Microseconds of the steady clock.
-    expires_at: u64,
+    expires_at: Micros,
 }
 
 /// Idle connections by the id of their endpoint.
@@ -30,7 +30,7 @@
     /// Removes a connection on which another request can be sent. Those that expired, were closed by the endpoint, or carry
     /// unexpected bytes are dropped.
     pub(super) fn checkout(&self, endpoint: &str) -> Option<TcpStream> {
-        let now = clock::micros();
+        let now = clock::now();
         let mut by_endpoint = self.by_endpoint.borrow_mut();
         let connections = by_endpoint.get_mut(endpoint)?;
         while let Some(connection) = connections.pop() {
@@ -42,7 +42,7 @@
         None
     }
 
-    /// Keeps a connection behind an answer with this head, for as long as the head allows.
+    /// Keeps a connection idle after an answer with this head, for as long as the head allows.
     pub(super) fn insert(&self, endpoint: String, stream: TcpStream, head: &ResponseHead) {
         let stated = head.headers.get("Keep-Alive").and_then(keep_alive_seconds);
         let idle_time =
@@ -50,13 +50,13 @@
         let mut by_endpoint = self.by_endpoint.borrow_mut();
         let connections = by_endpoint.entry(endpoint).or_default();
         if connections.len() < IDLE_LIMIT {
-            connections.push(IdleConnection { stream, expires_at: clock::micros() + idle_time });
+            connections.push(IdleConnection { stream, expires_at: clock::now() + idle_time });
         }
     }
 
     /// Closes expired connections, and those to endpoints that are not `open`.
     pub(super) fn close_expired(&self, open: impl Fn(&str) -> bool) {
-        let now = clock::micros();
+        let now = clock::now();
         self.by_endpoint.borrow_mut().retain(|endpoint, connections| {
             connections.retain(|connection| connection.expires_at > now);
             !connections.is_empty() && open(endpoint)
@@ -69,7 +69,7 @@
     matches!(stream.try_read(&mut [0; 1]), Err(error) if error.kind() == ErrorKind::WouldBlock)
 }
 
-/// Seconds of a `Keep-Alive` header: a number, alone or behind `timeout=`.
+/// Seconds of a `Keep-Alive` header: a number, alone or after `timeout=`.
 fn keep_alive_seconds(value: &str) -> Option<u64> {
     let parameter = value
         .split(',')
