--- a/tools/standins/src/courier.rs
+++ b/tools/standins/src/courier.rs
@@ -1,6 +1,6 @@
 //! A courier's process between stand-ins, with a folder of its own that ends with it.
 
-use crate::fleet::merge;
+use crate::config::merge;
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Error, Result};
--- a/tools/standins/src/fleet/fault.rs
+++ b/tools/standins/src/fleet/fault.rs
@@ -1,8 +1,8 @@
 //! Faults that a harness injects into couriers, links and listeners, as values: each is recorded when it is injected.
 
-use super::link;
-use crate::listener;
-use crate::record::{Recorder, Stamp};
+use super::link::{LinkMode, RequestFault};
+use crate::listener::ListenerMode;
+use crate::record::Stamp;
 use std::fmt;
 
 /// A fault that the harness injects, or the repair of one. Couriers and partners are given by their numbers.
@@ -12,7 +12,7 @@
     Kill(usize),
     /// A start with the folder as it is.
     Start(usize),
-    /// SIGKILL where it runs, and a start with an empty folder.
+    /// SIGKILL if it runs, and a start with an empty folder.
     LoseFolder(usize),
     /// SIGSTOP.
     Suspend(usize),
@@ -29,16 +29,16 @@
         /// The courier that is called.
         to: usize,
         /// What the link does from now on.
-        mode: link::LinkMode,
+        mode: LinkMode,
     },
-    /// What becomes of the next request on a link.
+    /// A fault of the next request on a link.
     Request {
         /// The courier that calls.
         from: usize,
         /// The courier that is called.
         to: usize,
-        /// What becomes of the request.
-        fault: link::RequestFault,
+        /// What happens to the request.
+        fault: RequestFault,
     },
     /// All connections of a link are closed.
     Close {
@@ -54,14 +54,14 @@
         /// The partner.
         partner: usize,
         /// What the listener does from now on.
-        mode: listener::ListenerMode,
+        mode: ListenerMode,
     },
     /// The mode of the platform's listener for one courier changes.
     Platform {
         /// The courier.
         courier: usize,
         /// What the listener does from now on.
-        mode: listener::ListenerMode,
+        mode: ListenerMode,
     },
 }
 
@@ -74,47 +74,52 @@
             0 | 1 => Fault::Kill(courier),
             2 => Fault::LoseFolder(courier),
             3 => Fault::Suspend(courier),
-            4 => Fault::Link { from: courier, to, mode: link::LinkMode::random(seed) },
-            5 => Fault::Request { from: courier, to, fault: link::RequestFault::random(seed) },
+            4 => Fault::Link { from: courier, to, mode: LinkMode::random(seed) },
+            5 => Fault::Request { from: courier, to, fault: RequestFault::random(seed) },
             6 => Fault::Close { from: courier, to },
-            7 if partners > 0 => Fault::Partner {
-                courier,
-                partner: seed.usize(0..partners),
-                mode: listener::ListenerMode::random(seed),
-            },
-            _ => Fault::Platform { courier, mode: listener::ListenerMode::random(seed) },
+            7 if partners > 0 => {
+                Fault::Partner { courier, partner: seed.usize(0..partners), mode: ListenerMode::random(seed) }
+            }
+            _ => Fault::Platform { courier, mode: ListenerMode::random(seed) },
         }
     }
 
-    /// What it does to this courier: after a fault the courier may miss an answer, or be taken for lost.
-    pub(crate) fn effect_on(&self, courier: usize) -> Option<(FaultTarget, FaultPhase)> {
-        let lasts = |is_repair: bool| if is_repair { FaultPhase::Ends } else { FaultPhase::Begins };
-        let (is, target, phase) = match *self {
-            Fault::Kill(n) | Fault::Sigterm(n) => (n == courier, FaultTarget::Process, FaultPhase::Begins),
-            Fault::Start(n) => (n == courier, FaultTarget::Process, FaultPhase::Ends),
+    /// What the fault, or repair, does to this courier: between the two it may miss an answer, or be considered lost. `None`: it
+    /// does not affect the courier.
+    pub(crate) fn effect_on(&self, courier: usize) -> Option<FaultEffect> {
+        let (affects, target, phase) = match *self {
+            Fault::Kill(n) | Fault::Sigterm(n) | Fault::Suspend(n) => {
+                (n == courier, FaultTarget::Process, FaultPhase::Begins)
+            }
+            Fault::Start(n) | Fault::Resume(n) => (n == courier, FaultTarget::Process, FaultPhase::Ends),
             Fault::LoseFolder(n) => (n == courier, FaultTarget::Process, FaultPhase::Moment),
-            Fault::Suspend(n) => (n == courier, FaultTarget::Process, FaultPhase::Begins),
-            Fault::Resume(n) => (n == courier, FaultTarget::Process, FaultPhase::Ends),
             Fault::Sighup(_) => return None,
             Fault::Link { from, to, mode } => (
                 from == courier || to == courier,
                 FaultTarget::Link(from, to),
-                lasts(mode == link::LinkMode::Pass),
+                FaultPhase::of_mode(mode == LinkMode::Pass),
             ),
             Fault::Request { from, to, .. } | Fault::Close { from, to } => {
                 (from == courier || to == courier, FaultTarget::Link(from, to), FaultPhase::Moment)
             }
             Fault::Partner { courier: n, partner, mode } => {
-                (n == courier, FaultTarget::Partner(partner), lasts(mode == listener::ListenerMode::Open))
+                (n == courier, FaultTarget::Partner(partner), FaultPhase::of_mode(mode == ListenerMode::Open))
             }
             Fault::Platform { courier: n, mode } => {
-                (n == courier, FaultTarget::Platform, lasts(mode == listener::ListenerMode::Open))
+                (n == courier, FaultTarget::Platform, FaultPhase::of_mode(mode == ListenerMode::Open))
             }
         };
-        is.then_some((target, phase))
+        affects.then_some(FaultEffect { target, phase })
     }
 }
 
+/// The effect of a fault on one courier.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct FaultEffect {
+    pub target: FaultTarget,
+    pub phase: FaultPhase,
+}
+
 /// What of a courier a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum FaultTarget {
@@ -132,6 +137,13 @@
     Moment,
 }
 
+impl FaultPhase {
+    /// The phase of a change of mode, which is a repair or a fault that lasts.
+    fn of_mode(is_repair: bool) -> FaultPhase {
+        if is_repair { FaultPhase::Ends } else { FaultPhase::Begins }
+    }
+}
+
 /// A fault, and when it was injected.
 #[derive(Clone, Copy, Debug)]
 pub struct InjectedFault {
@@ -141,12 +153,6 @@
     pub what: Fault,
 }
 
-impl InjectedFault {
-    pub(crate) fn note(recorder: &Recorder, what: Fault) {
-        recorder.write(|record, when| record.injected_faults.push(InjectedFault { when, what }));
-    }
-}
-
 impl fmt::Display for InjectedFault {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{:?} (event {})", self.what, self.when.n)
--- a/tools/standins/src/fleet/process.rs
+++ b/tools/standins/src/fleet/process.rs
@@ -1,87 +1,82 @@
-//! A courier's process, with its log on record.
+//! The process of a courier, whose log is recorded.
 
+use crate::config;
 use crate::record::{LogLine, Recorder};
 use rustix::process::{Pid, Signal, WaitId, WaitIdOptions, kill_process, waitid};
-use std::io::{BufRead, BufReader, Error, Result};
+use std::io::{BufRead, BufReader, Error, ErrorKind, Result};
 use std::path::Path;
 use std::process::{Child, Command, ExitStatus, Stdio};
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// Lines that wait to be recorded; a courier that says more waits.
+/// Log lines that wait to be recorded; while there are as many, the courier's pipe is not read.
 const LINES_MAX: usize = 4_096;
 
-/// Dropped, it is killed.
-pub struct Process {
+/// What a process is started with.
+pub(super) struct ProcessSetup<'a> {
+    pub program: &'a Path,
+    /// The folder with the courier's files.
+    pub folder: &'a Path,
+    /// The value of `RUST_LOG`; empty: it is not set.
+    pub levels: &'a str,
+    /// The number of the courier.
+    pub courier: usize,
+    /// The incarnation of its process, from 1.
+    pub incarnation: u32,
+}
+
+/// A process that is killed when it is dropped.
+pub(super) struct Process {
     child: Child,
+    /// Whether it is stopped by [`Process::suspend`].
     pub paused: bool,
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // Where it has ended already there is nothing to kill.
+        // Both fail if it has ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
 impl Process {
-    /// Starts `program` in a folder with `config.json`, `operator.json` and `state`, and records its log.
+    /// Starts a process, and records its log and the end of it.
     ///
     /// # Errors
-    /// It can't be started.
-    pub fn start(
-        program: &Path,
-        folder: &Path,
-        levels: &str,
-        courier: usize,
-        incarnation: u32,
-        recorder: &Recorder,
-    ) -> Result<Process> {
-        let mut command = Command::new(program);
-        command.arg("run").arg("--operator").arg(folder.join("operator.json"));
-        if levels.is_empty() {
-            command.env_remove("RUST_LOG");
-        } else {
-            command.env("RUST_LOG", levels);
-        }
-        for name in ["GW_NAME", "GW_LISTEN", "GW_DISCOVERY", "GW_OPERATOR", "GW_INHERITED_FD"] {
-            command.env_remove(name);
-        }
-        command.env("GW_CONFIG", folder.join("config.json")).env("GW_STATE", folder.join("state"));
+    /// The system does not start it.
+    pub fn start(setup: &ProcessSetup, recorder: &Recorder) -> Result<Process> {
+        let mut command = Command::new(setup.program);
+        config::use_folder(&mut command, setup.folder, true, setup.levels);
         let mut child = command.stdin(Stdio::null()).stderr(Stdio::piped()).spawn()?;
-        let log = child.stderr.take().ok_or_else(|| Error::other("the courier has no log"))?;
-        let (to, mut from) = mpsc::channel(LINES_MAX);
+        let log = child.stderr.take().ok_or(ErrorKind::BrokenPipe)?;
+        let (to, from) = mpsc::channel(LINES_MAX);
         std::thread::spawn(move || {
             let lines = BufReader::new(log).lines().map_while(Result::ok);
-            // Nobody listens any more: it is killed, and the rest of its log let go.
+            // Without a receiver the process has been killed, and the rest of its log is not needed.
             let _ = lines.map(|line| to.blocking_send(line)).all(|sent| sent.is_ok());
         });
-        let recorder = recorder.clone();
-        spawn_local(async move {
-            while let Some(text) = from.recv().await {
-                recorder
-                    .write(|record, when| record.lines.push(LogLine { when, courier, incarnation, text }));
-            }
-            recorder.write(|record, _| record.ended[courier] = incarnation);
-        });
+        spawn_local(record_log(from, setup.courier, setup.incarnation, recorder.clone()));
         Ok(Process { child, paused: false })
     }
 
+    /// The id of the process.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
+    /// Sends a signal.
+    ///
     /// # Errors
-    /// It is gone.
+    /// The process has ended.
     pub fn signal(&self, signal: Signal) -> Result<()> {
         kill_process(Pid::from_child(&self.child), signal).map_err(Error::from)
     }
 
-    /// SIGSTOP; returns when it has stopped, or has ended before.
+    /// Sends SIGSTOP, and returns when the process has stopped or ended.
     ///
     /// # Errors
-    /// It is gone.
+    /// The process has ended.
     pub fn suspend(&mut self) -> Result<()> {
         self.signal(Signal::STOP)?;
         let what = WaitIdOptions::STOPPED | WaitIdOptions::EXITED | WaitIdOptions::NOWAIT;
@@ -90,29 +85,37 @@
         Ok(())
     }
 
-    /// SIGCONT.
+    /// Sends SIGCONT.
     ///
     /// # Errors
-    /// It is gone.
+    /// The process has ended.
     pub fn resume(&mut self) -> Result<()> {
         self.paused = false;
         self.signal(Signal::CONT)
     }
 
-    /// SIGKILL; returns when it is gone.
+    /// Sends SIGKILL, and returns when the process has ended.
     ///
     /// # Errors
-    /// The system does not tell of its end.
+    /// The system does not report its end.
     pub fn kill(&mut self) -> Result<ExitStatus> {
         self.child.kill()?;
         self.child.wait()
     }
 
-    /// Its end, where its log has ended already.
+    /// Waits for its end; does not block for long if its log has ended already.
     ///
     /// # Errors
-    /// The system does not tell of it.
+    /// The system does not report it.
     pub fn wait(&mut self) -> Result<ExitStatus> {
         self.child.wait()
     }
 }
+
+/// Records the lines of a log, and then its end.
+async fn record_log(mut lines: mpsc::Receiver<String>, courier: usize, incarnation: u32, recorder: Recorder) {
+    while let Some(text) = lines.recv().await {
+        recorder.write(|record, when| record.lines.push(LogLine { when, courier, incarnation, text }));
+    }
+    recorder.write(|record, _| record.ended[courier] = incarnation);
+}
--- a/tools/standins/src/lib.rs
+++ b/tools/standins/src/lib.rs
@@ -4,6 +4,7 @@
 
 pub mod audit;
 pub mod client;
+mod config;
 pub mod courier;
 pub mod endpoint;
 pub mod fleet;
@@ -14,6 +15,7 @@
 pub mod partner;
 pub mod platform;
 pub mod record;
+mod runtime;
 pub mod test_bed;
 
 use std::time::Instant;
--- a/tools/standins/src/partner.rs
+++ b/tools/standins/src/partner.rs
@@ -1,7 +1,7 @@
 //! A partner that a whole fleet of couriers calls: it records every call and every connection, and answers as the script of
 //! the test has it, at once or when it is released.
 
-use crate::fleet::fault::{Fault, InjectedFault};
+use crate::fleet::fault::Fault;
 use crate::http::{BodyRemainder, Head, Reader};
 use crate::listener::{CourierListener, ListenerMode};
 use crate::record::{BodyDigest, ConnectionChange, RecordedCall, Recorder, Stamp};
@@ -121,7 +121,7 @@
     pub fn set(&self, courier: usize, mode: ListenerMode) {
         self.listeners[courier].set(mode);
         let partner = self.shared.number;
-        InjectedFault::note(&self.shared.recorder, Fault::Partner { courier, partner, mode });
+        self.shared.recorder.record_fault(Fault::Partner { courier, partner, mode });
     }
 
     pub(crate) fn is_open(&self, courier: usize) -> bool {
--- a/tools/standins/src/platform.rs
+++ b/tools/standins/src/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's agent: the watch on discovery, which stays open, and the notices, which it confirms.
 
-use crate::fleet::fault::{Fault, InjectedFault};
+use crate::fleet::fault::Fault;
 use crate::gate::{AcceptMode, Gate};
 use crate::http::{BodyRemainder, Reader};
 use crate::listener::{CourierListener, ListenerMode};
@@ -284,7 +284,7 @@
     /// From now on, for this courier.
     pub fn set(&self, courier: usize, mode: ListenerMode) {
         self.listeners[courier].set(mode);
-        InjectedFault::note(&self.recorder, Fault::Platform { courier, mode });
+        self.recorder.record_fault(Fault::Platform { courier, mode });
     }
 
     pub(crate) fn is_open(&self, courier: usize) -> bool {
--- a/tools/standins/tests/files.rs
+++ b/tools/standins/tests/files.rs
@@ -1,8 +1,9 @@
 //! The files that a fleet's couriers are started with.
 
-use quillmount_standins::fleet::{Fleet, FleetSetup, run_test};
+use quillmount_standins::fleet::{Fleet, FleetError, FleetSetup, run_test};
 use quillmount_standins::partner::Answer;
 use serde_json::{Value, json};
+use std::io::ErrorKind;
 use std::net::SocketAddr;
 
 fn read(fleet: &Fleet, courier: usize, name: &str) -> Value {
@@ -39,8 +40,11 @@
         fleet.configure_operator(2, &json!({"fleet": {"copies": 2}})).unwrap();
         let section = read(&fleet, 2, "operator.json")["fleet"].clone();
         assert_eq!((&section["copies"], &section["lease"]), (&json!(2), &json!("2s")));
-        let none = fleet.spawn(0).unwrap_err();
-        assert_eq!(none.kind(), std::io::ErrorKind::NotFound);
+        let error = fleet.spawn(0).unwrap_err();
+        assert!(
+            matches!(&error, FleetError::Spawn { source, .. } if source.kind() == ErrorKind::NotFound),
+            "{error}"
+        );
     });
 }
 
