--- a/tools/standins/src/audit/settlements.rs
+++ b/tools/standins/src/audit/settlements.rs
@@ -1,28 +1,28 @@
-//! Settlements: whole, in order, and nothing after a break.
+//! Settlements: complete, in order, and nothing after a break.
 
 use super::finding::{Finding, SettlementFault as Fault};
 use quillmount_policy::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// A position of a settlement as its partner saw it come.
+/// A position of a settlement as its partner received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettlementPosition {
     /// The name of the settlement.
     pub settlement: String,
-    /// From 1.
+    /// The position, from 1.
     pub position: u32,
-    /// The number of all, where this one said it.
+    /// The number of all positions, if this one gives it.
     pub of: Option<u32>,
     /// When it was received.
     pub at: Micros,
-    /// It was run, or nothing says that it was not: one that was turned away counts for nothing.
+    /// Whether it ran, or may have; a rejected one is not counted.
     pub ran: bool,
-    /// The connection of a session, and when that ended if it did; `None` in message mode.
+    /// The connection of its session, and when that ended, if it did; `None`: the settlement has no session.
     pub session: Option<(u64, Option<Micros>)>,
 }
 
-/// How a settlement ended, as the platform or a consumer was told.
+/// How a settlement ended, as it was reported to the platform or to a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettlementEnd {
     /// The name of the settlement.
@@ -36,9 +36,9 @@
 /// The outcome of a settlement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SettlementOutcome {
-    /// All were run, so many.
+    /// All positions ran: this many.
     Closed(u32),
-    /// The position that may have run or failed for good; none that follows it ran.
+    /// The position that may have run, or failed for good; none after it ran.
     Broken(u32),
 }
 
@@ -51,30 +51,39 @@
     }
 }
 
+/// All that is known of one settlement, in the order of time.
+#[derive(Default)]
+struct SettlementHistory<'a> {
+    positions: Vec<&'a SettlementPosition>,
+    ends: Vec<&'a SettlementEnd>,
+}
+
+/// Checks all settlements.
 pub(super) fn check(positions: &[SettlementPosition], ends: &[SettlementEnd], found: &mut Vec<Finding>) {
-    let mut all: BTreeMap<&str, (Vec<&SettlementPosition>, Vec<&SettlementEnd>)> = BTreeMap::new();
+    let mut settlements: BTreeMap<&str, SettlementHistory> = BTreeMap::new();
     for position in positions.iter().filter(|position| position.ran) {
-        all.entry(&position.settlement).or_default().0.push(position);
+        settlements.entry(&position.settlement).or_default().positions.push(position);
     }
     for end in ends {
-        all.entry(&end.settlement).or_default().1.push(end);
+        settlements.entry(&end.settlement).or_default().ends.push(end);
     }
-    for (settlement, (mut positions, mut ends)) in all {
+    for (settlement, SettlementHistory { mut positions, mut ends }) in settlements {
         positions.sort_by_key(|position| position.at);
         ends.sort_by_key(|end| end.at);
         let mut report = |fault| found.push(Finding::Settlement { settlement: settlement.into(), fault });
-        order(&positions, &mut report);
-        sessions(&positions, &mut report);
-        outcome(&positions, &ends, &mut report);
+        check_order(&positions, &mut report);
+        check_sessions(&positions, &mut report);
+        check_outcome(&positions, &ends, &mut report);
     }
 }
 
-fn ran(positions: &[&SettlementPosition], position: u32) -> bool {
+/// Whether this position ran.
+fn has_run(positions: &[&SettlementPosition], position: u32) -> bool {
     positions.iter().any(|observed| observed.position == position)
 }
 
-/// 1, 2, 3 and so on, each once.
-fn order(positions: &[&SettlementPosition], report: &mut impl FnMut(Fault)) {
+/// The positions are 1, 2, 3 and so on, each once.
+fn check_order(positions: &[&SettlementPosition], report: &mut impl FnMut(Fault)) {
     let (mut arrived, mut holes): (BTreeMap<u32, Micros>, BTreeSet<u32>) = Default::default();
     for SettlementPosition { position, at, .. } in positions.iter().copied() {
         let (position, at) = (*position, *at);
@@ -85,8 +94,8 @@
         if let Some((after, _)) = arrived.last_key_value().filter(|(last, _)| **last > position) {
             report(Fault::OutOfOrder { position, after: *after, at });
         } else if position != arrived.len() as u32 + 1 {
-            // One that comes later is told of as out of order; one that never comes is the hole.
-            let missing = (1..position).filter(|p| !ran(positions, *p));
+            // A position that comes later is reported as out of order; one that never comes is the hole.
+            let missing = (1..position).filter(|p| !has_run(positions, *p));
             for missing in missing.filter(|missing| holes.insert(*missing)) {
                 report(Fault::Hole { position, missing, at });
             }
@@ -95,8 +104,8 @@
     }
 }
 
-/// Never two sessions open for one.
-fn sessions(positions: &[&SettlementPosition], report: &mut impl FnMut(Fault)) {
+/// No two sessions of the settlement are open at once.
+fn check_sessions(positions: &[&SettlementPosition], report: &mut impl FnMut(Fault)) {
     let mut open: Option<(u64, Option<Micros>)> = None;
     for SettlementPosition { session, at, .. } in positions.iter().copied() {
         let Some((number, ended)) = *session else { continue };
@@ -109,7 +118,8 @@
     }
 }
 
-fn outcome(positions: &[&SettlementPosition], ends: &[&SettlementEnd], report: &mut impl FnMut(Fault)) {
+/// The reported end agrees with the positions that ran.
+fn check_outcome(positions: &[&SettlementPosition], ends: &[&SettlementEnd], report: &mut impl FnMut(Fault)) {
     let Some(end) = ends.first() else { return };
     if let Some(other) = ends.iter().find(|other| other.outcome != end.outcome) {
         report(Fault::EndedTwice { first: end.outcome.to_string(), second: other.outcome.to_string() });
@@ -117,7 +127,7 @@
     let declared = positions.iter().find_map(|position| position.of);
     match end.outcome {
         SettlementOutcome::Closed(of) => {
-            let had = (1..=of).take_while(|p| ran(positions, *p)).count() as u32;
+            let had = (1..=of).take_while(|p| has_run(positions, *p)).count() as u32;
             if had < of || declared.is_some_and(|declared| declared != of) {
                 report(Fault::ClosedShort { of: declared.unwrap_or(of).max(of), had });
             }
@@ -126,13 +136,11 @@
             }
         }
         SettlementOutcome::Broken(broken) => {
-            for missing in (1..broken).filter(|p| !ran(positions, *p)) {
+            for missing in (1..broken).filter(|p| !has_run(positions, *p)) {
                 report(Fault::BrokenEarlier { broken, missing });
             }
-            for SettlementPosition { position, at, .. } in
-                positions.iter().filter(|observed| observed.position > broken)
-            {
-                report(Fault::AfterBreak { broken, position: *position, at: *at });
+            for after in positions.iter().filter(|observed| observed.position > broken) {
+                report(Fault::AfterBreak { broken, position: after.position, at: after.at });
             }
         }
     }
