--- a/courier/program/examples/streaming.rs
+++ b/courier/program/examples/streaming.rs
@@ -83,7 +83,7 @@
     setup.operator = Some(json!({"version": 1, "streams": {"on": true, "largest": "8 GiB", "longest": "1h",
         "memory": "32 MiB", "share_of_slots": 1.0, "share_of_window": 1.0}}));
     (setup.slots, setup.open_cap) = (400, 4_000);
-    Courier::start(setup)
+    Ok(Courier::start(setup)?)
 }
 
 fn head(id: &str, dest: u64, length: u64, seconds: u64) -> String {
--- a/tools/standins/src/endpoint.rs
+++ b/tools/standins/src/endpoint.rs
@@ -1,4 +1,8 @@
-//! A provider with a script for each call: how it reads the body, and what it answers when.
+//! An endpoint with a script for each call: how it reads the body, and what it answers when.
+
+mod script;
+
+pub use script::EndpointScript;
 
 use crate::http::{BodyRemainder, Head, Reader};
 use crate::{ObservationKind, Observer};
@@ -7,62 +11,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Bytes that are read of a body at once, where no rate is set.
-const READ: usize = 256 * 1024;
-
-/// What a provider does with one call.
-#[derive(Clone, Debug)]
-pub struct EndpointScript {
-    /// Bytes of the body that it reads a second; 0: as fast as they come.
-    pub rate: u64,
-    /// It rests for so long before it reads the byte with this number.
-    pub stall: Option<(u64, Duration)>,
-    /// It reads no byte from this one on.
-    pub stop_at: Option<u64>,
-    /// It resets the connection at this byte.
-    pub reset_at: Option<u64>,
-    /// It answers when it has read so many bytes, and reads on.
-    pub early: Option<u64>,
-    /// Between the last byte and the answer.
-    pub delay: Duration,
-    /// First line and headers of the answer, without the last empty line; `None`: it never answers.
-    pub answer: Option<String>,
-}
-
-impl Default for EndpointScript {
-    fn default() -> Self {
-        EndpointScript {
-            rate: 0,
-            stall: None,
-            stop_at: None,
-            reset_at: None,
-            early: None,
-            delay: Duration::ZERO,
-            answer: Some("200 OK".into()),
-        }
-    }
-}
-
-impl EndpointScript {
-    /// Answers so, as in `429 Too Many Requests\r\nRetry-After: 0.5`.
-    pub fn answers(text: &str) -> Self {
-        EndpointScript { answer: Some(text.into()), ..EndpointScript::default() }
-    }
-
-    /// Never answers.
-    pub fn silent() -> Self {
-        EndpointScript { answer: None, ..EndpointScript::default() }
-    }
-}
+/// Bytes of a body that are read at once, if the script sets no rate.
+const READ: u64 = 256 * 1024;
+/// Reads per second into which a rate is divided.
+const RATED_READS_PER_SECOND: u64 = 20;
 
-/// Serves calls until its task ends; must run in a `LocalSet` or on a single thread. `script` says what becomes of
-/// each call, by its head and the number of calls with its id before.
+/// Serves calls until its task ends; must run in a `LocalSet` or on a single thread. `script` gives the script of each call, by its
+/// head.
 ///
 /// # Errors
-/// No port could be had.
+/// The system has no port.
 pub async fn open(
     observer: Observer,
     script: impl Fn(&Head) -> EndpointScript + 'static,
@@ -73,95 +35,168 @@
     tokio::task::spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let (observer, script) = (observer.clone(), script.clone());
-            // A connection that breaks has been told of where it mattered.
+            // An error ends the connection; what matters of it has been observed.
             tokio::task::spawn_local(async move { serve(stream, observer, script.as_ref()).await });
         }
     });
     Ok(addr)
 }
 
+/// Serves one connection until a side closes it.
 async fn serve(
     stream: TcpStream,
     observer: Observer,
     script: &dyn Fn(&Head) -> EndpointScript,
 ) -> Result<()> {
     stream.set_nodelay(true)?;
-    let (from, mut to) = stream.into_split();
-    let mut reader = Reader::new(from);
-    while let Some(head) = reader.head().await? {
+    let (from, to) = stream.into_split();
+    let mut session = Session { reader: Reader::new(from), to, observer };
+    while let Some(head) = session.reader.head().await? {
+        if session.serve_call(&head, script).await? == NextStep::Close {
+            break;
+        }
+    }
+    Ok(())
+}
+
+/// What becomes of a connection after a call.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum NextStep {
+    /// The next call is read.
+    Continue,
+    /// The connection is closed.
+    Close,
+}
+
+/// One connection.
+struct Session {
+    reader: Reader<OwnedReadHalf>,
+    to: OwnedWriteHalf,
+    observer: Observer,
+}
+
+/// One call, while its body is read.
+struct Call {
+    id: String,
+    script: EndpointScript,
+    body: BodyRemainder,
+    /// When the body began.
+    began: Instant,
+    /// Bytes of the body that were read.
+    bytes: u64,
+    crc: crc32fast::Hasher,
+    /// It was answered before its body was complete.
+    answered: bool,
+}
+
+impl Session {
+    async fn serve_call(
+        &mut self,
+        head: &Head,
+        script: &dyn Fn(&Head) -> EndpointScript,
+    ) -> Result<NextStep> {
         let id = head.header("x-correlation-id").unwrap_or_default().to_string();
-        observer.observe(&id, ObservationKind::CallBegan).await;
-        let script = script(&head);
+        self.observer.observe(&id, ObservationKind::CallBegan).await;
+        let script = script(head);
         if head.header("expect").is_some() && script.early != Some(0) {
-            to.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
+            self.to.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
         }
-        let (mut left, mut bytes, mut crc) =
-            (BodyRemainder::from(head.framing()), 0, crc32fast::Hasher::new());
-        let (begun, mut answered) = (Instant::now(), false);
-        let whole = loop {
-            if script.stop_at.is_some_and(|at| bytes >= at) {
+        let mut call = Call {
+            id,
+            script,
+            body: BodyRemainder::from(head.framing()),
+            began: Instant::now(),
+            bytes: 0,
+            crc: crc32fast::Hasher::new(),
+            answered: false,
+        };
+        let whole = self.read_body(&mut call).await?;
+        let body = ObservationKind::Body { bytes: call.bytes, crc: call.crc.clone().finalize(), whole };
+        self.observer.observe(&call.id, body).await;
+        if !whole {
+            // If bytes were received that are not read, the system resets the connection.
+            return Ok(NextStep::Close);
+        }
+        if call.answered {
+            return Ok(NextStep::Continue);
+        }
+        self.finish_call(&call).await
+    }
+
+    /// Reads the body as the script has it; returns whether it is complete.
+    ///
+    /// # Errors
+    /// An early answer could not be written.
+    async fn read_body(&mut self, call: &mut Call) -> Result<bool> {
+        loop {
+            if call.script.stop_at.is_some_and(|at| call.bytes >= at) {
                 std::future::pending::<()>().await;
             }
-            if script.reset_at.is_some_and(|at| bytes >= at) {
-                observer
-                    .observe(&id, ObservationKind::Body { bytes, crc: crc.finalize(), whole: false })
-                    .await;
-                // Closed with bytes that are not read, it is reset.
-                return Ok(());
+            if call.script.reset_at.is_some_and(|at| call.bytes >= at) {
+                return Ok(false);
             }
-            if script.early.is_some_and(|at| bytes >= at) && !answered {
-                answered = true;
-                answer(&mut to, &script, &observer, &id).await?;
+            if call.script.early.is_some_and(|at| call.bytes >= at) && !call.answered {
+                call.answered = true;
+                self.answer(call).await?;
             }
-            if let Some((at, stall)) = script.stall
-                && bytes >= at
-                && begun.elapsed() < stall
-            {
-                sleep_until(begun + stall).await;
+            call.stall().await;
+            let most = call.next_read();
+            match self.reader.body(&mut call.body, most).await {
+                Ok(Some(part)) => call.received(&part).await,
+                Ok(None) => return Ok(true),
+                Err(_) => return Ok(false),
             }
-            let next = [script.stop_at, script.reset_at, script.early, script.stall.map(|p| p.0)];
-            let next = next.into_iter().flatten().filter(|at| *at > bytes).min().unwrap_or(u64::MAX);
-            let most = if script.rate > 0 { (script.rate / 20).max(1) } else { READ as u64 };
-            match reader.body(&mut left, most.min(next - bytes) as usize).await {
-                Ok(Some(part)) => {
-                    bytes += part.len() as u64;
-                    crc.update(&part);
-                    if let Some(millis) = (bytes * 1_000).checked_div(script.rate) {
-                        sleep_until(begun + Duration::from_millis(millis)).await;
-                    }
-                }
-                Ok(None) => break true,
-                Err(_) => break false,
-            }
-        };
-        observer.observe(&id, ObservationKind::Body { bytes, crc: crc.finalize(), whole }).await;
-        if !whole {
-            return Ok(());
         }
-        if answered {
-            continue;
-        }
-        if script.answer.is_none() {
-            // Until the courier gives up.
-            let _ = reader.head().await;
-            observer.observe(&id, ObservationKind::Abandoned).await;
-            return Ok(());
+    }
+
+    /// Answers a call whose body is complete, or never does.
+    async fn finish_call(&mut self, call: &Call) -> Result<NextStep> {
+        if call.script.answer.is_none() {
+            // Returns when the courier gives up.
+            let _ = self.reader.head().await;
+            self.observer.observe(&call.id, ObservationKind::Abandoned).await;
+            return Ok(NextStep::Close);
         }
-        sleep(script.delay).await;
-        answer(&mut to, &script, &observer, &id).await?;
+        sleep(call.script.delay).await;
+        self.answer(call).await?;
+        Ok(NextStep::Continue)
+    }
+
+    async fn answer(&mut self, call: &Call) -> Result<()> {
+        let Some(answer) = &call.script.answer else { return Ok(()) };
+        self.to.write_all(format!("HTTP/1.1 {answer}\r\nContent-Length: 0\r\n\r\n").as_bytes()).await?;
+        let answered = ObservationKind::Answered(answer.replace("\r\n", ", "));
+        self.observer.observe(&call.id, answered).await;
+        Ok(())
     }
-    Ok(())
 }
 
-async fn answer(
-    to: &mut (impl AsyncWriteExt + Unpin),
-    script: &EndpointScript,
-    observer: &Observer,
-    id: &str,
-) -> Result<()> {
-    if let Some(answer) = &script.answer {
-        to.write_all(format!("HTTP/1.1 {answer}\r\nContent-Length: 0\r\n\r\n").as_bytes()).await?;
-        observer.observe(id, ObservationKind::Answered(answer.replace("\r\n", ", "))).await;
+impl Call {
+    /// Waits if the script stalls at this offset.
+    async fn stall(&self) {
+        if let Some((at, stall)) = self.script.stall
+            && self.bytes >= at
+            && self.began.elapsed() < stall
+        {
+            sleep_until(self.began + stall).await;
+        }
+    }
+
+    /// Bytes that are read next, at most.
+    fn next_read(&self) -> usize {
+        let most = match self.script.rate {
+            0 => READ,
+            rate => (rate / RATED_READS_PER_SECOND).max(1),
+        };
+        most.min(self.script.next_offset(self.bytes) - self.bytes) as usize
+    }
+
+    /// Counts received bytes, and waits as the rate has it.
+    async fn received(&mut self, part: &[u8]) {
+        self.bytes += part.len() as u64;
+        self.crc.update(part);
+        if let Some(millis) = (self.bytes * 1_000).checked_div(self.script.rate) {
+            sleep_until(self.began + Duration::from_millis(millis)).await;
+        }
     }
-    Ok(())
 }
--- a/tools/standins/src/fleet/process.rs
+++ b/tools/standins/src/fleet/process.rs
@@ -1,11 +1,12 @@
 //! The process of a courier, whose log is recorded.
 
 use crate::config;
+use crate::process::KillOnDrop;
 use crate::record::{LogLine, Recorder};
-use rustix::process::{Pid, Signal, WaitId, WaitIdOptions, kill_process, waitid};
-use std::io::{BufRead, BufReader, Error, ErrorKind, Result};
+use rustix::process::{Signal, WaitId, WaitIdOptions, waitid};
+use std::io::{BufRead, BufReader, ErrorKind, Result};
 use std::path::Path;
-use std::process::{Child, Command, ExitStatus, Stdio};
+use std::process::{Command, ExitStatus, Stdio};
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
@@ -25,21 +26,13 @@
     pub incarnation: u32,
 }
 
-/// A process that is killed when it is dropped.
+/// The process of a courier; dropped, it is killed.
 pub(super) struct Process {
-    child: Child,
+    child: KillOnDrop,
     /// Whether it is stopped by [`Process::suspend`].
     pub paused: bool,
 }
 
-impl Drop for Process {
-    fn drop(&mut self) {
-        // Both fail if it has ended already.
-        let _ = self.child.kill();
-        let _ = self.child.wait();
-    }
-}
-
 impl Process {
     /// Starts a process, and records its log and the end of it.
     ///
@@ -49,7 +42,9 @@
         let mut command = Command::new(setup.program);
         config::use_folder(&mut command, setup.folder, true, setup.levels);
         let mut child = command.stdin(Stdio::null()).stderr(Stdio::piped()).spawn()?;
-        let log = child.stderr.take().ok_or(ErrorKind::BrokenPipe)?;
+        let log = child.stderr.take();
+        let process = Process { child: KillOnDrop::new(child), paused: false };
+        let log = log.ok_or(ErrorKind::BrokenPipe)?;
         let (to, from) = mpsc::channel(LINES_MAX);
         std::thread::spawn(move || {
             let lines = BufReader::new(log).lines().map_while(Result::ok);
@@ -57,7 +52,7 @@
             let _ = lines.map(|line| to.blocking_send(line)).all(|sent| sent.is_ok());
         });
         spawn_local(record_log(from, setup.courier, setup.incarnation, recorder.clone()));
-        Ok(Process { child, paused: false })
+        Ok(process)
     }
 
     /// The id of the process.
@@ -70,7 +65,7 @@
     /// # Errors
     /// The process has ended.
     pub fn signal(&self, signal: Signal) -> Result<()> {
-        kill_process(Pid::from_child(&self.child), signal).map_err(Error::from)
+        self.child.signal(signal)
     }
 
     /// Sends SIGSTOP, and returns when the process has stopped or ended.
@@ -80,7 +75,7 @@
     pub fn suspend(&mut self) -> Result<()> {
         self.signal(Signal::STOP)?;
         let what = WaitIdOptions::STOPPED | WaitIdOptions::EXITED | WaitIdOptions::NOWAIT;
-        waitid(WaitId::Pid(Pid::from_child(&self.child)), what)?;
+        waitid(WaitId::Pid(self.child.pid()), what)?;
         self.paused = true;
         Ok(())
     }
@@ -99,8 +94,7 @@
     /// # Errors
     /// The system does not report its end.
     pub fn kill(&mut self) -> Result<ExitStatus> {
-        self.child.kill()?;
-        self.child.wait()
+        self.child.kill()
     }
 
     /// Waits for its end; does not block for long if its log has ended already.
--- a/tools/standins/src/lib.rs
+++ b/tools/standins/src/lib.rs
@@ -14,6 +14,7 @@
 pub mod operator;
 pub mod partner;
 pub mod platform;
+mod process;
 pub mod record;
 mod runtime;
 pub mod test_bed;
