--- a/tools/standins/src/audit.rs
+++ b/tools/standins/src/audit.rs
@@ -23,7 +23,7 @@
     Budget, ConnectionCount, FaultWindow, History, Journal, Notice, ObservedCall, Seal, Submission,
 };
 pub use rules::{AuditRules, RepeatPolicy};
-pub use settlements::{SettlementEnd, SettlementOutcome, SettlementPosition};
+pub use settlements::{SettlementEnd, SettlementOutcome, SettlementPosition, SettlementSession};
 
 use journals::JournalIndex;
 
--- a/tools/standins/src/audit/settlements.rs
+++ b/tools/standins/src/audit/settlements.rs
@@ -18,8 +18,17 @@
     pub at: Micros,
     /// Whether it ran, or may have; a rejected one is not counted.
     pub ran: bool,
-    /// The connection of its session, and when that ended, if it did; `None`: the settlement has no session.
-    pub session: Option<(u64, Option<Micros>)>,
+    /// The session that carried it; `None`: the settlement has no session.
+    pub session: Option<SettlementSession>,
+}
+
+/// The connection that carries a session of a settlement.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SettlementSession {
+    /// The number of the connection.
+    pub connection: u64,
+    /// When it ended; `None`: it is open.
+    pub ended: Option<Micros>,
 }
 
 /// How a settlement ended, as it was reported to the platform or to a client.
@@ -106,15 +115,16 @@
 
 /// No two sessions of the settlement are open at once.
 fn check_sessions(positions: &[&SettlementPosition], report: &mut impl FnMut(Fault)) {
-    let mut open: Option<(u64, Option<Micros>)> = None;
-    for SettlementPosition { session, at, .. } in positions.iter().copied() {
-        let Some((number, ended)) = *session else { continue };
-        if let Some((first, until)) = open.filter(|(first, _)| *first != number)
-            && until.is_none_or(|until| until > *at)
+    let mut open: Option<SettlementSession> = None;
+    for position in positions {
+        let Some(session) = position.session else { continue };
+        if let Some(earlier) = open.filter(|earlier| earlier.connection != session.connection)
+            && earlier.ended.is_none_or(|ended| ended > position.at)
         {
-            report(Fault::TwoSessions { first, second: number, at: *at });
+            let (first, second) = (earlier.connection, session.connection);
+            report(Fault::TwoSessions { first, second, at: position.at });
         }
-        open = Some((number, ended));
+        open = Some(session);
     }
 }
 
--- a/tools/standins/src/endpoint.rs
+++ b/tools/standins/src/endpoint.rs
@@ -4,7 +4,7 @@
 
 pub use script::EndpointScript;
 
-use crate::http::{BodyRemainder, Head, Reader};
+use crate::http::{BodyRemainder, Head, NextStep, Reader};
 use crate::{ObservationKind, Observer};
 use std::io::Result;
 use std::net::SocketAddr;
@@ -59,15 +59,6 @@
     Ok(())
 }
 
-/// What becomes of a connection after a call.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum NextStep {
-    /// The next call is read.
-    Continue,
-    /// The connection is closed.
-    Close,
-}
-
 /// One connection.
 struct Session {
     reader: Reader<OwnedReadHalf>,
--- a/tools/standins/src/gate.rs
+++ b/tools/standins/src/gate.rs
@@ -1,4 +1,4 @@
-//! A listening address that a harness reserves for as long as it wants, whoever listens there: open, silent or refusing.
+//! A reserved port on loopback, and a listener on one that accepts, ignores or refuses connections.
 
 use std::collections::BTreeSet;
 use std::io::Result;
@@ -9,13 +9,13 @@
 /// Connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
 /// A queue with capacity accepts a connection within this time; a full one never does.
-const FILL: Duration = Duration::from_millis(20);
+const FILL_TIMEOUT: Duration = Duration::from_millis(20);
 /// Connections that fill a queue of length 0; one does on Linux, the second shows that it is full.
 const FILLERS: usize = 2;
 
-/// A port on 127.0.0.1 that nobody else is given: a socket that is bound and never listens reserves it. The
-/// system's search for a free port, for a listener as for a connection, passes it by; whoever binds it by
-/// its number with SO_REUSEADDR, as std and tokio do, may listen there, and again after its end.
+/// A port on 127.0.0.1 that is reserved by a socket which is bound and never listens. The system assigns it to nobody who asks for
+/// any free port, for a listener or a connection. Whoever binds it by its number with `SO_REUSEADDR`, as std and tokio do, may
+/// listen there, also repeatedly.
 #[derive(Debug)]
 pub struct Port {
     /// The address.
@@ -43,12 +43,12 @@
     }
 }
 
-/// How a gate meets new connections.
+/// How a gate treats new connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptMode {
     /// A connection is accepted.
     Open,
-    /// A connection does not come up: the system drops its first packet.
+    /// A connection is not established: the system drops its first packet.
     Silent,
     /// A connection is refused.
     Refused,
@@ -59,9 +59,9 @@
 pub struct Gate {
     port: Port,
     listener: Option<TcpListener>,
-    /// Connections of its own that fill the queue.
+    /// Connections of the gate itself that fill the queue.
     fillers: Vec<Plain>,
-    /// Those that are still in the queue.
+    /// Addresses of those that are still in the queue.
     queued: BTreeSet<SocketAddr>,
 }
 
@@ -81,42 +81,54 @@
         self.port.addr
     }
 
-    /// Changes how connections are met, from now on.
+    /// Sets how new connections are treated, from now on.
     ///
     /// # Errors
     /// The system does not let it listen.
     pub fn set(&mut self, accept_mode: AcceptMode) -> Result<()> {
         match accept_mode {
+            AcceptMode::Open => self.accept_connections(),
+            AcceptMode::Silent => self.ignore_connections(),
             AcceptMode::Refused => {
                 self.listener = None;
                 self.fillers.clear();
                 self.queued.clear();
+                Ok(())
             }
-            AcceptMode::Open | AcceptMode::Silent => {
-                let listener = match self.listener.take() {
-                    Some(listener) => listener,
-                    None => self.port.listen()?,
-                };
-                let listener = self.listener.insert(listener);
-                if accept_mode == AcceptMode::Open {
-                    rustix::net::listen(&*listener, BACKLOG as i32)?;
-                    self.fillers.clear();
-                } else if self.fillers.is_empty() {
-                    // A queue of length 0 still accepts one connection; those that are in it already are accepted
-                    // when the gate opens again.
-                    rustix::net::listen(&*listener, 0)?;
-                    for _ in 0..FILLERS {
-                        let Ok(filler) = Plain::connect_timeout(&self.port.addr, FILL) else { break };
-                        self.queued.insert(filler.local_addr()?);
-                        self.fillers.push(filler);
-                    }
-                }
-            }
+        }
+    }
+
+    fn accept_connections(&mut self) -> Result<()> {
+        rustix::net::listen(self.listener()?, BACKLOG as i32)?;
+        self.fillers.clear();
+        Ok(())
+    }
+
+    /// Shortens the queue and fills it, so that the system drops the first packet of a new connection.
+    fn ignore_connections(&mut self) -> Result<()> {
+        if !self.fillers.is_empty() {
+            return Ok(());
+        }
+        // A queue of length 0 still accepts one connection; those that are in it already are accepted when the gate opens again.
+        rustix::net::listen(self.listener()?, 0)?;
+        for _ in 0..FILLERS {
+            let Ok(filler) = Plain::connect_timeout(&self.port.addr, FILL_TIMEOUT) else { break };
+            self.queued.insert(filler.local_addr()?);
+            self.fillers.push(filler);
         }
         Ok(())
     }
 
-    /// The next connection; waits for ever unless it is open.
+    /// The listener, which is opened if there is none.
+    fn listener(&mut self) -> Result<&TcpListener> {
+        let listener = match self.listener.take() {
+            Some(listener) => listener,
+            None => self.port.listen()?,
+        };
+        Ok(self.listener.insert(listener))
+    }
+
+    /// The next connection; waits for ever unless the gate is open.
     ///
     /// # Errors
     /// The system has no descriptor for it.
--- a/tools/standins/src/http.rs
+++ b/tools/standins/src/http.rs
@@ -10,6 +10,8 @@
 const READ: usize = 64 * 1024;
 /// Headers of a head at most.
 const HEADERS_MAX: usize = 64;
+const LINE_END: &[u8] = b"\r\n";
+const HEAD_END: &[u8] = b"\r\n\r\n";
 
 /// How a body ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,6 +31,19 @@
 }
 
 impl Head {
+    /// Parses the bytes of a head, with the empty line at its end.
+    fn parse(bytes: &[u8]) -> std::result::Result<Head, ParseError> {
+        let line = bytes.iter().position(|byte| *byte == b'\r').unwrap_or(0);
+        let first_line = String::from_utf8_lossy(&bytes[..line]).into_owned();
+        let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
+        let parsed = httparse::parse_headers(&bytes[line + LINE_END.len()..], &mut headers);
+        let Ok(httparse::Status::Complete((_, headers))) = parsed else { return Err(ParseError::Headers) };
+        let pair = |header: &httparse::Header| {
+            (header.name.to_string(), String::from_utf8_lossy(header.value).trim().to_string())
+        };
+        Ok(Head { first_line, headers: headers.iter().map(pair).collect() })
+    }
+
     /// The value of the first header with this name, in whatever case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
@@ -55,8 +70,33 @@
     buf: BytesMut,
 }
 
-fn invalid_data(what: &str) -> Error {
-    Error::new(ErrorKind::InvalidData, what.to_string())
+/// Bytes that are no message of HTTP/1.1.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ParseError {
+    /// The headers can't be parsed.
+    #[error("the headers of a message can't be parsed")]
+    Headers,
+    /// The head is too long.
+    #[error("the head of a message is longer than {HEAD_MAX} bytes")]
+    HeadTooLong,
+    /// The size of a chunk can't be parsed.
+    #[error("the size of a chunk can't be parsed")]
+    ChunkSize,
+}
+
+impl From<ParseError> for Error {
+    fn from(error: ParseError) -> Self {
+        Error::new(ErrorKind::InvalidData, error)
+    }
+}
+
+/// What a server does with a connection after a call.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum NextStep {
+    /// It reads the next call.
+    Continue,
+    /// It closes the connection.
+    Close,
 }
 
 impl<R: AsyncRead + Unpin> Reader<R> {
@@ -78,25 +118,15 @@
     /// The next head; `None` at the connection's end.
     ///
     /// # Errors
-    /// The connection broke, or the bytes are no head.
+    /// The connection broke, or the bytes are no head ([`ParseError`]).
     pub async fn head(&mut self) -> Result<Option<Head>> {
         loop {
-            if let Some(end) = self.buf.windows(4).position(|four| four == b"\r\n\r\n") {
-                let bytes = self.buf.split_to(end + 4);
-                let line = bytes.iter().position(|b| *b == b'\r').unwrap_or(0);
-                let first_line = String::from_utf8_lossy(&bytes[..line]).into_owned();
-                let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
-                let parsed = httparse::parse_headers(&bytes[line + 2..], &mut headers);
-                let Ok(httparse::Status::Complete((_, headers))) = parsed else {
-                    return Err(invalid_data("no headers"));
-                };
-                let pair = |h: &httparse::Header| {
-                    (h.name.to_string(), String::from_utf8_lossy(h.value).trim().to_string())
-                };
-                return Ok(Some(Head { first_line, headers: headers.iter().map(pair).collect() }));
+            if let Some(end) = self.buf.windows(HEAD_END.len()).position(|bytes| bytes == HEAD_END) {
+                let head = self.buf.split_to(end + HEAD_END.len());
+                return Ok(Some(Head::parse(&head)?));
             }
             if self.buf.len() > HEAD_MAX {
-                return Err(invalid_data("an endless head"));
+                return Err(ParseError::HeadTooLong.into());
             }
             if self.fill_buffer().await? == 0 {
                 return if self.buf.is_empty() { Ok(None) } else { Err(ErrorKind::UnexpectedEof.into()) };
@@ -123,20 +153,20 @@
                 }
                 // Between two chunks: the last one's line end, the next one's size.
                 BodyRemainder::Chunk(_) | BodyRemainder::Bytes(_) | BodyRemainder::Begin => {
-                    let skip = if matches!(left, BodyRemainder::Begin) { 0 } else { 2 };
+                    let skip = if matches!(left, BodyRemainder::Begin) { 0 } else { LINE_END.len() };
                     match self.buf.get(skip..).map(httparse::parse_chunk_size) {
                         Some(Ok(httparse::Status::Complete((used, size)))) => {
                             self.buf.advance(skip + used);
                             *left = if size == 0 { BodyRemainder::End } else { BodyRemainder::Chunk(size) };
                         }
-                        Some(Err(_)) => return Err(invalid_data("no chunk")),
+                        Some(Err(_)) => return Err(ParseError::ChunkSize.into()),
                         _ if self.fill_buffer().await? == 0 => return Err(ErrorKind::UnexpectedEof.into()),
                         _ => {}
                     }
                 }
                 BodyRemainder::End => {
-                    if self.buf.len() >= 2 {
-                        self.buf.advance(2);
+                    if self.buf.len() >= LINE_END.len() {
+                        self.buf.advance(LINE_END.len());
                         *left = BodyRemainder::Done;
                     } else if self.fill_buffer().await? == 0 {
                         return Err(ErrorKind::UnexpectedEof.into());
--- a/tools/standins/src/listener.rs
+++ b/tools/standins/src/listener.rs
@@ -1,5 +1,5 @@
 //! The listener through which one courier reaches a stand-in. Each courier has its own, so that it can be partitioned from
-//! one stand-in alone, and its calls are known for its own.
+//! one stand-in alone, and its calls can be attributed to it.
 
 use crate::gate::{AcceptMode, Gate};
 use std::future::Future;
@@ -119,14 +119,14 @@
 }
 
 /// Runs a future, but not during a partition.
-async fn while_open(mut mode: watch::Receiver<ListenerMode>, what: impl Future<Output = ()>) {
-    tokio::pin!(what);
+async fn while_open(mut mode: watch::Receiver<ListenerMode>, serving: impl Future<Output = ()>) {
+    tokio::pin!(serving);
     loop {
         let stalled = mode.borrow_and_update().is_stalled();
         tokio::select! {
             biased;
             changed = mode.changed() => if changed.is_err() { return },
-            () = &mut what, if !stalled => return,
+            () = &mut serving, if !stalled => return,
         }
     }
 }
--- a/tools/standins/src/operator.rs
+++ b/tools/standins/src/operator.rs
@@ -1,11 +1,11 @@
-//! An operator: one line to a connection, and the line that answers it.
+//! An operator: sends one line on a connection of its own, and reads the line that answers it.
 
 use std::io::Result;
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Calls in these pieces, each written by itself, and returns all that came back.
+/// Sends a call in these chunks, each by a write of its own, and returns the answer.
 ///
 /// # Errors
 /// The connection broke.
--- a/tools/standins/src/test_bed.rs
+++ b/tools/standins/src/test_bed.rs
@@ -1,182 +1,145 @@
-//! One courier between stand-ins: its platform, and a provider for one destination; and consumers that write bytes.
+//! One courier between stand-ins: its platform, an endpoint for one destination, and clients whose bytes a test writes.
+
+mod connection;
+
+pub use connection::ClientConnection;
 
 use crate::client::{self, MessageRequest};
 use crate::courier::{Courier, Setup};
 use crate::endpoint::{self, EndpointScript};
-use crate::http::{BodyRemainder, Head, Reader};
-use crate::{Observation, ObservationKind, Observer, platform};
-use std::io::{Error, ErrorKind, Result};
+use crate::http::Head;
+use crate::{Observation, ObservationKind, Observer, platform, runtime};
+use std::io::Result;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
-use tokio::io::AsyncWriteExt;
-use tokio::net::TcpStream;
-use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
 
-/// The provider's destination.
+/// The destination of the endpoint.
 pub const DEST: u64 = 7;
-/// Only a broken program waits for so long.
+/// How long a test waits for a step of the program; only a faulty one exceeds it.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+/// How long a test may take.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
+
+/// Why a test did not get an observation that it waits for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ObservationError {
+    /// There was none in time.
+    #[error("nothing of this kind was observed within {within:?}")]
+    Timeout {
+        /// How long it was waited for.
+        within: Duration,
+    },
+    /// The stand-ins have ended.
+    #[error("the stand-ins have ended, and observe nothing any more")]
+    Ended,
+}
 
-/// The courier, and what its stand-ins see; must run in a `LocalSet`.
+/// A courier with its stand-ins, and what they observe; must run in a `LocalSet`.
 pub struct TestBed {
     /// The courier.
     pub courier: Courier,
     /// Observations of the platform and the endpoint.
     pub observations: mpsc::Receiver<Observation>,
-    /// What discovery tells from here on.
+    /// The endpoint list: each value is sent as a line of discovery.
     pub list: watch::Sender<String>,
     /// Whether discovery is down.
     pub down: watch::Sender<bool>,
 }
 
 impl TestBed {
-    /// Starts them; `set` changes what the courier is started with.
+    /// Starts the stand-ins and the courier; `set` changes what the courier is started with.
     ///
     /// # Errors
-    /// The courier did not start, or no port could be had.
+    /// The courier did not start, or the system has no port.
     pub async fn open(
         program: impl Into<PathBuf>,
         script: impl Fn(&Head) -> EndpointScript + 'static,
         set: impl FnOnce(&mut Setup),
     ) -> Result<TestBed> {
-        let (observer, seen) = Observer::channel();
+        let (observer, observations) = Observer::channel();
         let (list, receiver) = watch::channel(String::new());
         let (down, is_down) = watch::channel(false);
         let platform = platform::open_with(observer.clone(), receiver, is_down).await?;
         let endpoint = endpoint::open(observer, script).await?;
         let mut setup = Setup::new(program, platform, vec![(DEST, endpoint)]);
         set(&mut setup);
-        Ok(TestBed { courier: Courier::start(setup)?, observations: seen, list, down })
+        Ok(TestBed { courier: Courier::start(setup)?, observations, list, down })
     }
 
-    /// The next thing seen that is wanted; what is seen before it is let go.
+    /// Waits for an observation that is wanted; those before it are dropped.
     ///
     /// # Errors
-    /// It was not seen in time.
-    pub async fn wait_for(&mut self, wanted: impl Fn(&Observation) -> bool) -> Result<Observation> {
+    /// There was none in time, or the stand-ins have ended.
+    pub async fn wait_for(
+        &mut self,
+        wanted: impl Fn(&Observation) -> bool,
+    ) -> std::result::Result<Observation, ObservationError> {
         let found = async {
             loop {
-                match self.observations.recv().await {
-                    Some(seen) if wanted(&seen) => return Ok(seen),
-                    Some(_) => {}
-                    None => return Err(Error::from(ErrorKind::BrokenPipe)),
+                let observation = self.observations.recv().await.ok_or(ObservationError::Ended)?;
+                if wanted(&observation) {
+                    return Ok(observation);
                 }
             }
         };
-        timeout(WAIT_TIMEOUT, found).await.unwrap_or_else(|_| Err(Error::other("it was not seen")))
+        let timed_out = Err(ObservationError::Timeout { within: WAIT_TIMEOUT });
+        timeout(WAIT_TIMEOUT, found).await.unwrap_or(timed_out)
     }
 
     /// Waits for a call of the message.
     ///
     /// # Errors
-    /// None came in time.
-    pub async fn wait_for_call(&mut self, id: &str) -> Result<()> {
-        self.wait_for(|seen| seen.id == id && seen.what == ObservationKind::CallBegan).await.map(drop)
+    /// As of [`TestBed::wait_for`].
+    pub async fn wait_for_call(&mut self, id: &str) -> std::result::Result<(), ObservationError> {
+        let is_call = |seen: &Observation| seen.id == id && seen.what == ObservationKind::CallBegan;
+        self.wait_for(is_call).await.map(drop)
     }
 
-    /// Waits until the message has an answer of its provider.
+    /// Waits until the endpoint has answered a call of the message.
     ///
     /// # Errors
-    /// None came in time.
-    pub async fn wait_for_answer(&mut self, id: &str) -> Result<()> {
-        self.wait_for(|seen| seen.id == id && matches!(seen.what, ObservationKind::Answered(_)))
-            .await
-            .map(drop)
+    /// As of [`TestBed::wait_for`].
+    pub async fn wait_for_answer(&mut self, id: &str) -> std::result::Result<(), ObservationError> {
+        let is_answer =
+            |seen: &Observation| seen.id == id && matches!(seen.what, ObservationKind::Answered(_));
+        self.wait_for(is_answer).await.map(drop)
     }
 
-    /// Hands a message in on a connection of its own; the answer's status.
+    /// Submits a message on a connection of its own, and returns the status of the answer.
     ///
     /// # Errors
-    /// The connection broke, or no answer came.
+    /// The connection broke, or there was no answer in time.
     pub async fn submit(&self, id: &str) -> Result<u16> {
         ClientConnection::connect(self.courier.addr).await?.exchange(&request(id)).await
     }
 }
 
-/// The bytes of a whole request that hands a message in.
+/// The bytes of a complete request that submits a message.
 pub fn request(id: &str) -> Vec<u8> {
     request_within(id, Duration::from_secs(12))
 }
 
-/// The same, with another time.
+/// The same, with the time that the message may take.
 pub fn request_within(id: &str, left: Duration) -> Vec<u8> {
+    const BODY: &[u8] = b"hi";
     let mut message = MessageRequest::new("paid-notice", id, DEST, left);
-    (message.key, message.headers) = (Some(id.into()), "Content-Length: 2\r\n".into());
-    [message.head().as_bytes(), b"hi"].concat()
-}
-
-/// A consumer's connection, of which every byte is the test's own.
-pub struct ClientConnection {
-    /// The side that is read.
-    pub from: Reader<OwnedReadHalf>,
-    /// The side that is written.
-    pub to: OwnedWriteHalf,
-}
-
-impl ClientConnection {
-    /// # Errors
-    /// The courier refuses it.
-    pub async fn connect(courier: SocketAddr) -> Result<ClientConnection> {
-        let stream = TcpStream::connect(courier).await?;
-        stream.set_nodelay(true)?;
-        let (from, to) = stream.into_split();
-        Ok(ClientConnection { from: Reader::new(from), to })
-    }
-
-    /// # Errors
-    /// The connection broke.
-    pub async fn send(&mut self, bytes: &[u8]) -> Result<()> {
-        self.to.write_all(bytes).await
-    }
-
-    /// The next answer's head, once its body has come; `None`: the connection ended, and was not reset.
-    ///
-    /// # Errors
-    /// The connection broke, or nothing came in time.
-    pub async fn read_answer(&mut self) -> Result<Option<Head>> {
-        let whole = async {
-            let Some(head) = self.from.head().await? else { return Ok(None) };
-            let mut left = BodyRemainder::from(head.framing());
-            while self.from.body(&mut left, usize::MAX).await?.is_some() {}
-            Ok(Some(head))
-        };
-        timeout(WAIT_TIMEOUT, whole).await.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()))
-    }
-
-    /// The next answer's status.
-    ///
-    /// # Errors
-    /// The connection ended or broke, or nothing came in time.
-    pub async fn status(&mut self) -> Result<u16> {
-        Ok(self.read_answer().await?.ok_or(ErrorKind::UnexpectedEof)?.status())
-    }
-
-    /// Sends a request, and returns the status of its answer.
-    ///
-    /// # Errors
-    /// See [`ClientConnection::send`] and [`ClientConnection::status`].
-    pub async fn exchange(&mut self, request: &[u8]) -> Result<u16> {
-        self.send(request).await?;
-        self.status().await
-    }
+    message.key = Some(id.into());
+    message.headers = format!("Content-Length: {}\r\n", BODY.len());
+    [message.head().as_bytes(), BODY].concat()
 }
 
-/// Plays a test on one thread.
+/// Runs a test on one thread, in a `LocalSet`.
 ///
 /// # Panics
-/// The test did not come to its end within a minute, or panicked itself.
+/// The test did not finish within a minute, or panicked itself.
 pub fn run_test<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let Ok(runtime) = runtime else { panic!("no runtime could be had") };
-    let played = async { timeout(3 * WAIT_TIMEOUT, test()).await };
-    let outcome = tokio::task::LocalSet::new().block_on(&runtime, played);
-    assert!(outcome.is_ok(), "the test did not come to its end");
+    runtime::run_within(TEST_TIMEOUT, test);
 }
 
-/// The status of a GET on a connection of its own.
+/// Asks a courier whether it is ready, on a connection of its own, and returns the status of the answer.
 ///
 /// # Errors
 /// The courier refuses it, or does not answer.
--- a/tools/standins/tests/audit.rs
+++ b/tools/standins/tests/audit.rs
@@ -8,7 +8,7 @@
 use quillmount_policy::Micros;
 use quillmount_standins::audit::{
     Budget, ConnectionCount, FaultWindow, Finding, History, Journal, Notice, ObservedCall, Seal,
-    SettlementEnd, SettlementOutcome, SettlementPosition, Submission, audit,
+    SettlementEnd, SettlementOutcome, SettlementPosition, SettlementSession, Submission, audit,
 };
 use quillmount_standins::record::BodyDigest;
 
@@ -51,7 +51,7 @@
 }
 
 fn position(settlement: &str, position: u32, at: Micros) -> SettlementPosition {
-    let session = Some((u64::from(position), Some(at + 5)));
+    let session = Some(SettlementSession { connection: u64::from(position), ended: Some(at + 5) });
     SettlementPosition { settlement: settlement.into(), position, of: None, at, ran: true, session }
 }
 
