--- a/tools/explore/src/case.rs
+++ b/tools/explore/src/case.rs
@@ -154,9 +154,18 @@
 /// A case that can't be explored.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CaseError {
-    /// A size out of its range: its option, the least and the greatest value, and the value.
-    #[error("{0}: from {1} to {2} are possible, not {3}")]
-    Range(&'static str, u64, u64, u64),
+    /// A size is out of its range.
+    #[error("{option}: from {least} to {greatest} are possible, not {value}")]
+    OutOfRange {
+        /// The option of the size, without its hyphens.
+        option: &'static str,
+        /// The least value.
+        least: u64,
+        /// The greatest value.
+        greatest: u64,
+        /// The value of the case.
+        value: u64,
+    },
 }
 
 impl Case {
@@ -165,9 +174,12 @@
     /// # Errors
     /// A size that no world can have, or whose search would not end.
     pub fn check(&self) -> Result<(), CaseError> {
-        let within = |what, value: u64, from: u64, to: u64| match (from..=to).contains(&value) {
-            true => Ok(()),
-            false => Err(CaseError::Range(what, from, to, value)),
+        let within = |option, value: u64, least: u64, greatest: u64| {
+            if (least..=greatest).contains(&value) {
+                Ok(())
+            } else {
+                Err(CaseError::OutOfRange { option, least, greatest, value })
+            }
         };
         within("destinations", self.destinations.into(), 1, 4)?;
         within("endpoints", self.endpoints.into(), self.destinations.into(), 8)?;
@@ -199,7 +211,7 @@
     ///
     /// # Errors
     /// The settings can't be decoded.
-    pub fn env(&self) -> Result<SenderSettings, serde_json::Error> {
+    pub fn settings(&self) -> Result<SenderSettings, serde_json::Error> {
         serde_json::from_value(serde_json::json!({
             "me": 0, "siblings": 1, "discovery": "automatic", "skus": ["bank"], "weight_source": "rough",
             "failure_domains": ["a"], "zone": "a",
@@ -221,3 +233,7 @@
 
 /// The message classes by number: the first may run once only, the second is dropped by its key when repeated within a span.
 pub const CLASSES: [&str; 2] = ["fee-debit", "paid-notice"];
+/// The class of debits, which may run once only; an index into [`CLASSES`].
+pub const DEBIT: u8 = 0;
+/// The class of notices, which are dropped by their key when repeated within a span; an index into [`CLASSES`].
+pub const NOTICE: u8 = 1;
--- a/tools/explore/src/export.rs
+++ b/tools/explore/src/export.rs
@@ -1,141 +1,233 @@
 //! A path as a recorded exchange (`courier/program/tests/exchanges`), for the program on sockets.
 //!
-//! Not every move can be played there: a test on sockets has no say over half a write, a refused dial, the disk or
-//! a microsecond. Such a path is refused, with the move that it fails at.
+//! Not every transition can be played there: a test on sockets has no say in a partial write, a refused connection, the
+//! disk or a microsecond. Such a path is rejected, with the transition that it fails at.
 
 use crate::action::{Action, Answer, CallRef, Transition, WriteExtent};
-use crate::case::{CLASSES, Case};
-use crate::search::play;
-use crate::world::World;
-use std::fmt::Write;
+use crate::case::{CLASSES, Case, NOTICE};
+use crate::search::{PlayError, play};
+use crate::world::{World, WorldError};
 use std::sync::Arc;
 
+/// The version of the first endpoint list in an exchange.
+const FIRST_LIST_VERSION: u64 = 42;
+/// Endpoints that the configuration of the exchanges names at least.
+const ENDPOINTS_MIN: u8 = 2;
+
+/// A path can't be exported.
+#[derive(Debug, thiserror::Error)]
+pub enum ExportError {
+    /// Its world can't be made.
+    #[error(transparent)]
+    World(#[from] WorldError),
+    /// The path can't be played.
+    #[error(transparent)]
+    Play(#[from] PlayError),
+    /// A transition can't be played on sockets.
+    #[error("move {number}: {transition}: {obstacle} can't be played on sockets")]
+    Unplayable {
+        /// Its number on the path, from 1.
+        number: usize,
+        /// The transition.
+        transition: Transition,
+        /// What of it can't be played.
+        obstacle: SocketObstacle,
+    },
+}
+
+/// What a test on sockets can't bring about.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SocketObstacle {
+    /// A kill at one of the writes to the store.
+    #[error("a kill at a certain write")]
+    KillAtWrite,
+    /// A write of a part of the request, or one that fails.
+    #[error("half a write")]
+    PartialWrite,
+    /// A connection that is refused.
+    #[error("a dial that fails")]
+    FailedConnect,
+    /// An answer that is read later than it arrives.
+    #[error("an answer that waits in the socket")]
+    UnreadAnswer,
+    /// A disk that refuses writes.
+    #[error("a full disk")]
+    FullDisk,
+    /// Notices that are lost on their way, or confirmed twice.
+    #[error("a lost notice")]
+    LostNotice,
+    /// An action for which the exchanges have no line.
+    #[error("this")]
+    Action,
+}
+
 /// The exchange that plays this path.
 ///
 /// # Errors
-/// A move that can't be played on sockets, or a path that can't be played at all.
-pub fn exchange(case: &Arc<Case>, path: &[Transition]) -> Result<String, String> {
-    let mut text = String::from("# Exported by quillmount-explore.\n");
-    let _ = writeln!(text, "set slots={}\nset open_cap={}", case.slots, case.open_cap);
-    // The configuration of the exchanges names two parties.
-    (1..=case.endpoints.max(2)).for_each(|n| {
-        let _ = writeln!(text, "open p{n}");
-    });
-    text.push_str("start\n");
-    let mut version = 42;
-    list(&mut text, &World::new(case)?, version);
+/// A transition that can't be played on sockets, or a path that can't be played at all.
+pub fn exchange(case: &Arc<Case>, path: &[Transition]) -> Result<String, ExportError> {
     let mut before = World::new(case)?;
+    let mut writer = ExchangeWriter::default();
+    writer.preamble(case, &before);
     let mut failure = None;
-    play(case, path, |n, m, world| {
+    play(case, path, |index, transition, world| {
         if failure.is_none() {
-            let step = match m.crash {
-                Some(_) => Err("a kill at a certain write"),
-                None => step(&mut text, &mut version, m.action, &before, world),
-            };
-            failure = step.err().map(|why| format!("move {}: {m}: {why} can't be played on sockets", n + 1));
+            let outcome = writer.transition(transition, &before, world);
+            failure = outcome.err().map(|obstacle| ExportError::Unplayable {
+                number: index + 1,
+                transition,
+                obstacle,
+            });
         }
         before = world.clone();
     })?;
-    failure.map_or(Ok(text), Err)
+    match failure {
+        Some(error) => Err(error),
+        None => Ok(writer.text),
+    }
 }
 
-fn step(
-    text: &mut String,
-    version: &mut u64,
-    action: Action,
-    before: &World,
-    after: &World,
-) -> Result<(), &'static str> {
-    // A call is named by its endpoint, and there is one at a time, since the file names no connections.
-    let party =
-        |call_ref: CallRef| before.endpoint_of(call_ref).or(after.endpoint_of(call_ref)).map_or(1, |n| n + 1);
-    match action {
-        Action::Submit { .. } | Action::Resubmit { .. } | Action::SubmitSameKey { .. } => {
-            submission(text, action, before, after);
-        }
-        Action::Connected(_) => {}
-        Action::Write(call_ref, WriteExtent::Complete) => {
-            let _ = writeln!(text, "provider p{}", party(call_ref));
-        }
-        Action::Write(..) => return Err("half a write"),
-        Action::Answer(call_ref, answer) => {
-            let _ = writeln!(text, "provider p{}", party(call_ref));
-            answer_lines(text, answer);
-        }
-        Action::Reset(call_ref) | Action::EndpointClosed(call_ref) => {
-            let _ = writeln!(text, "shut p{}", party(call_ref));
-        }
-        Action::Deadline(call_ref) => {
-            let _ = writeln!(text, "gone p{}", party(call_ref));
+/// Writes the lines of an exchange.
+#[derive(Default)]
+struct ExchangeWriter {
+    text: String,
+    list_version: u64,
+}
+
+impl ExchangeWriter {
+    fn line(&mut self, line: &str) {
+        self.text.push_str(line);
+        self.text.push('\n');
+    }
+
+    /// The settings, the endpoints and their first list.
+    fn preamble(&mut self, case: &Case, world: &World) {
+        self.line("# Exported by quillmount-explore.");
+        self.line(&format!("set slots={}", case.slots));
+        self.line(&format!("set open_cap={}", case.open_cap));
+        for number in 1..=case.endpoints.max(ENDPOINTS_MIN) {
+            self.line(&format!("open p{number}"));
         }
-        Action::Confirmed => text.push_str("notices 204\n"),
-        Action::NoticesLost { received: true } => text.push_str("notices 500\n"),
-        Action::EndpointDraining(_)
-        | Action::EndpointGone(_)
-        | Action::EndpointReady(_)
-        | Action::FullList => {
-            *version += 1;
-            list(text, after, *version);
+        self.line("start");
+        self.list_version = FIRST_LIST_VERSION;
+        self.endpoint_list(world);
+    }
+
+    /// The lines of one transition, which led from one world to the other.
+    fn transition(
+        &mut self,
+        transition: Transition,
+        before: &World,
+        after: &World,
+    ) -> Result<(), SocketObstacle> {
+        if transition.crash.is_some() {
+            return Err(SocketObstacle::KillAtWrite);
         }
-        Action::Kill => text.push_str("kill\n"),
-        Action::Start => text.push_str("start\n"),
-        Action::Term => text.push_str("term\n"),
-        Action::Exit => text.push_str("exit\n"),
-        // The program keeps its own time, and sends its notices itself.
-        Action::AdvanceClock { .. }
-        | Action::Tick
-        | Action::CallTick(_)
-        | Action::SendNotices
-        | Action::NoticeTick => {}
-        Action::Refused(_) => return Err("a dial that fails"),
-        Action::AnswerArrived(..) | Action::ReadAnswer(_) => {
-            return Err("an answer that waits in the socket");
+        // A call is named by its endpoint, and there is one at a time, since the file names no connections.
+        let endpoint = |call_ref: CallRef| {
+            let index = before.endpoint_of(call_ref).or(after.endpoint_of(call_ref));
+            index.map_or(1, |index| index + 1)
+        };
+        match transition.action {
+            Action::Submit { .. } | Action::Resubmit { .. } | Action::SubmitSameKey { .. } => {
+                self.submission(transition.action, before, after);
+            }
+            Action::Write(call_ref, WriteExtent::Complete) => {
+                self.line(&format!("provider p{}", endpoint(call_ref)));
+            }
+            Action::Answer(call_ref, answer) => {
+                self.line(&format!("provider p{}", endpoint(call_ref)));
+                self.answer(answer);
+            }
+            Action::Reset(call_ref) | Action::EndpointClosed(call_ref) => {
+                self.line(&format!("shut p{}", endpoint(call_ref)));
+            }
+            Action::Deadline(call_ref) => self.line(&format!("gone p{}", endpoint(call_ref))),
+            Action::EndpointDraining(_)
+            | Action::EndpointGone(_)
+            | Action::EndpointReady(_)
+            | Action::FullList => {
+                self.list_version += 1;
+                self.endpoint_list(after);
+            }
+            other => self.single_line(other)?,
         }
-        Action::DiskFull | Action::DiskFree => return Err("a full disk"),
-        Action::EndpointReplaced(_) | Action::WatchBreak | Action::WatchTick | Action::IdleClosed(_) => {
-            return Err("this");
+        Ok(())
+    }
+
+    /// An action that is one fixed line, or none.
+    fn single_line(&mut self, action: Action) -> Result<(), SocketObstacle> {
+        match action {
+            Action::Confirmed => self.line("notices 204"),
+            Action::NoticesLost { received: true } => self.line("notices 500"),
+            Action::Kill => self.line("kill"),
+            Action::Start => self.line("start"),
+            Action::Term => self.line("term"),
+            Action::Exit => self.line("exit"),
+            // The program keeps its own time, connects and sends its notices itself.
+            Action::Connected(_)
+            | Action::AdvanceClock { .. }
+            | Action::Tick
+            | Action::CallTick(_)
+            | Action::SendNotices
+            | Action::NoticeTick => {}
+            Action::Write(..) => return Err(SocketObstacle::PartialWrite),
+            Action::Refused(_) => return Err(SocketObstacle::FailedConnect),
+            Action::AnswerArrived(..) | Action::ReadAnswer(_) => {
+                return Err(SocketObstacle::UnreadAnswer);
+            }
+            Action::DiskFull | Action::DiskFree => return Err(SocketObstacle::FullDisk),
+            Action::NoticesLost { received: false } | Action::ConfirmedTwice => {
+                return Err(SocketObstacle::LostNotice);
+            }
+            _ => return Err(SocketObstacle::Action),
         }
-        Action::NoticesLost { received: false } | Action::ConfirmedTwice => return Err("a lost notice"),
+        Ok(())
     }
-    Ok(())
-}
 
-/// A submission, as a client writes it.
-fn submission(text: &mut String, action: Action, before: &World, after: &World) {
-    let message = match action {
-        Action::Resubmit { message } => message as usize,
-        _ => after.monitor.messages.len() - 1,
-    };
-    let m = &after.monitor.messages[message];
-    let body = format!("body of m{message}");
-    let _ = writeln!(text, "consumer\n> POST /{} HTTP/1.1", CLASSES[m.class as usize]);
-    let _ = writeln!(text, "> X-Correlation-Id: m{message}");
-    if m.class == 1 {
-        let _ = writeln!(text, "> Idempotency-Key: k{}", m.key);
+    /// A submission, as a client writes it.
+    fn submission(&mut self, action: Action, before: &World, after: &World) {
+        let index = match action {
+            Action::Resubmit { message } => message as usize,
+            _ => after.monitor.messages.len() - 1,
+        };
+        let message = &after.monitor.messages[index];
+        let body = format!("body of m{index}");
+        self.line("consumer");
+        self.line(&format!("> POST /{} HTTP/1.1", CLASSES[usize::from(message.class)]));
+        self.line(&format!("> X-Correlation-Id: m{index}"));
+        if message.class == NOTICE {
+            self.line(&format!("> Idempotency-Key: k{}", message.key));
+        }
+        self.line(&format!("> X-Time-Left: {}m", before.time_left_ms()));
+        self.line(&format!("> X-Addressing: dest={}", message.dest + 1));
+        self.line(&format!("> Content-Length: {}", body.len()));
+        self.line(">");
+        self.line(&format!("> {body}"));
     }
-    let _ = writeln!(text, "> X-Time-Left: {}m\n> X-Addressing: dest={}", before.time_left_ms(), m.dest + 1);
-    let _ = writeln!(text, "> Content-Length: {}\n>\n> {body}", body.len());
-}
 
-/// The lines of an answer, as an endpoint writes it.
-fn answer_lines(text: &mut String, answer: Answer) {
-    let bytes = String::from_utf8_lossy(answer.bytes());
-    bytes.trim_end_matches("\r\n").split("\r\n").for_each(|line| {
-        let _ = writeln!(text, "> {line}");
-    });
-    text.push_str(">\n");
-}
+    /// The lines of an answer, as an endpoint writes it.
+    fn answer(&mut self, answer: Answer) {
+        let bytes = String::from_utf8_lossy(answer.bytes());
+        for line in bytes.trim_end_matches("\r\n").split("\r\n") {
+            self.line(&format!("> {line}"));
+        }
+        self.line(">");
+    }
 
-fn list(text: &mut String, world: &World, version: u64) {
-    let servers: Vec<String> = world
-        .endpoints()
-        .map(|(n, dest, state)| {
-            let (id, dest) = (n + 1, dest + 1);
-            format!(
-                r#"{{"id":"p{id}","addr":"[p{id}]","zone":"a","kind":"bank","cell":{dest},"state":"{state}","weight":50.0}}"#
-            )
-        })
-        .collect();
-    let _ =
-        writeln!(text, "list\n> {{\"version\":{version},\"full\":true,\"servers\":[{}]}}", servers.join(","));
+    /// The endpoint list of a world, as discovery writes it.
+    fn endpoint_list(&mut self, world: &World) {
+        let servers: Vec<String> = world
+            .endpoints()
+            .map(|endpoint| {
+                let (id, dest, state) = (endpoint.index + 1, endpoint.dest + 1, endpoint.state);
+                format!(
+                    r#"{{"id":"p{id}","addr":"[p{id}]","zone":"a","kind":"bank","cell":{dest},"state":"{state}","weight":50.0}}"#
+                )
+            })
+            .collect();
+        let version = self.list_version;
+        self.line("list");
+        self.line(&format!(r#"> {{"version":{version},"full":true,"servers":[{}]}}"#, servers.join(",")));
+    }
 }
--- a/tools/explore/src/fingerprint.rs
+++ b/tools/explore/src/fingerprint.rs
@@ -3,31 +3,53 @@
 use quillmount_policy::{EndpointId, Micros, MsgId, StateVisitor};
 use std::hash::{Hash, Hasher};
 
+/// Where the first mix begins, and what it adds at each step: 2^64 divided by the golden ratio.
+const FIRST_SEED: u64 = 0x9E37_79B9_7F4A_7C15;
+/// Where the second mix begins.
+const SECOND_SEED: u64 = 0x2545_F491_4F6C_DD1D;
+/// What the second mix multiplies by at each step.
+const SECOND_FACTOR: u64 = 0x9FB2_1C65_1E98_DF25;
+/// The present among relative times, far from 0 and from the end of the clock, which stand for "never".
+const RELATIVE_TIME_ZERO: u64 = 1 << 62;
+/// Added to ids that have no rank, so that they are none of the ranks.
+const UNRANKED: u64 = 1 << 40;
+
+/// Numbers of messages and of endpoints that are in use, both in ascending order.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct ActiveIds {
+    /// Numbers of messages.
+    pub messages: Vec<MsgId>,
+    /// Numbers of endpoints.
+    pub endpoints: Vec<EndpointId>,
+}
+
 /// A hasher of states: two independent 64-bit mixes (the finalizer of MurmurHash3 over a running sum, with other constants
 /// for each).
 pub struct Fingerprint {
-    one: u64,
-    two: u64,
+    first: u64,
+    second: u64,
+    /// The present, where times are relative to it.
     now: Micros,
-    /// Numbers that are in use, in order: with the reduction a name is its rank.
-    ids: Option<(Vec<MsgId>, Vec<EndpointId>)>,
+    /// With the reduction: an id is hashed as its rank among these.
+    ids: Option<ActiveIds>,
 }
 
-fn mix(mut z: u64) -> u64 {
-    z = (z ^ (z >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
-    z = (z ^ (z >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
-    z ^ (z >> 33)
+/// The finalizer of MurmurHash3.
+fn mix(mut value: u64) -> u64 {
+    value = (value ^ (value >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
+    value = (value ^ (value >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
+    value ^ (value >> 33)
 }
 
 impl Fingerprint {
-    /// Names and times as they are.
+    /// Ids and times as they are.
     pub fn exact() -> Self {
-        Fingerprint { one: 0x9E37_79B9_7F4A_7C15, two: 0x2545_F491_4F6C_DD1D, now: 0, ids: None }
+        Fingerprint { first: FIRST_SEED, second: SECOND_SEED, now: 0, ids: None }
     }
 
-    /// Names by rank among these, which are in ascending order, and times relative to the present.
-    pub fn canonical(messages: Vec<MsgId>, endpoints: Vec<EndpointId>) -> Self {
-        Fingerprint { ids: Some((messages, endpoints)), ..Fingerprint::exact() }
+    /// Ids by rank among the active ones, and times relative to the present.
+    pub fn canonical(ids: ActiveIds) -> Self {
+        Fingerprint { ids: Some(ids), ..Fingerprint::exact() }
     }
 
     /// Sets the present; hashes it, unless times are relative to it.
@@ -46,38 +68,38 @@
 
     /// The fingerprint of all that was hashed.
     pub fn digest(&self) -> u128 {
-        u128::from(mix(self.one)) << 64 | u128::from(mix(self.two))
+        u128::from(mix(self.first)) << 64 | u128::from(mix(self.second))
     }
 }
 
 impl StateVisitor for Fingerprint {
     fn visit_u64(&mut self, value: u64) {
-        self.one = mix(self.one ^ value).wrapping_add(0x9E37_79B9_7F4A_7C15);
-        self.two =
-            (self.two.rotate_left(23) ^ value).wrapping_mul(0x9FB2_1C65_1E98_DF25).rotate_left(31) ^ self.one;
+        self.first = mix(self.first ^ value).wrapping_add(FIRST_SEED);
+        let mixed = (self.second.rotate_left(23) ^ value).wrapping_mul(SECOND_FACTOR);
+        self.second = mixed.rotate_left(31) ^ self.first;
     }
 
     fn visit_time(&mut self, at: Micros) {
         match at {
             0 | Micros::MAX => self.visit_u64(at),
-            _ => self.visit_u64(at.wrapping_sub(self.now).wrapping_add(1 << 62)),
+            _ => self.visit_u64(at.wrapping_sub(self.now).wrapping_add(RELATIVE_TIME_ZERO)),
         }
     }
 
     fn visit_message(&mut self, id: MsgId) {
-        let rank = self.ids.as_ref().and_then(|(m, _)| m.binary_search(&id).ok());
-        self.visit_u64(rank.map_or(id.wrapping_add(1 << 40), |n| n as u64));
+        let rank = self.ids.as_ref().and_then(|ids| ids.messages.binary_search(&id).ok());
+        self.visit_u64(rank.map_or(id.wrapping_add(UNRANKED), |rank| rank as u64));
     }
 
     fn visit_endpoint(&mut self, id: EndpointId) {
-        let rank = self.ids.as_ref().and_then(|(_, e)| e.binary_search(&id).ok());
-        self.visit_u64(rank.map_or(u64::from(id) + (1 << 40), |n| n as u64));
+        let rank = self.ids.as_ref().and_then(|ids| ids.endpoints.binary_search(&id).ok());
+        self.visit_u64(rank.map_or(u64::from(id) + UNRANKED, |rank| rank as u64));
     }
 }
 
 impl Hasher for Fingerprint {
     fn finish(&self) -> u64 {
-        mix(self.one)
+        mix(self.first)
     }
 
     fn write(&mut self, bytes: &[u8]) {
--- a/tools/explore/src/monitor.rs
+++ b/tools/explore/src/monitor.rs
@@ -1,92 +1,21 @@
 //! What clients, endpoints and the platform see of a courier, and the properties that it must keep. The monitor shares no
 //! code with what it checks: it relies on bytes and times alone.
 
-use crate::case::{CLASSES, Case};
+use crate::case::{CLASSES, Case, DEBIT};
+use crate::property::{Property, Violation, violated};
 use quillmount_core::Ending;
 use quillmount_policy::Micros;
-use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What must hold in every world; `docs/exploration.md` has the properties in full.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Property {
-    /// One final answer for each accepted message, in time, and none for others.
-    FinalAnswer,
-    /// No call is repeated while an earlier one may have run, but within the span of a key.
-    NoRepeat,
-    /// No call begins to an endpoint that has drained for longer than the grace period.
-    Drain,
-    /// No call reaches a destination during a wait that it asked for.
-    Wait,
-    /// Messages go out as submitted, and limits of attempts, slots and pending messages are kept.
-    Unchanged,
-    /// What was accepted is in the store, and every prefix of the store can be read.
-    #[serde(rename = "kept")]
-    Durability,
-    /// Without further faults every message ends, and every table is empty then.
-    Liveness,
-}
-
-impl Property {
-    /// All properties, with the sentence that is printed for each.
-    pub const ALL: [(Property, &'static str); 7] = [
-        (
-            Property::FinalAnswer,
-            "one final answer for each message taken on, in time; none for one that was not",
-        ),
-        (
-            Property::NoRepeat,
-            "no debit sent while an earlier attempt may have run; no notice outside its key's span",
-        ),
-        (Property::Drain, "no first byte to an endpoint later than 1 s after its drain was told"),
-        (Property::Wait, "no call to a destination during a wait that it told"),
-        (Property::Unchanged, "id, key, body and destination as handed in; attempts, slots and holding kept"),
-        (Property::Durability, "what was answered 202 is in the store, and every prefix is read back"),
-        (Property::Liveness, "if the world turns kind, everything owed ends and every table empties"),
-    ];
-
-    /// The name that is printed, and written in recorded paths.
-    pub fn name(self) -> &'static str {
-        match self {
-            Property::FinalAnswer => "final-answer",
-            Property::NoRepeat => "no-repeat",
-            Property::Drain => "drain",
-            Property::Wait => "wait",
-            Property::Unchanged => "unchanged",
-            Property::Durability => "kept",
-            Property::Liveness => "liveness",
-        }
-    }
-}
-
-/// A property that does not hold.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-#[error("{}: {what}", .property.name())]
-pub struct Violation {
-    /// The property.
-    pub property: Property,
-    /// What was seen, in a sentence.
-    pub what: String,
-}
-
-/// A violation as an error.
-///
-/// # Errors
-/// Always.
-pub fn violated<T>(property: Property, what: String) -> Result<T, Violation> {
-    Err(Violation { property, what })
-}
-
 /// Tolerance of deadlines, in microseconds: on sockets they are met this much later.
 pub const SLACK: Micros = 50_000;
-/// The final answer may come this long after the deadline of the message.
-const ANSWER_GRACE: Micros = 300_000;
+/// The final answer may come this long after the deadline of the message, in microseconds.
+pub const ANSWER_GRACE: Micros = 300_000;
 /// Calls may begin to an endpoint for this long after its drain was announced, in microseconds.
 pub const DRAIN_GRACE: Micros = 1_000_000;
-/// Calls that reach a destination this soon after its wait began are tolerated.
+/// Calls that reach a destination this soon after its wait began are tolerated, in microseconds.
 const WAIT_GRACE: Micros = 100_000;
-/// No notice is overdue until this long after the courier has started.
+/// No notice is overdue until this long after the courier has started, in microseconds.
 const READY_GRACE: Micros = 1_500_000;
 
 /// Whether a message was accepted, as the client knows it.
@@ -260,7 +189,7 @@
         }
         if let Some(first) = m.first_possible_run() {
             let (since, n) = (now - first.first, first.attempt);
-            if m.class == 0 {
+            if m.class == DEBIT {
                 return violated(
                     Property::NoRepeat,
                     format!("call {attempt} of m{message}, a debit, while call {n} may have run"),
@@ -306,7 +235,7 @@
             );
         }
         if matches!(ending, Ending::Deferred(_))
-            && m.class == 0
+            && m.class == DEBIT
             && let Some(possible_run) = m.first_possible_run()
         {
             let n = possible_run.attempt;
--- a/tools/explore/src/world/actions.rs
+++ b/tools/explore/src/world/actions.rs
@@ -1,7 +1,7 @@
 //! What may happen next: every action that is possible in a state.
 
 use crate::action::{Action, Answer, CallRef, WriteExtent};
-use crate::case::{CLASSES, FaultKind};
+use crate::case::{CLASSES, FaultKind, NOTICE};
 use crate::world::state::{ENDPOINTS_MAX, OutstandingCall, ProcessState, START, World, call_ref};
 use quillmount_core::machine::attempt::{AttemptState, CLOSING_TIME};
 use quillmount_core::machine::notices::NoticeState;
@@ -215,7 +215,7 @@
             // After its deadline no client retries it.
             let open = self.now < self.monitor.messages[message as usize].deadline;
             all.extend((open && self.allows(FaultKind::Resubmit)).then_some(Action::Resubmit { message }));
-            let keyed = self.monitor.messages[message as usize].class == 1;
+            let keyed = self.monitor.messages[message as usize].class == NOTICE;
             all.extend(
                 (more && keyed && self.allows(FaultKind::SubmitSameKey))
                     .then_some(Action::SubmitSameKey { message }),
--- a/tools/explore/src/world/calls.rs
+++ b/tools/explore/src/world/calls.rs
@@ -1,7 +1,9 @@
 //! Connections, requests and answers: what the driver and the endpoints do to calls.
 
 use crate::action::{Answer, CallRef, WriteExtent};
-use crate::monitor::{Property, SLACK, Violation, violated};
+use crate::case::NOTICE;
+use crate::monitor::SLACK;
+use crate::property::{Property, Violation, violated};
 use crate::world::state::{OutstandingCall, World};
 use quillmount_core::call::{Call, StepOutcome};
 use quillmount_core::hub::DriverAction;
@@ -212,7 +214,7 @@
         let text = String::from_utf8_lossy(request);
         let m = &self.monitor.messages[message];
         let line = &self.endpoint_list[endpoint as usize];
-        let key = (m.class == 1).then(|| format!("\r\nIdempotency-Key: k{}\r\n", m.key));
+        let key = (m.class == NOTICE).then(|| format!("\r\nIdempotency-Key: k{}\r\n", m.key));
         let wanted = [format!("\r\nX-Correlation-Id: m{message}\r\n"), format!("\r\n\r\nbody of m{message}")];
         let same = text.starts_with("POST /events HTTP/1.1\r\n")
             && wanted.iter().all(|part| text.contains(part.as_str()))
--- a/tools/explore/src/world/discovery.rs
+++ b/tools/explore/src/world/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery: the endpoint list, its changes, and the watch that brings them to the courier.
 
-use crate::monitor::Violation;
+use crate::property::Violation;
 use crate::world::state::{ListEntry, World};
 use quillmount_core::machine::watch::WatchInput;
 use quillmount_core::{EndpointList, EndpointListing};
--- a/tools/explore/src/world/invariants.rs
+++ b/tools/explore/src/world/invariants.rs
@@ -1,6 +1,7 @@
 //! Properties of the courier's own tables, beside those that the monitor sees from outside.
 
-use crate::monitor::{Acceptance, Property, Violation, violated};
+use crate::monitor::Acceptance;
+use crate::property::{Property, Violation, violated};
 use crate::world::state::World;
 use quillmount_core::machine::attempt::AttemptState;
 
--- a/tools/explore/src/world/mod.rs
+++ b/tools/explore/src/world/mod.rs
@@ -19,5 +19,6 @@
 mod time;
 mod transition;
 
-pub use state::World;
+pub use process::WorldError;
+pub use state::{ListedEndpoint, World};
 pub use transition::is_benign;
--- a/tools/explore/src/world/notices.rs
+++ b/tools/explore/src/world/notices.rs
@@ -1,6 +1,6 @@
 //! The platform: notices of the ends of messages, their confirmations and losses.
 
-use crate::monitor::{Property, Violation, violated};
+use crate::property::{Property, Violation, violated};
 use crate::world::state::{World, message_index};
 use quillmount_core::Notice;
 use quillmount_core::machine::notices::{NoticeInput, NoticeOutput, NoticeState};
--- a/tools/explore/src/world/process.rs
+++ b/tools/explore/src/world/process.rs
@@ -1,44 +1,56 @@
 //! The process of the courier: its start on an empty store, its ends, and its start on what a predecessor has stored.
 
 use crate::case::Case;
-use crate::monitor::{Monitor, Property, Violation, violated};
+use crate::courier::{self, OpenError, OpenedCourier};
+use crate::monitor::Monitor;
+use crate::property::{Property, Violation, violated};
 use crate::world::discovery::list_update;
 use crate::world::state::{ListEntry, ProcessState, START, World, message_index};
-use quillmount_core::EndpointList;
-use quillmount_core::hub::Hub;
 use quillmount_core::journal::JournalEntry;
 use quillmount_core::machine::notices::Notices;
 use quillmount_core::machine::watch::{Watch, WatchInput};
-use quillmount_core::pool::Pool;
-use quillmount_core::router::{Router, RouterAction};
 use quillmount_core::store::Memory;
 use quillmount_policy::{EndpointState, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Time from the end of a process until it starts again.
+/// Time from the end of a process until it starts again, in microseconds.
 const RESTART_DELAY: Micros = 600_000;
-/// Time from SIGTERM until all calls have to be ended.
+/// Time from SIGTERM until all calls have to be ended, in microseconds.
 const CALLS_STOP: Micros = 3_200_000;
-/// Time from SIGTERM until the process ends.
+/// Time from SIGTERM until the process ends, in microseconds.
 const PROCESS_STOP: Micros = 3_400_000;
-/// Capacity of the disk in bytes, which no path fills.
-const DISK_BYTES: u64 = 3_000_000;
+/// The port of the first endpoint.
+const FIRST_PORT: u16 = 1_000;
+
+/// A world can't be made.
+#[derive(Debug, thiserror::Error)]
+pub enum WorldError {
+    /// Its courier can't be opened.
+    #[error(transparent)]
+    Open(#[from] OpenError),
+    /// The courier violates a property at its start.
+    #[error(transparent)]
+    Violation(#[from] Violation),
+}
 
 impl World {
     /// A world at its beginning: the courier runs, and has received the endpoint list.
     ///
     /// # Errors
     /// The settings of the case can't be decoded, or the router rejects them.
-    pub fn new(case: &Arc<Case>) -> Result<World, String> {
-        let port = |n: u8| 1_000 + u16::from(n);
-        let dest = |n: u8| u64::from(n % case.destinations);
+    pub fn new(case: &Arc<Case>) -> Result<World, WorldError> {
         let list: Vec<ListEntry> = (0..case.endpoints)
-            .map(|n| ListEntry { port: port(n), dest: dest(n), state: EndpointState::Ready, version: 1 })
+            .map(|index| ListEntry {
+                port: FIRST_PORT + u16::from(index),
+                dest: u64::from(index % case.destinations),
+                state: EndpointState::Ready,
+                version: 1,
+            })
             .collect();
         let known = list_update(&list, 1, |_| true);
         // With an empty store there is nothing to carry out.
-        let (hub, _) = restore(case, Memory::default(), known.clone(), START)?;
+        let OpenedCourier { hub, .. } = courier::open(case, None, known.clone(), Memory::default(), START)?;
         let mut world = World {
             case: case.clone(),
             now: START,
@@ -64,7 +76,7 @@
         };
         world.watch.step(WatchInput::Answered, START);
         let todo = world.hub.list(known, START);
-        world.execute(todo).map_err(|e| e.to_string())?;
+        world.execute(todo)?;
         Ok(world)
     }
 
@@ -77,7 +89,7 @@
         self.execute(todo)
     }
 
-    /// Ends the process: what it held in memory is lost, what it had written stays.
+    /// Ends the process: its memory is lost, what it had written stays.
     pub(super) fn crash(&mut self) -> Result<(), Violation> {
         self.crashing = false;
         self.monitor.crashed();
@@ -96,9 +108,9 @@
         self.incarnations += 1;
         // What a full disk refused to store is unknown to the next incarnation.
         let contents = self.journal_contents();
-        for (n, m) in self.monitor.messages.iter_mut().enumerate() {
-            let name = format!("m{n}");
-            m.settled &= !contents.owed.values().any(|entry| entry.taken.id == name);
+        for (index, message) in self.monitor.messages.iter_mut().enumerate() {
+            let id = format!("m{index}");
+            message.settled &= !contents.owed.values().any(|entry| entry.taken.id == id);
         }
         Ok(())
     }
@@ -110,42 +122,34 @@
         let known_version = self.hub.router.version();
         let known = list_update(&self.endpoint_list, known_version, |line| line.version <= known_version);
         let before = self.journal_contents();
-        let (hub, steps) = match restore(&self.case, store, known, self.now) {
-            Ok(restored) => restored,
-            Err(e) => return violated(Property::Durability, format!("the store can't be read back: {e}")),
+        let opened = match courier::open(&self.case, None, known, store, self.now) {
+            Ok(opened) => opened,
+            Err(error) => {
+                return violated(Property::Durability, format!("the store can't be read back: {error}"));
+            }
         };
-        self.hub = hub;
+        self.hub = opened.hub;
         let after = self.journal_contents();
         // The start may append calls at once, but loses none.
-        let same = |(n, entry): (&u64, &JournalEntry)| {
+        let is_kept = |(number, entry): (&u64, &JournalEntry)| {
             after
                 .owed
-                .get(n)
+                .get(number)
                 .is_some_and(|now| now.taken == entry.taken && now.calls.starts_with(&entry.calls))
         };
-        if !before.owed.iter().all(same) {
+        if !before.owed.iter().all(is_kept) {
             return violated(Property::Durability, "the store tells something else after the start".into());
         }
+        let pending = before.owed.iter();
         self.messages_by_number =
-            before.owed.iter().filter_map(|(n, e)| Some((*n, message_index(&e.taken.id)?))).collect();
+            pending.filter_map(|(number, entry)| Some((*number, message_index(&entry.taken.id)?))).collect();
         self.process = ProcessState::Up;
         self.monitor.grace_until = 0;
         self.monitor.ready(self.now);
         self.watch = Watch::new(self.now);
         self.watch.step(WatchInput::Answered, self.now);
-        let todo = self.hub.carry_out(steps, self.now);
+        let todo = self.hub.carry_out(opened.actions, self.now);
         self.execute(todo)?;
         self.send_list(false)
     }
 }
-
-/// A restored hub, and what its router requests first.
-type Restored = (Hub<Memory, u32>, Vec<RouterAction>);
-
-/// Opens a router on the store.
-fn restore(case: &Case, store: Memory, known: EndpointList, now: Micros) -> Result<Restored, String> {
-    let env = case.env().map_err(|e| e.to_string())?;
-    let (router, steps) =
-        Router::open(&env, case.seed, known, store, DISK_BYTES, now).map_err(|e| e.to_string())?;
-    Ok((Hub::new(router, Pool::new(15_000_000, 100)), steps))
-}
--- a/tools/explore/src/world/state.rs
+++ b/tools/explore/src/world/state.rs
@@ -2,6 +2,7 @@
 
 use crate::action::{Answer, CallRef};
 use crate::case::{Case, FaultKind};
+use crate::fingerprint::ActiveIds;
 use crate::monitor::Monitor;
 use quillmount_core::call::Call;
 use quillmount_core::hub::Hub;
@@ -21,6 +22,17 @@
 /// Messages that a world may have.
 const MESSAGES_MAX: usize = 8;
 
+/// An endpoint on the list, as discovery shows it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ListedEndpoint {
+    /// Its index on the list.
+    pub index: u8,
+    /// The destination that it belongs to.
+    pub dest: u64,
+    /// The name of its state, as in discovery's answers.
+    pub state: &'static str,
+}
+
 /// One entry of discovery's endpoint list.
 #[derive(Clone, Debug)]
 pub(super) struct ListEntry {
@@ -43,7 +55,7 @@
     pub(super) deadline: Micros,
     /// When its connection counts as failed.
     pub(super) dial_deadline: Micros,
-    /// An interim answer has come.
+    /// An interim answer has arrived.
     pub(super) interim: bool,
     /// The answer that stands in the socket, not read yet.
     pub(super) arrived: Option<Answer>,
@@ -111,12 +123,14 @@
         self.find(call_ref).and_then(|id| self.calls.get(&id)).map(|out| out.endpoint)
     }
 
-    /// Number, destination and state of each endpoint on the list.
-    pub fn endpoints(&self) -> impl Iterator<Item = (u8, u64, &'static str)> {
-        let lines =
-            self.endpoint_list.iter().enumerate().filter(|(_, line)| line.state != EndpointState::Gone);
-        lines.map(|(n, line)| {
-            (n as u8, line.dest, if line.state == EndpointState::Ready { "ready" } else { "draining" })
+    /// The endpoints on the list that are not gone.
+    pub fn endpoints(&self) -> impl Iterator<Item = ListedEndpoint> {
+        let listed =
+            self.endpoint_list.iter().enumerate().filter(|(_, entry)| entry.state != EndpointState::Gone);
+        listed.map(|(index, entry)| ListedEndpoint {
+            index: index as u8,
+            dest: entry.dest,
+            state: if entry.state == EndpointState::Ready { "ready" } else { "draining" },
         })
     }
 
@@ -138,10 +152,10 @@
             && self.has_faults_left()
     }
 
-    /// Numbers of messages and of endpoints that are in use, both in ascending order.
-    pub fn active_ids(&self) -> (Vec<u64>, Vec<u32>) {
+    /// Numbers of messages and of endpoints that are in use.
+    pub fn active_ids(&self) -> ActiveIds {
         let (messages, endpoints) = self.hub.router.names();
-        (messages.collect(), endpoints.collect())
+        ActiveIds { messages: messages.collect(), endpoints: endpoints.collect() }
     }
 
     /// Whether the process of the courier runs, if only until its graceful shutdown is done.
@@ -155,8 +169,8 @@
     }
 
     /// Whether the case has this fault, and the path has any faults left.
-    pub(super) fn allows(&self, event: FaultKind) -> bool {
-        self.case.allows(event) && self.has_faults_left()
+    pub(super) fn allows(&self, fault: FaultKind) -> bool {
+        self.case.allows(fault) && self.has_faults_left()
     }
 
     /// Whether the path may contain one more fault.
@@ -166,10 +180,10 @@
 
     /// The id of the call in flight that this reference names.
     pub(super) fn find(&self, call_ref: CallRef) -> Option<CallId> {
-        let is = |(id, out): &(&CallId, &OutstandingCall)| {
-            out.message as u64 == call_ref.message && id.attempt == call_ref.attempt
+        let is_named = |(id, call): &(&CallId, &OutstandingCall)| {
+            call.message as u64 == call_ref.message && id.attempt == call_ref.attempt
         };
-        self.calls.iter().find(is).map(|(id, _)| *id)
+        self.calls.iter().find(is_named).map(|(id, _)| *id)
     }
 
     /// What a restart would read from the store now.
@@ -184,6 +198,6 @@
 }
 
 /// The reference that names a call in actions.
-pub(super) fn call_ref(out: &OutstandingCall) -> CallRef {
-    CallRef { message: out.message as u64, attempt: out.call.order.call.attempt }
+pub(super) fn call_ref(call: &OutstandingCall) -> CallRef {
+    CallRef { message: call.message as u64, attempt: call.call.order.call.attempt }
 }
--- a/tools/explore/src/world/submission.rs
+++ b/tools/explore/src/world/submission.rs
@@ -1,7 +1,8 @@
 //! Clients: submissions of messages, new and repeated.
 
-use crate::case::CLASSES;
-use crate::monitor::{Acceptance, Monitor, ObservedMessage, Property, Violation, violated};
+use crate::case::{CLASSES, NOTICE};
+use crate::monitor::{Acceptance, Monitor, ObservedMessage};
+use crate::property::{Property, Violation, violated};
 use crate::world::state::World;
 use quillmount_core::Submission;
 use quillmount_core::router::Intake;
@@ -80,7 +81,7 @@
         Submission {
             id: format!("m{message}"),
             class: CLASSES[m.class as usize].into(),
-            key: (m.class == 1).then(|| format!("k{}", m.key)),
+            key: (m.class == NOTICE).then(|| format!("k{}", m.key)),
             dest: m.dest,
             tenant: None,
             time_left: m.deadline.saturating_sub(self.now),
--- a/tools/explore/src/world/time.rs
+++ b/tools/explore/src/world/time.rs
@@ -1,5 +1,6 @@
 //! The clock: it goes on to the next moment at which something may turn out another way, never beyond.
 
+use crate::case::NOTICE;
 use crate::monitor::{Acceptance, DRAIN_GRACE};
 use crate::world::state::{ProcessState, START, World};
 use quillmount_core::machine::attempt::AttemptState;
@@ -51,7 +52,7 @@
             self.monitor.messages.iter().filter(|m| m.acceptance != Acceptance::No && !m.is_final());
         for m in pending {
             points.extend([m.deadline, self.monitor.overdue_at(m) + 1]);
-            if m.class == 1 {
+            if m.class == NOTICE {
                 points.extend(m.first_possible_run().map(|s| s.first + self.case.span()));
             }
         }
--- a/tools/explore/src/world/transition.rs
+++ b/tools/explore/src/world/transition.rs
@@ -1,7 +1,8 @@
 //! One transition: an action, with or without a kill in the middle of it, and the checks of its outcome.
 
 use crate::action::{Action, Answer, CrashPoint, Transition, WriteExtent};
-use crate::monitor::{ObservedMessage, Violation};
+use crate::monitor::ObservedMessage;
+use crate::property::Violation;
 use crate::world::state::{START, World};
 use quillmount_core::machine::attempt::AttemptInput;
 use quillmount_core::store::Fault;
--- a/tools/explore/tests/found.rs
+++ b/tools/explore/tests/found.rs
@@ -3,7 +3,7 @@
 
 use quillmount_explore::action::Transition;
 use quillmount_explore::case::Case;
-use quillmount_explore::monitor::Violation;
+use quillmount_explore::property::Violation;
 use quillmount_explore::search::play;
 use std::sync::Arc;
 
@@ -31,12 +31,12 @@
         let file: CounterexampleFile = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
         let case = Arc::new(file.case);
         // A move that is not open any more ends the path: the fix has taken it away.
-        if let Ok(Some((n, violation))) = play(&case, &file.path, |_, _, _| {}) {
-            panic!("{path}: move {}: {violation}", n + 1);
+        if let Ok(Some(found)) = play(&case, &file.path, |_, _, _| {}) {
+            panic!("{path}: move {}: {}", found.index + 1, found.violation);
         }
         if cfg!(feature = "breaks") {
             quillmount_policy::breaks::enable(defect).unwrap();
-            let broken = play(&case, &file.path, |_, _, _| {}).unwrap().map(|(_, violation)| violation);
+            let broken = play(&case, &file.path, |_, _, _| {}).unwrap().map(|found| found.violation);
             quillmount_policy::breaks::disable();
             assert_eq!(broken.as_ref(), Some(&file.violation), "{path} with {defect}");
         }
--- a/tools/explore/tests/hard_cases.rs
+++ b/tools/explore/tests/hard_cases.rs
@@ -3,7 +3,7 @@
 
 use quillmount_explore::action::{Action, Answer, CallRef, CrashPoint, Transition, WriteExtent};
 use quillmount_explore::case::{Case, FaultKind};
-use quillmount_explore::monitor::{Property, Violation};
+use quillmount_explore::property::{Property, Violation};
 use quillmount_explore::world::World;
 use std::sync::Arc;
 
--- a/tools/explore/tests/orders.rs
+++ b/tools/explore/tests/orders.rs
@@ -12,7 +12,7 @@
 
 #[test]
 fn no_order_of_events_completes_a_short_body_or_repeats_a_partial_debit() {
-    let size = streams::Size { class: 0, chunked: false, attempts: 1, kills: false, bodies: 1 };
+    let size = streams::StreamCase { class: 0, chunked: false, attempts: 1, kills: false, bodies: 1 };
     let found = streams::explore(size).unwrap();
     assert!(found.counterexample.is_none(), "{found:?}");
     assert!(found.states > 1_000, "{found:?}");
