--- a/tools/explore/src/action.rs
+++ b/tools/explore/src/action.rs
@@ -1,6 +1,7 @@
 //! The events of a world. A path of the exploration is a list of [`Transition`]s, which is also how counterexamples are
 //! recorded (JSON).
 
+use crate::case::CLASSES;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -228,11 +229,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Action::Submit { class, dest } => {
-                write!(
-                    f,
-                    "a consumer hands in a {} for destination {dest}",
-                    crate::case::CLASSES[*class as usize]
-                )
+                write!(f, "a consumer hands in a {} for destination {dest}", CLASSES[usize::from(*class)])
             }
             Action::Resubmit { message } => {
                 write!(f, "a consumer hands in m{message} once more, under the same id")
--- a/tools/explore/src/case.rs
+++ b/tools/explore/src/case.rs
@@ -5,19 +5,21 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// One kind of event that the world may choose; what is kind always may.
+/// A kind of fault that a world may contain. Names and help are those of the option `--events`.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, clap::ValueEnum,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// A connection to a provider is refused.
+    /// A connection to an endpoint is refused.
+    #[value(help = "A connection to a provider is refused")]
     Refuse,
-    /// A connection to a provider never comes up.
+    /// A connection to an endpoint is never established.
     #[serde(rename = "never")]
-    #[value(name = "never")]
+    #[value(name = "never", help = "A connection to a provider never comes up")]
     NeverConnects,
-    /// A provider says nothing, and the call times out.
+    /// An endpoint does not answer, and the call times out.
+    #[value(help = "A provider says nothing, and the call times out")]
     Timeout,
     /// A request is written in two parts, with anything in between.
     #[serde(rename = "part")]
@@ -25,19 +27,24 @@
     PartialWrite,
     /// A connection breaks before the request's last byte.
     Break,
-    /// 500: it may have run.
+    /// An endpoint answers 500: the call may have run.
+    #[value(help = "500: it may have run")]
     Error,
-    /// 503: turned away.
+    /// An endpoint answers 503: the call is rejected.
+    #[value(help = "503: turned away")]
     Full,
-    /// 429 with a wait.
+    /// An endpoint answers 429 with a wait.
+    #[value(help = "429 with a wait")]
     Wait,
-    /// 503 with X-Over-Slots.
+    /// An endpoint answers 503 with `X-Over-Slots`.
+    #[value(help = "503 with X-Over-Slots")]
     Slots,
-    /// 504: all attempts are used up.
+    /// An endpoint answers 504: all attempts are used up.
+    #[value(help = "504: all attempts are used up")]
     Exhausted,
-    /// 410: the message is over.
+    /// An endpoint answers 410: nothing more is owed for the message.
     #[serde(rename = "over")]
-    #[value(name = "over")]
+    #[value(name = "over", help = "410: the message is over")]
     MessageGone,
     /// An answer that breaks off, after a 200 or after something else.
     #[serde(rename = "spoilt")]
@@ -51,41 +58,48 @@
     DuplicateAnswer,
     /// A reset after the request's last byte.
     Reset,
-    /// An answer stands in the socket, and something else happens before it is read.
+    /// An answer arrives, and something else happens before it is read.
+    #[value(help = "An answer stands in the socket, and something else happens before it is read")]
     Race,
-    /// A provider closes a connection that rests.
+    /// An endpoint closes an idle connection.
+    #[value(help = "A provider closes a connection that rests")]
     Idle,
-    /// A provider drains.
+    /// An endpoint drains.
+    #[value(help = "A provider drains")]
     Drain,
-    /// A provider is gone.
+    /// An endpoint leaves the list.
+    #[value(help = "A provider is gone")]
     Gone,
-    /// A provider that drained or went is ready again, under the same id.
+    /// An endpoint that drained or left is ready again, under the same id.
+    #[value(help = "A provider that drained or went is ready again, under the same id")]
     Ready,
-    /// A new provider, under a new id, stands at the address of one that is gone.
+    /// A new endpoint, under a new id, appears at the address of one that is gone.
+    #[value(help = "A new provider, under a new id, stands at the address of one that is gone")]
     Replace,
-    /// The whole list is told.
+    /// Discovery sends the full list.
     #[serde(rename = "whole")]
-    #[value(name = "whole")]
+    #[value(name = "whole", help = "The whole list is told")]
     FullList,
     /// The watch on discovery breaks, and resumes.
     Watch,
     /// A notice or its confirmation is lost.
     Lose,
-    /// A confirmation counts twice.
+    /// A confirmation arrives twice.
     #[serde(rename = "twice")]
-    #[value(name = "twice")]
+    #[value(name = "twice", help = "A confirmation counts twice")]
     ConfirmedTwice,
-    /// A consumer hands the same id in again.
+    /// A client submits the same id again.
     #[serde(rename = "again")]
-    #[value(name = "again")]
+    #[value(name = "again", help = "A consumer hands the same id in again")]
     Resubmit,
-    /// A consumer hands the same key in again under a fresh id.
+    /// A client submits the same key again under a new id.
     #[serde(rename = "key")]
-    #[value(name = "key")]
+    #[value(name = "key", help = "A consumer hands the same key in again under a fresh id")]
     SubmitSameKey,
     /// The disk refuses writes for a while.
     Disk,
-    /// SIGTERM: a planned stop.
+    /// SIGTERM: a graceful shutdown.
+    #[value(help = "SIGTERM: a planned stop")]
     Term,
     /// SIGKILL, between any two writes.
     Kill,
@@ -126,7 +140,7 @@
     pub time_left: u32,
     /// Milliseconds for which the platform drops a repeated notice by its key.
     pub span: u32,
-    /// Seed of the random draws of the router, set anew at each transition.
+    /// Seed of the random draws of the router, set at the start of each transition.
     pub seed: u64,
 }
 
--- a/tools/explore/src/clients/world.rs
+++ b/tools/explore/src/clients/world.rs
@@ -22,7 +22,7 @@
     pub(super) requests_left: u8,
     /// Requests that were answered.
     pub(super) answered: u8,
-    /// When it came to its state.
+    /// When it entered its state.
     pub(super) since: Micros,
 }
 
@@ -109,7 +109,7 @@
         )
     }
 
-    /// Connections in the order in which they came to their states, which ranks them for eviction too.
+    /// Connections in the order in which they entered their states, which ranks them for eviction too.
     fn numbers_by_age(&self) -> Vec<u64> {
         let mut numbers: Vec<u64> = self.connections.keys().copied().collect();
         numbers.sort_by_key(|number| self.connections[number].since);
--- a/tools/explore/src/main.rs
+++ b/tools/explore/src/main.rs
@@ -7,8 +7,8 @@
 use mimalloc::MiMalloc;
 use std::process::ExitCode;
 
-/// A state is a hundred small pieces, and states are copied all the time: the system's allocator took a third
-/// of a search.
+/// A state consists of about a hundred small allocations, and states are copied all the time: the system's allocator took a
+/// third of a search's time.
 #[global_allocator]
 static ALLOCATOR: MiMalloc = MiMalloc;
 
--- a/tools/explore/src/monitor.rs
+++ b/tools/explore/src/monitor.rs
@@ -32,7 +32,7 @@
 /// One call as its endpoint sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ObservedCall {
-    /// The incarnation of the courier that sent it: numbers of attempts that never left are used again by the next.
+    /// The incarnation of the courier that sent it: the next one reuses numbers of attempts that were never sent.
     pub incarnation: u8,
     /// Number of the attempt.
     pub attempt: u32,
@@ -47,6 +47,11 @@
 }
 
 impl ObservedCall {
+    /// Whether it is this attempt of this incarnation.
+    fn is_attempt(&self, incarnation: u8, attempt: u32) -> bool {
+        self.incarnation == incarnation && self.attempt == attempt
+    }
+
     fn may_have_run(&self) -> bool {
         self.last.is_some() && !self.never_ran
     }
@@ -83,12 +88,26 @@
         self.notice.is_some() || self.delivered || self.gone
     }
 
+    /// Whether its client got 202, and it has no end.
+    pub fn is_unanswered(&self) -> bool {
+        self.acceptance == Acceptance::Heard && !self.is_final()
+    }
+
     /// The first call that may have run.
     pub fn first_possible_run(&self) -> Option<&ObservedCall> {
-        self.calls.iter().find(|s| s.may_have_run())
+        self.calls.iter().find(|call| call.may_have_run())
     }
 }
 
+/// A wait that a destination asked for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct Wait {
+    /// When the first answer asked for it.
+    pub since: Micros,
+    /// When it is over.
+    pub until: Micros,
+}
+
 /// What the outside has seen so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Monitor {
@@ -98,8 +117,8 @@
     pub messages: Vec<ObservedMessage>,
     /// When the drain of each endpoint was announced.
     pub drains: BTreeMap<u8, Micros>,
-    /// The last wait that each destination asked for: since when, and until when.
-    pub waits: BTreeMap<u64, (Micros, Micros)>,
+    /// The last wait that each destination asked for.
+    pub waits: BTreeMap<u64, Wait>,
     /// No notice is overdue before.
     pub grace_until: Micros,
 }
@@ -117,48 +136,63 @@
         attempt: u32,
         endpoint: u8,
     ) -> Result<(), Violation> {
-        if let Some(announced_at) =
-            self.drains.get(&endpoint).filter(|announced_at| now > **announced_at + DRAIN_GRACE)
-        {
+        self.check_drain(now, message, endpoint)?;
+        self.check_slots(case, message)?;
+        self.check_attempt(case, message, attempt)?;
+        self.messages[message].calls.push(ObservedCall {
+            incarnation: self.incarnation,
+            attempt,
+            first: now,
+            last: None,
+            never_ran: false,
+            open: true,
+        });
+        Ok(())
+    }
+
+    /// The endpoint has not been draining for longer than the grace time.
+    fn check_drain(&self, now: Micros, message: usize, endpoint: u8) -> Result<(), Violation> {
+        let announced_at = self.drains.get(&endpoint);
+        if let Some(announced_at) = announced_at.filter(|announced_at| now > **announced_at + DRAIN_GRACE) {
+            let elapsed = now - announced_at;
             return violated(
                 Property::Drain,
-                format!(
-                    "m{message} goes to provider {endpoint} {} us after its drain was told",
-                    now - announced_at
-                ),
+                format!("m{message} goes to provider {endpoint} {elapsed} us after its drain was told"),
             );
         }
-        let out = self.messages.iter().flat_map(|m| &m.calls).filter(|s| s.open).count();
-        if out >= case.slots as usize {
+        Ok(())
+    }
+
+    /// A slot is free.
+    fn check_slots(&self, case: &Case, message: usize) -> Result<(), Violation> {
+        let open = self.messages.iter().flat_map(|message| &message.calls).filter(|call| call.open).count();
+        if open >= case.slots as usize {
             return violated(
                 Property::Unchanged,
                 format!("m{message} is sent with all {} slots taken", case.slots),
             );
         }
-        let m = &mut self.messages[message];
-        if let Some(end) = m.notice {
+        Ok(())
+    }
+
+    /// The message has no end, an attempt left, and none of this number.
+    fn check_attempt(&self, case: &Case, message: usize, attempt: u32) -> Result<(), Violation> {
+        let observed = &self.messages[message];
+        if let Some(ending) = observed.notice {
             return violated(
                 Property::FinalAnswer,
-                format!("m{message} is sent after the platform was told {end:?}"),
+                format!("m{message} is sent after the platform was told {ending:?}"),
             );
         }
-        if m.calls.len() >= case.attempts as usize {
+        if observed.calls.len() >= case.attempts as usize {
             return violated(
                 Property::Unchanged,
                 format!("m{message} is sent more than {} times", case.attempts),
             );
         }
-        if m.calls.iter().any(|s| (s.incarnation, s.attempt) == (self.incarnation, attempt)) {
+        if observed.calls.iter().any(|call| call.is_attempt(self.incarnation, attempt)) {
             return violated(Property::Unchanged, format!("call {attempt} of m{message} is made twice"));
         }
-        m.calls.push(ObservedCall {
-            incarnation: self.incarnation,
-            attempt,
-            first: now,
-            last: None,
-            never_ran: false,
-            open: true,
-        });
         Ok(())
     }
 
@@ -173,46 +207,57 @@
         message: usize,
         attempt: u32,
     ) -> Result<(), Violation> {
-        let m = &mut self.messages[message];
-        let dest = m.dest;
-        if let Some((from, until)) =
-            self.waits.get(&dest).filter(|(from, until)| now > from + WAIT_GRACE && now < *until)
-        {
+        self.check_wait(now, message)?;
+        self.check_repeat(case, now, message, attempt)?;
+        let incarnation = self.incarnation;
+        let mut calls = self.messages[message].calls.iter_mut();
+        if let Some(call) = calls.find(|call| call.is_attempt(incarnation, attempt)) {
+            call.last = Some(now);
+        }
+        Ok(())
+    }
+
+    /// The destination of the message has not asked for a wait, but for the tolerated time after its beginning.
+    fn check_wait(&self, now: Micros, message: usize) -> Result<(), Violation> {
+        let dest = self.messages[message].dest;
+        let is_forbidden = |wait: &&Wait| now > wait.since + WAIT_GRACE && now < wait.until;
+        if let Some(Wait { since, until }) = self.waits.get(&dest).filter(is_forbidden) {
+            let (elapsed, length) = (now - since, until - since);
             return violated(
                 Property::Wait,
-                format!(
-                    "m{message} reaches destination {dest} {} us into its wait of {} us",
-                    now - from,
-                    until - from
-                ),
+                format!("m{message} reaches destination {dest} {elapsed} us into its wait of {length} us"),
             );
         }
-        if let Some(first) = m.first_possible_run() {
-            let (since, n) = (now - first.first, first.attempt);
-            if m.class == DEBIT {
-                return violated(
-                    Property::NoRepeat,
-                    format!("call {attempt} of m{message}, a debit, while call {n} may have run"),
-                );
-            }
-            if since > case.span() {
-                return violated(
-                    Property::NoRepeat,
-                    format!("call {attempt} of m{message} {since} us after call {n}, which may have run"),
-                );
-            }
+        Ok(())
+    }
+
+    /// No earlier call may have run, or the message is a notice within the span of its key.
+    fn check_repeat(&self, case: &Case, now: Micros, message: usize, attempt: u32) -> Result<(), Violation> {
+        let observed = &self.messages[message];
+        let Some(first) = observed.first_possible_run() else { return Ok(()) };
+        let (elapsed, earlier) = (now - first.first, first.attempt);
+        if observed.class == DEBIT {
+            return violated(
+                Property::NoRepeat,
+                format!("call {attempt} of m{message}, a debit, while call {earlier} may have run"),
+            );
+        }
+        if elapsed > case.span() {
+            return violated(
+                Property::NoRepeat,
+                format!("call {attempt} of m{message} {elapsed} us after call {earlier}, which may have run"),
+            );
         }
-        let sent = m.calls.iter_mut().find(|s| (s.incarnation, s.attempt) == (self.incarnation, attempt));
-        sent.into_iter().for_each(|s| s.last = Some(now));
         Ok(())
     }
 
     /// An endpoint has answered, or the connection of a call has ended.
     pub fn call_ended(&mut self, message: usize, attempt: u32, never_ran: bool) {
         let incarnation = self.incarnation;
-        let own = |s: &&mut ObservedCall| (s.incarnation, s.attempt) == (incarnation, attempt);
-        for s in self.messages[message].calls.iter_mut().filter(own) {
-            (s.never_ran, s.open) = (s.never_ran || never_ran, false);
+        let calls = self.messages[message].calls.iter_mut();
+        for call in calls.filter(|call| call.is_attempt(incarnation, attempt)) {
+            call.never_ran |= never_ran;
+            call.open = false;
         }
     }
 
@@ -221,36 +266,37 @@
     /// # Errors
     /// The message was not accepted, has ended otherwise, or may still be running.
     pub fn notice(&mut self, message: usize, ending: Ending) -> Result<(), Violation> {
-        let m = &mut self.messages[message];
-        if m.acceptance == Acceptance::No {
+        let observed = &mut self.messages[message];
+        if observed.acceptance == Acceptance::No {
             return violated(
                 Property::FinalAnswer,
                 format!("a notice for m{message}, which was not taken on"),
             );
         }
-        if let Some(before) = m.notice.filter(|before| *before != ending) {
+        if let Some(before) = observed.notice.filter(|before| *before != ending) {
             return violated(
                 Property::FinalAnswer,
                 format!("m{message} ends as {ending:?} after {before:?}"),
             );
         }
         if matches!(ending, Ending::Deferred(_))
-            && m.class == DEBIT
-            && let Some(possible_run) = m.first_possible_run()
+            && observed.class == DEBIT
+            && let Some(possible_run) = observed.first_possible_run()
         {
-            let n = possible_run.attempt;
             return violated(
                 Property::NoRepeat,
-                format!("m{message}, a debit, is deferred though call {n} may have run"),
+                format!("m{message}, a debit, is deferred though call {} may have run", possible_run.attempt),
             );
         }
-        m.notice = Some(ending);
+        observed.notice = Some(ending);
         Ok(())
     }
 
     /// The process has ended: all calls in flight have lost their connections.
     pub fn crashed(&mut self) {
-        self.messages.iter_mut().flat_map(|m| &mut m.calls).for_each(|s| s.open = false);
+        for call in self.messages.iter_mut().flat_map(|message| &mut message.calls) {
+            call.open = false;
+        }
         self.waits.clear();
         self.incarnation += 1;
     }
@@ -261,8 +307,8 @@
     }
 
     /// When the end of a message is overdue.
-    pub fn overdue_at(&self, m: &ObservedMessage) -> Micros {
-        (m.deadline + ANSWER_GRACE + SLACK).max(self.grace_until)
+    pub fn overdue_at(&self, message: &ObservedMessage) -> Micros {
+        (message.deadline + ANSWER_GRACE + SLACK).max(self.grace_until)
     }
 
     /// Checks what must hold at every moment.
@@ -270,13 +316,13 @@
     /// # Errors
     /// The end of a message is overdue.
     pub fn check(&self, now: Micros) -> Result<(), Violation> {
-        for (n, m) in self.messages.iter().enumerate() {
-            if m.acceptance == Acceptance::Heard && !m.is_final() && now > self.overdue_at(m) {
-                let late = now.saturating_sub(m.deadline);
-                let class = CLASSES[m.class as usize];
+        for (index, message) in self.messages.iter().enumerate() {
+            if message.is_unanswered() && now > self.overdue_at(message) {
+                let late = now.saturating_sub(message.deadline);
+                let class = CLASSES[usize::from(message.class)];
                 return violated(
                     Property::FinalAnswer,
-                    format!("m{n}, a {class}, has no end {late} us after its time"),
+                    format!("m{index}, a {class}, has no end {late} us after its time"),
                 );
             }
         }
--- a/tools/explore/src/proof.rs
+++ b/tools/explore/src/proof.rs
@@ -111,7 +111,7 @@
     ),
 ];
 
-/// Small cases of every event, which hold to their ends.
+/// Small cases with every kind of fault, for which every property holds.
 pub const VERIFIED_CASES: &[&str] = &[
     "--messages 2 --at-once --no-edges --events refuse,timeout,drain",
     "--messages 1 --events refuse,timeout,drain,never,part,break",
@@ -132,7 +132,7 @@
     "--messages 2 --endpoints 2 --destinations 2 --slots 1 --events timeout,refuse --no-edges",
 ];
 
-/// Cases that are played with and without the reduction, and must come to the same verdict.
+/// Cases that are searched with and without the reduction, for the same verdict.
 pub const REDUCTION_CASES: &[&str] = &[
     "--messages 1 --events refuse,timeout,drain",
     "--messages 2 --endpoints 1 --events refuse --no-edges",
--- a/tools/explore/src/streams/event.rs
+++ b/tools/explore/src/streams/event.rs
@@ -5,7 +5,7 @@
 /// One event, and the body that it happens to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BodyEvent {
-    /// Index of the body; 0 for events of the whole world.
+    /// Index of the body; 0 for events that happen to no body.
     pub body: usize,
     /// What happens.
     pub event: StreamEvent,
--- a/tools/explore/src/streams/world.rs
+++ b/tools/explore/src/streams/world.rs
@@ -39,7 +39,7 @@
     /// Its number in the router, once it was submitted to this incarnation.
     pub(super) message: Option<MsgId>,
     pub(super) flow: Option<Flow>,
-    /// A call has begun to write it, or the time for that is over.
+    /// A call has begun to write it, or the time for that has passed.
     pub(super) begun: bool,
     /// Until when its driver writes nothing, as the destination asked for a wait.
     pub(super) paused_until: Option<Micros>,
--- a/tools/explore/src/world/actions.rs
+++ b/tools/explore/src/world/actions.rs
@@ -2,7 +2,7 @@
 
 use crate::action::{Action, Answer, CallRef, WriteExtent};
 use crate::case::{CLASSES, FaultKind, NOTICE};
-use crate::world::state::{ENDPOINTS_MAX, OutstandingCall, ProcessState, START, World, call_ref};
+use crate::world::state::{ENDPOINTS_MAX, ListEntry, OutstandingCall, ProcessState, START, World, call_ref};
 use quillmount_core::machine::attempt::{AttemptState, CLOSING_TIME};
 use quillmount_core::machine::notices::NoticeState;
 use quillmount_core::machine::watch::WatchState;
@@ -51,21 +51,20 @@
             return writes;
         }
         let mut open = OpenActions::default();
-        for out in self.calls.values() {
-            self.call_actions(out, &mut open);
+        for outstanding in self.calls.values() {
+            self.call_actions(outstanding, &mut open);
         }
         if self.hub.router.wake_at().is_some_and(|at| self.now >= at) {
             open.push_urgent(Action::Tick);
         }
-        self.notice_actions(&mut open.actions, &mut open.urgent);
+        self.notice_actions(&mut open);
         self.submission_actions(&mut open.actions);
         self.watch_actions(&mut open);
         self.discovery_actions(&mut open.actions);
         self.idle_connection_actions(&mut open.actions);
         self.disk_actions(&mut open.actions);
         self.process_actions(&mut open);
-        let awaits_submissions =
-            self.case.at_once && self.monitor.messages.len() < self.case.messages as usize;
+        let awaits_submissions = self.case.at_once && self.has_more_messages();
         if !open.urgent && !open.awaits_answer && !awaits_submissions {
             let next = self.next_time_point();
             open.actions.extend(next.map(|to| Action::AdvanceClock { to: to - START }));
@@ -79,6 +78,11 @@
         action == Action::NoticeTick && matches!(self.notices.state(), NoticeState::BackingOff { .. })
     }
 
+    /// Whether clients submit more messages.
+    fn has_more_messages(&self) -> bool {
+        self.monitor.messages.len() < usize::from(self.case.messages)
+    }
+
     fn actions_while_down(&self, until: Micros) -> Vec<Action> {
         let to = until - START;
         let mut actions = vec![if self.now >= until { Action::Start } else { Action::AdvanceClock { to } }];
@@ -89,8 +93,9 @@
     /// The writes of a call that has its connection, and has sent nothing. The driver writes at once: no other action
     /// comes in between.
     fn first_writes(&self) -> Option<Vec<Action>> {
-        let is_unwritten =
-            |out: &&OutstandingCall| matches!(out.call.state(), AttemptState::Writing { written: 0 });
+        let is_unwritten = |outstanding: &&OutstandingCall| {
+            matches!(outstanding.call.state(), AttemptState::Writing { written: 0 })
+        };
         let call_ref = call_ref(self.calls.values().find(is_unwritten)?);
         let mut writes = vec![Action::Write(call_ref, WriteExtent::Complete)];
         if self.allows(FaultKind::PartialWrite) {
@@ -103,30 +108,30 @@
     }
 
     /// What may happen to one call.
-    fn call_actions(&self, out: &OutstandingCall, open: &mut OpenActions) {
-        let (call_ref, state) = (call_ref(out), out.call.state());
-        if !matches!(state, AttemptState::Closing { .. }) && self.now >= out.deadline {
+    fn call_actions(&self, outstanding: &OutstandingCall, open: &mut OpenActions) {
+        let (call_ref, state) = (call_ref(outstanding), outstanding.call.state());
+        if !matches!(state, AttemptState::Closing { .. }) && self.now >= outstanding.deadline {
             open.push_urgent(Action::Deadline(call_ref));
         }
-        if out.call.attempt().wake_at().is_some_and(|at| self.now >= at) {
+        if outstanding.call.attempt().wake_at().is_some_and(|at| self.now >= at) {
             open.push_urgent(Action::CallTick(call_ref));
         }
         match state {
-            AttemptState::Connecting => self.connecting_actions(call_ref, out.dial_deadline, open),
+            AttemptState::Connecting => self.connecting_actions(call_ref, outstanding.dial_deadline, open),
             AttemptState::Writing { .. } => {
                 open.actions.push(Action::Write(call_ref, WriteExtent::Complete));
                 if self.allows(FaultKind::Break) {
                     open.actions.push(Action::Write(call_ref, WriteExtent::Broken));
                 }
             }
-            AttemptState::Awaiting | AttemptState::Closing { .. } if out.arrived.is_some() => {
+            AttemptState::Awaiting | AttemptState::Closing { .. } if outstanding.arrived.is_some() => {
                 open.push_urgent(Action::ReadAnswer(call_ref));
             }
-            AttemptState::Awaiting => self.answer_actions(call_ref, out.interim, open),
+            AttemptState::Awaiting => self.answer_actions(call_ref, outstanding.interim, open),
             AttemptState::Reading { .. } => open.actions.push(Action::EndpointClosed(call_ref)),
             // An answer may cross with the cancellation of its call; once the endpoint has seen that, it sends no more.
             AttemptState::Closing { until, .. }
-                if self.now + CLOSING_TIME == until && out.call.connection().is_some() =>
+                if self.now + CLOSING_TIME == until && outstanding.call.connection().is_some() =>
             {
                 self.arrival_actions(call_ref, &mut open.actions);
             }
@@ -158,101 +163,98 @@
         open.awaits_answer |= !self.allows(FaultKind::Timeout);
     }
 
-    /// Answers that may stand in the socket unread.
-    fn arrival_actions(&self, call_ref: CallRef, all: &mut Vec<Action>) {
-        if self.allows(FaultKind::Race) {
-            all.push(Action::AnswerArrived(call_ref, Answer::Ok));
-            all.extend(self.allows(FaultKind::Wait).then_some(Action::AnswerArrived(call_ref, Answer::Wait)));
+    /// Answers that may arrive and not be read at once.
+    fn arrival_actions(&self, call_ref: CallRef, actions: &mut Vec<Action>) {
+        if !self.allows(FaultKind::Race) {
+            return;
+        }
+        actions.push(Action::AnswerArrived(call_ref, Answer::Ok));
+        if self.allows(FaultKind::Wait) {
+            actions.push(Action::AnswerArrived(call_ref, Answer::Wait));
         }
     }
 
-    /// What may happen to notices; sets `urgent` where time can't go on before it has.
-    fn notice_actions(&self, all: &mut Vec<Action>, urgent: &mut bool) {
+    /// What may happen to notices.
+    fn notice_actions(&self, open: &mut OpenActions) {
         match self.notices.state() {
             NoticeState::Quiet => {
                 if !self.hub.router.notices(1).is_empty() {
-                    all.push(Action::SendNotices);
-                    *urgent = true;
-                }
-            }
-            NoticeState::Sent { until, .. } => {
-                all.push(Action::Confirmed);
-                // The platform accepts notices at once, and loses none twice in a row.
-                let may_lose = self.allows(FaultKind::Lose) && self.consecutive_losses == 0;
-                if may_lose {
-                    all.extend([
-                        Action::NoticesLost { received: true },
-                        Action::NoticesLost { received: false },
-                    ]);
-                    all.extend((self.now >= until).then_some(Action::NoticeTick));
+                    open.push_urgent(Action::SendNotices);
                 }
-                *urgent |= !may_lose || self.now >= until;
             }
+            NoticeState::Sent { until, .. } => self.confirmation_actions(self.now >= until, open),
             NoticeState::BackingOff { until } => {
                 if self.now >= until {
-                    all.push(Action::NoticeTick);
-                    *urgent = true;
+                    open.push_urgent(Action::NoticeTick);
                 }
             }
         }
         if self.allows(FaultKind::ConfirmedTwice) && !self.confirmed_notices.is_empty() {
-            all.push(Action::ConfirmedTwice);
+            open.actions.push(Action::ConfirmedTwice);
+        }
+    }
+
+    /// What may happen to notices in flight. The platform accepts notices at once, and loses none twice in a row.
+    fn confirmation_actions(&self, is_overdue: bool, open: &mut OpenActions) {
+        open.actions.push(Action::Confirmed);
+        let may_lose = self.allows(FaultKind::Lose) && self.consecutive_losses == 0;
+        if may_lose {
+            open.actions.push(Action::NoticesLost { received: true });
+            open.actions.push(Action::NoticesLost { received: false });
+            if is_overdue {
+                open.actions.push(Action::NoticeTick);
+            }
         }
+        open.urgent |= !may_lose || is_overdue;
     }
 
     /// Submissions of new messages and of repeated ones.
-    fn submission_actions(&self, all: &mut Vec<Action>) {
-        let submitted = self.monitor.messages.len();
-        let more = submitted < self.case.messages as usize;
-        if more {
+    fn submission_actions(&self, actions: &mut Vec<Action>) {
+        let has_more = self.has_more_messages();
+        if has_more {
             // Destinations that differ in name only are one: the next new one, or one that was used.
-            let used = self.monitor.messages.iter().map(|m| m.dest + 1).max().unwrap_or(0);
+            let used = self.monitor.messages.iter().map(|message| message.dest + 1).max().unwrap_or(0);
             for dest in 0..u64::from(self.case.destinations).min(used + 1) {
-                all.extend((0..CLASSES.len() as u8).map(|class| Action::Submit { class, dest }));
+                actions.extend((0..CLASSES.len() as u8).map(|class| Action::Submit { class, dest }));
             }
         }
-        for message in 0..submitted as u64 {
+        for (message, observed) in (0u64..).zip(&self.monitor.messages) {
             // After its deadline no client retries it.
-            let open = self.now < self.monitor.messages[message as usize].deadline;
-            all.extend((open && self.allows(FaultKind::Resubmit)).then_some(Action::Resubmit { message }));
-            let keyed = self.monitor.messages[message as usize].class == NOTICE;
-            all.extend(
-                (more && keyed && self.allows(FaultKind::SubmitSameKey))
-                    .then_some(Action::SubmitSameKey { message }),
-            );
+            if self.now < observed.deadline && self.allows(FaultKind::Resubmit) {
+                actions.push(Action::Resubmit { message });
+            }
+            if has_more && observed.class == NOTICE && self.allows(FaultKind::SubmitSameKey) {
+                actions.push(Action::SubmitSameKey { message });
+            }
         }
     }
 
     /// Changes of the endpoint list.
-    fn discovery_actions(&self, all: &mut Vec<Action>) {
-        for (n, line) in self.endpoint_list.iter().enumerate() {
-            let n8 = n as u8;
-            all.extend(
-                (line.state == EndpointState::Ready && self.allows(FaultKind::Drain))
-                    .then_some(Action::EndpointDraining(n8)),
-            );
-            all.extend(
-                (line.state != EndpointState::Gone && self.allows(FaultKind::Gone))
-                    .then_some(Action::EndpointGone(n8)),
-            );
-            all.extend(
-                (line.state != EndpointState::Ready && self.allows(FaultKind::Ready))
-                    .then_some(Action::EndpointReady(n8)),
-            );
-            let free = !self
-                .endpoint_list
-                .iter()
-                .enumerate()
-                .any(|(m, l)| m != n && l.port == line.port && l.state != EndpointState::Gone);
-            let has_capacity = self.endpoint_list.len() < ENDPOINTS_MAX;
-            let replace =
-                line.state == EndpointState::Gone && free && has_capacity && self.allows(FaultKind::Replace);
-            all.extend(replace.then_some(Action::EndpointReplaced(n8)));
+    fn discovery_actions(&self, actions: &mut Vec<Action>) {
+        for (index, entry) in (0u8..).zip(&self.endpoint_list) {
+            if entry.state == EndpointState::Ready && self.allows(FaultKind::Drain) {
+                actions.push(Action::EndpointDraining(index));
+            }
+            if entry.state != EndpointState::Gone && self.allows(FaultKind::Gone) {
+                actions.push(Action::EndpointGone(index));
+            }
+            if entry.state != EndpointState::Ready && self.allows(FaultKind::Ready) {
+                actions.push(Action::EndpointReady(index));
+            }
+            if self.is_replaceable(entry) && self.allows(FaultKind::Replace) {
+                actions.push(Action::EndpointReplaced(index));
+            }
+        }
+        if self.is_up() && self.is_following() && self.allows(FaultKind::FullList) {
+            actions.push(Action::FullList);
         }
-        all.extend(
-            (self.is_up() && self.is_following() && self.allows(FaultKind::FullList))
-                .then_some(Action::FullList),
-        );
+    }
+
+    /// Whether a new endpoint may appear at the address of this one: none is there, and the list has capacity.
+    fn is_replaceable(&self, entry: &ListEntry) -> bool {
+        let is_at_address =
+            |other: &ListEntry| other.port == entry.port && other.state != EndpointState::Gone;
+        !self.endpoint_list.iter().any(is_at_address) && self.endpoint_list.len() < ENDPOINTS_MAX
     }
 
     /// The end of the backoff of the watch on discovery, and its breaks.
--- a/tools/explore/src/world/calls.rs
+++ b/tools/explore/src/world/calls.rs
@@ -2,7 +2,7 @@
 
 use crate::action::{Answer, CallRef, WriteExtent};
 use crate::case::NOTICE;
-use crate::monitor::SLACK;
+use crate::monitor::{ObservedMessage, SLACK, Wait};
 use crate::property::{Property, Violation, violated};
 use crate::world::state::{OutstandingCall, World};
 use quillmount_core::call::{Call, StepOutcome};
@@ -19,12 +19,12 @@
 
 impl World {
     /// Carries out what the hub requests of its driver.
-    pub(super) fn execute(&mut self, todo: Vec<DriverAction<u32>>) -> Result<(), Violation> {
+    pub(super) fn execute(&mut self, actions: Vec<DriverAction<u32>>) -> Result<(), Violation> {
         if self.crashing {
             return Ok(());
         }
-        for one in todo {
-            match one {
+        for action in actions {
+            match action {
                 DriverAction::Begin(order) => self.begin_call(order)?,
                 DriverAction::Signal(id, input) => {
                     if self.calls.contains_key(&id) {
@@ -54,27 +54,27 @@
     }
 
     /// The driver writes as much of a request as the extent says.
-    pub(super) fn write(&mut self, call_ref: CallRef, how: WriteExtent) -> Result<(), Violation> {
+    pub(super) fn write(&mut self, call_ref: CallRef, extent: WriteExtent) -> Result<(), Violation> {
         let Some(id) = self.find(call_ref) else { return Ok(()) };
-        let out = &self.calls[&id];
-        let (message, endpoint) = (out.message, out.endpoint);
-        let request = delivery::encode(&out.call.order);
-        let AttemptState::Writing { written } = out.call.state() else { return Ok(()) };
-        if how == WriteExtent::Broken {
+        let outstanding = &self.calls[&id];
+        let (message, endpoint) = (outstanding.message, outstanding.endpoint);
+        let request = delivery::encode(&outstanding.call.order);
+        let AttemptState::Writing { written } = outstanding.call.state() else { return Ok(()) };
+        if extent == WriteExtent::Broken {
             return self.input(call_ref, AttemptInput::WriteFailed);
         }
-        if written == 0 && out.call.connection().is_some_and(|c| self.unusable.contains(c)) {
-            return violated(
-                Property::Unchanged,
-                format!("{call_ref} goes out behind an answer that broke off"),
-            );
-        }
         if written == 0 {
-            self.check_request(id, message, endpoint, &request)?;
+            if outstanding.call.connection().is_some_and(|connection| self.unusable.contains(connection)) {
+                return violated(
+                    Property::Unchanged,
+                    format!("{call_ref} goes out behind an answer that broke off"),
+                );
+            }
+            self.check_request(outstanding, &request)?;
             self.monitor.first_byte(&self.case, self.now, message, id.attempt, endpoint)?;
         }
         let left = request.len() - written;
-        let bytes = if how == WriteExtent::Partial { left / 2 } else { left };
+        let bytes = if extent == WriteExtent::Partial { left / 2 } else { left };
         if bytes == left {
             self.monitor.last_byte(&self.case, self.now, message, id.attempt)?;
         }
@@ -87,34 +87,39 @@
         self.read(call_ref)
     }
 
-    /// The endpoint has written its answer, which now stands in the courier's socket.
+    /// The endpoint has written its answer, which is now in the courier's socket.
     pub(super) fn answer_arrives(&mut self, call_ref: CallRef, answer: Answer) -> Result<(), Violation> {
-        let Some(out) = self.find(call_ref).and_then(|id| self.calls.get_mut(&id)) else { return Ok(()) };
-        let message = out.message;
-        out.arrived = Some(answer);
+        let Some(outstanding) = self.find_mut(call_ref) else { return Ok(()) };
+        let message = outstanding.message;
+        outstanding.arrived = Some(answer);
         if answer == Answer::Interim {
-            out.interim = true;
+            outstanding.interim = true;
         } else {
             self.monitor.call_ended(message, call_ref.attempt, answer.never_ran());
         }
-        let m = &mut self.monitor.messages[message];
+        let observed = &mut self.monitor.messages[message];
         // After the deadline only the endpoint counts it.
-        m.delivered |= answer.delivers() && self.now < m.deadline;
-        m.gone |= answer == Answer::Gone;
+        observed.delivered |= answer.delivers() && self.now < observed.deadline;
+        observed.gone |= answer == Answer::Gone;
         if answer == Answer::Wait {
-            let until = self.now + Answer::WAIT_MS * 1_000;
-            let wait = self.monitor.waits.entry(m.dest).or_insert((self.now, until));
+            let asked = Wait { since: self.now, until: self.now + Answer::WAIT_MS * 1_000 };
+            let wait = self.monitor.waits.entry(observed.dest).or_insert(asked);
             // A wait that is extended began with the first answer that asked for it.
-            *wait = if self.now < wait.1 { (wait.0, wait.1.max(until)) } else { (self.now, until) };
+            if self.now < wait.until {
+                wait.until = wait.until.max(asked.until);
+            } else {
+                *wait = asked;
+            }
         }
         Ok(())
     }
 
-    /// The courier reads the answer that stands in its socket.
+    /// The courier reads the answer in its socket.
     pub(super) fn read(&mut self, call_ref: CallRef) -> Result<(), Violation> {
-        let Some(out) = self.find(call_ref).and_then(|id| self.calls.get_mut(&id)) else { return Ok(()) };
-        let Some(answer) = out.arrived.take() else { return Ok(()) };
-        if let Some((connection, bytes)) = out.call.parts() {
+        let Some(id) = self.find(call_ref) else { return Ok(()) };
+        let Some(outstanding) = self.calls.get_mut(&id) else { return Ok(()) };
+        let Some(answer) = outstanding.arrived.take() else { return Ok(()) };
+        if let Some((connection, bytes)) = outstanding.call.parts() {
             if matches!(answer, Answer::CutOk | Answer::CutFull | Answer::Copy) {
                 self.unusable.insert(*connection);
             }
@@ -125,18 +130,20 @@
 
     /// The endpoint closes the first of its idle connections that it has not closed yet.
     pub(super) fn close_idle(&mut self, endpoint: u32) -> Result<(), Violation> {
-        let is_open = |of: u32, connection: &u32| of == endpoint && !self.closed.contains(connection);
-        let first = self.hub.pool.idle().find(|(of, connection, _)| is_open(*of, connection));
+        let mut idle = self.hub.pool.idle();
+        let first =
+            idle.find(|(owner, connection, _)| *owner == endpoint && !self.closed.contains(connection));
         self.closed.extend(first.map(|(_, connection, _)| *connection));
         Ok(())
     }
 
-    /// Forgets marks of connections that no longer exist.
+    /// Forgets what is noted about connections that no longer exist.
     pub(super) fn retain_live_connections(&mut self) {
-        let resting: BTreeSet<u32> = self.hub.pool.idle().map(|(_, c, _)| *c).collect();
-        self.closed.retain(|c| resting.contains(c));
-        self.unusable
-            .retain(|c| resting.contains(c) || self.calls.values().any(|o| o.call.connection() == Some(c)));
+        let idle: BTreeSet<u32> = self.hub.pool.idle().map(|(_, connection, _)| *connection).collect();
+        let in_calls: BTreeSet<u32> =
+            self.calls.values().filter_map(|outstanding| outstanding.call.connection().copied()).collect();
+        self.closed.retain(|connection| idle.contains(connection));
+        self.unusable.retain(|connection| idle.contains(connection) || in_calls.contains(connection));
     }
 
     /// Begins a call: on an idle connection, or with a new one.
@@ -182,55 +189,68 @@
         id: CallId,
         step: impl FnOnce(&mut Call<u32>, &mut Pool<u32>, Micros) -> StepOutcome<u32>,
     ) -> Result<(), Violation> {
-        let Some(out) = self.calls.get_mut(&id) else { return Ok(()) };
-        let result = step(&mut out.call, &mut self.hub.pool, self.now);
-        let message = out.message;
-        let gone = out.call.connection().is_none() && out.call.state() != AttemptState::Connecting;
-        if gone || result.finish {
+        let Some(outstanding) = self.calls.get_mut(&id) else { return Ok(()) };
+        let outcome = step(&mut outstanding.call, &mut self.hub.pool, self.now);
+        let message = outstanding.message;
+        let is_connecting = outstanding.call.state() == AttemptState::Connecting;
+        let is_disconnected = outstanding.call.connection().is_none() && !is_connecting;
+        if is_disconnected || outcome.finish {
             // Its connection is closed, or idle, or sends nothing more: for its endpoint the call has ended.
             self.monitor.call_ended(message, id.attempt, false);
         }
-        if let Some(end) = result.end {
-            self.calls.remove(&id);
-            let todo = self.hub.call_ended(id, end, self.now);
-            // A delivery close to the message's deadline may count or not: then the platform is notified as well.
-            let in_time = self.now.saturating_add(SLACK) < self.monitor.messages[message].deadline;
-            if (end == CallEnd::Gone || end == CallEnd::Delivered && in_time) && !self.crashing {
-                self.monitor.messages[message].settled = true;
-            }
-            self.execute(todo)?;
+        match outcome.end {
+            Some(end) => self.finish_call(id, message, end),
+            None => Ok(()),
         }
-        Ok(())
+    }
+
+    /// A call has ended: the hub decides what follows.
+    fn finish_call(&mut self, id: CallId, message: usize, end: CallEnd) -> Result<(), Violation> {
+        self.calls.remove(&id);
+        let actions = self.hub.call_ended(id, end, self.now);
+        let observed = &mut self.monitor.messages[message];
+        // A delivery close to the message's deadline may count or not: then the platform is notified as well.
+        let in_time = self.now.saturating_add(SLACK) < observed.deadline;
+        if (end == CallEnd::Gone || end == CallEnd::Delivered && in_time) && !self.crashing {
+            observed.settled = true;
+        }
+        self.execute(actions)
     }
 
     /// Checks that the request carries what was submitted, and goes to an endpoint of its destination.
-    fn check_request(
-        &self,
-        id: CallId,
-        message: usize,
-        endpoint: u8,
-        request: &[u8],
-    ) -> Result<(), Violation> {
+    fn check_request(&self, outstanding: &OutstandingCall, request: &[u8]) -> Result<(), Violation> {
+        let (message, endpoint) = (outstanding.message, outstanding.endpoint);
         let text = String::from_utf8_lossy(request);
-        let m = &self.monitor.messages[message];
-        let line = &self.endpoint_list[endpoint as usize];
-        let key = (m.class == NOTICE).then(|| format!("\r\nIdempotency-Key: k{}\r\n", m.key));
-        let wanted = [format!("\r\nX-Correlation-Id: m{message}\r\n"), format!("\r\n\r\nbody of m{message}")];
-        let same = text.starts_with("POST /events HTTP/1.1\r\n")
-            && wanted.iter().all(|part| text.contains(part.as_str()))
-            && key.as_ref().map_or(!text.contains("Idempotency-Key"), |key| text.contains(key.as_str()));
-        let there = self.calls[&id].call.order.addr.port() == line.port && line.dest == m.dest;
+        let observed = &self.monitor.messages[message];
+        if !carries_message(&text, message, observed) {
+            return violated(Property::Unchanged, format!("m{message} goes out as {text:?}"));
+        }
+        let entry = &self.endpoint_list[usize::from(endpoint)];
+        let port = outstanding.call.order.addr.port();
+        if port != entry.port || entry.dest != observed.dest {
+            return violated(Property::Unchanged, format!("m{message} goes to provider {endpoint}"));
+        }
         // Once the end of a message is chosen nothing of it may be sent.
-        let name = format!("m{message}");
-        let owed = self.hub.router.owed().find(|(id, ..)| *id == name);
-        match (same, there, owed) {
-            (false, ..) => violated(Property::Unchanged, format!("m{message} goes out as {text:?}")),
-            (_, false, _) => violated(Property::Unchanged, format!("m{message} goes to provider {endpoint}")),
-            (.., None) => violated(Property::FinalAnswer, format!("m{message} is sent after its end")),
-            (.., Some((.., Some(end)))) => {
+        let id = format!("m{message}");
+        match self.hub.router.owed().find(|(owed, ..)| *owed == id) {
+            None => violated(Property::FinalAnswer, format!("m{message} is sent after its end")),
+            Some((.., Some(end))) => {
                 violated(Property::FinalAnswer, format!("m{message} is sent after it has ended as {end:?}"))
             }
-            _ => Ok(()),
+            Some((.., None)) => Ok(()),
         }
     }
 }
+
+/// Whether a request has the id, the key and the body of the message.
+fn carries_message(request: &str, message: usize, observed: &ObservedMessage) -> bool {
+    let has_key = if observed.class == NOTICE {
+        request.contains(&format!("\r\nIdempotency-Key: k{}\r\n", observed.key))
+    } else {
+        !request.contains("Idempotency-Key")
+    };
+    has_key
+        && request.starts_with("POST /events HTTP/1.1\r\n")
+        && request.contains(&format!("\r\nX-Correlation-Id: m{message}\r\n"))
+        && request.contains(&format!("\r\n\r\nbody of m{message}"))
+}
--- a/tools/explore/src/world/story.rs
+++ b/tools/explore/src/world/description.rs
@@ -1,4 +1,4 @@
-//! A state as text, for the story of a path.
+//! A state as text, for the trace of a path.
 
 use crate::case::CLASSES;
 use crate::monitor::{ObservedCall, ObservedMessage};
@@ -6,20 +6,21 @@
 use quillmount_policy::Micros;
 
 impl World {
-    /// The state in a few lines, for the story of a path.
+    /// The state in a few lines, for the trace of a path.
     pub fn describe(&self) -> Vec<String> {
-        let messages = self.monitor.messages.iter().enumerate();
-        let mut lines: Vec<String> = messages.map(|(n, message)| describe_message(n, message)).collect();
-        lines.extend(
-            self.calls.values().map(|out| {
-                format!("{}: {:?}, to provider {}", call_ref(out), out.call.state(), out.endpoint)
-            }),
-        );
+        let mut lines = Vec::new();
+        for (index, message) in self.monitor.messages.iter().enumerate() {
+            lines.push(describe_message(index, message));
+        }
+        for outstanding in self.calls.values() {
+            let (state, endpoint) = (outstanding.call.state(), outstanding.endpoint);
+            lines.push(format!("{}: {state:?}, to provider {endpoint}", call_ref(outstanding)));
+        }
         lines
     }
 }
 
-fn describe_message(n: usize, message: &ObservedMessage) -> String {
+fn describe_message(index: usize, message: &ObservedMessage) -> String {
     let sent: Vec<String> = message.calls.iter().map(describe_call).collect();
     let end = match (message.delivered, message.gone, message.notice) {
         (true, ..) => "delivered".to_string(),
@@ -28,8 +29,8 @@
         _ => "open".to_string(),
     };
     format!(
-        "m{n}: {}, {:?}, until {}; {}; {end}",
-        CLASSES[message.class as usize],
+        "m{index}: {}, {:?}, until {}; {}; {end}",
+        CLASSES[usize::from(message.class)],
         message.acceptance,
         seconds(message.deadline),
         if sent.is_empty() { "not sent".into() } else { sent.join("; ") }
--- a/tools/explore/src/world/discovery.rs
+++ b/tools/explore/src/world/discovery.rs
@@ -9,36 +9,37 @@
 
 impl World {
     /// Changes the state of an endpoint on the list.
-    pub(super) fn change(&mut self, n: u8, state: EndpointState) -> Result<(), Violation> {
+    pub(super) fn change_endpoint(&mut self, index: u8, state: EndpointState) -> Result<(), Violation> {
         self.list_version += 1;
-        let line = &mut self.endpoint_list[n as usize];
-        (line.state, line.version) = (state, self.list_version);
+        let entry = &mut self.endpoint_list[usize::from(index)];
+        entry.state = state;
+        entry.version = self.list_version;
         if self.is_up() && self.is_following() { self.send_list(false) } else { Ok(()) }
     }
 
     /// A new endpoint, under a new id, appears at the address of one that is gone.
-    pub(super) fn replace_endpoint(&mut self, n: u8) -> Result<(), Violation> {
-        let ListEntry { port, dest, .. } = self.endpoint_list[n as usize];
+    pub(super) fn replace_endpoint(&mut self, index: u8) -> Result<(), Violation> {
+        let ListEntry { port, dest, .. } = self.endpoint_list[usize::from(index)];
         self.endpoint_list.push(ListEntry { port, dest, state: EndpointState::Ready, version: 0 });
-        self.change(self.endpoint_list.len() as u8 - 1, EndpointState::Ready)
+        self.change_endpoint(self.endpoint_list.len() as u8 - 1, EndpointState::Ready)
     }
 
     /// Discovery sends the changes since the version that the courier has, or the full list.
     pub(super) fn send_list(&mut self, full: bool) -> Result<(), Violation> {
         let known_version = self.hub.router.version();
-        let included = |line: &ListEntry| {
-            if full { line.state != EndpointState::Gone } else { line.version > known_version }
+        let included = |entry: &ListEntry| {
+            if full { entry.state != EndpointState::Gone } else { entry.version > known_version }
         };
         let list = EndpointList { full, ..list_update(&self.endpoint_list, self.list_version, included) };
-        for (n, line) in self.endpoint_list.iter().enumerate() {
-            if line.state == EndpointState::Ready {
-                self.monitor.drains.remove(&(n as u8));
+        for (index, entry) in (0u8..).zip(&self.endpoint_list) {
+            if entry.state == EndpointState::Ready {
+                self.monitor.drains.remove(&index);
             } else {
-                self.monitor.drains.entry(n as u8).or_insert(self.now);
+                self.monitor.drains.entry(index).or_insert(self.now);
             }
         }
-        let todo = self.hub.list(list, self.now);
-        self.execute(todo)
+        let actions = self.hub.list(list, self.now);
+        self.execute(actions)
     }
 
     /// The watch on discovery breaks.
@@ -62,8 +63,8 @@
     included: impl Fn(&ListEntry) -> bool,
 ) -> EndpointList {
     let included = entries.iter().enumerate().filter(|(_, entry)| included(entry));
-    let endpoints = included.map(|(n, entry)| EndpointListing {
-        id: format!("p{n}"),
+    let endpoints = included.map(|(index, entry)| EndpointListing {
+        id: format!("p{index}"),
         addr: Some(SocketAddr::from(([127, 0, 0, 1], entry.port))),
         dest: entry.dest,
         kind: "bank".into(),
--- a/tools/explore/src/world/hash.rs
+++ b/tools/explore/src/world/hash.rs
@@ -37,8 +37,8 @@
     /// The endpoint list, and which of its entries the courier has not received.
     fn hash_list(&self, hasher: &mut Fingerprint) {
         let known_version = self.hub.router.version();
-        for line in &self.endpoint_list {
-            hasher.hash(&(line.port, line.dest, line.state as u8, line.version > known_version));
+        for entry in &self.endpoint_list {
+            hasher.hash(&(entry.port, entry.dest, entry.state as u8, entry.version > known_version));
         }
     }
 
@@ -46,11 +46,8 @@
     fn hash_notices(&self, hasher: &mut Fingerprint) {
         hasher.hash(&(self.notices.state().kind(), self.notices.most(), self.sent_notices.len()));
         hasher.visit_time(self.notices.wake_at().unwrap_or(0));
-        for n in &self.sent_notices {
-            hasher.hash(&(&n.id, n.ending));
-        }
-        for n in &self.confirmed_notices {
-            hasher.hash(&(&n.id, n.ending));
+        for notice in self.sent_notices.iter().chain(&self.confirmed_notices) {
+            hasher.hash(&(&notice.id, notice.ending));
         }
     }
 
@@ -63,69 +60,68 @@
 
     /// Calls in flight.
     fn hash_calls(&self, hasher: &mut Fingerprint) {
-        for (id, out) in &self.calls {
-            hasher.hash(&(
-                id,
-                out.message,
-                out.endpoint,
-                out.interim,
-                out.arrived,
-                out.call.attempt().answer(),
-            ));
-            hash_attempt_state(out, hasher);
-            hasher.visit_time(out.deadline);
+        for (id, outstanding) in &self.calls {
+            let answer = outstanding.call.attempt().answer();
+            hasher.hash(&(id, outstanding.message, outstanding.endpoint));
+            hasher.hash(&(outstanding.interim, outstanding.arrived, answer));
+            hash_attempt_state(outstanding, hasher);
+            hasher.visit_time(outstanding.deadline);
         }
     }
 
     /// Gates and idle connections.
     fn hash_pool(&self, hasher: &mut Fingerprint) {
-        for (n, open, paused_until) in self.hub.pool.gates() {
-            hasher.hash(&(n, open));
-            hasher.visit_time(paused_until.max(self.now));
+        for (endpoint, open, backoff_until) in self.hub.pool.gates() {
+            hasher.hash(&(endpoint, open));
+            hasher.visit_time(backoff_until.max(self.now));
         }
-        for (n, c, since) in self.hub.pool.idle() {
-            hasher.hash(&(n, self.closed.contains(c), self.unusable.contains(c)));
+        for (endpoint, connection, since) in self.hub.pool.idle() {
+            let (closed, unusable) = (self.closed.contains(connection), self.unusable.contains(connection));
+            hasher.hash(&(endpoint, closed, unusable));
             hasher.visit_time(since);
         }
     }
 
     /// What a restart would read, where there may be one.
     fn hash_journal(&self, hasher: &mut Fingerprint) {
-        if self.case.incarnations > 1 {
-            for (n, entry) in &self.journal_contents().owed {
-                hasher.hash(&(n, &entry.taken.id, entry.calls.len()));
-                for call in &entry.calls {
-                    hasher.visit_time(call.sent);
-                    hasher.hash(&call.never_ran);
-                }
-                hasher.hash(&entry.end.map(|e| format!("{e:?}")));
+        if self.case.incarnations <= 1 {
+            return;
+        }
+        for (number, entry) in &self.journal_contents().owed {
+            hasher.hash(&(number, &entry.taken.id, entry.calls.len()));
+            for call in &entry.calls {
+                hasher.visit_time(call.sent);
+                hasher.hash(&call.never_ran);
             }
+            hasher.hash(&entry.end.map(|end| format!("{end:?}")));
         }
     }
 
     /// Messages as the monitor sees them.
     fn hash_messages(&self, hasher: &mut Fingerprint) {
-        for m in &self.monitor.messages {
-            hasher.hash(&(m.class, m.dest, m.key, m.acceptance, m.notice, m.delivered, m.gone, m.settled));
-            hasher.visit_time(m.deadline);
-            for s in &m.calls {
-                hasher.hash(&(s.incarnation, s.attempt, s.never_ran, s.open, s.last.is_some()));
-                hasher.visit_time(s.first);
+        for message in &self.monitor.messages {
+            hasher.hash(&(message.class, message.dest, message.key, message.acceptance));
+            hasher.hash(&(message.notice, message.delivered, message.gone, message.settled));
+            hasher.visit_time(message.deadline);
+            for call in &message.calls {
+                hasher.hash(&(call.incarnation, call.attempt, call.never_ran, call.open));
+                hasher.hash(&call.last.is_some());
+                hasher.visit_time(call.first);
             }
         }
     }
 
     /// Drains, waits and the grace period that the monitor checks against.
     fn hash_limits(&self, hasher: &mut Fingerprint) {
-        for (n, announced_at) in &self.monitor.drains {
-            hasher.hash(n);
+        for (endpoint, announced_at) in &self.monitor.drains {
+            hasher.hash(endpoint);
             // All drains past their grace period are alike.
             hasher.visit_time((*announced_at).max(self.now.saturating_sub(DRAIN_GRACE + 1)));
         }
-        for (dest, (from, until)) in self.monitor.waits.iter().filter(|(_, (_, until))| *until > self.now) {
+        for (dest, wait) in self.monitor.waits.iter().filter(|(_, wait)| wait.until > self.now) {
             hasher.hash(dest);
-            hasher.visit_time(*from);
-            hasher.visit_time(*until);
+            hasher.visit_time(wait.since);
+            hasher.visit_time(wait.until);
         }
         hasher.visit_time(if self.monitor.grace_until > self.now { self.monitor.grace_until } else { 0 });
     }
@@ -141,8 +137,8 @@
 }
 
 /// Hashes the state of an attempt, with the times that still matter in it.
-fn hash_attempt_state(out: &OutstandingCall, hasher: &mut Fingerprint) {
-    match out.call.state() {
+fn hash_attempt_state(outstanding: &OutstandingCall, hasher: &mut Fingerprint) {
+    match outstanding.call.state() {
         AttemptState::Reading { by } => hasher.visit_time(by),
         AttemptState::Closing { end, until } => {
             hasher.hash(&end);
@@ -151,7 +147,7 @@
         AttemptState::Writing { written } => hasher.hash(&(1u8, written)),
         AttemptState::Connecting => {
             hasher.visit_u64(2);
-            hasher.visit_time(out.dial_deadline);
+            hasher.visit_time(outstanding.dial_deadline);
         }
         AttemptState::New => hasher.visit_u64(3),
         AttemptState::Awaiting => hasher.visit_u64(4),
--- a/tools/explore/src/world/invariants.rs
+++ b/tools/explore/src/world/invariants.rs
@@ -1,8 +1,8 @@
 //! Properties of the courier's own tables, beside those that the monitor sees from outside.
 
-use crate::monitor::Acceptance;
 use crate::property::{Property, Violation, violated};
 use crate::world::state::World;
+use quillmount_core::call::Call;
 use quillmount_core::machine::attempt::AttemptState;
 
 impl World {
@@ -16,11 +16,7 @@
             return violated(Property::Unchanged, format!("{pending} messages are held"));
         }
         let (calls, _) = self.hub.pool.load();
-        let counted = self
-            .calls
-            .values()
-            .filter(|o| o.call.connection().is_some() || o.call.state() == AttemptState::Connecting)
-            .count();
+        let counted = self.calls.values().filter(|outstanding| uses_connection(&outstanding.call)).count();
         if calls != counted {
             return violated(Property::Unchanged, format!("the pool counts {calls} calls of {counted}"));
         }
@@ -32,19 +28,26 @@
     /// # Errors
     /// Something is left.
     pub fn check_quiescent(&self) -> Result<(), Violation> {
-        let (owed, out) = self.hub.router.load();
-        let open =
-            self.monitor.messages.iter().position(|m| m.acceptance == Acceptance::Heard && !m.is_final());
-        if let Some(n) = open {
-            return violated(Property::Liveness, format!("m{n} has no end, and nothing can happen any more"));
+        let unanswered = self.monitor.messages.iter().position(|message| message.is_unanswered());
+        if let Some(index) = unanswered {
+            return violated(
+                Property::Liveness,
+                format!("m{index} has no end, and nothing can happen any more"),
+            );
         }
+        let (owed, outstanding) = self.hub.router.load();
         let (calls, _) = self.hub.pool.load();
-        let left = [("owed", owed), ("calls", out), ("attempts", self.calls.len()), ("pool", calls)];
-        match left.into_iter().find(|(_, n)| *n > 0) {
-            Some((what, n)) => {
-                violated(Property::Liveness, format!("{n} left in the table of {what} at rest"))
+        let left = [("owed", owed), ("calls", outstanding), ("attempts", self.calls.len()), ("pool", calls)];
+        match left.into_iter().find(|(_, count)| *count > 0) {
+            Some((table, count)) => {
+                violated(Property::Liveness, format!("{count} left in the table of {table} at rest"))
             }
             None => Ok(()),
         }
     }
 }
+
+/// Whether a call has a connection, or connects.
+fn uses_connection(call: &Call<u32>) -> bool {
+    call.connection().is_some() || call.state() == AttemptState::Connecting
+}
--- a/tools/explore/src/world/notices.rs
+++ b/tools/explore/src/world/notices.rs
@@ -12,10 +12,8 @@
         let wanted = NoticeInput::Wanted(notices.len());
         if let NoticeOutput::Send(_) = self.notices.step(wanted, self.now) {
             for notice in &notices {
-                let settled = message_index(&notice.id)
-                    .and_then(|n| self.monitor.messages.get(n))
-                    .is_some_and(|m| m.settled);
-                if settled {
+                let message = message_index(&notice.id).and_then(|index| self.monitor.messages.get(index));
+                if message.is_some_and(|message| message.settled) {
                     return violated(
                         Property::FinalAnswer,
                         format!("{} was over, and is ended again", notice.id),
@@ -33,8 +31,8 @@
         self.consecutive_losses = 0;
         if self.notices.step(NoticeInput::Confirmed, self.now) == NoticeOutput::Confirmed {
             self.confirmed_notices = std::mem::take(&mut self.sent_notices);
-            let todo = self.hub.notices_confirmed(&self.confirmed_notices, self.now);
-            self.execute(todo)?;
+            let actions = self.hub.notices_confirmed(&self.confirmed_notices, self.now);
+            self.execute(actions)?;
         }
         Ok(())
     }
@@ -48,8 +46,8 @@
         let output = self.notices.step(NoticeInput::Lost, self.now);
         let notices = std::mem::take(&mut self.sent_notices);
         if output == NoticeOutput::Discard {
-            let todo = self.hub.notices_confirmed(&notices, self.now);
-            self.execute(todo)?;
+            let actions = self.hub.notices_confirmed(&notices, self.now);
+            self.execute(actions)?;
         }
         Ok(())
     }
@@ -67,15 +65,15 @@
     /// The last confirmation arrives a second time.
     pub(super) fn confirm_notices_twice(&mut self) -> Result<(), Violation> {
         let twice = std::mem::take(&mut self.confirmed_notices);
-        let todo = self.hub.notices_confirmed(&twice, self.now);
-        self.execute(todo)
+        let actions = self.hub.notices_confirmed(&twice, self.now);
+        self.execute(actions)
     }
 
     /// The platform receives the notices in flight.
     fn platform_receives(&mut self) -> Result<(), Violation> {
         for Notice { id, ending, .. } in &self.sent_notices {
-            match message_index(id).filter(|n| *n < self.monitor.messages.len()) {
-                Some(n) => self.monitor.notice(n, *ending)?,
+            match message_index(id).filter(|index| *index < self.monitor.messages.len()) {
+                Some(index) => self.monitor.notice(index, *ending)?,
                 None => return violated(Property::FinalAnswer, format!("a notice for {id:?}")),
             }
         }
--- a/tools/explore/src/world/process.rs
+++ b/tools/explore/src/world/process.rs
@@ -75,8 +75,8 @@
             monitor: Monitor::default(),
         };
         world.watch.step(WatchInput::Answered, START);
-        let todo = world.hub.list(known, START);
-        world.execute(todo)?;
+        let actions = world.hub.list(known, START);
+        world.execute(actions)?;
         Ok(world)
     }
 
@@ -85,8 +85,8 @@
         self.process = ProcessState::Stopping { end: self.now + PROCESS_STOP };
         // No notice is overdue until the next incarnation is ready.
         self.monitor.grace_until = Micros::MAX / 2;
-        let todo = self.hub.stop(self.now, self.now + CALLS_STOP);
-        self.execute(todo)
+        let actions = self.hub.stop(self.now, self.now + CALLS_STOP);
+        self.execute(actions)
     }
 
     /// Ends the process: its memory is lost, what it had written stays.
@@ -101,7 +101,7 @@
         self.consecutive_losses = 0;
         self.notices = Notices::default();
         let until = self.now + RESTART_DELAY;
-        // A killed process may have left a planned stop unfinished; it starts again all the same.
+        // A process that was killed during its graceful shutdown restarts too.
         self.process = ProcessState::Down { until };
         let bytes = self.hub.router.journal().store().bytes().to_vec();
         *self.hub.router.journal_mut().store_mut() = Memory::of(bytes);
@@ -120,7 +120,7 @@
         let store = self.hub.router.journal().store().clone();
         // The configuration knows the list as the last incarnation of the courier had received it.
         let known_version = self.hub.router.version();
-        let known = list_update(&self.endpoint_list, known_version, |line| line.version <= known_version);
+        let known = list_update(&self.endpoint_list, known_version, |entry| entry.version <= known_version);
         let before = self.journal_contents();
         let opened = match courier::open(&self.case, None, known, store, self.now) {
             Ok(opened) => opened,
@@ -148,8 +148,8 @@
         self.monitor.ready(self.now);
         self.watch = Watch::new(self.now);
         self.watch.step(WatchInput::Answered, self.now);
-        let todo = self.hub.carry_out(opened.actions, self.now);
-        self.execute(todo)?;
+        let actions = self.hub.carry_out(opened.actions, self.now);
+        self.execute(actions)?;
         self.send_list(false)
     }
 }
--- a/tools/explore/src/world/state.rs
+++ b/tools/explore/src/world/state.rs
@@ -57,7 +57,7 @@
     pub(super) dial_deadline: Micros,
     /// An interim answer has arrived.
     pub(super) interim: bool,
-    /// The answer that stands in the socket, not read yet.
+    /// The answer in the socket, not read yet.
     pub(super) arrived: Option<Answer>,
 }
 
@@ -120,7 +120,7 @@
 
     /// The endpoint of a call that is in flight.
     pub fn endpoint_of(&self, call_ref: CallRef) -> Option<u8> {
-        self.find(call_ref).and_then(|id| self.calls.get(&id)).map(|out| out.endpoint)
+        self.find(call_ref).and_then(|id| self.calls.get(&id)).map(|outstanding| outstanding.endpoint)
     }
 
     /// The endpoints on the list that are not gone.
@@ -186,6 +186,12 @@
         self.calls.iter().find(is_named).map(|(id, _)| *id)
     }
 
+    /// The call in flight that this reference names.
+    pub(super) fn find_mut(&mut self, call_ref: CallRef) -> Option<&mut OutstandingCall> {
+        let id = self.find(call_ref)?;
+        self.calls.get_mut(&id)
+    }
+
     /// What a restart would read from the store now.
     pub(super) fn journal_contents(&self) -> JournalContents {
         JournalContents::read(self.hub.router.journal().store().bytes()).0
--- a/tools/explore/src/world/submission.rs
+++ b/tools/explore/src/world/submission.rs
@@ -11,60 +11,49 @@
     /// A client submits a new message.
     pub(super) fn submit(&mut self, class: u8, dest: u64, key: u64) -> Result<(), Violation> {
         let message = self.monitor.messages.len();
-        let deadline = self.now + self.case.time_left();
-        let acceptance = Acceptance::No;
-        let fresh = ObservedMessage {
+        self.monitor.messages.push(ObservedMessage {
             class,
             dest,
             key,
-            deadline,
-            acceptance,
+            deadline: self.now + self.case.time_left(),
+            acceptance: Acceptance::No,
             calls: Vec::new(),
             notice: None,
             delivered: false,
             gone: false,
             settled: false,
-        };
-        self.monitor.messages.push(fresh);
-        let next = self.hub.router.next_number();
-        self.messages_by_number.insert(next, message);
-        let (intake, todo) = self.hub.submit(self.submission(message), self.now);
+        });
+        self.messages_by_number.insert(self.hub.router.next_number(), message);
+        let (intake, actions) = self.hub.submit(self.submission(message), self.now);
         let is_stored = self.is_stored(message);
-        let m = &mut self.monitor.messages[message];
-        m.acceptance = match intake {
-            // Whatever the answer would have been, nobody heard it.
+        let acceptance = match intake {
+            // Whatever the answer would have been, the client did not receive it.
             _ if self.crashing && is_stored => Acceptance::Unheard,
             Intake::Accepted if !self.crashing => Acceptance::Heard,
             _ => Acceptance::No,
         };
-        if m.acceptance == Acceptance::Heard && !is_stored {
+        self.monitor.messages[message].acceptance = acceptance;
+        if acceptance == Acceptance::Heard && !is_stored {
             return violated(
                 Property::Durability,
                 format!("m{message} is answered 202 and is not in the store"),
             );
         }
-        self.execute(todo)
+        self.execute(actions)
     }
 
     /// Submits the same id again, which must not be accepted twice.
     pub(super) fn resubmit(&mut self, message: usize) -> Result<(), Violation> {
-        let next = self.hub.router.next_number();
-        let (intake, todo) = self.hub.submit(self.submission(message), self.now);
-        let m = &self.monitor.messages[message];
-        let known = m.acceptance != Acceptance::No && self.now < m.deadline;
+        let number = self.hub.router.next_number();
+        let (intake, actions) = self.hub.submit(self.submission(message), self.now);
+        let observed = &self.monitor.messages[message];
+        let is_known = observed.acceptance != Acceptance::No && self.now < observed.deadline;
         if intake == Intake::Accepted {
-            if known {
+            if is_known {
                 return violated(Property::FinalAnswer, format!("m{message} is taken on twice"));
             }
-            self.messages_by_number.insert(next, message);
-            let (deadline, is_stored) = (self.now + self.case.time_left(), self.is_stored(message));
-            let m = &mut self.monitor.messages[message];
-            m.acceptance = if self.crashing {
-                if is_stored { Acceptance::Unheard } else { Acceptance::No }
-            } else {
-                Acceptance::Heard
-            };
-            m.deadline = deadline.min(m.deadline.max(self.now));
+            self.messages_by_number.insert(number, message);
+            self.accept_resubmission(message);
         }
         if intake == Intake::Delivered && !is_delivered(&self.monitor, message) {
             return violated(
@@ -72,32 +61,45 @@
                 format!("m{message} is told to be delivered, and is not"),
             );
         }
-        self.execute(todo)
+        self.execute(actions)
+    }
+
+    /// The courier has accepted a message that it did not know any more.
+    fn accept_resubmission(&mut self, message: usize) {
+        let acceptance = match (self.crashing, self.is_stored(message)) {
+            (false, _) => Acceptance::Heard,
+            (true, true) => Acceptance::Unheard,
+            (true, false) => Acceptance::No,
+        };
+        let deadline = self.now + self.case.time_left();
+        let observed = &mut self.monitor.messages[message];
+        observed.acceptance = acceptance;
+        observed.deadline = deadline.min(observed.deadline.max(self.now));
     }
 
     /// The submission of a message, with the time that it has left now.
     fn submission(&self, message: usize) -> Submission {
-        let m = &self.monitor.messages[message];
+        let observed = &self.monitor.messages[message];
         Submission {
             id: format!("m{message}"),
-            class: CLASSES[m.class as usize].into(),
-            key: (m.class == NOTICE).then(|| format!("k{}", m.key)),
-            dest: m.dest,
+            class: CLASSES[usize::from(observed.class)].into(),
+            key: (observed.class == NOTICE).then(|| format!("k{}", observed.key)),
+            dest: observed.dest,
             tenant: None,
-            time_left: m.deadline.saturating_sub(self.now),
+            time_left: observed.deadline.saturating_sub(self.now),
             body: format!("body of m{message}").into_bytes().into(),
         }
     }
 
     /// Whether the store has the message, and not its end.
     pub(super) fn is_stored(&self, message: usize) -> bool {
-        let name = format!("m{message}");
-        self.journal_contents().owed.values().any(|entry| entry.taken.id == name)
+        let id = format!("m{message}");
+        self.journal_contents().owed.values().any(|entry| entry.taken.id == id)
     }
 }
 
 /// Whether an endpoint has answered that the message is delivered, or that it is gone.
 fn is_delivered(monitor: &Monitor, message: usize) -> bool {
-    let m = &monitor.messages[message];
-    m.delivered || m.gone
+    let observed = &monitor.messages[message];
+    observed.delivered || observed.gone
 }
--- a/tools/explore/src/world/time.rs
+++ b/tools/explore/src/world/time.rs
@@ -7,7 +7,7 @@
 use quillmount_core::machine::watch::WatchState;
 use quillmount_policy::Micros;
 
-/// Moments later than this after the beginning stand for "never".
+/// Moments later than this after the beginning stand for "never"; in microseconds.
 const TIME_SPAN: Micros = 1 << 40;
 
 impl World {
@@ -32,15 +32,18 @@
         if let ProcessState::Stopping { end } = self.process {
             points.push(end);
         }
-        for out in self.calls.values() {
-            points.extend(out.call.attempt().wake_at());
-            if !matches!(out.call.state(), AttemptState::Closing { .. }) {
-                points.push(out.deadline);
+        for outstanding in self.calls.values() {
+            points.extend(outstanding.call.attempt().wake_at());
+            if !matches!(outstanding.call.state(), AttemptState::Closing { .. }) {
+                points.push(outstanding.deadline);
             }
-            if out.call.state() == AttemptState::Connecting {
-                points.push(out.dial_deadline);
+            if outstanding.call.state() == AttemptState::Connecting {
+                points.push(outstanding.dial_deadline);
                 points.extend(
-                    self.monitor.drains.get(&out.endpoint).map(|announced_at| announced_at + DRAIN_GRACE),
+                    self.monitor
+                        .drains
+                        .get(&outstanding.endpoint)
+                        .map(|announced_at| announced_at + DRAIN_GRACE),
                 );
             }
         }
@@ -48,17 +51,18 @@
 
     /// Moments at which a property or the choice of an endpoint changes.
     fn monitor_time_points(&self, points: &mut Vec<Micros>) {
-        let pending =
-            self.monitor.messages.iter().filter(|m| m.acceptance != Acceptance::No && !m.is_final());
-        for m in pending {
-            points.extend([m.deadline, self.monitor.overdue_at(m) + 1]);
-            if m.class == NOTICE {
-                points.extend(m.first_possible_run().map(|s| s.first + self.case.span()));
+        for message in &self.monitor.messages {
+            if message.acceptance == Acceptance::No || message.is_final() {
+                continue;
+            }
+            points.extend([message.deadline, self.monitor.overdue_at(message) + 1]);
+            if message.class == NOTICE {
+                points.extend(message.first_possible_run().map(|call| call.first + self.case.span()));
             }
         }
         let owed = self.hub.router.load().0 > 0;
         if owed || self.monitor.messages.len() < self.case.messages as usize {
-            points.extend(self.hub.pool.gates().into_iter().map(|(.., paused_until)| paused_until));
+            points.extend(self.hub.pool.gates().into_iter().map(|(.., backoff_until)| backoff_until));
             points.extend(self.monitor.drains.values().map(|announced_at| announced_at + DRAIN_GRACE));
         }
     }
--- a/tools/explore/src/world/transition.rs
+++ b/tools/explore/src/world/transition.rs
@@ -58,10 +58,10 @@
             Action::Deadline(call_ref) => self.input(call_ref, AttemptInput::Deadline),
             Action::CallTick(call_ref) => self.input(call_ref, AttemptInput::Tick),
             Action::Tick => self.tick(),
-            Action::EndpointDraining(n) => self.change(n, EndpointState::Draining),
-            Action::EndpointGone(n) => self.change(n, EndpointState::Gone),
-            Action::EndpointReady(n) => self.change(n, EndpointState::Ready),
-            Action::EndpointReplaced(n) => self.replace_endpoint(n),
+            Action::EndpointDraining(index) => self.change_endpoint(index, EndpointState::Draining),
+            Action::EndpointGone(index) => self.change_endpoint(index, EndpointState::Gone),
+            Action::EndpointReady(index) => self.change_endpoint(index, EndpointState::Ready),
+            Action::EndpointReplaced(index) => self.replace_endpoint(index),
             Action::FullList => self.send_list(true),
             Action::WatchBreak => self.break_watch(),
             Action::WatchTick => self.resume_watch(),
@@ -81,8 +81,8 @@
     }
 
     fn tick(&mut self) -> Result<(), Violation> {
-        let todo = self.hub.tick(self.now);
-        self.execute(todo)
+        let actions = self.hub.tick(self.now);
+        self.execute(actions)
     }
 
     fn set_disk_full(&mut self, full: bool) -> Result<(), Violation> {
--- a/tools/explore/tests/command.rs
+++ b/tools/explore/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command, as it is called: its verdicts, its files, and what it says of bad input.
+//! The command: its verdicts, its files, and its messages for bad input.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -65,11 +65,11 @@
         (&["replay", &text(&other)], "version: 7, where this program writes 1"),
         (&["shrink", &text(&field)], "unknown field `way`"),
     ];
-    for (arguments, words) in cases {
+    for (arguments, message) in cases {
         let output = explore(arguments);
         let line = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(2), "{arguments:?}: {line}");
-        assert!(line.contains(words) && line.trim_end().lines().count() == 1, "{arguments:?}: {line}");
+        assert!(line.contains(message) && line.trim_end().lines().count() == 1, "{arguments:?}: {line}");
     }
     [other, half, none, field].iter().for_each(|path| std::fs::remove_file(path).unwrap());
 }
@@ -77,13 +77,13 @@
 #[test]
 fn a_path_without_a_violation_exits_0_or_names_the_move_that_is_not_enabled() {
     let output = explore(&["replay", &fixture_path("lost_wake.json").display().to_string()]);
-    assert_eq!(output.status.code(), Some(2), "its ninth move is not open any more: {output:?}");
+    assert_eq!(output.status.code(), Some(2), "its ninth transition is not enabled any more: {output:?}");
     assert!(
         String::from_utf8_lossy(&output.stderr).contains("move 9: the module is woken: is not open there")
     );
 }
 
-/// With a break in the code: a counterexample is told, kept, played again, and shrunk.
+/// With a break in the code: a counterexample is printed, written, replayed, and shrunk.
 #[cfg(feature = "breaks")]
 #[test]
 fn a_counterexample_is_written_replayed_and_shrunk() {
@@ -92,8 +92,8 @@
     let case = ["--messages", "1", "--endpoints", "1", "--events", "reset", "--break", "retry-after-reset"];
     let check = explore(&[&["check", "--json", &name][..], &case].concat());
     assert_eq!(check.status.code(), Some(1), "{check:?}");
-    let story = stdout(&check);
-    assert!(story.contains("broken at move 6: no-repeat: call 1 of m0, a debit"), "{story}");
+    let trace = stdout(&check);
+    assert!(trace.contains("broken at move 6: no-repeat: call 1 of m0, a debit"), "{trace}");
     for command in ["replay", "shrink", "replay"] {
         let output = explore(&[command, &name]);
         assert_eq!(output.status.code(), Some(1), "{output:?}");
--- a/tools/explore/tests/found.rs
+++ b/tools/explore/tests/found.rs
@@ -1,5 +1,5 @@
-//! Counterexamples that the exploration found in the program: their paths must lead to no break any more,
-//! and must lead to it again where the defect is put back.
+//! Counterexamples that the exploration found in the program: their paths must violate no property any more,
+//! and must violate it where the deliberate break brings the defect back.
 
 use quillmount_explore::action::Transition;
 use quillmount_explore::case::Case;
@@ -7,7 +7,7 @@
 use quillmount_explore::search::play;
 use std::sync::Arc;
 
-/// Each path, and the break that puts its defect back.
+/// Each path, and the break that brings its defect back.
 const COUNTEREXAMPLES: [(&str, &str); 6] = [
     ("lost_wake", "lost-wake"),
     ("repeat_past_its_span", "repeat-late"),
@@ -30,7 +30,7 @@
         let path = format!("{}/tests/found/{name}.json", env!("CARGO_MANIFEST_DIR"));
         let file: CounterexampleFile = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
         let case = Arc::new(file.case);
-        // A move that is not open any more ends the path: the fix has taken it away.
+        // A transition that is not enabled any more ends the path: the fix has removed it.
         if let Ok(Some(found)) = play(&case, &file.path, |_, _, _| {}) {
             panic!("{path}: move {}: {}", found.index + 1, found.violation);
         }
--- a/tools/explore/tests/hard_cases.rs
+++ b/tools/explore/tests/hard_cases.rs
@@ -1,13 +1,13 @@
-//! The hard cases of the operators' list, each played out move by move on the courier's own code. The
-//! exploration passes through all of them; here each stands by its name.
+//! The hard cases of the operators' list, each played transition by transition on the courier's own code. The
+//! exploration passes through all of them; here each has a test with its name.
 
 use quillmount_explore::action::{Action, Answer, CallRef, CrashPoint, Transition, WriteExtent};
 use quillmount_explore::case::{Case, FaultKind};
 use quillmount_explore::property::{Property, Violation};
-use quillmount_explore::world::World;
+use quillmount_explore::world::{World, is_benign};
 use std::sync::Arc;
 
-/// A world that is played by hand.
+/// A world whose transitions the test chooses.
 struct ManualWorld(World);
 
 const M0: CallRef = CallRef { message: 0, attempt: 0 };
@@ -68,16 +68,16 @@
         self.advance_to(until).apply(&[Action::Start])
     }
 
-    /// A kind world from here on: everything comes to its end.
+    /// Without further faults: everything comes to its end.
     fn run_to_end(&mut self) {
         for _ in 0..500 {
             let open = self.0.actions();
-            let kind = open.iter().filter(|c| quillmount_explore::world::is_benign(**c));
-            // What is due goes first, and nothing more is handed in.
-            let mut kind: Vec<Action> =
-                kind.copied().filter(|c| !matches!(c, Action::Submit { .. })).collect();
-            kind.sort_by_key(|c| matches!(c, Action::AdvanceClock { .. }));
-            match kind.first() {
+            let benign = open.iter().copied().filter(|action| is_benign(*action));
+            // What is due goes first, and nothing more is submitted.
+            let mut benign: Vec<Action> =
+                benign.filter(|action| !matches!(action, Action::Submit { .. })).collect();
+            benign.sort_by_key(|action| matches!(action, Action::AdvanceClock { .. }));
+            match benign.first() {
                 Some(next) => self.apply(&[*next]),
                 None => return self.0.check_quiescent().unwrap(),
             };
@@ -94,132 +94,137 @@
 
 #[test]
 fn an_answer_at_the_deadline_and_a_microsecond_before_and_after() {
-    // By the clock of whoever judges it a moment before may be a moment after: its end is told too.
-    for (at, delivered, tells) in [(0, true, false), (DEADLINE - 1, true, true), (DEADLINE, false, true)] {
-        let mut play = ManualWorld::new(&[FaultKind::Timeout], |_| {});
-        play.debit().send_complete(M0);
+    // A microsecond before the deadline by one clock may be after it by another: the platform gets a notice too.
+    for (at, delivered, notified) in [(0, true, false), (DEADLINE - 1, true, true), (DEADLINE, false, true)] {
+        let mut world = ManualWorld::new(&[FaultKind::Timeout], |_| {});
+        world.debit().send_complete(M0);
         if at > 0 {
-            play.advance_to(at);
+            world.advance_to(at);
         }
-        play.apply(&[Action::Answer(M0, Answer::Ok)]);
-        play.run_to_end();
-        let m = &play.0.monitor.messages[0];
-        assert_eq!((m.delivered, m.notice.is_some()), (delivered, tells), "at {at}: {m:?}");
+        world.apply(&[Action::Answer(M0, Answer::Ok)]);
+        world.run_to_end();
+        let m = &world.0.monitor.messages[0];
+        assert_eq!((m.delivered, m.notice.is_some()), (delivered, notified), "at {at}: {m:?}");
     }
-    // A microsecond later the call is over; at the very deadline either may come first.
-    let mut play = ManualWorld::new(&[FaultKind::Timeout], |_| {});
-    play.debit().send_complete(M0).advance_to(DEADLINE).apply(&[Action::Deadline(M0)]);
-    assert!(!play.0.actions().contains(&Action::Answer(M0, Answer::Ok)));
-    play.run_to_end();
-    assert!(play.0.monitor.messages[0].notice.is_some());
+    // A microsecond later the call has ended; at the very deadline either may come first.
+    let mut world = ManualWorld::new(&[FaultKind::Timeout], |_| {});
+    world.debit().send_complete(M0).advance_to(DEADLINE).apply(&[Action::Deadline(M0)]);
+    assert!(!world.0.actions().contains(&Action::Answer(M0, Answer::Ok)));
+    world.run_to_end();
+    assert!(world.0.monitor.messages[0].notice.is_some());
 }
 
 #[test]
 fn a_drain_in_the_middle_of_a_write() {
-    let mut play = ManualWorld::new(&[FaultKind::PartialWrite, FaultKind::Drain, FaultKind::Timeout], |_| {});
-    play.debit().apply(&[
+    let mut world =
+        ManualWorld::new(&[FaultKind::PartialWrite, FaultKind::Drain, FaultKind::Timeout], |_| {});
+    world.debit().apply(&[
         Action::Connected(M0),
         Action::Write(M0, WriteExtent::Partial),
         Action::EndpointDraining(0),
     ]);
     // Its first byte had left: it goes on, and nothing new follows.
-    play.apply(&[Action::Write(M0, WriteExtent::Complete), Action::Answer(M0, Answer::Ok)]).notice();
-    play.run_to_end();
-    assert_eq!((play.calls_of(0), play.calls_of(1)), (1, 0));
+    world.apply(&[Action::Write(M0, WriteExtent::Complete), Action::Answer(M0, Answer::Ok)]).notice();
+    world.run_to_end();
+    assert_eq!((world.calls_of(0), world.calls_of(1)), (1, 0));
 }
 
 #[test]
 fn a_drain_announced_while_connecting() {
-    let mut play = ManualWorld::new(&[FaultKind::Drain, FaultKind::NeverConnects], |_| {});
-    play.debit().apply(&[Action::EndpointDraining(0), Action::Connected(M0)]);
-    play.run_to_end();
-    assert_eq!(play.calls_of(0), 0);
+    let mut world = ManualWorld::new(&[FaultKind::Drain, FaultKind::NeverConnects], |_| {});
+    world.debit().apply(&[Action::EndpointDraining(0), Action::Connected(M0)]);
+    world.run_to_end();
+    assert_eq!(world.calls_of(0), 0);
 }
 
 #[test]
 fn a_wait_received_while_another_call_to_the_destination_is_written() {
-    let mut play = ManualWorld::new(&[FaultKind::PartialWrite, FaultKind::Wait], |case| {
+    let mut world = ManualWorld::new(&[FaultKind::PartialWrite, FaultKind::Wait], |case| {
         (case.endpoints, case.slots) = (2, 8)
     });
-    play.debit().apply(&[Action::Connected(M0), Action::Write(M0, WriteExtent::Partial)]);
-    play.debit().send_complete(M1).apply(&[Action::Answer(M1, Answer::Wait)]);
-    assert!(!play.0.actions().contains(&Action::Write(M0, WriteExtent::Complete)), "it is broken off");
-    play.run_to_end();
-    assert!(play.0.monitor.messages.iter().all(|m| m.delivered));
+    world.debit().apply(&[Action::Connected(M0), Action::Write(M0, WriteExtent::Partial)]);
+    world.debit().send_complete(M1).apply(&[Action::Answer(M1, Answer::Wait)]);
+    assert!(!world.0.actions().contains(&Action::Write(M0, WriteExtent::Complete)), "the call was cancelled");
+    world.run_to_end();
+    assert!(world.0.monitor.messages.iter().all(|m| m.delivered));
 }
 
 #[test]
 fn a_kill_between_the_202_and_the_first_byte() {
-    let mut play = ManualWorld::new(&[FaultKind::Kill], |case| case.incarnations = 2);
-    play.debit().apply(&[Action::Kill]).restart();
-    play.run_to_end();
-    // The record of the attempt stood: the call may have run for all that the next life knows.
-    assert!(play.0.monitor.messages[0].is_final());
+    let mut world = ManualWorld::new(&[FaultKind::Kill], |case| case.incarnations = 2);
+    world.debit().apply(&[Action::Kill]).restart();
+    world.run_to_end();
+    // The attempt was recorded: as far as the next incarnation knows, the call may have run.
+    assert!(world.0.monitor.messages[0].is_final());
 }
 
 #[test]
 fn a_kill_between_the_journal_record_and_the_first_byte() {
     for (after, torn) in [(1, false), (1, true), (2, false)] {
-        let mut play =
+        let mut world =
             ManualWorld::new(&[FaultKind::Kill, FaultKind::TornWrite], |case| case.incarnations = 2);
-        play.crash(Action::Submit { class: 0, dest: 0 }, after, torn).restart();
-        play.run_to_end();
+        world.crash(Action::Submit { class: 0, dest: 0 }, after, torn).restart();
+        world.run_to_end();
         // With no record of an attempt it is sent; with one it is not sent again.
-        assert_eq!(play.calls_of(0), usize::from(after == 1), "{after} {torn}");
+        assert_eq!(world.calls_of(0), usize::from(after == 1), "{after} {torn}");
     }
 }
 
 #[test]
 fn a_kill_between_the_200_that_was_read_and_its_record() {
     for class in [0, 1] {
-        let mut play = ManualWorld::new(&[FaultKind::Kill], |case| case.incarnations = 2);
-        play.apply(&[Action::Submit { class, dest: 0 }]).send_complete(M0);
-        play.crash(Action::Answer(M0, Answer::Ok), 0, false).restart();
-        play.run_to_end();
-        assert_eq!(play.calls_of(0), 1 + usize::from(class == 1), "a debit once, a notice again in its span");
+        let mut world = ManualWorld::new(&[FaultKind::Kill], |case| case.incarnations = 2);
+        world.apply(&[Action::Submit { class, dest: 0 }]).send_complete(M0);
+        world.crash(Action::Answer(M0, Answer::Ok), 0, false).restart();
+        world.run_to_end();
+        assert_eq!(
+            world.calls_of(0),
+            1 + usize::from(class == 1),
+            "a debit once, a notice twice within its span"
+        );
     }
 }
 
 #[test]
 fn a_lost_confirmation_and_the_notice_resent_after_a_kill() {
-    let mut play =
+    let mut world =
         ManualWorld::new(&[FaultKind::Reset, FaultKind::Lose, FaultKind::Kill], |case| case.incarnations = 2);
-    play.debit().send_complete(M0).apply(&[
+    world.debit().send_complete(M0).apply(&[
         Action::Reset(M0),
         Action::SendNotices,
         Action::NoticesLost { received: true },
     ]);
-    let first = play.0.monitor.messages[0].notice;
-    play.apply(&[Action::Kill]).restart();
-    play.apply(&[Action::SendNotices, Action::Confirmed]);
-    assert_eq!((first.is_some(), play.0.monitor.messages[0].notice), (true, first));
-    play.run_to_end();
+    let first = world.0.monitor.messages[0].notice;
+    world.apply(&[Action::Kill]).restart();
+    world.apply(&[Action::SendNotices, Action::Confirmed]);
+    assert_eq!((first.is_some(), world.0.monitor.messages[0].notice), (true, first));
+    world.run_to_end();
 }
 
 #[test]
 fn a_debit_timed_out_while_its_answer_is_in_the_socket() {
-    let mut play = ManualWorld::new(&[FaultKind::Timeout, FaultKind::Race], |_| {});
-    play.debit().send_complete(M0).advance_to(DEADLINE);
-    play.apply(&[Action::AnswerArrived(M0, Answer::Ok), Action::Deadline(M0)]);
-    play.run_to_end();
-    assert_eq!(play.calls_of(0), 1);
+    let mut world = ManualWorld::new(&[FaultKind::Timeout, FaultKind::Race], |_| {});
+    world.debit().send_complete(M0).advance_to(DEADLINE);
+    world.apply(&[Action::AnswerArrived(M0, Answer::Ok), Action::Deadline(M0)]);
+    world.run_to_end();
+    assert_eq!(world.calls_of(0), 1);
 }
 
 #[test]
 fn the_same_id_while_its_notice_is_unconfirmed() {
-    let mut play = ManualWorld::new(&[FaultKind::Reset, FaultKind::Resubmit], |_| {});
-    play.debit().send_complete(M0).apply(&[Action::Reset(M0), Action::SendNotices]);
-    play.apply(&[Action::Resubmit { message: 0 }, Action::Confirmed, Action::Resubmit { message: 0 }]);
-    play.run_to_end();
-    assert_eq!(play.calls_of(0), 1);
+    let mut world = ManualWorld::new(&[FaultKind::Reset, FaultKind::Resubmit], |_| {});
+    world.debit().send_complete(M0).apply(&[Action::Reset(M0), Action::SendNotices]);
+    world.apply(&[Action::Resubmit { message: 0 }, Action::Confirmed, Action::Resubmit { message: 0 }]);
+    world.run_to_end();
+    assert_eq!(world.calls_of(0), 1);
 }
 
-/// What is played here by hand can fail: a provider that says 200 twice would be no break, a second send is.
+/// The checks of these tests can fail: an endpoint that answers 200 twice violates nothing, a second send does.
 #[test]
 fn a_second_send_of_a_debit_is_a_violation() {
-    let mut play = ManualWorld::new(&[FaultKind::Timeout], |_| {});
-    play.debit().send_complete(M0);
+    let mut world = ManualWorld::new(&[FaultKind::Timeout], |_| {});
+    world.debit().send_complete(M0);
     let case = Case::default();
-    let violation = play.0.monitor.last_byte(&case, 1_000_000_000_001, 0, 1).unwrap_err();
+    let violation = world.0.monitor.last_byte(&case, 1_000_000_000_001, 0, 1).unwrap_err();
     assert_eq!(violation.property, Property::NoRepeat);
 }
--- a/tools/explore/tests/orders.rs
+++ b/tools/explore/tests/orders.rs
@@ -1,8 +1,9 @@
-//! The worlds of their own: no order of what happens to consumers at the door, or to a streamed body, breaks a rule.
+//! The worlds of clients and of streams: no order of events on connections of clients, or on a streamed body, violates a
+//! property.
 
 use quillmount_explore::{clients, streams};
 
-/// Guards against a request that is lost with its connection, where room is short or the courier stops.
+/// Guards against a request that is lost with its connection, where connections are short or the courier stops.
 #[test]
 fn no_order_of_events_of_two_clients_with_one_connection_slot_loses_a_request() {
     let found = clients::explore(2, 2, 1);
