--- a/tools/explore/src/world/time.rs
+++ b/tools/explore/src/world/time.rs
@@ -1,12 +1,13 @@
 //! The clock: it goes on to the next moment at which something may turn out another way, never beyond.
 
+use crate::case::NOTICE;
 use crate::monitor::{Acceptance, DRAIN_GRACE};
 use crate::world::state::{ProcessState, START, World};
 use quillmount_core::machine::attempt::AttemptState;
 use quillmount_core::machine::watch::WatchState;
 use quillmount_policy::Micros;
 
-/// Moments later than this after the beginning stand for "never".
+/// Moments later than this after the beginning stand for "never"; in microseconds.
 const TIME_SPAN: Micros = 1 << 40;
 
 impl World {
@@ -31,15 +32,18 @@
         if let ProcessState::Stopping { end } = self.process {
             points.push(end);
         }
-        for out in self.calls.values() {
-            points.extend(out.call.attempt().wake_at());
-            if !matches!(out.call.state(), AttemptState::Closing { .. }) {
-                points.push(out.deadline);
+        for outstanding in self.calls.values() {
+            points.extend(outstanding.call.attempt().wake_at());
+            if !matches!(outstanding.call.state(), AttemptState::Closing { .. }) {
+                points.push(outstanding.deadline);
             }
-            if out.call.state() == AttemptState::Connecting {
-                points.push(out.dial_deadline);
+            if outstanding.call.state() == AttemptState::Connecting {
+                points.push(outstanding.dial_deadline);
                 points.extend(
-                    self.monitor.drains.get(&out.endpoint).map(|announced_at| announced_at + DRAIN_GRACE),
+                    self.monitor
+                        .drains
+                        .get(&outstanding.endpoint)
+                        .map(|announced_at| announced_at + DRAIN_GRACE),
                 );
             }
         }
@@ -47,12 +51,13 @@
 
     /// Moments at which a property or the choice of an endpoint changes.
     fn monitor_time_points(&self, points: &mut Vec<Micros>) {
-        let pending =
-            self.monitor.messages.iter().filter(|m| m.acceptance != Acceptance::No && !m.is_final());
-        for m in pending {
-            points.extend([m.deadline, self.monitor.overdue_at(m) + 1]);
-            if m.class == 1 {
-                points.extend(m.first_possible_run().map(|s| s.first + self.case.span()));
+        for message in &self.monitor.messages {
+            if message.acceptance == Acceptance::No || message.is_final() {
+                continue;
+            }
+            points.extend([message.deadline, self.monitor.overdue_at(message) + 1]);
+            if message.class == NOTICE {
+                points.extend(message.first_possible_run().map(|call| call.first + self.case.span()));
             }
         }
         let owed = self.hub.router.load().owed > 0;
