--- a/courier/core/src/router/config.rs
+++ b/courier/core/src/router/config.rs
@@ -85,7 +85,7 @@
 /// The policy's settings and the numbers of the zones.
 fn decode(env: &SenderSettings, streams: Option<StreamLimits>) -> Result<(Settings, NameTable), RouterError> {
     let mut zones = NameTable::default();
-    let mut settings: Settings = decode_settings(env, &mut zones).map_err(RouterError::Decode)?;
+    let mut settings: Settings = decode_settings(env, &mut zones)?;
     if let Some(limits) = streams {
         let slots = (limits.share_of_slots * f64::from(settings.slots)) as u32;
         settings.stream_slots = slots.max(1);
--- a/courier/core/src/router/error.rs
+++ b/courier/core/src/router/error.rs
@@ -8,7 +8,7 @@
 pub enum RouterError {
     /// The settings can't be decoded.
     #[error("settings: {0}")]
-    Decode(String),
+    Decode(#[from] quillmount_settings::SettingsDecodeError),
     /// The settings are contradictory.
     #[error(transparent)]
     Settings(#[from] SettingsError),
--- a/courier/drill/src/error.rs
+++ b/courier/drill/src/error.rs
@@ -1,6 +1,7 @@
 //! Why the simulator's input cannot be served. The texts name the field of the message that is wrong.
 
 use quillmount_policy::SettingsError;
+use quillmount_settings::{EndpointStateError, SettingsDecodeError, TimeError};
 use std::io;
 use std::str::Utf8Error;
 use thiserror::Error;
@@ -76,9 +77,15 @@
     /// The body of a note is not Base64.
     #[error("body: {0}")]
     Body(#[from] base64::DecodeError),
-    /// A time, a state or the settings cannot be decoded.
-    #[error("{0}")]
-    Decode(String),
+    /// The settings cannot be decoded.
+    #[error(transparent)]
+    DecodeSettings(#[from] SettingsDecodeError),
+    /// A number is no time.
+    #[error(transparent)]
+    Time(#[from] TimeError),
+    /// The state of an endpoint is not known.
+    #[error(transparent)]
+    EndpointState(#[from] EndpointStateError),
     /// No instance can run under the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
--- a/courier/drill/src/host.rs
+++ b/courier/drill/src/host.rs
@@ -90,7 +90,7 @@
 
     fn add_pool(&mut self, number: u32, entries: Vec<PoolEntry>) -> Result<(), MessageError> {
         for entry in &entries {
-            list_state_from_code(entry.state).map_err(MessageError::Decode)?;
+            list_state_from_code(entry.state)?;
         }
         self.pools.insert(number, entries);
         Ok(())
--- a/courier/drill/src/instance.rs
+++ b/courier/drill/src/instance.rs
@@ -37,7 +37,7 @@
     /// The settings cannot be decoded, or no instance can run under them.
     pub fn new(seed: u64, env: &SenderSettings) -> Result<Self, MessageError> {
         let mut zones = NameTable::default();
-        let settings = decode_settings(env, &mut zones).map_err(MessageError::Decode)?;
+        let settings = decode_settings(env, &mut zones)?;
         Ok(Instance {
             dispatcher: Dispatcher::new(settings, seed)?,
             events: Vec::new(),
@@ -118,7 +118,7 @@
             kind: kind.unwrap_or(usize::MAX),
             zone: entry.locality.as_ref().map_or(0, |zone| self.zones.intern(zone) as u32),
             weight: entry.size.unwrap_or(0.0),
-            state: list_state_from_code(entry.state).map_err(MessageError::Decode)?,
+            state: list_state_from_code(entry.state)?,
             returning: false,
         })
     }
@@ -162,8 +162,8 @@
 }
 
 /// A time of the wire, or the error that names its field.
-pub fn micros(field: &str, millis: f64) -> Result<Micros, MessageError> {
-    micros_from_millis(field, millis).map_err(MessageError::Decode)
+pub fn micros(field: &'static str, millis: f64) -> Result<Micros, MessageError> {
+    Ok(micros_from_millis(field, millis)?)
 }
 
 /// An outcome by its code on the wire.
--- a/courier/program/src/program/config.rs
+++ b/courier/program/src/program/config.rs
@@ -204,7 +204,7 @@
         for (n, server) in file.known.into_iter().flat_map(List::entries).enumerate() {
             found.extend(server.err().map(|e| Problem::new(format!("$.known.servers[{n}]"), e.to_string())));
         }
-        let sound = decode_settings(&file.settings, &mut NameTable::default());
+        let sound = decode_settings(&file.settings, &mut NameTable::default()).map_err(|e| e.to_string());
         let module = sound.and_then(|s| Policy::new(s, 0).map(drop).map_err(|e| e.to_string()));
         found.extend(module.err().map(|e| Problem::new("$.settings", e)));
         found
--- a/courier/program/src/program/run.rs
+++ b/courier/program/src/program/run.rs
@@ -142,7 +142,7 @@
 /// # Errors
 /// The settings can't be read.
 fn other_couriers(config: &Config, starts: bool) -> Result<platform::Fleet, RouterError> {
-    let settings = decode_settings(&config.env, &mut NameTable::default()).map_err(RouterError::Decode)?;
+    let settings = decode_settings(&config.env, &mut NameTable::default())?;
     Ok(platform::Fleet {
         couriers: settings.sender_count,
         seed: config.seed,
--- a/courier/protocol/src/discovery.rs
+++ b/courier/protocol/src/discovery.rs
@@ -2,9 +2,10 @@
 //! JSON objects). The caller feeds each chunk of a watch to [`Lists`] and applies the lists that are complete.
 
 use quillmount_core::{EndpointList, EndpointListing};
-use quillmount_settings::list_state_from_name;
+use quillmount_settings::{EndpointStateError, list_state_from_name};
 use serde::Deserialize;
 use serde::de::IgnoredAny;
+use std::net::AddrParseError;
 
 /// Bytes of one list at most, white space included.
 pub const LIST_MAX: usize = 4 * 1024 * 1024;
@@ -22,18 +23,34 @@
     #[error("a list that begins with {0:?}, where an object should")]
     Start(char),
     /// One of its entries is wrong.
-    #[error("provider {id}: {what}")]
+    #[error("provider {id}: {source}")]
     Entry {
         /// The endpoint's id.
         id: String,
         /// What is wrong with it.
-        what: String,
+        source: EntryError,
     },
     /// It is longer than [`LIST_MAX`].
     #[error("a list of more than {LIST_MAX} bytes")]
     TooLong,
 }
 
+/// Why an entry of a list can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum EntryError {
+    /// Its state is not known.
+    #[error(transparent)]
+    State(#[from] EndpointStateError),
+    /// Its address is no IP address with a port.
+    #[error("addr {:?}: {source}", Some(.text))]
+    Address {
+        /// What stands there.
+        text: String,
+        /// What is wrong with it.
+        source: AddrParseError,
+    },
+}
+
 /// A list as discovery writes it: all endpoints if `full`, else those that have changed.
 #[derive(Deserialize)]
 pub struct List {
@@ -59,23 +76,36 @@
     weight: f64,
 }
 
+impl TryFrom<Server> for EndpointListing {
+    type Error = EntryError;
+
+    fn try_from(server: Server) -> Result<Self, EntryError> {
+        let state = list_state_from_name(&server.state)?;
+        let addr = match server.addr {
+            Some(text) if !text.is_empty() => match text.parse() {
+                Ok(addr) => Some(addr),
+                Err(source) => return Err(EntryError::Address { text, source }),
+            },
+            _ => None,
+        };
+        Ok(EndpointListing {
+            id: server.id,
+            addr,
+            dest: server.cell,
+            kind: server.kind,
+            zone: server.zone,
+            weight: server.weight,
+            state,
+        })
+    }
+}
+
 impl List {
     /// Its entries in their order, each checked by itself.
     pub fn entries(self) -> impl Iterator<Item = Result<EndpointListing, DiscoveryError>> {
-        self.servers.into_iter().map(|s| {
-            let entry = |what: String| DiscoveryError::Entry { id: s.id.clone(), what };
-            let state = list_state_from_name(&s.state).map_err(entry)?;
-            let addr = s.addr.as_deref().filter(|a| !a.is_empty()).map(str::parse).transpose();
-            let addr = addr.map_err(|e| entry(format!("addr {:?}: {e}", s.addr)))?;
-            Ok(EndpointListing {
-                addr,
-                state,
-                id: s.id,
-                dest: s.cell,
-                kind: s.kind,
-                zone: s.zone,
-                weight: s.weight,
-            })
+        self.servers.into_iter().map(|server| {
+            let id = server.id.clone();
+            EndpointListing::try_from(server).map_err(|source| DiscoveryError::Entry { id, source })
         })
     }
 }
--- a/courier/protocol/tests/discovery.rs
+++ b/courier/protocol/tests/discovery.rs
@@ -75,6 +75,16 @@
     for text in ["{]}", r#"{"version":1 "full":true}"#, r#"{"version":"1"}"#, "[1,true,[{}]]"] {
         assert!(matches!(no_list(text), DiscoveryError::Json(_) | DiscoveryError::Start(_)), "{text}");
     }
+    for (entry, text) in [
+        (r#""state":"Ready""#, r#"provider s-1: state: "Ready" is not known"#),
+        (
+            r#""state":"ready","addr":"here""#,
+            r#"provider s-1: addr Some("here"): invalid socket address syntax"#,
+        ),
+    ] {
+        let list = format!(r#"{{"version":1,"servers":[{{"id":"s-1","cell":1,{entry}}}]}}"#);
+        assert_eq!(no_list(&list).to_string(), text);
+    }
     let mut lists = Lists::default();
     fed(&mut lists, br#"{"version":1,"servers":[""#);
     let piece = vec![b'x'; LIST_MAX / 4];
--- a/courier/settings/src/decode.rs
+++ b/courier/settings/src/decode.rs
@@ -1,21 +1,23 @@
 //! Translation of the settings object to the decision module's settings.
 
+use crate::error::{SettingsDecodeError, TimeError};
 use crate::names::NameTable;
 use crate::sender_settings::{Category, Limits, LoadReportSettings, RuleSettings, SenderSettings};
 use quillmount_policy::{Decay, DestinationKind, Effect, MessageClass, Micros, Settings};
 
-/// Spans beyond this are taken for mistakes, microseconds.
+/// Longer times are taken for mistakes, microseconds.
 const MAX_MICROS: f64 = 9e15;
+const MICROS_PER_MILLI: f64 = 1_000.0;
 
-/// Milliseconds as whole microseconds, rounded to the nearest; a negative number counts as none. `name`: the setting or
-/// field, for the error.
+/// Milliseconds as whole microseconds, rounded to the nearest; a negative number counts as zero. `field`: the setting, or the
+/// field of a message, for the error.
 ///
 /// # Errors
 /// The number is not finite or too large.
-pub fn micros_from_millis(name: &str, millis: f64) -> Result<Micros, String> {
-    let micros = millis * 1000.0;
+pub fn micros_from_millis(field: &'static str, millis: f64) -> Result<Micros, TimeError> {
+    let micros = millis * MICROS_PER_MILLI;
     if !micros.is_finite() || micros.abs() > MAX_MICROS {
-        return Err(format!("{name}: {millis} is not a time"));
+        return Err(TimeError::OutOfRange { field, millis });
     }
     Ok(micros.max(0.0).round() as Micros)
 }
@@ -23,8 +25,8 @@
 /// The decision module's settings. The zones get their numbers in `zones`, in the order of the list and then the sender's.
 ///
 /// # Errors
-/// A time is none, or the effect of a class is not known; the text names the setting.
-pub fn decode_settings(env: &SenderSettings, zones: &mut NameTable) -> Result<Settings, String> {
+/// A number is no time, or the effect of a message class is not known.
+pub fn decode_settings(env: &SenderSettings, zones: &mut NameTable) -> Result<Settings, SettingsDecodeError> {
     let mut settings = Settings::default();
     for zone in &env.failure_domains {
         zones.intern(zone);
@@ -48,7 +50,7 @@
     Ok(settings)
 }
 
-fn apply_limits(settings: &mut Settings, limits: &Limits) -> Result<(), String> {
+fn apply_limits(settings: &mut Settings, limits: &Limits) -> Result<(), TimeError> {
     set(&mut settings.max_open_messages, limits.max_open_messages);
     set(&mut settings.max_attempts, limits.max_attempts);
     set(&mut settings.cancel, limits.cancel);
@@ -58,7 +60,7 @@
     set_time(&mut settings.keepalive, "keepalive_ms", limits.keepalive_ms)
 }
 
-fn apply_rules(settings: &mut Settings, rules: &RuleSettings) -> Result<(), String> {
+fn apply_rules(settings: &mut Settings, rules: &RuleSettings) -> Result<(), TimeError> {
     set(&mut settings.slow_start_share, rules.slow_start_share);
     set(&mut settings.overload_multiple, rules.overload_multiple);
     set_time(&mut settings.slow_start, "cold_ms", rules.slow_start_ms)?;
@@ -86,7 +88,7 @@
     }
 }
 
-fn message_class(category: &Category) -> Result<MessageClass, String> {
+fn message_class(category: &Category) -> Result<MessageClass, SettingsDecodeError> {
     Ok(MessageClass {
         effect: effect(category)?,
         latency_target: micros_from_millis("promise_ms", category.latency_target_ms)?,
@@ -98,7 +100,7 @@
     })
 }
 
-fn effect(category: &Category) -> Result<Effect, String> {
+fn effect(category: &Category) -> Result<Effect, SettingsDecodeError> {
     match category.effect.as_deref() {
         Some("retryable") => Ok(Effect::Idempotent),
         Some("dedup") => Ok(Effect::Deduplicated {
@@ -106,7 +108,7 @@
             by_zone: category.dedup_scope.as_deref() == Some("zone"),
         }),
         Some("fragile") | None => Ok(Effect::NonIdempotent),
-        Some(other) => Err(format!("effect: {other:?} is not known")),
+        Some(other) => Err(SettingsDecodeError::UnknownEffect(other.to_owned())),
     }
 }
 
@@ -116,9 +118,9 @@
     }
 }
 
-fn set_time(setting: &mut Micros, name: &str, millis: Option<f64>) -> Result<(), String> {
+fn set_time(setting: &mut Micros, field: &'static str, millis: Option<f64>) -> Result<(), TimeError> {
     if let Some(millis) = millis {
-        *setting = micros_from_millis(name, millis)?;
+        *setting = micros_from_millis(field, millis)?;
     }
     Ok(())
 }
--- a/courier/settings/src/endpoint_state.rs
+++ b/courier/settings/src/endpoint_state.rs
@@ -1,17 +1,18 @@
 //! States of the endpoint list by their codes and names on the wire.
 
+use crate::error::EndpointStateError;
 use quillmount_policy::EndpointState;
 
 /// A state of the endpoint list by its code on the simulator's wire.
 ///
 /// # Errors
 /// No state has the code.
-pub fn list_state_from_code(code: u8) -> Result<EndpointState, String> {
+pub fn list_state_from_code(code: u8) -> Result<EndpointState, EndpointStateError> {
     match code {
         0 => Ok(EndpointState::Gone),
         1 => Ok(EndpointState::Ready),
         2 => Ok(EndpointState::Draining),
-        other => Err(format!("state: no state has the code {other}")),
+        other => Err(EndpointStateError::UnknownCode(other)),
     }
 }
 
@@ -19,11 +20,11 @@
 ///
 /// # Errors
 /// No state has the name.
-pub fn list_state_from_name(name: &str) -> Result<EndpointState, String> {
+pub fn list_state_from_name(name: &str) -> Result<EndpointState, EndpointStateError> {
     match name {
         "gone" => Ok(EndpointState::Gone),
         "ready" => Ok(EndpointState::Ready),
         "draining" => Ok(EndpointState::Draining),
-        other => Err(format!("state: {other:?} is not known")),
+        other => Err(EndpointStateError::UnknownName(other.to_owned())),
     }
 }
--- a/courier/settings/src/lib.rs
+++ b/courier/settings/src/lib.rs
@@ -6,11 +6,13 @@
 
 mod decode;
 mod endpoint_state;
+mod error;
 mod names;
 mod sender_settings;
 
 pub use decode::{decode_settings, micros_from_millis};
 pub use endpoint_state::{list_state_from_code, list_state_from_name};
+pub use error::{EndpointStateError, SettingsDecodeError, TimeError};
 pub use names::NameTable;
 pub use sender_settings::{
     Category, Deductions, DestinationSettings, Limits, LoadReportSettings, RuleSettings, SenderSettings,
--- a/courier/settings/tests/stored_forms.rs
+++ b/courier/settings/tests/stored_forms.rs
@@ -2,7 +2,8 @@
 
 use quillmount_policy::{Decay, Effect, EndpointState};
 use quillmount_settings::{
-    NameTable, SenderSettings, decode_settings, list_state_from_code, list_state_from_name,
+    Limits, NameTable, SenderSettings, SettingsDecodeError, decode_settings, list_state_from_code,
+    list_state_from_name, micros_from_millis,
 };
 
 const FULL: &str = include_str!("fixtures/settings_full.json");
@@ -114,10 +115,9 @@
     assert_eq!((s.decay, s.above_share_value, s.cross_zone_price), (Decay::Linear, 1.0, 0.0));
     let odd =
         read(r#"{"weight_source": "nominal", "categories": [{"name": "x", "effect": "odd"}], "unknown": 1}"#);
-    assert_eq!(
-        decode_settings(&odd, &mut NameTable::default()).err().unwrap(),
-        "effect: \"odd\" is not known"
-    );
+    let error = decode_settings(&odd, &mut NameTable::default()).err().unwrap();
+    assert_eq!(error, SettingsDecodeError::UnknownEffect("odd".into()));
+    assert_eq!(error.to_string(), "effect: \"odd\" is not known");
 }
 
 #[test]
@@ -133,6 +133,21 @@
     assert!(list_state_from_code(3).is_err() && list_state_from_name("Ready").is_err());
 }
 
+/// Operators and the simulator's logs have seen these texts.
+#[test]
+fn errors_have_the_same_texts() {
+    let long = SenderSettings {
+        limits: Limits { keepalive_ms: Some(1e13), ..Limits::default() },
+        ..SenderSettings::default()
+    };
+    let error = decode_settings(&long, &mut NameTable::default()).err().unwrap();
+    assert_eq!(error.to_string(), "keepalive_ms: 10000000000000 is not a time");
+    let error = micros_from_millis("moment_ms", f64::NAN).unwrap_err();
+    assert_eq!(error.to_string(), "moment_ms: NaN is not a time");
+    assert_eq!(list_state_from_code(3).unwrap_err().to_string(), "state: no state has the code 3");
+    assert_eq!(list_state_from_name("Ready").unwrap_err().to_string(), "state: \"Ready\" is not known");
+}
+
 /// Numbers and names of an instance, as one process hands them to the next.
 #[test]
 fn names_are_handed_over_as_ever() {
