--- a/courier/operator/src/fleet.rs
+++ b/courier/operator/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The section `fleet`: couriers that go on with each other's work when one is lost. Off by default, and off on the platform,
-//! whose couriers share nothing.
+//! The section `fleet`: couriers that take over each other's work when one fails (`docs/fleet.md`). Off by default, and off on
+//! the platform, whose couriers share nothing.
 
 use crate::units::Span;
 use schemars::JsonSchema;
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// The default of `partner_call`, and its limit: the longest time of a message by the platform's pages.
-pub(crate) const CALL_MAX: Duration = Duration::from_secs(30);
+pub(crate) const MAX_PARTNER_CALL: Duration = Duration::from_secs(30);
 
 /// Couriers as one fleet. Read at the start only, but for `voters`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
@@ -23,17 +23,29 @@
     pub listen: String,
     /// All couriers of the fleet, this one included, each with the address at which this courier reaches it.
     pub members: Vec<FleetMember>,
-    /// Those who agree: one, three or five of the members. The first of them begins a new fleet, for which all of them have
-    /// to be up.
+    /// The members that vote on the replicated state: one, three or five. The first of them founds a new fleet, for which all
+    /// of them have to be up.
+    #[schemars(
+        description = "Those who agree: one, three or five of the members. The first of them begins a new fleet, for which \
+                       all of them have\nto be up."
+    )]
     pub voters: Vec<String>,
-    /// How long a courier counts as there after a word of it.
+    /// How long a courier counts as up after its last message.
+    #[schemars(description = "How long a courier counts as there after a word of it.")]
     pub lease: Span,
-    /// By how much a courier's clock may run too fast or too slow, as a part of one.
+    /// By how much a courier's clock may run too fast or too slow, as a fraction of one.
+    #[schemars(
+        description = "By how much a courier's clock may run too fast or too slow, as a part of one."
+    )]
     pub drift: f64,
-    /// Couriers that hold a copy of each courier's journal: 1 to 3.
-    #[schemars(range(min = 1, max = 3))]
+    /// Replicas of each courier's journal, on as many other couriers: 1 to 3.
+    #[schemars(
+        range(min = 1, max = 3),
+        description = "Couriers that hold a copy of each courier's journal: 1 to 3."
+    )]
     pub copies: usize,
-    /// What a courier does where no copy of its journal is in step.
+    /// What a courier does while no replica of its journal is up to date.
+    #[schemars(description = "What a courier does where no copy of its journal is in step.")]
     pub on_missing: OnMissing,
     /// Partners that allow the whole fleet so many connections, and how tenants share them.
     pub budgets: Vec<FleetBudget>,
@@ -41,10 +53,19 @@
     pub partner_idle: Span,
     /// Partners whose settlements are carried: messages that name theirs in `X-Addressing` go out in order, one at a time.
     pub settlements: Vec<FleetSettlement>,
-    /// A call to a partner with a budget has its connection for so long at most; one that is out for longer is given up, as
-    /// one that may have run. What a lost courier held comes free the later, the longer this is.
+    /// A call to a partner with a budget has its connection for so long at most; one that is in flight for longer is given up,
+    /// and may have run. The longer this is, the later the reservations of a failed courier are released.
+    #[schemars(
+        description = "A call to a partner with a budget has its connection for so long at most; one that is out for longer \
+                       is given up, as\none that may have run. What a lost courier held comes free the later, the longer \
+                       this is."
+    )]
     pub partner_call: Span,
-    /// Addresses off this machine are let through. What couriers say to each other is neither secret nor signed.
+    /// Addresses on other machines are valid. Messages between couriers are neither encrypted nor authenticated.
+    #[schemars(
+        description = "Addresses off this machine are let through. What couriers say to each other is neither secret nor \
+                       signed."
+    )]
     pub beyond_loopback: bool,
 }
 
@@ -57,8 +78,9 @@
     /// Address and port at which this courier reaches it.
     #[schemars(description = "")]
     pub addr: String,
-    /// The machine or zone with which it is lost; copies go to others first.
+    /// Its failure domain, a machine or zone; replicas are placed in others first.
     #[serde(default)]
+    #[schemars(description = "The machine or zone with which it is lost; copies go to others first.")]
     pub host: String,
 }
 
@@ -73,15 +95,17 @@
     /// Calls in each span.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub calls: Option<u32>,
-    /// The span for which `calls` holds.
+    /// The span to which `calls` applies.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(description = "")]
     pub span: Option<Span>,
-    /// Connections that each courier may use even when it is cut off.
+    /// Connections that each courier may use even when it is partitioned from the others.
     #[serde(default)]
+    #[schemars(description = "Connections that each courier may use even when it is cut off.")]
     pub courier_floor: u32,
-    /// Tenants that are not named have weight 1, no floor and no ceiling.
+    /// Shares of the tenants. Those that are not named have weight 1, no floor and no limit.
     #[serde(default)]
+    #[schemars(description = "Tenants that are not named have weight 1, no floor and no ceiling.")]
     pub tenants: Vec<FleetTenant>,
 }
 
@@ -93,11 +117,12 @@
     #[schemars(description = "")]
     pub name: String,
     /// Its weight in the division of what no floor reserves.
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     #[schemars(description = "")]
     pub weight: f64,
-    /// Kept for it when it asks for it.
+    /// Connections that are reserved for it while it needs them.
     #[serde(default)]
+    #[schemars(description = "Kept for it when it asks for it.")]
     pub floor: u32,
     /// Connections that it has at most; none: no limit of its own.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -105,7 +130,7 @@
     pub ceiling: Option<u32>,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
@@ -129,7 +154,8 @@
     /// Each message on its own, over any connection.
     #[default]
     Message,
-    /// One connection from opening to closing. Not carried yet: it is refused.
+    /// One connection from opening to closing. Not implemented yet: the checks reject it.
+    #[schemars(description = "One connection from opening to closing. Not carried yet: it is refused.")]
     Session,
 }
 
@@ -138,10 +164,16 @@
 #[serde(rename_all = "lowercase")]
 #[schemars(description = "")]
 pub enum OnMissing {
-    /// It refuses messages (503) and begins no call: a 202 always means two journals.
+    /// It rejects messages (503) and starts no call: a 202 always means two journals.
+    #[schemars(
+        description = "It refuses messages (503) and begins no call: a 202 always means two journals."
+    )]
     #[default]
     Require,
-    /// It goes on with its own journal once the fleet has agreed that it has no copy, and says so.
+    /// It goes on with its own journal once the fleet has committed that it has no replica, and reports so.
+    #[schemars(
+        description = "It goes on with its own journal once the fleet has agreed that it has no copy, and says so."
+    )]
     Prefer,
 }
 
@@ -160,7 +192,7 @@
             budgets: Vec::new(),
             partner_idle: Span(Duration::from_secs(15)),
             settlements: Vec::new(),
-            partner_call: Span(CALL_MAX),
+            partner_call: Span(MAX_PARTNER_CALL),
             beyond_loopback: false,
         }
     }
--- a/courier/operator/src/units.rs
+++ b/courier/operator/src/units.rs
@@ -13,6 +13,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub Duration);
 
+/// A text is no size. The text of the library's error would only repeat it.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{text:?} is no size: a number and a unit are wanted, as in \"64 KiB\"")]
+pub struct SizeParseError {
+    /// The text.
+    pub text: String,
+}
+
+/// A text is no span of time.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+#[error("{text:?} is no span, as in \"10s\" or \"250ms\": {source}")]
+pub struct SpanParseError {
+    /// The text.
+    pub text: String,
+    /// What is wrong with it.
+    pub source: humantime::DurationError,
+}
+
 impl std::fmt::Display for Size {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{}", bytesize::ByteSize(self.0).display().iec())
@@ -26,28 +44,31 @@
 }
 
 impl std::str::FromStr for Size {
-    type Err = String;
+    type Err = SizeParseError;
 
     /// # Errors
     /// No number, no unit, or one that is not known: a bare number could mean anything.
-    fn from_str(text: &str) -> Result<Self, String> {
-        let wrong = || format!("{text:?} is no size: a number and a unit are wanted, as in \"64 KiB\"");
+    fn from_str(text: &str) -> Result<Self, SizeParseError> {
+        let error = || SizeParseError { text: text.to_owned() };
+        // The library takes a bare number for bytes.
         if !text.ends_with(|c: char| c.is_ascii_alphabetic()) {
-            return Err(wrong());
+            return Err(error());
         }
-        text.parse::<bytesize::ByteSize>().map(|size| Size(size.0)).map_err(|_| wrong())
+        let size: bytesize::ByteSize = text.parse().map_err(|_| error())?;
+        Ok(Size(size.0))
     }
 }
 
 impl std::str::FromStr for Span {
-    type Err = String;
+    type Err = SpanParseError;
 
     /// # Errors
     /// No number, no unit, or one that is not known.
-    fn from_str(text: &str) -> Result<Self, String> {
-        humantime::parse_duration(text)
-            .map(Span)
-            .map_err(|e| format!("{text:?} is no span, as in \"10s\" or \"250ms\": {e}"))
+    fn from_str(text: &str) -> Result<Self, SpanParseError> {
+        match humantime::parse_duration(text) {
+            Ok(duration) => Ok(Span(duration)),
+            Err(source) => Err(SpanParseError { text: text.to_owned(), source }),
+        }
     }
 }
 
--- a/courier/operator/tests/file.rs
+++ b/courier/operator/tests/file.rs
@@ -15,10 +15,10 @@
 
 #[test]
 fn what_is_wrong_is_told_with_its_path_and_all_at_once() {
-    let told = problems(r#"{"version": 1, "log": {"format": "xml", "filer": "info"}, "strems": {}}"#);
-    assert_eq!(told.len(), 3, "{told:?}");
-    assert!(told[0].starts_with("$.log.format: unknown variant `xml`"), "{told:?}");
-    assert_eq!(told[1..], ["$.log.filer: no such field", "$.strems: no such field"]);
+    let lines = problems(r#"{"version": 1, "log": {"format": "xml", "filer": "info"}, "strems": {}}"#);
+    assert_eq!(lines.len(), 3, "{lines:?}");
+    assert!(lines[0].starts_with("$.log.format: unknown variant `xml`"), "{lines:?}");
+    assert_eq!(lines[1..], ["$.log.filer: no such field", "$.strems: no such field"]);
     assert_eq!(problems("{}"), ["$: missing field `version`"]);
     assert_eq!(problems(r#"{"version": 2}"#), ["$.version: 2, where this program reads 1"]);
 }
@@ -27,11 +27,11 @@
 fn limits_that_can_not_be_are_told_all_at_once() {
     let text = r#"{"version": 1, "streams": {"window": "1 KiB", "memory": "0 B", "share_of_slots": 2,
         "provider": {"stall": "0s"}, "longest": "9 days"}}"#;
-    let told = problems(text);
-    let wanted = ["share_of_slots", "window", "memory", "longest", "provider.stall"];
-    assert_eq!(told.len(), wanted.len(), "{told:?}");
-    for (told, wanted) in told.iter().zip(wanted) {
-        assert!(told.starts_with(&format!("$.streams.{wanted}: ")), "{told}");
+    let lines = problems(text);
+    let expected = ["share_of_slots", "window", "memory", "longest", "provider.stall"];
+    assert_eq!(lines.len(), expected.len(), "{lines:?}");
+    for (line, expected) in lines.iter().zip(expected) {
+        assert!(line.starts_with(&format!("$.streams.{expected}: ")), "{line}");
     }
 }
 
@@ -40,8 +40,8 @@
     let text = r#"{"version": 1, "streams": {"on": true}, "fleet": {"on": true, "me": "x", "listen": "192.0.2.1:1",
         "members": [{"name": "a", "addr": "127.0.0.1:1"}, {"name": "a", "addr": "127.0.0.1:1"},
         {"name": "b/", "addr": "here"}], "voters": ["a", "c"], "lease": "1s", "drift": 0.2, "copies": 3}}"#;
-    let told = problems(text);
-    let wanted = [
+    let lines = problems(text);
+    let expected = [
         "members[1].name: \"a\" is there twice",
         "members[1].addr: 127.0.0.1:1 is another member's",
         "members[2].name: \"b/\"",
@@ -54,26 +54,40 @@
         "lease: from 1.5s",
         "copies: 3 copies need 4 members",
     ];
-    assert_eq!(told.len(), wanted.len() + 1, "{told:#?}");
-    for (told, wanted) in told.iter().zip(wanted) {
-        assert!(told.starts_with(&format!("$.fleet.{wanted}")), "{told}, not {wanted}");
+    assert_eq!(lines.len(), expected.len() + 1, "{lines:#?}");
+    for (line, expected) in lines.iter().zip(expected) {
+        assert!(line.starts_with(&format!("$.fleet.{expected}")), "{line}, not {expected}");
     }
-    assert!(told.last().is_some_and(|told| told.starts_with("$.streams.on: ")), "{told:#?}");
+    assert!(lines.last().is_some_and(|line| line.starts_with("$.streams.on: ")), "{lines:#?}");
     // What is off is not looked at.
     assert!(Operator::parse(br#"{"version": 1, "fleet": {"me": "x"}}"#).is_ok());
 }
 
+/// Operators read these lines, and `quillmount check` prints them.
+#[test]
+fn lines_of_problems_have_the_same_texts() {
+    let text = r#"{"version": 1,
+        "streams": {"on": true, "window": "1 KiB", "memory": "0 B", "share_of_slots": 2, "share_of_window": -0.5,
+            "largest": "0 B", "turn": "1 KiB", "longest": "9 days", "consumer": {"stall": "0s"},
+            "provider": {"stall": "0s", "over": "0s"}},
+        "fleet": {"on": true, "me": "x", "listen": "192.0.2.1:1", "members": [{"name": "a", "addr": "127.0.0.1:1"},
+            {"name": "a", "addr": "127.0.0.1:1"}, {"name": "b/", "addr": "here"}], "voters": ["a", "c", "c", "a"],
+            "lease": "1s", "drift": 0.2, "copies": 4, "partner_call": "31s",
+            "settlements": [{"dest": 1}, {"dest": 1, "mode": "session"}]}}"#;
+    assert_eq!(problems(text).join("\n"), include_str!("fixtures/problem_lines.txt").trim_end());
+}
+
 /// A session would be carried as single messages, which its partner does not take.
 #[test]
 fn settlements_in_sessions_are_refused() {
-    let told = problems(
+    let lines = problems(
         r#"{"version": 1, "fleet": {"on": true, "me": "a", "listen": "127.0.0.1:1", "voters": ["a"],
             "members": [{"name": "a", "addr": "127.0.0.1:1"}, {"name": "b", "addr": "127.0.0.1:2"}],
             "settlements": [{"dest": 1}, {"dest": 1, "mode": "message"}, {"dest": 2, "mode": "session"}]}}"#,
     );
-    assert_eq!(told.len(), 2, "{told:#?}");
-    assert!(told[0].starts_with("$.fleet.settlements[1].dest: 1 is there twice"), "{told:#?}");
-    assert!(told[1].starts_with("$.fleet.settlements[2].mode: sessions are not carried"), "{told:#?}");
+    assert_eq!(lines.len(), 2, "{lines:#?}");
+    assert!(lines[0].starts_with("$.fleet.settlements[1].dest: 1 is there twice"), "{lines:#?}");
+    assert!(lines[1].starts_with("$.fleet.settlements[2].mode: sessions are not carried"), "{lines:#?}");
 }
 
 /// `docs/schema/operator.json` is what `quillmount schema` prints; the example holds to it.
--- a/courier/operator/tests/problems.rs
+++ b/courier/operator/tests/problems.rs
@@ -1,6 +1,6 @@
-//! What is wrong in a text is told with its path, all of it.
+//! Everything that is wrong in a text is reported with its path.
 
-use quillmount_operator::problems::read;
+use quillmount_operator::problems::{UnknownFields, read};
 use serde::Deserialize;
 
 #[derive(Debug, Deserialize)]
@@ -20,15 +20,18 @@
     flag: bool,
 }
 
-fn paths(text: &str, strict: bool) -> Vec<String> {
-    let problems = read::<Outer>(text.as_bytes(), strict).unwrap_err();
+fn paths(text: &str, unknown_fields: UnknownFields) -> Vec<String> {
+    let problems = read::<Outer>(text.as_bytes(), unknown_fields).unwrap_err();
     problems.into_iter().map(|p| format!("{p}")).collect()
 }
 
 #[test]
 fn all_that_is_wrong_is_told_with_its_path() {
-    let told = paths(r#"{"all": [{"n": 300, "odd": 1}, {"text": 7}], "flag": "yes", "more": {}}"#, true);
-    let wanted = [
+    let lines = paths(
+        r#"{"all": [{"n": 300, "odd": 1}, {"text": 7}], "flag": "yes", "more": {}}"#,
+        UnknownFields::Reject,
+    );
+    let expected = [
         "$.all[0].n: invalid value",
         "$.all[1].text: invalid type",
         "$.all[1]: missing field `n`",
@@ -37,15 +40,18 @@
         "$.all[0].odd: no such field",
         "$.more: no such field",
     ];
-    assert_eq!(told.len(), wanted.len(), "{told:?}");
-    for (told, wanted) in told.iter().zip(wanted) {
-        assert!(told.starts_with(wanted), "{told:?} for {wanted:?}");
+    assert_eq!(lines.len(), expected.len(), "{lines:?}");
+    for (line, expected) in lines.iter().zip(expected) {
+        assert!(line.starts_with(expected), "{line:?} for {expected:?}");
     }
 }
 
 #[test]
 fn a_text_that_is_no_json_is_one_problem_and_unknown_fields_may_pass() {
-    assert_eq!(paths("{\"name\": ", true).len(), 1);
-    assert_eq!(paths("[]", true), ["$: invalid length 0, expected struct Outer with 3 elements"]);
-    assert!(read::<Outer>(br#"{"name": "", "all": [], "odd": 1}"#, false).is_ok());
+    assert_eq!(paths("{\"name\": ", UnknownFields::Reject).len(), 1);
+    assert_eq!(
+        paths("[]", UnknownFields::Reject),
+        ["$: invalid length 0, expected struct Outer with 3 elements"]
+    );
+    assert!(read::<Outer>(br#"{"name": "", "all": [], "odd": 1}"#, UnknownFields::Ignore).is_ok());
 }
--- a/courier/operator/tests/units.rs
+++ b/courier/operator/tests/units.rs
@@ -16,6 +16,23 @@
     assert!(["10", "", "s", "-1s", "10 parsecs"].into_iter().all(|text| span(text).is_err()));
 }
 
+/// Operators read these texts in the problems of their file.
+#[test]
+fn errors_quote_the_text_and_say_what_is_wanted() {
+    assert_eq!(
+        "64".parse::<Size>().unwrap_err().to_string(),
+        r#""64" is no size: a number and a unit are wanted, as in "64 KiB""#
+    );
+    assert_eq!(
+        "64 parsecs".parse::<Size>().unwrap_err().to_string(),
+        r#""64 parsecs" is no size: a number and a unit are wanted, as in "64 KiB""#
+    );
+    assert_eq!(
+        "10".parse::<Span>().unwrap_err().to_string(),
+        r#""10" is no span, as in "10s" or "250ms": time unit needed, for example 10sec or 10ms"#
+    );
+}
+
 #[test]
 fn what_is_written_is_read_back() {
     for n in [0, 1, 1_023, 1_024, 65_536, 262_144, 4 << 30] {
--- a/courier/program/src/program/config.rs
+++ b/courier/program/src/program/config.rs
@@ -186,7 +186,7 @@
             Ok(text) => text,
             Err(e) => return vec![Problem::new("$", e.to_string())],
         };
-        let file: File = match problems::read(&text, false) {
+        let file: File = match problems::read(&text, problems::UnknownFields::Ignore) {
             Ok(file) => file,
             Err(problems) => return problems,
         };
