--- a/courier/program/src/transport/endpoints.rs
+++ b/courier/program/src/transport/endpoints.rs
@@ -291,7 +291,8 @@
         if end != CallEnd::Each {
             return CallOutcome::Ended(end, report);
         }
-        let (ends, wait) = delivery::each(self.call.attempt().answer(), &self.call.order);
+        let delivery::BundleResults { ends, retry_after: wait } =
+            delivery::bundle_results(self.call.attempt().answer(), &self.call.order);
         CallOutcome::Each(ends, AnswerReport { wait, ..report })
     }
 
@@ -299,7 +300,7 @@
     fn report(&self) -> AnswerReport {
         let answer = self.call.attempt().answer();
         let reads_load = !answer.is_empty() && self.handle.hub.borrow().router.reads_load_reports();
-        AnswerReport { load: if reads_load { delivery::load(answer) } else { Vec::new() }, wait: 0 }
+        AnswerReport { load: if reads_load { delivery::load_report(answer) } else { Vec::new() }, wait: 0 }
     }
 
     /// Gives the call up to another process.
--- a/courier/program/src/transport/operators.rs
+++ b/courier/program/src/transport/operators.rs
@@ -9,7 +9,7 @@
 use actix_rt::time::{sleep, timeout};
 use quillmount_core::machine::drain::{DrainInput, DrainOutput};
 use quillmount_core::machine::lifecycle;
-use quillmount_protocol::operator::{self, BadCall, LINE_MAX, Line, OperatorCall};
+use quillmount_protocol::operator::{self, LINE_MAX, Line, OperatorCall, OperatorCallError};
 use std::collections::VecDeque;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -192,7 +192,7 @@
 }
 
 /// Reads one line, in whatever chunks it comes; `None`: the caller has gone without sending anything.
-async fn read_call(stream: &mut TcpStream) -> Option<Result<OperatorCall, BadCall>> {
+async fn read_call(stream: &mut TcpStream) -> Option<Result<OperatorCall, OperatorCallError>> {
     let mut bytes = Vec::with_capacity(64);
     let mut chunk = [0; LINE_MAX];
     loop {
@@ -201,7 +201,7 @@
         if n == 0 && bytes.is_empty() {
             return None;
         }
-        if let Line::Whole(call) = operator::read(&bytes, n == 0) {
+        if let Line::Complete(call) = operator::read(&bytes, n == 0) {
             return Some(call);
         }
     }
--- a/courier/program/src/transport/platform.rs
+++ b/courier/program/src/transport/platform.rs
@@ -206,7 +206,7 @@
     };
     out.0.clear();
     machine.step(WatchInput::Answered, courier.clock.now());
-    let mut lists = discovery::Lists::default();
+    let mut lists = discovery::ListDecoder::default();
     loop {
         let chunk = in_time(courier, machine, answer.next()).await?;
         let outcome = lists.feed(&chunk.ok_or(WatchError::Ended)??);
@@ -219,7 +219,7 @@
         for list in outcome.lists {
             courier.list(list);
         }
-        if let Some(e) = outcome.end {
+        if let Some(e) = outcome.error {
             return Err(e.into());
         }
     }
--- a/courier/program/src/transport/server/request.rs
+++ b/courier/program/src/transport/server/request.rs
@@ -12,7 +12,7 @@
 use quillmount_core::router::{Intake, OVERLOAD_RETRY_AFTER, StreamEnd};
 use quillmount_core::{StreamHead, Submission};
 use quillmount_policy::MsgId;
-use quillmount_protocol::stream::{self, Body, Digest, Framing};
+use quillmount_protocol::stream::{self, BodyDecoder, Digest, Framing};
 use quillmount_protocol::submission::{self, Head, Malformed};
 use std::io;
 use std::rc::Rc;
@@ -201,7 +201,7 @@
             buf: &mut self.socket.buf,
             handle: &courier.handle,
             pipe: &pipe,
-            body: Body::new(framing, rules.largest),
+            body: BodyDecoder::new(framing, rules.largest),
             digest,
             expects_continue,
         };
--- a/courier/program/src/transport/server/socket.rs
+++ b/courier/program/src/transport/server/socket.rs
@@ -77,7 +77,7 @@
     /// # Errors
     /// The connection broke.
     pub(super) async fn read_head(&mut self) -> io::Result<HeadRead> {
-        while !submission::is_whole_head(&self.buf) {
+        while !submission::has_complete_head(&self.buf) {
             if self.buf.len() > HEAD_MAX {
                 return Ok(HeadRead::Malformed(Malformed::HeadTooLarge));
             }
--- a/courier/program/src/transport/streams/receive.rs
+++ b/courier/program/src/transport/streams/receive.rs
@@ -8,7 +8,7 @@
 use bytes::{BufMut, BytesMut};
 use quillmount_core::flow::{BodySource, Cut, FlowSide};
 use quillmount_core::router::StreamEnd;
-use quillmount_protocol::stream::{Body, Digest, Next};
+use quillmount_protocol::stream::{BodyDecoder, BodyEvent, Digest};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
@@ -35,7 +35,7 @@
     /// Where the body goes.
     pub pipe: &'a Pipe,
     /// The parser of the body's framing.
-    pub body: Body,
+    pub body: BodyDecoder,
     /// The digest that the client declared, while it is not checked.
     pub digest: Option<Digest>,
     /// The client waits for `100 Continue`, which it has not got.
@@ -101,7 +101,7 @@
         while pipe.flow.borrow().source() == BodySource::Coming {
             let capacity = pipe.flow.borrow().capacity();
             match self.body.next(self.buf) {
-                Next::Body(length) => {
+                BodyEvent::Content(length) => {
                     let length = length.min(usize::try_from(capacity).unwrap_or(usize::MAX));
                     if length == 0 {
                         return;
@@ -110,15 +110,15 @@
                     if let Some(digest) = &mut self.digest {
                         digest.update(&chunk);
                     }
-                    self.body.took(length as u64);
+                    self.body.consumed(length as u64);
                     pipe.receive(chunk, clock.now());
                 }
-                Next::End if self.digest.take().is_none_or(Digest::matches) => {
+                BodyEvent::End if self.digest.take().is_none_or(Digest::matches) => {
                     pipe.change(|flow| flow.complete(clock.now()));
                     pipe.endpoint_wake.notify_one();
                 }
-                Next::End => fail(StreamFailure::Cut(Cut::Digest)),
-                Next::Bad(why) => fail(StreamFailure::Cut(why)),
+                BodyEvent::End => fail(StreamFailure::Cut(Cut::Digest)),
+                BodyEvent::Invalid(why) => fail(StreamFailure::Cut(why)),
             }
         }
     }
--- a/courier/protocol/src/discovery.rs
+++ b/courier/protocol/src/discovery.rs
@@ -1,5 +1,6 @@
-//! Discovery's endpoint lists: one in the configuration, and a sequence of them on a watch (a long response of concatenated
-//! JSON objects). The caller feeds each chunk of a watch to [`Lists`] and applies the lists that are complete.
+//! Discovery's endpoint lists: one in the configuration, and a sequence of them on a watch, which is a long response of
+//! concatenated JSON objects (`docs/courier.md`). The driver of the watch feeds each chunk to [`ListDecoder`] and applies the lists
+//! that are complete; the configuration has a [`List`].
 
 use quillmount_core::{EndpointList, EndpointListing};
 use quillmount_settings::{EndpointStateError, list_state_from_name};
@@ -52,6 +53,7 @@
 }
 
 /// A list as discovery writes it: all endpoints if `full`, else those that have changed.
+// Errors of `serde_json` quote the names of the structures, and log lines and `quillmount check` the errors.
 #[derive(Deserialize)]
 pub struct List {
     version: u64,
@@ -70,7 +72,8 @@
     zone: String,
     #[serde(default)]
     kind: String,
-    cell: u64,
+    #[serde(rename = "cell")]
+    dest: u64,
     state: String,
     #[serde(default)]
     weight: f64,
@@ -91,7 +94,7 @@
         Ok(EndpointListing {
             id: server.id,
             addr,
-            dest: server.cell,
+            dest: server.dest,
             kind: server.kind,
             zone: server.zone,
             weight: server.weight,
@@ -124,10 +127,10 @@
     format!("/api/targets?watch=1&after={after}")
 }
 
-/// Joins a watch's chunks into lists, each one JSON object, on one line or indented over many. An
-/// empty line between two lists only shows that the watch is alive.
+/// Joins a watch's chunks into lists, each one JSON object, on one line or indented over many. An empty line between two lists
+/// only shows that the watch is alive.
 #[derive(Default)]
-pub struct Lists {
+pub struct ListDecoder {
     /// The bytes of a list that has begun and is incomplete.
     rest: Vec<u8>,
 }
@@ -140,44 +143,47 @@
     /// The watch is alive: a list is complete, or an empty line came where none had begun. The start of a list shows
     /// nothing, as its rest may never come; a long one counts with each 64 KiB.
     pub alive: bool,
-    /// Why what came behind those lists is no list; nothing that follows can be read.
-    pub end: Option<DiscoveryError>,
+    /// Why the bytes behind those lists are not a list; nothing that follows can be read.
+    pub error: Option<DiscoveryError>,
 }
 
-impl Lists {
+impl ListDecoder {
     /// Adds a chunk of the watch's body.
     pub fn feed(&mut self, chunk: &[u8]) -> ChunkOutcome {
         let between = self.rest.is_empty() && !chunk.is_empty() && chunk.trim_ascii().is_empty();
-        let mut outcome = ChunkOutcome { lists: Vec::new(), alive: between, end: None };
         let progress = self.rest.len() / PROGRESS_BYTES;
         self.rest.extend_from_slice(chunk);
-        outcome.alive |= self.rest.len() / PROGRESS_BYTES > progress;
-        outcome.end = self.read(chunk, &mut outcome.lists).err();
-        outcome.alive |= !outcome.lists.is_empty();
-        outcome
+        let has_progressed = self.rest.len() / PROGRESS_BYTES > progress;
+        let mut lists = Vec::new();
+        let error = self.decode_complete_lists(chunk, &mut lists).err();
+        ChunkOutcome { alive: between || has_progressed || !lists.is_empty(), lists, error }
     }
 
-    /// Reads the lists that are complete by the last brace of `chunk`, which has come last.
-    fn read(&mut self, chunk: &[u8], lists: &mut Vec<EndpointList>) -> Result<(), DiscoveryError> {
-        // Only a brace ends a list; what is read ends in one, since a number that is cut reads as a wrong
-        // one.
+    /// Decodes the lists that are complete by the last brace of `chunk`, the most recent bytes. Those before an error are added
+    /// to `lists` too.
+    fn decode_complete_lists(
+        &mut self,
+        chunk: &[u8],
+        lists: &mut Vec<EndpointList>,
+    ) -> Result<(), DiscoveryError> {
+        // Only a brace ends a list. Nothing behind the last one is parsed: an incomplete number would be read as another one.
         if let Some(last) = chunk.iter().rposition(|byte| *byte == b'}') {
-            let known = &self.rest[..=self.rest.len() - chunk.len() + last];
-            let mut values = serde_json::Deserializer::from_slice(known).into_iter::<IgnoredAny>();
-            let mut read = 0;
+            let closed = &self.rest[..=self.rest.len() - chunk.len() + last];
+            let mut values = serde_json::Deserializer::from_slice(closed).into_iter::<IgnoredAny>();
+            let mut decoded = 0;
             loop {
                 match values.next() {
                     Some(Ok(IgnoredAny)) => {
                         let end = values.byte_offset();
-                        let list: List = serde_json::from_slice(&known[read..end])?;
+                        let list: List = serde_json::from_slice(&closed[decoded..end])?;
                         lists.push(list.try_into()?);
-                        read = end;
+                        decoded = end;
                     }
-                    Some(Err(e)) if !e.is_eof() => return Err(e.into()),
-                    _ => break,
+                    Some(Err(error)) if !error.is_eof() => return Err(error.into()),
+                    Some(Err(_)) | None => break,
                 }
             }
-            self.rest.drain(..read);
+            self.rest.drain(..decoded);
         }
         match self.rest.trim_ascii_start().first() {
             None => self.rest.clear(),
--- a/courier/protocol/src/notice.rs
+++ b/courier/protocol/src/notice.rs
@@ -1,32 +1,39 @@
-//! Notices to the platform of how messages ended, for those that were not delivered: one JSON object on each line.
+//! Notices to the platform of how messages ended that were not delivered: one JSON object on each line (`docs/courier.md`). The
+//! driver of the connection to the platform posts them.
 
 use quillmount_core::{Ending, Notice};
 use serde::Serialize;
 
 /// The path to which notices are posted.
 pub const PATH: &str = "/v2/finals";
+const MICROS_PER_MILLI: u64 = 1_000;
 
 #[derive(Serialize)]
-struct Line<'a> {
+struct NoticeLine<'a> {
     id: &'a str,
     status: &'static str,
     #[serde(rename = "again_ms", skip_serializing_if = "Option::is_none")]
     retry_after_ms: Option<u64>,
 }
 
+impl<'a> NoticeLine<'a> {
+    fn new(notice: &'a Notice) -> Self {
+        let (status, retry_after) = match notice.ending {
+            Ending::Undeliverable => ("undeliverable", None),
+            Ending::Deferred(0) => ("deferred", None),
+            Ending::Deferred(after) => ("deferred", Some(after)),
+        };
+        let retry_after_ms = retry_after.map(|micros| micros.div_ceil(MICROS_PER_MILLI));
+        NoticeLine { id: &notice.id, status, retry_after_ms }
+    }
+}
+
 /// The body of a request with these notices. Waits are rounded up to whole milliseconds.
 pub fn encode(notices: &[Notice]) -> String {
     let mut body = String::new();
-    for Notice { id, ending, .. } in notices {
-        let line = match ending {
-            Ending::Undeliverable => Line { id, status: "undeliverable", retry_after_ms: None },
-            Ending::Deferred(0) => Line { id, status: "deferred", retry_after_ms: None },
-            Ending::Deferred(after) => {
-                Line { id, status: "deferred", retry_after_ms: Some(after.div_ceil(1_000)) }
-            }
-        };
+    for notice in notices {
         // A struct of text and a number always has a JSON form.
-        body.push_str(&serde_json::to_string(&line).unwrap_or_default());
+        body.push_str(&serde_json::to_string(&NoticeLine::new(notice)).unwrap_or_default());
         body.push('\n');
     }
     body
--- a/courier/protocol/src/operator.rs
+++ b/courier/protocol/src/operator.rs
@@ -1,6 +1,9 @@
-//! Operators' calls: one line of text for each connection, and one line in reply (`SUCCESS ...` or `FAILURE ...`).
+//! Operators' calls: one line of text for each connection, and one line in reply, `SUCCESS ...` or `FAILURE ...`
+//! (`docs/operators.md`, `docs/operators-design.md`).
+//!
+//! The listener passes all bytes of a connection so far to [`read`] until the line is complete, and replies with [`answer`].
 
-/// The longest line that is read: an id in discovery's list takes 128 bytes at most, a verb eight.
+/// Bytes of a line at most: an id in discovery's list takes 128 at most, a verb eight.
 pub const LINE_MAX: usize = 256;
 
 /// One call.
@@ -18,9 +21,9 @@
     Undrain,
 }
 
-/// Why a line is no call. The text is the reply's.
+/// Why a line is not a call. The text is the reply's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadCall {
+pub enum OperatorCallError {
     /// The line is longer than [`LINE_MAX`].
     #[error("the line is longer than {LINE_MAX} bytes")]
     TooLong,
@@ -44,13 +47,13 @@
     Unended,
 }
 
-/// What has been received on a connection so far.
+/// The line of a connection, as far as it has been received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Line {
     /// Its end is still to come.
     Partial,
     /// The line is complete.
-    Whole(Result<OperatorCall, BadCall>),
+    Complete(Result<OperatorCall, OperatorCallError>),
 }
 
 /// Reads what has been received; `ended`: the caller sends nothing more. Only the first line counts, however it was split
@@ -58,31 +61,33 @@
 pub fn read(bytes: &[u8], ended: bool) -> Line {
     let Some(end) = bytes.iter().position(|b| *b == b'\n') else {
         return match bytes.len() {
-            0 if ended => Line::Whole(Err(BadCall::Empty)),
-            n if n > LINE_MAX => Line::Whole(Err(BadCall::TooLong)),
-            _ if ended => Line::Whole(Err(BadCall::Unended)),
+            0 if ended => Line::Complete(Err(OperatorCallError::Empty)),
+            n if n > LINE_MAX => Line::Complete(Err(OperatorCallError::TooLong)),
+            _ if ended => Line::Complete(Err(OperatorCallError::Unended)),
             _ => Line::Partial,
         };
     };
-    Line::Whole(if end > LINE_MAX { Err(BadCall::TooLong) } else { decode(&bytes[..end]) })
+    Line::Complete(if end > LINE_MAX { Err(OperatorCallError::TooLong) } else { decode(&bytes[..end]) })
 }
 
-fn decode(line: &[u8]) -> Result<OperatorCall, BadCall> {
+fn decode(line: &[u8]) -> Result<OperatorCall, OperatorCallError> {
     let line = line.strip_suffix(b"\r").unwrap_or(line);
-    let line = std::str::from_utf8(line).map_err(|_| BadCall::NotText)?;
-    let mut fields = line.split(' ').filter(|verb| !verb.is_empty());
-    let (verb, id) = (fields.next().ok_or(BadCall::Empty)?, fields.next());
+    let line = std::str::from_utf8(line).map_err(|_| OperatorCallError::NotText)?;
+    let mut fields = line.split(' ').filter(|field| !field.is_empty());
+    let verb = fields.next().ok_or(OperatorCallError::Empty)?;
+    let id = fields.next();
     if fields.next().is_some() {
-        return Err(BadCall::Surplus);
+        return Err(OperatorCallError::Surplus);
     }
-    let alone = |call| if id.is_none() { Ok(call) } else { Err(BadCall::Surplus) };
+    let without_id = |call| if id.is_none() { Ok(call) } else { Err(OperatorCallError::Surplus) };
+    let with_id = || id.map(str::to_owned).ok_or(OperatorCallError::NoId);
     match verb {
-        "READY" => alone(OperatorCall::Ready),
-        "DRAIN" => alone(OperatorCall::Drain),
-        "UNDRAIN" => alone(OperatorCall::Undrain),
-        "DISABLE" => id.map(|id| OperatorCall::Disable(id.into())).ok_or(BadCall::NoId),
-        "ENABLE" => id.map(|id| OperatorCall::Enable(id.into())).ok_or(BadCall::NoId),
-        _ => Err(BadCall::Unknown),
+        "READY" => without_id(OperatorCall::Ready),
+        "DRAIN" => without_id(OperatorCall::Drain),
+        "UNDRAIN" => without_id(OperatorCall::Undrain),
+        "DISABLE" => with_id().map(OperatorCall::Disable),
+        "ENABLE" => with_id().map(OperatorCall::Enable),
+        _ => Err(OperatorCallError::Unknown),
     }
 }
 
--- a/courier/protocol/tests/delivery.rs
+++ b/courier/protocol/tests/delivery.rs
@@ -3,7 +3,9 @@
 use quillmount_core::machine::attempt::Answer;
 use quillmount_core::{CallEnd, DeliveryCall, MessagePayload};
 use quillmount_policy::Micros;
-use quillmount_protocol::delivery::{decode, decode_each, each, encode, load};
+use quillmount_protocol::delivery::{
+    BundleResults, bundle_results, decode, decode_bundle, encode, load_report,
+};
 
 /// Whatever the pieces in which an answer comes, it says one thing, and only with its last byte where it is no 200.
 #[test]
@@ -83,21 +85,22 @@
     let order = call(&["a", "b", "c", "d", "e", "f", "g", "h"]);
     for answer in [plain, chunked] {
         for cut in 1..answer.len() {
-            assert_eq!(decode_each(&answer.as_bytes()[..cut], false), Answer::Partial, "{cut} bytes");
-            let cut_short = decode_each(&answer.as_bytes()[..cut], true);
+            assert_eq!(decode_bundle(&answer.as_bytes()[..cut], false), Answer::Partial, "{cut} bytes");
+            let cut_short = decode_bundle(&answer.as_bytes()[..cut], true);
             assert!(
                 matches!(cut_short, Answer::Whole { end: Spoilt(_), reusable: false }),
                 "{cut}: {cut_short:?}"
             );
         }
-        assert_eq!(decode_each(answer.as_bytes(), false), Answer::Whole { end: Each, reusable: true });
+        assert_eq!(decode_bundle(answer.as_bytes(), false), Answer::Whole { end: Each, reusable: true });
         let ends = [Delivered, Error, Full(0), Gone, Exhausted, Spoilt(0), Spoilt(0), Spoilt(0)];
-        assert_eq!(each(answer.as_bytes(), &order), (ends.to_vec(), 500_000));
+        let results = BundleResults { ends: ends.to_vec(), retry_after: 500_000 };
+        assert_eq!(bundle_results(answer.as_bytes(), &order), results);
     }
     let empty = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-    assert_eq!(each(empty, &order).0, [Spoilt(0); 8]);
+    assert_eq!(bundle_results(empty, &order).ends, [Spoilt(0); 8]);
     let too_many = b"HTTP/1.1 413 X\r\nContent-Length: 0\r\n\r\n";
-    assert_eq!(decode_each(too_many, false), Answer::Whole { end: NoSlot, reusable: true });
+    assert_eq!(decode_bundle(too_many, false), Answer::Whole { end: NoSlot, reusable: true });
 }
 
 /// How an answer's length is told decides what may be believed of it, and whether its connection may carry another call.
@@ -157,12 +160,17 @@
             let rest = &plain[..cut - interim.len()];
             for over in [false, true] {
                 assert_eq!(decode(&text[..cut], over), decode(rest, over), "{head}, {cut} bytes");
-                assert_eq!(decode_each(&text[..cut], over), decode_each(rest, over), "{head}, {cut} bytes");
+                assert_eq!(
+                    decode_bundle(&text[..cut], over),
+                    decode_bundle(rest, over),
+                    "{head}, {cut} bytes"
+                );
             }
         }
         assert_eq!(decode(interim.as_bytes(), false), Answer::Awaited);
-        assert_eq!(each(text, &order), (vec![CallEnd::Delivered, CallEnd::Full(0)], 1_000_000));
-        assert_eq!(load(text), [("in_use".to_string(), 2.0)]);
+        let ends = vec![CallEnd::Delivered, CallEnd::Full(0)];
+        assert_eq!(bundle_results(text, &order), BundleResults { ends, retry_after: 1_000_000 });
+        assert_eq!(load_report(text), [("in_use".to_string(), 2.0)]);
     }
     let switched = "HTTP/1.1 101 X\r\nContent-Length: 0\r\n\r\n";
     assert_eq!(decode(switched.as_bytes(), false), Answer::Whole { end: CallEnd::Error, reusable: true });
--- a/courier/protocol/tests/discovery.rs
+++ b/courier/protocol/tests/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery's lists, wherever a watch cuts them.
 
-use quillmount_protocol::discovery::{ChunkOutcome, DiscoveryError, LIST_MAX, Lists};
+use quillmount_protocol::discovery::{ChunkOutcome, DiscoveryError, LIST_MAX, ListDecoder};
 
 const LINE: &str = concat!(
     r#"{"version":42,"full":true,"servers":[{"id":"s-\"{1}\"","addr":"10.1.0.18:7070","zone":"ü","kind":"m2","#,
@@ -14,14 +14,14 @@
 }
 
 /// What is no error.
-fn fed(lists: &mut Lists, chunk: &[u8]) -> ChunkOutcome {
+fn fed(lists: &mut ListDecoder, chunk: &[u8]) -> ChunkOutcome {
     let outcome = lists.feed(chunk);
-    assert!(outcome.end.is_none(), "{:?}", outcome.end);
+    assert!(outcome.error.is_none(), "{:?}", outcome.error);
     outcome
 }
 
 fn read(text: &str, cuts: &[usize]) -> Vec<(u64, usize)> {
-    let mut lists = Lists::default();
+    let mut lists = ListDecoder::default();
     let (mut all, mut from) = (Vec::new(), 0);
     for to in cuts.iter().copied().chain([text.len()]) {
         all.extend(fed(&mut lists, &text.as_bytes()[from..to]).lists);
@@ -49,7 +49,7 @@
 /// It needs no line end behind it either.
 #[test]
 fn a_list_holds_as_soon_as_its_last_byte_is_there() {
-    let mut lists = Lists::default();
+    let mut lists = ListDecoder::default();
     let text = indented();
     assert!(fed(&mut lists, &text.as_bytes()[..text.len() - 1]).lists.is_empty());
     assert_eq!(fed(&mut lists, b"}").lists.len(), 1);
@@ -57,7 +57,7 @@
 
 #[test]
 fn empty_lines_say_that_a_watch_lives_but_inside_of_a_list_that_goes_on() {
-    let mut lists = Lists::default();
+    let mut lists = ListDecoder::default();
     let mut lives = |chunk: &str| fed(&mut lists, chunk.as_bytes()).alive;
     assert!(lives("\n") && lives("\r\n") && lives(&indented()) && lives("\n"));
     // Only a whole list shows that more than its beginning will come.
@@ -68,7 +68,7 @@
 
 #[test]
 fn what_is_no_list_is_an_error_at_once_and_what_never_ends_at_the_limit() {
-    let no_list = |text: &str| Lists::default().feed(text.as_bytes()).end.unwrap();
+    let no_list = |text: &str| ListDecoder::default().feed(text.as_bytes()).error.unwrap();
     for text in ["x", "]", "12\n", "\n[]", r#"{"version":1}]"#] {
         assert!(matches!(no_list(text), DiscoveryError::Start(_)), "{text}");
     }
@@ -85,9 +85,15 @@
         let list = format!(r#"{{"version":1,"servers":[{{"id":"s-1","cell":1,{entry}}}]}}"#);
         assert_eq!(no_list(&list).to_string(), text);
     }
-    let mut lists = Lists::default();
+    for (list, name) in
+        [("[]{}", "struct List with 3 elements"), (r#"{"version":1,"servers":[7]}"#, "struct Server")]
+    {
+        let text = no_list(list).to_string();
+        assert!(text.contains(&format!("expected {name} at line 1")), "{text}");
+    }
+    let mut lists = ListDecoder::default();
     fed(&mut lists, br#"{"version":1,"servers":[""#);
     let piece = vec![b'x'; LIST_MAX / 4];
-    let fed: Vec<bool> = (0..4).map(|_| lists.feed(&piece).end.is_none()).collect();
+    let fed: Vec<bool> = (0..4).map(|_| lists.feed(&piece).error.is_none()).collect();
     assert_eq!(fed, [true, true, true, false]);
 }
--- a/courier/protocol/tests/load.rs
+++ b/courier/protocol/tests/load.rs
@@ -1,13 +1,13 @@
 //! Reports of load in answers.
 
-use quillmount_protocol::delivery::load;
+use quillmount_protocol::delivery::load_report;
 
 fn answer(header: &str) -> Vec<u8> {
     format!("HTTP/1.1 102 Wait\r\n\r\nHTTP/1.1 503 X\r\n{header}Content-Length: 0\r\n\r\n").into_bytes()
 }
 
 fn told(header: &str) -> Vec<(String, f64)> {
-    load(&answer(header))
+    load_report(&answer(header))
 }
 
 #[test]
@@ -26,6 +26,6 @@
     assert_eq!(told("X-Backend-Load: x1=1\r\nX-Backend-Load: x1=2\r\n"), []);
     for cut in 0..answer("X-Backend-Load: x1=1\r\n").len() {
         let bytes = &answer("X-Backend-Load: x1=1\r\n")[..cut];
-        assert_eq!(load(bytes), [], "a head of {cut} bytes is not whole");
+        assert_eq!(load_report(bytes), [], "a head of {cut} bytes is not whole");
     }
 }
--- a/courier/protocol/tests/stored_forms.rs
+++ b/courier/protocol/tests/stored_forms.rs
@@ -12,8 +12,9 @@
     Notice, StreamHead, Submission,
 };
 use quillmount_policy::EndpointState;
-use quillmount_protocol::discovery::{Lists, watch_path};
-use quillmount_protocol::operator::{self, BadCall, Line, OperatorCall};
+use quillmount_protocol::delivery::BundleResults;
+use quillmount_protocol::discovery::{ListDecoder, watch_path};
+use quillmount_protocol::operator::{self, Line, OperatorCall, OperatorCallError};
 use quillmount_protocol::submission::{self, Head, Malformed};
 use quillmount_protocol::{delivery, notice, stream};
 use quillmount_test_support::fixtures::Fixtures;
@@ -38,8 +39,8 @@
 #[test]
 fn lists_are_read_as_ever() {
     let bytes = include_bytes!("fixtures/discovery_lists.json");
-    let said = Lists::default().feed(bytes);
-    assert!(said.end.is_none() && said.alive);
+    let said = ListDecoder::default().feed(bytes);
+    assert!(said.error.is_none() && said.alive);
     let first = EndpointListing {
         kind: "bank".into(),
         zone: "ü".into(),
@@ -257,7 +258,7 @@
         assert_eq!(delivery::decode(&answer(head), false), whole(end), "{head}");
     }
     for (head, end) in [("200 OK", CallEnd::Each), ("400 X", CallEnd::NoSlot), ("413 X", CallEnd::NoSlot)] {
-        assert_eq!(delivery::decode_each(&answer(head), false), whole(end), "{head}");
+        assert_eq!(delivery::decode_bundle(&answer(head), false), whole(end), "{head}");
     }
     let states = ["ok", "error", "later", "gone", "exhausted", "other"];
     let wanted = [
@@ -273,9 +274,10 @@
         let head = format!("HTTP/1.1 200 OK\r\nRetry-After: 2\r\nContent-Length: {}\r\n\r\n", body.len());
         let bytes = [head.as_bytes(), body.as_bytes()].concat();
         let ends = vec![CallEnd::Delivered, end, CallEnd::Spoilt(0)];
-        assert_eq!(delivery::each(&bytes, &call(true, None)), (ends, 2_000_000), "{state}");
+        let results = BundleResults { ends, retry_after: 2_000_000 };
+        assert_eq!(delivery::bundle_results(&bytes, &call(true, None)), results, "{state}");
     }
-    let load = delivery::load(&answer("200 OK\r\nX-Backend-Load: x0=0.4,x1=25"));
+    let load = delivery::load_report(&answer("200 OK\r\nX-Backend-Load: x0=0.4,x1=25"));
     assert_eq!(load, [("x0".to_string(), 0.4), ("x1".to_string(), 25.0)]);
 }
 
@@ -289,16 +291,16 @@
         ("UNDRAIN\n", OperatorCall::Undrain),
     ];
     for (line, call) in calls {
-        assert_eq!(operator::read(line.as_bytes(), false), Line::Whole(Ok(call)));
+        assert_eq!(operator::read(line.as_bytes(), false), Line::Complete(Ok(call)));
     }
     let bad = [
-        BadCall::TooLong,
-        BadCall::NotText,
-        BadCall::Empty,
-        BadCall::Unknown,
-        BadCall::NoId,
-        BadCall::Surplus,
-        BadCall::Unended,
+        OperatorCallError::TooLong,
+        OperatorCallError::NotText,
+        OperatorCallError::Empty,
+        OperatorCallError::Unknown,
+        OperatorCallError::NoId,
+        OperatorCallError::Surplus,
+        OperatorCallError::Unended,
     ];
     let mut all: String = bad.iter().map(|why| operator::answer(Err(&why.to_string()))).collect();
     all += &operator::answer(Ok("ready"));
--- a/courier/protocol/tests/stream.rs
+++ b/courier/protocol/tests/stream.rs
@@ -2,29 +2,29 @@
 
 use bytes::{Buf, BytesMut};
 use quillmount_core::flow::Cut;
-use quillmount_protocol::stream::{Body, Framing, Next};
+use quillmount_protocol::stream::{BodyDecoder, BodyEvent, Framing};
 
 /// What a body in these bytes comes to, however they are cut into pieces: its length, or why it is none.
 fn read(text: &[u8], most: u64) -> Result<Option<u64>, Cut> {
     let mut outcomes = Vec::new();
     for size in 1..=text.len() {
         let (mut body, mut buf, mut sum, mut end) =
-            (Body::new(Framing::Chunked, most), BytesMut::new(), 0, None);
+            (BodyDecoder::new(Framing::Chunked, most), BytesMut::new(), 0, None);
         'pieces: for piece in text.chunks(size) {
             buf.extend_from_slice(piece);
             loop {
                 match body.next(&mut buf) {
-                    Next::Body(0) => break,
-                    Next::Body(n) => {
+                    BodyEvent::Content(0) => break,
+                    BodyEvent::Content(n) => {
                         buf.advance(n);
-                        body.took(n as u64);
+                        body.consumed(n as u64);
                         sum += n as u64;
                     }
-                    Next::End => {
+                    BodyEvent::End => {
                         end = Some(Ok(Some(sum)));
                         break 'pieces;
                     }
-                    Next::Bad(why) => {
+                    BodyEvent::Invalid(why) => {
                         end = Some(Err(why));
                         break 'pieces;
                     }
@@ -69,16 +69,16 @@
 fn a_bomb_of_extensions_is_refused() {
     let mut text = format!("1;{}\r\nx\r\n", "e".repeat(200)).repeat(400).into_bytes();
     text.extend_from_slice(b"0\r\n\r\n");
-    let (mut body, mut buf) = (Body::new(Framing::Chunked, u64::MAX), BytesMut::from(&text[..]));
+    let (mut body, mut buf) = (BodyDecoder::new(Framing::Chunked, u64::MAX), BytesMut::from(&text[..]));
     let end = loop {
         match body.next(&mut buf) {
-            Next::Body(n) if n > 0 => {
+            BodyEvent::Content(n) if n > 0 => {
                 buf.advance(n);
-                body.took(n as u64);
+                body.consumed(n as u64);
             }
             other => break other,
         }
     };
-    assert_eq!(end, Next::Bad(Cut::Malformed));
+    assert_eq!(end, BodyEvent::Invalid(Cut::Malformed));
     assert_eq!(read(format!("1;{}\r\nx\r\n", "e".repeat(300)).as_bytes(), 99), Err(Cut::Malformed));
 }
