--- a/courier/drill/src/host.rs
+++ b/courier/drill/src/host.rs
@@ -6,7 +6,7 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
 use quillmount_policy::{DispatchEvent, ListUpdate, Micros};
-use quillmount_settings::list_state_from_code;
+use quillmount_settings::endpoint_state_from_code;
 use std::collections::BTreeMap;
 use std::io::{self, Write};
 
@@ -90,7 +90,7 @@
 
     fn add_pool(&mut self, number: u32, entries: Vec<PoolEntry>) -> Result<(), MessageError> {
         for entry in &entries {
-            list_state_from_code(entry.state)?;
+            endpoint_state_from_code(entry.state)?;
         }
         self.pools.insert(number, entries);
         Ok(())
--- a/courier/drill/src/instance.rs
+++ b/courier/drill/src/instance.rs
@@ -8,7 +8,7 @@
     Outcome,
 };
 use quillmount_settings::{
-    NameTable, SenderSettings, decode_settings, list_state_from_code, micros_from_millis,
+    NameTable, SenderSettings, decode_settings, endpoint_state_from_code, micros_from_millis,
 };
 
 /// Bit of a submission's flags: its size hint is valid.
@@ -118,7 +118,7 @@
             kind: kind.unwrap_or(usize::MAX),
             zone: entry.locality.as_ref().map_or(0, |zone| self.zones.intern(zone) as u32),
             weight: entry.size.unwrap_or(0.0),
-            state: list_state_from_code(entry.state)?,
+            state: endpoint_state_from_code(entry.state)?,
             returning: false,
         })
     }
--- a/courier/protocol/src/discovery.rs
+++ b/courier/protocol/src/discovery.rs
@@ -3,7 +3,7 @@
 //! that are complete; the configuration has a [`List`].
 
 use quillmount_core::{EndpointList, EndpointListing};
-use quillmount_settings::{EndpointStateError, list_state_from_name};
+use quillmount_settings::{EndpointStateError, endpoint_state_from_name};
 use serde::Deserialize;
 use serde::de::IgnoredAny;
 use std::net::AddrParseError;
@@ -83,7 +83,7 @@
     type Error = EntryError;
 
     fn try_from(server: Server) -> Result<Self, EntryError> {
-        let state = list_state_from_name(&server.state)?;
+        let state = endpoint_state_from_name(&server.state)?;
         let addr = match server.addr {
             Some(text) if !text.is_empty() => match text.parse() {
                 Ok(addr) => Some(addr),
--- a/courier/settings/src/decode.rs
+++ b/courier/settings/src/decode.rs
@@ -1,4 +1,4 @@
-//! Translation of the settings object to the decision module's settings.
+//! Translation of the settings object to the policy's settings. What the object lacks keeps the policy's default.
 
 use crate::error::{SettingsDecodeError, TimeError};
 use crate::names::NameTable;
@@ -22,51 +22,54 @@
     Ok(micros.max(0.0).round() as Micros)
 }
 
-/// The decision module's settings. The zones get their numbers in `zones`, in the order of the list and then the sender's.
+/// The policy's settings. The zones get their numbers in `zones`, in the order of the list and then the sender's.
 ///
 /// # Errors
 /// A number is no time, or the effect of a message class is not known.
-pub fn decode_settings(env: &SenderSettings, zones: &mut NameTable) -> Result<Settings, SettingsDecodeError> {
+pub fn decode_settings(
+    sender: &SenderSettings,
+    zones: &mut NameTable,
+) -> Result<Settings, SettingsDecodeError> {
     let mut settings = Settings::default();
-    for zone in &env.failure_domains {
+    for zone in &sender.failure_domains {
         zones.intern(zone);
     }
-    set(&mut settings.sender_index, env.sender_index);
-    set(&mut settings.sender_count, env.sender_count);
-    set(&mut settings.slots, env.family_info.call_slots);
-    set(&mut settings.above_share_value, env.above_share_value);
-    apply_limits(&mut settings, &env.limits)?;
-    apply_rules(&mut settings, &env.rules)?;
-    settings.subscription_required = env.discovery.as_deref() == Some("subscribe");
-    apply_rates(&mut settings, env.weight_source.as_deref(), &env.load_report);
-    if env.family_info.decay.as_deref() == Some("halving") {
+    set_if_given(&mut settings.sender_index, sender.sender_index);
+    set_if_given(&mut settings.sender_count, sender.sender_count);
+    set_if_given(&mut settings.slots, sender.family_info.call_slots);
+    set_if_given(&mut settings.above_share_value, sender.above_share_value);
+    apply_limits(&mut settings, &sender.limits)?;
+    apply_rules(&mut settings, &sender.rules)?;
+    settings.subscription_required = sender.discovery.as_deref() == Some("subscribe");
+    apply_rates(&mut settings, sender.weight_source.as_deref(), &sender.load_report);
+    if sender.family_info.decay.as_deref() == Some("halving") {
         settings.decay = Decay::Halving;
     }
-    settings.zone = env.zone.as_deref().map_or(0, |zone| zones.intern(zone) as u32);
-    settings.cross_zone_price = env.deductions.cross_zone;
-    settings.tenants = env.tenants.iter().map(|tenant| tenant.allowance_per_s).collect();
-    settings.kinds = (0..env.skus.len()).map(|index| destination_kind(env, index)).collect();
-    settings.classes = env.categories.iter().map(message_class).collect::<Result<_, _>>()?;
+    settings.zone = sender.zone.as_deref().map_or(0, |zone| zones.intern(zone) as u32);
+    settings.cross_zone_price = sender.deductions.cross_zone;
+    settings.tenants = sender.tenants.iter().map(|tenant| tenant.allowance_per_s).collect();
+    settings.kinds = (0..sender.skus.len()).map(|index| destination_kind(sender, index)).collect();
+    settings.classes = sender.categories.iter().map(message_class).collect::<Result<_, _>>()?;
     Ok(settings)
 }
 
 fn apply_limits(settings: &mut Settings, limits: &Limits) -> Result<(), TimeError> {
-    set(&mut settings.max_open_messages, limits.max_open_messages);
-    set(&mut settings.max_attempts, limits.max_attempts);
-    set(&mut settings.cancel, limits.cancel);
-    set(&mut settings.retry_after, limits.retry_after);
-    set(&mut settings.streams_per_connection, limits.streams_per_connection);
-    set_time(&mut settings.max_retry_after, "max_retry_after_ms", limits.max_retry_after_ms)?;
-    set_time(&mut settings.keepalive, "keepalive_ms", limits.keepalive_ms)
+    set_if_given(&mut settings.max_open_messages, limits.max_open_messages);
+    set_if_given(&mut settings.max_attempts, limits.max_attempts);
+    set_if_given(&mut settings.cancel, limits.cancel);
+    set_if_given(&mut settings.retry_after, limits.retry_after);
+    set_if_given(&mut settings.streams_per_connection, limits.streams_per_connection);
+    set_time_if_given(&mut settings.max_retry_after, "max_retry_after_ms", limits.max_retry_after_ms)?;
+    set_time_if_given(&mut settings.keepalive, "keepalive_ms", limits.keepalive_ms)
 }
 
 fn apply_rules(settings: &mut Settings, rules: &RuleSettings) -> Result<(), TimeError> {
-    set(&mut settings.slow_start_share, rules.slow_start_share);
-    set(&mut settings.overload_multiple, rules.overload_multiple);
-    set_time(&mut settings.slow_start, "cold_ms", rules.slow_start_ms)?;
-    set_time(&mut settings.overload_span, "fall_ms", rules.overload_span_ms)?;
-    set_time(&mut settings.drain_grace, "stop_sending_within_ms", rules.drain_grace_ms)?;
-    set_time(&mut settings.key_cooldown, "key_quiet_ms", rules.key_cooldown_ms)
+    set_if_given(&mut settings.slow_start_share, rules.slow_start_share);
+    set_if_given(&mut settings.overload_multiple, rules.overload_multiple);
+    set_time_if_given(&mut settings.slow_start, "cold_ms", rules.slow_start_ms)?;
+    set_time_if_given(&mut settings.overload_span, "fall_ms", rules.overload_span_ms)?;
+    set_time_if_given(&mut settings.drain_grace, "stop_sending_within_ms", rules.drain_grace_ms)?;
+    set_time_if_given(&mut settings.key_cooldown, "key_quiet_ms", rules.key_cooldown_ms)
 }
 
 /// Where rates come from: weights of the endpoint list, or limits in load reports.
@@ -81,10 +84,10 @@
         weight_source != Some("nominal") && (settings.weight_is_rate || settings.limit_report.is_none());
 }
 
-fn destination_kind(env: &SenderSettings, index: usize) -> DestinationKind {
+fn destination_kind(sender: &SenderSettings, index: usize) -> DestinationKind {
     DestinationKind {
-        separate_routes: env.family_info.separate_routes.get(index).copied().unwrap_or(false),
-        batch: env.family_info.batch_by_kind.get(index).copied().unwrap_or(1),
+        separate_routes: sender.family_info.separate_routes.get(index).copied().unwrap_or(false),
+        batch: sender.family_info.batch_by_kind.get(index).copied().unwrap_or(1),
     }
 }
 
@@ -112,13 +115,17 @@
     }
 }
 
-fn set<T>(setting: &mut T, value: Option<T>) {
+fn set_if_given<T>(setting: &mut T, value: Option<T>) {
     if let Some(value) = value {
         *setting = value;
     }
 }
 
-fn set_time(setting: &mut Micros, field: &'static str, millis: Option<f64>) -> Result<(), TimeError> {
+fn set_time_if_given(
+    setting: &mut Micros,
+    field: &'static str,
+    millis: Option<f64>,
+) -> Result<(), TimeError> {
     if let Some(millis) = millis {
         *setting = micros_from_millis(field, millis)?;
     }
--- a/courier/settings/src/endpoint_state.rs
+++ b/courier/settings/src/endpoint_state.rs
@@ -1,4 +1,4 @@
-//! States of the endpoint list by their codes and names on the wire.
+//! States of the endpoint list, by their codes on the simulator's wire and their names in the discovery service's lists.
 
 use crate::error::EndpointStateError;
 use quillmount_policy::EndpointState;
@@ -7,7 +7,7 @@
 ///
 /// # Errors
 /// No state has the code.
-pub fn list_state_from_code(code: u8) -> Result<EndpointState, EndpointStateError> {
+pub fn endpoint_state_from_code(code: u8) -> Result<EndpointState, EndpointStateError> {
     match code {
         0 => Ok(EndpointState::Gone),
         1 => Ok(EndpointState::Ready),
@@ -20,7 +20,7 @@
 ///
 /// # Errors
 /// No state has the name.
-pub fn list_state_from_name(name: &str) -> Result<EndpointState, EndpointStateError> {
+pub fn endpoint_state_from_name(name: &str) -> Result<EndpointState, EndpointStateError> {
     match name {
         "gone" => Ok(EndpointState::Gone),
         "ready" => Ok(EndpointState::Ready),
--- a/courier/settings/src/names.rs
+++ b/courier/settings/src/names.rs
@@ -1,9 +1,10 @@
-//! Numbers for names.
+//! Numbers for names: the policy knows classes, zones and endpoints by number, the wire by name.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Numbers for the names of one instance, in the order in which the names first came. Part of stored state.
+/// Numbers for names of one kind, in the order of their first use. It is part of the state that one process hands over to the
+/// next.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct NameTable {
     to_number: BTreeMap<String, u64>,
--- a/courier/settings/src/sender_settings.rs
+++ b/courier/settings/src/sender_settings.rs
@@ -1,5 +1,6 @@
-//! The settings object: its form, with the names of JSON and TOML. Types only; what is absent has the decision module's
-//! default.
+//! The form of the settings object, with the names of JSON and TOML. What is absent has the policy's default.
+//!
+//! `quillmount check` and the simulator's adapter show errors of `serde`, which quote the names of these types.
 
 use serde::Deserialize;
 
@@ -11,20 +12,20 @@
     pub categories: Vec<Category>,
     /// Prices that count against the value of a call.
     pub deductions: Deductions,
-    /// How the endpoint list comes: `"subscribe"` where it has to be subscribed to.
+    /// How the endpoint list is received: `"subscribe"` where it has to be subscribed to.
     pub discovery: Option<String>,
     /// Names of the zones.
     pub failure_domains: Vec<String>,
     /// Settings of the destinations.
     pub family_info: DestinationSettings,
-    /// Limits that the sender keeps to.
+    /// Limits of the sender.
     pub limits: Limits,
     /// Load reports of the receivers.
     pub load_report: LoadReportSettings,
     /// The sender's number among all of them, from 0.
     #[serde(rename = "me")]
     pub sender_index: Option<u32>,
-    /// Factor of the value of messages above their tenant's share.
+    /// Factor on the value of messages above their tenant's share.
     #[serde(rename = "over_share_worth")]
     pub above_share_value: Option<f64>,
     /// Rules of the receivers.
@@ -46,7 +47,7 @@
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct Category {
-    /// Its name.
+    /// Its name, the first part of the path of a submission.
     pub name: String,
     /// What a repeat may do: `"retryable"`, `"dedup"` or `"fragile"`, which is the default.
     pub effect: Option<String>,
@@ -65,14 +66,14 @@
     /// Value of a message that is on time; 1 by default.
     #[serde(rename = "worth")]
     pub value: Option<f64>,
-    /// Part of it that is left just before the deadline; 0 by default.
+    /// Fraction of the value that is left just before the deadline; 0 by default.
     #[serde(rename = "late_worth")]
     pub late_value: Option<f64>,
     /// Messages with the same key go in the order of submission.
     pub keep_order: Option<bool>,
 }
 
-/// Prices that count against the value of a call.
+/// Prices that count against the value of a call, in the unit of [`Category::value`].
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct Deductions {
@@ -100,11 +101,11 @@
 pub struct LoadReportSettings {
     /// Names of the numbers of a report, in their order.
     pub fields: Vec<String>,
-    /// How reports come: `"answers"` where answers carry them.
+    /// How reports are received: `"answers"` where answers carry them.
     pub via: Option<String>,
 }
 
-/// Limits that the sender keeps to.
+/// Limits of the sender.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct Limits {
@@ -123,7 +124,7 @@
     pub max_open_messages: Option<u32>,
     /// A rejection may carry such advice.
     pub retry_after: Option<bool>,
-    /// A message may have two attempts in flight (a hedged request); true by default. False: a call with no time left for a
+    /// A message may have two attempts in flight (a hedged request); true by default. If not, a call with no time left for a
     /// message is given up, rather than left in flight for the other messages that it carries.
     #[serde(rename = "second_copies")]
     pub hedged_requests: Option<bool>,
@@ -139,13 +140,13 @@
     /// Share of its capacity that a destination has when it returns from an outage.
     #[serde(rename = "cold_from")]
     pub slow_start_share: Option<f64>,
-    /// How long it takes until it has all of it, milliseconds.
+    /// How long it takes until it has its full capacity, milliseconds.
     #[serde(rename = "cold_ms")]
     pub slow_start_ms: Option<f64>,
-    /// Span over which calls are counted that may bring a destination down, milliseconds.
+    /// Interval over which calls are counted that may overload a destination, milliseconds.
     #[serde(rename = "fall_ms")]
     pub overload_span_ms: Option<f64>,
-    /// Multiple of its capacity that a destination withstands over that span.
+    /// Multiple of its capacity that a destination withstands over that interval.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: Option<f64>,
     /// How long no other message of a key is sent after a call without an answer, milliseconds.
--- a/courier/settings/tests/stored_forms.rs
+++ b/courier/settings/tests/stored_forms.rs
@@ -2,8 +2,8 @@
 
 use quillmount_policy::{Decay, Effect, EndpointState};
 use quillmount_settings::{
-    Limits, NameTable, SenderSettings, SettingsDecodeError, decode_settings, list_state_from_code,
-    list_state_from_name, micros_from_millis,
+    Limits, NameTable, SenderSettings, SettingsDecodeError, decode_settings, endpoint_state_from_code,
+    endpoint_state_from_name, micros_from_millis,
 };
 
 const FULL: &str = include_str!("fixtures/settings_full.json");
@@ -128,9 +128,9 @@
         (2, "draining", EndpointState::Draining),
     ];
     for (code, name, state) in states {
-        assert_eq!((list_state_from_code(code), list_state_from_name(name)), (Ok(state), Ok(state)));
+        assert_eq!((endpoint_state_from_code(code), endpoint_state_from_name(name)), (Ok(state), Ok(state)));
     }
-    assert!(list_state_from_code(3).is_err() && list_state_from_name("Ready").is_err());
+    assert!(endpoint_state_from_code(3).is_err() && endpoint_state_from_name("Ready").is_err());
 }
 
 /// Operators and the simulator's logs have seen these texts.
@@ -144,8 +144,8 @@
     assert_eq!(error.to_string(), "keepalive_ms: 10000000000000 is not a time");
     let error = micros_from_millis("moment_ms", f64::NAN).unwrap_err();
     assert_eq!(error.to_string(), "moment_ms: NaN is not a time");
-    assert_eq!(list_state_from_code(3).unwrap_err().to_string(), "state: no state has the code 3");
-    assert_eq!(list_state_from_name("Ready").unwrap_err().to_string(), "state: \"Ready\" is not known");
+    assert_eq!(endpoint_state_from_code(3).unwrap_err().to_string(), "state: no state has the code 3");
+    assert_eq!(endpoint_state_from_name("Ready").unwrap_err().to_string(), "state: \"Ready\" is not known");
 }
 
 /// Numbers and names of an instance, as one process hands them to the next.
