--- a/courier/core/src/router/config.rs
+++ b/courier/core/src/router/config.rs
@@ -52,10 +52,10 @@
     pub(super) fn new(env: &SenderSettings, streams: Option<StreamLimits>) -> Result<Self, RouterError> {
         let (policy, zones) = decode(env, streams)?;
         let config = RouterConfig {
-            classes: env.categories.iter().map(|category| category.name.clone()).collect(),
+            classes: env.classes.iter().map(|category| category.name.clone()).collect(),
             effects: policy.classes.iter().map(|class| class.effect).collect(),
-            kinds: env.skus.to_vec(),
-            separate_routes: env.family_info.separate_routes.to_vec(),
+            kinds: env.kinds.to_vec(),
+            separate_routes: env.destinations.separate_routes.to_vec(),
             tenants: env.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
             load_fields: match env.load_report.via.as_deref() {
                 Some("answers") => env.load_report.fields.to_vec(),
@@ -100,9 +100,9 @@
 /// The settings can't be decoded.
 pub fn settings_fingerprint(env: &SenderSettings, streams: Option<StreamLimits>) -> Result<u32, RouterError> {
     let (settings, _) = decode(env, streams)?;
-    let classes: Vec<_> = env.categories.iter().map(|c| &c.name).collect();
+    let classes: Vec<_> = env.classes.iter().map(|c| &c.name).collect();
     let tenants: Vec<_> = env.tenants.iter().map(|t| &t.name).collect();
-    let names = format!("{classes:?} {:?} {tenants:?} {:?} {:?}", env.skus, env.zone, env.failure_domains);
+    let names = format!("{classes:?} {:?} {tenants:?} {:?} {:?}", env.kinds, env.zone, env.zones);
     Ok(crc32fast::hash(format!("{} {names} {}", settings.mark_text(), streams_text(streams)).as_bytes()))
 }
 
--- a/courier/core/tests/adopt.rs
+++ b/courier/core/tests/adopt.rs
@@ -23,7 +23,7 @@
         ..class(name, "dedup")
     };
     let env = SenderSettings {
-        categories: vec![
+        classes: vec![
             class("fee-debit", "fragile"),
             keyed("paid-notice", None),
             keyed("zone-notice", Some("zone")),
--- a/courier/core/tests/bundles.rs
+++ b/courier/core/tests/bundles.rs
@@ -21,10 +21,10 @@
 /// Classes `debit`, which may run once, and `quote`, which may be repeated.
 fn env() -> SenderSettings {
     SenderSettings {
-        categories: ["fragile", "retryable"].into_iter().zip(["debit", "quote"]).map(category).collect(),
-        skus: vec!["k".into()],
+        classes: ["fragile", "retryable"].into_iter().zip(["debit", "quote"]).map(category).collect(),
+        kinds: vec!["k".into()],
         weight_source: Some("nominal".into()),
-        family_info: DestinationSettings {
+        destinations: DestinationSettings {
             batch_by_kind: vec![20],
             call_slots: Some(16),
             ..DestinationSettings::default()
@@ -221,7 +221,7 @@
 fn a_wait_advised_by_one_of_separate_routes_binds_no_other() {
     for (apart, held) in [(true, false), (false, true)] {
         let env = SenderSettings {
-            family_info: DestinationSettings { separate_routes: vec![apart], ..env().family_info },
+            destinations: DestinationSettings { separate_routes: vec![apart], ..env().destinations },
             ..env()
         };
         let route =
--- a/courier/core/tests/disabled.rs
+++ b/courier/core/tests/disabled.rs
@@ -23,7 +23,7 @@
         latency_target_ms: 3_000.0,
         ..Category::default()
     };
-    SenderSettings { categories: vec![category], ..SenderSettings::default() }
+    SenderSettings { classes: vec![category], ..SenderSettings::default() }
 }
 
 fn list(full: bool, endpoints: &[(&str, EndpointState)]) -> EndpointList {
--- a/courier/core/tests/ends.rs
+++ b/courier/core/tests/ends.rs
@@ -16,7 +16,7 @@
 
 /// A courier with a message of a class with this effect in flight.
 fn in_flight(effect: &str) -> (World, CallId) {
-    let env = SenderSettings { categories: vec![class("c", effect)], ..SenderSettings::default() };
+    let env = SenderSettings { classes: vec![class("c", effect)], ..SenderSettings::default() };
     let list =
         || EndpointList { version: 1, full: true, endpoints: vec![endpoint("s", 1, EndpointState::Ready)] };
     let memory = quillmount_core::store::Memory::default();
--- a/courier/core/tests/handover_forms.rs
+++ b/courier/core/tests/handover_forms.rs
@@ -37,13 +37,13 @@
         ..class("paid-notice", "dedup")
     };
     SenderSettings {
-        categories: vec![class("fee-debit", "fragile"), keyed, class("quote", "retryable")],
-        failure_domains: vec!["z".into(), "y".into()],
+        classes: vec![class("fee-debit", "fragile"), keyed, class("quote", "retryable")],
+        zones: vec!["z".into(), "y".into()],
         zone: Some("z".into()),
-        skus: vec!["k".into()],
+        kinds: vec!["k".into()],
         tenants: vec![Tenant { name: "north".into(), allowance_per_s: 2.0 }],
         weight_source: Some("nominal".into()),
-        family_info: DestinationSettings {
+        destinations: DestinationSettings {
             batch_by_kind: vec![20],
             call_slots: Some(16),
             ..DestinationSettings::default()
--- a/courier/core/tests/repeats.rs
+++ b/courier/core/tests/repeats.rs
@@ -24,7 +24,7 @@
         let span = if *effect == "dedup" { SPAN as f64 / 1e3 } else { 0.0 };
         Category { memory_span_ms: span, dedup_scope: Some("all".into()), ..class(&format!("c{n}"), effect) }
     });
-    SenderSettings { categories: categories.collect(), ..SenderSettings::default() }
+    SenderSettings { classes: categories.collect(), ..SenderSettings::default() }
 }
 
 fn list() -> EndpointList {
--- a/courier/core/tests/restart.rs
+++ b/courier/core/tests/restart.rs
@@ -23,8 +23,8 @@
     Category { memory_span_ms: span_ms, dedup_scope: Some(scope.into()), ..class(name, "dedup") }
 }
 
-fn env(categories: Vec<Category>) -> SenderSettings {
-    SenderSettings { categories, ..SenderSettings::default() }
+fn env(classes: Vec<Category>) -> SenderSettings {
+    SenderSettings { classes, ..SenderSettings::default() }
 }
 
 fn list(lines: &[(&str, u64, &str)]) -> EndpointList {
@@ -243,7 +243,7 @@
 #[test]
 fn a_repeat_that_one_zone_alone_would_drop_goes_to_the_zone_with_that_name() {
     let zoned = |zones: &[&str], own: &str| SenderSettings {
-        failure_domains: zones.iter().map(|z| z.to_string()).collect(),
+        zones: zones.iter().map(|z| z.to_string()).collect(),
         zone: Some(own.into()),
         ..env(vec![dedup("c", 6_000.0, "zone")])
     };
@@ -306,21 +306,17 @@
     let tenants = |names: [&str; 2]| names.map(|n| Tenant { name: n.into(), allowance_per_s: 5.0 }).into();
     let settings = || SenderSettings {
         tenants: tenants(["a", "b"]),
-        failure_domains: vec!["x".into(), "y".into()],
+        zones: vec!["x".into(), "y".into()],
         zone: Some("x".into()),
-        skus: vec!["bank".into(), "post".into()],
+        kinds: vec!["bank".into(), "post".into()],
         ..env(vec![class("one", "fragile"), class("two", "fragile")])
     };
     let others = [
         SenderSettings { tenants: tenants(["b", "a"]), ..settings() },
-        SenderSettings {
-            failure_domains: vec!["y".into(), "x".into()],
-            zone: Some("y".into()),
-            ..settings()
-        },
-        SenderSettings { skus: vec!["post".into(), "bank".into()], ..settings() },
-        SenderSettings { categories: vec![class("two", "fragile"), class("one", "fragile")], ..settings() },
-        SenderSettings { categories: vec![class("one", "retryable"), class("two", "fragile")], ..settings() },
+        SenderSettings { zones: vec!["y".into(), "x".into()], zone: Some("y".into()), ..settings() },
+        SenderSettings { kinds: vec!["post".into(), "bank".into()], ..settings() },
+        SenderSettings { classes: vec![class("two", "fragile"), class("one", "fragile")], ..settings() },
+        SenderSettings { classes: vec![class("one", "retryable"), class("two", "fragile")], ..settings() },
     ];
     let own = settings_fingerprint(&settings(), None).unwrap();
     assert_eq!(own, settings_fingerprint(&settings(), None).unwrap());
--- a/courier/core/tests/restart_guard.rs
+++ b/courier/core/tests/restart_guard.rs
@@ -18,7 +18,7 @@
 fn a_restored_message_is_not_ended_early_before_its_first_attempt() {
     for fate in [CallEnd::Full(0), CallEnd::CouldNotConnect, CallEnd::Reset] {
         let env = SenderSettings {
-            categories: vec![class("fee-debit", "fragile")],
+            classes: vec![class("fee-debit", "fragile")],
             sender_count: Some(3_000),
             sender_index: Some(1),
             ..SenderSettings::default()
--- a/courier/core/tests/resume.rs
+++ b/courier/core/tests/resume.rs
@@ -15,7 +15,7 @@
 
 fn env() -> SenderSettings {
     let dedup = Category { memory_span_ms: 6_000.0, ..class("paid-notice", "dedup") };
-    SenderSettings { categories: vec![class("fee-debit", "fragile"), dedup], ..SenderSettings::default() }
+    SenderSettings { classes: vec![class("fee-debit", "fragile"), dedup], ..SenderSettings::default() }
 }
 
 fn list() -> EndpointList {
@@ -118,10 +118,8 @@
 #[test]
 fn a_state_of_other_settings_or_another_journal_is_not_resumed() {
     let hub = busy();
-    let other = SenderSettings {
-        categories: env().categories.into_iter().rev().collect(),
-        ..SenderSettings::default()
-    };
+    let other =
+        SenderSettings { classes: env().classes.into_iter().rev().collect(), ..SenderSettings::default() };
     let refused = Router::resume(&other, None, state(&hub).router, store_after_crash(&hub), DISK, NOW);
     assert!(matches!(refused.err(), Some(ResumeError::OtherSettings)));
     // A third process had the lock in between and wrote; or its journal is gone.
--- a/courier/core/tests/router.rs
+++ b/courier/core/tests/router.rs
@@ -16,7 +16,7 @@
         latency_target_ms: 3_000.0,
         ..Default::default()
     };
-    let env = SenderSettings { categories: vec![category], ..env };
+    let env = SenderSettings { classes: vec![category], ..env };
     let line = EndpointListing {
         id: "s".into(),
         addr: "127.0.0.1:1".parse().ok(),
--- a/courier/core/tests/settings_mark.rs
+++ b/courier/core/tests/settings_mark.rs
@@ -22,20 +22,20 @@
 #[test]
 fn the_fingerprint_of_the_settings_is_that_of_earlier_versions() {
     let settings = SenderSettings {
-        categories: vec![
+        classes: vec![
             category("fee-debit", "fragile", None),
             category("paid-notice", "dedup", Some("zone")),
             category("quote", "retryable", None),
         ],
-        skus: vec!["bank".into(), "post".into()],
+        kinds: vec!["bank".into(), "post".into()],
         tenants: vec![Tenant { name: "a".into(), allowance_per_s: 12.5 }],
-        family_info: DestinationSettings {
+        destinations: DestinationSettings {
             batch_by_kind: vec![20, 1],
             call_slots: Some(24),
             decay: Some("halving".into()),
             separate_routes: vec![false, true],
         },
-        failure_domains: vec!["north".into(), "south".into()],
+        zones: vec!["north".into(), "south".into()],
         zone: Some("south".into()),
         weight_source: Some("rough".into()),
         sender_count: Some(3),
--- a/courier/drill/src/instance.rs
+++ b/courier/drill/src/instance.rs
@@ -45,10 +45,10 @@
             messages: NameTable::default(),
             receivers: NameTable::default(),
             keys: NameTable::default(),
-            classes: env.categories.iter().map(|category| category.name.clone()).collect(),
+            classes: env.classes.iter().map(|category| category.name.clone()).collect(),
             tenants: env.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
             zones,
-            kinds: env.skus.clone(),
+            kinds: env.kinds.clone(),
         })
     }
 
--- a/courier/program/src/program/config.rs
+++ b/courier/program/src/program/config.rs
@@ -49,12 +49,12 @@
 
 impl ConfigOwner {
     fn from_file(file: &File) -> ConfigOwner {
-        let SenderSettings { categories, tenants, skus, sender_index, .. } = &file.settings;
+        let SenderSettings { classes, tenants, kinds, sender_index, .. } = &file.settings;
         ConfigOwner {
             courier: (file.name.clone(), *sender_index),
-            classes: categories.iter().map(|c| (c.name.clone(), c.effect.clone())).collect(),
+            classes: classes.iter().map(|c| (c.name.clone(), c.effect.clone())).collect(),
             tenants: tenants.iter().map(|t| t.name.clone()).collect(),
-            kinds: skus.iter().cloned().collect(),
+            kinds: kinds.iter().cloned().collect(),
         }
     }
 
--- a/courier/program/src/program/startup.rs
+++ b/courier/program/src/program/startup.rs
@@ -120,7 +120,7 @@
     signals: &mut Signals,
     operators: Option<&TcpListener>,
 ) -> Result<Option<Rc<Fleet>>, RunError> {
-    let deduplicating = config.env.categories.iter().filter(|c| c.effect.as_deref() == Some("dedup"));
+    let deduplicating = config.env.classes.iter().filter(|c| c.effect.as_deref() == Some("dedup"));
     let memory_span = deduplicating.map(|c| (c.memory_span_ms * 1e3) as Micros).min();
     let fleet =
         Fleet::start(&operator.fleet, &config.state, config.seed, clock.clone(), memory_span, config.disk)
--- a/courier/settings/src/decode.rs
+++ b/courier/settings/src/decode.rs
@@ -31,25 +31,25 @@
     zones: &mut NameTable,
 ) -> Result<Settings, SettingsDecodeError> {
     let mut settings = Settings::default();
-    for zone in &sender.failure_domains {
+    for zone in &sender.zones {
         zones.intern(zone);
     }
     set_if_given(&mut settings.sender_index, sender.sender_index);
     set_if_given(&mut settings.sender_count, sender.sender_count);
-    set_if_given(&mut settings.slots, sender.family_info.call_slots);
+    set_if_given(&mut settings.slots, sender.destinations.call_slots);
     set_if_given(&mut settings.above_share_value, sender.above_share_value);
     apply_limits(&mut settings, &sender.limits)?;
     apply_rules(&mut settings, &sender.rules)?;
     settings.subscription_required = sender.discovery.as_deref() == Some("subscribe");
     apply_rates(&mut settings, sender.weight_source.as_deref(), &sender.load_report);
-    if sender.family_info.decay.as_deref() == Some("halving") {
+    if sender.destinations.decay.as_deref() == Some("halving") {
         settings.decay = Decay::Halving;
     }
     settings.zone = sender.zone.as_deref().map_or(0, |zone| zones.intern(zone) as u32);
     settings.cross_zone_price = sender.deductions.cross_zone;
     settings.tenants = sender.tenants.iter().map(|tenant| tenant.allowance_per_s).collect();
-    settings.kinds = (0..sender.skus.len()).map(|index| destination_kind(sender, index)).collect();
-    settings.classes = sender.categories.iter().map(message_class).collect::<Result<_, _>>()?;
+    settings.kinds = (0..sender.kinds.len()).map(|index| destination_kind(sender, index)).collect();
+    settings.classes = sender.classes.iter().map(message_class).collect::<Result<_, _>>()?;
     Ok(settings)
 }
 
@@ -86,8 +86,8 @@
 
 fn destination_kind(sender: &SenderSettings, index: usize) -> DestinationKind {
     DestinationKind {
-        separate_routes: sender.family_info.separate_routes.get(index).copied().unwrap_or(false),
-        batch: sender.family_info.batch_by_kind.get(index).copied().unwrap_or(1),
+        separate_routes: sender.destinations.separate_routes.get(index).copied().unwrap_or(false),
+        batch: sender.destinations.batch_by_kind.get(index).copied().unwrap_or(1),
     }
 }
 
--- a/courier/settings/src/sender_settings.rs
+++ b/courier/settings/src/sender_settings.rs
@@ -9,15 +9,18 @@
 #[serde(default)]
 pub struct SenderSettings {
     /// Classes of messages.
-    pub categories: Vec<Category>,
+    #[serde(rename = "categories")]
+    pub classes: Vec<Category>,
     /// Prices that count against the value of a call.
     pub deductions: Deductions,
     /// How the endpoint list is received: `"subscribe"` where it has to be subscribed to.
     pub discovery: Option<String>,
-    /// Names of the zones.
-    pub failure_domains: Vec<String>,
+    /// Names of the zones, which fail independently of each other.
+    #[serde(rename = "failure_domains")]
+    pub zones: Vec<String>,
     /// Settings of the destinations.
-    pub family_info: DestinationSettings,
+    #[serde(rename = "family_info")]
+    pub destinations: DestinationSettings,
     /// Limits of the sender.
     pub limits: Limits,
     /// Load reports of the receivers.
@@ -34,7 +37,8 @@
     #[serde(rename = "siblings")]
     pub sender_count: Option<u32>,
     /// Names of the kinds of destinations.
-    pub skus: Vec<String>,
+    #[serde(rename = "skus")]
+    pub kinds: Vec<String>,
     /// Tenants with their shares.
     pub tenants: Vec<Tenant>,
     /// What the weights of the endpoint list are: `"nominal"` for rates, `"rough"` for approximate ones.
@@ -85,7 +89,7 @@
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct DestinationSettings {
-    /// Messages that one call may carry, by kind in the order of [`SenderSettings::skus`]; 1 where it lacks one.
+    /// Messages that one call may carry, by kind in the order of [`SenderSettings::kinds`]; 1 where it lacks one.
     pub batch_by_kind: Vec<u32>,
     /// Calls of the sender that may be in flight at once.
     pub call_slots: Option<u32>,
--- a/courier/settings/tests/stored_forms.rs
+++ b/courier/settings/tests/stored_forms.rs
@@ -15,7 +15,7 @@
 #[test]
 fn every_field_is_read_as_ever() {
     let env = full();
-    let category = &env.categories[0];
+    let category = &env.classes[0];
     assert_eq!(category.name, "fee-debit");
     assert_eq!(category.effect.as_deref(), Some("fragile"));
     assert_eq!((category.latency_target_ms, category.deadline_ms), (3_000.0, 16_000.0));
@@ -24,16 +24,16 @@
         (Some(1.5), Some(2.0), Some(0.4))
     );
     assert_eq!(category.keep_order, Some(true));
-    let category = &env.categories[1];
+    let category = &env.classes[1];
     assert_eq!((category.dedup_scope.as_deref(), category.memory_span_ms), (Some("zone"), 6_000.0));
-    assert_eq!(env.categories[2].dedup_scope.as_deref(), Some("all"));
+    assert_eq!(env.classes[2].dedup_scope.as_deref(), Some("all"));
     assert_eq!(env.deductions.cross_zone, 0.25);
     assert_eq!(env.discovery.as_deref(), Some("subscribe"));
-    assert_eq!(env.failure_domains, ["z1", "z2"]);
-    assert_eq!(env.family_info.batch_by_kind, [20, 1]);
-    assert_eq!(env.family_info.call_slots, Some(8));
-    assert_eq!(env.family_info.decay.as_deref(), Some("halving"));
-    assert_eq!(env.family_info.separate_routes, [false, true]);
+    assert_eq!(env.zones, ["z1", "z2"]);
+    assert_eq!(env.destinations.batch_by_kind, [20, 1]);
+    assert_eq!(env.destinations.call_slots, Some(8));
+    assert_eq!(env.destinations.decay.as_deref(), Some("halving"));
+    assert_eq!(env.destinations.separate_routes, [false, true]);
     let limits = &env.limits;
     assert_eq!(
         (limits.cancel, limits.retry_after, limits.hedged_requests),
@@ -49,7 +49,7 @@
     assert_eq!((rules.slow_start_share, rules.slow_start_ms), (Some(0.22), Some(9_200.0)));
     assert_eq!((rules.overload_span_ms, rules.overload_multiple), (Some(3_000.0), Some(2.0)));
     assert_eq!((rules.key_cooldown_ms, rules.drain_grace_ms), (Some(70.0), Some(450.0)));
-    assert_eq!(env.skus, ["bank", "depot"]);
+    assert_eq!(env.kinds, ["bank", "depot"]);
     let tenants: Vec<_> = env.tenants.iter().map(|t| (t.name.as_str(), t.allowance_per_s)).collect();
     assert_eq!(tenants, [("north", 2.5), ("south", 0.0)]);
     assert_eq!((env.weight_source.as_deref(), env.zone.as_deref()), (Some("rough"), Some("z2")));
