--- a/courier/program/src/program/config.rs
+++ b/courier/program/src/program/config.rs
@@ -49,12 +49,12 @@
 
 impl ConfigOwner {
     fn from_file(file: &File) -> ConfigOwner {
-        let SenderSettings { categories, tenants, skus, sender_index, .. } = &file.settings;
+        let SenderSettings { classes, tenants, kinds, sender_index, .. } = &file.settings;
         ConfigOwner {
             courier: (file.name.clone(), *sender_index),
-            classes: categories.iter().map(|c| (c.name.clone(), c.effect.clone())).collect(),
+            classes: classes.iter().map(|c| (c.name.clone(), c.effect.clone())).collect(),
             tenants: tenants.iter().map(|t| t.name.clone()).collect(),
-            kinds: skus.iter().cloned().collect(),
+            kinds: kinds.iter().cloned().collect(),
         }
     }
 
@@ -186,7 +186,7 @@
             Ok(text) => text,
             Err(e) => return vec![Problem::new("$", e.to_string())],
         };
-        let file: File = match problems::read(&text, false) {
+        let file: File = match problems::read(&text, problems::UnknownFields::Ignore) {
             Ok(file) => file,
             Err(problems) => return problems,
         };
@@ -204,7 +204,7 @@
         for (n, server) in file.known.into_iter().flat_map(List::entries).enumerate() {
             found.extend(server.err().map(|e| Problem::new(format!("$.known.servers[{n}]"), e.to_string())));
         }
-        let sound = decode_settings(&file.settings, &mut NameTable::default());
+        let sound = decode_settings(&file.settings, &mut NameTable::default()).map_err(|e| e.to_string());
         let module = sound.and_then(|s| Policy::new(s, 0).map(drop).map_err(|e| e.to_string()));
         found.extend(module.err().map(|e| Problem::new("$.settings", e)));
         found
--- a/courier/program/src/program/startup.rs
+++ b/courier/program/src/program/startup.rs
@@ -121,7 +121,7 @@
     signals: &mut Signals,
     operators: Option<&TcpListener>,
 ) -> Result<Option<Rc<Fleet>>, RunError> {
-    let deduplicating = config.env.categories.iter().filter(|c| c.effect.as_deref() == Some("dedup"));
+    let deduplicating = config.env.classes.iter().filter(|c| c.effect.as_deref() == Some("dedup"));
     let memory_span = deduplicating.map(|c| (c.memory_span_ms * 1e3) as Micros).min();
     let fleet =
         Fleet::start(&operator.fleet, &config.state, config.seed, clock.clone(), memory_span, config.disk)
@@ -209,7 +209,7 @@
 /// What the operator file lets be streamed; nothing while its section is off.
 pub fn stream_rules(section: &quillmount_operator::Streams) -> Option<(StreamLimits, StreamRules)> {
     let limits = StreamLimits {
-        most: section.most(),
+        most: section.max_concurrent(),
         share_of_slots: section.share_of_slots,
         share_of_window: section.share_of_window,
     };
--- a/courier/settings/src/sender_settings.rs
+++ b/courier/settings/src/sender_settings.rs
@@ -1,5 +1,6 @@
-//! The settings object: its form, with the names of JSON and TOML. Types only; what is absent has the decision module's
-//! default.
+//! The form of the settings object, with the names of JSON and TOML. What is absent has the policy's default.
+//!
+//! `quillmount check` and the simulator's adapter show errors of `serde`, which quote the names of these types.
 
 use serde::Deserialize;
 
@@ -8,23 +9,26 @@
 #[serde(default)]
 pub struct SenderSettings {
     /// Classes of messages.
-    pub categories: Vec<Category>,
+    #[serde(rename = "categories")]
+    pub classes: Vec<Category>,
     /// Prices that count against the value of a call.
     pub deductions: Deductions,
-    /// How the endpoint list comes: `"subscribe"` where it has to be subscribed to.
+    /// How the endpoint list is received: `"subscribe"` where it has to be subscribed to.
     pub discovery: Option<String>,
-    /// Names of the zones.
-    pub failure_domains: Vec<String>,
+    /// Names of the zones, which fail independently of each other.
+    #[serde(rename = "failure_domains")]
+    pub zones: Vec<String>,
     /// Settings of the destinations.
-    pub family_info: DestinationSettings,
-    /// Limits that the sender keeps to.
+    #[serde(rename = "family_info")]
+    pub destinations: DestinationSettings,
+    /// Limits of the sender.
     pub limits: Limits,
     /// Load reports of the receivers.
     pub load_report: LoadReportSettings,
     /// The sender's number among all of them, from 0.
     #[serde(rename = "me")]
     pub sender_index: Option<u32>,
-    /// Factor of the value of messages above their tenant's share.
+    /// Factor on the value of messages above their tenant's share.
     #[serde(rename = "over_share_worth")]
     pub above_share_value: Option<f64>,
     /// Rules of the receivers.
@@ -33,7 +37,8 @@
     #[serde(rename = "siblings")]
     pub sender_count: Option<u32>,
     /// Names of the kinds of destinations.
-    pub skus: Vec<String>,
+    #[serde(rename = "skus")]
+    pub kinds: Vec<String>,
     /// Tenants with their shares.
     pub tenants: Vec<Tenant>,
     /// What the weights of the endpoint list are: `"nominal"` for rates, `"rough"` for approximate ones.
@@ -46,7 +51,7 @@
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct Category {
-    /// Its name.
+    /// Its name, the first part of the path of a submission.
     pub name: String,
     /// What a repeat may do: `"retryable"`, `"dedup"` or `"fragile"`, which is the default.
     pub effect: Option<String>,
@@ -65,14 +70,14 @@
     /// Value of a message that is on time; 1 by default.
     #[serde(rename = "worth")]
     pub value: Option<f64>,
-    /// Part of it that is left just before the deadline; 0 by default.
+    /// Fraction of the value that is left just before the deadline; 0 by default.
     #[serde(rename = "late_worth")]
     pub late_value: Option<f64>,
     /// Messages with the same key go in the order of submission.
     pub keep_order: Option<bool>,
 }
 
-/// Prices that count against the value of a call.
+/// Prices that count against the value of a call, in the unit of [`Category::value`].
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct Deductions {
@@ -84,7 +89,7 @@
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct DestinationSettings {
-    /// Messages that one call may carry, by kind in the order of [`SenderSettings::skus`]; 1 where it lacks one.
+    /// Messages that one call may carry, by kind in the order of [`SenderSettings::kinds`]; 1 where it lacks one.
     pub batch_by_kind: Vec<u32>,
     /// Calls of the sender that may be in flight at once.
     pub call_slots: Option<u32>,
@@ -100,11 +105,11 @@
 pub struct LoadReportSettings {
     /// Names of the numbers of a report, in their order.
     pub fields: Vec<String>,
-    /// How reports come: `"answers"` where answers carry them.
+    /// How reports are received: `"answers"` where answers carry them.
     pub via: Option<String>,
 }
 
-/// Limits that the sender keeps to.
+/// Limits of the sender.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct Limits {
@@ -123,7 +128,7 @@
     pub max_open_messages: Option<u32>,
     /// A rejection may carry such advice.
     pub retry_after: Option<bool>,
-    /// A message may have two attempts in flight (a hedged request); true by default. False: a call with no time left for a
+    /// A message may have two attempts in flight (a hedged request); true by default. If not, a call with no time left for a
     /// message is given up, rather than left in flight for the other messages that it carries.
     #[serde(rename = "second_copies")]
     pub hedged_requests: Option<bool>,
@@ -139,13 +144,13 @@
     /// Share of its capacity that a destination has when it returns from an outage.
     #[serde(rename = "cold_from")]
     pub slow_start_share: Option<f64>,
-    /// How long it takes until it has all of it, milliseconds.
+    /// How long it takes until it has its full capacity, milliseconds.
     #[serde(rename = "cold_ms")]
     pub slow_start_ms: Option<f64>,
-    /// Span over which calls are counted that may bring a destination down, milliseconds.
+    /// Interval over which calls are counted that may overload a destination, milliseconds.
     #[serde(rename = "fall_ms")]
     pub overload_span_ms: Option<f64>,
-    /// Multiple of its capacity that a destination withstands over that span.
+    /// Multiple of its capacity that a destination withstands over that interval.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: Option<f64>,
     /// How long no other message of a key is sent after a call without an answer, milliseconds.
--- a/courier/settings/tests/stored_forms.rs
+++ b/courier/settings/tests/stored_forms.rs
@@ -2,7 +2,8 @@
 
 use quillmount_policy::{Decay, Effect, EndpointState};
 use quillmount_settings::{
-    NameTable, SenderSettings, decode_settings, list_state_from_code, list_state_from_name,
+    Limits, NameTable, SenderSettings, SettingsDecodeError, decode_settings, endpoint_state_from_code,
+    endpoint_state_from_name, micros_from_millis,
 };
 
 const FULL: &str = include_str!("fixtures/settings_full.json");
@@ -14,7 +15,7 @@
 #[test]
 fn every_field_is_read_as_ever() {
     let env = full();
-    let category = &env.categories[0];
+    let category = &env.classes[0];
     assert_eq!(category.name, "fee-debit");
     assert_eq!(category.effect.as_deref(), Some("fragile"));
     assert_eq!((category.latency_target_ms, category.deadline_ms), (3_000.0, 16_000.0));
@@ -23,16 +24,16 @@
         (Some(1.5), Some(2.0), Some(0.4))
     );
     assert_eq!(category.keep_order, Some(true));
-    let category = &env.categories[1];
+    let category = &env.classes[1];
     assert_eq!((category.dedup_scope.as_deref(), category.memory_span_ms), (Some("zone"), 6_000.0));
-    assert_eq!(env.categories[2].dedup_scope.as_deref(), Some("all"));
+    assert_eq!(env.classes[2].dedup_scope.as_deref(), Some("all"));
     assert_eq!(env.deductions.cross_zone, 0.25);
     assert_eq!(env.discovery.as_deref(), Some("subscribe"));
-    assert_eq!(env.failure_domains, ["z1", "z2"]);
-    assert_eq!(env.family_info.batch_by_kind, [20, 1]);
-    assert_eq!(env.family_info.call_slots, Some(8));
-    assert_eq!(env.family_info.decay.as_deref(), Some("halving"));
-    assert_eq!(env.family_info.separate_routes, [false, true]);
+    assert_eq!(env.zones, ["z1", "z2"]);
+    assert_eq!(env.destinations.batch_by_kind, [20, 1]);
+    assert_eq!(env.destinations.call_slots, Some(8));
+    assert_eq!(env.destinations.decay.as_deref(), Some("halving"));
+    assert_eq!(env.destinations.separate_routes, [false, true]);
     let limits = &env.limits;
     assert_eq!(
         (limits.cancel, limits.retry_after, limits.hedged_requests),
@@ -48,7 +49,7 @@
     assert_eq!((rules.slow_start_share, rules.slow_start_ms), (Some(0.22), Some(9_200.0)));
     assert_eq!((rules.overload_span_ms, rules.overload_multiple), (Some(3_000.0), Some(2.0)));
     assert_eq!((rules.key_cooldown_ms, rules.drain_grace_ms), (Some(70.0), Some(450.0)));
-    assert_eq!(env.skus, ["bank", "depot"]);
+    assert_eq!(env.kinds, ["bank", "depot"]);
     let tenants: Vec<_> = env.tenants.iter().map(|t| (t.name.as_str(), t.allowance_per_s)).collect();
     assert_eq!(tenants, [("north", 2.5), ("south", 0.0)]);
     assert_eq!((env.weight_source.as_deref(), env.zone.as_deref()), (Some("rough"), Some("z2")));
@@ -117,10 +118,9 @@
     assert_eq!((s.decay, s.above_share_value, s.cross_zone_price), (Decay::Linear, 1.0, 0.0));
     let odd =
         read(r#"{"weight_source": "nominal", "categories": [{"name": "x", "effect": "odd"}], "unknown": 1}"#);
-    assert_eq!(
-        decode_settings(&odd, &mut NameTable::default()).err().unwrap(),
-        "effect: \"odd\" is not known"
-    );
+    let error = decode_settings(&odd, &mut NameTable::default()).err().unwrap();
+    assert_eq!(error, SettingsDecodeError::UnknownEffect("odd".into()));
+    assert_eq!(error.to_string(), "effect: \"odd\" is not known");
 }
 
 #[test]
@@ -131,9 +131,24 @@
         (2, "draining", EndpointState::Draining),
     ];
     for (code, name, state) in states {
-        assert_eq!((list_state_from_code(code), list_state_from_name(name)), (Ok(state), Ok(state)));
+        assert_eq!((endpoint_state_from_code(code), endpoint_state_from_name(name)), (Ok(state), Ok(state)));
     }
-    assert!(list_state_from_code(3).is_err() && list_state_from_name("Ready").is_err());
+    assert!(endpoint_state_from_code(3).is_err() && endpoint_state_from_name("Ready").is_err());
+}
+
+/// Operators and the simulator's logs have seen these texts.
+#[test]
+fn errors_have_the_same_texts() {
+    let long = SenderSettings {
+        limits: Limits { keepalive_ms: Some(1e13), ..Limits::default() },
+        ..SenderSettings::default()
+    };
+    let error = decode_settings(&long, &mut NameTable::default()).err().unwrap();
+    assert_eq!(error.to_string(), "keepalive_ms: 10000000000000 is not a time");
+    let error = micros_from_millis("moment_ms", f64::NAN).unwrap_err();
+    assert_eq!(error.to_string(), "moment_ms: NaN is not a time");
+    assert_eq!(endpoint_state_from_code(3).unwrap_err().to_string(), "state: no state has the code 3");
+    assert_eq!(endpoint_state_from_name("Ready").unwrap_err().to_string(), "state: \"Ready\" is not known");
 }
 
 /// Numbers and names of an instance, as one process hands them to the next.
