--- a/courier/program/src/fleet/budget.rs
+++ b/courier/program/src/fleet/budget.rs
@@ -5,7 +5,7 @@
 //! order for each tenant, and the ends of connections are reported back. A connection reports its own
 //! end when it is dropped, so that neither the pool nor a call can leave it out.
 
-use super::stores::FileStores;
+use super::stores::SharedMember;
 use crate::transport::clock::Clock;
 use crate::transport::connection::{ConnectionEnd, ConnectionId, ConnectionObserver, ConnectionPermit};
 use crate::transport::connection_budget::ConnectionBudget;
@@ -19,7 +19,6 @@
 use quillmount_core::machine::connection::ConnectionInput;
 use quillmount_core::{CallId, Submission};
 use quillmount_fleet::budget::{BudgetGate, ConnectionOrder, Permit, PermitKind};
-use quillmount_fleet::member::Member;
 use quillmount_policy::Micros;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -61,7 +60,7 @@
 /// The queues of calls, and what is to be done about connections.
 pub struct Budgets {
     clock: Clock,
-    member: Rc<RefCell<Member<FileStores>>>,
+    member: SharedMember,
     /// Partners with a budget.
     dests: BTreeSet<u64>,
     queues: RefCell<TenantQueues>,
@@ -75,7 +74,7 @@
 }
 
 impl Budgets {
-    pub fn new(clock: Clock, member: Rc<RefCell<Member<FileStores>>>, dests: BTreeSet<u64>) -> Budgets {
+    pub fn new(clock: Clock, member: SharedMember, dests: BTreeSet<u64>) -> Budgets {
         Budgets {
             clock,
             member,
--- a/courier/program/src/fleet/links.rs
+++ b/courier/program/src/fleet/links.rs
@@ -3,8 +3,9 @@
 
 use quillmount_fleet::NodeId;
 use quillmount_fleet::config::Name;
-use quillmount_fleet::message::{Envelope, FleetMessage, MAX_ENVELOPE_BYTES};
+use quillmount_fleet::message::{Envelope, EnvelopeError, FleetMessage, MAX_ENVELOPE_BYTES};
 use std::cell::RefCell;
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,11 +21,41 @@
 const MAX_QUEUED_BYTES: usize = 2 * MAX_ENVELOPE_BYTES;
 /// Bytes around a message in an envelope, at most.
 const MESSAGE_OVERHEAD: usize = 256;
+/// Bytes of a settlement's message beside its body, at most: it has names of up to 256 bytes each.
+const SETTLEMENT_OVERHEAD: usize = 2_048;
 
-/// Messages for one courier that are not sent yet, each with its size in bytes.
+/// Why one exchange with a courier failed.
+#[derive(Debug, thiserror::Error)]
+enum LinkError {
+    /// The request was not answered.
+    #[error(transparent)]
+    Send(#[from] awc::error::SendRequestError),
+    /// The answer's body can't be read.
+    #[error(transparent)]
+    Read(#[from] awc::error::PayloadError),
+    /// The answer's body is no envelope.
+    #[error(transparent)]
+    Decode(#[from] EnvelopeError),
+    /// The courier rejected the envelope.
+    #[error("status {status}: {text}")]
+    Status { status: u16, text: String },
+    /// There was no answer in time.
+    #[error("no answer within {REQUEST_TIMEOUT:?}")]
+    TimedOut,
+}
+
+/// A message that is not sent yet.
+struct QueuedMessage {
+    message: FleetMessage,
+    /// Its size in bytes, at most.
+    size: usize,
+}
+
+/// Messages for one courier that are not sent yet.
 #[derive(Default)]
 struct Outbox {
-    messages: Vec<(FleetMessage, usize)>,
+    messages: Vec<QueuedMessage>,
+    /// The sum of their sizes.
     bytes: usize,
 }
 
@@ -35,18 +66,38 @@
     message_added: Notify,
 }
 
+/// The links to the other members, by name.
+#[derive(Default)]
+pub struct PeerLinks(BTreeMap<Name, Rc<PeerLink>>);
+
+impl PeerLinks {
+    /// Queues a message for a member; without effect for a name that is no other member's.
+    pub fn send(&self, to: &str, message: FleetMessage) {
+        if let Some(link) = self.0.get(to) {
+            link.send(message);
+        }
+    }
+}
+
+impl FromIterator<Rc<PeerLink>> for PeerLinks {
+    fn from_iter<I: IntoIterator<Item = Rc<PeerLink>>>(links: I) -> Self {
+        PeerLinks(links.into_iter().map(|link| (link.to.clone(), link)).collect())
+    }
+}
+
+/// An upper bound of a message's size in an envelope, in bytes.
 fn encoded_size(message: &FleetMessage) -> usize {
     MESSAGE_OVERHEAD
         + match message {
             FleetMessage::Agreement(bytes) => bytes.len(),
             FleetMessage::Append { bytes, .. } | FleetMessage::Page { bytes, .. } => bytes.len(),
-            // Beside the message's body, names of up to 256 bytes each.
-            FleetMessage::Settlement { payload, .. } => payload.len() + 2_048,
+            FleetMessage::Settlement { payload, .. } => payload.len() + SETTLEMENT_OVERHEAD,
             _ => 0,
         }
 }
 
 impl PeerLink {
+    /// A link to the member of this name.
     pub fn new(to: Name) -> Rc<Self> {
         Rc::new(PeerLink { to, outbox: RefCell::default(), message_added: Notify::new() })
     }
@@ -56,7 +107,7 @@
         let (size, mut outbox) = (encoded_size(&message), self.outbox.borrow_mut());
         if outbox.bytes + size <= MAX_QUEUED_BYTES {
             outbox.bytes += size;
-            outbox.messages.push((message, size));
+            outbox.messages.push(QueuedMessage { message, size });
             self.message_added.notify_one();
         }
     }
@@ -65,23 +116,23 @@
     fn next_batch(&self) -> Vec<FleetMessage> {
         let mut outbox = self.outbox.borrow_mut();
         let mut bytes = 0;
-        let fits = outbox.messages.iter().take_while(|(_, size)| {
-            bytes += size;
+        let fits = outbox.messages.iter().take_while(|queued| {
+            bytes += queued.size;
             bytes < MAX_ENVELOPE_BYTES
         });
-        let n = fits.count().max(1).min(outbox.messages.len());
-        let taken: Vec<_> = outbox.messages.drain(..n).collect();
-        outbox.bytes -= taken.iter().map(|(_, size)| size).sum::<usize>();
-        taken.into_iter().map(|(message, _)| message).collect()
+        let count = fits.count().max(1).min(outbox.messages.len());
+        let taken: Vec<_> = outbox.messages.drain(..count).collect();
+        outbox.bytes -= taken.iter().map(|queued| queued.size).sum::<usize>();
+        taken.into_iter().map(|queued| queued.message).collect()
     }
 
-    /// Sends messages as long as the process runs; replies go to `heard`.
+    /// Sends messages as long as the process runs; replies go to `receive`.
     pub async fn run(
         self: Rc<Self>,
         addr: SocketAddr,
         from: Name,
         node_id: NodeId,
-        heard: impl Fn(Envelope),
+        receive: impl Fn(Envelope),
     ) {
         // Held back, small writes of a burst go together: sent at once, messages of one were refused for want of leave.
         let client = crate::transport::plain_client(REQUEST_TIMEOUT, false);
@@ -93,29 +144,13 @@
                 continue;
             }
             let envelope = Envelope { from: from.clone(), to: self.to.clone(), node_id, messages };
-            let post = client
-                .post(format!("http://{addr}{PATH}"))
-                .timeout(REQUEST_TIMEOUT)
-                .send_body(envelope.encode());
-            let reply = async {
-                let mut answer = post.await.map_err(|e| e.to_string())?;
-                let body = answer.body().limit(MAX_ENVELOPE_BYTES).await.map_err(|e| e.to_string())?;
-                match answer.status().as_u16() {
-                    200 => Envelope::decode(&body).map(Some).map_err(|e| e.to_string()),
-                    204 => Ok(None),
-                    other => Err(format!("status {other}: {}", String::from_utf8_lossy(&body))),
-                }
-            };
-            let reply = match actix_rt::time::timeout(REQUEST_TIMEOUT, reply).await {
-                Ok(reply) => reply,
-                Err(_) => Err(format!("no answer within {REQUEST_TIMEOUT:?}")),
-            };
-            match reply {
+            let reply = actix_rt::time::timeout(REQUEST_TIMEOUT, exchange(&client, addr, &envelope)).await;
+            match reply.unwrap_or(Err(LinkError::TimedOut)) {
                 Ok(answer) => {
                     if !std::mem::replace(&mut is_reachable, true) {
                         tracing::info!("fleet: {} at {addr} is reached again", self.to);
                     }
-                    answer.into_iter().for_each(&heard);
+                    answer.into_iter().for_each(&receive);
                 }
                 Err(e) => {
                     if std::mem::replace(&mut is_reachable, false) {
@@ -127,3 +162,19 @@
         }
     }
 }
+
+/// Sends an envelope; returns the one that comes back in the same exchange, if one does.
+async fn exchange(
+    client: &awc::Client,
+    addr: SocketAddr,
+    envelope: &Envelope,
+) -> Result<Option<Envelope>, LinkError> {
+    let request = client.post(format!("http://{addr}{PATH}")).timeout(REQUEST_TIMEOUT);
+    let mut answer = request.send_body(envelope.encode()).await?;
+    let body = answer.body().limit(MAX_ENVELOPE_BYTES).await?;
+    match answer.status().as_u16() {
+        200 => Ok(Some(Envelope::decode(&body)?)),
+        204 => Ok(None),
+        status => Err(LinkError::Status { status, text: String::from_utf8_lossy(&body).into_owned() }),
+    }
+}
--- a/courier/program/src/fleet/listener.rs
+++ b/courier/program/src/fleet/listener.rs
@@ -1,6 +1,5 @@
 //! Receives the other couriers' messages: actix-http's HTTP/1.1 service, on an address from the operator file.
 
-use super::Fleet;
 use super::links::PATH;
 use actix_http::{HttpService, KeepAlive, Method, Request, Response, StatusCode};
 use actix_rt::net::TcpListener;
@@ -22,16 +21,24 @@
 /// Connections at once for any other caller.
 pub const SPARE_CONNECTIONS: usize = 8;
 
-/// Accepts other couriers until it is dropped; more connections than couriers can need are closed at once.
-pub async fn serve(listener: TcpListener, fleet: Rc<Fleet>) {
-    let (open, limit) = (Rc::new(()), (fleet.links.len() + 1) * CONNECTIONS_PER_PEER + SPARE_CONNECTIONS);
-    let answering = {
-        let fleet = fleet.clone();
-        fn_service(move |request: Request| {
-            let fleet = fleet.clone();
-            async move { Ok::<_, Infallible>(answer(&fleet, request).await) }
-        })
-    };
+/// How many connections there may be at once, with this many peers.
+pub fn connection_limit(peers: usize) -> usize {
+    (peers + 1) * CONNECTIONS_PER_PEER + SPARE_CONNECTIONS
+}
+
+/// Accepts other couriers until it is dropped; more connections than `limit` are closed at once. `receive` handles an envelope,
+/// and returns the one that goes back.
+pub async fn serve(
+    listener: TcpListener,
+    limit: usize,
+    receive: impl Fn(Envelope) -> Option<Envelope> + 'static,
+) {
+    let open = Rc::new(());
+    let receive = Rc::new(receive);
+    let answering = fn_service(move |request: Request| {
+        let receive = receive.clone();
+        async move { Ok::<_, Infallible>(answer(&*receive, request).await) }
+    });
     let service = HttpService::build().keep_alive(KeepAlive::Timeout(KEEP_ALIVE)).h1(answering);
     let Ok(service) = service.new_service(()).await else { return };
     let service = Rc::new(service);
@@ -59,9 +66,10 @@
     }
 }
 
-async fn answer(fleet: &Rc<Fleet>, request: Request) -> Response<Bytes> {
+/// Receives an envelope; the answer has the one that goes back.
+async fn answer(receive: &impl Fn(Envelope) -> Option<Envelope>, request: Request) -> Response<Bytes> {
     if request.method() != Method::POST || request.path() != PATH {
-        return refuse(StatusCode::NOT_FOUND, format!("POST {PATH} is what couriers of this version say"));
+        return reject(StatusCode::NOT_FOUND, format!("POST {PATH} is what couriers of this version say"));
     }
     let mut payload = request.into_parts().1;
     let mut body = BytesMut::new();
@@ -69,20 +77,20 @@
         match chunk {
             Ok(chunk) if body.len() + chunk.len() <= MAX_ENVELOPE_BYTES => body.extend_from_slice(&chunk),
             Ok(_) => {
-                return refuse(StatusCode::PAYLOAD_TOO_LARGE, format!("{MAX_ENVELOPE_BYTES} bytes at most"));
+                return reject(StatusCode::PAYLOAD_TOO_LARGE, format!("{MAX_ENVELOPE_BYTES} bytes at most"));
             }
-            Err(e) => return refuse(StatusCode::BAD_REQUEST, e.to_string()),
+            Err(e) => return reject(StatusCode::BAD_REQUEST, e.to_string()),
         }
     }
     match Envelope::decode(&body) {
-        Err(e) => refuse(StatusCode::BAD_REQUEST, e.to_string()),
-        Ok(envelope) => match fleet.receive(envelope) {
+        Err(e) => reject(StatusCode::BAD_REQUEST, e.to_string()),
+        Ok(envelope) => match receive(envelope) {
             None => Response::with_body(StatusCode::NO_CONTENT, Bytes::new()),
             Some(reply) => Response::with_body(StatusCode::OK, Bytes::from(reply.encode())),
         },
     }
 }
 
-fn refuse(status: StatusCode, why: String) -> Response<Bytes> {
+fn reject(status: StatusCode, why: String) -> Response<Bytes> {
     Response::with_body(status, Bytes::from(why))
 }
--- a/courier/program/src/fleet/stores.rs
+++ b/courier/program/src/fleet/stores.rs
@@ -1,10 +1,15 @@
 //! The member's stores as files in the state folder, one for each store.
 
 use crate::transport::journal_file::JournalFile;
-use quillmount_fleet::member::StoreDirectory;
+use quillmount_fleet::member::{Member, StoreDirectory};
+use std::cell::RefCell;
 use std::fs;
 use std::io;
 use std::path::PathBuf;
+use std::rc::Rc;
+
+/// The member machine on its files, which several tasks step.
+pub type SharedMember = Rc<RefCell<Member<FileStores>>>;
 
 /// The folder `fleet` beside the journal.
 pub struct FileStores(PathBuf);
--- a/courier/program/src/program/startup.rs
+++ b/courier/program/src/program/startup.rs
@@ -3,7 +3,7 @@
 use super::config::Config;
 use super::error::RunError;
 use super::signals::Signals;
-use crate::fleet::{self, Fleet};
+use crate::fleet::{self, Fleet, FleetSetup};
 use crate::transport::clock::Clock;
 use crate::transport::gate::Gate;
 use crate::transport::handle::Parts;
@@ -122,15 +122,21 @@
 ) -> Result<Option<Rc<Fleet>>, RunError> {
     let deduplicating = config.env.categories.iter().filter(|c| c.effect.as_deref() == Some("dedup"));
     let memory_span = deduplicating.map(|c| (c.memory_span_ms * 1e3) as Micros).min();
-    let fleet =
-        Fleet::start(&operator.fleet, &config.state, config.seed, clock.clone(), memory_span, config.disk)
-            .await?;
-    let (_, retained) = tokio::select! {
+    let setup = FleetSetup {
+        settings: &operator.fleet,
+        folder: &config.state,
+        seed: config.seed,
+        clock: clock.clone(),
+        memory_span,
+        disk: config.disk,
+    };
+    let fleet = Fleet::start(setup).await?;
+    let joined = tokio::select! {
         joined = fleet.joined() => joined,
         never = answer_operators_early(operators) => match never {},
         () = signals.shutdown_requested() => return Ok(None),
     };
-    fleet.begin_journal(&config.state, retained)?;
+    fleet.begin_journal(&config.state, joined.retained)?;
     Ok(Some(fleet))
 }
 
--- a/courier/program/src/transport/courier.rs
+++ b/courier/program/src/transport/courier.rs
@@ -40,18 +40,19 @@
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The answer to a message of a settlement, once the settlement's owner has decided.
-pub type HandIn = Pin<Box<dyn Future<Output = Response<Bytes>>>>;
+pub type SettlementAnswer = Pin<Box<dyn Future<Output = Response<Bytes>>>>;
 
 /// Submits a client's message with all of its `X-Addressing`; `None`: it belongs to no settlement.
-pub type SettlementIntake = Box<dyn Fn(&Submission, &str) -> Option<HandIn>>;
+pub type SettlementIntake = Box<dyn Fn(&Submission, &str) -> Option<SettlementAnswer>>;
 /// Is notified that a message that is watched has ended.
 pub type EndObserver = Box<dyn Fn(&str, End)>;
 
 /// What the courier calls where settlements are carried.
 pub struct SettlementHooks {
     /// Submits messages that may belong to a settlement.
-    pub hand_in: SettlementIntake,
-    ended: EndObserver,
+    pub submit: SettlementIntake,
+    /// Is notified of the ends of messages that the settlements' owner watches.
+    message_ended: EndObserver,
 }
 
 /// A courier on the sockets of one process.
@@ -105,10 +106,11 @@
         })
     }
 
-    /// Submits messages of settlements by `hand_in` from now on, and reports the ends of watched messages to `ended`.
-    pub fn settle_with(&self, hand_in: SettlementIntake, ended: EndObserver) {
+    /// Submits messages of settlements by `submit` from now on, and reports the ends of watched messages to
+    /// `message_ended`.
+    pub fn set_settlement_hooks(&self, submit: SettlementIntake, message_ended: EndObserver) {
         // The first stands: there is one fleet.
-        let _ = self.settlement_hooks.set(SettlementHooks { hand_in, ended });
+        let _ = self.settlement_hooks.set(SettlementHooks { submit, message_ended });
     }
 
     /// What to call for messages of settlements, if any are carried.
@@ -407,7 +409,7 @@
         }
         if let Some(hooks) = self.settlement_hooks.get() {
             let ends = self.handle.hub.borrow_mut().router.ends();
-            ends.iter().for_each(|(id, end)| (hooks.ended)(id, *end));
+            ends.iter().for_each(|(id, end)| (hooks.message_ended)(id, *end));
         }
         self.wake_moved.notify_one();
     }
--- a/courier/program/src/transport/server/request.rs
+++ b/courier/program/src/transport/server/request.rs
@@ -159,7 +159,7 @@
     async fn submit(&self, request: &Request, submission: Submission) -> Response<Bytes> {
         if let Some(hooks) = self.courier.settlement_hooks() {
             let addressing = submission::addressing(request.headers());
-            if let Some(response) = (hooks.hand_in)(&submission, addressing) {
+            if let Some(response) = (hooks.submit)(&submission, addressing) {
                 return response.await;
             }
         }
