--- a/courier/program/src/fleet/budget.rs
+++ b/courier/program/src/fleet/budget.rs
@@ -47,6 +47,13 @@
     notified: Notify,
 }
 
+/// Where a call enters its tenant's queue.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum QueuePosition {
+    Front,
+    Back,
+}
+
 /// Calls of one tenant to one partner that wait for permits.
 #[derive(Default)]
 struct TenantQueue {
@@ -55,7 +62,14 @@
     after: Micros,
 }
 
-type TenantQueues = BTreeMap<(u64, Box<str>), TenantQueue>;
+/// The partner and the tenant whose calls a queue has.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct QueueKey {
+    dest: u64,
+    tenant: Box<str>,
+}
+
+type TenantQueues = BTreeMap<QueueKey, TenantQueue>;
 
 /// The queues of calls, and what is to be done about connections.
 pub struct Budgets {
@@ -92,8 +106,8 @@
         act(&mut self.member.borrow_mut().shares().gate, self.clock.now())
     }
 
-    /// Waits for leave to make this call, as long as its time allows; `None`: it is held back, and has not
-    /// run. The provider is told what is left of its time then.
+    /// Waits for a permit to make this call, as long as its time allows; `None`: it is held back, and has not
+    /// run. The time that it announces to the endpoint is what is left then.
     async fn acquire_permit(
         self: &Rc<Self>,
         handle: &Handle,
@@ -102,13 +116,14 @@
     ) -> Option<Box<ConnectionPermit>> {
         let order = &mut call.order;
         let (dest, endpoint, addr) = (order.dest, order.endpoint, order.addr);
-        let tenant = tenant_name(order.payload.tenant.as_deref());
+        let key = QueueKey { dest, tenant: tenant_name(order.payload.tenant.as_deref()) };
         let by = order.send_before.min(until.saturating_sub(MIN_TIME_LEFT));
         let asked_at = self.clock.now();
-        let mut first = true;
+        let mut position = QueuePosition::Back;
         loop {
-            let permit = self.permit(dest, &tenant, first, by, signals).await?;
-            first = false;
+            let permit = self.wait_for_permit(&key, position, by, signals).await?;
+            // A call whose permit could not be used was at the front.
+            position = QueuePosition::Front;
             let (id, now) = (ConnectionId { dest, conn: permit.conn }, self.clock.now());
             if !handle.pool(|pool| pool.is_open(endpoint, now)) {
                 self.return_permit(&permit);
@@ -145,27 +160,25 @@
     }
 
     /// Waits for a permit; `None`: the time is up, or the call is not to be made any more.
-    async fn permit(
+    async fn wait_for_permit(
         &self,
-        dest: u64,
-        tenant: &str,
-        first: bool,
+        key: &QueueKey,
+        position: QueuePosition,
         by: Micros,
         signals: &CallSignals,
     ) -> Option<Permit> {
         let queued = Rc::new(QueuedCall::default());
         {
             let mut queues = self.queues.borrow_mut();
-            let queue = queues.entry((dest, tenant.into())).or_default();
-            match first {
-                true => queue.calls.push_back(queued.clone()),
-                // It was at the front, and its permit could not be used.
-                false => queue.calls.push_front(queued.clone()),
+            let queue = queues.entry(key.clone()).or_default();
+            match position {
+                QueuePosition::Back => queue.calls.push_back(queued.clone()),
+                QueuePosition::Front => queue.calls.push_front(queued.clone()),
             }
         }
-        let guard = QueueGuard { budgets: self, dest, tenant, queued: &queued };
-        if self.is_at_front(dest, tenant, &queued) {
-            self.serve_queue(dest, tenant);
+        let guard = QueueGuard { budgets: self, key, queued: &queued };
+        if self.is_at_front(key, &queued) {
+            self.serve_queue(key);
         }
         loop {
             if let Some(permit) = queued.permit.take() {
@@ -173,6 +186,7 @@
             }
             let left = self.clock.until(by);
             if left.is_zero() {
+                let QueueKey { dest, tenant } = key;
                 tracing::debug!("budget: destination {dest}: a call of tenant {tenant:?} is held back");
                 return None;
             }
@@ -185,9 +199,9 @@
         }
     }
 
-    fn is_at_front(&self, dest: u64, tenant: &str, queued: &Rc<QueuedCall>) -> bool {
+    fn is_at_front(&self, key: &QueueKey, queued: &Rc<QueuedCall>) -> bool {
         let queues = self.queues.borrow();
-        let queue = queues.get(&(dest, Box::from(tenant)));
+        let queue = queues.get(key);
         queue.and_then(|queue| queue.calls.front()).is_some_and(|front| Rc::ptr_eq(front, queued))
     }
 
@@ -196,19 +210,19 @@
         let mut queues = self.queues.borrow_mut();
         if !queues.is_empty() {
             self.gate(|gate, now| {
-                queues.iter_mut().for_each(|((dest, tenant), queue)| queue.serve(*dest, tenant, gate, now));
+                queues.iter_mut().for_each(|(key, queue)| queue.serve(key, gate, now));
             });
             queues.retain(|_, queue| !queue.calls.is_empty());
         }
     }
 
-    fn serve_queue(&self, dest: u64, tenant: &str) {
-        let key = (dest, Box::from(tenant));
+    /// Gives permits to the calls of one queue that may have one now.
+    fn serve_queue(&self, key: &QueueKey) {
         let mut queues = self.queues.borrow_mut();
-        if let Some(queue) = queues.get_mut(&key) {
-            self.gate(|gate, now| queue.serve(dest, tenant, gate, now));
+        if let Some(queue) = queues.get_mut(key) {
+            self.gate(|gate, now| queue.serve(key, gate, now));
             if queue.calls.is_empty() {
-                queues.remove(&key);
+                queues.remove(key);
             }
         }
     }
@@ -226,7 +240,7 @@
         self.work_added.notify_one();
     }
 
-    /// What the holder wants to be closed.
+    /// Queues connections that the budget's gate wants to be closed.
     pub fn queue_orders(&self, orders: Vec<ConnectionOrder>) {
         if !orders.is_empty() {
             self.orders.borrow_mut().extend(orders);
@@ -234,7 +248,7 @@
         }
     }
 
-    /// Tells the holder what ended.
+    /// Reports to the budget's gate which connections have ended.
     fn report_closed(&self) {
         for ClosedConnection { id, end } in self.closed.take() {
             let ConnectionId { dest, conn } = id;
@@ -261,15 +275,15 @@
             }
             self.report_closed();
             for (id, fd) in self.closing.take() {
-                actix_rt::spawn(self.clone().watch(id, fd));
+                actix_rt::spawn(self.clone().watch_close(id, fd));
             }
             self.serve();
         }
     }
 
-    /// Waits until the partner has closed it too. Where it does not tell, the connection counts for as long
-    /// as a partner may keep one, and the socket is kept no longer than that.
-    async fn watch(self: Rc<Self>, ConnectionId { dest, conn }: ConnectionId, fd: OwnedFd) {
+    /// Waits until the partner has closed a connection too. Where it does not, the connection counts for as long
+    /// as a partner may keep one, and the socket stays open no longer than that.
+    async fn watch_close(self: Rc<Self>, ConnectionId { dest, conn }: ConnectionId, fd: OwnedFd) {
         let bound = self.gate(|gate, _| gate.connections.close_timeout_of(dest));
         let ends = async {
             let mut stream = TcpStream::from_std(std::net::TcpStream::from(fd))?;
@@ -296,7 +310,8 @@
             return None;
         }
         let queues = self.queues.borrow();
-        let queue = queues.get(&(submission.dest, tenant_name(submission.tenant.as_deref())))?;
+        let key = QueueKey { dest: submission.dest, tenant: tenant_name(submission.tenant.as_deref()) };
+        let queue = queues.get(&key)?;
         (queue.after > submission.time_left).then_some(queue.after)
     }
 
@@ -311,7 +326,7 @@
 
     fn release(&self, permit: ConnectionPermit) {
         let used = permit.permit().clone();
-        // What it did not use is gone with it.
+        // A connection that it did not use is closed with it.
         drop(permit);
         self.out.borrow_mut().remove(&ConnectionId { dest: used.dest, conn: used.conn });
         self.report_closed();
@@ -328,11 +343,10 @@
     }
 }
 
-/// A call that waits; dropped, it has left its line.
+/// A call that waits; dropped, it has left its queue.
 struct QueueGuard<'a> {
     budgets: &'a Budgets,
-    dest: u64,
-    tenant: &'a str,
+    key: &'a QueueKey,
     queued: &'a Rc<QueuedCall>,
 }
 
@@ -341,25 +355,26 @@
         if let Some(permit) = self.queued.permit.take() {
             self.budgets.return_permit(&permit);
         }
-        let key = (self.dest, Box::from(self.tenant));
         let mut queues = self.budgets.queues.borrow_mut();
-        let Some(queue) = queues.get_mut(&key) else { return };
+        let Some(queue) = queues.get_mut(self.key) else { return };
         let before = queue.calls.len();
         queue.calls.retain(|queued| !Rc::ptr_eq(queued, self.queued));
         if queue.calls.len() < before {
             let count = queue.calls.len() as u32;
-            self.budgets.gate(|gate, now| gate.set_waiting(self.dest, self.tenant, count, now));
+            let QueueKey { dest, tenant } = self.key;
+            self.budgets.gate(|gate, now| gate.set_waiting(*dest, tenant, count, now));
         }
         if queue.calls.is_empty() {
-            queues.remove(&key);
+            queues.remove(self.key);
         }
     }
 }
 
 impl TenantQueue {
-    fn serve(&mut self, dest: u64, tenant: &str, gate: &mut BudgetGate, now: Micros) {
+    /// Gives permits to the calls from the front on, as long as the gate has some.
+    fn serve(&mut self, QueueKey { dest, tenant }: &QueueKey, gate: &mut BudgetGate, now: Micros) {
         while let Some(queued) = self.calls.front() {
-            match gate.acquire(dest, tenant, now) {
+            match gate.acquire(*dest, tenant, now) {
                 Ok(permit) => {
                     queued.permit.set(Some(permit));
                     queued.notified.notify_one();
@@ -371,7 +386,7 @@
                 }
             }
         }
-        gate.set_waiting(dest, tenant, self.calls.len() as u32, now);
+        gate.set_waiting(*dest, tenant, self.calls.len() as u32, now);
     }
 }
 
--- a/courier/program/src/fleet/membership.rs
+++ b/courier/program/src/fleet/membership.rs
@@ -16,6 +16,7 @@
 use super::state_folder::{JOURNAL_FILE, put_journal_aside};
 use super::stores::SharedMember;
 use crate::transport::clock::Clock;
+use crate::transport::connection_budget::ConnectionBudget;
 use crate::transport::courier::Courier;
 use crate::transport::gate::Gate;
 use quillmount_core::journal::{JournalContents, Settlements};
@@ -46,7 +47,7 @@
     clock: Clock,
     member: SharedMember,
     /// Partners' connection budgets, where the section has some.
-    pub budgets: Option<Rc<Budgets>>,
+    budgets: Option<Rc<Budgets>>,
     links: Rc<PeerLinks>,
     /// Where the courier's records wait until they are replicated, and its calls for the lease.
     pub gate: Rc<Gate>,
@@ -166,6 +167,12 @@
         Ok(())
     }
 
+    /// The limits of connections to partners, where the section has some.
+    pub fn connection_budget(&self) -> Option<Rc<dyn ConnectionBudget>> {
+        let budgets = self.budgets.clone()?;
+        Some(budgets)
+    }
+
     /// Starts to carry settlements, from the lines about them that the courier's journal has.
     fn start_settlements(self: &Rc<Self>, courier: &Rc<Courier>, lines: Settlements) {
         let (local_name, epoch) = {
--- a/courier/program/src/program/config.rs
+++ b/courier/program/src/program/config.rs
@@ -224,12 +224,12 @@
     }
 
     /// Time limit for opening a connection to an endpoint.
-    pub fn connect(&self) -> Duration {
+    pub fn connect_timeout(&self) -> Duration {
         self.span(self.env.limits.dial_timeout_ms, 1_000.0)
     }
 
     /// Time after which an endpoint closes an idle connection.
-    pub fn idle(&self) -> Duration {
+    pub fn idle_timeout(&self) -> Duration {
         self.span(self.env.limits.keepalive_ms, 5_000.0)
     }
 
--- a/courier/program/src/program/process.rs
+++ b/courier/program/src/program/process.rs
@@ -72,7 +72,7 @@
         self.courier.resume(&backoffs, actions);
         self.active.adopt(parts);
         if drained {
-            self.service.drained();
+            self.service.resume_drain();
         }
     }
 
@@ -211,13 +211,13 @@
     courier: &Rc<Courier>,
     connections: &Rc<Connections>,
     discovery: &platform::Discovery,
-    others: platform::Fleet,
+    watch_options: platform::WatchOptions,
 ) -> Tasks {
     vec![
         actix_rt::spawn(accept(listener, courier.clone(), connections.clone())),
         actix_rt::spawn(courier.clone().keep_time()),
         actix_rt::spawn(courier.clone().sweep()),
-        actix_rt::spawn(platform::watch(courier.clone(), discovery.clone(), others)),
+        actix_rt::spawn(platform::watch(courier.clone(), discovery.clone(), watch_options)),
         actix_rt::spawn(platform::notify(courier.clone(), discovery.clone())),
     ]
 }
--- a/courier/program/src/program/run.rs
+++ b/courier/program/src/program/run.rs
@@ -9,7 +9,7 @@
 use super::startup::{self, OpenedRouter};
 use crate::fleet::{self, Fleet};
 use crate::transport::clock::Clock;
-use crate::transport::courier::Courier;
+use crate::transport::courier::{Courier, CourierSetup};
 use crate::transport::handover::{ActiveProcess, Lock, ReceivedState};
 use crate::transport::operators::OperatorService;
 use crate::transport::platform;
@@ -18,6 +18,7 @@
 use quillmount_core::pool::Pool;
 use quillmount_core::router::{self, RouterError};
 use quillmount_operator::Operator;
+use quillmount_policy::Micros;
 use quillmount_settings::{NameTable, decode_settings};
 use std::cell::{Cell, RefCell};
 use std::path::PathBuf;
@@ -42,14 +43,20 @@
     let acquired = acquire(&config, &operator, clock, &mut signals, operators.as_ref()).await?;
     let Some(Acquired { lock, received, clock, fleet }) = acquired else { return Ok(RunEnd::Stopped) };
 
-    let budgets = fleet.as_ref().and_then(|fleet| fleet.budgets.clone());
     let gate = fleet.as_ref().map(|fleet| fleet.gate.clone());
-    let pool = Pool::new(config.idle().as_micros() as u64, connection_limit);
     let (limits, rules) = startup::stream_rules(&operator.streams).unzip();
     let settings_fingerprint = router::settings_fingerprint(&config.env, limits)?;
     let opened = startup::open_router(&config, limits, gate.as_ref(), received, clock.now())?;
     let OpenedRouter { router, actions, mut resumed } = opened;
-    let courier = Courier::new(clock.clone(), config.connect(), router, pool, rules, gate, budgets);
+    let courier = Courier::new(CourierSetup {
+        clock: clock.clone(),
+        connect_timeout: config.connect_timeout(),
+        router,
+        pool: Pool::new(config.idle_timeout().as_micros() as Micros, connection_limit),
+        rules,
+        gate,
+        budgets: fleet.as_ref().and_then(|fleet| fleet.connection_budget()),
+    });
     if let Some(fleet) = &fleet {
         fleet.attach(&courier, &config.state)?;
     }
@@ -60,10 +67,10 @@
         Rc::new(Connections::new(clock.clone(), connection_limit, config.memory / MEMORY_PER_BODIES));
     let (discovery_changes, discovery) = watch::channel(config.discovery);
     let service = OperatorService::new(courier.clone(), connections.clone(), config.state.clone());
-    let others = other_couriers(&config, resumed.is_none())?;
+    let watch_options = watch_options(&config, resumed.is_none())?;
     let begin = {
         let (courier, connections) = (courier.clone(), connections.clone());
-        move |listener| start_tasks(listener, &courier, &connections, &discovery, others)
+        move |listener| start_tasks(listener, &courier, &connections, &discovery, watch_options)
     };
     let active = Rc::new(ActiveProcess {
         courier: courier.clone(),
@@ -137,17 +144,18 @@
     );
 }
 
-/// What the watch of discovery has to know of the customer's other couriers. `starts`: this process goes on with nobody's work.
+/// How discovery is to be watched. `delays_first`: this process resumes no other's work, and other couriers may start at the
+/// same time.
 ///
 /// # Errors
 /// The settings can't be read.
-fn other_couriers(config: &Config, starts: bool) -> Result<platform::Fleet, RouterError> {
+fn watch_options(config: &Config, delays_first: bool) -> Result<platform::WatchOptions, RouterError> {
     let settings = decode_settings(&config.env, &mut NameTable::default()).map_err(RouterError::Decode)?;
-    Ok(platform::Fleet {
+    Ok(platform::WatchOptions {
         couriers: settings.sender_count,
         seed: config.seed,
-        starts,
-        heed: settings.drain_grace,
+        delays_first,
+        drain_grace: settings.drain_grace,
         pushed: !settings.subscription_required,
     })
 }
--- a/courier/program/src/transport/courier.rs
+++ b/courier/program/src/transport/courier.rs
@@ -55,6 +55,24 @@
     message_ended: EndObserver,
 }
 
+/// What a [`Courier`] is made of.
+pub struct CourierSetup {
+    /// The time that all deadlines are given in.
+    pub clock: Clock,
+    /// How long a connection to an endpoint may take to come up.
+    pub connect_timeout: Duration,
+    /// The router, which decides.
+    pub router: Router<JournalFile>,
+    /// The pool of connections to endpoints.
+    pub pool: Pool<EndpointStream>,
+    /// What may be streamed, where streams are enabled.
+    pub rules: Option<StreamRules>,
+    /// Where the courier is one of a fleet: records count once they are replicated.
+    pub gate: Option<Rc<Gate>>,
+    /// Where the connections to some destinations are limited for the fleet.
+    pub budgets: Option<Rc<dyn ConnectionBudget>>,
+}
+
 /// A courier on the sockets of one process.
 pub struct Courier {
     /// The time that all deadlines are given in.
@@ -80,29 +98,22 @@
 }
 
 impl Courier {
-    /// A courier that decides by `router` and keeps its connections to endpoints in `pool`; `connect`: how long one may
-    /// take to come up.
-    pub fn new(
-        clock: Clock,
-        connect: Duration,
-        router: Router<JournalFile>,
-        pool: Pool<EndpointStream>,
-        rules: Option<StreamRules>,
-        gate: Option<Rc<Gate>>,
-        budgets: Option<Rc<impl ConnectionBudget + 'static>>,
-    ) -> Rc<Self> {
+    /// A courier that has not begun to work.
+    pub fn new(setup: CourierSetup) -> Rc<Self> {
+        let CourierSetup { clock, connect_timeout, router, pool, rules, gate, budgets } = setup;
+        let bytes_per_turn = rules.as_ref().map_or(0, |rules| rules.turn);
         Rc::new(Courier {
-            streams: Rc::new(Streams::new(rules.as_ref().map_or(0, |rules| rules.turn))),
+            streams: Rc::new(Streams::new(bytes_per_turn)),
             rules,
             pipes: RefCell::default(),
-            handle: Rc::new(Handle::new(clock.clone(), connect, Hub::new(router, pool))),
+            handle: Rc::new(Handle::new(clock.clone(), connect_timeout, Hub::new(router, pool))),
             clock,
             signals: RefCell::default(),
             wake_moved: Notify::new(),
             notices: Notify::new(),
             gate,
             settlement_hooks: OnceCell::new(),
-            budgets: budgets.map(|budgets| budgets as Rc<dyn ConnectionBudget>),
+            budgets,
         })
     }
 
--- a/courier/program/src/transport/endpoints.rs
+++ b/courier/program/src/transport/endpoints.rs
@@ -241,7 +241,7 @@
             // The signals first: they may keep the call from leaving.
             () = self.signals.released() => return Progress::Transferred,
             signal = self.signals.next(AttemptState::Connecting) => signal,
-            stream = timeout(handle.connect, connect(addr, self.permit.as_deref_mut())) => {
+            stream = timeout(handle.connect_timeout, connect(addr, self.permit.as_deref_mut())) => {
                 match stream.ok().flatten() {
                     Some(stream) => return Progress::Connected(stream),
                     None => AttemptInput::Refused,
--- a/courier/program/src/transport/frames.rs
+++ b/courier/program/src/transport/frames.rs
@@ -42,18 +42,32 @@
     LetGo,
 }
 
-/// Passes an operator's call on to the process that has taken over.
+/// Why an operator's call could not be passed on.
+#[derive(Debug, thiserror::Error)]
+pub enum PassOnError {
+    /// The process can't be reached, or its connection broke.
+    #[error(transparent)]
+    Channel(#[from] io::Error),
+    /// The process sent another frame.
+    #[error("no answer")]
+    NoAnswer,
+    /// The process did not answer within [`PASS_ON_TIMEOUT`].
+    #[error("timed out")]
+    TimedOut,
+}
+
+/// Passes an operator's call on to the process that has taken over; returns the line that it answers.
 ///
 /// # Errors
 /// The process can't be reached, or does not answer within [`PASS_ON_TIMEOUT`].
-pub async fn pass_on(folder: &Path, call: &OperatorCall) -> io::Result<String> {
-    let passed = async {
+pub async fn pass_on(folder: &Path, call: &OperatorCall) -> Result<String, PassOnError> {
+    let exchange = async {
         let mut channel = Channel::open(channel::reach(folder).await?).await?;
         channel.send(&Frame::Call(call.clone()), None).await?;
         match channel.recv().await? {
             Frame::Said(answer) => Ok(answer),
-            _ => Err(io::Error::other("no answer")),
+            _ => Err(PassOnError::NoAnswer),
         }
     };
-    timeout(PASS_ON_TIMEOUT, passed).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
+    timeout(PASS_ON_TIMEOUT, exchange).await.unwrap_or(Err(PassOnError::TimedOut))
 }
--- a/courier/program/src/transport/handle.rs
+++ b/courier/program/src/transport/handle.rs
@@ -52,7 +52,7 @@
     /// The time that all deadlines are given in.
     pub clock: Clock,
     /// How long a connection to an endpoint may take to come up.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     pub(super) hub: RefCell<Hub<JournalFile, EndpointStream>>,
     lifecycle: Cell<Lifecycle>,
     /// A planned stop begins.
@@ -61,11 +61,11 @@
 }
 
 impl Handle {
-    /// A handle on this state; `connect`: how long a connection to an endpoint may take to come up.
-    pub fn new(clock: Clock, connect: Duration, hub: Hub<JournalFile, EndpointStream>) -> Self {
+    /// A handle on this state; `connect_timeout`: how long a connection to an endpoint may take to come up.
+    pub fn new(clock: Clock, connect_timeout: Duration, hub: Hub<JournalFile, EndpointStream>) -> Self {
         Handle {
             clock,
-            connect,
+            connect_timeout,
             hub: RefCell::new(hub),
             lifecycle: Cell::default(),
             stops: Notify::new(),
--- a/courier/program/src/transport/operators.rs
+++ b/courier/program/src/transport/operators.rs
@@ -3,10 +3,11 @@
 //! A caller sends one line and gets one line; `quillmount_protocol::operator` has their form.
 
 use super::courier::Courier;
-use super::frames;
+use super::frames::{self, PassOnError};
 use super::server::Connections;
 use actix_rt::net::{TcpListener, TcpStream};
 use actix_rt::time::{sleep, timeout};
+use quillmount_core::disabled::DisableError;
 use quillmount_core::machine::drain::{DrainInput, DrainOutput};
 use quillmount_core::machine::lifecycle;
 use quillmount_protocol::operator::{self, BadCall, LINE_MAX, Line, OperatorCall};
@@ -27,9 +28,26 @@
 const LINGER_MAX: usize = 64 * 1024;
 /// The interval at which is checked which process decides, while this one hands over.
 const HANDOVER_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// The pause after an accept that failed, for want of descriptors mostly.
+/// The wait after an accept that failed, mostly for lack of descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
+/// Why an operator's call was not carried out; the text is the answer to the operator.
+#[derive(Debug, thiserror::Error)]
+enum CallError {
+    /// The process is in its planned stop.
+    #[error("this process is stopping")]
+    Stopping,
+    /// The process starts, or waits for another to hand over.
+    #[error("this process does not serve yet")]
+    NotServing,
+    /// Another process has taken over, and the call could not be passed on to it.
+    #[error("another process has taken over, and can't be asked: {0}")]
+    PassOn(#[source] PassOnError),
+    /// The endpoint could not be disabled or enabled.
+    #[error(transparent)]
+    Disable(#[from] DisableError),
+}
+
 /// Where operators' calls are carried out.
 pub struct OperatorService {
     courier: Rc<Courier>,
@@ -47,7 +65,7 @@
     }
 
     /// Continues the drain of the previous process.
-    pub fn drained(&self) {
+    pub fn resume_drain(&self) {
         self.step(DrainInput::Drain);
     }
 
@@ -57,18 +75,19 @@
         while self.courier.handle.lifecycle().is_releasing() && !self.courier.handle.lifecycle().has_ended() {
             sleep(HANDOVER_POLL_INTERVAL).await;
         }
-        let said = if self.courier.handle.lifecycle().has_ended() {
+        let outcome = if self.courier.handle.lifecycle().has_ended() {
             match frames::pass_on(&self.folder, &call).await {
-                Ok(said) => return said,
-                Err(e) => Err(format!("another process has taken over, and can't be asked: {e}")),
+                Ok(answer) => return answer,
+                Err(e) => Err(CallError::PassOn(e)),
             }
         } else {
             self.call(&call)
         };
+        let outcome = outcome.map_err(|e| e.to_string());
         if call != OperatorCall::Ready {
-            tracing::info!("operators: {call:?}: {said:?}");
+            tracing::info!("operators: {call:?}: {outcome:?}");
         }
-        operator::answer(said.as_deref().map_err(String::as_str))
+        operator::answer(outcome.as_deref().map_err(String::as_str))
     }
 
     /// Closes idle connections at regular intervals while the courier is drained; never returns.
@@ -110,17 +129,13 @@
         }
     }
 
-    fn set_disabled(&self, id: &str, disabled: bool) -> Result<(), String> {
-        self.courier.set_disabled(id, disabled).map_err(|e| e.to_string())
-    }
-
-    /// Carries a call out in this process; the text of the answer, or why nothing was done.
-    fn call(&self, call: &OperatorCall) -> Result<String, String> {
+    /// Carries a call out in this process; returns the text of the answer.
+    fn call(&self, call: &OperatorCall) -> Result<String, CallError> {
         let lifecycle = self.courier.handle.lifecycle();
         match call {
-            OperatorCall::Ready if lifecycle.stopping().is_some() => Err("this process is stopping".into()),
+            OperatorCall::Ready if lifecycle.stopping().is_some() => Err(CallError::Stopping),
             OperatorCall::Ready if lifecycle.is_serving() => Ok("ready".into()),
-            OperatorCall::Ready => Err("this process does not serve yet".into()),
+            OperatorCall::Ready => Err(CallError::NotServing),
             OperatorCall::Drain => {
                 self.step(DrainInput::Drain);
                 Ok("drained: the front is told no".into())
@@ -129,8 +144,14 @@
                 self.step(DrainInput::Undrain);
                 Ok("consumers are wanted".into())
             }
-            OperatorCall::Disable(id) => self.set_disabled(id, true).map(|()| format!("{id} is out")),
-            OperatorCall::Enable(id) => self.set_disabled(id, false).map(|()| format!("{id} is back")),
+            OperatorCall::Disable(id) => {
+                self.courier.set_disabled(id, true)?;
+                Ok(format!("{id} is out"))
+            }
+            OperatorCall::Enable(id) => {
+                self.courier.set_disabled(id, false)?;
+                Ok(format!("{id} is back"))
+            }
         }
     }
 }
@@ -166,7 +187,7 @@
     let Ok(Some(call)) = timeout(CALL_TIMEOUT, read_call(&mut stream)).await else { return };
     let answer = match (call, service) {
         (Ok(call), Some(service)) => service.answer(call).await,
-        (Ok(_), None) => operator::answer(Err("this process does not serve yet")),
+        (Ok(_), None) => operator::answer(Err(&CallError::NotServing.to_string())),
         (Err(why), _) => {
             tracing::info!("operators: no call: {why}");
             operator::answer(Err(&why.to_string()))
--- a/courier/program/src/transport/platform.rs
+++ b/courier/program/src/transport/platform.rs
@@ -6,7 +6,8 @@
 use actix_rt::time::{sleep, timeout};
 use futures_util::StreamExt;
 use futures_util::future::{LocalBoxFuture, poll_fn};
-use quillmount_core::machine::notices::{self, Notices};
+use quillmount_core::Notice;
+use quillmount_core::machine::notices::{ATTEMPT_TIMEOUT, NoticeInput, NoticeOutput, NoticeState, Notices};
 use quillmount_core::machine::watch::{NOTIFIED_WITHIN, SILENCE, Watch, WatchInput, WatchOutput, WatchState};
 use quillmount_policy::Micros;
 use quillmount_protocol::{discovery, notice};
@@ -20,17 +21,17 @@
 /// The address of the platform; it may change while the courier runs.
 pub type Discovery = watch::Receiver<SocketAddr>;
 
-/// The other couriers that watch the same discovery, and how this one is to watch.
+/// How discovery is to be watched.
 #[derive(Clone, Copy, Debug)]
-pub struct Fleet {
-    /// How many couriers there are.
+pub struct WatchOptions {
+    /// How many couriers watch the same discovery.
     pub couriers: u32,
     /// The seed of this courier's random delays.
     pub seed: u64,
     /// Others may start at the same time: the first request waits for a short random delay.
-    pub starts: bool,
-    /// The time within which a drain has to take effect.
-    pub heed: Micros,
+    pub delays_first: bool,
+    /// The time in microseconds within which a drain has to take effect.
+    pub drain_grace: Micros,
     /// Lists are pushed to an agent on the courier's own machine.
     pub pushed: bool,
 }
@@ -38,30 +39,47 @@
 /// Why a watch ended.
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
+    /// A request was not answered.
     #[error("no answer: {0}")]
     Send(#[from] awc::error::SendRequestError),
+    /// A request was answered with another status than 200.
     #[error("status {0}")]
     Status(awc::http::StatusCode),
+    /// Nothing came for too long.
     #[error("silent for {:?}", Duration::from_micros(SILENCE))]
     Silent,
+    /// The connection broke in the middle of the answer.
     #[error("broken off: {0}")]
     Broken(#[from] awc::error::PayloadError),
+    /// The answer ended.
     #[error("ended")]
     Ended,
+    /// The answer has a list that can't be read.
     #[error(transparent)]
     List(#[from] discovery::DiscoveryError),
 }
 
+/// Why the platform did not answer an attempt to send notices.
+#[derive(Debug, thiserror::Error)]
+enum NoticeError {
+    /// The connection failed before an answer.
+    #[error(transparent)]
+    Send(#[from] awc::error::SendRequestError),
+    /// There was no answer within the attempt's time.
+    #[error("no answer in time")]
+    TimedOut,
+}
+
 /// Watches discovery for as long as the courier runs, whatever fails. When its address changes, the old watch goes on until
 /// the new one has answered, so that no change is missed in between.
-pub async fn watch(courier: Rc<Courier>, mut discovery: Discovery, mut fleet: Fleet) {
-    let mut tasks = Tasks::default();
+pub async fn watch(courier: Rc<Courier>, mut discovery: Discovery, mut options: WatchOptions) {
+    let mut tasks = WatchTasks::default();
     loop {
         let older = &mut tasks.0;
         let addr = *discovery.borrow_and_update();
-        let task = actix_rt::spawn(follow(courier.clone(), addr, discovery.clone(), older.clone(), fleet));
+        let task = actix_rt::spawn(follow(courier.clone(), addr, discovery.clone(), older.clone(), options));
         // A new address is requested at once: the old one closes its watches.
-        fleet.starts = false;
+        options.delays_first = false;
         older.retain(|task| !task.is_finished());
         older.push(task.abort_handle());
         if discovery.changed().await.is_err() {
@@ -72,9 +90,9 @@
 
 /// The tasks of the watches; aborted on drop.
 #[derive(Default)]
-struct Tasks(Vec<AbortHandle>);
+struct WatchTasks(Vec<AbortHandle>);
 
-impl Drop for Tasks {
+impl Drop for WatchTasks {
     fn drop(&mut self) {
         self.0.iter().for_each(AbortHandle::abort);
     }
@@ -86,29 +104,29 @@
     addr: SocketAddr,
     discovery: Discovery,
     mut older: Vec<AbortHandle>,
-    fleet: Fleet,
+    options: WatchOptions,
 ) {
     let moved = || *discovery.borrow() != addr;
-    let Fleet { couriers, seed, starts, heed, pushed } = fleet;
-    let machine = Watch::of_fleet(courier.clock.now(), couriers, seed, starts, heed);
+    let WatchOptions { couriers, seed, delays_first, drain_grace, pushed } = options;
+    let machine = Watch::of_fleet(courier.clock.now(), couriers, seed, delays_first, drain_grace);
     let mut machine = machine.where_pushed(pushed);
-    let mut todo = if starts { WatchOutput::Nothing } else { WatchOutput::Request };
-    let mut out = PendingRequests::default();
+    let mut output = if delays_first { WatchOutput::Nothing } else { WatchOutput::Request };
+    let mut requests = PendingRequests::default();
     loop {
-        let ended = match todo {
+        let ended = match output {
             WatchOutput::Stop => return,
             WatchOutput::Request | WatchOutput::Hedge { .. } => {
-                let keep = if let WatchOutput::Hedge { keep } = todo { keep } else { 0 };
-                if keep < out.0.len().min(1) {
+                let retained = if let WatchOutput::Hedge { keep } = output { keep } else { 0 };
+                if retained < requests.0.len().min(1) {
                     tracing::warn!(
                         "discovery: watch: no answer for {:?}; asked anew",
                         Duration::from_micros(NOTIFIED_WITHIN)
                     );
                 }
-                out.0.truncate(keep);
-                courier.count(|c| c.watches += 1);
-                out.0.push(Some(request(addr, courier.list_version())));
-                watch_once(&courier, &mut machine, &mut out, &mut older, &moved).await
+                requests.0.truncate(retained);
+                courier.count(|counters| counters.watches += 1);
+                requests.0.push(Some(request(addr, courier.list_version())));
+                watch_once(&courier, &mut machine, &mut requests, &mut older, &moved).await
             }
             _ => {
                 sleep(courier.clock.until(machine.wake_at().unwrap_or_default())).await;
@@ -122,10 +140,10 @@
             _ => WatchInput::Broken { moved: moved() },
         };
         let waited = matches!(machine.state(), WatchState::BackingOff { .. });
-        todo = machine.step(input, courier.clock.now());
-        match todo {
+        output = machine.step(input, courier.clock.now());
+        match output {
             WatchOutput::BackOff(backoff) => {
-                out.0.clear();
+                requests.0.clear();
                 tracing::warn!("discovery: watch: {e}; again in {:?}", Duration::from_micros(backoff));
             }
             WatchOutput::Stop if !waited => {
@@ -143,10 +161,11 @@
 fn request(addr: SocketAddr, after: u64) -> PendingRequest {
     // The request is given up before this limit.
     let client = super::plain_client(Duration::from_micros(2 * NOTIFIED_WITHIN), true);
-    let asked = client.get(format!("http://{addr}{}", discovery::watch_path(after))).send();
+    let response = client.get(format!("http://{addr}{}", discovery::watch_path(after))).send();
     Box::pin(async move {
+        // The connection ends with its client.
         let _client = client;
-        let answer = asked.await?;
+        let answer = response.await?;
         match answer.status() {
             awc::http::StatusCode::OK => Ok(answer),
             other => Err(WatchError::Status(other)),
@@ -165,7 +184,7 @@
     /// One has failed.
     Failed {
         /// Why.
-        with: WatchError,
+        error: WatchError,
         /// No other is in flight.
         last: bool,
     },
@@ -179,7 +198,7 @@
             self.0[n] = None;
             return Poll::Ready(match answer {
                 Ok(answer) => PollOutcome::Answer(Box::new(answer)),
-                Err(with) => PollOutcome::Failed { with, last: self.0.iter().all(Option::is_none) },
+                Err(error) => PollOutcome::Failed { error, last: self.0.iter().all(Option::is_none) },
             });
         }
         Poll::Pending
@@ -190,21 +209,21 @@
 async fn watch_once(
     courier: &Rc<Courier>,
     machine: &mut Watch,
-    out: &mut PendingRequests,
+    requests: &mut PendingRequests,
     older: &mut Vec<AbortHandle>,
     moved: &impl Fn() -> bool,
 ) -> Result<std::convert::Infallible, WatchError> {
     let mut answer = loop {
-        match in_time(courier, machine, poll_fn(|cx| out.poll(cx))).await? {
+        match in_time(courier, machine, poll_fn(|cx| requests.poll(cx))).await? {
             PollOutcome::Answer(answer) => break answer,
-            PollOutcome::Failed { with, last: true } => return Err(with),
-            PollOutcome::Failed { with, last: false } => {
-                tracing::warn!("discovery: watch: {with}; another question is out");
+            PollOutcome::Failed { error, last: true } => return Err(error),
+            PollOutcome::Failed { error, last: false } => {
+                tracing::warn!("discovery: watch: {error}; another question is out");
                 machine.step(WatchInput::Lost, courier.clock.now());
             }
         }
     };
-    out.0.clear();
+    requests.0.clear();
     machine.step(WatchInput::Answered, courier.clock.now());
     let mut lists = discovery::Lists::default();
     loop {
@@ -225,62 +244,71 @@
     }
 }
 
-/// Waits for `what` as long as the machine does.
+/// Waits for something as long as the machine does.
 async fn in_time<T>(
     courier: &Courier,
     machine: &Watch,
-    what: impl Future<Output = T>,
+    event: impl Future<Output = T>,
 ) -> Result<T, WatchError> {
     debug_assert!(matches!(machine.state(), WatchState::Requesting { .. } | WatchState::Following { .. }));
     let left = courier.clock.until(machine.wake_at().unwrap_or_default());
-    timeout(left, what).await.map_err(|_| WatchError::Silent)
+    timeout(left, event).await.map_err(|_| WatchError::Silent)
 }
 
 /// Sends notices, many at a time, until the platform has confirmed each.
 pub async fn notify(courier: Rc<Courier>, mut discovery: Discovery) {
-    let client = super::plain_client(Duration::from_micros(notices::ATTEMPT_TIMEOUT), true);
+    let client = super::plain_client(Duration::from_micros(ATTEMPT_TIMEOUT), true);
     let mut machine = Notices::default();
     loop {
         let notices = courier.notices(machine.most());
-        let wanted = notices::NoticeInput::Wanted(notices.len());
-        let notices::NoticeOutput::Send(_) = machine.step(wanted, courier.clock.now()) else {
+        let wanted = NoticeInput::Wanted(notices.len());
+        let NoticeOutput::Send(_) = machine.step(wanted, courier.clock.now()) else {
             courier.notices_wanted().await;
             continue;
         };
         // In a fleet, an end is reported once it is replicated, and only under a lease.
         courier.may_act().await;
-        courier.count(|c| c.notice_tries += 1);
+        courier.count(|counters| counters.notice_tries += 1);
         let addr = *discovery.borrow_and_update();
-        let post = client.post(format!("http://{addr}{}", notice::PATH)).send_body(notice::encode(&notices));
         let left = courier.clock.until(machine.wake_at().unwrap_or_default());
-        let tried = timeout(left, async {
-            let mut answer = post.await.map_err(|e| e.to_string())?;
-            while let Some(Ok(_)) = answer.next().await {}
-            Ok(answer.status().as_u16())
-        });
+        let attempt = timeout(left, post_notices(&client, addr, &notices));
         let input = tokio::select! {
             biased;
-            status = tried => match status.unwrap_or_else(|_| Err("no answer in time".to_string())) {
-                Ok(204) => notices::NoticeInput::Confirmed,
-                Ok(400) => notices::NoticeInput::Unreadable,
+            status = attempt => match status.unwrap_or(Err(NoticeError::TimedOut)) {
+                Ok(204) => NoticeInput::Confirmed,
+                Ok(400) => NoticeInput::Unreadable,
                 other => {
-                    tracing::warn!(notices = notices.len(), result = ?other, "notices: the platform did not confirm");
-                    notices::NoticeInput::Lost
+                    let result = other.map_err(|e| e.to_string());
+                    tracing::warn!(notices = notices.len(), ?result, "notices: the platform did not confirm");
+                    NoticeInput::Lost
                 }
             },
-            Ok(()) = discovery.changed() => notices::NoticeInput::Moved,
+            Ok(()) = discovery.changed() => NoticeInput::Moved,
         };
         match machine.step(input, courier.clock.now()) {
-            notices::NoticeOutput::Confirmed => courier.notices_confirmed(&notices),
-            notices::NoticeOutput::Discard => {
+            NoticeOutput::Confirmed => courier.notices_confirmed(&notices),
+            NoticeOutput::Discard => {
                 tracing::error!(id = ?notices[0].id, "notices: the platform can't read a notice: it is discarded");
                 courier.notices_confirmed(&notices);
             }
             _ => {}
         }
-        while let notices::NoticeState::BackingOff { until } = machine.state() {
+        while let NoticeState::BackingOff { until } = machine.state() {
             sleep(courier.clock.until(until)).await;
-            machine.step(notices::NoticeInput::Tick, courier.clock.now());
+            machine.step(NoticeInput::Tick, courier.clock.now());
         }
     }
 }
+
+/// Sends notices once; returns the status that the platform answers.
+async fn post_notices(
+    client: &awc::Client,
+    addr: SocketAddr,
+    notices: &[Notice],
+) -> Result<u16, NoticeError> {
+    let request = client.post(format!("http://{addr}{}", notice::PATH));
+    let mut answer = request.send_body(notice::encode(notices)).await?;
+    // The connection can be used for the next notices once the body is read.
+    while let Some(Ok(_)) = answer.next().await {}
+    Ok(answer.status().as_u16())
+}
--- a/courier/program/src/transport/streams/send.rs
+++ b/courier/program/src/transport/streams/send.rs
@@ -195,7 +195,7 @@
         tokio::select! {
             biased;
             signal = self.signals.next_for_stream(AttemptState::Connecting) => Err(signal),
-            conn = timeout(handle.connect, endpoints::connect(addr, self.permit.as_deref_mut())) => {
+            conn = timeout(handle.connect_timeout, endpoints::connect(addr, self.permit.as_deref_mut())) => {
                 conn.ok().flatten().ok_or(AttemptInput::Refused)
             }
             tick = tick(&handle.clock, wake_at) => Err(tick),
