--- a/courier/program/src/fleet/membership.rs
+++ b/courier/program/src/fleet/membership.rs
@@ -156,7 +156,7 @@
         let unsettled: BTreeSet<_> =
             courier.unsettled().iter().chain(lines.unsettled()).map(PartitionId::from).collect();
         let unsettled: Vec<_> = unsettled.into_iter().collect();
-        self.gate.add_taking(unsettled.len() as isize);
+        self.gate.add_takeovers(unsettled.len() as isize);
         self.gate.begin(bytes.len() as u64);
         self.step(MemberInput::JournalOpened { bytes, unsettled });
         self.start_settlements(courier, lines);
@@ -207,7 +207,7 @@
         let left = self.left.notified();
         self.flush();
         // Records that are not replicated are lost to those who take over: a message that has ended would be open.
-        let _ = actix_rt::time::timeout(FINAL_REPLICATION_TIMEOUT, self.gate.copied()).await;
+        let _ = actix_rt::time::timeout(FINAL_REPLICATION_TIMEOUT, self.gate.wait_until_replicated()).await;
         self.step(MemberInput::Leave);
         left.await;
         let mut member = self.member.borrow_mut();
@@ -237,7 +237,7 @@
 
     /// The fleet has sealed this courier's journal: nothing more is done here.
     fn fence(&self) {
-        self.gate.set_until(0);
+        self.gate.set_lease_end(0);
         self.is_fenced.set(true);
         if let Some(host) = self.settlement_host() {
             host.fence();
@@ -269,15 +269,13 @@
         loop {
             let wake = self.member.borrow().wake_at();
             let changed = self.timers_changed.notified();
-            match wake {
-                None => changed.await,
-                Some(at) if at > self.clock.now() => {
-                    tokio::select! {
-                        () = actix_rt::time::sleep(self.clock.until(at)) => {}
-                        () = changed => {}
-                    }
-                }
-                Some(_) => self.step(MemberInput::Tick),
+            if wake.is_some_and(|at| at <= self.clock.now()) {
+                self.step(MemberInput::Tick);
+                continue;
+            }
+            tokio::select! {
+                () = self.clock.sleep_until(wake) => {}
+                () = changed => {}
             }
         }
     }
--- a/courier/program/src/fleet/membership/outputs.rs
+++ b/courier/program/src/fleet/membership/outputs.rs
@@ -48,18 +48,18 @@
                 self.gate.set_epoch(epoch);
                 self.set_joined(Joined { retained });
             }
-            MemberOutput::Lease(until) => self.gate.set_until(until),
-            MemberOutput::Replicated(mark) => self.gate.set_safe(mark),
+            MemberOutput::Lease(until) => self.gate.set_lease_end(until),
+            MemberOutput::Replicated(mark) => self.gate.set_replicated(mark),
             MemberOutput::Replicas { at, enough } => {
                 log_replicas(&at, enough);
-                self.gate.set_copies(at.len(), enough);
+                self.gate.set_replicas(at.len(), enough);
             }
             MemberOutput::Adopt { partitions, settled, bytes } => {
-                self.gate.add_taking(partitions.len() as isize);
+                self.gate.add_takeovers(partitions.len() as isize);
                 self.takeovers.add(TakeoverTask::Adopt { partitions, settled, bytes });
             }
             MemberOutput::ResolveAdoption { source, adopted } => {
-                self.gate.add_taking(-1);
+                self.gate.add_takeovers(-1);
                 self.takeovers.add(TakeoverTask::ResolveAdoption { source, adopted });
             }
             MemberOutput::Fenced => self.fence(),
--- a/courier/program/src/fleet/membership/replication.rs
+++ b/courier/program/src/fleet/membership/replication.rs
@@ -9,7 +9,7 @@
     /// Passes what was written to the journal on to its replicas: all of one turn of the event loop together. Never returns.
     pub(super) async fn replicate(self: Rc<Self>) {
         loop {
-            self.gate.wrote.notified().await;
+            self.gate.write_added.notified().await;
             self.flush();
         }
     }
@@ -19,8 +19,8 @@
         let mut appended = Vec::new();
         for write in self.gate.take_writes() {
             match write {
-                JournalWrite::Bytes(bytes) => appended.extend(bytes),
-                JournalWrite::Whole(journal) => {
+                JournalWrite::Appended(bytes) => appended.extend(bytes),
+                JournalWrite::Replaced(journal) => {
                     if !appended.is_empty() {
                         self.step(MemberInput::JournalAppended(std::mem::take(&mut appended)));
                     }
--- a/courier/program/src/fleet/settlements.rs
+++ b/courier/program/src/fleet/settlements.rs
@@ -226,19 +226,17 @@
                 [state.owned.wake_at(), state.forwarder.wake_at(), write].into_iter().flatten().min()
             };
             let changed = self.timers_changed.notified();
-            match wake {
-                None => changed.await,
-                Some(at) if at > self.now() => tokio::select! {
-                    () = actix_rt::time::sleep(self.courier.clock.until(at)) => {}
-                    () = changed => {}
-                },
-                Some(_) => {
-                    self.retry_writes();
-                    self.step_owned(OwnerInput::Tick, None);
-                    self.step_forwarder(ForwardInput::Tick);
-                    // A timer stays due until its work is done: other tasks run meanwhile.
-                    actix_rt::task::yield_now().await;
-                }
+            if wake.is_some_and(|at| at <= self.now()) {
+                self.retry_writes();
+                self.step_owned(OwnerInput::Tick, None);
+                self.step_forwarder(ForwardInput::Tick);
+                // A timer stays due until its work is done: other tasks run meanwhile.
+                actix_rt::task::yield_now().await;
+                continue;
+            }
+            tokio::select! {
+                () = self.courier.clock.sleep_until(wake) => {}
+                () = changed => {}
             }
         }
     }
--- a/courier/program/src/fleet/settlements/intake.rs
+++ b/courier/program/src/fleet/settlements/intake.rs
@@ -39,9 +39,8 @@
         if let Some(intake) = self.courier.refuses(submission) {
             return Some(answer_now(submission::answer(intake)));
         }
-        if let Some(Err(after)) = self.courier.gate.as_ref().map(|gate| gate.takes_on()) {
-            self.courier.count(|counters| counters.rejected += 1);
-            return Some(answer_now(submission::answer(Intake::Rejected { after })));
+        if let Some(rejected) = self.courier.reject_by_gate() {
+            return Some(answer_now(submission::answer(rejected)));
         }
         let payload = MessagePayload::from_message(submission);
         let sequenced = SequencedMessage {
--- a/courier/program/src/fleet/stores.rs
+++ b/courier/program/src/fleet/stores.rs
@@ -1,6 +1,6 @@
 //! The member's stores as files in the state folder, one for each store.
 
-use crate::transport::journal_file::JournalFile;
+use crate::transport::journal_file::{JournalFile, with_path};
 use quillmount_fleet::member::{Member, StoreDirectory};
 use std::cell::RefCell;
 use std::fs;
@@ -20,13 +20,12 @@
     /// # Errors
     /// The folder can't be created; the text names it.
     pub fn open(folder: PathBuf) -> io::Result<FileStores> {
-        fs::create_dir_all(&folder)
-            .map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", folder.display())))?;
+        fs::create_dir_all(&folder).map_err(|e| with_path(&folder, e))?;
         Ok(FileStores(folder))
     }
 
-    fn with_path(&self, name: &str, e: io::Error) -> io::Error {
-        io::Error::new(e.kind(), format!("{}: {e}", self.0.join(name).display()))
+    fn named(&self, name: &str, e: io::Error) -> io::Error {
+        with_path(&self.0.join(name), e)
     }
 }
 
@@ -39,16 +38,16 @@
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
         match fs::remove_file(self.0.join(name)) {
-            Err(e) if e.kind() != io::ErrorKind::NotFound => Err(self.with_path(name, e)),
+            Err(e) if e.kind() != io::ErrorKind::NotFound => Err(self.named(name, e)),
             _ => Ok(()),
         }
     }
 
     fn names(&mut self) -> io::Result<Vec<String>> {
-        let entries = fs::read_dir(&self.0).map_err(|e| self.with_path("", e))?;
+        let entries = fs::read_dir(&self.0).map_err(|e| self.named("", e))?;
         let mut names = Vec::new();
         for entry in entries {
-            let name = entry.map_err(|e| self.with_path("", e))?.file_name();
+            let name = entry.map_err(|e| self.named("", e))?.file_name();
             names.extend(name.into_string().ok().filter(|name| !name.ends_with(".new")));
         }
         names.sort();
--- a/courier/program/src/transport/clock.rs
+++ b/courier/program/src/transport/clock.rs
@@ -35,6 +35,14 @@
         self.start + self.since.elapsed().as_micros() as Micros
     }
 
+    /// Waits until this time; for ever where there is none.
+    pub async fn sleep_until(&self, at: Option<Micros>) {
+        match at {
+            Some(at) => actix_rt::time::sleep(self.until(at)).await,
+            None => std::future::pending().await,
+        }
+    }
+
     /// How long it is until this time; zero if that is past.
     pub fn until(&self, at: Micros) -> Duration {
         Duration::from_micros(at.saturating_sub(self.now()))
--- a/courier/program/src/transport/courier.rs
+++ b/courier/program/src/transport/courier.rs
@@ -188,7 +188,7 @@
     /// Whether the load balancer may send clients here.
     pub fn accepts_clients(&self) -> bool {
         self.handle.lifecycle().accepts_clients()
-            && self.gate.as_ref().is_none_or(|gate| gate.takes_on().is_ok())
+            && self.gate.as_ref().is_none_or(|gate| gate.check_open().is_ok())
     }
 
     /// Asks all calls to prepare for a handover; streams end as at a planned stop.
@@ -223,16 +223,22 @@
         self.carry_out(actions);
     }
 
+    /// Rejects a message, and counts it, while the gate is closed.
+    pub fn reject_by_gate(&self) -> Option<Intake> {
+        let after = self.gate.as_ref()?.check_open().err()?;
+        self.count(|counters| counters.rejected += 1);
+        Some(Intake::Rejected { after })
+    }
+
     /// Submits a client's message, where the gate and the budgets allow it.
     pub fn submit(self: &Rc<Self>, submission: Submission) -> Intake {
-        if let Some(Err(after)) = self.gate.as_ref().map(|gate| gate.takes_on()) {
-            self.count(|c| c.rejected += 1);
-            return Intake::Rejected { after };
+        if let Some(rejected) = self.reject_by_gate() {
+            return rejected;
         }
         let retry_after = self.budgets.as_ref().and_then(|budgets| budgets.rejects(&submission));
         // A repeated message is answered like the first one.
         if let Some(after) = retry_after.filter(|_| !self.handle.hub.borrow().router.knows(&submission.id)) {
-            self.count(|c| c.rejected += 1);
+            self.count(|counters| counters.rejected += 1);
             return Intake::Rejected { after };
         }
         let (intake, actions) = self.handle.hub.borrow_mut().submit(submission, self.clock.now());
@@ -241,14 +247,14 @@
     }
 
     /// Waits until the records written by now are replicated; without a fleet it returns at once.
-    pub async fn copied(&self) {
+    pub async fn wait_until_replicated(&self) {
         if let Some(gate) = &self.gate {
-            gate.copied().await;
+            gate.wait_until_replicated().await;
         }
     }
 
     /// Waits until the courier may act on the records written by now; without a fleet it returns at once.
-    pub async fn may_act(&self) {
+    pub async fn wait_until_may_act(&self) {
         if let Some(gate) = &self.gate {
             gate.pass(gate.written(), Micros::MAX).await;
         }
@@ -289,7 +295,7 @@
             // The next process watches from the version that this one knew.
             return;
         }
-        self.count(|c| c.list_changes += 1);
+        self.count(|counters| counters.list_changes += 1);
         let (version, lines) = (list.version, list.endpoints.len());
         let actions = self.handle.hub.borrow_mut().list(list, self.clock.now());
         tracing::info!("discovery: version {version} with {lines} lines");
@@ -323,7 +329,7 @@
     }
 
     /// Waits until there may be new notices.
-    pub async fn notices_wanted(&self) {
+    pub async fn wait_for_notices(&self) {
         self.notices.notified().await;
     }
 
@@ -369,14 +375,9 @@
         loop {
             let wake = self.handle.hub.borrow().router.wake_at();
             let wake_moved = self.wake_moved.notified();
-            match wake {
-                None => wake_moved.await,
-                Some(at) => {
-                    tokio::select! {
-                        () = actix_rt::time::sleep(self.clock.until(at)) => {}
-                        () = wake_moved => {}
-                    }
-                }
+            tokio::select! {
+                () = self.clock.sleep_until(wake) => {}
+                () = wake_moved => {}
             }
             if self.handle.lifecycle().is_frozen() {
                 return;
--- a/courier/program/src/transport/courier/calls.rs
+++ b/courier/program/src/transport/courier/calls.rs
@@ -79,7 +79,7 @@
             attempt = order.call.attempt
         );
         let pass = self.gate.as_ref().map(|gate| {
-            order.send_before = order.send_before.min(gate.latest(self.clock.now()));
+            order.send_before = order.send_before.min(gate.send_deadline(self.clock.now()));
             GatePass { gate: gate.clone(), mark: gate.written(), by: order.send_before }
         });
         let mut timed = endpoints::begin(order, self.clock.now());
--- a/courier/program/src/transport/endpoints.rs
+++ b/courier/program/src/transport/endpoints.rs
@@ -79,12 +79,9 @@
     }
 }
 
-/// Waits until this time; for ever where there is none.
+/// Waits until this time, for ever where there is none, and reports it.
 pub async fn tick(clock: &Clock, at: Option<Micros>) -> AttemptInput {
-    match at {
-        Some(at) => sleep(clock.until(at)).await,
-        None => std::future::pending().await,
-    }
+    clock.sleep_until(at).await;
     AttemptInput::Tick
 }
 
@@ -130,6 +127,14 @@
     })
 }
 
+/// Closes the sending side of a call's connection: its request is complete.
+pub async fn finish_request(call: &mut Call<EndpointStream>) {
+    if let Some((stream, _)) = call.parts() {
+        // Where this fails, the connection is gone already.
+        let _ = stream.stream_mut().shutdown().await;
+    }
+}
+
 /// Makes one call, once, from where it stands.
 pub async fn call(
     handle: &Handle,
@@ -176,11 +181,8 @@
             if let Some(end) = outcome.end {
                 return self.finish(end);
             }
-            if std::mem::take(&mut outcome.finish)
-                && let Some((stream, _)) = self.call.parts()
-            {
-                // Where this fails, the connection is gone already.
-                let _ = stream.stream_mut().shutdown().await;
+            if std::mem::take(&mut outcome.finish) {
+                finish_request(&mut self.call).await;
             }
             let state = self.call.state();
             if matches!(state, AttemptState::Writing { written: 0 }) {
--- a/courier/program/src/transport/gate.rs
+++ b/courier/program/src/transport/gate.rs
@@ -1,8 +1,8 @@
 //! The gate between the journal and its effects, where the courier is one of a fleet: an answer, a call or a notice waits
 //! until the journal's records up to then are at the replicas, and until the courier's lease allows it to act.
 //!
-//! The journal's file reports each write ([`Gate::note`]); the fleet's task takes the writes to the replicas and reports the
-//! watermark, the lease and the replicas back. Without a fleet there is no gate, and nothing waits.
+//! The journal's file reports each write ([`Gate::record_write`]); the fleet's task takes the writes to the replicas and reports
+//! the watermark, the lease and the replicas back. Without a fleet there is no gate, and nothing waits.
 
 use super::clock::Clock;
 use quillmount_policy::Micros;
@@ -22,9 +22,25 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JournalWrite {
     /// These bytes were appended.
-    Bytes(Vec<u8>),
+    Appended(Vec<u8>),
     /// The complete journal was replaced by these bytes.
-    Whole(Vec<u8>),
+    Replaced(Vec<u8>),
+}
+
+/// The replicas of the journal.
+#[derive(Clone, Copy, Default)]
+struct Replicas {
+    count: usize,
+    /// They are enough to accept messages.
+    enough: bool,
+}
+
+/// The oldest write that is not replicated.
+#[derive(Clone, Copy)]
+struct PendingReplication {
+    /// The watermark of the write.
+    mark: u64,
+    since: Micros,
 }
 
 /// The gate, and the writes that the fleet's task has not taken yet.
@@ -35,22 +51,21 @@
     /// Bytes that were written in total: the watermark of the journal.
     written: Cell<u64>,
     /// The watermark up to which all is replicated.
-    safe: Cell<u64>,
-    /// The oldest watermark that is not replicated, and since when it waits.
-    waits: Cell<Option<(u64, Micros)>>,
+    replicated: Cell<u64>,
+    pending: Cell<Option<PendingReplication>>,
     /// The end of the lease.
-    until: Cell<Micros>,
-    /// Replicas of the journal, and whether they are enough to accept messages.
-    copies: Cell<(usize, bool)>,
+    lease_end: Cell<Micros>,
+    replicas: Cell<Replicas>,
     /// The epoch under which the courier serves.
     epoch: Cell<u64>,
-    /// Shards of other couriers' journals that are being taken over.
-    taking: Cell<usize>,
-    unreported: RefCell<Vec<JournalWrite>>,
+    /// Partitions of other couriers' journals that are being taken over.
+    takeovers: Cell<usize>,
+    /// Writes that the fleet's task has not taken.
+    writes: RefCell<Vec<JournalWrite>>,
     /// Something was written.
-    pub wrote: Notify,
+    pub write_added: Notify,
     /// The watermark or the lease has changed.
-    moved: Notify,
+    changed: Notify,
 }
 
 impl Gate {
@@ -60,69 +75,69 @@
             clock,
             key_retention,
             written: Cell::new(0),
-            safe: Cell::new(0),
-            waits: Cell::new(None),
-            until: Cell::new(0),
-            copies: Cell::new((0, false)),
+            replicated: Cell::new(0),
+            pending: Cell::new(None),
+            lease_end: Cell::new(0),
+            replicas: Cell::default(),
             epoch: Cell::new(0),
-            taking: Cell::new(0),
-            unreported: RefCell::default(),
-            wrote: Notify::new(),
-            moved: Notify::new(),
+            takeovers: Cell::new(0),
+            writes: RefCell::default(),
+            write_added: Notify::new(),
+            changed: Notify::new(),
         }
     }
 
     /// The journal has `written` bytes at the start; none of them is reported as a write.
     pub fn begin(&self, written: u64) {
-        self.unreported.borrow_mut().clear();
+        self.writes.borrow_mut().clear();
         self.written.set(written);
     }
 
     /// The journal was written to.
-    pub fn note(&self, wrote: JournalWrite) {
-        let len = match &wrote {
-            JournalWrite::Bytes(bytes) | JournalWrite::Whole(bytes) => bytes.len(),
+    pub fn record_write(&self, write: JournalWrite) {
+        let len = match &write {
+            JournalWrite::Appended(bytes) | JournalWrite::Replaced(bytes) => bytes.len(),
         };
         self.written.set(self.written.get() + len as u64);
-        if self.waits.get().is_none() {
-            self.waits.set(Some((self.written.get(), self.clock.now())));
+        if self.pending.get().is_none() {
+            self.pending.set(Some(PendingReplication { mark: self.written.get(), since: self.clock.now() }));
         }
-        self.unreported.borrow_mut().push(wrote);
-        self.wrote.notify_one();
+        self.writes.borrow_mut().push(write);
+        self.write_added.notify_one();
     }
 
     /// The time from which on no byte of a call that is recorded now may leave: a courier that was suspended after the record,
     /// and taken over meanwhile, would otherwise write after the destination has forgotten the key that the new owner's retry
     /// had.
-    pub fn latest(&self, now: Micros) -> Micros {
+    pub fn send_deadline(&self, now: Micros) -> Micros {
         self.key_retention
             .map_or(Micros::MAX, |retention| now.saturating_add(retention.saturating_sub(KEY_MARGIN)))
     }
 
     /// The writes since the last call, in order.
     pub fn take_writes(&self) -> Vec<JournalWrite> {
-        self.unreported.take()
+        self.writes.take()
     }
 
     /// All that was written up to this watermark is replicated.
-    pub fn set_safe(&self, mark: u64) {
-        self.safe.set(mark);
+    pub fn set_replicated(&self, mark: u64) {
+        self.replicated.set(mark);
         let (written, now) = (self.written.get(), self.clock.now());
-        if self.waits.get().is_some_and(|(oldest, _)| oldest <= mark) {
-            self.waits.set((written > mark).then_some((written, now)));
+        if self.pending.get().is_some_and(|pending| pending.mark <= mark) {
+            self.pending.set((written > mark).then_some(PendingReplication { mark: written, since: now }));
         }
-        self.moved.notify_waiters();
+        self.changed.notify_waiters();
     }
 
     /// The lease ends then.
-    pub fn set_until(&self, until: Micros) {
-        self.until.set(until);
-        self.moved.notify_waiters();
+    pub fn set_lease_end(&self, at: Micros) {
+        self.lease_end.set(at);
+        self.changed.notify_waiters();
     }
 
     /// The journal has so many replicas; `enough`: messages may be accepted.
-    pub fn set_copies(&self, copies: usize, enough: bool) {
-        self.copies.set((copies, enough));
+    pub fn set_replicas(&self, count: usize, enough: bool) {
+        self.replicas.set(Replicas { count, enough });
     }
 
     /// The courier serves under this epoch.
@@ -130,47 +145,52 @@
         self.epoch.set(epoch);
     }
 
-    /// This many shards more, or fewer, of other couriers' journals are being taken over.
-    pub fn add_taking(&self, shards: isize) {
-        self.taking.set(self.taking.get().saturating_add_signed(shards));
+    /// This many partitions more, or fewer, of other couriers' journals are being taken over.
+    pub fn add_takeovers(&self, partitions: isize) {
+        self.takeovers.set(self.takeovers.get().saturating_add_signed(partitions));
     }
 
     /// Why the courier may not accept messages, if it may not: the text for the health check.
     pub fn closed(&self) -> Option<&'static str> {
-        match self.takes_on() {
+        match self.check_open() {
             Ok(()) => None,
             Err(_) if !self.may_act() => Some("not ready: no lease of its fleet\n"),
-            Err(_) if !self.copies.get().1 => Some("not ready: no copy of its journal\n"),
+            Err(_) if !self.replicas.get().enough => Some("not ready: no copy of its journal\n"),
             Err(_) => Some("not ready: the copies of its journal are late\n"),
         }
     }
 
     /// The fleet's part of the counters: the epoch, 0 for none; milliseconds left of the lease; replicas of the journal;
-    /// bytes that are not replicated; shards of other couriers' journals that are being taken over.
+    /// bytes that are not replicated; partitions of other couriers' journals that are being taken over.
     pub fn report(&self) -> String {
-        let (copies, enough) = self.copies.get();
-        let (epoch, taking) = (self.epoch.get(), self.taking.get());
-        let left = self.until.get().saturating_sub(self.clock.now()) / 1_000;
-        let behind = self.written.get().saturating_sub(self.safe.get());
+        let Replicas { count, enough } = self.replicas.get();
+        let (epoch, takeovers) = (self.epoch.get(), self.takeovers.get());
+        let lease_ms = self.lease_end.get().saturating_sub(self.clock.now()) / 1_000;
+        let behind = self.written.get().saturating_sub(self.replicated.get());
         format!(
-            "epoch={epoch} lease_ms={left} copies={copies} copies_enough={enough} not_copied={behind} parts_taking={taking}"
+            "epoch={epoch} lease_ms={lease_ms} copies={count} copies_enough={enough} not_copied={behind} \
+             parts_taking={takeovers}"
         )
     }
 
     fn may_act(&self) -> bool {
-        self.clock.now() < self.until.get()
+        self.clock.now() < self.lease_end.get()
     }
 
     /// Whether the courier may accept messages.
     ///
     /// # Errors
     /// It may not: the client is to retry after this time.
-    pub fn takes_on(&self) -> Result<(), Micros> {
-        let late = self
-            .waits
-            .get()
-            .is_some_and(|(_, since)| self.clock.now() > since.saturating_add(REPLICATION_TIMEOUT));
-        if self.may_act() && self.copies.get().1 && !late { Ok(()) } else { Err(GATE_CLOSED_RETRY_AFTER) }
+    pub fn check_open(&self) -> Result<(), Micros> {
+        let is_late = |pending: PendingReplication| {
+            self.clock.now() > pending.since.saturating_add(REPLICATION_TIMEOUT)
+        };
+        let late = self.pending.get().is_some_and(is_late);
+        if self.may_act() && self.replicas.get().enough && !late {
+            Ok(())
+        } else {
+            Err(GATE_CLOSED_RETRY_AFTER)
+        }
     }
 
     /// The watermark of all that is written by now.
@@ -181,8 +201,8 @@
     /// Waits until all up to this watermark is replicated and the courier may act; false if that takes until `by`.
     pub async fn pass(&self, mark: u64, by: Micros) -> bool {
         loop {
-            let moved = self.moved.notified();
-            if self.safe.get() >= mark && self.may_act() {
+            let changed = self.changed.notified();
+            if self.replicated.get() >= mark && self.may_act() {
                 return self.clock.now() < by;
             }
             let left = self.clock.until(by);
@@ -190,21 +210,21 @@
                 return false;
             }
             tokio::select! {
-                () = moved => {}
+                () = changed => {}
                 () = actix_rt::time::sleep(left) => {}
             }
         }
     }
 
     /// Waits until all that is written by now is replicated, however long that takes; no lease is needed.
-    pub async fn copied(&self) {
+    pub async fn wait_until_replicated(&self) {
         let mark = self.written.get();
         loop {
-            let moved = self.moved.notified();
-            if self.safe.get() >= mark {
+            let changed = self.changed.notified();
+            if self.replicated.get() >= mark {
                 return;
             }
-            moved.await;
+            changed.await;
         }
     }
 }
--- a/courier/program/src/transport/journal_file.rs
+++ b/courier/program/src/transport/journal_file.rs
@@ -7,6 +7,11 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
+/// An error with the path that it is about, which its own text does not name.
+pub fn with_path(path: &Path, error: io::Error) -> io::Error {
+    io::Error::new(error.kind(), format!("{}: {error}", path.display()))
+}
+
 /// The path of a replacement until it is complete.
 fn replacement_path(path: &Path) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
@@ -41,7 +46,7 @@
     /// Those of [`JournalFile::open`].
     pub fn open_file(folder: &Path, name: &str) -> io::Result<JournalFile> {
         let path = folder.join(name);
-        let named = |e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", path.display()));
+        let named = |e: io::Error| with_path(&path, e);
         fs::create_dir_all(folder).map_err(named)?;
         // A replacement that a kill has interrupted: the old file is still complete.
         match fs::remove_file(replacement_path(&path)) {
@@ -59,7 +64,7 @@
     }
 
     fn named(&self, e: io::Error) -> io::Error {
-        io::Error::new(e.kind(), format!("{}: {e}", self.path.display()))
+        with_path(&self.path, e)
     }
 
     /// Truncates what a failed write has left.
@@ -91,7 +96,7 @@
         }
         self.len += bytes.len() as u64;
         if let Some(gate) = &self.gate {
-            gate.note(JournalWrite::Bytes(bytes.to_vec()));
+            gate.record_write(JournalWrite::Appended(bytes.to_vec()));
         }
         Ok(())
     }
@@ -103,7 +108,7 @@
         fs::rename(&copy, &self.path).map_err(|e| self.named(e))?;
         (self.file, self.len, self.torn) = (file, bytes.len() as u64, false);
         if let Some(gate) = &self.gate {
-            gate.note(JournalWrite::Whole(bytes.to_vec()));
+            gate.record_write(JournalWrite::Replaced(bytes.to_vec()));
         }
         Ok(())
     }
--- a/courier/program/src/transport/mod.rs
+++ b/courier/program/src/transport/mod.rs
@@ -35,7 +35,11 @@
 use actix_tls::connect::{Connection, Connector};
 use std::time::Duration;
 
-/// How long a client's connection may be reused: practically for ever, since a new one costs the endpoint work.
+/// The wait after an accept that failed, mostly for lack of descriptors.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+/// The interim answer to a client that waits for it before it sends its body (RFC 9110, section 15.2.1).
+const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+/// How long a connection of an HTTP client may be reused: practically for ever, since a new one costs its server work.
 const CONNECTION_LIFETIME: Duration = Duration::from_secs(86_400);
 
 /// An HTTP client that sends each request once and unchanged: without awc's redirects, its timeout of five seconds for any
--- a/courier/program/src/transport/operators.rs
+++ b/courier/program/src/transport/operators.rs
@@ -2,6 +2,7 @@
 //!
 //! A caller sends one line and gets one line; `quillmount_protocol::operator` has their form.
 
+use super::ACCEPT_BACKOFF;
 use super::courier::Courier;
 use super::frames::{self, PassOnError};
 use super::server::Connections;
@@ -28,8 +29,6 @@
 const LINGER_MAX: usize = 64 * 1024;
 /// The interval at which is checked which process decides, while this one hands over.
 const HANDOVER_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// The wait after an accept that failed, mostly for lack of descriptors.
-const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Why an operator's call was not carried out; the text is the answer to the operator.
 #[derive(Debug, thiserror::Error)]
@@ -94,15 +93,12 @@
     pub async fn keep_time(self: Rc<Self>) {
         loop {
             let wake = self.courier.handle.lifecycle().drain_check_at();
-            match wake {
-                None => self.drain_check_moved.notified().await,
-                Some(at) => {
-                    tokio::select! {
-                        () = sleep(self.courier.clock.until(at)) => {}
-                        () = self.drain_check_moved.notified() => {}
-                    }
-                    self.step(DrainInput::Tick);
-                }
+            tokio::select! {
+                () = self.courier.clock.sleep_until(wake) => {}
+                () = self.drain_check_moved.notified() => {}
+            }
+            if wake.is_some() {
+                self.step(DrainInput::Tick);
             }
         }
     }
--- a/courier/program/src/transport/platform.rs
+++ b/courier/program/src/transport/platform.rs
@@ -263,11 +263,11 @@
         let notices = courier.notices(machine.most());
         let wanted = NoticeInput::Wanted(notices.len());
         let NoticeOutput::Send(_) = machine.step(wanted, courier.clock.now()) else {
-            courier.notices_wanted().await;
+            courier.wait_for_notices().await;
             continue;
         };
         // In a fleet, an end is reported once it is replicated, and only under a lease.
-        courier.may_act().await;
+        courier.wait_until_may_act().await;
         courier.count(|counters| counters.notice_tries += 1);
         let addr = *discovery.borrow_and_update();
         let left = courier.clock.until(machine.wake_at().unwrap_or_default());
--- a/courier/program/src/transport/server.rs
+++ b/courier/program/src/transport/server.rs
@@ -15,6 +15,7 @@
 
 pub use connections::Connections;
 
+use super::ACCEPT_BACKOFF;
 use super::courier::Courier;
 use actix_rt::net::{TcpListener, TcpStream};
 use actix_rt::time::sleep;
@@ -32,8 +33,6 @@
 /// granted capacity yet.
 pub const BACKLOG_IN_FLEET: u32 = 128;
 
-/// The pause after an accept that failed, for want of descriptors mostly.
-const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 /// A connection that was asked to close may have a request on its way: it is closed after this, if none has come.
 const LAST_REQUEST_TIMEOUT: Duration = Duration::from_millis(5);
 /// The log target of this module's files, which operators filter by.
--- a/courier/program/src/transport/server/request.rs
+++ b/courier/program/src/transport/server/request.rs
@@ -165,7 +165,7 @@
         }
         let intake = self.courier.submit(submission);
         if intake == Intake::Accepted {
-            self.courier.copied().await;
+            self.courier.wait_until_replicated().await;
         }
         submission::answer(intake)
     }
--- a/courier/program/src/transport/server/socket.rs
+++ b/courier/program/src/transport/server/socket.rs
@@ -1,5 +1,6 @@
 //! The bytes of one client's connection: its socket, the codec, and what is read but not parsed yet.
 
+use crate::transport::CONTINUE;
 use actix_http::body::{BodySize, MessageBody};
 use actix_http::h1::{Codec, Message, MessageType};
 use actix_http::{Request, Response, ServiceConfig};
@@ -112,7 +113,7 @@
         length: usize,
     ) -> io::Result<Result<Bytes, Malformed>> {
         if request.head().expect() && self.buf.len() < length {
-            self.stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
+            self.stream.write_all(CONTINUE).await?;
         }
         while self.buf.len() < length {
             if self.read().await? == 0 {
--- a/courier/program/src/transport/streams/receive.rs
+++ b/courier/program/src/transport/streams/receive.rs
@@ -1,6 +1,7 @@
 //! The client's side of a stream: reads its body into the pipe, no faster than the endpoint takes it.
 
 use super::{CHUNK, Pipe};
+use crate::transport::CONTINUE;
 use crate::transport::endpoints::tick;
 use crate::transport::handle::Handle;
 use actix_rt::net::TcpStream;
@@ -123,11 +124,11 @@
         }
     }
 
-    /// Tells a client that waits for it to send its body.
+    /// Sends the interim answer to a client that waits for it.
     async fn send_continue(&mut self) {
         if std::mem::take(&mut self.expects_continue) {
             // Where this fails, the next read fails too.
-            let _ = self.stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
+            let _ = self.stream.write_all(CONTINUE).await;
         }
     }
 }
--- a/courier/program/src/transport/streams/send.rs
+++ b/courier/program/src/transport/streams/send.rs
@@ -113,11 +113,8 @@
             if let Some(end) = outcome.end {
                 return end;
             }
-            if outcome.finish
-                && let Some((conn, _)) = self.call.parts()
-            {
-                // Where this fails, the connection is gone already.
-                let _ = conn.stream_mut().shutdown().await;
+            if outcome.finish {
+                endpoints::finish_request(&mut self.call).await;
             }
             let state = self.call.state();
             if matches!(state, AttemptState::Writing { .. }) && !self.progress.headed && !self.begin_request()
