--- a/courier/program/src/transport/courier.rs
+++ b/courier/program/src/transport/courier.rs
@@ -40,18 +40,37 @@
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The answer to a message of a settlement, once the settlement's owner has decided.
-pub type HandIn = Pin<Box<dyn Future<Output = Response<Bytes>>>>;
+pub type SettlementAnswer = Pin<Box<dyn Future<Output = Response<Bytes>>>>;
 
 /// Submits a client's message with all of its `X-Addressing`; `None`: it belongs to no settlement.
-pub type SettlementIntake = Box<dyn Fn(&Submission, &str) -> Option<HandIn>>;
+pub type SettlementIntake = Box<dyn Fn(&Submission, &str) -> Option<SettlementAnswer>>;
 /// Is notified that a message that is watched has ended.
 pub type EndObserver = Box<dyn Fn(&str, End)>;
 
 /// What the courier calls where settlements are carried.
 pub struct SettlementHooks {
     /// Submits messages that may belong to a settlement.
-    pub hand_in: SettlementIntake,
-    ended: EndObserver,
+    pub submit: SettlementIntake,
+    /// Is notified of the ends of messages that the settlements' owner watches.
+    message_ended: EndObserver,
+}
+
+/// What a [`Courier`] is made of.
+pub struct CourierSetup {
+    /// The time that all deadlines are given in.
+    pub clock: Clock,
+    /// How long a connection to an endpoint may take to come up.
+    pub connect_timeout: Duration,
+    /// The router, which decides.
+    pub router: Router<JournalFile>,
+    /// The pool of connections to endpoints.
+    pub pool: Pool<EndpointStream>,
+    /// What may be streamed, where streams are enabled.
+    pub rules: Option<StreamRules>,
+    /// Where the courier is one of a fleet: records count once they are replicated.
+    pub gate: Option<Rc<Gate>>,
+    /// Where the connections to some destinations are limited for the fleet.
+    pub budgets: Option<Rc<dyn ConnectionBudget>>,
 }
 
 /// A courier on the sockets of one process.
@@ -79,36 +98,30 @@
 }
 
 impl Courier {
-    /// A courier that decides by `router` and keeps its connections to endpoints in `pool`; `connect`: how long one may
-    /// take to come up.
-    pub fn new(
-        clock: Clock,
-        connect: Duration,
-        router: Router<JournalFile>,
-        pool: Pool<EndpointStream>,
-        rules: Option<StreamRules>,
-        gate: Option<Rc<Gate>>,
-        budgets: Option<Rc<impl ConnectionBudget + 'static>>,
-    ) -> Rc<Self> {
+    /// A courier that has not begun to work.
+    pub fn new(setup: CourierSetup) -> Rc<Self> {
+        let CourierSetup { clock, connect_timeout, router, pool, rules, gate, budgets } = setup;
+        let bytes_per_turn = rules.as_ref().map_or(0, |rules| rules.turn);
         Rc::new(Courier {
-            streams: Rc::new(Streams::new(rules.as_ref().map_or(0, |rules| rules.turn))),
+            streams: Rc::new(Streams::new(bytes_per_turn)),
             rules,
             pipes: RefCell::default(),
-            handle: Rc::new(Handle::new(clock.clone(), connect, Hub::new(router, pool))),
+            handle: Rc::new(Handle::new(clock.clone(), connect_timeout, Hub::new(router, pool))),
             clock,
             signals: RefCell::default(),
             wake_moved: Notify::new(),
             notices: Notify::new(),
             gate,
             settlement_hooks: OnceCell::new(),
-            budgets: budgets.map(|budgets| budgets as Rc<dyn ConnectionBudget>),
+            budgets,
         })
     }
 
-    /// Submits messages of settlements by `hand_in` from now on, and reports the ends of watched messages to `ended`.
-    pub fn settle_with(&self, hand_in: SettlementIntake, ended: EndObserver) {
+    /// Submits messages of settlements by `submit` from now on, and reports the ends of watched messages to
+    /// `message_ended`.
+    pub fn set_settlement_hooks(&self, submit: SettlementIntake, message_ended: EndObserver) {
         // The first stands: there is one fleet.
-        let _ = self.settlement_hooks.set(SettlementHooks { hand_in, ended });
+        let _ = self.settlement_hooks.set(SettlementHooks { submit, message_ended });
     }
 
     /// What to call for messages of settlements, if any are carried.
@@ -175,7 +188,7 @@
     /// Whether the load balancer may send clients here.
     pub fn accepts_clients(&self) -> bool {
         self.handle.lifecycle().accepts_clients()
-            && self.gate.as_ref().is_none_or(|gate| gate.takes_on().is_ok())
+            && self.gate.as_ref().is_none_or(|gate| gate.check_open().is_ok())
     }
 
     /// Asks all calls to prepare for a handover; streams end as at a planned stop.
@@ -211,16 +224,22 @@
         self.carry_out(actions);
     }
 
+    /// Rejects a message, and counts it, while the gate is closed.
+    pub fn reject_by_gate(&self) -> Option<Intake> {
+        let after = self.gate.as_ref()?.check_open().err()?;
+        self.count(|counters| counters.rejected += 1);
+        Some(Intake::Rejected { after })
+    }
+
     /// Submits a client's message, where the gate and the budgets allow it.
     pub fn submit(self: &Rc<Self>, submission: Submission) -> Intake {
-        if let Some(Err(after)) = self.gate.as_ref().map(|gate| gate.takes_on()) {
-            self.count(|c| c.rejected += 1);
-            return Intake::Rejected { after };
+        if let Some(rejected) = self.reject_by_gate() {
+            return rejected;
         }
         let retry_after = self.budgets.as_ref().and_then(|budgets| budgets.rejects(&submission));
         // A repeated message is answered like the first one.
         if let Some(after) = retry_after.filter(|_| !self.handle.hub.borrow().router.knows(&submission.id)) {
-            self.count(|c| c.rejected += 1);
+            self.count(|counters| counters.rejected += 1);
             return Intake::Rejected { after };
         }
         let (intake, actions) = self.handle.hub.borrow_mut().submit(submission, self.clock.now());
@@ -229,14 +248,14 @@
     }
 
     /// Waits until the records written by now are replicated; without a fleet it returns at once.
-    pub async fn copied(&self) {
+    pub async fn wait_until_replicated(&self) {
         if let Some(gate) = &self.gate {
-            gate.copied().await;
+            gate.wait_until_replicated().await;
         }
     }
 
     /// Waits until the courier may act on the records written by now; without a fleet it returns at once.
-    pub async fn may_act(&self) {
+    pub async fn wait_until_may_act(&self) {
         if let Some(gate) = &self.gate {
             gate.pass(gate.written(), Micros::MAX).await;
         }
@@ -277,7 +296,7 @@
             // The next process watches from the version that this one knew.
             return;
         }
-        self.count(|c| c.list_changes += 1);
+        self.count(|counters| counters.list_changes += 1);
         let (version, lines) = (list.version, list.endpoints.len());
         let actions = self.handle.hub.borrow_mut().list(list, self.clock.now());
         tracing::info!("discovery: version {version} with {lines} lines");
@@ -311,7 +330,7 @@
     }
 
     /// Waits until there may be new notices.
-    pub async fn notices_wanted(&self) {
+    pub async fn wait_for_notices(&self) {
         self.notices.notified().await;
     }
 
@@ -358,14 +377,9 @@
         loop {
             let wake = self.handle.hub.borrow().router.wake_at();
             let wake_moved = self.wake_moved.notified();
-            match wake {
-                None => wake_moved.await,
-                Some(at) => {
-                    tokio::select! {
-                        () = actix_rt::time::sleep(self.clock.until(at)) => {}
-                        () = wake_moved => {}
-                    }
-                }
+            tokio::select! {
+                () = self.clock.sleep_until(wake) => {}
+                () = wake_moved => {}
             }
             if self.handle.lifecycle().is_frozen() {
                 return;
@@ -409,7 +423,7 @@
         }
         if let Some(hooks) = self.settlement_hooks.get() {
             let ends = self.handle.hub.borrow_mut().router.ends();
-            ends.iter().for_each(|(id, end)| (hooks.ended)(id, *end));
+            ends.iter().for_each(|(id, end)| (hooks.message_ended)(id, *end));
         }
         self.wake_moved.notify_one();
     }
--- a/courier/program/src/transport/streams/send.rs
+++ b/courier/program/src/transport/streams/send.rs
@@ -113,11 +113,8 @@
             if let Some(end) = outcome.end {
                 return end;
             }
-            if outcome.finish
-                && let Some((conn, _)) = self.call.parts()
-            {
-                // Where this fails, the connection is gone already.
-                let _ = conn.stream_mut().shutdown().await;
+            if outcome.finish {
+                endpoints::finish_request(&mut self.call).await;
             }
             let state = self.call.state();
             if matches!(state, AttemptState::Writing { .. }) && !self.progress.headed && !self.begin_request()
@@ -195,7 +192,7 @@
         tokio::select! {
             biased;
             signal = self.signals.next_for_stream(AttemptState::Connecting) => Err(signal),
-            conn = timeout(handle.connect, endpoints::connect(addr, self.permit.as_deref_mut())) => {
+            conn = timeout(handle.connect_timeout, endpoints::connect(addr, self.permit.as_deref_mut())) => {
                 conn.ok().flatten().ok_or(AttemptInput::Refused)
             }
             tick = tick(&handle.clock, wake_at) => Err(tick),
