--- a/courier/operator/src/checks/fleet.rs
+++ b/courier/operator/src/checks/fleet.rs
@@ -44,7 +44,7 @@
     Malformed {
         /// The text.
         text: String,
-        /// What the parser says, which adds nothing.
+        /// The parser's error, which adds nothing to the text.
         source: std::net::AddrParseError,
     },
     /// It is on another machine, and `beyond_loopback` is off.
--- a/courier/program/src/transport/server/socket.rs
+++ b/courier/program/src/transport/server/socket.rs
@@ -130,7 +130,7 @@
         self.head = Bytes::new();
         // A client sends one request at a time: there is no good reason for bytes that follow this one.
         if !self.buf.is_empty() || self.stream.try_read_buf(&mut self.buf).is_ok_and(|n| n > 0) {
-            return Ok(Err(Malformed::Behind));
+            return Ok(Err(Malformed::Pipelined));
         }
         Ok(Ok(body))
     }
--- a/courier/protocol/src/delivery/response.rs
+++ b/courier/protocol/src/delivery/response.rs
@@ -21,7 +21,7 @@
     Bundle,
 }
 
-/// Reads the response to a call with one message; `ended`: no more of it will come.
+/// Reads the response to a call with one message; `ended`: no more of it will be received.
 ///
 /// A status line with 200 means that the message is delivered, whatever follows. Any other status counts
 /// only if the response is valid to its last byte: a rejection in a damaged response may be the rest of something else,
@@ -75,8 +75,8 @@
         BodyEnd::Awaited => return Answer::Partial,
         BodyEnd::Unknown => return damaged(),
     };
-    // A repetition of the same response takes nothing from the first; other bytes may mean that the
-    // length is wrong, and with it the rest.
+    // A repetition of the same response does not affect the first; other bytes may mean that the length is wrong, and with it
+    // the rest.
     let surplus = &body[length..];
     if !surplus.is_empty() && !response.bytes[..head_length + length].starts_with(surplus) {
         return damaged();
--- a/courier/protocol/src/delivery/response_head.rs
+++ b/courier/protocol/src/delivery/response_head.rs
@@ -18,7 +18,7 @@
     Invalid,
 }
 
-/// The response that counts, behind all interim ones. Code, version and headers are valid if its head is complete.
+/// The final response, after all interim ones. Code, version and headers are valid if its head is complete.
 pub(super) struct FinalResponse<'a> {
     /// Its bytes so far.
     pub bytes: &'a [u8],
--- a/courier/protocol/src/discovery.rs
+++ b/courier/protocol/src/discovery.rs
@@ -10,8 +10,8 @@
 
 /// Bytes of one list at most, white space included.
 pub const LIST_MAX: usize = 4 * 1024 * 1024;
-/// So many bytes more of an incomplete list show that the watch is alive. A list of some hundred endpoints is
-/// shorter: a trickle of bytes shows nothing.
+/// So many more bytes of an incomplete list show that the watch is alive. A list of some hundred endpoints is
+/// shorter: bytes that arrive one by one show nothing.
 const PROGRESS_BYTES: usize = 64 * 1024;
 
 /// Why a list can't be used.
@@ -140,8 +140,8 @@
 pub struct ChunkOutcome {
     /// The lists that it completed.
     pub lists: Vec<EndpointList>,
-    /// The watch is alive: a list is complete, or an empty line came where none had begun. The start of a list shows
-    /// nothing, as its rest may never come; a long one counts with each 64 KiB.
+    /// The watch is alive: a list is complete, or an empty line was received between two lists. The start of a list shows
+    /// nothing, as its rest may never arrive; a long one counts with each 64 KiB.
     pub alive: bool,
     /// Why the bytes behind those lists are not a list; nothing that follows can be read.
     pub error: Option<DiscoveryError>,
--- a/courier/protocol/src/submission/malformed.rs
+++ b/courier/protocol/src/submission/malformed.rs
@@ -32,7 +32,7 @@
     /// The length of the body is missing or ambiguous.
     #[error("Content-Length is wanted, once, and no Transfer-Encoding")]
     Length,
-    /// The body is longer than [`BODY_MAX`].
+    /// The body is longer than [`super::BODY_MAX`].
     #[error("the body is over 64 KiB")]
     TooLarge,
     /// The body is longer than its class may stream.
@@ -44,9 +44,9 @@
     /// `Expect` has another value than `100-continue`.
     #[error("Expect knows 100-continue alone")]
     Expect,
-    /// The client has sent more before it had its answer.
+    /// The client has sent more before it received its response (pipelining).
     #[error("more than one request at a time")]
-    Behind,
+    Pipelined,
     /// The request was incomplete when its time was up.
     #[error("the request did not arrive in time")]
     Slow,
@@ -69,7 +69,7 @@
             | Malformed::Dest
             | Malformed::Unreadable
             | Malformed::Digest
-            | Malformed::Behind => StatusCode::BAD_REQUEST,
+            | Malformed::Pipelined => StatusCode::BAD_REQUEST,
         }
     }
 
@@ -83,7 +83,7 @@
             | Malformed::ExceedsClassLimit
             | Malformed::Digest
             | Malformed::Expect
-            | Malformed::Behind
+            | Malformed::Pipelined
             | Malformed::Slow => true,
             Malformed::Path
             | Malformed::Method
--- a/courier/protocol/tests/stored_forms.rs
+++ b/courier/protocol/tests/stored_forms.rs
@@ -173,7 +173,7 @@
         Malformed::ExceedsClassLimit,
         Malformed::Digest,
         Malformed::Expect,
-        Malformed::Behind,
+        Malformed::Pipelined,
         Malformed::Slow,
     ];
     let cuts = [
