--- a/courier/protocol/src/delivery/request.rs
+++ b/courier/protocol/src/delivery/request.rs
@@ -1,13 +1,12 @@
 //! The request of a delivery call.
 
 use super::{BUNDLE_PATH, PATH};
+use crate::time::MICROS_PER_MILLI;
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use quillmount_core::{DeliveryCall, MessagePayload};
 use serde::Serialize;
 
-const MICROS_PER_MILLI: u64 = 1_000;
-
 /// A message of a call with several.
 #[derive(Serialize)]
 struct BundledMessageJson<'a> {
--- a/courier/protocol/src/notice.rs
+++ b/courier/protocol/src/notice.rs
@@ -1,12 +1,12 @@
 //! Notices to the platform of how messages ended that were not delivered: one JSON object on each line (`docs/courier.md`). The
 //! driver of the connection to the platform posts them.
 
+use crate::time::MICROS_PER_MILLI;
 use quillmount_core::{Ending, Notice};
 use serde::Serialize;
 
 /// The path to which notices are posted.
 pub const PATH: &str = "/v2/finals";
-const MICROS_PER_MILLI: u64 = 1_000;
 
 #[derive(Serialize)]
 struct NoticeLine<'a> {
--- a/courier/protocol/src/stream/request.rs
+++ b/courier/protocol/src/stream/request.rs
@@ -1,11 +1,10 @@
 //! What an endpoint is sent: the head of a call with a streamed body, and the framing of the body.
 
 use crate::delivery::PATH;
+use crate::time::MICROS_PER_MILLI;
 use bytes::Bytes;
 use quillmount_core::{DeliveryCall, MessagePayload, StreamHead};
 
-const MICROS_PER_MILLI: u64 = 1_000;
-
 /// The head of a call; its body follows in the same framing. `Expect: 100-continue` lets the endpoint reject
 /// the call before a byte of the body is sent.
 pub fn encode_head(call: &DeliveryCall, head: &StreamHead) -> String {
--- a/courier/protocol/src/submission/response.rs
+++ b/courier/protocol/src/submission/response.rs
@@ -1,13 +1,13 @@
 //! The responses to submissions, and other responses of the server for clients.
 
 use super::Malformed;
+use crate::time::MICROS_PER_MILLI;
 use actix_http::header::{self, HeaderValue};
 use actix_http::{Response, StatusCode};
 use bytes::Bytes;
 use quillmount_core::router::Intake;
 use quillmount_policy::Micros;
 
-const MICROS_PER_MILLI: Micros = 1_000;
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 
 /// The response to a submission.
--- a/courier/protocol/src/time.rs
+++ b/courier/protocol/src/time.rs
@@ -2,7 +2,8 @@
 
 use quillmount_policy::Micros;
 
-const MICROS_PER_MILLI: f64 = 1e3;
+/// Microseconds in a millisecond.
+pub(crate) const MICROS_PER_MILLI: Micros = 1_000;
 const MICROS_PER_SECOND: f64 = 1e6;
 /// Longer times are taken for mistakes, microseconds.
 const MAX_MICROS: f64 = 9e15;
@@ -11,7 +12,7 @@
 pub(crate) fn parse_with_unit(text: &str) -> Option<Micros> {
     let text = text.trim();
     let (number, micros_per_unit) = match text.strip_suffix('m') {
-        Some(number) => (number, MICROS_PER_MILLI),
+        Some(number) => (number, MICROS_PER_MILLI as f64),
         None => (text.strip_suffix('u')?, 1.0),
     };
     to_micros(parse_decimal(number)? * micros_per_unit)
