--- a/courier/program/examples/fleet_budget.rs
+++ b/courier/program/examples/fleet_budget.rs
@@ -2,124 +2,147 @@
 //!
 //!     cargo build --release -p quillmount && cargo run --release -p quillmount --example fleet_budget -- 20 1
 //!
-//! So many seconds a part, a seed. Four parts, each with a fleet of its own: a tenant that floods; other
-//! tenants alone; the same beside a tenant that has as much in hand all the time as it can; the same again
-//! while couriers are killed or cut off from the others. Printed: the most connections that the partner ever
-//! counted, how much of the budget was used, and what became of the other tenants' messages.
+//! So many seconds for each scenario, a seed. Four scenarios, each with a fleet of its own: a tenant that floods; other
+//! tenants alone; the same beside a tenant that has as many messages pending all the time as it can; the same again while
+//! couriers are killed or partitioned from the others. Printed: the most connections that the partner ever counted, how much
+//! of the budget was used, and what became of the other tenants' messages.
+
+#[path = "support/arguments.rs"]
+mod arguments;
+mod support;
 
 use quillmount_standins::audit::{AuditRules, Budget, audit};
 use quillmount_standins::client::MessageRequest;
 use quillmount_standins::fleet::link::LinkMode;
-use quillmount_standins::fleet::{Fleet, FleetSetup};
+use quillmount_standins::fleet::{Fleet, FleetClient, FleetSetup};
 use quillmount_standins::partner::Answer;
+use quillmount_standins::record::{RecordedSubmission, Recorder, RunRecord};
 use serde_json::json;
-use std::cell::RefCell;
+use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
+use std::io::Result;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::spawn_local;
-use tokio::time::sleep;
+use tokio::time::{sleep, timeout};
 
 const COURIERS: usize = 3;
+/// The partner's budget.
 const CONNECTIONS: usize = 12;
 /// How long the partner takes for a call, in microseconds.
-const TAKES: u64 = 50_000;
-/// What the flooding tenant keeps in hand at each courier.
+const CALL_TIME: u64 = 50_000;
+/// The messages that the flooding tenant has pending at each courier.
 const FLOOD: usize = 100;
-/// Other tenants; each hands a message in at each courier in turn, after such a pause.
-const OTHERS: usize = 5;
+/// Messages of the flood that are submitted at once, at most: one thread plays all clients.
+const FLOOD_STEP: usize = 10;
+/// Other tenants; each submits a message to each courier in turn, after such an interval.
+const OTHER_TENANTS: usize = 5;
 const SUBMIT_INTERVAL: Duration = Duration::from_millis(33);
-const TIME: Duration = Duration::from_secs(8);
-/// Between two losses, and until the lost is back.
-const LOSS: Duration = Duration::from_secs(4);
-/// The grants are made in the first moments.
-const WARM: u64 = 2_000_000;
+const SUBMIT_TIMEOUT: Duration = Duration::from_secs(2);
+const MESSAGE_LIFETIME: Duration = Duration::from_secs(8);
+/// Between two losses, and until the lost courier is back.
+const LOSS_INTERVAL: Duration = Duration::from_secs(4);
+/// Connections are granted in the first moments, which are not measured; in microseconds.
+const WARMUP: u64 = 2_000_000;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Part {
-    Alone,
-    /// The flooding tenant alone: all of the budget is asked for all the time.
+enum Scenario {
+    /// The flooding tenant alone: all of the budget is demanded all the time.
     Flood,
-    Flooded,
-    Lossy,
+    Others,
+    FloodAndOthers,
+    /// Both, and couriers are lost.
+    Losses,
+}
+
+/// The loss of one courier.
+struct Loss {
+    courier: usize,
+    /// It is killed; otherwise it is partitioned from the others.
+    is_killed: bool,
 }
 
-/// What one part came to.
+/// The result of one scenario.
 struct Measurement {
-    most: usize,
-    /// Calls and connections at the partner, by time, as parts of the budget.
+    most_open: usize,
+    /// Calls in flight at the partner, averaged over time, as a part of the budget.
     busy: f64,
+    /// Connections that are open at the partner, averaged over time, as a part of the budget.
     open: f64,
-    /// Of the other tenants: taken on, delivered, milliseconds from one to the other.
-    others: usize,
-    delivered: usize,
-    durations: Vec<u64>,
-    flood: usize,
+    /// Messages of the other tenants that were accepted.
+    others_accepted: usize,
+    /// For each message of the other tenants that was delivered, sorted: milliseconds from its submission to the answer.
+    delivery_times: Vec<u64>,
+    /// Calls of the flooding tenant that were answered.
+    flood_delivered: usize,
     findings: usize,
 }
 
+/// The messages that the flooding tenant has pending, by courier.
+#[derive(Default)]
+struct Flood {
+    pending: RefCell<BTreeMap<usize, usize>>,
+    last_number: Cell<u64>,
+}
+
+impl Flood {
+    fn pending_at(&self, courier: usize) -> usize {
+        self.pending.borrow().get(&courier).copied().unwrap_or(0)
+    }
+
+    fn add(&self, courier: usize) {
+        *self.pending.borrow_mut().entry(courier).or_default() += 1;
+    }
+
+    fn remove(&self, courier: usize) {
+        if let Some(count) = self.pending.borrow_mut().get_mut(&courier) {
+            *count = count.saturating_sub(1);
+        }
+    }
+
+    /// A message's number, which is used for no other.
+    fn next_number(&self) -> u64 {
+        self.last_number.set(self.last_number.get() + 1);
+        self.last_number.get()
+    }
+}
+
 fn main() {
-    let mut args = std::env::args().skip(1).map(|arg| arg.parse::<u64>());
-    let (Some(Ok(seconds)), Some(Ok(seed))) = (args.next(), args.next()) else {
-        eprintln!("fleet_budget: how many seconds a part, and a seed");
-        std::process::exit(2);
-    };
-    let program =
-        std::env::current_exe().ok().and_then(|exe| Some(exe.parent()?.parent()?.join("quillmount")));
-    let Some(program) = program.filter(|program| program.exists()) else {
-        eprintln!("fleet_budget: build the program first: cargo build --release -p quillmount");
-        std::process::exit(2);
-    };
+    let [seconds, seed] = arguments::two_numbers("fleet_budget", "how many seconds a part, and a seed");
+    let program = support::courier_program("fleet_budget");
     println!(
         "{COURIERS} couriers, {CONNECTIONS} connections, {} ms a call, {seconds} s a part, seed {seed}",
-        TAKES / 1000
+        CALL_TIME / 1000
     );
-    let parts = [
-        ("the flood alone", Part::Flood),
-        ("others alone", Part::Alone),
-        ("others and the flood", Part::Flooded),
-        ("both, with losses", Part::Lossy),
+    let scenarios = [
+        ("the flood alone", Scenario::Flood),
+        ("others alone", Scenario::Others),
+        ("others and the flood", Scenario::FloodAndOthers),
+        ("both, with losses", Scenario::Losses),
     ];
-    for (name, part) in parts {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        let played = runtime.and_then(|runtime| {
-            tokio::task::LocalSet::new().block_on(&runtime, play_part(&program, part, seconds, seed))
-        });
-        match played {
-            Err(e) => {
-                eprintln!("fleet_budget: {e}");
-                std::process::exit(1);
-            }
-            Ok(mut measurement) => {
-                measurement.durations.sort_unstable();
-                let at = |part: f64| {
-                    measurement
-                        .durations
-                        .get((measurement.durations.len() as f64 * part) as usize)
-                        .copied()
-                        .unwrap_or_default()
-                };
-                println!(
-                    "{name}: most open {} of {CONNECTIONS}; busy {:.3}, open {:.3} of the budget; \
-                     others {} of {} delivered ({:.3}), median {} ms, 99th {} ms; flood {} delivered; findings {}",
-                    measurement.most,
-                    measurement.busy,
-                    measurement.open,
-                    measurement.delivered,
-                    measurement.others,
-                    measurement.delivered as f64 / measurement.others.max(1) as f64,
-                    at(0.5),
-                    at(0.99),
-                    measurement.flood,
-                    measurement.findings
-                );
-            }
-        }
+    for (name, scenario) in scenarios {
+        let measurement = support::run("fleet_budget", run_scenario(&program, scenario, seconds, seed));
+        print_measurement(name, &measurement);
     }
 }
 
-fn setup(program: &Path, seed: u64) -> FleetSetup {
+fn print_measurement(name: &str, measurement: &Measurement) {
+    let Measurement { most_open, busy, open, others_accepted, delivery_times, flood_delivered, findings } =
+        measurement;
+    let delivered = delivery_times.len();
+    let quantile = |q: f64| delivery_times.get((delivered as f64 * q) as usize).copied().unwrap_or_default();
+    println!(
+        "{name}: most open {most_open} of {CONNECTIONS}; busy {busy:.3}, open {open:.3} of the budget; \
+         others {delivered} of {others_accepted} delivered ({:.3}), median {} ms, 99th {} ms; \
+         flood {flood_delivered} delivered; findings {findings}",
+        delivered as f64 / (*others_accepted).max(1) as f64,
+        quantile(0.5),
+        quantile(0.99),
+    );
+}
+
+fn fleet_setup(program: &Path, seed: u64) -> FleetSetup {
     let mut setup = FleetSetup::new(PathBuf::from(program), COURIERS);
     setup.seed = seed;
     let budgets = json!([{"dest": 1, "connections": CONNECTIONS}]);
@@ -130,162 +153,205 @@
     setup
 }
 
+/// The losses of this setup's seed, without end.
+fn random_losses(setup: &FleetSetup) -> impl Iterator<Item = Loss> + use<> {
+    let mut random = setup.generator();
+    std::iter::repeat_with(move || Loss { courier: random.usize(0..COURIERS), is_killed: random.bool() })
+}
+
 fn message(tenant: &str, id: &str) -> MessageRequest {
     MessageRequest {
         headers: format!("X-Account: {tenant}\r\n"),
-        ..MessageRequest::new("fee-debit", id, 1, TIME)
+        ..MessageRequest::new("fee-debit", id, 1, MESSAGE_LIFETIME)
     }
 }
 
-async fn play_part(program: &Path, part: Part, seconds: u64, seed: u64) -> std::io::Result<Measurement> {
-    let setup = setup(program, seed);
-    let mut draws = setup.generator();
+async fn run_scenario(program: &Path, scenario: Scenario, seconds: u64, seed: u64) -> Result<Measurement> {
+    let setup = fleet_setup(program, seed);
+    let losses = random_losses(&setup);
     let mut fleet = Fleet::start(setup).await?;
     for courier in 0..COURIERS {
-        while fleet.get(courier, "/-/ready").await.map_or(0, |submission| submission.0) != 200 {
+        while fleet.get(courier, "/-/ready").await.map_or(0, |answer| answer.0) != 200 {
             sleep(Duration::from_millis(10)).await;
         }
     }
-    let begun = fleet.recorder.now();
-    let end = begun + seconds * 1_000_000;
-    for tenant in 0..if part == Part::Flood { 0 } else { OTHERS } {
-        let clients: Vec<_> = (0..COURIERS).map(|courier| fleet.client(courier)).collect();
-        let recorder = fleet.recorder.clone();
+    let started = fleet.recorder.now();
+    let end = started + seconds * 1_000_000;
+    if scenario != Scenario::Flood {
+        for tenant in 0..OTHER_TENANTS {
+            let clients = (0..COURIERS).map(|courier| fleet.client(courier)).collect();
+            spawn_local(submit_messages(format!("other{tenant}"), clients, fleet.recorder.clone(), end));
+        }
+    }
+    let flood = Rc::new(Flood::default());
+    apply_load(&mut fleet, &flood, scenario, losses, end).await?;
+    let ended = fleet.recorder.now();
+    // All accepted messages have ended by then.
+    let all_ended = end + MESSAGE_LIFETIME.as_micros() as u64 + 2_000_000;
+    fleet.heal().await?;
+    while fleet.recorder.now() < all_ended {
+        sleep(Duration::from_millis(1)).await;
+        answer_calls(&fleet, &flood);
+    }
+    Ok(measure(&fleet, started + WARMUP, ended))
+}
+
+/// One of the other tenants: a message at each courier in turn.
+async fn submit_messages(tenant: String, clients: Vec<FleetClient>, recorder: Recorder, end: u64) {
+    for number in 0.. {
+        sleep(SUBMIT_INTERVAL).await;
+        if recorder.now() >= end {
+            return;
+        }
+        let client = clients[number % COURIERS].clone();
+        let message = message(&tenant, &format!("{tenant}-{number}"));
+        // A lost courier answers nothing.
         spawn_local(async move {
-            for n in 0.. {
-                sleep(SUBMIT_INTERVAL).await;
-                if recorder.now() >= end {
-                    return;
-                }
-                let (client, name) = (clients[n % COURIERS].clone(), format!("other{tenant}"));
-                let message = message(&name, &format!("{name}-{n}"));
-                // A lost courier's front answers nothing.
-                spawn_local(async move {
-                    let _ = tokio::time::timeout(Duration::from_secs(2), client.submit(&message, b"x")).await;
-                });
-            }
+            let _ = timeout(SUBMIT_TIMEOUT, client.submit(&message, b"x")).await;
         });
     }
-    // What the flooding tenant has in hand, by courier.
-    let in_flight: Rc<RefCell<BTreeMap<usize, usize>>> = Rc::default();
-    let mut number = 0;
-    let mut loss_at = begun + LOSS.as_micros() as u64;
+}
+
+/// The partner answers, couriers are lost and return, and the flood goes on, until the end.
+async fn apply_load(
+    fleet: &mut Fleet,
+    flood: &Rc<Flood>,
+    scenario: Scenario,
+    mut losses: impl Iterator<Item = Loss>,
+    end: u64,
+) -> Result<()> {
+    let interval = LOSS_INTERVAL.as_micros() as u64;
+    let mut next_change = fleet.recorder.now() + interval;
     let mut lost = None;
     while fleet.recorder.now() < end {
         sleep(Duration::from_millis(1)).await;
-        release(&fleet, &in_flight);
+        answer_calls(fleet, flood);
         let now = fleet.recorder.now();
-        if part == Part::Lossy && now >= loss_at {
-            loss_at = now + LOSS.as_micros() as u64;
-            match lost.take() {
-                Some(_) => fleet.heal().await?,
-                None => {
-                    let courier = draws.usize(0..COURIERS);
-                    lost = Some(courier);
-                    match draws.bool() {
-                        true => fleet.kill(courier).await?,
-                        false => fleet.set_links(courier, LinkMode::Partitioned),
-                    }
-                }
-            }
-            in_flight.borrow_mut().clear();
+        if scenario == Scenario::Losses && now >= next_change {
+            next_change = now + interval;
+            lost = match lost {
+                Some(_) => None,
+                None => losses.next(),
+            };
+            lose_or_heal(fleet, lost.as_ref()).await?;
+            flood.pending.borrow_mut().clear();
         }
-        if part == Part::Alone {
-            continue;
+        if scenario != Scenario::Others {
+            let lost_courier = lost.as_ref().map(|loss| loss.courier);
+            let couriers = (0..COURIERS).filter(|courier| lost_courier != Some(*courier));
+            couriers.for_each(|courier| submit_flood(fleet, flood, courier));
         }
-        for courier in (0..COURIERS).filter(|courier| lost != Some(*courier)) {
-            let has = in_flight.borrow().get(&courier).copied().unwrap_or(0);
-            // A few at once: it is one thread that plays all consumers.
-            for _ in has..FLOOD.min(has + 10) {
-                number += 1;
-                *in_flight.borrow_mut().entry(courier).or_default() += 1;
-                let (client, message) = (fleet.client(courier), message("flood", &format!("flood-{number}")));
-                let in_flight = in_flight.clone();
-                spawn_local(async move {
-                    let answer =
-                        tokio::time::timeout(Duration::from_secs(2), client.submit(&message, b"x")).await;
-                    if answer.is_ok_and(|status| status != 202)
-                        && let Some(has) = in_flight.borrow_mut().get_mut(&courier)
-                    {
-                        *has = has.saturating_sub(1);
-                    }
-                });
-            }
+    }
+    Ok(())
+}
+
+/// Loses this courier, or brings the lost one back if there is none to lose.
+async fn lose_or_heal(fleet: &mut Fleet, loss: Option<&Loss>) -> Result<()> {
+    match loss {
+        None => fleet.heal().await,
+        Some(Loss { courier, is_killed: true }) => fleet.kill(*courier).await,
+        Some(Loss { courier, is_killed: false }) => {
+            fleet.set_links(*courier, LinkMode::Partitioned);
+            Ok(())
         }
     }
-    let ended = fleet.recorder.now();
-    // What is owed has its end.
-    let all = end + TIME.as_micros() as u64 + 2_000_000;
-    fleet.heal().await?;
-    while fleet.recorder.now() < all {
-        sleep(Duration::from_millis(1)).await;
-        release(&fleet, &in_flight);
+}
+
+/// Submits messages of the flood to a courier, until it has enough of them.
+fn submit_flood(fleet: &Fleet, flood: &Rc<Flood>, courier: usize) {
+    let pending = flood.pending_at(courier);
+    for _ in pending..FLOOD.min(pending + FLOOD_STEP) {
+        let message = message("flood", &format!("flood-{}", flood.next_number()));
+        let (client, flood) = (fleet.client(courier), flood.clone());
+        flood.add(courier);
+        spawn_local(async move {
+            let answer = timeout(SUBMIT_TIMEOUT, client.submit(&message, b"x")).await;
+            if answer.is_ok_and(|status| status != 202) {
+                flood.remove(courier);
+            }
+        });
     }
-    Ok(measurement(&fleet, begun + WARM, ended))
 }
 
-/// The partner answers what it has had for long enough.
-fn release(fleet: &Fleet, in_flight: &Rc<RefCell<BTreeMap<usize, usize>>>) {
+/// The partner answers each call whose time has passed.
+fn answer_calls(fleet: &Fleet, flood: &Flood) {
     let now = fleet.recorder.now();
     fleet.partner(0).release_where(Answer::ok(), |call| {
-        let ready = call.whole.is_some_and(|whole| whole.at + TAKES <= now);
-        if ready
-            && call.id.starts_with("flood")
-            && let Some(has) = in_flight.borrow_mut().get_mut(&call.courier)
-        {
-            *has = has.saturating_sub(1);
+        let is_due = call.whole.is_some_and(|whole| whole.at + CALL_TIME <= now);
+        if is_due && call.id.starts_with("flood") {
+            flood.remove(call.courier);
         }
-        ready
+        is_due
     });
 }
 
-fn measurement(fleet: &Fleet, from: u64, to: u64) -> Measurement {
+/// `from` and `to` are in the recorder's microseconds.
+fn measure(fleet: &Fleet, from: u64, to: u64) -> Measurement {
     let mut history = fleet.history(AuditRules::default());
     history.budgets = vec![Budget { partner: 0, from: 0, most: CONNECTIONS }];
     let findings = audit(&history);
     findings.iter().take(5).for_each(|finding| println!("  {finding:?}"));
     fleet.recorder.read(|record| {
-        let within = |begun: u64, ended: u64| ended.min(to).saturating_sub(begun.max(from)) as f64;
-        let all = (CONNECTIONS as u64 * (to - from)) as f64;
-        let busy = record.calls.iter().map(|call| {
-            let ended = call.answered.map(|(when, _)| when).or(call.abandoned).map_or(to, |when| when.at);
-            within(call.began.at, ended)
-        });
-        let ends = record.connection_changes.iter().skip(1).map(|open| open.when.at).chain([to]);
-        let open = record
-            .connection_changes
-            .iter()
-            .zip(ends)
-            .map(|(open, next)| open.open as f64 * within(open.when.at, next));
-        let others: Vec<_> = record
-            .submissions
-            .iter()
-            .filter(|submission| submission.id.starts_with("other"))
-            .filter(|submission| submission.answer.is_some_and(|(_, status)| status == 202))
-            .collect();
-        let durations: Vec<u64> = {
-            let mut first = BTreeMap::new();
-            for call in record.calls.iter().filter(|call| call.id.starts_with("other")) {
-                if let Some((when, 200)) = call.answered {
-                    first.entry(call.id.as_str()).or_insert(when.at);
-                }
-            }
-            let durations = others.iter().filter_map(|submission| {
-                Some((first.get(submission.id.as_str())? - submission.submitted_at.at) / 1000)
-            });
-            durations.collect()
-        };
-        let flood =
-            record.calls.iter().filter(|call| call.id.starts_with("flood") && call.answered.is_some());
+        let others = accepted_submissions(record, "other");
+        let flood_calls = record.calls.iter().filter(|call| call.id.starts_with("flood"));
         Measurement {
-            most: record.open_connections(0).1,
-            busy: busy.sum::<f64>() / all,
-            open: open.sum::<f64>() / all,
-            others: others.len(),
-            delivered: durations.len(),
-            durations,
-            flood: flood.count(),
+            most_open: record.open_connections(0).1,
+            busy: busy_fraction(record, from, to),
+            open: open_fraction(record, from, to),
+            others_accepted: others.len(),
+            delivery_times: delivery_times(record, &others),
+            flood_delivered: flood_calls.filter(|call| call.answered.is_some()).count(),
             findings: findings.len(),
         }
     })
 }
+
+/// The part of a span that lies between `from` and `to`.
+fn overlap(start: u64, end: u64, from: u64, to: u64) -> f64 {
+    end.min(to).saturating_sub(start.max(from)) as f64
+}
+
+/// The budget's connections times the measured span.
+fn connection_time(from: u64, to: u64) -> f64 {
+    (CONNECTIONS as u64 * (to - from)) as f64
+}
+
+fn busy_fraction(record: &RunRecord, from: u64, to: u64) -> f64 {
+    let busy = record.calls.iter().map(|call| {
+        let ended = call.answered.map(|(when, _)| when).or(call.abandoned).map_or(to, |when| when.at);
+        overlap(call.began.at, ended, from, to)
+    });
+    busy.sum::<f64>() / connection_time(from, to)
+}
+
+fn open_fraction(record: &RunRecord, from: u64, to: u64) -> f64 {
+    let changes = &record.connection_changes;
+    let ends = changes.iter().skip(1).map(|change| change.when.at).chain([to]);
+    let open = changes
+        .iter()
+        .zip(ends)
+        .map(|(change, end)| change.open as f64 * overlap(change.when.at, end, from, to));
+    open.sum::<f64>() / connection_time(from, to)
+}
+
+fn accepted_submissions<'a>(record: &'a RunRecord, tenant: &str) -> Vec<&'a RecordedSubmission> {
+    let submissions = record.submissions.iter().filter(|submission| submission.id.starts_with(tenant));
+    submissions.filter(|submission| submission.answer.is_some_and(|(_, status)| status == 202)).collect()
+}
+
+/// Milliseconds from the submission to the first 200, sorted, of the messages that were delivered.
+fn delivery_times(record: &RunRecord, submissions: &[&RecordedSubmission]) -> Vec<u64> {
+    let mut first_answers = BTreeMap::new();
+    for call in &record.calls {
+        if let Some((when, 200)) = call.answered {
+            first_answers.entry(call.id.as_str()).or_insert(when.at);
+        }
+    }
+    let answered_at = |submission: &RecordedSubmission| first_answers.get(submission.id.as_str()).copied();
+    let mut times: Vec<u64> = submissions
+        .iter()
+        .filter_map(|submission| Some((answered_at(submission)? - submission.submitted_at.at) / 1_000))
+        .collect();
+    times.sort_unstable();
+    times
+}
