--- a/courier/fleet/src/agreement.rs
+++ b/courier/fleet/src/agreement.rs
@@ -24,7 +24,9 @@
 mod wire;
 
 pub use error::{AgreementError, DecodeError};
-pub use interface::{AgreementInput, AgreementOutput, MembershipChange, Opened, RejectReason};
+pub use interface::{
+    AgreementInput, AgreementOutput, CommittedCommand, MembershipChange, Opened, RejectReason,
+};
 pub use limits::AgreementLimits;
 
 use quillmount_core::store::Store;
@@ -36,7 +38,7 @@
 
 use crate::NodeId;
 use log::{HardState, StateSnapshot};
-use log_file::{LogFile, PersistedLog};
+use log_file::{LogFile, OpenedLogFile, PersistedLog};
 use memory_log::MemoryLog;
 
 /// A proposal made here whose commit is pending.
@@ -103,9 +105,9 @@
         if limits.tick == 0 {
             return Err(AgreementError::InvalidLimits { what: "no time between ticks".into() });
         }
-        let (file, persisted, new) = LogFile::open(store, fresh_node_id)?;
+        let OpenedLogFile { file, persisted, is_new } = LogFile::open(store, fresh_node_id)?;
         let mut opened = Opened {
-            new,
+            new: is_new,
             state: persisted.snapshot.state.clone(),
             index: persisted.snapshot.index,
             committed: Vec::new(),
@@ -139,13 +141,16 @@
         Ok((agreement, opened))
     }
 
-    fn deliver_after_open(&mut self) -> Result<Vec<(u64, Vec<u8>)>, AgreementError> {
+    /// The commands after the snapshot that are known to be committed.
+    fn deliver_after_open(&mut self) -> Result<Vec<CommittedCommand>, AgreementError> {
         let mut out = Vec::new();
         self.drain_ready(&mut out);
         let mut committed = Vec::new();
         for output in out {
             match output {
-                AgreementOutput::Committed { index, command, .. } => committed.push((index, command)),
+                AgreementOutput::Committed { index, command, .. } => {
+                    committed.push(CommittedCommand { index, command });
+                }
                 AgreementOutput::Halted(error) => return Err(error),
                 _ => {}
             }
@@ -232,12 +237,12 @@
 
     /// The voters, in the order of their ids.
     pub fn voters(&self) -> Vec<NodeId> {
-        log::voters_and_learners(&self.node.store().membership).0
+        log::MemberIds::of(&self.node.store().membership).voters
     }
 
     /// The learners, in the order of their ids.
     pub fn learners(&self) -> Vec<NodeId> {
-        log::voters_and_learners(&self.node.store().membership).1
+        log::MemberIds::of(&self.node.store().membership).learners
     }
 
     /// Index of the last log entry that was applied here.
--- a/courier/fleet/src/agreement/compaction.rs
+++ b/courier/fleet/src/agreement/compaction.rs
@@ -56,7 +56,7 @@
         let index = self.node.raft.raft_log.applied;
         let memory = self.node.store();
         let term = raft::Storage::term(memory, index).map_err(|e| AgreementError::Engine(e.to_string()))?;
-        let (voters, learners) = log::voters_and_learners(&memory.membership);
+        let log::MemberIds { voters, learners } = log::MemberIds::of(&memory.membership);
         self.rewrite_log(StateSnapshot { index, term, voters, learners, state })
     }
 
--- a/courier/fleet/src/agreement/explore.rs
+++ b/courier/fleet/src/agreement/explore.rs
@@ -40,7 +40,7 @@
             ),
             (raft.election_elapsed, raft.heartbeat_elapsed(), self.election_jitter, self.draws),
             (progress, votes, reads),
-            (&memory.snapshot, log::voters_and_learners(&memory.membership), entries),
+            (&memory.snapshot, log::MemberIds::of(&memory.membership), entries),
             (
                 self.next_tick.saturating_sub(now),
                 &self.pending_proposals,
--- a/courier/fleet/src/agreement/interface.rs
+++ b/courier/fleet/src/agreement/interface.rs
@@ -194,7 +194,16 @@
     pub state: Vec<u8>,
     /// Index of the last log entry that `state` contains.
     pub index: u64,
-    /// Index and command of the entries after it that are known to be committed, in order. More of the log
-    /// may be committed, which the leader will say.
-    pub committed: Vec<(u64, Vec<u8>)>,
+    /// The commands after it that are known to be committed, in order. More of the log may be committed, which the leader
+    /// will say.
+    pub committed: Vec<CommittedCommand>,
+}
+
+/// A committed command of the log.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct CommittedCommand {
+    /// Index of its log entry.
+    pub index: u64,
+    /// The command as it was proposed.
+    pub command: Vec<u8>,
 }
--- a/courier/fleet/src/agreement/log.rs
+++ b/courier/fleet/src/agreement/log.rs
@@ -77,7 +77,7 @@
 
     pub fn from_raft(snapshot: &Snapshot) -> Self {
         let metadata = snapshot.get_metadata();
-        let (voters, learners) = voters_and_learners(metadata.get_conf_state());
+        let MemberIds { voters, learners } = MemberIds::of(metadata.get_conf_state());
         StateSnapshot {
             index: metadata.index,
             term: metadata.term,
@@ -88,12 +88,20 @@
     }
 }
 
-/// Voters and learners, each in the order of their ids.
-pub(super) fn voters_and_learners(membership: &ConfState) -> (Vec<NodeId>, Vec<NodeId>) {
-    let (mut voters, mut learners) = (membership.voters.clone(), membership.learners.clone());
-    voters.sort_unstable();
-    learners.sort_unstable();
-    (voters, learners)
+/// The members of the agreement, each list in the order of the ids.
+#[derive(Serialize)]
+pub(super) struct MemberIds {
+    pub voters: Vec<NodeId>,
+    pub learners: Vec<NodeId>,
+}
+
+impl MemberIds {
+    pub fn of(membership: &ConfState) -> MemberIds {
+        let mut ids = MemberIds { voters: membership.voters.clone(), learners: membership.learners.clone() };
+        ids.voters.sort_unstable();
+        ids.learners.sort_unstable();
+        ids
+    }
 }
 
 impl LogEntry {
--- a/courier/fleet/src/agreement/log_file.rs
+++ b/courier/fleet/src/agreement/log_file.rs
@@ -122,6 +122,15 @@
     AgreementError::Store { what, source: Arc::new(source) }
 }
 
+/// A log file that was opened.
+pub(super) struct OpenedLogFile<S> {
+    pub file: LogFile<S>,
+    /// Its contents.
+    pub persisted: PersistedLog,
+    /// The file was empty, and has a fresh node id now.
+    pub is_new: bool,
+}
+
 /// The log file.
 #[derive(Clone, Debug)]
 pub(super) struct LogFile<S> {
@@ -131,14 +140,13 @@
 }
 
 impl<S: Store> LogFile<S> {
-    /// Reads the file and drops a record that a kill has cut short. An empty file gets `fresh_node_id`. Also
-    /// returns its contents, and whether it was empty.
-    pub fn open(store: S, fresh_node_id: NodeId) -> Result<(Self, PersistedLog, bool), AgreementError> {
+    /// Reads the file and drops a record that a kill has cut short. An empty file gets `fresh_node_id`.
+    pub fn open(store: S, fresh_node_id: NodeId) -> Result<OpenedLogFile<S>, AgreementError> {
         let mut file = LogFile { store, base: 0 };
         let bytes = file.store.read().map_err(|e| store_error("reading", e))?;
         let (mut persisted, complete_len) = read(&bytes)?;
-        let new = persisted.node_id == 0;
-        if new {
+        let is_new = persisted.node_id == 0;
+        if is_new {
             if fresh_node_id == 0 {
                 return Err(AgreementError::NoNodeId);
             }
@@ -150,7 +158,7 @@
                 .replace(&bytes[..complete_len])
                 .map_err(|e| store_error("cutting off a torn record", e))?;
         }
-        Ok((file, persisted, new))
+        Ok(OpenedLogFile { file, persisted, is_new })
     }
 
     /// Writes a record of these at the end.
@@ -176,7 +184,7 @@
                 &mut bytes,
             )?;
         }
-        self.store.replace(&bytes).map_err(|e| store_error("writing anew", e))?;
+        self.store.replace(&bytes).map_err(|e| store_error("rewriting", e))?;
         self.base = bytes.len() as u64;
         Ok(())
     }
--- a/courier/fleet/src/agreement/requests.rs
+++ b/courier/fleet/src/agreement/requests.rs
@@ -103,7 +103,7 @@
 
     /// The voters after a change, if the change is possible by itself.
     fn voters_after(&self, change: MembershipChange, now: Micros) -> Result<Vec<NodeId>, RejectReason> {
-        let (mut voters, learners) = log::voters_and_learners(&self.node.store().membership);
+        let log::MemberIds { mut voters, learners } = log::MemberIds::of(&self.node.store().membership);
         match change {
             MembershipChange::AddLearner(node_id) => {
                 if node_id == INVALID_ID || learners.contains(&node_id) {
--- a/courier/fleet/src/budget/calls.rs
+++ b/courier/fleet/src/budget/calls.rs
@@ -36,6 +36,15 @@
     TimeBounds { max_call: 0, max_idle: longest, lease: bounds.lease }
 }
 
+/// What a courier reports to the leader at one time.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct GateReports {
+    /// The report on connections, if it is due.
+    pub connections: Option<Report>,
+    /// The report on calls, if it is due.
+    pub calls: Option<Report>,
+}
+
 /// Both of a courier's local budgets: a call is sent if it has a connection and the span has a call left. An upgrade
 /// hands it over in postcard's form, which goes by position.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -106,9 +115,9 @@
         self.connections.tick(now)
     }
 
-    /// The reports on connections and on calls, as far as they are due.
-    pub fn reports(&mut self, now: Micros) -> (Option<Report>, Option<Report>) {
-        (self.connections.report(now), self.calls.report(now))
+    /// The reports that are due.
+    pub fn reports(&mut self, now: Micros) -> GateReports {
+        GateReports { connections: self.connections.report(now), calls: self.calls.report(now) }
     }
 
     /// The tenant has so many calls waiting, beside those in flight.
--- a/courier/fleet/src/budget/leader/allocation.rs
+++ b/courier/fleet/src/budget/leader/allocation.rs
@@ -218,9 +218,17 @@
             group.shortfall.fair = part.fair;
             let of_tenant = &mut seats[group.seats.clone()];
             let claims = of_tenant.iter().map(|seat| {
-                let (credit, overdue) = seat.shortfall.credit_and_overdue(review.now);
-                let (name, demand, current) = (seat.courier, seat.demand, seat.usable);
-                Claim { name, weight: 1, floor: 0, ceiling: demand, demand, current, credit, overdue }
+                let credit = seat.shortfall.credit(review.now);
+                Claim {
+                    name: seat.courier,
+                    weight: 1,
+                    floor: 0,
+                    ceiling: seat.demand,
+                    demand: seat.demand,
+                    current: seat.usable,
+                    credit: credit.millionths,
+                    overdue: credit.overdue,
+                }
             });
             let parts = divide(part.whole, &claims.collect::<Vec<_>>());
             for (seat, part) in of_tenant.iter_mut().zip(parts) {
@@ -233,7 +241,7 @@
         let of_tenant = &seats[group.seats.clone()];
         let name = of_tenant.first().map_or("", |seat| seat.tenant);
         let policy = self.policy(name);
-        let (credit, overdue) = group.shortfall.credit_and_overdue(review.now);
+        let credit = group.shortfall.credit(review.now);
         Claim {
             name,
             weight: policy.weight,
@@ -241,8 +249,8 @@
             ceiling: policy.ceiling.unwrap_or(review.partner.connections),
             demand: of_tenant.iter().map(|seat| seat.demand).fold(0, u32::saturating_add),
             current: of_tenant.iter().map(|seat| seat.usable).fold(0, u32::saturating_add),
-            credit,
-            overdue,
+            credit: credit.millionths,
+            overdue: credit.overdue,
         }
     }
 
--- a/courier/fleet/src/budget/leader/demand.rs
+++ b/courier/fleet/src/budget/leader/demand.rs
@@ -1,7 +1,7 @@
 //! What couriers have reported, with the peaks of their demands.
 
 use super::limits::{DEMAND_WINDOW, MAX_REPORT_LINES};
-use crate::budget::report::Report;
+use crate::budget::report::{ConfirmedRecall, Report};
 use quillmount_policy::Micros;
 use std::collections::BTreeMap;
 
@@ -38,8 +38,8 @@
     pub(super) left: bool,
     /// By partner and tenant.
     pub(super) demand: BTreeMap<(u64, String), DemandPeak>,
-    /// By partner and tenant: the number of a recall, and the connections that still count.
-    pub(super) released: BTreeMap<(u64, String), (u64, u32)>,
+    /// By partner and tenant.
+    pub(super) released: BTreeMap<(u64, String), ConfirmedRecall>,
 }
 
 impl CourierReport {
--- a/courier/fleet/src/budget/leader/mod.rs
+++ b/courier/fleet/src/budget/leader/mod.rs
@@ -34,7 +34,7 @@
 };
 
 use super::model::{Budget, TimeBounds};
-use super::report::BudgetMessage;
+use super::report::{BudgetMessage, ConfirmedRecall};
 use super::state::{BudgetCommand, BudgetMember, BudgetState};
 use allocation::{PartnerAllocation, Review};
 use demand::CourierReport;
@@ -173,17 +173,18 @@
     /// Couriers' confirmations that aren't agreed on yet.
     fn propose_confirmed(&self, budget_state: &BudgetState, commands: &mut Vec<BudgetCommand>) {
         for (courier, report) in &self.reports {
-            for ((dest, tenant), (number, to)) in &report.released {
+            for ((dest, tenant), recall) in &report.released {
                 let Some(partner) = budget_state.partner(*dest) else { continue };
                 let share = partner.share(courier, report.epoch, tenant);
-                if share.number == *number && share.recalled.is_some() && *to < share.granted {
+                let ConfirmedRecall { number, connections } = *recall;
+                if share.number == number && share.recalled.is_some() && connections < share.granted {
                     commands.push(BudgetCommand::Released {
                         dest: *dest,
                         tenant: tenant.clone(),
                         courier: courier.clone(),
                         epoch: report.epoch,
-                        number: *number,
-                        to: *to,
+                        number,
+                        to: connections,
                     });
                 }
             }
--- a/courier/fleet/src/budget/leader/shortfall.rs
+++ b/courier/fleet/src/budget/leader/shortfall.rs
@@ -30,16 +30,25 @@
     pub(super) begins_turn: bool,
 }
 
+/// What a shortfall entitles to where connections are given out in turns.
+#[derive(Clone, Copy)]
+pub(super) struct Credit {
+    /// Millionths of a connection; negative if it had more than its fair part.
+    pub(super) millionths: i64,
+    /// How long it has been without a connection, in microseconds; 0 if that is not longer than its fair part allows.
+    pub(super) overdue: Micros,
+}
+
 impl Shortfall {
-    /// The credit that counts, and for how long it is overdue.
-    pub(super) fn credit_and_overdue(&self, now: Micros) -> (i64, u64) {
+    /// The credit that counts in this round.
+    pub(super) fn credit(&self, now: Micros) -> Credit {
         if on(Break::TurnsForgotten) {
-            return (0, 0);
+            return Credit { millionths: 0, overdue: 0 };
         }
         let waited = self.since.map_or(0, |at| now.saturating_sub(at));
         // Two turns of its own, by its part.
         let due = (2 * ONE_CONNECTION as u64).div_ceil(self.fair.max(1) as u64).saturating_mul(TURN_INTERVAL);
-        (self.turn_credit, if waited > due { waited } else { 0 })
+        Credit { millionths: self.turn_credit, overdue: if waited > due { waited } else { 0 } }
     }
 
     /// The shortfall after a round in which it had so many connections: credit grows by what is fair, and falls by what
--- a/courier/fleet/src/budget/local/reporting.rs
+++ b/courier/fleet/src/budget/local/reporting.rs
@@ -3,7 +3,7 @@
 use super::LocalBudget;
 use super::connections::{ConnectionState, PartnerConnections};
 use super::permit::PERMIT_TTL;
-use crate::budget::report::{Report, ReportLine};
+use crate::budget::report::{ConfirmedRecall, Report, ReportLine};
 use quillmount_policy::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -88,15 +88,14 @@
         tenants.into_iter().map(|tenant| (tenant.clone(), demand(tenant))).collect()
     }
 
-    /// What can be confirmed of a recall now, no less than is open and than all that is open needs: the recall's number,
-    /// and the connections that still count.
-    fn confirm_recall(&mut self, tenant: &str, open: u32, floor: u32) -> Option<(u64, u32)> {
+    /// What can be confirmed of a recall now, no less than is open and than all that is open needs.
+    fn confirm_recall(&mut self, tenant: &str, open: u32, floor: u32) -> Option<ConfirmedRecall> {
         let (total, confirmed) = (self.total(), self.sum(|grant| grant.confirmed));
         let grant = self.grants.get_mut(tenant).filter(|grant| grant.recalled)?;
         let others = confirmed - grant.confirmed;
         // What fits into the floor needs no grant.
         let need = if total <= floor { 0 } else { open.max(total.saturating_sub(others)) };
         grant.confirmed = grant.confirmed.min(grant.usable.max(need));
-        Some((grant.number, grant.confirmed))
+        Some(ConfirmedRecall { number: grant.number, connections: grant.confirmed })
     }
 }
--- a/courier/fleet/src/budget/mod.rs
+++ b/courier/fleet/src/budget/mod.rs
@@ -32,12 +32,12 @@
 mod report;
 pub mod state;
 
-pub use calls::BudgetGate;
+pub use calls::{BudgetGate, GateReports};
 pub use check::check;
 pub use divide::{Allocation, Claim, divide};
 pub use error::BudgetProblem;
 pub use leader::BudgetLeader;
 pub use local::{ConnectionOrder, LocalBudget, Permit, PermitKind, Refusal, RefusalReason};
 pub use model::{Budget, CLOCK_DRIFT_DIVISOR, MAX_BUDGETS, MAX_TENANTS, Tenant, TimeBounds};
-pub use report::{BudgetMessage, Report, ReportLine};
+pub use report::{BudgetMessage, ConfirmedRecall, Report, ReportLine};
 pub use state::{BudgetCommand, BudgetEvent, BudgetState};
--- a/courier/fleet/src/budget/report.rs
+++ b/courier/fleet/src/budget/report.rs
@@ -13,8 +13,17 @@
     pub demand: u32,
     /// Connections that it has, in any state.
     pub open: u32,
-    /// A recall that is met: its number, and the connections that still count.
-    pub released: Option<(u64, u32)>,
+    /// A recall that is met.
+    pub released: Option<ConfirmedRecall>,
+}
+
+/// A courier's confirmation that it has met a recall of a share.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ConfirmedRecall {
+    /// The number of the recall.
+    pub number: u64,
+    /// The connections that still count.
+    pub connections: u32,
 }
 
 /// All that a courier demands now. A later report replaces it, so that lost and repeated ones are harmless.
--- a/courier/fleet/src/member/leadership.rs
+++ b/courier/fleet/src/member/leadership.rs
@@ -39,8 +39,7 @@
     }
 
     fn sweep_verdicts(&mut self, now: Micros, out: &mut Vec<MemberOutput>) -> Result<(), MemberError> {
-        let (_, verdicts) = self.state.settlements.sizes();
-        if now < self.next_verdict_sweep_at || verdicts == 0 {
+        if now < self.next_verdict_sweep_at || !self.state.settlements.has_verdicts() {
             return Ok(());
         }
         self.next_verdict_sweep_at = now + VERDICT_SWEEP_INTERVAL;
--- a/courier/fleet/src/member/mod.rs
+++ b/courier/fleet/src/member/mod.rs
@@ -33,7 +33,7 @@
 pub use stores::StoreDirectory;
 
 use crate::NodeId;
-use crate::agreement::{Agreement, AgreementInput, AgreementLimits, Opened};
+use crate::agreement::{Agreement, AgreementInput, AgreementLimits, CommittedCommand, Opened};
 use crate::breaks::{self, Break};
 use crate::config::{FleetConfig, Name};
 use crate::lease::{GrantedLeases, HeldLease};
@@ -198,7 +198,7 @@
         out: &mut Vec<MemberOutput>,
     ) -> Result<(), MemberError> {
         self.restore(&opened.state)?;
-        for (_, command) in opened.committed {
+        for CommittedCommand { command, .. } in opened.committed {
             self.apply_command(&command, now, out)?;
         }
         // A log that has voters belongs to a fleet, even if nothing in it is known to be committed.
--- a/courier/fleet/src/member/replica_host.rs
+++ b/courier/fleet/src/member/replica_host.rs
@@ -4,7 +4,7 @@
 use super::{AgreementLog, Member, MemberError, MemberNotice, MemberOutput, StoreDirectory};
 use crate::config::Name;
 use crate::message::FleetMessage;
-use crate::replication::JournalReplica;
+use crate::replication::{JournalReplica, ReplicaAcknowledgement, ReplicaPage};
 use crate::state::JournalId;
 use bytes::Bytes;
 use quillmount_policy::Micros;
@@ -46,9 +46,9 @@
             replica.append(request.generation, request.complete_len, request.offset, &request.bytes)
         };
         match result {
-            Ok(Some((position, staged))) => {
+            Ok(Some(ReplicaAcknowledgement { stored, staged })) => {
                 self.rejected_replicas.remove(&journal);
-                let reply = FleetMessage::AppendAck { journal, position, staged };
+                let reply = FleetMessage::AppendAck { journal, position: stored, staged };
                 out.push(MemberOutput::Send(from, reply));
             }
             Ok(None) => {}
@@ -77,8 +77,8 @@
                 // The sender knows that the journal is sealed, perhaps before this courier does: nothing may be
                 // appended after the first page was sent.
                 replica.seal()?;
-                let (total, bytes) = replica.page(offset)?;
-                FleetMessage::Page { journal, offset, total, bytes }
+                let ReplicaPage { journal_len, bytes } = replica.page(offset)?;
+                FleetMessage::Page { journal, offset, total: journal_len, bytes }
             }
         };
         self.send_to(from, reply, now, out)
@@ -104,6 +104,6 @@
 fn storage_full(required: u64, capacity: u64) -> io::Error {
     io::Error::new(
         io::ErrorKind::StorageFull,
-        format!("{required} bytes of copies, where {capacity} are the most (limits.disk_mb)"),
+        format!("{required} bytes of replicas, more than the limit of {capacity} (limits.disk_mb)"),
     )
 }
--- a/courier/fleet/src/replication/mod.rs
+++ b/courier/fleet/src/replication/mod.rs
@@ -11,5 +11,5 @@
 mod replica;
 mod replicator;
 
-pub use replica::{JournalReplica, MAX_REPLICA_BYTES};
+pub use replica::{JournalReplica, MAX_REPLICA_BYTES, ReplicaAcknowledgement, ReplicaPage};
 pub use replicator::JournalReplicator;
--- a/courier/fleet/src/replication/replica.rs
+++ b/courier/fleet/src/replication/replica.rs
@@ -10,6 +10,24 @@
 /// Bytes of one replica, at most: four times the largest share of a disk that a journal has had.
 pub const MAX_REPLICA_BYTES: u64 = 64 << 20;
 
+/// What a replica acknowledges to the journal's owner.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ReplicaAcknowledgement {
+    /// What its store has.
+    pub stored: ReplicaPosition,
+    /// What it has of a generation that is not complete yet.
+    pub staged: ReplicaPosition,
+}
+
+/// A page of a sealed journal.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ReplicaPage {
+    /// Bytes of the journal.
+    pub journal_len: u64,
+    /// Bytes of the page; fewer than a full page at the journal's end.
+    pub bytes: Bytes,
+}
+
 /// A replica of one journal of another courier.
 #[derive(Clone, Debug)]
 pub struct JournalReplica<S> {
@@ -49,8 +67,8 @@
         self.sealed
     }
 
-    /// Appends a page of the owner's; returns the acknowledgement: what the store has, and what is staged. `None`: the
-    /// replica is sealed, and nothing is acknowledged.
+    /// Appends a page of the owner's; returns the acknowledgement. `None`: the replica is sealed, and nothing is
+    /// acknowledged.
     ///
     /// # Errors
     /// The store fails: nothing is acknowledged.
@@ -60,7 +78,7 @@
         complete_len: u64,
         at: u64,
         bytes: &[u8],
-    ) -> io::Result<Option<(ReplicaPosition, ReplicaPosition)>> {
+    ) -> io::Result<Option<ReplicaAcknowledgement>> {
         if self.sealed && !breaks::on(Break::SealIgnored) {
             return Ok(None);
         }
@@ -105,8 +123,9 @@
         Ok(())
     }
 
-    fn acknowledgement(&self) -> (ReplicaPosition, ReplicaPosition) {
-        (self.position, ReplicaPosition { generation: self.staged_generation, len: self.staged.len() as u64 })
+    fn acknowledgement(&self) -> ReplicaAcknowledgement {
+        let staged = ReplicaPosition { generation: self.staged_generation, len: self.staged.len() as u64 };
+        ReplicaAcknowledgement { stored: self.position, staged }
     }
 
     /// Accepts nothing of the owner's from here on, even after a restart.
@@ -125,15 +144,16 @@
         Ok(())
     }
 
-    /// The length of the sealed journal, and a page of it.
+    /// A page of the sealed journal, from this offset on.
     ///
     /// # Errors
     /// The store can't be read.
-    pub fn page(&mut self, at: u64) -> io::Result<(u64, Bytes)> {
+    pub fn page(&mut self, at: u64) -> io::Result<ReplicaPage> {
         let bytes = self.store.read()?;
         let from = (at as usize).min(bytes.len());
         let to = bytes.len().min(from + PAGE_BYTES);
-        Ok((bytes.len() as u64, Bytes::copy_from_slice(&bytes[from..to])))
+        let page = Bytes::copy_from_slice(&bytes[from..to]);
+        Ok(ReplicaPage { journal_len: bytes.len() as u64, bytes: page })
     }
 
     /// Moves the journal to the store of another epoch, under which its owner continues. What it has stays until the owner
--- a/courier/fleet/src/settlement/mod.rs
+++ b/courier/fleet/src/settlement/mod.rs
@@ -29,7 +29,7 @@
 pub use model::{
     Cause, End, Mode, Outcome, PositionRef, Repeat, Resume, SequencedMessage, SettlementId, Verdict,
 };
-pub use owner::{OwnedSettlements, OwnerInput, OwnerOutput, SettlementLimits};
+pub use owner::{OwnedCounts, OwnedSettlements, OwnerInput, OwnerOutput, SettlementLimits};
 pub use progress::{PositionState, SettlementProgress, SettlementRecord};
 pub use registry::{JournalRef, SettlementCommand, SettlementEvent, SettlementOwner, SettlementRegistry};
 pub use request::{SettlementMessage, SettlementReply, SettlementRequest};
--- a/courier/fleet/src/settlement/owner/capacity.rs
+++ b/courier/fleet/src/settlement/owner/capacity.rs
@@ -1,7 +1,7 @@
 //! Capacity: the connections that sessions reserve, and the pending messages of each tenant.
 
 use super::interface::{ATTEMPT_BACKOFF, OwnerOutput};
-use super::machine::TenantOverload;
+use super::machine::{PendingLoad, TenantOverload};
 use super::owned::OwnedSettlements;
 use crate::settlement::model::SettlementId;
 use crate::settlement::session::{Pins, SessionKey};
@@ -13,14 +13,14 @@
         let key = (id.tenant.clone(), id.dest);
         let budget = self.budgets.get(&key).copied().unwrap_or(0);
         let pins = self.pins.entry(key).or_insert_with(|| Pins::new(budget));
-        let granted = pins.request((id.clone(), session));
+        let granted = pins.request(SessionKey { settlement: id.clone(), session });
         outputs.extend(pin_outputs(granted));
     }
 
     /// Returns the session's connection, or withdraws its request for one.
     pub(super) fn unpin(&mut self, id: &SettlementId, session: u32, outputs: &mut Vec<OwnerOutput>) {
         let key = (id.tenant.clone(), id.dest);
-        let session_key = (id.clone(), session);
+        let session_key = SessionKey { settlement: id.clone(), session };
         let Some(pins) = self.pins.get_mut(&key) else { return };
         let was_pinned = pins.is_pinned(&session_key);
         let granted = pins.release(&session_key);
@@ -33,14 +33,15 @@
         outputs.extend(pin_outputs(granted));
     }
 
-    /// A settlement's pending messages and their bytes have changed from `old` to `new`.
-    pub(super) fn change_load(&mut self, id: &SettlementId, old: (u64, u64), new: (u64, u64)) {
+    /// A settlement's pending messages have changed from `old` to `new`.
+    pub(super) fn change_load(&mut self, id: &SettlementId, old: PendingLoad, new: PendingLoad) {
         if old == new {
             return;
         }
         let load = self.loads.entry(id.tenant.clone()).or_default();
-        *load = (load.0 + new.0 - old.0, load.1 + new.1 - old.1);
-        if *load == (0, 0) {
+        load.messages = load.messages + new.messages - old.messages;
+        load.bytes = load.bytes + new.bytes - old.bytes;
+        if *load == PendingLoad::default() {
             self.loads.remove(&id.tenant);
         }
     }
@@ -52,7 +53,8 @@
         size: u64,
         now: Micros,
     ) -> Result<(), TenantOverload> {
-        let (waiting, bytes) = self.loads.get(&id.tenant).copied().unwrap_or_default();
+        let PendingLoad { messages: waiting, bytes } =
+            self.loads.get(&id.tenant).copied().unwrap_or_default();
         if waiting < self.limits.tenant_count && bytes + size <= self.limits.tenant_bytes {
             return Ok(());
         }
@@ -66,5 +68,5 @@
 
 /// The outputs that notify sessions of the connections they were granted.
 pub(super) fn pin_outputs(granted: Vec<SessionKey>) -> impl Iterator<Item = OwnerOutput> {
-    granted.into_iter().map(|(id, session)| OwnerOutput::Pin { id, session })
+    granted.into_iter().map(|SessionKey { settlement: id, session }| OwnerOutput::Pin { id, session })
 }
--- a/courier/fleet/src/settlement/owner/changes.rs
+++ b/courier/fleet/src/settlement/owner/changes.rs
@@ -1,11 +1,11 @@
 //! Changes of owner: what the agreed state says about who owns which settlement, carried out at one courier.
 
 use super::interface::OwnerOutput;
-use super::machine::{Phase, Settlement};
+use super::machine::{PendingLoad, Phase, Settlement};
 use super::owned::{OwnedSettlements, OwnerStep};
 use crate::settlement::model::SettlementId;
 use crate::settlement::registry::{JournalRef, SettlementEvent};
-use crate::settlement::session::{SessionInput, SessionOutput, SessionState};
+use crate::settlement::session::{SessionInput, SessionKey, SessionOutput, SessionState};
 
 impl OwnedSettlements {
     /// The agreed state has changed.
@@ -111,17 +111,17 @@
         for seq in settlement.pending.keys() {
             self.writes.remove(seq);
         }
-        self.change_load(id, settlement.load(), (0, 0));
+        self.change_load(id, settlement.load(), PendingLoad::default());
         let session = settlement.number;
         match settlement.session.state() {
             SessionState::None => {}
             SessionState::Dropping => {
-                self.dropping.insert((id.clone(), session));
+                self.dropping.insert(SessionKey { settlement: id.clone(), session });
             }
             _ => match settlement.session.step(SessionInput::Leave, 0) {
                 SessionOutput::Drop => {
                     outputs.push(OwnerOutput::Drop { id: id.clone(), session });
-                    self.dropping.insert((id.clone(), session));
+                    self.dropping.insert(SessionKey { settlement: id.clone(), session });
                 }
                 _ => self.unpin(id, session, outputs),
             },
--- a/courier/fleet/src/settlement/owner/machine.rs
+++ b/courier/fleet/src/settlement/owner/machine.rs
@@ -105,6 +105,13 @@
     pub(super) pins: Vec<PinChange>,
 }
 
+/// Messages that are accepted or being written, and have not ended.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
+pub(super) struct PendingLoad {
+    pub(super) messages: u64,
+    pub(super) bytes: u64,
+}
+
 /// A tenant has as many pending messages as it may.
 #[derive(Clone, Copy)]
 pub(super) struct TenantOverload {
@@ -162,12 +169,14 @@
         }
     }
 
-    /// Pending messages, and their bytes.
-    pub(super) fn load(&self) -> (u64, u64) {
-        let unwritten = self.pending.values().filter_map(|pending| pending.request.sequenced());
-        unwritten.fold((self.progress.waiting, self.progress.bytes), |(count, bytes), sequenced| {
-            (count + 1, bytes + sequenced.size)
-        })
+    /// The messages that are accepted or being written, and have not ended.
+    pub(super) fn load(&self) -> PendingLoad {
+        let mut load = PendingLoad { messages: self.progress.waiting, bytes: self.progress.bytes };
+        for unwritten in self.pending.values().filter_map(|pending| pending.request.sequenced()) {
+            load.messages += 1;
+            load.bytes += unwritten.size;
+        }
+        load
     }
 
     /// The earliest deadline of an accepted message that has not ended.
--- a/courier/fleet/src/settlement/owner/mod.rs
+++ b/courier/fleet/src/settlement/owner/mod.rs
@@ -30,4 +30,4 @@
 mod verdict;
 
 pub use interface::{ATTEMPT_BACKOFF, OwnerInput, OwnerOutput, RETRY_INTERVAL, SettlementLimits};
-pub use owned::OwnedSettlements;
+pub use owned::{OwnedCounts, OwnedSettlements};
--- a/courier/fleet/src/settlement/owner/owned.rs
+++ b/courier/fleet/src/settlement/owner/owned.rs
@@ -2,7 +2,7 @@
 
 use super::capacity::pin_outputs;
 use super::interface::{OwnerInput, OwnerOutput, RETRY_INTERVAL, SettlementLimits};
-use super::machine::{Context, Handover, PinChange, Settlement, earlier};
+use super::machine::{Context, Handover, PendingLoad, PinChange, Settlement, earlier};
 use crate::settlement::model::{Mode, SettlementId};
 use crate::settlement::progress::SettlementProgress;
 use crate::settlement::registry::{SettlementCommand, SettlementOwner, SettlementRegistry};
@@ -22,8 +22,8 @@
     /// By tenant and destination.
     pub(super) budgets: BTreeMap<(String, u64), u32>,
     pub(super) settlements: BTreeMap<SettlementId, Settlement>,
-    /// By tenant: pending messages, and their bytes.
-    pub(super) loads: BTreeMap<String, (u64, u64)>,
+    /// By tenant.
+    pub(super) loads: BTreeMap<String, PendingLoad>,
     /// By tenant and destination.
     pub(super) pins: BTreeMap<(String, u64), Pins>,
     /// Sessions of settlements that have ended or moved, until their connections are gone.
@@ -40,6 +40,17 @@
     pub(super) is_sealed: bool,
 }
 
+/// What a courier has of settlements at present.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
+pub struct OwnedCounts {
+    /// Settlements that it owns.
+    pub settlements: usize,
+    /// Their pending messages.
+    pub messages: u64,
+    /// Bytes of these messages.
+    pub bytes: u64,
+}
+
 /// One step: the agreed state and the time that it sees, and what it leads to.
 pub(super) struct OwnerStep<'a> {
     pub(super) registry: &'a SettlementRegistry,
@@ -69,7 +80,6 @@
         }
     }
 
-    /// The mode in which the partner wants settlements that are opened from now on.
     /// How a partner wants the settlements that are opened from now on.
     pub fn set_mode(&mut self, dest: u64, mode: Mode) {
         self.modes.insert(dest, mode);
@@ -84,23 +94,21 @@
         pin_outputs(granted).collect()
     }
 
-    /// When an [`OwnerInput::Tick`] is wanted.
     /// When an [`OwnerInput::Tick`] is wanted.
     pub fn wake_at(&self) -> Option<Micros> {
         earlier(self.due.first().map(|(at, _)| *at), self.cancel_drain_at)
     }
 
-    /// The number of settlements, of their pending messages, and the bytes of these.
-    pub fn sizes(&self) -> (usize, u64, u64) {
-        let (messages, bytes) = self
-            .loads
-            .values()
-            .fold((0, 0), |(messages, bytes), (count, size)| (messages + count, bytes + size));
-        (self.settlements.len(), messages, bytes)
+    /// How much it has to do at present.
+    pub fn counts(&self) -> OwnedCounts {
+        OwnedCounts {
+            settlements: self.settlements.len(),
+            messages: self.loads.values().map(|load| load.messages).sum(),
+            bytes: self.loads.values().map(|load| load.bytes).sum(),
+        }
     }
 
     /// The connections that are reserved for a tenant's sessions at a partner.
-    /// Connections that are pinned for a tenant at a partner.
     pub fn pinned(&self, tenant: &str, dest: u64) -> usize {
         self.pins.get(&(tenant.to_string(), dest)).map_or(0, Pins::pinned)
     }
@@ -163,7 +171,7 @@
     }
 
     fn session_lost(&mut self, id: &SettlementId, session: u32, step: &mut OwnerStep) {
-        if self.dropping.remove(&(id.clone(), session)) {
+        if self.dropping.remove(&SessionKey { settlement: id.clone(), session }) {
             self.unpin(id, session, &mut step.outputs);
         }
         self.with_settlement(id, step, |s, _, cx| s.session_lost(session, cx));
@@ -173,10 +181,10 @@
         let mut is_wanted = false;
         self.with_settlement(&id, step, |s, _, cx| is_wanted = s.session_pinned(session, cx));
         let key = (id.tenant.clone(), id.dest);
-        let session_key = (id, session);
+        let session_key = SessionKey { settlement: id, session };
         let is_known = self.pins.get(&key).is_some_and(|pins| pins.is_pinned(&session_key));
         if !is_wanted && !is_known {
-            step.outputs.push(OwnerOutput::Unpin { id: session_key.0, session });
+            step.outputs.push(OwnerOutput::Unpin { id: session_key.settlement, session });
         }
     }
 
@@ -219,7 +227,9 @@
     /// Sealed: only connections that are still to be dropped matter.
     fn step_sealed(&mut self, input: OwnerInput) -> Vec<OwnerOutput> {
         match input {
-            OwnerInput::SessionLost { id, session } if self.dropping.remove(&(id.clone(), session)) => {
+            OwnerInput::SessionLost { id, session }
+                if self.dropping.remove(&SessionKey { settlement: id.clone(), session }) =>
+            {
                 vec![OwnerOutput::Unpin { id, session }]
             }
             OwnerInput::Pinned { id, session } => vec![OwnerOutput::Unpin { id, session }],
--- a/courier/fleet/src/settlement/registry/mod.rs
+++ b/courier/fleet/src/settlement/registry/mod.rs
@@ -82,9 +82,9 @@
         self.open.iter()
     }
 
-    /// The number of open settlements, and of remembered verdicts.
-    pub fn sizes(&self) -> (usize, usize) {
-        (self.open.len(), self.ended.len())
+    /// Whether it remembers any verdict.
+    pub fn has_verdicts(&self) -> bool {
+        !self.ended.is_empty()
     }
 
     /// Whether this courier is leaving: it is given no settlement.
--- a/courier/fleet/src/settlement/session.rs
+++ b/courier/fleet/src/settlement/session.rs
@@ -37,8 +37,14 @@
     waiting: VecDeque<SessionKey>,
 }
 
-/// A settlement, and the number of its session.
-pub type SessionKey = (SettlementId, u32);
+/// A session in the whole fleet.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct SessionKey {
+    /// The settlement of the session.
+    pub settlement: SettlementId,
+    /// Its number in the settlement.
+    pub session: u32,
+}
 
 impl Pins {
     /// No reservation yet, of a budget of so many connections.
--- a/courier/fleet/src/shares.rs
+++ b/courier/fleet/src/shares.rs
@@ -6,7 +6,7 @@
 use crate::budget::state::PartnerBudget;
 use crate::budget::{
     Budget, BudgetCommand, BudgetEvent, BudgetGate, BudgetLeader, BudgetMessage, BudgetState,
-    ConnectionOrder, Report, TimeBounds, calls,
+    ConnectionOrder, GateReports, Report, TimeBounds, calls,
 };
 use crate::config::Name;
 use crate::state::Epoch;
@@ -145,7 +145,7 @@
 
     /// The reports to the leader, as far as they are due.
     pub fn reports(&mut self, now: Micros) -> Vec<(BudgetKind, Report)> {
-        let (connections, calls) = self.gate.reports(now);
+        let GateReports { connections, calls } = self.gate.reports(now);
         let connections = connections.map(|report| (BudgetKind::Connections, report));
         connections.into_iter().chain(calls.map(|report| (BudgetKind::Calls, report))).collect()
     }
--- a/courier/fleet/tests/agreement/fleet.rs
+++ b/courier/fleet/tests/agreement/fleet.rs
@@ -3,8 +3,8 @@
 use quillmount_core::store::Memory;
 use quillmount_fleet::NodeId;
 use quillmount_fleet::agreement::{
-    Agreement, AgreementError, AgreementInput, AgreementLimits, AgreementOutput, MembershipChange,
-    RejectReason,
+    Agreement, AgreementError, AgreementInput, AgreementLimits, AgreementOutput, CommittedCommand,
+    MembershipChange, RejectReason,
 };
 use quillmount_test_support::digest::Counts;
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,8 +23,9 @@
     bytes.chunks(16).map(|c| (read_u64(&c[..8]), read_u64(&c[8..]))).collect()
 }
 
-pub fn decode_commands(committed: &[(u64, Vec<u8>)]) -> State {
-    committed.iter().map(|(i, c)| (*i, u64::from_le_bytes(c.as_slice().try_into().unwrap()))).collect()
+pub fn decode_commands(committed: &[CommittedCommand]) -> State {
+    let number = |command: &[u8]| u64::from_le_bytes(command.try_into().unwrap());
+    committed.iter().map(|entry| (entry.index, number(&entry.command))).collect()
 }
 
 pub struct Node {
@@ -119,7 +120,7 @@
         let (agreement, opened) = Agreement::open(disk, node_id, self.limits.clone(), self.now).unwrap();
         assert_eq!(agreement.node_id(), node_id);
         let (mut state, mut applied_index) = (decode_state(&opened.state), opened.index);
-        for (index, command) in opened.committed {
+        for CommittedCommand { index, command } in opened.committed {
             let command = u64::from_le_bytes(command.try_into().unwrap());
             assert_eq!(self.committed.get(&index), Some(&command), "courier {node_id} has made up {index}");
             state.push((index, command));
--- a/courier/fleet/tests/agreement/main.rs
+++ b/courier/fleet/tests/agreement/main.rs
@@ -7,8 +7,8 @@
 use quillmount_core::store::{Fault, Memory};
 use quillmount_fleet::NodeId;
 use quillmount_fleet::agreement::{
-    Agreement, AgreementError, AgreementInput, AgreementLimits, AgreementOutput, MembershipChange,
-    RejectReason,
+    Agreement, AgreementError, AgreementInput, AgreementLimits, AgreementOutput, CommittedCommand,
+    MembershipChange, RejectReason,
 };
 use quillmount_test_support::digest::{SEEDS, compare_with_file};
 use records::{entry, open_with_records};
@@ -514,7 +514,9 @@
             ((2, 7, commit), vec![entry(2, 2)]),
         ])
     };
-    assert_eq!(written(2).unwrap(), [(1, vec![1, 1]), (2, vec![2, 2])]);
+    let expected =
+        [(1, vec![1, 1]), (2, vec![2, 2])].map(|(index, command)| CommittedCommand { index, command });
+    assert_eq!(written(2).unwrap(), expected);
     assert!(matches!(written(3), Err(AgreementError::Damaged { .. })), "the third is there no more");
 }
 
--- a/courier/fleet/tests/agreement/records.rs
+++ b/courier/fleet/tests/agreement/records.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::SECOND;
 use quillmount_core::store::Memory;
-use quillmount_fleet::agreement::{Agreement, AgreementError, AgreementLimits};
+use quillmount_fleet::agreement::{Agreement, AgreementError, AgreementLimits, CommittedCommand};
 
 /// The records of the file format, version 1, as far as the tests here build them.
 #[derive(serde::Serialize)]
@@ -31,7 +31,7 @@
 /// Opens a file of these records, all valid by themselves. Returns what is known to be committed.
 pub fn open_with_records(
     written: Vec<(HardState, Vec<Entry>)>,
-) -> Result<Vec<(u64, Vec<u8>)>, AgreementError> {
+) -> Result<Vec<CommittedCommand>, AgreementError> {
     let appends = written.into_iter().map(|(hard_state, entries)| FileRecord::Append { hard_state, entries });
     let mut bytes = Vec::new();
     for record in std::iter::once(FileRecord::Identity { form: 1, node_id: 5 }).chain(appends) {
--- a/courier/fleet/tests/explore/process.rs
+++ b/courier/fleet/tests/explore/process.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use quillmount_core::journal::{self, AcceptedMessage, End, JournalContents, JournalRecord};
 use quillmount_core::store::Store;
-use quillmount_fleet::agreement::Opened;
+use quillmount_fleet::agreement::{CommittedCommand, Opened};
 use quillmount_fleet::member::{AgreementLog, Member, MemberInput, MemberOutput};
 use quillmount_fleet::message::FleetMessage;
 use quillmount_fleet::state::{PartitionId, partition_of};
@@ -57,8 +57,9 @@
         with_effects(|h| h.disks[i].insert("token".into(), node_id.to_le_bytes().into()));
         let applied = with_effects(|h| h.disks[i].get("applied").cloned());
         let applied = applied.map_or(0, |t| u64::from_le_bytes(t[..].try_into().unwrap())) as usize;
-        let committed = self.log[..applied].iter().enumerate().map(|(n, c)| (n as u64 + 1, c.clone()));
-        let committed = committed.collect();
+        let committed = self.log[..applied].iter().zip(1..);
+        let committed =
+            committed.map(|(command, index)| CommittedCommand { index, command: command.clone() }).collect();
         let opened = Opened { new: stored_id.is_none(), state: Vec::new(), index: 0, committed };
         let log = ModelLog { node_id, ..ModelLog::default() };
         let config = config(i, self.scenario.copies);
--- a/courier/fleet/tests/parts/calls.rs
+++ b/courier/fleet/tests/parts/calls.rs
@@ -58,7 +58,7 @@
     let most = begun.iter().map(|at| begun.iter().filter(|b| (*at..at + SPAN).contains(*b)).count()).max();
     assert_eq!((most, begun.len()), (Some(10), 50));
     // What a tenant sends in a span is what it asks for; it isn't called back for being idle just now.
-    let report = gate.reports(5_000_000).1.unwrap();
+    let report = gate.reports(5_000_000).calls.unwrap();
     assert_eq!((report.lines[0].demand, report.lines[0].open), (11, 10), "and the one that was refused");
     // No connection: the call isn't counted.
     let permits: Vec<_> = (0..3).map(|_| gate.connections.acquire(1, "a", 7_000_000).unwrap()).collect();
--- a/courier/fleet/tests/parts/local.rs
+++ b/courier/fleet/tests/parts/local.rs
@@ -46,7 +46,7 @@
 
 fn released(local_budget: &mut LocalBudget, tenant: &str, now: Micros) -> Option<u32> {
     let report = local_budget.report(now).unwrap();
-    report.lines.into_iter().find(|l| l.tenant == tenant)?.released.map(|(_, to)| to)
+    report.lines.into_iter().find(|l| l.tenant == tenant)?.released.map(|recall| recall.connections)
 }
 
 #[test]
--- a/courier/fleet/tests/parts/owner.rs
+++ b/courier/fleet/tests/parts/owner.rs
@@ -1,7 +1,7 @@
 //! The owner of settlements.
 
 use quillmount_fleet::settlement::owner::{
-    ATTEMPT_BACKOFF, OwnedSettlements, OwnerInput, OwnerOutput, SettlementLimits,
+    ATTEMPT_BACKOFF, OwnedCounts, OwnedSettlements, OwnerInput, OwnerOutput, SettlementLimits,
 };
 use quillmount_fleet::settlement::{
     Cause, End, JournalRef, Mode, Outcome, Repeat, Resume, SequencedMessage, SettlementCommand,
@@ -139,7 +139,7 @@
     );
     assert_eq!(owner.request("a", SettlementRequest::Submit(sequenced(1, None))), SettlementReply::Accepted);
     assert_eq!(owner.request("b", SettlementRequest::Submit(sequenced(1, None))), SettlementReply::Accepted);
-    assert_eq!(owner.owned.sizes(), (2, 5, 50));
+    assert_eq!(owner.owned.counts(), OwnedCounts { settlements: 2, messages: 5, bytes: 50 });
 }
 
 #[test]
@@ -166,7 +166,7 @@
         owner.request("a", SettlementRequest::Submit(sequenced(2, None))),
         SettlementReply::Ended(End::NeverRan { broken_at: 1 })
     );
-    assert_eq!(owner.owned.sizes().1, 0, "nothing waits any more");
+    assert_eq!(owner.owned.counts().messages, 0, "nothing waits any more");
 }
 
 #[test]
--- a/courier/fleet/tests/parts/session.rs
+++ b/courier/fleet/tests/parts/session.rs
@@ -6,7 +6,8 @@
 };
 
 fn session_key(name: &str) -> SessionKey {
-    (SettlementId { tenant: "north".into(), name: name.into(), dest: 7 }, 1)
+    let settlement = SettlementId { tenant: "north".into(), name: name.into(), dest: 7 };
+    SessionKey { settlement, session: 1 }
 }
 
 #[test]
--- a/courier/fleet/tests/settlement/exploration.rs
+++ b/courier/fleet/tests/settlement/exploration.rs
@@ -115,7 +115,8 @@
 fn is_owner(world: &World, index: usize) -> bool {
     let courier = &world.couriers[index];
     let name = courier_name(index);
-    courier.owned.sizes().0 > 0 || world.agreed.owners().any(|(_, owner)| owner.is_at(&name, courier.epoch))
+    courier.owned.counts().settlements > 0
+        || world.agreed.owners().any(|(_, owner)| owner.is_at(&name, courier.epoch))
 }
 
 /// Whether the event may be delivered before all others: waiting would change nothing.
--- a/courier/fleet/tests/settlement/invariants.rs
+++ b/courier/fleet/tests/settlement/invariants.rs
@@ -1,7 +1,7 @@
 //! What the partner and the clients observe of each settlement, and the properties that must hold of it.
 
 use crate::world::{Micros, World};
-use quillmount_fleet::settlement::{End, Repeat, SettlementId, Verdict};
+use quillmount_fleet::settlement::{End, OwnedCounts, Repeat, SettlementId, Verdict};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A session of a settlement: the courier and registration that opened it, and its number.
@@ -143,8 +143,8 @@
         }
         for courier in self.couriers.clone() {
             let is_up = courier.is_up() && courier.applied == self.log.len();
-            if is_up && (courier.owned.sizes(), courier.forwarder.len()) != ((0, 0, 0), 0) {
-                self.report_violation(format!("a courier still has {:?}", courier.owned.sizes()));
+            if is_up && (courier.owned.counts(), courier.forwarder.len()) != (OwnedCounts::default(), 0) {
+                self.report_violation(format!("a courier still has {:?}", courier.owned.counts()));
             }
         }
     }
--- a/courier/fleet/tests/settlement/simulation.rs
+++ b/courier/fleet/tests/settlement/simulation.rs
@@ -158,7 +158,7 @@
     fn note_maxima(&mut self) {
         let totals = &mut *self.totals;
         totals.most_in_flight = totals.most_in_flight.max(self.world.in_flight.len());
-        let pending = self.world.couriers.iter().map(|courier| courier.owned.sizes().1).max();
+        let pending = self.world.couriers.iter().map(|courier| courier.owned.counts().messages).max();
         totals.most_pending = totals.most_pending.max(pending.unwrap_or(0));
     }
 
--- a/courier/fleet/tests/stored_forms.rs
+++ b/courier/fleet/tests/stored_forms.rs
@@ -104,7 +104,7 @@
         sequence: 301,
         clear: true,
         left: false,
-        lines: vec![line(1, None), line(300, Some((302, 1)))],
+        lines: vec![line(1, None), line(300, Some(budget::ConfirmedRecall { number: 302, connections: 1 }))],
     }
 }
 
@@ -681,7 +681,7 @@
             assert_eq!(voters, [1, 2, 3]);
             let state: Vec<u8> = [opened.state]
                 .into_iter()
-                .chain(opened.committed.into_iter().map(|(_, c)| c))
+                .chain(opened.committed.into_iter().map(|committed| committed.command))
                 .flatten()
                 .collect();
             assert_eq!(state, through.1);
