--- a/tools/explore/src/world/process.rs
+++ b/tools/explore/src/world/process.rs
@@ -6,7 +6,7 @@
 use crate::property::{Property, Violation, violated};
 use crate::world::discovery::list_update;
 use crate::world::state::{ListEntry, ProcessState, START, World, message_index};
-use quillmount_core::journal::JournalEntry;
+use quillmount_core::journal::{JournalContents, JournalEntry};
 use quillmount_core::machine::notices::Notices;
 use quillmount_core::machine::watch::{Watch, WatchInput};
 use quillmount_core::store::Memory;
@@ -20,6 +20,8 @@
 const CALLS_STOP: Micros = 3_200_000;
 /// Time from SIGTERM until the process ends, in microseconds.
 const PROCESS_STOP: Micros = 3_400_000;
+/// A time that no path reaches, while it is unknown when the next incarnation is ready.
+const FAR_FUTURE: Micros = Micros::MAX / 2;
 /// The port of the first endpoint.
 const FIRST_PORT: u16 = 1_000;
 
@@ -84,7 +86,7 @@
     pub(super) fn terminate(&mut self) -> Result<(), Violation> {
         self.process = ProcessState::Stopping { end: self.now + PROCESS_STOP };
         // No notice is overdue until the next incarnation is ready.
-        self.monitor.grace_until = Micros::MAX / 2;
+        self.monitor.grace_until = FAR_FUTURE;
         let actions = self.hub.stop(self.now, self.now + CALLS_STOP);
         self.execute(actions)
     }
@@ -93,7 +95,7 @@
     pub(super) fn crash(&mut self) -> Result<(), Violation> {
         self.crashing = false;
         self.monitor.crashed();
-        self.monitor.grace_until = Micros::MAX / 2;
+        self.monitor.grace_until = FAR_FUTURE;
         self.calls.clear();
         self.closed.clear();
         self.sent_notices.clear();
@@ -129,15 +131,7 @@
             }
         };
         self.hub = opened.hub;
-        let after = self.journal_contents();
-        // The start may append calls at once, but loses none.
-        let is_kept = |(number, entry): (&u64, &JournalEntry)| {
-            after
-                .owed
-                .get(number)
-                .is_some_and(|now| now.taken == entry.taken && now.calls.starts_with(&entry.calls))
-        };
-        if !before.owed.iter().all(is_kept) {
+        if !contains_entries(&self.journal_contents(), &before) {
             return violated(Property::Durability, "the store tells something else after the start".into());
         }
         let pending = before.owed.iter();
@@ -153,3 +147,14 @@
         self.send_list(false)
     }
 }
+
+/// Whether a journal has all pending messages and calls of an earlier one: a start may append calls at once, but loses none.
+fn contains_entries(after: &JournalContents, before: &JournalContents) -> bool {
+    let is_restored = |(number, entry): (&u64, &JournalEntry)| {
+        after
+            .owed
+            .get(number)
+            .is_some_and(|now| now.taken == entry.taken && now.calls.starts_with(&entry.calls))
+    };
+    before.owed.iter().all(is_restored)
+}
