--- a/courier/program/examples/fleet_budget.rs
+++ b/courier/program/examples/fleet_budget.rs
@@ -248,8 +248,8 @@
 /// Loses this courier, or brings the lost one back if there is none to lose.
 async fn lose_or_heal(fleet: &mut Fleet, loss: Option<&Loss>) -> Result<()> {
     match loss {
-        None => fleet.heal().await,
-        Some(Loss { courier, is_killed: true }) => fleet.kill(*courier).await,
+        None => Ok(fleet.heal().await?),
+        Some(Loss { courier, is_killed: true }) => Ok(fleet.kill(*courier).await?),
         Some(Loss { courier, is_killed: false }) => {
             fleet.set_links(*courier, LinkMode::Partitioned);
             Ok(())
@@ -277,7 +277,7 @@
 fn answer_calls(fleet: &Fleet, flood: &Flood) {
     let now = fleet.recorder.now();
     fleet.partner(0).release_where(Answer::ok(), |call| {
-        let is_due = call.whole.is_some_and(|whole| whole.at + CALL_TIME <= now);
+        let is_due = call.completed.is_some_and(|completed| completed.at + CALL_TIME <= now);
         if is_due && call.id.starts_with("flood") {
             flood.remove(call.courier);
         }
