--- a/courier/program/examples/fleet_budget.rs
+++ b/courier/program/examples/fleet_budget.rs
@@ -228,7 +228,7 @@
 fn release(fleet: &Fleet, in_flight: &Rc<RefCell<BTreeMap<usize, usize>>>) {
     let now = fleet.recorder.now();
     fleet.partner(0).release_where(Answer::ok(), |call| {
-        let ready = call.whole.is_some_and(|whole| whole.at + TAKES <= now);
+        let ready = call.completed.is_some_and(|whole| whole.at + TAKES <= now);
         if ready
             && call.id.starts_with("flood")
             && let Some(has) = in_flight.borrow_mut().get_mut(&call.courier)
--- a/courier/program/tests/fleet/lost.rs
+++ b/courier/program/tests/fleet/lost.rs
@@ -58,7 +58,7 @@
         assert_eq!(calls(&fleet, "debit"), 1);
         // Where the taker's own call was out, that is one more.
         let by = |record: &RunRecord| {
-            let mut calls = record.calls_of("paid").filter(|call| call.whole.is_some());
+            let mut calls = record.calls_of("paid").filter(|call| call.completed.is_some());
             calls.find(|call| ![4, takes].contains(&call.courier)).map(|_| ())
         };
         fleet.wait_until("the second taker's call", WAIT_TIMEOUT, by).await.unwrap();
--- a/courier/program/tests/fleet/main.rs
+++ b/courier/program/tests/fleet/main.rs
@@ -129,7 +129,7 @@
 
 async fn call(fleet: &Fleet, id: &str, n: usize) -> RecordedCall {
     let found =
-        |record: &RunRecord| record.calls_of(id).filter(|call| call.whole.is_some()).nth(n - 1).cloned();
+        |record: &RunRecord| record.calls_of(id).filter(|call| call.completed.is_some()).nth(n - 1).cloned();
     fleet.wait_until(&format!("call {n} of {id}"), WAIT_TIMEOUT, found).await.unwrap()
 }
 
--- a/courier/program/tests/fleet_budget.rs
+++ b/courier/program/tests/fleet_budget.rs
@@ -69,13 +69,13 @@
 }
 
 fn whole(record: &RunRecord) -> usize {
-    record.calls.iter().filter(|call| call.whole.is_some()).count()
+    record.calls.iter().filter(|call| call.completed.is_some()).count()
 }
 
 /// Calls that the partner holds now.
 fn held(record: &RunRecord) -> impl Iterator<Item = &str> {
     let held = |call: &&quillmount_standins::record::RecordedCall| {
-        call.whole.is_some() && call.answered.is_none() && call.abandoned.is_none()
+        call.completed.is_some() && call.answered.is_none() && call.abandoned.is_none()
     };
     record.calls.iter().filter(held).map(|call| call.id.as_str())
 }
--- a/tools/standins/src/audit/calls.rs
+++ b/tools/standins/src/audit/calls.rs
@@ -34,7 +34,7 @@
         let (key, was) = (submission.key.clone(), call.key.clone());
         found.push(Finding::KeyChanged { id: id.clone(), call: evidence.clone(), key, was });
     }
-    if call.whole && !message.submissions.iter().any(|submission| submission.body == call.body) {
+    if call.complete && !message.submissions.iter().any(|submission| submission.body == call.body) {
         found.push(Finding::BodyChanged { id, call: evidence });
     }
 }
--- a/tools/standins/src/audit/ends.rs
+++ b/tools/standins/src/audit/ends.rs
@@ -85,17 +85,17 @@
     journals: &JournalIndex,
     found: &mut Vec<Finding>,
 ) {
-    let accepted = message
+    let first_accepted = message
         .submissions
         .iter()
         .filter_map(|submission| Some((submission.accepted_at()?, submission)))
         .min_by_key(|(at, _)| *at);
-    let Some((taken, submission)) = accepted else { return };
+    let Some((accepted, submission)) = first_accepted else { return };
     let (id, courier) = (id.to_string(), submission.courier);
-    let deadline = taken + submission.time_left;
+    let deadline = accepted + submission.time_left;
     if history.at > deadline + history.rules.grace {
-        found.push(Finding::Lost { id, courier, taken, deadline });
+        found.push(Finding::Lost { id, courier, accepted, deadline });
     } else if !history.journals.is_empty() && !journals.knows(&id) {
-        found.push(Finding::Forgotten { id, courier, taken });
+        found.push(Finding::Forgotten { id, courier, accepted });
     }
 }
--- a/tools/standins/src/audit/finding.rs
+++ b/tools/standins/src/audit/finding.rs
@@ -43,7 +43,7 @@
 pub enum Finding {
     /// An accepted message has no end, and its time is up.
     #[error(
-        "{id}: courier {courier} took it on at {taken}; its time was up at {deadline}, and it has no end"
+        "{id}: courier {courier} took it on at {accepted}; its time was up at {deadline}, and it has no end"
     )]
     Lost {
         /// The message.
@@ -51,19 +51,19 @@
         /// The courier, by its number.
         courier: usize,
         /// When the message was accepted.
-        taken: Micros,
+        accepted: Micros,
         /// When its time was up.
         deadline: Micros,
     },
     /// An accepted message has no end, and no journal has it.
-    #[error("{id}: courier {courier} took it on at {taken}; it has no end, and no journal tells of it")]
+    #[error("{id}: courier {courier} took it on at {accepted}; it has no end, and no journal tells of it")]
     Forgotten {
         /// The message.
         id: String,
         /// The courier, by its number.
         courier: usize,
         /// When the message was accepted.
-        taken: Micros,
+        accepted: Micros,
     },
     /// Calls or notices of a message that no client submitted.
     #[error("{id}: nobody handed it in, and there were {calls} calls and {notices} notices of it")]
--- a/tools/standins/src/audit/history.rs
+++ b/tools/standins/src/audit/history.rs
@@ -64,7 +64,7 @@
     /// When its head was received.
     pub began: Micros,
     /// Whether its body was complete.
-    pub whole: bool,
+    pub complete: bool,
     /// Whether it ran, or may have.
     pub ran: bool,
     /// When it was answered, and with which status.
--- a/tools/standins/src/endpoint.rs
+++ b/tools/standins/src/endpoint.rs
@@ -101,10 +101,11 @@
             crc: crc32fast::Hasher::new(),
             answered: false,
         };
-        let whole = self.read_body(&mut call).await?;
-        let body = ObservationKind::Body { bytes: call.bytes, crc: call.crc.clone().finalize(), whole };
+        let complete = self.read_body(&mut call).await?;
+        let body =
+            ObservationKind::Body { bytes: call.bytes, crc: call.crc.clone().finalize(), whole: complete };
         self.observer.observe(&call.id, body).await;
-        if !whole {
+        if !complete {
             // If bytes were received that are not read, the system resets the connection.
             return Ok(NextStep::Close);
         }
--- a/tools/standins/src/partner/session.rs
+++ b/tools/standins/src/partner/session.rs
@@ -89,7 +89,7 @@
                 tenant,
                 head,
                 body: BodyDigest::default(),
-                whole: None,
+                completed: None,
                 ran: false,
                 answered: None,
                 unheard: false,
@@ -115,7 +115,7 @@
         self.shared.update(index, |call, when| {
             call.body = BodyDigest { bytes, crc: crc.finalize() };
             if complete {
-                call.whole = Some(when);
+                call.completed = Some(when);
                 call.ran = true;
             } else {
                 abandon(call, when);
--- a/tools/standins/src/record/entries.rs
+++ b/tools/standins/src/record/entries.rs
@@ -6,7 +6,7 @@
 /// When something was recorded. Stamps are in the order of recording.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Stamp {
-    /// Its number in the whole record, from 1.
+    /// Its number in the record, from 1.
     pub n: u64,
     /// Unix time in microseconds.
     pub at: Micros,
@@ -63,7 +63,7 @@
     /// What was received of its body.
     pub body: BodyDigest,
     /// When its body was complete.
-    pub whole: Option<Stamp>,
+    pub completed: Option<Stamp>,
     /// Whether it has run: it was complete, and the answer does not say otherwise.
     pub ran: bool,
     /// When it was answered and with which status, even if the listener let no answer out.
--- a/tools/standins/src/record/history.rs
+++ b/tools/standins/src/record/history.rs
@@ -74,7 +74,7 @@
         courier: recorded.courier,
         connection: recorded.connection,
         began: recorded.began.at,
-        whole: recorded.whole.is_some(),
+        complete: recorded.completed.is_some(),
         ran: recorded.ran,
         answered: recorded.answered.map(|(when, status)| (when.at, status)),
         unheard: recorded.unheard,
--- a/tools/standins/tests/audit.rs
+++ b/tools/standins/tests/audit.rs
@@ -1,4 +1,4 @@
-//! Histories that are broken on purpose, one rule each: the auditor finds that and nothing else.
+//! Histories that violate one rule each: the auditor finds that violation and nothing else.
 
 use bytes::Bytes;
 use proptest::prelude::*;
@@ -13,7 +13,7 @@
 use quillmount_standins::record::BodyDigest;
 
 const SEC: Micros = 1_000_000;
-/// When it all begins.
+/// The time at which the histories begin.
 const T0: Micros = 1_000 * SEC;
 
 fn submission(id: &str, class: &str) -> Submission {
@@ -39,7 +39,7 @@
         courier,
         connection: courier as u64,
         began,
-        whole: true,
+        complete: true,
         ran: !matches!(status, Some(429 | 503)),
         answered: status.map(|status| (began + 50, status)),
         unheard: false,
@@ -55,7 +55,7 @@
     SettlementPosition { settlement: settlement.into(), position, of: None, at, ran: true, session }
 }
 
-/// A journal's bytes with these records.
+/// A journal with these records.
 fn journal(records: &[JournalRecord]) -> Journal {
     let mut notes = Vec::new();
     let opened = journal::Journal::open(Memory::default(), 1 << 20, T0, &mut notes);
@@ -72,10 +72,9 @@
     JournalRecord::Accept { msg, taken }
 }
 
-/// What goes well, with all that is allowed: a refusal that is tried again, a notice that is told again, a
-/// repeat within its span, an answer that a killed courier did not hear, a call that the copies knew of, a
-/// message still owed, a budget lowered and met, settlements closed, broken, and in sessions one after the
-/// other.
+/// A history without findings, with all that is allowed: a rejected message that is submitted again, a repeated notice, a
+/// repeat within its span, an answer that a killed courier did not receive, a call that the replicas knew of, a message that
+/// is still pending, a budget that is lowered and observed, settlements that are closed, broken, and in consecutive sessions.
 fn clean() -> History {
     let late = T0 + 12 * SEC;
     let refused = Submission { answered: Some((T0, 503)), ..submission("debit", "fee-debit") };
@@ -144,8 +143,8 @@
     }
 }
 
-/// A break, done to a history, and what its finding's text says.
-type Break = (fn(&mut History), &'static str);
+/// A violation that is added to a history, and the beginning of its finding's text.
+type Violation = (fn(&mut History), &'static str);
 
 fn call<'a>(history: &'a mut History, id: &str) -> &'a mut ObservedCall {
     history.calls.iter_mut().rfind(|observed| observed.id == id).unwrap()
@@ -155,8 +154,8 @@
     history.submissions.iter_mut().rfind(|submission| submission.id == id).unwrap()
 }
 
-/// Each of them leaves the others' messages alone, so that any of them may be done together.
-const BREAKS: &[Break] = &[
+/// Each leaves the findings of the others as they are, so that any of them can be combined.
+const VIOLATIONS: &[Violation] = &[
     // Ends.
     (
         |h| h.submissions.push(submission("b-lost", "fee-debit")),
@@ -378,15 +377,15 @@
 
 #[test]
 fn each_violation_is_found_and_nothing_else() {
-    for (spoil, text) in BREAKS {
+    for (violate, text) in VIOLATIONS {
         let mut history = clean();
-        spoil(&mut history);
+        violate(&mut history);
         let found = texts(&history);
         assert!(found.len() == 1 && found[0].starts_with(text), "{text}: {found:#?}");
     }
 }
 
-/// What is excused is excused for its reason alone.
+/// Without the reason that excuses it, each of these is a finding.
 #[test]
 fn without_the_fault_window_or_the_seal_the_same_history_is_a_finding() {
     let mut history = clean();
@@ -404,14 +403,14 @@
 proptest! {
     #![proptest_config(Config { cases: 64, failure_persistence: None, rng_seed: RngSeed::Fixed(28), ..Config::default() })]
 
-    /// Whatever is broken together is found together, in whatever order the lists are.
+    /// All violations of a history are found, in whatever order its lists are.
     #[test]
     fn any_combination_of_violations_is_found(
-        chosen in proptest::sample::subsequence((0..BREAKS.len()).collect::<Vec<_>>(), 0..=BREAKS.len()),
+        chosen in proptest::sample::subsequence((0..VIOLATIONS.len()).collect::<Vec<_>>(), 0..=VIOLATIONS.len()),
         seed in any::<u64>(),
     ) {
         let mut history = clean();
-        chosen.iter().for_each(|n| BREAKS[*n].0(&mut history));
+        chosen.iter().for_each(|n| VIOLATIONS[*n].0(&mut history));
         let mut order = fastrand::Rng::with_seed(seed);
         let before = audit(&history);
         order.shuffle(&mut history.submissions);
@@ -422,7 +421,7 @@
         prop_assert_eq!(audit(&history).len(), before.len());
         for n in chosen {
             let found = texts(&history);
-            let text = BREAKS[n].1;
+            let text = VIOLATIONS[n].1;
             prop_assert!(found.iter().any(|found| found.starts_with(text)), "{text}: {found:#?}");
         }
     }
--- a/tools/standins/tests/links.rs
+++ b/tools/standins/tests/links.rs
@@ -1,5 +1,5 @@
-//! Each script of a link does what it says, between a plain client and a partner: what happens is told by
-//! the order of events. Where nothing is to happen, another link's exchanges show that it had its time.
+//! Modes and faults of a link between a plain client and a partner. What happens is shown by the order of events; where nothing
+//! is to happen, exchanges over another link show that there was time for it.
 
 use quillmount_standins::fleet::link::{Link, LinkEvent, LinkEventKind, LinkMode, RequestFault};
 use quillmount_standins::fleet::{WAIT_TIMEOUT, run_test};
@@ -33,13 +33,13 @@
         self.1.write_all(&[head.as_bytes(), body].concat()).await.unwrap();
     }
 
-    /// The answer's status; none where the connection ended or broke first.
+    /// The status of the answer; `None`: the connection ended or broke first.
     async fn answer(&mut self) -> Option<u16> {
         self.0.head().await.ok().flatten().map(|head| head.status())
     }
 }
 
-/// Two links to one partner: the one that is tried, and one that passes.
+/// Two links to one partner: the one that is tested, and one that passes.
 struct LinkFixture {
     recorder: Recorder,
     tried: Link,
@@ -58,7 +58,7 @@
         LinkFixture { tried: link(0), other: link(1), barriers: 0, partner, recorder }
     }
 
-    /// Ten exchanges over the other link: what was on its way has come.
+    /// Makes ten exchanges over the other link: what was in flight has arrived.
     async fn barrier(&mut self) {
         for _ in 0..10 {
             self.barriers += 1;
@@ -86,7 +86,7 @@
 }
 
 fn is_complete(call: &RecordedCall) -> bool {
-    call.whole.is_some()
+    call.completed.is_some()
 }
 
 #[test]
@@ -112,7 +112,7 @@
         let mut client = Client::of(&fixture.tried).await;
         client.send("before", b"").await;
         assert_eq!(client.answer().await, Some(200));
-        // An answer that is out when it is cut stays out too.
+        // An answer that is pending when the partition begins does not arrive either.
         client.send("held", b"").await;
         fixture.call("held", is_complete).await;
         fixture.tried.set(LinkMode::Partitioned);
@@ -127,9 +127,9 @@
         assert_eq!(answer, Some(200));
         new.await.unwrap().unwrap();
         fixture.barrier().await;
-        // What kept the queue full was none of anybody's.
-        let came = |passed: &&LinkEvent| passed.from == 0 && passed.what == LinkEventKind::ConnectionOpened;
-        assert_eq!(fixture.recorder.read(|record| record.link_events.iter().filter(came).count()), 2);
+        // The connections that filled the queue were not relayed.
+        let opened = |event: &&LinkEvent| event.from == 0 && event.what == LinkEventKind::ConnectionOpened;
+        assert_eq!(fixture.recorder.read(|record| record.link_events.iter().filter(opened).count()), 2);
         fixture.tried.set(LinkMode::Partitioned);
         client.send("late", b"").await;
         fixture.barrier().await;
@@ -169,7 +169,7 @@
         fixture.call("one-way", |call| call.answered.is_some()).await;
         fixture.wait_for_event(LinkEventKind::BytesDropped).await;
         fixture.tried.set(LinkMode::Pass);
-        // The answer is not there to come: the connection ends.
+        // The answer was dropped: the connection ends.
         assert_eq!(client.answer().await, None);
     });
 }
@@ -201,7 +201,7 @@
         fixture.tried.set(LinkMode::Delay(Duration::from_millis(20)));
         client.send("first", b"").await;
         assert_eq!(client.answer().await, Some(200));
-        // A link that passes again brings what was delayed at once.
+        // A link that passes again delivers at once what was delayed.
         fixture.tried.set(LinkMode::Delay(LONG));
         client.send("second", b"").await;
         fixture.wait_for_event(LinkEventKind::Request { path: "/second".into(), body: 0 }).await;
@@ -239,8 +239,8 @@
         client.send("record", b"1234567").await;
         assert_eq!(client.answer().await, None);
         let cut = fixture.call("record", |call| call.abandoned.is_some()).await;
-        assert_eq!((cut.body, cut.whole, cut.ran), (BodyDigest::of(b"123"), None, false));
-        // In the head there is no call yet.
+        assert_eq!((cut.body, cut.completed, cut.ran), (BodyDigest::of(b"123"), None, false));
+        // A request that is truncated in its head is no call.
         fixture.tried.fault_next_request(RequestFault::CutAt(10));
         let mut client = Client::of(&fixture.tried).await;
         client.send("head", b"").await;
@@ -355,7 +355,7 @@
         };
         let first = TcpStream::connect(partner.addr(0)).await.unwrap();
         assert_eq!(came(0).await.unwrap().open, 1);
-        // Behind a door that is cut, nobody reads the end of what is closed.
+        // A partitioned listener does not read the end of a closed connection.
         partner.set(0, listener::ListenerMode::Partitioned);
         drop(first);
         let _second = TcpStream::connect(partner.addr(1)).await.unwrap();
