--- a/tier/dataplane/src/dispatch/outcome.rs
+++ b/tier/dataplane/src/dispatch/outcome.rs
@@ -1,5 +1,6 @@
 //! How a call at an endpoint ended.
 
+use crate::head::{MISDIRECTED_REQUEST, ResponseHead};
 use quillmount_wire::Micros;
 
 /// How a call ended, for the window and the backoff of its endpoint.
@@ -25,6 +26,15 @@
 }
 
 impl CallOutcome {
+    /// The outcome of a call whose answer promises that the request has not run; `None` for any other answer.
+    #[must_use]
+    pub fn of_rejection(head: &ResponseHead) -> Option<CallOutcome> {
+        if head.status == MISDIRECTED_REQUEST {
+            return Some(CallOutcome::Replaced);
+        }
+        head.promises_not_run().then_some(CallOutcome::Refused)
+    }
+
     /// The outcome of a call whose events were read to the end of the stream, or until the caller ended it.
     ///
     /// `first_event` is the time to the first event, `None` if there was none; `resumed` says whether the call continued a stream
--- a/tier/node/src/edge/forward/attempt.rs
+++ b/tier/node/src/edge/forward/attempt.rs
@@ -8,7 +8,6 @@
 use crate::http::{Connection, HttpResponse};
 use crate::upstream::{UpstreamAnswer, UpstreamError, UpstreamRequest};
 use quillmount_dataplane::dispatch::{CallOutcome, Reservation};
-use quillmount_dataplane::head::MISDIRECTED_REQUEST;
 
 /// Largest rejection of an endpoint that is read to its end, bytes.
 const REJECTION_LIMIT: usize = 16 << 20;
@@ -47,8 +46,8 @@
     attempt: &Attempt<'_>,
     answer: UpstreamAnswer,
 ) -> AttemptOutcome {
-    if answer.head.promises_not_run() {
-        return rejected(request, attempt, answer).await;
+    if let Some(rejection) = CallOutcome::of_rejection(&answer.head) {
+        return rejected(request, attempt, answer, rejection).await;
     }
     if NOT_RUN_STATUSES.contains(&answer.head.status) {
         // Forwarded, it would promise to the client that the request has not run, which the endpoint does not say.
@@ -86,11 +85,11 @@
     request: &mut ForwardedRequest<'_>,
     attempt: &Attempt<'_>,
     mut answer: UpstreamAnswer,
+    rejection: CallOutcome,
 ) -> AttemptOutcome {
     request.runs -= 1;
     request.misses += 1;
-    let replaced = answer.head.status == MISDIRECTED_REQUEST;
-    request.finish(attempt, if replaced { CallOutcome::Replaced } else { CallOutcome::Refused }, false);
+    request.finish(attempt, rejection, false);
     if answer.read_all(REJECTION_LIMIT).await.is_some() {
         answer.release(&request.node.upstreams);
     }
--- a/tier/node/src/store/items/attempt.rs
+++ b/tier/node/src/store/items/attempt.rs
@@ -10,7 +10,6 @@
 use crate::upstream::{BodyProgress, UpstreamAnswer, UpstreamError, UpstreamRequest};
 use quillmount_dataplane::dispatch::{CallOutcome, Reservation};
 use quillmount_dataplane::events::{EventReader, SseEvent};
-use quillmount_dataplane::head::MISDIRECTED_REQUEST;
 use quillmount_wire::Micros;
 use quillmount_wire::messages::Phase;
 use std::rc::Rc;
@@ -93,15 +92,16 @@
     /// Reads an answer that is not a stream of events.
     async fn read_status(&self, mut answer: UpstreamAnswer) -> ItemAttemptOutcome {
         let status = answer.head.status;
-        let not_run = answer.head.promises_not_run();
+        let rejection = CallOutcome::of_rejection(&answer.head);
         let complete = tokio::time::timeout(SILENCE_TIMEOUT, answer.read_all(ANSWER_LIMIT)).await;
         if !matches!(complete, Ok(Some(_))) {
             return ItemAttemptOutcome::Retry(CallOutcome::Lost);
         }
         answer.release(&self.store.node.upstreams);
+        if let Some(rejection) = rejection {
+            return ItemAttemptOutcome::Retry(rejection);
+        }
         match status {
-            MISDIRECTED_REQUEST => ItemAttemptOutcome::Retry(CallOutcome::Replaced),
-            _ if not_run => ItemAttemptOutcome::Retry(CallOutcome::Refused),
             422 => ItemAttemptOutcome::Unprocessable,
             500 => ItemAttemptOutcome::Failed,
             _ => ItemAttemptOutcome::Retry(CallOutcome::Error),
