--- a/courier/program/examples/fleet.rs
+++ b/courier/program/examples/fleet.rs
@@ -74,7 +74,7 @@
     while Instant::now() < deadline && fleet.get(LOST, "/-/healthy").await.is_ok() {
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    fleet.kill(LOST).await
+    Ok(fleet.kill(LOST).await?)
 }
 
 /// Shows what another courier does with each of the pending messages.
