--- a/courier/program/src/fleet/budget.rs
+++ b/courier/program/src/fleet/budget.rs
@@ -27,9 +27,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::Notify;
 
-/// Microseconds that a call needs before its time is up to be sent after it has queued. One with less has surely not
-/// run, while one sent that late may have, with its response coming when the message has been given up. A call that need
-/// not queue is sent at any time.
+/// A call that has queued is sent only if so many microseconds of its time are left. One that is not sent has certainly not
+/// run; one that is sent later may run, and its answer would come after the message has ended. A call that need not queue is
+/// sent at any time.
 const MIN_TIME_LEFT: Micros = 250_000;
 /// Bytes that are read at once, and discarded, of what a partner still sends on a closed connection.
 const READ_CHUNK: usize = 4_096;
@@ -40,6 +40,12 @@
     end: ConnectionEnd,
 }
 
+/// A connection that this side has closed and the partner has not.
+struct ClosingConnection {
+    id: ConnectionId,
+    socket: OwnedFd,
+}
+
 /// A call in its tenant's queue.
 #[derive(Default)]
 struct QueuedCall {
@@ -59,7 +65,7 @@
 struct TenantQueue {
     calls: VecDeque<Rc<QueuedCall>>,
     /// Microseconds that a new call would wait, by the last rejection.
-    after: Micros,
+    retry_after: Micros,
 }
 
 /// The partner and the tenant whose calls a queue has.
@@ -79,10 +85,10 @@
     dests: BTreeSet<u64>,
     queues: RefCell<TenantQueues>,
     /// Calls in flight, by their connection.
-    out: RefCell<HashMap<ConnectionId, CallId>>,
+    in_flight: RefCell<HashMap<ConnectionId, CallId>>,
     closed: RefCell<Vec<ClosedConnection>>,
     /// Connections closed by this side, to be watched until the partner has closed them.
-    closing: RefCell<Vec<(ConnectionId, OwnedFd)>>,
+    closing: RefCell<Vec<ClosingConnection>>,
     orders: RefCell<Vec<ConnectionOrder>>,
     work_added: Notify,
 }
@@ -94,7 +100,7 @@
             member,
             dests,
             queues: RefCell::default(),
-            out: RefCell::default(),
+            in_flight: RefCell::default(),
             closed: RefCell::default(),
             closing: RefCell::default(),
             orders: RefCell::default(),
@@ -118,7 +124,7 @@
         let (dest, endpoint, addr) = (order.dest, order.endpoint, order.addr);
         let key = QueueKey { dest, tenant: tenant_name(order.payload.tenant.as_deref()) };
         let by = order.send_before.min(until.saturating_sub(MIN_TIME_LEFT));
-        let asked_at = self.clock.now();
+        let requested_at = self.clock.now();
         let mut position = QueuePosition::Back;
         loop {
             let permit = self.wait_for_permit(&key, position, by, signals).await?;
@@ -153,8 +159,8 @@
                     ConnectionPermit::reuse(permit, machine, conn)
                 }
             };
-            order.time_left = order.time_left.saturating_sub(now.saturating_sub(asked_at));
-            self.out.borrow_mut().insert(id, order.call);
+            order.time_left = order.time_left.saturating_sub(now.saturating_sub(requested_at));
+            self.in_flight.borrow_mut().insert(id, order.call);
             return Some(Box::new(permit));
         }
     }
@@ -257,7 +263,7 @@
                 ConnectionEnd::Closed(_) => gate.connections.closing(dest, conn, now),
             });
             if let ConnectionEnd::Closed(Some(fd)) = end {
-                self.closing.borrow_mut().push((id, fd));
+                self.closing.borrow_mut().push(ClosingConnection { id, socket: fd });
                 self.work_added.notify_one();
             }
         }
@@ -270,12 +276,12 @@
             for ConnectionOrder::Close { dest, conn } in self.orders.take() {
                 let id = ConnectionId { dest, conn };
                 drop(courier.handle.pool(|pool| pool.take_idle(0, |conn| conn.has_id(id))));
-                let call = self.out.borrow().get(&id).copied();
-                call.into_iter().for_each(|call| courier.cut(call));
+                let call = self.in_flight.borrow().get(&id).copied();
+                call.into_iter().for_each(|call| courier.expire_call(call));
             }
             self.report_closed();
-            for (id, fd) in self.closing.take() {
-                actix_rt::spawn(self.clone().watch_close(id, fd));
+            for closing in self.closing.take() {
+                actix_rt::spawn(self.clone().watch_close(closing));
             }
             self.serve();
         }
@@ -283,10 +289,11 @@
 
     /// Waits until the partner has closed a connection too. Where it does not, the connection counts for as long
     /// as a partner may keep one, and the socket stays open no longer than that.
-    async fn watch_close(self: Rc<Self>, ConnectionId { dest, conn }: ConnectionId, fd: OwnedFd) {
+    async fn watch_close(self: Rc<Self>, ClosingConnection { id, socket }: ClosingConnection) {
+        let ConnectionId { dest, conn } = id;
         let bound = self.gate(|gate, _| gate.connections.close_timeout_of(dest));
         let ends = async {
-            let mut stream = TcpStream::from_std(std::net::TcpStream::from(fd))?;
+            let mut stream = TcpStream::from_std(std::net::TcpStream::from(socket))?;
             stream.shutdown().await?;
             let mut rest = [0; READ_CHUNK];
             while stream.read(&mut rest).await? > 0 {}
@@ -312,7 +319,7 @@
         let queues = self.queues.borrow();
         let key = QueueKey { dest: submission.dest, tenant: tenant_name(submission.tenant.as_deref()) };
         let queue = queues.get(&key)?;
-        (queue.after > submission.time_left).then_some(queue.after)
+        (queue.retry_after > submission.time_left).then_some(queue.retry_after)
     }
 
     fn acquire<'a>(
@@ -328,7 +335,7 @@
         let used = permit.permit().clone();
         // A connection that it did not use is closed with it.
         drop(permit);
-        self.out.borrow_mut().remove(&ConnectionId { dest: used.dest, conn: used.conn });
+        self.in_flight.borrow_mut().remove(&ConnectionId { dest: used.dest, conn: used.conn });
         self.report_closed();
         let orders = self.gate(|gate, now| gate.connections.released(&used, now));
         self.queue_orders(orders);
@@ -381,7 +388,7 @@
                     self.calls.pop_front();
                 }
                 Err(refusal) => {
-                    self.after = refusal.after;
+                    self.retry_after = refusal.after;
                     break;
                 }
             }
--- a/courier/program/src/fleet/links.rs
+++ b/courier/program/src/fleet/links.rs
@@ -13,7 +13,7 @@
 
 /// The path at which couriers receive each other's messages.
 pub const PATH: &str = "/fleet/1";
-/// A courier that is up answers in milliseconds; messages to one that is cut off soon go stale.
+/// A courier that is up answers in milliseconds; messages to one that can't be reached are soon out of date.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 /// Wait after a failed request.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
@@ -134,7 +134,8 @@
         node_id: NodeId,
         receive: impl Fn(Envelope),
     ) {
-        // Held back, small writes of a burst go together: sent at once, messages of one were refused for want of leave.
+        // Without TCP_NODELAY the small writes of a burst are sent together: sent one by one, messages of a burst were rejected
+        // for lack of a permit.
         let client = crate::transport::plain_client(REQUEST_TIMEOUT, false);
         let mut is_reachable = true;
         loop {
--- a/courier/program/src/fleet/listener.rs
+++ b/courier/program/src/fleet/listener.rs
@@ -45,10 +45,10 @@
     loop {
         match listener.accept().await {
             Ok((_, peer)) if Rc::strong_count(&open) > limit => {
-                tracing::debug!("fleet: a connection from {peer} is one too many: {limit} are open");
+                tracing::debug!("fleet: a connection from {peer} is closed: {limit} are open");
             }
             Ok((stream, peer)) => {
-                // Where it can't be said, an answer waits a moment.
+                // Where this fails, an answer waits a moment.
                 let _ = stream.set_nodelay(true);
                 let (service, open) = (service.clone(), open.clone());
                 actix_rt::spawn(async move {
--- a/courier/program/src/fleet/membership/takeover.rs
+++ b/courier/program/src/fleet/membership/takeover.rs
@@ -14,10 +14,10 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Wait before a partition for which the journal had no room is written again: messages end meanwhile.
+/// Wait before a partition that did not fit into the journal is written again: messages end meanwhile.
 const TAKEOVER_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the member wants done on the courier's journal and router.
+/// What the member machine asks for on the courier's journal and router.
 pub(super) enum TakeoverTask {
     /// Take over these partitions of a sealed journal.
     Adopt {
--- a/courier/program/src/fleet/settlements.rs
+++ b/courier/program/src/fleet/settlements.rs
@@ -84,7 +84,7 @@
     timers_changed: Notify,
 }
 
-/// The two machines, and what is under way for them.
+/// The two machines, and their work in progress.
 struct HostState {
     owned: OwnedSettlements,
     forwarder: RequestForwarder,
--- a/courier/program/src/main.rs
+++ b/courier/program/src/main.rs
@@ -1,5 +1,5 @@
-//! quillmount: a courier on sockets. It takes on clients' submissions, makes delivery calls to
-//! endpoints as the decision module says, and owes each submission its end across restarts.
+//! quillmount: a courier on sockets. It accepts clients' submissions, makes delivery calls to endpoints as the decision
+//! module says, and reports one final outcome for each submission, across restarts.
 
 mod fleet;
 mod program;
--- a/courier/program/src/program/check.rs
+++ b/courier/program/src/program/check.rs
@@ -6,19 +6,35 @@
 use quillmount_operator::{Operator, OperatorError};
 use std::path::Path;
 
-type Error = Box<dyn std::error::Error>;
+/// Why the check did not succeed.
+#[derive(Debug, thiserror::Error)]
+pub enum CheckError {
+    /// No file was named.
+    #[error("check: neither GW_CONFIG nor --config nor --operator names a file")]
+    NoFile,
+    /// The files have so many problems, which are printed already.
+    #[error("{}", problem_count(.0))]
+    Problems(usize),
+}
+
+fn problem_count(count: &usize) -> String {
+    match count {
+        1 => "one problem".into(),
+        count => format!("{count} problems"),
+    }
+}
 
 /// Prints what is sound; returns an error that counts the problems, which are printed one a line.
 ///
 /// # Errors
 /// There is something wrong with a file, or no file was named.
-pub fn check(config: Option<&Path>, operator: Option<&Path>) -> Result<(), Error> {
+pub fn check(config: Option<&Path>, operator: Option<&Path>) -> Result<(), CheckError> {
     if config.is_none() && operator.is_none() {
-        return Err("check: neither GW_CONFIG nor --config nor --operator names a file".into());
+        return Err(CheckError::NoFile);
     }
-    let mut wrong = 0;
+    let mut count = 0;
     let mut report = |path: &Path, problems: Vec<Problem>| {
-        wrong += problems.len();
+        count += problems.len();
         match problems.is_empty() {
             true => println!("{}: sound", path.display()),
             false => problems.iter().for_each(|problem| eprintln!("{}: {problem}", path.display())),
@@ -30,10 +46,9 @@
     if let Some(path) = operator {
         report(path, problems_of(path));
     }
-    match wrong {
+    match count {
         0 => Ok(()),
-        1 => Err("one problem".into()),
-        n => Err(format!("{n} problems").into()),
+        count => Err(CheckError::Problems(count)),
     }
 }
 
--- a/courier/program/src/program/cli.rs
+++ b/courier/program/src/program/cli.rs
@@ -1,6 +1,9 @@
 //! The command line.
 
+use super::check::CheckError;
+use super::demo::DemoError;
 use super::error::RunError;
+use super::inspect::InspectError;
 use super::process::RunEnd;
 use super::{check, demo, inspect, log, run};
 use clap::{CommandFactory, Parser, Subcommand};
@@ -62,6 +65,17 @@
     Verify { folder: PathBuf },
 }
 
+/// A command that failed.
+#[derive(Debug, thiserror::Error)]
+enum CommandError {
+    #[error(transparent)]
+    Check(#[from] CheckError),
+    #[error(transparent)]
+    Inspect(#[from] InspectError),
+    #[error(transparent)]
+    Demo(#[from] DemoError),
+}
+
 /// Does what the command line says.
 pub fn main() -> ExitCode {
     // As the platform starts it: the pages of the command line are not even touched.
@@ -72,15 +86,19 @@
         Command::Run { operator } => return serve(operator),
         Command::Check { config, operator } => {
             let config = config.or_else(|| std::env::var_os("GW_CONFIG").map(PathBuf::from));
-            check::check(config.as_deref(), operator.as_deref())
+            check::check(config.as_deref(), operator.as_deref()).map_err(CommandError::from)
         }
         Command::Schema => {
             print!("{}", Operator::schema_text());
             Ok(())
         }
-        Command::Journal { command: Journal::Show { folder, json } } => inspect::show(&folder, json),
-        Command::Journal { command: Journal::Verify { folder } } => inspect::verify(&folder),
-        Command::Demo => actix_rt::System::new().block_on(demo::demo()),
+        Command::Journal { command: Journal::Show { folder, json } } => {
+            inspect::show(&folder, json).map_err(CommandError::from)
+        }
+        Command::Journal { command: Journal::Verify { folder } } => {
+            inspect::verify(&folder).map_err(CommandError::from)
+        }
+        Command::Demo => actix_rt::System::new().block_on(demo::demo()).map_err(CommandError::from),
         Command::Completions { shell } => {
             clap_complete::generate(shell, &mut Cli::command(), "quillmount", &mut std::io::stdout());
             Ok(())
--- a/courier/program/src/program/demo.rs
+++ b/courier/program/src/program/demo.rs
@@ -11,7 +11,19 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, watch};
 
-type Error = Box<dyn std::error::Error>;
+/// Why the demonstration failed.
+#[derive(Debug, thiserror::Error)]
+pub enum DemoError {
+    /// A stand-in or the courier can't be started, or does not answer.
+    #[error(transparent)]
+    Io(#[from] std::io::Error),
+    /// Messages had another number of final answers than one.
+    #[error("{}", .0.join("; "))]
+    WrongEnds(Vec<String>),
+    /// The courier ended with an error.
+    #[error("the courier did not stop as it should")]
+    NotStopped,
+}
 
 /// A message that nothing comes of ends at its time; a demonstration should not last the usual 16 s.
 const TIME_LEFT: Duration = Duration::from_secs(4);
@@ -42,7 +54,7 @@
 ///
 /// # Errors
 /// A message had another number of final answers than one, or the courier did not start or stop as it should.
-pub async fn demo() -> Result<(), Error> {
+pub async fn demo() -> Result<(), DemoError> {
     let (observer, mut seen) = Observer::channel();
     let (_list, list) = watch::channel(String::new());
     let platform = platform::open(observer.clone(), list).await?;
@@ -85,8 +97,8 @@
             println!("\n{} messages, one final answer each; the courier has stopped", ids.len());
             Ok(())
         }
-        (true, false) => Err("the courier did not stop as it should".into()),
-        (false, _) => Err(wrong.join("; ").into()),
+        (true, false) => Err(DemoError::NotStopped),
+        (false, _) => Err(DemoError::WrongEnds(wrong)),
     }
 }
 
--- a/courier/program/src/program/inspect.rs
+++ b/courier/program/src/program/inspect.rs
@@ -6,12 +6,58 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, UNIX_EPOCH};
 
-type Error = Box<dyn std::error::Error>;
+/// Why a journal can't be shown, or is not sound.
+#[derive(Debug, thiserror::Error)]
+pub enum InspectError {
+    /// The file can't be read.
+    #[error("{}: {source}", .path.display())]
+    Read {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        source: std::io::Error,
+    },
+    /// A record can't be written as JSON.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// The file has bytes at its end that are no record.
+    #[error(
+        "{}: byte {sound}: no sound record begins here; the {rest} bytes from here on are dropped at the next start \
+         (torn by a kill, if it is the last write)",
+        .path.display()
+    )]
+    Torn {
+        /// The file.
+        path: PathBuf,
+        /// The bytes of its sound records.
+        sound: usize,
+        /// The bytes that follow them.
+        rest: usize,
+    },
+}
 
-fn read(folder: &Path) -> Result<(PathBuf, Vec<u8>), Error> {
-    let path = folder.join("journal");
-    let bytes = std::fs::read(&path).map_err(|e| format!("{}: {e}", path.display()))?;
-    Ok((path, bytes))
+/// A journal's file.
+struct JournalBytes {
+    path: PathBuf,
+    bytes: Vec<u8>,
+}
+
+impl JournalBytes {
+    fn read(folder: &Path) -> Result<Self, InspectError> {
+        let path = folder.join("journal");
+        match std::fs::read(&path) {
+            Ok(bytes) => Ok(JournalBytes { path, bytes }),
+            Err(source) => Err(InspectError::Read { path, source }),
+        }
+    }
+
+    /// Fails unless the sound records, of so many bytes, make up the complete file.
+    fn check_complete(self, sound: usize) -> Result<(), InspectError> {
+        match self.bytes.len() - sound {
+            0 => Ok(()),
+            rest => Err(InspectError::Torn { path: self.path, sound, rest }),
+        }
+    }
 }
 
 /// One record, as it is shown.
@@ -146,16 +192,16 @@
 ///
 /// # Errors
 /// The journal can't be read, or has bytes at its end that are no record.
-pub fn show(folder: &Path, json: bool) -> Result<(), Error> {
-    let (path, bytes) = read(folder)?;
-    for (at, record) in Records::new(&bytes) {
+pub fn show(folder: &Path, json: bool) -> Result<(), InspectError> {
+    let journal = JournalBytes::read(folder)?;
+    for (at, record) in Records::new(&journal.bytes) {
         let line = Line::new(at, &record);
         match json {
             true => println!("{}", serde_json::to_string(&line)?),
             false => println!("{line}"),
         }
     }
-    let (contents, sound) = JournalContents::read(&bytes);
+    let (contents, sound) = JournalContents::read(&journal.bytes);
     if !json {
         let out = contents.disabled.iter().count();
         println!(
@@ -164,31 +210,19 @@
             contents.ended.len()
         );
     }
-    check_complete(&path, sound, bytes.len())
+    journal.check_complete(sound)
 }
 
 /// Checks that every byte belongs to a sound record.
 ///
 /// # Errors
 /// The journal can't be read, or has bytes at its end that are no record.
-pub fn verify(folder: &Path) -> Result<(), Error> {
-    let (path, bytes) = read(folder)?;
-    let records = Records::new(&bytes).count();
-    let (contents, sound) = JournalContents::read(&bytes);
-    check_complete(&path, sound, bytes.len())?;
+pub fn verify(folder: &Path) -> Result<(), InspectError> {
+    let journal = JournalBytes::read(folder)?;
+    let records = Records::new(&journal.bytes).count();
+    let (contents, sound) = JournalContents::read(&journal.bytes);
+    let path = journal.path.clone();
+    journal.check_complete(sound)?;
     println!("{}: {records} records in {sound} bytes, {} owed: sound", path.display(), contents.owed.len());
     Ok(())
 }
-
-/// Fails unless the sound records make up the complete file.
-fn check_complete(path: &Path, sound: usize, all: usize) -> Result<(), Error> {
-    if sound == all {
-        return Ok(());
-    }
-    let (path, rest) = (path.display(), all - sound);
-    Err(format!(
-        "{path}: byte {sound}: no sound record begins here; the {rest} bytes from here on are dropped at the next start \
-         (torn by a kill, if it is the last write)"
-    )
-    .into())
-}
--- a/courier/program/src/program/log.rs
+++ b/courier/program/src/program/log.rs
@@ -5,7 +5,7 @@
 use std::str::FromStr;
 use std::time::SystemTime;
 use tracing::{Event, Subscriber};
-use tracing_subscriber::filter::Targets;
+use tracing_subscriber::filter::{ParseError, Targets};
 use tracing_subscriber::fmt::format::Writer;
 use tracing_subscriber::fmt::time::FormatTime;
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields, FormattedFields};
@@ -18,11 +18,12 @@
 
 /// A text that is no list of levels.
 #[derive(Debug, thiserror::Error)]
-#[error("{owner}: {text:?} is no list of levels, as in \"info,quillmount=debug\": {why}")]
+#[error("{owner}: {text:?} is no list of levels, as in \"info,quillmount=debug\": {source}")]
 pub struct LevelsError {
+    /// The variable or field that the text comes from.
     owner: &'static str,
     text: String,
-    why: String,
+    source: ParseError,
 }
 
 /// The levels in force, which a SIGHUP may change.
@@ -54,7 +55,7 @@
 /// # Errors
 /// The text is none; the error names its `owner`, the variable or field that it comes from.
 pub fn parse(owner: &'static str, text: &str) -> Result<Targets, LevelsError> {
-    Targets::from_str(text).map_err(|e| LevelsError { owner, text: text.into(), why: e.to_string() })
+    Targets::from_str(text).map_err(|source| LevelsError { owner, text: text.into(), source })
 }
 
 /// Starts the log. Without readable levels it logs at `info`, so that the error itself appears.
--- a/courier/program/src/program/mod.rs
+++ b/courier/program/src/program/mod.rs
@@ -1,4 +1,4 @@
-//! The program: its configuration, clock, counters, signals, and the wiring of the layers.
+//! The program: its command line, configuration, log and signals, and how the layers are connected.
 
 pub mod check;
 pub mod cli;
--- a/courier/program/src/program/process.rs
+++ b/courier/program/src/program/process.rs
@@ -121,7 +121,7 @@
             tokio::select! {
                 _ = signals.terminate.recv() => self.request_stop(),
                 _ = signals.interrupt.recv() => self.request_stop(),
-                requested_at = self.courier.handle.stops() => return ServeEnd::StopRequested(requested_at),
+                requested_at = self.courier.handle.wait_for_stop() => return ServeEnd::StopRequested(requested_at),
                 () = replaced(self.fleet.as_deref()) => return ServeEnd::Replaced,
                 () = self.active.gone.notified() => return ServeEnd::Transferred,
                 _ = signals.report.recv() => {
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Another process has the folder: operators' calls are forwarded to it until this one is told to end.
+    /// Another process has the folder: operators' calls are forwarded to it until this one is to end.
     async fn forward_operators(&self, signals: &mut Signals) {
         if self.config.operator.is_some() && !self.courier.handle.lifecycle().stop_requested() {
             let _ = timeout(FORWARD_OPERATORS, signals.terminate.recv()).await;
@@ -168,12 +168,12 @@
         self.courier.handle.step_lifecycle(LifecycleInput::End);
     }
 
-    /// What is left of a span that began with the request: a hand-over that was under way then has taken a part of it.
+    /// What is left of a span that began with the request: a handover that was in progress then has taken a part of it.
     fn left(&self, requested_at: Micros, span: Duration) -> Duration {
         self.clock.until(requested_at + span.as_micros() as Micros)
     }
 
-    /// Waits until nothing is under way, or the time is up.
+    /// Waits until no work is in progress, or the time is up.
     async fn finish_calls(&self, requested_at: Micros) {
         while self.left(requested_at, CONNECTIONS_END) > Duration::ZERO {
             if self.left(requested_at, CALLS_END) == Duration::ZERO {
@@ -181,7 +181,7 @@
                 self.courier.keep_unsent();
             }
             let open = self.connections.close_idle();
-            // In a fleet what waits for its next call goes on elsewhere: only calls in flight are waited for.
+            // In a fleet, messages without a call in flight are delivered by the other members: only calls are waited for.
             let quiet = match &self.fleet {
                 None => self.courier.is_quiet(),
                 Some(_) => !self.courier.has_calls_out(),
@@ -205,7 +205,7 @@
     }
 }
 
-/// Starts the tasks that a process runs while it decides; a hand-over ends them, and starts them again if it fails.
+/// Starts the tasks that a process runs while it decides; a handover ends them, and starts them again if it fails.
 pub fn start_tasks(
     listener: Option<Rc<TcpListener>>,
     courier: &Rc<Courier>,
--- a/courier/program/src/program/run.rs
+++ b/courier/program/src/program/run.rs
@@ -1,4 +1,4 @@
-//! The way of the process from its start to its end: `startup` opens what the courier needs, `process` serves and stops.
+//! The process from its start to its end: `startup` opens what the courier needs, `process` serves and stops.
 
 use super::config::Config;
 use super::error::RunError;
@@ -10,7 +10,7 @@
 use crate::fleet::{self, Fleet};
 use crate::transport::clock::Clock;
 use crate::transport::courier::{Courier, CourierSetup};
-use crate::transport::handover::{ActiveProcess, Lock, ReceivedState};
+use crate::transport::handover::{AcquiredFolder, ActiveProcess, Lock, ReceivedState};
 use crate::transport::operators::OperatorService;
 use crate::transport::platform;
 use crate::transport::server::Connections;
@@ -25,7 +25,7 @@
 use std::rc::Rc;
 use tokio::sync::{Notify, watch};
 
-/// Clients' bodies under way may take the memory divided by this.
+/// Clients' bodies in flight may take the memory divided by this.
 const MEMORY_PER_BODIES: u64 = 4;
 
 /// Runs until a planned stop. `operator` came from `path`, where there is such a file.
@@ -117,7 +117,7 @@
     operators: Option<&TcpListener>,
 ) -> Result<Option<Acquired>, RunError> {
     let acquired = startup::acquire_folder(config, &clock, signals, operators).await?;
-    let Some((lock, received)) = acquired else {
+    let Some(AcquiredFolder { lock, received }) = acquired else {
         tracing::info!("{}: stopped; it had taken nothing over, and the other process goes on", config.name);
         return Ok(None);
     };
--- a/courier/program/src/program/startup.rs
+++ b/courier/program/src/program/startup.rs
@@ -6,8 +6,8 @@
 use crate::fleet::{self, Fleet, FleetSetup};
 use crate::transport::clock::Clock;
 use crate::transport::gate::Gate;
-use crate::transport::handle::Parts;
-use crate::transport::handover::{self, Lock, ReceivedState};
+use crate::transport::handle::ReleasedPart;
+use crate::transport::handover::{self, AcquiredFolder, ReceivedState};
 use crate::transport::inherited;
 use crate::transport::journal_file::JournalFile;
 use crate::transport::operators;
@@ -23,16 +23,17 @@
 use std::os::fd::OwnedFd;
 use std::rc::Rc;
 
-/// Descriptors for what is neither a client's connection nor an endpoint's: some twenty, and as many
-/// that a closed connection still has for a moment.
+/// Descriptors for all but the connections of clients and endpoints: some twenty, and a reserve for connections that are
+/// closed but not released yet.
 const OWN_SOCKETS: usize = 32;
 
-/// A router that is open on its journal, and what it wants done first.
+/// A router that is open on its journal, with its first actions.
 pub struct OpenedRouter {
+    /// The router.
     pub router: Router<JournalFile>,
     /// The router's first actions.
     pub actions: Vec<RouterAction>,
-    /// Present where the router goes on with the state of another process.
+    /// Present where the router resumes the state of another process.
     pub resumed: Option<ResumedParts>,
 }
 
@@ -43,7 +44,7 @@
     /// An operator has drained the courier.
     pub drained: bool,
     /// Sockets, and what they are in the middle of.
-    pub parts: Parts<OwnedFd>,
+    pub parts: Vec<ReleasedPart<OwnedFd>>,
 }
 
 /// Connections that clients may have at once, and endpoints as many: half of the descriptors each that nothing else needs.
@@ -101,7 +102,7 @@
     clock: &Clock,
     signals: &mut Signals,
     operators: Option<&TcpListener>,
-) -> Result<Option<(Lock, Option<ReceivedState>)>, RunError> {
+) -> Result<Option<AcquiredFolder>, RunError> {
     let acquired = tokio::select! {
         acquired = handover::take(&config.state, clock, signals.shutdown_requested()) => acquired,
         never = answer_operators_early(operators) => match never {},
--- a/courier/program/src/transport/channel.rs
+++ b/courier/program/src/transport/channel.rs
@@ -30,6 +30,35 @@
 /// The longest name of a Unix socket, in bytes: 108 with the zero byte.
 const NAME_MAX: usize = 107;
 
+/// Why an exchange between two processes of a courier failed.
+#[derive(Debug, thiserror::Error)]
+pub enum ChannelError {
+    /// The other process is gone.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The other process has another version of the frames.
+    #[error("another version")]
+    OtherVersion,
+    /// A frame that was to be sent can't be encoded.
+    #[error(transparent)]
+    Encode(postcard::Error),
+    /// A frame that was to be sent is longer than a frame may be.
+    #[error("a frame over its limit")]
+    TooLong,
+    /// The other process announces a longer frame than there may be.
+    #[error("a frame of {0} bytes")]
+    AnnouncedTooLong(usize),
+    /// A frame that was received can't be decoded.
+    #[error(transparent)]
+    Decode(postcard::Error),
+    /// The other process did not confirm what it received.
+    #[error("not confirmed")]
+    NotConfirmed,
+    /// The other process did not send its frame in time.
+    #[error("timed out")]
+    TimedOut,
+}
+
 /// The path at which the process that has the folder listens for the next one. A long path goes by way of the folder's
 /// descriptor, which has to stay open while the path is used.
 ///
@@ -65,14 +94,14 @@
     ///
     /// # Errors
     /// The other side is gone, or of another version.
-    pub async fn open(stream: UnixStream) -> io::Result<Channel> {
+    pub async fn open(stream: UnixStream) -> Result<Channel, ChannelError> {
         let mut channel = Channel { stream, inbox: Vec::new(), fds: VecDeque::new() };
         channel.write(&HELLO, None).await?;
         while channel.inbox.len() < HELLO.len() {
             channel.read().await?;
         }
         if !channel.inbox.starts_with(&HELLO) {
-            return Err(io::Error::new(ErrorKind::InvalidData, "another version"));
+            return Err(ChannelError::OtherVersion);
         }
         channel.inbox.drain(..HELLO.len());
         Ok(channel)
@@ -86,30 +115,34 @@
     /// Sends a frame, with a descriptor if one is given.
     ///
     /// # Errors
-    /// The other side is gone.
-    pub async fn send<T: Serialize>(&mut self, frame: &T, fd: Option<BorrowedFd<'_>>) -> io::Result<()> {
-        let payload = postcard::to_allocvec(frame).map_err(io::Error::other)?;
+    /// The other side is gone, or the frame is too long.
+    pub async fn send<T: Serialize>(
+        &mut self,
+        frame: &T,
+        fd: Option<BorrowedFd<'_>>,
+    ) -> Result<(), ChannelError> {
+        let payload = postcard::to_allocvec(frame).map_err(ChannelError::Encode)?;
         let len = u32::try_from(payload.len()).ok().filter(|len| *len as usize <= FRAME_MAX);
-        let len = len.ok_or_else(|| io::Error::other("a frame over its limit"))?;
+        let len = len.ok_or(ChannelError::TooLong)?;
         let mut bytes = len.to_le_bytes().to_vec();
         bytes.extend_from_slice(&payload);
-        self.write(&bytes, fd).await
+        self.write(&bytes, fd).await?;
+        Ok(())
     }
 
     /// Receives the next frame; its descriptor, if it has one, is the next of [`Channel::fd`].
     ///
     /// # Errors
     /// The other side is gone, or sends what can't be decoded.
-    pub async fn recv<T: DeserializeOwned>(&mut self) -> io::Result<T> {
-        let wrong = |what: String| io::Error::new(ErrorKind::InvalidData, what);
+    pub async fn recv<T: DeserializeOwned>(&mut self) -> Result<T, ChannelError> {
         loop {
             if let Some((len, rest)) = self.inbox.split_first_chunk::<4>() {
                 let len = u32::from_le_bytes(*len) as usize;
                 if len > FRAME_MAX {
-                    return Err(wrong(format!("a frame of {len} bytes")));
+                    return Err(ChannelError::AnnouncedTooLong(len));
                 }
                 if rest.len() >= len {
-                    let frame = postcard::from_bytes(&rest[..len]).map_err(|e| wrong(e.to_string()))?;
+                    let frame = postcard::from_bytes(&rest[..len]).map_err(ChannelError::Decode)?;
                     self.inbox.drain(..4 + len);
                     return Ok(frame);
                 }
--- a/courier/program/src/transport/courier.rs
+++ b/courier/program/src/transport/courier.rs
@@ -12,7 +12,7 @@
 use super::connection_budget::ConnectionBudget;
 use super::endpoints;
 use super::gate::Gate;
-use super::handle::{Handle, HandoverPart, Parts};
+use super::handle::{Handle, HandoverPart, ReleasedPart};
 use super::journal_file::JournalFile;
 use super::signals::CallSignals;
 use super::streams::{Pipe, StreamRules, Streams};
@@ -197,17 +197,18 @@
         self.signals.borrow().values().for_each(|signals| signals.release());
     }
 
-    /// Calls that are still to be given up for the handover.
+    /// Calls that are not released for the handover yet.
     pub fn handover_pending(&self) -> usize {
         self.signals.borrow().len()
     }
 
-    /// All state, and all parts, for a handover; nothing may be decided after it. `settings`: their fingerprint.
-    pub fn frozen(&self, settings: u32) -> (hub::HubState, Parts<TcpStream>) {
+    /// All state, and all parts, for a handover; nothing may be decided after it. `settings`: the fingerprint of the settings.
+    pub fn freeze(&self, settings: u32) -> (hub::HubState, Vec<ReleasedPart<TcpStream>>) {
         let mut parts = self.handle.take_parts();
-        let resting = self.handle.pool(Pool::take_all_idle);
-        parts.extend(resting.into_iter().map(|(endpoint, addr, since, conn)| {
-            (HandoverPart::IdleConnection { endpoint, addr, since }, conn.into_stream())
+        let idle = self.handle.pool(Pool::take_all_idle);
+        parts.extend(idle.into_iter().map(|(endpoint, addr, since, conn)| ReleasedPart {
+            part: HandoverPart::IdleConnection { endpoint, addr, since },
+            socket: conn.into_stream(),
         }));
         (self.handle.hub.borrow().state(settings), parts)
     }
@@ -411,7 +412,7 @@
                 DriverAction::Close(gone) => drop(gone),
                 DriverAction::Notify => self.notices.notify_one(),
                 DriverAction::Answer(msg, end) => {
-                    // The end of a client that has gone is reported already.
+                    // The end of a stream whose client has disconnected is reported already.
                     if let Some(pipe) = self.pipes.borrow().get(&msg) {
                         pipe.finish(end);
                     }
--- a/courier/program/src/transport/courier/calls.rs
+++ b/courier/program/src/transport/courier/calls.rs
@@ -35,7 +35,7 @@
 }
 
 impl Courier {
-    /// Takes up a call of another process, or of this one before it froze.
+    /// Resumes a call of another process, or of this one if a handover failed.
     pub fn resume_call(self: &Rc<Self>, snapshot: CallSnapshot, stream: Option<TcpStream>) {
         let (dest, id, addr) = (snapshot.order.dest, snapshot.order.call, snapshot.order.addr);
         let call = endpoints::resume(&self.handle, snapshot, stream);
@@ -55,13 +55,13 @@
     }
 
     /// A call's connection has been used for as long as any may be: the call ends.
-    pub fn cut(&self, call: CallId) {
+    pub fn expire_call(&self, call: CallId) {
         if let Some(signals) = self.signals.borrow().get(&call) {
-            signals.cut();
+            signals.expire();
         }
     }
 
-    /// The process ends: what has not been sent of a call stays here, and the next process knows that it never ran.
+    /// The process ends: calls of which nothing is sent end here, and the next process knows that they never ran.
     pub fn keep_unsent(&self) {
         self.signals.borrow().values().for_each(|signals| signals.signal(AttemptInput::MessageEnded));
     }
@@ -69,7 +69,7 @@
     /// Begins a call.
     pub(super) fn begin_call(self: &Rc<Self>, mut order: DeliveryCall) {
         tracing::debug!(target: LOG_TARGET, "call: {:?} to {}, {} us", order.call, order.addr, order.timeout);
-        // Without a parent: a call that another's end began would carry that one's span along, and so on all day.
+        // Without a parent: a call that the end of another one begins would inherit its span, and so on without end.
         let span = tracing::debug_span!(
             target: LOG_TARGET,
             parent: None,
@@ -162,7 +162,7 @@
                 let call = StreamCall::new(&self.handle, order, signals, &pipe, permit);
                 call.run(|| self.stream_written(id)).await
             }
-            // The client has gone, and the body with it.
+            // The client has disconnected: there is no body.
             None => CallEnd::HeldBack,
         }
     }
--- a/courier/program/src/transport/endpoints.rs
+++ b/courier/program/src/transport/endpoints.rs
@@ -40,7 +40,7 @@
     Ended(CallEnd, AnswerReport),
     /// The answer has an end for each message.
     Each(Vec<CallEnd>, AnswerReport),
-    /// Another process goes on with it.
+    /// Another process is to resume it.
     Released(Box<call::CallSnapshot>, Option<TcpStream>),
 }
 
@@ -106,7 +106,7 @@
     TimedCall { call: Call::new(order, decode, ANSWER_MAX), until }
 }
 
-/// Goes on with a call of another process.
+/// Resumes a call of another process.
 pub fn resume(handle: &Handle, snapshot: call::CallSnapshot, connection: Option<TcpStream>) -> TimedCall {
     let (until, decode) = (snapshot.until, delivery::decoder(&snapshot.order));
     let connection = connection.map(EndpointStream::Plain);
@@ -152,7 +152,7 @@
 enum Progress {
     Input(AttemptInput),
     Connected(EndpointStream),
-    /// Another process is to go on with the call.
+    /// Another process is to resume the call.
     Transferred,
 }
 
@@ -212,7 +212,7 @@
         }
     }
 
-    /// The first action of a call: to start it, or to go on with one that another process has begun.
+    /// The first action of a call: starts it, or resumes one that another process has begun.
     fn begin(&mut self) -> StepOutcome<EndpointStream> {
         match self.call.state() {
             AttemptState::New => return start(self.handle, &mut self.call, self.permit.as_deref_mut()),
@@ -240,7 +240,7 @@
         let wake_at = self.call.attempt().wake_at();
         let input = tokio::select! {
             biased;
-            // The signals first: they may keep the call from leaving.
+            // The signals first: they may end the call before its first byte leaves.
             () = self.signals.released() => return Progress::Transferred,
             signal = self.signals.next(AttemptState::Connecting) => signal,
             stream = timeout(handle.connect_timeout, connect(addr, self.permit.as_deref_mut())) => {
@@ -304,7 +304,7 @@
         AnswerReport { load: if reads_load { delivery::load(answer) } else { Vec::new() }, wait: 0 }
     }
 
-    /// Gives the call up to another process.
+    /// Releases the call to another process.
     fn release(self) -> CallOutcome {
         let CallDriver { handle, call, until, .. } = self;
         let (snapshot, connection) = handle.pool(|pool| call.snapshot(pool, until));
--- a/courier/program/src/transport/frames.rs
+++ b/courier/program/src/transport/frames.rs
@@ -2,12 +2,11 @@
 //!
 //! They are encoded by postcard, by position: variants and fields are never reordered.
 
-use super::channel::{self, Channel};
+use super::channel::{self, Channel, ChannelError};
 use actix_rt::time::timeout;
 use quillmount_core::hub;
 use quillmount_protocol::operator::OperatorCall;
 use serde::{Deserialize, Serialize};
-use std::io;
 use std::path::Path;
 use std::time::Duration;
 
@@ -47,7 +46,7 @@
 pub enum PassOnError {
     /// The process can't be reached, or its connection broke.
     #[error(transparent)]
-    Channel(#[from] io::Error),
+    Channel(#[from] ChannelError),
     /// The process sent another frame.
     #[error("no answer")]
     NoAnswer,
@@ -62,7 +61,8 @@
 /// The process can't be reached, or does not answer within [`PASS_ON_TIMEOUT`].
 pub async fn pass_on(folder: &Path, call: &OperatorCall) -> Result<String, PassOnError> {
     let exchange = async {
-        let mut channel = Channel::open(channel::reach(folder).await?).await?;
+        let stream = channel::reach(folder).await.map_err(ChannelError::Io)?;
+        let mut channel = Channel::open(stream).await?;
         channel.send(&Frame::Call(call.clone()), None).await?;
         match channel.recv().await? {
             Frame::Said(answer) => Ok(answer),
--- a/courier/program/src/transport/handle.rs
+++ b/courier/program/src/transport/handle.rs
@@ -44,8 +44,13 @@
     Call(Box<call::CallSnapshot>),
 }
 
-/// Parts with the sockets that they have: as streams in this process, or as descriptors from another one.
-pub type Parts<S> = Vec<(HandoverPart, Option<S>)>;
+/// A part with its socket, if it has one: a stream in this process, or a descriptor from another one.
+pub struct ReleasedPart<S> {
+    /// The part.
+    pub part: HandoverPart,
+    /// Its socket.
+    pub socket: Option<S>,
+}
 
 /// What a courier's tasks share with it.
 pub struct Handle {
@@ -56,8 +61,8 @@
     pub(super) hub: RefCell<Hub<JournalFile, EndpointStream>>,
     lifecycle: Cell<Lifecycle>,
     /// A planned stop begins.
-    stops: Notify,
-    parts: RefCell<Parts<TcpStream>>,
+    stop_requested: Notify,
+    parts: RefCell<Vec<ReleasedPart<TcpStream>>>,
 }
 
 impl Handle {
@@ -68,7 +73,7 @@
             connect_timeout,
             hub: RefCell::new(hub),
             lifecycle: Cell::default(),
-            stops: Notify::new(),
+            stop_requested: Notify::new(),
             parts: RefCell::default(),
         }
     }
@@ -84,17 +89,17 @@
         let output = lifecycle.step(input, self.clock.now());
         self.lifecycle.set(lifecycle);
         if lifecycle.stopping().is_some() {
-            self.stops.notify_one();
+            self.stop_requested.notify_one();
         }
         output
     }
 
-    /// Waits for a planned stop; returns when it was requested.
-    pub async fn stops(&self) -> Micros {
+    /// Waits for a planned stop; returns the time at which it was requested.
+    pub async fn wait_for_stop(&self) -> Micros {
         loop {
             match self.lifecycle().stopping() {
                 Some(requested_at) => return requested_at,
-                None => self.stops.notified().await,
+                None => self.stop_requested.notified().await,
             }
         }
     }
@@ -114,13 +119,13 @@
         self.hub.borrow_mut().router.stream_committed(msg);
     }
 
-    /// A task gives its part up for the handover.
-    pub fn release(&self, part: HandoverPart, stream: Option<TcpStream>) {
-        self.parts.borrow_mut().push((part, stream));
+    /// A task releases its part for the handover.
+    pub fn release(&self, part: HandoverPart, socket: Option<TcpStream>) {
+        self.parts.borrow_mut().push(ReleasedPart { part, socket });
     }
 
-    /// The parts that were given up so far.
-    pub fn take_parts(&self) -> Parts<TcpStream> {
+    /// The parts that were released so far.
+    pub fn take_parts(&self) -> Vec<ReleasedPart<TcpStream>> {
         self.parts.take()
     }
 }
--- a/courier/program/src/transport/handover.rs
+++ b/courier/program/src/transport/handover.rs
@@ -9,7 +9,7 @@
 pub use receiver::{listener, take};
 pub use sender::{ActiveProcess, Tasks};
 
-use super::handle::Parts;
+use super::handle::ReleasedPart;
 use quillmount_core::hub;
 use std::fs::{File, TryLockError};
 use std::io;
@@ -61,5 +61,13 @@
     /// How far its clock ran ahead of the system's, in microseconds.
     pub ahead: i64,
     /// Its calls and connections, with their descriptors.
-    pub parts: Parts<OwnedFd>,
+    pub parts: Vec<ReleasedPart<OwnedFd>>,
+}
+
+/// The folder of a process that may decide.
+pub struct AcquiredFolder {
+    /// The folder's lock.
+    pub lock: Lock,
+    /// What another process has handed over, if one has.
+    pub received: Option<ReceivedState>,
 }
--- a/courier/program/src/transport/handover/receiver.rs
+++ b/courier/program/src/transport/handover/receiver.rs
@@ -1,10 +1,10 @@
 //! The new process: it acquires the folder, from the process that has it if there is one.
 
-use super::{LOG_TARGET, Lock, ReceivedState};
-use crate::transport::channel::{self, Channel};
+use super::{AcquiredFolder, LOG_TARGET, Lock, ReceivedState};
+use crate::transport::channel::{self, Channel, ChannelError};
 use crate::transport::clock::Clock;
 use crate::transport::frames::Frame;
-use crate::transport::handle::{HandoverPart, Parts};
+use crate::transport::handle::{HandoverPart, ReleasedPart};
 use actix_rt::time::{sleep, timeout};
 use quillmount_core::machine::handover::{HandoverReceiver, ReceiverInput, ReceiverOutput};
 use rustix::process::{Pid, Signal, kill_process};
@@ -23,7 +23,7 @@
     folder: &Path,
     clock: &Clock,
     shutdown_requested: impl Future<Output = ()>,
-) -> io::Result<Option<(Lock, Option<ReceivedState>)>> {
+) -> io::Result<Option<AcquiredFolder>> {
     let mut shutdown_requested = std::pin::pin!(shutdown_requested);
     let mut receiver = Receiver::new(folder, clock);
     let mut output = ReceiverOutput::Lock;
@@ -60,9 +60,9 @@
 }
 
 /// The clients' listening socket among the parts that came.
-pub fn listener(parts: &mut Parts<OwnedFd>) -> Option<std::net::TcpListener> {
-    let position = parts.iter().position(|(part, _)| matches!(part, HandoverPart::Listener))?;
-    let listener = std::net::TcpListener::from(parts.swap_remove(position).1?);
+pub fn listener(parts: &mut Vec<ReleasedPart<OwnedFd>>) -> Option<std::net::TcpListener> {
+    let position = parts.iter().position(|released| matches!(released.part, HandoverPart::Listener))?;
+    let listener = std::net::TcpListener::from(parts.swap_remove(position).socket?);
     listener.set_nonblocking(true).ok()?;
     Some(listener)
 }
@@ -104,7 +104,7 @@
     }
 
     /// Locks the folder, unless another process has the lock; with what was handed over, if the machine accepts it.
-    fn lock(&mut self) -> io::Result<Option<(Lock, Option<ReceivedState>)>> {
+    fn lock(&mut self) -> io::Result<Option<AcquiredFolder>> {
         // A lock that was handed over is never free: a third process could take it, and all that came would be lost.
         let lock = match self.passed_lock.take() {
             Some(lock) => lock,
@@ -117,7 +117,7 @@
             ReceiverOutput::Resume => self.received.take(),
             _ => None,
         };
-        Ok(Some((lock, received)))
+        Ok(Some(AcquiredFolder { lock, received }))
     }
 
     /// Connects to the process that has the lock; `None` if it does not listen: it is starting or stopping.
@@ -162,8 +162,8 @@
         for _ in 0..count {
             self.machine.step(ReceiverInput::Part, self.clock.now());
             let (part, has_fd): (HandoverPart, bool) = self.in_time(channel.recv()).await?;
-            let fd = if has_fd { Some(channel.fd().ok_or(ReceiverInput::Lost)?) } else { None };
-            parts.push((part, fd));
+            let socket = if has_fd { Some(channel.fd().ok_or(ReceiverInput::Lost)?) } else { None };
+            parts.push(ReleasedPart { part, socket });
         }
         Ok((ReceivedState { state: *state, drained, ahead, parts }, channel))
     }
@@ -186,7 +186,10 @@
     }
 
     /// Waits as long as the machine does.
-    async fn in_time<T>(&self, reply: impl Future<Output = io::Result<T>>) -> Result<T, ReceiverInput> {
+    async fn in_time<T>(
+        &self,
+        reply: impl Future<Output = Result<T, ChannelError>>,
+    ) -> Result<T, ReceiverInput> {
         let left = self.clock.until(self.machine.wake_at().unwrap_or_default());
         match timeout(left, reply).await {
             Ok(Ok(reply)) => Ok(reply),
--- a/courier/program/src/transport/handover/sender.rs
+++ b/courier/program/src/transport/handover/sender.rs
@@ -1,12 +1,12 @@
 //! The old process: it decides until another one requests the handover, and goes on if that fails.
 
 use super::{LOG_TARGET, Lock};
-use crate::transport::channel::{self, Channel};
+use crate::transport::channel::{self, Channel, ChannelError};
 use crate::transport::courier::Courier;
 use crate::transport::frames::{Frame, PASS_ON_TIMEOUT};
-use crate::transport::handle::{HandoverPart, Parts};
+use crate::transport::handle::{HandoverPart, ReleasedPart};
 use crate::transport::operators::OperatorService;
-use crate::transport::server::{self, Connections};
+use crate::transport::server::{self, Connections, ResumedClient};
 use actix_rt::net::{TcpListener, TcpStream};
 use actix_rt::time::{sleep, timeout};
 use quillmount_core::hub;
@@ -26,7 +26,7 @@
 
 /// Connections of other processes at once: one takes over, and one passes operators' calls on; more are closed.
 const PEERS_MAX: usize = 4;
-/// The interval at which is checked whether the tasks have given their parts up.
+/// The interval at which is checked whether the tasks have released their parts.
 const COLLECT_INTERVAL: Duration = Duration::from_millis(1);
 
 /// A process's tasks, the server first.
@@ -78,10 +78,11 @@
 
 impl ActiveProcess {
     /// Resumes a part in this process.
-    fn resume(&self, part: HandoverPart, stream: Option<TcpStream>) {
-        match (part, stream) {
+    fn resume(&self, released: ReleasedPart<TcpStream>) {
+        match (released.part, released.socket) {
             (HandoverPart::Client { state, bytes }, Some(stream)) => {
-                self.connections.admit(&self.courier, stream, Some((state, bytes[..].into())));
+                let resumed = ResumedClient { state, bytes: bytes[..].into() };
+                self.connections.admit(&self.courier, stream, Some(resumed));
             }
             (HandoverPart::IdleConnection { endpoint, addr, since }, Some(stream)) => {
                 self.courier.add_idle(endpoint, addr, since, stream);
@@ -93,13 +94,12 @@
     }
 
     /// Resumes the parts that another process handed over; calls that are missing among them have failed.
-    pub fn adopt(&self, parts: Parts<OwnedFd>) {
-        for (part, fd) in parts {
-            let stream = match (&part, fd) {
-                (HandoverPart::Listener, _) => continue,
-                (_, fd) => fd.and_then(|fd| channel::adopt(fd).ok()),
-            };
-            self.resume(part, stream);
+    pub fn adopt(&self, parts: Vec<ReleasedPart<OwnedFd>>) {
+        for ReleasedPart { part, socket } in parts {
+            if !matches!(part, HandoverPart::Listener) {
+                let socket = socket.and_then(|fd| channel::adopt(fd).ok());
+                self.resume(ReleasedPart { part, socket });
+            }
         }
         self.courier.calls_lost();
     }
@@ -169,13 +169,13 @@
     }
 
     /// Answers one call or request of another process.
-    async fn serve_peer(&self, stream: UnixStream) -> io::Result<()> {
+    async fn serve_peer(&self, stream: UnixStream) -> Result<(), ChannelError> {
         let opened = timeout(PASS_ON_TIMEOUT, async {
             let mut channel = Channel::open(stream).await?;
             let frame = channel.recv().await?;
-            Ok::<_, io::Error>((channel, frame))
+            Ok((channel, frame))
         });
-        let (mut channel, frame) = opened.await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))?;
+        let (mut channel, frame) = opened.await.unwrap_or(Err(ChannelError::TimedOut))?;
         match frame {
             Frame::Call(call) => channel.send(&Frame::Said(self.service.answer(call).await), None).await,
             Frame::Request => match self.step(SenderInput::Requested) {
@@ -193,8 +193,8 @@
         }
     }
 
-    /// Hands all over, or takes all back.
-    async fn send_all(&self, channel: &mut Channel) -> io::Result<()> {
+    /// Hands everything over, or takes everything back.
+    async fn send_all(&self, channel: &mut Channel) -> Result<(), ChannelError> {
         let clock = &self.courier.clock;
         let begun = clock.now();
         tracing::info!(target: LOG_TARGET, "upgrade: another process asks; {}", self.courier.report());
@@ -206,7 +206,7 @@
         }
         let frozen = clock.now();
         self.step(SenderInput::Collected);
-        let (state, parts) = self.courier.frozen(self.settings_fingerprint);
+        let (state, parts) = self.courier.freeze(self.settings_fingerprint);
         self.abort_tasks();
         let reply = self.deliver(channel, state, &parts).await;
         if self.step(reply) != SenderOutput::Release {
@@ -229,7 +229,7 @@
         released
     }
 
-    /// Waits until all tasks have given their parts up; false if they take too long.
+    /// Waits until all tasks have released their parts; false if they take too long.
     async fn collect(&self) -> bool {
         let server_runs = || self.tasks.borrow().first().is_some_and(|server| !server.is_finished());
         while self.courier.handover_pending() + self.connections.handover_pending() > 0 || server_runs() {
@@ -252,7 +252,7 @@
         &self,
         channel: &mut Channel,
         state: hub::HubState,
-        parts: &[(HandoverPart, Option<TcpStream>)],
+        parts: &[ReleasedPart<TcpStream>],
     ) -> SenderInput {
         let until = self.courier.handle.lifecycle().handover_deadline().unwrap_or_default();
         match timeout(self.courier.clock.until(until), self.send(channel, state, parts)).await {
@@ -274,8 +274,8 @@
         &self,
         channel: &mut Channel,
         state: hub::HubState,
-        parts: &[(HandoverPart, Option<TcpStream>)],
-    ) -> io::Result<()> {
+        parts: &[ReleasedPart<TcpStream>],
+    ) -> Result<(), ChannelError> {
         let drained = self.courier.handle.lifecycle().is_drained();
         let ahead = self.courier.clock.ahead();
         let first = Frame::State { state: Box::new(state), drained, parts: parts.len() + 1, ahead };
@@ -284,21 +284,21 @@
         let listener = self.listener.borrow().clone();
         let fd = listener.as_ref().map(AsFd::as_fd);
         channel.send(&(HandoverPart::Listener, fd.is_some()), fd).await?;
-        for (part, stream) in parts {
-            let fd = stream.as_ref().map(AsFd::as_fd);
+        for ReleasedPart { part, socket } in parts {
+            let fd = socket.as_ref().map(AsFd::as_fd);
             channel.send(&(part, fd.is_some()), fd).await?;
         }
         match channel.recv().await? {
             Frame::Got => Ok(()),
-            _ => Err(io::Error::other("not confirmed")),
+            _ => Err(ChannelError::NotConfirmed),
         }
     }
 
     /// Goes on as if no handover had been requested.
-    fn take_back(&self, parts: Parts<TcpStream>) {
+    fn take_back(&self, parts: Vec<ReleasedPart<TcpStream>>) {
         tracing::warn!(target: LOG_TARGET, "upgrade: not handed over; this process goes on");
-        for (part, stream) in parts.into_iter().chain(self.courier.handle.take_parts()) {
-            self.resume(part, stream);
+        for released in parts.into_iter().chain(self.courier.handle.take_parts()) {
+            self.resume(released);
         }
         self.abort_tasks();
         self.begin();
--- a/courier/program/src/transport/server.rs
+++ b/courier/program/src/transport/server.rs
@@ -13,7 +13,7 @@
 mod request;
 mod socket;
 
-pub use connections::Connections;
+pub use connections::{Connections, ResumedClient};
 
 use super::ACCEPT_BACKOFF;
 use super::courier::Courier;
@@ -26,11 +26,11 @@
 use std::time::Duration;
 use tokio::net::TcpSocket;
 
-/// Connections that the system may queue while the thread is busy: a client that finds the queue full tries again only
-/// after a second, and clients come by the hundred.
+/// Connections that the system may queue while the thread is busy: a client that finds the queue full retries only after
+/// a second, and hundreds of clients may connect at once.
 pub const BACKLOG: u32 = 1_024;
-/// The backlog in a fleet: a short queue paces clients, since a burst is refused for which the other members have not
-/// granted capacity yet.
+/// The backlog in a fleet: a short queue paces clients, since messages of a burst are rejected as long as the other members
+/// have not granted capacity for them.
 pub const BACKLOG_IN_FLEET: u32 = 128;
 
 /// A connection that was asked to close may have a request on its way: it is closed after this, if none has come.
--- a/courier/program/src/transport/server/client.rs
+++ b/courier/program/src/transport/server/client.rs
@@ -31,11 +31,11 @@
 enum RequestWait {
     Received(Received),
     TimedOut,
-    /// Another process goes on waiting.
+    /// Another process is to wait for the request.
     Transferred,
 }
 
-/// What the connection's machine is told next.
+/// What happened on the connection, for its machine.
 enum Progress {
     Input(ClientInput),
     /// Nothing has happened, since the connection is to be handed over.
@@ -57,7 +57,7 @@
     /// Serves the connection from this state on, until it closes or is handed over.
     pub(super) async fn run(mut self, state: ClientState) {
         match self.run_machine(state).await {
-            Err(e) => tracing::debug!(target: LOG_TARGET, "server: a consumer's connection: {e}"),
+            Err(e) => tracing::debug!(target: LOG_TARGET, "server: a client's connection: {e}"),
             Ok(Some(state)) => {
                 // The registration is dropped last: the connection counts until its part is handed over.
                 let ClientTask { socket, courier, .. } = self;
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Carries out what the connection's machine says, until it closes; returns the state that another process is to
-    /// go on from, if one is.
+    /// Carries out what the connection's machine asks for, until it closes; returns the state from which another process
+    /// is to resume it, if one is.
     async fn run_machine(&mut self, state: ClientState) -> io::Result<Option<ClientState>> {
         let connections = self.registration.connections.clone();
         let (mut machine, mut output) = ClientConnection::resumed(state);
--- a/courier/program/src/transport/server/connections.rs
+++ b/courier/program/src/transport/server/connections.rs
@@ -1,5 +1,5 @@
-//! The table of the clients' connections: which may enter, which are asked to close to make room, and how many bytes of
-//! bodies they may have in flight together.
+//! The table of the clients' connections: which are admitted, which are asked to close so that others can be, and how many
+//! bytes of bodies they may have in flight together.
 //!
 //! [`Admission`] decides; this module carries out what it says on the connections' tasks.
 
@@ -31,6 +31,21 @@
     leave: Rc<Notify>,
 }
 
+/// A connection as another process has handed it over.
+pub struct ResumedClient {
+    /// The state of the connection.
+    pub state: ClientState,
+    /// The bytes of the request that were read.
+    pub bytes: BytesMut,
+}
+
+impl Default for ResumedClient {
+    /// A new connection.
+    fn default() -> Self {
+        ResumedClient { state: ClientConnection::default().state(), bytes: BytesMut::new() }
+    }
+}
+
 /// Malformed requests that no log line has counted yet.
 #[derive(Clone, Copy, Default)]
 struct MalformedLog {
@@ -96,38 +111,33 @@
         self.accept_interrupted.notify_one();
     }
 
-    /// Asks all connections, and the accept loop, to give their parts up to another process.
+    /// Asks all connections, and the accept loop, to release their parts to another process.
     pub fn release(&self) {
         self.accept_interrupted.notify_one();
         self.tasks.borrow().values().for_each(|connection| connection.leave.notify_one());
     }
 
-    /// Waits until the accept loop is to look whether it ends.
+    /// Waits until the accept loop has to check whether it ends.
     pub(super) async fn accept_interrupted(&self) {
         self.accept_interrupted.notified().await;
     }
 
-    /// Connections whose parts are still to be given up; those that are closing are not.
+    /// Connections whose parts are not released yet, without those that are closing.
     pub fn handover_pending(&self) -> usize {
         self.admission.borrow().handover_pending()
     }
 
     /// Starts the task of a connection: a new one, or one of another process with its state and the bytes that were
     /// read from it.
-    pub fn admit(
-        self: &Rc<Self>,
-        courier: &Rc<Courier>,
-        stream: TcpStream,
-        resumed: Option<(ClientState, BytesMut)>,
-    ) {
+    pub fn admit(self: &Rc<Self>, courier: &Rc<Courier>, stream: TcpStream, resumed: Option<ResumedClient>) {
         // An answer must not wait for the acknowledgement of the one before; where this fails, it waits.
         let _ = stream.set_nodelay(true);
         let number = self.admission.borrow_mut().enter(self.clock.now());
-        let (state, buf) = resumed.unwrap_or_else(|| (ClientConnection::default().state(), BytesMut::new()));
+        let ResumedClient { state, bytes } = resumed.unwrap_or_default();
         self.set_state(number, state);
         let leave = Rc::new(Notify::new());
         let client = ClientTask {
-            socket: ClientSocket::new(stream, buf),
+            socket: ClientSocket::new(stream, bytes),
             courier: courier.clone(),
             registration: Registration { connections: self.clone(), number },
             leave: leave.clone(),
@@ -142,7 +152,7 @@
         }
     }
 
-    /// Waits until one more connection is allowed, and makes room for it where others may be closed.
+    /// Waits until one more connection is allowed; where one that is open may be closed for it, it is.
     pub(super) async fn wait_for_capacity(&self) {
         loop {
             let decision = self.admission.borrow_mut().decide(self.clock.now());
@@ -166,8 +176,8 @@
         }
     }
 
-    /// Closes a silent connection, whatever their number, since the process has no descriptor left; false if none can
-    /// be closed.
+    /// Closes a silent connection, even below the limit, since the process has no descriptor left; false if none can be
+    /// closed.
     pub(super) async fn reclaim_descriptor(&self) -> bool {
         let decision = self.admission.borrow_mut().reclaim_descriptor(self.clock.now());
         match decision {
@@ -186,7 +196,7 @@
         self.changed.notify_one();
     }
 
-    /// Whether this connection was asked to close to make room.
+    /// Whether this connection was asked to close so that another can be admitted.
     pub(super) fn is_asked_to_close(&self, number: u64) -> bool {
         self.admission.borrow().is_asked_to_close(number)
     }
--- a/courier/program/src/transport/signals.rs
+++ b/courier/program/src/transport/signals.rs
@@ -4,15 +4,15 @@
 use std::cell::Cell;
 use tokio::sync::Notify;
 
-/// The signals to one call in flight; each stays set until the call has heeded it.
+/// The signals to one call in flight; each stays set until the call has acted on it.
 #[derive(Default)]
 pub struct CallSignals {
     give_up: Cell<bool>,
     back_off: Cell<bool>,
     ended: Cell<bool>,
-    late: Cell<bool>,
+    expired: Cell<bool>,
     changed: Notify,
-    /// Another process goes on with the call.
+    /// Another process is to resume the call.
     handover: Notify,
 }
 
@@ -30,17 +30,17 @@
     }
 
     /// The call's time on its connection is over.
-    pub fn cut(&self) {
-        self.late.set(true);
+    pub fn expire(&self) {
+        self.expired.set(true);
         self.changed.notify_one();
     }
 
-    /// The call is to be given up to another process.
+    /// The call is to be released to another process.
     pub fn release(&self) {
         self.handover.notify_one();
     }
 
-    /// Waits until the call is to be given up to another process.
+    /// Waits until the call is to be released to another process.
     pub async fn released(&self) {
         self.handover.notified().await;
     }
@@ -79,7 +79,7 @@
         match state {
             _ if self.give_up.get() => Some(AttemptInput::GiveUp),
             _ if unsent && self.ended.get() => Some(AttemptInput::MessageEnded),
-            _ if self.late.get() => Some(AttemptInput::Deadline),
+            _ if self.expired.get() => Some(AttemptInput::Deadline),
             AttemptState::Writing { .. } if self.back_off.take() => Some(AttemptInput::BackOff),
             _ => None,
         }
--- a/courier/program/src/transport/streams.rs
+++ b/courier/program/src/transport/streams.rs
@@ -86,7 +86,7 @@
     }
 }
 
-/// Held by the task that waits for the next turn; on drop the others look again, also where the task was aborted.
+/// Owned by the task that waits for the next turn; dropped, also where the task was aborted, it wakes the others.
 struct TurnGuard<'a>(&'a Streams);
 
 impl Drop for TurnGuard<'_> {
