--- a/courier/program/src/fleet/mod.rs
+++ b/courier/program/src/fleet/mod.rs
@@ -10,7 +10,7 @@
 //! - `membership` is the membership itself: it steps the machine, and carries its outputs out on the courier;
 //! - `start` opens all of these and spawns their tasks.
 
-pub mod budget;
+mod budget;
 mod descriptors;
 mod error;
 mod links;
--- a/courier/program/src/program/run.rs
+++ b/courier/program/src/program/run.rs
@@ -6,7 +6,7 @@
 use super::process::{Process, RunEnd, start_tasks};
 use super::reload::Reload;
 use super::signals::Signals;
-use super::startup::{self, OpenedRouter};
+use super::startup::{self, OpenedRouter, ResumedParts};
 use crate::fleet::{self, Fleet};
 use crate::transport::clock::Clock;
 use crate::transport::courier::{Courier, CourierSetup};
@@ -16,7 +16,7 @@
 use crate::transport::server::Connections;
 use actix_rt::net::TcpListener;
 use quillmount_core::pool::Pool;
-use quillmount_core::router::{self, RouterError};
+use quillmount_core::router::{self, RouterAction, RouterError};
 use quillmount_operator::Operator;
 use quillmount_policy::Micros;
 use quillmount_settings::{NameTable, decode_settings};
@@ -41,25 +41,10 @@
     let operators = startup::bind_operators(&config).await?;
 
     let acquired = acquire(&config, &operator, clock, &mut signals, operators.as_ref()).await?;
-    let Some(Acquired { lock, received, clock, fleet }) = acquired else { return Ok(RunEnd::Stopped) };
-
-    let gate = fleet.as_ref().map(|fleet| fleet.gate.clone());
-    let (limits, rules) = startup::stream_rules(&operator.streams).unzip();
-    let settings_fingerprint = router::settings_fingerprint(&config.env, limits)?;
-    let opened = startup::open_router(&config, limits, gate.as_ref(), received, clock.now())?;
-    let OpenedRouter { router, actions, mut resumed } = opened;
-    let courier = Courier::new(CourierSetup {
-        clock: clock.clone(),
-        connect_timeout: config.connect_timeout(),
-        router,
-        pool: Pool::new(config.idle_timeout().as_micros() as Micros, connection_limit),
-        rules,
-        gate,
-        budgets: fleet.as_ref().and_then(|fleet| fleet.connection_budget()),
-    });
-    if let Some(fleet) = &fleet {
-        fleet.attach(&courier, &config.state)?;
-    }
+    let Some(mut acquired) = acquired else { return Ok(RunEnd::Stopped) };
+    let opened = open_courier(&config, &operator, connection_limit, &mut acquired)?;
+    let OpenedCourier { courier, actions, mut resumed, settings_fingerprint } = opened;
+    let Acquired { lock, clock, fleet, .. } = acquired;
     let listener = startup::client_listener(&config, fleet.is_some(), inherited, resumed.as_mut())?;
     log_serving(&config, &listener, &courier);
 
@@ -134,6 +119,49 @@
     Ok(Some(Acquired { lock, received, clock, fleet }))
 }
 
+/// A courier whose journal is open, and that does not serve yet.
+struct OpenedCourier {
+    courier: Rc<Courier>,
+    /// The router's first actions.
+    actions: Vec<RouterAction>,
+    /// Present where the courier resumes the state of another process.
+    resumed: Option<ResumedParts>,
+    /// The fingerprint of the settings that it decides under.
+    settings_fingerprint: u32,
+}
+
+/// Opens the journal and the router, and connects the fleet.
+///
+/// # Errors
+/// The journal can't be opened, or the settings are wrong.
+fn open_courier(
+    config: &Config,
+    operator: &Operator,
+    connection_limit: usize,
+    acquired: &mut Acquired,
+) -> Result<OpenedCourier, RunError> {
+    let (clock, fleet) = (&acquired.clock, &acquired.fleet);
+    let gate = fleet.as_ref().map(|fleet| fleet.gate.clone());
+    let (limits, rules) = startup::stream_rules(&operator.streams).unzip();
+    let settings_fingerprint = router::settings_fingerprint(&config.env, limits)?;
+    let received = acquired.received.take();
+    let opened = startup::open_router(config, limits, gate.as_ref(), received, clock.now())?;
+    let OpenedRouter { router, actions, resumed } = opened;
+    let courier = Courier::new(CourierSetup {
+        clock: clock.clone(),
+        connect_timeout: config.connect_timeout(),
+        router,
+        pool: Pool::new(config.idle_timeout().as_micros() as Micros, connection_limit),
+        rules,
+        gate,
+        budgets: fleet.as_ref().and_then(|fleet| fleet.connection_budget()),
+    });
+    if let Some(fleet) = fleet {
+        fleet.attach(&courier, &config.state)?;
+    }
+    Ok(OpenedCourier { courier, actions, resumed, settings_fingerprint })
+}
+
 fn log_serving(config: &Config, listener: &TcpListener, courier: &Courier) {
     tracing::info!(
         "{}: serving on {}; discovery at {}; {}",
--- a/courier/program/src/transport/courier.rs
+++ b/courier/program/src/transport/courier.rs
@@ -2,36 +2,36 @@
 //!
 //! All decisions are made by [`Hub`] and its [`Router`]; every method here that reports something to them carries out the
 //! actions that they return. This file has intake, the endpoint list, notices and the clock, `calls` the delivery
-//! calls, `streams` the streamed submissions.
+//! calls, `streams` the streamed submissions, `fleet` what is particular to a courier of a fleet, `handover` the courier's part of
+//! an upgrade.
 
 mod calls;
+mod fleet;
+mod handover;
 mod streams;
 
+pub use fleet::SettlementAnswer;
+
 use super::clock::Clock;
 use super::connection::EndpointStream;
 use super::connection_budget::ConnectionBudget;
 use super::endpoints;
 use super::gate::Gate;
-use super::handle::{Handle, HandoverPart, ReleasedPart};
+use super::handle::Handle;
 use super::journal_file::JournalFile;
 use super::signals::CallSignals;
 use super::streams::{Pipe, StreamRules, Streams};
-use actix_http::Response;
-use actix_rt::net::TcpStream;
-use bytes::Bytes;
+use fleet::SettlementHooks;
 use quillmount_core::counters::Counters;
 use quillmount_core::disabled::DisableError;
-use quillmount_core::hub::{self, DriverAction, Hub};
-use quillmount_core::journal::{End, JournalEntry, JournalError, JournalRecord, Settlements, Source};
+use quillmount_core::hub::{DriverAction, Hub};
 use quillmount_core::note::{Level, Note};
 use quillmount_core::pool::Pool;
-use quillmount_core::router::{Intake, Router, RouterAction, UnknownId};
-use quillmount_core::{CallId, Ending, EndpointList, Notice, Submission};
+use quillmount_core::router::{Intake, Router, RouterAction};
+use quillmount_core::{CallId, EndpointList, Notice, Submission};
 use quillmount_policy::{Micros, MsgId};
 use std::cell::{OnceCell, RefCell};
 use std::collections::HashMap;
-use std::net::SocketAddr;
-use std::pin::Pin;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::Notify;
@@ -39,22 +39,6 @@
 /// The interval at which connections to endpoints are checked that are dead or too old.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The answer to a message of a settlement, once the settlement's owner has decided.
-pub type SettlementAnswer = Pin<Box<dyn Future<Output = Response<Bytes>>>>;
-
-/// Submits a client's message with all of its `X-Addressing`; `None`: it belongs to no settlement.
-pub type SettlementIntake = Box<dyn Fn(&Submission, &str) -> Option<SettlementAnswer>>;
-/// Is notified that a message that is watched has ended.
-pub type EndObserver = Box<dyn Fn(&str, End)>;
-
-/// What the courier calls where settlements are carried.
-pub struct SettlementHooks {
-    /// Submits messages that may belong to a settlement.
-    pub submit: SettlementIntake,
-    /// Is notified of the ends of messages that the settlements' owner watches.
-    message_ended: EndObserver,
-}
-
 /// What a [`Courier`] is made of.
 pub struct CourierSetup {
     /// The time that all deadlines are given in.
@@ -117,69 +101,6 @@
         })
     }
 
-    /// Submits messages of settlements by `submit` from now on, and reports the ends of watched messages to
-    /// `message_ended`.
-    pub fn set_settlement_hooks(&self, submit: SettlementIntake, message_ended: EndObserver) {
-        // The first stands: there is one fleet.
-        let _ = self.settlement_hooks.set(SettlementHooks { submit, message_ended });
-    }
-
-    /// What to call for messages of settlements, if any are carried.
-    pub fn settlement_hooks(&self) -> Option<&SettlementHooks> {
-        self.settlement_hooks.get()
-    }
-
-    /// See [`Router::refuses`].
-    pub fn refuses(&self, submission: &Submission) -> Option<Intake> {
-        self.handle.hub.borrow().router.refuses(&submission.class, submission.dest)
-    }
-
-    /// See [`Router::fate`].
-    ///
-    /// # Errors
-    /// No message of this id is known.
-    pub fn fate(&self, id: &str) -> Result<Option<End>, UnknownId> {
-        self.handle.hub.borrow().router.fate(id)
-    }
-
-    /// See [`Router::watch`].
-    ///
-    /// # Errors
-    /// No message of this id is known yet.
-    pub fn watch(&self, id: &str) -> Result<Option<End>, UnknownId> {
-        self.handle.hub.borrow_mut().router.watch(id)
-    }
-
-    /// See [`Router::unwatch`].
-    pub fn unwatch(&self, id: &str) {
-        self.handle.hub.borrow_mut().router.unwatch(id);
-    }
-
-    /// Submits a message that this courier has promised an end already: neither gate nor budget may reject it.
-    pub fn submit_promised(self: &Rc<Self>, submission: Submission) -> Intake {
-        let (intake, actions) = self.handle.hub.borrow_mut().submit(submission, self.clock.now());
-        self.carry_out(actions);
-        intake
-    }
-
-    /// See [`Router::end_unsent`].
-    ///
-    /// # Errors
-    /// The store refused the records: nothing has changed.
-    pub fn end_unsent(self: &Rc<Self>, submission: Submission, ending: Ending) -> Result<(), JournalError> {
-        let actions = self.handle.hub.borrow_mut().end_unsent(submission, ending, self.clock.now())?;
-        self.carry_out(actions);
-        Ok(())
-    }
-
-    /// See [`Router::write_settlement`].
-    ///
-    /// # Errors
-    /// The journal is full, or its store refused the records: none of them is written.
-    pub fn write_settlement(&self, records: &[JournalRecord], may_wait: bool) -> Result<(), JournalError> {
-        self.handle.hub.borrow_mut().router.write_settlement(records, may_wait, self.clock.now())
-    }
-
     /// Counts what the router does not see.
     pub fn count(&self, one: impl FnOnce(&mut Counters)) {
         self.handle.count(one);
@@ -191,46 +112,6 @@
             && self.gate.as_ref().is_none_or(|gate| gate.check_open().is_ok())
     }
 
-    /// Asks all calls to prepare for a handover; streams end as at a planned stop.
-    pub fn release(self: &Rc<Self>) {
-        self.end_streams();
-        self.signals.borrow().values().for_each(|signals| signals.release());
-    }
-
-    /// Calls that are not released for the handover yet.
-    pub fn handover_pending(&self) -> usize {
-        self.signals.borrow().len()
-    }
-
-    /// All state, and all parts, for a handover; nothing may be decided after it. `settings`: the fingerprint of the settings.
-    pub fn freeze(&self, settings: u32) -> (hub::HubState, Vec<ReleasedPart<TcpStream>>) {
-        let mut parts = self.handle.take_parts();
-        let idle = self.handle.pool(Pool::take_all_idle);
-        parts.extend(idle.into_iter().map(|(endpoint, addr, since, conn)| ReleasedPart {
-            part: HandoverPart::IdleConnection { endpoint, addr, since },
-            socket: conn.into_stream(),
-        }));
-        (self.handle.hub.borrow().state(settings), parts)
-    }
-
-    /// Adds an idle connection of another process to the pool.
-    pub fn add_idle(&self, endpoint: u32, addr: SocketAddr, since: Micros, stream: TcpStream) {
-        drop(self.handle.pool(|pool| pool.add_idle(endpoint, addr, since, EndpointStream::Plain(stream))));
-    }
-
-    /// Carries out the first actions of a state that another process had.
-    pub fn resume(self: &Rc<Self>, backoffs: &[(u32, Micros)], first: Vec<RouterAction>) {
-        let actions = self.handle.hub.borrow_mut().resume(backoffs, first, self.clock.now());
-        self.carry_out(actions);
-    }
-
-    /// Rejects a message, and counts it, while the gate is closed.
-    pub fn reject_by_gate(&self) -> Option<Intake> {
-        let after = self.gate.as_ref()?.check_open().err()?;
-        self.count(|counters| counters.rejected += 1);
-        Some(Intake::Rejected { after })
-    }
-
     /// Submits a client's message, where the gate and the budgets allow it.
     pub fn submit(self: &Rc<Self>, submission: Submission) -> Intake {
         if let Some(rejected) = self.reject_by_gate() {
@@ -247,49 +128,6 @@
         intake
     }
 
-    /// Waits until the records written by now are replicated; without a fleet it returns at once.
-    pub async fn wait_until_replicated(&self) {
-        if let Some(gate) = &self.gate {
-            gate.wait_until_replicated().await;
-        }
-    }
-
-    /// Waits until the courier may act on the records written by now; without a fleet it returns at once.
-    pub async fn wait_until_may_act(&self) {
-        if let Some(gate) = &self.gate {
-            gate.pass(gate.written(), Micros::MAX).await;
-        }
-    }
-
-    /// Takes over the open messages of another courier's journal; see [`Router::adopt`].
-    ///
-    /// # Errors
-    /// The journal is full, or its store refused the records: then nothing is taken over.
-    pub fn adopt(
-        self: &Rc<Self>,
-        entries: Vec<JournalEntry>,
-        lines: &Settlements,
-    ) -> Result<(), JournalError> {
-        let actions = self.handle.hub.borrow_mut().adopt(entries, lines, self.clock.now())?;
-        self.carry_out(actions);
-        Ok(())
-    }
-
-    /// Sources whose messages wait for the fleet's decision who owns them.
-    pub fn unsettled(&self) -> Vec<Source> {
-        self.handle.hub.borrow().router.unsettled().cloned().collect()
-    }
-
-    /// The fleet has decided whether this courier owns the messages of a source; see [`Router::settle_source`].
-    ///
-    /// # Errors
-    /// The store refused the record: the messages go on waiting.
-    pub fn settle_from(self: &Rc<Self>, source: &Source, accepted: bool) -> Result<(), JournalError> {
-        let actions = self.handle.hub.borrow_mut().settle_source(source, accepted, self.clock.now())?;
-        self.carry_out(actions);
-        Ok(())
-    }
-
     /// Applies a new endpoint list of discovery.
     pub fn list(self: &Rc<Self>, list: EndpointList) {
         if self.handle.lifecycle().is_frozen() {
--- a/courier/program/src/transport/courier/streams.rs
+++ b/courier/program/src/transport/courier/streams.rs
@@ -64,11 +64,11 @@
         self.step_stream(|router| router.stream_written(call, now));
     }
 
-    /// A stream's client was answered, or, with `heard` false, can't be.
-    pub fn stream_answered(self: &Rc<Self>, msg: MsgId, heard: bool) {
+    /// A stream's client was answered; `received` is false where it could not be.
+    pub fn stream_answered(self: &Rc<Self>, msg: MsgId, received: bool) {
         let now = self.clock.now();
         self.pipes.borrow_mut().remove(&msg);
-        self.step_stream(|router| router.answered(msg, heard, now));
+        self.step_stream(|router| router.answered(msg, received, now));
     }
 
     /// The connection of a stream's client has ended before its answer.
