--- a/tools/explore/src/action.rs
+++ b/tools/explore/src/action.rs
@@ -48,13 +48,16 @@
     #[serde(rename = "over")]
     Gone,
     /// 200, and then the connection breaks off.
-    CutOk,
+    #[serde(rename = "cut-ok")]
+    TruncatedOk,
     /// 503, and then the connection breaks off.
-    CutFull,
+    #[serde(rename = "cut-full")]
+    TruncatedFull,
     /// 102: an interim answer; the final one follows.
     Interim,
     /// 200 twice on the same connection.
-    Copy,
+    #[serde(rename = "copy")]
+    DuplicateOk,
 }
 
 impl Answer {
@@ -71,10 +74,10 @@
             Answer::Slots => b"HTTP/1.1 503 X\r\nX-Over-Slots: 1\r\nContent-Length: 0\r\n\r\n",
             Answer::Exhausted => b"HTTP/1.1 504 X\r\nContent-Length: 0\r\n\r\n",
             Answer::Gone => b"HTTP/1.1 410 X\r\nContent-Length: 0\r\n\r\n",
-            Answer::CutOk => b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart",
-            Answer::CutFull => b"HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\npart",
+            Answer::TruncatedOk => b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart",
+            Answer::TruncatedFull => b"HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\npart",
             Answer::Interim => b"HTTP/1.1 102 X\r\n\r\n",
-            Answer::Copy => {
+            Answer::DuplicateOk => {
                 b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
             }
         }
@@ -82,7 +85,7 @@
 
     /// Whether it confirms the delivery of the message.
     pub fn delivers(self) -> bool {
-        matches!(self, Answer::Ok | Answer::CutOk | Answer::Copy)
+        matches!(self, Answer::Ok | Answer::TruncatedOk | Answer::DuplicateOk)
     }
 
     /// Whether it proves that the call never ran.
@@ -219,6 +222,25 @@
     pub crash: Option<CrashPoint>,
 }
 
+/// The name that is printed in traces.
+impl fmt::Display for Answer {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Answer::Ok => "Ok",
+            Answer::Error => "Error",
+            Answer::Full => "Full",
+            Answer::Wait => "Wait",
+            Answer::Slots => "Slots",
+            Answer::Exhausted => "Exhausted",
+            Answer::Gone => "Gone",
+            Answer::TruncatedOk => "CutOk",
+            Answer::TruncatedFull => "CutFull",
+            Answer::Interim => "Interim",
+            Answer::DuplicateOk => "Copy",
+        })
+    }
+}
+
 impl fmt::Display for CallRef {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "call {} of m{}", self.attempt, self.message)
@@ -245,9 +267,9 @@
             Action::Answer(call_ref, Answer::Wait) => {
                 write!(f, "{call_ref} is answered 429, with a wait of {} ms", Answer::WAIT_MS)
             }
-            Action::Answer(call_ref, answer) => write!(f, "{call_ref} is answered: {answer:?}"),
+            Action::Answer(call_ref, answer) => write!(f, "{call_ref} is answered: {answer}"),
             Action::AnswerArrived(call_ref, answer) => {
-                write!(f, "{answer:?} for {call_ref} stands in the socket")
+                write!(f, "{answer} for {call_ref} stands in the socket")
             }
             Action::ReadAnswer(call_ref) => write!(f, "the answer to {call_ref} is read"),
             Action::EndpointClosed(call_ref) => write!(f, "the provider ends the connection of {call_ref}"),
--- a/tools/explore/src/monitor.rs
+++ b/tools/explore/src/monitor.rs
@@ -6,6 +6,7 @@
 use quillmount_core::Ending;
 use quillmount_policy::Micros;
 use std::collections::BTreeMap;
+use std::fmt;
 
 /// Tolerance of deadlines, in microseconds: on sockets they are met this much later.
 pub const SLACK: Micros = 50_000;
@@ -22,11 +23,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Acceptance {
     /// It was rejected.
-    No,
+    Rejected,
     /// It is in the store, but the client got no answer.
-    Unheard,
+    Unacknowledged,
     /// The client got 202.
-    Heard,
+    Acknowledged,
+}
+
+/// The name that is printed in traces.
+impl fmt::Display for Acceptance {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Acceptance::Rejected => "No",
+            Acceptance::Unacknowledged => "Unheard",
+            Acceptance::Acknowledged => "Heard",
+        })
+    }
 }
 
 /// One call as its endpoint sees it.
@@ -90,7 +102,7 @@
 
     /// Whether its client got 202, and it has no end.
     pub fn is_unanswered(&self) -> bool {
-        self.acceptance == Acceptance::Heard && !self.is_final()
+        self.acceptance == Acceptance::Acknowledged && !self.is_final()
     }
 
     /// The first call that may have run.
@@ -267,7 +279,7 @@
     /// The message was not accepted, has ended otherwise, or may still be running.
     pub fn notice(&mut self, message: usize, ending: Ending) -> Result<(), Violation> {
         let observed = &mut self.messages[message];
-        if observed.acceptance == Acceptance::No {
+        if observed.acceptance == Acceptance::Rejected {
             return violated(
                 Property::FinalAnswer,
                 format!("a notice for m{message}, which was not taken on"),
--- a/tools/explore/src/world/actions.rs
+++ b/tools/explore/src/world/actions.rs
@@ -18,15 +18,15 @@
     (Answer::Slots, Some(FaultKind::Slots)),
     (Answer::Exhausted, Some(FaultKind::Exhausted)),
     (Answer::Gone, Some(FaultKind::MessageGone)),
-    (Answer::CutOk, Some(FaultKind::TruncatedAnswer)),
-    (Answer::CutFull, Some(FaultKind::TruncatedAnswer)),
+    (Answer::TruncatedOk, Some(FaultKind::TruncatedAnswer)),
+    (Answer::TruncatedFull, Some(FaultKind::TruncatedAnswer)),
     (Answer::Interim, Some(FaultKind::Interim)),
-    (Answer::Copy, Some(FaultKind::DuplicateAnswer)),
+    (Answer::DuplicateOk, Some(FaultKind::DuplicateAnswer)),
 ];
 
 /// The actions collected so far, and what keeps the clock from going on.
 #[derive(Default)]
-struct OpenActions {
+struct EnabledActions {
     actions: Vec<Action>,
     /// One of them is due now: time can't go on before it.
     urgent: bool,
@@ -34,7 +34,7 @@
     awaits_answer: bool,
 }
 
-impl OpenActions {
+impl EnabledActions {
     fn push_urgent(&mut self, action: Action) {
         self.actions.push(action);
         self.urgent = true;
@@ -50,7 +50,7 @@
         if let Some(writes) = self.first_writes() {
             return writes;
         }
-        let mut open = OpenActions::default();
+        let mut open = EnabledActions::default();
         for outstanding in self.calls.values() {
             self.call_actions(outstanding, &mut open);
         }
@@ -108,7 +108,7 @@
     }
 
     /// What may happen to one call.
-    fn call_actions(&self, outstanding: &OutstandingCall, open: &mut OpenActions) {
+    fn call_actions(&self, outstanding: &OutstandingCall, open: &mut EnabledActions) {
         let (call_ref, state) = (call_ref(outstanding), outstanding.call.state());
         if !matches!(state, AttemptState::Closing { .. }) && self.now >= outstanding.deadline {
             open.push_urgent(Action::Deadline(call_ref));
@@ -139,7 +139,7 @@
         }
     }
 
-    fn connecting_actions(&self, call_ref: CallRef, dial_deadline: Micros, open: &mut OpenActions) {
+    fn connecting_actions(&self, call_ref: CallRef, dial_deadline: Micros, open: &mut EnabledActions) {
         open.actions.push(Action::Connected(call_ref));
         let late = self.now >= dial_deadline;
         if late || self.allows(FaultKind::Refuse) {
@@ -149,7 +149,7 @@
         open.awaits_answer |= !self.allows(FaultKind::NeverConnects);
     }
 
-    fn answer_actions(&self, call_ref: CallRef, had_interim: bool, open: &mut OpenActions) {
+    fn answer_actions(&self, call_ref: CallRef, had_interim: bool, open: &mut EnabledActions) {
         for (answer, fault) in ANSWERS {
             let is_allowed = fault.is_none_or(|fault| self.allows(fault));
             if is_allowed && !(had_interim && answer == Answer::Interim) {
@@ -175,7 +175,7 @@
     }
 
     /// What may happen to notices.
-    fn notice_actions(&self, open: &mut OpenActions) {
+    fn notice_actions(&self, open: &mut EnabledActions) {
         match self.notices.state() {
             NoticeState::Quiet => {
                 if !self.hub.router.notices(1).is_empty() {
@@ -195,7 +195,7 @@
     }
 
     /// What may happen to notices in flight. The platform accepts notices at once, and loses none twice in a row.
-    fn confirmation_actions(&self, is_overdue: bool, open: &mut OpenActions) {
+    fn confirmation_actions(&self, is_overdue: bool, open: &mut EnabledActions) {
         open.actions.push(Action::Confirmed);
         let may_lose = self.allows(FaultKind::Lose) && self.consecutive_losses == 0;
         if may_lose {
@@ -258,7 +258,7 @@
     }
 
     /// The end of the backoff of the watch on discovery, and its breaks.
-    fn watch_actions(&self, open: &mut OpenActions) {
+    fn watch_actions(&self, open: &mut EnabledActions) {
         if matches!(self.watch.state(), WatchState::BackingOff { until } if self.now >= until) {
             open.push_urgent(Action::WatchTick);
         }
@@ -284,7 +284,7 @@
     }
 
     /// Ends of the process: by itself, by SIGTERM and by SIGKILL.
-    fn process_actions(&self, open: &mut OpenActions) {
+    fn process_actions(&self, open: &mut EnabledActions) {
         let can_restart = self.incarnations < self.case.incarnations;
         if let ProcessState::Stopping { end } = self.process {
             if self.now >= end || self.hub.is_quiet() {
--- a/tools/explore/src/world/calls.rs
+++ b/tools/explore/src/world/calls.rs
@@ -120,7 +120,7 @@
         let Some(outstanding) = self.calls.get_mut(&id) else { return Ok(()) };
         let Some(answer) = outstanding.arrived.take() else { return Ok(()) };
         if let Some((connection, bytes)) = outstanding.call.parts() {
-            if matches!(answer, Answer::CutOk | Answer::CutFull | Answer::Copy) {
+            if matches!(answer, Answer::TruncatedOk | Answer::TruncatedFull | Answer::DuplicateOk) {
                 self.unusable.insert(*connection);
             }
             bytes.extend_from_slice(answer.bytes());
--- a/tools/explore/src/world/description.rs
+++ b/tools/explore/src/world/description.rs
@@ -29,7 +29,7 @@
         _ => "open".to_string(),
     };
     format!(
-        "m{index}: {}, {:?}, until {}; {}; {end}",
+        "m{index}: {}, {}, until {}; {}; {end}",
         CLASSES[usize::from(message.class)],
         message.acceptance,
         seconds(message.deadline),
--- a/tools/explore/src/world/submission.rs
+++ b/tools/explore/src/world/submission.rs
@@ -16,7 +16,7 @@
             dest,
             key,
             deadline: self.now + self.case.time_left(),
-            acceptance: Acceptance::No,
+            acceptance: Acceptance::Rejected,
             calls: Vec::new(),
             notice: None,
             delivered: false,
@@ -28,12 +28,12 @@
         let is_stored = self.is_stored(message);
         let acceptance = match intake {
             // Whatever the answer would have been, the client did not receive it.
-            _ if self.crashing && is_stored => Acceptance::Unheard,
-            Intake::Accepted if !self.crashing => Acceptance::Heard,
-            _ => Acceptance::No,
+            _ if self.crashing && is_stored => Acceptance::Unacknowledged,
+            Intake::Accepted if !self.crashing => Acceptance::Acknowledged,
+            _ => Acceptance::Rejected,
         };
         self.monitor.messages[message].acceptance = acceptance;
-        if acceptance == Acceptance::Heard && !is_stored {
+        if acceptance == Acceptance::Acknowledged && !is_stored {
             return violated(
                 Property::Durability,
                 format!("m{message} is answered 202 and is not in the store"),
@@ -47,7 +47,7 @@
         let number = self.hub.router.next_number();
         let (intake, actions) = self.hub.submit(self.submission(message), self.now);
         let observed = &self.monitor.messages[message];
-        let is_known = observed.acceptance != Acceptance::No && self.now < observed.deadline;
+        let is_known = observed.acceptance != Acceptance::Rejected && self.now < observed.deadline;
         if intake == Intake::Accepted {
             if is_known {
                 return violated(Property::FinalAnswer, format!("m{message} is taken on twice"));
@@ -67,9 +67,9 @@
     /// The courier has accepted a message that it did not know any more.
     fn accept_resubmission(&mut self, message: usize) {
         let acceptance = match (self.crashing, self.is_stored(message)) {
-            (false, _) => Acceptance::Heard,
-            (true, true) => Acceptance::Unheard,
-            (true, false) => Acceptance::No,
+            (false, _) => Acceptance::Acknowledged,
+            (true, true) => Acceptance::Unacknowledged,
+            (true, false) => Acceptance::Rejected,
         };
         let deadline = self.now + self.case.time_left();
         let observed = &mut self.monitor.messages[message];
--- a/tools/explore/src/world/time.rs
+++ b/tools/explore/src/world/time.rs
@@ -52,7 +52,7 @@
     /// Moments at which a property or the choice of an endpoint changes.
     fn monitor_time_points(&self, points: &mut Vec<Micros>) {
         for message in &self.monitor.messages {
-            if message.acceptance == Acceptance::No || message.is_final() {
+            if message.acceptance == Acceptance::Rejected || message.is_final() {
                 continue;
             }
             points.extend([message.deadline, self.monitor.overdue_at(message) + 1]);
