--- a/courier/fleet/src/agreement.rs
+++ b/courier/fleet/src/agreement.rs
@@ -82,7 +82,7 @@
     delivered_index: u64,
     /// Length of the log file in bytes from which a snapshot is requested.
     snapshot_at: u64,
-    /// The caller was asked for a snapshot and has not handed it in yet.
+    /// The caller was asked for a snapshot and has not provided it yet.
     snapshot_requested: bool,
     /// A membership change was applied, and its commit is not in the log file yet.
     membership_changed: bool,
--- a/courier/fleet/src/agreement/error.rs
+++ b/courier/fleet/src/agreement/error.rs
@@ -12,13 +12,13 @@
     #[error("it is too short")]
     Short,
     /// The format version is unknown here.
-    #[error("its form {0} is not known here; the sender may be of another version")]
+    #[error("its format version {0} is not known here; the sender may be of another version")]
     Version(u8),
     /// The body does not match its checksum.
-    #[error("its checksum does not fit")]
+    #[error("its checksum does not match")]
     Checksum,
     /// The body can't be decoded, or has a value that no correct sender writes.
-    #[error("it holds a value that can't be")]
+    #[error("it contains an invalid value")]
     Value,
     /// Sender or receiver in the message differ from those of the connection.
     #[error("it is from, or for, another courier")]
@@ -41,8 +41,8 @@
     },
     /// A record in the middle of the log file is damaged. A record cut short by a kill is no damage.
     #[error(
-        "agreement: its log in the lasting folder is damaged at byte {at}, and not by a kill; what was \
-         promised is not known, so it takes no part; remove the log, and it comes back as a new learner"
+        "agreement: its log in the lasting folder is damaged at byte {at}, and not by a kill; what it \
+         has acknowledged is not known, so it takes no part; remove the log, and it comes back as a new learner"
     )]
     Damaged {
         /// Offset of the damaged record in bytes.
@@ -52,7 +52,7 @@
     #[error("agreement: a record is too large to be written; report it")]
     Unwritable,
     /// A new log was opened with the node id 0.
-    #[error("agreement: the log is new and no token was drawn for it; report it")]
+    #[error("agreement: the log is new and no node id was drawn for it; report it")]
     NoNodeId,
     /// Only an empty log can bootstrap an agreement.
     #[error(
@@ -60,7 +60,7 @@
     )]
     AlreadyBootstrapped,
     /// The limits contradict each other.
-    #[error("agreement: its limits do not fit together ({what}); mend the section `fleet`")]
+    #[error("agreement: its limits do not fit together ({what}); correct the section `fleet`")]
     InvalidLimits {
         /// The contradiction.
         what: String,
@@ -87,18 +87,18 @@
         /// Index of the last entry of this log.
         last: u64,
     },
-    /// A snapshot was handed in that is not of the last entry delivered.
+    /// A snapshot was passed in that is not of the last entry delivered.
     #[error(
-        "agreement: the state handed in is of entry {through}, and {applied} was handed out last; report it"
+        "agreement: the snapshot is of entry {through}, and entry {applied} was delivered last; report it"
     )]
     StaleSnapshot {
-        /// Index that the snapshot was handed in for.
+        /// Index of the snapshot.
         through: u64,
         /// Index of the last entry delivered.
         applied: u64,
     },
     /// A snapshot's state is longer than [`AgreementLimits::state_bytes`](super::AgreementLimits::state_bytes).
-    #[error("agreement: a state of {bytes} bytes is beyond its limit of {limit}; the log can't be shortened")]
+    #[error("agreement: a state of {bytes} bytes is beyond its limit of {limit}; the log can't be compacted")]
     StateTooLarge {
         /// Length of the state in bytes.
         bytes: usize,
@@ -106,6 +106,6 @@
         limit: usize,
     },
     /// The Raft library returned an error that correct use rules out.
-    #[error("agreement: the engine refused: {0}; report it")]
+    #[error("agreement: the Raft library failed: {0}; report it")]
     Engine(String),
 }
--- a/courier/fleet/src/budget/leader/allocation.rs
+++ b/courier/fleet/src/budget/leader/allocation.rs
@@ -110,7 +110,7 @@
         self.policies.get(tenant).copied().unwrap_or(default)
     }
 
-    /// Divides the budget anew, and proposes the changes, unless the last review was too recent for its cost.
+    /// Divides the budget again, and proposes the changes, unless the last review was too recent for its cost.
     pub(super) fn review(
         &mut self,
         review: &Review,
--- a/courier/fleet/src/budget/state/command.rs
+++ b/courier/fleet/src/budget/state/command.rs
@@ -186,11 +186,11 @@
     },
     /// The command names an epoch that is not the courier's present one, or has lapsed.
     #[error(
-        "it was told under an epoch that is over; the courier holds nothing under it and has to join anew"
+        "the command names an epoch that has ended; the courier has nothing under it and has to register again"
     )]
     Epoch,
     /// The whole budget is granted.
-    #[error("all connections of {dest} are held; they come free as their holders give them back")]
+    #[error("all connections of {dest} are granted; they become free as couriers release them")]
     NoCapacity {
         /// The partner.
         dest: u64,
--- a/courier/fleet/src/lib.rs
+++ b/courier/fleet/src/lib.rs
@@ -1,7 +1,7 @@
 //! Several couriers as one fleet that survives failures: membership by lease, a replicated state, replicated journals,
 //! and the takeover of journals whose courier is lost.
 //!
-//! All are state machines without I/O: a driver hands in inputs with the time, and carries out the outputs
+//! All are state machines without I/O: a driver passes in inputs with the time, and carries out the outputs
 //! (`docs/fleet-design.md`). [`member::Member`] is one courier; it composes the replicated log ([`agreement`]), the
 //! state that the log's commands lead to ([`state`]), leases ([`lease`]), replicas of journals ([`replication`]) and
 //! shares of partners' budgets ([`shares`], [`budget`]). [`settlement`] sends runs of messages that belong together, in
--- a/courier/fleet/src/member/error.rs
+++ b/courier/fleet/src/member/error.rs
@@ -11,7 +11,7 @@
     Agreement(#[from] AgreementError),
     /// A file of the fleet's folder can't be read or written.
     #[error(
-        "fleet: what is kept of it in the lasting folder can't be read or written: {0}; check the folder's disk and rights"
+        "fleet: its files in the lasting folder can't be read or written: {0}; check the folder's disk and rights"
     )]
     Store(#[from] io::Error),
     /// A value in the fleet's folder, or in a snapshot, can't be decoded or encoded.
--- a/courier/fleet/src/member/mod.rs
+++ b/courier/fleet/src/member/mod.rs
@@ -1,4 +1,4 @@
-//! One courier of a fleet: its part in the agreement, its lease, the replicas of its journal at other couriers, the
+//! One courier of a fleet: its participation in the agreement, its lease, the replicas of its journal at other couriers, the
 //! replicas that it keeps for them, and its takeovers of sealed journals.
 //!
 //! A [`Member`] has no clock, thread or socket. Its driver hands it inputs with the time ([`Member::step`]) and
@@ -109,22 +109,39 @@
     next_verdict_sweep_at: Micros,
 }
 
+/// The numbers of one run of a courier's process, which the caller draws at random.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ProcessIdentity {
+    /// The number of this run.
+    pub incarnation: u64,
+    /// The node id for a new folder, not 0; a folder that has one keeps it.
+    pub fresh_node_id: NodeId,
+}
+
+/// The agreement's log, which the caller has opened.
+#[derive(Debug)]
+pub struct OpenedLog<L> {
+    /// The log.
+    pub log: L,
+    /// What was read from it.
+    pub opened: Opened,
+}
+
 impl<D: StoreDirectory> Member<D> {
-    /// Opens the agreement's log and the rest of the folder. The caller draws `incarnation` and `node_id` at random;
-    /// the second is for a new folder.
+    /// Opens the agreement's log and the rest of the folder.
     ///
     /// # Errors
     /// A store can't be opened, read or decoded.
     pub fn open(
         config: FleetConfig,
         mut stores: D,
-        incarnation: u64,
-        node_id: NodeId,
+        identity: ProcessIdentity,
         limits: AgreementLimits,
         now: Micros,
     ) -> Result<(Self, Vec<MemberOutput>), MemberError> {
-        let (agreement, opened) = Agreement::open(stores.open(AGREEMENT_STORE)?, node_id, limits, now)?;
-        Member::with_log(config, stores, agreement, opened, incarnation, now)
+        let store = stores.open(AGREEMENT_STORE)?;
+        let (log, opened) = Agreement::open(store, identity.fresh_node_id, limits, now)?;
+        Member::with_log(config, stores, OpenedLog { log, opened }, identity.incarnation, now)
     }
 }
 
@@ -136,11 +153,11 @@
     pub fn with_log(
         config: FleetConfig,
         mut stores: D,
-        agreement: L,
-        opened: Opened,
+        opened_log: OpenedLog<L>,
         incarnation: u64,
         now: Micros,
     ) -> Result<(Self, Vec<MemberOutput>), MemberError> {
+        let OpenedLog { log, opened } = opened_log;
         let mut identity = stores.open(IDENTITY_STORE)?;
         let is_first = identity.is_empty();
         let lineage = read_lineage(&mut identity)?;
@@ -156,7 +173,7 @@
             config,
             replica_capacity: DEFAULT_REPLICA_CAPACITY,
             stores,
-            agreement,
+            agreement: log,
             state: FleetState::default(),
             incarnation,
             lineage,
--- a/courier/fleet/src/replication/replica.rs
+++ b/courier/fleet/src/replication/replica.rs
@@ -1,4 +1,4 @@
-//! The replica's side of replication: a copy of another courier's journal in a store.
+//! The replica's side of replication: another courier's journal in a store of this one.
 
 use crate::breaks::{self, Break};
 use crate::message::{PAGE_BYTES, ReplicaPosition};
--- a/courier/fleet/src/settlement/owner/verdict.rs
+++ b/courier/fleet/src/settlement/owner/verdict.rs
@@ -1,4 +1,4 @@
-//! Verdict: the settlement has ended; everyone is notified and the agreement is asked to close it.
+//! Verdict: the settlement has ended; everyone is notified and a command to close it is proposed to the agreement.
 
 use super::interface::OwnerOutput;
 use super::machine::{Context, Phase, Settlement};
--- a/courier/fleet/tests/common/mod.rs
+++ b/courier/fleet/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use quillmount_fleet::agreement::AgreementLimits;
 use quillmount_fleet::config::{FleetConfig, MissingReplicas, Name, Peer};
 pub use quillmount_fleet::member::MemberInput;
-use quillmount_fleet::member::{Member, MemberOutput, StoreDirectory};
+use quillmount_fleet::member::{Member, MemberOutput, ProcessIdentity, StoreDirectory};
 use quillmount_fleet::message::{Envelope, FleetMessage};
 use quillmount_fleet::state::{PartitionId, partition_of};
 use quillmount_policy::Micros;
@@ -176,8 +176,8 @@
         let limits = AgreementLimits { seed: self.seed ^ incarnation, ..AgreementLimits::default() };
         let mut journal = self.disks[i].open("journal").unwrap();
         let bytes = journal.read().unwrap();
-        let opened =
-            Member::open(self.config(i), self.disks[i].clone(), incarnation, incarnation, limits, self.now);
+        let identity = ProcessIdentity { incarnation, fresh_node_id: incarnation };
+        let opened = Member::open(self.config(i), self.disks[i].clone(), identity, limits, self.now);
         let (member, out) = opened.unwrap();
         self.processes[i] = Some(Process {
             member,
--- a/courier/fleet/tests/explore/process.rs
+++ b/courier/fleet/tests/explore/process.rs
@@ -8,7 +8,7 @@
 use quillmount_core::journal::{self, AcceptedMessage, End, JournalContents, JournalRecord};
 use quillmount_core::store::Store;
 use quillmount_fleet::agreement::{CommittedCommand, Opened};
-use quillmount_fleet::member::{AgreementLog, Member, MemberInput, MemberOutput};
+use quillmount_fleet::member::{AgreementLog, Member, MemberInput, MemberOutput, OpenedLog};
 use quillmount_fleet::message::FleetMessage;
 use quillmount_fleet::state::{PartitionId, partition_of};
 use quillmount_policy::Micros;
@@ -63,7 +63,8 @@
         let opened = Opened { new: stored_id.is_none(), state: Vec::new(), index: 0, committed };
         let log = ModelLog { node_id, ..ModelLog::default() };
         let config = config(i, self.scenario.copies);
-        let (member, out) = Member::with_log(config, Folder(i), log, opened, incarnation, self.now).unwrap();
+        let (member, out) =
+            Member::with_log(config, Folder(i), OpenedLog { log, opened }, incarnation, self.now).unwrap();
         let written = File(i, "journal".into()).len();
         self.processes[i] = Some(Process {
             member,
--- a/courier/program/src/fleet/mod.rs
+++ b/courier/program/src/fleet/mod.rs
@@ -150,10 +150,10 @@
         let listen = |source| FleetError::Listen { addr: settings.listen.clone(), source };
         let listener = TcpListener::bind(address("listen", &settings.listen)?).await.map_err(listen)?;
         let files = FileStores::open(folder.join("fleet"))?;
-        let (incarnation, node_id) = (random_id(seed), random_id(seed).max(1));
+        let (incarnation, fresh_node_id) = (random_id(seed), random_id(seed).max(1));
+        let identity = quillmount_fleet::member::ProcessIdentity { incarnation, fresh_node_id };
         let limits = agreement::AgreementLimits { seed: incarnation, ..Default::default() };
-        let (mut member, out) =
-            Member::open(config_from(settings), files, incarnation, node_id, limits, clock.now())?;
+        let (mut member, out) = Member::open(config_from(settings), files, identity, limits, clock.now())?;
         member.replica_capacity =
             disk.saturating_mul(settings.copies as u64).saturating_mul(REPLICA_DISK_FACTOR);
         let (links, addresses) = peer_links(settings)?;
