--- a/courier/program/src/fleet/start.rs
+++ b/courier/program/src/fleet/start.rs
@@ -16,7 +16,7 @@
 use quillmount_fleet::NodeId;
 use quillmount_fleet::agreement::AgreementLimits;
 use quillmount_fleet::config::Name;
-use quillmount_fleet::member::{Member, MemberInput, MemberOutput};
+use quillmount_fleet::member::{Member, MemberInput, MemberOutput, ProcessIdentity};
 use quillmount_operator::fleet::Fleet as FleetSettings;
 use quillmount_policy::Micros;
 use std::cell::RefCell;
@@ -126,10 +126,11 @@
 fn open_member(setup: &FleetSetup<'_>) -> Result<(SharedMember, Vec<MemberOutput>), FleetError> {
     let settings = setup.settings;
     let files = FileStores::open(setup.folder.join(STORES_FOLDER))?;
-    let (incarnation, node_id) = (random_id(setup.seed), random_id(setup.seed).max(1));
+    let (incarnation, fresh_node_id) = (random_id(setup.seed), random_id(setup.seed).max(1));
+    let identity = ProcessIdentity { incarnation, fresh_node_id };
     let limits = AgreementLimits { seed: incarnation, ..Default::default() };
     let (mut member, outputs) =
-        Member::open(config_from(settings), files, incarnation, node_id, limits, setup.clock.now())?;
+        Member::open(config_from(settings), files, identity, limits, setup.clock.now())?;
     member.replica_capacity =
         setup.disk.saturating_mul(settings.copies as u64).saturating_mul(REPLICA_DISK_FACTOR);
     Ok((Rc::new(RefCell::new(member)), outputs))
--- a/courier/program/src/program/demo.rs
+++ b/courier/program/src/program/demo.rs
@@ -17,6 +17,9 @@
     /// A stand-in or the courier can't be started, or does not answer.
     #[error(transparent)]
     Io(#[from] std::io::Error),
+    /// The courier can't be started, signalled or waited for.
+    #[error(transparent)]
+    Courier(#[from] quillmount_standins::courier::CourierError),
     /// Messages had another number of final answers than one.
     #[error("{}", .0.join("; "))]
     WrongEnds(Vec<String>),
--- a/courier/program/src/transport/courier.rs
+++ b/courier/program/src/transport/courier.rs
@@ -27,7 +27,7 @@
 use quillmount_core::hub::{DriverAction, Hub};
 use quillmount_core::note::{Level, Note};
 use quillmount_core::pool::Pool;
-use quillmount_core::router::{Intake, Router, RouterAction};
+use quillmount_core::router::{Intake, Router, RouterAction, RouterLoad};
 use quillmount_core::{CallId, EndpointList, Notice, Submission};
 use quillmount_policy::{Micros, MsgId};
 use std::cell::{OnceCell, RefCell};
@@ -189,14 +189,15 @@
 
     /// Whether any call is in flight.
     pub fn has_calls_out(&self) -> bool {
-        self.handle.hub.borrow().router.load().1 > 0
+        self.handle.hub.borrow().router.load().in_flight > 0
     }
 
     /// The counters, as one line for the log.
     pub fn report(&self) -> String {
         let router = &self.handle.hub.borrow().router;
-        let (owed, out) = router.load();
-        let own = format!("{} owed={owed} calls_out={out} journal_bytes={}", router.counters, router.disk());
+        let RouterLoad { owed, in_flight } = router.load();
+        let own =
+            format!("{} owed={owed} calls_out={in_flight} journal_bytes={}", router.counters, router.disk());
         match &self.gate {
             Some(gate) => format!("{own} {}", gate.report()),
             None => own,
--- a/courier/program/src/transport/courier/handover.rs
+++ b/courier/program/src/transport/courier/handover.rs
@@ -5,7 +5,7 @@
 use crate::transport::handle::{HandoverPart, ReleasedPart};
 use actix_rt::net::TcpStream;
 use quillmount_core::hub;
-use quillmount_core::pool::Pool;
+use quillmount_core::pool::{DetachedConnection, EndpointBackoff, Pool};
 use quillmount_core::router::RouterAction;
 use quillmount_policy::Micros;
 use std::net::SocketAddr;
@@ -27,9 +27,12 @@
     pub fn freeze(&self, settings: u32) -> (hub::HubState, Vec<ReleasedPart<TcpStream>>) {
         let mut parts = self.handle.take_parts();
         let idle = self.handle.pool(Pool::take_all_idle);
-        parts.extend(idle.into_iter().map(|(endpoint, addr, since, conn)| ReleasedPart {
-            part: HandoverPart::IdleConnection { endpoint, addr, since },
-            socket: conn.into_stream(),
+        parts.extend(idle.into_iter().map(|idle| {
+            let DetachedConnection { endpoint, addr, idle_since: since, connection } = idle;
+            ReleasedPart {
+                part: HandoverPart::IdleConnection { endpoint, addr, since },
+                socket: connection.into_stream(),
+            }
         }));
         (self.handle.hub.borrow().state(settings), parts)
     }
@@ -40,7 +43,7 @@
     }
 
     /// Carries out the first actions of a state that another process had.
-    pub fn resume(self: &Rc<Self>, backoffs: &[(u32, Micros)], first: Vec<RouterAction>) {
+    pub fn resume(self: &Rc<Self>, backoffs: &[EndpointBackoff], first: Vec<RouterAction>) {
         let actions = self.handle.hub.borrow_mut().resume(backoffs, first, self.clock.now());
         self.carry_out(actions);
     }
