--- a/courier/core/src/note.rs
+++ b/courier/core/src/note.rs
@@ -62,7 +62,7 @@
     JournalFull(JournalError),
     /// A message in the journal has a class that the settings lack, and was ended.
     #[error(
-        "journal: invocation {id:?} has class {class:?}, which the settings lack: it is ended; where the class was \
+        "journal: message {id:?} has class {class:?}, which the settings lack: it is ended; where the class was \
          renamed, let the old name stand beside the new one until this folder is empty"
     )]
     UnknownClass {
@@ -73,7 +73,7 @@
     },
     /// A message in the journal may have run under a stricter effect than today's, and was ended.
     #[error(
-        "journal: invocation {id:?} may have run under a stricter effect of its class {class:?} than today's: it is ended \
+        "journal: message {id:?} may have run under a stricter effect of its class {class:?} than today's: it is ended \
          as undeliverable; empty the folder under the old settings before an effect is changed"
     )]
     OtherEffect {
--- a/courier/fleet/src/member/notice.rs
+++ b/courier/fleet/src/member/notice.rs
@@ -64,38 +64,46 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             MemberNotice::Joined { epoch, retained: true } => {
-                write!(f, "fleet: member under epoch {epoch}, with the book in the folder")
+                write!(f, "fleet: member under epoch {epoch}, with the journal in the folder")
             }
             MemberNotice::Joined { epoch, retained: false } => {
                 write!(
                     f,
-                    "fleet: member under epoch {epoch}, with a new book: others have what was owed before"
+                    "fleet: member under epoch {epoch}, with an empty journal: others have what was owed before"
                 )
             }
-            MemberNotice::Deregistered { name, epoch } => write!(f, "fleet: {name} is gone (epoch {epoch})"),
-            MemberNotice::Sealed(journal) => write!(f, "fleet: book {journal} is sealed"),
+            MemberNotice::Deregistered { name, epoch } => {
+                write!(f, "fleet: {name} is deregistered (epoch {epoch})")
+            }
+            MemberNotice::Sealed(journal) => write!(f, "fleet: journal {journal} is sealed"),
             MemberNotice::TakeoverStarted { journal, partitions, bytes } => {
-                write!(f, "fleet: takes over {partitions} parts of book {journal} ({bytes} bytes)")
+                write!(f, "fleet: takes over {partitions} partitions of journal {journal} ({bytes} bytes)")
             }
             MemberNotice::ReplicaUnavailable { journal } => write!(
                 f,
-                "fleet: no copy of book {journal} answers: start its owner or a holder of a copy with its folder"
+                "fleet: no replica of journal {journal} answers: start its owner or a courier with a replica, each with its folder"
             ),
             MemberNotice::ReplicaLagging { name } => {
-                write!(f, "fleet: the copy at {name} is late and is replaced: look at the link to it")
+                write!(f, "fleet: the replica at {name} lags and is replaced: look at the link to it")
             }
             MemberNotice::ReplicaRejected { journal, what } => {
-                write!(f, "fleet: a copy of book {journal} can't be kept: {what}; look at the folder's disk")
+                write!(
+                    f,
+                    "fleet: a replica of journal {journal} can't be stored: {what}; look at the folder's disk"
+                )
             }
-            MemberNotice::Leading(true) => write!(f, "fleet: leads"),
-            MemberNotice::Leading(false) => write!(f, "fleet: leads no more"),
+            MemberNotice::Leading(true) => write!(f, "fleet: leader"),
+            MemberNotice::Leading(false) => write!(f, "fleet: no longer leader"),
             MemberNotice::LeaseLost(true) => {
-                write!(f, "fleet: its lease is over: cut off, or too few voters are up; nothing is begun")
+                write!(
+                    f,
+                    "fleet: its lease has expired: partitioned, or too few voters are up; nothing is started"
+                )
             }
             MemberNotice::LeaseLost(false) => write!(f, "fleet: has a lease"),
             MemberNotice::Agreement(what) => write!(f, "fleet: {what}"),
             MemberNotice::Voters(voters) => write!(f, "fleet: voters are {}", voters.join(", ")),
-            MemberNotice::Bootstrapping => write!(f, "fleet: begins a new one, as its first voter"),
+            MemberNotice::Bootstrapping => write!(f, "fleet: created by this courier, its first voter"),
         }
     }
 }
--- a/courier/program/src/fleet/error.rs
+++ b/courier/program/src/fleet/error.rs
@@ -32,9 +32,7 @@
     #[error("fleet: the folder for what its members keep: {0}; check the lasting folder's disk and rights")]
     Folder(#[from] std::io::Error),
     /// The file of a sealed journal can't be renamed.
-    #[error(
-        "fleet: the journal of before can't be put aside: {0}; check the lasting folder's disk and rights"
-    )]
+    #[error("fleet: the former journal can't be put aside: {0}; check the lasting folder's disk and rights")]
     Aside(std::io::Error),
     /// The section is off, and the folder is of a member that has not left its fleet.
     #[error(
--- a/courier/program/src/fleet/membership.rs
+++ b/courier/program/src/fleet/membership.rs
@@ -135,7 +135,7 @@
         if !retained && member.is_first() {
             tracing::info!(
                 target: LOG_TARGET,
-                "fleet: a journal of before it was a member is its own: nobody else has it"
+                "fleet: the journal from before the membership stays its own: nobody else has it"
             );
         } else if !retained {
             put_journal_aside(&mut member, folder)?;
--- a/courier/program/src/fleet/membership/outputs.rs
+++ b/courier/program/src/fleet/membership/outputs.rs
@@ -88,18 +88,18 @@
     let at: Vec<&str> = at.iter().map(Name::as_str).collect();
     match (at.is_empty(), enough) {
         (false, _) => {
-            tracing::info!(target: LOG_TARGET, "fleet: the journal is copied to {}", at.join(", "));
+            tracing::info!(target: LOG_TARGET, "fleet: the journal is replicated to {}", at.join(", "));
         }
         (true, true) => {
             tracing::warn!(
                 target: LOG_TARGET,
-                "fleet: no copy of the journal is left: it goes on alone"
+                "fleet: no replica of the journal is left: it continues without one"
             );
         }
         (true, false) => {
             tracing::warn!(
                 target: LOG_TARGET,
-                "fleet: no copy of the journal yet: nothing is taken on"
+                "fleet: no replica of the journal yet: nothing is accepted"
             );
         }
     }
--- a/courier/program/src/fleet/settlements.rs
+++ b/courier/program/src/fleet/settlements.rs
@@ -162,7 +162,7 @@
     pub fn committed(&self, event: SettlementEvent) {
         match &event {
             SettlementEvent::Opened { id, owner, .. } if owner.courier == self.local_name => {
-                tracing::info!(target: LOG_TARGET, "settlement: {} has its home here", id.at(0));
+                tracing::info!(target: LOG_TARGET, "settlement: {} is owned here", id.at(0));
             }
             SettlementEvent::Closed { id, owner, verdict } if owner.courier == self.local_name => {
                 tracing::info!(target: LOG_TARGET, "settlement: {} is {verdict}", id.at(0));
--- a/courier/program/src/fleet/settlements/takeover.rs
+++ b/courier/program/src/fleet/settlements/takeover.rs
@@ -34,7 +34,7 @@
             let positions = SettlementProgress::read(&id, std::slice::from_ref(&records)).positions.len();
             tracing::info!(
                 target: LOG_TARGET,
-                "settlement: {} goes on here, with {positions} positions",
+                "settlement: {} continues here, with {positions} positions",
                 id.at(0)
             );
             self.step_owned(OwnerInput::Fetched { id, term, journals: vec![records] }, None);
--- a/courier/program/src/program/cli.rs
+++ b/courier/program/src/program/cli.rs
@@ -126,7 +126,7 @@
             // The same process: whoever watches it, or signals it by its number, sees no other.
             // And the same program, though its file be another by now or gone.
             let e = std::process::Command::new("/proc/self/exe").args(std::env::args_os().skip(1)).exec();
-            tracing::error!("the process can't begin anew: {e}; start it again");
+            tracing::error!("the process can't restart: {e}; start it again");
             ExitCode::FAILURE
         }
         Err(e) => {
--- a/courier/program/src/program/process.rs
+++ b/courier/program/src/program/process.rs
@@ -68,7 +68,7 @@
             self.courier.begin(actions);
             return;
         };
-        tracing::info!("upgrade: {} parts came over", parts.len());
+        tracing::info!("upgrade: {} parts received", parts.len());
         self.courier.resume(&backoffs, actions);
         self.active.adopt(parts);
         if drained {
@@ -103,7 +103,7 @@
             }
             ServeEnd::Replaced => {
                 tracing::error!(
-                    "fleet: others have its work by now: the process begins anew; {}",
+                    "fleet: others have taken over its work: the process restarts; {}",
                     self.courier.report()
                 );
                 self.courier.handle.step_lifecycle(LifecycleInput::End);
@@ -135,7 +135,7 @@
         let handle = &self.courier.handle;
         handle.step_lifecycle(LifecycleInput::Stop);
         if handle.lifecycle().stopping().is_none() {
-            tracing::info!("upgrade: told to stop while all is being handed over: its end is waited for");
+            tracing::info!("upgrade: stop requested during a handover: it waits for the handover's end");
         }
     }
 
--- a/courier/program/src/program/run.rs
+++ b/courier/program/src/program/run.rs
@@ -103,7 +103,7 @@
 ) -> Result<Option<Acquired>, RunError> {
     let acquired = startup::acquire_folder(config, &clock, signals, operators).await?;
     let Some(AcquiredFolder { lock, received }) = acquired else {
-        tracing::info!("{}: stopped; it had taken nothing over, and the other process goes on", config.name);
+        tracing::info!("{}: stopped before it took anything over; the other process continues", config.name);
         return Ok(None);
     };
     let clock = received.as_ref().map_or(clock, |received| Clock::start_ahead(received.ahead));
--- a/courier/program/src/transport/operators.rs
+++ b/courier/program/src/transport/operators.rs
@@ -115,7 +115,7 @@
             DrainOutput::CloseAfterAnswers | DrainOutput::KeepConnections => {
                 tracing::info!(
                     "operators: {}",
-                    if drained { "drained" } else { "consumers are wanted again" }
+                    if drained { "drained" } else { "undrained: clients are admitted again" }
                 );
                 let stops = self.courier.handle.lifecycle().stopping().is_some();
                 self.connections.close_after_answers(drained || stops);
--- a/courier/program/src/transport/platform.rs
+++ b/courier/program/src/transport/platform.rs
@@ -119,7 +119,7 @@
                 let retained = if let WatchOutput::Hedge { keep } = output { keep } else { 0 };
                 if retained < requests.0.len().min(1) {
                     tracing::warn!(
-                        "discovery: watch: no answer for {:?}; asked anew",
+                        "discovery: watch: no answer for {:?}; requested again",
                         Duration::from_micros(NOTIFIED_WITHIN)
                     );
                 }
@@ -147,7 +147,7 @@
                 tracing::warn!("discovery: watch: {e}; again in {:?}", Duration::from_micros(backoff));
             }
             WatchOutput::Stop if !waited => {
-                tracing::info!("discovery: the watch at {addr}, where it was before, is over: {e}");
+                tracing::info!("discovery: the watch at the former address {addr} ended: {e}");
             }
             _ => {}
         }
@@ -218,7 +218,7 @@
             PollOutcome::Answer(answer) => break answer,
             PollOutcome::Failed { error, last: true } => return Err(error),
             PollOutcome::Failed { error, last: false } => {
-                tracing::warn!("discovery: watch: {error}; another question is out");
+                tracing::warn!("discovery: watch: {error}; another request is pending");
                 machine.step(WatchInput::Lost, courier.clock.now());
             }
         }
--- a/courier/program/tests/fleet/copies.rs
+++ b/courier/program/tests/fleet/copies.rs
@@ -42,13 +42,13 @@
         in_hand(&fleet, 0, "debit", "paid").await;
         let alone = now(&fleet);
         fleet.restart(0).await.unwrap();
-        fleet.wait_for_log(0, "with the book in the folder").await.unwrap();
+        fleet.wait_for_log(0, "with the journal in the folder").await.unwrap();
         ends(&fleet, "debit").await;
         assert_eq!(call(&fleet, "paid", 2).await.courier, 0);
         fleet.partner(1).release("paid", Answer::ok());
         ends(&fleet, "paid").await;
         fleet.spawn(1).unwrap();
-        anybody_says(&fleet, alone, "the journal is copied to b").await;
+        anybody_says(&fleet, alone, "the journal is replicated to b").await;
         heals(&mut fleet).await;
     });
 }
@@ -134,7 +134,7 @@
         let waits = tokio::task::spawn_local(async move { consumer.submit(&message, &large).await });
         fleet.wait_for_log(copy, "can't be kept").await.unwrap();
         assert_eq!(calls(&fleet, "waits"), 0);
-        fleet.wait_for_log(1, "is late and is replaced").await.unwrap();
+        fleet.wait_for_log(1, "lags and is replaced").await.unwrap();
         // Its consumer may have been given up by then; the message is not.
         assert!(matches!(waits.await.unwrap(), 0 | 202));
         for id in ["fits", "waits"] {
--- a/courier/program/tests/fleet/cut.rs
+++ b/courier/program/tests/fleet/cut.rs
@@ -18,7 +18,7 @@
         call(&fleet, "waits", 1).await;
         let lost = now(&fleet);
         fleet.set_links(1, LinkMode::Partitioned);
-        anybody_says(&fleet, lost, "its lease is over").await;
+        anybody_says(&fleet, lost, "its lease has expired").await;
         assert_eq!(status(&fleet, 1).await, 503);
         assert_eq!(fleet.submit(1, &message("fee-debit", "refused", 1), BODY).await, 503);
         let (_, sealed) = anybody_says(&fleet, lost, "book b/").await;
@@ -34,7 +34,7 @@
     });
 }
 
-/// Nothing that the owner says is heard, and it hears all: its lease is over all the same.
+/// Nothing that the owner says is heard, and it hears all: its lease has expired all the same.
 #[test]
 fn an_owner_whose_outgoing_messages_are_lost_is_taken_over() {
     run_test(async || {
--- a/courier/program/tests/fleet/lost.rs
+++ b/courier/program/tests/fleet/lost.rs
@@ -94,7 +94,7 @@
         fleet.kill(1).await.unwrap();
         taken_over(&fleet, 1, "debit", "paid").await;
         fleet.restart(1).await.unwrap();
-        fleet.wait_for_log(1, "with a new book").await.unwrap();
+        fleet.wait_for_log(1, "with an empty journal").await.unwrap();
         ready(&fleet, 1).await;
         heals(&mut fleet).await;
     });
--- a/courier/program/tests/fleet/main.rs
+++ b/courier/program/tests/fleet/main.rs
@@ -168,9 +168,9 @@
     for owner in 0..fleet.couriers() {
         let mut at: Vec<&str> = copies_of(fleet, owner, copies).iter().map(|n| fleet.name(*n)).collect();
         at.sort_unstable();
-        let words = format!("the journal is copied to {}", at.join(", "));
+        let words = format!("the journal is replicated to {}", at.join(", "));
         let last = |record: &RunRecord| {
-            let said = record.log_lines_with(owner, fleet.incarnation(owner), "the journal is copied to");
+            let said = record.log_lines_with(owner, fleet.incarnation(owner), "the journal is replicated to");
             said.last().filter(|line| line.text.ends_with(&words)).map(|_| ())
         };
         fleet.wait_until(&words, WAIT_TIMEOUT, last).await.unwrap();
@@ -186,7 +186,7 @@
 /// Whoever was the last to say that it leads.
 fn leader(fleet: &Fleet) -> usize {
     let leads = |record: &RunRecord| {
-        record.lines.iter().rev().find(|line| line.text.ends_with("fleet: leads")).map(|line| line.courier)
+        record.lines.iter().rev().find(|line| line.text.ends_with("fleet: leader")).map(|line| line.courier)
     };
     fleet.recorder.read(leads).unwrap()
 }
--- a/courier/program/tests/fleet/restarts.rs
+++ b/courier/program/tests/fleet/restarts.rs
@@ -21,7 +21,7 @@
             fleet.spawn(n).unwrap();
         }
         for n in 0..3 {
-            fleet.wait_for_log(n, "with the book in the folder").await.unwrap();
+            fleet.wait_for_log(n, "with the journal in the folder").await.unwrap();
             let (debit, paid) = (format!("debit-{n}"), format!("paid-{n}"));
             ends(&fleet, &debit).await;
             assert_eq!(call(&fleet, &paid, 2).await.courier, n);
@@ -107,7 +107,7 @@
             assert_eq!((by.len(), by[0] == 1, by[1] == 1), (2, true, false), "{by:?}");
         }
         fleet.spawn(1).unwrap();
-        fleet.wait_for_log(1, "with a new book").await.unwrap();
+        fleet.wait_for_log(1, "with an empty journal").await.unwrap();
         heals(&mut fleet).await;
     });
 }
@@ -155,7 +155,7 @@
         fleet.partner(1).release("debit", Answer::ok());
         assert!(fleet.wait_for_exit(owner).await.unwrap().success());
         fleet.spawn(owner).unwrap();
-        fleet.wait_for_log(owner, "with a new book").await.unwrap();
+        fleet.wait_for_log(owner, "with an empty journal").await.unwrap();
         heals(&mut fleet).await;
         assert_eq!(fleet.recorder.read(|record| record.notices_of("debit").count()), 0);
     });
--- a/courier/program/tests/fleet/settlements.rs
+++ b/courier/program/tests/fleet/settlements.rs
@@ -69,7 +69,7 @@
 
 /// Who is home to it, by the latest word of any but these, who were before.
 async fn home(fleet: &Fleet, but: &[usize]) -> usize {
-    let says = |line: &str| line.contains("has its home here") || line.contains("goes on here");
+    let says = |line: &str| line.contains("is owned here") || line.contains("continues here");
     let found = |record: &RunRecord| {
         let line = record.lines.iter().rfind(|line| says(&line.text) && !but.contains(&line.courier));
         line.map(|line| line.courier)
@@ -188,7 +188,7 @@
     println!("settlement: home {loss:?}, next position's call after {:?}", lost.elapsed());
     over(&fleet, other, 1).await;
     match loss {
-        Loss::Restarted => _ = fleet.wait_for_log(home, "goes on here").await.unwrap(),
+        Loss::Restarted => _ = fleet.wait_for_log(home, "continues here").await.unwrap(),
         _ => _ = self::home(&fleet, &[home]).await,
     }
     if loss == Loss::Paused {
--- a/courier/program/tests/restart.rs
+++ b/courier/program/tests/restart.rs
@@ -356,7 +356,7 @@
                 // The next one gets all.
                 let next = test_bed.courier.spawn_another().unwrap();
                 assert!(test_bed.courier.wait_for_exit().await.unwrap().success(), "{what}");
-                logged(&next.log, "parts came over").await;
+                logged(&next.log, "parts received").await;
             }
         }
     });
@@ -410,7 +410,7 @@
         // Where nobody was killed who decided, each call came to its end.
         let whole = match strike {
             Fault::KillOld | Fault::KillBoth => false,
-            Fault::KillNew => last.log.try_iter().any(|line| line.contains("parts came over")),
+            Fault::KillNew => last.log.try_iter().any(|line| line.contains("parts received")),
             _ => true,
         };
         assert!(told == 0 || !whole, "{strike:?} after {after} ms: {told} were given up");
--- a/courier/program/tests/shutdown.rs
+++ b/courier/program/tests/shutdown.rs
@@ -421,7 +421,7 @@
         kill_process(Pid::from_child(&next), Signal::TERM).unwrap();
         let said: Vec<String> = lines.collect();
         assert!(next.wait().unwrap().success(), "{said:?}");
-        assert!(said.iter().any(|line| line.contains("it had taken nothing over")), "{said:?}");
+        assert!(said.iter().any(|line| line.contains("stopped before it took anything over")), "{said:?}");
         assert!(told.elapsed() < KILL, "{:?}: {said:?}", told.elapsed());
     });
 }
--- a/courier/program/tests/watch.rs
+++ b/courier/program/tests/watch.rs
@@ -324,7 +324,7 @@
     let first = next(&mut test_bed.hand).await;
     let mut second = next(&mut test_bed.hand).await;
     first.reset();
-    logged(&test_bed.courier, "another question is out").await;
+    logged(&test_bed.courier, "another request is pending").await;
     answer(&mut second, 3).await;
     listed(&test_bed.courier, 3).await;
     // It is the one that is followed now.
@@ -363,7 +363,7 @@
     hand.set(AcceptMode::Silent);
     logged(&courier, "again in").await;
     timeout(WAIT_TIMEOUT, followed.wait_for_close()).await.expect("it is given up").unwrap();
-    logged(&courier, "asked anew").await;
+    logged(&courier, "requested again").await;
     hand.set(AcceptMode::Open);
     let back = Instant::now();
     is_back(&mut hand, &courier, 3).await;
