--- a/courier/program/src/fleet/budget.rs
+++ b/courier/program/src/fleet/budget.rs
@@ -33,6 +33,9 @@
 /// sent at any time.
 const MIN_TIME_LEFT: Micros = 250_000;
 
+/// The log target of this module's files, which operators filter by.
+const LOG_TARGET: &str = "quillmount::fleet::budget";
+
 /// The queues of calls, and what is to be done about connections.
 pub struct Budgets {
     clock: Clock,
--- a/courier/program/src/fleet/budget/queue.rs
+++ b/courier/program/src/fleet/budget/queue.rs
@@ -1,6 +1,6 @@
 //! Calls that wait for permits: a queue for each tenant of each partner, served from the front.
 
-use super::Budgets;
+use super::{Budgets, LOG_TARGET};
 use crate::transport::signals::CallSignals;
 use quillmount_core::machine::attempt::AttemptState;
 use quillmount_fleet::budget::{BudgetGate, Permit};
@@ -97,7 +97,10 @@
             let left = self.clock.until(by);
             if left.is_zero() {
                 let QueueKey { dest, tenant } = key;
-                tracing::debug!("budget: destination {dest}: a call of tenant {tenant:?} is held back");
+                tracing::debug!(
+                    target: LOG_TARGET,
+                    "budget: destination {dest}: a call of tenant {tenant:?} is held back"
+                );
                 return None;
             }
             tokio::select! {
