--- a/courier/core/src/hub.rs
+++ b/courier/core/src/hub.rs
@@ -227,7 +227,7 @@
                 }
                 RouterAction::GiveUp(call) => todo.push(DriverAction::Signal(call, AttemptInput::GiveUp)),
                 RouterAction::Ended(call) => {
-                    todo.push(DriverAction::Signal(call, AttemptInput::MessageEnded))
+                    todo.push(DriverAction::Signal(call, AttemptInput::MessageEnded));
                 }
                 RouterAction::Forget(endpoint) => close(&mut todo, self.pool.forget(endpoint)),
                 RouterAction::CloseIdle(endpoint) => close(&mut todo, self.pool.close_idle(endpoint)),
--- a/courier/core/src/router/config.rs
+++ b/courier/core/src/router/config.rs
@@ -54,11 +54,11 @@
         let config = RouterConfig {
             classes: env.classes.iter().map(|category| category.name.clone()).collect(),
             effects: policy.classes.iter().map(|class| class.effect).collect(),
-            kinds: env.kinds.to_vec(),
-            separate_routes: env.destinations.separate_routes.to_vec(),
+            kinds: env.kinds.clone(),
+            separate_routes: env.destinations.separate_routes.clone(),
             tenants: env.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
             load_fields: match env.load_report.via.as_deref() {
-                Some("answers") => env.load_report.fields.to_vec(),
+                Some("answers") => env.load_report.fields.clone(),
                 _ => Vec::new(),
             },
             open_cap: policy.max_open_messages as usize,
--- a/courier/core/src/router/submission.rs
+++ b/courier/core/src/router/submission.rs
@@ -70,7 +70,7 @@
             Intake::Delivered => self.counters.repeated += 1,
             Intake::Rejected { .. } => self.counters.rejected += 1,
             Intake::Failed | Intake::Open | Intake::UnknownClass | Intake::UnknownDest => {
-                self.counters.malformed += 1
+                self.counters.malformed += 1;
             }
         }
         (intake, actions)
--- a/courier/core/tests/handover.rs
+++ b/courier/core/tests/handover.rs
@@ -152,6 +152,7 @@
     }
 
     /// The sender makes a step.
+    #[expect(clippy::too_many_arguments, reason = "a step of one process with all that it depends on")]
     fn given(
         &self,
         n: usize,
@@ -201,6 +202,7 @@
     }
 
     /// The receiver makes a step, and carries out its output.
+    #[expect(clippy::too_many_arguments, reason = "a step of one process with all that it depends on")]
     fn took(
         &mut self,
         n: usize,
@@ -372,7 +374,7 @@
     while ended == 0 {
         match look(&mut taker, now) {
             ReceiverOutput::Request => {
-                assert_eq!(taker.step(ReceiverInput::Busy, now), ReceiverOutput::Nothing)
+                assert_eq!(taker.step(ReceiverInput::Busy, now), ReceiverOutput::Nothing);
             }
             output => {
                 assert_eq!((output, now >= KILL_OWNER_AFTER), (ReceiverOutput::KillOwner, true));
--- a/courier/core/tests/watch.rs
+++ b/courier/core/tests/watch.rs
@@ -148,9 +148,9 @@
                 let at = next_ask(&mut watch);
                 assert!(at - before <= 4_000_000, "{fleet} couriers: {}", at - before);
                 if at < 16_000_000 {
-                    early.push(at)
+                    early.push(at);
                 } else {
-                    late.push(at)
+                    late.push(at);
                 }
                 watch.step(BROKEN, at);
                 before = at;
@@ -236,6 +236,7 @@
 /// the `calm`th event on. From then on a request is answered `late` after it, and earlier requests continue as they would:
 /// if one of them receives more bytes, the time counts from its last byte, as for any watch without data. Returns how long
 /// it took.
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
 fn told_after(mut watch: Watch, seed: u64, calm: u32, late: Micros, silent: bool) -> Micros {
     let (mut seed, mut now, mut back) = (seed | 1, 0, None::<Micros>);
     let first = |seed: &mut u64| Some((0, fate(seed, silent)));
--- a/courier/fleet/src/agreement/log_file.rs
+++ b/courier/fleet/src/agreement/log_file.rs
@@ -54,7 +54,7 @@
         }
         match record {
             LogRecord::Identity { form, node_id } if form == FORMAT_VERSION && node_id != 0 => {
-                self.node_id = node_id
+                self.node_id = node_id;
             }
             LogRecord::Identity { .. } => return None,
             LogRecord::Append { hard_state, entries } => {
--- a/courier/fleet/src/member/agreement_outputs.rs
+++ b/courier/fleet/src/member/agreement_outputs.rs
@@ -59,7 +59,7 @@
                 AgreementOutput::MembershipChanged { .. } => self.report_voters(out),
                 AgreementOutput::LeaderChanged { .. } => self.leader_changed(now, out),
                 AgreementOutput::Failed(e) => {
-                    out.push(MemberOutput::Notice(MemberNotice::Agreement(e.to_string())))
+                    out.push(MemberOutput::Notice(MemberNotice::Agreement(e.to_string())));
                 }
                 AgreementOutput::Halted(e) => return Err(e.into()),
             }
--- a/courier/fleet/src/settlement/progress.rs
+++ b/courier/fleet/src/settlement/progress.rs
@@ -181,7 +181,7 @@
                 match record {
                     SettlementRecord::Opened { term, .. } => is_outdated = *term < progress.term,
                     SettlementRecord::Snapshot { progress: copy, .. } => {
-                        is_outdated = copy.term < progress.term
+                        is_outdated = copy.term < progress.term;
                     }
                     _ => {}
                 }
--- a/courier/fleet/src/state/apply.rs
+++ b/courier/fleet/src/state/apply.rs
@@ -31,7 +31,7 @@
         let mut events = Vec::new();
         match command {
             FleetCommand::Join { name, node_id, incarnation, journal } => {
-                self.join(JoinRequest { name, node_id, incarnation, journal }, &mut events)
+                self.join(JoinRequest { name, node_id, incarnation, journal }, &mut events);
             }
             FleetCommand::Deregister { name, epoch } => {
                 if self.epoch_of(&name) == Some(epoch) {
@@ -200,7 +200,7 @@
                 PartitionState::Assigned(by, epoch) | PartitionState::Adopted(by, epoch)
                     if by == name && *epoch == from =>
                 {
-                    *epoch = to
+                    *epoch = to;
                 }
                 _ => {}
             }
--- a/courier/fleet/tests/agreement/fleet.rs
+++ b/courier/fleet/tests/agreement/fleet.rs
@@ -157,6 +157,7 @@
         self.handle(node_id, out);
     }
 
+    #[expect(clippy::too_many_lines, reason = "one arm for each output")]
     pub fn handle(&mut self, node_id: NodeId, out: Vec<AgreementOutput>) {
         // Nothing that a process does after its death reaches anyone.
         if self.stop_if_dead(node_id) {
@@ -202,7 +203,7 @@
                     *self.restored.entry(node_id).or_default() += 1;
                 }
                 AgreementOutput::MembershipChanged { ticket: Some(ticket), .. } => {
-                    self.outcomes.push((ticket, "changed"))
+                    self.outcomes.push((ticket, "changed"));
                 }
                 AgreementOutput::MembershipChanged { .. } => {}
                 AgreementOutput::ReadReady { ticket } => self.outcomes.push((ticket, "readable")),
@@ -245,26 +246,26 @@
             }
             AgreementOutput::Committed { index, .. } => self.counts.count("commits", &[now, node_id, *index]),
             AgreementOutput::Restored { index, .. } => {
-                self.counts.count("snapshots_restored", &[now, node_id, *index])
+                self.counts.count("snapshots_restored", &[now, node_id, *index]);
             }
             AgreementOutput::MembershipChanged { .. } => {
-                self.counts.count("membership_changes", &[now, node_id])
+                self.counts.count("membership_changes", &[now, node_id]);
             }
             AgreementOutput::ReadReady { ticket } => {
-                self.counts.count("reads_confirmed", &[now, node_id, *ticket])
+                self.counts.count("reads_confirmed", &[now, node_id, *ticket]);
             }
             AgreementOutput::Rejected { ticket, .. } => {
-                self.counts.count("rejections", &[now, node_id, *ticket])
+                self.counts.count("rejections", &[now, node_id, *ticket]);
             }
             AgreementOutput::Indeterminate { ticket } => {
-                self.counts.count("uncertain", &[now, node_id, *ticket])
+                self.counts.count("uncertain", &[now, node_id, *ticket]);
             }
             AgreementOutput::SnapshotWanted => self.counts.count("snapshots_requested", &[now, node_id]),
             AgreementOutput::LeaderChanged { leader, term } => {
                 self.counts.count("leader_changes", &[now, node_id, leader.unwrap_or(0), *term]);
             }
             AgreementOutput::Failed(_) | AgreementOutput::Halted(_) => {
-                self.counts.count("errors", &[now, node_id])
+                self.counts.count("errors", &[now, node_id]);
             }
         }
     }
--- a/courier/fleet/tests/budget/main.rs
+++ b/courier/fleet/tests/budget/main.rs
@@ -19,7 +19,7 @@
 
 /// Runs a fleet with every kind of fault at once.
 fn run_under_faults(seed: u64, couriers: usize, span: u64) -> Result<Simulation, BudgetExceeded> {
-    let floor = if couriers <= 10 { 1 } else { 0 };
+    let floor = u32::from(couriers <= 10);
     let mut sim = Simulation::new(seed, couriers, budget(40, floor, vec![tenant("t0", 2.0, 3, None)]));
     (sim.conditions.loss, sim.conditions.max_delay) = (8, 30 * MS);
     (sim.conditions.hanging_calls, sim.conditions.late_openings) = (3, true);
--- a/courier/fleet/tests/common/mod.rs
+++ b/courier/fleet/tests/common/mod.rs
@@ -333,10 +333,10 @@
                     }
                 }
                 MemberOutput::Adopt { partitions, settled, bytes } => {
-                    self.adopt(i, &partitions, &settled, &bytes)
+                    self.adopt(i, &partitions, &settled, &bytes);
                 }
                 MemberOutput::ResolveAdoption { source, adopted } => {
-                    self.resolve_adoption(i, source, adopted)
+                    self.resolve_adoption(i, source, adopted);
                 }
                 MemberOutput::Fenced => {
                     self.fenced.insert(i);
--- a/courier/fleet/tests/explore/process.rs
+++ b/courier/fleet/tests/explore/process.rs
@@ -212,10 +212,10 @@
                     }
                 }
                 MemberOutput::Adopt { partitions, settled, bytes } => {
-                    self.adopt(i, &partitions, &settled, &bytes)
+                    self.adopt(i, &partitions, &settled, &bytes);
                 }
                 MemberOutput::ResolveAdoption { source, adopted } => {
-                    self.resolve_adoption(i, source, adopted)
+                    self.resolve_adoption(i, source, adopted);
                 }
                 MemberOutput::Fenced => {
                     if !with_effects(|h| h.dead) {
--- a/courier/fleet/tests/parts/calls.rs
+++ b/courier/fleet/tests/parts/calls.rs
@@ -11,6 +11,7 @@
 const SPAN: Micros = 1_020_001;
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
 fn no_span_begins_more_calls_than_its_share() {
     let tenants = vec![Tenant { name: "a".into(), weight: 2.0, floor: 2, ceiling: Some(3) }];
     let budget =
--- a/courier/fleet/tests/settlement/world.rs
+++ b/courier/fleet/tests/settlement/world.rs
@@ -31,7 +31,7 @@
 pub fn with_linger(mode: Mode) -> Mode {
     match mode {
         Mode::Session { resume, .. } => Mode::Session { resume, linger: linger(PARTNER_IDLE, 0) },
-        mode => mode,
+        Mode::Message => Mode::Message,
     }
 }
 
--- a/courier/fleet/tests/stored_forms.rs
+++ b/courier/fleet/tests/stored_forms.rs
@@ -349,6 +349,7 @@
 const CHECKSUMS: [u64; 2] = [2_978_035_951, 4_073_335_627];
 
 /// A state in which something of each kind is agreed.
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
 fn fleet_state() -> FleetState {
     let mut agreed = FleetState::default();
     let join = |name: &str, incarnation, journal| FleetCommand::Join {
@@ -555,7 +556,7 @@
                     state.extend(command);
                 }
                 AgreementOutput::Restored { index, state } => {
-                    drop(self.state.insert(node_id, (index, state)))
+                    drop(self.state.insert(node_id, (index, state)));
                 }
                 AgreementOutput::SnapshotWanted => snapshot_wanted = true,
                 _ => {}
@@ -693,6 +694,7 @@
 /// The folders of a fleet of three after messages, a loss and a takeover: the agreement's log, the identity, journals and
 /// replicas.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
 fn folders_of_a_fleet_are_read_and_written_as_ever() {
     let mut world = World::new(3, 7);
     world.budgets = vec![Budget {
--- a/courier/policy/examples/waiting_messages.rs
+++ b/courier/policy/examples/waiting_messages.rs
@@ -3,7 +3,10 @@
 //!
 //!     cargo run --release --example waiting_messages
 
-use quillmount_policy::*;
+use quillmount_policy::{
+    Completion, DestinationKind, DispatchAction, DispatchEvent, Dispatcher, Effect, EndpointEntry,
+    EndpointState, ListUpdate, Message, MessageClass, Micros, Outcome, Settings,
+};
 use std::time::Instant;
 
 const SEC: Micros = 1_000_000;
--- a/courier/policy/src/dispatcher/choice.rs
+++ b/courier/policy/src/dispatcher/choice.rs
@@ -175,7 +175,7 @@
         let has_capacity = !endpoint.calls.is_multiple_of(self.settings.streams_per_connection.max(1));
         let connection_cost = if has_idle || has_capacity { 0.0 } else { NEW_CONNECTION_COST };
         let crosses_zone = endpoint.zone != self.settings.zone && self.settings.cross_zone_price > 0.0;
-        endpoint.calls as f64
+        f64::from(endpoint.calls)
             + endpoint.tie_break
             + connection_cost
             + if crosses_zone { ZONE_CROSSING_COST } else { 0.0 }
--- a/courier/policy/src/dispatcher/dispatch.rs
+++ b/courier/policy/src/dispatcher/dispatch.rs
@@ -49,7 +49,7 @@
     }
 
     fn has_free_slot(&self) -> bool {
-        let slots = self.settings.slots + breaks::is_enabled(Break::SlotTooMany) as u32;
+        let slots = self.settings.slots + u32::from(breaks::is_enabled(Break::SlotTooMany));
         (self.calls_in_flight.len() as u32) < slots
     }
 
--- a/courier/policy/src/dispatcher/health.rs
+++ b/courier/policy/src/dispatcher/health.rs
@@ -220,7 +220,7 @@
             Some(_) => PACED_WINDOW_MIN,
             None => (latency / PACE_INTERVAL_MAX).min(1.0),
         };
-        route.window = route.window.clamp(floor, top.max(1) as f64);
+        route.window = route.window.clamp(floor, f64::from(top.max(1)));
     }
 
     /// Counts a failure for the guard, unless it is due to a limit.
@@ -243,8 +243,8 @@
         if (outcome == Outcome::Ok || outcome == Outcome::Timeout) && !result.streaming {
             self.add_latency_sample(now, result.elapsed);
         }
-        self.recent_failures = (self.recent_failures << 1) | (outcome != Outcome::Ok) as u8;
-        self.recent_errors = (self.recent_errors << 1) | (outcome == Outcome::Error) as u8;
+        self.recent_failures = (self.recent_failures << 1) | u8::from(outcome != Outcome::Ok);
+        self.recent_errors = (self.recent_errors << 1) | u8::from(outcome == Outcome::Error);
         self.timeouts_in_row = if outcome == Outcome::Timeout { self.timeouts_in_row + 1 } else { 0 };
     }
 
--- a/courier/policy/src/dispatcher/outcomes.rs
+++ b/courier/policy/src/dispatcher/outcomes.rs
@@ -105,7 +105,7 @@
         let route = &mut self.routes[attempt.route];
         route.trial_call = route.trial_call.filter(|trial| *trial != attempt.call);
         remove_timed(&mut route.in_flight, attempt.call, attempt.latency_from);
-        route.open_streams -= attempt.streams_body as u32;
+        route.open_streams -= u32::from(attempt.streams_body);
         self.ready_destinations.insert(route.dest);
         if attempt.streams_body {
             self.ready_destinations.extend(&self.waiting_destinations);
--- a/courier/policy/src/dispatcher/pacing.rs
+++ b/courier/policy/src/dispatcher/pacing.rs
@@ -41,7 +41,7 @@
         let window = open.effective_window(self.now);
         let sent_times = open.in_flight.iter().map(|(_, sent)| *sent);
         let mut counted = sent_times.filter(|sent| sent + timeout > self.now);
-        let max_calls = if window >= 1.0 { window as usize } else { 2 - (window < open.window) as usize };
+        let max_calls = if window >= 1.0 { window as usize } else { 2 - usize::from(window < open.window) };
         let mut at = 0;
         if let Some(first) = counted.next().filter(|_| counted.count() + 1 >= max_calls) {
             at = at.max(first + timeout);
@@ -78,7 +78,7 @@
     /// accumulate meanwhile, instead of each using up a share of the limit.
     pub(super) fn call_gap(&self, route: usize) -> Micros {
         let rate = if self.batch_limit(route) > 1 { self.listed_rate(route) } else { None };
-        let batch_gap = rate.map(|rate| 1e6 * self.settings.sender_count.max(1) as f64 / rate);
+        let batch_gap = rate.map(|rate| 1e6 * f64::from(self.settings.sender_count.max(1)) / rate);
         let window_gap =
             || self.paced_interval(route, false).map(|interval| interval / self.routes[route].window);
         batch_gap.or_else(window_gap).unwrap_or(0.0) as Micros
@@ -92,7 +92,7 @@
     /// which there is a choice, nor to sparsely served ones, which have turns instead.
     pub(super) fn paced_interval(&self, route: usize, shrinks: bool) -> Option<f64> {
         let paced = &self.routes[route];
-        let senders = self.settings.sender_count.max(1) as f64;
+        let senders = f64::from(self.settings.sender_count.max(1));
         let shrunk = shrinks || paced.last_shrink > 0 && self.now < paced.last_shrink + BASELINE_SPAN;
         let single = self.batch_limit(route) == 1 && !self.has_separate_routes(route);
         let rate = if shrunk && single { self.listed_rate(route) } else { None };
--- a/courier/policy/src/dispatcher/queue.rs
+++ b/courier/policy/src/dispatcher/queue.rs
@@ -49,7 +49,7 @@
         let Some(tenant) = tenant else { return 1.0 };
         let rate = self.settings.tenants.get(tenant).copied();
         let Some(rate) = rate.filter(|rate| *rate > 0.0) else { return 1.0 };
-        let sender_rate = rate / self.settings.sender_count.max(1) as f64;
+        let sender_rate = rate / f64::from(self.settings.sender_count.max(1));
         let share = &self.tenant_shares[tenant];
         let refilled = share.tokens + sender_rate * (self.now - share.counted_at) as f64 / 1e6;
         let tokens = refilled.min((sender_rate * TENANT_BURST).max(1.0));
--- a/courier/policy/src/dispatcher/retry.rs
+++ b/courier/policy/src/dispatcher/retry.rs
@@ -31,7 +31,7 @@
 
     /// Whether the attempts so far allow another one at all; to which zone: [`Dispatcher::bound_zone`].
     pub(super) fn may_send(&self, message: &PendingMessage) -> bool {
-        let max_attempts = self.settings.max_attempts + breaks::is_enabled(Break::AttemptTooMany) as u32;
+        let max_attempts = self.settings.max_attempts + u32::from(breaks::is_enabled(Break::AttemptTooMany));
         if message.attempts.len() as u32 >= max_attempts {
             return false;
         }
--- a/courier/policy/src/dispatcher/send.rs
+++ b/courier/policy/src/dispatcher/send.rs
@@ -81,7 +81,7 @@
         }
         route.paced_at = route.paced_at.max(now) + gap;
         route.last_sent = now;
-        let weight = 1 + (size as f64 * EXTRA_MESSAGE_WEIGHT) as usize;
+        let weight = 1 + (f64::from(size) * EXTRA_MESSAGE_WEIGHT) as usize;
         route.recent_sends.extend(std::iter::repeat_n(now, weight));
         while route.recent_sends.front().is_some_and(|sent| sent + self.settings.overload_span < now) {
             route.recent_sends.pop_front();
--- a/courier/policy/src/dispatcher/shedding.rs
+++ b/courier/policy/src/dispatcher/shedding.rs
@@ -16,7 +16,7 @@
 impl Dispatcher {
     /// Rejects messages of the least value until the number of open ones is within its bound, or none may be rejected.
     pub(super) fn shed(&mut self) {
-        let limit = (self.settings.max_open_messages as f64 * SHED_THRESHOLD) as u32;
+        let limit = (f64::from(self.settings.max_open_messages) * SHED_THRESHOLD) as u32;
         while self.open_messages > limit.max(1) {
             let Some(id) = self.least_valuable() else { return };
             self.end_unserved(id, SHED_RETRY_AFTER);
--- a/courier/policy/src/dispatcher/slow_start.rs
+++ b/courier/policy/src/dispatcher/slow_start.rs
@@ -41,7 +41,7 @@
     /// in twice the time of the slow start.
     pub(super) fn is_sparsely_served(&self, route: usize) -> bool {
         let budget = GUARD_SHARE * self.calls_allowed(route, self.settings.slow_start_share);
-        self.settings.sender_count as f64 * self.settings.overload_span as f64
+        f64::from(self.settings.sender_count) * self.settings.overload_span as f64
             > budget * 2.0 * self.settings.slow_start as f64
     }
 
--- a/courier/policy/src/dispatcher/window.rs
+++ b/courier/policy/src/dispatcher/window.rs
@@ -36,7 +36,7 @@
 impl Route {
     /// A route without a sample: half the cap, and no failure seen.
     pub fn new(slots: u32) -> Self {
-        let window = (window_cap(slots) as f64 / 2.0).max(1.0);
+        let window = (f64::from(window_cap(slots)) / 2.0).max(1.0);
         Route {
             window,
             latency: LatencyEstimate::new(LATENCY_FLOOR),
@@ -80,7 +80,7 @@
     /// the trial's). It derives from answered calls only, since a time-out would otherwise extend the next one; time-outs
     /// double it instead, to distinguish a slow receiver from a silent one.
     pub fn call_timeout(&self, min_timeout: f64) -> Micros {
-        let doubled = (1u32 << self.timeouts_in_row.min(TIMEOUT_DOUBLINGS)) as f64;
+        let doubled = f64::from(1u32 << self.timeouts_in_row.min(TIMEOUT_DOUBLINGS));
         let least = if self.in_outage { TRIAL_TIMEOUT_MIN } else { min_timeout };
         ((TIMEOUT_LATENCIES * self.answered_latency).max(least) * doubled) as Micros
     }
--- a/courier/policy/src/policy.rs
+++ b/courier/policy/src/policy.rs
@@ -143,7 +143,7 @@
                 (Some(Instruction::Call { items, .. }), Some(Instruction::Call { items: call, .. }))
                     if joins =>
                 {
-                    call.extend(items)
+                    call.extend(items);
                 }
                 (instruction, _) => instructions.extend(instruction),
             }
--- a/courier/policy/tests/bundles.rs
+++ b/courier/policy/tests/bundles.rs
@@ -27,7 +27,7 @@
     for (_, action) in &w.log {
         match action {
             DispatchAction::Send { msg, joins_previous: true, .. } => {
-                calls.last_mut().expect("it joins one").push(*msg)
+                calls.last_mut().expect("it joins one").push(*msg);
             }
             DispatchAction::Send { msg, .. } => calls.push(vec![*msg]),
             _ => {}
--- a/courier/policy/tests/rules.rs
+++ b/courier/policy/tests/rules.rs
@@ -91,7 +91,7 @@
         let mut w = world();
         match how {
             0 => {
-                w.list(ListUpdate::Delta, &[EndpointEntry { state: EndpointState::Draining, ..entry(0, 5) }])
+                w.list(ListUpdate::Delta, &[EndpointEntry { state: EndpointState::Draining, ..entry(0, 5) }]);
             }
             1 => w.list(ListUpdate::Delta, &[EndpointEntry { state: EndpointState::Gone, ..entry(0, 5) }]),
             _ => w.list(ListUpdate::Full, &[entry(1, 6)]),
--- a/courier/program/tests/calls.rs
+++ b/courier/program/tests/calls.rs
@@ -169,6 +169,7 @@
 /// Whatever comes back, the outcome is the one that is true of it, the connection is closed in bounded time, and the
 /// only slot is free for the next message.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
 fn an_answer_that_is_cut_or_never_ends_has_a_true_outcome_in_bounded_time() {
     use Then::*;
     const SLOW: Duration = Duration::from_millis(5);
--- a/courier/program/tests/command.rs
+++ b/courier/program/tests/command.rs
@@ -110,7 +110,7 @@
     for cut in 1..sound.len() {
         let (code, told) = verify(&sound[..cut]);
         let whole = cut == first_length();
-        assert_eq!(code, Some(if whole { 0 } else { 1 }), "cut at {cut}: {told}");
+        assert_eq!(code, Some(i32::from(!whole)), "cut at {cut}: {told}");
     }
     let mut flipped = sound.clone();
     let last = flipped.len() - 1;
--- a/courier/program/tests/common/mod.rs
+++ b/courier/program/tests/common/mod.rs
@@ -93,6 +93,7 @@
 }
 
 impl ExchangePlayer {
+    #[expect(clippy::too_many_lines, reason = "one arm for each verb of an exchange")]
     fn step(&mut self, step: &str, lines: &[&str]) -> String {
         let (verb, name) = step.split_once(' ').unwrap_or((step, ""));
         let name = name.to_string();
--- a/courier/program/tests/fleet/faults.rs
+++ b/courier/program/tests/fleet/faults.rs
@@ -17,6 +17,7 @@
     fleet.wait_until("the couriers speak", WAIT_TIMEOUT, more).await.unwrap();
 }
 
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
 async fn day(seed: u64, steps: usize, couriers: usize, copies: usize) {
     let mut setup = setup(couriers);
     setup.fleet = Some(json!({"lease": "2s", "copies": copies}));
--- a/courier/program/tests/fleet/settlements.rs
+++ b/courier/program/tests/fleet/settlements.rs
@@ -306,6 +306,7 @@
 /// killed and started: each settlement is whole, or broken with nothing behind the break, and no debit comes
 /// twice.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
 fn many_settlements_complete_or_end_at_their_break_while_couriers_are_lost() {
     run_test(async || {
         let mut fleet = carriers().await;
--- a/courier/program/tests/fleet_budget.rs
+++ b/courier/program/tests/fleet_budget.rs
@@ -171,6 +171,7 @@
 /// A courier that is lost, or cut off from the others alone, may have its connections open for the time of a
 /// call and until the partner ends them: nobody else uses them before.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
 fn what_a_lost_courier_held_comes_free_after_the_stated_bound_and_not_before() {
     // A call, the partner's end of its connection, and the lease, by the slowest clock.
     const HOLD: u64 = 8_100_000;
@@ -225,7 +226,7 @@
                             return Some(Some(one.when.at));
                         }
                     }
-                    (held(record).filter(|id| id.starts_with("b")).count() == 2).then_some(None)
+                    (held(record).filter(|id| id.starts_with('b')).count() == 2).then_some(None)
                 };
                 if let Some(at) =
                     fleet.wait_until("a third, or two that are held", WAIT_TIMEOUT, found).await.unwrap()
--- a/courier/program/tests/restart.rs
+++ b/courier/program/tests/restart.rs
@@ -293,6 +293,7 @@
 /// The process that takes over dies, falls silent or says rubbish at each step, and the old one is told to end, to read its
 /// configuration again, or is asked by a third just then: it goes on with all that was out, and gives nobody two answers.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
 fn a_handover_that_breaks_off_at_any_step_is_taken_back_whole() {
     use BreaksOff::*;
     run_test(|| async {
--- a/courier/program/tests/streams.rs
+++ b/courier/program/tests/streams.rs
@@ -122,7 +122,7 @@
                     assert_eq!(complete.replace(*whole), None, "{id}: a second body");
                 }
                 other => {
-                    assert_eq!(notice.replace(notice_line(other).unwrap()), None, "{id}: a second notice")
+                    assert_eq!(notice.replace(notice_line(other).unwrap()), None, "{id}: a second notice");
                 }
             }
         }
--- a/tier/batch/src/replica.rs
+++ b/tier/batch/src/replica.rs
@@ -64,7 +64,7 @@
     pub fn confirm(&mut self, read: ReadId, until: Micros, now: Micros) -> Vec<ShardAction> {
         match &mut self.primary {
             Some(_) if breaks::on(Break::ReadWithoutRound) => {
-                self.actions.push(ShardAction::ReadConfirmed { read })
+                self.actions.push(ShardAction::ReadConfirmed { read });
             }
             Some(primary) if primary.serving => {
                 primary.reads.push(PendingRead { read, until });
--- a/tier/batch/tests/cluster/actions.rs
+++ b/tier/batch/tests/cluster/actions.rs
@@ -44,11 +44,11 @@
             }
             ShardAction::Answer { request, .. } => self.counts.count("answers", &[now, store, *request]),
             ShardAction::Committed { operation, .. } => {
-                self.counts.count("commits", &[now, store, *operation])
+                self.counts.count("commits", &[now, store, *operation]);
             }
             ShardAction::Uncertain { operation } => self.counts.count("uncertain", &[now, store, *operation]),
             ShardAction::NotStarted { operation } => {
-                self.counts.count("not_begun", &[now, store, *operation])
+                self.counts.count("not_begun", &[now, store, *operation]);
             }
             ShardAction::Serving { epoch } => self.counts.count("primaries", &[now, store, *epoch]),
             ShardAction::SteppedDown => self.counts.count("step_downs", &[now, store]),
--- a/tier/control/src/member.rs
+++ b/tier/control/src/member.rs
@@ -154,6 +154,9 @@
     /// The outcome of `change` is valid only once [`MemberAction::Confirmed`] is returned for the ticket, by this call
     /// or a later one. A change that alters nothing is confirmed as well, once the state that it saw is known to be
     /// the newest.
+    ///
+    /// # Errors
+    /// This member does not serve as primary; nothing was changed.
     pub fn change<T>(
         &mut self,
         change: impl FnOnce(&mut ControlState) -> T,
@@ -179,6 +182,9 @@
     ///
     /// Once [`MemberAction::Confirmed`] is returned for the ticket, [`Member::committed`] is at least as new as
     /// any state that was committed when the read began.
+    ///
+    /// # Errors
+    /// This member does not serve as primary.
     pub fn confirm(&mut self, now: Micros) -> Result<SubmittedRead, NotPrimary> {
         if self.serving().is_none() {
             return Err(NotPrimary);
--- a/tier/control/src/state.rs
+++ b/tier/control/src/state.rs
@@ -44,7 +44,10 @@
         encode(self)
     }
 
-    /// Decodes a snapshot; fails if the bytes are no archived control state.
+    /// Decodes a snapshot.
+    ///
+    /// # Errors
+    /// The bytes are no archived control state.
     pub fn decode(bytes: &[u8]) -> Result<ControlState, FrameError> {
         decode(bytes)
     }
--- a/tier/control/tests/members/world/trace.rs
+++ b/tier/control/tests/members/world/trace.rs
@@ -20,10 +20,10 @@
                 self.counts.count("writes", &[now, disk, payload as u64]);
             }
             MemberAction::Confirmed { ticket } => {
-                self.counts.count("confirmed", &[now, disk, ticket.number()])
+                self.counts.count("confirmed", &[now, disk, ticket.number()]);
             }
             MemberAction::Uncertain { ticket } => {
-                self.counts.count("uncertain", &[now, disk, ticket.number()])
+                self.counts.count("uncertain", &[now, disk, ticket.number()]);
             }
             MemberAction::Elected { epoch } => self.counts.count("elections", &[now, disk, *epoch]),
             MemberAction::SteppedDown => self.counts.count("step_downs", &[now, disk]),
--- a/tier/control/tests/shards.rs
+++ b/tier/control/tests/shards.rs
@@ -197,7 +197,7 @@
     for _ in 0..10 {
         state.plan_shards(&inputs(&[1, 4, 5]));
     }
-    for view in state.placement.shards.iter() {
+    for view in &state.placement.shards {
         assert_eq!(view.primary, 1, "the only live replica leads: {view:?}");
         assert!(view.in_sync.contains(&1), "{view:?}");
     }
@@ -230,7 +230,7 @@
     let mut state = ControlState::default();
     let core = |disk: DiskId| NodeInfo { role: NodeRole::Core, ..store(disk) };
     (1..=4).for_each(|disk| {
-        assert_eq!(state.admit_core_member(&core(disk), &BTreeSet::new()), Admission::Admitted)
+        assert_eq!(state.admit_core_member(&core(disk), &BTreeSet::new()), Admission::Admitted);
     });
     assert!(!state.remove_silent_core_members(&BTreeSet::from([3, 4]), 1));
     assert!(state.remove_silent_core_members(&BTreeSet::from([3]), 1));
--- a/tier/dataplane/src/body.rs
+++ b/tier/dataplane/src/body.rs
@@ -63,6 +63,9 @@
     }
 
     /// Removes the bytes of this body from the front of `input`, and appends its content to `output`.
+    ///
+    /// # Errors
+    /// The framing is malformed.
     pub fn read(&mut self, input: &mut Vec<u8>, output: &mut Vec<u8>) -> Result<(), BodyError> {
         let mut consumed = 0;
         let result = self.advance(input, &mut consumed, output);
--- a/tier/dataplane/src/dispatch/dispatcher.rs
+++ b/tier/dataplane/src/dispatch/dispatcher.rs
@@ -105,6 +105,9 @@
     ///
     /// Endpoints in `tried` are left out. A batch item passes its sender's share, which it must fit in as well as in the
     /// endpoint's window.
+    ///
+    /// # Errors
+    /// No endpoint can take the call now; the error says why.
     pub fn reserve(
         &mut self,
         service: &str,
--- a/tier/dataplane/src/events.rs
+++ b/tier/dataplane/src/events.rs
@@ -35,6 +35,9 @@
     }
 
     /// The next complete event, `None` if more bytes are needed.
+    ///
+    /// # Errors
+    /// The event is larger than [`EVENT_LIMIT`].
     pub fn next_event(&mut self) -> Result<Option<SseEvent>, EventTooLong> {
         let Some(end) = self.event_end() else {
             // An end of three bytes may have begun in the last two.
--- a/tier/dataplane/src/head/parse.rs
+++ b/tier/dataplane/src/head/parse.rs
@@ -72,6 +72,9 @@
 }
 
 /// Parses the head of a request and returns it with its length in bytes; `None` if it is incomplete.
+///
+/// # Errors
+/// The head is malformed or too large, or its framing is ambiguous.
 pub fn parse_request(bytes: &[u8]) -> Result<Option<(RequestHead, usize)>, HeadError> {
     let mut parsed = [httparse::EMPTY_HEADER; HEADER_LIMIT];
     let mut request = httparse::Request::new(&mut parsed);
@@ -99,6 +102,9 @@
 
 /// Parses the head of a response and returns it with its length in bytes; `None` if it is incomplete. `to_head`: it answers a
 /// `HEAD` request, so there is no body.
+///
+/// # Errors
+/// The head is malformed or too large, or its framing is ambiguous.
 pub fn parse_response(bytes: &[u8], to_head: bool) -> Result<Option<(ResponseHead, usize)>, HeadError> {
     let mut parsed = [httparse::EMPTY_HEADER; HEADER_LIMIT];
     let mut response = httparse::Response::new(&mut parsed);
--- a/tier/node/src/http/connection.rs
+++ b/tier/node/src/http/connection.rs
@@ -90,7 +90,7 @@
                 return;
             }
         }
-        std::future::pending().await
+        std::future::pending::<()>().await;
     }
 
     /// Closes the connection after a last response. Unread bytes would reset it and could destroy the response on its way
--- a/tier/node/src/node.rs
+++ b/tier/node/src/node.rs
@@ -125,7 +125,7 @@
         match Settings::load() {
             Ok(settings) => *self.seeds.borrow_mut() = settings.seeds,
             Err(error) => {
-                tracing::warn!(%error, "failed to reload the settings file, seeds stay as they were")
+                tracing::warn!(%error, "failed to reload the settings file, seeds stay as they were");
             }
         }
     }
--- a/tier/node/tests/stored_data.rs
+++ b/tier/node/tests/stored_data.rs
@@ -57,7 +57,7 @@
 fn registers() -> Vec<Register> {
     let mut state = ControlState::default();
     (1..=3).for_each(|disk| {
-        _ = state.admit_core_member(&node(&format!("c{disk}"), disk, NodeRole::Core), &BTreeSet::new())
+        _ = state.admit_core_member(&node(&format!("c{disk}"), disk, NodeRole::Core), &BTreeSet::new());
     });
     let accepted = |epoch, sequence, state: &ControlState| {
         let value = RegisterValue { members: vec![1, 2, 3], prior: None, payload: state.encode() };
--- a/tier/replication/tests/cluster/world/trace.rs
+++ b/tier/replication/tests/cluster/world/trace.rs
@@ -25,7 +25,7 @@
             RegisterAction::Elected { epoch } => self.counts.count("elections", &[now, disk, *epoch]),
             RegisterAction::SteppedDown => self.counts.count("step_downs", &[now, disk]),
             RegisterAction::ReadConfirmed { read } => {
-                self.counts.count("reads_confirmed", &[now, disk, *read])
+                self.counts.count("reads_confirmed", &[now, disk, *read]);
             }
         }
     }
--- a/tools/checks/src/links.rs
+++ b/tools/checks/src/links.rs
@@ -8,6 +8,9 @@
 const HISTORY: [&str; 2] = ["CHANGELOG.md", "docs/incidents"];
 
 /// Links to files, and paths of pages and packages in backticks, that lead nowhere.
+///
+/// # Panics
+/// A file of the repository can't be read.
 pub fn broken_links(root: &Path) -> Vec<String> {
     let link = Regex::new(r"\]\(([^)#]+)(?:#[^)]*)?\)").expect("a valid pattern");
     let path_in_text =
--- a/tools/checks/src/log_lines.rs
+++ b/tools/checks/src/log_lines.rs
@@ -22,6 +22,9 @@
 }
 
 /// All lines at warn and error of the programs.
+///
+/// # Panics
+/// A file of the repository can't be read.
 pub fn log_lines(root: &Path) -> Vec<LogLine> {
     let pattern = Regex::new(r#"\b(?:warn|error)!\(\s*(?:[^"();]*,\s*)?"((?:(?s:\\.)|[^"\\])*)""#)
         .expect("a valid pattern");
--- a/tools/checks/src/names.rs
+++ b/tools/checks/src/names.rs
@@ -75,6 +75,9 @@
 }
 
 /// Identifiers of production code that contain a withdrawn word, with the first file that uses each.
+///
+/// # Panics
+/// A file of the repository can't be read.
 pub fn identifiers_with_withdrawn_words(root: &Path, rules: &NamingRules) -> BTreeMap<String, String> {
     // In one pass, so that a quote in a comment, or slashes in a string, are what they are there.
     let not_code =
--- a/tools/explore/tests/hard_cases.rs
+++ b/tools/explore/tests/hard_cases.rs
@@ -140,7 +140,7 @@
 #[test]
 fn a_wait_received_while_another_call_to_the_destination_is_written() {
     let mut world = ManualWorld::new(&[FaultKind::PartialWrite, FaultKind::Wait], |case| {
-        (case.endpoints, case.slots) = (2, 8)
+        (case.endpoints, case.slots) = (2, 8);
     });
     world.debit().apply(&[Action::Connected(M0), Action::Write(M0, WriteExtent::Partial)]);
     world.debit().send_complete(M1).apply(&[Action::Answer(M1, Answer::Wait)]);
--- a/tools/standins/tests/audit.rs
+++ b/tools/standins/tests/audit.rs
@@ -75,6 +75,7 @@
 /// A history without findings, with all that is allowed: a rejected message that is submitted again, a repeated notice, a
 /// repeat within its span, an answer that a killed courier did not receive, a call that the replicas knew of, a message that
 /// is still pending, a budget that is lowered and observed, settlements that are closed, broken, and in consecutive sessions.
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
 fn clean() -> History {
     let late = T0 + 12 * SEC;
     let refused = Submission { answered: Some((T0, 503)), ..submission("debit", "fee-debit") };
