--- a/courier/drill/src/host.rs
+++ b/courier/drill/src/host.rs
@@ -25,11 +25,11 @@
         self.clock.is_some()
     }
 
-    /// Takes in one line. True: the batch has ended and wants its reply.
+    /// Handles one line of the input. Returns true if it ends the batch, which then wants its reply.
     ///
     /// # Errors
     /// The line is no message, or one that does not fit its place or its instance.
-    pub fn line(&mut self, line: &str) -> Result<bool, MessageError> {
+    pub fn handle_line(&mut self, line: &str) -> Result<bool, MessageError> {
         let message: Incoming = serde_json::from_str(line)?;
         match (&message, self.clock) {
             (Incoming::BeginBatch { .. }, Some(_)) => return Err(MessageError::NestedBatch),
@@ -47,7 +47,7 @@
             Incoming::Down { i } => {
                 self.instances.remove(&i).ok_or(MessageError::UnknownInstance(i))?;
             }
-            Incoming::Endpoints { i, kind, number } => self.list(i, kind, number)?,
+            Incoming::Endpoints { i, kind, number } => self.update_list(i, kind, number)?,
             Incoming::Submit(submission) => self.submit(submission)?,
             Incoming::Completed(completed) => self.completed(completed)?,
             Incoming::PeerData { i, neighbour, body } => {
@@ -125,7 +125,8 @@
         Ok(())
     }
 
-    fn list(&mut self, i: i64, kind: u8, number: Option<u32>) -> Result<(), MessageError> {
+    /// Passes an endpoint list, or a change to it, to its instance. `kind`: the list's code on the wire.
+    fn update_list(&mut self, i: i64, kind: u8, number: Option<u32>) -> Result<(), MessageError> {
         let instance = self.instances.get_mut(&i).ok_or(MessageError::UnknownInstance(i))?;
         let kind = match kind {
             0 => ListUpdate::Delta,
--- a/courier/drill/src/main.rs
+++ b/courier/drill/src/main.rs
@@ -44,7 +44,7 @@
             continue;
         }
         let batch_ended =
-            host.line(line.trim()).map_err(|source| ServeError::Message { line: number, source })?;
+            host.handle_line(line.trim()).map_err(|source| ServeError::Message { line: number, source })?;
         if batch_ended {
             host.reply(&mut output).map_err(ServeError::Output)?;
             output.flush().map_err(ServeError::Output)?;
--- a/courier/fleet/tests/agreement/fleet.rs
+++ b/courier/fleet/tests/agreement/fleet.rs
@@ -28,6 +28,19 @@
     committed.iter().map(|entry| (entry.index, number(&entry.command))).collect()
 }
 
+/// How the tests name a rejection.
+fn rejection_label(reason: RejectReason) -> &'static str {
+    match reason {
+        RejectReason::NotLeader => "not leader",
+        RejectReason::Busy => "busy",
+        RejectReason::QueueFull => "full",
+        RejectReason::LearnerBehind => "behind",
+        RejectReason::QuorumAtRisk => "majority",
+        RejectReason::Halted => "silent",
+        _ => "refused",
+    }
+}
+
 pub struct Node {
     /// `None`: the courier is down.
     pub agreement: Option<Agreement<Memory>>,
@@ -166,33 +179,10 @@
         for output in out {
             self.count_output(node_id, &output);
             match output {
-                AgreementOutput::Send { to, bytes } => {
-                    *self.sends_by_node.entry(node_id).or_default() += 1;
-                    let copies = 1 + u64::from(self.random_below(1000) < self.duplicate_permille);
-                    for _ in 0..copies {
-                        if self.random_below(1000) < self.loss_permille
-                            || self.cut_links.contains(&(node_id, to))
-                        {
-                            continue;
-                        }
-                        self.sent_count += 1;
-                        let at = self.now + 100 + self.random_below(self.max_delay);
-                        self.in_flight.insert((at, self.sent_count), (node_id, to, bytes.clone()));
-                    }
-                }
+                AgreementOutput::Send { to, bytes } => self.send(node_id, to, &bytes),
                 AgreementOutput::Committed { index, ticket, command } => {
                     let command = u64::from_le_bytes(command.try_into().unwrap());
-                    let agreed = *self.committed.entry(index).or_insert(command);
-                    assert_eq!(agreed, command, "courier {node_id} differs at {index}");
-                    let node = self.nodes.get_mut(&node_id).unwrap();
-                    assert!(node.applied_index < index, "courier {node_id}: {index} again");
-                    node.state.push((index, command));
-                    node.applied_index = index;
-                    if let Some(ticket) = ticket {
-                        assert_eq!(ticket, command);
-                        self.acknowledged.insert(command);
-                        self.outcomes.push((ticket, "committed"));
-                    }
+                    self.apply_committed(node_id, index, ticket, command);
                 }
                 AgreementOutput::Restored { index, state } => {
                     let state = decode_state(&state);
@@ -206,18 +196,9 @@
                 }
                 AgreementOutput::MembershipChanged { .. } => {}
                 AgreementOutput::ReadReady { ticket } => self.outcomes.push((ticket, "readable")),
-                AgreementOutput::Rejected { ticket, reason, .. } => self.outcomes.push((
-                    ticket,
-                    match reason {
-                        RejectReason::NotLeader => "not leader",
-                        RejectReason::Busy => "busy",
-                        RejectReason::QueueFull => "full",
-                        RejectReason::LearnerBehind => "behind",
-                        RejectReason::QuorumAtRisk => "majority",
-                        RejectReason::Halted => "silent",
-                        _ => "refused",
-                    },
-                )),
+                AgreementOutput::Rejected { ticket, reason, .. } => {
+                    self.outcomes.push((ticket, rejection_label(reason)));
+                }
                 AgreementOutput::Indeterminate { ticket } => self.outcomes.push((ticket, "unsure")),
                 AgreementOutput::SnapshotWanted => wanted = true,
                 AgreementOutput::LeaderChanged { leader, term } => {
@@ -237,6 +218,35 @@
         }
     }
 
+    /// Sends a message over a link that may lose, duplicate and delay it.
+    fn send(&mut self, from: NodeId, to: NodeId, bytes: &[u8]) {
+        *self.sends_by_node.entry(from).or_default() += 1;
+        let copies = 1 + u64::from(self.random_below(1000) < self.duplicate_permille);
+        for _ in 0..copies {
+            if self.random_below(1000) < self.loss_permille || self.cut_links.contains(&(from, to)) {
+                continue;
+            }
+            self.sent_count += 1;
+            let at = self.now + 100 + self.random_below(self.max_delay);
+            self.in_flight.insert((at, self.sent_count), (from, to, bytes.into()));
+        }
+    }
+
+    /// A courier applies a committed command: the same one at this index as all others, and once.
+    fn apply_committed(&mut self, node_id: NodeId, index: u64, ticket: Option<u64>, command: u64) {
+        let agreed = *self.committed.entry(index).or_insert(command);
+        assert_eq!(agreed, command, "courier {node_id} differs at {index}");
+        let node = self.nodes.get_mut(&node_id).unwrap();
+        assert!(node.applied_index < index, "courier {node_id}: {index} again");
+        node.state.push((index, command));
+        node.applied_index = index;
+        if let Some(ticket) = ticket {
+            assert_eq!(ticket, command);
+            self.acknowledged.insert(command);
+            self.outcomes.push((ticket, "committed"));
+        }
+    }
+
     pub fn count_output(&mut self, node_id: NodeId, output: &AgreementOutput) {
         let now = self.now;
         match output {
