--- a/courier/fleet/src/budget/local/permit.rs
+++ b/courier/fleet/src/budget/local/permit.rs
@@ -44,7 +44,7 @@
     CutOff,
     /// All calls of the span that the tenant may begin here have begun.
     RateLimited,
-    /// More tenants at once than are kept.
+    /// Calls of [`MAX_TENANTS`] other tenants are waiting already.
     TooManyTenants,
 }
 
--- a/courier/fleet/src/settlement/owner/changes.rs
+++ b/courier/fleet/src/settlement/owner/changes.rs
@@ -45,7 +45,7 @@
         journal.courier == self.local_name && journal.epoch == self.epoch
     }
 
-    /// A settlement in its first phase here, with the order to leave that holds for all.
+    /// A settlement in its first phase here. While the courier drains, it is to leave as all others are.
     fn new_settlement(&self, id: &SettlementId, term: u64, phase: Phase, step: &OwnerStep) -> Settlement {
         let mode = self.modes.get(&id.dest).copied().unwrap_or_default();
         let mut settlement = Settlement::new(id.clone(), term, mode, phase, step.now);
--- a/courier/fleet/src/settlement/registry/command.rs
+++ b/courier/fleet/src/settlement/registry/command.rs
@@ -26,8 +26,8 @@
         /// The epoch of its registration.
         owner_epoch: u64,
     },
-    /// The owner of this term gives the settlement to another courier. Whoever gives one away is leaving and is given
-    /// none, as two couriers that drain at once would otherwise pass one back and forth.
+    /// The owner of this term moves the settlement to another courier. An owner that does so is leaving, and no settlement
+    /// moves to it, as two couriers that drain at once would otherwise pass one back and forth.
     Move {
         /// The settlement.
         id: SettlementId,
--- a/courier/fleet/src/settlement/registry/mod.rs
+++ b/courier/fleet/src/settlement/registry/mod.rs
@@ -87,7 +87,7 @@
         !self.ended.is_empty()
     }
 
-    /// Whether this courier is leaving: it is given no settlement.
+    /// Whether this courier is leaving: no settlement moves to it.
     pub fn is_leaving(&self, courier: &str, epoch: u64) -> bool {
         self.leaving.get(courier) == Some(&epoch)
     }
@@ -112,7 +112,7 @@
             SettlementCommand::Open { id, owner, owner_epoch } => self.open(id, owner, *owner_epoch),
             SettlementCommand::Move { id, term, to, to_epoch, boundary } => {
                 let to = JournalRef { courier: to.clone(), epoch: *to_epoch };
-                self.give_away(id, *term, to, *boundary)
+                self.move_from_leaving(id, *term, to, *boundary)
             }
             SettlementCommand::CaughtUp { id, term } => self.caught_up(id, *term),
             SettlementCommand::Close { id, term, verdict, until } => {
@@ -153,7 +153,8 @@
         }]
     }
 
-    fn give_away(
+    /// The owner of this term is leaving and moves the settlement to another courier.
+    fn move_from_leaving(
         &mut self,
         id: &SettlementId,
         term: u64,
@@ -213,7 +214,12 @@
 
     /// A courier's registration has ended and its journal is sealed: each of its settlements goes to one of the
     /// successors, by rendezvous hashing. Without a successor they stay where they are until there is one.
-    pub fn gone(&mut self, courier: &str, epoch: u64, successors: &[JournalRef]) -> Vec<SettlementEvent> {
+    pub fn end_registration(
+        &mut self,
+        courier: &str,
+        epoch: u64,
+        successors: &[JournalRef],
+    ) -> Vec<SettlementEvent> {
         self.deregister(courier, epoch);
         let owned = self.open.iter().filter(|(_, owner)| owner.courier == courier && owner.epoch <= epoch);
         let owned: Vec<SettlementId> = owned.map(|(id, _)| id.clone()).collect();
@@ -222,7 +228,7 @@
             .filter(|successor| !self.is_gone(&successor.courier, successor.epoch))
             .cloned()
             .collect();
-        // A courier that is leaving itself is given what nobody else can own.
+        // A courier that is leaving itself gets what nobody else can own.
         let is_staying = |successor: &&JournalRef| !self.is_leaving(&successor.courier, successor.epoch);
         let staying = successors.iter().filter(is_staying).cloned();
         let staying: Vec<JournalRef> = staying.collect();
@@ -247,7 +253,7 @@
         lost.into_iter().filter_map(|id| self.move_to(&id, successor(id.dest)?, false)).collect()
     }
 
-    /// A courier's registration has ended: it is given no settlement any more.
+    /// A courier's registration has ended: no settlement moves to it any more.
     pub fn deregister(&mut self, courier: &str, epoch: u64) {
         let last = self.deregistered.entry(courier.to_string()).or_insert(epoch);
         *last = (*last).max(epoch);
--- a/courier/fleet/src/settlement/translator.rs
+++ b/courier/fleet/src/settlement/translator.rs
@@ -184,6 +184,14 @@
     Close,
 }
 
+/// A message that was accepted at a position.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct AcceptedPosition {
+    message_id: String,
+    /// Of the body.
+    checksum: u64,
+}
+
 /// Messages of message mode, in any order, converted into the steps of one session.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ToSession {
@@ -192,15 +200,15 @@
     total: Option<u64>,
     is_open: bool,
     is_closed: bool,
-    /// Id and checksum of each position that was given.
-    seen: BTreeMap<u64, (String, u64)>,
+    /// By position.
+    accepted: BTreeMap<u64, AcceptedPosition>,
 }
 
 impl ToSession {
     /// A session that begins with this position: 1, except where an earlier session was lost.
     pub fn new(tenant: &str, settlement: &str, from: u64) -> Self {
         let at = PositionRef { tenant: tenant.into(), settlement: settlement.into(), position: 0 };
-        ToSession { at, next: from, total: None, is_open: false, is_closed: false, seen: BTreeMap::new() }
+        ToSession { at, next: from, total: None, is_open: false, is_closed: false, accepted: BTreeMap::new() }
     }
 
     fn at(&self, position: u64) -> PositionRef {
@@ -218,27 +226,28 @@
         id: &str,
         checksum: u64,
     ) -> Result<Vec<SessionStep>, SettlementError> {
-        check(&self.at(position), total, self.total, self.seen.keys().next_back().copied())?;
-        match self.seen.get(&position) {
-            Some((first, of_first)) if first != id || *of_first != checksum => {
-                return Err(SettlementError::PositionTwice { at: self.at(position), first: first.clone() });
+        check(&self.at(position), total, self.total, self.accepted.keys().next_back().copied())?;
+        match self.accepted.get(&position) {
+            Some(known) if known.message_id != id || known.checksum != checksum => {
+                let first = known.message_id.clone();
+                return Err(SettlementError::PositionTwice { at: self.at(position), first });
             }
             Some(_) => {}
             None => {
-                self.seen.insert(position, (id.into(), checksum));
+                self.accepted.insert(position, AcceptedPosition { message_id: id.into(), checksum });
             }
         }
         self.total = self.total.or(total);
         Ok(self.steps())
     }
 
-    /// The closing with the number of messages: every position has to have been given.
+    /// The closing with the number of messages: every position has to have been accepted.
     ///
     /// # Errors
     /// It contradicts an earlier message, or a position is missing; nothing has changed.
     pub fn close(&mut self, total: u64) -> Result<Vec<SessionStep>, SettlementError> {
-        check(&self.at(total), Some(total), self.total, self.seen.keys().next_back().copied())?;
-        if let Some(missing) = (self.next..=total).find(|position| !self.seen.contains_key(position)) {
+        check(&self.at(total), Some(total), self.total, self.accepted.keys().next_back().copied())?;
+        if let Some(missing) = (self.next..=total).find(|position| !self.accepted.contains_key(position)) {
             return Err(SettlementError::Gap { at: self.at(missing), total });
         }
         self.total = Some(total);
@@ -247,7 +256,7 @@
 
     fn steps(&mut self) -> Vec<SessionStep> {
         let mut steps = Vec::new();
-        while self.seen.contains_key(&self.next) {
+        while self.accepted.contains_key(&self.next) {
             if !self.is_open {
                 self.is_open = true;
                 let position = (self.next > 1).then_some(self.next);
--- a/courier/fleet/src/shares.rs
+++ b/courier/fleet/src/shares.rs
@@ -70,7 +70,7 @@
     }
 
     /// A courier's registration has ended: its lease has lapsed.
-    pub fn gone(&mut self, courier: &str, epoch: Epoch) {
+    pub fn end_registration(&mut self, courier: &str, epoch: Epoch) {
         self.apply_to_all(&BudgetCommand::Lapsed { courier: courier.into(), epoch });
     }
 
--- a/courier/fleet/src/state/apply.rs
+++ b/courier/fleet/src/state/apply.rs
@@ -225,7 +225,7 @@
         if let Some(member) = self.members.get_mut(name) {
             member.serving = false;
         }
-        self.shared.gone(name, epoch);
+        self.shared.end_registration(name, epoch);
         self.settlements.deregister(name, epoch);
         events.push(FleetEvent::Deregistered { name: name.into(), epoch });
         self.drop_replicas_at(name, false, events);
--- a/courier/fleet/tests/parts/owner.rs
+++ b/courier/fleet/tests/parts/owner.rs
@@ -216,7 +216,7 @@
     let mut owner = SingleOwner::new(SettlementLimits::default());
     owner.registry.apply(&SettlementCommand::Open { id: id("a"), owner: "w".into(), owner_epoch: 1 });
     let successor = JournalRef { courier: "x".into(), epoch: 1 };
-    let moved = owner.registry.gone("w", 1, &[successor]);
+    let moved = owner.registry.end_registration("w", 1, &[successor]);
     let mut outputs = owner.step(OwnerInput::Committed(moved[0].clone()));
     assert!(matches!(&outputs[..], [OwnerOutput::Fetch { term: 2, journals, .. }] if journals.len() == 2));
     outputs = owner.step(OwnerInput::Unreadable { id: id("a"), term: 2 });
--- a/courier/fleet/tests/parts/registry.rs
+++ b/courier/fleet/tests/parts/registry.rs
@@ -53,9 +53,9 @@
     for n in 0..300 {
         registry.apply(&open(&format!("s{n}"), "x", 4));
     }
-    assert_eq!(registry.gone("x", 4, &[]), [], "nobody to take them yet");
+    assert_eq!(registry.end_registration("x", 4, &[]), [], "nobody to take them yet");
     let successors = [journal("x", 4), journal("y", 2), journal("z", 9), journal("w", 1)];
-    let moved = registry.gone("x", 4, &successors);
+    let moved = registry.end_registration("x", 4, &successors);
     assert_eq!(moved.len(), 300);
     for successor in &successors[1..] {
         let part =
--- a/courier/fleet/tests/settlement/world.rs
+++ b/courier/fleet/tests/settlement/world.rs
@@ -399,7 +399,7 @@
     match entry {
         LogEntry::Command(command) => registry.apply(command),
         LogEntry::CourierGone { journal, successors } => {
-            registry.gone(&journal.courier, journal.epoch, successors)
+            registry.end_registration(&journal.courier, journal.epoch, successors)
         }
     }
 }
