--- a/courier/fleet/tests/agreement/fleet.rs
+++ b/courier/fleet/tests/agreement/fleet.rs
@@ -170,7 +170,6 @@
         self.handle(node_id, out);
     }
 
-    #[expect(clippy::too_many_lines, reason = "one arm for each output")]
     pub fn handle(&mut self, node_id: NodeId, out: Vec<AgreementOutput>) {
         // Nothing that a process does after its death reaches anyone.
         if self.stop_if_dead(node_id) {
