--- a/courier/policy/src/actions.rs
+++ b/courier/policy/src/actions.rs
@@ -14,7 +14,8 @@
 
 use crate::ids::{EndpointId, Micros, MsgId};
 
-/// One thing that the host of a [`Dispatcher`](crate::Dispatcher) is to do; see the [module](self).
+/// One thing that the host of a [`Dispatcher`](crate::Dispatcher) is to do. The head of `actions.rs` says how it differs from an
+/// [`Instruction`](crate::Instruction).
 #[derive(Clone, Debug, PartialEq)]
 pub enum DispatchAction {
     /// Send a message.
