--- a/courier/fleet/src/member/mod.rs
+++ b/courier/fleet/src/member/mod.rs
@@ -69,7 +69,7 @@
     stores: D,
     agreement: L,
     state: FleetState,
-    /// Random number of this process, which tells it from earlier ones of the same courier.
+    /// Random number of this process, which distinguishes it from earlier ones of the same courier.
     incarnation: u64,
     /// Lineage of the journal in the folder; `None`: there is none that counts.
     lineage: Option<Epoch>,
--- a/tier/node/src/inspect.rs
+++ b/tier/node/src/inspect.rs
@@ -14,7 +14,7 @@
     Ok(())
 }
 
-/// One line about a record; store records and registers are told apart by their encoding.
+/// One line about a record; store records and registers are distinguished by their encoding.
 fn describe(body: &[u8]) -> String {
     if let Some(register) = describe_register(body) {
         return register;
--- a/tier/replication/src/replica/timing.rs
+++ b/tier/replication/src/replica/timing.rs
@@ -62,7 +62,7 @@
         self.jitter = (self.random >> 33) % (self.timeout / 2 + 1);
     }
 
-    /// Starts the timer anew, with the same jitter.
+    /// Restarts the timer with the same jitter.
     pub(super) fn restart(&mut self, now: Micros) {
         self.started_at = now;
     }
--- a/tier/wire/src/messages/poll.rs
+++ b/tier/wire/src/messages/poll.rs
@@ -5,7 +5,7 @@
 use super::placement::{Placement, ShardReport};
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Version of the endpoint list. Lists are counted anew in each epoch of the core: those of two epochs can't be compared by
+/// Version of the endpoint list. The count starts again in each epoch of the core: those of two epochs can't be compared by
 /// their counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Archive, Serialize, Deserialize)]
 pub struct DirectoryVersion {
