--- a/courier/core/tests/handover.rs
+++ b/courier/core/tests/handover.rs
@@ -298,7 +298,7 @@
         let Process::Receiving { machine, has } = self.all[n] else { return };
         match message {
             Message::State(known) => {
-                self.step_receiver(n, machine, Some(known), ReceiverInput::Complete, 0, fault)
+                self.step_receiver(n, machine, Some(known), ReceiverInput::Complete, 0, fault);
             }
             Message::Released => {
                 self.connection = None;
--- a/courier/program/src/transport/frames.rs
+++ b/courier/program/src/transport/frames.rs
@@ -35,10 +35,10 @@
         /// How far the clock of all times in the state runs ahead of the system's, in microseconds.
         ahead: i64,
     },
-    /// All parts have come.
-    Got,
-    /// The sender has given all up; the folder's lock comes with it.
-    LetGo,
+    /// All parts were received.
+    Confirmed,
+    /// The sender has released everything; the folder's lock comes with it.
+    Released,
 }
 
 /// Why an operator's call could not be passed on.
--- a/courier/program/src/transport/handover/receiver.rs
+++ b/courier/program/src/transport/handover/receiver.rs
@@ -172,11 +172,11 @@
     async fn confirm(&mut self) -> ReceiverInput {
         let Some(mut channel) = self.channel.take() else { return ReceiverInput::Lost };
         let reply = self.in_time(async {
-            channel.send(&Frame::Got, None).await?;
+            channel.send(&Frame::Confirmed, None).await?;
             channel.recv().await
         });
         let input = match reply.await {
-            Ok(Frame::LetGo) => ReceiverInput::Released,
+            Ok(Frame::Released) => ReceiverInput::Released,
             Ok(_) => ReceiverInput::Lost,
             Err(input) => input,
         };
--- a/courier/program/src/transport/handover/sender.rs
+++ b/courier/program/src/transport/handover/sender.rs
@@ -223,7 +223,7 @@
             clock.now() - frozen
         );
         // The lock goes with this frame: from here on it is the other's, or nobody's if that process is gone.
-        let released = channel.send(&Frame::LetGo, lock.as_ref().map(AsFd::as_fd)).await;
+        let released = channel.send(&Frame::Released, lock.as_ref().map(AsFd::as_fd)).await;
         drop(lock);
         self.gone.notify_one();
         released
@@ -289,7 +289,7 @@
             channel.send(&(part, fd.is_some()), fd).await?;
         }
         match channel.recv().await? {
-            Frame::Got => Ok(()),
+            Frame::Confirmed => Ok(()),
             _ => Err(ChannelError::NotConfirmed),
         }
     }
--- a/courier/program/tests/stored_forms.rs
+++ b/courier/program/tests/stored_forms.rs
@@ -83,7 +83,7 @@
     all.push(Frame::Said("SUCCESS ready\n".into()));
     all.push(Frame::Busy);
     all.push(Frame::State { state: state(), drained: true, parts: parts().len(), ahead: -300 });
-    all.extend([Frame::Got, Frame::LetGo]);
+    all.extend([Frame::Confirmed, Frame::Released]);
     all
 }
 
@@ -159,8 +159,11 @@
             panic!()
         };
         assert_eq!(said, "SUCCESS ready\n");
-        let [Frame::State { state, drained: true, parts: count, ahead: -300 }, Frame::Got, Frame::LetGo] =
-            rest
+        let [
+            Frame::State { state, drained: true, parts: count, ahead: -300 },
+            Frame::Confirmed,
+            Frame::Released,
+        ] = rest
         else {
             panic!()
         };
