--- a/courier/program/tests/fleet/copies.rs
+++ b/courier/program/tests/fleet/copies.rs
@@ -34,7 +34,7 @@
         let mut fleet = pair("prefer").await;
         let lost = now(&fleet);
         fleet.kill(1).await.unwrap();
-        anybody_says(&fleet, lost, "it goes on alone").await;
+        anybody_says(&fleet, lost, "it continues without one").await;
         ready(&fleet, 0).await;
         hands_in(&fleet, 0, "fee-debit", "alone", 1).await;
         ends(&fleet, "alone").await;
@@ -132,7 +132,7 @@
         let consumer = fleet.client(1);
         let message = message("fee-debit", "waits", HOLDS);
         let waits = tokio::task::spawn_local(async move { consumer.submit(&message, &large).await });
-        fleet.wait_for_log(copy, "can't be kept").await.unwrap();
+        fleet.wait_for_log(copy, "can't be stored").await.unwrap();
         assert_eq!(calls(&fleet, "waits"), 0);
         fleet.wait_for_log(1, "lags and is replaced").await.unwrap();
         // Its consumer may have been given up by then; the message is not.
--- a/courier/program/tests/fleet/cut.rs
+++ b/courier/program/tests/fleet/cut.rs
@@ -21,7 +21,7 @@
         anybody_says(&fleet, lost, "its lease has expired").await;
         assert_eq!(status(&fleet, 1).await, 503);
         assert_eq!(fleet.submit(1, &message("fee-debit", "refused", 1), BODY).await, 503);
-        let (_, sealed) = anybody_says(&fleet, lost, "book b/").await;
+        let (_, sealed) = anybody_says(&fleet, lost, "journal b/").await;
         taken_over(&fleet, 1, "debit", "paid").await;
         ends(&fleet, "waits").await;
         // A call that was on its way is seen within that.
@@ -29,7 +29,7 @@
         let late = |call: &&RecordedCall| call.courier == 1 && call.began.at > sealed.at + transit;
         assert_eq!(fleet.recorder.read(|r| r.calls.iter().filter(late).count()), 0);
         fleet.set_links(1, LinkMode::Pass);
-        anybody_says(&fleet, sealed, "the process begins anew").await;
+        anybody_says(&fleet, sealed, "the process restarts").await;
         heals(&mut fleet).await;
     });
 }
--- a/courier/program/tests/fleet/lost.rs
+++ b/courier/program/tests/fleet/lost.rs
@@ -35,7 +35,7 @@
         in_hand(&fleet, 4, "debit", "paid").await;
         let lost = now(&fleet);
         fleet.kill(4).await.unwrap();
-        anybody_says(&fleet, lost, "book e/").await;
+        anybody_says(&fleet, lost, "journal e/").await;
         let leads = leader(&fleet);
         fleet.kill(leads).await.unwrap();
         taken_over(&fleet, 4, "debit", "paid").await;
@@ -75,7 +75,7 @@
         in_hand(&fleet, 1, "debit", "paid").await;
         let lost = now(&fleet);
         fleet.kill(1).await.unwrap();
-        anybody_says(&fleet, lost, "book b/").await;
+        anybody_says(&fleet, lost, "journal b/").await;
         fleet.spawn(1).unwrap();
         ends(&fleet, "debit").await;
         call(&fleet, "paid", 2).await;
--- a/courier/program/tests/fleet/paused.rs
+++ b/courier/program/tests/fleet/paused.rs
@@ -57,7 +57,7 @@
             ends(&fleet, id).await;
             let seen = now(&fleet);
             fleet.resume(1).unwrap();
-            anybody_says(&fleet, seen, "the process begins anew").await;
+            anybody_says(&fleet, seen, "the process restarts").await;
             anybody_says(&fleet, seen, "b: serving on").await;
             heals(&mut fleet).await;
             let by_owner = fleet.recorder.read(|r| r.calls_of(id).filter(|call| call.courier == 1).count());
@@ -77,7 +77,7 @@
         fleet.partner(1).release("debit", Answer::failed());
         let seen = now(&fleet);
         fleet.resume(1).unwrap();
-        anybody_says(&fleet, seen, "the process begins anew").await;
+        anybody_says(&fleet, seen, "the process restarts").await;
         anybody_says(&fleet, seen, "b: serving on").await;
         heals(&mut fleet).await;
         let told = fleet.recorder.read(|r| r.notices_of("debit").map(|n| n.courier).collect::<Vec<_>>());
@@ -114,7 +114,7 @@
         std::fs::remove_file(&program).unwrap();
         fleet.suspend(1).unwrap();
         let paused = now(&fleet);
-        anybody_says(&fleet, paused, "b is gone").await;
+        anybody_says(&fleet, paused, "b is deregistered").await;
         fleet.resume(1).unwrap();
         anybody_says(&fleet, paused, "b: serving on").await;
         heals(&mut fleet).await;
--- a/courier/program/tests/fleet/settlements.rs
+++ b/courier/program/tests/fleet/settlements.rs
@@ -193,7 +193,7 @@
     }
     if loss == Loss::Paused {
         fleet.resume(home).unwrap();
-        fleet.wait_for_log(home, "the process begins anew").await.unwrap();
+        fleet.wait_for_log(home, "the process restarts").await.unwrap();
         ready(&fleet, home).await;
     }
     assert_eq!(seen(&fleet).iter().map(|seen| seen.position).collect::<Vec<_>>(), [1, 2, 3, 4, 5, 6]);
--- a/courier/program/tests/operators.rs
+++ b/courier/program/tests/operators.rs
@@ -355,8 +355,8 @@
                 let taker = asks(&test_bed);
                 test_bed.courier.send_sigterm().unwrap();
                 let mut lines = std::iter::from_fn(|| test_bed.courier.log.recv_timeout(WAIT_TIMEOUT).ok());
-                let decides = |line: &String| line.contains("told to stop") || line.contains("stopping");
-                if lines.find(decides).unwrap().contains("told to stop") {
+                let decides = |line: &String| line.contains("stop requested") || line.contains("stopping");
+                if lines.find(decides).unwrap().contains("stop requested") {
                     break (test_bed, taker);
                 }
             };
