--- a/courier/program/tests/calls.rs
+++ b/courier/program/tests/calls.rs
@@ -7,6 +7,7 @@
 use quillmount_standins::client::{self, MessageRequest};
 use quillmount_standins::courier::{Courier, Setup};
 use quillmount_standins::http::{BodyRemainder, Head, Reader};
+use quillmount_standins::runtime::run_within;
 use quillmount_standins::{Observation, ObservationKind, Observer, platform};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -22,10 +23,12 @@
 /// Long before a connection at rest is closed for its age, by the example's keep-alive of 15 s.
 const SOON: Duration = Duration::from_secs(8);
 
+/// A test that has not ended after this time has failed.
+const TEST_TIMEOUT: Duration = Duration::from_secs(90);
+
+/// Plays a test on one thread.
 fn run_test<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let played = async { timeout(Duration::from_secs(90), test()).await };
-    tokio::task::LocalSet::new().block_on(&runtime, played).expect("the test has come to its end");
+    run_within(TEST_TIMEOUT, test);
 }
 
 /// One courier, the platform, and providers that the test plays itself.
--- a/courier/program/tests/operators.rs
+++ b/courier/program/tests/operators.rs
@@ -4,6 +4,7 @@
 use quillmount_standins::courier::{Courier, Setup};
 use quillmount_standins::endpoint::{self, EndpointScript};
 use quillmount_standins::http::Reader;
+use quillmount_standins::runtime::run_within;
 use quillmount_standins::{Observation, ObservationKind, Observer, operator, platform};
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -26,11 +27,12 @@
     list: watch::Sender<String>,
 }
 
+/// A test that has not ended after this time has failed.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
+
 /// Plays a test on one thread.
 fn run_test<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let played = async { tokio::time::timeout(Duration::from_secs(60), test()).await };
-    tokio::task::LocalSet::new().block_on(&runtime, played).expect("the test has come to its end");
+    run_within(TEST_TIMEOUT, test);
 }
 
 async fn test_bed(script: EndpointScript) -> TestBed {
--- a/courier/program/tests/restart.rs
+++ b/courier/program/tests/restart.rs
@@ -5,6 +5,7 @@
 use quillmount_standins::client::{self, MessageRequest};
 use quillmount_standins::courier::{Courier, PreviousProcess, Setup};
 use quillmount_standins::endpoint::{self, EndpointScript};
+use quillmount_standins::runtime::run_within;
 use quillmount_standins::{Observation, ObservationKind, Observer, platform};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -30,11 +31,12 @@
     down: watch::Sender<bool>,
 }
 
+/// A test that has not ended after this time has failed.
+const TEST_TIMEOUT: Duration = Duration::from_secs(120);
+
 /// Plays a test on one thread.
 fn run_test<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let played = async { tokio::time::timeout(Duration::from_secs(120), test()).await };
-    tokio::task::LocalSet::new().block_on(&runtime, played).expect("the test has come to its end");
+    run_within(TEST_TIMEOUT, test);
 }
 
 /// `down`: discovery is silent from the start.
--- a/courier/program/tests/streams.rs
+++ b/courier/program/tests/streams.rs
@@ -4,6 +4,7 @@
 use quillmount_standins::courier::{Courier, Setup};
 use quillmount_standins::endpoint::{self, EndpointScript};
 use quillmount_standins::http::Head;
+use quillmount_standins::runtime::run_within;
 use quillmount_standins::{Observation, ObservationKind, Observer, platform};
 use serde_json::{Value, json};
 use std::cell::RefCell;
@@ -37,11 +38,12 @@
     Some(json!({"version": 1, "streams": streams}))
 }
 
+/// A test that has not ended after this time has failed.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
+
 /// Plays a test on one thread.
 fn run_test<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let played = async { tokio::time::timeout(Duration::from_secs(60), test()).await };
-    tokio::task::LocalSet::new().block_on(&runtime, played).expect("the test has come to its end");
+    run_within(TEST_TIMEOUT, test);
 }
 
 /// Provider `n` of the list stands at destination `dest`, and answers its calls by number with these scripts, the
--- a/tools/standins/src/lib.rs
+++ b/tools/standins/src/lib.rs
@@ -20,7 +20,7 @@
 pub mod platform;
 mod process;
 pub mod record;
-mod runtime;
+pub mod runtime;
 pub mod test_bed;
 
 use std::time::Instant;
--- a/tools/standins/src/runtime.rs
+++ b/tools/standins/src/runtime.rs
@@ -10,7 +10,7 @@
 ///
 /// # Panics
 /// The test did not finish within the limit, or panicked itself.
-pub(crate) fn run_within<F: Future<Output = ()>>(limit: Duration, test: impl FnOnce() -> F) {
+pub fn run_within<F: Future<Output = ()>>(limit: Duration, test: impl FnOnce() -> F) {
     let runtime = match Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => panic!("the runtime of the test could not be built: {error}"),
