--- a/tier/batch/src/action.rs
+++ b/tier/batch/src/action.rs
@@ -1,4 +1,4 @@
-//! What a replica wants done; the caller performs the actions in the order in which they are returned.
+//! Actions that a replica returns. The caller performs them in the order in which they are returned.
 
 use crate::ids::{CallId, OperationId, ReadId, RequestId, WriteId};
 use crate::record::StoreRecord;
@@ -8,76 +8,78 @@
 /// An action for the caller of a [`ShardReplica`](crate::ShardReplica).
 #[derive(Clone, Debug, PartialEq)]
 pub enum ShardAction {
-    /// Append this record and sync it, in the order of these actions; then call
-    /// [`ShardReplica::on_written`](crate::ShardReplica::on_written), in the same order.
+    /// Append the record to the write-ahead log and sync it. Records are written in the order of these actions, and
+    /// [`ShardReplica::on_written`](crate::ShardReplica::on_written) is called for each in the same order.
     Write {
-        /// Number of the write.
+        /// Identifies the write in [`ShardReplica::on_written`](crate::ShardReplica::on_written).
         write: WriteId,
-        /// The record.
+        /// Record to append.
         record: StoreRecord,
     },
-    /// Call another member; then call [`ShardReplica::on_answer`](crate::ShardReplica::on_answer), without an answer once the
-    /// timeout has passed.
+    /// Call another member, then call [`ShardReplica::on_answer`](crate::ShardReplica::on_answer) with its answer,
+    /// or with `None` once the timeout has passed.
     Call {
-        /// Number of the call.
+        /// Identifies the call in [`ShardReplica::on_answer`](crate::ShardReplica::on_answer).
         call: CallId,
-        /// Disk of the member.
+        /// Disk of the member to call.
         member: DiskId,
-        /// Epoch of this primary.
+        /// Epoch of the calling primary; the member rejects the call if it has seen a higher one.
         epoch: Epoch,
-        /// The message.
+        /// Message to send.
         message: ShardMessage,
-        /// Longest time to wait for the answer, microseconds.
+        /// Time to wait for the answer, microseconds.
         timeout: Micros,
     },
-    /// Answer a call received from another store.
+    /// Answer a call that was received from another store.
     Answer {
-        /// Number of the received call.
+        /// Identifies the call, as passed to [`ShardReplica::receive`](crate::ShardReplica::receive).
         request: RequestId,
-        /// The answer.
+        /// Answer to send to the calling store.
         response: Response,
     },
-    /// An operation is committed, and applied here.
+    /// An operation is committed and applied to the jobs in memory.
     Committed {
-        /// Number of the operation.
+        /// Identifies the operation, as passed to [`ShardReplica::commit`](crate::ShardReplica::commit).
         operation: OperationId,
-        /// The operation.
+        /// The committed operation.
         change: ShardOperation,
     },
-    /// An operation may or may not become committed.
+    /// The replica stepped down while the operation was being replicated: the next primary may or may not commit
+    /// it.
     Uncertain {
-        /// Number of the operation.
+        /// Identifies the operation, as passed to [`ShardReplica::commit`](crate::ShardReplica::commit).
         operation: OperationId,
     },
-    /// An operation was not started and has no effect.
+    /// The operation was not started and has no effect; the caller may retry it.
     NotStarted {
-        /// Number of the operation.
+        /// Identifies the operation, as passed to [`ShardReplica::commit`](crate::ShardReplica::commit).
         operation: OperationId,
     },
-    /// This store serves as primary from now on.
+    /// The replica is primary and accepts operations and reads from now on.
     Serving {
-        /// Epoch of the primary.
+        /// Epoch in which it serves.
         epoch: Epoch,
     },
-    /// This store is no longer primary.
+    /// The replica is no longer primary. Actions for its pending operations and reads precede this one.
     SteppedDown,
-    /// The jobs here include everything that was committed before the read was requested.
+    /// The jobs in memory include every operation that was committed before the read was requested.
     ReadConfirmed {
-        /// Number of the read.
+        /// Identifies the read, as passed to [`ShardReplica::confirm`](crate::ShardReplica::confirm).
         read: ReadId,
     },
-    /// The read could not be confirmed in time, or this store is not the serving primary.
+    /// The read was not confirmed by its deadline, or the replica is not the serving primary.
     ReadRejected {
-        /// Number of the read.
+        /// Identifies the read, as passed to [`ShardReplica::confirm`](crate::ShardReplica::confirm).
         read: ReadId,
     },
-    /// The state of members has changed: [`ShardReplica::report`](crate::ShardReplica::report) should reach the core soon.
+    /// Members became unresponsive or caught up: [`ShardReplica::report`](crate::ShardReplica::report) should be
+    /// sent to the core soon.
     ReportDue,
-    /// A requested rewrite has ended.
+    /// A rewrite that was requested has ended.
     Rewritten {
-        /// Number of the request.
+        /// Identifies the rewrite, as passed to [`ShardReplica::rewrite`](crate::ShardReplica::rewrite).
         request: RequestId,
-        /// All records of the rewrite are durable.
+        /// Whether all records of the rewrite are durable; if not, older records must be kept.
         complete: bool,
     },
 }
--- a/tier/batch/src/ids.rs
+++ b/tier/batch/src/ids.rs
@@ -1,25 +1,25 @@
-//! Numbers by which a replica and its caller refer to what is in flight, and the identity of a replica.
+//! Identifiers of calls, requests, writes, operations and reads in flight, and the identity of a replica.
 
 use quillmount_wire::messages::DiskId;
 
-/// Number of a call that a replica makes, given by the replica.
+/// Identifies a call that a replica makes to another store; assigned by the replica.
 pub type CallId = u64;
-/// Number of a call received from another store, or of a requested rewrite, given by the caller.
+/// Identifies a call received from another store, or a requested rewrite; assigned by the caller of the replica.
 pub type RequestId = u64;
-/// Number of a record being written, given by the replica.
+/// Identifies a record that is being written; assigned by the replica.
 pub type WriteId = u64;
-/// Number of an operation, given by the caller of [`ShardReplica::commit`](crate::ShardReplica::commit).
+/// Identifies an operation; assigned by the caller of [`ShardReplica::commit`](crate::ShardReplica::commit).
 pub type OperationId = u64;
-/// Number of a read, given by the caller of [`ShardReplica::confirm`](crate::ShardReplica::confirm).
+/// Identifies a read; assigned by the caller of [`ShardReplica::confirm`](crate::ShardReplica::confirm).
 pub type ReadId = u64;
 
-/// Identity of a replica.
+/// Identifies a replica by its disk and shard, with the fault tolerance of the shard.
 #[derive(Clone, Copy, Debug)]
 pub struct ShardReplicaId {
-    /// Disk of the store.
+    /// Identity of the store's disk; a replaced disk has a new one.
     pub disk: DiskId,
-    /// Number of the shard.
+    /// Index of the shard, from 0.
     pub shard: u32,
-    /// Number of disks that may be lost at once.
+    /// Number of disks that may be lost at once without losing committed data.
     pub tolerated_failures: usize,
 }
--- a/tier/batch/src/job.rs
+++ b/tier/batch/src/job.rs
@@ -1,32 +1,32 @@
-//! One job of a shard with its results.
+//! Jobs of a shard with their results.
 
 use crate::digests::{end_digest, job_digest, result_digest};
 use quillmount_wire::messages::{Item, ItemResult, Job, JobState};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Estimated memory of an item besides its body, bytes.
+/// Estimated memory of an item in addition to its body, bytes.
 pub(crate) const ITEM_OVERHEAD_BYTES: usize = 256;
-/// Estimated memory of a result besides its text, bytes.
+/// Estimated memory of a result in addition to its text, bytes.
 const RESULT_OVERHEAD_BYTES: usize = 64;
 
-/// Estimated memory of a result, bytes.
+/// Returns the estimated memory of a result, bytes.
 pub(crate) fn result_bytes(result: &ItemResult) -> usize {
     result.text.len() + RESULT_OVERHEAD_BYTES
 }
 
-/// A job, its results and their digest.
+/// A job with its results and a digest of both.
 #[derive(Clone, Debug)]
 pub struct JobEntry {
-    /// The job as it was submitted; shared with tasks that run its items.
+    /// The job as it was submitted; shared with the tasks that run its items.
     pub job: Rc<Job>,
-    /// Results in the order in which they were added, one per item at most.
+    /// Results in the order in which they were appended, at most one per item.
     pub results: Vec<ItemResult>,
-    /// The job takes no further results.
+    /// Whether the job has ended, so that no further results are appended.
     pub ended: bool,
     /// Indices of the items that have a result.
     items_with_result: BTreeSet<u32>,
-    /// Index of each item by its id.
+    /// Item indices by item id.
     item_indices: BTreeMap<String, u32>,
     /// Tokens of the items that have no result.
     waiting_tokens: u64,
@@ -35,7 +35,6 @@
 }
 
 impl JobEntry {
-    /// A job without results.
     pub(crate) fn new(job: Job) -> JobEntry {
         let digest = job_digest(&job);
         let item_indices =
@@ -52,43 +51,44 @@
         }
     }
 
-    /// A copy of the job for another member.
+    /// Returns a copy of the job and its results, for sending to another member.
     pub fn state(&self) -> JobState {
         JobState { job: (*self.job).clone(), results: self.results.clone(), ended: self.ended }
     }
 
-    /// Whether the item of this index has its result.
+    /// Returns whether the item with this index has a result.
     pub fn has_result(&self, item: u32) -> bool {
         self.items_with_result.contains(&item)
     }
 
-    /// Whether every item has its result.
+    /// Returns whether every item has a result.
     pub fn is_complete(&self) -> bool {
         self.items_with_result.len() == self.job.items.len()
     }
 
-    /// Tokens of the items that have no result; 0 once the job has ended.
+    /// Returns the tokens of the items that have no result; 0 once the job has ended.
     pub fn waiting_tokens(&self) -> u64 {
         if self.ended { 0 } else { self.waiting_tokens }
     }
 
-    /// The item of this id.
+    /// Returns the item with this id, if the job has one.
     pub fn item(&self, id: &str) -> Option<&Item> {
         self.item_indices.get(id).and_then(|index| self.job.items.get(*index as usize))
     }
 
-    /// Estimated memory, bytes.
-    pub fn bytes(&self) -> usize {
+    /// Returns the estimated memory of the job's items and results, bytes.
+    pub fn estimated_bytes(&self) -> usize {
         let items: usize = self.job.items.iter().map(|item| item.body.len() + ITEM_OVERHEAD_BYTES).sum();
         items + self.results.iter().map(result_bytes).sum::<usize>()
     }
 
-    /// Digest of the job, its results and its end: equal at members that have the same.
+    /// Returns the digest of the job, its results and its end; replicas with the same content have the same digest.
     pub(crate) fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Adds a result, unless the job has ended, has no such item, or the item has its result. Returns whether it was added.
+    /// Appends a result, unless the job has ended, has no such item, or the item already has a result. Returns
+    /// whether it was appended.
     pub(crate) fn append(&mut self, result: ItemResult) -> bool {
         let exists = (result.item as usize) < self.job.items.len();
         if self.ended || !exists || !self.items_with_result.insert(result.item) {
@@ -101,7 +101,7 @@
         true
     }
 
-    /// Ends the job.
+    /// Ends the job, after which no result is appended.
     pub(crate) fn end(&mut self) {
         if !self.ended {
             self.ended = true;
--- a/tier/batch/src/lib.rs
+++ b/tier/batch/src/lib.rs
@@ -1,9 +1,10 @@
-//! Batch jobs of one shard, replicated on several stores: operations, digests for repair, the records on the disk, and the quota of
-//! waiting tokens. No I/O and no clock.
+//! State machine of one shard of batch jobs, replicated to several stores: the operations on jobs, the digests that
+//! two replicas compare during a repair, the records of the write-ahead log, and the quota of waiting tokens. The
+//! crate does no I/O and reads no clock.
 //!
-//! The caller drives a [`ShardReplica`]: it recovers the records found on the disk, reports calls, answers, completed writes, views
-//! and the time, and performs the [`ShardAction`]s returned. [`QuotaLedger`] and [`PendingClaims`] limit the tokens that a tenant may
-//! have waiting on a route over all shards.
+//! The caller drives a [`ShardReplica`]: it replays the records found on the disk, reports calls, answers,
+//! completed writes, views and the time, and performs the [`ShardAction`]s returned. [`QuotaLedger`] and
+//! [`PendingClaims`] limit the tokens that a tenant may have waiting on a route, counted over all shards.
 
 mod action;
 pub mod breaks;
--- a/tier/batch/src/record.rs
+++ b/tier/batch/src/record.rs
@@ -1,77 +1,79 @@
-//! Records of a store's ring. The encoding is `rkyv` by position: the order of variants and fields and the types of fields are the
-//! stored form (`tests/stored_records.rs` compares the bytes).
+//! Records of a store's write-ahead log, which is a ring of segments. Records are encoded by `rkyv`, which
+//! identifies fields and variants by position: their order and types are the storage format
+//! (`tests/stored_records.rs` compares the bytes).
 
 use quillmount_wire::frame::FrameError;
 use quillmount_wire::messages::{Epoch, JobState, ShardOperation, decode, encode};
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// A record of a store's ring.
+/// A record of a store's write-ahead log.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum StoreRecord {
-    /// Operations with consecutive numbers.
+    /// Operations with consecutive numbers, written by a primary or a backup.
     Operations {
-        /// Number of the shard.
+        /// Index of the shard.
         shard: u32,
-        /// Highest epoch seen when it was written.
+        /// Highest epoch that the replica had seen when it wrote the record.
         epoch: Epoch,
-        /// Number of the first operation.
+        /// Number of the first operation in the record.
         first: u64,
-        /// The operations.
+        /// Operations in the order in which they are applied.
         operations: Vec<ShardOperation>,
     },
-    /// Jobs removed and replaced by a repair, or written again by a rewrite.
+    /// Jobs that a repair removed and replaced, or that a rewrite copied.
     Install {
-        /// Number of the shard.
+        /// Index of the shard.
         shard: u32,
-        /// Highest epoch seen when it was written.
+        /// Highest epoch that the replica had seen when it wrote the record.
         epoch: Epoch,
-        /// Ids of the jobs removed.
+        /// Ids of the removed jobs.
         dropped: Vec<String>,
-        /// Jobs added or replaced.
+        /// Added or replaced jobs, each with all its results.
         jobs: Vec<JobState>,
-        /// Number of the next operation, if the record completes a repair.
+        /// Number of the next operation; `None` unless the record completes a repair.
         next: Option<u64>,
     },
-    /// This store is primary from this epoch on.
+    /// The replica is primary from this epoch on.
     TermStart {
-        /// Number of the shard.
+        /// Index of the shard.
         shard: u32,
-        /// Epoch of the term's first view known here.
+        /// Epoch of the first view of the term that the replica received.
         epoch: Epoch,
     },
-    /// The end of a rewrite: the shard has these jobs and no others.
+    /// End of a rewrite: the shard has exactly these jobs, and recovery removes all others.
     RewriteEnd {
-        /// Number of the shard.
+        /// Index of the shard.
         shard: u32,
-        /// Highest epoch seen.
+        /// Highest epoch that the replica had seen when the rewrite started.
         epoch: Epoch,
-        /// Highest epoch in which this store was primary.
+        /// Highest epoch in which the replica was primary; 0 if it never was.
         last_primary_epoch: Epoch,
-        /// Ids of all jobs.
+        /// Ids of all jobs of the shard.
         jobs: Vec<String>,
-        /// Number of the next operation.
+        /// Number of the next operation when the rewrite started.
         next: u64,
     },
-    /// The start of a rewrite of all shards.
+    /// Start of a rewrite of all shards of the store; the log before it can be released once the rewrite is
+    /// complete.
     RewriteStart,
 }
 
 impl StoreRecord {
-    /// Encodes the record for the ring.
+    /// Encodes the record for the write-ahead log.
     pub fn encode(&self) -> Vec<u8> {
         encode(self)
     }
 
-    /// Decodes a record of the ring.
+    /// Decodes a record of the write-ahead log.
     ///
     /// # Errors
     ///
-    /// [`FrameError::Malformed`] if the bytes are no record.
+    /// [`FrameError::Malformed`] if the bytes are not a valid record.
     pub fn decode(bytes: &[u8]) -> Result<StoreRecord, FrameError> {
         decode(bytes)
     }
 
-    /// The shard that the record belongs to; `None` if it belongs to all.
+    /// Returns the shard that the record belongs to; `None` if it belongs to all shards.
     pub fn shard(&self) -> Option<u32> {
         match self {
             StoreRecord::Operations { shard, .. }
@@ -82,7 +84,8 @@
         }
     }
 
-    /// The epoch in which the record was written; 0 if it belongs to all shards.
+    /// Returns the highest epoch that the replica had seen when it wrote the record; 0 if the record belongs to all
+    /// shards.
     pub fn epoch(&self) -> Epoch {
         match self {
             StoreRecord::Operations { epoch, .. }
@@ -93,7 +96,8 @@
         }
     }
 
-    /// The highest epoch in which this store was primary as far as this record shows; 0 if it does not.
+    /// Returns the highest epoch in which the replica was primary according to this record; 0 if the record does
+    /// not say.
     pub fn last_primary_epoch(&self) -> Epoch {
         match self {
             StoreRecord::TermStart { epoch, .. } => *epoch,
--- a/tier/batch/src/replica.rs
+++ b/tier/batch/src/replica.rs
@@ -1,12 +1,13 @@
-//! One store's replica of a shard, as member or as primary: the entry points for its caller.
+//! One store's replica of a shard, as primary or backup: the entry points for its caller.
 //!
-//! Replication is primary-backup with epochs: the core decides the view, the primary of the view orders operations, and an operation
-//! is committed once every member that may count as in sync has it on its disk. The jobs in memory are always those that the records
-//! written so far give when they are recovered, except for the batch that a primary is replicating: it is applied when it is
-//! committed, or when the primary steps down, whichever comes first.
+//! Replication is primary-backup with epochs: the core decides the view, the primary of the view orders operations,
+//! and an operation is committed once every member that may count as in sync has it on its disk. The jobs in memory
+//! always equal those that recovery would give from the records written so far, with one exception: the batch that
+//! a primary is replicating is applied when it is committed or when the primary steps down, whichever comes first.
 //!
-//! The caller reports what happened by one of the methods here and performs the [`ShardAction`]s returned. Inside, [`state`] has the
-//! data and the basic effects, and each other module one task on it; only this module calls several of them.
+//! The caller reports each event by one of the methods here and performs the [`ShardAction`]s returned. [`state`]
+//! has the data and the basic effects; each other module handles one task, and only this module combines several of
+//! them.
 
 mod member;
 mod member_calls;
@@ -30,11 +31,11 @@
 use quillmount_wire::messages::{Epoch, Response, ShardMessage, ShardOperation, ShardView};
 use writes::WritePurpose;
 
-/// Largest number of operations that wait for a batch.
-const QUEUE_LIMIT: usize = 4096;
+/// Maximum number of queued operations; further ones are rejected as not started.
+const MAX_QUEUED_OPERATIONS: usize = 4096;
 
 impl ShardReplica {
-    /// Follows the view in force; an older one is ignored.
+    /// Adopts a view received from the core; an older view is ignored.
     pub fn follow_view(&mut self, view: &ShardView, now: Micros) -> Vec<ShardAction> {
         if self.adopt_view(view) {
             self.advance(now);
@@ -42,7 +43,8 @@
         self.take_actions()
     }
 
-    /// Replicates an operation; [`ShardAction::Committed`], [`ShardAction::Uncertain`] or [`ShardAction::NotStarted`] follows.
+    /// Queues an operation for replication; [`ShardAction::Committed`], [`ShardAction::Uncertain`] or
+    /// [`ShardAction::NotStarted`] follows.
     pub fn commit(
         &mut self,
         operation: OperationId,
@@ -50,7 +52,7 @@
         now: Micros,
     ) -> Vec<ShardAction> {
         match &mut self.primary {
-            Some(primary) if primary.serving && primary.queue.len() < QUEUE_LIMIT => {
+            Some(primary) if primary.serving && primary.queue.len() < MAX_QUEUED_OPERATIONS => {
                 primary.queue.push_back(QueuedOperation { operation, change });
                 self.advance(now);
             }
@@ -59,15 +61,15 @@
         self.take_actions()
     }
 
-    /// Makes sure, by asking all members that count, that this store still is the primary. [`ShardAction::ReadConfirmed`] or, at the
-    /// time `until` at the latest, [`ShardAction::ReadRejected`] follows.
-    pub fn confirm(&mut self, read: ReadId, until: Micros, now: Micros) -> Vec<ShardAction> {
+    /// Confirms with all required members that this replica is still the primary. [`ShardAction::ReadConfirmed`]
+    /// follows, or [`ShardAction::ReadRejected`] once `deadline` has passed.
+    pub fn confirm(&mut self, read: ReadId, deadline: Micros, now: Micros) -> Vec<ShardAction> {
         match &mut self.primary {
-            Some(_) if breaks::is_enabled(Break::ReadWithoutRound) => {
+            Some(_) if breaks::is_enabled(Break::ReadConfirmedWithoutRound) => {
                 self.actions.push(ShardAction::ReadConfirmed { read });
             }
             Some(primary) if primary.serving => {
-                primary.reads.push(PendingRead { read, until });
+                primary.reads.push(PendingRead { read, deadline });
                 self.advance(now);
             }
             _ => self.actions.push(ShardAction::ReadRejected { read }),
@@ -75,25 +77,26 @@
         self.take_actions()
     }
 
-    /// Handles a call of a primary; `draw` is a random number that names the session if the call starts one.
+    /// Handles a call of a primary. `session_seed` is a random number that becomes the session id if the call
+    /// starts a session.
     pub fn receive(
         &mut self,
         request: RequestId,
         epoch: Epoch,
         message: ShardMessage,
-        draw: u64,
+        session_seed: u64,
     ) -> Vec<ShardAction> {
         if !self.observe_epoch(epoch) {
             self.answer(request, Response::WrongEpoch);
         } else if let Some(rejection) = self.rejection(&message) {
             self.answer(request, rejection);
         } else {
-            self.handle_message(request, message, draw);
+            self.handle_message(request, message, session_seed);
         }
         self.take_actions()
     }
 
-    /// A call was answered, or failed, or has timed out without an answer.
+    /// Handles the answer to a call; `answer` is `None` if the call failed or timed out.
     pub fn on_answer(&mut self, call: CallId, answer: Option<Response>, now: Micros) -> Vec<ShardAction> {
         let purpose = self.primary.as_mut().and_then(|primary| primary.calls.remove(&call));
         match purpose {
@@ -106,7 +109,7 @@
         self.take_actions()
     }
 
-    /// A record is durable (`synced`), or could not be written.
+    /// Handles the end of a write: the record is durable (`synced`), or it could not be written.
     pub fn on_written(&mut self, write: WriteId, synced: bool, now: Micros) -> Vec<ShardAction> {
         let Some(purpose) = self.writes.remove(&write) else { return Vec::new() };
         let is_rewrite = matches!(purpose, WritePurpose::Rewrite);
@@ -127,8 +130,8 @@
         self.take_actions()
     }
 
-    /// Writes all jobs once more, after the current batch. [`ShardAction::Rewritten`] with the same number follows, for a rewrite that
-    /// starts after this call.
+    /// Requests a rewrite of all jobs after the current batch. [`ShardAction::Rewritten`] with the same request id
+    /// follows, for a rewrite that starts after this call.
     pub fn rewrite(&mut self, request: RequestId) -> Vec<ShardAction> {
         self.rewrites.requests.push(request);
         self.rewrites.due = true;
@@ -136,14 +139,14 @@
         self.take_actions()
     }
 
-    /// Does what is due at this time; to be called while [`ShardReplica::needs_tick`].
+    /// Advances the time; must be called periodically while [`ShardReplica::needs_tick`] returns true.
     pub fn tick(&mut self, now: Micros) -> Vec<ShardAction> {
         self.rewrite_after_failure();
         self.advance(now);
         self.take_actions()
     }
 
-    /// Starts and finishes everything that is possible in the present state.
+    /// Starts and finishes every step that the current state allows.
     fn advance(&mut self, now: Micros) {
         self.begin_term();
         if !self.primary.as_ref().is_some_and(|primary| primary.term_durable) {
--- a/tier/batch/src/replica/member.rs
+++ b/tier/batch/src/replica/member.rs
@@ -1,4 +1,4 @@
-//! A replica as member: accepts operations and repairs of the primary, and answers once they are durable.
+//! A replica as backup: accepts operations and repair messages of the primary, and answers once they are durable.
 
 use super::state::ShardReplica;
 use super::writes::WritePurpose;
@@ -10,7 +10,7 @@
 use quillmount_wire::messages::{BucketDigest, JobState, Response, ShardMessage, ShardOperation};
 
 impl ShardReplica {
-    /// The answer to a message that this replica cannot accept in its present state.
+    /// Returns the answer to a message that this replica cannot accept in its current state; `None` if it can.
     pub(super) fn rejection(&self, message: &ShardMessage) -> Option<Response> {
         let (session, is_repair) = match message {
             ShardMessage::Confirm => return None,
@@ -22,17 +22,17 @@
             ShardMessage::Replicate { session, .. } => (*session, false),
         };
         let wrong_session = session != self.session && !breaks::is_enabled(Break::SessionIgnored);
-        // A repair message may arrive late or twice: it must not undo later operations.
+        // A repair message may be delayed or duplicated; it must not undo later operations.
         let late_repair = is_repair && self.caught_up && !breaks::is_enabled(Break::RepairAfterCaughtUp);
         let early_operations = !is_repair && !self.caught_up && !breaks::is_enabled(Break::SessionIgnored);
         (wrong_session || late_repair || early_operations).then_some(Response::Behind)
     }
 
-    /// Applies a message that was not rejected; the answer follows, for changes once they are durable.
-    pub(super) fn handle_message(&mut self, request: RequestId, message: ShardMessage, draw: u64) {
+    /// Applies a message that was not rejected. Changes are answered once they are durable.
+    pub(super) fn handle_message(&mut self, request: RequestId, message: ShardMessage, session_seed: u64) {
         match message {
             ShardMessage::Confirm => self.answer(request, Response::Done),
-            ShardMessage::CompareBuckets { buckets } => self.start_session(request, &buckets, draw),
+            ShardMessage::CompareBuckets { buckets } => self.start_session(request, &buckets, session_seed),
             ShardMessage::CompareJobs { buckets, jobs, .. } => {
                 let JobDifference { mut dropped, wanted } = self.jobs.compare(&buckets, &jobs);
                 if breaks::is_enabled(Break::DroppedJobRetained) {
@@ -52,9 +52,9 @@
         }
     }
 
-    /// Starts the session of a repair; a drawn 0 becomes 1 because 0 stands for no session.
-    fn start_session(&mut self, request: RequestId, buckets: &[BucketDigest], draw: u64) {
-        self.session = draw.max(1);
+    /// Starts a repair session. A seed of 0 is replaced by 1, because session 0 means no session.
+    fn start_session(&mut self, request: RequestId, buckets: &[BucketDigest], session_seed: u64) {
+        self.session = session_seed.max(1);
         self.caught_up = false;
         let buckets = different_buckets(&self.jobs.buckets(), buckets);
         self.answer(request, Response::DifferentBuckets { session: self.session, buckets });
@@ -65,7 +65,7 @@
     }
 
     fn apply_operations(&mut self, request: RequestId, first: u64, operations: Vec<ShardOperation>) {
-        if first > self.jobs.next {
+        if first > self.jobs.next_operation {
             return self.answer(request, Response::Behind);
         }
         let next = first + operations.len() as u64;
@@ -74,7 +74,7 @@
         self.apply_and_persist(request, record, Response::Replicated { next });
     }
 
-    /// Applies a record and writes it; the answer waits until it is durable.
+    /// Applies a record and writes it; the answer is sent once the record is durable.
     fn apply_and_persist(&mut self, request: RequestId, record: StoreRecord, response: Response) {
         self.jobs.recover(record.clone());
         if breaks::is_enabled(Break::AcknowledgedBeforeSync) {
--- a/tier/batch/src/replica/member_calls.rs
+++ b/tier/batch/src/replica/member_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of a primary to the other members, and what follows when one does not answer.
+//! Calls of a primary to the other members, and the handling of missing answers.
 
 use super::primary::CallPurpose;
 use super::state::ShardReplica;
@@ -6,13 +6,13 @@
 use quillmount_wire::Micros;
 use quillmount_wire::messages::{DiskId, ShardMessage};
 
-/// Delay before a failed attempt is retried, microseconds.
+/// Delay before a failed call or read round is retried, microseconds.
 pub const RETRY_DELAY: Micros = 40_000;
-/// A member that does not answer within this time is reported to the core as unresponsive, microseconds.
+/// Time without an answer after which a member is reported to the core as unresponsive, microseconds.
 pub const MEMBER_TIMEOUT: Micros = 400_000;
 
 impl ShardReplica {
-    /// Calls a member, if this store is primary.
+    /// Calls a member, if this replica is primary.
     pub(super) fn call(
         &mut self,
         member: DiskId,
@@ -27,14 +27,15 @@
         self.actions.push(ShardAction::Call { call, member, epoch, message, timeout });
     }
 
-    /// Does not call a member again before the retry delay has passed.
+    /// Postpones further calls to a member until the retry delay has passed.
     pub(super) fn retry_later(&mut self, member: DiskId, now: Micros) {
         if let Some(primary) = &mut self.primary {
             primary.retry_at.insert(member, now + RETRY_DELAY);
         }
     }
 
-    /// Notes that a member did not answer or failed; the core has to know if that is new.
+    /// Marks a member that did not answer or failed as unresponsive; a report to the core is due if it was
+    /// responsive before.
     pub(super) fn mark_unresponsive(&mut self, member: DiskId, now: Micros) {
         self.retry_later(member, now);
         let is_new = self.primary.as_mut().is_some_and(|primary| primary.group.mark_unresponsive(member));
--- a/tier/batch/src/replica/primary.rs
+++ b/tier/batch/src/replica/primary.rs
@@ -1,4 +1,4 @@
-//! The data of a primary: its group, and the repairs, batch and reads in flight.
+//! The state of a primary: its group, and the repairs, batch and reads in flight.
 
 use crate::ids::{CallId, OperationId, ReadId, WriteId};
 use crate::job::ITEM_OVERHEAD_BYTES;
@@ -7,19 +7,19 @@
 use quillmount_wire::messages::{DiskId, Epoch, ShardOperation};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Largest number of operations in a batch.
-const BATCH_LIMIT: usize = 128;
-/// Approximate size at which a batch is closed, bytes.
-const BATCH_BYTES: usize = 2 << 20;
+/// Maximum number of operations in a batch.
+const MAX_BATCH_OPERATIONS: usize = 128;
+/// Approximate size at which no further operation is added to a batch, bytes.
+const BATCH_TARGET_BYTES: usize = 2 << 20;
 
-/// An operation and the number that its caller gave it.
+/// An operation and the identifier that the caller assigned to it.
 pub(super) struct QueuedOperation {
     pub(super) operation: OperationId,
     pub(super) change: ShardOperation,
 }
 
 impl QueuedOperation {
-    /// Approximate size of the operation, bytes.
+    /// Returns the approximate size of the operation, bytes.
     fn bytes(&self) -> usize {
         match &self.change {
             ShardOperation::Submit(job) => {
@@ -35,99 +35,99 @@
     }
 }
 
-/// Operations being replicated. They are being written to this store's disk as well but are not applied in memory, so that reads
-/// show only what is committed.
+/// Operations that are being replicated. They are also being written to this store's disk but are not applied in
+/// memory, so that reads show only committed operations.
 pub(super) struct OperationBatch {
     /// Number of the first operation.
     pub(super) first: u64,
     pub(super) queued: Vec<QueuedOperation>,
-    /// The write of the batch to this store's disk.
+    /// Write of the batch to this store's disk.
     pub(super) write: WriteId,
-    /// That write is durable.
+    /// Whether the batch is durable on this store's disk.
     pub(super) written: bool,
-    /// Members that have the batch on their disk.
+    /// Members that have the batch on their disks.
     pub(super) synced: BTreeSet<DiskId>,
-    /// A member did not answer: joining members that have not caught up are sent the batch too.
-    pub(super) stuck: bool,
+    /// Whether a member did not answer; if so, joining members that have not caught up are repaired and sent the
+    /// batch too.
+    pub(super) stalled: bool,
 }
 
 /// Progress of the repair of a member.
 pub(super) enum RepairStep {
     /// Digests of all buckets were sent.
     Buckets,
-    /// Digests of jobs were sent.
+    /// Digests of the jobs in the buckets that differ were sent.
     Jobs { session: u64 },
-    /// Jobs were sent; those in `remaining` have still to be sent.
+    /// Jobs were sent; the jobs in `remaining` still have to be sent.
     Install { session: u64, remaining: VecDeque<String> },
-    /// The number of the next operation was sent: the member has caught up once it has answered.
+    /// The number of the next operation was sent; the member has caught up once it has answered.
     CatchUp { session: u64 },
 }
 
-/// The repair of one member.
 pub(super) struct Repair {
     pub(super) step: RepairStep,
-    /// Number of the next operation when the comparison started: the shard must not change until the repair is finished.
-    pub(super) base: u64,
-    /// The member has answered: batches wait for the end of the repair.
+    /// Number of the next operation when the comparison started; the shard must not change until the repair is
+    /// finished.
+    pub(super) base_operation: u64,
+    /// Whether the member has answered; if so, new batches wait for the end of the repair.
     pub(super) answered: bool,
 }
 
-/// What a call of the primary is for.
+/// Purpose of a call of the primary to a member.
 #[derive(Clone, Copy)]
 pub(super) enum CallPurpose {
     /// A step of the repair of this member.
     Repair(DiskId),
     /// Replication of the batch to this member.
     Replicate(DiskId),
-    /// The question to this member whether the epoch is still in force.
+    /// Confirmation by this member that the epoch is still in force.
     Confirm(DiskId),
 }
 
-/// A read that waits for its confirmation.
+/// A read that is waiting for its confirmation.
 #[derive(Clone, Copy)]
 pub(super) struct PendingRead {
     pub(super) read: ReadId,
-    /// Time at which it is rejected.
-    pub(super) until: Micros,
+    /// Time at which the read is rejected, microseconds.
+    pub(super) deadline: Micros,
 }
 
-/// A round of questions to the members whether the epoch of this primary is still in force.
+/// A round of requests to the members to confirm that the epoch of this primary is still in force.
 pub(super) struct ReadRound {
     /// Reads that the round confirms.
     pub(super) reads: Vec<PendingRead>,
-    /// Members that have not answered yet.
+    /// Members whose confirmation is outstanding.
     pub(super) waiting: BTreeSet<DiskId>,
 }
 
 /// State of a primary, from the view that names it until it steps down.
 pub(super) struct PrimaryState {
     pub(super) group: ReplicaGroup,
-    /// The start of the term is on the disk.
+    /// Whether the record of the term's start is durable.
     pub(super) term_durable: bool,
-    /// Operations and reads are accepted.
+    /// Whether operations and reads are accepted.
     pub(super) serving: bool,
-    /// Sessions in which members accept operations.
+    /// Session id by member; a member accepts only operations with its current session.
     pub(super) sessions: BTreeMap<DiskId, u64>,
-    /// Repairs in progress.
+    /// Repairs in progress by member.
     pub(super) repairs: BTreeMap<DiskId, Repair>,
-    /// Calls in flight.
     pub(super) calls: BTreeMap<CallId, CallPurpose>,
-    /// Times before which a member is not called again.
+    /// Time before which a member is not called again, by member, microseconds.
     pub(super) retry_at: BTreeMap<DiskId, Micros>,
-    /// Consecutive first steps of a repair that a member did not answer.
-    pub(super) misses: BTreeMap<DiskId, u32>,
-    /// Operations that wait for a batch.
+    /// Number of consecutive unanswered first repair steps by member.
+    pub(super) missed_answers: BTreeMap<DiskId, u32>,
+    /// Operations that are waiting for the next batch.
     pub(super) queue: VecDeque<QueuedOperation>,
     pub(super) batch: Option<OperationBatch>,
-    /// Reads that wait for a round.
+    /// Reads that are waiting for the next confirmation round.
     pub(super) reads: Vec<PendingRead>,
     pub(super) round: Option<ReadRound>,
-    /// Time before which no round starts.
+    /// Time before which no confirmation round starts, microseconds.
     pub(super) next_round_at: Micros,
 }
 
 impl PrimaryState {
-    /// A primary whose term has just started.
+    /// Creates the state of a primary whose term has just started.
     pub(super) fn new(group: ReplicaGroup) -> PrimaryState {
         PrimaryState {
             group,
@@ -137,7 +137,7 @@
             repairs: BTreeMap::new(),
             calls: BTreeMap::new(),
             retry_at: BTreeMap::new(),
-            misses: BTreeMap::new(),
+            missed_answers: BTreeMap::new(),
             queue: VecDeque::new(),
             batch: None,
             reads: Vec::new(),
@@ -150,7 +150,7 @@
         self.group.epoch()
     }
 
-    /// Whether something is in progress that the passing of time may change.
+    /// Returns whether work is in progress that may change with time.
     pub(super) fn is_working(&self) -> bool {
         !self.serving
             || self.batch.is_some()
@@ -159,38 +159,38 @@
             || !self.group.lagging().is_empty()
     }
 
-    /// Whether a call to replicate to any member is in flight.
+    /// Returns whether a replication call to any member is in flight.
     pub(super) fn is_replicating(&self) -> bool {
         self.calls.values().any(|purpose| matches!(purpose, CallPurpose::Replicate(_)))
     }
 
-    /// Whether a call to replicate to this member is in flight.
+    /// Returns whether a replication call to this member is in flight.
     pub(super) fn is_replicating_to(&self, member: DiskId) -> bool {
         self.calls.values().any(|purpose| matches!(purpose, CallPurpose::Replicate(to) if *to == member))
     }
 
-    /// Whether a member may be called at this time.
+    /// Returns whether the retry delay of a member has passed.
     pub(super) fn may_call(&self, member: DiskId, now: Micros) -> bool {
-        self.retry_at.get(&member).is_none_or(|at| *at <= now)
+        self.retry_at.get(&member).is_none_or(|retry_at| *retry_at <= now)
     }
 
-    /// Whether a repair is in progress during which the shard must not change.
+    /// Returns whether a repair is in progress during which the shard must not change.
     pub(super) fn repairs_block(&self) -> bool {
         self.repairs.values().any(|repair| repair.answered)
     }
 
-    /// Whether jobs are being copied to a member.
+    /// Returns whether jobs are being copied to any member.
     pub(super) fn is_copying(&self) -> bool {
         self.repairs
             .values()
             .any(|repair| matches!(repair.step, RepairStep::Jobs { .. } | RepairStep::Install { .. }))
     }
 
-    /// Takes the operations of the next batch from the queue.
+    /// Removes the operations of the next batch from the queue and returns them.
     pub(super) fn take_next_batch(&mut self) -> Vec<QueuedOperation> {
         let mut batch = Vec::new();
         let mut bytes = 0;
-        while batch.len() < BATCH_LIMIT && bytes < BATCH_BYTES {
+        while batch.len() < MAX_BATCH_OPERATIONS && bytes < BATCH_TARGET_BYTES {
             let Some(queued) = self.queue.pop_front() else { break };
             bytes += queued.bytes();
             batch.push(queued);
@@ -198,13 +198,14 @@
         batch
     }
 
-    /// Whether a submission of this job is queued or being replicated.
+    /// Returns whether a submission of this job is queued or being replicated.
     pub(super) fn is_pending(&self, job: &str) -> bool {
         let batch = self.batch.iter().flat_map(|batch| &batch.queued);
         self.queue.iter().chain(batch).any(|queued| queued.submits(job))
     }
 
-    /// Forgets all calls in flight, because their answers are for an older epoch; reads of a round wait for the next one.
+    /// Drops all calls in flight, because their answers are for an older epoch; reads of the current round wait for
+    /// the next one.
     pub(super) fn drop_calls(&mut self) {
         self.calls.clear();
         self.repairs.clear();
--- a/tier/batch/src/replica/reads.rs
+++ b/tier/batch/src/replica/reads.rs
@@ -1,5 +1,6 @@
-//! Confirmation of reads: before a read is answered, all members that count confirm that this primary's epoch is still in force, as
-//! with the read index of Raft (Ongaro's thesis, section 6.4). One round of questions confirms all reads that waited when it started.
+//! Confirmation of reads: before a read is answered, all required members confirm that this primary's epoch is
+//! still in force, as with the read index of Raft (Ongaro's thesis, section 6.4). One round of confirmation
+//! requests confirms all reads that were pending when it started.
 
 use super::member_calls::{MEMBER_TIMEOUT, RETRY_DELAY};
 use super::primary::{CallPurpose, PendingRead, ReadRound};
@@ -9,10 +10,10 @@
 use quillmount_wire::messages::{DiskId, Response, ShardMessage};
 
 impl ShardReplica {
-    /// Rejects overdue reads and starts a round for the others, if none is in progress.
+    /// Rejects reads whose deadline has passed, and starts a round for the others if none is in progress.
     pub(super) fn start_read_round(&mut self, now: Micros) {
         let Some(primary) = &mut self.primary else { return };
-        let overdue: Vec<PendingRead> = primary.reads.extract_if(.., |read| read.until <= now).collect();
+        let overdue: Vec<PendingRead> = primary.reads.extract_if(.., |read| read.deadline <= now).collect();
         let rejected = overdue.into_iter().map(|read| ShardAction::ReadRejected { read: read.read });
         self.actions.extend(rejected);
         let may_start = primary.round.is_none() && primary.serving && primary.next_round_at <= now;
@@ -28,7 +29,7 @@
         self.finish_read_round();
     }
 
-    /// The answer of a member to the round, or `None` after a time-out.
+    /// Handles a member's answer in the round; `None` after a timeout.
     pub(super) fn on_confirm_answer(&mut self, member: DiskId, answer: Option<Response>, now: Micros) {
         let Some(primary) = &mut self.primary else { return };
         if answer == Some(Response::Done) {
@@ -37,7 +38,7 @@
             }
             return self.finish_read_round();
         }
-        // The reads wait for another round until they are overdue.
+        // The round failed: its reads stay pending for another one until their deadlines.
         primary.calls.retain(|_, purpose| !matches!(purpose, CallPurpose::Confirm(_)));
         primary.next_round_at = now + RETRY_DELAY;
         if let Some(round) = primary.round.take() {
--- a/tier/batch/src/replica/repair.rs
+++ b/tier/batch/src/replica/repair.rs
@@ -1,7 +1,9 @@
-//! Repair: brings members that lag behind to the primary's state.
+//! Repair: brings lagging members to the primary's state.
 //!
-//! A repair has four steps, each a call: the digests of all buckets; the digests of all jobs of the buckets that differ; the jobs
-//! that differ, in messages of bounded size; the number of the next operation. It starts over if the shard has changed meanwhile.
+//! A repair consists of four steps, each of which is one or more calls: comparing the digests of all buckets;
+//! comparing the digests of all jobs in the buckets that differ; sending the jobs that differ, in messages of
+//! bounded size; and sending the number of the next operation. The repair starts over if the shard has changed in
+//! the meantime.
 
 use super::primary::{CallPurpose, Repair, RepairStep};
 use super::state::ShardReplica;
@@ -11,25 +13,27 @@
 use quillmount_wire::messages::{DiskId, JobState, Response, ShardMessage};
 use std::collections::VecDeque;
 
-/// Time-out of the first step, microseconds. It is short because that step shows whether the member is there at all.
+/// Timeout of the first step, microseconds. It is short because the first step shows whether the member is
+/// reachable at all.
 const FIRST_STEP_TIMEOUT: Micros = 250_000;
-/// Time-out of a later step, microseconds.
+/// Timeout of a later step, microseconds.
 const STEP_TIMEOUT: Micros = 800_000;
-/// Consecutive first steps without an answer after which a joining member is reported to the core as unresponsive.
-const JOINING_MISSES: u32 = 5;
-/// Approximate size of the jobs in one message, bytes. Many repairs may share a network link, and messages of other shards wait
-/// behind them.
-const INSTALL_BYTES: usize = 256 << 10;
+/// Number of consecutive unanswered first steps after which a joining member is reported to the core as
+/// unresponsive.
+const MAX_JOINING_MISSED_ANSWERS: u32 = 5;
+/// Approximate size of the jobs in one message, bytes. It is limited because many repairs may share a network link,
+/// and messages of other shards queue behind them.
+const INSTALL_TARGET_BYTES: usize = 256 << 10;
 
 impl ShardReplica {
-    /// Starts the repair of each lagging member that may be called.
+    /// Starts the repair of each lagging member whose retry delay has passed.
     pub(super) fn start_repairs(&mut self, now: Micros) {
         let Some(primary) = &self.primary else { return };
-        // During a batch only the members that it waits for are repaired.
+        // While a batch is in flight, only the members that it waits for are repaired.
         let lagging = match &primary.batch {
             None => primary.group.lagging(),
             Some(batch) => {
-                let waiting = primary.group.waiting(&batch.synced, batch.stuck);
+                let waiting = primary.group.waiting(&batch.synced, batch.stalled);
                 waiting.into_iter().filter(|member| !primary.group.is_caught_up(*member)).collect()
             }
         };
@@ -41,22 +45,24 @@
         }
     }
 
-    /// The answer to a step, or `None` after a time-out.
+    /// Handles the answer to a step; `None` after a timeout.
     pub(super) fn on_repair_answer(&mut self, member: DiskId, answer: Option<Response>, now: Micros) {
         let Some(primary) = &mut self.primary else { return };
         let Some(repair) = primary.repairs.remove(&member) else { return };
-        let is_stale = repair.base != self.jobs.next && !breaks::is_enabled(Break::StaleRepair);
+        let is_stale =
+            repair.base_operation != self.jobs.next_operation && !breaks::is_enabled(Break::StaleRepair);
         match (repair.step, answer) {
-            // The member has seen a newer view, which this store will receive as well.
+            // The member has seen a newer view, which this replica will receive as well.
             (_, Some(Response::WrongEpoch)) => self.retry_later(member, now),
             (_, Some(Response::Behind)) => self.retry_later(member, now),
             (_, Some(answer)) if is_stale && !matches!(answer, Response::Full) => {
                 self.compare_buckets(member, true);
             }
             (RepairStep::Buckets, Some(Response::DifferentBuckets { session, buckets })) => {
-                primary.misses.remove(&member);
+                primary.missed_answers.remove(&member);
                 if !buckets.is_empty() && primary.is_copying() {
-                    // Jobs are copied to one member at a time: in parallel each copy would only be slower.
+                    // Jobs are copied to one member at a time, because parallel copies would only slow each other
+                    // down.
                     return self.retry_later(member, now);
                 }
                 self.compare_jobs(member, session, buckets);
@@ -69,36 +75,37 @@
             }
             (RepairStep::CatchUp { session }, Some(Response::Done)) => self.mark_caught_up(member, session),
             (RepairStep::Buckets, None) => self.on_missed_answer(member, now),
-            // The first step of the next attempt shows whether the member is there.
+            // The first step of the next attempt shows whether the member is reachable.
             (_, None) => self.retry_later(member, now),
             _ => self.mark_unresponsive(member, now),
         }
     }
 
-    /// A member did not answer the first step. A joining member that delays no commit gets more attempts, because a link filled by
-    /// copies is slow.
+    /// Handles an unanswered first step. A joining member that delays no commit gets more attempts, because a link
+    /// that is saturated by copies is slow.
     fn on_missed_answer(&mut self, member: DiskId, now: Micros) {
         let Some(primary) = &mut self.primary else { return };
-        let misses = primary.misses.entry(member).or_default();
-        *misses += 1;
-        if *misses >= JOINING_MISSES || primary.group.required().contains(&member) {
+        let missed_answers = primary.missed_answers.entry(member).or_default();
+        *missed_answers += 1;
+        if *missed_answers >= MAX_JOINING_MISSED_ANSWERS || primary.group.required().contains(&member) {
             self.mark_unresponsive(member, now);
         } else {
             self.retry_later(member, now);
         }
     }
 
-    /// Sends the first step. `answered` is true if the repair starts over because the shard has changed.
+    /// Sends the first step. `answered` is true if the member has answered before and the repair starts over
+    /// because the shard has changed.
     fn compare_buckets(&mut self, member: DiskId, answered: bool) {
         let message = ShardMessage::CompareBuckets { buckets: self.jobs.buckets() };
-        let base = self.jobs.next;
+        let base_operation = self.jobs.next_operation;
         if let Some(primary) = &mut self.primary {
-            primary.repairs.insert(member, Repair { step: RepairStep::Buckets, base, answered });
+            primary.repairs.insert(member, Repair { step: RepairStep::Buckets, base_operation, answered });
         }
         self.call(member, message, FIRST_STEP_TIMEOUT, CallPurpose::Repair(member));
     }
 
-    /// Sends the digests of the jobs in the buckets that differ; if none does, the last step.
+    /// Sends the digests of the jobs in the buckets that differ, or the last step if no bucket differs.
     fn compare_jobs(&mut self, member: DiskId, session: u64, buckets: Vec<u32>) {
         if buckets.is_empty() {
             return self.install_next(member, session, VecDeque::new());
@@ -108,19 +115,19 @@
         self.send_step(member, RepairStep::Jobs { session }, message);
     }
 
-    /// Sends the next jobs, or after the last of them the number of the next operation.
+    /// Sends the next jobs, or the number of the next operation if all jobs were sent.
     fn install_next(&mut self, member: DiskId, session: u64, mut remaining: VecDeque<String>) {
         let mut jobs: Vec<JobState> = Vec::new();
         let mut bytes = 0;
-        while bytes < INSTALL_BYTES
+        while bytes < INSTALL_TARGET_BYTES
             && let Some(id) = remaining.pop_front()
         {
             let Some(entry) = self.jobs.jobs.get(&id) else { continue };
             jobs.push(entry.state());
-            bytes += entry.bytes();
+            bytes += entry.estimated_bytes();
         }
         let is_last = jobs.is_empty();
-        let next = is_last.then_some(self.jobs.next);
+        let next = is_last.then_some(self.jobs.next_operation);
         let step = if is_last {
             RepairStep::CatchUp { session }
         } else {
@@ -130,9 +137,9 @@
     }
 
     fn send_step(&mut self, member: DiskId, step: RepairStep, message: ShardMessage) {
-        let base = self.jobs.next;
+        let base_operation = self.jobs.next_operation;
         if let Some(primary) = &mut self.primary {
-            primary.repairs.insert(member, Repair { step, base, answered: true });
+            primary.repairs.insert(member, Repair { step, base_operation, answered: true });
         }
         self.call(member, message, STEP_TIMEOUT, CallPurpose::Repair(member));
     }
--- a/tier/batch/src/replica/rewrite.rs
+++ b/tier/batch/src/replica/rewrite.rs
@@ -1,5 +1,5 @@
-//! Rewrites: a shard's jobs are written once more, so that older segments of the ring can be released, or because the disk lacks
-//! something that is in memory.
+//! Rewrites: all jobs of a shard are written to the log again, so that older segments can be released, or because a
+//! failed write left the disk without data that is in memory.
 
 use super::state::ShardReplica;
 use super::writes::{Rewrite, WritePurpose};
@@ -8,11 +8,12 @@
 use crate::record::StoreRecord;
 use quillmount_wire::messages::JobState;
 
-/// Approximate size at which a record of jobs is closed, bytes.
-const RECORD_BYTES: usize = 2 << 20;
+/// Approximate size of the jobs in one record, bytes.
+const RECORD_TARGET_BYTES: usize = 2 << 20;
 
 impl ShardReplica {
-    /// Starts a rewrite that is due. It waits for the end of a batch, which is on the disk but not in memory.
+    /// Starts a rewrite that is due. It waits for the end of a batch, which is on the disk but not yet applied in
+    /// memory.
     pub(super) fn rewrite_if_due(&mut self) {
         if !self.rewrites.due || self.is_replicating() || self.rewrites.running.is_some() {
             return;
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Starts a rewrite that supplies what a failed write left out, once no write is in flight.
+    /// After a failed write, starts a rewrite that replaces the missing records, once no write is in flight.
     pub(super) fn rewrite_after_failure(&mut self) {
         if self.damaged && self.rewrites.running.is_none() && self.writes.is_empty() {
             self.rewrites.due = true;
@@ -38,7 +39,7 @@
         }
     }
 
-    /// A record of the running rewrite was written, or that failed.
+    /// Handles the end of the write of one record of the running rewrite.
     pub(super) fn rewrite_written(&mut self, synced: bool) {
         let Some(rewrite) = &mut self.rewrites.running else { return };
         rewrite.remaining = rewrite.remaining.saturating_sub(1);
@@ -55,9 +56,10 @@
         self.actions.extend(requests.into_iter().map(|request| ShardAction::Rewritten { request, complete }));
     }
 
-    /// Records that give the complete shard, whatever was written before. The last one names all jobs, so that recovery drops others.
+    /// Returns records from which recovery gives the complete shard, whatever was written before. The last record
+    /// lists all jobs, so that recovery removes all others.
     fn snapshot_records(&self) -> Vec<StoreRecord> {
-        let (shard, epoch, next) = (self.identity.shard, self.epoch, self.jobs.next);
+        let (shard, epoch, next) = (self.identity.shard, self.epoch, self.jobs.next_operation);
         let skipped = usize::from(breaks::is_enabled(Break::RewriteDropsJob));
         let mut records = self.job_records(skipped);
         let last = if breaks::is_enabled(Break::RewriteKeepsDropped) {
@@ -72,7 +74,7 @@
         records
     }
 
-    /// All jobs but the first `skipped`, in records of bounded size.
+    /// Returns all jobs except the first `skipped`, in records of bounded size.
     fn job_records(&self, skipped: usize) -> Vec<StoreRecord> {
         let (shard, epoch) = (self.identity.shard, self.epoch);
         let install = |jobs: Vec<JobState>| {
@@ -84,8 +86,8 @@
         let mut bytes = 0;
         for entry in self.jobs.jobs.values().skip(skipped) {
             jobs.push(entry.state());
-            bytes += entry.bytes();
-            if bytes > RECORD_BYTES {
+            bytes += entry.estimated_bytes();
+            if bytes > RECORD_TARGET_BYTES {
                 bytes = 0;
                 records.push(install(std::mem::take(&mut jobs)));
             }
--- a/tier/batch/src/replica/writes.rs
+++ b/tier/batch/src/replica/writes.rs
@@ -1,39 +1,39 @@
-//! What the records being written are for, and the state of rewrites.
+//! Purposes of writes in flight, and the state of rewrites.
 
 use crate::ids::RequestId;
 use quillmount_wire::messages::Response;
 
-/// What a record being written is for.
+/// Purpose of a record that is being written.
 pub(super) enum WritePurpose {
-    /// The answer to a call of another store waits for it.
+    /// The answer to a call of another store is sent once the record is durable.
     Answer { request: RequestId, response: Box<Response> },
-    /// The operations of the primary's batch.
+    /// The operations of the primary's current batch.
     Batch,
-    /// The start of a term of this store as primary.
+    /// The start of this replica's term as primary.
     TermStart,
-    /// A part of a rewrite.
+    /// One record of a rewrite.
     Rewrite,
 }
 
-/// Rewrites requested and running.
+/// State of the running rewrite and of requested ones.
 #[derive(Default)]
 pub(super) struct RewriteState {
-    /// The running rewrite.
     pub(super) running: Option<Rewrite>,
-    /// Another rewrite has to start, as soon as that is possible.
+    /// Whether another rewrite has to start as soon as possible.
     pub(super) due: bool,
-    /// Requests for the next rewrite.
+    /// Requests that the next rewrite completes.
     pub(super) requests: Vec<RequestId>,
 }
 
-/// A running rewrite.
+/// A rewrite whose records are being written.
 pub(super) struct Rewrite {
-    /// Number of its records that are not yet written.
+    /// Number of its records whose writes have not ended.
     pub(super) remaining: usize,
-    /// A record could not be written.
+    /// Whether one of its records could not be written.
     pub(super) failed: bool,
-    /// Requests made before it started.
+    /// Requests that were made before it started.
     pub(super) requests: Vec<RequestId>,
-    /// It started after a failed write, with no other write in flight, so that it supplies everything the disk lacks.
+    /// Whether it started after a failed write with no other write in flight, so that it replaces everything that
+    /// the disk lacks.
     pub(super) after_failure: bool,
 }
--- a/tier/batch/src/shard_jobs.rs
+++ b/tier/batch/src/shard_jobs.rs
@@ -1,4 +1,5 @@
-//! The jobs of one shard: a state machine that operations change, with digests by which two members find their differences.
+//! The jobs of one shard: a deterministic state machine that operations modify, and the digests with which two
+//! replicas find the jobs in which they differ.
 
 use crate::digests::{BUCKETS, bucket_of};
 use crate::job::{JobEntry, result_bytes};
@@ -7,32 +8,33 @@
 use quillmount_wire::messages::{BucketDigest, JobState, QuotaKey, ShardOperation};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Bits by which a job's digest is rotated before it is combined with others into that of a bucket.
+/// Number of bits by which a job's digest is rotated before it is combined into the digest of its bucket.
 const BUCKET_ROTATION: u32 = 7;
 
-/// Jobs of a shard, and the number of the next operation.
+/// The jobs of a shard and the number of the next operation.
 #[derive(Clone, Debug, Default)]
 pub struct ShardJobs {
-    /// The jobs by id.
+    /// Jobs by id.
     pub jobs: BTreeMap<String, JobEntry>,
-    /// Number of the next operation; the first one is 0.
-    pub next: u64,
-    bytes: usize,
+    /// Number of the next operation; the first operation of a shard has number 0.
+    pub next_operation: u64,
+    estimated_bytes: usize,
 }
 
-/// How the jobs of a member differ from those of the primary, in the buckets compared.
+/// Differences between the jobs of a member and those of the primary, in the buckets that were compared.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct JobDifference {
-    /// Ids of jobs that the primary does not have.
+    /// Ids of jobs that the member has and the primary does not.
     pub dropped: Vec<String>,
-    /// Ids of jobs that the member lacks, or has with another digest.
+    /// Ids of jobs that the member does not have, or has with a different digest.
     pub wanted: Vec<String>,
 }
 
 impl ShardJobs {
-    /// Applies the next operation. One without effect (a job that exists, an item that has its result) is counted too.
+    /// Applies the next operation. An operation without effect (its job exists already, or its item already has a
+    /// result) also increments the operation number.
     pub fn apply(&mut self, operation: &ShardOperation) {
-        self.next += 1;
+        self.next_operation += 1;
         match operation {
             ShardOperation::Submit(job) => {
                 if !self.jobs.contains_key(&job.id) {
@@ -43,7 +45,7 @@
                 if let Some(entry) = self.jobs.get_mut(job) {
                     let bytes = result_bytes(result);
                     if entry.append(result.clone()) {
-                        self.bytes += bytes;
+                        self.estimated_bytes += bytes;
                     }
                 }
             }
@@ -56,19 +58,20 @@
         }
     }
 
-    /// Applies operations numbered from `first`, except those already applied. Returns `false`, and applies nothing, if operations
-    /// before `first` are missing.
+    /// Applies operations that are numbered from `first`, except those already applied. Returns `false` and applies
+    /// nothing if operations before `first` are missing.
     #[must_use = "`false` means that nothing was applied"]
     pub fn apply_from(&mut self, first: u64, operations: &[ShardOperation]) -> bool {
-        if first > self.next {
+        if first > self.next_operation {
             return false;
         }
-        let known = (self.next - first) as usize;
-        operations.iter().skip(known).for_each(|operation| self.apply(operation));
+        let already_applied = (self.next_operation - first) as usize;
+        operations.iter().skip(already_applied).for_each(|operation| self.apply(operation));
         true
     }
 
-    /// Removes jobs, then adds or replaces jobs. With `next` the shard has caught up with its primary.
+    /// Removes jobs, then adds or replaces jobs. With `next`, the shard has caught up with its primary and
+    /// continues with that operation number.
     pub fn install(&mut self, dropped: &[String], jobs: Vec<JobState>, next: Option<u64>) {
         dropped.iter().for_each(|job| self.remove(job));
         for state in jobs {
@@ -77,17 +80,18 @@
             self.insert(id, JobEntry::from(state));
         }
         if let Some(next) = next {
-            self.next = next;
+            self.next_operation = next;
         }
     }
 
-    /// Applies a record of the ring; records are applied in the order of writing.
+    /// Applies a record of the write-ahead log; records are applied in the order in which they were written.
     pub fn recover(&mut self, record: StoreRecord) {
         match record {
             StoreRecord::Operations { first, operations, .. } => {
                 if !self.apply_from(first, &operations) {
-                    // The record of an earlier operation is not on the disk: a later repair or rewrite supplies its effect.
-                    self.next = first;
+                    // An earlier operation has no record on the disk. A later repair or rewrite supplies its
+                    // effect.
+                    self.next_operation = first;
                     operations.iter().for_each(|operation| self.apply(operation));
                 }
             }
@@ -97,12 +101,12 @@
         }
     }
 
-    /// Estimated memory, bytes.
-    pub fn bytes(&self) -> usize {
-        self.bytes
+    /// Returns the estimated memory of all jobs, bytes.
+    pub fn estimated_bytes(&self) -> usize {
+        self.estimated_bytes
     }
 
-    /// Tokens of items without a result, by tenant and route; pairs without any are left out.
+    /// Returns the tokens of items without a result by tenant and route; pairs without such tokens are omitted.
     pub fn waiting_tokens(&self) -> BTreeMap<QuotaKey, u64> {
         let mut waiting: BTreeMap<QuotaKey, u64> = BTreeMap::new();
         for entry in self.jobs.values().filter(|entry| entry.waiting_tokens() > 0) {
@@ -112,7 +116,7 @@
         waiting
     }
 
-    /// Digest of each bucket.
+    /// Returns the digest of each bucket, by bucket number.
     pub fn buckets(&self) -> Vec<BucketDigest> {
         let mut buckets = vec![0; BUCKETS];
         for (id, entry) in &self.jobs {
@@ -121,39 +125,41 @@
         buckets
     }
 
-    /// Ids and digests of the jobs in these buckets.
+    /// Returns the ids and digests of the jobs in these buckets.
     pub fn digests(&self, buckets: &[u32]) -> Vec<(String, u64)> {
         let in_buckets = |(id, _): &(&String, &JobEntry)| buckets.contains(&bucket_of(id));
         self.jobs.iter().filter(in_buckets).map(|(id, entry)| (id.clone(), entry.digest())).collect()
     }
 
-    /// Compares the jobs of some buckets with a primary's ids and digests of the same buckets.
-    pub fn compare(&self, buckets: &[u32], theirs: &[(String, u64)]) -> JobDifference {
-        let theirs: BTreeMap<&str, u64> = theirs.iter().map(|(id, digest)| (id.as_str(), *digest)).collect();
-        let mine: BTreeMap<String, u64> = self.digests(buckets).into_iter().collect();
-        let dropped = mine.keys().filter(|id| !theirs.contains_key(id.as_str())).cloned().collect();
-        let differs = |(id, digest): &(&&str, &u64)| mine.get(**id) != Some(digest);
-        let wanted = theirs.iter().filter(differs).map(|(id, _)| (*id).to_owned()).collect();
+    /// Compares the jobs of some buckets with the primary's ids and digests of the same buckets.
+    pub fn compare(&self, buckets: &[u32], primary_digests: &[(String, u64)]) -> JobDifference {
+        let primary_digests: BTreeMap<&str, u64> =
+            primary_digests.iter().map(|(id, digest)| (id.as_str(), *digest)).collect();
+        let own_digests: BTreeMap<String, u64> = self.digests(buckets).into_iter().collect();
+        let dropped =
+            own_digests.keys().filter(|id| !primary_digests.contains_key(id.as_str())).cloned().collect();
+        let differs = |(id, digest): &(&&str, &u64)| own_digests.get(**id) != Some(digest);
+        let wanted = primary_digests.iter().filter(differs).map(|(id, _)| (*id).to_owned()).collect();
         JobDifference { dropped, wanted }
     }
 
     fn insert(&mut self, id: String, entry: JobEntry) {
-        self.bytes += entry.bytes();
+        self.estimated_bytes += entry.estimated_bytes();
         self.jobs.insert(id, entry);
     }
 
     fn remove(&mut self, job: &str) {
         if let Some(entry) = self.jobs.remove(job) {
-            self.bytes = self.bytes.saturating_sub(entry.bytes());
+            self.estimated_bytes = self.estimated_bytes.saturating_sub(entry.estimated_bytes());
         }
     }
 
-    /// Removes every job that is not named.
+    /// Removes every job that is not in `jobs`.
     fn retain_only(&mut self, jobs: &[String], next: u64) {
         let retained: BTreeSet<&str> = jobs.iter().map(String::as_str).collect();
         let dropped: Vec<String> =
             self.jobs.keys().filter(|job| !retained.contains(job.as_str())).cloned().collect();
         dropped.iter().for_each(|job| self.remove(job));
-        self.next = next;
+        self.next_operation = next;
     }
 }
--- a/tier/batch/tests/cluster/audit.rs
+++ b/tier/batch/tests/cluster/audit.rs
@@ -49,7 +49,10 @@
     /// Checks that recovery of the disk gives the jobs in memory.
     pub fn disk_agrees(&self, store: u32, disk: &ShardJobs, memory: &ShardJobs) {
         assert_eq!(disk.buckets(), memory.buckets(), "DISK: store {store} would start with other jobs");
-        assert_eq!(disk.next, memory.next, "DISK: store {store} would start with another number");
+        assert_eq!(
+            disk.next_operation, memory.next_operation,
+            "DISK: store {store} would start with another number"
+        );
     }
 
     /// Checks that caught-up members have the same jobs.
--- a/tier/batch/tests/shard.rs
+++ b/tier/batch/tests/shard.rs
@@ -45,7 +45,7 @@
     assert_eq!(entry.results, [result(1, "one")]);
     assert_eq!(entry.job.items.len(), 2);
     assert!(!entry.is_complete());
-    assert_eq!(shard.next, 5);
+    assert_eq!(shard.next_operation, 5);
 }
 
 #[test]
@@ -66,9 +66,9 @@
     assert!(shard.apply_from(0, &operations));
     assert!(shard.apply_from(0, &operations));
     assert!(shard.apply_from(1, &operations[1..]));
-    assert_eq!((shard.next, shard.jobs["a"].results.len()), (2, 1));
+    assert_eq!((shard.next_operation, shard.jobs["a"].results.len()), (2, 1));
     assert!(!shard.apply_from(5, &[append("a", 1, "y")]));
-    assert_eq!(shard.next, 2);
+    assert_eq!(shard.next_operation, 2);
 }
 
 #[derive(Clone, Debug)]
@@ -108,7 +108,7 @@
     let JobDifference { dropped, wanted } = member.compare(&different, &primary.digests(&different));
     let jobs: Vec<JobState> = wanted.iter().map(|id| primary.jobs[id].state()).collect();
     let sent = jobs.len();
-    member.install(&dropped, jobs, Some(primary.next));
+    member.install(&dropped, jobs, Some(primary.next_operation));
     sent
 }
 
@@ -117,7 +117,7 @@
     fn equal(one: Operations, other: Operations) -> bool {
         let (primary, mut member) = (applied(&one), applied(&other));
         repair(&primary, &mut member);
-        let first = content(&primary) == content(&member) && primary.next == member.next;
+        let first = content(&primary) == content(&member) && primary.next_operation == member.next_operation;
         first && primary.buckets() == member.buckets() && repair(&primary, &mut member) == 0
     }
     QuickCheck::new().tests(300).quickcheck(equal as fn(Operations, Operations) -> bool);
@@ -133,7 +133,7 @@
             epoch: 1,
             dropped: Vec::new(),
             jobs: content(&before),
-            next: Some(before.next),
+            next: Some(before.next_operation),
         };
         let rest = StoreRecord::Operations {
             shard: 0,
@@ -147,7 +147,7 @@
         }
         let all = applied(&operations);
         content(&recovered) == content(&all)
-            && recovered.next == all.next
+            && recovered.next_operation == all.next_operation
             && recovered.buckets() == all.buckets()
     }
     QuickCheck::new().tests(300).quickcheck(same as fn(Operations, usize) -> bool);
@@ -161,7 +161,7 @@
         let shard = applied(&operations);
         let mut anew = ShardJobs::default();
         anew.install(&[], content(&shard), None);
-        shard.bytes() == anew.bytes()
+        shard.estimated_bytes() == anew.estimated_bytes()
     }
     QuickCheck::new().tests(300).quickcheck(same as fn(Operations) -> bool);
 }
@@ -182,7 +182,7 @@
     let mut shard = ShardJobs::default();
     shard.apply(&ShardOperation::Submit(job("a", 4)));
     shard.apply(&append("a", 0, "some text"));
-    assert!(shard.bytes() > 0);
+    assert!(shard.estimated_bytes() > 0);
     shard.apply(&ShardOperation::Forget { job: "a".to_owned() });
-    assert_eq!(shard.bytes(), 0);
+    assert_eq!(shard.estimated_bytes(), 0);
 }
--- a/tier/batch/tests/stored_records.rs
+++ b/tier/batch/tests/stored_records.rs
@@ -141,7 +141,10 @@
 fn stored_records_give_the_jobs_of_the_shard() {
     let replica = recovered();
     let jobs = replica.jobs();
-    assert_eq!((replica.epoch(), jobs.next, replica.serving(), replica.is_damaged()), (9, 12, None, false));
+    assert_eq!(
+        (replica.epoch(), jobs.next_operation, replica.serving(), replica.is_damaged()),
+        (9, 12, None, false)
+    );
     assert_eq!(jobs.jobs.keys().map(String::as_str).collect::<Vec<_>>(), ["job-1", "job-3", "job-4"]);
     let first = &jobs.jobs["job-1"];
     let submitted = (&first.job.tenant, &first.job.route, &first.job.host, &first.job.path);
@@ -202,7 +205,7 @@
     assert_eq!(rows.len(), 2);
     let mut rewritten = ShardReplica::new(ShardReplicaId { disk: 201, shard: 3, tolerated_failures: 1 });
     rows.iter().for_each(|(_, bytes)| rewritten.recover(StoreRecord::decode(bytes).unwrap()));
-    assert_eq!((rewritten.epoch(), rewritten.jobs().next), (9, 12));
+    assert_eq!((rewritten.epoch(), rewritten.jobs().next_operation), (9, 12));
     assert_eq!(rewritten.jobs().buckets(), replica.jobs().buckets());
     let states =
         |replica: &ShardReplica| replica.jobs().jobs.values().map(|entry| entry.state()).collect::<Vec<_>>();
--- a/tier/node/src/store/state.rs
+++ b/tier/node/src/store/state.rs
@@ -77,7 +77,7 @@
 
 impl StoreFigures for Store {
     fn job_bytes(&self) -> usize {
-        self.shards.iter().map(|shard| shard.replica().jobs().bytes()).sum()
+        self.shards.iter().map(|shard| shard.replica().jobs().estimated_bytes()).sum()
     }
 
     fn free_segments(&self) -> usize {
--- a/tier/node/tests/stored_data.rs
+++ b/tier/node/tests/stored_data.rs
@@ -242,7 +242,7 @@
     let (ring, records) = Ring::open(&folder.0, STORE_RING, 5 << 40).unwrap();
     assert_eq!((ring.current(), ring.free(), records.len()), (1, 2, 9));
     let [first, second] = recover(records);
-    assert_eq!((first.epoch(), first.jobs().next), (4, 6));
+    assert_eq!((first.epoch(), first.jobs().next_operation), (4, 6));
     assert_eq!(first.jobs().jobs.keys().map(String::as_str).collect::<Vec<_>>(), ["job-1"]);
     let entry = &first.jobs().jobs["job-1"];
     let done = ItemResult { item: 1, phase: Phase::Done, text: "one".to_owned() };
@@ -250,7 +250,7 @@
     assert_eq!(entry.results, [done, dead]);
     assert_eq!((entry.ended, entry.waiting_tokens()), (false, 10));
     assert!(*entry.job == job("job-1", "t", 3));
-    assert_eq!((second.epoch(), second.jobs().next), (4, 2));
+    assert_eq!((second.epoch(), second.jobs().next_operation), (4, 2));
     let entry = &second.jobs().jobs["job-3"];
     assert_eq!(
         entry.results,
--- a/tier/replication/src/replica.rs
+++ b/tier/replication/src/replica.rs
@@ -2,19 +2,19 @@
 //!
 //! [`RegisterReplica`] is a state machine. The caller
 //! - creates it with the register that is on the disk ([`RegisterReplica::new`]),
-//! - passes in every message that arrives ([`RegisterReplica::receive`]) and, every few tens of milliseconds, the time
-//!   ([`RegisterReplica::tick`]),
-//! - says which writes failed ([`RegisterReplica::write_failed`]),
-//! - on the primary proposes values ([`RegisterReplica::propose`]) and begins reads
-//!   ([`RegisterReplica::confirm_read`]),
-//! - and carries out the [`RegisterAction`]s that each call returns, in their order. Whatever must not happen before a
-//!   sync is inside the [`RegisterAction::Persist`] that it waits for.
+//! - passes in every message that arrives ([`RegisterReplica::receive`]) and, every few tens of milliseconds, the
+//!   time ([`RegisterReplica::tick`]),
+//! - reports failed writes ([`RegisterReplica::write_failed`]),
+//! - proposes values ([`RegisterReplica::propose`]) and starts reads ([`RegisterReplica::confirm_read`]) on the
+//!   primary,
+//! - and performs the [`RegisterAction`]s that each call returns, in order. Any action that must not happen before
+//!   a sync is nested in the [`RegisterAction::Persist`] that it depends on.
 //!
-//! The same messages and times lead to the same actions: the jitter of elections comes from a generator seeded by the
-//! disk's identity and the start time.
+//! The replica is deterministic: the same messages and times produce the same actions. The jitter of elections
+//! comes from a generator that is seeded with the disk's identity and the start time.
 //!
-//! This module has the state and dispatches to `election`, `proposals` and `heartbeats`; `primary` has what only a
-//! primary knows.
+//! This module has the state and dispatches to `election`, `proposals` and `heartbeats`; `primary` has the state
+//! that only a primary needs.
 
 mod action;
 mod election;
@@ -35,37 +35,38 @@
 pub use self::action::{ReadId, RegisterAction};
 pub use self::timing::Timing;
 
-/// Stands for no member where a promise was given to none.
-const NOBODY: DiskId = 0;
+/// Value of `promised_to` when the epoch is promised to no candidate.
+const NO_MEMBER: DiskId = 0;
 
-/// A member of the core, as far as the register is concerned.
+/// The register of one member of the core.
 #[derive(Clone, Debug)]
 pub struct RegisterReplica {
-    me: DiskId,
+    own_disk: DiskId,
     tolerated_failures: usize,
     timing: Timing,
-    /// What was promised and accepted here. The disk may be behind by what the caller has still to sync.
+    /// Promise and accepted value of this member, ahead of the disk by the writes in flight.
     register: Register,
     role: Role,
     election_timer: ElectionTimer,
-    /// When a write of the register last failed.
+    /// Time of the last failed write of the register.
     write_failed_at: Option<Micros>,
 }
 
 impl RegisterReplica {
-    /// A member with the register that its disk holds; `tolerated_failures` disks may be lost at once.
+    /// Creates a member from the register on its disk; `tolerated_failures` is the number of disks that may be lost
+    /// at once.
     pub fn new(
-        me: DiskId,
+        own_disk: DiskId,
         tolerated_failures: usize,
         register: Register,
         timing: Timing,
         now: Micros,
     ) -> RegisterReplica {
-        let mut election_timer = ElectionTimer::new(timing.election_timeout, me ^ now, now);
+        let mut election_timer = ElectionTimer::new(timing.election_timeout, own_disk ^ now, now);
         election_timer.expire_after(timing.pre_vote_delay, now);
         let role = Role::Follower { primary: None };
         RegisterReplica {
-            me,
+            own_disk,
             tolerated_failures,
             timing,
             register,
@@ -75,51 +76,53 @@
         }
     }
 
-    /// Whether this member has accepted no value.
+    /// Returns whether this member has accepted no value.
     ///
-    /// Such a member never stands for election. It votes only for candidates that know it as a member by the identity
-    /// of its disk: an identity is drawn on an empty disk, so that a member without a value has forgotten none.
+    /// A member without a value never becomes a candidate. It votes only for candidates that know it as a member by
+    /// the identity of its disk. Identities are drawn on an empty disk, so a member without a value cannot have
+    /// lost one.
     #[must_use]
     pub fn is_blank(&self) -> bool {
         self.register.accepted.is_none()
     }
 
-    /// What was promised and accepted here.
+    /// Returns the promise and the accepted value of this member, including writes in flight.
     #[must_use]
     pub fn register(&self) -> &Register {
         &self.register
     }
 
-    /// Members by the newest value accepted here; empty if there is none.
+    /// Returns the members of the newest value that this member has accepted; empty if there is none.
     #[must_use]
     pub fn members(&self) -> &[DiskId] {
         self.register.accepted.as_ref().map_or(&[], |accepted| &accepted.value.members)
     }
 
-    /// The primary, if it was heard from recently; this member, if it is primary.
+    /// Returns the primary if this member heard from it recently, or this member if it is primary itself.
     #[must_use]
     pub fn recent_primary(&self, now: Micros) -> Option<DiskId> {
         match &self.role {
             Role::Follower { primary } => primary.filter(|_| self.has_recent_primary(now)),
-            Role::Primary(_) => Some(self.me),
+            Role::Primary(_) => Some(self.own_disk),
             Role::PreCandidate { .. } | Role::Candidate { .. } => None,
         }
     }
 
-    /// The epoch in which this member is primary.
+    /// Returns the epoch in which this member is primary; `None` if it is not.
     #[must_use]
     pub fn primary_epoch(&self) -> Option<Epoch> {
         self.role.as_primary().map(|primary| primary.epoch)
     }
 
-    /// Whether this member is primary, has committed a value in its epoch, and has no proposal in flight.
+    /// Returns whether this member is primary, has committed a value in its epoch, and has no proposal in flight.
     #[must_use]
     pub fn can_propose(&self) -> bool {
         let primary = self.role.as_primary();
         primary.is_some_and(|primary| primary.proposal.is_none() && primary.committed.is_some())
     }
 
-    /// Advances the time.
+    /// Advances the time: sends due heartbeats and proposals as primary, or starts an election after the election
+    /// timeout.
     pub fn tick(&mut self, now: Micros) -> Vec<RegisterAction> {
         if self.role.as_primary().is_some() {
             self.tick_as_primary(now)
@@ -130,7 +133,7 @@
         }
     }
 
-    /// Handles a message of another member, or of this one to itself.
+    /// Handles a message from another member, or from this member to itself.
     pub fn receive(&mut self, from: DiskId, message: RegisterMessage, now: Micros) -> Vec<RegisterAction> {
         match message {
             RegisterMessage::PreVote { epoch } => self.on_pre_vote(from, epoch, now),
@@ -161,18 +164,19 @@
         actions
     }
 
-    /// Whether a primary no longer hears from a quorum, once it has had the time to (Ongaro 2014, section 6.2). A
-    /// change of members counts once it is committed: before that, new members have answered nothing.
+    /// Returns whether the primary has not heard from a quorum within the silence timeout after its election
+    /// (Ongaro 2014, section 6.2). A membership change counts once it is committed, because new members have
+    /// answered nothing before that.
     fn has_lost_majority(&self, now: Micros) -> bool {
         let Some(primary) = self.role.as_primary() else { return false };
         let silence_timeout = self.timing.silence_timeout;
-        let had_time = now.saturating_sub(primary.elected_at) > silence_timeout;
+        let past_grace_period = now.saturating_sub(primary.elected_at) > silence_timeout;
         let responsive = primary.responsive_members(silence_timeout, now);
         let newest = primary.committed.as_ref().or(self.register.accepted.as_ref());
-        had_time && newest.is_some_and(|accepted| !quorum::is_quorum(&accepted.value, &responsive))
+        past_grace_period && newest.is_some_and(|accepted| !quorum::is_quorum(&accepted.value, &responsive))
     }
 
-    /// Whether a primary was heard from so recently that an election would only disrupt it.
+    /// Returns whether this member heard from a primary so recently that an election would only disrupt it.
     fn has_recent_primary(&self, now: Micros) -> bool {
         match &self.role {
             Role::Primary(_) => true,
@@ -181,24 +185,24 @@
         }
     }
 
-    /// Whether the disk has refused no write of late: a member that can't store its own promise wins no election, and those that it
-    /// asks would promise in vain.
+    /// Returns whether no write of the register has failed recently. A member that cannot store its own promise
+    /// cannot win an election, so the promises of other members to it would be wasted.
     fn can_write(&self, now: Micros) -> bool {
         let backoff = 2 * self.timing.election_timeout;
         self.write_failed_at.is_none_or(|failed_at| now.saturating_sub(failed_at) >= backoff)
     }
 
-    /// Notes that a primary was heard from.
+    /// Records contact with a primary: follows it and restarts the election timer.
     fn follow_primary(&mut self, primary: DiskId, now: Micros) -> Vec<RegisterAction> {
-        if let Role::Follower { primary: known } = &mut self.role {
-            *known = Some(primary);
+        if let Role::Follower { primary: followed } = &mut self.role {
+            *followed = Some(primary);
             self.election_timer.restart(now);
             return Vec::new();
         }
         self.step_down(now, Some(primary))
     }
 
-    /// Becomes a follower, whatever the role was.
+    /// Becomes a follower from any role.
     fn step_down(&mut self, now: Micros, primary: Option<DiskId>) -> Vec<RegisterAction> {
         let was_primary = self.role.as_primary().is_some();
         self.role = Role::Follower { primary };
@@ -207,30 +211,30 @@
         if was_primary { vec![RegisterAction::SteppedDown] } else { Vec::new() }
     }
 
-    /// Promises an epoch to a member: no value of a lower epoch will be accepted.
+    /// Promises an epoch to a member: this member accepts no value of a lower epoch from then on.
     fn promise(&mut self, epoch: Epoch, to: DiskId) {
         self.register.promised = epoch;
         self.register.promised_to = to;
     }
 
-    /// Whether a message of a primary has to be rejected, because a higher epoch was promised.
+    /// Returns whether a message of a primary has to be rejected because a higher epoch was promised.
     ///
-    /// A promise of the same epoch to another candidate is no obstacle: the sender was elected by a majority, so that
-    /// the other never will be. The first epoch has no election: only the member to which it was promised, the one
-    /// that wrote the first value, is followed in it.
+    /// A promise of the same epoch to another candidate does not cause a rejection: the sender was elected by a
+    /// majority, so the other candidate cannot be elected in that epoch. The first epoch has no election: in it a
+    /// member follows only the member that it promised the epoch to, which wrote the first value.
     fn must_reject(&self, from: DiskId, epoch: Epoch) -> bool {
         let promised = self.register.promised;
         let promised_to_another = epoch == promised && self.register.promised_to != from;
         epoch < promised || (promised_to_another && epoch == Position::FIRST.epoch)
     }
 
-    /// Rejects a message with the epoch that was promised here.
+    /// Rejects a message, with the promised epoch as the reason.
     fn reject(&self, to: DiskId) -> Vec<RegisterAction> {
         let message = RegisterMessage::Reject { promised: self.register.promised };
         vec![RegisterAction::Send { to, message }]
     }
 
-    /// Syncs the register, then sends a message that rests on it.
+    /// Returns an action that syncs the register and then sends a message that depends on it.
     fn persist_and_send(&self, to: DiskId, message: RegisterMessage) -> RegisterAction {
         let then = vec![RegisterAction::Send { to, message }];
         RegisterAction::Persist { register: self.register.clone(), then }
--- a/tier/replication/src/replica/election.rs
+++ b/tier/replication/src/replica/election.rs
@@ -1,29 +1,29 @@
 //! Elections: pre-vote, promises, rejection and resignation.
 //!
-//! A member that hears from no primary first asks whether it could win ([`RegisterMessage::PreVote`]; Ongaro 2014,
-//! section 9.6), and only if a majority grants that, asks for promises of the next epoch
-//! ([`RegisterMessage::Prepare`], phase 1 of Paxos). With the promises of a quorum it is primary and proposes the
-//! newest value that one of them had accepted.
+//! A member that hears from no primary first asks whether it could win an election ([`RegisterMessage::PreVote`];
+//! Ongaro 2014, section 9.6). Only if a majority grants that, it asks for promises of the next epoch
+//! ([`RegisterMessage::Prepare`], phase 1 of Paxos). With the promises of a quorum it becomes primary and proposes
+//! the newest value that one of the promising members had accepted.
 
 use super::action::RegisterAction;
 use super::position::Position;
 use super::primary::Primary;
 use super::role::Role;
-use super::{NOBODY, RegisterReplica};
+use super::{NO_MEMBER, RegisterReplica};
 use crate::quorum::{self, all_members};
 use quillmount_wire::Micros;
 use quillmount_wire::messages::{Accepted, DiskId, Epoch, RegisterMessage, RegisterValue};
 use std::collections::{BTreeMap, BTreeSet};
 
 impl RegisterReplica {
-    /// Hands the leadership over to a member that answers, which stands for election at once (Ongaro 2014, section
-    /// 3.10). Without effect unless this member is primary.
+    /// Transfers the leadership to a responsive member, which starts an election at once (Ongaro 2014, section
+    /// 3.10). Has no effect unless this member is primary.
     pub fn resign(&mut self, now: Micros) -> Vec<RegisterAction> {
         let Some(primary) = self.role.as_primary() else { return Vec::new() };
         let epoch = primary.epoch;
         let responsive = primary.responsive_members(self.timing.silence_timeout, now);
         let mut others = self.members().to_vec();
-        others.retain(|member| *member != self.me);
+        others.retain(|member| *member != self.own_disk);
         let successor = others.iter().copied().find(|member| responsive.contains(member));
         let mut actions = self.step_down(now, None);
         if let Some(successor) = successor {
@@ -33,8 +33,9 @@
         actions
     }
 
-    /// Handles a write of the register that failed: the disk may be full. A primary, whose values count only once its own disk
-    /// has them, hands over to a member that answers. The member does not stand for election for two election timeouts.
+    /// Handles a failed write of the register, for example on a full disk. A primary transfers the leadership to a
+    /// responsive member, because a primary commits values only once they are on its own disk. This member starts
+    /// no election for two election timeouts.
     pub fn write_failed(&mut self, now: Micros) -> Vec<RegisterAction> {
         self.write_failed_at = Some(now);
         match self.role {
@@ -45,17 +46,17 @@
     }
 
     pub(super) fn become_primary(&mut self, epoch: Epoch, now: Micros) {
-        self.role = Role::Primary(Box::new(Primary::new(self.me, epoch, now)));
+        self.role = Role::Primary(Box::new(Primary::new(self.own_disk, epoch, now)));
     }
 
-    /// Asks the members whether an election would succeed; only a member of the newest value here does.
+    /// Requests pre-votes from the members, if this member belongs to the members of its newest value.
     pub(super) fn start_pre_vote(&mut self, now: Micros) -> Vec<RegisterAction> {
         self.election_timer.renew_jitter();
-        // The next attempt need not wait for the whole election timeout, as a pre-vote changes nothing: after a
-        // heartbeat interval a primary that is there has been heard.
+        // The next attempt does not wait for the whole election timeout, because a pre-vote changes no state:
+        // within a heartbeat interval the member hears from a primary if there is one.
         self.election_timer.expire_after(self.timing.heartbeat_interval, now);
         let Some(accepted) = &self.register.accepted else { return Vec::new() };
-        if !accepted.value.members.contains(&self.me) {
+        if !accepted.value.members.contains(&self.own_disk) {
             return Vec::new();
         }
         let epoch = self.register.promised + 1;
@@ -63,7 +64,7 @@
         RegisterAction::broadcast(all_members(&accepted.value), &RegisterMessage::PreVote { epoch })
     }
 
-    /// Asks the members to promise an epoch.
+    /// Requests promises of an epoch from the members.
     fn start_election(&mut self, epoch: Epoch, now: Micros) -> Vec<RegisterAction> {
         let Some(accepted) = &self.register.accepted else { return Vec::new() };
         self.election_timer.restart(now);
@@ -72,7 +73,7 @@
     }
 
     pub(super) fn on_pre_vote(&mut self, from: DiskId, epoch: Epoch, now: Micros) -> Vec<RegisterAction> {
-        if from != self.me && self.has_recent_primary(now) {
+        if from != self.own_disk && self.has_recent_primary(now) {
             return Vec::new();
         }
         if epoch <= self.register.promised {
@@ -101,7 +102,7 @@
     }
 
     pub(super) fn on_prepare(&mut self, from: DiskId, epoch: Epoch, now: Micros) -> Vec<RegisterAction> {
-        if from != self.me && self.has_recent_primary(now) {
+        if from != self.own_disk && self.has_recent_primary(now) {
             return Vec::new();
         }
         if epoch <= self.register.promised {
@@ -109,7 +110,7 @@
         }
         self.promise(epoch, from);
         let mut actions = Vec::new();
-        if from != self.me {
+        if from != self.own_disk {
             actions.extend(self.step_down(now, None));
         }
         let promise = RegisterMessage::Promise { epoch, accepted: self.register.accepted.clone() };
@@ -135,7 +136,7 @@
         if !quorum::is_quorum(&newest.value, &promised_by) {
             return self.prepare_added_members(&newest.value, promised_epoch);
         }
-        if !newest.value.members.contains(&self.me) {
+        if !newest.value.members.contains(&self.own_disk) {
             return self.step_down(now, None);
         }
         self.become_primary(promised_epoch, now);
@@ -144,19 +145,19 @@
         actions
     }
 
-    /// Asks members that only the newest value names to promise the epoch as well.
+    /// Requests promises of the epoch from members that only the newest value names.
     fn prepare_added_members(&self, newest: &RegisterValue, epoch: Epoch) -> Vec<RegisterAction> {
         let accepted = self.register.accepted.as_ref();
-        let known = accepted.map(|accepted| all_members(&accepted.value)).unwrap_or_default();
+        let already_prepared = accepted.map(|accepted| all_members(&accepted.value)).unwrap_or_default();
         let mut added = all_members(newest);
-        added.retain(|member| !known.contains(member));
+        added.retain(|member| !already_prepared.contains(member));
         RegisterAction::broadcast(added, &RegisterMessage::Prepare { epoch })
     }
 
     pub(super) fn on_reject(&mut self, promised: Epoch, now: Micros) -> Vec<RegisterAction> {
         let is_outdated = match &self.role {
-            // A rejection with the same epoch is of a member that promised it to a rival: the others may still be a
-            // majority.
+            // A rejection with the same epoch comes from a member that promised it to another candidate; the
+            // remaining members may still be a majority.
             Role::Primary(primary) => promised > primary.epoch,
             Role::Candidate { epoch, .. } => promised > *epoch,
             Role::PreCandidate { epoch, .. } => promised >= *epoch,
@@ -168,10 +169,10 @@
             }
             return Vec::new();
         }
-        // The next attempt uses an epoch above the one that was promised elsewhere. Nothing is promised to anybody
-        // by this, so that it need not be synced.
+        // The next attempt uses an epoch above the one that was promised elsewhere. This promises nothing to any
+        // member, so it does not need to be synced.
         if promised > self.register.promised && !self.is_blank() {
-            self.promise(promised, NOBODY);
+            self.promise(promised, NO_MEMBER);
         }
         let actions = self.step_down(now, None);
         self.election_timer.expire_after(self.timing.pre_vote_delay, now);
@@ -190,6 +191,6 @@
             return Vec::new();
         }
         self.role = Role::Follower { primary: None };
-        if successor == self.me && self.can_write(now) { self.start_pre_vote(now) } else { Vec::new() }
+        if successor == self.own_disk && self.can_write(now) { self.start_pre_vote(now) } else { Vec::new() }
     }
 }
--- a/tier/replication/src/replica/heartbeats.rs
+++ b/tier/replication/src/replica/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats, and the reads that a round of them confirms (Raft's ReadIndex; Ongaro 2014, section 6.4).
+//! Heartbeats, and the reads that a round of heartbeats confirms (Raft's ReadIndex; Ongaro 2014, section 6.4).
 
 use super::RegisterReplica;
 use super::action::{ReadId, RegisterAction};
@@ -8,8 +8,8 @@
 use quillmount_wire::messages::{DiskId, Epoch, RegisterMessage};
 
 impl RegisterReplica {
-    /// Whether this member is primary, has committed a value, and heard from a quorum within the silence timeout: the
-    /// value was the newest then.
+    /// Returns whether this member is primary, has committed a value, and heard from a quorum within the silence
+    /// timeout. The committed value was the newest one at that time.
     #[must_use]
     pub fn has_recent_majority(&self, now: Micros) -> bool {
         let Some(primary) = self.role.as_primary() else { return false };
@@ -17,14 +17,16 @@
         primary.committed.as_ref().is_some_and(|accepted| quorum::is_quorum(&accepted.value, &responsive))
     }
 
-    /// When a member last answered this primary in its epoch; `None` if it has not, or this member is not primary.
+    /// Returns the time at which a member last answered this primary in its epoch; `None` if it has not answered,
+    /// or if this member is not primary.
     #[must_use]
     pub fn last_reply(&self, member: DiskId) -> Option<Micros> {
         self.role.as_primary()?.last_reply(member)
     }
 
-    /// Begins a read: sends a round of heartbeats, and returns [`RegisterAction::ReadConfirmed`] once a quorum has
-    /// answered it. A read that is pending when this member steps down is dropped without an action.
+    /// Starts a read: sends a round of heartbeats, and returns [`RegisterAction::ReadConfirmed`] from a later call
+    /// once a quorum has answered it. A read that is pending when this member steps down is dropped without an
+    /// action.
     pub fn confirm_read(&mut self, read: ReadId, now: Micros) -> Vec<RegisterAction> {
         let Some(primary) = self.role.as_primary_mut() else { return Vec::new() };
         primary.add_read(read);
@@ -58,7 +60,7 @@
             return self.reject(from);
         }
         let mut actions = Vec::new();
-        if from != self.me {
+        if from != self.own_disk {
             actions.extend(self.follow_primary(from, now));
         }
         let newest = Position::of_newest(self.register.accepted.as_ref());
@@ -94,7 +96,8 @@
         primary.record_heartbeat_reply(from, round, now);
         let committed = Position::of_newest(primary.committed.as_ref());
         let mut actions = Vec::new();
-        // A member that missed the last value gets it now, so that it is up to date when the next one comes.
+        // A member that missed the last committed value receives it now, so that it is up to date before the next
+        // proposal.
         if newest < committed
             && let Some(accepted) = &self.register.accepted
             && Position::from(accepted) >= committed
@@ -106,8 +109,8 @@
         actions
     }
 
-    /// Confirms the reads whose round of heartbeats a quorum has answered; none before the first commit in this epoch,
-    /// as a value of an earlier epoch may be committed only by that.
+    /// Confirms the reads whose round of heartbeats a quorum has answered. Before the first commit in this epoch it
+    /// confirms none, because a value of an earlier epoch may be committed only by that commit.
     fn release_reads(&mut self) -> Vec<RegisterAction> {
         let Some(accepted) = &self.register.accepted else { return Vec::new() };
         let Some(primary) = self.role.as_primary_mut() else { return Vec::new() };
--- a/tier/replication/src/replica/primary.rs
+++ b/tier/replication/src/replica/primary.rs
@@ -1,4 +1,4 @@
-//! What a primary knows: its proposal in flight, the answers of the members, and the reads that wait for these.
+//! The state of a primary: its proposal in flight, the answers of the members, and the pending reads.
 
 use super::action::ReadId;
 use super::position::Position;
@@ -7,56 +7,56 @@
 use quillmount_wire::messages::{Accepted, DiskId, Epoch, RegisterValue};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A value that is proposed and not committed yet.
+/// A value that is proposed and not yet committed.
 #[derive(Clone, Debug)]
 pub(super) struct Proposal {
-    /// The value and its position.
+    /// The proposed value with its epoch and sequence number.
     pub(super) accepted: Accepted,
-    /// Members that have synced it.
+    /// Members that have synced the value.
     pub(super) acknowledged: BTreeSet<DiskId>,
-    /// When it was first sent.
+    /// Time at which the proposal was first sent.
     proposed_at: Micros,
-    /// When it was last sent.
+    /// Time at which the proposal was last sent.
     pub(super) last_sent: Micros,
 }
 
-/// The last answer of a member.
+/// The last answer of a member to this primary.
 #[derive(Clone, Copy, Debug, Default)]
 struct LastReply {
-    /// The latest round of heartbeats that it answered; 0 before the first.
+    /// Number of the latest heartbeat round that the member answered; 0 before the first one.
     round: u64,
-    /// When it last answered a heartbeat or acknowledged a proposal.
-    at: Micros,
+    /// Time at which the member last answered a heartbeat or acknowledged a proposal.
+    received_at: Micros,
 }
 
 /// State of a primary in one epoch.
 #[derive(Clone, Debug)]
 pub(super) struct Primary {
-    /// This member, which always counts as responsive.
-    me: DiskId,
-    /// Epoch in which it is primary.
+    /// Disk of this member, which always counts as responsive.
+    own_disk: DiskId,
+    /// Epoch in which this member is primary.
     pub(super) epoch: Epoch,
-    /// When it was elected.
+    /// Time of the election.
     pub(super) elected_at: Micros,
-    /// The proposal in flight: at most one.
+    /// Proposal in flight; there is at most one.
     pub(super) proposal: Option<Proposal>,
-    /// The last value committed in this epoch.
+    /// Last value that was committed in this epoch.
     pub(super) committed: Option<Accepted>,
-    /// Number of the last proposal in this epoch.
+    /// Sequence number of the last proposal in this epoch.
     last_sequence: u64,
-    /// Number of the last round of heartbeats.
+    /// Number of the last heartbeat round.
     last_round: u64,
-    /// When the next round of heartbeats is due.
+    /// Time at which the next heartbeat round is due.
     pub(super) next_heartbeat: Micros,
     last_replies: BTreeMap<DiskId, LastReply>,
-    /// Reads, by the round of heartbeats that a majority has to answer.
+    /// Pending reads, each with the number of the heartbeat round that a majority has to answer.
     pending_reads: BTreeMap<ReadId, u64>,
 }
 
 impl Primary {
-    pub(super) fn new(me: DiskId, epoch: Epoch, now: Micros) -> Primary {
+    pub(super) fn new(own_disk: DiskId, epoch: Epoch, now: Micros) -> Primary {
         Primary {
-            me,
+            own_disk,
             epoch,
             elected_at: now,
             proposal: None,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Starts a proposal, in place of one in flight.
+    /// Starts a proposal, which replaces one in flight.
     pub(super) fn begin_proposal(&mut self, value: RegisterValue, now: Micros) -> Accepted {
         self.last_sequence += 1;
         let accepted = Accepted { epoch: self.epoch, sequence: self.last_sequence, value };
@@ -82,16 +82,16 @@
         accepted
     }
 
-    /// Whether the proposal in flight may be committed: a quorum has acknowledged it, enough disks have it, and no
-    /// member that answers is still to acknowledge it. After `silence_timeout` the latter are no longer waited for,
-    /// but the first value of a new system needs all members.
+    /// Returns whether the proposal in flight may be committed: a quorum has acknowledged it, enough disks have it,
+    /// and every responsive member has acknowledged it. After `silence_timeout` the commit no longer waits for
+    /// responsive members, except that the first value of a new system needs the acknowledgements of all members.
     pub(super) fn may_commit(&self, tolerated_failures: usize, silence_timeout: Micros, now: Micros) -> bool {
         let Some(proposal) = &self.proposal else { return false };
         let value = &proposal.accepted.value;
         let acknowledged = &proposal.acknowledged;
         let required = quorum::required_copies(tolerated_failures, value.members.len());
         let enough = acknowledged.len() >= required
-            && acknowledged.contains(&self.me)
+            && acknowledged.contains(&self.own_disk)
             && quorum::is_quorum(value, acknowledged);
         if !enough {
             return false;
@@ -105,46 +105,46 @@
         overdue || self.responsive_members(silence_timeout, now).is_disjoint(&missing)
     }
 
-    /// Members that answered within `silence_timeout`, this one included.
+    /// Returns the members that answered within `silence_timeout`, including this one.
     pub(super) fn responsive_members(&self, silence_timeout: Micros, now: Micros) -> BTreeSet<DiskId> {
         let answered = self
             .last_replies
             .iter()
-            .filter(|(_, reply)| now.saturating_sub(reply.at) < silence_timeout)
+            .filter(|(_, reply)| now.saturating_sub(reply.received_at) < silence_timeout)
             .map(|(member, _)| *member);
-        answered.chain([self.me]).collect()
+        answered.chain([self.own_disk]).collect()
     }
 
-    /// Records an answer to a round of heartbeats.
+    /// Records the time and round of an answer to a heartbeat.
     pub(super) fn record_heartbeat_reply(&mut self, member: DiskId, round: u64, now: Micros) {
         let reply = self.last_replies.entry(member).or_default();
         reply.round = reply.round.max(round);
-        reply.at = now;
+        reply.received_at = now;
     }
 
-    /// Records an answer to something else than a heartbeat.
+    /// Records the time of an answer to a message other than a heartbeat.
     pub(super) fn record_reply(&mut self, member: DiskId, now: Micros) {
-        self.last_replies.entry(member).or_default().at = now;
+        self.last_replies.entry(member).or_default().received_at = now;
     }
 
-    /// When a member last answered in this epoch.
+    /// Returns the time at which a member last answered in this epoch.
     pub(super) fn last_reply(&self, member: DiskId) -> Option<Micros> {
-        self.last_replies.get(&member).map(|reply| reply.at)
+        self.last_replies.get(&member).map(|reply| reply.received_at)
     }
 
-    /// Starts a round of heartbeats; returns its number.
+    /// Starts a heartbeat round and returns its number.
     pub(super) fn begin_round(&mut self, heartbeat_interval: Micros, now: Micros) -> u64 {
         self.last_round += 1;
         self.next_heartbeat = now + heartbeat_interval;
         self.last_round
     }
 
-    /// Adds a read, which the next round of heartbeats confirms.
+    /// Adds a read, which the next heartbeat round confirms.
     pub(super) fn add_read(&mut self, read: ReadId) {
         self.pending_reads.insert(read, self.last_round + 1);
     }
 
-    /// Takes out the reads whose round of heartbeats was answered by a quorum of the value's members.
+    /// Removes and returns the reads whose heartbeat round was answered by a quorum of the value's members.
     pub(super) fn take_confirmed_reads(&mut self, value: &RegisterValue) -> Vec<ReadId> {
         let last_replies = &self.last_replies;
         let is_confirmed = |round: u64| {
--- a/tier/replication/src/replica/proposals.rs
+++ b/tier/replication/src/replica/proposals.rs
@@ -1,5 +1,5 @@
-//! Proposals (phase 2 of Paxos): sent by the primary, accepted by the members, committed once enough of them have
-//! synced the value.
+//! Proposals (phase 2 of Paxos): the primary sends them, the members accept them, and they are committed once
+//! enough members have synced the value.
 
 use super::RegisterReplica;
 use super::action::RegisterAction;
@@ -9,28 +9,28 @@
 use quillmount_wire::messages::{Accepted, DiskId, Epoch, RegisterMessage, RegisterValue};
 
 impl RegisterReplica {
-    /// Proposes the first value of a new system, on one member only and without an election. Without effect if this
-    /// member has promised or accepted anything.
+    /// Proposes the first value of a new system. Must be called on one member only; there is no election. Has no
+    /// effect if this member has promised or accepted anything.
     pub fn bootstrap(&mut self, members: Vec<DiskId>, payload: Vec<u8>, now: Micros) -> Vec<RegisterAction> {
         if !self.is_blank() || self.register.promised > 0 {
             return Vec::new();
         }
         let epoch = Position::FIRST.epoch;
         self.become_primary(epoch, now);
-        self.promise(epoch, self.me);
+        self.promise(epoch, self.own_disk);
         let mut actions = vec![RegisterAction::Elected { epoch }];
         actions.extend(self.send_proposal(RegisterValue { members, prior: None, payload }, now));
         actions
     }
 
-    /// Proposes the next value; without effect unless [`RegisterReplica::can_propose`]. If the members change, the
-    /// value names the former ones as well, and a second proposal without them follows its commit.
+    /// Proposes the next value; has no effect unless [`RegisterReplica::can_propose`]. If the members change, the
+    /// value also names the prior members, and a second proposal without them follows its commit.
     pub fn propose(&mut self, members: Vec<DiskId>, payload: Vec<u8>, now: Micros) -> Vec<RegisterAction> {
         if !self.can_propose() {
             return Vec::new();
         }
-        let former = self.members().to_vec();
-        let prior = (former != members).then_some(former);
+        let prior_members = self.members().to_vec();
+        let prior = (prior_members != members).then_some(prior_members);
         self.send_proposal(RegisterValue { members, prior, payload }, now)
     }
 
@@ -41,7 +41,7 @@
         RegisterAction::broadcast(members, &RegisterMessage::Accept { accepted })
     }
 
-    /// Sends the proposal in flight again to members that have not acknowledged it for a heartbeat interval.
+    /// Resends the proposal in flight to members that have not acknowledged it within a heartbeat interval.
     pub(super) fn resend_proposal(&mut self, now: Micros) -> Vec<RegisterAction> {
         let Some(primary) = self.role.as_primary_mut() else { return Vec::new() };
         let Some(proposal) = &mut primary.proposal else { return Vec::new() };
@@ -58,11 +58,11 @@
         if self.must_reject(from, accepted.epoch) {
             return self.reject(from);
         }
-        if !all_members(&accepted.value).contains(&self.me) {
+        if !all_members(&accepted.value).contains(&self.own_disk) {
             return Vec::new();
         }
         let mut actions = Vec::new();
-        if from != self.me {
+        if from != self.own_disk {
             actions.extend(self.follow_primary(from, now));
         }
         let proposed = Position::from(&accepted);
@@ -74,7 +74,7 @@
             self.promise(accepted.epoch, from);
             self.register.accepted = Some(accepted);
         }
-        // A repeated proposal is acknowledged after another sync: the first one may still be in flight.
+        // A duplicate proposal is acknowledged after another sync, because the first sync may still be in flight.
         let acknowledgement =
             RegisterMessage::Acknowledge { epoch: proposed.epoch, sequence: proposed.sequence };
         actions.push(self.persist_and_send(from, acknowledgement));
@@ -101,7 +101,7 @@
         self.try_commit(now)
     }
 
-    /// Commits the proposal in flight once it may be.
+    /// Commits the proposal in flight if enough members have acknowledged it.
     pub(super) fn try_commit(&mut self, now: Micros) -> Vec<RegisterAction> {
         let Some(primary) = self.role.as_primary_mut() else { return Vec::new() };
         if !primary.may_commit(self.tolerated_failures, self.timing.silence_timeout, now) {
@@ -113,8 +113,8 @@
         let value = accepted.value.clone();
         let mut actions = vec![RegisterAction::Committed { accepted }];
         if value.prior.is_some() {
-            // The former members are no longer needed. As long as the value names them, a quorum has to include a
-            // majority of them, so that their failures would count.
+            // The prior members are no longer needed. As long as the value names them, a quorum has to include a
+            // majority of them, so their failures would affect availability.
             actions.extend(self.send_proposal(RegisterValue { prior: None, ..value }, now));
         }
         actions
--- a/tier/replication/src/replica/role.rs
+++ b/tier/replication/src/replica/role.rs
@@ -1,37 +1,37 @@
-//! The role of a replica, and what it knows in that role.
+//! Roles of a replica, each with the state that belongs to it.
 
 use super::primary::Primary;
 use quillmount_wire::messages::{Accepted, DiskId, Epoch};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The role of a replica: Raft's, with a pre-vote (Ongaro 2014, sections 3.3 and 9.6).
+/// Role of a replica: the roles of Raft with a pre-vote (Ongaro 2014, sections 3.3 and 9.6).
 #[derive(Clone, Debug)]
 pub(super) enum Role {
-    /// Accepts proposals.
+    /// Accepts the proposals of a primary.
     Follower {
-        /// The primary that it follows, if it has heard from one.
+        /// Primary that the replica follows, if it has heard from one.
         primary: Option<DiskId>,
     },
-    /// Asks whether an election would succeed, which changes nothing on any member.
+    /// Requests pre-votes: asks the members whether an election would succeed, which changes no state at them.
     PreCandidate {
-        /// Epoch for which it would stand.
+        /// Epoch that the election would have.
         epoch: Epoch,
-        /// Members that would vote for it.
+        /// Members that granted the pre-vote.
         grants: BTreeSet<DiskId>,
     },
-    /// Stands for election.
+    /// Requests votes in an election.
     Candidate {
-        /// Epoch for which it stands.
+        /// Epoch of the election.
         epoch: Epoch,
         /// Members that promised the epoch, each with the newest value that it had accepted.
         promises: BTreeMap<DiskId, Option<Accepted>>,
     },
-    /// Was elected, and proposes values.
+    /// Was elected and proposes values.
     Primary(Box<Primary>),
 }
 
 impl Role {
-    /// What a primary knows, if this is one.
+    /// Returns the state of the primary; `None` in any other role.
     pub(super) fn as_primary(&self) -> Option<&Primary> {
         match self {
             Role::Primary(primary) => Some(primary),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// What a primary knows, if this is one.
+    /// Returns the state of the primary for modification; `None` in any other role.
     pub(super) fn as_primary_mut(&mut self) -> Option<&mut Primary> {
         match self {
             Role::Primary(primary) => Some(primary),
