--- a/tier/batch/tests/cluster/actions.rs
+++ b/tier/batch/tests/cluster/actions.rs
@@ -1,4 +1,4 @@
-//! Performs the actions of replicas on the network and disks of a world.
+//! Performs the actions of replicas on the simulated network, disks and clients.
 
 use crate::clients::PendingCall;
 use crate::events::{Caller, Event};
@@ -8,28 +8,28 @@
 use quillmount_test_support::simulation::{MILLI, Simulation, Time};
 use quillmount_wire::messages::ShardMessage;
 
-/// How long a request or an answer is on its way to another store.
+/// Network delay of a request or an answer between stores, microseconds.
 const STORE_MESSAGE_DELAY: DelayRange = DelayRange { shortest: 500, spread: 2_000 };
 /// Percentage of requests that arrive twice.
-const REPEATED_REQUESTS: u64 = 2;
-/// How long a sync of a store's disk takes.
+const DUPLICATE_REQUEST_PERCENT: u64 = 2;
+/// Duration of a sync of a store's disk, microseconds.
 const RECORD_SYNC_DELAY: DelayRange = DelayRange { shortest: 300, spread: 2_500 };
-/// By how much a slow disk takes longer.
+/// Additional duration of a sync on a slow disk.
 const SLOW_DISK_DELAY: Time = 300 * MILLI;
 
 impl World {
-    /// Performs actions of a store's replica, and audits its disk afterwards.
-    pub fn perform(&mut self, name: u32, actions: Vec<ShardAction>) {
+    /// Performs the actions of a store's replica, and audits its disk afterwards.
+    pub fn perform(&mut self, store_number: u32, actions: Vec<ShardAction>) {
         for action in actions {
-            self.count(name, &action);
-            self.perform_one(name, action);
+            self.count(store_number, &action);
+            self.perform_action(store_number, action);
         }
-        self.audit_disk(name);
+        self.audit_disk(store_number);
     }
 
     /// Adds an action to the trace. Labels and numbers are part of the digests.
-    fn count(&mut self, name: u32, action: &ShardAction) {
-        let (now, store) = (self.now(), u64::from(name));
+    fn count(&mut self, store_number: u32, action: &ShardAction) {
+        let (now, store) = (self.now(), u64::from(store_number));
         match action {
             ShardAction::Write { .. } => self.counts.count("writes", &[now, store]),
             ShardAction::Call { call, member, epoch, message, timeout } => {
@@ -61,28 +61,28 @@
         }
     }
 
-    /// Performs one action on the network, the disk or a call of a client.
-    fn perform_one(&mut self, name: u32, action: ShardAction) {
+    /// Performs one action on the network, the disk or a client's call.
+    fn perform_action(&mut self, store_number: u32, action: ShardAction) {
         match action {
-            ShardAction::Write { write, record } => self.write(name, write, record),
+            ShardAction::Write { write, record } => self.write(store_number, write, record),
             ShardAction::Call { call, member, epoch, message, timeout } => {
-                let incarnation = self.stores[&name].process.incarnation();
-                let from = Caller { store: name, call, incarnation };
+                let incarnation = self.stores[&store_number].process.incarnation();
+                let from = Caller { store: store_number, call, incarnation };
                 let delay = STORE_MESSAGE_DELAY.draw(&mut self.random);
-                let copies = if self.random.chance(REPEATED_REQUESTS) { 2 } else { 1 };
+                let copies = if self.random.chance(DUPLICATE_REQUEST_PERCENT) { 2 } else { 1 };
                 for copy in 0..copies {
-                    let at = self.now() + delay + copy * self.random.below(600) * MILLI;
+                    let arrives_at = self.now() + delay + copy * self.random.below(600) * MILLI;
                     let message = message.clone();
-                    self.schedule(at, Event::Request { from, to: member, epoch, message });
+                    self.schedule(arrives_at, Event::Request { from, to: member, epoch, message });
                 }
                 self.schedule(self.now() + timeout, Event::Reply { to: from, answer: None });
             }
             ShardAction::Answer { request, response } => {
-                let caller = self.stores.get_mut(&name).unwrap().requests.remove(&request);
-                let is_reachable = |to: &Caller| !self.partitions.is_blocked(name, to.store);
+                let caller = self.stores.get_mut(&store_number).unwrap().requests.remove(&request);
+                let is_reachable = |to: &Caller| !self.partitions.is_blocked(store_number, to.store);
                 if let Some(to) = caller.filter(is_reachable) {
-                    let at = self.now() + STORE_MESSAGE_DELAY.draw(&mut self.random);
-                    self.schedule(at, Event::Reply { to, answer: Some(response) });
+                    let arrives_at = self.now() + STORE_MESSAGE_DELAY.draw(&mut self.random);
+                    self.schedule(arrives_at, Event::Reply { to, answer: Some(response) });
                 }
             }
             ShardAction::Committed { operation, change } => self.committed(operation, &change),
@@ -90,58 +90,58 @@
                 self.pending_calls.remove(&operation);
             }
             ShardAction::ReadConfirmed { read } => {
-                if let Some(PendingCall::Read { job, found, must_exist, at_least }) =
+                if let Some(PendingCall::Read { job, found, must_exist, min_results }) =
                     self.pending_calls.remove(&read)
                 {
-                    self.auditor.read(&job, found, must_exist, at_least);
+                    self.auditor.check_read(&job, found, must_exist, min_results);
                 }
             }
             ShardAction::ReadRejected { read } => {
                 self.pending_calls.remove(&read);
             }
-            ShardAction::Rewritten { complete, .. } => self.rewritten(name, complete),
+            ShardAction::Rewritten { complete, .. } => self.rewritten(store_number, complete),
             ShardAction::Serving { .. } | ShardAction::SteppedDown | ShardAction::ReportDue => {}
         }
     }
 
-    /// Writes a record, or fails to if the disk fails.
-    fn write(&mut self, name: u32, write: WriteId, record: StoreRecord) {
+    /// Starts a write of a record; the write fails while the disk fails.
+    fn write(&mut self, store_number: u32, write: WriteId, record: StoreRecord) {
         let now = self.now();
-        let span = RECORD_SYNC_DELAY.draw(&mut self.random);
-        let store = self.stores.get_mut(&name).unwrap();
-        let slow = if store.disk_slow_until > now { SLOW_DISK_DELAY } else { 0 };
-        let at = (now + span + slow).max(store.last_sync + 1);
-        store.last_sync = at;
+        let sync_delay = RECORD_SYNC_DELAY.draw(&mut self.random);
+        let store = self.stores.get_mut(&store_number).unwrap();
+        let slow_disk_delay = if store.disk_slow_until > now { SLOW_DISK_DELAY } else { 0 };
+        let synced_at = (now + sync_delay + slow_disk_delay).max(store.last_sync + 1);
+        store.last_sync = synced_at;
         let incarnation = store.process.incarnation();
         if store.disk_fails_until > now {
-            store.failing += 1;
-            return self.schedule(at, Event::NotWritten { store: name, incarnation, write });
+            store.failed_writes += 1;
+            return self.schedule(synced_at, Event::NotWritten { store: store_number, incarnation, write });
         }
         let position = store.released + store.records.len();
         store.records.push(record);
-        self.schedule(at, Event::Synced { store: name, incarnation, write, position });
+        self.schedule(synced_at, Event::Synced { store: store_number, incarnation, write, position });
     }
 
-    /// A rewrite has ended: records before it may be released, here up to any of them.
-    fn rewritten(&mut self, name: u32, complete: bool) {
-        let store = self.stores.get_mut(&name).unwrap();
+    /// Handles the end of a rewrite: records before it may be released, here a random number of them.
+    fn rewritten(&mut self, store_number: u32, complete: bool) {
+        let store = self.stores.get_mut(&store_number).unwrap();
         let Some(from) = store.rewrite_from.take().filter(|_| complete) else { return };
-        let gone = self.random.index(from + 1);
-        store.records.drain(..gone);
-        store.released += gone;
-        store.synced -= gone;
+        let released = self.random.index(from + 1);
+        store.records.drain(..released);
+        store.released += released;
+        store.synced -= released;
         let mut on_disk = ShardJobs::default();
         store.records[..store.synced].iter().for_each(|record| on_disk.recover(record.clone()));
         store.on_disk = on_disk;
     }
 
-    /// Checks that the records give the same jobs as the memory.
-    fn audit_disk(&self, name: u32) {
-        let store = &self.stores[&name];
+    /// Checks that the records on the disk give the same jobs as the memory.
+    fn audit_disk(&self, store_number: u32) {
+        let store = &self.stores[&store_number];
         let replica = &store.replica;
-        let is_written = store.synced == store.records.len() && store.failing == 0;
+        let is_written = store.synced == store.records.len() && store.failed_writes == 0;
         if is_written && !replica.is_damaged() && !replica.is_replicating() {
-            self.auditor.disk_agrees(name, &store.on_disk, replica.jobs());
+            self.auditor.check_disk(store_number, &store.on_disk, replica.jobs());
         }
     }
 }
--- a/tier/batch/tests/cluster/core.rs
+++ b/tier/batch/tests/cluster/core.rs
@@ -1,4 +1,4 @@
-//! The core of a world: its real members, with the leases that they grant to stores and the planning of views.
+//! Simulated core: its members, with the leases that they grant to stores and the planning of views.
 
 mod state_changes;
 
@@ -10,38 +10,46 @@
 use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, Register, RegisterMessage};
 use std::collections::BTreeMap;
 
-/// Identities of core members begin here.
+/// Disk identity of the first core member; the others follow consecutively.
 const FIRST_DISK: DiskId = 1;
 
-/// An event for a core machine.
 pub enum CoreEvent {
-    /// A message between members arrives.
-    Deliver { from: DiskId, to: DiskId, message: RegisterMessage },
-    /// A register is on the disk of a machine.
-    Synced { to: DiskId, incarnation: u64, write: RegisterWrite, register: Register },
-    /// The process of a machine starts.
-    Start { to: DiskId },
+    Deliver {
+        from: DiskId,
+        to: DiskId,
+        message: RegisterMessage,
+    },
+    /// A register is synced to the disk of a machine.
+    Synced {
+        to: DiskId,
+        incarnation: u64,
+        write: RegisterWrite,
+        register: Register,
+    },
+    Start {
+        to: DiskId,
+    },
 }
 
-/// A core machine: its process and its disk.
+/// A simulated core machine: its process and its disk.
 pub struct Machine {
     pub member: Member,
-    /// What is synced.
+    /// The synced register.
     disk: Register,
     pub process: Process,
-    /// Leases of stores, in this epoch.
+    /// Leases of stores that this machine has granted in its current epoch.
     leases: Leases,
 }
 
-/// The machines of the core, and what they have put out.
+/// The machines of the core and the actions that they have returned.
 pub struct Core {
     pub machines: BTreeMap<DiskId, Machine>,
     /// Blocked links between members.
     pub partitions: Partitions<DiskId>,
     tolerated_failures: usize,
-    /// The newest state that any primary has committed.
+    /// The newest control state that any primary has committed.
     pub newest: ControlState,
-    /// Events that the world has to schedule.
+    /// Events that the world still has to schedule.
     pub due: Vec<(Time, CoreEvent)>,
     /// Primaries whose state has changed.
     pub changed: Vec<DiskId>,
@@ -54,7 +62,7 @@
 }
 
 impl Core {
-    /// A core of so many members, whose first one is the primary.
+    /// Creates a core of `members` members; the first one is the primary.
     pub fn new(members: u64, tolerated_failures: usize, now: Time, random: &mut Random) -> Core {
         let machine = |disk: DiskId| Machine {
             member: Member::new(disk, tolerated_failures, Register::default(), now),
@@ -82,12 +90,12 @@
         core
     }
 
-    /// Whether the machine exists, is up and is not frozen.
+    /// Returns whether the machine exists, is up and is not frozen.
     pub fn is_running(&self, disk: DiskId, now: Time) -> bool {
         self.machines.get(&disk).is_some_and(|machine| machine.process.is_running(now))
     }
 
-    /// Machines that consider themselves primary and are not frozen.
+    /// Returns the machines that consider themselves primary and are not frozen.
     pub fn serving(&self, now: Time) -> Vec<DiskId> {
         let serves = |(disk, machine): &(&DiskId, &Machine)| {
             self.is_running(**disk, now) && machine.member.serving().is_some()
@@ -95,19 +103,18 @@
         self.machines.iter().filter(serves).map(|(disk, _)| *disk).collect()
     }
 
-    /// Kills the process of a machine.
     pub fn kill(&mut self, disk: DiskId) {
         if let Some(machine) = self.machines.get_mut(&disk) {
             machine.process.kill();
         }
     }
 
-    /// Starts the process of a machine at this time.
-    pub fn restart_at(&mut self, disk: DiskId, at: Time) {
-        self.due.push((at, CoreEvent::Start { to: disk }));
+    /// Schedules the start of a machine's process.
+    pub fn restart_at(&mut self, disk: DiskId, start_at: Time) {
+        self.due.push((start_at, CoreEvent::Start { to: disk }));
     }
 
-    /// Advances the clocks of all running members.
+    /// Ticks all running members.
     pub fn tick(&mut self, now: Time, random: &mut Random) {
         let disks: Vec<DiskId> = self.machines.keys().copied().collect();
         for disk in disks.into_iter().filter(|disk| self.is_running(*disk, now)).collect::<Vec<_>>() {
@@ -116,16 +123,16 @@
         }
     }
 
-    /// Handles an event; postpones it if its machine is frozen.
+    /// Handles an event, or postpones it if its machine is frozen.
     pub fn handle_event(&mut self, event: CoreEvent, now: Time, random: &mut Random) {
         let to = match &event {
             CoreEvent::Deliver { to, .. } | CoreEvent::Synced { to, .. } | CoreEvent::Start { to } => *to,
         };
         let Some(machine) = self.machines.get_mut(&to) else { return };
         if machine.process.is_up()
-            && let Some(at) = machine.process.resumes_at(now)
+            && let Some(resumes_at) = machine.process.resumes_at(now)
         {
-            return self.due.push((at, event));
+            return self.due.push((resumes_at, event));
         }
         match event {
             CoreEvent::Deliver { from, to, message } => {
@@ -151,20 +158,20 @@
         }
     }
 
-    /// Performs the actions of a member; what is to happen later becomes due.
+    /// Performs the actions of a member; later effects are added to `due`.
     fn perform(&mut self, disk: DiskId, actions: Vec<MemberAction>, now: Time, random: &mut Random) {
         for action in actions {
             match action {
                 MemberAction::Send { to, message } => {
                     self.messages += 1;
-                    let at = now + MESSAGE_DELAY.draw(random);
-                    self.due.push((at, CoreEvent::Deliver { from: disk, to, message }));
+                    let arrives_at = now + MESSAGE_DELAY.draw(random);
+                    self.due.push((arrives_at, CoreEvent::Deliver { from: disk, to, message }));
                 }
                 MemberAction::Persist { write, register } => {
                     self.writes += 1;
                     let incarnation = self.machines[&disk].process.incarnation();
-                    let at = now + REGISTER_SYNC_DELAY.draw(random);
-                    self.due.push((at, CoreEvent::Synced { to: disk, incarnation, write, register }));
+                    let synced_at = now + REGISTER_SYNC_DELAY.draw(random);
+                    self.due.push((synced_at, CoreEvent::Synced { to: disk, incarnation, write, register }));
                 }
                 MemberAction::Elected { .. } => {
                     self.elections += 1;
@@ -176,7 +183,7 @@
         }
     }
 
-    /// Notes that a primary has committed a state.
+    /// Records that a primary has committed a state.
     fn on_state_changed(&mut self, disk: DiskId) {
         let state = self.machines[&disk].member.committed().unwrap();
         if state.placement_version > self.newest.placement_version {
@@ -186,7 +193,7 @@
     }
 }
 
-/// What a core member says of itself.
+/// The description of a core member in the control state.
 fn core_node(disk: DiskId) -> NodeInfo {
     NodeInfo {
         name: format!("core-{disk}"),
--- a/tier/batch/tests/cluster/core/state_changes.rs
+++ b/tier/batch/tests/cluster/core/state_changes.rs
@@ -1,4 +1,5 @@
-//! What changes the control state at machines that consider themselves primary: polls of stores, and the planning of views.
+//! Changes of the control state at machines that consider themselves primary: polls of stores, and the planning of
+//! views.
 
 use super::Core;
 use quillmount_control::ControlState;
@@ -7,11 +8,11 @@
 use quillmount_test_support::simulation::{MILLI, Time};
 use quillmount_wire::messages::{DiskId, Poll};
 
-/// A new primary knows who is alive after this time.
-const LEASES_KNOWN: Time = 1_200 * MILLI;
+/// Time after its election until a new primary has received a poll from every live store.
+const LEASES_COMPLETE_AFTER: Time = 1_200 * MILLI;
 
 impl Core {
-    /// A store polls this machine: its lease is renewed, and it is admitted if it is new.
+    /// Handles a store's poll at a machine: renews the store's lease, and admits the store if it is new.
     pub fn poll(&mut self, disk: DiskId, poll: &Poll, now: Time, random: &mut Random) {
         let Some(machine) = self.machines.get_mut(&disk) else { return };
         let Some(state) = machine.member.committed() else { return };
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Changes the state at a machine that considers itself primary.
+    /// Changes the control state at a machine that considers itself primary.
     pub fn change(
         &mut self,
         disk: DiskId,
@@ -31,18 +32,18 @@
         random: &mut Random,
         change: impl FnOnce(&mut ControlState),
     ) {
-        let begun = self.machines.get_mut(&disk).unwrap().member.change(change, now);
-        if let Ok(submitted) = begun {
+        let submission = self.machines.get_mut(&disk).unwrap().member.change(change, now);
+        if let Ok(submitted) = submission {
             self.perform(disk, submitted.actions, now, random);
         }
     }
 
-    /// Every machine that considers itself primary plans the views by the leases that it knows.
+    /// Plans the views at every machine that considers itself primary, by the leases that it has granted.
     pub fn plan(&mut self, now: Time, random: &mut Random) {
         for disk in self.serving(now) {
             let machine = &self.machines[&disk];
             let Some(state) = machine.member.committed() else { continue };
-            if machine.member.time_as_primary(now) < LEASES_KNOWN
+            if machine.member.time_as_primary(now) < LEASES_COMPLETE_AFTER
                 || state.placement.stores.len() <= self.tolerated_failures
             {
                 continue;
@@ -52,9 +53,9 @@
                 state.plan_shards(&inputs);
                 state.placement.shards.truncate(1);
             };
-            let mut trial = (*state).clone();
-            plan(&mut trial);
-            if trial != *state {
+            let mut planned = (*state).clone();
+            plan(&mut planned);
+            if planned != *state {
                 self.change(disk, now, random, plan);
             }
         }
--- a/tier/batch/tests/cluster/events.rs
+++ b/tier/batch/tests/cluster/events.rs
@@ -1,4 +1,4 @@
-//! Events of a world in the order of virtual time, and what each does to a store.
+//! Events of the simulation in the order of virtual time, and their effects on the stores.
 
 use crate::core::CoreEvent;
 use crate::planning::store_poll;
@@ -8,56 +8,80 @@
 use quillmount_test_support::simulation::{MILLI, Simulation, Time, Timeline};
 use quillmount_wire::messages::{DiskId, Response, ShardMessage, ShardReport, ShardView};
 
-/// How often a store polls the core.
+/// Interval between two polls of the core by a store.
 const POLL_INTERVAL: Time = 150 * MILLI;
-/// How often the core plans the views.
+/// Interval between two plannings of the views.
 const PLAN_INTERVAL: Time = 100 * MILLI;
-/// How often the clocks of replicas are advanced.
+/// Interval between two ticks of the replicas.
 const TICK_INTERVAL: Time = 20 * MILLI;
-/// How often clients send requests.
-const WORK_INTERVAL: Time = 15 * MILLI;
-/// How long a poll is on its way.
+/// Interval between two rounds of client calls.
+const CLIENT_INTERVAL: Time = 15 * MILLI;
+/// Network delay of a poll.
 const POLL_DELAY: Time = 2 * MILLI;
-/// How long a late poll is on its way.
-const LATE_POLL_DELAY: Time = 400 * MILLI;
-/// Percentage of polls that are late.
-const LATE_POLLS: u64 = 3;
+/// Network delay of a delayed poll.
+const DELAYED_POLL_DELAY: Time = 400 * MILLI;
+/// Percentage of polls that are delayed.
+const DELAYED_POLL_PERCENT: u64 = 3;
 
-/// The store that sent a request.
+/// The store that sent a request, and the process and call that the answer belongs to.
 #[derive(Clone, Copy)]
 pub struct Caller {
     pub store: u32,
-    /// The number that it gave to its call.
+    /// Identifies the call at the calling replica.
     pub call: u64,
     pub incarnation: u64,
 }
 
-/// What happens at a time.
+/// An event at a point of virtual time.
 pub enum Event {
     /// A request of one store arrives at another.
-    Request { from: Caller, to: DiskId, epoch: u64, message: ShardMessage },
-    /// The answer to a call arrives, or there was none in time.
-    Reply { to: Caller, answer: Option<Response> },
-    /// A record is on the disk.
-    Synced { store: u32, incarnation: u64, write: WriteId, position: usize },
-    /// A record could not be written.
-    NotWritten { store: u32, incarnation: u64, write: WriteId },
-    /// A view arrives at a store.
-    View { to: u32, incarnation: u64, view: ShardView },
-    /// A store's poll arrives at the core.
-    Poll { from: u32, disk: DiskId, reports: Vec<ShardReport> },
-    /// The process of a store starts.
-    Start { store: u32 },
-    /// An event for a core member.
+    Request {
+        from: Caller,
+        to: DiskId,
+        epoch: u64,
+        message: ShardMessage,
+    },
+    /// The answer to a call arrives, or its timeout passes without one.
+    Reply {
+        to: Caller,
+        answer: Option<Response>,
+    },
+    /// A record is synced to the disk.
+    Synced {
+        store: u32,
+        incarnation: u64,
+        write: WriteId,
+        position: usize,
+    },
+    /// A write of a record fails.
+    NotWritten {
+        store: u32,
+        incarnation: u64,
+        write: WriteId,
+    },
+    View {
+        to: u32,
+        incarnation: u64,
+        view: ShardView,
+    },
+    Poll {
+        from: u32,
+        disk: DiskId,
+        reports: Vec<ShardReport>,
+    },
+    Start {
+        store: u32,
+    },
     Core(CoreEvent),
 }
 
 impl Event {
-    /// The store whose process has to run for the event; `None` if the event does not wait for a frozen process.
+    /// Returns the store whose process has to run for the event; `None` if the event does not wait for a frozen
+    /// process.
     fn receiver(&self, world: &World) -> Option<u32> {
         match self {
             Event::Request { to, .. } => {
-                world.stores.values().find(|store| store.disk == *to).map(|store| store.name)
+                world.stores.values().find(|store| store.disk == *to).map(|store| store.number)
             }
             Event::Reply { to, .. } => Some(to.store),
             Event::View { to, .. } => Some(*to),
@@ -81,10 +105,10 @@
     fn handle_event(&mut self, event: Event) {
         let receiver = event.receiver(self);
         if let Some(store) = receiver.and_then(|to| self.stores.get(&to))
-            && let Some(at) = store.process.resumes_at(self.now())
+            && let Some(resumes_at) = store.process.resumes_at(self.now())
         {
-            // Events for a frozen process wait until it resumes.
-            return self.schedule(at, event);
+            // Events for a frozen process are postponed until it resumes.
+            return self.schedule(resumes_at, event);
         }
         match event {
             Event::Request { from, epoch, message, .. } => {
@@ -117,26 +141,26 @@
         if self.is_due_every(PLAN_INTERVAL) {
             self.plan();
         }
-        if self.busy && self.is_due_every(WORK_INTERVAL) {
-            self.work();
+        if self.clients_active && self.is_due_every(CLIENT_INTERVAL) {
+            self.call_primaries();
         }
     }
 }
 
 impl World {
-    /// The store, if its process runs and is still the one of this incarnation.
-    fn running_in(&mut self, name: u32, incarnation: u64) -> Option<&mut Store> {
-        let is_running = self.is_running(name);
-        let same = |store: &&mut Store| is_running && store.process.incarnation() == incarnation;
-        self.stores.get_mut(&name).filter(same)
+    /// Returns the store if its process is running and has this incarnation.
+    fn running_in(&mut self, store_number: u32, incarnation: u64) -> Option<&mut Store> {
+        let is_running = self.is_running(store_number);
+        let is_same_process = |store: &&mut Store| is_running && store.process.incarnation() == incarnation;
+        self.stores.get_mut(&store_number).filter(is_same_process)
     }
 
-    /// The store, if its process is still the one of this incarnation; it may be frozen.
-    fn store_in(&mut self, name: u32, incarnation: u64) -> Option<&mut Store> {
-        self.stores.get_mut(&name).filter(|store| store.process.incarnation() == incarnation)
+    /// Returns the store if its process has this incarnation; the process may be frozen.
+    fn store_in(&mut self, store_number: u32, incarnation: u64) -> Option<&mut Store> {
+        self.stores.get_mut(&store_number).filter(|store| store.process.incarnation() == incarnation)
     }
 
-    /// Delivers the answer to a call, or that there was none.
+    /// Delivers the answer to a call; `None` after its timeout.
     fn deliver_answer(&mut self, to: Caller, answer: Option<Response>) {
         let now = self.now();
         if let Some(store) = self.running_in(to.store, to.incarnation) {
@@ -145,7 +169,6 @@
         }
     }
 
-    /// Delivers a view to a store.
     fn deliver_view(&mut self, to: u32, incarnation: u64, view: &ShardView) {
         let now = self.now();
         if let Some(store) = self.running_in(to, incarnation) {
@@ -154,39 +177,39 @@
         }
     }
 
-    /// Delivers a request, which gets a number of its own.
+    /// Delivers a request under a new request id.
     fn deliver_request(&mut self, to: u32, caller: Caller, epoch: u64, message: ShardMessage) {
         let request = self.allocate_id();
-        let draw = self.random.below(u64::MAX) << 20 | request;
+        let session_seed = self.random.below(u64::MAX) << 20 | request;
         let store = self.stores.get_mut(&to).unwrap();
         store.requests.insert(request, caller);
-        let actions = store.replica.receive(request, epoch, message, draw);
+        let actions = store.replica.receive(request, epoch, message, session_seed);
         self.perform(to, actions);
     }
 
-    /// Completes the write of a record, which is on the disk now.
-    fn finish_write(&mut self, name: u32, incarnation: u64, write: WriteId, position: usize) {
+    /// Completes the write of a record, which is synced now.
+    fn finish_write(&mut self, store_number: u32, incarnation: u64, write: WriteId, position: usize) {
         let now = self.now();
-        let Some(store) = self.store_in(name, incarnation) else { return };
+        let Some(store) = self.store_in(store_number, incarnation) else { return };
         let synced = position + 1 - store.released;
         for record in &store.records[store.synced..synced] {
             store.on_disk.recover(record.clone());
         }
         store.synced = synced;
         let actions = store.replica.on_written(write, true, now);
-        self.perform(name, actions);
+        self.perform(store_number, actions);
     }
 
     /// Notifies a replica that a record could not be written.
-    fn fail_write(&mut self, name: u32, incarnation: u64, write: WriteId) {
+    fn fail_write(&mut self, store_number: u32, incarnation: u64, write: WriteId) {
         let now = self.now();
-        let Some(store) = self.store_in(name, incarnation) else { return };
-        store.failing -= 1;
+        let Some(store) = self.store_in(store_number, incarnation) else { return };
+        store.failed_writes -= 1;
         let actions = store.replica.on_written(write, false, now);
-        self.perform(name, actions);
+        self.perform(store_number, actions);
     }
 
-    /// Receives a store's poll at the core, or at the one authority.
+    /// Handles a store's poll at the core, or at the single authority.
     fn receive_poll(&mut self, from: u32, disk: DiskId, reports: Vec<ShardReport>) {
         if self.isolated_from_core.contains(&from) {
             return;
@@ -199,22 +222,27 @@
         }
     }
 
-    /// Advances the clocks of running stores, which poll the core at times.
+    /// Ticks the running stores, and sends their polls to the core when due.
     fn tick(&mut self) {
-        let names: Vec<u32> = self.stores.keys().copied().collect();
-        for name in names.into_iter().filter(|name| self.is_running(*name)).collect::<Vec<_>>() {
+        let store_numbers: Vec<u32> = self.stores.keys().copied().collect();
+        for store_number in store_numbers
+            .into_iter()
+            .filter(|store_number| self.is_running(*store_number))
+            .collect::<Vec<_>>()
+        {
             let now = self.now();
-            let store = self.stores.get_mut(&name).unwrap();
+            let store = self.stores.get_mut(&store_number).unwrap();
             let actions = if store.replica.needs_tick() { store.replica.tick(now) } else { Vec::new() };
             if now >= store.last_poll + POLL_INTERVAL {
                 store.last_poll = now;
                 let reports = store.replica.report().into_iter().collect();
                 let disk = store.disk;
-                // A poll may be late, and arrive after its sender has been restarted.
-                let delay = if self.random.chance(LATE_POLLS) { LATE_POLL_DELAY } else { POLL_DELAY };
-                self.schedule(now + delay, Event::Poll { from: name, disk, reports });
+                // A delayed poll may arrive after its sender has been restarted.
+                let delay =
+                    if self.random.chance(DELAYED_POLL_PERCENT) { DELAYED_POLL_DELAY } else { POLL_DELAY };
+                self.schedule(now + delay, Event::Poll { from: store_number, disk, reports });
             }
-            self.perform(name, actions);
+            self.perform(store_number, actions);
         }
     }
 }
--- a/tier/batch/tests/cluster/jobs.rs
+++ b/tier/batch/tests/cluster/jobs.rs
@@ -1,11 +1,10 @@
-//! Jobs that clients submit.
+//! Jobs that simulated clients submit.
 
 use quillmount_wire::messages::{Item, Job};
 
-/// Items of a job.
-pub const ITEMS: u32 = 6;
+/// Number of items in each job.
+pub const ITEMS_PER_JOB: u32 = 6;
 
-/// A job with this id.
 pub fn job(id: &str) -> Job {
     let item = |number: u32| Item {
         id: format!("{id}-{number}"),
@@ -20,6 +19,6 @@
         route: "r".to_owned(),
         host: "h".to_owned(),
         path: "/p/".to_owned(),
-        items: (0..ITEMS).map(item).collect(),
+        items: (0..ITEMS_PER_JOB).map(item).collect(),
     }
 }
--- a/tier/batch/tests/cluster/scenarios.rs
+++ b/tier/batch/tests/cluster/scenarios.rs
@@ -1,4 +1,4 @@
-//! Named runs, each of which brings about one of the worst failures that operators may meet.
+//! Scenarios, each of which reproduces one of the worst failures that an operator may meet.
 
 use crate::random_faults::wipe;
 use crate::recovery::{end_faults, power_off_all, read_back};
@@ -6,7 +6,7 @@
 use quillmount_test_support::network::Isolation;
 use quillmount_test_support::simulation::{MILLI, SECOND, Simulation};
 
-/// All runs, for the proof that deliberate breaks are found.
+/// All tests of this module, which have to detect deliberate breaks.
 #[cfg(feature = "breaks")]
 pub const ALL: [fn(); 9] = [
     an_uncommitted_batch_is_never_listed_after_a_full_restart,
@@ -20,7 +20,7 @@
     repeated_full_restarts_keep_exactly_what_was_confirmed,
 ];
 
-/// A world whose shard is healthy and serves.
+/// Creates a world whose shard is healthy and serves.
 fn started(stores: u32, tolerated_failures: usize, seed: u64) -> World {
     let mut world = World::new(stores, tolerated_failures, seed);
     world.run(3 * SECOND);
@@ -28,7 +28,7 @@
     world
 }
 
-/// All stores lose power; then all that was acknowledged is read.
+/// Cuts the power of all stores; then reads everything that was acknowledged.
 fn power_off_and_read(world: &mut World) {
     power_off_all(world, 700 * MILLI);
     world.run(2 * SECOND);
@@ -38,14 +38,14 @@
 
 #[test]
 fn an_uncommitted_batch_is_never_listed_after_a_full_restart() {
-    // The primary is isolated while batches are in flight, is replaced, rejoins, and everything is killed.
+    // The primary is isolated while batches are in flight, is replaced and rejoins; then all stores lose power.
     for seed in 1..=30 {
         let mut world = started(3, 1, seed);
-        let old = world.primary().unwrap();
-        world.partitions.isolate(&[old], &[1, 2, 3], Isolation::BOTH);
-        world.isolated_from_core.insert(old);
+        let old_primary = world.primary().unwrap();
+        world.partitions.isolate(&[old_primary], &[1, 2, 3], Isolation::BOTH);
+        world.isolated_from_core.insert(old_primary);
         world.run(4 * SECOND);
-        assert_ne!(world.primary(), Some(old), "seed {seed}");
+        assert_ne!(world.primary(), Some(old_primary), "seed {seed}");
         end_faults(&mut world);
         world.run(SECOND);
         power_off_and_read(&mut world);
@@ -56,12 +56,12 @@
 fn a_frozen_primary_answers_nothing_once_its_successor_serves() {
     for seed in 1..=30 {
         let mut world = started(3, 1, seed);
-        let old = world.primary().unwrap();
+        let old_primary = world.primary().unwrap();
         let until = world.now() + 3 * SECOND;
-        world.stores.get_mut(&old).unwrap().process.freeze_until(until);
+        world.stores.get_mut(&old_primary).unwrap().process.freeze_until(until);
         world.run(2_500 * MILLI);
-        // The others forget all that is only in memory, just before it wakes.
-        for other in (1..=3).filter(|name| *name != old) {
+        // The other stores lose power, and with it their memory, just before the primary resumes.
+        for other in (1..=3).filter(|store_number| *store_number != old_primary) {
             world.kill(other, true);
             world.restart_after(other, 480 * MILLI);
         }
@@ -102,9 +102,9 @@
 fn a_member_with_a_failed_disk_counts_only_after_a_complete_rewrite() {
     for seed in 1..=30 {
         let mut world = started(3, 1, seed);
-        let names: Vec<u32> = world.stores.keys().copied().collect();
-        for name in names {
-            world.stores.get_mut(&name).unwrap().disk_fails_until = world.now() + 600 * MILLI;
+        let store_numbers: Vec<u32> = world.stores.keys().copied().collect();
+        for store_number in store_numbers {
+            world.stores.get_mut(&store_number).unwrap().disk_fails_until = world.now() + 600 * MILLI;
             world.run(300 * MILLI);
         }
         world.run(SECOND);
@@ -126,7 +126,7 @@
     }
 }
 
-/// The members in sync are gone one after the other while the leaving one alone is there.
+/// The members in sync fail one after the other, until only the retiring one is up.
 #[test]
 fn a_draining_store_stays_while_it_has_the_only_copy() {
     for seed in 1..=30 {
@@ -136,16 +136,16 @@
             .stores
             .values()
             .filter(|store| view.in_sync.contains(&store.disk))
-            .map(|store| store.name)
+            .map(|store| store.number)
             .collect();
         let draining = members[0];
         world.retire(draining);
-        // One of the others loses its disk, the rest of them stand still for some seconds.
+        // One of the others loses its disk; the remaining ones are frozen for some seconds.
         world.kill(members[1], true);
         world.add_store(members[1]);
-        for name in &members[2..] {
+        for store_number in &members[2..] {
             let until = world.now() + 4 * SECOND;
-            world.stores.get_mut(name).unwrap().process.freeze_until(until);
+            world.stores.get_mut(store_number).unwrap().process.freeze_until(until);
         }
         world.run(8 * SECOND);
         end_faults(&mut world);
@@ -153,7 +153,8 @@
     }
 }
 
-/// Two halves for some seconds: nobody confirms what the other half does not have.
+/// The stores are partitioned into two halves for some seconds; neither half may confirm an operation that the
+/// other does not have.
 #[test]
 fn a_healed_partition_loses_nothing_that_was_confirmed() {
     for seed in 1..=30 {
@@ -165,7 +166,8 @@
     }
 }
 
-/// Everything is killed repeatedly while jobs are submitted: rings have uncommitted, superseded and repaired records.
+/// All stores lose power repeatedly while jobs are submitted, so that their logs have uncommitted, superseded and
+/// repaired records.
 #[test]
 fn repeated_full_restarts_keep_exactly_what_was_confirmed() {
     for seed in 1..=15 {
--- a/tier/batch/tests/cluster/steps.rs
+++ b/tier/batch/tests/cluster/steps.rs
@@ -1,10 +1,10 @@
-//! Single replicas taken through a few steps: what each has to wait for, and what it refuses.
+//! Single replicas in short sequences of steps: what each one waits for, and what it rejects.
 
 use crate::jobs::job;
 use quillmount_batch::{ShardAction, ShardReplica, ShardReplicaId, StoreRecord};
 use quillmount_wire::messages::{DiskId, Epoch, Response, ShardMessage, ShardOperation, ShardView};
 
-/// All runs, for the proof that deliberate breaks are found.
+/// All tests of this module that have to detect deliberate breaks.
 #[cfg(feature = "breaks")]
 pub const ALL: [fn(); 7] = [
     a_primary_serves_only_once_its_epoch_is_on_its_disk,
@@ -16,7 +16,7 @@
     a_dropped_job_stays_dropped_after_a_rewrite,
 ];
 
-/// The time of all steps.
+/// Virtual time of all steps, microseconds.
 const NOW: u64 = 1_000_000;
 
 /// A replica with an empty disk, in a shard that tolerates one failure.
@@ -24,19 +24,19 @@
     ShardReplica::new(ShardReplicaId { disk, shard: 0, tolerated_failures: 1 })
 }
 
-/// A view whose primary is the first member.
+/// Returns a view in which member 1 is the primary.
 fn view(epoch: Epoch, in_sync: &[DiskId], joining: &[DiskId]) -> ShardView {
     ShardView { epoch, primary: 1, since: 5, in_sync: in_sync.to_vec(), joining: joining.to_vec() }
 }
 
-/// The environment of one replica: members that answer, and a disk that syncs.
+/// The environment of one replica: members that answer, and a disk that syncs or does not.
 #[derive(Default)]
 struct Script {
     records: Vec<StoreRecord>,
     actions: Vec<ShardAction>,
-    /// Members that answer.
+    /// Members that answer calls.
     answering: Vec<DiskId>,
-    /// Writes are synced.
+    /// Whether writes are synced.
     syncs: bool,
 }
 
@@ -69,19 +69,19 @@
         }
     }
 
-    /// Whether one of the actions so far is wanted.
-    fn has(&self, wanted: impl Fn(&ShardAction) -> bool) -> bool {
-        self.actions.iter().any(wanted)
+    /// Returns whether any action so far matches.
+    fn has_action(&self, matches: impl Fn(&ShardAction) -> bool) -> bool {
+        self.actions.iter().any(matches)
     }
 
-    /// Whether the replica has begun to serve.
+    /// Returns whether the replica has started to serve.
     fn serves(&self) -> bool {
-        self.has(|action| matches!(action, ShardAction::Serving { .. }))
+        self.has_action(|action| matches!(action, ShardAction::Serving { .. }))
     }
 
-    /// Whether the replica has committed an operation.
+    /// Returns whether the replica has committed an operation.
     fn commits(&self) -> bool {
-        self.has(|action| matches!(action, ShardAction::Committed { .. }))
+        self.has_action(|action| matches!(action, ShardAction::Committed { .. }))
     }
 }
 
@@ -91,12 +91,12 @@
     let mut script = Script { answering: vec![2], ..Script::default() };
     let actions = primary.follow_view(&view(5, &[1, 2], &[]), NOW);
     script.perform_all(&mut primary, actions);
-    assert!(!script.serves(), "its epoch is not synced yet");
+    assert!(!script.serves(), "serves before its epoch is synced");
     let write = script.actions.iter().find_map(|action| match action {
         ShardAction::Write { write, .. } => Some(*write),
         _ => None,
     });
-    let actions = primary.on_written(write.expect("its epoch is written"), true, NOW);
+    let actions = primary.on_written(write.expect("no write of the epoch"), true, NOW);
     script.syncs = true;
     script.perform_all(&mut primary, actions);
     assert!(script.serves());
@@ -108,7 +108,7 @@
     let mut script = Script { answering: vec![3], syncs: true, ..Script::default() };
     let actions = primary.follow_view(&view(5, &[1, 2], &[3]), NOW);
     script.perform_all(&mut primary, actions);
-    assert!(!script.serves(), "the member in sync did not answer");
+    assert!(!script.serves(), "serves although the member in sync did not answer");
 }
 
 #[test]
@@ -126,7 +126,7 @@
     assert_eq!(actions, [ShardAction::Answer { request: 3, response: Response::WrongEpoch }]);
 }
 
-/// A member that has caught up in the session of this number.
+/// Creates a member that has caught up in this session.
 fn caught_up_member(session: u64) -> (ShardReplica, Script) {
     let mut member = replica(2);
     let mut script = Script { syncs: true, ..Script::default() };
@@ -137,7 +137,7 @@
     (member, script)
 }
 
-/// The submission of a job, as the first operation of a session.
+/// Returns the submission of a job as the first operation of a session.
 fn submit(session: u64, id: &str) -> ShardMessage {
     let operations = vec![ShardOperation::Submit(job(id))];
     ShardMessage::Replicate { session, first: 0, operations }
@@ -172,7 +172,7 @@
     let actions = primary.follow_view(&view(5, &[1, 2], &[3]), NOW);
     script.perform_all(&mut primary, actions);
     assert!(primary.report().is_some_and(|report| report.caught_up == [3]));
-    // Its process restarts in the same view; the report may still be on its way to the core.
+    // The process restarts in the same view, while the report may still be in flight to the core.
     let mut restarted = replica(1);
     script.records.iter().cloned().for_each(|record| restarted.recover(record));
     let mut script = Script { answering: vec![2], syncs: true, ..Script::default() };
@@ -180,8 +180,8 @@
     script.perform_all(&mut restarted, actions);
     let actions = restarted.commit(1, ShardOperation::Submit(job("a")), NOW);
     script.perform_all(&mut restarted, actions);
-    assert!(!script.commits(), "the joining member may count as in sync by now");
-    // A view without it takes the doubt away.
+    assert!(!script.commits(), "committed without the joining member, which the core may count as in sync");
+    // In a view without the joining member, it is no longer required.
     let actions = restarted.follow_view(&view(6, &[1, 2], &[]), NOW);
     script.perform_all(&mut restarted, actions);
     assert!(script.commits());
@@ -192,7 +192,7 @@
     let (mut member, mut script) = caught_up_member(70);
     let actions = member.receive(3, 5, submit(70, "a"), 0);
     script.perform_all(&mut member, actions);
-    // The next primary does not have the job; the record that drops it can't be written.
+    // The next primary does not have the job, and the record that drops it cannot be written.
     let actions = member.receive(4, 6, ShardMessage::CompareBuckets { buckets: Vec::new() }, 71);
     script.perform_all(&mut member, actions);
     let compare = ShardMessage::CompareJobs { session: 71, buckets: (0..64).collect(), jobs: Vec::new() };
@@ -201,7 +201,7 @@
         ShardAction::Write { write, .. } => Some(*write),
         _ => None,
     });
-    let actions = member.on_written(write.expect("the drop is written"), false, NOW);
+    let actions = member.on_written(write.expect("no write of the record that drops the job"), false, NOW);
     assert!(actions.contains(&ShardAction::Answer { request: 5, response: Response::Full }));
     script.perform_all(&mut member, actions);
     let actions = member.tick(NOW);
@@ -209,10 +209,10 @@
     assert!(!member.is_damaged());
     let mut restarted = replica(2);
     script.records.drain(..).for_each(|record| restarted.recover(record));
-    assert!(restarted.jobs().jobs.is_empty(), "the job that was dropped came back");
+    assert!(restarted.jobs().jobs.is_empty(), "the dropped job is back after the restart");
 }
 
-/// A running rewrite started before the request: only the next one counts for it.
+/// A rewrite that was already running does not complete a later request; only the next one does.
 #[test]
 fn a_requested_rewrite_begins_after_the_request() {
     let (mut member, mut script) = caught_up_member(70);
@@ -220,11 +220,12 @@
     script.perform_all(&mut member, actions);
     let first = member.rewrite(11);
     let second = member.rewrite(12);
-    assert!(second.is_empty(), "the first is running");
+    assert!(second.is_empty(), "the second rewrite started while the first is running");
     script.actions.clear();
     script.perform_all(&mut member, first);
-    let done = |request: u64| ShardAction::Rewritten { request, complete: true };
-    let positions = [11, 12].map(|request| script.actions.iter().position(|action| *action == done(request)));
+    let rewritten = |request: u64| ShardAction::Rewritten { request, complete: true };
+    let positions =
+        [11, 12].map(|request| script.actions.iter().position(|action| *action == rewritten(request)));
     assert!(matches!(positions, [Some(first), Some(second)] if first < second), "{positions:?}");
     let completed = script
         .actions
--- a/tier/batch/tests/cluster/store.rs
+++ b/tier/batch/tests/cluster/store.rs
@@ -1,4 +1,4 @@
-//! A store: its process, its replica of the shard, and its disk.
+//! A simulated store: its process, its replica of the shard, and its disk.
 
 use crate::events::Caller;
 use quillmount_batch::{ShardJobs, ShardReplica, ShardReplicaId, StoreRecord};
@@ -7,43 +7,43 @@
 use quillmount_wire::messages::DiskId;
 use std::collections::BTreeMap;
 
-/// A store: its process and its disk.
+/// A simulated store.
 pub struct Store {
-    /// Its number, which stays when its disk is replaced.
-    pub name: u32,
+    /// Number of the store, which stays the same when its disk is replaced.
+    pub number: u32,
     pub disk: DiskId,
     pub process: Process,
-    /// Whether the store was retired and is gone for good.
+    /// Whether the store was retired and removed for good.
     pub removed: bool,
     pub replica: ShardReplica,
-    /// Records on the disk, in the order of writing; the first `synced` of them survive a loss of power.
+    /// Records on the disk in the order of writing; the first `synced` of them survive a power loss.
     pub records: Vec<StoreRecord>,
     pub synced: usize,
-    /// The jobs that the synced records give.
+    /// The jobs that recovery from the synced records gives.
     pub on_disk: ShardJobs,
-    /// Records that were released by compactions: positions are counted with them.
+    /// Number of records that compactions have released; positions of records include them.
     pub released: usize,
     /// Number of records when the running rewrite started.
     pub rewrite_from: Option<usize>,
-    /// Until then writes fail.
+    /// Time before which writes fail.
     pub disk_fails_until: Time,
-    /// Until then writes take longer.
+    /// Time before which writes take longer.
     pub disk_slow_until: Time,
-    /// Failed writes that the replica has not been notified of yet.
-    pub failing: usize,
-    /// When the last write ends that was begun.
+    /// Number of failed writes that the replica has not been notified of yet.
+    pub failed_writes: usize,
+    /// Time at which the last write that was started completes.
     pub last_sync: Time,
-    /// When the store polled the core last.
+    /// Time of the store's last poll of the core.
     pub last_poll: Time,
-    /// Requests of other stores that the replica has not answered yet, by number.
+    /// Callers of requests that the replica has not answered yet, by request id.
     pub requests: BTreeMap<u64, Caller>,
 }
 
 impl Store {
-    /// A running store with an empty disk.
-    pub fn with_empty_disk(name: u32, replica: ShardReplicaId, incarnation: u64) -> Store {
+    /// Creates a running store with an empty disk.
+    pub fn with_empty_disk(number: u32, replica: ShardReplicaId, incarnation: u64) -> Store {
         Store {
-            name,
+            number,
             disk: replica.disk,
             process: Process::running(incarnation),
             removed: false,
@@ -55,24 +55,24 @@
             rewrite_from: None,
             disk_fails_until: 0,
             disk_slow_until: 0,
-            failing: 0,
+            failed_writes: 0,
             last_sync: 0,
             last_poll: 0,
             requests: BTreeMap::new(),
         }
     }
 
-    /// Number of records that a loss of power may take.
+    /// Returns the number of records that a power loss may remove.
     pub fn unsynced(&self) -> usize {
         self.records.len() - self.synced
     }
 
-    /// Kills the process; of the unsynced records the first ones survive.
+    /// Kills the process; the first `surviving` of the unsynced records stay on the disk.
     pub fn kill(&mut self, surviving: usize) {
         self.process.kill();
         self.requests.clear();
         self.rewrite_from = None;
-        self.failing = 0;
+        self.failed_writes = 0;
         self.records.truncate(self.synced + surviving);
         for record in &self.records[self.synced..] {
             self.on_disk.recover(record.clone());
@@ -80,7 +80,7 @@
         self.synced = self.records.len();
     }
 
-    /// Starts the process, whose replica recovers from the disk.
+    /// Starts the process; its replica recovers from the disk.
     pub fn start(&mut self, replica: ShardReplicaId) {
         self.process.start();
         self.replica = ShardReplica::new(replica);
--- a/tier/batch/tests/shard.rs
+++ b/tier/batch/tests/shard.rs
@@ -1,10 +1,10 @@
-//! Operations, results and repair of a shard.
+//! Operations, results and repair of the jobs of a shard.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use quillmount_batch::{JobDifference, ShardJobs, StoreRecord, different_buckets};
 use quillmount_wire::messages::{Item, ItemResult, Job, JobState, Phase, ShardOperation};
 
-/// A job with so many items.
+/// A job with `items` items.
 fn job(id: &str, items: usize) -> Job {
     let item = |number: usize| Item {
         id: format!("{id}-{number}"),
@@ -23,12 +23,10 @@
     }
 }
 
-/// The final result of an item.
 fn result(item: u32, text: &str) -> ItemResult {
     ItemResult { item, phase: Phase::Done, text: text.to_owned() }
 }
 
-/// The append of an item's result.
 fn append(job: &str, item: u32, text: &str) -> ShardOperation {
     ShardOperation::Append { job: job.to_owned(), result: result(item, text) }
 }
@@ -75,18 +73,18 @@
 struct Operations(Vec<ShardOperation>);
 
 impl Arbitrary for Operations {
-    fn arbitrary(source: &mut Gen) -> Operations {
-        let names = ["a", "b", "c", "d", "e"];
-        let mut one = || {
-            let name = (*source.choose(&names).unwrap()).to_owned();
-            match u8::arbitrary(source) % 8 {
-                0 | 1 => ShardOperation::Submit(job(&name, 4)),
-                2 => ShardOperation::End { job: name },
-                3 => ShardOperation::Forget { job: name },
-                number => append(&name, u32::from(number % 4), &format!("text {}", u8::arbitrary(source))),
+    fn arbitrary(generator: &mut Gen) -> Operations {
+        let ids = ["a", "b", "c", "d", "e"];
+        let mut operation = || {
+            let id = (*generator.choose(&ids).unwrap()).to_owned();
+            match u8::arbitrary(generator) % 8 {
+                0 | 1 => ShardOperation::Submit(job(&id, 4)),
+                2 => ShardOperation::End { job: id },
+                3 => ShardOperation::Forget { job: id },
+                number => append(&id, u32::from(number % 4), &format!("text {}", u8::arbitrary(generator))),
             }
         };
-        Operations((0..30).map(|_| one()).collect())
+        Operations((0..30).map(|_| operation()).collect())
     }
 }
 
@@ -97,12 +95,12 @@
     shard
 }
 
-/// The jobs of a shard with their results, to be compared.
+/// The jobs of a shard with their results, for comparison.
 fn content(shard: &ShardJobs) -> Vec<JobState> {
     shard.jobs.values().map(|entry| entry.state()).collect()
 }
 
-/// Repairs `member` from `primary` by digests, as the stores do.
+/// Repairs `member` from `primary` by digests, as the stores do; returns the number of jobs sent.
 fn repair(primary: &ShardJobs, member: &mut ShardJobs) -> usize {
     let different = different_buckets(&member.buckets(), &primary.buckets());
     let JobDifference { dropped, wanted } = member.compare(&different, &primary.digests(&different));
@@ -153,15 +151,15 @@
     QuickCheck::new().tests(300).quickcheck(same as fn(Operations, usize) -> bool);
 }
 
-/// The estimate is what the jobs take that are there, also after operations without effect: no result that a job did not take is
-/// counted.
+/// The memory estimate equals that of the same jobs installed in an empty shard. It must not count results that a
+/// job did not accept.
 #[test]
-fn bytes_are_those_of_the_same_jobs_stored_anew() {
+fn estimated_bytes_equal_those_of_the_same_jobs_installed_in_an_empty_shard() {
     fn same(operations: Operations) -> bool {
         let shard = applied(&operations);
-        let mut anew = ShardJobs::default();
-        anew.install(&[], content(&shard), None);
-        shard.estimated_bytes() == anew.estimated_bytes()
+        let mut reinstalled = ShardJobs::default();
+        reinstalled.install(&[], content(&shard), None);
+        shard.estimated_bytes() == reinstalled.estimated_bytes()
     }
     QuickCheck::new().tests(300).quickcheck(same as fn(Operations) -> bool);
 }
@@ -178,7 +176,7 @@
 }
 
 #[test]
-fn bytes_match_the_stored_jobs() {
+fn a_shard_without_jobs_has_no_estimated_bytes() {
     let mut shard = ShardJobs::default();
     shard.apply(&ShardOperation::Submit(job("a", 4)));
     shard.apply(&append("a", 0, "some text"));
--- a/tier/batch/tests/stored_records.rs
+++ b/tier/batch/tests/stored_records.rs
@@ -1,5 +1,5 @@
-//! Records of a store as they are stored: a table of all forms, each read and written to the same bytes, and the shard that
-//! they give.
+//! Storage format of a store's records: a table with every kind of record, each of which must decode and encode to
+//! the same bytes, and the shard that recovery gives.
 
 use quillmount_batch::{
     BUCKETS, ShardAction, ShardReplica, ShardReplicaId, StoreRecord, bucket_of, different_buckets,
@@ -9,13 +9,11 @@
 
 const FIXTURES: Fixtures = Fixtures::of_package(env!("CARGO_MANIFEST_DIR"));
 
-/// An item of a job.
 fn item(id: &str, body: &[u8], tokens: u64) -> Item {
     let headers = vec![("Content-Type".to_owned(), "text/plain".to_owned())];
     Item { id: id.to_owned(), path: format!("/v1/{id}"), headers, body: body.to_vec(), tokens }
 }
 
-/// A job of a tenant.
 fn job(id: &str, tenant: &str, items: Vec<Item>) -> Job {
     Job {
         id: id.to_owned(),
@@ -27,22 +25,20 @@
     }
 }
 
-/// A result of an item.
 fn result(item: u32, phase: Phase, text: &str) -> ItemResult {
     ItemResult { item, phase, text: text.to_owned() }
 }
 
-/// The append of a result.
 fn append(job: &str, result: ItemResult) -> ShardOperation {
     ShardOperation::Append { job: job.to_owned(), result }
 }
 
-/// A record of operations, from this number on.
+/// A record of operations whose first one has the number `first`.
 fn operations(first: u64, operations: Vec<ShardOperation>) -> StoreRecord {
     StoreRecord::Operations { shard: 3, epoch: 7, first, operations }
 }
 
-/// Records in the order of writing.
+/// All kinds of records with their names in the table, in the order of writing.
 fn records() -> Vec<(&'static str, StoreRecord)> {
     let first = job("job-1", "t", vec![item("a", b"\x00\x01\xff", 5), item("b", b"body of b", 70)]);
     let second = job("job-2", "u", vec![item("only", b"", 0)]);
@@ -92,11 +88,11 @@
     ]
 }
 
-/// The table's rows; the records in them are read from its bytes.
+/// The rows of the table; the records are decoded from the stored bytes.
 fn stored() -> Vec<(String, StoreRecord)> {
-    let made: Vec<(String, Vec<u8>)> =
+    let encoded: Vec<(String, Vec<u8>)> =
         records().into_iter().map(|(name, record)| (name.to_owned(), record.encode())).collect();
-    let rows = FIXTURES.check_table("records.txt", &made);
+    let rows = FIXTURES.check_table("records.txt", &encoded);
     rows.into_iter().map(|(name, bytes)| (name, StoreRecord::decode(&bytes).unwrap())).collect()
 }
 
@@ -109,15 +105,15 @@
 
 #[test]
 fn every_stored_record_is_read_and_encoded_to_the_same_bytes() {
-    for ((name, read), (_, made)) in stored().into_iter().zip(records()) {
-        assert!(read == made, "{name}");
-        assert_eq!(read.encode(), made.encode(), "{name}");
+    for ((name, decoded), (_, record)) in stored().into_iter().zip(records()) {
+        assert!(decoded == record, "{name}");
+        assert_eq!(decoded.encode(), record.encode(), "{name}");
     }
 }
 
 #[test]
 fn every_stored_record_names_its_shard_and_epochs() {
-    let facts: Vec<(String, Option<u32>, u64, u64)> = stored()
+    let shard_and_epochs: Vec<(String, Option<u32>, u64, u64)> = stored()
         .into_iter()
         .map(|(name, record)| (name, record.shard(), record.epoch(), record.last_primary_epoch()))
         .collect();
@@ -134,7 +130,7 @@
     ];
     let expected = expected
         .map(|(name, shard, epoch, last_primary_epoch)| (name.to_owned(), shard, epoch, last_primary_epoch));
-    assert_eq!(facts, expected);
+    assert_eq!(shard_and_epochs, expected);
 }
 
 #[test]
@@ -166,7 +162,7 @@
     assert_eq!(jobs.waiting_tokens().into_iter().collect::<Vec<_>>(), [(key, 18)]);
 }
 
-/// Members of both versions compare these.
+/// Members that run different versions compare these digests, so they must not change.
 #[test]
 fn digests_of_stored_jobs_stay_the_same() {
     let replica = recovered();
--- a/tier/replication/tests/cluster/digest.rs
+++ b/tier/replication/tests/cluster/digest.rs
@@ -1,4 +1,4 @@
-//! Digests of the first fifty seeded runs of a cluster.
+//! Digests of the first fifty seeded runs of a simulated cluster.
 
 use crate::faults::run_with_random_faults;
 use quillmount_test_support::digest::check_seeds;
--- a/tier/replication/tests/cluster/faults.rs
+++ b/tier/replication/tests/cluster/faults.rs
@@ -1,21 +1,22 @@
-//! Runs with random faults by seed, one node at a time: kills, partitions one and both ways, freezes, and lost disks.
+//! Runs with random faults by seed, at one node at a time: kills, partitions in one or both directions, freezes,
+//! and lost disks.
 
 use crate::world::{World, encode};
 use quillmount_test_support::network::Isolation;
 use quillmount_test_support::simulation::{MILLI, SECOND, Simulation};
 use quillmount_wire::messages::{DiskId, Register};
 
-/// Number of faults of a run.
-const FAULTS: usize = 12;
-/// Identities of disks that replace others are above this one.
+/// Number of faults in each run.
+const FAULTS_PER_RUN: usize = 12;
+/// Identities of replacement disks are greater than this one.
 const FIRST_NEW_DISK: DiskId = 1000;
 
-/// Runs a cluster through random faults; returns the world at its end.
+/// Runs a cluster through random faults, and returns the world at the end.
 pub fn run_with_random_faults(members: u64, tolerated_failures: usize, seed: u64) -> World {
     let mut world = World::new(members, tolerated_failures, seed);
     world.run(SECOND);
     let mut last_disk = FIRST_NEW_DISK;
-    for _ in 0..FAULTS {
+    for _ in 0..FAULTS_PER_RUN {
         let disks: Vec<DiskId> = world.nodes.keys().copied().collect();
         let victim = disks[world.random.index(disks.len())];
         match world.random.below(6) {
@@ -35,28 +36,28 @@
     world
 }
 
-/// Kills a node, and restarts it after some time.
+/// Kills a node, and restarts it after a random time.
 fn kill_and_restart(world: &mut World, disk: DiskId) {
     world.kill(disk);
-    let down = world.random.below(1500);
-    world.run(down * MILLI);
+    let downtime = world.random.below(1500);
+    world.run(downtime * MILLI);
     world.start(disk);
 }
 
-/// Freezes a node for some time, and runs until it has resumed.
+/// Freezes a node for a random time, and runs until it has resumed.
 fn freeze(world: &mut World, disk: DiskId) {
     let until = world.now() + world.random.below(2500) * MILLI;
     world.nodes.get_mut(&disk).unwrap().process.freeze_until(until);
     world.run(2600 * MILLI);
 }
 
-/// Isolates a node from the others, both ways, one way or not at all.
+/// Isolates a node from the others for a random time: in both directions, in one, or in none.
 fn partition(world: &mut World, disk: DiskId, disks: &[DiskId]) {
     let inbound = world.random.below(3) > 0;
     let outbound = world.random.below(3) > 0;
     world.partitions.isolate(&[disk], disks, Isolation { inbound, outbound });
-    let span = world.random.below(3000);
-    world.run(span * MILLI);
+    let duration = world.random.below(3000);
+    world.run(duration * MILLI);
     world.partitions.heal();
 }
 
@@ -67,7 +68,7 @@
     disks.iter().for_each(|disk| world.start(*disk));
 }
 
-/// Replaces the disk of a member: the machine comes back with another identity, which the primary admits.
+/// Replaces the disk of a member: the machine comes back with a new identity, which the primary admits as a member.
 pub fn replace(world: &mut World, old: DiskId, new: DiskId) {
     world.kill(old);
     world.nodes.remove(&old);
@@ -89,5 +90,5 @@
         let actions = node.replica.propose(members, payload, now);
         world.perform(primary, actions);
     }
-    panic!("{new} was not admitted in place of {old}");
+    panic!("disk {new} was not admitted in place of disk {old} within 4 s");
 }
--- a/tier/replication/tests/cluster/main.rs
+++ b/tier/replication/tests/cluster/main.rs
@@ -1,4 +1,4 @@
-//! Complete clusters on virtual time: scenarios, random faults by seed, and a fault at every step of a small run.
+//! Simulated clusters on virtual time: scenarios, random faults by seed, and a fault at every step of a small run.
 
 mod digest;
 mod exploration;
@@ -24,11 +24,11 @@
 fn a_killed_primary_is_replaced_within_two_seconds() {
     let mut world = World::new(3, 1, 2);
     world.run(SECOND);
-    let before = world.acknowledged.len();
+    let acknowledged_before = world.acknowledged.len();
     world.kill(1);
     world.run(2 * SECOND);
     assert!(world.primary().is_some());
-    assert!(world.acknowledged.len() > before);
+    assert!(world.acknowledged.len() > acknowledged_before);
 }
 
 #[test]
@@ -37,10 +37,10 @@
         let mut world = World::new(3, 1, 3);
         world.run(SECOND);
         world.partitions.isolate(&[1], &[2, 3], directions);
-        let before = world.acknowledged.len();
+        let acknowledged_before = world.acknowledged.len();
         world.run(3 * SECOND);
         assert!(world.nodes[&1].committed.is_none(), "{directions:?}");
-        assert!(world.acknowledged.len() > before + 20, "{directions:?}");
+        assert!(world.acknowledged.len() > acknowledged_before + 20, "{directions:?}");
     }
 }
 
@@ -62,9 +62,9 @@
     world.kill(2);
     world.kill(3);
     world.run(100 * MILLI);
-    let before = world.acknowledged.len();
+    let acknowledged_before = world.acknowledged.len();
     world.run(3 * SECOND);
-    assert_eq!(world.acknowledged.len(), before);
+    assert_eq!(world.acknowledged.len(), acknowledged_before);
 }
 
 #[test]
@@ -75,13 +75,13 @@
         (1..=3).for_each(|disk| world.kill(disk));
         world.run(50 * MILLI);
         (1..=3).for_each(|disk| world.start(disk));
-        let before = world.acknowledged.len();
+        let acknowledged_before = world.acknowledged.len();
         world.run(3 * SECOND);
-        assert!(world.acknowledged.len() > before);
+        assert!(world.acknowledged.len() > acknowledged_before);
     }
 }
 
-/// Time from the restart of all members at once until one serves.
+/// Returns the time from the simultaneous restart of all members until one serves.
 fn restart_time(members: u64, seed: u64) -> Time {
     let mut world = World::new(members, 1, seed);
     world.run(SECOND + seed * 7 * MILLI);
@@ -89,14 +89,14 @@
     world.run(50 * MILLI);
     for disk in 1..=members {
         world.start(disk);
-        let apart = world.random.below(3) * MILLI;
-        world.run(apart);
+        let start_gap = world.random.below(3) * MILLI;
+        world.run(start_gap);
     }
-    let started = world.now();
-    while world.primary().is_none() && world.now() < started + 10 * SECOND {
+    let started_at = world.now();
+    while world.primary().is_none() && world.now() < started_at + 10 * SECOND {
         world.run(MILLI);
     }
-    world.now() - started
+    world.now() - started_at
 }
 
 #[test]
@@ -120,11 +120,11 @@
     world.run(SECOND);
     replace(&mut world, 3, 103);
     world.run(SECOND);
-    // The new member now makes up for the loss of another.
+    // The new member replaces the lost one, so the cluster survives another failure.
     world.kill(1);
-    let before = world.acknowledged.len();
+    let acknowledged_before = world.acknowledged.len();
     world.run(3 * SECOND);
-    assert!(world.acknowledged.len() > before);
+    assert!(world.acknowledged.len() > acknowledged_before);
 }
 
 #[test]
@@ -140,8 +140,8 @@
     assert!(node.replica.is_blank());
 }
 
-/// A cluster whose third member is down while a fourth, which is not connected yet, is proposed as a member: three of the
-/// four are needed.
+/// Creates a cluster whose third member is down while a fourth, which is not connected yet, is proposed as a
+/// member. A quorum needs three of the four.
 fn with_unconnected_new_member(seed: u64) -> World {
     let mut world = World::new(3, 1, seed);
     world.run(SECOND);
@@ -163,23 +163,27 @@
     let mut world = with_unconnected_new_member(8);
     world.run(300 * MILLI);
     world.partitions.heal();
-    let before = world.acknowledged.len();
+    let acknowledged_before = world.acknowledged.len();
     world.run(SECOND);
     assert_eq!(world.primary(), Some(1));
-    assert!(world.acknowledged.len() > before);
+    assert!(world.acknowledged.len() > acknowledged_before);
 }
 
 #[test]
 fn a_change_of_members_that_the_new_one_missed_does_not_block_the_next_primary() {
     let mut world = with_unconnected_new_member(9);
     world.run(50 * MILLI);
-    // Both old members have accepted the change, the new one has nothing: the old ones restart.
+    // Both running old members have accepted the membership change and restart; the new member has accepted
+    // nothing.
     [1, 2].into_iter().for_each(|disk| world.kill(disk));
     [1, 2].into_iter().for_each(|disk| world.start(disk));
     world.partitions.heal();
-    let before = world.acknowledged.len();
+    let acknowledged_before = world.acknowledged.len();
     world.run(4 * SECOND);
-    assert!(world.acknowledged.len() > before, "the new member's promise was needed and not given");
+    assert!(
+        world.acknowledged.len() > acknowledged_before,
+        "no commit after the restart: the election waits for the promise of the new member"
+    );
 }
 
 #[test]
@@ -200,7 +204,7 @@
 
 #[test]
 fn a_seed_always_gives_the_same_run() {
-    let (one, other) = (run_with_random_faults(3, 1, 77), run_with_random_faults(3, 1, 77));
-    assert_eq!(one.acknowledged, other.acknowledged);
-    assert_eq!(one.reads_confirmed, other.reads_confirmed);
+    let (first, second) = (run_with_random_faults(3, 1, 77), run_with_random_faults(3, 1, 77));
+    assert_eq!(first.acknowledged, second.acknowledged);
+    assert_eq!(first.reads_confirmed, second.reads_confirmed);
 }
--- a/tier/replication/tests/cluster/world.rs
+++ b/tier/replication/tests/cluster/world.rs
@@ -1,5 +1,5 @@
-//! Clusters on virtual time. Clients add numbers to a set, which is the replicated value; an auditor checks that no
-//! acknowledged number is lost and that no confirmed read is stale.
+//! Simulated clusters on virtual time. Clients add numbers to a set, which is the replicated value; an auditor
+//! checks that no acknowledged number is lost and that no confirmed read is stale.
 
 mod clients;
 mod events;
@@ -20,19 +20,19 @@
 use quillmount_wire::messages::{DiskId, Register};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A node: its process and its disk.
+/// A simulated node: its process and its disk.
 pub struct Node {
     pub replica: RegisterReplica,
-    /// What is synced.
+    /// The synced register.
     disk: Register,
     pub process: Process,
-    /// Pending reads: what had been acknowledged when each began.
+    /// Pending reads, each with the numbers that were acknowledged when it started.
     reads: BTreeMap<ReadId, BTreeSet<u32>>,
-    /// What this node has committed as primary in its current epoch.
+    /// The set that this node last committed as primary in its current epoch.
     pub committed: Option<BTreeSet<u32>>,
 }
 
-/// The nodes, the network between them, and what clients were promised.
+/// The nodes, the network between them, and the numbers that were acknowledged to clients.
 pub struct World {
     timeline: Timeline<Event>,
     pub random: Random,
@@ -43,20 +43,19 @@
     last_number: u32,
     last_read: ReadId,
     tolerated_failures: usize,
-    /// Number of confirmed reads.
     pub reads_confirmed: usize,
-    /// Faults at single steps.
+    /// Faults to inject at single steps.
     pub faults: Vec<Fault>,
-    /// Messages between members that arrived so far.
+    /// Number of messages between members that have arrived.
     pub messages: usize,
-    /// Syncs that completed so far.
+    /// Number of syncs that have completed.
     pub syncs: usize,
-    /// What the members put out, for the digests.
+    /// Trace of the actions of the members, for the digests.
     pub counts: Counts,
 }
 
 impl World {
-    /// A cluster with an empty set, whose first member is the primary.
+    /// Creates a cluster with an empty set; its first member is the primary.
     pub fn new(members: u64, tolerated_failures: usize, seed: u64) -> World {
         let mut world = World {
             timeline: Timeline::new(SECOND),
@@ -113,8 +112,8 @@
                 }
                 RegisterAction::Persist { register, then } => {
                     let incarnation = self.nodes[&disk].process.incarnation();
-                    let at = self.now() + REGISTER_SYNC_DELAY.draw(&mut self.random);
-                    self.schedule(at, Event::Synced { node: disk, incarnation, register, then });
+                    let synced_at = self.now() + REGISTER_SYNC_DELAY.draw(&mut self.random);
+                    self.schedule(synced_at, Event::Synced { node: disk, incarnation, register, then });
                 }
                 RegisterAction::Committed { accepted } => {
                     self.on_committed(disk, decode(&accepted.value.payload));
@@ -129,7 +128,6 @@
         }
     }
 
-    /// Kills the process of a node.
     pub fn kill(&mut self, disk: DiskId) {
         let node = self.nodes.get_mut(&disk).unwrap();
         node.process.kill();
@@ -137,7 +135,7 @@
         node.reads.clear();
     }
 
-    /// Starts the process of a node from its disk.
+    /// Starts the process of a node from the register on its disk.
     pub fn start(&mut self, disk: DiskId) {
         let (now, tolerated_failures) = (self.now(), self.tolerated_failures);
         let node = self.nodes.get_mut(&disk).unwrap();
@@ -146,7 +144,7 @@
         node.process.start();
     }
 
-    /// The first node that serves as primary.
+    /// Returns the first node that serves as primary.
     pub fn primary(&self) -> Option<DiskId> {
         let serving = |(_, node): &(&DiskId, &Node)| node.process.is_up() && node.committed.is_some();
         self.nodes.iter().filter(serving).map(|(disk, _)| *disk).next()
--- a/tier/replication/tests/cluster/world/clients.rs
+++ b/tier/replication/tests/cluster/world/clients.rs
@@ -1,4 +1,5 @@
-//! Clients, who add numbers to the replicated set and read it, and the audit of what they were promised.
+//! Simulated clients, which add numbers to the replicated set and read it, and the audit of acknowledged numbers
+//! and confirmed reads.
 
 use super::World;
 use quillmount_replication::ReadId;
@@ -6,7 +7,7 @@
 use quillmount_wire::messages::DiskId;
 use std::collections::BTreeSet;
 
-/// How often clients send a request to each primary.
+/// Interval between two requests of clients to each primary.
 pub(super) const REQUEST_INTERVAL: Time = 20 * MILLI;
 
 /// Encodes a set as the payload of a value.
@@ -23,7 +24,7 @@
 }
 
 impl World {
-    /// Sends a request of a client: a change or a read at each node that serves as primary.
+    /// Sends a client request, a change or a read, to each node that serves as primary.
     pub(super) fn serve_clients(&mut self) {
         let now = self.now();
         let disks: Vec<DiskId> = self.nodes.keys().copied().collect();
@@ -49,24 +50,28 @@
         }
     }
 
-    /// Checks that a committed set has all that was acknowledged before. The last commit of a primary that was frozen may be
-    /// noticed late: then all of it is acknowledged already.
+    /// Checks that a committed set includes everything that was acknowledged before. A primary that was frozen may
+    /// notice its last commit late; then all of that set is already acknowledged.
     pub(super) fn on_committed(&mut self, disk: DiskId, numbers: BTreeSet<u32>) {
         assert!(
             self.acknowledged.is_subset(&numbers) || numbers.is_subset(&self.acknowledged),
-            "acknowledged and lost: {:?}",
+            "a committed set lacks acknowledged numbers: {:?}",
             self.acknowledged.difference(&numbers).collect::<Vec<_>>()
         );
         self.acknowledged.extend(&numbers);
         self.nodes.get_mut(&disk).unwrap().committed = Some(numbers);
     }
 
-    /// Checks that a confirmed read shows all that was acknowledged before it began.
+    /// Checks that a confirmed read returns everything that was acknowledged before it started.
     pub(super) fn on_read_confirmed(&mut self, disk: DiskId, read: ReadId) {
         let node = self.nodes.get_mut(&disk).unwrap();
-        let before = node.reads.remove(&read).expect("a pending read");
-        let shown = node.committed.clone().expect("a primary that reads has committed");
-        assert!(before.is_subset(&shown), "a confirmed read is older than what was acknowledged before it");
+        let acknowledged_before = node.reads.remove(&read).expect("the confirmed read is not pending");
+        let returned =
+            node.committed.clone().expect("a primary confirmed a read before it committed a value");
+        assert!(
+            acknowledged_before.is_subset(&returned),
+            "a confirmed read lacks numbers that were acknowledged before it started"
+        );
         self.reads_confirmed += 1;
     }
 }
--- a/tier/replication/tests/cluster/world/events.rs
+++ b/tier/replication/tests/cluster/world/events.rs
@@ -1,4 +1,4 @@
-//! Events of the cluster in the order of virtual time, and the periodic work of its nodes.
+//! Events of the simulation in the order of virtual time, and the periodic work of the nodes.
 
 use super::World;
 use super::clients::REQUEST_INTERVAL;
@@ -6,17 +6,26 @@
 use quillmount_test_support::simulation::{MILLI, Simulation, Time, Timeline};
 use quillmount_wire::messages::{DiskId, Register, RegisterMessage};
 
-/// How often a node's clock is advanced.
+/// Interval between two ticks of a node.
 const TICK_INTERVAL: Time = 25 * MILLI;
 
-/// What happens at a time.
+/// An event at a point of virtual time.
 pub enum Event {
-    /// A message arrives at a node.
-    Deliver { from: DiskId, to: DiskId, message: RegisterMessage },
-    /// A register is on the disk of a node, whose process performs what was to follow.
-    Synced { node: DiskId, incarnation: u64, register: Register, then: Vec<RegisterAction> },
-    /// The process of a node starts.
-    Start { node: DiskId },
+    Deliver {
+        from: DiskId,
+        to: DiskId,
+        message: RegisterMessage,
+    },
+    /// A register is synced to the disk of a node, whose process then performs the dependent actions.
+    Synced {
+        node: DiskId,
+        incarnation: u64,
+        register: Register,
+        then: Vec<RegisterAction>,
+    },
+    Start {
+        node: DiskId,
+    },
 }
 
 impl Simulation for World {
@@ -54,7 +63,7 @@
 }
 
 impl World {
-    /// Advances the clocks of all running nodes.
+    /// Ticks all running nodes.
     fn tick(&mut self) {
         let now = self.now();
         let disks: Vec<DiskId> = self.nodes.keys().copied().collect();
@@ -80,16 +89,16 @@
         if !node.process.is_up() {
             return;
         }
-        if let Some(at) = node.process.resumes_at(now) {
-            // What arrives at a frozen process waits for it.
-            self.schedule(at, Event::Deliver { from, to, message });
+        if let Some(resumes_at) = node.process.resumes_at(now) {
+            // A message to a frozen process is delivered when it resumes.
+            self.schedule(resumes_at, Event::Deliver { from, to, message });
             return;
         }
         let actions = node.replica.receive(from, message, now);
         self.perform(to, actions);
     }
 
-    /// Completes the sync of a register, unless its process was killed or a fault kills it now.
+    /// Completes the sync of a register, unless the process was killed or a fault kills it now.
     fn complete_sync(
         &mut self,
         disk: DiskId,
@@ -103,19 +112,19 @@
         }
         let sync = self.syncs;
         self.syncs += 1;
-        if let Some(down) = self.killed_before_sync(sync) {
-            return self.restart_later(disk, down);
+        if let Some(downtime) = self.killed_before_sync(sync) {
+            return self.restart_later(disk, downtime);
         }
         self.nodes.get_mut(&disk).unwrap().disk = register;
-        if let Some(down) = self.killed_after_sync(sync) {
-            return self.restart_later(disk, down);
+        if let Some(downtime) = self.killed_after_sync(sync) {
+            return self.restart_later(disk, downtime);
         }
         self.perform(disk, then);
     }
 
-    /// Kills a node, and restarts it after this time.
-    fn restart_later(&mut self, disk: DiskId, down: Time) {
+    /// Kills a node, and schedules its restart after `downtime`.
+    fn restart_later(&mut self, disk: DiskId, downtime: Time) {
         self.kill(disk);
-        self.schedule(self.now() + down, Event::Start { node: disk });
+        self.schedule(self.now() + downtime, Event::Start { node: disk });
     }
 }
--- a/tier/replication/tests/cluster/world/trace.rs
+++ b/tier/replication/tests/cluster/world/trace.rs
@@ -1,4 +1,4 @@
-//! The trace of what the members put out, for the digests of seeded runs. Labels and numbers are part of the digests.
+//! Trace of the actions of the members, for the digests of seeded runs. Labels and numbers are part of the digests.
 
 use super::World;
 use quillmount_replication::RegisterAction;
--- a/tier/replication/tests/group.rs
+++ b/tier/replication/tests/group.rs
@@ -1,20 +1,19 @@
-//! What the primary of a shard may commit, through changes of its view.
+//! Which batches the primary of a shard may commit, also across changes of its view.
 
 use quillmount_replication::ReplicaGroup;
 use quillmount_wire::messages::{DiskId, Epoch, ShardView};
 use std::collections::BTreeSet;
 
-/// A view whose primary is the first member.
+/// Returns a view in which member 1 is the primary.
 fn view(epoch: Epoch, in_sync: &[DiskId], joining: &[DiskId]) -> ShardView {
     ShardView { epoch, primary: 1, since: 1, in_sync: in_sync.to_vec(), joining: joining.to_vec() }
 }
 
-/// The disks as a set.
 fn disks(members: &[DiskId]) -> BTreeSet<DiskId> {
     members.iter().copied().collect()
 }
 
-/// A group of which these members have caught up.
+/// Returns a group in which these members have caught up.
 fn caught_up_group(view: ShardView, members: &[DiskId]) -> ReplicaGroup {
     let mut group = ReplicaGroup::new(view, 1);
     members.iter().for_each(|member| group.mark_caught_up(*member));
@@ -31,11 +30,11 @@
 }
 
 #[test]
-fn one_copy_alone_is_never_enough() {
+fn a_batch_is_not_committed_with_a_single_copy() {
     let mut group = caught_up_group(view(1, &[1], &[]), &[]);
     assert!(!group.is_ready());
     assert!(!group.commit(&disks(&[])));
-    // A joining member that has caught up is the second copy.
+    // A joining member that has caught up provides the second copy.
     group.follow(view(2, &[1], &[4]));
     group.mark_caught_up(4);
     assert!(group.is_ready());
@@ -45,8 +44,8 @@
 #[test]
 fn a_joining_member_delays_nothing_until_it_is_reported() {
     let mut group = caught_up_group(view(1, &[1, 2], &[4]), &[2, 4]);
-    assert!(group.commit(&disks(&[2])), "it was not reported as caught up");
-    assert!(!group.is_caught_up(4), "it has missed a batch");
+    assert!(group.commit(&disks(&[2])), "a joining member that is not reported delays the commit");
+    assert!(!group.is_caught_up(4), "a member that missed a batch counts as caught up");
     assert_eq!(group.report(0), None);
 }
 
@@ -56,7 +55,7 @@
     assert_eq!(group.report(0).unwrap().caught_up, [4]);
     assert!(!group.commit(&disks(&[2])));
     group.mark_unresponsive(4);
-    assert!(!group.commit(&disks(&[2])), "the core may have made it the primary");
+    assert!(!group.commit(&disks(&[2])), "committed without a member that the core may have made primary");
     assert!(group.commit(&disks(&[2, 4])));
 }
 
