--- a/tier/batch/tests/cluster/exploration.rs
+++ b/tier/batch/tests/cluster/exploration.rs
@@ -6,7 +6,7 @@
 use quillmount_test_support::simulation::{MILLI, SECOND, Simulation};
 
 /// Creates a world with client load that is the same in every run.
-fn world_under_load(stores: u32) -> World {
+fn loaded_world(stores: u32) -> World {
     let mut world = World::new(stores, 1, 5);
     world.run(2 * SECOND);
     assert!(world.is_healed());
@@ -23,9 +23,9 @@
 /// All stores lose power at each millisecond of a span under load: their logs have every committed operation, and
 /// any part of the uncommitted ones.
 #[test]
-fn a_power_loss_at_every_moment_under_load() {
+fn a_power_loss_at_every_moment_of_a_loaded_span() {
     for moment in 0..200 {
-        let mut world = world_under_load(3);
+        let mut world = loaded_world(3);
         world.run(moment * MILLI);
         power_off_all(&mut world, 300 * MILLI);
         recover_and_read_back(&mut world);
@@ -38,7 +38,7 @@
 fn a_second_loss_at_every_moment_of_a_repair() {
     for moment in 0..120 {
         for victim_index in 0..3 {
-            let mut world = world_under_load(4);
+            let mut world = loaded_world(4);
             let primary = world.primary().unwrap();
             wipe(&mut world, primary);
             world.run(moment * 20 * MILLI);
@@ -57,7 +57,7 @@
 #[test]
 fn a_restart_within_the_lease_at_every_moment() {
     for moment in 0..100 {
-        let mut world = world_under_load(3);
+        let mut world = loaded_world(3);
         world.run(moment * 2 * MILLI);
         let primary = world.primary().unwrap();
         world.kill(primary, true);
