--- a/tier/dataplane/src/batch_share/mod.rs
+++ b/tier/dataplane/src/batch_share/mod.rs
@@ -1,6 +1,6 @@
-//! How much of the endpoints batch work may use.
+//! Limits on the endpoint slots that batch work may occupy.
 //!
-//! [`batch_fraction`] computes what live requests leave, [`BatchCapacity`] follows that fraction over time, and
+//! [`batch_fraction`] computes the fraction that live requests leave, [`BatchCapacity`] limits its growth, and
 //! [`BatchShare`] divides it among the processes that send batch items.
 
 mod capacity;
--- a/tier/dataplane/src/body.rs
+++ b/tier/dataplane/src/body.rs
@@ -1,34 +1,34 @@
-//! Bodies of HTTP/1.1 messages: with a length, chunked, or until the connection closes (RFC 9112, sections 6 and 7).
+//! Bodies of HTTP/1.1 messages: of a stated length, chunked, or close-delimited (RFC 9112, sections 6 and 7).
 //!
 //! The caller passes received bytes to a [`BodyReader`] until [`BodyReader::is_done`].
 
 use crate::head::Framing;
 
-const LINE_BREAK: &[u8] = b"\r\n";
-/// Longest line with a chunk size, or of a trailer, bytes.
-const LINE_LIMIT: usize = 1024;
-/// Most digits of a chunk size: a size of 15 hexadecimal digits always fits in 64 bits.
-const CHUNK_SIZE_DIGITS: usize = 15;
+const CRLF: &[u8] = b"\r\n";
+/// Longest chunk size line or trailer line, bytes.
+const MAX_LINE_BYTES: usize = 1024;
+/// Maximum number of digits of a chunk size: 15 hexadecimal digits always fit in 64 bits.
+const MAX_CHUNK_SIZE_DIGITS: usize = 15;
 
 /// The end of a chunked body without trailers.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// The chunks of a body are malformed.
+/// A chunk size line, a chunk end or a trailer of a body is malformed (RFC 9112, section 7.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the chunks of a body can't be read")]
+#[error("failed to parse a chunked message body: malformed chunk size, chunk end or trailer")]
 pub struct BodyError;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BodyState {
-    /// Bytes left of a body with a length.
+    /// Remaining bytes of a body with a length.
     Length(u64),
-    /// Before the line with the size of a chunk.
+    /// Before a chunk size line.
     ChunkSize,
-    /// Bytes left of a chunk.
+    /// Remaining bytes of a chunk.
     Chunk(u64),
-    /// Before the line break behind a chunk.
+    /// Before the line break that ends a chunk.
     ChunkEnd,
-    /// Behind the last chunk, before a trailer line or the empty line that ends the body.
+    /// After the last chunk, before a trailer line or the empty line that ends the body.
     Trailer,
     UntilClose,
     Done,
@@ -41,7 +41,7 @@
 }
 
 impl BodyReader {
-    /// A reader at the start of a body.
+    /// A reader at the start of a body with this framing.
     pub fn new(framing: Framing) -> BodyReader {
         let state = match framing {
             Framing::Empty => BodyState::Done,
@@ -57,25 +57,31 @@
         self.state == BodyState::Done
     }
 
-    /// Whether the body ends where the connection closes.
-    pub fn ends_with_connection(&self) -> bool {
+    /// Whether the body is delimited by the close of the connection.
+    pub fn is_close_delimited(&self) -> bool {
         self.state == BodyState::UntilClose
     }
 
-    /// Removes the bytes of this body from the front of `input`, and appends its content to `output`.
+    /// Removes the bytes of this body from the front of `input` and appends the decoded content to `output`. Bytes after the end
+    /// of the body stay in `input`.
     ///
     /// # Errors
-    /// The framing is malformed.
+    /// A chunk size line, a chunk end or a trailer is malformed or too long.
     pub fn read(&mut self, input: &mut Vec<u8>, output: &mut Vec<u8>) -> Result<(), BodyError> {
-        let mut consumed = 0;
-        let result = self.advance(input, &mut consumed, output);
-        input.drain(..consumed);
+        let mut read_bytes = 0;
+        let result = self.decode(input, &mut read_bytes, output);
+        input.drain(..read_bytes);
         result
     }
 
-    fn advance(&mut self, input: &[u8], consumed: &mut usize, output: &mut Vec<u8>) -> Result<(), BodyError> {
+    fn decode(
+        &mut self,
+        input: &[u8],
+        read_bytes: &mut usize,
+        output: &mut Vec<u8>,
+    ) -> Result<(), BodyError> {
         loop {
-            let rest = &input[*consumed..];
+            let rest = &input[*read_bytes..];
             match self.state {
                 BodyState::Done => return Ok(()),
                 BodyState::Length(0) => self.state = BodyState::Done,
@@ -83,23 +89,23 @@
                 _ if rest.is_empty() => return Ok(()),
                 BodyState::UntilClose => {
                     output.extend_from_slice(rest);
-                    *consumed += rest.len();
+                    *read_bytes += rest.len();
                 }
-                BodyState::Length(left) => {
-                    let content = first_bytes(rest, left);
+                BodyState::Length(remaining) => {
+                    let content = first_bytes(rest, remaining);
                     output.extend_from_slice(content);
-                    *consumed += content.len();
-                    self.state = BodyState::Length(left - content.len() as u64);
+                    *read_bytes += content.len();
+                    self.state = BodyState::Length(remaining - content.len() as u64);
                 }
-                BodyState::Chunk(left) => {
-                    let content = first_bytes(rest, left);
+                BodyState::Chunk(remaining) => {
+                    let content = first_bytes(rest, remaining);
                     output.extend_from_slice(content);
-                    *consumed += content.len();
-                    self.state = BodyState::Chunk(left - content.len() as u64);
+                    *read_bytes += content.len();
+                    self.state = BodyState::Chunk(remaining - content.len() as u64);
                 }
                 BodyState::ChunkSize | BodyState::ChunkEnd | BodyState::Trailer => {
                     let Some(line) = next_line(rest)? else { return Ok(()) };
-                    *consumed += line.len() + LINE_BREAK.len();
+                    *read_bytes += line.len() + CRLF.len();
                     self.state = state_after_line(self.state, line)?;
                 }
             }
@@ -107,17 +113,17 @@
     }
 }
 
-/// At most `limit` bytes from the front.
+/// The first `limit` bytes, or all if there are fewer.
 fn first_bytes(bytes: &[u8], limit: u64) -> &[u8] {
     let length = (bytes.len() as u64).min(limit) as usize;
     &bytes[..length]
 }
 
-/// The next line without its line break, `None` if it is incomplete.
+/// Returns the next line without its line break, `None` if it is incomplete.
 fn next_line(rest: &[u8]) -> Result<Option<&[u8]>, BodyError> {
-    match rest.windows(2).take(LINE_LIMIT).position(|pair| pair == LINE_BREAK) {
+    match rest.windows(2).take(MAX_LINE_BYTES).position(|pair| pair == CRLF) {
         Some(end) => Ok(Some(&rest[..end])),
-        None if rest.len() > LINE_LIMIT => Err(BodyError),
+        None if rest.len() > MAX_LINE_BYTES => Err(BodyError),
         None => Ok(None),
     }
 }
@@ -134,22 +140,22 @@
     }
 }
 
-/// Parses the line before a chunk; extensions behind a semicolon are ignored.
+/// Parses a chunk size line; chunk extensions after a semicolon are ignored.
 fn parse_chunk_size(line: &[u8]) -> Result<u64, BodyError> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
     let digits = std::str::from_utf8(digits).map_err(|_| BodyError)?.trim();
     let valid = !digits.is_empty()
-        && digits.len() <= CHUNK_SIZE_DIGITS
+        && digits.len() <= MAX_CHUNK_SIZE_DIGITS
         && digits.bytes().all(|byte| byte.is_ascii_hexdigit());
     u64::from_str_radix(digits, 16).ok().filter(|_| valid).ok_or(BodyError)
 }
 
-/// Appends bytes to `output` as one chunk. No bytes make no chunk, as an empty one would end the body.
+/// Appends `bytes` to `output` as one chunk. Empty input writes nothing, because an empty chunk ends the body.
 pub fn write_chunk(bytes: &[u8], output: &mut Vec<u8>) {
     if bytes.is_empty() {
         return;
     }
     output.extend_from_slice(format!("{:x}\r\n", bytes.len()).as_bytes());
     output.extend_from_slice(bytes);
-    output.extend_from_slice(LINE_BREAK);
+    output.extend_from_slice(CRLF);
 }
--- a/tier/dataplane/src/breaks.rs
+++ b/tier/dataplane/src/breaks.rs
@@ -1,12 +1,12 @@
-//! Deliberate faults in the code of the data plane, for the proof that the tests detect them; no release build has them.
+//! Deliberate faults in the data plane that tests enable to prove that they detect them. Release builds contain none.
 
 quillmount_breaks::breaks! {
     for each thread:
-    /// A fault that can be switched on.
+    /// A fault that a test can enable.
     pub enum Break {
-        /// A newer configuration counts as in force, and requests go by the routes of the one before.
+        /// A newer configuration is reported as in force, but requests are routed by the previous one.
         RoutesOutdated,
-        /// An endpoint that drains gets requests as any other.
+        /// A draining endpoint still receives new requests.
         DrainingEndpointOpen,
     }
 }
--- a/tier/dataplane/src/dispatch/dispatcher.rs
+++ b/tier/dataplane/src/dispatch/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The endpoints of all services, and the choice among them.
+//! Endpoint selection over the endpoints of all services.
 
 use super::endpoint_state::EndpointState;
 use super::outcome::CallOutcome;
@@ -11,23 +11,23 @@
 use quillmount_wire::messages::Endpoint;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Delay that each call in flight at an endpoint is expected to add to the first event of the next call, milliseconds.
+/// Expected delay of the first event of a call for each other call in flight at the endpoint, milliseconds.
 const CALL_COST_MS: f64 = 2.0;
 /// Extra cost of an endpoint in another zone, milliseconds.
 const REMOTE_ZONE_COST_MS: f64 = 1.5;
-/// Fraction of a shared prefix that is assumed to be cached at its preferred endpoint, to which all processes send it first.
+/// Fraction of a shared prefix that is assumed to be cached at its preferred endpoint, because all processes prefer the same one.
 const PREFERRED_CACHE_FRACTION: f64 = 0.8;
-/// Largest random part of a cost, milliseconds.
+/// Upper bound of the random part of a cost, milliseconds.
 const JITTER_MS: f64 = 2.0;
-/// Number of different random parts.
+/// Number of distinct values of the random part.
 const JITTER_STEPS: u64 = 1000;
 
-/// What one process may use of each endpoint of a service.
+/// The resources of each endpoint of a service that one process may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServiceShare {
-    /// Connections.
+    /// Maximum number of connections to the endpoint.
     pub slots: u32,
-    /// Memory for cached prompt segments, tokens.
+    /// Endpoint memory for cached prompt segments, tokens.
     pub cache_tokens: u64,
 }
 
@@ -38,46 +38,46 @@
     }
 }
 
-/// Endpoints of a service as this process sees them.
+/// Counts of endpoints and calls of a service from the view of this process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndpointCounts {
-    /// Endpoints that take calls.
+    /// Endpoints that accept new calls: listed and not draining.
     pub open: u32,
-    /// Of these, endpoints that get no calls for a while after failures.
+    /// Open endpoints that are in backoff after failures.
     pub in_backoff: u32,
-    /// Calls in flight.
+    /// Calls of this process in flight.
     pub in_flight: u32,
 }
 
-/// A slot at an endpoint, reserved for one call until [`Dispatcher::finish`].
+/// A slot at an endpoint that is reserved for one call until [`Dispatcher::finish`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reservation {
     /// Id of the endpoint.
     pub id: String,
     /// Address of the endpoint, host and port.
     pub address: String,
-    /// Prompt tokens that the endpoint probably does not have cached.
+    /// Estimated prompt tokens that the endpoint does not have cached.
     pub uncached_tokens: f64,
 }
 
-/// Why no endpoint was reserved.
+/// The reason why no endpoint was reserved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReserveError {
-    /// The service has no open endpoint that was not tried.
-    #[error("the service has no other endpoint")]
+    /// The service has no open endpoint except those already tried.
+    #[error("failed to reserve an endpoint: the service has no open endpoint that was not tried")]
     NoEndpoint,
-    /// Each endpoint is at its limit of calls or in backoff.
-    #[error("all endpoints of the service are busy")]
+    /// Each remaining endpoint is at its concurrency limit or in backoff.
+    #[error("failed to reserve an endpoint: all are at their concurrency limit or in backoff; retry later")]
     Busy,
 }
 
-/// The endpoints of all services with their load, as one process sees them.
+/// The endpoints of all services with their load, from the view of one process.
 #[derive(Debug, Default)]
 pub struct Dispatcher {
-    /// Differs between processes, so that they choose differently among equal endpoints.
+    /// Seed that differs between processes, so that they choose different endpoints among those of equal cost.
     seed: u64,
     /// Number of calls to [`Dispatcher::reserve`].
-    choices: u64,
+    reserve_calls: u64,
     zone: String,
     parameters: Parameters,
     endpoints: BTreeMap<String, EndpointState>,
@@ -92,16 +92,16 @@
         Dispatcher { seed, zone: zone.to_owned(), parameters, ..Dispatcher::default() }
     }
 
-    /// Replaces the endpoint list and the shares of the services. The state of endpoints that stay is kept, and that of removed
-    /// ones until their last call has ended.
-    pub fn update(&mut self, list: &[Endpoint], shares: HashMap<String, ServiceShare>) {
+    /// Replaces the endpoint list and the shares of the services. Endpoints in both the old and the new list keep their state;
+    /// the state of a removed endpoint is dropped once its last call has ended.
+    pub fn update(&mut self, listed_endpoints: &[Endpoint], shares: HashMap<String, ServiceShare>) {
         self.shares = shares;
-        let listed: HashSet<&str> = list.iter().map(|endpoint| endpoint.id.as_str()).collect();
+        let listed: HashSet<&str> = listed_endpoints.iter().map(|endpoint| endpoint.id.as_str()).collect();
         self.endpoints.retain(|id, state| listed.contains(id.as_str()) || state.in_flight > 0);
         for state in self.endpoints.values_mut() {
             state.listed = listed.contains(state.endpoint.id.as_str());
         }
-        for endpoint in list {
+        for endpoint in listed_endpoints {
             self.insert_or_update(endpoint);
         }
         self.index_open_endpoints();
@@ -112,13 +112,13 @@
         self.endpoints.get(id).is_some_and(EndpointState::is_open)
     }
 
-    /// Reserves a slot at the endpoint of a service with the lowest expected time to the first event.
+    /// Reserves a slot at the endpoint of the service that has the lowest expected time to the first event.
     ///
-    /// Endpoints in `tried` are left out. A batch item passes its sender's share, which it must fit in as well as in the
-    /// endpoint's window.
+    /// Endpoints in `tried` are excluded. For a batch item, `batch` is its sender's share, which limits the calls in flight in
+    /// addition to the endpoint's window.
     ///
     /// # Errors
-    /// No endpoint can take the call now; the error says why.
+    /// [`ReserveError`]: no endpoint can accept the call now.
     pub fn reserve(
         &mut self,
         service: &str,
@@ -127,14 +127,14 @@
         tried: &[String],
         now: Micros,
     ) -> Result<Reservation, ReserveError> {
-        self.choices += 1;
+        self.reserve_calls += 1;
         let candidates = self.candidates(service, tried)?;
         let preferred = preferred_endpoint(&candidates, profile);
         let best = candidates
             .iter()
             .filter(|state| state.has_capacity(now, batch))
             .map(|state| (self.cost(state, profile, preferred), state))
-            .min_by(|(one, _), (other, _)| one.total_cmp(other))
+            .min_by(|(first, _), (second, _)| first.total_cmp(second))
             .map(|(_, state)| (state.endpoint.id.clone(), state.uncached_tokens(profile)));
         let (id, uncached_tokens) = best.ok_or(ReserveError::Busy)?;
 
@@ -143,14 +143,14 @@
         Ok(Reservation { id, address: state.endpoint.address.clone(), uncached_tokens })
     }
 
-    /// Records the first event of a call: its prompt is processed.
+    /// Records the first event of a call: the endpoint has processed the prompt.
     pub fn first_event(&mut self, reservation: &Reservation) {
         if let Some(state) = self.endpoints.get_mut(&reservation.id) {
             state.prefill_done(reservation.uncached_tokens);
         }
     }
 
-    /// Ends a call and releases its slot. `has_first_event`: [`Dispatcher::first_event`] was called for it.
+    /// Ends a call and releases its slot. `has_first_event` says whether [`Dispatcher::first_event`] was called for it.
     pub fn finish(
         &mut self,
         reservation: &Reservation,
@@ -171,14 +171,14 @@
         state.finish(outcome, reservation.uncached_tokens, slots, now);
     }
 
-    /// Slots of all open endpoints of a service.
+    /// Total number of slots of all open endpoints of a service.
     pub fn capacity(&self, service: &str) -> u32 {
         let ids = self.by_service.get(service).into_iter().flatten();
         let open = ids.filter_map(|id| self.endpoints.get(id));
         open.map(|state| state.endpoint.capacity).fold(0, u32::saturating_add)
     }
 
-    /// Endpoints and calls by service.
+    /// Counts of endpoints and of calls in flight for each service.
     pub fn endpoint_counts(&self, now: Micros) -> HashMap<String, EndpointCounts> {
         let mut by_service: HashMap<String, EndpointCounts> = HashMap::new();
         for state in self.endpoints.values() {
@@ -190,7 +190,7 @@
         by_service
     }
 
-    /// Calls of this process in flight, by service.
+    /// Number of calls of this process in flight for each service.
     pub fn in_flight(&self) -> HashMap<String, u32> {
         let mut by_service = HashMap::new();
         for state in self.endpoints.values() {
@@ -220,7 +220,7 @@
         }
     }
 
-    /// The open endpoints of a service that were not tried; there is at least one.
+    /// Returns the open endpoints of a service that are not in `tried`, at least one.
     fn candidates(&self, service: &str, tried: &[String]) -> Result<Vec<&EndpointState>, ReserveError> {
         let ids = self.by_service.get(service).ok_or(ReserveError::NoEndpoint)?;
         let untried = ids.iter().filter(|id| !tried.contains(id));
@@ -228,13 +228,13 @@
         if candidates.is_empty() { Err(ReserveError::NoEndpoint) } else { Ok(candidates) }
     }
 
-    /// Expected time to the first event at an endpoint, milliseconds, with a random part that spreads the load.
+    /// Expected time to the first event at an endpoint, milliseconds, plus a random part that spreads the load.
     fn cost(&self, state: &EndpointState, profile: &RequestProfile, preferred: Option<&str>) -> f64 {
         let mut tokens = state.uncached_tokens(profile);
         if preferred == Some(state.endpoint.id.as_str()) {
-            // Other processes send requests with this prefix there too.
-            let shared: f64 = profile.shared().iter().map(|segment| f64::from(segment.tokens)).sum();
-            tokens = tokens.min(f64::from(profile.tokens()) - shared * PREFERRED_CACHE_FRACTION);
+            // Requests of other processes with this prefix also fill the cache of this endpoint.
+            let shared: f64 = profile.shared_segments().iter().map(|segment| f64::from(segment.tokens)).sum();
+            tokens = tokens.min(f64::from(profile.total_prompt_tokens()) - shared * PREFERRED_CACHE_FRACTION);
         }
         let prefill = (state.pending_prefill_tokens + tokens) / PREFILL_TOKENS_PER_MS;
         let zone = if state.endpoint.zone == self.zone { 0.0 } else { REMOTE_ZONE_COST_MS };
@@ -243,16 +243,16 @@
         prefill + zone + load + warm_up + self.jitter(&state.endpoint.id)
     }
 
-    /// The random part of the cost of an endpoint for the current choice, milliseconds.
+    /// The random part of an endpoint's cost in the current call of [`Dispatcher::reserve`], milliseconds.
     fn jitter(&self, endpoint: &str) -> f64 {
-        let step = rendezvous::weight(self.seed.wrapping_add(self.choices), endpoint) % JITTER_STEPS;
+        let step = rendezvous::weight(self.seed.wrapping_add(self.reserve_calls), endpoint) % JITTER_STEPS;
         step as f64 / JITTER_STEPS as f64 * JITTER_MS
     }
 }
 
-/// The endpoint to which all processes send requests that share this request's prefix, if it has a shared prefix.
+/// The endpoint that all processes prefer for requests with this request's shared prefix; `None` if it has none.
 fn preferred_endpoint<'a>(candidates: &[&'a EndpointState], profile: &RequestProfile) -> Option<&'a str> {
-    let segment = profile.affinity()?;
+    let segment = profile.affinity_segment()?;
     candidates
         .iter()
         .max_by_key(|state| rendezvous::weight(segment, &state.endpoint.id))
--- a/tier/dataplane/src/dispatch/endpoint_state.rs
+++ b/tier/dataplane/src/dispatch/endpoint_state.rs
@@ -1,4 +1,4 @@
-//! What one process knows of one endpoint: its window, calls in flight, cached prompts, and the backoff after failures.
+//! State of one endpoint in one process: its window, calls in flight, cached prompts, and the backoff after failures.
 
 use super::outcome::CallOutcome;
 use crate::batch_share::BatchShare;
@@ -10,33 +10,33 @@
 use quillmount_wire::Micros;
 use quillmount_wire::messages::Endpoint;
 
-/// First and longest backoff after consecutive failures, microseconds.
+/// Shortest and longest backoff after consecutive failures, microseconds.
 const INITIAL_BACKOFF: Micros = 200_000;
 const MAX_BACKOFF: Micros = 3_200_000;
-/// The backoff is doubled at most this many times.
+/// Maximum number of times that the backoff is doubled.
 const MAX_DOUBLINGS: u32 = 4;
-/// Consecutive errors after which the backoff starts; a lost connection or a timeout starts it at once.
-const MAX_CONSECUTIVE_ERRORS: u32 = 3;
+/// Number of consecutive errors that starts the backoff; a lost connection or a timeout starts it immediately.
+const ERRORS_BEFORE_BACKOFF: u32 = 3;
 
-/// State of one endpoint as this process sees it.
+/// State of one endpoint from the view of this process.
 #[derive(Clone, Debug)]
 pub(super) struct EndpointState {
     pub(super) endpoint: Endpoint,
-    /// Whether the newest endpoint list contains it.
+    /// Whether the newest endpoint list contains this endpoint.
     pub(super) listed: bool,
     pub(super) in_flight: u32,
-    /// Prompt tokens of calls in flight whose first event has not arrived.
+    /// Uncached prompt tokens of calls in flight whose first event has not arrived.
     pub(super) pending_prefill_tokens: f64,
     pub(super) cache: PrefixCache,
     window: Window,
-    /// Consecutive failures.
-    failures: u32,
+    /// Number of consecutive failures; sets the length of the backoff.
+    consecutive_failures: u32,
     backoff_until: Micros,
 }
 
 impl EndpointState {
-    /// State of an endpoint that the list contains for the first time. `slots` is the number of connections and `cache_tokens`
-    /// the prompt memory that this process may use there.
+    /// Initial state of an endpoint that appears in the list. `slots` is the number of connections, and `cache_tokens` the
+    /// prompt memory, that this process may use at the endpoint.
     pub(super) fn new(
         endpoint: Endpoint,
         parameters: Parameters,
@@ -50,38 +50,38 @@
             pending_prefill_tokens: 0.0,
             cache: PrefixCache::new(cache_tokens),
             window: Window::new(parameters, slots),
-            failures: 0,
+            consecutive_failures: 0,
             backoff_until: 0,
         }
     }
 
-    /// Whether new calls may be sent to it.
+    /// Whether new calls may be sent to this endpoint.
     pub(super) fn is_open(&self) -> bool {
         self.listed && (!self.endpoint.draining || breaks::is_enabled(Break::DrainingEndpointOpen))
     }
 
-    /// Whether another call fits now; a batch item must fit in its sender's share as well as in the window.
+    /// Whether another call can start now. A batch item must fit in its sender's share as well as in the window.
     pub(super) fn has_capacity(&self, now: Micros, batch: Option<&BatchShare>) -> bool {
         let window = self.window.size();
         let limit = batch.map_or(window, |batch| window.min(batch.max_in_flight(&self.endpoint)));
         let prefill_fits =
-            batch.is_none_or(|batch| self.pending_prefill_tokens < batch.pending_prefill_tokens());
+            batch.is_none_or(|batch| self.pending_prefill_tokens < batch.max_pending_prefill_tokens());
         self.in_flight < limit && prefill_fits && !self.is_in_backoff(now)
     }
 
-    /// Whether it gets no calls for a while after failures.
+    /// Whether new calls are suspended after failures.
     pub(super) fn is_in_backoff(&self, now: Micros) -> bool {
         now < self.backoff_until
     }
 
-    /// Prompt tokens that the endpoint has to process for a request.
+    /// Estimated prompt tokens that the endpoint has to process for a request.
     pub(super) fn uncached_tokens(&self, profile: &RequestProfile) -> f64 {
-        f64::from(profile.tokens().saturating_sub(self.cache.cached_tokens(&profile.segments)))
+        f64::from(profile.total_prompt_tokens().saturating_sub(self.cache.cached_tokens(&profile.segments)))
     }
 
-    /// Replaces the listed properties of the endpoint and the prompt memory that this process may use there.
+    /// Replaces the listed properties of the endpoint and the prompt memory that this process may use at it.
     pub(super) fn update(&mut self, listed: &Endpoint, cache_tokens: u64) {
-        // A draining endpoint never returns under the same id, even if an older list arrives later.
+        // A draining endpoint never becomes open again under the same id, even if an older list arrives later.
         let draining = self.endpoint.draining || listed.draining;
         self.endpoint = Endpoint { draining, ..listed.clone() };
         self.cache.resize(cache_tokens);
@@ -94,41 +94,42 @@
         self.cache.record(&profile.segments);
     }
 
-    /// Records that a call with so many uncached prompt tokens is past its prefill.
+    /// Records that the endpoint has processed the prompt of a call with this number of uncached tokens.
     pub(super) fn prefill_done(&mut self, uncached_tokens: f64) {
         self.pending_prefill_tokens = (self.pending_prefill_tokens - uncached_tokens).max(0.0);
     }
 
-    /// Records the end of a call that had so many uncached prompt tokens.
+    /// Records the end of a call that had this number of uncached prompt tokens.
     pub(super) fn finish(&mut self, outcome: CallOutcome, uncached_tokens: f64, slots: u32, now: Micros) {
         self.in_flight = self.in_flight.saturating_sub(1);
         match outcome {
             CallOutcome::FirstEvent(latency) => {
-                self.failures = 0;
+                self.consecutive_failures = 0;
                 self.window.sample(now, normalized_latency(latency, uncached_tokens), slots);
             }
-            CallOutcome::TimedOut(waited) => {
-                self.window.sample(now, waited as f64, slots);
+            CallOutcome::TimedOut(silent_time) => {
+                self.window.sample(now, silent_time as f64, slots);
                 self.back_off(now);
             }
             CallOutcome::Refused => self.window.refused(slots),
             CallOutcome::Replaced => self.endpoint.draining = true,
             CallOutcome::Lost => self.back_off(now),
             CallOutcome::Error => {
-                self.failures += 1;
-                if self.failures >= MAX_CONSECUTIVE_ERRORS {
+                self.consecutive_failures += 1;
+                if self.consecutive_failures >= ERRORS_BEFORE_BACKOFF {
                     self.back_off(now);
                 }
             }
-            CallOutcome::Resumed => self.failures = 0,
+            CallOutcome::Resumed => self.consecutive_failures = 0,
             CallOutcome::Abandoned => {}
         }
     }
 
-    /// Stops new calls for a time that doubles with each failure. The endpoint may have restarted with an empty cache.
+    /// Suspends new calls for a time that doubles with each failure. Clears the cache estimate, because the endpoint may have
+    /// restarted with an empty cache.
     fn back_off(&mut self, now: Micros) {
-        self.failures += 1;
-        let backoff = INITIAL_BACKOFF << self.failures.saturating_sub(1).min(MAX_DOUBLINGS);
+        self.consecutive_failures += 1;
+        let backoff = INITIAL_BACKOFF << self.consecutive_failures.saturating_sub(1).min(MAX_DOUBLINGS);
         self.backoff_until = now + backoff.min(MAX_BACKOFF);
         self.cache.clear();
     }
--- a/tier/dataplane/src/dispatch/outcome.rs
+++ b/tier/dataplane/src/dispatch/outcome.rs
@@ -1,46 +1,46 @@
-//! How a call at an endpoint ended.
+//! Outcomes of calls to endpoints.
 
 use crate::head::{MISDIRECTED_REQUEST, ResponseHead};
 use quillmount_wire::Micros;
 
-/// How a call ended, for the window and the backoff of its endpoint.
+/// The outcome of a call, which adjusts the concurrency window and the backoff of its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CallOutcome {
-    /// It succeeded; the time to its first event, microseconds.
+    /// The call succeeded; the value is the time to its first event, microseconds.
     FirstEvent(Micros),
-    /// The endpoint sent nothing for this time, microseconds.
+    /// The call timed out after the endpoint sent nothing for this time, microseconds.
     TimedOut(Micros),
-    /// The endpoint rejected it because it is full; the request has not run.
+    /// The endpoint rejected the call because it is at capacity; the request was not executed.
     Refused,
-    /// Another endpoint answered at the address: this endpoint is gone for good.
+    /// A different endpoint answered at the address: the endpoint of the call no longer exists.
     Replaced,
     /// The endpoint could not be reached, or the connection broke.
     Lost,
-    /// The endpoint answered with an error of its own.
+    /// The endpoint answered with a server error.
     Error,
-    /// It continued a stream that another call began. Its first event comes after those that the endpoint skips, so its latency
-    /// says nothing about the load.
+    /// The call succeeded in continuing a stream that an earlier call began. The endpoint skips the events already delivered
+    /// before it sends the first one, so the latency is no measure of its load.
     Resumed,
-    /// The caller ended it; this says nothing about the endpoint.
+    /// The caller ended the call; the outcome does not affect the endpoint's state.
     Abandoned,
 }
 
 impl CallOutcome {
-    /// The outcome of a call whose answer promises that the request has not run; `None` for any other answer.
+    /// The outcome of a call whose response guarantees that the request was not executed; `None` for any other response.
     #[must_use]
-    pub fn of_rejection(head: &ResponseHead) -> Option<CallOutcome> {
+    pub fn from_rejection(head: &ResponseHead) -> Option<CallOutcome> {
         if head.status == MISDIRECTED_REQUEST {
             return Some(CallOutcome::Replaced);
         }
-        head.promises_not_run().then_some(CallOutcome::Refused)
+        head.guarantees_not_run().then_some(CallOutcome::Refused)
     }
 
-    /// The outcome of a call whose events were read to the end of the stream, or until the caller ended it.
+    /// The outcome of a call whose stream was read without error, to its end or until the caller ended the call.
     ///
     /// `first_event` is the time to the first event, `None` if there was none; `resumed` says whether the call continued a stream
-    /// that another one began.
+    /// that an earlier call began.
     #[must_use]
-    pub fn without_fault(first_event: Option<Micros>, resumed: bool) -> CallOutcome {
+    pub fn from_stream_end(first_event: Option<Micros>, resumed: bool) -> CallOutcome {
         match first_event {
             Some(_) if resumed => CallOutcome::Resumed,
             Some(latency) => CallOutcome::FirstEvent(latency),
--- a/tier/dataplane/src/event_sequence.rs
+++ b/tier/dataplane/src/event_sequence.rs
@@ -1,37 +1,39 @@
-//! The events of one stream in their order, of which different endpoints may send different parts.
+//! Order of the events of one stream, parts of which different endpoints may send.
 
 use crate::events::{EventReader, EventTooLong, SseEvent};
 
-/// Whether each event needs an `id`.
+/// Whether each event must have an `id`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventIds {
-    /// An event without one is taken as it comes.
+    /// An event without `id` is accepted at any position.
     Optional,
-    /// An event without one can't be placed: it is a fault.
+    /// An event without `id` is an error, because its position in the stream is unknown.
     Required,
 }
 
-/// Why the events of an endpoint can't be read further.
+/// The reason why no more events of an endpoint can be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SequenceError {
-    /// An event is too long.
+    /// An event is larger than [`MAX_EVENT_BYTES`](crate::events::MAX_EVENT_BYTES).
     #[error(transparent)]
     TooLong(#[from] EventTooLong),
-    /// An event does not follow the last one, and so belongs to another run of the request.
-    #[error("an event is out of sequence")]
+    /// The id of an event is not the successor of the previous one, so the event belongs to another execution of the request.
+    #[error(
+        "failed to continue the event stream: an event id is missing or does not follow the previous one"
+    )]
     OutOfSequence,
 }
 
-/// What the bytes received so far contain.
+/// The events found in newly received bytes, and the error after them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReceivedEvents {
-    /// Complete events that follow one another and the last one before them. They count whether or not a fault comes behind.
+    /// Complete events in sequence, continuing the previously returned ones. They are valid even if `fault` is set.
     pub events: Vec<SseEvent>,
-    /// What is wrong behind them; the endpoint's further bytes are of no use then.
+    /// The error after these events; the caller discards all further bytes of the endpoint.
     pub fault: Option<SequenceError>,
 }
 
-/// Reads the part of a stream that one endpoint sends, and checks that each event follows the last.
+/// Reads the part of a stream that one endpoint sends, and checks that the event ids are consecutive.
 #[derive(Clone, Debug)]
 pub struct EventSequence {
     reader: EventReader,
@@ -40,12 +42,12 @@
 }
 
 impl EventSequence {
-    /// A sequence that goes on after the event `last_id`, or begins with any event if that is `None`.
-    pub fn resuming(last_id: Option<u64>, ids: EventIds) -> EventSequence {
+    /// A sequence that continues after the event `last_id`; `None` accepts any first event.
+    pub fn resuming_after(last_id: Option<u64>, ids: EventIds) -> EventSequence {
         EventSequence { reader: EventReader::default(), ids, last_id }
     }
 
-    /// Adds received bytes and returns the events that are complete now.
+    /// Adds received bytes and returns the events that they complete.
     pub fn add(&mut self, bytes: &[u8]) -> ReceivedEvents {
         self.reader.add(bytes);
         let mut received = ReceivedEvents::default();
@@ -61,14 +63,14 @@
         }
     }
 
-    /// Id of the last event that was returned, or that the sequence was resumed after.
+    /// Id of the last returned event, initially the id after which the sequence resumes.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Whether no part of a further event was received.
+    /// Whether all received bytes belong to returned events, so that no partial event is pending.
     pub fn is_between_events(&self) -> bool {
-        self.reader.remainder() == 0
+        self.reader.pending_bytes() == 0
     }
 
     fn next_event(&mut self) -> Result<Option<SseEvent>, SequenceError> {
@@ -84,7 +86,7 @@
         match (self.last_id, id) {
             (_, None) => self.ids == EventIds::Optional,
             (None, Some(_)) => true,
-            // Nothing follows the largest number.
+            // The largest id has no successor.
             (Some(last), Some(id)) => last.checked_add(1) == Some(id),
         }
     }
--- a/tier/dataplane/src/events.rs
+++ b/tier/dataplane/src/events.rs
@@ -1,72 +1,72 @@
-//! Event streams (`text/event-stream`; WHATWG HTML, section 9.2 "Server-sent events"): complete events and their ids.
+//! Parser for event streams (`text/event-stream`; WHATWG HTML, section 9.2 "Server-sent events").
 
-/// Largest size of one event, bytes.
-pub const EVENT_LIMIT: usize = 1 << 20;
+/// Maximum size of one event, bytes.
+pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// A complete event.
+/// A complete server-sent event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SseEvent {
-    /// Its bytes as they were received, with the empty line that ends it.
+    /// The bytes of the event as received, including the empty line that ends it.
     pub raw: Vec<u8>,
-    /// Its `id` field, if that is a number.
+    /// The `id` field, if it is a number.
     pub id: Option<u64>,
-    /// Its `data` fields, joined by line feeds.
+    /// The `data` fields, joined by line feeds; `None` if there is no such field.
     pub data: Option<String>,
 }
 
-/// An event is larger than [`EVENT_LIMIT`].
+/// An event is larger than [`MAX_EVENT_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("an event is larger than {EVENT_LIMIT} bytes")]
+#[error("failed to read the event stream: an event is larger than {MAX_EVENT_BYTES} bytes")]
 pub struct EventTooLong;
 
 /// Splits the bytes of a stream into events.
 #[derive(Clone, Debug, Default)]
 pub struct EventReader {
-    /// Bytes that belong to no returned event.
+    /// Received bytes after the last returned event.
     pending: Vec<u8>,
-    /// How many of the pending bytes are known to contain no end of an event.
-    searched: usize,
+    /// Length of the prefix of `pending` that was searched and contains no event end.
+    searched_bytes: usize,
 }
 
 impl EventReader {
-    /// Adds received bytes of the stream.
+    /// Appends received bytes of the stream.
     pub fn add(&mut self, bytes: &[u8]) {
         self.pending.extend_from_slice(bytes);
     }
 
-    /// The next complete event, `None` if more bytes are needed.
+    /// Returns the next complete event, `None` if more bytes are needed.
     ///
     /// # Errors
-    /// The event, complete or not, is larger than [`EVENT_LIMIT`]. It stays where it is: the stream can't be read further.
+    /// The event, complete or not, is larger than [`MAX_EVENT_BYTES`]. It is not skipped, so all further calls fail as well.
     pub fn next_event(&mut self) -> Result<Option<SseEvent>, EventTooLong> {
         let end = self.event_end();
-        if end.unwrap_or(self.pending.len()) > EVENT_LIMIT {
+        if end.unwrap_or(self.pending.len()) > MAX_EVENT_BYTES {
             return Err(EventTooLong);
         }
         let Some(end) = end else {
-            // An end of three bytes may have begun in the last two.
-            self.searched = self.pending.len().saturating_sub(3);
+            // The last bytes can be the start of an event end, which is up to three bytes long.
+            self.searched_bytes = self.pending.len().saturating_sub(3);
             return Ok(None);
         };
         let raw: Vec<u8> = self.pending.drain(..end).collect();
-        self.searched = 0;
+        self.searched_bytes = 0;
         Ok(Some(parse_event(raw)))
     }
 
-    /// Number of received bytes that belong to an incomplete event.
-    pub fn remainder(&self) -> usize {
+    /// Number of received bytes after the last returned event.
+    pub fn pending_bytes(&self) -> usize {
         self.pending.len()
     }
 
-    /// Offset behind the first complete event, which an empty line ends.
+    /// Offset after the first complete event, which ends with an empty line.
     fn event_end(&self) -> Option<usize> {
         let bytes = &self.pending;
-        (self.searched..bytes.len()).find_map(|at| {
-            let rest = &bytes[at..];
+        (self.searched_bytes..bytes.len()).find_map(|offset| {
+            let rest = &bytes[offset..];
             if rest.starts_with(b"\n\n") {
-                Some(at + 2)
+                Some(offset + 2)
             } else if rest.starts_with(b"\n\r\n") {
-                Some(at + 3)
+                Some(offset + 3)
             } else {
                 None
             }
--- a/tier/dataplane/src/head/framing.rs
+++ b/tier/dataplane/src/head/framing.rs
@@ -1,26 +1,26 @@
-//! The length of a body, as the headers state it.
+//! Body framing as determined by the headers.
 
 use super::headers::Headers;
 
 /// How the length of a body is determined (RFC 9112, section 6.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// There is no body.
+    /// The message has no body.
     Empty,
-    /// `Content-Length`, bytes; not 0.
+    /// `Content-Length`, bytes; never 0.
     Length(u64),
     /// `Transfer-Encoding: chunked`.
     Chunked,
-    /// Until the connection closes; responses only.
+    /// The body ends when the connection closes; responses only.
     UntilClose,
 }
 
-/// Two recipients could understand the length of the body differently (request smuggling; RFC 9112, section 11.2).
+/// Two recipients could interpret the body length differently (request smuggling; RFC 9112, section 11.2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct AmbiguousFraming;
 
 impl Framing {
-    /// The framing that headers state, `default` if they state none.
+    /// Returns the framing that the headers specify, `default` if they specify none.
     pub(super) fn from_headers(headers: &Headers, default: Framing) -> Result<Framing, AmbiguousFraming> {
         let mut lengths = headers.get_all("Content-Length");
         let length = lengths.next();
@@ -40,8 +40,8 @@
 }
 
 fn parse_content_length(value: &str) -> Result<Framing, AmbiguousFraming> {
-    // Digits only: the integer parser would accept a sign.
-    let digits = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
-    let length = value.parse().ok().filter(|_| digits).ok_or(AmbiguousFraming)?;
+    // Only digits are accepted: the integer parser would also accept a sign.
+    let is_all_digits = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
+    let length = value.parse().ok().filter(|_| is_all_digits).ok_or(AmbiguousFraming)?;
     Ok(if length == 0 { Framing::Empty } else { Framing::Length(length) })
 }
--- a/tier/dataplane/src/head/headers.rs
+++ b/tier/dataplane/src/head/headers.rs
@@ -1,16 +1,16 @@
-//! Header fields of a head.
+//! Header fields of requests and responses.
 
-/// Names and values of headers, in their order.
+/// Names and values of header fields in the order in which they were received.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers(pub(super) Vec<(String, String)>);
 
 impl Headers {
-    /// All headers, name and value.
+    /// All header fields as pairs of name and value.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.0.iter().map(|(name, value)| (name.as_str(), value.as_str()))
     }
 
-    /// The first value of a header.
+    /// The first value of a header; the name is matched ignoring case.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.get_all(name).next()
     }
@@ -22,16 +22,16 @@
             .any(|item| item.trim().eq_ignore_ascii_case(token))
     }
 
-    /// All values of a header, in their order.
+    /// All values of a header in the order received.
     pub(super) fn get_all<'a>(&'a self, name: &str) -> impl Iterator<Item = &'a str> {
         self.0
             .iter()
-            .filter(move |(known, _)| known.eq_ignore_ascii_case(name))
+            .filter(move |(field_name, _)| field_name.eq_ignore_ascii_case(name))
             .map(|(_, value)| value.as_str())
     }
 }
 
-/// Headers that apply to one connection only (RFC 9110, section 7.6.1), or that an intermediary replaces.
+/// Headers that are specific to one connection (RFC 9110, section 7.6.1), or that an intermediary replaces.
 const CONNECTION_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -44,8 +44,9 @@
     "expect",
 ];
 
-/// Whether a header applies to one connection only and must not be forwarded. `headers` is the head that contains it.
+/// Whether a header is specific to one connection and must not be forwarded. `headers` are all headers of the message: its
+/// `Connection` header can name more of them.
 pub fn is_connection_header(name: &str, headers: &Headers) -> bool {
-    CONNECTION_HEADERS.iter().any(|known| name.eq_ignore_ascii_case(known))
+    CONNECTION_HEADERS.iter().any(|listed| name.eq_ignore_ascii_case(listed))
         || headers.has_token("Connection", name)
 }
--- a/tier/dataplane/src/head/mod.rs
+++ b/tier/dataplane/src/head/mod.rs
@@ -1,7 +1,7 @@
 //! Heads of HTTP/1.1 requests and responses: the first line and the headers (RFC 9112, sections 2 to 6).
 //!
-//! [`parse_request`] and [`parse_response`] parse the head at the front of received bytes and determine the [`Framing`] of the
-//! body behind it, which [`crate::body`] reads.
+//! [`parse_request`] and [`parse_response`] parse the head at the front of the received bytes and determine the [`Framing`] of
+//! the body that follows, which [`crate::body`] reads.
 
 mod framing;
 mod headers;
@@ -10,5 +10,5 @@
 pub use framing::Framing;
 pub use headers::{Headers, is_connection_header};
 pub use parse::{
-    HEADER_LIMIT, HeadError, MISDIRECTED_REQUEST, RequestHead, ResponseHead, parse_request, parse_response,
+    HeadError, MAX_HEADERS, MISDIRECTED_REQUEST, RequestHead, ResponseHead, parse_request, parse_response,
 };
--- a/tier/dataplane/src/head/parse.rs
+++ b/tier/dataplane/src/head/parse.rs
@@ -1,24 +1,24 @@
-//! Heads and their parsers, on top of `httparse`.
+//! Request and response heads, parsed with `httparse`.
 
 use super::framing::{AmbiguousFraming, Framing};
 use super::headers::Headers;
 
-/// Largest number of headers in one head.
-pub const HEADER_LIMIT: usize = 100;
-/// Status of a request that reached a server for which it is not meant (RFC 9110, section 15.5.20).
+/// Maximum number of headers in one head.
+pub const MAX_HEADERS: usize = 100;
+/// Status for a request that reached a server that is not responsible for its target (RFC 9110, section 15.5.20).
 pub const MISDIRECTED_REQUEST: u16 = 421;
 
-/// Why bytes are not a valid head.
+/// The reason why bytes are not a valid head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeadError {
     /// The syntax is invalid, or a value is not UTF-8.
-    #[error("not a head of HTTP/1.1")]
+    #[error("failed to parse the HTTP/1.1 head: invalid syntax, or a header value that is not UTF-8")]
     Malformed,
-    /// It has more than [`HEADER_LIMIT`] headers.
-    #[error("more than {HEADER_LIMIT} header lines")]
+    /// The head has more than [`MAX_HEADERS`] headers.
+    #[error("failed to parse the HTTP/1.1 head: more than {MAX_HEADERS} headers")]
     TooManyHeaders,
-    /// Two recipients could understand the length of the body differently (request smuggling; RFC 9112, section 11.2).
-    #[error("the length of the body is ambiguous")]
+    /// Two recipients could interpret the body length differently (request smuggling; RFC 9112, section 11.2).
+    #[error("failed to parse the HTTP/1.1 head: ambiguous body length (Content-Length, Transfer-Encoding)")]
     Ambiguous,
 }
 
@@ -28,40 +28,40 @@
     }
 }
 
-/// Head of a request.
+/// Request line and headers of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// Method, case-sensitive.
+    /// Request method, case-sensitive.
     pub method: String,
     /// Path and query, unaltered.
     pub target: String,
-    /// Headers, including those that apply to the connection only.
+    /// All headers, including connection-specific ones.
     pub headers: Headers,
-    /// How the length of the body is determined.
+    /// Framing of the body that follows the head.
     pub framing: Framing,
-    /// Whether the client keeps the connection open for another request.
+    /// Whether the client expects to reuse the connection for another request.
     pub keep_alive: bool,
 }
 
-/// Head of a response.
+/// Status line and headers of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// Status code.
+    /// Status code, three digits.
     pub status: u16,
     /// Reason phrase, often empty.
     pub reason: String,
-    /// Headers, including those that apply to the connection only.
+    /// All headers, including connection-specific ones.
     pub headers: Headers,
-    /// How the length of the body is determined.
+    /// Framing of the body that follows the head.
     pub framing: Framing,
-    /// Whether the connection may be used for another request.
+    /// Whether the connection may be reused for another request.
     pub keep_alive: bool,
 }
 
 impl ResponseHead {
-    /// Whether the endpoint promises that the request has not run: it states so in a `Not-Run` header, or it is not the endpoint
-    /// that the request names.
-    pub fn promises_not_run(&self) -> bool {
+    /// Whether the endpoint guarantees that it has not executed the request: the response has a `Not-Run` header, or its status
+    /// is [`MISDIRECTED_REQUEST`], so that it is not the endpoint that the request names.
+    pub fn guarantees_not_run(&self) -> bool {
         self.status == MISDIRECTED_REQUEST || self.headers.get("Not-Run").is_some()
     }
 
@@ -74,9 +74,9 @@
 /// Parses the head of a request and returns it with its length in bytes; `None` if it is incomplete.
 ///
 /// # Errors
-/// The head is malformed or too large, or its framing is ambiguous.
+/// The head is malformed or has too many headers, or its framing is ambiguous.
 pub fn parse_request(bytes: &[u8]) -> Result<Option<(RequestHead, usize)>, HeadError> {
-    let mut parsed = [httparse::EMPTY_HEADER; HEADER_LIMIT];
+    let mut parsed = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut parsed);
     let length = match request.parse(bytes).map_err(parse_error)? {
         httparse::Status::Partial => return Ok(None),
@@ -84,8 +84,8 @@
     };
     let headers = copy_headers(request.headers)?;
     let framing = Framing::from_headers(&headers, Framing::Empty)?;
-    let http11 = request.version == Some(1);
-    let keep_alive = if http11 {
+    let is_http11 = request.version == Some(1);
+    let keep_alive = if is_http11 {
         !headers.has_token("Connection", "close")
     } else {
         headers.has_token("Connection", "keep-alive")
@@ -100,13 +100,16 @@
     Ok(Some((head, length)))
 }
 
-/// Parses the head of a response and returns it with its length in bytes; `None` if it is incomplete. `to_head`: it answers a
-/// `HEAD` request, so there is no body.
+/// Parses the head of a response and returns it with its length in bytes; `None` if it is incomplete. `answers_head_request`
+/// says that the request method was `HEAD`, so that the response has no body.
 ///
 /// # Errors
-/// The head is malformed or too large, or its framing is ambiguous.
-pub fn parse_response(bytes: &[u8], to_head: bool) -> Result<Option<(ResponseHead, usize)>, HeadError> {
-    let mut parsed = [httparse::EMPTY_HEADER; HEADER_LIMIT];
+/// The head is malformed or has too many headers, or its framing is ambiguous.
+pub fn parse_response(
+    bytes: &[u8],
+    answers_head_request: bool,
+) -> Result<Option<(ResponseHead, usize)>, HeadError> {
+    let mut parsed = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut parsed);
     let length = match response.parse(bytes).map_err(parse_error)? {
         httparse::Status::Partial => return Ok(None),
@@ -115,12 +118,12 @@
     let status = response.code.ok_or(HeadError::Malformed)?;
     let headers = copy_headers(response.headers)?;
     let framing = match status {
-        _ if to_head => Framing::Empty,
+        _ if answers_head_request => Framing::Empty,
         100..=199 | 204 | 304 => Framing::Empty,
         _ => Framing::from_headers(&headers, Framing::UntilClose)?,
     };
-    let http11 = response.version == Some(1);
-    let keep_alive = framing != Framing::UntilClose && http11 && !headers.has_token("Connection", "close");
+    let is_http11 = response.version == Some(1);
+    let keep_alive = framing != Framing::UntilClose && is_http11 && !headers.has_token("Connection", "close");
     let head = ResponseHead {
         status,
         reason: response.reason.unwrap_or_default().to_owned(),
--- a/tier/dataplane/src/lib.rs
+++ b/tier/dataplane/src/lib.rs
@@ -1,14 +1,14 @@
 //! Decisions and codecs of the data plane, without I/O and without a clock.
 //!
-//! - [`tables`] has what a process works with, as the core last sent it.
-//! - [`routes`] compiles a configuration: which route a request belongs to, and what its key allows.
-//! - [`dispatch`] chooses an endpoint for a request and follows the load and the failures of each endpoint.
-//! - [`batch_share`] limits what batch work may use of the endpoints.
+//! - [`tables`] keeps the tables that a process uses, as the core last sent them.
+//! - [`routes`] compiles a configuration for looking up the route and the tenant of a request.
+//! - [`dispatch`] chooses an endpoint for a request and tracks the load and the failures of each endpoint.
+//! - [`batch_share`] limits the endpoint slots that batch work may occupy.
 //! - [`request_profile`] and [`prefix_cache`] estimate how much of a prompt an endpoint still has to process.
-//! - [`head`], [`body`] and [`events`] read and write HTTP/1.1 heads, bodies and event streams; [`event_sequence`] keeps the
-//!   events of a stream in their order.
+//! - [`head`], [`body`] and [`events`] read and write HTTP/1.1 heads, bodies and event streams; [`event_sequence`] checks the
+//!   order of the events of a stream.
 //!
-//! The caller passes the time in (microseconds of a steady clock) and carries out what is decided here.
+//! The caller passes in the current time (microseconds of a monotonic clock) and carries out the decisions.
 
 pub mod batch_share;
 pub mod body;
--- a/tier/dataplane/src/routes/route.rs
+++ b/tier/dataplane/src/routes/route.rs
@@ -1,18 +1,18 @@
-//! One route, with its settings in the form in which requests need them.
+//! A compiled route: its settings with defaults applied and values clamped.
 
 use quillmount_wire::configuration::Route;
 
-/// Largest number of attempts of one request.
+/// Upper bound of the attempts of one request, whatever is configured.
 const MAX_ATTEMPTS: u64 = 16;
 
-/// How the requests of a route are answered, and whether they may run more than once.
+/// How the requests of a route are answered, and whether they may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteMode {
-    /// Requests are idempotent.
+    /// Requests are idempotent and may be retried.
     Safe,
-    /// Requests have side effects and must not be retried once they may have run.
+    /// Requests have side effects and must not be retried once an endpoint may have executed them.
     Mutating,
-    /// Requests are answered by an event stream.
+    /// Requests are answered with an event stream.
     Stream,
     /// Requests submit batch jobs.
     Bulk,
@@ -30,18 +30,18 @@
     }
 }
 
-/// A route with its settings in the form in which requests need them.
+/// A route with defaults applied and values clamped.
 #[derive(Clone, Debug)]
 pub struct CompiledRoute {
     /// The route as configured.
     pub route: Route,
-    /// How requests are answered, and whether they may run more than once.
+    /// How requests are answered, and whether they may be executed more than once.
     pub mode: RouteMode,
-    /// Whether a broken stream can be continued behind its last event.
+    /// Whether an interrupted stream can be resumed after its last event.
     pub resumable: bool,
-    /// Largest number of endpoints that may run one request, 1 to 16.
+    /// Maximum number of endpoints that may execute one request, 1 to 16.
     pub max_attempts: u32,
-    /// Priority of requests whose tenant has none.
+    /// Default priority, for requests whose tenant has none.
     pub priority: i64,
 }
 
@@ -58,8 +58,8 @@
 }
 
 impl CompiledRoute {
-    /// Whether a request may be retried after an endpoint may have run it.
-    pub fn idempotent(&self) -> bool {
+    /// Whether a request may be retried after an endpoint may have executed it.
+    pub fn is_idempotent(&self) -> bool {
         match self.mode {
             RouteMode::Safe | RouteMode::Bulk => true,
             RouteMode::Stream => self.resumable,
@@ -67,18 +67,19 @@
         }
     }
 
-    /// The service for a request, chosen by weight. `draw` is a random number, 0 or more and less than 1.
+    /// Chooses the service for a request by weight; `None` if no service has a weight above 0. `draw` is a random number, 0 or more and
+    /// less than 1.
     pub fn pick_service(&self, draw: f64) -> Option<&str> {
         let weighted = self.route.services();
-        let total: f64 = weighted.iter().map(|(_, weight)| weight).sum();
-        let mut left = draw * total;
+        let total_weight: f64 = weighted.iter().map(|(_, weight)| weight).sum();
+        let mut remaining = draw * total_weight;
         for (service, weight) in &weighted {
-            if left < *weight {
+            if remaining < *weight {
                 return Some(service);
             }
-            left -= weight;
+            remaining -= weight;
         }
-        // Rounding may leave a rest behind the last weight.
+        // Because of rounding, `draw` can lie beyond the sum of all weights.
         weighted.iter().rev().find(|(_, weight)| *weight > 0.0).map(|(service, _)| *service)
     }
 }
--- a/tier/dataplane/src/routes/table.rs
+++ b/tier/dataplane/src/routes/table.rs
@@ -1,4 +1,4 @@
-//! The table of all routes, tenants and services of a configuration.
+//! Lookup table for the routes, tenants and services of a configuration.
 
 use super::route::CompiledRoute;
 use crate::dispatch::ServiceShare;
@@ -6,42 +6,42 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Prompt memory of an endpoint whose service states none, tokens.
+/// Default prompt memory of an endpoint, for services that configure none, tokens.
 const DEFAULT_TOKEN_MEMORY: f64 = 200_000.0;
-/// Connections to an endpoint whose service states none.
+/// Default number of connections to an endpoint, for services that configure none.
 const DEFAULT_CONNECTIONS: f64 = 64.0;
-/// Largest number of connections to an endpoint.
+/// Upper bound of the number of connections to an endpoint.
 const MAX_CONNECTIONS: f64 = 65_536.0;
-/// Scheme of the `Authorization` header before the key.
+/// Authentication scheme that precedes the API key in the `Authorization` header.
 const KEY_SCHEME: &str = "Token ";
 
-/// Whose request it is, by its key.
+/// Result of the authentication of a request by its API key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Access {
-    /// No tenant's, and allowed: the configuration has no tenants, or the route is public and no known key was sent.
+    /// The request is allowed without a tenant: the configuration has no tenants, or the route is public and no valid key was sent.
     Anonymous,
-    /// The request of the tenant of this name.
+    /// The key belongs to the tenant with this name.
     Tenant(Rc<str>),
-    /// The key is missing or unknown.
+    /// The route requires a key, and the key is missing or unknown.
     Denied,
 }
 
-/// A compiled configuration; immutable, replaced as a whole.
+/// A compiled configuration. It is immutable; a newer configuration replaces it as a whole.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
-    /// Version of the configuration, 0 for none.
+    /// Version of the configuration, 0 if none was received yet.
     pub version: u64,
-    /// Limits for the connections and requests of clients.
+    /// Limits on client connections and requests.
     pub limits: ClientLimits,
-    /// Services by name.
+    /// Service settings by service name.
     pub services: HashMap<String, Service>,
-    /// Routes by normalized host, those with the longest prefix first.
+    /// Routes by normalized host, in descending order of prefix length.
     routes_by_host: HashMap<String, Vec<Rc<CompiledRoute>>>,
     routes_by_name: HashMap<String, Rc<CompiledRoute>>,
     tenants_by_key: HashMap<String, Rc<str>>,
-    /// Priorities of tenants that have one.
+    /// Priorities by tenant, for tenants that have one.
     priorities: HashMap<Rc<str>, i64>,
-    /// Whether the configuration has tenants.
+    /// Whether requests on routes that are not public need a key: the configuration has tenants.
     requires_key: bool,
 }
 
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The route of a host with the longest prefix of a path. `host` may contain a port, and `path` a query.
+    /// Returns the route of a host whose prefix is the longest match for a path. `host` may contain a port, and `path` a query.
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<CompiledRoute>> {
         let path = path.split('?').next().unwrap_or_default();
         self.routes_by_host
@@ -89,18 +89,18 @@
             .find(|route| path.starts_with(&route.route.prefix))
     }
 
-    /// The route with this name.
+    /// Returns the route with this configured name.
     pub fn by_name(&self, name: &str) -> Option<&Rc<CompiledRoute>> {
         self.routes_by_name.get(name)
     }
 
     /// Whether any route limits the tokens of queued requests.
-    pub fn limits_waiting(&self) -> bool {
+    pub fn limits_queued_tokens(&self) -> bool {
         self.routes_by_name.values().any(|route| route.route.waiting_limit().is_some())
     }
 
-    /// Whose request it is by its `Authorization` header. `public`: the route needs no key.
-    pub fn access(&self, authorization: Option<&str>, public: bool) -> Access {
+    /// Authenticates a request by its `Authorization` header. `public` says that the route needs no key.
+    pub fn authenticate(&self, authorization: Option<&str>, public: bool) -> Access {
         let key = authorization.and_then(|value| value.strip_prefix(KEY_SCHEME)).map(str::trim);
         let tenant = key.and_then(|key| self.tenants_by_key.get(key));
         match tenant {
@@ -110,27 +110,27 @@
         }
     }
 
-    /// Priority of a request: the tenant's, or the route's if the tenant has none.
+    /// Priority of a request: that of its tenant, or that of the route if the tenant has none.
     pub fn priority(&self, tenant: Option<&str>, route: &CompiledRoute) -> i64 {
         tenant.and_then(|tenant| self.priorities.get(tenant)).copied().unwrap_or(route.priority)
     }
 
-    /// Connections that all senders together may have to an endpoint of a service.
-    pub fn connections(&self, service: &str) -> u32 {
+    /// Maximum number of connections of all senders together to one endpoint of a service.
+    pub fn connection_limit(&self, service: &str) -> u32 {
         let configured = self.services.get(service).and_then(|service| service.connections);
         configured.unwrap_or(DEFAULT_CONNECTIONS).clamp(1.0, MAX_CONNECTIONS) as u32
     }
 
-    /// What one of `senders` processes may use of each endpoint of a service.
+    /// The share of each endpoint of a service that one of `senders` processes may use.
     pub fn share(&self, service: &str, senders: u32) -> ServiceShare {
         let runtime = self.services.get(service).and_then(|service| service.runtime.as_ref());
         let memory = runtime.and_then(|runtime| runtime.token_memory).unwrap_or(DEFAULT_TOKEN_MEMORY);
         let cache_tokens = memory.max(0.0) as u64 / u64::from(senders.max(1));
-        ServiceShare { slots: self.connections(service) / senders.max(1), cache_tokens }
+        ServiceShare { slots: self.connection_limit(service) / senders.max(1), cache_tokens }
     }
 }
 
-/// A host in the form in which hosts are compared: without a port, in lower case.
+/// Normalizes a host for comparison: without port, in lower case.
 fn normalize_host(host: &str) -> String {
     host.split(':').next().unwrap_or_default().to_ascii_lowercase()
 }
--- a/tier/dataplane/src/tables.rs
+++ b/tier/dataplane/src/tables.rs
@@ -1,4 +1,4 @@
-//! The tables that a process works with, as the core last sent them.
+//! The tables that a process uses, as the core last sent them.
 
 use crate::breaks::{self, Break};
 use crate::routes::RouteTable;
@@ -11,62 +11,62 @@
 };
 use std::rc::Rc;
 
-/// One consistent set of tables. A snapshot never changes; new tables come as a new snapshot.
+/// One consistent, immutable set of tables; newer tables form a new snapshot.
 #[derive(Clone, Debug, Default)]
 pub struct TableSnapshot {
-    /// Versions of the tables below; 0 where none has come yet.
+    /// Versions of the tables; 0 for a table that was not received yet.
     pub versions: TableVersions,
     /// Text of the operator's configuration.
     pub configuration: Rc<str>,
     /// Routes and services of the operator's configuration.
     pub routes: Rc<RouteTable>,
-    /// Members of the core, stores, and the view of each shard.
+    /// Members of the core, the stores, and the view of each shard.
     pub placement: Rc<Placement>,
     /// Endpoints of all services, sorted by id.
     pub endpoints: Rc<Vec<Endpoint>>,
-    /// Number of processes that share the endpoints' connections.
+    /// Number of processes that share the connections to the endpoints.
     pub senders: u32,
 }
 
-/// What an answer of the core changes.
+/// The effect of a core response on the current snapshot.
 #[derive(Debug, Default)]
 pub struct TablesUpdate {
-    /// The snapshot that follows; `None` if the answer changes nothing.
+    /// The new snapshot; `None` if the response changes nothing.
     pub next: Option<TableSnapshot>,
-    /// The configuration of the answer can't be read: the one in force stays.
+    /// The configuration of the response if it is invalid; the current one stays in force.
     pub rejected: Option<RejectedConfiguration>,
 }
 
-/// A configuration that was received and can't be read.
+/// A received configuration that is invalid.
 #[derive(Debug)]
 pub struct RejectedConfiguration {
-    /// Its version.
+    /// Version of the invalid configuration.
     pub version: u64,
-    /// Why.
+    /// The syntax or validation error.
     pub error: ConfigurationError,
 }
 
-/// A difference that was received and does not lead from the table in force to the next one.
+/// The reason why a received table delta can't be applied to the current table; the caller requests the full table.
 #[derive(Debug, thiserror::Error)]
-pub enum UnusableDifference {
-    /// It does not apply.
+pub enum TableDeltaError {
+    /// The delta was computed for another base table, or its result is too large.
     #[error(transparent)]
     Delta(#[from] DeltaError),
-    /// It leads to a configuration that is no text.
-    #[error("the configuration is not UTF-8: {0}")]
+    /// The resulting configuration is not valid UTF-8.
+    #[error("failed to apply a configuration delta: the result is not UTF-8: {0}")]
     Text(#[from] std::string::FromUtf8Error),
-    /// It leads to bytes that are no placement.
+    /// The resulting bytes can't be decoded as a placement.
     #[error(transparent)]
     Placement(#[from] FrameError),
 }
 
 impl TableSnapshot {
-    /// The whole tables that differences to those in force lead to.
+    /// Replaces the deltas of a response by the full tables, computed from the tables of this snapshot.
     ///
     /// # Errors
-    /// A difference was made for another table.
-    pub fn complete(&self, answer: ChangedTables) -> Result<Tables, UnusableDifference> {
-        let ChangedTables { mut tables, configuration, placement } = answer;
+    /// A delta was computed for another base table, or its result can't be decoded.
+    pub fn resolve_deltas(&self, response: ChangedTables) -> Result<Tables, TableDeltaError> {
+        let ChangedTables { mut tables, configuration, placement } = response;
         if let Some(Versioned { version, content: delta }) = configuration {
             let content = String::from_utf8(delta.apply(self.configuration.as_bytes())?)?;
             tables.configuration = Some(Versioned { version, content });
@@ -78,9 +78,9 @@
         Ok(tables)
     }
 
-    /// The snapshot that follows this one by an answer of the core. Tables that are not newer than those here are ignored.
+    /// Applies the tables of a core response. Tables that are not newer than those of this snapshot are ignored.
     #[must_use]
-    pub fn update(&self, tables: Tables) -> TablesUpdate {
+    pub fn apply(&self, tables: Tables) -> TablesUpdate {
         let mut next = self.clone();
         let mut changed = false;
         let mut rejected = None;
@@ -108,8 +108,8 @@
         }
         if let Some(Versioned { version, content: update }) = tables.directory
             && version > self.versions.directory
-            && self.may_apply(&update)
-            // Version 0 says that the primary has no current list.
+            && self.is_applicable(&update)
+            // Version 0 means that the primary has no current list.
             && version.changes > 0
         {
             next.endpoints = Rc::new(apply_update(&self.endpoints, update));
@@ -123,19 +123,19 @@
         TablesUpdate { next: changed.then_some(next), rejected }
     }
 
-    /// Whether an update of the endpoint list can be meant for the list in force. Changes that were on their way when this process put
-    /// its own list in force are meant for the one before.
-    fn may_apply(&self, update: &DirectoryUpdate) -> bool {
+    /// Whether an update of the endpoint list can apply to the current list. A delta that was in transit when this process installed
+    /// a list that it had read directly refers to the previous list.
+    fn is_applicable(&self, update: &DirectoryUpdate) -> bool {
         match update {
             DirectoryUpdate::Full(_) => true,
             DirectoryUpdate::Delta { .. } => self.versions.directory.changes > 0,
         }
     }
 
-    /// The snapshot with a list of endpoints that this process has read itself, without the core. No changes of a version make
-    /// the core send all of its own list later: an incremental update does not apply to this one.
+    /// The snapshot with an endpoint list that this process has read directly from the platform, without the core. The change count
+    /// of its version is 0, so that the core later sends its full list: a delta does not apply to this list.
     #[must_use]
-    pub fn with_own_list(&self, list: Vec<Endpoint>) -> TableSnapshot {
+    pub fn with_direct_list(&self, list: Vec<Endpoint>) -> TableSnapshot {
         let mut versions = self.versions;
         versions.directory.changes = 0;
         TableSnapshot { versions, endpoints: Rc::new(list), ..self.clone() }
--- a/tier/dataplane/tests/codecs.rs
+++ b/tier/dataplane/tests/codecs.rs
@@ -102,7 +102,7 @@
         assert_eq!(ids, [Some(1), Some(2), None, Some(3)], "reads of {read_size} bytes");
         assert_eq!(events[1].data.as_deref(), Some("two\nlines"));
         assert_eq!(events[3].data.as_deref(), Some("x"));
-        assert_eq!(reader.remainder(), "id: 4\nda".len());
+        assert_eq!(reader.pending_bytes(), "id: 4\nda".len());
         let raw: Vec<u8> = events.iter().flat_map(|event| event.raw.clone()).collect();
         assert_eq!(raw, &stream[..raw.len()]);
     }
--- a/tier/dataplane/tests/event_sequence.rs
+++ b/tier/dataplane/tests/event_sequence.rs
@@ -1,7 +1,7 @@
 //! Events of a stream in their order: what counts before a fault, and numbers at their limit.
 
 use quillmount_dataplane::event_sequence::{EventIds, EventSequence, SequenceError};
-use quillmount_dataplane::events::{EVENT_LIMIT, EventReader, EventTooLong};
+use quillmount_dataplane::events::{EventReader, EventTooLong, MAX_EVENT_BYTES};
 
 fn event(id: u64) -> String {
     format!("id: {id}\ndata: {id}\n\n")
@@ -15,7 +15,7 @@
 
 #[test]
 fn events_before_a_fault_in_the_same_read_count() {
-    let mut sequence = EventSequence::resuming(Some(4), EventIds::Optional);
+    let mut sequence = EventSequence::resuming_after(Some(4), EventIds::Optional);
     let bytes = format!("{}{}{}", event(5), event(6), event(8));
     let expected = (vec![Some(5), Some(6)], Some(SequenceError::OutOfSequence));
     assert_eq!(read(&mut sequence, &bytes), expected);
@@ -30,7 +30,7 @@
     for fault in faults {
         let bytes = format!("{}{}{}{fault}{}", event(1), event(2), event(3), event(4));
         for cut in 0..=bytes.len() {
-            let mut sequence = EventSequence::resuming(None, EventIds::Required);
+            let mut sequence = EventSequence::resuming_after(None, EventIds::Required);
             let (mut ids, mut last_fault) = read(&mut sequence, &bytes[..cut]);
             if last_fault.is_none() {
                 let (more, fault) = read(&mut sequence, &bytes[cut..]);
@@ -46,7 +46,7 @@
 
 #[test]
 fn events_without_a_number_pass_where_they_are_optional() {
-    let mut sequence = EventSequence::resuming(None, EventIds::Optional);
+    let mut sequence = EventSequence::resuming_after(None, EventIds::Optional);
     let bytes = format!("{}: a comment\n\n{}", event(1), event(2));
     assert_eq!(read(&mut sequence, &bytes), (vec![Some(1), None, Some(2)], None));
     assert!(sequence.is_between_events());
@@ -55,7 +55,7 @@
 #[test]
 fn no_event_follows_the_largest_number() {
     for id in [0, 1, u64::MAX] {
-        let mut sequence = EventSequence::resuming(Some(u64::MAX), EventIds::Optional);
+        let mut sequence = EventSequence::resuming_after(Some(u64::MAX), EventIds::Optional);
         let expected = (Vec::new(), Some(SequenceError::OutOfSequence));
         assert_eq!(read(&mut sequence, &event(id)), expected, "{id}");
     }
@@ -63,7 +63,7 @@
 
 #[test]
 fn an_event_over_the_limit_is_rejected_whether_or_not_its_end_came_with_it() {
-    let longest = format!("data: {}\n\n", "x".repeat(EVENT_LIMIT - "data: \n\n".len()));
+    let longest = format!("data: {}\n\n", "x".repeat(MAX_EVENT_BYTES - "data: \n\n".len()));
     let too_long = format!("data: x{}", longest.strip_prefix("data: ").unwrap());
     let next_of = |text: &str| {
         let mut reader = EventReader::default();
@@ -72,5 +72,5 @@
     };
     assert_eq!(next_of(&longest), Ok(true));
     assert_eq!(next_of(&too_long), Err(EventTooLong));
-    assert_eq!(next_of(&too_long[..=EVENT_LIMIT]), Err(EventTooLong));
+    assert_eq!(next_of(&too_long[..=MAX_EVENT_BYTES]), Err(EventTooLong));
 }
--- a/tier/dataplane/tests/planes/subscriber.rs
+++ b/tier/dataplane/tests/planes/subscriber.rs
@@ -141,8 +141,8 @@
 
     fn accept_tables(&mut self, id: MachineId, answer: ChangedTables) {
         let state = &mut self.machines[id].state;
-        let tables = state.tables.complete(answer).expect("differences fit the tables in force");
-        let update = state.tables.update(tables);
+        let tables = state.tables.resolve_deltas(answer).expect("differences fit the tables in force");
+        let update = state.tables.apply(tables);
         assert!(update.rejected.is_none(), "a configuration that was in force can be read");
         if let Some(next) = update.next {
             state.swap_tables(next);
@@ -192,7 +192,7 @@
                 }
             }
             None if lacks_current_list(&state.contact, &machine.limits, now) => {
-                let next = state.tables.with_own_list(list);
+                let next = state.tables.with_direct_list(list);
                 state.swap_tables(next);
                 self.audit.own_list();
             }
--- a/tier/dataplane/tests/routes.rs
+++ b/tier/dataplane/tests/routes.rs
@@ -29,11 +29,11 @@
 #[test]
 fn keys_name_their_tenant_and_unknown_ones_are_denied() {
     let table = table();
-    assert_eq!(table.access(Some("Token k2"), false), Access::Tenant("kaje".into()));
-    assert_eq!(table.access(Some("Token k9"), false), Access::Denied);
-    assert_eq!(table.access(Some("k1"), false), Access::Denied);
-    assert_eq!(table.access(None, false), Access::Denied);
-    assert_eq!(table.access(None, true), Access::Anonymous);
+    assert_eq!(table.authenticate(Some("Token k2"), false), Access::Tenant("kaje".into()));
+    assert_eq!(table.authenticate(Some("Token k9"), false), Access::Denied);
+    assert_eq!(table.authenticate(Some("k1"), false), Access::Denied);
+    assert_eq!(table.authenticate(None, false), Access::Denied);
+    assert_eq!(table.authenticate(None, true), Access::Anonymous);
     let route = table.by_name("short").unwrap();
     assert_eq!((table.priority(Some("kaje"), route), table.priority(Some("vopu"), route)), (1, 2));
 }
@@ -61,7 +61,7 @@
         });
         let mut of_first = 0;
         for courier in 0..10 {
-            let mut draws = ServiceDraws::starting_at(f64::from(courier) * 0.377 % 1.0);
+            let mut draws = ServiceDraws::with_offset(f64::from(courier) * 0.377 % 1.0);
             of_first += (0..30).filter(|_| route.pick_service(draws.next("r")) == Some("a")).count();
         }
         let share = of_first as f64 / 300.0;
--- a/tier/dataplane/tests/table_updates.rs
+++ b/tier/dataplane/tests/table_updates.rs
@@ -41,7 +41,7 @@
     (1..=stores).for_each(|number| _ = state.admit_store(&store(number)));
     let placement = Versioned { version: state.placement_version, content: state.placement.clone() };
     let tables = Tables { placement: Some(placement), ..Tables::default() };
-    (state, TableSnapshot::default().update(tables).next.expect("a placement"))
+    (state, TableSnapshot::default().apply(tables).next.expect("a placement"))
 }
 
 #[test]
@@ -55,24 +55,21 @@
     let content = history.placement_delta(before.placement_version, &after).expect("a difference").clone();
     let placement = Some(Versioned { version: after.placement_version, content });
     let answer = ChangedTables { placement, ..ChangedTables::default() };
-    let tables = snapshot.complete(answer.clone()).expect("a placement");
-    assert_eq!(*snapshot.update(tables).next.expect("a newer one").placement, after.placement);
+    let tables = snapshot.resolve_deltas(answer.clone()).expect("a placement");
+    assert_eq!(*snapshot.apply(tables).next.expect("a newer one").placement, after.placement);
     let (_, other) = placed(39);
-    assert!(other.complete(answer).is_err(), "a difference to another placement");
+    assert!(other.resolve_deltas(answer).is_err(), "a difference to another placement");
 }
 
 #[test]
 fn changes_of_the_endpoint_list_do_not_apply_to_a_list_that_the_process_read_itself() {
     let full = directory(1, 5, DirectoryUpdate::Full(vec![endpoint("i-1", false), endpoint("i-2", false)]));
-    let snapshot = TableSnapshot::default().update(full).next.expect("a list");
-    let own = snapshot.with_own_list(vec![endpoint("i-1", true), endpoint("i-2", false)]);
+    let snapshot = TableSnapshot::default().apply(full).next.expect("a list");
+    let own = snapshot.with_direct_list(vec![endpoint("i-1", true), endpoint("i-2", false)]);
     let changes = DirectoryUpdate::Delta { changed: vec![endpoint("i-3", false)], removed: Vec::new() };
     let late = directory(2, 1, changes);
-    assert!(
-        own.update(late.clone()).next.is_none(),
-        "the list that it read stays, and the next poll says so"
-    );
-    assert_eq!(snapshot.update(late).next.expect("a newer list").endpoints.len(), 3);
+    assert!(own.apply(late.clone()).next.is_none(), "the list that it read stays, and the next poll says so");
+    assert_eq!(snapshot.apply(late).next.expect("a newer list").endpoints.len(), 3);
     let whole = directory(2, 1, DirectoryUpdate::Full(vec![endpoint("i-1", false)]));
-    assert_eq!(own.update(whole).next.expect("the list of the core").endpoints.len(), 1);
+    assert_eq!(own.apply(whole).next.expect("the list of the core").endpoints.len(), 1);
 }
--- a/tier/node/src/edge/forward/attempt.rs
+++ b/tier/node/src/edge/forward/attempt.rs
@@ -46,7 +46,7 @@
     attempt: &Attempt<'_>,
     answer: UpstreamAnswer,
 ) -> AttemptOutcome {
-    if let Some(rejection) = CallOutcome::of_rejection(&answer.head) {
+    if let Some(rejection) = CallOutcome::from_rejection(&answer.head) {
         return rejected(request, attempt, answer, rejection).await;
     }
     if NOT_RUN_STATUSES.contains(&answer.head.status) {
--- a/tier/node/src/edge/forward/request.rs
+++ b/tier/node/src/edge/forward/request.rs
@@ -127,7 +127,7 @@
 
     /// Whether the route allows another run after an endpoint may have run the request.
     pub(super) fn may_rerun(&self) -> bool {
-        self.route.idempotent() && self.runs < self.route.max_attempts
+        self.route.is_idempotent() && self.runs < self.route.max_attempts
     }
 
     /// Whether the deadline has not passed.
--- a/tier/node/src/edge/forward/stream.rs
+++ b/tier/node/src/edge/forward/stream.rs
@@ -38,7 +38,7 @@
     mut answer: UpstreamAnswer,
 ) -> AttemptOutcome {
     let mut stream = EndpointStream {
-        events: EventSequence::resuming(request.last_event, EventIds::Optional),
+        events: EventSequence::resuming_after(request.last_event, EventIds::Optional),
         first_event: None,
         resumed: request.last_event.is_some(),
         keep_alive: request.keep_alive() && !request.node.stopping.get(),
@@ -121,7 +121,7 @@
 
     /// Reports an attempt whose stream is complete, or whose client has disconnected.
     fn finish_without_fault(&self, request: &ForwardedRequest<'_>, attempt: &Attempt<'_>) {
-        let outcome = CallOutcome::without_fault(self.first_event, self.resumed);
+        let outcome = CallOutcome::from_stream_end(self.first_event, self.resumed);
         request.finish(attempt, outcome, self.first_event.is_some());
     }
 
--- a/tier/node/src/edge/routing.rs
+++ b/tier/node/src/edge/routing.rs
@@ -94,7 +94,7 @@
     let target = &request.head.target;
     let authorization = request.head.headers.get("Authorization");
     if batch_api::is_job_call(target) {
-        return match routes.access(authorization, false) {
+        return match routes.authenticate(authorization, false) {
             Access::Tenant(tenant) => Ok(Destination::Job { tenant }),
             // Without tenants all jobs belong to the same one, which has no name.
             Access::Anonymous => Ok(Destination::Job { tenant: Rc::from("") }),
@@ -103,7 +103,7 @@
     }
     let host = request.head.headers.get("Host").unwrap_or_default();
     let route = routes.find(host, target).ok_or_else(|| HttpResponse::text(404, "no route matches"))?;
-    match routes.access(authorization, route.route.public.unwrap_or(false)) {
+    match routes.authenticate(authorization, route.route.public.unwrap_or(false)) {
         Access::Tenant(tenant) => Ok(Destination::Route { route: route.clone(), tenant: Some(tenant) }),
         Access::Anonymous => Ok(Destination::Route { route: route.clone(), tenant: None }),
         Access::Denied => Err(unknown_key()),
--- a/tier/node/src/http/client.rs
+++ b/tier/node/src/http/client.rs
@@ -89,7 +89,7 @@
             return None;
         }
         if connection.fill().await.ok()? == 0 {
-            return reader.ends_with_connection().then_some(body);
+            return reader.is_close_delimited().then_some(body);
         }
     }
 }
--- a/tier/node/src/node.rs
+++ b/tier/node/src/node.rs
@@ -92,7 +92,7 @@
             capacity_freed: Notify::new(),
             stopping: Cell::new(false),
             report_due: Notify::new(),
-            service_draws: RefCell::new(ServiceDraws::starting_at(clock::random_fraction())),
+            service_draws: RefCell::new(ServiceDraws::with_offset(clock::random_fraction())),
             core_contact: RefCell::new(CoreContact::new(limits.recent_answer)),
             whole_tables_wanted: Cell::new(false),
             loads: RefCell::default(),
--- a/tier/node/src/store/items/attempt.rs
+++ b/tier/node/src/store/items/attempt.rs
@@ -91,7 +91,7 @@
     /// Reads an answer that is not a stream of events.
     async fn read_status(&self, mut answer: UpstreamAnswer) -> ItemAttemptOutcome {
         let status = answer.head.status;
-        let rejection = CallOutcome::of_rejection(&answer.head);
+        let rejection = CallOutcome::from_rejection(&answer.head);
         let complete = tokio::time::timeout(self.silence_limit(), answer.read_all(ANSWER_LIMIT)).await;
         if !matches!(complete, Ok(Some(_))) {
             return ItemAttemptOutcome::Retry(CallOutcome::Lost);
@@ -109,7 +109,7 @@
 
     /// Reads events until the stream ends.
     async fn read_events(&mut self, answer: &mut UpstreamAnswer) -> ItemAttemptOutcome {
-        let mut sequence = EventSequence::resuming(self.run.last_event, EventIds::Required);
+        let mut sequence = EventSequence::resuming_after(self.run.last_event, EventIds::Required);
         loop {
             let mut bytes = Vec::new();
             let Ok(progress) = tokio::time::timeout(self.silence_limit(), answer.read(&mut bytes)).await
@@ -163,7 +163,7 @@
             ItemAttemptOutcome::Retry(call_outcome) => *call_outcome,
             ItemAttemptOutcome::Failed => CallOutcome::Error,
             ItemAttemptOutcome::Complete | ItemAttemptOutcome::Cancelled => {
-                CallOutcome::without_fault(self.first_event_latency, resumed)
+                CallOutcome::from_stream_end(self.first_event_latency, resumed)
             }
             ItemAttemptOutcome::Unprocessable => CallOutcome::Abandoned,
         };
--- a/tier/node/src/store/quota.rs
+++ b/tier/node/src/store/quota.rs
@@ -132,7 +132,7 @@
 pub async fn send_statements_periodically(store: Rc<Store>) {
     loop {
         tokio::time::sleep(STATEMENT_INTERVAL).await;
-        if store.node.tables().routes.limits_waiting() {
+        if store.node.tables().routes.limits_queued_tokens() {
             send_statements(&store);
         }
     }
--- a/tier/node/src/subscription.rs
+++ b/tier/node/src/subscription.rs
@@ -100,7 +100,7 @@
     let now = clock::now();
     let mut contact = node.core_contact.borrow_mut();
     match outcome {
-        PollOutcome::Tables(answer) => match node.tables().complete(*answer) {
+        PollOutcome::Tables(answer) => match node.tables().resolve_deltas(*answer) {
             Ok(tables) => {
                 let poll = AnsweredPoll { address, sent_at, answered_at: now };
                 subscription.answered(&mut contact, &poll, &tables, clock::random_id());
@@ -191,7 +191,7 @@
     node.whole_tables_wanted.set(false);
     *node.loads.borrow_mut() = Rc::new(std::mem::take(&mut tables.loads));
     let current = node.tables();
-    let update = current.update(tables);
+    let update = current.apply(tables);
     if let Some(RejectedConfiguration { version, error }) = update.rejected {
         tracing::error!(%error, version, "failed to parse the configuration received from the core");
     }
--- a/tier/node/src/subscription/direct_list.rs
+++ b/tier/node/src/subscription/direct_list.rs
@@ -39,7 +39,7 @@
             let current = node.tables();
             // The core may have come back meanwhile: its list then takes precedence.
             if lacks_current_list(&node.core_contact.borrow(), &node.limits, clock::now()) {
-                node.swap_tables(current.with_own_list(list));
+                node.swap_tables(current.with_direct_list(list));
             }
         }
     }
--- a/tier/node/src/upstream/answer.rs
+++ b/tier/node/src/upstream/answer.rs
@@ -53,7 +53,7 @@
                 return BodyProgress::More;
             }
             match fill(&self.stream, &mut self.buffer).await {
-                Ok(0) if self.reader.ends_with_connection() => return BodyProgress::End,
+                Ok(0) if self.reader.is_close_delimited() => return BodyProgress::End,
                 Ok(0) | Err(_) => return BodyProgress::Broken,
                 Ok(_) => {}
             }
--- a/tier/node/src/upstream/exchange.rs
+++ b/tier/node/src/upstream/exchange.rs
@@ -110,7 +110,7 @@
         Some(id) => id == request_id,
         // A rejection without an id: the endpoint sent it before it read the id. On a reused connection it may belong to a
         // previous request.
-        None => fresh && head.promises_not_run(),
+        None => fresh && head.guarantees_not_run(),
     }
 }
 
