--- a/tier/dataplane/tests/codecs.rs
+++ b/tier/dataplane/tests/codecs.rs
@@ -1,4 +1,4 @@
-//! Heads, bodies and event streams, complete and split at any byte.
+//! Tests of the parsers for heads, bodies and event streams, with complete input and with input split at any byte.
 
 use quickcheck::QuickCheck;
 use quillmount_dataplane::body::{BodyReader, LAST_CHUNK, write_chunk};
@@ -44,7 +44,7 @@
 
 #[test]
 fn chunked_bodies_are_read_in_reads_of_any_size() {
-    fn decodes_to_its_content(chunks: Vec<Vec<u8>>, read_size: usize) -> bool {
+    fn decodes_to_chunk_contents(chunks: Vec<Vec<u8>>, read_size: usize) -> bool {
         let mut wire = Vec::new();
         chunks.iter().for_each(|chunk| write_chunk(chunk, &mut wire));
         wire.extend_from_slice(LAST_CHUNK);
@@ -57,7 +57,7 @@
         }
         reader.is_done() && output == chunks.concat() && input == b"next"
     }
-    QuickCheck::new().tests(300).quickcheck(decodes_to_its_content as fn(Vec<Vec<u8>>, usize) -> bool);
+    QuickCheck::new().tests(300).quickcheck(decodes_to_chunk_contents as fn(Vec<Vec<u8>>, usize) -> bool);
 }
 
 #[test]
--- a/tier/dataplane/tests/dispatch/endpoints.rs
+++ b/tier/dataplane/tests/dispatch/endpoints.rs
@@ -1,12 +1,13 @@
-//! The choice among endpoints, their windows and their backoff.
+//! Tests of endpoint selection, windows and backoff.
 
-use crate::fixtures::{dispatcher, endpoint, seeded};
+use crate::fixtures::{dispatcher, endpoint, seeded_dispatcher};
 use quillmount_dataplane::dispatch::{CallOutcome, ReserveError};
 use quillmount_dataplane::request_profile::{PromptSegment, RequestProfile};
 use quillmount_wire::messages::Endpoint;
 use std::collections::HashMap;
 
-/// Whether calls with these times to the first event leave the window of an endpoint open for more than one call.
+/// Whether the window of an endpoint admits more than one call after calls whose time to the first event, in milliseconds, is a
+/// function of their prompt tokens.
 fn stays_open(first_event_ms: impl Fn(f64) -> f64) -> bool {
     let mut dispatcher = dispatcher(&["1"]);
     let mut now = 0;
@@ -34,7 +35,7 @@
     while let Ok(reservation) = dispatcher.reserve("s", &profile, None, &[], 1) {
         reservations.push(reservation);
     }
-    assert_eq!(reservations.len(), 6, "half of three quarters of 16 slots");
+    assert_eq!(reservations.len(), 6, "the initial window is half of three quarters of 16 slots");
     assert_eq!(dispatcher.reserve("s", &profile, None, &[], 1), Err(ReserveError::Busy));
     dispatcher.finish(&reservations.pop().unwrap(), CallOutcome::Abandoned, false, 1);
     assert!(dispatcher.reserve("s", &profile, None, &[], 1).is_ok());
@@ -85,10 +86,11 @@
 fn processes_that_never_communicate_prefer_the_same_endpoint_for_a_shared_prompt() {
     let segments = vec![PromptSegment { id: 77, tokens: 13_000 }, PromptSegment { id: 5, tokens: 400 }];
     let profile = RequestProfile { segments, prompt_tokens: 13_400, output_tokens: 100 };
-    let choice =
-        |seed| seeded(seed, &["1", "2", "3", "4", "5"]).reserve("s", &profile, None, &[], 1).unwrap().id;
-    let first = choice(0);
-    assert!((1..50).all(|seed| choice(seed * 7919) == first));
+    let choice = |seed| {
+        seeded_dispatcher(seed, &["1", "2", "3", "4", "5"]).reserve("s", &profile, None, &[], 1).unwrap().id
+    };
+    let expected_id = choice(0);
+    assert!((1..50).all(|seed| choice(seed * 7919) == expected_id));
 }
 
 #[test]
@@ -97,8 +99,9 @@
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
     let mut counts: HashMap<String, u32> = HashMap::new();
     for seed in 0..400 {
-        let reservation =
-            seeded(seed * 7919, &ids).reserve("s", &RequestProfile::default(), None, &[], 1).unwrap();
+        let reservation = seeded_dispatcher(seed * 7919, &ids)
+            .reserve("s", &RequestProfile::default(), None, &[], 1)
+            .unwrap();
         *counts.entry(reservation.id).or_default() += 1;
     }
     assert!(counts.len() == 20 && counts.values().all(|count| *count < 45), "{counts:?}");
@@ -116,9 +119,10 @@
     let mut dispatcher = dispatcher(&["1"]);
     let mut window_after = |outcome: fn(u64) -> CallOutcome, now: u64| {
         for round in 0..20 {
-            let at = now + round * 10_000;
-            let reservation = dispatcher.reserve("s", &RequestProfile::default(), None, &[], at).unwrap();
-            dispatcher.finish(&reservation, outcome(at), false, at);
+            let sent_at = now + round * 10_000;
+            let reservation =
+                dispatcher.reserve("s", &RequestProfile::default(), None, &[], sent_at).unwrap();
+            dispatcher.finish(&reservation, outcome(sent_at), false, sent_at);
         }
         let reservations: Vec<_> = (0..100)
             .map_while(|_| dispatcher.reserve("s", &RequestProfile::default(), None, &[], now).ok())
@@ -128,8 +132,8 @@
         }
         reservations.len()
     };
-    let open = window_after(|_| CallOutcome::FirstEvent(10_000), 1_000_000);
-    assert!(open > 1);
-    assert_eq!(window_after(|_| CallOutcome::Resumed, 2_000_000), open);
+    let open_window = window_after(|_| CallOutcome::FirstEvent(10_000), 1_000_000);
+    assert!(open_window > 1);
+    assert_eq!(window_after(|_| CallOutcome::Resumed, 2_000_000), open_window);
     assert_eq!(window_after(|_| CallOutcome::FirstEvent(400_000), 3_000_000), 1);
 }
--- a/tier/dataplane/tests/dispatch/fixtures.rs
+++ b/tier/dataplane/tests/dispatch/fixtures.rs
@@ -1,11 +1,11 @@
-//! Dispatchers with endpoints of the service `s`.
+//! Dispatchers with endpoints of the service `s`, for the tests of this target.
 
 use quillmount_dataplane::dispatch::{Dispatcher, ServiceShare};
 use quillmount_window::Parameters;
 use quillmount_wire::messages::Endpoint;
 use std::collections::HashMap;
 
-/// An endpoint with this id and number of slots.
+/// An endpoint of the service `s` with `capacity` slots.
 pub fn endpoint(id: &str, capacity: u32) -> Endpoint {
     Endpoint {
         id: id.to_owned(),
@@ -19,13 +19,13 @@
     }
 }
 
-/// A dispatcher with endpoints of 16 slots.
+/// A dispatcher with one endpoint of 16 slots for each id, and the seed 1.
 pub fn dispatcher(ids: &[&str]) -> Dispatcher {
-    seeded(1, ids)
+    seeded_dispatcher(1, ids)
 }
 
-/// The same with the seed of its random choices.
-pub fn seeded(seed: u64, ids: &[&str]) -> Dispatcher {
+/// A dispatcher with one endpoint of 16 slots for each id, and a seed for its random choices.
+pub fn seeded_dispatcher(seed: u64, ids: &[&str]) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(seed, "z", Parameters::default());
     let list: Vec<Endpoint> = ids.iter().map(|id| endpoint(id, 16)).collect();
     dispatcher
--- a/tier/dataplane/tests/dispatch/main.rs
+++ b/tier/dataplane/tests/dispatch/main.rs
@@ -1,4 +1,4 @@
-//! The choice of an endpoint, and what calls and batch work may use of it.
+//! Tests of endpoint selection and of the limits on calls and batch work at an endpoint.
 
 mod batch;
 mod endpoints;
--- a/tier/dataplane/tests/distribution/core_side.rs
+++ b/tier/dataplane/tests/distribution/core_side.rs
@@ -1,4 +1,4 @@
-//! What members of the core do: they send each other messages of the register, answer polls, and read the list of endpoints.
+//! Core members: they exchange messages of the replicated register, answer polls, and read the endpoint list.
 
 use crate::answers::{self, PollAnswer, response_bytes};
 use crate::fixtures;
@@ -14,67 +14,69 @@
 use quillmount_wire::settings::Bounds;
 use std::rc::Rc;
 
-/// Time that a write of the register takes.
+/// Duration of a write of the register to disk.
 const WRITE_TIME: Time = MILLI;
-/// Interval between two readings of the list of endpoints by the primary.
+/// Interval between two reads of the endpoint list by the primary.
 const LIST_INTERVAL: Time = 600 * MILLI;
-/// Time that a reading of the list takes.
-const READING_TIME: Time = 5 * MILLI;
+/// Duration of a read of the endpoint list.
+const READ_TIME: Time = 5 * MILLI;
 
-/// How far a poll is at the primary.
+/// Processing stage of a poll at the primary.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Stage {
-    /// Its sender's first tables are being confirmed by a majority.
+    /// The first poll of a process waits until a majority confirms the primary's tables.
     Confirming,
-    /// It was not looked at yet.
+    /// The poll was not checked for newer tables yet.
     Ready,
-    /// It waits for newer tables.
+    /// The poll waits for newer tables.
     Waiting,
-    /// It waits for its turn on the link.
+    /// The response waits for link bandwidth.
     Queued {
-        /// When that is, or when it is told that the link carries no more.
-        until: Time,
-        /// Whether it gets its turn then.
+        /// Time at which the response is sent, or at which the poll is rejected.
+        deadline: Time,
+        /// Whether the response is sent at that time; otherwise the poll is rejected.
         admitted: bool,
     },
 }
 
-/// A poll that the primary has not answered.
+/// A poll that the primary has not answered yet.
 pub struct PendingPoll {
     pub path: Vec<MachineId>,
     poll: Rc<Poll>,
     stage: Stage,
-    arrived: Time,
-    until: Time,
+    arrived_at: Time,
+    deadline: Time,
 }
 
-/// What waits for a ticket.
+/// The operation that waits for the confirmation of a ticket.
 pub enum Waiting {
-    /// A poll, by its call.
+    /// A poll, by call number.
     Poll(u64),
-    /// A change, by its index, with the call in which it was sent.
+    /// A change, by index, and the number of the call that sent it.
     Change { change: usize, call: u64 },
 }
 
-/// The stage of a poll whose answer has to wait for the link; `None` if it goes at once.
+/// The stage of a poll whose response has to wait for link bandwidth; `None` if it can be sent immediately.
 fn queue(
     transmission: &mut TransmissionBudget,
     answer: &ChangedTables,
-    arrived: Time,
+    arrived_at: Time,
     now: Time,
 ) -> Option<Stage> {
     if is_empty(answer) {
         return None;
     }
-    match transmission.reserve(size(answer), arrived, now) {
+    match transmission.reserve(size(answer), arrived_at, now) {
         Ok(0) => None,
-        Ok(wait) => Some(Stage::Queued { until: now + wait, admitted: true }),
-        Err(Saturated { retry_delay }) => Some(Stage::Queued { until: now + retry_delay, admitted: false }),
+        Ok(delay) => Some(Stage::Queued { deadline: now + delay, admitted: true }),
+        Err(Saturated { retry_delay }) => {
+            Some(Stage::Queued { deadline: now + retry_delay, admitted: false })
+        }
     }
 }
 
 impl World {
-    /// Performs the actions of a member.
+    /// Carries out the actions that a member returned.
     pub fn perform(&mut self, id: MachineId, actions: Vec<MemberAction>) {
         for action in actions {
             match action {
@@ -112,24 +114,24 @@
         }
     }
 
-    /// Ends a write of the register.
+    /// Handles the end of a successful register write.
     pub fn end_write(&mut self, id: MachineId, write: RegisterWrite) {
         let now = self.now();
         let actions = self.member(id).write_ended(write, WriteOutcome::Synced, now);
         self.perform(id, actions);
     }
 
-    /// Drops what a machine knew as primary of an earlier epoch.
+    /// Resets the primary's state of an earlier epoch: leases and endpoint list.
     fn forget_primary_state(&mut self, id: MachineId) {
         let state = &mut self.machines[id].state;
         state.leases = Leases::default();
         let tables = &state.tables;
         state.directory = Directory::succeeding(tables.versions.directory, tables.endpoints.clone());
-        state.next_reading = 0;
+        state.next_list_read = 0;
         state.changed = true;
     }
 
-    /// A poll arrives at a machine: the primary keeps it until it can answer, a courier relays it.
+    /// Handles a poll: the primary keeps it until it can answer, another member redirects it, and a courier relays it.
     pub fn receive_poll(&mut self, path: Vec<MachineId>, to: MachineId, call: u64, poll: Rc<Poll>) {
         let now = self.now();
         let state = &mut self.machines[to].state;
@@ -140,14 +142,17 @@
                 hint.and_then(|disk| self.machines.iter().position(|machine| machine.node.disk == disk));
             return self.redirect_poll(to, path, call, hint.map(address));
         };
-        assert!(!needs_admission(&committed, &poll), "all machines are in the register");
+        assert!(
+            !needs_admission(&committed, &poll),
+            "the poll of a machine outside the register was received"
+        );
         state.leases.renew(&poll, now);
         let is_first = poll.known_versions.configuration == 0;
-        let until = now + poll.max_wait_ms * MILLI;
+        let deadline = now + poll.max_wait_ms * MILLI;
         let stage = if is_first { Stage::Confirming } else { Stage::Ready };
-        state.pending_polls.insert(call, PendingPoll { path, poll, stage, arrived: now, until });
+        state.pending_polls.insert(call, PendingPoll { path, poll, stage, arrived_at: now, deadline });
         if is_first {
-            let read = member.confirm(now).expect("a primary that serves");
+            let read = member.confirm(now).expect("a serving primary accepts a confirmation");
             state.waiting.insert(read.ticket, Waiting::Poll(call));
             self.perform(to, read.actions);
         }
@@ -166,7 +171,7 @@
         }
     }
 
-    /// Answers the polls for which there are newer tables, or whose time is up.
+    /// Answers the polls for which there are newer tables, and those that have expired.
     pub fn answer_polls(&mut self) {
         let now = self.now();
         for id in self.core_ids() {
@@ -175,8 +180,8 @@
             let is_due = |pending: &PendingPoll| match pending.stage {
                 Stage::Confirming => false,
                 Stage::Ready => true,
-                Stage::Waiting => changed || pending.until <= now,
-                Stage::Queued { until, .. } => until <= now,
+                Stage::Waiting => changed || pending.deadline <= now,
+                Stage::Queued { deadline, .. } => deadline <= now,
             };
             let pending = state.pending_polls.iter();
             let due: Vec<u64> =
@@ -189,7 +194,7 @@
         let now = self.now();
         let state = &mut self.machines[id].state;
         let Some(pending) = state.pending_polls.get_mut(&call) else { return };
-        let member = state.member.as_ref().expect("a member");
+        let member = state.member.as_ref().expect("a core machine has a member");
         let serving = member.serving().zip(member.committed_if_recent(now));
         let Some((epoch, committed)) = serving else { return self.refuse_poll(id, call) };
         let limits = TimeLimits::new(&Bounds::default());
@@ -202,7 +207,7 @@
             max_list_age: limits.published_list,
             primary: &address(id),
         };
-        let Some(tables) = answers::answer(&published, &pending.poll, pending.until, now) else {
+        let Some(tables) = answers::answer(&published, &pending.poll, pending.deadline, now) else {
             pending.stage = Stage::Waiting;
             return;
         };
@@ -210,7 +215,7 @@
             Stage::Queued { admitted: false, .. } => return self.reject_poll(id, call),
             Stage::Queued { admitted: true, .. } => {}
             Stage::Confirming | Stage::Ready | Stage::Waiting => {
-                if let Some(queued) = queue(&mut state.transmission, &tables, pending.arrived, now) {
+                if let Some(queued) = queue(&mut state.transmission, &tables, pending.arrived_at, now) {
                     pending.stage = queued;
                     return;
                 }
@@ -222,7 +227,7 @@
         }
     }
 
-    /// Tells the sender of a poll that the link carries no more tables at present.
+    /// Rejects a poll because the link is saturated.
     fn reject_poll(&mut self, id: MachineId, call: u64) {
         if let Some(PendingPoll { path, .. }) = self.machines[id].state.pending_polls.remove(&call) {
             self.send_answer(id, path, call, response_bytes(&Response::Full), PollAnswer::Busy);
@@ -235,13 +240,13 @@
         }
     }
 
-    /// Answers a poll at a machine that is not the primary.
+    /// Answers a poll at a machine that is not the primary, with the primary's address if it is known.
     pub fn redirect_poll(&mut self, id: MachineId, path: Vec<MachineId>, call: u64, hint: Option<String>) {
         let bytes = response_bytes(&Response::NotPrimary { hint: hint.clone() });
         self.send_answer(id, path, call, bytes, PollAnswer::NotPrimary { hint });
     }
 
-    /// Sends the answer to a poll to the last machine of its path.
+    /// Sends the response to a poll to the last machine of its path.
     pub fn send_answer(
         &mut self,
         from: MachineId,
@@ -255,24 +260,24 @@
         }
     }
 
-    /// Lets the primary read the list of endpoints.
+    /// Starts the periodic reads of the endpoint list at primaries.
     pub fn read_lists(&mut self) {
         let now = self.now();
         for id in self.core_ids() {
             let state = &mut self.machines[id].state;
             let serving = state.member.as_ref().and_then(|member| member.serving());
-            if let Some(epoch) = serving.filter(|_| now >= state.next_reading) {
-                state.next_reading = now + LIST_INTERVAL;
-                self.schedule(now + READING_TIME, Event::List { to: id, epoch, began: now });
+            if let Some(epoch) = serving.filter(|_| now >= state.next_list_read) {
+                state.next_list_read = now + LIST_INTERVAL;
+                self.schedule(now + READ_TIME, Event::List { to: id, epoch, started_at: now });
             }
         }
     }
 
-    /// The list arrives at the primary that reads it.
-    pub fn receive_list(&mut self, id: MachineId, epoch: Epoch, began: Time) {
+    /// Handles the endpoint list that a primary has requested; ignored if its epoch has ended.
+    pub fn receive_list(&mut self, id: MachineId, epoch: Epoch, started_at: Time) {
         let state = &mut self.machines[id].state;
         let serving = state.member.as_ref().and_then(|member| member.serving());
-        if serving == Some(epoch) && state.directory.replace(fixtures::endpoints(), began) {
+        if serving == Some(epoch) && state.directory.replace(fixtures::endpoints(), started_at) {
             state.changed = true;
         }
     }
--- a/tier/dataplane/tests/distribution/fixtures.rs
+++ b/tier/dataplane/tests/distribution/fixtures.rs
@@ -1,27 +1,27 @@
-//! The configuration, the list of endpoints and the control state of a large deployment.
+//! The configuration, the endpoint list and the control state of a large deployment.
 
 use crate::machine::{Machine, TOLERATED_FAILURES};
 use quillmount_control::{ControlState, ShardPlanInputs};
 use quillmount_wire::messages::{Accepted, Endpoint, NodeRole, Register, RegisterValue};
 
-/// The only service.
+/// Name of the only service.
 const SERVICE: &str = "service";
-/// Routes of a configuration.
+/// Number of routes of a configuration.
 const ROUTES: u64 = 45;
-/// Tenants of a configuration; each has two keys.
+/// Number of tenants of a configuration; each has two keys.
 const TENANTS: u64 = 190;
-/// Endpoints in the list.
+/// Number of endpoints in the list.
 const ENDPOINTS: u64 = 160;
-/// Version of the configuration that is in force at the beginning.
+/// Version of the initial configuration.
 pub const FIRST_VERSION: u64 = 1;
-/// Deadline of routes, milliseconds. That of one route is longer by the version.
+/// Deadline of routes, milliseconds. The deadline of one route is longer by the version number.
 const DEADLINE_MS: u64 = 4_000;
 
-/// The text of a configuration. Each version has another deadline for one of its routes.
+/// The text of a configuration. Each version changes the deadline of one route.
 pub fn configuration(version: u64) -> String {
-    let altered = version % ROUTES;
+    let altered_route = version % ROUTES;
     let route = |number: u64| {
-        let deadline = DEADLINE_MS + if number == altered { version } else { 0 };
+        let deadline = DEADLINE_MS + if number == altered_route { version } else { 0 };
         format!(
             r#"{{"Name":"route-{number:03}","Host":"service.example","PathPrefix":"/v1/route-{number:03}/","Mode":"safe","DeadlineMs":{deadline},"TargetMs":800,"Tries":2,"Backend":"{SERVICE}"}}"#
         )
@@ -42,7 +42,7 @@
     )
 }
 
-/// The list of endpoints, the same at each reading.
+/// The endpoint list, the same at each read.
 pub fn endpoints() -> Vec<Endpoint> {
     let endpoint = |number: u64| Endpoint {
         id: format!("endpoint-{number:03}"),
@@ -57,7 +57,7 @@
     (0..ENDPOINTS).map(endpoint).collect()
 }
 
-/// The register that the members have on their disks: all machines with a disk are known, and all shards are placed.
+/// The register on the disks of the members, which contains all machines with a disk and the placement of all shards.
 pub fn register(machines: &[Machine]) -> Register {
     let with_role = |role: NodeRole| {
         let nodes = machines.iter().map(|machine| machine.node.clone());
@@ -76,7 +76,7 @@
         tolerated_failures: TOLERATED_FAILURES,
         ..ShardPlanInputs::default()
     };
-    assert!(state.plan_shards(&inputs), "there are stores enough for all shards");
+    assert!(state.plan_shards(&inputs), "there are not enough stores for all shards");
     let members = state.core_disks();
     let promised_to = members[0];
     let value = RegisterValue { members, prior: None, payload: state.encode() };
--- a/tier/dataplane/tests/distribution/machine.rs
+++ b/tier/dataplane/tests/distribution/machine.rs
@@ -1,4 +1,4 @@
-//! A machine: its links, its process, and what the process has in memory.
+//! A machine: its links, its process, and the process memory.
 
 use crate::core_side::{PendingPoll, Waiting};
 use crate::link::Link;
@@ -18,48 +18,48 @@
 /// Index of a machine in the world.
 pub type MachineId = usize;
 
-/// Disks that may be lost at once.
+/// Number of disks that may be lost at the same time.
 pub const TOLERATED_FAILURES: usize = 2;
-/// Zones, to which the machines belong in turn.
+/// Number of zones; machines are assigned to them round-robin.
 const ZONES: usize = 3;
-/// Rate of the links of the core's members, megabits per second.
+/// Bandwidth of the links of core members, megabits per second.
 const CORE_MBPS: f64 = 100.0;
-/// A million bits per second.
+/// One megabit, bits.
 const MEGABIT: u64 = 1_000_000;
 
-/// A machine.
+/// A machine with its links and its process.
 pub struct Machine {
     pub node: NodeInfo,
     pub process: Process,
     pub outgoing: Link,
     pub incoming: Link,
     pub state: ProcessMemory,
-    /// Length of its polls, which all have the same.
+    /// Frame length of a poll of this machine, bytes; the same for all its polls.
     pub poll_bytes: usize,
 }
 
-/// A poll that was sent.
+/// A poll that awaits its response.
 pub struct SentPoll {
     pub call: u64,
     pub address: String,
     pub sent_at: Time,
 }
 
-/// What a process has in memory.
+/// The memory of a process, which is lost when the process ends.
 pub struct ProcessMemory {
-    /// The member of the core, on machines of the core.
+    /// The consensus member; only on core machines.
     pub member: Option<Member>,
     pub leases: Leases,
     pub directory: Directory,
-    /// The last tables that this member published or accepted.
+    /// Recent tables that this member published or accepted, the bases of table deltas.
     pub history: TableHistory,
-    /// What answers to polls may take of the link.
+    /// Limit on the link bandwidth used by responses to polls.
     pub transmission: TransmissionBudget,
-    /// When a primary reads the list of endpoints next.
-    pub next_reading: Time,
-    /// Polls that are not answered, by their call.
+    /// Time of the next read of the endpoint list by a primary.
+    pub next_list_read: Time,
+    /// Unanswered polls, by call number.
     pub pending_polls: BTreeMap<u64, PendingPoll>,
-    /// Whether there may be newer tables for all of them.
+    /// Whether the published tables may have changed since the pending polls were last checked.
     pub changed: bool,
     pub waiting: BTreeMap<Ticket, Waiting>,
     pub contact: CoreContact,
@@ -69,17 +69,17 @@
     pub poll: Option<SentPoll>,
 }
 
-/// Internal address of a machine. All have the same length.
+/// Internal address of a machine. All addresses have the same length.
 pub fn address(id: MachineId) -> String {
     format!("10.0.0.{id:03}:7360")
 }
 
-/// The machine with an internal address.
+/// Returns the machine with this internal address, if the address is valid.
 pub fn machine_at(address: &str) -> Option<MachineId> {
     address.strip_prefix("10.0.0.")?.strip_suffix(":7360")?.parse().ok()
 }
 
-/// What a machine says of itself.
+/// The description of a machine in its polls and in the register.
 pub fn node_info(id: MachineId, disk: DiskId, role: NodeRole) -> NodeInfo {
     NodeInfo {
         name: format!("machine-{id:03}"),
@@ -91,12 +91,12 @@
     }
 }
 
-/// Length of a request's frame, bytes.
+/// Frame length of a request, bytes.
 pub fn request_bytes(request: &Request) -> usize {
     HEADER_BYTES + request.encode().len()
 }
 
-/// Rate of the links of a machine, bits per second.
+/// Link bandwidth of a machine with this role, bits per second.
 const fn link_rate(role: NodeRole) -> u64 {
     match role {
         NodeRole::Core => CORE_MBPS as u64 * MEGABIT,
@@ -106,7 +106,7 @@
 }
 
 impl Machine {
-    /// A machine whose process was not started.
+    /// A machine whose process is not started yet.
     pub fn new(node: NodeInfo) -> Machine {
         let mut process = Process::running(1);
         process.kill();
@@ -122,13 +122,13 @@
         machine
     }
 
-    /// Whether its process has a table of each kind.
+    /// Whether its process has received a configuration, a placement and an endpoint list.
     pub fn has_all_tables(&self) -> bool {
         let versions = self.state.tables.versions;
         versions.configuration > 0 && versions.placement > 0 && versions.directory.changes > 0
     }
 
-    /// The poll of its process.
+    /// The next poll of its process, with its current table versions.
     pub fn poll(&self, max_wait_ms: u64) -> Poll {
         Poll {
             node: self.node.clone(),
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Starts the process; a member of the core with the register on its disk.
+    /// Starts the process. A member of the core loads the register from its disk.
     pub fn start(&mut self, register: &Register, now: Time) {
         self.process.start();
         if self.node.role == NodeRole::Core {
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Kills the process for good.
+    /// Kills the process; it is not restarted.
     pub fn kill(&mut self) {
         self.process.kill();
         self.state = ProcessMemory::new();
@@ -169,7 +169,7 @@
             directory: Directory::default(),
             history: TableHistory::default(),
             transmission: TransmissionBudget::new(Some(CORE_MBPS)),
-            next_reading: 0,
+            next_list_read: 0,
             pending_polls: BTreeMap::new(),
             changed: false,
             waiting: BTreeMap::new(),
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Learns the addresses of the members from the register.
+    /// Reads the addresses of the core members from the register.
     pub fn learn_members(&mut self) {
         let accepted = self.member.as_ref().and_then(|member| member.replica().register().accepted.as_ref());
         let state = accepted.and_then(|accepted| ControlState::decode(&accepted.value.payload).ok());
--- a/tier/dataplane/tests/distribution/main.rs
+++ b/tier/dataplane/tests/distribution/main.rs
@@ -1,6 +1,6 @@
-//! The distribution of tables in a large deployment, on virtual time: five members of the core, 250 couriers and 45 stores, all of
-//! which poll the primary, over links of limited rate that messages of the core share with the answers to polls. `SEEDS=N` runs so
-//! many seeds.
+//! Simulation of table distribution in a large deployment, on virtual time. Five members of the core, 250 couriers and 45 stores poll
+//! the primary. The links have limited bandwidth, which consensus messages share with the responses to polls. `SEEDS=N` sets the
+//! number of seeds.
 
 mod answers;
 mod core_side;
@@ -14,45 +14,45 @@
 use fixtures::FIRST_VERSION;
 use quillmount_test_support::seeds;
 use quillmount_test_support::simulation::{MILLI, SECOND, Simulation, Time};
-use world::{Starts, World};
+use world::{StartOrder, World};
 
-/// Seeds that are run unless `SEEDS` names another number.
+/// Number of seeds unless `SEEDS` sets another one.
 const DEFAULT_SEEDS: u64 = 3;
-/// Time after the acknowledgement in which a configuration has to be in force everywhere (`ApplyMs` of the large deployments).
+/// Deadline after the acknowledgement for a configuration to be in force at all processes (`ApplyMs` of the large deployments).
 const APPLY_LIMIT: Time = 3_000 * MILLI;
-/// Time in which a change has to be acknowledged (`AckMs` of the large deployments).
+/// Deadline for the acknowledgement of a change (`AckMs` of the large deployments).
 const ACKNOWLEDGEMENT_LIMIT: Time = 6_000 * MILLI;
-/// The same while nothing fails.
+/// Deadline for the acknowledgement of a change while there are no faults.
 const CALM_ACKNOWLEDGEMENT_LIMIT: Time = SECOND;
-/// Time in which all processes have started one after the other and have their tables.
+/// Time for the staggered start of all processes until they have their tables.
 const SETTLE_TIME: Time = 10 * SECOND;
-/// Bound of the time, milliseconds, that is drawn and added to it: longer than a poll and a reading of the list.
+/// Upper bound of a random time, milliseconds, added to [`SETTLE_TIME`]: longer than a poll and than a read of the endpoint list.
 const SETTLE_SPREAD_MS: u64 = 700;
-/// Interval at which conditions are checked.
+/// Interval between two checks of a condition.
 const CHECK_INTERVAL: Time = 10 * MILLI;
 
-/// A deployment whose processes have started one after the other, and all have their tables.
-fn settled(seed: u64) -> World {
-    let mut world = World::new(seed, Starts::InTurn);
+/// A deployment after a staggered start, in which all processes have their tables.
+fn started_world(seed: u64) -> World {
+    let mut world = World::new(seed, StartOrder::Staggered);
     let spread = world.random.below(SETTLE_SPREAD_MS) * MILLI;
     world.run(SETTLE_TIME + spread);
-    assert!(world.all_have_tables(), "all processes have their first tables");
-    assert_eq!(world.services.len(), 1, "one member serves: {:?}", world.elections);
+    assert!(world.all_have_tables(), "not all processes have received their first tables");
+    assert_eq!(world.service_starts.len(), 1, "not exactly one primary has served: {:?}", world.elections);
     world
 }
 
-/// What was not as it has to be, with its figures.
+/// Violated expectations of one run, with the measured values.
 #[derive(Default)]
 struct Failures(Vec<String>);
 
 impl Failures {
-    fn expect(&mut self, holds: bool, what: impl FnOnce() -> String) {
-        if !holds {
-            self.0.push(what());
+    fn expect(&mut self, condition: bool, describe: impl FnOnce() -> String) {
+        if !condition {
+            self.0.push(describe());
         }
     }
 
-    /// Checks when a change was acknowledged and in force.
+    /// Checks that a change was acknowledged, and then in force at all processes, within the limits.
     fn expect_change(&mut self, world: &World, change: usize, acknowledgement_limit: Time) {
         let change = &world.changes[change];
         let seconds = |time: Time| time as f64 / SECOND as f64;
@@ -60,30 +60,35 @@
         let Some(acknowledged_at) = change.acknowledged_at else {
             return self.expect(false, || format!("change {version} was not acknowledged"));
         };
-        let took = acknowledged_at - change.submitted_at;
-        self.expect(took <= acknowledgement_limit, || {
-            format!("change {version} was acknowledged after {:.3} s", seconds(took))
+        let duration = acknowledged_at - change.submitted_at;
+        self.expect(duration <= acknowledgement_limit, || {
+            format!("change {version} was acknowledged after {:.3} s", seconds(duration))
         });
         let Some(in_force_at) = change.in_force_at else {
-            return self.expect(false, || format!("change {version} was not in force everywhere"));
+            return self.expect(false, || format!("change {version} was not in force at all processes"));
         };
-        let took = in_force_at.saturating_sub(acknowledged_at);
-        self.expect(took <= APPLY_LIMIT, || {
-            format!("change {version} was in force everywhere {:.3} s after that", seconds(took))
+        let duration = in_force_at.saturating_sub(acknowledged_at);
+        self.expect(duration <= APPLY_LIMIT, || {
+            format!(
+                "change {version} was in force at all processes {:.3} s after its acknowledgement",
+                seconds(duration)
+            )
         });
     }
 
     fn expect_no_election_after(&mut self, world: &World, time: Time) {
         let elections = world.elections_after(time);
         self.expect(elections.is_empty(), || {
-            let after: Vec<f64> =
-                elections.iter().map(|election| (election.at - time) as f64 / SECOND as f64).collect();
-            format!("number of elections {}, after {after:.3?} s", after.len())
+            let delays: Vec<f64> = elections
+                .iter()
+                .map(|election| (election.occurred_at - time) as f64 / SECOND as f64)
+                .collect();
+            format!("number of elections {}, after {delays:.3?} s", delays.len())
         });
     }
 }
 
-/// Runs the seeds of a test, and fails with what was not as it has to be, of all of them.
+/// Runs a test with all seeds, and panics with the violated expectations of all of them.
 #[track_caller]
 fn check_each_seed(run: fn(u64) -> Failures) {
     let outcomes = seeds::run_each(seeds::count(DEFAULT_SEEDS), run);
@@ -95,16 +100,16 @@
 
 fn make_changes(seed: u64) -> Failures {
     const CHANGES: u64 = 3;
-    const DISTANCE: Time = 2 * SECOND;
-    let mut world = settled(seed);
-    let began = world.now();
+    const CHANGE_INTERVAL: Time = 2 * SECOND;
+    let mut world = started_world(seed);
+    let started_at = world.now();
     for number in 1..=CHANGES {
         world.submit_change(FIRST_VERSION + number);
-        world.run(DISTANCE);
+        world.run(CHANGE_INTERVAL);
     }
-    world.run(CALM_ACKNOWLEDGEMENT_LIMIT + APPLY_LIMIT - DISTANCE);
+    world.run(CALM_ACKNOWLEDGEMENT_LIMIT + APPLY_LIMIT - CHANGE_INTERVAL);
     let mut failures = Failures::default();
-    failures.expect_no_election_after(&world, began);
+    failures.expect_no_election_after(&world, started_at);
     for change in 0..world.changes.len() {
         failures.expect_change(&world, change, CALM_ACKNOWLEDGEMENT_LIMIT);
     }
@@ -118,20 +123,20 @@
 
 fn kill_primary(seed: u64) -> Failures {
     const ELECTION_LIMIT: Time = 5 * SECOND;
-    const QUIET: Time = 10 * SECOND;
-    const CHANGE_AFTER: Time = 2 * SECOND;
-    let mut world = settled(seed);
-    let killed = world.primary().expect("a primary");
+    const OBSERVATION_TIME: Time = 10 * SECOND;
+    const CHANGE_DELAY: Time = 2 * SECOND;
+    let mut world = started_world(seed);
+    let killed = world.primary().expect("a primary serves");
     world.kill(killed);
     let is_elected = world.run_until(CHECK_INTERVAL, ELECTION_LIMIT, |world| world.primary().is_some());
-    assert!(is_elected, "seed {seed}: no primary for {ELECTION_LIMIT} µs");
-    let elected_at = world.services[1].at;
-    world.run(CHANGE_AFTER);
+    assert!(is_elected, "seed {seed}: no primary was elected within {ELECTION_LIMIT} µs");
+    let elected_at = world.service_starts[1].occurred_at;
+    world.run(CHANGE_DELAY);
     let change = world.submit_change(FIRST_VERSION + 1);
-    world.run(QUIET - CHANGE_AFTER);
+    world.run(OBSERVATION_TIME - CHANGE_DELAY);
     let mut failures = Failures::default();
     failures.expect_no_election_after(&world, elected_at);
-    world.run((CHANGE_AFTER + ACKNOWLEDGEMENT_LIMIT + APPLY_LIMIT).saturating_sub(QUIET));
+    world.run((CHANGE_DELAY + ACKNOWLEDGEMENT_LIMIT + APPLY_LIMIT).saturating_sub(OBSERVATION_TIME));
     failures.expect_change(&world, change, ACKNOWLEDGEMENT_LIMIT);
     failures
 }
@@ -144,10 +149,10 @@
 fn start_at_once(seed: u64) -> Failures {
     const ELECTION_LIMIT: Time = 5 * SECOND;
     const TABLES_LIMIT: Time = 5 * SECOND;
-    let mut world = World::new(seed, Starts::AtOnce);
+    let mut world = World::new(seed, StartOrder::Simultaneous);
     let is_elected = world.run_until(CHECK_INTERVAL, ELECTION_LIMIT, |world| world.primary().is_some());
-    assert!(is_elected, "seed {seed}: no primary for {ELECTION_LIMIT} µs");
-    let elected_at = world.services[0].at;
+    assert!(is_elected, "seed {seed}: no primary was elected within {ELECTION_LIMIT} µs");
+    let elected_at = world.service_starts[0].occurred_at;
     world.run(TABLES_LIMIT);
     let mut failures = Failures::default();
     failures.expect_no_election_after(&world, elected_at);
@@ -171,5 +176,5 @@
     let has_election = |failure: &String| failure.starts_with("number of elections");
     let found = (1..=DEFAULT_SEEDS).find(|seed| start_at_once(*seed).0.iter().any(has_election));
     set(None);
-    assert!(found.is_some(), "TablesUnpaced is not found");
+    assert!(found.is_some(), "no seed detects the break TablesUnpaced");
 }
--- a/tier/dataplane/tests/distribution/operator.rs
+++ b/tier/dataplane/tests/distribution/operator.rs
@@ -1,4 +1,4 @@
-//! The operator, who sends each change to one member after the other until one of them acknowledges it.
+//! The operator, who sends each change to the members in turn until one acknowledges it.
 
 use crate::core_side::Waiting;
 use crate::fixtures;
@@ -7,28 +7,28 @@
 use quillmount_control::{Order, OrderKind, OrderOutcome};
 use quillmount_test_support::simulation::{MILLI, SECOND, Simulation, Time};
 
-/// A call without an answer after this time is sent again, to the next member.
+/// Timeout after which a call is sent again, to the next member.
 const ANSWER_TIMEOUT: Time = SECOND;
-/// Delay after an answer that is no acknowledgement.
+/// Delay before a retry after a response that is no acknowledgement.
 const RETRY_DELAY: Time = 50 * MILLI;
-/// Time that a call is on its way to a member, and an answer beyond the member's link.
+/// Network delay of a call to a member, and of a response after it has passed the member's link.
 const CALL_DELAY: Time = 3 * MILLI;
-/// Length of an answer.
+/// Length of a response, bytes.
 const ANSWER_BYTES: usize = 200;
 
-/// A change of the configuration.
+/// A configuration change.
 pub struct Change {
     pub version: u64,
     pub submitted_at: Time,
     pub acknowledged_at: Option<Time>,
-    /// When the last process that polls put it in force.
+    /// Time from which the change is in force at all polling processes.
     pub in_force_at: Option<Time>,
-    /// The last call.
+    /// Number of the last call; responses to earlier ones are ignored.
     call: u64,
 }
 
 impl World {
-    /// Begins the change to this version from the one before; returns its index.
+    /// Submits the change from the previous version to `version`; returns its index.
     pub fn submit_change(&mut self, version: u64) -> usize {
         let submitted_at = self.now();
         let change = Change { version, submitted_at, acknowledged_at: None, in_force_at: None, call: 0 };
@@ -37,7 +37,7 @@
         self.changes.len() - 1
     }
 
-    /// Sends a change to the next member.
+    /// Sends a change to the current member.
     pub fn send_change(&mut self, change: usize) {
         let call = self.next_call();
         self.changes[change].call = call;
@@ -46,7 +46,7 @@
         self.schedule(self.now() + ANSWER_TIMEOUT, Event::ChangeRetry { change, call });
     }
 
-    /// The answer to a call did not come, or was no acknowledgement.
+    /// Sends a change to the next member after a timeout or a negative response.
     pub fn retry_change(&mut self, change: usize, call: u64) {
         if self.changes[change].call == call && self.changes[change].acknowledged_at.is_none() {
             self.operator_contact = (self.operator_contact + 1) % CORE;
@@ -54,7 +54,7 @@
         }
     }
 
-    /// A change arrives at a member.
+    /// Handles a change at a member: submits it to consensus or rejects it.
     pub fn receive_change(&mut self, id: MachineId, change: usize, call: u64) {
         let now = self.now();
         let version = self.changes[change].version;
@@ -68,7 +68,7 @@
             }
             Ok(submitted) => {
                 let is_early = matches!(submitted.outcome, OrderOutcome::VersionMismatch { .. });
-                assert!(is_early, "a proper change: {:?}", submitted.outcome);
+                assert!(is_early, "unexpected outcome of a valid change: {:?}", submitted.outcome);
                 self.perform(id, submitted.actions);
                 self.answer_change(id, change, call, false);
             }
@@ -76,14 +76,14 @@
         }
     }
 
-    /// Sends the answer to a change over the member's link.
+    /// Sends the response to a change over the member's link.
     pub fn answer_change(&mut self, id: MachineId, change: usize, call: u64, applied: bool) {
         let now = self.now();
-        let at = self.machines[id].outgoing.transmit(ANSWER_BYTES, now) + CALL_DELAY;
-        self.schedule(at, Event::ChangeAnswer { change, call, applied });
+        let arrives_at = self.machines[id].outgoing.transmit(ANSWER_BYTES, now) + CALL_DELAY;
+        self.schedule(arrives_at, Event::ChangeAnswer { change, call, applied });
     }
 
-    /// An answer arrives at the operator.
+    /// Handles a response at the operator.
     pub fn receive_change_answer(&mut self, change: usize, call: u64, applied: bool) {
         let now = self.now();
         if applied {
--- a/tier/dataplane/tests/distribution/subscriber.rs
+++ b/tier/dataplane/tests/distribution/subscriber.rs
@@ -1,4 +1,4 @@
-//! What every process does: it polls the core, and relays the polls of others if it is a courier.
+//! Polling by all processes, and relaying of polls by couriers.
 
 use crate::answers::PollAnswer;
 use crate::machine::{MachineId, SentPoll, address, machine_at};
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Bound of the draws that a subscription uses.
+/// Upper bound of the random draws that a subscription uses.
 const DRAW_BOUND: u64 = 1_000;
 
 fn micros(duration: Duration) -> Time {
@@ -17,7 +17,7 @@
 }
 
 impl World {
-    /// Sends the next poll of a machine.
+    /// Sends the next poll of a machine, unless one is in flight.
     pub fn send_poll(&mut self, id: MachineId) {
         if self.machines[id].state.poll.is_some() {
             return;
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Passes a poll on to the primary, once.
+    /// Relays a poll to the primary if it is known. A relayed poll is not relayed again.
     pub fn relay_poll(&mut self, path: Vec<MachineId>, id: MachineId, call: u64, poll: &Poll) {
         let now = self.now();
         let contact = &self.machines[id].state.contact;
@@ -56,11 +56,11 @@
         self.send(id, primary, bytes, Message::Poll { path, call, poll });
     }
 
-    /// An answer arrives at the last machine of its path: the sender of the poll, or a relay that passes it on.
+    /// Handles a response at the last machine of its path: the sender of the poll, or a relay that forwards it.
     pub fn receive_answer(&mut self, mut path: Vec<MachineId>, call: u64, bytes: usize, answer: PollAnswer) {
         let Some(id) = path.pop() else { return };
         if !path.is_empty() {
-            // A relay answers itself where it did not reach the primary.
+            // A relay that could not reach the primary answers the poll with a redirect without a hint.
             return match answer {
                 PollAnswer::Refused => self.redirect_poll(id, path, call, None),
                 PollAnswer::Tables(_) | PollAnswer::Busy | PollAnswer::NotPrimary { .. } => {
@@ -93,16 +93,16 @@
 
     fn accept_tables(&mut self, id: MachineId, answer: ChangedTables) {
         let state = &mut self.machines[id].state;
-        let tables = state.tables.resolve_deltas(answer).expect("differences fit the tables in force");
+        let tables = state.tables.resolve_deltas(answer).expect("deltas apply to the current tables");
         let update = state.tables.apply(tables);
-        assert!(update.rejected.is_none(), "a configuration that was in force can be read");
+        assert!(update.rejected.is_none(), "a published configuration was rejected");
         if let Some(next) = update.next {
             state.tables = next;
             self.record_tables(id);
         }
     }
 
-    /// A poll was not answered in time.
+    /// Handles the timeout of a poll.
     pub fn time_out_poll(&mut self, id: MachineId, call: u64) {
         let now = self.now();
         let state = &mut self.machines[id].state;
--- a/tier/dataplane/tests/distribution/world.rs
+++ b/tier/dataplane/tests/distribution/world.rs
@@ -1,4 +1,4 @@
-//! The machines, the network between them, and what is measured.
+//! The simulated deployment: machines, the network between them, and the measured events.
 
 use crate::answers::{AnswerLengths, PollAnswer};
 use crate::core_side::PendingPoll;
@@ -12,93 +12,93 @@
 use std::ops::Range;
 use std::rc::Rc;
 
-/// Members of the core, which are the first machines.
+/// Number of core members; they are the first machines.
 pub const CORE: usize = 5;
-/// Couriers without a disk.
+/// Number of couriers, which have no disk.
 const COURIERS: usize = 250;
-/// Stores.
+/// Number of stores.
 const STORES: usize = 45;
-/// Members that the settings of each machine name.
+/// Number of core members that the settings of each machine list as seeds.
 pub const SEEDS: usize = 3;
-/// How often the clocks of members advance.
+/// Interval between two ticks of the core members.
 const TICK_INTERVAL: Time = 25 * MILLI;
-/// Distance of two starts where the processes start one after the other.
-const START_DISTANCE: Time = 20 * MILLI;
-/// Time that the core has for its first election before other processes start one after the other.
-const CORE_LEAD: Time = 2 * SECOND;
-/// Length of the segment that closes a connection to a process that does not run.
+/// Interval between two process starts in a staggered start.
+const START_INTERVAL: Time = 20 * MILLI;
+/// Time for the first election of the core before other processes start in a staggered start.
+const CORE_START_TIME: Time = 2 * SECOND;
+/// Length of the TCP segment that resets a connection to a process that is not running, bytes.
 const RESET_BYTES: usize = 60;
 
-/// What is on its way from one machine to another.
+/// A message between two machines.
 pub enum Message {
-    /// A message between members of the core.
+    /// A message of the replicated register between core members.
     Register { from: DiskId, message: RegisterMessage },
-    /// A poll; the answer goes back along `path`, the last one first.
+    /// A poll. The response returns along `path` in reverse order.
     Poll { path: Vec<MachineId>, call: u64, poll: Rc<Poll> },
-    /// The answer to a poll, with the length of its frame.
+    /// The response to a poll, with its frame length.
     Answer { path: Vec<MachineId>, call: u64, bytes: usize, answer: PollAnswer },
 }
 
-/// What happens at a time.
+/// A scheduled event of the simulation.
 pub enum Event {
-    /// A process starts.
+    /// A process starts at a machine.
     Start { id: MachineId },
-    /// A message reaches the incoming link of its receiver.
+    /// A message arrives at the incoming link of its receiver.
     Enter { to: MachineId, bytes: usize, message: Message },
-    /// A message has arrived completely.
+    /// A message was received completely.
     Deliver { to: MachineId, message: Message },
-    /// A write of the register has ended.
+    /// A register write has ended.
     Written { to: MachineId, write: RegisterWrite },
-    /// A process sends its next poll.
+    /// The next poll of a process is due.
     NextPoll { to: MachineId },
-    /// A poll has not been answered in time.
+    /// A poll has timed out.
     PollTimeout { to: MachineId, call: u64 },
-    /// The list of endpoints arrives at the primary that reads it in this epoch.
-    List { to: MachineId, epoch: Epoch, began: Time },
-    /// A change of the operator arrives.
+    /// The endpoint list arrives at the primary that requested it in this epoch.
+    List { to: MachineId, epoch: Epoch, started_at: Time },
+    /// A change of the operator arrives at a member.
     Change { to: MachineId, change: usize, call: u64 },
-    /// Its answer arrives.
+    /// The response to a change arrives at the operator.
     ChangeAnswer { change: usize, call: u64, applied: bool },
-    /// The operator sends a change again, unless it was answered.
+    /// The operator sends a change again, unless it was acknowledged or sent again already.
     ChangeRetry { change: usize, call: u64 },
 }
 
-/// When the processes start.
+/// The order in which the processes start.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Starts {
-    /// All at the same time.
-    AtOnce,
-    /// One after the other, the core first.
-    InTurn,
+pub enum StartOrder {
+    /// All processes start at the same time.
+    Simultaneous,
+    /// The core starts first, the other processes one at a time.
+    Staggered,
 }
 
-/// An election or the beginning of a service.
+/// The election of a primary, or the time from which it serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrimaryEvent {
     pub epoch: Epoch,
-    pub at: Time,
+    pub occurred_at: Time,
 }
 
-/// The whole deployment.
+/// The simulated deployment.
 pub struct World {
     pub timeline: Timeline<Event>,
     pub random: Random,
     pub machines: Vec<Machine>,
     pub changes: Vec<Change>,
-    /// The member that the operator calls.
+    /// The member to which the operator sends its next call.
     pub operator_contact: MachineId,
     pub lengths: AnswerLengths,
-    /// All elections.
+    /// All elections in their order.
     pub elections: Vec<PrimaryEvent>,
-    /// When each primary began to serve.
-    pub services: Vec<PrimaryEvent>,
+    /// The first time at which each primary served.
+    pub service_starts: Vec<PrimaryEvent>,
     register: Register,
     last_call: u64,
 }
 
 impl World {
-    /// Machines whose processes are about to start, with the members' registers on their disks.
-    pub fn new(seed: u64, starts: Starts) -> World {
+    /// A deployment whose processes are about to start. The disks of the members already have the register.
+    pub fn new(seed: u64, start_order: StartOrder) -> World {
         let mut random = Random::from_mixed_seed(seed);
         let mut machines: Vec<Machine> = Vec::new();
         for (role, count) in
@@ -106,7 +106,7 @@
         {
             for _ in 0..count {
                 let id = machines.len();
-                // Drawn, so that members stand for election at other times with other seeds, and different.
+                // Random disk ids, because the election timeout of a member depends on it and must differ between members and seeds.
                 let disk = random.below(1 << 20) * 1_000 + id as u64;
                 machines.push(Machine::new(node_info(id, disk, role)));
             }
@@ -120,18 +120,18 @@
             changes: Vec::new(),
             lengths: AnswerLengths::default(),
             elections: Vec::new(),
-            services: Vec::new(),
+            service_starts: Vec::new(),
             last_call: 0,
         };
         for id in 0..world.machines.len() {
-            let in_turn = starts == Starts::InTurn && id >= CORE;
-            let delay = if in_turn { CORE_LEAD + (id - CORE) as Time * START_DISTANCE } else { 0 };
+            let is_staggered = start_order == StartOrder::Staggered && id >= CORE;
+            let delay = if is_staggered { CORE_START_TIME + (id - CORE) as Time * START_INTERVAL } else { 0 };
             world.schedule(world.now() + delay, Event::Start { id });
         }
         world
     }
 
-    /// The machines of the core.
+    /// Ids of the core machines.
     pub const fn core_ids(&self) -> Range<MachineId> {
         0..CORE
     }
@@ -141,18 +141,18 @@
         &self.machines[CORE..]
     }
 
-    /// The number of the next call.
+    /// Allocates the number of the next call.
     pub fn next_call(&mut self) -> u64 {
         self.last_call += 1;
         self.last_call
     }
 
-    /// The member of a running process of the core.
+    /// The consensus member of a running core process.
     pub fn member(&mut self, id: MachineId) -> &mut Member {
-        self.machines[id].state.member.as_mut().expect("a machine of the core")
+        self.machines[id].state.member.as_mut().expect("a running core machine")
     }
 
-    /// The machine whose member serves as primary.
+    /// The machine whose member serves as primary; the one of the highest epoch if there are several.
     pub fn primary(&self) -> Option<MachineId> {
         let serves = |id: &MachineId| {
             self.machines[*id].state.member.as_ref().is_some_and(|member| member.serving().is_some())
@@ -162,50 +162,51 @@
             .max_by_key(|id| self.machines[*id].state.member.as_ref().and_then(|member| member.serving()))
     }
 
-    /// Whether all couriers and stores have a table of each kind.
+    /// Whether all couriers and stores have received a table of each kind.
     pub fn all_have_tables(&self) -> bool {
         self.subscribers().iter().all(Machine::has_all_tables)
     }
 
-    /// Sends a message over the links of two machines; one of a machine to itself needs none.
+    /// Sends a message over the links of two machines. A message from a machine to itself is delivered without delay.
     pub fn send(&mut self, from: MachineId, to: MachineId, bytes: usize, message: Message) {
         let now = self.now();
         if from == to {
             return self.schedule(now, Event::Deliver { to, message });
         }
-        let at = self.machines[from].outgoing.transmit(bytes, now);
-        self.schedule(at, Event::Enter { to, bytes, message });
+        let arrives_at = self.machines[from].outgoing.transmit(bytes, now);
+        self.schedule(arrives_at, Event::Enter { to, bytes, message });
     }
 
-    /// Notes an election.
+    /// Records an election.
     pub fn record_election(&mut self, epoch: Epoch) {
-        let at = self.now();
-        self.elections.push(PrimaryEvent { epoch, at });
+        let occurred_at = self.now();
+        self.elections.push(PrimaryEvent { epoch, occurred_at });
     }
 
-    /// Notes that a member serves, the first time in each epoch.
+    /// Records the first time at which a primary serves in each epoch.
     pub fn record_service(&mut self, id: MachineId) {
-        let at = self.now();
+        let occurred_at = self.now();
         if let Some(epoch) = self.member(id).serving()
-            && self.services.iter().all(|service| service.epoch != epoch)
+            && self.service_starts.iter().all(|service| service.epoch != epoch)
         {
-            self.services.push(PrimaryEvent { epoch, at });
+            self.service_starts.push(PrimaryEvent { epoch, occurred_at });
         }
     }
 
-    /// Notes the changes that are in force everywhere since this machine has its newest tables.
+    /// Records which changes are in force at all subscribers, after this machine has received tables.
     pub fn record_tables(&mut self, id: MachineId) {
         let now = self.now();
         let version = self.machines[id].state.tables.versions.configuration;
-        let all = self.subscribers().iter().map(|machine| machine.state.tables.versions.configuration);
-        let lowest = all.min().unwrap_or_default();
+        let subscriber_versions =
+            self.subscribers().iter().map(|machine| machine.state.tables.versions.configuration);
+        let lowest = subscriber_versions.min().unwrap_or_default();
         if version == lowest {
-            let reached = self.changes.iter_mut().filter(|change| change.version <= lowest);
-            reached.for_each(|change| _ = change.in_force_at.get_or_insert(now));
+            let applied_changes = self.changes.iter_mut().filter(|change| change.version <= lowest);
+            applied_changes.for_each(|change| _ = change.in_force_at.get_or_insert(now));
         }
     }
 
-    /// Kills a process for good. Its machine closes the connections of those who wait for an answer.
+    /// Kills a process; it is not restarted. Its machine resets the connections of pending polls.
     pub fn kill(&mut self, id: MachineId) {
         let pending = std::mem::take(&mut self.machines[id].state.pending_polls);
         self.machines[id].kill();
@@ -214,16 +215,16 @@
         }
     }
 
-    /// What arrives at a process that does not run is lost; a poll is refused.
+    /// Drops an event for a process that is not running; the connection of a poll is reset.
     fn refuse(&mut self, id: MachineId, event: Event) {
         if let Event::Deliver { message: Message::Poll { path, call, .. }, .. } = event {
             self.send_answer(id, path, call, RESET_BYTES, PollAnswer::Refused);
         }
     }
 
-    /// The elections after a time.
+    /// Returns the elections after a time.
     pub fn elections_after(&self, time: Time) -> Vec<PrimaryEvent> {
-        self.elections.iter().copied().filter(|election| election.at > time).collect()
+        self.elections.iter().copied().filter(|election| election.occurred_at > time).collect()
     }
 
     fn start(&mut self, id: MachineId) {
@@ -254,7 +255,7 @@
         }
     }
 
-    /// The machine that an event is for, if it is for a process.
+    /// Returns the machine whose process receives an event, if it is addressed to one.
     const fn receiver(event: &Event) -> Option<MachineId> {
         match event {
             Event::Deliver { to, .. }
@@ -290,14 +291,14 @@
         match event {
             Event::Start { id } => self.start(id),
             Event::Enter { to, bytes, message } => {
-                let at = self.machines[to].incoming.transmit(bytes, now);
-                self.schedule(at, Event::Deliver { to, message });
+                let arrives_at = self.machines[to].incoming.transmit(bytes, now);
+                self.schedule(arrives_at, Event::Deliver { to, message });
             }
             Event::Deliver { to, message } => self.deliver(to, message),
             Event::Written { to, write } => self.end_write(to, write),
             Event::NextPoll { to } => self.send_poll(to),
             Event::PollTimeout { to, call } => self.time_out_poll(to, call),
-            Event::List { to, epoch, began } => self.receive_list(to, epoch, began),
+            Event::List { to, epoch, started_at } => self.receive_list(to, epoch, started_at),
             Event::Change { to, change, call } => self.receive_change(to, change, call),
             Event::ChangeAnswer { change, call, applied } => {
                 self.receive_change_answer(change, call, applied);
--- a/tier/dataplane/tests/event_sequence.rs
+++ b/tier/dataplane/tests/event_sequence.rs
@@ -1,4 +1,4 @@
-//! Events of a stream in their order: what counts before a fault, and numbers at their limit.
+//! Tests of event sequences: events before an error in the same read, and ids at their limit.
 
 use quillmount_dataplane::event_sequence::{EventIds, EventSequence, SequenceError};
 use quillmount_dataplane::events::{EventReader, EventTooLong, MAX_EVENT_BYTES};
@@ -7,7 +7,7 @@
     format!("id: {id}\ndata: {id}\n\n")
 }
 
-/// Ids of the events that one read brings, and the fault behind them.
+/// Ids of the events that one read completes, and the error after them.
 fn read(sequence: &mut EventSequence, bytes: &str) -> (Vec<Option<u64>>, Option<SequenceError>) {
     let received = sequence.add(bytes.as_bytes());
     (received.events.iter().map(|event| event.id).collect(), received.fault)
@@ -22,8 +22,8 @@
     assert_eq!(sequence.last_id(), Some(6));
 }
 
-/// Whatever is wrong and wherever the bytes are split: the events returned are those before the fault, none missing or twice, and
-/// the last id is that of the last event returned.
+/// For each kind of error and each split of the bytes, the returned events are exactly those before the error, and the last id is
+/// that of the last returned event.
 #[test]
 fn the_last_id_is_that_of_the_last_event_returned_for_every_split() {
     let faults = [event(9), event(2), "data: without a number\n\n".to_owned()];
--- a/tier/dataplane/tests/planes/clients.rs
+++ b/tier/dataplane/tests/planes/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: requests on routes that are lasting, new or gone, at any courier, and what the courier decides.
+//! Clients: requests to random couriers on lasting, added and removed routes, and the decisions of the couriers.
 
 use crate::duties::WINDOW;
 use crate::machine::{Machine, MachineId};
@@ -10,32 +10,32 @@
 use quillmount_test_support::simulation::{Simulation, Time};
 use quillmount_wire::messages::NodeRole;
 
-/// Time to the first event of every call.
+/// Time to the first event of every call, microseconds.
 const LATENCY: Time = 20_000;
 
-/// What a courier makes of a request.
+/// The decision of a courier on a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It is sent to this endpoint.
+    /// The request is sent to this endpoint.
     Sent { endpoint: String },
-    /// 404: no route matches.
+    /// Rejected with status 404: no route matches.
     Denied,
-    /// 503.
+    /// Rejected with status 503: the courier has no current configuration or no free endpoint.
     Refused,
 }
 
-/// A request and what became of it.
+/// A request and the decision on it.
 pub struct DecidedRequest {
     pub courier: MachineId,
     pub route: String,
-    pub at: Time,
+    pub decided_at: Time,
     pub decision: Decision,
-    /// Version of the configuration that it was decided by.
+    /// Version of the configuration in force at the decision.
     pub version: u64,
 }
 
 impl World {
-    /// Sends a request to some machine.
+    /// Sends a request on a random route to a random courier.
     pub fn send_requests(&mut self) {
         let is_courier = |machine: &&Machine| machine.role != NodeRole::Store;
         let couriers: Vec<MachineId> =
@@ -46,16 +46,20 @@
         }
         let route = self.draw_route();
         let decision = self.decide(courier, &route);
-        let at = self.now();
+        let decided_at = self.now();
         if let Decision::Sent { endpoint } = &decision {
             self.check_drain(courier, endpoint);
         }
         let state = &mut self.machines[courier].state;
         let version = state.tables.versions.configuration;
-        assert!(version >= state.decided_by, "CONFIG: machine {courier} went back to version {version}");
+        assert!(
+            version >= state.decided_by,
+            "CONFIG: machine {courier} went back to configuration version {version}"
+        );
         state.decided_by = version;
-        let calm = self.calm_since();
-        self.audit.decided(&DecidedRequest { courier, route, at, decision, version }, calm);
+        let calm_since = self.calm_since();
+        self.audit
+            .check_decision(&DecidedRequest { courier, route, decided_at, decision, version }, calm_since);
     }
 
     fn draw_route(&mut self) -> String {
@@ -84,20 +88,21 @@
         };
         state.dispatcher.finish(&reservation, CallOutcome::FirstEvent(LATENCY), false, now);
         *state.usage.entry(window).or_default() += 1;
-        self.audit.request_sent(window);
+        self.audit.record_request(window);
         Decision::Sent { endpoint: reservation.id }
     }
 
-    /// An endpoint that the platform shows as draining gets no request later than `DrainMs` after that, whether the core answers or
-    /// not, from a process that has run for that time and reaches the platform.
+    /// Checks that an endpoint receives no request later than `DrainMs` after the platform lists it as draining, whether or not the core
+    /// answers. Processes that have started or were frozen within this time are exempt.
     fn check_drain(&self, courier: MachineId, endpoint: &str) {
-        const DRAIN: Time = 3_000_000;
+        const DRAIN_LIMIT: Time = 3_000_000;
         let now = self.now();
         let Some(shown_at) = self.platform.drain_shown_at(endpoint) else { return };
         let machine = &self.machines[courier];
-        let ran = now - machine.started_at > DRAIN && now > self.audit.frozen_until(courier) + DRAIN;
+        let has_run =
+            now - machine.started_at > DRAIN_LIMIT && now > self.audit.frozen_until(courier) + DRAIN_LIMIT;
         assert!(
-            !ran || now <= shown_at + DRAIN,
+            !has_run || now <= shown_at + DRAIN_LIMIT,
             "DRAIN: machine {courier} sent to {endpoint} {} ms after the list showed that it drains",
             (now - shown_at) / 1_000
         );
--- a/tier/dataplane/tests/planes/core_side.rs
+++ b/tier/dataplane/tests/planes/core_side.rs
@@ -1,4 +1,4 @@
-//! What members of the core do: they end writes, answer polls once there are newer tables, and read the list of endpoints.
+//! Core members: they complete register writes, answer polls when there are newer tables, and read the endpoint list.
 
 use crate::machine::{MachineId, TOLERATED_FAILURES, address, machine_at};
 use crate::operators::OperatorCall;
@@ -9,49 +9,49 @@
 use quillmount_test_support::simulation::{MILLI, Simulation, Time};
 use quillmount_wire::messages::{ChangedTables, Epoch, NodeRole, Poll, Register, UsageWindow};
 
-/// Interval between two readings of the list by the primary.
+/// Interval between two reads of the endpoint list by the primary.
 const LIST_INTERVAL: Time = READ_INTERVAL.as_micros() as Time;
-/// Time after its election from which a primary knows all live processes by their polls.
-const LEASES_KNOWN: Time = 1_200 * MILLI;
-/// Interval between two announcements of the primary to seeds.
+/// Time after its election from which a primary has received polls of all live processes, so that its leases are complete.
+const LEASES_COMPLETE_DELAY: Time = 1_200 * MILLI;
+/// Interval between two announcements of the primary to the seeds.
 const ANNOUNCE_INTERVAL: Time = 150 * MILLI;
 
-/// The answer to a poll.
+/// The response to a poll.
 pub enum PollAnswer {
     Tables(Box<ChangedTables>),
     NotPrimary { hint: Option<String> },
 }
 
-/// How far a poll is at the primary.
+/// Processing stage of a poll at the primary.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Stage {
-    /// Its sender is being admitted, or its first tables are confirmed by a majority.
+    /// The poll waits for the admission of its sender, or until a majority confirms the first tables of its sender.
     Confirming(Ticket),
-    /// It waits for newer tables.
+    /// The poll waits for newer tables.
     Waiting,
 }
 
-/// A poll that the primary has not answered.
+/// A poll that the primary has not answered yet.
 pub struct PendingPoll {
     path: Vec<MachineId>,
     call: u64,
     poll: Box<Poll>,
     stage: Stage,
-    until: Time,
+    deadline: Time,
 }
 
-/// What waits for a ticket.
+/// The operation that waits for the confirmation of a ticket.
 pub enum Waiting {
-    /// A poll, by its call.
+    /// A poll, by call number.
     Poll(u64),
     /// A call of an operator.
     Operator(OperatorCall),
-    /// The counts of a window, which are sent then.
+    /// The final counts of a usage window, which are sent to the platform after the confirmation.
     Usage { epoch: Epoch, report: UsageWindow },
 }
 
 impl World {
-    /// Ends a write of the register, unless its process was killed.
+    /// Handles the end of a register write, unless its process was killed.
     pub fn end_write(&mut self, id: MachineId, incarnation: u64, write: RegisterWrite, register: Register) {
         if !self.is_same_process(id, incarnation) {
             return;
@@ -66,23 +66,23 @@
         self.perform(id, actions);
     }
 
-    /// Drops what a machine knew as primary of an earlier epoch.
+    /// Resets the primary's state of an earlier epoch: leases and endpoint list.
     pub fn forget_primary_state(&mut self, id: MachineId) {
         let state = &mut self.machines[id].state;
         state.leases = Leases::default();
         let tables = &state.tables;
         state.directory = Directory::succeeding(tables.versions.directory, tables.endpoints.clone());
-        state.next_reading = 0;
+        state.next_list_read = 0;
     }
 
-    /// A poll arrives at a machine: the primary keeps it until it can answer, a courier without a member relays it.
+    /// Handles a poll: the primary keeps it until it can answer, another member redirects it, and a machine without a member relays it.
     pub fn receive_poll(&mut self, path: Vec<MachineId>, to: MachineId, call: u64, poll: Box<Poll>) {
         let now = self.now();
         let machine = &mut self.machines[to];
         if machine.state.member.is_none() {
             return self.relay_poll(path, to, call, poll);
         }
-        let member = machine.state.member.as_mut().expect("a member");
+        let member = machine.state.member.as_mut().expect("a core machine has a member");
         if member.serving().is_none() {
             let hint = member.replica().recent_primary(now);
             let hint = hint.and_then(|disk| self.machines.iter().find(|machine| machine.disk == disk));
@@ -90,13 +90,13 @@
             return self.answer_poll(to, path, call, PollAnswer::NotPrimary { hint });
         }
         machine.state.leases.renew(&poll, now);
-        let until = now + poll.max_wait_ms * MILLI;
-        let pending = PendingPoll { path, call, poll, stage: Stage::Waiting, until };
+        let deadline = now + poll.max_wait_ms * MILLI;
+        let pending = PendingPoll { path, call, poll, stage: Stage::Waiting, deadline };
         self.machines[to].state.pending_polls.push(pending);
         self.begin_admission(to, call);
     }
 
-    /// Admits the sender of a poll that is new, then confirms its first tables.
+    /// Starts the admission of a new sender, or the confirmation of a sender's first tables.
     fn begin_admission(&mut self, id: MachineId, call: u64) {
         let now = self.now();
         let Some(index) = self.pending_index(id, call) else { return };
@@ -104,11 +104,11 @@
         let member = self.member(id);
         let Some(committed) = member.committed() else { return };
         let submitted = if needs_admission(&committed, &poll) {
-            let silent = member.silent_members(now);
+            let silent_members = member.silent_members(now);
             let node = poll.node;
             let admit = |state: &mut ControlState| match node.role {
                 NodeRole::Store => state.admit_store(&node),
-                NodeRole::Courier | NodeRole::Core => state.admit_core_member(&node, &silent),
+                NodeRole::Courier | NodeRole::Core => state.admit_core_member(&node, &silent_members),
             };
             let change = member.change(admit, now);
             change.map(|change| (change.ticket, change.actions))
@@ -139,7 +139,7 @@
         }
     }
 
-    /// A ticket is confirmed, or can't be any more.
+    /// Continues the operation of a ticket that is confirmed, or that can no longer be confirmed.
     pub fn on_confirmed(&mut self, id: MachineId, ticket: Ticket, confirmed: bool) {
         match self.machines[id].state.waiting.remove(&ticket) {
             Some(Waiting::Poll(call)) if confirmed => {
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Answers the polls for which there are newer tables, or whose time is up.
+    /// Answers the polls for which there are newer tables, and those that have expired.
     pub fn answer_waiting_polls(&mut self) {
         for id in 0..self.machines.len() {
             if !self.is_running(id) || self.machines[id].state.pending_polls.is_empty() {
@@ -174,7 +174,7 @@
         let Some(index) = self.pending_index(id, call) else { return };
         let state = &self.machines[id].state;
         let pending = &state.pending_polls[index];
-        let member = state.member.as_ref().expect("a member");
+        let member = state.member.as_ref().expect("a core machine has a member");
         let serving = member.serving().zip(member.committed_if_recent(now));
         let Some((epoch, committed)) = serving else { return self.refuse_poll(id, call) };
         let published = PublishedTables {
@@ -187,32 +187,32 @@
             primary: &address(id),
         };
         let tables = published.newer_than(pending.poll.known_versions, now);
-        if is_empty(&tables) && now < pending.until {
+        if is_empty(&tables) && now < pending.deadline {
             return;
         }
         let PendingPoll { path, call, .. } = self.machines[id].state.pending_polls.remove(index);
         self.answer_poll(id, path, call, PollAnswer::Tables(Box::new(tables)));
     }
 
-    /// Sends the answer to a poll to the last machine of its path.
+    /// Sends the response to a poll to the last machine of its path.
     pub fn answer_poll(&mut self, from: MachineId, path: Vec<MachineId>, call: u64, answer: PollAnswer) {
         if let Some(to) = path.last().copied() {
             self.send(from, to, Event::Answer { from, path, call, answer });
         }
     }
 
-    /// Lets primaries plan the views of the shards by the leases that they know.
+    /// Lets primaries plan the shard views from their leases.
     pub fn plan_views(&mut self) {
         let now = self.now();
         for id in 0..self.machines.len() {
             let state = &self.machines[id].state;
             let Some(member) = state.member.as_ref().filter(|_| self.is_running(id)) else { continue };
             let Some(committed) = member.committed() else { continue };
-            if member.time_as_primary(now) < LEASES_KNOWN {
+            if member.time_as_primary(now) < LEASES_COMPLETE_DELAY {
                 continue;
             }
             let inputs = state.leases.plan_inputs(TOLERATED_FAILURES, now);
-            // A change costs a round of consensus: a trial on a copy shows whether there is anything to change.
+            // A change costs a round of consensus, so the plan is first tried on a copy to see whether it changes anything.
             if (*committed).clone().plan_shards(&inputs)
                 && let Ok(change) = self.member(id).change(|state| state.plan_shards(&inputs), now)
             {
@@ -221,7 +221,8 @@
         }
     }
 
-    /// Lets the primary read the list, and announce itself to seeds that are no members.
+    /// Runs the periodic work of the list: primaries read it and announce themselves to seeds that are not members, and processes without
+    /// a current list read it directly.
     pub fn read_lists(&mut self) {
         let now = self.now();
         for id in 0..self.machines.len() {
@@ -230,27 +231,27 @@
             }
             let machine = &self.machines[id];
             let serving = machine.state.member.as_ref().and_then(|member| member.serving());
-            // A primary that was frozen at a turn reads as soon as it runs.
+            // A primary that was frozen at the time of a scheduled read reads as soon as it runs again.
             let state = &machine.state;
-            let has_missed_turn =
-                now >= state.next_reading && !state.directory.is_current(machine.limits.published_list, now);
-            if serving.is_some() && (has_missed_turn || self.is_due_every(LIST_INTERVAL)) {
-                self.machines[id].state.next_reading = now + LIST_INTERVAL;
-                self.ask_for_list(id, serving);
+            let missed_scheduled_read = now >= state.next_list_read
+                && !state.directory.is_current(machine.limits.published_list, now);
+            if serving.is_some() && (missed_scheduled_read || self.is_due_every(LIST_INTERVAL)) {
+                self.machines[id].state.next_list_read = now + LIST_INTERVAL;
+                self.request_list(id, serving);
             }
             if serving.is_some() && self.is_due_every(ANNOUNCE_INTERVAL) {
                 self.announce(id);
             }
-            self.read_own_list(id);
+            self.read_direct_list(id);
         }
     }
 
-    /// Asks the platform for its list; `for_primary` is the epoch in which the primary asks.
-    pub fn ask_for_list(&mut self, id: MachineId, for_primary: Option<Epoch>) {
+    /// Requests the endpoint list from the platform. `for_primary` is the epoch of the requesting primary, `None` for a direct read.
+    pub fn request_list(&mut self, id: MachineId, for_primary: Option<Epoch>) {
         let incarnation = self.machines[id].process.incarnation();
-        let asked_at = self.now();
-        let list = self.platform.list(asked_at);
-        self.send_outside(Event::List { to: id, incarnation, for_primary, asked_at, list });
+        let requested_at = self.now();
+        let list = self.platform.list(requested_at);
+        self.send_outside(Event::List { to: id, incarnation, for_primary, requested_at, list });
     }
 
     fn announce(&mut self, id: MachineId) {
--- a/tier/dataplane/tests/planes/fault_plan.rs
+++ b/tier/dataplane/tests/planes/fault_plan.rs
@@ -1,87 +1,88 @@
-//! The faults of a run, drawn from its seed before it begins: each can be left out without changing the others.
+//! The fault plan of a run. It is drawn from the seed before the run starts, so that any fault can be removed without changing the
+//! others.
 
 use quillmount_test_support::random::Random;
 use quillmount_test_support::simulation::{MILLI, Time};
 use std::collections::BTreeSet;
 
-/// Faults of one run.
+/// Number of faults in one run.
 const FAULTS: usize = 9;
 
-/// What goes wrong.
+/// The kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// A process is killed and starts again.
+    /// A process is killed and restarts after the span.
     Kill,
-    /// A process stands still.
+    /// A process is frozen.
     Freeze,
-    /// All processes end, and start again within half a second of each other.
+    /// Power failure: all processes are killed, and restart within half a second of each other.
     PowerOff,
-    /// The same right after the next acknowledgement to an operator.
+    /// Power failure within a millisecond after the next acknowledgement to an operator.
     PowerOffAfterAnswer,
-    /// A machine is cut off from the others.
+    /// Network partition between one machine and all others.
     Isolate,
-    /// A zone is cut off from the others.
+    /// Network partition between one zone and all others.
     CutZone,
-    /// The disk of a member takes no writes.
+    /// All writes to the disk of a member fail.
     FullDisk,
-    /// The disk of a member takes thirty times as long.
+    /// Writes to the disk of a member take thirty times as long.
     SlowDisk,
-    /// The disks of two members take no writes, or take long; in the middle of it all processes end.
+    /// The disks of two members are full or slow, and a power failure follows in this time.
     SpoiltDisksAndPowerOff,
-    /// The time of day jumps on a machine.
+    /// The wall clock of a machine steps.
     ClockStep,
-    /// The time of day drifts on a machine.
+    /// The wall clock of a machine drifts.
     ClockDrift,
-    /// Three couriers join.
+    /// Three couriers join the deployment.
     Join,
 }
 
-/// A fault with all that the seed decides of it.
+/// A fault with all its parameters that are drawn from the seed.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannedFault {
     pub kind: FaultKind,
-    /// Decides which machine it is.
+    /// Random number that selects the machine.
     pub target: u64,
-    /// How long it lasts, where it ends by itself.
+    /// Duration, for faults that end by themselves.
     pub span: Time,
-    /// A further number, whose use depends on the kind.
+    /// Another random number, whose use depends on the kind.
     pub variant: u64,
-    /// Time until the next fault.
+    /// Time between this fault and the next one.
     pub gap: Time,
-    /// All faults end before the next one, and there is calm.
-    pub then_calm: bool,
+    /// Whether all faults are healed, and a time without faults follows, before the next fault.
+    pub heals_afterwards: bool,
 }
 
-/// The faults of a run in their order.
+/// The faults of a run in the order of their injection.
 #[derive(Clone, Debug)]
 pub struct FaultPlan {
     pub faults: Vec<PlannedFault>,
 }
 
 impl FaultPlan {
-    /// The plan of a seed.
+    /// Draws the plan of a seed.
     pub fn draw(seed: u64) -> FaultPlan {
         let mut random = Random::from_mixed_seed(seed.wrapping_add(0x5eed));
         FaultPlan { faults: (0..FAULTS).map(|_| draw_fault(&mut random)).collect() }
     }
 
-    /// The faults of these indices only.
-    pub fn only(&self, kept: &BTreeSet<usize>) -> FaultPlan {
-        let faults = self.faults.iter().enumerate().filter(|(index, _)| kept.contains(index));
+    /// A plan with only the faults at these indices.
+    pub fn only(&self, retained: &BTreeSet<usize>) -> FaultPlan {
+        let faults = self.faults.iter().enumerate().filter(|(index, _)| retained.contains(index));
         FaultPlan { faults: faults.map(|(_, fault)| *fault).collect() }
     }
 
-    /// The fewest faults found that still fail, by leaving out one after the other.
+    /// Shrinks the plan: removes one fault at a time, as long as the run still fails.
     pub fn shrink(&self, fails: impl Fn(&FaultPlan) -> bool) -> FaultPlan {
-        let mut kept: BTreeSet<usize> = (0..self.faults.len()).collect();
+        let mut retained: BTreeSet<usize> = (0..self.faults.len()).collect();
         for index in 0..self.faults.len() {
-            let mut fewer = kept.clone();
+            let mut fewer = retained.clone();
             fewer.remove(&index);
             if fails(&self.only(&fewer)) {
-                kept = fewer;
+                retained = fewer;
             }
         }
-        self.only(&kept)
+        self.only(&retained)
     }
 }
 
@@ -106,6 +107,6 @@
         span: (200 + random.below(4_000)) * MILLI,
         variant: random.below(1 << 30),
         gap: random.below(2_500) * MILLI,
-        then_calm: random.chance(30),
+        heals_afterwards: random.chance(30),
     }
 }
--- a/tier/dataplane/tests/planes/machine.rs
+++ b/tier/dataplane/tests/planes/machine.rs
@@ -1,7 +1,7 @@
-//! A machine: its process, its disk and its clock, and what its process knows.
+//! A machine: its process, its disk, its clock, and the process memory.
 
 use crate::core_side::{PendingPoll, Waiting};
-use crate::duties::Duties;
+use crate::duties::UsageReporting;
 use crate::platform::SERVICE;
 use quillmount_control::direct_list::DirectReadings;
 use quillmount_control::subscription::Subscription;
@@ -18,95 +18,95 @@
 /// Index of a machine in the world.
 pub type MachineId = usize;
 
-/// Disks that may be lost at once.
+/// Number of disks that may be lost at the same time.
 pub const TOLERATED_FAILURES: usize = 1;
-/// The only tenant.
+/// Name of the only tenant.
 pub const TENANT: &str = "t";
-/// Windows of usage that a process reports.
+/// Number of the latest usage windows that a process reports.
 const REPORTED_WINDOWS: usize = 8;
 
-/// A machine.
+/// A machine with its process, disk and clock.
 pub struct Machine {
     pub id: MachineId,
     pub role: NodeRole,
     pub zone: u32,
     pub process: Process,
     pub clock: WallClock,
-    /// Identity of the disk, or of this run of a process without one.
+    /// Identity of the disk; on a machine without a disk, of the current incarnation of the process.
     pub disk: DiskId,
-    /// What is synced on the disk.
+    /// The register as last synced to the disk.
     pub synced: Register,
-    /// Until then the disk takes no write.
+    /// Time until which all writes to the disk fail.
     pub full_until: Time,
-    /// Until then a write takes much longer.
+    /// Time until which writes to the disk are slow.
     pub slow_until: Time,
-    /// Couriers that the settings name.
+    /// Machines that the settings list as seeds.
     pub seeds: Vec<MachineId>,
     pub limits: TimeLimits,
     pub started_at: Time,
     pub state: ProcessMemory,
 }
 
-/// The clock of the time of day, which can be wrong. The steady clock of a process is never.
+/// The wall clock of a machine, which can be wrong. The monotonic clock of a process is always correct.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WallClock {
-    /// Added to the true time, microseconds.
+    /// Offset from the true time, microseconds.
     offset: i64,
-    /// Millionths by which it goes fast.
+    /// Drift in parts per million; positive if the clock runs fast.
     drift_ppm: i64,
-    /// Since when it drifts.
-    drifts_since: Time,
+    /// Time from which the drift applies.
+    drift_start: Time,
 }
 
 impl WallClock {
-    /// The time that it shows.
+    /// The time of day according to this clock, microseconds.
     pub fn shows(&self, now: Time) -> Time {
-        let drifted = (now - self.drifts_since.min(now)) as i64 * self.drift_ppm / 1_000_000;
+        let drifted = (now - self.drift_start.min(now)) as i64 * self.drift_ppm / 1_000_000;
         now.saturating_add_signed(self.offset + drifted)
     }
 
-    /// Lets it jump.
+    /// Sets the offset from the true time, microseconds.
     pub fn step(&mut self, offset: i64) {
         self.offset = offset;
     }
 
-    /// Lets it drift from now on.
+    /// Starts a drift, in parts per million, at the time `now`.
     pub fn drift(&mut self, ppm: i64, now: Time) {
         self.drift_ppm = ppm;
-        self.drifts_since = now;
+        self.drift_start = now;
     }
 }
 
-/// A poll that was sent.
+/// A poll that awaits its response.
 pub struct SentPoll {
     pub call: u64,
     pub address: String,
     pub sent_at: Time,
 }
 
-/// What a process has in memory, which is lost with it.
+/// The memory of a process, which is lost when the process ends.
 pub struct ProcessMemory {
-    /// The member of the core, on machines with a disk.
+    /// The consensus member; only on core machines.
     pub member: Option<Member>,
     pub leases: Leases,
     pub directory: Directory,
     pub history: TableHistory,
-    /// When this machine, as primary, reads the list again at the earliest if it has no current one.
-    pub next_reading: Time,
-    /// Its readings of the list without the core.
-    pub direct_readings: DirectReadings,
+    /// Earliest time at which this machine, as primary without a current endpoint list, reads the list again.
+    pub next_list_read: Time,
+    /// Schedule of direct reads of the endpoint list, without the core.
+    pub direct_reads: DirectReadings,
     pub pending_polls: Vec<PendingPoll>,
     pub waiting: BTreeMap<Ticket, Waiting>,
-    pub duties: Duties,
+    pub usage_reporting: UsageReporting,
     pub contact: CoreContact,
     pub subscription: Subscription,
     pub tables: TableSnapshot,
     pub dispatcher: Dispatcher,
     /// The poll in flight.
     pub poll: Option<SentPoll>,
-    /// Requests by window of the machine's clock.
+    /// Number of requests by usage window, according to the machine's clock.
     pub usage: BTreeMap<u64, u64>,
-    /// The highest version of the configuration that a request was decided by.
+    /// Highest configuration version in force at a decision on a request.
     pub decided_by: u64,
 }
 
@@ -115,13 +115,13 @@
     format!("10.0.0.{id}:7360")
 }
 
-/// The machine with an internal address.
+/// Returns the machine with this internal address, if the address is valid.
 pub fn machine_at(address: &str) -> Option<MachineId> {
     address.strip_prefix("10.0.0.")?.strip_suffix(":7360")?.parse().ok()
 }
 
 impl Machine {
-    /// A machine whose process starts now with this register.
+    /// A machine with an empty register, whose process starts now.
     pub fn new(id: MachineId, role: NodeRole, disk: DiskId, now: Time) -> Machine {
         let limits = TimeLimits::new(&Bounds::default());
         let zone = (id % 3) as u32;
@@ -144,7 +144,7 @@
         }
     }
 
-    /// What it says of itself.
+    /// The description of this machine in its polls and in the register.
     pub fn node_info(&self) -> NodeInfo {
         NodeInfo {
             name: format!("machine-{}", self.id),
@@ -156,10 +156,10 @@
         }
     }
 
-    /// Starts the process again, from the disk. A machine without one draws another identity.
-    pub fn start(&mut self, now: Time, drawn: DiskId) {
+    /// Restarts the process from the disk. A courier has no disk and takes the new identity `new_identity`.
+    pub fn start(&mut self, now: Time, new_identity: DiskId) {
         if self.role == NodeRole::Courier {
-            self.disk = drawn;
+            self.disk = new_identity;
         }
         self.process.start();
         self.started_at = now;
@@ -184,11 +184,11 @@
             leases: Leases::default(),
             directory: Directory::default(),
             history: TableHistory::default(),
-            next_reading: 0,
-            direct_readings: DirectReadings::new(limits, now),
+            next_list_read: 0,
+            direct_reads: DirectReadings::new(limits, now),
             pending_polls: Vec::new(),
             waiting: BTreeMap::new(),
-            duties: Duties::default(),
+            usage_reporting: UsageReporting::default(),
             contact: CoreContact::new(limits.recent_answer),
             subscription: Subscription::default(),
             tables: TableSnapshot::default(),
@@ -199,14 +199,14 @@
         }
     }
 
-    /// Puts a snapshot in force.
+    /// Replaces the tables by a newer snapshot and updates the dispatcher.
     pub fn swap_tables(&mut self, next: TableSnapshot) {
         let share = next.routes.share(SERVICE, next.senders);
         self.dispatcher.update(&next.endpoints, HashMap::from([(SERVICE.to_owned(), share)]));
         self.tables = next;
     }
 
-    /// Counts of the last windows.
+    /// Request counts of the latest usage windows.
     pub fn usage_report(&self) -> Vec<UsageWindow> {
         let newest = self.usage.iter().rev().take(REPORTED_WINDOWS);
         newest
--- a/tier/dataplane/tests/planes/main.rs
+++ b/tier/dataplane/tests/planes/main.rs
@@ -1,8 +1,9 @@
-//! All planes in one world on virtual time: core members with their leases and polls, couriers with and without a disk that relay
-//! polls, decide on requests and choose endpoints, stores whose shards are planned, operators who change the configuration, the platform with its list of endpoints
-//! and its fences, clients. Machines are killed, frozen, cut off, lose their power, have full and slow disks and clocks that step.
+//! Simulation of the control plane and the data plane together, on virtual time. Core members keep leases and answer polls. Couriers,
+//! with and without a disk, relay polls, decide on requests and choose endpoints. Stores are assigned shards, operators change the
+//! configuration, clients send requests, and the platform provides its endpoint list and checks fencing tokens. The injected faults
+//! are process kills, freezes, network partitions, power failures, full and slow disks, and clock steps and drift.
 //!
-//! What is checked, as properties of histories, is in `audit`. `SEEDS=N` runs so many seeds.
+//! The module `audit` checks the properties of the recorded histories. `SEEDS=N` sets the number of seeds.
 
 mod audit;
 mod clients;
@@ -19,7 +20,7 @@
 use faults::run_seed;
 use quillmount_test_support::seeds;
 
-/// Seeds that are run unless `SEEDS` names another number.
+/// Number of seeds unless `SEEDS` sets another one.
 const DEFAULT_SEEDS: u64 = 24;
 
 #[test]
@@ -29,17 +30,17 @@
     let served: u64 = totals.iter().map(|totals| totals.served).sum();
     let acknowledged: u64 = totals.iter().map(|totals| totals.acknowledged).sum();
     let reported: u64 = totals.iter().map(|totals| totals.reported_windows).sum();
-    let own_lists: u64 = totals.iter().map(|totals| totals.own_lists).sum();
+    let direct_lists: u64 = totals.iter().map(|totals| totals.direct_lists).sum();
     let views: u64 = totals.iter().map(|totals| totals.views).sum();
     println!(
-        "{count} runs: {served} requests served, {acknowledged} configurations acknowledged, {reported} windows of usage, {own_lists} lists \
-         read without the core, {views} views of shards"
+        "{count} runs: {served} requests served, {acknowledged} configurations acknowledged, {reported} usage windows reported, \
+         {direct_lists} endpoint lists read directly, {views} shard views changed"
     );
     assert!(served > 500 * count && acknowledged > 3 * count && reported > 2 * count);
-    assert!(own_lists > count && views > 16 * count);
+    assert!(direct_lists > count && views > 16 * count);
 }
 
-/// Seeds beyond [`DEFAULT_SEEDS`] at which the checks of this world were wrong.
+/// Regression test for two seeds beyond [`DEFAULT_SEEDS`] at which correct histories failed, because the checks themselves were wrong.
 #[test]
 fn seeds_at_which_the_checks_were_wrong_pass() {
     const SEEDS: [u64; 2] = [141, 2783];
@@ -48,8 +49,9 @@
     }
 }
 
-/// A primary that stood still answers polls, once a majority answers it again, with the list that it read before, until it has read
-/// it anew: an endpoint that drains meanwhile gets requests for longer than `DrainMs`.
+/// Guards against a stale endpoint list. A primary that was frozen answers polls as soon as a majority confirms it, and can publish
+/// the list that it read before the freeze until its next read. An endpoint that drains in the meantime then receives requests for
+/// longer than `DrainMs`.
 #[test]
 fn a_primary_that_stood_still_publishes_no_old_list() {
     const SEEDS: [u64; 2] = [401, 8406];
@@ -58,17 +60,20 @@
     }
 }
 
-/// A share of a core as a quota: each process runs for a tenth of every tenth of a second, and stands still for the rest. The primary
-/// stays, leases hold, every configuration is in force in time, and all processes go on to decide on requests.
+/// CPU quota: each process runs for 10 ms of every 100 ms and is frozen for the rest. No election takes place, no lease expires, each
+/// configuration is in force within the limit, and all processes continue to decide on requests.
 #[test]
 fn processes_that_stand_still_for_most_of_each_tenth_of_a_second_lose_nothing() {
     for seed in 1..=4 {
-        let world = faults::run_in_bursts(seed);
+        let world = faults::run_with_cpu_quota(seed);
         let totals = world.audit.totals();
-        assert_eq!(world.primary_epoch(), Some(1), "seed {seed}: no election");
+        assert_eq!(world.primary_epoch(), Some(1), "seed {seed}: the first primary was replaced");
         assert!(totals.acknowledged >= 5 && totals.served > 500, "seed {seed}: {totals:?}");
-        assert_eq!(totals.own_lists, 0, "seed {seed}: no process lost the core");
-        assert_eq!(totals.views, 0, "seed {seed}: no store lost its shards");
+        assert_eq!(
+            totals.direct_lists, 0,
+            "seed {seed}: a process lost contact with the core and read the endpoint list directly"
+        );
+        assert_eq!(totals.views, 0, "seed {seed}: the view of a shard was changed");
     }
 }
 
@@ -76,13 +81,15 @@
 fn a_plan_is_shrunk_to_the_faults_that_matter() {
     use fault_plan::{FaultKind, FaultPlan};
     let plan = FaultPlan::draw(3);
-    let kinds = |plan: &FaultPlan| plan.faults.iter().map(|fault| fault.kind).collect::<Vec<FaultKind>>();
+    let fault_kinds =
+        |plan: &FaultPlan| plan.faults.iter().map(|fault| fault.kind).collect::<Vec<FaultKind>>();
     let (first, last) = (plan.faults[0].kind, plan.faults.last().unwrap().kind);
-    let shrunk = plan.shrink(|fewer| kinds(fewer).contains(&first) && kinds(fewer).contains(&last));
-    assert_eq!(kinds(&shrunk).len(), if first == last { 1 } else { 2 });
+    let shrunk =
+        plan.shrink(|fewer| fault_kinds(fewer).contains(&first) && fault_kinds(fewer).contains(&last));
+    assert_eq!(fault_kinds(&shrunk).len(), if first == last { 1 } else { 2 });
 }
 
-/// Each deliberate fault, in whichever plane, is found by one of the runs.
+/// Each deliberate break of the control plane and of the data plane fails at least one of the runs.
 #[cfg(feature = "breaks")]
 #[test]
 fn each_break_over_the_planes_is_found() {
@@ -102,24 +109,24 @@
     ];
     let of_dataplane = [DataplaneBreak::RoutesOutdated, DataplaneBreak::DrainingEndpointOpen];
     let silenced = seeds::SilencedPanics::begin();
-    let mut missed = Vec::new();
-    let mut search = |name: String| {
+    let mut undetected_breaks = Vec::new();
+    let mut search = |break_name: String| {
         let found = seeds::first_failing(1..=RUNS, |seed| _ = run_seed(seed));
-        println!("{name}: found by seed {found:?}");
+        println!("{break_name}: first failing seed {found:?}");
         if found.is_none() {
-            missed.push(name);
+            undetected_breaks.push(break_name);
         }
     };
-    for one in of_control {
-        control_breaks::set(Some(one));
-        search(format!("{one:?}"));
+    for enabled_break in of_control {
+        control_breaks::set(Some(enabled_break));
+        search(format!("{enabled_break:?}"));
         control_breaks::set(None);
     }
-    for one in of_dataplane {
-        dataplane_breaks::set(Some(one));
-        search(format!("{one:?}"));
+    for enabled_break in of_dataplane {
+        dataplane_breaks::set(Some(enabled_break));
+        search(format!("{enabled_break:?}"));
         dataplane_breaks::set(None);
     }
     drop(silenced);
-    assert!(missed.is_empty(), "not found: {missed:?}");
+    assert!(undetected_breaks.is_empty(), "no seed detects these breaks: {undetected_breaks:?}");
 }
--- a/tier/dataplane/tests/planes/platform.rs
+++ b/tier/dataplane/tests/planes/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: its list of endpoints, which is behind, and its fences.
+//! The platform: its endpoint list, which lags behind the endpoints, and its checks of fencing tokens.
 
 use quillmount_control::FencedSubject;
 use quillmount_test_support::random::Random;
@@ -6,18 +6,18 @@
 use quillmount_wire::messages::{Endpoint, Epoch, UsageWindow};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The only service.
+/// Name of the only service.
 pub const SERVICE: &str = "llm";
-/// The list is behind by this time.
+/// Time by which the list lags behind the endpoints.
 const LIST_LAG: Time = 800 * MILLI;
-/// Endpoints that are up at least.
-const LEAST_ENDPOINTS: usize = 4;
-/// Endpoints that are listed at most.
-const MOST_ENDPOINTS: usize = 9;
-/// An endpoint that drains is listed for this time.
-const DRAINING_LISTED: Time = 6 * SECOND;
+/// Minimum number of endpoints that are not draining.
+const MIN_OPEN_ENDPOINTS: usize = 4;
+/// Maximum number of listed endpoints.
+const MAX_LISTED_ENDPOINTS: usize = 9;
+/// Time for which a draining endpoint stays in the list.
+const DRAINING_LISTED_TIME: Time = 6 * SECOND;
 
-/// A call in a singleton role.
+/// A call in a singleton role, with its fencing token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlatformCall {
     pub subject: FencedSubject,
@@ -26,20 +26,20 @@
     pub report: UsageWindow,
 }
 
-/// What the platform has.
+/// The state of the platform.
 pub struct Platform {
     endpoints: BTreeMap<String, Endpoint>,
-    /// When each endpoint began to drain.
+    /// Time at which each draining endpoint began to drain.
     draining_since: BTreeMap<String, Time>,
-    /// The list as it was at each change, oldest first.
+    /// The list after each change with its time, oldest first.
     history: VecDeque<(Time, Vec<Endpoint>)>,
     last_number: u64,
-    /// The highest fence that was used for each subject.
+    /// Highest fencing token used for each subject.
     fences: BTreeMap<FencedSubject, Epoch>,
 }
 
 impl Platform {
-    /// Some endpoints in three zones.
+    /// A platform with six endpoints in three zones.
     pub fn new(now: Time) -> Platform {
         let mut platform = Platform {
             endpoints: BTreeMap::new(),
@@ -48,7 +48,7 @@
             last_number: 0,
             fences: BTreeMap::new(),
         };
-        (0..LEAST_ENDPOINTS + 2).for_each(|_| platform.add_endpoint());
+        (0..MIN_OPEN_ENDPOINTS + 2).for_each(|_| platform.add_endpoint());
         platform
             .history
             .push_back((now.saturating_sub(LIST_LAG), platform.endpoints.values().cloned().collect()));
@@ -71,30 +71,30 @@
         self.endpoints.insert(id, endpoint);
     }
 
-    /// Lets an endpoint begin to drain or come, and takes out those that have drained.
+    /// Starts to drain an endpoint or adds one, and removes those that have drained.
     pub fn change_endpoints(&mut self, now: Time, random: &mut Random) {
         let drained: Vec<String> = self
             .draining_since
             .iter()
-            .filter(|(_, since)| now > **since + DRAINING_LISTED)
+            .filter(|(_, draining_since_time)| now > **draining_since_time + DRAINING_LISTED_TIME)
             .map(|(id, _)| id.clone())
             .collect();
         for id in &drained {
             self.endpoints.remove(id);
         }
-        let up: Vec<String> = self
+        let open_ids: Vec<String> = self
             .endpoints
             .values()
             .filter(|endpoint| !endpoint.draining)
             .map(|endpoint| endpoint.id.clone())
             .collect();
-        if up.len() > LEAST_ENDPOINTS && random.chance(40) {
-            let id = up[random.index(up.len())].clone();
+        if open_ids.len() > MIN_OPEN_ENDPOINTS && random.chance(40) {
+            let id = open_ids[random.index(open_ids.len())].clone();
             self.draining_since.insert(id.clone(), now);
             if let Some(endpoint) = self.endpoints.get_mut(&id) {
                 endpoint.draining = true;
             }
-        } else if self.endpoints.len() < MOST_ENDPOINTS {
+        } else if self.endpoints.len() < MAX_LISTED_ENDPOINTS {
             self.add_endpoint();
         }
         self.history.push_back((now, self.endpoints.values().cloned().collect()));
@@ -103,18 +103,18 @@
         }
     }
 
-    /// The list as the platform shows it now.
+    /// The list that the platform returns now, which lags by [`LIST_LAG`].
     pub fn list(&self, now: Time) -> Vec<Endpoint> {
-        let shown = self.history.iter().rev().find(|(at, _)| at + LIST_LAG <= now);
-        shown.or(self.history.front()).map(|(_, list)| list.clone()).unwrap_or_default()
+        let visible = self.history.iter().rev().find(|(changed_at, _)| changed_at + LIST_LAG <= now);
+        visible.or(self.history.front()).map(|(_, list)| list.clone()).unwrap_or_default()
     }
 
-    /// When the list began to show that an endpoint drains.
+    /// Time from which the list shows an endpoint as draining.
     pub fn drain_shown_at(&self, endpoint: &str) -> Option<Time> {
-        self.draining_since.get(endpoint).map(|since| since + LIST_LAG)
+        self.draining_since.get(endpoint).map(|draining_since_time| draining_since_time + LIST_LAG)
     }
 
-    /// Whether a call is accepted: its fence is not lower than one that was used on the subject.
+    /// Accepts a call unless its fencing token is lower than one already used for the subject; returns whether it is accepted.
     pub fn accept(&mut self, call: &PlatformCall) -> bool {
         let highest = self.fences.entry(call.subject.clone()).or_default();
         if call.fence < *highest {
--- a/tier/dataplane/tests/planes/subscriber.rs
+++ b/tier/dataplane/tests/planes/subscriber.rs
@@ -1,5 +1,5 @@
-//! What every process does: it polls the core, relays the polls of others, and reads the list of endpoints itself while the core is
-//! silent.
+//! Subscribers: every process polls the core, relays the polls of others, and reads the endpoint list directly while it has no contact
+//! with the core.
 
 use crate::core_side::PollAnswer;
 use crate::machine::{MachineId, SentPoll, address, machine_at};
@@ -10,7 +10,7 @@
 use quillmount_wire::messages::{ChangedTables, DiskId, Endpoint, Epoch, NodeRole, Poll, ShardReport};
 use std::time::Duration;
 
-/// A member of a shard that does not answer for this long is reported.
+/// Timeout after which a store reports a member of its shard as unresponsive, microseconds.
 const CALL_TIMEOUT: Time = 400_000;
 
 fn micros(duration: Duration) -> Time {
@@ -18,20 +18,20 @@
 }
 
 impl World {
-    /// Sends the next poll of a machine.
+    /// Sends the next poll of a machine, unless one is in flight.
     pub fn send_poll(&mut self, id: MachineId, incarnation: u64) {
         if !self.is_same_process(id, incarnation) || self.machines[id].state.poll.is_some() {
             return;
         }
         let now = self.now();
         let machine = &mut self.machines[id];
-        let own = address(id);
+        let own_address = address(id);
         let state = &mut machine.state;
         let contact = state.contact.clone();
         let addresses = || {
             let members = state.tables.placement.core.iter().map(|member| member.internal.clone());
             let seeds = machine.seeds.iter().map(|seed| address(*seed)).collect();
-            core_addresses(&contact, members, seeds, &own)
+            core_addresses(&contact, members, seeds, &own_address)
         };
         let Some(next) = state.subscription.next_address(&contact, addresses, now) else { return };
         let call = self.next_call();
@@ -59,8 +59,8 @@
         }
     }
 
-    /// What a store reports on the shards that it leads: members that do not answer, and joining ones that do, which have caught up by
-    /// then. What the members of a shard store is not modelled here.
+    /// The reports of a store on the shards of which it is the primary: members that do not answer, and joining members that answer, which
+    /// count as caught up. The data of the shards is not part of the simulation.
     fn shard_reports(&self, id: MachineId) -> Vec<ShardReport> {
         let machine = &self.machines[id];
         if machine.role != NodeRole::Store {
@@ -69,9 +69,9 @@
         let answers = |disk: &DiskId| {
             let member = self.machines.iter().find(|machine| machine.disk == *disk);
             member.is_some_and(|member| {
-                let stands_still = member.process.resumes_at(self.now());
+                let resumes_at = member.process.resumes_at(self.now());
                 member.process.is_up()
-                    && stands_still.is_none_or(|until| until < self.now() + CALL_TIMEOUT)
+                    && resumes_at.is_none_or(|until| until < self.now() + CALL_TIMEOUT)
                     && !self.partitions.is_blocked(id, member.id)
                     && !self.partitions.is_blocked(member.id, id)
             })
@@ -93,7 +93,7 @@
         .collect()
     }
 
-    /// Passes a poll on to the primary, once.
+    /// Relays a poll to the primary if it is known. A relayed poll is not relayed again.
     pub fn relay_poll(&mut self, path: Vec<MachineId>, id: MachineId, call: u64, poll: Box<Poll>) {
         let now = self.now();
         let contact = &self.machines[id].state.contact;
@@ -107,7 +107,7 @@
         self.send(id, primary, Event::Poll { path, to: primary, call, poll });
     }
 
-    /// An answer arrives at the last machine of its path: the sender of the poll, or a relay that passes it on.
+    /// Handles a response at the last machine of its path: the sender of the poll, or a relay that forwards it.
     pub fn receive_answer(
         &mut self,
         from: MachineId,
@@ -141,15 +141,15 @@
 
     fn accept_tables(&mut self, id: MachineId, answer: ChangedTables) {
         let state = &mut self.machines[id].state;
-        let tables = state.tables.resolve_deltas(answer).expect("differences fit the tables in force");
+        let tables = state.tables.resolve_deltas(answer).expect("deltas apply to the current tables");
         let update = state.tables.apply(tables);
-        assert!(update.rejected.is_none(), "a configuration that was in force can be read");
+        assert!(update.rejected.is_none(), "a published configuration was rejected");
         if let Some(next) = update.next {
             state.swap_tables(next);
         }
     }
 
-    /// A poll was not answered in time.
+    /// Handles the timeout of a poll.
     pub fn time_out_poll(&mut self, id: MachineId, incarnation: u64, call: u64) {
         if !self.is_same_process(id, incarnation) {
             return;
@@ -163,22 +163,22 @@
         self.schedule_poll(id, delay);
     }
 
-    /// A process that has lost the core, or whose primary has no current list, reads the list itself.
-    pub fn read_own_list(&mut self, id: MachineId) {
+    /// Starts a direct read of the endpoint list at a process that has lost contact with the core, or whose primary has no current list.
+    pub fn read_direct_list(&mut self, id: MachineId) {
         let now = self.now();
         let machine = &mut self.machines[id];
         let state = &mut machine.state;
-        if state.direct_readings.is_due(&state.contact, &machine.limits, now) {
-            self.ask_for_list(id, None);
+        if state.direct_reads.is_due(&state.contact, &machine.limits, now) {
+            self.request_list(id, None);
         }
     }
 
-    /// A list arrives at the process that asked for it.
+    /// Handles the endpoint list at the process that requested it.
     pub fn receive_list(
         &mut self,
         id: MachineId,
         for_primary: Option<Epoch>,
-        asked_at: Time,
+        requested_at: Time,
         list: Vec<Endpoint>,
     ) {
         let now = self.now();
@@ -188,13 +188,13 @@
             Some(epoch) => {
                 let serving = state.member.as_ref().and_then(|member| member.serving());
                 if serving == Some(epoch) {
-                    state.directory.replace(list, asked_at);
+                    state.directory.replace(list, requested_at);
                 }
             }
             None if lacks_current_list(&state.contact, &machine.limits, now) => {
                 let next = state.tables.with_direct_list(list);
                 state.swap_tables(next);
-                self.audit.own_list();
+                self.audit.record_direct_list();
             }
             None => {}
         }
--- a/tier/dataplane/tests/planes/world.rs
+++ b/tier/dataplane/tests/planes/world.rs
@@ -1,4 +1,4 @@
-//! The machines, the network between them, and the events of their life.
+//! The simulated deployment: machines, the network between them, and the scheduled events.
 
 use crate::audit::Audit;
 use crate::core_side::PollAnswer;
@@ -12,64 +12,70 @@
 use quillmount_wire::messages::{DiskId, Endpoint, NodeRole, Poll, Register, RegisterMessage};
 use std::collections::BTreeMap;
 
-/// Machines with a disk at the beginning; they are the first ones.
+/// Initial number of core members, which have a disk; they are the first machines.
 pub const CORE: usize = 3;
-/// Couriers without a disk at the beginning.
+/// Initial number of couriers without a disk.
 const COURIERS: usize = 5;
-/// Stores.
+/// Number of stores.
 const STORES: usize = 4;
-/// Operators.
+/// Number of operators.
 const OPERATORS: usize = 4;
-/// Percentage of messages that are up to [`LATEST`] late.
-const LATE_MESSAGES: u64 = 1;
-/// Longest delay of a late message.
-const LATEST: Time = 700 * MILLI;
-/// Percentage of messages between members that are lost. Others go over connections, which lose none.
-const LOST_MESSAGES: u64 = 1;
-/// How often the clocks of members advance.
+/// Percentage of messages with an extra delay of up to [`MAX_LATE_DELAY`].
+const LATE_MESSAGE_PERCENT: u64 = 1;
+/// Upper bound of the extra delay of a late message.
+const MAX_LATE_DELAY: Time = 700 * MILLI;
+/// Percentage of messages between members that are lost. Other messages use connections, which lose none.
+const LOST_MESSAGE_PERCENT: u64 = 1;
+/// Interval between two ticks of the core members.
 const TICK_INTERVAL: Time = 25 * MILLI;
-/// How often waiting polls, clients and operators are looked at.
+/// Interval between two runs of pending polls, clients and operators.
 const WORK_INTERVAL: Time = 5 * MILLI;
-/// How often primaries plan the views of shards.
+/// Interval between two plans of the shard views by primaries.
 const PLAN_INTERVAL: Time = 100 * MILLI;
-/// How often the platform changes endpoints.
+/// Interval between two changes of the platform's endpoints.
 const ENDPOINT_INTERVAL: Time = 500 * MILLI;
-/// How many times as long a write takes on a slow disk.
-const SLOW_DISK: Time = 30;
+/// Factor by which writes take longer on a slow disk.
+const SLOW_DISK_FACTOR: Time = 30;
 
-/// What happens at a time.
+/// A scheduled event of the simulation.
 pub enum Event {
-    /// A message between members of the core arrives.
+    /// A message of the replicated register arrives at a core member.
     Register { from: MachineId, to: MachineId, disk: DiskId, message: RegisterMessage },
-    /// A write of the register has ended.
+    /// A register write has ended.
     Written { to: MachineId, incarnation: u64, write: RegisterWrite, register: Register },
-    /// A process starts.
+    /// A process starts at a machine.
     Start { to: MachineId },
-    /// A process stands still from now on.
+    /// A process is frozen until the given time.
     Freeze { id: MachineId, until: Time },
-    /// A process sends its next poll.
+    /// The next poll of a process is due.
     NextPoll { to: MachineId, incarnation: u64 },
-    /// A poll arrives; the answer goes back along `path`, the last one first.
+    /// A poll arrives. The response returns along `path` in reverse order.
     Poll { path: Vec<MachineId>, to: MachineId, call: u64, poll: Box<Poll> },
-    /// The answer to a poll arrives at the first machine of what is left of its path, which is where the poll came from.
+    /// The response to a poll arrives at the last machine of its remaining path, which sent or relayed the poll.
     Answer { from: MachineId, path: Vec<MachineId>, call: u64, answer: PollAnswer },
-    /// A poll has not been answered in time.
+    /// A poll has timed out.
     PollTimeout { to: MachineId, incarnation: u64, call: u64 },
-    /// The primary announces itself to a courier that settings name as a seed.
+    /// The primary announces itself to a courier that is a seed in the settings of a machine.
     Hint { from: MachineId, to: MachineId },
-    /// The list of endpoints arrives at a process that has asked the platform for it.
-    List { to: MachineId, incarnation: u64, for_primary: Option<u64>, asked_at: Time, list: Vec<Endpoint> },
-    /// A call in a singleton role arrives at the platform.
+    /// The endpoint list arrives at a process that has requested it from the platform.
+    List {
+        to: MachineId,
+        incarnation: u64,
+        for_primary: Option<u64>,
+        requested_at: Time,
+        list: Vec<Endpoint>,
+    },
+    /// A fenced call of a primary arrives at the platform.
     PlatformCall { from: MachineId, incarnation: u64, call: PlatformCall },
-    /// Its answer arrives.
+    /// The platform's response to a fenced call arrives at the caller.
     PlatformAnswer { to: MachineId, incarnation: u64, call: PlatformCall, accepted: bool },
-    /// A call of an operator arrives.
+    /// A call of an operator arrives at a machine.
     OperatorCall { operator: usize, call: u64, to: MachineId },
-    /// Its answer arrives.
+    /// The response to an operator's call arrives at the operator.
     OperatorAnswer { operator: usize, call: u64, answer: OperatorAnswer },
 }
 
-/// All planes.
+/// The simulated deployment with all planes.
 pub struct World {
     pub timeline: Timeline<Event>,
     pub random: Random,
@@ -78,18 +84,18 @@
     pub platform: Platform,
     pub operators: Vec<Operator>,
     pub audit: Audit,
-    /// When the last fault ended, or began if it lasts.
+    /// Planned end of the last fault. Frozen or killed machines can extend it when faults are healed.
     pub last_fault: Time,
-    /// The same without freezes.
-    pub last_loss: Time,
-    /// Whether operators change the configuration.
-    pub busy: bool,
+    /// Planned end of the last fault that is not a freeze.
+    pub last_fault_without_freezes: Time,
+    /// Whether operators begin new tasks.
+    pub operators_active: bool,
     last_call: u64,
     last_disk: DiskId,
 }
 
 impl World {
-    /// A system in its first state, whose first machine is the primary.
+    /// A deployment in its initial state, whose first machine is the primary.
     pub fn new(seed: u64) -> World {
         let mut world = World {
             timeline: Timeline::new(SECOND),
@@ -100,8 +106,8 @@
             operators: (0..OPERATORS).map(|_| Operator::default()).collect(),
             audit: Audit::default(),
             last_fault: 0,
-            last_loss: 0,
-            busy: true,
+            last_fault_without_freezes: 0,
+            operators_active: true,
             last_call: 0,
             last_disk: 0,
         };
@@ -123,7 +129,8 @@
         world
     }
 
-    /// Adds a machine, whose process starts now. Its settings name three couriers, members or not.
+    /// Adds a machine, whose process starts now. Its settings list three seeds: the first core members for initial machines, and random
+    /// core members or couriers for later ones.
     pub fn add_machine(&mut self, role: NodeRole) -> MachineId {
         let id = self.machines.len();
         let disk = self.draw_disk();
@@ -138,21 +145,21 @@
         id
     }
 
-    /// The identity of a disk, or of a process without one.
+    /// Allocates the identity of a disk, or of a process without a disk.
     pub fn draw_disk(&mut self) -> DiskId {
         self.last_disk += 1;
         self.last_disk
     }
 
-    /// The number of the next call.
+    /// Allocates the number of the next call.
     pub fn next_call(&mut self) -> u64 {
         self.last_call += 1;
         self.last_call
     }
 
-    /// The member of a machine of the core.
+    /// The consensus member of a core machine.
     pub fn member(&mut self, id: MachineId) -> &mut Member {
-        self.machines[id].state.member.as_mut().expect("a machine of the core")
+        self.machines[id].state.member.as_mut().expect("a core machine")
     }
 
     /// Whether a machine's process runs and is not frozen.
@@ -160,38 +167,41 @@
         self.machines[id].process.is_running(self.now())
     }
 
-    /// Sends something over a connection from one machine to another: it arrives late at times, and not at all over a cut.
+    /// Sends an event over a connection between two machines. Some events are delayed, and a partition drops them.
     pub fn send(&mut self, from: MachineId, to: MachineId, event: Event) {
         if from != to && self.partitions.is_blocked(from, to) {
             return;
         }
-        let late =
-            if self.random.chance(LATE_MESSAGES) { self.random.below(LATEST / MILLI) * MILLI } else { 0 };
-        let at = self.now() + MESSAGE_DELAY.draw(&mut self.random) + late;
-        self.schedule(at, event);
+        let late_delay = if self.random.chance(LATE_MESSAGE_PERCENT) {
+            self.random.below(MAX_LATE_DELAY / MILLI) * MILLI
+        } else {
+            0
+        };
+        let arrives_at = self.now() + MESSAGE_DELAY.draw(&mut self.random) + late_delay;
+        self.schedule(arrives_at, event);
     }
 
-    /// Sends something to the platform or back, which all machines reach.
+    /// Sends an event to the platform or back; partitions do not affect it.
     pub fn send_outside(&mut self, event: Event) {
-        let at = self.now() + MESSAGE_DELAY.draw(&mut self.random);
-        self.schedule(at, event);
+        let arrives_at = self.now() + MESSAGE_DELAY.draw(&mut self.random);
+        self.schedule(arrives_at, event);
     }
 
-    /// Plans the next poll of a machine.
+    /// Schedules the next poll of a machine after a delay.
     pub fn schedule_poll(&mut self, id: MachineId, delay: Time) {
         let incarnation = self.machines[id].process.incarnation();
         self.schedule(self.now() + delay, Event::NextPoll { to: id, incarnation });
     }
 
-    /// Whether a process of this incarnation still runs there.
+    /// Whether the process of this incarnation is still up.
     pub fn is_same_process(&self, id: MachineId, incarnation: u64) -> bool {
         let process = &self.machines[id].process;
         process.is_up() && process.incarnation() == incarnation
     }
 
-    /// Performs the actions of a member.
+    /// Carries out the actions that a member returned.
     pub fn perform(&mut self, id: MachineId, actions: Vec<MemberAction>) {
-        // The state is committed already when what rests on it is confirmed.
+        // A state change is recorded before confirmations that depend on it.
         if actions.contains(&MemberAction::StateChanged) {
             self.on_state_changed(id);
         }
@@ -210,19 +220,19 @@
 
     fn send_register(&mut self, from: MachineId, disk: DiskId, message: RegisterMessage) {
         let to = self.machines.iter().find(|machine| machine.disk == disk).map(|machine| machine.id);
-        let Some(to) = to.filter(|_| !self.random.chance(LOST_MESSAGES)) else { return };
+        let Some(to) = to.filter(|_| !self.random.chance(LOST_MESSAGE_PERCENT)) else { return };
         self.send(from, to, Event::Register { from, to, disk, message });
     }
 
     fn write_register(&mut self, id: MachineId, write: RegisterWrite, register: Register) {
         let machine = &self.machines[id];
         let incarnation = machine.process.incarnation();
-        let factor = if self.now() < machine.slow_until { SLOW_DISK } else { 1 };
-        let at = self.now() + REGISTER_SYNC_DELAY.draw(&mut self.random) * factor;
-        self.schedule(at, Event::Written { to: id, incarnation, write, register });
+        let factor = if self.now() < machine.slow_until { SLOW_DISK_FACTOR } else { 1 };
+        let written_at = self.now() + REGISTER_SYNC_DELAY.draw(&mut self.random) * factor;
+        self.schedule(written_at, Event::Written { to: id, incarnation, write, register });
     }
 
-    /// Learns the addresses of the members from the register.
+    /// Reads the addresses of the core members from the register.
     fn learn_members(&mut self, id: MachineId) {
         let accepted = self.member(id).replica().register().accepted.clone();
         let state = accepted.and_then(|accepted| ControlState::decode(&accepted.value.payload).ok());
@@ -238,12 +248,12 @@
     fn on_state_changed(&mut self, id: MachineId) {
         let member = self.member(id);
         if let (Some(epoch), Some(state)) = (member.serving(), member.committed()) {
-            self.audit.committed(epoch, &state);
+            self.audit.check_committed(epoch, &state);
             self.machines[id].state.history.record(&state);
         }
     }
 
-    /// The machine that an event is for, if it is for a process.
+    /// Returns the machine whose process receives an event, if it is addressed to one.
     fn receiver(event: &Event) -> Option<MachineId> {
         match event {
             Event::Register { to, .. }
@@ -263,7 +273,7 @@
         }
     }
 
-    /// By machine: the newest configuration that it has.
+    /// The configuration version of each machine whose process is up.
     pub fn versions(&self) -> BTreeMap<MachineId, u64> {
         let running = self.machines.iter().filter(|machine| machine.process.is_up());
         running.map(|machine| (machine.id, machine.state.tables.versions.configuration)).collect()
@@ -285,10 +295,10 @@
         if let Some(to) = World::receiver(&event) {
             let process = &self.machines[to].process;
             if process.is_up()
-                && let Some(at) = process.resumes_at(self.now())
+                && let Some(resumes_at) = process.resumes_at(self.now())
             {
-                // What arrives at a frozen process waits for it.
-                return self.schedule(at, event);
+                // Events for a frozen process are delivered when it resumes.
+                return self.schedule(resumes_at, event);
             }
             if !process.is_up() {
                 return;
@@ -315,9 +325,9 @@
             Event::Hint { from, to } => {
                 self.machines[to].state.contact.note_primary(address(from), now);
             }
-            Event::List { to, incarnation, for_primary, asked_at, list } => {
+            Event::List { to, incarnation, for_primary, requested_at, list } => {
                 if self.is_same_process(to, incarnation) {
-                    self.receive_list(to, for_primary, asked_at, list);
+                    self.receive_list(to, for_primary, requested_at, list);
                 }
             }
             Event::PlatformCall { from, incarnation, call } => self.platform_call(from, incarnation, call),
@@ -346,7 +356,7 @@
         if self.is_due_every(PLAN_INTERVAL) {
             self.plan_views();
         }
-        self.run_duties();
+        self.report_usage();
         self.read_lists();
     }
 }
--- a/tier/dataplane/tests/prompts.rs
+++ b/tier/dataplane/tests/prompts.rs
@@ -1,4 +1,4 @@
-//! The load that a request states, and the estimate of cached prompt segments.
+//! Tests of request profiles and of the estimate of cached prompt segments.
 
 use quillmount_dataplane::prefix_cache::PrefixCache;
 use quillmount_dataplane::request_profile::{PromptSegment, RequestProfile};
@@ -23,8 +23,8 @@
     cache.record(&[segment(4, 400)]);
     cache.record(&[segment(1, 400)]);
     cache.record(&[segment(5, 200)]);
-    assert_eq!(cache.cached_tokens(&[segment(4, 400)]), 400, "1000 tokens fit: 4, 1 and 5");
-    assert_eq!(cache.cached_tokens(&[segment(2, 100)]), 0, "unused longest");
+    assert_eq!(cache.cached_tokens(&[segment(4, 400)]), 400, "segments 4, 1 and 5 fit in 1000 tokens");
+    assert_eq!(cache.cached_tokens(&[segment(2, 100)]), 0, "segment 2 is the least recently used");
     cache.resize(700);
     assert_eq!(cache.cached_tokens(&[segment(1, 400)]), 400);
     assert_eq!(cache.cached_tokens(&[segment(4, 400)]), 0);
--- a/tier/dataplane/tests/routes.rs
+++ b/tier/dataplane/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Routes, keys and the choice of a service.
+//! Tests of route lookup, of authentication by key, and of the choice of a service.
 
 use quillmount_dataplane::routes::{Access, CompiledRoute, RouteMode, RouteTable, ServiceDraws};
 use quillmount_wire::configuration::{Configuration, Route, WeightedService};
@@ -17,12 +17,12 @@
 #[test]
 fn the_longest_prefix_of_the_host_decides() {
     let table = table();
-    let name = |host, path| table.find(host, path).map(|route| route.route.name.clone());
-    assert_eq!(name("a.example", "/x/q").as_deref(), Some("short"));
-    assert_eq!(name("A.example:80", "/x/y/q?z=/x/").as_deref(), Some("long"));
-    assert_eq!(name("a.example", "/x").as_deref(), None);
-    assert_eq!(name("b.example", "/x/").as_deref(), Some("open"));
-    assert_eq!(name("c.example", "/x/").as_deref(), None);
+    let route_name = |host, path| table.find(host, path).map(|route| route.route.name.clone());
+    assert_eq!(route_name("a.example", "/x/q").as_deref(), Some("short"));
+    assert_eq!(route_name("A.example:80", "/x/y/q?z=/x/").as_deref(), Some("long"));
+    assert_eq!(route_name("a.example", "/x").as_deref(), None);
+    assert_eq!(route_name("b.example", "/x/").as_deref(), Some("open"));
+    assert_eq!(route_name("c.example", "/x/").as_deref(), None);
     assert_eq!(table.by_name("long").unwrap().mode, RouteMode::Bulk);
 }
 
@@ -46,8 +46,8 @@
     assert_eq!(first, 900);
 }
 
-/// Requests at ten couriers, thirty at each: every service has its share to within two in a hundred. Independent draws miss by more
-/// than that in most hundreds of requests.
+/// With thirty requests at each of ten couriers, the fraction of each service is within 0.02 of its weight. Independent draws deviate
+/// by more than that in most groups of a hundred requests.
 #[test]
 fn shares_hold_after_a_few_hundred_requests_at_many_couriers() {
     for weight in [1.0, 10.0, 25.0, 50.0, 90.0] {
@@ -59,12 +59,13 @@
             ]),
             ..Route::default()
         });
-        let mut of_first = 0;
+        let mut first_service_requests = 0;
         for courier in 0..10 {
             let mut draws = ServiceDraws::with_offset(f64::from(courier) * 0.377 % 1.0);
-            of_first += (0..30).filter(|_| route.pick_service(draws.next("r")) == Some("a")).count();
+            first_service_requests +=
+                (0..30).filter(|_| route.pick_service(draws.next("r")) == Some("a")).count();
         }
-        let share = of_first as f64 / 300.0;
-        assert!((share - weight / 100.0).abs() < 0.02, "{share} for {weight}");
+        let fraction = first_service_requests as f64 / 300.0;
+        assert!((fraction - weight / 100.0).abs() < 0.02, "fraction {fraction} for weight {weight}");
     }
 }
--- a/tier/dataplane/tests/table_updates.rs
+++ b/tier/dataplane/tests/table_updates.rs
@@ -1,4 +1,4 @@
-//! Updates of tables lead to the tables of the primary, or to none.
+//! Tests that table updates produce the tables of the primary, or are not applied.
 
 use quillmount_control::{ControlState, TableHistory};
 use quillmount_dataplane::tables::TableSnapshot;
@@ -35,8 +35,8 @@
     Tables { directory: Some(Versioned { version, content }), ..Tables::default() }
 }
 
-/// A state with this many stores, and the snapshot of a process that has its placement.
-fn placed(stores: u64) -> (ControlState, TableSnapshot) {
+/// A control state with a number of stores, and the snapshot of a process that has received its placement.
+fn state_with_stores(stores: u64) -> (ControlState, TableSnapshot) {
     let mut state = ControlState::default();
     (1..=stores).for_each(|number| _ = state.admit_store(&store(number)));
     let placement = Versioned { version: state.placement_version, content: state.placement.clone() };
@@ -46,30 +46,34 @@
 
 #[test]
 fn a_difference_of_the_placement_leads_to_that_of_the_primary() {
-    let (before, snapshot) = placed(40);
+    let (before, snapshot) = state_with_stores(40);
     let mut after = before.clone();
     after.admit_store(&NodeInfo { internal: "10.0.9.7:1".to_owned(), ..store(17) });
     let mut history = TableHistory::default();
     history.record(&before);
     history.record(&after);
-    let content = history.placement_delta(before.placement_version, &after).expect("a difference").clone();
+    let content =
+        history.placement_delta(before.placement_version, &after).expect("a placement delta").clone();
     let placement = Some(Versioned { version: after.placement_version, content });
     let answer = ChangedTables { placement, ..ChangedTables::default() };
     let tables = snapshot.resolve_deltas(answer.clone()).expect("a placement");
-    assert_eq!(*snapshot.apply(tables).next.expect("a newer one").placement, after.placement);
-    let (_, other) = placed(39);
-    assert!(other.resolve_deltas(answer).is_err(), "a difference to another placement");
+    assert_eq!(*snapshot.apply(tables).next.expect("a newer placement").placement, after.placement);
+    let (_, other_snapshot) = state_with_stores(39);
+    assert!(other_snapshot.resolve_deltas(answer).is_err(), "a delta for another base placement is rejected");
 }
 
 #[test]
 fn changes_of_the_endpoint_list_do_not_apply_to_a_list_that_the_process_read_itself() {
     let full = directory(1, 5, DirectoryUpdate::Full(vec![endpoint("i-1", false), endpoint("i-2", false)]));
     let snapshot = TableSnapshot::default().apply(full).next.expect("a list");
-    let own = snapshot.with_direct_list(vec![endpoint("i-1", true), endpoint("i-2", false)]);
+    let direct_snapshot = snapshot.with_direct_list(vec![endpoint("i-1", true), endpoint("i-2", false)]);
     let changes = DirectoryUpdate::Delta { changed: vec![endpoint("i-3", false)], removed: Vec::new() };
-    let late = directory(2, 1, changes);
-    assert!(own.apply(late.clone()).next.is_none(), "the list that it read stays, and the next poll says so");
-    assert_eq!(snapshot.apply(late).next.expect("a newer list").endpoints.len(), 3);
-    let whole = directory(2, 1, DirectoryUpdate::Full(vec![endpoint("i-1", false)]));
-    assert_eq!(own.apply(whole).next.expect("the list of the core").endpoints.len(), 1);
+    let delayed_delta = directory(2, 1, changes);
+    assert!(
+        direct_snapshot.apply(delayed_delta.clone()).next.is_none(),
+        "the directly read list stays in force, and the next poll reports its version"
+    );
+    assert_eq!(snapshot.apply(delayed_delta).next.expect("a newer list").endpoints.len(), 3);
+    let full_list = directory(2, 1, DirectoryUpdate::Full(vec![endpoint("i-1", false)]));
+    assert_eq!(direct_snapshot.apply(full_list).next.expect("the list of the core").endpoints.len(), 1);
 }
