--- a/tier/control/src/admission.rs
+++ b/tier/control/src/admission.rs
@@ -1,15 +1,15 @@
 //! Admission of core members and stores, which are identified by their disk.
 //!
-//! A disk has an identity that was drawn when it was empty. A node that comes back with another disk has lost what it
-//! had stored: it takes the place of the former node but none of its data.
+//! A disk gets a random identity when it is first used. A node that returns with another disk has lost its stored
+//! data: it replaces the former node but counts as empty.
 
 use crate::state::ControlState;
 use quillmount_wire::messages::{DiskId, NodeInfo};
 use std::collections::BTreeSet;
 
-/// Upper bound on core members.
+/// Maximum number of core members.
 const CORE_LIMIT: usize = 15;
-/// Upper bound on stores.
+/// Maximum number of stores.
 const STORE_LIMIT: usize = 256;
 
 /// Outcome of a node's request to be admitted.
@@ -26,13 +26,14 @@
 impl ControlState {
     /// Admits a core member.
     ///
-    /// It replaces a member of the same name or address with another disk, or else one of the `silent` members.
+    /// It replaces a member with the same name or address but another disk, else one of the `silent` members; if there is
+    /// neither, it is added.
     pub fn admit_core_member(&mut self, node: &NodeInfo, silent: &BTreeSet<DiskId>) -> Admission {
         let admission = admit_to_core(&mut self.placement.core, node, silent);
         self.conclude_admission(admission)
     }
 
-    /// Removes silent core members if at least `2 * tolerated_failures + 1` others stay; returns whether any was
+    /// Removes silent core members if at least `2 * tolerated_failures + 1` others remain; returns whether any was
     /// removed.
     pub fn remove_silent_core_members(
         &mut self,
@@ -49,13 +50,13 @@
         true
     }
 
-    /// Admits a store. It replaces stores of the same name or address with another disk, whose data is lost.
+    /// Admits a store. It replaces stores with the same name or address but another disk; their data is lost.
     pub fn admit_store(&mut self, node: &NodeInfo) -> Admission {
         let admission = admit_to_stores(&mut self.placement.stores, node);
         self.conclude_admission(admission)
     }
 
-    /// Disks of the core members.
+    /// Disks of the core members, in the order of the placement.
     #[must_use]
     pub fn core_disks(&self) -> Vec<DiskId> {
         self.placement.core.iter().map(|node| node.disk).collect()
@@ -70,13 +71,13 @@
 }
 
 fn admit_to_core(core: &mut Vec<NodeInfo>, node: &NodeInfo, silent: &BTreeSet<DiskId>) -> Admission {
-    if let Some(admission) = update_known(core, node) {
+    if let Some(admission) = update_existing(core, node) {
         return admission;
     }
     let replaced = core
         .iter()
-        .position(|known| is_same_machine(known, node))
-        .or_else(|| core.iter().position(|known| silent.contains(&known.disk)));
+        .position(|existing| is_same_machine(existing, node))
+        .or_else(|| core.iter().position(|existing| silent.contains(&existing.disk)));
     match replaced {
         Some(index) => core[index] = node.clone(),
         None if core.len() < CORE_LIMIT => core.push(node.clone()),
@@ -86,10 +87,10 @@
 }
 
 fn admit_to_stores(stores: &mut Vec<NodeInfo>, node: &NodeInfo) -> Admission {
-    if let Some(admission) = update_known(stores, node) {
+    if let Some(admission) = update_existing(stores, node) {
         return admission;
     }
-    stores.retain(|known| !is_same_machine(known, node));
+    stores.retain(|existing| !is_same_machine(existing, node));
     if stores.len() >= STORE_LIMIT {
         return Admission::Rejected;
     }
@@ -97,16 +98,16 @@
     Admission::Admitted
 }
 
-/// Updates the entry with the node's disk; `None` if there is none.
-fn update_known(nodes: &mut [NodeInfo], node: &NodeInfo) -> Option<Admission> {
-    let known = nodes.iter_mut().find(|known| known.disk == node.disk)?;
-    if known == node {
+/// Updates the existing entry for the node's disk; `None` if there is none.
+fn update_existing(nodes: &mut [NodeInfo], node: &NodeInfo) -> Option<Admission> {
+    let existing = nodes.iter_mut().find(|existing| existing.disk == node.disk)?;
+    if existing == node {
         return Some(Admission::Known);
     }
-    *known = node.clone();
+    *existing = node.clone();
     Some(Admission::Admitted)
 }
 
-fn is_same_machine(known: &NodeInfo, node: &NodeInfo) -> bool {
-    known.name == node.name || known.internal == node.internal
+fn is_same_machine(existing: &NodeInfo, node: &NodeInfo) -> bool {
+    existing.name == node.name || existing.internal == node.internal
 }
--- a/tier/control/src/core_contact.rs
+++ b/tier/control/src/core_contact.rs
@@ -1,77 +1,83 @@
-//! What a process knows of the core: which address answers its polls, and who the primary is.
+//! What a process knows about the core: which address answers its polls, and which member is primary.
 
 use quillmount_wire::Micros;
 use std::time::Duration;
 
-/// Addresses at which a process finds the core, and when the primary last answered it. The caller passes the time in.
+/// Addresses at which a process reaches the core, and when the primary last answered. The caller passes in the
+/// current time.
 #[derive(Clone, Debug, Default)]
 pub struct CoreContact {
-    /// An answer of the primary counts as recent for this long.
+    /// Time for which an answer of the primary counts as recent.
     recent_answer: Micros,
-    /// Address that is polled next: the primary's or a relay's. `None` while the process searches.
+    /// Address to poll next: the primary's or a relay's. `None` while the process searches for one that answers.
     poll_address: Option<String>,
     primary: Option<String>,
     relays: Vec<String>,
     members: Vec<String>,
-    /// When the primary last answered with what it publishes; 0 before the first such answer.
-    last_answer: Micros,
-    /// When the primary last answered at all.
-    last_heard: Micros,
-    /// When the poll was sent that it answered last: what it answered is not older.
-    last_answered_poll: Micros,
-    /// When the poll was sent whose answer last brought or confirmed the primary's current list; the first answered poll if none did.
-    last_current_list: Micros,
+    /// When the last answer with the primary's tables arrived; 0 before the first such answer.
+    last_tables_at: Micros,
+    /// When the last answer of any kind from the primary arrived.
+    last_response_at: Micros,
+    /// When the poll was sent to which the primary last answered with its tables: these tables are not older.
+    last_tables_poll_sent_at: Micros,
+    /// When the poll was sent whose answer last contained or confirmed the primary's current endpoint list; before
+    /// such an answer, when the first answered poll was sent.
+    current_list_poll_sent_at: Micros,
 }
 
 impl CoreContact {
-    /// No contact yet; an answer of the primary will count as recent for this long.
+    /// No contact yet. An answer of the primary counts as recent for the duration `recent_answer`.
     #[must_use]
     pub fn new(recent_answer: Duration) -> CoreContact {
         CoreContact { recent_answer: recent_answer.as_micros() as Micros, ..CoreContact::default() }
     }
 
-    /// Address that is polled next, if one is known to answer.
+    /// Address to poll next; `None` if none is known to answer.
     #[must_use]
     pub fn poll_address(&self) -> Option<&str> {
         self.poll_address.as_deref()
     }
 
-    /// Sets the address that is polled next; with `None` the process searches for one.
+    /// Sets the address to poll next. With `None` the process searches for one that answers.
     pub fn set_poll_address(&mut self, address: Option<String>) {
         self.poll_address = address;
     }
 
-    /// Internal address of the core's primary, as last learned from it, a relay or its announcement.
+    /// Internal address of the primary, as last learned from its answer, from a relay or from its announcement.
     #[must_use]
     pub fn primary(&self) -> Option<&str> {
         self.primary.as_deref()
     }
 
-    /// Records an answer of the primary, which may have come through a relay, to a poll that was sent at `asked_at`.
-    pub fn record_answer(&mut self, primary: &str, relays: &[String], asked_at: Micros, now: Micros) {
+    /// Records an answer with the primary's tables, directly or through a relay, to a poll that was sent at
+    /// `poll_sent_at`.
+    pub fn record_answer(&mut self, primary: &str, relays: &[String], poll_sent_at: Micros, now: Micros) {
         if !self.has_ever_answered() {
-            self.last_current_list = asked_at;
+            self.current_list_poll_sent_at = poll_sent_at;
         }
-        self.last_answer = now;
-        self.last_heard = now;
-        self.last_answered_poll = asked_at;
+        self.last_tables_at = now;
+        self.last_response_at = now;
+        self.last_tables_poll_sent_at = poll_sent_at;
         self.primary = Some(primary.to_owned());
         self.relays = relays.to_vec();
     }
 
-    /// Records that the primary at `address`, or beyond the relay there, answered without the newer tables that it has. It is there, and
-    /// is polled again; what is known here is no newer.
+    /// Records that the primary, polled directly or through a relay at `address`, answered that it is too busy to
+    /// send its newer tables. It is reachable and is polled again, but the tables of this process are no more recent
+    /// than before.
     pub fn record_busy(&mut self, address: &str, now: Micros) {
-        self.last_heard = now;
+        self.last_response_at = now;
         self.poll_address = Some(address.to_owned());
     }
 
-    /// Records that the answer to the poll that was sent at `asked_at` brought or confirmed the primary's current list.
-    pub fn record_current_list(&mut self, asked_at: Micros) {
-        self.last_current_list = asked_at;
+    /// Records that the answer to the poll sent at `poll_sent_at` contained or confirmed the primary's current
+    /// endpoint list.
+    pub fn record_current_list(&mut self, poll_sent_at: Micros) {
+        self.current_list_poll_sent_at = poll_sent_at;
     }
 
-    /// Polls the process at `address` next, which announced itself as primary, unless the primary that is known answered recently.
+    /// Handles the announcement of a new primary at `address`: it is polled next, unless the known primary answered
+    /// recently.
     pub fn note_primary(&mut self, address: String, now: Micros) {
         if !self.has_recent_primary(now) {
             self.primary = Some(address.clone());
@@ -79,45 +85,45 @@
         }
     }
 
-    /// Whether the primary has ever answered this process.
+    /// Whether the primary has ever answered this process with its tables.
     #[must_use]
     pub fn has_ever_answered(&self) -> bool {
-        self.last_answer > 0
+        self.last_tables_at > 0
     }
 
-    /// Whether the last answer of the primary is recent, with or without what it publishes.
+    /// Whether the last answer of the primary is recent, with or without tables.
     #[must_use]
     pub fn has_recent_primary(&self, now: Micros) -> bool {
-        self.has_ever_answered() && now.saturating_sub(self.last_heard) < self.recent_answer
+        self.has_ever_answered() && now.saturating_sub(self.last_response_at) < self.recent_answer
     }
 
-    /// Time since the primary last answered with what it publishes, or since the start of the clock.
+    /// Time since the primary last answered with its tables, or since the start of the clock; microseconds.
     #[must_use]
     pub fn silence(&self, now: Micros) -> Micros {
-        now.saturating_sub(self.last_answer)
+        now.saturating_sub(self.last_tables_at)
     }
 
-    /// Age at most of what the primary answered last, by this process's clock. The primary's own state may be older by the time for
-    /// which it trusts its last contact with a majority.
+    /// Upper bound on the age of the primary's last answer with tables, by this process's clock; microseconds. The
+    /// state of the primary may be older by the time for which it serves its state without contact with a majority.
     #[must_use]
     pub fn age(&self, now: Micros) -> Micros {
-        now.saturating_sub(self.last_answered_poll)
+        now.saturating_sub(self.last_tables_poll_sent_at)
     }
 
-    /// Time since the primary's list was known here to be current, by this process's clock. The list itself may be older by the age up
-    /// to which a primary publishes it.
+    /// Time since this process last knew the primary's endpoint list to be current, by its own clock; microseconds.
+    /// The list itself may be older by the age up to which a primary publishes it.
     #[must_use]
     pub fn list_age(&self, now: Micros) -> Micros {
-        now.saturating_sub(self.last_current_list)
+        now.saturating_sub(self.current_list_poll_sent_at)
     }
 
-    /// Internal addresses of the core's members, as this machine's own register names them.
+    /// Internal addresses of the core members that the register on this machine names.
     #[must_use]
     pub fn members(&self) -> &[String] {
         &self.members
     }
 
-    /// Sets the members that this machine's register names.
+    /// Sets the internal addresses of the core members, read from the register on this machine.
     pub fn set_members(&mut self, members: Vec<String>) {
         self.members = members;
     }
--- a/tier/control/src/direct_list.rs
+++ b/tier/control/src/direct_list.rs
@@ -1,57 +1,63 @@
-//! When a process reads the platform's list of endpoints itself: while the core is silent, or answers without a current list.
+//! When a process fetches the endpoint list from the platform itself: while the core does not answer, or answers
+//! without a current list.
 //!
-//! The caller asks [`DirectReadings::is_due`] often, reads the list whenever that says so, and uses what it read if
-//! [`lacks_current_list`] still holds then.
+//! The caller calls [`DirectFetchSchedule::is_due`] often, fetches the list whenever it returns true, and uses the
+//! result if [`lacks_current_list`] is still true after the fetch.
 
 use crate::core_contact::CoreContact;
 use crate::time_limits::TimeLimits;
 use quillmount_wire::Micros;
 
-/// The readings of one process. The caller passes the time in.
+/// Schedules the direct fetches of one process. The caller passes in the current time.
 #[derive(Clone, Copy, Debug)]
-pub struct DirectReadings {
-    /// Turns come at [`TimeLimits::list_reading`]: those of processes that started at different times are spread when the core falls
-    /// silent for all of them.
-    next_turn: Micros,
-    /// When the last reading began.
-    began: Micros,
+pub struct DirectFetchSchedule {
+    /// Next scheduled time; one follows every [`TimeLimits::direct_fetch_interval`]. The schedule begins when the
+    /// process starts, so when the core stops answering all processes, those that started at different times fetch at
+    /// different times.
+    next_scheduled_at: Micros,
+    /// When the last fetch started; 0 before the first.
+    last_started_at: Micros,
 }
 
-impl DirectReadings {
-    /// No reading yet, in a process that starts now.
+impl DirectFetchSchedule {
+    /// A schedule without a fetch yet, for a process that starts at `now`.
     #[must_use]
-    pub fn new(limits: &TimeLimits, now: Micros) -> DirectReadings {
-        DirectReadings { next_turn: now + limits.list_reading.as_micros() as Micros, began: 0 }
+    pub fn new(limits: &TimeLimits, now: Micros) -> DirectFetchSchedule {
+        DirectFetchSchedule {
+            next_scheduled_at: now + limits.direct_fetch_interval.as_micros() as Micros,
+            last_started_at: 0,
+        }
     }
 
-    /// Whether a reading is to begin now. A silent core is looked at in each turn; a list that is too old does not wait for one.
+    /// Whether to start a fetch now. A silent core leads to a fetch only at scheduled times; a list that is too old
+    /// leads to one as soon as one interval has passed since the last fetch.
     pub fn is_due(&mut self, contact: &CoreContact, limits: &TimeLimits, now: Micros) -> bool {
-        let interval = limits.list_reading.as_micros() as Micros;
-        let is_turn = now >= self.next_turn;
-        if is_turn {
-            self.next_turn = now + interval;
+        let interval = limits.direct_fetch_interval.as_micros() as Micros;
+        let is_scheduled = now >= self.next_scheduled_at;
+        if is_scheduled {
+            self.next_scheduled_at = now + interval;
         }
-        let has_old_list = has_old_list(contact, limits, now) && now >= self.began + interval;
-        // A process that the core never answered has no list that could be too old.
+        let has_stale_list = has_stale_list(contact, limits, now) && now >= self.last_started_at + interval;
+        // A process that the core has never answered has no list that could be too old.
         let is_due = contact.has_ever_answered()
-            && (has_old_list || (is_turn && is_core_silent(contact, limits, now)));
+            && (has_stale_list || (is_scheduled && is_core_silent(contact, limits, now)));
         if is_due {
-            self.began = now;
+            self.last_started_at = now;
         }
         is_due
     }
 }
 
-/// Whether a process relies on its own reading of the list: the core is silent, or has had no current list for too long.
+/// Whether a process uses the list that it fetched itself: the core is silent, or has had no current list for too long.
 #[must_use]
 pub fn lacks_current_list(contact: &CoreContact, limits: &TimeLimits, now: Micros) -> bool {
-    is_core_silent(contact, limits, now) || has_old_list(contact, limits, now)
+    is_core_silent(contact, limits, now) || has_stale_list(contact, limits, now)
 }
 
 fn is_core_silent(contact: &CoreContact, limits: &TimeLimits, now: Micros) -> bool {
     u128::from(contact.silence(now)) > limits.core_silence.as_micros()
 }
 
-fn has_old_list(contact: &CoreContact, limits: &TimeLimits, now: Micros) -> bool {
-    u128::from(contact.list_age(now)) > limits.current_list.as_micros()
+fn has_stale_list(contact: &CoreContact, limits: &TimeLimits, now: Micros) -> bool {
+    u128::from(contact.list_age(now)) > limits.max_current_list_age.as_micros()
 }
--- a/tier/control/src/directory.rs
+++ b/tier/control/src/directory.rs
@@ -1,10 +1,11 @@
 //! The endpoint list with its recent changes, so that a subscriber with an earlier version gets only the difference.
 //!
-//! The primary of the core replaces the list with each reading ([`Directory::replace`]) and sends each subscriber
-//! what [`Directory::update_since`] gives; the subscriber applies it with [`apply_update`].
+//! The primary of the core fetches the list from the platform at intervals, stores it with [`Directory::replace`],
+//! and sends each subscriber the result of [`Directory::update_since`]; the subscriber applies it with
+//! [`apply_update`].
 //!
-//! A list is current for a limited time after its reading began ([`Directory::is_current`]). A primary that stood still, or was
-//! elected just now, has none until its next reading has ended.
+//! A list is current for a limited time after its fetch started ([`Directory::is_current`]). A primary that was
+//! suspended, or has just been elected, has no current list until its next fetch completes.
 
 use quillmount_wire::Micros;
 use quillmount_wire::messages::{DirectoryUpdate, DirectoryVersion, Endpoint};
@@ -12,23 +13,24 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Interval between the starts of two readings of the list by the primary.
+/// Interval between the starts of two fetches of the list by the primary.
 pub const READ_INTERVAL: Duration = Duration::from_millis(600);
 
-/// Number of versions of which the changes are remembered; a subscriber with an older one gets the full list.
+/// Number of versions whose changes are retained; a subscriber with an older version gets the full list.
 const HISTORY_LIMIT: usize = 64;
 
-/// The endpoint list as one primary has read it, from its first reading on.
+/// The endpoint list of one primary, from its first fetch on.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     list: Rc<Vec<Endpoint>>,
-    /// Counts the changes of `list`; 0 before the first reading.
+    /// Number of changes of `list`; 0 before the first fetch.
     version: u64,
-    /// Ids that changed with each of the last versions, the newest last; at most [`HISTORY_LIMIT`].
+    /// Ids changed by each recent version, the newest last; at most [`HISTORY_LIMIT`] versions.
     history: VecDeque<BTreeSet<String>>,
-    /// When the newest reading began, or the platform was last found not to give its list, whichever is later; `None` before.
-    current_at: Option<Micros>,
-    /// The list of an earlier epoch that subscribers may have.
+    /// When the newest fetch started, or when the platform was last found not to provide its list, whichever is
+    /// later; `None` before either.
+    current_as_of: Option<Micros>,
+    /// A list of an earlier epoch that subscribers may have.
     predecessor: Option<Predecessor>,
 }
 
@@ -37,13 +39,13 @@
 struct Predecessor {
     version: DirectoryVersion,
     list: Rc<Vec<Endpoint>>,
-    /// The changes from `list` to the current list.
+    /// Difference from `list` to the current list.
     update: DirectoryUpdate,
 }
 
 impl Directory {
-    /// A directory without a reading, at a process that has this list of an earlier epoch. A list without changes counted is one that
-    /// the process has read itself: no other has the same.
+    /// A directory before its first fetch, in a process that has `list` from an earlier epoch. A version with 0
+    /// changes denotes a list that the process fetched itself; no subscriber has the same list, so it is ignored.
     #[must_use]
     pub fn succeeding(version: DirectoryVersion, list: Rc<Vec<Endpoint>>) -> Directory {
         let update = DirectoryUpdate::Delta { changed: Vec::new(), removed: Vec::new() };
@@ -51,33 +53,35 @@
         Directory { predecessor, ..Directory::default() }
     }
 
-    /// The current list.
+    /// The list as of the newest fetch; empty before the first.
     #[must_use]
     pub fn list(&self) -> &Rc<Vec<Endpoint>> {
         &self.list
     }
 
-    /// Version of the current list; 0 before the first reading.
+    /// Version of the list within this epoch; 0 before the first fetch.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Whether the list is as new as the platform allowed at most `max_age` ago.
+    /// Whether the list was the newest that the platform provided at some time in the last `max_age`.
     #[must_use]
     pub fn is_current(&self, max_age: Duration, now: Micros) -> bool {
-        self.current_at.is_some_and(|at| now.saturating_sub(at) <= max_age.as_micros() as Micros)
+        self.current_as_of
+            .is_some_and(|current_as_of| now.saturating_sub(current_as_of) <= max_age.as_micros() as Micros)
     }
 
-    /// Notes that the platform does not give its list at this time, as it is down, slow or cut off: the list is as new as can be.
+    /// Records that the platform does not provide its list now because it is down, slow or unreachable. No newer list
+    /// can be had, so the present one counts as current.
     pub fn note_unavailable(&mut self, now: Micros) {
-        self.current_at = self.current_at.max(Some(now));
+        self.current_as_of = self.current_as_of.max(Some(now));
     }
 
-    /// Replaces the list by a reading that began at `began`; returns whether anything changed. The first reading always counts
-    /// as a change.
-    pub fn replace(&mut self, list: Vec<Endpoint>, began: Micros) -> bool {
-        self.current_at = self.current_at.max(Some(began));
+    /// Replaces the list with the result of a fetch that started at `started_at`; returns whether anything changed.
+    /// The first fetch always counts as a change.
+    pub fn replace(&mut self, list: Vec<Endpoint>, started_at: Micros) -> bool {
+        self.current_as_of = self.current_as_of.max(Some(started_at));
         let changed = changed_ids(&self.list, &list);
         if changed.is_empty() && self.version > 0 {
             return false;
@@ -95,7 +99,8 @@
         true
     }
 
-    /// The update for a subscriber that has version `known_version`; `None` if that is the current one or a later one.
+    /// The update for a subscriber that has version `known_version` of this epoch; `None` if that is the current
+    /// version or later.
     #[must_use]
     pub fn update_since(&self, known_version: u64) -> Option<DirectoryUpdate> {
         if known_version >= self.version {
@@ -109,18 +114,21 @@
         Some(difference(&ids, &self.list))
     }
 
-    /// The update for a subscriber that has a list of another epoch; `None` before the first reading.
+    /// The update for a subscriber that has version `subscriber_version` of another epoch; `None` before the first
+    /// fetch. It is a difference if the subscriber has the list that this process had when it was elected, else the
+    /// full list.
     #[must_use]
-    pub fn update_since_predecessor(&self, known: DirectoryVersion) -> Option<DirectoryUpdate> {
-        let same_list = self.predecessor.as_ref().filter(|predecessor| predecessor.version == known);
-        match same_list {
+    pub fn update_since_predecessor(&self, subscriber_version: DirectoryVersion) -> Option<DirectoryUpdate> {
+        let predecessor =
+            self.predecessor.as_ref().filter(|predecessor| predecessor.version == subscriber_version);
+        match predecessor {
             Some(predecessor) if self.version > 0 => Some(predecessor.update.clone()),
             _ => self.update_since(0),
         }
     }
 }
 
-/// The update that leads to a list, for a subscriber to whom entries with these ids are new, changed or gone.
+/// The update to a new list for a subscriber to whose list entries with these ids were added, changed or removed.
 fn difference(ids: &BTreeSet<String>, list: &[Endpoint]) -> DirectoryUpdate {
     let current = by_id(list);
     let changed = ids.iter().filter_map(|id| current.get(id.as_str()).map(|endpoint| (*endpoint).clone()));
@@ -128,7 +136,7 @@
     DirectoryUpdate::Delta { changed: changed.collect(), removed: removed.collect() }
 }
 
-/// The list of a subscriber after an update; ordered by id if the update is a difference.
+/// Applies an update to the list of a subscriber; the result is ordered by id if the update is a difference.
 #[must_use]
 pub fn apply_update(list: &[Endpoint], update: DirectoryUpdate) -> Vec<Endpoint> {
     match update {
@@ -145,13 +153,15 @@
     }
 }
 
-/// Ids that were added, removed or changed between two readings.
+/// Ids that were added, removed or changed between two fetches.
 fn changed_ids(old: &[Endpoint], new: &[Endpoint]) -> BTreeSet<String> {
     let before = by_id(old);
     let after = by_id(new);
     let changed = new
         .iter()
-        .filter(|endpoint| before.get(endpoint.id.as_str()).is_none_or(|old| differs(old, endpoint)))
+        .filter(|endpoint| {
+            before.get(endpoint.id.as_str()).is_none_or(|old| differs_for_couriers(old, endpoint))
+        })
         .map(|endpoint| endpoint.id.clone());
     let removed = before.keys().filter(|id| !after.contains_key(*id)).map(|id| (*id).to_owned());
     changed.chain(removed).collect()
@@ -161,9 +171,9 @@
     list.iter().map(|endpoint| (endpoint.id.as_str(), endpoint)).collect()
 }
 
-/// Whether two entries differ in what couriers act on. They act on whether an endpoint is warming up, not on how many
-/// milliseconds of that are left.
-fn differs(one: &Endpoint, other: &Endpoint) -> bool {
+/// Whether two entries differ in a property that couriers use. They use whether an endpoint is warming up, but not
+/// how many milliseconds of its warm-up are left.
+fn differs_for_couriers(one: &Endpoint, other: &Endpoint) -> bool {
     let without_countdown = |endpoint: &Endpoint| Endpoint {
         warmup_left_ms: if endpoint.warmup_left_ms > 0.0 { 1.0 } else { 0.0 },
         ..endpoint.clone()
--- a/tier/control/src/fenced_calls.rs
+++ b/tier/control/src/fenced_calls.rs
@@ -1,24 +1,25 @@
-//! Calls to the platform in a singleton role, each with a fencing token that rises with the holder: one that was refused because
-//! another holder has used a higher token is never used again.
+//! Calls to the platform by the holder of a singleton role. Each call carries a fencing token, and each new holder
+//! has a higher one. The platform refuses a token if it has seen a higher one; a refused token is not used again for
+//! that subject.
 
 use quillmount_wire::messages::Epoch;
 use std::collections::BTreeSet;
 
-/// What the platform fences: calls of one role about one subject.
+/// Scope of a fencing token at the platform: it compares tokens among calls about the same subject.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FencedSubject {
-    /// All reports of usage.
+    /// All usage reports.
     Usage,
     /// The number of a service's endpoints in a zone.
     Scale {
-        /// Name of the service.
+        /// Service name as in the configuration.
         service: String,
-        /// The zone.
+        /// Zone as in the endpoint list.
         zone: String,
     },
 }
 
-/// The subjects on which a holder's present token was refused.
+/// The current fencing token of a role holder, and the subjects for which the platform refused it.
 #[derive(Clone, Debug, Default)]
 pub struct FencedCalls {
     token: Epoch,
@@ -26,7 +27,7 @@
 }
 
 impl FencedCalls {
-    /// Goes on with this token. A higher one has not been refused anywhere.
+    /// Sets the current token. A new token clears the refusals, because no subject has refused it yet.
     pub fn use_token(&mut self, token: Epoch) {
         if token != self.token {
             self.token = token;
@@ -34,13 +35,13 @@
         }
     }
 
-    /// Whether a call about a subject may be made with the present token.
+    /// Whether the current token may be used for a call about this subject.
     #[must_use]
     pub fn may_call(&self, subject: &FencedSubject) -> bool {
         !self.refused.contains(subject)
     }
 
-    /// Notes that the platform refused a call with the present token.
+    /// Records that the platform refused the current token for this subject.
     pub fn record_refusal(&mut self, subject: FencedSubject) {
         self.refused.insert(subject);
     }
--- a/tier/control/src/leases.rs
+++ b/tier/control/src/leases.rs
@@ -1,37 +1,37 @@
-//! Leases of couriers and stores at the primary of the core, with what each process last reported.
+//! Leases of couriers and stores at the primary of the core, with the last report of each process.
 //!
-//! Every poll renews its sender's lease. Leases are in memory only: a new primary starts with none, and knows who is live
-//! once all processes have polled it. The caller passes the time in.
+//! Every poll renews its sender's lease. Leases are in memory only: a new primary starts with none, and knows which
+//! processes are live once all of them have polled it. The caller passes in the current time.
 
 mod usage_totals;
 
 use crate::shards::ShardPlanInputs;
-use crate::usage::{LastHeard, all_reported};
+use crate::usage::{LastPoll, all_reported};
 use quillmount_wire::Micros;
 use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, Poll, ServiceLoad, ShardReport, UsageWindow};
 use std::collections::{BTreeMap, HashMap};
 use usage_totals::UsageTotals;
 
-/// A lease that was not renewed for this long has expired, microseconds.
+/// Time after its last renewal at which a lease expires, microseconds.
 const LEASE_DURATION: Micros = 1_100_000;
-/// From this many leases on, expired ones are dropped.
+/// Number of leases from which on expired ones are dropped.
 const LEASE_LIMIT: usize = 4096;
-/// Most couriers that are named as relays.
+/// Maximum number of couriers that are published as relays.
 const RELAY_LIMIT: usize = 6;
-/// Shard reports count for this long after the poll that brought them, microseconds.
+/// Time for which shard reports are used after the poll that contained them, microseconds.
 const REPORT_TTL: Micros = 600_000;
 
-/// The lease of one process.
+/// The lease of one process, with the contents of its last poll.
 #[derive(Debug)]
 struct Lease {
     node: NodeInfo,
-    /// Moment of the last poll.
-    renewed: Micros,
+    /// Time of the last poll.
+    renewed_at: Micros,
     draining: bool,
     reports: Vec<ShardReport>,
-    /// Calls that could run at once, by service.
+    /// Demand by service: number of calls that could run concurrently.
     demand: Vec<(String, f64)>,
-    /// Items of batch jobs that wait or run, by service.
+    /// Number of waiting or running items of batch jobs, by service.
     items: Vec<(String, u32)>,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// The leases of all processes, by disk.
+/// The leases of all processes, keyed by disk.
 #[derive(Debug, Default)]
 pub struct Leases {
     leases: HashMap<DiskId, Lease>,
@@ -52,11 +52,11 @@
     /// Renews the lease of a poll's sender and records what the poll reports.
     pub fn renew(&mut self, poll: &Poll, now: Micros) {
         if self.leases.len() >= LEASE_LIMIT {
-            self.leases.retain(|_, lease| now.saturating_sub(lease.renewed) < LEASE_DURATION);
+            self.leases.retain(|_, lease| now.saturating_sub(lease.renewed_at) < LEASE_DURATION);
         }
         let lease = Lease {
             node: poll.node.clone(),
-            renewed: now,
+            renewed_at: now,
             draining: poll.draining,
             reports: poll.shards.clone(),
             demand: poll.demand.clone(),
@@ -66,26 +66,26 @@
         self.usage.update(poll.incarnation, &poll.usage);
     }
 
-    /// Number of live processes that are not draining: those that share the endpoints.
+    /// Number of live processes that are not draining; they share the capacity of the endpoints.
     #[must_use]
     pub fn senders(&self, now: Micros) -> u32 {
         self.live(now).filter(|lease| !lease.draining).count() as u32
     }
 
-    /// Number of live processes.
+    /// Number of live processes, including draining ones.
     #[must_use]
     pub fn live_count(&self, now: Micros) -> usize {
         self.live(now).count()
     }
 
-    /// Calls to a service that could run at once, summed over all live processes.
+    /// Number of calls to a service that could run concurrently, summed over all live processes.
     #[must_use]
     pub fn demand(&self, service: &str, now: Micros) -> f64 {
-        let needs = self.live(now).flat_map(|lease| &lease.demand);
-        needs.filter(|(name, _)| name == service).map(|(_, calls)| calls).sum()
+        let demands = self.live(now).flat_map(|lease| &lease.demand);
+        demands.filter(|(name, _)| name == service).map(|(_, calls)| calls).sum()
     }
 
-    /// Demand of live requests and items of batch jobs on each service, sorted by service.
+    /// Load of each service by online requests and by items of batch jobs, sorted by service.
     #[must_use]
     pub fn loads(&self, now: Micros) -> Vec<ServiceLoad> {
         let mut loads: BTreeMap<&str, ServiceLoad> = BTreeMap::new();
@@ -99,12 +99,13 @@
                 loads.entry(service).or_default().items.push((lease.node.disk, *items));
             }
         }
-        let named =
+        let with_name =
             |(service, load): (&str, ServiceLoad)| ServiceLoad { service: service.to_owned(), ..load };
-        loads.into_iter().map(named).collect()
+        loads.into_iter().map(with_name).collect()
     }
 
-    /// Internal addresses of some live couriers without a disk, taken from each zone in turn.
+    /// Internal addresses of up to 6 couriers to publish as relays, selected from the zones in rotation. They are
+    /// live, not draining, and have no disk.
     #[must_use]
     pub fn relays(&self, now: Micros) -> Vec<String> {
         let mut zones: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
@@ -117,12 +118,12 @@
         (0..RELAY_LIMIT).flat_map(of_rank).take(RELAY_LIMIT).map(|address| (*address).to_owned()).collect()
     }
 
-    /// Live and draining processes and recent reports of shard primaries, for the planning of views.
+    /// Inputs for the planner of shard views: live stores, draining processes and recent reports of shard primaries.
     #[must_use]
     pub fn plan_inputs(&self, tolerated_failures: usize, now: Micros) -> ShardPlanInputs {
         let stores = self.live(now).filter(|lease| lease.is_store());
         let draining = self.live(now).filter(|lease| lease.draining);
-        let recent = self.leases.values().filter(|lease| now.saturating_sub(lease.renewed) < REPORT_TTL);
+        let recent = self.leases.values().filter(|lease| now.saturating_sub(lease.renewed_at) < REPORT_TTL);
         ShardPlanInputs {
             live: stores.map(|lease| lease.node.disk).collect(),
             draining: draining.map(|lease| lease.node.disk).collect(),
@@ -131,31 +132,31 @@
         }
     }
 
-    /// Whether every process that counts requests has polled since a moment.
+    /// Whether every process that counts requests has polled at or after `since`; see [`all_reported`].
     #[must_use]
     pub fn all_heard_since(&self, since: Micros, now: Micros) -> bool {
         let couriers = self.leases.values().filter(|lease| !lease.is_store());
-        let heard = couriers.map(|lease| LastHeard {
-            name: &lease.node.name,
-            at: lease.renewed,
+        let last_polls = couriers.map(|lease| LastPoll {
+            machine_name: &lease.node.name,
+            polled_at: lease.renewed_at,
             draining: lease.draining,
         });
-        all_reported(heard, since, now)
+        all_reported(last_polls, since, now)
     }
 
-    /// Whether a process has polled since a moment, or is draining.
+    /// Whether a process has polled at or after `since`, or is draining.
     #[must_use]
     pub fn heard_since(&self, disk: DiskId, since: Micros) -> bool {
-        self.leases.get(&disk).is_some_and(|lease| lease.draining || lease.renewed >= since)
+        self.leases.get(&disk).is_some_and(|lease| lease.draining || lease.renewed_at >= since)
     }
 
-    /// Requests that began to run in a usage window and were reported so far.
+    /// Counts of the requests that started in a usage window, as reported so far.
     #[must_use]
     pub fn usage(&self, window: u64) -> UsageWindow {
         self.usage.total(window)
     }
 
     fn live(&self, now: Micros) -> impl Iterator<Item = &Lease> {
-        self.leases.values().filter(move |lease| now.saturating_sub(lease.renewed) < LEASE_DURATION)
+        self.leases.values().filter(move |lease| now.saturating_sub(lease.renewed_at) < LEASE_DURATION)
     }
 }
--- a/tier/control/src/leases/usage_totals.rs
+++ b/tier/control/src/leases/usage_totals.rs
@@ -1,23 +1,24 @@
-//! Usage counts of all processes, as their polls brought them to the primary of the core.
+//! Usage counts of all processes, as reported to the primary of the core in their polls.
 
 use quillmount_wire::messages::UsageWindow;
 use std::collections::{BTreeMap, HashMap};
 
-/// Most windows for which counts are retained.
+/// Maximum number of windows for which counts are retained.
 const WINDOW_LIMIT: usize = 16;
 
-/// Counts of one process in one window, by tenant.
+/// Request counts of one process in one window, by tenant.
 type TenantCounts = BTreeMap<String, u64>;
 
-/// Counts by window, then by the incarnation of the process that reported them: counts of a process that was restarted
-/// are added to those of its earlier incarnation.
+/// Counts by window, then by the incarnation of the process that reported them. A restarted process has a new
+/// incarnation, so its counts are added to those from before the restart.
 #[derive(Debug, Default)]
 pub(super) struct UsageTotals {
     windows: BTreeMap<u64, HashMap<u64, TenantCounts>>,
 }
 
 impl UsageTotals {
-    /// Replaces the counts of an incarnation in the windows that it reports, and drops the oldest beyond the limit.
+    /// Replaces the counts of an incarnation in the windows that it reports, and drops the oldest windows beyond
+    /// [`WINDOW_LIMIT`].
     pub(super) fn update(&mut self, incarnation: u64, report: &[UsageWindow]) {
         for UsageWindow { window, counts } in report {
             let counts = counts.iter().cloned().collect();
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Requests that began to run in a window, summed over all processes, sorted by tenant.
+    /// Counts of the requests that started in a window, summed over all processes and sorted by tenant.
     pub(super) fn total(&self, window: u64) -> UsageWindow {
         let mut total = TenantCounts::new();
         for counts in self.windows.get(&window).into_iter().flat_map(HashMap::values) {
--- a/tier/control/src/lib.rs
+++ b/tier/control/src/lib.rs
@@ -1,14 +1,14 @@
 //! The control state of the serving tier, and the state machine of the core members that replicate it.
 //!
 //! [`ControlState`] is a deterministic value: configuration, members, stores, shard views and usage reports.
-//! Each change of it is a method that decides from the state and its arguments alone. [`Member`] replicates the
-//! state over the core: the caller hands it messages, completed writes and the time, and carries out the
-//! [`MemberAction`]s that it returns. Neither does I/O nor reads a clock, so that tests drive whole clusters on
-//! virtual time.
+//! Each method that changes it depends only on the state and its arguments. [`Member`] replicates the state across the
+//! core: the caller passes in messages, completed writes and the current time, and performs the [`MemberAction`]s
+//! that are returned. Neither type does I/O or reads a clock, so tests run whole clusters on virtual time.
 //!
-//! [`subscription`], [`CoreContact`] and [`direct_list`] are the side of the processes that poll the core: which address to poll next,
-//! what is known of the primary, and when to read the endpoint list without it. [`polls`], [`Leases`] and [`Directory`] are the primary's: who is live, which tables a subscriber gets, and
-//! the endpoint list as a difference to an earlier version.
+//! Processes that poll the core use [`subscription`] (which address to poll next), [`CoreContact`] (what is known about
+//! the primary) and [`direct_list`] (when to fetch the endpoint list without the primary). The primary uses [`Leases`]
+//! (which processes are live), [`polls`] (which tables a subscriber gets) and [`Directory`] (the endpoint list, sent as
+//! a difference to an earlier version).
 
 mod admission;
 pub mod breaks;
@@ -45,5 +45,5 @@
 pub use state::{AppliedOrder, ControlState};
 pub use table_history::TableHistory;
 pub use time_limits::TimeLimits;
-pub use transmission::{Saturated, TURN_LIMIT, TransmissionBudget};
-pub use usage::{LastHeard, SETTLE_S, all_reported, may_finalize};
+pub use transmission::{MAX_QUEUE_DELAY, Saturated, TransmissionBudget};
+pub use usage::{LastPoll, SETTLE_S, all_reported, may_finalize};
--- a/tier/control/src/member.rs
+++ b/tier/control/src/member.rs
@@ -1,14 +1,13 @@
-//! A member of the core: the replicated register, and changes and reads of the control state while it is primary.
+//! A member of the core: a replica of the register, and changes and reads of the control state while it is primary.
 //!
 //! [`Member`] does no I/O and reads no clock. The caller
 //! - creates it with the register that is on the disk ([`Member::new`]),
-//! - passes in every message ([`Member::receive`]), every write that ended ([`Member::write_ended`]) and, every few tens
+//! - passes in every message ([`Member::receive`]), every completed write ([`Member::write_ended`]) and, every few tens
 //!   of milliseconds, the time ([`Member::tick`]),
 //! - submits changes ([`Member::change`]) and reads ([`Member::confirm`]), each of which gets a [`Ticket`],
-//! - and carries out the [`MemberAction`]s that each call returns, in their order.
+//! - and performs the [`MemberAction`]s that each call returns, in order.
 //!
-//! Messages of a member to itself are delivered here. The replication itself is that of
-//! [`RegisterReplica`].
+//! Messages of a member to itself are delivered here. [`RegisterReplica`] implements the replication protocol.
 
 mod action;
 mod pending;
@@ -24,38 +23,41 @@
 
 pub use self::action::{MemberAction, RegisterWrite, SubmittedChange, SubmittedRead, Ticket, WriteOutcome};
 
-/// A core member that did not answer for this time may be replaced by another machine, microseconds.
+/// Time without a reply after which a core member may be replaced by another machine, microseconds.
 const REPLACEABLE_AFTER: Micros = 2_000_000;
 
-/// The request was rejected and nothing changed: this member does not serve as primary.
+/// The request was rejected without a change because this member is not the serving primary. The caller may send it to
+/// the primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("this core member does not serve as primary")]
+#[error(
+    "request to the control state rejected: this core member is not the serving primary; send it to the primary"
+)]
 pub struct NotPrimary;
 
-/// A member of the core.
+/// A core member: a replica of the register, and the pending changes and reads while it is primary.
 pub struct Member {
-    me: DiskId,
+    own_disk: DiskId,
     replica: RegisterReplica,
-    /// Reset when this member is elected and when it steps down.
+    /// Changes and reads of the current epoch; reset when this member is elected and when it steps down.
     work: PendingWork,
-    /// State committed in this epoch; `None` while this member does not serve as primary.
+    /// Newest state committed in this epoch; `None` while this member does not serve as primary.
     committed: Option<Rc<ControlState>>,
     /// When this member was last elected.
     elected_at: Micros,
-    /// What follows each write that is in flight.
+    /// Writes in flight, each with the actions to perform once it is synced.
     writes: BTreeMap<RegisterWrite, Vec<RegisterAction>>,
-    /// The last ticket or write that was numbered.
+    /// Last number assigned; tickets and writes share one sequence.
     last_id: u64,
-    /// Actions to be returned by the current call.
+    /// Actions that the current call will return.
     actions: Vec<MemberAction>,
 }
 
 impl Member {
-    /// A member with the register that its disk holds; `tolerated_failures` disks may be lost at once.
-    pub fn new(me: DiskId, tolerated_failures: usize, register: Register, now: Micros) -> Member {
+    /// A member with the register read from its disk. Up to `tolerated_failures` disks may be lost at once.
+    pub fn new(own_disk: DiskId, tolerated_failures: usize, register: Register, now: Micros) -> Member {
         Member {
-            me,
-            replica: RegisterReplica::new(me, tolerated_failures, register, Timing::default(), now),
+            own_disk,
+            replica: RegisterReplica::new(own_disk, tolerated_failures, register, Timing::default(), now),
             work: PendingWork::default(),
             committed: None,
             elected_at: 0,
@@ -65,13 +67,13 @@
         }
     }
 
-    /// The replica of the register.
+    /// The replica of the register, for inspection of its members and its accepted value.
     #[must_use]
     pub fn replica(&self) -> &RegisterReplica {
         &self.replica
     }
 
-    /// The epoch in which this member serves: it was elected, and its first value is committed.
+    /// The epoch in which this member serves: it was elected in it and has committed a first value.
     #[must_use]
     pub fn serving(&self) -> Option<Epoch> {
         self.committed.as_ref()?;
@@ -84,8 +86,8 @@
         self.committed.clone()
     }
 
-    /// As [`Member::committed`], but `None` also if no majority was heard from recently. The state is at most as old
-    /// as the last contact with a majority.
+    /// Like [`Member::committed`], but also `None` if this member has had no recent contact with a majority. The
+    /// state is at most as old as that contact.
     #[must_use]
     pub fn committed_if_recent(&self, now: Micros) -> Option<Rc<ControlState>> {
         let recent = self.replica.has_recent_majority(now) || breaks::is_enabled(Break::StaleTables);
@@ -98,31 +100,32 @@
         now.saturating_sub(self.elected_at)
     }
 
-    /// Members, this one aside, that have not answered this primary for 2 seconds.
+    /// The other members that have not replied to this primary for 2 seconds.
     #[must_use]
     pub fn silent_members(&self, now: Micros) -> BTreeSet<DiskId> {
         let silent = |disk: &DiskId| {
             let last_reply = self.replica.last_reply(*disk).unwrap_or(self.elected_at);
-            *disk != self.me && now.saturating_sub(last_reply) > REPLACEABLE_AFTER
+            *disk != self.own_disk && now.saturating_sub(last_reply) > REPLACEABLE_AFTER
         };
         self.replica.members().iter().copied().filter(silent).collect()
     }
 
-    /// Proposes the first state of a new system, on one member only; without effect if there is a register already.
+    /// Proposes the first state of a new system. Call it on one member only; it has no effect if the register has a
+    /// value.
     pub fn bootstrap(&mut self, state: &ControlState, now: Micros) -> Vec<MemberAction> {
         let actions = self.replica.bootstrap(state.core_disks(), state.encode(), now);
         self.perform(actions, now);
         self.take_actions()
     }
 
-    /// Hands the leadership over to another member, before the process stops.
+    /// Hands leadership over to another member before the process stops.
     pub fn resign(&mut self, now: Micros) -> Vec<MemberAction> {
         let actions = self.replica.resign(now);
         self.perform(actions, now);
         self.take_actions()
     }
 
-    /// Advances the time.
+    /// Advances the time: runs timeouts and heartbeats that are due, and proposes pending changes.
     pub fn tick(&mut self, now: Micros) -> Vec<MemberAction> {
         let actions = self.replica.tick(now);
         self.perform(actions, now);
@@ -130,15 +133,15 @@
         self.take_actions()
     }
 
-    /// Handles a message of another member.
+    /// Handles a message from another member.
     pub fn receive(&mut self, from: DiskId, message: RegisterMessage, now: Micros) -> Vec<MemberAction> {
         let actions = self.handle_message(from, message, now);
         self.perform(actions, now);
         self.take_actions()
     }
 
-    /// Continues after a write that has ended. What rests on a write that failed is dropped: the sender of the message that
-    /// caused it sends again. A primary hands over then.
+    /// Handles the end of a write. After a failed write the actions that depend on it are dropped, as the sender of the
+    /// message that caused it will retry, and a primary hands leadership over.
     pub fn write_ended(
         &mut self,
         write: RegisterWrite,
@@ -155,7 +158,7 @@
         self.take_actions()
     }
 
-    /// Number of writes that have not ended.
+    /// Number of writes whose outcome was not reported yet.
     #[must_use]
     pub fn writes_in_flight(&self) -> usize {
         self.writes.len()
@@ -164,11 +167,11 @@
     /// Applies a change to the control state.
     ///
     /// The outcome of `change` is valid only once [`MemberAction::Confirmed`] is returned for the ticket, by this call
-    /// or a later one. A change that alters nothing is confirmed as well, once the state that it saw is known to be
+    /// or a later one. A change that alters nothing is also confirmed, once the state that it read is known to be
     /// the newest.
     ///
     /// # Errors
-    /// This member does not serve as primary; nothing was changed.
+    /// [`NotPrimary`] if this member does not serve as primary; nothing was changed.
     pub fn change<T>(
         &mut self,
         change: impl FnOnce(&mut ControlState) -> T,
@@ -183,20 +186,20 @@
             self.work.await_commit(ticket);
             self.propose(now);
         } else {
-            // Nothing changed and nothing is in flight: the outcome rests on the committed state, which is the newest
-            // only if a majority confirms that this member still is primary.
+            // Nothing changed and nothing is in flight: the outcome depends on the committed state, which is the newest
+            // only if a majority confirms that this member is still primary.
             self.read(ticket, now);
         }
         Ok(SubmittedChange { outcome, ticket, actions: self.take_actions() })
     }
 
-    /// Begins a linearizable read: asks a majority whether this member still is primary.
+    /// Starts a linearizable read: a majority has to confirm that this member is still primary.
     ///
     /// Once [`MemberAction::Confirmed`] is returned for the ticket, [`Member::committed`] is at least as new as
-    /// any state that was committed when the read began.
+    /// any state that was committed when the read started.
     ///
     /// # Errors
-    /// This member does not serve as primary.
+    /// [`NotPrimary`] if this member does not serve as primary.
     pub fn confirm(&mut self, now: Micros) -> Result<SubmittedRead, NotPrimary> {
         if self.serving().is_none() {
             return Err(NotPrimary);
@@ -234,12 +237,12 @@
         actions
     }
 
-    /// Carries out actions of the replica, and those that follow from its messages to itself.
+    /// Performs actions of the replica, and those that result from its messages to itself.
     fn perform(&mut self, actions: Vec<RegisterAction>, now: Micros) {
         let mut queue: VecDeque<RegisterAction> = actions.into();
         while let Some(action) = queue.pop_front() {
             match action {
-                RegisterAction::Send { to, message } if to == self.me => {
+                RegisterAction::Send { to, message } if to == self.own_disk => {
                     queue.extend(self.handle_message(to, message, now));
                 }
                 RegisterAction::Send { to, message } => self.actions.push(MemberAction::Send { to, message }),
@@ -268,8 +271,8 @@
     }
 
     fn on_committed(&mut self, accepted: &Accepted, now: Micros) {
-        // A value that can't be decoded can't be served: this member does not begin to serve, or goes on with the
-        // state that it had.
+        // A value that cannot be decoded cannot be served: this member does not start to serve, or continues with the
+        // state that it already has.
         let Ok(state) = ControlState::decode(&accepted.value.payload) else { return };
         if self.committed.is_none() {
             self.work.state = state.clone();
@@ -292,7 +295,7 @@
         self.actions.push(MemberAction::SteppedDown);
     }
 
-    /// The replica identifies a read by the number of its ticket.
+    /// Confirms a pending read. Its [`ReadId`] is the number of its ticket.
     fn on_read_confirmed(&mut self, read: ReadId) {
         let ticket = Ticket(read);
         if self.work.finish_read(ticket) {
@@ -300,14 +303,14 @@
         }
     }
 
-    /// Ends the work of an epoch: whatever was not confirmed is uncertain.
+    /// Discards the pending work of an epoch and reports every unconfirmed change and read as uncertain.
     fn abandon_work(&mut self) {
         self.committed = None;
         let work = std::mem::take(&mut self.work);
         self.actions.extend(work.into_tickets().map(|ticket| MemberAction::Uncertain { ticket }));
     }
 
-    /// Proposes the changes so far, unless a proposal is in flight.
+    /// Proposes all changes that are not proposed yet, unless a proposal is in flight.
     fn propose(&mut self, now: Micros) {
         let due = self.work.has_unproposed_changes() && self.committed.is_some();
         if !due || !self.replica.can_propose() {
--- a/tier/control/src/member/pending.rs
+++ b/tier/control/src/member/pending.rs
@@ -1,19 +1,20 @@
-//! The changes and reads of a primary that are not confirmed yet.
+//! Changes and reads of a primary that are not confirmed yet.
 //!
-//! Changes are applied to a working copy of the state. Each one that alters it starts a new generation. A proposal
-//! carries all generations up to the current one, so that changes that arrive during a commit share the next.
+//! Changes are applied to a working copy of the state, and each one that alters it starts a new generation. A proposal
+//! contains all generations up to the current one, so changes that arrive while a proposal is in flight share the next
+//! one (group commit).
 
 use super::action::Ticket;
 use crate::state::ControlState;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Counts the states that the changes of one epoch lead to; 0 is the state at the first commit.
+/// Sequence number of a state of the working copy within one epoch; 0 is the state at the first commit.
 type Generation = u64;
 
-/// What a primary works on in one epoch.
+/// Unconfirmed changes and reads of one epoch.
 #[derive(Default)]
 pub(super) struct PendingWork {
-    /// The committed state with all changes since.
+    /// Working copy: the committed state with all later changes applied.
     pub(super) state: ControlState,
     /// Generation of `state`.
     current: Generation,
@@ -21,9 +22,9 @@
     proposed: Generation,
     /// Generation of the last commit; at most `proposed`.
     committed: Generation,
-    /// Changes that wait for the commit of a generation above `committed`.
+    /// Changes that wait for a commit, each with the generation that has to be committed (above `committed`).
     changes: BTreeMap<Ticket, Generation>,
-    /// Reads that wait for a majority.
+    /// Reads that wait for confirmation by a majority.
     reads: BTreeSet<Ticket>,
 }
 
@@ -48,17 +49,17 @@
         self.current > self.proposed
     }
 
-    /// Confirms this ticket once the current generation is committed.
+    /// Registers a change that is confirmed once the current generation is committed.
     pub(super) fn await_commit(&mut self, ticket: Ticket) {
         self.changes.insert(ticket, self.current);
     }
 
-    /// Notes that all changes so far are proposed.
+    /// Records that all generations up to the current one are proposed.
     pub(super) fn record_proposal(&mut self) {
         self.proposed = self.current;
     }
 
-    /// Notes that the proposal is committed; returns the changes that it confirms.
+    /// Records that the last proposal is committed; returns the changes that this confirms.
     pub(super) fn record_commit(&mut self) -> Vec<Ticket> {
         self.committed = self.proposed;
         let committed = self.committed;
@@ -69,22 +70,22 @@
         confirmed
     }
 
-    /// Takes out all changes, confirmed or not.
+    /// Removes and returns all waiting changes.
     pub(super) fn take_changes(&mut self) -> Vec<Ticket> {
         std::mem::take(&mut self.changes).into_keys().collect()
     }
 
-    /// Notes a read that waits for a majority.
+    /// Registers a read that waits for confirmation by a majority.
     pub(super) fn await_read(&mut self, ticket: Ticket) {
         self.reads.insert(ticket);
     }
 
-    /// Takes out a read; returns whether it was waiting.
+    /// Removes a read; returns whether it was waiting.
     pub(super) fn finish_read(&mut self, ticket: Ticket) -> bool {
         self.reads.remove(&ticket)
     }
 
-    /// All changes and reads that were waiting.
+    /// Tickets of all waiting changes and reads.
     pub(super) fn into_tickets(self) -> impl Iterator<Item = Ticket> {
         self.changes.into_keys().chain(self.reads)
     }
--- a/tier/control/src/orders.rs
+++ b/tier/control/src/orders.rs
@@ -1,14 +1,14 @@
 //! The operator's orders: requests to replace or patch the configuration.
 //!
-//! An order names the version that it builds on and is applied only if that is the version in force. An operator who
-//! got no clear answer sends the order again, so that applied orders are remembered by a digest and a retry is
-//! acknowledged with the version that the first attempt produced.
+//! An order names the version that it builds on, and is applied only if that version is in force. An operator retries
+//! an order whose outcome is uncertain. Digests of applied orders are therefore retained, and a retry is acknowledged
+//! with the version that the first attempt produced.
 
 use crate::breaks::{self, Break};
 use crate::state::{AppliedOrder, ControlState};
 use quillmount_wire::configuration::{Configuration, ConfigurationError, apply_patch};
 
-/// Upper bound on remembered orders; the oldest are dropped.
+/// Maximum number of applied orders that are retained to recognize retries; the oldest are dropped.
 pub const APPLIED_ORDERS_LIMIT: usize = 16_384;
 
 /// Offset basis of the 128-bit FNV-1a hash (Fowler-Noll-Vo).
@@ -28,7 +28,7 @@
 /// An operator's request to change the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// How the body is applied.
+    /// Whether the body is a complete configuration or a patch.
     pub kind: OrderKind,
     /// Version of the configuration that the order builds on.
     pub base: u64,
@@ -36,7 +36,7 @@
     pub body: String,
 }
 
-/// Outcome of an order.
+/// Outcome of an attempt to apply an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
     /// The order is applied, by this attempt or an earlier one.
@@ -44,19 +44,19 @@
         /// Version that the order produced.
         version: u64,
     },
-    /// The order builds on another version than the one in force; nothing changed.
+    /// The order builds on a version that is not the one in force; nothing changed.
     VersionMismatch {
         /// Version in force.
         current: u64,
     },
     /// The resulting configuration is invalid; nothing changed.
     Invalid(ConfigurationError),
-    /// The order builds on a version whose orders are no longer remembered. An earlier attempt may have been applied
-    /// or not: the order may be neither acknowledged nor rejected.
+    /// The order builds on a version whose orders are no longer retained. It is unknown whether an earlier attempt was
+    /// applied, so the order can be neither acknowledged nor rejected.
     Expired,
 }
 
-/// A valid configuration that an order leads to.
+/// Valid configuration that results from an order.
 struct NextConfiguration {
     version: u64,
     /// JSON text.
@@ -79,7 +79,7 @@
 }
 
 impl ControlState {
-    /// Applies an order; the state changes only if this attempt is the one that applies it.
+    /// Applies an order. The state changes only if this attempt is the one that applies it, not for a retry.
     pub fn apply_order(&mut self, order: &Order) -> OrderOutcome {
         let digest = order.digest();
         if let Some(version) = self.applied_version(digest) {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Version that the order with this digest produced, if it is remembered.
+    /// Version that the order with this digest produced; `None` if no such order is retained.
     fn applied_version(&self, digest: u128) -> Option<u64> {
         if breaks::is_enabled(Break::OrderForgotten) {
             return None;
@@ -112,16 +112,17 @@
         Some(applied.version)
     }
 
-    /// Drops the oldest orders beyond the limit. Each of them built on a version below the one that it produced, and
-    /// no other applied order builds on these versions: what builds on `forgotten_version` or later is still known.
+    /// Drops the oldest orders beyond the limit. Each dropped order builds on a version below the one that it
+    /// produced, and no two applied orders build on the same version. All applied orders that build on
+    /// `forgotten_version` or later are therefore still retained.
     fn forget_old_orders(&mut self) {
         let excess = self.applied_orders.len().saturating_sub(APPLIED_ORDERS_LIMIT);
-        if let Some(last) = self.applied_orders.drain(..excess).next_back() {
-            self.forgotten_version = last.version;
+        if let Some(newest_dropped) = self.applied_orders.drain(..excess).next_back() {
+            self.forgotten_version = newest_dropped.version;
         }
     }
 
-    /// The configuration that an order leads to.
+    /// The configuration that results from an order, checked against the version in force.
     fn next_configuration(&self, order: &Order) -> Result<NextConfiguration, ConfigurationError> {
         let text = match order.kind {
             OrderKind::Put => order.body.clone(),
--- a/tier/control/src/polls.rs
+++ b/tier/control/src/polls.rs
@@ -1,4 +1,4 @@
-//! What the primary of the core does with a poll: whether its sender has to be admitted, and which tables it gets.
+//! How the primary of the core answers a poll: whether its sender has to be admitted first, and which tables it gets.
 
 use crate::breaks::{self, Break};
 use crate::directory::Directory;
@@ -12,45 +12,46 @@
 };
 use std::time::Duration;
 
-/// Size of an answer without tables, bytes, approximately: addresses of the primary and of relays.
+/// Approximate size of an answer without tables, bytes: the addresses of the primary and of relays.
 const EMPTY_ANSWER_BYTES: usize = 512;
-/// Size of a member or store in a placement, bytes, approximately.
+/// Approximate size of a member or store in a placement, bytes.
 const MEMBER_BYTES: usize = 128;
-/// Size of a shard's view in a placement, bytes, approximately.
+/// Approximate size of a shard's view in a placement, bytes.
 const VIEW_BYTES: usize = 96;
-/// Size of an endpoint in a list, bytes, approximately.
+/// Approximate size of an endpoint in a list, bytes.
 const ENDPOINT_BYTES: usize = 160;
 
-/// What a primary publishes in its epoch.
+/// The tables that a primary publishes in its epoch, and what it needs to compute differences.
 #[derive(Clone, Copy, Debug)]
 pub struct PublishedTables<'a> {
-    /// Its epoch.
+    /// Epoch in which the primary was elected.
     pub epoch: Epoch,
-    /// Its committed state, confirmed by a majority recently.
+    /// Committed state of a primary that has had recent contact with a majority.
     pub state: &'a ControlState,
-    /// The last versions of its tables.
+    /// Recent versions of the configuration and the placement.
     pub history: &'a TableHistory,
-    /// The list of endpoints as read in this epoch.
+    /// Endpoint list, as fetched from the platform in this epoch.
     pub directory: &'a Directory,
-    /// The leases that it has granted in this epoch.
+    /// Leases granted in this epoch.
     pub leases: &'a Leases,
-    /// Age up to which the list is published as current ([`TimeLimits::published_list`]).
+    /// Age up to which the endpoint list is published as current ([`TimeLimits::max_published_list_age`]).
     ///
-    /// [`TimeLimits::published_list`]: crate::TimeLimits::published_list
+    /// [`TimeLimits::max_published_list_age`]: crate::TimeLimits::max_published_list_age
     pub max_list_age: Duration,
-    /// Its internal address.
+    /// Internal address of the primary.
     pub primary: &'a str,
 }
 
 impl PublishedTables<'_> {
-    /// What is newer than the tables of a subscriber: the difference, where that is known and saves much, else the whole table.
+    /// The tables that are newer than those of a subscriber: for each, the difference if it is available and small
+    /// enough, else the whole table.
     #[must_use]
-    pub fn newer_than(&self, known: TableVersions, now: Micros) -> ChangedTables {
+    pub fn newer_than(&self, subscriber_versions: TableVersions, now: Micros) -> ChangedTables {
         let mut answer = ChangedTables { tables: self.without_tables(now), ..ChangedTables::default() };
-        self.add_configuration(known, &mut answer);
-        self.add_placement(known, &mut answer);
+        self.add_configuration(subscriber_versions, &mut answer);
+        self.add_placement(subscriber_versions, &mut answer);
         answer.tables.directory = if self.directory.is_current(self.max_list_age, now) {
-            self.directory_update(known.directory)
+            self.directory_update(subscriber_versions.directory)
         } else {
             Some(self.no_current_list())
         };
@@ -67,12 +68,12 @@
         }
     }
 
-    fn add_configuration(&self, known: TableVersions, answer: &mut ChangedTables) {
+    fn add_configuration(&self, subscriber_versions: TableVersions, answer: &mut ChangedTables) {
         let version = self.state.version;
-        if version <= known.configuration {
+        if version <= subscriber_versions.configuration {
             return;
         }
-        match self.history.configuration_delta(known.configuration, self.state) {
+        match self.history.configuration_delta(subscriber_versions.configuration, self.state) {
             Some(delta) => answer.configuration = Some(Versioned { version, content: delta.clone() }),
             None => {
                 let content = self.state.configuration.clone();
@@ -81,12 +82,12 @@
         }
     }
 
-    fn add_placement(&self, known: TableVersions, answer: &mut ChangedTables) {
+    fn add_placement(&self, subscriber_versions: TableVersions, answer: &mut ChangedTables) {
         let version = self.state.placement_version;
-        if version <= known.placement {
+        if version <= subscriber_versions.placement {
             return;
         }
-        match self.history.placement_delta(known.placement, self.state) {
+        match self.history.placement_delta(subscriber_versions.placement, self.state) {
             Some(delta) => answer.placement = Some(Versioned { version, content: delta.clone() }),
             None => {
                 let content = self.state.placement.clone();
@@ -95,30 +96,32 @@
         }
     }
 
-    /// The update of the endpoint list for a subscriber. One with the list of another epoch gets this one completely, unless its list
-    /// is the one that this process had when it was elected.
+    /// The update of the endpoint list for a subscriber. If the subscriber's list is of another epoch, it gets the
+    /// full list, unless it has the same list that this process had when it was elected.
     fn directory_update(
         &self,
-        known: DirectoryVersion,
+        subscriber_version: DirectoryVersion,
     ) -> Option<Versioned<DirectoryVersion, DirectoryUpdate>> {
-        let same_epoch = known.epoch == self.epoch || breaks::is_enabled(Break::DirectoryOfOtherEpoch);
+        let same_epoch =
+            subscriber_version.epoch == self.epoch || breaks::is_enabled(Break::DirectoryOfOtherEpoch);
         let content = if same_epoch {
-            self.directory.update_since(known.changes)
+            self.directory.update_since(subscriber_version.changes)
         } else {
-            self.directory.update_since_predecessor(known)
+            self.directory.update_since_predecessor(subscriber_version)
         };
         let version = DirectoryVersion { epoch: self.epoch, changes: self.directory.version() };
         content.map(|content| Versioned { version, content })
     }
 
-    /// Says that there is no current list, which the absence of an update would not: version 0, and no change.
+    /// States that there is no current list: an update of version 0 without changes. An absent update would mean that the
+    /// subscriber's list is current.
     fn no_current_list(&self) -> Versioned<DirectoryVersion, DirectoryUpdate> {
         let content = DirectoryUpdate::Delta { changed: Vec::new(), removed: Vec::new() };
         Versioned { version: DirectoryVersion { epoch: self.epoch, changes: 0 }, content }
     }
 }
 
-/// Whether an answer has no table: the poll waits for one, as long as it allows.
+/// Whether an answer contains no table. The poll is then held open until there is one, or until its wait time has passed.
 #[must_use]
 pub fn is_empty(answer: &ChangedTables) -> bool {
     let ChangedTables { tables, configuration, placement } = answer;
@@ -127,13 +130,14 @@
     !has_difference && tables.configuration.is_none() && tables.placement.is_none() && !has_list
 }
 
-/// Whether the primary had a current list when it answered: with this answer the sender of the poll has it too.
+/// Whether the primary had a current endpoint list when it answered; after this answer the sender of the poll has it
+/// as well.
 #[must_use]
 pub fn comes_from_current_list(tables: &Tables) -> bool {
     tables.directory.as_ref().is_none_or(|update| update.version.changes > 0)
 }
 
-/// Size of an answer in a message, bytes, approximately: what its tables take, and as much again as an answer without any.
+/// Approximate size of an answer in a message, bytes: that of its tables, and that of an answer without tables.
 #[must_use]
 pub fn size(answer: &ChangedTables) -> usize {
     let ChangedTables { tables, configuration, placement } = answer;
@@ -158,7 +162,8 @@
     (endpoints.len() + removed) * ENDPOINT_BYTES
 }
 
-/// The response that carries an answer: without differences it has the form of earlier versions.
+/// The response that contains an answer. Without differences it is [`Response::Tables`], which earlier versions of
+/// the program also understand.
 #[must_use]
 pub fn response(answer: ChangedTables) -> Response {
     if answer.configuration.is_none() && answer.placement.is_none() {
@@ -168,14 +173,15 @@
     }
 }
 
-/// Whether the sender of a poll is a process with a disk that the placement does not have: it is admitted before it is answered.
+/// Whether the sender of a poll is a core member or store that the placement does not contain. It has to be admitted
+/// before its poll is answered.
 #[must_use]
 pub fn needs_admission(state: &ControlState, poll: &Poll) -> bool {
     let node = &poll.node;
-    let is_known = match node.role {
+    let is_admitted = match node.role {
         NodeRole::Courier => true,
         NodeRole::Core => state.placement.core.contains(node),
         NodeRole::Store => state.placement.stores.contains(node),
     };
-    !is_known && !poll.draining
+    !is_admitted && !poll.draining
 }
--- a/tier/control/src/scaling.rs
+++ b/tier/control/src/scaling.rs
@@ -1,27 +1,27 @@
 //! Autoscaling: how many endpoints a service should have in each zone.
 //!
-//! The caller samples the demand of a service at intervals and orders the number that [`Scaler::desired`] returns.
+//! The caller samples the demand of a service at intervals and requests the number of endpoints that
+//! [`Scaler::desired`] returns.
 
 use quillmount_wire::Micros;
 use quillmount_wire::configuration::Autoscale;
 use std::collections::VecDeque;
 
-/// Fraction of the endpoints' capacity that demand may fill before more endpoints are ordered.
+/// Utilization of the endpoints' capacity above which more endpoints are requested.
 const TARGET_UTILIZATION: f64 = 0.75;
 /// Time for which past demand prevents scaling down, microseconds.
 const DEMAND_WINDOW: Micros = 8_000_000;
-/// Upper bound on remembered samples.
+/// Upper bound on retained samples.
 const SAMPLE_LIMIT: usize = 256;
 
 /// Demand at one moment, in concurrent requests.
 #[derive(Clone, Copy, Debug)]
 struct DemandSample {
-    at: Micros,
+    sampled_at: Micros,
     demand: f64,
 }
 
-/// Follows the demand of one service: scales up at once, and down only as far as the highest demand within
-/// the last 8 seconds allows.
+/// Autoscaler of one service: scales up at once, and down only as far as the highest demand of the last 8 seconds allows.
 #[derive(Clone, Debug, Default)]
 pub struct Scaler {
     /// Samples of the demand window, oldest first.
@@ -31,8 +31,8 @@
 impl Scaler {
     /// Records the current demand and returns how many endpoints each zone should have.
     ///
-    /// `demand` and `capacity` (of one endpoint) are in concurrent requests. The result is within `bounds`; where
-    /// these contradict each other, the floor wins.
+    /// `demand` and `capacity` (of one endpoint) are in concurrent requests. The result is within `bounds`; if the floor
+    /// is above the ceiling, the floor applies.
     pub fn desired(
         &mut self,
         now: Micros,
@@ -41,19 +41,22 @@
         zones: usize,
         bounds: &Autoscale,
     ) -> u32 {
-        self.record(DemandSample { at: now, demand });
+        self.record(DemandSample { sampled_at: now, demand });
         let peak = self.samples.iter().map(|sample| sample.demand).fold(0.0, f64::max);
         let endpoints = peak / TARGET_UTILIZATION / capacity.max(1.0);
         let per_zone = (endpoints / zones.max(1) as f64).ceil();
         per_zone.clamp(bounds.floor, bounds.ceiling.max(bounds.floor)) as u32
     }
 
-    /// Adds a sample and drops those that are out of the window or beyond the limit.
+    /// Adds a sample, and drops samples older than [`DEMAND_WINDOW`] and the oldest ones beyond [`SAMPLE_LIMIT`].
     fn record(&mut self, sample: DemandSample) {
-        let now = sample.at;
+        let now = sample.sampled_at;
         self.samples.push_back(sample);
         while self.samples.len() > SAMPLE_LIMIT
-            || self.samples.front().is_some_and(|oldest| now.saturating_sub(oldest.at) > DEMAND_WINDOW)
+            || self
+                .samples
+                .front()
+                .is_some_and(|oldest| now.saturating_sub(oldest.sampled_at) > DEMAND_WINDOW)
         {
             self.samples.pop_front();
         }
--- a/tier/control/src/shards.rs
+++ b/tier/control/src/shards.rs
@@ -1,7 +1,7 @@
-//! Shards of the batch store: which shard keeps a job, and which stores keep a shard.
+//! Shards of the batch store: which shard contains a job, and which stores have replicas of a shard.
 //!
-//! [`partition`] maps jobs to shards. [`planner`] decides the views of the shards from what the primary of the core
-//! knows of the stores, with the rules for one view in [`view`]. [`retirement`] empties a store.
+//! [`partition`] maps jobs to shards. [`planner`] computes the views of the shards from what the primary of the core
+//! knows about the stores; [`view`] has the rules for a single view. [`retirement`] moves all replicas off a store.
 
 mod partition;
 mod planner;
--- a/tier/control/src/shards/partition.rs
+++ b/tier/control/src/shards/partition.rs
@@ -1,6 +1,6 @@
-//! The mapping of jobs to shards. It never changes: stored jobs are found by it.
+//! The mapping of jobs to shards. It must never change, because it is used to find stored jobs.
 
-/// Number of shards.
+/// Number of shards of a deployment; fixed because stored jobs are located by it.
 pub const SHARDS: usize = 16;
 
 /// Offset basis of the 64-bit FNV-1a hash (Fowler-Noll-Vo).
@@ -8,7 +8,7 @@
 /// Prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// The shard that keeps a job, from 0 up to but excluding `shards`: the FNV-1a hash of the id modulo `shards`.
+/// The shard that contains a job, in the range `0..shards`: the 64-bit FNV-1a hash of the job's id modulo `shards`.
 #[must_use]
 pub fn shard_of(job: &str, shards: usize) -> u32 {
     let digest =
--- a/tier/control/src/shards/retirement.rs
+++ b/tier/control/src/shards/retirement.rs
@@ -1,4 +1,4 @@
-//! Retirement of a store: the operator orders it to be emptied, and the planner moves its replicas elsewhere.
+//! Retirement of a store: after the operator's request, the planner moves all replicas of the store to other stores.
 
 use super::view::has_replica;
 use crate::state::ControlState;
@@ -7,18 +7,19 @@
 /// Progress of a store's retirement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retirement {
-    /// There is no store of that name.
+    /// No store has this name.
     Unknown,
-    /// The order was rejected: too few stores would remain.
+    /// The request was rejected because too few stores would remain.
     TooFew,
-    /// The store still has replicas, or was not ordered to retire.
+    /// The store still has replicas, or its retirement was not requested.
     Serving,
-    /// The store is retiring and has no replica: it may be switched off.
+    /// The store is retiring and has no replicas left; it may be shut down.
     Done,
 }
 
 impl ControlState {
-    /// Orders a store to be emptied. Rejected if no more than `tolerated_failures` others would remain.
+    /// Starts the retirement of a store. Rejected unless more than `tolerated_failures` other stores remain that are
+    /// not retiring.
     pub fn retire(&mut self, name: &str, tolerated_failures: usize) -> Retirement {
         let Some(disk) = self.store_disk(name) else { return Retirement::Unknown };
         if self.retiring.contains(&disk) {
@@ -34,7 +35,7 @@
         Retirement::Serving
     }
 
-    /// Progress of a store's retirement: done once no shard has a replica there.
+    /// Progress of a store's retirement; it is done once no shard has a replica on the store.
     #[must_use]
     pub fn retirement(&self, name: &str) -> Retirement {
         let Some(disk) = self.store_disk(name) else { return Retirement::Unknown };
--- a/tier/control/src/state.rs
+++ b/tier/control/src/state.rs
@@ -1,13 +1,13 @@
 //! The control state: the value that the core replicates.
 //!
-//! A snapshot of it is the payload of the replicated register, on the wire and on the disks of core members.
-//! Its archived form goes by position: neither the order nor the types of the fields may change.
+//! A snapshot of it is the payload of the replicated register, on the wire and on the disks of core members. The archived
+//! form identifies fields by position, so neither their order nor their types may change.
 
 use quillmount_wire::frame::FrameError;
 use quillmount_wire::messages::{DiskId, Placement, UsageWindow, decode, encode};
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// An order that was applied, as it is remembered to recognize a retry.
+/// Record of an applied order, retained to recognize a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct AppliedOrder {
     /// Digest of the order's kind, base version and body.
@@ -19,22 +19,22 @@
 /// The whole state that the core replicates.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ControlState {
-    /// Version of the configuration in force; 0 before the first. It only rises.
+    /// Version of the configuration in force; 0 before the first. It only increases.
     pub version: u64,
     /// JSON text of the configuration in force; empty before the first.
     pub configuration: String,
     /// Applied orders, oldest first; at most [`APPLIED_ORDERS_LIMIT`](crate::APPLIED_ORDERS_LIMIT).
     pub applied_orders: Vec<AppliedOrder>,
-    /// Version produced by the newest order that is no longer in `applied_orders`; 0 while none was dropped.
-    /// Whether an order that builds on an older version was applied is unknown.
+    /// Version produced by the newest order that was dropped from `applied_orders`; 0 if none was dropped. It is
+    /// unknown whether an order that builds on a version older than this one was applied.
     pub forgotten_version: u64,
     /// Core members, stores and the views of the shards.
     pub placement: Placement,
-    /// Rises with every change of `placement` or `retiring`.
+    /// Incremented with every change of `placement` or `retiring`.
     pub placement_version: u64,
-    /// Stores that are being emptied.
+    /// Retiring stores, whose replicas are moved to other stores.
     pub retiring: Vec<DiskId>,
-    /// Finalized usage reports, ordered by window; a bounded number.
+    /// The newest finalized usage reports, ordered by window; at most 64.
     pub usage: Vec<UsageWindow>,
 }
 
@@ -47,12 +47,12 @@
     /// Decodes a snapshot.
     ///
     /// # Errors
-    /// The bytes are no archived control state.
+    /// [`FrameError`] if the bytes are not an archived control state.
     pub fn decode(bytes: &[u8]) -> Result<ControlState, FrameError> {
         decode(bytes)
     }
 
-    /// Raises the version of the placement, so that those who poll get it.
+    /// Increments the version of the placement, so that subscribers get the new placement.
     pub(crate) fn placement_changed(&mut self) {
         self.placement_version += 1;
     }
--- a/tier/control/src/subscription.rs
+++ b/tier/control/src/subscription.rs
@@ -1,6 +1,6 @@
-//! The polls of a process: which address is polled next, and how long after the last one.
+//! The polls of a process: which address to poll next, and after which delay.
 //!
-//! The caller polls the address that [`Subscription::next_address`] gives, and passes the outcome in:
+//! The caller polls the address that [`Subscription::next_address`] returns, and reports the outcome to
 //! [`Subscription::answered`], [`Subscription::redirected`] or [`Subscription::failed`].
 
 use crate::contacts::Contacts;
@@ -10,58 +10,59 @@
 use quillmount_wire::messages::Tables;
 use std::time::Duration;
 
-/// Longest time for which the core may delay its answer to a poll.
+/// Long-poll wait: the longest time for which the core may delay its answer until there is a newer table.
 pub const MAX_POLL_WAIT: Duration = Duration::from_millis(300);
-/// A poll without an answer for this long has failed.
+/// Time without an answer after which a poll has failed.
 pub const POLL_TIMEOUT: Duration = Duration::from_millis(650);
 /// Delay after a poll that found no primary.
 pub const RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Delay before the next address is polled: one that refuses connections fails at once.
+/// Delay before the next address is polled. An address that refuses connections fails at once, so without a delay
+/// polls would follow each other immediately.
 const NEXT_ADDRESS_DELAY: Duration = Duration::from_millis(5);
-/// Of the polls that go through a relay, one in this many (on average) is followed by one to the primary itself.
+/// On average one in this many polls through a relay is followed by a poll to the primary itself.
 const DIRECT_EVERY: u64 = 10;
 
-/// A poll that was answered.
+/// A poll that was answered with tables.
 #[derive(Clone, Copy, Debug)]
 pub struct AnsweredPoll<'a> {
-    /// The address that it was sent to.
+    /// Address to which it was sent: the primary's or a relay's.
     pub address: &'a str,
-    /// When it was sent.
+    /// Time of sending, microseconds of the steady clock.
     pub sent_at: Micros,
-    /// When its answer came.
+    /// Time at which the answer arrived, microseconds of the steady clock.
     pub answered_at: Micros,
 }
 
-/// The search for an address that answers.
+/// Selects the address for each poll from the outcomes of earlier polls.
 #[derive(Clone, Debug, Default)]
 pub struct Subscription {
     contacts: Contacts,
 }
 
 impl Subscription {
-    /// The address to poll next: the one that answered last, else the next of `addresses`, which are asked for only then. `None` if
-    /// there is none.
+    /// The address to poll next: the one known to answer, else the next of `addresses`, which is called only in that
+    /// case. `None` if there is no address.
     pub fn next_address(
         &mut self,
         contact: &CoreContact,
         addresses: impl FnOnce() -> Vec<String>,
         now: Micros,
     ) -> Option<String> {
-        let known = contact.poll_address().map(str::to_owned);
-        known.or_else(|| self.contacts.next_address(&addresses(), now))
+        let known_address = contact.poll_address().map(str::to_owned);
+        known_address.or_else(|| self.contacts.next_address(&addresses(), now))
     }
 
-    /// A poll was answered with tables. `draw` is a random number: polls that go through a relay are mixed with some to the primary
-    /// itself.
+    /// Handles a poll that was answered with tables. `random` is a random number that decides whether the poll after
+    /// one through a relay goes to the primary itself.
     pub fn answered(
         &mut self,
         contact: &mut CoreContact,
         poll: &AnsweredPoll<'_>,
         tables: &Tables,
-        draw: u64,
+        random: u64,
     ) {
         let is_relay = poll.address != tables.primary;
-        let try_primary = is_relay && draw.is_multiple_of(DIRECT_EVERY);
+        let try_primary = is_relay && random.is_multiple_of(DIRECT_EVERY);
         let next = if try_primary { &tables.primary } else { poll.address };
         contact.set_poll_address(Some(next.to_owned()));
         contact.record_answer(&tables.primary, &tables.relays, poll.sent_at, poll.answered_at);
@@ -70,7 +71,8 @@
         }
     }
 
-    /// The process at `address` is not the primary, and may have named the one that is. Returns the delay before the next poll.
+    /// Handles the answer that the process at `address` is not the primary; `hint` is the primary's address if the
+    /// answer named it. Returns the delay before the next poll.
     pub fn redirected(
         &mut self,
         contact: &mut CoreContact,
@@ -84,7 +86,7 @@
         delay
     }
 
-    /// The process at `address` did not answer. Returns the delay before the next poll.
+    /// Handles a poll to which the process at `address` did not answer. Returns the delay before the next poll.
     pub fn failed(&mut self, contact: &mut CoreContact, address: &str, now: Micros) -> Duration {
         self.contacts.record_failure(address, now);
         contact.set_poll_address(None);
@@ -92,14 +94,15 @@
     }
 }
 
-/// The addresses at which polls may be answered, each once: members of the core by the placement, by this machine's own register, the
-/// seeds, then relays.
+/// Addresses at which polls may be answered: core members named by the placement, core members named by this
+/// machine's register, seeds, then relays. Members and seeds are listed once each; the address `own_address` is left
+/// out of the relays.
 #[must_use]
 pub fn core_addresses(
     contact: &CoreContact,
     placed_members: impl Iterator<Item = String>,
     seeds: Vec<String>,
-    own: &str,
+    own_address: &str,
 ) -> Vec<String> {
     let mut addresses: Vec<String> = placed_members.collect();
     for address in contact.members().iter().cloned().chain(seeds) {
@@ -107,6 +110,6 @@
             addresses.push(address);
         }
     }
-    addresses.extend(contact.relays().iter().filter(|relay| *relay != own).cloned());
+    addresses.extend(contact.relays().iter().filter(|relay| *relay != own_address).cloned());
     addresses
 }
--- a/tier/control/src/time_limits.rs
+++ b/tier/control/src/time_limits.rs
@@ -1,35 +1,35 @@
-//! How long a process waits and for how long it trusts what it knows, derived from the bounds of the deployment.
+//! Timeouts and maximum ages of cached data, derived from the bounds of the deployment.
 //!
-//! Each limit is a part of the bound that it has to stay within, and has a ceiling of its own: where a deployment allows much
-//! time, nothing waits for longer than what was found to serve.
+//! Each limit is a fraction of the bound that it has to stay within, up to a ceiling of its own. The ceiling keeps
+//! waits at values that have proved sufficient, even if a deployment allows more time.
 
 use crate::breaks::{self, Break};
 use quillmount_wire::Micros;
 use quillmount_wire::settings::Bounds;
 use std::time::Duration;
 
-/// A limit: a fraction of a bound, up to a ceiling.
+/// Rule that derives a limit: a fraction of a bound, up to a ceiling.
 struct Limit {
     fraction: f64,
-    /// Milliseconds.
     ceiling_ms: f64,
 }
 
-/// A change or read of the control state.
-const CHANGE: Limit = Limit { fraction: 0.75, ceiling_ms: 3_000.0 };
-/// An answer of the primary.
+/// Time after which an unconfirmed change or read of the control state is uncertain; fraction of `AckMs`.
+const CHANGE_TIMEOUT: Limit = Limit { fraction: 0.75, ceiling_ms: 3_000.0 };
+/// Time for which an answer of the primary counts as recent; fraction of `ContactMs`.
 const RECENT_ANSWER: Limit = Limit { fraction: 0.5, ceiling_ms: 1_500.0 };
-/// Silence of the core before a process reads the list of endpoints itself.
+/// Silence of the core after which a process fetches the endpoint list itself; fraction of `DrainMs`.
 const CORE_SILENCE: Limit = Limit { fraction: 0.4, ceiling_ms: 1_200.0 };
-/// Age of the list that a primary publishes, counted from when its reading began.
-const PUBLISHED_LIST: Limit = Limit { fraction: 0.25, ceiling_ms: 750.0 };
-/// Time without a current list of the primary before a process reads the list itself although the core answers.
-const CURRENT_LIST: Limit = Limit { fraction: 0.6, ceiling_ms: 1_800.0 };
-/// Interval between two such readings.
-const LIST_READING: Limit = Limit { fraction: 0.3, ceiling_ms: 900.0 };
-/// Age of the configuration by which a request is refused.
-const REFUSAL: Limit = Limit { fraction: 0.5, ceiling_ms: 1_500.0 };
-/// Silence of an endpoint that runs an item.
+/// Maximum age of the list that a primary publishes, counted from the start of its fetch; fraction of `DrainMs`.
+const MAX_PUBLISHED_LIST_AGE: Limit = Limit { fraction: 0.25, ceiling_ms: 750.0 };
+/// Time without a current list of the primary after which a process fetches the list itself although the core
+/// answers; fraction of `DrainMs`.
+const MAX_CURRENT_LIST_AGE: Limit = Limit { fraction: 0.6, ceiling_ms: 1_800.0 };
+/// Interval between two direct fetches of the list; fraction of `DrainMs`.
+const DIRECT_FETCH_INTERVAL: Limit = Limit { fraction: 0.3, ceiling_ms: 900.0 };
+/// Maximum age of a configuration that may cause a request to be refused; fraction of `ApplyMs`.
+const MAX_REFUSAL_AGE: Limit = Limit { fraction: 0.5, ceiling_ms: 1_500.0 };
+/// Silence of an endpoint after which the item that it runs is given up; fraction of `CompleteS`.
 const ITEM_SILENCE: Limit = Limit { fraction: 0.4, ceiling_ms: 4_000.0 };
 
 impl Limit {
@@ -39,58 +39,64 @@
     }
 }
 
-/// The limits of a process.
+/// Timeouts and maximum ages of cached data that a process uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeLimits {
-    /// A change or read of the control state that is not confirmed within this time is reported as uncertain: within `AckMs`, so
-    /// that the operator can send it again.
-    pub change: Duration,
-    /// An answer of the primary counts as recent for this long: within `ContactMs`, in which a machine is in touch.
+    /// Time after which a change or read of the control state that is not confirmed is reported as uncertain. It is
+    /// within `AckMs`, so that the operator can retry.
+    pub change_timeout: Duration,
+    /// Time for which an answer of the primary counts as recent. It is within `ContactMs`, the bound on the time in
+    /// which a machine has to be in contact with the core.
     pub recent_answer: Duration,
-    /// After this silence of the core a process reads the list of endpoints itself: with one interval more, and the list's lag,
-    /// within `DrainMs`, in which it has to stop sending to an endpoint that leaves.
+    /// Silence of the core after which a process fetches the endpoint list itself. Together with one fetch interval
+    /// and the lag of the platform's list it is within `DrainMs`, the time in which a process has to stop sending to
+    /// an endpoint that is draining.
     pub core_silence: Duration,
-    /// A primary publishes its list for this long after its reading began; then it says that it has none that is current.
-    pub published_list: Duration,
-    /// A process whose last current list of the primary is older than this ([`CoreContact::list_age`]) reads the list itself: with the
-    /// age of that list ([`TimeLimits::published_list`]) within `DrainMs`.
+    /// Time after the start of a fetch for which a primary publishes the fetched list. After that it answers that it
+    /// has no current list.
+    pub max_published_list_age: Duration,
+    /// Maximum age of a process's last current list from the primary ([`CoreContact::list_age`]) before the process
+    /// fetches the list itself. Together with the age of that list when it was published
+    /// ([`TimeLimits::max_published_list_age`]) it is within `DrainMs`.
     ///
     /// [`CoreContact::list_age`]: crate::CoreContact::list_age
-    pub current_list: Duration,
-    /// Interval between two readings by a process that lacks the primary's.
-    pub list_reading: Duration,
-    /// A process whose newest answer of the primary is older than this refuses no request by its configuration, as a newer one may
-    /// allow it: within `ApplyMs`, after which refusals have to follow the newer one, with the time for which a primary trusts its last
-    /// contact with a majority.
-    pub refusal: Duration,
-    /// An endpoint that is silent for this long while it runs an item is given up: well within `CompleteS`, in which the item has
-    /// to be listed.
+    pub max_current_list_age: Duration,
+    /// Interval between two fetches of the list by a process that has no current list from the primary.
+    pub direct_fetch_interval: Duration,
+    /// Maximum age of the primary's newest answer at which a process still refuses requests based on its
+    /// configuration; a newer configuration may allow them. Together with the time for which a primary serves its
+    /// state without contact with a majority it is within `ApplyMs`, after which refusals have to follow the newer
+    /// configuration.
+    pub max_refusal_age: Duration,
+    /// Silence of an endpoint after which the item that it runs is given up there. It is well within `CompleteS`, the
+    /// time in which a completed item has to be listed.
     pub item_silence: Duration,
 }
 
 impl TimeLimits {
-    /// Whether requests may be refused by the configuration in force: what the primary answered last ([`CoreContact::age`]) is so
-    /// recent that a newer one, which may allow them, need not be in force here yet.
+    /// Whether requests may be refused based on the configuration of this process. `age` is that of the primary's
+    /// last answer ([`CoreContact::age`]), microseconds; if it is small enough, a newer configuration that allows the
+    /// requests need not be applied here yet.
     ///
     /// [`CoreContact::age`]: crate::CoreContact::age
     #[must_use]
     pub fn may_refuse(&self, age: Micros) -> bool {
-        age < self.refusal.as_micros() as Micros || breaks::is_enabled(Break::RefusesWithoutCore)
+        age < self.max_refusal_age.as_micros() as Micros || breaks::is_enabled(Break::RefusesWithoutCore)
     }
 
-    /// The limits under these bounds.
+    /// Derives the limits from the bounds of the deployment.
     #[must_use]
     pub fn new(bounds: &Bounds) -> TimeLimits {
-        let without_break =
+        let unless_disabled =
             |limit: Duration| if breaks::is_enabled(Break::NoOwnList) { Duration::MAX } else { limit };
         TimeLimits {
-            change: CHANGE.of_ms(bounds.ack_ms),
+            change_timeout: CHANGE_TIMEOUT.of_ms(bounds.ack_ms),
             recent_answer: RECENT_ANSWER.of_ms(bounds.contact_ms),
-            core_silence: without_break(CORE_SILENCE.of_ms(bounds.drain_ms)),
-            published_list: PUBLISHED_LIST.of_ms(bounds.drain_ms),
-            current_list: without_break(CURRENT_LIST.of_ms(bounds.drain_ms)),
-            list_reading: LIST_READING.of_ms(bounds.drain_ms),
-            refusal: REFUSAL.of_ms(bounds.apply_ms),
+            core_silence: unless_disabled(CORE_SILENCE.of_ms(bounds.drain_ms)),
+            max_published_list_age: MAX_PUBLISHED_LIST_AGE.of_ms(bounds.drain_ms),
+            max_current_list_age: unless_disabled(MAX_CURRENT_LIST_AGE.of_ms(bounds.drain_ms)),
+            direct_fetch_interval: DIRECT_FETCH_INTERVAL.of_ms(bounds.drain_ms),
+            max_refusal_age: MAX_REFUSAL_AGE.of_ms(bounds.apply_ms),
             item_silence: ITEM_SILENCE.of_ms(bounds.complete_s * 1000.0),
         }
     }
--- a/tier/control/tests/published_list.rs
+++ b/tier/control/tests/published_list.rs
@@ -1,6 +1,6 @@
 //! The age of the endpoint list: which list a primary publishes, and when a process reads it itself.
 
-use quillmount_control::direct_list::{DirectReadings, lacks_current_list};
+use quillmount_control::direct_list::{DirectFetchSchedule, lacks_current_list};
 use quillmount_control::polls::{PublishedTables, comes_from_current_list, is_empty};
 use quillmount_control::subscription::{AnsweredPoll, Subscription};
 use quillmount_control::{ControlState, CoreContact, Directory, Leases, TableHistory, TimeLimits};
@@ -37,7 +37,7 @@
         history: &TableHistory::default(),
         directory,
         leases: &Leases::default(),
-        max_list_age: limits().published_list,
+        max_list_age: limits().max_published_list_age,
         primary: PRIMARY,
     };
     let directory = DirectoryVersion { epoch: EPOCH, changes: known_changes };
@@ -89,7 +89,7 @@
 fn first_reading(tables: impl Fn(Micros) -> Tables) -> Option<Micros> {
     let limits = limits();
     let (mut contact, mut subscription) = (CoreContact::new(limits.recent_answer), Subscription::default());
-    let mut readings = DirectReadings::new(&limits, 900 * MILLI);
+    let mut readings = DirectFetchSchedule::new(&limits, 900 * MILLI);
     (900..10_000).step_by(10).find(|at| {
         let now = at * MILLI;
         if *at >= 1_000 && (at - 1_000).is_multiple_of(300) {
@@ -128,7 +128,7 @@
     let limits = limits();
     let mut contact = CoreContact::new(limits.recent_answer);
     contact.record_answer(PRIMARY, &[], 1_000 * MILLI, 1_000 * MILLI);
-    let mut readings = DirectReadings::new(&limits, 0);
+    let mut readings = DirectFetchSchedule::new(&limits, 0);
     let mut due = Vec::new();
     for at in (1_000..6_000).step_by(10) {
         let now = at * MILLI;
--- a/tier/control/tests/time_limits.rs
+++ b/tier/control/tests/time_limits.rs
@@ -11,14 +11,14 @@
 #[test]
 fn the_bounds_of_the_settings_page_give_the_ceilings() {
     let limits = TimeLimits::new(&Bounds::default());
-    assert_eq!(limits.change, Duration::from_millis(3_000));
+    assert_eq!(limits.change_timeout, Duration::from_millis(3_000));
     assert_eq!(limits.recent_answer, Duration::from_millis(1_500));
     assert_eq!(limits.core_silence, Duration::from_millis(1_200));
-    assert_eq!(limits.list_reading, Duration::from_millis(900));
-    assert_eq!(limits.refusal, Duration::from_millis(1_000));
+    assert_eq!(limits.direct_fetch_interval, Duration::from_millis(900));
+    assert_eq!(limits.max_refusal_age, Duration::from_millis(1_000));
     assert_eq!(limits.item_silence, Duration::from_millis(4_000));
     let larger = Bounds { ack_ms: 6e3, contact_ms: 5e3, drain_ms: 4e3, apply_ms: 3e3, ..Bounds::default() };
-    let expected = TimeLimits { refusal: Duration::from_millis(1_500), ..limits };
+    let expected = TimeLimits { max_refusal_age: Duration::from_millis(1_500), ..limits };
     assert_eq!(TimeLimits::new(&larger), expected);
 }
 
@@ -36,11 +36,11 @@
         };
         let limits = TimeLimits::new(&bounds);
         let bound = Duration::from_micros((bound_ms * 1000.0) as u64);
-        let listed = limits.core_silence + limits.list_reading + bound.mul_f64(LIST_LAG);
-        limits.change <= bound
+        let listed = limits.core_silence + limits.direct_fetch_interval + bound.mul_f64(LIST_LAG);
+        limits.change_timeout <= bound
             && limits.recent_answer <= bound
             && listed <= bound
-            && limits.refusal <= bound
+            && limits.max_refusal_age <= bound
             && limits.item_silence * 2 <= bound
     }
     QuickCheck::new().tests(500).quickcheck(within as fn(u32) -> bool);
@@ -52,11 +52,12 @@
     fn within(bound_ms: u32) -> bool {
         let limits = TimeLimits::new(&Bounds { drain_ms: f64::from(bound_ms), ..Bounds::default() });
         let bound = Duration::from_millis(u64::from(bound_ms));
-        let replaced = limits.published_list + limits.current_list;
-        replaced <= bound.mul_f64(0.85) && limits.published_list + limits.list_reading <= bound
+        let replaced = limits.max_published_list_age + limits.max_current_list_age;
+        replaced <= bound.mul_f64(0.85)
+            && limits.max_published_list_age + limits.direct_fetch_interval <= bound
     }
     QuickCheck::new().tests(500).quickcheck(within as fn(u32) -> bool);
     let limits = TimeLimits::new(&Bounds::default());
-    assert_eq!(limits.published_list, Duration::from_millis(750));
-    assert_eq!(limits.current_list, Duration::from_millis(1_800));
+    assert_eq!(limits.max_published_list_age, Duration::from_millis(750));
+    assert_eq!(limits.max_current_list_age, Duration::from_millis(1_800));
 }
--- a/tier/control/tests/transmission.rs
+++ b/tier/control/tests/transmission.rs
@@ -1,6 +1,6 @@
 //! Tables take their part of a link, in turn.
 
-use quillmount_control::{Saturated, TURN_LIMIT, TransmissionBudget};
+use quillmount_control::{MAX_QUEUE_DELAY, Saturated, TransmissionBudget};
 
 /// Bytes that a link of 100 Mbit/s carries in a second.
 const LINK_BYTES: usize = 12_500_000;
@@ -40,12 +40,15 @@
 fn every_turn_comes_in_time_and_a_link_at_rest_takes_an_answer_at_once() {
     let mut budget = TransmissionBudget::new(Some(100.0));
     let (count, longest) = fill(&mut budget, 10_000, 5 * SECOND);
-    assert!(count > 100 && longest <= TURN_LIMIT);
+    assert!(count > 100 && longest <= MAX_QUEUE_DELAY);
     let mut budget = TransmissionBudget::new(Some(100.0));
     let arrived = 5 * SECOND;
-    let now = arrived + TURN_LIMIT - 100_000;
+    let now = arrived + MAX_QUEUE_DELAY - 100_000;
     while let Ok(wait) = budget.reserve(10_000, arrived, now) {
-        assert!(now + wait <= arrived + TURN_LIMIT, "a poll that has waited for a change has less time left");
+        assert!(
+            now + wait <= arrived + MAX_QUEUE_DELAY,
+            "a poll that has waited for a change has less time left"
+        );
     }
     assert_eq!(budget.reserve(10_000, 8 * SECOND, 8 * SECOND), Ok(0));
 }
@@ -57,7 +60,7 @@
     let rejected = (0..200).map(|_| budget.reserve(10_000, SECOND, SECOND));
     let mut returns: Vec<u64> = rejected.map(|rejected| rejected.unwrap_err().retry_delay).collect();
     returns.sort_unstable();
-    assert!(returns.iter().all(|wait| *wait <= TURN_LIMIT));
+    assert!(returns.iter().all(|wait| *wait <= MAX_QUEUE_DELAY));
     let most = returns.windows(20).map(|twenty| twenty[19] - twenty[0]).min().unwrap();
     assert!(most >= 10_000, "twenty of two hundred come back within {most} µs");
     assert_eq!(budget.reserve(10_000, 0, SECOND).unwrap_err().retry_delay, 50_000, "late as it is");
--- a/tier/control/tests/usage.rs
+++ b/tier/control/tests/usage.rs
@@ -1,14 +1,14 @@
 //! When the counts of a usage window are finalized, and that they are only once.
 
-use quillmount_control::{ControlState, LastHeard, all_reported, may_finalize};
+use quillmount_control::{ControlState, LastPoll, all_reported, may_finalize};
 use quillmount_wire::messages::UsageWindow;
 
 /// Microseconds of a second.
 const SECOND: u64 = 1_000_000;
 
 /// A process that was heard at this time and does not drain.
-fn heard(name: &str, at: u64) -> LastHeard<'_> {
-    LastHeard { name, at, draining: false }
+fn heard(name: &str, at: u64) -> LastPoll<'_> {
+    LastPoll { machine_name: name, polled_at: at, draining: false }
 }
 
 #[test]
@@ -35,7 +35,7 @@
 
 #[test]
 fn a_process_that_stops_is_not_waited_for() {
-    let processes = [LastHeard { draining: true, ..heard("a", 9 * SECOND) }];
+    let processes = [LastPoll { draining: true, ..heard("a", 9 * SECOND) }];
     assert!(all_reported(processes.into_iter(), 11 * SECOND, 13 * SECOND));
 }
 
--- a/tier/dataplane/tests/distribution/core_side.rs
+++ b/tier/dataplane/tests/distribution/core_side.rs
@@ -199,7 +199,7 @@
             history: &state.history,
             directory: &state.directory,
             leases: &state.leases,
-            max_list_age: limits.published_list,
+            max_list_age: limits.max_published_list_age,
             primary: &address(id),
         };
         let Some(tables) = answers::answer(&published, &pending.poll, pending.until, now) else {
--- a/tier/dataplane/tests/planes/core_side.rs
+++ b/tier/dataplane/tests/planes/core_side.rs
@@ -183,7 +183,7 @@
             history: &state.history,
             directory: &state.directory,
             leases: &state.leases,
-            max_list_age: self.machines[id].limits.published_list,
+            max_list_age: self.machines[id].limits.max_published_list_age,
             primary: &address(id),
         };
         let tables = published.newer_than(pending.poll.known_versions, now);
@@ -232,8 +232,8 @@
             let serving = machine.state.member.as_ref().and_then(|member| member.serving());
             // A primary that was frozen at a turn reads as soon as it runs.
             let state = &machine.state;
-            let has_missed_turn =
-                now >= state.next_reading && !state.directory.is_current(machine.limits.published_list, now);
+            let has_missed_turn = now >= state.next_reading
+                && !state.directory.is_current(machine.limits.max_published_list_age, now);
             if serving.is_some() && (has_missed_turn || self.is_due_every(LIST_INTERVAL)) {
                 self.machines[id].state.next_reading = now + LIST_INTERVAL;
                 self.ask_for_list(id, serving);
--- a/tier/dataplane/tests/planes/machine.rs
+++ b/tier/dataplane/tests/planes/machine.rs
@@ -3,7 +3,7 @@
 use crate::core_side::{PendingPoll, Waiting};
 use crate::duties::Duties;
 use crate::platform::SERVICE;
-use quillmount_control::direct_list::DirectReadings;
+use quillmount_control::direct_list::DirectFetchSchedule;
 use quillmount_control::subscription::Subscription;
 use quillmount_control::{CoreContact, Directory, Leases, Member, TableHistory, Ticket, TimeLimits};
 use quillmount_dataplane::dispatch::Dispatcher;
@@ -94,7 +94,7 @@
     /// When this machine, as primary, reads the list again at the earliest if it has no current one.
     pub next_reading: Time,
     /// Its readings of the list without the core.
-    pub direct_readings: DirectReadings,
+    pub direct_readings: DirectFetchSchedule,
     pub pending_polls: Vec<PendingPoll>,
     pub waiting: BTreeMap<Ticket, Waiting>,
     pub duties: Duties,
@@ -185,7 +185,7 @@
             directory: Directory::default(),
             history: TableHistory::default(),
             next_reading: 0,
-            direct_readings: DirectReadings::new(limits, now),
+            direct_readings: DirectFetchSchedule::new(limits, now),
             pending_polls: Vec::new(),
             waiting: BTreeMap::new(),
             duties: Duties::default(),
--- a/tier/node/src/control_member/directory.rs
+++ b/tier/node/src/control_member/directory.rs
@@ -65,7 +65,7 @@
 fn publish(core: &ControlMember, list: Vec<Endpoint>, began: Micros) {
     let mut directory = core.directory.borrow_mut();
     // Polls wait for a current list as they do for a change.
-    let was_current = directory.is_current(core.node.limits.published_list, clock::now());
+    let was_current = directory.is_current(core.node.limits.max_published_list_age, clock::now());
     if directory.replace(list, began) || !was_current {
         core.changed.notify_waiters();
     }
--- a/tier/node/src/control_member/member.rs
+++ b/tier/node/src/control_member/member.rs
@@ -176,7 +176,8 @@
         let (done, receiver) = oneshot::channel();
         self.pending.borrow_mut().insert(ticket, done);
         self.perform(actions);
-        let confirmed = matches!(tokio::time::timeout(self.node.limits.change, receiver).await, Ok(Ok(())));
+        let confirmed =
+            matches!(tokio::time::timeout(self.node.limits.change_timeout, receiver).await, Ok(Ok(())));
         self.pending.borrow_mut().remove(&ticket);
         confirmed
     }
--- a/tier/node/src/control_member/polls.rs
+++ b/tier/node/src/control_member/polls.rs
@@ -161,7 +161,7 @@
         history: &core.history.borrow(),
         directory: &core.directory.borrow(),
         leases: &core.leases.borrow(),
-        max_list_age: core.node.limits.published_list,
+        max_list_age: core.node.limits.max_published_list_age,
         primary: &core.node.info.internal,
     };
     Some(published.newer_than(known, clock::now()))
