--- a/tier/control/tests/contacts.rs
+++ b/tier/control/tests/contacts.rs
@@ -1,8 +1,8 @@
-//! Which address of the core a process polls next.
+//! Selection of the core address that a process polls next.
 
 use quillmount_control::Contacts;
 
-/// Microseconds of a millisecond.
+/// Microseconds in a millisecond.
 const MILLI: u64 = 1_000;
 
 /// The addresses of core members that a process starts with.
--- a/tier/control/tests/core_contact.rs
+++ b/tier/control/tests/core_contact.rs
@@ -1,4 +1,4 @@
-//! What a process knows of the primary by its answers.
+//! What a process knows about the primary from its answers.
 
 use quillmount_control::CoreContact;
 use std::time::Duration;
@@ -14,8 +14,16 @@
     contact.record_answer(PRIMARY, &[], 2 * SECOND, 2 * SECOND);
     contact.set_poll_address(None);
     contact.record_busy(PRIMARY, 4 * SECOND);
-    assert_eq!(contact.poll_address(), Some(PRIMARY), "the primary is polled again");
+    assert_eq!(contact.poll_address(), Some(PRIMARY), "the busy primary is polled again");
     assert!(contact.has_recent_primary(5 * SECOND));
-    assert_eq!(contact.silence(5 * SECOND), 3 * SECOND, "the list of endpoints is read without the core");
-    assert_eq!(contact.age(5 * SECOND), 3 * SECOND, "no request is refused by what may be old");
+    assert_eq!(
+        contact.silence(5 * SECOND),
+        3 * SECOND,
+        "an answer without tables does not end the silence after which the process fetches the endpoint list itself"
+    );
+    assert_eq!(
+        contact.age(5 * SECOND),
+        3 * SECOND,
+        "an answer without tables does not make the configuration recent enough to refuse requests"
+    );
 }
--- a/tier/control/tests/directory.rs
+++ b/tier/control/tests/directory.rs
@@ -1,11 +1,11 @@
-//! Updates of the endpoint list lead every subscriber to the same list.
+//! Every subscriber has the same endpoint list after its update, whatever version it had.
 
 use quickcheck::QuickCheck;
 use quillmount_control::{Directory, apply_update};
 use quillmount_wire::messages::{DirectoryUpdate, DirectoryVersion, Endpoint};
 use std::rc::Rc;
 
-/// An endpoint with this number.
+/// An endpoint whose id contains this number.
 fn endpoint(id: u8, draining: bool, warmup_left_ms: f64) -> Endpoint {
     Endpoint {
         id: format!("i-{id:03}"),
@@ -19,7 +19,7 @@
     }
 }
 
-/// A list of endpoints by number, each of which may be draining.
+/// A list of endpoints from pairs of number and draining flag; the last pair for a number is used.
 fn list(entries: &[(u8, bool)]) -> Vec<Endpoint> {
     let entries: std::collections::BTreeMap<u8, bool> = entries.iter().copied().collect();
     entries.into_iter().map(|(id, draining)| endpoint(id, draining, 0.0)).collect()
@@ -27,23 +27,23 @@
 
 #[test]
 fn a_subscriber_at_any_version_ends_with_the_same_list() {
-    fn subscriber_agrees(readings: Vec<Vec<(u8, bool)>>, from: usize) -> bool {
+    fn subscriber_agrees(fetched_lists: Vec<Vec<(u8, bool)>>, updates_received: usize) -> bool {
         let mut directory = Directory::default();
-        let (mut known, mut known_version) = (Vec::new(), 0);
-        let from = from % (readings.len() + 1);
-        for (number, reading) in readings.iter().enumerate() {
-            directory.replace(list(reading), 0);
-            if number < from {
+        let (mut subscriber_list, mut known_version) = (Vec::new(), 0);
+        let updates_received = updates_received % (fetched_lists.len() + 1);
+        for (number, fetched) in fetched_lists.iter().enumerate() {
+            directory.replace(list(fetched), 0);
+            if number < updates_received {
                 if let Some(update) = directory.update_since(known_version) {
-                    known = apply_update(&known, update);
+                    subscriber_list = apply_update(&subscriber_list, update);
                 }
                 known_version = directory.version();
             }
         }
         if let Some(update) = directory.update_since(known_version) {
-            known = apply_update(&known, update);
+            subscriber_list = apply_update(&subscriber_list, update);
         }
-        known == **directory.list()
+        subscriber_list == **directory.list()
     }
     QuickCheck::new().tests(500).quickcheck(subscriber_agrees as fn(Vec<Vec<(u8, bool)>>, usize) -> bool);
 }
@@ -69,7 +69,7 @@
     assert!(directory.replace(vec![endpoint(1, false, 0.0)], 0));
 }
 
-/// The version of the list in epoch 3 after this number of changes.
+/// Version `changes` of the list in epoch 3.
 fn version(changes: u64) -> DirectoryVersion {
     DirectoryVersion { epoch: 3, changes }
 }
@@ -78,16 +78,20 @@
 fn a_new_primary_sends_changes_to_those_who_have_the_list_that_it_had() {
     let former = list(&[(1, false), (2, false), (3, false)]);
     let mut directory = Directory::succeeding(version(5), Rc::new(former.clone()));
-    assert_eq!(directory.update_since_predecessor(version(5)), None, "before the first reading");
-    let reading = list(&[(1, false), (2, true), (4, false)]);
-    directory.replace(reading.clone(), 0);
+    assert_eq!(
+        directory.update_since_predecessor(version(5)),
+        None,
+        "there is no update before the first fetch"
+    );
+    let fetched = list(&[(1, false), (2, true), (4, false)]);
+    directory.replace(fetched.clone(), 0);
     let update = directory.update_since_predecessor(version(5)).expect("an update");
     assert!(matches!(&update, DirectoryUpdate::Delta { changed, .. } if changed.len() == 2));
-    assert_eq!(apply_update(&former, update), reading);
-    let second_reading = list(&[(1, false), (2, false), (3, false)]);
-    directory.replace(second_reading.clone(), 0);
+    assert_eq!(apply_update(&former, update), fetched);
+    let second_fetched = list(&[(1, false), (2, false), (3, false)]);
+    directory.replace(second_fetched.clone(), 0);
     let update = directory.update_since_predecessor(version(5)).expect("an update");
-    assert_eq!(apply_update(&former, update), second_reading);
+    assert_eq!(apply_update(&former, update), second_fetched);
     for other in [version(4), version(6), version(0), DirectoryVersion { epoch: 2, changes: 5 }] {
         assert!(matches!(directory.update_since_predecessor(other), Some(DirectoryUpdate::Full(_))));
     }
--- a/tier/control/tests/fenced_calls.rs
+++ b/tier/control/tests/fenced_calls.rs
@@ -1,4 +1,4 @@
-//! Fencing tokens of the singleton roles: what was refused is not used again.
+//! Fencing tokens of the singleton roles: a refused token is not used again for the same subject.
 
 use quillmount_control::{FencedCalls, FencedSubject};
 
@@ -15,7 +15,7 @@
     calls.record_refusal(scale("a"));
     calls.use_token(7);
     assert!(!calls.may_call(&FencedSubject::Usage) && !calls.may_call(&scale("a")));
-    assert!(calls.may_call(&scale("b")), "another subject");
+    assert!(calls.may_call(&scale("b")), "the token was not refused for another subject");
 }
 
 #[test]
--- a/tier/control/tests/members/digest.rs
+++ b/tier/control/tests/members/digest.rs
@@ -1,4 +1,4 @@
-//! Digests of the first fifty seeded runs of core members and their operators.
+//! Regression test: digests of the traces of the first fifty seeded runs are unchanged.
 
 use crate::faults::run_seed;
 use quillmount_test_support::digest::check_seeds;
--- a/tier/control/tests/members/disks.rs
+++ b/tier/control/tests/members/disks.rs
@@ -1,4 +1,4 @@
-//! Core members whose disks refuse writes for a while, and answers that come too late to count.
+//! Core members whose disks fail writes for some time, and replies of an older epoch.
 
 use crate::faults::{check_at_rest, disks, end_faults, restart_all};
 use crate::world::World;
@@ -6,29 +6,31 @@
 use quillmount_test_support::simulation::{MILLI, SECOND, Simulation, Time};
 use quillmount_wire::messages::{DiskId, RegisterMessage};
 
-/// Seeds that are run unless `SEEDS` names another number.
+/// Number of seeds to run unless `SEEDS` gives another number.
 const DEFAULT_SEEDS: u64 = 60;
-/// Time in which operators send an order.
+/// Time within which operators send at least one order.
 const ORDER_LIMIT: Time = 10 * SECOND;
-/// Time in which another member serves once the primary handed over: an election timeout if a message of the hand-over is lost.
+/// Time from a handover until another member serves. It includes an election timeout, in case a message of the
+/// handover is lost.
 const HANDOVER_LIMIT: Time = 2 * SECOND;
-/// Time in which a write that ended is reported.
+/// Time within which the end of every write is reported.
 const WRITE_LIMIT: Time = SECOND;
 
-/// Runs core members whose disks refuse writes in turn and at the same time, with losses of power in between.
+/// Runs core members whose disks fail writes, one at a time and several at once, with kills of one or all machines in
+/// between.
 pub fn run_seed(seed: u64) -> World {
     let mut world = World::new(3 + (seed % 2) as u32 * 2, 1 + (seed % 2) as usize, 4, seed);
     world.run(2 * SECOND);
     for _ in 0..10 {
-        let all = disks(&world);
-        let full = all[world.random.index(all.len())];
-        let full = if world.random.chance(50) { world.primary().unwrap_or(full) } else { full };
-        fill(&mut world, full);
+        let all_disks = disks(&world);
+        let any_disk = all_disks[world.random.index(all_disks.len())];
+        let full_disk = if world.random.chance(50) { world.primary().unwrap_or(any_disk) } else { any_disk };
+        fill(&mut world, full_disk);
         match world.random.below(4) {
             0 => restart_all(&mut world, 100 * MILLI),
             1 => {
-                world.kill(full);
-                world.restart_after(full, 200 * MILLI);
+                world.kill(full_disk);
+                world.restart_after(full_disk, 200 * MILLI);
             }
             _ => {}
         }
@@ -39,11 +41,14 @@
     check_at_rest(&mut world);
     let all_ended =
         |world: &World| world.machines.values().all(|machine| machine.member.writes_in_flight() == 0);
-    assert!(world.run_until(10 * MILLI, WRITE_LIMIT, all_ended), "a write that ended was not reported");
+    assert!(
+        world.run_until(10 * MILLI, WRITE_LIMIT, all_ended),
+        "a write is still in flight {WRITE_LIMIT} µs after the last fault"
+    );
     world
 }
 
-/// The disk of a machine refuses writes for up to 1.5 s.
+/// Makes the disk of a machine fail writes for up to 1.5 s.
 fn fill(world: &mut World, disk: DiskId) {
     let until = world.now() + (100 + world.random.below(1_400)) * MILLI;
     world.machines.get_mut(&disk).unwrap().refuses_writes_until = until;
@@ -58,36 +63,41 @@
     assert!(answers as u64 > 10 * count, "{answers} clear answers");
 }
 
-/// A primary commits nothing without its own disk: with the first order another member serves, and orders go on while the disk stays
-/// full. The member comes back by itself once there is room.
+/// A primary commits nothing while its own disk fails writes. With the first order it hands over to another member,
+/// which continues to commit orders while the disk is full. The former primary recovers without intervention once its
+/// disk accepts writes.
 #[test]
 pub fn a_primary_whose_disk_is_full_hands_over() {
     for seed in 1..=20 {
         let mut world = World::new(3, 1, 4, seed);
         world.run(2 * SECOND);
         let full = world.primary().unwrap();
-        let room_at = world.now() + 20 * SECOND;
-        world.machines.get_mut(&full).unwrap().refuses_writes_until = room_at;
+        let writable_at = world.now() + 20 * SECOND;
+        world.machines.get_mut(&full).unwrap().refuses_writes_until = writable_at;
         let stepped_down = |world: &World| world.machines[&full].member.serving().is_none();
         assert!(
             world.run_until(10 * MILLI, ORDER_LIMIT, stepped_down),
-            "seed {seed}: it goes on without a disk"
+            "seed {seed}: the primary with a full disk does not step down"
         );
         let other_serves = |world: &World| world.primary().is_some_and(|primary| primary != full);
         let handed_over = world.run_until(10 * MILLI, HANDOVER_LIMIT, other_serves);
-        assert!(handed_over, "seed {seed}: no other member serves");
+        assert!(handed_over, "seed {seed}: no other member serves after the handover");
         let before = world.history.newest_version();
         world.run(10 * SECOND);
-        assert!(world.history.newest_version() > before + 3, "seed {seed}: orders go on");
-        world.run(room_at - world.now());
+        assert!(
+            world.history.newest_version() > before + 3,
+            "seed {seed}: no further orders are committed while the disk is full"
+        );
+        world.run(writable_at - world.now());
         end_faults(&mut world);
         world.history.check();
     }
 }
 
-/// An answer to an older epoch says nothing about now: a member that sends only such is silent, and may be replaced.
+/// A reply of an older epoch does not show that a member is alive now. A member that sends only such replies counts
+/// as silent and may be replaced.
 #[test]
-fn answers_of_an_older_epoch_are_no_signs_of_life() {
+fn replies_of_an_older_epoch_do_not_show_that_a_member_is_alive() {
     let mut world = World::new(3, 1, 1, 3);
     world.run(2 * SECOND);
     let old = world.primary().unwrap();
@@ -108,9 +118,9 @@
         RegisterMessage::Acknowledge { epoch: epoch - 1, sequence: 1 },
     ] {
         member.receive(old, message, now);
-        assert!(member.silent_members(now).contains(&old), "an answer of an older epoch");
+        assert!(member.silent_members(now).contains(&old), "a reply of an older epoch counts as contact");
     }
     let reply = RegisterMessage::HeartbeatReply { epoch, round: 1, accepted_epoch: 0, accepted_sequence: 0 };
     member.receive(old, reply, now);
-    assert!(!member.silent_members(now).contains(&old), "an answer of this epoch");
+    assert!(!member.silent_members(now).contains(&old), "a reply of this epoch does not count as contact");
 }
--- a/tier/control/tests/members/faults.rs
+++ b/tier/control/tests/members/faults.rs
@@ -1,16 +1,16 @@
-//! Runs with random faults by seed: kills, partitions, freezes and lost disks.
+//! Seeded runs with random faults: kills, partitions, freezes and lost disks.
 
 use crate::world::World;
 use quillmount_test_support::network::Isolation;
 use quillmount_test_support::simulation::{MILLI, SECOND, Simulation, Time};
 use quillmount_wire::messages::DiskId;
 
-/// How long the core may take to recover once all faults have ended.
+/// Time within which the core recovers once all faults have ended.
 const RECOVERY_LIMIT: Time = 30 * SECOND;
-/// How often it is checked whether the core has recovered.
+/// Interval between checks whether the core has recovered.
 const RECOVERY_CHECK_INTERVAL: Time = 250 * MILLI;
 
-/// Runs core members with random faults and checks its history; returns the world at its end.
+/// Runs core members with random faults, checks the history, and returns the world at the end of the run.
 pub fn run_seed(seed: u64) -> World {
     let (members, tolerated_failures) = match seed % 3 {
         0 => (3, 1),
@@ -25,7 +25,7 @@
         world.run(gap * MILLI);
     }
     end_faults(&mut world);
-    // Everything is killed right after some order.
+    // All machines are killed shortly after some order.
     restart_all(&mut world, 300 * MILLI);
     world.run(2 * SECOND);
     end_faults(&mut world);
@@ -34,22 +34,26 @@
     world
 }
 
-/// Lets operators send nothing more, and checks the history and that its newest version is in force.
+/// Stops the operators, then checks the history and that its newest version is in force.
 pub fn check_at_rest(world: &mut World) {
     world.busy = false;
     world.run(3 * SECOND);
     world.history.check();
-    let primary = world.primary().expect("a primary");
+    let primary = world.primary().expect("a primary serves once all faults have ended");
     let state = world.machines[&primary].member.committed().unwrap();
-    assert_eq!(state.version, world.history.newest_version(), "LOST: the newest version");
+    assert_eq!(
+        state.version,
+        world.history.newest_version(),
+        "LOST: the state of the primary is not the newest committed version"
+    );
 }
 
-/// Disks of all machines.
+/// Disks of all machines, in ascending order.
 pub fn disks(world: &World) -> Vec<DiskId> {
     world.machines.keys().copied().collect()
 }
 
-/// Kills all machines, and restarts them after the same time.
+/// Kills all machines at once and restarts them together after `down`.
 pub fn restart_all(world: &mut World, down: Time) {
     for disk in disks(world) {
         world.kill(disk);
@@ -57,14 +61,14 @@
     }
 }
 
-/// Any machine, the primary in half of the cases.
+/// A random machine; with a probability of 50 % the primary.
 fn any_machine(world: &mut World) -> DiskId {
     let disks = disks(world);
     let any = disks[world.random.index(disks.len())];
     if world.random.chance(50) { world.primary().unwrap_or(any) } else { any }
 }
 
-/// Injects a fault that the seed decides.
+/// Injects a random fault.
 fn inject_fault(world: &mut World) {
     let disk = any_machine(world);
     let span = (100 + world.random.below(2_500)) * MILLI;
@@ -95,7 +99,7 @@
     }
 }
 
-/// Isolates one machine or half of them from the others, both ways or one way.
+/// Isolates one machine or half of the machines from the others, in both directions or in one.
 fn partition(world: &mut World, disk: DiskId) {
     let disks = disks(world);
     let half = world.random.chance(30);
@@ -108,7 +112,7 @@
     world.partitions.isolate(&isolated, &disks, directions);
 }
 
-/// Ends all partitions and waits until the core has recovered.
+/// Heals all partitions and waits until the core has recovered.
 pub fn end_faults(world: &mut World) {
     world.partitions.heal();
     let recovered = world.run_until(RECOVERY_CHECK_INTERVAL, RECOVERY_LIMIT, World::is_healed);
--- a/tier/control/tests/members/history.rs
+++ b/tier/control/tests/members/history.rs
@@ -1,5 +1,5 @@
-//! The calls of all operators with their answers, and when each version was committed: checked against one linearizable
-//! register.
+//! History of a run: the calls of all operators with their answers, and when each version was committed. It is
+//! checked for linearizability as the history of a single register.
 
 use quillmount_control::{ControlState, Order};
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
         version: u64,
         text: String,
     },
-    /// A 503, a closed connection, or nothing: an order may or may not be applied.
+    /// A status 503, a closed connection, or no answer: an order may or may not have been applied.
     Unclear,
 }
 
@@ -25,16 +25,16 @@
     /// `None` for a read.
     pub order: Option<Order>,
     /// When the request arrived.
-    pub began: u64,
+    pub started_at: u64,
     /// When the answer was sent.
-    pub ended: Option<u64>,
+    pub ended_at: Option<u64>,
     pub answer: Option<Answer>,
 }
 
 /// A version of the configuration that was committed.
 struct CommittedVersion {
     /// When it was first committed.
-    at: u64,
+    committed_at: u64,
     version: u64,
     text: String,
 }
@@ -44,7 +44,7 @@
     calls: Vec<Call>,
     /// Versions in the order of their first commit.
     versions: Vec<CommittedVersion>,
-    /// The last version that each operator has seen.
+    /// The last version that was shown to each operator.
     newest_shown: BTreeMap<usize, u64>,
 }
 
@@ -58,35 +58,40 @@
     /// Records the first answer to a call.
     pub fn answered(&mut self, call: usize, answer: &Answer, now: u64) {
         let call = &mut self.calls[call];
-        call.ended.get_or_insert(now);
+        call.ended_at.get_or_insert(now);
         call.answer.get_or_insert(answer.clone());
     }
 
-    /// Records that an operator has seen an answer.
+    /// Records that an answer arrived at an operator.
     pub fn shown(&mut self, operator: usize, answer: &Answer) {
         if let Answer::Applied { version } | Answer::Shows { version, .. } = answer {
             self.newest_shown.insert(operator, *version);
         }
     }
 
-    /// The version on which an operator builds: the last one that it has seen, which may be outdated.
+    /// The base version for an operator's next order: the last one that was shown to it, which may be outdated.
     pub fn newest_shown(&self, operator: usize) -> u64 {
         self.newest_shown.get(&operator).copied().unwrap_or(0)
     }
 
-    /// Records that a state was committed. Its version is known or newer than all others, and its text never changes.
+    /// Records that a state was committed. Asserts that its version is already recorded with the same text, or is
+    /// newer than all others.
     pub fn committed(&mut self, state: &ControlState, now: u64) {
         if state.version == 0 {
             return;
         }
-        if let Some(known) = self.versions.iter().find(|known| known.version == state.version) {
-            assert_eq!(known.text, state.configuration, "ORDERS: version {} has two texts", known.version);
+        if let Some(recorded) = self.versions.iter().find(|recorded| recorded.version == state.version) {
+            assert_eq!(
+                recorded.text, state.configuration,
+                "ORDERS: version {} has two texts",
+                recorded.version
+            );
             return;
         }
         let newest = self.newest_version();
-        assert!(state.version > newest, "ORDERS: version {} came in force after {newest}", state.version);
+        assert!(state.version > newest, "ORDERS: version {} was committed after {newest}", state.version);
         let committed =
-            CommittedVersion { at: now, version: state.version, text: state.configuration.clone() };
+            CommittedVersion { committed_at: now, version: state.version, text: state.configuration.clone() };
         self.versions.push(committed);
     }
 
@@ -100,24 +105,24 @@
         self.versions.len()
     }
 
-    /// Number of calls with a clear answer.
+    /// Number of calls whose answer is not [`Answer::Unclear`].
     pub fn clear_answers(&self) -> usize {
         self.calls.iter().filter(|call| !matches!(call.answer, None | Some(Answer::Unclear))).count()
     }
 
-    /// Checks that no order was both applied and rejected, and that reads and rejections are true of some moment between
-    /// request and answer.
+    /// Checks that no order was both applied and rejected, and that the answers to reads and rejected orders were
+    /// correct at some time between request and answer.
     pub fn check(&self) {
         let mut confirmed: BTreeMap<u64, &Order> = BTreeMap::new();
         for call in &self.calls {
-            let (Some(ended), Some(answer)) = (call.ended, &call.answer) else { continue };
+            let (Some(ended), Some(answer)) = (call.ended_at, &call.answer) else { continue };
             match answer {
                 Answer::Applied { version } => {
                     let order = call.order.as_ref().unwrap();
-                    let known = confirmed.entry(*version).or_insert(order);
-                    assert_eq!(*known, order, "ORDERS: two orders were confirmed as version {version}");
+                    let first_order = confirmed.entry(*version).or_insert(order);
+                    assert_eq!(*first_order, order, "ORDERS: two orders were confirmed as version {version}");
                     let committed = self.committed_by(*version, ended);
-                    assert!(committed, "ORDERS: version {version} was confirmed too soon");
+                    assert!(committed, "ORDERS: version {version} was confirmed before it was committed");
                 }
                 Answer::Shows { version, .. } => self.check_read(*version, call, ended),
                 Answer::VersionMismatch => self.check_rejection(call, ended),
@@ -131,34 +136,43 @@
             };
             assert!(
                 !self.calls.iter().any(|call| rejected(&call)),
-                "ORDERS: {version} was applied and rejected"
+                "ORDERS: the order of version {version} was both applied and rejected"
             );
         }
     }
 
-    /// A read shows a version that was committed, and none older than the newest when it began.
+    /// Checks that a read returned a committed version, and none older than the newest one when the read started.
     fn check_read(&self, version: u64, call: &Call, ended: u64) {
-        let before = self.newest_at(call.began);
-        assert!(version >= before, "READ: version {version} was shown, {before} was in force before");
+        let before = self.newest_at(call.started_at);
+        assert!(
+            version >= before,
+            "READ: version {version} was returned, but version {before} was committed before"
+        );
         let committed = version == 0 || self.committed_by(version, ended);
-        assert!(committed, "READ: {version} was not in force");
+        assert!(committed, "READ: version {version} was returned but not committed");
     }
 
-    /// A rejection (status 412) is true if another version than the base was in force at some moment of the call.
+    /// Checks that a rejection (status 412) was correct: at some time during the call, the version in force was not
+    /// the base.
     fn check_rejection(&self, call: &Call, ended: u64) {
         let base = call.order.as_ref().unwrap().base;
-        let changed = self.versions.iter().any(|known| known.version > base && known.at <= ended);
-        let outdated = self.newest_at(call.began) != base || changed;
-        assert!(outdated, "ORDERS: rejected on {base}, which was in force");
+        let changed =
+            self.versions.iter().any(|committed| committed.version > base && committed.committed_at <= ended);
+        let outdated = self.newest_at(call.started_at) != base || changed;
+        assert!(outdated, "ORDERS: an order on version {base} was rejected while that version was in force");
     }
 
-    /// Whether a version was committed by this time.
+    /// Whether a version was committed at or before `time`.
     fn committed_by(&self, version: u64, time: u64) -> bool {
-        self.versions.iter().any(|known| known.version == version && known.at <= time)
+        self.versions.iter().any(|committed| committed.version == version && committed.committed_at <= time)
     }
 
-    /// The newest version that was committed before this time, or 0.
+    /// The newest version that was committed before `time`, or 0.
     fn newest_at(&self, time: u64) -> u64 {
-        self.versions.iter().rev().find(|known| known.at < time).map_or(0, |known| known.version)
+        self.versions
+            .iter()
+            .rev()
+            .find(|committed| committed.committed_at < time)
+            .map_or(0, |committed| committed.version)
     }
 }
--- a/tier/control/tests/members/main.rs
+++ b/tier/control/tests/members/main.rs
@@ -1,5 +1,6 @@
-//! Orders and reads of operators at core members on virtual time: kills, partitions, freezes and lost disks by seed, lost answers,
-//! repeated orders. Every history is checked against one linearizable register. `SEEDS=N` runs so many seeds.
+//! Simulation of core members with orders and reads of operators, on virtual time. Runs are seeded and include kills,
+//! partitions, freezes, lost disks, lost answers and retried orders. Every history is checked for linearizability.
+//! `SEEDS=N` runs N seeds.
 
 mod digest;
 mod disks;
@@ -14,7 +15,7 @@
 use quillmount_wire::messages::DiskId;
 use world::World;
 
-/// Seeds that are run unless `SEEDS` names another number.
+/// Number of seeds to run unless `SEEDS` gives another number.
 const DEFAULT_SEEDS: u64 = 120;
 
 #[test]
@@ -26,7 +27,8 @@
     assert!(answers as u64 > 20 * count, "{answers} clear answers");
 }
 
-/// A primary that is partitioned serves no state and confirms nothing from then on, while the others go on.
+/// A partitioned primary stops serving its state and confirms nothing, while the other members elect a primary and
+/// continue.
 #[test]
 fn a_partitioned_member_gives_no_uncertain_answer() {
     for seed in 1..=20 {
@@ -36,13 +38,13 @@
         let others: Vec<DiskId> = world.machines.keys().copied().filter(|disk| *disk != old).collect();
         world.partitions.isolate(&[old], &others, Isolation::BOTH);
         let before = world.history.newest_version();
-        // After half a second it serves no state, and another is primary within twenty.
+        // It stops serving its state within 600 ms, and another member is primary within 20 s.
         world.run(600 * MILLI);
         let now = world.now();
         assert!(world.machines[&old].member.committed_if_recent(now).is_none(), "seed {seed}");
         world.run(20 * SECOND);
         assert_ne!(world.primary(), Some(old), "seed {seed}");
-        assert!(world.history.newest_version() > before, "seed {seed}: the others go on");
+        assert!(world.history.newest_version() > before, "seed {seed}: the other members commit nothing");
         end_faults(&mut world);
         world.history.check();
     }
@@ -57,7 +59,7 @@
         let until = world.now() + 3 * SECOND;
         world.machines.get_mut(&old).unwrap().process.freeze_until(until);
         world.run(2_999 * MILLI);
-        // Before anything that waited for it is handled, and before its next tick.
+        // This is before the process handles queued events and before its next tick.
         let now = world.now();
         assert!(world.machines[&old].member.committed_if_recent(now).is_none(), "seed {seed}");
         world.run(2 * SECOND);
@@ -66,13 +68,13 @@
     }
 }
 
-/// A member that was down for a thousand changes is up to date soon after its restart, and may lead then.
+/// A member that was down during 1,000 changes is up to date within a second of its restart, and can then become primary.
 #[test]
 fn a_member_that_missed_a_thousand_changes_catches_up_within_a_second() {
     let mut world = World::new(3, 1, 8, 7);
     world.run(2 * SECOND);
-    let away = *world.machines.keys().find(|disk| Some(**disk) != world.primary()).unwrap();
-    world.kill(away);
+    let stopped = *world.machines.keys().find(|disk| Some(**disk) != world.primary()).unwrap();
+    world.kill(stopped);
     let mut orders = 0;
     while orders < 1_000 {
         world.run(10 * SECOND);
@@ -80,22 +82,22 @@
     }
     world.busy = false;
     world.run(3 * SECOND);
-    world.restart_after(away, 0);
+    world.restart_after(stopped, 0);
     world.run(SECOND);
     assert!(world.is_healed());
-    // One of the others is lost, and the other one restarts: whoever leads has the newest version.
+    // One of the other members is lost and the other one restarts. The next primary has the newest version.
     let newest = world.history.newest_version();
-    let others: Vec<DiskId> = world.machines.keys().copied().filter(|disk| *disk != away).collect();
+    let others: Vec<DiskId> = world.machines.keys().copied().filter(|disk| *disk != stopped).collect();
     world.kill(others[0]);
     world.kill(others[1]);
     world.restart_after(others[1], 100 * MILLI);
     world.run(3 * SECOND);
-    let primary = world.primary().expect("a primary");
+    let primary = world.primary().expect("a primary serves after the restart");
     assert_eq!(world.machines[&primary].member.committed().unwrap().version, newest);
     world.history.check();
 }
 
-/// A disk that is lost right after the replacement of another, while nothing else changes, leaves a majority.
+/// If a disk is lost right after another one was replaced, without any other change in between, a majority remains.
 #[test]
 fn a_second_loss_right_after_a_replacement_leaves_a_majority() {
     for seed in 1..=20 {
@@ -106,7 +108,7 @@
         let disks = disks(&world);
         let new = world.wipe(disks[2]);
         end_faults(&mut world);
-        // The next one is lost for good; then everything else is restarted.
+        // A second disk is lost permanently, and all other machines are restarted.
         let lost = disks[3];
         world.kill(lost);
         for disk in [disks[0], disks[1], new] {
@@ -119,7 +121,8 @@
     }
 }
 
-/// Two candidates may be promised the same epoch: a member that promised it to the loser follows the winner.
+/// Guards against members that never follow a new primary. Two candidates may compete in the same epoch, and a member
+/// that promised it to the losing candidate has to accept the elected one.
 #[test]
 fn after_restarts_of_all_members_every_member_follows() {
     for seed in 1..=60 {
@@ -134,8 +137,8 @@
     }
 }
 
-/// Four operators at work, and the primary killed, frozen or partitioned at each millisecond of a busy span: also between the
-/// write of an order and its answer.
+/// Kills, freezes or partitions the primary at each millisecond of an interval in which four operators send orders.
+/// This includes failures between the write of an order and its answer.
 #[test]
 fn a_failover_at_any_millisecond_loses_no_order() {
     for moment in 0..300 {
@@ -166,7 +169,7 @@
     }
 }
 
-/// Each deliberate fault of members and orders is detected by one of a few hundred runs, or by a scenario.
+/// Each injected fault of members and orders is detected by one of 300 seeded runs or by one of the tests above.
 #[cfg(feature = "breaks")]
 #[test]
 fn each_break_of_members_and_orders_is_found() {
@@ -186,7 +189,7 @@
         breaks::set(Some(one));
         let found = seeds::first_failing(1..=RUNS, |seed| _ = run_seed(seed));
         breaks::set(None);
-        println!("{one:?}: found by seed {found:?}");
+        println!("{one:?}: detected by seed {found:?}");
         if found.is_none() {
             missed.push(one);
         }
@@ -205,5 +208,5 @@
     }
     breaks::set(None);
     drop(silenced);
-    assert!(missed.is_empty(), "not found: {missed:?}");
+    assert!(missed.is_empty(), "the tests do not detect: {missed:?}");
 }
--- a/tier/control/tests/members/world.rs
+++ b/tier/control/tests/members/world.rs
@@ -1,6 +1,6 @@
-//! Core members on virtual time, with operators who send requests to any of them, and the history of all calls.
+//! Simulated core members on virtual time, operators that send requests to any of them, and the history of all calls.
 //!
-//! Messages, syncs and calls are events of a queue; a seed decides all delays and losses.
+//! Messages, disk syncs and calls are events in a queue. All delays and losses are determined by a seed.
 
 mod events;
 mod operators;
@@ -18,31 +18,32 @@
 use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, Register};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Percentage of messages between members that are up to 800 ms late.
+/// Percentage of messages between members that get an additional delay of up to 800 ms.
 const LATE_MESSAGES: u64 = 1;
 /// Percentage of messages between members that are lost.
 const LOST_MESSAGES: u64 = 1;
 
-/// A call that waits for its ticket.
+/// A call that waits until its ticket is confirmed.
 struct WaitingCall {
     operator: usize,
-    /// Its index in the history.
+    /// Index of the call in the history.
     call: usize,
-    /// The answer once the ticket is confirmed; `None` for a read, which shows the state of that moment.
+    /// The answer to send once the ticket is confirmed; `None` for a read, which returns the committed state at that
+    /// time.
     answer: Option<Answer>,
 }
 
-/// A core machine: its process and its disk.
+/// A machine with a core member: its process and its disk.
 pub struct Machine {
-    /// Its number, which stays when its disk is replaced.
-    pub name: u32,
+    /// Machine number, which does not change when the disk is replaced.
+    pub number: u32,
     pub member: Member,
-    /// What is synced.
+    /// The synced register.
     disk: Register,
-    /// Until then the disk is full: every write fails.
+    /// Time until which the disk is full and every write fails.
     pub refuses_writes_until: Time,
     pub process: Process,
-    /// Calls that wait for their tickets.
+    /// Calls that wait for confirmation, by ticket.
     waiting: BTreeMap<Ticket, WaitingCall>,
 }
 
@@ -55,22 +56,22 @@
     operators: Vec<Operator>,
     pub history: History,
     pub tolerated_failures: usize,
-    /// The disk that was added last.
+    /// The disk identity that was assigned last.
     last_disk: DiskId,
-    /// Distinguishes configurations of the same version.
+    /// Number of the next configuration text; distinguishes configurations of the same version.
     next_text: u64,
     /// Whether operators begin new tasks.
     pub busy: bool,
-    /// What the members put out, for the digests.
+    /// Counts and digests of the members' actions.
     pub counts: Counts,
 }
 
-/// What a machine says of itself.
-fn node_info(name: u32, disk: DiskId) -> NodeInfo {
+/// The node information that a machine sends in its polls.
+fn node_info(number: u32, disk: DiskId) -> NodeInfo {
     NodeInfo {
-        name: format!("core-{name}"),
+        name: format!("core-{number}"),
         disk,
-        internal: format!("10.0.0.{name}:7360"),
+        internal: format!("10.0.0.{number}:7360"),
         admin: None,
         zone: "z".to_owned(),
         role: NodeRole::Core,
@@ -78,7 +79,7 @@
 }
 
 impl World {
-    /// A core of so many members in its first state, whose first member is the primary.
+    /// A core with this number of members, bootstrapped by the first one.
     pub fn new(members: u32, tolerated_failures: usize, operators: usize, seed: u64) -> World {
         let mut world = World {
             timeline: Timeline::new(SECOND),
@@ -93,12 +94,12 @@
             busy: true,
             counts: Counts::default(),
         };
-        for name in 1..=members {
-            world.add_machine(name);
+        for number in 1..=members {
+            world.add_machine(number);
         }
         let mut state = ControlState::default();
         state.placement.core =
-            world.machines.iter().map(|(disk, machine)| node_info(machine.name, *disk)).collect();
+            world.machines.iter().map(|(disk, machine)| node_info(machine.number, *disk)).collect();
         let now = world.now();
         let actions = world.machines.get_mut(&1).unwrap().member.bootstrap(&state, now);
         world.perform(1, actions);
@@ -106,13 +107,13 @@
         world
     }
 
-    /// Adds a machine with an empty disk.
-    pub fn add_machine(&mut self, name: u32) -> DiskId {
+    /// Adds a running machine with an empty disk; returns its disk.
+    pub fn add_machine(&mut self, number: u32) -> DiskId {
         self.last_disk += 1;
         let disk = self.last_disk;
         let member = Member::new(disk, self.tolerated_failures, Register::default(), self.now());
         let machine = Machine {
-            name,
+            number,
             member,
             disk: Register::default(),
             refuses_writes_until: 0,
@@ -123,34 +124,35 @@
         disk
     }
 
-    /// Kills the process of a machine; its waiting calls get no answer.
+    /// Kills the process of a machine. Calls that wait there get no answer.
     pub fn kill(&mut self, disk: DiskId) {
         let machine = self.machines.get_mut(&disk).unwrap();
         machine.process.kill();
         machine.waiting.clear();
     }
 
-    /// Starts the process of a machine after this time.
+    /// Schedules the start of a machine's process after `down`.
     pub fn restart_after(&mut self, disk: DiskId, down: Time) {
         self.schedule(self.now() + down, Event::Start { to: disk });
     }
 
-    /// Replaces a machine by one with an empty disk; the primary admits it when it is idle.
+    /// Replaces the disk of a machine by an empty one, which the primary admits as a new member; returns the new disk.
     pub fn wipe(&mut self, disk: DiskId) -> DiskId {
-        let name = self.machines[&disk].name;
+        let number = self.machines[&disk].number;
         self.kill(disk);
         self.machines.remove(&disk);
-        self.add_machine(name)
+        self.add_machine(number)
     }
 
-    /// The primary admits a machine that its committed state does not name, as it would by the machine's poll.
+    /// Lets the primary admit a running machine that is not in its committed state, as it would after a poll of that
+    /// machine.
     fn admit(&mut self) {
         let Some(primary) = self.primary() else { return };
         let Some(state) = self.machines[&primary].member.committed() else { return };
-        let known: BTreeSet<DiskId> = state.core_disks().into_iter().collect();
+        let admitted: BTreeSet<DiskId> = state.core_disks().into_iter().collect();
         let newcomer =
-            self.machines.iter().find(|(disk, machine)| machine.process.is_up() && !known.contains(*disk));
-        let Some(node) = newcomer.map(|(disk, machine)| node_info(machine.name, *disk)) else { return };
+            self.machines.iter().find(|(disk, machine)| machine.process.is_up() && !admitted.contains(*disk));
+        let Some(node) = newcomer.map(|(disk, machine)| node_info(machine.number, *disk)) else { return };
         if self.partitions.is_blocked(node.disk, primary) || !self.is_running(primary) {
             return;
         }
@@ -171,7 +173,7 @@
         all.max_by_key(|(_, machine)| machine.member.serving()).map(|(disk, _)| *disk)
     }
 
-    /// Whether a primary serves, every machine is a member, and every one is up to date.
+    /// Whether a primary serves, exactly the machines are members, and all of them are running and up to date.
     pub fn is_healed(&self) -> bool {
         let Some(primary) = self.primary() else { return false };
         let member = &self.machines[&primary].member;
@@ -181,7 +183,7 @@
             Some((accepted.epoch, accepted.sequence))
         };
         let Some((epoch, sequence)) = position(&self.machines[&primary]) else { return false };
-        // The last proposals may not be everywhere yet.
+        // The last two proposals may not have reached every member yet.
         let up_to_date = |machine: &Machine| position(machine) >= Some((epoch, sequence.saturating_sub(2)));
         let has_one_member_list = |machine: &Machine| {
             let accepted = machine.member.replica().register().accepted.as_ref();
@@ -200,7 +202,7 @@
         self.machines.get(&disk).is_some_and(|machine| machine.process.is_running(self.now()))
     }
 
-    /// Performs the actions of a member on the network, its disk and its calls.
+    /// Performs the actions of a member: sends messages, writes to its disk and answers its calls.
     fn perform(&mut self, disk: DiskId, actions: Vec<MemberAction>) {
         for action in actions {
             self.count(disk, &action);
@@ -235,7 +237,7 @@
         }
     }
 
-    /// Checks that a committed state is on enough disks.
+    /// Checks that a committed state is on at least `tolerated_failures` disks.
     fn audit_copies(&self, state: &ControlState) {
         let has_version = |machine: &&Machine| {
             let accepted = machine.disk.accepted.as_ref();
@@ -244,6 +246,10 @@
         };
         let copies = self.machines.values().filter(has_version).count();
         // A copy may have been lost with its disk after it was acknowledged.
-        assert!(copies >= self.tolerated_failures, "COPIES: {copies} of version {}", state.version);
+        assert!(
+            copies >= self.tolerated_failures,
+            "COPIES: only {copies} disks have version {}",
+            state.version
+        );
     }
 }
--- a/tier/control/tests/members/world/events.rs
+++ b/tier/control/tests/members/world/events.rs
@@ -1,4 +1,4 @@
-//! Events of the world in the order of virtual time, and the periodic work of its machines.
+//! Events of the simulation in the order of virtual time, and the periodic work of its machines.
 
 use super::World;
 use crate::history::Answer;
@@ -6,18 +6,18 @@
 use quillmount_test_support::simulation::{MILLI, Simulation, Time, Timeline};
 use quillmount_wire::messages::{DiskId, Register, RegisterMessage};
 
-/// How often a member's clock is advanced.
+/// Interval between two ticks of a member.
 const TICK_INTERVAL: Time = 25 * MILLI;
-/// How often a machine that is not a member yet may be admitted.
+/// Interval at which a machine that is not a member yet may be admitted.
 const ADMISSION_INTERVAL: Time = 50 * MILLI;
-/// How often operators look at their tasks.
+/// Interval at which operators start tasks or retry requests.
 const OPERATOR_INTERVAL: Time = 10 * MILLI;
 
-/// What happens at a time.
+/// An event at a virtual time.
 pub enum Event {
     /// A message between members arrives.
     Deliver { from: DiskId, to: DiskId, message: RegisterMessage },
-    /// A register is on the disk of a machine.
+    /// A write of a register ends, successfully unless the disk of the machine is full.
     Synced { to: DiskId, incarnation: u64, write: RegisterWrite, register: Register },
     /// The process of a machine starts.
     Start { to: DiskId },
@@ -44,10 +44,10 @@
             Event::Start { .. } | Event::AnswerArrives { .. } => None,
         };
         if let Some(machine) = to.and_then(|to| self.machines.get(&to))
-            && let Some(at) = machine.process.resumes_at(self.now())
+            && let Some(resumes_at) = machine.process.resumes_at(self.now())
         {
-            // What arrives at a frozen process waits for it.
-            return self.schedule(at, event);
+            // An event for a frozen process is delivered once the process resumes.
+            return self.schedule(resumes_at, event);
         }
         let now = self.now();
         match event {
@@ -80,7 +80,7 @@
 }
 
 impl World {
-    /// Advances the clocks of all running members.
+    /// Calls [`Member::tick`] on all running members.
     fn tick(&mut self) {
         let disks: Vec<DiskId> = self.machines.keys().copied().collect();
         for disk in disks {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Completes the sync of a register, unless its process was killed.
+    /// Ends the write of a register, unless the process that issued it was killed.
     fn complete_sync(&mut self, disk: DiskId, incarnation: u64, write: RegisterWrite, register: Register) {
         let now = self.now();
         let machine = self.machines.get_mut(&disk);
@@ -108,7 +108,7 @@
         self.perform(disk, actions);
     }
 
-    /// Starts the process of a machine from its disk, unless it is up.
+    /// Starts the process of a machine with the register on its disk, unless it is running already.
     fn start(&mut self, disk: DiskId) {
         let (now, tolerated_failures) = (self.now(), self.tolerated_failures);
         if let Some(machine) = self.machines.get_mut(&disk).filter(|machine| !machine.process.is_up()) {
--- a/tier/control/tests/members/world/operators.rs
+++ b/tier/control/tests/members/world/operators.rs
@@ -1,5 +1,5 @@
-//! Operators: they read the configuration and send orders to any core member, and repeat a request until it has a
-//! clear answer.
+//! Operators, which read the configuration and send orders to any core member, and retry a request until it has a clear
+//! answer.
 
 use super::events::Event;
 use super::{WaitingCall, World};
@@ -9,52 +9,52 @@
 use quillmount_test_support::simulation::{MILLI, SECOND, Simulation, Time};
 use quillmount_wire::messages::DiskId;
 
-/// How long an operator waits for an answer before it repeats the request.
+/// Time without an answer after which an operator retries a request.
 const ANSWER_TIMEOUT: Time = SECOND;
-/// How long a request is on its way to a machine.
+/// Network delay of a request.
 const REQUEST_DELAY: DelayRange = DelayRange { shortest: MILLI, spread: 3_000 };
-/// How long an answer is on its way to its operator.
+/// Network delay of an answer.
 const ANSWER_DELAY: DelayRange = DelayRange { shortest: MILLI, spread: 4_000 };
-/// Percentage of answers that are lost on their way to the operator.
+/// Percentage of answers that are lost in the network.
 const LOST_ANSWERS: u64 = 25;
 
-/// What an operator is doing.
+/// Request of an operator, which is retried until it has a clear answer.
 enum Task {
     Read,
     Order(Order),
 }
 
-/// An operator and the task that it is at.
+/// An operator and its current task.
 pub(super) struct Operator {
     task: Task,
-    /// The last call of this task: its index in the history.
+    /// Index of the last call of this task in the history.
     call: usize,
     sent_at: Time,
     done: bool,
-    /// Orders of this operator that were applied, to be repeated much later.
+    /// Orders of this operator that were applied; some are sent again much later.
     applied_orders: Vec<Order>,
 }
 
 impl Operator {
-    /// An operator without a task.
+    /// An operator that has no task yet.
     pub(super) fn idle() -> Operator {
         Operator { task: Task::Read, call: 0, sent_at: 0, done: true, applied_orders: Vec::new() }
     }
 }
 
-/// A configuration of this version; `text` distinguishes those of the same version.
+/// JSON text of a configuration with this version; `text` distinguishes those of the same version.
 fn configuration(version: u64, text: u64) -> String {
     format!(
         r#"{{"Gen":{version},"Routes":[{{"Name":"r{text}","Host":"h","PathPrefix":"/","DeadlineMs":1000,"Backend":"s"}}],"Backends":[{{"Name":"s"}}]}}"#
     )
 }
 
-/// A change of the configuration to this version.
+/// JSON text of a patch to this version; `text` distinguishes those to the same version.
 fn patch(version: u64, text: u64) -> String {
     format!(r#"{{"Gen":{version},"Upsert":{{"Backends":[{{"Name":"s{text}"}}]}}}}"#)
 }
 
-/// The answer to an order, once its outcome is confirmed.
+/// The answer to an order whose outcome is confirmed.
 fn answer_of(outcome: OrderOutcome) -> Answer {
     match outcome {
         OrderOutcome::Applied { version } => Answer::Applied { version },
@@ -65,7 +65,7 @@
 }
 
 impl World {
-    /// Lets every operator begin a task or repeat a request.
+    /// Lets every operator start a task or retry a request if it is due.
     pub(super) fn operate(&mut self) {
         for operator in 0..self.operators.len() {
             let now = self.now();
@@ -74,13 +74,13 @@
                     self.begin_task(operator);
                 }
             } else if now > self.operators[operator].sent_at + ANSWER_TIMEOUT {
-                // Without an answer the same request is repeated, at any machine.
+                // The same request is retried, possibly at another machine.
                 self.send_call(operator);
             }
         }
     }
 
-    /// Begins a read, an order on the version that was read last, or the retry of an order that was applied long ago.
+    /// Starts a read, an order on the version that was shown last, or the retry of an order that was applied earlier.
     fn begin_task(&mut self, operator: usize) {
         let text = self.next_text;
         self.next_text += 1;
@@ -97,7 +97,7 @@
             4..=6 if base > 0 => {
                 Task::Order(Order { kind: OrderKind::Patch, base, body: patch(version, text) })
             }
-            // Two operators may send the very same body on different versions.
+            // Two operators may send the same body on different versions.
             7 if base > 0 => put(configuration(version + 50, 1_000_000)),
             _ => put(configuration(version, text)),
         };
@@ -106,18 +106,18 @@
         self.send_call(operator);
     }
 
-    /// Sends the request of a task to the primary or to any machine.
+    /// Sends the request of a task to the primary or to a random machine.
     fn send_call(&mut self, operator: usize) {
         let disks: Vec<DiskId> = self.machines.keys().copied().collect();
         let to = disks[self.random.index(disks.len())];
-        // Half of the operators know the primary.
+        // Half of the requests go directly to the primary.
         let to = if self.random.chance(50) { self.primary().unwrap_or(to) } else { to };
         self.operators[operator].sent_at = self.now();
-        let at = self.now() + REQUEST_DELAY.draw(&mut self.random);
-        self.schedule(at, Event::CallArrives { operator, to });
+        let arrives_at = self.now() + REQUEST_DELAY.draw(&mut self.random);
+        self.schedule(arrives_at, Event::CallArrives { operator, to });
     }
 
-    /// Receives a request at a machine, which answers it once its ticket is confirmed.
+    /// Handles the arrival of a request at a machine, which answers once the ticket is confirmed.
     pub(super) fn receive_call(&mut self, operator: usize, to: DiskId) {
         if self.operators[operator].done || !self.is_running(to) {
             return;
@@ -127,17 +127,21 @@
             Task::Read => None,
             Task::Order(order) => Some(order.clone()),
         };
-        let call =
-            self.history.record_call(Call { order: order.clone(), began: now, ended: None, answer: None });
+        let call = self.history.record_call(Call {
+            order: order.clone(),
+            started_at: now,
+            ended_at: None,
+            answer: None,
+        });
         self.operators[operator].call = call;
         let member = &mut self.machines.get_mut(&to).unwrap().member;
-        let begun = match order {
+        let submitted = match order {
             None => member.confirm(now).map(|read| (read.ticket, read.actions, None)),
             Some(order) => member
                 .change(|state| state.apply_order(&order), now)
                 .map(|change| (change.ticket, change.actions, Some(answer_of(change.outcome)))),
         };
-        match begun {
+        match submitted {
             Ok((ticket, actions, answer)) => {
                 let machine = self.machines.get_mut(&to).unwrap();
                 machine.waiting.insert(ticket, WaitingCall { operator, call, answer });
@@ -147,7 +151,7 @@
         }
     }
 
-    /// Answers the call that waits for this ticket, if there is one.
+    /// Answers the call that waits for this ticket; without effect if there is none.
     pub(super) fn confirmed(&mut self, disk: DiskId, ticket: Ticket) {
         let machine = self.machines.get_mut(&disk).unwrap();
         let Some(WaitingCall { operator, call, answer }) = machine.waiting.remove(&ticket) else { return };
@@ -158,23 +162,23 @@
         self.answer_operator(operator, call, answer);
     }
 
-    /// An answer goes out, and may be lost on its way.
+    /// Sends an answer to its operator. It may be lost in the network.
     pub(super) fn answer_operator(&mut self, operator: usize, call: usize, answer: Answer) {
         self.history.answered(call, &answer, self.now());
         if !self.random.chance(LOST_ANSWERS) {
-            let at = self.now() + ANSWER_DELAY.draw(&mut self.random);
-            self.schedule(at, Event::AnswerArrives { operator, call, answer });
+            let arrives_at = self.now() + ANSWER_DELAY.draw(&mut self.random);
+            self.schedule(arrives_at, Event::AnswerArrives { operator, call, answer });
         }
     }
 
-    /// Receives the answer to a call at its operator, whose task ends if the answer is clear.
+    /// Handles the arrival of an answer at its operator. The task ends if the answer is clear.
     pub(super) fn receive_answer(&mut self, operator: usize, call: usize, answer: Answer) {
         let state = &mut self.operators[operator];
         if state.done || state.call != call {
             return;
         }
         match (&answer, &state.task) {
-            // The request is repeated after the timeout.
+            // The operator retries the request after the timeout.
             (Answer::Unclear, _) => return,
             (Answer::Applied { .. }, Task::Order(order)) => state.applied_orders.push(order.clone()),
             _ => {}
--- a/tier/control/tests/members/world/trace.rs
+++ b/tier/control/tests/members/world/trace.rs
@@ -1,4 +1,5 @@
-//! The trace of what the members put out, for the digests of seeded runs. Labels and numbers are part of the digests.
+//! Trace of the members' actions for the digests of seeded runs. Labels and numbers are part of the digests, so a
+//! change of either changes the digests.
 
 use super::World;
 use quillmount_control::MemberAction;
--- a/tier/control/tests/orders.rs
+++ b/tier/control/tests/orders.rs
@@ -1,16 +1,16 @@
-//! The operator's orders: what is applied, what is rejected, and what a retry gets.
+//! The operator's orders: which are applied, which are rejected, and how retries are answered.
 
 use quillmount_control::{APPLIED_ORDERS_LIMIT, ControlState, Order, OrderKind, OrderOutcome};
 use quillmount_wire::configuration::{Configuration, ConfigurationError};
 
-/// A route of the configuration, as JSON.
+/// JSON text of a route.
 fn route(name: &str, prefix: &str, service: &str) -> String {
     format!(
         r#"{{"Name":"{name}","Host":"a.example","PathPrefix":"{prefix}","Mode":"stream","DeadlineMs":4000,"TargetMs":200,"Prio":0,"Backend":"{service}","Tries":2,"Public":false,"Resumable":true}}"#
     )
 }
 
-/// A configuration of this version with these routes.
+/// JSON text of a configuration with this version and these routes.
 fn configuration(version: u64, routes: &[String]) -> String {
     format!(
         r#"{{"Gen":{version},"Routes":[{}],"Backends":[{{"Name":"s","Probe":"/healthz","MaxConns":100,"Extra":{{"kept":1.5}}}}],"Limits":{{"HdrBytes":16384,"BodyBytes":4194304,"HdrMs":3000,"IdleMs":15000}},"Accounts":[{{"Name":"t","Apikeys":["k1","k2"],"Prio":1}}]}}"#,
@@ -18,17 +18,17 @@
     )
 }
 
-/// An order that replaces the configuration.
+/// An order with a complete configuration.
 fn put(base: u64, body: String) -> Order {
     Order { kind: OrderKind::Put, base, body }
 }
 
-/// An order that changes parts of the configuration.
+/// An order with a patch of the configuration.
 fn patch(base: u64, body: &str) -> Order {
     Order { kind: OrderKind::Patch, base, body: body.to_owned() }
 }
 
-/// A state with one route, to which an order has been applied.
+/// A state at version 5, with one route, after a first order.
 fn state_at_version_5() -> ControlState {
     let mut state = ControlState::default();
     let first = put(0, configuration(5, &[route("r", "/a/", "s")]));
@@ -58,7 +58,7 @@
     assert_eq!(state.apply_order(&one), OrderOutcome::Applied { version: 7 });
 }
 
-/// Why an order with this configuration is rejected.
+/// The error with which an order with this configuration is rejected; asserts that the state does not change.
 fn rejection(body: String) -> ConfigurationError {
     let mut state = state_at_version_5();
     let before = state.clone();
@@ -132,8 +132,8 @@
     assert!(ControlState::decode(&state.encode()[..40]).is_err());
 }
 
-/// An order that may have been applied and is no longer remembered is neither acknowledged nor rejected; those that are
-/// remembered are acknowledged with the version that they produced.
+/// An order that may have been applied but is no longer retained is neither acknowledged nor rejected. Retained
+/// orders are acknowledged with the version that they produced.
 #[test]
 fn an_order_older_than_the_remembered_ones_gets_no_clear_answer() {
     let mut state = state_at_version_5();
@@ -152,7 +152,7 @@
             assert_eq!(repeated, OrderOutcome::Applied { version: base + 1 }, "{base}");
         }
     }
-    // An order that was never applied and builds on a remembered version is rejected.
+    // An order that was never applied and builds on a version that is still retained is rejected.
     let never = put(
         before.forgotten_version + 1,
         configuration(before.forgotten_version + 2, &[route("never", "/n/", "s")]),
@@ -161,10 +161,10 @@
     assert_eq!(state, before);
 }
 
-/// The largest state that is designed for: 1,500 tenants, and as many orders as are remembered.
+/// The largest state that the design allows for, with 1,500 tenants and the maximum number of retained orders.
 #[test]
 fn a_state_of_the_largest_size_fits_a_record() {
-    /// Bytes of a segment of a core member's ring, less its headers.
+    /// Capacity of a segment in the ring of a core member's disk, less its headers, bytes.
     const RECORD_LIMIT: usize = (4 << 20) - 128;
     let tenants: Vec<String> = (0..1_500)
         .map(|tenant| {
@@ -181,14 +181,14 @@
     );
     let mut state = ControlState::default();
     assert_eq!(state.apply_order(&put(0, body)), OrderOutcome::Applied { version: 1 });
-    let remembered = state.applied_orders[0];
-    state.applied_orders.resize(APPLIED_ORDERS_LIMIT, remembered);
+    let applied_order = state.applied_orders[0];
+    state.applied_orders.resize(APPLIED_ORDERS_LIMIT, applied_order);
     let bytes = state.encode().len();
     println!("{bytes} bytes, {} of them the configuration", state.configuration.len());
     assert!(bytes < RECORD_LIMIT, "{bytes}");
 }
 
-/// The deliberate fault of the bound on remembered orders is detected by a test above.
+/// The test above detects the injected fault that rejects orders which are no longer retained.
 #[cfg(feature = "breaks")]
 #[test]
 fn the_break_of_forgotten_orders_is_found() {
--- a/tier/control/tests/published_list.rs
+++ b/tier/control/tests/published_list.rs
@@ -1,4 +1,4 @@
-//! The age of the endpoint list: which list a primary publishes, and when a process reads it itself.
+//! The age of the endpoint list: how long a primary publishes a list, and when a process fetches it itself.
 
 use quillmount_control::direct_list::{DirectFetchSchedule, lacks_current_list};
 use quillmount_control::polls::{PublishedTables, comes_from_current_list, is_empty};
@@ -29,7 +29,7 @@
     }
 }
 
-/// The answer of a primary with this list to a sender that has the given changes of it.
+/// The answer of a primary with this list to a subscriber that has version `known_changes` of it.
 fn answer(directory: &Directory, known_changes: u64, now: Micros) -> ChangedTables {
     let published = PublishedTables {
         epoch: EPOCH,
@@ -47,13 +47,16 @@
 #[test]
 fn a_list_is_published_until_it_is_too_old() {
     let mut directory = Directory::default();
-    assert!(!comes_from_current_list(&answer(&directory, 0, 100 * MILLI).tables), "before the first reading");
+    assert!(
+        !comes_from_current_list(&answer(&directory, 0, 100 * MILLI).tables),
+        "there is no current list before the first fetch"
+    );
     assert!(directory.replace(vec![endpoint("i-1")], 1_000 * MILLI));
     let current = answer(&directory, 0, 1_750 * MILLI);
     assert!(!is_empty(&current) && comes_from_current_list(&current.tables));
     let confirmed = answer(&directory, 1, 1_750 * MILLI);
     assert!(is_empty(&confirmed) && comes_from_current_list(&confirmed.tables));
-    // A poll waits for the next reading, whether its sender has this list or not.
+    // A poll waits for the next fetch, whether or not its sender has this list.
     for known_changes in [0, 1] {
         let old = answer(&directory, known_changes, 1_751 * MILLI);
         assert!(is_empty(&old) && !comes_from_current_list(&old.tables));
@@ -66,7 +69,7 @@
 fn the_age_of_a_list_counts_from_the_beginning_of_its_reading() {
     let mut directory = Directory::default();
     directory.replace(vec![endpoint("i-1")], 1_000 * MILLI);
-    // The process stood still while it read.
+    // The process was suspended during the fetch.
     directory.replace(vec![endpoint("i-2")], 1_600 * MILLI);
     assert!(!comes_from_current_list(&answer(&directory, 1, 4_000 * MILLI).tables));
     assert!(is_empty(&answer(&directory, 1, 4_000 * MILLI)));
@@ -78,25 +81,25 @@
     directory.replace(vec![endpoint("i-1")], 1_000 * MILLI);
     directory.note_unavailable(5_000 * MILLI);
     assert!(!is_empty(&answer(&directory, 0, 5_500 * MILLI)));
-    // What was read before that is no newer.
+    // A fetch that started before the platform became unavailable does not make the list newer.
     directory.replace(vec![endpoint("i-1")], 4_500 * MILLI);
     assert!(comes_from_current_list(&answer(&directory, 1, 5_700 * MILLI).tables));
     assert!(!comes_from_current_list(&answer(&directory, 1, 5_800 * MILLI).tables));
 }
 
-/// What a process does that polls every 300 ms from 1,000 ms on, and whose polls are answered at once with `tables`: when it first reads
-/// the list itself, milliseconds.
-fn first_reading(tables: impl Fn(Micros) -> Tables) -> Option<Micros> {
+/// When a process first fetches the list itself, milliseconds, if it polls every 300 ms from 1,000 ms on and its
+/// polls are answered at once with `tables`.
+fn first_direct_fetch(tables: impl Fn(Micros) -> Tables) -> Option<Micros> {
     let limits = limits();
     let (mut contact, mut subscription) = (CoreContact::new(limits.recent_answer), Subscription::default());
-    let mut readings = DirectFetchSchedule::new(&limits, 900 * MILLI);
-    (900..10_000).step_by(10).find(|at| {
-        let now = at * MILLI;
-        if *at >= 1_000 && (at - 1_000).is_multiple_of(300) {
+    let mut schedule = DirectFetchSchedule::new(&limits, 900 * MILLI);
+    (900..10_000).step_by(10).find(|time_ms| {
+        let now = time_ms * MILLI;
+        if *time_ms >= 1_000 && (time_ms - 1_000).is_multiple_of(300) {
             let poll = AnsweredPoll { address: PRIMARY, sent_at: now, answered_at: now };
             subscription.answered(&mut contact, &poll, &tables(now), 1);
         }
-        readings.is_due(&contact, &limits, now)
+        schedule.is_due(&contact, &limits, now)
     })
 }
 
@@ -104,41 +107,41 @@
 fn a_process_whose_primary_has_no_current_list_reads_it_itself() {
     let mut directory = Directory::default();
     directory.replace(vec![endpoint("i-1")], 1_000 * MILLI);
-    // The last answer from a current list is that of 1,600.
-    assert_eq!(first_reading(|now| answer(&directory, 1, now).tables), Some(3_410));
-    // Each of many elections brings a primary that has read no list yet.
+    // The last answer with a current list is the one at 1,600 ms.
+    assert_eq!(first_direct_fetch(|now| answer(&directory, 1, now).tables), Some(3_410));
+    // Frequent elections: every answer is from a new primary that has not fetched the list yet.
     let elected = |now| Tables { epoch: now / (100 * MILLI), ..answer(&Directory::default(), 1, now).tables };
-    assert_eq!(first_reading(elected), Some(2_810));
-    let read_always = |now| {
+    assert_eq!(first_direct_fetch(elected), Some(2_810));
+    let fetches_always_succeed = |now| {
         let mut directory = directory.clone();
         directory.replace(vec![endpoint("i-1")], now);
         answer(&directory, 1, now).tables
     };
-    assert_eq!(first_reading(read_always), None);
+    assert_eq!(first_direct_fetch(fetches_always_succeed), None);
     let platform_is_down = |now| {
         let mut directory = directory.clone();
         directory.note_unavailable(now);
         answer(&directory, 1, now).tables
     };
-    assert_eq!(first_reading(platform_is_down), None);
+    assert_eq!(first_direct_fetch(platform_is_down), None);
 }
 
 #[test]
-fn own_readings_go_on_at_their_interval_until_the_core_has_a_current_list() {
+fn direct_fetches_continue_at_their_interval_until_the_core_has_a_current_list() {
     let limits = limits();
     let mut contact = CoreContact::new(limits.recent_answer);
     contact.record_answer(PRIMARY, &[], 1_000 * MILLI, 1_000 * MILLI);
-    let mut readings = DirectFetchSchedule::new(&limits, 0);
+    let mut schedule = DirectFetchSchedule::new(&limits, 0);
     let mut due = Vec::new();
-    for at in (1_000..6_000).step_by(10) {
-        let now = at * MILLI;
+    for time_ms in (1_000..6_000).step_by(10) {
+        let now = time_ms * MILLI;
         contact.record_answer(PRIMARY, &[], now, now);
-        if at == 5_000 {
+        if time_ms == 5_000 {
             contact.record_current_list(now);
             assert!(!lacks_current_list(&contact, &limits, now));
         }
-        if readings.is_due(&contact, &limits, now) {
-            due.push(at);
+        if schedule.is_due(&contact, &limits, now) {
+            due.push(time_ms);
         }
     }
     assert_eq!(due, [2_810, 3_710, 4_610]);
--- a/tier/control/tests/scaling.rs
+++ b/tier/control/tests/scaling.rs
@@ -1,12 +1,12 @@
-//! The number of endpoints follows demand.
+//! Autoscaling: the desired number of endpoints for a demand.
 
 use quillmount_control::Scaler;
 use quillmount_wire::configuration::Autoscale;
 
-/// Microseconds of a second.
+/// Microseconds in a second.
 const SECOND: u64 = 1_000_000;
 
-/// From 3 to 12 endpoints, which take 4 s to start.
+/// Bounds of 3 to 12 endpoints, each with a start-up time of 4 s.
 fn bounds() -> Autoscale {
     Autoscale { floor: 3.0, ceiling: 12.0, boot_s: Some(4.0) }
 }
--- a/tier/control/tests/shards.rs
+++ b/tier/control/tests/shards.rs
@@ -1,10 +1,10 @@
-//! Views of shards: which members may lead, which count as in sync, and when one may leave.
+//! Views of shards: which members may be primary, which count as in sync, and when one may be removed.
 
 use quillmount_control::{Admission, ControlState, Retirement, SHARDS, ShardPlanInputs, shard_of};
 use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, ShardReport, ShardView};
 use std::collections::BTreeSet;
 
-/// A store with this disk.
+/// A store whose name and address contain its disk.
 fn store(disk: DiskId) -> NodeInfo {
     NodeInfo {
         name: format!("store-{disk}"),
@@ -16,7 +16,7 @@
     }
 }
 
-/// Inputs of the planner with these live stores and no reports.
+/// Inputs of the planner with these live stores, no reports and one tolerated failure.
 fn inputs(live: &[DiskId]) -> ShardPlanInputs {
     ShardPlanInputs {
         live: live.iter().copied().collect(),
@@ -25,7 +25,7 @@
     }
 }
 
-/// A state whose shards are spread over these stores.
+/// A state with these stores and with shards spread over them.
 fn state_with_shards(disks: &[DiskId]) -> ControlState {
     let mut state = ControlState::default();
     disks.iter().for_each(|disk| assert_eq!(state.admit_store(&store(*disk)), Admission::Admitted));
@@ -33,7 +33,7 @@
     state
 }
 
-/// Plans until nothing changes; joining members catch up at once.
+/// Runs the planner until nothing changes; joining members catch up between two runs.
 fn plan_until_stable(state: &mut ControlState, mut inputs: ShardPlanInputs) {
     for _ in 0..20 {
         inputs.reports = reports(state, &inputs.live);
@@ -44,7 +44,7 @@
     panic!("the views never become stable");
 }
 
-/// Reports of all primaries: joining members that are live have caught up.
+/// Reports of all primaries, in which every live joining member has caught up.
 fn reports(state: &ControlState, live: &BTreeSet<DiskId>) -> Vec<ShardReport> {
     let report = |(shard, view): (usize, &ShardView)| ShardReport {
         shard: shard as u32,
@@ -59,7 +59,7 @@
 fn shards_are_created_and_spread_once_there_are_enough_stores() {
     let mut state = ControlState::default();
     state.admit_store(&store(1));
-    assert!(!state.plan_shards(&inputs(&[1])), "one store can't survive the loss of one");
+    assert!(!state.plan_shards(&inputs(&[1])), "one store cannot tolerate the loss of one");
     let state = state_with_shards(&[1, 2, 3]);
     assert_eq!(state.placement.shards.len(), SHARDS);
     for disk in [1, 2, 3] {
@@ -98,10 +98,10 @@
     disks.iter().for_each(|disk| assert_eq!(state.admit_store(&store(*disk)), Admission::Admitted));
     let all = ShardPlanInputs { tolerated_failures: 2, ..inputs(&disks) };
     assert!(state.plan_shards(&all));
-    // Two are lost, one more is to be emptied.
+    // Two stores are lost, and one more is retired.
     state.retire("store-3", 2);
-    let left = ShardPlanInputs { tolerated_failures: 2, ..inputs(&[3, 4, 5, 6]) };
-    plan_until_stable(&mut state, left);
+    let remaining = ShardPlanInputs { tolerated_failures: 2, ..inputs(&[3, 4, 5, 6]) };
+    plan_until_stable(&mut state, remaining);
     for view in &state.placement.shards {
         assert!(view.in_sync.len() >= 3, "{view:?}");
         assert!(!view.in_sync.contains(&1) && !view.in_sync.contains(&2), "{view:?}");
@@ -121,20 +121,21 @@
     assert!(state.placement.shards.iter().all(|view| view.in_sync.len() == 3));
 }
 
-/// A joining member that does not answer and that no other store can replace stays: a change of the view would only make
-/// the primary restart its repairs.
+/// A joining member that is unresponsive is not removed if no other store can replace it. A change of the view would
+/// only make the primary restart its repairs.
 #[test]
 fn slow_joining_members_do_not_change_views_repeatedly() {
     let mut state = ControlState::default();
     (1..=4).for_each(|disk| assert_eq!(state.admit_store(&store(disk)), Admission::Admitted));
-    let with = |live: &[DiskId], reports| ShardPlanInputs { tolerated_failures: 2, reports, ..inputs(live) };
-    assert!(state.plan_shards(&with(&[1, 2, 3, 4], Vec::new())));
-    // Two disks are lost at once, and both machines are back without what they had.
+    let plan_inputs =
+        |live: &[DiskId], reports| ShardPlanInputs { tolerated_failures: 2, reports, ..inputs(live) };
+    assert!(state.plan_shards(&plan_inputs(&[1, 2, 3, 4], Vec::new())));
+    // Two disks are lost at the same time, and both machines return with empty disks.
     for (disk, former) in [(33, 3), (34, 4)] {
         state.admit_store(&NodeInfo { disk, ..store(former) });
     }
     let live = [1, 2, 33, 34];
-    while state.plan_shards(&with(&live, Vec::new())) {}
+    while state.plan_shards(&plan_inputs(&live, Vec::new())) {}
     let before = state.placement.shards.clone();
     for unresponsive in [33, 34] {
         let report = |(shard, view): (usize, &ShardView)| ShardReport {
@@ -144,7 +145,7 @@
             caught_up: Vec::new(),
         };
         let reports = state.placement.shards.iter().enumerate().map(report).collect();
-        state.plan_shards(&with(&live, reports));
+        state.plan_shards(&plan_inputs(&live, reports));
         assert_eq!(state.placement.shards, before, "{unresponsive}");
     }
 }
@@ -190,7 +191,7 @@
 #[test]
 fn a_draining_store_with_the_only_live_replica_stays() {
     let mut state = state_with_shards(&[1, 2, 3]);
-    // The others that have replicas are gone, and two empty stores have come instead.
+    // The other stores with replicas are lost, and two empty stores are added.
     assert_eq!(state.admit_store(&store(4)), Admission::Admitted);
     assert_eq!(state.admit_store(&store(5)), Admission::Admitted);
     assert_eq!(state.retire("store-1", 1), Retirement::Serving);
@@ -202,7 +203,7 @@
         assert!(view.in_sync.contains(&1), "{view:?}");
     }
     assert_eq!(state.retirement("store-1"), Retirement::Serving);
-    // Once others have caught up, it goes.
+    // It is removed once others have caught up.
     plan_until_stable(&mut state, inputs(&[1, 4, 5]));
     assert_eq!(state.retirement("store-1"), Retirement::Done);
     assert!(state.placement.shards.iter().all(|view| view.in_sync.contains(&4) && view.in_sync.contains(&5)));
@@ -218,7 +219,7 @@
     }
     state.admit_core_member(&core(33, "c"), &BTreeSet::new());
     assert_eq!(state.core_disks(), [1, 2, 33]);
-    // Another machine replaces a silent one, and is added if none is silent.
+    // Another machine replaces a silent member, and is added if no member is silent.
     state.admit_core_member(&core(4, "d"), &BTreeSet::from([2]));
     assert_eq!(state.core_disks(), [1, 4, 33]);
     state.admit_core_member(&core(5, "e"), &BTreeSet::new());
@@ -245,7 +246,7 @@
     assert!(counts.iter().all(|count| (50..=160).contains(count)), "{counts:?}");
 }
 
-/// Each deliberate fault of the planner is detected by one of the tests above.
+/// Each injected fault of the planner is detected by one of the tests above.
 #[cfg(feature = "breaks")]
 #[test]
 fn each_break_of_views_is_found() {
@@ -261,6 +262,6 @@
         breaks::set(Some(one));
         let failed = seeds::fails(test);
         breaks::set(None);
-        assert!(failed, "{one:?} is not found");
+        assert!(failed, "the tests do not detect {one:?}");
     }
 }
--- a/tier/control/tests/stored_register.rs
+++ b/tier/control/tests/stored_register.rs
@@ -1,4 +1,5 @@
-//! The register of a core member as it is stored: the fixture is read, checked value by value, and written to the same bytes.
+//! The stored form of a core member's register: fixtures are decoded, checked field by field, and encoded to the same
+//! bytes.
 
 use quillmount_control::{
     AppliedOrder, ControlState, Member, Order, OrderKind, OrderOutcome, Retirement, ShardPlanInputs, shard_of,
@@ -11,24 +12,23 @@
 
 const FIXTURES: Fixtures = Fixtures::of_package(env!("CARGO_MANIFEST_DIR"));
 
-/// The fixture of an encoded control state.
+/// File name of the fixture with an encoded control state.
 const STATE: &str = "control-state.bin";
-/// The fixture of an encoded register.
+/// File name of the fixture with an encoded register.
 const REGISTER: &str = "register.bin";
 
 /// The first configuration of the stored state.
 const CONFIGURATION: &str = r#"{"Gen":3,"Routes":[{"Name":"r","Host":"a.example","PathPrefix":"/","DeadlineMs":500,"Backend":"m"}],"Backends":[{"Name":"m"}]}"#;
-/// A change of that configuration.
+/// A patch of that configuration.
 const PATCH: &str = r#"{"Gen":5,"Upsert":{"Accounts":[{"Name":"t","Apikeys":["k"]}]}}"#;
 /// The configuration after the patch.
 const PATCHED: &str = r#"{"Accounts":[{"Apikeys":["k"],"Name":"t"}],"Backends":[{"Name":"m"}],"Gen":5,"Routes":[{"Backend":"m","DeadlineMs":500,"Host":"a.example","Name":"r","PathPrefix":"/"}]}"#;
 
-/// An order with this body.
 fn order(kind: OrderKind, base: u64, body: &str) -> Order {
     Order { kind, base, body: body.to_owned() }
 }
 
-/// A core member with this number.
+/// Core member `number`, with disk `100 + number`.
 fn core(number: u64) -> NodeInfo {
     NodeInfo {
         name: format!("core-{number}"),
@@ -40,7 +40,7 @@
     }
 }
 
-/// A store with this number.
+/// Store `number`, with disk `200 + number`.
 fn store(number: u64) -> NodeInfo {
     NodeInfo {
         name: format!("store-{number}"),
@@ -52,13 +52,13 @@
     }
 }
 
-/// Counts of tenants in a usage window.
+/// A usage report of a window, from pairs of tenant and count.
 fn usage(window: u64, counts: &[(&str, u64)]) -> UsageWindow {
     let counts = counts.iter().map(|(tenant, count)| ((*tenant).to_owned(), *count)).collect();
     UsageWindow { window, counts }
 }
 
-/// A state that went through every kind of change.
+/// The state from which the fixture was encoded, with at least one change of every kind.
 fn control_state() -> ControlState {
     let mut state = ControlState::default();
     (1..=3).for_each(|number| _ = state.admit_core_member(&core(number), &BTreeSet::new()));
@@ -66,7 +66,7 @@
     let mut inputs =
         ShardPlanInputs { live: (201..=204).collect(), tolerated_failures: 1, ..ShardPlanInputs::default() };
     state.plan_shards(&inputs);
-    // One member does not answer: it no longer counts as in sync, and joins once more.
+    // One member is unresponsive: it is removed from the in-sync set and joins again.
     let unresponsive = state.placement.shards[0].in_sync[1];
     inputs.reports =
         vec![ShardReport { shard: 0, epoch: 1, unresponsive: vec![unresponsive], caught_up: Vec::new() }];
@@ -80,7 +80,7 @@
     state
 }
 
-/// A register that has accepted the stored state.
+/// The register from which the fixture was encoded, with the control state as its accepted value.
 fn register() -> Register {
     let payload = control_state().encode();
     let value = RegisterValue { members: vec![101, 102, 103], prior: Some(vec![101, 102]), payload };
@@ -88,12 +88,12 @@
     Register { promised: 7, promised_to: 102, accepted: Some(accepted) }
 }
 
-/// The state of the fixture.
+/// The decoded state of the fixture.
 fn stored_state() -> ControlState {
     ControlState::decode(&FIXTURES.check(STATE, &control_state().encode())).unwrap()
 }
 
-/// The register of the fixture.
+/// The decoded register of the fixture.
 fn stored_register() -> Register {
     decode(&FIXTURES.check(REGISTER, &encode(&register()))).unwrap()
 }
@@ -136,7 +136,7 @@
         .map(|(digest, version)| AppliedOrder { digest: *digest, version })
         .collect();
     assert_eq!(state.applied_orders, applied_orders);
-    // A retried order is recognized by its digest; others are judged by their base.
+    // A retried order is recognized by its digest; the outcome of any other depends on its base version.
     assert_eq!(
         state.apply_order(&order(OrderKind::Put, 0, CONFIGURATION)),
         OrderOutcome::Applied { version: 3 }
@@ -152,11 +152,11 @@
 #[test]
 fn a_stored_state_has_its_nodes() {
     let state = stored_state();
-    let facts = |node: &NodeInfo| {
+    let identity = |node: &NodeInfo| {
         let texts = [&node.name, &node.internal, node.admin.as_ref().unwrap(), &node.zone].map(String::clone);
         (texts, node.disk, node.role == NodeRole::Core)
     };
-    let core: Vec<([String; 4], u64, bool)> = state.placement.core.iter().map(facts).collect();
+    let core: Vec<([String; 4], u64, bool)> = state.placement.core.iter().map(identity).collect();
     let expected = [
         (["core-1", "10.1.0.1:7360", "10.1.0.1:8683", "a"].map(str::to_owned), 101, true),
         (["core-2", "10.1.0.2:7360", "10.1.0.2:8683", "a"].map(str::to_owned), 102, true),
@@ -207,7 +207,7 @@
 fn a_stored_state_has_its_usage() {
     let mut state = stored_state();
     assert_eq!(state.usage, [usage(40, &[]), usage(41, &[("t", 7), ("u", u64::MAX)])]);
-    // A window that was reported does not change.
+    // The counts of a finalized window do not change.
     assert_eq!(state.finalize_usage(usage(41, &[("t", 8)])), usage(41, &[("t", 7), ("u", u64::MAX)]));
 }
 
--- a/tier/control/tests/time_limits.rs
+++ b/tier/control/tests/time_limits.rs
@@ -1,11 +1,11 @@
-//! Limits derived from the bounds of a deployment: each stays within its bound, whatever that is.
+//! Limits derived from the bounds of a deployment: each stays within its bound for any value of the bound.
 
 use quickcheck::QuickCheck;
 use quillmount_control::TimeLimits;
 use quillmount_wire::settings::Bounds;
 use std::time::Duration;
 
-/// Longest time by which the platform's list is behind, as a part of `DrainMs`: `LagMs` of the deployments is a quarter of it.
+/// Maximum lag of the platform's list, as a fraction of `DrainMs`. In the deployments, `LagMs` is a quarter of `DrainMs`.
 const LIST_LAG: f64 = 0.27;
 
 #[test]
@@ -36,24 +36,25 @@
         };
         let limits = TimeLimits::new(&bounds);
         let bound = Duration::from_micros((bound_ms * 1000.0) as u64);
-        let listed = limits.core_silence + limits.direct_fetch_interval + bound.mul_f64(LIST_LAG);
+        let worst_case = limits.core_silence + limits.direct_fetch_interval + bound.mul_f64(LIST_LAG);
         limits.change_timeout <= bound
             && limits.recent_answer <= bound
-            && listed <= bound
+            && worst_case <= bound
             && limits.max_refusal_age <= bound
             && limits.item_silence * 2 <= bound
     }
     QuickCheck::new().tests(500).quickcheck(within as fn(u32) -> bool);
 }
 
-/// A list that is published as current, the time without another, and the reading that follows are within `DrainMs`.
+/// The age at which a list is still published as current, the time without another one, and the fetch that follows
+/// add up to less than `DrainMs`.
 #[test]
 fn a_process_replaces_an_old_list_within_the_bound() {
     fn within(bound_ms: u32) -> bool {
         let limits = TimeLimits::new(&Bounds { drain_ms: f64::from(bound_ms), ..Bounds::default() });
         let bound = Duration::from_millis(u64::from(bound_ms));
-        let replaced = limits.max_published_list_age + limits.max_current_list_age;
-        replaced <= bound.mul_f64(0.85)
+        let worst_case = limits.max_published_list_age + limits.max_current_list_age;
+        worst_case <= bound.mul_f64(0.85)
             && limits.max_published_list_age + limits.direct_fetch_interval <= bound
     }
     QuickCheck::new().tests(500).quickcheck(within as fn(u32) -> bool);
--- a/tier/control/tests/usage.rs
+++ b/tier/control/tests/usage.rs
@@ -1,14 +1,14 @@
-//! When the counts of a usage window are finalized, and that they are only once.
+//! When the counts of a usage window are finalized, and that they are finalized only once.
 
 use quillmount_control::{ControlState, LastPoll, all_reported, may_finalize};
 use quillmount_wire::messages::UsageWindow;
 
-/// Microseconds of a second.
+/// Microseconds in a second.
 const SECOND: u64 = 1_000_000;
 
-/// A process that was heard at this time and does not drain.
-fn heard(name: &str, at: u64) -> LastPoll<'_> {
-    LastPoll { machine_name: name, polled_at: at, draining: false }
+/// The last poll of a process that is not draining.
+fn last_poll(machine_name: &str, polled_at: u64) -> LastPoll<'_> {
+    LastPoll { machine_name, polled_at, draining: false }
 }
 
 #[test]
@@ -21,7 +21,7 @@
 
 #[test]
 fn a_silent_process_is_waited_for_until_it_is_forgotten() {
-    let processes = [heard("a", 20 * SECOND), heard("b", 9 * SECOND)];
+    let processes = [last_poll("a", 20 * SECOND), last_poll("b", 9 * SECOND)];
     assert!(all_reported(processes.into_iter(), 8 * SECOND, 20 * SECOND));
     assert!(!all_reported(processes.into_iter(), 10 * SECOND, 20 * SECOND));
     assert!(all_reported(processes.into_iter(), 10 * SECOND, 21 * SECOND));
@@ -29,13 +29,13 @@
 
 #[test]
 fn the_next_incarnation_of_a_machine_counts_for_it() {
-    let processes = [heard("a", 9 * SECOND), heard("a", 12 * SECOND), heard("a", 3 * SECOND)];
+    let processes = [last_poll("a", 9 * SECOND), last_poll("a", 12 * SECOND), last_poll("a", 3 * SECOND)];
     assert!(all_reported(processes.into_iter(), 11 * SECOND, 13 * SECOND));
 }
 
 #[test]
 fn a_process_that_stops_is_not_waited_for() {
-    let processes = [LastPoll { draining: true, ..heard("a", 9 * SECOND) }];
+    let processes = [LastPoll { draining: true, ..last_poll("a", 9 * SECOND) }];
     assert!(all_reported(processes.into_iter(), 11 * SECOND, 13 * SECOND));
 }
 
