--- a/tier/control/src/core_contact.rs
+++ b/tier/control/src/core_contact.rs
@@ -5,6 +5,9 @@
 
 /// Addresses at which a process reaches the core, and when the primary last answered. The caller passes in the
 /// current time.
+///
+/// An answer with the primary's tables contains every table that is newer than the one that the poll named; it may
+/// therefore be empty. A busy primary answers without them.
 #[derive(Clone, Debug, Default)]
 pub struct CoreContact {
     /// Time for which an answer of the primary counts as recent.
--- a/tier/control/src/directory.rs
+++ b/tier/control/src/directory.rs
@@ -73,7 +73,7 @@
     }
 
     /// Records that the platform does not provide its list now because it is down, slow or unreachable. No newer list
-    /// can be had, so the present one counts as current.
+    /// is available, so the present one counts as current.
     pub fn note_unavailable(&mut self, now: Micros) {
         self.current_as_of = self.current_as_of.max(Some(now));
     }
--- a/tier/control/tests/core_contact.rs
+++ b/tier/control/tests/core_contact.rs
@@ -7,7 +7,7 @@
 const PRIMARY: &str = "10.0.0.1:1";
 
 #[test]
-fn an_answer_without_tables_confirms_nothing_that_is_known() {
+fn a_busy_answer_does_not_confirm_the_tables() {
     let mut contact = CoreContact::new(Duration::from_millis(1500));
     contact.record_busy(PRIMARY, SECOND);
     assert!(!contact.has_ever_answered() && !contact.has_recent_primary(SECOND));
--- a/tier/control/tests/directory.rs
+++ b/tier/control/tests/directory.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_new_primary_sends_changes_to_those_who_have_the_list_that_it_had() {
+fn a_new_primary_sends_differences_to_subscribers_with_its_former_list() {
     let former = list(&[(1, false), (2, false), (3, false)]);
     let mut directory = Directory::succeeding(version(5), Rc::new(former.clone()));
     assert_eq!(
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_list_that_a_process_read_itself_is_nobody_elses() {
+fn a_list_fetched_directly_is_no_base_for_differences() {
     let mut directory = Directory::succeeding(version(0), Rc::new(list(&[(1, false)])));
     directory.replace(list(&[(1, false)]), 0);
     assert!(matches!(directory.update_since_predecessor(version(0)), Some(DirectoryUpdate::Full(_))));
--- a/tier/control/tests/fenced_calls.rs
+++ b/tier/control/tests/fenced_calls.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_token_that_was_refused_is_used_again_for_no_call_on_that_subject() {
+fn a_refused_token_is_not_used_for_another_call_on_that_subject() {
     let mut calls = FencedCalls::default();
     calls.use_token(7);
     assert!(calls.may_call(&FencedSubject::Usage) && calls.may_call(&scale("a")));
--- a/tier/control/tests/orders.rs
+++ b/tier/control/tests/orders.rs
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn the_state_survives_its_encoding() {
+fn an_encoded_state_decodes_to_the_same_state() {
     let mut state = state_at_version_5();
     state.placement_version = 3;
     assert_eq!(ControlState::decode(&state.encode()).unwrap(), state);
--- a/tier/control/tests/published_list.rs
+++ b/tier/control/tests/published_list.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn the_age_of_a_list_counts_from_the_beginning_of_its_reading() {
+fn the_age_of_a_list_counts_from_the_start_of_its_fetch() {
     let mut directory = Directory::default();
     directory.replace(vec![endpoint("i-1")], 1_000 * MILLI);
     // The process was suspended during the fetch.
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn the_last_list_is_published_while_the_platform_gives_none() {
+fn the_last_list_is_published_while_the_platform_is_unavailable() {
     let mut directory = Directory::default();
     directory.replace(vec![endpoint("i-1")], 1_000 * MILLI);
     directory.note_unavailable(5_000 * MILLI);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_process_whose_primary_has_no_current_list_reads_it_itself() {
+fn a_process_whose_primary_has_no_current_list_fetches_it_directly() {
     let mut directory = Directory::default();
     directory.replace(vec![endpoint("i-1")], 1_000 * MILLI);
     // The last answer with a current list is the one at 1,600 ms.
--- a/tier/control/tests/stored_register.rs
+++ b/tier/control/tests/stored_register.rs
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn jobs_stay_in_their_shards() {
+fn the_shard_of_a_job_never_changes() {
     let shards: Vec<u32> = ["", "job-1", "job-2", "a", "Ünï"].iter().map(|job| shard_of(job, 16)).collect();
     assert_eq!(shards, [5, 6, 3, 12, 6]);
 }
--- a/tier/control/tests/table_history.rs
+++ b/tier/control/tests/table_history.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_proposal_that_was_replaced_is_not_what_a_difference_leads_to() {
+fn a_difference_does_not_lead_to_a_replaced_proposal() {
     let mut history = TableHistory::default();
     let (first, lost, second) = (state(1, "first"), state(2, "lost"), state(2, "second"));
     history.record(&first);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_table_that_is_new_throughout_is_sent_whole() {
+fn a_table_without_common_content_is_sent_whole() {
     let mut history = TableHistory::default();
     let (old, new) = (state(1, "a"), ControlState { configuration: "x".repeat(1500), ..state(2, "") });
     history.record(&old);
--- a/tier/control/tests/time_limits.rs
+++ b/tier/control/tests/time_limits.rs
@@ -9,7 +9,7 @@
 const LIST_LAG: f64 = 0.27;
 
 #[test]
-fn the_bounds_of_the_settings_page_give_the_ceilings() {
+fn the_default_bounds_lead_to_the_ceilings() {
     let limits = TimeLimits::new(&Bounds::default());
     assert_eq!(limits.change_timeout, Duration::from_millis(3_000));
     assert_eq!(limits.recent_answer, Duration::from_millis(1_500));
