--- a/tier/dataplane/tests/planes/machine.rs
+++ b/tier/dataplane/tests/planes/machine.rs
@@ -3,7 +3,7 @@
 use crate::core_side::{PendingPoll, Waiting};
 use crate::duties::UsageReporting;
 use crate::platform::SERVICE;
-use quillmount_control::direct_list::DirectReadings;
+use quillmount_control::direct_list::DirectFetchSchedule;
 use quillmount_control::subscription::Subscription;
 use quillmount_control::{CoreContact, Directory, Leases, Member, TableHistory, Ticket, TimeLimits};
 use quillmount_dataplane::dispatch::Dispatcher;
@@ -94,7 +94,7 @@
     /// Earliest time at which this machine, as primary without a current endpoint list, reads the list again.
     pub next_list_read: Time,
     /// Schedule of direct reads of the endpoint list, without the core.
-    pub direct_reads: DirectReadings,
+    pub direct_reads: DirectFetchSchedule,
     pub pending_polls: Vec<PendingPoll>,
     pub waiting: BTreeMap<Ticket, Waiting>,
     pub usage_reporting: UsageReporting,
@@ -185,7 +185,7 @@
             directory: Directory::default(),
             history: TableHistory::default(),
             next_list_read: 0,
-            direct_reads: DirectReadings::new(limits, now),
+            direct_reads: DirectFetchSchedule::new(limits, now),
             pending_polls: Vec::new(),
             waiting: BTreeMap::new(),
             usage_reporting: UsageReporting::default(),
