--- a/tier/batch/src/replica/term.rs
+++ b/tier/batch/src/replica/term.rs
@@ -20,7 +20,7 @@
         self.epoch = view.epoch;
         let is_named_primary = view.primary == self.identity.disk;
         match &mut self.primary {
-            Some(primary) if is_named_primary && primary.group.view().since == view.since => {
+            Some(primary) if is_named_primary && primary.group.view().primary_since == view.primary_since => {
                 primary.group.follow(view.clone());
                 primary.drop_calls();
             }
@@ -51,8 +51,8 @@
             return;
         }
         let tolerated_failures = self.identity.tolerated_failures;
-        let resumes =
-            self.last_primary_epoch >= view.since && !breaks::is_enabled(Break::ReportedMembersNotRequired);
+        let resumes = self.last_primary_epoch >= view.primary_since
+            && !breaks::is_enabled(Break::ReportedMembersNotRequired);
         let (shard, epoch) = (self.identity.shard, view.epoch);
         let group = if resumes {
             ReplicaGroup::resume(view, tolerated_failures)
--- a/tier/batch/tests/cluster/steps.rs
+++ b/tier/batch/tests/cluster/steps.rs
@@ -26,7 +26,7 @@
 
 /// Returns a view in which member 1 is the primary.
 fn view(epoch: Epoch, in_sync: &[DiskId], joining: &[DiskId]) -> ShardView {
-    ShardView { epoch, primary: 1, since: 5, in_sync: in_sync.to_vec(), joining: joining.to_vec() }
+    ShardView { epoch, primary: 1, primary_since: 5, in_sync: in_sync.to_vec(), joining: joining.to_vec() }
 }
 
 /// The environment of one replica: members that answer, and a disk that syncs or does not.
--- a/tier/control/src/orders.rs
+++ b/tier/control/src/orders.rs
@@ -128,8 +128,8 @@
             OrderKind::Put => order.body.clone(),
             OrderKind::Patch => apply_patch(&self.configuration, &order.body)?,
         };
-        let configuration = Configuration::read(&text)?;
-        configuration.check(self.version)?;
+        let configuration = Configuration::parse(&text)?;
+        configuration.validate(self.version)?;
         Ok(NextConfiguration { version: configuration.version, text })
     }
 }
--- a/tier/control/src/polls.rs
+++ b/tier/control/src/polls.rs
@@ -142,7 +142,7 @@
 pub fn size(answer: &ChangedTables) -> usize {
     let ChangedTables { tables, configuration, placement } = answer;
     let deltas: usize =
-        [configuration, placement].into_iter().flatten().map(|delta| delta.content.size()).sum();
+        [configuration, placement].into_iter().flatten().map(|delta| delta.content.estimated_bytes()).sum();
     let whole_configuration = tables.configuration.as_ref().map_or(0, |table| table.content.len());
     let whole_placement = tables.placement.as_ref().map_or(0, |table| placement_size(&table.content));
     let directory = tables.directory.as_ref().map_or(0, |table| directory_size(&table.content));
--- a/tier/control/src/shards/planner.rs
+++ b/tier/control/src/shards/planner.rs
@@ -85,7 +85,7 @@
         let view = |shard: usize| {
             let in_sync: Vec<DiskId> =
                 (0..replicas).map(|replica| stores[(shard + replica) % stores.len()]).collect();
-            ShardView { epoch: 1, primary: in_sync[0], since: 1, in_sync, joining: Vec::new() }
+            ShardView { epoch: 1, primary: in_sync[0], primary_since: 1, in_sync, joining: Vec::new() }
         };
         self.placement.shards = (0..SHARDS).map(view).collect();
         true
@@ -111,8 +111,8 @@
         let former_primary = self.primary_counts.entry(view.primary).or_default();
         *former_primary = former_primary.saturating_sub(1);
         let epoch = view.epoch + 1;
-        let since = if planned.primary == view.primary { view.since } else { epoch };
-        *view = ShardView { epoch, since, ..planned };
+        let primary_since = if planned.primary == view.primary { view.primary_since } else { epoch };
+        *view = ShardView { epoch, primary_since, ..planned };
     }
 
     /// The view that a shard should have; its epochs are set by [`Self::replace_view`].
--- a/tier/control/src/table_history.rs
+++ b/tier/control/src/table_history.rs
@@ -57,7 +57,7 @@
         let retained = self.versions.iter().find(|retained| retained.version == known_version)?;
         let delta = retained.delta_to_newest.get_or_init(|| {
             let delta = Delta::between(&retained.content, &target.content);
-            (delta.size() * MIN_SIZE_RATIO < target.content.len()).then_some(delta)
+            (delta.estimated_bytes() * MIN_SIZE_RATIO < target.content.len()).then_some(delta)
         });
         delta.as_ref()
     }
--- a/tier/control/src/time_limits.rs
+++ b/tier/control/src/time_limits.rs
@@ -5,7 +5,7 @@
 
 use crate::breaks::{self, Break};
 use quillmount_wire::Micros;
-use quillmount_wire::settings::Bounds;
+use quillmount_wire::settings::SloSettings;
 use std::time::Duration;
 
 /// Rule that derives a limit: a fraction of a bound, up to a ceiling.
@@ -86,7 +86,7 @@
 
     /// Derives the limits from the bounds of the deployment.
     #[must_use]
-    pub fn new(bounds: &Bounds) -> TimeLimits {
+    pub fn new(bounds: &SloSettings) -> TimeLimits {
         let unless_disabled =
             |limit: Duration| if breaks::is_enabled(Break::NoOwnList) { Duration::MAX } else { limit };
         TimeLimits {
--- a/tier/control/tests/orders.rs
+++ b/tier/control/tests/orders.rs
@@ -117,7 +117,7 @@
         route("new", "/new/", "s")
     );
     assert_eq!(state.apply_order(&patch(5, &body)), OrderOutcome::Applied { version: 8 });
-    let read = Configuration::read(&state.configuration).unwrap();
+    let read = Configuration::parse(&state.configuration).unwrap();
     let prefixes: Vec<&str> = read.routes.iter().map(|route| route.prefix.as_str()).collect();
     assert_eq!(prefixes, ["/moved/", "/new/"]);
     assert_eq!(read.tenants.unwrap().len(), 0);
--- a/tier/control/tests/published_list.rs
+++ b/tier/control/tests/published_list.rs
@@ -6,14 +6,14 @@
 use quillmount_control::{ControlState, CoreContact, Directory, Leases, TableHistory, TimeLimits};
 use quillmount_wire::Micros;
 use quillmount_wire::messages::{ChangedTables, DirectoryVersion, Endpoint, TableVersions, Tables};
-use quillmount_wire::settings::Bounds;
+use quillmount_wire::settings::SloSettings;
 
 const MILLI: Micros = 1_000;
 const EPOCH: u64 = 2;
 const PRIMARY: &str = "10.0.0.1:1";
 
 fn limits() -> TimeLimits {
-    TimeLimits::new(&Bounds::default())
+    TimeLimits::new(&SloSettings::default())
 }
 
 fn endpoint(id: &str) -> Endpoint {
--- a/tier/control/tests/shards.rs
+++ b/tier/control/tests/shards.rs
@@ -76,7 +76,7 @@
     for (old, new) in before.iter().zip(&state.placement.shards) {
         assert!(new.epoch > old.epoch);
         assert!(old.in_sync.contains(&new.primary) && new.primary != 1);
-        assert_eq!(new.since == new.epoch, old.primary != new.primary);
+        assert_eq!(new.primary_since == new.epoch, old.primary != new.primary);
     }
 }
 
--- a/tier/control/tests/stored_register.rs
+++ b/tier/control/tests/stored_register.rs
@@ -190,14 +190,14 @@
     let views = &state.placement.shards;
     assert_eq!(views.len(), 16);
     let first = &views[0];
-    assert_eq!((first.epoch, first.primary, first.since), (2, 201, 1));
+    assert_eq!((first.epoch, first.primary, first.primary_since), (2, 201, 1));
     assert_eq!(
         (first.in_sync.as_slice(), first.joining.as_slice()),
         ([201, 203].as_slice(), [202].as_slice())
     );
     for (shard, view) in views.iter().enumerate().skip(1) {
         let disk = |replica: usize| 201 + ((shard + replica) % 4) as u64;
-        assert_eq!((view.epoch, view.primary, view.since), (1, disk(0), 1), "shard {shard}");
+        assert_eq!((view.epoch, view.primary, view.primary_since), (1, disk(0), 1), "shard {shard}");
         assert_eq!(view.in_sync, [disk(0), disk(1), disk(2)], "shard {shard}");
         assert!(view.joining.is_empty(), "shard {shard}");
     }
--- a/tier/control/tests/time_limits.rs
+++ b/tier/control/tests/time_limits.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::QuickCheck;
 use quillmount_control::TimeLimits;
-use quillmount_wire::settings::Bounds;
+use quillmount_wire::settings::SloSettings;
 use std::time::Duration;
 
 /// Maximum lag of the platform's list, as a fraction of `DrainMs`. In the deployments, `LagMs` is a quarter of `DrainMs`.
@@ -10,14 +10,15 @@
 
 #[test]
 fn the_default_bounds_lead_to_the_ceilings() {
-    let limits = TimeLimits::new(&Bounds::default());
+    let limits = TimeLimits::new(&SloSettings::default());
     assert_eq!(limits.change_timeout, Duration::from_millis(3_000));
     assert_eq!(limits.recent_answer, Duration::from_millis(1_500));
     assert_eq!(limits.core_silence, Duration::from_millis(1_200));
     assert_eq!(limits.direct_fetch_interval, Duration::from_millis(900));
     assert_eq!(limits.max_refusal_age, Duration::from_millis(1_000));
     assert_eq!(limits.item_silence, Duration::from_millis(4_000));
-    let larger = Bounds { ack_ms: 6e3, contact_ms: 5e3, drain_ms: 4e3, apply_ms: 3e3, ..Bounds::default() };
+    let larger =
+        SloSettings { ack_ms: 6e3, contact_ms: 5e3, drain_ms: 4e3, apply_ms: 3e3, ..SloSettings::default() };
     let expected = TimeLimits { max_refusal_age: Duration::from_millis(1_500), ..limits };
     assert_eq!(TimeLimits::new(&larger), expected);
 }
@@ -26,13 +27,13 @@
 fn every_limit_is_within_its_bound() {
     fn within(bound_ms: u32) -> bool {
         let bound_ms = f64::from(bound_ms);
-        let bounds = Bounds {
+        let bounds = SloSettings {
             ack_ms: bound_ms,
             contact_ms: bound_ms,
             drain_ms: bound_ms,
             apply_ms: bound_ms,
             complete_s: bound_ms / 1000.0,
-            ..Bounds::default()
+            ..SloSettings::default()
         };
         let limits = TimeLimits::new(&bounds);
         let bound = Duration::from_micros((bound_ms * 1000.0) as u64);
@@ -51,14 +52,15 @@
 #[test]
 fn a_process_replaces_an_old_list_within_the_bound() {
     fn within(bound_ms: u32) -> bool {
-        let limits = TimeLimits::new(&Bounds { drain_ms: f64::from(bound_ms), ..Bounds::default() });
+        let limits =
+            TimeLimits::new(&SloSettings { drain_ms: f64::from(bound_ms), ..SloSettings::default() });
         let bound = Duration::from_millis(u64::from(bound_ms));
         let worst_case = limits.max_published_list_age + limits.max_current_list_age;
         worst_case <= bound.mul_f64(0.85)
             && limits.max_published_list_age + limits.direct_fetch_interval <= bound
     }
     QuickCheck::new().tests(500).quickcheck(within as fn(u32) -> bool);
-    let limits = TimeLimits::new(&Bounds::default());
+    let limits = TimeLimits::new(&SloSettings::default());
     assert_eq!(limits.max_published_list_age, Duration::from_millis(750));
     assert_eq!(limits.max_current_list_age, Duration::from_millis(1_800));
 }
--- a/tier/dataplane/src/dispatch/endpoint_state.rs
+++ b/tier/dataplane/src/dispatch/endpoint_state.rs
@@ -105,13 +105,13 @@
         match outcome {
             CallOutcome::FirstEvent(latency) => {
                 self.consecutive_failures = 0;
-                self.window.sample(now, normalized_latency(latency, uncached_tokens), slots);
+                self.window.record_latency(now, normalized_latency(latency, uncached_tokens), slots);
             }
             CallOutcome::TimedOut(silent_time) => {
-                self.window.sample(now, silent_time as f64, slots);
+                self.window.record_latency(now, silent_time as f64, slots);
                 self.back_off(now);
             }
-            CallOutcome::Refused => self.window.refused(slots),
+            CallOutcome::Refused => self.window.record_refusal(slots),
             CallOutcome::Replaced => self.endpoint.draining = true,
             CallOutcome::Lost => self.back_off(now),
             CallOutcome::Error => {
--- a/tier/dataplane/src/routes/route.rs
+++ b/tier/dataplane/src/routes/route.rs
@@ -70,7 +70,7 @@
     /// Chooses the service for a request by weight; `None` if no service has a weight above 0. `draw` is a random number, 0 or more and
     /// less than 1.
     pub fn pick_service(&self, draw: f64) -> Option<&str> {
-        let weighted = self.route.services();
+        let weighted = self.route.weighted_services();
         let total_weight: f64 = weighted.iter().map(|(_, weight)| weight).sum();
         let mut remaining = draw * total_weight;
         for (service, weight) in &weighted {
--- a/tier/dataplane/src/routes/table.rs
+++ b/tier/dataplane/src/routes/table.rs
@@ -96,7 +96,7 @@
 
     /// Whether any route limits the tokens of queued requests.
     pub fn limits_queued_tokens(&self) -> bool {
-        self.routes_by_name.values().any(|route| route.route.waiting_limit().is_some())
+        self.routes_by_name.values().any(|route| route.route.queued_token_limit().is_some())
     }
 
     /// Authenticates a request by its `Authorization` header. `public` says that the route needs no key.
@@ -117,14 +117,14 @@
 
     /// Maximum number of connections of all senders together to one endpoint of a service.
     pub fn connection_limit(&self, service: &str) -> u32 {
-        let configured = self.services.get(service).and_then(|service| service.connections);
+        let configured = self.services.get(service).and_then(|service| service.max_connections);
         configured.unwrap_or(DEFAULT_CONNECTIONS).clamp(1.0, MAX_CONNECTIONS) as u32
     }
 
     /// The share of each endpoint of a service that one of `senders` processes may use.
     pub fn share(&self, service: &str, senders: u32) -> ServiceShare {
         let runtime = self.services.get(service).and_then(|service| service.runtime.as_ref());
-        let memory = runtime.and_then(|runtime| runtime.token_memory).unwrap_or(DEFAULT_TOKEN_MEMORY);
+        let memory = runtime.and_then(|runtime| runtime.kv_cache_tokens).unwrap_or(DEFAULT_TOKEN_MEMORY);
         let cache_tokens = memory.max(0.0) as u64 / u64::from(senders.max(1));
         ServiceShare { slots: self.connection_limit(service) / senders.max(1), cache_tokens }
     }
--- a/tier/dataplane/src/tables.rs
+++ b/tier/dataplane/src/tables.rs
@@ -87,7 +87,7 @@
         if let Some(Versioned { version, content: text }) = tables.configuration
             && version > self.versions.configuration
         {
-            match Configuration::read(&text) {
+            match Configuration::parse(&text) {
                 Ok(configuration) => {
                     if !breaks::is_enabled(Break::RoutesOutdated) || self.versions.configuration == 0 {
                         next.routes = Rc::new(RouteTable::compile(&configuration));
--- a/tier/dataplane/tests/distribution/core_side.rs
+++ b/tier/dataplane/tests/distribution/core_side.rs
@@ -11,7 +11,7 @@
 };
 use quillmount_test_support::simulation::{MILLI, Simulation, Time};
 use quillmount_wire::messages::{ChangedTables, DiskId, Epoch, Poll, RegisterMessage, Request, Response};
-use quillmount_wire::settings::Bounds;
+use quillmount_wire::settings::SloSettings;
 use std::rc::Rc;
 
 /// Duration of a write of the register to disk.
@@ -197,7 +197,7 @@
         let member = state.member.as_ref().expect("a core machine has a member");
         let serving = member.serving().zip(member.committed_if_recent(now));
         let Some((epoch, committed)) = serving else { return self.refuse_poll(id, call) };
-        let limits = TimeLimits::new(&Bounds::default());
+        let limits = TimeLimits::new(&SloSettings::default());
         let published = PublishedTables {
             epoch,
             state: &committed,
--- a/tier/dataplane/tests/distribution/machine.rs
+++ b/tier/dataplane/tests/distribution/machine.rs
@@ -12,7 +12,7 @@
 use quillmount_test_support::simulation::Time;
 use quillmount_wire::frame::HEADER_BYTES;
 use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, Poll, Register, Request};
-use quillmount_wire::settings::Bounds;
+use quillmount_wire::settings::SloSettings;
 use std::collections::BTreeMap;
 
 /// Index of a machine in the world.
@@ -162,7 +162,7 @@
 
 impl ProcessMemory {
     fn new() -> ProcessMemory {
-        let limits = TimeLimits::new(&Bounds::default());
+        let limits = TimeLimits::new(&SloSettings::default());
         ProcessMemory {
             member: None,
             leases: Leases::default(),
--- a/tier/dataplane/tests/planes/machine.rs
+++ b/tier/dataplane/tests/planes/machine.rs
@@ -12,7 +12,7 @@
 use quillmount_test_support::simulation::Time;
 use quillmount_window::Parameters;
 use quillmount_wire::messages::{DiskId, NodeInfo, NodeRole, Register, UsageWindow};
-use quillmount_wire::settings::Bounds;
+use quillmount_wire::settings::SloSettings;
 use std::collections::{BTreeMap, HashMap};
 
 /// Index of a machine in the world.
@@ -123,7 +123,7 @@
 impl Machine {
     /// A machine with an empty register, whose process starts now.
     pub fn new(id: MachineId, role: NodeRole, disk: DiskId, now: Time) -> Machine {
-        let limits = TimeLimits::new(&Bounds::default());
+        let limits = TimeLimits::new(&SloSettings::default());
         let zone = (id % 3) as u32;
         let synced = Register::default();
         let state = ProcessMemory::new(role, disk, zone, &limits, &synced, now);
@@ -178,7 +178,7 @@
     ) -> ProcessMemory {
         let member =
             (role == NodeRole::Core).then(|| Member::new(disk, TOLERATED_FAILURES, synced.clone(), now));
-        let parameters = Parameters { alpha: 0.7, gamma: 0.5, beta: 3.0, multiple: 5.0 };
+        let parameters = Parameters { alpha: 0.7, gamma: 0.5, beta: 3.0, threshold_multiple: 5.0 };
         ProcessMemory {
             member,
             leases: Leases::default(),
--- a/tier/dataplane/tests/routes.rs
+++ b/tier/dataplane/tests/routes.rs
@@ -11,7 +11,7 @@
  "Accounts":[{"Name":"kaje","Apikeys":["k1","k2"],"Prio":1},{"Name":"vopu","Apikeys":["k3"]}]}"#;
 
 fn table() -> RouteTable {
-    RouteTable::compile(&Configuration::read(CONFIGURATION).unwrap())
+    RouteTable::compile(&Configuration::parse(CONFIGURATION).unwrap())
 }
 
 #[test]
--- a/tier/node/src/clock.rs
+++ b/tier/node/src/clock.rs
@@ -4,7 +4,7 @@
 //! day ([`wall_seconds`]) numbers usage windows and quota claims, which have to mean the same on all machines.
 
 use quillmount_wire::Micros;
-use quillmount_wire::ranges::LONGEST_SPAN_MS;
+use quillmount_wire::ranges::MAX_DURATION_MS;
 use std::sync::OnceLock;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -25,7 +25,7 @@
 /// Converts milliseconds, in which settings and configurations state spans of time. Negative values count as 0, and those
 /// over ten years as ten years: a moment and a span can always be added.
 pub fn micros_from_ms(span_ms: f64) -> Micros {
-    (span_ms.clamp(0.0, LONGEST_SPAN_MS) * 1000.0) as Micros
+    (span_ms.clamp(0.0, MAX_DURATION_MS) * 1000.0) as Micros
 }
 
 /// As [`micros_from_ms`], for timers.
--- a/tier/node/src/commands.rs
+++ b/tier/node/src/commands.rs
@@ -110,7 +110,7 @@
     }
     if let Some(path) = &check.configuration {
         let text = std::fs::read_to_string(path).into_diagnostic()?;
-        Configuration::read(&text).and_then(|read| read.check(0)).into_diagnostic()?;
+        Configuration::parse(&text).and_then(|configuration| configuration.validate(0)).into_diagnostic()?;
         println!("{path}: nothing is wrong");
     }
     Ok(())
--- a/tier/node/src/control_member/bootstrap.rs
+++ b/tier/node/src/control_member/bootstrap.rs
@@ -71,7 +71,7 @@
     }
     // A value in the register, or an answer of a primary, shows that the system exists already.
     let empty = core.is_none_or(ControlMember::is_blank) && !node.core_contact.borrow().has_ever_answered();
-    Response::Announced { node: node.info.clone(), empty, known: announcements.all() }
+    Response::Announced { node: node.info.clone(), empty, known_nodes: announcements.all() }
 }
 
 /// Announces this machine to all seeds until there is a first value, which the member with the lowest address writes.
@@ -107,7 +107,9 @@
         }
         match core.node.links.call(&address, &request, CALL_TIMEOUT).await {
             Ok(Response::Announced { empty: false, .. }) => return AnnounceRound::HasBegun,
-            Ok(Response::Announced { known, .. }) => known.iter().for_each(|node| announcements.record(node)),
+            Ok(Response::Announced { known_nodes, .. }) => {
+                known_nodes.iter().for_each(|node| announcements.record(node))
+            }
             _ => round = AnnounceRound::Incomplete,
         }
     }
--- a/tier/node/src/control_member/member.rs
+++ b/tier/node/src/control_member/member.rs
@@ -22,7 +22,7 @@
 use tokio::sync::{Notify, oneshot};
 
 /// The ring of a core member. Each record is a complete register: only the newest one counts.
-const RING: RingSize = RingSize { segment: 4 << 20, segments: 4 };
+const RING: RingSize = RingSize { segment_bytes: 4 << 20, max_segments: 4 };
 /// Interval between two ticks of the state machine.
 const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
--- a/tier/node/src/control_member/singletons/scaling.rs
+++ b/tier/node/src/control_member/singletons/scaling.rs
@@ -58,7 +58,8 @@
             orders = ScaleOrders { epoch, ..ScaleOrders::default() };
             orders.fenced.use_token(epoch);
         }
-        let configuration = core.committed().and_then(|state| Configuration::read(&state.configuration).ok());
+        let configuration =
+            core.committed().and_then(|state| Configuration::parse(&state.configuration).ok());
         let Some(configuration) = configuration else { continue };
         for service in &configuration.services {
             scale(&core, &mut orders, service).await;
--- a/tier/node/src/disk.rs
+++ b/tier/node/src/disk.rs
@@ -109,7 +109,7 @@
         DiskCommand::Release(segment) => ring.release(segment),
         DiskCommand::Append { body, done } => match ring.append(&body) {
             Ok(segment) => {
-                let written = Written { segment, free: ring.free() };
+                let written = Written { segment, free: ring.free_segments() };
                 unsynced.push(UnsyncedRecord { written, done });
             }
             Err(error) => {
--- a/tier/node/src/edge/client_connections.rs
+++ b/tier/node/src/edge/client_connections.rs
@@ -21,7 +21,7 @@
 impl ClientConnections {
     /// Limits the connections to a fraction of the file descriptors in the settings.
     pub(super) fn new(node: &Node) -> ClientConnections {
-        let limit = (node.settings.limits.open_files as f64 * CLIENT_FRACTION) as usize;
+        let limit = (node.settings.limits.max_open_files as f64 * CLIENT_FRACTION) as usize;
         ClientConnections { open: Cell::new(0), limit, closing: Latch::default(), refusing: Latch::default() }
     }
 
--- a/tier/node/src/edge/connection.rs
+++ b/tier/node/src/edge/connection.rs
@@ -35,7 +35,7 @@
 async fn run(node: &Rc<Node>, connections: &ClientConnections, mut connection: Connection) {
     loop {
         let limits = node.tables().routes.limits.clone();
-        let idle_timeout = clock::duration_from_ms(limits.idle_ms);
+        let idle_timeout = clock::duration_from_ms(limits.idle_timeout_ms);
         let input = tokio::select! {
             input = tokio::time::timeout(idle_timeout, connection.wait_for_input()) => input,
             () = connections.closing() => return,
--- a/tier/node/src/edge/mod.rs
+++ b/tier/node/src/edge/mod.rs
@@ -54,7 +54,7 @@
     tokio::task::spawn_local(rpc::serve(internal, handler, node.links.traffic().clone()));
     if let Some(core) = &core {
         start_core(core);
-        if node.settings.bootstrap && identity.is_some_and(|identity| identity.fresh) {
+        if node.settings.bootstrap && identity.is_some_and(|identity| identity.is_new) {
             tokio::task::spawn_local(bootstrap::run(core.clone(), announcements));
         }
     }
--- a/tier/node/src/http/connection.rs
+++ b/tier/node/src/http/connection.rs
@@ -123,15 +123,16 @@
 
     /// Reads a request whose first byte is in the buffer.
     async fn read_request(&mut self, limits: &ClientLimits) -> Result<HttpRequest, RequestReadError> {
-        let head = match timeout(clock::duration_from_ms(limits.head_ms), self.read_head(limits)).await {
-            Ok(head) => head?,
-            Err(_) => return Err(RequestReadError::Reject(408)),
-        };
+        let head =
+            match timeout(clock::duration_from_ms(limits.head_timeout_ms), self.read_head(limits)).await {
+                Ok(head) => head?,
+                Err(_) => return Err(RequestReadError::Reject(408)),
+            };
         if head.headers.has_token("Expect", "100-continue") {
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.map_err(|_| RequestReadError::Closed)?;
         }
-        let idle_timeout = clock::duration_from_ms(limits.idle_ms);
-        let body = self.read_body(head.framing, limits.body_bytes, idle_timeout).await?;
+        let idle_timeout = clock::duration_from_ms(limits.idle_timeout_ms);
+        let body = self.read_body(head.framing, limits.max_body_bytes, idle_timeout).await?;
         Ok(HttpRequest { head, body, arrived: clock::now() })
     }
 
@@ -139,13 +140,13 @@
         loop {
             match parse_request(&self.buffer) {
                 Ok(Some((head, length))) => {
-                    if length as u64 > limits.head_bytes {
+                    if length as u64 > limits.max_head_bytes {
                         return Err(RequestReadError::Reject(431));
                     }
                     self.buffer.drain(..length);
                     return Ok(head);
                 }
-                Ok(None) if self.buffer.len() as u64 > limits.head_bytes => {
+                Ok(None) if self.buffer.len() as u64 > limits.max_head_bytes => {
                     return Err(RequestReadError::Reject(431));
                 }
                 Ok(None) => {}
--- a/tier/node/src/http/server.rs
+++ b/tier/node/src/http/server.rs
@@ -31,9 +31,10 @@
 }
 
 async fn serve_connection(mut connection: Connection, service: HttpService) {
-    let limits = ClientLimits { body_bytes: BODY_LIMIT, ..ClientLimits::default() };
+    let limits = ClientLimits { max_body_bytes: BODY_LIMIT, ..ClientLimits::default() };
     loop {
-        let input = timeout(clock::duration_from_ms(limits.idle_ms), connection.wait_for_input()).await;
+        let input =
+            timeout(clock::duration_from_ms(limits.idle_timeout_ms), connection.wait_for_input()).await;
         if !matches!(input, Ok(Ok(()))) {
             return;
         }
--- a/tier/node/src/node.rs
+++ b/tier/node/src/node.rs
@@ -28,7 +28,7 @@
 /// Parameters of the windows that bound the calls at each endpoint. Where many processes share an endpoint, each has one
 /// to four calls there: with the growth of one call and three times the baseline that the published method proposes, a
 /// single slow answer closes such a window, and requests go to worse endpoints (`docs/worth.md`, rounds).
-const WINDOW: Parameters = Parameters { alpha: 0.7, gamma: 0.5, beta: 3.0, multiple: 5.0 };
+const WINDOW: Parameters = Parameters { alpha: 0.7, gamma: 0.5, beta: 3.0, threshold_multiple: 5.0 };
 
 /// A process of the serving tier.
 pub struct Node {
--- a/tier/node/src/store/journal.rs
+++ b/tier/node/src/store/journal.rs
@@ -58,7 +58,8 @@
     pub fn open(folder: &Path, disk_mb: f64) -> Result<OpenedJournal, StorageError> {
         let bytes = (disk_mb * 1e6 * DISK_FRACTION) as u64;
         let segments = (bytes / SEGMENT_BYTES).clamp(MIN_SEGMENTS, MAX_SEGMENTS) as usize;
-        let (disk, records) = DiskWriter::open(folder, RingSize { segment: SEGMENT_BYTES, segments })?;
+        let (disk, records) =
+            DiskWriter::open(folder, RingSize { segment_bytes: SEGMENT_BYTES, max_segments: segments })?;
         let (writes, pending) = mpsc::unbounded_channel();
         let journal = Journal { disk, writes, free_segments: Cell::new(segments), segments };
         Ok(OpenedJournal { journal, records, pending })
--- a/tier/node/src/store/quota.rs
+++ b/tier/node/src/store/quota.rs
@@ -74,7 +74,7 @@
     served: &ServedShard,
     job: &Job,
 ) -> Result<Option<ClaimGuard>, ClaimError> {
-    let Some(limit) = waiting_limit(store, &job.route) else { return Ok(None) };
+    let Some(limit) = queued_token_limit(store, &job.route) else { return Ok(None) };
     let key = QuotaKey { tenant: job.tenant.clone(), route: job.route.clone() };
     let tokens = job.tokens();
     let ledger_shard = ledger_shard_of(&key);
@@ -110,7 +110,7 @@
     let Some(term) = store.shards.get(claim.ledger_shard as usize).and_then(|shard| shard.term()) else {
         return Response::WrongEpoch;
     };
-    match term.quota.decide(claim, waiting_limit(store, &claim.key.route)) {
+    match term.quota.decide(claim, queued_token_limit(store, &claim.key.route)) {
         ClaimOutcome::Granted => Response::Done,
         ClaimOutcome::Exceeded => Response::Full,
         ClaimOutcome::Unknown => Response::WrongEpoch,
@@ -139,9 +139,9 @@
 }
 
 /// The limit on a tenant's waiting tokens on a route, if it has one.
-fn waiting_limit(store: &Store, route: &str) -> Option<u64> {
+fn queued_token_limit(store: &Store, route: &str) -> Option<u64> {
     let tables = store.node.tables();
-    tables.routes.by_name(route).and_then(|route| route.route.waiting_limit())
+    tables.routes.by_name(route).and_then(|route| route.route.queued_token_limit())
 }
 
 /// The shard whose primary has the ledger of a tenant on a route.
--- a/tier/node/tests/stored_data.rs
+++ b/tier/node/tests/stored_data.rs
@@ -19,9 +19,9 @@
 const FIXTURES: Fixtures = Fixtures::of_package(env!("CARGO_MANIFEST_DIR"));
 
 /// The ring of a core member.
-const CORE_RING: RingSize = RingSize { segment: 4 << 20, segments: 4 };
+const CORE_RING: RingSize = RingSize { segment_bytes: 4 << 20, max_segments: 4 };
 /// The ring of a store with a small disk.
-const STORE_RING: RingSize = RingSize { segment: 8 << 20, segments: 3 };
+const STORE_RING: RingSize = RingSize { segment_bytes: 8 << 20, max_segments: 3 };
 
 fn inspect(folder: &Path) -> Vec<String> {
     let output =
@@ -240,7 +240,7 @@
     assert_eq!(file_names(&folder.0), ["identity", "segment-001"]);
     assert_eq!(load_identity(&folder.0, 99).unwrap().disk, 11);
     let (ring, records) = Ring::open(&folder.0, STORE_RING, 5 << 40).unwrap();
-    assert_eq!((ring.current(), ring.free(), records.len()), (1, 2, 9));
+    assert_eq!((ring.current_segment(), ring.free_segments(), records.len()), (1, 2, 9));
     let [first, second] = recover(records);
     assert_eq!((first.epoch(), first.jobs().next_operation), (4, 6));
     assert_eq!(first.jobs().jobs.keys().map(String::as_str).collect::<Vec<_>>(), ["job-1"]);
--- a/tier/replication/tests/group.rs
+++ b/tier/replication/tests/group.rs
@@ -6,7 +6,7 @@
 
 /// Returns a view in which member 1 is the primary.
 fn view(epoch: Epoch, in_sync: &[DiskId], joining: &[DiskId]) -> ShardView {
-    ShardView { epoch, primary: 1, since: 1, in_sync: in_sync.to_vec(), joining: joining.to_vec() }
+    ShardView { epoch, primary: 1, primary_since: 1, in_sync: in_sync.to_vec(), joining: joining.to_vec() }
 }
 
 fn disks(members: &[DiskId]) -> BTreeSet<DiskId> {
--- a/tier/storage/src/contents.rs
+++ b/tier/storage/src/contents.rs
@@ -1,24 +1,25 @@
-//! What the ring of a folder holds, noted in a file beside it: the records of a ring say nothing of their kind themselves.
+//! Records which kind of data the ring in a folder contains, in a file next to the ring: the records themselves do not state
+//! their kind.
 
 use crate::files::{has_ring_files, replace_file};
 use std::fs;
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
 
-/// Name of the file with the kind of records.
-const FILE_NAME: &str = "contents";
+/// Name of the file that states the kind of records.
+const CONTENTS_FILE: &str = "contents";
 
-/// What the records of a folder's ring are.
+/// Kind of the records in a folder's ring.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FolderContents {
-    /// Registers of a member of the core.
+    /// Consensus registers of a core member.
     ControlState,
-    /// Records of a store's batch jobs.
+    /// Records of a store about its batch jobs.
     BatchJobs,
 }
 
 impl FolderContents {
-    /// The name in the file.
+    /// Name of the kind, as written to the file.
     fn name(self) -> &'static str {
         match self {
             FolderContents::ControlState => "control-state",
@@ -29,40 +30,42 @@
     fn from_name(name: &str) -> Option<FolderContents> {
         [FolderContents::ControlState, FolderContents::BatchJobs]
             .into_iter()
-            .find(|known| known.name() == name)
+            .find(|contents| contents.name() == name)
     }
 }
 
-/// Why a folder can't be used for records of a kind. The texts include the cause, which is why no variant has a source: it would
-/// be shown twice.
+/// Reasons why a folder can't be used for a kind of records. Each message includes its cause, so the variants have no
+/// [`source`](std::error::Error::source): the cause would be printed twice.
 #[derive(Debug, thiserror::Error)]
 pub enum ContentsError {
     /// The file could not be read or written.
-    #[error("{path}: {cause}")]
+    #[error("failed to read or write {path}: {cause}")]
     Io {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the operating system reported.
+        /// Error that the operating system reported.
         cause: std::io::Error,
     },
-    /// The folder belongs to the other role.
-    #[error("{path} holds {found}, not {wanted}: two roles must not share a folder")]
-    Other {
-        /// The folder.
+    /// The folder contains the data of the other role.
+    #[error(
+        "{path} contains {actual}, not {expected}: two roles must not share a folder; set another VarDir for this process"
+    )]
+    Mismatch {
+        /// Path of the folder.
         path: PathBuf,
-        /// What it holds.
-        found: &'static str,
-        /// What the role stores.
-        wanted: &'static str,
+        /// Kind of records that the folder contains.
+        actual: &'static str,
+        /// Kind of records that the role stores.
+        expected: &'static str,
     },
 }
 
-/// What a folder's ring holds; `None` if no version that notes it has written to the folder.
+/// Returns the kind of records in a folder's ring; `None` if the folder was written only by versions that did not record it.
 ///
 /// # Errors
-/// The file can't be read.
+/// [`ContentsError::Io`] if the file exists but can't be read.
 pub fn read_contents(folder: &Path) -> Result<Option<FolderContents>, ContentsError> {
-    let path = folder.join(FILE_NAME);
+    let path = folder.join(CONTENTS_FILE);
     match fs::read_to_string(&path) {
         Ok(text) => Ok(FolderContents::from_name(text.trim())),
         Err(error) if error.kind() == ErrorKind::NotFound => Ok(None),
@@ -70,20 +73,24 @@
     }
 }
 
-/// Notes what a folder holds, unless that is noted already. A folder whose ring an earlier version made is noted too.
+/// Records which kind of data a folder contains, unless that is recorded already. A folder whose ring was created by an earlier
+/// version, which did not record the kind, is accepted and gets its file too.
 ///
 /// # Errors
-/// [`ContentsError::Other`] if it holds something else, [`ContentsError::Io`] if the file can't be read, or not be written
-/// for a folder without a ring; where there is one, a disk that is full must not keep the role from starting.
-pub fn claim_contents(folder: &Path, wanted: FolderContents) -> Result<(), ContentsError> {
+/// [`ContentsError::Mismatch`] if the folder contains another kind of records. [`ContentsError::Io`] if the file can't be read, or
+/// if it can't be written in a folder without a ring; if the folder has a ring, a failed write is ignored, because a full disk must
+/// not prevent the role from starting.
+pub fn claim_contents(folder: &Path, expected: FolderContents) -> Result<(), ContentsError> {
     match read_contents(folder)? {
-        Some(found) if found == wanted => Ok(()),
-        Some(found) => {
-            Err(ContentsError::Other { path: folder.to_owned(), found: found.name(), wanted: wanted.name() })
-        }
-        None => match replace_file(folder, FILE_NAME, &format!("{}\n", wanted.name())) {
+        Some(actual) if actual == expected => Ok(()),
+        Some(actual) => Err(ContentsError::Mismatch {
+            path: folder.to_owned(),
+            actual: actual.name(),
+            expected: expected.name(),
+        }),
+        None => match replace_file(folder, CONTENTS_FILE, &format!("{}\n", expected.name())) {
             Err(cause) if !has_ring_files(folder).unwrap_or(false) => {
-                Err(ContentsError::Io { path: folder.join(FILE_NAME), cause })
+                Err(ContentsError::Io { path: folder.join(CONTENTS_FILE), cause })
             }
             Ok(()) | Err(_) => Ok(()),
         },
--- a/tier/storage/src/error.rs
+++ b/tier/storage/src/error.rs
@@ -1,16 +1,16 @@
-//! Why an operation on the ring failed.
+//! Errors of operations on the ring.
 
-/// Why a record could not be stored or read.
+/// Reasons why a record could not be stored or read.
 #[derive(Debug, thiserror::Error)]
 pub enum StorageError {
     /// The operating system reported an error on a file or folder.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// Every segment is in use: the caller has to release older ones first.
-    #[error("no segment is free")]
+    /// Every segment is in use: the caller has to release older segments first.
+    #[error("no segment of the ring is free: release older segments or enlarge the ring")]
     Full,
-    /// The record does not fit into a segment.
-    #[error("a record of {bytes} bytes, {limit} at most")]
+    /// The record does not fit into one segment.
+    #[error("a record of {bytes} bytes exceeds the limit of {limit} bytes")]
     TooLarge {
         /// Size of the record, bytes.
         bytes: usize,
--- a/tier/storage/src/identity.rs
+++ b/tier/storage/src/identity.rs
@@ -1,4 +1,4 @@
-//! The identity of a disk: a random number, drawn when its folder is found empty and stored there.
+//! The identity of a disk: a random number that is drawn and stored in the data folder when the folder is found empty.
 
 use crate::files::{has_ring_files, replace_file, sync_folder};
 use std::fs;
@@ -6,69 +6,70 @@
 use std::path::{Path, PathBuf};
 
 /// Name of the file with the identity: 16 hexadecimal digits and a newline.
-const FILE_NAME: &str = "identity";
+const IDENTITY_FILE: &str = "identity";
 
-/// Identity of a disk, and whether it was drawn just now.
+/// Identity of a disk, and whether it is new.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Identity {
-    /// The identity.
+    /// The random number that identifies the disk.
     pub disk: u64,
-    /// The folder was empty: data that the machine stored before is lost.
-    pub fresh: bool,
+    /// The identity was drawn just now because the folder had none: any data that the machine stored before is lost.
+    pub is_new: bool,
 }
 
-/// Why a folder has no identity that can be used. The texts include the cause, which is why no variant has a source: it would be
-/// shown twice.
+/// Reasons why a folder has no usable identity. Each message includes its cause, so the variants have no
+/// [`source`](std::error::Error::source): the cause would be printed twice.
 #[derive(Debug, thiserror::Error)]
 pub enum IdentityError {
     /// The folder or the file could not be read, created or synced.
-    #[error("{path}: {cause}")]
+    #[error("failed to read or write {path}: {cause}")]
     Io {
-        /// The folder or file.
+        /// Path of the folder or file.
         path: PathBuf,
-        /// What the operating system reported.
+        /// Error that the operating system reported.
         cause: std::io::Error,
     },
-    /// The folder holds a ring, whose records belong to an identity that is not known any more.
+    /// The folder contains a ring, but the identity that its records belong to is lost.
     #[error(
         "{path} is missing or damaged beside a ring: restore the file, or empty the folder so that the machine catches up as a new \
          disk"
     )]
-    LostBesideRing {
-        /// The file.
+    RingWithoutIdentity {
+        /// Path of the identity file.
         path: PathBuf,
     },
 }
 
-/// Reads the identity of a folder, or stores the random number `drawn` as its identity if there is none. An identity is never
-/// drawn over a ring: other members know its promises and records by the identity that was there.
+/// Reads the identity of a folder, or stores the random number `drawn` as its identity if there is none. A folder with a ring never
+/// gets a new identity, because other members know the promises and records in the ring by the previous identity.
 ///
 /// # Errors
 ///
-/// [`IdentityError`], by what failed.
+/// [`IdentityError::Io`] if the folder or the file can't be read or written, [`IdentityError::RingWithoutIdentity`] if a ring exists
+/// and the identity file is missing or damaged.
 pub fn load_identity(folder: &Path, drawn: u64) -> Result<Identity, IdentityError> {
-    let failed_at = |path: &Path| {
+    let io_error_at = |path: &Path| {
         let path = path.to_owned();
         move |cause| IdentityError::Io { path, cause }
     };
-    fs::create_dir_all(folder).map_err(failed_at(folder))?;
-    let path = folder.join(FILE_NAME);
-    let has_ring = has_ring_files(folder).map_err(failed_at(folder))?;
-    if let Some(disk) = read_identity(&path).map_err(failed_at(&path))? {
+    fs::create_dir_all(folder).map_err(io_error_at(folder))?;
+    let path = folder.join(IDENTITY_FILE);
+    let has_ring = has_ring_files(folder).map_err(io_error_at(folder))?;
+    if let Some(disk) = read_identity(&path).map_err(io_error_at(&path))? {
         if !has_ring {
-            // An earlier start may have ended before the file's name was durable, which has to be before there is a ring.
-            sync_folder(folder).map_err(failed_at(folder))?;
+            // An earlier start may have ended before the file's name was durable. It has to be durable before a ring is created.
+            sync_folder(folder).map_err(io_error_at(folder))?;
         }
-        return Ok(Identity { disk, fresh: false });
+        return Ok(Identity { disk, is_new: false });
     }
     if has_ring {
-        return Err(IdentityError::LostBesideRing { path });
+        return Err(IdentityError::RingWithoutIdentity { path });
     }
-    replace_file(folder, FILE_NAME, &format!("{drawn:016x}\n")).map_err(failed_at(&path))?;
-    Ok(Identity { disk: drawn, fresh: true })
+    replace_file(folder, IDENTITY_FILE, &format!("{drawn:016x}\n")).map_err(io_error_at(&path))?;
+    Ok(Identity { disk: drawn, is_new: true })
 }
 
-/// The identity in a file; `None` if there is no file, or no identity in it.
+/// Reads the identity in a file; `None` if the file does not exist or contains no valid identity.
 fn read_identity(path: &Path) -> std::io::Result<Option<u64>> {
     match fs::read(path) {
         Ok(bytes) => Ok(parse_identity(&bytes)),
--- a/tier/storage/src/lib.rs
+++ b/tier/storage/src/lib.rs
@@ -1,13 +1,13 @@
-//! Durable storage of a node: a ring of preallocated files with checksummed records, the identity of a disk, and what
-//! its ring holds.
+//! Durable storage of a node: a ring of preallocated files with checksummed records, the identity of the disk, and the kind of
+//! records in the ring.
 //!
-//! The caller opens a [`Ring`], replays the records found, then appends and syncs records, and releases the oldest segments once
-//! their records are superseded. A ring starts with one file and grows to its limit by whole files; after that the file of the
-//! oldest released segment is reused.
+//! The caller opens a [`Ring`], replays the recovered records, then appends and syncs records, and releases the oldest segments
+//! once their records are superseded. A ring starts with one file and grows by whole files up to its limit; the file of the oldest
+//! released segment is reused first.
 //!
-//! A segment is one file: a header with the segment's number, then records. A record's checksum covers the checksum of the record
-//! before it, so that bytes of an earlier lap, or after a torn record, are never read as records. Recovery ends a segment at the
-//! first record that does not verify; anything after it was never synced.
+//! A segment is one file: a header with the segment's number, then records. The checksum of a record covers the checksum of the
+//! previous record, so that bytes from an earlier use of the file, or after a torn record, are never read as records. Recovery ends
+//! a segment at the first record that does not verify; anything after it was never synced.
 
 mod contents;
 mod error;
--- a/tier/storage/src/recovery.rs
+++ b/tier/storage/src/recovery.rs
@@ -1,4 +1,4 @@
-//! What a ring contains when it is opened: the records in use, and where appending resumes.
+//! Recovery of a ring when it is opened: finds the records in use and the position at which appending resumes.
 
 use crate::error::StorageError;
 use crate::files::{FILE_PREFIX, SegmentFile};
@@ -7,18 +7,18 @@
 use std::fs::{self, File};
 use std::path::Path;
 
-/// The state of a ring as its files give it.
+/// State of a ring as recovered from its files.
 pub(crate) struct RecoveredRing {
-    /// Numbers of the segments in use are `oldest..=current`; 0 means that none was written yet.
-    pub(crate) oldest: u64,
-    pub(crate) current: u64,
+    /// Numbers of the segments in use are `oldest_segment..=current_segment`; both are 0 if no segment was written yet.
+    pub(crate) oldest_segment: u64,
+    pub(crate) current_segment: u64,
     /// End of the last complete record of the current segment.
     pub(crate) end: WritePosition,
     /// Records of the segments in use, oldest first.
     pub(crate) records: Vec<RingRecord>,
 }
 
-/// Reads all files, notes the segment number of each, and sorts them by it.
+/// Reads all files, sets the segment number of each, and sorts the files by it.
 pub(crate) fn recover(files: &mut VecDeque<SegmentFile>) -> Result<RecoveredRing, StorageError> {
     let mut contents = Vec::new();
     for SegmentFile { number, file } in files.iter_mut() {
@@ -28,18 +28,18 @@
     }
     files.make_contiguous().sort_by_key(|file| file.number);
     contents.sort_by_key(|content| content.number);
-    let (current, end) =
+    let (current_segment, end) =
         contents.last().map_or((0, WritePosition::default()), |last| (last.number, last.end));
-    // Segments before a gap in the numbers are left over from an earlier lap of the ring.
-    let first = first_consecutive(&contents);
-    let noted = contents.iter().map(|content| content.oldest).max().unwrap_or(0);
-    let oldest = noted.clamp(first, current);
-    let retained = contents.into_iter().filter(|content| content.number >= oldest);
+    // Segments before a gap in the numbers are left over from before the ring wrapped around.
+    let first_segment = first_consecutive(&contents);
+    let recorded_oldest = contents.iter().map(|content| content.oldest_segment).max().unwrap_or(0);
+    let oldest_segment = recorded_oldest.clamp(first_segment, current_segment);
+    let retained = contents.into_iter().filter(|content| content.number >= oldest_segment);
     let records = retained.flat_map(|content| content.records).collect();
-    Ok(RecoveredRing { oldest, current, end, records })
+    Ok(RecoveredRing { oldest_segment, current_segment, end, records })
 }
 
-/// The lowest of the numbers that lead up to the newest without a gap.
+/// Returns the lowest segment number of the run of consecutive numbers that ends with the newest segment.
 fn first_consecutive(contents: &[SegmentContent]) -> u64 {
     let mut first = contents.last().map_or(0, |content| content.number);
     for content in contents.iter().rev().skip(1) {
@@ -51,8 +51,8 @@
     first
 }
 
-/// Reads the records of a folder without changing anything, oldest first. Released records are included as long as their files
-/// were not reused.
+/// Reads the records of a folder, oldest first, without changing any file. Released records are included until their files are
+/// reused.
 ///
 /// # Errors
 ///
--- a/tier/storage/src/ring.rs
+++ b/tier/storage/src/ring.rs
@@ -13,78 +13,90 @@
 use std::io::{Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-/// An open ring. The caller makes sure that no other process has the same folder open.
+/// An open ring. The caller must ensure that no other process has the same folder open.
 pub struct Ring {
     size: RingSize,
     folder: PathBuf,
-    /// By segment number: unused files first, the one being written last. The numbers in use are consecutive, because the file
-    /// with the lowest number is reused first.
+    /// Files in the order of their segment numbers: unused files first, the file being written last. The numbers in use are
+    /// consecutive, because the file with the lowest number is reused first.
     files: VecDeque<SegmentFile>,
-    /// Numbers of the segments in use are `oldest..=current`; 0 means that none was written yet.
-    oldest: u64,
-    current: u64,
-    /// End of the appended records.
+    /// Numbers of the segments in use are `oldest_segment..=current_segment`; both are 0 if no segment was written yet.
+    oldest_segment: u64,
+    current_segment: u64,
+    /// Position after the last appended record.
     end: WritePosition,
-    /// End of the synced records.
-    synced: WritePosition,
-    /// The bytes after the end are unknown: a control record is written before the next record.
+    /// Position after the last synced record.
+    synced_end: WritePosition,
+    /// The bytes after `end` may be left over from earlier writes: a control record has to precede the next record.
     tail_unknown: bool,
+    /// Salt of the last control record; it differs for each control record.
     salt: u64,
 }
 
 impl Ring {
-    /// Opens or creates the ring of a folder; returns it with the records found, oldest first. `salt` is a random number, different
-    /// for each opening.
+    /// Opens or creates the ring of a folder and returns it with the recovered records, oldest first. `salt` is a random number that
+    /// differs each time the ring is opened.
     ///
     /// # Errors
     ///
     /// [`StorageError::Io`] if the folder or one of its files cannot be created, read or synced.
     pub fn open(folder: &Path, size: RingSize, salt: u64) -> Result<(Ring, Vec<RingRecord>), StorageError> {
-        let size = RingSize { segments: size.segments.max(2), ..size };
+        let size = RingSize { max_segments: size.max_segments.max(2), ..size };
         let mut files = open_files(folder, size)?;
-        let RecoveredRing { oldest, current, end, records } = recover(&mut files)?;
+        let RecoveredRing { oldest_segment, current_segment, end, records } = recover(&mut files)?;
         let folder = folder.to_owned();
-        let ring = Ring { size, folder, files, oldest, current, end, synced: end, tail_unknown: true, salt };
+        let ring = Ring {
+            size,
+            folder,
+            files,
+            oldest_segment,
+            current_segment,
+            end,
+            synced_end: end,
+            tail_unknown: true,
+            salt,
+        };
         Ok((ring, records))
     }
 
     /// Size of the largest record that [`Ring::append`] accepts, bytes.
-    pub fn largest_record(&self) -> u64 {
-        self.size.segment
+    pub fn max_record_bytes(&self) -> u64 {
+        self.size.segment_bytes
             - SEGMENT_HEADER_BYTES
             - 2 * (RECORD_HEADER_BYTES + CONTROL_BODY_BYTES)
             - RECORD_HEADER_BYTES
     }
 
-    /// Number of the segment being written; 0 before the first.
-    pub fn current(&self) -> u64 {
-        self.current
+    /// Number of the segment being written; 0 if none was written yet.
+    pub fn current_segment(&self) -> u64 {
+        self.current_segment
     }
 
     /// Number of segments that can still be started.
-    pub fn free(&self) -> usize {
-        let used = if self.current == 0 { 0 } else { self.current - self.oldest + 1 };
-        self.size.segments.saturating_sub(used as usize)
+    pub fn free_segments(&self) -> usize {
+        let used_segments =
+            if self.current_segment == 0 { 0 } else { self.current_segment - self.oldest_segment + 1 };
+        self.size.max_segments.saturating_sub(used_segments as usize)
     }
 
     /// Largest number of segments.
-    pub fn segments(&self) -> usize {
-        self.size.segments
+    pub fn max_segments(&self) -> usize {
+        self.size.max_segments
     }
 
     /// Appends a record and returns the number of its segment. The record is durable only after [`Ring::sync`].
     ///
     /// # Errors
     ///
-    /// [`StorageError::TooLarge`] above [`Ring::largest_record`], [`StorageError::Full`] if a new segment is needed and none is
-    /// free, [`StorageError::Io`] if writing fails; the record is not part of the ring then.
+    /// [`StorageError::TooLarge`] above [`Ring::max_record_bytes`], [`StorageError::Full`] if a new segment is needed and none is
+    /// free, [`StorageError::Io`] if writing fails. On an error the record is not part of the ring.
     pub fn append(&mut self, body: &[u8]) -> Result<u64, StorageError> {
-        if body.len() as u64 > self.largest_record() {
-            return Err(StorageError::TooLarge { bytes: body.len(), limit: self.largest_record() });
+        if body.len() as u64 > self.max_record_bytes() {
+            return Err(StorageError::TooLarge { bytes: body.len(), limit: self.max_record_bytes() });
         }
-        // A control record may precede it.
-        let needed = 2 * RECORD_HEADER_BYTES + CONTROL_BODY_BYTES + body.len() as u64;
-        if self.current == 0 || self.end.offset + needed > self.size.segment {
+        // A control record may have to precede the record.
+        let needed_bytes = 2 * RECORD_HEADER_BYTES + CONTROL_BODY_BYTES + body.len() as u64;
+        if self.current_segment == 0 || self.end.offset + needed_bytes > self.size.segment_bytes {
             self.open_segment()?;
         }
         if self.end.offset == 0 {
@@ -94,38 +106,38 @@
             self.append_control()?;
         }
         self.write_record(body.len() as u32, body)?;
-        Ok(self.current)
+        Ok(self.current_segment)
     }
 
     /// Syncs all records appended so far.
     ///
     /// # Errors
     ///
-    /// [`StorageError::Io`] if syncing fails. Records appended since the last successful sync are then dropped: the next record
-    /// is written in their place.
+    /// [`StorageError::Io`] if syncing fails. The records appended since the last successful sync are then dropped: the next record
+    /// overwrites them.
     pub fn sync(&mut self) -> Result<(), StorageError> {
-        if self.current == 0 {
+        if self.current_segment == 0 {
             return Ok(());
         }
         if let Err(error) = self.file()?.sync_data() {
-            self.end = self.synced;
+            self.end = self.synced_end;
             self.tail_unknown = true;
             return Err(error.into());
         }
-        self.synced = self.end;
+        self.synced_end = self.end;
         Ok(())
     }
 
-    /// Frees the segments before `segment`. The release is recorded at once, or with the next record if the current segment is
-    /// full. If that control record is lost, the next start reads more segments than needed.
+    /// Frees the segments before `segment`. A control record that states this is written at once, or with the next record if the
+    /// current segment is full. If the control record is lost, the next recovery reads more segments than needed.
     pub fn release(&mut self, segment: u64) {
-        let oldest = segment.clamp(self.oldest, self.current);
-        if self.oldest == 0 || oldest == self.oldest {
+        let oldest_segment = segment.clamp(self.oldest_segment, self.current_segment);
+        if self.oldest_segment == 0 || oldest_segment == self.oldest_segment {
             return;
         }
-        self.oldest = oldest;
+        self.oldest_segment = oldest_segment;
         self.tail_unknown = true;
-        let fits = self.end.offset + RECORD_HEADER_BYTES + CONTROL_BODY_BYTES <= self.size.segment;
+        let fits = self.end.offset + RECORD_HEADER_BYTES + CONTROL_BODY_BYTES <= self.size.segment_bytes;
         if fits && self.end.offset > 0 {
             // On failure `tail_unknown` stays set, and the next append writes the control record.
             let _ = self.append_control();
@@ -133,46 +145,46 @@
     }
 
     fn open_segment(&mut self) -> Result<(), StorageError> {
-        if self.free() == 0 {
+        if self.free_segments() == 0 {
             return Err(StorageError::Full);
         }
-        // Nothing syncs the previous segment once it is no longer the current one.
+        // The previous segment has to be synced now: later syncs only cover the current segment.
         self.sync()?;
         let file = self.next_file()?;
-        self.current += 1;
-        self.files.push_back(SegmentFile { number: self.current, file });
-        if self.oldest == 0 {
-            self.oldest = self.current;
+        self.current_segment += 1;
+        self.files.push_back(SegmentFile { number: self.current_segment, file });
+        if self.oldest_segment == 0 {
+            self.oldest_segment = self.current_segment;
         }
-        self.end = WritePosition { offset: 0, chain: segment_checksum(self.current) };
-        self.synced = self.end;
+        self.end = WritePosition { offset: 0, chain: segment_checksum(self.current_segment) };
+        self.synced_end = self.end;
         Ok(())
     }
 
-    /// The file with the lowest number if it is no longer in use, otherwise a new one.
+    /// Returns the file with the lowest segment number if it is no longer in use, otherwise creates a new file.
     fn next_file(&mut self) -> Result<File, StorageError> {
-        let is_reusable = |segment: &SegmentFile| segment.number == 0 || segment.number < self.oldest;
+        let is_reusable = |segment: &SegmentFile| segment.number == 0 || segment.number < self.oldest_segment;
         if self.files.front().is_some_and(is_reusable)
             && let Some(segment) = self.files.pop_front()
         {
             return Ok(segment.file);
         }
-        if self.files.len() >= self.size.segments {
+        if self.files.len() >= self.size.max_segments {
             return Err(StorageError::Full);
         }
         create_file(&self.folder, self.files.len(), self.size)
     }
 
     fn write_segment_header(&mut self) -> Result<(), StorageError> {
-        let header = encode_segment_header(self.current);
+        let header = encode_segment_header(self.current_segment);
         self.tail_unknown = true;
         self.write(&header)
     }
 
-    /// Records which segment is the oldest in use.
+    /// Appends a control record, which states the oldest segment in use.
     fn append_control(&mut self) -> Result<(), StorageError> {
         self.salt = self.salt.wrapping_add(1);
-        let body = encode_control_body(self.oldest, self.salt);
+        let body = encode_control_body(self.oldest_segment, self.salt);
         self.write_record(CONTROL_FLAG | CONTROL_BODY_BYTES as u32, &body)?;
         self.tail_unknown = false;
         Ok(())
@@ -189,7 +201,7 @@
         Ok(())
     }
 
-    /// Writes at the end; a write that fails does not move the end.
+    /// Writes at the end of the appended records; a failed write does not move the end.
     fn write(&mut self, bytes: &[u8]) -> Result<(), StorageError> {
         let offset = self.end.offset;
         let file = self.file()?;
@@ -202,7 +214,7 @@
         Ok(())
     }
 
-    /// The file being written: the last one, once a segment was opened.
+    /// Returns the file being written, which is the last file once a segment was opened.
     fn file(&mut self) -> Result<&mut File, StorageError> {
         self.files.back_mut().map(|segment| &mut segment.file).ok_or(StorageError::Full)
     }
--- a/tier/storage/src/segment.rs
+++ b/tier/storage/src/segment.rs
@@ -1,4 +1,4 @@
-//! Reading of one segment file, up to the first record that is not complete.
+//! Reads one segment file, up to the first incomplete record.
 
 use crate::format::{
     CONTROL_BODY_BYTES, CONTROL_FLAG, RECORD_HEADER_BYTES, SEGMENT_HEADER_BYTES, decode_segment_header,
@@ -7,22 +7,22 @@
 use std::fs::File;
 use std::io::{BufReader, Read, Seek, SeekFrom};
 
-/// Bytes read from a file at once.
+/// Size of the buffer for reading a segment file, bytes.
 const READ_BUFFER_BYTES: usize = 64 << 10;
 
-/// A record as recovery found it.
+/// A record that recovery has read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RingRecord {
-    /// Number of its segment.
+    /// Number of the segment that contains the record.
     pub segment: u64,
-    /// The bytes that were appended.
+    /// The bytes passed to [`Ring::append`](crate::Ring::append).
     pub body: Vec<u8>,
 }
 
-/// Where the records of a segment end, and the checksum to which the next record chains.
+/// Position after the last record of a segment, and the checksum that the next record is chained to.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct WritePosition {
-    /// Bytes from the start of the file.
+    /// Offset from the start of the file, bytes.
     pub(crate) offset: u64,
     /// Checksum of the last record, or of the segment header before the first record.
     pub(crate) chain: u32,
@@ -32,30 +32,30 @@
 pub(crate) struct SegmentContent {
     /// Number of the segment.
     pub(crate) number: u64,
-    /// Its records in order, without control records.
+    /// Records of the segment in order, without control records.
     pub(crate) records: Vec<RingRecord>,
-    /// The oldest segment in use by the last control record of this segment; 0 without one.
-    pub(crate) oldest: u64,
-    /// End of the last complete record.
+    /// Oldest segment in use according to the last control record of this segment; 0 if there is no control record.
+    pub(crate) oldest_segment: u64,
+    /// Position after the last complete record.
     pub(crate) end: WritePosition,
 }
 
-/// Reads a file; `None` if it is no segment of this version.
+/// Reads a segment file; `None` if the file does not contain a segment of this version.
 pub(crate) fn read_segment(file: &mut File) -> std::io::Result<Option<SegmentContent>> {
     let Some(number) = read_segment_number(file)? else { return Ok(None) };
     let mut reader = SegmentReader::new(file, number)?;
     let mut records = Vec::new();
-    let mut oldest = 0;
+    let mut oldest_segment = 0;
     while let Some(entry) = reader.next_entry()? {
         match entry {
             SegmentEntry::Body(body) => records.push(RingRecord { segment: number, body }),
-            SegmentEntry::Control { oldest: noted } => oldest = noted,
+            SegmentEntry::Control { oldest_segment: recorded } => oldest_segment = recorded,
         }
     }
-    Ok(Some(SegmentContent { number, records, oldest, end: reader.end }))
+    Ok(Some(SegmentContent { number, records, oldest_segment, end: reader.end }))
 }
 
-/// Number of the segment that a file contains, if it begins with a valid header.
+/// Reads the number of the segment that a file contains; `None` if the file does not begin with a valid header.
 fn read_segment_number(file: &mut File) -> std::io::Result<Option<u64>> {
     let mut header = [0; SEGMENT_HEADER_BYTES as usize];
     file.seek(SeekFrom::Start(0))?;
@@ -65,7 +65,7 @@
     Ok(decode_segment_header(&header))
 }
 
-/// Reads until the buffer is full; `false` at the end of the file.
+/// Reads until the buffer is full; returns `false` if the file ends before that.
 fn read_full(reader: &mut impl Read, buffer: &mut [u8]) -> std::io::Result<bool> {
     match reader.read_exact(buffer) {
         Ok(()) => Ok(true),
@@ -76,34 +76,34 @@
 
 /// One record of a segment.
 enum SegmentEntry {
-    /// A record that was appended by the caller.
+    /// A record appended by the caller.
     Body(Vec<u8>),
-    /// A control record: the oldest segment in use when it was written.
-    Control { oldest: u64 },
+    /// A control record, with the oldest segment in use when it was written.
+    Control { oldest_segment: u64 },
 }
 
-/// Iterates over the complete records of one file, in order; bytes after them are not read.
+/// Iterates over the complete records of one file, in order, and stops at the first incomplete record.
 struct SegmentReader<'a> {
     reader: BufReader<&'a mut File>,
-    /// Bytes of the file.
-    length: u64,
+    /// Size of the file, bytes.
+    file_bytes: u64,
     end: WritePosition,
 }
 
 impl<'a> SegmentReader<'a> {
-    /// A reader that starts after the header of the segment with this number.
+    /// Creates a reader that starts after the header of the segment with this number.
     fn new(file: &'a mut File, number: u64) -> std::io::Result<SegmentReader<'a>> {
-        let length = file.metadata()?.len();
+        let file_bytes = file.metadata()?.len();
         file.seek(SeekFrom::Start(SEGMENT_HEADER_BYTES))?;
         let reader = BufReader::with_capacity(READ_BUFFER_BYTES, file);
         let end = WritePosition { offset: SEGMENT_HEADER_BYTES, chain: segment_checksum(number) };
-        Ok(SegmentReader { reader, length, end })
+        Ok(SegmentReader { reader, file_bytes, end })
     }
 
-    /// The next entry; `None` where the next record is torn, missing, or left over from an earlier use of the file.
+    /// Returns the next record; `None` if it is torn, missing, or left over from an earlier use of the file.
     fn next_entry(&mut self) -> std::io::Result<Option<SegmentEntry>> {
         let mut header = [0; RECORD_HEADER_BYTES as usize];
-        let remaining = self.length.saturating_sub(self.end.offset);
+        let remaining = self.file_bytes.saturating_sub(self.end.offset);
         if remaining < RECORD_HEADER_BYTES || !read_full(&mut self.reader, &mut header)? {
             return Ok(None);
         }
@@ -123,7 +123,7 @@
         }
         self.end = WritePosition { offset: self.end.offset + RECORD_HEADER_BYTES + length, chain: checksum };
         let entry = if is_control {
-            SegmentEntry::Control { oldest: read_u64(&body) }
+            SegmentEntry::Control { oldest_segment: read_u64(&body) }
         } else {
             SegmentEntry::Body(body)
         };
--- a/tier/wire/src/configuration.rs
+++ b/tier/wire/src/configuration.rs
@@ -1,7 +1,7 @@
-//! The operator's configuration: reading it from JSON, checking its rules, and applying changes of named items.
+//! The operator's configuration: parses it from JSON, validates it, and applies patches of named items.
 //!
-//! An operator sends a complete configuration or a change ([`apply_patch`] gives the complete text). The text is read by
-//! [`Configuration::read`], checked by [`Configuration::check`] against the version in force, and distributed as text.
+//! An operator sends a complete configuration or a patch, from which [`apply_patch`] produces the complete text. The text is parsed
+//! by [`Configuration::parse`], validated by [`Configuration::validate`] against the version in force, and distributed as text.
 
 mod checks;
 mod document;
--- a/tier/wire/src/configuration/checks.rs
+++ b/tier/wire/src/configuration/checks.rs
@@ -1,4 +1,4 @@
-//! The rules of a valid configuration.
+//! Validation of a configuration.
 
 use super::document::{ROUTES, SERVICES, TENANTS};
 use super::error::ConfigurationError;
@@ -6,12 +6,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Configuration {
-    /// Checks the rules of a valid configuration; `current` is the version of the one in force.
+    /// Validates the configuration; `current` is the version of the configuration in force.
     ///
     /// # Errors
     ///
-    /// [`ConfigurationError`], by the first rule that is broken.
-    pub fn check(&self, current: u64) -> Result<(), ConfigurationError> {
+    /// The [`ConfigurationError`] of the first rule that is violated: a version not above `current`, a number out of range, a
+    /// duplicate name, an invalid route, or a key of two tenants.
+    pub fn validate(&self, current: u64) -> Result<(), ConfigurationError> {
         if self.version <= current {
             return Err(ConfigurationError::NotNewer { version: self.version, current });
         }
@@ -20,39 +21,39 @@
         unique_names(ROUTES, self.routes.iter().map(|route| route.name.as_str()))?;
         let mut host_prefixes: BTreeMap<(&str, &str), &str> = BTreeMap::new();
         for route in &self.routes {
-            check_route(route, &services)?;
-            if let Some(first) = host_prefixes.insert((&route.host, &route.prefix), &route.name) {
+            validate_route(route, &services)?;
+            if let Some(first_route) = host_prefixes.insert((&route.host, &route.prefix), &route.name) {
                 return Err(ConfigurationError::DuplicateRoute {
-                    first: first.to_owned(),
+                    first: first_route.to_owned(),
                     second: route.name.clone(),
                 });
             }
         }
-        check_keys(self.tenants.as_deref().unwrap_or_default())
+        validate_tenants(self.tenants.as_deref().unwrap_or_default())
     }
 }
 
-/// The names, each of which must occur once.
+/// Collects the names of a list's items, each of which must be unique.
 fn unique_names<'a>(
     kind: &'static str,
     names: impl Iterator<Item = &'a str>,
 ) -> Result<BTreeSet<&'a str>, ConfigurationError> {
-    let mut seen = BTreeSet::new();
+    let mut unique = BTreeSet::new();
     for name in names {
-        if !seen.insert(name) {
+        if !unique.insert(name) {
             return Err(ConfigurationError::DuplicateName { kind, name: name.to_owned() });
         }
     }
-    Ok(seen)
+    Ok(unique)
 }
 
-fn check_route(route: &Route, services: &BTreeSet<&str>) -> Result<(), ConfigurationError> {
-    let shares = route.services();
-    if let Some((service, _)) = shares.iter().find(|(service, _)| !services.contains(service)) {
+fn validate_route(route: &Route, services: &BTreeSet<&str>) -> Result<(), ConfigurationError> {
+    let weights = route.weighted_services();
+    if let Some((service, _)) = weights.iter().find(|(service, _)| !services.contains(service)) {
         let (route, service) = (route.name.clone(), (*service).to_owned());
         return Err(ConfigurationError::UnknownService { route, service });
     }
-    if shares.iter().all(|(_, weight)| *weight == 0.0) {
+    if weights.iter().all(|(_, weight)| *weight == 0.0) {
         return Err(ConfigurationError::ZeroWeight { route: route.name.clone() });
     }
     if route.deadline_ms == 0.0 {
@@ -61,16 +62,16 @@
     Ok(())
 }
 
-fn check_keys(tenants: &[Tenant]) -> Result<(), ConfigurationError> {
+fn validate_tenants(tenants: &[Tenant]) -> Result<(), ConfigurationError> {
     unique_names(TENANTS, tenants.iter().map(|tenant| tenant.name.as_str()))?;
     let mut owners: BTreeMap<&str, &str> = BTreeMap::new();
     for tenant in tenants {
         for key in tenant.keys.iter().flatten() {
-            if let Some(first) = owners.insert(key, &tenant.name)
-                && first != tenant.name
+            if let Some(first_owner) = owners.insert(key, &tenant.name)
+                && first_owner != tenant.name
             {
                 return Err(ConfigurationError::SharedKey {
-                    first: first.to_owned(),
+                    first: first_owner.to_owned(),
                     second: tenant.name.clone(),
                 });
             }
--- a/tier/wire/src/configuration/document.rs
+++ b/tier/wire/src/configuration/document.rs
@@ -1,4 +1,4 @@
-//! Access to a configuration as a JSON document, for changes of named items and for the texts of errors.
+//! Access to a configuration as a JSON document, for patches of named items and for error messages.
 
 use super::error::ConfigurationError;
 use miniserde::json::{self, Object, Value};
@@ -11,23 +11,23 @@
 pub(super) const TENANTS: &str = "Accounts";
 /// Lists of a configuration whose items have names.
 pub(super) const NAMED_LISTS: [&str; 3] = [ROUTES, SERVICES, TENANTS];
-/// Field with an item's name.
+/// Field with the name of an item.
 const NAME_FIELD: &str = "Name";
-/// Deepest nesting that is accepted; a valid configuration needs far less.
-const DEPTH_LIMIT: usize = 64;
+/// Deepest accepted nesting; a valid configuration is nested far less deeply.
+const MAX_NESTING_DEPTH: usize = 64;
 
-/// Parses JSON of bounded depth.
+/// Parses JSON, and rejects text that is nested more deeply than [`MAX_NESTING_DEPTH`].
 pub(super) fn parse_json(text: &str) -> Result<Value, ConfigurationError> {
-    if nesting_depth(text) > DEPTH_LIMIT {
+    if nesting_depth(text) > MAX_NESTING_DEPTH {
         return Err(ConfigurationError::unreadable("nested too deeply"));
     }
     json::from_str(text).map_err(|_| ConfigurationError::unreadable("not complete JSON"))
 }
 
-/// Largest number of objects and lists within one another.
+/// Returns the largest number of objects and lists that are nested within one another.
 fn nesting_depth(text: &str) -> usize {
     let mut depth = 0usize;
-    let mut largest = 0usize;
+    let mut max_depth = 0usize;
     let mut in_string = false;
     let mut escaped = false;
     for byte in text.bytes() {
@@ -39,12 +39,12 @@
             b'}' | b']' if !in_string => depth = depth.saturating_sub(1),
             _ => {}
         }
-        largest = largest.max(depth);
+        max_depth = max_depth.max(depth);
     }
-    largest
+    max_depth
 }
 
-/// The value as an object.
+/// Returns the value as an object, or an error if it has another type.
 pub(super) fn object(value: &Value) -> Result<&Object, ConfigurationError> {
     match value {
         Value::Object(object) => Ok(object),
@@ -52,7 +52,7 @@
     }
 }
 
-/// The items of a list; none if it is missing or null.
+/// Returns the items of the field `list`; an empty list if the field is missing or null, an error if it is not a list.
 pub(super) fn items(object: &Object, list: &str) -> Result<Vec<Value>, ConfigurationError> {
     match object.get(list) {
         None | Some(Value::Null) => Ok(Vec::new()),
@@ -61,7 +61,7 @@
     }
 }
 
-/// The name of an item, if it has one.
+/// Returns the name of an item, if it has one.
 pub(super) fn name_of(item: &Value) -> Option<&str> {
     match item {
         Value::Object(object) => match object.get(NAME_FIELD) {
--- a/tier/wire/src/configuration/error.rs
+++ b/tier/wire/src/configuration/error.rs
@@ -1,14 +1,14 @@
-//! Why a configuration, or a change of one, is rejected.
+//! Errors for which a configuration or a patch of it is rejected.
 
 use crate::ranges::OutOfRange;
 
-/// Why a configuration is rejected. The texts are answers to operators.
+/// Reasons why a configuration is rejected. The messages are sent to operators in responses.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigurationError {
-    /// The text is not JSON, or a field is missing or of another type; with the detail.
+    /// The text is not JSON, or a field is missing or has another type; contains the details.
     #[error("the configuration can't be read: {0}")]
     Unreadable(String),
-    /// A route refers to a service that does not exist.
+    /// A route refers to an undefined service.
     #[error("Routes[{route}]: there is no service {service}")]
     UnknownService {
         /// Name of the route.
@@ -66,7 +66,7 @@
 }
 
 impl ConfigurationError {
-    /// The document cannot be read, for this reason.
+    /// Creates [`ConfigurationError::Unreadable`] with these details.
     pub(super) fn unreadable(detail: &str) -> ConfigurationError {
         ConfigurationError::Unreadable(detail.to_owned())
     }
--- a/tier/wire/src/configuration/numbers.rs
+++ b/tier/wire/src/configuration/numbers.rs
@@ -1,8 +1,8 @@
-//! The ranges of a configuration's numbers.
+//! Validation of the numbers in a configuration.
 
 use super::document::{ROUTES, SERVICES};
 use super::types::{Autoscale, ClientLimits, Configuration, Route, Runtime, Service};
-use crate::ranges::{COUNT, OutOfRange, QUANTITY, SPAN_MS, SPAN_S};
+use crate::ranges::{COUNT, DURATION_MS, DURATION_S, OutOfRange, QUANTITY};
 
 impl Configuration {
     /// Checks that every number is within its range.
@@ -16,12 +16,12 @@
 impl Route {
     fn check_numbers(&self) -> Result<(), OutOfRange> {
         let field = |name: &str| format!("{ROUTES}[{}].{name}", self.name);
-        SPAN_MS.check(&field("DeadlineMs"), self.deadline_ms)?;
-        SPAN_MS.check_optional(&field("TargetMs"), self.target_ms)?;
-        SPAN_MS.check_optional(&field("gap_aim_ms"), self.target_gap_ms)?;
-        SPAN_MS.check_optional(&field("DueMs"), self.due_ms)?;
-        SPAN_S.check_optional(&field("RetainS"), self.retain_s)?;
-        QUANTITY.check_optional(&field("MaxQueued"), self.max_queued)?;
+        DURATION_MS.check(&field("DeadlineMs"), self.deadline_ms)?;
+        DURATION_MS.check_optional(&field("TargetMs"), self.target_ms)?;
+        DURATION_MS.check_optional(&field("gap_aim_ms"), self.target_gap_ms)?;
+        DURATION_MS.check_optional(&field("DueMs"), self.due_ms)?;
+        DURATION_S.check_optional(&field("RetainS"), self.retain_s)?;
+        QUANTITY.check_optional(&field("MaxQueued"), self.max_queued_tokens)?;
         let mut shares = self.shares.iter().flatten();
         shares.try_for_each(|share| {
             QUANTITY.check(&field(&format!("Shares[{}].Wt", share.service)), share.weight)
@@ -32,7 +32,7 @@
 impl Service {
     fn check_numbers(&self) -> Result<(), OutOfRange> {
         let path = format!("{SERVICES}[{}]", self.name);
-        COUNT.check_optional(&format!("{path}.MaxConns"), self.connections)?;
+        COUNT.check_optional(&format!("{path}.MaxConns"), self.max_connections)?;
         self.runtime.as_ref().map_or(Ok(()), |runtime| runtime.check_numbers(&path))?;
         self.autoscale.as_ref().map_or(Ok(()), |bounds| bounds.check_numbers(&path))
     }
@@ -41,7 +41,7 @@
 impl Runtime {
     fn check_numbers(&self, path: &str) -> Result<(), OutOfRange> {
         COUNT.check_optional(&format!("{path}.Runtime.Capacity"), self.capacity)?;
-        QUANTITY.check_optional(&format!("{path}.Runtime.KvCap"), self.token_memory)
+        QUANTITY.check_optional(&format!("{path}.Runtime.KvCap"), self.kv_cache_tokens)
     }
 }
 
@@ -49,13 +49,13 @@
     fn check_numbers(&self, path: &str) -> Result<(), OutOfRange> {
         COUNT.check(&format!("{path}.Autoscale.Floor"), self.floor)?;
         COUNT.check(&format!("{path}.Autoscale.Ceil"), self.ceiling)?;
-        SPAN_S.check_optional(&format!("{path}.Autoscale.BootS"), self.boot_s)
+        DURATION_S.check_optional(&format!("{path}.Autoscale.BootS"), self.boot_s)
     }
 }
 
 impl ClientLimits {
     fn check_numbers(&self) -> Result<(), OutOfRange> {
-        SPAN_MS.check("Limits.HdrMs", self.head_ms)?;
-        SPAN_MS.check("Limits.IdleMs", self.idle_ms)
+        DURATION_MS.check("Limits.HdrMs", self.head_timeout_ms)?;
+        DURATION_MS.check("Limits.IdleMs", self.idle_timeout_ms)
     }
 }
--- a/tier/wire/src/configuration/patch.rs
+++ b/tier/wire/src/configuration/patch.rs
@@ -1,25 +1,26 @@
-//! Changes of named items of a configuration, applied to its JSON document so that fields unknown here are preserved.
+//! Patches of named items of a configuration. They are applied to the JSON document, so that fields that this version does not know
+//! are preserved.
 
 use super::document::{NAMED_LISTS, items, name_of, object, parse_json};
 use super::error::ConfigurationError;
 use miniserde::json::{self, Array, Object, Value};
 use std::collections::BTreeSet;
 
-/// Field with the version of a configuration or change.
+/// Field with the version of a configuration or patch.
 const VERSION_FIELD: &str = "Gen";
-/// Field of a change with the items to add or replace, by list.
+/// Field of a patch with the items to add or replace, by list.
 const UPSERT_FIELD: &str = "Upsert";
-/// Field of a change with the names of the items to remove, by list.
+/// Field of a patch with the names of the items to remove, by list.
 const REMOVE_FIELD: &str = "Remove";
-/// Field with the limits on clients, which a change replaces as one.
+/// Field with the limits on clients, which a patch replaces as a whole.
 const LIMITS_FIELD: &str = "Limits";
 
-/// Applies a change of named items to the text of the current configuration, which may be empty, and returns the text of a complete
-/// configuration. The change has the new version (`Gen`), items to add or replace (`Upsert`) and names to remove (`Remove`).
+/// Applies a patch of named items to the text of the current configuration, which may be empty, and returns the text of the complete
+/// new configuration. The patch contains the new version (`Gen`), items to add or replace (`Upsert`) and names to remove (`Remove`).
 ///
 /// # Errors
 ///
-/// [`ConfigurationError::Unreadable`] if one of the texts is not valid.
+/// [`ConfigurationError::Unreadable`] if one of the texts is not a valid document.
 pub fn apply_patch(current: &str, patch: &str) -> Result<String, ConfigurationError> {
     let base = parse_json(if current.is_empty() { "{}" } else { current })?;
     let patch_object = parse_json(patch)?;
@@ -43,9 +44,9 @@
     Ok(json::to_string(&Value::Object(result)))
 }
 
-/// The list with the changes applied; `None` if there are none.
+/// Applies the patch to one list; `None` if the patch does not change this list.
 fn merge(
-    mut all: Vec<Value>,
+    mut items: Vec<Value>,
     upsert: Vec<Value>,
     remove: Vec<Value>,
     list: &str,
@@ -53,24 +54,24 @@
     if upsert.is_empty() && remove.is_empty() {
         return Ok(None);
     }
-    let removed = names_to_remove(remove, list)?;
-    all.retain(|item| name_of(item).is_none_or(|name| !removed.contains(name)));
+    let removed_names = names_to_remove(remove, list)?;
+    items.retain(|item| name_of(item).is_none_or(|name| !removed_names.contains(name)));
     for item in upsert {
         let name = name_of(&item).ok_or_else(|| ConfigurationError::unreadable(list))?.to_owned();
-        match all.iter_mut().find(|old| name_of(old) == Some(name.as_str())) {
-            Some(old) => *old = item,
-            None => all.push(item),
+        match items.iter_mut().find(|existing| name_of(existing) == Some(name.as_str())) {
+            Some(existing) => *existing = item,
+            None => items.push(item),
         }
     }
     let mut array = Array::new();
-    all.into_iter().for_each(|item| array.push(item));
+    items.into_iter().for_each(|item| array.push(item));
     Ok(Some(Value::Array(array)))
 }
 
 fn names_to_remove(remove: Vec<Value>, list: &str) -> Result<BTreeSet<String>, ConfigurationError> {
-    let name = |value| match value {
+    let name_from = |value| match value {
         Value::String(name) => Ok(name),
         _ => Err(ConfigurationError::unreadable(list)),
     };
-    remove.into_iter().map(name).collect()
+    remove.into_iter().map(name_from).collect()
 }
--- a/tier/wire/src/configuration/reading.rs
+++ b/tier/wire/src/configuration/reading.rs
@@ -1,4 +1,4 @@
-//! Reading a complete configuration from its JSON text.
+//! Parsing of a complete configuration from its JSON text.
 
 use super::document::{NAMED_LISTS, ROUTES, SERVICES, items, name_of, object, parse_json};
 use super::error::ConfigurationError;
@@ -6,23 +6,23 @@
 use miniserde::json::{self, Value};
 
 impl Configuration {
-    /// Reads a complete configuration from its JSON text, without checking its rules.
+    /// Parses a complete configuration from its JSON text, without validating it.
     ///
     /// # Errors
     ///
-    /// [`ConfigurationError::Unreadable`], with the part of the document that is not valid.
-    pub fn read(text: &str) -> Result<Configuration, ConfigurationError> {
+    /// [`ConfigurationError::Unreadable`], which names the invalid part of the document.
+    pub fn parse(text: &str) -> Result<Configuration, ConfigurationError> {
         let document = parse_json(text)?;
         json::from_str(text).map_err(|_| ConfigurationError::Unreadable(describe_failure(&document)))
     }
 }
 
-/// Names the part of a document that is not valid, for the text of the error.
+/// Describes the invalid part of a document for the error message.
 fn describe_failure(document: &Value) -> String {
     let Ok(object) = object(document) else { return "not an object".to_owned() };
     for list in NAMED_LISTS {
-        let Ok(all) = items(object, list) else { return format!("{list} is no list") };
-        for (index, item) in all.iter().enumerate() {
+        let Ok(entries) = items(object, list) else { return format!("{list} is no list") };
+        for (index, item) in entries.iter().enumerate() {
             let text = json::to_string(item);
             let is_valid = match list {
                 ROUTES => json::from_str::<Route>(&text).is_ok(),
--- a/tier/wire/src/configuration/types.rs
+++ b/tier/wire/src/configuration/types.rs
@@ -1,81 +1,81 @@
-//! The configuration as the data plane uses it. Names in the JSON document differ from those of the fields in places.
+//! The configuration as the data plane uses it. Some names in the JSON document differ from the names of the fields here.
 
 use miniserde::{Deserialize, Serialize};
 
 /// A complete configuration.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Version; each configuration has a higher one than the one before.
+    /// Version, which is higher than that of the previous configuration.
     #[serde(rename = "Gen")]
     pub version: u64,
-    /// Routes; of those that match a request the one with the longest prefix applies.
+    /// Routes. Of the routes that match a request, the one with the longest prefix applies.
     #[serde(rename = "Routes")]
     pub routes: Vec<Route>,
-    /// Services that routes refer to.
+    /// Services that the routes refer to.
     #[serde(rename = "Backends")]
     pub services: Vec<Service>,
-    /// Limits on clients; the defaults if not given.
+    /// Limits on clients; the defaults apply if not set.
     #[serde(rename = "Limits")]
     pub limits: Option<ClientLimits>,
-    /// Tenants; if given, routes that are not public require a key.
+    /// Tenants; if set, routes that are not public require the key of a tenant.
     #[serde(rename = "Accounts")]
     pub tenants: Option<Vec<Tenant>>,
 }
 
-/// A route: which requests go to which services.
+/// A route, which maps requests to services.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Route {
     /// Unique name of the route.
     #[serde(rename = "Name")]
     pub name: String,
-    /// Host of the requests, without a port.
+    /// Host of the matching requests, without a port.
     #[serde(rename = "Host")]
     pub host: String,
-    /// Prefix of the path of the requests.
+    /// Path prefix of the matching requests.
     #[serde(rename = "PathPrefix")]
     pub prefix: String,
-    /// `stream`, `bulk` (batch jobs), `safe` (idempotent) or `mutating`, the default.
+    /// Kind of the requests: `stream`, `bulk` (batch jobs), `safe` (idempotent) or `mutating`, which is the default.
     #[serde(rename = "Mode")]
     pub mode: Option<String>,
-    /// Longest time for which a request may be held, milliseconds.
+    /// Time after which a request without an answer fails, milliseconds.
     #[serde(rename = "DeadlineMs")]
     pub deadline_ms: f64,
-    /// Target for the time until the answer, milliseconds: later answers are worth less.
+    /// Target for the latency of the answer, milliseconds; later answers have less value.
     #[serde(rename = "TargetMs")]
     pub target_ms: Option<f64>,
-    /// Rank, 0 the highest and the default.
+    /// Priority; 0 is the highest and the default.
     #[serde(rename = "Prio")]
     pub priority: Option<i64>,
-    /// The only service, unless `shares` are given.
+    /// Name of the only service; ignored if `shares` is set and not empty.
     #[serde(rename = "Backend")]
     pub service: Option<String>,
-    /// Services and their weights.
+    /// Services of the route with their weights.
     #[serde(rename = "Shares")]
     pub shares: Option<Vec<WeightedService>>,
-    /// Largest number of endpoints that a request runs on; 1 if not given.
+    /// Largest number of endpoints that a request runs on, one after the other; 1 if not set.
     #[serde(rename = "Tries")]
     pub max_attempts: Option<u64>,
-    /// Requests need no key.
+    /// Whether requests need no key.
     #[serde(rename = "Public")]
     pub public: Option<bool>,
-    /// A stream may be continued at another endpoint.
+    /// Whether an interrupted stream may be resumed at another endpoint.
     #[serde(rename = "Resumable")]
     pub resumable: Option<bool>,
-    /// Wanted time between two events of a stream, milliseconds.
+    /// Target for the time between two events of a stream, milliseconds.
     #[serde(rename = "gap_aim_ms")]
     pub target_gap_ms: Option<f64>,
-    /// Batch: time after the submission at which every result is due, milliseconds.
+    /// For batch routes: time after the submission by which every result is due, milliseconds.
     #[serde(rename = "DueMs")]
     pub due_ms: Option<f64>,
-    /// Batch: time after the submission at which an item may be given up, seconds.
+    /// For batch routes: time after the submission after which an item without a result may be given up, seconds.
     #[serde(rename = "RetainS")]
     pub retain_s: Option<f64>,
-    /// Batch: largest number of tokens that a tenant may have waiting; 0 or not given means no limit.
+    /// For batch routes: largest number of tokens that a tenant may have queued; 0 or not set means no limit.
     #[serde(rename = "MaxQueued")]
-    pub max_queued: Option<f64>,
+    pub max_queued_tokens: Option<f64>,
 }
 
-/// The part of a route's requests that goes to one service.
+/// A service of a route with the weight that determines its share of the requests.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct WeightedService {
     /// Name of the service.
@@ -92,62 +92,67 @@
     /// Unique name of the service.
     #[serde(rename = "Name")]
     pub name: String,
-    /// Connections that all couriers together may have to an endpoint.
+    /// Largest number of connections that all couriers together may have to one endpoint.
     #[serde(rename = "MaxConns")]
-    pub connections: Option<f64>,
-    /// Engine of the endpoints.
+    pub max_connections: Option<f64>,
+    /// Inference engine of the endpoints.
     #[serde(rename = "Runtime")]
     pub runtime: Option<Runtime>,
-    /// Bounds for scaling; without them the service is not scaled.
+    /// Bounds for autoscaling; if not set, the service is not scaled.
     #[serde(rename = "Autoscale")]
     pub autoscale: Option<Autoscale>,
 }
 
-/// Engine of a service's endpoints.
+/// Inference engine of a service's endpoints.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Runtime {
-    /// Requests that an endpoint runs at once.
+    /// Number of requests that an endpoint runs concurrently.
     #[serde(rename = "Capacity")]
     pub capacity: Option<f64>,
-    /// Memory that running requests and the prefix cache share, tokens.
+    /// Size of the memory that running requests and the prefix cache share, tokens.
     #[serde(rename = "KvCap")]
-    pub token_memory: Option<f64>,
+    pub kv_cache_tokens: Option<f64>,
 }
 
-/// Bounds of the number of endpoints, for each zone.
+/// Bounds of the number of endpoints in each zone.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Autoscale {
-    /// Least number of endpoints in a zone.
+    /// Smallest number of endpoints in a zone.
     #[serde(rename = "Floor")]
     pub floor: f64,
     /// Largest number of endpoints in a zone.
     #[serde(rename = "Ceil")]
     pub ceiling: f64,
-    /// Time until a new endpoint serves, seconds.
+    /// Time that a new endpoint needs until it serves requests, seconds.
     #[serde(rename = "BootS")]
     pub boot_s: Option<f64>,
 }
 
-/// What a client may send, and how much time it may take.
+/// Limits on the size of client requests and on the time that clients take.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ClientLimits {
     /// Size of the largest request head, bytes.
     #[serde(rename = "HdrBytes")]
-    pub head_bytes: u64,
+    pub max_head_bytes: u64,
     /// Size of the largest request body, bytes.
     #[serde(rename = "BodyBytes")]
-    pub body_bytes: u64,
-    /// Time in which a request head has to arrive, milliseconds.
+    pub max_body_bytes: u64,
+    /// Time within which a request head has to arrive, milliseconds.
     #[serde(rename = "HdrMs")]
-    pub head_ms: f64,
+    pub head_timeout_ms: f64,
     /// Time without input after which a connection is closed, milliseconds.
     #[serde(rename = "IdleMs")]
-    pub idle_ms: f64,
+    pub idle_timeout_ms: f64,
 }
 
 impl Default for ClientLimits {
     fn default() -> Self {
-        ClientLimits { head_bytes: 16_384, body_bytes: 4_194_304, head_ms: 3000.0, idle_ms: 15_000.0 }
+        ClientLimits {
+            max_head_bytes: 16_384,
+            max_body_bytes: 4_194_304,
+            head_timeout_ms: 3000.0,
+            idle_timeout_ms: 15_000.0,
+        }
     }
 }
 
@@ -157,22 +162,22 @@
     /// Unique name of the tenant.
     #[serde(rename = "Name")]
     pub name: String,
-    /// Keys; each belongs to one tenant.
+    /// API keys; each key belongs to one tenant only.
     #[serde(rename = "Apikeys")]
     pub keys: Option<Vec<String>>,
-    /// Rank of the tenant's requests, before that of the route.
+    /// Priority of the tenant's requests, which takes precedence over that of the route.
     #[serde(rename = "Prio")]
     pub priority: Option<i64>,
 }
 
 impl Route {
-    /// Largest number of tokens that a tenant may have waiting, if that is limited.
-    pub fn waiting_limit(&self) -> Option<u64> {
-        self.max_queued.filter(|limit| *limit > 0.0).map(|limit| limit as u64)
+    /// Returns the largest number of tokens that a tenant may have queued, if there is a limit.
+    pub fn queued_token_limit(&self) -> Option<u64> {
+        self.max_queued_tokens.filter(|limit| *limit > 0.0).map(|limit| limit as u64)
     }
 
-    /// The services of the route with their weights, whether given by `shares` or `service`.
-    pub fn services(&self) -> Vec<(&str, f64)> {
+    /// Returns the services of the route with their weights, from `shares` or `service`.
+    pub fn weighted_services(&self) -> Vec<(&str, f64)> {
         match (&self.shares, &self.service) {
             (Some(shares), _) if !shares.is_empty() => {
                 shares.iter().map(|share| (share.service.as_str(), share.weight)).collect()
--- a/tier/wire/src/frame.rs
+++ b/tier/wire/src/frame.rs
@@ -1,37 +1,36 @@
 //! Frames between processes: a header of fixed size, then one `rkyv` message.
 //!
-//! Header, little endian: magic (4 bytes, identifies protocol and version), kind (1), length of the body (4), CRC-32 of the body
-//! (4), call number (8). The reader decodes the header, reads the body into an [`aligned_buffer`], verifies it and decodes the
-//! message. After any error the connection is closed, because the position of the next frame is unknown.
+//! The header is little endian: magic (4 bytes, identifies protocol and version), kind (1), length of the body (4), CRC-32 of the
+//! body (4), call number (8). The reader decodes the header, reads the body into an [`aligned_buffer`], verifies it and decodes the
+//! message. After any error the reader closes the connection, because it can't find the start of the next frame.
 
 use rkyv::util::AlignedVec;
 
-/// Identifies protocol and version.
+/// First bytes of each frame, which identify the protocol and its version.
 pub const MAGIC: [u8; 4] = *b"QMF1";
 /// Size of a header, bytes.
 pub const HEADER_BYTES: usize = 21;
 /// Size of the largest body, bytes.
 pub const BODY_LIMIT: usize = 32 << 20;
 
-/// Offsets of the fields after the magic.
+/// Offsets of the header fields that follow the magic, bytes.
 const KIND_OFFSET: usize = 4;
 const LENGTH_OFFSET: usize = 5;
 const CHECKSUM_OFFSET: usize = 9;
 const CALL_OFFSET: usize = 13;
 
-/// The part that a frame has in a call.
+/// Role of a frame in a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameKind {
-    /// A message without a response.
+    /// A message that has no response.
     Notification,
-    /// A request that is answered by a response of the same call number.
+    /// A request, which is answered by a response with the same call number.
     Request,
     /// The response to a request.
     Response,
 }
 
 impl FrameKind {
-    /// The byte that stands for the kind.
     fn to_byte(self) -> u8 {
         match self {
             FrameKind::Notification => 0,
@@ -50,30 +49,30 @@
     }
 }
 
-/// Why a frame was not accepted.
+/// Reasons why a frame is rejected.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The magic is not that of this version.
-    #[error("a frame of another version")]
+    /// The magic is not that of this protocol version.
+    #[error("the frame is not of this protocol version; check that the peer runs a compatible release")]
     WrongVersion,
-    /// The byte for the kind has no meaning.
-    #[error("a frame of unknown kind {0}")]
+    /// The byte for the kind is not defined.
+    #[error("the frame has the undefined kind {0}")]
     UnknownKind(u8),
     /// The body, of this size in bytes, is above [`BODY_LIMIT`].
-    #[error("a frame of {0} bytes, {BODY_LIMIT} at most")]
+    #[error("the frame body of {0} bytes exceeds the limit of {BODY_LIMIT} bytes")]
     TooLarge(usize),
     /// The body does not have the checksum in the header.
-    #[error("a frame with a wrong checksum")]
+    #[error("the checksum of the frame body does not match the header")]
     WrongChecksum,
-    /// The body is no message of the expected type; with the detail of the decoder.
-    #[error("a frame that holds no message: {0}")]
+    /// The body is not a message of the expected type; contains the error of the decoder.
+    #[error("the frame body is not a valid message: {0}")]
     Malformed(String),
 }
 
 /// Header of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FrameHeader {
-    /// The part that the frame has in its call.
+    /// Role of the frame in its call.
     pub kind: FrameKind,
     /// Size of the body, bytes.
     pub length: usize,
@@ -84,11 +83,11 @@
 }
 
 impl FrameHeader {
-    /// Decodes a header.
+    /// Decodes and validates a header.
     ///
     /// # Errors
     ///
-    /// [`FrameError::WrongVersion`], [`FrameError::UnknownKind`] or [`FrameError::TooLarge`].
+    /// [`FrameError::WrongVersion`], [`FrameError::UnknownKind`] or [`FrameError::TooLarge`] if the field in question is invalid.
     pub fn decode(bytes: &[u8; HEADER_BYTES]) -> Result<FrameHeader, FrameError> {
         if bytes[..KIND_OFFSET] != MAGIC {
             return Err(FrameError::WrongVersion);
@@ -104,7 +103,7 @@
         Ok(FrameHeader { kind, length, checksum, call })
     }
 
-    /// Checks the body against the checksum.
+    /// Verifies the body against the checksum in the header.
     ///
     /// # Errors
     ///
@@ -118,7 +117,7 @@
     u32::from_le_bytes([bytes[offset], bytes[offset + 1], bytes[offset + 2], bytes[offset + 3]])
 }
 
-/// Encodes a frame: header and body.
+/// Encodes a frame with header and body.
 pub fn encode(kind: FrameKind, call: u64, body: &[u8]) -> Vec<u8> {
     let mut frame = Vec::with_capacity(HEADER_BYTES + body.len());
     frame.extend_from_slice(&MAGIC);
@@ -130,7 +129,7 @@
     frame
 }
 
-/// A buffer of this length, filled with zeros and aligned so that `rkyv` can decode a message in it.
+/// Creates a buffer of `length` zero bytes that is aligned so that `rkyv` can decode a message in it.
 pub fn aligned_buffer(length: usize) -> AlignedVec {
     let mut buffer = AlignedVec::new();
     buffer.resize(length, 0);
--- a/tier/wire/src/lib.rs
+++ b/tier/wire/src/lib.rs
@@ -1,7 +1,8 @@
-//! What the processes of the serving tier read and exchange: the settings of a process, the operator's configuration, and the
-//! messages between processes with their frames. Encoding and decoding only; apart from [`settings`], which reads its file, no I/O.
+//! Formats that the processes of the serving tier read and exchange: the settings of a process, the operator's configuration, and
+//! the messages between processes with their frames. The package only encodes and decodes; the one exception is [`settings`], which
+//! reads its file.
 //!
-//! The tier's packages that follow time all build on this one, so that it also defines their unit of time, [`Micros`].
+//! The package also defines [`Micros`], the unit of time of all packages of the tier, because they all depend on it.
 
 pub mod configuration;
 pub mod frame;
@@ -9,5 +10,6 @@
 pub mod ranges;
 pub mod settings;
 
-/// A moment on the steady clock of a process, or a span of time, in microseconds. Moments of different processes can't be compared.
+/// A point in time on the monotonic clock of a process, or a duration, in microseconds. Points in time of different processes can't
+/// be compared.
 pub type Micros = u64;
--- a/tier/wire/src/messages.rs
+++ b/tier/wire/src/messages.rs
@@ -1,7 +1,9 @@
-//! Messages between couriers, core members and stores, by plane; the types that batch and control state store are among them.
+//! Messages between couriers, core members and stores, grouped by plane. Some of these types are also part of the stored batch and
+//! control state.
 //!
-//! The encoding is `rkyv`: the order of fields and variants and the types of fields are the wire format and the stored form, names
-//! are not. Variants and fields are never reordered; `tests/message_bytes.rs` compares the bytes.
+//! The encoding is `rkyv`: the order of fields and variants and the types of fields determine the wire format and the storage format;
+//! names do not matter. Variants and fields must never be reordered; `tests/message_bytes.rs` compares the encoded bytes with
+//! fixtures.
 
 mod calls;
 mod delta;
--- a/tier/wire/src/messages/calls.rs
+++ b/tier/wire/src/messages/calls.rs
@@ -1,4 +1,4 @@
-//! The calls between processes: requests and their responses, of all planes.
+//! Requests between processes and their responses, for all planes.
 
 use super::encoding::{decode_aligned, encode};
 use super::jobs::{ItemOutcome, Job};
@@ -13,21 +13,23 @@
 /// A request from one process to another.
 #[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub enum Request {
-    /// Asks for the receiver's identity and whether its disk is still empty; introduces the sender. For the first start.
+    /// Introduces the sender at the first start of the system; answered by `Announced` with the receiver's identity and whether its
+    /// disk is still empty.
     Announce {
         /// The sender.
         node: NodeInfo,
-        /// The sender may take part in the first start of the system.
+        /// Whether the sender may take part in the first start of the system.
         bootstrap: bool,
     },
-    /// The sender is the primary of the core. Has no response; it is a hint that the receiver verifies by polling the address.
+    /// Names the address of the sender, which is the primary of the core. Has no response; the receiver verifies the hint by polling
+    /// the address.
     PrimaryHint {
         /// Internal address of the primary.
         address: String,
     },
     /// A long poll, answered by `Tables` or `NotPrimary`.
     Poll(Poll),
-    /// A message of the register. Has no response: replies are messages of their own.
+    /// A message of the register's consensus protocol. Has no response: replies are separate messages.
     Register {
         /// The sending member.
         from: DiskId,
@@ -38,7 +40,7 @@
         /// The message.
         message: RegisterMessage,
     },
-    /// Submits a job to the primary of its shard.
+    /// Submits a job to the primary of its shard; answered by `Done` if it is committed.
     Submit {
         /// Number of the shard.
         shard: u32,
@@ -47,7 +49,7 @@
         /// The job.
         job: Job,
     },
-    /// Reads results of a job, answered by `Results`.
+    /// Reads results of a job; answered by `Results`.
     Read {
         /// Number of the shard.
         shard: u32,
@@ -55,14 +57,14 @@
         epoch: Epoch,
         /// Id of the job.
         job: String,
-        /// The tenant that reads; the job of another one is not found.
+        /// Tenant that reads; a job of another tenant is reported as not found.
         tenant: String,
         /// Number of results to skip.
         start_after: u64,
         /// Longest time to wait for a further result, milliseconds.
         wait_ms: u64,
     },
-    /// Reads the body of an item as it was submitted, answered by `Body`.
+    /// Reads the body of an item as it was submitted; answered by `Body`.
     Body {
         /// Number of the shard.
         shard: u32,
@@ -70,12 +72,12 @@
         epoch: Epoch,
         /// Id of the job.
         job: String,
-        /// The tenant that reads; the job of another one is not found.
+        /// Tenant that reads; a job of another tenant is reported as not found.
         tenant: String,
         /// Id of the item.
         item: String,
     },
-    /// Ends a job.
+    /// Ends a job, so that its items without a result do not run any more.
     End {
         /// Number of the shard.
         shard: u32,
@@ -83,20 +85,21 @@
         epoch: Epoch,
         /// Id of the job.
         job: String,
-        /// The tenant that ends it; the job of another one is not found.
+        /// Tenant that ends the job; a job of another tenant is reported as not found.
         tenant: String,
     },
-    /// Asks whether a job's tokens fit, answered by `Done`, `Full`, or `WrongEpoch` where that is not known.
+    /// Claims a job's tokens from the quota of its tenant; answered by `Done` if they fit, by `Full` if they exceed the limit, and by
+    /// `WrongEpoch` if the ledger can't decide.
     Claim(QuotaClaim),
-    /// Statements of waiting tokens. Has no response.
+    /// Statements of reserved tokens to a quota ledger. Has no response.
     Statements(Vec<QuotaStatement>),
     /// A message to a member of a shard.
     Shard {
-        /// Disk of the member.
+        /// Disk of the receiving member.
         to: DiskId,
         /// Number of the shard.
         shard: u32,
-        /// Epoch of the primary.
+        /// Epoch of the primary that sends the message.
         epoch: Epoch,
         /// The message.
         message: ShardMessage,
@@ -108,86 +111,86 @@
 pub enum Response {
     /// Response to `Announce`.
     Announced {
-        /// The process that responds.
+        /// Process that responds.
         node: NodeInfo,
-        /// Its disk is empty.
+        /// Whether the process has no control state yet.
         empty: bool,
-        /// Processes that it knows.
-        known: Vec<NodeInfo>,
+        /// Processes that have announced themselves to it.
+        known_nodes: Vec<NodeInfo>,
     },
     /// Response to `Poll` of the core's primary.
     Tables(Tables),
-    /// The process that responds is not the primary of the core.
+    /// The process that responds is not the primary of the core, or can't serve the tables now.
     NotPrimary {
         /// Internal address of the primary, if known.
         hint: Option<String>,
     },
-    /// The request was for another process or another epoch; nothing was changed.
+    /// The request was meant for another process or another epoch; it changed nothing.
     WrongEpoch,
-    /// Rejected for lack of capacity; nothing was changed.
+    /// The request was rejected for lack of capacity; it changed nothing.
     Full,
     /// The request may or may not have taken effect.
     Uncertain,
-    /// Success without further data.
+    /// The request succeeded and returns no data.
     Done,
-    /// There is no such job or item.
+    /// The job or item does not exist, or belongs to another tenant.
     NotFound,
     /// Results of a job.
     Results {
-        /// Number of items of the job, with and without a result.
+        /// Number of all items of the job, with and without a result.
         total: u64,
-        /// The results after those skipped.
+        /// Results that follow the skipped ones.
         results: Vec<ItemOutcome>,
     },
     /// Body of an item.
     Body(Vec<u8>),
-    /// Operations are durable at the member.
+    /// The operations are durable at the member.
     Replicated {
-        /// Number after the last of these operations.
+        /// Number of the next operation that the member expects.
         next: u64,
     },
-    /// The member lacks earlier operations, or the session is another: a repair is needed first.
+    /// The member lacks earlier operations, or the request belongs to another session: a repair is needed first.
     Behind,
     /// Response to `CompareBuckets`.
     DifferentBuckets {
-        /// The session of the repair.
+        /// Session of the repair.
         session: u64,
         /// Numbers of the buckets that differ.
         buckets: Vec<u32>,
     },
-    /// Response to `CompareJobs`: ids of jobs that the member lacks or that differ.
+    /// Response to `CompareJobs`, with the ids of jobs that the member lacks or that differ.
     DifferentJobs(Vec<String>),
-    /// Response to `Poll` of the core's primary, with differences to the tables that the sender has.
+    /// Response to `Poll` of the core's primary, with deltas from the tables that the sender has.
     ChangedTables(Box<ChangedTables>),
 }
 
 impl Request {
-    /// Encodes the request.
+    /// Encodes the request as the body of a frame.
     pub fn encode(&self) -> Vec<u8> {
         encode(self)
     }
 
-    /// Decodes a request; `bytes` have to be aligned as by [`crate::frame::aligned_buffer`].
+    /// Decodes a request; `bytes` have to be aligned as in [`crate::frame::aligned_buffer`].
     ///
     /// # Errors
     ///
-    /// [`FrameError::Malformed`] if the bytes are no request.
+    /// [`FrameError::Malformed`] if the bytes are not a valid request.
     pub fn decode(bytes: &[u8]) -> Result<Request, FrameError> {
         decode_aligned(bytes)
     }
 }
 
 impl Response {
-    /// Encodes the response.
+    /// Encodes the response as the body of a frame.
     pub fn encode(&self) -> Vec<u8> {
         encode(self)
     }
 
-    /// Decodes a response; `bytes` have to be aligned as by [`crate::frame::aligned_buffer`].
+    /// Decodes a response; `bytes` have to be aligned as in [`crate::frame::aligned_buffer`].
     ///
     /// # Errors
     ///
-    /// [`FrameError::Malformed`] if the bytes are no response.
+    /// [`FrameError::Malformed`] if the bytes are not a valid response.
     pub fn decode(bytes: &[u8]) -> Result<Response, FrameError> {
         decode_aligned(bytes)
     }
--- a/tier/wire/src/messages/directory.rs
+++ b/tier/wire/src/messages/directory.rs
@@ -1,25 +1,25 @@
-//! Endpoints as the platform lists them, and updates of that list.
+//! Endpoints in the platform's list, and updates of the list.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// An endpoint as the platform lists it.
+/// An endpoint in the platform's list.
 #[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// Identity given by the platform.
+    /// Id assigned by the platform.
     pub id: String,
-    /// Name of its service.
+    /// Name of the service that the endpoint belongs to.
     pub service: String,
-    /// Address for requests.
+    /// Address that the endpoint serves requests on.
     pub address: String,
     /// Availability zone.
     pub zone: String,
-    /// Number of requests that it runs at once.
+    /// Number of requests that the endpoint runs concurrently.
     pub capacity: u32,
-    /// It is shutting down: no new requests.
+    /// Whether the endpoint is shutting down and must get no new requests.
     pub draining: bool,
-    /// Remaining time for which it runs slower while warming up, milliseconds.
+    /// Remaining time of the warm-up, during which the endpoint is slower, milliseconds.
     pub warmup_left_ms: f64,
-    /// Models and their generations.
+    /// Models that the endpoint serves, with their generations.
     pub models: Vec<(String, u64)>,
 }
 
@@ -28,7 +28,7 @@
 pub enum DirectoryUpdate {
     /// The complete list.
     Full(Vec<Endpoint>),
-    /// The changes since the version that the receiver has.
+    /// The changes from the version that the receiver has.
     Delta {
         /// Endpoints that are new or differ.
         changed: Vec<Endpoint>,
--- a/tier/wire/src/messages/encoding.rs
+++ b/tier/wire/src/messages/encoding.rs
@@ -1,4 +1,4 @@
-//! Encoding and validated decoding of any message by `rkyv`.
+//! Encoding and validated decoding of messages with `rkyv`.
 
 use crate::frame::{FrameError, aligned_buffer};
 use rkyv::api::high::{HighDeserializer, HighSerializer, HighValidator};
@@ -8,7 +8,7 @@
 use rkyv::util::AlignedVec;
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Encodes a message. Encoding fails only for lack of memory, which ends the process anyway.
+/// Encodes a message. Encoding can fail only if memory is exhausted, which ends the process anyway.
 pub fn encode<T>(message: &T) -> Vec<u8>
 where
     T: for<'a> Serialize<HighSerializer<AlignedVec, ArenaHandle<'a>, rancor::Error>>,
@@ -16,11 +16,11 @@
     rkyv::to_bytes::<rancor::Error>(message).map(|bytes| bytes.to_vec()).unwrap_or_default()
 }
 
-/// Decodes a message from bytes of any alignment.
+/// Decodes a message from bytes with any alignment.
 ///
 /// # Errors
 ///
-/// [`FrameError::Malformed`] if the bytes are no message of this type.
+/// [`FrameError::Malformed`] if the bytes are not a valid message of this type.
 pub fn decode<T>(bytes: &[u8]) -> Result<T, FrameError>
 where
     T: Archive,
@@ -32,7 +32,7 @@
     decode_aligned(&buffer)
 }
 
-/// Decodes a message from a buffer aligned as by [`aligned_buffer`].
+/// Decodes a message from a buffer that is aligned as in [`aligned_buffer`].
 pub(super) fn decode_aligned<T>(bytes: &[u8]) -> Result<T, FrameError>
 where
     T: Archive,
--- a/tier/wire/src/messages/jobs.rs
+++ b/tier/wire/src/messages/jobs.rs
@@ -5,7 +5,7 @@
 /// An item of a batch job as it was submitted.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Item {
-    /// Id, unique within the job.
+    /// Id of the item, unique within the job.
     pub id: String,
     /// Path of the request to the endpoint.
     pub path: String,
@@ -13,41 +13,41 @@
     pub headers: Vec<(String, String)>,
     /// Body of the request to the endpoint.
     pub body: Vec<u8>,
-    /// Tokens that count against the tenant's quota while the item has no result.
+    /// Number of tokens that count against the tenant's quota until the item has a result.
     pub tokens: u64,
 }
 
 /// A batch job as it was submitted.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Job {
-    /// Id, unique among all jobs.
+    /// Id of the job, unique among all jobs.
     pub id: String,
-    /// The tenant that submitted it.
+    /// Tenant that submitted the job.
     pub tenant: String,
-    /// Name of the route on which it was submitted.
+    /// Name of the route on which the job was submitted.
     pub route: String,
-    /// Host of the submission.
+    /// Host in the request that submitted the job.
     pub host: String,
-    /// Path of the submission.
+    /// Path in the request that submitted the job.
     pub path: String,
-    /// Its items.
+    /// Items of the job, in the order of submission.
     pub items: Vec<Item>,
 }
 
 impl Job {
-    /// Tokens of all items.
+    /// Returns the sum of the tokens of all items.
     #[must_use]
     pub fn tokens(&self) -> u64 {
         self.items.iter().map(|item| item.tokens).fold(0, u64::saturating_add)
     }
 }
 
-/// How an item ended.
+/// Final state of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum Phase {
-    /// An endpoint gave a result.
+    /// An endpoint returned a result.
     Done,
-    /// It was given up.
+    /// The item was given up without a result.
     DeadLetter,
 }
 
@@ -56,41 +56,41 @@
 pub struct ItemResult {
     /// Index of the item in its job.
     pub item: u32,
-    /// How it ended.
+    /// Final state of the item.
     pub phase: Phase,
-    /// Text of the result, or the reason why it was given up.
+    /// Text of the result, or the reason why the item was given up.
     pub text: String,
 }
 
-/// The result of an item as it is read: by the item's id.
+/// The result of an item as returned to a reader, with the item's id in place of its index.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ItemOutcome {
     /// Id of the item.
     pub id: String,
-    /// How it ended.
+    /// Final state of the item.
     pub phase: Phase,
-    /// Text of the result, or the reason why it was given up.
+    /// Text of the result, or the reason why the item was given up.
     pub text: String,
 }
 
-/// A change of a shard.
+/// A replicated operation on a shard.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum ShardOperation {
     /// Adds a job.
     Submit(Job),
-    /// Adds a result at the end of the job's results.
+    /// Appends a result to the results of a job.
     Append {
         /// Id of the job.
         job: String,
         /// The result.
         result: ItemResult,
     },
-    /// Ends a job: it takes no further results.
+    /// Ends a job, which then accepts no further results.
     End {
         /// Id of the job.
         job: String,
     },
-    /// Removes a job.
+    /// Removes a job and its results.
     Forget {
         /// Id of the job.
         job: String,
@@ -102,8 +102,8 @@
 pub struct JobState {
     /// The job as it was submitted.
     pub job: Job,
-    /// Results in the order in which they were added.
+    /// Results in the order in which they were appended.
     pub results: Vec<ItemResult>,
-    /// The job takes no further results.
+    /// Whether the job was ended and accepts no further results.
     pub ended: bool,
 }
--- a/tier/wire/src/messages/poll.rs
+++ b/tier/wire/src/messages/poll.rs
@@ -1,4 +1,4 @@
-//! The long poll of couriers and stores at the core's primary: heartbeat and subscription to the tables in one.
+//! The long poll that couriers and stores send to the core's primary. It is both their heartbeat and their subscription to the tables.
 
 use super::delta::Delta;
 use super::directory::DirectoryUpdate;
@@ -6,17 +6,16 @@
 use super::placement::{Placement, ShardReport};
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Version of the endpoint list. The count starts again in each epoch of the core: those of two epochs can't be compared by
-/// their counters.
+/// Version of the endpoint list. The counter restarts in each epoch of the core, so counters of different epochs can't be compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Archive, Serialize, Deserialize)]
 pub struct DirectoryVersion {
-    /// Epoch of the primary that read the list.
+    /// Epoch of the core's primary that read the list.
     pub epoch: Epoch,
-    /// Number of changes of the list in this epoch; 0 for no list.
+    /// Number of changes of the list in this epoch; 0 if there is no list.
     pub changes: u64,
 }
 
-/// Versions of the tables that a process has.
+/// Versions of the tables at a process; 0 for a table that it does not have.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct TableVersions {
     /// Version of the operator's configuration.
@@ -27,37 +26,37 @@
     pub directory: DirectoryVersion,
 }
 
-/// Requests of each tenant that started to run in one window of the wall clock.
+/// Number of requests of each tenant that started to run in one usage window. Windows follow the wall clock.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct UsageWindow {
-    /// Number of the window.
+    /// Number of the window: wall-clock time divided by the length of a window.
     pub window: u64,
-    /// Tenants and their requests.
+    /// Number of requests by tenant.
     pub counts: Vec<(String, u64)>,
 }
 
 /// A long poll of a courier or store.
 #[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub struct Poll {
-    /// The sender.
+    /// Process that sends the poll.
     pub node: NodeInfo,
-    /// Drawn at each start of the sender: counts of an earlier incarnation are not replaced.
+    /// Random number drawn at each start of the sender, so that its usage counts do not replace those of an earlier incarnation.
     pub incarnation: u64,
     /// Versions of the tables that the sender has.
     pub known_versions: TableVersions,
-    /// Longest time until the response, milliseconds.
+    /// Longest time that the receiver may delay the response, milliseconds.
     pub max_wait_ms: u64,
-    /// Usage that the sender has counted.
+    /// Requests that the sender has counted, by usage window.
     pub usage: Vec<UsageWindow>,
-    /// Reports on the shards whose primary the sender is.
+    /// Reports about the shards of which the sender is the primary.
     pub shards: Vec<ShardReport>,
-    /// The sender is shutting down: it is assigned no new roles.
+    /// Whether the sender is shutting down and must be assigned no new roles.
     pub draining: bool,
-    /// A courier forwards the poll for a process that cannot reach the core.
+    /// Whether a courier forwards the poll for a process that can't reach the core.
     pub relayed: bool,
-    /// Endpoint slots that live requests need at the sender at once, by service.
+    /// Number of endpoint slots that live requests at the sender need concurrently, by service.
     pub demand: Vec<(String, f64)>,
-    /// Items of batch jobs that wait or run at the sender, by service; empty unless it is a store.
+    /// Number of batch items that wait or run at the sender, by service; empty unless the sender is a store.
     pub items: Vec<(String, u32)>,
 }
 
@@ -66,49 +65,49 @@
 pub struct ServiceLoad {
     /// Name of the service.
     pub service: String,
-    /// Endpoint slots that live requests need at once.
+    /// Number of endpoint slots that live requests need concurrently.
     pub live_demand: f64,
-    /// Items of batch jobs that wait or run, by store.
+    /// Number of batch items that wait or run, by store.
     pub items: Vec<(DiskId, u32)>,
 }
 
-/// A table, or an update of it, with the version that it leads to.
+/// A table or an update of a table, with the resulting version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Versioned<V, T> {
-    /// The version.
+    /// Version of the table after the update.
     pub version: V,
     /// The table or the update.
     pub content: T,
 }
 
-/// Response to a long poll, with only the tables that the sender of the poll does not have.
+/// Response to a long poll. It contains only tables that are newer than those of the sender of the poll.
 #[derive(Clone, Debug, Default, PartialEq, Archive, Serialize, Deserialize)]
 pub struct Tables {
     /// Epoch of the core's primary.
     pub epoch: Epoch,
     /// Text of the operator's configuration.
     pub configuration: Option<Versioned<u64, String>>,
-    /// The placement.
+    /// Placement of core members, stores and shards.
     pub placement: Option<Versioned<u64, Placement>>,
     /// Update of the endpoint list.
     pub directory: Option<Versioned<DirectoryVersion, DirectoryUpdate>>,
-    /// Number of live couriers and stores: they share an endpoint's connections.
+    /// Number of live couriers and stores, which share the connections to each endpoint.
     pub senders: u32,
     /// Internal address of the primary that responds.
     pub primary: String,
-    /// Internal addresses of couriers without a disk that forward polls for processes that cannot reach the core.
+    /// Internal addresses of couriers without a disk that forward polls for processes that can't reach the core.
     pub relays: Vec<String>,
-    /// Load of each service; empty unless the poll is a store's.
+    /// Load of each service; empty unless a store sent the poll.
     pub loads: Vec<ServiceLoad>,
 }
 
-/// Response to a long poll whose sender has an earlier version of a table: the difference in place of the table.
+/// Response to a long poll whose sender has an earlier version of a table. It contains deltas in place of complete tables.
 #[derive(Clone, Debug, Default, PartialEq, Archive, Serialize, Deserialize)]
 pub struct ChangedTables {
-    /// All else; without the tables that are given as differences.
+    /// All other parts of the response; tables that are sent as deltas are not set.
     pub tables: Tables,
-    /// Difference of the configuration's text.
+    /// Delta of the configuration's text.
     pub configuration: Option<Versioned<u64, Delta>>,
-    /// Difference of the encoded placement.
+    /// Delta of the encoded placement.
     pub placement: Option<Versioned<u64, Delta>>,
 }
--- a/tier/wire/src/messages/register.rs
+++ b/tier/wire/src/messages/register.rs
@@ -1,5 +1,5 @@
-//! The core's replicated register: values, stored state and the messages of its consensus protocol, which has the phases of Paxos
-//! (prepare, accept) and a pre-vote and heartbeats as in Raft.
+//! The replicated register of the core: its values, its stored state and the messages of its consensus protocol. The protocol has
+//! the phases of Paxos (prepare, accept), and pre-votes and heartbeats as in Raft.
 
 use super::node::{DiskId, Epoch};
 use rkyv::{Archive, Deserialize, Serialize};
@@ -9,29 +9,29 @@
 pub struct RegisterValue {
     /// Members that store the value.
     pub members: Vec<DiskId>,
-    /// Members before a change of members; a majority of these has to agree as well.
+    /// Members before a membership change, of which a majority has to agree as well; `None` if no change is in progress.
     pub prior: Option<Vec<DiskId>>,
-    /// The control state, encoded.
+    /// Encoded control state.
     pub payload: Vec<u8>,
 }
 
-/// An accepted value and its position in the order of all values, which is `(epoch, sequence)`.
+/// An accepted value with its position `(epoch, sequence)` in the order of all values.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Accepted {
     /// Epoch of the primary that proposed the value.
     pub epoch: Epoch,
     /// Number of the proposal within the epoch.
     pub sequence: u64,
-    /// The value.
+    /// The accepted value.
     pub value: RegisterValue,
 }
 
-/// The durable state of a member.
+/// Durable state of a member.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Register {
-    /// Highest epoch promised: no value of a lower epoch is accepted.
+    /// Highest promised epoch: the member accepts no value of a lower epoch.
     pub promised: Epoch,
-    /// The candidate that `promised` was given to.
+    /// Candidate that the promise was given to.
     pub promised_to: DiskId,
     /// The newest accepted value.
     pub accepted: Option<Accepted>,
@@ -40,41 +40,41 @@
 /// Messages of the replicated register from one member to another.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum RegisterMessage {
-    /// Asks whether the receiver would vote for the sender; changes no state.
+    /// Requests a pre-vote: whether the receiver would vote for the sender. It changes no state.
     PreVote {
-        /// The epoch of the intended election.
+        /// Epoch of the intended election.
         epoch: Epoch,
     },
-    /// Positive reply to `PreVote`; valid only at the time it was sent.
+    /// Positive reply to `PreVote`. It does not bind the sender: it only describes its state when it was sent.
     PreVoteGranted {
-        /// The epoch asked for.
+        /// Epoch of the pre-vote request.
         epoch: Epoch,
     },
-    /// Asks the receiver to promise this epoch (phase 1a).
+    /// Requests that the receiver promises this epoch (Paxos phase 1a).
     Prepare {
-        /// The epoch of the candidate.
+        /// Epoch of the candidate.
         epoch: Epoch,
     },
-    /// The epoch is promised, durably (phase 1b).
+    /// The sender has durably promised the epoch (Paxos phase 1b).
     Promise {
         /// The promised epoch.
         epoch: Epoch,
-        /// The newest value that the sender has accepted.
+        /// Newest value that the sender has accepted.
         accepted: Option<Accepted>,
     },
-    /// Asks the receiver to accept a value (phase 2a).
+    /// Requests that the receiver accepts a value (Paxos phase 2a).
     Accept {
-        /// The value and its position.
+        /// Value with its position.
         accepted: Accepted,
     },
-    /// The value is accepted, durably (phase 2b).
+    /// The sender has durably accepted the value (Paxos phase 2b).
     Acknowledge {
         /// Epoch of the accepted value.
         epoch: Epoch,
         /// Sequence number of the accepted value.
         sequence: u64,
     },
-    /// The primary of this epoch is alive.
+    /// Heartbeat of the primary of this epoch.
     Heartbeat {
         /// Epoch of the primary.
         epoch: Epoch,
@@ -92,16 +92,16 @@
         /// Sequence number of the newest value that the sender has accepted.
         accepted_sequence: u64,
     },
-    /// The sender has promised a higher epoch than the message that this answers.
+    /// The sender has promised a higher epoch than that of the message it replies to.
     Reject {
-        /// The promised epoch.
+        /// Highest epoch that the sender has promised.
         promised: Epoch,
     },
-    /// The primary shuts down: the successor starts an election at once.
+    /// The primary shuts down; the successor starts an election immediately.
     Resign {
         /// Epoch of the primary.
         epoch: Epoch,
-        /// The member that is to start the election.
+        /// Member that starts the election.
         successor: DiskId,
     },
 }
--- a/tier/wire/src/settings.rs
+++ b/tier/wire/src/settings.rs
@@ -1,39 +1,41 @@
-//! The settings file of a process (TOML), read at the start and again when the seeds are looked up again. Unknown fields are ignored:
-//! the deployment writes more than is used here. Names in the file differ from those of the fields here in places.
+//! The settings file of a process (TOML). It is read at the start of the process and again when the seeds are reloaded. Unknown
+//! fields are ignored, because the deployment writes more fields than this program uses. Some names in the file differ from the names
+//! of the fields here.
 
-use crate::ranges::{COUNT, OutOfRange, QUANTITY, SPAN_MS, SPAN_S};
+use crate::ranges::{COUNT, DURATION_MS, DURATION_S, OutOfRange, QUANTITY};
 use miette::Diagnostic;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// Why the settings could not be used. The texts include the cause, which is why no variant has a source: it would be shown twice.
+/// Reasons why the settings can't be used. Each message includes its cause, so the variants have no
+/// [`source`](std::error::Error::source): the cause would be printed twice.
 #[derive(Debug, thiserror::Error, Diagnostic)]
 pub enum SettingsError {
     /// The environment variable that names the file is not set.
-    #[error("the variable {0} is not set")]
-    #[diagnostic(help("start the process with the path of its settings file in that variable"))]
+    #[error("the environment variable {0} is not set")]
+    #[diagnostic(help("set the variable to the path of the settings file of the process"))]
     NoPath(&'static str),
     /// The file could not be read.
-    #[error("{path}: {cause}")]
-    #[diagnostic(help("check that the file exists and may be read by this process"))]
+    #[error("failed to read the settings file {path}: {cause}")]
+    #[diagnostic(help("check that the file exists and that the process has permission to read it"))]
     Unreadable {
         /// Path of the file.
         path: String,
-        /// What the operating system reported.
+        /// Error that the operating system reported.
         cause: std::io::Error,
     },
     /// The file does not contain valid settings.
     #[error("{path}: {detail}")]
-    #[diagnostic(help("mend the named field; docs/operating.md lists all of them"))]
+    #[diagnostic(help("correct the named field; docs/operating.md lists all of them"))]
     Invalid {
         /// Path of the file.
         path: String,
-        /// What is wrong, with the name of the field.
+        /// Name of the field and the reason why its value is invalid.
         detail: String,
     },
 }
 
-/// The environment variable that names the settings file.
+/// Environment variable with the path of the settings file.
 pub const PATH_VARIABLE: &str = "QUILLMOUNT_NODE_FILE";
 
 /// Settings of one process.
@@ -50,32 +52,32 @@
     /// Region; empty if not given.
     #[serde(default)]
     pub region: String,
-    /// First and last port for traffic between processes; the first one is used.
+    /// First and last port for traffic between processes; only the first one is used.
     pub port_range: [u16; 2],
-    /// Addresses of the operator interface (`Admin`) of up to three machines, to contact first.
+    /// Addresses of the operator interface (`Admin`) of up to three machines that the process contacts first.
     #[serde(default, rename = "Peers")]
     pub seeds: Vec<String>,
-    /// The process takes part in the first start of the system.
+    /// Whether the process takes part in the first start of the system.
     #[serde(default)]
     pub bootstrap: bool,
-    /// The machine is one of those that [`FaultTolerance::machines`] counts. Any number of others may be lost at once: they are no
-    /// members of the core and hold no batch jobs.
-    #[serde(default = "counts")]
+    /// Whether the machine is one of those that [`FaultTolerance::machines`] counts. The other machines may fail in any number,
+    /// because they are not members of the core and store no batch jobs.
+    #[serde(default = "default_counts_for_quorum")]
     pub counts_for_quorum: bool,
     /// Folder for data; absent or empty on machines without a disk.
     #[serde(default)]
     pub var_dir: Option<String>,
-    /// Addresses that the process serves.
+    /// Addresses that the process listens on.
     #[serde(default)]
     pub sockets: Sockets,
-    /// Resources of the process.
+    /// Resources that the process may use.
     pub limits: MachineLimits,
-    /// Failures to be tolerated.
+    /// Failures that the system has to tolerate.
     #[serde(rename = "Survive")]
     pub fault_tolerance: FaultTolerance,
     /// Time limits of the service.
-    pub slo: Bounds,
-    /// The platform's interface, if there is one.
+    pub slo: SloSettings,
+    /// Interface of the platform; `None` if the deployment has no platform.
     #[serde(default)]
     pub cloud_api: Option<CloudApi>,
     /// Region of each zone.
@@ -83,15 +85,15 @@
     pub zones: BTreeMap<String, String>,
 }
 
-/// Addresses that the process serves; which ones depends on its role.
+/// Addresses that the process listens on; which of them are set depends on its role.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Sockets {
-    /// Requests of clients.
+    /// Address for requests of clients.
     pub http: Option<String>,
-    /// Readiness checks.
+    /// Address for readiness checks.
     pub readyz: Option<String>,
-    /// The operator interface.
+    /// Address of the operator interface.
     pub admin: Option<String>,
 }
 
@@ -99,27 +101,27 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct MachineLimits {
-    /// Share of the processor, in cores.
-    #[serde(default = "one_core")]
+    /// Processor time, in cores.
+    #[serde(default = "default_cpu_cores")]
     pub cpu_frac: f64,
-    /// Memory, megabytes; the process is ended above it.
+    /// Memory, megabytes; the process is killed if it uses more.
     pub ram_mb: u64,
     /// Largest number of open files and sockets.
     #[serde(rename = "Nofile")]
-    pub open_files: u64,
-    /// Rate of the machine's link, megabits per second.
+    pub max_open_files: u64,
+    /// Bandwidth of the machine's network link, megabits per second; `None` if unknown.
     #[serde(default)]
     pub nic_mbps: Option<f64>,
-    /// Disk, megabytes; 0 without one.
+    /// Disk space, megabytes; 0 if the machine has no disk.
     #[serde(default)]
     pub disk_mb: u64,
 }
 
-fn counts() -> bool {
+fn default_counts_for_quorum() -> bool {
     true
 }
 
-fn one_core() -> f64 {
+fn default_cpu_cores() -> f64 {
     1.0
 }
 
@@ -127,7 +129,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename = "Survive", rename_all = "PascalCase")]
 pub struct FaultTolerance {
-    /// Number of machines that may be lost at the same time.
+    /// Number of machines that may fail at the same time.
     #[serde(rename = "Boxes")]
     pub machines: usize,
 }
@@ -135,34 +137,34 @@
 /// Time limits of the service, in milliseconds (`_ms`) or seconds (`_s`).
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
-pub struct Bounds {
-    /// Time in contact after which a machine is bound by the rules.
+pub struct SloSettings {
+    /// Time for which a machine has to be in contact with the system before the other limits apply to it.
     pub contact_ms: f64,
-    /// Time in which an operator's change has to be acknowledged.
+    /// Time within which a change by the operator has to be acknowledged.
     pub ack_ms: f64,
-    /// Time after a notice of draining in which requests may still arrive at the endpoint.
+    /// Time after an endpoint was marked as draining in which it may still receive requests.
     pub drain_ms: f64,
-    /// Time from the signal to shut down until the process has to end.
+    /// Time from the shutdown signal until the process has to exit.
     pub grace_s: f64,
-    /// Time after the acknowledgement of a configuration until it is in force everywhere.
+    /// Time from the acknowledgement of a configuration until every process has to use it.
     pub apply_ms: f64,
-    /// Time that a new primary waits before it acts in a singleton role of the previous one.
+    /// Time that a new primary waits before it acts in a singleton role of the previous primary.
     pub lease_ms: f64,
-    /// Length of a window of usage.
+    /// Length of a usage window.
     pub report_s: f64,
     /// Time after the end of a usage window at which its report is final.
     pub usage_delay_s: f64,
     /// Time for which the results of a finished job can be read.
     pub poll_s: f64,
-    /// Time that batch jobs are given after the last traffic.
+    /// Time that batch jobs have to complete after the last traffic.
     pub complete_s: f64,
-    /// Time after a cancellation until no endpoint gets the item any more; not used, since a cancellation acts at once.
+    /// Time after a cancellation after which no endpoint may receive the item. Not used, because a cancellation takes effect at once.
     pub abort_ms: f64,
 }
 
-impl Default for Bounds {
+impl Default for SloSettings {
     fn default() -> Self {
-        Bounds {
+        SloSettings {
             contact_ms: 3000.0,
             ack_ms: 4000.0,
             drain_ms: 3000.0,
@@ -178,19 +180,19 @@
     }
 }
 
-impl Bounds {
+impl SloSettings {
     fn check_numbers(&self) -> Result<(), OutOfRange> {
-        SPAN_MS.check("Slo.ContactMs", self.contact_ms)?;
-        SPAN_MS.check("Slo.AckMs", self.ack_ms)?;
-        SPAN_MS.check("Slo.DrainMs", self.drain_ms)?;
-        SPAN_S.check("Slo.GraceS", self.grace_s)?;
-        SPAN_MS.check("Slo.ApplyMs", self.apply_ms)?;
-        SPAN_MS.check("Slo.LeaseMs", self.lease_ms)?;
-        SPAN_S.check("Slo.ReportS", self.report_s)?;
-        SPAN_S.check("Slo.UsageDelayS", self.usage_delay_s)?;
-        SPAN_S.check("Slo.PollS", self.poll_s)?;
-        SPAN_S.check("Slo.CompleteS", self.complete_s)?;
-        SPAN_MS.check("Slo.AbortMs", self.abort_ms)
+        DURATION_MS.check("Slo.ContactMs", self.contact_ms)?;
+        DURATION_MS.check("Slo.AckMs", self.ack_ms)?;
+        DURATION_MS.check("Slo.DrainMs", self.drain_ms)?;
+        DURATION_S.check("Slo.GraceS", self.grace_s)?;
+        DURATION_MS.check("Slo.ApplyMs", self.apply_ms)?;
+        DURATION_MS.check("Slo.LeaseMs", self.lease_ms)?;
+        DURATION_S.check("Slo.ReportS", self.report_s)?;
+        DURATION_S.check("Slo.UsageDelayS", self.usage_delay_s)?;
+        DURATION_S.check("Slo.PollS", self.poll_s)?;
+        DURATION_S.check("Slo.CompleteS", self.complete_s)?;
+        DURATION_MS.check("Slo.AbortMs", self.abort_ms)
     }
 }
 
@@ -200,13 +202,13 @@
 pub struct CloudApi {
     /// Address of the interface.
     pub address: String,
-    /// Names of the singleton roles that one process at a time performs for the platform.
+    /// Names of the singleton roles, which one process at a time performs for the platform.
     #[serde(default, rename = "Jobs")]
     pub singleton_roles: Vec<String>,
 }
 
 impl Settings {
-    /// Parses settings; `path` is named in errors.
+    /// Parses settings; `path` is the path of the file for error messages.
     ///
     /// # Errors
     ///
@@ -237,7 +239,8 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError`], by what failed.
+    /// [`SettingsError::NoPath`] if the variable is not set, [`SettingsError::Unreadable`] if the file can't be read, and
+    /// [`SettingsError::Invalid`] as for [`Settings::parse`].
     pub fn load() -> Result<Settings, SettingsError> {
         let path = std::env::var(PATH_VARIABLE).map_err(|_| SettingsError::NoPath(PATH_VARIABLE))?;
         let text = std::fs::read_to_string(&path)
@@ -245,17 +248,18 @@
         Settings::parse(&text, &path)
     }
 
-    /// The folder for data, if the machine has a disk.
+    /// Returns the folder for data; `None` if the machine has no disk.
     pub fn data_folder(&self) -> Option<&str> {
         self.var_dir.as_deref().filter(|folder| !folder.is_empty())
     }
 
-    /// Address on which this process listens for other processes.
+    /// Returns the address on which this process listens for other processes.
     pub fn internal_address(&self) -> String {
         format!("{}:{}", self.bind_ip, self.port_range[0])
     }
 
-    /// Address on which the machine with this operator interface listens for other processes; the port is the same everywhere.
+    /// Returns the address on which the machine with the operator interface `admin` listens for other processes. The port is the
+    /// same on all machines.
     pub fn internal_address_of(&self, admin: &str) -> String {
         let host = admin.rsplit_once(':').map_or(admin, |(host, _)| host);
         format!("{host}:{}", self.port_range[0])
--- a/tier/wire/tests/message_bytes.rs
+++ b/tier/wire/tests/message_bytes.rs
@@ -1,5 +1,5 @@
-//! Messages between processes as they go over connections: tables of frames with every form of every message. Each frame is
-//! read the way a process reads it, and written to the same bytes.
+//! Encoding of messages between processes, compared with fixtures: tables of frames that contain every variant of every message.
+//! Each frame is decoded as a process does it, and encoded again to the same bytes.
 
 use quillmount_test_support::fixtures::Fixtures;
 use quillmount_wire::frame::{FrameError, FrameHeader, FrameKind, HEADER_BYTES, aligned_buffer, encode};
@@ -87,7 +87,7 @@
 }
 
 fn view() -> ShardView {
-    ShardView { epoch: 5, primary: 103, since: 4, in_sync: vec![103, 104], joining: vec![105] }
+    ShardView { epoch: 5, primary: 103, primary_since: 4, in_sync: vec![103, 104], joining: vec![105] }
 }
 
 fn placement() -> Placement {
@@ -141,11 +141,11 @@
     }
 }
 
-fn replica(message: RegisterMessage) -> Request {
+fn register_request(message: RegisterMessage) -> Request {
     Request::Register { from: 101, address: text("10.0.0.101:7360"), to: 102, message }
 }
 
-fn member(message: ShardMessage) -> Request {
+fn shard_request(message: ShardMessage) -> Request {
     Request::Shard { to: 103, shard: 15, epoch: 61, message }
 }
 
@@ -166,7 +166,7 @@
     ]
 }
 
-fn replica_messages() -> Vec<(&'static str, RegisterMessage)> {
+fn register_messages() -> Vec<(&'static str, RegisterMessage)> {
     vec![
         ("canvass", RegisterMessage::PreVote { epoch: 1 }),
         ("support", RegisterMessage::PreVoteGranted { epoch: 2 }),
@@ -190,7 +190,7 @@
     ]
 }
 
-fn member_messages() -> Vec<(&'static str, ShardMessage)> {
+fn shard_messages() -> Vec<(&'static str, ShardMessage)> {
     vec![
         ("replicate", ShardMessage::Replicate { session: 62, first: 63, operations: operations() }),
         ("confirm", ShardMessage::Confirm),
@@ -225,7 +225,7 @@
 
 fn requests() -> Vec<(String, Request)> {
     let (job_id, tenant) = (text("job-1"), text("tenant-1"));
-    let single = vec![
+    let other_requests = vec![
         ("announce", Request::Announce { node: core(), bootstrap: true }),
         ("announce-courier", Request::Announce { node: courier(), bootstrap: false }),
         ("primary", Request::PrimaryHint { address: text("10.0.0.101:7360") }),
@@ -274,12 +274,14 @@
             Request::Statements(vec![statement(), QuotaStatement { reserved: Vec::new(), ..statement() }]),
         ),
     ];
-    let single = single.into_iter().map(|(name, request)| (text(name), request));
-    let replicas =
-        replica_messages().into_iter().map(|(name, message)| (format!("replica-{name}"), replica(message)));
-    let members =
-        member_messages().into_iter().map(|(name, message)| (format!("member-{name}"), member(message)));
-    single.chain(replicas).chain(members).collect()
+    let other_requests = other_requests.into_iter().map(|(name, request)| (text(name), request));
+    let register_requests = register_messages()
+        .into_iter()
+        .map(|(name, message)| (format!("replica-{name}"), register_request(message)));
+    let shard_requests = shard_messages()
+        .into_iter()
+        .map(|(name, message)| (format!("member-{name}"), shard_request(message)));
+    other_requests.chain(register_requests).chain(shard_requests).collect()
 }
 
 fn changed_tables() -> ChangedTables {
@@ -301,7 +303,10 @@
         ItemOutcome { id: text("i1"), phase: Phase::DeadLetter, text: text("") },
     ];
     let all = vec![
-        ("announced", Response::Announced { node: core(), empty: true, known: vec![core(), courier()] }),
+        (
+            "announced",
+            Response::Announced { node: core(), empty: true, known_nodes: vec![core(), courier()] },
+        ),
         ("tables", Response::Tables(tables())),
         ("tables-with-changes", Response::Tables(changed)),
         ("tables-with-nothing", Response::Tables(Tables::default())),
@@ -324,13 +329,13 @@
     all.into_iter().map(|(name, response)| (text(name), response)).collect()
 }
 
-/// Call number of the frame in row `row`: all its bytes are used.
+/// Call number of the frame in row `row`, in which every byte but the last is nonzero.
 fn call_number(row: usize) -> u64 {
     0x0102_0304_0506_0700 + row as u64
 }
 
-/// Reads a frame the way a process does.
-fn read(row: usize, frame: &[u8], kind: FrameKind) -> rkyv::util::AlignedVec {
+/// Decodes the header of a frame as a process does, and returns the verified body.
+fn read_body(row: usize, frame: &[u8], kind: FrameKind) -> rkyv::util::AlignedVec {
     let (header, rest) = frame.split_at(HEADER_BYTES);
     let header = FrameHeader::decode(header.try_into().unwrap()).unwrap();
     assert!(header.kind == kind, "kind of row {row}");
@@ -342,14 +347,14 @@
 }
 
 #[test]
-fn every_request_is_read_and_written_to_the_same_bytes() {
+fn every_request_is_decoded_and_encoded_to_the_same_bytes() {
     let frame = |(row, (name, request)): (usize, (String, Request))| {
         (name, encode(FrameKind::Request, call_number(row), &request.encode()))
     };
-    let made: Vec<(String, Vec<u8>)> = requests().into_iter().enumerate().map(frame).collect();
-    let stored = FIXTURES.check_table("requests.txt", &made);
+    let encoded: Vec<(String, Vec<u8>)> = requests().into_iter().enumerate().map(frame).collect();
+    let stored = FIXTURES.check_table("requests.txt", &encoded);
     for (row, ((name, bytes), (_, expected))) in stored.iter().zip(requests()).enumerate() {
-        let request = Request::decode(&read(row, bytes, FrameKind::Request)).unwrap();
+        let request = Request::decode(&read_body(row, bytes, FrameKind::Request)).unwrap();
         assert!(request == expected, "{name}");
         assert_eq!(&encode(FrameKind::Request, call_number(row), &request.encode()), bytes, "{name}");
     }
@@ -357,14 +362,14 @@
 }
 
 #[test]
-fn every_response_is_read_and_written_to_the_same_bytes() {
+fn every_response_is_decoded_and_encoded_to_the_same_bytes() {
     let frame = |(row, (name, response)): (usize, (String, Response))| {
         (name, encode(FrameKind::Response, call_number(row), &response.encode()))
     };
-    let made: Vec<(String, Vec<u8>)> = responses().into_iter().enumerate().map(frame).collect();
-    let stored = FIXTURES.check_table("responses.txt", &made);
+    let encoded: Vec<(String, Vec<u8>)> = responses().into_iter().enumerate().map(frame).collect();
+    let stored = FIXTURES.check_table("responses.txt", &encoded);
     for (row, ((name, bytes), (_, expected))) in stored.iter().zip(responses()).enumerate() {
-        let response = Response::decode(&read(row, bytes, FrameKind::Response)).unwrap();
+        let response = Response::decode(&read_body(row, bytes, FrameKind::Response)).unwrap();
         assert!(response == expected, "{name}");
         assert_eq!(&encode(FrameKind::Response, call_number(row), &response.encode()), bytes, "{name}");
     }
@@ -372,14 +377,14 @@
 }
 
 #[test]
-fn a_frame_of_each_kind_has_its_header() {
+fn a_frame_of_each_kind_has_the_expected_header() {
     let kinds = [FrameKind::Notification, FrameKind::Request, FrameKind::Response];
-    let made: Vec<(String, Vec<u8>)> = kinds
+    let encoded: Vec<(String, Vec<u8>)> = kinds
         .iter()
         .enumerate()
         .map(|(row, kind)| (format!("kind-{row}"), encode(*kind, 9, b"body")))
         .collect();
-    for ((_, bytes), kind) in FIXTURES.check_table("frames.txt", &made).iter().zip(kinds) {
+    for ((_, bytes), kind) in FIXTURES.check_table("frames.txt", &encoded).iter().zip(kinds) {
         let header = FrameHeader::decode(bytes[..HEADER_BYTES].try_into().unwrap()).unwrap();
         assert!(header.kind == kind && header.verify(b"body").is_ok());
         assert_eq!((&bytes[..4], header.call, header.length), (b"QMF1".as_slice(), 9, 4));
@@ -387,7 +392,7 @@
 }
 
 #[test]
-fn errors_of_frames_have_their_texts() {
+fn frame_errors_have_the_expected_messages() {
     let texts = [
         FrameError::WrongVersion.to_string(),
         FrameError::UnknownKind(9).to_string(),
@@ -396,11 +401,11 @@
         FrameError::Malformed(text("no root")).to_string(),
     ];
     let expected = [
-        "a frame of another version",
-        "a frame of unknown kind 9",
-        "a frame of 40000000 bytes, 33554432 at most",
-        "a frame with a wrong checksum",
-        "a frame that holds no message: no root",
+        "the frame is not of this protocol version; check that the peer runs a compatible release",
+        "the frame has the undefined kind 9",
+        "the frame body of 40000000 bytes exceeds the limit of 33554432 bytes",
+        "the checksum of the frame body does not match the header",
+        "the frame body is not a valid message: no root",
     ];
     assert_eq!(texts, expected);
 }
--- a/tier/wire/tests/wire.rs
+++ b/tier/wire/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Settings, frames and messages.
+//! Tests of settings, frames and the encoding of messages.
 
 use quickcheck::QuickCheck;
 use quillmount_wire::frame::{FrameError, FrameHeader, FrameKind, HEADER_BYTES, aligned_buffer, encode};
@@ -34,7 +34,7 @@
 "#;
 
 #[test]
-fn settings_are_read_and_unknown_fields_ignored() {
+fn settings_are_parsed_and_unknown_fields_are_ignored() {
     let settings = Settings::parse(SETTINGS, "node.toml").unwrap();
     assert_eq!(settings.fault_tolerance.machines, 1);
     assert_eq!(settings.internal_address(), "10.1.0.14:7360");
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_missing_field_is_named_with_the_file() {
+fn an_error_names_the_file_and_the_missing_field() {
     for field in ["Hostname", "PortRange", "RamMb", "Boxes"] {
         let text: String =
             SETTINGS.lines().filter(|line| !line.starts_with(field)).collect::<Vec<_>>().join("\n");
@@ -55,26 +55,26 @@
     assert!(Settings::parse(&reversed, "f").unwrap_err().to_string().contains("PortRange"));
 }
 
-fn header(bytes: &[u8]) -> [u8; HEADER_BYTES] {
+fn header_bytes(bytes: &[u8]) -> [u8; HEADER_BYTES] {
     bytes[..HEADER_BYTES].try_into().unwrap()
 }
 
 #[test]
-fn a_frame_of_another_version_or_with_a_wrong_checksum_is_refused() {
+fn a_frame_of_another_version_or_with_a_wrong_checksum_is_rejected() {
     let frame = encode(FrameKind::Request, 77, b"body");
-    let read = FrameHeader::decode(&header(&frame)).unwrap();
-    assert_eq!((read.kind, read.call, read.length), (FrameKind::Request, 77, 4));
-    assert_eq!(read.verify(b"body"), Ok(()));
-    assert_eq!(read.verify(b"bodY"), Err(FrameError::WrongChecksum));
-    let mut other = frame.clone();
-    other[3] = b'9';
-    assert_eq!(FrameHeader::decode(&header(&other)), Err(FrameError::WrongVersion));
-    other = frame.clone();
-    other[4] = 9;
-    assert_eq!(FrameHeader::decode(&header(&other)), Err(FrameError::UnknownKind(9)));
-    other = frame;
-    other[8] = 0xff;
-    assert!(matches!(FrameHeader::decode(&header(&other)), Err(FrameError::TooLarge(_))));
+    let header = FrameHeader::decode(&header_bytes(&frame)).unwrap();
+    assert_eq!((header.kind, header.call, header.length), (FrameKind::Request, 77, 4));
+    assert_eq!(header.verify(b"body"), Ok(()));
+    assert_eq!(header.verify(b"bodY"), Err(FrameError::WrongChecksum));
+    let mut invalid = frame.clone();
+    invalid[3] = b'9';
+    assert_eq!(FrameHeader::decode(&header_bytes(&invalid)), Err(FrameError::WrongVersion));
+    invalid = frame.clone();
+    invalid[4] = 9;
+    assert_eq!(FrameHeader::decode(&header_bytes(&invalid)), Err(FrameError::UnknownKind(9)));
+    invalid = frame;
+    invalid[8] = 0xff;
+    assert!(matches!(FrameHeader::decode(&header_bytes(&invalid)), Err(FrameError::TooLarge(_))));
 }
 
 #[test]
@@ -96,16 +96,16 @@
 }
 
 #[test]
-fn no_bytes_make_a_decoder_panic() {
-    fn any(bytes: Vec<u8>, at: usize, value: u8) -> bool {
+fn decoding_arbitrary_bytes_does_not_panic() {
+    fn decodes_without_panic(bytes: Vec<u8>, position: usize, value: u8) -> bool {
         let _ = decode::<Request>(&bytes);
         // A valid message with one byte changed.
         let usage = UsageWindow { window: 5, counts: vec![("tenant".to_owned(), 9)] };
         let mut valid = quillmount_wire::messages::encode(&usage);
-        let index = at % valid.len();
+        let index = position % valid.len();
         valid[index] = value;
         let _ = decode::<UsageWindow>(&valid);
         true
     }
-    QuickCheck::new().tests(3000).quickcheck(any as fn(Vec<u8>, usize, u8) -> bool);
+    QuickCheck::new().tests(3000).quickcheck(decodes_without_panic as fn(Vec<u8>, usize, u8) -> bool);
 }
