--- a/tier/node/src/control_member/bootstrap.rs
+++ b/tier/node/src/control_member/bootstrap.rs
@@ -1,9 +1,9 @@
-//! The first start of a new system: members that find their disks empty agree on who they are, and one of them writes the
-//! first value of the control state.
+//! The first start of a new system: the members whose disks are empty learn about each other, and one of them writes the first
+//! value of the control state.
 //!
-//! Each announces itself to all seeds until every seed has answered and the gathering time is over. The member with the
-//! lowest address then writes the first value. A member that learns of an existing value stops: the primary admits it when
-//! it polls.
+//! Each member announces itself to all seeds until every seed has answered and [`GATHER_TIME`] has passed. The member with the
+//! lowest address then writes the first value. A member that learns that a value exists stops announcing; the primary admits
+//! it when it polls.
 
 use super::member::ControlMember;
 use crate::clock;
@@ -16,49 +16,49 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Delay between two rounds of announcements.
+/// Interval between two rounds of announcements.
 const ROUND_INTERVAL: Duration = Duration::from_millis(100);
-/// A seed without an answer for this long counts as silent in this round.
+/// Timeout of an announcement; a seed that does not answer in this time counts as silent in the round.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time in which all machines of a new system start, microseconds.
+/// Time within which all machines of a new system are expected to start, microseconds.
 const GATHER_TIME: Micros = 1_500_000;
-/// Most announcing machines that are remembered.
-const KNOWN_LIMIT: usize = 64;
+/// Largest number of announced machines that are recorded.
+const MAX_ANNOUNCED: usize = 64;
 
 /// Members with an empty disk that have announced themselves, by internal address.
 #[derive(Default)]
 pub struct NodeAnnouncements {
-    known: RefCell<BTreeMap<String, NodeInfo>>,
+    nodes: RefCell<BTreeMap<String, NodeInfo>>,
 }
 
 impl NodeAnnouncements {
-    /// Records a machine that could be a member from the start.
+    /// Records a machine that may be one of the first members. Ignores new machines beyond [`MAX_ANNOUNCED`].
     pub fn record(&self, node: &NodeInfo) {
-        let mut known = self.known.borrow_mut();
-        if known.len() < KNOWN_LIMIT || known.contains_key(&node.internal) {
-            known.insert(node.internal.clone(), node.clone());
+        let mut nodes = self.nodes.borrow_mut();
+        if nodes.len() < MAX_ANNOUNCED || nodes.contains_key(&node.internal) {
+            nodes.insert(node.internal.clone(), node.clone());
         }
     }
 
-    /// All that are known, sorted by address.
+    /// Returns all recorded machines, sorted by internal address.
     pub fn all(&self) -> Vec<NodeInfo> {
-        self.known.borrow().values().cloned().collect()
+        self.nodes.borrow().values().cloned().collect()
     }
 }
 
-/// The outcome of a round of announcements.
+/// Outcome of a round of announcements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AnnounceRound {
     /// Every seed has answered.
     Complete,
     /// At least one seed did not answer.
     Incomplete,
-    /// The system has a value already: a latecomer must not write another.
-    HasBegun,
+    /// The control state has a value already, so this member must not write a first value.
+    AlreadyBootstrapped,
 }
 
-/// Answers an announcement of `from`; `core` is this machine's member, if it has one. `bootstrap` says whether the sender is
-/// to take part in the first start.
+/// Answers an announcement of `from`. `core` is this machine's member, if it has one; `bootstrap` states whether the sender takes
+/// part in the first start.
 pub fn answer(
     node: &Node,
     core: Option<&ControlMember>,
@@ -69,26 +69,26 @@
     if bootstrap && from.role == NodeRole::Core {
         announcements.record(from);
     }
-    // A value in the register, or an answer of a primary, shows that the system exists already.
+    // A value in the register, or an earlier answer of a primary, shows that the system exists already.
     let empty = core.is_none_or(ControlMember::is_blank) && !node.core_contact.borrow().has_ever_answered();
     Response::Announced { node: node.info.clone(), empty, known_nodes: announcements.all() }
 }
 
-/// Announces this machine to all seeds until there is a first value, which the member with the lowest address writes.
+/// Announces this machine to all seeds until the control state has a first value, which the member with the lowest address writes.
 pub async fn run(core: Rc<ControlMember>, announcements: Rc<NodeAnnouncements>) {
-    let began = clock::now();
+    let started_at = clock::now();
     announcements.record(&core.node.info);
     while core.is_blank() {
-        let complete = match announce(&core, &announcements).await {
+        let all_answered = match announce(&core, &announcements).await {
             AnnounceRound::Complete => true,
             AnnounceRound::Incomplete => false,
             // The primary admits this machine when it polls.
-            AnnounceRound::HasBegun => return,
+            AnnounceRound::AlreadyBootstrapped => return,
         };
-        let gathered = clock::now().saturating_sub(began) > GATHER_TIME;
+        let gather_time_passed = clock::now().saturating_sub(started_at) > GATHER_TIME;
         let all = announcements.all();
-        let first = all.first().is_some_and(|node| node.disk == core.node.info.disk);
-        if complete && gathered && first && core.is_blank() {
+        let is_lowest = all.first().is_some_and(|node| node.disk == core.node.info.disk);
+        if all_answered && gather_time_passed && is_lowest && core.is_blank() {
             write_first_value(&core, all);
             return;
         }
@@ -96,7 +96,7 @@
     }
 }
 
-/// Announces this machine to each seed once, and records the machines that they know.
+/// Announces this machine to each seed once, and records the machines that the seeds know.
 async fn announce(core: &ControlMember, announcements: &NodeAnnouncements) -> AnnounceRound {
     let request = Request::Announce { node: core.node.info.clone(), bootstrap: true };
     let mut round = AnnounceRound::Complete;
@@ -106,9 +106,9 @@
             continue;
         }
         match core.node.links.call(&address, &request, CALL_TIMEOUT).await {
-            Ok(Response::Announced { empty: false, .. }) => return AnnounceRound::HasBegun,
+            Ok(Response::Announced { empty: false, .. }) => return AnnounceRound::AlreadyBootstrapped,
             Ok(Response::Announced { known_nodes, .. }) => {
-                known_nodes.iter().for_each(|node| announcements.record(node))
+                known_nodes.iter().for_each(|node| announcements.record(node));
             }
             _ => round = AnnounceRound::Incomplete,
         }
@@ -116,7 +116,7 @@
     round
 }
 
-/// Proposes the control state that has these members, and nothing else.
+/// Proposes a control state that contains only these members.
 fn write_first_value(core: &ControlMember, members: Vec<NodeInfo>) {
     let mut state = ControlState::default();
     state.placement.core = members;
--- a/tier/node/src/control_member/mod.rs
+++ b/tier/node/src/control_member/mod.rs
@@ -1,9 +1,9 @@
-//! A member of the core: couriers with a disk agree on the control state, and their primary serves it.
+//! The core: couriers with a disk replicate the control state by consensus, and their primary serves it.
 //!
-//! [`ControlMember`] carries out what the consensus group of `quillmount_control` decides. The other modules are
-//! tasks and answers on top of it, most of which act only at the primary: answers to polls (`polls`, with the `leases` of
-//! who polls and their `usage` counts), the operator's interface (`operator`), the endpoint list (`directory`), the
-//! placement, usage reports and autoscaling (`singletons`), and announcements (`bootstrap`, `seeds`).
+//! [`ControlMember`] runs the consensus state machine of `quillmount_control`. The other modules are tasks and request handlers
+//! that use it; most of them act only at the primary. They answer polls (`polls`, which also renew leases and collect usage
+//! counts), serve the operator's interface (`operator`), read the endpoint list (`directory`), maintain the placement, report
+//! usage and scale services (`singletons`), and send announcements (`bootstrap`, `seeds`).
 
 pub mod bootstrap;
 pub mod directory;
--- a/tier/node/src/control_member/operator.rs
+++ b/tier/node/src/control_member/operator.rs
@@ -1,7 +1,7 @@
-//! The operator's interface over HTTP: reading and changing the configuration, and retiring stores.
+//! The operator's HTTP interface: reads and changes the configuration, and retires stores.
 //!
-//! Only the primary of the core answers; other couriers redirect to it. Where the outcome of a change is unknown the
-//! connection is closed without an answer, as neither success nor failure would be true.
+//! Only the primary of the core answers; other couriers redirect to it. If the outcome of a change is unknown, the connection
+//! is closed without an answer, because neither success nor failure can be reported.
 
 use super::member::{ChangeError, ControlMember};
 use crate::http::{HttpRequest, HttpResponse};
@@ -10,39 +10,39 @@
 use quillmount_control::{Order, OrderKind, OrderOutcome, Retirement};
 use std::rc::Rc;
 
-/// Text of an error, as JSON.
+/// JSON body of an error response.
 #[derive(Serialize)]
 struct ErrorBody {
     #[serde(rename = "Error")]
     error: String,
 }
 
-/// How far the retirement of a store is.
+/// Phase of a store's retirement.
 #[derive(Serialize)]
 enum RetirementPhase {
-    /// The store still has shards, or was not asked to give them up.
+    /// The store still has shards, or its retirement was not started.
     #[serde(rename = "serving")]
     Serving,
-    /// The store has no shards left: it can be stopped.
+    /// The store has no shards left and can be stopped.
     #[serde(rename = "done")]
     Done,
 }
 
-/// Phase of a retirement, as JSON.
+/// JSON body with the phase of a retirement.
 #[derive(Serialize)]
 struct PhaseBody {
     #[serde(rename = "Phase")]
     phase: RetirementPhase,
 }
 
-/// Version that a change of the configuration produced, as JSON.
+/// JSON body with the version that a change of the configuration has produced.
 #[derive(Serialize)]
 struct VersionBody {
     #[serde(rename = "Gen")]
     version: u64,
 }
 
-/// Answers a request of the operator; `None` where the outcome is unknown. `core` is this machine's member, if it has one.
+/// Answers a request of the operator; `None` if the outcome is unknown. `core` is this machine's member, if it has one.
 pub async fn answer(
     node: Rc<Node>,
     core: Option<Rc<ControlMember>>,
@@ -54,7 +54,7 @@
     }
 }
 
-/// Redirects the caller to the primary, if its address is known and is not this one.
+/// Redirects the client to the primary, if the primary's address is known and is another machine's.
 fn redirect(node: &Node, request: &HttpRequest) -> HttpResponse {
     match node.primary_admin().filter(|admin| Some(admin) != node.settings.sockets.admin.as_ref()) {
         Some(admin) => {
@@ -65,7 +65,7 @@
     }
 }
 
-/// Answers at the primary.
+/// Answers a request at the primary.
 async fn serve(core: &Rc<ControlMember>, request: &HttpRequest) -> Option<HttpResponse> {
     let method = request.head.method.as_str();
     let path = request.head.target.split('?').next().unwrap_or_default();
@@ -87,7 +87,7 @@
     request: &HttpRequest,
 ) -> Option<HttpResponse> {
     let base = match request.head.headers.get("Base-Version").map(|base| base.trim().parse()) {
-        Some(Ok(base)) => base,
+        Some(Ok(version)) => version,
         None => 0,
         Some(Err(_)) => return Some(error_response(400, "Base-Version is no number")),
     };
@@ -104,11 +104,11 @@
             Some(error_response(412, format!("version {current} is in place, not {base}")))
         }
         Ok(OrderOutcome::Invalid(error)) => Some(error_response(400, error)),
-        // The same order may have been applied long ago: neither success nor failure is certain.
+        // The same order may have been applied earlier, so neither success nor failure can be reported.
         Ok(OrderOutcome::Expired) => None,
         Err(ChangeError::NotPrimary) => Some(unavailable()),
         Err(ChangeError::Uncertain) => {
-            tracing::info!(base, "the outcome of a change of the configuration is unknown");
+            tracing::info!(base, "the outcome of a configuration change is unknown");
             None
         }
     }
@@ -138,7 +138,7 @@
     }
 }
 
-/// Answers how far the retirement of a store is.
+/// Answers with the phase of a store's retirement.
 async fn retirement_status(core: &ControlMember, store: &str) -> HttpResponse {
     if core.confirm().await.is_err() {
         return unavailable();
@@ -151,7 +151,7 @@
     }
 }
 
-/// The answer while no primary is known, or this member is no longer primary.
+/// Response if no primary is known, or if this member is no longer primary.
 fn unavailable() -> HttpResponse {
     error_response(503, "no primary of the core is known here: come again")
         .with_header("Retry-After", "0.2".to_owned())
--- a/tier/node/src/control_member/polls.rs
+++ b/tier/node/src/control_member/polls.rs
@@ -1,7 +1,7 @@
 //! Answers the long polls of couriers and stores.
 //!
-//! At the primary a poll renews its sender's lease and is answered once there are newer tables than the sender has
-//! ([`answer`]). A courier without a member of the core passes polls on to the primary ([`relay`]).
+//! At the primary, a poll renews the lease of its sender and is answered once there are tables that are newer than the sender's
+//! ([`answer`]). A courier that is not a core member relays polls to the primary ([`relay`]).
 
 use super::member::ControlMember;
 use crate::clock;
@@ -15,22 +15,23 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A relayed poll without an answer for this long has failed.
+/// Timeout of a relayed poll.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(700);
-/// Longest time for which an answer is delayed, whatever the poll allows.
-const MAX_WAIT_LIMIT: Duration = Duration::from_secs(5);
+/// Longest time for which an answer is delayed, even if the poll allows more.
+const MAX_ANSWER_DELAY: Duration = Duration::from_secs(5);
 
-/// Answers a poll with the tables that are newer than the sender's, or without any after the time that it allows.
+/// Answers a poll with the tables that are newer than the sender's. If there are none within the time that the poll allows, the
+/// answer contains no tables.
 pub async fn answer(core: &Rc<ControlMember>, poll: Poll) -> Response {
     if core.serving().is_none() {
         return Response::NotPrimary { hint: core.primary_address() };
     }
-    let arrived = clock::now();
+    let received_at = clock::now();
     core.leases.borrow_mut().renew(&poll, clock::now());
     if !admit(core, &poll).await {
         return Response::NotPrimary { hint: core.primary_address() };
     }
-    // A process must not start with tables that are no longer in force: its first ones are confirmed by a majority.
+    // A process must not start with obsolete tables, so a majority confirms its first tables.
     if poll.known_versions.configuration == 0 && core.confirm().await.is_err() {
         return Response::NotPrimary { hint: None };
     }
@@ -40,14 +41,14 @@
     if polls::is_empty(&answer) {
         return respond(core, Some(answer));
     }
-    let reserved = core.transmission.borrow_mut().reserve(polls::size(&answer), arrived, clock::now());
+    let reserved = core.transmission.borrow_mut().reserve(polls::size(&answer), received_at, clock::now());
     match reserved {
         Ok(0) => respond(core, Some(answer)),
-        Ok(wait) => {
+        Ok(send_delay) => {
             drop(answer);
-            tokio::time::sleep(Duration::from_micros(wait)).await;
-            // What is sent is the newest at that moment.
-            respond(core, answer_now(core, &poll))
+            tokio::time::sleep(Duration::from_micros(send_delay)).await;
+            // The answer is created again, so that it contains the newest tables.
+            respond(core, current_answer(core, &poll))
         }
         Err(Saturated { retry_delay }) => {
             drop(answer);
@@ -57,7 +58,7 @@
     }
 }
 
-/// The response that carries an answer; `None` where this member may not serve tables.
+/// Creates the response for an answer; `None` stands for a member that may not serve tables.
 fn respond(core: &ControlMember, answer: Option<ChangedTables>) -> Response {
     match answer {
         Some(answer) => {
@@ -68,10 +69,10 @@
     }
 }
 
-/// Passes a poll on to the primary, for a process that can't reach it.
+/// Forwards a poll to the primary, for a process that can't reach the primary itself.
 pub async fn relay(node: &Node, poll: Poll) -> Response {
-    // A poll passes one relay at most. Without a recent primary, what this courier knows may be as old as what the sender
-    // knows.
+    // A poll is relayed at most once. Without recent contact, this courier's address of the primary may be as outdated as the
+    // sender's.
     if poll.relayed || !node.core_contact.borrow().has_recent_primary(clock::now()) {
         return Response::NotPrimary { hint: None };
     }
@@ -82,7 +83,7 @@
     answer.unwrap_or(Response::NotPrimary { hint: None })
 }
 
-/// Adds an unknown process with a disk to the placement; whether its poll may be answered.
+/// Adds a new process with a disk to the placement. Returns whether its poll may be answered.
 async fn admit(core: &Rc<ControlMember>, poll: &Poll) -> bool {
     let Some(state) = core.committed() else { return false };
     if !polls::needs_admission(&state, poll) {
@@ -106,24 +107,25 @@
     admitted.is_ok()
 }
 
-/// Waits until there are tables newer than the sender's, or its time is up; `None` if this member may not serve them.
+/// Waits until there are tables newer than the sender's or the time that the poll allows is over. `None` if this member may not
+/// serve tables.
 async fn wait_for_tables(core: &ControlMember, poll: &Poll) -> Option<ChangedTables> {
-    let max_wait = Duration::from_millis(poll.max_wait_ms).min(MAX_WAIT_LIMIT);
+    let max_wait = Duration::from_millis(poll.max_wait_ms).min(MAX_ANSWER_DELAY);
     let deadline = tokio::time::Instant::now() + max_wait;
     loop {
-        // Registered before the tables are read, so that no change in between is missed.
-        let changed = core.changed.notified();
-        let answer = answer_now(core, poll)?;
+        // The waiter is registered before the tables are read, so that no change in between is missed.
+        let changed = core.tables_changed.notified();
+        let answer = current_answer(core, poll)?;
         if !polls::is_empty(&answer) || tokio::time::Instant::now() >= deadline {
             return Some(answer);
         }
-        // A timeout is handled by the deadline above.
+        // The timeout needs no handling: the loop condition checks the deadline.
         let _ = tokio::time::timeout_at(deadline, changed).await;
     }
 }
 
-/// The answer to a poll at this moment; `None` if this member may not serve tables.
-fn answer_now(core: &ControlMember, poll: &Poll) -> Option<ChangedTables> {
+/// Creates the answer to a poll from the current tables; `None` if this member may not serve tables.
+fn current_answer(core: &ControlMember, poll: &Poll) -> Option<ChangedTables> {
     let mut answer = newer_tables(core, poll.known_versions)?;
     if poll.node.role == NodeRole::Store {
         answer.tables.loads = core.leases.borrow().loads(clock::now());
@@ -150,9 +152,9 @@
     }
 }
 
-/// Committed tables that are newer than those of the sender. `None` unless this member is primary and a majority has
-/// confirmed that recently.
-fn newer_tables(core: &ControlMember, known: TableVersions) -> Option<ChangedTables> {
+/// Returns the committed tables that are newer than those of the sender. `None` unless this member is primary and has had recent
+/// contact with a majority.
+fn newer_tables(core: &ControlMember, known_versions: TableVersions) -> Option<ChangedTables> {
     let epoch = core.serving()?;
     let state = core.committed_if_recent()?;
     let published = PublishedTables {
@@ -164,5 +166,5 @@
         max_list_age: core.node.limits.max_published_list_age,
         primary: &core.node.info.internal,
     };
-    Some(published.newer_than(known, clock::now()))
+    Some(published.newer_than(known_versions, clock::now()))
 }
--- a/tier/node/src/control_member/singletons/mod.rs
+++ b/tier/node/src/control_member/singletons/mod.rs
@@ -1,7 +1,8 @@
-//! Tasks that run once in the whole system: at the primary of the core, fenced by its epoch.
+//! Singleton tasks, which run once in the whole system: at the primary of the core, fenced by its epoch.
 //!
-//! The primary adapts the placement to the live processes (`shard_planning`), reports usage to the platform (`usage_reports`) and orders
-//! endpoints from it (`scaling`). Calls to the platform go through `platform`, which makes sure that no two members act in one role.
+//! The primary adapts the placement to the live processes (`shard_planning`), reports usage to the platform (`usage_reports`) and
+//! requests endpoints from it (`scaling`). Calls to the platform go through `platform`, which ensures that no two members act in the
+//! same role at a time.
 
 mod platform;
 mod scaling;
--- a/tier/node/src/control_member/singletons/platform.rs
+++ b/tier/node/src/control_member/singletons/platform.rs
@@ -1,17 +1,17 @@
-//! Calls to the platform in a singleton role: only by the primary, with its epoch as fencing token.
+//! Calls to the platform in a singleton role. Only the primary makes them, with its epoch as the fencing token.
 
 use crate::clock;
 use crate::control_member::ControlMember;
 use crate::http::{self, ClientRequest};
 use std::time::Duration;
 
-/// Status of a call whose fencing token is lower than one that was used before.
-pub const FENCED: u16 = 409;
-/// A call to the platform without an answer for this long has failed.
+/// HTTP status of a call that the platform rejects because a higher fencing token was used before.
+pub const STATUS_FENCED: u16 = 409;
+/// Timeout of a call to the platform.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Whether this member, as primary of `epoch`, may act in a role: the platform has that role, and the lease of an earlier
-/// primary that may still be acting has expired.
+/// Returns whether this member, as primary of `epoch`, may act in a role. The settings must name the role, and the lease of an
+/// earlier primary, which may still act in the role, must have expired.
 pub fn may_act(core: &ControlMember, epoch: u64, role: &str) -> bool {
     let settings = &core.node.settings;
     let awaiting_lease_expiry =
@@ -20,11 +20,11 @@
         && settings
             .cloud_api
             .as_ref()
-            .is_some_and(|cloud| cloud.singleton_roles.iter().any(|known| known == role))
+            .is_some_and(|cloud| cloud.singleton_roles.iter().any(|configured_role| configured_role == role))
 }
 
-/// Posts JSON to the platform as the holder of a singleton role; returns the status. `None` if there was no answer, this
-/// member is no longer primary of `epoch`, or the settings name no platform.
+/// Posts JSON to the platform in a singleton role and returns the HTTP status. `None` if there was no answer, if this member is no
+/// longer primary of `epoch`, or if the settings name no platform.
 pub async fn call_as_singleton(core: &ControlMember, epoch: u64, target: &str, body: String) -> Option<u16> {
     if core.serving() != Some(epoch) {
         return None;
--- a/tier/node/src/control_member/singletons/scaling.rs
+++ b/tier/node/src/control_member/singletons/scaling.rs
@@ -1,9 +1,9 @@
-//! Autoscaling: orders endpoints from the platform according to the demand of couriers and stores.
+//! Autoscaling: requests endpoints from the platform according to the demand of couriers and stores.
 //!
-//! The primary of the core computes a desired number for each service from the demand that the leases report, and orders
-//! it zone by zone wherever it differs from the last order.
+//! The primary of the core computes the desired number of endpoints per zone for each service from the demand reported with the
+//! leases. It sends the number to the platform for each zone in which it differs from the last accepted one.
 
-use super::platform::{FENCED, call_as_singleton, may_act};
+use super::platform::{STATUS_FENCED, call_as_singleton, may_act};
 use crate::clock;
 use crate::control_member::ControlMember;
 use miniserde::{Serialize, json};
@@ -15,10 +15,10 @@
 
 /// Interval between two evaluations of the demand.
 const SCALE_INTERVAL: Duration = Duration::from_millis(500);
-/// The name of this role in the settings.
+/// Name of this singleton role in the settings.
 const ROLE: &str = "autoscaler";
 
-/// An order for one service in one zone, as JSON.
+/// JSON body of a scaling request for one service in one zone.
 #[derive(Serialize)]
 struct ScaleBody {
     #[serde(rename = "Backend")]
@@ -29,40 +29,40 @@
     desired: u32,
 }
 
-/// What this member knows and has ordered as primary of one epoch.
+/// Scaling state of this member as primary of one epoch.
 #[derive(Default)]
-struct ScaleOrders {
+struct ScalingState {
     epoch: u64,
     scalers: HashMap<String, Scaler>,
-    /// Last number that the platform accepted, by service and zone.
-    ordered: BTreeMap<FencedSubject, u32>,
-    /// Orders that a later primary has superseded.
-    fenced: FencedCalls,
+    /// Last number of endpoints that the platform accepted, by service and zone.
+    accepted: BTreeMap<FencedSubject, u32>,
+    /// Services and zones for which a later primary has fenced off this one.
+    fenced_calls: FencedCalls,
 }
 
-/// The endpoints of one service.
+/// Endpoints of one service.
 struct ServiceEndpoints {
-    /// Number of endpoints that are up, by zone; zones where all are draining count 0.
+    /// Number of endpoints that are not draining, by zone; 0 for a zone in which all endpoints are draining.
     up_by_zone: BTreeMap<String, u32>,
-    /// Calls that one endpoint runs at a time.
+    /// Number of calls that one endpoint runs concurrently.
     capacity: f64,
 }
 
-/// Scales every service whenever this member is primary.
+/// Scales the services while this member is primary, until the process ends.
 pub async fn scale_services(core: Rc<ControlMember>) {
-    let mut orders = ScaleOrders::default();
+    let mut state = ScalingState::default();
     loop {
         tokio::time::sleep(SCALE_INTERVAL).await;
         let Some(epoch) = core.serving() else { continue };
-        if orders.epoch != epoch {
-            orders = ScaleOrders { epoch, ..ScaleOrders::default() };
-            orders.fenced.use_token(epoch);
+        if state.epoch != epoch {
+            state = ScalingState { epoch, ..ScalingState::default() };
+            state.fenced_calls.use_token(epoch);
         }
         let configuration =
             core.committed().and_then(|state| Configuration::parse(&state.configuration).ok());
         let Some(configuration) = configuration else { continue };
         for service in &configuration.services {
-            scale(&core, &mut orders, service).await;
+            scale(&core, &mut state, service).await;
         }
     }
 }
@@ -79,30 +79,30 @@
     ServiceEndpoints { up_by_zone, capacity }
 }
 
-/// Orders the desired number of endpoints of a service in each of its zones, if it is to be scaled.
-async fn scale(core: &Rc<ControlMember>, orders: &mut ScaleOrders, service: &Service) {
+/// Requests the desired number of endpoints in each zone of a service, if the configuration has bounds for autoscaling.
+async fn scale(core: &Rc<ControlMember>, state: &mut ScalingState, service: &Service) {
     let Some(bounds) = &service.autoscale else { return };
     let ServiceEndpoints { up_by_zone, capacity } = count_endpoints(core, &service.name);
     if up_by_zone.is_empty() {
         return;
     }
     let demand = core.leases.borrow().demand(&service.name, clock::now());
-    let scaler = orders.scalers.entry(service.name.clone()).or_default();
+    let scaler = state.scalers.entry(service.name.clone()).or_default();
     let desired = scaler.desired(clock::now(), demand, capacity, up_by_zone.len(), bounds);
-    if !may_act(core, orders.epoch, ROLE) {
+    if !may_act(core, state.epoch, ROLE) {
         return;
     }
     for (zone, up) in up_by_zone {
         let subject = FencedSubject::Scale { service: service.name.clone(), zone: zone.clone() };
-        let current = orders.ordered.get(&subject).copied().unwrap_or(up);
-        if current == desired || !orders.fenced.may_call(&subject) {
+        let current = state.accepted.get(&subject).copied().unwrap_or(up);
+        if current == desired || !state.fenced_calls.may_call(&subject) {
             continue;
         }
         let body = ScaleBody { service: service.name.clone(), zone, desired };
-        let status = call_as_singleton(core, orders.epoch, "/scale", json::to_string(&body)).await;
+        let status = call_as_singleton(core, state.epoch, "/scale", json::to_string(&body)).await;
         match status {
-            Some(200) => _ = orders.ordered.insert(subject, desired),
-            Some(FENCED) => orders.fenced.record_refusal(subject),
+            Some(200) => _ = state.accepted.insert(subject, desired),
+            Some(STATUS_FENCED) => state.fenced_calls.record_refusal(subject),
             _ => {}
         }
     }
--- a/tier/node/src/metrics_server.rs
+++ b/tier/node/src/metrics_server.rs
@@ -78,8 +78,8 @@
             job_bytes: store.map_or(0, |store| store.job_bytes() as u64),
             free_segments: store.map_or(0, |store| store.free_segments() as u64),
             shards_served: store.map_or(0, |store| store.shards_served() as u64),
-            peer_bytes_sent: node.links.traffic().sent(),
-            peer_bytes_received: node.links.traffic().received(),
+            peer_bytes_sent: node.links.traffic().sent_bytes(),
+            peer_bytes_received: node.links.traffic().received_bytes(),
         }
     }
 
--- a/tier/node/src/rpc/client.rs
+++ b/tier/node/src/rpc/client.rs
@@ -1,4 +1,4 @@
-//! Sends notifications and calls to other processes.
+//! Sends calls and notifications to other processes.
 
 use super::link::{PeerLink, PendingCall};
 use super::traffic::PeerTraffic;
@@ -11,53 +11,56 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Why a call has no response.
+/// Reasons why a call has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// It was not sent, so it has no effect.
-    #[error("the call was not sent")]
+    /// The call was not sent and has no effect.
+    #[error("the call was not sent, because too many frames are queued for the peer")]
     NotSent,
-    /// The peer may have received it.
-    #[error("the call has no response")]
+    /// The call may have been received by the peer.
+    #[error("the call has no response: the connection failed or the call timed out")]
     Lost,
 }
 
-/// The links of this process to others, by address.
+/// Links of this process to other processes, by address.
 #[derive(Default)]
 pub struct PeerLinks {
     links: RefCell<HashMap<String, PeerLink>>,
     /// Number of the last call.
-    last_call: Cell<u64>,
+    last_call_number: Cell<u64>,
     traffic: Rc<PeerTraffic>,
 }
 
 impl PeerLinks {
-    /// Bytes exchanged over these links, and by those who count with them.
+    /// Counters of the bytes exchanged over these links. The RPC server of the process counts its bytes in them too.
     pub fn traffic(&self) -> &Rc<PeerTraffic> {
         &self.traffic
     }
 
-    /// Sends a message without a response. It is lost if the peer can't be reached.
+    /// Sends a message that has no response. The message is lost if the peer can't be reached.
     pub fn notify(&self, address: &str, request: &Request) {
         let bytes = encode(FrameKind::Notification, 0, &request.encode());
         let _ = self.link(address).send(bytes, None);
     }
 
-    /// Sends a request and waits for the response, at most for `time_limit`.
+    /// Sends a request and waits for the response until the timeout.
+    ///
+    /// # Errors
+    /// [`CallError::NotSent`] if the queue of the link is full, [`CallError::Lost`] if the connection fails or the call times out.
     pub async fn call(
         &self,
         address: &str,
         request: &Request,
-        time_limit: Duration,
+        timeout: Duration,
     ) -> Result<Response, CallError> {
-        let number = self.last_call.get() + 1;
-        self.last_call.set(number);
+        let number = self.last_call_number.get() + 1;
+        self.last_call_number.set(number);
         let link = self.link(address);
         let (response, receiver) = oneshot::channel();
         let bytes = encode(FrameKind::Request, number, &request.encode());
         let sent_at = clock::now();
         link.send(bytes, Some(PendingCall { number, response })).map_err(|_| CallError::NotSent)?;
-        match tokio::time::timeout(time_limit, receiver).await {
+        match tokio::time::timeout(timeout, receiver).await {
             Ok(Ok(response)) => Ok(response),
             Ok(Err(_)) => Err(CallError::Lost),
             Err(_) => {
--- a/tier/node/src/rpc/link.rs
+++ b/tier/node/src/rpc/link.rs
@@ -1,4 +1,4 @@
-//! The way to one address: a queue of frames, and a connection that is opened when a frame needs one.
+//! A link to one address: a queue of frames, and a connection that is opened when there is a frame to send.
 
 use super::read_frame::read_frame;
 use super::traffic::PeerTraffic;
@@ -15,40 +15,40 @@
 use tokio::sync::{Notify, mpsc, oneshot};
 
 /// Largest number of frames queued for one connection.
-const QUEUE_LIMIT: usize = 1024;
+const MAX_QUEUED_FRAMES: usize = 1024;
 /// Size of a connection's read buffer, bytes.
 const READ_BUFFER_BYTES: usize = 4096;
 
 /// A call that waits for its response.
 pub(super) struct PendingCall {
-    /// Unique among the calls of this process.
+    /// Number of the call, unique among the calls of this process.
     pub(super) number: u64,
-    /// Where the response is passed; dropped if the connection ends first.
+    /// Receives the response; dropped if the connection ends first.
     pub(super) response: oneshot::Sender<Response>,
 }
 
 struct OutgoingFrame {
     bytes: Vec<u8>,
-    /// The call that the frame carries; `None` for a notification.
+    /// Call that the frame contains; `None` for a notification.
     call: Option<PendingCall>,
 }
 
-/// State of a link that its calls and its connection share.
+/// State that the calls and the connection of a link share.
 #[derive(Default)]
 struct LinkState {
     traffic: Rc<PeerTraffic>,
-    /// When a frame was last received or the connection opened.
-    last_received: Cell<Micros>,
-    /// Closes the connection.
+    /// Time at which the last frame was received, or the connection was opened.
+    last_received_at: Cell<Micros>,
+    /// Notified to close the connection.
     close: Notify,
-    /// Calls on the current connection, by number.
-    pending: RefCell<HashMap<u64, oneshot::Sender<Response>>>,
+    /// Calls in flight on the current connection, by number.
+    pending_calls: RefCell<HashMap<u64, oneshot::Sender<Response>>>,
 }
 
 impl LinkState {
     fn register(&self, call: Option<PendingCall>) {
         if let Some(PendingCall { number, response }) = call {
-            self.pending.borrow_mut().insert(number, response);
+            self.pending_calls.borrow_mut().insert(number, response);
         }
     }
 }
@@ -66,44 +66,44 @@
 pub(super) struct QueueFull;
 
 impl PeerLink {
-    /// A link to an address. It connects when there is a first frame.
+    /// Creates a link to an address. It connects when the first frame is queued.
     pub(super) fn open(address: &str, traffic: &Rc<PeerTraffic>) -> PeerLink {
-        let (queue, outgoing) = mpsc::channel(QUEUE_LIMIT);
+        let (queue, outgoing) = mpsc::channel(MAX_QUEUED_FRAMES);
         let state = LinkState { traffic: traffic.clone(), ..LinkState::default() };
         let link = PeerLink { queue, state: Rc::new(state) };
-        // Detached: it ends when the last clone of the link is dropped, with the process.
+        // The task is detached. It ends when the last clone of the link is dropped, which is at the end of the process.
         tokio::task::spawn_local(run_link(address.to_owned(), outgoing, link.state.clone()));
         link
     }
 
-    /// Queues a frame with the call that it carries, `None` for a notification.
+    /// Queues a frame with the call that it contains, `None` for a notification.
     pub(super) fn send(&self, bytes: Vec<u8>, call: Option<PendingCall>) -> Result<(), QueueFull> {
         self.queue.try_send(OutgoingFrame { bytes, call }).map_err(|_| QueueFull)
     }
 
-    /// Forgets a call without a response. If nothing at all was received since it was sent, the connection is presumed dead and
+    /// Removes a call that timed out. If no frame at all was received since the call was sent, the connection is presumed dead and is
     /// closed.
     pub(super) fn abandon(&self, number: u64, sent_at: Micros) {
-        self.state.pending.borrow_mut().remove(&number);
-        if self.state.last_received.get() < sent_at {
+        self.state.pending_calls.borrow_mut().remove(&number);
+        if self.state.last_received_at.get() < sent_at {
             self.state.close.notify_waiters();
         }
     }
 }
 
-/// Opens a connection for each frame that finds none, and serves it until it breaks.
+/// Opens a connection when there is a frame and no connection, and serves the connection until it breaks.
 async fn run_link(address: String, mut outgoing: mpsc::Receiver<OutgoingFrame>, state: Rc<LinkState>) {
     while let Some(first) = outgoing.recv().await {
         match socket::connect(&address).await {
             Some(stream) => run_connection(&address, stream, first, &mut outgoing, &state).await,
-            // Dropping the queued frames fails their calls at once.
+            // Dropping the queued frames fails their calls immediately.
             None => while outgoing.try_recv().is_ok() {},
         }
-        state.pending.borrow_mut().clear();
+        state.pending_calls.borrow_mut().clear();
     }
 }
 
-/// Writes frames and reads responses until the connection breaks or is to be closed.
+/// Writes frames and reads responses until the connection breaks or has to be closed.
 async fn run_connection(
     address: &str,
     stream: TcpStream,
@@ -111,9 +111,9 @@
     outgoing: &mut mpsc::Receiver<OutgoingFrame>,
     state: &Rc<LinkState>,
 ) {
-    state.last_received.set(clock::now());
+    state.last_received_at.set(clock::now());
     let (reader, mut writer) = stream.into_split();
-    let mut reading = tokio::task::spawn_local(read_responses(address.to_owned(), reader, state.clone()));
+    let mut read_task = tokio::task::spawn_local(read_responses(address.to_owned(), reader, state.clone()));
     let mut next = first;
     while write_queued(&mut writer, next, outgoing, state).await {
         next = tokio::select! {
@@ -121,14 +121,14 @@
                 Some(frame) => frame,
                 None => break,
             },
-            _ = &mut reading => break,
+            _ = &mut read_task => break,
             () = state.close.notified() => break,
         };
     }
-    reading.abort();
+    read_task.abort();
 }
 
-/// Writes a frame and all that are queued after it with one write. Returns whether that succeeded.
+/// Writes a frame and all frames queued after it with one write. Returns whether the write succeeded.
 async fn write_queued(
     writer: &mut OwnedWriteHalf,
     first: OutgoingFrame,
@@ -148,11 +148,11 @@
     }
 }
 
-/// Passes responses to their calls until the connection ends or a response is unreadable.
+/// Passes responses to their calls until the connection ends or a response can't be decoded.
 async fn read_responses(address: String, reader: OwnedReadHalf, state: Rc<LinkState>) {
     let mut reader = BufReader::with_capacity(READ_BUFFER_BYTES, reader);
     while let Ok((header, body)) = read_frame(&mut reader).await {
-        state.last_received.set(clock::now());
+        state.last_received_at.set(clock::now());
         state.traffic.count_received(HEADER_BYTES + body.len());
         let response = match Response::decode(&body) {
             Ok(response) => response,
@@ -161,8 +161,8 @@
                 return;
             }
         };
-        if let Some(call) = state.pending.borrow_mut().remove(&header.call) {
-            // Fails if the caller no longer waits.
+        if let Some(call) = state.pending_calls.borrow_mut().remove(&header.call) {
+            // Fails if the caller does not wait any more.
             let _ = call.send(response);
         }
     }
--- a/tier/node/src/rpc/mod.rs
+++ b/tier/node/src/rpc/mod.rs
@@ -1,6 +1,6 @@
-//! Calls between the processes of the tier: frames over TCP, with many calls in flight on one connection.
+//! RPC between the processes of the tier: frames over TCP, with many calls in flight on one connection.
 //!
-//! [`PeerLinks`] sends requests and notifications, opening a connection to each address when it is needed; [`serve`] answers
+//! [`PeerLinks`] sends requests and notifications, and opens a connection to each address when it is needed. [`serve`] answers
 //! them with a [`Handler`]. The frames and messages are defined in `quillmount_wire`.
 
 mod client;
--- a/tier/node/src/rpc/read_frame.rs
+++ b/tier/node/src/rpc/read_frame.rs
@@ -1,13 +1,13 @@
-//! Reading of frames from a connection.
+//! Reads frames from a connection.
 
 use quillmount_wire::frame::{FrameError, FrameHeader, HEADER_BYTES, aligned_buffer};
 use rkyv::util::AlignedVec;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// Why no further frame can be read from a connection.
+/// Reasons why no further frame can be read from a connection.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ReadError {
-    /// The connection ended or broke.
+    /// The connection was closed or failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
     /// The bytes are not a valid frame.
@@ -15,7 +15,7 @@
     Frame(FrameError),
 }
 
-/// Reads one frame: its header and its verified body.
+/// Reads one frame and verifies its body.
 pub(super) async fn read_frame<R: AsyncRead + Unpin>(
     reader: &mut R,
 ) -> Result<(FrameHeader, AlignedVec), ReadError> {
--- a/tier/node/src/rpc/server.rs
+++ b/tier/node/src/rpc/server.rs
@@ -16,22 +16,22 @@
 use tokio::sync::mpsc;
 
 /// Largest number of responses queued for one connection.
-const QUEUE_LIMIT: usize = 1024;
-/// Time after which a response that the peer does not acknowledge ends the connection.
+const MAX_QUEUED_RESPONSES: usize = 1024;
+/// TCP user timeout: the connection ends if the peer does not acknowledge sent data for this time.
 const USER_TIMEOUT: Duration = Duration::from_secs(3);
 /// Size of a connection's read buffer, bytes.
 const READ_BUFFER_BYTES: usize = 8192;
 
-/// Answers a request; `None` if it has no answer.
+/// Handler of requests; its result is `None` if the request has no response.
 pub type Handler = Rc<dyn Fn(Request) -> Pin<Box<dyn Future<Output = Option<Response>>>>>;
 
-/// Accepts connections and answers their calls until the process ends. The bytes are counted in `traffic`.
+/// Accepts connections and answers their calls until the process ends. `traffic` counts the exchanged bytes.
 pub async fn serve(listener: TcpListener, handler: Handler, traffic: Rc<PeerTraffic>) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
                 socket::set_options(&stream, USER_TIMEOUT);
-                // Detached: it ends with its connection.
+                // The task is detached and ends with its connection.
                 tokio::task::spawn_local(serve_connection(stream, peer, handler.clone(), traffic.clone()));
             }
             Err(error) => {
@@ -45,8 +45,8 @@
 async fn serve_connection(stream: TcpStream, peer: SocketAddr, handler: Handler, traffic: Rc<PeerTraffic>) {
     let (reader, writer) = stream.into_split();
     let mut reader = BufReader::with_capacity(READ_BUFFER_BYTES, reader);
-    let (responses, outgoing) = mpsc::channel(QUEUE_LIMIT);
-    // Detached: it ends when the connection or the last sender of responses is gone.
+    let (responses, outgoing) = mpsc::channel(MAX_QUEUED_RESPONSES);
+    // The task is detached. It ends when the connection fails or the last sender of responses is dropped.
     tokio::task::spawn_local(write_responses(writer, outgoing, traffic.clone()));
     loop {
         let (header, body) = match read_frame(&mut reader).await {
@@ -66,14 +66,15 @@
             }
         };
         let (handler, responses) = (handler.clone(), responses.clone());
-        // Detached, so that a slow answer does not delay the calls that follow. It ends with the answer.
+        // Each call is handled by a detached task, so that a slow answer does not delay the calls that follow. The task ends with the
+        // answer.
         tokio::task::spawn_local(async move {
             let response = handler(request).await;
             if let Some(response) = response
                 && header.kind == FrameKind::Request
             {
                 let frame = encode(FrameKind::Response, header.call, &response.encode());
-                // Fails if the connection is closed: the caller is gone.
+                // Fails if the connection is closed, in which case no caller waits for the response.
                 let _ = responses.send(frame).await;
             }
         });
--- a/tier/node/src/rpc/traffic.rs
+++ b/tier/node/src/rpc/traffic.rs
@@ -1,8 +1,8 @@
-//! Bytes that this process exchanges with other processes of the tier.
+//! Counters of the bytes that this process exchanges with other processes of the tier.
 
 use std::cell::Cell;
 
-/// Sums since the start of the process, headers of frames included.
+/// Byte counts since the start of the process, including frame headers.
 #[derive(Debug, Default)]
 pub struct PeerTraffic {
     sent: Cell<u64>,
@@ -10,13 +10,13 @@
 }
 
 impl PeerTraffic {
-    /// Bytes that were written to peers.
-    pub fn sent(&self) -> u64 {
+    /// Returns the number of bytes sent to peers.
+    pub fn sent_bytes(&self) -> u64 {
         self.sent.get()
     }
 
-    /// Bytes that were read from peers.
-    pub fn received(&self) -> u64 {
+    /// Returns the number of bytes received from peers.
+    pub fn received_bytes(&self) -> u64 {
         self.received.get()
     }
 
--- a/tier/node/src/store/items.rs
+++ b/tier/node/src/store/items.rs
@@ -1,8 +1,8 @@
-//! Runs the items of batch jobs with the capacity that live requests leave at the endpoints.
+//! Runs the items of batch jobs on the endpoint capacity that live requests leave unused.
 //!
 //! [`run`] takes items from the queue (`queue`) in the order of their due times, reserves an endpoint for each, and starts
-//! an attempt (`attempt`), whose result is committed in the job's shard (`results`). How much of the endpoints this store
-//! may use is divided among the stores by their number of items (`shares`).
+//! an attempt (`attempt`), whose result is committed in the job's shard (`results`). The batch capacity of the endpoints is
+//! divided among the stores in proportion to their numbers of items (`shares`).
 
 mod attempt;
 mod item_run;
@@ -26,14 +26,14 @@
 /// Longest time between two checks for free capacity.
 const CAPACITY_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Starts items for as long as the process runs.
+/// Starts waiting items until the process ends.
 pub async fn run(store: Rc<Store>) {
     loop {
         let added = store.item_queue.added();
         let capacity_freed = store.node.capacity_freed.notified();
         start_items(&store);
-        let idle = store.item_queue.is_empty();
-        if idle {
+        let queue_is_empty = store.item_queue.is_empty();
+        if queue_is_empty {
             added.await;
         } else {
             tokio::select! {
@@ -45,7 +45,7 @@
     }
 }
 
-/// Starts waiting items in their order until no endpoint has capacity.
+/// Starts waiting items in the order of the queue until no endpoint has capacity.
 fn start_items(store: &Rc<Store>) {
     while let Some(run) = store.item_queue.pop() {
         match run.next_step(&store.node.tables().routes) {
@@ -53,7 +53,7 @@
             NextStep::DeadLetter => append_result(store, run, Phase::DeadLetter, String::new()),
             NextStep::Reserve { service, profile } => match reserve(store, &run, &service, &profile) {
                 Some(reservation) => {
-                    // Ends with the attempt, which is cancelled with its job or term.
+                    // The task ends with the attempt, which is cancelled when its job or term ends.
                     tokio::task::spawn_local(attempt::run(store.clone(), run, reservation));
                 }
                 None => {
@@ -65,32 +65,32 @@
     }
 }
 
-/// Reserves an endpoint for an item: one that was not tried since its last progress if possible, else any.
+/// Reserves an endpoint for an item. Prefers endpoints that were not tried since the item's last progress.
 fn reserve(store: &Store, run: &ItemRun, service: &str, profile: &RequestProfile) -> Option<Reservation> {
     let now = clock::now();
     let share = store
         .batch_shares
         .get(service, now, |batch_capacity| batch_share(store, service, now, batch_capacity));
     let mut dispatcher = store.node.dispatcher.borrow_mut();
-    let reserved = dispatcher.reserve(service, profile, Some(&share), &run.tried, now);
-    if reserved.is_err() && !run.tried.is_empty() {
+    let reserved = dispatcher.reserve(service, profile, Some(&share), &run.tried_endpoints, now);
+    if reserved.is_err() && !run.tried_endpoints.is_empty() {
         return dispatcher.reserve(service, profile, Some(&share), &[], now).ok();
     }
     reserved.ok()
 }
 
-/// This store's share of a service's endpoints: of the capacity that live requests leave, the part that its items have
-/// among those of all stores.
+/// Computes this store's share of a service's endpoints. The capacity that live requests leave is divided among the stores in
+/// proportion to their numbers of items.
 fn batch_share(store: &Store, service: &str, now: Micros, batch_capacity: &mut BatchCapacity) -> BatchShare {
     let loads = store.node.loads.borrow().clone();
     let load = loads.iter().find(|load| load.service == service);
-    let known = load.into_iter().flat_map(|load| &load.items);
+    let reported_items = load.into_iter().flat_map(|load| &load.items);
     let senders: Vec<SenderItems> =
-        known.map(|(sender, items)| SenderItems { sender: *sender, items: *items }).collect();
-    // The store's own count is newer than the core's. The item that is being placed is no longer in the queue.
+        reported_items.map(|(sender, items)| SenderItems { sender: *sender, items: *items }).collect();
+    // The store's own count is newer than the core's. The item to be placed is added because it is no longer in the queue.
     let own_items = store.needs().items.get(service).copied().unwrap_or_default() + 1;
     let own = SenderItems { sender: store.node.info.disk, items: own_items };
     let capacity = store.node.dispatcher.borrow().capacity(service);
-    let left = load.map(|load| batch_fraction(load.live_demand, capacity));
-    BatchShare::new(own, &senders, batch_capacity.update(now, left))
+    let unused_fraction = load.map(|load| batch_fraction(load.live_demand, capacity));
+    BatchShare::new(own, &senders, batch_capacity.update(now, unused_fraction))
 }
--- a/tier/node/src/store/items/attempt.rs
+++ b/tier/node/src/store/items/attempt.rs
@@ -1,7 +1,7 @@
-//! One attempt to run an item at one endpoint.
+//! An attempt to run an item at one endpoint.
 //!
-//! An endpoint answers with a stream of numbered events. If an attempt breaks off after some of them, the next one resumes
-//! after the last event, also at another endpoint.
+//! An endpoint answers with a stream of numbered events. If an attempt is interrupted after some of them, the next attempt resumes
+//! after the last event, possibly at another endpoint.
 
 use super::item_run::ItemRun;
 use super::results::append_result;
@@ -19,45 +19,46 @@
 /// Delay before an item is queued again after an attempt without progress.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Largest text of one item, bytes.
-const TEXT_LIMIT: usize = 4 << 20;
-/// Largest answer that is not a stream, bytes.
-const ANSWER_LIMIT: usize = 1 << 20;
+const MAX_TEXT_BYTES: usize = 4 << 20;
+/// Largest answer that is not an event stream, bytes.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 enum ItemAttemptOutcome {
-    /// The text is complete.
+    /// The text of the item is complete.
     Complete,
-    /// The item can't be processed, at any endpoint.
+    /// The item can't be processed at any endpoint.
     Unprocessable,
-    /// The endpoint ran the item and failed; counts towards the route's maximum.
+    /// The endpoint ran the item and failed. This counts towards the largest number of attempts of the route.
     Failed,
-    /// The item is to be retried or resumed; does not count.
+    /// The item has to be retried or resumed. This does not count towards the largest number of attempts.
     Retry(CallOutcome),
-    /// The job or the term ended meanwhile.
+    /// The job or the term has ended.
     Cancelled,
 }
 
-/// An item that runs at an endpoint.
+/// A running attempt of an item.
 struct ItemAttempt {
     store: Rc<Store>,
     run: ItemRun,
     reservation: Reservation,
-    /// When the request was sent.
-    sent: Micros,
-    /// Time from the start to the first event, once that has come.
+    /// Time at which the attempt started.
+    started_at: Micros,
+    /// Time from the start to the first event; `None` before the first event.
     first_event_latency: Option<Micros>,
 }
 
-/// Runs an item at the endpoint that is reserved for it, then commits its result or queues it again.
+/// Runs an item at the reserved endpoint, then commits its result or queues the item again.
 pub async fn run(store: Rc<Store>, run: ItemRun, reservation: Reservation) {
-    let resumed = run.last_event.is_some();
+    let is_resumed = run.last_event.is_some();
     let cancelled = run.tracked.cancelled.clone();
-    let mut attempt = ItemAttempt { store, run, reservation, sent: clock::now(), first_event_latency: None };
+    let mut attempt =
+        ItemAttempt { store, run, reservation, started_at: clock::now(), first_event_latency: None };
     let outcome = tokio::select! {
         outcome = attempt.exchange() => outcome,
         () = cancelled.wait() => ItemAttemptOutcome::Cancelled,
     };
-    attempt.release_reservation(&outcome, resumed);
+    attempt.release_reservation(&outcome, is_resumed);
     attempt.conclude(outcome).await;
 }
 
@@ -79,7 +80,7 @@
             Err(_) => return ItemAttemptOutcome::Retry(CallOutcome::Lost),
         };
         if answer.head.status != 200 || !answer.head.is_event_stream() {
-            return self.read_status(answer).await;
+            return self.read_other_answer(answer).await;
         }
         let outcome = self.read_events(&mut answer).await;
         if matches!(outcome, ItemAttemptOutcome::Complete) {
@@ -88,12 +89,12 @@
         outcome
     }
 
-    /// Reads an answer that is not a stream of events.
-    async fn read_status(&self, mut answer: UpstreamAnswer) -> ItemAttemptOutcome {
+    /// Reads an answer that is not an event stream and derives the outcome from its status.
+    async fn read_other_answer(&self, mut answer: UpstreamAnswer) -> ItemAttemptOutcome {
         let status = answer.head.status;
         let rejection = CallOutcome::from_rejection(&answer.head);
-        let complete = tokio::time::timeout(self.silence_limit(), answer.read_all(ANSWER_LIMIT)).await;
-        if !matches!(complete, Ok(Some(_))) {
+        let body = tokio::time::timeout(self.silence_limit(), answer.read_all(MAX_ANSWER_BYTES)).await;
+        if !matches!(body, Ok(Some(_))) {
             return ItemAttemptOutcome::Retry(CallOutcome::Lost);
         }
         answer.release(&self.store.node.upstreams);
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Reads events until the stream ends.
+    /// Reads events until the stream ends or breaks.
     async fn read_events(&mut self, answer: &mut UpstreamAnswer) -> ItemAttemptOutcome {
         let mut sequence = EventSequence::resuming_after(self.run.last_event, EventIds::Required);
         loop {
@@ -121,8 +122,8 @@
             if received.fault.is_some() {
                 return ItemAttemptOutcome::Retry(CallOutcome::Error);
             }
-            if self.run.text.iter().map(String::len).sum::<usize>() > TEXT_LIMIT {
-                // No valid answer is this long: the item starts from the beginning, until the job gives it up.
+            if self.run.text.iter().map(String::len).sum::<usize>() > MAX_TEXT_BYTES {
+                // No valid answer is this long. The item restarts from the beginning until it has a result or its retention time ends.
                 self.run.text.clear();
                 self.run.last_event = None;
                 return ItemAttemptOutcome::Retry(CallOutcome::Error);
@@ -146,31 +147,31 @@
         self.run.text.push(event.data.unwrap_or_default());
     }
 
-    /// An endpoint that sends nothing for this long is given up; the item continues elsewhere.
+    /// Time without data after which the attempt ends, so that the item can resume at another endpoint.
     fn silence_limit(&self) -> Duration {
         self.store.node.limits.item_silence
     }
 
-    /// Time since the start.
+    /// Returns the time since the start of the attempt.
     fn elapsed(&self) -> Micros {
-        clock::now().saturating_sub(self.sent)
+        clock::now().saturating_sub(self.started_at)
     }
 
-    /// Reports the attempt to the dispatcher and frees the endpoint's capacity. `resumed` says whether the attempt started
-    /// after the first event.
-    fn release_reservation(&self, outcome: &ItemAttemptOutcome, resumed: bool) {
+    /// Reports the outcome to the dispatcher and frees the capacity of the endpoint. `is_resumed` states whether the attempt
+    /// continued the text of an earlier attempt.
+    fn release_reservation(&self, outcome: &ItemAttemptOutcome, is_resumed: bool) {
         let call_outcome = match outcome {
             ItemAttemptOutcome::Retry(call_outcome) => *call_outcome,
             ItemAttemptOutcome::Failed => CallOutcome::Error,
             ItemAttemptOutcome::Complete | ItemAttemptOutcome::Cancelled => {
-                CallOutcome::from_stream_end(self.first_event_latency, resumed)
+                CallOutcome::from_stream_end(self.first_event_latency, is_resumed)
             }
             ItemAttemptOutcome::Unprocessable => CallOutcome::Abandoned,
         };
         let node = &self.store.node;
-        let began = self.first_event_latency.is_some();
+        let has_first_event = self.first_event_latency.is_some();
         node.metrics.count_call(call_outcome);
-        node.dispatcher.borrow_mut().finish(&self.reservation, call_outcome, began, clock::now());
+        node.dispatcher.borrow_mut().finish(&self.reservation, call_outcome, has_first_event, clock::now());
         node.capacity_freed.notify_waiters();
     }
 
@@ -195,7 +196,7 @@
                 self.requeue_without_progress().await;
             }
             ItemAttemptOutcome::Retry(_) => {
-                self.run.tried.clear();
+                self.run.tried_endpoints.clear();
                 self.store.item_queue.enqueue(self.run);
             }
         }
@@ -205,9 +206,9 @@
         append_result(&self.store, self.run, Phase::DeadLetter, String::new());
     }
 
-    /// Queues the item again after a delay, and prefers other endpoints for the next attempt.
+    /// Queues the item again after a delay. The next attempt prefers other endpoints.
     async fn requeue_without_progress(mut self) {
-        self.run.tried.push(self.reservation.id);
+        self.run.tried_endpoints.push(self.reservation.id);
         tokio::time::sleep(RETRY_DELAY).await;
         self.store.item_queue.enqueue(self.run);
     }
--- a/tier/node/src/store/items/item_run.rs
+++ b/tier/node/src/store/items/item_run.rs
@@ -1,4 +1,4 @@
-//! An item of a batch job on its way to a result.
+//! State of a batch item until it has a result.
 
 use crate::clock;
 use crate::store::shard::ServedShard;
@@ -10,71 +10,72 @@
 use quillmount_wire::messages::{Item, Job};
 use std::rc::Rc;
 
-/// An item that is due sooner than this counts as late, microseconds: about the time that an item takes.
+/// An item that is due within this time counts as late, microseconds. This is about the time that an item takes to run.
 const LATE_MARGIN: Micros = 700_000;
-/// Attempts of an item whose route is gone.
+/// Largest number of attempts of an item whose route no longer exists.
 const DEFAULT_MAX_ATTEMPTS: u32 = 1;
-/// Headers of an item that the request sets itself, or that concern one connection only.
+/// Headers of an item that are not forwarded, because the request sets them itself or they apply to one connection only.
 const REPLACED_HEADERS: [&str; 6] =
     ["host", "request-id", "tenant", "content-length", "connection", "transfer-encoding"];
 
-/// An item that is to run, with what earlier attempts left.
+/// An item that has to run, with the state that earlier attempts left.
 pub struct ItemRun {
-    /// The job's shard, and the term in which the item runs.
+    /// Shard of the job, with the term in which the item runs.
     pub served: ServedShard,
-    /// The job's deadline and cancellation.
+    /// State of the job in this term, including its cancellation.
     pub tracked: TrackedJob,
-    /// The job.
+    /// Job that the item belongs to.
     pub job: Rc<Job>,
-    /// Index of the item in its job, always a valid one.
+    /// Index of the item in its job; always valid.
     pub item: u32,
     /// Data of the events received so far.
     pub text: Vec<String>,
-    /// Number of the last event received, from which an attempt resumes.
+    /// Number of the last received event, after which the next attempt resumes.
     pub last_event: Option<u64>,
-    /// Number of attempts that the endpoint answered with status 500.
+    /// Number of attempts that an endpoint answered with status 500.
     pub failures: u32,
-    /// Endpoints tried since the last progress.
-    pub tried: Vec<String>,
-    /// When the result is due.
-    pub due: Micros,
+    /// Ids of the endpoints tried since the last progress.
+    pub tried_endpoints: Vec<String>,
+    /// Time by which the result is due.
+    pub due_at: Micros,
 }
 
-/// What is to be done with an item before it runs.
+/// Decision about a waiting item.
 pub enum NextStep {
-    /// Drop it: the job or the term has ended.
+    /// Drop the item, because its job or the term has ended.
     Drop,
-    /// Give it up, with a result that says so.
+    /// Give the item up, with a dead-letter result.
     DeadLetter,
-    /// Reserve an endpoint of the service for it.
+    /// Reserve an endpoint of the service for the item.
     Reserve {
         /// Name of the service.
         service: String,
-        /// What the choice of an endpoint depends on.
+        /// Properties of the request that the choice of an endpoint depends on.
         profile: RequestProfile,
     },
 }
 
 impl ItemRun {
-    /// Whether the item can no longer be done before it is due.
+    /// Returns whether the item can probably not complete before it is due.
     pub fn is_late(&self) -> bool {
-        clock::now() + LATE_MARGIN > self.due
+        clock::now() + LATE_MARGIN > self.due_at
     }
 
-    /// The item as it was submitted.
+    /// Returns the item as it was submitted.
     pub fn item(&self) -> &Item {
         &self.job.items[self.item as usize]
     }
 
-    /// Decides whether and where the item runs, by the routes in force. Draws the service at random where a route has several.
+    /// Decides whether and at which service the item runs, according to the current routes. If the route has several services, one is
+    /// chosen at random by weight.
     pub fn next_step(&self, routes: &RouteTable) -> NextStep {
         if self.tracked.cancelled.is_set() || !self.served.term.is_serving() {
             return NextStep::Drop;
         }
         let Some(route) = routes.by_name(&self.job.route) else { return NextStep::DeadLetter };
-        let age = clock::now().saturating_sub(self.tracked.first_seen);
-        let retain = route.route.retain_s.map(|span| clock::micros_from_ms(span * 1000.0));
-        if retain.is_some_and(|retain| age > retain) {
+        let age = clock::now().saturating_sub(self.tracked.known_since);
+        let retention = route.route.retain_s.map(|seconds| clock::micros_from_ms(seconds * 1000.0));
+        if retention.is_some_and(|retention| age > retention) {
             return NextStep::DeadLetter;
         }
         let profile = RequestProfile::parse(self.header("Token-Count"), self.header("Prompt-Prefix"));
@@ -82,12 +83,12 @@
         NextStep::Reserve { service, profile }
     }
 
-    /// Most attempts that may fail before the item is given up.
+    /// Returns the number of failed attempts after which the item is given up.
     pub fn max_attempts(&self, routes: &RouteTable) -> u32 {
         routes.by_name(&self.job.route).map_or(DEFAULT_MAX_ATTEMPTS, |route| route.max_attempts)
     }
 
-    /// The HTTP request, head and body, for the endpoint that is reserved.
+    /// Creates the HTTP request, head and body, for the reserved endpoint.
     pub fn request(&self, reservation: &Reservation) -> Vec<u8> {
         let item = self.item();
         let mut head =
@@ -109,11 +110,13 @@
 
     fn header(&self, name: &str) -> Option<&str> {
         let mut headers = self.item().headers.iter();
-        headers.find(|(known, _)| known.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
+        headers
+            .find(|(header_name, _)| header_name.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value.as_str())
     }
 }
 
-/// Whether a header can be sent without changing the meaning of the head around it.
+/// Returns whether a header can be sent without corrupting the request head.
 fn is_valid_header(name: &str, value: &str) -> bool {
     !name.is_empty() && !name.contains([':', '\r', '\n', ' ']) && !value.contains(['\r', '\n'])
 }
--- a/tier/node/src/store/items/results.rs
+++ b/tier/node/src/store/items/results.rs
@@ -1,12 +1,12 @@
-//! Lists the results of items in their jobs.
+//! Commits the results of items to their jobs.
 
 use super::item_run::ItemRun;
 use crate::store::state::Store;
 use quillmount_wire::messages::{ItemResult, Phase, ShardOperation};
 use std::rc::Rc;
 
-/// Commits the result of an item. The task ends with the operation; an item whose result is not committed is run again by
-/// the shard's next primary.
+/// Commits the result of an item in a separate task, which ends with the operation. If the result is not committed, the next
+/// primary of the shard runs the item again.
 pub fn append_result(store: &Rc<Store>, run: ItemRun, phase: Phase, text: String) {
     if !run.served.term.is_serving() {
         return;
--- a/tier/node/src/store/journal.rs
+++ b/tier/node/src/store/journal.rs
@@ -1,4 +1,4 @@
-//! The ring of a store: queues records of replicas for the disk, and knows how much of it is free.
+//! The journal of a store, which is a ring on the disk: queues records of replicas for writing and tracks the free space.
 
 use crate::disk::{AppendReceipt, DiskWriter};
 use quillmount_batch::{StoreRecord, WriteId};
@@ -7,72 +7,75 @@
 use std::path::Path;
 use tokio::sync::mpsc;
 
-/// Bytes of one segment file.
+/// Size of one segment file, bytes.
 const SEGMENT_BYTES: u64 = 8 << 20;
-/// Fewest segments of a ring.
+/// Smallest number of segments of the ring.
 const MIN_SEGMENTS: u64 = 3;
-/// Most segments of a ring.
+/// Largest number of segments of the ring.
 const MAX_SEGMENTS: u64 = 512;
-/// Fraction of the disk that the ring takes.
+/// Fraction of the disk that the ring uses.
 const DISK_FRACTION: f64 = 0.93;
-/// Fraction of the ring that jobs may take. A compaction begins when half of the ring is used: a complete copy of all jobs
-/// has to fit into the other half, with a segment left for what is written meanwhile.
-const LIVE_FRACTION: f64 = 0.36;
-/// Fraction of the ring that has to be free for a new job to be accepted.
-const FREE_FRACTION: f64 = 0.15;
+/// Fraction of the ring that jobs may use. A compaction begins when half of the ring is used: a complete copy of all jobs
+/// has to fit into the other half, with one segment to spare for records that are written in the meantime.
+const MAX_LIVE_FRACTION: f64 = 0.36;
+/// A new job is accepted only while more than this fraction of the segments is free.
+const MIN_FREE_FRACTION: f64 = 0.15;
 /// A compaction is due when less than this fraction of the segments is free.
 const COMPACTION_FRACTION: f64 = 0.5;
 
-/// A replica's record that is queued for the disk.
+/// A record of a replica that is queued for writing.
 pub struct PendingWrite {
     /// Number of the replica's shard.
     pub shard: u32,
-    /// The replica's id for this write.
+    /// Id that the replica assigned to this write.
     pub write: WriteId,
-    /// Resolves once the record is synced.
+    /// Resolves when the record is synced or the write has failed.
     pub receipt: AppendReceipt,
 }
 
-/// A ring that has just been opened.
+/// A journal that has just been opened, with its recovered records.
 pub struct OpenedJournal {
-    /// The ring, ready for appends.
+    /// The journal, ready for appends.
     pub journal: Journal,
-    /// The records found in it, oldest first.
+    /// Recovered records, oldest first.
     pub records: Vec<RingRecord>,
-    /// Receives each record passed to [`Journal::write`], in that order.
+    /// Receives an entry for each call of [`Journal::write`], in the order of the calls.
     pub pending: mpsc::UnboundedReceiver<PendingWrite>,
 }
 
-/// The ring of a store.
+/// The journal of a store.
 pub struct Journal {
     disk: DiskWriter,
-    /// Unbounded, as replicas bound the number of their writes.
+    /// The channel is unbounded because the replicas limit the number of their pending writes.
     writes: mpsc::UnboundedSender<PendingWrite>,
     /// Number of segments that can still be opened.
     free_segments: Cell<usize>,
-    segments: usize,
+    max_segments: usize,
 }
 
 impl Journal {
-    /// Opens the ring in `folder`, sized for a disk of `disk_mb` megabytes.
+    /// Opens the ring in `folder`, with a size suited to a disk of `disk_mb` megabytes.
+    ///
+    /// # Errors
+    /// [`StorageError::Io`] if a file can't be opened or read.
     pub fn open(folder: &Path, disk_mb: f64) -> Result<OpenedJournal, StorageError> {
         let bytes = (disk_mb * 1e6 * DISK_FRACTION) as u64;
-        let segments = (bytes / SEGMENT_BYTES).clamp(MIN_SEGMENTS, MAX_SEGMENTS) as usize;
+        let max_segments = (bytes / SEGMENT_BYTES).clamp(MIN_SEGMENTS, MAX_SEGMENTS) as usize;
         let (disk, records) =
-            DiskWriter::open(folder, RingSize { segment_bytes: SEGMENT_BYTES, max_segments: segments })?;
+            DiskWriter::open(folder, RingSize { segment_bytes: SEGMENT_BYTES, max_segments })?;
         let (writes, pending) = mpsc::unbounded_channel();
-        let journal = Journal { disk, writes, free_segments: Cell::new(segments), segments };
+        let journal = Journal { disk, writes, free_segments: Cell::new(max_segments), max_segments };
         Ok(OpenedJournal { journal, records, pending })
     }
 
-    /// Queues a replica's record. The outcome goes to the receiver of [`OpenedJournal::pending`].
+    /// Queues a record of a replica. The outcome is available through [`OpenedJournal::pending`].
     pub fn write(&self, shard: u32, write: WriteId, record: &StoreRecord) {
         let receipt = self.disk.append(record.encode());
-        // The receiver lives as long as the store runs.
+        // Can't fail: the receiver exists until the process ends.
         let _ = self.writes.send(PendingWrite { shard, write, receipt });
     }
 
-    /// Queues a record that belongs to no replica.
+    /// Queues a record that belongs to no replica, such as the start marker of a compaction.
     pub fn append(&self, record: &StoreRecord) -> AppendReceipt {
         self.disk.append(record.encode())
     }
@@ -82,28 +85,28 @@
         self.disk.release(segment);
     }
 
-    /// Records how many segments can still be opened.
+    /// Updates the number of segments that can still be opened.
     pub fn set_free_segments(&self, free: usize) {
         self.free_segments.set(free);
     }
 
-    /// Number of segments that can still be opened.
+    /// Returns the number of segments that can still be opened.
     pub fn free_segments(&self) -> usize {
         self.free_segments.get()
     }
 
-    /// Bytes of jobs that fit into the ring at most.
-    pub fn live_bytes_limit(&self) -> f64 {
-        self.segments as f64 * SEGMENT_BYTES as f64 * LIVE_FRACTION
+    /// Returns the largest total size of jobs that the ring may store, bytes.
+    pub fn max_live_bytes(&self) -> f64 {
+        self.max_segments as f64 * SEGMENT_BYTES as f64 * MAX_LIVE_FRACTION
     }
 
-    /// Whether enough of the ring is free to accept a new job.
+    /// Returns whether enough of the ring is free to accept a new job.
     pub fn accepts_jobs(&self) -> bool {
-        self.free_segments.get() as f64 > self.segments as f64 * FREE_FRACTION
+        self.free_segments.get() as f64 > self.max_segments as f64 * MIN_FREE_FRACTION
     }
 
-    /// Whether so little of the ring is free that it is to be compacted.
+    /// Returns whether so little of the ring is free that a compaction is due.
     pub fn needs_compaction(&self) -> bool {
-        (self.free_segments.get() as f64) < self.segments as f64 * COMPACTION_FRACTION
+        (self.free_segments.get() as f64) < self.max_segments as f64 * COMPACTION_FRACTION
     }
 }
--- a/tier/node/src/store/mod.rs
+++ b/tier/node/src/store/mod.rs
@@ -1,11 +1,11 @@
-//! The store: replicates batch jobs with other stores, keeps them on its disk, and runs their items at endpoints.
+//! The store role: replicates batch jobs with other stores, stores them on its disk, and runs their items at endpoints.
 //!
-//! [`run`] opens the shared state ([`Store`]) from the disk and starts the tasks on top of it:
+//! [`run`] restores the shared state ([`Store`]) from the disk and starts the tasks that use it:
 //!
-//! - `shard` carries out what the replication of each shard decides; `replica_tasks` drive it, `journal` and `compaction`
-//!   write its records; `term` has what the store remembers while it serves as a shard's primary;
-//! - `serve` answers couriers and other stores, with `quota` for limits on waiting tokens;
-//! - `items` runs the items of jobs; `retention` forgets finished jobs.
+//! - `shard` performs the actions of the replication state machine of each shard; `replica_tasks` drive it, `journal` and
+//!   `compaction` write its records; `term` has the state of a store only while it serves as a shard's primary;
+//! - `serve` answers couriers and other stores, with `quota` for the limits on queued tokens;
+//! - `items` runs the items of jobs; `retention` removes finished jobs.
 
 mod compaction;
 mod items;
@@ -35,14 +35,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Data folder where the settings name none.
+/// Data folder if the settings do not name one.
 const DEFAULT_FOLDER: &str = "data";
-/// Time for which a store that is asked to stop still serves, so that other stores become primaries of its shards.
+/// Time for which a stopping store continues to serve, so that other stores can become primaries of its shards.
 const HANDOVER_GRACE: Duration = Duration::from_millis(1500);
-/// Interval between two rounds that forget old jobs and close idle connections.
+/// Interval at which old jobs are removed and expired connections are closed.
 const CLEANUP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Runs a store until it is asked to stop.
+/// Runs a store until it receives a stop signal.
 pub async fn run(settings: Settings, metrics: Option<MetricsAddress>) -> Result<(), RoleError> {
     let signals = Signals::install()?;
     let folder = settings.data_folder().unwrap_or(DEFAULT_FOLDER).to_owned();
@@ -64,7 +64,7 @@
         let sources = MetricsSources { node: node.clone(), core: None, store: Some(store.clone()) };
         metrics_server::serve(address, sources);
     }
-    // All of these run until the process ends.
+    // These tasks run until the process ends.
     tokio::task::spawn_local(rpc::serve(internal, handler(&store), node.links.traffic().clone()));
     tokio::task::spawn_local(subscription::run(node.clone(), store.clone()));
     tokio::task::spawn_local(subscription::read_list_without_core(node.clone()));
@@ -91,7 +91,7 @@
 async fn clean_up(store: Rc<Store>) {
     loop {
         tokio::time::sleep(CLEANUP_INTERVAL).await;
-        store.shards.iter().for_each(|shard| retention::forget_old_jobs(&store, shard));
+        store.shards.iter().for_each(|shard| retention::remove_old_jobs(&store, shard));
         store.node.close_expired_connections();
     }
 }
--- a/tier/node/src/store/quota.rs
+++ b/tier/node/src/store/quota.rs
@@ -1,9 +1,9 @@
-//! Quotas on waiting tokens between shards: claims, statements and their answers.
+//! Quotas on queued tokens across shards: sends claims and statements, and answers them.
 //!
-//! A tenant's waiting tokens on a route are limited over all shards. The primary of one shard, found from tenant and route,
-//! has the ledger of such a pair. The primary of the shard that a job goes to claims the job's tokens there before it
-//! commits the job ([`claim`]), and states regularly what its shard has reserved ([`send_statements_periodically`]). A new
-//! ledger grants nothing until all shards have stated.
+//! The number of queued tokens of a tenant on a route is limited across all shards. The ledger of each tenant and route is at
+//! the primary of one shard, which is determined by a hash of both names. The primary of the shard that a job is submitted to
+//! claims the job's tokens at the ledger before it commits the job ([`claim`]), and regularly states the tokens that its shard
+//! has reserved ([`send_statements_periodically`]). A new ledger grants no claim until all shards have sent a statement.
 
 use super::shard::ServedShard;
 use super::state::Store;
@@ -19,11 +19,11 @@
 
 /// Interval between two statements.
 const STATEMENT_INTERVAL: Duration = Duration::from_millis(200);
-/// A claim without an answer for this long has failed.
+/// Timeout of a claim; a claim without an answer after this time has failed.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// A claim that was granted. It counts as pending until this guard is dropped, which has to be after the job's outcome is
-/// known: from then on the job itself counts.
+/// A pending claim. Its tokens count as reserved until this guard is dropped. It must be dropped only after the outcome of the
+/// job's commit is known, because from then on the tokens of the committed job count.
 pub struct ClaimGuard {
     term: Rc<PrimaryTerm>,
     key: QuotaKey,
@@ -43,32 +43,35 @@
     }
 }
 
-/// Why a job's tokens were not granted.
+/// Reasons why a claim was not granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClaimError {
-    /// They exceed the limit.
-    #[error("the tokens exceed the limit")]
+    /// The tokens exceed the limit.
+    #[error("the tokens of the job exceed the limit on queued tokens of its tenant")]
     Exceeded,
-    /// The ledger did not answer or can't decide now; nothing was reserved.
-    #[error("the quota ledger gave no decision")]
+    /// The ledger did not answer or can't decide yet; no tokens were reserved.
+    #[error("the quota ledger gave no decision; retry later")]
     Unknown,
 }
 
-/// The primary that has a ledger.
+/// The store that is the primary of a ledger's shard.
 struct LedgerPrimary {
     node: NodeInfo,
-    /// Epoch of its shard's view.
+    /// Epoch of the view of the ledger's shard.
     epoch: Epoch,
 }
 
-/// A statement with the process that gets it.
+/// A statement with the address of its receiver.
 struct AddressedStatement {
     /// Internal address of the primary that has the ledger.
     address: String,
     statement: QuotaStatement,
 }
 
-/// Claims a job's tokens; `None` where its route does not limit them.
+/// Claims a job's tokens at the ledger; `None` if the job's route has no limit on queued tokens.
+///
+/// # Errors
+/// [`ClaimError::Exceeded`] if the tokens exceed the limit, [`ClaimError::Unknown`] if the ledger gave no decision.
 pub async fn claim(
     store: &Rc<Store>,
     served: &ServedShard,
@@ -80,12 +83,12 @@
     let ledger_shard = ledger_shard_of(&key);
     let ledger = ledger_primary(store, ledger_shard).ok_or(ClaimError::Unknown)?;
     let quota = &served.term.quota;
-    let (epoch, waiting) = {
+    let (epoch, queued) = {
         let replica = served.shard.replica();
         let epoch = replica.serving().ok_or(ClaimError::Unknown)?;
         (epoch, replica.jobs().waiting_tokens().get(&key).copied().unwrap_or(0))
     };
-    let reserved = waiting.saturating_add(quota.claimed(&key));
+    let reserved = queued.saturating_add(quota.claimed_tokens(&key));
     let guard = ClaimGuard::begin(&served.term, &key, tokens);
     let claim = QuotaClaim {
         ledger_shard,
@@ -105,7 +108,7 @@
     }
 }
 
-/// Answers a claim at the primary that has the ledger.
+/// Answers a claim if this store is the primary that has the ledger, otherwise with [`Response::WrongEpoch`].
 pub fn answer(store: &Store, claim: &QuotaClaim) -> Response {
     let Some(term) = store.shards.get(claim.ledger_shard as usize).and_then(|shard| shard.term()) else {
         return Response::WrongEpoch;
@@ -117,7 +120,7 @@
     }
 }
 
-/// Enters statements in the ledgers that are here.
+/// Applies statements to the ledgers at this store; those for other ledgers are ignored.
 pub fn apply_statements(store: &Store, statements: &[QuotaStatement]) {
     for statement in statements {
         let term = store.shards.get(statement.ledger_shard as usize).and_then(|shard| shard.term());
@@ -127,8 +130,8 @@
     }
 }
 
-/// States what the shards served here have reserved, for as long as the process runs; nothing while no route limits
-/// tokens.
+/// Regularly sends statements of the tokens that the shards served here have reserved, until the process ends. Sends none while
+/// no route has a limit on queued tokens.
 pub async fn send_statements_periodically(store: Rc<Store>) {
     loop {
         tokio::time::sleep(STATEMENT_INTERVAL).await;
@@ -138,13 +141,13 @@
     }
 }
 
-/// The limit on a tenant's waiting tokens on a route, if it has one.
+/// Returns the limit on a tenant's queued tokens on a route, if there is one.
 fn queued_token_limit(store: &Store, route: &str) -> Option<u64> {
     let tables = store.node.tables();
     tables.routes.by_name(route).and_then(|route| route.route.queued_token_limit())
 }
 
-/// The shard whose primary has the ledger of a tenant on a route.
+/// Returns the shard whose primary has the ledger for a tenant and route.
 fn ledger_shard_of(key: &QuotaKey) -> u32 {
     shard_of(&format!("{}/{}", key.tenant, key.route), SHARDS)
 }
@@ -180,12 +183,12 @@
     }
 }
 
-/// What one shard states to the primary of each ledger.
+/// Creates the statements of one shard for all ledgers, including those without reserved tokens.
 fn statements(store: &Store, served: &ServedShard) -> Vec<AddressedStatement> {
     let replica = served.shard.replica();
     let Some(epoch) = replica.serving() else { return Vec::new() };
     let quota = &served.term.quota;
-    let reserved = quota.add_pending(replica.jobs().waiting_tokens());
+    let reserved = quota.add_pending_claims(replica.jobs().waiting_tokens());
     let mut by_ledger_shard: BTreeMap<u32, Vec<(QuotaKey, u64)>> = BTreeMap::new();
     for (key, tokens) in reserved {
         by_ledger_shard.entry(ledger_shard_of(&key)).or_default().push((key, tokens));
--- a/tier/node/src/store/replica_tasks.rs
+++ b/tier/node/src/store/replica_tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks that drive the replicas: outcomes of their writes, the passing of time, and new views.
+//! Tasks that drive the replicas: they report the outcomes of writes, ticks of the clock, and new views.
 
 use super::compaction;
 use super::journal::PendingWrite;
@@ -8,10 +8,10 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Interval between two ticks of replicas that wait for time to pass.
+/// Interval between two ticks of the replicas whose state may change with time.
 const TICK_INTERVAL: Duration = Duration::from_micros(RETRY_DELAY / 2);
 
-/// Reports the outcome of each write to the replica that made it, in the order of the writes.
+/// Reports the outcome of each write to the replica that requested it, in the order of the writes.
 pub async fn report_writes(store: Rc<Store>, mut pending: mpsc::UnboundedReceiver<PendingWrite>) {
     while let Some(PendingWrite { shard, write, receipt }) = pending.recv().await {
         let synced = match receipt.synced().await {
@@ -32,7 +32,7 @@
     }
 }
 
-/// Ticks the replicas that wait for time to pass; sleeps while there are none.
+/// Ticks the replicas whose state may change with time; waits while there are none.
 pub async fn tick_replicas(store: Rc<Store>) {
     loop {
         let tick_needed = store.tick_needed.notified();
@@ -44,7 +44,7 @@
     }
 }
 
-/// Hands the shards' views to the replicas whenever there are new tables.
+/// Passes the shards' views to the replicas whenever there are new tables.
 pub async fn follow_views(store: Rc<Store>) {
     let mut tables = store.node.watch_tables();
     loop {
--- a/tier/node/src/store/serve.rs
+++ b/tier/node/src/store/serve.rs
@@ -1,7 +1,7 @@
-//! Answers the calls of couriers and of other stores.
+//! Answers the requests of couriers and of other stores.
 //!
-//! Calls about jobs are answered only by the primary of the job's shard, in the epoch that the caller names. A positive
-//! answer, and every read, is first confirmed with the other replicas: it shows the newest committed state.
+//! Requests about jobs are answered only by the primary of the job's shard, in the epoch that the caller states. Each positive
+//! answer and each read is first confirmed with the other replicas, so that it reflects the newest committed state.
 
 use super::quota::{self, ClaimError};
 use super::shard::{CommitError, ServedShard};
@@ -15,14 +15,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Largest size of the results in one answer, bytes; a single larger result is sent on its own.
-const RESULT_BYTES: usize = 900_000;
-/// Bytes that a result takes in an answer in addition to its text, approximately.
-const RESULT_OVERHEAD: usize = 128;
-/// Longest time for which a read waits for its confirmation, microseconds.
+/// Largest total size of the results in one answer, bytes; a single larger result is sent alone.
+const MAX_RESULTS_BYTES: usize = 900_000;
+/// Approximate size of a result in an answer in addition to its text, bytes.
+const RESULT_OVERHEAD_BYTES: usize = 128;
+/// Timeout of the confirmation by the other replicas, microseconds.
 const CONFIRM_TIMEOUT: Micros = 900_000;
 
-/// Answers any call.
+/// Answers a request; requests that a store does not serve are answered with [`Response::WrongEpoch`].
 pub async fn answer(store: &Rc<Store>, request: Request) -> Response {
     match request {
         Request::Shard { to, shard, epoch, message } => replicate(store, to, shard, epoch, message).await,
@@ -55,8 +55,8 @@
     }
 }
 
-/// Passes a message of a shard's primary to the replica here. One to another disk id was meant for a disk that this machine
-/// had before.
+/// Passes a message of a shard's primary to the local replica. A message with another disk id was meant for a previous disk of this
+/// machine and is rejected.
 async fn replicate(
     store: &Rc<Store>,
     to: DiskId,
@@ -64,43 +64,43 @@
     epoch: Epoch,
     message: ShardMessage,
 ) -> Response {
-    let mine = to == store.node.info.disk;
-    match store.shards.get(shard as usize).filter(|_| mine).cloned() {
+    let is_own_disk = to == store.node.info.disk;
+    match store.shards.get(shard as usize).filter(|_| is_own_disk).cloned() {
         Some(shard) => shard.answer(store, epoch, message).await,
         None => Response::WrongEpoch,
     }
 }
 
-/// The shard, if this store serves it in this epoch.
+/// Returns the shard if this store is its primary in this epoch.
 fn serving(store: &Store, shard: u32, epoch: Epoch) -> Option<ServedShard> {
     let served = store.shards.get(shard as usize)?.serving(epoch)?;
-    // Without a configuration the routes of items are unknown.
+    // Without a configuration, the routes of the items are unknown.
     (store.node.tables().versions.configuration > 0).then_some(served)
 }
 
 async fn submit(store: &Rc<Store>, served: &ServedShard, job: Job) -> Response {
     let shard = &served.shard;
-    let known = shard.replica().jobs().jobs.contains_key(&job.id);
-    if known {
-        let until = clock::now() + CONFIRM_TIMEOUT;
-        return if shard.confirm(store, until).await { Response::Done } else { Response::Uncertain };
+    let is_committed = shard.replica().jobs().jobs.contains_key(&job.id);
+    if is_committed {
+        let deadline = clock::now() + CONFIRM_TIMEOUT;
+        return if shard.confirm(store, deadline).await { Response::Done } else { Response::Uncertain };
     }
-    let pending = shard.replica().is_pending(&job.id);
-    if pending {
-        // A retry waits for the same outcome as the first submission: its tokens are claimed already.
+    let is_pending = shard.replica().is_pending(&job.id);
+    if is_pending {
+        // A retry waits for the outcome of the first submission, which has already claimed the tokens.
         return commit_response(shard.commit(store, ShardOperation::Submit(job)).await);
     }
     if !store.has_capacity() {
         return Response::Full;
     }
-    // The claim counts until the outcome is known: from then on the committed job does.
-    let claim = match quota::claim(store, served, &job).await {
-        Ok(claim) => claim,
+    // The claim is held until the outcome is known, because from then on the tokens of the committed job count.
+    let claim_guard = match quota::claim(store, served, &job).await {
+        Ok(claim_guard) => claim_guard,
         Err(ClaimError::Exceeded) => return Response::Full,
         Err(ClaimError::Unknown) => return Response::WrongEpoch,
     };
     let outcome = shard.commit(store, ShardOperation::Submit(job)).await;
-    drop(claim);
+    drop(claim_guard);
     commit_response(outcome)
 }
 
@@ -112,7 +112,7 @@
     }
 }
 
-/// A job in the view of one tenant: a job of another tenant does not exist for it.
+/// A job as visible to one tenant; a job of another tenant is treated as missing.
 struct TenantJob<'a> {
     store: &'a Rc<Store>,
     served: &'a ServedShard,
@@ -121,19 +121,20 @@
 }
 
 impl TenantJob<'_> {
-    /// Answers with results from `start_after` on; waits up to `wait_ms` while there are none and the job runs.
+    /// Answers with the results after the first `start_after`. Waits up to `wait_ms` milliseconds while there are none and the job
+    /// has not ended.
     async fn results(&self, start_after: u64, wait_ms: u64) -> Response {
         let term = &self.served.term;
         let deadline = tokio::time::Instant::now() + Duration::from_millis(wait_ms);
         loop {
-            // Registered before the job is read, so that no update in between is missed.
+            // The waiter is registered before the job is read, so that no update in between is missed.
             let updates = term.updates.notified();
-            let more = self.inspect(|entry| entry.results.len() as u64 > start_after || entry.ended);
-            let waiting = more == Some(false) && tokio::time::Instant::now() < deadline;
-            if !waiting || !term.is_serving() {
+            let has_more = self.inspect(|entry| entry.results.len() as u64 > start_after || entry.ended);
+            let must_wait = has_more == Some(false) && tokio::time::Instant::now() < deadline;
+            if !must_wait || !term.is_serving() {
                 break;
             }
-            // A timeout is handled by the deadline above.
+            // The timeout needs no handling: the loop condition checks the deadline.
             let _ = tokio::time::timeout_at(deadline, updates).await;
         }
         let response =
@@ -141,13 +142,13 @@
         self.confirmed(response).await
     }
 
-    /// Answers with the body of an item.
+    /// Answers with the body of an item as it was submitted.
     async fn body(&self, item: &str) -> Response {
         let body = self.inspect(|entry| entry.item(item).map(|item| item.body.clone())).flatten();
         self.confirmed(body.map_or(Response::NotFound, Response::Body)).await
     }
 
-    /// Ends the job: items that have no result yet do not run any more.
+    /// Ends the job. Items that have no result yet do not run any more.
     async fn end(&self) -> Response {
         match self.inspect(|entry| entry.ended) {
             None => self.confirmed(Response::NotFound).await,
@@ -159,30 +160,32 @@
         }
     }
 
-    /// Evaluates a function on the job; `None` if it does not exist or is another tenant's.
+    /// Applies a function to the job; `None` if the job does not exist or belongs to another tenant.
     fn inspect<T>(&self, inspect: impl FnOnce(&JobEntry) -> T) -> Option<T> {
         let replica = self.served.shard.replica();
         replica.jobs().jobs.get(self.job).filter(|entry| entry.job.tenant == self.tenant).map(inspect)
     }
 
-    /// Returns the response only if what it was read from is confirmed to be the newest committed state.
+    /// Returns the response if the other replicas confirm that it was read from the newest committed state, otherwise
+    /// [`Response::Uncertain`].
     async fn confirmed(&self, response: Response) -> Response {
         let shard = &self.served.shard;
-        let pending = shard.replica().is_pending(self.job);
-        let certain = !pending && shard.confirm(self.store, clock::now() + CONFIRM_TIMEOUT).await;
-        if certain { response } else { Response::Uncertain }
+        let is_pending = shard.replica().is_pending(self.job);
+        let is_confirmed = !is_pending && shard.confirm(self.store, clock::now() + CONFIRM_TIMEOUT).await;
+        if is_confirmed { response } else { Response::Uncertain }
     }
 }
 
-/// As many results after the first `start_after` as fit into one answer, at least one if there is any.
+/// Creates a response with as many of the results after the first `start_after` as fit into one answer, and at least one if there
+/// is any.
 fn results_response(entry: &JobEntry, start_after: u64) -> Response {
     let mut bytes = 0;
     let mut results: Vec<ItemOutcome> = Vec::new();
     for result in entry.results.iter().skip(start_after as usize) {
-        if bytes + result.text.len() > RESULT_BYTES && !results.is_empty() {
+        if bytes + result.text.len() > MAX_RESULTS_BYTES && !results.is_empty() {
             break;
         }
-        bytes += result.text.len() + RESULT_OVERHEAD;
+        bytes += result.text.len() + RESULT_OVERHEAD_BYTES;
         let id = entry.job.items.get(result.item as usize).map(|item| item.id.clone()).unwrap_or_default();
         results.push(ItemOutcome { id, phase: result.phase, text: result.text.clone() });
     }
--- a/tier/node/src/store/shard.rs
+++ b/tier/node/src/store/shard.rs
@@ -1,8 +1,8 @@
-//! A shard's replica on sockets and disk: carries out what [`ShardReplica`] decides.
+//! Runs the replica of a shard on sockets and disk: performs the actions of [`ShardReplica`].
 //!
-//! `ShardReplica` is the replication state machine, without I/O. Whatever happens here (a call, a commit, a synced write, an
-//! answer, a tick) is handed to it, and the actions that it returns are performed. What reaches beyond the shard goes to
-//! the store through [`ShardHost`].
+//! `ShardReplica` is the replication state machine, without I/O. Every event (a call, a commit, a synced write, an answer, a
+//! tick) is passed to it, and the actions that it returns are performed. Effects outside the shard go to the store through
+//! [`ShardHost`].
 
 use super::term::PrimaryTerm;
 use super::waiters::Waiters;
@@ -19,44 +19,45 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Why an operation was not committed.
+/// Reasons why an operation is not known to be committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CommitError {
-    /// It was not started: nothing happened.
-    #[error("the operation was not started")]
+    /// The operation was not started and has no effect.
+    #[error("the operation was not started and has no effect; it may be retried")]
     NotStarted,
-    /// The outcome is unknown: replicas may have it.
+    /// The outcome is unknown: some replicas may have the operation.
     #[error("the outcome of the operation is unknown")]
     Uncertain,
 }
 
-/// What a shard needs of the store that it belongs to.
+/// Interface of the store that a shard belongs to.
 pub trait ShardHost: 'static {
-    /// The process.
+    /// The process that the store runs in.
     fn node(&self) -> &Node;
 
-    /// Queues a record of a shard's replica for the disk; [`Shard::on_written`] is to be called for each, in the same order.
+    /// Queues a record of a shard's replica for writing. The store has to call [`Shard::on_written`] for each record, in the same
+    /// order.
     fn write(&self, shard: u32, write: WriteId, record: &StoreRecord);
 
-    /// Asks for [`Shard::tick`] to be called.
+    /// Requests that the store calls [`Shard::tick`] regularly until it returns `false`.
     fn request_tick(&self);
 
-    /// The store serves the shard as primary from now on.
+    /// Called when the store starts to serve the shard as primary.
     fn on_term_started(&self, served: &ServedShard);
 
-    /// A job was committed in a shard that is served here.
+    /// Called when a job was committed in a shard that this store serves as primary.
     fn on_job_committed(&self, served: &ServedShard, job: &str);
 }
 
-/// A shard, as one store has it.
+/// A shard at one store: its replica and the callers that wait for it.
 pub struct Shard {
     /// Index of the shard in the placement.
     pub number: u32,
     replica: RefCell<ShardReplica>,
-    /// The present term, while this store serves as primary.
+    /// Current term; `None` unless this store serves as primary.
     term: RefCell<Option<Rc<PrimaryTerm>>>,
-    /// Calls of other stores.
-    calls: Waiters<Response>,
+    /// Calls of other stores that wait for a response.
+    incoming_calls: Waiters<Response>,
     operations: Waiters<Result<(), CommitError>>,
     reads: Waiters<bool>,
     rewrites: Waiters<bool>,
@@ -66,13 +67,13 @@
 /// A shard together with the term in which this store serves it as primary.
 #[derive(Clone)]
 pub struct ServedShard {
-    /// The shard.
+    /// The shard, of which this store is the primary during the term.
     pub shard: Rc<Shard>,
-    /// The term, which may have ended since.
+    /// The term; it may have ended in the meantime.
     pub term: Rc<PrimaryTerm>,
 }
 
-/// A call that a replica makes to another one.
+/// A call from the local replica to the replica at another store.
 struct OutgoingCall {
     call: CallId,
     member: DiskId,
@@ -82,13 +83,13 @@
 }
 
 impl Shard {
-    /// A shard whose replica has nothing yet.
+    /// Creates a shard with an empty replica.
     pub fn new(identity: ShardReplicaId) -> Shard {
         Shard {
             number: identity.shard,
             replica: RefCell::new(ShardReplica::new(identity)),
             term: RefCell::new(None),
-            calls: Waiters::default(),
+            incoming_calls: Waiters::default(),
             operations: Waiters::default(),
             reads: Waiters::default(),
             rewrites: Waiters::default(),
@@ -96,44 +97,44 @@
         }
     }
 
-    /// Restores a record that was found on the disk; records come in the order in which they were written.
+    /// Replays a record from the disk. Records must be passed in the order in which they were written.
     pub fn recover(&self, record: StoreRecord) {
         self.replica.borrow_mut().recover(record);
     }
 
-    /// The replica's state.
+    /// Returns the state of the replica.
     pub fn replica(&self) -> Ref<'_, ShardReplica> {
         self.replica.borrow()
     }
 
-    /// The present term, if this store serves as primary.
+    /// Returns the current term, if this store serves as primary.
     pub fn term(&self) -> Option<Rc<PrimaryTerm>> {
         self.term.borrow().clone()
     }
 
-    /// This shard and its present term, if this store serves as primary.
+    /// Returns this shard with its current term, if this store serves as primary.
     pub fn served(self: &Rc<Self>) -> Option<ServedShard> {
         self.term().map(|term| ServedShard { shard: self.clone(), term })
     }
 
-    /// This shard and its present term, if this store serves as primary in this epoch.
+    /// Returns this shard with its current term, if this store serves as primary in this epoch.
     pub fn serving(self: &Rc<Self>, epoch: Epoch) -> Option<ServedShard> {
-        let serves = self.replica().serving() == Some(epoch);
-        self.served().filter(|_| serves)
+        let is_serving = self.replica().serving() == Some(epoch);
+        self.served().filter(|_| is_serving)
     }
 
-    /// What the primary has to report to the core about the other replicas, if anything.
+    /// Returns the report of the primary to the core about the other replicas, if there is anything to report.
     pub fn report(&self) -> Option<ShardReport> {
         self.replica.borrow_mut().report()
     }
 
-    /// Adopts the shard's view in the placement, if it is newer.
+    /// Adopts the view of the shard from the placement, if it is newer.
     pub fn follow_view<H: ShardHost>(self: &Rc<Self>, host: &Rc<H>, view: &ShardView) {
         let actions = self.replica.borrow_mut().follow_view(view, clock::now());
         self.perform(host, actions);
     }
 
-    /// Ticks the replica if it waits for time to pass; whether it does.
+    /// Ticks the replica if its state may change with time, and returns whether that is the case.
     pub fn tick<H: ShardHost>(self: &Rc<Self>, host: &Rc<H>) -> bool {
         if !self.replica().needs_tick() {
             return false;
@@ -143,13 +144,13 @@
         true
     }
 
-    /// A record is synced, or could not be written.
+    /// Reports to the replica that a record was synced, or that its write failed.
     pub fn on_written<H: ShardHost>(self: &Rc<Self>, host: &Rc<H>, write: WriteId, synced: bool) {
         let actions = self.replica.borrow_mut().on_written(write, synced, clock::now());
         self.perform(host, actions);
     }
 
-    /// Answers a call of the shard's primary.
+    /// Passes a message of the shard's primary to the replica and returns the response.
     pub async fn answer<H: ShardHost>(
         self: &Rc<Self>,
         host: &Rc<H>,
@@ -157,13 +158,16 @@
         message: ShardMessage,
     ) -> Response {
         let request = self.allocate_id();
-        let response = self.calls.register(request);
+        let response = self.incoming_calls.register(request);
         let actions = self.replica.borrow_mut().receive(request, epoch, message, clock::random_id());
         self.perform(host, actions);
         response.await.unwrap_or(Response::Uncertain)
     }
 
-    /// Commits an operation as primary; returns once its outcome is known.
+    /// Commits an operation as primary, and waits for the outcome.
+    ///
+    /// # Errors
+    /// [`CommitError::NotStarted`] if the operation has no effect, [`CommitError::Uncertain`] if its outcome is unknown.
     pub async fn commit<H: ShardHost>(
         self: &Rc<Self>,
         host: &Rc<H>,
@@ -176,17 +180,17 @@
         outcome.await.unwrap_or(Err(CommitError::Uncertain))
     }
 
-    /// Confirms with the other replicas that this store is still primary, and so that its committed state is the newest;
-    /// whether that succeeds by `until`.
-    pub async fn confirm<H: ShardHost>(self: &Rc<Self>, host: &Rc<H>, until: Micros) -> bool {
+    /// Confirms with the other replicas that this store is still primary, so that its committed state is the newest. Returns
+    /// whether that succeeded by the deadline.
+    pub async fn confirm<H: ShardHost>(self: &Rc<Self>, host: &Rc<H>, deadline: Micros) -> bool {
         let read = self.allocate_id();
         let confirmed = self.reads.register(read);
-        let actions = self.replica.borrow_mut().confirm(read, until, clock::now());
+        let actions = self.replica.borrow_mut().confirm(read, deadline, clock::now());
         self.perform(host, actions);
         confirmed.await.unwrap_or(false)
     }
 
-    /// Writes all jobs to the disk once more; whether they are synced.
+    /// Writes all jobs to the disk again, and returns whether all of them were synced.
     pub async fn rewrite<H: ShardHost>(self: &Rc<Self>, host: &Rc<H>) -> bool {
         let request = self.allocate_id();
         let complete = self.rewrites.register(request);
@@ -200,7 +204,7 @@
         self.last_id.get()
     }
 
-    /// Performs actions in their order, which the replica relies on.
+    /// Performs actions in the given order; the replica relies on that order.
     fn perform<H: ShardHost>(self: &Rc<Self>, host: &Rc<H>, actions: Vec<ShardAction>) {
         for action in actions {
             self.perform_one(host, action);
@@ -216,10 +220,10 @@
             ShardAction::Call { call, member, epoch, message, timeout } => {
                 let (shard, host) = (self.clone(), host.clone());
                 let outgoing = OutgoingCall { call, member, epoch, message, timeout };
-                // Ends with the call's answer or timeout, which the replica waits for.
+                // The task ends with the answer or timeout of the call, which the replica waits for.
                 tokio::task::spawn_local(async move { shard.call(&host, outgoing).await });
             }
-            ShardAction::Answer { request, response } => self.calls.complete(request, response),
+            ShardAction::Answer { request, response } => self.incoming_calls.complete(request, response),
             ShardAction::Committed { operation, change } => self.on_committed(host, operation, &change),
             ShardAction::Uncertain { operation } => {
                 self.operations.complete(operation, Err(CommitError::Uncertain));
@@ -236,7 +240,7 @@
         }
     }
 
-    /// Makes a call to another replica and hands its answer, or that there is none, to the replica.
+    /// Calls another replica and passes the answer, or `None` if there is no answer, to the local replica.
     async fn call<H: ShardHost>(self: &Rc<Self>, host: &Rc<H>, outgoing: OutgoingCall) {
         let OutgoingCall { call, member, epoch, message, timeout } = outgoing;
         let node = host.node();
@@ -265,14 +269,14 @@
         match change {
             ShardOperation::Submit(job) => host.on_job_committed(&served, &job.id),
             ShardOperation::End { job } => served.term.cancel(job),
-            ShardOperation::Forget { job } => served.term.forget(job),
+            ShardOperation::Forget { job } => served.term.untrack(job),
             ShardOperation::Append { .. } => {}
         }
         served.term.updates.notify_waiters();
     }
 
     fn begin_term<H: ShardHost>(self: &Rc<Self>, host: &Rc<H>, epoch: Epoch) {
-        tracing::info!(shard = self.number, epoch, "serving");
+        tracing::info!(shard = self.number, epoch, "started to serve the shard as primary");
         let term = PrimaryTerm::new(epoch);
         *self.term.borrow_mut() = Some(term.clone());
         host.on_term_started(&ServedShard { shard: self.clone(), term });
@@ -280,7 +284,7 @@
 
     fn end_term(&self) {
         if let Some(term) = self.term.take() {
-            tracing::info!(shard = self.number, "no longer primary");
+            tracing::info!(shard = self.number, "stopped serving the shard as primary");
             term.end();
         }
     }
--- a/tier/node/src/store/state.rs
+++ b/tier/node/src/store/state.rs
@@ -1,4 +1,4 @@
-//! The state of a store that its tasks share.
+//! State that the tasks of a store share.
 
 use super::items::queue::{ItemQueue, demand_of_backlog};
 use super::items::shares::BatchShares;
@@ -17,22 +17,22 @@
 use std::rc::Rc;
 use tokio::sync::{Notify, mpsc};
 
-/// Fraction of the memory that jobs may take.
-const MEMORY_FRACTION: f64 = 0.4;
+/// Fraction of the process memory that jobs may use.
+const JOB_MEMORY_FRACTION: f64 = 0.4;
 
-/// A store: its replicas of all shards, and the items that wait to run.
+/// A store with its replicas of all shards and the batch items that wait to run.
 pub struct Store {
-    /// The process.
+    /// The process that the store runs in.
     pub node: Rc<Node>,
-    /// The ring on the disk.
+    /// Journal on the disk.
     pub journal: Journal,
     /// All shards, by number.
     pub shards: Vec<Rc<Shard>>,
-    /// Items of the shards that are served here that wait for an endpoint.
+    /// Items that wait for an endpoint, of the shards that this store serves as primary.
     pub item_queue: ItemQueue,
-    /// This store's shares of the endpoints.
+    /// This store's shares of the batch capacity of the endpoints.
     pub batch_shares: BatchShares,
-    /// Notified when a replica waits for time to pass.
+    /// Notified when the state of a replica may change with time, so that it needs ticks.
     pub tick_needed: Notify,
     /// Whether a compaction of the ring is running.
     pub compacting: Cell<bool>,
@@ -40,14 +40,17 @@
 
 /// A store that has just been opened.
 pub struct OpenedStore {
-    /// The store.
+    /// State of the store, restored from the journal.
     pub store: Rc<Store>,
-    /// Receives the writes of the shards' replicas in their order, for `replica_tasks`.
+    /// Receives the writes of the shards' replicas in order; read by `replica_tasks`.
     pub pending: mpsc::UnboundedReceiver<PendingWrite>,
 }
 
 impl Store {
-    /// Opens the ring in `folder` and restores the shards from it.
+    /// Opens the journal in `folder` and restores the shards from its records.
+    ///
+    /// # Errors
+    /// [`StorageError::Io`] if a file can't be opened or read.
     pub fn open(node: Rc<Node>, folder: &Path) -> Result<OpenedStore, StorageError> {
         let disk_mb = node.settings.limits.disk_mb as f64;
         let OpenedJournal { journal, records, pending } = Journal::open(folder, disk_mb)?;
@@ -68,10 +71,11 @@
         Ok(OpenedStore { store: Rc::new(store), pending })
     }
 
-    /// Whether there is capacity for a new job, in memory and on the disk.
+    /// Returns whether memory and disk have capacity for a new job.
     pub fn has_capacity(&self) -> bool {
-        let memory = self.node.settings.limits.ram_mb as f64 * 1e6 * MEMORY_FRACTION;
-        (self.job_bytes() as f64) < memory.min(self.journal.live_bytes_limit()) && self.journal.accepts_jobs()
+        let max_memory = self.node.settings.limits.ram_mb as f64 * 1e6 * JOB_MEMORY_FRACTION;
+        (self.job_bytes() as f64) < max_memory.min(self.journal.max_live_bytes())
+            && self.journal.accepts_jobs()
     }
 }
 
@@ -89,7 +93,7 @@
     }
 
     fn waiting_items(&self) -> HashMap<String, u32> {
-        self.item_queue.waiting(&self.node.tables().routes)
+        self.item_queue.waiting_by_service(&self.node.tables().routes)
     }
 }
 
@@ -121,7 +125,7 @@
     }
 
     fn needs(&self) -> Needs {
-        let mut items = self.item_queue.waiting(&self.node.tables().routes);
+        let mut items = self.item_queue.waiting_by_service(&self.node.tables().routes);
         let demand = demand_of_backlog(&items);
         for (service, running) in self.node.dispatcher.borrow().in_flight() {
             *items.entry(service).or_default() += running;
--- a/tier/node/src/store/term.rs
+++ b/tier/node/src/store/term.rs
@@ -1,4 +1,4 @@
-//! What a store remembers while it serves a shard as primary, beyond what is replicated.
+//! State of a store that is not replicated and exists only while the store serves a shard as primary.
 
 use super::term_quota::TermQuota;
 use crate::clock;
@@ -10,53 +10,53 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// A job, as the serving primary knows it.
+/// State of a job at the serving primary.
 #[derive(Clone, Debug)]
 pub struct TrackedJob {
-    /// When this primary first saw the job; never before it was submitted.
-    pub first_seen: Micros,
-    /// Set when the job, or the primary's term, has ended: its items are no longer to run.
+    /// Time at which this primary first knew the job; never earlier than the submission.
+    pub known_since: Micros,
+    /// Set when the job or the primary's term ends; the job's items must not run any more.
     pub cancelled: Rc<Latch>,
 }
 
-/// The time for which a store serves a shard as primary, from its election until its replica steps down.
+/// Term of a store as primary of a shard, from the time when it starts to serve until its replica steps down.
 pub struct PrimaryTerm {
-    /// Notified when something was committed, and when the term ends.
+    /// Notified when an operation was committed and when the term ends.
     pub updates: Notify,
-    /// The quota ledger of the shard, and the claims that its primary makes.
+    /// Quota ledger of the shard, and the pending claims of its primary.
     pub quota: TermQuota,
     ended: Cell<bool>,
-    tracked: RefCell<HashMap<String, TrackedJob>>,
+    tracked_jobs: RefCell<HashMap<String, TrackedJob>>,
 }
 
 impl PrimaryTerm {
-    /// Begins to serve in this epoch.
+    /// Starts a term in this epoch.
     pub fn new(epoch: Epoch) -> Rc<PrimaryTerm> {
         Rc::new(PrimaryTerm {
             updates: Notify::new(),
             quota: TermQuota::new(epoch),
             ended: Cell::new(false),
-            tracked: RefCell::default(),
+            tracked_jobs: RefCell::default(),
         })
     }
 
-    /// Whether the term has not ended.
+    /// Returns whether the term has not ended yet.
     pub fn is_serving(&self) -> bool {
         !self.ended.get()
     }
 
-    /// Ends the term: cancels the items of all its jobs and wakes those who wait for updates.
+    /// Ends the term: cancels the items of all jobs and wakes the tasks that wait for updates.
     pub fn end(&self) {
         self.ended.set(true);
         self.updates.notify_waiters();
-        self.tracked.borrow().values().for_each(|tracked| tracked.cancelled.set());
+        self.tracked_jobs.borrow().values().for_each(|tracked| tracked.cancelled.set());
     }
 
-    /// What is remembered of a job; from now on, if the job is new to this term.
+    /// Returns the state of a job, and starts to track the job if it is new in this term.
     pub fn track(&self, job: &str) -> TrackedJob {
-        let mut tracked = self.tracked.borrow_mut();
-        let new = || TrackedJob { first_seen: clock::now(), cancelled: Rc::default() };
-        tracked.entry(job.to_owned()).or_insert_with(new).clone()
+        let mut tracked = self.tracked_jobs.borrow_mut();
+        let new_job = || TrackedJob { known_since: clock::now(), cancelled: Rc::default() };
+        tracked.entry(job.to_owned()).or_insert_with(new_job).clone()
     }
 
     /// Cancels the items of a job that has ended.
@@ -64,8 +64,8 @@
         self.track(job).cancelled.set();
     }
 
-    /// Drops what is remembered of a job that is no longer retained.
-    pub fn forget(&self, job: &str) {
-        self.tracked.borrow_mut().remove(job);
+    /// Stops tracking a job that was removed from the shard.
+    pub fn untrack(&self, job: &str) {
+        self.tracked_jobs.borrow_mut().remove(job);
     }
 }
--- a/tier/storage/tests/ring.rs
+++ b/tier/storage/tests/ring.rs
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn a_file_lost_during_its_creation_is_created_again() {
+fn a_file_whose_creation_was_interrupted_is_completed() {
     let folder = TemporaryFolder::new();
     let (mut ring, _) = open(&folder).unwrap();
     let mut retained = 0u8;
--- a/tier/storage/tests/stored_ring.rs
+++ b/tier/storage/tests/stored_ring.rs
@@ -141,10 +141,12 @@
         StorageError::TooLarge { bytes: 300, limit: 184 }.to_string(),
         StorageError::from(std::io::Error::other("no disk")).to_string(),
     ];
-    let expected = [
-        "no segment of the ring is free: release older segments or enlarge the ring",
-        "a record of 300 bytes exceeds the limit of 184 bytes",
-        "no disk",
-    ];
-    assert_eq!(texts, expected);
+    assert_eq!(
+        texts,
+        [
+            "no segment of the ring is free: release older segments or enlarge the ring",
+            "a record of 300 bytes exceeds the limit of 184 bytes",
+            "no disk",
+        ]
+    );
 }
--- a/tier/wire/src/messages/calls.rs
+++ b/tier/wire/src/messages/calls.rs
@@ -16,7 +16,7 @@
     /// Introduces the sender at the first start of the system; answered by `Announced` with the receiver's identity and whether its
     /// disk is still empty.
     Announce {
-        /// The sender.
+        /// Process that sends the announcement.
         node: NodeInfo,
         /// Whether the sender may take part in the first start of the system.
         bootstrap: bool,
@@ -31,29 +31,29 @@
     Poll(Poll),
     /// A message of the register's consensus protocol. Has no response: replies are separate messages.
     Register {
-        /// The sending member.
+        /// Disk of the sending member.
         from: DiskId,
         /// Internal address of the sender.
         address: String,
-        /// The receiving member.
+        /// Disk of the receiving member; a machine with another disk drops the message.
         to: DiskId,
-        /// The message.
+        /// Message of the consensus protocol.
         message: RegisterMessage,
     },
     /// Submits a job to the primary of its shard; answered by `Done` if it is committed.
     Submit {
         /// Number of the shard.
         shard: u32,
-        /// Epoch of the shard's view as the sender knows it.
+        /// Epoch of the shard's view that the sender knows.
         epoch: Epoch,
-        /// The job.
+        /// Job to submit, with all its items.
         job: Job,
     },
     /// Reads results of a job; answered by `Results`.
     Read {
         /// Number of the shard.
         shard: u32,
-        /// Epoch of the shard's view as the sender knows it.
+        /// Epoch of the shard's view that the sender knows.
         epoch: Epoch,
         /// Id of the job.
         job: String,
@@ -68,7 +68,7 @@
     Body {
         /// Number of the shard.
         shard: u32,
-        /// Epoch of the shard's view as the sender knows it.
+        /// Epoch of the shard's view that the sender knows.
         epoch: Epoch,
         /// Id of the job.
         job: String,
@@ -81,7 +81,7 @@
     End {
         /// Number of the shard.
         shard: u32,
-        /// Epoch of the shard's view as the sender knows it.
+        /// Epoch of the shard's view that the sender knows.
         epoch: Epoch,
         /// Id of the job.
         job: String,
@@ -101,7 +101,7 @@
         shard: u32,
         /// Epoch of the primary that sends the message.
         epoch: Epoch,
-        /// The message.
+        /// Message of the replication protocol.
         message: ShardMessage,
     },
 }
@@ -135,14 +135,14 @@
     Done,
     /// The job or item does not exist, or belongs to another tenant.
     NotFound,
-    /// Results of a job.
+    /// Response to `Read`, with results of a job.
     Results {
         /// Number of all items of the job, with and without a result.
         total: u64,
         /// Results that follow the skipped ones.
         results: Vec<ItemOutcome>,
     },
-    /// Body of an item.
+    /// Response to `Body`, with the body of an item.
     Body(Vec<u8>),
     /// The operations are durable at the member.
     Replicated {
--- a/tier/wire/src/messages/directory.rs
+++ b/tier/wire/src/messages/directory.rs
@@ -26,7 +26,7 @@
 /// An update of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub enum DirectoryUpdate {
-    /// The complete list.
+    /// The complete list, which replaces that of the receiver.
     Full(Vec<Endpoint>),
     /// The changes from the version that the receiver has.
     Delta {
--- a/tier/wire/src/messages/jobs.rs
+++ b/tier/wire/src/messages/jobs.rs
@@ -51,7 +51,7 @@
     DeadLetter,
 }
 
-/// The result of an item.
+/// The result of an item, as it is stored.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ItemResult {
     /// Index of the item in its job.
@@ -76,13 +76,13 @@
 /// A replicated operation on a shard.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum ShardOperation {
-    /// Adds a job.
+    /// Adds a submitted job.
     Submit(Job),
     /// Appends a result to the results of a job.
     Append {
         /// Id of the job.
         job: String,
-        /// The result.
+        /// Result to append.
         result: ItemResult,
     },
     /// Ends a job, which then accepts no further results.
--- a/tier/wire/src/messages/quota.rs
+++ b/tier/wire/src/messages/quota.rs
@@ -18,7 +18,7 @@
 pub struct QuotaClaim {
     /// Shard whose primary has the ledger.
     pub ledger_shard: u32,
-    /// Epoch of that shard's view as the sender knows it.
+    /// Epoch of that shard's view that the sender knows.
     pub ledger_epoch: Epoch,
     /// Shard that the job is submitted to.
     pub shard: u32,
@@ -28,11 +28,11 @@
     pub sequence: u64,
     /// Tenant and route of the job.
     pub key: QuotaKey,
-    /// Tokens of the job.
+    /// Sum of the tokens of the job's items.
     pub tokens: u64,
     /// Other tokens of the key that the shard has reserved, including other claims.
     pub reserved: u64,
-    /// Largest number of queued tokens according to the route as the sender knows it.
+    /// Largest number of queued tokens according to the sender's configuration of the route.
     pub limit: u64,
 }
 
@@ -41,7 +41,7 @@
 pub struct QuotaStatement {
     /// Shard whose primary has the ledger.
     pub ledger_shard: u32,
-    /// Epoch of that shard's view as the sender knows it.
+    /// Epoch of that shard's view that the sender knows.
     pub ledger_epoch: Epoch,
     /// Shard that states its tokens.
     pub shard: u32,
--- a/tier/wire/src/messages/shard.rs
+++ b/tier/wire/src/messages/shard.rs
@@ -15,7 +15,7 @@
         session: u64,
         /// Number of the first operation.
         first: u64,
-        /// The operations.
+        /// Operations in the order of their numbers.
         operations: Vec<ShardOperation>,
     },
     /// Requests a confirmation that the member has not seen a higher epoch of the shard.
