--- a/courier/containers/src/age_groups.rs
+++ b/courier/containers/src/age_groups.rs
@@ -1,94 +1,96 @@
-//! Groups of items whose value depends on their age alone, of which the most (or least) valuable one is wanted.
+//! Groups of items whose value depends only on their age, with a search for the most (or least) valuable item.
 //!
-//! The value of a group's items rises or falls steadily between a few ages, the breakpoints. At any time the best item of a
-//! group is therefore the oldest or the youngest between two breakpoints, and no order has to be updated as time passes.
-//! The caller asks each [`AgeSet`] for its candidates and compares their values.
+//! The value of a group's items is monotonic between a few ages, the breakpoints. At any time the best item of a
+//! group is therefore the oldest or the youngest between two breakpoints, so that no order has to be updated as time
+//! passes. The caller gets the candidates of each [`AgeSet`] and compares their values.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound::{Excluded, Included};
 
-/// A set of up to this many items returns all of them as candidates: that costs less than a search.
+/// A set of up to this many items returns all of them as candidates, which costs less than a search.
 pub const SCAN_ALL_UP_TO: usize = 8;
 
-/// An item: time of its creation, position among the waiting items, id.
+/// An item: time of creation, position among the waiting items, id.
 type AgedItem = (u64, u64, u64);
 
-/// Items of one group, ordered by the time of their creation.
+/// Items of one group, ordered by their time of creation.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AgeSet {
-    all: BTreeSet<AgedItem>,
+    #[serde(rename = "all")]
+    items: BTreeSet<AgedItem>,
 }
 
 impl AgeSet {
     /// Adds an item. O(log n).
     pub fn insert(&mut self, item: AgedItem) {
-        self.all.insert(item);
+        self.items.insert(item);
     }
 
     /// Removes an item, if it is in the set. O(log n).
     pub fn remove(&mut self, item: AgedItem) {
-        self.all.remove(&item);
+        self.items.remove(&item);
     }
 
     /// Whether the set has no item.
     pub fn is_empty(&self) -> bool {
-        self.all.is_empty()
+        self.items.is_empty()
     }
 
-    /// The ids, oldest item first.
+    /// Iterates over the ids, oldest item first.
     pub fn iter(&self) -> impl Iterator<Item = u64> {
-        self.all.iter().map(|(.., id)| *id)
+        self.items.iter().map(|(.., id)| *id)
     }
 
-    /// Ids of items one of which is the best at `now`, where the value is monotonic between each two adjacent ages of
-    /// `breakpoints`, which ascend.
+    /// Returns ids of items that include the best one at `now`, if the value is monotonic between any two adjacent
+    /// ages of `breakpoints`, which are in ascending order.
     ///
-    /// A small set returns all of its items and does not call `breakpoints`; else these are the oldest and the youngest of
-    /// each interval. An age that is a breakpoint belongs to the interval before it and to the one after it.
-    /// O(breakpoints x log n).
+    /// A set of up to [`SCAN_ALL_UP_TO`] items returns all of them and does not call `breakpoints`. A larger one
+    /// returns the oldest and the youngest item of each interval. An age that is a breakpoint belongs to the
+    /// intervals on both sides. O(breakpoints x log n).
     ///
     /// # Panics
-    /// The breakpoints do not ascend.
+    /// The breakpoints are not in ascending order.
     pub fn candidates(&self, now: u64, breakpoints: impl FnOnce() -> Vec<u64>) -> Vec<u64> {
-        if self.all.len() <= SCAN_ALL_UP_TO {
+        if self.items.len() <= SCAN_ALL_UP_TO {
             return self.iter().collect();
         }
         let breakpoints = breakpoints();
         let mut candidates = Vec::with_capacity(4 * (breakpoints.len() + 1));
         let mut youngest = Included((u64::MAX, u64::MAX, u64::MAX));
-        let mut add_range_ends = |from, to| {
-            let mut range = self.all.range((from, to));
+        let mut add_range_ends = |lower, upper| {
+            let mut range = self.items.range((lower, upper));
             candidates.extend(range.next().map(|(.., id)| *id));
             candidates.extend(range.next_back().map(|(.., id)| *id));
         };
-        for (n, breakpoint) in breakpoints.iter().enumerate() {
-            let Some(created) = now.checked_sub(*breakpoint) else {
+        for (index, breakpoint) in breakpoints.iter().enumerate() {
+            let Some(created_at) = now.checked_sub(*breakpoint) else {
                 break;
             };
-            if n > 0 && breakpoints[n - 1] == *breakpoint {
+            if index > 0 && breakpoints[index - 1] == *breakpoint {
                 continue;
             }
-            // Those that are younger than the breakpoint; those just as old are an interval of their own.
-            add_range_ends(Excluded((created, u64::MAX, u64::MAX)), youngest);
-            add_range_ends(Included((created, 0, 0)), Included((created, u64::MAX, u64::MAX)));
-            youngest = Excluded((created, 0, 0));
+            // First the items younger than the breakpoint, then those of exactly this age as an interval of their own.
+            add_range_ends(Excluded((created_at, u64::MAX, u64::MAX)), youngest);
+            add_range_ends(Included((created_at, 0, 0)), Included((created_at, u64::MAX, u64::MAX)));
+            youngest = Excluded((created_at, 0, 0));
         }
         add_range_ends(Included((0, 0, 0)), youngest);
         candidates
     }
 }
 
-/// These ages, and each less `ahead`, in ascending order.
+/// Returns the ages, and each of them minus `ahead`, in ascending order.
 ///
-/// Where an item's value is monotonic between the ages, both its value and its value `ahead` later are so between these.
+/// If an item's value is monotonic between the given ages, then both its value and its value `ahead` later are
+/// monotonic between the returned ones.
 pub fn breakpoints(ages: &[u64], ahead: u64) -> Vec<u64> {
     let mut breakpoints: Vec<u64> = ages.iter().flat_map(|age| [age.saturating_sub(ahead), *age]).collect();
     breakpoints.sort_unstable();
     breakpoints
 }
 
-/// Waiting items: all of them by position, and those of each group by age.
+/// Waiting items, indexed by position over all groups and by age within each group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(bound(deserialize = "K: Ord + Deserialize<'de>"))]
 pub struct AgeGroups<K> {
@@ -103,13 +105,13 @@
 }
 
 impl<K: Ord> AgeGroups<K> {
-    /// Adds an item to a group. Each position is in use once. O(log n).
+    /// Adds an item to a group. Its position must not be in use. O(log n).
     pub fn insert(&mut self, key: K, item: AgedItem) {
         self.by_position.insert(item.1, item.2);
         self.groups.entry(key).or_default().insert(item);
     }
 
-    /// Removes an item, if it is there, and its group if it was the last one. O(log n).
+    /// Removes an item, if it is in the group, and removes the group if it becomes empty. O(log n).
     pub fn remove(&mut self, key: &K, item: AgedItem) {
         let Some(age_set) = self.by_position.remove(&item.1).and_then(|_| self.groups.get_mut(key)) else {
             return;
@@ -125,17 +127,17 @@
         self.by_position.len()
     }
 
-    /// Whether there is no item.
+    /// Whether no group has an item.
     pub fn is_empty(&self) -> bool {
         self.by_position.is_empty()
     }
 
-    /// The ids of all items, in the order of their positions.
+    /// Iterates over the ids of all items, in the order of their positions.
     pub fn iter(&self) -> impl Iterator<Item = u64> {
         self.by_position.values().copied()
     }
 
-    /// The groups that have items, in the order of their keys.
+    /// Iterates over the groups that have items, in the order of their keys.
     pub fn groups(&self) -> impl Iterator<Item = (&K, &AgeSet)> {
         self.groups.iter()
     }
--- a/courier/containers/src/indexed_queue.rs
+++ b/courier/containers/src/indexed_queue.rs
@@ -1,9 +1,9 @@
-//! A double-ended queue of ids from which any of them can be removed, wherever it stands.
+//! A double-ended queue of ids from which any id can be removed, whatever its position.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Ids in order, each of them once. Insertion, removal and search cost O(log n).
+/// A queue of distinct ids. Insertion, removal and search cost O(log n).
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct IndexedQueue {
     order: BTreeMap<i64, u64>,
@@ -11,13 +11,13 @@
 }
 
 impl IndexedQueue {
-    /// Adds an id at the end; one that is in the queue stays at its position.
+    /// Adds an id at the end. An id that is already in the queue stays at its position.
     pub fn push_back(&mut self, id: u64) {
         let position = self.order.last_key_value().map_or(0, |(last, _)| last + 1);
         self.insert_at(id, position);
     }
 
-    /// Adds an id at the front; one that is in the queue stays at its position.
+    /// Adds an id at the front. An id that is already in the queue stays at its position.
     pub fn push_front(&mut self, id: u64) {
         let position = self.order.first_key_value().map_or(0, |(first, _)| first - 1);
         self.insert_at(id, position);
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Removes and returns the first id.
+    /// Removes and returns the first id; `None` if the queue is empty.
     pub fn pop_front(&mut self) -> Option<u64> {
         let (_, id) = self.order.pop_first()?;
         self.positions.remove(&id);
@@ -59,7 +59,7 @@
         self.order.is_empty()
     }
 
-    /// The ids, first to last.
+    /// Iterates over the ids, first to last.
     pub fn iter(&self) -> impl Iterator<Item = u64> {
         self.order.values().copied()
     }
--- a/courier/containers/src/lib.rs
+++ b/courier/containers/src/lib.rs
@@ -1,9 +1,9 @@
-//! Containers and estimators for decisions over many items, whose cost a decision grows with the logarithm of their number
-//! at most. They know nothing of messages or policies: items are `u64` ids, times are `u64` in any unit that the caller
-//! keeps to.
+//! Containers and estimators for decisions over many items. The cost of one operation grows at most with the
+//! logarithm of the number of items. They are independent of messages and policies: items are `u64` ids, and times
+//! are `u64` in any unit that the caller uses consistently.
 //!
-//! The decision module keeps them in its state and the serving tier's window uses [`LatencyEstimate`]. They are part of
-//! stored state: the order and the types of their fields stay.
+//! They are part of the state of the courier's policy; the serving tier's latency window uses [`LatencyEstimate`].
+//! Since that state is handed over between processes, the order and the types of their fields must not change.
 
 mod age_groups;
 mod indexed_queue;
@@ -17,15 +17,15 @@
 pub use sliding_decile::{MAX_SAMPLES, SlidingDecile};
 pub use timer_queue::{TimerQueue, remove_timed};
 
-/// The next random number, from 0 (included) to 1 (excluded), of the generator whose state is `seed`.
+/// Returns the next random number in [0, 1) of the generator with the state `state`, and advances the state.
 ///
 /// SplitMix64: Steele, Lea and Flood, "Fast splittable pseudorandom number generators" (OOPSLA 2014).
-pub fn random_unit(seed: &mut u64) -> f64 {
-    *seed = seed.wrapping_add(0x9E37_79B9_7F4A_7C15);
-    let mut mixed = *seed;
+pub fn random_unit(state: &mut u64) -> f64 {
+    *state = state.wrapping_add(0x9E37_79B9_7F4A_7C15);
+    let mut mixed = *state;
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
     mixed ^= mixed >> 31;
-    // The upper 53 bits: as many as the fraction of an f64 represents exactly.
+    // Uses the upper 53 bits, since an f64 represents integers of up to 53 bits exactly.
     (mixed >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/courier/containers/tests/sliding_decile.rs
+++ b/courier/containers/tests/sliding_decile.rs
@@ -1,31 +1,31 @@
-//! What was seen lately, against sorting all of it.
+//! Compares `SlidingDecile` with sorting all samples of the window.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use quillmount_containers::{MAX_SAMPLES, SlidingDecile};
 
-/// The same draws each time.
-fn fixed() -> Config {
+/// A fixed seed, so that each run has the same cases.
+fn fixed_seed_config() -> Config {
     Config { failure_persistence: None, rng_seed: RngSeed::Fixed(28), ..Config::default() }
 }
 
 proptest! {
-    #![proptest_config(fixed())]
+    #![proptest_config(fixed_seed_config())]
 
     #[test]
-    fn it_agrees_with_sorting(steps in prop::collection::vec((0u64..30, 0u32..40), 1..400)) {
-        let (mut decile, mut plain, mut now) = (SlidingDecile::default(), Vec::new(), 0);
+    fn the_decile_agrees_with_sorting(steps in prop::collection::vec((0u64..30, 0u32..40), 1..400)) {
+        let (mut decile, mut expected, mut now) = (SlidingDecile::default(), Vec::new(), 0);
         for (gap, value) in steps {
             now += gap;
             let value = f64::from(value) * 0.5 - 3.0;
-            let from = now.saturating_sub(200);
-            decile.add(now, value, from);
-            plain.push((now, value));
-            plain.retain(|(at, _)| *at >= from);
-            let mut sorted: Vec<f64> = plain.iter().map(|(_, v)| *v).collect();
+            let window_start = now.saturating_sub(200);
+            decile.add(now, value, window_start);
+            expected.push((now, value));
+            expected.retain(|(measured_at, _)| *measured_at >= window_start);
+            let mut sorted: Vec<f64> = expected.iter().map(|(_, v)| *v).collect();
             sorted.sort_by(f64::total_cmp);
             prop_assert_eq!(decile.lower_decile(), Some(sorted[sorted.len() / 10]));
-            prop_assert_eq!(decile.iter().collect::<Vec<_>>(), plain.clone());
+            prop_assert_eq!(decile.iter().collect::<Vec<_>>(), expected.clone());
         }
     }
 }
--- a/courier/core/src/flow.rs
+++ b/courier/core/src/flow.rs
@@ -192,7 +192,7 @@
 
     /// The destination has asked to wait, or its wait is over.
     pub fn set_paused(&mut self, paused: bool, now: Micros) {
-        self.paused = paused && !breaks::is_enabled(Break::IgnoreStreamPause);
+        self.paused = paused && !breaks::is_enabled(Break::IgnoreStreamWait);
         self.update(now);
     }
 
--- a/courier/core/src/machine/attempt.rs
+++ b/courier/core/src/machine/attempt.rs
@@ -457,7 +457,7 @@
     /// The answer has ended.
     fn final_answer(&mut self) -> AttemptOutput {
         match (self.decode)(&self.answer, true) {
-            Answer::Whole { end, .. } if breaks::is_enabled(Break::KeepSpoilt) => {
+            Answer::Whole { end, .. } if breaks::is_enabled(Break::KeepBrokenConnection) => {
                 self.end(ConnectionAction::Keep, end)
             }
             Answer::Whole { end, .. } => self.end(ConnectionAction::Close, end),
--- a/courier/core/src/machine/notices.rs
+++ b/courier/core/src/machine/notices.rs
@@ -131,7 +131,7 @@
                 (NoticeState::Quiet, NoticeOutput::Discard)
             }
             (NoticeState::Sent { .. }, NoticeInput::Moved) => (NoticeState::Quiet, NoticeOutput::Retry),
-            (NoticeState::Sent { .. }, NoticeInput::Lost) if breaks::is_enabled(Break::NoticeOnce) => {
+            (NoticeState::Sent { .. }, NoticeInput::Lost) if breaks::is_enabled(Break::SendNoticeOnce) => {
                 (NoticeState::Quiet, NoticeOutput::Discard)
             }
             (NoticeState::Sent { .. }, NoticeInput::Lost) => {
--- a/courier/core/src/router/restore.rs
+++ b/courier/core/src/router/restore.rs
@@ -98,7 +98,7 @@
             actions.push(RouterAction::Note(Note::OtherEffect { id, class: class_name }));
             return self.end(msg, Ending::Undeliverable, now, actions);
         };
-        let past = if breaks::is_enabled(Break::ForgetPast) { Vec::new() } else { past };
+        let past = if breaks::is_enabled(Break::ForgetPastAttempts) { Vec::new() } else { past };
         let instructions = self.policy.restore(now, message, past);
         self.carry_out(instructions, now, actions);
     }
--- a/courier/core/src/router/submission.rs
+++ b/courier/core/src/router/submission.rs
@@ -100,7 +100,7 @@
     /// The answer to a submission whose id is known: each message has an id of its own, and the end that is reported under
     /// it must be that message's.
     fn duplicate(&self, id: &str) -> Option<Intake> {
-        let known = self.ids.get(id).filter(|_| !breaks::is_enabled(Break::TakeOnTwice));
+        let known = self.ids.get(id).filter(|_| !breaks::is_enabled(Break::AcceptTwice));
         if let Some(msg) = known {
             // An unsettled message is not owed yet.
             return Some(match self.owed.get(msg).and_then(|owed| owed.end) {
@@ -156,7 +156,7 @@
         let deadline = now.saturating_add(submission.time_left);
         let accepted = accepted_message(&submission, deadline);
         let written = self.journal.submit(msg, accepted, stream, now, &mut self.notes);
-        if let Some(error) = written.err().filter(|_| !breaks::is_enabled(Break::TakeOnUnwritten)) {
+        if let Some(error) = written.err().filter(|_| !breaks::is_enabled(Break::AcceptUnwritten)) {
             actions.push(RouterAction::Note(Note::JournalFull(error)));
             return Err(Intake::Rejected { after: OVERLOAD_RETRY_AFTER });
         }
--- a/courier/policy/src/actions.rs
+++ b/courier/policy/src/actions.rs
@@ -1,21 +1,21 @@
-//! What the host is to do, at both interfaces of this package, and what the dispatcher shows of a route. Types only.
+//! Types of the actions that the host performs, at both interfaces of this package, and the public view of a route.
 //!
-//! There are two types, since the two interfaces leave different work to the host. [`DispatchAction`] is the output of
-//! [`Dispatcher::step`](crate::Dispatcher::step), which decides; a host that simulates a sender, such as the drill, carries
-//! it out directly. [`Instruction`] is the output of [`Policy`](crate::Policy), which derives it from the actions for a host
-//! that owns sockets:
+//! There are two types of actions, since the two interfaces leave different work to the host. [`DispatchAction`] is
+//! the output of [`Dispatcher::step`](crate::Dispatcher::step), which makes the decisions; a host that simulates a
+//! sender performs it directly. [`Instruction`] is the output of [`Policy`](crate::Policy), which derives it from the
+//! actions for a host that owns sockets:
 //!
 //! | [`DispatchAction`] | [`Instruction`] |
 //! |---|---|
 //! | `Send`, one for each message; `joins_previous` marks the further messages of a call | `Call`, one for each call, with all its messages and the numbers of their attempts |
-//! | `Timer` | none: the host calls [`Policy::tick`](crate::Policy::tick) at [`Policy::wake_at`](crate::Policy::wake_at) |
-//! | `Subscribe` | none: the host watches discovery all the time |
+//! | `Timer` | none; the host calls [`Policy::tick`](crate::Policy::tick) at [`Policy::wake_at`](crate::Policy::wake_at) |
+//! | `Subscribe` | none; the host watches discovery permanently |
 //! | `Reject`, `Fail`, `Cancel`, `CloseIdle`, `Log` | the variant of the same name, unchanged |
 
 use crate::ids::{EndpointId, Micros, MsgId};
 
-/// One thing that the host of a [`Dispatcher`](crate::Dispatcher) is to do. The head of `actions.rs` says how it differs from an
-/// [`Instruction`](crate::Instruction).
+/// An action that the host of a [`Dispatcher`](crate::Dispatcher) performs. The module documentation of `actions.rs`
+/// compares it with [`Instruction`](crate::Instruction).
 #[derive(Clone, Debug, PartialEq)]
 pub enum DispatchAction {
     /// Send a message.
@@ -26,29 +26,29 @@
         endpoint: EndpointId,
         /// How long to wait for the answer, microseconds.
         timeout: Micros,
-        /// No byte of it may be sent from this time on, since the receiver would no longer drop a repeat;
-        /// [`Micros::MAX`] where there is no such time.
+        /// Time of the clock from which no byte of the message may be sent, since the receiver no longer drops a repeat
+        /// then; [`Micros::MAX`] where there is no such limit.
         send_before: Micros,
-        /// It belongs to the same call as the `Send` before it, to the same endpoint.
+        /// The message belongs to the same call, to the same endpoint, as the `Send` before it.
         joins_previous: bool,
     },
-    /// End the message as not accepted; it may safely be submitted again.
+    /// Report the message as rejected; the client may safely submit it again.
     Reject {
         /// The message.
         msg: MsgId,
-        /// Advice when to submit it again, from now on, microseconds; 0: no advice.
+        /// Delay after which the client is advised to submit the message again, microseconds; 0 for no advice.
         after: Micros,
     },
-    /// End the message as failed; nothing is promised about its effect.
+    /// Report the message as failed; it may or may not have taken effect.
     Fail {
         /// The message.
         msg: MsgId,
     },
-    /// Stop waiting for a call, and report it as cancelled.
+    /// Stop waiting for the answer to a call, and report the call as cancelled.
     Cancel {
         /// A message of the call.
         msg: MsgId,
-        /// Number of its attempt, from 0.
+        /// Number of the message's attempt, from 0.
         attempt: u32,
     },
     /// Close the idle connections to an endpoint.
@@ -58,20 +58,21 @@
     },
     /// Subscribe to the endpoint list.
     Subscribe,
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
-    /// Set the timer, in addition to those already set.
+    /// Set a timer, in addition to the timers that are already set.
     Timer {
         /// Delay from now on, microseconds.
         after: Micros,
-        /// Returned when it fires; always 0 at present.
+        /// Value that [`DispatchEvent::Timer`](crate::DispatchEvent::Timer) carries when the timer fires; always 0 at
+        /// present.
         tag: u64,
     },
 }
 
-/// One thing that the host of a [`Policy`](crate::Policy) is to do. Compared with the dispatcher's [`DispatchAction`]s, the
-/// messages of one call are together and their attempts are numbered, and there are neither timers nor subscriptions: the
-/// host calls [`Policy::tick`](crate::Policy::tick) and watches discovery all the time.
+/// An action that the host of a [`Policy`](crate::Policy) performs. Compared with [`DispatchAction`], it groups the
+/// messages of one call and numbers their attempts. It has neither timers nor subscriptions, since the host calls
+/// [`Policy::tick`](crate::Policy::tick) and watches discovery permanently.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Instruction {
     /// Make one call.
@@ -81,31 +82,31 @@
         /// The messages of the call, at least one.
         items: Vec<CallItem>,
     },
-    /// As [`DispatchAction::Cancel`].
+    /// Same as [`DispatchAction::Cancel`].
     Cancel {
         /// A message of the call.
         msg: MsgId,
-        /// Number of its attempt, from 0.
+        /// Number of the message's attempt, from 0.
         attempt: u32,
     },
-    /// As [`DispatchAction::Reject`].
+    /// Same as [`DispatchAction::Reject`].
     Reject {
         /// The message.
         msg: MsgId,
-        /// Advice when to submit it again, from now on, microseconds; 0: no advice.
+        /// Delay after which the client is advised to submit the message again, microseconds; 0 for no advice.
         after: Micros,
     },
-    /// As [`DispatchAction::Fail`].
+    /// Same as [`DispatchAction::Fail`].
     Fail {
         /// The message.
         msg: MsgId,
     },
-    /// As [`DispatchAction::CloseIdle`].
+    /// Same as [`DispatchAction::CloseIdle`].
     CloseIdle {
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
 
@@ -114,25 +115,25 @@
 pub struct CallItem {
     /// The message.
     pub msg: MsgId,
-    /// Number of its attempt, from 0.
+    /// Number of the message's attempt, from 0.
     pub attempt: u32,
-    /// How long to wait for its answer, microseconds.
+    /// How long to wait for the answer for this message, microseconds.
     pub timeout: Micros,
-    /// No byte of the call may be sent at this time of the clock or later.
+    /// Time of the clock from which no byte of the call may be sent; [`Micros::MAX`] where there is no such limit.
     pub send_before: Micros,
 }
 
-/// A route as seen from outside, for tests and for on-call staff.
+/// The public view of a route, for tests and on-call staff.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteView {
-    /// Smoothed latency CAL, microseconds; `None` before the first sample.
+    /// Smoothed latency (CAL), microseconds; `None` before the first sample.
     pub smoothed_latency: Option<f64>,
-    /// Calls that may be in flight at once; below one it limits the rate of calls.
+    /// Calls that may be in flight at once. A window below one limits the rate of calls instead.
     pub window: f64,
     /// Latency above which the window shrinks, microseconds.
     pub threshold: f64,
-    /// Calls in flight that count in the window.
+    /// Number of calls in flight that count against the window.
     pub in_flight: u32,
-    /// It is considered down.
+    /// Whether the route is considered down; it then gets one trial call at a time.
     pub in_outage: bool,
 }
--- a/courier/policy/src/dispatcher.rs
+++ b/courier/policy/src/dispatcher.rs
@@ -1,19 +1,20 @@
-//! The decisions of a sender. Each module decides one thing, on the one state in [`state`]:
+//! The decisions of a sender. Each module makes one kind of decision on the shared state in [`state`]:
 //!
 //! | module | decides or records |
 //! |---|---|
 //! | [`endpoint_list`] | which endpoints, routes and destinations there are |
-//! | [`queue`] | submission, restore, the messages that wait and the end of one |
+//! | [`queue`] | submission, restore, waiting messages and the end of a message |
 //! | [`key_order`] | the order of messages with the same key |
-//! | [`value`], [`expiry`], [`shedding`] | a message's value as it ages, when it ends unserved, which is rejected under load |
-//! | [`retry`] | whether a message may be sent once more and where to, and the back-off |
+//! | [`value`], [`expiry`], [`shedding`] | a message's value by its age, when it expires undelivered, which one is rejected under load |
+//! | [`retry`] | whether and where a message may be retried, and the back-off |
 //! | [`window`], [`pacing`], [`slow_start`] | when a route may take a call |
-//! | [`choice`], [`send`], [`dispatch`] | which message goes next and to which endpoint, the call and its time-out |
+//! | [`choice`], [`send`], [`dispatch`] | which message is sent next and to which endpoint, the call and its time-out |
 //! | [`outcomes`], [`connections`], [`health`] | what the end of a call changes |
-//! | [`visit`] | shows the state, for explorations and on-call staff |
+//! | [`visit`] | exposes the state for state-space exploration and for on-call staff |
 //!
-//! A route (a destination or, where its kind has separate routes, one of its endpoints) has a smoothed latency CAL and a
-//! window of calls, after Gulati and Ahmad; DEPARTURE marks where the code departs from them (`docs/design.md`).
+//! A route (a destination or, where its kind has separate routes, one of its endpoints) has a smoothed latency (CAL)
+//! and a window of calls in flight, as in the algorithm of Gulati and Ahmad; DEPARTURE marks where the code deviates
+//! from it (`docs/design.md`).
 
 mod choice;
 mod connections;
@@ -50,16 +51,17 @@
 use std::sync::Arc;
 use time::{NEVER, SECOND};
 
-/// The least time-out, as a fraction of the shortest deduplication span: leaves time for a retry.
+/// Minimum time-out, as a fraction of the shortest deduplication span. The rest of the span leaves time for a retry.
 const MIN_TIMEOUT_SHARE: f64 = 2.0 / 3.0;
-/// Deduplication span that stands for the shortest one where no class has any, microseconds.
+/// Deduplication span from which the minimum time-out derives where no class has one, microseconds.
 const DEFAULT_DEDUPLICATION_SPAN: Micros = 5 * SECOND;
 
 impl Dispatcher {
-    /// A fresh instance. It knows nothing of an earlier process's messages until they are restored.
+    /// Creates an instance without messages; [`DispatchEvent::Restore`] adds those of an earlier process. `seed`
+    /// initializes the random number generator.
     ///
     /// # Errors
-    /// No instance can run under the settings.
+    /// [`Settings::check`] rejects the settings.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let spans = settings.classes.iter().filter_map(|class| match class.effect {
@@ -82,7 +84,8 @@
         })
     }
 
-    /// Takes one batch of events that happened by `clock` and returns what to do, in order.
+    /// Processes one batch of events that happened by `clock` (microseconds) and returns the actions to perform, in
+    /// order.
     pub fn step(&mut self, clock: Micros, events: &[DispatchEvent]) -> Vec<DispatchAction> {
         self.now = self.now.max(clock);
         if self.timer_at <= self.now {
@@ -95,10 +98,10 @@
             self.actions.push(DispatchAction::Subscribe);
             self.resubscribe_at = NEVER;
         }
-        let wake = self.resubscribe_at.min(self.expire_due()).min(self.dispatch());
+        let wake_at = self.resubscribe_at.min(self.expire_due()).min(self.dispatch());
         self.shed();
-        if wake < self.timer_at {
-            self.timer_at = wake.max(self.now + 1);
+        if wake_at < self.timer_at {
+            self.timer_at = wake_at.max(self.now + 1);
             self.actions.push(DispatchAction::Timer { after: self.timer_at - self.now, tag: 0 });
         }
         std::mem::take(&mut self.actions)
@@ -113,7 +116,8 @@
             DispatchEvent::Completed(completion) => self.on_completed(completion),
             DispatchEvent::Written { msg, attempt } => self.on_written(*msg, *attempt),
             DispatchEvent::Hangup { msg } => self.finish(*msg),
-            // A timer only triggers the step; health checks are never requested, and nothing depends on peers or headers.
+            // A timer only triggers the step. Health checks are never requested, and no decision depends on peers or
+            // headers.
             DispatchEvent::Timer { .. }
             | DispatchEvent::ProbeCompleted { .. }
             | DispatchEvent::Peer { .. }
@@ -121,7 +125,7 @@
         }
     }
 
-    /// A random factor around 1 for back-offs.
+    /// Draws a random factor around 1 for back-offs.
     fn jitter(&mut self) -> f64 {
         1.0 + JITTER * (2.0 * random_unit(&mut self.rng_state) - 1.0)
     }
--- a/courier/policy/src/dispatcher/choice.rs
+++ b/courier/policy/src/dispatcher/choice.rs
@@ -1,116 +1,125 @@
-//! Which message is sent next on a route, and to which of its endpoints.
+//! Selects the message that is sent next on a route, and its endpoint.
 
 use super::message::{PendingMessage, ValueGroup};
 use super::route::Endpoint;
 use super::state::Dispatcher;
 use super::time::SECOND;
-use super::value::HORIZON;
+use super::value::VALUE_HORIZON;
 use super::window::{LATENCY_FLOOR, window_cap};
 use crate::breaks::{self, Break};
 use crate::ids::{DestId, EndpointId, Micros, MsgId};
 
-/// Cost of a new connection, in calls in flight.
+/// Cost of a new connection, as a number of calls in flight.
 const NEW_CONNECTION_COST: f64 = 0.5;
-/// Cost of crossing a zone, in calls in flight.
+/// Cost of a call to another zone, as a number of calls in flight.
 const ZONE_CROSSING_COST: f64 = 0.75;
-/// Weight of a message's present value against the loss by waiting.
+/// Weight of a message's present value relative to the value that it loses by waiting.
 const PRESENT_VALUE_WEIGHT: f64 = 0.25;
-/// How long a call is likely to occupy its slot where nothing is known, microseconds.
+/// Expected time that a call occupies its slot before the first latency sample, microseconds.
 const UNKNOWN_SLOT_TIME: f64 = 0.25 * SECOND as f64;
 
-/// An endpoint with its cost, in calls in flight.
+/// An endpoint with the cost of a call to it, as a number of calls in flight.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RankedEndpoint {
     pub(super) cost: f64,
     pub(super) endpoint: EndpointId,
 }
 
-/// A message that may be sent now, and where it would go.
+/// A message that may be sent now, with its endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
-    /// Value gained for each microsecond of the slot.
-    pub(super) merit: f64,
+    /// Value gained for each microsecond that the call occupies its slot.
+    pub(super) value_rate: f64,
     pub(super) message: MsgId,
-    pub(super) to: RankedEndpoint,
+    pub(super) target: RankedEndpoint,
 }
 
 impl Dispatcher {
-    /// The best message for a destination that may be sent now, with its endpoint: of several routes the one of the
-    /// least cost. `wake` is brought forward to the time when a route becomes available.
-    pub(super) fn best_for_destination(&mut self, dest: DestId, wake: &mut Micros) -> Option<Candidate> {
+    /// Returns the best message for a destination that may be sent now, on the route with the lowest cost. Lowers
+    /// `wake_at` to the earliest time at which a route becomes available.
+    pub(super) fn best_for_destination(&mut self, dest: DestId, wake_at: &mut Micros) -> Option<Candidate> {
         let routes = self.destinations[&dest].routes.clone();
-        let calls_of =
+        let calls_on =
             |index: &usize| self.routes[*index].in_flight.len() + self.routes[*index].open_streams as usize;
-        let calls = routes.iter().map(calls_of).sum::<usize>();
+        let calls = routes.iter().map(calls_on).sum::<usize>();
         if calls >= window_cap(self.settings.slots) as usize {
             return None;
         }
         let mut best: Option<Candidate> = None;
         for route in routes {
-            let at = self.available_at(route);
-            if at > self.now {
+            let available_at = self.available_at(route);
+            if available_at > self.now {
                 self.routes[route].window_limited = true;
-                *wake = (*wake).min(at);
+                *wake_at = (*wake_at).min(available_at);
                 continue;
             }
-            let Some(candidate) = self.best_message(route, None, wake) else {
+            let Some(candidate) = self.best_message(route, None, wake_at) else {
                 continue;
             };
-            let order = |candidate: &Candidate| (candidate.to.cost, -candidate.merit);
-            best = best.filter(|best| order(best) <= order(&candidate)).or(Some(candidate));
+            let rank = |candidate: &Candidate| (candidate.target.cost, -candidate.value_rate);
+            best = best.filter(|best| rank(best) <= rank(&candidate)).or(Some(candidate));
         }
         best
     }
 
-    /// The message of a route with the greatest gain now, and its endpoint. One that is bound to a zone, waits for its key's
-    /// order or may not be sent never blocks the others. `call_endpoint`: it joins a call to that endpoint.
+    /// Returns the message of a route with the highest value rate now, with its endpoint. A message that is bound to
+    /// a zone, waits for an earlier one with its key or may not be sent never blocks the others. If `call_endpoint`
+    /// is set, the message is to join a call to that endpoint.
     pub(super) fn best_message(
         &self,
         route: usize,
         call_endpoint: Option<EndpointId>,
-        wake: &mut Micros,
+        wake_at: &mut Micros,
     ) -> Option<Candidate> {
-        let chosen = &self.routes[route];
-        let answer_at = self.now + chosen.latency.smoothed.unwrap_or(LATENCY_FLOOR) as Micros;
-        // Before a planned stop a call starts only where twice the usual time is left for it.
+        let selected = &self.routes[route];
+        let answer_at = self.now + selected.latency.smoothed.unwrap_or(LATENCY_FLOOR) as Micros;
+        // Before a planned stop a call starts only if twice its usual latency is left.
         if self.stop_at.is_some_and(|stop| answer_at + (answer_at - self.now) > stop) {
             return None;
         }
-        let usual = match call_endpoint {
+        let default_target = match call_endpoint {
             Some(endpoint) => RankedEndpoint { cost: 0.0, endpoint },
             None => self.choose_endpoint(route, None)?,
         };
-        // A message with less time left than calls there may take would shorten the others' time-out, and is sent alone.
+        // A message whose deadline is earlier than the time-out of calls on this route would shorten the time-out of
+        // the other messages, so it is sent alone.
         let min_deadline =
-            if call_endpoint.is_some() { self.now + chosen.call_timeout(self.min_timeout) } else { 0 };
+            if call_endpoint.is_some() { self.now + selected.call_timeout(self.min_timeout) } else { 0 };
         let slot_time = self.expected_slot_time(route);
-        let waiting = &self.destinations[&self.endpoints[&usual.endpoint].dest].waiting;
+        let waiting = &self.destinations[&self.endpoints[&default_target.endpoint].dest].waiting;
         let mut best: Option<Candidate> = None;
         let mut best_position = 0;
         for (group, ages) in waiting.groups() {
-            let to = if group.zone.is_some() { self.choose_endpoint(route, group.zone) } else { Some(usual) };
-            let Some(to) = to.filter(|to| self.fits_call(group, route, to.endpoint, call_endpoint)) else {
+            let target = if group.zone.is_some() {
+                self.choose_endpoint(route, group.zone)
+            } else {
+                Some(default_target)
+            };
+            let Some(target) =
+                target.filter(|target| self.fits_call(group, route, target.endpoint, call_endpoint))
+            else {
                 continue;
             };
             let ids = if group.ordered {
                 ages.iter().collect()
             } else {
-                ages.candidates(answer_at, || self.breakpoints(group, HORIZON))
+                ages.candidates(answer_at, || self.breakpoints(group, VALUE_HORIZON))
             };
             for id in ids {
                 let message = &self.messages[&id];
                 if message.deadline < min_deadline
                     || !self.may_send(message)
-                    || !self.is_next_of_key(id, message, wake)
+                    || !self.is_next_of_key(id, message, wake_at)
                 {
                     continue;
                 }
-                let merit = self.merit(message, answer_at, slot_time);
+                let value_rate = self.value_rate(message, answer_at, slot_time);
                 let is_better = best.is_none_or(|best| {
-                    merit > best.merit || (merit == best.merit && message.position < best_position)
+                    value_rate > best.value_rate
+                        || (value_rate == best.value_rate && message.position < best_position)
                 });
                 if is_better {
-                    best = Some(Candidate { merit, message: id, to });
+                    best = Some(Candidate { value_rate, message: id, target });
                     best_position = message.position;
                 }
             }
@@ -118,7 +127,7 @@
         best
     }
 
-    /// How long a call on the route is likely to occupy its slot, microseconds.
+    /// Expected time that a call on the route occupies its slot, microseconds.
     fn expected_slot_time(&self, route: usize) -> f64 {
         let route = &self.routes[route];
         if route.timeouts_in_row > 0 {
@@ -128,13 +137,14 @@
         }
     }
 
-    /// The value gained for each microsecond of the slot if the message is answered then rather than a horizon later.
-    fn merit(&self, message: &PendingMessage, answer_at: Micros, slot_time: f64) -> f64 {
+    /// Value gained for each microsecond of the slot if the message is answered at `answer_at` rather than
+    /// [`VALUE_HORIZON`] later.
+    fn value_rate(&self, message: &PendingMessage, answer_at: Micros, slot_time: f64) -> f64 {
         let value = self.value_at(message, answer_at);
-        (PRESENT_VALUE_WEIGHT * value + value - self.value_at(message, answer_at + HORIZON)) / slot_time
+        (PRESENT_VALUE_WEIGHT * value + value - self.value_at(message, answer_at + VALUE_HORIZON)) / slot_time
     }
 
-    /// Whether a group's messages may go to the endpoint: alone, or within a call to `call_endpoint`.
+    /// Whether a group's messages may be sent to the endpoint, in a new call or within a call to `call_endpoint`.
     fn fits_call(
         &self,
         group: &ValueGroup,
@@ -148,8 +158,8 @@
         }
     }
 
-    /// Whether one more stream may begin: streams have a configured share of the slots and of a destination's window. No
-    /// stream is a trial call, since it would reveal the end of an outage only with its last byte.
+    /// Whether one more stream may start: streams have a configured share of the slots and of a route's window. A
+    /// stream is never used as a trial call, since it would reveal the end of an outage only after its last byte.
     fn may_start_stream(&self, route: usize) -> bool {
         let all_streams = self.routes.iter().map(|route| route.open_streams).sum::<u32>();
         let route = &self.routes[route];
@@ -159,7 +169,7 @@
         !route.in_outage && (has_capacity || breaks::is_enabled(Break::IgnoreStreamShare))
     }
 
-    /// The listed endpoint of a route, in `zone` if one is given, with the least cost.
+    /// Returns the listed endpoint of a route with the lowest cost, in `zone` if one is given.
     fn choose_endpoint(&self, route: usize, zone: Option<u32>) -> Option<RankedEndpoint> {
         let endpoints = self.routes[route].endpoints.iter().map(|id| (*id, &self.endpoints[id]));
         let usable = endpoints
@@ -169,7 +179,7 @@
         ranked.min_by(|a, b| a.cost.total_cmp(&b.cost))
     }
 
-    /// Calls in flight at an endpoint, and what a new connection or another zone adds to them.
+    /// Cost of a call to an endpoint: its calls in flight plus the costs of a new connection and of crossing zones.
     fn endpoint_cost(&self, endpoint: &Endpoint) -> f64 {
         let has_idle = endpoint.idle_since.iter().any(|since| since + self.settings.keepalive > self.now);
         let has_capacity = !endpoint.calls.is_multiple_of(self.settings.streams_per_connection.max(1));
--- a/courier/policy/src/dispatcher/endpoint_list.rs
+++ b/courier/policy/src/dispatcher/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: which endpoints, routes and destinations there are, and when to subscribe to it again.
+//! Applies the endpoint list: adds and removes endpoints, routes and destinations, and schedules a new subscription.
 
 use super::route::{Endpoint, Route};
 use super::state::Dispatcher;
@@ -8,13 +8,13 @@
 use crate::events::{EndpointEntry, EndpointState, ListUpdate};
 use crate::ids::Micros;
 
-/// First back-off before subscribing again after discovery failed, microseconds; it doubles with each failure.
+/// First back-off before a new subscription after discovery failed, microseconds; it doubles with each failure.
 pub const RESUBSCRIBE_FIRST: Micros = SECOND / 2;
-/// Longest such back-off, microseconds.
+/// Maximum back-off before a new subscription, microseconds.
 const RESUBSCRIBE_MAX: Micros = 4 * SECOND;
 
 impl Dispatcher {
-    /// Applies a list of endpoints, a change to it, or its failure.
+    /// Applies a complete endpoint list, changes to it, or a failure of discovery.
     pub(super) fn on_list(&mut self, kind: ListUpdate, entries: &[EndpointEntry]) {
         if kind == ListUpdate::Failed {
             self.schedule_resubscription();
@@ -29,11 +29,12 @@
         for entry in entries {
             self.apply_entry(entry);
         }
-        // DEPARTURE: one that operators enable again counts as returning from an outage, though no failure was seen.
+        // DEPARTURE: a destination whose endpoint operators enable again counts as returning from an outage, although
+        // no call failed.
         for entry in entries.iter().filter(|entry| entry.returning && entry.state == EndpointState::Ready) {
-            self.note_failure_seen(self.endpoints[&entry.endpoint].route, true);
+            self.record_failure(self.endpoints[&entry.endpoint].route, true);
         }
-        self.forget_unused();
+        self.remove_unused();
         self.ready_destinations.extend(&self.waiting_destinations);
     }
 
@@ -44,15 +45,15 @@
         }
     }
 
-    /// Updates an endpoint by its entry, or adds it if it is ready.
+    /// Updates an endpoint from its entry. An unknown endpoint is added if it is ready.
     fn apply_entry(&mut self, entry: &EndpointEntry) {
         let ready = entry.state == EndpointState::Ready
             || (breaks::is_enabled(Break::IgnoreDrain) && entry.state == EndpointState::Draining);
         let weight_is_rate = self.settings.weight_is_rate;
         let rate = if weight_is_rate && entry.weight.is_finite() { entry.weight } else { 0.0 };
-        if let Some(known) = self.endpoints.get_mut(&entry.endpoint) {
-            known.listed = ready && known.dest == entry.dest;
-            known.rate = if weight_is_rate { rate } else { known.rate };
+        if let Some(endpoint) = self.endpoints.get_mut(&entry.endpoint) {
+            endpoint.listed = ready && endpoint.dest == entry.dest;
+            endpoint.rate = if weight_is_rate { rate } else { endpoint.rate };
         } else if ready {
             self.add_endpoint(entry, rate);
         }
@@ -74,7 +75,7 @@
         self.routes[route].endpoints.push(entry.endpoint);
     }
 
-    /// The route of a new endpoint: its destination's or, where the kind has separate routes, one of its own.
+    /// Returns the route for a new endpoint: that of its destination or, if the kind has separate routes, a new one.
     fn route_for(&mut self, entry: &EndpointEntry) -> usize {
         let separate_routes = self.settings.kinds.get(entry.kind).is_some_and(|kind| kind.separate_routes);
         let destination = self.destinations.entry(entry.dest).or_default();
@@ -89,8 +90,9 @@
         route
     }
 
-    /// Forgets endpoints that are gone and have no call in flight, and their routes a minute after the last call.
-    fn forget_unused(&mut self) {
+    /// Removes endpoints that are no longer listed and have no call in flight, and their routes a minute after the
+    /// last call. An endpoint or route stays while the receiver's wait or the slow-start guard still applies to it.
+    fn remove_unused(&mut self) {
         let now = self.now;
         let routes = &mut self.routes;
         let endpoints = &mut self.endpoints;
--- a/courier/policy/src/dispatcher/health.rs
+++ b/courier/policy/src/dispatcher/health.rs
@@ -1,4 +1,4 @@
-//! What the outcome of a call changes in its route: latency and window, back-off, outages and the slow-start guard.
+//! Updates a route by the outcome of a call: latency, window, back-off, outages and the slow-start guard.
 
 use super::message::Attempt;
 use super::pacing::{CALLS_AHEAD, PACE_INTERVAL_MAX};
@@ -11,59 +11,62 @@
 use crate::events::{Completion, Outcome};
 use crate::ids::{EndpointId, Micros};
 
-/// The factor by which a refusal as full, or a repeated failure, shrinks the window: the design's value.
+/// Factor by which a refusal (`Outcome::Full`) or a repeated failure shrinks the window: the value of the original
+/// design.
 const WINDOW_SHRINK: f64 = 0.5;
-/// Refusals this soon after a shrink are due to the same exhausted span of the limit, microseconds.
+/// Minimum interval between two shrinks of the window, microseconds: refusals within it are due to the same exhausted
+/// span of the receiver's limit.
 const SHRINK_INTERVAL: Micros = SECOND;
-/// Least window of a route that is paced by a known rate: covers a rate that is half too high, of a limit that was reduced
-/// to a fifth.
+/// Minimum window of a route that is paced by a known rate. It covers a listed rate that is half too high, combined
+/// with a limit that was reduced to a fifth.
 const PACED_WINDOW_MIN: f64 = 0.125;
-/// Failures in a row that mean an outage: errors seldom come in pairs. Two time-outs already activate the guard.
+/// Consecutive failures that indicate an outage: errors seldom occur in pairs. Two time-outs already activate the
+/// guard.
 const OUTAGE_FAILURES: u32 = 3;
-/// Failures among the last eight calls that mean an outage.
+/// Failures among the last eight calls that indicate an outage.
 const OUTAGE_RECENT_FAILURES: u32 = 6;
-/// More failures than this among the last eight calls halve the cap of the window.
+/// If more than this many of the last eight calls failed, the upper bound of the window is halved.
 const HALF_CAP_RECENT_FAILURES: u32 = 4;
-/// Errors among the last eight calls that activate the guard without an outage: the endpoint fails a fraction of its
-/// calls. Normally one call in a hundred fails.
+/// Errors among the last eight calls that activate the guard without an outage: the endpoint then fails a large
+/// fraction of its calls, while normally one call in a hundred fails.
 const GUARD_ERRORS: u32 = 3;
-/// Refusals for this long, or a longer wait that the receiver asks for, mean an outage too, microseconds: a limit's span is
-/// two seconds at most.
+/// Refusals over this time, or a requested wait longer than it, also indicate an outage, microseconds: the span of a
+/// receiver's limit is at most two seconds.
 const OUTAGE_REFUSAL_SPAN: Micros = 5 * SECOND / 2;
-/// The proportional back-off, as a multiple of the time for which the route has failed.
+/// Proportional back-off, as a multiple of the time for which the route has failed.
 const FAILED_TIME_FACTOR: f64 = 2.0;
-/// The proportional back-off, as a multiple of the time that the call took to fail: slow failures indicate an outage.
+/// Proportional back-off, as a multiple of the time that the call took to fail: slow failures indicate an outage.
 const SLOW_FAILURE_FACTOR: f64 = 6.0;
-/// The first proportional back-off, as a fraction of the time between two turns of the sender.
+/// First proportional back-off, as a fraction of the time between two turns of the sender.
 const FIRST_BACKOFF_SHARE: f64 = 0.1;
-/// Jitter of the proportional back-off: the messages of a burst fail together.
+/// Jitter of the proportional back-off, large since the messages of a burst fail together.
 const PROPORTIONAL_JITTER: f64 = 0.8;
 /// Jitter of back-offs, so that senders do not synchronise.
 pub const JITTER: f64 = 0.2;
-/// An allowance of which less than this is reported as left counts as used up, since the report is a little late.
+/// An allowance counts as used up if less than this is reported as remaining: the report is slightly out of date.
 const ALLOWANCE_USED_UP: f64 = 0.75;
 
-/// The outcome of a call, with what was known of its route before it counted.
+/// The outcome of a call, with the properties of its route before the outcome is counted.
 struct CallResult {
     endpoint: EndpointId,
     route: usize,
     outcome: Outcome,
-    /// Start of the call's latency.
+    /// Start of the latency measurement: the time of the call or, for a stream, of its last byte.
     sent: Micros,
     /// Duration of the call, microseconds.
     elapsed: f64,
-    /// How long the receiver asked to wait; 0 for no such request.
+    /// Wait that the receiver requested, microseconds; 0 for none.
     wait: Micros,
-    /// It is a stream whose last byte was not written, so its duration is not a latency.
+    /// Whether the call is a stream whose last byte was not written, so that its duration is not a latency.
     streaming: bool,
     /// Random factor for back-offs.
     jitter: f64,
     sparsely_served: bool,
     /// Time between two turns of this sender, microseconds.
     turn_cycle: f64,
-    /// The result of [`Dispatcher::paced_interval`], if the window shrinks now.
+    /// Result of [`Dispatcher::paced_interval`] under the assumption that the window shrinks now.
     paced_interval: Option<f64>,
-    /// A refusal whose load report shows a used-up allowance: a limit, not an outage.
+    /// Whether the call was refused and the load report shows a used-up allowance: a limit, not an outage.
     allowance_used_up: bool,
 }
 
@@ -96,7 +99,7 @@
         CallResult {
             endpoint: attempt.endpoint,
             route,
-            // Only calls that are long overdue are cancelled.
+            // Counted as a time-out, since only calls that are long overdue are cancelled.
             outcome: match completion.outcome {
                 Outcome::Cancelled => Outcome::Timeout,
                 outcome => outcome,
@@ -122,8 +125,8 @@
         })
     }
 
-    /// Updates the answered latency and ends failures in a row; a success of a call sent after the last failure ends an
-    /// outage, and the guard after the slow start.
+    /// Updates the answered latency and resets the counts of consecutive failures. A success of a call that was sent
+    /// after the last failure ends an outage, and limits the guard to the time of the slow start.
     fn on_success(&mut self, result: &CallResult) {
         let has_turns = !result.sparsely_served && result.turn_cycle > self.settings.overload_span as f64;
         let route = &mut self.routes[result.route];
@@ -141,21 +144,23 @@
             let text = format!("endpoint {}: answers again", result.endpoint);
             self.actions.push(DispatchAction::Log(text));
         }
-        let last_span = if has_turns { self.settings.overload_span } else { 0 };
-        route.guard_until = route.guard_until.min(self.now + self.settings.slow_start + last_span);
+        let extra_span = if has_turns { self.settings.overload_span } else { 0 };
+        route.guard_until = route.guard_until.min(self.now + self.settings.slow_start + extra_span);
     }
 
     /// Shrinks the window and sets the back-off before the next call.
     ///
-    /// DEPARTURE: a receiver whose limit is exhausted or that is down is retried after a growing back-off; a single failure
-    /// among successes causes none. This is a disadvantage where one call in many is refused at random.
+    /// DEPARTURE: a receiver whose limit is exhausted or that is down is retried after a growing back-off; a single
+    /// failure among successes causes no back-off. The cost is unnecessary delay where one call in many is refused at
+    /// random.
     fn back_off(&mut self, result: &CallResult) {
         let now = self.now;
         let route = &mut self.routes[result.route];
-        let in_row = route.failures_in_row + route.refusals_in_row;
-        let is_repeated = route.refusals_in_row > 0 || in_row > 1;
-        let delay = if is_repeated { backoff(in_row - 1, result.jitter) } else { 0 };
-        // Once in a span, and once for calls that were in flight together: they all give the same information.
+        let consecutive = route.failures_in_row + route.refusals_in_row;
+        let is_repeated = route.refusals_in_row > 0 || consecutive > 1;
+        let delay = if is_repeated { backoff(consecutive - 1, result.jitter) } else { 0 };
+        // The window shrinks at most once in a span and once for calls that were in flight together, since their
+        // outcomes give the same information.
         if is_repeated && result.sent >= route.last_shrink && now >= route.last_shrink + SHRINK_INTERVAL {
             route.window *= WINDOW_SHRINK;
             route.last_shrink = now;
@@ -171,16 +176,17 @@
         let route = &mut self.routes[result.route];
         route.wait_until = route.wait_until.max(now + delay.max(proportional));
         if let Some(interval) = paced_interval {
-            // No unused calls are carried over: the next one goes a full interval later, for each sender at its own time.
+            // Unused calls are not carried over: the next call is made a full interval later, with a random spread so
+            // that the senders do not call together.
             let gap = interval / route.window.max(PACED_WINDOW_MIN) * (CALLS_AHEAD + spread);
             route.paced_at = route.paced_at.max(now + gap as Micros);
         }
     }
 
-    /// A back-off in proportion to the time for which the route has failed, microseconds.
+    /// Back-off in proportion to the time for which the route has failed, microseconds.
     ///
-    /// DEPARTURE: for cases in which a single call gives little information and many senders have messages waiting. It also
-    /// protects a limit to which refused calls count. The cost is that waiting messages become late.
+    /// DEPARTURE: it applies where a single call gives little information and many senders have messages waiting. It
+    /// also protects a limit against which refused calls count. The cost is that waiting messages are delayed.
     fn proportional_backoff(&self, result: &CallResult, spread: f64) -> Micros {
         let failed_for = (self.now - self.routes[result.route].first_failure_sent) as f64;
         let first = (result.turn_cycle * FIRST_BACKOFF_SHARE)
@@ -190,7 +196,7 @@
         backoff.min(result.turn_cycle) as Micros
     }
 
-    /// Whether an outage of the route is detected with this outcome.
+    /// Detects the start of an outage of the route; returns whether this outcome is its first sign.
     fn detect_outage(&mut self, result: &CallResult) -> bool {
         let route = &mut self.routes[result.route];
         let mostly_fails =
@@ -198,8 +204,8 @@
         let refuses_long = route.refusals_in_row > 1
             && self.now >= route.first_failure_sent.saturating_add(OUTAGE_REFUSAL_SPAN);
         let long_wait = result.outcome == Outcome::Full && result.wait > OUTAGE_REFUSAL_SPAN;
-        let is_shut = !result.allowance_used_up && (refuses_long || long_wait);
-        let fails = route.failures_in_row >= OUTAGE_FAILURES || is_shut || mostly_fails;
+        let refuses_all = !result.allowance_used_up && (refuses_long || long_wait);
+        let fails = route.failures_in_row >= OUTAGE_FAILURES || refuses_all || mostly_fails;
         let begins = !route.in_outage && fails;
         if begins {
             route.in_outage = true;
@@ -209,35 +215,37 @@
         begins
     }
 
-    /// Keeps the window within the cap, half of that while most recent calls fail, and a floor that the longest gap sets.
+    /// Limits the window to the range from a floor, which derives from the longest interval between calls, to the
+    /// cap. The cap is halved while most recent calls fail.
     fn clamp_window(&mut self, result: &CallResult) {
         let cap = window_cap(self.settings.slots);
         let route = &mut self.routes[result.route];
         let mostly_fails = route.recent_failures.count_ones() > HALF_CAP_RECENT_FAILURES;
-        let top = if mostly_fails { cap / 2 } else { cap };
+        let upper_bound = if mostly_fails { cap / 2 } else { cap };
         let latency = route.latency.smoothed.unwrap_or(LATENCY_FLOOR);
         let floor = match result.paced_interval {
             Some(_) => PACED_WINDOW_MIN,
             None => (latency / PACE_INTERVAL_MAX).min(1.0),
         };
-        route.window = route.window.clamp(floor, f64::from(top.max(1)));
+        route.window = route.window.clamp(floor, f64::from(upper_bound.max(1)));
     }
 
-    /// Counts a failure for the guard, unless it is due to a limit.
+    /// Records a failure for the slow-start guard, unless it is due to a receiver's limit.
     fn update_guard(&mut self, result: &CallResult, outage_begins: bool) {
         let route = &self.routes[result.route];
         let is_limit = result.allowance_used_up
             || (result.outcome == Outcome::Full && !route.in_outage && !result.sparsely_served);
-        let errs_often = result.outcome == Outcome::Error && route.recent_errors.count_ones() >= GUARD_ERRORS;
+        let fails_often =
+            result.outcome == Outcome::Error && route.recent_errors.count_ones() >= GUARD_ERRORS;
         if outage_begins || (result.outcome != Outcome::Ok && !is_limit) {
-            let binds = outage_begins || errs_often || route.timeouts_in_row > 1;
-            self.note_failure_seen(result.route, binds);
+            let activates_guard = outage_begins || fails_often || route.timeouts_in_row > 1;
+            self.record_failure(result.route, activates_guard);
         }
     }
 }
 
 impl Route {
-    /// Counts a call's latency and its outcome among the recent ones.
+    /// Adds a call's latency sample and its outcome to the recent ones.
     fn count_outcome(&mut self, now: Micros, result: &CallResult) {
         let outcome = result.outcome;
         if (outcome == Outcome::Ok || outcome == Outcome::Timeout) && !result.streaming {
@@ -248,12 +256,12 @@
         self.timeouts_in_row = if outcome == Outcome::Timeout { self.timeouts_in_row + 1 } else { 0 };
     }
 
-    /// Adds an answered call to the average from which time-outs derive. A stream that was answered before its last byte
-    /// leaves the average as it is, if there is one.
+    /// Adds an answered call to the average latency from which time-outs derive. A stream that was answered before
+    /// its last byte does not change the average, unless it is the first sample.
     fn add_answered_latency(&mut self, result: &CallResult) {
         let average = self.answered_latency;
         let elapsed = if result.streaming && average > 0.0 { average } else { result.elapsed };
-        let old = if average > 0.0 { average } else { elapsed };
-        self.answered_latency = old + (1.0 - LATENCY_SMOOTHING) * (elapsed - old);
+        let previous = if average > 0.0 { average } else { elapsed };
+        self.answered_latency = previous + (1.0 - LATENCY_SMOOTHING) * (elapsed - previous);
     }
 }
--- a/courier/policy/src/dispatcher/key_order.rs
+++ b/courier/policy/src/dispatcher/key_order.rs
@@ -1,4 +1,4 @@
-//! Order by key: of the messages of one key only the first may be sent.
+//! Order by key: only the first of the messages with the same key may be sent.
 
 use super::message::PendingMessage;
 use super::state::Dispatcher;
@@ -6,27 +6,27 @@
 use crate::ids::{Micros, MsgId};
 
 impl Dispatcher {
-    /// Puts a message at the end of its key's queue.
+    /// Appends a message to the queue of its key.
     pub(super) fn push_to_key_queue(&mut self, key: Option<u64>, id: MsgId) {
         if let Some(key) = key {
             self.key_queues.entry(key).or_default().messages.push_back(id);
         }
     }
 
-    /// Whether the order of its key allows the message to be sent now. The cooldown applies to messages without an attempt;
-    /// `wake` is brought forward to its end.
-    pub(super) fn is_next_of_key(&self, id: MsgId, message: &PendingMessage, wake: &mut Micros) -> bool {
+    /// Whether the order of its key allows the message to be sent now. The cooldown applies to messages without an
+    /// attempt and lowers `wake_at` to its end.
+    pub(super) fn is_next_of_key(&self, id: MsgId, message: &PendingMessage, wake_at: &mut Micros) -> bool {
         let Some(queue) = message.key.and_then(|key| self.key_queues.get(&key)) else {
             return true;
         };
-        let cools_down = message.attempts.is_empty() && queue.cooldown_until > self.now;
-        if cools_down {
-            *wake = (*wake).min(queue.cooldown_until);
+        let is_cooling_down = message.attempts.is_empty() && queue.cooldown_until > self.now;
+        if is_cooling_down {
+            *wake_at = (*wake_at).min(queue.cooldown_until);
         }
-        queue.messages.front() == Some(&id) && !cools_down
+        queue.messages.front() == Some(&id) && !is_cooling_down
     }
 
-    /// Starts the key's cooldown where a call ended without an answer: the receiver may still run it.
+    /// Starts the key's cooldown if a call ended without an answer, since the receiver may still run it.
     pub(super) fn cool_down_key(&mut self, key: Option<u64>, outcome: Outcome) {
         let (Some(key), Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) = (key, outcome) else {
             return;
@@ -35,7 +35,7 @@
         queue.cooldown_until = queue.cooldown_until.max(self.now + self.settings.key_cooldown);
     }
 
-    /// Removes a message from its key's queue, so that the next one may be sent.
+    /// Removes a message from the queue of its key, so that the next one may be sent.
     pub(super) fn remove_from_key_queue(&mut self, key: Option<u64>, id: MsgId) {
         let Some(queue) = key.and_then(|key| self.key_queues.get_mut(&key)) else {
             return;
--- a/courier/policy/src/dispatcher/message.rs
+++ b/courier/policy/src/dispatcher/message.rs
@@ -1,51 +1,53 @@
-//! What the dispatcher records of an open message, its attempts and the calls that carry them. Types only; they are
-//! part of the state that one process hands to the next, field by field in this order.
+//! Types for the state of messages, their attempts and calls. They are part of the state that one process hands over
+//! to the next, which is encoded by position: the order of the fields must not change.
 
 use crate::events::PastAttempt;
 use crate::ids::{DestId, EndpointId, Micros, MsgId};
 use serde::{Deserialize, Serialize};
 
-/// Number of a call, counted from 0. A call carries one message or several.
+/// Number of a call, counted from 0. A call carries one or more messages.
 pub type CallNumber = u64;
 
-/// What is known about whether an attempt took effect at the receiver.
+/// Whether an attempt took effect at the receiver, as far as is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub enum Execution {
     /// The attempt has no outcome yet.
     InFlight,
-    /// The outcome proves that the receiver never ran it.
+    /// The outcome proves that the receiver never ran the attempt.
     NeverRan,
-    /// The receiver ran it or may have run it.
+    /// The receiver ran the attempt or may have run it.
     MayHaveRun,
 }
 
 /// One attempt to deliver a message.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Attempt {
-    /// Endpoint to which it was sent; [`EndpointId::MAX`] for an attempt of an earlier process.
+    /// Endpoint that was called; [`EndpointId::MAX`] for an attempt of an earlier process.
     pub endpoint: EndpointId,
     /// Zone of that endpoint.
     pub zone: u32,
-    /// Its route, an index of the dispatcher's routes; [`usize::MAX`] for an attempt of an earlier process.
+    /// Route of the endpoint, an index into the dispatcher's routes; [`usize::MAX`] for an attempt of an earlier
+    /// process.
     pub route: usize,
-    /// Call that carried it.
+    /// Call that carried the attempt.
     pub call: CallNumber,
-    /// When it was sent.
+    /// Time of the clock at which the attempt was sent.
     pub sent: Micros,
-    /// Whether it took effect.
+    /// Whether the attempt took effect.
     pub execution: Execution,
-    /// The call went over a connection that had been idle.
+    /// Whether the call used a connection that had been idle.
     pub reused_connection: bool,
-    /// The host was asked to cancel it.
+    /// Whether the host was asked to cancel the attempt.
     pub cancelled: bool,
-    /// It is a stream whose last byte has not been written.
+    /// Whether the attempt is a stream whose last byte has not been written.
     pub streams_body: bool,
-    /// Start of its latency: when it was sent or, for a stream, when its last byte was written.
+    /// Start of the latency measurement: the time of sending or, for a stream, of writing its last byte.
     pub latency_from: Micros,
 }
 
 impl Attempt {
-    /// An attempt that an earlier process of this sender made. It occupies no slot, and its route is not known.
+    /// Converts an attempt that an earlier process of this sender made. It occupies no slot, and its route is not
+    /// known.
     pub fn from_past(past: &PastAttempt) -> Self {
         Attempt {
             endpoint: EndpointId::MAX,
@@ -62,36 +64,37 @@
     }
 }
 
-/// A message that has no final result yet, or that still has attempts in flight.
+/// A message that has no final result yet or still has attempts in flight.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct PendingMessage {
-    /// Index of its class in the settings.
+    /// Index of the message's class in the settings.
     pub class: usize,
-    /// Value while it is on time, after the tenant's share was taken into account.
+    /// Full value of the message, reduced if it exceeds its tenant's share.
     pub value: f64,
     /// Ordering key; `None` where the class does not keep the order.
     pub key: Option<u64>,
-    /// Destination it goes to.
+    /// Destination of the message.
     pub dest: DestId,
-    /// When its client created it: the deadline less the class's.
+    /// Time at which the client created the message: its deadline minus the deadline of its class.
     pub created_at: Micros,
-    /// When this process received it.
+    /// Time at which this process received the message.
     pub received_at: Micros,
-    /// Age up to which it keeps its full value.
+    /// Age up to which the message has its full value, microseconds.
     pub latency_target: Micros,
-    /// Time of the clock by which it must have its result.
+    /// Time of the clock by which the message must have its result.
     pub deadline: Micros,
-    /// The client is still owed a result. A message that has one stays in the table until its attempts have ended.
+    /// Whether the message still needs a result. A message that has one remains in the table until its attempts have
+    /// ended.
     pub is_open: bool,
-    /// It was accepted by an earlier process.
+    /// Whether an earlier process accepted the message.
     pub restored: bool,
-    /// Its body is forwarded as it arrives.
+    /// Whether the body is forwarded while it arrives.
     pub stream: bool,
-    /// Bytes that it takes in a call with others.
+    /// Bytes that the message occupies in a call with others.
     pub size: u64,
-    /// Attempts in the order in which they were made.
+    /// Attempts in the order in which they were sent.
     pub attempts: Vec<Attempt>,
-    /// Position in the order of queueing; a message that is queued again gets a new one.
+    /// Position in the queueing order; a message that is queued again gets a new position.
     pub position: u64,
 }
 
@@ -110,27 +113,27 @@
 /// A call in flight.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct CallInFlight {
-    /// Its messages without an outcome.
+    /// Messages of the call without an outcome.
     pub pending: Vec<MsgId>,
-    /// One of its messages has timed out.
+    /// Whether one of the call's messages has timed out.
     pub timed_out: bool,
 }
 
-/// The common properties of messages that may go to the same endpoints and whose value differs by their age alone.
+/// The common properties of messages that may be sent to the same endpoints and whose values differ only by their age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize, Serialize)]
 pub struct ValueGroup {
     /// Index of the class in the settings.
     pub class: usize,
-    /// Bits of the value while on time, an `f64`.
+    /// Bits of the full value, an `f64`.
     pub value_bits: u64,
-    /// Age up to which they keep their full value.
+    /// Age up to which the messages have their full value, microseconds.
     pub latency_target: Micros,
-    /// Time from creation to deadline.
+    /// Time from creation to deadline, microseconds.
     pub lifetime: Micros,
-    /// The only zone where a retry may go, if one is bound.
+    /// The only zone that a retry may be sent to; `None` if any zone is allowed.
     pub zone: Option<u32>,
-    /// The bodies are forwarded as they arrive.
+    /// Whether the bodies are forwarded while they arrive.
     pub stream: bool,
-    /// The messages have ordering keys.
+    /// Whether the messages have ordering keys.
     pub ordered: bool,
 }
--- a/courier/policy/src/dispatcher/outcomes.rs
+++ b/courier/policy/src/dispatcher/outcomes.rs
@@ -1,4 +1,4 @@
-//! The end of an attempt and of its call: the updates of the state, and what happens to the message.
+//! Processes the end of an attempt and of its call, and then ends or queues the message.
 
 use super::message::{Attempt, Execution};
 use super::state::Dispatcher;
@@ -7,19 +7,19 @@
 use crate::ids::MsgId;
 use quillmount_containers::remove_timed;
 
-/// Whether the end of an attempt is the first or the last one of its call.
+/// Position of the end of an attempt among the ends of its call's attempts.
 struct CallProgress {
-    /// It gives information about the call that was not known yet.
+    /// Whether it gives new information about the call.
     is_first_result: bool,
-    /// No other message of the call is without an outcome.
+    /// Whether all other messages of the call already have an outcome.
     is_last: bool,
 }
 
 impl Dispatcher {
-    /// The last byte of a stream was written: its latency counts from now on.
+    /// Starts the latency measurement of a stream, whose last byte was written.
     ///
-    /// DEPARTURE: until then it occupies a slot but does not count in the window. Counted from the first byte, a slow
-    /// client would appear as latency of the receiver.
+    /// DEPARTURE: until then the stream occupies a slot but does not count against the window. If its latency were
+    /// measured from the first byte, a slow client would appear as latency of the receiver.
     pub(super) fn on_written(&mut self, id: MsgId, attempt: u32) {
         let message = self.messages.get_mut(&id);
         let attempt = message.and_then(|message| message.attempts.get_mut(attempt as usize));
@@ -36,7 +36,7 @@
         self.ready_destinations.extend(&self.waiting_destinations);
     }
 
-    /// An attempt ended. Ignored where it is not known or has ended before.
+    /// Processes the end of an attempt. An unknown attempt or one that has already ended is ignored.
     pub(super) fn on_completed(&mut self, completion: &Completion) {
         let Some(attempt) = self.end_attempt(completion) else {
             return;
@@ -51,12 +51,14 @@
             self.release_call(&attempt);
             self.update_connections(attempt.endpoint, completion, attempt.reused_connection);
         }
-        // A call that was sent before one that succeeded gives no new information, nor does a stream that its client cut.
-        let client_left = attempt.streams_body && completion.outcome == Outcome::Cancelled;
-        if !is_stale && progress.is_first_result && !client_left {
+        // A failure of a call sent before one that succeeded gives no new information, nor does a stream cut off by
+        // its client.
+        let cut_by_client = attempt.streams_body && completion.outcome == Outcome::Cancelled;
+        if !is_stale && progress.is_first_result && !cut_by_client {
             if attempt.reused_connection && completion.outcome == Outcome::Reset {
-                // It does not indicate the destination's health, but the rule counts it as a failure seen.
-                self.note_failure_seen(attempt.route, false);
+                // Such a reset does not indicate the destination's health, but it counts as a failure for the
+                // slow-start guard.
+                self.record_failure(attempt.route, false);
             } else {
                 self.update_health(&attempt, completion);
             }
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Records the outcome of an attempt in flight and returns a copy of it.
+    /// Records the outcome of an attempt in flight and returns a copy of the attempt; `None` if it is not in flight.
     fn end_attempt(&mut self, completion: &Completion) -> Option<Attempt> {
         let message = self.messages.get_mut(&completion.msg)?;
         let attempt = message.attempts.get_mut(completion.attempt as usize)?;
@@ -85,10 +87,10 @@
         Some(ended)
     }
 
-    /// Removes the message from its call. The messages of one call share its outcome, which counts with the last of them; a
-    /// time-out counts with the first.
+    /// Removes the message from its call. The messages of a call share its outcome, which counts once: with the last
+    /// message, or with the first for a time-out.
     fn update_call(&mut self, attempt: &Attempt, completion: &Completion) -> CallProgress {
-        let call = self.calls_in_flight.get_mut(&attempt.call).expect("an attempt in flight has its call");
+        let call = self.calls_in_flight.get_mut(&attempt.call).expect("an attempt in flight has a call");
         call.pending.retain(|message| *message != completion.msg);
         let is_last = call.pending.is_empty();
         let is_first_result = if completion.outcome == Outcome::Timeout {
@@ -99,7 +101,7 @@
         CallProgress { is_first_result, is_last }
     }
 
-    /// Frees the slot of a call that has ended, and its place in the window.
+    /// Frees the slot of a call that has ended and removes it from the window.
     fn release_call(&mut self, attempt: &Attempt) {
         self.calls_in_flight.remove(&attempt.call);
         let route = &mut self.routes[attempt.route];
--- a/courier/policy/src/dispatcher/queue.rs
+++ b/courier/policy/src/dispatcher/queue.rs
@@ -1,16 +1,16 @@
-//! The table of messages and the queues of those that wait: submission, restore and the end of a message.
+//! The table of messages and the queues of waiting messages: submission, restore and the end of a message.
 
 use super::message::{Attempt, PendingMessage, ValueGroup};
 use super::state::{Dispatcher, TenantShare};
 use crate::events::{Message, PastAttempt};
 use crate::ids::{Micros, MsgId};
 
-/// Seconds of a tenant's rate that may be submitted at once without exceeding its share.
+/// Burst that a tenant may submit without exceeding its share, in seconds of its rate.
 const TENANT_BURST: f64 = 2.0;
 
 impl Dispatcher {
-    /// Accepts a message. `past`: it is restored from an earlier process, with these attempts. Ignored if the message is
-    /// known already or its class is not known.
+    /// Accepts a message. If `past` is set, the message is restored from an earlier process with these attempts. A
+    /// message whose number is in use or whose class is not in the settings is ignored.
     pub(super) fn on_submit(&mut self, message: &Message, past: Option<&[PastAttempt]>) {
         let is_known = self.messages.contains_key(&message.id);
         let Some(class) = self.settings.classes.get(message.class).filter(|_| !is_known) else {
@@ -43,8 +43,8 @@
         self.enqueue(message.id);
     }
 
-    /// The factor of the value of a message of this tenant: reduced if it exceeds this sender's fraction of the tenant's
-    /// share. Takes a token of the share for it.
+    /// Returns the value factor for a message of this tenant, which is reduced if the message exceeds this sender's
+    /// part of the tenant's share. Takes a token of the share unless it is exceeded.
     fn tenant_value_factor(&mut self, tenant: Option<usize>) -> f64 {
         let Some(tenant) = tenant else { return 1.0 };
         let rate = self.settings.tenants.get(tenant).copied();
@@ -59,19 +59,19 @@
         if is_above_share { self.settings.above_share_value } else { 1.0 }
     }
 
-    /// Adds a message to its destination's queue, behind those that wait already.
+    /// Appends a message to its destination's queue.
     pub(super) fn enqueue(&mut self, id: MsgId) {
         self.next_position += 1;
-        self.messages.get_mut(&id).expect("the caller knows it").position = self.next_position;
+        self.messages.get_mut(&id).expect("the caller has added the message").position = self.next_position;
         let message = &self.messages[&id];
         self.message_expiries.set(id, self.expiry(message, 0));
         let group = self.value_group(message);
         let waiting = &mut self.destinations.entry(message.dest).or_default().waiting;
-        let before = waiting.len() as u64;
+        let messages_ahead = waiting.len() as u64;
         waiting.insert(group, (message.created_at, message.position, id));
         self.waiting_destinations.insert(message.dest);
         self.ready_destinations.insert(message.dest);
-        let expiry = self.expiry(message, self.expected_turn(message, before));
+        let expiry = self.expiry(message, self.expected_turn(message, messages_ahead));
         self.next_expiry_check = self.next_expiry_check.min(expiry);
     }
 
@@ -101,7 +101,8 @@
         }
     }
 
-    /// Ends a message that has its final result or needs none. It stays in the table while an attempt is in flight.
+    /// Ends a message that has its final result or needs none. The message remains in the table while an attempt is
+    /// in flight.
     pub(super) fn finish(&mut self, id: MsgId) {
         let Some(message) = self.messages.get_mut(&id) else {
             return;
--- a/courier/policy/src/dispatcher/send.rs
+++ b/courier/policy/src/dispatcher/send.rs
@@ -1,4 +1,4 @@
-//! Makes a call: its messages, its time-out and what it counts in the window and under the guard.
+//! Assembles a call: its messages, its time-out, and its weight in the window and under the slow-start guard.
 
 use super::message::{Attempt, CallInFlight, CallNumber, Execution};
 use super::state::Dispatcher;
@@ -7,9 +7,9 @@
 use crate::ids::{EndpointId, Micros, MsgId};
 use crate::settings::{Effect, MAX_CALL_BYTES};
 
-/// What each further message adds to a call's weight under the guard.
+/// Weight that each further message adds to a call under the slow-start guard.
 const EXTRA_MESSAGE_WEIGHT: f64 = 0.25;
-/// A time-out ends a message that is not idempotent, so its time-out is this many times as long as that of others.
+/// Factor of the time-out of a message that is not idempotent, since a time-out ends such a message.
 pub const NON_IDEMPOTENT_TIMEOUT_FACTOR: f64 = 2.0;
 
 /// A call that is being assembled.
@@ -17,18 +17,18 @@
 struct NewCall {
     number: CallNumber,
     endpoint: EndpointId,
-    /// It uses a connection that was idle.
+    /// Whether the call uses a connection that was idle.
     reused_connection: bool,
 }
 
 impl Dispatcher {
-    /// Makes a call with this message, and with as many of the others that wait as one call may carry.
+    /// Makes a call with this message and as many other waiting messages as one call may carry.
     pub(super) fn send(&mut self, id: MsgId, endpoint: EndpointId) {
         let now = self.now;
         let jitter = self.jitter();
         let number = self.next_call;
         self.next_call += 1;
-        let receiver = self.endpoints.get_mut(&endpoint).expect("chosen from the list");
+        let receiver = self.endpoints.get_mut(&endpoint).expect("the endpoint was chosen from the table");
         let route = receiver.route;
         receiver.idle_since.retain(|since| since + self.settings.keepalive > now);
         let reused_connection = receiver.idle_since.pop().is_some();
@@ -42,20 +42,21 @@
         self.count_call(route, number, self.messages[&id].stream, gap, size);
     }
 
-    /// Adds further messages to the call of `id`, up to its limits. Returns how many it has.
+    /// Adds further messages to the call of `id`, within the limits on messages and bytes. Returns its number of
+    /// messages.
     fn fill_call(&mut self, id: MsgId, call: NewCall) -> u32 {
         let route = self.endpoints[&call.endpoint].route;
         let max_size = self.batch_limit(route);
         let first = &self.messages[&id];
-        let goes_alone = first.stream
+        let is_sent_alone = first.stream
             || self.routes[route].in_outage
             || first.deadline < self.now + self.routes[route].call_timeout(self.min_timeout);
         let mut size = 1;
         let mut bytes = first.size;
-        while size < max_size && !goes_alone {
-            // The dispatch that makes this call records when to look for a message again.
-            let mut ignored_wake = NEVER;
-            let next = self.best_message(route, Some(call.endpoint), &mut ignored_wake);
+        while size < max_size && !is_sent_alone {
+            // The caller, `dispatch`, records when the destination may send again.
+            let mut ignored_wake_at = NEVER;
+            let next = self.best_message(route, Some(call.endpoint), &mut ignored_wake_at);
             let Some(next) = next.filter(|next| bytes + self.messages[&next.message].size <= MAX_CALL_BYTES)
             else {
                 break;
@@ -67,10 +68,10 @@
         size
     }
 
-    /// Counts a call of `size` messages in its route's window and under the guard.
+    /// Counts a call of `size` messages against its route's window and under the slow-start guard.
     ///
-    /// DEPARTURE: a call counts as one in the window, for a slot and under the guard, however many messages it carries; each
-    /// further message adds a little to its weight under the guard.
+    /// DEPARTURE: a call counts as one against the window and occupies one slot, however many messages it carries.
+    /// Under the guard, each further message adds [`EXTRA_MESSAGE_WEIGHT`] to its weight.
     fn count_call(&mut self, index: usize, call: CallNumber, stream: bool, gap: Micros, size: u32) {
         let now = self.now;
         let route = &mut self.routes[index];
@@ -90,17 +91,17 @@
         route.trial_call = route.in_outage.then_some(call);
     }
 
-    /// Starts an attempt of a message within a call.
+    /// Starts an attempt of a message as part of a call.
     fn add_to_call(&mut self, id: MsgId, call: NewCall) {
         self.dequeue(id);
         let receiver = &self.endpoints[&call.endpoint];
         let (zone, route) = (receiver.zone, receiver.route);
         let timeout = self.attempt_timeout(id, route);
         let send_before = self.send_before(&self.messages[&id]);
-        let in_flight = self.calls_in_flight.get_mut(&call.number).expect("the caller makes it");
+        let in_flight = self.calls_in_flight.get_mut(&call.number).expect("the caller has added the call");
         let joins_previous = !in_flight.pending.is_empty();
         in_flight.pending.push(id);
-        let message = self.messages.get_mut(&id).expect("chosen from those that wait");
+        let message = self.messages.get_mut(&id).expect("the message was chosen from the waiting ones");
         message.attempts.push(Attempt {
             endpoint: call.endpoint,
             zone,
@@ -118,7 +119,7 @@
         self.actions.push(DispatchAction::Send { msg: id, endpoint, timeout, send_before, joins_previous });
     }
 
-    /// How long the next attempt of a message is waited for: within its deadline, and at least a microsecond.
+    /// Time-out of the next attempt of a message, microseconds: not beyond its deadline, and at least one.
     fn attempt_timeout(&self, id: MsgId, route: usize) -> Micros {
         let message = &self.messages[&id];
         let call_timeout = self.routes[route].call_timeout(self.min_timeout);
--- a/courier/policy/src/dispatcher/time.rs
+++ b/courier/policy/src/dispatcher/time.rs
@@ -1,9 +1,9 @@
-//! Spans of the clock that several decisions use.
+//! Time constants that several modules use.
 
 use crate::ids::Micros;
 
 /// One second, in microseconds.
 pub const SECOND: Micros = 1_000_000;
 
-/// The end of the clock: stands for "at no time".
+/// The maximum time of the clock; means that something never happens.
 pub const NEVER: Micros = Micros::MAX;
--- a/courier/policy/src/dispatcher/visit.rs
+++ b/courier/policy/src/dispatcher/visit.rs
@@ -1,5 +1,5 @@
-//! Shows a visitor every field of the dispatcher. The patterns name all fields, so that a new one that is not shown does
-//! not compile.
+//! Passes the dispatcher's state to a visitor. The patterns list all fields, so that code with a new field that is
+//! not visited does not compile.
 
 use super::message::{Attempt, CallInFlight, CallNumber, PendingMessage};
 use super::route::{Destination, Endpoint, Route};
@@ -13,7 +13,8 @@
 use std::collections::BTreeMap;
 
 impl Dispatcher {
-    /// Shows all state that decisions depend on. The settings do not change, and the actions are empty between steps.
+    /// Passes all state that decisions depend on to the visitor. The settings are left out, since they do not change,
+    /// and the actions, which are empty between steps.
     pub fn visit_state(&self, visitor: &mut impl StateVisitor) {
         let Dispatcher {
             settings: _,
@@ -33,7 +34,7 @@
             next_call: _,
             key_queues,
             tenant_shares,
-            // These are derived from the other fields; a position only orders the messages that wait.
+            // Derived from the other fields; a position only orders the waiting messages.
             message_expiries: _,
             guarded_routes: _,
             next_position: _,
@@ -48,9 +49,9 @@
         let times = [*now, *next_expiry_check, *timer_at, *resubscribe_at, stop_at.unwrap_or(NEVER)];
         visit_times(times, visitor);
         visit_numbers([*rng_state, *resubscribe_delay, u64::from(*open_messages)], visitor);
-        let ConnectRefusal { dest, at } = last_connect_refusal;
+        let ConnectRefusal { dest, refused_at } = last_connect_refusal;
         visitor.visit_u64(*dest);
-        visitor.visit_time(*at);
+        visitor.visit_time(*refused_at);
         visitor.visit_f64(*min_timeout);
         visit_messages(messages, visitor);
         visit_endpoints(endpoints, visitor);
@@ -73,7 +74,7 @@
         visit_tenant_shares(tenant_shares, visitor);
     }
 
-    /// What the sender knows of the route that serves `endpoint`; `None` where it does not know the endpoint.
+    /// Returns a view of the route that serves `endpoint`; `None` if the endpoint is unknown.
     pub fn route(&self, endpoint: EndpointId) -> Option<RouteView> {
         let route = &self.routes[self.endpoints.get(&endpoint)?.route];
         Some(RouteView {
@@ -87,8 +88,8 @@
 }
 
 fn visit_times(times: impl IntoIterator<Item = Micros>, visitor: &mut impl StateVisitor) {
-    for at in times {
-        visitor.visit_time(at);
+    for time in times {
+        visitor.visit_time(time);
     }
 }
 
@@ -98,7 +99,7 @@
     }
 }
 
-/// Lengths of tables, or indices of them.
+/// Visits lengths of tables or indices into them.
 fn visit_lengths(lengths: impl IntoIterator<Item = usize>, visitor: &mut impl StateVisitor) {
     for length in lengths {
         visitor.visit_u64(length as u64);
@@ -212,7 +213,7 @@
     }
 }
 
-/// Calls are identified by their messages: their numbers only count the calls before them.
+/// Visits calls by their messages. The number of a call is left out, since it only counts the calls before it.
 fn visit_calls(calls: &BTreeMap<CallNumber, CallInFlight>, visitor: &mut impl StateVisitor) {
     for CallInFlight { pending, timed_out } in calls.values() {
         visitor.visit_bool(*timed_out);
@@ -262,7 +263,7 @@
         window,
         latency,
         answered_latency,
-        // `visit_outcomes` shows these.
+        // Visited by `visit_outcomes`, as are the other fields left out below.
         timeouts_in_row: _,
         last_success_sent,
         window_limited,
@@ -309,8 +310,8 @@
     answered_latency: f64,
     visitor: &mut impl StateVisitor,
 ) {
-    for (at, sample) in latency.samples().iter() {
-        visitor.visit_time(at);
+    for (measured_at, sample) in latency.samples().iter() {
+        visitor.visit_time(measured_at);
         visitor.visit_f64(sample);
     }
     visitor.visit_u64(open_streams.into());
--- a/courier/policy/src/dispatcher/window.rs
+++ b/courier/policy/src/dispatcher/window.rs
@@ -1,40 +1,42 @@
-//! The latency window of a route: how many of its calls may be in flight, and how long one is waited for.
+//! The latency window of a route: how many of its calls may be in flight, and their time-out.
 //!
-//! After Gulati and Ahmad: a smoothed latency CAL is compared with a threshold over a
-//! baseline, and the window grows or shrinks by their ratio. DEPARTURE marks where the code departs from it (`docs/design.md`).
+//! The window follows the algorithm of Gulati and Ahmad: a smoothed latency (CAL) is compared with a threshold, a
+//! multiple of a baseline, and the window grows or shrinks by their ratio. DEPARTURE marks where the code deviates
+//! from it (`docs/design.md`).
 
 use super::route::Route;
 use super::time::{NEVER, SECOND};
 use crate::ids::Micros;
 use quillmount_containers::LatencyEstimate;
 
-/// Weight of the past in CAL: the design's value, which smooths over about three calls.
+/// Weight of earlier samples in CAL: the value of the original design, which smooths over about three calls.
 pub const LATENCY_SMOOTHING: f64 = 0.7;
-/// Step of one window update: small, since the threshold lies far above the usual latency.
+/// Step of one window update: small, since the threshold is far above the usual latency.
 const WINDOW_STEP: f64 = 0.02;
-/// Constant growth, calls: small, since one call in flight may already be over a limit.
+/// Constant growth of the window, calls: small, since one call in flight may already exceed a receiver's limit.
 const WINDOW_GROWTH: f64 = 0.1;
-/// Threshold over the baseline. Service times spread widely even without a queue: where they are exponential,
-/// the fastest tenth take less than a tenth of the mean, and CAL, over three calls, spreads by two fifths of it.
+/// Threshold as a multiple of the baseline. Service times vary widely even without queueing: if they are
+/// exponentially distributed, the fastest tenth take less than a tenth of the mean, and CAL, over three calls,
+/// deviates by two fifths of the mean.
 pub const LATENCY_THRESHOLD: f64 = 16.0;
-/// Floor of CAL and of a baseline, microseconds: the design's millisecond.
+/// Lower bound of CAL and of a baseline, microseconds: the millisecond of the original design.
 pub const LATENCY_FLOOR: f64 = 1_000.0;
-/// The span over which the baseline is taken, microseconds: the design's minute.
+/// Time span of the samples for the baseline, microseconds: the minute of the original design.
 pub const BASELINE_SPAN: Micros = 60 * SECOND;
-/// Time-out of a call, multiples of the average latency of answered calls.
+/// Time-out of a call, as a multiple of the average latency of answered calls.
 pub const TIMEOUT_LATENCIES: f64 = 8.0;
-/// Least time-out of a trial call in an outage, microseconds: it is to detect the end of the outage.
+/// Minimum time-out of a trial call in an outage, microseconds: the trial call detects the end of the outage.
 const TRIAL_TIMEOUT_MIN: f64 = 1.0 * 1e6;
-/// Time-outs in a row double the next one, this many times at most.
+/// Each consecutive time-out doubles the time-out of the next call, at most this many times.
 const TIMEOUT_DOUBLINGS: u32 = 2;
 
-/// Upper bound of the windows of a destination, calls: three quarters of the slots, one at least (the design's cap).
+/// Upper bound of a route's window, calls: three quarters of the slots, at least one, as in the original design.
 pub fn window_cap(slots: u32) -> u32 {
     (slots * 3 / 4).max(1)
 }
 
 impl Route {
-    /// A route without a sample: half the cap, and no failure seen.
+    /// Creates a route without samples or failures; its window is half the cap.
     pub fn new(slots: u32) -> Self {
         let window = (f64::from(window_cap(slots)) / 2.0).max(1.0);
         Route {
@@ -45,14 +47,15 @@
         }
     }
 
-    /// The design's update after a call of this latency (microseconds): CAL, the baseline of the last minute, the window.
+    /// Updates CAL, the baseline and the window after a call of this latency (microseconds), as in the original design.
     pub fn add_latency_sample(&mut self, now: Micros, latency: f64) {
         let latency = latency.max(LATENCY_FLOOR);
         let samples_from = now.saturating_sub(BASELINE_SPAN);
         let smoothed = self.latency.add(now, latency, LATENCY_SMOOTHING, samples_from, LATENCY_FLOOR);
         let ratio = LATENCY_THRESHOLD * self.latency.baseline / smoothed;
-        // DEPARTURE: a window that limits nothing does not grow. Otherwise a burst would find a window far above any that
-        // was ever used; the cost is that a route whose demand jumps may be limited at first.
+        // DEPARTURE: a window that delayed no message does not grow. Otherwise a burst would meet a window far above
+        // any number of calls ever in flight. The cost is that a route whose demand rises suddenly may be limited at
+        // first.
         if ratio < 1.0 || self.window_limited {
             self.window =
                 (1.0 - WINDOW_STEP) * self.window + WINDOW_STEP * (ratio * self.window + WINDOW_GROWTH);
@@ -60,28 +63,29 @@
         self.window_limited = false;
     }
 
-    /// The window while calls are overdue.
+    /// Returns the window, reduced while a call is overdue.
     ///
     /// DEPARTURE: a call in flight for longer than the threshold counts as a latency sample before it ends, so that a
-    /// destination that hangs occupies few slots. One exceptionally slow call could starve a route, but pacing still allows
-    /// some calls.
+    /// destination that hangs occupies few slots. One exceptionally slow call could block a route, but pacing still
+    /// allows some calls.
     pub fn effective_window(&self, now: Micros) -> f64 {
         let mut sent_times = self.in_flight.iter().map(|(_, sent)| *sent);
-        let oldest = sent_times.find(|sent| *sent > self.last_success_sent);
-        let (Some(sent), Some(_)) = (oldest, self.latency.smoothed) else {
+        let oldest_sent = sent_times.find(|sent| *sent > self.last_success_sent);
+        let (Some(sent), Some(_)) = (oldest_sent, self.latency.smoothed) else {
             return self.window;
         };
         let age = (now - sent) as f64;
-        let limit = LATENCY_THRESHOLD * self.latency.baseline;
-        if age > limit { self.window * limit / age } else { self.window }
+        let threshold = LATENCY_THRESHOLD * self.latency.baseline;
+        if age > threshold { self.window * threshold / age } else { self.window }
     }
 
-    /// How long a call of idempotent messages is waited for, at least `min_timeout` microseconds (in an outage at least
-    /// the trial's). It derives from answered calls only, since a time-out would otherwise extend the next one; time-outs
-    /// double it instead, to distinguish a slow receiver from a silent one.
+    /// Returns the time-out of a call of idempotent messages, microseconds: at least `min_timeout`, or in an outage
+    /// at least [`TRIAL_TIMEOUT_MIN`]. It derives from answered calls only, since a time-out would otherwise lengthen
+    /// the next one. Consecutive time-outs double it instead, to distinguish a slow receiver from one that does not
+    /// answer.
     pub fn call_timeout(&self, min_timeout: f64) -> Micros {
         let doubled = f64::from(1u32 << self.timeouts_in_row.min(TIMEOUT_DOUBLINGS));
-        let least = if self.in_outage { TRIAL_TIMEOUT_MIN } else { min_timeout };
-        ((TIMEOUT_LATENCIES * self.answered_latency).max(least) * doubled) as Micros
+        let lower_bound = if self.in_outage { TRIAL_TIMEOUT_MIN } else { min_timeout };
+        ((TIMEOUT_LATENCIES * self.answered_latency).max(lower_bound) * doubled) as Micros
     }
 }
--- a/courier/policy/src/events.rs
+++ b/courier/policy/src/events.rs
@@ -1,98 +1,101 @@
-//! What the host reports to the dispatcher: submissions, the ends of calls, the endpoint list. Types only.
+//! Types of the events that the host reports to the dispatcher: submissions, ends of calls, the endpoint list.
 
 use crate::ids::{DestId, EndpointId, Micros, MsgId};
 use serde::{Deserialize, Serialize};
 
-/// State of an endpoint by the endpoint list.
+/// State of an endpoint according to the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub enum EndpointState {
-    /// It is not in the list any more.
+    /// The endpoint has been removed from the list.
     Gone,
-    /// It accepts calls.
+    /// The endpoint accepts calls.
     Ready,
-    /// It shuts down gracefully: no new call goes to it.
+    /// The endpoint shuts down gracefully: no new call is made to it.
     Draining,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct EndpointEntry {
-    /// The endpoint.
+    /// Number of the endpoint, chosen by the host.
     pub endpoint: EndpointId,
-    /// Destination that it belongs to.
+    /// Destination that the endpoint belongs to.
     pub dest: DestId,
-    /// Index of the destination's kind in the settings; one that they lack has no separate routes and no batches.
+    /// Index of the destination's kind in the settings. A kind that the settings do not have has no separate routes
+    /// and no batches.
     pub kind: usize,
-    /// Zone in which it runs.
+    /// Zone in which the endpoint runs.
     pub zone: u32,
-    /// Rate of calls a second, where the settings say so.
+    /// Rate limit, calls a second, if [`Settings::weight_is_rate`](crate::Settings::weight_is_rate) is set; otherwise
+    /// unused.
     pub weight: f64,
-    /// Its state.
+    /// Whether the endpoint accepts calls.
     pub state: EndpointState,
-    /// Operators had disabled it and it may have been restarted: the destination counts as returning from an outage.
+    /// Operators had disabled the endpoint, which may have been restarted since: its destination counts as returning
+    /// from an outage.
     pub returning: bool,
 }
 
-/// How a list of endpoints relates to the one before.
+/// How an update of the endpoint list relates to the previous list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// Its entries change the list.
+    /// The entries are changes to the previous list.
     Delta,
-    /// It is the complete list, current or cached: endpoints that it lacks are gone.
+    /// The entries are the complete list, current or cached: endpoints without an entry are gone.
     Full,
-    /// Discovery failed; there are no entries.
+    /// Discovery failed; the update has no entries.
     Failed,
 }
 
 /// A message that is submitted.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// Its number.
+    /// Number of the message, chosen by the host and used once in an instance's lifetime.
     pub id: MsgId,
-    /// Index of its class in the settings.
+    /// Index of the message's class in the settings.
     pub class: usize,
-    /// Index of its tenant in the settings, if it has one. A message of a tenant that the settings don't have is accepted and counts
-    /// against no share.
+    /// Index of the message's tenant in the settings, if it has one. A message of a tenant that the settings do not
+    /// have is accepted and counts against no share.
     pub tenant: Option<usize>,
-    /// Key for the order of messages, where the class keeps it.
+    /// Ordering key: messages with the same key are sent in order if their class sets `keep_order`.
     pub key: Option<u64>,
-    /// Time of the clock by which it must have a result.
+    /// Time of the clock by which the message must have a result.
     pub deadline: Micros,
     /// An estimate of the message's own work, microseconds, if given.
     pub work_hint: Option<Micros>,
-    /// Destination it goes to.
+    /// Destination of the message.
     pub dest: DestId,
-    /// Its body is forwarded as it arrives: a call's latency counts from [`DispatchEvent::Written`] on.
+    /// The body is forwarded while it arrives: a call's latency is measured from [`DispatchEvent::Written`].
     pub stream: bool,
-    /// Bytes that it takes in a call with other messages; 0 where calls have no size limit.
+    /// Bytes that the message occupies in a call with other messages; 0 where calls have no size limit.
     pub size: u64,
 }
 
 /// An attempt that an earlier process of the sender made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PastAttempt {
-    /// Zone of its endpoint.
+    /// Zone of the endpoint that was called.
     pub zone: u32,
-    /// When it was sent.
+    /// Time of the clock at which the attempt was sent.
     pub sent: Micros,
-    /// False only where its outcome proves that it never ran.
+    /// Whether the attempt may have run at the receiver; false only if its outcome proves that it did not.
     pub may_have_run: bool,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The receiver accepted the message.
     Ok,
     /// The receiver answered with an error.
     Error,
-    /// The receiver refused the call as over its limit; it did not run.
+    /// The receiver refused the call because it exceeds the receiver's limit; the call did not run.
     Full,
-    /// No answer came in time.
+    /// No answer arrived before the time-out.
     Timeout,
-    /// No connection could be made; the call did not run.
+    /// The connection could not be established; the call did not run.
     ConnectFailed,
-    /// The connection broke after the call was sent.
+    /// The connection was reset after the call was sent.
     Reset,
     /// The sender or its client cancelled the call.
     Cancelled,
@@ -100,14 +103,14 @@
     Moot,
 }
 
-/// What happened, as the host reports it.
+/// An event that the host reports.
 #[derive(Clone, Debug)]
 pub enum DispatchEvent {
     /// The endpoint list, or a change to it.
     List {
-        /// How it relates to the list before it.
+        /// How the update relates to the previous list.
         kind: ListUpdate,
-        /// Its entries.
+        /// Entries of the update; empty for [`ListUpdate::Failed`].
         entries: Vec<EndpointEntry>,
     },
     /// A message was submitted.
@@ -116,12 +119,12 @@
     Restore {
         /// The message.
         message: Message,
-        /// The attempts that it has had.
+        /// Attempts of the message so far, oldest first.
         past: Vec<PastAttempt>,
     },
-    /// The process ends at this time: no call starts that is unlikely to end before it.
+    /// The process stops at this time: no call is started that is unlikely to end before it.
     Stop {
-        /// Planned end, by the clock.
+        /// Time of the clock at which the process stops.
         at: Micros,
     },
     /// An attempt ended.
@@ -130,61 +133,62 @@
     Written {
         /// The message.
         msg: MsgId,
-        /// Number of its attempt, from 0.
+        /// Number of the message's attempt, from 0.
         attempt: u32,
     },
-    /// The result of a health check; none is ever requested, so it is ignored.
+    /// The result of a health check. Ignored, since the dispatcher never requests one.
     ProbeCompleted {
-        /// Endpoint that was checked.
+        /// The checked endpoint.
         endpoint: EndpointId,
-        /// How it ended.
+        /// Outcome of the health check.
         outcome: Outcome,
-        /// Its duration.
+        /// Duration of the health check, microseconds.
         elapsed: Micros,
-        /// Load report of the answer.
+        /// Load report in the answer.
         report: Vec<f64>,
     },
-    /// The message has its result by other means, or its client has gone.
+    /// The message got its result by other means, or its client has disconnected.
     Hangup {
         /// The message.
         msg: MsgId,
     },
     /// The timer fired.
     Timer {
-        /// The tag of the action that set it.
+        /// Tag of the [`DispatchAction::Timer`](crate::DispatchAction::Timer) that set the timer.
         tag: u64,
     },
-    /// A message of a peer. No decision depends on these at present.
+    /// A message from another sender. No decision depends on it at present.
     Peer {
-        /// Number of the sender that it came from.
+        /// Number of the sender that sent it.
         from: u32,
-        /// Its content.
+        /// Content of the message.
         body: Vec<u8>,
     },
-    /// The headers of an answer arrived. No decision depends on them.
+    /// The headers of an answer arrived. No decision depends on this event.
     Headers {
         /// The message.
         msg: MsgId,
-        /// Number of its attempt, from 0.
+        /// Number of the message's attempt, from 0.
         attempt: u32,
     },
 }
 
-/// How an attempt ended: one message's part in the end of a call.
+/// The end of an attempt. The end of a call is reported as one `Completion` for each of its messages.
 #[derive(Clone, Debug)]
 pub struct Completion {
     /// The message.
     pub msg: MsgId,
-    /// Number of its attempt, from 0.
+    /// Number of the message's attempt, from 0.
     pub attempt: u32,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// Duration of the call.
+    /// Duration of the call, microseconds.
     pub elapsed: Micros,
-    /// True: the message has its result.
+    /// Whether the message has its final result.
     pub finished: bool,
-    /// For [`Outcome::Full`]: how long the receiver asks to wait; 0 for no such request.
+    /// How long the receiver asked the sender to wait before the next call, microseconds; 0 for no such request. Sent
+    /// with [`Outcome::Full`].
     pub wait: Micros,
-    /// Load report of the answer: the values of its fields in the order of the settings; empty if it has none.
+    /// Load report in the answer: the values of its fields in the order of the settings; empty if there is none.
     pub load_report: Vec<f64>,
 }
--- a/courier/policy/src/ids.rs
+++ b/courier/policy/src/ids.rs
@@ -1,13 +1,13 @@
-//! Numbers by which the policy and its host identify messages, endpoints and destinations, and the unit of the clock.
+//! Identifiers of messages, endpoints and destinations that the policy and its host share, and the unit of the clock.
 
-/// A time of the clock or a span: whole microseconds.
+/// A time of the clock or a duration, in whole microseconds.
 pub type Micros = u64;
 
-/// A message, numbered by the host. A number is used once in an instance's lifetime.
+/// Number of a message, chosen by the host and used once in an instance's lifetime.
 pub type MsgId = u64;
 
-/// One endpoint of a destination, numbered by the host.
+/// Number of an endpoint of a destination, chosen by the host.
 pub type EndpointId = u32;
 
-/// A destination: a receiver of messages with one endpoint or several.
+/// Number of a destination: a receiver of messages with one or more endpoints.
 pub type DestId = u64;
--- a/courier/policy/src/lib.rs
+++ b/courier/policy/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions of a dispatcher that delivers notifications to outside receivers.
+//! Decisions of a dispatcher that delivers notifications to external receivers.
 //!
-//! The library does no I/O: it owns no clock, thread or socket. Each sender has one [`Dispatcher`] (or a [`Policy`], which
-//! wraps one for hosts that own sockets), gives it batches of [`DispatchEvent`]s with the clock in microseconds, and
-//! carries out the [`DispatchAction`]s that it returns, in order.
+//! The library does no I/O: it owns no clock, thread or socket. Each sender has one [`Dispatcher`] (or a [`Policy`],
+//! which wraps one for hosts that own sockets), passes it batches of [`DispatchEvent`]s with the clock in
+//! microseconds, and performs the returned [`DispatchAction`]s in order.
 //!
 //! ```
 //! use quillmount_policy::*;
@@ -23,8 +23,9 @@
 //! assert!(matches!(actions[0], DispatchAction::Send { msg: 1, endpoint: 0, .. }));
 //! ```
 //!
-//! Events that name an unknown message, attempt or endpoint are ignored; so are a message whose number is in use or whose
-//! class the settings lack, and an event that was processed before. A clock that runs backwards counts as standing still.
+//! Events that refer to an unknown message, attempt or endpoint are ignored. The same applies to a message whose
+//! number is in use or whose class is not in the settings, and to an event that was processed before. If the clock
+//! runs backwards, the latest earlier time is used.
 
 pub mod breaks;
 
--- a/courier/policy/src/settings.rs
+++ b/courier/policy/src/settings.rs
@@ -1,133 +1,135 @@
-//! The settings of an instance: the classes of messages, the kinds of destinations and the limits it keeps to.
+//! The settings of an instance: classes of messages, kinds of destinations, and limits.
 
 use crate::ids::Micros;
 
 /// The effect of delivering a message of a class more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// A repeat has no further effect: the message may be retried and rejected freely.
+    /// A repeat has no further effect: the message may always be retried or rejected.
     Idempotent,
     /// The receiver drops repeats.
     Deduplicated {
-        /// How long it does so, from the first attempt that may have run, microseconds.
+        /// How long the receiver drops repeats, from the first attempt that may have run, microseconds.
         span: Micros,
-        /// Only the endpoints of one zone drop them; false: all endpoints of the destination.
+        /// Whether only the endpoints of the first attempt's zone drop repeats; false if all endpoints of the
+        /// destination do.
         by_zone: bool,
     },
-    /// Must take effect at most once: a retry needs proof that no earlier attempt ran.
+    /// The message must take effect at most once: a retry needs proof that no earlier attempt ran.
     NonIdempotent,
 }
 
-/// How a message's value falls after its latency target.
+/// How a message's value decreases after its latency target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decay {
-    /// Linearly, down to the class's late value at the deadline.
+    /// Linear decrease to the class's late value at the deadline.
     Linear,
-    /// By half with each further latency target, down to the class's late value; zero from the deadline on.
+    /// The value halves with each further latency target, down to the class's late value; it is 0 from the deadline on.
     Halving,
 }
 
 /// A class of messages.
 #[derive(Clone, Debug)]
 pub struct MessageClass {
-    /// The effect of a repeat.
+    /// Effect of a repeated delivery, which decides whether a message may be retried.
     pub effect: Effect,
-    /// Age up to which a message keeps its full value, microseconds.
+    /// Age up to which a message has its full value, microseconds.
     pub latency_target: Micros,
-    /// The latency target grows by this multiple of the message's own work; 0 for none.
+    /// The latency target is extended by this multiple of the message's estimated work; 0 for no extension.
     pub latency_target_stretch: f64,
     /// Time from a message's creation to its deadline, microseconds.
     pub deadline: Micros,
-    /// Value of a message that is on time: zero or more, without a unit.
+    /// Value of a message that is delivered within the latency target: 0 or more, without a unit.
     pub value: f64,
-    /// Fraction of the value that is left just before the deadline.
+    /// Fraction of the value that remains just before the deadline.
     pub late_value: f64,
-    /// Messages with the same key are sent one after another, in the order of submission.
+    /// Whether messages with the same key are sent one after another, in the order of submission.
     pub keep_order: bool,
 }
 
-/// Bytes that the messages of one call take together at most: no body on the wire may be larger than 64 KiB.
+/// Maximum total bytes of the messages of one call: no body on the wire may be larger than 64 KiB.
 pub const MAX_CALL_BYTES: u64 = 64 * 1024 - 2;
 
 /// A kind of destination.
 #[derive(Clone, Copy, Debug)]
 pub struct DestinationKind {
-    /// Each endpoint is a route with a latency and a window of its own; false: a destination has one.
+    /// Whether each endpoint is a route with a latency and a window of its own; false if the destination has one route.
     pub separate_routes: bool,
-    /// Messages that one call may carry; 0 counts as 1.
+    /// Maximum number of messages in one call; 0 counts as 1.
     pub batch: u32,
 }
 
 /// Indices of the fields of a load report that describe a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitReportFields {
-    /// The calls of the allowance that are left.
+    /// Index of the number of calls that remain in the current allowance.
     pub left: usize,
-    /// The limit, calls a second.
+    /// Index of the limit, calls a second.
     pub rate: usize,
 }
 
-/// The configuration of an instance. Absent fields have the values of `Settings::default()`.
+/// The configuration of an instance. `Settings::default()` has no classes and no kinds.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This sender's number, from 0, among its `sender_count`.
+    /// Index of this sender, from 0 to `sender_count - 1`.
     pub sender_index: u32,
-    /// Senders that share the destinations.
+    /// Number of senders that share the destinations.
     pub sender_count: u32,
-    /// Calls that may be in flight at once.
+    /// Maximum number of calls in flight.
     pub slots: u32,
-    /// Open messages at most; shedding starts below that.
+    /// Maximum number of open messages; load shedding starts at nine tenths of it.
     pub max_open_messages: u32,
-    /// Attempts of one message at most.
+    /// Maximum number of attempts for one message.
     pub max_attempts: u32,
-    /// True where [`Cancel`](crate::DispatchAction::Cancel) is permitted.
+    /// Whether [`Cancel`](crate::DispatchAction::Cancel) is permitted.
     pub cancel: bool,
-    /// A rejection may carry advice when to submit the message again.
+    /// Whether a rejection may carry advice when to submit the message again.
     pub retry_after: bool,
-    /// Longest such advice, microseconds.
+    /// Maximum delay in such advice, microseconds.
     pub max_retry_after: Micros,
-    /// True where the endpoint list comes only after a [`Subscribe`](crate::DispatchAction::Subscribe).
+    /// Whether the host delivers the endpoint list only after a [`Subscribe`](crate::DispatchAction::Subscribe).
     pub subscription_required: bool,
-    /// True where an entry's `weight` is a rate of calls a second; false: it has no meaning.
+    /// Whether an entry's `weight` is a rate limit in calls a second; false if it is to be ignored.
     pub weight_is_rate: bool,
-    /// True where such a rate may be up to half too high or too low.
+    /// Whether such a rate may be up to half too high or too low.
     pub weight_is_approximate: bool,
-    /// Fields of a load report that describe a limit, where answers have them.
+    /// Fields of a load report that describe a limit; `None` if answers have no such fields.
     pub limit_report: Option<LimitReportFields>,
     /// Zone in which the sender runs.
     pub zone: u32,
-    /// How long an idle connection can be used, microseconds.
+    /// How long an idle connection remains usable, microseconds.
     pub keepalive: Micros,
-    /// Calls that one connection carries at once; 0 counts as 1.
+    /// Number of concurrent calls on one connection; 0 counts as 1.
     pub streams_per_connection: u32,
-    /// Share of its capacity that a destination has when it returns from an outage.
+    /// Fraction of its capacity that a destination has when it returns from an outage.
     pub slow_start_share: f64,
-    /// How long it takes until it has all of it, microseconds.
+    /// Time after its return until a destination has its full capacity, microseconds.
     pub slow_start: Micros,
-    /// Span over which calls are counted that may bring a destination down, microseconds.
+    /// Time span over which calls are counted to detect an overload of a destination, microseconds.
     pub overload_span: Micros,
-    /// Multiple of its capacity that a destination withstands over that span.
+    /// Multiple of its capacity that a destination tolerates over that span.
     pub overload_multiple: f64,
-    /// How long no other message of a key is sent after a call without an answer, microseconds.
+    /// How long no other message of the same key is sent after a call without an answer, microseconds.
     pub key_cooldown: Micros,
-    /// No call starts to an endpoint later than this after its drain was announced, microseconds. The dispatcher itself starts none
-    /// once it is told; the host asks discovery so often that it is told in time (the watch of `quillmount-core`).
+    /// No call to an endpoint starts later than this after its drain was announced, microseconds. The dispatcher
+    /// starts none after it receives the list update; the host (the watch of `quillmount-core`) polls discovery often
+    /// enough for the update to arrive in time.
     pub drain_grace: Micros,
-    /// How values fall after the latency target.
+    /// How the values of messages decrease after the latency target.
     pub decay: Decay,
-    /// Factor of the value of messages above their tenant's share.
+    /// Factor applied to the value of messages above their tenant's share.
     pub above_share_value: f64,
-    /// Price of a call to another zone; where it is above 0, endpoints in the own zone are preferred.
+    /// Price of a call to another zone. If it is above 0, endpoints in the sender's zone are preferred.
     pub cross_zone_price: f64,
-    /// Classes; a message names its class by the index.
+    /// Classes of messages; [`Message::class`](crate::Message::class) is an index into them.
     pub classes: Vec<MessageClass>,
-    /// Streams whose last byte has not been written, at most.
+    /// Maximum number of streams whose last byte has not been written.
     pub stream_slots: u32,
-    /// The share of a route's window that streams may use.
+    /// Fraction of a route's window that streams may use.
     pub stream_window_share: f64,
-    /// Messages a second inside each tenant's share, over all senders; 0 for no such limit.
+    /// Share of each tenant, messages a second over all senders; 0 for no limit.
     pub tenants: Vec<f64>,
-    /// Kinds of destinations; an entry of the endpoint list names its kind by the index.
+    /// Kinds of destinations; [`EndpointEntry::kind`](crate::EndpointEntry::kind) is an index into them.
     pub kinds: Vec<DestinationKind>,
 }
 
@@ -171,7 +173,7 @@
     /// Checks that an instance can run under these settings.
     ///
     /// # Errors
-    /// There is no slot or no attempt, or a share or value is no finite number of zero or more.
+    /// `slots` or `max_attempts` is 0, or a share, rate or value is negative, infinite or NaN.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.slots == 0 {
             return Err(SettingsError::NoSlot);
@@ -200,19 +202,19 @@
     }
 }
 
-/// Settings that no instance can run under, with the reason.
+/// The reason why [`Settings::check`] rejects the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// No call may be in flight.
-    #[error("impossible settings: slots is 0")]
+    /// `slots` is 0, so that no call could be made.
+    #[error("invalid settings: slots is 0, set it to 1 or more")]
     NoSlot,
-    /// No attempt may be made.
-    #[error("impossible settings: max_attempts is 0")]
+    /// `max_attempts` is 0, so that no message could be sent.
+    #[error("invalid settings: max_attempts is 0, set it to 1 or more")]
     NoAttempt,
-    /// A share, rate or value is negative, infinite or no number.
-    #[error("impossible settings: the {field} is no number of zero or more")]
+    /// A share, rate or value is negative, infinite or NaN.
+    #[error("invalid settings: the {field} must be a finite number of 0 or more")]
     InvalidNumber {
-        /// What the number is.
+        /// Name of the field, as in the error message.
         field: &'static str,
     },
 }
--- a/courier/policy/src/settings_mark.rs
+++ b/courier/policy/src/settings_mark.rs
@@ -1,11 +1,12 @@
-//! The text of the settings, of which two processes compare a checksum on an upgrade. Its names are those of the first
-//! version and never follow a rename in the code: an older process would take the settings for different ones.
+//! Stable text form of the settings: on an upgrade two processes compare its checksum. The names in the text are
+//! those of the first version and do not follow renames in the code, since an older process would consider the
+//! settings different.
 
 use crate::settings::{Decay, DestinationKind, Effect, MessageClass, Settings};
 use std::fmt::{Debug, Formatter, Result};
 
 impl Settings {
-    /// The settings as one line of text, in the stable form whose checksum is compared.
+    /// Returns the settings as one line of text, in the stable form whose checksum two processes compare.
     pub fn mark_text(&self) -> String {
         format!("{:?}", SettingsText(self))
     }
