--- a/courier/policy/examples/waiting_messages.rs
+++ b/courier/policy/examples/waiting_messages.rs
@@ -1,5 +1,5 @@
-//! The cost of a step by the number of messages that wait for a destination in an outage: microseconds a step, in one
-//! run, so that the rows can be compared.
+//! Measures the cost of a step, in microseconds, by the number of messages that wait for a destination in an outage.
+//! All rows are measured in one run, so that they can be compared.
 //!
 //!     cargo run --release --example waiting_messages
 
@@ -10,21 +10,21 @@
 use std::time::Instant;
 
 const SEC: Micros = 1_000_000;
-/// Steps that are timed.
+/// Number of measured steps.
 const STEPS: u64 = 400;
 
 fn main() {
-    println!("| held | us a step | times the first |\n| --- | --- | --- |");
+    println!("| waiting messages | us per step | relative to the first row |\n| --- | --- | --- |");
     let mut first = None;
-    for held in [100, 1_000, 10_000, 100_000] {
-        let Ok(mut new) = Dispatcher::new(settings(held), 7) else { return };
-        let now = cost(held, |now, events| new.step(now, events));
-        let base = *first.get_or_insert(now);
-        println!("| {held} | {now:.1} | {:.1} |", now / base);
+    for waiting in [100, 1_000, 10_000, 100_000] {
+        let Ok(mut dispatcher) = Dispatcher::new(settings(waiting), 7) else { return };
+        let step_cost = cost(waiting, |now, events| dispatcher.step(now, events));
+        let base = *first.get_or_insert(step_cost);
+        println!("| {waiting} | {step_cost:.1} | {:.1} |", step_cost / base);
     }
 }
 
-fn settings(held: u64) -> Settings {
+fn settings(waiting: u64) -> Settings {
     let class = MessageClass {
         effect: Effect::NonIdempotent,
         latency_target: 3 * SEC,
@@ -36,7 +36,7 @@
     };
     Settings {
         slots: 24,
-        max_open_messages: 2 * held as u32,
+        max_open_messages: 2 * waiting as u32,
         cancel: true,
         sender_count: 2,
         weight_is_rate: true,
@@ -46,8 +46,9 @@
     }
 }
 
-/// Messages are submitted for a destination whose calls all time out, and as many messages end.
-fn cost(held: u64, mut decide: impl FnMut(Micros, &[DispatchEvent]) -> Vec<DispatchAction>) -> f64 {
+/// Returns the cost of a step, microseconds. In each step a message is submitted for a destination whose calls all
+/// time out, and one of its calls ends.
+fn cost(waiting: u64, mut decide: impl FnMut(Micros, &[DispatchEvent]) -> Vec<DispatchAction>) -> f64 {
     let entries = (0..20).map(|n| EndpointEntry {
         endpoint: n,
         dest: n.into(),
@@ -58,7 +59,7 @@
         returning: false,
     });
     let list = DispatchEvent::List { kind: ListUpdate::Full, entries: entries.collect() };
-    let (mut now, mut id, mut out) = (SEC, 0, Vec::new());
+    let (mut now, mut id, mut sent) = (SEC, 0, Vec::new());
     let submit = |id: u64, now: Micros| {
         let deadline = now + 12 * SEC;
         DispatchEvent::Submit(Message {
@@ -76,20 +77,20 @@
     let mut step = |now: Micros, events: &[DispatchEvent]| {
         for action in decide(now, events) {
             if let DispatchAction::Send { msg, .. } = action {
-                out.push(msg);
+                sent.push(msg);
             }
         }
-        std::mem::take(&mut out)
+        std::mem::take(&mut sent)
     };
     step(now, &[list]);
     let mut calls = Vec::new();
-    for _ in 0..held {
+    for _ in 0..waiting {
         id += 1;
         calls.extend(step(now, &[submit(id, now)]));
     }
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for _ in 0..STEPS {
-        now += 12 * SEC / held;
+        now += 12 * SEC / waiting;
         id += 1;
         let mut events = vec![submit(id, now)];
         if let Some(msg) = calls.pop() {
@@ -105,5 +106,5 @@
         }
         calls.extend(step(now, &events));
     }
-    begun.elapsed().as_secs_f64() * 1e6 / STEPS as f64
+    started_at.elapsed().as_secs_f64() * 1e6 / STEPS as f64
 }
--- a/courier/policy/src/dispatcher.rs
+++ b/courier/policy/src/dispatcher.rs
@@ -112,7 +112,7 @@
             DispatchEvent::List { kind, entries } => self.on_list(*kind, entries),
             DispatchEvent::Submit(message) => self.on_submit(message, None),
             DispatchEvent::Restore { message, past } => self.on_submit(message, Some(past)),
-            DispatchEvent::Stop { at } => self.stop_at = Some(*at),
+            DispatchEvent::Stop { stop_at } => self.stop_at = Some(*stop_at),
             DispatchEvent::Completed(completion) => self.on_completed(completion),
             DispatchEvent::Written { msg, attempt } => self.on_written(*msg, *attempt),
             DispatchEvent::Hangup { msg } => self.finish(*msg),
--- a/courier/policy/src/dispatcher/expiry.rs
+++ b/courier/policy/src/dispatcher/expiry.rs
@@ -63,7 +63,7 @@
         } else {
             message.deadline.saturating_sub(lead)
         };
-        // A message whose turn is too late expires now: other senders, which may have seen no failure, may still
+        // A message whose turn is too late expires now: other senders, which may not have observed a failure, may still
         // deliver it. After a missed turn the expected turn is computed again. A restored message without an attempt
         // does not expire because of a late turn.
         let latest = match turn {
--- a/courier/policy/src/dispatcher/health.rs
+++ b/courier/policy/src/dispatcher/health.rs
@@ -41,7 +41,7 @@
 const FIRST_BACKOFF_SHARE: f64 = 0.1;
 /// Jitter of the proportional back-off, large since the messages of a burst fail together.
 const PROPORTIONAL_JITTER: f64 = 0.8;
-/// Jitter of back-offs, so that senders do not synchronise.
+/// Jitter of back-offs, so that senders do not synchronize.
 pub const JITTER: f64 = 0.2;
 /// An allowance counts as used up if less than this is reported as remaining: the report is slightly out of date.
 const ALLOWANCE_USED_UP: f64 = 0.75;
--- a/courier/policy/src/dispatcher/send.rs
+++ b/courier/policy/src/dispatcher/send.rs
@@ -9,7 +9,7 @@
 
 /// Weight that each further message adds to a call under the slow-start guard.
 const EXTRA_MESSAGE_WEIGHT: f64 = 0.25;
-/// Factor of the time-out of a message that is not idempotent, since a time-out ends such a message.
+/// Factor by which the time-out of a message that is not idempotent is longer, since a time-out ends such a message.
 pub const NON_IDEMPOTENT_TIMEOUT_FACTOR: f64 = 2.0;
 
 /// A call that is being assembled.
--- a/courier/policy/src/dispatcher/window.rs
+++ b/courier/policy/src/dispatcher/window.rs
@@ -30,7 +30,8 @@
 /// Each consecutive time-out doubles the time-out of the next call, at most this many times.
 const TIMEOUT_DOUBLINGS: u32 = 2;
 
-/// Upper bound of a route's window, calls: three quarters of the slots, at least one, as in the original design.
+/// Upper bound of a route's window and of the calls in flight to a destination: three quarters of the slots, at least
+/// one, as in the original design.
 pub fn window_cap(slots: u32) -> u32 {
     (slots * 3 / 4).max(1)
 }
--- a/courier/policy/src/events.rs
+++ b/courier/policy/src/events.rs
@@ -125,7 +125,7 @@
     /// The process stops at this time: no call is started that is unlikely to end before it.
     Stop {
         /// Time of the clock at which the process stops.
-        at: Micros,
+        stop_at: Micros,
     },
     /// An attempt ended.
     Completed(Completion),
--- a/courier/policy/src/policy.rs
+++ b/courier/policy/src/policy.rs
@@ -107,7 +107,7 @@
 
     /// Announces that the process stops at `stop_at`: no call is started that is unlikely to end before it.
     pub fn stop(&mut self, now: Micros, stop_at: Micros) -> Vec<Instruction> {
-        self.step(now, DispatchEvent::Stop { at: stop_at })
+        self.step(now, DispatchEvent::Stop { stop_at })
     }
 
     /// Time of the clock at which the host calls [`Policy::tick`] next; `None` if only events can change anything.
--- a/courier/policy/src/settings.rs
+++ b/courier/policy/src/settings.rs
@@ -85,13 +85,13 @@
     pub cancel: bool,
     /// Whether a rejection may carry advice when to submit the message again.
     pub retry_after: bool,
-    /// Maximum delay in such advice, microseconds.
+    /// Maximum delay that a rejection advises, microseconds.
     pub max_retry_after: Micros,
     /// Whether the host delivers the endpoint list only after a [`Subscribe`](crate::DispatchAction::Subscribe).
     pub subscription_required: bool,
     /// Whether an entry's `weight` is a rate limit in calls a second; false if it is to be ignored.
     pub weight_is_rate: bool,
-    /// Whether such a rate may be up to half too high or too low.
+    /// Whether a rate in an entry's `weight` may be up to half too high or too low.
     pub weight_is_approximate: bool,
     /// Fields of a load report that describe a limit; `None` if answers have no such fields.
     pub limit_report: Option<LimitReportFields>,
--- a/courier/policy/tests/full_tables.rs
+++ b/courier/policy/tests/full_tables.rs
@@ -1,28 +1,30 @@
-//! Connects that are refused at once: an outage affects one destination, so that two such refusals mean full tables.
+//! Connects that are refused quickly: an outage affects one destination, so refusals at two destinations indicate
+//! that the sender's connection table is full.
 
 mod common;
 use common::*;
 use quillmount_policy::*;
 
-/// Many senders: each calls a destination too seldom to see an answer between two refusals.
+/// One of many senders, which calls a destination too rarely to get an answer between two refusals.
 fn sparsely_served_world() -> World {
     let mut set = settings(8);
     (set.sender_count, set.sender_index) = (300, 7);
     World::new(set, 7)
 }
 
-/// A sender with an idle connection at destination 7, after connects were refused there: the connections it closes.
-fn closed_after(refused: &[DestId], apart: Micros) -> Vec<EndpointId> {
-    let mut w = sparsely_served_world();
-    w.list(ListUpdate::Full, &[entry(0, 5), entry(1, 6), entry(2, 7)]);
-    let rests = w.submit(0, 7);
-    w.finish_after(rests, SEC / 10, Outcome::Ok);
+/// Returns the endpoints whose idle connections a sender closes after connects were refused at these destinations,
+/// `interval` apart. The sender has an idle connection to destination 7.
+fn closed_after(refused: &[DestId], interval: Micros) -> Vec<EndpointId> {
+    let mut world = sparsely_served_world();
+    world.list(ListUpdate::Full, &[entry(0, 5), entry(1, 6), entry(2, 7)]);
+    let idle = world.submit(0, 7);
+    world.finish_after(idle, SEC / 10, Outcome::Ok);
     for dest in refused {
-        let msg = w.submit(0, *dest);
-        w.finish_after(msg, SEC / 100, Outcome::ConnectFailed);
-        w.pass(apart);
+        let msg = world.submit(0, *dest);
+        world.finish_after(msg, SEC / 100, Outcome::ConnectFailed);
+        world.pass(interval);
     }
-    let closes = w.log.iter().filter_map(|(_, act)| match act {
+    let closes = world.log.iter().filter_map(|(_, action)| match action {
         DispatchAction::CloseIdle { endpoint } => Some(*endpoint),
         _ => None,
     });
@@ -40,30 +42,31 @@
     assert_eq!(closed_after(&[5, 6], 12 * SEC), []);
 }
 
-/// Where few share a destination, an outage of two is the likelier.
+/// With few senders, an outage of both destinations is more likely than a full connection table.
 #[test]
 fn with_few_senders_two_refusing_destinations_close_nothing_elsewhere() {
-    let mut w = World::new(settings(8), 7);
-    w.list(ListUpdate::Full, &[entry(0, 5), entry(1, 6), entry(2, 7)]);
-    let rests = w.submit(0, 7);
-    w.finish_after(rests, SEC / 10, Outcome::Ok);
+    let mut world = World::new(settings(8), 7);
+    world.list(ListUpdate::Full, &[entry(0, 5), entry(1, 6), entry(2, 7)]);
+    let idle = world.submit(0, 7);
+    world.finish_after(idle, SEC / 10, Outcome::Ok);
     for dest in [5, 6] {
-        let msg = w.submit(0, dest);
-        w.finish_after(msg, SEC / 100, Outcome::ConnectFailed);
+        let msg = world.submit(0, dest);
+        world.finish_after(msg, SEC / 100, Outcome::ConnectFailed);
     }
-    assert!(!w.log.iter().any(|(_, act)| *act == DispatchAction::CloseIdle { endpoint: 2 }));
+    assert!(!world.log.iter().any(|(_, action)| *action == DispatchAction::CloseIdle { endpoint: 2 }));
 }
 
-/// While they are full each connection is closed after its call, also where none was refused.
+/// While the connection tables are considered full, each connection is closed after its call, also to endpoints that
+/// refused none.
 #[test]
 fn connections_opened_while_tables_are_full_are_closed_after_their_call() {
-    let mut w = sparsely_served_world();
-    w.list(ListUpdate::Full, &[entry(0, 5), entry(1, 6), entry(2, 7)]);
+    let mut world = sparsely_served_world();
+    world.list(ListUpdate::Full, &[entry(0, 5), entry(1, 6), entry(2, 7)]);
     for dest in [5, 6] {
-        let msg = w.submit(0, dest);
-        w.finish_after(msg, SEC / 100, Outcome::ConnectFailed);
+        let msg = world.submit(0, dest);
+        world.finish_after(msg, SEC / 100, Outcome::ConnectFailed);
     }
-    let msg = w.submit(0, 7);
-    let acts = w.finish_after(msg, SEC / 10, Outcome::Ok);
-    assert!(acts.contains(&DispatchAction::CloseIdle { endpoint: 2 }), "{acts:?}");
+    let msg = world.submit(0, 7);
+    let actions = world.finish_after(msg, SEC / 10, Outcome::Ok);
+    assert!(actions.contains(&DispatchAction::CloseIdle { endpoint: 2 }), "{actions:?}");
 }
--- a/courier/policy/tests/guard.rs
+++ b/courier/policy/tests/guard.rs
@@ -1,35 +1,37 @@
-//! The guard of a returning destination: what senders that saw a failure may send it together.
+//! The slow-start guard of a returning destination: the calls that informed senders, which observed a failure, may
+//! make together.
 
 mod common;
 use common::*;
 use quillmount_policy::*;
 
-const FALL: Micros = 3 * SEC / 2;
-const COLD: Micros = 11 * SEC;
-/// A sender of 270 whose first turn at a destination of six calls a second comes after most of a minute.
-const FAR: u32 = 250;
+const OVERLOAD_SPAN: Micros = 3 * SEC / 2;
+const SLOW_START: Micros = 11 * SEC;
+/// Index of a sender among 270 whose first turn at a destination of six calls a second comes after most of a minute.
+const LATE_TURN_INDEX: u32 = 250;
 
-fn set(senders: u32, me: u32) -> Settings {
+fn guard_settings(senders: u32, index: u32) -> Settings {
     let mut set = settings(8);
-    (set.sender_count, set.sender_index, set.overload_span, set.overload_multiple) = (senders, me, FALL, 2.0);
-    (set.slow_start_share, set.slow_start, set.weight_is_approximate) = (0.2, COLD, true);
+    (set.sender_count, set.sender_index, set.overload_span, set.overload_multiple) =
+        (senders, index, OVERLOAD_SPAN, 2.0);
+    (set.slow_start_share, set.slow_start, set.weight_is_approximate) = (0.2, SLOW_START, true);
     set
 }
 
-fn world(senders: u32, me: u32, weight: f64) -> World {
-    let mut w = World::new(set(senders, me), u64::from(me));
-    w.list(
+fn new_world(senders: u32, index: u32, weight: f64) -> World {
+    let mut world = World::new(guard_settings(senders, index), u64::from(index));
+    world.list(
         ListUpdate::Full,
         &[EndpointEntry { weight, ..entry(0, 5) }, EndpointEntry { weight, ..entry(1, 5) }],
     );
-    w
+    world
 }
 
-/// Full calls in any overload span: two thirds of N + 2 root N + 2, N being multiple x cold share x true rate x
-/// span, where the listed rate may be half too high.
-fn bound(weight: f64) -> usize {
-    let n = 2.0 * 0.2 * (weight / 1.5) * 1.5;
-    (2.0 / 3.0 * (n + 2.0 * f64::sqrt(n) + 2.0)) as usize
+/// Maximum number of calls in any overload span: two thirds of N + 2 sqrt(N) + 2, where N = overload multiple x
+/// slow-start share x true rate x span. The listed rate may be half too high.
+fn max_guarded_calls(weight: f64) -> usize {
+    let allowed = 2.0 * 0.2 * (weight / 1.5) * 1.5;
+    (2.0 / 3.0 * (allowed + 2.0 * f64::sqrt(allowed) + 2.0)) as usize
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -41,65 +43,66 @@
     Errors,
 }
 
-/// A sender as the test sees it, independent of the policy.
+/// The test's own model of a sender's guard, independent of the policy.
 #[derive(Default, Clone)]
-struct Seen {
-    failed: Option<Micros>,
-    proven: Option<Micros>,
+struct GuardModel {
+    failed_at: Option<Micros>,
+    recovered_at: Option<Micros>,
 }
 
-impl Seen {
-    fn binds(&self, now: Micros) -> bool {
-        self.failed.is_some() && self.proven.is_none_or(|t| now < t + COLD)
+impl GuardModel {
+    fn is_guarded(&self, now: Micros) -> bool {
+        self.failed_at.is_some() && self.recovered_at.is_none_or(|t| now < t + SLOW_START)
     }
 
-    /// A call that was sent at `sent` ended.
+    /// Records the end of a call that was sent at `sent`.
     fn record(&mut self, now: Micros, sent: Micros, outcome: Outcome) {
         if outcome != Outcome::Ok {
-            (self.failed, self.proven) = (Some(now), None);
-        } else if self.failed.is_some_and(|failed| sent >= failed) {
-            self.proven = self.proven.or(Some(now));
+            (self.failed_at, self.recovered_at) = (Some(now), None);
+        } else if self.failed_at.is_some_and(|failed| sent >= failed) {
+            self.recovered_at = self.recovered_at.or(Some(now));
         }
     }
 }
 
-/// All senders have a message every two seconds and call in the outage's first second. Returns the
-/// times of the calls of senders that had seen a failure, until the destination is warm.
+/// Simulates senders that each have a message every two seconds and call in the first second of the outage. Returns
+/// the times of the calls by senders that had observed a failure, until the slow start has ended. `clocks_agree`: all
+/// senders have the same clock.
 fn calls_of_senders(
     senders: u32,
     weight: f64,
     kind: FaultKind,
     outages: &[(Micros, Micros)],
-    clocks: bool,
+    clocks_agree: bool,
 ) -> Vec<Micros> {
-    let offset = |n: u64| if clocks { 0 } else { n * 7_654_321 % (600 * SEC) };
-    let mut worlds: Vec<World> = (0..senders).map(|n| world(senders, n, weight)).collect();
-    for (n, w) in (0..).zip(worlds.iter_mut()) {
-        w.pass(offset(n));
+    let offset = |n: u64| if clocks_agree { 0 } else { n * 7_654_321 % (600 * SEC) };
+    let mut worlds: Vec<World> = (0..senders).map(|n| new_world(senders, n, weight)).collect();
+    for (n, world) in (0..).zip(worlds.iter_mut()) {
+        world.pass(offset(n));
     }
-    let start: Vec<Micros> = worlds.iter().map(|w| w.now).collect();
-    let mut seen = vec![Seen::default(); worlds.len()];
+    let start: Vec<Micros> = worlds.iter().map(|world| world.now).collect();
+    let mut models = vec![GuardModel::default(); worlds.len()];
     let (mut calls_of_informed_senders, mut calls) = (Vec::new(), 0u64);
-    let end = outages.last().unwrap().1 + COLD;
+    let end = outages.last().unwrap().1 + SLOW_START;
     let mut due: Vec<Vec<(Micros, MsgId, Outcome)>> = vec![Vec::new(); worlds.len()];
     for now in (0..end).step_by(20_000) {
         let down = outages.iter().any(|(from, to)| (*from..*to).contains(&now));
-        for (n, w) in worlds.iter_mut().enumerate() {
-            let before = w.log.len();
-            w.pass(start[n] + now - w.now);
-            let (over, later) = due[n].iter().partition(|(at, ..)| *at <= now);
+        for (n, world) in worlds.iter_mut().enumerate() {
+            let before = world.log.len();
+            world.pass(start[n] + now - world.now);
+            let (ended, later) = due[n].iter().partition(|(at, ..)| *at <= now);
             due[n] = later;
-            let over: Vec<(Micros, MsgId, Outcome)> = over;
-            let binds = seen[n].binds(now);
-            for (_, m, outcome) in over {
-                let sent = w.in_flight[&(m, w.attempts[&m] - 1)].1 - start[n];
-                w.finish(m, outcome, 0);
-                seen[n].record(now, sent, outcome);
+            let ended: Vec<(Micros, MsgId, Outcome)> = ended;
+            let is_guarded = models[n].is_guarded(now);
+            for (_, id, outcome) in ended {
+                let sent = world.in_flight[&(id, world.attempts[&id] - 1)].1 - start[n];
+                world.finish(id, outcome, 0);
+                models[n].record(now, sent, outcome);
             }
             if (now + n as u64 * 20_000) % (2 * SEC) < 20_000 || (now == 0 && outages[0].0 == 0) {
-                w.submit(0, 5);
+                world.submit(0, 5);
             }
-            let sends: Vec<(MsgId, Micros)> = w.log[before..]
+            let sends: Vec<(MsgId, Micros)> = world.log[before..]
                 .iter()
                 .filter_map(|(_, a)| match a {
                     DispatchAction::Send { msg, timeout, .. } => Some((*msg, *timeout)),
@@ -108,7 +111,7 @@
                 .collect();
             for (msg, timeout) in sends {
                 calls += 1;
-                if binds {
+                if is_guarded {
                     calls_of_informed_senders.push(now);
                 }
                 due[n].push(match kind {
@@ -122,112 +125,121 @@
             }
         }
     }
-    assert!(seen.iter().filter(|s| s.failed.is_some()).count() * 10 >= worlds.len() * 9);
+    assert!(models.iter().filter(|model| model.failed_at.is_some()).count() * 10 >= worlds.len() * 9);
     calls_of_informed_senders
 }
 
-fn worst(calls: &[Micros]) -> usize {
-    calls.iter().map(|t| calls.iter().filter(|u| (*t..t + FALL).contains(u)).count()).max().unwrap_or(0)
+fn max_calls_in_span(calls: &[Micros]) -> usize {
+    calls
+        .iter()
+        .map(|t| calls.iter().filter(|u| (*t..t + OVERLOAD_SPAN).contains(u)).count())
+        .max()
+        .unwrap_or(0)
 }
 
-fn assert_bound_holds(senders: u32, weight: f64, kind: FaultKind, outage: Micros) {
+fn assert_within_limit(senders: u32, weight: f64, kind: FaultKind, outage: Micros) {
     let calls = calls_of_senders(senders, weight, kind, &[(0, outage)], true);
-    let (worst, most) = (worst(&calls), bound(weight));
+    let (max_in_span, limit) = (max_calls_in_span(&calls), max_guarded_calls(weight));
     assert!(
-        worst <= most,
-        "{senders} senders, {weight}/s, {kind:?} for {outage}: {worst} of {most} in a span"
+        max_in_span <= limit,
+        "{senders} senders, {weight}/s, {kind:?} for {outage}: {max_in_span} calls in a span, {limit} allowed"
     );
-    assert!(!calls.is_empty(), "somebody must try");
+    assert!(!calls.is_empty(), "at least one informed sender must call");
 }
 
 #[test]
-fn forty_senders_keep_to_the_bound() {
+fn forty_senders_keep_within_the_budget() {
     for kind in [FaultKind::Refused, FaultKind::Silent, FaultKind::NoConnect, FaultKind::Errors] {
         for outage in [6, 14, 27] {
-            assert_bound_holds(40, 6.0, kind, outage * SEC);
+            assert_within_limit(40, 6.0, kind, outage * SEC);
         }
     }
 }
 
 #[test]
-fn two_hundred_and_seventy_senders_keep_to_the_bound() {
+fn two_hundred_and_seventy_senders_keep_within_the_budget() {
     for kind in [FaultKind::Refused, FaultKind::Silent, FaultKind::NoConnect, FaultKind::Errors] {
-        assert_bound_holds(270, 6.0, kind, 9 * SEC);
-        assert_bound_holds(270, 45.0, kind, 16 * SEC);
+        assert_within_limit(270, 6.0, kind, 9 * SEC);
+        assert_within_limit(270, 45.0, kind, 16 * SEC);
     }
 }
 
 #[test]
-fn a_thousand_senders_keep_to_the_bound() {
+fn a_thousand_senders_keep_within_the_budget() {
     for (kind, outage) in
         [(FaultKind::Refused, 12), (FaultKind::Silent, 9), (FaultKind::NoConnect, 5), (FaultKind::Errors, 12)]
     {
-        assert_bound_holds(1_000, 6.0, kind, outage * SEC);
+        assert_within_limit(1_000, 6.0, kind, outage * SEC);
     }
-    assert_bound_holds(1_000, 100.0, FaultKind::Refused, 8 * SEC);
+    assert_within_limit(1_000, 100.0, FaultKind::Refused, 8 * SEC);
 }
 
 #[test]
-fn a_destination_that_stops_and_returns_twice_is_not_pushed_over() {
+fn a_destination_with_two_outages_is_not_overloaded() {
     let calls = calls_of_senders(270, 20.0, FaultKind::Refused, &[(0, 8 * SEC), (14 * SEC, 24 * SEC)], true);
-    assert!(worst(&calls) <= bound(20.0), "{} in a span", worst(&calls));
+    assert!(max_calls_in_span(&calls) <= max_guarded_calls(20.0), "{} in a span", max_calls_in_span(&calls));
 }
 
-/// Clocks that do not agree leave the mean as it is; calls then meet by chance only.
+/// If the senders' clocks differ, the mean rate stays the same and calls coincide only by chance.
 #[test]
 fn senders_whose_clocks_differ_are_spread() {
     let calls = calls_of_senders(270, 45.0, FaultKind::Refused, &[(0, 20 * SEC)], false);
-    let most = bound(45.0) as f64;
+    let limit = max_guarded_calls(45.0) as f64;
     let spans = 31.0 / 1.5;
-    assert!(calls.len() as f64 <= spans * (most + 1.0), "{} calls", calls.len());
-    assert!(worst(&calls) as f64 <= most + 3.0 * most.sqrt(), "{} in a span", worst(&calls));
+    assert!(calls.len() as f64 <= spans * (limit + 1.0), "{} calls", calls.len());
+    assert!(
+        max_calls_in_span(&calls) as f64 <= limit + 3.0 * limit.sqrt(),
+        "{} in a span",
+        max_calls_in_span(&calls)
+    );
 }
 
-/// A sender among `senders` that saw one call fail after a good one.
+/// One of `senders` senders, which observed one failed call after a successful one.
 fn failed_once(senders: u32) -> World {
-    let mut w = world(senders, if senders > 40 { FAR } else { 3 }, 6.0);
+    let mut world = new_world(senders, if senders > 40 { LATE_TURN_INDEX } else { 3 }, 6.0);
     for outcome in [Outcome::Ok, Outcome::Full] {
-        let m = w.submit(0, 5);
-        w.finish(m, outcome, 0);
+        let id = world.submit(0, 5);
+        world.finish(id, outcome, 0);
     }
-    w
+    world
 }
 
-fn sends_in(w: &mut World, span: Micros) -> usize {
-    let before = w.log.len();
+fn sends_in(world: &mut World, span: Micros) -> usize {
+    let before = world.log.len();
     for _ in 0..span / SEC {
-        w.submit(0, 5);
-        w.pass(SEC);
+        world.submit(0, 5);
+        world.pass(SEC);
     }
-    w.log[before..].iter().filter(|(_, a)| matches!(a, DispatchAction::Send { .. })).count()
+    world.log[before..].iter().filter(|(_, action)| matches!(action, DispatchAction::Send { .. })).count()
 }
 
 #[test]
-fn weights_that_say_nothing_take_the_strict_side_and_shut_nobody_out() {
+fn unusable_weights_count_as_one_call_a_second_and_exclude_no_sender() {
     for weight in [0.0, -4.0, f64::NAN, f64::INFINITY] {
-        let mut w = world(40, 3, weight);
-        let m = w.submit(0, 5);
-        w.finish(m, Outcome::Error, 0);
-        // One call a second, half too high: three calls a span of all forty, a turn in 21 s.
-        let sends = sends_in(&mut w, 300 * SEC);
+        let mut world = new_world(40, 3, weight);
+        let id = world.submit(0, 5);
+        world.finish(id, Outcome::Error, 0);
+        // At one call a second, which may be half too high, all forty senders may make three calls a span: a turn
+        // every 21 s.
+        let sends = sends_in(&mut world, 300 * SEC);
         assert!((1..=15).contains(&sends), "{sends} calls at a weight of {weight}");
     }
 }
 
 #[test]
-fn an_approximate_weight_is_taken_to_be_half_too_high() {
-    let calls = |rough: bool| {
-        let mut s = set(270, FAR);
-        s.weight_is_approximate = rough;
-        let mut w = World::new(s, 1);
-        w.list(ListUpdate::Full, &[EndpointEntry { weight: 30.0, ..entry(0, 5) }]);
-        let m = w.submit(0, 5);
-        w.finish(m, Outcome::Error, 0);
+fn an_approximate_weight_is_assumed_to_be_half_too_high() {
+    let calls = |is_approximate: bool| {
+        let mut settings = guard_settings(270, LATE_TURN_INDEX);
+        settings.weight_is_approximate = is_approximate;
+        let mut world = World::new(settings, 1);
+        world.list(ListUpdate::Full, &[EndpointEntry { weight: 30.0, ..entry(0, 5) }]);
+        let id = world.submit(0, 5);
+        world.finish(id, Outcome::Error, 0);
         let mut n = 0;
         for _ in 0..200 {
-            n += sends_in(&mut w, SEC);
-            let out: Vec<MsgId> = w.in_flight.keys().map(|k| k.0).collect();
-            out.into_iter().for_each(|m| drop(w.finish(m, Outcome::Error, 0)));
+            n += sends_in(&mut world, SEC);
+            let out: Vec<MsgId> = world.in_flight.keys().map(|k| k.0).collect();
+            out.into_iter().for_each(|id| drop(world.finish(id, Outcome::Error, 0)));
         }
         n
     };
@@ -235,195 +247,205 @@
 }
 
 #[test]
-fn a_success_of_a_call_sent_before_the_failure_was_seen_opens_nothing() {
-    let mut w = world(270, FAR, 6.0);
-    let early = w.submit(0, 5);
-    let failing = w.submit(0, 5);
-    w.finish(failing, Outcome::Error, 0);
-    w.finish_after(early, SEC, Outcome::Ok);
-    assert_eq!(sends_in(&mut w, 40 * SEC), 0);
+fn a_success_of_a_call_sent_before_the_failure_does_not_end_the_guard() {
+    let mut world = new_world(270, LATE_TURN_INDEX, 6.0);
+    let early = world.submit(0, 5);
+    let failing = world.submit(0, 5);
+    world.finish(failing, Outcome::Error, 0);
+    world.finish_after(early, SEC, Outcome::Ok);
+    assert_eq!(sends_in(&mut world, 40 * SEC), 0);
 }
 
 #[test]
 fn the_guard_ends_one_slow_start_after_a_success_and_a_failure_meanwhile_restarts_it() {
     for disturbed in [false, true] {
-        let mut w = failed_once(40);
+        let mut world = failed_once(40);
         let mut probe = None;
         for _ in 0..200 {
-            let m = w.submit(0, 5);
-            w.pass(SEC);
-            probe = w.in_flight.keys().next().map(|k| k.0);
-            if probe.is_some() || w.answers(m).is_empty() && w.sends(m) > 0 {
+            let id = world.submit(0, 5);
+            world.pass(SEC);
+            probe = world.in_flight.keys().next().map(|k| k.0);
+            if probe.is_some() || world.answers(id).is_empty() && world.sends(id) > 0 {
                 break;
             }
         }
-        w.finish(probe.expect("its turn comes"), Outcome::Ok, 0);
-        assert_eq!(sends_in(&mut w, 10 * SEC), 0, "cold for eleven seconds");
+        world.finish(probe.expect("the sender has its turn"), Outcome::Ok, 0);
+        assert_eq!(sends_in(&mut world, 10 * SEC), 0, "no call during the slow start of eleven seconds");
         if disturbed {
-            // The route is free; after one failure it is not.
-            w.pass(2 * SEC);
-            let m = w.in_flight.keys().next().map(|k| k.0).expect("what was held goes");
-            w.finish(m, Outcome::Error, 0);
-            let out: Vec<MsgId> = w.in_flight.keys().map(|k| k.0).collect();
-            out.into_iter().for_each(|m| drop(w.finish(m, Outcome::Ok, 0)));
-            assert!(sends_in(&mut w, 12 * SEC) <= 1, "bound anew");
+            // The guard has ended; one failure activates it again.
+            world.pass(2 * SEC);
+            let id = world.in_flight.keys().next().map(|k| k.0).expect("a waiting message is sent");
+            world.finish(id, Outcome::Error, 0);
+            let out: Vec<MsgId> = world.in_flight.keys().map(|k| k.0).collect();
+            out.into_iter().for_each(|id| drop(world.finish(id, Outcome::Ok, 0)));
+            assert!(sends_in(&mut world, 12 * SEC) <= 1, "the guard is active again");
         } else {
-            w.pass(2 * SEC);
-            assert!(sends_in(&mut w, 2 * SEC) > 0 || !w.in_flight.is_empty(), "then free");
+            world.pass(2 * SEC);
+            assert!(
+                sends_in(&mut world, 2 * SEC) > 0 || !world.in_flight.is_empty(),
+                "no guard after the slow start"
+            );
         }
     }
 }
 
 #[test]
-fn a_route_that_leaves_and_returns_and_a_replaced_endpoint_stay_bound() {
-    let mut s = set(270, FAR);
-    s.kinds = vec![Routes::APART];
-    let mut w = World::new(s, 1);
-    w.list(ListUpdate::Full, &[entry(0, 5)]);
-    let m = w.submit(0, 5);
-    w.finish(m, Outcome::ConnectFailed, 0);
-    w.list(ListUpdate::Full, &[entry(7, 9)]);
-    w.pass(5 * SEC);
-    w.list(ListUpdate::Full, &[entry(0, 5)]);
-    assert_eq!(sends_in(&mut w, 30 * SEC), 0, "the route is known");
-    let mut w = failed_once(270);
-    w.list(ListUpdate::Full, &[entry(8, 5)]);
-    assert_eq!(sends_in(&mut w, 30 * SEC), 0, "the destination is known");
-}
-
-struct Routes;
-impl Routes {
-    const APART: quillmount_policy::DestinationKind =
+fn a_route_that_is_removed_and_relisted_and_a_replaced_endpoint_stay_guarded() {
+    let mut settings = guard_settings(270, LATE_TURN_INDEX);
+    settings.kinds = vec![TestKinds::SEPARATE_ROUTES];
+    let mut world = World::new(settings, 1);
+    world.list(ListUpdate::Full, &[entry(0, 5)]);
+    let id = world.submit(0, 5);
+    world.finish(id, Outcome::ConnectFailed, 0);
+    world.list(ListUpdate::Full, &[entry(7, 9)]);
+    world.pass(5 * SEC);
+    world.list(ListUpdate::Full, &[entry(0, 5)]);
+    assert_eq!(sends_in(&mut world, 30 * SEC), 0, "the guard of the route is retained");
+    let mut world = failed_once(270);
+    world.list(ListUpdate::Full, &[entry(8, 5)]);
+    assert_eq!(sends_in(&mut world, 30 * SEC), 0, "the guard of the destination is retained");
+}
+
+struct TestKinds;
+impl TestKinds {
+    const SEPARATE_ROUTES: quillmount_policy::DestinationKind =
         quillmount_policy::DestinationKind { separate_routes: true, batch: 1 };
 }
 
 #[test]
-fn a_reset_of_a_reused_connection_counts_as_a_failure_seen() {
-    let mut w = world(270, FAR, 6.0);
-    let m = w.submit(0, 5);
-    w.finish(m, Outcome::Ok, 0);
-    let m = w.submit(0, 5);
-    w.finish(m, Outcome::Reset, 0);
-    assert_eq!(sends_in(&mut w, 30 * SEC), 0);
+fn a_reset_of_a_reused_connection_activates_the_guard() {
+    let mut world = new_world(270, LATE_TURN_INDEX, 6.0);
+    let id = world.submit(0, 5);
+    world.finish(id, Outcome::Ok, 0);
+    let id = world.submit(0, 5);
+    world.finish(id, Outcome::Reset, 0);
+    assert_eq!(sends_in(&mut world, 30 * SEC), 0);
 }
 
 #[test]
-fn few_senders_do_not_rest_long_after_one_error_or_one_refusal() {
+fn few_senders_retry_soon_after_one_error_or_one_refusal() {
     for (senders, weight) in [(2, 6.0), (3, 6.0), (5, 60.0)] {
         for outcome in [Outcome::Error, Outcome::Full] {
-            let mut w = world(senders, 1, weight);
-            let m = w.submit(0, 5);
-            w.finish(m, Outcome::Ok, 0);
-            let m = w.submit(0, 5);
-            w.finish(m, outcome, 0);
-            w.pass(2 * SEC);
-            assert_eq!(w.sends(m), 2, "{senders} senders after {outcome:?}");
+            let mut world = new_world(senders, 1, weight);
+            let id = world.submit(0, 5);
+            world.finish(id, Outcome::Ok, 0);
+            let id = world.submit(0, 5);
+            world.finish(id, outcome, 0);
+            world.pass(2 * SEC);
+            assert_eq!(world.sends(id), 2, "{senders} senders after {outcome:?}");
         }
     }
 }
 
-/// Ends all calls but `one` well.
-fn answer_all_but(w: &mut World, one: Option<MsgId>) {
-    let out: Vec<MsgId> = w.in_flight.keys().map(|k| k.0).filter(|m| Some(*m) != one).collect();
-    out.into_iter().for_each(|m| drop(w.finish(m, Outcome::Ok, 0)));
+/// Ends all calls successfully except that of `excluded`.
+fn answer_all_but(world: &mut World, excluded: Option<MsgId>) {
+    let out: Vec<MsgId> = world.in_flight.keys().map(|k| k.0).filter(|id| Some(*id) != excluded).collect();
+    out.into_iter().for_each(|id| drop(world.finish(id, Outcome::Ok, 0)));
 }
 
-/// One of two senders just after an outage, with a call out that was sent before it.
-fn returning() -> (World, MsgId) {
-    let mut w = world(2, 1, 6.0);
-    let early = w.submit(0, 5);
+/// One of two senders just after an outage, with a call in flight that was sent before it.
+fn world_after_outage() -> (World, MsgId) {
+    let mut world = new_world(2, 1, 6.0);
+    let early = world.submit(0, 5);
     for _ in 0..3 {
-        let m = w.submit(0, 5);
-        w.finish_after(m, 1_000, Outcome::Error);
-        w.step(&[DispatchEvent::Hangup { msg: m }]);
-        w.pass(2 * SEC);
+        let id = world.submit(0, 5);
+        world.finish_after(id, 1_000, Outcome::Error);
+        world.step(&[DispatchEvent::Hangup { msg: id }]);
+        world.pass(2 * SEC);
     }
-    assert!(w.dispatcher.route(0).unwrap().in_outage);
-    w.submit(0, 5);
-    while w.dispatcher.route(0).unwrap().in_outage {
-        w.pass(SEC);
-        answer_all_but(&mut w, Some(early));
+    assert!(world.dispatcher.route(0).unwrap().in_outage);
+    world.submit(0, 5);
+    while world.dispatcher.route(0).unwrap().in_outage {
+        world.pass(SEC);
+        answer_all_but(&mut world, Some(early));
     }
-    (w, early)
+    (world, early)
 }
 
-/// Whether three calls go one right after the other when the guard should have lifted.
-fn is_free(w: &mut World) -> bool {
-    w.pass(COLD);
-    answer_all_but(w, None);
-    w.pass(2 * SEC);
+/// Whether three calls are sent in immediate succession at a time when the guard should have ended.
+fn is_unguarded(world: &mut World) -> bool {
+    world.pass(SLOW_START);
+    answer_all_but(world, None);
+    world.pass(2 * SEC);
     (0..3).all(|_| {
-        let m = w.submit(0, 5);
-        answer_all_but(w, None);
-        w.sends(m) == 1
+        let id = world.submit(0, 5);
+        answer_all_but(world, None);
+        world.sends(id) == 1
     })
 }
 
 #[test]
-fn neither_a_refusal_between_successes_nor_a_call_from_before_renews_the_guard() {
-    let (mut w, early) = returning();
-    w.finish(early, Outcome::Timeout, 0);
-    assert!(is_free(&mut w), "a call sent in the outage tells nothing of what came after");
-    let (mut w, early) = returning();
-    w.step(&[DispatchEvent::Hangup { msg: early }]);
-    w.finish(early, Outcome::Moot, 0);
-    w.pass(2 * SEC);
-    let m = w.submit(0, 5);
-    w.finish_after(m, 1_000, Outcome::Full);
-    assert!(is_free(&mut w), "one refusal among successes is a limit's");
-    let (mut w, early) = returning();
-    w.step(&[DispatchEvent::Hangup { msg: early }]);
-    w.finish(early, Outcome::Moot, 0);
-    w.pass(2 * SEC);
-    let m = w.submit(0, 5);
-    w.finish_after(m, 1_000, Outcome::Error);
-    assert!(!is_free(&mut w), "an error is a failure seen");
+fn neither_a_refusal_between_successes_nor_a_call_from_before_the_outage_restarts_the_guard() {
+    let (mut world, early) = world_after_outage();
+    world.finish(early, Outcome::Timeout, 0);
+    assert!(
+        is_unguarded(&mut world),
+        "a call sent before the end of the outage gives no information about the time after it"
+    );
+    let (mut world, early) = world_after_outage();
+    world.step(&[DispatchEvent::Hangup { msg: early }]);
+    world.finish(early, Outcome::Moot, 0);
+    world.pass(2 * SEC);
+    let id = world.submit(0, 5);
+    world.finish_after(id, 1_000, Outcome::Full);
+    assert!(is_unguarded(&mut world), "one refusal among successes is due to a limit");
+    let (mut world, early) = world_after_outage();
+    world.step(&[DispatchEvent::Hangup { msg: early }]);
+    world.finish(early, Outcome::Moot, 0);
+    world.pass(2 * SEC);
+    let id = world.submit(0, 5);
+    world.finish_after(id, 1_000, Outcome::Error);
+    assert!(!is_unguarded(&mut world), "an error restarts the guard");
 }
 
 #[test]
 fn a_message_that_cannot_be_sent_in_time_is_rejected_at_once() {
-    let mut s = set(270, FAR);
-    s.classes[1].effect = Effect::Deduplicated { span: 5 * SEC, by_zone: true };
-    let mut w = World::new(s, 1);
-    w.list(ListUpdate::Full, &[entry(0, 5)]);
-    let m = w.submit(0, 5);
-    let keyed = w.submit(1, 5);
-    w.finish(m, Outcome::Error, 0);
-    assert!(matches!(w.answers(m)[..], [DispatchAction::Reject { after, .. }] if after > 0));
-    w.finish(keyed, Outcome::Error, 0);
-    assert_eq!(w.answers(keyed), [DispatchAction::Fail { msg: keyed }], "it may have run in one zone");
+    let mut settings = guard_settings(270, LATE_TURN_INDEX);
+    settings.classes[1].effect = Effect::Deduplicated { span: 5 * SEC, by_zone: true };
+    let mut world = World::new(settings, 1);
+    world.list(ListUpdate::Full, &[entry(0, 5)]);
+    let id = world.submit(0, 5);
+    let keyed = world.submit(1, 5);
+    world.finish(id, Outcome::Error, 0);
+    assert!(matches!(world.answers(id)[..], [DispatchAction::Reject { after, .. }] if after > 0));
+    world.finish(keyed, Outcome::Error, 0);
+    assert_eq!(
+        world.answers(keyed),
+        [DispatchAction::Fail { msg: keyed }],
+        "the message may have run in one zone"
+    );
     for class in [0, 1, 2] {
-        let m = w.submit(class, 5);
+        let id = world.submit(class, 5);
         assert!(
-            matches!(w.answers(m)[..], [DispatchAction::Reject { after, .. }] if after > 0),
+            matches!(world.answers(id)[..], [DispatchAction::Reject { after, .. }] if after > 0),
             "class {class}"
         );
     }
 }
 
 #[test]
-fn a_reported_wait_and_the_guard_both_bind() {
-    let mut w = world(40, 3, 6.0);
-    let m = w.submit(0, 5);
-    let report_limit = w.now + 100 * SEC;
-    w.finish(m, Outcome::Full, 100 * SEC);
-    while w.now + SEC < report_limit {
-        w.submit(0, 5);
-        w.pass(SEC);
+fn a_requested_wait_and_the_guard_both_apply() {
+    let mut world = new_world(40, 3, 6.0);
+    let id = world.submit(0, 5);
+    let wait_until = world.now + 100 * SEC;
+    world.finish(id, Outcome::Full, 100 * SEC);
+    while world.now + SEC < wait_until {
+        world.submit(0, 5);
+        world.pass(SEC);
     }
-    assert_eq!(w.attempts.len(), 1, "the wait outlasts a turn");
-    let mut w = world(270, FAR, 6.0);
-    let m = w.submit(0, 5);
-    w.finish(m, Outcome::Full, 200_000);
-    assert_eq!(sends_in(&mut w, 20 * SEC), 0, "the guard outlasts the wait");
+    assert_eq!(world.attempts.len(), 1, "no call is made at a turn during the wait");
+    let mut world = new_world(270, LATE_TURN_INDEX, 6.0);
+    let id = world.submit(0, 5);
+    world.finish(id, Outcome::Full, 200_000);
+    assert_eq!(sends_in(&mut world, 20 * SEC), 0, "no call is made after the wait while the guard is active");
 }
 
-fn report_limit(w: &mut World, left: f64) {
-    let m = w.submit(0, 5);
+fn refuse_with_report(world: &mut World, left: f64) {
+    let id = world.submit(0, 5);
     let load_report = vec![left, 6.0];
-    w.in_flight.remove(&(m, 0));
-    w.step(&[DispatchEvent::Completed(Completion {
-        msg: m,
+    world.in_flight.remove(&(id, 0));
+    world.step(&[DispatchEvent::Completed(Completion {
+        msg: id,
         attempt: 0,
         outcome: Outcome::Full,
         elapsed: 20_000,
@@ -435,59 +457,65 @@
 
 #[test]
 fn a_limit_reported_as_used_up_is_no_outage() {
-    for (left, none) in [(0.1, false), (0.95, true), (f64::NAN, true)] {
-        let mut s = set(270, FAR);
-        s.limit_report = Some(LimitReportFields { left: 0, rate: 1 });
-        let mut w = World::new(s, 1);
-        w.list(ListUpdate::Full, &[entry(0, 5)]);
-        report_limit(&mut w, left);
-        assert_eq!(sends_in(&mut w, 25 * SEC) == 0, none, "{left} of the allowance left");
+    for (left, is_guarded) in [(0.1, false), (0.95, true), (f64::NAN, true)] {
+        let mut settings = guard_settings(270, LATE_TURN_INDEX);
+        settings.limit_report = Some(LimitReportFields { left: 0, rate: 1 });
+        let mut world = World::new(settings, 1);
+        world.list(ListUpdate::Full, &[entry(0, 5)]);
+        refuse_with_report(&mut world, left);
+        assert_eq!(sends_in(&mut world, 25 * SEC) == 0, is_guarded, "{left} of the allowance left");
     }
 }
 
-/// A third time-out would take as long as the first two: all waiting messages would be sent at once.
+/// Guards against a burst of all waiting messages: a third time-out would take as long as the first two together.
 #[test]
-fn with_few_senders_two_time_outs_in_a_row_bind_the_guard_and_two_errors_do_not() {
+fn with_few_senders_two_consecutive_time_outs_activate_the_guard_and_two_errors_do_not() {
     let calls = |outcome| {
-        let mut w = World::new(Settings { slots: 64, ..set(3, 0) }, 0);
-        w.list(ListUpdate::Full, &[EndpointEntry { weight: 30.0, ..entry(0, 5) }]);
-        let first = [w.submit(0, 5), w.submit(0, 5)];
-        w.pass(SEC);
-        for m in first {
-            w.step(&[DispatchEvent::Hangup { msg: m }]);
+        let mut world = World::new(Settings { slots: 64, ..guard_settings(3, 0) }, 0);
+        world.list(ListUpdate::Full, &[EndpointEntry { weight: 30.0, ..entry(0, 5) }]);
+        let first = [world.submit(0, 5), world.submit(0, 5)];
+        world.pass(SEC);
+        for id in first {
+            world.step(&[DispatchEvent::Hangup { msg: id }]);
         }
-        for m in first {
-            w.finish(m, outcome, 0);
+        for id in first {
+            world.finish(id, outcome, 0);
         }
-        w.pass(3 * SEC);
-        let before = w.log.len();
-        for _ in 1..FALL / 15_000 {
-            w.submit(0, 5);
-            w.pass(15_000);
-            answer_all_but(&mut w, None);
+        world.pass(3 * SEC);
+        let before = world.log.len();
+        for _ in 1..OVERLOAD_SPAN / 15_000 {
+            world.submit(0, 5);
+            world.pass(15_000);
+            answer_all_but(&mut world, None);
         }
-        w.log[before..].iter().filter(|(_, a)| matches!(a, DispatchAction::Send { .. })).count()
+        world.log[before..].iter().filter(|(_, action)| matches!(action, DispatchAction::Send { .. })).count()
     };
-    let (silent, errors) = (calls(Outcome::Timeout), calls(Outcome::Error));
-    assert!(silent == 4 && errors > 10, "{silent} calls in a span after silence, {errors} after errors");
+    let (after_time_outs, after_errors) = (calls(Outcome::Timeout), calls(Outcome::Error));
+    assert!(
+        after_time_outs == 4 && after_errors > 10,
+        "{after_time_outs} calls in a span after time-outs, {after_errors} after errors"
+    );
 }
 
-/// Operators have enabled an endpoint again: no sender saw a failure, and it is cold nevertheless.
+/// After operators enable an endpoint again it is cold, although no sender observed a failure.
 #[test]
-fn an_endpoint_put_back_counts_as_back_from_an_outage() {
-    let calls = |cold| {
-        let mut w = World::new(Settings { slots: 64, ..set(3, 0) }, 0);
-        w.list(ListUpdate::Full, &[EndpointEntry { weight: 30.0, ..entry(0, 5) }]);
-        w.list(
+fn a_re_enabled_endpoint_counts_as_returning_from_an_outage() {
+    let calls = |is_returning| {
+        let mut world = World::new(Settings { slots: 64, ..guard_settings(3, 0) }, 0);
+        world.list(ListUpdate::Full, &[EndpointEntry { weight: 30.0, ..entry(0, 5) }]);
+        world.list(
             ListUpdate::Delta,
             &[EndpointEntry { state: EndpointState::Draining, weight: 30.0, ..entry(0, 5) }],
         );
-        w.list(ListUpdate::Delta, &[EndpointEntry { returning: cold, weight: 30.0, ..entry(0, 5) }]);
+        world.list(
+            ListUpdate::Delta,
+            &[EndpointEntry { returning: is_returning, weight: 30.0, ..entry(0, 5) }],
+        );
         for _ in 0..20 {
-            w.submit(0, 5);
+            world.submit(0, 5);
         }
-        w.in_flight.len()
+        world.in_flight.len()
     };
-    // A third of what three senders may send within a span: 2 x 0.2 x (30 / 1.5) a second x 1.5 s.
+    // A third of the calls that three senders may make in a span, where N = 2 x 0.2 x (30 / 1.5) a second x 1.5 s.
     assert_eq!((calls(true), calls(false)), (4, 20));
 }
--- a/courier/policy/tests/policy.rs
+++ b/courier/policy/tests/policy.rs
@@ -1,4 +1,4 @@
-//! `Policy`, and what it adds for a host that restarts or is about to stop.
+//! `Policy`: numbering of attempts, restored messages, a planned stop, and wake-ups.
 
 mod common;
 use common::{SEC, entry, settings};
@@ -6,10 +6,10 @@
 
 const NOW: Micros = 100 * SEC;
 
-fn policy() -> Policy {
-    let mut f = Policy::new(settings(8), 1).unwrap();
-    assert!(f.update_list(NOW, ListUpdate::Full, vec![entry(0, 5)]).is_empty());
-    f
+fn new_policy() -> Policy {
+    let mut policy = Policy::new(settings(8), 1).unwrap();
+    assert!(policy.update_list(NOW, ListUpdate::Full, vec![entry(0, 5)]).is_empty());
+    policy
 }
 
 fn message(id: MsgId, class: usize) -> Message {
@@ -30,7 +30,7 @@
     PastAttempt { zone: 0, sent, may_have_run }
 }
 
-/// The end of an attempt, which is its message's result if it was accepted.
+/// The end of an attempt; `Outcome::Ok` is the final result of its message.
 fn completion(msg: MsgId, attempt: u32, outcome: Outcome, elapsed: Micros) -> Completion {
     let finished = outcome == Outcome::Ok;
     Completion { msg, attempt, outcome, elapsed, finished, wait: 0, load_report: Vec::new() }
@@ -43,57 +43,70 @@
 }
 
 #[test]
-fn a_report_leads_to_the_next_call_with_the_next_number() {
-    let mut f = policy();
-    let first = f.submit(NOW, message(1, 0));
+fn a_failed_attempt_is_followed_by_one_with_the_next_number() {
+    let mut policy = new_policy();
+    let first = policy.submit(NOW, message(1, 0));
     assert!(
         matches!(first[..], [Instruction::Call { endpoint: 0, .. }]) && items(&first)[0].msg == 1,
         "{first:?}"
     );
     let error = completion(1, 0, Outcome::Error, 9);
-    let second = f.report(NOW + 9, error);
+    let second = policy.report(NOW + 9, error);
     assert!(matches!(second[..], [Instruction::Call { .. }]) && items(&second)[0].attempt == 1, "{second:?}");
 }
 
-/// Guards against a second effect after a restart: the record of an attempt that was in flight is all that is left of it.
+/// Guards against a second effect after a restart, when only the record of an attempt in flight is left.
 #[test]
 fn a_restored_message_keeps_the_rules_of_its_past_attempts() {
-    let unsafe_and_maybe = policy().restore(NOW, message(1, 2), vec![past(NOW - SEC, true)]);
-    assert_eq!(unsafe_and_maybe, [Instruction::Fail { msg: 1 }]);
-    let unsafe_and_never = policy().restore(NOW, message(1, 2), vec![past(NOW - SEC, false)]);
-    assert!(items(&unsafe_and_never)[0].attempt == 1, "{unsafe_and_never:?}");
-    let in_span = policy().restore(NOW, message(1, 1), vec![past(NOW - 4 * SEC, true)]);
-    assert!(items(&in_span)[0].attempt == 1, "{in_span:?}");
-    let past_span = policy().restore(NOW, message(1, 1), vec![past(NOW - 6 * SEC, true)]);
-    assert!(matches!(past_span[..], [Instruction::Reject { msg: 1, .. }]), "{past_span:?}");
-    let used_up = policy().restore(NOW, message(1, 0), vec![past(NOW - SEC, false); 6]);
-    assert!(matches!(used_up[..], [Instruction::Reject { msg: 1, .. }]), "{used_up:?}");
+    let may_have_run = new_policy().restore(NOW, message(1, 2), vec![past(NOW - SEC, true)]);
+    assert_eq!(may_have_run, [Instruction::Fail { msg: 1 }]);
+    let never_ran = new_policy().restore(NOW, message(1, 2), vec![past(NOW - SEC, false)]);
+    assert!(items(&never_ran)[0].attempt == 1, "{never_ran:?}");
+    let within_span = new_policy().restore(NOW, message(1, 1), vec![past(NOW - 4 * SEC, true)]);
+    assert!(items(&within_span)[0].attempt == 1, "{within_span:?}");
+    let after_span = new_policy().restore(NOW, message(1, 1), vec![past(NOW - 6 * SEC, true)]);
+    assert!(matches!(after_span[..], [Instruction::Reject { msg: 1, .. }]), "{after_span:?}");
+    let without_attempts_left = new_policy().restore(NOW, message(1, 0), vec![past(NOW - SEC, false); 6]);
+    assert!(
+        matches!(without_attempts_left[..], [Instruction::Reject { msg: 1, .. }]),
+        "{without_attempts_left:?}"
+    );
 }
 
-/// Guards against calls that a planned stop would interrupt: they might have run, and a debit that might have run is lost.
+/// Guards against calls that a planned stop would interrupt: they may have run, so that a message that is not
+/// idempotent fails.
 #[test]
-fn near_a_stop_only_calls_that_can_finish_are_started() {
-    let mut f = policy();
-    f.submit(NOW, message(1, 2));
-    f.report(NOW + SEC, completion(1, 0, Outcome::Ok, SEC));
-    assert!(f.stop(NOW + SEC, NOW + 4 * SEC).is_empty());
-    assert!(matches!(f.submit(NOW + SEC, message(2, 2))[..], [Instruction::Call { .. }]));
-    assert!(!f.submit(NOW + 3 * SEC, message(3, 2)).iter().any(|o| matches!(o, Instruction::Call { .. })));
+fn before_a_planned_stop_only_calls_that_can_finish_are_started() {
+    let mut policy = new_policy();
+    policy.submit(NOW, message(1, 2));
+    policy.report(NOW + SEC, completion(1, 0, Outcome::Ok, SEC));
+    assert!(policy.stop(NOW + SEC, NOW + 4 * SEC).is_empty());
+    assert!(matches!(policy.submit(NOW + SEC, message(2, 2))[..], [Instruction::Call { .. }]));
+    assert!(
+        !policy
+            .submit(NOW + 3 * SEC, message(3, 2))
+            .iter()
+            .any(|instruction| matches!(instruction, Instruction::Call { .. }))
+    );
 }
 
-/// Guards against a lost wake-up: something else happens at the very time for which a wake-up is set, and
-/// the dispatcher requests its next one as well. A message then waited past its time for the next event.
+/// Guards against a lost wake-up: another event occurs at the time for which a wake-up is set, and the dispatcher
+/// requests the next wake-up in the same step. A message then waited beyond its deadline for the next event.
 #[test]
 fn a_step_at_the_time_of_a_wake_up_keeps_the_next_one() {
     let failed = |msg, attempt| completion(msg, attempt, Outcome::ConnectFailed, 9);
-    let mut f = policy();
-    f.submit(NOW, message(1, 2));
-    f.report(NOW, failed(1, 0));
-    assert!(f.report(NOW, failed(1, 1)).is_empty(), "a pause after two failures");
-    let wake = f.wake_at().unwrap();
-    let again = f.submit(wake, message(2, 2));
-    let [CallItem { msg, attempt, .. }] = items(&again)[..] else { panic!("{again:?}") };
-    f.report(wake, failed(msg, attempt));
-    f.tick(wake);
-    assert!(f.wake_at().is_some_and(|at| at > wake), "two messages are held: {:?}", f.wake_at());
+    let mut policy = new_policy();
+    policy.submit(NOW, message(1, 2));
+    policy.report(NOW, failed(1, 0));
+    assert!(policy.report(NOW, failed(1, 1)).is_empty(), "a back-off after two failures");
+    let wake = policy.wake_at().unwrap();
+    let next_call = policy.submit(wake, message(2, 2));
+    let [CallItem { msg, attempt, .. }] = items(&next_call)[..] else { panic!("{next_call:?}") };
+    policy.report(wake, failed(msg, attempt));
+    policy.tick(wake);
+    assert!(
+        policy.wake_at().is_some_and(|at| at > wake),
+        "two messages wait for a wake-up: {:?}",
+        policy.wake_at()
+    );
 }
