--- a/courier/core/src/admission.rs
+++ b/courier/core/src/admission.rs
@@ -1,52 +1,53 @@
-//! Connection admission: the table of the clients' connections, and which of them is closed when there are too many.
+//! Connection admission: the table of client connections, and which of them is closed when the limit is reached.
 
 use crate::machine::client::{ClientConnection, ClientState};
 use quillmount_policy::Micros;
 use std::collections::HashMap;
 
-/// A client has sent its request within this, in microseconds; one that has not is closed first.
-pub const GRACE: Micros = 300_000;
-/// The most connections that may be closing at a time in addition to the limit; file descriptors are reserved for as many.
-pub const LEAVING_MAX: usize = 16;
+/// The time after which a client that has not sent its request or read its answer counts as slow, in microseconds. Slow
+/// clients are disconnected first.
+pub const SLOW_CLIENT_TIMEOUT: Micros = 300_000;
+/// The maximum number of connections that may be closing in addition to the limit. File descriptors are reserved for them.
+pub const CLOSING_MAX: usize = 16;
 
 #[derive(Clone, Copy, Debug)]
 struct TrackedConnection {
     state: ClientState,
-    /// Since when it is in this state.
+    /// The time since which the connection has been in this state.
     since: Micros,
-    /// Its task was requested to close it, and has not begun to.
-    asked_to_close: bool,
-    /// The body of its request is passed on as it arrives, which may take long.
-    streams: bool,
+    /// The task of the connection was requested to close it, and has not started to do so.
+    close_requested: bool,
+    /// The body of the request is forwarded while it is received, which may take long.
+    is_streaming: bool,
 }
 
 impl TrackedConnection {
     fn is_closing(&self) -> bool {
-        self.asked_to_close || self.state == ClientState::Leaving
+        self.close_requested || self.state == ClientState::Leaving
     }
 
     fn is_idle(&self) -> bool {
-        !self.asked_to_close && matches!(self.state, ClientState::Idle { .. })
+        !self.close_requested && matches!(self.state, ClientState::Idle { .. })
     }
 
-    /// Closed without a last read, a request that has just arrived would be lost. That may happen to a connection's first
-    /// request only, which its client sends again.
+    /// Whether the connection must be read once more before it is closed, because a request that has just arrived would be
+    /// lost otherwise. Only the first request on a connection may be lost: its client sends it again.
     fn needs_last_read(&self) -> bool {
         self.is_idle()
-            || (!self.asked_to_close
-                && !self.streams
+            || (!self.close_requested
+                && !self.is_streaming
                 && matches!(self.state, ClientState::Requesting { first: false, .. }))
     }
 
     fn rank(&self, now: Micros) -> EvictionRank {
         match self.state {
-            _ if self.streams => EvictionRank::Streaming,
+            _ if self.is_streaming => EvictionRank::Streaming,
             _ if self.is_closing() => EvictionRank::Closing,
             ClientState::Closing | ClientState::Closed | ClientState::Answering { closes: true, .. } => {
                 EvictionRank::LastAnswer
             }
             ClientState::Requesting { .. } | ClientState::Answering { .. }
-                if now.saturating_sub(self.since) >= GRACE =>
+                if now.saturating_sub(self.since) >= SLOW_CLIENT_TIMEOUT =>
             {
                 EvictionRank::Slow
             }
@@ -60,79 +61,85 @@
     }
 }
 
-/// In which order connections are closed, the first one first.
+/// The order in which connections are closed, from the first variant to the last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
-    /// Its last answer is written, or being written.
+    /// The last answer is written, or being written.
     LastAnswer,
-    /// Its client has been slow for [`GRACE`] to send a request or to read an answer.
+    /// The client has not sent its request or read its answer for [`SLOW_CLIENT_TIMEOUT`].
     Slow,
-    /// It is idle, and no request is expected at once.
+    /// The connection is idle, and no request is expected soon.
     Idle,
-    /// It is idle after a readiness check, so that a submission is likely to follow. The last rank without a request.
+    /// The connection is idle after a readiness check, so that a submission is likely to follow. This is the highest rank
+    /// without a request.
     Probed,
-    /// It has begun its first request.
+    /// The first request has been received partly, or not at all.
     FirstRequest,
-    /// It is in the middle of a further request or an answer.
+    /// A further request is being received, or an answer is being written.
     Busy,
-    /// It is closing already.
+    /// The connection is already closing.
     Closing,
-    /// It streams a body.
+    /// The connection streams a body.
     Streaming,
 }
 
-/// What is to be done before one more connection is admitted.
+/// What the driver must do before it admits a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Admit it.
+    /// Admit the new connection.
     Admit,
-    /// Close this one at once; it has been removed from the table.
+    /// Close the connection with this number at once. It has been removed from the table.
     Evict(u64),
-    /// Request this one to close, and admit the new one in parallel.
+    /// Request the task of the connection with this number to close it, and admit the new one at the same time.
     RequestClose(u64),
-    /// [`LEAVING_MAX`] connections are closing: wait for one of them.
+    /// [`CLOSING_MAX`] connections are closing: wait until one of them is closed.
     Wait,
 }
 
-/// The table of the clients' connections.
+/// The table of client connections.
 #[derive(Clone, Debug)]
 pub struct Admission {
-    all: HashMap<u64, TrackedConnection>,
-    most: usize,
-    next: u64,
+    connections: HashMap<u64, TrackedConnection>,
+    max_connections: usize,
+    next_number: u64,
 }
 
 impl Admission {
-    /// A table for `most` connections at once, one at least, in addition to those that are closing.
-    pub fn new(most: usize) -> Self {
-        Admission { all: HashMap::new(), most: most.max(1), next: 0 }
+    /// Creates a table for `max_connections` connections, at least one, in addition to those that are closing.
+    pub fn new(max_connections: usize) -> Self {
+        Admission { connections: HashMap::new(), max_connections: max_connections.max(1), next_number: 0 }
     }
 
     /// Adds a new connection; returns its number.
-    pub fn enter(&mut self, now: Micros) -> u64 {
-        let number = self.next;
-        self.next += 1;
+    pub fn add(&mut self, now: Micros) -> u64 {
+        let number = self.next_number;
+        self.next_number += 1;
         self.set_state(number, ClientConnection::default().state(), now);
         number
     }
 
-    /// A connection is in this state from now on.
+    /// Records a state change of a connection. A pending request to close it is cleared.
     pub fn set_state(&mut self, number: u64, state: ClientState, now: Micros) {
-        self.all
-            .insert(number, TrackedConnection { state, since: now, asked_to_close: false, streams: false });
+        self.connections.insert(
+            number,
+            TrackedConnection { state, since: now, close_requested: false, is_streaming: false },
+        );
     }
 
-    /// A connection streams a body until it is in another state: it is not closed for others, however long it takes.
+    /// Records that a connection streams a body, until its next state change. It is not closed in favour of others, however
+    /// long the stream takes.
     pub fn mark_streaming(&mut self, number: u64) {
-        self.all.entry(number).and_modify(|entry| (entry.streams, entry.asked_to_close) = (true, false));
+        self.connections
+            .entry(number)
+            .and_modify(|entry| (entry.is_streaming, entry.close_requested) = (true, false));
     }
 
-    /// A connection is closed.
+    /// Removes a connection that was closed.
     pub fn remove(&mut self, number: u64) {
-        self.all.remove(&number);
+        self.connections.remove(&number);
     }
 
-    /// The number of connections that may still bring requests: another process would resume them.
+    /// The number of connections on which requests may still arrive, which must be handed over to another process.
     pub fn handover_pending(&self) -> usize {
         let may_request = |e: &&TrackedConnection| {
             matches!(
@@ -140,23 +147,23 @@
                 ClientState::Requesting { .. } | ClientState::Idle { .. } | ClientState::Leaving
             )
         };
-        self.all.values().filter(may_request).count()
+        self.connections.values().filter(may_request).count()
     }
 
-    /// Whether there is no connection.
+    /// Whether the table contains no connection.
     pub fn is_empty(&self) -> bool {
-        self.all.is_empty()
+        self.connections.is_empty()
     }
 
-    /// Whether a request to close a connection is still pending: its state has not changed since.
-    pub fn is_asked_to_close(&self, number: u64) -> bool {
-        self.all.get(&number).is_some_and(|e| e.asked_to_close)
+    /// Whether a request to close the connection is pending, which it is until the state changes.
+    pub fn is_close_requested(&self, number: u64) -> bool {
+        self.connections.get(&number).is_some_and(|e| e.close_requested)
     }
 
-    /// The connections with a pending request to close, for exploration.
-    pub fn asked_to_close(&self) -> Vec<u64> {
+    /// The connections with a pending request to close, in ascending order, for state-space exploration.
+    pub fn close_requests(&self) -> Vec<u64> {
         let mut numbers: Vec<u64> =
-            self.all.iter().filter(|(_, e)| e.asked_to_close).map(|(n, _)| *n).collect();
+            self.connections.iter().filter(|(_, e)| e.close_requested).map(|(n, _)| *n).collect();
         numbers.sort_unstable();
         numbers
     }
@@ -164,42 +171,50 @@
     /// Requests all idle connections to close; returns their numbers.
     pub fn close_all_idle(&mut self) -> Vec<u64> {
         let mut closing = Vec::new();
-        for (number, connection) in self.all.iter_mut().filter(|(_, connection)| connection.is_idle()) {
-            connection.asked_to_close = true;
+        for (number, connection) in self.connections.iter_mut().filter(|(_, connection)| connection.is_idle())
+        {
+            connection.close_requested = true;
             closing.push(*number);
         }
         closing
     }
 
-    /// Decides what is to be done before one more connection is admitted, by `EvictionRank`.
+    /// Decides what must happen before a new connection is admitted; connections are closed in the order of `EvictionRank`.
     ///
-    /// A connection that was asked to close in the middle of a further request is waited for no longer than one last read.
+    /// A connection that is requested to close while it receives a further request is closed after one last read at most.
     pub fn decide(&mut self, now: Micros) -> Decision {
-        if self.all.len() < self.most { Decision::Admit } else { self.evict(now, EvictionRank::Streaming) }
+        if self.connections.len() < self.max_connections {
+            Decision::Admit
+        } else {
+            self.evict(now, EvictionRank::Streaming)
+        }
     }
 
-    /// The process has no file descriptor left, whatever the settings allow: a connection without a request is closed.
+    /// Selects a connection without a request to close, because the process has no free file descriptor although the limit
+    /// is not reached.
     pub fn reclaim_descriptor(&mut self, now: Micros) -> Decision {
         self.evict(now, EvictionRank::Probed)
     }
 
-    /// Closes the connection with the lowest rank, and of those the oldest, if its rank is `most` at most.
-    fn evict(&mut self, now: Micros, most: EvictionRank) -> Decision {
-        let closing = self.all.values().filter(|connection| connection.is_closing()).count();
-        let ranked = self.all.iter().map(|(n, connection)| (connection.rank(now), connection.since, *n));
-        let Some((_, _, number)) = ranked.filter(|(rank, ..)| *rank <= most).min() else {
+    /// Selects the connection with the lowest rank of at most `max_rank`, and among equal ranks the one that has been in its
+    /// state longest.
+    fn evict(&mut self, now: Micros, max_rank: EvictionRank) -> Decision {
+        let closing = self.connections.values().filter(|connection| connection.is_closing()).count();
+        let ranked =
+            self.connections.iter().map(|(n, connection)| (connection.rank(now), connection.since, *n));
+        let Some((_, _, number)) = ranked.filter(|(rank, ..)| *rank <= max_rank).min() else {
             return Decision::Admit;
         };
-        let Some(connection) = self.all.get_mut(&number) else { return Decision::Admit };
-        if (connection.is_closing() || connection.needs_last_read()) && closing >= LEAVING_MAX {
+        let Some(connection) = self.connections.get_mut(&number) else { return Decision::Admit };
+        if (connection.is_closing() || connection.needs_last_read()) && closing >= CLOSING_MAX {
             Decision::Wait
-        } else if connection.is_closing() || connection.streams {
+        } else if connection.is_closing() || connection.is_streaming {
             Decision::Admit
         } else if connection.needs_last_read() {
-            connection.asked_to_close = true;
+            connection.close_requested = true;
             Decision::RequestClose(number)
         } else {
-            self.all.remove(&number);
+            self.connections.remove(&number);
             Decision::Evict(number)
         }
     }
--- a/courier/core/src/call.rs
+++ b/courier/core/src/call.rs
@@ -1,5 +1,5 @@
-//! One delivery call in flight with its connection: passes inputs to the attempt's machine and notifies the connection pool of
-//! the results.
+//! A delivery call in flight with its connection. It passes inputs to the state machine of the attempt and updates the
+//! connection pool with the results.
 
 use crate::machine::attempt::{
     Attempt, AttemptInput, AttemptSnapshot, AttemptState, ConnectionAction, Decode,
@@ -11,66 +11,67 @@
 use quillmount_policy::breaks::{self, Break};
 use serde::{Deserialize, Serialize};
 
-/// A call in flight. `C` is a connection to an endpoint.
+/// A call in flight. `C` is the driver's type of a connection to an endpoint.
 #[derive(Clone, Debug)]
 pub struct Call<C> {
-    /// What is to be delivered, and where.
-    pub order: DeliveryCall,
+    /// The message to deliver, with its endpoint and its deadlines.
+    pub delivery: DeliveryCall,
     attempt: Attempt,
     connection: Option<(EndpointConnection, C)>,
-    /// The pool counts the call, until its connection is closed or becomes idle.
+    /// Whether the pool counts the call, which it does until the connection is closed or becomes idle.
     is_counted: bool,
-    /// A rejection that closes its connection is taken for a full connection table at the endpoint. The driver sets this
-    /// before the start where answers have load reports, which distinguish a rejection by a limit; a call that starts on an
-    /// idle connection clears it.
-    pub full_closes: bool,
+    /// Whether a rejection after which the endpoint closes the connection counts as a refused connection, because the
+    /// endpoint's connection table is full. The driver sets this before the start if answers contain load reports, which
+    /// identify a rejection by a limit. A call that starts on an idle connection clears it.
+    pub closed_rejection_is_refusal: bool,
 }
 
-/// The outcome of a step.
+/// The outcome of a step, to be carried out by the driver.
 #[derive(Debug)]
 pub struct StepOutcome<C> {
-    /// The end of the call, which is to be reported.
+    /// The result of the call if it has ended, to be reported to the [`Hub`](crate::hub::Hub).
     pub end: Option<CallEnd>,
-    /// End the sending side of the call's connection, and go on reading it.
+    /// Close the sending side of the call's connection and continue to read.
     pub finish: bool,
-    /// A connection to close: the call's own, or an idle one to make way for the call's.
+    /// A connection to close: the one of the call, or an idle one that is evicted for the call's new connection.
     pub to_close: Option<C>,
 }
 
-/// A call as it is handed over to another process, without its connection. Encoded by position.
+/// A call without its connection, as it is handed over to another process. Encoded by position: the order of the fields
+/// must not change.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CallSnapshot {
-    /// What is to be delivered, and where.
-    pub order: DeliveryCall,
+    /// The message to deliver, with its endpoint and its deadlines.
+    pub delivery: DeliveryCall,
     attempt: AttemptSnapshot,
-    /// When its time is up.
+    /// The time at which the call times out, in microseconds.
     pub until: Micros,
 }
 
 impl<C> Call<C> {
-    /// The call and its connection for another process; the pool counts it no more. `until` is when its time is up.
+    /// Converts the call for a handover, and removes it from the count of the pool. `until` is the time at which it times out.
     pub fn snapshot(self, pool: &mut Pool<C>, until: Micros) -> (CallSnapshot, Option<C>) {
         if self.is_counted {
-            pool.end();
+            pool.end_call();
         }
-        let Call { order, attempt, connection, .. } = self;
+        let Call { delivery, attempt, connection, .. } = self;
         (
-            CallSnapshot { order, attempt: attempt.snapshot(), until },
+            CallSnapshot { delivery, attempt: attempt.snapshot(), until },
             connection.map(|(_, connection)| connection),
         )
     }
 
-    /// Resumes another process's call. If nothing of it was sent, it is to be started.
+    /// Resumes a call that another process has handed over. If no byte of it was sent, the driver must start it.
     pub fn resumed(
         snapshot: CallSnapshot,
         decode: Decode,
-        most: usize,
+        max_answer_bytes: usize,
         connection: Option<C>,
         pool: &mut Pool<C>,
     ) -> Self {
-        let attempt = Attempt::resumed(snapshot.attempt, decode, most);
+        let attempt = Attempt::resumed(snapshot.attempt, decode, max_answer_bytes);
         let connection = connection.map(|connection| {
-            let mut machine = pool.open();
+            let mut machine = pool.new_connection();
             machine.step(ConnectionInput::Connected, 0);
             (machine, connection)
         });
@@ -78,28 +79,34 @@
         if is_counted {
             pool.resume_call();
         }
-        Call { order: snapshot.order, attempt, connection, is_counted, full_closes: false }
+        Call {
+            delivery: snapshot.delivery,
+            attempt,
+            connection,
+            is_counted,
+            closed_rejection_is_refusal: false,
+        }
     }
 
-    /// A call to be started. `decode` reads its answer, of which at most `most` bytes are read.
-    pub fn new(order: DeliveryCall, decode: Decode, most: usize) -> Self {
-        let attempt = Attempt::new(decode, most, order.send_before);
-        Call { order, attempt, connection: None, is_counted: false, full_closes: false }
+    /// Creates a call that is not started. `decode` decodes the answer, of which at most `max_answer_bytes` bytes are read.
+    pub fn new(delivery: DeliveryCall, decode: Decode, max_answer_bytes: usize) -> Self {
+        let attempt = Attempt::new(decode, max_answer_bytes, delivery.send_before);
+        Call { delivery, attempt, connection: None, is_counted: false, closed_rejection_is_refusal: false }
     }
 
-    /// The same for a call whose body is forwarded as it arrives.
-    pub fn streamed(order: DeliveryCall, decode: Decode, most: usize) -> Self {
-        let attempt = Attempt::streamed(decode, most, order.send_before);
-        Call { order, attempt, connection: None, is_counted: false, full_closes: false }
+    /// Like [`Call::new`], for a call whose body is forwarded while it is received.
+    pub fn streamed(delivery: DeliveryCall, decode: Decode, max_answer_bytes: usize) -> Self {
+        let attempt = Attempt::streamed(decode, max_answer_bytes, delivery.send_before);
+        Call { delivery, attempt, connection: None, is_counted: false, closed_rejection_is_refusal: false }
     }
 
-    /// The attempt's machine.
+    /// The state machine of the attempt.
     pub fn attempt(&self) -> &Attempt {
         &self.attempt
     }
 
-    /// The connection and the answer's buffer, for moving bytes.
-    pub fn parts(&mut self) -> Option<(&mut C, &mut Vec<u8>)> {
+    /// The connection and the buffer of the answer, for reading and writing; `None` while there is no connection.
+    pub fn connection_and_answer(&mut self) -> Option<(&mut C, &mut Vec<u8>)> {
         let (_, connection) = self.connection.as_mut()?;
         Some((connection, self.attempt.answer_mut()))
     }
@@ -109,63 +116,70 @@
         self.connection.as_ref().map(|(_, connection)| connection)
     }
 
-    /// The attempt's state.
+    /// The state of the attempt, which tells the driver whether to connect, write or read.
     pub fn state(&self) -> AttemptState {
         self.attempt.state()
     }
 
-    /// Starts the call on an idle connection, or on a new one ([`AttemptState::Connecting`]), or holds it back.
-    pub fn start(&mut self, pool: &mut Pool<C>, now: Micros, quiet: impl Fn(&C) -> bool) -> StepOutcome<C> {
-        let (endpoint, addr) = (self.order.endpoint, self.order.addr);
+    /// Starts the call on an idle connection or on a new one ([`AttemptState::Connecting`]). If calls to the endpoint may not
+    /// start, the call ends with [`CallEnd::HeldBack`]. `nothing_received` checks an idle connection for bytes or a close.
+    pub fn start(
+        &mut self,
+        pool: &mut Pool<C>,
+        now: Micros,
+        nothing_received: impl Fn(&C) -> bool,
+    ) -> StepOutcome<C> {
+        let (endpoint, addr) = (self.delivery.endpoint, self.delivery.addr);
         let open = pool.is_open(endpoint, now);
         if open {
-            self.connection = pool.begin(endpoint, addr, now, quiet);
+            self.connection = pool.begin_call(endpoint, addr, now, nothing_received);
             self.is_counted = true;
         }
-        let resting = self.starts_on_idle();
-        self.step(pool, AttemptInput::Start { open, resting }, now)
+        let reuses_connection = self.starts_on_idle();
+        self.step(pool, AttemptInput::Start { open, reuses_connection }, now)
     }
 
-    /// Starts the call on this connection, or on a new one if there is none; it may use no other.
+    /// Starts the call on the given connection, or on a new one if there is none, but never on an idle one of the pool.
     pub fn start_on(
         &mut self,
         pool: &mut Pool<C>,
-        on: Option<(EndpointConnection, C)>,
+        connection: Option<(EndpointConnection, C)>,
         now: Micros,
     ) -> StepOutcome<C> {
-        if !pool.is_open(self.order.endpoint, now) {
-            let outcome = self.step(pool, AttemptInput::Start { open: false, resting: false }, now);
-            return StepOutcome { to_close: on.map(|(_, connection)| connection), ..outcome };
+        if !pool.is_open(self.delivery.endpoint, now) {
+            let outcome = self.step(pool, AttemptInput::Start { open: false, reuses_connection: false }, now);
+            return StepOutcome { to_close: connection.map(|(_, connection)| connection), ..outcome };
         }
         pool.resume_call();
-        self.connection = on;
+        self.connection = connection;
         self.is_counted = true;
-        let resting = self.starts_on_idle();
-        self.step(pool, AttemptInput::Start { open: true, resting }, now)
+        let reuses_connection = self.starts_on_idle();
+        self.step(pool, AttemptInput::Start { open: true, reuses_connection }, now)
     }
 
-    /// Whether the call starts on an idle connection; a full connection table would not have admitted that one.
+    /// Whether the call starts on an idle connection. The endpoint's connection table contains such a connection already, so
+    /// that a rejection on it does not mean that the table is full.
     fn starts_on_idle(&mut self) -> bool {
-        let resting = self.connection.is_some();
-        self.full_closes &= !resting;
-        resting
+        let reuses_connection = self.connection.is_some();
+        self.closed_rejection_is_refusal &= !reuses_connection;
+        reuses_connection
     }
 
-    /// The connection that the call waited for is established.
+    /// Handles the connection for which the call was waiting, after it was established.
     pub fn connected(&mut self, pool: &mut Pool<C>, connection: C, now: Micros) -> StepOutcome<C> {
-        let mut machine = pool.open();
+        let mut machine = pool.new_connection();
         machine.step(ConnectionInput::Connected, now);
         self.connection = Some((machine, connection));
-        let open = pool.is_open(self.order.endpoint, now);
+        let open = pool.is_open(self.delivery.endpoint, now);
         self.step(pool, AttemptInput::Connected { open }, now)
     }
 
-    /// Anything else happened.
+    /// Applies any other input to the attempt and updates the pool.
     pub fn step(&mut self, pool: &mut Pool<C>, input: AttemptInput, now: Micros) -> StepOutcome<C> {
         let mut output = self.attempt.step(input, now);
-        // An endpoint whose connection table is full accepts a new connection only to reject the call, and closes it: that is
-        // a failed connect. A destination that is over its limit keeps the connection open.
-        if self.full_closes
+        // An endpoint whose connection table is full accepts a new connection only to reject the call, and then closes it:
+        // that counts as a refused connection. An endpoint that rejects a call by a limit keeps the connection open.
+        if self.closed_rejection_is_refusal
             && output.action == ConnectionAction::Close
             && output.end == Some(CallEnd::Full(0))
         {
@@ -179,13 +193,13 @@
                 connection
             }),
             ConnectionAction::Keep => self.connection.take().and_then(|(machine, connection)| {
-                pool.keep_idle(self.order.endpoint, self.order.addr, machine, connection, now)
+                pool.keep_idle(self.delivery.endpoint, self.delivery.addr, machine, connection, now)
             }),
         };
         let leaks = matches!(output.end, Some(CallEnd::TimedOut | CallEnd::GivenUp));
         self.is_counted &= !(leaks && breaks::is_enabled(Break::PoolLeak));
         if self.is_counted && (output.end.is_some() || output.action == ConnectionAction::Close) {
-            pool.end();
+            pool.end_call();
             self.is_counted = false;
         }
         StepOutcome { end: output.end, finish: output.action == ConnectionAction::Finish, to_close }
--- a/courier/core/src/hub.rs
+++ b/courier/core/src/hub.rs
@@ -1,7 +1,7 @@
-//! The courier without its sockets: the router and the connection pool, wired together.
+//! The courier's decisions without I/O: the router combined with the connection pool.
 //!
-//! The driver reports what happened and carries out the [`DriverAction`]s that it gets back, in order. It moves the bytes,
-//! provides the time and writes the log. Each delivery call in flight is a [`Call`](crate::call::Call) of the driver's.
+//! The driver reports events and carries out the returned [`DriverAction`]s in order. It does the I/O, provides the time
+//! and writes the log. It owns the delivery calls in flight, each of which is a [`Call`](crate::call::Call).
 
 use crate::disabled::DisableError;
 use crate::journal::{JournalEntry, JournalError, Settlements, Source};
@@ -16,54 +16,55 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// What the driver is to do. `C` is a connection to an endpoint.
+/// What the driver must do. `C` is the driver's type of a connection to an endpoint.
 #[derive(Debug)]
 pub enum DriverAction<C> {
-    /// Begin this call.
+    /// Start this delivery call.
     Begin(DeliveryCall),
-    /// Pass this input to a call in flight: `GiveUp`, `MessageEnded`, `Shut` or `BackOff`.
+    /// Pass this input to a call in flight: `GiveUp`, `MessageEnded`, `EndpointUnavailable` or `BackOff`.
     Signal(CallId, AttemptInput),
-    /// Close these idle connections.
+    /// Close these idle connections, which were removed from the pool.
     Close(Vec<C>),
-    /// There are notices to send; see [`Router::notices`].
+    /// Send notices to the platform; see [`Router::notices`].
     Notify,
-    /// Send the final answer of this stream; see [`RouterAction::Answer`].
+    /// Send the final answer to the client of this stream; see [`RouterAction::Answer`].
     Answer(MsgId, StreamEnd),
-    /// Write this to the log.
+    /// Write this note to the log.
     Note(Note),
 }
 
-/// The courier's tables and decisions. `S` is the journal's store, `C` a connection to an endpoint.
+/// The state and the decisions of a courier. `S` is the store of the journal, `C` a connection to an endpoint.
 #[derive(Clone, Debug)]
 pub struct Hub<S, C> {
-    /// The messages and calls.
+    /// The messages and their delivery calls.
     pub router: Router<S>,
-    /// The connections to endpoints.
+    /// The idle connections to endpoints, and whether calls to an endpoint may start.
     pub pool: Pool<C>,
 }
 
-/// What one process hands over to the next, except for its sockets and their calls. Encoded by position.
+/// The state that is handed over to another process, except for the sockets and the calls on them. Encoded by position:
+/// the order of the fields must not change.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HubState {
-    /// The router's state.
+    /// The state of the router, with all messages.
     pub router: router::RouterState,
-    /// The endpoints to which no call may start for a while.
+    /// The endpoints in a backoff.
     pub backoffs: Vec<EndpointBackoff>,
 }
 
 impl<S: Store, C> Hub<S, C> {
-    /// A hub of these parts.
+    /// Combines a router and a pool.
     pub fn new(router: Router<S>, pool: Pool<C>) -> Self {
         Hub { router, pool }
     }
 
-    /// A client submits a message; see [`Router::submit`].
+    /// Handles the submission of a message; see [`Router::submit`].
     pub fn submit(&mut self, submission: Submission, now: Micros) -> (Intake, Vec<DriverAction<C>>) {
         let (intake, actions) = self.router.submit(submission, now);
         (intake, self.carry_out(actions, now))
     }
 
-    /// A client begins to submit a stream; see [`Router::submit_stream`].
+    /// Handles the beginning of the submission of a stream; see [`Router::submit_stream`].
     pub fn submit_stream(
         &mut self,
         submission: Submission,
@@ -73,7 +74,7 @@
         (intake, msg, self.carry_out(actions, now))
     }
 
-    /// Something happened to a stream: applies it to the router.
+    /// Applies an event of a stream to the router.
     pub fn stream(
         &mut self,
         apply: impl FnOnce(&mut Router<S>) -> Vec<RouterAction>,
@@ -83,16 +84,17 @@
         self.carry_out(actions, now)
     }
 
-    /// Discovery has sent a list of endpoints; see [`Router::list`].
+    /// Handles a list of endpoints from discovery; see [`Router::list`].
     pub fn list(&mut self, list: EndpointList, now: Micros) -> Vec<DriverAction<C>> {
         let actions = self.router.list(list, now);
         self.carry_out(actions, now)
     }
 
-    /// Operators disable or enable an endpoint; see [`Router::disable`] and [`Router::enable`].
+    /// Disables or enables an endpoint for operators; see [`Router::disable`] and [`Router::enable`].
     ///
     /// # Errors
-    /// No endpoint has the id, too many are disabled, or the record could not be written: nothing has changed.
+    /// Returns an error if no endpoint has the id, too many are disabled, or the record could not be written. Nothing has
+    /// changed then.
     pub fn set_disabled(
         &mut self,
         id: &str,
@@ -106,7 +108,7 @@
     /// Adopts the messages of another courier's journal; see [`Router::adopt`].
     ///
     /// # Errors
-    /// The journal is full, or its store refused the records: nothing was adopted.
+    /// Returns an error if the journal is full or its store failed to write the records. Nothing was adopted then.
     pub fn adopt(
         &mut self,
         entries: Vec<JournalEntry>,
@@ -117,10 +119,10 @@
         Ok(self.carry_out(actions, now))
     }
 
-    /// Ends a message that was never submitted, with a notice; see [`Router::end_unsent`].
+    /// Ends a message that was never submitted to this courier, with a notice; see [`Router::end_unsent`].
     ///
     /// # Errors
-    /// The store refused the records: nothing has changed.
+    /// Returns an error if the store failed to write the records. Nothing has changed then.
     pub fn end_unsent(
         &mut self,
         submission: Submission,
@@ -131,10 +133,10 @@
         Ok(self.carry_out(actions, now))
     }
 
-    /// The fleet has decided whether this courier owns the messages of a source; see [`Router::settle_source`].
+    /// Handles the fleet's decision whether this courier owns the messages of a source; see [`Router::settle_source`].
     ///
     /// # Errors
-    /// The store refused the record: the messages go on waiting.
+    /// Returns an error if the store failed to write the record. The messages continue to wait for the decision.
     pub fn settle_source(
         &mut self,
         source: &Source,
@@ -145,31 +147,31 @@
         Ok(self.carry_out(actions, now))
     }
 
-    /// Time has passed; to be called at [`Router::wake_at`] at the latest.
+    /// Handles timers that are due. The driver must call this at [`Router::wake_at`] at the latest.
     pub fn tick(&mut self, now: Micros) -> Vec<DriverAction<C>> {
         let actions = self.router.tick(now);
         self.carry_out(actions, now)
     }
 
-    /// Begins a graceful shutdown; the process ends at `at`. See [`Router::stop`].
-    pub fn stop(&mut self, now: Micros, at: Micros) -> Vec<DriverAction<C>> {
-        let actions = self.router.stop(now, at);
+    /// Begins a graceful shutdown; the process ends at `ends_at`. See [`Router::stop`].
+    pub fn stop(&mut self, now: Micros, ends_at: Micros) -> Vec<DriverAction<C>> {
+        let actions = self.router.stop(now, ends_at);
         self.carry_out(actions, now)
     }
 
-    /// The platform has confirmed these notices.
+    /// Handles the platform's confirmation of these notices, which are not sent again.
     pub fn notices_confirmed(&mut self, notices: &[Notice], now: Micros) -> Vec<DriverAction<C>> {
         let actions = self.router.notices_confirmed(notices, now);
         self.carry_out(actions, now)
     }
 
-    /// A call ended in the same way for all of its messages.
+    /// Handles the end of a call with the same result for all of its messages.
     pub fn call_ended(&mut self, call: CallId, end: CallEnd, now: Micros) -> Vec<DriverAction<C>> {
         let actions = self.router.call_ended(call, end, now);
         self.carry_out(actions, now)
     }
 
-    /// A call ended in the same way for all of its messages, and its answer had a report.
+    /// Handles the end of a call with the same result for all of its messages, and the report in its answer.
     pub fn call_ended_with_report(
         &mut self,
         call: CallId,
@@ -181,7 +183,7 @@
         self.carry_out(actions, now)
     }
 
-    /// A call ended with an end for each of its messages; see [`Router::call_ended_each`].
+    /// Handles the end of a call with a separate result for each of its messages; see [`Router::call_ended_each`].
     pub fn call_ended_each(
         &mut self,
         call: CallId,
@@ -193,12 +195,13 @@
         self.carry_out(actions, now)
     }
 
-    /// The state to hand over; `settings` is their [`settings_fingerprint`](router::settings_fingerprint).
+    /// The state to hand over; `settings` is the [`settings_fingerprint`](router::settings_fingerprint).
     pub fn state(&self, settings: u32) -> HubState {
         HubState { router: self.router.state(settings), backoffs: self.pool.backoffs() }
     }
 
-    /// Resumes from another process's state: the part of it that is not the router's, and the router's first actions.
+    /// Resumes the state that another process has handed over: applies its backoffs and the first actions of the resumed
+    /// router.
     pub fn resume(
         &mut self,
         backoffs: &[EndpointBackoff],
@@ -209,12 +212,12 @@
         self.carry_out(actions, now)
     }
 
-    /// Whether no message is owed an end and none is in flight.
-    pub fn is_quiet(&self) -> bool {
+    /// Whether no message waits for its final result and no call is in flight.
+    pub fn is_idle(&self) -> bool {
         self.router.load() == RouterLoad::default()
     }
 
-    /// Applies the router's actions to the pool; returns the actions for the driver.
+    /// Applies the router's actions to the pool. Returns the actions that the driver must carry out.
     pub fn carry_out(&mut self, actions: Vec<RouterAction>, now: Micros) -> Vec<DriverAction<C>> {
         let mut todo = Vec::with_capacity(actions.len());
         let mut actions = VecDeque::from(actions);
@@ -235,7 +238,7 @@
                     let open = open || breaks::is_enabled(Break::IgnoreDrain);
                     close(&mut todo, self.pool.set_gate(endpoint, open));
                     if !open {
-                        self.signal_calls_at(endpoint, AttemptInput::Shut, &mut todo);
+                        self.signal_calls_at(endpoint, AttemptInput::EndpointUnavailable, &mut todo);
                     }
                 }
                 RouterAction::BackOff { .. } if breaks::is_enabled(Break::IgnoreWait) => {}
--- a/courier/core/src/machine/attempt/table.rs
+++ b/courier/core/src/machine/attempt/table.rs
@@ -1,4 +1,4 @@
-//! The transition tables of an attempt, with a plain body and with a streamed one.
+//! The transition tables of attempts, with a buffered body and with a streamed body.
 
 use super::{Answer, Attempt, AttemptInput, AttemptState, ConnectionAction, Decode};
 use crate::CallEnd;
@@ -7,68 +7,72 @@
 impl Machine for Attempt {
     type Input = (AttemptInput, &'static str);
     const NAME: &'static str = "An attempt";
-    const ABOUT: &'static str = "`courier/core/src/machine/attempt.rs`: one delivery call, from the router's action to its end. \
+    const ABOUT: &'static str = "`courier/core/src/machine/attempt.rs`: one delivery call, from the router's action to its result. \
         *open*, *close the sending side*, *close* and *keep* are the actions on the connection.";
 
     fn states() -> Vec<Example<Self>> {
-        // In the table an answer is complete with `.`, and an interim one with `1`.
+        // In the table, `.` completes a final answer and `1` completes an interim one.
         let decode: Decode = |bytes, closed| match bytes.last() {
             Some(b'.') => Answer::Whole { end: CallEnd::Delivered, reusable: !closed },
             _ if closed => Answer::Whole { end: CallEnd::Spoilt(0), reusable: false },
             Some(b'1') => Answer::Awaited,
             _ => Answer::Partial,
         };
-        let at = |state, answer: &[u8]| {
-            let fresh = Attempt::new(decode, 9, 2);
-            Attempt { state, answer: answer.to_vec(), ..fresh }
+        let attempt = |state, answer: &[u8]| {
+            let initial = Attempt::new(decode, 9, 2);
+            Attempt { state, answer: answer.to_vec(), ..initial }
         };
         examples([
-            ("New", "created, not started", at(AttemptState::New, b"")),
+            ("New", "created, not started", attempt(AttemptState::New, b"")),
             (
                 "Connecting",
                 "there was no idle connection, and a new one is being opened",
-                at(AttemptState::Connecting, b""),
+                attempt(AttemptState::Connecting, b""),
             ),
             (
                 "Writing",
                 "the request is not completely written: the call had no effect",
-                at(AttemptState::Writing { written: 1 }, b""),
+                attempt(AttemptState::Writing { written: 1 }, b""),
             ),
             (
                 "Awaiting",
                 "the request is completely written: the call may have had an effect",
-                at(AttemptState::Awaiting, b""),
+                attempt(AttemptState::Awaiting, b""),
             ),
             (
                 "Reading",
                 "a part of the answer was read; the rest must follow within 100 ms",
-                at(AttemptState::Reading { by: 1 }, b"2"),
+                attempt(AttemptState::Reading { deadline: 1 }, b"2"),
             ),
             (
                 "Closing",
-                "cancelled after its last byte, and the sending side is closed (a stream's connection is closed if nothing of its body was written); its end is reported 5 ms later, or the answer that was still read",
-                at(AttemptState::Closing { end: CallEnd::TimedOut, until: 2 }, b""),
+                "cancelled after its last byte, and the sending side is closed (the connection of a stream is closed if nothing of its body was written); 5 ms later the result is reported, which is the answer if one was still read",
+                attempt(AttemptState::Closing { end: CallEnd::TimedOut, until: 2 }, b""),
             ),
-            ("Finished", "its end is reported", at(AttemptState::Finished, b"")),
+            ("Finished", "its result is reported", attempt(AttemptState::Finished, b"")),
         ])
     }
 
     fn inputs() -> Vec<Example<Self::Input>> {
         examples([
             (
-                "start, shut",
-                "started while the endpoint is draining, is gone or has asked to wait",
-                (AttemptInput::Start { open: false, resting: false }, ""),
+                "start, unavailable",
+                "started while the endpoint is draining, was removed or is in a backoff",
+                (AttemptInput::Start { open: false, reuses_connection: false }, ""),
             ),
             (
                 "start, idle",
                 "started where an idle connection exists",
-                (AttemptInput::Start { open: true, resting: true }, ""),
+                (AttemptInput::Start { open: true, reuses_connection: true }, ""),
+            ),
+            (
+                "start",
+                "started where none exists",
+                (AttemptInput::Start { open: true, reuses_connection: false }, ""),
             ),
-            ("start", "started where none exists", (AttemptInput::Start { open: true, resting: false }, "")),
             ("connected", "the connection is established", (AttemptInput::Connected { open: true }, "")),
             (
-                "connected, shut",
+                "connected, unavailable",
                 "it is established, but calls may not start there any more",
                 (AttemptInput::Connected { open: false }, ""),
             ),
@@ -89,11 +93,15 @@
             ("read all", "the last part of an answer", (AttemptInput::Read, ".")),
             ("end", "the endpoint closed its sending side", (AttemptInput::PeerClosed, "")),
             ("reset", "the connection was reset", (AttemptInput::Reset, "")),
-            ("deadline", "the call's time-out has passed", (AttemptInput::Deadline, "")),
+            ("deadline", "the timeout of the call has expired", (AttemptInput::Deadline, "")),
             ("give up", "the policy cancels the call", (AttemptInput::GiveUp, "")),
-            ("ended", "its message has ended", (AttemptInput::MessageEnded, "")),
-            ("shut", "the endpoint is draining or gone", (AttemptInput::Shut, "")),
-            ("back off", "the destination asked another call to wait", (AttemptInput::BackOff, "")),
+            ("ended", "its message already has its final result", (AttemptInput::MessageEnded, "")),
+            (
+                "unavailable",
+                "the endpoint is draining or was removed",
+                (AttemptInput::EndpointUnavailable, ""),
+            ),
+            ("back off", "another call was answered with a `Retry-After` time", (AttemptInput::BackOff, "")),
             ("tick", "the time that the state waits for is reached", (AttemptInput::Tick, "")),
         ])
     }
@@ -111,8 +119,8 @@
     }
 
     fn apply(&mut self, (input, bytes): Self::Input) -> String {
-        let early = self.streamed && matches!(self.state, AttemptState::Writing { .. });
-        if early
+        let is_read_before_last_byte = self.streamed && matches!(self.state, AttemptState::Writing { .. });
+        if is_read_before_last_byte
             || matches!(
                 self.state,
                 AttemptState::Awaiting | AttemptState::Reading { .. } | AttemptState::Closing { .. }
@@ -133,15 +141,15 @@
     }
 }
 
-/// An attempt whose body is forwarded as it arrives, for its table.
+/// An attempt with a streamed body, which has its own transition table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Streamed(Attempt);
 
 impl Machine for Streamed {
     type Input = <Attempt as Machine>::Input;
     const NAME: &'static str = "An attempt of a stream";
-    const ABOUT: &'static str = "`courier/core/src/machine/attempt.rs` with a body that is forwarded as it arrives: the \
-        call may have had an effect from its first byte on, and may be answered before its last.";
+    const ABOUT: &'static str = "`courier/core/src/machine/attempt.rs` with a body that is forwarded while it is received: \
+        from its first byte on the call may have had an effect, and it may be answered before its last byte.";
 
     fn states() -> Vec<Example<Self>> {
         let streamed = |example: Example<Attempt>| Example {
@@ -151,13 +159,17 @@
         };
         let mut states: Vec<_> = Attempt::states().into_iter().map(streamed).collect();
         let index = states.iter().position(|example| example.name == "Writing").unwrap_or(0);
-        let Streamed(half) = states[index].value.clone();
-        let unsent = Streamed(Attempt { state: AttemptState::Writing { written: 0 }, ..half.clone() });
-        let half_written = examples([
+        let Streamed(partly_sent) = states[index].value.clone();
+        let unsent = Streamed(Attempt { state: AttemptState::Writing { written: 0 }, ..partly_sent.clone() });
+        let writing_states = examples([
             ("Writing", "no byte of its body is written: the call had no effect", unsent),
-            ("HalfWritten", "a part of its body is written: the call may have had an effect", Streamed(half)),
+            (
+                "HalfWritten",
+                "a part of its body is written: the call may have had an effect",
+                Streamed(partly_sent),
+            ),
         ]);
-        states.splice(index..=index, half_written);
+        states.splice(index..=index, writing_states);
         states
     }
 
@@ -166,7 +178,7 @@
     }
 
     fn state(&self) -> &'static str {
-        if self.0.is_half() { "HalfWritten" } else { Machine::state(&self.0) }
+        if self.0.is_partly_sent() { "HalfWritten" } else { Machine::state(&self.0) }
     }
 
     fn apply(&mut self, input: Self::Input) -> String {
--- a/courier/core/src/machine/client.rs
+++ b/courier/core/src/machine/client.rs
@@ -1,86 +1,87 @@
-//! One client's connection: it brings requests, gets answers, is idle in between, and is closed.
+//! The state machine of a client connection: requests, answers, idle times between them, and the close.
 
 use super::transition_table::{Example, Machine, examples};
 
-/// The state of a [`ClientConnection`]. Encoded by position when it is handed over.
+/// The state of a [`ClientConnection`]. In a handover it is encoded by position: the order of the variants must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub enum ClientState {
-    /// A request is not complete.
+    /// A request has been received partly, or not at all.
     Requesting {
-        /// It is the connection's first request.
+        /// The request is the first one on the connection.
         first: bool,
-        /// Its answer ends the connection.
+        /// The connection is closed after the answer.
         last: bool,
     },
-    /// An answer is being written.
+    /// The answer to the last request is being written.
     Answering {
         /// The request was a readiness check.
         probed: bool,
-        /// The answer ends the connection.
+        /// The connection is closed after the answer.
         closes: bool,
     },
-    /// Between requests.
+    /// No request has been received since the last answer.
     Idle {
         /// The last request was a readiness check, so that a submission is likely to follow.
         probed: bool,
     },
-    /// To be closed: a request that arrives just now is still answered.
+    /// The connection is about to be closed. A request that is already in transit is still answered.
     Leaving,
-    /// The last answer is written; what still arrives is discarded.
+    /// The last answer is written. Bytes that are still received are discarded.
     Closing,
-    /// Closed.
+    /// The connection is closed.
     Closed,
 }
 
-/// What happens to a [`ClientConnection`].
+/// An input of a [`ClientConnection`]: a result of reading or writing, or a decision to close.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientInput {
-    /// A request is complete or malformed, and has its answer.
+    /// A request was completely received or is malformed, and its answer is ready to be written.
     Requested {
-        /// It was a readiness check.
+        /// The request was a readiness check.
         probe: bool,
-        /// Nothing can follow it on this connection.
+        /// No further request can follow on this connection.
         closes: bool,
     },
-    /// The connection ended, or its time was up, before a byte of a request.
+    /// The connection was closed or timed out before the first byte of a request.
     Silent,
-    /// The connection broke, or the answer was not read in time.
+    /// The connection broke, or the answer could not be written within its timeout.
     Broken,
-    /// The answer is written.
+    /// The answer is completely written.
     Answered,
-    /// Bytes of another request have arrived.
+    /// Bytes of another request can be read.
     Readable,
-    /// It was idle for as long as it may be, or is to be closed.
+    /// The idle timeout has expired, or the server closes the connection.
     Leave,
-    /// Nothing arrived during the last read.
+    /// Nothing was received during the last read before the close.
     NothingArrived,
-    /// Nothing more arrives, or the time for it has passed.
+    /// The client has closed its side, or the time for discarding its bytes has expired.
     Lingered,
 }
 
-/// What the driver of a [`ClientConnection`] is to do next.
+/// What the driver of a [`ClientConnection`] must do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ClientOutput {
-    /// Nothing.
+    /// No action.
     Nothing,
-    /// Read a request.
+    /// Read a request until it is complete, malformed or timed out.
     Read,
-    /// Write the answer.
+    /// Write the answer to the last request.
     Answer {
-        /// It ends the connection.
+        /// The connection is closed after the answer.
         closes: bool,
     },
-    /// Wait for bytes, for a request to close, or until the idle time is over.
+    /// Wait for the next request, until the server closes the connection or the idle timeout expires.
     Rest,
-    /// Wait briefly for a request that may be in transit: sent while the connection is closed, it would be lost.
+    /// Wait briefly for a request that may be in transit. It would be lost if the connection were closed at once.
     AwaitLastRequest,
-    /// End the sending side and read what still arrives, so that the answer is not lost to a reset.
+    /// Close the sending side, and read and discard bytes until the client closes. Unread bytes would cause a reset, which
+    /// can destroy the answer before the client has read it.
     Linger,
-    /// Close the connection.
+    /// Close the connection in both directions.
     Close,
 }
 
-/// The machine of a client's connection.
+/// The state machine of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ClientConnection {
     state: ClientState,
@@ -93,23 +94,23 @@
 }
 
 impl ClientConnection {
-    /// Resumes a connection that another process had in this state; returns what is to be done next.
+    /// Resumes a connection that another process has handed over in this state; returns what the driver must do next.
     pub fn resumed(state: ClientState) -> (Self, ClientOutput) {
         let is_idle = matches!(state, ClientState::Idle { .. });
         (ClientConnection { state }, if is_idle { ClientOutput::Rest } else { ClientOutput::Read })
     }
 
-    /// The current state.
+    /// The current state, by which [`Admission`](crate::admission::Admission) ranks the connection.
     pub fn state(&self) -> ClientState {
         self.state
     }
 
-    /// No request is in progress.
+    /// Whether no request is in progress.
     pub fn is_idle(&self) -> bool {
         matches!(self.state, ClientState::Idle { .. })
     }
 
-    /// Applies an input.
+    /// Applies an input; returns what the driver must do next.
     pub fn step(&mut self, input: ClientInput) -> ClientOutput {
         use ClientState::*;
         let (state, output) = match (self.state, input) {
@@ -142,40 +143,40 @@
     const ABOUT: &'static str = "`courier/core/src/machine/client.rs`, ranked by `courier/core/src/admission.rs`: requests, answers, idle times and the close.";
 
     fn states() -> Vec<Example<Self>> {
-        let at = |state| ClientConnection { state };
-        let asking = |first, last| at(ClientState::Requesting { first, last });
+        let connection = |state| ClientConnection { state };
+        let requesting = |first, last| connection(ClientState::Requesting { first, last });
         examples([
-            ("Requesting", "its first request is not complete", asking(true, false)),
-            ("RequestingMore", "a further request has begun", asking(false, false)),
+            ("Requesting", "its first request is not complete", requesting(true, false)),
+            ("RequestingMore", "a further request has begun", requesting(false, false)),
             (
                 "RequestingLast",
                 "a further request has begun while the connection was to be closed",
-                asking(false, true),
+                requesting(false, true),
             ),
             (
                 "Answering",
                 "an answer is being written",
-                at(ClientState::Answering { probed: false, closes: false }),
+                connection(ClientState::Answering { probed: false, closes: false }),
             ),
             (
                 "AnsweringProbe",
-                "the same, to a readiness check",
-                at(ClientState::Answering { probed: true, closes: false }),
+                "the same, for a readiness check",
+                connection(ClientState::Answering { probed: true, closes: false }),
             ),
             (
                 "AnsweringLast",
                 "the last answer is being written",
-                at(ClientState::Answering { probed: false, closes: true }),
+                connection(ClientState::Answering { probed: false, closes: true }),
             ),
-            ("Idle", "between requests", at(ClientState::Idle { probed: false })),
+            ("Idle", "between requests", connection(ClientState::Idle { probed: false })),
             (
                 "Probed",
-                "idle after a readiness check, about to send a request",
-                at(ClientState::Idle { probed: true }),
+                "idle after a readiness check, a submission is likely to follow",
+                connection(ClientState::Idle { probed: true }),
             ),
-            ("Leaving", "to be closed after a last read", at(ClientState::Leaving)),
-            ("Closing", "the last answer is written", at(ClientState::Closing)),
-            ("Closed", "closed", at(ClientState::Closed)),
+            ("Leaving", "to be closed after a last read", connection(ClientState::Leaving)),
+            ("Closing", "the last answer is written", connection(ClientState::Closing)),
+            ("Closed", "closed", connection(ClientState::Closed)),
         ])
     }
 
@@ -196,7 +197,7 @@
                 "no request can follow it on this connection",
                 ClientInput::Requested { probe: false, closes: true },
             ),
-            ("silent", "an end or a time-out before the first byte of a request", ClientInput::Silent),
+            ("silent", "closed or timed out before the first byte of a request", ClientInput::Silent),
             (
                 "broken",
                 "the connection broke, or the answer could not be written in time",
@@ -204,9 +205,13 @@
             ),
             ("answered", "the answer is written", ClientInput::Answered),
             ("readable", "bytes of another request were received", ClientInput::Readable),
-            ("leave", "the idle time-out has passed, or capacity is short", ClientInput::Leave),
+            ("leave", "the idle timeout has expired, or the connection limit is reached", ClientInput::Leave),
             ("nothing arrived", "nothing was received during the last read", ClientInput::NothingArrived),
-            ("lingered", "nothing more arrives, or the time for it has passed", ClientInput::Lingered),
+            (
+                "lingered",
+                "the client has closed its side, or the time for it has expired",
+                ClientInput::Lingered,
+            ),
         ])
     }
 
--- a/courier/core/src/machine/connection.rs
+++ b/courier/core/src/machine/connection.rs
@@ -1,85 +1,86 @@
-//! One connection to an endpoint, which carries one call at a time and is idle between calls.
+//! The state machine of a connection to an endpoint, which carries one call at a time and is idle between calls.
 
 use super::transition_table::{Example, Machine, examples};
 use quillmount_policy::Micros;
 
-/// The state of an [`EndpointConnection`].
+/// The state of an [`EndpointConnection`]; [`ConnectionState::Closed`] is final.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ConnectionState {
-    /// It is being established.
+    /// The connection is being established.
     Opening,
-    /// A call uses it.
+    /// A call is in flight on the connection.
     Calling,
-    /// It waits for the next call.
+    /// No call is in flight on the connection; the next one can reuse it.
     Idle {
-        /// Since when.
+        /// The time at which the connection became idle, in microseconds.
         since: Micros,
     },
-    /// It is closed, or was never established.
+    /// The connection is closed, or was never established.
     Closed,
 }
 
-/// What happens to an [`EndpointConnection`].
+/// An input of an [`EndpointConnection`]: a result of its call, a check, or a decision to close.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionInput {
-    /// It was established.
+    /// The connection was established.
     Connected,
-    /// It was refused, or not established in time.
+    /// The connection was refused, or was not established within the timeout.
     Failed,
-    /// Its call ended, and the next may begin on it.
+    /// The call ended with a complete answer, so that the connection can be reused.
     CallCompleted {
         /// The endpoint is still listed as ready.
         open: bool,
     },
-    /// Its call ended, and it can't be reused.
+    /// The call ended in a way after which the connection can't be reused.
     CallFailed,
-    /// A call begins on it.
+    /// A call is about to start on the idle connection.
     Reused {
-        /// Nothing has arrived on it meanwhile, neither an end nor bytes.
-        quiet: bool,
+        /// The idle connection has received neither bytes nor a close.
+        nothing_received: bool,
     },
-    /// An idle connection is checked.
+    /// The periodic check of an idle connection.
     Checked {
-        /// Nothing has arrived on it meanwhile, neither an end nor bytes.
-        quiet: bool,
+        /// The idle connection has received neither bytes nor a close.
+        nothing_received: bool,
     },
-    /// The endpoint drains or is gone, the policy has its idle connections closed, or there are too many connections.
+    /// Closes the idle connection: the endpoint is draining or was removed, the policy requests it, or the connection limit
+    /// is reached.
     Close,
 }
 
-/// The machine of a connection to an endpoint.
+/// The state machine of a connection to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct EndpointConnection {
     state: ConnectionState,
-    /// How long it may be idle.
+    /// The time for which the connection may be idle, in microseconds.
     idle_timeout: Micros,
 }
 
 impl EndpointConnection {
-    /// A connection that is being established.
+    /// Creates the machine of a connection that is being established.
     pub fn opening(idle_timeout: Micros) -> Self {
         EndpointConnection { state: ConnectionState::Opening, idle_timeout }
     }
 
-    /// A connection that has been idle since then, at another process until now.
+    /// Creates the machine of an idle connection that another process has handed over.
     pub fn idle(idle_timeout: Micros, since: Micros) -> Self {
         EndpointConnection { state: ConnectionState::Idle { since }, idle_timeout }
     }
 
-    /// The current state.
+    /// The current state; between calls the pool owns the connection.
     pub fn state(&self) -> ConnectionState {
         self.state
     }
 
-    /// Since when it is idle, if it is.
-    pub fn since(&self) -> Option<Micros> {
+    /// The time at which the connection became idle, if it is idle.
+    pub fn idle_since(&self) -> Option<Micros> {
         match self.state {
             ConnectionState::Idle { since } => Some(since),
             _ => None,
         }
     }
 
-    /// Applies an input at the time `now`. True: the connection is to be closed.
+    /// Applies an input at the time `now`. Returns whether the driver must close the connection.
     pub fn step(&mut self, input: ConnectionInput, now: Micros) -> bool {
         let (next, close) = match (self.state, input) {
             (ConnectionState::Opening, ConnectionInput::Connected) => (ConnectionState::Calling, false),
@@ -95,9 +96,10 @@
             }
             (
                 ConnectionState::Idle { since },
-                ConnectionInput::Reused { quiet } | ConnectionInput::Checked { quiet },
-            ) if !quiet || now.saturating_sub(since) >= self.idle_timeout => {
-                // Bytes on it would be taken for an answer; the endpoint closes connections that are too old.
+                ConnectionInput::Reused { nothing_received } | ConnectionInput::Checked { nothing_received },
+            ) if !nothing_received || now.saturating_sub(since) >= self.idle_timeout => {
+                // Bytes received while idle would be taken for the next call's answer. After the idle timeout the endpoint
+                // closes the connection.
                 (ConnectionState::Closed, true)
             }
             (ConnectionState::Idle { .. }, ConnectionInput::Reused { .. }) => {
@@ -117,55 +119,59 @@
     const ABOUT: &'static str = "`courier/core/src/machine/connection.rs`, owned by `courier/core/src/pool.rs` between calls: it carries one call at a time.";
 
     fn states() -> Vec<Example<Self>> {
-        let at = |state| EndpointConnection { state, idle_timeout: 10 };
+        let connection = |state| EndpointConnection { state, idle_timeout: 10 };
         examples([
-            ("Opening", "being opened", at(ConnectionState::Opening)),
-            ("Calling", "a call is in flight on it", at(ConnectionState::Calling)),
-            ("Idle", "no call is in flight on it", at(ConnectionState::Idle { since: 0 })),
-            ("Closed", "closed", at(ConnectionState::Closed)),
+            ("Opening", "being opened", connection(ConnectionState::Opening)),
+            ("Calling", "a call is in flight on it", connection(ConnectionState::Calling)),
+            ("Idle", "no call is in flight on it", connection(ConnectionState::Idle { since: 0 })),
+            ("Closed", "closed", connection(ConnectionState::Closed)),
         ])
     }
 
     fn inputs() -> Vec<Example<Self::Input>> {
         examples([
             ("up", "the connection is established", (ConnectionInput::Connected, 1)),
-            ("failed", "refused, or not established in time", (ConnectionInput::Failed, 1)),
+            ("failed", "refused, or not established within the timeout", (ConnectionInput::Failed, 1)),
             (
                 "call completed",
                 "its call ended with a complete answer",
                 (ConnectionInput::CallCompleted { open: true }, 1),
             ),
             (
-                "call completed, shut",
-                "the same, and the endpoint is draining or gone by then",
+                "call completed, unavailable",
+                "the same, while the endpoint is draining or removed",
                 (ConnectionInput::CallCompleted { open: false }, 1),
             ),
             ("call failed", "its call ended otherwise", (ConnectionInput::CallFailed, 1)),
-            ("reused", "a call is to use it", (ConnectionInput::Reused { quiet: true }, 1)),
+            ("reused", "a call is to use it", (ConnectionInput::Reused { nothing_received: true }, 1)),
             (
-                "reused, not quiet",
-                "a call is to use it, and bytes or an end were received on it",
-                (ConnectionInput::Reused { quiet: false }, 1),
+                "reused, data received",
+                "a call is to use it, and bytes or a close were received on it",
+                (ConnectionInput::Reused { nothing_received: false }, 1),
             ),
             (
-                "reused, old",
-                "a call is to use it, and it was idle for too long",
-                (ConnectionInput::Reused { quiet: true }, 10),
+                "reused, expired",
+                "a call is to use it, and its idle timeout has expired",
+                (ConnectionInput::Reused { nothing_received: true }, 10),
             ),
-            ("checked, quiet", "the sweep, once a second", (ConnectionInput::Checked { quiet: true }, 1)),
             (
-                "checked, old",
-                "the sweep, when it was idle for too long",
-                (ConnectionInput::Checked { quiet: true }, 10),
+                "checked",
+                "the periodic check, once a second",
+                (ConnectionInput::Checked { nothing_received: true }, 1),
             ),
             (
-                "checked, not quiet",
-                "the sweep, when bytes or an end were received",
-                (ConnectionInput::Checked { quiet: false }, 1),
+                "checked, expired",
+                "the periodic check, and its idle timeout has expired",
+                (ConnectionInput::Checked { nothing_received: true }, 10),
+            ),
+            (
+                "checked, data received",
+                "the periodic check, and bytes or a close were received",
+                (ConnectionInput::Checked { nothing_received: false }, 1),
             ),
             (
                 "close",
-                "a drain, an instruction of the policy, or capacity is short",
+                "a drain, a decision of the policy, or the connection limit is reached",
                 (ConnectionInput::Close, 1),
             ),
         ])
--- a/courier/core/src/machine/drain.rs
+++ b/courier/core/src/machine/drain.rs
@@ -1,65 +1,66 @@
-//! Draining: whether clients are to connect to this courier. A drained courier loses its clients and continues to run.
+//! The drain of a courier, with which operators move its clients to other couriers. A drained courier continues to run.
 
 use super::transition_table::{Example, Machine, examples};
 use quillmount_policy::Micros;
 
-/// How long idle connections stay after the front was first notified that the courier is not ready, in microseconds. The front
-/// checks ten times a second and goes on assigning connections here for 0.2 s after that: closed earlier, clients would come
-/// back.
-pub const FRONT_GRACE: Micros = 500_000;
-/// The time between two checks for idle connections, in microseconds: there are few, since answers close theirs.
+/// The time for which idle connections stay open after the load balancer was first notified that the courier is not ready,
+/// in microseconds. The load balancer checks readiness ten times a second and continues to assign connections here for
+/// 0.2 s after that. If connections were closed earlier, their clients would be assigned to this courier again.
+pub const LOAD_BALANCER_GRACE: Micros = 500_000;
+/// The interval between checks for idle connections, in microseconds. Few connections become idle during a drain, since
+/// each is closed after its answer.
 pub const IDLE_CHECK_INTERVAL: Micros = 100_000;
 
-/// The state of a [`Drain`].
+/// The state of a [`Drain`]; initially the courier is not drained.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum DrainState {
-    /// Clients are welcome.
+    /// Clients may connect.
     #[default]
     Serving,
-    /// The front is notified that the courier is not ready.
+    /// Readiness checks of the load balancer fail, and clients are disconnected.
     Drained {
-        /// When idle connections are closed next.
+        /// The time at which idle connections are closed next.
         next_check: Micros,
     },
 }
 
-/// What happens to a [`Drain`].
+/// An input of a [`Drain`]: a command of an operator, or the timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainInput {
-    /// Operators drain the courier.
+    /// An operator requests the drain.
     Drain,
-    /// Operators end the drain.
+    /// An operator ends the drain.
     Undrain,
-    /// The time of [`Drain::wake_at`] is reached.
+    /// The time returned by [`Drain::wake_at`] is reached.
     Tick,
 }
 
-/// What the driver of a [`Drain`] is to do.
+/// What the driver of a [`Drain`] must do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainOutput {
-    /// Nothing.
+    /// No action.
     Nothing,
-    /// Close each connection after its answer from now on.
+    /// From now on, close each connection after its answer.
     CloseAfterAnswers,
-    /// Close idle connections.
+    /// Close all idle connections.
     CloseIdle,
-    /// Keep connections open after answers from now on.
+    /// From now on, keep connections open after answers.
     KeepConnections,
 }
 
-/// The machine of a drain.
+/// The state machine of a drain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Drain {
     state: DrainState,
 }
 
 impl Drain {
-    /// Operators have drained the courier.
+    /// Whether the courier is drained.
     pub fn is_drained(&self) -> bool {
         self.state != DrainState::Serving
     }
 
-    /// When a [`DrainInput::Tick`] is due.
+    /// The time at which a [`DrainInput::Tick`] is due, if the courier is drained.
     pub fn wake_at(&self) -> Option<Micros> {
         match self.state {
             DrainState::Serving => None,
@@ -67,11 +68,11 @@
         }
     }
 
-    /// Applies an input at the time `now`.
+    /// Applies an input at the time `now`, in microseconds.
     pub fn step(&mut self, input: DrainInput, now: Micros) -> DrainOutput {
         let (state, output) = match (self.state, input) {
             (DrainState::Serving, DrainInput::Drain) => (
-                DrainState::Drained { next_check: now.saturating_add(FRONT_GRACE) },
+                DrainState::Drained { next_check: now.saturating_add(LOAD_BALANCER_GRACE) },
                 DrainOutput::CloseAfterAnswers,
             ),
             (DrainState::Drained { .. }, DrainInput::Undrain) => {
@@ -99,17 +100,17 @@
             ("Serving", "clients may connect", Drain::default()),
             (
                 "Drained",
-                "the front is notified that the courier is not ready, and each answer ends its connection",
-                Drain { state: DrainState::Drained { next_check: FRONT_GRACE } },
+                "readiness checks fail, and each connection is closed after its answer",
+                Drain { state: DrainState::Drained { next_check: LOAD_BALANCER_GRACE } },
             ),
         ])
     }
 
     fn inputs() -> Vec<Example<Self::Input>> {
         examples([
-            ("DRAIN", "the operators' command", (DrainInput::Drain, FRONT_GRACE)),
-            ("UNDRAIN", "the operators' command", (DrainInput::Undrain, FRONT_GRACE)),
-            ("tick", "the time to close idle connections", (DrainInput::Tick, FRONT_GRACE)),
+            ("DRAIN", "the operators' command", (DrainInput::Drain, LOAD_BALANCER_GRACE)),
+            ("UNDRAIN", "the operators' command", (DrainInput::Undrain, LOAD_BALANCER_GRACE)),
+            ("tick", "the time to close idle connections", (DrainInput::Tick, LOAD_BALANCER_GRACE)),
         ])
     }
 
--- a/courier/core/src/machine/handover.rs
+++ b/courier/core/src/machine/handover.rs
@@ -1,8 +1,8 @@
-//! An upgrade: one process hands all that it is doing to the next, which has the same folder.
+//! The handover of an upgrade: a process transfers its state and its sockets to a new process with the same directory.
 //!
-//! The owner of the folder's lock decides and writes the journal. The sender releases the lock last and reports it; the
-//! receiver resumes from the state only after that report. Otherwise it restores from the journal once the lock
-//! is free.
+//! The process that holds the lock of the directory makes all decisions and writes the journal. The sender releases the
+//! lock as its last step and reports it, and only after that report the receiver resumes from the transferred state. If the
+//! handover fails, the receiver restores the state from the journal as soon as it has the lock.
 
 mod receiver;
 mod sender;
--- a/courier/core/src/machine/handover/receiver.rs
+++ b/courier/core/src/machine/handover/receiver.rs
@@ -1,110 +1,112 @@
-//! The receiver of a handover: the process that starts and takes over.
+//! The receiver of a handover: the process that starts.
 
 use crate::machine::transition_table::{Example, Machine, examples};
 use quillmount_policy::Micros;
 
-/// An owner of the lock that sends nothing for this long hangs, in microseconds: it is killed, and its journal restored.
+/// The time without data after which the lock's owner counts as hung, in microseconds. The receiver kills it and restores
+/// the state from the journal.
 pub const OWNER_SILENCE_MAX: Micros = 1_500_000;
-/// How long after an owner reported that it hands over to another process the lock is tried again, in microseconds.
+/// The interval between attempts to acquire the lock, in microseconds, for example while its owner hands over to another
+/// process.
 pub const LOCK_RETRY_INTERVAL: Micros = 50_000;
-/// If the owner has not handed over within this, the receiver kills it, in microseconds: the receiver must serve within
-/// 6 s.
+/// The time after which the receiver kills an owner that has not completed the handover, in microseconds. The receiver must
+/// serve within 6 s of its start.
 pub const KILL_OWNER_AFTER: Micros = 4_000_000;
 
-/// The state of a [`HandoverReceiver`].
+/// The state of a [`HandoverReceiver`]. Times are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ReceiverState {
-    /// Tries for the lock.
+    /// Tries to acquire the lock.
     Locking {
-        /// When it tries next.
+        /// The time of the next try.
         retry_at: Micros,
     },
     /// Has requested a handover from the lock's owner.
     Requesting {
-        /// When the owner counts as failed if nothing more is received.
+        /// The time at which the owner counts as hung if it sends nothing more.
         until: Micros,
     },
-    /// Has all parts, has confirmed them, and waits until the owner reports that the lock is free.
+    /// Has received and confirmed all parts, and waits for the owner's report that the lock is released.
     Confirming {
-        /// When the owner counts as failed if nothing more is received.
+        /// The time at which the owner counts as hung if it sends nothing more.
         until: Micros,
     },
-    /// Has resumed from the state that was handed over.
+    /// Has resumed from the transferred state.
     Resumed,
-    /// Has restored from the journal.
+    /// Has restored the state from the journal.
     Restored,
 }
 
-/// What happens to a [`HandoverReceiver`].
+/// An input of a [`HandoverReceiver`]: a result of locking, a message of the owner, or the timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReceiverInput {
-    /// The lock is this process's.
+    /// This process has acquired the lock.
     Locked,
-    /// Another process has the lock.
+    /// Another process holds the lock.
     LockTaken,
-    /// The owner is handing over to another process, or is starting.
+    /// The owner can't hand over now: it is handing over to another process, or is starting.
     Busy,
-    /// A part has been received.
+    /// A part of the state has been received, which shows that the owner is not hung.
     Part,
-    /// All parts have been received and can be read.
+    /// All parts have been received and decoded.
     Complete,
-    /// The owner has released the lock.
+    /// The owner reports that it has released the lock.
     Released,
-    /// The owner can't be reached, its connection broke, or what it sent can't be read.
+    /// The owner can't be reached, its connection broke, or its data can't be decoded.
     Lost,
-    /// The time of [`HandoverReceiver::wake_at`] is reached.
+    /// The time returned by [`HandoverReceiver::wake_at`] is reached.
     Tick,
 }
 
-/// What the driver of a [`HandoverReceiver`] is to do.
+/// What the driver of a [`HandoverReceiver`] must do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReceiverOutput {
-    /// Nothing.
+    /// No action.
     Nothing,
-    /// Try for the lock.
+    /// Try to acquire the lock, and report [`ReceiverInput::Locked`] or [`ReceiverInput::LockTaken`].
     Lock,
     /// Request a handover from the lock's owner.
     Request,
-    /// Confirm that all parts have been received.
+    /// Confirm to the owner that all parts have been received.
     Confirm,
-    /// Kill the owner, which hangs or does not hand over, then try for the lock.
+    /// Kill the owner, which is hung or has not completed a handover, then try to acquire the lock.
     KillOwner,
-    /// Resume from the state that was handed over.
+    /// Resume from the transferred state.
     Resume,
-    /// Restore from the journal.
+    /// Restore the state from the journal.
     Restore,
 }
 
-/// The machine of the process that starts.
+/// The state machine of the process that starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct HandoverReceiver {
     state: ReceiverState,
-    /// When the owner is killed if it has not handed over.
-    latest: Micros,
-    /// A handover was requested in vain.
-    failed: bool,
-    /// What was received was confirmed, and the owner has released the lock.
-    complete: bool,
+    /// The time from which on the owner is killed if it still holds the lock.
+    kill_at: Micros,
+    /// A handover was requested and has failed.
+    handover_failed: bool,
+    /// All parts were received and confirmed, and the owner has released the lock.
+    handover_complete: bool,
 }
 
 impl HandoverReceiver {
-    /// A receiver that is to try for the lock at once.
+    /// Creates a receiver that tries to acquire the lock at once.
     pub fn new(now: Micros) -> Self {
-        let latest = now.saturating_add(KILL_OWNER_AFTER);
+        let kill_at = now.saturating_add(KILL_OWNER_AFTER);
         HandoverReceiver {
             state: ReceiverState::Locking { retry_at: now },
-            latest,
-            failed: false,
-            complete: false,
+            kill_at,
+            handover_failed: false,
+            handover_complete: false,
         }
     }
 
-    /// The current state.
+    /// The current state; [`ReceiverState::Resumed`] and [`ReceiverState::Restored`] are final.
     pub fn state(&self) -> ReceiverState {
         self.state
     }
 
-    /// When a [`ReceiverInput::Tick`] is due.
+    /// The time at which a [`ReceiverInput::Tick`] is due; `None` in a final state.
     pub fn wake_at(&self) -> Option<Micros> {
         match self.state {
             ReceiverState::Locking { retry_at } => Some(retry_at),
@@ -113,43 +115,43 @@
         }
     }
 
-    /// Applies an input at the time `now`.
+    /// Applies an input at the time `now`, in microseconds.
     pub fn step(&mut self, input: ReceiverInput, now: Micros) -> ReceiverOutput {
         use ReceiverInput::*;
         use ReceiverState::*;
         let locking = Locking { retry_at: now.saturating_add(LOCK_RETRY_INTERVAL) };
         let requesting = Requesting { until: now.saturating_add(OWNER_SILENCE_MAX) };
         let (state, output) = match (self.state, input) {
-            (Locking { .. }, Locked) if self.complete => (Resumed, ReceiverOutput::Resume),
+            (Locking { .. }, Locked) if self.handover_complete => (Resumed, ReceiverOutput::Resume),
             (Locking { .. }, Locked) => (Restored, ReceiverOutput::Restore),
-            // A third process has taken the released lock: the state that was handed over is out of date.
-            (Locking { .. }, LockTaken) if self.complete => {
-                self.complete = false;
+            // A third process has acquired the released lock, so the transferred state is stale.
+            (Locking { .. }, LockTaken) if self.handover_complete => {
+                self.handover_complete = false;
                 (locking, ReceiverOutput::Nothing)
             }
-            (Locking { .. }, LockTaken) if self.failed || now >= self.latest => {
-                self.failed = false;
-                // The lock's next owner has not received a request yet.
-                self.latest = now.saturating_add(KILL_OWNER_AFTER);
+            (Locking { .. }, LockTaken) if self.handover_failed || now >= self.kill_at => {
+                self.handover_failed = false;
+                // The next owner of the lock gets the full time for a handover of its own.
+                self.kill_at = now.saturating_add(KILL_OWNER_AFTER);
                 (locking, ReceiverOutput::KillOwner)
             }
             (Locking { .. }, LockTaken) => (requesting, ReceiverOutput::Request),
-            (Locking { retry_at: at }, Tick) if now >= at => (locking, ReceiverOutput::Lock),
+            (Locking { retry_at: due }, Tick) if now >= due => (locking, ReceiverOutput::Lock),
             (Requesting { .. }, Busy) => (locking, ReceiverOutput::Nothing),
             (Requesting { .. }, Part) => (requesting, ReceiverOutput::Nothing),
             (Requesting { .. }, Complete) => {
                 (Confirming { until: now.saturating_add(OWNER_SILENCE_MAX) }, ReceiverOutput::Confirm)
             }
             (Requesting { .. } | Confirming { .. }, Lost) => {
-                self.failed = true;
+                self.handover_failed = true;
                 (locking, ReceiverOutput::Nothing)
             }
             (Requesting { until } | Confirming { until }, Tick) if now >= until => {
-                self.failed = true;
+                self.handover_failed = true;
                 (locking, ReceiverOutput::Nothing)
             }
             (Confirming { .. }, Released) => {
-                self.complete = true;
+                self.handover_complete = true;
                 (Locking { retry_at: now }, ReceiverOutput::Lock)
             }
             (state, _) => (state, ReceiverOutput::Nothing),
@@ -162,60 +164,60 @@
 impl Machine for HandoverReceiver {
     type Input = (ReceiverInput, Micros);
     const NAME: &'static str = "The receiver of a handover";
-    const ABOUT: &'static str = "`courier/core/src/machine/handover/receiver.rs`: the process that starts, in the folder of another one that may be running.";
+    const ABOUT: &'static str = "`courier/core/src/machine/handover/receiver.rs`: the process that starts, in a directory whose lock another process may hold.";
 
     fn states() -> Vec<Example<Self>> {
-        let fresh = HandoverReceiver::new(0);
-        let at = |state| HandoverReceiver { state, ..fresh };
+        let initial = HandoverReceiver::new(0);
+        let receiver = |state| HandoverReceiver { state, ..initial };
         let locking = ReceiverState::Locking { retry_at: 0 };
         examples([
-            ("Locking", "tries for the lock", at(locking)),
+            ("Locking", "tries to acquire the lock", receiver(locking)),
             (
                 "LockingFailed",
                 "the same, after a handover that failed",
-                HandoverReceiver { failed: true, ..fresh },
+                HandoverReceiver { handover_failed: true, ..initial },
             ),
             (
                 "LockingComplete",
                 "the same, after the lock's owner released it",
-                HandoverReceiver { complete: true, ..fresh },
+                HandoverReceiver { handover_complete: true, ..initial },
             ),
             (
                 "Requesting",
                 "has requested a handover from the lock's owner",
-                at(ReceiverState::Requesting { until: 1 }),
+                receiver(ReceiverState::Requesting { until: 1 }),
             ),
             (
                 "Confirming",
-                "has all parts, and has confirmed them",
-                at(ReceiverState::Confirming { until: 1 }),
+                "has received and confirmed all parts",
+                receiver(ReceiverState::Confirming { until: 1 }),
             ),
             (
                 "Resumed",
-                "continues from the state that was handed over",
-                HandoverReceiver { complete: true, ..at(ReceiverState::Resumed) },
+                "continues from the transferred state",
+                HandoverReceiver { handover_complete: true, ..receiver(ReceiverState::Resumed) },
             ),
-            ("Restored", "continues from the journal", at(ReceiverState::Restored)),
+            ("Restored", "continues from the journal", receiver(ReceiverState::Restored)),
         ])
     }
 
     fn inputs() -> Vec<Example<Self::Input>> {
         examples([
             ("locked", "this process has the lock", (ReceiverInput::Locked, 1)),
-            ("lock taken", "another process has it", (ReceiverInput::LockTaken, 1)),
+            ("lock taken", "another process holds it", (ReceiverInput::LockTaken, 1)),
             ("busy", "the lock's owner hands over to another process", (ReceiverInput::Busy, 1)),
             ("part", "a part was received", (ReceiverInput::Part, 1)),
             ("complete", "all parts were received and can be decoded", (ReceiverInput::Complete, 1)),
             ("released", "the lock's owner has released it", (ReceiverInput::Released, 1)),
-            ("lost", "the connection broke, or its data can't be decoded", (ReceiverInput::Lost, 1)),
-            ("tick", "the time-out of the state has passed", (ReceiverInput::Tick, 1)),
+            ("lost", "the owner can't be reached, or its data can't be decoded", (ReceiverInput::Lost, 1)),
+            ("tick", "the timeout of the state has expired", (ReceiverInput::Tick, 1)),
         ])
     }
 
     fn state(&self) -> &'static str {
         match self.state {
-            ReceiverState::Locking { .. } if self.complete => "LockingComplete",
-            ReceiverState::Locking { .. } if self.failed => "LockingFailed",
+            ReceiverState::Locking { .. } if self.handover_complete => "LockingComplete",
+            ReceiverState::Locking { .. } if self.handover_failed => "LockingFailed",
             ReceiverState::Locking { .. } => "Locking",
             ReceiverState::Requesting { .. } => "Requesting",
             ReceiverState::Confirming { .. } => "Confirming",
@@ -227,7 +229,7 @@
     fn apply(&mut self, (input, now): Self::Input) -> String {
         match self.step(input, now) {
             ReceiverOutput::Nothing => "",
-            ReceiverOutput::Lock => "try for the lock",
+            ReceiverOutput::Lock => "try to acquire the lock",
             ReceiverOutput::Request => "request a handover",
             ReceiverOutput::Confirm => "confirm",
             ReceiverOutput::KillOwner => "kill the lock's owner",
--- a/courier/core/src/machine/handover/sender.rs
+++ b/courier/core/src/machine/handover/sender.rs
@@ -1,78 +1,80 @@
-//! The sender of a handover: the process that decides now.
+//! The sender of a handover: the process that holds the lock and makes the decisions.
 
 use crate::machine::transition_table::{Example, Machine, examples};
 use quillmount_policy::Micros;
 
-/// The sender's tasks must release their parts within this, in microseconds: each does when it next waits.
+/// The time within which the sender's tasks must release their parts, in microseconds. Each task does so when it next
+/// waits for I/O or a timer.
 pub const COLLECT_TIMEOUT: Micros = 150_000;
-/// The receiver must confirm within this, in microseconds: no process decides until then, and clients wait 0.4 s for an answer.
+/// The time within which the receiver must confirm the parts, in microseconds. No process makes decisions until then, and
+/// clients wait 0.4 s for an answer.
 pub const TRANSFER_TIMEOUT: Micros = 200_000;
 
-/// The state of a [`HandoverSender`].
+/// The state of a [`HandoverSender`]. Times are in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum SenderState {
-    /// The process decides, and no handover was requested.
+    /// The process makes the decisions, and no handover is in progress.
     #[default]
     Deciding,
-    /// Its tasks release their parts.
+    /// The tasks of the process release their parts: connections and the calls on them.
     Collecting {
-        /// When the handover is abandoned.
+        /// The time at which the handover is abandoned.
         until: Micros,
     },
-    /// All parts are sent and the receiver is to confirm them; no decisions are made.
+    /// All parts are sent, and the receiver has not confirmed them yet. No decisions are made.
     Sending {
-        /// When the handover is abandoned.
+        /// The time at which the handover is abandoned.
         until: Micros,
     },
-    /// The lock is free, and another process decides.
+    /// The lock is released, and another process makes the decisions.
     Gone,
 }
 
-/// What happens to a [`HandoverSender`].
+/// An input of a [`HandoverSender`]: a message of the receiver, progress of the tasks, or the timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SenderInput {
     /// A receiver that can decode this process's state has requested a handover.
     Requested,
-    /// Each task has released its part or has none.
+    /// All tasks have released their parts.
     Collected,
-    /// The receiver has confirmed all parts.
+    /// The receiver has confirmed that it has all parts.
     Received,
-    /// The receiver's connection broke, or it sent what can't be read.
+    /// The connection to the receiver broke, or its data can't be decoded.
     Lost,
-    /// The time of [`HandoverSender::wake_at`] is reached.
+    /// The time returned by [`HandoverSender::wake_at`] is reached.
     Tick,
 }
 
-/// What the driver of a [`HandoverSender`] is to do.
+/// What the driver of a [`HandoverSender`] must do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SenderOutput {
-    /// Nothing.
+    /// No action.
     Nothing,
-    /// Have the tasks release their parts.
+    /// Signal the tasks to release their parts.
     Collect,
-    /// Send the state and the parts.
+    /// Send the state and all parts to the receiver.
     Send,
-    /// Resume the parts here: nothing has been handed over.
-    TakeBack,
-    /// Release the lock, then notify the receiver.
+    /// Abandon the handover and resume the released parts in this process.
+    ResumeParts,
+    /// Release the lock, then report it to the receiver.
     Release,
-    /// Answer that another receiver is being served.
+    /// Answer that a handover to another receiver is in progress.
     Busy,
 }
 
-/// The machine of the process that decides.
+/// The state machine of the process that hands over.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct HandoverSender {
     state: SenderState,
 }
 
 impl HandoverSender {
-    /// The current state.
+    /// The current state; [`SenderState::Gone`] is final.
     pub fn state(&self) -> SenderState {
         self.state
     }
 
-    /// When a [`SenderInput::Tick`] is due.
+    /// The time at which a [`SenderInput::Tick`] is due, if a handover is in progress.
     pub fn wake_at(&self) -> Option<Micros> {
         match self.state {
             SenderState::Collecting { until } | SenderState::Sending { until } => Some(until),
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Applies an input at the time `now`.
+    /// Applies an input at the time `now`, in microseconds.
     pub fn step(&mut self, input: SenderInput, now: Micros) -> SenderOutput {
         use SenderInput::*;
         use SenderState::*;
@@ -92,11 +94,12 @@
             (Collecting { .. }, Collected) => {
                 (Sending { until: now.saturating_add(TRANSFER_TIMEOUT) }, SenderOutput::Send)
             }
-            // A task that does not release its part would continue in parallel with the next process.
+            // Without its part the handover can't continue: a task that has not released it would run in parallel with the
+            // receiver.
             (Collecting { until } | Sending { until }, Tick) if now >= until => {
-                (Deciding, SenderOutput::TakeBack)
+                (Deciding, SenderOutput::ResumeParts)
             }
-            (Collecting { .. } | Sending { .. }, Lost) => (Deciding, SenderOutput::TakeBack),
+            (Collecting { .. } | Sending { .. }, Lost) => (Deciding, SenderOutput::ResumeParts),
             (Sending { .. }, Received) => (Gone, SenderOutput::Release),
             (state, _) => (state, SenderOutput::Nothing),
         };
@@ -108,15 +111,19 @@
 impl Machine for HandoverSender {
     type Input = (SenderInput, Micros);
     const NAME: &'static str = "The sender of a handover";
-    const ABOUT: &'static str = "`courier/core/src/machine/handover/sender.rs`: the process that decides, and hands over to the next one.";
+    const ABOUT: &'static str = "`courier/core/src/machine/handover/sender.rs`: the process that makes the decisions and hands over to the next one.";
 
     fn states() -> Vec<Example<Self>> {
-        let at = |state| HandoverSender { state };
+        let sender = |state| HandoverSender { state };
         examples([
-            ("Deciding", "no handover was requested", at(SenderState::Deciding)),
-            ("Collecting", "its tasks release their parts", at(SenderState::Collecting { until: 1 })),
-            ("Sending", "all parts are sent; no decisions are made", at(SenderState::Sending { until: 1 })),
-            ("Gone", "another process decides", at(SenderState::Gone)),
+            ("Deciding", "no handover was requested", sender(SenderState::Deciding)),
+            ("Collecting", "its tasks release their parts", sender(SenderState::Collecting { until: 1 })),
+            (
+                "Sending",
+                "all parts are sent; no decisions are made",
+                sender(SenderState::Sending { until: 1 }),
+            ),
+            ("Gone", "another process makes the decisions", sender(SenderState::Gone)),
         ])
     }
 
@@ -126,7 +133,7 @@
             ("collected", "each task has released its part", (SenderInput::Collected, 1)),
             ("received", "the receiver has all parts", (SenderInput::Received, 1)),
             ("lost", "the receiver's connection broke", (SenderInput::Lost, 1)),
-            ("tick", "the time-out of the state has passed", (SenderInput::Tick, 1)),
+            ("tick", "the timeout of the state has expired", (SenderInput::Tick, 1)),
         ])
     }
 
@@ -144,7 +151,7 @@
             SenderOutput::Nothing => "",
             SenderOutput::Collect => "collect parts",
             SenderOutput::Send => "send all parts",
-            SenderOutput::TakeBack => "resume the parts",
+            SenderOutput::ResumeParts => "resume the parts",
             SenderOutput::Release => "release the lock and report it",
             SenderOutput::Busy => "answer that it is busy",
         }
--- a/courier/core/src/machine/lifecycle.rs
+++ b/courier/core/src/machine/lifecycle.rs
@@ -1,6 +1,6 @@
-//! The lifecycle of a courier's process: whether it serves, wants clients, hands over or shuts down.
+//! The lifecycle of a courier's process: start, service, drain, handover and shutdown.
 //!
-//! It composes the [`Drain`] and the [`HandoverSender`], whose outputs it passes on.
+//! It contains the [`Drain`] and the [`HandoverSender`], and returns their outputs as its own.
 
 use super::drain::{self, Drain};
 use super::handover::{HandoverSender, SenderInput, SenderOutput, SenderState};
@@ -9,80 +9,81 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 enum LifecycleState {
-    /// What an earlier process left is being restored.
+    /// The state of an earlier process is being restored.
     #[default]
     Starting,
     Serving,
-    /// Another process has requested a handover, which is under way.
+    /// A handover to another process is in progress.
     Handover(HandoverSender),
-    /// The graceful shutdown.
+    /// The graceful shutdown is in progress.
     Stopping,
-    /// Another process decides, or the graceful shutdown is done.
+    /// Another process makes the decisions, or the graceful shutdown is complete.
     Ended,
 }
 
-/// What happens to a [`Lifecycle`].
+/// An input of a [`Lifecycle`]: progress of the start or the shutdown, a signal, or an event of the handover or drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecycleInput {
-    /// All that an earlier process left is restored.
+    /// The state of an earlier process is completely restored.
     Serve,
-    /// Something happened in the handover to another process.
+    /// An event of the handover to another process.
     Handover(SenderInput),
-    /// Operators drain the courier or end the drain, or the drain's timer is due.
+    /// An operator drains the courier or ends the drain, or the timer of the drain is due.
     Drain(drain::DrainInput),
     /// A signal requests the graceful shutdown.
     Stop,
-    /// The graceful shutdown is done, or the fleet has given all to other couriers.
+    /// The graceful shutdown is complete, or the fleet has transferred all messages to other couriers.
     End,
 }
 
-/// What the driver of a [`Lifecycle`] is to do.
+/// What the driver of a [`Lifecycle`] must do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecycleOutput {
-    /// Nothing.
+    /// No action.
     Nothing,
-    /// This, for the handover.
+    /// An output of the handover.
     Handover(SenderOutput),
-    /// This, for the drain.
+    /// An output of the drain.
     Drain(drain::DrainOutput),
     /// Begin the graceful shutdown.
     Stop,
-    /// End the process: there is nothing to shut down.
+    /// Exit at once, without a graceful shutdown.
     Exit,
 }
 
-/// The machine of the lifecycle.
+/// The state machine of the lifecycle.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Lifecycle {
     state: LifecycleState,
     drain: Drain,
-    /// When the first signal arrived that requested the graceful shutdown. During a handover it waits: a process that still has
-    /// the lock afterwards shuts down, one that has released it has nothing left to shut down.
-    stop: Option<Micros>,
+    /// The time of the first signal that requested the graceful shutdown. During a handover the shutdown is deferred: if the
+    /// handover is abandoned, the process still holds the lock and shuts down afterwards; if it is completed, the process
+    /// has nothing left to shut down.
+    stop_requested_at: Option<Micros>,
 }
 
 impl Lifecycle {
-    /// It accepts messages, and operators see that it is ready.
+    /// Whether the process accepts messages and reports to operators that it is ready.
     pub fn is_serving(&self) -> bool {
         matches!(self.state, LifecycleState::Serving | LifecycleState::Handover(_))
     }
 
-    /// The front may send clients here.
+    /// Whether the load balancer may assign clients to this process.
     pub fn accepts_clients(&self) -> bool {
-        self.is_serving() && self.stop.is_none() && !self.drain.is_drained()
+        self.is_serving() && self.stop_requested_at.is_none() && !self.drain.is_drained()
     }
 
-    /// Operators have drained it: the front is notified that it is not ready.
+    /// Whether operators have drained the courier, so that readiness checks of the load balancer fail.
     pub fn is_drained(&self) -> bool {
         self.drain.is_drained()
     }
 
-    /// Tasks release their parts to another process, or have done so.
+    /// Whether tasks must release their parts to another process, or have released them.
     pub fn is_releasing(&self) -> bool {
         matches!(self.state, LifecycleState::Handover(_) | LifecycleState::Ended)
     }
 
-    /// No decisions are made here, temporarily or permanently.
+    /// Whether this process must make no decisions, because the receiver of a handover may already make them.
     pub fn is_frozen(&self) -> bool {
         match self.state {
             LifecycleState::Handover(sender) => matches!(sender.state(), SenderState::Sending { .. }),
@@ -90,22 +91,22 @@
         }
     }
 
-    /// When the signal arrived whose graceful shutdown is under way.
-    pub fn stopping(&self) -> Option<Micros> {
-        self.stop.filter(|_| self.state == LifecycleState::Stopping)
+    /// The time of the signal that requested the shutdown, while the graceful shutdown is in progress.
+    pub fn stopping_since(&self) -> Option<Micros> {
+        self.stop_requested_at.filter(|_| self.state == LifecycleState::Stopping)
     }
 
-    /// Another process restores what is dropped from now on.
+    /// Whether the process has ended its work. State that it drops from now on is restored by another process.
     pub fn has_ended(&self) -> bool {
         self.state == LifecycleState::Ended
     }
 
-    /// A signal has requested the graceful shutdown.
+    /// Whether a signal has requested the graceful shutdown, which may still be deferred by a handover.
     pub fn stop_requested(&self) -> bool {
-        self.stop.is_some()
+        self.stop_requested_at.is_some()
     }
 
-    /// When a tick of the handover is due.
+    /// The time at which a tick of the handover is due, if a handover is in progress.
     pub fn handover_deadline(&self) -> Option<Micros> {
         match &self.state {
             LifecycleState::Handover(sender) => sender.wake_at(),
@@ -113,12 +114,12 @@
         }
     }
 
-    /// When a tick of the drain is due.
+    /// The time at which a tick of the drain is due, if the courier is drained.
     pub fn drain_check_at(&self) -> Option<Micros> {
         self.drain.wake_at().filter(|_| self.state != LifecycleState::Ended)
     }
 
-    /// Applies an input at the time `now`.
+    /// Applies an input at the time `now`, in microseconds.
     pub fn step(&mut self, input: LifecycleInput, now: Micros) -> LifecycleOutput {
         match (self.state, input) {
             (LifecycleState::Starting, LifecycleInput::Serve) => {
@@ -128,9 +129,9 @@
             (
                 LifecycleState::Starting | LifecycleState::Serving | LifecycleState::Handover(_),
                 LifecycleInput::Stop,
-            ) => self.stop(now),
+            ) => self.request_stop(now),
             (LifecycleState::Ended, LifecycleInput::Stop) => {
-                self.stop = self.stop.or(Some(now));
+                self.stop_requested_at = self.stop_requested_at.or(Some(now));
                 LifecycleOutput::Exit
             }
             (
@@ -149,7 +150,7 @@
             (_, LifecycleInput::Handover(SenderInput::Requested)) => {
                 LifecycleOutput::Handover(SenderOutput::Busy)
             }
-            // A change would not be in the state that is handed over.
+            // A change now would not be part of the transferred state.
             (
                 LifecycleState::Handover(_),
                 LifecycleInput::Drain(drain::DrainInput::Drain | drain::DrainInput::Undrain),
@@ -163,8 +164,8 @@
         }
     }
 
-    fn stop(&mut self, now: Micros) -> LifecycleOutput {
-        self.stop = self.stop.or(Some(now));
+    fn request_stop(&mut self, now: Micros) -> LifecycleOutput {
+        self.stop_requested_at = self.stop_requested_at.or(Some(now));
         match self.state {
             LifecycleState::Starting => {
                 self.state = LifecycleState::Ended;
@@ -186,7 +187,7 @@
     ) -> LifecycleOutput {
         let output = sender.step(input, now);
         self.state = match sender.state() {
-            SenderState::Deciding if self.stop.is_some() => LifecycleState::Stopping,
+            SenderState::Deciding if self.stop_requested_at.is_some() => LifecycleState::Stopping,
             SenderState::Deciding => LifecycleState::Serving,
             SenderState::Collecting { .. } | SenderState::Sending { .. } => LifecycleState::Handover(sender),
             SenderState::Gone => LifecycleState::Ended,
@@ -199,8 +200,8 @@
     }
 }
 
-/// The lifecycle that these inputs lead to, all of them at one time.
-fn after(inputs: &[LifecycleInput]) -> Lifecycle {
+/// The lifecycle after these inputs, all applied at time 0.
+fn lifecycle_after(inputs: &[LifecycleInput]) -> Lifecycle {
     let mut lifecycle = Lifecycle::default();
     for input in inputs {
         lifecycle.step(*input, 0);
@@ -212,45 +213,45 @@
     type Input = (LifecycleInput, Micros);
     const NAME: &'static str = "A courier's lifecycle";
     const ABOUT: &'static str = "`courier/core/src/machine/lifecycle.rs`: from its start to its end. It contains the courier's drain \
-        and the sender of a handover, whose own tables follow; a drain stays in effect through a handover, a stop and back.";
+        and the sender of a handover, whose own tables follow; a drain stays in effect during a handover and a stop, and after an abandoned handover.";
 
     fn states() -> Vec<Example<Self>> {
         use LifecycleInput::{Handover, Serve, Stop};
         use SenderInput::{Collected, Received, Requested};
         let drain = LifecycleInput::Drain(drain::DrainInput::Drain);
         examples([
-            ("Starting", "the state of an earlier process is restored", after(&[])),
-            ("Serving", "messages are accepted", after(&[Serve])),
+            ("Starting", "the state of an earlier process is restored", lifecycle_after(&[])),
+            ("Serving", "messages are accepted", lifecycle_after(&[Serve])),
             (
                 "Drained",
-                "the same, and the front is notified that the courier is not ready",
-                after(&[Serve, drain]),
+                "the same, and readiness checks of the load balancer fail",
+                lifecycle_after(&[Serve, drain]),
             ),
             (
                 "Collecting",
                 "tasks release their parts to another process",
-                after(&[Serve, Handover(Requested)]),
+                lifecycle_after(&[Serve, Handover(Requested)]),
             ),
             (
                 "CollectingStopRequested",
                 "the same, and a stop was requested",
-                after(&[Serve, Handover(Requested), Stop]),
+                lifecycle_after(&[Serve, Handover(Requested), Stop]),
             ),
             (
                 "Sending",
                 "all parts are sent; no decisions are made",
-                after(&[Serve, Handover(Requested), Handover(Collected)]),
+                lifecycle_after(&[Serve, Handover(Requested), Handover(Collected)]),
             ),
             (
                 "SendingStopRequested",
                 "the same, and a stop was requested",
-                after(&[Serve, Handover(Requested), Handover(Collected), Stop]),
+                lifecycle_after(&[Serve, Handover(Requested), Handover(Collected), Stop]),
             ),
-            ("Stopping", "graceful shutdown", after(&[Serve, Stop])),
+            ("Stopping", "graceful shutdown", lifecycle_after(&[Serve, Stop])),
             (
                 "Ended",
-                "another process decides, or the shutdown is complete",
-                after(&[Serve, Handover(Requested), Handover(Collected), Handover(Received)]),
+                "another process makes the decisions, or the shutdown is complete",
+                lifecycle_after(&[Serve, Handover(Requested), Handover(Collected), Handover(Received)]),
             ),
         ])
     }
@@ -264,7 +265,7 @@
             (
                 "drain tick",
                 "the time to close idle connections",
-                (LifecycleInput::Drain(drain::DrainInput::Tick), drain::FRONT_GRACE),
+                (LifecycleInput::Drain(drain::DrainInput::Tick), drain::LOAD_BALANCER_GRACE),
             ),
             ("stop", "SIGTERM or SIGINT", (LifecycleInput::Stop, 0)),
             (
@@ -289,7 +290,7 @@
             ),
             (
                 "tick",
-                "the time-out of the handover has passed",
+                "the timeout of the handover has expired",
                 (LifecycleInput::Handover(SenderInput::Tick), TRANSFER_TIMEOUT),
             ),
             (
@@ -305,7 +306,7 @@
             LifecycleState::Starting => "Starting",
             LifecycleState::Serving if self.drain.is_drained() => "Drained",
             LifecycleState::Serving => "Serving",
-            LifecycleState::Handover(sender) => match (sender.state(), self.stop) {
+            LifecycleState::Handover(sender) => match (sender.state(), self.stop_requested_at) {
                 (SenderState::Sending { .. }, None) => "Sending",
                 (SenderState::Sending { .. }, Some(_)) => "SendingStopRequested",
                 (_, None) => "Collecting",
@@ -322,7 +323,7 @@
             LifecycleOutput::Handover(SenderOutput::Nothing) => "",
             LifecycleOutput::Handover(SenderOutput::Collect) => "collect parts",
             LifecycleOutput::Handover(SenderOutput::Send) => "send all parts",
-            LifecycleOutput::Handover(SenderOutput::TakeBack) => "resume the parts",
+            LifecycleOutput::Handover(SenderOutput::ResumeParts) => "resume the parts",
             LifecycleOutput::Handover(SenderOutput::Release) => "release the lock and report it",
             LifecycleOutput::Handover(SenderOutput::Busy) => "answer that it is busy",
             LifecycleOutput::Drain(drain::DrainOutput::Nothing) => "",
--- a/courier/core/src/machine/mod.rs
+++ b/courier/core/src/machine/mod.rs
@@ -1,8 +1,8 @@
-//! The state machines of the courier: one delivery attempt, a connection on either side, the watch on discovery, the
-//! notices, and the process's lifecycle with its drain and handover.
+//! The state machines of the courier: a delivery attempt, client and endpoint connections, the watch on discovery, the
+//! notices, and the lifecycle of the process with its drain and handover.
 //!
-//! Each machine is given what happened and when, and returns what is to be done; its driver moves the bytes and keeps the
-//! time. `docs/states.md` has the tables of their transitions, printed from the code by [`tables`].
+//! Each machine receives an input with a time and returns an output. Its driver does the I/O and provides the time.
+//! `docs/states.md` contains the transition tables, which [`tables`] generates from the code.
 
 pub mod attempt;
 pub mod client;
@@ -16,7 +16,7 @@
 
 pub use transition_table::{Cell, Example, Machine, Table, Term, examples};
 
-/// The tables of all machines.
+/// The transition tables of all machines, in the order of `docs/states.md`.
 pub fn tables() -> Vec<Table> {
     vec![
         attempt::Attempt::table(),
--- a/courier/core/src/machine/notices.rs
+++ b/courier/core/src/machine/notices.rs
@@ -1,39 +1,40 @@
-//! The notices to the platform: when they are sent, and when sending is retried.
+//! Sending notices to the platform: batches, confirmation and retries.
 //!
-//! The router has the notices themselves; this machine decides how many of them the driver sends in one request.
+//! The router owns the notices. This machine decides when the driver sends a request and how many notices it contains.
 
 use super::transition_table::{Example, Machine, examples};
 use quillmount_policy::Micros;
 use quillmount_policy::breaks::{self, Break};
 
-/// How long a request may take, in microseconds. The platform answers at once; one attempt must leave time for another.
+/// The timeout of a request, in microseconds. The platform answers at once, and after a failed attempt there must be time
+/// for another one.
 pub const ATTEMPT_TIMEOUT: Micros = 250_000;
-/// The delay after a failed attempt, in microseconds.
+/// The delay before the next request after a failed one, in microseconds.
 pub const RETRY_DELAY: Micros = 50_000;
-/// The most notices in one request: well below the platform's limit of 64 KiB.
+/// The maximum number of notices in a request. A request of this size is well below the platform's limit of 64 KiB.
 pub const BATCH_MAX: usize = 200;
 
-/// The state of [`Notices`].
+/// The state of [`Notices`], of which at most one request is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum NoticeState {
-    /// No request is in flight.
+    /// No request is in flight, and the next one may be sent at once.
     Quiet,
-    /// A request is in flight.
+    /// A request is in flight, and its answer is awaited.
     Sent {
-        /// The number of its notices.
+        /// The number of notices in the request.
         count: usize,
-        /// When it counts as lost.
+        /// The time at which the request counts as failed.
         until: Micros,
     },
-    /// An attempt has failed.
+    /// A request has failed.
     BackingOff {
-        /// When the next one is made.
+        /// The time at which the next request may be sent.
         until: Micros,
     },
 }
 
 impl NoticeState {
-    /// The state without its time: its number and the count of notices in flight.
+    /// The state without its time, for comparisons: a number for the variant and the number of notices in flight.
     pub fn kind(self) -> (u8, usize) {
         match self {
             NoticeState::Quiet => (0, 0),
@@ -43,59 +44,60 @@
     }
 }
 
-/// What happens to [`Notices`].
+/// An input of [`Notices`]: the demand for a request, its result, or the timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoticeInput {
-    /// So many notices are to be sent.
+    /// The number of notices that are to be sent.
     Wanted(usize),
-    /// The platform has answered with 204.
+    /// The platform has answered with status 204.
     Confirmed,
-    /// The platform has answered with 400: one of the notices can't be read.
+    /// The platform has answered with status 400: it can't parse one of the notices.
     Unreadable,
-    /// Another answer, no answer, or a failed connection.
+    /// The platform has answered with another status or not at all, or the connection failed.
     Lost,
-    /// Discovery has moved: a duplicate notice has no effect, a late one does.
-    Moved,
-    /// The time of [`Notices::wake_at`] is reached.
+    /// Discovery, and with it the platform, has moved to another address. The request is sent again at once: a duplicate
+    /// notice has no effect, but a late one does.
+    DiscoveryMoved,
+    /// The time returned by [`Notices::wake_at`] is reached.
     Tick,
 }
 
-/// What the driver of [`Notices`] is to do.
+/// What the driver of [`Notices`] must do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoticeOutput {
-    /// Nothing.
+    /// No action.
     Nothing,
-    /// Send the oldest notices, so many at most.
+    /// Send the oldest notices, at most this number of them.
     Send(usize),
-    /// The notices that were sent are confirmed.
+    /// Mark the notices of the request as confirmed.
     Confirmed,
-    /// Drop the single notice that was sent: the platform can't read it, and it must not block the others.
+    /// Drop the single notice of the request. The platform can't parse it, and it must not block the others.
     Discard,
-    /// Check again which notices are to be sent.
+    /// Report the notices that are to be sent with [`NoticeInput::Wanted`] again.
     Retry,
 }
 
-/// The machine of the notices.
+/// The state machine of the notices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Notices {
     state: NoticeState,
-    /// The most notices of the next request.
-    batch: usize,
+    /// The maximum number of notices in the next request.
+    max_batch_len: usize,
 }
 
 impl Default for Notices {
     fn default() -> Self {
-        Notices { state: NoticeState::Quiet, batch: BATCH_MAX }
+        Notices { state: NoticeState::Quiet, max_batch_len: BATCH_MAX }
     }
 }
 
 impl Notices {
-    /// The current state.
+    /// The current state, with the number of notices in flight.
     pub fn state(&self) -> NoticeState {
         self.state
     }
 
-    /// When a [`NoticeInput::Tick`] is due.
+    /// The time at which a [`NoticeInput::Tick`] is due, if a timer is running.
     pub fn wake_at(&self) -> Option<Micros> {
         match self.state {
             NoticeState::Quiet => None,
@@ -103,34 +105,36 @@
         }
     }
 
-    /// The most notices that the next request may contain.
-    pub fn most(&self) -> usize {
-        self.batch
+    /// The maximum number of notices in the next request: [`BATCH_MAX`], or 1 while an unparsable notice is searched for.
+    pub fn max_batch_len(&self) -> usize {
+        self.max_batch_len
     }
 
-    /// Applies an input at the time `now`.
+    /// Applies an input at the time `now`, in microseconds.
     pub fn step(&mut self, input: NoticeInput, now: Micros) -> NoticeOutput {
         let (state, output) = match (self.state, input) {
             (NoticeState::Quiet, NoticeInput::Wanted(count)) if count > 0 => {
-                let count = count.min(self.batch);
+                let count = count.min(self.max_batch_len);
                 (
                     NoticeState::Sent { count, until: now.saturating_add(ATTEMPT_TIMEOUT) },
                     NoticeOutput::Send(count),
                 )
             }
             (NoticeState::Sent { .. }, NoticeInput::Confirmed) => {
-                self.batch = BATCH_MAX;
+                self.max_batch_len = BATCH_MAX;
                 (NoticeState::Quiet, NoticeOutput::Confirmed)
             }
-            // Send one at a time, to find the one that can't be read.
+            // From now on notices are sent one by one, to find the one that can't be parsed.
             (NoticeState::Sent { count, .. }, NoticeInput::Unreadable) if count > 1 => {
-                self.batch = 1;
+                self.max_batch_len = 1;
                 (NoticeState::Quiet, NoticeOutput::Retry)
             }
             (NoticeState::Sent { .. }, NoticeInput::Unreadable) => {
                 (NoticeState::Quiet, NoticeOutput::Discard)
             }
-            (NoticeState::Sent { .. }, NoticeInput::Moved) => (NoticeState::Quiet, NoticeOutput::Retry),
+            (NoticeState::Sent { .. }, NoticeInput::DiscoveryMoved) => {
+                (NoticeState::Quiet, NoticeOutput::Retry)
+            }
             (NoticeState::Sent { .. }, NoticeInput::Lost) if breaks::is_enabled(Break::NoticeOnce) => {
                 (NoticeState::Quiet, NoticeOutput::Discard)
             }
@@ -153,19 +157,19 @@
 impl Machine for Notices {
     type Input = (NoticeInput, Micros);
     const NAME: &'static str = "The notices";
-    const ABOUT: &'static str = "`courier/core/src/machine/notices.rs`: sent to the platform in batches, and again until it has confirmed each of them.";
+    const ABOUT: &'static str = "`courier/core/src/machine/notices.rs`: notices are sent to the platform in batches, and retried until it has confirmed each of them.";
 
     fn states() -> Vec<Example<Self>> {
-        let at = |state, batch| Notices { state, batch };
+        let notices = |state, max_batch_len| Notices { state, max_batch_len };
         let sent = |count| NoticeState::Sent { count, until: 10 };
         examples([
-            ("Quiet", "no notice is in flight", at(NoticeState::Quiet, BATCH_MAX)),
-            ("Sent", "several notices are in flight, for 0.25 s at most", at(sent(2), BATCH_MAX)),
-            ("SentOne", "a single notice is in flight", at(sent(1), 1)),
+            ("Quiet", "no notice is in flight", notices(NoticeState::Quiet, BATCH_MAX)),
+            ("Sent", "several notices are in flight, for 0.25 s at most", notices(sent(2), BATCH_MAX)),
+            ("SentOne", "a single notice is in flight", notices(sent(1), 1)),
             (
                 "BackingOff",
                 "a request has failed; the next one follows after 50 ms",
-                at(NoticeState::BackingOff { until: 10 }, BATCH_MAX),
+                notices(NoticeState::BackingOff { until: 10 }, BATCH_MAX),
             ),
         ])
     }
@@ -175,8 +179,8 @@
             ("wanted", "several notices are to be sent", (NoticeInput::Wanted(2), 1)),
             ("confirmed", "the answer is 204", (NoticeInput::Confirmed, 1)),
             ("unreadable", "the answer is 400", (NoticeInput::Unreadable, 1)),
-            ("lost", "another answer, none, or a failed connection", (NoticeInput::Lost, 1)),
-            ("moved", "discovery has moved", (NoticeInput::Moved, 1)),
+            ("lost", "another status, no answer, or a failed connection", (NoticeInput::Lost, 1)),
+            ("moved", "discovery has moved", (NoticeInput::DiscoveryMoved, 1)),
             ("tick", "the time that the state waits for is reached", (NoticeInput::Tick, 10)),
         ])
     }
--- a/courier/core/src/machine/transition_table.rs
+++ b/courier/core/src/machine/transition_table.rs
@@ -1,48 +1,48 @@
-//! The transitions of a state machine as a table, generated from its code, for the documentation.
+//! Transition tables of the state machines, generated from their code for the documentation.
 
 use std::fmt::Write;
 
 /// The transitions of one machine: a row for each state, a column for each input.
 #[derive(Clone, Debug)]
 pub struct Table {
-    /// The machine's name.
+    /// The machine's name, used as the heading.
     pub name: &'static str,
-    /// What the machine does.
+    /// What the machine does, in Markdown.
     pub about: &'static str,
-    /// The states.
+    /// The states, one for each row of [`Table::cells`].
     pub states: Vec<Term>,
-    /// The inputs.
+    /// The inputs, one for each column of [`Table::cells`].
     pub inputs: Vec<Term>,
-    /// By state and input; `None` where nothing changes.
+    /// The transitions, indexed by state and then by input; `None` if the input has no effect in the state.
     pub cells: Vec<Vec<Option<Cell>>>,
 }
 
-/// A state or an input, as the table explains it.
+/// A state or an input with its explanation in the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Term {
-    /// Its name.
+    /// The label in the table.
     pub name: &'static str,
-    /// What it means.
+    /// The explanation, in Markdown.
     pub meaning: &'static str,
 }
 
-/// The effect of an input in a state.
+/// A transition: the effect of an input in a state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Cell {
-    /// The name of the next state.
+    /// The name of the next state, which may be the same.
     pub next: String,
-    /// The action; empty for none.
+    /// The output of the machine as text; empty if there is none.
     pub action: String,
 }
 
-/// An example of a state or of an input, for the table.
+/// An example value of a state or an input, from which the table is generated.
 #[derive(Clone, Copy, Debug)]
 pub struct Example<T> {
-    /// Its name.
+    /// The label in the table.
     pub name: &'static str,
-    /// What it means.
+    /// The explanation, in Markdown.
     pub meaning: &'static str,
-    /// The example.
+    /// The machine in this state, or the input with its time.
     pub value: T,
 }
 
@@ -52,30 +52,30 @@
     }
 }
 
-/// Examples from rows of name, meaning and value.
+/// Converts rows of name, meaning and value to examples.
 pub fn examples<T, const N: usize>(rows: [(&'static str, &'static str, T); N]) -> Vec<Example<T>> {
     rows.into_iter().map(|(name, meaning, value)| Example { name, meaning, value }).collect()
 }
 
-/// A machine that can be put into any of its states, for its table and for exploration. Its examples leave out no state
-/// and no input.
+/// A state machine that can be constructed in each of its states, for its table and for state-space exploration. The
+/// examples cover all states and all inputs.
 pub trait Machine: Clone + PartialEq {
-    /// The type of its inputs.
+    /// The inputs of the machine, usually with the time at which they occur.
     type Input: Clone;
-    /// The machine's name, as the heading of its table.
+    /// The heading of the machine's table.
     const NAME: &'static str;
-    /// What the machine does, as the text above its table.
+    /// The text above the machine's table, in Markdown: what the machine does.
     const ABOUT: &'static str;
-    /// An example of each state.
+    /// One example for each state.
     fn states() -> Vec<Example<Self>>;
-    /// An example of each input.
+    /// One example for each input.
     fn inputs() -> Vec<Example<Self::Input>>;
-    /// The state's name, as in [`Machine::states`].
+    /// The name of the current state, as in [`Machine::states`].
     fn state(&self) -> &'static str;
-    /// Applies an input at a time after all times that the state waits for; returns the action.
+    /// Applies an input; returns the output as text. A tick is applied at a time at which every timer of the examples is due.
     fn apply(&mut self, input: Self::Input) -> String;
 
-    /// The machine's transitions.
+    /// Generates the table by applying each example input to each example state.
     fn table() -> Table {
         let states = Self::states();
         let inputs = Self::inputs();
@@ -97,7 +97,7 @@
 }
 
 impl Table {
-    /// The table as Markdown: the states, the inputs, and what each input does in each state.
+    /// Formats the table as Markdown: the states, the inputs, and the transition for each input and state.
     pub fn markdown(&self) -> String {
         let mut text = format!("## {}\n\n{}\n\n", self.name, self.about);
         for (title, rows) in [("state", &self.states), ("input", &self.inputs)] {
@@ -122,7 +122,7 @@
         text
     }
 
-    /// The table as a Graphviz graph.
+    /// Formats the transitions as a Graphviz graph.
     pub fn dot(&self) -> String {
         let mut text = format!("digraph \"{}\" {{\n  rankdir=LR;\n  node [shape=box];\n", self.name);
         for (row, state) in self.cells.iter().zip(&self.states) {
--- a/courier/core/src/machine/watch/timing.rs
+++ b/courier/core/src/machine/watch/timing.rs
@@ -1,55 +1,63 @@
-//! The times of the watch, all in microseconds, and the bound that they keep.
+//! The time constants of the watch, all in microseconds, and the bound that they guarantee.
 //!
-//! A list that discovery sends must take effect here within [`NOTIFIED_WITHIN`] of the last heartbeat, and a drain must be
-//! heeded before that. At the same time discovery must not be overloaded by a fleet that loses it at once and sends requests again.
+//! A list that discovery sends must take effect within [`NOTIFICATION_DEADLINE`] of the last heartbeat, and sending to a
+//! draining endpoint must have stopped by then. On the other hand, a fleet whose watches all break at the same time must
+//! not overload discovery with its requests.
 
 use quillmount_policy::Micros;
 
-/// By the protocol a watch without changes sends an empty line at this interval.
+/// The interval at which, by the protocol, discovery sends an empty line on a watch without changes.
 pub const HEARTBEAT: Micros = 2_000_000;
-/// How late that line may be.
+/// The tolerated delay of a heartbeat.
 pub const HEARTBEAT_SLACK: Micros = 500_000;
-/// A watch that has received no data for this long is broken.
-pub const SILENCE: Micros = HEARTBEAT + HEARTBEAT_SLACK;
-/// By the protocol a courier counts as notified of a change this long after it, whether the change arrived or not. For a
-/// change that a broken watch misses, the time counts from the last data.
-pub const NOTIFIED_WITHIN: Micros = 6_000_000;
-/// The part of [`NOTIFIED_WITHIN`] that is left for heeding a drain: the longest `stop_sending_within_ms` in use.
-pub const HEED_MAX: Micros = 1_000_000;
-/// The least time for heeding a drain that is taken into account: an agent that does not answer gets about two requests in it.
-pub(super) const HEED_MIN: Micros = 100_000;
-/// A request is answered within this. An agent answers at once; a loaded machine takes longer.
-pub const ANSWER_WITHIN: Micros = 1_000_000;
-/// No two requests are further apart, nor is one from the last heartbeat: whatever happened to those before, a request
-/// that is sent this long after discovery can be reached is answered [`HEED_MAX`] before its changes count.
-pub const REQUEST_INTERVAL_MAX: Micros = NOTIFIED_WITHIN - HEED_MAX - ANSWER_WITHIN;
-/// The requests of a fleet after a time-out, which all couriers may notice at once, are spread over at most this: the last one
-/// is answered [`HEED_MAX`] before the missed changes count.
-pub(super) const RENEWAL_SPREAD_MAX: Micros = NOTIFIED_WITHIN - HEED_MAX - ANSWER_WITHIN - SILENCE;
-/// The first backoff after a failed request.
+/// The time without data after which a watch counts as broken.
+pub const SILENCE_TIMEOUT: Micros = HEARTBEAT + HEARTBEAT_SLACK;
+/// The time after a change at which, by the protocol, a courier counts as notified, whether it has received the change or
+/// not. For a change that a broken watch missed, the time counts from the last data received.
+pub const NOTIFICATION_DEADLINE: Micros = 6_000_000;
+/// The part of [`NOTIFICATION_DEADLINE`] that is reserved for stopping to send to a draining endpoint: the longest
+/// `stop_sending_within_ms` in use.
+pub const DRAIN_GRACE_MAX: Micros = 1_000_000;
+/// The lower limit of the drain grace period. A shorter one is treated as this value; an agent that does not answer gets
+/// about two requests in it.
+pub(super) const DRAIN_GRACE_MIN: Micros = 100_000;
+/// The maximum time until a request is answered. An agent answers at once unless the machine is loaded.
+pub const ANSWER_TIME_MAX: Micros = 1_000_000;
+/// The maximum time between two requests, and between the last heartbeat and the next request. A request that is sent this
+/// long after discovery has become reachable is answered [`DRAIN_GRACE_MAX`] before the courier counts as notified,
+/// whatever happened to earlier requests.
+pub const REQUEST_INTERVAL_MAX: Micros = NOTIFICATION_DEADLINE - DRAIN_GRACE_MAX - ANSWER_TIME_MAX;
+/// The maximum time over which the requests of a fleet are spread after a timeout, which all couriers may detect at the
+/// same time. The last request is answered [`DRAIN_GRACE_MAX`] before the courier counts as notified of the missed
+/// changes.
+pub(super) const RENEWAL_SPREAD_MAX: Micros =
+    NOTIFICATION_DEADLINE - DRAIN_GRACE_MAX - ANSWER_TIME_MAX - SILENCE_TIMEOUT;
+/// The lower limit of the first backoff after a failed request.
 pub(super) const RETRY_FIRST: Micros = 100_000;
-/// The longest backoff in a small fleet.
+/// The maximum backoff in a small fleet.
 pub(super) const RETRY_MAX: Micros = 2_000_000;
-/// The time that each courier adds to that over which the fleet's requests are spread. Forty-eight couriers that sent a request
-/// together every 2 s kept discovery from answering any of them.
+/// The time that each courier adds to the spread of the fleet's requests. When 48 couriers sent their requests at the same
+/// time every 2 s, discovery was overloaded and answered none of them.
 pub(super) const SPREAD_PER_COURIER: Micros = 25_000;
-/// The time that each courier adds to the longest backoff.
+/// The time that each courier adds to the maximum backoff, up to [`REQUEST_INTERVAL_MAX`].
 pub(super) const BACKOFF_PER_COURIER: Micros = 300_000;
-/// The time that each courier adds to the delay of a hedged request. Forty-eight couriers with one every 2 s each, together one in
-/// 42 ms, were too many.
+/// The time that each courier adds to the delay of a hedged request. Hedged requests from 48 couriers every 2 s, or one
+/// every 42 ms in total, overloaded discovery.
 pub(super) const HEDGE_PER_COURIER: Micros = 50_000;
-/// The fraction by which that time is randomly shortened or extended.
+/// The fraction by which the delay of a hedged request is randomly shortened or extended.
 pub(super) const HEDGE_JITTER: f64 = 0.25;
-/// The most that it may be before jitter: extended by a quarter it is [`REQUEST_INTERVAL_MAX`].
+/// The maximum delay of a hedged request before jitter. Extended by a quarter it is [`REQUEST_INTERVAL_MAX`].
 pub(super) const HEDGE_DELAY_MAX: Micros = REQUEST_INTERVAL_MAX * 4 / 5;
-/// Fleets of at most this size may send hedged requests as often as heeding a drain in time requires.
+/// The maximum number of couriers in a fleet whose hedged requests are as frequent as the drain grace period requires,
+/// without regard to the load on discovery.
 pub(super) const SMALL_FLEET: u32 = 10;
 
-/// The bound: from the last heartbeat over the time-out and the spread, from a failed request over the longest backoff,
-/// and from an unanswered request to the hedged one, the next answer arrives [`HEED_MAX`] before [`NOTIFIED_WITHIN`].
+/// Checks the bound: the next answer arrives [`DRAIN_GRACE_MAX`] before [`NOTIFICATION_DEADLINE`], counted from the last
+/// heartbeat with the timeout and the spread, from a failed request with the longest backoff, and from an unanswered
+/// request with the delay of the hedged one.
 const _: () = {
-    assert!(SILENCE + RENEWAL_SPREAD_MAX <= REQUEST_INTERVAL_MAX);
-    assert!(RETRY_MAX <= REQUEST_INTERVAL_MAX && NOTIFIED_WITHIN / 3 <= REQUEST_INTERVAL_MAX);
-    assert!(HEDGE_DELAY_MAX * 5 / 4 <= REQUEST_INTERVAL_MAX && HEED_MAX <= REQUEST_INTERVAL_MAX);
-    assert!(REQUEST_INTERVAL_MAX + ANSWER_WITHIN <= NOTIFIED_WITHIN - HEED_MAX);
+    assert!(SILENCE_TIMEOUT + RENEWAL_SPREAD_MAX <= REQUEST_INTERVAL_MAX);
+    assert!(RETRY_MAX <= REQUEST_INTERVAL_MAX && NOTIFICATION_DEADLINE / 3 <= REQUEST_INTERVAL_MAX);
+    assert!(HEDGE_DELAY_MAX * 5 / 4 <= REQUEST_INTERVAL_MAX && DRAIN_GRACE_MAX <= REQUEST_INTERVAL_MAX);
+    assert!(REQUEST_INTERVAL_MAX + ANSWER_TIME_MAX <= NOTIFICATION_DEADLINE - DRAIN_GRACE_MAX);
 };
--- a/courier/core/tests/admission.rs
+++ b/courier/core/tests/admission.rs
@@ -1,6 +1,6 @@
 //! Which client connection is closed first when there are too many.
 
-use quillmount_core::admission::{Admission, Decision, GRACE, LEAVING_MAX};
+use quillmount_core::admission::{Admission, CLOSING_MAX, Decision, SLOW_CLIENT_TIMEOUT};
 use quillmount_core::machine::client::ClientState;
 
 #[test]
@@ -25,7 +25,7 @@
     );
     // A closing connection still counts: of the others the slow one is closed first, then the oldest.
     assert_eq!(
-        [admission.decide(20 + GRACE), admission.decide(20 + GRACE)],
+        [admission.decide(20 + SLOW_CLIENT_TIMEOUT), admission.decide(20 + SLOW_CLIENT_TIMEOUT)],
         [Decision::Evict(0), Decision::Admit]
     );
 }
@@ -36,17 +36,25 @@
     let asking = ClientState::Requesting { first: true, last: false };
     (0..2).for_each(|n| admission.set_state(n, asking, 10 + n));
     admission.mark_streaming(0);
-    assert_eq!(admission.decide(20 + 2 * GRACE), Decision::Evict(1), "the slower to ask streams");
+    assert_eq!(
+        admission.decide(20 + 2 * SLOW_CLIENT_TIMEOUT),
+        Decision::Evict(1),
+        "the slower to ask streams"
+    );
     admission.set_state(2, asking, 30);
     admission.mark_streaming(2);
-    assert_eq!(admission.decide(99 * GRACE), Decision::Admit, "their number is bounded elsewhere");
+    assert_eq!(
+        admission.decide(99 * SLOW_CLIENT_TIMEOUT),
+        Decision::Admit,
+        "their number is bounded elsewhere"
+    );
 }
 
 #[test]
 fn only_a_limited_number_of_connections_closes_at_a_time() {
-    let mut admission = Admission::new(LEAVING_MAX + 2);
-    (0..LEAVING_MAX as u64 + 2).for_each(|n| admission.set_state(n, ClientState::Idle { probed: false }, n));
-    (0..LEAVING_MAX as u64).for_each(|n| assert_eq!(admission.decide(99), Decision::RequestClose(n)));
+    let mut admission = Admission::new(CLOSING_MAX + 2);
+    (0..CLOSING_MAX as u64 + 2).for_each(|n| admission.set_state(n, ClientState::Idle { probed: false }, n));
+    (0..CLOSING_MAX as u64).for_each(|n| assert_eq!(admission.decide(99), Decision::RequestClose(n)));
     assert_eq!(admission.decide(99), Decision::Wait);
     admission.remove(0);
     admission.remove(1);
@@ -65,7 +73,15 @@
     admission.set_state(3, ClientState::Closing, 13);
     let given: Vec<Decision> = (0..4).map(|_| admission.reclaim_descriptor(20)).collect();
     assert_eq!(given, [Decision::Evict(3), Decision::RequestClose(1), Decision::Admit, Decision::Admit]);
-    assert_eq!(admission.reclaim_descriptor(10 + GRACE), Decision::Evict(0), "slow to ask by now");
+    assert_eq!(
+        admission.reclaim_descriptor(10 + SLOW_CLIENT_TIMEOUT),
+        Decision::Evict(0),
+        "slow to ask by now"
+    );
     admission.mark_streaming(2);
-    assert_eq!(admission.reclaim_descriptor(99 * GRACE), Decision::Admit, "a stream is no idle connection");
+    assert_eq!(
+        admission.reclaim_descriptor(99 * SLOW_CLIENT_TIMEOUT),
+        Decision::Admit,
+        "a stream is no idle connection"
+    );
 }
--- a/courier/core/tests/attempts.rs
+++ b/courier/core/tests/attempts.rs
@@ -2,7 +2,7 @@
 
 use quillmount_core::CallEnd;
 use quillmount_core::machine::attempt::{
-    ANSWER_COMPLETION, Answer, Attempt, AttemptInput, AttemptState, CLOSING_TIME, ConnectionAction, Decode,
+    ANSWER_READ_TIMEOUT, Answer, Attempt, AttemptInput, AttemptState, CANCEL_LINGER, ConnectionAction, Decode,
 };
 use quillmount_policy::Micros;
 
@@ -28,7 +28,7 @@
     if state == "new" {
         return attempt;
     }
-    attempt.step(AttemptInput::Start { open: true, resting: state != "connecting" }, NOW);
+    attempt.step(AttemptInput::Start { open: true, reuses_connection: state != "connecting" }, NOW);
     if matches!(state, "half" | "awaiting") {
         attempt.step(AttemptInput::Wrote { bytes: 1, left: 1 }, NOW);
     }
@@ -47,12 +47,12 @@
 /// The machine may stand still between the order and the first byte: a repeat that is late by then is not sent.
 #[test]
 fn a_repeat_that_starts_after_its_span_is_held_back() {
-    for resting in [true, false] {
+    for reuses_connection in [true, false] {
         for (now, state) in [(BY - 1, None), (BY, Some(CallEnd::HeldBack)), (BY + 9, Some(CallEnd::HeldBack))]
         {
             let mut call = attempt(BY, "new");
-            let output = call.step(AttemptInput::Start { open: true, resting }, now);
-            assert_eq!(output.end, state, "{now}, {resting}");
+            let output = call.step(AttemptInput::Start { open: true, reuses_connection }, now);
+            assert_eq!(output.end, state, "{now}, {reuses_connection}");
             if state.is_some() {
                 assert_eq!(
                     (output.action, call.state()),
@@ -64,7 +64,7 @@
     }
     // An attempt that is no repeat has no such time.
     let mut first = attempt(Micros::MAX, "new");
-    assert_eq!(first.step(AttemptInput::Start { open: true, resting: true }, BY).end, None);
+    assert_eq!(first.step(AttemptInput::Start { open: true, reuses_connection: true }, BY).end, None);
 }
 
 /// A connection may be established late, and a write may take long: neither the first byte of a repeat is sent after its
@@ -141,7 +141,7 @@
         let mut output = call.step(input, NOW);
         if matches!(call.state(), AttemptState::Closing { .. }) {
             assert_eq!((output.action, output.end), (ConnectionAction::Finish, None));
-            output = call.step(AttemptInput::Tick, NOW + CLOSING_TIME);
+            output = call.step(AttemptInput::Tick, NOW + CANCEL_LINGER);
         }
         assert_eq!(
             (output.action, output.end),
@@ -167,12 +167,12 @@
 fn an_interim_answer_in_two_parts_does_not_end_a_call() {
     let mut call = attempt(Micros::MAX, "awaiting");
     assert_eq!(reads(&mut call, b"102", NOW), (ConnectionAction::Nothing, None));
-    assert_eq!(call.state(), AttemptState::Reading { by: NOW + ANSWER_COMPLETION });
+    assert_eq!(call.state(), AttemptState::Reading { deadline: NOW + ANSWER_READ_TIMEOUT });
     assert_eq!(reads(&mut call, b";", NOW + 10), (ConnectionAction::Nothing, None));
     assert_eq!((call.state(), call.wake_at()), (AttemptState::Awaiting, None));
-    assert_eq!(call.step(AttemptInput::Tick, NOW + ANSWER_COMPLETION).end, None);
+    assert_eq!(call.step(AttemptInput::Tick, NOW + ANSWER_READ_TIMEOUT).end, None);
     assert_eq!(
-        reads(&mut call, b"503.", NOW + 5 * ANSWER_COMPLETION),
+        reads(&mut call, b"503.", NOW + 5 * ANSWER_READ_TIMEOUT),
         (ConnectionAction::Keep, Some(CallEnd::Full(0)))
     );
 }
@@ -185,10 +185,14 @@
         let mut call = attempt(Micros::MAX, "awaiting");
         reads(&mut call, begins, NOW);
         for n in 1..10 {
-            assert_eq!(reads(&mut call, b"x", NOW + n * ANSWER_COMPLETION / 10).1, None);
-            assert_eq!(call.wake_at(), Some(NOW + ANSWER_COMPLETION), "a byte more does not make it longer");
+            assert_eq!(reads(&mut call, b"x", NOW + n * ANSWER_READ_TIMEOUT / 10).1, None);
+            assert_eq!(
+                call.wake_at(),
+                Some(NOW + ANSWER_READ_TIMEOUT),
+                "a byte more does not make it longer"
+            );
         }
-        let output = call.step(AttemptInput::Tick, NOW + ANSWER_COMPLETION);
+        let output = call.step(AttemptInput::Tick, NOW + ANSWER_READ_TIMEOUT);
         assert_eq!((output.action, output.end), (ConnectionAction::Close, Some(end)));
 
         let mut call = attempt(Micros::MAX, "awaiting");
--- a/courier/core/tests/bundles.rs
+++ b/courier/core/tests/bundles.rs
@@ -148,7 +148,7 @@
         assert_eq!(end_of(&hub, id), Some(End::Delivered), "{id}");
     }
     again.iter().for_each(|c| drop(hub.call_ended(c.call, CallEnd::HeldBack, at + 200_000)));
-    assert!(hub.is_quiet(), "{:?}", hub.router.load());
+    assert!(hub.is_idle(), "{:?}", hub.router.load());
 }
 
 /// Crashes at every byte that the call's beginning and its end write: a debit that may have been sent is never repeated.
@@ -212,7 +212,7 @@
     next.carry_out(steps, now);
     assert_eq!(next.router.calls_out(), [call.call]);
     next.call_ended_each(call.call, &[CallEnd::Delivered; 3], &AnswerReport::default(), now + 300_000);
-    assert!(next.is_quiet());
+    assert!(next.is_idle());
     assert_eq!(next.router.notices(9).iter().filter(|n| n.ending == Ending::Undeliverable).count(), 0);
 }
 
--- a/courier/core/tests/disabled.rs
+++ b/courier/core/tests/disabled.rs
@@ -96,7 +96,7 @@
     assert_eq!(call.state(), AttemptState::Connecting);
     hub.set_disabled("a", true, NOW).unwrap();
     assert_eq!(call.connected(&mut hub.pool, 1, NOW).end, Some(CallEnd::HeldBack));
-    assert_eq!(calls(hub.call_ended(call.order.call, CallEnd::HeldBack, NOW)).len(), 0);
+    assert_eq!(calls(hub.call_ended(call.delivery.call, CallEnd::HeldBack, NOW)).len(), 0);
 }
 
 #[test]
--- a/courier/core/tests/drain.rs
+++ b/courier/core/tests/drain.rs
@@ -1,6 +1,8 @@
 //! Draining a courier.
 
-use quillmount_core::machine::drain::{Drain, DrainInput, DrainOutput, FRONT_GRACE, IDLE_CHECK_INTERVAL};
+use quillmount_core::machine::drain::{
+    Drain, DrainInput, DrainOutput, IDLE_CHECK_INTERVAL, LOAD_BALANCER_GRACE,
+};
 
 #[test]
 fn a_drain_starts_once_and_checks_for_idle_connections_until_it_ends() {
@@ -8,14 +10,14 @@
     assert_eq!(drain.step(DrainInput::Undrain, 1), DrainOutput::Nothing);
     assert_eq!(
         (drain.step(DrainInput::Drain, 1), drain.wake_at()),
-        (DrainOutput::CloseAfterAnswers, Some(1 + FRONT_GRACE))
+        (DrainOutput::CloseAfterAnswers, Some(1 + LOAD_BALANCER_GRACE))
     );
     assert_eq!(drain.step(DrainInput::Drain, 9), DrainOutput::Nothing, "a second call puts nothing off");
-    assert_eq!(drain.step(DrainInput::Tick, FRONT_GRACE), DrainOutput::Nothing);
-    assert_eq!(drain.step(DrainInput::Tick, 1 + FRONT_GRACE), DrainOutput::CloseIdle);
-    assert_eq!(drain.wake_at(), Some(1 + FRONT_GRACE + IDLE_CHECK_INTERVAL));
+    assert_eq!(drain.step(DrainInput::Tick, LOAD_BALANCER_GRACE), DrainOutput::Nothing);
+    assert_eq!(drain.step(DrainInput::Tick, 1 + LOAD_BALANCER_GRACE), DrainOutput::CloseIdle);
+    assert_eq!(drain.wake_at(), Some(1 + LOAD_BALANCER_GRACE + IDLE_CHECK_INTERVAL));
     assert_eq!(
-        (drain.step(DrainInput::Undrain, 2 * FRONT_GRACE), drain.is_drained()),
+        (drain.step(DrainInput::Undrain, 2 * LOAD_BALANCER_GRACE), drain.is_drained()),
         (DrainOutput::KeepConnections, false)
     );
 }
--- a/courier/core/tests/flow.rs
+++ b/courier/core/tests/flow.rs
@@ -2,7 +2,7 @@
 
 use quillmount_core::flow::{BodySource, Cut, Flow, FlowSide, Late, Pace, PaceDeadline};
 
-const PACE: Pace = Pace { stall: 10, span: 60, least: 6 };
+const PACE: Pace = Pace { stall_timeout: 10, span: 60, min_bytes: 6 };
 
 fn flow(window: u64, length: Option<u64>) -> Flow {
     Flow::new(window, length, PACE, PACE, 0)
@@ -12,12 +12,12 @@
 fn a_body_within_its_window_can_be_sent_again_completely() {
     let mut flow = flow(8, Some(5));
     flow.receive(5, 1);
-    assert!(flow.begin(1) && flow.capacity() == 0 && flow.sendable() == 4, "the last byte stays");
+    assert!(flow.begin_attempt(1) && flow.capacity() == 0 && flow.sendable() == 4, "the last byte stays");
     flow.send(4, 2);
     assert!(!flow.may_finish());
-    flow.end(3);
+    flow.end_attempt(3);
     flow.complete(3);
-    assert!(flow.begin(4) && flow.sendable() == 5);
+    assert!(flow.begin_attempt(4) && flow.sendable() == 5);
     flow.send(5, 4);
     assert!(flow.may_finish() && flow.is_replayable());
 }
@@ -25,19 +25,19 @@
 #[test]
 fn a_full_window_of_sent_bytes_is_dropped_and_commits_the_body() {
     let mut flow = flow(4, None);
-    assert!(flow.begin(0));
+    assert!(flow.begin_attempt(0));
     flow.receive(4, 1);
     assert!(flow.is_replayable() && flow.capacity() == 0);
     flow.send(3, 1);
     assert!(!flow.is_replayable() && flow.capacity() == 3 && flow.base() == 3);
-    flow.end(2);
-    assert!(!flow.begin(2), "three bytes of it are gone");
+    flow.end_attempt(2);
+    assert!(!flow.begin_attempt(2), "three bytes of it are gone");
 }
 
 #[test]
 fn a_cut_body_never_finishes_and_no_more_of_it_is_sent() {
     let mut flow = flow(4, Some(4));
-    assert!(flow.begin(0));
+    assert!(flow.begin_attempt(0));
     flow.receive(4, 1);
     flow.cut(Cut::Digest, 1);
     assert_eq!((flow.sendable(), flow.may_finish(), flow.is_replayable()), (0, false, false));
@@ -49,11 +49,14 @@
 #[test]
 fn each_side_is_late_by_its_own_time_only() {
     let mut flow = flow(4, None);
-    assert_eq!(flow.late_at(FlowSide::Client), Some(PaceDeadline { at: 10, late: Late::Stalled }));
+    assert_eq!(
+        flow.pace_deadline(FlowSide::Client),
+        Some(PaceDeadline { due_at: 10, reason: Late::Stalled })
+    );
     flow.receive(4, 9);
-    assert_eq!(flow.late_at(FlowSide::Client), None, "there is no room");
-    assert_eq!(flow.late_at(FlowSide::Endpoint), None, "no attempt is out");
-    assert!(flow.begin(1_000));
+    assert_eq!(flow.pace_deadline(FlowSide::Client), None, "there is no room");
+    assert_eq!(flow.pace_deadline(FlowSide::Endpoint), None, "no attempt is out");
+    assert!(flow.begin_attempt(1_000));
     assert_eq!(flow.late(FlowSide::Endpoint, 1_009), None);
     assert_eq!(flow.late(FlowSide::Endpoint, 1_010), Some(Late::Stalled));
     flow.set_paused(true, 1_005);
@@ -65,13 +68,16 @@
         flow.receive(flow.capacity(), at);
         assert_eq!(flow.late(FlowSide::Endpoint, at), None);
     }
-    assert_eq!(flow.late_at(FlowSide::Endpoint), Some(PaceDeadline { at: 9_055, late: Late::Stalled }));
+    assert_eq!(
+        flow.pace_deadline(FlowSide::Endpoint),
+        Some(PaceDeadline { due_at: 9_055, reason: Late::Stalled })
+    );
     flow.set_paused(true, 9_047);
     flow.set_paused(false, 9_050);
     assert_eq!(
-        flow.late_at(FlowSide::Endpoint),
-        Some(PaceDeadline { at: 9_058, late: Late::Slow }),
+        flow.pace_deadline(FlowSide::Endpoint),
+        Some(PaceDeadline { due_at: 9_058, reason: Late::Slow }),
         "eight of its span are left"
     );
-    assert_eq!(flow.late_at(FlowSide::Client), None);
+    assert_eq!(flow.pace_deadline(FlowSide::Client), None);
 }
--- a/courier/core/tests/full.rs
+++ b/courier/core/tests/full.rs
@@ -32,7 +32,7 @@
         assert!(pool.add_idle(7, order().addr, NOW, 70).is_none());
     }
     let mut call = Call::new(order(), answer, 64);
-    call.full_closes = reports;
+    call.closed_rejection_is_refusal = reports;
     call.start(&mut pool, NOW, |_| true);
     if fresh {
         call.connected(&mut pool, 71, NOW);
--- a/courier/core/tests/handover.rs
+++ b/courier/core/tests/handover.rs
@@ -185,7 +185,7 @@
                 w.lock = None;
                 w.to_receiver.push(Message::Released);
             }
-            SenderOutput::TakeBack => {
+            SenderOutput::ResumeParts => {
                 if let Some((receiver, _)) = w.connection.filter(|(_, g)| *g == n) {
                     w.connection = None;
                     w.to_sender.clear();
--- a/courier/core/tests/handover_forms.rs
+++ b/courier/core/tests/handover_forms.rs
@@ -232,7 +232,7 @@
         call.step(&mut pool, AttemptInput::Wrote { bytes: 100, left: 0 }, NOW);
     }
     if matches!(state, "reading") {
-        call.parts().unwrap().1.extend_from_slice(b"HTTP/1.1 2");
+        call.connection_and_answer().unwrap().1.extend_from_slice(b"HTTP/1.1 2");
         call.step(&mut pool, AttemptInput::Read, NOW);
     }
     if let Some(input) = match state {
@@ -252,7 +252,7 @@
         ("new", AttemptState::New),
         ("writing", AttemptState::Writing { written: 200 }),
         ("awaiting", AttemptState::Awaiting),
-        ("reading", AttemptState::Reading { by: NOW + 100_000 }),
+        ("reading", AttemptState::Reading { deadline: NOW + 100_000 }),
         ("given up", AttemptState::Closing { end: CallEnd::GivenUp, until }),
         ("late", AttemptState::Closing { end: CallEnd::TimedOut, until }),
     ];
@@ -270,7 +270,7 @@
         assert_eq!(call.state(), state, "{name}");
         let answer: &[u8] = if name == "reading" { b"HTTP/1.1 2" } else { b"" };
         assert_eq!(call.attempt().answer(), answer, "{name}");
-        let (is, was) = (&call.order, order(several));
+        let (is, was) = (&call.delivery, order(several));
         assert_eq!((is.call, is.endpoint, is.dest, is.addr), (was.call, 3, 700, was.addr));
         assert_eq!(
             (is.timeout, is.send_before, is.stream, is.time_left),
@@ -311,7 +311,7 @@
         AttemptState::Connecting,
         AttemptState::Writing { written: 300 },
         AttemptState::Awaiting,
-        AttemptState::Reading { by: 300 },
+        AttemptState::Reading { deadline: 300 },
         AttemptState::Closing { end: CallEnd::GivenUp, until: 300 },
         AttemptState::Finished,
     ];
--- a/courier/core/tests/lifecycle.rs
+++ b/courier/core/tests/lifecycle.rs
@@ -116,7 +116,7 @@
                 back.step(LifecycleInput::Drain(drain::DrainInput::Undrain), 0);
                 assert_eq!(
                     back.step(LifecycleInput::Handover(input), now),
-                    LifecycleOutput::Handover(SenderOutput::TakeBack)
+                    LifecycleOutput::Handover(SenderOutput::ResumeParts)
                 );
                 assert_eq!(back, before, "{input:?}");
             }
@@ -129,10 +129,11 @@
     for (lifecycle, input, output, next) in steps() {
         assert!(!lifecycle.stop_requested() || next.stop_requested(), "{lifecycle:?}, {input:?}");
         assert!(!next.stop_requested() || !next.accepts_clients(), "{lifecycle:?}, {input:?}");
-        assert!(!next.stop_requested() || next.is_releasing() || next.stopping().is_some(), "{next:?}");
+        assert!(!next.stop_requested() || next.is_releasing() || next.stopping_since().is_some(), "{next:?}");
         // It begins from a state without a handover, or as the handover is taken back.
-        let begins = next.stopping().is_some() && lifecycle.stopping().is_none();
-        let back = output == LifecycleOutput::Handover(SenderOutput::TakeBack) && lifecycle.stop_requested();
+        let begins = next.stopping_since().is_some() && lifecycle.stopping_since().is_none();
+        let back =
+            output == LifecycleOutput::Handover(SenderOutput::ResumeParts) && lifecycle.stop_requested();
         assert_eq!(begins, output == LifecycleOutput::Stop || back, "{lifecycle:?}, {input:?}");
     }
     // In any state of a handover its time-out decides: the process that has the lock shuts down as planned.
@@ -142,7 +143,7 @@
     let mut all = 0;
     for mut lifecycle in told {
         lifecycle.step(LifecycleInput::Handover(SenderInput::Tick), 2_000_000);
-        assert!(lifecycle.stopping().is_some(), "{lifecycle:?}");
+        assert!(lifecycle.stopping_since().is_some(), "{lifecycle:?}");
         all += 1;
     }
     assert!(all > 3);
@@ -151,7 +152,7 @@
     told.step(LifecycleInput::Stop, 5);
     told.step(LifecycleInput::Stop, 9);
     told.step(LifecycleInput::Handover(SenderInput::Tick), 2_000_000);
-    assert_eq!(told.stopping(), Some(5));
+    assert_eq!(told.stopping_since(), Some(5));
     // A process that has released the lock has nothing to shut down, whether the signal arrived before or after.
     let mut gone = after(&[
         LifecycleInput::Serve,
@@ -165,7 +166,7 @@
             lifecycle.step(LifecycleInput::Handover(SenderInput::Received), 0),
             LifecycleOutput::Handover(SenderOutput::Release)
         );
-        assert_eq!(lifecycle.stopping(), None);
+        assert_eq!(lifecycle.stopping_since(), None);
     }
     assert_eq!((gone.stop_requested(), told.stop_requested()), (false, true));
     assert_eq!(gone.step(LifecycleInput::Stop, 9), LifecycleOutput::Exit);
--- a/courier/core/tests/pool.rs
+++ b/courier/core/tests/pool.rs
@@ -8,11 +8,11 @@
 
 fn with_resting(pool: &mut Pool<u32>, endpoint: u32, connection: u32, now: Micros) {
     let addr = ADDR.parse().unwrap();
-    assert!(pool.begin(endpoint, addr, now, |_| true).is_none());
-    let mut link = pool.open();
+    assert!(pool.begin_call(endpoint, addr, now, |_| true).is_none());
+    let mut link = pool.new_connection();
     link.step(ConnectionInput::Connected, now);
     assert_eq!(pool.keep_idle(endpoint, addr, link, connection, now), None);
-    pool.end();
+    pool.end_call();
 }
 
 #[test]
@@ -21,7 +21,7 @@
     with_resting(&mut pool, 7, 70, 10);
     with_resting(&mut pool, 8, 80, 5);
     assert_eq!(pool.evict_idle(), None);
-    assert!(pool.begin(9, ADDR.parse().unwrap(), 20, |_| true).is_none());
+    assert!(pool.begin_call(9, ADDR.parse().unwrap(), 20, |_| true).is_none());
     assert_eq!((pool.evict_idle(), pool.load()), (Some(80), PoolLoad { calls: 1, idle: 1 }));
 }
 
@@ -30,7 +30,7 @@
     let mut pool = Pool::new(15_000_000, 9);
     with_resting(&mut pool, 7, 70, 10);
     assert_eq!(pool.set_gate(7, false), [70]);
-    let mut link = pool.open();
+    let mut link = pool.new_connection();
     link.step(ConnectionInput::Connected, 11);
     assert_eq!(pool.keep_idle(7, ADDR.parse().unwrap(), link, 71, 11), Some(71));
     assert!(!pool.is_open(7, 12) && pool.is_open(8, 12));
@@ -41,8 +41,8 @@
     let addr = ADDR.parse().unwrap();
     let mut pool = Pool::new(15_000_000, 9);
     with_resting(&mut pool, 7, 70, 10);
-    assert!(pool.begin(7, addr, 11, |_| false).is_none());
-    pool.end();
+    assert!(pool.begin_call(7, addr, 11, |_| false).is_none());
+    pool.end_call();
     with_resting(&mut pool, 7, 71, 10);
     assert_eq!(pool.sweep(14_000_009, |_| true), []);
     assert_eq!(pool.sweep(14_000_010, |_| true), [71]);
@@ -56,11 +56,11 @@
         let mut pool = Pool::new(idle, 9);
         if rest > 0 {
             with_resting(&mut pool, 7, 70, 10);
-            assert!(pool.begin(7, addr, 10 + rest - 1, |_| true).is_some(), "{idle}");
-            pool.end();
+            assert!(pool.begin_call(7, addr, 10 + rest - 1, |_| true).is_some(), "{idle}");
+            pool.end_call();
         }
         with_resting(&mut pool, 7, 71, 10);
-        assert!(pool.begin(7, addr, 10 + rest, |_| true).is_none(), "{idle}");
+        assert!(pool.begin_call(7, addr, 10 + rest, |_| true).is_none(), "{idle}");
         assert_eq!(pool.load(), PoolLoad { calls: 1, idle: 0 }, "{idle}: what is too old is closed");
     }
 }
@@ -70,7 +70,7 @@
 fn a_connection_to_an_old_address_serves_no_call() {
     let mut pool = Pool::new(15_000_000, 9);
     with_resting(&mut pool, 7, 70, 10);
-    assert!(pool.begin(7, "127.0.0.1:2".parse().unwrap(), 11, |_| true).is_none());
+    assert!(pool.begin_call(7, "127.0.0.1:2".parse().unwrap(), 11, |_| true).is_none());
     assert_eq!(pool.load(), PoolLoad { calls: 1, idle: 0 });
 }
 
@@ -81,10 +81,10 @@
     let mut pool = Pool::new(15_000_000, 9);
     with_resting(&mut pool, 7, 70, 10);
     with_resting(&mut pool, 8, 80, 10);
-    let (link, connection) = pool.begin(7, addr, 11, |_| true).unwrap();
+    let (link, connection) = pool.begin_call(7, addr, 11, |_| true).unwrap();
     pool.set_gate(7, false);
     assert_eq!(pool.keep_idle(7, addr, link, connection, 12), Some(70), "its call ends after it went");
-    pool.end();
+    pool.end_call();
     assert_eq!(pool.add_idle(7, addr, 12, 71), Some(71), "one of another process");
     assert_eq!((pool.forget(7), pool.load()), (vec![], PoolLoad { calls: 0, idle: 1 }));
     assert_eq!(pool.set_gate(8, false), [80]);
--- a/courier/core/tests/watch/failures.rs
+++ b/courier/core/tests/watch/failures.rs
@@ -3,8 +3,8 @@
 use crate::fleet::{BROKEN, FEW, HEARD, HEEDS, SIZES, TICK, courier};
 use quillmount_containers::random_unit;
 use quillmount_core::machine::watch::{
-    ANSWER_WITHIN, HEARTBEAT, HEED_MAX, NOTIFIED_WITHIN, REQUEST_INTERVAL_MAX, Watch, WatchInput,
-    WatchOutput, WatchState,
+    ANSWER_TIME_MAX, DRAIN_GRACE_MAX, HEARTBEAT, NOTIFICATION_DEADLINE, REQUEST_INTERVAL_MAX, Watch,
+    WatchInput, WatchOutput, WatchState,
 };
 use quillmount_policy::Micros;
 
@@ -138,12 +138,12 @@
     for (fleet, heed) in [1, 3, 30, 300].into_iter().flat_map(|fleet| HEEDS.map(|heed| (fleet, heed))) {
         for seed in 0..800_u64 {
             let me = (seed % u64::from(fleet)) as u32;
-            let watch = courier(fleet, me, seed % 5 == 0, heed).where_pushed(seed >= 400);
-            let late = ANSWER_WITHIN * (seed % 4) / 4;
+            let watch = courier(fleet, me, seed % 5 == 0, heed).with_pushed_lists(seed >= 400);
+            let late = ANSWER_TIME_MAX * (seed % 4) / 4;
             for calm in 0..40 {
                 let took = told_after(watch, seed * 7_919 + 1, calm, late, false);
                 assert!(
-                    took <= NOTIFIED_WITHIN - HEED_MAX,
+                    took <= NOTIFICATION_DEADLINE - DRAIN_GRACE_MAX,
                     "{fleet} couriers, seed {seed}, {calm}, {late}: {took}"
                 );
                 worst = worst.max(took);
@@ -161,7 +161,7 @@
     for (fleet, heed) in SIZES.into_iter().flat_map(|fleet| HEEDS.map(|heed| (fleet, heed))) {
         for seed in 0..200_u64 {
             let watch = courier(fleet, (seed % u64::from(fleet)) as u32, seed % 2 == 0, heed);
-            let watch = watch.where_pushed(fleet > FEW || seed % 4 < 2);
+            let watch = watch.with_pushed_lists(fleet > FEW || seed % 4 < 2);
             for calm in 0..60 {
                 let took = told_after(watch, seed, calm, heed / 8, true);
                 assert!(took <= heed, "{fleet} couriers, seed {seed}, {calm}: {took}");
--- a/courier/core/tests/watch/fleet.rs
+++ b/courier/core/tests/watch/fleet.rs
@@ -10,7 +10,7 @@
 pub const FEW: u32 = 10;
 pub const TICK: WatchInput = WatchInput::Tick { moved: false };
 pub const BROKEN: WatchInput = WatchInput::Broken { moved: false };
-pub const HEARD: WatchInput = WatchInput::Heard { moved: false };
+pub const HEARD: WatchInput = WatchInput::Received { moved: false };
 
 pub fn courier(fleet: u32, me: u32, starts: bool, heed: Micros) -> Watch {
     Watch::of_fleet(0, fleet, u64::from(me) * 77, starts, heed)
--- a/courier/core/tests/watch/pushed.rs
+++ b/courier/core/tests/watch/pushed.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::{BROKEN, FEW, HEEDS, SIZES, TICK, courier, followed, next_ask};
 use quillmount_containers::random_unit;
-use quillmount_core::machine::watch::{ANSWER_WITHIN, SILENCE, Watch, WatchInput, WatchOutput};
+use quillmount_core::machine::watch::{ANSWER_TIME_MAX, SILENCE_TIMEOUT, Watch, WatchInput, WatchOutput};
 use quillmount_policy::Micros;
 
 /// What an agent does, as soon as it is back, with the requests that arrived during its outage.
@@ -71,9 +71,9 @@
         {
             let mut seed = u64::from(me) * 31 + 7;
             for _ in 0..40 {
-                let mut watch = courier(fleet, me, false, heed).where_pushed(true);
+                let mut watch = courier(fleet, me, false, heed).with_pushed_lists(true);
                 let silent = followed(&mut watch);
-                let back = silent + SILENCE + (random_unit(&mut seed) * 20e6) as Micros;
+                let back = silent + SILENCE_TIMEOUT + (random_unit(&mut seed) * 20e6) as Micros;
                 let took = told_at_return(&mut watch, &mut 0, back, how, heed / 8);
                 assert!(took <= heed, "{fleet} couriers, {heed}, {me} {how:?}, back at {back}: {took}");
             }
@@ -90,18 +90,18 @@
         {
             let mut seed = u64::from(me) * 31 + 7;
             for n in 0..40 {
-                let mut watch = courier(fleet, me, true, heed).where_pushed(true);
+                let mut watch = courier(fleet, me, true, heed).with_pushed_lists(true);
                 let back = if n == 0 { 0 } else { (random_unit(&mut seed) * 20e6) as Micros };
                 let took = told_at_return(&mut watch, &mut 0, back, how, heed / 8);
                 assert!(took <= heed, "{fleet} couriers, {heed}, {me} {how:?}, back at {back}: {took}");
                 // Refused, as by an agent that is starting; then there is no data.
-                let mut watch = courier(fleet, me, true, heed).where_pushed(true);
+                let mut watch = courier(fleet, me, true, heed).with_pushed_lists(true);
                 for _ in 0..n % 6 {
                     let at = next_ask(&mut watch);
                     watch.step(BROKEN, at);
                 }
                 let asked = next_ask(&mut watch);
-                let long = (random_unit(&mut seed) * 20e6) as Micros + ANSWER_WITHIN;
+                let long = (random_unit(&mut seed) * 20e6) as Micros + ANSWER_TIME_MAX;
                 let took = told_at_return(&mut watch, &mut 1, asked + long, how, heed / 8);
                 assert!(
                     took <= heed,
@@ -119,10 +119,10 @@
     for (fleet, heed) in SIZES.into_iter().flat_map(|fleet| HEEDS.map(|heed| (fleet, heed))) {
         for me in 0..fleet.min(300) {
             let between = |fleet: u32| {
-                let mut watch = courier(fleet, me, false, heed).where_pushed(true);
+                let mut watch = courier(fleet, me, false, heed).with_pushed_lists(true);
                 let silent = followed(&mut watch);
                 let asked: Vec<Micros> = (0..12).map(|_| next_ask(&mut watch)).collect();
-                assert_eq!(asked[0], silent + SILENCE, "{fleet} couriers");
+                assert_eq!(asked[0], silent + SILENCE_TIMEOUT, "{fleet} couriers");
                 asked.windows(2).map(|pair| pair[1] - pair[0]).min().unwrap()
             };
             assert!(between(fleet) >= between(FEW).min(heed * 3 / 8), "{fleet} couriers, {heed}");
--- a/courier/core/tests/watch/timing.rs
+++ b/courier/core/tests/watch/timing.rs
@@ -2,8 +2,8 @@
 
 use crate::fleet::{BROKEN, FEW, FLEETS, HEARD, HEEDS, TICK, busiest, courier, followed, next_ask};
 use quillmount_core::machine::watch::{
-    ANSWER_WITHIN, HEARTBEAT, HEARTBEAT_SLACK, HEED_MAX, NOTIFIED_WITHIN, REQUEST_INTERVAL_MAX, WatchInput,
-    WatchOutput,
+    ANSWER_TIME_MAX, DRAIN_GRACE_MAX, HEARTBEAT, HEARTBEAT_SLACK, NOTIFICATION_DEADLINE,
+    REQUEST_INTERVAL_MAX, WatchInput, WatchOutput,
 };
 
 /// The outage may begin at any time from the last line to the time at which the next is due; if the new request is lost,
@@ -22,7 +22,7 @@
             asked.push(first);
             for phase in 0..=20 {
                 let told = last + phase * HEARTBEAT / 20 + 6_000_000;
-                assert!(first + ANSWER_WITHIN <= told - 1_000_000, "{fleet} couriers, {heed}: {first}");
+                assert!(first + ANSWER_TIME_MAX <= told - 1_000_000, "{fleet} couriers, {heed}: {first}");
                 let in_time = beside + heed * 3 / 8 <= told - 1_000_000;
                 assert!(in_time || fleet > FEW, "{fleet} couriers, {heed}: {beside}");
             }
@@ -151,18 +151,18 @@
 }
 
 /// Counted from the last heartbeat, from the last request that failed, and from the last one that was sent, the next answer
-/// arrives `HEED_MAX` before discovery's list counts as notified.
+/// arrives `DRAIN_GRACE_MAX` before discovery's list counts as notified.
 #[test]
 fn no_two_requests_are_further_apart_than_the_bound_allows() {
-    const { assert!(REQUEST_INTERVAL_MAX + ANSWER_WITHIN + HEED_MAX <= NOTIFIED_WITHIN) }
+    const { assert!(REQUEST_INTERVAL_MAX + ANSWER_TIME_MAX + DRAIN_GRACE_MAX <= NOTIFICATION_DEADLINE) }
     for (fleet, heed) in
         [1, 3, 10, 11, 30, 63, 64, 300, 5_000].into_iter().flat_map(|f| HEEDS.map(|h| (f, h)))
     {
         for me in 0..fleet.min(200) {
-            let mut watch = courier(fleet, me, false, heed).where_pushed(me % 2 == 0);
+            let mut watch = courier(fleet, me, false, heed).with_pushed_lists(me % 2 == 0);
             let last = followed(&mut watch);
             assert!(next_ask(&mut watch) <= last + REQUEST_INTERVAL_MAX, "{fleet} couriers after a silence");
-            let mut refused = courier(fleet, me, false, heed).where_pushed(me % 2 == 0);
+            let mut refused = courier(fleet, me, false, heed).with_pushed_lists(me % 2 == 0);
             let mut before = 0;
             for n in 0..40 {
                 // Without data and refused alternately, and several at once.
--- a/courier/program/src/fleet/budget.rs
+++ b/courier/program/src/fleet/budget.rs
@@ -80,7 +80,7 @@
         TimedCall { call, until }: &mut TimedCall,
         signals: &CallSignals,
     ) -> Option<Box<ConnectionPermit>> {
-        let order = &mut call.order;
+        let order = &mut call.delivery;
         let (dest, endpoint, addr) = (order.dest, order.endpoint, order.addr);
         let key = QueueKey::new(dest, order.payload.tenant.as_deref());
         let by = order.send_before.min(until.saturating_sub(MIN_TIME_LEFT));
@@ -111,8 +111,8 @@
                         continue;
                     };
                     let is_same = (taken.endpoint, taken.addr) == (endpoint, addr);
-                    let quiet = is_same && is_quiet(&taken.connection);
-                    if taken.machine.step(ConnectionInput::Reused { quiet }, now) {
+                    let nothing_received = is_same && is_quiet(&taken.connection);
+                    if taken.machine.step(ConnectionInput::Reused { nothing_received }, now) {
                         drop(taken);
                         self.report_closed();
                         continue;
--- a/courier/program/src/program/process.rs
+++ b/courier/program/src/program/process.rs
@@ -134,7 +134,7 @@
     fn request_stop(&self) {
         let handle = &self.courier.handle;
         handle.step_lifecycle(LifecycleInput::Stop);
-        if handle.lifecycle().stopping().is_none() {
+        if handle.lifecycle().stopping_since().is_none() {
             tracing::info!("upgrade: stop requested during a handover: it waits for the handover's end");
         }
     }
--- a/courier/program/src/program/startup.rs
+++ b/courier/program/src/program/startup.rs
@@ -233,7 +233,7 @@
 }
 
 fn pace(pace: &quillmount_operator::Pace) -> flow::Pace {
-    flow::Pace { stall: micros(pace.stall), span: micros(pace.interval), least: pace.least.0 }
+    flow::Pace { stall_timeout: micros(pace.stall), span: micros(pace.interval), min_bytes: pace.least.0 }
 }
 
 fn micros(span: quillmount_operator::units::Span) -> Micros {
--- a/courier/program/src/transport/courier.rs
+++ b/courier/program/src/transport/courier.rs
@@ -184,7 +184,7 @@
 
     /// Whether no message is open, and no call in flight.
     pub fn is_quiet(&self) -> bool {
-        self.handle.hub.borrow().is_quiet()
+        self.handle.hub.borrow().is_idle()
     }
 
     /// Whether any call is in flight.
--- a/courier/program/src/transport/courier/calls.rs
+++ b/courier/program/src/transport/courier/calls.rs
@@ -37,7 +37,7 @@
 impl Courier {
     /// Resumes a call of another process, or of this one if a handover failed.
     pub fn resume_call(self: &Rc<Self>, snapshot: CallSnapshot, stream: Option<TcpStream>) {
-        let (dest, id, addr) = (snapshot.order.dest, snapshot.order.call, snapshot.order.addr);
+        let (dest, id, addr) = (snapshot.delivery.dest, snapshot.delivery.call, snapshot.delivery.addr);
         let call = endpoints::resume(&self.handle, snapshot, stream);
         tracing::debug!(target: LOG_TARGET, "call: {id:?} to {addr}, destination {dest}, goes on");
         self.spawn_call(call, None, tracing::Span::none());
@@ -83,14 +83,14 @@
             GatePass { gate: gate.clone(), mark: gate.written(), by: order.send_before }
         });
         let mut timed = endpoints::begin(order, self.clock.now());
-        timed.call.full_closes = self.handle.hub.borrow().router.reads_load_reports();
+        timed.call.closed_rejection_is_refusal = self.handle.hub.borrow().router.reads_load_reports();
         self.spawn_call(timed, pass, span);
     }
 
     /// Spawns the task of a call, from where it stands.
     fn spawn_call(self: &Rc<Self>, timed: TimedCall, pass: Option<GatePass>, span: tracing::Span) {
         let signals = Rc::new(CallSignals::default());
-        self.signals.borrow_mut().insert(timed.call.order.call, signals.clone());
+        self.signals.borrow_mut().insert(timed.call.delivery.call, signals.clone());
         let task = self.clone().run_call(timed, pass, signals);
         // The tasks are detached: the router waits for the end of each, and a handover collects them by their signals.
         // An instrumented task costs more even if its span is disabled.
@@ -107,7 +107,7 @@
         pass: Option<GatePass>,
         signals: Rc<CallSignals>,
     ) {
-        let (id, addr, dest) = (timed.call.order.call, timed.call.order.addr, timed.call.order.dest);
+        let (id, addr, dest) = (timed.call.delivery.call, timed.call.delivery.addr, timed.call.delivery.dest);
         // Rare futures are on the heap here: every other call's task would be as large otherwise.
         let passed = match pass {
             None => true,
@@ -121,8 +121,9 @@
         let held_back = !passed || (budgets.is_some() && permit.is_none());
         let outcome = if held_back {
             CallOutcome::Ended(CallEnd::HeldBack, AnswerReport::default())
-        } else if timed.call.order.stream {
-            let end = Box::pin(self.run_stream_call(timed.call.order, &signals, permit.as_deref_mut())).await;
+        } else if timed.call.delivery.stream {
+            let end =
+                Box::pin(self.run_stream_call(timed.call.delivery, &signals, permit.as_deref_mut())).await;
             CallOutcome::Ended(end, AnswerReport::default())
         } else {
             endpoints::call(&self.handle, timed, &signals, permit.as_deref_mut()).await
--- a/courier/program/src/transport/endpoints.rs
+++ b/courier/program/src/transport/endpoints.rs
@@ -108,7 +108,7 @@
 
 /// Resumes a call of another process.
 pub fn resume(handle: &Handle, snapshot: call::CallSnapshot, connection: Option<TcpStream>) -> TimedCall {
-    let (until, decode) = (snapshot.until, delivery::decoder(&snapshot.order));
+    let (until, decode) = (snapshot.until, delivery::decoder(&snapshot.delivery));
     let connection = connection.map(EndpointStream::Plain);
     let call = handle.pool(|pool| Call::resumed(snapshot, decode, ANSWER_MAX, connection, pool));
     TimedCall { call, until }
@@ -129,7 +129,7 @@
 
 /// Closes the sending side of a call's connection: its request is complete.
 pub async fn finish_request(call: &mut Call<EndpointStream>) {
-    if let Some((stream, _)) = call.parts() {
+    if let Some((stream, _)) = call.connection_and_answer() {
         // Where this fails, the connection is gone already.
         let _ = stream.stream_mut().shutdown().await;
     }
@@ -187,7 +187,7 @@
             let state = self.call.state();
             if matches!(state, AttemptState::Writing { written: 0 }) {
                 self.signals.clear_backoff();
-                self.request = delivery::encode(&self.call.order);
+                self.request = delivery::encode(&self.call.delivery);
             }
             if handle.lifecycle().is_releasing() {
                 return self.release();
@@ -198,7 +198,9 @@
                 AttemptState::Awaiting | AttemptState::Reading { .. } => self.read_answer(state).await,
                 AttemptState::Closing { .. } => {
                     let wake_at = self.call.attempt().wake_at();
-                    Progress::Input(read_remaining(self.call.parts(), &handle.clock, wake_at).await)
+                    Progress::Input(
+                        read_remaining(self.call.connection_and_answer(), &handle.clock, wake_at).await,
+                    )
                 }
                 _ => Progress::Input(AttemptInput::GiveUp),
             };
@@ -216,7 +218,7 @@
     fn begin(&mut self) -> StepOutcome<EndpointStream> {
         match self.call.state() {
             AttemptState::New => return start(self.handle, &mut self.call, self.permit.as_deref_mut()),
-            AttemptState::Writing { written: 1.. } => self.request = delivery::encode(&self.call.order),
+            AttemptState::Writing { written: 1.. } => self.request = delivery::encode(&self.call.delivery),
             _ => {}
         }
         StepOutcome { end: None, finish: false, to_close: None }
@@ -236,7 +238,7 @@
     }
 
     async fn connect(&mut self) -> Progress {
-        let (handle, addr) = (self.handle, self.call.order.addr);
+        let (handle, addr) = (self.handle, self.call.delivery.addr);
         let wake_at = self.call.attempt().wake_at();
         let input = tokio::select! {
             biased;
@@ -259,7 +261,9 @@
         let clock = &self.handle.clock;
         let wake_at = self.call.attempt().wake_at();
         // A call that writes has a connection; without one its answer would prove nothing.
-        let Some((stream, _)) = self.call.parts() else { return Progress::Input(AttemptInput::GiveUp) };
+        let Some((stream, _)) = self.call.connection_and_answer() else {
+            return Progress::Input(AttemptInput::GiveUp);
+        };
         let input = tokio::select! {
             biased;
             () = self.signals.released() => return Progress::Transferred,
@@ -274,7 +278,9 @@
     async fn read_answer(&mut self, state: AttemptState) -> Progress {
         let clock = &self.handle.clock;
         let wake_at = self.call.attempt().wake_at();
-        let Some((stream, answer)) = self.call.parts() else { return Progress::Input(AttemptInput::GiveUp) };
+        let Some((stream, answer)) = self.call.connection_and_answer() else {
+            return Progress::Input(AttemptInput::GiveUp);
+        };
         self.request = Vec::new();
         let input = tokio::select! {
             biased;
@@ -294,7 +300,7 @@
             return CallOutcome::Ended(end, report);
         }
         let delivery::BundleResults { ends, retry_after: wait } =
-            delivery::bundle_results(self.call.attempt().answer(), &self.call.order);
+            delivery::bundle_results(self.call.attempt().answer(), &self.call.delivery);
         CallOutcome::Each(ends, AnswerReport { wait, ..report })
     }
 
--- a/courier/program/src/transport/handle.rs
+++ b/courier/program/src/transport/handle.rs
@@ -88,7 +88,7 @@
         let mut lifecycle = self.lifecycle.get();
         let output = lifecycle.step(input, self.clock.now());
         self.lifecycle.set(lifecycle);
-        if lifecycle.stopping().is_some() {
+        if lifecycle.stopping_since().is_some() {
             self.stop_requested.notify_one();
         }
         output
@@ -97,7 +97,7 @@
     /// Waits for a planned stop; returns the time at which it was requested.
     pub async fn wait_for_stop(&self) -> Micros {
         loop {
-            match self.lifecycle().stopping() {
+            match self.lifecycle().stopping_since() {
                 Some(requested_at) => return requested_at,
                 None => self.stop_requested.notified().await,
             }
--- a/courier/program/src/transport/handover/sender.rs
+++ b/courier/program/src/transport/handover/sender.rs
@@ -234,7 +234,7 @@
         let server_runs = || self.tasks.borrow().first().is_some_and(|server| !server.is_finished());
         while self.courier.handover_pending() + self.connections.handover_pending() > 0 || server_runs() {
             sleep(COLLECT_INTERVAL).await;
-            if self.step(SenderInput::Tick) == SenderOutput::TakeBack {
+            if self.step(SenderInput::Tick) == SenderOutput::ResumeParts {
                 tracing::warn!(
                     target: LOG_TARGET,
                     calls = self.courier.handover_pending(),
--- a/courier/program/src/transport/operators.rs
+++ b/courier/program/src/transport/operators.rs
@@ -117,7 +117,7 @@
                     "operators: {}",
                     if drained { "drained" } else { "undrained: clients are admitted again" }
                 );
-                let stops = self.courier.handle.lifecycle().stopping().is_some();
+                let stops = self.courier.handle.lifecycle().stopping_since().is_some();
                 self.connections.close_after_answers(drained || stops);
                 self.drain_check_moved.notify_one();
             }
@@ -129,7 +129,7 @@
     fn call(&self, call: &OperatorCall) -> Result<String, CallError> {
         let lifecycle = self.courier.handle.lifecycle();
         match call {
-            OperatorCall::Ready if lifecycle.stopping().is_some() => Err(CallError::Stopping),
+            OperatorCall::Ready if lifecycle.stopping_since().is_some() => Err(CallError::Stopping),
             OperatorCall::Ready if lifecycle.is_serving() => Ok("ready".into()),
             OperatorCall::Ready => Err(CallError::NotServing),
             OperatorCall::Drain => {
--- a/courier/program/src/transport/platform.rs
+++ b/courier/program/src/transport/platform.rs
@@ -8,7 +8,9 @@
 use futures_util::future::{LocalBoxFuture, poll_fn};
 use quillmount_core::Notice;
 use quillmount_core::machine::notices::{ATTEMPT_TIMEOUT, NoticeInput, NoticeOutput, NoticeState, Notices};
-use quillmount_core::machine::watch::{NOTIFIED_WITHIN, SILENCE, Watch, WatchInput, WatchOutput, WatchState};
+use quillmount_core::machine::watch::{
+    NOTIFICATION_DEADLINE, SILENCE_TIMEOUT, Watch, WatchInput, WatchOutput, WatchState,
+};
 use quillmount_policy::Micros;
 use quillmount_protocol::{discovery, notice};
 use std::net::SocketAddr;
@@ -46,7 +48,7 @@
     #[error("status {0}")]
     Status(awc::http::StatusCode),
     /// Nothing came for too long.
-    #[error("silent for {:?}", Duration::from_micros(SILENCE))]
+    #[error("silent for {:?}", Duration::from_micros(SILENCE_TIMEOUT))]
     Silent,
     /// The connection broke in the middle of the answer.
     #[error("broken off: {0}")]
@@ -109,7 +111,7 @@
     let moved = || *discovery.borrow() != addr;
     let WatchOptions { couriers, seed, delays_first, drain_grace, pushed } = options;
     let machine = Watch::of_fleet(courier.clock.now(), couriers, seed, delays_first, drain_grace);
-    let mut machine = machine.where_pushed(pushed);
+    let mut machine = machine.with_pushed_lists(pushed);
     let mut output = if delays_first { WatchOutput::Nothing } else { WatchOutput::Request };
     let mut requests = PendingRequests::default();
     loop {
@@ -120,7 +122,7 @@
                 if retained < requests.0.len().min(1) {
                     tracing::warn!(
                         "discovery: watch: no answer for {:?}; requested again",
-                        Duration::from_micros(NOTIFIED_WITHIN)
+                        Duration::from_micros(NOTIFICATION_DEADLINE)
                     );
                 }
                 requests.0.truncate(retained);
@@ -160,7 +162,7 @@
 /// Requests a watch on a new connection: an idle one may be dead, which nothing would show.
 fn request(addr: SocketAddr, after: u64) -> PendingRequest {
     // The request is given up before this limit.
-    let client = super::plain_client(Duration::from_micros(2 * NOTIFIED_WITHIN), true);
+    let client = super::plain_client(Duration::from_micros(2 * NOTIFICATION_DEADLINE), true);
     let response = client.get(format!("http://{addr}{}", discovery::watch_path(after))).send();
     Box::pin(async move {
         // The connection ends with its client.
@@ -230,7 +232,7 @@
         let chunk = in_time(courier, machine, answer.next()).await?;
         let outcome = lists.feed(&chunk.ok_or(WatchError::Ended)??);
         if outcome.alive {
-            let heard = WatchInput::Heard { moved: moved() };
+            let heard = WatchInput::Received { moved: moved() };
             if machine.step(heard, courier.clock.now()) == WatchOutput::EndOlderWatches {
                 older.drain(..).for_each(|task| task.abort());
             }
@@ -260,7 +262,7 @@
     let client = super::plain_client(Duration::from_micros(ATTEMPT_TIMEOUT), true);
     let mut machine = Notices::default();
     loop {
-        let notices = courier.notices(machine.most());
+        let notices = courier.notices(machine.max_batch_len());
         let wanted = NoticeInput::Wanted(notices.len());
         let NoticeOutput::Send(_) = machine.step(wanted, courier.clock.now()) else {
             courier.wait_for_notices().await;
@@ -283,7 +285,7 @@
                     NoticeInput::Lost
                 }
             },
-            Ok(()) = discovery.changed() => NoticeInput::Moved,
+            Ok(()) = discovery.changed() => NoticeInput::DiscoveryMoved,
         };
         match machine.step(input, courier.clock.now()) {
             NoticeOutput::Confirmed => courier.notices_confirmed(&notices),
--- a/courier/program/src/transport/server.rs
+++ b/courier/program/src/transport/server.rs
@@ -59,7 +59,7 @@
         let accepted = tokio::select! {
             biased;
             () = connections.accept_interrupted() => match courier.handle.lifecycle() {
-                lifecycle if lifecycle.is_releasing() || lifecycle.stopping().is_some() => return,
+                lifecycle if lifecycle.is_releasing() || lifecycle.stopping_since().is_some() => return,
                 _ => continue,
             },
             accepted = listener.accept() => accepted,
--- a/courier/program/src/transport/server/connections.rs
+++ b/courier/program/src/transport/server/connections.rs
@@ -125,7 +125,7 @@
 
     /// Counts one more connection, and returns its number.
     pub(super) fn enter(&self, state: ClientState) -> u64 {
-        let number = self.admission.borrow_mut().enter(self.clock.now());
+        let number = self.admission.borrow_mut().add(self.clock.now());
         self.set_state(number, state);
         number
     }
@@ -187,7 +187,7 @@
 
     /// Whether this connection was asked to close so that another can be admitted.
     pub(super) fn is_asked_to_close(&self, number: u64) -> bool {
-        self.admission.borrow().is_asked_to_close(number)
+        self.admission.borrow().is_close_requested(number)
     }
 
     /// This connection passes a stream on from now on.
--- a/courier/program/src/transport/streams/receive.rs
+++ b/courier/program/src/transport/streams/receive.rs
@@ -62,10 +62,11 @@
             }
             let (capacity, source, late_at) = {
                 let flow = pipe.flow.borrow();
-                let late_at = flow.late_at(FlowSide::Client).map(|deadline| deadline.at).filter(|_| begun);
+                let late_at =
+                    flow.pace_deadline(FlowSide::Client).map(|deadline| deadline.due_at).filter(|_| begun);
                 (flow.capacity(), flow.source(), late_at)
             };
-            let reads = begun && capacity > 0 && source == BodySource::Coming;
+            let reads = begun && capacity > 0 && source == BodySource::Receiving;
             if reads {
                 pipe.streams.turn().await;
                 self.buf.reserve(CHUNK);
@@ -99,7 +100,7 @@
     /// Passes on what is read of the body, as far as the window has capacity.
     fn pass_on(&mut self, fail: &impl Fn(StreamFailure)) {
         let (clock, pipe) = (&self.handle.clock, self.pipe);
-        while pipe.flow.borrow().source() == BodySource::Coming {
+        while pipe.flow.borrow().source() == BodySource::Receiving {
             let capacity = pipe.flow.borrow().capacity();
             match self.body.next(self.buf) {
                 BodyEvent::Content(length) => {
--- a/courier/program/src/transport/streams/send.rs
+++ b/courier/program/src/transport/streams/send.rs
@@ -100,7 +100,7 @@
         // The connection is closed before the client's side goes on.
         let StreamCall { handle, pipe, call, .. } = self;
         drop(call);
-        pipe.change(|flow| flow.end(handle.clock.now()));
+        pipe.change(|flow| flow.end_attempt(handle.clock.now()));
         pipe.client_wake.notify_one();
         end
     }
@@ -124,7 +124,7 @@
             }
             if state == AttemptState::Awaiting && self.answer_deadline.is_none() {
                 // From here on the destination's own timeout counts.
-                self.answer_deadline = Some(handle.clock.now() + self.call.order.timeout);
+                self.answer_deadline = Some(handle.clock.now() + self.call.delivery.timeout);
                 on_written();
             }
             let input = match state {
@@ -139,7 +139,7 @@
                 AttemptState::Awaiting | AttemptState::Reading { .. } => self.read_answer(state).await,
                 AttemptState::Closing { .. } => {
                     let wake_at = self.call.attempt().wake_at();
-                    read_remaining(self.call.parts(), &handle.clock, wake_at).await
+                    read_remaining(self.call.connection_and_answer(), &handle.clock, wake_at).await
                 }
                 _ => AttemptInput::GiveUp,
             };
@@ -162,10 +162,10 @@
     fn begin_request(&mut self) -> bool {
         let clock = &self.handle.clock;
         self.signals.clear_backoff();
-        if !self.pipe.change(|flow| flow.begin(clock.now())) {
+        if !self.pipe.change(|flow| flow.begin_attempt(clock.now())) {
             return false;
         }
-        let head = stream::encode_head(&self.call.order, &self.pipe.head);
+        let head = stream::encode_head(&self.call.delivery, &self.pipe.head);
         self.progress = SendProgress {
             headed: true,
             body_at: Some(clock.now() + CONTINUE_TIMEOUT),
@@ -179,7 +179,7 @@
 
     /// Sends nothing more until the endpoint's backoff is over.
     fn back_off(&mut self) {
-        let endpoint = self.call.order.endpoint;
+        let endpoint = self.call.delivery.endpoint;
         let until = self.handle.pool(|pool| pool.backoff_until(endpoint));
         self.progress.backoff_until = Some(until);
         self.pipe.change(|flow| flow.set_paused(true, self.handle.clock.now()));
@@ -187,7 +187,7 @@
 
     /// Opens a connection; or what has happened instead.
     async fn connect(&mut self) -> Result<EndpointStream, AttemptInput> {
-        let (handle, addr) = (self.handle, self.call.order.addr);
+        let (handle, addr) = (self.handle, self.call.delivery.addr);
         let wake_at = self.call.attempt().wake_at();
         tokio::select! {
             biased;
@@ -201,7 +201,7 @@
 
     /// Sends what may be sent of the request, and looks for an early answer.
     async fn send_body(&mut self, state: AttemptState) -> AttemptInput {
-        if self.call.parts().is_none() {
+        if self.call.connection_and_answer().is_none() {
             return AttemptInput::GiveUp;
         }
         // Before it is decided what may be written: time passes here.
@@ -215,7 +215,7 @@
         }
         let (late_at, cut) = {
             let flow = self.pipe.flow.borrow();
-            let late_at = flow.late_at(FlowSide::Endpoint).map(|deadline| deadline.at);
+            let late_at = flow.pace_deadline(FlowSide::Endpoint).map(|deadline| deadline.due_at);
             (late_at, matches!(flow.source(), BodySource::Cut(_)))
         };
         let wake_at = self.call.attempt().wake_at();
@@ -237,7 +237,7 @@
             self.progress.backoff_until = None;
             self.pipe.change(|flow| flow.set_paused(false, now));
         }
-        let is_asked = self.call.attempt().is_asked();
+        let is_asked = self.call.attempt().is_body_requested();
         if is_asked || self.progress.body_at.is_some_and(|at| at <= now) {
             self.progress.body_at = None;
         }
@@ -249,7 +249,7 @@
     /// Writes or reads once, whichever comes first.
     async fn exchange(&mut self, state: AttemptState, writes: bool, wake_at: Option<Micros>) -> AttemptInput {
         let (clock, pipe) = (&self.handle.clock, self.pipe);
-        let Some((conn, answer)) = self.call.parts() else { return AttemptInput::GiveUp };
+        let Some((conn, answer)) = self.call.connection_and_answer() else { return AttemptInput::GiveUp };
         let (mut from, mut to) = conn.stream_mut().split();
         tokio::select! {
             biased;
@@ -273,7 +273,7 @@
     async fn read_answer(&mut self, state: AttemptState) -> AttemptInput {
         let clock = &self.handle.clock;
         let wake_at = self.call.attempt().wake_at();
-        let Some((conn, answer)) = self.call.parts() else { return AttemptInput::GiveUp };
+        let Some((conn, answer)) = self.call.connection_and_answer() else { return AttemptInput::GiveUp };
         tokio::select! {
             biased;
             read = read(conn.stream_mut(), answer) => read,
--- a/tools/explore/src/clients/perform.rs
+++ b/tools/explore/src/clients/perform.rs
@@ -2,7 +2,7 @@
 
 use super::event::{ClientEvent, RequestArrival};
 use super::world::{ClientWorld, ModelledConnection};
-use quillmount_core::admission::{Decision, GRACE, LEAVING_MAX};
+use quillmount_core::admission::{CLOSING_MAX, Decision, SLOW_CLIENT_TIMEOUT};
 use quillmount_core::machine::client::{ClientInput, ClientOutput, ClientState};
 
 /// What does not hold in the world of clients.
@@ -71,7 +71,7 @@
                 Ok(())
             }
             ClientEvent::TimePasses => {
-                self.now += GRACE;
+                self.now += SLOW_CLIENT_TIMEOUT;
                 Ok(())
             }
             ClientEvent::CourierStops => {
@@ -84,7 +84,7 @@
     fn check_leaving(&self) -> Result<(), ClientViolation> {
         let states = self.connections.values().map(|connection| connection.machine.state());
         let leaving = states.filter(|state| *state == ClientState::Leaving).count();
-        if leaving > LEAVING_MAX {
+        if leaving > CLOSING_MAX {
             return Err(ClientViolation::TooManyLeaving { leaving, open: self.connections.len() });
         }
         Ok(())
@@ -115,7 +115,7 @@
             Decision::Wait => return Ok(()),
         }
         self.remaining_clients -= 1;
-        let number = self.admission.enter(self.now);
+        let number = self.admission.add(self.now);
         self.connections.insert(number, ModelledConnection::new(self.requests, self.now));
         Ok(())
     }
--- a/tools/explore/src/clients/world.rs
+++ b/tools/explore/src/clients/world.rs
@@ -1,7 +1,7 @@
 //! The state of the world of clients: the table of connections, and each connection with what has arrived on it.
 
 use super::event::RequestArrival;
-use quillmount_core::admission::{Admission, GRACE};
+use quillmount_core::admission::{Admission, SLOW_CLIENT_TIMEOUT};
 use quillmount_core::machine::client::{ClientConnection, ClientOutput, ClientState};
 use quillmount_policy::Micros;
 use std::collections::BTreeMap;
@@ -48,7 +48,7 @@
 
     /// Whether it has been in its state for the grace time of admission.
     pub(super) fn is_past_grace(&self, now: Micros) -> bool {
-        now - self.since >= GRACE
+        now - self.since >= SLOW_CLIENT_TIMEOUT
     }
 }
 
@@ -105,7 +105,7 @@
             self.numbers_by_age(),
             self.remaining_clients,
             self.closing,
-            self.admission.asked_to_close()
+            self.admission.close_requests()
         )
     }
 
--- a/tools/explore/src/streams/driver.rs
+++ b/tools/explore/src/streams/driver.rs
@@ -43,7 +43,7 @@
         self.step_call(id, |call, pool| call.step(pool, input, now))?;
         let writing = self.calls.get(&id).filter(|call| is_writing(call.state()));
         if let (AttemptInput::BackOff, Some(call), Some(body)) = (input, writing, self.body_of(id.msg)) {
-            self.bodies[body].paused_until = Some(self.hub.pool.backoff_until(call.order.endpoint));
+            self.bodies[body].paused_until = Some(self.hub.pool.backoff_until(call.delivery.endpoint));
             self.update_flow(body, |flow| flow.set_paused(true, now));
         }
         Ok(())
@@ -130,7 +130,7 @@
         let Some(call) = self.calls.get_mut(&id) else { return Ok(()) };
         let before = call.state();
         let outcome = step(call, &mut self.hub.pool);
-        let (state, answer_timeout) = (call.state(), call.order.timeout);
+        let (state, answer_timeout) = (call.state(), call.delivery.timeout);
         if is_writing(state) && !is_writing(before) {
             self.begin_body(body, id)?;
         }
@@ -150,7 +150,7 @@
     fn begin_body(&mut self, body: usize, id: CallId) -> Result<(), Violation> {
         let now = self.now;
         let mut is_complete = true;
-        self.update_flow(body, |flow| is_complete = flow.begin(now));
+        self.update_flow(body, |flow| is_complete = flow.begin_attempt(now));
         if !is_complete {
             return violated(Property::Unchanged, format!("call {} can't have all of it", id.attempt));
         }
@@ -167,7 +167,7 @@
         self.calls.remove(&id);
         self.answer_deadlines.remove(&id);
         if let Some(body) = self.body_of(id.msg) {
-            self.update_flow(body, |flow| flow.end(now));
+            self.update_flow(body, |flow| flow.end_attempt(now));
             self.bodies[body].paused_until = None;
         }
         let actions = self.hub.call_ended(id, end, now);
--- a/tools/explore/src/streams/enabled.rs
+++ b/tools/explore/src/streams/enabled.rs
@@ -57,7 +57,7 @@
         let Some(flow) = body.flow.as_ref().filter(|_| body.connected && body.ends.is_empty()) else {
             return events;
         };
-        let is_coming = flow.source() == BodySource::Coming;
+        let is_coming = flow.source() == BodySource::Receiving;
         let length = self.case.body_length();
         if is_coming && body.begun && flow.capacity() > 0 && flow.received() < length {
             events.push(StreamEvent::UnitArrived);
