--- a/tools/explore/src/streams/perform.rs
+++ b/tools/explore/src/streams/perform.rs
@@ -14,7 +14,7 @@
 /// The wait that an endpoint asks for, in microseconds.
 const WAIT_TIME: Micros = 700_000;
 /// The pace that client and endpoint have to keep: stalls shorter than a second, any rate.
-const PACE: Pace = Pace { stall: 1_000_000, span: 60_000_000, least: 0 };
+const PACE: Pace = Pace { stall_timeout: 1_000_000, span: 60_000_000, min_bytes: 0 };
 /// Notices that the platform confirms at once, more than there are bodies.
 const NOTICES_MAX: usize = 9;
 
@@ -131,7 +131,7 @@
         let answer = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
         let id = self.call_of(body).map(|(id, _)| id);
         if let Some(call) = id.and_then(|id| self.calls.get_mut(&id))
-            && let Some((_, bytes)) = call.parts()
+            && let Some((_, bytes)) = call.connection_and_answer()
         {
             bytes.extend_from_slice(answer.as_bytes());
         }
--- a/tools/explore/src/world/actions.rs
+++ b/tools/explore/src/world/actions.rs
@@ -3,7 +3,7 @@
 use crate::action::{Action, Answer, CallRef, WriteExtent};
 use crate::case::{CLASSES, FaultKind, NOTICE};
 use crate::world::state::{ENDPOINTS_MAX, ListEntry, OutstandingCall, ProcessState, START, World, call_ref};
-use quillmount_core::machine::attempt::{AttemptState, CLOSING_TIME};
+use quillmount_core::machine::attempt::{AttemptState, CANCEL_LINGER};
 use quillmount_core::machine::notices::NoticeState;
 use quillmount_core::machine::watch::WatchState;
 use quillmount_policy::{EndpointState, Micros};
@@ -131,7 +131,7 @@
             AttemptState::Reading { .. } => open.actions.push(Action::EndpointClosed(call_ref)),
             // An answer may cross with the cancellation of its call; once the endpoint has seen that, it sends no more.
             AttemptState::Closing { until, .. }
-                if self.now + CLOSING_TIME == until && outstanding.call.connection().is_some() =>
+                if self.now + CANCEL_LINGER == until && outstanding.call.connection().is_some() =>
             {
                 self.arrival_actions(call_ref, &mut open.actions);
             }
@@ -287,7 +287,7 @@
     fn process_actions(&self, open: &mut EnabledActions) {
         let can_restart = self.incarnations < self.case.incarnations;
         if let ProcessState::Stopping { end } = self.process {
-            if self.now >= end || self.hub.is_quiet() {
+            if self.now >= end || self.hub.is_idle() {
                 open.actions.push(Action::Exit);
             }
             open.urgent |= self.now >= end;
--- a/tools/explore/src/world/calls.rs
+++ b/tools/explore/src/world/calls.rs
@@ -59,7 +59,7 @@
         let Some(id) = self.find(call_ref) else { return Ok(()) };
         let outstanding = &self.calls[&id];
         let (message, endpoint) = (outstanding.message, outstanding.endpoint);
-        let request = delivery::encode(&outstanding.call.order);
+        let request = delivery::encode(&outstanding.call.delivery);
         let AttemptState::Writing { written } = outstanding.call.state() else { return Ok(()) };
         if extent == WriteExtent::Broken {
             return self.input(call_ref, AttemptInput::WriteFailed);
@@ -120,7 +120,7 @@
         let Some(id) = self.find(call_ref) else { return Ok(()) };
         let Some(outstanding) = self.calls.get_mut(&id) else { return Ok(()) };
         let Some(answer) = outstanding.arrived.take() else { return Ok(()) };
-        if let Some((connection, bytes)) = outstanding.call.parts() {
+        if let Some((connection, bytes)) = outstanding.call.connection_and_answer() {
             if matches!(answer, Answer::TruncatedOk | Answer::TruncatedFull | Answer::DuplicateOk) {
                 self.unusable.insert(*connection);
             }
@@ -228,7 +228,7 @@
             return violated(Property::Unchanged, format!("m{message} goes out as {text:?}"));
         }
         let entry = &self.endpoint_list[usize::from(endpoint)];
-        let port = outstanding.call.order.addr.port();
+        let port = outstanding.call.delivery.addr.port();
         if port != entry.port || entry.dest != observed.dest {
             return violated(Property::Unchanged, format!("m{message} goes to provider {endpoint}"));
         }
--- a/tools/explore/src/world/hash.rs
+++ b/tools/explore/src/world/hash.rs
@@ -46,7 +46,7 @@
 
     /// Notices in flight, and those that may be confirmed twice.
     fn hash_notices(&self, hasher: &mut Fingerprint) {
-        hasher.hash(&(self.notices.state().kind(), self.notices.most(), self.sent_notices.len()));
+        hasher.hash(&(self.notices.state().kind(), self.notices.max_batch_len(), self.sent_notices.len()));
         hasher.visit_time(self.notices.wake_at().unwrap_or(0));
         for notice in self.sent_notices.iter().chain(&self.confirmed_notices) {
             hasher.hash(&(&notice.id, notice.ending));
@@ -152,7 +152,7 @@
 /// Hashes the state of an attempt, with the times that still matter in it.
 fn hash_attempt_state(outstanding: &OutstandingCall, hasher: &mut Fingerprint) {
     match outstanding.call.state() {
-        AttemptState::Reading { by } => hasher.visit_time(by),
+        AttemptState::Reading { deadline } => hasher.visit_time(deadline),
         AttemptState::Closing { end, until } => {
             hasher.hash(&end);
             hasher.visit_time(until);
--- a/tools/explore/src/world/notices.rs
+++ b/tools/explore/src/world/notices.rs
@@ -8,7 +8,7 @@
 impl World {
     /// The courier sends a batch of notices to the platform, if it has any.
     pub(super) fn send_notices(&mut self) -> Result<(), Violation> {
-        let notices = self.hub.router.notices(self.notices.most());
+        let notices = self.hub.router.notices(self.notices.max_batch_len());
         let wanted = NoticeInput::Wanted(notices.len());
         if let NoticeOutput::Send(_) = self.notices.step(wanted, self.now) {
             for notice in &notices {
--- a/tools/explore/src/world/state.rs
+++ b/tools/explore/src/world/state.rs
@@ -205,5 +205,5 @@
 
 /// The reference that names a call in actions.
 pub(super) fn call_ref(call: &OutstandingCall) -> CallRef {
-    CallRef { message: call.message as u64, attempt: call.call.order.call.attempt }
+    CallRef { message: call.message as u64, attempt: call.call.delivery.call.attempt }
 }
