--- a/courier/core/src/machine/attempt.rs
+++ b/courier/core/src/machine/attempt.rs
@@ -29,7 +29,7 @@
     Awaited,
     /// The final answer is incomplete.
     Partial,
-    /// The final answer is complete, or will not become more complete.
+    /// The final answer is complete, or the connection ended before its end.
     Whole {
         /// The result of the call according to the answer.
         end: CallEnd,
