--- a/courier/fleet/src/member/leadership.rs
+++ b/courier/fleet/src/member/leadership.rs
@@ -43,7 +43,7 @@
             return Ok(());
         }
         self.next_verdict_sweep_at = now + VERDICT_SWEEP_INTERVAL;
-        let command = settlement::SettlementCommand::Forget { before: now };
+        let command = settlement::SettlementCommand::Forget { retained_before: now };
         self.propose(FleetCommand::Settlement(command), now, out)
     }
 
--- a/courier/fleet/src/settlement/breaks.rs
+++ b/courier/fleet/src/settlement/breaks.rs
@@ -1,27 +1,27 @@
-//! Deliberate faults in the settlements' code, behind the feature `breaks`: with them the tests prove that they can
-//! fail. Without the feature each is off at compile time.
+//! Deliberate faults in the settlement code, behind the feature `breaks`. A test run with each of them enabled shows
+//! that the tests detect it. Without the feature all of them are disabled at compile time.
 
 quillmount_breaks::breaks! {
     for each thread:
-    /// A deliberate fault.
+    /// One deliberate fault of the settlement code.
     pub enum Break {
-        /// A message that may have run and is not idempotent is sent again.
-        DebitRepeated,
-        /// A session's settlement counts as closed before the partner has confirmed it.
-        ClosedEarly,
-        /// A missing position is skipped.
-        SkipHole,
-        /// Positions after a break are sent.
-        AfterBreak,
-        /// A position is sent before its record is in the journal.
+        /// Repeats a non-idempotent message whose earlier attempt may have run.
+        RepeatNonIdempotent,
+        /// Closes a settlement in session mode before the partner has confirmed the closing.
+        CloseUnconfirmed,
+        /// Skips a missing position instead of waiting for it.
+        SkipMissing,
+        /// Sends the positions that follow a break.
+        SendAfterBreak,
+        /// Sends a position before its record is in the journal.
         SendUnwritten,
-        /// A new owner opens its session without waiting for the lost owner's to end.
-        NoLinger,
-        /// A new owner counts an attempt that was in flight as one that never ran.
-        OutNeverRan,
-        /// An owner that proposed a move continues while it is being agreed on.
-        ReleaseInMove,
-        /// A submission is acknowledged before its record is in the journal.
+        /// Lets a new owner open a session while the session of the lost owner may still be open.
+        SkipLinger,
+        /// Makes a new owner treat an attempt that was in flight as one that never ran.
+        InFlightNeverRan,
+        /// Lets an owner continue to send after it has proposed a move and before the move is committed.
+        ContinueDuringMove,
+        /// Acknowledges a submission before its record is in the journal.
         ReplyUnwritten,
     }
 }
--- a/courier/fleet/src/settlement/forward.rs
+++ b/courier/fleet/src/settlement/forward.rs
@@ -1,8 +1,9 @@
-//! Forwarding: a request that a client makes at any courier goes to the settlement's owner, whose reply is the answer.
+//! Forwarding: a courier forwards the request of a client to the owner of the settlement, and returns the owner's
+//! reply.
 //!
-//! Messages between couriers may be lost, duplicated and reordered: a request without a reply is repeated, to whoever
-//! is the owner by then. A request is identified by its settlement, position and message id, so that a repeated one is
-//! harmless.
+//! Messages between couriers may be lost, duplicated and reordered. A request without a reply is repeated, to the
+//! owner at the time of the retry. A request is identified by its settlement, position and message id, which makes
+//! repeats idempotent.
 //!
 //! The caller passes each [`ForwardInput`] to [`RequestForwarder::step`] and carries out the [`ForwardOutput`]s.
 
@@ -14,62 +15,62 @@
 use quillmount_policy::Micros;
 use std::collections::BTreeMap;
 
-/// Interval at which a request without a reply is repeated.
+/// Interval at which a request without a reply is repeated, in microseconds.
 pub const REQUEST_RETRY: Micros = 50_000;
-/// Time-out of a request: clients wait 0.4 s for an answer.
+/// Timeout of a request, in microseconds: clients wait 0.4 s for an answer.
 pub const REQUEST_TIMEOUT: Micros = 350_000;
-/// Requests without a reply that a courier keeps at most: their bodies have up to 64 KiB each.
+/// Maximum number of requests without a reply at one courier. Their bodies have up to 64 KiB each.
 pub const MAX_PENDING_REQUESTS: usize = 1_024;
 
 /// One input of [`RequestForwarder::step`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ForwardInput {
-    /// A client's request.
+    /// A client has sent a request to this courier.
     Request {
-        /// The caller's number for the client's connection, repeated in the answer.
+        /// The caller's number for the request, which is repeated in [`ForwardOutput::Answer`].
         ticket: u64,
-        /// The settlement.
+        /// The settlement that the request belongs to.
         id: SettlementId,
-        /// What is requested.
+        /// The request of the client.
         request: SettlementRequest,
     },
-    /// An owner's reply.
+    /// An owner has replied to a forwarded request.
     Reply {
-        /// The settlement.
+        /// The settlement that the request belongs to.
         id: SettlementId,
-        /// The request that is answered.
+        /// The request that the reply answers.
         request: SettlementRequest,
-        /// The reply to it.
+        /// The result for the client.
         reply: SettlementReply,
     },
-    /// What the agreed state has just changed.
+    /// A change of the replicated state that this courier has just applied.
     Committed(SettlementEvent),
-    /// The time of [`RequestForwarder::wake_at`] has come.
+    /// The time that [`RequestForwarder::wake_at`] returned is reached.
     Tick,
 }
 
-/// One thing for the caller to do.
+/// An action that the caller carries out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ForwardOutput {
     /// Send a message to a courier, which may be this one.
     Send {
-        /// The courier's name.
+        /// The name of the courier.
         to: String,
-        /// The message.
+        /// The request with its settlement.
         message: SettlementMessage,
     },
-    /// Propose a command to the agreement.
+    /// Propose a command to the replicated log.
     Propose(SettlementCommand),
-    /// Answer a client.
+    /// Send the answer to a client.
     Answer {
-        /// The number that the client's request came with.
+        /// The ticket of the client's request.
         ticket: u64,
-        /// The answer.
+        /// The owner's reply, or the reason why there is none.
         reply: SettlementReply,
     },
 }
 
-/// A request without a reply.
+/// A forwarded request that has no reply yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct PendingRequest {
     id: SettlementId,
@@ -84,12 +85,12 @@
         PendingRequest { id, request, retry_at: now, deadline }
     }
 
-    fn at(&self) -> PositionRef {
-        self.id.at(self.request.position_and_total().0)
+    fn position_ref(&self) -> PositionRef {
+        self.id.position_ref(self.request.position_and_total().0)
     }
 }
 
-/// The requests that one courier forwards.
+/// The forwarded requests of one courier.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RequestForwarder {
     local_name: String,
@@ -99,27 +100,27 @@
 }
 
 impl RequestForwarder {
-    /// None yet, for a courier of this name in the registration of this epoch.
+    /// Creates a forwarder without requests, for the courier `local_name` in the registration with this epoch.
     pub fn new(local_name: &str, epoch: u64) -> RequestForwarder {
         RequestForwarder { local_name: local_name.into(), epoch, pending: BTreeMap::new() }
     }
 
-    /// The number of requests without a reply.
+    /// Returns the number of requests that wait for a reply.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// No request is without a reply.
+    /// Returns whether no request waits for a reply.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// When an [`ForwardInput::Tick`] is wanted.
+    /// Returns when [`ForwardInput::Tick`] is due, in microseconds; `None` if no request waits for a reply.
     pub fn wake_at(&self) -> Option<Micros> {
         self.pending.values().map(|pending| pending.retry_at.min(pending.deadline)).min()
     }
 
-    /// Handles one input; returns what is to be done, in order.
+    /// Handles one input at time `now`; returns the actions in the order in which the caller carries them out.
     pub fn step(
         &mut self,
         registry: &SettlementRegistry,
@@ -152,9 +153,9 @@
     ) -> Vec<ForwardOutput> {
         if self.pending.len() >= MAX_PENDING_REQUESTS {
             let reply = SettlementReply::Rejected(SettlementError::Busy {
-                at: request.at(),
-                pending: MAX_PENDING_REQUESTS as u64,
-                after: REQUEST_RETRY,
+                position_ref: request.position_ref(),
+                pending_requests: MAX_PENDING_REQUESTS as u64,
+                retry_after: REQUEST_RETRY,
             });
             return vec![ForwardOutput::Answer { ticket, reply }];
         }
@@ -182,22 +183,22 @@
         event: &SettlementEvent,
         now: Micros,
     ) -> Vec<ForwardOutput> {
-        let (id, rejected_at) = match event {
+        let (id, rejected_with) = match event {
             SettlementEvent::Opened { id, .. }
             | SettlementEvent::Moved { id, .. }
             | SettlementEvent::Closed { id, .. } => (id, None),
-            SettlementEvent::NotOpened { id, open } => (id, Some(*open)),
+            SettlementEvent::NotOpened { id, open_settlements } => (id, Some(*open_settlements)),
             SettlementEvent::NotMoved { .. } | SettlementEvent::CaughtUp { .. } => return Vec::new(),
         };
         let tickets = self.tickets(|pending| pending.id == *id);
-        let step = |ticket| match rejected_at {
+        let step = |ticket| match rejected_with {
             None => self.route(registry, ticket, now),
-            Some(open) => {
+            Some(open_settlements) => {
                 let Some(pending) = self.pending.remove(&ticket) else { return Vec::new() };
                 let reply = SettlementReply::Rejected(SettlementError::TooManyOpen {
-                    at: pending.at(),
-                    open,
-                    after: RETRY_INTERVAL,
+                    position_ref: pending.position_ref(),
+                    open_settlements,
+                    retry_after: RETRY_INTERVAL,
                 });
                 vec![ForwardOutput::Answer { ticket, reply }]
             }
@@ -205,15 +206,16 @@
         tickets.into_iter().flat_map(step).collect()
     }
 
-    /// Sends the request to the present owner, or proposes to own the settlement; answers what has ended or timed out.
+    /// Sends the request to the current owner, or proposes this courier as the owner if there is none. A request
+    /// that has timed out or whose settlement has ended is answered instead.
     fn route(&mut self, registry: &SettlementRegistry, ticket: u64, now: Micros) -> Vec<ForwardOutput> {
         let Some(pending) = self.pending.get_mut(&ticket) else { return Vec::new() };
-        let at = pending.at();
+        let position_ref = pending.position_ref();
         let verdict = registry.verdict(&pending.id);
         if verdict.is_some() || now >= pending.deadline {
             self.pending.remove(&ticket);
-            let error = verdict.map_or(SettlementError::NoReply(at.clone()), |verdict| {
-                SettlementError::Ended { at, verdict }
+            let error = verdict.map_or(SettlementError::NoReply(position_ref.clone()), |verdict| {
+                SettlementError::Ended { position_ref, verdict }
             });
             return vec![ForwardOutput::Answer { ticket, reply: SettlementReply::Rejected(error) }];
         }
--- a/courier/fleet/src/settlement/journal_lines.rs
+++ b/courier/fleet/src/settlement/journal_lines.rs
@@ -1,5 +1,5 @@
-//! A settlement's lines in the courier's journal: what its owner writes there, and what a successor adopts of a sealed
-//! journal.
+//! The journal lines of a settlement: the format in which its owner writes them, and the selection of the lines
+//! that a successor adopts from a sealed journal.
 
 use super::model::{Outcome, SettlementId};
 use super::progress::{SettlementProgress, SettlementRecord};
@@ -11,57 +11,57 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a courier stores of a message until its turn: all that is sent, besides its id and destination.
+/// The stored part of a message that waits to be sent: everything that is sent except its id and destination.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MessagePayload {
-    /// The message's class.
+    /// The priority class, as the client has submitted it.
     pub class: String,
-    /// Its idempotency key.
+    /// The idempotency key, if the client has given one.
     pub key: Option<String>,
-    /// Its tenant.
+    /// The tenant that submitted the message, if it has one.
     pub tenant: Option<String>,
-    /// Its body.
+    /// The body, byte for byte as submitted.
     pub body: Bytes,
 }
 
 impl MessagePayload {
-    /// The payload of a message as its client submitted it.
+    /// Extracts the payload from a submission.
     pub fn from_message(submission: &Submission) -> MessagePayload {
         let Submission { class, key, tenant, body, .. } = submission.clone();
         MessagePayload { class, key, tenant, body }
     }
 
-    /// The message with this id and destination, and the time that is left until its deadline.
+    /// Builds a submission from the payload. `time_left` is the time until the deadline, in microseconds.
     pub fn to_message(&self, id: &str, dest: u64, time_left: Micros) -> Submission {
         let MessagePayload { class, key, tenant, body } = self.clone();
         Submission { id: id.into(), class, key, dest, tenant, time_left, body }
     }
 
-    /// A checksum of what is sent: a position has one payload.
+    /// Returns the CRC-32 of class, key and body. A repeated submission of a position must have the same checksum.
     pub fn checksum(&self) -> u64 {
         let parts = (&self.class, &self.key, &self.body);
         u64::from(crc32fast::hash(&postcard::to_allocvec(&parts).unwrap_or_default()))
     }
 }
 
-/// A line of the journal about a settlement, encoded by position.
+/// A journal line of a settlement. It is encoded by position: the order of variants and fields must not change.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum JournalLine {
-    /// A record.
+    /// A record without a payload.
     Record(SettlementRecord),
-    /// A [`SettlementRecord::Submitted`] with the payload of its message.
+    /// A [`SettlementRecord::Submitted`] and the payload of its message.
     Submitted(SettlementRecord, MessagePayload),
-    /// A payload that follows a [`SettlementRecord::Snapshot`], which has none.
+    /// The payload of a message in a preceding [`SettlementRecord::Snapshot`], which contains no payloads.
     Payload {
-        /// The position of its message.
+        /// The position of the message.
         position: u64,
-        /// The payload.
+        /// The stored part of the message.
         payload: MessagePayload,
     },
 }
 
 impl JournalLine {
-    /// The line as the journal's record; `None`: it can't be encoded.
+    /// Encodes the line as a journal record; `None` if it cannot be encoded.
     pub fn line(&self, id: &SettlementId) -> Option<JournalRecord> {
         let first = matches!(self, JournalLine::Record(SettlementRecord::Snapshot { .. }));
         let bytes = Bytes::from(postcard::to_allocvec(self).ok()?);
@@ -71,12 +71,12 @@
         })
     }
 
-    /// The line that the journal has; `None`: its bytes are none.
+    /// Decodes a line of the journal; `None` if its bytes are not a valid line.
     pub fn read(line: &SettlementLine) -> Option<JournalLine> {
         postcard::from_bytes(&line.bytes).ok()
     }
 
-    /// The record of the settlement, without a payload.
+    /// Returns the record of the line without the payload; `None` for a line that has only a payload.
     pub fn record(self) -> Option<SettlementRecord> {
         match self {
             JournalLine::Record(record) | JournalLine::Submitted(record, _) => Some(record),
@@ -85,23 +85,24 @@
     }
 }
 
-/// A settlement's key in the journal: tenant, name and destination, divided by the control character U+001F, which is
-/// in none of them.
+/// Returns the journal key of a settlement: tenant, name and destination, separated by the control character U+001F,
+/// which none of them contains.
 pub fn settlement_key(id: &SettlementId) -> String {
     format!("{}\u{1f}{}\u{1f}{}", id.tenant, id.name, id.dest)
 }
 
-/// The outcome of an attempt whose message has this end in the journal.
+/// Returns the outcome of an attempt whose message has this end in the journal.
 pub fn outcome_of(end: End) -> Outcome {
     match end {
         End::Delivered => Outcome::Delivered,
         End::Undeliverable => Outcome::Failed,
-        // The client was answered so: the message has ended under this id, and never ran.
+        // The client has already been told that the message is deferred: it never ran and has ended under this id.
         End::Deferred { .. } => Outcome::OutOfTime,
     }
 }
 
-/// The outcomes of attempts in flight whose message's end is known and not yet recorded for the settlement.
+/// Returns outcome records for attempts in flight whose messages have ended according to `known_end`, while the
+/// settlement has no record of it yet.
 pub fn known_outcomes(
     id: &SettlementId,
     records: &[SettlementRecord],
@@ -117,8 +118,9 @@
     known.collect()
 }
 
-/// The lines of these partitions of a sealed journal, each with its source, and the ends of their messages that the
-/// journal has. `settled` are the partitions whose earlier adoption by that journal's owner was agreed on.
+/// Returns the lines of these partitions of a sealed journal, each with its source, and outcome records for messages
+/// whose end is in the journal. `settled` are the partitions that the owner of the journal had adopted itself, if the
+/// replicated state confirms the adoption.
 pub fn adopted_lines(
     partitions: &[PartitionId],
     settled: &BTreeSet<PartitionId>,
--- a/courier/fleet/src/settlement/mod.rs
+++ b/courier/fleet/src/settlement/mod.rs
@@ -1,16 +1,17 @@
-//! Settlements: sequences of messages of one tenant to one partner that belong together, from an opening to a
-//! closing, carried between couriers in session mode and in message mode.
+//! Settlements: ordered sequences of messages from one tenant to one partner, from an opening to a closing, in
+//! session mode or in message mode.
 //!
-//! A settlement has one owner, a courier that the agreement names ([`registry`]). What is submitted at another
-//! courier is forwarded to the owner ([`forward`]). The [`owner`] sends the positions in order, one at a time in both
-//! modes, as only then does nothing that follows a break ever run. In session mode it keeps one connection from the
-//! opening to the closing ([`session`]); [`translator`] converts the boundaries of either mode into the other's.
+//! Each settlement has one owner, the courier that the replicated state names ([`registry`]). A courier that is not
+//! the owner forwards a submission to it ([`forward`]). In both modes the [`owner`] keeps at most one position in
+//! flight, so no message after a break ever runs. In session mode it uses one connection from the opening to the
+//! closing ([`session`]). The [`translator`] converts the boundaries of a settlement from one mode into the other.
 //!
-//! A settlement has one final state: [`Verdict::Closed`], or [`Verdict::Broken`] at a position. Whatever has to
-//! survive the owner is a [`SettlementRecord`], which is in the owner's journal and in a replica of it before anything
-//! is done about it. A sealed journal accepts no record, so an owner that was replaced can begin nothing.
+//! A settlement has one final state: [`Verdict::Closed`], or [`Verdict::Broken`] at a position. State that has to
+//! outlive the owner is written as a [`SettlementRecord`] to the owner's journal and to a replica of it before the
+//! owner acts on it. A sealed journal accepts no record, so an owner that was replaced cannot begin anything.
 //!
-//! All are state machines without I/O, with the time as an argument in microseconds (`docs/fleet-design.md`).
+//! All modules are state machines without I/O. They take the time as an argument, in microseconds
+//! (`docs/fleet-design.md`).
 
 pub mod breaks;
 mod error;
--- a/courier/fleet/src/settlement/model.rs
+++ b/courier/fleet/src/settlement/model.rs
@@ -1,38 +1,39 @@
-//! The values that settlements are described in: ids, messages, modes, outcomes and verdicts.
+//! Data types of settlements: ids, messages, modes, outcomes and verdicts.
 //!
-//! They are written to journals and sent between couriers in postcard's form, which goes by position: fields and
-//! variants keep their order.
+//! They are written to journals and sent between couriers in the postcard format, which encodes fields and variants
+//! by position: their order must not change.
 
 use quillmount_policy::{Effect, Micros};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A settlement's id in the whole fleet. A name may be used for another settlement once its verdict is forgotten.
+/// Identifies a settlement in the whole fleet. A tenant may reuse a name once the verdict of the earlier settlement
+/// is no longer retained.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SettlementId {
-    /// The tenant whose messages these are.
+    /// The tenant that submits the messages.
     pub tenant: String,
-    /// The name that the tenant gave the settlement.
+    /// The name that the tenant has chosen for the settlement, as in `X-Addressing`.
     pub name: String,
-    /// The destination: the partner that the messages are for.
+    /// The destination, which identifies the partner that receives the messages.
     pub dest: u64,
 }
 
 impl SettlementId {
-    /// A position of this settlement.
-    pub fn at(&self, position: u64) -> PositionRef {
+    /// Refers to one position of this settlement; 0 refers to the settlement as a whole.
+    pub fn position_ref(&self, position: u64) -> PositionRef {
         PositionRef { tenant: self.tenant.clone(), settlement: self.name.clone(), position }
     }
 }
 
-/// A position of a settlement, as error messages name it.
+/// Refers to a position of a settlement in error messages and log lines.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PositionRef {
-    /// The settlement's tenant.
+    /// The tenant that submits the messages.
     pub tenant: String,
-    /// The settlement's name.
+    /// The name of the settlement, which is unique for the tenant and destination.
     pub settlement: String,
-    /// From 1; 0 stands for the settlement as a whole.
+    /// The position, counted from 1; 0 refers to the settlement as a whole.
     pub position: u64,
 }
 
@@ -42,19 +43,20 @@
     }
 }
 
-/// When a message whose attempt may have run may be sent again.
+/// Whether and for how long a message may be sent again after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Repeat {
-    /// It is not idempotent: an attempt that may have run is the last one.
+    /// The message is not idempotent: there is no further attempt after one that may have run.
     Never,
-    /// The idempotency window: the partner drops repeats for so long from the first attempt that may have run.
+    /// The partner deduplicates repeats within this idempotency window, in microseconds from the first attempt that
+    /// may have run.
     Within(Micros),
-    /// It is idempotent.
+    /// The message is idempotent: it may be repeated at any time.
     Freely,
 }
 
 impl From<Effect> for Repeat {
-    /// A key that counts in one zone only is no protection here: the owner may move to another zone.
+    /// A message that is deduplicated per zone is never repeated, because a later owner may be in another zone.
     fn from(effect: Effect) -> Repeat {
         match effect {
             Effect::Idempotent => Repeat::Freely,
@@ -64,82 +66,84 @@
     }
 }
 
-/// A message as the settlement sees it, without its body.
+/// The metadata of a submitted message, without its body.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SequencedMessage {
-    /// Its position, from 1.
+    /// The position of the message in its settlement, counted from 1.
     pub position: u64,
-    /// The number of messages of the settlement: on the last message, or on any that knows it.
+    /// The number of messages of the settlement, if the client has given it. At the latest the last message has it.
     pub total: Option<u64>,
-    /// The message's id: the same whenever this position is submitted.
+    /// The message id. Every submission of this position has the same id.
     pub message_id: String,
-    /// Whether an attempt that may have run may be repeated.
+    /// Whether the message may be repeated after an attempt that may have run.
     pub repeat: Repeat,
-    /// The message ends by this time.
+    /// The message is sent before this time or ends without being sent; in microseconds.
     pub deadline: Micros,
-    /// Bytes of the body.
+    /// The size of the body in bytes.
     pub size: u64,
-    /// The checksum of the body: a position has one body.
+    /// The checksum of the payload. A submission of the same position with another checksum is rejected.
     pub checksum: u64,
 }
 
-/// How a partner wants its settlements. A settlement keeps the mode that it was opened in: a change of the
-/// settings takes effect with the next settlement.
+/// How messages of a settlement are sent to the partner. A settlement keeps the mode in which it was opened: a change
+/// of the settings applies to settlements that are opened later.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Mode {
-    /// Each message on its own, over any connection.
+    /// Each message is a separate request over any connection.
     #[default]
     Message,
-    /// One connection from opening to closing, and nothing else on it.
+    /// All messages use one connection, which carries nothing else from the opening to the closing.
     Session {
-        /// Whether the settlement may continue in a new session when one is lost.
+        /// Whether the partner accepts a new session for the settlement after one is lost.
         resume: Resume,
-        /// How long after a takeover the lost owner's connection may still be open: [`linger`](crate::settlement::session::linger).
+        /// How long after a takeover the connection of the lost owner may still be open, in microseconds: see
+        /// [`linger`](crate::settlement::session::linger).
         linger: Micros,
     },
 }
 
-/// Whether a settlement may continue in a new session when one is lost.
+/// Whether a settlement may continue in a new session after one is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Resume {
-    /// It may not: the settlement breaks.
+    /// The settlement breaks when its session is lost.
     Never,
-    /// It may, after the last position that was answered.
+    /// A new session continues after the last position that the partner has answered.
     AfterAnswer,
 }
 
-/// How an attempt ended.
+/// The outcome of one attempt to send a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
     /// The partner has confirmed the delivery.
     Delivered,
-    /// It is known never to have run.
+    /// The attempt did not run at the partner, and may be repeated.
     NeverRan {
-        /// The least backoff before the next attempt.
+        /// The minimum backoff before the next attempt, in microseconds.
         after: Micros,
     },
-    /// Whether it ran is not known.
+    /// It is unknown whether the attempt ran at the partner.
     MayHaveRun,
-    /// The partner or the module rejects the message for good.
+    /// The partner or the module rejects the message permanently.
     Failed,
-    /// It never ran, and its deadline has passed.
+    /// The attempt did not run, and the deadline of the message has passed.
     OutOfTime,
 }
 
 /// The final state of a settlement that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Verdict {
-    /// Each message was delivered, in order, and the closing confirmed.
+    /// Every message was delivered in order. In session mode the partner has confirmed the closing too.
     Closed {
-        /// The number of messages.
+        /// The number of messages of the settlement.
         total: u64,
     },
-    /// What precedes `at` was delivered, what follows never ran.
+    /// The positions before `break_position` were delivered, and those after it never ran.
     Broken {
-        /// The position. 0: not known, see [`Cause::RecordsLost`]. One more than the number of messages: the
-        /// closing itself.
-        at: u64,
-        /// Why the settlement broke there.
+        /// The position at which the settlement broke. It is 0 if that is unknown ([`Cause::RecordsLost`]), and one
+        /// more than the number of messages if the closing failed.
+        #[serde(rename = "at")]
+        break_position: u64,
+        /// The reason for the break.
         cause: Cause,
     },
 }
@@ -148,54 +152,54 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Verdict::Closed { total } => write!(f, "closed with all {total} delivered"),
-            Verdict::Broken { at: 0, .. } => {
+            Verdict::Broken { break_position: 0, .. } => {
                 write!(f, "broken at a position that is not known (its records are lost): any may have run")
             }
-            Verdict::Broken { at, cause } => {
+            Verdict::Broken { break_position, cause } => {
                 write!(
                     f,
-                    "broken at {at} ({cause:?}): what is before it was delivered, what follows never ran"
+                    "broken at {break_position} ({cause:?}): what is before it was delivered, what follows never ran"
                 )
             }
         }
     }
 }
 
-/// Why a settlement broke.
+/// The reason for the break of a settlement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Cause {
-    /// An attempt may have run, and may not be repeated.
+    /// An attempt may have run, and the message must not be repeated.
     MayHaveRun,
-    /// The message was rejected for good.
+    /// The message was rejected permanently.
     Failed,
-    /// The message's deadline passed before it ran.
+    /// The deadline of the message passed before an attempt ran.
     OutOfTime,
-    /// The position was not submitted before the deadline of a message that waited behind it.
+    /// The position was not submitted before the deadline of a later position.
     Missing,
-    /// Nothing more was submitted, and no closing.
+    /// No further message or closing was submitted within the idle timeout.
     Idle,
-    /// The session was lost, and the partner accepts no second one.
+    /// The session was lost, and the partner accepts no further session.
     SessionLost,
-    /// Every message was delivered, and the partner did not confirm the closing.
+    /// All messages were delivered, but the partner did not confirm the closing.
     Unconfirmed,
-    /// The owner was lost with every replica of its journal.
+    /// The owner and all replicas of its journal were lost.
     RecordsLost,
 }
 
-/// How a message of a settlement ended.
+/// The final result of a message of a settlement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum End {
     /// The partner has confirmed the delivery.
     Delivered,
-    /// Whether it ran is not known.
+    /// It is unknown whether the message ran at the partner.
     MayHaveRun,
-    /// It was rejected for good.
+    /// The partner or the module has rejected the message permanently.
     Failed,
-    /// It never ran, and its deadline has passed.
+    /// The deadline of the message passed before it ran.
     OutOfTime,
-    /// The settlement broke before its turn.
+    /// The settlement broke, and the message was never sent.
     NeverRan {
-        /// The position at which it broke.
+        /// The position at which the settlement broke.
         broken_at: u64,
     },
 }
--- a/courier/fleet/src/settlement/owner/capacity.rs
+++ b/courier/fleet/src/settlement/owner/capacity.rs
@@ -1,4 +1,4 @@
-//! Capacity: the connections that sessions reserve, and the pending messages of each tenant.
+//! Capacity: tracks the connections that sessions reserve, and the pending messages of each tenant.
 
 use super::interface::{ATTEMPT_BACKOFF, OwnerOutput, pin_outputs};
 use super::machine::{PendingLoad, TenantOverload};
@@ -8,7 +8,7 @@
 use quillmount_policy::Micros;
 
 impl OwnedSettlements {
-    /// Requests a connection of the tenant's budget for this session.
+    /// Requests a connection of the tenant's budget for a session.
     pub(super) fn pin(&mut self, id: &SettlementId, session: u32, outputs: &mut Vec<OwnerOutput>) {
         let key = (id.tenant.clone(), id.dest);
         let budget = self.budgets.get(&key).copied().unwrap_or(0);
@@ -17,7 +17,7 @@
         outputs.extend(pin_outputs(granted));
     }
 
-    /// Returns the session's connection, or withdraws its request for one.
+    /// Releases the connection of a session, or cancels its request for one.
     pub(super) fn unpin(&mut self, id: &SettlementId, session: u32, outputs: &mut Vec<OwnerOutput>) {
         let key = (id.tenant.clone(), id.dest);
         let session_key = SessionKey { settlement: id.clone(), session };
@@ -33,7 +33,7 @@
         outputs.extend(pin_outputs(granted));
     }
 
-    /// A settlement's pending messages have changed from `old` to `new`.
+    /// Updates the load of the tenant after the load of one of its settlements has changed from `old` to `new`.
     pub(super) fn change_load(&mut self, id: &SettlementId, old: PendingLoad, new: PendingLoad) {
         if old == new {
             return;
@@ -46,22 +46,23 @@
         }
     }
 
-    /// Whether the tenant may have one more pending message, of this size.
+    /// Checks whether the limits of the tenant allow one more pending message of this size.
     pub(super) fn check_tenant_load(
         &self,
         id: &SettlementId,
         size: u64,
         now: Micros,
     ) -> Result<(), TenantOverload> {
-        let PendingLoad { messages: waiting, bytes } =
+        let PendingLoad { messages: pending_messages, bytes } =
             self.loads.get(&id.tenant).copied().unwrap_or_default();
-        if waiting < self.limits.tenant_count && bytes + size <= self.limits.tenant_bytes {
+        if pending_messages < self.limits.max_tenant_messages && bytes + size <= self.limits.max_tenant_bytes
+        {
             return Ok(());
         }
-        let first = SettlementId { tenant: id.tenant.clone(), name: String::new(), dest: 0 };
-        let of_tenant = self.settlements.range(first..).take_while(|(other, _)| other.tenant == id.tenant);
-        let soonest = of_tenant.filter_map(|(_, settlement)| settlement.earliest_deadline()).min();
-        let after = soonest.unwrap_or(now).saturating_sub(now).max(ATTEMPT_BACKOFF);
-        Err(TenantOverload { waiting, bytes, after })
+        let first_id = SettlementId { tenant: id.tenant.clone(), name: String::new(), dest: 0 };
+        let of_tenant = self.settlements.range(first_id..).take_while(|(other, _)| other.tenant == id.tenant);
+        let earliest_deadline = of_tenant.filter_map(|(_, settlement)| settlement.earliest_deadline()).min();
+        let retry_after = earliest_deadline.unwrap_or(now).saturating_sub(now).max(ATTEMPT_BACKOFF);
+        Err(TenantOverload { pending_messages, bytes, retry_after })
     }
 }
--- a/courier/fleet/src/settlement/owner/changes.rs
+++ b/courier/fleet/src/settlement/owner/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of owner: what the agreed state says about who owns which settlement, carried out at one courier.
+//! Changes of owner: applies the ownership in the replicated state to the settlements of one courier.
 
 use super::interface::OwnerOutput;
 use super::machine::{PendingLoad, Phase, Settlement};
@@ -8,7 +8,7 @@
 use crate::settlement::session::{SessionInput, SessionKey, SessionOutput, SessionState};
 
 impl OwnedSettlements {
-    /// The agreed state has changed.
+    /// Handles a change of the replicated state.
     pub(super) fn committed(&mut self, event: SettlementEvent, step: &mut OwnerStep) {
         match event {
             SettlementEvent::Opened { id, owner, term } if self.is_local(&owner) => {
@@ -26,7 +26,7 @@
             SettlementEvent::CaughtUp { id, journals } => {
                 let was_here = journals.iter().any(|journal| self.is_local(journal));
                 let owner = step.registry.owner(&id);
-                let is_here = owner.is_some_and(|owner| owner.is_at(&self.local_name, self.epoch));
+                let is_here = owner.is_some_and(|owner| owner.is_registered_as(&self.local_name, self.epoch));
                 if was_here && !is_here {
                     step.outputs.push(OwnerOutput::Forget { id });
                 }
@@ -45,7 +45,8 @@
         journal.courier == self.local_name && journal.epoch == self.epoch
     }
 
-    /// A settlement in its first phase here. While the courier drains, it is to leave as all others are.
+    /// Creates a settlement in its first phase at this courier. If the courier drains, the settlement has to leave
+    /// too.
     fn new_settlement(&self, id: &SettlementId, term: u64, phase: Phase, step: &OwnerStep) -> Settlement {
         let mode = self.modes.get(&id.dest).copied().unwrap_or_default();
         let mut settlement = Settlement::new(id.clone(), term, mode, phase, step.now);
@@ -65,16 +66,18 @@
         }
         let mut stays = false;
         self.with_settlement(&id, step, |s, _, cx| stays = s.move_rejected(term, &to, cx));
-        // The journal has all that is known here, and perhaps what was ignored since the move was proposed.
+        // This reads the journal again, because writes that completed after the move was proposed were ignored in
+        // memory.
         if stays {
             self.remove(&id, &mut step.outputs);
             self.take_ownership(&id, step);
         }
     }
 
-    /// This courier is the owner now, and reads what earlier owners wrote.
+    /// Begins the ownership of a settlement by reading the records of its earlier owners.
     fn take_ownership(&mut self, id: &SettlementId, step: &mut OwnerStep) {
-        let owner = step.registry.owner(id).filter(|owner| owner.is_at(&self.local_name, self.epoch));
+        let owner =
+            step.registry.owner(id).filter(|owner| owner.is_registered_as(&self.local_name, self.epoch));
         let Some(owner) = owner else { return };
         self.remove(id, &mut step.outputs);
         let settlement = self.new_settlement(id, owner.term, Phase::Fetching { retry_at: step.now }, step);
@@ -82,24 +85,26 @@
         self.with_settlement(id, step, |s, owner, cx| s.fetch(owner, cx));
     }
 
-    /// The agreed state was replaced: gives up what is no longer owned, and takes what is new.
+    /// Handles the replacement of the replicated state by a snapshot: removes settlements that this courier no
+    /// longer owns, and begins the ownership of new ones.
     pub(super) fn snapshot_installed(&mut self, step: &mut OwnerStep) {
         let registry = step.registry;
         let is_here = |id: &SettlementId, term| {
-            registry
-                .owner(id)
-                .is_some_and(|owner| owner.is_at(&self.local_name, self.epoch) && owner.term == term)
+            registry.owner(id).is_some_and(|owner| {
+                owner.is_registered_as(&self.local_name, self.epoch) && owner.term == term
+            })
         };
         let gone = self.settlements.iter().filter(|(id, settlement)| !is_here(id, settlement.term));
         let gone: Vec<SettlementId> = gone.map(|(id, _)| id.clone()).collect();
         gone.iter().for_each(|id| self.remove(id, &mut step.outputs));
-        let owned = registry.owners().filter(|(_, owner)| owner.is_at(&self.local_name, self.epoch));
+        let owned =
+            registry.owners().filter(|(_, owner)| owner.is_registered_as(&self.local_name, self.epoch));
         let new = owned.map(|(id, _)| id).filter(|id| !self.settlements.contains_key(id));
         let new: Vec<SettlementId> = new.cloned().collect();
         new.iter().for_each(|id| self.take_ownership(id, step));
     }
 
-    /// The settlement is no longer this courier's: forgets it, and drops its session.
+    /// Removes a settlement that this courier no longer owns, and drops its session.
     pub(super) fn remove(&mut self, id: &SettlementId, outputs: &mut Vec<OwnerOutput>) {
         let Some(mut settlement) = self.settlements.remove(id) else { return };
         if let Some(at) = settlement.wake_at() {
@@ -112,7 +117,7 @@
             self.writes.remove(seq);
         }
         self.change_load(id, settlement.load(), PendingLoad::default());
-        let session = settlement.number;
+        let session = settlement.session_number;
         match settlement.session.state() {
             SessionState::None => {}
             SessionState::Dropping => {
--- a/courier/fleet/src/settlement/owner/interface.rs
+++ b/courier/fleet/src/settlement/owner/interface.rs
@@ -1,4 +1,4 @@
-//! What the owner of settlements is given and what it wants done: limits, inputs and outputs.
+//! The limits, inputs and outputs of the owner of settlements.
 
 use crate::settlement::model::{End, Outcome, SettlementId};
 use crate::settlement::progress::SettlementRecord;
@@ -7,38 +7,38 @@
 use crate::settlement::session::SessionKey;
 use quillmount_policy::Micros;
 
-/// Interval at which an unconfirmed command, or an unanswered fetch of records, is repeated.
+/// Interval at which an unconfirmed command or an unanswered fetch of records is repeated, in microseconds.
 pub const RETRY_INTERVAL: Micros = 200_000;
-/// Least backoff after an attempt that is to be repeated.
+/// Minimum backoff before an attempt is repeated, in microseconds.
 pub const ATTEMPT_BACKOFF: Micros = 10_000;
-/// No message is submitted with more time left than this.
+/// Maximum time from the submission of a message to its deadline, in microseconds.
 const MAX_MESSAGE_LIFETIME: Micros = 600_000_000;
 
-/// What an owner keeps at most, and how long it waits.
+/// The limits of an owner for pending messages, positions and times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct SettlementLimits {
-    /// Pending messages of one tenant. The position that a settlement waits for is accepted beyond it, one for
-    /// each open settlement, as otherwise nothing that waits behind it would ever end.
-    pub tenant_count: u64,
-    /// Bytes of the pending messages of one tenant, with the same exception.
-    pub tenant_bytes: u64,
-    /// Messages of one settlement, ended ones included: each is remembered until the settlement ends, to recognise
-    /// repeated submissions.
-    pub positions: u64,
-    /// A settlement that waits only for more messages is broken after so long without one.
-    pub idle: Micros,
-    /// How long a verdict is remembered: the longest lifetime of a message, with 1% for clock drift.
-    pub remember: Micros,
+    /// Maximum number of pending messages of one tenant. The next position of a settlement is accepted even above
+    /// this limit, one for each open settlement: if it were rejected, the later positions could never be sent.
+    pub max_tenant_messages: u64,
+    /// Maximum total size of the pending messages of one tenant in bytes, with the same exception.
+    pub max_tenant_bytes: u64,
+    /// Maximum number of messages of one settlement, ended ones included: each is stored until the settlement ends,
+    /// to detect repeated submissions.
+    pub max_positions: u64,
+    /// A settlement that only waits for further messages breaks after this time without one, in microseconds.
+    pub idle_timeout: Micros,
+    /// How long a verdict is retained, in microseconds: the maximum lifetime of a message plus 1% for clock drift.
+    pub verdict_retention: Micros,
 }
 
 impl Default for SettlementLimits {
     fn default() -> Self {
         SettlementLimits {
-            tenant_count: 4_096,
-            tenant_bytes: 32 << 20,
-            positions: 4_096,
-            idle: 60_000_000,
-            remember: MAX_MESSAGE_LIFETIME + MAX_MESSAGE_LIFETIME / 100,
+            max_tenant_messages: 4_096,
+            max_tenant_bytes: 32 << 20,
+            max_positions: 4_096,
+            idle_timeout: 60_000_000,
+            verdict_retention: MAX_MESSAGE_LIFETIME + MAX_MESSAGE_LIFETIME / 100,
         }
     }
 }
@@ -46,190 +46,191 @@
 /// One input of [`OwnedSettlements::step`](crate::settlement::OwnedSettlements::step).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum OwnerInput {
-    /// What the agreed state has just changed.
+    /// A change of the replicated state that this courier has just applied.
     Committed(SettlementEvent),
-    /// The agreed state was replaced by a snapshot: the changes in between are not known.
+    /// A snapshot has replaced the replicated state, and the individual changes are unknown.
     Snapshot,
-    /// The answer to [`OwnerOutput::Fetch`].
+    /// The records requested by [`OwnerOutput::Fetch`].
     Fetched {
-        /// The settlement whose records these are.
+        /// The settlement that the records belong to.
         id: SettlementId,
-        /// The term under which they were requested.
+        /// The term of the request, which detects outdated answers.
         term: u64,
         /// The records of each requested journal, in the order of the request.
         journals: Vec<Vec<SettlementRecord>>,
     },
-    /// The answer to [`OwnerOutput::Fetch`] when no replica of one of the journals is left.
+    /// The records requested by [`OwnerOutput::Fetch`] are lost: one of the journals has no replica left.
     Unreadable {
         /// The settlement whose records are lost.
         id: SettlementId,
-        /// The term under which they were requested.
+        /// The term of the request, which detects outdated answers.
         term: u64,
     },
-    /// A submission or closing, forwarded by a courier.
+    /// A courier has forwarded a submission or a closing.
     Request {
-        /// The courier to reply to.
+        /// The name of the courier that receives the reply.
         from: String,
-        /// The settlement that it is about.
+        /// The settlement that the request belongs to.
         id: SettlementId,
-        /// What is requested.
+        /// The request of the client.
         request: SettlementRequest,
     },
-    /// A write is in the journal and its replicas.
+    /// The records of a write are in the journal and its replicas.
     Written {
         /// The number of the [`OwnerOutput::Write`].
         seq: u64,
     },
-    /// The journal has no space for a submission; nothing of the write is in it.
+    /// The journal has no space for a submission and contains none of the records of the write.
     WriteRejected {
         /// The number of the [`OwnerOutput::Write`].
         seq: u64,
     },
-    /// An attempt has ended.
+    /// The attempt in flight has ended.
     Outcome {
-        /// The settlement of the attempt.
+        /// The settlement that the attempt belongs to.
         id: SettlementId,
-        /// The attempt's number, from [`OwnerOutput::Send`].
+        /// The number of the attempt from [`OwnerOutput::Send`], which detects outdated outcomes.
         attempt: u64,
-        /// How it ended.
+        /// The outcome of the attempt.
         outcome: Outcome,
-        /// The session's connection is lost as well.
-        lost: bool,
+        /// True if the connection of the session is lost as well.
+        session_lost: bool,
     },
-    /// The session's connection is lost, and no attempt was in flight on it.
+    /// The connection of the session is lost while no attempt is in flight on it.
     SessionLost {
-        /// The settlement of the session.
+        /// The settlement that the session belongs to.
         id: SettlementId,
-        /// The session's number.
+        /// The number of the session in its settlement.
         session: u32,
     },
-    /// The partner has confirmed the closing; the connection is closed.
+    /// The partner has confirmed the closing, and the connection is closed.
     Confirmed {
-        /// The settlement of the session.
+        /// The settlement that the session belongs to.
         id: SettlementId,
-        /// The session's number.
+        /// The number of the session in its settlement.
         session: u32,
     },
-    /// A connection of the budget is reserved for this session.
+    /// The caller has reserved the connection that [`OwnerOutput::Pin`] requested.
     Pinned {
-        /// The settlement of the session.
+        /// The settlement that the session belongs to.
         id: SettlementId,
-        /// The session's number.
+        /// The number of the session in its settlement.
         session: u32,
     },
-    /// Move all settlements to other couriers: at boundaries before `by`, afterwards wherever they stand.
+    /// Move all settlements to other couriers. Until `graceful_until` a settlement moves only at a boundary, with
+    /// nothing in flight and no session open; afterwards it moves immediately.
     Drain {
-        /// The couriers that may own them next.
+        /// The couriers that may own the settlements next.
         successors: Vec<JournalRef>,
-        /// The end of the graceful phase.
-        by: Micros,
+        /// The end of the graceful phase, in microseconds.
+        graceful_until: Micros,
     },
-    /// Keep the settlements that are still here, and own new ones.
+    /// Cancel the drain: keep the remaining settlements and accept new ones.
     CancelDrain,
-    /// The journal accepts no more records, or the lease has expired: this registration has ended.
+    /// The journal is sealed or the lease has expired: this registration has ended.
     Sealed,
-    /// The time of [`OwnedSettlements::wake_at`](crate::settlement::OwnedSettlements::wake_at) has come.
+    /// The time that [`OwnedSettlements::wake_at`](crate::settlement::OwnedSettlements::wake_at) returned is reached.
     Tick,
 }
 
-/// One thing for the caller to do.
+/// An action that the caller carries out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum OwnerOutput {
-    /// Append these records to the journal and its replicas, in this order, all or none.
+    /// Append these records to the journal and its replicas, in this order and atomically.
     Write {
-        /// The write's number; it grows with each.
+        /// The number of the write, which grows with each write of the courier.
         seq: u64,
         /// The records to append.
         records: Vec<SettlementRecord>,
     },
     /// Read the records of a settlement from these journals; they accept no more records of it.
     Fetch {
-        /// The settlement whose records are wanted.
+        /// The settlement whose records are requested.
         id: SettlementId,
-        /// The owner's term, to be repeated in the answer.
+        /// The term of the owner, which the answer repeats.
         term: u64,
         /// The journals to read, earliest owner first.
         journals: Vec<JournalRef>,
     },
-    /// Propose a command to the agreement.
+    /// Propose a command to the replicated log.
     Propose(SettlementCommand),
-    /// The reply to a request, for the courier that forwarded it.
+    /// Send the reply to a request to the courier that forwarded it.
     Reply {
-        /// The courier that forwarded the request.
+        /// The name of the courier that forwarded the request.
         to: String,
-        /// The settlement that it was about.
+        /// The settlement that the request belongs to.
         id: SettlementId,
-        /// The request.
+        /// The request that the reply answers.
         request: SettlementRequest,
-        /// The reply to it.
+        /// The result for the client.
         reply: SettlementReply,
     },
-    /// Make one attempt. No byte of it leaves, and no connection is opened for it, from `by` on.
+    /// Start one attempt. From `send_deadline` on no byte of it is sent and no connection is opened for it.
     Send {
-        /// The settlement.
+        /// The settlement that the message belongs to.
         id: SettlementId,
-        /// The message's position in it.
+        /// The position of the message in its settlement.
         position: u64,
-        /// The message's id.
+        /// The message id, under which the payload is stored.
         message_id: String,
-        /// The attempt's number, to be repeated in [`OwnerInput::Outcome`].
+        /// The number of the attempt, which [`OwnerInput::Outcome`] repeats.
         attempt: u64,
-        /// The end of the time in which it may be sent.
-        by: Micros,
-        /// Use this session's connection and no other.
+        /// The end of the time in which the message may be sent, in microseconds.
+        send_deadline: Micros,
+        /// The session whose connection must be used; `None` in message mode.
         session: Option<u32>,
-        /// Open that connection now.
-        opens: bool,
+        /// True if the connection of the session is opened for this attempt.
+        opens_session: bool,
     },
-    /// Close the session in order.
+    /// Send the closing of the session and close its connection in order.
     Close {
-        /// The settlement of the session.
+        /// The settlement that the session belongs to.
         id: SettlementId,
-        /// The session's number.
+        /// The number of the session in its settlement.
         session: u32,
-        /// Open its connection first.
-        opens: bool,
+        /// True if the connection must be opened first.
+        opens_session: bool,
     },
-    /// Drop the session's connection, and report [`OwnerInput::SessionLost`] when it is gone.
+    /// Drop the connection of the session, and report [`OwnerInput::SessionLost`] once it is closed.
     Drop {
-        /// The settlement of the session.
+        /// The settlement that the session belongs to.
         id: SettlementId,
-        /// The session's number.
+        /// The number of the session in its settlement.
         session: u32,
     },
-    /// Reserve a connection of the tenant's budget for this session, when one is free.
+    /// Reserve a connection of the tenant's budget for this session as soon as one is free.
     Pin {
-        /// The settlement of the session.
+        /// The settlement that the session belongs to.
         id: SettlementId,
-        /// The session's number.
+        /// The number of the session in its settlement.
         session: u32,
     },
-    /// Release the session's reserved connection.
+    /// Release the connection that is reserved for the session.
     Unpin {
-        /// The settlement of the session.
+        /// The settlement that the session belongs to.
         id: SettlementId,
-        /// The session's number.
+        /// The number of the session in its settlement.
         session: u32,
     },
-    /// How a message ended. The same end may be reported again after a takeover.
+    /// Report the end of a message. A later owner may report the same end again after a takeover.
     End {
-        /// The settlement.
+        /// The settlement that the message belongs to.
         id: SettlementId,
-        /// The message's position in it.
+        /// The position of the message in its settlement.
         position: u64,
-        /// The message's id.
+        /// The message id, under which the payload is stored.
         message_id: String,
-        /// How it ended.
+        /// The final result of the message.
         end: End,
     },
-    /// This journal's records of the settlement are no longer needed.
+    /// Delete the records of the settlement in this journal: they are no longer needed.
     Forget {
-        /// The settlement.
+        /// The settlement whose records can be deleted.
         id: SettlementId,
     },
 }
 
-/// The outputs that notify sessions of the connections they were granted.
+/// Returns the outputs that request a connection from the caller for each session that was granted one.
 pub(super) fn pin_outputs(granted: Vec<SessionKey>) -> impl Iterator<Item = OwnerOutput> {
     granted.into_iter().map(|SessionKey { settlement: id, session }| OwnerOutput::Pin { id, session })
 }
--- a/courier/fleet/src/settlement/owner/mod.rs
+++ b/courier/fleet/src/settlement/owner/mod.rs
@@ -1,21 +1,24 @@
 //! The settlements that one courier owns.
 //!
-//! A submission, in whatever order and through whichever courier it arrives, is written to the journal and then
-//! acknowledged. Positions leave one at a time, each after its record is in the journal. What an outcome means for
-//! the settlement is written before anyone is notified, together with the release of the next position, so that a
-//! position costs one write. An owner acts only while the agreed state names it under its own epoch and term; a
-//! journal that rejects a record because it is sealed ends all of it ([`OwnerInput::Sealed`]).
+//! A submission is written to the journal and then acknowledged; submissions may arrive in any order and through
+//! any courier. At most one position is in flight, and it is sent after its record is in the journal. The effect of
+//! an outcome is written before anyone is notified, in the same write as the release of the next position, so that
+//! each position costs one write. An owner acts only while the replicated state names it under its own epoch and
+//! term. If the journal rejects a record because it is sealed, the ownership of all settlements ends
+//! ([`OwnerInput::Sealed`]).
 //!
-//! Writes may be acknowledged in any order but are in the journal in the order they were given. Only a submission
-//! may be rejected for lack of space ([`OwnerInput::WriteRejected`]): the journal reserves space for the records
-//! that follow from one.
+//! Writes may be acknowledged in any order, but the journal has them in the order in which they were requested.
+//! Only a submission may be rejected for lack of space ([`OwnerInput::WriteRejected`]): the journal reserves the
+//! space for the records that result from an accepted submission.
 //!
-//! The caller passes each [`OwnerInput`] to [`OwnedSettlements::step`] with the agreed state and the time, carries
-//! out the returned [`OwnerOutput`]s in order, and sends [`OwnerInput::Tick`] at [`OwnedSettlements::wake_at`].
+//! The caller passes each [`OwnerInput`] to [`OwnedSettlements::step`] with the replicated state and the time,
+//! carries out the returned [`OwnerOutput`]s in order, and sends [`OwnerInput::Tick`] at
+//! [`OwnedSettlements::wake_at`].
 //!
-//! Inside: `interface` has the inputs, outputs and limits; `machine` is one settlement's state, on which
-//! `admission`, `persistence`, `order`, `attempt`, `verdict` and `takeover` each implement one concern; `owned`
-//! keeps a courier's settlements, with their `changes` of owner, and `capacity` counts what its tenants use.
+//! The module `interface` defines the inputs, outputs and limits. The module `machine` defines the state of one
+//! settlement; `admission`, `persistence`, `order`, `attempt`, `verdict` and `takeover` each implement one concern
+//! of it. The module `owned` manages the settlements of a courier, `changes` applies changes of owner, and
+//! `capacity` tracks the reserved connections and the pending messages of each tenant.
 
 mod admission;
 mod attempt;
--- a/courier/fleet/src/settlement/owner/order.rs
+++ b/courier/fleet/src/settlement/owner/order.rs
@@ -1,6 +1,6 @@
-//! Order: which step the records, the session and the clock call for next.
+//! Order: chooses the next step from the records, the session and the time.
 //!
-//! Positions leave one at a time: only then does nothing that follows a break ever run.
+//! At most one position is in flight, so that no position after a break ever runs.
 
 use super::machine::{Context, Settlement, earlier};
 use crate::settlement::breaks::{self, Break};
@@ -9,40 +9,40 @@
 use crate::settlement::session::{MAX_SESSIONS, SessionState};
 use quillmount_policy::Micros;
 
-/// What comes next. A time is when to decide again at the latest.
+/// The next step of a settlement. A time in it is the latest time for the next decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NextStep {
-    /// Nothing can be done now.
+    /// Wait: no step is possible now.
     Wait(Option<Micros>),
     /// Request a connection for a new session.
     Pin(Option<Micros>),
-    /// Release the next position for an attempt; `opens`: on a session that is opened now.
-    Release { opens: bool },
-    /// Close the session, opening its connection first if `opens`.
-    Close { opens: bool },
+    /// Release the next position for an attempt, and open the connection of its session if `opens_session`.
+    Release { opens_session: bool },
+    /// Close the session, and open its connection first if `opens_session`.
+    Close { opens_session: bool },
     /// Write this verdict.
     Decide(Verdict),
-    /// Announce the verdict that the journal has.
+    /// Report the verdict that is in the journal.
     Announce,
     /// Propose a move to another courier.
-    Leave { boundary: bool },
-    /// Give the session up, to leave at a boundary.
+    Leave { at_boundary: bool },
+    /// Drop the session, so that the settlement can move at a boundary.
     DropSession,
 }
 
 impl NextStep {
-    /// The same step, decided again no later than this.
-    fn no_later_than(self, at: Option<Micros>) -> NextStep {
+    /// Returns the step with its next decision no later than `deadline`.
+    fn no_later_than(self, deadline: Option<Micros>) -> NextStep {
         match self {
-            NextStep::Wait(wake) => NextStep::Wait(earlier(wake, at)),
-            NextStep::Pin(wake) => NextStep::Pin(earlier(wake, at)),
+            NextStep::Wait(wake) => NextStep::Wait(earlier(wake, deadline)),
+            NextStep::Pin(wake) => NextStep::Pin(earlier(wake, deadline)),
             step => step,
         }
     }
 }
 
 impl Settlement {
-    /// The step to take now.
+    /// Chooses the step to take now.
     pub(super) fn next_step(&mut self, cx: &Context) -> NextStep {
         if self.progress.verdict.is_some() {
             return NextStep::Announce;
@@ -50,116 +50,121 @@
         if let Some(step) = self.handover_step(cx.now) {
             return step;
         }
-        let by = self.handover.as_ref().map(|handover| handover.by);
-        self.delivery_step(cx).no_later_than(by)
+        let graceful_until = self.handover.as_ref().map(|handover| handover.graceful_until);
+        self.delivery_step(cx).no_later_than(graceful_until)
     }
 
     fn delivery_step(&mut self, cx: &Context) -> NextStep {
-        let at = self.progress.next;
+        let position = self.progress.next_position;
         if let Some(cause) =
-            self.progress.positions.get(&at).and_then(|state| self.break_cause(state, cx.now))
+            self.progress.positions.get(&position).and_then(|state| self.break_cause(state, cx.now))
         {
-            if breaks::is_enabled(Break::AfterBreak) && self.progress.positions.contains_key(&(at + 1)) {
-                self.progress.next += 1;
+            if breaks::is_enabled(Break::SendAfterBreak)
+                && self.progress.positions.contains_key(&(position + 1))
+            {
+                self.progress.next_position += 1;
                 return self.delivery_step(cx);
             }
             return self.broken(cause);
         }
-        let is_complete = at > 1 && self.progress.total == Some(at - 1);
+        let is_complete = position > 1 && self.progress.total == Some(position - 1);
         if self.has_no_more_sessions() {
             return self.broken(if is_complete { Cause::Unconfirmed } else { Cause::SessionLost });
         }
         if is_complete {
             return self.closing_step(cx);
         }
-        let Some(state) = self.progress.positions.get(&at) else { return self.missing_step(cx) };
-        let by = self.progress.send_deadline(state);
+        let Some(state) = self.progress.positions.get(&position) else { return self.missing_step(cx) };
+        let send_deadline = self.progress.send_deadline(state);
         if cx.now < self.backoff_until {
-            return NextStep::Wait(Some(self.backoff_until.min(by)));
+            return NextStep::Wait(Some(self.backoff_until.min(send_deadline)));
         }
         match self.mode {
-            Mode::Message => NextStep::Release { opens: false },
-            Mode::Session { .. } => self.session_next_step(cx.now, Some(by)),
+            Mode::Message => NextStep::Release { opens_session: false },
+            Mode::Session { .. } => self.session_next_step(cx.now, Some(send_deadline)),
         }
     }
 
     fn broken(&self, cause: Cause) -> NextStep {
-        NextStep::Decide(Verdict::Broken { at: self.progress.next, cause })
+        NextStep::Decide(Verdict::Broken { break_position: self.progress.next_position, cause })
     }
 
-    /// Why the settlement breaks at the next position, if it does.
+    /// Returns the cause if the settlement breaks at the next position.
     fn break_cause(&self, next: &PositionState, now: Micros) -> Option<Cause> {
-        let is_late = now >= next.sequenced.deadline;
+        let is_past_deadline = now >= next.sequenced.deadline;
         match next.end {
             Some(End::Failed) => Some(Cause::Failed),
             Some(End::OutOfTime) => Some(Cause::OutOfTime),
             Some(End::MayHaveRun) => Some(Cause::MayHaveRun),
             _ if !self.progress.may_send(next, now) => Some(Cause::MayHaveRun),
-            _ if is_late && next.first_attempt.is_some() => Some(Cause::MayHaveRun),
-            _ if is_late => Some(Cause::OutOfTime),
+            _ if is_past_deadline && next.first_attempt.is_some() => Some(Cause::MayHaveRun),
+            _ if is_past_deadline => Some(Cause::OutOfTime),
             _ => None,
         }
     }
 
-    /// Every position is delivered.
+    /// Chooses the step once every position is delivered.
     fn closing_step(&self, cx: &Context) -> NextStep {
-        let closed = NextStep::Decide(Verdict::Closed { total: self.progress.next - 1 });
-        if self.mode == Mode::Message || breaks::is_enabled(Break::ClosedEarly) {
+        let closed = NextStep::Decide(Verdict::Closed { total: self.progress.next_position - 1 });
+        if self.mode == Mode::Message || breaks::is_enabled(Break::CloseUnconfirmed) {
             return closed;
         }
-        let idle = self.last_activity.saturating_add(cx.limits.idle);
-        if cx.now >= idle && !self.session.is_open() {
+        let idle_until = self.last_activity.saturating_add(cx.limits.idle_timeout);
+        if cx.now >= idle_until && !self.session.is_open() {
             return self.broken(Cause::Unconfirmed);
         }
-        self.session_next_step(cx.now, None).no_later_than(Some(idle))
+        self.session_next_step(cx.now, None).no_later_than(Some(idle_until))
     }
 
-    /// A session was lost, and the partner accepts no other.
+    /// Returns whether a session was lost and no further session is allowed.
     fn has_no_more_sessions(&self) -> bool {
         let Mode::Session { resume, .. } = self.mode else { return false };
-        let is_refused = resume == Resume::Never && self.progress.has_started();
-        let is_none = matches!(self.session.state(), SessionState::None | SessionState::Dropping);
-        is_none && self.progress.sessions > 0 && (is_refused || self.progress.sessions >= MAX_SESSIONS)
+        let allows_no_session = resume == Resume::Never && self.progress.has_started();
+        let has_no_session = matches!(self.session.state(), SessionState::None | SessionState::Dropping);
+        has_no_session
+            && self.progress.session_count > 0
+            && (allows_no_session || self.progress.session_count >= MAX_SESSIONS)
     }
 
-    /// `by`: a position is to be sent until then; `None`: the session is to be closed.
-    fn session_next_step(&self, now: Micros, by: Option<Micros>) -> NextStep {
-        let send_or_close = |opens| match by {
-            Some(_) => NextStep::Release { opens },
-            None => NextStep::Close { opens },
+    /// Chooses the step in session mode: to send a position before `send_deadline`, or to close the session if that
+    /// is `None`.
+    fn session_next_step(&self, now: Micros, send_deadline: Option<Micros>) -> NextStep {
+        let send_or_close = |opens_session| match send_deadline {
+            Some(_) => NextStep::Release { opens_session },
+            None => NextStep::Close { opens_session },
         };
         match self.session.state() {
             SessionState::Open => send_or_close(false),
             SessionState::Pinned => send_or_close(true),
             SessionState::Waiting | SessionState::Closing { .. } | SessionState::Dropping => {
-                NextStep::Wait(by)
+                NextStep::Wait(send_deadline)
             }
-            SessionState::None if self.progress.session.is_some() && now < self.session_not_before => {
-                NextStep::Wait(earlier(Some(self.session_not_before), by))
+            SessionState::None if self.progress.open_session.is_some() && now < self.session_not_before => {
+                NextStep::Wait(earlier(Some(self.session_not_before), send_deadline))
             }
-            SessionState::None => NextStep::Pin(by),
+            SessionState::None => NextStep::Pin(send_deadline),
         }
     }
 
-    /// The next position has not been submitted, or its submission is not yet written.
+    /// Chooses the step while the next position is not submitted or its submission is not yet written.
     fn missing_step(&mut self, cx: &Context) -> NextStep {
-        let at = self.progress.next;
+        let position = self.progress.next_position;
         let mut unwritten = self.pending.values().filter_map(|pending| pending.request.sequenced());
-        if unwritten.any(|sequenced| sequenced.position == at) {
+        if unwritten.any(|sequenced| sequenced.position == position) {
             return NextStep::Wait(None);
         }
         match self.earliest_deadline() {
-            Some(_) if breaks::is_enabled(Break::SkipHole) => {
+            Some(_) if breaks::is_enabled(Break::SkipMissing) => {
                 let first = self.progress.positions.iter().find(|(_, state)| state.end.is_none());
-                self.progress.next = first.map_or(at, |(position, _)| *position);
+                self.progress.next_position = first.map_or(position, |(position, _)| *position);
                 self.delivery_step(cx)
             }
             Some(deadline) if cx.now >= deadline => self.broken(Cause::Missing),
             Some(deadline) => NextStep::Wait(Some(deadline)),
             None if !self.pending.is_empty() => NextStep::Wait(None),
-            None => match self.last_activity.saturating_add(cx.limits.idle) {
-                idle if cx.now >= idle => self.broken(Cause::Idle),
-                idle => NextStep::Wait(Some(idle)),
+            None => match self.last_activity.saturating_add(cx.limits.idle_timeout) {
+                idle_until if cx.now >= idle_until => self.broken(Cause::Idle),
+                idle_until => NextStep::Wait(Some(idle_until)),
             },
         }
     }
--- a/courier/fleet/src/settlement/owner/owned.rs
+++ b/courier/fleet/src/settlement/owner/owned.rs
@@ -1,4 +1,4 @@
-//! The settlements of one courier: passes each input to its settlement and keeps the times at which they are due.
+//! The settlements of one courier: passes each input to its settlement, and schedules their timeouts.
 
 use super::interface::{OwnerInput, OwnerOutput, RETRY_INTERVAL, SettlementLimits, pin_outputs};
 use super::machine::{Context, Handover, PendingLoad, PinChange, Settlement, earlier};
@@ -10,47 +10,47 @@
 use quillmount_policy::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The settlements of one courier in one registration.
+/// The settlements that one courier owns in one registration.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct OwnedSettlements {
     pub(super) local_name: String,
     pub(super) epoch: u64,
     pub(super) limits: SettlementLimits,
-    /// By destination.
+    /// The mode for new settlements by destination.
     pub(super) modes: BTreeMap<u64, Mode>,
-    /// By tenant and destination.
+    /// The connection budgets by tenant and destination.
     pub(super) budgets: BTreeMap<(String, u64), u32>,
     pub(super) settlements: BTreeMap<SettlementId, Settlement>,
-    /// By tenant.
+    /// The pending messages by tenant.
     pub(super) loads: BTreeMap<String, PendingLoad>,
-    /// By tenant and destination.
+    /// The reserved connections by tenant and destination.
     pub(super) pins: BTreeMap<(String, u64), Pins>,
-    /// Sessions of settlements that have ended or moved, until their connections are gone.
+    /// Sessions of settlements that have ended or moved, until their connections are closed.
     pub(super) dropping: BTreeSet<SessionKey>,
-    /// When each settlement wants to act next.
+    /// When each settlement has its next timeout.
     pub(super) due: BTreeSet<(Micros, SettlementId)>,
-    /// The settlement of each write that is under way.
+    /// The settlement of each write in progress, by the number of the write.
     pub(super) writes: BTreeMap<u64, SettlementId>,
     /// The number of the last write.
     pub(super) seq: u64,
     pub(super) draining: Option<Handover>,
-    /// When to repeat that this courier is not leaving any more, until it is agreed on.
+    /// When to repeat the proposal to cancel the drain, until it is committed.
     pub(super) cancel_drain_at: Option<Micros>,
     pub(super) is_sealed: bool,
 }
 
-/// What a courier has of settlements at present.
+/// The current load of a courier from its settlements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct OwnedCounts {
-    /// Settlements that it owns.
+    /// The number of settlements that the courier owns.
     pub settlements: usize,
-    /// Their pending messages.
+    /// The number of messages that are accepted or being written and have not ended.
     pub messages: u64,
-    /// Bytes of these messages.
+    /// The total size of these messages in bytes.
     pub bytes: u64,
 }
 
-/// One step: the agreed state and the time that it sees, and what it leads to.
+/// The replicated state and the time that one step uses, and the outputs of the step.
 pub(super) struct OwnerStep<'a> {
     pub(super) registry: &'a SettlementRegistry,
     pub(super) now: Micros,
@@ -58,7 +58,7 @@
 }
 
 impl OwnedSettlements {
-    /// None yet: a courier of this name begins a registration under this epoch.
+    /// Creates the state without settlements, for the courier `local_name` in the registration with this epoch.
     pub fn new(local_name: &str, epoch: u64, limits: SettlementLimits) -> OwnedSettlements {
         OwnedSettlements {
             local_name: local_name.into(),
@@ -79,13 +79,13 @@
         }
     }
 
-    /// How a partner wants the settlements that are opened from now on.
+    /// Sets the mode of the settlements for a destination that are opened from now on.
     pub fn set_mode(&mut self, dest: u64, mode: Mode) {
         self.modes.insert(dest, mode);
     }
 
-    /// The connections that a tenant may have at a partner from this courier; half of them may be reserved for
-    /// sessions. Returns the reservations that it makes possible.
+    /// Sets the number of connections that a tenant may have from this courier to a partner; half of them may be
+    /// reserved for sessions. Returns the outputs for sessions that are granted a connection.
     pub fn set_budget(&mut self, tenant: &str, dest: u64, budget: u32) -> Vec<OwnerOutput> {
         let key = (tenant.to_string(), dest);
         self.budgets.insert(key.clone(), budget);
@@ -93,12 +93,12 @@
         pin_outputs(granted).collect()
     }
 
-    /// When an [`OwnerInput::Tick`] is wanted.
+    /// Returns when [`OwnerInput::Tick`] is due, in microseconds; `None` if no timeout is running.
     pub fn wake_at(&self) -> Option<Micros> {
         earlier(self.due.first().map(|(at, _)| *at), self.cancel_drain_at)
     }
 
-    /// How much it has to do at present.
+    /// Returns the current load.
     pub fn counts(&self) -> OwnedCounts {
         OwnedCounts {
             settlements: self.settlements.len(),
@@ -107,12 +107,12 @@
         }
     }
 
-    /// The connections that are reserved for a tenant's sessions at a partner.
+    /// Returns the number of connections that are reserved for the sessions of a tenant at a partner.
     pub fn pinned(&self, tenant: &str, dest: u64) -> usize {
         self.pins.get(&(tenant.to_string(), dest)).map_or(0, Pins::pinned)
     }
 
-    /// Handles one input; returns what is to be done, in order.
+    /// Handles one input at time `now`; returns the actions in the order in which the caller carries them out.
     pub fn step(
         &mut self,
         registry: &SettlementRegistry,
@@ -144,15 +144,19 @@
                     self.with_settlement(&id, &mut step, |s, _, cx| s.write_rejected(seq, cx));
                 }
             }
-            OwnerInput::Outcome { id, attempt, outcome, lost } => {
-                self.with_settlement(&id, &mut step, |s, _, cx| s.attempt_ended(attempt, outcome, lost, cx));
+            OwnerInput::Outcome { id, attempt, outcome, session_lost } => {
+                self.with_settlement(&id, &mut step, |s, _, cx| {
+                    s.attempt_ended(attempt, outcome, session_lost, cx);
+                });
             }
             OwnerInput::SessionLost { id, session } => self.session_lost(&id, session, &mut step),
             OwnerInput::Confirmed { id, session } => {
                 self.with_settlement(&id, &mut step, |s, _, cx| s.closing_confirmed(session, cx));
             }
             OwnerInput::Pinned { id, session } => self.session_pinned(id, session, &mut step),
-            OwnerInput::Drain { successors, by } => self.drain(Handover { successors, by }, &mut step),
+            OwnerInput::Drain { successors, graceful_until } => {
+                self.drain(Handover { successors, graceful_until }, &mut step);
+            }
             OwnerInput::CancelDrain => self.cancel_drain(&mut step),
             OwnerInput::Sealed => self.seal(&mut step.outputs),
             OwnerInput::Tick => self.tick(&mut step),
@@ -181,8 +185,8 @@
         self.with_settlement(&id, step, |s, _, cx| is_wanted = s.session_pinned(session, cx));
         let key = (id.tenant.clone(), id.dest);
         let session_key = SessionKey { settlement: id, session };
-        let is_known = self.pins.get(&key).is_some_and(|pins| pins.is_pinned(&session_key));
-        if !is_wanted && !is_known {
+        let has_pin = self.pins.get(&key).is_some_and(|pins| pins.is_pinned(&session_key));
+        if !is_wanted && !has_pin {
             step.outputs.push(OwnerOutput::Unpin { id: session_key.settlement, session });
         }
     }
@@ -202,7 +206,8 @@
         self.propose_cancel_drain(step);
     }
 
-    /// Proposes that this courier is not leaving, until it is agreed on.
+    /// Proposes to cancel the drain while the replicated state has this courier as leaving; sets the time of the
+    /// retry.
     fn propose_cancel_drain(&mut self, step: &mut OwnerStep) {
         let is_leaving = self.draining.is_none() && step.registry.is_leaving(&self.local_name, self.epoch);
         self.cancel_drain_at = is_leaving.then(|| step.now.saturating_add(RETRY_INTERVAL));
@@ -223,7 +228,7 @@
         }
     }
 
-    /// Sealed: only connections that are still to be dropped matter.
+    /// Handles an input after the end of the registration, when only connections are still released.
     fn step_sealed(&mut self, input: OwnerInput) -> Vec<OwnerOutput> {
         match input {
             OwnerInput::SessionLost { id, session }
@@ -244,14 +249,15 @@
         self.cancel_drain_at = None;
     }
 
-    /// Runs a step of one settlement, if the agreed state names this courier as its owner under its term.
+    /// Runs a step of one settlement, if the replicated state names this courier as its owner under the same term.
     pub(super) fn with_settlement(
         &mut self,
         id: &SettlementId,
         step: &mut OwnerStep,
-        act: impl FnOnce(&mut Settlement, &SettlementOwner, &mut Context),
+        run: impl FnOnce(&mut Settlement, &SettlementOwner, &mut Context),
     ) {
-        let owner = step.registry.owner(id).filter(|owner| owner.is_at(&self.local_name, self.epoch));
+        let owner =
+            step.registry.owner(id).filter(|owner| owner.is_registered_as(&self.local_name, self.epoch));
         let Some(owner) = owner else { return };
         let Some(settlement) = self.settlements.get_mut(id).filter(|s| s.term == owner.term) else { return };
         let (old_load, old_wake) = (settlement.load(), settlement.wake_at());
@@ -265,7 +271,7 @@
             outputs: Vec::new(),
             pins: Vec::new(),
         };
-        act(settlement, owner, &mut cx);
+        run(settlement, owner, &mut cx);
         let (new_load, new_wake) = (settlement.load(), settlement.wake_at());
         let Context { outputs, pins, .. } = cx;
         if old_wake != new_wake {
--- a/courier/fleet/src/settlement/owner/persistence.rs
+++ b/courier/fleet/src/settlement/owner/persistence.rs
@@ -1,4 +1,4 @@
-//! Persistence: what is written before anything is done about it, and what follows once it is written.
+//! Persistence: writes records before the settlement acts on them, and continues once they are written.
 
 use super::machine::{AfterWrite, Context, Phase, Settlement};
 use super::order::NextStep;
@@ -8,25 +8,25 @@
 use crate::settlement::session::SessionInput;
 
 impl Settlement {
-    /// The record that opens the settlement, where the journal does not have it yet.
+    /// Returns the record that opens the settlement, if the journal does not have it yet.
     pub(super) fn opening_record(&self) -> Option<SettlementRecord> {
         let first = SettlementRecord::Opened { id: self.id.clone(), term: self.term, mode: self.mode };
         self.progress.mode.is_none().then_some(first)
     }
 
-    /// Writes these records, and with them those of what comes next.
+    /// Writes these records together with the records of the next step.
     pub(super) fn advance(&mut self, mut records: Vec<SettlementRecord>, cx: &mut Context) {
         if self.phase != Phase::Idle {
             return;
         }
-        let lost = self.lost.take();
-        records.extend(lost.map(|n| SettlementRecord::SessionEnded { id: self.id.clone(), n }));
-        let first = self.progress.next;
+        let lost = self.lost_session.take();
+        records.extend(lost.map(|number| SettlementRecord::SessionEnded { id: self.id.clone(), number }));
+        let first = self.progress.next_position;
         records.iter().for_each(|record| self.progress.apply(record));
         let applied = records.len();
-        let delivered = (self.progress.next > first).then_some(first);
+        let delivered = (self.progress.next_position > first).then_some(first);
         let step = self.chosen_step(cx);
-        let Some(then) = self.begin_step(step, &mut records, cx) else { return };
+        let Some(after_write) = self.begin_step(step, &mut records, cx) else { return };
         if records.is_empty() {
             return;
         }
@@ -34,11 +34,11 @@
         let opening = self.opening_record();
         (self.progress.term, self.progress.mode) = (self.term, Some(self.mode));
         let seq = cx.write(opening.into_iter().chain(records).collect());
-        self.phase = Phase::Writing { seq, delivered, then };
-        if then != AfterWrite::Continue {
-            self.wake = None;
+        self.phase = Phase::Writing { seq, delivered, after_write };
+        if after_write != AfterWrite::Continue {
+            self.next_wake = None;
         }
-        if breaks::is_enabled(Break::SendUnwritten) && matches!(then, AfterWrite::Send { .. }) {
+        if breaks::is_enabled(Break::SendUnwritten) && matches!(after_write, AfterWrite::Send { .. }) {
             self.written(seq, cx);
         }
     }
@@ -49,11 +49,13 @@
             return step;
         }
         self.step_session(SessionInput::Leave, cx);
-        // A session that was not opened yet is gone at once, and nobody reports it.
+        // A session that is not open yet ends immediately and without a further input, so the next step is chosen
+        // again.
         self.next_step(cx)
     }
 
-    /// Adds the records of a step, and returns what follows once they are written; `None`: it is done already.
+    /// Adds the records of a step; returns the action that follows once they are written, or `None` if the step is
+    /// already carried out.
     fn begin_step(
         &mut self,
         step: NextStep,
@@ -63,29 +65,33 @@
         let id = self.id.clone();
         match step {
             NextStep::Wait(wake) => {
-                self.wake = wake;
+                self.next_wake = wake;
                 Some(AfterWrite::Continue)
             }
             NextStep::Pin(wake) => {
-                self.number = self.progress.sessions + 1;
-                self.step_session(SessionInput::Want, cx);
-                self.wake = wake;
+                self.session_number = self.progress.session_count + 1;
+                self.step_session(SessionInput::Needed, cx);
+                self.next_wake = wake;
                 Some(AfterWrite::Continue)
             }
             NextStep::DropSession => Some(AfterWrite::Continue),
-            NextStep::Release { opens } => {
-                let n = self.number;
-                records.extend(opens.then(|| SettlementRecord::Session { id: id.clone(), n }));
-                records.push(SettlementRecord::Released { id, position: self.progress.next, at: cx.now });
-                Some(AfterWrite::Send { opens })
+            NextStep::Release { opens_session } => {
+                let number = self.session_number;
+                records.extend(opens_session.then(|| SettlementRecord::Session { id: id.clone(), number }));
+                records.push(SettlementRecord::Released {
+                    id,
+                    position: self.progress.next_position,
+                    released_at: cx.now,
+                });
+                Some(AfterWrite::Send { opens_session })
             }
             NextStep::Decide(verdict) => {
                 records.push(SettlementRecord::Verdict { id, verdict });
                 Some(AfterWrite::Announce)
             }
-            // What was answered is in the journal before the closing leaves.
-            NextStep::Close { opens: true } if records.is_empty() => {
-                records.push(SettlementRecord::Session { id, n: self.number });
+            // The outcomes of all positions are in the journal before the closing is sent.
+            NextStep::Close { opens_session: true } if records.is_empty() => {
+                records.push(SettlementRecord::Session { id, number: self.session_number });
                 Some(AfterWrite::Close)
             }
             NextStep::Close { .. } | NextStep::Announce | NextStep::Leave { .. } if !records.is_empty() => {
@@ -99,37 +105,37 @@
                 self.announce_verdict(cx);
                 None
             }
-            NextStep::Leave { boundary } => {
-                self.propose_move(boundary, cx);
+            NextStep::Leave { at_boundary } => {
+                self.propose_move(at_boundary, cx);
                 None
             }
         }
     }
 
-    /// A write is in the journal: what waited for it is done.
+    /// Continues with the action that waited for this write.
     pub(super) fn written(&mut self, seq: u64, cx: &mut Context) {
         if let Some(pending) = self.pending.remove(&seq) {
             return self.submission_written(pending, cx);
         }
-        let Phase::Writing { seq: expected, delivered, then } = self.phase else { return };
+        let Phase::Writing { seq: expected, delivered, after_write } = self.phase else { return };
         if expected != seq {
             return;
         }
         self.phase = Phase::Idle;
         delivered.into_iter().for_each(|position| self.report_end(position, cx));
-        match then {
+        match after_write {
             AfterWrite::Continue => self.advance(Vec::new(), cx),
-            AfterWrite::Send { opens } => self.send_attempt(seq, opens, cx),
+            AfterWrite::Send { opens_session } => self.send_attempt(seq, opens_session, cx),
             AfterWrite::Close => self.close_session(cx),
             AfterWrite::Announce => self.announce_verdict(cx),
             AfterWrite::CaughtUp => self.caught_up(cx),
         }
     }
 
-    /// The earlier owners' records are in this journal.
+    /// Continues once the records of earlier owners are in this journal.
     fn caught_up(&mut self, cx: &mut Context) {
-        self.confirm_at = Some(cx.retry_at());
-        // The lost owner may have written these ends and notified nobody.
+        self.catch_up_retry_at = Some(cx.retry_at());
+        // The lost owner may have written these ends without reporting them.
         let positions = self.progress.positions.iter();
         let delivered: Vec<u64> = positions
             .filter(|(_, state)| state.end == Some(End::Delivered))
@@ -143,6 +149,6 @@
     fn close_session(&mut self, cx: &mut Context) {
         self.step_session(SessionInput::Close, cx);
         self.phase = Phase::Closing;
-        self.wake = self.session.wake_at();
+        self.next_wake = self.session.wake_at();
     }
 }
--- a/courier/fleet/src/settlement/owner/verdict.rs
+++ b/courier/fleet/src/settlement/owner/verdict.rs
@@ -1,4 +1,4 @@
-//! Verdict: the settlement has ended; everyone is notified and a command to close it is proposed to the agreement.
+//! Verdict: reports the ends of the messages, and proposes the command that closes the settlement.
 
 use super::interface::OwnerOutput;
 use super::machine::{Context, Phase, Settlement};
@@ -8,7 +8,7 @@
 use crate::settlement::session::SessionInput;
 
 impl Settlement {
-    /// Reports how the message of a position ended, if it has.
+    /// Reports the end of the message at a position, if the message has ended.
     pub(super) fn report_end(&self, position: u64, cx: &mut Context) {
         let Some(state) = self.progress.positions.get(&position) else { return };
         if let Some(end) = state.end {
@@ -17,19 +17,19 @@
         }
     }
 
-    /// The partner has confirmed the closing.
+    /// Closes the settlement after the partner has confirmed the closing of the session.
     pub(super) fn closing_confirmed(&mut self, session: u32, cx: &mut Context) {
-        if self.number != session || self.phase != Phase::Closing || !self.session.is_open() {
+        if self.session_number != session || self.phase != Phase::Closing || !self.session.is_open() {
             return;
         }
         self.step_session(SessionInput::Confirmed, cx);
-        self.lost = Some(session);
+        self.lost_session = Some(session);
         self.phase = Phase::Idle;
-        let verdict = Verdict::Closed { total: self.progress.next - 1 };
+        let verdict = Verdict::Closed { total: self.progress.next_position - 1 };
         self.advance(vec![SettlementRecord::Verdict { id: self.id.clone(), verdict }], cx);
     }
 
-    /// The verdict is in the journal: the ends that it decided are reported.
+    /// Reports the ends that result from the verdict, which is in the journal, and proposes the closing.
     pub(super) fn announce_verdict(&mut self, cx: &mut Context) {
         let positions = self.progress.positions.iter();
         let undelivered: Vec<u64> = positions
@@ -41,14 +41,14 @@
         self.propose_close(cx);
     }
 
-    /// Proposes the verdict to the agreement, until it is agreed on.
+    /// Proposes the verdict to the replicated log, and sets the time of the retry.
     pub(super) fn propose_close(&mut self, cx: &mut Context) {
         let Some(verdict) = self.progress.verdict else { return };
         let retry_at = cx.retry_at();
         self.phase = Phase::Decided { retry_at };
-        self.wake = Some(retry_at);
-        let until = cx.now.saturating_add(cx.limits.remember);
+        self.next_wake = Some(retry_at);
+        let retain_until = cx.now.saturating_add(cx.limits.verdict_retention);
         let (id, term) = (self.id.clone(), self.term);
-        cx.outputs.push(OwnerOutput::Propose(SettlementCommand::Close { id, term, verdict, until }));
+        cx.outputs.push(OwnerOutput::Propose(SettlementCommand::Close { id, term, verdict, retain_until }));
     }
 }
--- a/courier/fleet/src/settlement/progress.rs
+++ b/courier/fleet/src/settlement/progress.rs
@@ -1,5 +1,5 @@
-//! A settlement's records in its owner's journal, and the progress that they add up to: the owner acts on it, and a
-//! later owner continues from it.
+//! The records of a settlement in its owner's journal, and the progress that results from replaying them. The owner
+//! acts on this progress, and a later owner continues from it.
 
 use super::breaks::{self, Break};
 use super::model::{Cause, End, Mode, Outcome, Repeat, SequencedMessage, SettlementId, Verdict};
@@ -7,83 +7,86 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One record of a journal about a settlement. It is in the journal, and in a replica of it, before anything is done
-/// about it. Encoded by position: variants and fields keep their order.
+/// A journal record of a settlement. It is in the journal and in a replica of it before the owner acts on it. It is
+/// encoded by position: the order of variants and fields must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum SettlementRecord {
-    /// An owner begins the settlement.
+    /// The first owner opens the settlement, before any other record of it.
     Opened {
-        /// The settlement.
+        /// The settlement that the record belongs to.
         id: SettlementId,
-        /// The owner's term.
+        /// The term of the owner, which the replicated state assigned.
         term: u64,
-        /// The mode that the settlement is carried in.
+        /// The mode in which messages are sent, fixed for the whole settlement.
         mode: Mode,
     },
-    /// A message is accepted.
+    /// A submitted message is accepted.
     Submitted {
-        /// The settlement.
+        /// The settlement that the record belongs to.
         id: SettlementId,
-        /// The message.
+        /// The metadata of the message.
         sequenced: SequencedMessage,
     },
-    /// The number of messages, from a closing.
+    /// A client has closed the settlement and given the number of messages.
     Count {
-        /// The settlement.
+        /// The settlement that the record belongs to.
         id: SettlementId,
-        /// The number of messages.
+        /// The number of messages of the settlement.
         total: u64,
     },
-    /// A session is about to be opened.
+    /// The owner is about to open a session.
     Session {
-        /// The settlement.
+        /// The settlement that the record belongs to.
         id: SettlementId,
-        /// The session's number, from 1.
-        n: u32,
+        /// The number of the session in the settlement, counted from 1.
+        #[serde(rename = "n")]
+        number: u32,
     },
-    /// A session's connection is known to be gone.
+    /// The connection of a session is closed or lost.
     SessionEnded {
-        /// The settlement.
+        /// The settlement that the record belongs to.
         id: SettlementId,
-        /// The session's number.
-        n: u32,
+        /// The number of the session in the settlement.
+        #[serde(rename = "n")]
+        number: u32,
     },
-    /// An attempt is about to be made.
+    /// The owner is about to send a position.
     Released {
-        /// The settlement.
+        /// The settlement that the record belongs to.
         id: SettlementId,
-        /// The position that is sent.
+        /// The position of the attempt.
         position: u64,
-        /// The owner's time.
-        at: Micros,
+        /// The time at which the owner wrote the record, in microseconds.
+        #[serde(rename = "at")]
+        released_at: Micros,
     },
-    /// An attempt has ended.
+    /// The attempt in flight has ended.
     Outcome {
-        /// The settlement.
+        /// The settlement that the record belongs to.
         id: SettlementId,
-        /// The position that was sent.
+        /// The position of the attempt.
         position: u64,
-        /// How the attempt ended.
+        /// The outcome of the attempt.
         outcome: Outcome,
     },
-    /// The settlement has ended.
+    /// The settlement has ended; it accepts no further message.
     Verdict {
-        /// The settlement.
+        /// The settlement that the record belongs to.
         id: SettlementId,
-        /// How it ended.
+        /// The final state of the settlement.
         verdict: Verdict,
     },
-    /// All that the journals of earlier owners say, written by a new owner.
+    /// The progress from the journals of earlier owners, which a new owner copies into its own journal.
     Snapshot {
-        /// The settlement.
+        /// The settlement that the record belongs to.
         id: SettlementId,
-        /// What the earlier records add up to.
+        /// The result of replaying the earlier records.
         progress: Box<SettlementProgress>,
     },
 }
 
 impl SettlementRecord {
-    /// The settlement that it is about.
+    /// Returns the settlement that the record belongs to.
     pub fn id(&self) -> &SettlementId {
         match self {
             SettlementRecord::Opened { id, .. }
@@ -98,59 +101,64 @@
         }
     }
 
-    /// Its bytes in a journal.
+    /// Encodes the record for the journal.
     ///
     /// # Errors
-    /// It can't be encoded, which no value of these types brings about.
+    /// The record cannot be encoded. No value of these types causes this.
     pub fn encode(&self) -> Result<Vec<u8>, postcard::Error> {
         postcard::to_allocvec(self)
     }
 
-    /// The record that has these bytes.
+    /// Decodes a record from the bytes in a journal.
     ///
     /// # Errors
-    /// The bytes are no record.
+    /// The bytes are not a valid record.
     pub fn decode(bytes: &[u8]) -> Result<SettlementRecord, postcard::Error> {
         postcard::from_bytes(bytes)
     }
 }
 
-/// A position whose message was accepted.
+/// The state of a position whose message was accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PositionState {
-    /// The message.
+    /// The metadata of the accepted message.
     pub sequenced: SequencedMessage,
-    /// Since when an attempt is in flight.
+    /// When the attempt in flight was released, in microseconds; `None` while no attempt is in flight.
     pub sent_at: Option<Micros>,
-    /// When the first attempt that may have run was released: the idempotency window begins there.
+    /// When the first attempt that may have run was released, in microseconds. The idempotency window begins there.
     pub first_attempt: Option<Micros>,
-    /// How the message ended, if it has.
+    /// The result of the message, once it has ended.
     pub end: Option<End>,
 }
 
-/// A settlement as its records describe it.
+/// The state of a settlement that results from replaying its records.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SettlementProgress {
-    /// The term of the owner that wrote last.
+    /// The term of the owner that wrote the latest record.
     pub term: u64,
-    /// The mode that it was opened in; `None`: nothing is written yet.
+    /// The mode in which the settlement was opened; `None` while no record is written.
     pub mode: Option<Mode>,
-    /// Its accepted messages, by position.
+    /// The accepted messages by position, ended ones included.
     pub positions: BTreeMap<u64, PositionState>,
-    /// The number of messages, once it is known.
+    /// The number of messages of the settlement, once a client has given it.
     pub total: Option<u64>,
-    /// The first position that is not delivered.
-    pub next: u64,
-    /// The number of sessions that were opened.
-    pub sessions: u32,
-    /// The session that may be open.
-    pub session: Option<u32>,
-    /// How it ended, if it has.
+    /// The first position that is not delivered; only this position may be sent.
+    #[serde(rename = "next")]
+    pub next_position: u64,
+    /// The number of sessions that were opened or were about to be opened.
+    #[serde(rename = "sessions")]
+    pub session_count: u32,
+    /// The number of the session whose connection may be open.
+    #[serde(rename = "session")]
+    pub open_session: Option<u32>,
+    /// The final state, once the settlement has ended.
     pub verdict: Option<Verdict>,
-    /// Accepted messages that have not ended.
-    pub waiting: u64,
-    /// The bytes of these.
-    pub bytes: u64,
+    /// The number of accepted messages that have not ended.
+    #[serde(rename = "waiting")]
+    pub pending_messages: u64,
+    /// The total size of these messages in bytes.
+    #[serde(rename = "bytes")]
+    pub pending_bytes: u64,
 }
 
 impl Default for SettlementProgress {
@@ -160,28 +168,30 @@
             mode: None,
             positions: BTreeMap::new(),
             total: None,
-            next: 1,
-            sessions: 0,
-            session: None,
+            next_position: 1,
+            session_count: 0,
+            open_session: None,
             verdict: None,
-            waiting: 0,
-            bytes: 0,
+            pending_messages: 0,
+            pending_bytes: 0,
         }
     }
 }
 
 impl SettlementProgress {
-    /// What these journals say together, the earliest owner's first. A later owner's snapshot replaces all before it.
+    /// Replays the records of the settlement from these journals, that of the earliest owner first. The snapshot of a
+    /// later owner replaces everything before it.
     pub fn read(id: &SettlementId, journals: &[Vec<SettlementRecord>]) -> SettlementProgress {
         let mut progress = SettlementProgress::default();
         for journal in journals {
-            // A courier that was the owner twice has the records of both terms in its journal.
+            // A courier that was the owner twice has the records of both terms in its journal: those of the earlier
+            // term are skipped if a later owner's records were already applied.
             let mut is_outdated = false;
             for record in journal.iter().filter(|record| record.id() == id) {
                 match record {
                     SettlementRecord::Opened { term, .. } => is_outdated = *term < progress.term,
-                    SettlementRecord::Snapshot { progress: copy, .. } => {
-                        is_outdated = copy.term < progress.term;
+                    SettlementRecord::Snapshot { progress: snapshot, .. } => {
+                        is_outdated = snapshot.term < progress.term;
                     }
                     _ => {}
                 }
@@ -193,7 +203,7 @@
         progress
     }
 
-    /// Applies one record.
+    /// Applies one record in the order of the journal.
     pub fn apply(&mut self, record: &SettlementRecord) {
         match record {
             SettlementRecord::Opened { term, mode, .. } if *term > self.term => {
@@ -202,11 +212,11 @@
             }
             SettlementRecord::Opened { .. } => {}
             SettlementRecord::Snapshot { progress, .. } => *self = (**progress).clone(),
-            // What follows the verdict was never acknowledged as accepted.
+            // A submission after the verdict was never acknowledged.
             SettlementRecord::Submitted { sequenced, .. } if self.verdict.is_none() => {
                 if !self.positions.contains_key(&sequenced.position) {
-                    self.waiting += 1;
-                    self.bytes += sequenced.size;
+                    self.pending_messages += 1;
+                    self.pending_bytes += sequenced.size;
                     let state = PositionState {
                         sequenced: sequenced.clone(),
                         sent_at: None,
@@ -219,11 +229,15 @@
             }
             SettlementRecord::Submitted { .. } => {}
             SettlementRecord::Count { total, .. } => self.total = self.total.or(Some(*total)),
-            SettlementRecord::Session { n, .. } => (self.sessions, self.session) = (*n, Some(*n)),
-            SettlementRecord::SessionEnded { n, .. } => self.session = self.session.filter(|open| open != n),
-            SettlementRecord::Released { position, at, .. } => {
+            SettlementRecord::Session { number, .. } => {
+                (self.session_count, self.open_session) = (*number, Some(*number));
+            }
+            SettlementRecord::SessionEnded { number, .. } => {
+                self.open_session = self.open_session.filter(|open| open != number);
+            }
+            SettlementRecord::Released { position, released_at, .. } => {
                 if let Some(state) = self.positions.get_mut(position) {
-                    state.sent_at = Some(*at);
+                    state.sent_at = Some(*released_at);
                 }
             }
             SettlementRecord::Outcome { position, outcome, .. } => self.apply_outcome(*position, *outcome),
@@ -246,16 +260,16 @@
             }
         };
         self.end_position(position, end);
-        if end == End::Delivered && position == self.next {
-            self.next += 1;
+        if end == End::Delivered && position == self.next_position {
+            self.next_position += 1;
         }
     }
 
     fn end_position(&mut self, position: u64, end: End) {
         if let Some(state) = self.positions.get_mut(&position).filter(|state| state.end.is_none()) {
             state.end = Some(end);
-            self.waiting -= 1;
-            self.bytes -= state.sequenced.size;
+            self.pending_messages -= 1;
+            self.pending_bytes -= state.sequenced.size;
         }
     }
 
@@ -264,29 +278,30 @@
             return;
         }
         self.verdict = Some(verdict);
-        let Verdict::Broken { at, cause } = verdict else { return };
-        let open: Vec<u64> =
+        let Verdict::Broken { break_position, cause } = verdict else { return };
+        let unended: Vec<u64> =
             self.positions.iter().filter(|(_, state)| state.end.is_none()).map(|(p, _)| *p).collect();
-        for position in open {
+        for position in unended {
             let state = &self.positions[&position];
             let may_have_run = state.first_attempt.is_some() || state.sent_at.is_some();
             let end = match cause {
-                _ if position != at => End::NeverRan { broken_at: at },
+                _ if position != break_position => End::NeverRan { broken_at: break_position },
                 _ if may_have_run => End::MayHaveRun,
                 Cause::Failed => End::Failed,
                 Cause::OutOfTime => End::OutOfTime,
-                _ => End::NeverRan { broken_at: at },
+                _ => End::NeverRan { broken_at: break_position },
             };
             self.end_position(position, end);
         }
     }
 
-    /// An attempt that was in flight when the owner was lost counts as one that may have run.
+    /// Prepares the progress for a new owner: an attempt that was in flight when the earlier owner was lost may
+    /// have run.
     pub fn begin_ownership(&mut self) {
         let in_flight: Vec<u64> =
             self.positions.iter().filter(|(_, state)| state.sent_at.is_some()).map(|(p, _)| *p).collect();
         for position in in_flight {
-            let outcome = match breaks::is_enabled(Break::OutNeverRan) {
+            let outcome = match breaks::is_enabled(Break::InFlightNeverRan) {
                 true => Outcome::NeverRan { after: 0 },
                 false => Outcome::MayHaveRun,
             };
@@ -294,16 +309,17 @@
         }
     }
 
-    /// Whether this position may be sent now, as far as repeats are concerned.
+    /// Returns whether the [`Repeat`] rule of the message allows another attempt at time `now`.
     pub fn may_send(&self, state: &PositionState, now: Micros) -> bool {
         match (state.first_attempt, state.sequenced.repeat) {
             (None, _) | (_, Repeat::Freely) => true,
             (Some(first), Repeat::Within(span)) => now < first.saturating_add(span),
-            (Some(_), Repeat::Never) => breaks::is_enabled(Break::DebitRepeated),
+            (Some(_), Repeat::Never) => breaks::is_enabled(Break::RepeatNonIdempotent),
         }
     }
 
-    /// Until when a byte of this position may be sent.
+    /// Returns the time from which no byte of this position may be sent: the deadline of the message, or the end of
+    /// its idempotency window if that is earlier.
     pub fn send_deadline(&self, state: &PositionState) -> Micros {
         match (state.first_attempt, state.sequenced.repeat) {
             (Some(first), Repeat::Within(span)) => state.sequenced.deadline.min(first.saturating_add(span)),
@@ -311,8 +327,9 @@
         }
     }
 
-    /// The partner may have received a message: one was delivered or may have run.
+    /// Returns whether the partner may have received a message: one was delivered, or an attempt may have run.
     pub fn has_started(&self) -> bool {
-        self.next > 1 || self.positions.get(&self.next).is_some_and(|state| state.first_attempt.is_some())
+        self.next_position > 1
+            || self.positions.get(&self.next_position).is_some_and(|state| state.first_attempt.is_some())
     }
 }
--- a/courier/fleet/src/settlement/registry/command.rs
+++ b/courier/fleet/src/settlement/registry/command.rs
@@ -1,132 +1,137 @@
-//! The commands to the agreed state of settlements, and what they change. Encoded by position: variants and fields keep
-//! their order.
+//! The commands to the replicated state of settlements, and the events that report their effect. Both are encoded by
+//! position: the order of variants and fields must not change.
 
 use crate::settlement::model::{SettlementId, Verdict};
 use quillmount_policy::Micros;
 use serde::{Deserialize, Serialize};
 
-/// One courier's journal in one registration.
+/// Identifies the journal of a courier in one registration.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct JournalRef {
-    /// The courier's name.
+    /// The name of the courier that writes the journal.
     pub courier: String,
-    /// The registration's epoch.
+    /// The epoch of the registration; it grows with each registration of the courier.
     pub epoch: u64,
 }
 
-/// A command to the agreed state. A late or repeated one changes nothing.
+/// A command to the replicated state. A command that is repeated or has an outdated term changes nothing.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum SettlementCommand {
-    /// A courier proposes to own a settlement; the first such command makes it the owner.
+    /// A courier proposes itself as the owner of a settlement; the first such command in the log takes effect.
     Open {
-        /// The settlement.
+        /// The settlement that the command or event is about.
         id: SettlementId,
-        /// The courier's name.
+        /// The name of the proposed owner.
         owner: String,
-        /// The epoch of its registration.
+        /// The epoch of the proposed owner's registration.
         owner_epoch: u64,
     },
-    /// The owner of this term moves the settlement to another courier. An owner that does so is leaving, and no settlement
-    /// moves to it, as two couriers that drain at once would otherwise pass one back and forth.
+    /// The owner of this term moves the settlement to another courier. From then on the owner counts as leaving and
+    /// receives no settlement, as otherwise two couriers that drain at the same time would move one back and forth.
     Move {
-        /// The settlement.
+        /// The settlement that the command or event is about.
         id: SettlementId,
-        /// The present owner's term.
+        /// The term of the current owner.
         term: u64,
         /// The name of the next owner.
         to: String,
-        /// The epoch of its registration.
+        /// The epoch of the next owner's registration.
         to_epoch: u64,
-        /// Nothing is in flight and no session is open.
-        boundary: bool,
+        /// True if no attempt is in flight and no session is open.
+        #[serde(rename = "boundary")]
+        at_boundary: bool,
     },
-    /// The owner of this term has copied all records of earlier journals into its own.
+    /// The owner of this term has copied the records from all journals of earlier owners into its own journal.
     CaughtUp {
-        /// The settlement.
+        /// The settlement that the command or event is about.
         id: SettlementId,
-        /// The owner's term.
+        /// The term of the owner that proposes the command.
         term: u64,
     },
     /// The owner of this term has ended the settlement.
     Close {
-        /// The settlement.
+        /// The settlement that the command or event is about.
         id: SettlementId,
-        /// The owner's term.
+        /// The term of the owner that proposes the command.
         term: u64,
-        /// How it ended.
+        /// The final state of the settlement.
         verdict: Verdict,
-        /// The verdict is remembered until then.
-        until: Micros,
+        /// The time until which the verdict is retained, in microseconds.
+        #[serde(rename = "until")]
+        retain_until: Micros,
     },
-    /// This courier is not leaving any more.
+    /// The courier has cancelled its drain and may receive settlements again.
     CancelDrain {
-        /// The courier's name.
+        /// The name of the courier.
         courier: String,
-        /// The epoch of its registration.
+        /// The epoch of its current registration.
         epoch: u64,
     },
-    /// Verdicts that are remembered until an earlier time are forgotten.
+    /// Deletes the verdicts whose retention ends before this time.
     Forget {
-        /// The leader's time, less the allowed clock drift.
-        before: Micros,
+        /// The time of the leader minus the allowed clock drift, in microseconds.
+        #[serde(rename = "before")]
+        retained_before: Micros,
     },
 }
 
-/// What a command changed, or why it did not.
+/// The effect of a command, or the reason why it had none.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum SettlementEvent {
-    /// The settlement has its first owner.
+    /// The settlement is open and has its first owner.
     Opened {
-        /// The settlement.
+        /// The settlement that the command or event is about.
         id: SettlementId,
-        /// The owner.
+        /// The journal of the first owner.
         owner: JournalRef,
-        /// The owner's term.
+        /// The term of the owner that proposes the command.
         term: u64,
     },
-    /// Too many settlements are open or remembered.
+    /// The settlement was not opened: the limit of open settlements or retained verdicts is reached.
     NotOpened {
-        /// The settlement.
+        /// The settlement that the command or event is about.
         id: SettlementId,
-        /// The number of open settlements.
-        open: u64,
+        /// The number of open settlements in the fleet.
+        #[serde(rename = "open")]
+        open_settlements: u64,
     },
-    /// The settlement has another owner.
+    /// The settlement has a new owner.
     Moved {
-        /// The settlement.
+        /// The settlement that the command or event is about.
         id: SettlementId,
-        /// The earlier owner.
+        /// The journal of the previous owner.
         from: JournalRef,
-        /// The new owner.
+        /// The journal of the new owner.
         to: JournalRef,
-        /// The new owner's term.
+        /// The term of the new owner.
         term: u64,
-        /// Nothing was in flight and no session was open.
-        boundary: bool,
+        /// True if no attempt was in flight and no session was open.
+        #[serde(rename = "boundary")]
+        at_boundary: bool,
     },
-    /// The move was rejected: its destination is no member any more, or is leaving itself.
+    /// The move was rejected, because the proposed owner is deregistered or leaving.
     NotMoved {
-        /// The settlement.
+        /// The settlement that the command or event is about.
         id: SettlementId,
-        /// The present owner's term.
+        /// The term of the current owner.
         term: u64,
-        /// The courier that was to own it next.
+        /// The proposed owner.
         to: JournalRef,
     },
-    /// The settlement's records in these journals are no longer needed.
+    /// The records of the settlement in these journals are no longer needed.
     CaughtUp {
-        /// The settlement.
+        /// The settlement that the command or event is about.
         id: SettlementId,
         /// The journals of earlier owners.
         journals: Vec<JournalRef>,
     },
-    /// The settlement has ended.
+    /// The settlement has ended; its verdict is retained.
     Closed {
-        /// The settlement.
+        /// The settlement that the command or event is about.
         id: SettlementId,
-        /// Its last owner.
+        /// The journal of the last owner.
         owner: JournalRef,
-        /// How it ended.
+        /// The final state of the settlement.
         verdict: Verdict,
     },
 }
--- a/courier/fleet/src/settlement/registry/mod.rs
+++ b/courier/fleet/src/settlement/registry/mod.rs
@@ -1,93 +1,96 @@
-//! The part of the agreed state that is about settlements: their owners, and the verdicts of those that have ended.
+//! The settlement part of the replicated state: the owners of open settlements, and the verdicts of ended ones.
 //!
-//! [`SettlementRegistry::apply`] reads no clock: times are in the commands. Each ownership has a term that no other
-//! ever had, so that a late or repeated command changes nothing. State and commands are encoded by position.
+//! [`SettlementRegistry::apply`] reads no clock: commands contain the times. Each ownership has a unique term, so
+//! that a late or repeated command has no effect. State and commands are encoded by position.
 
 mod command;
 mod placement;
 
 pub use command::{JournalRef, SettlementCommand, SettlementEvent};
-pub use placement::successor;
+pub use placement::choose_successor;
 
 use super::model::{SettlementId, Verdict};
 use quillmount_policy::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Settlements that may be open at once in the fleet: some 200 bytes each, so 13 MB of state and snapshot at most.
+/// Maximum number of open settlements in the fleet. Each takes about 200 bytes, so state and snapshot have at most
+/// 13 MB.
 pub const MAX_OPEN: usize = 65_536;
-/// Settlements of one tenant that may be open at once: no tenant takes more than a quarter of the table.
+/// Maximum number of open settlements of one tenant: a quarter of [`MAX_OPEN`].
 pub const MAX_OPEN_PER_TENANT: u32 = 16_384;
-/// Open settlements and remembered verdicts together. At this number nothing new is opened: forgetting a verdict early
-/// would let a late message open its settlement a second time, after a break.
-pub const MAX_VERDICTS: usize = 262_144;
+/// Maximum number of open settlements and retained verdicts together. At this limit no settlement is opened: if a
+/// verdict were deleted early instead, a late message could reopen a settlement after its break.
+pub const MAX_OPEN_AND_ENDED: usize = 262_144;
 
-/// The owner of a settlement.
+/// The owner of an open settlement.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SettlementOwner {
-    /// The courier's name.
+    /// The name of the courier.
     pub courier: String,
-    /// The epoch of its registration.
+    /// The epoch of the courier's registration.
     pub epoch: u64,
-    /// Grows with each change of owner of any settlement.
+    /// The term of this ownership; it grows with each change of the owner of any settlement.
     pub term: u64,
-    /// Journals of earlier owners whose records the present one has not copied into its own yet, earliest first.
-    /// One more with each owner that was lost before it had.
+    /// Journals of earlier owners whose records the current owner has not yet copied into its own, earliest first.
+    /// The list grows with each owner that is lost before it has copied them.
     pub earlier_journals: Vec<JournalRef>,
 }
 
 impl SettlementOwner {
-    /// Whether it is this courier in this registration.
-    pub fn is_at(&self, courier: &str, epoch: u64) -> bool {
+    /// Returns whether the owner is this courier in the registration with this epoch.
+    pub fn is_registered_as(&self, courier: &str, epoch: u64) -> bool {
         self.courier == courier && self.epoch == epoch
     }
 }
 
-/// A settlement that has ended.
+/// The retained result of a settlement that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct EndedSettlement {
-    /// How it ended.
+    /// The final state of the settlement.
     pub verdict: Verdict,
-    /// No message of it can arrive later than this; the verdict is remembered until then.
-    pub until: Micros,
+    /// The time until which the verdict is retained, in microseconds; no message of the settlement can arrive later.
+    #[serde(rename = "until")]
+    pub retain_until: Micros,
 }
 
-/// The agreed state of all settlements.
+/// The replicated state of all settlements.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SettlementRegistry {
     open: BTreeMap<SettlementId, SettlementOwner>,
-    /// The number of open settlements of each tenant.
-    tenants: BTreeMap<String, u32>,
+    /// The number of open settlements by tenant.
+    #[serde(rename = "tenants")]
+    open_by_tenant: BTreeMap<String, u32>,
     ended: BTreeMap<SettlementId, EndedSettlement>,
-    /// By courier: the last epoch whose registration has ended. One for each name that the fleet ever had.
+    /// The latest ended registration epoch by courier, for every courier name that the fleet ever had.
     deregistered: BTreeMap<String, u64>,
-    /// Couriers that are leaving, each in this epoch.
+    /// The couriers that are leaving, with the epoch of their registration.
     leaving: BTreeMap<String, u64>,
     last_term: u64,
 }
 
 impl SettlementRegistry {
-    /// The owner of an open settlement.
+    /// Returns the owner of a settlement; `None` if the settlement is not open.
     pub fn owner(&self, id: &SettlementId) -> Option<&SettlementOwner> {
         self.open.get(id)
     }
 
-    /// How a settlement ended, while that is remembered.
+    /// Returns the verdict of an ended settlement while the verdict is retained.
     pub fn verdict(&self, id: &SettlementId) -> Option<Verdict> {
         self.ended.get(id).map(|ended| ended.verdict)
     }
 
-    /// The open settlements with their owners.
+    /// Returns the open settlements with their owners, in the order of their ids.
     pub fn owners(&self) -> impl Iterator<Item = (&SettlementId, &SettlementOwner)> {
         self.open.iter()
     }
 
-    /// Whether it remembers any verdict.
+    /// Returns whether any verdict is retained.
     pub fn has_verdicts(&self) -> bool {
         !self.ended.is_empty()
     }
 
-    /// Whether this courier is leaving: no settlement moves to it.
+    /// Returns whether this courier is leaving, in which case no settlement moves to it.
     pub fn is_leaving(&self, courier: &str, epoch: u64) -> bool {
         self.leaving.get(courier) == Some(&epoch)
     }
@@ -101,22 +104,22 @@
         self.last_term
     }
 
-    /// The owner, if it is still of this term.
+    /// Returns the owner if its term is this one.
     fn owner_in_term(&mut self, id: &SettlementId, term: u64) -> Option<&mut SettlementOwner> {
         self.open.get_mut(id).filter(|owner| owner.term == term)
     }
 
-    /// Applies one committed command; returns what it changed, or why it did not.
+    /// Applies one committed command; returns its effects, or the reason why it had none.
     pub fn apply(&mut self, command: &SettlementCommand) -> Vec<SettlementEvent> {
         match command {
             SettlementCommand::Open { id, owner, owner_epoch } => self.open(id, owner, *owner_epoch),
-            SettlementCommand::Move { id, term, to, to_epoch, boundary } => {
+            SettlementCommand::Move { id, term, to, to_epoch, at_boundary } => {
                 let to = JournalRef { courier: to.clone(), epoch: *to_epoch };
-                self.move_from_leaving(id, *term, to, *boundary)
+                self.move_from_leaving(id, *term, to, *at_boundary)
             }
             SettlementCommand::CaughtUp { id, term } => self.caught_up(id, *term),
-            SettlementCommand::Close { id, term, verdict, until } => {
-                self.close(id, *term, EndedSettlement { verdict: *verdict, until: *until })
+            SettlementCommand::Close { id, term, verdict, retain_until } => {
+                self.close(id, *term, EndedSettlement { verdict: *verdict, retain_until: *retain_until })
             }
             SettlementCommand::CancelDrain { courier, epoch } => {
                 if self.is_leaving(courier, *epoch) {
@@ -124,8 +127,8 @@
                 }
                 Vec::new()
             }
-            SettlementCommand::Forget { before } => {
-                self.ended.retain(|_, ended| ended.until >= *before);
+            SettlementCommand::Forget { retained_before } => {
+                self.ended.retain(|_, ended| ended.retain_until >= *retained_before);
                 Vec::new()
             }
         }
@@ -136,13 +139,16 @@
         if is_known || self.is_gone(owner, epoch) {
             return Vec::new();
         }
-        let tenant = self.tenants.get(&id.tenant).copied().unwrap_or(0);
-        let is_full = self.open.len() >= MAX_OPEN || self.open.len() + self.ended.len() >= MAX_VERDICTS;
-        if is_full || tenant >= MAX_OPEN_PER_TENANT {
-            return vec![SettlementEvent::NotOpened { id: id.clone(), open: self.open.len() as u64 }];
+        let tenant_open = self.open_by_tenant.get(&id.tenant).copied().unwrap_or(0);
+        let is_full = self.open.len() >= MAX_OPEN || self.open.len() + self.ended.len() >= MAX_OPEN_AND_ENDED;
+        if is_full || tenant_open >= MAX_OPEN_PER_TENANT {
+            return vec![SettlementEvent::NotOpened {
+                id: id.clone(),
+                open_settlements: self.open.len() as u64,
+            }];
         }
         let term = self.next_term();
-        self.tenants.insert(id.tenant.clone(), tenant + 1);
+        self.open_by_tenant.insert(id.tenant.clone(), tenant_open + 1);
         let opened =
             SettlementOwner { courier: owner.to_string(), epoch, term, earlier_journals: Vec::new() };
         self.open.insert(id.clone(), opened);
@@ -153,13 +159,13 @@
         }]
     }
 
-    /// The owner of this term is leaving and moves the settlement to another courier.
+    /// Moves the settlement away from the owner of this term, and marks that courier as leaving.
     fn move_from_leaving(
         &mut self,
         id: &SettlementId,
         term: u64,
         to: JournalRef,
-        boundary: bool,
+        at_boundary: bool,
     ) -> Vec<SettlementEvent> {
         let is_rejected = self.is_gone(&to.courier, to.epoch) || self.is_leaving(&to.courier, to.epoch);
         let Some(owner) = self.owner_in_term(id, term) else { return Vec::new() };
@@ -170,7 +176,7 @@
         if from != to.courier {
             self.leaving.insert(from, epoch);
         }
-        self.move_to(id, to, boundary).into_iter().collect()
+        self.move_to(id, to, at_boundary).into_iter().collect()
     }
 
     fn caught_up(&mut self, id: &SettlementId, term: u64) -> Vec<SettlementEvent> {
@@ -187,10 +193,10 @@
             return Vec::new();
         }
         let Some(owner) = self.open.remove(id) else { return Vec::new() };
-        if let Some(open) = self.tenants.get_mut(&id.tenant) {
+        if let Some(open) = self.open_by_tenant.get_mut(&id.tenant) {
             *open -= 1;
             if *open == 0 {
-                self.tenants.remove(&id.tenant);
+                self.open_by_tenant.remove(&id.tenant);
             }
         }
         self.ended.insert(id.clone(), ended);
@@ -203,17 +209,17 @@
         events
     }
 
-    fn move_to(&mut self, id: &SettlementId, to: JournalRef, boundary: bool) -> Option<SettlementEvent> {
+    fn move_to(&mut self, id: &SettlementId, to: JournalRef, at_boundary: bool) -> Option<SettlementEvent> {
         let term = self.next_term();
         let owner = self.open.get_mut(id)?;
         let from = JournalRef { courier: owner.courier.clone(), epoch: owner.epoch };
         owner.earlier_journals.push(from.clone());
         (owner.courier, owner.epoch, owner.term) = (to.courier.clone(), to.epoch, term);
-        Some(SettlementEvent::Moved { id: id.clone(), from, to, term, boundary })
+        Some(SettlementEvent::Moved { id: id.clone(), from, to, term, at_boundary })
     }
 
-    /// A courier's registration has ended and its journal is sealed: each of its settlements goes to one of the
-    /// successors, by rendezvous hashing. Without a successor they stay where they are until there is one.
+    /// Moves the settlements of a courier whose registration has ended and whose journal is sealed to the
+    /// successors, by rendezvous hashing. Without any successor they keep their owner until there is one.
     pub fn end_registration(
         &mut self,
         courier: &str,
@@ -228,21 +234,21 @@
             .filter(|successor| !self.is_gone(&successor.courier, successor.epoch))
             .cloned()
             .collect();
-        // A courier that is leaving itself gets what nobody else can own.
+        // A leaving courier receives settlements only if all successors are leaving.
         let is_staying = |successor: &&JournalRef| !self.is_leaving(&successor.courier, successor.epoch);
         let staying = successors.iter().filter(is_staying).cloned();
         let staying: Vec<JournalRef> = staying.collect();
         let successors = if staying.is_empty() { successors } else { staying };
         let moved = owned.into_iter().filter_map(|id| {
-            let to = successor(&id, &successors)?.clone();
+            let to = choose_successor(&id, &successors)?.clone();
             self.move_to(&id, to, false)
         });
         moved.collect()
     }
 
-    /// Settlements whose owner no longer serves, as `serves` says of a courier and epoch, go to the `successor` for their
-    /// destination: whoever adopts that partition of the lost journal. Without a successor they stay where they are
-    /// until there is one.
+    /// Moves each settlement whose owner no longer serves to the `successor` for its destination, which is the
+    /// courier that adopts this partition of the lost journal. `serves` tells whether a courier serves under an
+    /// epoch. Without a successor they keep their owner until there is one.
     pub fn reassign_lost(
         &mut self,
         serves: impl Fn(&str, u64) -> bool,
@@ -253,7 +259,7 @@
         lost.into_iter().filter_map(|id| self.move_to(&id, successor(id.dest)?, false)).collect()
     }
 
-    /// A courier's registration has ended: no settlement moves to it any more.
+    /// Records that a registration has ended: no settlement moves to this registration or an earlier one any more.
     pub fn deregister(&mut self, courier: &str, epoch: u64) {
         let last = self.deregistered.entry(courier.to_string()).or_insert(epoch);
         *last = (*last).max(epoch);
@@ -262,39 +268,39 @@
         }
     }
 
-    /// A courier continues with its journal under another epoch: it owns its settlements again, and those that others
-    /// were to take over, as nobody has read that journal. `read(journal, dest)` says whether the partition of that
-    /// destination has been copied from the journal into another.
+    /// Returns settlements to a courier that continues with its journal under a new epoch: those that it owned, and
+    /// those assigned to other couriers that have not read that journal yet. `is_copied(journal, dest)` tells whether
+    /// the partition of that destination has been copied from the journal into another.
     pub fn reclaim(
         &mut self,
         courier: &str,
-        from: u64,
-        to: u64,
-        read: impl Fn(&JournalRef, u64) -> bool,
+        from_epoch: u64,
+        to_epoch: u64,
+        is_copied: impl Fn(&JournalRef, u64) -> bool,
     ) -> Vec<SettlementEvent> {
-        self.deregister(courier, from);
+        self.deregister(courier, from_epoch);
         let (old, new) = (
-            JournalRef { courier: courier.into(), epoch: from },
-            JournalRef { courier: courier.into(), epoch: to },
+            JournalRef { courier: courier.into(), epoch: from_epoch },
+            JournalRef { courier: courier.into(), epoch: to_epoch },
         );
         let mut moved = Vec::new();
         let ids: Vec<SettlementId> = self.open.keys().cloned().collect();
         for id in ids {
             let Some(owner) = self.open.get_mut(&id) else { continue };
-            if owner.is_at(&old.courier, old.epoch) {
+            if owner.is_registered_as(&old.courier, old.epoch) {
                 moved.extend(self.move_to(&id, new.clone(), false));
                 continue;
             }
             let Some(n) = owner.earlier_journals.iter().position(|journal| *journal == old) else { continue };
-            // It was an owner too, and never read the journals before its own: then it has written nothing.
-            if n > 0 && !read(&owner.earlier_journals[n - 1], id.dest) {
+            // The courier was an intermediate owner that never read the earlier journals, so it wrote no records.
+            if n > 0 && !is_copied(&owner.earlier_journals[n - 1], id.dest) {
                 owner.earlier_journals.remove(n);
                 continue;
             }
             owner.earlier_journals.truncate(n);
             moved.extend(self.move_to(&id, new.clone(), false));
             if let Some(owner) = self.open.get_mut(&id) {
-                // Whoever was to own it has written nothing.
+                // The assigned successors have written no records: their journals are not needed.
                 owner.earlier_journals.truncate(n);
                 owner.earlier_journals.push(old.clone());
             }
--- a/courier/fleet/src/settlement/request.rs
+++ b/courier/fleet/src/settlement/request.rs
@@ -1,25 +1,25 @@
-//! What clients request of a settlement's owner, its replies, and the messages between couriers that carry both.
+//! Requests of clients to the owner of a settlement, its replies, and the messages between couriers that carry both.
 //!
-//! Sent in postcard's form, which goes by position: variants and fields keep their order.
+//! They are sent in the postcard format, which encodes variants and fields by position: their order must not change.
 
 use super::error::SettlementError;
 use super::model::{End, SequencedMessage, SettlementId};
 use serde::{Deserialize, Serialize};
 
-/// What a client requests of a settlement's owner.
+/// A request of a client to the owner of a settlement.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum SettlementRequest {
-    /// To accept this message.
+    /// Submits a message.
     Submit(SequencedMessage),
-    /// To close the settlement: no more messages follow, as a session ended in order.
+    /// Closes the settlement: no further message follows. A client session that ends in order sends this.
     Closing {
-        /// The number of messages.
+        /// The number of messages of the settlement.
         total: u64,
     },
 }
 
 impl SettlementRequest {
-    /// The message that is submitted; `None` for a closing.
+    /// Returns the submitted message; `None` for a closing.
     pub fn sequenced(&self) -> Option<&SequencedMessage> {
         match self {
             SettlementRequest::Submit(sequenced) => Some(sequenced),
@@ -27,7 +27,8 @@
         }
     }
 
-    /// The position, for a closing that of the last message, and the number of messages where it is given.
+    /// Returns the position and, if given, the number of messages. The position of a closing is that of the last
+    /// message.
     pub fn position_and_total(&self) -> (u64, Option<u64>) {
         match self {
             SettlementRequest::Submit(sequenced) => (sequenced.position, sequenced.total),
@@ -35,40 +36,40 @@
         }
     }
 
-    /// What identifies the request in its settlement: position and message id; a closing has no id.
+    /// Returns the position and message id, which identify the request within its settlement. A closing has no id.
     pub fn key(&self) -> (u64, Option<&str>) {
         (self.position_and_total().0, self.sequenced().map(|sequenced| sequenced.message_id.as_str()))
     }
 }
 
-/// The owner's reply.
+/// The reply of the owner to a request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum SettlementReply {
-    /// The message is in the owner's journal: its end will be reported.
+    /// The request is in the owner's journal. The end of the message is reported later.
     Accepted,
-    /// The message has ended.
+    /// The message has already ended with this result.
     Ended(End),
-    /// The request is rejected.
+    /// The request is rejected; a client may retry after some of these errors.
     Rejected(SettlementError),
 }
 
-/// A message between couriers.
+/// A message between couriers about a settlement.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum SettlementMessage {
-    /// To the owner.
+    /// A client's request, forwarded to the owner.
     Request {
-        /// The settlement.
+        /// The settlement that the request belongs to.
         id: SettlementId,
-        /// What is requested.
+        /// The request of the client.
         request: SettlementRequest,
     },
-    /// From the owner.
+    /// The owner's reply, sent to the courier that forwarded the request.
     Reply {
-        /// The settlement.
+        /// The settlement that the request belongs to.
         id: SettlementId,
-        /// The request that is answered.
+        /// The request that this reply answers.
         request: SettlementRequest,
-        /// The reply to it.
+        /// The result for the client.
         reply: SettlementReply,
     },
 }
--- a/courier/fleet/src/settlement/translator.rs
+++ b/courier/fleet/src/settlement/translator.rs
@@ -1,85 +1,87 @@
-//! The boundaries of a settlement in message mode and in session mode, each converted into the other's.
+//! Conversion of the boundaries of a settlement between message mode and session mode.
 //!
-//! Message mode: each message carries `settlement` and `position`, and the last one `of` (the number of messages),
-//! beside `dest` in the header `X-Addressing`. Session mode: the first message on a connection names the settlement,
-//! with a `position` only where it continues an earlier session; the order on the connection is the position;
-//! `Connection: close` on the last message, or an orderly end after the last answer, is the closing. A connection that
-//! breaks closes nothing.
+//! In message mode the header `X-Addressing` of each message has `settlement` and `position` next to `dest`, and
+//! that of the last message also has `of`, the number of messages. In session mode the first message on a
+//! connection names the settlement, with a `position` only if it continues an earlier session. The positions of the
+//! following messages result from their order on the connection. The closing is `Connection: close` on the last
+//! message, or an orderly end of the connection after the last answer. A connection that is lost does not close the
+//! settlement.
 
 use super::error::SettlementError;
 use super::model::PositionRef;
 use std::collections::BTreeMap;
 
-/// The longest name of a settlement in bytes, as for ids and keys.
+/// Maximum length of a settlement name in bytes; the same limit applies to message ids and idempotency keys.
 pub const NAME_MAX: usize = 256;
 
-/// What one message's `X-Addressing` says of its settlement.
+/// The fields of the header `X-Addressing` that concern the settlement of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettlementHeader {
-    /// The settlement's name.
+    /// The name of the settlement: the field `settlement`.
     pub settlement: String,
-    /// The message's position; `None`: the connection's order gives it.
+    /// The field `position`; `None` if the order on the connection determines the position.
     pub position: Option<u64>,
-    /// The number of messages, where it is given.
+    /// The field `of`, the number of messages, if it is present.
     pub total: Option<u64>,
 }
 
-/// Parses what `X-Addressing` says of a settlement; `None` where it names none. `dest` is parsed by the server.
+/// Parses the settlement fields of `X-Addressing`; returns `None` if the header has none of them. The server parses
+/// `dest`.
 ///
 /// # Errors
-/// A field is repeated, malformed, or without its settlement.
+/// A field is repeated or malformed, or the field `settlement` is missing.
 pub fn parse_header(tenant: &str, addressing: &str) -> Result<Option<SettlementHeader>, SettlementError> {
     let mut fields: BTreeMap<&str, &str> = BTreeMap::new();
-    let wrong = |settlement: &str, field: &str| SettlementError::Field {
-        at: PositionRef { tenant: tenant.into(), settlement: settlement.into(), position: 0 },
+    let field_error = |settlement: &str, field: &str| SettlementError::Field {
+        position_ref: PositionRef { tenant: tenant.into(), settlement: settlement.into(), position: 0 },
         field: field.into(),
     };
     for part in addressing.split([',', ';']) {
         let Some((name, value)) = part.trim().split_once('=') else { continue };
         let name = name.trim();
         if ["settlement", "position", "of"].contains(&name) && fields.insert(name, value.trim()).is_some() {
-            return Err(wrong("", name));
+            return Err(field_error("", name));
         }
     }
     let Some(settlement) = fields.get("settlement") else {
         return match fields.keys().next() {
-            Some(_) => Err(wrong("", "settlement")),
+            Some(_) => Err(field_error("", "settlement")),
             None => Ok(None),
         };
     };
     if !is_name(settlement) {
-        return Err(wrong("", "settlement"));
+        return Err(field_error("", "settlement"));
     }
     let number = |field: &str| match fields.get(field) {
         None => Ok(None),
         Some(text) if text.bytes().all(|b| b.is_ascii_digit()) => {
-            text.parse().map(Some).map_err(|_| wrong(settlement, field))
+            text.parse().map(Some).map_err(|_| field_error(settlement, field))
         }
-        Some(_) => Err(wrong(settlement, field)),
+        Some(_) => Err(field_error(settlement, field)),
     };
     let header = SettlementHeader {
         settlement: settlement.to_string(),
         position: number("position")?,
         total: number("of")?,
     };
-    let at =
+    let position_ref =
         |position| PositionRef { tenant: tenant.into(), settlement: header.settlement.clone(), position };
     match (header.position, header.total) {
-        (Some(0), _) | (_, Some(0)) => Err(SettlementError::Zero(at(0))),
+        (Some(0), _) | (_, Some(0)) => Err(SettlementError::ZeroPosition(position_ref(0))),
         (Some(position), Some(total)) if position > total => {
-            Err(SettlementError::Beyond { at: at(position), total })
+            Err(SettlementError::BeyondTotal { position_ref: position_ref(position), total })
         }
         _ => Ok(Some(header)),
     }
 }
 
-/// Whether the text can be a settlement's name, which is written to the header as it is.
+/// Returns whether the text is a valid settlement name: it is written to the header without escaping.
 pub fn is_name(text: &str) -> bool {
     let is_allowed = |b: u8| b.is_ascii_graphic() && !b",;=".contains(&b);
     !text.is_empty() && text.len() <= NAME_MAX && text.bytes().all(is_allowed)
 }
 
-/// The value of `X-Addressing` for this destination and settlement.
+/// Formats the value of `X-Addressing` for this destination and settlement.
 pub fn format_header(dest: u64, header: &SettlementHeader) -> String {
     let mut text = format!("dest={dest},settlement={}", header.settlement);
     for (name, value) in [("position", header.position), ("of", header.total)] {
@@ -90,67 +92,78 @@
     text
 }
 
-/// A client's connection in session mode: gives each message on it its header in message mode.
+/// Converts the messages on a client's connection in session mode into message mode: each gets its own header.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct FromSession {
     tenant: String,
     settlement: Option<String>,
-    /// The position of the latest message.
+    /// The position of the latest message; 0 before the first message, unless that gives another position.
     position: u64,
     is_closed: bool,
 }
 
 impl FromSession {
-    /// A new connection of this tenant.
+    /// Creates the state of a new connection of this tenant.
     pub fn new(tenant: &str) -> Self {
         FromSession { tenant: tenant.into(), ..FromSession::default() }
     }
 
-    fn at(&self, position: u64) -> PositionRef {
+    fn position_ref(&self, position: u64) -> PositionRef {
         let settlement = self.settlement.clone().unwrap_or_default();
         PositionRef { tenant: self.tenant.clone(), settlement, position }
     }
 
-    /// The next message's header. `named`: its own; `is_last`: it asks to close the connection.
+    /// Returns the header of the next message for message mode. `header` is the header that the client sent, and
+    /// `is_last` is true if the message has `Connection: close`.
     ///
     /// # Errors
-    /// It can't belong to this session, which has not changed.
+    /// The message cannot belong to this session. The session is unchanged.
     pub fn message(
         &mut self,
-        named: Option<&SettlementHeader>,
+        header: Option<&SettlementHeader>,
         is_last: bool,
     ) -> Result<SettlementHeader, SettlementError> {
         if self.is_closed {
-            return Err(SettlementError::AfterClosing(self.at(self.position + 1)));
+            return Err(SettlementError::AfterClosing(self.position_ref(self.position + 1)));
         }
-        let settlement = match (&self.settlement, named) {
-            (None, None) => return Err(SettlementError::NotOpened(self.at(0))),
+        let settlement = match (&self.settlement, header) {
+            (None, None) => return Err(SettlementError::NotOpened(self.position_ref(0))),
             (None, Some(header)) => header.settlement.clone(),
             (Some(open), Some(header)) if *open != header.settlement => {
-                let at = PositionRef {
+                let position_ref = PositionRef {
                     settlement: header.settlement.clone(),
-                    ..self.at(header.position.unwrap_or(0))
+                    ..self.position_ref(header.position.unwrap_or(0))
                 };
-                return Err(SettlementError::OtherOpen { at, open: open.clone() });
+                return Err(SettlementError::OtherOpen { position_ref, open_settlement: open.clone() });
             }
             (Some(open), _) => open.clone(),
         };
-        let named_position = named.and_then(|header| header.position);
-        let position = match named_position {
-            Some(0) => return Err(SettlementError::Zero(self.at(0))),
-            // Only the first message may say where it continues.
-            Some(named) if self.settlement.is_some() && named != self.position + 1 => {
-                return Err(SettlementError::Gap { at: self.at(self.position + 1), total: named });
+        let header_position = header.and_then(|header| header.position);
+        let position = match header_position {
+            Some(0) => return Err(SettlementError::ZeroPosition(self.position_ref(0))),
+            // Only the first message may give a position other than the next one.
+            Some(header_position) if self.settlement.is_some() && header_position != self.position + 1 => {
+                return Err(SettlementError::MissingPosition {
+                    position_ref: self.position_ref(self.position + 1),
+                    total: header_position,
+                });
             }
-            _ => named_position.unwrap_or(self.position + 1),
+            _ => header_position.unwrap_or(self.position + 1),
         };
-        let total = named.and_then(|header| header.total);
+        let total = header.and_then(|header| header.total);
         match total {
             Some(total) if position > total => {
-                return Err(SettlementError::Beyond { at: self.at(position), total });
+                return Err(SettlementError::BeyondTotal {
+                    position_ref: self.position_ref(position),
+                    total,
+                });
             }
             Some(total) if is_last && total != position => {
-                return Err(SettlementError::TwoCounts { at: self.at(position), total, other: position });
+                return Err(SettlementError::TotalMismatch {
+                    position_ref: self.position_ref(position),
+                    total,
+                    other_total: position,
+                });
             }
             _ => {}
         }
@@ -163,8 +176,8 @@
         })
     }
 
-    /// The connection ended in order after its last answer: the settlement and its number of messages, unless that was
-    /// given before.
+    /// The connection has ended in order after its last answer. Returns the name of the settlement and its number of
+    /// messages for the closing; `None` if the settlement is already closed or no message arrived.
     pub fn ended(&mut self) -> Option<(String, u64)> {
         let settlement = self.settlement.clone().filter(|_| !self.is_closed && self.position > 0)?;
         self.is_closed = true;
@@ -172,53 +185,60 @@
     }
 }
 
-/// What is done next on a partner's connection.
+/// The next action on the connection to a partner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SessionStep {
-    /// On a new connection: the first message names the settlement, and its position where it is not the
-    /// first.
+    /// Open a connection. Its first message names the settlement, and the position if the session does not begin with
+    /// position 1.
     Open(SettlementHeader),
     /// Send the message of this position.
-    Carry(u64),
-    /// Everything is answered: end the connection in order.
+    Send(u64),
+    /// Close the connection in order, once all messages are answered.
     Close,
 }
 
-/// A message that was accepted at a position.
+/// Identifies the message that was accepted at a position.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct AcceptedPosition {
     message_id: String,
-    /// Of the body.
+    /// The checksum of the body.
     checksum: u64,
 }
 
-/// Messages of message mode, in any order, converted into the steps of one session.
+/// Converts messages in message mode, which arrive in any order, into the steps of one session.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ToSession {
-    at: PositionRef,
-    next: u64,
+    settlement: PositionRef,
+    next_position: u64,
     total: Option<u64>,
     is_open: bool,
     is_closed: bool,
-    /// By position.
+    /// The accepted messages by position.
     accepted: BTreeMap<u64, AcceptedPosition>,
 }
 
 impl ToSession {
-    /// A session that begins with this position: 1, except where an earlier session was lost.
+    /// Creates a session that begins with position `from`: 1, unless an earlier session was lost.
     pub fn new(tenant: &str, settlement: &str, from: u64) -> Self {
-        let at = PositionRef { tenant: tenant.into(), settlement: settlement.into(), position: 0 };
-        ToSession { at, next: from, total: None, is_open: false, is_closed: false, accepted: BTreeMap::new() }
+        let settlement = PositionRef { tenant: tenant.into(), settlement: settlement.into(), position: 0 };
+        ToSession {
+            settlement,
+            next_position: from,
+            total: None,
+            is_open: false,
+            is_closed: false,
+            accepted: BTreeMap::new(),
+        }
     }
 
-    fn at(&self, position: u64) -> PositionRef {
-        PositionRef { position, ..self.at.clone() }
+    fn position_ref(&self, position: u64) -> PositionRef {
+        PositionRef { position, ..self.settlement.clone() }
     }
 
-    /// Accepts a message; returns what is done on the connection now, in order.
+    /// Accepts a message; returns the steps that can be taken now, in order.
     ///
     /// # Errors
-    /// It contradicts an earlier message; nothing has changed.
+    /// The message contradicts an earlier one. The session is unchanged.
     pub fn message(
         &mut self,
         position: u64,
@@ -226,11 +246,19 @@
         id: &str,
         checksum: u64,
     ) -> Result<Vec<SessionStep>, SettlementError> {
-        check(&self.at(position), total, self.total, self.accepted.keys().next_back().copied())?;
+        check_position(
+            &self.position_ref(position),
+            total,
+            self.total,
+            self.accepted.keys().next_back().copied(),
+        )?;
         match self.accepted.get(&position) {
             Some(known) if known.message_id != id || known.checksum != checksum => {
-                let first = known.message_id.clone();
-                return Err(SettlementError::PositionTwice { at: self.at(position), first });
+                let first_id = known.message_id.clone();
+                return Err(SettlementError::PositionConflict {
+                    position_ref: self.position_ref(position),
+                    first_id,
+                });
             }
             Some(_) => {}
             None => {
@@ -241,14 +269,21 @@
         Ok(self.steps())
     }
 
-    /// The closing with the number of messages: every position has to have been accepted.
+    /// Closes the session with the number of messages; every position up to it must have been accepted.
     ///
     /// # Errors
-    /// It contradicts an earlier message, or a position is missing; nothing has changed.
+    /// The number contradicts an earlier message, or a position is missing. The session is unchanged.
     pub fn close(&mut self, total: u64) -> Result<Vec<SessionStep>, SettlementError> {
-        check(&self.at(total), Some(total), self.total, self.accepted.keys().next_back().copied())?;
-        if let Some(missing) = (self.next..=total).find(|position| !self.accepted.contains_key(position)) {
-            return Err(SettlementError::Gap { at: self.at(missing), total });
+        check_position(
+            &self.position_ref(total),
+            Some(total),
+            self.total,
+            self.accepted.keys().next_back().copied(),
+        )?;
+        if let Some(missing) =
+            (self.next_position..=total).find(|position| !self.accepted.contains_key(position))
+        {
+            return Err(SettlementError::MissingPosition { position_ref: self.position_ref(missing), total });
         }
         self.total = Some(total);
         Ok(self.steps())
@@ -256,20 +291,20 @@
 
     fn steps(&mut self) -> Vec<SessionStep> {
         let mut steps = Vec::new();
-        while self.accepted.contains_key(&self.next) {
+        while self.accepted.contains_key(&self.next_position) {
             if !self.is_open {
                 self.is_open = true;
-                let position = (self.next > 1).then_some(self.next);
+                let position = (self.next_position > 1).then_some(self.next_position);
                 steps.push(SessionStep::Open(SettlementHeader {
-                    settlement: self.at.settlement.clone(),
+                    settlement: self.settlement.settlement.clone(),
                     position,
                     total: None,
                 }));
             }
-            steps.push(SessionStep::Carry(self.next));
-            self.next += 1;
+            steps.push(SessionStep::Send(self.next_position));
+            self.next_position += 1;
         }
-        if self.total == Some(self.next - 1) && self.is_open && !self.is_closed {
+        if self.total == Some(self.next_position - 1) && self.is_open && !self.is_closed {
             self.is_closed = true;
             steps.push(SessionStep::Close);
         }
@@ -277,31 +312,39 @@
     }
 }
 
-/// Checks a position and a number of messages against the number that is `known` and the `greatest` position so far.
+/// Checks a position, and the number of messages where it is given, against the `known_total` of the settlement and
+/// the `highest_position` submitted so far.
 ///
 /// # Errors
-/// They contradict these, or are 0.
-pub fn check(
-    at: &PositionRef,
+/// The position or the number is 0, or contradicts `known_total` or `highest_position`.
+pub fn check_position(
+    position_ref: &PositionRef,
     total: Option<u64>,
-    known: Option<u64>,
-    greatest: Option<u64>,
+    known_total: Option<u64>,
+    highest_position: Option<u64>,
 ) -> Result<(), SettlementError> {
-    if at.position == 0 || total == Some(0) {
-        return Err(SettlementError::Zero(at.clone()));
+    if position_ref.position == 0 || total == Some(0) {
+        return Err(SettlementError::ZeroPosition(position_ref.clone()));
     }
-    match (known, total) {
-        (Some(known), Some(total)) if known != total => {
-            return Err(SettlementError::TwoCounts { at: at.clone(), total: known, other: total });
+    match (known_total, total) {
+        (Some(known_total), Some(total)) if known_total != total => {
+            return Err(SettlementError::TotalMismatch {
+                position_ref: position_ref.clone(),
+                total: known_total,
+                other_total: total,
+            });
         }
         _ => {}
     }
-    match known.or(total) {
-        Some(total) if at.position > total => Err(SettlementError::Beyond { at: at.clone(), total }),
-        Some(total) => match greatest.filter(|greatest| *greatest > total) {
-            Some(greatest) => {
-                Err(SettlementError::Beyond { at: PositionRef { position: greatest, ..at.clone() }, total })
-            }
+    match known_total.or(total) {
+        Some(total) if position_ref.position > total => {
+            Err(SettlementError::BeyondTotal { position_ref: position_ref.clone(), total })
+        }
+        Some(total) => match highest_position.filter(|highest_position| *highest_position > total) {
+            Some(highest_position) => Err(SettlementError::BeyondTotal {
+                position_ref: PositionRef { position: highest_position, ..position_ref.clone() },
+                total,
+            }),
             None => Ok(()),
         },
         None => Ok(()),
--- a/courier/fleet/tests/parts/journal_lines.rs
+++ b/courier/fleet/tests/parts/journal_lines.rs
@@ -36,7 +36,7 @@
         JournalLine::Record(SettlementRecord::Opened { id: id.clone(), term: 1, mode: Mode::Message }),
         hand_in(1),
         hand_in(2),
-        JournalLine::Record(SettlementRecord::Released { id: id.clone(), position: 1, at: 5 }),
+        JournalLine::Record(SettlementRecord::Released { id: id.clone(), position: 1, released_at: 5 }),
     ];
     let mut records: Vec<JournalRecord> = written.iter().filter_map(|written| written.line(&id)).collect();
     let (class, key, body) = ("fee-debit".into(), None, Bytes::new());
@@ -56,7 +56,7 @@
     let mut progress = SettlementProgress::read(&id, &[records]);
     progress.begin_ownership();
     assert_eq!(
-        (progress.next, progress.positions[&1].end, progress.positions[&2].end),
+        (progress.next_position, progress.positions[&1].end, progress.positions[&2].end),
         (2, Some(End::Delivered), None)
     );
     assert!(
--- a/courier/fleet/tests/parts/owner.rs
+++ b/courier/fleet/tests/parts/owner.rs
@@ -1,4 +1,4 @@
-//! The owner of settlements.
+//! Tests of the owner of settlements: admission, timeouts, outdated outcomes, budgets and lost records.
 
 use quillmount_fleet::settlement::owner::{
     ATTEMPT_BACKOFF, OwnedCounts, OwnedSettlements, OwnerInput, OwnerOutput, SettlementLimits,
@@ -9,7 +9,7 @@
 };
 use quillmount_policy::Micros;
 
-/// A single owner; whatever it writes is in its journal at once.
+/// A single owner whose writes complete immediately.
 struct SingleOwner {
     registry: SettlementRegistry,
     owned: OwnedSettlements,
@@ -51,26 +51,26 @@
 
     fn step(&mut self, input: OwnerInput) -> Vec<OwnerOutput> {
         let mut outputs = self.owned.step(&self.registry, input, self.now);
-        let mut at = 0;
-        while at < outputs.len() {
-            if let OwnerOutput::Write { seq, .. } = outputs[at] {
+        let mut index = 0;
+        while index < outputs.len() {
+            if let OwnerOutput::Write { seq, .. } = outputs[index] {
                 outputs.extend(self.owned.step(&self.registry, OwnerInput::Written { seq }, self.now));
             }
-            at += 1;
+            index += 1;
         }
         outputs
     }
 
     fn request(&mut self, name: &str, request: SettlementRequest) -> SettlementReply {
         let outputs = self.step(OwnerInput::Request { from: "y".into(), id: id(name), request });
-        let mut words = outputs.into_iter().filter_map(|output| match output {
+        let mut replies = outputs.into_iter().filter_map(|output| match output {
             OwnerOutput::Reply { reply, .. } => Some(reply),
             _ => None,
         });
-        words.next().expect("a word")
+        replies.next().expect("the request is answered")
     }
 
-    fn refusal(&mut self, name: &str, sequenced: SequencedMessage) -> SettlementError {
+    fn rejection(&mut self, name: &str, sequenced: SequencedMessage) -> SettlementError {
         match self.request(name, SettlementRequest::Submit(sequenced)) {
             SettlementReply::Rejected(error) => error,
             reply => panic!("{reply:?}"),
@@ -80,7 +80,7 @@
 
 #[test]
 fn contradictions_are_rejected_and_duplicates_are_accepted() {
-    let mut owner = SingleOwner::new(SettlementLimits { positions: 50, ..SettlementLimits::default() });
+    let mut owner = SingleOwner::new(SettlementLimits { max_positions: 50, ..SettlementLimits::default() });
     owner.open("a");
     for _ in 0..2 {
         assert_eq!(
@@ -93,35 +93,45 @@
         checksum,
         ..sequenced(3, None)
     };
-    assert!(matches!(owner.refusal("a", other("m9", 3)), SettlementError::PositionTwice { .. }));
-    assert!(matches!(owner.refusal("a", other("m3", 9)), SettlementError::PositionTwice { .. }));
-    assert!(matches!(owner.refusal("a", sequenced(0, None)), SettlementError::Zero(_)));
-    assert!(matches!(owner.refusal("a", sequenced(2, Some(2))), SettlementError::Beyond { total: 2, .. }));
-    assert!(matches!(owner.refusal("a", sequenced(51, None)), SettlementError::TooLong { most: 50, .. }));
+    assert!(matches!(owner.rejection("a", other("m9", 3)), SettlementError::PositionConflict { .. }));
+    assert!(matches!(owner.rejection("a", other("m3", 9)), SettlementError::PositionConflict { .. }));
+    assert!(matches!(owner.rejection("a", sequenced(0, None)), SettlementError::ZeroPosition(_)));
+    assert!(matches!(
+        owner.rejection("a", sequenced(2, Some(2))),
+        SettlementError::BeyondTotal { total: 2, .. }
+    ));
+    assert!(matches!(
+        owner.rejection("a", sequenced(51, None)),
+        SettlementError::TooLong { max_positions: 50, .. }
+    ));
     assert_eq!(
         owner.request("a", SettlementRequest::Submit(sequenced(3, Some(4)))),
         SettlementReply::Accepted,
-        "the count is news"
+        "the total was not known before"
     );
     assert_eq!(owner.request("a", SettlementRequest::Closing { total: 4 }), SettlementReply::Accepted);
     assert!(matches!(
-        owner.refusal("a", sequenced(3, Some(5))),
-        SettlementError::TwoCounts { total: 4, other: 5, .. }
+        owner.rejection("a", sequenced(3, Some(5))),
+        SettlementError::TotalMismatch { total: 4, other_total: 5, .. }
+    ));
+    assert!(matches!(
+        owner.rejection("a", sequenced(5, None)),
+        SettlementError::BeyondTotal { total: 4, .. }
     ));
-    assert!(matches!(owner.refusal("a", sequenced(5, None)), SettlementError::Beyond { total: 4, .. }));
     owner.now = 90_000;
-    let late = owner.refusal("a", sequenced(1, None));
-    assert!(matches!(late, SettlementError::Late(_)));
+    let late = owner.rejection("a", sequenced(1, None));
+    assert!(matches!(late, SettlementError::DeadlinePassed(_)));
     let text = late.to_string();
     assert!(text.starts_with("tenant \"north\", settlement \"a\", position 1: "), "{text}");
 }
 
-/// The tenant is full of messages that wait; the ones they wait for are taken all the same.
+/// Guards against a tenant that blocks itself: at the limit of pending messages the next position of each
+/// settlement is still accepted, because the pending messages wait for it.
 #[test]
 fn a_full_tenant_gets_a_retry_time_and_the_next_position_is_accepted() {
     let mut owner = SingleOwner::new(SettlementLimits {
-        tenant_count: 3,
-        tenant_bytes: 35,
+        max_tenant_messages: 3,
+        max_tenant_bytes: 35,
         ..SettlementLimits::default()
     });
     owner.open("a");
@@ -132,10 +142,13 @@
             SettlementReply::Accepted
         );
     }
-    let refused = owner.refusal("b", sequenced(2, None));
+    let rejected = owner.rejection("b", sequenced(2, None));
     assert!(
-        matches!(refused, SettlementError::TooManyWaiting { waiting: 3, bytes: 30, after: 89_999, .. }),
-        "{refused:?}"
+        matches!(
+            rejected,
+            SettlementError::TooManyWaiting { pending_messages: 3, bytes: 30, retry_after: 89_999, .. }
+        ),
+        "{rejected:?}"
     );
     assert_eq!(owner.request("a", SettlementRequest::Submit(sequenced(1, None))), SettlementReply::Accepted);
     assert_eq!(owner.request("b", SettlementRequest::Submit(sequenced(1, None))), SettlementReply::Accepted);
@@ -144,7 +157,7 @@
 
 #[test]
 fn a_waiting_settlement_ends_by_its_deadline_or_the_idle_limit() {
-    let mut owner = SingleOwner::new(SettlementLimits { idle: 500, ..SettlementLimits::default() });
+    let mut owner = SingleOwner::new(SettlementLimits { idle_timeout: 500, ..SettlementLimits::default() });
     owner.open("a");
     owner.open("b");
     assert_eq!(owner.request("a", SettlementRequest::Submit(sequenced(2, None))), SettlementReply::Accepted);
@@ -157,16 +170,22 @@
     };
     assert_eq!(owner.owned.wake_at(), Some(501));
     owner.now = 501;
-    assert_eq!(verdicts(owner.step(OwnerInput::Tick)), [Verdict::Broken { at: 1, cause: Cause::Idle }]);
+    assert_eq!(
+        verdicts(owner.step(OwnerInput::Tick)),
+        [Verdict::Broken { break_position: 1, cause: Cause::Idle }]
+    );
     owner.now = 90_000;
-    let found = verdicts(owner.step(OwnerInput::Tick));
-    assert!(found.contains(&Verdict::Broken { at: 1, cause: Cause::Missing }), "{found:?}");
-    assert!(matches!(owner.refusal("a", sequenced(1, None)), SettlementError::Ended { .. }));
+    let verdicts_at_deadline = verdicts(owner.step(OwnerInput::Tick));
+    assert!(
+        verdicts_at_deadline.contains(&Verdict::Broken { break_position: 1, cause: Cause::Missing }),
+        "{verdicts_at_deadline:?}"
+    );
+    assert!(matches!(owner.rejection("a", sequenced(1, None)), SettlementError::Ended { .. }));
     assert_eq!(
         owner.request("a", SettlementRequest::Submit(sequenced(2, None))),
         SettlementReply::Ended(End::NeverRan { broken_at: 1 })
     );
-    assert_eq!(owner.owned.counts().messages, 0, "nothing waits any more");
+    assert_eq!(owner.owned.counts().messages, 0, "no message is pending");
 }
 
 #[test]
@@ -185,7 +204,8 @@
         request: SettlementRequest::Submit(sequenced(1, Some(1))),
     };
     let first = sent(owner.step(requested)).unwrap();
-    let outcome = |attempt, outcome| OwnerInput::Outcome { id: id("a"), attempt, outcome, lost: false };
+    let outcome =
+        |attempt, outcome| OwnerInput::Outcome { id: id("a"), attempt, outcome, session_lost: false };
     owner.step(outcome(first, Outcome::NeverRan { after: 0 }));
     owner.now += ATTEMPT_BACKOFF;
     let second = sent(owner.step(OwnerInput::Tick)).unwrap();
@@ -203,8 +223,8 @@
     owner.owned.set_budget("north", 7, 1);
     owner.open("a");
     assert!(matches!(
-        owner.refusal("a", sequenced(1, None)),
-        SettlementError::NoPinnableConnection { budget: 1, least: 2, .. }
+        owner.rejection("a", sequenced(1, None)),
+        SettlementError::NoPinnableConnection { budget: 1, min_budget: 2, .. }
     ));
     owner.owned.set_budget("north", 7, 2);
     assert_eq!(owner.request("a", SettlementRequest::Submit(sequenced(1, None))), SettlementReply::Accepted);
@@ -220,7 +240,7 @@
     let mut outputs = owner.step(OwnerInput::Committed(moved[0].clone()));
     assert!(matches!(&outputs[..], [OwnerOutput::Fetch { term: 2, journals, .. }] if journals.len() == 2));
     outputs = owner.step(OwnerInput::Unreadable { id: id("a"), term: 2 });
-    let lost = Verdict::Broken { at: 0, cause: Cause::RecordsLost };
-    let is_told = |o: &OwnerOutput| matches!(o, OwnerOutput::Propose(SettlementCommand::Close { verdict, .. }) if *verdict == lost);
-    assert!(outputs.iter().any(is_told), "{outputs:?}");
+    let lost = Verdict::Broken { break_position: 0, cause: Cause::RecordsLost };
+    let proposes_verdict = |o: &OwnerOutput| matches!(o, OwnerOutput::Propose(SettlementCommand::Close { verdict, .. }) if *verdict == lost);
+    assert!(outputs.iter().any(proposes_verdict), "{outputs:?}");
 }
--- a/courier/fleet/tests/parts/progress.rs
+++ b/courier/fleet/tests/parts/progress.rs
@@ -18,7 +18,7 @@
         checksum: 0,
     };
     let handed = |position| SettlementRecord::Submitted { id: id.clone(), sequenced: sequenced(position) };
-    let released = SettlementRecord::Released { id: id.clone(), position: 1, at: 5 };
+    let released = SettlementRecord::Released { id: id.clone(), position: 1, released_at: 5 };
     let opened = SettlementRecord::Opened { id: id.clone(), term: 1, mode: Mode::Message };
     let first = vec![opened, handed(1), handed(2), released];
     let copy = |journals: &[Vec<SettlementRecord>], term| {
@@ -32,7 +32,7 @@
     let mut late = second.clone();
     late.push(handed(9));
     let progress = SettlementProgress::read(&id, &[both.clone(), late, both]);
-    assert_eq!((progress.term, progress.waiting, progress.bytes), (3, 4, 40));
+    assert_eq!((progress.term, progress.pending_messages, progress.pending_bytes), (3, 4, 40));
     let mut taken = progress.clone();
     taken.begin_ownership();
     assert_eq!(taken.positions[&1].first_attempt, Some(5), "it was out, and may have run");
--- a/courier/fleet/tests/parts/session.rs
+++ b/courier/fleet/tests/parts/session.rs
@@ -30,8 +30,8 @@
     let mut session = Session::default();
     assert_eq!(session.step(SessionInput::Send, 1), SessionOutput::Nothing, "it has no connection");
     let steps = [
-        (SessionInput::Want, SessionOutput::Pin),
-        (SessionInput::Want, SessionOutput::Nothing),
+        (SessionInput::Needed, SessionOutput::Pin),
+        (SessionInput::Needed, SessionOutput::Nothing),
         (SessionInput::Pinned, SessionOutput::Nothing),
         (SessionInput::Send, SessionOutput::Open),
         (SessionInput::Send, SessionOutput::Send),
@@ -39,7 +39,7 @@
         (SessionInput::Send, SessionOutput::Nothing),
         (SessionInput::Lost, SessionOutput::Unpin),
         (SessionInput::Lost, SessionOutput::Nothing),
-        (SessionInput::Want, SessionOutput::Pin),
+        (SessionInput::Needed, SessionOutput::Pin),
         (SessionInput::Leave, SessionOutput::Unpin),
     ];
     for (input, output) in steps {
@@ -50,7 +50,7 @@
 #[test]
 fn an_unconfirmed_closing_times_out() {
     let mut session = Session::default();
-    for input in [SessionInput::Want, SessionInput::Pinned, SessionInput::Send] {
+    for input in [SessionInput::Needed, SessionInput::Pinned, SessionInput::Send] {
         session.step(input, 1);
     }
     assert_eq!(session.state(), SessionState::Open);
--- a/courier/fleet/tests/parts/translator.rs
+++ b/courier/fleet/tests/parts/translator.rs
@@ -25,10 +25,13 @@
         };
         assert_eq!(found, field, "{text}");
     }
-    assert!(matches!(parse_header("north", "settlement=a,position=0"), Err(SettlementError::Zero(_))));
+    assert!(matches!(
+        parse_header("north", "settlement=a,position=0"),
+        Err(SettlementError::ZeroPosition(_))
+    ));
     assert!(matches!(
         parse_header("north", "settlement=a,position=4,of=3"),
-        Err(SettlementError::Beyond { total: 3, .. })
+        Err(SettlementError::BeyondTotal { total: 3, .. })
     ));
 }
 
@@ -48,7 +51,7 @@
         }
         let open =
             SessionStep::Open(SettlementHeader { settlement: "a".into(), position: None, total: None });
-        let carried = (1..=4).map(SessionStep::Carry);
+        let carried = (1..=4).map(SessionStep::Send);
         let wanted: Vec<SessionStep> =
             std::iter::once(open).chain(carried).chain([SessionStep::Close]).collect();
         assert_eq!(steps, wanted);
@@ -67,19 +70,22 @@
     let mut session = ToSession::new("north", "a", 1);
     session.message(2, None, "m2", 2).unwrap();
     let before = session.clone();
-    assert!(matches!(session.message(2, None, "other", 2), Err(SettlementError::PositionTwice { .. })));
-    assert!(matches!(session.message(2, None, "m2", 3), Err(SettlementError::PositionTwice { .. })));
-    assert!(matches!(session.message(0, None, "m0", 0), Err(SettlementError::Zero(_))));
-    assert!(matches!(session.message(1, Some(1), "m1", 1), Err(SettlementError::Beyond { total: 1, .. })));
-    let Err(SettlementError::Gap { at, .. }) = session.close(2) else { panic!() };
-    assert_eq!((at.position, &session), (1, &before));
+    assert!(matches!(session.message(2, None, "other", 2), Err(SettlementError::PositionConflict { .. })));
+    assert!(matches!(session.message(2, None, "m2", 3), Err(SettlementError::PositionConflict { .. })));
+    assert!(matches!(session.message(0, None, "m0", 0), Err(SettlementError::ZeroPosition(_))));
+    assert!(matches!(
+        session.message(1, Some(1), "m1", 1),
+        Err(SettlementError::BeyondTotal { total: 1, .. })
+    ));
+    let Err(SettlementError::MissingPosition { position_ref, .. }) = session.close(2) else { panic!() };
+    assert_eq!((position_ref.position, &session), (1, &before));
     session.message(1, Some(3), "m1", 1).unwrap();
     assert!(matches!(
         session.message(3, Some(4), "m3", 3),
-        Err(SettlementError::TwoCounts { total: 3, other: 4, .. })
+        Err(SettlementError::TotalMismatch { total: 3, other_total: 4, .. })
     ));
-    assert!(matches!(session.message(4, None, "m4", 4), Err(SettlementError::Beyond { total: 3, .. })));
-    assert_eq!(session.message(3, None, "m3", 3).unwrap(), [SessionStep::Carry(3), SessionStep::Close]);
+    assert!(matches!(session.message(4, None, "m4", 4), Err(SettlementError::BeyondTotal { total: 3, .. })));
+    assert_eq!(session.message(3, None, "m3", 3).unwrap(), [SessionStep::Send(3), SessionStep::Close]);
 }
 
 #[test]
@@ -92,7 +98,10 @@
         session.message(Some(&named("b", None)), false),
         Err(SettlementError::OtherOpen { .. })
     ));
-    assert!(matches!(session.message(Some(&named("a", Some(7))), false), Err(SettlementError::Gap { .. })));
+    assert!(matches!(
+        session.message(Some(&named("a", Some(7))), false),
+        Err(SettlementError::MissingPosition { .. })
+    ));
     assert_eq!(session.message(None, false).unwrap().position, Some(5));
     assert_eq!((session.ended(), session.ended()), (Some(("a".into(), 5)), None));
     assert!(matches!(session.message(None, false), Err(SettlementError::AfterClosing(_))));
--- a/courier/fleet/tests/settlement/cases.rs
+++ b/courier/fleet/tests/settlement/cases.rs
@@ -1,23 +1,24 @@
 //! The small cases that are explored exhaustively.
 
 use crate::exploration::{Explored, Remaining, Submission, explore};
-use crate::world::{AFTER, Micros, NEVER, ProcessState, World};
+use crate::world::{Micros, ProcessState, RESUME_AFTER_ANSWER, RESUME_NEVER, World};
 use quillmount_fleet::settlement::{Mode, Repeat, SettlementId, Verdict};
 use std::collections::BTreeMap;
 
 /// The destination of the settlements in these cases.
 pub const DEST: u64 = 7;
-/// A deadline that no case reaches.
+/// A deadline that is later than the end of every case.
 pub const LATE_DEADLINE: Micros = 60_000_000;
-/// No case has more states.
-pub const MOST_STATES: usize = 2_000_000;
+/// Upper limit of the number of states of a case.
+pub const MAX_STATES: usize = 2_000_000;
 
-/// Three messages that are submitted in reverse order: to which courier, and at which position.
+/// Three messages that are submitted in reverse order, as pairs of courier and position.
 pub const REVERSED: &[(usize, u64)] = &[(1, 3), (0, 2), (1, 1)];
-pub const MODES: [(&str, Mode); 3] = [("message", Mode::Message), ("never", NEVER), ("after answer", AFTER)];
+pub const MODES: [(&str, Mode); 3] =
+    [("message", Mode::Message), ("never", RESUME_NEVER), ("after answer", RESUME_AFTER_ANSWER)];
 pub const REPEATS: [(&str, Repeat); 2] = [("debits", Repeat::Never), ("keyed", Repeat::Within(30_000_000))];
 
-/// A case to explore: the fleet, what may happen in it, and the settlement whose verdicts are counted.
+/// A case to explore: the fleet, the events that may still occur, and the settlement whose verdicts are counted.
 pub struct Case {
     pub world: World,
     pub remaining: Remaining,
@@ -29,7 +30,7 @@
 }
 
 impl Case {
-    /// Two couriers and one settlement, without any fault.
+    /// Creates a case of two couriers and one settlement, without any fault.
     pub fn new(mode: Mode, repeat: Repeat, submissions: &[(usize, u64)], total: u64) -> Case {
         let mut world = World::new(2, BTreeMap::from([(DEST, mode)]), 4);
         let id = settlement("s", DEST);
@@ -41,20 +42,20 @@
         Case { world, remaining, id }
     }
 
-    /// Explores the case, and prints what was found.
+    /// Explores the case and prints the result.
     pub fn run(self, name: &str) -> Explored {
         let started = std::time::Instant::now();
-        let found = explore(self.world, self.remaining, &self.id, MOST_STATES);
+        let explored = explore(self.world, self.remaining, &self.id, MAX_STATES);
         let seconds = started.elapsed().as_secs_f64();
-        println!("{name}: {} states, {seconds:.1} s, ends {:?}", found.states, found.ends);
-        if let Some(violation) = &found.violation {
+        println!("{name}: {} states, {seconds:.1} s, ends {:?}", explored.states, explored.verdict_counts);
+        if let Some(violation) = &explored.violation {
             println!("  {}\n  {}", violation.property, violation.path.join("\n  "));
         }
-        found
+        explored
     }
 }
 
-/// An owner that is lost at each point, in each mode; prints the number of states.
+/// Explores the loss of the owner at each point in each mode, and prints the number of states.
 pub fn explore_takeovers(process: ProcessState, submissions: &[(usize, u64)], total: u64) {
     let mut states = 0;
     for (mode_name, mode) in MODES {
@@ -64,10 +65,10 @@
                 ProcessState::Dead => case.remaining.kills = 1,
                 _ => case.remaining.pauses = 1,
             }
-            let found = case.run(&format!("{mode_name}, {repeat_name}, {process:?}"));
-            assert!(found.violation.is_none());
-            assert!(found.ends.contains_key(&Verdict::Closed { total }));
-            states += found.states;
+            let explored = case.run(&format!("{mode_name}, {repeat_name}, {process:?}"));
+            assert!(explored.violation.is_none());
+            assert!(explored.verdict_counts.contains_key(&Verdict::Closed { total }));
+            states += explored.states;
         }
     }
     println!("{process:?}: {states} states");
--- a/courier/fleet/tests/settlement/clients.rs
+++ b/courier/fleet/tests/settlement/clients.rs
@@ -1,5 +1,5 @@
-//! The clients of the modelled fleet: they submit the messages of a settlement at any courier, and retry elsewhere where
-//! that helps.
+//! The clients of the modelled fleet. They submit the messages of a settlement to any courier, and retry at another
+//! courier after retryable errors.
 
 use crate::event::WorldEvent;
 use crate::invariants::Observations;
@@ -8,24 +8,24 @@
     Repeat, SequencedMessage, SettlementError, SettlementId, SettlementReply, SettlementRequest, forward,
 };
 
-/// How often a client sends a request.
+/// Maximum number of attempts of a client to send one request.
 const ATTEMPTS: u64 = 6;
-/// Tickets of one request: a ticket's last digit is the number of the attempt, from 0.
+/// Number of tickets per request: the last digit of a ticket is the number of the attempt, counted from 0.
 const TICKETS_PER_REQUEST: u64 = 10;
 
-/// The ticket of a request's first attempt.
+/// Returns the ticket of the first attempt of a request.
 pub fn first_ticket(request_number: u64) -> u64 {
     request_number * TICKETS_PER_REQUEST
 }
 
 impl World {
-    /// Plans a settlement, without submitting it.
+    /// Plans a settlement without submitting any message.
     pub fn plan(&mut self, id: &SettlementId, total: u64, repeat: Repeat, deadline: Micros) {
         self.plans.insert(id.clone(), SettlementPlan { total, repeat, deadline });
         self.observations.insert(id.clone(), Observations::default());
     }
 
-    /// The request that submits one message of a planned settlement.
+    /// Returns the request that submits one message of a planned settlement.
     pub fn submission(&self, id: &SettlementId, position: u64) -> SettlementRequest {
         let plan = &self.plans[id];
         SettlementRequest::Submit(SequencedMessage {
@@ -39,7 +39,7 @@
         })
     }
 
-    /// A client's request arrives at a courier, or does not, and then goes elsewhere.
+    /// Delivers a client's request to a courier; the client retries elsewhere if the courier is not up.
     pub fn submit(&mut self, to: usize, ticket: u64, id: SettlementId, request: SettlementRequest) {
         if !self.couriers[to].is_up() {
             return self.submit_elsewhere(ticket, PendingRequest { courier: to, id, request });
@@ -49,7 +49,7 @@
         self.step_forwarder(to, forward::ForwardInput::Request { ticket, id, request });
     }
 
-    /// A client receives the answer, and retries elsewhere where that helps.
+    /// Delivers the answer to a client, which retries elsewhere after a retryable error.
     pub fn answer_client(&mut self, ticket: u64, reply: SettlementReply) {
         let Some(pending) = self.pending_requests.remove(&ticket) else { return };
         match reply {
@@ -61,14 +61,15 @@
             SettlementReply::Rejected(
                 SettlementError::NoReply(_) | SettlementError::StorageFull(_) | SettlementError::Busy { .. },
             ) => self.submit_elsewhere(ticket, pending),
-            SettlementReply::Rejected(SettlementError::Ended { .. } | SettlementError::Late(_)) => {}
+            SettlementReply::Rejected(SettlementError::Ended { .. } | SettlementError::DeadlinePassed(_)) => {
+            }
             SettlementReply::Rejected(error) => {
-                self.report_violation(format!("a submission was rejected: {error}"));
+                self.report_violation(format!("unexpected rejection of a submission: {error}"));
             }
         }
     }
 
-    /// Sends a request to the next courier that is up, unless the client has given up.
+    /// Sends a request to the next courier that is up, unless the client has made its last attempt.
     pub fn submit_elsewhere(&mut self, ticket: u64, pending: PendingRequest) {
         let count = self.couriers.len();
         let others = (1..=count).map(|step| (pending.courier + step) % count);
@@ -81,9 +82,9 @@
         }
     }
 
-    /// The clients that wait for an answer of a courier that is lost ask elsewhere.
-    pub fn resubmit_pending_requests(&mut self, lost: usize) {
-        let is_pending_there = |pending: &PendingRequest| pending.courier == lost;
+    /// The clients that wait for an answer from a lost courier retry elsewhere.
+    pub fn resubmit_pending_requests(&mut self, lost_courier: usize) {
+        let is_pending_there = |pending: &PendingRequest| pending.courier == lost_courier;
         let tickets: Vec<u64> = self
             .pending_requests
             .iter()
--- a/courier/fleet/tests/settlement/event.rs
+++ b/courier/fleet/tests/settlement/event.rs
@@ -1,4 +1,4 @@
-//! What is in flight in the modelled fleet, and the log that its couriers apply.
+//! The events in flight in the modelled fleet, and the entries of its replicated log.
 
 use crate::world::Micros;
 use quillmount_fleet::settlement::{
@@ -10,50 +10,57 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LogEntry {
     Command(SettlementCommand),
-    /// A courier's registration has ended, and these take over from it.
+    /// The registration of a courier has ended, and the successors take over its settlements.
     CourierGone {
         journal: JournalRef,
         successors: Vec<JournalRef>,
     },
 }
 
-/// An event that will arrive, at a time that is 0 until it is scheduled.
+/// An event that will arrive. Its time of arrival is 0 until the event is scheduled.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct InFlight {
-    pub at: Micros,
+    pub arrives_at: Micros,
     pub event: WorldEvent,
 }
 
-/// Something in flight: between clients, couriers, journals, the log and the partner. A courier is given by its index.
+/// An event between clients, couriers, journals, the log and the partner. Couriers are identified by their index.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum WorldEvent {
-    /// A client's request, to any courier.
+    /// A request of a client to any courier.
     Submit { to: usize, ticket: u64, id: SettlementId, request: SettlementRequest },
     /// A message between couriers.
     Message { to: usize, message: SettlementMessage, from: usize },
-    /// A command, to the replicated log.
+    /// A command for the replicated log.
     Propose(SettlementCommand),
-    /// Records, to the courier's journal.
+    /// Records for the courier's journal.
     Write { courier: usize, epoch: u64, seq: u64, records: Vec<SettlementRecord> },
-    /// The journal's answer to a write.
+    /// The answer of the journal to a write.
     Written { courier: usize, epoch: u64, seq: u64, is_stored: bool },
     /// A request for the records of a settlement.
     Fetch { courier: usize, epoch: u64, id: SettlementId, term: u64, journals: Vec<JournalRef> },
-    /// An attempt, to the partner.
+    /// An attempt on its way to the partner.
     Call { courier: usize, epoch: u64, call: Call },
-    /// How an attempt ended; `lost`: the session's connection is lost as well.
-    Answer { courier: usize, epoch: u64, id: SettlementId, attempt: u64, outcome: Outcome, lost: bool },
-    /// The closing of a session, to the partner.
-    CloseSession { courier: usize, epoch: u64, id: SettlementId, session: u32, opens: bool },
+    /// The outcome of an attempt; `session_lost` is true if the connection of its session is lost as well.
+    Answer {
+        courier: usize,
+        epoch: u64,
+        id: SettlementId,
+        attempt: u64,
+        outcome: Outcome,
+        session_lost: bool,
+    },
+    /// The closing of a session on its way to the partner.
+    CloseSession { courier: usize, epoch: u64, id: SettlementId, session: u32, opens_session: bool },
     /// The partner has confirmed a closing.
     CloseConfirmed { courier: usize, epoch: u64, id: SettlementId, session: u32 },
     /// The courier drops a session's connection.
     DropSession { courier: usize, epoch: u64, id: SettlementId, session: u32 },
-    /// The courier learns that a session's connection is lost.
+    /// The courier is notified that a session's connection is lost.
     SessionLost { courier: usize, epoch: u64, id: SettlementId, session: u32 },
 }
 
-/// The courier that an event needs, and its registration if only that one can take the event.
+/// The courier that receives an event, with the epoch if only that registration can receive it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct Recipient {
     pub courier: usize,
@@ -61,7 +68,7 @@
 }
 
 impl WorldEvent {
-    /// The courier that has to be there for this event.
+    /// Returns the courier that receives the event; `None` for an event of the replicated log.
     pub fn recipient(&self) -> Option<Recipient> {
         match self {
             WorldEvent::Submit { to, .. } | WorldEvent::Message { to, .. } => {
@@ -82,38 +89,38 @@
         }
     }
 
-    /// Whether the event belongs to a registration of this courier, not to whichever process serves under its name.
+    /// Returns whether the event is bound to one registration of this courier.
     pub fn belongs_to(&self, courier: usize) -> bool {
         self.recipient().is_some_and(|recipient| recipient.courier == courier && recipient.epoch.is_some())
     }
 
-    /// Whether it goes to the partner, which may answer it with a fault.
+    /// Returns whether the event goes to the partner, where it may fail.
     pub fn is_for_partner(&self) -> bool {
         matches!(self, WorldEvent::Call { .. } | WorldEvent::CloseSession { .. })
     }
 }
 
-/// One attempt at the partner, as the owner requested it.
+/// One attempt as the owner has requested it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Call {
     pub id: SettlementId,
     pub position: u64,
     pub attempt: u64,
-    /// No byte of it leaves from then on.
-    pub by: Micros,
+    /// From this time on no byte of the attempt is sent.
+    pub send_deadline: Micros,
     pub session: Option<u32>,
-    /// Whether it opens the session's connection.
-    pub opens: bool,
+    /// Whether the attempt opens the connection of its session.
+    pub opens_session: bool,
 }
 
-/// What goes wrong with a call or with the closing of a session.
+/// The fault of a call or of the closing of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CallFault {
-    /// It ran, and the connection broke.
+    /// The call ran, and the connection was reset before the answer.
     Reset,
-    /// It ran, and 500 came back.
+    /// The call ran, and the partner answered with status 500.
     ServerError,
-    /// The partner will never accept it.
+    /// The partner rejects the call permanently.
     Refused,
     NotReached,
 }
