--- a/courier/fleet/tests/settlement/exploration.rs
+++ b/courier/fleet/tests/settlement/exploration.rs
@@ -1,7 +1,8 @@
-//! Exhaustive exploration of a small case: breadth first over all that can happen, with a check after each transition.
+//! Exhaustive exploration of a small case: a breadth-first search over all transitions, with a check after each of
+//! them.
 //!
-//! [`enabled_transitions`] leaves out orders that make no difference: what only answers a client, or reaches nobody, changes
-//! nothing by waiting, and only the loss of an owner is explored.
+//! [`enabled_transitions`] omits orders that make no difference. An event that only answers a client or reaches
+//! nobody is delivered at once, and only owners are lost.
 
 use crate::event::{CallFault, WorldEvent};
 use crate::world::{Micros, ProcessState, World, courier_name};
@@ -13,23 +14,23 @@
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::hash::{Hash, Hasher};
 
-/// The end of a drain's graceful phase, from its start.
+/// Duration of the graceful phase of a drain.
 const DRAIN_TIME: Micros = 4_000_000;
 
-/// What may still happen in a case, beside what is in flight.
+/// The events that may still occur in a case in addition to those in flight.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct Remaining {
-    /// Losses by SIGKILL.
+    /// The number of processes that may be killed with SIGKILL.
     pub kills: u32,
     pub pauses: u32,
-    /// Faults of calls and closings.
+    /// The number of calls and closings that may fail.
     pub faults: u32,
     pub drains: u32,
-    /// Messages that are submitted, in this order.
+    /// The messages that are submitted, in this order.
     pub submissions: VecDeque<Submission>,
 }
 
-/// A message that a client submits: the courier, and the position in a settlement.
+/// A message that a client submits to a courier, and its position in a settlement.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct Submission {
     pub to: usize,
@@ -37,7 +38,7 @@
     pub id: SettlementId,
 }
 
-/// One thing that may happen next.
+/// One possible transition.
 #[derive(Clone, Debug)]
 pub enum Transition {
     Deliver(WorldEvent),
@@ -49,12 +50,12 @@
     TakeOver(usize),
     Resume(usize),
     Drain(usize),
-    /// The clock goes to the next time at which somebody acts.
+    /// The clock advances to the next timeout.
     Advance,
 }
 
-/// The loss of an owner: so many of its writes are in the journal, and perhaps a call or closing of its reached the partner.
-/// It learns of neither.
+/// The loss of an owner. The first `writes` of its writes in flight reach the journal, and if `has_call` is true
+/// its call or closing reaches the partner. The owner receives no answer to them.
 #[derive(Clone, Copy, Debug)]
 pub struct Loss {
     courier: usize,
@@ -63,12 +64,12 @@
     has_call: bool,
 }
 
-/// All that may happen next.
+/// Returns all transitions that are possible now.
 fn enabled_transitions(world: &World, remaining: &Remaining) -> Vec<Transition> {
     let mut transitions = Vec::new();
-    let mut known: HashSet<&WorldEvent> = HashSet::new();
+    let mut visited: HashSet<&WorldEvent> = HashSet::new();
     for InFlight { event, .. } in &world.in_flight {
-        if !world.is_deliverable(event) || !known.insert(event) {
+        if !world.is_deliverable(event) || !visited.insert(event) {
             continue;
         }
         if needs_no_order(world, event) {
@@ -98,7 +99,7 @@
         }
     }
     transitions.extend(takeovers_and_returns(world));
-    // Between a loss and the takeover no time passes: what the clock brings about then, it does as well after.
+    // The clock does not advance between a loss and the takeover: the same timeouts are explored after the takeover.
     let awaits_takeover = world.couriers.iter().any(|courier| courier.awaits_takeover());
     if is_quiet && !awaits_takeover && world.wake_at().is_some() {
         transitions.push(Transition::Advance);
@@ -106,27 +107,27 @@
     transitions
 }
 
-/// Whether the courier is back from a pause in which it was taken over.
+/// Returns whether the courier has resumed after a pause during which its settlements were taken over.
 fn is_back(world: &World, index: usize) -> bool {
     world.couriers[index].is_up() && world.couriers[index].is_taken_over
 }
 
-/// Whether the courier owns a settlement, or will.
+/// Returns whether the courier owns a settlement, at present or according to the log.
 fn is_owner(world: &World, index: usize) -> bool {
     let courier = &world.couriers[index];
     let name = courier_name(index);
     courier.owned.counts().settlements > 0
-        || world.agreed.owners().any(|(_, owner)| owner.is_at(&name, courier.epoch))
+        || world.agreed.owners().any(|(_, owner)| owner.is_registered_as(&name, courier.epoch))
 }
 
-/// Whether the event may be delivered before all others: waiting would change nothing.
+/// Returns whether the event can be delivered before all others, because its delay makes no difference.
 fn needs_no_order(world: &World, event: &WorldEvent) -> bool {
     match event {
         WorldEvent::Message { message: SettlementMessage::Reply { .. }, .. }
         | WorldEvent::DropSession { .. } => true,
         WorldEvent::Message { to, from, .. } if to == from => true,
         WorldEvent::Propose(SettlementCommand::Open { .. } | SettlementCommand::CaughtUp { .. }) => true,
-        // One that is back from a pause goes on with what it has, and the later it learns of its seal the worse.
+        // A resumed courier continues with its old state. The worst case is a late notice that its journal is sealed.
         WorldEvent::Written { courier, .. } | WorldEvent::Write { courier, .. }
             if is_back(world, *courier) =>
         {
@@ -138,18 +139,18 @@
     }
 }
 
-/// The ways in which this owner may be lost now.
+/// Returns the ways in which this owner may be lost now.
 fn losses(world: &World, remaining: &Remaining, courier: usize) -> Vec<Loss> {
     let own = || world.in_flight.iter().map(|in_flight| &in_flight.event).filter(|e| e.belongs_to(courier));
-    let most_writes = own().filter(|event| matches!(event, WorldEvent::Write { .. })).count();
-    let calls = own().any(WorldEvent::is_for_partner);
+    let max_writes = own().filter(|event| matches!(event, WorldEvent::Write { .. })).count();
+    let has_call = own().any(WorldEvent::is_for_partner);
     let mut losses = Vec::new();
     let processes = [(remaining.kills, ProcessState::Dead), (remaining.pauses, ProcessState::Paused)];
     for (_, process) in processes.into_iter().filter(|(count, _)| *count > 0) {
-        for writes in 0..=most_writes {
+        for writes in 0..=max_writes {
             let loss = Loss { courier, process, writes, has_call: false };
             losses.push(loss);
-            losses.extend(calls.then_some(Loss { has_call: true, ..loss }));
+            losses.extend(has_call.then_some(Loss { has_call: true, ..loss }));
         }
     }
     losses
@@ -204,7 +205,7 @@
     world.in_flight.sort_by_cached_key(|in_flight| hash_of(&in_flight.event));
 }
 
-/// Takes an event out of those that are in flight.
+/// Removes an event from those in flight and returns it.
 fn take_event(world: &mut World, event: &WorldEvent) -> WorldEvent {
     let index = world.in_flight.iter().position(|in_flight| in_flight.event == *event).unwrap();
     world.in_flight.swap_remove(index).event
@@ -230,12 +231,13 @@
         world.deliver(event, None);
     }
     world.lose(courier, process);
-    // Its clients have left it; what it would request for them is requested twice in the simulation.
+    // The clients of a lost owner have retried elsewhere, so its forwarder starts empty. The simulation covers
+    // forwarded requests that are duplicated in this way.
     let epoch = world.couriers[courier].epoch;
     world.couriers[courier].forwarder = RequestForwarder::new(&courier_name(courier), epoch);
 }
 
-/// Delivers an event and the reply to it: a loss in between is a case of [`Transition::Lose`].
+/// Delivers an event and the reply to it. [`Transition::Lose`] covers a loss between the two.
 fn deliver_with_reply(world: &mut World, event: &WorldEvent, fault: Option<CallFault>) {
     let event = take_event(world, event);
     let has_reply =
@@ -266,19 +268,19 @@
 /// The result of one exploration.
 pub struct Explored {
     pub states: usize,
-    /// How many paths ended with each verdict.
-    pub ends: BTreeMap<Verdict, usize>,
+    /// The number of paths that ended with each verdict.
+    pub verdict_counts: BTreeMap<Verdict, usize>,
     pub violation: Option<Violation>,
 }
 
-/// A property that did not hold, and the transitions that lead there.
+/// A violated property, and the transitions that lead to the violation.
 #[derive(Debug)]
 pub struct Violation {
     pub property: String,
     pub path: Vec<String>,
 }
 
-/// The transition that leads to each state, and the index of the state before it. State 0 is the first one.
+/// The index of the preceding state and the transition from it, for each state. State 0 is the initial state.
 struct Paths(Vec<(usize, String)>);
 
 impl Paths {
@@ -294,17 +296,17 @@
     }
 }
 
-/// Explores all that can happen, up to the first violation. Panics at more than `most` states.
-pub fn explore(world: World, remaining: Remaining, id: &SettlementId, most: usize) -> Explored {
-    let mut known: HashSet<(u64, u64)> = HashSet::new();
+/// Explores all transitions up to the first violation. Panics if there are more than `max_states` states.
+pub fn explore(world: World, remaining: Remaining, id: &SettlementId, max_states: usize) -> Explored {
+    let mut visited: HashSet<(u64, u64)> = HashSet::new();
     let mut paths = Paths(vec![(0, String::new())]);
     let mut queue = VecDeque::from([(world, remaining, 0)]);
-    let mut ends: BTreeMap<Verdict, usize> = BTreeMap::new();
+    let mut verdict_counts: BTreeMap<Verdict, usize> = BTreeMap::new();
     while let Some((world, remaining, state)) = queue.pop_front() {
         let transitions = enabled_transitions(&world, &remaining);
-        if transitions.is_empty() || (world.is_over() && world.in_flight.is_empty()) {
+        if transitions.is_empty() || (world.has_all_verdicts() && world.in_flight.is_empty()) {
             let verdict = world.observations[id].verdict;
-            verdict.into_iter().for_each(|verdict| *ends.entry(verdict).or_default() += 1);
+            verdict.into_iter().for_each(|verdict| *verdict_counts.entry(verdict).or_default() += 1);
         }
         for transition in transitions {
             let (mut next, mut remaining) = (world.clone(), remaining.clone());
@@ -313,27 +315,30 @@
             if let Some(property) = next.violation.take() {
                 let path = paths.to(state, &transition);
                 let violation = Some(Violation { property, path });
-                return Explored { states: known.len(), ends, violation };
+                return Explored { states: visited.len(), verdict_counts, violation };
             }
-            // Two independent hashes: none of some million states is taken for another.
-            if known.insert((hash_of(&(&next, &remaining)), hash_of(&(1u8, &remaining, &next)))) {
-                assert!(known.len() <= most, "more than {most} states");
+            // Two independent 64-bit hashes make a collision among some million states negligible.
+            if visited.insert((hash_of(&(&next, &remaining)), hash_of(&(1u8, &remaining, &next)))) {
+                assert!(visited.len() <= max_states, "more than {max_states} states");
                 paths.0.push((state, format!("{transition:?}")));
                 queue.push_back((next, remaining, paths.0.len() - 1));
             }
         }
     }
-    Explored { states: known.len(), ends, violation: None }
+    Explored { states: visited.len(), verdict_counts, violation: None }
 }
 
-/// Where nothing more can happen, every settlement is over and every table is empty.
+/// Checks, in a state without any transition, that every settlement has ended and that all tables are empty.
 fn check_end(world: &mut World, remaining: &Remaining, id: &SettlementId) {
     let is_quiet = world.in_flight.is_empty() && remaining.submissions.is_empty();
     if !is_quiet || !enabled_transitions(world, remaining).is_empty() {
         return;
     }
-    if !world.is_over() {
-        world.report_violation(format!("{}: nothing can happen, and it is not over", id.name));
+    if !world.has_all_verdicts() {
+        world.report_violation(format!(
+            "{}: no transition is possible, and a settlement has no verdict",
+            id.name
+        ));
     }
     world.check_quiescent();
 }
--- a/courier/fleet/tests/settlement/incidents.rs
+++ b/courier/fleet/tests/settlement/incidents.rs
@@ -1,26 +1,25 @@
-//! What happens to the couriers of a simulated fleet: losses with their takeovers and returns, drains, and changes of the
-//! settings.
+//! The incidents of a simulated fleet: lost couriers with their takeover and return, drains, and changes of settings.
 
 use crate::simulation::{DESTINATIONS, Simulation, SplitMix64};
-use crate::world::{AFTER, Micros, NEVER, ProcessState, with_linger};
+use crate::world::{Micros, ProcessState, RESUME_AFTER_ANSWER, RESUME_NEVER, with_linger};
 use quillmount_fleet::settlement::{Mode, OwnerInput};
 
-/// Incidents are scheduled up to this time.
+/// The time of the last drawn incident.
 const LAST_INCIDENT: Micros = 25_000_000;
-/// The time from a loss until the lease has expired.
+/// The time from the loss of a courier to the expiry of its lease.
 const LEASE: Micros = 1_000_000;
-/// The least time from a takeover until the courier restarts.
+/// The minimum time from a takeover to the restart of the courier.
 const RESTART_DELAY: Micros = 1_000_000;
 /// The destination whose partner changes its mode.
 const CHANGING_DESTINATION: u64 = 4;
 
 #[derive(Clone, Copy)]
 pub struct ScheduledIncident {
-    pub at: Micros,
+    pub starts_at: Micros,
     pub incident: Incident,
 }
 
-/// What happens to a courier, given by its index, and by its epoch where only that registration is meant.
+/// An incident at a courier, given by its index, and by its epoch if the incident concerns only that registration.
 #[derive(Clone, Copy)]
 pub enum Incident {
     Lose(usize, ProcessState),
@@ -29,17 +28,17 @@
     Restart(usize, u64),
     Drain(usize),
     CancelDrain(usize),
-    /// A partner changes its mode, and one courier learns of it.
+    /// A partner changes its mode, and one courier receives the new setting.
     ChangeMode(usize),
-    /// The budget of connections changes, at all couriers.
+    /// The connection budget changes at all couriers.
     ChangeBudget,
 }
 
-/// Draws the incidents of one fleet; those that follow from a loss are scheduled when it happens.
+/// Draws the incidents of one fleet. Those that result from a loss are scheduled at the loss.
 pub fn schedule_incidents(random: &mut SplitMix64, couriers: usize) -> Vec<ScheduledIncident> {
     let mut incidents = Vec::new();
     for _ in 0..random.below(20) {
-        let (at, courier) = (random.below(LAST_INCIDENT), random.below(couriers as u64) as usize);
+        let (starts_at, courier) = (random.below(LAST_INCIDENT), random.below(couriers as u64) as usize);
         let incident = match random.below(10) {
             0..=2 => Incident::Lose(courier, ProcessState::Dead),
             3 | 4 => Incident::Lose(courier, ProcessState::Paused),
@@ -47,13 +46,13 @@
             8 => Incident::ChangeMode(courier),
             _ => Incident::ChangeBudget,
         };
-        incidents.push(ScheduledIncident { at, incident });
+        incidents.push(ScheduledIncident { starts_at, incident });
     }
     incidents
 }
 
 impl Simulation<'_> {
-    /// Carries out an incident, unless the courier is in no state for it.
+    /// Carries out an incident, unless it does not apply to the current state of the courier.
     pub fn carry_out_incident(&mut self, incident: Incident) {
         let couriers = &self.world.couriers;
         match incident {
@@ -83,11 +82,12 @@
         }
     }
 
-    fn schedule(&mut self, at: Micros, incident: Incident) {
-        self.incidents.push(ScheduledIncident { at, incident });
+    fn schedule(&mut self, starts_at: Micros, incident: Incident) {
+        self.incidents.push(ScheduledIncident { starts_at, incident });
     }
 
-    /// At least one courier stays to take over the others' settlements.
+    /// Loses a courier, unless it is the last one that serves: that one has to take over the settlements of the
+    /// others.
     fn lose(&mut self, index: usize, process: ProcessState) {
         let couriers = &self.world.couriers;
         let serving = couriers.iter().filter(|courier| courier.is_up() && !courier.is_taken_over).count();
@@ -108,17 +108,17 @@
 
     fn drain(&mut self, index: usize) {
         self.totals.drains += 1;
-        let by = self.world.now + 100_000 + self.random.below(2_000_000);
-        self.world.drain(index, by);
+        let graceful_until = self.world.now + 100_000 + self.random.below(2_000_000);
+        self.world.drain(index, graceful_until);
         if self.random.chance_per_mille(500) {
-            let at = by + self.random.below(2_000_000);
-            self.schedule(at, Incident::CancelDrain(index));
+            let starts_at = graceful_until + self.random.below(2_000_000);
+            self.schedule(starts_at, Incident::CancelDrain(index));
         }
     }
 
-    /// What is open keeps its mode.
+    /// Changes the mode of one partner. Open settlements keep their mode.
     fn change_mode(&mut self, index: usize) {
-        let mode = [Mode::Message, NEVER, AFTER][self.random.below(3) as usize];
+        let mode = [Mode::Message, RESUME_NEVER, RESUME_AFTER_ANSWER][self.random.below(3) as usize];
         self.world.modes.insert(CHANGING_DESTINATION, mode);
         self.world.couriers[index].owned.set_mode(CHANGING_DESTINATION, with_linger(mode));
     }
--- a/courier/fleet/tests/settlement/lifecycle.rs
+++ b/courier/fleet/tests/settlement/lifecycle.rs
@@ -5,7 +5,7 @@
 use quillmount_fleet::settlement::{JournalRef, OwnerInput};
 
 impl World {
-    /// The courier's process is killed or paused.
+    /// Kills or pauses the process of a courier.
     pub fn lose(&mut self, index: usize, process: ProcessState) {
         self.couriers[index].process = process;
         if process == ProcessState::Dead {
@@ -20,12 +20,12 @@
         self.resubmit_pending_requests(index);
     }
 
-    /// The lease has expired: the journal is sealed, and the others take over what was there.
+    /// The lease of a courier has expired: its journal is sealed, and the other couriers take over its settlements.
     pub fn take_over(&mut self, index: usize) {
         let journal = self.journal_of(index);
         self.journals.get_mut(&journal).unwrap().is_sealed = true;
         self.couriers[index].is_taken_over = true;
-        // Calls to a courier that has not answered for so long are given up.
+        // Messages to a courier that has not answered for the whole lease time are dropped.
         self.in_flight
             .retain(|in_flight| !matches!(in_flight.event, WorldEvent::Message { to, .. } if to == index));
         let others =
@@ -34,7 +34,7 @@
         self.append(LogEntry::CourierGone { journal, successors });
     }
 
-    /// The courier is back with an empty memory, as a registration of its own.
+    /// Restarts a courier with an empty memory under a new registration.
     pub fn restart(&mut self, index: usize) {
         self.lose(index, ProcessState::Dead);
         if !self.couriers[index].is_taken_over {
@@ -45,11 +45,11 @@
         self.pinned.retain(|(courier, _), _| *courier != index);
     }
 
-    /// The courier gives up its settlements: at boundaries before `by`, afterwards wherever they stand.
-    pub fn drain(&mut self, index: usize, by: Micros) {
+    /// Drains a courier: until `graceful_until` its settlements move only at boundaries, afterwards immediately.
+    pub fn drain(&mut self, index: usize, graceful_until: Micros) {
         let others =
             (0..self.couriers.len()).filter(|other| *other != index && self.couriers[*other].is_up());
         let successors: Vec<JournalRef> = others.map(|other| self.journal_of(other)).collect();
-        self.step_owned(index, OwnerInput::Drain { successors, by });
+        self.step_owned(index, OwnerInput::Drain { successors, graceful_until });
     }
 }
--- a/courier/fleet/tests/settlement/partner.rs
+++ b/courier/fleet/tests/settlement/partner.rs
@@ -1,4 +1,5 @@
-//! The partner of the modelled fleet: it runs calls, keeps sessions, closes idle ones, and records what it saw.
+//! The partner of the modelled fleet. It runs calls, manages sessions, closes idle ones, and records its
+//! observations.
 
 use crate::event::{Call, CallFault, WorldEvent};
 use crate::invariants::SessionKey;
@@ -6,14 +7,14 @@
 use quillmount_fleet::settlement::{Outcome, SettlementId};
 
 impl World {
-    /// A call's first byte leaves, or does not any more; the partner runs it, or does not.
+    /// Carries out a call, unless its send deadline has passed, and sends the answer.
     pub fn call(&mut self, courier: usize, epoch: u64, call: Call, fault: Option<CallFault>) {
-        let (outcome, lost) = self.run_call(courier, epoch, &call, fault);
+        let (outcome, session_lost) = self.run_call(courier, epoch, &call, fault);
         let Call { id, attempt, .. } = call;
-        self.send(WorldEvent::Answer { courier, epoch, id, attempt, outcome, lost });
+        self.send(WorldEvent::Answer { courier, epoch, id, attempt, outcome, session_lost });
     }
 
-    /// Returns the outcome, and whether the session's connection is lost.
+    /// Returns the outcome of the call, and whether the connection of its session is lost.
     fn run_call(
         &mut self,
         courier: usize,
@@ -23,15 +24,15 @@
     ) -> (Outcome, bool) {
         let session = call.session.map(|session| SessionKey { courier, epoch, session });
         let never = Outcome::NeverRan { after: 0 };
-        if self.now >= call.by {
+        if self.now >= call.send_deadline {
             let is_late = self.now >= self.plans[&call.id].deadline;
-            return (if is_late { Outcome::OutOfTime } else { never }, call.opens);
+            return (if is_late { Outcome::OutOfTime } else { never }, call.opens_session);
         }
-        if fault == Some(CallFault::NotReached) && (call.opens || session.is_none()) {
+        if fault == Some(CallFault::NotReached) && (call.opens_session || session.is_none()) {
             return (never, session.is_some());
         }
         if let Some(session) = session
-            && !self.use_session(&call.id, session, call.opens)
+            && !self.use_session(&call.id, session, call.opens_session)
         {
             return (Outcome::MayHaveRun, true);
         }
@@ -51,11 +52,11 @@
         (outcome, is_reset && session.is_some())
     }
 
-    /// Bytes arrive on a session. Returns false if the partner has closed it.
-    fn use_session(&mut self, id: &SettlementId, session: SessionKey, opens: bool) -> bool {
+    /// Records that bytes arrive on a session. Returns false if the partner has closed the session.
+    fn use_session(&mut self, id: &SettlementId, session: SessionKey, opens_session: bool) -> bool {
         let now = self.now;
         let observed = self.observations.get_mut(id).unwrap();
-        if !opens {
+        if !opens_session {
             return observed.sessions.get_mut(&session).map(|last_byte| *last_byte = now).is_some();
         }
         let others: Vec<_> = observed.sessions.keys().filter(|other| **other != session).copied().collect();
@@ -66,16 +67,16 @@
         true
     }
 
-    /// The closing of a session arrives: the partner confirms it, or the session is lost.
+    /// Delivers the closing of a session, which the partner confirms unless the session is lost.
     pub fn close_session(
         &mut self,
         key: SessionKey,
         id: SettlementId,
-        opens: bool,
+        opens_session: bool,
         fault: Option<CallFault>,
     ) {
         let SessionKey { courier, epoch, session } = key;
-        let is_open = self.use_session(&id, key, opens);
+        let is_open = self.use_session(&id, key, opens_session);
         self.observations.get_mut(&id).unwrap().sessions.remove(&key);
         if !is_open || fault.is_some() {
             return self.send(WorldEvent::SessionLost { courier, epoch, id, session });
@@ -84,13 +85,13 @@
         self.send(WorldEvent::CloseConfirmed { courier, epoch, id, session });
     }
 
-    /// When the partner closes the session that is idle longest.
+    /// Returns when the partner closes the session with the longest idle time.
     pub fn partner_wake_at(&self) -> Option<Micros> {
         let last_byte = self.observations.values().flat_map(|observed| observed.sessions.values()).min();
         last_byte.map(|at| at + PARTNER_IDLE)
     }
 
-    /// The partner closes the sessions that were idle for too long.
+    /// Closes the sessions whose idle time has reached [`PARTNER_IDLE`].
     pub fn close_idle_sessions(&mut self) {
         let now = self.now;
         let mut closed = Vec::new();
--- a/courier/fleet/tests/settlement/simulation.rs
+++ b/courier/fleet/tests/settlement/simulation.rs
@@ -1,24 +1,26 @@
-//! Simulation of large cases: a fleet for a minute with its share of settlements. Every fault comes from the seed.
+//! Simulation of large cases: one fleet with its settlements for about a minute. All faults are derived from the
+//! seed.
 
 use crate::cases::settlement;
 use crate::clients::first_ticket;
 use crate::event::{CallFault, InFlight, WorldEvent};
 use crate::incidents::{ScheduledIncident, schedule_incidents};
-use crate::world::{AFTER, Micros, NEVER, World};
+use crate::world::{Micros, RESUME_AFTER_ANSWER, RESUME_NEVER, World};
 use quillmount_fleet::settlement::{Mode, Repeat, SettlementId, Verdict};
 use quillmount_test_support::digest::Counts;
 use std::collections::BTreeMap;
 
-/// Settlements of one simulated fleet.
+/// Number of settlements in one simulated fleet.
 pub const SETTLEMENTS: u64 = 40;
-/// The destinations, and the mode that the partner of each has at first.
-pub const DESTINATIONS: [(u64, Mode); 4] = [(1, Mode::Message), (2, NEVER), (3, AFTER), (4, Mode::Message)];
-/// A message ends so long after its settlement's first submission.
+/// The destinations, with the initial mode of the partner of each.
+pub const DESTINATIONS: [(u64, Mode); 4] =
+    [(1, Mode::Message), (2, RESUME_NEVER), (3, RESUME_AFTER_ANSWER), (4, Mode::Message)];
+/// Time from the first submission of a settlement to the deadline of its messages.
 const MESSAGE_LIFETIME: Micros = 15_000_000;
-/// Every settlement is over by then.
+/// The time by which every settlement must have its verdict.
 const TIME_LIMIT: Micros = 300_000_000;
 
-/// SplitMix64: the same faults each time.
+/// The SplitMix64 generator: a seed always produces the same faults.
 pub struct SplitMix64(pub u64);
 
 impl SplitMix64 {
@@ -34,24 +36,24 @@
         self.next() % limit
     }
 
-    /// True so many times in a thousand.
+    /// Returns true with this probability per thousand.
     pub fn chance_per_mille(&mut self, per_mille: u64) -> bool {
         self.below(1_000) < per_mille
     }
 }
 
-/// What simulated fleets add up to.
+/// The totals over all simulated fleets.
 #[derive(Default)]
 pub struct Totals {
     pub settlements: usize,
-    /// Settlements by the text of their verdict.
+    /// The number of settlements by the text of their verdict.
     pub verdicts: BTreeMap<String, usize>,
     pub losses: usize,
     pub drains: usize,
-    /// The most messages that one owner had pending.
-    pub most_pending: u64,
-    pub most_in_flight: usize,
-    /// What arrived, for the digests.
+    /// The maximum number of pending messages at one owner.
+    pub max_pending: u64,
+    pub max_in_flight: usize,
+    /// Counts of the events that arrived, for the digests.
     pub counts: Counts,
 }
 
@@ -63,14 +65,14 @@
     pub totals: &'a mut Totals,
 }
 
-/// So many fleets, one after the other; each seed has its own faults. Returns the first violation.
+/// Simulates `count` fleets one after the other, each with its own seed. Returns the first violation.
 pub fn simulate_fleets(count: u64) -> (Totals, Option<String>) {
     let mut totals = Totals::default();
     let violation = (0..count).find_map(|seed| simulate(seed, &mut totals));
     (totals, violation)
 }
 
-/// One fleet until all of its settlements are over. Returns the first violation.
+/// Simulates one fleet until all of its settlements have ended. Returns the first violation.
 pub fn simulate(seed: u64, totals: &mut Totals) -> Option<String> {
     let mut random = SplitMix64(seed);
     let couriers = 3 + random.below(3) as usize;
@@ -86,7 +88,7 @@
     simulation.world.violation.map(|violation| format!("seed {seed}: {violation}"))
 }
 
-/// Plans a settlement and the submissions of its messages, perhaps without one of them.
+/// Plans a settlement and the submissions of its messages. One position may be missing.
 fn plan_settlement(world: &mut World, random: &mut SplitMix64, number: u64) {
     let couriers = world.couriers.len() as u64;
     let id = settlement(&format!("s{number}"), 1 + random.below(4));
@@ -100,7 +102,7 @@
     world.plan(&id, total, repeat, start + MESSAGE_LIFETIME);
     let missing = random.chance_per_mille(20).then(|| 1 + random.below(total));
     for position in (1..=total).filter(|position| Some(*position) != missing) {
-        // In order, reversed, or all at once; at any courier, and now and then at two.
+        // The submissions are in order, reversed or concurrent. Each goes to a random courier, and some go to two.
         let offset = match number % 3 {
             0 => position * 100_000,
             1 => (total - position) * 100_000,
@@ -111,7 +113,7 @@
             let ticket = first_ticket((number * 10 + position) * 10 + repetition);
             let request = world.submission(&id, position);
             let event = WorldEvent::Submit { to, ticket, id: id.clone(), request };
-            world.in_flight.push(InFlight { at: start + offset, event });
+            world.in_flight.push(InFlight { arrives_at: start + offset, event });
         }
     }
 }
@@ -120,7 +122,7 @@
     fn run(&mut self) {
         while self.world.violation.is_none() {
             self.schedule_new_events();
-            self.note_maxima();
+            self.update_maxima();
             if !self.take_step() {
                 break;
             }
@@ -128,17 +130,17 @@
             if self.world.now > TIME_LIMIT {
                 let mut settlements = self.world.observations.iter();
                 let open = settlements.find(|(_, observed)| observed.verdict.is_none()).map(|(id, _)| id);
-                let text = format!("not over after {TIME_LIMIT} us: {open:?}");
+                let text = format!("a settlement has no verdict after {TIME_LIMIT} us: {open:?}");
                 self.world.report_violation(text);
             }
         }
     }
 
-    /// Gives new events their time of arrival, or loses or duplicates them.
+    /// Schedules new events; unreliable ones may be lost or duplicated.
     fn schedule_new_events(&mut self) {
         let in_flight = std::mem::take(&mut self.world.in_flight);
         let (scheduled, new): (Vec<_>, Vec<_>) =
-            in_flight.into_iter().partition(|in_flight| in_flight.at > 0);
+            in_flight.into_iter().partition(|in_flight| in_flight.arrives_at > 0);
         self.world.in_flight = scheduled;
         for InFlight { event, .. } in new {
             let is_unreliable = matches!(event, WorldEvent::Message { .. } | WorldEvent::Propose(_));
@@ -150,29 +152,30 @@
                 if self.random.chance_per_mille(10) && !is_write {
                     delay += self.random.below(if is_unreliable { 3_000_000 } else { 400_000 });
                 }
-                self.world.in_flight.push(InFlight { at: self.world.now + delay, event: event.clone() });
+                self.world
+                    .in_flight
+                    .push(InFlight { arrives_at: self.world.now + delay, event: event.clone() });
             }
         }
     }
 
-    fn note_maxima(&mut self) {
+    fn update_maxima(&mut self) {
         let totals = &mut *self.totals;
-        totals.most_in_flight = totals.most_in_flight.max(self.world.in_flight.len());
+        totals.max_in_flight = totals.max_in_flight.max(self.world.in_flight.len());
         let pending = self.world.couriers.iter().map(|courier| courier.owned.counts().messages).max();
-        totals.most_pending = totals.most_pending.max(pending.unwrap_or(0));
+        totals.max_pending = totals.max_pending.max(pending.unwrap_or(0));
     }
 
-    /// Carries out whatever is next: a wake-up, an incident, an arrival, or an entry of the log. Returns false if nothing
-    /// is left to happen.
+    /// Carries out the next wake-up, incident, arrival or entry of the log. Returns false if none of them is left.
     fn take_step(&mut self) -> bool {
         let in_flight = &self.world.in_flight;
         let deliverable = (0..in_flight.len()).filter(|n| self.world.is_deliverable(&in_flight[*n].event));
-        let arrival = deliverable.min_by_key(|n| in_flight[*n].at);
-        let arrival_at = arrival.map(|n| in_flight[n].at);
+        let arrival = deliverable.min_by_key(|n| in_flight[*n].arrives_at);
+        let arrival_at = arrival.map(|n| in_flight[n].arrives_at);
         let incident = (0..self.incidents.len())
-            .min_by_key(|n| self.incidents[*n].at)
-            .filter(|n| arrival_at.is_none_or(|at| self.incidents[*n].at <= at));
-        let first_at = incident.map(|n| self.incidents[n].at).or(arrival_at);
+            .min_by_key(|n| self.incidents[*n].starts_at)
+            .filter(|n| arrival_at.is_none_or(|arrival_at| self.incidents[*n].starts_at <= arrival_at));
+        let first_at = incident.map(|n| self.incidents[n].starts_at).or(arrival_at);
         if let Some(wake_at) = self.world.wake_at()
             && first_at.is_none_or(|first_at| wake_at < first_at)
         {
@@ -181,14 +184,14 @@
             return true;
         }
         if let Some(n) = incident {
-            let ScheduledIncident { at, incident } = self.incidents.swap_remove(n);
-            self.world.now = self.world.now.max(at);
+            let ScheduledIncident { starts_at, incident } = self.incidents.swap_remove(n);
+            self.world.now = self.world.now.max(starts_at);
             self.carry_out_incident(incident);
             return true;
         }
         if let Some(n) = arrival {
-            let InFlight { at, event } = self.world.in_flight.swap_remove(n);
-            self.world.now = self.world.now.max(at);
+            let InFlight { arrives_at, event } = self.world.in_flight.swap_remove(n);
+            self.world.now = self.world.now.max(arrives_at);
             count_arrival(&mut self.totals.counts, self.world.now, &event);
             self.deliver(event);
             return true;
@@ -196,7 +199,7 @@
         self.apply_next_anywhere()
     }
 
-    /// The first courier that is behind applies the next entry of the log. Returns false if none is behind.
+    /// The first courier that has not applied the whole log applies its next entry. Returns false if there is none.
     fn apply_next_anywhere(&mut self) -> bool {
         let entries = self.world.log.len();
         let mut couriers = self.world.couriers.iter();
@@ -219,7 +222,7 @@
         self.world.deliver(event, fault);
     }
 
-    /// Couriers apply what is in the log, each at its own pace.
+    /// Each courier that is behind applies the next entry of the log with a probability of one half.
     fn apply_log_entries(&mut self) {
         for index in 0..self.world.couriers.len() {
             let is_behind = self.world.couriers[index].applied < self.world.log.len();
@@ -233,7 +236,7 @@
         }
     }
 
-    /// Each settlement of which anything arrived is over, and all tables are empty.
+    /// Checks that every settlement that was opened has a verdict, and that all tables are empty.
     fn check_end(&mut self) {
         let world = &mut self.world;
         let is_open =
@@ -266,7 +269,7 @@
     }
 }
 
-/// Counts an event that arrives, with the numbers that belong to it.
+/// Counts an arriving event together with its numbers.
 fn count_arrival(counts: &mut Counts, now: Micros, event: &WorldEvent) {
     let (label, numbers): (&'static str, Vec<u64>) = match event {
         WorldEvent::Submit { to, ticket, .. } => ("submissions", vec![*to as u64, *ticket]),
@@ -280,10 +283,10 @@
         }
         WorldEvent::Fetch { courier, epoch, term, .. } => ("fetches", vec![*courier as u64, *epoch, *term]),
         WorldEvent::Call { courier, epoch, call } => {
-            ("calls", vec![*courier as u64, *epoch, call.position, call.attempt, call.by])
+            ("calls", vec![*courier as u64, *epoch, call.position, call.attempt, call.send_deadline])
         }
-        WorldEvent::Answer { courier, epoch, attempt, lost, .. } => {
-            ("answers", vec![*courier as u64, *epoch, *attempt, u64::from(*lost)])
+        WorldEvent::Answer { courier, epoch, attempt, session_lost, .. } => {
+            ("answers", vec![*courier as u64, *epoch, *attempt, u64::from(*session_lost)])
         }
         WorldEvent::CloseSession { courier, epoch, session, .. } => {
             ("closings", vec![*courier as u64, *epoch, u64::from(*session)])
--- a/courier/fleet/tests/settlement/world.rs
+++ b/courier/fleet/tests/settlement/world.rs
@@ -1,8 +1,8 @@
-//! The modelled fleet: couriers with the fleet's own state machines, a replicated log that each courier applies at its own
-//! pace, journals that can be sealed, a partner that records what ran, and clients that retry.
+//! The modelled fleet: couriers with the state machines of the fleet, a replicated log that each courier applies at
+//! its own speed, journals that can be sealed, a partner that records the calls that ran, and clients that retry.
 //!
-//! [`World::deliver`] carries out one event that is in flight; the exploration and the simulation choose which. What the
-//! partner, the clients and the loss of couriers do is in modules of their own.
+//! [`World::deliver`] carries out one event that is in flight, which the exploration or the simulation has chosen.
+//! The behaviour of the partner, the clients and lost couriers is in separate modules.
 
 use crate::event::{Call, CallFault, InFlight, LogEntry, WorldEvent};
 use crate::invariants::{Observations, SessionKey};
@@ -14,20 +14,20 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A time or a span of the virtual clock, in microseconds.
+/// A time or a duration of the virtual clock, in microseconds.
 pub type Micros = u64;
 
-/// The partner closes a session that is idle for so long.
+/// Idle timeout of sessions at the partner.
 pub const PARTNER_IDLE: Micros = 3_000_000;
-/// A settlement that waits only for more messages is broken after so long.
+/// Idle timeout of a settlement that only waits for further messages.
 const SETTLEMENT_IDLE: Micros = 8_000_000;
 
 /// A partner that accepts no second session for a settlement.
-pub const NEVER: Mode = Mode::Session { resume: Resume::Never, linger: 0 };
+pub const RESUME_NEVER: Mode = Mode::Session { resume: Resume::Never, linger: 0 };
 /// A partner that accepts another session after the last position that was answered.
-pub const AFTER: Mode = Mode::Session { resume: Resume::AfterAnswer, linger: 0 };
+pub const RESUME_AFTER_ANSWER: Mode = Mode::Session { resume: Resume::AfterAnswer, linger: 0 };
 
-/// The mode with the linger time of this world's partner.
+/// Returns the mode with the linger time of the modelled partner.
 pub fn with_linger(mode: Mode) -> Mode {
     match mode {
         Mode::Session { resume, .. } => Mode::Session { resume, linger: linger(PARTNER_IDLE, 0) },
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ProcessState {
     Up,
-    /// It does nothing, and its connections stay.
+    /// The process makes no progress, and its connections stay open.
     Paused,
     Dead,
 }
@@ -49,7 +49,7 @@
     pub process: ProcessState,
     pub epoch: u64,
     pub registry: SettlementRegistry,
-    /// Entries of the log that it has applied.
+    /// The number of log entries that the courier has applied.
     pub applied: usize,
     pub owned: OwnedSettlements,
     pub forwarder: RequestForwarder,
@@ -61,7 +61,7 @@
         self.process == ProcessState::Up
     }
 
-    /// Whether its process stopped or was paused, and its registration has not ended yet.
+    /// Returns whether the process is killed or paused while its registration has not ended.
     pub fn awaits_takeover(&self) -> bool {
         !self.is_up() && !self.is_taken_over
     }
@@ -75,7 +75,7 @@
     pub is_sealed: bool,
 }
 
-/// What is known of a settlement beforehand.
+/// The parameters of a settlement, which are fixed before it starts.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct SettlementPlan {
     pub total: u64,
@@ -95,26 +95,26 @@
 pub struct World {
     pub now: Micros,
     pub log: Vec<LogEntry>,
-    /// The state after all entries of the log, for the checks.
+    /// The replicated state after all entries of the log, for the checks.
     pub agreed: SettlementRegistry,
     pub couriers: Vec<Courier>,
     pub in_flight: Vec<InFlight>,
     pub journals: BTreeMap<JournalRef, Journal>,
     pub plans: BTreeMap<SettlementId, SettlementPlan>,
     pub observations: BTreeMap<SettlementId, Observations>,
-    /// By ticket.
+    /// Requests of clients without an answer, by ticket.
     pub pending_requests: BTreeMap<u64, PendingRequest>,
-    /// The mode of each destination's partner.
+    /// The mode of the partner by destination.
     pub modes: BTreeMap<u64, Mode>,
-    /// Connections that a tenant may have at each destination.
+    /// The number of connections that a tenant may have at each destination.
     pub connection_budget: u32,
-    /// Sessions with a reserved connection, by courier and destination.
+    /// The sessions with a reserved connection by courier and destination.
     pub pinned: BTreeMap<(usize, u64), BTreeSet<(SettlementId, u32)>>,
-    /// The first property that did not hold.
+    /// The first property that was violated.
     pub violation: Option<String>,
 }
 
-/// The name of the courier with this index.
+/// Returns the name of the courier with this index.
 pub fn courier_name(index: usize) -> String {
     format!("c{index}")
 }
@@ -147,9 +147,9 @@
         world
     }
 
-    /// A courier that has just registered, with the agreed state as it is.
+    /// Registers a courier, which starts with the current replicated state.
     pub fn register(&mut self, index: usize, epoch: u64) -> Courier {
-        let limits = SettlementLimits { idle: SETTLEMENT_IDLE, ..SettlementLimits::default() };
+        let limits = SettlementLimits { idle_timeout: SETTLEMENT_IDLE, ..SettlementLimits::default() };
         let mut owned = OwnedSettlements::new(&courier_name(index), epoch, limits);
         self.modes.iter().for_each(|(dest, mode)| owned.set_mode(*dest, with_linger(*mode)));
         for dest in self.modes.keys() {
@@ -169,10 +169,10 @@
     }
 
     pub fn send(&mut self, event: WorldEvent) {
-        self.in_flight.push(InFlight { at: 0, event });
+        self.in_flight.push(InFlight { arrives_at: 0, event });
     }
 
-    /// The journal of a courier's present registration.
+    /// Returns the journal of a courier's current registration.
     pub fn journal_of(&self, index: usize) -> JournalRef {
         JournalRef { courier: courier_name(index), epoch: self.couriers[index].epoch }
     }
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Carries out what an owner wants done.
+    /// Carries out an output of an owner.
     pub fn carry_out(&mut self, courier: usize, output: OwnerOutput) {
         let epoch = self.couriers[courier].epoch;
         match output {
@@ -212,12 +212,12 @@
                 let message = SettlementMessage::Reply { id, request, reply };
                 self.send(WorldEvent::Message { to: courier_index(&to), message, from: courier });
             }
-            OwnerOutput::Send { id, position, attempt, by, session, opens, .. } => {
-                let call = Call { id, position, attempt, by, session, opens };
+            OwnerOutput::Send { id, position, attempt, send_deadline, session, opens_session, .. } => {
+                let call = Call { id, position, attempt, send_deadline, session, opens_session };
                 self.send(WorldEvent::Call { courier, epoch, call });
             }
-            OwnerOutput::Close { id, session, opens } => {
-                self.send(WorldEvent::CloseSession { courier, epoch, id, session, opens });
+            OwnerOutput::Close { id, session, opens_session } => {
+                self.send(WorldEvent::CloseSession { courier, epoch, id, session, opens_session });
             }
             OwnerOutput::Drop { id, session } => {
                 self.send(WorldEvent::DropSession { courier, epoch, id, session });
@@ -240,9 +240,12 @@
         let pinned = self.pinned.entry((courier, id.dest)).or_default();
         pinned.insert((id.clone(), session));
         let count = pinned.len();
-        // A lowered budget is met as sessions end; no connection is reserved until it is.
+        // After a reduction of the budget no connection is reserved until enough sessions have ended.
         if count > (self.connection_budget / 2) as usize {
-            self.report_violation(format!("{count} sessions pinned at {}", courier_name(courier)));
+            self.report_violation(format!(
+                "{count} sessions pinned at {}, above the limit",
+                courier_name(courier)
+            ));
         }
         self.step_owned(courier, OwnerInput::Pinned { id, session });
     }
@@ -251,7 +254,8 @@
         self.couriers[courier].is_up() && self.couriers[courier].epoch == epoch
     }
 
-    /// Whether the event can arrive now: a paused courier neither receives nor sends, and a journal is written in order.
+    /// Returns whether the event can arrive now: a paused courier neither receives nor sends, and the writes to a
+    /// journal arrive in order.
     pub fn is_deliverable(&self, event: &WorldEvent) -> bool {
         let is_paused = event.recipient().is_some_and(|recipient| {
             let courier = &self.couriers[recipient.courier];
@@ -261,7 +265,7 @@
         !is_paused && !self.has_earlier_write(event)
     }
 
-    /// Whether the event is a write to a journal, and an earlier write to the same journal is in flight.
+    /// Returns whether the event is a write while an earlier write to the same journal is in flight.
     fn has_earlier_write(&self, event: &WorldEvent) -> bool {
         let WorldEvent::Write { courier, epoch, seq, .. } = event else { return false };
         self.in_flight.iter().any(|other| match &other.event {
@@ -272,7 +276,7 @@
         })
     }
 
-    /// Carries out an event that arrives. `fault`: what goes wrong with a call or a closing at the partner.
+    /// Carries out an arriving event. `fault` is the fault of a call or a closing at the partner.
     pub fn deliver(&mut self, event: WorldEvent, fault: Option<CallFault>) {
         match event {
             WorldEvent::Submit { to, ticket, id, request } => self.submit(to, ticket, id, request),
@@ -293,16 +297,16 @@
             WorldEvent::Call { courier, epoch, call } if self.is_current(courier, epoch) => {
                 self.call(courier, epoch, call, fault);
             }
-            WorldEvent::Answer { courier, epoch, id, attempt, outcome, lost }
+            WorldEvent::Answer { courier, epoch, id, attempt, outcome, session_lost }
                 if self.is_current(courier, epoch) =>
             {
-                self.step_owned(courier, OwnerInput::Outcome { id, attempt, outcome, lost });
+                self.step_owned(courier, OwnerInput::Outcome { id, attempt, outcome, session_lost });
             }
-            WorldEvent::CloseSession { courier, epoch, id, session, opens }
+            WorldEvent::CloseSession { courier, epoch, id, session, opens_session }
                 if self.is_current(courier, epoch) =>
             {
                 let key = SessionKey { courier, epoch, session };
-                self.close_session(key, id, opens, fault);
+                self.close_session(key, id, opens_session, fault);
             }
             WorldEvent::CloseConfirmed { courier, epoch, id, session } if self.is_current(courier, epoch) => {
                 self.step_owned(courier, OwnerInput::Confirmed { id, session });
@@ -319,7 +323,7 @@
         }
     }
 
-    /// A courier receives a message of another one, or of itself.
+    /// Delivers a message to a courier, which another courier or the same one has sent.
     fn receive(&mut self, to: usize, message: SettlementMessage, from: usize) {
         match message {
             SettlementMessage::Request { id, request } => {
@@ -333,7 +337,7 @@
 
     fn write(&mut self, courier: usize, epoch: u64, seq: u64, records: Vec<SettlementRecord>) {
         let journal = JournalRef { courier: courier_name(courier), epoch };
-        let journal = self.journals.get_mut(&journal).expect("each courier has one");
+        let journal = self.journals.get_mut(&journal).expect("each registered courier has a journal");
         let is_stored = !journal.is_sealed;
         if is_stored {
             journal.records.extend(records);
@@ -341,7 +345,7 @@
         self.send(WorldEvent::Written { courier, epoch, seq, is_stored });
     }
 
-    /// Appends an entry to the log, and checks the verdicts that it leads to.
+    /// Appends an entry to the log, and checks the resulting verdicts.
     pub fn append(&mut self, entry: LogEntry) {
         let events = apply_entry(&mut self.agreed, &entry);
         self.log.push(entry);
@@ -352,7 +356,7 @@
         }
     }
 
-    /// A courier applies the next entry of the log.
+    /// Applies the next entry of the log at a courier.
     pub fn apply_next(&mut self, index: usize) {
         let courier = &mut self.couriers[index];
         let entry = self.log[courier.applied].clone();
@@ -369,14 +373,14 @@
         }
     }
 
-    /// When a courier or the partner acts next without any event.
+    /// Returns the next timeout of a courier or the partner.
     pub fn wake_at(&self) -> Option<Micros> {
         let up = self.couriers.iter().filter(|courier| courier.is_up());
         let wakes = up.flat_map(|courier| [courier.owned.wake_at(), courier.forwarder.wake_at()]).flatten();
         wakes.chain(self.partner_wake_at()).min()
     }
 
-    /// Whoever waits for the present time acts.
+    /// Handles all timeouts that are due at the current time.
     pub fn tick(&mut self) {
         self.close_idle_sessions();
         let now = self.now;
--- a/courier/fleet/tests/settlement_owners.rs
+++ b/courier/fleet/tests/settlement_owners.rs
@@ -84,7 +84,7 @@
         let back = state.epoch_of("x").unwrap();
         for dest in 0..40 {
             let owner = state.settlements.owner(&id(dest)).unwrap();
-            assert_eq!(owner.is_at("x", back), !taken, "{dest}, taken: {taken}");
+            assert_eq!(owner.is_registered_as("x", back), !taken, "{dest}, taken: {taken}");
             assert_eq!(owner.earlier_journals.len(), 1, "{:?}", owner.earlier_journals);
         }
     }
--- a/courier/fleet/tests/stored_forms/settlements.rs
+++ b/courier/fleet/tests/stored_forms/settlements.rs
@@ -30,10 +30,10 @@
     );
     all.push(SettlementRecord::Count { id: id(), total: 300 });
     all.extend([
-        SettlementRecord::Session { id: id(), n: 1 },
-        SettlementRecord::SessionEnded { id: id(), n: 1 },
+        SettlementRecord::Session { id: id(), number: 1 },
+        SettlementRecord::SessionEnded { id: id(), number: 1 },
     ]);
-    all.push(SettlementRecord::Session { id: id(), n: 300 });
+    all.push(SettlementRecord::Session { id: id(), number: 300 });
     let outcomes = [
         Outcome::Delivered,
         Outcome::NeverRan { after: 1_000 },
@@ -42,10 +42,10 @@
         Outcome::OutOfTime,
     ];
     for (position, outcome) in (1..).zip(outcomes) {
-        all.push(SettlementRecord::Released { id: id(), position, at: NOW + position });
+        all.push(SettlementRecord::Released { id: id(), position, released_at: NOW + position });
         all.push(SettlementRecord::Outcome { id: id(), position, outcome });
     }
-    all.push(SettlementRecord::Released { id: id(), position: 6, at: NOW + 6 });
+    all.push(SettlementRecord::Released { id: id(), position: 6, released_at: NOW + 6 });
     let progress = SettlementProgress::read(&id(), &[all.clone()]);
     all.push(SettlementRecord::Snapshot { id: id(), progress: Box::new(progress) });
     all.push(SettlementRecord::Snapshot { id: id(), progress: Box::default() });
@@ -65,10 +65,10 @@
     // What they come to before the copy, in detail.
     let copy = records.iter().position(|record| matches!(record, SettlementRecord::Snapshot { .. })).unwrap();
     let progress = SettlementProgress::read(&id(), &[read[..copy].to_vec()]);
-    assert_eq!((progress.term, progress.total, progress.next), (3, Some(300), 2));
+    assert_eq!((progress.term, progress.total, progress.next_position), (3, Some(300), 2));
     assert_eq!(progress.mode, Some(Mode::Session { resume: Resume::AfterAnswer, linger: 5_000_000 }));
-    assert_eq!((progress.sessions, progress.session, progress.verdict), (300, Some(300), None));
-    assert_eq!((progress.waiting, progress.bytes), (4, 4_000));
+    assert_eq!((progress.session_count, progress.open_session, progress.verdict), (300, Some(300), None));
+    assert_eq!((progress.pending_messages, progress.pending_bytes), (4, 4_000));
     let held = |n: u64| {
         (progress.positions[&n].sent_at, progress.positions[&n].first_attempt, progress.positions[&n].end)
     };
--- a/courier/fleet/tests/stored_forms/state.rs
+++ b/courier/fleet/tests/stored_forms/state.rs
@@ -64,13 +64,19 @@
     }
     for (n, verdict) in (0..).zip(verdicts()) {
         let term = agreed.settlements.owner(&name(n)).unwrap().term;
-        let close = settlement::SettlementCommand::Close { id: name(n), term, verdict, until: NOW + n };
+        let close =
+            settlement::SettlementCommand::Close { id: name(n), term, verdict, retain_until: NOW + n };
         agreed.apply(FleetCommand::Settlement(close));
     }
     let moved = name(10);
     let term = agreed.settlements.owner(&moved).unwrap().term;
-    let to =
-        settlement::SettlementCommand::Move { id: moved, term, to: "c".into(), to_epoch: 3, boundary: true };
+    let to = settlement::SettlementCommand::Move {
+        id: moved,
+        term,
+        to: "c".into(),
+        to_epoch: 3,
+        at_boundary: true,
+    };
     agreed.apply(FleetCommand::Settlement(to));
     // Its book is sealed, and parts of it are at each step of their way.
     agreed.apply(FleetCommand::Deregister { name: "b".into(), epoch: 2 });
--- a/courier/fleet/tests/stored_forms/values.rs
+++ b/courier/fleet/tests/stored_forms/values.rs
@@ -47,7 +47,7 @@
         Cause::Unconfirmed,
         Cause::RecordsLost,
     ];
-    let broken = causes.into_iter().map(|cause| Verdict::Broken { at: 200, cause });
+    let broken = causes.into_iter().map(|cause| Verdict::Broken { break_position: 200, cause });
     [Verdict::Closed { total: 300 }].into_iter().chain(broken).collect()
 }
 
@@ -56,26 +56,31 @@
 }
 
 pub fn errors() -> Vec<SettlementError> {
-    let at = || id().at(200);
+    let at = || id().position_ref(200);
     vec![
-        SettlementError::Field { at: at(), field: "position".into() },
-        SettlementError::Zero(at()),
-        SettlementError::Beyond { at: at(), total: 300 },
-        SettlementError::TwoCounts { at: at(), total: 300, other: 301 },
-        SettlementError::PositionTwice { at: at(), first: "m1".into() },
-        SettlementError::Gap { at: at(), total: 300 },
-        SettlementError::OtherOpen { at: at(), open: "noon".into() },
+        SettlementError::Field { position_ref: at(), field: "position".into() },
+        SettlementError::ZeroPosition(at()),
+        SettlementError::BeyondTotal { position_ref: at(), total: 300 },
+        SettlementError::TotalMismatch { position_ref: at(), total: 300, other_total: 301 },
+        SettlementError::PositionConflict { position_ref: at(), first_id: "m1".into() },
+        SettlementError::MissingPosition { position_ref: at(), total: 300 },
+        SettlementError::OtherOpen { position_ref: at(), open_settlement: "noon".into() },
         SettlementError::NotOpened(at()),
         SettlementError::AfterClosing(PositionRef::default()),
-        SettlementError::TooLong { at: at(), most: 300 },
-        SettlementError::Late(at()),
-        SettlementError::TooManyWaiting { at: at(), waiting: 1, bytes: 300, after: 1_000 },
-        SettlementError::TooManyOpen { at: at(), open: 300, after: 1_000 },
-        SettlementError::Busy { at: at(), pending: 300, after: 1_000 },
+        SettlementError::TooLong { position_ref: at(), max_positions: 300 },
+        SettlementError::DeadlinePassed(at()),
+        SettlementError::TooManyWaiting {
+            position_ref: at(),
+            pending_messages: 1,
+            bytes: 300,
+            retry_after: 1_000,
+        },
+        SettlementError::TooManyOpen { position_ref: at(), open_settlements: 300, retry_after: 1_000 },
+        SettlementError::Busy { position_ref: at(), pending_requests: 300, retry_after: 1_000 },
         SettlementError::StorageFull(at()),
         SettlementError::NoReply(at()),
-        SettlementError::Ended { at: at(), verdict: Verdict::Closed { total: 300 } },
-        SettlementError::NoPinnableConnection { at: at(), budget: 1, least: 300 },
+        SettlementError::Ended { position_ref: at(), verdict: Verdict::Closed { total: 300 } },
+        SettlementError::NoPinnableConnection { position_ref: at(), budget: 1, min_budget: 300 },
     ]
 }
 
@@ -115,11 +120,11 @@
     let verdict = Verdict::Closed { total: 300 };
     vec![
         Open { id: id(), owner: "a".into(), owner_epoch: 300 },
-        Move { id: id(), term: 301, to: "b".into(), to_epoch: 302, boundary: true },
+        Move { id: id(), term: 301, to: "b".into(), to_epoch: 302, at_boundary: true },
         CaughtUp { id: id(), term: 301 },
-        Close { id: id(), term: 301, verdict, until: NOW },
+        Close { id: id(), term: 301, verdict, retain_until: NOW },
         CancelDrain { courier: "a".into(), epoch: 300 },
-        Forget { before: NOW },
+        Forget { retained_before: NOW },
     ]
 }
 
--- a/courier/program/src/fleet/settlements.rs
+++ b/courier/program/src/fleet/settlements.rs
@@ -163,10 +163,10 @@
     pub fn committed(&self, event: SettlementEvent) {
         match &event {
             SettlementEvent::Opened { id, owner, .. } if owner.courier == self.local_name => {
-                tracing::info!(target: LOG_TARGET, "settlement: {} is owned here", id.at(0));
+                tracing::info!(target: LOG_TARGET, "settlement: {} is owned here", id.position_ref(0));
             }
             SettlementEvent::Closed { id, owner, verdict } if owner.courier == self.local_name => {
-                tracing::info!(target: LOG_TARGET, "settlement: {} is {verdict}", id.at(0));
+                tracing::info!(target: LOG_TARGET, "settlement: {} is {verdict}", id.position_ref(0));
             }
             _ => {}
         }
--- a/courier/program/src/fleet/settlements/actions.rs
+++ b/courier/program/src/fleet/settlements/actions.rs
@@ -57,8 +57,8 @@
                 self.state.borrow_mut().fetches.insert(id, PendingFetch { term, journals });
                 self.fetch();
             }
-            OwnerOutput::Send { id, position, message_id, attempt, by, .. } => {
-                self.release(Attempt { id, number: attempt }, position, &message_id, by);
+            OwnerOutput::Send { id, position, message_id, attempt, send_deadline, .. } => {
+                self.release(Attempt { id, number: attempt }, position, &message_id, send_deadline);
             }
             OwnerOutput::End { id, position, message_id, end } => {
                 self.report_end(id, position, &message_id, end)?;
--- a/courier/program/src/fleet/settlements/attempts.rs
+++ b/courier/program/src/fleet/settlements/attempts.rs
@@ -32,7 +32,7 @@
             tracing::error!(
                 target: LOG_TARGET,
                 "settlement: {}: nothing is left of its message",
-                attempt.id.at(position)
+                attempt.id.position_ref(position)
             );
             return self.report_outcome(attempt, Outcome::Failed);
         };
@@ -70,7 +70,7 @@
     }
 
     fn report_outcome(&self, Attempt { id, number }: Attempt, outcome: Outcome) {
-        self.step_owned(OwnerInput::Outcome { id, attempt: number, outcome, lost: false }, None);
+        self.step_owned(OwnerInput::Outcome { id, attempt: number, outcome, session_lost: false }, None);
     }
 
     /// Handles the end of a message in the router.
--- a/courier/program/src/fleet/settlements/intake.rs
+++ b/courier/program/src/fleet/settlements/intake.rs
@@ -33,7 +33,7 @@
         };
         let id = SettlementId { tenant, name: header.settlement, dest: submission.dest };
         let Some(position) = header.position else {
-            let error = SettlementError::Field { at: id.at(0), field: "position".into() };
+            let error = SettlementError::Field { position_ref: id.position_ref(0), field: "position".into() };
             return Some(answer_now(reject(&error)));
         };
         if let Some(intake) = self.courier.refuses(submission) {
@@ -81,9 +81,9 @@
 /// The response to a message that its settlement has rejected.
 fn reject(error: &SettlementError) -> Response<Bytes> {
     let after = match error {
-        SettlementError::TooManyWaiting { after, .. }
-        | SettlementError::TooManyOpen { after, .. }
-        | SettlementError::Busy { after, .. } => Some(*after),
+        SettlementError::TooManyWaiting { retry_after, .. }
+        | SettlementError::TooManyOpen { retry_after, .. }
+        | SettlementError::Busy { retry_after, .. } => Some(*retry_after),
         SettlementError::StorageFull(_) | SettlementError::NoPinnableConnection { .. } => {
             Some(OVERLOAD_RETRY_AFTER)
         }
@@ -92,7 +92,7 @@
     };
     let status = match error {
         _ if after.is_some() => StatusCode::SERVICE_UNAVAILABLE,
-        SettlementError::Ended { .. } | SettlementError::PositionTwice { .. } => StatusCode::CONFLICT,
+        SettlementError::Ended { .. } | SettlementError::PositionConflict { .. } => StatusCode::CONFLICT,
         _ => StatusCode::BAD_REQUEST,
     };
     submission::answer_with(status, &format!("{error}\n"), after)
--- a/courier/program/src/fleet/settlements/takeover.rs
+++ b/courier/program/src/fleet/settlements/takeover.rs
@@ -35,7 +35,7 @@
             tracing::info!(
                 target: LOG_TARGET,
                 "settlement: {} continues here, with {positions} positions",
-                id.at(0)
+                id.position_ref(0)
             );
             self.step_owned(OwnerInput::Fetched { id, term, journals: vec![records] }, None);
         }
