--- a/courier/core/src/counters.rs
+++ b/courier/core/src/counters.rs
@@ -1,10 +1,10 @@
-//! Counts of what was accepted, sent and answered; printed on SIGUSR1 and when the process ends.
+//! Counters of submissions, delivery calls and their results; printed on SIGUSR1 and when the process exits.
 
 use crate::CallEnd;
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident),* $(,)?) => {
-        /// The counters. Encoded by position; their names are printed.
+        /// The counters of a courier. They are encoded by position, and printed under their field names.
         #[derive(Clone, Debug, Default, serde::Serialize, serde::Deserialize)]
         pub struct Counters { $($(#[$doc])* pub $name: u64),* }
 
@@ -19,43 +19,43 @@
 }
 
 counters! {
-    /// Connections of clients.
+    /// Connections accepted from clients.
     connections,
     /// Messages accepted.
     taken_on,
     /// Submissions rejected.
     rejected,
-    /// Submissions that could never be accepted.
+    /// Submissions that can never be accepted, such as those with an unknown class.
     malformed,
-    /// Submissions of a message that was delivered before.
+    /// Submissions of a message that had already been delivered.
     repeated,
-    /// Messages restored from the journal.
+    /// Messages restored from the journal at startup.
     restored,
-    /// Messages adopted from other couriers.
+    /// Messages adopted from the journals of other couriers.
     adopted,
-    /// Delivery calls.
+    /// Delivery calls started.
     calls,
     /// Delivery calls with several messages.
     bundles,
-    /// Messages in delivery calls with several.
+    /// Messages in delivery calls with several messages.
     bundled,
     /// Attempts that delivered their message.
     delivered,
     /// Attempts answered with an error.
     errors,
-    /// Attempts whose answer could not be trusted.
+    /// Attempts whose answer was not valid.
     spoilt,
-    /// Attempts rejected for lack of capacity.
+    /// Attempts rejected for lack of capacity, without a retry delay.
     full,
-    /// Attempts rejected for lack of capacity with advice to wait.
+    /// Attempts rejected for lack of capacity, with a retry delay.
     told_to_wait,
-    /// Attempts for which the endpoint had no slot.
+    /// Attempts for which no call slot of the endpoint was free.
     no_slot,
-    /// Attempts of messages that had ended or had all their attempts.
+    /// Attempts of messages that had already ended or had used up their attempts.
     not_sent,
-    /// Attempts held back before their first byte.
+    /// Attempts that the courier stopped before their first byte was sent.
     held_back,
-    /// Attempts without a connection.
+    /// Attempts for which no connection could be established.
     could_not_connect,
     /// Attempts whose connection was reset.
     resets,
@@ -69,19 +69,19 @@
     undeliverable,
     /// Notices confirmed.
     notices,
-    /// Requests with notices.
+    /// Requests sent to the platform with notices.
     notice_tries,
-    /// Endpoint lists received.
+    /// Endpoint lists received from discovery.
     list_changes,
-    /// Watches on discovery begun.
+    /// Watch requests sent to discovery.
     watches,
     /// Reloads of the settings.
     reloads,
-    /// Streams accepted.
+    /// Streamed messages accepted.
     streams,
-    /// Streams that were cut.
+    /// Streamed messages whose body was not completed.
     streams_cut,
-    /// Bytes of streams.
+    /// Body bytes of streamed messages.
     stream_bytes,
 }
 
@@ -90,7 +90,7 @@
     pub fn count_call(&mut self, end: CallEnd) {
         let counter = match end {
             CallEnd::Delivered => &mut self.delivered,
-            // An answer with an end for each message is counted by those ends.
+            // An answer with a result for each message is counted by those results.
             CallEnd::Each | CallEnd::Error => &mut self.errors,
             CallEnd::Spoilt(_) => &mut self.spoilt,
             CallEnd::Full(0) => &mut self.full,
--- a/courier/core/src/delivery.rs
+++ b/courier/core/src/delivery.rs
@@ -1,4 +1,4 @@
-//! Delivery calls: what is sent to an endpoint, and how it ended.
+//! Delivery calls: the request that is sent to an endpoint, and its result.
 
 use bytes::Bytes;
 use quillmount_policy::{Micros, MsgId, Outcome};
@@ -6,46 +6,46 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Names one attempt to deliver a message.
+/// Identifies one attempt to deliver a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallId {
-    /// The number of the message.
+    /// The number of the message in the journal.
     pub msg: MsgId,
-    /// The number of the attempt, from 0.
+    /// The number of the attempt, counted per message from 0.
     pub attempt: u32,
 }
 
 /// A delivery call: one request to an endpoint with one message or several. Encoded by position when it is handed over.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DeliveryCall {
-    /// The attempt of the first message, which names the call.
+    /// The attempt of the first message, which identifies the call.
     pub call: CallId,
-    /// The number of the endpoint.
+    /// The number of the endpoint in the endpoint list.
     pub endpoint: u32,
-    /// The destination, of which the endpoint is one.
+    /// The id of the destination that the endpoint belongs to.
     pub dest: u64,
-    /// The endpoint's address.
+    /// The network address of the endpoint.
     pub addr: SocketAddr,
     /// The first message.
     pub payload: Arc<MessagePayload>,
-    /// How long the call is waited for, in microseconds: as long as any of its messages is.
+    /// Timeout of the call, in microseconds: the longest timeout of its messages.
     pub timeout: Micros,
-    /// No byte of the call may be sent from this time on.
+    /// Deadline for sending, in Unix microseconds: from this time on no byte of the call may be sent.
     pub send_before: Micros,
-    /// The body is passed on as it arrives, and is not in the payload.
+    /// The body is forwarded while it arrives and is not in the payload.
     pub stream: bool,
-    /// Further messages of the call.
+    /// The messages of the call after the first.
     pub bundled: Vec<BundledMessage>,
-    /// The time left that the call states, in microseconds: that of the message with the least.
+    /// The time left that is stated in the request, in microseconds: the shortest timeout of the call's messages.
     pub time_left: Micros,
 }
 
-/// A further message of a call.
+/// A message of a call after the first.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct BundledMessage {
     /// The attempt of this message.
     pub call: CallId,
-    /// The message.
+    /// The contents that are sent.
     pub payload: Arc<MessagePayload>,
 }
 
@@ -56,55 +56,56 @@
     }
 }
 
-/// The parts of a submission that an endpoint gets, unchanged, and the tenant.
+/// The parts of a submission that are sent to an endpoint unchanged, and the tenant.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MessagePayload {
-    /// The message's id.
+    /// The client's id of the message.
     pub id: String,
     /// The idempotency key, if the message has one.
     pub key: Option<String>,
-    /// The tenant whose connection budget the message may use, where partners share budgets. It is neither sent to
-    /// endpoints nor handed over: in a fleet no process hands over its calls.
+    /// The tenant whose connection budget the message uses, if couriers share budgets. It is neither sent to endpoints
+    /// nor handed over, since in a fleet no process hands over its calls.
     #[serde(skip)]
     pub tenant: Option<Box<str>>,
     /// The body; empty if it is streamed.
     pub body: Bytes,
 }
 
-/// The end of a delivery call, or of one of its messages according to its answer.
+/// The result of a delivery call, or of one of its messages according to the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum CallEnd {
-    /// The message was delivered.
+    /// The endpoint confirmed the delivery.
     Delivered,
-    /// The answer is complete and has an end for each message of the call. No message ends so.
+    /// The answer is complete and has a result for each message of the call. This is never the result of one message.
     Each,
     /// The endpoint answered with an error.
     Error,
-    /// The answer can't be trusted beyond this: the call may have had an effect, and the endpoint asks to wait for so many
-    /// microseconds (0: it does not).
+    /// The answer is not valid, so that the call may have had an effect. The value is the retry delay that the endpoint
+    /// asks for, in microseconds (0: none).
     Spoilt(Micros),
-    /// The endpoint rejected the call for lack of capacity, and asks to wait for so many microseconds (0: it does not).
+    /// The endpoint rejected the call for lack of capacity. The value is the retry delay that it asks for, in
+    /// microseconds (0: none).
     Full(Micros),
-    /// The endpoint had no slot for the call.
+    /// No call slot of the endpoint was free.
     NoSlot,
-    /// The message has had all its attempts; it is still owed an end.
+    /// The message has used up its attempts; it is still owed an end.
     Exhausted,
-    /// The message has ended already; nothing more is owed for it.
+    /// The message has already ended, so that nothing more is owed for it.
     Gone,
-    /// The courier held the call back before its first byte.
+    /// The courier stopped the call before its first byte was sent.
     HeldBack,
-    /// No connection could be established, or none that could be written to.
+    /// No connection could be established, or none accepted a write.
     CouldNotConnect,
     /// The connection was reset after the call may have had an effect.
     Reset,
-    /// The call's time was up.
+    /// The call's timeout passed without an answer.
     TimedOut,
     /// The courier cancelled the call.
     GivenUp,
 }
 
 impl CallEnd {
-    /// How long the endpoint asks to wait, in microseconds; 0: it does not.
+    /// The retry delay that the endpoint asks for, in microseconds; 0: none.
     pub(crate) fn wait(self) -> Micros {
         match self {
             CallEnd::Full(wait) | CallEnd::Spoilt(wait) => wait,
@@ -127,11 +128,12 @@
     }
 }
 
-/// The contents of an answer in addition to the ends of its messages.
+/// The contents of an answer in addition to the results of its messages.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AnswerReport {
-    /// How long the endpoint asks to wait, in microseconds, in addition to the waits in the messages' ends; 0: it does not.
+    /// The retry delay that the answer as a whole asks for, in microseconds, next to those in the results of its
+    /// messages; 0: none.
     pub wait: Micros,
-    /// The destination's load report: names and values, whose meaning is in the settings.
+    /// The load report of the destination: field names and values, whose meaning the settings define.
     pub load: Vec<(String, f64)>,
 }
--- a/courier/core/src/disabled.rs
+++ b/courier/core/src/disabled.rs
@@ -1,13 +1,14 @@
-//! Endpoints that operators have disabled, whatever discovery lists.
+//! Endpoints that operators have disabled, independently of the state that discovery lists.
 
 use quillmount_policy::EndpointState;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// The most endpoints that may be disabled at once: more than a courier's list has, and 90 KB of the journal at most.
-pub const DISABLED_MAX: usize = 512;
-/// The longest id of a disabled endpoint, in bytes; discovery's ids have about ten.
-pub const ID_MAX: usize = 128;
+/// Maximum number of endpoints that may be disabled at once: more than a courier's list has, and at most 90 KB of the
+/// journal.
+pub const MAX_DISABLED: usize = 512;
+/// Maximum length of the id of a disabled endpoint, in bytes; ids from discovery have about ten.
+pub const MAX_ID_LEN: usize = 128;
 
 /// An endpoint could not be disabled or enabled; nothing has changed.
 #[derive(Clone, Debug, thiserror::Error)]
@@ -15,10 +16,10 @@
     /// No endpoint has this id.
     #[error("no endpoint has the id {0:?}")]
     Unknown(String),
-    /// [`DISABLED_MAX`] endpoints are disabled.
-    #[error("{DISABLED_MAX} endpoints are out already")]
+    /// [`MAX_DISABLED`] endpoints are disabled.
+    #[error("{MAX_DISABLED} endpoints are out already")]
     TooMany,
-    /// The record could not be written.
+    /// The record of the change could not be written to the journal.
     #[error("not written: {0}")]
     NotWritten(#[from] crate::journal::error::JournalError),
 }
@@ -35,27 +36,28 @@
         self.ids.contains(id)
     }
 
-    /// Whether no more endpoints may be disabled.
+    /// Whether [`MAX_DISABLED`] endpoints are disabled, so that no more may be.
     pub fn is_full(&self) -> bool {
-        self.ids.len() >= DISABLED_MAX
+        self.ids.len() >= MAX_DISABLED
     }
 
-    /// Disables an endpoint.
+    /// Adds the id of an endpoint that was disabled.
     pub fn insert(&mut self, id: &str) {
         self.ids.insert(id.to_string());
     }
 
-    /// Enables an endpoint.
+    /// Removes the id of an endpoint that was enabled.
     pub fn remove(&mut self, id: &str) {
         self.ids.remove(id);
     }
 
-    /// The ids in order.
+    /// The ids of the disabled endpoints, in lexicographic order.
     pub fn iter(&self) -> impl Iterator<Item = &str> {
         self.ids.iter().map(String::as_str)
     }
 
-    /// The state of an endpoint as the policy is shown it, given its state in the list.
+    /// The endpoint's state for the policy, given its state in the list: a ready endpoint that is disabled counts as
+    /// draining.
     pub fn effective_state(&self, id: &str, listed: EndpointState) -> EndpointState {
         if listed == EndpointState::Ready && self.contains(id) { EndpointState::Draining } else { listed }
     }
--- a/courier/core/src/ended.rs
+++ b/courier/core/src/ended.rs
@@ -1,24 +1,25 @@
-//! The ends of messages that are no longer owed, each remembered under the message's id until its deadline.
+//! The ends of completed messages, each stored under the message's id until the message's deadline, so that a repeated
+//! submission gets the same answer.
 
 use crate::journal::End;
 use quillmount_policy::Micros;
 use std::collections::{HashMap, VecDeque};
 
-/// The most ends that are remembered.
-const REMEMBERED: usize = 4_096;
+/// Maximum number of ends that are remembered; beyond it the oldest is forgotten.
+const MAX_REMEMBERED_ENDS: usize = 4_096;
 
-/// A remembered id.
+/// An entry of [`EndedMessages`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RememberedId<'a> {
-    /// The message's id.
+    /// The client's id of the message.
     pub id: &'a str,
-    /// Its end; `None` if the id was added twice and the end is forgotten already.
+    /// The message's end; `None` if the id was added twice and the end has already been forgotten.
     pub end: Option<End>,
-    /// How long the id is remembered.
+    /// Time until which the id is remembered, in Unix microseconds.
     pub until: Micros,
 }
 
-/// The remembered ends.
+/// The remembered ends, in the order in which they were added.
 #[derive(Clone, Debug, Default)]
 pub struct EndedMessages {
     ends: HashMap<String, End>,
@@ -37,16 +38,16 @@
         self.ends.contains_key(id)
     }
 
-    /// Adds an end.
+    /// Adds an end, which is remembered until the time `until`.
     pub fn remember(&mut self, id: String, end: End, until: Micros) {
         self.ends.insert(id.clone(), end);
         self.order.push_back((id, until));
     }
 
-    /// Forgets the oldest end if its time is up or there are too many; returns its id.
+    /// Removes the oldest end if it has expired or if there are too many, and returns its id.
     pub fn forget(&mut self, now: Micros) -> Option<String> {
         let due = self.order.front().is_some_and(|(_, until)| *until <= now);
-        if !due && self.order.len() <= REMEMBERED {
+        if !due && self.order.len() <= MAX_REMEMBERED_ENDS {
             return None;
         }
         let (id, _) = self.order.pop_front()?;
--- a/courier/core/src/hub.rs
+++ b/courier/core/src/hub.rs
@@ -225,7 +225,7 @@
                 RouterAction::NotWritten(call) => {
                     actions.extend(self.router.call_ended(call, CallEnd::HeldBack, now));
                 }
-                RouterAction::GiveUp(call) => todo.push(DriverAction::Signal(call, AttemptInput::GiveUp)),
+                RouterAction::CancelCall(call) => todo.push(DriverAction::Signal(call, AttemptInput::GiveUp)),
                 RouterAction::Ended(call) => {
                     todo.push(DriverAction::Signal(call, AttemptInput::MessageEnded));
                 }
--- a/courier/core/src/journal/contents.rs
+++ b/courier/core/src/journal/contents.rs
@@ -1,4 +1,4 @@
-//! The state that results from the records of a journal, and the fewest records with the same result.
+//! The state that results from the records of a journal, and the shortest sequence of records that restores it.
 
 use super::frame::Records;
 use super::record::{AcceptedMessage, End, JournalRecord, RepeatEffect, Source};
@@ -8,53 +8,58 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// An attempt of a message that a journal records.
+/// An attempt to deliver a message, as recorded in a journal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PastCall {
-    /// When it began.
+    /// Start of the attempt, in Unix microseconds.
     pub sent: Micros,
-    /// The effect that a repeat of it may have; `None`: an earlier version sent it and did not record that.
+    /// The effect that a repeat of the attempt may have; `None`: the attempt was recorded by an earlier version
+    /// without it.
     pub effect: Option<RepeatEffect>,
-    /// Its outcome proves that it had no effect; `None`: it was in flight when the process ended.
+    /// Whether the outcome proves that the attempt had no effect; `None`: the attempt was in flight when the process
+    /// ended.
     pub never_ran: Option<bool>,
 }
 
 impl PastCall {
-    /// Nothing proves that the attempt had no effect.
+    /// Whether the attempt may have had an effect: its outcome is unknown or does not prove the contrary.
     pub fn may_have_run(&self) -> bool {
         self.never_ran != Some(true)
     }
 }
 
-/// An owed message as a journal records it.
+/// An owed message, as recorded in a journal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JournalEntry {
-    /// The message.
-    pub taken: AcceptedMessage,
-    /// Its attempts, in order.
+    /// The message as it was accepted.
+    pub message: AcceptedMessage,
+    /// The attempts of the message, in the order in which they were recorded.
     pub calls: Vec<PastCall>,
-    /// Its end, if it has one whose notice the platform has yet to confirm.
+    /// The message's end, if the platform has not yet confirmed the notice of it.
     pub end: Option<End>,
-    /// Its body was streamed and is not in the journal.
+    /// Whether the body was streamed; if so, it is not in the journal.
     pub stream: bool,
-    /// The journal that it comes from, if the fleet has not decided yet who owns it.
+    /// The journal that the message was copied from, until the fleet has decided which courier owns it.
     pub source: Option<Source>,
 }
 
 impl JournalEntry {
-    fn new(taken: AcceptedMessage, stream: bool) -> Self {
-        JournalEntry { taken, calls: Vec::new(), end: None, stream, source: None }
+    fn new(message: AcceptedMessage, stream: bool) -> Self {
+        JournalEntry { message, calls: Vec::new(), end: None, stream, source: None }
     }
 
     fn is_from(&self, source: &Source) -> bool {
         self.source.as_ref() == Some(source)
     }
 
-    /// The fewest records that restore the entry.
+    /// The shortest sequence of records that restores the entry.
     pub(super) fn records(self, msg: MsgId) -> impl Iterator<Item = JournalRecord> {
-        let JournalEntry { taken, calls, end, stream, source } = self;
-        let accepted =
-            if stream { JournalRecord::Stream { msg, taken } } else { JournalRecord::Accept { msg, taken } };
+        let JournalEntry { message, calls, end, stream, source } = self;
+        let accepted = if stream {
+            JournalRecord::Stream { msg, message }
+        } else {
+            JournalRecord::Accept { msg, message }
+        };
         let source = source.map(|source| JournalRecord::From { msg, source });
         let calls = calls.into_iter().enumerate().flat_map(move |(n, call)| {
             let PastCall { sent, effect, never_ran } = call;
@@ -71,34 +76,34 @@
     }
 }
 
-/// The end of a message that is no longer owed. Encoded by position when it is handed over.
+/// The end of a message that is no longer owed. It is encoded by position when a process hands over its state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RememberedEnd {
-    /// The message's id.
+    /// The client's id of the message.
     pub id: String,
-    /// How it ended.
+    /// The message's end.
     pub end: End,
-    /// How long the end is remembered: the message's deadline.
+    /// Time until which the end is remembered: the message's deadline.
     pub until: Micros,
 }
 
-/// The contents of a journal: the messages that are owed an end, and the ends that are remembered.
+/// The state that a journal describes: the owed messages, the remembered ends, and what else a restart needs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct JournalContents {
-    /// The owed messages by number.
+    /// The owed messages, by their number.
     pub owed: BTreeMap<MsgId, JournalEntry>,
     /// The ends of messages that are no longer owed, in the order in which they were recorded.
     pub ended: Vec<RememberedEnd>,
     /// The endpoints that operators have disabled.
     pub disabled: DisabledEndpoints,
-    /// The settlements that this courier owns.
+    /// The lines of the settlements that this courier owns.
     pub settlements: Settlements,
-    /// Greater than every message number ever used.
-    pub next: MsgId,
+    /// The number of the next message, greater than all numbers used so far.
+    pub next_message: MsgId,
 }
 
 impl JournalContents {
-    /// The contents of a journal's bytes up to the first torn record, and the length of that part in bytes.
+    /// Reads a journal's bytes up to the first torn record; returns the contents and the length of that part in bytes.
     pub fn read(bytes: &[u8]) -> (JournalContents, usize) {
         let mut contents = JournalContents::default();
         let mut records = Records::new(bytes);
@@ -106,14 +111,14 @@
         (contents, records.offset())
     }
 
-    /// Applies one record. Records that name a message which is not owed change nothing.
+    /// Applies one record. A record about a message that is not owed has no effect.
     pub fn apply(&mut self, record: JournalRecord) {
         if self.settlements.apply(&record) {
             return;
         }
         match record {
-            JournalRecord::Accept { msg, taken } => self.accept(msg, taken, false),
-            JournalRecord::Stream { msg, taken } => self.accept(msg, taken, true),
+            JournalRecord::Accept { msg, message } => self.accept(msg, message, false),
+            JournalRecord::Stream { msg, message } => self.accept(msg, message, true),
             JournalRecord::Attempt { msg, zone: _, sent } => self.add_call(msg, sent, None),
             JournalRecord::Sent { msg, sent, effect } => self.add_call(msg, sent, Some(effect)),
             JournalRecord::Outcome { msg, attempt, never_ran } => {
@@ -148,9 +153,9 @@
         }
     }
 
-    fn accept(&mut self, msg: MsgId, taken: AcceptedMessage, stream: bool) {
-        self.next = self.next.max(msg + 1);
-        self.owed.insert(msg, JournalEntry::new(taken, stream));
+    fn accept(&mut self, msg: MsgId, message: AcceptedMessage, stream: bool) {
+        self.next_message = self.next_message.max(msg + 1);
+        self.owed.insert(msg, JournalEntry::new(message, stream));
     }
 
     fn add_call(&mut self, msg: MsgId, sent: Micros, effect: Option<RepeatEffect>) {
@@ -159,10 +164,10 @@
         }
     }
 
-    /// The message is no longer owed; its end is remembered.
+    /// Moves a message from the owed messages to the remembered ends.
     fn finish(&mut self, msg: MsgId, end: End) {
         if let Some(entry) = self.owed.remove(&msg) {
-            self.ended.push(RememberedEnd { id: entry.taken.id, end, until: entry.taken.deadline });
+            self.ended.push(RememberedEnd { id: entry.message.id, end, until: entry.message.deadline });
         }
     }
 
@@ -175,7 +180,7 @@
         }
     }
 
-    /// The fewest records that restore the contents; expired ends are left out.
+    /// The shortest sequence of records that restores the contents, without expired ends.
     pub(super) fn records(self, now: Micros) -> impl Iterator<Item = JournalRecord> {
         let disabled: Vec<_> =
             self.disabled.iter().map(|id| JournalRecord::Disable { id: id.into() }).collect();
--- a/courier/core/src/journal/frame.rs
+++ b/courier/core/src/journal/frame.rs
@@ -1,4 +1,4 @@
-//! The encoding of records: each is preceded by its length and its checksum.
+//! The encoding of records: each one is preceded by its length and its checksum.
 //!
 //! A frame is the payload's length (4 bytes, little-endian), the payload's CRC-32 (4 bytes, little-endian) and the
 //! payload, a [`JournalRecord`] in postcard. Reading stops at the first frame that is truncated or whose checksum does
@@ -7,13 +7,13 @@
 use super::error::JournalError;
 use super::record::JournalRecord;
 
-/// The length and the checksum before each payload, in bytes.
+/// Size of the length and the checksum before each payload, in bytes.
 const HEADER_LEN: usize = 8;
 
-/// Encodes a record as it stands in a journal.
+/// Encodes a record with its length and checksum, as it is stored in a journal.
 ///
 /// # Errors
-/// The record can't be encoded.
+/// The record can't be encoded in postcard.
 pub fn frame(record: &JournalRecord) -> Result<Vec<u8>, JournalError> {
     let payload = postcard::to_allocvec(record)?;
     let mut frame = Vec::with_capacity(payload.len() + HEADER_LEN);
@@ -23,7 +23,7 @@
     Ok(frame)
 }
 
-/// Encodes several records, one after the other.
+/// Encodes several records as consecutive frames.
 pub(super) fn frames(records: &[JournalRecord]) -> Result<Vec<u8>, JournalError> {
     let mut frames = Vec::new();
     for record in records {
@@ -45,12 +45,12 @@
 }
 
 impl<'a> Records<'a> {
-    /// Starts at the first of these bytes.
+    /// Iterates over the records in these bytes from the start.
     pub fn new(bytes: &'a [u8]) -> Self {
         Records { bytes, offset: 0 }
     }
 
-    /// The offset after the last record read; at the end, the length of the intact part.
+    /// The offset after the last record that was read; at the end of the iteration, the length of the intact part.
     pub(super) fn offset(&self) -> usize {
         self.offset
     }
--- a/courier/core/src/journal/mod.rs
+++ b/courier/core/src/journal/mod.rs
@@ -1,12 +1,13 @@
-//! The journal of owed messages: append-only records in a [`Store`](crate::store::Store) that outlasts the process.
+//! The journal of owed messages: a write-ahead log of records in a [`Store`](crate::store::Store) that survives the
+//! process.
 //!
-//! The router writes a record before it acts accordingly, so that after a crash a new process can continue from
-//! the journal alone. [`JournalRecord`] is the stored form, [`frame`] and [`Records`] are its encoding,
-//! [`JournalContents`] is what a sequence of records amounts to, and [`Journal`] appends records and compacts the store
-//! within a limit on disk space.
+//! The router writes each record before it takes the recorded action, so that after a crash a new process can
+//! continue from the journal alone. [`JournalRecord`] is the stored form, [`frame`] and [`Records`] are its
+//! encoding, [`JournalContents`] is the state that results from a sequence of records, and [`Journal`] appends
+//! records and compacts the store within a limit on disk space.
 //!
 //! Records are encoded with postcard, by position: neither the order of variants and fields nor the type of a field may
-//! change, since a new version reads what an older one has written.
+//! change, since a new version reads the journals of older versions.
 
 mod contents;
 pub mod error;
--- a/courier/core/src/journal/record.rs
+++ b/courier/core/src/journal/record.rs
@@ -1,4 +1,4 @@
-//! The stored form of the journal. All types here are encoded by position: see the [module](super).
+//! The stored form of the journal. All types in this module are encoded by position, see the [parent module](super).
 
 use crate::Ending;
 use bytes::Bytes;
@@ -8,147 +8,149 @@
 /// One record of the journal. All times are Unix time in microseconds, so that they stay valid across a restart.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JournalRecord {
-    /// A message was accepted; from here on it is owed an end.
+    /// A message was accepted. From this record on it is owed an end.
     Accept {
-        /// The number under which later records name the message.
+        /// The number by which later records refer to the message.
         msg: MsgId,
-        /// The message.
-        taken: AcceptedMessage,
+        /// The accepted message with its body.
+        message: AcceptedMessage,
     },
-    /// An attempt, as earlier versions recorded it; now [`JournalRecord::Sent`]. The zone's number has no meaning under
-    /// other settings and is not used.
+    /// An attempt as earlier versions recorded it; replaced by [`JournalRecord::Sent`]. The zone's number has no
+    /// meaning under other settings and is ignored.
     Attempt {
-        /// The message.
+        /// The number of the message.
         msg: MsgId,
-        /// The number of the endpoint's zone under the settings of that time.
+        /// The number of the endpoint's zone under the settings of that process.
         zone: u32,
-        /// When the attempt began.
+        /// Start of the attempt.
         sent: Micros,
     },
-    /// An attempt that was not a delivery has ended.
+    /// An attempt has ended without delivering the message.
     Outcome {
-        /// The message.
+        /// The number of the message.
         msg: MsgId,
         /// The index of the attempt among the message's attempts in the journal, from 0.
         attempt: u32,
-        /// The outcome proves that the attempt had no effect.
+        /// Whether the outcome proves that the attempt had no effect.
         never_ran: bool,
     },
-    /// The message has its end.
+    /// The message has ended.
     End {
-        /// The message.
+        /// The number of the message.
         msg: MsgId,
-        /// The end; any but `Delivered` is owed to the platform as a notice.
+        /// The message's end. All ends except `Delivered` are reported to the platform in a notice.
         end: End,
     },
     /// The platform has confirmed the notice of the message's end.
     Confirmed {
-        /// The message.
+        /// The number of the message.
         msg: MsgId,
     },
-    /// The end of a message that is no longer owed, remembered so that a repeated submission gets the same answer.
+    /// The end of a completed message, stored so that a repeated submission gets the same answer.
     Ended {
-        /// The message's id.
+        /// The client's id of the message.
         id: String,
-        /// Its end.
+        /// The message's end.
         end: End,
-        /// When the end may be forgotten: the message's deadline.
+        /// Time from which the end may be forgotten: the message's deadline.
         until: Micros,
     },
     /// A streamed message was accepted. Its body is not in the journal, so no later process can send it.
     Stream {
-        /// The number under which later records name the message.
+        /// The number by which later records refer to the message.
         msg: MsgId,
-        /// The message, without its body.
-        taken: AcceptedMessage,
+        /// The accepted message, without its body.
+        message: AcceptedMessage,
     },
-    /// Operators have disabled this endpoint.
+    /// An operator has disabled an endpoint.
     Disable {
-        /// The endpoint's id.
+        /// The endpoint's id in discovery.
         id: String,
     },
-    /// Operators have enabled this endpoint.
+    /// An operator has enabled an endpoint.
     Enable {
-        /// The endpoint's id.
+        /// The endpoint's id in discovery.
         id: String,
     },
-    /// The last record of a replica of another courier's journal: its owner writes no more of it.
+    /// The last record of a replica of another courier's journal: the journal's owner can append nothing to it any
+    /// more.
     Sealed,
-    /// The message comes from another courier's journal, and the fleet has not decided yet whether this courier owns it.
+    /// The message was copied from another courier's journal, and the fleet has not yet decided whether this courier
+    /// owns it.
     From {
-        /// The message.
+        /// The number of the message.
         msg: MsgId,
-        /// The journal that it comes from.
+        /// The journal that the message was copied from.
         source: Source,
     },
-    /// The fleet has decided who owns the messages and lines of this source.
+    /// The fleet has decided which courier owns the messages and settlement lines of a source.
     Settled {
-        /// The source.
+        /// The source that the decision applies to.
         source: Source,
-        /// This courier owns it; otherwise it is dropped here.
+        /// Whether this courier owns the source; otherwise its messages and lines are dropped here.
         accepted: bool,
     },
-    /// A line about a settlement of which this courier is the owner.
+    /// A line of a settlement that this courier owns.
     Settlement {
         /// The settlement's id.
-        of: String,
-        /// The line.
+        settlement_id: String,
+        /// The line to add.
         line: SettlementLine,
     },
-    /// All lines about a settlement are obsolete.
+    /// A settlement has ended, so that all of its lines are obsolete.
     SettlementEnded {
         /// The settlement's id.
-        of: String,
+        settlement_id: String,
     },
-    /// An attempt begins; written before its first byte leaves.
+    /// An attempt starts. The record is written before the first byte is sent.
     Sent {
-        /// The message.
+        /// The number of the message.
         msg: MsgId,
-        /// When the attempt began.
+        /// Start of the attempt.
         sent: Micros,
-        /// What a repeat of it may do.
+        /// The effect that a repeat of the attempt may have.
         effect: RepeatEffect,
     },
 }
 
-/// The effect that a repeat of an attempt may have, by the settings under which it was sent: a later process may have others. Zones
-/// are named, since their numbers depend on the settings.
+/// The effect that a repeat of an attempt may have under the settings with which it was sent; a later process may have
+/// other settings. Zones are stored by name, since their numbers depend on the settings.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RepeatEffect {
-    /// The message is idempotent.
+    /// The message is idempotent, so that a repeat has no further effect.
     Safe,
-    /// Repeats are dropped by a key for a while.
+    /// The endpoint drops repeats with the same idempotency key for a limited time.
     Keyed {
-        /// For how long repeats are dropped, in microseconds.
+        /// Time for which repeats are dropped, in microseconds.
         span: Micros,
-        /// Repeats are dropped by the endpoints of this zone only; `None`: by all endpoints.
+        /// The only zone whose endpoints drop repeats; `None`: all endpoints do.
         zone: Option<String>,
     },
     /// A repeat may have a second effect.
     Unsafe,
 }
 
-/// A line about a settlement, as far as the journal interprets it.
+/// A line of a settlement, with the fields that the journal interprets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettlementLine {
-    /// The destination of the settlement.
+    /// The id of the settlement's destination.
     pub dest: u64,
-    /// The line replaces all earlier ones.
+    /// Whether the line replaces all earlier lines of the settlement.
     pub first: bool,
     /// The line in the encoding of the fleet's settlement log.
     pub bytes: Bytes,
-    /// The line comes from another courier's journal, and the fleet has not decided yet who owns it.
+    /// The journal that the line was copied from, until the fleet has decided which courier owns it.
     pub source: Option<Source>,
 }
 
-/// The source of a message: one partition of the journal of a courier that is lost.
+/// The source of a message: one partition of the journal of a failed courier.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Source {
     /// The name of the courier that owned the journal.
     pub owner: String,
     /// The epoch of the owner's registration in its fleet.
     pub epoch: u64,
-    /// The partition.
+    /// The partition's number within the journal.
     pub part: u32,
 }
 
@@ -158,33 +160,33 @@
     }
 }
 
-/// A message as it was accepted.
+/// A message as a courier accepted it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedMessage {
     /// The client's id of the message.
     pub id: String,
-    /// The name of its class.
+    /// The name of the message's class, since class numbers depend on the settings.
     pub class: String,
-    /// Its idempotency key, if it has one.
+    /// The idempotency key, if the message has one.
     pub key: Option<String>,
-    /// Its destination.
+    /// The id of the destination.
     pub dest: u64,
-    /// When its time is up.
+    /// The deadline for the delivery, in Unix microseconds.
     pub deadline: Micros,
-    /// Its body.
+    /// The body; empty if it was streamed.
     pub body: Bytes,
 }
 
-/// How a message ended.
+/// The end of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum End {
-    /// It was delivered.
+    /// The message was delivered.
     Delivered,
-    /// It was not delivered, and may have had an effect.
+    /// The message was not delivered and may have had an effect.
     Undeliverable,
-    /// It had no effect and may be submitted again.
+    /// The message had no effect and may be submitted again.
     Deferred {
-        /// After so long, in microseconds.
+        /// Delay before the next submission, in microseconds; 0: no advice.
         after: Micros,
     },
 }
--- a/courier/core/src/journal/settlements.rs
+++ b/courier/core/src/journal/settlements.rs
@@ -1,31 +1,31 @@
-//! The lines of settlements that a journal holds.
+//! The settlement lines in a journal.
 
 use super::record::{JournalRecord, SettlementLine, Source};
 use std::collections::BTreeMap;
 
-/// The most that the record of a line takes in addition to its variable parts, in bytes.
-const LINE_OVERHEAD: u64 = 48;
-/// The most that a line's source takes in addition to its owner's name, in bytes.
+/// Upper bound of the size of a line's record without its variable parts, in bytes.
+const LINE_RECORD_OVERHEAD: u64 = 48;
+/// Upper bound of the size of a line's source without the owner's name, in bytes.
 const SOURCE_OVERHEAD: usize = 32;
 
-/// The lines of each settlement by its id, in the order in which they were written.
+/// The lines of each settlement by the settlement's id, in the order in which they were written.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Settlements(pub BTreeMap<String, Vec<SettlementLine>>);
 
 impl Settlements {
-    /// Applies a record; true if the record concerns settlements alone.
+    /// Applies a record; returns true if the record affects nothing but settlements.
     pub fn apply(&mut self, record: &JournalRecord) -> bool {
         match record {
-            JournalRecord::Settlement { of, line } => {
-                let lines = self.0.entry(of.clone()).or_default();
+            JournalRecord::Settlement { settlement_id, line } => {
+                let lines = self.0.entry(settlement_id.clone()).or_default();
                 if line.first && line.source.is_none() {
                     lines.retain(|line| line.source.is_some());
                 }
                 lines.push(line.clone());
                 true
             }
-            JournalRecord::SettlementEnded { of } => {
-                self.0.remove(of);
+            JournalRecord::SettlementEnded { settlement_id } => {
+                self.0.remove(settlement_id);
                 true
             }
             JournalRecord::Settled { source, accepted } => {
@@ -45,25 +45,32 @@
         }
     }
 
-    /// The sources of lines whose owner the fleet has not decided yet.
+    /// The sources of lines for which the fleet has not yet decided the owner.
     pub fn unsettled(&self) -> impl Iterator<Item = &Source> {
         self.0.values().flatten().filter_map(|line| line.source.as_ref())
     }
 
     /// The records that restore these lines.
     pub(super) fn records(self) -> impl Iterator<Item = JournalRecord> {
-        self.0.into_iter().flat_map(|(of, lines)| {
-            lines.into_iter().map(move |line| JournalRecord::Settlement { of: of.clone(), line })
+        self.0.into_iter().flat_map(|(settlement_id, lines)| {
+            lines
+                .into_iter()
+                .map(move |line| JournalRecord::Settlement { settlement_id: settlement_id.clone(), line })
         })
     }
 
-    /// The most that the records of all lines take in a journal, in bytes.
-    pub(super) fn encoded_len_max(&self) -> u64 {
-        self.0.iter().flat_map(|(of, lines)| lines.iter().map(move |line| line_len_max(of, line))).sum()
+    /// Upper bound of the size of all lines' records in a journal, in bytes.
+    pub(super) fn max_encoded_len(&self) -> u64 {
+        self.0
+            .iter()
+            .flat_map(|(settlement_id, lines)| {
+                lines.iter().map(move |line| max_line_record_len(settlement_id, line))
+            })
+            .sum()
     }
 }
 
-fn line_len_max(of: &str, line: &SettlementLine) -> u64 {
+fn max_line_record_len(settlement_id: &str, line: &SettlementLine) -> u64 {
     let source = line.source.as_ref().map_or(0, |source| source.owner.len() + SOURCE_OVERHEAD);
-    (of.len() + line.bytes.len() + source) as u64 + LINE_OVERHEAD
+    (settlement_id.len() + line.bytes.len() + source) as u64 + LINE_RECORD_OVERHEAD
 }
--- a/courier/core/src/journal/writer.rs
+++ b/courier/core/src/journal/writer.rs
@@ -1,11 +1,11 @@
-//! Opens a journal, appends to it, and compacts it where its space runs short.
+//! Opens a journal, appends records, and compacts the journal when it approaches its limit on disk space.
 
 use super::contents::{JournalContents, JournalEntry};
 use super::error::JournalError;
 use super::frame::{encoded_len, frame, frames};
 use super::record::{AcceptedMessage, JournalRecord};
 use super::settlements::Settlements;
-use super::space::{BLOCK, RESERVE, SpaceUsage, id_len_max};
+use super::space::{BLOCK_SIZE, RESERVE_PER_MESSAGE, SpaceUsage, max_id_record_len};
 use crate::note::Note;
 use crate::store::Store;
 use quillmount_policy::breaks::{self, Break};
@@ -14,8 +14,7 @@
 
 /// A journal that is open for writing.
 ///
-/// An operation that fails leaves the store as it was. What is to be logged is added to the `notes` that the operations
-/// are given.
+/// A failed operation leaves the store unchanged. Operations append their log records to `notes`.
 #[derive(Clone, Debug)]
 pub struct Journal<S> {
     store: S,
@@ -23,7 +22,8 @@
 }
 
 impl<S: Store> Journal<S> {
-    /// Reads the store up to the first torn record and drops the rest. All files together may take `limit` bytes.
+    /// Reads the store up to the first torn record and drops the rest. All files together may take at most `limit`
+    /// bytes.
     ///
     /// # Errors
     /// The store can't be read, or the compaction that drops a torn record can't be written.
@@ -38,26 +38,26 @@
         contents.ended.retain(|ended| ended.until > now);
         let mut journal = Journal { store, usage: SpaceUsage::new(limit, &contents)? };
         if intact < bytes.len() && !breaks::is_enabled(Break::KeepTornRecord) {
-            notes.push(Note::Torn(bytes.len() - intact));
-            // A record behind a torn one would never be read.
+            notes.push(Note::TornRecord(bytes.len() - intact));
+            // Without the compaction, records appended after the torn one would never be read.
             journal.compact(now, notes)?;
         }
         Ok((journal, contents))
     }
 
-    /// The store below, for exploration and inspection.
+    /// The underlying store, for state-space exploration and inspection.
     pub fn store(&self) -> &S {
         &self.store
     }
 
-    /// The store below, to inject faults into it.
+    /// The underlying store, for fault injection.
     pub fn store_mut(&mut self) -> &mut S {
         &mut self.store
     }
 
-    /// The journal's size on disk in bytes, counted in whole blocks.
+    /// The journal's size on disk in bytes, rounded up to whole blocks.
     pub fn disk(&self) -> u64 {
-        self.store.len().next_multiple_of(BLOCK)
+        self.store.len().next_multiple_of(BLOCK_SIZE)
     }
 
     /// Records that a message was accepted, and reserves space for the records that will follow it.
@@ -67,16 +67,19 @@
     pub fn submit(
         &mut self,
         msg: MsgId,
-        taken: AcceptedMessage,
+        message: AcceptedMessage,
         stream: bool,
         now: Micros,
         notes: &mut Vec<Note>,
     ) -> Result<(), JournalError> {
-        let record =
-            if stream { JournalRecord::Stream { msg, taken } } else { JournalRecord::Accept { msg, taken } };
+        let record = if stream {
+            JournalRecord::Stream { msg, message }
+        } else {
+            JournalRecord::Accept { msg, message }
+        };
         let frame = frame(&record)?;
         let len = frame.len() as u64;
-        if self.usage.exceeds_limit(len + RESERVE) {
+        if self.usage.exceeds_limit(len + RESERVE_PER_MESSAGE) {
             return Err(JournalError::Full);
         }
         self.append(&frame, now, notes)?;
@@ -84,7 +87,7 @@
         Ok(())
     }
 
-    /// Records that operators have disabled or enabled an endpoint.
+    /// Records that an operator has disabled or enabled an endpoint.
     ///
     /// # Errors
     /// The journal is full, or the store refused the record.
@@ -95,7 +98,7 @@
         now: Micros,
         notes: &mut Vec<Note>,
     ) -> Result<(), JournalError> {
-        if is_disabled && self.usage.exceeds_limit(id_len_max(id)) {
+        if is_disabled && self.usage.exceeds_limit(max_id_record_len(id)) {
             return Err(JournalError::Full);
         }
         let record = if is_disabled {
@@ -108,23 +111,24 @@
         Ok(())
     }
 
-    /// Appends records about a settlement in one write; with `may_wait` they are rejected where the journal is full.
+    /// Appends records about a settlement in one write. If `deferrable` is set, they are rejected when the journal
+    /// is full; otherwise they are appended without a check of the limit.
     ///
     /// # Errors
     /// The journal is full, or the store refused the records.
-    pub fn settlement(
+    pub fn append_settlement_records(
         &mut self,
         records: &[JournalRecord],
-        may_wait: bool,
+        deferrable: bool,
         now: Micros,
         notes: &mut Vec<Note>,
     ) -> Result<(), JournalError> {
         let frames = frames(records)?;
         let len = frames.len() as u64;
-        if may_wait && self.usage.exceeds_limit(len + RESERVE) {
-            // Some of the lines that are counted may be obsolete.
+        if deferrable && self.usage.exceeds_limit(len + RESERVE_PER_MESSAGE) {
+            // Some of the lines that count towards the limit may be obsolete; a compaction drops them.
             self.compact(now, notes)?;
-            if self.usage.exceeds_limit(len + RESERVE) {
+            if self.usage.exceeds_limit(len + RESERVE_PER_MESSAGE) {
                 return Err(JournalError::Full);
             }
         }
@@ -146,20 +150,20 @@
         self.append(&frames(records)?, now, notes)
     }
 
-    /// Releases the space of a message that is no longer owed, except for the record of its id and end.
-    pub fn settled(&mut self, msg: MsgId, id: &str) {
+    /// Releases the space reserved for a message that is no longer owed, except for the record of its id and end.
+    pub fn release_owed(&mut self, msg: MsgId, id: &str) {
         self.usage.finish(msg, id);
     }
 
-    /// Releases the space of an ended message's id.
-    pub fn forgotten(&mut self, id: &str) {
+    /// Releases the space of a remembered end that was forgotten.
+    pub fn release_ended(&mut self, id: &str) {
         self.usage.forget(id);
     }
 
-    /// Records entries of another courier's journal under numbers of this one, all of them or none.
+    /// Records entries of another courier's journal under numbers of this journal, either all of them or none.
     ///
-    /// They are written with a compaction instead of being appended: a crash that left a message without its attempts
-    /// would let the next process repeat an attempt that may have had an effect.
+    /// The entries are written by a compaction, which is atomic, instead of being appended: after a crash that stored a
+    /// message without its attempts, the next process would repeat an attempt that may have had an effect.
     ///
     /// # Errors
     /// The journal is full, or the store refused the replacement.
@@ -178,11 +182,12 @@
             }
             lens.push((*msg, len));
         }
-        let more = lens.iter().map(|(_, len)| len + RESERVE).sum::<u64>() + settlements.encoded_len_max();
-        if self.usage.exceeds_limit(more) {
+        let additional = lens.iter().map(|(_, len)| len + RESERVE_PER_MESSAGE).sum::<u64>()
+            + settlements.max_encoded_len();
+        if self.usage.exceeds_limit(additional) {
             return Err(JournalError::Full);
         }
-        if self.usage.needs_compaction(self.store.len(), more) {
+        if self.usage.needs_compaction(self.store.len(), additional) {
             self.compact(now, notes)?;
         }
         self.rewrite(entries, settlements, now, notes)?;
@@ -192,19 +197,19 @@
 
     fn append(&mut self, frame: &[u8], now: Micros, notes: &mut Vec<Note>) -> Result<(), JournalError> {
         let len = frame.len() as u64;
-        // These bytes count in the file and once more in its replacement.
-        if self.usage.needs_compaction(self.store.len(), len + len + RESERVE) {
+        // The bytes count twice: in the current file and in its replacement during the next compaction.
+        if self.usage.needs_compaction(self.store.len(), len + len + RESERVE_PER_MESSAGE) {
             self.compact(now, notes)?;
         }
         self.store.append(frame).map_err(JournalError::io("write"))
     }
 
-    /// Replaces the stored records by the fewest with the same contents.
+    /// Replaces the stored records by the shortest sequence with the same contents.
     fn compact(&mut self, now: Micros, notes: &mut Vec<Note>) -> Result<(), JournalError> {
         self.rewrite(BTreeMap::new(), &Settlements::default(), now, notes)
     }
 
-    /// Compacts, and adds these entries and settlements.
+    /// Compacts the journal and adds these entries and settlements in the same atomic replacement.
     fn rewrite(
         &mut self,
         entries: BTreeMap<MsgId, JournalEntry>,
@@ -215,10 +220,10 @@
         let (mut contents, _) =
             JournalContents::read(&self.store.read().map_err(JournalError::io("read for a copy"))?);
         contents.owed.extend(entries);
-        for (of, lines) in &settlements.0 {
-            contents.settlements.0.entry(of.clone()).or_default().extend(lines.iter().cloned());
+        for (settlement_id, lines) in &settlements.0 {
+            contents.settlements.0.entry(settlement_id.clone()).or_default().extend(lines.iter().cloned());
         }
-        let settlements_len = contents.settlements.encoded_len_max();
+        let settlements_len = contents.settlements.max_encoded_len();
         let mut bytes = Vec::new();
         for record in contents.records(now) {
             bytes.extend(frame(&record)?);
--- a/courier/core/src/lib.rs
+++ b/courier/core/src/lib.rs
@@ -1,10 +1,12 @@
-//! The courier without its transport: which messages are owed an end, and how each reaches it.
+//! The decisions of a courier, without its transport: which messages still need an outcome, and how each gets one.
 //!
-//! [`hub::Hub`] wires the parts together for a driver that moves the bytes, provides the time and writes the log:
-//! [`router::Router`] with the [`journal`] and the policy, the connection [`pool`], and a [`call::Call`] for each delivery
-//! call in flight. The state machines of attempts, connections and the process itself are in [`machine`].
+//! A message is *owed* from its acceptance until its end (delivered, undeliverable or deferred) is reported.
 //!
-//! Nothing here depends on HTTP: another front end can submit the same values and gets the same decisions.
+//! [`hub::Hub`] connects the parts for a driver that performs the I/O, provides the time and writes the log:
+//! [`router::Router`] with the [`journal`] and the policy, the connection [`pool`], and a [`call::Call`] for each
+//! delivery call in flight. The state machines of attempts, connections and the process itself are in [`machine`].
+//!
+//! Nothing here depends on HTTP: another front end that submits the same values gets the same decisions.
 
 pub mod admission;
 pub mod call;
--- a/courier/core/src/note.rs
+++ b/courier/core/src/note.rs
@@ -1,4 +1,4 @@
-//! Log messages of the courier, as values: the driver writes them to the log. `docs/on-call.md` explains each.
+//! Log records of the courier as values, which the driver writes to the log. `docs/on-call.md` explains each.
 
 use crate::journal::error::JournalError;
 use crate::submission::Ending;
@@ -7,98 +7,100 @@
 /// The level at which a message is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Level {
-    /// For debugging.
+    /// Details that are needed for debugging only.
     Debug,
-    /// For the record.
+    /// Normal operation.
     Info,
-    /// Someone should look at it.
+    /// An operator should investigate.
     Warn,
-    /// Someone must act on it.
+    /// An operator must act.
     Error,
 }
 
-/// A message for the log.
+/// A log record; its `Display` output is the line that is logged.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum Note {
     /// A message was accepted.
-    #[error("accepted: {msg} for destination {dest}, class {class}, {time_left} us")]
+    #[error("accepted message {msg} for destination {dest}, class {class}, with {time_left} us left")]
     Accepted {
-        /// Its number.
+        /// The number of the message.
         msg: MsgId,
-        /// Its destination.
+        /// The id of the destination.
         dest: u64,
-        /// The number of its class.
+        /// The number of the message's class under the current settings.
         class: usize,
-        /// How long it may still be delivered.
+        /// Time left for the delivery, in microseconds.
         time_left: Micros,
     },
     /// A message ended without being delivered.
-    #[error("ended: {msg} as {ending:?}")]
+    #[error("message {msg} ended as {ending:?}")]
     Ended {
-        /// Its number.
+        /// The number of the message.
         msg: MsgId,
-        /// Its end.
+        /// The message's end.
         ending: Ending,
     },
-    /// A decision of the policy.
+    /// A decision of the policy, in the policy's own text.
     #[error("{0}")]
     Decided(String),
-    /// So many bytes of a torn record were dropped from the journal.
-    #[error("journal: {0} bytes of a torn record dropped at its end")]
-    Torn(usize),
+    /// A torn record of this many bytes was dropped from the end of the journal.
+    #[error("journal: dropped {0} bytes of a torn record at the end")]
+    TornRecord(usize),
     /// The journal was compacted.
     #[error("journal: compacted from {from} to {to} bytes")]
     Compacted {
-        /// Its length before, in bytes.
+        /// The journal's length before the compaction, in bytes.
         from: u64,
-        /// Its length after, in bytes.
+        /// The journal's length after the compaction, in bytes.
         to: u64,
     },
     /// A record about an owed message could not be written.
     #[error("{0}")]
     NotWritten(JournalError),
-    /// A message was rejected because it could not be written.
-    #[error("rejected for want of room on disk: {0}")]
+    /// A message was rejected because its record could not be written to the journal.
+    #[error("message rejected because it can't be written to the journal: {0}")]
     JournalFull(JournalError),
-    /// A message in the journal has a class that the settings lack, and was ended.
+    /// A message in the journal was ended because the settings lack its class.
     #[error(
-        "journal: message {id:?} has class {class:?}, which the settings lack: it is ended; where the class was \
-         renamed, let the old name stand beside the new one until this folder is empty"
+        "journal: message {id:?} was ended because the settings lack its class {class:?}; if the class was renamed, keep \
+         the old name beside the new one until this folder is empty"
     )]
     UnknownClass {
-        /// The message's id.
+        /// The client's id of the message.
         id: String,
-        /// The name of its class.
+        /// The name of the message's class in the journal.
         class: String,
     },
-    /// A message in the journal may have run under a stricter effect than today's, and was ended.
+    /// A message in the journal was ended because it may have run while its class had a stricter effect than now.
     #[error(
-        "journal: message {id:?} may have run under a stricter effect of its class {class:?} than today's: it is ended \
-         as undeliverable; empty the folder under the old settings before an effect is changed"
+        "journal: message {id:?} was ended as undeliverable because it may have run while its class {class:?} had a \
+         stricter effect than now; before changing an effect, empty the folder under the old settings"
     )]
-    OtherEffect {
-        /// The message's id.
+    EffectChanged {
+        /// The client's id of the message.
         id: String,
-        /// The name of its class.
+        /// The name of the message's class in the journal.
         class: String,
     },
-    /// The clock was set back since an attempt in the journal.
+    /// The clock was set back after an attempt in the journal was recorded.
     #[error(
-        "journal: an attempt is {ahead} us ahead of the clock, which was set back: what may have run is not repeated; let the \
-         clock be set before the courier starts"
+        "journal: an attempt is {ahead} us ahead of the clock, so the clock was set back; attempts that may have run are not \
+         repeated; synchronize the clock before starting the courier"
     )]
-    SetBack {
-        /// By at least this, microseconds.
+    ClockSetBack {
+        /// Minimum amount by which the clock was set back, in microseconds.
         ahead: Micros,
     },
-    /// A message of another courier was not adopted, since its id is known here.
-    #[error("not taken over: {id:?} is open or over here already")]
+    /// A message of another courier was not adopted because its id is already known here.
+    #[error("message {id:?} not adopted: a message with this id is already open or ended here")]
     NotAdopted {
-        /// The message's id.
+        /// The client's id of the message.
         id: String,
     },
-    /// The policy ordered a call for a message or to an endpoint that is not known.
-    #[error("call {attempt} of message {msg} to endpoint {endpoint}: not known")]
+    /// The policy requested a call for an unknown message or to an unknown endpoint.
+    #[error(
+        "attempt {attempt} of message {msg} to endpoint {endpoint} not started: the message or the endpoint is unknown"
+    )]
     UnknownCall {
         /// The number of the message.
         msg: MsgId,
@@ -110,13 +112,13 @@
 }
 
 impl Note {
-    /// The level of the message.
+    /// The level at which the record is logged.
     pub fn level(&self) -> Level {
         match self {
             Note::Accepted { .. } | Note::Ended { .. } => Level::Debug,
             Note::Decided(_) | Note::Compacted { .. } | Note::NotAdopted { .. } => Level::Info,
-            Note::Torn(_) | Note::JournalFull(_) | Note::SetBack { .. } => Level::Warn,
-            Note::NotWritten(_) | Note::UnknownClass { .. } | Note::OtherEffect { .. } => Level::Error,
+            Note::TornRecord(_) | Note::JournalFull(_) | Note::ClockSetBack { .. } => Level::Warn,
+            Note::NotWritten(_) | Note::UnknownClass { .. } | Note::EffectChanged { .. } => Level::Error,
             Note::UnknownCall { .. } => Level::Error,
         }
     }
--- a/courier/core/src/router/action.rs
+++ b/courier/core/src/router/action.rs
@@ -1,71 +1,72 @@
-//! The router's answers to submissions, and the actions for its driver.
+//! The actions that the router requests from its driver, and its answers to submissions.
 
 use super::stream::StreamEnd;
 use crate::note::Note;
 use crate::{CallId, DeliveryCall};
 use quillmount_policy::{Micros, MsgId};
 
-/// What the transport is to do; actions are carried out in the order in which they are returned.
+/// An action for the transport. Actions are executed in the order in which they are returned.
 #[derive(Debug)]
 pub enum RouterAction {
-    /// Begin this delivery call.
+    /// Start this delivery call.
     Call(DeliveryCall),
-    /// The call's record could not be written, so the call must not begin; report it as held back.
+    /// The call's record could not be written, so the call must not start; report it as
+    /// [`CallEnd::HeldBack`](crate::CallEnd::HeldBack).
     NotWritten(CallId),
-    /// Cancel this call.
-    GiveUp(CallId),
-    /// A message of this call has its end: what has not been sent of the call is not to be sent.
+    /// Cancel this delivery call.
+    CancelCall(CallId),
+    /// A message of this call has ended: do not send the part of the call that is still unsent.
     Ended(CallId),
     /// Close the idle connections to this endpoint.
     CloseIdle(u32),
-    /// The endpoint is permanently gone: drop all state of it.
+    /// The endpoint is permanently gone: drop all of its state.
     Forget(u32),
-    /// Calls to an endpoint may start, or may not any more.
+    /// Allow or block new calls to an endpoint.
     Gate {
-        /// The endpoint.
+        /// The number of the endpoint.
         endpoint: u32,
-        /// Calls may start.
+        /// Whether calls may start.
         open: bool,
     },
-    /// No call to an endpoint may start for a while.
+    /// Start no calls to an endpoint during its backoff.
     BackOff {
-        /// The endpoint.
+        /// The number of the endpoint.
         endpoint: u32,
-        /// When calls may start again.
+        /// Time from which calls may start again, in Unix microseconds.
         until: Micros,
     },
-    /// There are notices to send; see [`Router::notices`](super::Router::notices).
+    /// Send the pending notices to the platform; see [`Router::notices`](super::Router::notices).
     Notify,
     /// Send the final answer of a stream on its client's connection, and report through
     /// [`Router::answered`](super::Router::answered) whether the client received it.
     Answer {
-        /// The message.
+        /// The number of the streamed message.
         msg: MsgId,
-        /// How it ended.
+        /// The message's end, as its client is told.
         end: StreamEnd,
     },
-    /// Write this to the log.
+    /// Write this record to the log.
     Note(Note),
 }
 
 /// The answer to a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Intake {
-    /// The message was accepted; it will have an end.
+    /// The message was accepted, and its end will be reported.
     Accepted,
-    /// A message with this id was delivered before.
+    /// A message with this id has already been delivered.
     Delivered,
-    /// The message was not accepted, and can be submitted again without risk.
+    /// The message was not accepted and had no effect, so that it can safely be submitted again.
     Rejected {
-        /// After so long, in microseconds.
+        /// Delay before the next submission, in microseconds.
         after: Micros,
     },
-    /// A message with this id ended before, and may have had an effect.
+    /// A message with this id has already ended without a delivery and may have had an effect.
     Failed,
-    /// A message with this id is still owed its end.
+    /// A message with this id is still being processed.
     Open,
     /// The settings lack the message's class.
     UnknownClass,
-    /// The endpoint list lacks the message's destination.
+    /// The endpoint list contains no endpoint of the message's destination.
     UnknownDest,
 }
--- a/courier/core/src/router/adoption.rs
+++ b/courier/core/src/router/adoption.rs
@@ -1,7 +1,8 @@
-//! Adopting messages from the journal of another courier.
+//! Adoption of messages from the journal of another courier.
 //!
-//! The messages are first written to this courier's journal with their [`Source`]. Until the fleet has decided who owns
-//! the messages of a source, they wait, and no other message may use their ids.
+//! The messages are first written to this courier's journal with their [`Source`]. They are not processed until the
+//! fleet has decided which courier owns the messages of that source, and meanwhile no other message may use their
+//! ids.
 
 use super::{Router, RouterAction};
 use crate::journal::{End, JournalEntry, JournalError, JournalRecord, Settlements, Source};
@@ -11,15 +12,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl<S: Store> Router<S> {
-    /// Adopts the messages and settlement lines of another courier's journal, under numbers of this router; either all of
-    /// them or none.
+    /// Adopts the messages and settlement lines of another courier's journal under numbers of this router, either
+    /// all of them or none.
     ///
-    /// A message whose id is owed or has ended here is left out, with a note for each, so that adopting twice changes
-    /// nothing. The caller is responsible for the times of the attempts: for one that was in flight, the last time at which the
-    /// other courier may have been sending.
+    /// A message whose id is owed or has ended here is skipped with a log record, so that a second adoption has no
+    /// effect. The caller sets the times of the attempts: for an attempt that was in flight, the last time at which
+    /// the other courier may have been sending.
     ///
     /// # Errors
-    /// The journal is full, or its store refused the records: nothing was adopted.
+    /// The journal is full, or its store rejected the records; nothing was adopted.
     pub fn adopt(
         &mut self,
         entries: Vec<JournalEntry>,
@@ -31,18 +32,18 @@
         let mut adopted = BTreeMap::new();
         let mut ids = BTreeSet::new();
         for entry in entries {
-            let id = &entry.taken.id;
+            let id = &entry.message.id;
             let is_known = self.ids.contains_key(id) || self.ended.contains(id);
             if is_known || entry.end == Some(End::Delivered) || !ids.insert(id.clone()) {
                 actions.push(RouterAction::Note(Note::NotAdopted { id: id.clone() }));
                 continue;
             }
-            adopted.insert(self.next + adopted.len() as MsgId, entry);
+            adopted.insert(self.next_message + adopted.len() as MsgId, entry);
         }
         if !adopted.is_empty() || !settlements.0.is_empty() {
             self.journal.adopt(adopted.clone(), settlements, now, &mut self.notes)?;
         }
-        self.next += adopted.len() as MsgId;
+        self.next_message += adopted.len() as MsgId;
         self.counters.adopted += adopted.len() as u64;
         for (msg, entry) in adopted {
             self.restore_or_defer(msg, entry, now, &mut actions);
@@ -51,16 +52,16 @@
         Ok(actions)
     }
 
-    /// The sources whose owner the fleet has not decided yet.
+    /// The sources for which the fleet has not yet decided the owner.
     pub fn unsettled(&self) -> impl Iterator<Item = &Source> {
         self.unsettled.keys()
     }
 
-    /// The fleet has decided whether this courier owns the messages of a source. The decision is written to the journal
-    /// before anything else is done.
+    /// Applies the fleet's decision on whether this courier owns the messages of a source. The decision is written
+    /// to the journal first.
     ///
     /// # Errors
-    /// The store refused the record: the messages go on waiting.
+    /// The store rejected the record; the messages remain unsettled.
     pub fn settle_source(
         &mut self,
         source: &Source,
@@ -74,15 +75,15 @@
             if accepted {
                 self.restore(msg, JournalEntry { source: None, ..entry }, now, &mut actions);
             } else {
-                self.ids.remove(&entry.taken.id);
-                self.journal.settled(msg, "");
+                self.ids.remove(&entry.message.id);
+                self.journal.release_owed(msg, "");
             }
         }
         self.drain_notes(&mut actions);
         Ok(actions)
     }
 
-    /// Continues with a message from the journal, unless it has a source and thus has to wait.
+    /// Restores a message from the journal, or keeps it unsettled if it has a source that the fleet has not decided on.
     pub(super) fn restore_or_defer(
         &mut self,
         msg: MsgId,
@@ -93,7 +94,7 @@
         match &entry.source {
             None => self.restore(msg, entry, now, actions),
             Some(source) => {
-                self.ids.insert(entry.taken.id.clone(), msg);
+                self.ids.insert(entry.message.id.clone(), msg);
                 self.unsettled.entry(source.clone()).or_default().push((msg, entry));
             }
         }
--- a/courier/core/src/router/calls.rs
+++ b/courier/core/src/router/calls.rs
@@ -1,4 +1,4 @@
-//! Beginning delivery calls, and letting messages leave calls that go on for others.
+//! Starting delivery calls, and removing messages from calls that continue for their other messages.
 
 use super::endpoints::KnownEndpoint;
 use super::outstanding::OutstandingMessage;
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The endpoint of a call.
+/// The endpoint to which a call is sent.
 struct CallTarget {
     endpoint: u32,
     addr: SocketAddr,
@@ -27,7 +27,7 @@
     }
 }
 
-/// One message of a call that begins.
+/// One message of a call that is about to start.
 struct CallPart {
     call: CallId,
     payload: Arc<MessagePayload>,
@@ -39,17 +39,17 @@
 }
 
 impl<S: Store> Router<S> {
-    /// The calls that are in flight to an endpoint.
+    /// The calls in flight to an endpoint.
     pub fn calls_at(&self, endpoint: u32) -> impl Iterator<Item = CallId> {
         self.outstanding.at_endpoint(endpoint)
     }
 
-    /// All calls that are in flight, by endpoint.
-    pub fn calls_out(&self) -> Vec<CallId> {
+    /// All calls in flight, ordered by endpoint.
+    pub fn calls_in_flight(&self) -> Vec<CallId> {
         self.outstanding.calls().collect()
     }
 
-    /// Begins a call with these messages, after their attempts are written to the journal.
+    /// Starts a call with these messages after writing their attempts to the journal.
     pub(super) fn call(
         &mut self,
         endpoint: u32,
@@ -59,9 +59,10 @@
     ) {
         let target = self.endpoints.get(endpoint).and_then(|known| CallTarget::new(endpoint, known));
         let parts = self.call_parts(endpoint, items, target.is_some(), actions);
-        let (Some(target), Some(lead)) = (target, parts.first().map(|part| part.call)) else { return };
-        self.add_outstanding(&target, lead, &parts, now);
-        // Without their records the messages must not be sent: after a restart the attempts would count as never made.
+        let (Some(target), Some(lead_call)) = (target, parts.first().map(|part| part.call)) else { return };
+        self.add_outstanding(&target, lead_call, &parts, now);
+        // The messages must not be sent without their records: after a restart the attempts would be unknown, and
+        // messages with an effect could be sent twice.
         let records: Vec<JournalRecord> = parts
             .iter()
             .map(|part| JournalRecord::Sent {
@@ -71,7 +72,7 @@
             })
             .collect();
         if !breaks::is_enabled(Break::AttemptUnwritten) && !self.write_all(&records, now) {
-            return actions.push(RouterAction::NotWritten(lead));
+            return actions.push(RouterAction::NotWritten(lead_call));
         }
         self.number_attempts(&parts);
         self.counters.calls += 1;
@@ -82,11 +83,12 @@
         actions.extend(delivery_call(&target, parts).map(RouterAction::Call));
     }
 
-    /// The messages of a call, the one that is to lead it first.
+    /// The messages of a call, starting with the one that leads it.
     ///
-    /// An endpoint measures a call's time by its first message: an answer after that message's end counts for none of
-    /// them, whatever its contents. So the message with the longest time-out leads, and of those the one with the latest
-    /// deadline: a message with a shorter one may be sent again or ended while the call continues.
+    /// An endpoint measures a call's time by its first message: an answer after the end of that message counts for
+    /// none of the messages, whatever it contains. Therefore the message with the longest timeout leads, and among
+    /// those the one with the latest deadline. A message with a shorter timeout may be retried or ended while the
+    /// call continues.
     fn call_parts(
         &self,
         endpoint: u32,
@@ -117,35 +119,36 @@
         parts
     }
 
-    fn add_outstanding(&mut self, target: &CallTarget, lead: CallId, parts: &[CallPart], now: Micros) {
+    fn add_outstanding(&mut self, target: &CallTarget, lead_call: CallId, parts: &[CallPart], now: Micros) {
         let messages = parts.iter().map(|part| {
             let message = OutstandingMessage {
-                lead,
-                sent: now,
+                lead_call,
+                sent_at: now,
                 endpoint: target.endpoint,
                 dest: target.dest,
-                journaled: None,
-                written: None,
-                until: now.saturating_add(part.timeout),
+                journal_index: None,
+                written_at: None,
+                timeout_at: now.saturating_add(part.timeout),
             };
             (part.call, message)
         });
         self.outstanding.insert_call(target.endpoint, messages.collect());
     }
 
-    /// Numbers attempts as the journal does: the policy counts the attempts that it ordered, and a record that the store
-    /// refused sets the two counts apart.
+    /// Assigns the attempts their indexes in the journal. These differ from the policy's attempt numbers once the
+    /// store has rejected a record, since the policy counts all attempts that it requested.
     fn number_attempts(&mut self, parts: &[CallPart]) {
         for part in parts {
             let owed = self.owed.get_mut(&part.call.msg);
             if let (Some(owed), Some(message)) = (owed, self.outstanding.get_mut(part.call)) {
-                message.journaled = Some(owed.journaled);
-                owed.journaled += 1;
+                message.journal_index = Some(owed.journaled_attempts);
+                owed.journaled_attempts += 1;
             }
         }
     }
 
-    /// The effect that a later process has to assume of an attempt in this zone; the strictest if the settings lack its class.
+    /// The effect that a later process must assume for an attempt in this zone; the strictest one if the settings
+    /// lack the class.
     fn repeat_effect(&self, class: usize, zone: u32) -> RepeatEffect {
         match self.config.effects.get(class) {
             Some(Effect::Idempotent) => RepeatEffect::Safe,
@@ -157,7 +160,8 @@
         }
     }
 
-    /// Removes a message from a call that continues for others. False: the message is the call's last, and stays.
+    /// Removes a message from a call that continues for its other messages. Returns false, without a change, if the
+    /// message is the call's last.
     pub(super) fn detach(
         &mut self,
         item: CallId,
@@ -174,21 +178,21 @@
         true
     }
 
-    /// Removes the messages whose own time-out has passed from calls that continue for others.
+    /// Removes messages whose timeout has passed from calls that continue for their other messages.
     pub(super) fn detach_timed_out(&mut self, now: Micros, actions: &mut Vec<RouterAction>) {
         while let Some(item) = self.outstanding.pop_timed_out(now) {
             if self.config.hedged_requests {
-                // The time of a call's last message is the call's own.
+                // The timeout of a call's last message is that of the call itself.
                 self.detach(item, CallEnd::TimedOut, now, actions);
             } else {
-                // Sent again, the message would be in flight twice.
-                actions.extend(self.outstanding.call_of(item).map(RouterAction::GiveUp));
+                // A retry while the call continues would put the message in flight twice.
+                actions.extend(self.outstanding.call_of(item).map(RouterAction::CancelCall));
             }
         }
     }
 }
 
-/// The call with these messages, of which the first leads. `None`: there are none.
+/// The call with these messages, led by the first; `None` if there are no messages.
 fn delivery_call(target: &CallTarget, parts: Vec<CallPart>) -> Option<DeliveryCall> {
     let timeout = parts.iter().map(|part| part.timeout).max()?;
     let time_left = parts.iter().map(|part| part.timeout).min()?;
--- a/courier/core/src/router/config.rs
+++ b/courier/core/src/router/config.rs
@@ -1,4 +1,4 @@
-//! What the router reads from the settings.
+//! The router's view of the settings.
 
 use super::error::RouterError;
 use quillmount_policy::{Effect, Settings};
@@ -7,85 +7,91 @@
 /// The limits on streamed messages.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StreamLimits {
-    /// Streams that may be open at once.
-    pub most: usize,
-    /// The share of the slots that streams may take; one slot at least.
+    /// Maximum number of streams that are open at the same time.
+    pub max_open: usize,
+    /// The share of the call slots that streams may take, between 0 and 1; at least one slot.
     pub share_of_slots: f64,
-    /// The share of each destination's window that streams may take; a window of one at least.
+    /// The share of each destination's window that streams may take, between 0 and 1; at least a window of one.
     pub share_of_window: f64,
 }
 
-/// The part of the settings that the router itself uses. Classes, kinds and tenants are numbered by their positions.
+/// The settings that the router itself uses. Classes, kinds and tenants are numbered by their positions.
 #[derive(Clone, Debug)]
 pub(super) struct RouterConfig {
-    /// The names of the classes.
+    /// The names of the message classes, by class number.
     pub(super) classes: Vec<String>,
-    /// The effect of a repeat of a message of each class.
+    /// The effect of a repeated delivery, by class number.
     pub(super) effects: Vec<Effect>,
-    /// The names of the kinds of endpoints.
+    /// The names of the endpoint kinds, by kind number.
     pub(super) kinds: Vec<String>,
-    /// For each kind: the endpoints of a destination are separate routes.
+    /// Whether the endpoints of a destination are separate routes, by kind number.
     pub(super) separate_routes: Vec<bool>,
-    /// The names of the tenants.
+    /// The names of the tenants, by tenant number.
     pub(super) tenants: Vec<String>,
-    /// The fields of a load report; empty where answers have none.
+    /// The fields of a load report; empty if answers have no load report.
     pub(super) load_fields: Vec<String>,
-    /// Open messages above which no more are accepted.
-    pub(super) open_cap: usize,
-    /// Streams that may be open at once.
-    pub(super) streams_most: usize,
-    /// A message whose time-out has passed may be sent again while its call continues for the others.
+    /// Number of open messages from which new ones are rejected.
+    pub(super) max_open_messages: usize,
+    /// Maximum number of streams that are open at the same time.
+    pub(super) max_streams: usize,
+    /// Whether a message whose timeout has passed may be retried while its call continues for its other messages.
     pub(super) hedged_requests: bool,
 }
 
-/// The settings in the forms in which they are used.
+/// The settings, decoded for the router and for the policy.
 pub(super) struct DecodedSettings {
-    /// For the router.
+    /// The settings of the router.
     pub(super) config: RouterConfig,
-    /// For the policy.
+    /// The settings of the policy.
     pub(super) policy: Settings,
-    /// The numbers of the zones.
+    /// The names of the zones, by zone number.
     pub(super) zones: NameTable,
 }
 
 impl DecodedSettings {
-    pub(super) fn new(env: &SenderSettings, streams: Option<StreamLimits>) -> Result<Self, RouterError> {
-        let (policy, zones) = decode(env, streams)?;
+    pub(super) fn new(
+        sender_settings: &SenderSettings,
+        streams: Option<StreamLimits>,
+    ) -> Result<Self, RouterError> {
+        let (policy, zones) = decode(sender_settings, streams)?;
         let config = RouterConfig {
-            classes: env.classes.iter().map(|category| category.name.clone()).collect(),
+            classes: sender_settings.classes.iter().map(|category| category.name.clone()).collect(),
             effects: policy.classes.iter().map(|class| class.effect).collect(),
-            kinds: env.kinds.clone(),
-            separate_routes: env.destinations.separate_routes.clone(),
-            tenants: env.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
-            load_fields: match env.load_report.via.as_deref() {
-                Some("answers") => env.load_report.fields.clone(),
+            kinds: sender_settings.kinds.clone(),
+            separate_routes: sender_settings.destinations.separate_routes.clone(),
+            tenants: sender_settings.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
+            load_fields: match sender_settings.load_report.via.as_deref() {
+                Some("answers") => sender_settings.load_report.fields.clone(),
                 _ => Vec::new(),
             },
-            open_cap: policy.max_open_messages as usize,
-            streams_most: streams.map_or(0, |limits| limits.most),
-            hedged_requests: env.limits.hedged_requests.unwrap_or(true),
+            max_open_messages: policy.max_open_messages as usize,
+            max_streams: streams.map_or(0, |limits| limits.max_open),
+            hedged_requests: sender_settings.limits.hedged_requests.unwrap_or(true),
         };
         Ok(DecodedSettings { config, policy, zones })
     }
 
-    /// Extends the policy's table for so many messages that are owed already.
+    /// Extends the policy's table for messages that are already owed.
     ///
-    /// Where these alone exceed the policy's share of the table, it would shed some before trying them. New messages are
-    /// accepted up to `open_cap` as before.
-    pub(super) fn with_owed(mut self, owed: usize) -> Self {
-        // The policy sheds load above nine tenths.
+    /// If these alone exceeded the level at which the policy sheds load, it would drop some of them before the first
+    /// attempt. New messages are still accepted only up to `max_open_messages`.
+    pub(super) fn with_capacity_for(mut self, owed: usize) -> Self {
+        // The policy sheds load above nine tenths of the table.
         let capacity = u32::try_from(owed + owed / 8 + 2).unwrap_or(u32::MAX);
-        if owed > self.config.open_cap / 10 * 9 {
+        if owed > self.config.max_open_messages / 10 * 9 {
             self.policy.max_open_messages = self.policy.max_open_messages.max(capacity);
         }
         self
     }
 }
 
-/// The policy's settings and the numbers of the zones.
-fn decode(env: &SenderSettings, streams: Option<StreamLimits>) -> Result<(Settings, NameTable), RouterError> {
+/// Decodes the policy's settings and numbers the zones.
+fn decode(
+    sender_settings: &SenderSettings,
+    streams: Option<StreamLimits>,
+) -> Result<(Settings, NameTable), RouterError> {
     let mut zones = NameTable::default();
-    let mut settings: Settings = decode_settings(env, &mut zones)?;
+    let mut settings: Settings = decode_settings(sender_settings, &mut zones)?;
     if let Some(limits) = streams {
         let slots = (limits.share_of_slots * f64::from(settings.slots)) as u32;
         settings.stream_slots = slots.max(1);
@@ -94,21 +100,33 @@
     Ok((settings, zones))
 }
 
-/// Identifies settings: the numbers in a state stand for other names under other settings.
+/// A checksum that identifies settings. Under settings with another fingerprint the numbers in a
+/// [`RouterState`](super::RouterState) may refer to other names.
 ///
 /// # Errors
 /// The settings can't be decoded.
-pub fn settings_fingerprint(env: &SenderSettings, streams: Option<StreamLimits>) -> Result<u32, RouterError> {
-    let (settings, _) = decode(env, streams)?;
-    let classes: Vec<_> = env.classes.iter().map(|c| &c.name).collect();
-    let tenants: Vec<_> = env.tenants.iter().map(|t| &t.name).collect();
-    let names = format!("{classes:?} {:?} {tenants:?} {:?} {:?}", env.kinds, env.zone, env.zones);
-    Ok(crc32fast::hash(format!("{} {names} {}", settings.mark_text(), streams_text(streams)).as_bytes()))
+pub fn settings_fingerprint(
+    sender_settings: &SenderSettings,
+    streams: Option<StreamLimits>,
+) -> Result<u32, RouterError> {
+    let (settings, _) = decode(sender_settings, streams)?;
+    let classes: Vec<_> = sender_settings.classes.iter().map(|class| &class.name).collect();
+    let tenants: Vec<_> = sender_settings.tenants.iter().map(|tenant| &tenant.name).collect();
+    let names = format!(
+        "{classes:?} {:?} {tenants:?} {:?} {:?}",
+        sender_settings.kinds, sender_settings.zone, sender_settings.zones
+    );
+    Ok(crc32fast::hash(
+        format!("{} {names} {}", settings.mark_text(), stream_limits_text(streams)).as_bytes(),
+    ))
 }
 
-/// The limits of streams in the same stable form as [`Settings::mark_text`]: its names never follow a rename.
-fn streams_text(streams: Option<StreamLimits>) -> String {
+/// The limits of streams in the same stable form as [`Settings::mark_text`]. The names in it are part of the
+/// fingerprint, so they do not change when fields are renamed.
+fn stream_limits_text(streams: Option<StreamLimits>) -> String {
     let Some(limits) = streams else { return "None".into() };
-    let (most, slots, window) = (limits.most, limits.share_of_slots, limits.share_of_window);
-    format!("Some(StreamLimits {{ most: {most:?}, part_of_slots: {slots:?}, part_of_window: {window:?} }})")
+    let (max_open, slots, window) = (limits.max_open, limits.share_of_slots, limits.share_of_window);
+    format!(
+        "Some(StreamLimits {{ most: {max_open:?}, part_of_slots: {slots:?}, part_of_window: {window:?} }})"
+    )
 }
--- a/courier/core/src/router/discovery.rs
+++ b/courier/core/src/router/discovery.rs
@@ -1,14 +1,14 @@
-//! The endpoints as discovery lists them, and those that operators disable.
+//! Updates of the endpoints by discovery and by operators.
 
 use super::endpoints::{KnownEndpoint, UNKNOWN_KIND, intern};
 use super::{Router, RouterAction};
-use crate::disabled::{DisableError, DisabledEndpoints, ID_MAX};
+use crate::disabled::{DisableError, DisabledEndpoints, MAX_ID_LEN};
 use crate::store::Store;
 use crate::{EndpointList, EndpointListing};
 use quillmount_policy::{EndpointEntry, EndpointState, ListUpdate, Micros};
 
 impl<S: Store> Router<S> {
-    /// Discovery has sent a list of endpoints. Those that a full list lacks are gone.
+    /// Applies an endpoint list from discovery. Endpoints that a full list lacks are gone.
     pub fn list(&mut self, list: EndpointList, now: Micros) -> Vec<RouterAction> {
         let mut actions = Vec::new();
         self.version = list.version;
@@ -33,15 +33,17 @@
         actions
     }
 
-    /// Operators disable an endpoint: no new calls go there, whatever discovery lists, until they enable it.
+    /// Disables an endpoint on behalf of an operator: no new calls are sent to it, whatever discovery lists, until an
+    /// operator enables it.
     ///
     /// # Errors
-    /// No endpoint has the id, too many are disabled, or the record could not be written: nothing has changed.
+    /// No endpoint has the id, too many endpoints are disabled, or the record could not be written; nothing has
+    /// changed.
     pub fn disable(&mut self, id: &str, now: Micros) -> Result<Vec<RouterAction>, DisableError> {
         if self.disabled.contains(id) {
             return Ok(Vec::new());
         }
-        if !self.endpoints.knows(id) || id.len() > ID_MAX {
+        if !self.endpoints.is_known(id) || id.len() > MAX_ID_LEN {
             return Err(DisableError::Unknown(id.into()));
         }
         if self.disabled.is_full() {
@@ -52,13 +54,14 @@
         Ok(self.update_endpoint(id, false, now))
     }
 
-    /// Operators enable an endpoint. It begins with slow start, however often it was disabled.
+    /// Enables an endpoint on behalf of an operator. The endpoint begins with slow start, however often it was
+    /// disabled.
     ///
     /// # Errors
-    /// No endpoint has the id, or the record could not be written: nothing has changed.
+    /// No endpoint has the id, or the record could not be written; nothing has changed.
     pub fn enable(&mut self, id: &str, now: Micros) -> Result<Vec<RouterAction>, DisableError> {
         if !self.disabled.contains(id) {
-            let is_known = self.endpoints.knows(id);
+            let is_known = self.endpoints.is_known(id);
             return if is_known { Ok(Vec::new()) } else { Err(DisableError::Unknown(id.into())) };
         }
         self.journal.set_disabled(id, false, now, &mut self.notes)?;
@@ -71,17 +74,17 @@
         &self.disabled
     }
 
-    /// The version of the endpoint list.
+    /// The version of the latest endpoint list.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// An endpoint's id; empty if the endpoint was forgotten.
+    /// The id of an endpoint; empty if the endpoint was removed after it was gone.
     pub fn endpoint_name(&self, endpoint: u32) -> &str {
         self.endpoints.id(endpoint)
     }
 
-    /// Records an endpoint's line of a list. A line without an address leaves the known one.
+    /// Adds an endpoint's line of a list to the table. A line without an address keeps the known address.
     fn add_listing(&mut self, listing: &EndpointListing, now: Micros) {
         let number = self.endpoints.intern(&listing.id);
         let zone = intern(&mut self.zones, &listing.zone) as u32;
@@ -94,19 +97,20 @@
             kind,
             weight: listing.weight,
             state: listing.state,
-            gone: (listing.state == EndpointState::Gone).then_some(now),
+            gone_since: (listing.state == EndpointState::Gone).then_some(now),
         };
         self.endpoints.insert(number, endpoint);
     }
 
-    /// An endpoint as the policy is shown it; `returning`: it was disabled until now, and may have been restarted.
+    /// An endpoint in the form that the policy uses. `returning`: the endpoint was disabled until now and may have been
+    /// restarted.
     fn effective_entry(&self, id: &str, returning: bool) -> Option<EndpointEntry> {
         let (endpoint, &KnownEndpoint { dest, zone, kind, weight, state, .. }) = self.endpoints.find(id)?;
         let state = self.disabled.effective_state(id, state);
         Some(EndpointEntry { endpoint, dest, kind, zone, weight, state, returning })
     }
 
-    /// Shows an endpoint to the policy after it was disabled or enabled.
+    /// Updates the policy after an endpoint was disabled or enabled.
     fn update_endpoint(&mut self, id: &str, returning: bool, now: Micros) -> Vec<RouterAction> {
         let mut actions = Vec::new();
         if let Some(entry) = self.effective_entry(id, returning) {
@@ -118,7 +122,7 @@
         actions
     }
 
-    /// Forgets endpoints that have been gone for long; otherwise the tables would grow with every endpoint ever listed.
+    /// Removes endpoints that have been gone for long; otherwise the tables would grow with every endpoint ever listed.
     fn forget_endpoints(&mut self, now: Micros, actions: &mut Vec<RouterAction>) {
         let expired = self.endpoints.expired(now);
         let mut forgotten: Vec<u32> = expired.filter(|n| self.calls_at(*n).next().is_none()).collect();
@@ -129,7 +133,7 @@
         }
     }
 
-    /// A text of the policy for the log, with the endpoint's id in place of its number.
+    /// Replaces the endpoint's number by its id in a log text of the policy.
     pub(super) fn with_endpoint_id(&self, text: &str) -> String {
         let endpoint = text.strip_prefix("endpoint ").and_then(|rest| rest.split_once(':'));
         match endpoint.and_then(|(number, rest)| Some((number.parse().ok()?, rest))) {
@@ -139,7 +143,7 @@
     }
 }
 
-/// Calls may start to an endpoint that the policy is shown as ready.
+/// Allows calls to an endpoint that is ready for the policy, and blocks them otherwise.
 fn gate(entry: &EndpointEntry) -> RouterAction {
     RouterAction::Gate { endpoint: entry.endpoint, open: entry.state == EndpointState::Ready }
 }
--- a/courier/core/src/router/endpoints.rs
+++ b/courier/core/src/router/endpoints.rs
@@ -1,4 +1,4 @@
-//! The table of endpoints that discovery has listed.
+//! The table of the endpoints that discovery has listed.
 
 use quillmount_policy::{EndpointState, Micros};
 use quillmount_settings::NameTable;
@@ -7,14 +7,14 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// An endpoint that is gone is forgotten after this many microseconds, if no call is in flight there: it may return
-/// under its id, and its destination may have a new one by then.
+/// Time in microseconds after which an endpoint that is gone is removed from the table, if no call to it is in flight.
+/// Within this time it may return under its id, or its destination may get a new endpoint.
 const FORGET_GONE_AFTER: Micros = 20_000_000;
 
-/// The number of a kind that the settings lack.
+/// The kind number of an endpoint whose kind the settings lack.
 pub(super) const UNKNOWN_KIND: usize = usize::MAX;
 
-/// An endpoint as discovery lists it. Encoded by position in a [`RouterState`](super::RouterState).
+/// An endpoint as discovery lists it. It is encoded by position in a [`RouterState`](super::RouterState).
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct KnownEndpoint {
     pub(super) addr: Option<SocketAddr>,
@@ -23,42 +23,42 @@
     /// [`UNKNOWN_KIND`] if the settings lack it.
     pub(super) kind: usize,
     pub(super) weight: f64,
-    /// As discovery lists it, whether it is disabled or not.
+    /// The state that discovery lists, regardless of whether the endpoint is disabled.
     pub(super) state: EndpointState,
-    /// When it was removed from the list, if it was.
-    pub(super) gone: Option<Micros>,
+    /// Time at which the endpoint left the list; `None` if it is listed.
+    pub(super) gone_since: Option<Micros>,
 }
 
-/// The number of a name, a new one if the name is new. A known name copies nothing, since tables are shared between
-/// clones of a router.
+/// Returns the number of a name, and assigns one if the name is new. The table, which clones of a router share, is
+/// copied only for a new name.
 pub(super) fn intern(names: &mut Arc<NameTable>, name: &str) -> u64 {
     names.get(name).unwrap_or_else(|| Arc::make_mut(names).intern(name))
 }
 
-/// The endpoints by number.
+/// The endpoints by number, with indexes by destination and by time of removal.
 #[derive(Clone, Debug, Default)]
 pub(super) struct EndpointTable {
     pub(super) names: Arc<NameTable>,
     pub(super) endpoints: BTreeMap<u32, KnownEndpoint>,
-    /// The endpoints of each destination.
+    /// The numbers of the endpoints of each destination.
     pub(super) by_dest: BTreeMap<u64, BTreeSet<u32>>,
-    /// The endpoints that are gone, by the time at which they left the list.
+    /// The endpoints that are gone, ordered by the time at which they left the list.
     pub(super) gone_since: BTreeSet<(Micros, u32)>,
 }
 
 impl EndpointTable {
-    /// The number of an endpoint's id, a new one if the id is new.
+    /// Returns the number of an endpoint's id, and assigns one if the id is new.
     pub(super) fn intern(&mut self, id: &str) -> u32 {
         intern(&mut self.names, id) as u32
     }
 
-    /// An endpoint's id; empty if it was forgotten.
+    /// The id of an endpoint; empty if the endpoint was removed from the table.
     pub(super) fn id(&self, number: u32) -> &str {
         self.names.resolve(u64::from(number))
     }
 
-    /// Whether an endpoint with this id was listed and not forgotten since.
-    pub(super) fn knows(&self, id: &str) -> bool {
+    /// Whether an endpoint with this id was listed and has not been removed since.
+    pub(super) fn is_known(&self, id: &str) -> bool {
         self.names.get(id).is_some()
     }
 
@@ -77,36 +77,36 @@
         self.endpoints.keys().copied()
     }
 
-    /// Whether the destination has an endpoint.
+    /// Whether the table has an endpoint of the destination.
     pub(super) fn has_dest(&self, dest: u64) -> bool {
         self.by_dest.contains_key(&dest)
     }
 
-    /// The endpoints of a destination, in order.
+    /// The numbers of a destination's endpoints, in order.
     pub(super) fn of_dest(&self, dest: u64) -> impl Iterator<Item = u32> {
         self.by_dest.get(&dest).into_iter().flatten().copied()
     }
 
-    /// Marks all endpoints as gone: a full list lists those that are not.
+    /// Marks all endpoints as gone before a full list, which lists those that are not.
     pub(super) fn mark_all_gone(&mut self, now: Micros) {
         for (number, endpoint) in &mut self.endpoints {
             endpoint.state = EndpointState::Gone;
-            if endpoint.gone.is_none() {
-                endpoint.gone = Some(now);
+            if endpoint.gone_since.is_none() {
+                endpoint.gone_since = Some(now);
                 self.gone_since.insert((now, *number));
             }
         }
     }
 
-    /// Adds an endpoint or replaces what is known of it.
+    /// Adds or replaces an endpoint.
     pub(super) fn insert(&mut self, number: u32, endpoint: KnownEndpoint) {
         self.remove(number);
         self.by_dest.entry(endpoint.dest).or_default().insert(number);
-        self.gone_since.extend(endpoint.gone.map(|gone| (gone, number)));
+        self.gone_since.extend(endpoint.gone_since.map(|gone| (gone, number)));
         self.endpoints.insert(number, endpoint);
     }
 
-    /// The endpoints that have been gone for long enough to be forgotten.
+    /// The endpoints that have been gone for [`FORGET_GONE_AFTER`] or longer.
     pub(super) fn expired(&self, now: Micros) -> impl Iterator<Item = u32> {
         let expired = move |&&(gone, _): &&(Micros, u32)| now >= gone + FORGET_GONE_AFTER;
         self.gone_since.iter().take_while(expired).map(|(_, number)| *number)
@@ -126,7 +126,7 @@
                 self.by_dest.remove(&endpoint.dest);
             }
         }
-        if let Some(gone) = endpoint.gone {
+        if let Some(gone) = endpoint.gone_since {
             self.gone_since.remove(&(gone, number));
         }
     }
--- a/courier/core/src/router/ends.rs
+++ b/courier/core/src/router/ends.rs
@@ -1,4 +1,4 @@
-//! The ends of messages: how they are written, reported and remembered.
+//! Writing, reporting and remembering the ends of messages.
 
 use super::stream::StreamEnd;
 use super::{Router, RouterAction};
@@ -9,20 +9,20 @@
 use quillmount_policy::breaks::{self, Break};
 use quillmount_policy::{Micros, MsgId};
 
-/// How long after the store has refused an end it is tried again, in microseconds: short against the 300 ms within which
-/// an end must be reported.
+/// Interval in microseconds at which a rejected write of an end is retried; short compared with the 300 ms within
+/// which an end must be reported.
 const WRITE_RETRY_INTERVAL: Micros = 50_000;
 
 impl<S: Store> Router<S> {
-    /// The notices that the platform has yet to confirm, the oldest first, `most` of them at most.
-    pub fn notices(&self, most: usize) -> Vec<Notice> {
-        let ended = self.notices.iter().take(most).filter_map(|msg| Some((msg, self.owed.get(&msg)?)));
+    /// The notices that the platform has not yet confirmed, the oldest first, at most `limit` of them.
+    pub fn notices(&self, limit: usize) -> Vec<Notice> {
+        let ended = self.notices.iter().take(limit).filter_map(|msg| Some((msg, self.owed.get(&msg)?)));
         ended
             .filter_map(|(msg, owed)| Some(Notice { msg, id: owed.payload.id.clone(), ending: owed.end? }))
             .collect()
     }
 
-    /// The platform has confirmed these notices.
+    /// Handles the platform's confirmation of these notices.
     pub fn notices_confirmed(&mut self, notices: &[Notice], now: Micros) -> Vec<RouterAction> {
         let mut actions = Vec::new();
         for notice in notices {
@@ -35,8 +35,8 @@
         actions
     }
 
-    /// Gives an owed message an end other than delivery. The end is reported once it is written; an end that the message
-    /// already has stays.
+    /// Ends an owed message without a delivery. The end is reported once it is written. A message that already has
+    /// an end keeps it.
     pub(super) fn end(&mut self, msg: MsgId, ending: Ending, now: Micros, actions: &mut Vec<RouterAction>) {
         let Some(owed) = self.owed.get_mut(&msg).filter(|owed| owed.end.is_none()) else { return };
         owed.end = Some(ending);
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The message was delivered: nothing more is owed.
+    /// Completes a message that was delivered, so that nothing more is owed.
     pub(super) fn complete(&mut self, msg: MsgId, now: Micros) {
         if self.owed.contains_key(&msg) {
             self.write(&JournalRecord::End { msg, end: End::Delivered }, now);
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Writes the ends that the store has refused. Reported without its record, an end would be forgotten in a crash, and
-    /// the next process would choose another, or send the message again.
+    /// Retries the writes of ends that the store has rejected. An end that is reported without a record would be
+    /// lost in a crash, and the next process would choose another one or send the message again.
     pub(super) fn retry_writes(&mut self, now: Micros, actions: &mut Vec<RouterAction>) {
         if now < self.write_retry_at {
             return;
@@ -80,8 +80,8 @@
         while let Some(msg) = self.unwritten.pop_front() {
             let Some(owed) = self.owed.get_mut(&msg) else { continue };
             let Some(ending) = owed.end else { continue };
-            // From the deadline on an end must be reported, written or not; a later process reports the same, since it
-            // finds the deadline passed.
+            // From the deadline on the end must be reported even if it can't be written. A later process reports the
+            // same end, since the deadline has passed by then.
             let due = now >= owed.deadline;
             let ending = if due { Ending::Undeliverable } else { ending };
             owed.end = Some(ending);
@@ -94,7 +94,7 @@
         self.write_retry_at = Micros::MAX;
     }
 
-    /// Reports an end to a stream's client, which still waits, or else to the platform.
+    /// Reports an end: that of a stream to its client if the client can still be answered, all others to the platform.
     fn report_end(&mut self, msg: MsgId, ending: Ending, actions: &mut Vec<RouterAction>) {
         self.notify_watcher(msg, ending.into());
         match self.owed.get(&msg).and_then(|owed| owed.stream) {
@@ -110,18 +110,18 @@
         }
     }
 
-    /// The platform is to get a notice of the message's end.
+    /// Queues a notice of the message's end for the platform.
     pub(super) fn add_notice(&mut self, msg: MsgId, actions: &mut Vec<RouterAction>) {
         self.notices.push_back(msg);
         actions.push(RouterAction::Notify);
     }
 
-    /// The message is no longer owed; its end is remembered until its deadline.
+    /// Removes a message from the owed messages and remembers its end until its deadline.
     pub(super) fn remove_owed(&mut self, msg: MsgId, end: End) {
         if let Some(owed) = self.owed.remove(&msg) {
             let id = &owed.payload.id;
             self.ids.remove(id);
-            self.journal.settled(msg, id);
+            self.journal.release_owed(msg, id);
             self.remember_ended(RememberedEnd { id: id.clone(), end, until: owed.deadline });
         }
     }
@@ -133,10 +133,10 @@
         }
     }
 
-    /// Forgets the ends that are expired or too many.
+    /// Forgets expired ends, and the oldest ones if there are too many.
     pub(super) fn forget_ended(&mut self, now: Micros) {
         while let Some(id) = self.ended.forget(now) {
-            self.journal.forgotten(&id);
+            self.journal.release_ended(&id);
         }
     }
 }
--- a/courier/core/src/router/error.rs
+++ b/courier/core/src/router/error.rs
@@ -1,13 +1,13 @@
-//! Why a router could not be built, or did not find a message.
+//! Errors of the router.
 
 use crate::journal::JournalError;
 use quillmount_policy::SettingsError;
 
-/// A router can't be built.
+/// The reason why a router can't be created.
 #[derive(Debug, thiserror::Error)]
 pub enum RouterError {
-    /// The settings can't be decoded.
-    #[error("settings: {0}")]
+    /// The settings can't be decoded for the policy.
+    #[error("can't decode the settings: {0}")]
     Decode(#[from] quillmount_settings::SettingsDecodeError),
     /// The settings are contradictory.
     #[error(transparent)]
@@ -17,20 +17,20 @@
     Journal(#[from] JournalError),
 }
 
-/// A router can't be resumed from another process's state; it can still be restored from the journal.
+/// The reason why a router can't resume from another process's state. It can still be restored from the journal.
 #[derive(Debug, thiserror::Error)]
 pub enum ResumeError {
-    /// The state was made under other settings.
-    #[error("the other process runs under other settings")]
+    /// The state was created under other settings.
+    #[error("the other process runs with different settings")]
     OtherSettings,
-    /// The state and the journal differ: a third process has written to the journal in between.
-    #[error("the journal does not contain the same messages")]
+    /// The state and the journal differ because a third process has written to the journal in between.
+    #[error("the journal and the state of the other process contain different messages")]
     OtherJournal,
-    /// The router can't be built.
+    /// The router can't be created.
     #[error(transparent)]
     Router(#[from] RouterError),
 }
 
-/// No message with this id is known.
+/// No owed, unsettled or remembered message has this id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnknownId;
--- a/courier/core/src/router/mod.rs
+++ b/courier/core/src/router/mod.rs
@@ -1,12 +1,12 @@
-//! The router: which messages are owed an end, which calls are in flight, and the next actions of the transport.
+//! The router: tracks the owed messages and the calls in flight, and decides the next actions of the transport.
 //!
-//! The driver reports what happened (a submission, an endpoint list, the end of a call, the passing of time) together
-//! with the current time, and carries out the [`RouterAction`]s that it gets back, in order. The router owns no socket
-//! and no clock. It leaves the decisions to the policy, maintains the tables of messages and calls that they need, and writes
-//! each step to the journal before it acts on it.
+//! The driver reports each event (a submission, an endpoint list, the end of a call, a timer) together with the
+//! current time, and executes the returned [`RouterAction`]s in order. The router has no sockets and no clock. The
+//! policy makes the routing decisions; the router maintains the tables of messages and calls that the policy needs,
+//! and writes each step to the journal before it acts on it.
 //!
-//! The tables are in `endpoints`, `outstanding` and `owed`. Each of the other modules adds the operations of one concern
-//! to [`Router`].
+//! The tables are in `endpoints`, `outstanding` and `owed`. Each of the other modules adds the operations of one
+//! concern to [`Router`].
 
 mod action;
 mod adoption;
@@ -52,27 +52,27 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// An owed message, for exploration.
+/// An owed message, as shown to state-space exploration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwedView<'a> {
-    /// Its id.
+    /// The client's id of the message.
     pub id: &'a str,
-    /// Its deadline.
+    /// The deadline for the delivery, in Unix microseconds.
     pub deadline: Micros,
-    /// Its end, while the platform has not confirmed the notice.
+    /// The message's end, if the platform has not yet confirmed the notice of it.
     pub end: Option<Ending>,
 }
 
 /// The sizes of a router's tables.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RouterLoad {
-    /// Messages that are owed an end.
+    /// Number of messages that are owed an end.
     pub owed: usize,
-    /// Messages that are in flight in a delivery call.
+    /// Number of messages that are in flight in a delivery call.
     pub in_flight: usize,
 }
 
-/// The courier's tables and decisions; see the [module](self).
+/// The router of a courier, with its tables, policy and journal; see the [module](self).
 #[derive(Clone, Debug)]
 pub struct Router<S> {
     policy: Policy,
@@ -81,41 +81,41 @@
     endpoints: EndpointTable,
     /// The endpoints that operators have disabled.
     disabled: DisabledEndpoints,
-    /// The version of the endpoint list.
+    /// The version of the latest endpoint list.
     version: u64,
-    /// Discovery has sent a list to this process; until then the list is an older one.
+    /// Whether discovery has sent a list to this process; until then the list is that of an earlier process.
     list_received: bool,
     journal: Journal<S>,
-    /// Messages of another courier's journal that are in this one: the fleet has not decided yet who owns them.
+    /// Messages copied from other couriers' journals, for which the fleet has not yet decided the owner.
     unsettled: BTreeMap<Source, Vec<(MsgId, JournalEntry)>>,
     owed: BTreeMap<MsgId, OwedMessage>,
-    /// The numbers of owed and unsettled messages by id.
+    /// The numbers of owed and unsettled messages, by client id.
     ids: HashMap<String, MsgId>,
-    /// The ends of messages that are not owed any more, as far back as they are remembered.
+    /// The ends of messages that are no longer owed, until they expire.
     ended: EndedMessages,
     outstanding: OutstandingCalls,
-    /// Ended messages whose notice the platform has yet to confirm, the oldest first.
+    /// Ended messages whose notice the platform has not yet confirmed, the oldest first.
     notices: IndexedQueue,
-    /// Ended messages whose end the store has refused so far. Nobody is notified before it is written.
+    /// Ended messages whose end the store has rejected so far. An end is reported only after it is written.
     unwritten: IndexedQueue,
-    /// When the store is tried again.
+    /// Time of the next attempt to write the ends in `unwritten`.
     write_retry_at: Micros,
     /// The number of the next message.
-    next: MsgId,
-    /// A graceful shutdown has begun: nothing is accepted from this time on.
-    stopping: Option<Micros>,
-    /// The ids of messages whose ends are reported through [`Router::ends`].
+    next_message: MsgId,
+    /// Time from which no message is accepted; set when a graceful shutdown begins.
+    stop_accepting_at: Option<Micros>,
+    /// The client ids of messages whose ends are reported through [`Router::take_watched_ends`].
     watched: BTreeSet<String>,
     /// The ends of watched messages that have not been reported yet.
     watched_ends: Vec<(String, End)>,
-    /// Notes for the log that have not been returned with the actions yet.
+    /// Log records that have not yet been returned with the actions.
     notes: Vec<Note>,
-    /// Counts of what the router has done.
+    /// Counters of the router's operations.
     pub counters: Counters,
 }
 
 impl<S: Store> Router<S> {
-    /// A router without messages and endpoints.
+    /// Creates a router without messages and endpoints.
     fn new(config: RouterConfig, zones: NameTable, policy: Policy, journal: Journal<S>) -> Self {
         Router {
             policy,
@@ -134,8 +134,8 @@
             notices: IndexedQueue::default(),
             unwritten: IndexedQueue::default(),
             write_retry_at: Micros::MAX,
-            next: 0,
-            stopping: None,
+            next_message: 0,
+            stop_accepting_at: None,
             watched: BTreeSet::new(),
             watched_ends: Vec::new(),
             notes: Vec::new(),
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Time has passed; to be called at [`Router::wake_at`] at the latest.
+    /// Processes timers. The driver calls this at [`Router::wake_at`] at the latest.
     pub fn tick(&mut self, now: Micros) -> Vec<RouterAction> {
         let mut actions = Vec::new();
         self.retry_writes(now, &mut actions);
@@ -154,22 +154,22 @@
         actions
     }
 
-    /// When the next [`Router::tick`] is due.
+    /// Time at which the next [`Router::tick`] is due; `None`: no timer is set.
     pub fn wake_at(&self) -> Option<Micros> {
         let retry = (!self.unwritten.is_empty()).then_some(self.write_retry_at);
         let timeout = self.outstanding.next_timeout();
         self.policy.wake_at().into_iter().chain(retry).chain(timeout).min()
     }
 
-    /// Begins a graceful shutdown; the process ends at `at`.
+    /// Begins a graceful shutdown; the process exits at `exit_at`.
     ///
-    /// For half of the time until then the router goes on accepting what clients submit on the connections that they have:
-    /// most of it is delivered by the end, and the rest is in the journal. Rejected, a message would be lost if its client
-    /// does not try again.
-    pub fn stop(&mut self, now: Micros, at: Micros) -> Vec<RouterAction> {
+    /// For half of the remaining time the router continues to accept messages on existing client connections. Most
+    /// of them are delivered before the exit, and the rest is in the journal. A rejected message would be lost if
+    /// its client does not retry.
+    pub fn stop(&mut self, now: Micros, exit_at: Micros) -> Vec<RouterAction> {
         let mut actions = Vec::new();
-        self.stopping = Some(now.saturating_add(at.saturating_sub(now) / 2));
-        let instructions = self.policy.stop(now, at);
+        self.stop_accepting_at = Some(now.saturating_add(exit_at.saturating_sub(now) / 2));
+        let instructions = self.policy.stop(now, exit_at);
         self.carry_out(instructions, now, &mut actions);
         self.drain_notes(&mut actions);
         actions
@@ -180,22 +180,22 @@
         RouterLoad { owed: self.owed.len(), in_flight: self.outstanding.messages.len() }
     }
 
-    /// The journal, for exploration and inspection.
+    /// The journal, for state-space exploration and inspection.
     pub fn journal(&self) -> &Journal<S> {
         &self.journal
     }
 
-    /// The journal, to inject faults into its store.
+    /// The journal, for fault injection into its store.
     pub fn journal_mut(&mut self) -> &mut Journal<S> {
         &mut self.journal
     }
 
-    /// The journal's size on disk in bytes, counted in whole blocks.
+    /// The journal's size on disk in bytes, rounded up to whole blocks.
     pub fn disk(&self) -> u64 {
         self.journal.disk()
     }
 
-    /// Carries out the policy's instructions.
+    /// Executes the policy's instructions and appends the resulting actions.
     fn carry_out(&mut self, instructions: Vec<Instruction>, now: Micros, actions: &mut Vec<RouterAction>) {
         for instruction in instructions {
             match instruction {
@@ -204,7 +204,7 @@
                     let item = CallId { msg, attempt };
                     let call = self.outstanding.call_of(item).unwrap_or(item);
                     if !self.detach(item, CallEnd::GivenUp, now, actions) {
-                        actions.push(RouterAction::GiveUp(call));
+                        actions.push(RouterAction::CancelCall(call));
                     }
                 }
                 Instruction::Reject { msg, after } => self.end(msg, Ending::Deferred(after), now, actions),
@@ -217,18 +217,18 @@
         }
     }
 
-    /// Adds the pending notes to the actions.
+    /// Moves the pending log records to the actions.
     fn drain_notes(&mut self, actions: &mut Vec<RouterAction>) {
         actions.extend(self.notes.drain(..).map(RouterAction::Note));
     }
 
-    /// Writes a record about an owed message, whose space was reserved when the message was accepted. False: the store
-    /// refused it.
+    /// Writes a record about an owed message, whose space was reserved when the message was accepted. Returns false
+    /// if the store rejected it.
     fn write(&mut self, record: &JournalRecord, now: Micros) -> bool {
         self.write_all(std::slice::from_ref(record), now)
     }
 
-    /// Writes several such records at once.
+    /// Writes several such records in one operation.
     fn write_all(&mut self, records: &[JournalRecord], now: Micros) -> bool {
         let written = self.journal.append_all(records, now, &mut self.notes);
         written.map_err(|error| self.notes.push(Note::NotWritten(error))).is_ok()
--- a/courier/core/src/router/owed.rs
+++ b/courier/core/src/router/owed.rs
@@ -1,4 +1,4 @@
-//! A message that is owed its end.
+//! The router's entry of an owed message.
 
 use super::stream::Stream;
 use crate::journal::{AcceptedMessage, End};
@@ -7,30 +7,31 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The number of a class that the settings lack.
+/// The class number of a message whose class the settings lack.
 pub(super) const UNKNOWN_CLASS: usize = usize::MAX;
 
-/// The most that a message takes in a call with others in addition to its contents: field names, quotes and commas, in bytes.
+/// Upper bound of a message's overhead in a call with several messages, in bytes: field names, quotes and commas.
 const BUNDLED_OVERHEAD: usize = 32;
 
-/// A message that is owed its end. Encoded by position in a [`RouterState`](super::RouterState).
+/// A message that is owed an end. It is encoded by position in a [`RouterState`](super::RouterState).
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct OwedMessage {
     pub(super) payload: Arc<MessagePayload>,
-    /// The number of its class; [`UNKNOWN_CLASS`]: the settings lack it, and the message ends when it is restored.
+    /// The class number; [`UNKNOWN_CLASS`] if the settings lack the class, in which case the message ends when it is
+    /// restored.
     pub(super) class: usize,
     pub(super) dest: u64,
     pub(super) deadline: Micros,
-    /// Its end, which the platform or the client has yet to confirm.
+    /// The message's end, if the platform or the client has not yet confirmed it.
     pub(super) end: Option<Ending>,
-    /// Its attempts that are in the journal.
-    pub(super) journaled: u32,
-    /// `Some` for a streamed message.
+    /// The number of the message's attempts that are recorded in the journal.
+    pub(super) journaled_attempts: u32,
+    /// The state of the stream; `None` if the message is not streamed.
     pub(super) stream: Option<Stream>,
 }
 
 impl OwedMessage {
-    /// The message as the policy is shown it.
+    /// The message in the form that the policy uses.
     pub(super) fn policy_message(&self, id: MsgId, tenant: Option<usize>) -> Message {
         Message {
             id,
@@ -46,7 +47,7 @@
     }
 }
 
-/// A submission as the journal records it.
+/// A submission in the form that the journal records.
 pub(super) fn accepted_message(submission: &Submission, deadline: Micros) -> AcceptedMessage {
     AcceptedMessage {
         id: submission.id.clone(),
@@ -58,7 +59,7 @@
     }
 }
 
-/// An end from the journal, of a message that was not delivered as far as this process knows.
+/// Converts an end from the journal. A message that is still owed was not delivered as far as this process knows.
 pub(super) fn ending_of(end: End) -> Ending {
     match end {
         End::Deferred { after } => Ending::Deferred(after),
@@ -66,8 +67,8 @@
     }
 }
 
-/// The most that a message takes in a call with others, in bytes: its body in Base64, its id and key escaped, and the
-/// overhead.
+/// Upper bound of a message's size in a call with several messages, in bytes: the body in Base64, the escaped id and
+/// key, and the overhead.
 fn bundled_size(payload: &MessagePayload) -> u64 {
     let escaped =
         |text: &str| text.len() + 5 * text.bytes().filter(|b| matches!(b, b'"' | b'\\' | ..0x20)).count();
--- a/courier/core/src/router/restore.rs
+++ b/courier/core/src/router/restore.rs
@@ -1,4 +1,4 @@
-//! Restoring a router from the journal of an earlier process.
+//! Restores a router from the journal of an earlier process.
 
 use super::config::DecodedSettings;
 use super::endpoints::intern;
@@ -13,12 +13,12 @@
 use quillmount_policy::{Effect, Micros, MsgId, PastAttempt, Policy};
 use std::sync::Arc;
 
-/// The zone of an attempt whose zone is not known: no zone has this number, so that a repeat which only the endpoints of
-/// that zone would drop goes to none.
+/// The zone of an attempt whose zone is unknown. No zone has this number, so a message that only endpoints of the
+/// original zone would deduplicate is not repeated anywhere.
 const UNKNOWN_ZONE: u32 = u32::MAX;
 
 impl<S: Store> Router<S> {
-    /// Reads the journal in `store` and continues with the messages that it holds; the actions are the first to carry out.
+    /// Reads the journal in `store` and continues with its messages. The driver executes the returned actions first.
     /// `known` is the endpoint list of the earlier process.
     ///
     /// # Errors
@@ -33,10 +33,10 @@
         let (journal, mut contents) = Journal::open(store, options.journal_limit, now, &mut notes)?;
         notes.extend(correct_clock(&mut contents, now));
         let settings = DecodedSettings::new(options.settings, options.streams)?;
-        let settings = settings.with_owed(contents.owed.len());
+        let settings = settings.with_capacity_for(contents.owed.len());
         let policy = Policy::new(settings.policy, options.seed)?;
         let mut router = Self::new(settings.config, settings.zones, policy, journal);
-        router.next = contents.next;
+        router.next_message = contents.next_message;
         router.notes = notes;
         router.disabled = contents.disabled;
         let mut actions = router.list(known, now);
@@ -50,7 +50,8 @@
         Ok((router, actions))
     }
 
-    /// Continues with a message from the journal. An attempt without an outcome may have had an effect.
+    /// Continues with a message from the journal. An attempt without an outcome counts as one that may have had an
+    /// effect.
     pub(super) fn restore(
         &mut self,
         msg: MsgId,
@@ -58,12 +59,12 @@
         now: Micros,
         actions: &mut Vec<RouterAction>,
     ) {
-        let JournalEntry { taken, calls, end, stream, source: _ } = entry;
-        let AcceptedMessage { id, class: class_name, key, dest, deadline, body } = taken;
+        let JournalEntry { message, calls, end, stream, source: _ } = entry;
+        let AcceptedMessage { id, class: class_name, key, dest, deadline, body } = message;
         let end = end.filter(|_| !breaks::is_enabled(Break::ForgetEnd)).map(ending_of);
         let may_have_run = calls.iter().any(PastCall::may_have_run);
         let stream = stream.then(|| Stream::of_another_process(may_have_run));
-        // Numbers of classes depend on the settings, so the journal has their names.
+        // Class numbers depend on the settings, so the journal records class names.
         let class = self.class_number(&class_name);
         self.ids.insert(id.clone(), msg);
         let owed = OwedMessage {
@@ -72,7 +73,7 @@
             dest,
             deadline,
             end,
-            journaled: calls.len() as u32,
+            journaled_attempts: calls.len() as u32,
             stream,
         };
         let message = owed.policy_message(msg, None);
@@ -81,7 +82,7 @@
             return self.add_notice(msg, actions);
         }
         let Some(class) = class else {
-            // The settings have changed: nothing can be decided about the message any more.
+            // The settings have changed, and without its class the policy can't decide about the message.
             let ending = if may_have_run { Ending::Undeliverable } else { Ending::Deferred(0) };
             actions.push(RouterAction::Note(Note::UnknownClass { id, class: class_name }));
             return self.end(msg, ending, now, actions);
@@ -90,12 +91,13 @@
             return self.end(msg, stream.ending(), now, actions);
         }
         if deadline <= now {
-            // It can't be delivered any more, and an end that the store refused may have been reported.
+            // The message can't be delivered any more, and the earlier process may have reported this end although
+            // the store rejected its record.
             return self.end(msg, Ending::Undeliverable, now, actions);
         }
         let past: Option<Vec<_>> = calls.iter().map(|call| self.past_attempt(class, call)).collect();
         let Some(past) = past else {
-            actions.push(RouterAction::Note(Note::OtherEffect { id, class: class_name }));
+            actions.push(RouterAction::Note(Note::EffectChanged { id, class: class_name }));
             return self.end(msg, Ending::Undeliverable, now, actions);
         };
         let past = if breaks::is_enabled(Break::ForgetPastAttempts) { Vec::new() } else { past };
@@ -103,14 +105,15 @@
         self.carry_out(instructions, now, actions);
     }
 
-    /// An attempt of an earlier process as the policy is to see it: with the stricter of what a repeat could do then and
-    /// could do now. `None`: the class's present effect can't express what was stricter then, and no repeat is allowed.
+    /// An attempt of an earlier process in the form that the policy uses, under the stricter of the effect that its
+    /// class had then and the one that it has now. Returns `None` if the former effect is stricter and the present
+    /// one can't express it, so that no repeat is allowed.
     fn past_attempt(&mut self, class: usize, call: &PastCall) -> Option<PastAttempt> {
         let may_have_run = call.may_have_run();
         let unchanged = PastAttempt { zone: UNKNOWN_ZONE, sent: call.sent, may_have_run };
         let effect = *self.config.effects.get(class)?;
         match (&call.effect, effect) {
-            // The attempt had no effect, nothing was stricter, or the policy never repeats it.
+            // The former effect was not stricter, or the policy never repeats such a message.
             (None | Some(RepeatEffect::Safe), _) | (_, Effect::NonIdempotent) => Some(unchanged),
             _ if !may_have_run => Some(unchanged),
             (Some(RepeatEffect::Unsafe), _) | (Some(RepeatEffect::Keyed { .. }), Effect::Idempotent) => None,
@@ -120,7 +123,8 @@
             ) => None,
             (Some(RepeatEffect::Keyed { span: past_span, zone }), Effect::Deduplicated { span, .. }) => {
                 let zone = zone.as_ref().map_or(UNKNOWN_ZONE, |name| intern(&mut self.zones, name) as u32);
-                // Dated back by the difference, today's span ends when the former one does.
+                // With the start of the attempt moved back by the difference, the present span ends when the former
+                // one does.
                 let sent = call.sent.saturating_sub(span.saturating_sub(*past_span));
                 Some(PastAttempt { zone, sent, may_have_run })
             }
@@ -128,12 +132,13 @@
     }
 }
 
-/// If the clock was set back, the age of an attempt is unknown, and no repeat is certain to be within its span: dates all
-/// attempts that may have had an effect back to the clock's zero.
+/// Corrects the attempts if the clock was set back. The age of an attempt is then unknown, so no repeat is certain
+/// to fall within its deduplication span: all attempts that may have had an effect are dated to the start of the
+/// clock.
 fn correct_clock(contents: &mut JournalContents, now: Micros) -> Option<Note> {
     let calls = contents.owed.values().flat_map(|entry| &entry.calls);
     let ahead = calls.map(|call| call.sent.saturating_sub(now)).max().filter(|ahead| *ahead > 0)?;
     let calls = contents.owed.values_mut().flat_map(|entry| &mut entry.calls);
     calls.filter(|call| call.may_have_run()).for_each(|call| call.sent = 0);
-    Some(Note::SetBack { ahead })
+    Some(Note::ClockSetBack { ahead })
 }
--- a/courier/core/src/router/results.rs
+++ b/courier/core/src/router/results.rs
@@ -1,4 +1,4 @@
-//! The ends of delivery calls.
+//! Processing of the results of delivery calls.
 
 use super::outstanding::EndedCall;
 use super::owed::OwedMessage;
@@ -10,17 +10,17 @@
 use quillmount_policy::breaks::{self, Break};
 use quillmount_policy::{Completion, Micros, MsgId, Outcome};
 
-/// A delivery counts by the time at which the message's client sent it, and the time left is known here from when it was
-/// read. A delivery that is reported less than this before the deadline, in microseconds, may have come after it.
+/// A delivery that is reported less than this many microseconds before the deadline may have come after it: the time
+/// left counts from when the client sent the message, but here it is measured from when the message was read.
 const DEADLINE_MARGIN: Micros = 50_000;
 
 impl<S: Store> Router<S> {
-    /// A delivery call ended in the same way for all of its messages.
+    /// Processes a delivery call with the same result for all of its messages.
     pub fn call_ended(&mut self, call: CallId, end: CallEnd, now: Micros) -> Vec<RouterAction> {
         self.call_ended_with_report(call, end, &AnswerReport::default(), now)
     }
 
-    /// A delivery call ended in the same way for all of its messages, and its answer had a report.
+    /// Processes a delivery call with the same result for all of its messages and with a report in its answer.
     pub fn call_ended_with_report(
         &mut self,
         call: CallId,
@@ -32,7 +32,7 @@
         self.call_ended_each(call, &ends, report, now)
     }
 
-    /// A delivery call ended with an end for each of its messages, in the order in which they were sent.
+    /// Processes a delivery call with a result for each of its messages, in the order in which they were sent.
     pub fn call_ended_each(
         &mut self,
         call: CallId,
@@ -58,7 +58,8 @@
         for completion in &mut completions {
             completion.load_report.clone_from(&load_report);
         }
-        // The policy evaluates a call by its last message; a success is the most significant for the destination.
+        // The policy evaluates a call by its last message, and for the destination a success is the most significant
+        // result.
         completions.sort_by_key(|completion: &Completion| completion.outcome == Outcome::Ok);
         let instructions = self.policy.report_all(now, completions);
         self.carry_out(instructions, now, &mut actions);
@@ -66,22 +67,21 @@
         actions
     }
 
-    /// Whether the settings name fields of a load report that answers hold.
+    /// Whether the settings define load report fields that are read from answers.
     pub fn reads_load_reports(&self) -> bool {
         !self.config.load_fields.is_empty()
     }
 
-    /// The endpoints that are bound by one endpoint's advice to wait, as the policy heeds it: that one alone where
-    /// endpoints are separate routes, else all of the destination. Applied to more, the advice would repeatedly delay calls
-    /// that the policy makes to another route.
+    /// The endpoints to which one endpoint's retry delay applies, as in the policy: only that endpoint if endpoints
+    /// are separate routes, otherwise all endpoints of the destination. If the delay applied to more, it would
+    /// repeatedly block calls that the policy sends over another route.
     fn endpoints_bound_by(&self, endpoint: u32, dest: u64) -> impl Iterator<Item = u32> {
         let kind = self.endpoints.get(endpoint).map_or(usize::MAX, |known| known.kind);
         let separate_routes = self.config.separate_routes.get(kind).copied().unwrap_or(false);
         self.endpoints.of_dest(dest).filter(move |number| !separate_routes || *number == endpoint)
     }
 
-    /// The values of a load report in the order of the settings; empty if one is missing or is not a finite number of 0 or
-    /// more.
+    /// The values of a load report in the order of the settings; empty if a value is missing, negative or not finite.
     fn load_values(&self, report: &AnswerReport) -> Vec<f64> {
         let value =
             |name: &String| report.load.iter().find(|(field, _)| field == name).map(|(_, value)| *value);
@@ -89,8 +89,8 @@
         values.filter(|values| values.iter().all(|v| v.is_finite() && *v >= 0.0)).unwrap_or_default()
     }
 
-    /// A message of a call has this end; returns its completion for the policy, without a load report, or `None` if the
-    /// message had left the call before.
+    /// Processes the result of one message of a call. Returns its completion for the policy, without a load report, or
+    /// `None` if the message had already left the call.
     pub(super) fn message_ended(
         &mut self,
         item: CallId,
@@ -108,7 +108,8 @@
         let outcome = end.outcome();
         let stream_end = self.owed.get(&msg).filter(|owed| owed.stream.is_some()).map(|owed| owed.end);
         if stream_end.is_some() && end == CallEnd::Gone {
-            // The message was withdrawn or its deadline had passed: it is not delivered, and its client waits for an answer.
+            // The message was withdrawn or its deadline has passed: it was not delivered, and its client waits for
+            // an answer.
             self.end(msg, Ending::Undeliverable, now, actions);
         } else if matches!(end, CallEnd::Delivered | CallEnd::Gone) {
             if stream_end == Some(None) {
@@ -118,32 +119,34 @@
         } else if self.owed.contains_key(&msg) {
             let never_ran = matches!(outcome, Outcome::Full | Outcome::Moot | Outcome::ConnectFailed)
                 || breaks::is_enabled(Break::OutcomeNever);
-            if let Some(attempt) = message.journaled {
+            if let Some(attempt) = message.journal_index {
                 self.write(&JournalRecord::Outcome { msg, attempt, never_ran }, now);
             }
             self.stream_call_ended(msg, never_ran, now, actions);
         }
         let finished = self.owed.get(&msg).is_none_or(|owed| owed.end.is_some());
-        let elapsed = now.saturating_sub(message.written.unwrap_or(message.sent));
+        let elapsed = now.saturating_sub(message.written_at.unwrap_or(message.sent_at));
         let wait = end.wait().max(advised_wait);
         Some(Completion { msg, attempt, outcome, elapsed, finished, wait, load_report: Vec::new() })
     }
 
-    /// An endpoint has answered that a message is delivered or has already ended. Whether a delivery close to the deadline
-    /// counts depends on the clock that is used; the end is reported as well then, which has no effect if the delivery counts.
+    /// Handles an endpoint's answer that a message is delivered or has already ended. Whether a delivery close to
+    /// the deadline counts depends on whose clock is used, so in that case the message is also reported as
+    /// undeliverable, which has no effect if the delivery counts.
     fn delivered(&mut self, msg: MsgId, end: CallEnd, now: Micros, actions: &mut Vec<RouterAction>) {
         let is_late = |owed: &OwedMessage| {
             owed.stream.is_none() && now.saturating_add(DEADLINE_MARGIN) >= owed.deadline
         };
         if end == CallEnd::Delivered && self.owed.get(&msg).is_some_and(is_late) {
-            // An end that the policy has chosen already stays.
+            // If the policy has already chosen an end, the message keeps it.
             self.end(msg, Ending::Undeliverable, now, actions);
         } else {
             self.complete(msg, now);
         }
     }
 
-    /// A call has delivered a message that was not waited for any longer: its other calls are not needed.
+    /// Handles a message that a call delivered after the message had left it; the message's other calls are no longer
+    /// needed.
     fn delivered_late(&mut self, msg: MsgId, end: CallEnd, now: Micros, actions: &mut Vec<RouterAction>) {
         let is_open = self.owed.get(&msg).is_some_and(|owed| owed.end.is_none());
         if is_open && matches!(end, CallEnd::Delivered | CallEnd::Gone) {
--- a/courier/core/src/router/settlement.rs
+++ b/courier/core/src/router/settlement.rs
@@ -1,5 +1,5 @@
-//! Operations for the owner of settlements: the ends of a settlement's messages, ends for those that were never submitted,
-//! and the journal's records of its lines.
+//! Operations for the owner of a settlement: watching the ends of its messages, ending messages that were never
+//! submitted, and writing settlement lines to the journal.
 
 use super::owed::{OwedMessage, UNKNOWN_CLASS, accepted_message};
 use super::{Router, RouterAction, UnknownId};
@@ -10,33 +10,35 @@
 use std::sync::Arc;
 
 impl<S: Store> Router<S> {
-    /// Returns how a message has ended; if it has not, [`Router::ends`] will report its end.
+    /// Returns the end of a message. If the message has not ended yet, it is watched, and
+    /// [`Router::take_watched_ends`] will report its end.
     ///
     /// # Errors
-    /// No message with this id is known yet; it is watched all the same.
+    /// No message with this id is known yet; it is watched nevertheless.
     pub fn watch(&mut self, id: &str) -> Result<Option<End>, UnknownId> {
-        let fate = self.fate(id);
+        let fate = self.end_of(id);
         if !matches!(fate, Ok(Some(_))) {
             self.watched.insert(id.to_string());
         }
         fate
     }
 
-    /// Stops watching a message.
+    /// Stops watching a message; its end will not be reported by [`Router::take_watched_ends`].
     pub fn unwatch(&mut self, id: &str) {
         self.watched.remove(id);
     }
 
-    /// The ends of watched messages since the last call, all of them in the journal; these messages are watched no more.
-    pub fn ends(&mut self) -> Vec<(String, End)> {
+    /// Returns the ends of watched messages since the last call. All of them are in the journal, and the messages
+    /// are no longer watched.
+    pub fn take_watched_ends(&mut self) -> Vec<(String, End)> {
         std::mem::take(&mut self.watched_ends)
     }
 
-    /// How a message has ended; `Ok(None)` if it has not.
+    /// The end of a message; `Ok(None)` if the message has not ended.
     ///
     /// # Errors
     /// No message with this id is known.
-    pub fn fate(&self, id: &str) -> Result<Option<End>, UnknownId> {
+    pub fn end_of(&self, id: &str) -> Result<Option<End>, UnknownId> {
         if let Some(owed) = self.ids.get(id).and_then(|msg| self.owed.get(msg)) {
             return Ok(owed.end.map(End::from));
         }
@@ -46,10 +48,11 @@
         self.ended.get(id).map(Some).ok_or(UnknownId)
     }
 
-    /// Ends a message that is owed an end and was never submitted, with a notice. Nothing is done if its id is known.
+    /// Ends a message that is owed an end but was never submitted, and queues a notice. If its id is already known,
+    /// nothing is done.
     ///
     /// # Errors
-    /// The store refused the records: nothing has changed.
+    /// The store rejected the records; nothing has changed.
     pub fn end_unsent(
         &mut self,
         submission: Submission,
@@ -57,26 +60,26 @@
         now: Micros,
     ) -> Result<Vec<RouterAction>, JournalError> {
         let mut actions = Vec::new();
-        if self.fate(&submission.id).is_ok() {
+        if self.end_of(&submission.id).is_ok() {
             return Ok(actions);
         }
-        let msg = self.next;
+        let msg = self.next_message;
         let deadline = now.saturating_add(submission.time_left);
-        let accepted = JournalRecord::Accept { msg, taken: accepted_message(&submission, deadline) };
+        let accepted = JournalRecord::Accept { msg, message: accepted_message(&submission, deadline) };
         let end = JournalRecord::End { msg, end: ending.into() };
         self.journal.append_all(&[accepted, end], now, &mut self.notes)?;
-        self.next += 1;
+        self.next_message += 1;
         self.count_ending(ending);
         let Submission { id, key, dest, body, .. } = submission;
         self.ids.insert(id.clone(), msg);
         let owed = OwedMessage {
-            // It is never sent, so its tenant does not matter.
+            // The message is never sent, so it needs no tenant.
             payload: Arc::new(MessagePayload { id, key, tenant: None, body }),
             class: UNKNOWN_CLASS,
             dest,
             deadline,
             end: Some(ending),
-            journaled: 0,
+            journaled_attempts: 0,
             stream: None,
         };
         self.owed.insert(msg, owed);
@@ -85,20 +88,20 @@
         Ok(actions)
     }
 
-    /// Writes lines about settlements; with `may_wait` they are rejected where the journal is full.
+    /// Writes settlement lines to the journal. If `deferrable` is set, they are rejected when the journal is full.
     ///
     /// # Errors
-    /// The journal is full, or the store refused the lines: none of them was written.
+    /// The journal is full, or the store rejected the lines; none of them was written.
     pub fn write_settlement(
         &mut self,
         records: &[JournalRecord],
-        may_wait: bool,
+        deferrable: bool,
         now: Micros,
     ) -> Result<(), JournalError> {
-        self.journal.settlement(records, may_wait, now, &mut self.notes)
+        self.journal.append_settlement_records(records, deferrable, now, &mut self.notes)
     }
 
-    /// Reports the end of a message if it is watched.
+    /// Adds the end of a message to the watched ends if the message is watched.
     pub(super) fn notify_watcher(&mut self, msg: MsgId, end: End) {
         if self.watched.is_empty() {
             return;
--- a/courier/core/src/router/state.rs
+++ b/courier/core/src/router/state.rs
@@ -1,4 +1,4 @@
-//! The router's state as one process hands it over to the next.
+//! The router's state that one process hands over to the next during an upgrade.
 
 use super::config::DecodedSettings;
 use super::endpoints::KnownEndpoint;
@@ -16,12 +16,13 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// All that a router decides from, except for its settings and its journal. Encoded by position.
+/// The complete state of a router except for its settings and its journal. It is encoded by position.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RouterState {
-    /// The [`settings_fingerprint`] of the settings that the numbers in the state belong to.
+    /// The [`settings_fingerprint`] of the settings that define the numbers in the state.
     settings: u32,
-    /// The journal's length in bytes. If the journal is longer, a third process had the lock in between, and decided.
+    /// The journal's length in bytes. If the journal is longer, a third process held the lock in between and wrote
+    /// to it.
     journal: u64,
     policy: Policy,
     zones: NameTable,
@@ -32,26 +33,26 @@
     list_received: bool,
     owed: BTreeMap<MsgId, OwedMessage>,
     ended: Vec<RememberedEnd>,
-    out: BTreeMap<CallId, OutstandingMessage>,
+    in_flight: BTreeMap<CallId, OutstandingMessage>,
     bundles: BTreeMap<CallId, Vec<CallId>>,
     notices: Vec<MsgId>,
     unwritten: Vec<MsgId>,
     write_retry_at: Micros,
-    next: MsgId,
+    next_message: MsgId,
     counters: Counters,
 }
 
 impl RouterState {
-    /// Whether the state and the journal hold the same messages.
+    /// Whether the state and the journal contain the same messages.
     fn matches(&self, contents: &JournalContents) -> bool {
         contents.owed.keys().eq(self.owed.keys())
             && contents.disabled == self.disabled
-            && contents.next <= self.next
+            && contents.next_message <= self.next_message
     }
 }
 
 impl<S: Store> Router<S> {
-    /// The state to hand over; `settings` is their [`settings_fingerprint`].
+    /// The state to hand over; `settings` is the [`settings_fingerprint`] of this process's settings.
     pub fn state(&self, settings: u32) -> RouterState {
         let ended = self.ended.iter().filter_map(|ended| {
             Some(RememberedEnd { id: ended.id.to_string(), end: ended.end?, until: ended.until })
@@ -68,17 +69,18 @@
             list_received: self.list_received,
             owed: self.owed.clone(),
             ended: ended.collect(),
-            out: self.outstanding.messages.clone(),
+            in_flight: self.outstanding.messages.clone(),
             bundles: self.outstanding.bundles.clone(),
             notices: self.notices.iter().collect(),
             unwritten: self.unwritten.iter().collect(),
             write_retry_at: self.write_retry_at,
-            next: self.next,
+            next_message: self.next_message,
             counters: self.counters.clone(),
         }
     }
 
-    /// Resumes from another process's state, whose journal is in `store`; the actions are the first to carry out.
+    /// Resumes from the state of another process, whose journal is in `store`. The driver executes the returned actions
+    /// first.
     ///
     /// # Errors
     /// The state does not belong to these settings or this journal, or the store can't be read.
@@ -100,11 +102,12 @@
         if !state.matches(&contents) {
             return Err(ResumeError::OtherJournal);
         }
-        let settings = DecodedSettings::new(options.settings, options.streams)?.with_owed(state.owed.len());
+        let settings =
+            DecodedSettings::new(options.settings, options.streams)?.with_capacity_for(state.owed.len());
         let policy = state.policy.resume(settings.policy).map_err(RouterError::from)?;
         let mut router = Self::new(settings.config, state.zones, policy, journal);
         router.notes = notes;
-        router.next = state.next;
+        router.next_message = state.next_message;
         router.disabled = state.disabled;
         let mut actions = Vec::new();
         router.resume_endpoints(state.endpoint_names, state.endpoints, &mut actions);
@@ -113,7 +116,7 @@
         state.ended.into_iter().for_each(|end| router.remember_ended(end));
         router.ids = state.owed.iter().map(|(msg, owed)| (owed.payload.id.clone(), *msg)).collect();
         router.owed = state.owed;
-        router.outstanding = OutstandingCalls::restore(state.out, state.bundles);
+        router.outstanding = OutstandingCalls::restore(state.in_flight, state.bundles);
         state.notices.into_iter().for_each(|msg| router.notices.push_back(msg));
         state.unwritten.into_iter().for_each(|msg| router.unwritten.push_back(msg));
         router.write_retry_at = state.write_retry_at;
--- a/courier/core/src/router/streams.rs
+++ b/courier/core/src/router/streams.rs
@@ -1,4 +1,4 @@
-//! Messages whose body is forwarded as it arrives.
+//! Events of streamed messages, whose body is forwarded while it arrives.
 
 use super::{Router, RouterAction};
 use crate::CallId;
@@ -9,25 +9,26 @@
 use quillmount_policy::{Micros, MsgId};
 
 impl<S: Store> Router<S> {
-    /// The last byte of a stream's call was sent: its time at the destination begins.
+    /// Handles the sending of the last byte of a stream's call: the time at the destination is measured from now on.
     pub fn stream_written(&mut self, call: CallId, now: Micros) -> Vec<RouterAction> {
         let mut actions = Vec::new();
         if let Some(message) = self.outstanding.get_mut(call) {
-            message.written = Some(now);
+            message.written_at = Some(now);
             let instructions = self.policy.written(now, call.msg, call.attempt);
             self.carry_out(instructions, now, &mut actions);
         }
         actions
     }
 
-    /// A part of a stream's body was dropped: the message gets no further attempt.
+    /// Handles the loss of a part of a stream's buffered body: the message gets no further attempt.
     pub fn stream_committed(&mut self, msg: MsgId) {
         if let Some(stream) = self.owed.get_mut(&msg).and_then(|owed| owed.stream.as_mut()) {
             stream.committed = true;
         }
     }
 
-    /// No call of a stream has begun in time for its client: the message is rejected, unless a call is in flight.
+    /// Handles a stream for which no call has started within its client's waiting time: the message is rejected,
+    /// unless a call is in flight.
     pub fn stream_unbegun(&mut self, msg: MsgId, now: Micros) -> Vec<RouterAction> {
         let mut actions = Vec::new();
         let is_open = self.owed.get(&msg).is_some_and(|owed| owed.stream.is_some() && owed.end.is_none());
@@ -38,7 +39,8 @@
         actions
     }
 
-    /// A stream's body will never be complete, or the process ends (`None`): its call is cancelled, and its end follows.
+    /// Handles a stream whose body will never be complete, or which is cut off because the process is shutting down
+    /// (`None`). Its call is cancelled, and its end follows.
     pub fn stream_cut(&mut self, msg: MsgId, cut: Option<Cut>, now: Micros) -> Vec<RouterAction> {
         let mut actions = Vec::new();
         let Some(owed) = self.owed.get_mut(&msg).filter(|owed| owed.end.is_none()) else { return actions };
@@ -55,8 +57,8 @@
         actions
     }
 
-    /// The final answer of a stream was sent to its client; `received`: the client has read it. Otherwise the platform gets
-    /// a notice.
+    /// Handles the final answer of a stream having been sent to its client. If the client has not `received` it, the
+    /// platform gets a notice.
     pub fn answered(&mut self, msg: MsgId, received: bool, now: Micros) -> Vec<RouterAction> {
         let mut actions = Vec::new();
         let Some(owed) = self.owed.get_mut(&msg) else { return actions };
@@ -77,8 +79,8 @@
         actions
     }
 
-    /// A call of a message has ended without delivering it. If the message is a stream that can have no further attempt,
-    /// because part of its body was dropped or no attempt is wanted, it ends now.
+    /// Handles the end of a call that did not deliver its message. If the message is a stream without further attempts,
+    /// because part of its body was dropped or it was cut, it ends now.
     pub(super) fn stream_call_ended(
         &mut self,
         msg: MsgId,
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Ends a stream that has no call in flight, and has the policy forget it.
+    /// Ends a stream without a call in flight and removes it from the policy.
     fn end_stream(&mut self, msg: MsgId, now: Micros, actions: &mut Vec<RouterAction>) {
         let Some(stream) = self.owed.get(&msg).and_then(|owed| owed.stream) else { return };
         self.end(msg, stream.ending(), now, actions);
--- a/courier/core/src/router/visit.rs
+++ b/courier/core/src/router/visit.rs
@@ -1,4 +1,5 @@
-//! The router's state for exploration: every value that decides is shown to a visitor, in a fixed order.
+//! The router's state for state-space exploration: every value that influences decisions is passed to a visitor, in a
+//! fixed order.
 
 use super::endpoints::KnownEndpoint;
 use super::outstanding::OutstandingMessage;
@@ -12,9 +13,10 @@
 use quillmount_policy::{Micros, MsgId, StateVisitor};
 
 impl<S: Store> Router<S> {
-    /// Shows a visitor all values that decide, except for the journal's contents, which the caller reads from the store.
+    /// Passes all values that influence decisions to a visitor, except for the journal's contents, which the caller
+    /// reads from the store.
     pub fn visit_state(&self, visitor: &mut impl StateVisitor) {
-        // Without `..`, so that a new field has to be considered here.
+        // The pattern has no `..`, so that a new field has to be considered here.
         let Router {
             policy,
             config: _,
@@ -32,8 +34,8 @@
             notices,
             unwritten,
             write_retry_at,
-            next: _,
-            stopping,
+            next_message: _,
+            stop_accepting_at,
             watched: _,
             watched_ends: _,
             notes: _,
@@ -43,7 +45,7 @@
         visitor.visit_u64(disabled.iter().count() as u64);
         disabled.iter().for_each(|id| visit_text(id, visitor));
         visitor.visit_bool(*list_received);
-        visitor.visit_time(stopping.unwrap_or(Micros::MAX));
+        visitor.visit_time(stop_accepting_at.unwrap_or(Micros::MAX));
         let endpoints = &endpoints.endpoints;
         let messages = &outstanding.messages;
         let lens = [endpoints.len(), owed.len(), ended.iter().len(), messages.len(), notices.len()];
@@ -68,22 +70,22 @@
         visitor.visit_time(*write_retry_at);
     }
 
-    /// Restarts the policy's random draws from this seed.
+    /// Resets the policy's random number generator to this seed.
     pub fn reseed(&mut self, seed: u64) {
         self.policy.reseed(seed);
     }
 
     /// The number that the next message gets.
     pub fn next_number(&self) -> MsgId {
-        self.next
+        self.next_message
     }
 
-    /// The numbers of the owed messages, and of the known endpoints.
-    pub fn names(&self) -> (impl Iterator<Item = MsgId>, impl Iterator<Item = u32>) {
+    /// The numbers of the owed messages and those of the known endpoints.
+    pub fn message_and_endpoint_numbers(&self) -> (impl Iterator<Item = MsgId>, impl Iterator<Item = u32>) {
         (self.owed.keys().copied(), self.endpoints.numbers())
     }
 
-    /// The owed messages, by number.
+    /// The owed messages, in the order of their numbers.
     pub fn owed(&self) -> impl Iterator<Item = OwedView<'_>> {
         self.owed.values().map(|owed| OwedView {
             id: &owed.payload.id,
@@ -93,7 +95,7 @@
     }
 
     fn visit_endpoint(&self, number: u32, known: &KnownEndpoint, visitor: &mut impl StateVisitor) {
-        let KnownEndpoint { addr, dest, zone, kind: _, weight, state, gone } = known;
+        let KnownEndpoint { addr, dest, zone, kind: _, weight, state, gone_since } = known;
         visitor.visit_endpoint(number);
         visitor.visit_u64(*state as u64);
         visitor.visit_f64(*weight);
@@ -101,17 +103,17 @@
         visitor.visit_u64(*dest);
         visitor.visit_u64(u64::from(*zone));
         visitor.visit_u64(addr.map_or(0, |addr| addr.port().into()));
-        visitor.visit_time(gone.unwrap_or(Micros::MAX));
+        visitor.visit_time(gone_since.unwrap_or(Micros::MAX));
     }
 }
 
 fn visit_owed(msg: MsgId, owed: &OwedMessage, visitor: &mut impl StateVisitor) {
-    let OwedMessage { payload, class: _, dest, deadline, end, journaled, stream } = owed;
+    let OwedMessage { payload, class: _, dest, deadline, end, journaled_attempts, stream } = owed;
     if let Some(Stream { committed, may_have_run, cut, finished, unanswerable }) = stream {
         let flags = [*committed, *may_have_run, cut.is_some(), *finished, *unanswerable];
         flags.into_iter().for_each(|flag| visitor.visit_bool(flag));
     }
-    visitor.visit_u64(u64::from(*journaled));
+    visitor.visit_u64(u64::from(*journaled_attempts));
     visitor.visit_message(msg);
     visit_text(&payload.id, visitor);
     visitor.visit_u64(*dest);
@@ -125,16 +127,17 @@
     message: &OutstandingMessage,
     visitor: &mut impl StateVisitor,
 ) {
-    let OutstandingMessage { lead, sent, endpoint, dest, journaled, written, until } = message;
-    visitor.visit_message(lead.msg);
-    visitor.visit_time(*until);
-    visitor.visit_time(written.unwrap_or(Micros::MAX));
-    visitor.visit_u64(journaled.map_or(u64::MAX, u64::from));
+    let OutstandingMessage { lead_call, sent_at, endpoint, dest, journal_index, written_at, timeout_at } =
+        message;
+    visitor.visit_message(lead_call.msg);
+    visitor.visit_time(*timeout_at);
+    visitor.visit_time(written_at.unwrap_or(Micros::MAX));
+    visitor.visit_u64(journal_index.map_or(u64::MAX, u64::from));
     visitor.visit_message(msg);
     visitor.visit_endpoint(*endpoint);
     visitor.visit_u64(u64::from(attempt));
     visitor.visit_u64(*dest);
-    visitor.visit_time(*sent);
+    visitor.visit_time(*sent_at);
 }
 
 fn visit_end(end: Option<End>, visitor: &mut impl StateVisitor) {
--- a/courier/core/src/store.rs
+++ b/courier/core/src/store.rs
@@ -1,10 +1,11 @@
-//! Where the journal is stored: a small folder of the courier, or memory in tests and exploration.
+//! Storage of the journal: a folder of the courier in production, memory in tests and state-space exploration.
 
 use std::io;
 
-/// Bytes that outlast the process. Writes are not synced: they survive the process, but not the machine.
+/// A byte sequence that survives a crash of the process. Writes are not followed by fsync, so that they may be lost
+/// if the machine crashes.
 pub trait Store {
-    /// The number of bytes stored.
+    /// The number of stored bytes.
     fn len(&self) -> u64;
 
     /// Whether nothing is stored.
@@ -12,94 +13,96 @@
         self.len() == 0
     }
 
-    /// Reads all bytes.
+    /// Reads all stored bytes.
     ///
     /// # Errors
     /// The store can't be read.
     fn read(&mut self) -> io::Result<Vec<u8>>;
 
-    /// Appends bytes. A crash may leave any prefix of them.
+    /// Appends bytes. After a crash any prefix of them may be stored.
     ///
     /// # Errors
     /// The store can't be written; none of the bytes are stored.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
 
-    /// Replaces all bytes by these. A crash leaves either all old bytes or all new ones.
+    /// Replaces all stored bytes atomically: after a crash either all old bytes or all new ones are stored.
     ///
     /// # Errors
-    /// The store can't be written; the old bytes are stored.
+    /// The store can't be written; the old bytes remain stored.
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()>;
 }
 
-/// The fault of the next writes to a [`Memory`].
+/// A fault to inject into the writes of a [`Memory`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault: writes succeed.
     #[default]
     None,
-    /// The disk is full: each write fails and stores nothing.
+    /// The disk is full: every write fails and stores nothing.
     Full {
-        /// After so many successful writes.
+        /// Number of writes that succeed before the first failure.
         after: u32,
     },
-    /// The process crashes in the middle of a write. Nothing that it does afterwards reaches the store.
-    Die {
-        /// After so many successful writes.
+    /// The process crashes during a write. Nothing that it writes afterwards reaches the store.
+    Crash {
+        /// Number of writes that succeed before the crash.
         after: u32,
-        /// The number of bytes of that write that are stored.
+        /// Number of bytes of the interrupted write that are stored.
         bytes: usize,
     },
 }
 
-/// A store in memory, into which faults can be injected.
+/// A store in memory with fault injection, for tests and state-space exploration.
 #[derive(Clone, Debug, Default)]
 pub struct Memory {
     bytes: Vec<u8>,
     fault: Fault,
     writes: u32,
-    dead: bool,
+    crashed: bool,
 }
 
 impl Memory {
-    /// A store with these bytes, as a crash has left them.
-    pub fn of(bytes: Vec<u8>) -> Self {
+    /// A store that already contains these bytes, such as those that remain after a crash.
+    pub fn from_bytes(bytes: Vec<u8>) -> Self {
         Memory { bytes, ..Memory::default() }
     }
 
-    /// The bytes stored.
+    /// The stored bytes.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// Injects a fault; the count of writes starts from 0.
+    /// Sets the fault of the following writes and resets the count of writes to 0.
     pub fn fail(&mut self, fault: Fault) {
         self.fault = fault;
         self.writes = 0;
     }
 
-    /// The number of writes since the fault was injected, with those that failed.
+    /// The number of writes since the fault was set, including failed ones.
     pub fn writes(&self) -> u32 {
         self.writes
     }
 
-    /// The process has crashed in a write.
-    pub fn is_dead(&self) -> bool {
-        self.dead
+    /// Whether the simulated process has crashed during a write ([`Fault::Crash`]).
+    pub fn has_crashed(&self) -> bool {
+        self.crashed
     }
 
     fn write(&mut self, bytes: &[u8], replaces: bool) -> io::Result<()> {
-        if self.dead {
+        if self.crashed {
             return Ok(());
         }
-        let n = self.writes;
+        let previous_writes = self.writes;
         self.writes += 1;
         match self.fault {
-            Fault::Full { after } if n >= after => return Err(io::ErrorKind::StorageFull.into()),
-            Fault::Die { after, bytes: left } if n >= after => {
-                self.dead = true;
+            Fault::Full { after } if previous_writes >= after => {
+                return Err(io::ErrorKind::StorageFull.into());
+            }
+            Fault::Crash { after, bytes: written } if previous_writes >= after => {
+                self.crashed = true;
                 // A replacement is stored entirely or not at all.
                 if !replaces {
-                    self.bytes.extend_from_slice(&bytes[..left.min(bytes.len())]);
+                    self.bytes.extend_from_slice(&bytes[..written.min(bytes.len())]);
                 }
             }
             _ if replaces => self.bytes = bytes.to_vec(),
--- a/courier/core/src/submission.rs
+++ b/courier/core/src/submission.rs
@@ -1,4 +1,4 @@
-//! Submissions: the messages of clients, and the ends that are reported to them or to the platform.
+//! Messages as clients submit them, and the ends that are reported to clients or to the platform.
 
 use bytes::Bytes;
 use quillmount_policy::{Micros, MsgId};
@@ -7,19 +7,19 @@
 /// One message as a client submits it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Submission {
-    /// The client's id of the message, new for each message.
+    /// The id that the client assigns, unique for each message.
     pub id: String,
-    /// The name of its class.
+    /// The name of the message's class in the settings.
     pub class: String,
-    /// Its idempotency key, if it has one.
+    /// The idempotency key, if the message has one.
     pub key: Option<String>,
-    /// Its destination.
+    /// The id of the destination.
     pub dest: u64,
-    /// The tenant that it belongs to, if that is known.
+    /// The tenant that the message belongs to, if that is known.
     pub tenant: Option<String>,
-    /// How long it may still be delivered, in microseconds.
+    /// Time left for the delivery at the time of submission, in microseconds.
     pub time_left: Micros,
-    /// Its body; empty if it is streamed.
+    /// The body; empty if it is streamed.
     pub body: Bytes,
 }
 
@@ -32,22 +32,22 @@
     pub digest: Option<String>,
 }
 
-/// How a message ended that was not delivered.
+/// The end of a message that was not delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Ending {
-    /// It can't be delivered, and may have had an effect.
+    /// The message can't be delivered and may have had an effect.
     Undeliverable,
-    /// It had no effect. The client may submit it again after so many microseconds (0: no advice).
+    /// The message had no effect. The client may submit it again after this many microseconds (0: no advice).
     Deferred(Micros),
 }
 
 /// A notice of a message's end that the platform has yet to confirm.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Notice {
-    /// The number of the message.
+    /// The number of the message in the courier's journal.
     pub msg: MsgId,
-    /// Its id.
+    /// The client's id of the message.
     pub id: String,
-    /// Its end.
+    /// The message's end.
     pub ending: Ending,
 }
--- a/courier/core/src/turns.rs
+++ b/courier/core/src/turns.rs
@@ -1,36 +1,37 @@
-//! How many bytes streams may move in one turn of the event loop, so that small messages are not delayed.
+//! Limits the bytes that streams transfer in one turn of the event loop, so that they don't delay small messages.
 //!
-//! A turn is one pass over all that is ready. Streams together may move a fixed number of bytes in it. A read or write is
-//! not divided, so it may exceed what was left; the debt is subtracted from the next turns.
+//! A turn is one pass over all ready connections. In each turn all streams together may transfer a fixed number of
+//! bytes. A read or write is not split, so it may exceed the remaining budget; the excess is subtracted from the
+//! next turns.
 
-/// The byte budget of all streams.
+/// The budget of bytes that all streams share in a turn.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Turns {
+pub struct TurnBudget {
     /// Bytes per turn.
     quantum: i64,
-    /// Bytes left in this turn; negative: a debt.
-    left: i64,
+    /// Bytes that may still be transferred in this turn; negative if earlier turns exceeded their budget.
+    remaining: i64,
 }
 
-impl Turns {
-    /// A budget of so many bytes per turn, one at least.
+impl TurnBudget {
+    /// A budget of `quantum` bytes per turn, at least one byte.
     pub fn new(quantum: u64) -> Self {
         let quantum = i64::try_from(quantum).unwrap_or(i64::MAX).max(1);
-        Turns { quantum, left: quantum }
+        TurnBudget { quantum, remaining: quantum }
     }
 
-    /// Whether more may be moved in this turn.
-    pub fn may(&self) -> bool {
-        self.left > 0
+    /// Whether streams may transfer more bytes in this turn.
+    pub fn has_budget(&self) -> bool {
+        self.remaining > 0
     }
 
-    /// So many bytes were moved.
+    /// Subtracts transferred bytes from the budget.
     pub fn spend(&mut self, bytes: u64) {
-        self.left = self.left.saturating_sub(i64::try_from(bytes).unwrap_or(i64::MAX));
+        self.remaining = self.remaining.saturating_sub(i64::try_from(bytes).unwrap_or(i64::MAX));
     }
 
-    /// The next turn begins. What was left over is not carried over, a debt is.
-    pub fn next(&mut self) {
-        self.left = self.left.saturating_add(self.quantum).min(self.quantum);
+    /// Starts the next turn. An unused budget expires, an excess is carried over.
+    pub fn begin_turn(&mut self) {
+        self.remaining = self.remaining.saturating_add(self.quantum).min(self.quantum);
     }
 }
--- a/courier/core/tests/adopt.rs
+++ b/courier/core/tests/adopt.rs
@@ -1,4 +1,4 @@
-//! Adopting the messages of a courier that is lost: by the rules of a restart, once, and all or nothing.
+//! Adoption of the messages of a failed courier: it follows the rules of a restart, happens once, and is atomic.
 
 mod common;
 use common::{NOW, World, calls, class, endpoint, options, store_after_crash};
@@ -22,7 +22,7 @@
         dedup_scope: scope.map(String::from),
         ..class(name, "dedup")
     };
-    let env = SenderSettings {
+    let settings = SenderSettings {
         classes: vec![
             class("fee-debit", "fragile"),
             keyed("paid-notice", None),
@@ -32,28 +32,29 @@
     };
     let known =
         EndpointList { version: 1, full: true, endpoints: vec![endpoint("a", 1, EndpointState::Ready)] };
-    let (router, steps) = Router::open(&options(&env, disk), known.clone(), store, NOW).unwrap();
+    let (router, actions) = Router::open(&options(&settings, disk), known.clone(), store, NOW).unwrap();
     let mut hub = Hub::new(router, Pool::new(15_000_000, 9));
-    hub.carry_out(steps, NOW);
+    hub.carry_out(actions, NOW);
     hub.list(known, NOW);
     hub
 }
 
-/// A message as the journal of another courier has it.
+/// The entry of a message in another courier's journal.
 fn owed(id: &str) -> JournalEntry {
     let (class, body) = ("fee-debit".into(), bytes::Bytes::from_static(b"body"));
-    let taken = AcceptedMessage { id: id.into(), class, key: None, dest: 1, deadline: NOW + 9_000_000, body };
-    JournalEntry { taken, calls: Vec::new(), end: None, stream: false, source: None }
+    let message =
+        AcceptedMessage { id: id.into(), class, key: None, dest: 1, deadline: NOW + 9_000_000, body };
+    JournalEntry { message, calls: Vec::new(), end: None, stream: false, source: None }
 }
 
-/// The same, with an attempt whose outcome is not recorded.
+/// An entry like [`owed`], with an attempt whose outcome is not recorded.
 fn in_flight(id: &str) -> JournalEntry {
     JournalEntry { calls: vec![PastCall { sent: NOW - 9, effect: None, never_ran: None }], ..owed(id) }
 }
 
 fn with_class(class: &str, entry: JournalEntry) -> JournalEntry {
     JournalEntry {
-        taken: AcceptedMessage { class: class.into(), key: Some("k".into()), ..entry.taken },
+        message: AcceptedMessage { class: class.into(), key: Some("k".into()), ..entry.message },
         ..entry
     }
 }
@@ -63,7 +64,7 @@
 }
 
 fn ids(calls: Vec<DeliveryCall>) -> Vec<String> {
-    calls.iter().flat_map(DeliveryCall::payloads).map(|parcel| parcel.id.clone()).collect()
+    calls.iter().flat_map(DeliveryCall::payloads).map(|payload| payload.id.clone()).collect()
 }
 
 #[test]
@@ -75,28 +76,28 @@
     };
     let ended = JournalEntry { end: Some(End::Deferred { after: 70 }), ..owed("ended") };
     let late =
-        JournalEntry { taken: AcceptedMessage { deadline: NOW, ..owed("late").taken }, ..owed("late") };
+        JournalEntry { message: AcceptedMessage { deadline: NOW, ..owed("late").message }, ..owed("late") };
     let stream = JournalEntry { stream: true, ..in_flight("stream") };
     let entries = vec![in_flight("out"), owed("fresh"), refused, ended.clone(), late, stream];
-    let todo = hub.adopt(entries, &Settlements::default(), NOW).unwrap();
-    assert!(todo.iter().any(|one| matches!(one, DriverAction::Notify)));
-    assert_eq!(ids(calls(todo)), ["fresh", "back"], "what never ran is sent, and nothing else");
+    let driver_actions = hub.adopt(entries, &Settlements::default(), NOW).unwrap();
+    assert!(driver_actions.iter().any(|one| matches!(one, DriverAction::Notify)));
+    assert_eq!(ids(calls(driver_actions)), ["fresh", "back"], "only messages that never ran are sent");
     let mut ends = notices(&hub);
     ends.sort_by(|a, b| a.0.cmp(&b.0));
     let undeliverable = |id: &str| (id.to_string(), Ending::Undeliverable);
     let deferred = ("ended".to_string(), Ending::Deferred(70));
     assert_eq!(ends, [deferred, undeliverable("late"), undeliverable("out"), undeliverable("stream")]);
     assert_eq!(hub.router.counters.adopted, 6);
-    // All of it is in this courier's own journal, its ends included: after a kill nothing is sent.
+    // This courier's own journal contains all messages and their ends, so that nothing is sent again after a crash.
     let (contents, _) = JournalContents::read(store_after_crash(&hub).bytes());
     assert_eq!((contents.owed.len(), contents.owed.values().filter(|e| e.end.is_some()).count()), (6, 4));
     assert!(contents.owed.values().any(|e| *e == ended));
     let mut next = open(store_after_crash(&hub), DISK);
     assert!(calls(next.tick(NOW)).is_empty());
-    assert_eq!(notices(&next).len(), 6, "sent by this life, the debits may have run");
+    assert_eq!(notices(&next).len(), 6, "this process has sent the debits, so they may have run");
 }
 
-/// Each courier numbers zones differently: number 0 is its own zone.
+/// Each courier numbers zones differently (0 is its own zone), so the zone number of another courier's attempt is unknown.
 #[test]
 fn an_adopted_message_deduplicated_by_an_unknown_zone_is_not_repeated() {
     let mut hub = open(Memory::default(), DISK);
@@ -111,28 +112,28 @@
 fn a_message_that_is_owed_or_ended_here_is_not_adopted() {
     let mut hub = open(Memory::default(), DISK);
     let entries = || vec![in_flight("out"), owed("fresh"), owed("fresh")];
-    let skipped = |todo: &[DriverAction<u32>]| -> Vec<String> {
+    let skipped = |driver_actions: &[DriverAction<u32>]| -> Vec<String> {
         let id = |one: &DriverAction<u32>| match one {
             DriverAction::Note(Note::NotAdopted { id }) => Some(id.clone()),
             _ => None,
         };
-        todo.iter().filter_map(id).collect()
+        driver_actions.iter().filter_map(id).collect()
     };
-    let todo = hub.adopt(entries(), &Settlements::default(), NOW).unwrap();
-    assert_eq!(skipped(&todo), ["fresh"]);
-    let call = calls(todo).remove(0).call;
+    let driver_actions = hub.adopt(entries(), &Settlements::default(), NOW).unwrap();
+    assert_eq!(skipped(&driver_actions), ["fresh"]);
+    let call = calls(driver_actions).remove(0).call;
     for _ in 0..2 {
         let before = store_after_crash(&hub).bytes().to_vec();
-        let todo = hub.adopt(entries(), &Settlements::default(), NOW).unwrap();
-        assert_eq!((skipped(&todo).len(), calls(todo).len()), (3, 0));
+        let driver_actions = hub.adopt(entries(), &Settlements::default(), NOW).unwrap();
+        assert_eq!((skipped(&driver_actions).len(), calls(driver_actions).len()), (3, 0));
         assert_eq!(store_after_crash(&hub).bytes(), before);
-        // The second time both have ended.
+        // In the second iteration both messages have ended.
         hub.call_ended(call, quillmount_core::CallEnd::Delivered, NOW);
         let notices = hub.router.notices(9);
         hub.notices_confirmed(&notices, NOW);
     }
     assert_eq!((hub.router.counters.adopted, hub.router.load()), (2, RouterLoad::default()));
-    // A message that was delivered elsewhere is not continued.
+    // A message that another courier delivered is not processed further.
     let delivered = JournalEntry { end: Some(End::Delivered), ..owed("delivered") };
     assert_eq!(skipped(&hub.adopt(vec![delivered], &Settlements::default(), NOW).unwrap()), ["delivered"]);
 }
@@ -150,20 +151,20 @@
     assert_eq!(
         ids(calls(hub.adopt(entries(), &Settlements::default(), NOW).unwrap())),
         ["c"],
-        "later there is room"
+        "the adoption succeeds once writes succeed"
     );
-    // The disk has no space for them: its contents stay.
+    // The entries do not fit into the limit on disk space; the journal is unchanged.
     let mut small = open(Memory::default(), 4_000);
     assert!(matches!(small.adopt(entries(), &Settlements::default(), NOW), Err(JournalError::Full)));
     assert_eq!((small.router.load(), store_after_crash(&small).bytes().len()), (RouterLoad::default(), 0));
-    // Wherever a kill interrupts the write, no debit that was in flight is owed without its attempt.
+    // Wherever a crash interrupts the write, no debit that was in flight is owed without its attempt.
     for after in 0..8 {
         for bytes in 0..200 {
             let mut hub = open(Memory::default(), DISK);
-            hub.router.journal_mut().store_mut().fail(Fault::Die { after, bytes });
+            hub.router.journal_mut().store_mut().fail(Fault::Crash { after, bytes });
             hub.adopt(entries(), &Settlements::default(), NOW).unwrap();
             let (contents, _) = JournalContents::read(store_after_crash(&hub).bytes());
-            let safe = contents.owed.values().all(|entry| entry.taken.id == "c" || !entry.calls.is_empty());
+            let safe = contents.owed.values().all(|entry| entry.message.id == "c" || !entry.calls.is_empty());
             assert!(safe, "write {after}, {bytes} bytes: {contents:?}");
             let mut next = open(store_after_crash(&hub), DISK);
             next.adopt(entries(), &Settlements::default(), NOW).unwrap();
@@ -172,31 +173,31 @@
     }
 }
 
-/// Between the write and the fleet's decision nothing is done. A crash in between leaves the messages unsettled, and those
-/// that another courier owns are removed from the journal.
+/// Between the write and the fleet's decision the messages are not processed. After a crash in between they are still
+/// unsettled, and those that another courier owns are later removed from the journal.
 #[test]
 fn adopted_messages_with_a_source_wait_for_the_decision_of_the_fleet() {
     use quillmount_core::journal::Source;
     let source = |part| Source { owner: "a".into(), epoch: 3, part };
     let from = |part, entry| JournalEntry { source: Some(source(part)), ..entry };
     let mut hub = open(Memory::default(), DISK);
-    let todo =
+    let driver_actions =
         hub.adopt(vec![from(1, owed("m1")), from(2, owed("m2"))], &Settlements::default(), NOW).unwrap();
-    assert!(ids(calls(todo)).is_empty() && hub.router.load().owed == 0);
-    let store = Memory::of(hub.router.journal().store().bytes().to_vec());
+    assert!(ids(calls(driver_actions)).is_empty() && hub.router.load().owed == 0);
+    let store = Memory::from_bytes(hub.router.journal().store().bytes().to_vec());
     let mut hub = open(store, DISK);
     assert_eq!(hub.router.unsettled().cloned().collect::<Vec<_>>(), [source(1), source(2)]);
     let (id, class, time_left) = ("m2".into(), "fee-debit".into(), 9_000_000);
     let again = Submission { id, class, key: None, dest: 1, tenant: None, time_left, body: [][..].into() };
-    assert_eq!(hub.submit(again, NOW).0, Intake::Open, "its id is taken meanwhile");
-    let todo = hub.settle_source(&source(1), true, NOW).unwrap();
-    assert_eq!(ids(calls(todo)), ["m1"]);
+    assert_eq!(hub.submit(again, NOW).0, Intake::Open, "the id is reserved until the decision");
+    let driver_actions = hub.settle_source(&source(1), true, NOW).unwrap();
+    assert_eq!(ids(calls(driver_actions)), ["m1"]);
     assert!(hub.settle_source(&source(2), false, NOW).unwrap().is_empty());
     let (contents, _) = JournalContents::read(hub.router.journal().store().bytes());
-    let left: Vec<_> = contents.owed.values().map(|e| (e.taken.id.as_str(), e.source.clone())).collect();
+    let left: Vec<_> = contents.owed.values().map(|e| (e.message.id.as_str(), e.source.clone())).collect();
     assert_eq!(left, [("m1", None)]);
     let again = owed("m2");
-    // The other one's id may be submitted again.
-    let todo = hub.adopt(vec![again], &Settlements::default(), NOW).unwrap();
-    assert_eq!(ids(calls(todo)), ["m2"]);
+    // The id of the dropped message may be used again.
+    let driver_actions = hub.adopt(vec![again], &Settlements::default(), NOW).unwrap();
+    assert_eq!(ids(calls(driver_actions)), ["m2"]);
 }
--- a/courier/core/tests/common/mod.rs
+++ b/courier/core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A courier without sockets, for the tests of this package: classes, endpoints, and the calls that begin.
+//! Helpers for the tests of this package: a courier without sockets, classes, endpoints, and the calls that are started.
 #![allow(dead_code)]
 
 use quillmount_core::hub::{DriverAction, Hub};
@@ -12,12 +12,12 @@
 
 pub type World = Hub<Memory, u32>;
 
-/// A router's options without streams.
+/// The options of a router that accepts no streams.
 pub fn options(settings: &SenderSettings, journal_limit: u64) -> RouterOptions<'_> {
     RouterOptions { settings, streams: None, seed: 7, journal_limit }
 }
 
-/// A class of messages with a deadline of 16 s.
+/// A message class with a deadline of 16 s.
 pub fn class(name: &str, effect: &str) -> Category {
     Category {
         name: name.into(),
@@ -28,7 +28,7 @@
     }
 }
 
-/// An endpoint of a destination, of no kind that the settings know.
+/// An endpoint of a destination, whose kind the settings lack.
 pub fn endpoint(id: &str, dest: u64, state: EndpointState) -> EndpointListing {
     let (addr, zone) = ("127.0.0.1:1".parse().ok(), String::new());
     EndpointListing { id: id.into(), addr, dest, kind: String::new(), zone, weight: 9.0, state }
@@ -40,12 +40,12 @@
         .collect()
 }
 
-/// What a crash leaves, and the next process reads.
+/// The store that remains after a crash and that the next process reads.
 pub fn store_after_crash(hub: &World) -> Memory {
-    Memory::of(hub.router.journal().store().bytes().to_vec())
+    Memory::from_bytes(hub.router.journal().store().bytes().to_vec())
 }
 
-/// All values that a visitor is shown, in order.
+/// Collects all values that are passed to a visitor, in order.
 #[derive(Default, PartialEq, Debug)]
 pub struct VisitedValues(Vec<u64>);
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// What the router shows a visitor.
+/// The values that the router passes to a visitor.
 pub fn visited_values(hub: &World) -> VisitedValues {
     let mut values = VisitedValues::default();
     hub.router.visit_state(&mut values);
--- a/courier/core/tests/disabled.rs
+++ b/courier/core/tests/disabled.rs
@@ -1,9 +1,9 @@
-//! Endpoints that operators disable: lists, refused writes, crashes and calls meanwhile.
+//! Endpoints that operators disable, combined with list updates, rejected writes, crashes and calls in progress.
 
 mod common;
 use common::{NOW, World, calls, endpoint, options, store_after_crash};
 use quillmount_core::call::Call;
-use quillmount_core::disabled::{DISABLED_MAX, DisableError};
+use quillmount_core::disabled::{DisableError, MAX_DISABLED};
 use quillmount_core::hub::Hub;
 use quillmount_core::machine::attempt::{Answer, AttemptState};
 use quillmount_core::pool::Pool;
@@ -15,7 +15,7 @@
 
 const DISK: u64 = 99_999;
 
-fn env() -> SenderSettings {
+fn settings() -> SenderSettings {
     let category = Category {
         name: "paid-notice".into(),
         effect: None,
@@ -33,9 +33,9 @@
 
 fn open(store: Memory) -> World {
     let known = list(true, &[("a", EndpointState::Ready)]);
-    let (router, steps) = Router::open(&options(&env(), DISK), known, store, NOW).unwrap();
+    let (router, actions) = Router::open(&options(&settings(), DISK), known, store, NOW).unwrap();
     let mut hub = Hub::new(router, Pool::new(15_000_000, 9));
-    hub.carry_out(steps, NOW);
+    hub.carry_out(actions, NOW);
     hub
 }
 
@@ -59,23 +59,26 @@
     for _ in 0..2 {
         hub.set_disabled("a", true, NOW).unwrap();
     }
-    let wholes =
+    let listings =
         [(true, EndpointState::Ready), (false, EndpointState::Draining), (false, EndpointState::Ready)];
-    for (n, (full, state)) in wholes.into_iter().enumerate() {
+    for (n, (full, state)) in listings.into_iter().enumerate() {
         assert_eq!(calls(hub.list(list(full, &[("a", state)]), NOW)).len(), 0);
         assert_eq!(submit(&mut hub, &format!("m{n}"), NOW).len(), 0, "{state:?}");
     }
-    // Gone long enough to be forgotten, and listed again.
+    // The endpoint is gone for long enough to be removed from the table, and is then listed again.
     hub.list(list(true, &[("b", EndpointState::Draining)]), NOW);
     hub.list(list(false, &[("c", EndpointState::Draining)]), NOW + 30_000_000);
     let later = NOW + 30_000_000;
     assert_eq!(calls(hub.list(list(false, &[("a", EndpointState::Ready)]), later)).len(), 0);
     assert_eq!(submit(&mut hub, "later", later).len(), 0);
-    assert!(!calls(hub.set_disabled("a", false, later).unwrap()).is_empty(), "one call ends the hold");
-    assert!(hub.set_disabled("a", false, later).unwrap().is_empty(), "once more changes nothing");
+    assert!(
+        !calls(hub.set_disabled("a", false, later).unwrap()).is_empty(),
+        "enabling the endpoint once is sufficient"
+    );
+    assert!(hub.set_disabled("a", false, later).unwrap().is_empty(), "enabling it again has no effect");
 }
 
-/// A full list without an endpoint says that it is gone: enabled, it is still gone.
+/// An endpoint that a full list lacks is gone, and it is still gone after an operator enables it.
 #[test]
 fn an_endpoint_that_was_removed_while_disabled_gets_no_call_when_it_is_enabled() {
     let mut hub = open(Memory::default());
@@ -90,8 +93,8 @@
 #[test]
 fn a_call_that_is_connecting_when_its_endpoint_is_disabled_is_held_back() {
     let mut hub = open(Memory::default());
-    let order = submit(&mut hub, "m", NOW).remove(0);
-    let mut call = Call::new(order, |_, _| Answer::Awaited, 9);
+    let delivery_call = submit(&mut hub, "m", NOW).remove(0);
+    let mut call = Call::new(delivery_call, |_, _| Answer::Awaited, 9);
     call.start(&mut hub.pool, NOW, |_| true);
     assert_eq!(call.state(), AttemptState::Connecting);
     hub.set_disabled("a", true, NOW).unwrap();
@@ -107,15 +110,15 @@
     assert!(!hub.router.disabled().contains("a"));
     hub.router.journal_mut().store_mut().fail(Fault::None);
     hub.set_disabled("a", true, NOW).unwrap();
-    // Because of a torn record at the end the next start rewrites the journal.
+    // A torn record at the end makes the next process compact the journal.
     let mut bytes = store_after_crash(&hub).bytes().to_vec();
     bytes.extend([9, 0, 0, 0, 1]);
-    let mut next = open(Memory::of(bytes));
+    let mut next = open(Memory::from_bytes(bytes));
     assert!(next.router.disabled().contains("a"));
     assert_eq!(submit(&mut next, "m", NOW).len(), 0);
     next.router.journal_mut().store_mut().fail(Fault::Full { after: 0 });
     assert!(next.set_disabled("a", false, NOW).is_err());
-    assert!(next.router.disabled().contains("a"), "refused, it is out still");
+    assert!(next.router.disabled().contains("a"), "the endpoint remains disabled after the rejected write");
     next.router.journal_mut().store_mut().fail(Fault::None);
     assert_eq!(calls(next.set_disabled("a", false, NOW).unwrap()).len(), 1);
     assert!(!open(store_after_crash(&next)).router.disabled().contains("a"));
@@ -125,11 +128,11 @@
 fn a_crash_at_any_byte_of_a_disable_leaves_all_or_nothing_of_it() {
     for bytes in 0..40 {
         let mut hub = open(Memory::default());
-        hub.router.journal_mut().store_mut().fail(Fault::Die { after: 0, bytes });
+        hub.router.journal_mut().store_mut().fail(Fault::Crash { after: 0, bytes });
         hub.set_disabled("a", true, NOW).unwrap();
         let mut next = open(store_after_crash(&hub));
-        let held = next.router.disabled().contains("a");
-        assert_eq!(submit(&mut next, "m", NOW).is_empty(), held, "{bytes} bytes");
+        let disabled = next.router.disabled().contains("a");
+        assert_eq!(submit(&mut next, "m", NOW).is_empty(), disabled, "{bytes} bytes");
         next.set_disabled("a", true, NOW).unwrap();
         assert!(open(store_after_crash(&next)).router.disabled().contains("a"), "{bytes} bytes");
     }
@@ -138,10 +141,10 @@
 #[test]
 fn disabled_endpoints_are_limited_by_number_and_by_disk_space() {
     let mut hub = open(Memory::default());
-    let ids: Vec<String> = (0..=DISABLED_MAX).map(|n| format!("endpoint-{n}-{}", "x".repeat(90))).collect();
+    let ids: Vec<String> = (0..=MAX_DISABLED).map(|n| format!("endpoint-{n}-{}", "x".repeat(90))).collect();
     let endpoints: Vec<_> = ids.iter().map(|id| (id.as_str(), EndpointState::Ready)).collect();
     hub.list(list(true, &endpoints), NOW);
-    let held = ids.iter().filter(|id| hub.set_disabled(id, true, NOW).is_ok()).count();
-    assert!((1..DISABLED_MAX).contains(&held), "{held}: here the disk is the narrower limit");
+    let disabled = ids.iter().filter(|id| hub.set_disabled(id, true, NOW).is_ok()).count();
+    assert!((1..MAX_DISABLED).contains(&disabled), "{disabled}: the limit on disk space is reached first");
     assert!(2 * store_after_crash(&hub).bytes().len() as u64 <= DISK);
 }
--- a/courier/core/tests/handover_forms.rs
+++ b/courier/core/tests/handover_forms.rs
@@ -26,7 +26,7 @@
 
 const DISK: u64 = 999_999;
 const STREAMS: Option<StreamLimits> =
-    Some(StreamLimits { most: 4, share_of_slots: 0.5, share_of_window: 0.5 });
+    Some(StreamLimits { max_open: 4, share_of_slots: 0.5, share_of_window: 0.5 });
 /// The fingerprint of the settings below: a state with another one is not resumed.
 const FINGERPRINT: u32 = 1_794_195_402;
 
@@ -160,13 +160,13 @@
     let backoffs = state.backoffs.clone();
     let now = NOW + 2_000_000;
     let (router, steps) =
-        Router::resume(&options(&env()), state.router, Memory::of(journal.clone()), now).unwrap();
+        Router::resume(&options(&env()), state.router, Memory::from_bytes(journal.clone()), now).unwrap();
     let mut next = Hub::new(router, Pool::new(15_000_000, 99));
     let todo = next.resume(&backoffs, steps, now);
     assert!(calls(todo).is_empty(), "what is out is out still");
     assert_eq!(visited_values(&next), visited_values(&hub));
     assert_eq!(next.router.notices(99), hub.router.notices(99));
-    assert_eq!(next.router.calls_out(), hub.router.calls_out());
+    assert_eq!(next.router.calls_in_flight(), hub.router.calls_in_flight());
     assert_eq!(next.router.load(), hub.router.load());
     assert_eq!(encoded(&next), stored, "the next process would hand over the same");
     assert_eq!(store_after_crash(&next).bytes(), journal);
@@ -176,10 +176,10 @@
     let backoff = |endpoint| EndpointBackoff { endpoint, until: NOW + 20_039_000 };
     assert_eq!(backoffs, [2, 3].map(backoff));
     let call = |msg| CallId { msg, attempt: 0 };
-    assert_eq!(next.router.calls_out(), [5, 35, 50, 2, 17].map(call));
+    assert_eq!(next.router.calls_in_flight(), [5, 35, 50, 2, 17].map(call));
     assert_eq!(next.router.disabled().iter().collect::<Vec<_>>(), ["s-1"]);
     assert_eq!(next.router.version(), 41);
-    assert!((0..60).all(|n| next.router.knows(&format!("m{n}"))));
+    assert!((0..60).all(|n| next.router.is_known(&format!("m{n}"))));
     let counters = &next.router.counters;
     assert_eq!((counters.taken_on, counters.calls, counters.bundles, counters.bundled), (64, 11, 6, 39));
     assert_eq!((counters.delivered, counters.told_to_wait, counters.could_not_connect), (1, 1, 6));
--- a/courier/core/tests/repeats.rs
+++ b/courier/core/tests/repeats.rs
@@ -59,7 +59,7 @@
 fn end_of(hub: &World, id: &str) -> Option<End> {
     let (contents, _) = JournalContents::read(hub.router.journal().store().bytes());
     let over = contents.ended.iter().find(|ended| ended.id == id).map(|ended| ended.end);
-    over.or_else(|| contents.owed.values().find(|e| e.taken.id == id).and_then(|e| e.end))
+    over.or_else(|| contents.owed.values().find(|e| e.message.id == id).and_then(|e| e.end))
 }
 
 fn has_ended(hub: &World, id: &str) -> bool {
@@ -161,7 +161,7 @@
         assert!(out.contains(&"untried"), "{out:?}");
         let before = store_after_crash(&hub);
         let (mut next, todo) = open(&env, before, now);
-        let noted = todo.iter().any(|one| matches!(one, DriverAction::Note(Note::SetBack { .. })));
+        let noted = todo.iter().any(|one| matches!(one, DriverAction::Note(Note::ClockSetBack { .. })));
         assert_eq!(noted, now < NOW, "{now}");
         let mut begun = calls(todo);
         begun.extend(run(&mut next, now, now + SPAN / 2).into_iter().map(|(_, call)| call));
