--- a/courier/core/tests/restart.rs
+++ b/courier/core/tests/restart.rs
@@ -1,4 +1,4 @@
-//! Restarts: restored messages are tried whatever the load, and their classes are matched by name under other settings.
+//! Restarts: restored messages are attempted regardless of the load, and classes are matched by name under new settings.
 
 mod common;
 use bytes::Bytes;
@@ -17,7 +17,7 @@
 use std::collections::BTreeSet;
 
 const DISK: u64 = 3_000_000;
-const LIFE: Micros = 16_000_000;
+const TIME_LEFT: Micros = 16_000_000;
 
 fn dedup(name: &str, span_ms: f64, scope: &str) -> Category {
     Category { memory_span_ms: span_ms, dedup_scope: Some(scope.into()), ..class(name, "dedup") }
@@ -28,7 +28,7 @@
 }
 
 fn list(lines: &[(&str, u64, &str)]) -> EndpointList {
-    // The port of each follows from its position.
+    // The port of each endpoint is its position in the list, from 1.
     let line = |((id, dest, zone), port): (&(&str, u64, &str), u16)| EndpointListing {
         zone: (*zone).into(),
         addr: Some(([127, 0, 0, 1], port).into()),
@@ -37,58 +37,58 @@
     EndpointList { version: 2, full: true, endpoints: lines.iter().zip(1..).map(line).collect() }
 }
 
-fn none() -> EndpointList {
+fn empty_list() -> EndpointList {
     EndpointList { version: 0, full: true, endpoints: Vec::new() }
 }
 
-fn taken(n: u64, class: &str) -> AcceptedMessage {
+fn accepted_message(n: u64, class: &str) -> AcceptedMessage {
     let (id, key) = (format!("m{n}"), Some(format!("k{n}")));
     AcceptedMessage {
         id,
         class: class.into(),
         key,
         dest: 1,
-        deadline: NOW + LIFE,
+        deadline: NOW + TIME_LEFT,
         body: Bytes::from_static(b"body"),
     }
 }
 
-/// A journal's store with these records.
-fn folder(records: &[JournalRecord]) -> Memory {
-    Memory::of(records.iter().flat_map(|record| frame(record).unwrap()).collect())
+/// A store with a journal of these records.
+fn store_with(records: &[JournalRecord]) -> Memory {
+    Memory::from_bytes(records.iter().flat_map(|record| frame(record).unwrap()).collect())
 }
 
-/// The next process, the calls that it begins at once, and the errors that it logs.
+/// Starts the next process; returns it, the calls that it starts immediately, and the errors that it logs.
 fn open(
     env: &SenderSettings,
     known: EndpointList,
     store: Memory,
     now: Micros,
 ) -> (World, Vec<DeliveryCall>, Vec<String>) {
-    let (router, steps) = Router::open(&options(env, DISK), known, store, now).unwrap();
-    let errors = steps.iter().filter_map(|step| match step {
+    let (router, actions) = Router::open(&options(env, DISK), known, store, now).unwrap();
+    let errors = actions.iter().filter_map(|action| match action {
         RouterAction::Note(note) if note.level() == Level::Error => Some(note.to_string()),
         _ => None,
     });
     let errors = errors.collect();
     let mut hub = Hub::new(router, Pool::new(15_000_000, 99));
-    let begun = calls(hub.carry_out(steps, now));
+    let begun = calls(hub.carry_out(actions, now));
     (hub, begun, errors)
 }
 
 fn submit(hub: &mut World, id: &str, class: &str, now: Micros) -> (Intake, Vec<DeliveryCall>) {
     let (id, class, body) = (id.to_string(), class.to_string(), Bytes::from_static(b"body"));
     let key = Some(id.clone());
-    let submission = Submission { id, class, key, dest: 1, tenant: None, time_left: LIFE, body };
-    let (intake, todo) = hub.submit(submission, now);
-    (intake, calls(todo))
+    let submission = Submission { id, class, key, dest: 1, tenant: None, time_left: TIME_LEFT, body };
+    let (intake, actions) = hub.submit(submission, now);
+    (intake, calls(actions))
 }
 
 fn ends(hub: &World) -> Vec<(MsgId, Ending)> {
     hub.router.notices(9_999).into_iter().map(|Notice { msg, ending, .. }| (msg, ending)).collect()
 }
 
-/// Continues until this time and delivers each call; returns the messages that were delivered.
+/// Runs the courier until the time `until`, delivers each call, and returns the messages of all calls.
 fn deliver_all(
     hub: &mut World,
     mut out: Vec<DeliveryCall>,
@@ -101,16 +101,16 @@
             called.insert(call.call.msg);
             out.extend(calls(hub.call_ended(call.call, CallEnd::Delivered, now)));
         }
-        match hub.router.wake_at().filter(|at| *at <= until) {
-            Some(at) => now = now.max(at),
+        match hub.router.wake_at().filter(|wake_at| *wake_at <= until) {
+            Some(wake_at) => now = now.max(wake_at),
             None => return called,
         }
         out.extend(calls(hub.tick(now)));
     }
 }
 
-/// The table was full when the process crashed, with calls in flight. The policy sheds new messages above nine tenths, and
-/// to it all restored ones are new.
+/// The process crashed with a full table. The policy sheds new messages above nine tenths of the table and can't tell
+/// restored messages from new ones, so without extra capacity it would shed restored messages.
 #[test]
 fn messages_that_fill_the_table_survive_a_restart_and_are_tried_before_new_ones() {
     for (cap, owed) in [(20, 20), (10, 20), (1, 3), (20, 18), (1_000, 1)] {
@@ -118,11 +118,12 @@
             limits: quillmount_settings::Limits { max_open_messages: Some(cap), ..Default::default() },
             ..env(vec![class("fee-debit", "fragile")])
         };
-        let records: Vec<_> =
-            (0..owed).map(|msg| JournalRecord::Accept { msg, taken: taken(msg, "fee-debit") }).collect();
-        let (mut hub, begun, _) = open(&settings, none(), folder(&records), NOW);
+        let records: Vec<_> = (0..owed)
+            .map(|msg| JournalRecord::Accept { msg, message: accepted_message(msg, "fee-debit") })
+            .collect();
+        let (mut hub, begun, _) = open(&settings, empty_list(), store_with(&records), NOW);
         assert_eq!((ends(&hub).len(), begun.len()), (0, 0), "{owed} in a table of {cap}");
-        // An upgrade at that time keeps them too.
+        // An upgrade at this time keeps the messages, too.
         let state = hub.state(settings_fingerprint(&settings, None).unwrap());
         let (next, _) =
             Router::resume(&options(&settings, DISK), state.router, store_after_crash(&hub), NOW + 1_000)
@@ -137,24 +138,25 @@
             assert!(matches!(intake, Intake::Rejected { .. }), "{intake:?}");
         }
         assert_eq!(deliver_all(&mut hub, begun, now, now + 10_000_000), (0..owed).collect(), "{cap}");
-        // Its space is removed with it: from here on the table's limit is that of the settings.
-        let taken_on = (0..2 * u64::from(cap).min(50)).filter(|n| {
+        // The extra capacity is gone with the restored messages: the limit of the settings applies again.
+        let accepted = (0..2 * u64::from(cap).min(50)).filter(|n| {
             submit(&mut hub, &format!("n{n}"), "fee-debit", now + 10_000_000).0 == Intake::Accepted
         });
-        assert!(taken_on.count() <= cap as usize);
+        assert!(accepted.count() <= cap as usize);
     }
 }
 
-/// Neither an empty list nor one without the destination, nor a silent discovery ends a message before its deadline; the
-/// first list with the destination is enough.
+/// No message ends before its deadline because the endpoint list is empty, lacks the destination, or because discovery does
+/// not respond. The first list with the destination is sufficient to deliver all messages.
 #[test]
 fn an_untried_message_waits_for_a_list_until_its_deadline() {
     let settings = env(vec![class("fee-debit", "fragile")]);
-    for known in [none(), list(&[("x", 9, "z")])] {
-        let records: Vec<_> =
-            (0..9).map(|msg| JournalRecord::Accept { msg, taken: taken(msg, "fee-debit") }).collect();
-        let (mut hub, begun, _) = open(&settings, known, folder(&records), NOW);
-        let late = NOW + LIFE - 1_000_000;
+    for known in [empty_list(), list(&[("x", 9, "z")])] {
+        let records: Vec<_> = (0..9)
+            .map(|msg| JournalRecord::Accept { msg, message: accepted_message(msg, "fee-debit") })
+            .collect();
+        let (mut hub, begun, _) = open(&settings, known, store_with(&records), NOW);
+        let late = NOW + TIME_LEFT - 1_000_000;
         assert!(deliver_all(&mut hub, begun, NOW, late).is_empty());
         assert_eq!(ends(&hub), []);
         let begun = calls(hub.list(list(&[("a", 1, "z")]), late));
@@ -162,29 +164,29 @@
     }
 }
 
-/// Classes renamed, reordered and removed: a class is identified by its name alone.
+/// The settings rename, reorder and remove classes: a class in the journal is identified by its name alone.
 #[test]
 fn a_restored_message_has_the_class_of_its_name_and_ends_with_an_error_without_one() {
     let records = [
-        JournalRecord::Accept { msg: 1, taken: taken(1, "fee-debit") },
+        JournalRecord::Accept { msg: 1, message: accepted_message(1, "fee-debit") },
         JournalRecord::Sent { msg: 1, sent: NOW - 9, effect: RepeatEffect::Unsafe },
-        JournalRecord::Accept { msg: 2, taken: taken(2, "paid-notice") },
+        JournalRecord::Accept { msg: 2, message: accepted_message(2, "paid-notice") },
         JournalRecord::Sent { msg: 2, sent: NOW - 9, effect: RepeatEffect::Safe },
-        JournalRecord::Accept { msg: 3, taken: taken(3, "gone") },
-        JournalRecord::Accept { msg: 4, taken: taken(4, "gone") },
+        JournalRecord::Accept { msg: 3, message: accepted_message(3, "gone") },
+        JournalRecord::Accept { msg: 4, message: accepted_message(4, "gone") },
         JournalRecord::Sent { msg: 4, sent: NOW - 9, effect: RepeatEffect::Safe },
-        JournalRecord::Accept { msg: 5, taken: taken(5, "gone") },
+        JournalRecord::Accept { msg: 5, message: accepted_message(5, "gone") },
         JournalRecord::Sent { msg: 5, sent: NOW - 9, effect: RepeatEffect::Safe },
         JournalRecord::Outcome { msg: 5, attempt: 0, never_ran: true },
     ];
     let settings = env(vec![class("paid-notice", "retryable"), class("fee-debit", "fragile")]);
-    let (mut hub, begun, errors) = open(&settings, list(&[("a", 1, "z")]), folder(&records), NOW);
-    // A message that never ran may be submitted again; for the others nothing can be promised.
+    let (mut hub, begun, errors) = open(&settings, list(&[("a", 1, "z")]), store_with(&records), NOW);
+    // A message that never ran may be submitted again; the others may have had an effect.
     let failed = Ending::Undeliverable;
-    let wanted = [(1, failed), (3, Ending::Deferred(0)), (4, failed), (5, Ending::Deferred(0))];
+    let expected = [(1, failed), (3, Ending::Deferred(0)), (4, failed), (5, Ending::Deferred(0))];
     let mut found = ends(&hub);
     found.sort_by_key(|(msg, _)| *msg);
-    assert_eq!(found, wanted);
+    assert_eq!(found, expected);
     assert_eq!(deliver_all(&mut hub, begun, NOW, NOW + 1_000_000), BTreeSet::from([2]));
     assert_eq!(errors.len(), 3, "{errors:?}");
     for (error, id) in errors.iter().zip(["m3", "m4", "m5"]) {
@@ -194,52 +196,56 @@
     }
 }
 
-/// The effect of a class has changed: an attempt that may have run was sent under the old one, and the stricter one applies.
+/// The effect of a class has changed. For an attempt that may have run under the old effect, the stricter of both applies.
 #[test]
 fn the_stricter_effect_applies_to_attempts_that_may_have_run() {
     let keyed = |span: Micros, zone: Option<&str>| RepeatEffect::Keyed { span, zone: zone.map(Into::into) };
-    let now_safe = || class("c", "retryable");
-    let now_once = || class("c", "fragile");
-    let now_keyed = |span_ms| dedup("c", span_ms, "all");
+    let class_safe = || class("c", "retryable");
+    let class_once = || class("c", "fragile");
+    let class_keyed = |span_ms| dedup("c", span_ms, "all");
     let second = 1_000_000;
-    // The attempt's effect, today's, how long ago it was sent, and whether it is called again.
+    // The attempt's effect, the class's present effect, the attempt's age, and whether the message is sent again.
     let cases = [
-        (RepeatEffect::Safe, now_safe(), 5 * second, true),
-        (RepeatEffect::Unsafe, now_safe(), 0, false),
-        (RepeatEffect::Unsafe, now_keyed(6_000.0), 0, false),
-        (RepeatEffect::Safe, now_once(), 0, false),
-        (keyed(6 * second, None), now_once(), 0, false),
-        (keyed(6 * second, None), now_safe(), 0, false),
-        (keyed(6 * second, None), now_keyed(6_000.0), 5 * second, true),
-        (keyed(6 * second, None), now_keyed(6_000.0), 6 * second, false),
-        (keyed(2 * second, None), now_keyed(6_000.0), second, true),
-        (keyed(2 * second, None), now_keyed(6_000.0), 2 * second, false),
-        (keyed(6 * second, None), now_keyed(2_000.0), second, true),
-        (keyed(6 * second, None), now_keyed(2_000.0), 2 * second, false),
-        (keyed(6 * second, Some("z")), now_keyed(6_000.0), 0, false),
+        (RepeatEffect::Safe, class_safe(), 5 * second, true),
+        (RepeatEffect::Unsafe, class_safe(), 0, false),
+        (RepeatEffect::Unsafe, class_keyed(6_000.0), 0, false),
+        (RepeatEffect::Safe, class_once(), 0, false),
+        (keyed(6 * second, None), class_once(), 0, false),
+        (keyed(6 * second, None), class_safe(), 0, false),
+        (keyed(6 * second, None), class_keyed(6_000.0), 5 * second, true),
+        (keyed(6 * second, None), class_keyed(6_000.0), 6 * second, false),
+        (keyed(2 * second, None), class_keyed(6_000.0), second, true),
+        (keyed(2 * second, None), class_keyed(6_000.0), 2 * second, false),
+        (keyed(6 * second, None), class_keyed(2_000.0), second, true),
+        (keyed(6 * second, None), class_keyed(2_000.0), 2 * second, false),
+        (keyed(6 * second, Some("z")), class_keyed(6_000.0), 0, false),
         (keyed(6 * second, Some("z")), dedup("c", 6_000.0, "zone"), second, true),
         (keyed(6 * second, Some("y")), dedup("c", 6_000.0, "zone"), second, false),
         (keyed(6 * second, None), dedup("c", 6_000.0, "zone"), second, false),
     ];
-    for (under, today, ago, again) in cases {
-        let what = format!("{under:?} and {:?}, {ago} us ago", today.effect);
-        let sent = JournalRecord::Sent { msg: 1, sent: NOW - ago, effect: under.clone() };
-        let settings = env(vec![class("other", "retryable"), today]);
-        let ran = [JournalRecord::Accept { msg: 1, taken: taken(1, "c") }, sent];
-        let (mut hub, begun, errors) = open(&settings, list(&[("a", 1, "z")]), folder(&ran), NOW);
-        assert_eq!(!deliver_all(&mut hub, begun, NOW, NOW + LIFE).is_empty(), again, "{what}");
-        assert_eq!(ends(&hub).len(), usize::from(!again), "{what}");
+    for (recorded_effect, present_class, age, is_repeated) in cases {
+        let context = format!("{recorded_effect:?} and {:?}, {age} us ago", present_class.effect);
+        let sent = JournalRecord::Sent { msg: 1, sent: NOW - age, effect: recorded_effect.clone() };
+        let settings = env(vec![class("other", "retryable"), present_class]);
+        let ran = [JournalRecord::Accept { msg: 1, message: accepted_message(1, "c") }, sent];
+        let (mut hub, begun, errors) = open(&settings, list(&[("a", 1, "z")]), store_with(&ran), NOW);
+        assert_eq!(!deliver_all(&mut hub, begun, NOW, NOW + TIME_LEFT).is_empty(), is_repeated, "{context}");
+        assert_eq!(ends(&hub).len(), usize::from(!is_repeated), "{context}");
         assert!(errors.iter().all(|error| error.contains("\"m1\"") && error.contains("\"c\"")), "{errors:?}");
-        // For an attempt that certainly did not run, the present effect applies.
+        // For an attempt that is known not to have run, the present effect applies.
         let never = JournalRecord::Outcome { msg: 1, attempt: 0, never_ran: true };
         let not = [ran[0].clone(), ran[1].clone(), never];
-        let (mut hub, begun, errors) = open(&settings, list(&[("a", 1, "z")]), folder(&not), NOW);
-        assert_eq!((deliver_all(&mut hub, begun, NOW, NOW + LIFE).len(), errors.len()), (1, 0), "{what}");
+        let (mut hub, begun, errors) = open(&settings, list(&[("a", 1, "z")]), store_with(&not), NOW);
+        assert_eq!(
+            (deliver_all(&mut hub, begun, NOW, NOW + TIME_LEFT).len(), errors.len()),
+            (1, 0),
+            "{context}"
+        );
     }
 }
 
-/// A key that only one zone remembers: the zone is identified by its name, after a compaction too, however the settings and
-/// lists of the next process number the zones.
+/// Only one zone deduplicates the message. The journal identifies that zone by name, also after a compaction, however the
+/// settings and endpoint lists of the next process number the zones.
 #[test]
 fn a_repeat_that_one_zone_alone_would_drop_goes_to_the_zone_with_that_name() {
     let zoned = |zones: &[&str], own: &str| SenderSettings {
@@ -247,60 +253,60 @@
         zone: Some(own.into()),
         ..env(vec![dedup("c", 6_000.0, "zone")])
     };
-    let (mut hub, ..) = open(&zoned(&["west", "east"], "west"), none(), Memory::default(), NOW);
+    let (mut hub, ..) = open(&zoned(&["west", "east"], "west"), empty_list(), Memory::default(), NOW);
     hub.list(list(&[("w", 1, "west"), ("f", 2, "far")]), NOW);
     let (_, out) = submit(&mut hub, "m", "c", NOW);
     assert_eq!(out.len(), 1);
-    let kill = store_after_crash(&hub);
-    assert!(kill.bytes().windows(4).any(|word| word == b"west"));
-    let mut torn = kill.bytes().to_vec();
+    let crashed = store_after_crash(&hub);
+    assert!(crashed.bytes().windows(4).any(|word| word == b"west"));
+    let mut torn = crashed.bytes().to_vec();
     torn.extend([9, 0, 0, 0, 1]);
-    for store in [kill, Memory::of(torn)] {
+    for store in [crashed, Memory::from_bytes(torn)] {
         for zones in [vec!["east", "west"], vec!["west", "east"], vec![]] {
             let settings = zoned(&zones, "east");
             let known = list(&[("f", 1, "far"), ("e", 1, "east")]);
             let (mut hub, begun, _) = open(&settings, known, store.clone(), NOW + 1_000_000);
-            assert_eq!(begun.len(), 0, "{zones:?}: no other zone knows the key");
+            assert_eq!(begun.len(), 0, "{zones:?}: no other zone deduplicates the message");
             let all = list(&[("f", 1, "far"), ("e", 1, "east"), ("w", 1, "west")]);
             let begun = calls(hub.list(all, NOW + 1_000_000));
             assert_eq!(begun.len(), 1, "{zones:?}");
             assert_eq!(begun[0].addr.port(), 3, "{zones:?}");
         }
     }
-    // An earlier version wrote numbers: they name no zone.
+    // Earlier versions recorded zone numbers, which identify no zone.
     let old = [
-        JournalRecord::Accept { msg: 1, taken: taken(1, "c") },
+        JournalRecord::Accept { msg: 1, message: accepted_message(1, "c") },
         JournalRecord::Attempt { msg: 1, zone: 0, sent: NOW },
     ];
-    let (_, begun, _) = open(&zoned(&["west"], "west"), list(&[("w", 1, "west")]), folder(&old), NOW);
+    let (_, begun, _) = open(&zoned(&["west"], "west"), list(&[("w", 1, "west")]), store_with(&old), NOW);
     assert_eq!(begun.len(), 0);
 }
 
-/// The wall clock was set back between two processes: how long ago an attempt was sent is not known any more.
+/// The wall clock was set back between two processes, so the age of an attempt is unknown and must not count as recent.
 #[test]
 fn a_clock_that_was_set_back_lengthens_no_span_for_repeats() {
     let settings = env(vec![dedup("c", 2_000.0, "all"), class("s", "retryable")]);
     let sent = |msg, sent, effect| JournalRecord::Sent { msg, sent, effect };
     let keyed = || RepeatEffect::Keyed { span: 2_000_000, zone: None };
     let records = [
-        JournalRecord::Accept { msg: 1, taken: taken(1, "c") },
+        JournalRecord::Accept { msg: 1, message: accepted_message(1, "c") },
         sent(1, NOW - 100_000, keyed()),
-        JournalRecord::Accept { msg: 2, taken: taken(2, "s") },
+        JournalRecord::Accept { msg: 2, message: accepted_message(2, "s") },
         sent(2, NOW, RepeatEffect::Safe),
-        JournalRecord::Accept { msg: 3, taken: taken(3, "c") },
+        JournalRecord::Accept { msg: 3, message: accepted_message(3, "c") },
     ];
     let known = || list(&[("a", 1, "z")]);
     let begun = |now| {
-        let (mut hub, begun, _) = open(&settings, known(), folder(&records), now);
+        let (mut hub, begun, _) = open(&settings, known(), store_with(&records), now);
         deliver_all(&mut hub, begun, now, now)
     };
     assert_eq!(begun(NOW), BTreeSet::from([1, 2, 3]));
-    assert_eq!(begun(NOW - 1), BTreeSet::from([2, 3]), "the first may be as old as one likes");
-    // Set forward, it only shortens a span.
+    assert_eq!(begun(NOW - 1), BTreeSet::from([2, 3]), "the age of the first attempt is unknown");
+    // A clock that was set forward only shortens the span for repeats.
     assert_eq!(begun(NOW + 3_000_000), BTreeSet::from([2, 3]));
 }
 
-/// The state of an upgrade numbers classes, zones and tenants: in another order the same numbers mean others.
+/// The handed-over state refers to classes, zones and tenants by number, so it is invalid if the settings reorder them.
 #[test]
 fn the_state_of_an_upgrade_is_not_resumed_under_other_settings() {
     let tenants = |names: [&str; 2]| names.map(|n| Tenant { name: n.into(), allowance_per_s: 5.0 }).into();
@@ -325,71 +331,72 @@
     }
 }
 
-/// The process crashes at any byte of any write about a message: between its record and the 202, its attempt and the first
-/// byte, its outcome and its end, its end and its notice. The next process has each step or the one before it.
+/// The process crashes at any byte of any write about a message, such as between the record of the acceptance and the 202
+/// response, or between the record of an attempt and the first byte sent. The next process continues from that step or from
+/// the one before.
 #[test]
 fn the_next_process_recovers_from_a_crash_at_any_byte_of_any_write() {
     let settings = env(vec![class("fee-debit", "fragile"), class("status", "retryable")]);
-    let mut met = BTreeSet::new();
+    let mut crash_points_seen = BTreeSet::new();
     for class in ["fee-debit", "status"] {
         for last in [CallEnd::Delivered, CallEnd::Reset, CallEnd::Full(0)] {
             for (after, bytes) in (0..6).flat_map(|after| (0..40).map(move |bytes| (after, bytes))) {
-                let (mut hub, ..) = open(&settings, none(), Memory::default(), NOW);
+                let (mut hub, ..) = open(&settings, empty_list(), Memory::default(), NOW);
                 hub.list(list(&[("a", 1, "z")]), NOW);
-                hub.router.journal_mut().store_mut().fail(Fault::Die { after, bytes });
-                let alive = |hub: &World| !hub.router.journal().store().is_dead();
+                hub.router.journal_mut().store_mut().fail(Fault::Crash { after, bytes });
+                let is_running = |hub: &World| !hub.router.journal().store().has_crashed();
                 let (_, out) = submit(&mut hub, "m", class, NOW);
-                // Nothing that a process does after its crash has an effect: neither its 202 nor the first byte of a call.
-                let sent = alive(&hub) && !out.is_empty();
-                // The record of the acceptance is the first write.
-                let accepted = alive(&hub) || after > 0;
+                // Nothing that a process does after its crash has an effect, neither its 202 response nor a call's first byte.
+                let sent = is_running(&hub) && !out.is_empty();
+                // The first write is the record of the acceptance.
+                let accepted = is_running(&hub) || after > 0;
                 if sent {
                     hub.call_ended(out[0].call, last, NOW);
                 }
-                let ended = alive(&hub);
+                let ended = is_running(&hub);
                 let notices = hub.router.notices(9);
                 if ended && !notices.is_empty() {
                     hub.notices_confirmed(&notices, NOW);
                 }
-                let told = alive(&hub);
+                let confirmed = is_running(&hub);
                 let contents = JournalContents::read(store_after_crash(&hub).bytes()).0;
                 let (mut next, begun, _) =
                     open(&settings, list(&[("a", 1, "z")]), store_after_crash(&hub), NOW);
-                let what =
-                    format!("{class}, {last:?}, killed after {after} writes and {bytes} bytes: {contents:?}");
+                let context =
+                    format!("{class}, {last:?}, crash in write {after} at {bytes} bytes: {contents:?}");
                 let found = (begun.len(), next.router.notices(9).len());
                 let entry = contents.owed.values().next();
-                let knows = entry.is_some() || !contents.ended.is_empty();
-                assert!(knows || !accepted, "{what}: taken on");
-                let noted = entry.is_none_or(|entry| !entry.calls.is_empty());
-                assert!(noted || !sent, "{what}: a byte may have left");
+                let is_known = entry.is_some() || !contents.ended.is_empty();
+                assert!(is_known || !accepted, "{context}: an accepted message is lost");
+                let is_recorded = entry.is_none_or(|entry| !entry.calls.is_empty());
+                assert!(is_recorded || !sent, "{context}: a byte was sent without a record of the attempt");
                 match entry {
-                    None => assert_eq!(found, (0, 0), "{what}"),
-                    Some(entry) if entry.end.is_some() => assert_eq!(found, (0, 1), "{what}"),
+                    None => assert_eq!(found, (0, 0), "{context}"),
+                    Some(entry) if entry.end.is_some() => assert_eq!(found, (0, 1), "{context}"),
                     Some(entry) => {
                         let ran = entry.calls.iter().any(|call| call.never_ran != Some(true));
-                        let again = class == "status" || !ran;
-                        assert_eq!(found, if again { (1, 0) } else { (0, 1) }, "{what}");
+                        let is_repeated = class == "status" || !ran;
+                        assert_eq!(found, if is_repeated { (1, 0) } else { (0, 1) }, "{context}");
                     }
                 }
                 let over = last == CallEnd::Delivered || !notices.is_empty();
-                assert!(!(sent && told && over) || contents.owed.is_empty(), "{what}: over and told");
-                met.insert((accepted, sent, ended, told));
-                deliver_all(&mut next, begun, NOW, NOW + LIFE);
-                let (notices, later) = (next.router.notices(9), NOW + LIFE);
+                assert!(!(sent && confirmed && over) || contents.owed.is_empty(), "{context}: still owed");
+                crash_points_seen.insert((accepted, sent, ended, confirmed));
+                deliver_all(&mut next, begun, NOW, NOW + TIME_LEFT);
+                let (notices, later) = (next.router.notices(9), NOW + TIME_LEFT);
                 next.notices_confirmed(&notices, later);
-                assert_eq!(next.router.load(), RouterLoad::default(), "{what}: it has its end");
+                assert_eq!(next.router.load(), RouterLoad::default(), "{context}: not ended");
             }
         }
     }
-    // Killed before the 202, the first byte, the end and the confirmed notice, and not at all.
+    // The crash came before the 202 response, the first byte, the end, the confirmed notice, or not at all.
     let (no, yes) = (false, true);
-    let places =
+    let crash_points =
         [(no, no, no, no), (yes, no, no, no), (yes, yes, no, no), (yes, yes, yes, no), (yes, yes, yes, yes)];
-    assert!(places.iter().all(|place| met.contains(place)), "{met:?}");
+    assert!(crash_points.iter().all(|point| crash_points_seen.contains(point)), "{crash_points_seen:?}");
 }
 
-/// A journal filled to its limit is restored completely, well within the time that a restart has.
+/// A journal that is filled to its limit is restored completely, within the time that is allowed for a restart.
 #[test]
 fn a_full_journal_is_restored_completely_and_fast() {
     let settings = SenderSettings {
@@ -399,25 +406,26 @@
     let mut notes = Vec::new();
     let (mut journal, _) = Journal::open(Memory::default(), DISK, NOW, &mut notes).unwrap();
     let mut owed = 0;
-    while journal.submit(owed, taken(owed, "status"), false, NOW, &mut notes).is_ok() {
+    while journal.submit(owed, accepted_message(owed, "status"), false, NOW, &mut notes).is_ok() {
         owed += 1;
     }
-    // Two attempts of each, the first refused, and as many bytes of ended messages.
+    // Each message has two attempts, of which the first was rejected; ended messages fill the remaining space.
     for msg in 0..owed {
         let sent = || JournalRecord::Sent { msg, sent: NOW, effect: RepeatEffect::Safe };
         let refused = JournalRecord::Outcome { msg, attempt: 0, never_ran: true };
         journal.append_all(&[sent(), refused, sent()], NOW, &mut notes).unwrap();
     }
-    let over = |n| JournalRecord::Ended { id: format!("over-{n}"), end: End::Delivered, until: NOW + LIFE };
+    let over =
+        |n| JournalRecord::Ended { id: format!("over-{n}"), end: End::Delivered, until: NOW + TIME_LEFT };
     while !notes.iter().any(|note| matches!(note, Note::Compacted { .. })) && journal.disk() < DISK * 6 / 10 {
         journal.append_all(&[over(journal.disk())], NOW, &mut notes).unwrap();
     }
     assert!(owed > 1_000, "{owed}");
     let begun = std::time::Instant::now();
     let (hub, begun_calls, _) = open(&settings, list(&[("a", 1, "z")]), journal.store().clone(), NOW);
-    let took = begun.elapsed();
+    let elapsed = begun.elapsed();
     assert_eq!(hub.router.load().owed as u64, owed);
     assert!(!begun_calls.is_empty());
-    println!("{owed} invocations, {} bytes: {took:?}", journal.disk());
-    assert!(took < std::time::Duration::from_secs(10), "{took:?} for {owed}");
+    println!("{owed} messages, {} bytes: {elapsed:?}", journal.disk());
+    assert!(elapsed < std::time::Duration::from_secs(10), "{elapsed:?} for {owed}");
 }
--- a/courier/core/tests/resume.rs
+++ b/courier/core/tests/resume.rs
@@ -1,4 +1,4 @@
-//! An upgrade: the next process decides from the state that was handed over, as if nothing had happened.
+//! Upgrades: the next process makes the same decisions from the handed-over state as the previous one would have made.
 
 mod common;
 use common::{NOW, World, calls, class, endpoint, options, store_after_crash, visited_values};
@@ -37,16 +37,16 @@
     let (id, key, body) = (format!("m{n}"), Some(format!("k{n}")), bytes::Bytes::from_static(b"body"));
     let time_left = 16_000_000;
     let submission = Submission { id, class: class.into(), key, dest: n % 3, tenant: None, time_left, body };
-    let (intake, todo) = hub.submit(submission, now);
-    (intake, calls(todo))
+    let (intake, driver_actions) = hub.submit(submission, now);
+    (intake, calls(driver_actions))
 }
 
-/// A busy courier: calls in flight, an endpoint that advised to wait, failures that make an outage, notices that are not
-/// confirmed, a disabled endpoint, waiting messages.
-fn busy() -> World {
-    let (router, steps) = Router::open(&options(&env(), DISK), list(), Memory::default(), NOW).unwrap();
+/// A courier under load: with calls in flight, an endpoint in backoff, an outage after failures, unconfirmed notices, a
+/// disabled endpoint and queued messages.
+fn loaded_courier() -> World {
+    let (router, actions) = Router::open(&options(&env(), DISK), list(), Memory::default(), NOW).unwrap();
     let mut hub = Hub::new(router, Pool::new(15_000_000, 99));
-    hub.carry_out(steps, NOW);
+    hub.carry_out(actions, NOW);
     hub.list(list(), NOW);
     hub.set_disabled("s-1", true, NOW).unwrap();
     let ends = [
@@ -61,7 +61,7 @@
     for n in 0..40 {
         let now = NOW + n * 30_000;
         out.extend(submit(&mut hub, n, now).1);
-        // The last destination never answers.
+        // Destination 2 never answers.
         if let Some(first) = out.iter().position(|call| call.dest != 2) {
             let call = out.remove(first);
             out.extend(calls(hub.call_ended(call.call, ends[n as usize % ends.len()], now + 9_000)));
@@ -74,10 +74,10 @@
 
 fn resumed(state: hub::HubState, store: Memory) -> Result<(World, Vec<DriverAction<u32>>), ResumeError> {
     let now = NOW + 2_000_000;
-    let (router, steps) = Router::resume(&options(&env(), DISK), state.router, store, now)?;
+    let (router, actions) = Router::resume(&options(&env(), DISK), state.router, store, now)?;
     let mut next = Hub::new(router, Pool::new(15_000_000, 99));
-    let todo = next.resume(&state.backoffs, steps, now);
-    Ok((next, todo))
+    let driver_actions = next.resume(&state.backoffs, actions, now);
+    Ok((next, driver_actions))
 }
 
 /// The state after it was encoded and decoded.
@@ -88,18 +88,21 @@
 
 #[test]
 fn a_resumed_process_has_the_whole_state_and_starts_no_call_twice() {
-    let mut hub = busy();
-    let (mut next, todo) = resumed(state(&hub), store_after_crash(&hub)).unwrap();
+    let mut hub = loaded_courier();
+    let (mut next, driver_actions) = resumed(state(&hub), store_after_crash(&hub)).unwrap();
     assert_eq!(visited_values(&next), visited_values(&hub));
-    assert!(calls(todo).is_empty(), "what is out is out still");
+    assert!(calls(driver_actions).is_empty(), "calls in flight are not started again");
     assert_eq!(next.router.notices(99), hub.router.notices(99));
-    // The advice to wait applies to each endpoint of its destination, and calls may start to the same endpoints as before.
+    // The backoff applies to all endpoints of its destination, and calls may start to the same endpoints as before.
     let now = NOW + 1_250_000;
-    let gates = |hub: &World| (0..5).map(|n| hub.pool.is_open(n, now)).collect::<Vec<_>>();
-    assert_eq!(gates(&next), gates(&hub));
-    assert!(!gates(&next)[1] && !gates(&next)[3], "one is out, and one drains");
-    // From here on both make the same decisions: for submissions, for ends, and as time passes.
-    let out: Vec<_> = next.router.calls_out();
+    let open_endpoints = |hub: &World| (0..5).map(|n| hub.pool.is_open(n, now)).collect::<Vec<_>>();
+    assert_eq!(open_endpoints(&next), open_endpoints(&hub));
+    assert!(
+        !open_endpoints(&next)[1] && !open_endpoints(&next)[3],
+        "one endpoint is disabled and one is draining"
+    );
+    // From here on both processes make the same decisions on submissions, ends of calls and timers.
+    let out: Vec<_> = next.router.calls_in_flight();
     for (n, call) in (100..).zip(out) {
         let now = NOW + 2_000_000 + n * 10_000;
         let (a, b) = (submit(&mut hub, n, now), submit(&mut next, n, now));
@@ -111,28 +114,28 @@
         next.tick(now);
         assert_eq!(visited_values(&next), visited_values(&hub), "after message {n}");
     }
-    // The earlier ids are known, of open and of ended messages.
+    // The ids of the earlier messages, both open and ended, are known.
     assert!((0..40).all(|n| submit(&mut next, n, NOW + 2_500_000).0 != Intake::Accepted));
 }
 
 #[test]
 fn a_state_of_other_settings_or_another_journal_is_not_resumed() {
-    let hub = busy();
+    let hub = loaded_courier();
     let other =
         SenderSettings { classes: env().classes.into_iter().rev().collect(), ..SenderSettings::default() };
     let refused = Router::resume(&options(&other, DISK), state(&hub).router, store_after_crash(&hub), NOW);
     assert!(matches!(refused.err(), Some(ResumeError::OtherSettings)));
-    // A third process had the lock in between and wrote; or its journal is gone.
-    let mut grown = busy();
-    submit(&mut grown, 1_001, NOW + 3_000_000);
-    // The same messages are owed, and one of them has made progress.
-    let mut further = busy();
-    let call = further.router.calls_out()[0];
-    further.call_ended(call, CallEnd::Full(0), NOW + 3_000_000);
-    for store in [store_after_crash(&grown), store_after_crash(&further), Memory::default()] {
+    // A third process held the lock in between and wrote to the journal, or the journal is missing.
+    let mut with_new_message = loaded_courier();
+    submit(&mut with_new_message, 1_001, NOW + 3_000_000);
+    // The same messages are owed, but one of them has a with_outcome outcome.
+    let mut with_outcome = loaded_courier();
+    let call = with_outcome.router.calls_in_flight()[0];
+    with_outcome.call_ended(call, CallEnd::Full(0), NOW + 3_000_000);
+    for store in [store_after_crash(&with_new_message), store_after_crash(&with_outcome), Memory::default()] {
         assert!(matches!(resumed(state(&hub), store).err(), Some(ResumeError::OtherJournal)));
     }
-    // The journal is restored as after a kill.
+    // The journal can still be restored, as after a crash.
     let mut notes = Vec::new();
     assert!(!Journal::open(store_after_crash(&hub), DISK, NOW, &mut notes).unwrap().1.owed.is_empty());
 }
--- a/courier/core/tests/router.rs
+++ b/courier/core/tests/router.rs
@@ -1,4 +1,4 @@
-//! The router with the policy and the journal.
+//! Tests of the router together with the policy and the journal.
 
 mod common;
 use common::options;
@@ -9,8 +9,8 @@
 use quillmount_policy::EndpointState;
 use quillmount_settings::SenderSettings;
 
-/// A router with a ready endpoint for destination 1, whose messages must take effect once, and the time.
-fn opened(env: SenderSettings) -> (Router<Memory>, u64) {
+/// A router with a ready endpoint for destination 1 and a class whose messages must not be repeated; and the current time.
+fn open_router(settings: SenderSettings) -> (Router<Memory>, u64) {
     let category = quillmount_settings::Category {
         name: "fee-debit".into(),
         effect: Some("fragile".into()),
@@ -18,7 +18,7 @@
         latency_target_ms: 3_000.0,
         ..Default::default()
     };
-    let env = SenderSettings { classes: vec![category], ..env };
+    let settings = SenderSettings { classes: vec![category], ..settings };
     let line = EndpointListing {
         id: "s".into(),
         addr: "127.0.0.1:1".parse().ok(),
@@ -31,7 +31,7 @@
     let known = EndpointList { version: 1, full: true, endpoints: vec![line] };
     let now = 1_000_000_000;
     let (mut router, _) =
-        Router::open(&options(&env, 99_999), known.clone(), Memory::default(), now).unwrap();
+        Router::open(&options(&settings, 99_999), known.clone(), Memory::default(), now).unwrap();
     router.list(known, now);
     (router, now)
 }
@@ -41,23 +41,24 @@
     router.submit(Submission { id, class, key: None, dest: 1, tenant: None, time_left, body }, now)
 }
 
-fn call(steps: &[RouterAction]) -> Option<CallId> {
-    steps.iter().find_map(|step| match step {
+fn started_call(actions: &[RouterAction]) -> Option<CallId> {
+    actions.iter().find_map(|action| match action {
         RouterAction::Call(call) => Some(call.call),
         _ => None,
     })
 }
 
-/// The connection limit leaves no turn for the second message in its time: it is rejected, and there is no notice.
+/// The connection limit leaves no slot for the second message before its deadline. The message is rejected immediately, and
+/// no notice is queued.
 #[test]
 fn a_message_shed_at_once_is_not_accepted() {
-    let (mut router, now) = opened(SenderSettings {
+    let (mut router, now) = open_router(SenderSettings {
         sender_count: Some(3_000),
         sender_index: Some(1),
         ..SenderSettings::default()
     });
-    let (intake, steps) = submit(&mut router, "a", now);
-    let call = call(&steps);
+    let (intake, actions) = submit(&mut router, "a", now);
+    let call = started_call(&actions);
     assert_eq!(intake, Intake::Accepted);
     router.call_ended(call.unwrap(), CallEnd::Full(0), now);
     for _ in 0..2 {
@@ -67,24 +68,24 @@
     let notices = router.notices(9).into_iter().map(|n| n.id).collect::<Vec<_>>();
     assert_eq!((notices, router.load().owed), (vec!["a".to_string()], 1));
     let (contents, _) = JournalContents::read(router.journal().store().bytes());
-    assert_eq!(contents.owed.len(), 1, "another life owes it nothing");
+    assert_eq!(contents.owed.len(), 1, "the next process owes the rejected message nothing");
 }
 
-/// The store refuses the record of an attempt: its number is used up for the policy and not for the journal, and the next
-/// outcome must still be recorded for the attempt that it belongs to.
+/// The store rejects the record of an attempt, so that the policy counts the attempt and the journal does not. The outcome
+/// of the next attempt must still be recorded under that attempt's index in the journal.
 #[test]
 fn an_outcome_is_recorded_for_its_own_attempt_after_a_refused_record() {
-    let (mut router, now) = opened(SenderSettings::default());
-    // The acceptance is written, and the attempt after it is not.
+    let (mut router, now) = open_router(SenderSettings::default());
+    // The record of the acceptance is written, that of the attempt is not.
     router.journal_mut().store_mut().fail(Fault::Full { after: 1 });
-    let (_, steps) = submit(&mut router, "m", now);
-    let refused = steps.iter().find_map(|s| match s {
+    let (_, actions) = submit(&mut router, "m", now);
+    let refused = actions.iter().find_map(|action| match action {
         RouterAction::NotWritten(call) => Some(*call),
         _ => None,
     });
     router.journal_mut().store_mut().fail(Fault::None);
-    let steps = router.call_ended(refused.unwrap(), CallEnd::HeldBack, now);
-    let call = call(&steps);
+    let actions = router.call_ended(refused.unwrap(), CallEnd::HeldBack, now);
+    let call = started_call(&actions);
     assert_eq!(call.unwrap().attempt, 1);
     router.call_ended(call.unwrap(), CallEnd::Full(0), now);
     let (contents, _) = JournalContents::read(router.journal().store().bytes());
--- a/courier/core/tests/settings_mark.rs
+++ b/courier/core/tests/settings_mark.rs
@@ -1,4 +1,4 @@
-//! The fingerprint by which two processes compare their settings on an upgrade: renames in the code do not change it.
+//! The fingerprint with which two processes compare their settings during an upgrade does not depend on names in the code.
 
 use quillmount_core::router::{self, StreamLimits};
 use quillmount_settings::{Category, DestinationSettings, SenderSettings, Tenant};
@@ -18,7 +18,7 @@
     }
 }
 
-/// The numbers were printed by the version before the renames.
+/// The expected numbers were printed by the version before names in the code changed.
 #[test]
 fn the_fingerprint_of_the_settings_is_that_of_earlier_versions() {
     let settings = SenderSettings {
@@ -43,7 +43,7 @@
         above_share_value: Some(0.25),
         ..SenderSettings::default()
     };
-    let streams = StreamLimits { most: 9, share_of_slots: 0.5, share_of_window: 0.25 };
+    let streams = StreamLimits { max_open: 9, share_of_slots: 0.5, share_of_window: 0.25 };
     assert_eq!(router::settings_fingerprint(&settings, None).unwrap(), 1_007_876_127);
     assert_eq!(router::settings_fingerprint(&settings, Some(streams)).unwrap(), 1_988_841_366);
 }
--- a/courier/fleet/src/settlement/journal_lines.rs
+++ b/courier/fleet/src/settlement/journal_lines.rs
@@ -66,7 +66,7 @@
         let first = matches!(self, JournalLine::Record(SettlementRecord::Snapshot { .. }));
         let bytes = Bytes::from(postcard::to_allocvec(self).ok()?);
         Some(JournalRecord::Settlement {
-            of: settlement_key(id),
+            settlement_id: settlement_key(id),
             line: SettlementLine { dest: id.dest, first, bytes, source: None },
         })
     }
--- a/courier/fleet/tests/agreement/fleet.rs
+++ b/courier/fleet/tests/agreement/fleet.rs
@@ -149,9 +149,9 @@
     pub fn stop_if_dead(&mut self, node_id: NodeId) -> bool {
         let now = self.now;
         let node = self.nodes.get_mut(&node_id).unwrap();
-        let dead = node.agreement.as_ref().is_none_or(|a| a.store().is_dead());
+        let dead = node.agreement.as_ref().is_none_or(|a| a.store().has_crashed());
         if dead && let Some(agreement) = node.agreement.take() {
-            node.disk = Memory::of(agreement.into_store().bytes().to_vec());
+            node.disk = Memory::from_bytes(agreement.into_store().bytes().to_vec());
             node.restart_at = now + SECOND / 2;
         }
         dead
@@ -159,7 +159,7 @@
 
     pub fn kill(&mut self, node_id: NodeId) {
         let node = self.nodes.get_mut(&node_id).unwrap();
-        node.disk = Memory::of(node.agreement.take().unwrap().into_store().bytes().to_vec());
+        node.disk = Memory::from_bytes(node.agreement.take().unwrap().into_store().bytes().to_vec());
         node.restart_at = u64::MAX;
     }
 
--- a/courier/fleet/tests/agreement/main.rs
+++ b/courier/fleet/tests/agreement/main.rs
@@ -95,7 +95,7 @@
         for after in 0..writes {
             for bytes in [0, 5, 20, usize::MAX] {
                 let mut fleet = Fleet::with_members(victim, limits(), 3, 1);
-                fleet.agreement(victim).store_mut().fail(Fault::Die { after, bytes });
+                fleet.agreement(victim).store_mut().fail(Fault::Crash { after, bytes });
                 run_scenario(&mut fleet, victim);
                 died += u32::from(fleet.agreement(victim).store().writes() < writes);
             }
@@ -118,8 +118,9 @@
         }
     }
     let bytes = fleet.agreement(2).store().bytes().to_vec();
-    let open =
-        |bytes: &[u8]| Agreement::open(Memory::of(bytes.to_vec()), 99, AgreementLimits::default(), SECOND);
+    let open = |bytes: &[u8]| {
+        Agreement::open(Memory::from_bytes(bytes.to_vec()), 99, AgreementLimits::default(), SECOND)
+    };
     let (complete, all) = open(&bytes).unwrap();
     let complete_state = [decode_state(&all.state), decode_commands(&all.committed)].concat();
     assert!(
@@ -351,7 +352,7 @@
 #[test]
 fn a_log_restored_from_a_backup_is_detected() {
     let mut fleet = Fleet::with_members(29, AgreementLimits::default(), 3, 0);
-    let old = Memory::of(fleet.agreement(2).store().bytes().to_vec());
+    let old = Memory::from_bytes(fleet.agreement(2).store().bytes().to_vec());
     (1..10).for_each(|c| fleet.commit(c));
     fleet.run(SECOND);
     fleet.kill(2);
@@ -431,7 +432,8 @@
 fn a_vote_outlasts_a_kill_and_a_new_leader_answers_nothing_before_its_first_entry() {
     let mut fleet = Fleet::with_members(43, AgreementLimits::default(), 3, 0);
     fleet.run(SECOND);
-    let mut disks: Vec<_> = [1, 2, 3].map(|t| Memory::of(fleet.agreement(t).store().bytes().to_vec())).into();
+    let mut disks: Vec<_> =
+        [1, 2, 3].map(|t| Memory::from_bytes(fleet.agreement(t).store().bytes().to_vec())).into();
     let open =
         |disk: &Memory| Agreement::open(disk.clone(), 9, AgreementLimits::default(), SECOND).unwrap().0;
     let message_to = |out: Vec<AgreementOutput>, whom: NodeId| {
--- a/courier/fleet/tests/agreement/records.rs
+++ b/courier/fleet/tests/agreement/records.rs
@@ -42,7 +42,8 @@
         );
         bytes.extend(body);
     }
-    let (agreement, opened) = Agreement::open(Memory::of(bytes), 99, AgreementLimits::default(), SECOND)?;
+    let (agreement, opened) =
+        Agreement::open(Memory::from_bytes(bytes), 99, AgreementLimits::default(), SECOND)?;
     assert_eq!((agreement.node_id(), opened.new), (5, false));
     Ok(opened.committed)
 }
--- a/courier/fleet/tests/common/mod.rs
+++ b/courier/fleet/tests/common/mod.rs
@@ -266,7 +266,7 @@
         let msg = p.next;
         p.next += 1;
         let class = if debit { "fee-debit" } else { "paid-notice" };
-        let taken = AcceptedMessage {
+        let message = AcceptedMessage {
             id: id.into(),
             class: class.into(),
             key: None,
@@ -274,7 +274,7 @@
             deadline: now + 16 * SEC,
             body: Bytes::from_static(b"body"),
         };
-        let written = self.write(i, &[JournalRecord::Accept { msg, taken }]);
+        let written = self.write(i, &[JournalRecord::Accept { msg, message }]);
         let Some(p) = self.processes[i].as_mut() else { return false };
         p.due.push((written, Due::AcceptedMessage(id.into())));
         self.call(i, id.into(), msg, debit);
@@ -370,7 +370,7 @@
         p.member.record_lineage(lineage).unwrap();
         p.joined = true;
         let (journal_state, _) = JournalContents::read(&p.journal);
-        p.next = p.next.max(journal_state.next);
+        p.next = p.next.max(journal_state.next_message);
         let unsettled: BTreeSet<PartitionId> =
             journal_state.owed.values().filter_map(|e| e.source.as_ref().map(PartitionId::from)).collect();
         let bytes = p.journal.clone();
@@ -383,10 +383,10 @@
 
     /// Goes on with a message from the journal: a debit that may have run is ended, all others are sent.
     fn resume_message(&mut self, i: usize, msg: u64, entry: journal::JournalEntry) {
-        let debit = entry.taken.class == "fee-debit";
+        let debit = entry.message.class == "fee-debit";
         let may_have_run = entry.calls.iter().any(|c| c.never_ran != Some(true));
         if entry.end.is_some() || debit && may_have_run {
-            let id = entry.taken.id;
+            let id = entry.message.id;
             let written = self.write(
                 i,
                 &[JournalRecord::End { msg, end: End::Undeliverable }, JournalRecord::Confirmed { msg }],
@@ -396,7 +396,7 @@
             }
             self.act(i);
         } else {
-            self.call(i, entry.taken.id, msg, debit);
+            self.call(i, entry.message.id, msg, debit);
         }
     }
 
@@ -404,7 +404,7 @@
         let (journal_state, _) = JournalContents::read(bytes);
         let mut records = Vec::new();
         for entry in journal_state.owed.into_values() {
-            let partition = partition_of(entry.taken.dest);
+            let partition = partition_of(entry.message.dest);
             let Some(source) = partitions.iter().find(|s| s.partition == partition) else { continue };
             if entry.source.as_ref().is_some_and(|s| !settled.contains(&PartitionId::from(s))) {
                 continue;
@@ -412,7 +412,7 @@
             let Some(p) = self.processes[i].as_mut() else { return };
             let msg = p.next;
             p.next += 1;
-            records.push(JournalRecord::Accept { msg, taken: entry.taken });
+            records.push(JournalRecord::Accept { msg, message: entry.message });
             records.push(JournalRecord::From { msg, source: source.into() });
             for (n, call) in entry.calls.into_iter().enumerate() {
                 records.push(JournalRecord::Attempt { msg, zone: 0, sent: call.sent });
--- a/courier/fleet/tests/explore/checks.rs
+++ b/courier/fleet/tests/explore/checks.rs
@@ -23,7 +23,7 @@
                 let mut attempts: BTreeMap<String, usize> = BTreeMap::new();
                 for (_, record) in Records::new(bytes).take(end.unwrap_or(usize::MAX)) {
                     match record {
-                        JournalRecord::Accept { msg, taken } => drop(ids.insert(msg, taken.id)),
+                        JournalRecord::Accept { msg, message } => drop(ids.insert(msg, message.id)),
                         JournalRecord::Attempt { msg, .. } => {
                             *attempts.entry(ids.get(&msg).cloned().unwrap_or_default()).or_default() += 1;
                         }
@@ -73,7 +73,7 @@
                     copies.filter(|(file, _)| file.starts_with("copy.") && file.ends_with(&mine));
                 let has = |bytes: &[u8]| {
                     Records::new(bytes)
-                        .any(|(_, r)| matches!(r, JournalRecord::Accept { taken, .. } if taken.id == *id))
+                        .any(|(_, r)| matches!(r, JournalRecord::Accept { message, .. } if message.id == *id))
                 };
                 if !copies.any(|(_, bytes)| has(bytes)) {
                     let what = format!("held: {} is named as holding {id}, and does not", name(host));
--- a/courier/fleet/tests/explore/process.rs
+++ b/courier/fleet/tests/explore/process.rs
@@ -133,8 +133,8 @@
         let class = if debit { "fee-debit" } else { "paid-notice" };
         let deadline = self.now + 100 * LEASE;
         let (class, body) = (class.into(), Bytes::from_static(b"body"));
-        let taken = AcceptedMessage { id: id.clone(), class, key: None, dest, deadline, body };
-        let written = self.write(i, &[JournalRecord::Accept { msg, taken }]);
+        let message = AcceptedMessage { id: id.clone(), class, key: None, dest, deadline, body };
+        let written = self.write(i, &[JournalRecord::Accept { msg, message }]);
         self.act_when_replicated(i, written, Due::AcceptedMessage(id.clone()));
         self.call(i, id, msg, debit);
     }
@@ -266,7 +266,7 @@
         p.joined = true;
         let bytes = file.read().unwrap();
         let (journal_state, _) = JournalContents::read(&bytes);
-        p.next = p.next.max(journal_state.next);
+        p.next = p.next.max(journal_state.next_message);
         let unsettled: BTreeSet<PartitionId> =
             journal_state.owed.values().filter_map(|e| e.source.as_ref().map(PartitionId::from)).collect();
         self.step(i, MemberInput::JournalOpened { bytes, unsettled: unsettled.into_iter().collect() });
@@ -277,7 +277,7 @@
 
     /// Goes on with a message from the journal: a debit that may have run is ended, all others are sent.
     pub fn resume_message(&mut self, i: usize, msg: u64, entry: journal::JournalEntry) {
-        let (id, debit) = (entry.taken.id, entry.taken.class == "fee-debit");
+        let (id, debit) = (entry.message.id, entry.message.class == "fee-debit");
         let may_have_run = entry.calls.iter().any(|c| c.never_ran != Some(true));
         if entry.end.is_some() {
             let written = self.processes[i].as_ref().map_or(0, |p| p.written);
@@ -301,7 +301,7 @@
         let (journal_state, _) = JournalContents::read(bytes);
         let mut records = Vec::new();
         for entry in journal_state.owed.into_values() {
-            let partition = partition_of(entry.taken.dest);
+            let partition = partition_of(entry.message.dest);
             let Some(source) = partitions.iter().find(|s| s.partition == partition) else { continue };
             if entry.source.as_ref().is_some_and(|s| !settled.contains(&PartitionId::from(s))) {
                 continue;
@@ -309,7 +309,7 @@
             let Some(p) = self.processes[i].as_mut() else { return };
             let msg = p.next;
             p.next += 1;
-            records.push(JournalRecord::Accept { msg, taken: entry.taken });
+            records.push(JournalRecord::Accept { msg, message: entry.message });
             records.push(JournalRecord::From { msg, source: source.into() });
             for call in entry.calls {
                 records.push(JournalRecord::Attempt { msg, zone: 0, sent: call.sent });
--- a/courier/fleet/tests/parts/journal_lines.rs
+++ b/courier/fleet/tests/parts/journal_lines.rs
@@ -40,9 +40,9 @@
     ];
     let mut records: Vec<JournalRecord> = written.iter().filter_map(|written| written.line(&id)).collect();
     let (class, key, body) = ("fee-debit".into(), None, Bytes::new());
-    let taken = AcceptedMessage { id: "m1".into(), class, key, dest: 7, deadline: 900, body };
+    let message = AcceptedMessage { id: "m1".into(), class, key, dest: 7, deadline: 900, body };
     records.extend([
-        JournalRecord::Accept { msg: 1, taken },
+        JournalRecord::Accept { msg: 1, message },
         JournalRecord::End { msg: 1, end: journal::End::Delivered },
     ]);
     let bytes: Vec<u8> = records.iter().flat_map(|record| frame(record).unwrap()).collect();
--- a/courier/fleet/tests/stored_forms/agreement.rs
+++ b/courier/fleet/tests/stored_forms/agreement.rs
@@ -157,7 +157,7 @@
         let stored = FIXTURES.check(&name, node.into_store().bytes());
         for torn in [0, 1, 5] {
             let bytes = [&stored[..], &stored[..torn]].concat();
-            let opened = Agreement::open(Memory::of(bytes), 99, AgreementLimits::default(), SEC);
+            let opened = Agreement::open(Memory::from_bytes(bytes), 99, AgreementLimits::default(), SEC);
             let (read, opened) = opened.unwrap();
             assert_eq!((read.node_id(), opened.new), (node_id, false));
             assert_eq!((read.term(), read.voters()), (term, voters.clone()));
--- a/courier/program/src/fleet/membership/takeover.rs
+++ b/courier/program/src/fleet/membership/takeover.rs
@@ -113,7 +113,7 @@
     contents: JournalContents,
 ) -> Vec<JournalEntry> {
     let owed = contents.owed.into_values().filter_map(|entry| {
-        let partition = partition_of(entry.taken.dest);
+        let partition = partition_of(entry.message.dest);
         let source = partitions.iter().find(|source| source.partition == partition)?;
         // A message that this journal adopted from another, without the adoption being agreed, belongs to somebody else.
         let own = entry.source.as_ref().is_none_or(|from| settled.contains(&PartitionId::from(from)));
--- a/courier/program/src/fleet/settlements/records.rs
+++ b/courier/program/src/fleet/settlements/records.rs
@@ -78,7 +78,7 @@
 
     /// Forgets a settlement that has ended.
     pub(super) fn forget(&self, id: &SettlementId) {
-        let ended = JournalRecord::SettlementEnded { of: settlement_key(id) };
+        let ended = JournalRecord::SettlementEnded { settlement_id: settlement_key(id) };
         // Where it can't be written the next process finds the settlement ended, and forgets it then.
         if let Err(e) = self.courier.write_settlement(std::slice::from_ref(&ended), false) {
             tracing::warn!(target: LOG_TARGET, "settlement: {e}");
--- a/courier/program/src/program/inspect.rs
+++ b/courier/program/src/program/inspect.rs
@@ -94,11 +94,11 @@
     fn new(at: usize, record: &'a JournalRecord) -> Self {
         let empty = Line { at, ..Line::default() };
         match record {
-            JournalRecord::Accept { msg, taken } => {
-                Line { record: "take-on", msg: Some(*msg), ..Line::accepted(at, taken) }
+            JournalRecord::Accept { msg, message } => {
+                Line { record: "take-on", msg: Some(*msg), ..Line::accepted(at, message) }
             }
-            JournalRecord::Stream { msg, taken } => {
-                Line { record: "stream", msg: Some(*msg), ..Line::accepted(at, taken) }
+            JournalRecord::Stream { msg, message } => {
+                Line { record: "stream", msg: Some(*msg), ..Line::accepted(at, message) }
             }
             JournalRecord::Attempt { msg, sent, .. } | JournalRecord::Sent { msg, sent, .. } => {
                 Line { record: "attempt", msg: Some(*msg), time: time(*sent), ..empty }
@@ -132,16 +132,18 @@
                 end: Some(format!("{source} {}", if *accepted { "kept" } else { "dropped" })),
                 ..empty
             },
-            JournalRecord::Settlement { of, line } => Line {
+            JournalRecord::Settlement { settlement_id, line } => Line {
                 record: "settlement",
                 dest: Some(line.dest),
                 body_bytes: Some(line.bytes.len()),
-                end: Some(of.escape_default().to_string()),
+                end: Some(settlement_id.escape_default().to_string()),
+                ..empty
+            },
+            JournalRecord::SettlementEnded { settlement_id } => Line {
+                record: "settlement-over",
+                end: Some(settlement_id.escape_default().to_string()),
                 ..empty
             },
-            JournalRecord::SettlementEnded { of } => {
-                Line { record: "settlement-over", end: Some(of.escape_default().to_string()), ..empty }
-            }
         }
     }
 
--- a/courier/program/src/program/startup.rs
+++ b/courier/program/src/program/startup.rs
@@ -216,7 +216,7 @@
 /// What the operator file lets be streamed; nothing while its section is off.
 pub fn stream_rules(section: &quillmount_operator::Streams) -> Option<(StreamLimits, StreamRules)> {
     let limits = StreamLimits {
-        most: section.max_concurrent(),
+        max_open: section.max_concurrent(),
         share_of_slots: section.share_of_slots,
         share_of_window: section.share_of_window,
     };
--- a/courier/program/src/transport/courier.rs
+++ b/courier/program/src/transport/courier.rs
@@ -119,7 +119,8 @@
         }
         let retry_after = self.budgets.as_ref().and_then(|budgets| budgets.rejects(&submission));
         // A repeated message is answered like the first one.
-        if let Some(after) = retry_after.filter(|_| !self.handle.hub.borrow().router.knows(&submission.id)) {
+        if let Some(after) = retry_after.filter(|_| !self.handle.hub.borrow().router.is_known(&submission.id))
+        {
             self.count(|counters| counters.rejected += 1);
             return Intake::Rejected { after };
         }
@@ -260,7 +261,7 @@
             }
         }
         if let Some(hooks) = self.settlement_hooks.get() {
-            let ends = self.handle.hub.borrow_mut().router.ends();
+            let ends = self.handle.hub.borrow_mut().router.take_watched_ends();
             ends.iter().for_each(|(id, end)| (hooks.message_ended)(id, *end));
         }
         self.wake_moved.notify_one();
--- a/courier/program/src/transport/courier/calls.rs
+++ b/courier/program/src/transport/courier/calls.rs
@@ -46,7 +46,7 @@
     /// Reports the calls as failed that are in flight by the state of another process and were not handed over: they
     /// may have run.
     pub fn calls_lost(self: &Rc<Self>) {
-        let in_flight = self.handle.hub.borrow().router.calls_out();
+        let in_flight = self.handle.hub.borrow().router.calls_in_flight();
         for call in in_flight.into_iter().filter(|call| !self.signals.borrow().contains_key(call)) {
             tracing::warn!(target: LOG_TARGET, ?call, "upgrade: a call in flight was not handed over");
             let actions = self.handle.hub.borrow_mut().call_ended(call, CallEnd::Reset, self.clock.now());
--- a/courier/program/src/transport/courier/fleet.rs
+++ b/courier/program/src/transport/courier/fleet.rs
@@ -42,7 +42,7 @@
 
     /// See [`Router::refuses`](quillmount_core::router::Router::refuses).
     pub fn refuses(&self, submission: &Submission) -> Option<Intake> {
-        self.handle.hub.borrow().router.refuses(&submission.class, submission.dest)
+        self.handle.hub.borrow().router.permanent_rejection(&submission.class, submission.dest)
     }
 
     /// See [`Router::fate`](quillmount_core::router::Router::fate).
@@ -50,7 +50,7 @@
     /// # Errors
     /// No message of this id is known.
     pub fn fate(&self, id: &str) -> Result<Option<End>, UnknownId> {
-        self.handle.hub.borrow().router.fate(id)
+        self.handle.hub.borrow().router.end_of(id)
     }
 
     /// See [`Router::watch`](quillmount_core::router::Router::watch).
--- a/courier/program/src/transport/streams.rs
+++ b/courier/program/src/transport/streams.rs
@@ -13,7 +13,7 @@
 pub use send::StreamCall;
 
 use quillmount_core::flow::Pace;
-use quillmount_core::turns::Turns;
+use quillmount_core::turns::TurnBudget;
 use quillmount_policy::Micros;
 use std::cell::{Cell, RefCell};
 use tokio::sync::Notify;
@@ -50,7 +50,7 @@
 
 /// The turns in which the streams of a courier move bytes, so that they leave the event loop to all else.
 pub struct Streams {
-    turns: RefCell<Turns>,
+    turns: RefCell<TurnBudget>,
     turn_pending: Cell<bool>,
     turned: Notify,
 }
@@ -59,7 +59,7 @@
     /// `quantum`: bytes that all streams together may move in one turn of the event loop.
     pub fn new(quantum: u64) -> Self {
         Streams {
-            turns: RefCell::new(Turns::new(quantum)),
+            turns: RefCell::new(TurnBudget::new(quantum)),
             turn_pending: Cell::new(false),
             turned: Notify::new(),
         }
@@ -67,14 +67,14 @@
 
     /// Waits for a turn in which something may be moved.
     async fn turn(&self) {
-        while !self.turns.borrow().may() {
+        while !self.turns.borrow().has_budget() {
             if self.turn_pending.replace(true) {
                 self.turned.notified().await;
             } else {
                 let guard = TurnGuard(self);
                 // All other tasks that are ready run first.
                 tokio::task::yield_now().await;
-                self.turns.borrow_mut().next();
+                self.turns.borrow_mut().begin_turn();
                 drop(guard);
             }
         }
--- a/courier/program/tests/restart.rs
+++ b/courier/program/tests/restart.rs
@@ -469,8 +469,8 @@
         while bytes.len() < 1_400_000 {
             let (id, body) = (format!("m{owed}"), Bytes::from(vec![b'x'; 500]));
             let (class, dest, deadline) = ("paid-notice".to_string(), 7, now + 60_000_000);
-            let taken = AcceptedMessage { id, class, key: None, dest, deadline, body };
-            bytes.extend(frame(&JournalRecord::Accept { msg: owed, taken }).unwrap());
+            let message = AcceptedMessage { id, class, key: None, dest, deadline, body };
+            bytes.extend(frame(&JournalRecord::Accept { msg: owed, message }).unwrap());
             owed += 1;
         }
         test_bed.courier.kill().unwrap();
--- a/tools/explore/src/streams/perform.rs
+++ b/tools/explore/src/streams/perform.rs
@@ -222,7 +222,7 @@
         }
         self.calls.clear();
         self.answer_deadlines.clear();
-        match start_courier(self.case, Memory::of(bytes), self.now) {
+        match start_courier(self.case, Memory::from_bytes(bytes), self.now) {
             Ok(StartedCourier { hub, actions }) => {
                 self.hub = hub;
                 self.execute(actions)
--- a/tools/explore/src/streams/world.rs
+++ b/tools/explore/src/streams/world.rs
@@ -21,7 +21,7 @@
 /// one call, and for two.
 const SLOTS: [u32; 2] = [4, 8];
 /// Limits of streams, of which [`STREAM_SHARE`](super::invariants) follows.
-const STREAM_LIMITS: StreamLimits = StreamLimits { most: 2, share_of_slots: 0.5, share_of_window: 0.5 };
+const STREAM_LIMITS: StreamLimits = StreamLimits { max_open: 2, share_of_slots: 0.5, share_of_window: 0.5 };
 
 /// What an endpoint has received of one attempt.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
--- a/tools/explore/src/world/hash.rs
+++ b/tools/explore/src/world/hash.rs
@@ -90,13 +90,13 @@
             return;
         }
         let contents = self.journal_contents();
-        hasher.visit_next_number(contents.next);
+        hasher.visit_next_number(contents.next_message);
         for remembered in &contents.ended {
             hasher.hash(&(&remembered.id, format!("{:?}", remembered.end)));
             hasher.visit_time(remembered.until);
         }
         for (number, entry) in &contents.owed {
-            hasher.hash(&(number, &entry.taken.id, entry.calls.len()));
+            hasher.hash(&(number, &entry.message.id, entry.calls.len()));
             for call in &entry.calls {
                 hasher.visit_time(call.sent);
                 hasher.hash(&call.never_ran);
--- a/tools/explore/src/world/process.rs
+++ b/tools/explore/src/world/process.rs
@@ -106,13 +106,13 @@
         // A process that was killed during its graceful shutdown restarts too.
         self.process = ProcessState::Down { until };
         let bytes = self.hub.router.journal().store().bytes().to_vec();
-        *self.hub.router.journal_mut().store_mut() = Memory::of(bytes);
+        *self.hub.router.journal_mut().store_mut() = Memory::from_bytes(bytes);
         self.incarnations += 1;
         // What a full disk refused to store is unknown to the next incarnation.
         let contents = self.journal_contents();
         for (index, message) in self.monitor.messages.iter_mut().enumerate() {
             let id = format!("m{index}");
-            message.settled &= !contents.owed.values().any(|entry| entry.taken.id == id);
+            message.settled &= !contents.owed.values().any(|entry| entry.message.id == id);
         }
         Ok(())
     }
@@ -135,8 +135,9 @@
             return violated(Property::Durability, "the store tells something else after the start".into());
         }
         let pending = before.owed.iter();
-        self.messages_by_number =
-            pending.filter_map(|(number, entry)| Some((*number, message_index(&entry.taken.id)?))).collect();
+        self.messages_by_number = pending
+            .filter_map(|(number, entry)| Some((*number, message_index(&entry.message.id)?)))
+            .collect();
         self.process = ProcessState::Up;
         self.monitor.grace_until = 0;
         self.monitor.ready(self.now);
@@ -154,7 +155,7 @@
         after
             .owed
             .get(number)
-            .is_some_and(|now| now.taken == entry.taken && now.calls.starts_with(&entry.calls))
+            .is_some_and(|now| now.message == entry.message && now.calls.starts_with(&entry.calls))
     };
     before.owed.iter().all(is_restored)
 }
--- a/tools/explore/src/world/state.rs
+++ b/tools/explore/src/world/state.rs
@@ -154,7 +154,7 @@
 
     /// Numbers of messages and of endpoints that are in use.
     pub fn active_ids(&self) -> ActiveIds {
-        let (messages, endpoints) = self.hub.router.names();
+        let (messages, endpoints) = self.hub.router.message_and_endpoint_numbers();
         ActiveIds { messages: messages.collect(), endpoints: endpoints.collect() }
     }
 
--- a/tools/explore/src/world/submission.rs
+++ b/tools/explore/src/world/submission.rs
@@ -94,7 +94,7 @@
     /// Whether the store has the message, and not its end.
     pub(super) fn is_stored(&self, message: usize) -> bool {
         let id = format!("m{message}");
-        self.journal_contents().owed.values().any(|entry| entry.taken.id == id)
+        self.journal_contents().owed.values().any(|entry| entry.message.id == id)
     }
 }
 
--- a/tools/explore/src/world/transition.rs
+++ b/tools/explore/src/world/transition.rs
@@ -20,7 +20,7 @@
         self.hub.router.reseed(self.case.seed);
         let fault = match transition.crash {
             Some(CrashPoint { after, torn }) => {
-                Fault::Die { after, bytes: if torn { TORN_BYTES } else { 0 } }
+                Fault::Crash { after, bytes: if torn { TORN_BYTES } else { 0 } }
             }
             None if self.disk_full => Fault::Full { after: 0 },
             None => Fault::None,
--- a/tools/standins/src/audit/journals.rs
+++ b/tools/standins/src/audit/journals.rs
@@ -27,7 +27,7 @@
         let (mut known, mut own) = (BTreeSet::new(), Vec::new());
         for journal in journals {
             let (contents, sound) = JournalContents::read(&journal.bytes);
-            known.extend(contents.owed.values().map(|entry| entry.taken.id.clone()));
+            known.extend(contents.owed.values().map(|entry| entry.message.id.clone()));
             known.extend(contents.ended.iter().map(|ended| ended.id.clone()));
             if !journal.copy {
                 own.push(OwnJournal { journal, contents, sound });
@@ -80,7 +80,7 @@
     fn check_attempts(&self, messages: &BTreeMap<&str, MessageHistory>, found: &mut Vec<Finding>) {
         let courier = self.journal.courier;
         for entry in self.contents.owed.values() {
-            let id = entry.taken.id.as_str();
+            let id = entry.message.id.as_str();
             let observed = messages.get(id).map_or(&[][..], |message| &message.calls);
             let calls = observed.iter().filter(|call| call.courier == courier).count();
             let written = entry.calls.len();
@@ -97,7 +97,7 @@
             history.seals.iter().any(|seal| seal.courier == courier && seal.messages.contains_key(id))
         };
         let without_end = self.contents.owed.values().filter(|entry| entry.end.is_none());
-        without_end.map(|entry| entry.taken.id.as_str()).filter(move |id| !is_sealed(id))
+        without_end.map(|entry| entry.message.id.as_str()).filter(move |id| !is_sealed(id))
     }
 }
 
@@ -116,9 +116,9 @@
     let courier = journal.courier;
     for (byte, record) in Records::new(&journal.bytes) {
         match record {
-            JournalRecord::Accept { msg, taken } | JournalRecord::Stream { msg, taken } => {
-                let policy = rules.repeat_policy(&taken.class);
-                let progress = MessageProgress { id: taken.id, policy, never_ran: Vec::new(), end: None };
+            JournalRecord::Accept { msg, message } | JournalRecord::Stream { msg, message } => {
+                let policy = rules.repeat_policy(&message.class);
+                let progress = MessageProgress { id: message.id, policy, never_ran: Vec::new(), end: None };
                 messages.insert(msg, progress);
             }
             JournalRecord::Attempt { msg, .. } | JournalRecord::Sent { msg, .. } => {
--- a/tools/standins/tests/audit.rs
+++ b/tools/standins/tests/audit.rs
@@ -67,9 +67,9 @@
 
 fn taken(msg: u64, id: &str) -> JournalRecord {
     let (class, key, body) = ("fee-debit".into(), Some(format!("key-{id}")), Bytes::from(id.to_string()));
-    let taken =
+    let message =
         journal::AcceptedMessage { id: id.into(), class, key, dest: 1, deadline: T0 + 16 * SEC, body };
-    JournalRecord::Accept { msg, taken }
+    JournalRecord::Accept { msg, message }
 }
 
 /// A history without findings, with all that is allowed: a rejected message that is submitted again, a repeated notice, a
