--- a/courier/core/src/delivery.rs
+++ b/courier/core/src/delivery.rs
@@ -63,8 +63,8 @@
     pub id: String,
     /// The idempotency key, if the message has one.
     pub key: Option<String>,
-    /// The tenant whose connection budget the message uses, if couriers share budgets. It is neither sent to endpoints
-    /// nor handed over, since in a fleet no process hands over its calls.
+    /// The tenant whose share of a partner's connection budget the message uses. It is neither sent to endpoints nor
+    /// handed over, since in a fleet no process hands over its calls.
     #[serde(skip)]
     pub tenant: Option<Box<str>>,
     /// The body; empty if it is streamed.
--- a/courier/core/src/journal/contents.rs
+++ b/courier/core/src/journal/contents.rs
@@ -10,9 +10,9 @@
 
 /// An attempt to deliver a message, as recorded in a journal.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PastCall {
+pub struct RecordedAttempt {
     /// Start of the attempt, in Unix microseconds.
-    pub sent: Micros,
+    pub sent_at: Micros,
     /// The effect that a repeat of the attempt may have; `None`: the attempt was recorded by an earlier version
     /// without it.
     pub effect: Option<RepeatEffect>,
@@ -21,7 +21,7 @@
     pub never_ran: Option<bool>,
 }
 
-impl PastCall {
+impl RecordedAttempt {
     /// Whether the attempt may have had an effect: its outcome is unknown or does not prove the contrary.
     pub fn may_have_run(&self) -> bool {
         self.never_ran != Some(true)
@@ -34,7 +34,7 @@
     /// The message as it was accepted.
     pub message: AcceptedMessage,
     /// The attempts of the message, in the order in which they were recorded.
-    pub calls: Vec<PastCall>,
+    pub attempts: Vec<RecordedAttempt>,
     /// The message's end, if the platform has not yet confirmed the notice of it.
     pub end: Option<End>,
     /// Whether the body was streamed; if so, it is not in the journal.
@@ -45,7 +45,7 @@
 
 impl JournalEntry {
     fn new(message: AcceptedMessage, stream: bool) -> Self {
-        JournalEntry { message, calls: Vec::new(), end: None, stream, source: None }
+        JournalEntry { message, attempts: Vec::new(), end: None, stream, source: None }
     }
 
     fn is_from(&self, source: &Source) -> bool {
@@ -54,25 +54,25 @@
 
     /// The shortest sequence of records that restores the entry.
     pub(super) fn records(self, msg: MsgId) -> impl Iterator<Item = JournalRecord> {
-        let JournalEntry { message, calls, end, stream, source } = self;
+        let JournalEntry { message, attempts, end, stream, source } = self;
         let accepted = if stream {
             JournalRecord::Stream { msg, message }
         } else {
             JournalRecord::Accept { msg, message }
         };
         let source = source.map(|source| JournalRecord::From { msg, source });
-        let calls = calls.into_iter().enumerate().flat_map(move |(n, call)| {
-            let PastCall { sent, effect, never_ran } = call;
-            let attempt = match effect {
-                Some(effect) => JournalRecord::Sent { msg, sent, effect },
-                None => JournalRecord::Attempt { msg, zone: 0, sent },
+        let attempts = attempts.into_iter().enumerate().flat_map(move |(index, attempt)| {
+            let RecordedAttempt { sent_at, effect, never_ran } = attempt;
+            let attempt_record = match effect {
+                Some(effect) => JournalRecord::Sent { msg, sent_at, effect },
+                None => JournalRecord::Attempt { msg, zone: 0, sent_at },
             };
             let outcome =
-                never_ran.map(|never_ran| JournalRecord::Outcome { msg, attempt: n as u32, never_ran });
-            std::iter::once(attempt).chain(outcome)
+                never_ran.map(|never_ran| JournalRecord::Outcome { msg, attempt: index as u32, never_ran });
+            std::iter::once(attempt_record).chain(outcome)
         });
         let end = end.map(|end| JournalRecord::End { msg, end });
-        std::iter::once(accepted).chain(source).chain(calls).chain(end)
+        std::iter::once(accepted).chain(source).chain(attempts).chain(end)
     }
 }
 
@@ -119,12 +119,12 @@
         match record {
             JournalRecord::Accept { msg, message } => self.accept(msg, message, false),
             JournalRecord::Stream { msg, message } => self.accept(msg, message, true),
-            JournalRecord::Attempt { msg, zone: _, sent } => self.add_call(msg, sent, None),
-            JournalRecord::Sent { msg, sent, effect } => self.add_call(msg, sent, Some(effect)),
+            JournalRecord::Attempt { msg, zone: _, sent_at } => self.add_attempt(msg, sent_at, None),
+            JournalRecord::Sent { msg, sent_at, effect } => self.add_attempt(msg, sent_at, Some(effect)),
             JournalRecord::Outcome { msg, attempt, never_ran } => {
-                let calls = self.owed.get_mut(&msg).map(|entry| &mut entry.calls);
-                if let Some(call) = calls.and_then(|calls| calls.get_mut(attempt as usize)) {
-                    call.never_ran = Some(never_ran);
+                let attempts = self.owed.get_mut(&msg).map(|entry| &mut entry.attempts);
+                if let Some(attempt) = attempts.and_then(|attempts| attempts.get_mut(attempt as usize)) {
+                    attempt.never_ran = Some(never_ran);
                 }
             }
             JournalRecord::End { msg, end: End::Delivered } => self.finish(msg, End::Delivered),
@@ -158,9 +158,9 @@
         self.owed.insert(msg, JournalEntry::new(message, stream));
     }
 
-    fn add_call(&mut self, msg: MsgId, sent: Micros, effect: Option<RepeatEffect>) {
+    fn add_attempt(&mut self, msg: MsgId, sent_at: Micros, effect: Option<RepeatEffect>) {
         if let Some(entry) = self.owed.get_mut(&msg) {
-            entry.calls.push(PastCall { sent, effect, never_ran: None });
+            entry.attempts.push(RecordedAttempt { sent_at, effect, never_ran: None });
         }
     }
 
--- a/courier/core/src/journal/mod.rs
+++ b/courier/core/src/journal/mod.rs
@@ -17,7 +17,7 @@
 mod space;
 mod writer;
 
-pub use contents::{JournalContents, JournalEntry, PastCall, RememberedEnd};
+pub use contents::{JournalContents, JournalEntry, RecordedAttempt, RememberedEnd};
 pub use error::JournalError;
 pub use frame::{Records, frame};
 pub use record::{AcceptedMessage, End, JournalRecord, RepeatEffect, SettlementLine, Source};
--- a/courier/core/src/journal/record.rs
+++ b/courier/core/src/journal/record.rs
@@ -23,7 +23,7 @@
         /// The number of the endpoint's zone under the settings of that process.
         zone: u32,
         /// Start of the attempt.
-        sent: Micros,
+        sent_at: Micros,
     },
     /// An attempt has ended without delivering the message.
     Outcome {
@@ -107,7 +107,7 @@
         /// The number of the message.
         msg: MsgId,
         /// Start of the attempt.
-        sent: Micros,
+        sent_at: Micros,
         /// The effect that a repeat of the attempt may have.
         effect: RepeatEffect,
     },
--- a/courier/core/src/router/calls.rs
+++ b/courier/core/src/router/calls.rs
@@ -1,6 +1,6 @@
 //! Starting delivery calls, and removing messages from calls that continue for their other messages.
 
-use super::endpoints::KnownEndpoint;
+use super::endpoints::ListedEndpoint;
 use super::outstanding::OutstandingMessage;
 use super::{Router, RouterAction};
 use crate::journal::{JournalRecord, RepeatEffect};
@@ -22,8 +22,8 @@
 }
 
 impl CallTarget {
-    fn new(endpoint: u32, known: &KnownEndpoint) -> Option<Self> {
-        Some(CallTarget { endpoint, addr: known.addr?, zone: known.zone, dest: known.dest })
+    fn new(endpoint: u32, listed: &ListedEndpoint) -> Option<Self> {
+        Some(CallTarget { endpoint, addr: listed.addr?, zone: listed.zone, dest: listed.dest })
     }
 }
 
@@ -57,7 +57,7 @@
         now: Micros,
         actions: &mut Vec<RouterAction>,
     ) {
-        let target = self.endpoints.get(endpoint).and_then(|known| CallTarget::new(endpoint, known));
+        let target = self.endpoints.get(endpoint).and_then(|listed| CallTarget::new(endpoint, listed));
         let parts = self.call_parts(endpoint, items, target.is_some(), actions);
         let (Some(target), Some(lead_call)) = (target, parts.first().map(|part| part.call)) else { return };
         self.add_outstanding(&target, lead_call, &parts, now);
@@ -67,7 +67,7 @@
             .iter()
             .map(|part| JournalRecord::Sent {
                 msg: part.call.msg,
-                sent: now,
+                sent_at: now,
                 effect: self.repeat_effect(part.class, target.zone),
             })
             .collect();
--- a/courier/core/src/router/config.rs
+++ b/courier/core/src/router/config.rs
@@ -9,9 +9,9 @@
 pub struct StreamLimits {
     /// Maximum number of streams that are open at the same time.
     pub max_open: usize,
-    /// The share of the call slots that streams may take, between 0 and 1; at least one slot.
+    /// The fraction of the call slots that streams may take; at least one slot.
     pub share_of_slots: f64,
-    /// The share of each destination's window that streams may take, between 0 and 1; at least a window of one.
+    /// The fraction of each destination's window that streams may take; at least a window of one.
     pub share_of_window: f64,
 }
 
--- a/courier/core/src/router/discovery.rs
+++ b/courier/core/src/router/discovery.rs
@@ -1,6 +1,6 @@
 //! Updates of the endpoints by discovery and by operators.
 
-use super::endpoints::{KnownEndpoint, UNKNOWN_KIND, intern};
+use super::endpoints::{ListedEndpoint, UNKNOWN_KIND, intern};
 use super::{Router, RouterAction};
 use crate::disabled::{DisableError, DisabledEndpoints, MAX_ID_LEN};
 use crate::store::Store;
@@ -89,8 +89,8 @@
         let number = self.endpoints.intern(&listing.id);
         let zone = intern(&mut self.zones, &listing.zone) as u32;
         let kind = self.config.kinds.iter().position(|kind| *kind == listing.kind).unwrap_or(UNKNOWN_KIND);
-        let known_addr = self.endpoints.get(number).and_then(|known| known.addr);
-        let endpoint = KnownEndpoint {
+        let known_addr = self.endpoints.get(number).and_then(|endpoint| endpoint.addr);
+        let endpoint = ListedEndpoint {
             addr: listing.addr.or(known_addr),
             dest: listing.dest,
             zone,
@@ -105,7 +105,7 @@
     /// An endpoint in the form that the policy uses. `returning`: the endpoint was disabled until now and may have been
     /// restarted.
     fn effective_entry(&self, id: &str, returning: bool) -> Option<EndpointEntry> {
-        let (endpoint, &KnownEndpoint { dest, zone, kind, weight, state, .. }) = self.endpoints.find(id)?;
+        let (endpoint, &ListedEndpoint { dest, zone, kind, weight, state, .. }) = self.endpoints.find(id)?;
         let state = self.disabled.effective_state(id, state);
         Some(EndpointEntry { endpoint, dest, kind, zone, weight, state, returning })
     }
--- a/courier/core/src/router/endpoints.rs
+++ b/courier/core/src/router/endpoints.rs
@@ -16,7 +16,7 @@
 
 /// An endpoint as discovery lists it. It is encoded by position in a [`RouterState`](super::RouterState).
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(super) struct KnownEndpoint {
+pub(super) struct ListedEndpoint {
     pub(super) addr: Option<SocketAddr>,
     pub(super) dest: u64,
     pub(super) zone: u32,
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct EndpointTable {
     pub(super) names: Arc<NameTable>,
-    pub(super) endpoints: BTreeMap<u32, KnownEndpoint>,
+    pub(super) endpoints: BTreeMap<u32, ListedEndpoint>,
     /// The numbers of the endpoints of each destination.
     pub(super) by_dest: BTreeMap<u64, BTreeSet<u32>>,
     /// The endpoints that are gone, ordered by the time at which they left the list.
@@ -63,12 +63,12 @@
     }
 
     /// The endpoint with this id and its number.
-    pub(super) fn find(&self, id: &str) -> Option<(u32, &KnownEndpoint)> {
+    pub(super) fn find(&self, id: &str) -> Option<(u32, &ListedEndpoint)> {
         let number = u32::try_from(self.names.get(id)?).ok()?;
         Some((number, self.endpoints.get(&number)?))
     }
 
-    pub(super) fn get(&self, number: u32) -> Option<&KnownEndpoint> {
+    pub(super) fn get(&self, number: u32) -> Option<&ListedEndpoint> {
         self.endpoints.get(&number)
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// Adds or replaces an endpoint.
-    pub(super) fn insert(&mut self, number: u32, endpoint: KnownEndpoint) {
+    pub(super) fn insert(&mut self, number: u32, endpoint: ListedEndpoint) {
         self.remove(number);
         self.by_dest.entry(endpoint.dest).or_default().insert(number);
         self.gone_since.extend(endpoint.gone_since.map(|gone| (gone, number)));
--- a/courier/core/src/router/restore.rs
+++ b/courier/core/src/router/restore.rs
@@ -5,7 +5,9 @@
 use super::owed::{OwedMessage, UNKNOWN_CLASS, ending_of};
 use super::stream::Stream;
 use super::{Router, RouterAction, RouterError, RouterOptions};
-use crate::journal::{AcceptedMessage, Journal, JournalContents, JournalEntry, PastCall, RepeatEffect};
+use crate::journal::{
+    AcceptedMessage, Journal, JournalContents, JournalEntry, RecordedAttempt, RepeatEffect,
+};
 use crate::note::Note;
 use crate::store::Store;
 use crate::{Ending, EndpointList, MessagePayload};
@@ -19,13 +21,13 @@
 
 impl<S: Store> Router<S> {
     /// Reads the journal in `store` and continues with its messages. The driver executes the returned actions first.
-    /// `known` is the endpoint list of the earlier process.
+    /// `last_list` is the endpoint list of the earlier process.
     ///
     /// # Errors
     /// The settings are not valid, or the store can't be read.
     pub fn open(
         options: &RouterOptions<'_>,
-        known: EndpointList,
+        last_list: EndpointList,
         store: S,
         now: Micros,
     ) -> Result<(Self, Vec<RouterAction>), RouterError> {
@@ -39,7 +41,7 @@
         router.next_message = contents.next_message;
         router.notes = notes;
         router.disabled = contents.disabled;
-        let mut actions = router.list(known, now);
+        let mut actions = router.list(last_list, now);
         router.list_received = false;
         contents.ended.into_iter().for_each(|end| router.remember_ended(end));
         router.counters.restored = contents.owed.len() as u64;
@@ -59,10 +61,10 @@
         now: Micros,
         actions: &mut Vec<RouterAction>,
     ) {
-        let JournalEntry { message, calls, end, stream, source: _ } = entry;
+        let JournalEntry { message, attempts, end, stream, source: _ } = entry;
         let AcceptedMessage { id, class: class_name, key, dest, deadline, body } = message;
         let end = end.filter(|_| !breaks::is_enabled(Break::ForgetEnd)).map(ending_of);
-        let may_have_run = calls.iter().any(PastCall::may_have_run);
+        let may_have_run = attempts.iter().any(RecordedAttempt::may_have_run);
         let stream = stream.then(|| Stream::of_another_process(may_have_run));
         // Class numbers depend on the settings, so the journal records class names.
         let class = self.class_number(&class_name);
@@ -73,7 +75,7 @@
             dest,
             deadline,
             end,
-            journaled_attempts: calls.len() as u32,
+            journaled_attempts: attempts.len() as u32,
             stream,
         };
         let message = owed.policy_message(msg, None);
@@ -95,7 +97,7 @@
             // the store rejected its record.
             return self.end(msg, Ending::Undeliverable, now, actions);
         }
-        let past: Option<Vec<_>> = calls.iter().map(|call| self.past_attempt(class, call)).collect();
+        let past: Option<Vec<_>> = attempts.iter().map(|attempt| self.past_attempt(class, attempt)).collect();
         let Some(past) = past else {
             actions.push(RouterAction::Note(Note::EffectChanged { id, class: class_name }));
             return self.end(msg, Ending::Undeliverable, now, actions);
@@ -108,12 +110,12 @@
     /// An attempt of an earlier process in the form that the policy uses, under the stricter of the effect that its
     /// class had then and the one that it has now. Returns `None` if the former effect is stricter and the present
     /// one can't express it, so that no repeat is allowed.
-    fn past_attempt(&mut self, class: usize, call: &PastCall) -> Option<PastAttempt> {
-        let may_have_run = call.may_have_run();
-        let unchanged = PastAttempt { zone: UNKNOWN_ZONE, sent: call.sent, may_have_run };
+    fn past_attempt(&mut self, class: usize, attempt: &RecordedAttempt) -> Option<PastAttempt> {
+        let may_have_run = attempt.may_have_run();
+        let unchanged = PastAttempt { zone: UNKNOWN_ZONE, sent: attempt.sent_at, may_have_run };
         let effect = *self.config.effects.get(class)?;
-        match (&call.effect, effect) {
-            // The former effect was not stricter, or the policy never repeats such a message.
+        match (&attempt.effect, effect) {
+            // The attempt had no effect, its recorded effect is not stricter, or the policy never repeats it.
             (None | Some(RepeatEffect::Safe), _) | (_, Effect::NonIdempotent) => Some(unchanged),
             _ if !may_have_run => Some(unchanged),
             (Some(RepeatEffect::Unsafe), _) | (Some(RepeatEffect::Keyed { .. }), Effect::Idempotent) => None,
@@ -125,20 +127,20 @@
                 let zone = zone.as_ref().map_or(UNKNOWN_ZONE, |name| intern(&mut self.zones, name) as u32);
                 // With the start of the attempt moved back by the difference, the present span ends when the former
                 // one does.
-                let sent = call.sent.saturating_sub(span.saturating_sub(*past_span));
+                let sent = attempt.sent_at.saturating_sub(span.saturating_sub(*past_span));
                 Some(PastAttempt { zone, sent, may_have_run })
             }
         }
     }
 }
 
-/// Corrects the attempts if the clock was set back. The age of an attempt is then unknown, so no repeat is certain
-/// to fall within its deduplication span: all attempts that may have had an effect are dated to the start of the
-/// clock.
+/// Corrects the attempts if the clock was set back. The age of an attempt is then unknown, so no repeat is certain to
+/// fall within its deduplication span: all attempts that may have had an effect get the start time 0.
 fn correct_clock(contents: &mut JournalContents, now: Micros) -> Option<Note> {
-    let calls = contents.owed.values().flat_map(|entry| &entry.calls);
-    let ahead = calls.map(|call| call.sent.saturating_sub(now)).max().filter(|ahead| *ahead > 0)?;
-    let calls = contents.owed.values_mut().flat_map(|entry| &mut entry.calls);
-    calls.filter(|call| call.may_have_run()).for_each(|call| call.sent = 0);
+    let attempts = contents.owed.values().flat_map(|entry| &entry.attempts);
+    let ahead =
+        attempts.map(|attempt| attempt.sent_at.saturating_sub(now)).max().filter(|ahead| *ahead > 0)?;
+    let attempts = contents.owed.values_mut().flat_map(|entry| &mut entry.attempts);
+    attempts.filter(|attempt| attempt.may_have_run()).for_each(|attempt| attempt.sent_at = 0);
     Some(Note::ClockSetBack { ahead })
 }
--- a/courier/core/src/router/results.rs
+++ b/courier/core/src/router/results.rs
@@ -76,7 +76,7 @@
     /// are separate routes, otherwise all endpoints of the destination. If the delay applied to more, it would
     /// repeatedly block calls that the policy sends over another route.
     fn endpoints_bound_by(&self, endpoint: u32, dest: u64) -> impl Iterator<Item = u32> {
-        let kind = self.endpoints.get(endpoint).map_or(usize::MAX, |known| known.kind);
+        let kind = self.endpoints.get(endpoint).map_or(usize::MAX, |endpoint| endpoint.kind);
         let separate_routes = self.config.separate_routes.get(kind).copied().unwrap_or(false);
         self.endpoints.of_dest(dest).filter(move |number| !separate_routes || *number == endpoint)
     }
--- a/courier/core/src/router/settlement.rs
+++ b/courier/core/src/router/settlement.rs
@@ -16,11 +16,11 @@
     /// # Errors
     /// No message with this id is known yet; it is watched nevertheless.
     pub fn watch(&mut self, id: &str) -> Result<Option<End>, UnknownId> {
-        let fate = self.end_of(id);
-        if !matches!(fate, Ok(Some(_))) {
+        let end = self.end_of(id);
+        if !matches!(end, Ok(Some(_))) {
             self.watched.insert(id.to_string());
         }
-        fate
+        end
     }
 
     /// Stops watching a message; its end will not be reported by [`Router::take_watched_ends`].
--- a/courier/core/src/router/state.rs
+++ b/courier/core/src/router/state.rs
@@ -1,7 +1,7 @@
 //! The router's state that one process hands over to the next during an upgrade.
 
 use super::config::DecodedSettings;
-use super::endpoints::KnownEndpoint;
+use super::endpoints::ListedEndpoint;
 use super::outstanding::{OutstandingCalls, OutstandingMessage};
 use super::owed::OwedMessage;
 use super::{ResumeError, Router, RouterAction, RouterError, RouterOptions, settings_fingerprint};
@@ -27,7 +27,7 @@
     policy: Policy,
     zones: NameTable,
     endpoint_names: NameTable,
-    endpoints: BTreeMap<u32, KnownEndpoint>,
+    endpoints: BTreeMap<u32, ListedEndpoint>,
     disabled: DisabledEndpoints,
     version: u64,
     list_received: bool,
@@ -131,14 +131,14 @@
     fn resume_endpoints(
         &mut self,
         names: NameTable,
-        endpoints: BTreeMap<u32, KnownEndpoint>,
+        endpoints: BTreeMap<u32, ListedEndpoint>,
         actions: &mut Vec<RouterAction>,
     ) {
         self.endpoints.names = Arc::new(names);
-        for (endpoint, known) in endpoints {
-            let state = self.disabled.effective_state(self.endpoints.id(endpoint), known.state);
+        for (endpoint, listed) in endpoints {
+            let state = self.disabled.effective_state(self.endpoints.id(endpoint), listed.state);
             actions.push(RouterAction::Gate { endpoint, open: state == EndpointState::Ready });
-            self.endpoints.insert(endpoint, known);
+            self.endpoints.insert(endpoint, listed);
         }
     }
 }
--- a/courier/core/src/router/submission.rs
+++ b/courier/core/src/router/submission.rs
@@ -87,8 +87,9 @@
     ) -> Intake {
         self.forget_ended(now);
         let Some(class) = self.class_number(&submission.class) else { return Intake::UnknownClass };
-        let refused = self.duplicate(&submission.id).or_else(|| self.rejection(submission.dest, stream, now));
-        if let Some(intake) = refused {
+        let rejection =
+            self.duplicate(&submission.id).or_else(|| self.rejection(submission.dest, stream, now));
+        if let Some(intake) = rejection {
             return intake;
         }
         let msg = match self.accept(submission, class, stream, now, actions) {
@@ -102,8 +103,8 @@
     /// The answer to a submission whose id is already known, otherwise `None`. Each message has its own id, so an
     /// end that is reported under an id must belong to that message.
     fn duplicate(&self, id: &str) -> Option<Intake> {
-        let known = self.ids.get(id).filter(|_| !breaks::is_enabled(Break::AcceptTwice));
-        if let Some(msg) = known {
+        let existing = self.ids.get(id).filter(|_| !breaks::is_enabled(Break::AcceptTwice));
+        if let Some(msg) = existing {
             // An unsettled message is not yet in the table of owed messages.
             return Some(match self.owed.get(msg).and_then(|owed| owed.end) {
                 None => Intake::Open,
--- a/courier/core/src/router/visit.rs
+++ b/courier/core/src/router/visit.rs
@@ -1,7 +1,7 @@
 //! The router's state for state-space exploration: every value that influences decisions is passed to a visitor, in a
 //! fixed order.
 
-use super::endpoints::KnownEndpoint;
+use super::endpoints::ListedEndpoint;
 use super::outstanding::OutstandingMessage;
 use super::owed::OwedMessage;
 use super::stream::Stream;
@@ -50,7 +50,7 @@
         let messages = &outstanding.messages;
         let lens = [endpoints.len(), owed.len(), ended.iter().len(), messages.len(), notices.len()];
         lens.into_iter().for_each(|len| visitor.visit_u64(len as u64));
-        endpoints.iter().for_each(|(number, known)| self.visit_endpoint(*number, known, visitor));
+        endpoints.iter().for_each(|(number, listed)| self.visit_endpoint(*number, listed, visitor));
         owed.iter().for_each(|(msg, owed)| visit_owed(*msg, owed, visitor));
         for RememberedId { id, end, until } in ended.iter() {
             visit_text(id, visitor);
@@ -94,8 +94,8 @@
         })
     }
 
-    fn visit_endpoint(&self, number: u32, known: &KnownEndpoint, visitor: &mut impl StateVisitor) {
-        let KnownEndpoint { addr, dest, zone, kind: _, weight, state, gone_since } = known;
+    fn visit_endpoint(&self, number: u32, listed: &ListedEndpoint, visitor: &mut impl StateVisitor) {
+        let ListedEndpoint { addr, dest, zone, kind: _, weight, state, gone_since } = listed;
         visitor.visit_endpoint(number);
         visitor.visit_u64(*state as u64);
         visitor.visit_f64(*weight);
--- a/courier/core/src/store.rs
+++ b/courier/core/src/store.rs
@@ -73,7 +73,7 @@
     }
 
     /// Sets the fault of the following writes and resets the count of writes to 0.
-    pub fn fail(&mut self, fault: Fault) {
+    pub fn set_fault(&mut self, fault: Fault) {
         self.fault = fault;
         self.writes = 0;
     }
--- a/courier/core/tests/adopt.rs
+++ b/courier/core/tests/adopt.rs
@@ -4,7 +4,7 @@
 use common::{NOW, World, calls, class, endpoint, options, store_after_crash};
 use quillmount_core::hub::{DriverAction, Hub};
 use quillmount_core::journal::{
-    AcceptedMessage, End, JournalContents, JournalEntry, JournalError, PastCall, Settlements,
+    AcceptedMessage, End, JournalContents, JournalEntry, JournalError, RecordedAttempt, Settlements,
 };
 use quillmount_core::note::Note;
 use quillmount_core::pool::Pool;
@@ -14,7 +14,7 @@
 use quillmount_policy::EndpointState;
 use quillmount_settings::{Category, SenderSettings};
 
-const DISK: u64 = 99_999;
+const JOURNAL_LIMIT: u64 = 99_999;
 
 fn open(store: Memory, disk: u64) -> World {
     let keyed = |name, scope: Option<&str>| Category {
@@ -44,12 +44,15 @@
     let (class, body) = ("fee-debit".into(), bytes::Bytes::from_static(b"body"));
     let message =
         AcceptedMessage { id: id.into(), class, key: None, dest: 1, deadline: NOW + 9_000_000, body };
-    JournalEntry { message, calls: Vec::new(), end: None, stream: false, source: None }
+    JournalEntry { message, attempts: Vec::new(), end: None, stream: false, source: None }
 }
 
 /// An entry like [`owed`], with an attempt whose outcome is not recorded.
 fn in_flight(id: &str) -> JournalEntry {
-    JournalEntry { calls: vec![PastCall { sent: NOW - 9, effect: None, never_ran: None }], ..owed(id) }
+    JournalEntry {
+        attempts: vec![RecordedAttempt { sent_at: NOW - 9, effect: None, never_ran: None }],
+        ..owed(id)
+    }
 }
 
 fn with_class(class: &str, entry: JournalEntry) -> JournalEntry {
@@ -69,9 +72,9 @@
 
 #[test]
 fn adopted_messages_go_on_as_after_a_restart() {
-    let mut hub = open(Memory::default(), DISK);
+    let mut hub = open(Memory::default(), JOURNAL_LIMIT);
     let refused = JournalEntry {
-        calls: vec![PastCall { sent: 5, effect: None, never_ran: Some(true) }],
+        attempts: vec![RecordedAttempt { sent_at: 5, effect: None, never_ran: Some(true) }],
         ..owed("back")
     };
     let ended = JournalEntry { end: Some(End::Deferred { after: 70 }), ..owed("ended") };
@@ -80,7 +83,7 @@
     let stream = JournalEntry { stream: true, ..in_flight("stream") };
     let entries = vec![in_flight("out"), owed("fresh"), refused, ended.clone(), late, stream];
     let driver_actions = hub.adopt(entries, &Settlements::default(), NOW).unwrap();
-    assert!(driver_actions.iter().any(|one| matches!(one, DriverAction::Notify)));
+    assert!(driver_actions.iter().any(|action| matches!(action, DriverAction::Notify)));
     assert_eq!(ids(calls(driver_actions)), ["fresh", "back"], "only messages that never ran are sent");
     let mut ends = notices(&hub);
     ends.sort_by(|a, b| a.0.cmp(&b.0));
@@ -92,7 +95,7 @@
     let (contents, _) = JournalContents::read(store_after_crash(&hub).bytes());
     assert_eq!((contents.owed.len(), contents.owed.values().filter(|e| e.end.is_some()).count()), (6, 4));
     assert!(contents.owed.values().any(|e| *e == ended));
-    let mut next = open(store_after_crash(&hub), DISK);
+    let mut next = open(store_after_crash(&hub), JOURNAL_LIMIT);
     assert!(calls(next.tick(NOW)).is_empty());
     assert_eq!(notices(&next).len(), 6, "this process has sent the debits, so they may have run");
 }
@@ -100,7 +103,7 @@
 /// Each courier numbers zones differently (0 is its own zone), so the zone number of another courier's attempt is unknown.
 #[test]
 fn an_adopted_message_deduplicated_by_an_unknown_zone_is_not_repeated() {
-    let mut hub = open(Memory::default(), DISK);
+    let mut hub = open(Memory::default(), JOURNAL_LIMIT);
     let entries =
         vec![with_class("paid-notice", in_flight("anywhere")), with_class("zone-notice", in_flight("zone"))];
     assert_eq!(ids(calls(hub.adopt(entries, &Settlements::default(), NOW).unwrap())), ["anywhere"]);
@@ -110,10 +113,10 @@
 
 #[test]
 fn a_message_that_is_owed_or_ended_here_is_not_adopted() {
-    let mut hub = open(Memory::default(), DISK);
+    let mut hub = open(Memory::default(), JOURNAL_LIMIT);
     let entries = || vec![in_flight("out"), owed("fresh"), owed("fresh")];
     let skipped = |driver_actions: &[DriverAction<u32>]| -> Vec<String> {
-        let id = |one: &DriverAction<u32>| match one {
+        let id = |action: &DriverAction<u32>| match action {
             DriverAction::Note(Note::NotAdopted { id }) => Some(id.clone()),
             _ => None,
         };
@@ -141,12 +144,12 @@
 #[test]
 fn a_refused_write_or_a_crash_adopts_nothing_in_part() {
     let entries = || vec![in_flight("a"), in_flight("b"), owed("c")];
-    let mut hub = open(Memory::default(), DISK);
+    let mut hub = open(Memory::default(), JOURNAL_LIMIT);
     hub.adopt(vec![owed("own")], &Settlements::default(), NOW).unwrap();
     let before = store_after_crash(&hub);
-    hub.router.journal_mut().store_mut().fail(Fault::Full { after: 0 });
+    hub.router.journal_mut().store_mut().set_fault(Fault::Full { after: 0 });
     assert!(matches!(hub.adopt(entries(), &Settlements::default(), NOW), Err(JournalError::Io { .. })));
-    hub.router.journal_mut().store_mut().fail(Fault::None);
+    hub.router.journal_mut().store_mut().set_fault(Fault::None);
     assert_eq!((hub.router.load().owed, store_after_crash(&hub).bytes()), (1, before.bytes()));
     assert_eq!(
         ids(calls(hub.adopt(entries(), &Settlements::default(), NOW).unwrap())),
@@ -160,13 +163,14 @@
     // Wherever a crash interrupts the write, no debit that was in flight is owed without its attempt.
     for after in 0..8 {
         for bytes in 0..200 {
-            let mut hub = open(Memory::default(), DISK);
-            hub.router.journal_mut().store_mut().fail(Fault::Crash { after, bytes });
+            let mut hub = open(Memory::default(), JOURNAL_LIMIT);
+            hub.router.journal_mut().store_mut().set_fault(Fault::Crash { after, bytes });
             hub.adopt(entries(), &Settlements::default(), NOW).unwrap();
             let (contents, _) = JournalContents::read(store_after_crash(&hub).bytes());
-            let safe = contents.owed.values().all(|entry| entry.message.id == "c" || !entry.calls.is_empty());
+            let safe =
+                contents.owed.values().all(|entry| entry.message.id == "c" || !entry.attempts.is_empty());
             assert!(safe, "write {after}, {bytes} bytes: {contents:?}");
-            let mut next = open(store_after_crash(&hub), DISK);
+            let mut next = open(store_after_crash(&hub), JOURNAL_LIMIT);
             next.adopt(entries(), &Settlements::default(), NOW).unwrap();
             assert_eq!(next.router.load().owed, 3);
         }
@@ -180,12 +184,12 @@
     use quillmount_core::journal::Source;
     let source = |part| Source { owner: "a".into(), epoch: 3, part };
     let from = |part, entry| JournalEntry { source: Some(source(part)), ..entry };
-    let mut hub = open(Memory::default(), DISK);
+    let mut hub = open(Memory::default(), JOURNAL_LIMIT);
     let driver_actions =
         hub.adopt(vec![from(1, owed("m1")), from(2, owed("m2"))], &Settlements::default(), NOW).unwrap();
     assert!(ids(calls(driver_actions)).is_empty() && hub.router.load().owed == 0);
     let store = Memory::from_bytes(hub.router.journal().store().bytes().to_vec());
-    let mut hub = open(store, DISK);
+    let mut hub = open(store, JOURNAL_LIMIT);
     assert_eq!(hub.router.unsettled().cloned().collect::<Vec<_>>(), [source(1), source(2)]);
     let (id, class, time_left) = ("m2".into(), "fee-debit".into(), 9_000_000);
     let again = Submission { id, class, key: None, dest: 1, tenant: None, time_left, body: [][..].into() };
--- a/courier/core/tests/bundles.rs
+++ b/courier/core/tests/bundles.rs
@@ -138,7 +138,7 @@
     let driver_actions = hub.tick(at);
     let is_cancelled = driver_actions
         .iter()
-        .any(|one| matches!(one, DriverAction::Signal(id, AttemptInput::GiveUp) if *id == call.call));
+        .any(|action| matches!(action, DriverAction::Signal(id, AttemptInput::GiveUp) if *id == call.call));
     assert!(!is_cancelled, "the call continues for the debit");
     let again = calls(driver_actions);
     let ids: Vec<&str> = again.iter().flat_map(DeliveryCall::payloads).map(|p| p.id.as_str()).collect();
@@ -191,10 +191,10 @@
         submit(&mut hub, id, NOW);
     }
     let before = hub.router.journal().store().bytes().len();
-    hub.router.journal_mut().store_mut().fail(Fault::Full { after: 0 });
+    hub.router.journal_mut().store_mut().set_fault(Fault::Full { after: 0 });
     assert!(calls(hub.tick(NOW + 900_000)).is_empty());
     assert_eq!(hub.router.journal().store().bytes().len(), before);
-    hub.router.journal_mut().store_mut().fail(Fault::None);
+    hub.router.journal_mut().store_mut().set_fault(Fault::None);
     let later: Vec<DeliveryCall> =
         (1..20).flat_map(|n| calls(hub.tick(NOW + 900_000 + n * 300_000))).collect();
     let ids: Vec<&str> = later.iter().flat_map(DeliveryCall::payloads).map(|p| p.id.as_str()).collect();
--- a/courier/core/tests/common/mod.rs
+++ b/courier/core/tests/common/mod.rs
@@ -34,9 +34,10 @@
     EndpointListing { id: id.into(), addr, dest, kind: String::new(), zone, weight: 9.0, state }
 }
 
-pub fn calls(todo: Vec<DriverAction<u32>>) -> Vec<DeliveryCall> {
-    todo.into_iter()
-        .filter_map(|one| if let DriverAction::Begin(call) = one { Some(call) } else { None })
+pub fn calls(actions: Vec<DriverAction<u32>>) -> Vec<DeliveryCall> {
+    actions
+        .into_iter()
+        .filter_map(|action| if let DriverAction::Begin(call) = action { Some(call) } else { None })
         .collect()
 }
 
--- a/courier/core/tests/disabled.rs
+++ b/courier/core/tests/disabled.rs
@@ -13,7 +13,7 @@
 use quillmount_policy::{EndpointState, Micros};
 use quillmount_settings::{Category, SenderSettings};
 
-const DISK: u64 = 99_999;
+const JOURNAL_LIMIT: u64 = 99_999;
 
 fn settings() -> SenderSettings {
     let category = Category {
@@ -33,7 +33,7 @@
 
 fn open(store: Memory) -> World {
     let known = list(true, &[("a", EndpointState::Ready)]);
-    let (router, actions) = Router::open(&options(&settings(), DISK), known, store, NOW).unwrap();
+    let (router, actions) = Router::open(&options(&settings(), JOURNAL_LIMIT), known, store, NOW).unwrap();
     let mut hub = Hub::new(router, Pool::new(15_000_000, 9));
     hub.carry_out(actions, NOW);
     hub
@@ -105,10 +105,10 @@
 #[test]
 fn a_disabled_endpoint_survives_a_crash_and_a_compaction_unless_its_record_was_refused() {
     let mut hub = open(Memory::default());
-    hub.router.journal_mut().store_mut().fail(Fault::Full { after: 0 });
+    hub.router.journal_mut().store_mut().set_fault(Fault::Full { after: 0 });
     assert!(matches!(hub.set_disabled("a", true, NOW), Err(DisableError::NotWritten(_))));
     assert!(!hub.router.disabled().contains("a"));
-    hub.router.journal_mut().store_mut().fail(Fault::None);
+    hub.router.journal_mut().store_mut().set_fault(Fault::None);
     hub.set_disabled("a", true, NOW).unwrap();
     // A torn record at the end makes the next process compact the journal.
     let mut bytes = store_after_crash(&hub).bytes().to_vec();
@@ -116,10 +116,10 @@
     let mut next = open(Memory::from_bytes(bytes));
     assert!(next.router.disabled().contains("a"));
     assert_eq!(submit(&mut next, "m", NOW).len(), 0);
-    next.router.journal_mut().store_mut().fail(Fault::Full { after: 0 });
+    next.router.journal_mut().store_mut().set_fault(Fault::Full { after: 0 });
     assert!(next.set_disabled("a", false, NOW).is_err());
     assert!(next.router.disabled().contains("a"), "the endpoint remains disabled after the rejected write");
-    next.router.journal_mut().store_mut().fail(Fault::None);
+    next.router.journal_mut().store_mut().set_fault(Fault::None);
     assert_eq!(calls(next.set_disabled("a", false, NOW).unwrap()).len(), 1);
     assert!(!open(store_after_crash(&next)).router.disabled().contains("a"));
 }
@@ -128,7 +128,7 @@
 fn a_crash_at_any_byte_of_a_disable_leaves_all_or_nothing_of_it() {
     for bytes in 0..40 {
         let mut hub = open(Memory::default());
-        hub.router.journal_mut().store_mut().fail(Fault::Crash { after: 0, bytes });
+        hub.router.journal_mut().store_mut().set_fault(Fault::Crash { after: 0, bytes });
         hub.set_disabled("a", true, NOW).unwrap();
         let mut next = open(store_after_crash(&hub));
         let disabled = next.router.disabled().contains("a");
@@ -146,5 +146,5 @@
     hub.list(list(true, &endpoints), NOW);
     let disabled = ids.iter().filter(|id| hub.set_disabled(id, true, NOW).is_ok()).count();
     assert!((1..MAX_DISABLED).contains(&disabled), "{disabled}: the limit on disk space is reached first");
-    assert!(2 * store_after_crash(&hub).bytes().len() as u64 <= DISK);
+    assert!(2 * store_after_crash(&hub).bytes().len() as u64 <= JOURNAL_LIMIT);
 }
--- a/courier/core/tests/journal.rs
+++ b/courier/core/tests/journal.rs
@@ -18,7 +18,7 @@
     };
     let records = [
         JournalRecord::Accept { msg: 1, message: accepted_message(1) },
-        JournalRecord::Attempt { msg: 1, zone: 0, sent: 5 },
+        JournalRecord::Attempt { msg: 1, zone: 0, sent_at: 5 },
         JournalRecord::Accept { msg: 2, message: accepted_message(2) },
         JournalRecord::Outcome { msg: 1, attempt: 0, never_ran: true },
         JournalRecord::End { msg: 1, end: End::Deferred { after: 7 } },
--- a/courier/core/tests/list.rs
+++ b/courier/core/tests/list.rs
@@ -33,9 +33,9 @@
         max_endpoints = max_endpoints.max(router.message_and_endpoint_numbers().1.count());
     }
     // The endpoints of the 20 s before removal, the current one, and the one that has just left the list.
-    let max_kept = 20 + 2;
+    let max_remaining = 20 + 2;
     assert!(
-        max_endpoints <= max_kept && forgotten >= 999 - max_kept,
+        max_endpoints <= max_remaining && forgotten >= 999 - max_remaining,
         "{max_endpoints} kept, {forgotten} forgotten"
     );
     assert_eq!(router.endpoint_name(1), "");
--- a/courier/core/tests/restart.rs
+++ b/courier/core/tests/restart.rs
@@ -16,7 +16,7 @@
 use quillmount_settings::{Category, SenderSettings, Tenant};
 use std::collections::BTreeSet;
 
-const DISK: u64 = 3_000_000;
+const JOURNAL_LIMIT: u64 = 3_000_000;
 const TIME_LEFT: Micros = 16_000_000;
 
 fn dedup(name: &str, span_ms: f64, scope: &str) -> Category {
@@ -65,7 +65,7 @@
     store: Memory,
     now: Micros,
 ) -> (World, Vec<DeliveryCall>, Vec<String>) {
-    let (router, actions) = Router::open(&options(env, DISK), known, store, now).unwrap();
+    let (router, actions) = Router::open(&options(env, JOURNAL_LIMIT), known, store, now).unwrap();
     let errors = actions.iter().filter_map(|action| match action {
         RouterAction::Note(note) if note.level() == Level::Error => Some(note.to_string()),
         _ => None,
@@ -125,9 +125,13 @@
         assert_eq!((ends(&hub).len(), begun.len()), (0, 0), "{owed} in a table of {cap}");
         // An upgrade at this time keeps the messages, too.
         let state = hub.state(settings_fingerprint(&settings, None).unwrap());
-        let (next, _) =
-            Router::resume(&options(&settings, DISK), state.router, store_after_crash(&hub), NOW + 1_000)
-                .unwrap();
+        let (next, _) = Router::resume(
+            &options(&settings, JOURNAL_LIMIT),
+            state.router,
+            store_after_crash(&hub),
+            NOW + 1_000,
+        )
+        .unwrap();
         hub = Hub::new(next, Pool::new(15_000_000, 99));
         hub.tick(NOW + 1_000_000);
         assert_eq!(ends(&hub).len(), 0, "{owed} in a table of {cap}");
@@ -169,14 +173,14 @@
 fn a_restored_message_has_the_class_of_its_name_and_ends_with_an_error_without_one() {
     let records = [
         JournalRecord::Accept { msg: 1, message: accepted_message(1, "fee-debit") },
-        JournalRecord::Sent { msg: 1, sent: NOW - 9, effect: RepeatEffect::Unsafe },
+        JournalRecord::Sent { msg: 1, sent_at: NOW - 9, effect: RepeatEffect::Unsafe },
         JournalRecord::Accept { msg: 2, message: accepted_message(2, "paid-notice") },
-        JournalRecord::Sent { msg: 2, sent: NOW - 9, effect: RepeatEffect::Safe },
+        JournalRecord::Sent { msg: 2, sent_at: NOW - 9, effect: RepeatEffect::Safe },
         JournalRecord::Accept { msg: 3, message: accepted_message(3, "gone") },
         JournalRecord::Accept { msg: 4, message: accepted_message(4, "gone") },
-        JournalRecord::Sent { msg: 4, sent: NOW - 9, effect: RepeatEffect::Safe },
+        JournalRecord::Sent { msg: 4, sent_at: NOW - 9, effect: RepeatEffect::Safe },
         JournalRecord::Accept { msg: 5, message: accepted_message(5, "gone") },
-        JournalRecord::Sent { msg: 5, sent: NOW - 9, effect: RepeatEffect::Safe },
+        JournalRecord::Sent { msg: 5, sent_at: NOW - 9, effect: RepeatEffect::Safe },
         JournalRecord::Outcome { msg: 5, attempt: 0, never_ran: true },
     ];
     let settings = env(vec![class("paid-notice", "retryable"), class("fee-debit", "fragile")]);
@@ -225,7 +229,7 @@
     ];
     for (recorded_effect, present_class, age, is_repeated) in cases {
         let context = format!("{recorded_effect:?} and {:?}, {age} us ago", present_class.effect);
-        let sent = JournalRecord::Sent { msg: 1, sent: NOW - age, effect: recorded_effect.clone() };
+        let sent = JournalRecord::Sent { msg: 1, sent_at: NOW - age, effect: recorded_effect.clone() };
         let settings = env(vec![class("other", "retryable"), present_class]);
         let ran = [JournalRecord::Accept { msg: 1, message: accepted_message(1, "c") }, sent];
         let (mut hub, begun, errors) = open(&settings, list(&[("a", 1, "z")]), store_with(&ran), NOW);
@@ -276,7 +280,7 @@
     // Earlier versions recorded zone numbers, which identify no zone.
     let old = [
         JournalRecord::Accept { msg: 1, message: accepted_message(1, "c") },
-        JournalRecord::Attempt { msg: 1, zone: 0, sent: NOW },
+        JournalRecord::Attempt { msg: 1, zone: 0, sent_at: NOW },
     ];
     let (_, begun, _) = open(&zoned(&["west"], "west"), list(&[("w", 1, "west")]), store_with(&old), NOW);
     assert_eq!(begun.len(), 0);
@@ -286,7 +290,7 @@
 #[test]
 fn a_clock_that_was_set_back_lengthens_no_span_for_repeats() {
     let settings = env(vec![dedup("c", 2_000.0, "all"), class("s", "retryable")]);
-    let sent = |msg, sent, effect| JournalRecord::Sent { msg, sent, effect };
+    let sent = |msg, sent_at, effect| JournalRecord::Sent { msg, sent_at, effect };
     let keyed = || RepeatEffect::Keyed { span: 2_000_000, zone: None };
     let records = [
         JournalRecord::Accept { msg: 1, message: accepted_message(1, "c") },
@@ -343,7 +347,7 @@
             for (after, bytes) in (0..6).flat_map(|after| (0..40).map(move |bytes| (after, bytes))) {
                 let (mut hub, ..) = open(&settings, empty_list(), Memory::default(), NOW);
                 hub.list(list(&[("a", 1, "z")]), NOW);
-                hub.router.journal_mut().store_mut().fail(Fault::Crash { after, bytes });
+                hub.router.journal_mut().store_mut().set_fault(Fault::Crash { after, bytes });
                 let is_running = |hub: &World| !hub.router.journal().store().has_crashed();
                 let (_, out) = submit(&mut hub, "m", class, NOW);
                 // Nothing that a process does after its crash has an effect, neither its 202 response nor a call's first byte.
@@ -368,13 +372,13 @@
                 let entry = contents.owed.values().next();
                 let is_known = entry.is_some() || !contents.ended.is_empty();
                 assert!(is_known || !accepted, "{context}: an accepted message is lost");
-                let is_recorded = entry.is_none_or(|entry| !entry.calls.is_empty());
+                let is_recorded = entry.is_none_or(|entry| !entry.attempts.is_empty());
                 assert!(is_recorded || !sent, "{context}: a byte was sent without a record of the attempt");
                 match entry {
                     None => assert_eq!(found, (0, 0), "{context}"),
                     Some(entry) if entry.end.is_some() => assert_eq!(found, (0, 1), "{context}"),
                     Some(entry) => {
-                        let ran = entry.calls.iter().any(|call| call.never_ran != Some(true));
+                        let ran = entry.attempts.iter().any(|call| call.never_ran != Some(true));
                         let is_repeated = class == "status" || !ran;
                         assert_eq!(found, if is_repeated { (1, 0) } else { (0, 1) }, "{context}");
                     }
@@ -404,20 +408,22 @@
         ..env(vec![class("fee-debit", "fragile"), class("status", "retryable")])
     };
     let mut notes = Vec::new();
-    let (mut journal, _) = Journal::open(Memory::default(), DISK, NOW, &mut notes).unwrap();
+    let (mut journal, _) = Journal::open(Memory::default(), JOURNAL_LIMIT, NOW, &mut notes).unwrap();
     let mut owed = 0;
     while journal.submit(owed, accepted_message(owed, "status"), false, NOW, &mut notes).is_ok() {
         owed += 1;
     }
     // Each message has two attempts, of which the first was rejected; ended messages fill the remaining space.
     for msg in 0..owed {
-        let sent = || JournalRecord::Sent { msg, sent: NOW, effect: RepeatEffect::Safe };
+        let sent = || JournalRecord::Sent { msg, sent_at: NOW, effect: RepeatEffect::Safe };
         let refused = JournalRecord::Outcome { msg, attempt: 0, never_ran: true };
         journal.append_all(&[sent(), refused, sent()], NOW, &mut notes).unwrap();
     }
     let over =
         |n| JournalRecord::Ended { id: format!("over-{n}"), end: End::Delivered, until: NOW + TIME_LEFT };
-    while !notes.iter().any(|note| matches!(note, Note::Compacted { .. })) && journal.disk() < DISK * 6 / 10 {
+    while !notes.iter().any(|note| matches!(note, Note::Compacted { .. }))
+        && journal.disk() < JOURNAL_LIMIT * 6 / 10
+    {
         journal.append_all(&[over(journal.disk())], NOW, &mut notes).unwrap();
     }
     assert!(owed > 1_000, "{owed}");
--- a/courier/core/tests/restart_guard.rs
+++ b/courier/core/tests/restart_guard.rs
@@ -54,7 +54,7 @@
         let untried = hub.router.notices(99).into_iter().filter(|notice| {
             let contents =
                 quillmount_core::journal::JournalContents::read(hub.router.journal().store().bytes()).0;
-            contents.owed.get(&notice.msg).is_some_and(|entry| entry.calls.is_empty())
+            contents.owed.get(&notice.msg).is_some_and(|entry| entry.attempts.is_empty())
         });
         assert_eq!(untried.count(), 0, "{call_end:?}");
     }
--- a/courier/core/tests/resume.rs
+++ b/courier/core/tests/resume.rs
@@ -11,7 +11,7 @@
 use quillmount_policy::{EndpointState, Micros};
 use quillmount_settings::{Category, SenderSettings};
 
-const DISK: u64 = 99_999;
+const JOURNAL_LIMIT: u64 = 99_999;
 
 fn env() -> SenderSettings {
     let dedup = Category { memory_span_ms: 6_000.0, ..class("paid-notice", "dedup") };
@@ -44,7 +44,8 @@
 /// A courier under load: with calls in flight, an endpoint in backoff, an outage after failures, unconfirmed notices, a
 /// disabled endpoint and queued messages.
 fn loaded_courier() -> World {
-    let (router, actions) = Router::open(&options(&env(), DISK), list(), Memory::default(), NOW).unwrap();
+    let (router, actions) =
+        Router::open(&options(&env(), JOURNAL_LIMIT), list(), Memory::default(), NOW).unwrap();
     let mut hub = Hub::new(router, Pool::new(15_000_000, 99));
     hub.carry_out(actions, NOW);
     hub.list(list(), NOW);
@@ -74,7 +75,7 @@
 
 fn resumed(state: hub::HubState, store: Memory) -> Result<(World, Vec<DriverAction<u32>>), ResumeError> {
     let now = NOW + 2_000_000;
-    let (router, actions) = Router::resume(&options(&env(), DISK), state.router, store, now)?;
+    let (router, actions) = Router::resume(&options(&env(), JOURNAL_LIMIT), state.router, store, now)?;
     let mut next = Hub::new(router, Pool::new(15_000_000, 99));
     let driver_actions = next.resume(&state.backoffs, actions, now);
     Ok((next, driver_actions))
@@ -123,7 +124,8 @@
     let hub = loaded_courier();
     let other =
         SenderSettings { classes: env().classes.into_iter().rev().collect(), ..SenderSettings::default() };
-    let refused = Router::resume(&options(&other, DISK), state(&hub).router, store_after_crash(&hub), NOW);
+    let refused =
+        Router::resume(&options(&other, JOURNAL_LIMIT), state(&hub).router, store_after_crash(&hub), NOW);
     assert!(matches!(refused.err(), Some(ResumeError::OtherSettings)));
     // A third process held the lock in between and wrote to the journal, or the journal is missing.
     let mut with_new_message = loaded_courier();
@@ -137,5 +139,7 @@
     }
     // The journal can still be restored, as after a crash.
     let mut notes = Vec::new();
-    assert!(!Journal::open(store_after_crash(&hub), DISK, NOW, &mut notes).unwrap().1.owed.is_empty());
+    assert!(
+        !Journal::open(store_after_crash(&hub), JOURNAL_LIMIT, NOW, &mut notes).unwrap().1.owed.is_empty()
+    );
 }
--- a/courier/core/tests/router.rs
+++ b/courier/core/tests/router.rs
@@ -77,18 +77,18 @@
 fn an_outcome_is_recorded_for_its_own_attempt_after_a_refused_record() {
     let (mut router, now) = open_router(SenderSettings::default());
     // The record of the acceptance is written, that of the attempt is not.
-    router.journal_mut().store_mut().fail(Fault::Full { after: 1 });
+    router.journal_mut().store_mut().set_fault(Fault::Full { after: 1 });
     let (_, actions) = submit(&mut router, "m", now);
     let refused = actions.iter().find_map(|action| match action {
         RouterAction::NotWritten(call) => Some(*call),
         _ => None,
     });
-    router.journal_mut().store_mut().fail(Fault::None);
+    router.journal_mut().store_mut().set_fault(Fault::None);
     let actions = router.call_ended(refused.unwrap(), CallEnd::HeldBack, now);
     let call = started_call(&actions);
     assert_eq!(call.unwrap().attempt, 1);
     router.call_ended(call.unwrap(), CallEnd::Full(0), now);
     let (contents, _) = JournalContents::read(router.journal().store().bytes());
-    let calls: Vec<_> = contents.owed.values().flat_map(|e| &e.calls).map(|c| c.never_ran).collect();
+    let calls: Vec<_> = contents.owed.values().flat_map(|e| &e.attempts).map(|c| c.never_ran).collect();
     assert_eq!(calls[0], Some(true), "{calls:?}");
 }
--- a/courier/core/tests/stored_forms.rs
+++ b/courier/core/tests/stored_forms.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use quillmount_core::journal::{
-    AcceptedMessage, End, Journal, JournalContents, JournalEntry, JournalRecord, PastCall, Records,
+    AcceptedMessage, End, Journal, JournalContents, JournalEntry, JournalRecord, RecordedAttempt, Records,
     RememberedEnd, RepeatEffect, SettlementLine, Settlements, Source, frame,
 };
 use quillmount_core::note::Note;
@@ -13,7 +13,7 @@
 
 const FIXTURES: Fixtures = Fixtures::of_package(env!("CARGO_MANIFEST_DIR"));
 
-const DISK: u64 = 1_000_000;
+const JOURNAL_LIMIT: u64 = 1_000_000;
 const NOW: u64 = 1_700_000_000_000_000;
 
 fn accepted_message(n: u64, key: Option<&str>) -> AcceptedMessage {
@@ -44,11 +44,11 @@
 
 /// All kinds of records, with all variants of their fields.
 fn records() -> Vec<JournalRecord> {
-    let sent = |n, effect| JournalRecord::Sent { msg: n, sent: NOW + n, effect };
+    let sent = |n, effect| JournalRecord::Sent { msg: n, sent_at: NOW + n, effect };
     let (a, b, c) = (source("a", 1, 0), source("b", 2, 15), source("c", 300, 7));
     vec![
         JournalRecord::Accept { msg: 1, message: accepted_message(1, None) },
-        JournalRecord::Attempt { msg: 1, zone: 3, sent: NOW + 1 },
+        JournalRecord::Attempt { msg: 1, zone: 3, sent_at: NOW + 1 },
         JournalRecord::Outcome { msg: 1, attempt: 0, never_ran: true },
         sent(1, RepeatEffect::Unsafe),
         JournalRecord::Stream { msg: 2, message: accepted_message(2, Some("k-2")) },
@@ -92,26 +92,26 @@
 
 /// The contents that result from [`records`].
 fn restored() -> JournalContents {
-    let call = |n, effect, never_ran| PastCall { sent: NOW + n, effect, never_ran };
+    let attempt = |n, effect, never_ran| RecordedAttempt { sent_at: NOW + n, effect, never_ran };
     let entry = |n, key| JournalEntry {
         message: accepted_message(n, key),
-        calls: vec![],
+        attempts: vec![],
         end: None,
         stream: false,
         source: None,
     };
     let keyed = |zone| Some(RepeatEffect::Keyed { span: 6_000_000, zone });
     let first = JournalEntry {
-        calls: vec![call(1, None, Some(true)), call(1, Some(RepeatEffect::Unsafe), None)],
+        attempts: vec![attempt(1, None, Some(true)), attempt(1, Some(RepeatEffect::Unsafe), None)],
         ..entry(1, None)
     };
     let stream = JournalEntry {
-        calls: vec![call(2, keyed(Some("z-1".into())), None)],
+        attempts: vec![attempt(2, keyed(Some("z-1".into())), None)],
         stream: true,
         ..entry(2, Some("k-2"))
     };
     let ended = JournalEntry {
-        calls: vec![call(3, keyed(None), Some(false))],
+        attempts: vec![attempt(3, keyed(None), Some(false))],
         end: Some(End::Undeliverable),
         ..entry(3, Some("k-3"))
     };
@@ -162,7 +162,7 @@
     assert_eq!(JournalContents::read(&stored), (restored(), stored.len()));
     let mut notes = Vec::new();
     let (journal, contents) =
-        Journal::open(Memory::from_bytes(stored.clone()), DISK, NOW, &mut notes).unwrap();
+        Journal::open(Memory::from_bytes(stored.clone()), JOURNAL_LIMIT, NOW, &mut notes).unwrap();
     assert_eq!(contents, restored_now());
     assert!(notes.is_empty());
     assert_eq!(journal.store().bytes(), stored, "an intact journal is not rewritten");
@@ -181,7 +181,8 @@
     let torn = FIXTURES.check("journal_torn.bin", &torn);
     assert_eq!(JournalContents::read(&torn), (restored(), intact_len));
     let mut notes = Vec::new();
-    let (journal, contents) = Journal::open(Memory::from_bytes(torn), DISK, NOW, &mut notes).unwrap();
+    let (journal, contents) =
+        Journal::open(Memory::from_bytes(torn), JOURNAL_LIMIT, NOW, &mut notes).unwrap();
     assert_eq!(contents, restored_now());
     let compacted = FIXTURES.check("journal_compacted.bin", journal.store().bytes());
     assert!(matches!(&notes[..], [Note::TornRecord(lost), Note::Compacted { from, to }]
@@ -197,7 +198,7 @@
     // Opening the compacted journal again leaves it unchanged.
     let mut notes = Vec::new();
     let (again, contents) =
-        Journal::open(Memory::from_bytes(compacted.clone()), DISK, NOW, &mut notes).unwrap();
+        Journal::open(Memory::from_bytes(compacted.clone()), JOURNAL_LIMIT, NOW, &mut notes).unwrap();
     assert_eq!((again.store().bytes(), notes.is_empty()), (&compacted[..], true));
     read.ended.clear();
     assert_eq!((contents.owed, contents.settlements), (read.owed, read.settlements));
@@ -207,14 +208,14 @@
 #[test]
 fn a_courier_writes_the_same_journal_as_earlier_versions() {
     let mut notes = Vec::new();
-    let (mut journal, _) = Journal::open(Memory::default(), DISK, NOW, &mut notes).unwrap();
+    let (mut journal, _) = Journal::open(Memory::default(), JOURNAL_LIMIT, NOW, &mut notes).unwrap();
     journal.submit(1, accepted_message(1, None), false, NOW, &mut notes).unwrap();
     journal.submit(2, accepted_message(2, Some("k-2")), true, NOW, &mut notes).unwrap();
     journal.set_disabled("s-1", true, NOW, &mut notes).unwrap();
     journal.set_disabled("s-2", true, NOW, &mut notes).unwrap();
     journal.set_disabled("s-1", false, NOW, &mut notes).unwrap();
     let attempt_records = [
-        JournalRecord::Sent { msg: 1, sent: NOW, effect: RepeatEffect::Safe },
+        JournalRecord::Sent { msg: 1, sent_at: NOW, effect: RepeatEffect::Safe },
         JournalRecord::Outcome { msg: 1, attempt: 0, never_ran: false },
     ];
     journal.append_all(&attempt_records, NOW, &mut notes).unwrap();
@@ -235,7 +236,7 @@
     assert_eq!(stored, framed(&written));
     let more = JournalEntry {
         message: accepted_message(3, None),
-        calls: vec![PastCall { sent: NOW, effect: None, never_ran: None }],
+        attempts: vec![RecordedAttempt { sent_at: NOW, effect: None, never_ran: None }],
         end: None,
         stream: false,
         source: Some(source("a", 1, 4)),
@@ -256,7 +257,7 @@
         JournalRecord::Stream { msg: 2, message: accepted_message(2, Some("k-2")) },
         JournalRecord::Accept { msg: 3, message: accepted_message(3, None) },
         JournalRecord::From { msg: 3, source: source("a", 1, 4) },
-        JournalRecord::Attempt { msg: 3, zone: 0, sent: NOW },
+        JournalRecord::Attempt { msg: 3, zone: 0, sent_at: NOW },
     ];
     assert_eq!(Records::new(&adopted).map(|(_, record)| record).collect::<Vec<_>>(), copy);
     assert_eq!(framed(&copy), adopted);
--- a/courier/fleet/tests/agreement/main.rs
+++ b/courier/fleet/tests/agreement/main.rs
@@ -87,7 +87,7 @@
     };
     for victim in 1..=4 {
         let mut fleet = Fleet::with_members(victim, limits(), 3, 1);
-        fleet.agreement(victim).store_mut().fail(Fault::None);
+        fleet.agreement(victim).store_mut().set_fault(Fault::None);
         run_scenario(&mut fleet, victim);
         let writes = fleet.agreement(victim).store().writes();
         assert!(writes > 20, "{writes}");
@@ -95,7 +95,7 @@
         for after in 0..writes {
             for bytes in [0, 5, 20, usize::MAX] {
                 let mut fleet = Fleet::with_members(victim, limits(), 3, 1);
-                fleet.agreement(victim).store_mut().fail(Fault::Crash { after, bytes });
+                fleet.agreement(victim).store_mut().set_fault(Fault::Crash { after, bytes });
                 run_scenario(&mut fleet, victim);
                 died += u32::from(fleet.agreement(victim).store().writes() < writes);
             }
@@ -165,7 +165,7 @@
     for victim in [1, 2] {
         let mut fleet = Fleet::with_members(7, AgreementLimits::default(), 3, 0);
         (1..5).for_each(|c| fleet.commit(c));
-        fleet.agreement(victim).store_mut().fail(Fault::Full { after: 0 });
+        fleet.agreement(victim).store_mut().set_fault(Fault::Full { after: 0 });
         let sent = fleet.sends_by_node.clone();
         fleet.step(1, AgreementInput::Propose { ticket: 5, command: 5u64.to_le_bytes().to_vec() });
         if victim == 1 {
--- a/courier/fleet/tests/common/mod.rs
+++ b/courier/fleet/tests/common/mod.rs
@@ -282,8 +282,8 @@
     }
 
     fn call(&mut self, i: usize, id: String, msg: u64, debit: bool) {
-        let sent = self.now;
-        let written = self.write(i, &[JournalRecord::Attempt { msg, zone: 0, sent }]);
+        let sent_at = self.now;
+        let written = self.write(i, &[JournalRecord::Attempt { msg, zone: 0, sent_at }]);
         if let Some(p) = self.processes[i].as_mut() {
             p.due.push((written, Due::Call { id, msg, debit }));
         }
@@ -384,7 +384,7 @@
     /// Goes on with a message from the journal: a debit that may have run is ended, all others are sent.
     fn resume_message(&mut self, i: usize, msg: u64, entry: journal::JournalEntry) {
         let debit = entry.message.class == "fee-debit";
-        let may_have_run = entry.calls.iter().any(|c| c.never_ran != Some(true));
+        let may_have_run = entry.attempts.iter().any(|c| c.never_ran != Some(true));
         if entry.end.is_some() || debit && may_have_run {
             let id = entry.message.id;
             let written = self.write(
@@ -414,8 +414,8 @@
             p.next += 1;
             records.push(JournalRecord::Accept { msg, message: entry.message });
             records.push(JournalRecord::From { msg, source: source.into() });
-            for (n, call) in entry.calls.into_iter().enumerate() {
-                records.push(JournalRecord::Attempt { msg, zone: 0, sent: call.sent });
+            for (n, call) in entry.attempts.into_iter().enumerate() {
+                records.push(JournalRecord::Attempt { msg, zone: 0, sent_at: call.sent_at });
                 if let Some(never_ran) = call.never_ran {
                     records.push(JournalRecord::Outcome { msg, attempt: n as u32, never_ran });
                 }
--- a/courier/fleet/tests/explore/process.rs
+++ b/courier/fleet/tests/explore/process.rs
@@ -140,7 +140,7 @@
     }
 
     pub fn call(&mut self, i: usize, id: String, msg: u64, debit: bool) {
-        let written = self.write(i, &[JournalRecord::Attempt { msg, zone: 0, sent: self.now }]);
+        let written = self.write(i, &[JournalRecord::Attempt { msg, zone: 0, sent_at: self.now }]);
         self.act_when_replicated(i, written, Due::Call { id, msg, debit });
     }
 
@@ -278,7 +278,7 @@
     /// Goes on with a message from the journal: a debit that may have run is ended, all others are sent.
     pub fn resume_message(&mut self, i: usize, msg: u64, entry: journal::JournalEntry) {
         let (id, debit) = (entry.message.id, entry.message.class == "fee-debit");
-        let may_have_run = entry.calls.iter().any(|c| c.never_ran != Some(true));
+        let may_have_run = entry.attempts.iter().any(|c| c.never_ran != Some(true));
         if entry.end.is_some() {
             let written = self.processes[i].as_ref().map_or(0, |p| p.written);
             self.act_when_replicated(i, written, Due::ReportEnd { id, msg });
@@ -311,8 +311,8 @@
             p.next += 1;
             records.push(JournalRecord::Accept { msg, message: entry.message });
             records.push(JournalRecord::From { msg, source: source.into() });
-            for call in entry.calls {
-                records.push(JournalRecord::Attempt { msg, zone: 0, sent: call.sent });
+            for call in entry.attempts {
+                records.push(JournalRecord::Attempt { msg, zone: 0, sent_at: call.sent_at });
             }
             records.extend(entry.end.map(|end| JournalRecord::End { msg, end }));
         }
--- a/courier/program/src/program/inspect.rs
+++ b/courier/program/src/program/inspect.rs
@@ -100,8 +100,8 @@
             JournalRecord::Stream { msg, message } => {
                 Line { record: "stream", msg: Some(*msg), ..Line::accepted(at, message) }
             }
-            JournalRecord::Attempt { msg, sent, .. } | JournalRecord::Sent { msg, sent, .. } => {
-                Line { record: "attempt", msg: Some(*msg), time: time(*sent), ..empty }
+            JournalRecord::Attempt { msg, sent_at, .. } | JournalRecord::Sent { msg, sent_at, .. } => {
+                Line { record: "attempt", msg: Some(*msg), time: time(*sent_at), ..empty }
             }
             JournalRecord::Outcome { msg, attempt, never_ran } => Line {
                 record: "outcome",
--- a/courier/program/src/transport/courier/fleet.rs
+++ b/courier/program/src/transport/courier/fleet.rs
@@ -40,12 +40,12 @@
         self.settlement_hooks.get()
     }
 
-    /// See [`Router::refuses`](quillmount_core::router::Router::refuses).
+    /// See [`Router::permanent_rejection`](quillmount_core::router::Router::permanent_rejection).
     pub fn refuses(&self, submission: &Submission) -> Option<Intake> {
         self.handle.hub.borrow().router.permanent_rejection(&submission.class, submission.dest)
     }
 
-    /// See [`Router::fate`](quillmount_core::router::Router::fate).
+    /// See [`Router::end_of`](quillmount_core::router::Router::end_of).
     ///
     /// # Errors
     /// No message of this id is known.
--- a/courier/program/tests/command.rs
+++ b/courier/program/tests/command.rs
@@ -133,7 +133,9 @@
         body: b"fee".to_vec().into(),
     };
     journal.submit(1, taken, false, 0, &mut Vec::new()).unwrap();
-    journal.append_all(&[JournalRecord::Attempt { msg: 1, zone: 0, sent: 5 }], 0, &mut Vec::new()).unwrap();
+    journal
+        .append_all(&[JournalRecord::Attempt { msg: 1, zone: 0, sent_at: 5 }], 0, &mut Vec::new())
+        .unwrap();
     journal.store().bytes().to_vec()
 }
 
--- a/tools/explore/src/world/hash.rs
+++ b/tools/explore/src/world/hash.rs
@@ -96,9 +96,9 @@
             hasher.visit_time(remembered.until);
         }
         for (number, entry) in &contents.owed {
-            hasher.hash(&(number, &entry.message.id, entry.calls.len()));
-            for call in &entry.calls {
-                hasher.visit_time(call.sent);
+            hasher.hash(&(number, &entry.message.id, entry.attempts.len()));
+            for call in &entry.attempts {
+                hasher.visit_time(call.sent_at);
                 hasher.hash(&call.never_ran);
             }
             hasher.hash(&entry.end.map(|end| format!("{end:?}")));
--- a/tools/explore/src/world/process.rs
+++ b/tools/explore/src/world/process.rs
@@ -155,7 +155,7 @@
         after
             .owed
             .get(number)
-            .is_some_and(|now| now.message == entry.message && now.calls.starts_with(&entry.calls))
+            .is_some_and(|now| now.message == entry.message && now.attempts.starts_with(&entry.attempts))
     };
     before.owed.iter().all(is_restored)
 }
--- a/tools/explore/src/world/transition.rs
+++ b/tools/explore/src/world/transition.rs
@@ -25,7 +25,7 @@
             None if self.disk_full => Fault::Full { after: 0 },
             None => Fault::None,
         };
-        self.hub.router.journal_mut().store_mut().fail(fault);
+        self.hub.router.journal_mut().store_mut().set_fault(fault);
         self.crashing = transition.crash.is_some();
         if !is_benign(transition.action) || transition.crash.is_some() {
             self.faults += 1;
--- a/tools/standins/src/audit/history.rs
+++ b/tools/standins/src/audit/history.rs
@@ -141,7 +141,7 @@
     /// The seal of a journal whose replica had these bytes.
     pub fn of(courier: usize, at: Micros, copy: &[u8]) -> Seal {
         let owed = JournalContents::read(copy).0.owed;
-        let messages = owed.into_values().map(|entry| (entry.message.id, entry.calls.len())).collect();
+        let messages = owed.into_values().map(|entry| (entry.message.id, entry.attempts.len())).collect();
         Seal { courier, at, messages }
     }
 }
--- a/tools/standins/src/audit/journals.rs
+++ b/tools/standins/src/audit/journals.rs
@@ -83,7 +83,7 @@
             let id = entry.message.id.as_str();
             let observed = messages.get(id).map_or(&[][..], |message| &message.calls);
             let calls = observed.iter().filter(|call| call.courier == courier).count();
-            let written = entry.calls.len();
+            let written = entry.attempts.len();
             if calls > written {
                 found.push(Finding::NotWritten { id: id.to_string(), courier, calls, written });
             }
--- a/tools/standins/tests/audit.rs
+++ b/tools/standins/tests/audit.rs
@@ -124,7 +124,10 @@
             Budget { partner: 0, from: T0, most: 4 },
             Budget { partner: 0, from: T0 + 4 * SEC, most: 2 },
         ],
-        journals: vec![journal(&[taken(1, "open"), JournalRecord::Attempt { msg: 1, zone: 0, sent: late }])],
+        journals: vec![journal(&[
+            taken(1, "open"),
+            JournalRecord::Attempt { msg: 1, zone: 0, sent_at: late },
+        ])],
         seals: vec![Seal { courier: 2, at: T0 + 4 * SEC, messages: [("known".into(), 1)].into() }],
         fault_windows: vec![lost],
         positions: settled,
@@ -296,7 +299,7 @@
     (
         |h| {
             let end = JournalRecord::End { msg: 1, end: End::Undeliverable };
-            let after = JournalRecord::Attempt { msg: 1, zone: 0, sent: T0 };
+            let after = JournalRecord::Attempt { msg: 1, zone: 0, sent_at: T0 };
             h.submissions.push(submission("b-ended", "fee-debit"));
             h.notices.push(notice("b-ended", "undeliverable", T0 + SEC));
             h.journals.push(Journal { courier: 5, ..journal(&[taken(1, "b-ended"), end, after]) });
@@ -305,7 +308,7 @@
     ),
     (
         |h| {
-            let attempt = JournalRecord::Attempt { msg: 1, zone: 0, sent: T0 };
+            let attempt = JournalRecord::Attempt { msg: 1, zone: 0, sent_at: T0 };
             h.submissions.push(submission("b-twice", "fee-debit"));
             h.notices.push(notice("b-twice", "undeliverable", T0 + SEC));
             h.journals
