--- a/courier/core/src/hub.rs
+++ b/courier/core/src/hub.rs
@@ -228,7 +228,7 @@
                 RouterAction::NotWritten(call) => {
                     actions.extend(self.router.call_ended(call, CallEnd::HeldBack, now));
                 }
-                RouterAction::GiveUp(call) => {
+                RouterAction::CancelCall(call) => {
                     driver_actions.push(DriverAction::Signal(call, AttemptInput::GiveUp));
                 }
                 RouterAction::Ended(call) => {
--- a/courier/core/tests/repeats.rs
+++ b/courier/core/tests/repeats.rs
@@ -59,7 +59,7 @@
 fn end_of(hub: &World, id: &str) -> Option<End> {
     let (contents, _) = JournalContents::read(hub.router.journal().store().bytes());
     let ended = contents.ended.iter().find(|ended| ended.id == id).map(|ended| ended.end);
-    ended.or_else(|| contents.owed.values().find(|e| e.taken.id == id).and_then(|e| e.end))
+    ended.or_else(|| contents.owed.values().find(|e| e.message.id == id).and_then(|e| e.end))
 }
 
 fn has_ended(hub: &World, id: &str) -> bool {
@@ -165,7 +165,7 @@
         let before = store_after_crash(&hub);
         let (mut next, actions) = open(&settings, before, now);
         let is_noted =
-            actions.iter().any(|action| matches!(action, DriverAction::Note(Note::SetBack { .. })));
+            actions.iter().any(|action| matches!(action, DriverAction::Note(Note::ClockSetBack { .. })));
         assert_eq!(is_noted, now < NOW, "{now}");
         let mut started = calls(actions);
         started.extend(run(&mut next, now, now + SPAN / 2).into_iter().map(|(_, call)| call));
