--- a/courier/fleet/src/budget/breaks.rs
+++ b/courier/fleet/src/budget/breaks.rs
@@ -1,27 +1,27 @@
-//! Deliberate faults in the budgets' code, behind the feature `breaks`: with them the simulation proves that it can
-//! fail. At most one is on, for the thread that set it, so that parallel tests don't interfere.
+//! Deliberate faults in the budget code, behind the feature `breaks`: the simulation has to detect each of them. At
+//! most one fault is enabled, and only for the thread that enabled it, so that parallel tests don't interfere.
 
 quillmount_breaks::breaks! {
     for each thread:
-    /// A deliberate fault.
+    /// A deliberate fault in the budget code.
     pub enum Break {
-        /// A raise is committed without capacity for it.
+        /// A share is raised without a check of the free capacity.
         CapacityIgnored,
-        /// A recall counts as met as soon as it is committed.
+        /// A recall takes effect when it is committed, before the courier has confirmed it.
         RecallUnconfirmed,
-        /// A closing connection no longer counts.
+        /// Closing connections are left out of the count of open connections.
         ClosingUncounted,
-        /// A courier continues to use its grants after its lease.
+        /// A courier continues to use its grants after its lease has expired.
         LeaseIgnored,
-        /// The shares of a lapsed courier are free at once.
+        /// The shares of a courier are freed as soon as its lease has lapsed, without the drain time.
         LapseFreesAtOnce,
-        /// A process uses its floor at once, though connections of an earlier process may be open.
+        /// A process uses its floor at once, although connections of an earlier process may still be open.
         FloorTooSoon,
-        /// A confirmation of an earlier recall counts for the present one.
+        /// A confirmation of an earlier recall is accepted for the current one.
         NumberIgnored,
-        /// A tenant's floor is divided like anything else.
+        /// The division ignores the floors of tenants.
         FloorForgotten,
-        /// A tenant without a connection is never overdue and gathers no credit.
+        /// A tenant without a connection never becomes overdue and accumulates no credit.
         TurnsForgotten,
     }
 }
--- a/courier/fleet/src/budget/calls.rs
+++ b/courier/fleet/src/budget/calls.rs
@@ -1,8 +1,10 @@
-//! Calls in a span of time: the budget of connections once more, with a [`BudgetState`], a
-//! [`BudgetLeader`](super::BudgetLeader) and a [`LocalBudget`] of its own, where a call stands for a connection. It
-//! counts from its first byte until a span later, by the courier's clock and with a margin for its drift. So in no span
-//! do more calls begin than the budget has, under the same faults. What the network delays on its way may arrive closer
-//! together than it was sent.
+//! Rate limits: the number of calls that begin in a span of time.
+//!
+//! The state machines of the connection budget are reused, with a [`BudgetState`], a
+//! [`BudgetLeader`](super::BudgetLeader) and a [`LocalBudget`] of their own in which a call takes the place of a
+//! connection. A call counts from its first byte until one span later, by the courier's clock and with a margin for
+//! clock drift. In no span do more calls begin than the budget allows, under the same faults as for connections.
+//! Network delay may still make calls arrive at the partner closer together than they were sent.
 
 use super::local::{ConnectionOrder, LocalBudget, Permit, Refusal, RefusalReason};
 use super::model::{Budget, CLOCK_DRIFT_DIVISOR, Tenant, TimeBounds};
@@ -11,12 +13,13 @@
 use quillmount_policy::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Calls of one partner in a span, at most; the courier that began one remembers it for the span.
+/// Upper limit of the calls to one partner in a span. It bounds memory: a courier keeps a record of each call that it
+/// began for one span.
 pub const MAX_CALLS: u32 = 100_000;
 
-/// The budget of calls in the form of one of connections, if the partner has one. Tenants have the same weights; floors
-/// and ceilings are of connections only. A courier that is cut off has the same part of the calls as of the
-/// connections.
+/// Returns the partner's budget of calls in the form of a budget of connections, or `None` if it limits no calls.
+/// Tenants keep their weights; floors and ceilings of tenants apply to connections only. The floor of a courier is the
+/// same fraction of the calls as of the connections.
 pub fn call_budget(budget: &Budget) -> Option<Budget> {
     let (calls, _) = (budget.calls?.min(MAX_CALLS), budget.span_ms?);
     let floor = u64::from(budget.courier_floor) * u64::from(calls) / u64::from(budget.connections.max(1));
@@ -29,14 +32,14 @@
     })
 }
 
-/// The bounds on time for the calls' leader and couriers: no call counts for longer than the longest span.
+/// Returns the time bounds of the state machines that count calls: no call counts for longer than the longest span.
 pub fn call_bounds(bounds: TimeBounds, budgets: &[Budget]) -> TimeBounds {
     let spans = budgets.iter().filter_map(|b| b.calls.and(b.span_ms));
     let longest = spans.max().unwrap_or(0).saturating_mul(1_000);
     TimeBounds { max_call: 0, max_idle: longest, lease: bounds.lease }
 }
 
-/// What a courier reports to the leader at one time.
+/// The reports of a courier to the leader that are due at one time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GateReports {
     /// The report on connections, if it is due.
@@ -45,18 +48,19 @@
     pub calls: Option<Report>,
 }
 
-/// Both of a courier's local budgets: a call is sent if it has a connection and the span has a call left. An upgrade
-/// hands it over in postcard's form, which goes by position.
+/// Admission of calls at one courier: a call is sent only if a connection is available and the rate limit of the span
+/// is not used up. An upgrade hands this state to the new process in postcard encoding, which depends on the order of
+/// the fields.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BudgetGate {
-    /// The budgets of connections.
+    /// Limits the connections that are open at once.
     pub connections: LocalBudget,
-    /// The budgets of calls.
+    /// Limits the calls that begin in a span.
     pub calls: LocalBudget,
 }
 
 impl BudgetGate {
-    /// A process that starts, with these budgets configured.
+    /// Creates the state of a process that starts at `now` with the configured budgets.
     pub fn new(local_name: &str, bounds: TimeBounds, budgets: &[Budget], now: Micros) -> BudgetGate {
         let mut connections = LocalBudget::new(local_name, bounds, now);
         let mut calls = LocalBudget::for_calls(local_name, call_bounds(bounds, budgets), now);
@@ -74,31 +78,32 @@
         BudgetGate { connections, calls }
     }
 
-    /// The courier is a member with this epoch.
+    /// Records that the courier has joined the fleet under this epoch.
     pub fn joined(&mut self, epoch: u64) {
         self.connections.joined(epoch);
         self.calls.joined(epoch);
     }
 
-    /// The courier's lease runs until then.
+    /// Extends the courier's lease to `until`, by the courier's own clock.
     pub fn extend_lease(&mut self, until: Micros) {
         self.connections.extend_lease(until);
         self.calls.extend_lease(until);
     }
 
-    /// The courier's lease was revoked.
+    /// Ends the courier's lease at once, because it was revoked.
     pub fn end_lease(&mut self) {
         self.connections.end_lease();
         self.calls.end_lease();
     }
 
-    /// A planned stop: nothing more is begun.
+    /// Begins a planned stop: no further calls are admitted.
     pub fn leave(&mut self) {
         self.connections.leave();
         self.calls.leave();
     }
 
-    /// The agreed state of both, as far as it is known here.
+    /// Applies the replicated state of both budgets as far as this courier has received it; returns the connections to
+    /// close.
     pub fn apply_state(
         &mut self,
         connections: &BudgetState,
@@ -109,28 +114,28 @@
         self.connections.apply_state(connections, now)
     }
 
-    /// Removes and closes what is overdue: see [`LocalBudget::tick`].
+    /// Removes ended connections and closes overdue ones: see [`LocalBudget::tick`].
     pub fn tick(&mut self, now: Micros) -> Vec<ConnectionOrder> {
         self.calls.tick(now);
         self.connections.tick(now)
     }
 
-    /// The reports that are due.
+    /// Returns the reports that are due at `now`.
     pub fn reports(&mut self, now: Micros) -> GateReports {
         GateReports { connections: self.connections.report(now), calls: self.calls.report(now) }
     }
 
-    /// The tenant has so many calls waiting, beside those in flight.
+    /// Sets the number of the tenant's waiting calls, without those in flight.
     pub fn set_waiting(&mut self, dest: u64, tenant: &str, count: u32, now: Micros) {
         self.connections.set_waiting(dest, tenant, count, now);
         self.calls.set_waiting(dest, tenant, count, now);
     }
 
-    /// A permit for a call of the tenant. It is for the connection; the call counts from now on, even if it is never
-    /// written.
+    /// Acquires a permit for a call of the tenant. The returned permit is that of the connection. The call counts
+    /// against the rate limit from now on, even if it is never written.
     ///
     /// # Errors
-    /// There is no connection for it, or the span has no call left; the refusal says when to retry.
+    /// Returns a refusal with a retry delay if no connection is available or the rate limit of the span is used up.
     pub fn acquire(&mut self, dest: u64, tenant: &str, now: Micros) -> Result<Permit, Refusal> {
         self.calls.release_expired(dest, now);
         let call_permit = match self.calls.has_budget(dest) {
@@ -146,7 +151,8 @@
         permit
     }
 
-    /// Whether the span has no call left: another endpoint of the partner won't help.
+    /// Whether the rate limit refused the call. It applies to the whole partner, so another of its endpoints would be
+    /// refused as well.
     pub fn is_rate_limited(refusal: &Refusal) -> bool {
         refusal.reason == RefusalReason::RateLimited
     }
--- a/courier/fleet/src/budget/leader/demand.rs
+++ b/courier/fleet/src/budget/leader/demand.rs
@@ -1,29 +1,29 @@
-//! What couriers have reported, with the peaks of their demands.
+//! The last report of each courier, with the recent peaks of its demand.
 
 use super::limits::{DEMAND_WINDOW, MAX_REPORT_LINES};
 use crate::budget::report::{ConfirmedRecall, Report};
 use quillmount_policy::Micros;
 use std::collections::BTreeMap;
 
-/// A demand, as the highest of the last [`DEMAND_WINDOW`].
+/// A demand and its peak within the last [`DEMAND_WINDOW`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct DemandPeak {
-    now: u32,
+    current: u32,
     peak: u32,
-    until: Micros,
+    peak_until: Micros,
 }
 
 impl DemandPeak {
     fn record(&mut self, demand: u32, now: Micros) {
-        self.now = demand;
-        if demand >= self.peak || now >= self.until {
-            (self.peak, self.until) = (demand, now.saturating_add(DEMAND_WINDOW));
+        self.current = demand;
+        if demand >= self.peak || now >= self.peak_until {
+            (self.peak, self.peak_until) = (demand, now.saturating_add(DEMAND_WINDOW));
         }
     }
 
-    /// The demand that counts.
+    /// The demand that the division uses: the peak until its window has ended.
     pub(super) fn value_at(&self, now: Micros) -> u32 {
-        if now >= self.until { self.now } else { self.peak.max(self.now) }
+        if now >= self.peak_until { self.current } else { self.peak.max(self.current) }
     }
 }
 
@@ -32,40 +32,40 @@
 pub(super) struct CourierReport {
     pub(super) epoch: u64,
     sequence: u64,
-    /// All that it has open is within its shares under the epoch.
+    /// All open connections fit within the shares under the epoch.
     pub(super) clear: bool,
-    /// It has stopped, with nothing open.
+    /// The courier has stopped and has no connections open.
     pub(super) left: bool,
-    /// By partner and tenant.
+    /// Keyed by partner and tenant.
     pub(super) demand: BTreeMap<(u64, String), DemandPeak>,
-    /// By partner and tenant.
-    pub(super) released: BTreeMap<(u64, String), ConfirmedRecall>,
+    /// Keyed by partner and tenant.
+    pub(super) confirmed_recalls: BTreeMap<(u64, String), ConfirmedRecall>,
 }
 
 impl CourierReport {
-    /// Replaces it by a newer report; an older one is ignored.
+    /// Takes over the contents of a newer report; an older one is ignored.
     pub(super) fn update(&mut self, report: &Report, now: Micros) {
         if (report.epoch, report.sequence) <= (self.epoch, self.sequence) {
             return;
         }
-        let mut old = std::mem::take(&mut self.demand);
+        let mut old_demand = std::mem::take(&mut self.demand);
         if self.epoch != report.epoch {
-            old.clear();
+            old_demand.clear();
         }
-        self.released.clear();
+        self.confirmed_recalls.clear();
         (self.epoch, self.sequence) = (report.epoch, report.sequence);
         (self.clear, self.left) = (report.clear, report.left);
         for line in report.lines.iter().take(MAX_REPORT_LINES) {
             let key = (line.dest, line.tenant.clone());
-            let mut demand = old.remove(&key).unwrap_or_default();
+            let mut demand = old_demand.remove(&key).unwrap_or_default();
             demand.record(line.demand, now);
             self.demand.insert(key.clone(), demand);
             if let Some(released) = line.released {
-                self.released.insert(key, released);
+                self.confirmed_recalls.insert(key, released);
             }
         }
-        // What is no longer reported counts until its window ends.
-        for (key, mut demand) in old {
+        // A demand that is no longer reported still counts until the window of its peak ends.
+        for (key, mut demand) in old_demand {
             demand.record(0, now);
             if demand.peak > 0 {
                 self.demand.insert(key, demand);
--- a/courier/fleet/src/budget/leader/limits.rs
+++ b/courier/fleet/src/budget/leader/limits.rs
@@ -1,34 +1,38 @@
-//! The leader's intervals and limits, and the bounds that follow from them.
+//! Intervals and limits of the budget leader, and the bounds that follow from them.
 
 use crate::budget::divide::ONE_CONNECTION;
 use crate::budget::local::REPORT_INTERVAL;
 use crate::budget::model::TimeBounds;
 use quillmount_policy::Micros;
 
-/// Interval of the leader's rounds: moves come in batches, and an entry of the log takes about as long.
+/// Interval of the leader's rounds. Changes are proposed in batches, and the commit of a log entry takes about as
+/// long.
 pub const ROUND_INTERVAL: Micros = 50_000;
-/// A partner is reviewed at most once in so long for each pair of tenant and courier, which is ten times what a review
-/// costs: reviews take no more than a tenth of the leader's time.
-pub const REVIEW_COST_PER_SEAT: Micros = 10;
-/// A demand counts for so long: one that comes and goes faster moves nothing.
+/// Minimum interval between two reviews of a partner, multiplied by its number of assignments (pairs of tenant and
+/// courier). It is ten times the cost of a review, so reviews take at most a tenth of the leader's time.
+pub const REVIEW_COST_PER_ASSIGNMENT: Micros = 10;
+/// A peak of demand counts for this time, so demand that fluctuates faster causes no moves.
 pub const DEMAND_WINDOW: Micros = 250_000;
-/// Where tenants take turns, credits are updated once in this: each keeps a connection for about so long, which is the
-/// time of several calls, so that moving it costs little of its use.
+/// Interval of the turns in which tenants share a connection when there are fewer connections than tenants. Credits
+/// take effect once in each turn, so a tenant keeps a connection for about this time. That is several calls long,
+/// which makes the cost of moving the connection small compared with its use.
 pub const TURN_INTERVAL: Micros = 2_000_000;
-/// Shares of one partner that change in any second, at most: each change is an entry of some 100 bytes in the log of
-/// every courier, which has other work.
+/// Upper limit of the changes of one partner's shares in any second. Each change adds an entry of about 100 bytes to
+/// the log of every courier, which has other work as well.
 pub const MAX_MOVES_PER_SECOND: u32 = 256;
-/// Changes of [`MAX_MOVES_PER_SECOND`] that may come at once; the rest comes evenly over the second.
+/// The number of changes out of [`MAX_MOVES_PER_SECOND`] that may be made at once; the others are spread over the
+/// second.
 pub const MAX_MOVE_BURST: u32 = 64;
-/// Lines of one report at most; what is beyond them counts as no demand.
+/// Upper limit of the lines of one report; further lines are ignored and count as no demand.
 pub const MAX_REPORT_LINES: usize = 16_384;
 
-/// The longest that a tenant whose fair part is so many millionths of a connection goes without one, while `overdue`
-/// others are overdue and `by_turns` connections go by turns: see the [module](super)'s bounds.
-pub fn starvation(bounds: &TimeBounds, fair: i64, overdue: u64, by_turns: u64) -> Micros {
-    let own = (2 * ONE_CONNECTION as u64).div_ceil(fair.clamp(1, ONE_CONNECTION) as u64);
-    let others = overdue.div_ceil(by_turns.max(1));
-    let step = 2 * (REPORT_INTERVAL + ROUND_INTERVAL) + bounds.recall_time();
-    let moves = overdue.saturating_mul(1_000_000) / u64::from(MAX_MOVES_PER_SECOND);
-    (own + others).saturating_mul(TURN_INTERVAL + step).saturating_add(moves)
+/// The longest time in microseconds for which a tenant goes without a connection if its fair part is `fair_millionths`
+/// of a connection, `overdue` other tenants are overdue, and `rotating` connections are shared in turns. See the
+/// bounds in the documentation of the [module](super).
+pub fn starvation(bounds: &TimeBounds, fair_millionths: i64, overdue: u64, rotating: u64) -> Micros {
+    let own_turns = (2 * ONE_CONNECTION as u64).div_ceil(fair_millionths.clamp(1, ONE_CONNECTION) as u64);
+    let other_turns = overdue.div_ceil(rotating.max(1));
+    let move_time = 2 * (REPORT_INTERVAL + ROUND_INTERVAL) + bounds.recall_time();
+    let move_limit_delay = overdue.saturating_mul(1_000_000) / u64::from(MAX_MOVES_PER_SECOND);
+    (own_turns + other_turns).saturating_mul(TURN_INTERVAL + move_time).saturating_add(move_limit_delay)
 }
--- a/courier/fleet/src/budget/leader/mod.rs
+++ b/courier/fleet/src/budget/leader/mod.rs
@@ -1,36 +1,40 @@
-//! The leader's side: collects what couriers demand, and moves connections between them by commands.
+//! The leader's side of the budgets: collects the demand of couriers and moves connections between them by commands.
 //!
-//! It keeps nothing that a new leader could not do without: until a courier has reported, its shares count as its demand.
-//! The caller passes each report to [`BudgetLeader::receive`] and proposes what [`BudgetLeader::tick`] returns.
+//! The leader has no state that its successor needs: until a courier has reported to a new leader, its shares are
+//! taken as its demand. The caller passes each report to [`BudgetLeader::receive`] and proposes the commands that
+//! [`BudgetLeader::tick`] returns.
 //!
-//! **Bounds.** With `G = REPORT_INTERVAL + ROUND_INTERVAL + an entry of the log`, one move of a connection from one
-//! courier to another takes at most `R = 2 G + TimeBounds::recall_time()`, and only `2 G` of it where the connection is
-//! idle.
-//! - A raised budget is granted in the round after it is agreed on; a lowered one is met within `R`, or
-//!   [`TimeBounds::drain_time`] after the lapse of a courier that is cut off.
-//! - Idle budget that was lent is returned within `R` of its owner's report.
-//! - A tenant whose exact part is 1 connection or more always has it, within `R`. One with a smaller part `s`
-//!   (and a demand) takes turns: it is overdue after `2 / s` turns without a connection, and then comes before all that
-//!   are not, first come first served. With `n` overdue and `r` connections that go by turns it is served within
+//! **Bounds.** Let `G = REPORT_INTERVAL + ROUND_INTERVAL + the commit time of a log entry`. Moving a connection from
+//! one courier to another takes at most `R = 2 G + TimeBounds::recall_time()`, or `2 G` if the connection is idle.
+//! - A raised budget is granted in the round after it is committed. A lowered budget is met within `R`, or
+//!   [`TimeBounds::drain_time`] after the lease of a courier that is cut off has lapsed.
+//! - Unused budget that other tenants borrowed is returned within `R` of the report of the tenant that is entitled to
+//!   it.
+//! - A tenant with an exact part of 1 connection or more has a connection at all times, after at most `R`. A tenant
+//!   with demand and a smaller part `s` takes turns with others. It becomes overdue after `2 / s` turns without a
+//!   connection and then precedes all tenants that aren't overdue; overdue tenants are served in order of arrival.
+//!   With `n` overdue tenants and `r` connections that are shared in turns, it is served within
 //!   `(2 / s + n / r) * (TURN_INTERVAL + R)`, each quotient rounded up ([`starvation`]). If more than
-//!   [`MAX_MOVES_PER_SECOND`] shares would change in that time, it takes `n / MAX_MOVES_PER_SECOND` seconds more. It is
-//!   counted from the start of a leadership term, of which the next knows nothing.
-//! - At most [`MAX_MOVES_PER_SECOND`] shares of a partner change in any second, whatever the demand does; only a lowered
-//!   budget's recalls come in addition.
+//!   [`MAX_MOVES_PER_SECOND`] shares would change in that time, it takes `n / MAX_MOVES_PER_SECOND` seconds longer.
+//!   The time is counted from the start of a leadership term, because the next leader doesn't know about earlier
+//!   waiting.
+//! - At most [`MAX_MOVES_PER_SECOND`] shares of a partner change in any second, however the demand varies. Only the
+//!   recalls for a lowered budget come in addition.
 //!
-//! Inside: `demand` has the reports, `review` what is looked at in a round, `seats` what each tenant has and demands at each courier, `shortfall` what it was
-//! short of, `allocation` divides a partner's budget over the seats, and `moves` proposes the changes.
+//! Modules: `demand` has the reports, `review` the inputs of a round, `assignments` the connections and demand of each
+//! tenant at each courier, and `shortfall` their credits. `allocation` divides a partner's budget among the
+//! assignments, and `moves` proposes the changes.
 
 mod allocation;
+mod assignments;
 mod demand;
 mod limits;
 mod moves;
 mod review;
-mod seats;
 mod shortfall;
 
 pub use limits::{
-    DEMAND_WINDOW, MAX_MOVE_BURST, MAX_MOVES_PER_SECOND, MAX_REPORT_LINES, REVIEW_COST_PER_SEAT,
+    DEMAND_WINDOW, MAX_MOVE_BURST, MAX_MOVES_PER_SECOND, MAX_REPORT_LINES, REVIEW_COST_PER_ASSIGNMENT,
     ROUND_INTERVAL, TURN_INTERVAL, starvation,
 };
 
@@ -43,42 +47,41 @@
 use review::Review;
 use std::collections::BTreeMap;
 
-/// A member's state, and since when it is known here.
+/// A member's state, and when this leader first observed it.
 #[derive(Clone, Copy, Debug)]
 struct ObservedMember {
     epoch: u64,
     lapsed: bool,
     aged: bool,
-    since: Micros,
+    observed_at: Micros,
 }
 
 impl ObservedMember {
-    fn new(member: &BudgetMember, since: Micros) -> ObservedMember {
-        ObservedMember { epoch: member.epoch, lapsed: member.lapsed, aged: member.aged, since }
+    fn new(member: &BudgetMember, observed_at: Micros) -> ObservedMember {
+        ObservedMember { epoch: member.epoch, lapsed: member.lapsed, aged: member.aged, observed_at }
     }
 
-    fn is_same(&self, member: &BudgetMember) -> bool {
+    fn matches(&self, member: &BudgetMember) -> bool {
         (self.epoch, self.lapsed, self.aged) == (member.epoch, member.lapsed, member.aged)
     }
 }
 
-/// The leader's decisions on budgets, for one leadership term.
+/// The budget leader's state machine for one leadership term.
 #[derive(Clone, Debug)]
 pub struct BudgetLeader {
     bounds: TimeBounds,
-    /// By partner.
+    /// Keyed by partner.
     allocations: BTreeMap<u64, PartnerAllocation>,
-    /// The last report of each courier.
+    /// The last report of each courier, keyed by name.
     reports: BTreeMap<String, CourierReport>,
-    /// Couriers whose lease has lapsed, with its epoch, until that is agreed on.
+    /// Couriers whose lease has lapsed, with the epoch of the lease, until the lapse is committed.
     lapsed: BTreeMap<String, u64>,
     observed: BTreeMap<String, ObservedMember>,
-    /// When the last round was.
-    last_round: Option<Micros>,
+    last_round_at: Option<Micros>,
 }
 
 impl BudgetLeader {
-    /// A leader at the start of its term.
+    /// Creates the state of a leader at the start of its term.
     pub fn new(bounds: TimeBounds) -> BudgetLeader {
         BudgetLeader {
             bounds,
@@ -86,37 +89,39 @@
             reports: BTreeMap::new(),
             lapsed: BTreeMap::new(),
             observed: BTreeMap::new(),
-            last_round: None,
+            last_round_at: None,
         }
     }
 
-    /// Configures a partner's budget.
+    /// Sets the policies of the partner's tenants from its configured budget.
     pub fn set_budget(&mut self, budget: &Budget) {
         self.allocations.entry(budget.dest).or_default().set_policies(&budget.tenants);
     }
 
-    /// The member's lease under this epoch has lapsed, by the leader's clock and with the margin for others.
+    /// Records that the member's lease under this epoch has lapsed, by the leader's clock and with the margin for the
+    /// drift of other clocks.
     pub fn lapsed(&mut self, courier: &str, epoch: u64) {
         self.lapsed.insert(courier.to_string(), epoch);
     }
 
-    /// Receives a courier's report; one that is older than the last is ignored.
+    /// Receives a courier's report; a report that is older than the last one is ignored.
     pub fn receive(&mut self, message: &BudgetMessage, now: Micros) {
         let BudgetMessage::Report(report) = message;
         self.reports.entry(report.courier.clone()).or_default().update(report, now);
     }
 
-    /// When [`BudgetLeader::tick`] is wanted next.
+    /// The time at which [`BudgetLeader::tick`] is due next.
     pub fn wake_at(&self, now: Micros) -> Micros {
-        self.last_round.map_or(now, |last| last.saturating_add(ROUND_INTERVAL))
+        self.last_round_at.map_or(now, |last| last.saturating_add(ROUND_INTERVAL))
     }
 
-    /// The commands to propose now; none before a round has passed. A command that is lost is proposed again.
+    /// Returns the commands to propose, or none if the next round isn't due yet. A command that was lost is proposed
+    /// again in a later round.
     pub fn tick(&mut self, budget_state: &BudgetState, now: Micros) -> Vec<BudgetCommand> {
-        if self.last_round.is_some_and(|last| now < last.saturating_add(ROUND_INTERVAL)) {
+        if self.last_round_at.is_some_and(|last| now < last.saturating_add(ROUND_INTERVAL)) {
             return Vec::new();
         }
-        self.last_round = Some(now);
+        self.last_round_at = Some(now);
         let mut commands = Vec::new();
         self.propose_lapsed(budget_state, &mut commands);
         self.propose_drained(budget_state, now, &mut commands);
@@ -129,18 +134,19 @@
         commands
     }
 
-    /// Leases that have lapsed.
+    /// Proposes the lapse of leases until it is committed.
     fn propose_lapsed(&mut self, budget_state: &BudgetState, commands: &mut Vec<BudgetCommand>) {
-        let is_unknown = |courier: &String, epoch: &mut u64| {
+        let is_uncommitted = |courier: &String, epoch: &mut u64| {
             budget_state.member(courier).is_some_and(|member| member.epoch == *epoch && !member.lapsed)
         };
-        self.lapsed.retain(is_unknown);
+        self.lapsed.retain(is_uncommitted);
         for (courier, epoch) in &self.lapsed {
             commands.push(BudgetCommand::Lapsed { courier: courier.clone(), epoch: *epoch });
         }
     }
 
-    /// What has expired since a lease has lapsed, and earlier processes that have nothing open any more.
+    /// Proposes the expiry of shares whose lease lapsed a drain time ago, and reports that earlier processes of a
+    /// courier have no connections open any more.
     fn propose_drained(
         &mut self,
         budget_state: &BudgetState,
@@ -151,10 +157,10 @@
         for (courier, member) in budget_state.members() {
             let observed =
                 self.observed.entry(courier.clone()).or_insert_with(|| ObservedMember::new(member, now));
-            if !observed.is_same(member) {
+            if !observed.matches(member) {
                 *observed = ObservedMember::new(member, now);
             }
-            let is_drained = now.saturating_sub(observed.since) >= drain_time;
+            let is_drained = now.saturating_sub(observed.observed_at) >= drain_time;
             let report = self.reports.get(courier).filter(|report| report.epoch == member.epoch);
             let (courier, epoch) = (courier.clone(), member.epoch);
             if member.lapsed {
@@ -172,10 +178,10 @@
         }
     }
 
-    /// Couriers' confirmations that aren't agreed on yet.
+    /// Proposes the confirmations of couriers that are not committed yet.
     fn propose_confirmed(&self, budget_state: &BudgetState, commands: &mut Vec<BudgetCommand>) {
         for (courier, report) in &self.reports {
-            for ((dest, tenant), recall) in &report.released {
+            for ((dest, tenant), recall) in &report.confirmed_recalls {
                 let Some(partner) = budget_state.partner(*dest) else { continue };
                 let share = partner.share(courier, report.epoch, tenant);
                 let ConfirmedRecall { number, connections } = *recall;
--- a/courier/fleet/src/budget/leader/review.rs
+++ b/courier/fleet/src/budget/leader/review.rs
@@ -1,9 +1,9 @@
-//! What the leader looks at when it divides a budget again.
+//! The inputs of the leader's periodic division of a budget.
 
 use crate::budget::state::{BudgetState, PartnerBudget};
 use quillmount_policy::Micros;
 
-/// What a review of one partner looks at.
+/// The inputs of one review of a partner's budget.
 pub(super) struct Review<'a> {
     pub(super) dest: u64,
     pub(super) partner: &'a PartnerBudget,
--- a/courier/fleet/src/budget/local/closing.rs
+++ b/courier/fleet/src/budget/local/closing.rs
@@ -1,4 +1,4 @@
-//! Closing: what becomes of a connection after its call, and which connections are closed when too many are open.
+//! Release and closing of connections: after a call, on timeouts, and when more are open than allowed.
 
 use super::connections::{ConnectionState, PartnerConnections};
 use super::permit::{PERMIT_TTL, Permit};
@@ -6,12 +6,13 @@
 use quillmount_policy::Micros;
 use std::collections::BTreeMap;
 
-/// What the courier has to do.
+/// An instruction to the courier, returned by the functions that change its budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionOrder {
-    /// Close this connection; it is idle, or its call has been on it for longer than any may.
+    /// Close this connection. Either it is idle, or its call exceeds
+    /// [`TimeBounds::max_call`](crate::budget::TimeBounds).
     Close {
-        /// The partner.
+        /// The destination id of the partner.
         dest: u64,
         /// The connection's number.
         conn: u64,
@@ -19,22 +20,23 @@
 }
 
 impl LocalBudget {
-    /// The connection's call has ended, and it can be reused, unless an order says to close it.
+    /// Records that the connection's call has ended. The connection can be reused unless a returned order closes it.
     pub fn released(&mut self, permit: &Permit, now: Micros) -> Vec<ConnectionOrder> {
         if let Some(partner) = self.partners.get_mut(&permit.dest)
             && let Some(connection) = partner.connections.get(&permit.conn)
             && matches!(connection.state, ConnectionState::Busy | ConnectionState::Permitted)
         {
-            let took = now.saturating_sub(connection.since);
+            let duration = now.saturating_sub(connection.since);
             partner.set_state(permit.conn, None, ConnectionState::Idle, now);
-            partner.record_call(took);
+            partner.record_call(duration);
             self.changed = true;
         }
         self.close_excess(permit.dest, now)
     }
 
-    /// The connection is closed by this side, or its call was given up and nothing more will be written on it. It counts
-    /// until [`LocalBudget::closed`], or until the partner must have ended it.
+    /// Records that this courier closes the connection, or that its call was aborted and nothing more will be written
+    /// on it. The connection counts until [`LocalBudget::closed`], or until the close timeout of the partner has
+    /// passed.
     pub fn closing(&mut self, dest: u64, conn: u64, now: Micros) {
         if let Some(partner) = self.partners.get_mut(&dest)
             && let Some(connection) = partner.connections.get(&conn)
@@ -47,27 +49,28 @@
         }
     }
 
-    /// The partner has closed the connection, or it was never opened.
+    /// Records that the partner has closed the connection, or that it was never opened.
     pub fn closed(&mut self, dest: u64, conn: u64, now: Micros) {
         if let Some(partner) = self.partners.get_mut(&dest) {
             self.changed |= partner.remove(conn, now);
         }
     }
 
-    /// Removes the oldest connections that have closed. It serves where all close as soon as they have begun, and so in
-    /// the order of their numbers: where calls are counted.
+    /// Removes the oldest connections whose close timeout has passed. It is used where calls are counted: there, all
+    /// connections begin to close as soon as they are acquired, so they expire in the order of their numbers.
     pub(in crate::budget) fn release_expired(&mut self, dest: u64, now: Micros) {
         let Some(partner) = self.partners.get_mut(&dest) else { return };
         while let Some((conn, connection)) = partner.connections.first_key_value()
             && connection.state == ConnectionState::Closing
-            && connection.is_past(partner.close_timeout, now)
+            && connection.is_in_state_for(partner.close_timeout, now)
         {
             let conn = *conn;
             self.changed |= partner.remove(conn, now);
         }
     }
 
-    /// Removes what must have closed, and closes what is overdue or idle beyond what is allowed.
+    /// Removes connections that must have ended, closes those whose call is overdue, and closes idle connections that
+    /// exceed the allowance.
     pub fn tick(&mut self, now: Micros) -> Vec<ConnectionOrder> {
         let mut orders = Vec::new();
         let dests: Vec<u64> = self.partners.keys().copied().collect();
@@ -92,15 +95,15 @@
 }
 
 impl PartnerConnections {
-    /// Removes closing connections that the partner must have ended, and permits that were not used; whether there were
-    /// any.
+    /// Removes closing connections that the partner must have ended, and permits that were not used; returns whether
+    /// any were removed.
     fn remove_ended(&mut self, now: Micros) -> bool {
         let ended: Vec<u64> = self
             .connections
             .iter()
             .filter(|(_, connection)| match connection.state {
-                ConnectionState::Closing => connection.is_past(self.close_timeout, now),
-                ConnectionState::Permitted => connection.is_past(PERMIT_TTL.saturating_mul(2), now),
+                ConnectionState::Closing => connection.is_in_state_for(self.close_timeout, now),
+                ConnectionState::Permitted => connection.is_in_state_for(PERMIT_TTL.saturating_mul(2), now),
                 ConnectionState::Busy | ConnectionState::Idle => false,
             })
             .map(|(conn, _)| *conn)
@@ -112,11 +115,11 @@
         removed
     }
 
-    /// Closes connections whose call takes longer than any may.
+    /// Closes the connections whose call takes longer than `max_call`.
     fn close_overdue(&mut self, max_call: Micros, now: Micros) -> Vec<u64> {
         let mut overdue = Vec::new();
         for (conn, connection) in &mut self.connections {
-            if connection.state == ConnectionState::Busy && connection.is_past(max_call, now) {
+            if connection.state == ConnectionState::Busy && connection.is_in_state_for(max_call, now) {
                 (connection.state, connection.since) = (ConnectionState::Closing, now);
                 overdue.push(*conn);
             }
@@ -124,10 +127,10 @@
         overdue
     }
 
-    /// Closes idle connections beyond what is allowed, the longest idle first.
+    /// Closes idle connections that exceed the allowance, those that have been idle longest first.
     fn close_idle_excess(&mut self, allowance: Allowance, now: Micros) -> Vec<u64> {
         let (floor, cap) = (allowance.floor(self), allowance.cap(self));
-        // Closing connections count, but closing more of the others does not end them sooner.
+        // Closing connections are left out: they count against the budget, but closing others doesn't end them sooner.
         let mut live = BTreeMap::<String, u32>::new();
         let mut idle: Vec<(Micros, u64, String)> = Vec::new();
         for (conn, connection) in &self.connections {
@@ -144,9 +147,9 @@
         let mut closed = Vec::new();
         for (_, conn, tenant) in idle {
             let usable = allowance.usable(self, &tenant);
-            let Some(of_tenant) = live.get_mut(&tenant) else { continue };
-            if total > cap || (*of_tenant > usable && total > floor) {
-                (*of_tenant, total) = (*of_tenant - 1, total - 1);
+            let Some(tenant_live) = live.get_mut(&tenant) else { continue };
+            if total > cap || (*tenant_live > usable && total > floor) {
+                (*tenant_live, total) = (*tenant_live - 1, total - 1);
                 self.set_state(conn, None, ConnectionState::Closing, now);
                 closed.push(conn);
             }
--- a/courier/fleet/src/budget/local/connections.rs
+++ b/courier/fleet/src/budget/local/connections.rs
@@ -1,4 +1,4 @@
-//! The connections of one courier at one partner, by tenant, beside what was granted and what waits.
+//! The connections of one courier to one partner, with the grants and the waiting calls of each tenant.
 
 use crate::budget::breaks::{Break, is_enabled};
 use crate::budget::divide::ONE_CONNECTION;
@@ -7,55 +7,55 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A call that was refused counts as waiting for so long: it is retried within that, or given up.
+/// The time for which a refused call counts as waiting. Callers retry it within this time or abandon it.
 pub const WAITING_TTL: Micros = 1_000_000;
 
-/// Where a connection is between its permit and its end.
+/// The state of a connection between its permit and its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) enum ConnectionState {
-    /// It may be opened, but hasn't been.
+    /// A permit was given, and the connection is not open yet.
     Permitted,
-    /// A call is on it.
+    /// A call uses the connection.
     Busy,
-    /// It is open, and no call is on it.
+    /// The connection is open and unused.
     Idle,
-    /// Closed by this side, or given up; still open at the partner as far as is known.
+    /// Closed by this courier, or its call was aborted; it may still be open at the partner.
     Closing,
 }
 
-/// One connection.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct Connection {
     pub(super) tenant: String,
     pub(super) state: ConnectionState,
-    /// When it entered the state.
+    /// When the connection entered its state.
     pub(super) since: Micros,
-    /// The epoch under which it was permitted.
+    /// The epoch under which the permit was given.
     pub(super) epoch: u64,
 }
 
 impl Connection {
-    /// Whether it has been in its state for so long.
-    pub(super) fn is_past(&self, span: Micros, now: Micros) -> bool {
-        now >= self.since.saturating_add(span)
+    /// Whether the connection has been in its state for at least `duration`.
+    pub(super) fn is_in_state_for(&self, duration: Micros, now: Micros) -> bool {
+        now >= self.since.saturating_add(duration)
     }
 }
 
-/// A tenant's share as this courier knows it.
+/// A tenant's share, as this courier last received it from the replicated state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct Grant {
-    /// Connections that may be used.
+    /// Connections that the courier may use for the tenant.
     pub(super) usable: u32,
-    /// The share is recalled to [`Grant::usable`].
+    /// Whether the share is being recalled to [`Grant::usable`].
     pub(super) recalled: bool,
     /// The number of the share's last change.
     pub(super) number: u64,
-    /// Connections that count for it at most: granted, or what was confirmed under this number.
+    /// The highest number of connections that count against the share: the granted ones, or those confirmed under this
+    /// number.
     pub(super) confirmed: u32,
 }
 
 impl Grant {
-    /// The grant of an agreed share; a confirmation under the same number stays.
+    /// Creates the grant for a share of the replicated state; a confirmation under the same number is retained.
     pub(super) fn new(share: &Share, old: &Grant) -> Grant {
         let confirmed = if old.number == share.number { old.confirmed } else { u32::MAX };
         Grant {
@@ -67,60 +67,65 @@
     }
 }
 
-/// A tenant's calls that wait for a connection.
+/// The calls of a tenant that wait for a connection.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct WaitingCalls {
-    /// Calls that would be sent now, beside those in flight.
+    /// Calls that could be sent now, without those in flight.
     pub(super) count: u32,
-    /// When a call was refused last.
-    pub(super) refused: Option<Micros>,
-    /// Since when it wants a connection and has none.
-    pub(super) since: Option<Micros>,
+    /// When a call was last refused.
+    #[serde(rename = "refused")]
+    pub(super) refused_at: Option<Micros>,
+    /// When the tenant began to wait without any connection.
+    #[serde(rename = "since")]
+    pub(super) starved_since: Option<Micros>,
 }
 
 impl WaitingCalls {
-    /// The calls that count as waiting.
+    /// The number of calls that count as waiting at `now`.
     pub(super) fn count_at(&self, now: Micros) -> u32 {
-        let was_refused = self.refused.is_some_and(|at| now < at.saturating_add(WAITING_TTL));
+        let was_refused =
+            self.refused_at.is_some_and(|refused_at| now < refused_at.saturating_add(WAITING_TTL));
         self.count.max(u32::from(was_refused))
     }
 }
 
-/// One partner's connections.
+/// The connections of this courier to one partner.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct PartnerConnections {
-    /// The floor in this courier's configuration; no more than the agreed floor is used.
-    pub(super) configured: u32,
-    /// A closing connection counts no longer than this.
+    /// The floor in this courier's configuration. The floor in use is never higher than the committed one.
+    #[serde(rename = "configured")]
+    pub(super) configured_floor: u32,
+    /// The longest time for which a closing connection counts.
     pub(super) close_timeout: Micros,
+    /// The committed floor of this courier; `None` before the first replicated state.
     pub(super) agreed_floor: Option<u32>,
-    /// By tenant.
+    /// Keyed by tenant.
     pub(super) grants: BTreeMap<String, Grant>,
-    /// The connections that the grants allow together.
+    /// The sum of the connections that the grants allow.
     pub(super) usable: u32,
-    /// By number, which grows.
+    /// Keyed by number; numbers are assigned in ascending order.
     pub(super) connections: BTreeMap<u64, Connection>,
-    /// The numbers of each tenant's idle connections.
+    /// The numbers of the idle connections, keyed by tenant.
     pub(super) idle: BTreeMap<String, BTreeSet<u64>>,
-    /// The number of each tenant's connections, in any state.
+    /// The count of connections in any state, keyed by tenant.
     pub(super) open: BTreeMap<String, u32>,
-    /// By tenant.
+    /// Keyed by tenant.
     pub(super) waiting: BTreeMap<String, WaitingCalls>,
-    /// In millionths, by tenant.
+    /// The weights in millionths, keyed by tenant.
     pub(super) weights: BTreeMap<String, u64>,
-    /// How long a call uses a connection, smoothed; 0 before the first.
+    /// The exponentially weighted mean of the time for which a call uses a connection; 0 before the first call.
     pub(super) mean_call: Micros,
-    /// From the first demand to the grant, smoothed; 0 before the first.
+    /// The exponentially weighted mean of the time from the first demand to the grant; 0 before the first grant.
     pub(super) mean_grant: Micros,
 }
 
-/// An exponentially weighted mean, with 1/8 for the sample.
-fn smooth(old: Micros, sample: Micros) -> Micros {
-    if old == 0 { sample.max(1) } else { (old / 8).saturating_mul(7).saturating_add(sample / 8).max(1) }
+/// Updates an exponentially weighted mean; the sample has weight 1/8.
+fn smooth(mean: Micros, sample: Micros) -> Micros {
+    if mean == 0 { sample.max(1) } else { (mean / 8).saturating_mul(7).saturating_add(sample / 8).max(1) }
 }
 
 impl PartnerConnections {
-    /// All connections, in any state.
+    /// The number of connections in any state.
     pub(super) fn total(&self) -> u32 {
         if is_enabled(Break::ClosingUncounted) {
             let connections = self.connections.values();
@@ -129,46 +134,47 @@
         self.connections.len() as u32
     }
 
-    /// The tenant's connections, in any state.
+    /// The number of the tenant's connections in any state.
     pub(super) fn open(&self, tenant: &str) -> u32 {
         self.open.get(tenant).copied().unwrap_or(0)
     }
 
-    /// The connections that the tenant's grant allows.
+    /// The number of connections that the tenant's grant allows.
     pub(super) fn usable(&self, tenant: &str) -> u32 {
         self.grants.get(tenant).map_or(0, |grant| grant.usable)
     }
 
-    /// The courier's floor.
+    /// The floor that this courier may use: the lower of the configured and the committed one.
     pub(super) fn floor(&self) -> u32 {
-        self.agreed_floor.map_or(self.configured, |agreed| agreed.min(self.configured))
+        self.agreed_floor
+            .map_or(self.configured_floor, |agreed_floor| agreed_floor.min(self.configured_floor))
     }
 
-    /// The sum over the grants.
+    /// The sum of a value over all grants.
     pub(super) fn sum(&self, value: impl Fn(&Grant) -> u32) -> u32 {
         self.grants.values().map(value).fold(0, u32::saturating_add)
     }
 
-    /// A call on a connection has taken so long.
-    pub(super) fn record_call(&mut self, took: Micros) {
-        self.mean_call = smooth(self.mean_call, took);
+    /// Adds a sample to the mean duration of calls.
+    pub(super) fn record_call(&mut self, duration: Micros) {
+        self.mean_call = smooth(self.mean_call, duration);
     }
 
-    /// The tenant is granted a connection, and had none before.
-    pub(super) fn granted(&mut self, tenant: &str, now: Micros) {
-        let since = self.waiting.get_mut(tenant).and_then(|waiting| waiting.since.take());
-        if let Some(since) = since {
-            self.mean_grant = smooth(self.mean_grant, now.saturating_sub(since));
+    /// Records how long the tenant waited for its first grant.
+    pub(super) fn record_grant(&mut self, tenant: &str, now: Micros) {
+        let starved_since = self.waiting.get_mut(tenant).and_then(|waiting| waiting.starved_since.take());
+        if let Some(starved_since) = starved_since {
+            self.mean_grant = smooth(self.mean_grant, now.saturating_sub(starved_since));
         }
     }
 
-    /// Adds a connection that may be opened.
+    /// Adds a connection for which a permit is given.
     pub(super) fn insert(&mut self, number: u64, connection: Connection) {
         *self.open.entry(connection.tenant.clone()).or_insert(0) += 1;
         self.connections.insert(number, connection);
     }
 
-    /// Puts a connection into a state; `tenant`: it belongs to this tenant from now on.
+    /// Changes the state of a connection, and transfers it to `tenant` if that is given.
     pub(super) fn set_state(
         &mut self,
         number: u64,
@@ -187,8 +193,8 @@
         }
         (connection.state, connection.since) = (state, now);
         if let Some(tenant) = tenant.filter(|t| *t != connection.tenant) {
-            let old = std::mem::replace(&mut connection.tenant, tenant.to_string());
-            self.decrement_open(&old);
+            let old_tenant = std::mem::replace(&mut connection.tenant, tenant.to_string());
+            self.decrement_open(&old_tenant);
             *self.open.entry(tenant.to_string()).or_insert(0) += 1;
         } else if state == ConnectionState::Idle {
             self.idle.entry(connection.tenant.clone()).or_default().insert(number);
@@ -204,7 +210,7 @@
         }
     }
 
-    /// Removes a connection; whether it was there.
+    /// Removes a connection; returns whether it existed.
     pub(super) fn remove(&mut self, number: u64, now: Micros) -> bool {
         self.set_state(number, None, ConnectionState::Closing, now);
         let connection = self.connections.remove(&number);
@@ -212,21 +218,21 @@
         connection.is_some()
     }
 
-    /// Whether the tenant is the next to use a connection of the floor, which is divided by weight: while another
-    /// tenant waits that would have fewer for its weight with one more, this one gets none.
+    /// Whether the tenant may use a connection of the floor, which is divided by weight. It may not while another
+    /// tenant waits that would have fewer connections relative to its weight after getting one more.
     pub(super) fn has_floor_priority(&self, tenant: &str, now: Micros) -> bool {
         let weight = |t: &str| u128::from(self.weights.get(t).copied().unwrap_or(ONE_CONNECTION as u64));
-        let next = |t: &str| u128::from(self.open(t) + 1);
+        let open_after = |t: &str| u128::from(self.open(t) + 1);
         let mut others = self.waiting.iter().filter(|(t, w)| *t != tenant && w.count_at(now) > 0);
-        others.all(|(t, _)| next(tenant) * weight(t) <= next(t) * weight(tenant))
+        others.all(|(t, _)| open_after(tenant) * weight(t) <= open_after(t) * weight(tenant))
     }
 
-    /// An idle connection: the tenant's own, or of the tenant that has most beyond its grant.
+    /// Returns an idle connection of the tenant, or else of the tenant that exceeds its grant by the most connections.
     pub(super) fn idle(&self, tenant: &str) -> Option<u64> {
         let excess = |t: &String| i64::from(self.open(t)) - i64::from(self.usable(t));
-        let other = || self.idle.iter().max_by_key(|(t, _)| excess(t)).map(|(_, idle)| idle);
-        let idle = self.idle.get(tenant).or_else(other)?;
-        // The newest one: the others may be closed soon.
+        let largest_excess = || self.idle.iter().max_by_key(|(t, _)| excess(t)).map(|(_, idle)| idle);
+        let idle = self.idle.get(tenant).or_else(largest_excess)?;
+        // The newest one, because the older ones may be closed soon.
         idle.last().copied()
     }
 }
--- a/courier/fleet/src/budget/local/mod.rs
+++ b/courier/fleet/src/budget/local/mod.rs
@@ -1,15 +1,15 @@
-//! A courier's own side of the budgets: what it may have open at each partner, and what it has.
+//! A courier's own side of the budgets: the connections that it may open to each partner, and those that it has.
 //!
-//! A connection counts from its permit until it is closed at the partner: while it is opened, used, idle and closed, and
-//! so does one whose call was given up. It belongs to the tenant whose call is on it, or was last; an idle one may be
-//! taken by another tenant's call, and then belongs to that tenant.
+//! A connection counts from its permit until it is closed at the partner, in all states in between: opening, in use,
+//! idle and closing, even if its call was aborted. It belongs to the tenant whose call uses it or used it last. A call
+//! of another tenant may reuse an idle connection, which then belongs to that tenant.
 //!
-//! The caller applies each change of the agreed state ([`LocalBudget::apply_state`]), acquires a [`Permit`] before each
-//! call ([`LocalBudget::acquire`]), reports what becomes of the connection, and sends the reports
+//! The caller applies each change of the replicated state ([`LocalBudget::apply_state`]), acquires a [`Permit`] before
+//! each call ([`LocalBudget::acquire`]), reports each change of the connection's state, and sends the reports
 //! ([`LocalBudget::report`]) to the leader. It carries out the returned [`ConnectionOrder`]s.
 //!
-//! Inside: `connections` has the state of one partner, `permit` decides on calls, `closing` ends connections, and
-//! `reporting` writes the reports.
+//! Modules: `connections` has the state for one partner, `permit` decides on calls, `closing` ends connections, and
+//! `reporting` creates the reports.
 
 mod closing;
 mod connections;
@@ -31,62 +31,63 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What one courier was granted and uses. An upgrade hands it to the next process in postcard's form, which goes by
-/// position.
+/// The grants and connections of one courier. An upgrade passes this state to the new process in postcard encoding,
+/// which depends on the order of the fields.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LocalBudget {
     local_name: String,
     bounds: TimeBounds,
     epoch: u64,
     lease_until: Micros,
-    /// From then on no earlier process's connections are open.
+    /// The time from which no connection of an earlier process is open.
     floor_from: Micros,
     partners: BTreeMap<u64, PartnerConnections>,
-    /// It counts the calls of a span in place of connections: see [`super::calls`].
+    /// Whether the calls of a span are counted instead of connections: see [`super::calls`].
     counts_calls: bool,
-    /// It begins nothing more.
+    /// Whether the courier is stopping and begins no more calls.
     leaving: bool,
     /// The number of the last connection.
     last_connection: u64,
     /// The number of the last report.
     sequence: u64,
-    /// Something has changed since the last report.
+    /// Whether a reported value has changed since the last report.
     changed: bool,
-    /// When the last report was made.
-    reported: Option<Micros>,
+    /// When the last report was created.
+    #[serde(rename = "reported")]
+    reported_at: Option<Micros>,
 }
 
 /// What the courier's membership allows at a point in time.
 #[derive(Clone, Copy)]
 struct Allowance {
-    /// The lease has expired: grants don't count.
+    /// The lease has expired, so grants can't be used.
     is_cut_off: bool,
-    /// No earlier process can have used the floor, and this one isn't leaving.
+    /// The floor may be used: no connection of an earlier process can be open, and this process isn't stopping.
     has_floor: bool,
     is_leaving: bool,
 }
 
 impl Allowance {
-    /// The connections of the courier's floor at the partner.
+    /// The connections of the courier's floor at the partner that may be used now.
     fn floor(self, partner: &PartnerConnections) -> u32 {
         if self.has_floor { partner.floor() } else { 0 }
     }
 
-    /// The most connections that there may be once one more is begun.
+    /// The highest total of connections to the partner, including a new one.
     fn cap(self, partner: &PartnerConnections) -> u32 {
         let floor = self.floor(partner);
         if self.is_cut_off || self.is_leaving { floor } else { floor.max(partner.usable) }
     }
 
-    /// The connections that the tenant may use.
+    /// The connections that the tenant's grant allows now.
     fn usable(self, partner: &PartnerConnections, tenant: &str) -> u32 {
         if self.is_cut_off { 0 } else { partner.usable(tenant) }
     }
 }
 
 impl LocalBudget {
-    /// A process that starts. What an earlier process of the same name had open may still be open for
-    /// [`TimeBounds::drain_time`].
+    /// Creates the state of a process that starts at `now`. Connections of an earlier process with the same name may
+    /// still be open for [`TimeBounds::drain_time`].
     pub fn new(local_name: &str, bounds: TimeBounds, now: Micros) -> LocalBudget {
         let floor_from =
             if is_enabled(Break::FloorTooSoon) { now } else { now.saturating_add(bounds.drain_time()) };
@@ -102,37 +103,37 @@
             last_connection: 0,
             sequence: 0,
             changed: true,
-            reported: None,
+            reported_at: None,
         }
     }
 
-    /// The same for the calls of a span: see [`super::calls`].
+    /// Creates the state that counts the calls of a span: see [`super::calls`].
     pub(super) fn for_calls(local_name: &str, bounds: TimeBounds, now: Micros) -> LocalBudget {
         LocalBudget { counts_calls: true, ..LocalBudget::new(local_name, bounds, now) }
     }
 
-    /// Configures a partner's budget; the tenants' weights divide this courier's floor while it is cut off.
+    /// Sets the configured budget of a partner. The tenants' weights divide this courier's floor while it is cut off.
     pub fn set_budget(&mut self, budget: &Budget) {
         let partner = self.partners.entry(budget.dest).or_default();
-        partner.configured = budget.courier_floor;
+        partner.configured_floor = budget.courier_floor;
         partner.close_timeout = self.bounds.close_timeout();
         partner.weights = budget.tenants.iter().map(|t| (t.name.clone(), t.weight_millionths())).collect();
         self.changed = true;
     }
 
-    /// Closing connections of this partner count for so long.
-    pub(super) fn set_close_timeout(&mut self, dest: u64, span: Micros) {
+    /// Sets the longest time for which closing connections of this partner count.
+    pub(super) fn set_close_timeout(&mut self, dest: u64, timeout: Micros) {
         if let Some(partner) = self.partners.get_mut(&dest) {
-            partner.close_timeout = span;
+            partner.close_timeout = timeout;
         }
     }
 
-    /// Whether the partner has a budget: calls to others need no permit.
+    /// Whether the partner has a budget. Calls to other partners need no permit.
     pub fn has_budget(&self, dest: u64) -> bool {
         self.partners.contains_key(&dest)
     }
 
-    /// The courier is a member with this epoch; nothing is granted under it yet.
+    /// Records that the courier has joined the fleet under this epoch, and drops the grants of earlier epochs.
     pub fn joined(&mut self, epoch: u64) {
         if epoch > self.epoch {
             self.epoch = epoch;
@@ -141,28 +142,29 @@
         }
     }
 
-    /// The courier's lease runs until then, by its own clock.
+    /// Extends the courier's lease to `until`, by its own clock.
     pub fn extend_lease(&mut self, until: Micros) {
         self.lease_until = self.lease_until.max(until);
     }
 
-    /// The courier's lease has ended at once: it was revoked.
+    /// Ends the courier's lease at once, because it was revoked.
     pub fn end_lease(&mut self) {
         self.lease_until = 0;
     }
 
-    /// A planned stop: nothing more is begun, and idle connections are closed at the next [`LocalBudget::tick`].
+    /// Begins a planned stop: no more calls begin, and idle connections are closed at the next [`LocalBudget::tick`].
     pub fn leave(&mut self) {
         (self.leaving, self.changed) = (true, true);
     }
 
-    /// It is leaving, and nothing is open any more. If its next report is not agreed on before the process ends, the
-    /// end counts as a crash.
+    /// Whether the courier is stopping and has no connections open any more. If the process ends before the state from
+    /// its next report is committed, the stop is treated like a crash.
     pub fn has_left(&self) -> bool {
         self.leaving && self.partners.values().all(|p| p.connections.is_empty())
     }
 
-    /// The agreed state as far as it is known here; called after each applied entry, or once for many.
+    /// Applies the replicated state as far as this courier has received it, after each log entry or once for several.
+    /// Returns the connections to close.
     pub fn apply_state(&mut self, budget_state: &BudgetState, now: Micros) -> Vec<ConnectionOrder> {
         let member = budget_state.member(&self.local_name).filter(|m| m.epoch == self.epoch && !m.lapsed);
         let is_member = member.is_some();
@@ -191,7 +193,7 @@
             let old = partner.grants.get(tenant).copied().unwrap_or_default();
             grants.insert(tenant.to_string(), Grant::new(share, &old));
             if old.usable == 0 && share.usable() > 0 {
-                partner.granted(tenant, now);
+                partner.record_grant(tenant, now);
             }
         }
         self.changed |= grants != partner.grants;
@@ -211,17 +213,17 @@
         }
     }
 
-    /// The connections at a partner, in any state.
+    /// The number of connections to a partner in any state.
     pub fn open(&self, dest: u64) -> u32 {
         self.partners.get(&dest).map_or(0, |p| p.connections.len() as u32)
     }
 
-    /// The connections of a tenant at a partner, in any state.
+    /// The number of a tenant's connections to a partner in any state.
     pub fn open_for(&self, dest: u64, tenant: &str) -> u32 {
         self.partners.get(&dest).map_or(0, |p| p.open(tenant))
     }
 
-    /// For how long a closing connection counts at most.
+    /// The longest time for which a closing connection to the partner counts, in microseconds.
     pub fn close_timeout_of(&self, dest: u64) -> Micros {
         self.partners.get(&dest).map_or(self.bounds.close_timeout(), |p| p.close_timeout)
     }
--- a/courier/fleet/src/budget/mod.rs
+++ b/courier/fleet/src/budget/mod.rs
@@ -1,25 +1,30 @@
-//! Budgets: a partner allows the whole fleet so many connections at once, and the partner's tenants share them.
+//! Budgets of connections: a partner allows the whole fleet a number of concurrent connections, which the partner's
+//! tenants share.
 //!
-//! The couriers have shares of the budget, as leases, by tenant. The shares are agreed on ([`state`]); the leader moves
-//! them ([`leader`]) as the division of what is demanded now says ([`divide`](mod@divide)); each courier begins calls
-//! within its shares ([`local`]). Calls in a span of time are counted by the same state machines ([`calls`]).
+//! Each courier leases shares of the budget, one for each tenant. The shares are part of the replicated state
+//! ([`state`]). The leader moves them between couriers ([`leader`]) according to the current demand and the fair
+//! division ([`divide`](mod@divide)). Each courier begins calls only within its shares ([`local`]). Rate limits, which
+//! count the calls in a span of time, use the same state machines ([`calls`]).
 //!
-//! **The budget is never exceeded.** For each courier and partner the agreed state counts the most that may be open. A
-//! raise is committed only within what the budget leaves beside the sum of these. A lowered share counts as the old one
-//! until its courier has confirmed, under the recall's own number, that it has no more open. So the sum is within the
-//! budget at each entry of the log, whoever proposes what, in any order and any number of times. A courier that can't
-//! confirm continues to count until [`TimeBounds::drain_time`] after its lease has lapsed; by then it has nothing open
-//! but its floor, which counts always. This rests on:
-//! - leases: a courier's own lease ends, by its own clock, before the leader considers it lapsed;
-//! - the partner (or the network's own limits) ends a connection within [`TimeBounds::max_idle`] of the last byte that
-//!   the courier wrote on it, even if the courier has lost its power;
-//! - the clock never steps back, continues while a process or its host is suspended, and drifts by 1% at most;
-//! - there is one process for each name, each with an epoch of its own; an upgrade hands its [`LocalBudget`] over;
-//! - between [`LocalBudget::confirm_open`] and the first packet of the connection a process is not suspended for longer
-//!   than [`TimeBounds::drain_time`] after its lease. That window can't be closed from inside.
+//! **The budget is never exceeded.** For each courier and partner, the replicated state counts the highest number of
+//! connections that may be open. A share is raised only within what the budget leaves above the sum of these counts. A
+//! lowered share counts with its old value until its courier has confirmed, with the number of the recall, that it has
+//! no more connections open. The sum therefore stays within the budget at each log entry, whichever courier proposes a
+//! command, in any order and any number of times. A courier that can't confirm continues to count until
+//! [`TimeBounds::drain_time`] after its lease has lapsed. By then it has no connections open except those of its
+//! floor, which always counts. This guarantee depends on these assumptions:
+//! - Leases: by its own clock, a courier's lease ends before the leader considers it lapsed.
+//! - The partner (or a limit of the network) closes a connection within [`TimeBounds::max_idle`] of the last byte that
+//!   the courier wrote on it, even after a power failure of the courier.
+//! - The clock never steps back, continues while a process or its host is suspended, and drifts by at most 1%.
+//! - At most one process runs under each courier name, each with an epoch of its own. An upgrade passes its
+//!   [`LocalBudget`] to the new process.
+//! - Between [`LocalBudget::confirm_open`] and the first packet of the connection, a process is not suspended for
+//!   longer than [`TimeBounds::drain_time`] after its lease. The process itself can't detect a suspension in that
+//!   window.
 //!
-//! A partner's floor for a courier may be raised while serving. It stays at the highest value that was ever set until
-//! the courier is removed: a courier that is cut off may know only that one.
+//! The floor of a courier at a partner may be raised while the fleet is running. It stays at the highest value that
+//! was ever set until the courier is removed, because a courier that is cut off may know only that value.
 
 pub mod breaks;
 pub mod calls;
--- a/courier/fleet/src/budget/model.rs
+++ b/courier/fleet/src/budget/model.rs
@@ -1,80 +1,81 @@
-//! The configuration of budgets and the bounds on time that they rest on.
+//! The configuration of budgets, and the time bounds on which their guarantees depend.
 
 use quillmount_policy::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Partners with a budget at most; the leader reviews each in each of its rounds.
+/// Upper limit of the partners with a budget. The leader reviews each of them in each of its rounds.
 pub const MAX_BUDGETS: usize = 1024;
-/// Tenants of one partner that the configuration names, or for which calls wait at one courier, at most: each report
-/// has a line for each.
+/// Upper limit of the tenants of one partner: of those in the configuration, and of those with waiting calls at one
+/// courier. Each report has a line for each of them.
 pub const MAX_TENANTS: usize = 4096;
-/// One part in so many of a time is added for clock drift: 1% for each of two clocks.
+/// Time bounds are extended by 1/`CLOCK_DRIFT_DIVISOR` for clock drift, which is 1% for each of two clocks.
 pub const CLOCK_DRIFT_DIVISOR: u64 = 50;
 
-/// One partner's budget, as `fleet.budgets` configures it; the settings package defines the file's form.
+/// The budget of one partner as configured in `fleet.budgets`. The settings package defines the file format.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Budget {
-    /// The partner.
+    /// The destination id of the partner.
     pub dest: u64,
-    /// Connections of the whole fleet at once, at most.
+    /// The highest number of concurrent connections of the whole fleet.
     pub connections: u32,
-    /// Calls of the whole fleet in each span, at most.
+    /// The highest number of calls that the whole fleet begins in each span; `None` for no rate limit.
     pub calls: Option<u32>,
-    /// The span of `calls`, in milliseconds.
+    /// The length of the span to which `calls` applies, in milliseconds.
     pub span_ms: Option<u64>,
-    /// Connections that are reserved for each courier, even when it is cut off.
+    /// Connections reserved for each courier, which it may use even while it is cut off from the fleet.
     pub courier_floor: u32,
-    /// Other tenants have weight 1, no floor and no ceiling.
+    /// The policies of tenants. A tenant without an entry has weight 1, no floor and no ceiling.
     pub tenants: Vec<Tenant>,
 }
 
-/// One tenant's policy in a budget.
+/// The policy of one tenant in a budget.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// The tenant's name.
+    /// The tenant's name, as calls send it in `X-Account`.
     pub name: String,
-    /// Its weight in the division, above 0.
+    /// The weight in the fair division, above 0.
     pub weight: f64,
-    /// Connections that it gets first, as far as it demands them.
+    /// Connections that are reserved for the tenant while it has demand for them.
     pub floor: u32,
-    /// The most connections that it may have.
+    /// The highest number of connections that the tenant may have; `None` for no limit.
     pub ceiling: Option<u32>,
 }
 
-/// Bounds on time, the same at every courier; all in microseconds.
+/// Time bounds in microseconds, the same at every courier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TimeBounds {
-    /// The longest that a call may write on its connection, by the courier's own clock.
+    /// The longest time for which a call may write on its connection, by the courier's own clock.
     pub max_call: Micros,
-    /// The longest that a connection stays open at the partner after the last byte that was written on it, or after it
-    /// was closed, with or without the courier.
+    /// The longest time for which a connection stays open at the partner after the last byte that was written on it or
+    /// after it was closed, whether or not the courier is still running.
     pub max_idle: Micros,
-    /// The longest lease of a member.
+    /// The longest lease that a member is granted.
     pub lease: Micros,
 }
 
 impl TimeBounds {
-    /// After this long without a lease a courier has no connection open but those of its floor: its lease may still have
-    /// run (where it was renewed by two leaders), then its calls wrote to their end, then the connections closed.
+    /// The time without a lease after which a courier has no connections open except those of its floor. It is the sum
+    /// of the rest of the lease (which a previous leader may have renewed), the time for calls to finish writing and
+    /// the time for their connections to close.
     pub fn drain_time(&self) -> Micros {
         let sum = self.lease.saturating_add(self.max_call).saturating_add(self.max_idle);
         sum.saturating_add(sum / CLOCK_DRIFT_DIVISOR).saturating_add(1)
     }
 
-    /// [`TimeBounds::max_idle`] by a clock that may be slow.
+    /// [`TimeBounds::max_idle`] extended for the drift of the courier's clock.
     pub fn close_timeout(&self) -> Micros {
         self.max_idle.saturating_add(self.max_idle / CLOCK_DRIFT_DIVISOR).saturating_add(1)
     }
 
-    /// Within this after a recall has reached it, a courier has no more than it is recalled to: each call in flight has
-    /// ended or is given up, and its connection is closed.
+    /// The longest time from the arrival of a recall at a courier until the courier has no more connections than the
+    /// recall allows: each call in flight has ended or was aborted, and its connection is closed.
     pub fn recall_time(&self) -> Micros {
         self.max_call.saturating_add(self.close_timeout())
     }
 }
 
 impl Tenant {
-    /// The weight in millionths, as the division computes with integers.
+    /// The weight in millionths, at least 1, because the division computes with integers.
     pub fn weight_millionths(&self) -> u64 {
         ((self.weight * 1e6).round() as u64).max(1)
     }
--- a/courier/fleet/src/budget/report.rs
+++ b/courier/fleet/src/budget/report.rs
@@ -1,51 +1,52 @@
-//! What couriers report to the leader of the budgets. Sent in postcard's form, which goes by position.
+//! Reports of couriers to the budget leader, sent in postcard encoding, which depends on the order of the fields.
 
 use serde::{Deserialize, Serialize};
 
-/// What a courier demands and confirms, for one tenant at one partner.
+/// A courier's demand and confirmations for one tenant at one partner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportLine {
-    /// The partner.
+    /// The destination id of the partner.
     pub dest: u64,
     /// The tenant's name.
     pub tenant: String,
-    /// Connections that it would use now: calls that are in flight or waiting.
+    /// Connections that the tenant could use now: its calls in flight and waiting.
     pub demand: u32,
-    /// Connections that it has, in any state.
+    /// The tenant's connections at this courier, in any state.
     pub open: u32,
-    /// A recall that is met.
+    /// The confirmation of a recall, if the share is recalled.
     pub released: Option<ConfirmedRecall>,
 }
 
-/// A courier's confirmation that it has met a recall of a share.
+/// A courier's confirmation of how far it has met the recall of a share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfirmedRecall {
-    /// The number of the recall.
+    /// The number of the recall, as the replicated state assigned it.
     pub number: u64,
-    /// The connections that still count.
+    /// The connections that still count against the share.
     pub connections: u32,
 }
 
-/// All that a courier demands now. A later report replaces it, so that lost and repeated ones are harmless.
+/// The complete current demand of a courier. Each report replaces the previous one, so lost and duplicated reports are
+/// harmless.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// The courier's name.
     pub courier: String,
-    /// The epoch of its registration.
+    /// The epoch of the courier's registration.
     pub epoch: u64,
-    /// Grows with each report; a report that is older than the last is ignored.
+    /// Incremented with each report; the leader ignores a report that is older than the last one.
     pub sequence: u64,
-    /// All that it has open is within what it was granted under this epoch, and earlier processes have nothing open.
+    /// Whether all open connections fit within the grants of this epoch and earlier processes have none open.
     pub clear: bool,
-    /// It is stopping, has nothing open, and begins nothing more.
+    /// Whether the courier has stopped: it has no connections open and opens no more.
     pub left: bool,
-    /// One line for each partner and tenant.
+    /// One line for each partner and tenant with a grant, a connection or waiting calls.
     pub lines: Vec<ReportLine>,
 }
 
-/// A message between couriers about budgets.
+/// A message between couriers that concerns budgets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BudgetMessage {
-    /// To the leader.
+    /// A report from a courier to the leader.
     Report(Report),
 }
--- a/courier/fleet/src/budget/state/command.rs
+++ b/courier/fleet/src/budget/state/command.rs
@@ -1,90 +1,95 @@
-//! The commands to the agreed state of budgets, and what they lead to. Encoded by position: variants and fields keep
-//! their order.
+//! The commands to the replicated state of budgets, and the events that they cause. The encoding depends on the order
+//! of variants and fields, so that must not change.
 
 use serde::{Deserialize, Serialize};
 
-/// One change. Any may be repeated, late or lost; only [`BudgetCommand::Expired`] and [`BudgetCommand::Aged`] have to be
-/// true when they are proposed, which time alone decides: proposed late they are still true.
+/// One change of the replicated state. Any command may be duplicated, delayed or lost. Only [`BudgetCommand::Expired`]
+/// and [`BudgetCommand::Aged`] have to be true when they are proposed. They depend only on elapsed time, so they stay
+/// true when they are proposed late.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum BudgetCommand {
-    /// A partner's budget as it is configured now; rejected if the floors don't fit in. A courier's floor is never
-    /// lowered, and a raised one counts as soon as there is capacity for it.
+    /// Sets a partner's budget to the configured one. It is rejected if the floors exceed the budget. A courier's
+    /// floor is never lowered, and a raised floor takes effect as soon as there is capacity for it.
     Budget {
-        /// The partner.
+        /// The destination id of the partner.
         dest: u64,
-        /// Connections of the whole fleet at once, at most.
+        /// The highest number of concurrent connections of the whole fleet.
         connections: u32,
-        /// The floor of each courier.
+        /// The floor of each courier, in connections.
         floor: u32,
         /// The couriers that have a floor.
         couriers: Vec<String>,
     },
-    /// A courier is a member with a new epoch; its shares under earlier ones continue to count beside.
+    /// A courier has joined the fleet under a new epoch. Its shares under earlier epochs continue to count in
+    /// addition.
     Joined {
         /// The courier's name.
         courier: String,
         /// The new epoch.
         epoch: u64,
     },
-    /// A courier's lease has lapsed: nothing more is granted to it under this epoch.
+    /// A courier's lease has lapsed: it is granted no more connections under this epoch.
     Lapsed {
         /// The courier's name.
         courier: String,
         /// The epoch of the lease.
         epoch: u64,
     },
-    /// Proposed [`TimeBounds::drain_time`](crate::budget::TimeBounds::drain_time) after `Lapsed` was observed: nothing is
-    /// open any more under this epoch or earlier ones but the floor, which the courier may still use.
+    /// The shares of a courier under this and earlier epochs have expired. Proposed
+    /// [`TimeBounds::drain_time`](crate::budget::TimeBounds::drain_time) after `Lapsed` was observed: by then, only
+    /// connections of the floor, which the courier may still use, can be open.
     Expired {
         /// The courier's name.
         courier: String,
         /// The epoch that has lapsed.
         epoch: u64,
     },
-    /// Proposed [`TimeBounds::drain_time`](crate::budget::TimeBounds::drain_time) after `Joined` was observed: earlier
-    /// processes of the courier have nothing open, not even of the floor. Or sooner, when a courier that continues as
-    /// the same process reports that all it has open is within its shares under this epoch.
+    /// Earlier processes of the courier have no connections open, not even those of the floor. Proposed
+    /// [`TimeBounds::drain_time`](crate::budget::TimeBounds::drain_time) after `Joined` was observed, or sooner if the
+    /// courier continues as the same process and reports that all its open connections fit within its shares under
+    /// this epoch.
     Aged {
         /// The courier's name.
         courier: String,
-        /// Its present epoch.
+        /// The courier's current epoch.
         epoch: u64,
     },
-    /// The courier reports that it has nothing open and begins nothing more: a planned stop. The next process of its
-    /// name need not wait for the drain time.
+    /// The courier has stopped as planned: it reports that it has no connections open and opens no more. The next
+    /// process with its name need not wait for the drain time.
     Left {
         /// The courier's name.
         courier: String,
-        /// Its present epoch.
+        /// The courier's current epoch.
         epoch: u64,
     },
-    /// A partner has no budget any more; its connections are not counted.
+    /// A partner's budget was removed from the configuration; its connections are no longer counted.
     Ended {
-        /// The partner.
+        /// The destination id of the partner.
         dest: u64,
     },
-    /// The operator has removed a courier that has lapsed and expired: its floor is free.
+    /// The operator has removed a courier that has lapsed and expired; its floor becomes free.
     Removed {
         /// The courier's name.
         courier: String,
     },
-    /// A courier's share for a tenant: raised from now on as far as there is capacity, or lowered once the courier has
-    /// confirmed that.
+    /// Sets the target of a courier's share for a tenant. The share is raised at once as far as there is capacity, or
+    /// lowered once the courier has confirmed the recall.
     Set {
-        /// The partner.
+        /// The destination id of the partner.
         dest: u64,
         /// The tenant's name.
         tenant: String,
         /// The courier's name.
         courier: String,
-        /// Its present epoch.
+        /// The courier's current epoch.
         epoch: u64,
-        /// The connections that it is to have.
+        /// The connections that the share is to have.
         to: u32,
     },
-    /// A courier confirms a recall: it has at most `to` connections open and begins none beyond what it was recalled to.
+    /// A courier confirms a recall: it has at most `to` connections open for the tenant and opens none beyond the
+    /// recalled share.
     Released {
-        /// The partner.
+        /// The destination id of the partner.
         dest: u64,
         /// The tenant's name.
         tenant: String,
@@ -94,17 +99,17 @@
         epoch: u64,
         /// The number of the recall.
         number: u64,
-        /// The connections that still count.
+        /// The connections that still count against the share.
         to: u32,
     },
 }
 
-/// What a command led to, for logs and counters.
+/// The effect of a command, for logs and counters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BudgetEvent {
     /// A share was raised.
     Granted {
-        /// The partner.
+        /// The destination id of the partner.
         dest: u64,
         /// The tenant's name.
         tenant: String,
@@ -113,92 +118,95 @@
         /// The connections of the share.
         to: u32,
     },
-    /// A share is to be lowered.
+    /// A share is being recalled, and is lowered once the courier confirms.
     Recalled {
-        /// The partner.
+        /// The destination id of the partner.
         dest: u64,
         /// The tenant's name.
         tenant: String,
         /// The courier's name.
         courier: String,
-        /// The connections that it is lowered to.
+        /// The connections of the lowered share.
         to: u32,
         /// The number of the recall.
         number: u64,
     },
-    /// Connections of a courier count no longer.
+    /// Connections of a courier no longer count and can be granted again.
     Freed {
-        /// The partner.
+        /// The destination id of the partner.
         dest: u64,
         /// The courier's name.
         courier: String,
-        /// How many.
+        /// The number of freed connections.
         connections: u32,
     },
     /// A partner's budget was set.
     Budget {
-        /// The partner.
+        /// The destination id of the partner.
         dest: u64,
-        /// Connections of the whole fleet at once, at most.
+        /// The highest number of concurrent connections of the whole fleet.
         connections: u32,
     },
-    /// A courier is a member with a new epoch.
+    /// A courier has joined the fleet under a new epoch.
     Joined {
         /// The courier's name.
         courier: String,
         /// The new epoch.
         epoch: u64,
     },
-    /// A courier's lease has lapsed, or it has left.
+    /// A courier's lease has lapsed, or the courier has stopped as planned.
     Lapsed {
         /// The courier's name.
         courier: String,
         /// The epoch of the lease.
         epoch: u64,
     },
-    /// Nothing was changed.
+    /// The command was rejected and changed nothing.
     Rejected {
-        /// Why.
+        /// The reason for the rejection.
         reason: BudgetRejection,
     },
 }
 
-/// Why a command changed nothing, with what to do.
+/// The reason for which a command was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BudgetRejection {
-    /// The couriers' floors are more than the budget.
+    /// The couriers' floors add up to more than the budget.
     #[error(
-        "the couriers' floors at {dest} are {floors}, over its {connections} connections; lower them first"
+        "the couriers' floors at destination {dest} add up to {floors}, more than its {connections} connections; \
+         lower courier_floor or raise connections in fleet.budgets"
     )]
     Floors {
-        /// The partner.
+        /// The destination id of the partner.
         dest: u64,
-        /// The sum of the floors.
+        /// The sum of the floors, in connections.
         floors: u64,
-        /// The budget.
+        /// The connections of the budget.
         connections: u32,
     },
     /// The partner has no budget.
-    #[error("no budget is known for {dest}; add it to fleet.budgets")]
+    #[error("destination {dest} has no budget; add it to fleet.budgets")]
     NoBudget {
-        /// The partner.
+        /// The destination id of the partner.
         dest: u64,
     },
-    /// The command names an epoch that is not the courier's present one, or has lapsed.
+    /// The command names an epoch that is not the courier's current one, or whose lease has lapsed.
+    #[error("the command names an epoch that has ended; the courier has to register again under a new epoch")]
+    Epoch,
+    /// The whole budget is already granted.
     #[error(
-        "the command names an epoch that has ended; the courier has nothing under it and has to register again"
+        "all connections of destination {dest} are granted; wait until couriers release some, or raise its budget"
     )]
-    Epoch,
-    /// The whole budget is granted.
-    #[error("all connections of {dest} are granted; they become free as couriers release them")]
     NoCapacity {
-        /// The partner.
+        /// The destination id of the partner.
         dest: u64,
     },
-    /// A confirmation names a recall that was replaced.
-    #[error("the recall that it answers was replaced by another; the courier confirms that one next")]
+    /// A confirmation names a recall that a newer one has replaced.
+    #[error(
+        "the confirmed recall was replaced by a newer one; the courier will confirm that one in a later report"
+    )]
     Number,
-    /// The courier to remove has not lapsed and expired.
-    #[error("the courier has not lapsed and expired; stop it and wait until it has")]
+    /// The courier to remove still has a lease or shares.
+    #[error("the courier to remove still has a lease or shares; stop it and retry once both have expired")]
     StillActive,
 }
--- a/courier/fleet/src/budget/state/mod.rs
+++ b/courier/fleet/src/budget/state/mod.rs
@@ -1,6 +1,7 @@
-//! The agreed state of budgets: what each courier may have open at each partner, and what it was recalled to.
+//! The replicated state of budgets: the connections that each courier may have open at each partner, and the recalls.
 //!
-//! `command` has the commands and their events, `partner` one partner's budget. The state is encoded by position.
+//! `command` has the commands and their events, `partner` the budget of one partner. The encoding of the state depends
+//! on the order of its fields.
 
 mod command;
 mod partner;
@@ -12,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The agreed state of all budgets; the same at every courier that has applied the same commands.
+/// The replicated state of all budgets. It is identical at all couriers that have applied the same commands.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BudgetState {
     members: BTreeMap<String, BudgetMember>,
@@ -21,7 +22,7 @@
     number: u64,
 }
 
-/// Which share a command is about.
+/// Identifies the share that a command changes.
 struct ShareKey<'a> {
     dest: u64,
     tenant: &'a str,
@@ -30,27 +31,27 @@
 }
 
 impl BudgetState {
-    /// A courier's membership.
+    /// Returns the membership of a courier that joined and was not removed.
     pub fn member(&self, courier: &str) -> Option<&BudgetMember> {
         self.members.get(courier)
     }
 
-    /// All couriers that ever joined and were not removed, by name.
+    /// All couriers that joined and were not removed, keyed by name.
     pub fn members(&self) -> &BTreeMap<String, BudgetMember> {
         &self.members
     }
 
-    /// A partner's budget.
+    /// Returns the budget of the partner with the destination id `dest`.
     pub fn partner(&self, dest: u64) -> Option<&PartnerBudget> {
         self.partners.get(&dest)
     }
 
-    /// All budgets, in the order of the partners' numbers.
+    /// All budgets, sorted by the partners' destination ids.
     pub fn partners(&self) -> impl Iterator<Item = (u64, &PartnerBudget)> {
         self.partners.iter().map(|(dest, partner)| (*dest, partner))
     }
 
-    /// The most that the whole fleet may have open at a partner; 0 if it has no budget.
+    /// The highest number of connections that the whole fleet may have open at a partner; 0 if it has no budget.
     pub fn committed(&self, dest: u64) -> u64 {
         self.partners.get(&dest).map_or(0, |partner| partner.committed(&self.members))
     }
@@ -61,7 +62,7 @@
         if let Err(reason) = self.try_apply(command, &mut events) {
             events.push(BudgetEvent::Rejected { reason });
         }
-        // A command that may have freed capacity lets raised floors count.
+        // A command that may have freed capacity may let raised floors take effect.
         if !matches!(command, BudgetCommand::Set { .. }) {
             let raised = self.partners.values_mut().filter(|partner| !partner.raised.is_empty());
             raised.for_each(|partner| partner.raise_floors(&self.members));
@@ -91,7 +92,8 @@
                 events.push(BudgetEvent::Lapsed { courier: courier.clone(), epoch: *epoch });
             }
             BudgetCommand::Expired { courier, epoch } => {
-                // A courier that has joined again since loses its earlier shares; the present ones stay.
+                // A courier that has joined again in the meantime loses its earlier shares and retains the current
+                // ones.
                 let member = self.members.get(courier).ok_or(BudgetRejection::Epoch)?;
                 if *epoch > member.epoch || (*epoch == member.epoch && !member.lapsed) {
                     return Err(BudgetRejection::Epoch);
@@ -167,8 +169,8 @@
         let mut floors: BTreeMap<&String, u32> =
             old.into_iter().flat_map(|partner| &partner.floors).map(|(c, n)| (c, *n)).collect();
         for courier in couriers {
-            let of_courier = floors.entry(courier).or_insert(0);
-            *of_courier = floor.max(*of_courier);
+            let courier_floor = floors.entry(courier).or_insert(0);
+            *courier_floor = floor.max(*courier_floor);
         }
         let sum: u64 = floors.values().map(|floor| u64::from(*floor)).sum();
         if sum > u64::from(connections) {
@@ -190,7 +192,7 @@
         let old = partner.share(courier, epoch, tenant);
         let mut new = old.with_target(to, || partner.capacity_for(courier, member, &self.members));
         if new == old {
-            // Nothing to change, or no capacity.
+            // Either the share already has the target, or there is no capacity to raise it.
             return if to > old.granted { Err(BudgetRejection::NoCapacity { dest }) } else { Ok(None) };
         }
         self.number += 1;
@@ -209,7 +211,7 @@
         }))
     }
 
-    /// Lowers a share to what was confirmed under the recall's number; returns the connections that it frees.
+    /// Lowers a share to the number confirmed under the recall's number; returns the freed connections.
     fn release_share(&mut self, key: ShareKey, number: u64, to: u32) -> Result<u32, BudgetRejection> {
         let ShareKey { dest, tenant, courier, epoch } = key;
         let partner = self.partners.get_mut(&dest).ok_or(BudgetRejection::NoBudget { dest })?;
@@ -230,7 +232,7 @@
         Ok(freed)
     }
 
-    /// Ends all shares of a courier under epochs before this one.
+    /// Ends all shares of a courier under epochs before `before`.
     fn free(&mut self, courier: &str, before: u64, events: &mut Vec<BudgetEvent>) {
         for (dest, partner) in &mut self.partners {
             let freed = partner.free(courier, before);
--- a/courier/fleet/src/budget/state/partner.rs
+++ b/courier/fleet/src/budget/state/partner.rs
@@ -1,4 +1,4 @@
-//! One partner's part of the agreed state: its budget, the couriers' floors and shares, and what these count together.
+//! The replicated state of one partner's budget: the couriers' floors and shares, and the connections that they count.
 
 use crate::budget::breaks::{Break, is_enabled};
 use serde::{Deserialize, Serialize};
@@ -7,59 +7,59 @@
 /// The share of one courier for one tenant under one epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Share {
-    /// Connections that may be open at most: this counts.
+    /// The highest number of connections that may be open. This number counts against the budget.
     pub granted: u32,
-    /// The share is to be lowered to this.
+    /// The target of a recall that the courier has not fully confirmed yet.
     pub recalled: Option<u32>,
-    /// The number of the last change; a confirmation names it. No number is used twice.
+    /// The number of the last change, which a confirmation has to name. Numbers are unique.
     pub number: u64,
 }
 
 impl Share {
-    /// The connections up to which the courier may begin calls.
+    /// The number of connections that the courier may use for new calls.
     pub fn usable(&self) -> u32 {
         self.recalled.unwrap_or(self.granted)
     }
 
-    /// The share with a new target: raised by the capacity at most, or recalled.
+    /// Returns the share with a new target: raised by at most the free capacity, or recalled.
     pub(super) fn with_target(self, to: u32, capacity: impl FnOnce() -> u64) -> Share {
         if to <= self.granted {
             let recalled = (to < self.granted).then_some(to);
             return Share { recalled, ..self };
         }
-        let wanted = to - self.granted;
-        let more = u64::from(wanted).min(capacity()) as u32;
-        let raise = if is_enabled(Break::CapacityIgnored) { wanted } else { more };
+        let increase = to - self.granted;
+        let available = u64::from(increase).min(capacity()) as u32;
+        let raise = if is_enabled(Break::CapacityIgnored) { increase } else { available };
         Share { granted: self.granted + raise, recalled: None, ..self }
     }
 }
 
-/// A courier's membership as the budgets count it.
+/// A courier's membership in the fleet, as far as it affects budgets.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BudgetMember {
-    /// Its last epoch.
+    /// The courier's latest epoch.
     pub epoch: u64,
-    /// Its lease has lapsed, and it has not joined again.
+    /// Whether the lease has lapsed since the courier last joined.
     pub lapsed: bool,
-    /// Nothing is open of epochs before this one.
+    /// Whether connections of all earlier epochs are closed.
     pub aged: bool,
-    /// It has stopped as planned, with nothing open.
+    /// Whether the courier has stopped as planned, with no connections open.
     pub left: bool,
 }
 
-/// The shares of one courier under one epoch, by tenant.
+/// The shares of one courier under one epoch, keyed by tenant.
 type TenantShares = BTreeMap<String, Share>;
 
-/// The agreed state of one partner's budget.
+/// The replicated state of one partner's budget.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PartnerBudget {
-    /// Connections of the whole fleet at once, at most.
+    /// The highest number of concurrent connections of the whole fleet.
     pub connections: u32,
-    /// By courier: these count always.
+    /// Keyed by courier. Floors always count against the budget.
     pub(super) floors: BTreeMap<String, u32>,
-    /// Floors that were raised, and for which there is no capacity yet.
+    /// Raised floors for which there is no capacity yet, keyed by courier.
     pub(super) raised: BTreeMap<String, u32>,
-    /// By courier and epoch.
+    /// Keyed by courier and epoch.
     pub(super) shares: BTreeMap<String, BTreeMap<u64, TenantShares>>,
 }
 
@@ -68,16 +68,16 @@
 }
 
 impl PartnerBudget {
-    /// The most that the courier may have open, in all its epochs together.
+    /// The highest number of connections that the courier may have open in all its epochs together.
     ///
-    /// A process uses its floor only when nothing of earlier ones is open any more, so at most one of them at a time has
-    /// more than it was granted.
+    /// A process uses its floor only after all connections of earlier processes are closed, so at most one process at
+    /// a time has more connections open than were granted to it.
     fn max_open(&self, courier: &str, member: Option<&BudgetMember>) -> u64 {
         let floor = u64::from(self.floor(courier));
         let Some(member) = member else { return floor };
-        let present = self.granted(courier, member.epoch);
+        let current = self.granted(courier, member.epoch);
         if member.aged {
-            return floor.max(present);
+            return floor.max(current);
         }
         let by_epoch = self.shares.get(courier);
         let earlier: u64 = by_epoch
@@ -85,22 +85,23 @@
             .flat_map(|by_epoch| by_epoch.range(..member.epoch))
             .map(|(_, shares)| granted(shares))
             .sum();
-        floor.max(earlier) + present
+        floor.max(earlier) + current
     }
 
-    /// The sum of all that may be open: at most [`PartnerBudget::connections`], or what it was when that was lowered.
+    /// The sum of the connections that may be open at all couriers. It is at most [`PartnerBudget::connections`], or
+    /// the earlier sum while a lowered budget isn't met yet.
     pub fn committed(&self, members: &BTreeMap<String, BudgetMember>) -> u64 {
         let mut couriers: BTreeSet<&String> = self.floors.keys().collect();
         couriers.extend(self.shares.keys());
         couriers.into_iter().map(|courier| self.max_open(courier, members.get(courier))).sum()
     }
 
-    /// The courier's floor.
+    /// The courier's floor that is in effect, in connections; 0 if it has none.
     pub fn floor(&self, courier: &str) -> u32 {
         self.floors.get(courier).copied().unwrap_or(0)
     }
 
-    /// The courier's floor as it will be once there is capacity for it.
+    /// The courier's floor once there is capacity for a raised one.
     pub fn target_floor(&self, courier: &str) -> u32 {
         self.floor(courier).max(self.raised.get(courier).copied().unwrap_or(0))
     }
@@ -110,31 +111,31 @@
         self.floors.keys().chain(self.raised.keys()).chain(self.shares.keys()).map(String::as_str).collect()
     }
 
-    /// A courier's shares under an epoch, by tenant.
+    /// A courier's shares under an epoch, sorted by tenant.
     pub fn shares(&self, courier: &str, epoch: u64) -> impl Iterator<Item = (&str, &Share)> {
         let shares = self.shares.get(courier).and_then(|by_epoch| by_epoch.get(&epoch));
         shares.into_iter().flatten().map(|(tenant, share)| (tenant.as_str(), share))
     }
 
-    /// A courier's share for a tenant under an epoch.
+    /// A courier's share for a tenant under an epoch; empty if there is none.
     pub fn share(&self, courier: &str, epoch: u64, tenant: &str) -> Share {
         let shares = self.shares.get(courier).and_then(|by_epoch| by_epoch.get(&epoch));
         shares.and_then(|shares| shares.get(tenant)).copied().unwrap_or_default()
     }
 
-    /// The connections that a courier's shares under an epoch count together.
+    /// The sum of the connections granted to a courier under an epoch.
     pub fn granted(&self, courier: &str, epoch: u64) -> u64 {
         self.shares(courier, epoch).map(|(_, share)| u64::from(share.granted)).sum()
     }
 
-    /// What counts for a courier beside its shares under its present epoch.
-    pub fn counted_besides(&self, courier: &str, member: Option<&BudgetMember>) -> u64 {
+    /// The connections that count for a courier beyond its shares under its current epoch: floors and earlier epochs.
+    pub fn counted_beyond_shares(&self, courier: &str, member: Option<&BudgetMember>) -> u64 {
         let Some(member) = member else { return u64::from(self.floor(courier)) };
         self.max_open(courier, Some(member)) - self.granted(courier, member.epoch)
     }
 
-    /// The connections by which a share of the member may be raised: what nobody counts, and what of the courier's own
-    /// floor no share uses.
+    /// The connections by which a share of the member may be raised: the free part of the budget, and the part of the
+    /// courier's own floor that no share uses.
     pub(super) fn capacity_for(
         &self,
         courier: &str,
@@ -148,7 +149,7 @@
         free + u64::from(self.floor(courier)).saturating_sub(self.granted(courier, member.epoch))
     }
 
-    /// Ends the shares of a courier under epochs before this one; returns the connections that they counted.
+    /// Ends the shares of a courier under epochs before `before`; returns the connections granted to them.
     pub(super) fn free(&mut self, courier: &str, before: u64) -> u64 {
         let Some(by_epoch) = self.shares.get_mut(courier) else { return 0 };
         let retained = by_epoch.split_off(&before);
@@ -165,7 +166,7 @@
         self.shares.retain(|_, by_epoch| !by_epoch.is_empty());
     }
 
-    /// Lets the raised floors count for which there is capacity, in the order of names.
+    /// Puts raised floors into effect for which there is capacity, in the order of courier names.
     pub(super) fn raise_floors(&mut self, members: &BTreeMap<String, BudgetMember>) {
         for (courier, floor) in std::mem::take(&mut self.raised) {
             let old = self.floors.insert(courier.clone(), floor);
--- a/courier/fleet/src/shares.rs
+++ b/courier/fleet/src/shares.rs
@@ -1,7 +1,9 @@
-//! Budgets at a member of the fleet: what this courier may use, and, where it leads, what it proposes to move.
+//! Budgets at a member of the fleet: the admission of calls at this courier and, while it leads the fleet, the moves
+//! of shares that it proposes.
 //!
-//! Connections and the calls of a span are counted by the same state machines ([`crate::budget`]), each with an agreed
-//! state of its own. The member passes on its lease, the agreed state and reports, and proposes the commands.
+//! Connections and the calls of a span are limited by the same state machines ([`crate::budget`]), each with a
+//! replicated state of its own. The member passes its lease, the replicated state and reports to them, and proposes
+//! their commands.
 
 use crate::budget::state::PartnerBudget;
 use crate::budget::{
@@ -13,19 +15,19 @@
 use quillmount_policy::Micros;
 use serde::{Deserialize, Serialize};
 
-/// What a budget counts. Encoded by position.
+/// The unit that a budget counts. The encoding depends on the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum BudgetKind {
-    /// Connections at once.
+    /// Concurrent connections.
     Connections,
-    /// Calls in a span of time.
+    /// Calls that begin in a span of time.
     Calls,
 }
 
 impl BudgetKind {
     const ALL: [BudgetKind; 2] = [BudgetKind::Connections, BudgetKind::Calls];
 
-    /// The budget of this kind that a partner's configuration has.
+    /// Returns the budget of this kind from a partner's configuration, if it has one.
     fn budget(self, configured: &Budget) -> Option<Budget> {
         match self {
             BudgetKind::Connections => Some(configured.clone()),
@@ -34,12 +36,12 @@
     }
 }
 
-/// The agreed state of both kinds. Encoded by position.
+/// The replicated state of both kinds of budgets. The encoding depends on the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SharedBudgets {
-    /// The budgets of connections.
+    /// Limits concurrent connections.
     pub connections: BudgetState,
-    /// The budgets of calls.
+    /// Limits the calls in a span of time.
     pub calls: BudgetState,
 }
 
@@ -58,18 +60,18 @@
         }
     }
 
-    /// Applies a committed command; whether it was accepted.
+    /// Applies a committed command; returns whether it was accepted.
     pub fn apply(&mut self, kind: BudgetKind, command: &BudgetCommand) -> bool {
         let events = self.state_mut(kind).apply(command);
         !events.iter().any(|event| matches!(event, BudgetEvent::Rejected { .. }))
     }
 
-    /// A courier is a member with a new epoch.
+    /// Records that a courier has joined the fleet under a new epoch.
     pub fn joined(&mut self, courier: &str, epoch: Epoch) {
         self.apply_to_all(&BudgetCommand::Joined { courier: courier.into(), epoch });
     }
 
-    /// A courier's registration has ended: its lease has lapsed.
+    /// Records that a courier's registration has ended because its lease has lapsed.
     pub fn end_registration(&mut self, courier: &str, epoch: Epoch) {
         self.apply_to_all(&BudgetCommand::Lapsed { courier: courier.into(), epoch });
     }
@@ -81,19 +83,20 @@
     }
 }
 
-/// The budgets at one courier.
+/// The budgets at one courier, for its own calls and for its role as the leader.
 #[derive(Clone, Debug)]
 pub struct BudgetShares {
     budgets: Vec<Budget>,
     couriers: Vec<Name>,
-    /// What this courier may use: it permits each call to a partner with a budget.
+    /// Admits the calls of this courier to partners with a budget.
     pub gate: BudgetGate,
-    /// By [`BudgetKind`].
+    /// Indexed by [`BudgetKind`].
     leaders: [BudgetLeader; 2],
 }
 
 impl BudgetShares {
-    /// The budgets as they are configured, at the start of a process; `couriers` are those that have a floor.
+    /// Creates the state at the start of a process from the configured budgets; `couriers` are those that have a
+    /// floor.
     pub fn new(
         local_name: &str,
         bounds: TimeBounds,
@@ -123,41 +126,42 @@
         !self.budgets.is_empty()
     }
 
-    /// This courier leads from now on: reports from an earlier term are outdated.
+    /// Starts a leadership term of this courier, without the reports of earlier terms.
     pub fn begin_leadership(&mut self, bounds: TimeBounds) {
         self.leaders = Self::leaders(bounds, &self.budgets);
     }
 
-    /// Receives a courier's report, as the leader.
+    /// Receives a courier's report while this courier is the leader.
     pub fn receive_report(&mut self, kind: BudgetKind, report: Report, now: Micros) {
         self.leaders[kind as usize].receive(&BudgetMessage::Report(report), now);
     }
 
-    /// This courier's lease was revoked.
+    /// Ends this courier's lease at once, because it was revoked.
     pub fn revoke_lease(&mut self) {
         self.gate.end_lease();
     }
 
-    /// The agreed state has changed; returns the connections to close.
+    /// Applies a change of the replicated state; returns the connections to close.
     pub fn apply_state(&mut self, shared: &SharedBudgets, now: Micros) -> Vec<ConnectionOrder> {
         self.gate.apply_state(&shared.connections, &shared.calls, now)
     }
 
-    /// The reports to the leader, as far as they are due.
+    /// Returns the reports to the leader that are due.
     pub fn reports(&mut self, now: Micros) -> Vec<(BudgetKind, Report)> {
         let GateReports { connections, calls } = self.gate.reports(now);
         let connections = connections.map(|report| (BudgetKind::Connections, report));
         connections.into_iter().chain(calls.map(|report| (BudgetKind::Calls, report))).collect()
     }
 
-    /// The commands that the leader is to propose: to adapt the agreed budgets to the configured ones, and to move shares.
+    /// Returns the commands for the leader to propose: those that adapt the replicated budgets to the configuration,
+    /// and those that move shares.
     pub fn commands(&mut self, shared: &SharedBudgets, now: Micros) -> Vec<(BudgetKind, BudgetCommand)> {
         let mut commands = Vec::new();
         for kind in BudgetKind::ALL {
             let budget_state = shared.state(kind);
-            let mut of_kind = self.configuration_commands(kind, budget_state);
-            of_kind.extend(self.leaders[kind as usize].tick(budget_state, now));
-            commands.extend(of_kind.into_iter().map(|command| (kind, command)));
+            let mut kind_commands = self.configuration_commands(kind, budget_state);
+            kind_commands.extend(self.leaders[kind as usize].tick(budget_state, now));
+            commands.extend(kind_commands.into_iter().map(|command| (kind, command)));
         }
         commands
     }
@@ -184,7 +188,7 @@
         commands
     }
 
-    /// Whether the agreed state has the configured budget already.
+    /// Whether the replicated state already has the configured budget.
     fn is_applied(&self, budget: &Budget, agreed: &PartnerBudget) -> bool {
         let has_floor = |courier: &Name| agreed.target_floor(courier) >= budget.courier_floor;
         agreed.connections == budget.connections && self.couriers.iter().all(has_floor)
--- a/courier/fleet/tests/budget/courier.rs
+++ b/courier/fleet/tests/budget/courier.rs
@@ -1,4 +1,4 @@
-//! A courier of the simulated fleet: its process, its clock, its calls, and what it does when an event reaches it.
+//! A courier of the simulated fleet: its process, its clock, its calls, and its reaction to events.
 
 use crate::event::{ConnectionKey, CourierEvent, CourierMessage, Event, Repair};
 use crate::simulation::{BOUNDS, DEST, MS, Simulation};
@@ -8,12 +8,12 @@
 const TICK_INTERVAL: u64 = 10 * MS;
 const RENEWAL_INTERVAL: u64 = 200 * MS;
 
-/// A clock that drifts.
+/// A clock with an offset and a constant drift.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    /// Parts per million that it is fast.
+    /// The drift in parts per million; positive if the clock is fast.
     pub drift: i64,
-    /// How far ahead it started, in microseconds.
+    /// The reading at the start of the simulation, in microseconds.
     pub offset: u64,
 }
 
@@ -24,12 +24,12 @@
     }
 }
 
-/// The calls that a tenant wants at one courier.
+/// The demand of a tenant at one courier, and its calls.
 #[derive(Clone, Copy, Default)]
 pub struct Load {
-    /// Calls that it wants at once.
-    pub at_once: u32,
-    /// Calls that it has not begun yet.
+    /// The highest number of concurrent calls.
+    pub concurrency: u32,
+    /// Calls that have not begun yet.
     pub remaining: u64,
     pub in_flight: u32,
     pub served: u64,
@@ -43,26 +43,28 @@
 
 pub struct Courier {
     pub local_budget: LocalBudget,
-    /// The agreed state as far as it has applied the log.
-    pub agreed: BudgetState,
+    /// The replicated state after the applied log entries.
+    pub replicated: BudgetState,
+    /// The number of applied log entries.
     pub applied: usize,
     pub incarnation: u32,
-    /// 0: it has not joined.
+    /// 0 before the courier has joined.
     pub epoch: u64,
     pub clock: Clock,
     pub is_up: bool,
-    pub is_paused: bool,
-    /// Whether messages reach it, and whether its own messages leave it.
+    pub is_suspended: bool,
+    /// Whether messages of the fleet reach the courier.
     pub receives: bool,
+    /// Whether the courier's messages reach the fleet.
     pub sends: bool,
     pub reaches_partner: bool,
-    /// Events that wait for the end of a pause.
+    /// Events that are handled once the process is no longer suspended.
     pub deferred: Vec<Event>,
     pub loads: BTreeMap<String, Load>,
-    /// By connection.
+    /// Keyed by the connection's number.
     pub calls: BTreeMap<u64, ActiveCall>,
-    /// When it last asked for its lease, by its own clock.
-    pub renewed_at: u64,
+    /// When the courier last requested a lease, by its own clock.
+    pub lease_requested_at: u64,
 }
 
 impl Courier {
@@ -71,28 +73,28 @@
         local_budget.set_budget(budget);
         Courier {
             local_budget,
-            agreed: BudgetState::default(),
+            replicated: BudgetState::default(),
             applied: 0,
             incarnation: 0,
             epoch: 0,
             clock,
             is_up: true,
-            is_paused: false,
+            is_suspended: false,
             receives: true,
             sends: true,
             reaches_partner: true,
             deferred: Vec::new(),
             loads: BTreeMap::new(),
             calls: BTreeMap::new(),
-            renewed_at: 0,
+            lease_requested_at: 0,
         }
     }
 
     pub fn is_running(&self) -> bool {
-        self.is_up && !self.is_paused
+        self.is_up && !self.is_suspended
     }
 
-    /// The call on a connection has ended without an answer.
+    /// Ends the call on a connection without an answer.
     fn abort_call(&mut self, conn: u64) {
         if let Some(call) = self.calls.remove(&conn) {
             self.loads.get_mut(&call.tenant).unwrap().in_flight -= 1;
@@ -111,7 +113,7 @@
         if courier.incarnation != incarnation || !courier.is_up {
             return;
         }
-        if courier.is_paused {
+        if courier.is_suspended {
             courier.deferred.push(Event::AtCourier { courier: index, incarnation, event });
             return;
         }
@@ -145,23 +147,23 @@
             self.send_to_leader(index, message);
         }
         let courier = &self.couriers[index];
-        let has_left = courier.agreed.member(&self.names[index]).is_none_or(|member| member.left);
+        let has_left = courier.replicated.member(&self.names[index]).is_none_or(|member| member.left);
         if courier.local_budget.has_left() && has_left {
             self.crash(index);
             self.schedule(100 * MS, Event::Repair { courier: index, repair: Repair::Start });
             return;
         }
-        if now >= courier.renewed_at + RENEWAL_INTERVAL {
+        if now >= courier.lease_requested_at + RENEWAL_INTERVAL {
             self.request_lease(index, now);
         }
         self.schedule_at_courier(TICK_INTERVAL, index, CourierEvent::Tick);
     }
 
-    /// Asks for a renewal of the lease, or for a registration where there is none.
+    /// Requests a renewal of the lease, or a registration if the courier has none.
     fn request_lease(&mut self, index: usize, now: u64) {
         let courier = &mut self.couriers[index];
-        courier.renewed_at = now;
-        let member = courier.agreed.member(&self.names[index]);
+        courier.lease_requested_at = now;
+        let member = courier.replicated.member(&self.names[index]);
         let has_lapsed = member.is_some_and(|member| member.epoch >= courier.epoch && member.lapsed);
         let message = if courier.epoch == 0 || has_lapsed {
             CourierMessage::Join
@@ -188,7 +190,7 @@
         let load = courier.loads.get_mut(&active.tenant).unwrap();
         load.in_flight -= 1;
         load.served += 1;
-        let permit = Permit { dest: DEST, conn, begin: PermitKind::Reuse };
+        let permit = Permit { dest: DEST, conn, kind: PermitKind::Reuse };
         let orders = courier.local_budget.released(&permit, now);
         self.carry_out_orders(index, orders);
     }
@@ -207,21 +209,21 @@
         if courier.receives && epoch > courier.epoch {
             courier.epoch = epoch;
             courier.local_budget.joined(epoch);
-            let orders = courier.local_budget.apply_state(&courier.agreed, now);
+            let orders = courier.local_budget.apply_state(&courier.replicated, now);
             self.carry_out_orders(index, orders);
         }
     }
 
-    /// The courier applies the log up to this entry.
+    /// Applies the log up to the entry with this number.
     pub fn apply_entries(&mut self, index: usize, upto: usize) {
         let now = self.local_time(index);
         let courier = &mut self.couriers[index];
         if courier.applied < upto {
             for command in &self.log[courier.applied..upto] {
-                courier.agreed.apply(command);
+                courier.replicated.apply(command);
             }
             courier.applied = upto;
-            let orders = courier.local_budget.apply_state(&courier.agreed, now);
+            let orders = courier.local_budget.apply_state(&courier.replicated, now);
             self.carry_out_orders(index, orders);
         }
     }
@@ -238,7 +240,7 @@
         }
     }
 
-    /// Begins the calls that there are connections for.
+    /// Begins all waiting calls for which a connection is available.
     pub fn begin_calls(&mut self, index: usize) {
         if !self.couriers[index].is_running() {
             return;
@@ -246,30 +248,30 @@
         let tenants: Vec<String> = self.couriers[index].loads.keys().cloned().collect();
         for tenant in tenants {
             while self.begin_call(index, &tenant) {}
-            self.note_starvation(&tenant);
+            self.record_starvation(&tenant);
         }
     }
 
-    /// Begins a tenant's next call. Returns false if it wants no more, or gets no connection.
+    /// Begins a tenant's next call. Returns false if no call waits or no connection is available.
     fn begin_call(&mut self, index: usize, tenant: &str) -> bool {
         let now = self.local_time(index);
         let courier = &mut self.couriers[index];
         let load = courier.loads.get_mut(tenant).unwrap();
-        if load.in_flight >= load.at_once || load.remaining == 0 {
+        if load.in_flight >= load.concurrency || load.remaining == 0 {
             courier.local_budget.set_waiting(DEST, tenant, 0, now);
             return false;
         }
         let Ok(permit) = courier.local_budget.acquire(DEST, tenant, now) else {
-            let waiting = u64::from(load.at_once - load.in_flight).min(load.remaining) as u32;
+            let waiting = u64::from(load.concurrency - load.in_flight).min(load.remaining) as u32;
             courier.local_budget.set_waiting(DEST, tenant, waiting, now);
             return false;
         };
         load.in_flight += 1;
         load.remaining = load.remaining.saturating_sub(1);
-        self.last_number += 1;
-        let (conn, call) = (permit.conn, self.last_number);
+        self.last_sequence += 1;
+        let (conn, call) = (permit.conn, self.last_sequence);
         courier.calls.insert(conn, ActiveCall { tenant: tenant.into(), number: call });
-        match permit.begin {
+        match permit.kind {
             PermitKind::Reuse => self.write_call(index, conn, call),
             PermitKind::Open if self.conditions.late_openings && self.random.chance(3) => {
                 let delay = self.random.within(0, 30 * MS);
--- a/courier/fleet/tests/budget/event.rs
+++ b/courier/fleet/tests/budget/event.rs
@@ -1,10 +1,11 @@
-//! What happens in a simulated fleet, in the order of its virtual clock.
+//! The events of a simulated fleet, ordered by the time of its virtual clock.
 
 use std::cmp::Ordering;
 
-/// An event and its time, in microseconds of the virtual clock. At the same time the one that was scheduled first is first.
+/// An event and its time in microseconds of the virtual clock. Events at the same time are handled in the order in
+/// which they were scheduled.
 pub struct Scheduled {
-    pub at: u64,
+    pub time: u64,
     pub sequence: u64,
     pub event: Event,
 }
@@ -25,11 +26,12 @@
 
 impl Ord for Scheduled {
     fn cmp(&self, other: &Scheduled) -> Ordering {
-        (self.at, self.sequence).cmp(&(other.at, other.sequence))
+        (self.time, self.sequence).cmp(&(other.time, other.sequence))
     }
 }
 
-/// A connection at the partner: the courier that opened it, the run of its process, and the connection's number there.
+/// Identifies a connection at the partner: the courier, the incarnation of its process, and the connection's number
+/// there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionKey {
     pub courier: usize,
@@ -37,23 +39,23 @@
     pub conn: u64,
 }
 
-/// One event. Couriers are given by their index.
+/// An event of the simulation. Couriers are identified by their index.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Something for one run of a courier's process; it waits while the process is paused.
+    /// An event for one incarnation of a courier's process; it is deferred while the process is suspended.
     AtCourier {
         courier: usize,
         incarnation: u32,
         event: CourierEvent,
     },
-    /// Entries of the log reach a courier, up to this number.
+    /// Log entries reach a courier, up to this number.
     EntriesDelivered {
         courier: usize,
-        upto: usize,
+        up_to: usize,
     },
-    /// The partner reads the end of a connection.
+    /// The partner reads the end of a connection that the courier closed.
     ConnectionEnded(ConnectionKey),
-    /// The partner ends a connection on which nothing was written since.
+    /// The partner ends the connection if nothing was written on it since `written_at`.
     IdleCheck {
         connection: ConnectionKey,
         written_at: u64,
@@ -64,7 +66,7 @@
         incarnation: u32,
         message: CourierMessage,
     },
-    /// A proposed command, by its index, is committed if the leader that proposed it still leads.
+    /// The proposed command with this index is committed if the term of its leader hasn't ended.
     Commit {
         term: u64,
         proposal: usize,
@@ -72,7 +74,7 @@
     LeaderRound {
         term: u64,
     },
-    /// Something goes wrong.
+    /// The simulation injects a random fault.
     Fault,
     Repair {
         courier: usize,
@@ -80,20 +82,20 @@
     },
 }
 
-/// What happens at a courier's process.
+/// An event at a courier's process.
 #[derive(Clone, Debug)]
 pub enum CourierEvent {
     Tick,
-    /// The answer of a call arrives.
+    /// The response to a call arrives.
     Answer {
         conn: u64,
         call: u64,
     },
-    /// The courier reads the end of a connection.
+    /// The courier reads the end of a connection that the partner closed.
     EndRead {
         conn: u64,
     },
-    /// The leader has renewed a lease; `sent`: when the courier asked for it, by its own clock.
+    /// The leader has renewed a lease. `sent` is the time of the courier's request, by its own clock.
     LeaseRenewed {
         epoch: u64,
         sent: u64,
@@ -102,7 +104,7 @@
     JoinConfirmed {
         epoch: u64,
     },
-    /// A connection is opened for a call; the process was suspended in between.
+    /// The process opens a connection for a call after a suspension since the permit.
     LateOpening {
         conn: u64,
         call: u64,
@@ -113,14 +115,14 @@
 pub enum Repair {
     Network,
     Partner,
-    Pause,
+    Suspension,
     Start,
 }
 
 /// A courier's message to the leader.
 #[derive(Clone, Debug)]
 pub enum CourierMessage {
-    /// A report, by its index.
+    /// The report with this index.
     Report(usize),
     Renew {
         epoch: u64,
--- a/courier/fleet/tests/budget/faults.rs
+++ b/courier/fleet/tests/budget/faults.rs
@@ -1,18 +1,18 @@
-//! What goes wrong in the simulated fleet, and its repair.
+//! Faults of the simulated fleet, and their repair.
 
 use crate::event::{ConnectionKey, CourierEvent, Event, Repair};
 use crate::simulation::{BOUNDS, MS, S, Simulation};
 use quillmount_fleet::budget::{BudgetState, LocalBudget};
 
 impl Simulation {
-    /// One thing goes wrong, or the load or the budget changes; schedules the next one.
-    pub fn cause_fault(&mut self) {
+    /// Injects one fault, or changes the load or the budget, and schedules the next fault.
+    pub fn inject_fault(&mut self) {
         let index = self.random.below(self.couriers.len() as u64) as usize;
         let duration = self.random.within(100 * MS, 7 * S);
-        let drawn = self.random.below(16);
+        let fault = self.random.below(16);
         let is_up = self.couriers[index].is_up;
         let is_running = self.couriers[index].is_running();
-        match drawn {
+        match fault {
             0..=3 => {
                 let direction = self.random.below(3);
                 self.couriers[index].receives = direction == 0;
@@ -24,8 +24,8 @@
                 self.schedule_repair(duration, index, Repair::Partner);
             }
             6..=8 if is_running => {
-                self.couriers[index].is_paused = true;
-                self.schedule_repair(duration, index, Repair::Pause);
+                self.couriers[index].is_suspended = true;
+                self.schedule_repair(duration, index, Repair::Suspension);
             }
             9 if is_up => self.couriers[index].local_budget.leave(),
             10 if is_up => {
@@ -38,11 +38,11 @@
                 self.set_connections(connections);
             }
             _ => {
-                let (tenant, at_once) = (self.random.below(5), self.random.below(30) as u32);
-                self.set_load(index, &format!("t{tenant}"), at_once);
+                let (tenant, concurrency) = (self.random.below(5), self.random.below(30) as u32);
+                self.set_load(index, &format!("t{tenant}"), concurrency);
             }
         }
-        // About one and a half at a time for each four couriers.
+        // At this rate about 1.5 faults are active at a time for every four couriers.
         let delay = self.random.within(20 * MS, 18 * S / self.couriers.len() as u64);
         self.schedule(delay, Event::Fault);
     }
@@ -56,8 +56,8 @@
         match repair {
             Repair::Network => (courier.receives, courier.sends) = (true, true),
             Repair::Partner => courier.reaches_partner = true,
-            Repair::Pause => {
-                courier.is_paused = false;
+            Repair::Suspension => {
+                courier.is_suspended = false;
                 for event in std::mem::take(&mut courier.deferred) {
                     self.handle(event);
                 }
@@ -67,26 +67,26 @@
         }
     }
 
-    /// The courier's process starts with an empty memory.
+    /// Starts a new process of the courier, without the state of the previous one.
     fn start(&mut self, index: usize) {
         let now = self.local_time(index);
         let courier = &mut self.couriers[index];
         courier.is_up = true;
         courier.incarnation += 1;
         courier.epoch = 0;
-        courier.agreed = BudgetState::default();
+        courier.replicated = BudgetState::default();
         courier.applied = 0;
-        courier.renewed_at = 0;
+        courier.lease_requested_at = 0;
         courier.local_budget = LocalBudget::new(&self.names[index], BOUNDS, now);
         courier.local_budget.set_budget(&self.budget);
         self.schedule_at_courier(MS, index, CourierEvent::Tick);
     }
 
-    /// The courier's process dies. Each of its connections is open at the partner until that has noticed; some for all their
-    /// time.
+    /// Crashes the courier's process. The partner soon notices the end of some of its connections; the others stay
+    /// open until their idle timeout.
     pub fn crash(&mut self, index: usize) {
         let courier = &mut self.couriers[index];
-        (courier.is_up, courier.is_paused) = (false, false);
+        (courier.is_up, courier.is_suspended) = (false, false);
         courier.deferred.clear();
         courier.calls.clear();
         courier.loads.values_mut().for_each(|load| load.in_flight = 0);
--- a/courier/fleet/tests/budget/leader.rs
+++ b/courier/fleet/tests/budget/leader.rs
@@ -1,4 +1,4 @@
-//! The leader of the simulated fleet, and the log that it proposes to.
+//! The leader of the simulated fleet, and the replicated log to which it proposes commands.
 
 use crate::courier::Clock;
 use crate::event::{CourierEvent, CourierMessage, Event};
@@ -6,21 +6,21 @@
 use quillmount_fleet::budget::{BudgetCommand, BudgetEvent, BudgetLeader, BudgetMessage};
 use std::collections::BTreeMap;
 
-/// The lease as the leader counts it: with a margin for the drift of the clocks.
+/// The duration of a lease by the leader's clock, with a margin for the drift of the clocks.
 const GRANTED_LEASE: u64 = BOUNDS.lease * 103 / 100;
 const ROUND_INTERVAL: u64 = 10 * MS;
 
-/// The process that has joined, or is joining, under an epoch.
+/// A process that has joined, or is joining, under an epoch.
 #[derive(Clone, Copy, Default, PartialEq)]
 struct Registration {
     epoch: u64,
     incarnation: u32,
 }
 
-/// The leader of the present term.
+/// The leader of the current term.
 pub struct Leader {
     pub term: u64,
-    machine: BudgetLeader,
+    budget_leader: BudgetLeader,
     clock: Clock,
     /// When each courier's lease ends, by the leader's clock.
     leases: BTreeMap<usize, u64>,
@@ -31,7 +31,7 @@
     pub fn new() -> Leader {
         Leader {
             term: 0,
-            machine: BudgetLeader::new(BOUNDS),
+            budget_leader: BudgetLeader::new(BOUNDS),
             clock: Clock { drift: 0, offset: 0 },
             leases: BTreeMap::new(),
             registrations: BTreeMap::new(),
@@ -40,11 +40,11 @@
 }
 
 impl Simulation {
-    /// Another courier leads: it knows the log, and nothing else.
+    /// Starts the term of a new leader, which has only the log of the previous terms.
     pub fn elect_leader(&mut self) {
         self.leader.term += 1;
-        self.leader.machine = BudgetLeader::new(BOUNDS);
-        self.leader.machine.set_budget(&self.budget);
+        self.leader.budget_leader = BudgetLeader::new(BOUNDS);
+        self.leader.budget_leader.set_budget(&self.budget);
         self.leader.clock.drift = self.random_drift();
         let until = self.leader.clock.read(self.now) + GRANTED_LEASE;
         self.leader.leases = (0..self.couriers.len()).map(|courier| (courier, until)).collect();
@@ -55,25 +55,25 @@
         let now = self.leader.clock.read(self.now);
         for (courier, until) in &self.leader.leases {
             let name = &self.names[*courier];
-            let lapsed = self.agreed.member(name).filter(|member| !member.lapsed && now >= *until);
+            let lapsed = self.replicated.member(name).filter(|member| !member.lapsed && now >= *until);
             if let Some(member) = lapsed {
-                self.leader.machine.lapsed(name, member.epoch);
+                self.leader.budget_leader.lapsed(name, member.epoch);
             }
         }
-        // The operator file, until it is agreed on.
+        // The configured budget is proposed until it is committed.
         let (connections, floor) = (self.budget.connections, self.budget.courier_floor);
-        if self.agreed.partner(DEST).is_none_or(|partner| partner.connections != connections) {
+        if self.replicated.partner(DEST).is_none_or(|partner| partner.connections != connections) {
             let couriers = self.names.clone();
             self.propose(BudgetCommand::Budget { dest: DEST, connections, floor, couriers });
         }
-        for command in self.leader.machine.tick(&self.agreed, now) {
+        for command in self.leader.budget_leader.tick(&self.replicated, now) {
             self.propose(command);
         }
         self.schedule(ROUND_INTERVAL, Event::LeaderRound { term: self.leader.term });
     }
 
-    /// Proposes an entry of the log: now and then it is lost, late, or committed twice, as one is that was forwarded to the
-    /// leader.
+    /// Proposes a log entry. Some entries are lost, delayed, or committed twice, as happens with entries that were
+    /// forwarded to the leader.
     fn propose(&mut self, command: BudgetCommand) {
         self.proposed.push(command);
         let commit = Event::Commit { term: self.leader.term, proposal: self.proposed.len() - 1 };
@@ -88,7 +88,7 @@
     }
 
     pub fn commit(&mut self, command: BudgetCommand) {
-        let events = self.agreed.apply(&command);
+        let events = self.replicated.apply(&command);
         let changes_share =
             |event: &BudgetEvent| matches!(event, BudgetEvent::Granted { .. } | BudgetEvent::Recalled { .. });
         if events.iter().any(changes_share) {
@@ -99,12 +99,12 @@
         }
         self.log.push(command);
         for courier in 0..self.couriers.len() {
-            self.send(Event::EntriesDelivered { courier, upto: self.log.len() });
+            self.send(Event::EntriesDelivered { courier, up_to: self.log.len() });
         }
     }
 
     fn confirm_join(&mut self, name: &str, epoch: u64) {
-        let Some(courier) = self.names.iter().position(|known| known == name) else { return };
+        let Some(courier) = self.names.iter().position(|courier_name| courier_name == name) else { return };
         if let Some(registration) = self.leader.registrations.get(&courier)
             && registration.epoch == epoch
         {
@@ -120,7 +120,7 @@
                 let report = BudgetMessage::Report(self.reports[index].clone());
                 let bytes = postcard::to_stdvec(&report).unwrap();
                 let now = self.leader.clock.read(self.now);
-                self.leader.machine.receive(&postcard::from_bytes(&bytes).unwrap(), now);
+                self.leader.budget_leader.receive(&postcard::from_bytes(&bytes).unwrap(), now);
             }
             CourierMessage::Renew { epoch, sent } => self.renew_lease_of(courier, incarnation, epoch, sent),
             CourierMessage::Join => self.register(courier, incarnation),
@@ -129,7 +129,7 @@
 
     fn renew_lease_of(&mut self, courier: usize, incarnation: u32, epoch: u64, sent: u64) {
         let now = self.leader.clock.read(self.now);
-        let member = self.agreed.member(&self.names[courier]).cloned().unwrap_or_default();
+        let member = self.replicated.member(&self.names[courier]).cloned().unwrap_or_default();
         let until = self.leader.leases.entry(courier).or_insert(0);
         if member.epoch == epoch && !member.lapsed && now < *until {
             *until = now + GRANTED_LEASE;
@@ -138,14 +138,16 @@
         }
     }
 
-    /// A process asks for a registration: it gets the next epoch, or hears of its own once more.
+    /// Handles a registration request: the process gets the next epoch, or its existing epoch is confirmed again.
     fn register(&mut self, courier: usize, incarnation: u32) {
-        let member = self.agreed.member(&self.names[courier]).cloned().unwrap_or_default();
-        let known = self.leader.registrations.get(&courier).copied().unwrap_or_default();
-        if known.incarnation > incarnation {
+        let member = self.replicated.member(&self.names[courier]).cloned().unwrap_or_default();
+        let registration = self.leader.registrations.get(&courier).copied().unwrap_or_default();
+        if registration.incarnation > incarnation {
             return;
         }
-        if known == (Registration { epoch: member.epoch, incarnation }) && member.epoch > 0 && !member.lapsed
+        if registration == (Registration { epoch: member.epoch, incarnation })
+            && member.epoch > 0
+            && !member.lapsed
         {
             let event = CourierEvent::JoinConfirmed { epoch: member.epoch };
             return self.send(Event::AtCourier { courier, incarnation, event });
--- a/courier/fleet/tests/budget/main.rs
+++ b/courier/fleet/tests/budget/main.rs
@@ -1,5 +1,5 @@
-//! Budgets under faults: the partner never has more connections open than the budget allows, and the demand is met as the
-//! fair division says. [`simulation`] describes the fleet that is simulated.
+//! Simulation tests of budgets under faults: the partner never has more connections open than the budget allows, and
+//! connections are divided fairly according to the demand. [`simulation`] describes the simulated fleet.
 
 mod courier;
 mod event;
@@ -17,15 +17,15 @@
 use quillmount_test_support::digest::{SEEDS, compare_with_file};
 use simulation::{BOUNDS, BudgetExceeded, DEST, LoweredLimit, MS, S, Simulation, budget, tenant};
 
-/// Runs a fleet with every kind of fault at once.
+/// Runs a fleet with all kinds of faults.
 fn run_under_faults(seed: u64, couriers: usize, span: u64) -> Result<Simulation, BudgetExceeded> {
     let floor = u32::from(couriers <= 10);
     let mut sim = Simulation::new(seed, couriers, budget(40, floor, vec![tenant("t0", 2.0, 3, None)]));
     (sim.conditions.loss, sim.conditions.max_delay) = (8, 30 * MS);
     (sim.conditions.hanging_calls, sim.conditions.late_openings) = (3, true);
     for n in 0..couriers {
-        let (tenant, at_once) = (sim.random.below(5), sim.random.below(40) as u32);
-        sim.set_load(n, &format!("t{tenant}"), at_once);
+        let (tenant, concurrency) = (sim.random.below(5), sim.random.below(40) as u32);
+        sim.set_load(n, &format!("t{tenant}"), concurrency);
     }
     sim.schedule(S, Event::Fault);
     sim.run(span);
@@ -36,26 +36,26 @@
 }
 
 #[test]
-fn never_more_is_open_than_the_budget_under_any_fault() {
-    let mut full = 0;
+fn open_connections_never_exceed_the_budget_during_faults() {
+    let mut saturated_runs = 0;
     for (seed, couriers) in [(1, 3), (2, 3), (3, 4), (4, 5), (5, 8), (6, 10), (7, 20), (8, 30)] {
         let sim = run_under_faults(seed, couriers, 60 * S).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
-        full += u32::from(sim.most_open >= 39);
+        saturated_runs += u32::from(sim.max_open >= 39);
         let served: u64 = (0..5).map(|t| sim.calls_served(&format!("t{t}"))).sum();
-        println!("seed {seed}, {couriers} couriers: {} open at most of 40, {served} calls", sim.most_open);
+        println!("seed {seed}, {couriers} couriers: {} open at most of 40, {served} calls", sim.max_open);
     }
-    assert!(full >= 6, "only {full} of 8 are a trial of 40");
+    assert!(saturated_runs >= 6, "only {saturated_runs} of 8 runs came close to the limit of 40");
 }
 
 #[test]
 fn the_first_fifty_seeded_days_give_the_same_counts() {
-    let day = |seed: u64| {
+    let counts_for = |seed: u64| {
         let couriers = 3 + (seed % 6) as usize;
         let sim = run_under_faults(seed, couriers, 20 * S).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
         let served: u64 = (0..5).map(|t| sim.calls_served(&format!("t{t}"))).sum();
         let mut counts = sim.counts;
         counts.set("calls_served", served);
-        counts.set("most_open", sim.most_open as u64);
+        counts.set("most_open", sim.max_open as u64);
         counts.set("commands_proposed", sim.proposed.len() as u64);
         counts.set("log_entries", sim.log.len() as u64);
         counts.set("leases_moved", sim.share_changes.len() as u64);
@@ -63,7 +63,7 @@
         counts.set("newest_term", sim.leader.term);
         counts.line(seed)
     };
-    let lines: String = SEEDS.map(day).collect();
+    let lines: String = SEEDS.map(counts_for).collect();
     let file = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/digests/budget.txt");
     compare_with_file(&file, &lines);
 }
@@ -88,38 +88,39 @@
     assert!(used >= 0.95 * 60.0, "{used}");
     let parts = all.map(|t| sim.mean_calls_in_flight(2 * S, &[t]));
     println!("parts {parts:.2?}, fair 34, 9, 17");
-    assert!(parts.iter().zip([34.0, 9.0, 17.0]).all(|(is, fair)| (is - fair).abs() <= 1.0), "{parts:?}");
-    // All of the demand moves to another courier and tenant.
+    assert!(parts.iter().zip([34.0, 9.0, 17.0]).all(|(mean, fair)| (mean - fair).abs() <= 1.0), "{parts:?}");
+    // The whole demand moves to one tenant at one courier.
     for n in 0..6 {
         all.iter().for_each(|t| sim.set_load(n, t, 0));
     }
     sim.set_load(5, "one", 70);
-    // Each other courier's floor is its own, and idle.
+    // The floors of the other five couriers stay reserved for them, unused.
     let took = sim.run_while(20 * S, 10 * MS, |sim| sim.calls_in_flight("one") < 55);
-    println!("all of it after {} ms", took / MS);
+    println!("the connections moved after {} ms", took / MS);
     assert!(took <= S, "{took} us");
     sim.assert_within_budget();
 }
 
 #[test]
-fn lent_budget_returns_and_a_lowered_budget_is_met_in_time() {
+fn borrowed_budget_is_returned_and_a_lowered_budget_is_met_in_time() {
     let mut sim = Simulation::new(19, 5, budget(40, 0, vec![]));
     sim.conditions.call_duration = 600 * MS..=990 * MS;
-    (0..5).for_each(|n| sim.set_load(n, "lent", 40));
+    (0..5).for_each(|n| sim.set_load(n, "borrower", 40));
     sim.run(6 * S);
-    assert!(sim.calls_in_flight("lent") >= 38, "{}", sim.calls_in_flight("lent"));
-    // A report, a round and an entry of the log there and back, and the calls' own time.
-    let moved = 2 * (local::REPORT_INTERVAL + fleet_leader::ROUND_INTERVAL + 50 * MS) + BOUNDS.recall_time();
+    assert!(sim.calls_in_flight("borrower") >= 38, "{}", sim.calls_in_flight("borrower"));
+    // Twice the time of a report, a round and the commit of a log entry, and the time to meet the recall.
+    let move_time =
+        2 * (local::REPORT_INTERVAL + fleet_leader::ROUND_INTERVAL + 50 * MS) + BOUNDS.recall_time();
     sim.set_load(2, "owner", 40);
     let took = sim.run_while(20 * S, 10 * MS, |sim| sim.calls_in_flight("owner") < 20);
-    println!("lent budget is back after {} ms of {}", took / MS, moved / MS);
-    assert!(took <= moved);
+    println!("the borrowed budget is returned after {} ms of {}", took / MS, move_time / MS);
+    assert!(took <= move_time);
     sim.set_connections(12);
-    sim.lowered = Some(LoweredLimit { binds_at: sim.now + moved, limit: 12 });
-    sim.run(sim.now + moved + S);
+    sim.lowered = Some(LoweredLimit { binds_at: sim.now + move_time, limit: 12 });
+    sim.run(sim.now + move_time + S);
     assert_eq!(sim.limit, 12);
     sim.set_connections(36);
-    let used = |sim: &Simulation| sim.calls_in_flight("lent") + sim.calls_in_flight("owner");
+    let used = |sim: &Simulation| sim.calls_in_flight("borrower") + sim.calls_in_flight("owner");
     let took = sim.run_while(20 * S, 10 * MS, |sim| used(sim) < 36);
     println!("a raised budget is used after {} ms", took / MS);
     assert!(took <= fleet_leader::ROUND_INTERVAL + 100 * MS);
@@ -143,7 +144,7 @@
     let (without, with) = (served(false), served(true));
     println!("without {without:?}, with {with:?}");
     for (with, without) in with.iter().zip(without) {
-        assert!(without > 500, "no trial");
+        assert!(without > 500, "too few calls for a comparison");
         assert!(*with as f64 >= 0.95 * without as f64, "{with} of {without}");
     }
 }
@@ -168,7 +169,7 @@
     (1..4).for_each(|n| sim.set_load(n, "b", 7));
     sim.run(6 * S);
     let open = sim.couriers[0].local_budget.open(DEST);
-    assert!(open >= 19, "{open} of 40 are at the courier to isolate");
+    assert!(open >= 19, "the courier to isolate has {open} of 40 connections");
     (sim.couriers[0].receives, sim.couriers[0].sends) = (false, false);
     sim.set_connections(20);
     let binds_at = sim.lowered.unwrap().binds_at;
@@ -177,9 +178,9 @@
     let isolated = sim.couriers[0].local_budget.open(DEST);
     let others = sim.calls_in_flight("b");
     println!("isolated {isolated}, others {others} of 20");
-    assert_eq!(isolated, 1, "its floor");
+    assert_eq!(isolated, 1, "only the floor of the isolated courier");
     assert!(others >= 18, "{others} of 19");
-    // Back in the fleet, it has its part again.
+    // After the isolation ends, the courier gets its fair part again.
     (sim.couriers[0].receives, sim.couriers[0].sends) = (true, true);
     sim.run(sim.now + 4 * S);
     assert!(sim.calls_in_flight("a") >= 9, "{}", sim.calls_in_flight("a"));
@@ -200,14 +201,15 @@
         loads.any(|load| load.served == 0)
     };
     let took = sim.run_while(60 * S, 100 * MS, is_waiting);
-    println!("all after {} ms", took / MS);
+    println!("all calls served after {} ms", took / MS);
     assert!(took <= 15 * S);
     sim.assert_within_budget();
 }
 
 #[test]
 fn a_tenant_below_its_share_is_served_within_the_bound() {
-    // 29 heavy tenants and a light one at 3 connections: its part is a hundredth of a connection at most.
+    // 29 tenants of weight 10 and one of weight 3 share 3 connections: the fair part of the light one is 9/293, about
+    // 3% of a connection.
     let mut tenants: Vec<Tenant> = (0..29).map(|n| tenant(&format!("t{n:02}"), 10.0, 0, None)).collect();
     tenants.push(tenant("light", 3.0, 0, None));
     let mut sim = Simulation::new(16, 3, budget(3, 0, tenants.clone()));
@@ -216,10 +218,13 @@
     }
     sim.run(400 * S);
     sim.assert_within_budget();
-    for (tenant, waited) in &sim.longest_starvation {
+    for (tenant, starved_for) in &sim.longest_starvation {
         let weight = if tenant == "light" { 3 } else { 10 };
         let bound = starvation(&BOUNDS, 3 * 1_000_000 * weight / 293, 30, 3);
-        assert!(*waited <= bound, "{tenant} waited {waited} of {bound} us");
+        assert!(
+            *starved_for <= bound,
+            "{tenant} had no connection for {starved_for} us, over the bound of {bound} us"
+        );
     }
     println!(
         "light waited {} s, the heavy ones {} s at most; bound {} s",
@@ -246,29 +251,30 @@
     }
     sim.assert_within_budget();
     let changes = &sim.share_changes;
-    let in_second_from = |from: &u64| changes.iter().filter(|at| (*from..from + S).contains(*at)).count();
-    let most = changes.iter().map(in_second_from).max();
-    println!("at most {most:?} shares changed in a second, {} in all", changes.len());
-    // An entry of the log may be late by its round.
-    assert!(most.unwrap() <= MAX_MOVES_PER_SECOND as usize * 105 / 100);
-    assert!(most.unwrap() > MAX_MOVES_PER_SECOND as usize / 2, "no trial of the limit");
+    let in_second_from = |from: &u64| changes.iter().filter(|time| (*from..from + S).contains(*time)).count();
+    let max_changes = changes.iter().map(in_second_from).max();
+    println!("at most {max_changes:?} shares changed in a second, {} in all", changes.len());
+    // A log entry may be committed a round late, hence the margin of 5%.
+    assert!(max_changes.unwrap() <= MAX_MOVES_PER_SECOND as usize * 105 / 100);
+    assert!(max_changes.unwrap() > MAX_MOVES_PER_SECOND as usize / 2, "the run didn't reach the limit");
 }
 
 #[test]
 fn a_tenants_floor_holds_against_a_flood() {
-    let mut sim = Simulation::new(18, 4, budget(20, 0, vec![tenant("kept", 0.1, 5, None)]));
+    let mut sim = Simulation::new(18, 4, budget(20, 0, vec![tenant("reserved", 0.1, 5, None)]));
     for n in 0..4 {
         sim.set_load(n, "flood", 100);
-        sim.set_load(n, "kept", 2);
+        sim.set_load(n, "reserved", 2);
     }
     sim.run(8 * S);
-    let kept = sim.mean_calls_in_flight(4 * S, &["kept"]);
-    println!("floor 5: {kept:.2} in use");
-    assert!(kept > 4.5, "{kept}");
+    let in_use = sim.mean_calls_in_flight(4 * S, &["reserved"]);
+    println!("floor 5: {in_use:.2} in use");
+    assert!(in_use > 4.5, "{in_use}");
     sim.assert_within_budget();
 }
 
-/// Demand that comes and goes while calls are long and the log is late: recalls are withdrawn and repeated.
+/// Runs a fleet whose demand fluctuates while calls are long and the log is slow, so that recalls are withdrawn and
+/// repeated.
 fn run_under_flapping(seed: u64) -> Result<Simulation, BudgetExceeded> {
     let mut sim = Simulation::new(seed, 3, budget(12, 0, vec![]));
     (sim.conditions.loss, sim.conditions.late_entry_factor) = (20, 300);
@@ -284,31 +290,31 @@
 }
 
 #[test]
-fn no_late_or_repeated_entry_lets_more_be_open() {
+fn late_or_duplicated_entries_do_not_exceed_the_budget() {
     for seed in 1..=6 {
         let sim = run_under_flapping(seed).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
-        assert_eq!(sim.most_open, 12, "seed {seed} is no trial of 12");
+        assert_eq!(sim.max_open, 12, "seed {seed} did not use the whole budget of 12");
     }
 }
 
-/// The simulation finds each deliberate break of what keeps the sum within the budget.
+/// The simulation detects each deliberate fault in the code that keeps the open connections within the budget.
 #[cfg(feature = "breaks")]
 #[test]
 fn each_deliberate_break_is_found() {
     use breaks::{ALL, Break, set};
     let mut not_found = Vec::new();
-    for one in ALL.iter().filter(|b| !matches!(b, Break::FloorForgotten | Break::TurnsForgotten)) {
-        set(Some(*one));
+    for fault in ALL.iter().filter(|b| !matches!(b, Break::FloorForgotten | Break::TurnsForgotten)) {
+        set(Some(*fault));
         let found = (1..=40).find_map(|seed| {
-            let result = match one {
+            let result = match fault {
                 Break::NumberIgnored => run_under_flapping(seed),
                 _ => run_under_faults(seed, 3 + seed as usize % 6, 60 * S),
             };
             result.err().map(|exceeded| (seed, exceeded))
         });
         match found {
-            Some((seed, exceeded)) => println!("{one:?}: seed {seed}: {exceeded}"),
-            None => not_found.push(*one),
+            Some((seed, exceeded)) => println!("{fault:?}: seed {seed}: {exceeded}"),
+            None => not_found.push(*fault),
         }
     }
     set(None);
@@ -316,11 +322,11 @@
 }
 
 #[cfg(feature = "breaks")]
-fn assert_break_is_found(one: breaks::Break, scenario: fn()) {
-    breaks::set(Some(one));
+fn assert_break_is_found(fault: breaks::Break, scenario: fn()) {
+    breaks::set(Some(fault));
     let verdict = std::panic::catch_unwind(scenario);
     breaks::set(None);
-    assert!(verdict.is_err(), "{one:?} was not found");
+    assert!(verdict.is_err(), "{fault:?} was not found");
 }
 
 #[cfg(feature = "breaks")]
--- a/courier/fleet/tests/budget/partner.rs
+++ b/courier/fleet/tests/budget/partner.rs
@@ -1,17 +1,17 @@
-//! The partner of the simulated fleet: the connections that are open there, and the answers to calls.
+//! The partner of the simulated fleet: its open connections, and its responses to calls.
 
 use crate::event::{ConnectionKey, CourierEvent, Event};
 use crate::simulation::{BOUNDS, MS, Simulation};
 
 impl Simulation {
-    /// A call is written on a connection; its answer comes later.
+    /// Writes a call on a connection, and schedules its response.
     pub fn write_call(&mut self, courier: usize, conn: u64, call: u64) {
         let connection = ConnectionKey { courier, incarnation: self.couriers[courier].incarnation, conn };
-        // The partner may have ended it; the courier reads that soon.
+        // The partner may have ended the connection before the courier has read its end.
         let Some(written_at) = self.open.get_mut(&connection) else { return };
         *written_at = self.now;
-        let check = Event::IdleCheck { connection, written_at: self.now };
-        self.schedule(BOUNDS.max_idle, check);
+        let idle_check = Event::IdleCheck { connection, written_at: self.now };
+        self.schedule(BOUNDS.max_idle, idle_check);
         let (shortest, longest) =
             (*self.conditions.call_duration.start(), *self.conditions.call_duration.end());
         let mut duration = self.random.within(shortest, longest);
@@ -23,7 +23,7 @@
         }
     }
 
-    /// The partner ends a connection, or reads its end.
+    /// Ends a connection at the partner, on its own initiative or after the courier closed it.
     pub fn end_connection(&mut self, connection: ConnectionKey) {
         let ConnectionKey { courier, incarnation, conn } = connection;
         if self.open.remove(&connection).is_some() && self.couriers[courier].reaches_partner {
@@ -32,11 +32,11 @@
         }
     }
 
-    /// Notes how long a tenant goes without any connection in the fleet.
-    pub fn note_starvation(&mut self, tenant: &str) {
+    /// Records how long a tenant with demand goes without any connection in the fleet.
+    pub fn record_starvation(&mut self, tenant: &str) {
         let loads = || self.couriers.iter().filter_map(|courier| courier.loads.get(tenant));
-        let wants = loads().any(|load| load.at_once > load.in_flight && load.remaining > 0);
-        if !wants || self.calls_in_flight(tenant) > 0 {
+        let has_demand = loads().any(|load| load.concurrency > load.in_flight && load.remaining > 0);
+        if !has_demand || self.calls_in_flight(tenant) > 0 {
             self.starving_since.remove(tenant);
             return;
         }
--- a/courier/fleet/tests/budget/random.rs
+++ b/courier/fleet/tests/budget/random.rs
@@ -1,6 +1,6 @@
-//! The generator of everything that is random in a simulated fleet.
+//! The seeded random number generator of the simulated fleet.
 
-/// SplitMix64: the same numbers for the same seed.
+/// The SplitMix64 generator, which gives the same sequence for the same seed.
 pub struct SplitMix64(pub u64);
 
 impl SplitMix64 {
@@ -15,12 +15,12 @@
         self.next() % limit
     }
 
-    /// Both ends are included.
+    /// Returns a number from `from` to `to`, both included.
     pub fn within(&mut self, from: u64, to: u64) -> u64 {
         from + self.below(to - from + 1)
     }
 
-    /// True so many times in a hundred.
+    /// Returns true with a probability of `percent`.
     pub fn chance(&mut self, percent: u64) -> bool {
         self.below(100) < percent
     }
--- a/courier/fleet/tests/budget/simulation.rs
+++ b/courier/fleet/tests/budget/simulation.rs
@@ -1,8 +1,9 @@
-//! A simulated fleet with one partner's budget: the code that runs, with couriers, a leader, a log and a partner on a
-//! virtual clock. The partner counts its open connections itself, after every event.
+//! Deterministic simulation of a fleet with a budget at one partner. The production state machines run with simulated
+//! couriers, a leader, a replicated log and a partner on a virtual clock. The partner counts its open connections
+//! independently after every event.
 //!
-//! This module has the state and the loop over the events. What happens at a courier, at the leader and at the partner, and
-//! what goes wrong, is in modules of their own. All times and spans are in microseconds.
+//! This module has the state and the event loop. The couriers, the leader, the partner and the faults are in modules
+//! of their own. All times and durations are in microseconds.
 
 use crate::courier::{Clock, Courier};
 use crate::event::{ConnectionKey, CourierEvent, Event, Scheduled};
@@ -21,16 +22,16 @@
 pub const DEST: u64 = 7;
 pub const BOUNDS: TimeBounds = TimeBounds { max_call: S, max_idle: 1_500 * MS, lease: S };
 
-/// How the network, the log and the calls behave.
+/// The behaviour of the network, the log and the calls.
 pub struct Conditions {
-    /// Percent of the messages that are lost, that are late, and that are duplicated.
+    /// The percentage of messages that are lost; the same percentages are delayed and duplicated.
     pub loss: u64,
-    /// The longest delay of a message.
+    /// The longest delay of a message that isn't late.
     pub max_delay: u64,
-    /// A late entry of the log takes so many times as long as others.
+    /// The factor by which the commit of a late log entry takes longer than that of others.
     pub late_entry_factor: u64,
     pub call_duration: RangeInclusive<u64>,
-    /// Percent of the calls that take up to twice the longest that a call may.
+    /// The percentage of calls that hang for up to twice the longest duration that is allowed.
     pub hanging_calls: u64,
     /// Whether processes are suspended between a permit and the opening of its connection.
     pub late_openings: bool,
@@ -54,16 +55,16 @@
 pub struct BudgetExceeded {
     open: usize,
     limit: u64,
-    at: u64,
+    time: u64,
 }
 
 impl fmt::Display for BudgetExceeded {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} of {} open at {} us", self.open, self.limit, self.at)
+        write!(f, "{} connections open at {} us, over the limit of {}", self.open, self.time, self.limit)
     }
 }
 
-/// A lower limit of the partner that binds from a time on.
+/// A lower limit of the partner that applies from `binds_at`.
 #[derive(Clone, Copy)]
 pub struct LoweredLimit {
     pub binds_at: u64,
@@ -73,8 +74,8 @@
 pub struct Simulation {
     pub now: u64,
     pub events: BinaryHeap<Reverse<Scheduled>>,
-    /// The number of the last event and of the last call.
-    pub last_number: u64,
+    /// The last number assigned to an event or a call.
+    pub last_sequence: u64,
     pub random: SplitMix64,
     pub conditions: Conditions,
     pub budget: Budget,
@@ -82,26 +83,26 @@
     pub couriers: Vec<Courier>,
     pub proposed: Vec<BudgetCommand>,
     pub log: Vec<BudgetCommand>,
-    /// The state after all entries of the log.
-    pub agreed: BudgetState,
+    /// The replicated state after all entries of the log.
+    pub replicated: BudgetState,
     pub leader: Leader,
     /// The reports that couriers have sent.
     pub reports: Vec<Report>,
-    /// Connections that are open at the partner, and when each was last written on.
+    /// Connections that are open at the partner, with the time of the last write on each.
     pub open: BTreeMap<ConnectionKey, u64>,
-    /// What the partner allows.
+    /// The number of connections that the partner allows.
     pub limit: u64,
     pub lowered: Option<LoweredLimit>,
-    /// The most connections that were open at once.
-    pub most_open: usize,
+    /// The highest number of connections that were open at the same time.
+    pub max_open: usize,
     pub exceeded: Option<BudgetExceeded>,
-    /// When each share changed.
+    /// The times at which shares changed.
     pub share_changes: Vec<u64>,
-    /// Since when each tenant wants a connection and has none in the fleet.
+    /// The time since which each tenant has had demand but no connection in the fleet.
     pub starving_since: BTreeMap<String, u64>,
-    /// The longest that each tenant wanted a connection and had none in the fleet.
+    /// The longest time for which each tenant had demand but no connection in the fleet.
     pub longest_starvation: BTreeMap<String, u64>,
-    /// What happened, for the digests.
+    /// Counts of events, which are compared with the digests in `tests/digests`.
     pub counts: Counts,
 }
 
@@ -111,20 +112,20 @@
         let mut simulation = Simulation {
             now: 0,
             events: BinaryHeap::new(),
-            last_number: 0,
+            last_sequence: 0,
             random: SplitMix64(seed),
             conditions: Conditions::default(),
             names: (0..couriers).map(|n| format!("c{n:02}")).collect(),
             couriers: Vec::new(),
             proposed: Vec::new(),
             log: Vec::new(),
-            agreed: BudgetState::default(),
+            replicated: BudgetState::default(),
             leader: Leader::new(),
             reports: Vec::new(),
             open: BTreeMap::new(),
             limit: u64::from(budget.connections),
             lowered: None,
-            most_open: 0,
+            max_open: 0,
             exceeded: None,
             share_changes: Vec::new(),
             starving_since: BTreeMap::new(),
@@ -144,24 +145,24 @@
         simulation
     }
 
-    /// A clock's drift, in parts per million: within what two clocks of the fleet may differ by.
+    /// Draws the drift of a clock in parts per million, within the 1% that the time bounds allow for.
     pub fn random_drift(&mut self) -> i64 {
         self.random.within(0, 19_000) as i64 - 9_500
     }
 
     pub fn schedule(&mut self, delay: u64, event: Event) {
-        self.last_number += 1;
-        let scheduled = Scheduled { at: self.now + delay, sequence: self.last_number, event };
+        self.last_sequence += 1;
+        let scheduled = Scheduled { time: self.now + delay, sequence: self.last_sequence, event };
         self.events.push(Reverse(scheduled));
     }
 
-    /// Schedules an event for the present run of a courier's process.
+    /// Schedules an event for the current incarnation of a courier's process.
     pub fn schedule_at_courier(&mut self, delay: u64, courier: usize, event: CourierEvent) {
         let incarnation = self.couriers[courier].incarnation;
         self.schedule(delay, Event::AtCourier { courier, incarnation, event });
     }
 
-    /// Sends an event over the fleet's network: it may be lost, late, or duplicated.
+    /// Sends an event over the fleet's network, which may lose, delay, or duplicate it.
     pub fn send(&mut self, event: Event) {
         for _ in 0..1 + u64::from(self.random.chance(self.conditions.loss)) {
             if !self.random.chance(self.conditions.loss) {
@@ -172,14 +173,14 @@
         }
     }
 
-    /// Runs until this time, or until the budget is exceeded.
+    /// Runs until the time `until`, or until the budget is exceeded.
     pub fn run(&mut self, until: u64) {
         while let Some(Reverse(next)) = self.events.peek()
-            && next.at <= until
+            && next.time <= until
             && self.exceeded.is_none()
         {
-            let Some(Reverse(Scheduled { at, event, .. })) = self.events.pop() else { return };
-            self.now = at;
+            let Some(Reverse(Scheduled { time, event, .. })) = self.events.pop() else { return };
+            self.now = time;
             self.count_event(&event);
             self.handle(event);
             self.check_limit();
@@ -187,13 +188,13 @@
         self.now = until;
     }
 
-    /// Runs while the condition holds, for a time at most, and looks at it in intervals. Returns how long it held.
-    pub fn run_while(&mut self, most: u64, interval: u64, condition: impl Fn(&Simulation) -> bool) -> u64 {
-        let from = self.now;
-        while condition(self) && self.now < from + most {
+    /// Runs while the condition holds, for at most `timeout`, and evaluates it in intervals. Returns how long it held.
+    pub fn run_while(&mut self, timeout: u64, interval: u64, condition: impl Fn(&Simulation) -> bool) -> u64 {
+        let started_at = self.now;
+        while condition(self) && self.now < started_at + timeout {
             self.run(self.now + interval);
         }
-        self.now - from
+        self.now - started_at
     }
 
     fn check_limit(&mut self) {
@@ -203,9 +204,9 @@
             (self.limit, self.lowered) = (limit, None);
         }
         let open = self.open.len();
-        self.most_open = self.most_open.max(open);
+        self.max_open = self.max_open.max(open);
         if open as u64 > self.limit {
-            self.exceeded = Some(BudgetExceeded { open, limit: self.limit, at: self.now });
+            self.exceeded = Some(BudgetExceeded { open, limit: self.limit, time: self.now });
         }
     }
 
@@ -219,7 +220,7 @@
                 CourierEvent::JoinConfirmed { epoch } => ("joins_confirmed", *courier, *epoch),
                 CourierEvent::LateOpening { conn, .. } => ("late_openings", *courier, *conn),
             },
-            Event::EntriesDelivered { courier, upto } => ("entries_delivered", *courier, *upto as u64),
+            Event::EntriesDelivered { courier, up_to } => ("entries_delivered", *courier, *up_to as u64),
             Event::ConnectionEnded(connection) => ("connections_ended", connection.courier, connection.conn),
             Event::IdleCheck { connection, .. } => ("idle_checks", connection.courier, connection.conn),
             Event::MessageToLeader { courier, .. } => ("messages_to_leader", *courier, 0),
@@ -237,9 +238,9 @@
             Event::AtCourier { courier, incarnation, event } => {
                 self.handle_at_courier(courier, incarnation, event);
             }
-            Event::EntriesDelivered { courier, upto } => {
+            Event::EntriesDelivered { courier, up_to } => {
                 if self.couriers[courier].is_running() && self.couriers[courier].receives {
-                    self.apply_entries(courier, upto);
+                    self.apply_entries(courier, up_to);
                     self.begin_calls(courier);
                 }
             }
@@ -262,23 +263,24 @@
                     self.run_leader_round();
                 }
             }
-            Event::Fault => self.cause_fault(),
+            Event::Fault => self.inject_fault(),
             Event::Repair { courier, repair } => self.repair(courier, repair),
         }
     }
 
-    /// A tenant wants so many calls at once at a courier, without end.
-    pub fn set_load(&mut self, courier: usize, tenant: &str, at_once: u32) {
+    /// Sets the number of concurrent calls that a tenant makes at a courier, with no limit of the total.
+    pub fn set_load(&mut self, courier: usize, tenant: &str, concurrency: u32) {
         let load = self.couriers[courier].loads.entry(tenant.into()).or_default();
-        (load.at_once, load.remaining) = (at_once, u64::MAX);
+        (load.concurrency, load.remaining) = (concurrency, u64::MAX);
     }
 
-    /// The operators set another number of connections. A lower one binds once even a courier that is cut off has met it.
+    /// Changes the configured number of connections. A lower limit applies from the time by which even a courier that
+    /// is cut off has met it.
     pub fn set_connections(&mut self, connections: u32) {
         self.budget.connections = connections;
         let limit = u64::from(connections);
         if limit < self.limit {
-            // Cut off at that moment, a courier has met it after its lease and its own time.
+            // A courier that is cut off now meets the limit after its lease, the drain time and the recall time.
             let delay = 2 * S + BOUNDS.lease + BOUNDS.drain_time() + BOUNDS.recall_time();
             self.lowered = Some(LoweredLimit { binds_at: self.now + delay, limit });
         } else {
@@ -286,13 +288,13 @@
         }
     }
 
-    /// Calls of a tenant that are in flight.
+    /// The number of a tenant's calls in flight, over all couriers.
     pub fn calls_in_flight(&self, tenant: &str) -> u32 {
         let loads = self.couriers.iter().filter_map(|courier| courier.loads.get(tenant));
         loads.map(|load| load.in_flight).sum()
     }
 
-    /// Calls of a tenant that were answered.
+    /// The number of a tenant's answered calls, over all couriers.
     pub fn calls_served(&self, tenant: &str) -> u64 {
         let loads = self.couriers.iter().filter_map(|courier| courier.loads.get(tenant));
         loads.map(|load| load.served).sum()
@@ -311,7 +313,7 @@
     }
 
     pub fn assert_within_budget(&self) {
-        assert_eq!(self.exceeded, None, "more open than the budget");
+        assert_eq!(self.exceeded, None, "more connections are open than the budget allows");
     }
 }
 
--- a/courier/fleet/tests/parts/budget.rs
+++ b/courier/fleet/tests/parts/budget.rs
@@ -1,4 +1,4 @@
-//! The check of budgets, and their agreed state.
+//! Validation of the configured budgets, and commands to their replicated state.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -14,40 +14,43 @@
 
 #[test]
 fn each_problem_is_reported_with_its_path() {
-    let good = budget(1, 10, 1, vec![tenant("a", 1.0, 3, Some(3)), tenant("b", 0.5, 4, None)]);
-    assert_eq!(check(std::slice::from_ref(&good), 3), []);
+    let valid = budget(1, 10, 1, vec![tenant("a", 1.0, 3, Some(3)), tenant("b", 0.5, 4, None)]);
+    assert_eq!(check(std::slice::from_ref(&valid), 3), []);
     let messages = |budgets: &[Budget], couriers| {
         check(budgets, couriers).iter().map(ToString::to_string).collect::<Vec<_>>()
     };
     assert_eq!(
-        messages(std::slice::from_ref(&good), 4),
-        ["$.fleet.budgets[0].tenants: the floors of 1 add up to 11 of its 10 connections (7 of tenants, \
-          and 1 for each of 4 couriers); lower floors or raise connections"]
+        messages(std::slice::from_ref(&valid), 4),
+        [
+            "$.fleet.budgets[0].tenants: the floors of destination 1 add up to 11, more than its 10 connections \
+          (7 for tenants, and 1 for each of 4 couriers); lower the floors or raise connections"
+        ]
     );
-    let wrong = |tenants| messages(&[budget(1, 10, 0, tenants)], 3);
+    let tenant_messages = |tenants| messages(&[budget(1, 10, 0, tenants)], 3);
     for weight in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e7] {
-        let messages = wrong(vec![tenant("a", weight, 0, None)]);
+        let messages = tenant_messages(vec![tenant("a", weight, 0, None)]);
         assert_eq!(messages.len(), 1, "{weight}");
         assert!(messages[0].starts_with("$.fleet.budgets[0].tenants[0].weight: "), "{}", messages[0]);
         assert!(
-            messages[0].contains("tenant \"a\"") && messages[0].contains("say 0.000001"),
+            messages[0].contains("tenant \"a\"") && messages[0].contains("set 0.000001"),
             "{}",
             messages[0]
         );
     }
-    let path = |messages: Vec<String>| {
-        messages.into_iter().map(|t| t.split(": ").next().unwrap().to_string()).collect()
+    let paths_of = |messages: Vec<String>| {
+        messages.into_iter().map(|message| message.split(": ").next().unwrap().to_string()).collect()
     };
-    let paths: Vec<String> = path(wrong(vec![
+    let paths: Vec<String> = paths_of(tenant_messages(vec![
         tenant("a", 1.0, 3, Some(2)),
         tenant("a", 1.0, 0, Some(0)),
         tenant("", 1.0, 0, None),
     ]));
-    let at = "$.fleet.budgets[0].tenants";
-    let wanted = ["[0].ceiling", "[1].name", "[1].ceiling", "[2].name"].map(|m| format!("{at}{m}"));
-    assert_eq!(paths, wanted);
+    let list_path = "$.fleet.budgets[0].tenants";
+    let expected =
+        ["[0].ceiling", "[1].name", "[1].ceiling", "[2].name"].map(|field| format!("{list_path}{field}"));
+    assert_eq!(paths, expected);
     let calls = Budget { calls: Some(5), ..budget(2, 0, 0, vec![]) };
-    let paths: Vec<String> = path(messages(&[good.clone(), good, calls], 3));
+    let paths: Vec<String> = paths_of(messages(&[valid.clone(), valid, calls], 3));
     assert_eq!(
         paths,
         ["$.fleet.budgets[1].dest", "$.fleet.budgets[2].connections", "$.fleet.budgets[2].span_ms"]
@@ -83,31 +86,31 @@
 proptest! {
     #![proptest_config(fixed(2000))]
 
-    /// Any commands in any order: the sum grows only within the budget, and what a courier holds is taken
-    /// from it by nothing but its own confirmation or its end.
+    /// For any sequence of commands, the sum of connections grows only within the budget. A courier's share shrinks
+    /// only after its own confirmation, or when the share has expired.
     #[test]
     fn no_command_grants_what_the_budget_lacks(commands in prop::collection::vec(command(), 1..60)) {
         let mut budget_state = BudgetState::default();
         for command in &commands {
             let before = budget_state.committed(1);
-            let old = budget_state.clone();
+            let old_state = budget_state.clone();
             let events = budget_state.apply(command);
             let (after, budget) = (budget_state.committed(1), budget_state.partner(1).map_or(0, |p| p.connections));
             prop_assert!(after <= before.max(u64::from(budget)), "{before} to {after} by {command:?}");
             if events.iter().any(|e| matches!(e, BudgetEvent::Rejected { .. })) {
                 prop_assert_eq!(before, after);
             }
-            for (_, partner) in old.partners() {
+            for (_, partner) in old_state.partners() {
                 for courier in ["a", "b", "c"] {
-                    let Some(epoch) = old.member(courier).map(|m| m.epoch) else { continue };
+                    let Some(epoch) = old_state.member(courier).map(|m| m.epoch) else { continue };
                     for (tenant, old_share) in partner.shares(courier, epoch) {
-                        let now = budget_state.partner(1).map(|p| p.share(courier, epoch, tenant));
-                        let now = now.unwrap_or_default();
+                        let new_share = budget_state.partner(1).map(|p| p.share(courier, epoch, tenant));
+                        let new_share = new_share.unwrap_or_default();
                         let ended = matches!(command, BudgetCommand::Expired { .. } | BudgetCommand::Aged { .. });
                         let is_confirmed = matches!(command, BudgetCommand::Released { number, to, .. }
-                            if *number == old_share.number && old_share.recalled.is_some() && now.granted >= *to);
-                        let is_covered = now.granted >= old_share.granted || ended || is_confirmed;
-                        prop_assert!(is_covered, "{old_share:?} {now:?} by {command:?}");
+                            if *number == old_share.number && old_share.recalled.is_some() && new_share.granted >= *to);
+                        let is_valid = new_share.granted >= old_share.granted || ended || is_confirmed;
+                        prop_assert!(is_valid, "{old_share:?} {new_share:?} by {command:?}");
                     }
                 }
             }
@@ -131,11 +134,11 @@
     budget_state.apply(&BudgetCommand::Joined { courier: "a".into(), epoch: 1 });
     assert_eq!(budget_state.apply(&set(5)).len(), 1);
     let [BudgetEvent::Recalled { number, .. }] = budget_state.apply(&set(2))[..] else {
-        panic!("a recall is wanted")
+        panic!("the lower target causes no recall")
     };
-    assert_eq!(budget_state.committed(1), 5, "a recall that is proposed is not met");
+    assert_eq!(budget_state.committed(1), 5, "an unconfirmed recall frees nothing");
     budget_state.apply(&released(number, 4));
-    assert_eq!(budget_state.committed(1), 4, "it may be met in parts");
+    assert_eq!(budget_state.committed(1), 4, "a recall may be confirmed in steps");
     budget_state.apply(&released(number, 2));
     budget_state.apply(&set(5));
     budget_state.apply(&set(2));
@@ -157,9 +160,9 @@
     });
     budget_state.apply(&joined(1));
     budget_state.apply(&set(1, 4));
-    assert_eq!(budget_state.committed(1), 6, "a floor that an earlier life may use counts beside");
+    assert_eq!(budget_state.committed(1), 6, "a floor that an earlier process may use counts in addition");
     budget_state.apply(&BudgetCommand::Aged { courier: "a".into(), epoch: 1 });
-    assert_eq!(budget_state.committed(1), 4, "the floor is part of what is granted");
+    assert_eq!(budget_state.committed(1), 4, "the grants use the floor first");
     budget_state.apply(&joined(2));
     budget_state.apply(&set(2, 9));
     assert_eq!(budget_state.committed(1), 9);
@@ -169,7 +172,7 @@
         budget_state.apply(&set(2, 6)),
         [BudgetEvent::Rejected { reason: state::BudgetRejection::Epoch }]
     );
-    assert_eq!(budget_state.committed(1), 9, "a lapsed courier's connections may be open yet");
+    assert_eq!(budget_state.committed(1), 9, "connections of a lapsed courier may still be open");
     budget_state.apply(&BudgetCommand::Expired { courier: "a".into(), epoch: 2 });
-    assert_eq!(budget_state.committed(1), 2, "its floor is kept");
+    assert_eq!(budget_state.committed(1), 2, "the floor remains reserved");
 }
--- a/courier/fleet/tests/parts/calls.rs
+++ b/courier/fleet/tests/parts/calls.rs
@@ -45,14 +45,14 @@
             Ok(permit) => {
                 assert!(told.take().is_none_or(|at| now >= at && now < at + 10_000), "what was told is true");
                 assert!(
-                    permit.begin == PermitKind::Reuse || gate.connections.confirm_open(1, permit.conn, now)
+                    permit.kind == PermitKind::Reuse || gate.connections.confirm_open(1, permit.conn, now)
                 );
                 gate.connections.released(&permit, now);
                 begun.push(now);
             }
             Err(refusal) => {
                 assert!(BudgetGate::is_rate_limited(&refusal));
-                told = Some(told.unwrap_or(now + refusal.after));
+                told = Some(told.unwrap_or(now + refusal.retry_after));
             }
         }
     }
--- a/courier/program/src/fleet/budget.rs
+++ b/courier/program/src/fleet/budget.rs
@@ -95,7 +95,7 @@
                 self.return_permit(&permit);
                 return None;
             }
-            let permit = match permit.begin {
+            let permit = match permit.kind {
                 PermitKind::Open => {
                     if !self.gate(|gate, now| gate.connections.confirm_open(dest, permit.conn, now)) {
                         continue;
@@ -128,7 +128,7 @@
 
     /// Returns a permit that was not used: nothing was opened or written.
     fn return_permit(&self, permit: &Permit) {
-        let orders = self.gate(|gate, now| match permit.begin {
+        let orders = self.gate(|gate, now| match permit.kind {
             PermitKind::Open => {
                 gate.connections.closed(permit.dest, permit.conn, now);
                 Vec::new()
--- a/courier/program/src/fleet/budget/queue.rs
+++ b/courier/program/src/fleet/budget/queue.rs
@@ -59,7 +59,7 @@
                     self.calls.pop_front();
                 }
                 Err(refusal) => {
-                    self.retry_after = refusal.after;
+                    self.retry_after = refusal.retry_after;
                     break;
                 }
             }
