--- a/courier/fleet/src/replication/mod.rs
+++ b/courier/fleet/src/replication/mod.rs
@@ -1,11 +1,11 @@
 //! Replication of a courier's journal to other couriers.
 //!
-//! The replicated bytes are the owner's journal, byte for byte. A write counts once it is at every replica of the agreed
-//! set, so that each of them has all that counts. A journal that is compacted begins a new generation; a replica puts it
-//! in the place of the one before in one step, when it is complete.
+//! A replica is a byte-for-byte copy of the owner's journal. A write is acknowledged once every replica of the
+//! committed set has it, so each of them has all acknowledged records. Compaction of a journal begins a new
+//! generation. A replica replaces the previous generation atomically once it has the new one completely.
 //!
-//! The owner's side is [`JournalReplicator`], which knows each replica's progress and sends pages; the other side is
-//! [`JournalReplica`], which appends the pages to a store until the journal is sealed.
+//! The owner's side is [`JournalReplicator`], which tracks the progress of each replica and sends pages. The replica's
+//! side is [`JournalReplica`], which appends the pages to a store until the journal is sealed.
 
 mod progress;
 mod replica;
--- a/courier/fleet/src/replication/progress.rs
+++ b/courier/fleet/src/replication/progress.rs
@@ -1,60 +1,60 @@
-//! The progress of one replica, as the owner knows it: what was sent, what is replicated, and when to send again.
+//! The progress of one replica as tracked by the owner: the next page, the replicated offset, and the retry time.
 
 use crate::message::ReplicaPosition;
 use quillmount_policy::Micros;
 
-/// Backoff before a page that is not acknowledged is sent again; connections between couriers answer in milliseconds.
+/// The first backoff before an unacknowledged page is sent again. Couriers normally acknowledge within milliseconds.
 const INITIAL_BACKOFF: Micros = 200_000;
-/// The longest backoff: a page that can never be acknowledged is sent this often.
+/// The longest backoff, and so the interval at which a page that can't be acknowledged is sent again.
 const MAX_BACKOFF: Micros = 1_000_000;
 
-/// The journal as it stands at the owner.
+/// The current generation and length of the owner's journal.
 #[derive(Clone, Copy)]
 pub(super) struct JournalExtent {
     pub(super) generation: u64,
-    /// The first bytes of this generation, which replace the generation before once they are complete.
+    /// The number of bytes that a replica needs of this generation before it replaces the previous one.
     pub(super) complete_len: u64,
-    /// Bytes written before this generation, since the process started.
+    /// Bytes written in earlier generations since the process started.
     pub(super) previous_bytes: u64,
-    /// Bytes of this generation.
+    /// The length of this generation in bytes.
     pub(super) len: u64,
 }
 
 impl JournalExtent {
-    /// The offset of the end: it grows with each record.
+    /// The offset of the journal's end, which grows with each record.
     pub(super) fn written(&self) -> u64 {
         self.previous_bytes + self.len
     }
 }
 
-/// One replica's progress.
+/// The replication progress of one replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Progress {
-    /// Bytes of this generation that it has, staged ones included; the next page begins here.
+    /// The end of the bytes that the replica has of this generation, including staged ones. The next page begins here.
     next: ReplicaPosition,
-    /// All up to this offset is in its store.
+    /// The offset up to which the replica's store has everything.
     pub(super) replicated: u64,
-    /// Its store has this generation, complete.
+    /// Whether the replica's store has this generation completely.
     has_generation: bool,
-    /// Its store has had a complete generation.
+    /// Whether the replica's store has ever had a complete generation.
     pub(super) ever_complete: bool,
-    /// A page is in flight, and is sent again at this time.
+    /// When the page in flight is sent again; `None` if no page is in flight.
     pub(super) retry_at: Option<Micros>,
     backoff: Micros,
-    /// When it last acknowledged anything new, had everything, or became a replica.
+    /// When the replica last acknowledged new bytes, was caught up, or was added.
     progressed_at: Micros,
 }
 
 /// The page to send to a replica.
 pub(super) struct NextPage {
-    /// Where in the generation it begins.
+    /// The offset of the page in the generation.
     pub(super) offset: u64,
-    /// How many bytes the generation has to have before it replaces the one before.
+    /// The number of bytes that the replica needs before this generation replaces the previous one.
     pub(super) complete_len: u64,
 }
 
 impl Progress {
-    /// A replica of which nothing is known.
+    /// The progress of a replica that has not acknowledged anything yet.
     pub(super) fn new(now: Micros) -> Progress {
         Progress {
             next: ReplicaPosition::default(),
@@ -67,13 +67,13 @@
         }
     }
 
-    /// For how long it has not acknowledged anything new, though something is written that it does not have.
+    /// The time since the replica last made progress; 0 if it is caught up.
     pub(super) fn lag(&self, written: u64, now: Micros) -> Micros {
         let is_caught_up = self.has_generation && self.replicated == written;
         if is_caught_up { 0 } else { now.saturating_sub(self.progressed_at) }
     }
 
-    /// The replica has acknowledged what its store has, and what is staged.
+    /// Handles an acknowledgement of the stored and the staged position.
     pub(super) fn acknowledged(
         &mut self,
         position: ReplicaPosition,
@@ -84,7 +84,8 @@
         let is_current = |position: &ReplicaPosition| position.generation == extent.generation;
         let next = [staged, position].into_iter().find(is_current).unwrap_or_default();
         if (is_current(&position) && position.len > extent.len) || next.len > extent.len {
-            // No replica has more than its owner; an acknowledgement to an earlier process may say so.
+            // A replica can't have more bytes than its owner, so this acknowledgement was meant for an earlier
+            // process.
             return;
         }
         self.has_generation = is_current(&position) && position.len >= extent.complete_len;
@@ -102,7 +103,7 @@
         self.retry_at = None;
     }
 
-    /// The page to send now, if any; it is in flight then.
+    /// Returns the page to send now, if any, and marks it as in flight.
     pub(super) fn next_page(&mut self, extent: JournalExtent, now: Micros) -> Option<NextPage> {
         if self.next.generation != extent.generation {
             self.next = ReplicaPosition { generation: extent.generation, len: 0 };
@@ -110,7 +111,7 @@
         }
         let is_complete = self.has_generation && self.next.len == extent.len;
         if is_complete {
-            // It lags from the next record on, however long there has been none.
+            // The lag is measured from the next record, however long ago the last one was written.
             self.progressed_at = now;
         }
         if is_complete || self.retry_at.is_some_and(|retry_at| now < retry_at) {
@@ -120,7 +121,8 @@
             self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
         }
         self.retry_at = Some(now + self.backoff);
-        // A replica that begins a generation may have had all of the one before, and must not have less meanwhile.
+        // A replica that starts a new generation may have had the previous one completely. It retains that one until
+        // it has all of the new one, so that it never has less than before.
         let complete_len = if self.has_generation { extent.complete_len } else { extent.len };
         Some(NextPage { offset: self.next.len, complete_len })
     }
--- a/courier/fleet/src/replication/replica.rs
+++ b/courier/fleet/src/replication/replica.rs
@@ -1,4 +1,4 @@
-//! The replica's side of replication: another courier's journal in a store of this one.
+//! The replica's side of replication: stores the journal of another courier.
 
 use crate::breaks::{self, Break};
 use crate::message::{PAGE_BYTES, ReplicaPosition};
@@ -7,24 +7,24 @@
 use quillmount_core::store::Store;
 use std::io;
 
-/// Bytes of one replica, at most: four times the largest share of a disk that a journal has had.
+/// Upper limit of the size of one replica in bytes. It is four times the largest disk space of a journal so far.
 pub const MAX_REPLICA_BYTES: u64 = 64 << 20;
 
-/// What a replica acknowledges to the journal's owner.
+/// An acknowledgement from a replica to the journal's owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaAcknowledgement {
-    /// What its store has.
+    /// The position up to which the store has the journal.
     pub stored: ReplicaPosition,
-    /// What it has of a generation that is not complete yet.
+    /// The position up to which a generation that isn't complete yet is staged.
     pub staged: ReplicaPosition,
 }
 
 /// A page of a sealed journal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaPage {
-    /// Bytes of the journal.
+    /// The length of the whole journal in bytes.
     pub journal_len: u64,
-    /// Bytes of the page; fewer than a full page at the journal's end.
+    /// The content of the page, which is shorter than a full page at the journal's end.
     pub bytes: Bytes,
 }
 
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug)]
 pub struct JournalReplica<S> {
     store: S,
-    /// What of which generation the store has; the default while the generation is not known.
+    /// The stored generation and its length; the default while the generation is unknown.
     position: ReplicaPosition,
     /// The first bytes of a generation that is not complete yet.
     staged: Vec<u8>,
@@ -41,13 +41,14 @@
 }
 
 impl<S: Store> JournalReplica<S> {
-    /// The replica that the store has. Only a complete journal changes it from here on, as its generation is not known.
+    /// Opens the replica in a store. Its generation is unknown, so it accepts only a complete generation
+    /// from its owner.
     ///
     /// # Errors
-    /// The store can't be read.
+    /// Returns an error if the store can't be read.
     pub fn open(mut store: S) -> io::Result<Self> {
         let bytes = store.read()?;
-        let sealed = sealed_at(&bytes).is_some();
+        let sealed = seal_offset(&bytes).is_some();
         Ok(JournalReplica {
             store,
             position: ReplicaPosition::default(),
@@ -57,63 +58,63 @@
         })
     }
 
-    /// The bytes that it uses, in the store and staged.
+    /// The number of bytes that the replica uses, in the store and staged.
     pub fn used_bytes(&self) -> u64 {
         self.store.len() + self.staged.len() as u64
     }
 
-    /// Whether it accepts no more bytes.
+    /// Whether the replica is sealed and accepts no more bytes from the owner.
     pub fn is_sealed(&self) -> bool {
         self.sealed
     }
 
-    /// Appends a page of the owner's; returns the acknowledgement. `None`: the replica is sealed, and nothing is
-    /// acknowledged.
+    /// Appends a page from the owner and returns the acknowledgement, or `None` if the replica is sealed and
+    /// acknowledges nothing.
     ///
     /// # Errors
-    /// The store fails: nothing is acknowledged.
+    /// Returns an error if the store fails; nothing is acknowledged in that case.
     pub fn append(
         &mut self,
         generation: u64,
         complete_len: u64,
-        at: u64,
+        offset: u64,
         bytes: &[u8],
     ) -> io::Result<Option<ReplicaAcknowledgement>> {
         if self.sealed && !breaks::is_enabled(Break::SealIgnored) {
             return Ok(None);
         }
-        if at + bytes.len() as u64 > MAX_REPLICA_BYTES {
+        if offset + bytes.len() as u64 > MAX_REPLICA_BYTES {
             return Ok(Some(self.acknowledgement()));
         }
         if generation == self.position.generation && generation != 0 {
-            self.append_to_store(at, bytes)?;
+            self.append_to_store(offset, bytes)?;
         } else if generation > self.position.generation {
-            self.stage(generation, complete_len, at, bytes)?;
+            self.stage(generation, complete_len, offset, bytes)?;
         }
         Ok(Some(self.acknowledgement()))
     }
 
-    fn append_to_store(&mut self, at: u64, bytes: &[u8]) -> io::Result<()> {
-        let known = self.position.len.saturating_sub(at) as usize;
-        if at <= self.position.len && known < bytes.len() {
-            self.store.append(&bytes[known..])?;
-            self.position.len += (bytes.len() - known) as u64;
+    fn append_to_store(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()> {
+        let already_present = self.position.len.saturating_sub(offset) as usize;
+        if offset <= self.position.len && already_present < bytes.len() {
+            self.store.append(&bytes[already_present..])?;
+            self.position.len += (bytes.len() - already_present) as u64;
         }
         Ok(())
     }
 
-    /// Stages bytes of a later generation, which replaces the store's once it is complete.
-    fn stage(&mut self, generation: u64, complete_len: u64, at: u64, bytes: &[u8]) -> io::Result<()> {
+    /// Stages bytes of a later generation, which replaces the stored one once it is complete.
+    fn stage(&mut self, generation: u64, complete_len: u64, offset: u64, bytes: &[u8]) -> io::Result<()> {
         if generation != self.staged_generation {
             (self.staged_generation, self.staged) = (generation, Vec::new());
         }
         let staged = self.staged.len() as u64;
-        if at > staged {
+        if offset > staged {
             return Ok(());
         }
-        let known = (staged - at) as usize;
-        if known < bytes.len() {
-            self.staged.extend_from_slice(&bytes[known..]);
+        let already_present = (staged - offset) as usize;
+        if already_present < bytes.len() {
+            self.staged.extend_from_slice(&bytes[already_present..]);
         }
         if self.staged.len() as u64 >= complete_len {
             self.store.replace(&self.staged)?;
@@ -128,10 +129,10 @@
         ReplicaAcknowledgement { stored: self.position, staged }
     }
 
-    /// Accepts nothing of the owner's from here on, even after a restart.
+    /// Seals the replica: it accepts nothing more from the owner, even after a restart.
     ///
     /// # Errors
-    /// The store fails: the replica is not sealed.
+    /// Returns an error if the store fails; the replica isn't sealed in that case.
     pub fn seal(&mut self) -> io::Result<()> {
         if self.sealed {
             return Ok(());
@@ -144,32 +145,32 @@
         Ok(())
     }
 
-    /// A page of the sealed journal, from this offset on.
+    /// Returns the page of the sealed journal that begins at `offset`.
     ///
     /// # Errors
-    /// The store can't be read.
-    pub fn page(&mut self, at: u64) -> io::Result<ReplicaPage> {
+    /// Returns an error if the store can't be read.
+    pub fn page(&mut self, offset: u64) -> io::Result<ReplicaPage> {
         let bytes = self.store.read()?;
-        let from = (at as usize).min(bytes.len());
-        let to = bytes.len().min(from + PAGE_BYTES);
-        let page = Bytes::copy_from_slice(&bytes[from..to]);
+        let start = (offset as usize).min(bytes.len());
+        let end = bytes.len().min(start + PAGE_BYTES);
+        let page = Bytes::copy_from_slice(&bytes[start..end]);
         Ok(ReplicaPage { journal_len: bytes.len() as u64, bytes: page })
     }
 
-    /// Moves the journal to the store of another epoch, under which its owner continues. What it has stays until the owner
-    /// has sent it again.
+    /// Moves the journal to the store of another epoch, under which its owner continues. The content is retained until
+    /// the owner has sent it again.
     ///
     /// # Errors
-    /// A store can't be read or written.
+    /// Returns an error if a store can't be read or written.
     pub fn rename(mut self, mut store: S) -> io::Result<JournalReplica<S>> {
         let bytes = self.store.read()?;
-        let end = sealed_at(&bytes).unwrap_or(bytes.len());
+        let end = seal_offset(&bytes).unwrap_or(bytes.len());
         store.replace(&bytes[..end])?;
         JournalReplica::open(store)
     }
 }
 
-/// Where the record that seals a journal begins, if it has one.
-fn sealed_at(bytes: &[u8]) -> Option<usize> {
-    Records::new(bytes).find(|(_, record)| matches!(record, JournalRecord::Sealed)).map(|(at, _)| at)
+/// Returns the offset of the record that seals the journal, if there is one.
+fn seal_offset(bytes: &[u8]) -> Option<usize> {
+    Records::new(bytes).find(|(_, record)| matches!(record, JournalRecord::Sealed)).map(|(offset, _)| offset)
 }
--- a/courier/fleet/src/replication/replicator.rs
+++ b/courier/fleet/src/replication/replicator.rs
@@ -1,4 +1,4 @@
-//! The owner's side of replication: the journal's bytes, and each replica's progress.
+//! The owner's side of replication: the bytes of the journal, and the progress of each replica.
 
 use super::progress::{JournalExtent, NextPage, Progress};
 use crate::config::Name;
@@ -8,23 +8,24 @@
 use quillmount_policy::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Replicates one journal. Offsets count all bytes that were written since the process started, over all generations.
+/// Replicates one journal. Offsets count all bytes written since the process started, in all generations.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JournalReplicator {
-    /// The journal that is replicated.
+    /// The id of the replicated journal.
     pub journal: JournalId,
-    /// All of the present generation.
+    /// The content of the current generation.
     bytes: Vec<u8>,
     generation: u64,
-    /// The first bytes of this generation, which replace the generation before once they are complete.
+    /// The number of bytes that a replica needs of this generation before it replaces the previous one.
     complete_len: u64,
-    /// Bytes written before this generation, since the process started.
+    /// Bytes written in earlier generations since the process started.
     previous_bytes: u64,
     replicas: BTreeMap<Name, Progress>,
 }
 
 impl JournalReplicator {
-    /// The journal as the process found it. Offsets count from its first byte.
+    /// Creates the replicator of a journal with the content that the process found at its start. Offsets count from
+    /// its first byte.
     pub fn new(journal: JournalId, bytes: Vec<u8>) -> Self {
         let complete_len = bytes.len() as u64;
         JournalReplicator {
@@ -46,17 +47,17 @@
         }
     }
 
-    /// The offset of the journal's end: it grows with each record.
+    /// The offset of the journal's end, which grows with each record.
     pub fn written(&self) -> u64 {
         self.extent().written()
     }
 
-    /// These bytes were appended to the journal.
+    /// Records that bytes were appended to the journal.
     pub fn appended(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The journal was compacted to these bytes: a new generation begins.
+    /// Records that the journal was compacted to `bytes`, which begins a new generation.
     pub fn replaced(&mut self, bytes: Vec<u8>) {
         self.previous_bytes = self.written();
         self.complete_len = bytes.len() as u64;
@@ -64,7 +65,7 @@
         self.generation += 1;
     }
 
-    /// Replicates to these couriers, and to no other.
+    /// Sets the couriers that have a replica; others are dropped.
     pub fn set_replicas(&mut self, names: &BTreeSet<Name>, now: Micros) {
         self.replicas.retain(|name, _| names.contains(name));
         for name in names {
@@ -72,28 +73,28 @@
         }
     }
 
-    /// The courier has another process, and perhaps another folder: nothing is known of what it has.
+    /// Discards the progress of a courier that has a new process and may have lost its folder.
     pub fn forget(&mut self, name: &str) {
         self.replicas.remove(name);
     }
 
-    /// The offset up to which each of these couriers has everything.
+    /// The offset up to which all couriers in `needed` have everything; the journal's end if `needed` is empty.
     pub fn replicated_offset(&self, needed: &BTreeSet<Name>) -> u64 {
-        let at = |name| self.replicas.get(name).map_or(0, |replica| replica.replicated);
-        needed.iter().map(at).min().unwrap_or_else(|| self.written())
+        let offset_of = |name| self.replicas.get(name).map_or(0, |replica| replica.replicated);
+        needed.iter().map(offset_of).min().unwrap_or_else(|| self.written())
     }
 
-    /// Whether a replica has had a complete journal; what was written since may be on its way.
+    /// Whether a replica has ever had the complete journal. Later records may still be in flight to it.
     pub fn has_ever_completed(&self, name: &str) -> bool {
         self.replicas.get(name).is_some_and(|replica| replica.ever_complete)
     }
 
-    /// For how long a replica has not acknowledged anything new, though it lacks something that is written.
+    /// The time in microseconds since a replica last made progress; 0 if it is caught up.
     pub fn lag(&self, name: &str, now: Micros) -> Micros {
         self.replicas.get(name).map_or(0, |replica| replica.lag(self.written(), now))
     }
 
-    /// A replica has acknowledged what its store has, and what of a generation is staged.
+    /// Handles a replica's acknowledgement of its stored and its staged position.
     pub fn acknowledged(
         &mut self,
         from: &str,
@@ -107,14 +108,14 @@
         }
     }
 
-    /// The pages to send now, with the couriers that they are for.
+    /// Returns the pages to send now, each with its recipient.
     pub fn next_pages(&mut self, now: Micros) -> Vec<(Name, FleetMessage)> {
         let extent = self.extent();
         let mut messages = Vec::new();
         for (name, replica) in &mut self.replicas {
             let Some(NextPage { offset, complete_len }) = replica.next_page(extent, now) else { continue };
-            let from = offset as usize;
-            let page = &self.bytes[from..self.bytes.len().min(from + PAGE_BYTES)];
+            let start = offset as usize;
+            let page = &self.bytes[start..self.bytes.len().min(start + PAGE_BYTES)];
             let message = FleetMessage::Append {
                 journal: self.journal.clone(),
                 generation: self.generation,
@@ -127,7 +128,7 @@
         messages
     }
 
-    /// When [`JournalReplicator::next_pages`] is wanted next.
+    /// The time at which [`JournalReplicator::next_pages`] is due next; `None` if no page is in flight.
     pub fn wake_at(&self) -> Option<Micros> {
         self.replicas.values().filter_map(|replica| replica.retry_at).min()
     }
--- a/courier/fleet/src/state/apply.rs
+++ b/courier/fleet/src/state/apply.rs
@@ -25,8 +25,7 @@
 }
 
 impl FleetState {
-    /// Applies a command and returns what it has changed. A command whose conditions do not hold any more changes
-    /// nothing.
+    /// Applies a command and returns the resulting changes. A command whose conditions no longer hold changes nothing.
     pub fn apply(&mut self, command: FleetCommand) -> Vec<FleetEvent> {
         let mut events = Vec::new();
         match command {
@@ -95,8 +94,8 @@
         }
     }
 
-    /// Whether the courier that a settlement is to be owned by serves under the given epoch. Commands that name no
-    /// new owner are always valid in this respect.
+    /// Whether the new owner that a settlement command names is a member under the given epoch. Commands without a new
+    /// owner are always valid in this respect.
     fn owner_is_serving(&self, command: &settlement::SettlementCommand) -> bool {
         match command {
             settlement::SettlementCommand::Open { owner, owner_epoch, .. } => {
@@ -113,7 +112,7 @@
 
     fn join(&mut self, request: JoinRequest, events: &mut Vec<FleetEvent>) {
         let former = self.members.get(&request.name).cloned();
-        // A repeated request of the same process, as a reply may have been lost.
+        // The same process may repeat its request if the reply was lost.
         if former.as_ref().is_some_and(|former| former.serving && request.is_of(former)) {
             return;
         }
@@ -125,7 +124,7 @@
         if former.as_ref().is_some_and(|former| former.node_id != request.node_id)
             && !breaks::is_enabled(Break::EmptyReplicaTrusted)
         {
-            // Its folder is lost, and all replicas in it.
+            // A new node id means that the courier lost its folder with all replicas in it.
             self.drop_replicas_at(&request.name, true, events);
         }
         let former_journal =
@@ -150,8 +149,8 @@
         self.assign_partitions(events);
     }
 
-    /// Whether a courier that has a journal of the lineage `lineage` in its folder goes on with the journal `id`: if
-    /// it is that one, and nobody has adopted any of it.
+    /// Whether a courier with a journal of the lineage `lineage` in its folder continues the journal `id`. It does if
+    /// the lineage is that of `id` and no partition of the journal has been adopted.
     fn is_retained(&self, id: &JournalId, lineage: Option<Epoch>) -> bool {
         let Some(journal) = self.journals.get(id) else { return false };
         lineage == Some(journal.lineage)
@@ -160,7 +159,7 @@
             })
     }
 
-    /// The owner goes on with its journal under a new epoch.
+    /// Continues the owner's journal under a new epoch.
     fn rename_journal(&mut self, from: &JournalId, epoch: Epoch, events: &mut Vec<FleetEvent>) {
         let to = JournalId { owner: from.owner.clone(), epoch };
         if let Some(mut journal) = self.journals.remove(from) {
@@ -174,7 +173,8 @@
         events.push(FleetEvent::Renamed { from: from.clone(), to });
     }
 
-    /// The courier begins a new journal. A former one that never had replicas is forgotten: nobody can read it.
+    /// Creates a new journal for the courier. A former journal that never had replicas is removed, because no other
+    /// courier can read it.
     fn begin_journal(&mut self, name: &Name, epoch: Epoch, events: &mut Vec<FleetEvent>) {
         if let Some(former) = self.members.get(name).cloned() {
             if former.serving {
@@ -192,7 +192,7 @@
         );
     }
 
-    /// A courier that goes on with its journal goes on with its takeovers, too.
+    /// Transfers the takeovers of a courier that continues its journal to its new epoch.
     fn reassign_partitions(&mut self, name: &str, from: Epoch, to: Epoch) {
         let partitions = self.journals.values_mut().filter_map(|journal| journal.sealed.as_mut()).flatten();
         for partition in partitions {
@@ -207,12 +207,13 @@
         }
     }
 
-    /// Removes a courier from the replicas. Its replicas of sealed journals stay listed, as they may be needed when it
-    /// is back, unless its folder is lost (`lost`).
+    /// Removes a courier from the replicas. Its replicas of sealed journals stay listed, because they may be needed
+    /// when the courier returns, unless its folder is lost (`lost`).
     fn drop_replicas_at(&mut self, name: &str, lost: bool, events: &mut Vec<FleetEvent>) {
         let affected = self.journals.iter_mut().filter(|(_, journal)| lost || journal.sealed.is_none());
         for (id, journal) in affected {
-            // An owner that does not know of the loss yet may propose the lost replica: the new version voids that.
+            // An owner that doesn't know of the loss yet may propose the lost replica; the new version invalidates
+            // that.
             let may_be_requested = lost && journal.sealed.is_none() && journal.version > 0;
             if journal.replicas.remove(name) || may_be_requested {
                 journal.version += 1;
@@ -230,7 +231,7 @@
         events.push(FleetEvent::Deregistered { name: name.into(), epoch });
         self.drop_replicas_at(name, false, events);
         let id = JournalId { owner: name.into(), epoch };
-        // A journal that never had a replica can't be taken over: it stays its owner's.
+        // A journal that never had a replica can't be taken over, so it stays with its owner.
         if let Some(journal) = self.journals.get_mut(&id).filter(|journal| journal.version > 0) {
             journal.sealed = Some(vec![PartitionState::Unassigned; PARTITIONS]);
             events.push(FleetEvent::Sealed(id));
@@ -245,7 +246,7 @@
         self.assign_partitions(events);
     }
 
-    /// A courier that goes on with its journal owns its settlements again.
+    /// Restores the ownership of settlements to a courier that continues its journal.
     fn reclaim_settlements(&mut self, name: &str, from: Epoch, to: Epoch, events: &mut Vec<FleetEvent>) {
         let journals = &self.journals;
         let read = |journal: &settlement::JournalRef, dest: u64| {
@@ -257,17 +258,18 @@
         events.extend(self.settlements.reclaim(name, from, to, read).into_iter().map(FleetEvent::Settlement));
     }
 
-    /// Assigns unassigned partitions and lost settlements to serving couriers, by rendezvous hashing of the partition's
-    /// number: each message gets exactly one courier, and the load is spread.
+    /// Assigns unassigned partitions and lost settlements to serving couriers by rendezvous hashing of the partition's
+    /// number, so that each message has exactly one courier and the load is distributed.
     fn assign_partitions(&mut self, events: &mut Vec<FleetEvent>) {
         let serving: Vec<(Name, Epoch)> =
             self.serving_members().map(|(name, member)| (name.clone(), member.epoch)).collect();
         for (id, journal) in &mut self.journals {
-            for (n, partition) in journal.sealed.iter_mut().flatten().enumerate() {
-                let best = serving.iter().max_by_key(|(name, _)| rendezvous_weight(&n.to_le_bytes(), name));
+            for (index, partition) in journal.sealed.iter_mut().flatten().enumerate() {
+                let best =
+                    serving.iter().max_by_key(|(name, _)| rendezvous_weight(&index.to_le_bytes(), name));
                 if let (PartitionState::Unassigned, Some((name, epoch))) = (&*partition, best) {
                     *partition = PartitionState::Assigned(name.clone(), *epoch);
-                    events.push(FleetEvent::Assigned(PartitionId { journal: id.clone(), partition: n }));
+                    events.push(FleetEvent::Assigned(PartitionId { journal: id.clone(), partition: index }));
                 }
             }
         }
@@ -285,8 +287,8 @@
         );
     }
 
-    /// Forgets journals of which all partitions are done. What such a journal had adopted itself is done with it: its
-    /// partitions took those records along. That may complete other journals in turn.
+    /// Removes journals whose partitions are all done. Partitions that such a journal had adopted are done as well,
+    /// because its own partitions included their records. That may complete further journals.
     fn retire_completed(&mut self, events: &mut Vec<FleetEvent>) {
         loop {
             let complete = self.journals.iter().find(|(_, journal)| journal.is_complete());
--- a/courier/fleet/src/state/command.rs
+++ b/courier/fleet/src/state/command.rs
@@ -1,4 +1,4 @@
-//! The commands that change the replicated state, and the events that say what they have changed.
+//! The commands that change the replicated state, and the events that describe the changes.
 
 use super::{Epoch, JournalId, PartitionId};
 use crate::NodeId;
@@ -9,53 +9,53 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// A change of the replicated state. Each names the conditions under which it is valid, so that a late or repeated one
-/// changes nothing.
+/// A change of the replicated state. Each command has the conditions under which it is valid, so that a late or
+/// duplicated command changes nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FleetCommand {
-    /// A courier's process has started and wants to be registered.
+    /// A courier's process has started and requests a registration.
     Join {
-        /// The courier.
+        /// The courier's name.
         name: Name,
-        /// Its id in the agreement.
+        /// The courier's id in the consensus group.
         node_id: NodeId,
-        /// Random number of the process.
+        /// A random number that identifies the process.
         incarnation: u64,
-        /// Lineage of the journal in its folder, if there is one.
+        /// The lineage of the journal in the courier's folder, if there is one.
         journal: Option<Epoch>,
     },
-    /// A courier's lease has expired, or it leaves: its journal is sealed.
+    /// A courier's lease has expired, or the courier leaves the fleet. Its journal is sealed.
     Deregister {
-        /// The courier.
+        /// The courier's name.
         name: Name,
-        /// The registration that ends.
+        /// The number of the registration that ends.
         epoch: Epoch,
     },
-    /// A journal's owner wants these replicas.
+    /// A journal's owner requests a set of replicas.
     SetReplicas {
-        /// The journal.
+        /// The id of the journal.
         journal: JournalId,
-        /// The version that the owner knows.
+        /// The version of the replica set on which the request is based.
         version: u64,
-        /// The wanted replicas.
+        /// The requested replicas.
         replicas: BTreeSet<Name>,
     },
-    /// A partition's records are in the journal of the courier that it is assigned to.
+    /// The courier to which a partition is assigned has the partition's records in its own journal.
     Adopted {
-        /// The partition.
+        /// The partition of the sealed journal.
         source: PartitionId,
-        /// The courier.
+        /// The adopting courier.
         by: Name,
-        /// The courier's registration.
+        /// The epoch of the adopting courier.
         epoch: Epoch,
     },
     /// The adopting courier's journal records the adoption.
     Done {
-        /// The partition.
+        /// The partition of the sealed journal.
         source: PartitionId,
-        /// The courier.
+        /// The adopting courier.
         by: Name,
-        /// The courier's registration.
+        /// The epoch of the adopting courier.
         epoch: Epoch,
     },
     /// A change of a partner's budget.
@@ -64,46 +64,46 @@
     Settlement(settlement::SettlementCommand),
 }
 
-/// What a command has changed in the replicated state.
+/// A change that a command has made to the replicated state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FleetEvent {
-    /// A courier is registered.
+    /// A courier was registered.
     Joined {
-        /// The courier.
+        /// The courier's name.
         name: Name,
-        /// Number of the registration.
+        /// The number of the registration.
         epoch: Epoch,
-        /// Random number of its process.
+        /// A random number that identifies the courier's process.
         incarnation: u64,
-        /// Whether the journal in its folder is still its own.
+        /// Whether the courier continues the journal in its folder.
         retained: bool,
     },
     /// A courier's registration has ended.
     Deregistered {
-        /// The courier.
+        /// The courier's name.
         name: Name,
-        /// Number of the registration.
+        /// The number of the registration.
         epoch: Epoch,
     },
-    /// A journal has a new epoch, as its owner goes on with it in a new process.
+    /// A journal has a new epoch, because its owner continues it in a new process.
     Renamed {
-        /// Its former id.
+        /// The former id of the journal.
         from: JournalId,
-        /// Its id now.
+        /// The new id of the journal.
         to: JournalId,
     },
-    /// A journal is sealed: its owner may not write it any more.
+    /// A journal was sealed, and its owner must no longer write to it.
     Sealed(JournalId),
-    /// A journal has other replicas, or another version.
+    /// The replicas of a journal or their version have changed.
     ReplicasChanged(JournalId),
-    /// A partition is assigned to another courier, or to the first one.
+    /// A partition was assigned to a courier.
     Assigned(PartitionId),
-    /// A partition is adopted by this courier under this epoch.
+    /// A partition was adopted by this courier under this epoch.
     Adopted(PartitionId, Name, Epoch),
-    /// A journal is forgotten: all of its partitions are done, or it never had replicas.
+    /// A journal was removed because all of its partitions are done or it never had replicas.
     Retired(JournalId),
-    /// Couriers' shares of partners' budgets have changed.
+    /// A budget or a courier's share of it has changed.
     BudgetsChanged,
-    /// A settlement has changed.
+    /// The state of a settlement has changed.
     Settlement(settlement::SettlementEvent),
 }
