--- a/tier/batch/tests/shard.rs
+++ b/tier/batch/tests/shard.rs
@@ -1,10 +1,10 @@
-//! Operations, results and repair of a shard.
+//! Operations, results and repair of the jobs of a shard.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use quillmount_batch::{JobDifference, ShardJobs, StoreRecord, different_buckets};
 use quillmount_wire::messages::{Item, ItemResult, Job, JobState, Phase, ShardOperation};
 
-/// A job with so many items.
+/// A job with `items` items.
 fn job(id: &str, items: usize) -> Job {
     let item = |number: usize| Item {
         id: format!("{id}-{number}"),
@@ -23,12 +23,10 @@
     }
 }
 
-/// The final result of an item.
 fn result(item: u32, text: &str) -> ItemResult {
     ItemResult { item, phase: Phase::Done, text: text.to_owned() }
 }
 
-/// The append of an item's result.
 fn append(job: &str, item: u32, text: &str) -> ShardOperation {
     ShardOperation::Append { job: job.to_owned(), result: result(item, text) }
 }
@@ -45,7 +43,7 @@
     assert_eq!(entry.results, [result(1, "one")]);
     assert_eq!(entry.job.items.len(), 2);
     assert!(!entry.is_complete());
-    assert_eq!(shard.next, 5);
+    assert_eq!(shard.next_operation, 5);
 }
 
 #[test]
@@ -66,27 +64,27 @@
     assert!(shard.apply_from(0, &operations));
     assert!(shard.apply_from(0, &operations));
     assert!(shard.apply_from(1, &operations[1..]));
-    assert_eq!((shard.next, shard.jobs["a"].results.len()), (2, 1));
+    assert_eq!((shard.next_operation, shard.jobs["a"].results.len()), (2, 1));
     assert!(!shard.apply_from(5, &[append("a", 1, "y")]));
-    assert_eq!(shard.next, 2);
+    assert_eq!(shard.next_operation, 2);
 }
 
 #[derive(Clone, Debug)]
 struct Operations(Vec<ShardOperation>);
 
 impl Arbitrary for Operations {
-    fn arbitrary(source: &mut Gen) -> Operations {
-        let names = ["a", "b", "c", "d", "e"];
-        let mut one = || {
-            let name = (*source.choose(&names).unwrap()).to_owned();
-            match u8::arbitrary(source) % 8 {
-                0 | 1 => ShardOperation::Submit(job(&name, 4)),
-                2 => ShardOperation::End { job: name },
-                3 => ShardOperation::Forget { job: name },
-                number => append(&name, u32::from(number % 4), &format!("text {}", u8::arbitrary(source))),
+    fn arbitrary(generator: &mut Gen) -> Operations {
+        let ids = ["a", "b", "c", "d", "e"];
+        let mut operation = || {
+            let id = (*generator.choose(&ids).unwrap()).to_owned();
+            match u8::arbitrary(generator) % 8 {
+                0 | 1 => ShardOperation::Submit(job(&id, 4)),
+                2 => ShardOperation::End { job: id },
+                3 => ShardOperation::Forget { job: id },
+                number => append(&id, u32::from(number % 4), &format!("text {}", u8::arbitrary(generator))),
             }
         };
-        Operations((0..30).map(|_| one()).collect())
+        Operations((0..30).map(|_| operation()).collect())
     }
 }
 
@@ -97,18 +95,18 @@
     shard
 }
 
-/// The jobs of a shard with their results, to be compared.
+/// The jobs of a shard with their results, for comparison.
 fn content(shard: &ShardJobs) -> Vec<JobState> {
     shard.jobs.values().map(|entry| entry.state()).collect()
 }
 
-/// Repairs `member` from `primary` by digests, as the stores do.
+/// Repairs `member` from `primary` by digests, as the stores do; returns the number of jobs sent.
 fn repair(primary: &ShardJobs, member: &mut ShardJobs) -> usize {
     let different = different_buckets(&member.buckets(), &primary.buckets());
     let JobDifference { dropped, wanted } = member.compare(&different, &primary.digests(&different));
     let jobs: Vec<JobState> = wanted.iter().map(|id| primary.jobs[id].state()).collect();
     let sent = jobs.len();
-    member.install(&dropped, jobs, Some(primary.next));
+    member.install(&dropped, jobs, Some(primary.next_operation));
     sent
 }
 
@@ -117,7 +115,7 @@
     fn equal(one: Operations, other: Operations) -> bool {
         let (primary, mut member) = (applied(&one), applied(&other));
         repair(&primary, &mut member);
-        let first = content(&primary) == content(&member) && primary.next == member.next;
+        let first = content(&primary) == content(&member) && primary.next_operation == member.next_operation;
         first && primary.buckets() == member.buckets() && repair(&primary, &mut member) == 0
     }
     QuickCheck::new().tests(300).quickcheck(equal as fn(Operations, Operations) -> bool);
@@ -133,7 +131,7 @@
             epoch: 1,
             dropped: Vec::new(),
             jobs: content(&before),
-            next: Some(before.next),
+            next: Some(before.next_operation),
         };
         let rest = StoreRecord::Operations {
             shard: 0,
@@ -147,21 +145,21 @@
         }
         let all = applied(&operations);
         content(&recovered) == content(&all)
-            && recovered.next == all.next
+            && recovered.next_operation == all.next_operation
             && recovered.buckets() == all.buckets()
     }
     QuickCheck::new().tests(300).quickcheck(same as fn(Operations, usize) -> bool);
 }
 
-/// The estimate is what the jobs take that are there, also after operations without effect: no result that a job did not take is
-/// counted.
+/// The memory estimate equals that of the same jobs installed in an empty shard. It must not count results that a
+/// job did not accept.
 #[test]
-fn bytes_are_those_of_the_same_jobs_stored_anew() {
+fn estimated_bytes_equal_those_of_the_same_jobs_installed_in_an_empty_shard() {
     fn same(operations: Operations) -> bool {
         let shard = applied(&operations);
-        let mut anew = ShardJobs::default();
-        anew.install(&[], content(&shard), None);
-        shard.bytes() == anew.bytes()
+        let mut reinstalled = ShardJobs::default();
+        reinstalled.install(&[], content(&shard), None);
+        shard.estimated_bytes() == reinstalled.estimated_bytes()
     }
     QuickCheck::new().tests(300).quickcheck(same as fn(Operations) -> bool);
 }
@@ -178,11 +176,11 @@
 }
 
 #[test]
-fn bytes_match_the_stored_jobs() {
+fn a_shard_without_jobs_has_no_estimated_bytes() {
     let mut shard = ShardJobs::default();
     shard.apply(&ShardOperation::Submit(job("a", 4)));
     shard.apply(&append("a", 0, "some text"));
-    assert!(shard.bytes() > 0);
+    assert!(shard.estimated_bytes() > 0);
     shard.apply(&ShardOperation::Forget { job: "a".to_owned() });
-    assert_eq!(shard.bytes(), 0);
+    assert_eq!(shard.estimated_bytes(), 0);
 }
--- a/tier/dataplane/tests/planes/core_side.rs
+++ b/tier/dataplane/tests/planes/core_side.rs
@@ -183,7 +183,7 @@
             history: &state.history,
             directory: &state.directory,
             leases: &state.leases,
-            max_list_age: self.machines[id].limits.published_list,
+            max_list_age: self.machines[id].limits.max_published_list_age,
             primary: &address(id),
         };
         let tables = published.newer_than(pending.poll.known_versions, now);
@@ -234,7 +234,7 @@
             // A primary that was frozen at the time of a scheduled read reads as soon as it runs again.
             let state = &machine.state;
             let missed_scheduled_read = now >= state.next_list_read
-                && !state.directory.is_current(machine.limits.published_list, now);
+                && !state.directory.is_current(machine.limits.max_published_list_age, now);
             if serving.is_some() && (missed_scheduled_read || self.is_due_every(LIST_INTERVAL)) {
                 self.machines[id].state.next_list_read = now + LIST_INTERVAL;
                 self.request_list(id, serving);
