--- a/courier/fleet/src/agreement.rs
+++ b/courier/fleet/src/agreement.rs
@@ -1,14 +1,14 @@
-//! The replicated log that all couriers agree on: Raft (Ongaro and Ousterhout, "In Search of an Understandable
-//! Consensus Algorithm", 2014) by the `raft` library, without I/O.
+//! The replicated log of a fleet: the Raft consensus algorithm (Ongaro and Ousterhout, "In Search of an Understandable
+//! Consensus Algorithm", 2014), implemented by the `raft` library and used without I/O.
 //!
-//! An [`Agreement`] has no clock, thread or socket. Its caller hands it inputs with the time
-//! ([`Agreement::step`]) and carries out the outputs in order. It writes to its [`Store`] before it returns
-//! anything that depends on what it wrote. Its random numbers come from a seed, so that a run can be repeated;
-//! it can be cloned and compared, so that its state space can be explored.
+//! An [`Agreement`] has no clock, thread or socket. The caller passes inputs with the current time to
+//! [`Agreement::step`] and carries out the outputs in order. The agreement writes to its [`Store`] before it returns
+//! an output that depends on the written data. All random numbers are derived from a seed, so a run can be repeated.
+//! An agreement can be cloned and digested, so a test can explore its state space.
 //!
-//! Modules: [`limits`](AgreementLimits), `interface` (inputs and outputs) and `error` are what the caller sees;
-//! `requests`, `ticks`, `ready` and `compaction` are the steps of the machine; `log` has the
-//! entries, `log_file` and `memory_log` store them, `wire` has the messages, `explore` copies and digests.
+//! Modules: [`limits`](AgreementLimits), `interface` (inputs and outputs) and `error` form the public interface.
+//! `requests`, `ticks`, `ready` and `compaction` implement the steps of the state machine. `log` defines the
+//! entries, `log_file` and `memory_log` store them, `wire` encodes messages, `explore` makes clones and digests.
 
 mod compaction;
 mod error;
@@ -41,73 +41,74 @@
 use log_file::{LogFile, OpenedLogFile, PersistedLog};
 use memory_log::MemoryLog;
 
-/// A proposal made here whose commit is pending.
+/// A proposal of this courier that is not committed yet.
 #[derive(Clone, Copy, Debug, Serialize)]
 struct PendingProposal {
-    /// Term of its log entry. Another entry may be committed at the same index in a later term.
+    /// Term of the proposed log entry. In a later term, another entry may be committed at the same index.
     term: u64,
-    /// The caller's number of it.
+    /// The number that the caller has given to the proposal.
     ticket: u64,
 }
 
-/// Leader and term, as they were last reported to the caller.
+/// The leader and the term that were last reported to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Leadership {
     leader: Option<NodeId>,
     term: u64,
 }
 
-/// One courier's part in the agreement.
+/// One courier's Raft node: a voter, a learner, or a courier that has not joined the Raft group yet.
 pub struct Agreement<S: Store> {
     limits: AgreementLimits,
     node_id: NodeId,
     file: LogFile<S>,
     node: RawNode<MemoryLog>,
     next_tick: Micros,
-    /// Ticks that are added to `election_ticks` before the next election: drawn for each term and each
-    /// election.
+    /// Random number of ticks that is added to `election_ticks` before the next election. A new one is drawn for
+    /// each term and for each election.
     election_jitter: usize,
-    /// Number of random numbers drawn.
-    draws: u64,
+    /// Number of random numbers drawn so far.
+    random_draws: u64,
     reported: Leadership,
-    /// Proposals made here and not committed yet, by log index.
+    /// Proposals of this courier that are not committed yet, by log index.
     pending_proposals: BTreeMap<u64, PendingProposal>,
-    /// Tickets of reads that no majority has confirmed yet, by the number of the read.
+    /// Tickets of reads that a majority has not confirmed yet, by the sequence number of the read.
     pending_reads: BTreeMap<u64, u64>,
     next_read: u64,
-    /// Ticks since a snapshot was sent, by the courier that has not confirmed it.
+    /// Ticks since a snapshot was sent, by the receiver, until the receiver confirms it.
     snapshot_ticks: BTreeMap<NodeId, usize>,
+    /// Arrival time of the last message of each other member.
     last_heard: BTreeMap<NodeId, Micros>,
-    /// Index of the last command or state that was delivered.
+    /// Index of the last command or state that was delivered to the caller.
     delivered_index: u64,
-    /// Length of the log file in bytes from which a snapshot is requested.
-    snapshot_at: u64,
-    /// The caller was asked for a snapshot and has not provided it yet.
+    /// Length of the log file in bytes at which a snapshot is requested.
+    snapshot_threshold: u64,
+    /// A snapshot was requested from the caller and has not been provided yet.
     snapshot_requested: bool,
-    /// A membership change was applied, and its commit is not in the log file yet.
+    /// A membership change was applied, and its commit index is not in the log file yet.
     membership_changed: bool,
     halted: bool,
 }
 
 impl<S: Store> Agreement<S> {
-    /// Reads the log, drops a record that a kill has cut short, and returns what is known to be committed. An
-    /// empty log gets the id `fresh_node_id`.
+    /// Reads the log, removes an incomplete last record, and returns the entries that are known to be committed.
+    /// A crash during a write leaves such a record. An empty log gets the id `fresh_node_id`.
     ///
     /// # Errors
     ///
-    /// The log can't be read or written, is damaged other than by a kill, or the limits contradict each other.
+    /// The log can't be read or written, a complete record is damaged, or the limits are inconsistent.
     pub fn open(
         store: S,
         fresh_node_id: NodeId,
         limits: AgreementLimits,
         now: Micros,
     ) -> Result<(Self, Opened), AgreementError> {
-        if limits.tick == 0 {
-            return Err(AgreementError::InvalidLimits { what: "no time between ticks".into() });
+        if limits.tick_interval == 0 {
+            return Err(AgreementError::InvalidLimits { reason: "the tick interval is 0".into() });
         }
-        let OpenedLogFile { file, persisted, is_new } = LogFile::open(store, fresh_node_id)?;
+        let OpenedLogFile { file, persisted, created } = LogFile::open(store, fresh_node_id)?;
         let mut opened = Opened {
-            new: is_new,
+            is_new: created,
             state: persisted.snapshot.state.clone(),
             index: persisted.snapshot.index,
             committed: Vec::new(),
@@ -115,23 +116,23 @@
         let (node_id, delivered_index) = (persisted.node_id, persisted.snapshot.index);
         let memory = MemoryLog::from_persisted(&persisted);
         let node = new_raft_node(&limits, node_id, memory, delivered_index)?;
-        let snapshot_at = file.base + limits.log_bytes;
+        let snapshot_threshold = file.rewritten_len + limits.log_bytes;
         let mut agreement = Agreement {
-            next_tick: now + limits.tick,
+            next_tick: now + limits.tick_interval,
             reported: Leadership { leader: None, term: node.raft.term },
             limits,
             node_id,
             file,
             node,
             election_jitter: 0,
-            draws: 0,
+            random_draws: 0,
             pending_proposals: BTreeMap::new(),
             pending_reads: BTreeMap::new(),
             next_read: 0,
             snapshot_ticks: BTreeMap::new(),
             last_heard: BTreeMap::new(),
             delivered_index,
-            snapshot_at,
+            snapshot_threshold,
             snapshot_requested: false,
             membership_changed: false,
             halted: false,
@@ -141,7 +142,7 @@
         Ok((agreement, opened))
     }
 
-    /// The commands after the snapshot that are known to be committed.
+    /// Returns the commands after the snapshot that are known to be committed.
     fn deliver_after_open(&mut self) -> Result<Vec<CommittedCommand>, AgreementError> {
         let mut out = Vec::new();
         self.drain_ready(&mut out);
@@ -158,7 +159,7 @@
         Ok(committed)
     }
 
-    /// Starts the fleet's agreement with this courier as the only voter. The others are added one by one.
+    /// Creates the Raft group of a new fleet with this courier as the only voter. Other couriers are added one by one.
     ///
     /// # Errors
     ///
@@ -172,22 +173,22 @@
         {
             return Err(AgreementError::AlreadyBootstrapped);
         }
-        // The others start with this as their first snapshot: it names a voter, which an empty log can't.
+        // Other couriers start from this first snapshot: it lists a voter, which an empty log can't.
         let snapshot =
             StateSnapshot { index: 1, term: 1, voters: vec![self.node_id], ..StateSnapshot::default() };
         let hard_state = HardState { term: self.node.raft.term.max(1), vote: self.node.raft.vote, commit: 1 };
         let persisted = PersistedLog { node_id: self.node_id, hard_state, snapshot, entries: Vec::new() };
         self.file.rewrite(&persisted)?;
         self.node = new_raft_node(&self.limits, self.node_id, MemoryLog::from_persisted(&persisted), 1)?;
-        self.next_tick = now + self.limits.tick;
+        self.next_tick = now + self.limits.tick_interval;
         let mut out = Vec::new();
-        self.node.campaign().map_err(|e| AgreementError::Engine(e.to_string()))?;
+        self.node.campaign().map_err(|e| AgreementError::RaftLibrary(e.to_string()))?;
         self.process_ready(&mut out);
         Ok(out)
     }
 
-    /// Takes one input at the time `now` and returns what is to be done, in order. All that the outputs depend
-    /// on is in the store by then.
+    /// Processes one input at the time `now` and returns the outputs, which the caller has to carry out in order.
+    /// Everything that the outputs depend on is in the store when this function returns.
     pub fn step(&mut self, input: AgreementInput, now: Micros) -> Vec<AgreementOutput> {
         let mut out = Vec::new();
         self.run_due_ticks(now, &mut out);
@@ -213,70 +214,70 @@
         out
     }
 
-    /// The leader, as far as it is known here.
+    /// The leader that this courier knows of; `None` if it knows of none or is halted.
     pub fn leader(&self) -> Option<NodeId> {
         let leader = self.node.raft.leader_id;
         (leader != INVALID_ID && !self.halted).then_some(leader)
     }
 
-    /// Whether this courier believes to lead. Another one may lead by now: only
+    /// Whether this courier is leader according to its own state. A newer leader may exist: only
     /// [`AgreementOutput::ReadReady`] is confirmed by a majority.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.node.raft.state == StateRole::Leader && !self.halted
     }
 
-    /// This courier's id, as its log has it.
+    /// This courier's node id, as stored in its log.
     pub fn node_id(&self) -> NodeId {
         self.node_id
     }
 
-    /// The current term.
+    /// The current Raft term of this courier.
     pub fn term(&self) -> u64 {
         self.node.raft.term
     }
 
-    /// The voters, in the order of their ids.
+    /// The voters of the Raft group in ascending order of their ids, as of the last applied entry.
     pub fn voters(&self) -> Vec<NodeId> {
         log::MemberIds::of(&self.node.store().membership).voters
     }
 
-    /// The learners, in the order of their ids.
+    /// The learners of the Raft group in ascending order of their ids, as of the last applied entry.
     pub fn learners(&self) -> Vec<NodeId> {
         log::MemberIds::of(&self.node.store().membership).learners
     }
 
-    /// Index of the last log entry that was applied here.
+    /// Index of the last log entry that this courier has applied.
     pub fn applied(&self) -> u64 {
         self.node.raft.raft_log.applied
     }
 
-    /// When the last message of another member of the agreement arrived.
+    /// Arrival time of the last message of another member; `None` if there was none.
     pub fn last_heard(&self, node_id: NodeId) -> Option<Micros> {
         self.last_heard.get(&node_id).copied()
     }
 
-    /// Whether the agreement has halted: its log can't be written or is not to be trusted, so that it sends
-    /// nothing more.
+    /// Whether the agreement has halted. A halted agreement sends no messages, because its log can't be written or
+    /// lacks entries that it has acknowledged.
     pub fn is_halted(&self) -> bool {
         self.halted
     }
 
-    /// When it wants [`AgreementInput::Tick`] at the latest; `None`: it is halted or knows of no voters yet.
+    /// Deadline of the next [`AgreementInput::Tick`]; `None` if the agreement is halted or has no voters yet.
     pub fn wake_at(&self) -> Option<Micros> {
         (!self.halted && !self.node.store().membership.voters.is_empty()).then_some(self.next_tick)
     }
 
-    /// The store of the log.
+    /// The store that contains the log file.
     pub fn store(&self) -> &S {
         &self.file.store
     }
 
-    /// The store of the log, for tests that make it fail.
+    /// The store that contains the log file, for tests that inject write errors.
     pub fn store_mut(&mut self) -> &mut S {
         &mut self.file.store
     }
 
-    /// Ends the agreement and returns the store of its log.
+    /// Consumes the agreement and returns the store that contains the log file.
     pub fn into_store(self) -> S {
         self.file.store
     }
@@ -292,16 +293,17 @@
         id: node_id,
         election_tick: limits.election_ticks,
         heartbeat_tick: limits.heartbeat_ticks,
-        // A range of one value: the election time-out is drawn here, from the seed.
+        // A range with a single value: the random part of the election timeout is drawn by this module from its seed.
         min_election_tick: limits.election_ticks,
         max_election_tick: limits.election_ticks + 1,
         applied,
-        max_size_per_msg: limits.message_bytes,
-        max_inflight_msgs: limits.inflight,
+        max_size_per_msg: limits.max_append_bytes,
+        max_inflight_msgs: limits.max_in_flight,
         check_quorum: true,
         pre_vote: true,
         ..Config::default()
     };
     let logger = slog::Logger::root(slog::Discard, slog::o!());
-    RawNode::new(&config, memory, &logger).map_err(|e| AgreementError::InvalidLimits { what: e.to_string() })
+    RawNode::new(&config, memory, &logger)
+        .map_err(|e| AgreementError::InvalidLimits { reason: e.to_string() })
 }
--- a/courier/fleet/src/agreement/error.rs
+++ b/courier/fleet/src/agreement/error.rs
@@ -1,111 +1,118 @@
-//! Why the agreement's log, messages and proposals can fail.
+//! Errors of the agreement's log, messages and snapshots.
 
 use std::io;
 use std::sync::Arc;
 
 use crate::NodeId;
 
-/// Why bytes from another courier are not a message of the agreement.
+/// Why bytes received from another courier can't be decoded as a message of the agreement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
     /// The bytes end within the header.
-    #[error("it is too short")]
+    #[error("the message ends within its header")]
     Short,
-    /// The format version is unknown here.
-    #[error("its format version {0} is not known here; the sender may be of another version")]
+    /// The format version, which is the value, is not supported by this courier.
+    #[error("unknown format version {0}; run the same version on all couriers of the fleet")]
     Version(u8),
     /// The body does not match its checksum.
-    #[error("its checksum does not match")]
+    #[error("the checksum does not match; check the network between the couriers")]
     Checksum,
     /// The body can't be decoded, or has a value that no correct sender writes.
-    #[error("it contains an invalid value")]
+    #[error("the body contains an invalid value; run the same version on all couriers of the fleet")]
     Value,
-    /// Sender or receiver in the message differ from those of the connection.
-    #[error("it is from, or for, another courier")]
+    /// The sender or the receiver in the message differs from that of the connection.
+    #[error("sender or receiver do not match the connection; check the addresses of the peers")]
     Misaddressed,
 }
 
-/// Why the agreement rejects an input or stops.
+/// Why the agreement rejects an input or halts.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum AgreementError {
     /// The log file can't be read or written.
     #[error(
-        "agreement: {what} its log in the lasting folder failed: {source}; this courier keeps silent in the \
-         agreement until it is started again; see to the disk and start it"
+        "agreement: {operation} the log in the data directory failed: {source}; this courier sends no more \
+         messages of the agreement until it restarts; check the disk, then restart it"
     )]
     Store {
-        /// The operation that failed.
-        what: &'static str,
-        /// The error of the store.
+        /// The operation that failed, as a participle: `reading`, `writing`, and so on.
+        operation: &'static str,
+        /// The I/O error that the store returned.
         source: Arc<io::Error>,
     },
-    /// A record in the middle of the log file is damaged. A record cut short by a kill is no damage.
+    /// A complete record of the log file is damaged. An incomplete last record, which a crash leaves, is not an error.
     #[error(
-        "agreement: its log in the lasting folder is damaged at byte {at}, and not by a kill; what it \
-         has acknowledged is not known, so it takes no part; remove the log, and it comes back as a new learner"
+        "agreement: the log in the data directory is damaged at byte {offset}, and a crash does not explain it; \
+         the entries that it has acknowledged are unknown, so this courier can't vote; remove the log to join \
+         again as a new learner"
     )]
     Damaged {
         /// Offset of the damaged record in bytes.
-        at: u64,
+        offset: u64,
     },
-    /// A record is longer than its length field can say.
-    #[error("agreement: a record is too large to be written; report it")]
-    Unwritable,
+    /// A record can't be encoded, or its length exceeds the 32-bit length field.
+    #[error(
+        "agreement: a record of the log can't be encoded or is too long for its length field; report this bug"
+    )]
+    RecordTooLarge,
     /// A new log was opened with the node id 0.
-    #[error("agreement: the log is new and no node id was drawn for it; report it")]
+    #[error("agreement: the log is new and no node id was passed for it; report this bug")]
     NoNodeId,
-    /// Only an empty log can bootstrap an agreement.
+    /// The log is not empty, so it can't bootstrap a new Raft group.
     #[error(
-        "agreement: there is one already, and only an empty log can begin one; start it without beginning"
+        "agreement: the log in the data directory belongs to a fleet already; restart this courier, which \
+         then rejoins that fleet"
     )]
     AlreadyBootstrapped,
-    /// The limits contradict each other.
-    #[error("agreement: its limits do not fit together ({what}); correct the section `fleet`")]
+    /// The limits are inconsistent, or the Raft library rejects them.
+    #[error("agreement: its limits are invalid ({reason}); correct the section `fleet`")]
     InvalidLimits {
-        /// The contradiction.
-        what: String,
+        /// Which limits are invalid, and why.
+        reason: String,
     },
-    /// A message that can't be decoded was dropped.
-    #[error("agreement: message from courier {from:016x} dropped: {what}")]
+    /// A received message can't be decoded and was dropped.
+    #[error("agreement: message from courier {from:016x} dropped: {reason}")]
     Malformed {
-        /// The sender.
+        /// Node id of the sender, as of the connection.
         from: NodeId,
-        /// What is wrong with the message.
-        what: DecodeError,
+        /// Why the message can't be decoded.
+        reason: DecodeError,
     },
-    /// Another courier has counted an acknowledgement that this log does not contain.
+    /// Another courier has received this courier's acknowledgement of an entry that this log does not contain.
     #[error(
-        "agreement: courier {from:016x} says that entry {index} was confirmed here, and there is none beyond \
-         {last}: this log was put back from a copy, or that courier belongs to another fleet; this one keeps \
-         silent; remove the log here, and it comes back as a new learner"
+        "agreement: courier {from:016x} refers to log entry {index} as acknowledged by this courier, but this log \
+         ends at entry {last_index}: it was restored from a backup, or that courier belongs to another fleet; this \
+         courier sends no more messages of the agreement; remove its log to join again as a new learner"
     )]
-    Ahead {
+    AcknowledgedEntryMissing {
         /// The courier that refers to the entry.
         from: NodeId,
-        /// Index of the entry.
+        /// Index of the missing entry.
         index: u64,
         /// Index of the last entry of this log.
-        last: u64,
+        last_index: u64,
     },
-    /// A snapshot was passed in that is not of the last entry delivered.
+    /// The index of a provided snapshot is not the index of the last delivered entry.
     #[error(
-        "agreement: the snapshot is of entry {through}, and entry {applied} was delivered last; report it"
+        "agreement: the snapshot was taken at entry {through}, but the last delivered entry is {applied}; report \
+         this bug"
     )]
     StaleSnapshot {
         /// Index of the snapshot.
         through: u64,
-        /// Index of the last entry delivered.
+        /// Index of the last delivered entry.
         applied: u64,
     },
-    /// A snapshot's state is longer than [`AgreementLimits::state_bytes`](super::AgreementLimits::state_bytes).
-    #[error("agreement: a state of {bytes} bytes is beyond its limit of {limit}; the log can't be compacted")]
+    /// A snapshot's state is longer than [`AgreementLimits::max_state_bytes`](super::AgreementLimits::max_state_bytes).
+    #[error(
+        "agreement: the log can't be compacted, as the fleet's state of {bytes} bytes exceeds the limit of {limit}"
+    )]
     StateTooLarge {
-        /// Length of the state in bytes.
+        /// Length of the encoded state in bytes.
         bytes: usize,
-        /// The limit in bytes.
+        /// Maximum length in bytes.
         limit: usize,
     },
-    /// The Raft library returned an error that correct use rules out.
-    #[error("agreement: the Raft library failed: {0}; report it")]
-    Engine(String),
+    /// The Raft library returned an error that only a bug of the caller can cause. The value is its text.
+    #[error("agreement: the Raft library failed: {0}; report this bug")]
+    RaftLibrary(String),
 }
--- a/courier/fleet/src/agreement/explore.rs
+++ b/courier/fleet/src/agreement/explore.rs
@@ -1,4 +1,4 @@
-//! Copies and digests of a running agreement, by which its state space is explored.
+//! Clones and digests of a running agreement, with which tests explore its state space.
 
 use quillmount_core::store::Store;
 use quillmount_policy::Micros;
@@ -10,7 +10,7 @@
 use super::{Agreement, new_raft_node};
 
 impl<S: Store> Agreement<S> {
-    /// Everything that determines the next steps, with times relative to `now`: two agreements with equal
+    /// Encodes everything that determines the next steps, with times relative to `now`. Two agreements with equal
     /// digests behave in the same way.
     pub fn digest(&self, now: Micros) -> Vec<u8> {
         let raft = &self.node.raft;
@@ -29,7 +29,7 @@
         let memory = self.node.store();
         let entries: Vec<_> = memory.entries.iter().map(LogEntry::from_raft).collect();
         let since_heard: Vec<_> =
-            self.last_heard.iter().map(|(id, at)| (id, now.saturating_sub(*at))).collect();
+            self.last_heard.iter().map(|(id, heard_at)| (id, now.saturating_sub(*heard_at))).collect();
         let parts = (
             (self.node_id, raft.term, raft.vote, raft.leader_id, raft.state as u8, raft.lead_transferee),
             (
@@ -38,7 +38,7 @@
                 raft.raft_log.persisted,
                 raft.pending_conf_index,
             ),
-            (raft.election_elapsed, raft.heartbeat_elapsed(), self.election_jitter, self.draws),
+            (raft.election_elapsed, raft.heartbeat_elapsed(), self.election_jitter, self.random_draws),
             (progress, votes, reads),
             (&memory.snapshot, log::MemberIds::of(&memory.membership), entries),
             (
@@ -52,7 +52,7 @@
             (
                 self.delivered_index,
                 self.file.store.len(),
-                self.snapshot_at,
+                self.snapshot_threshold,
                 self.snapshot_requested,
                 self.halted,
             ),
@@ -60,8 +60,9 @@
         postcard::to_stdvec(&parts).unwrap_or_default()
     }
 
-    /// The library's node can't be cloned: another one is built on the same log and gets what it does not read
-    /// from there. Between two steps the library has nothing ready, and all its other fields are public.
+    /// Builds a copy of the library's node, which has no `Clone`: a new node reads the same log, and this function sets
+    /// the state that the log does not contain. Between two steps the library has nothing ready, and all its other
+    /// fields are public.
     fn clone_node(&self) -> RawNode<MemoryLog> {
         let original = &self.node.raft;
         let log = &original.raft_log;
@@ -91,7 +92,7 @@
         raft.r.read_only = original.read_only.clone();
         raft.r.raft_log.persisted = log.persisted;
         raft.r.election_elapsed = 0;
-        // The only way to set the heartbeat counter; they are fewer than a heartbeat takes.
+        // Ticks are the only way to set the heartbeat counter. There are too few of them here to send a heartbeat.
         for _ in 0..original.heartbeat_elapsed() {
             node.tick();
         }
@@ -111,7 +112,7 @@
             node: self.clone_node(),
             next_tick: self.next_tick,
             election_jitter: self.election_jitter,
-            draws: self.draws,
+            random_draws: self.random_draws,
             reported: self.reported,
             pending_proposals: self.pending_proposals.clone(),
             pending_reads: self.pending_reads.clone(),
@@ -119,7 +120,7 @@
             snapshot_ticks: self.snapshot_ticks.clone(),
             last_heard: self.last_heard.clone(),
             delivered_index: self.delivered_index,
-            snapshot_at: self.snapshot_at,
+            snapshot_threshold: self.snapshot_threshold,
             snapshot_requested: self.snapshot_requested,
             membership_changed: self.membership_changed,
             halted: self.halted,
--- a/courier/fleet/src/agreement/limits.rs
+++ b/courier/fleet/src/agreement/limits.rs
@@ -1,64 +1,65 @@
-//! Limits and timing of the agreement.
+//! Limits and timing of the Raft protocol.
 
 use quillmount_policy::Micros;
 
-/// Limits and timing of one courier's part in the agreement. All couriers of a fleet use the same ones.
+/// Limits and timing of a courier's [`Agreement`](super::Agreement). All couriers of a fleet use the same values.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgreementLimits {
-    /// Time between two ticks in microseconds. Twenty ticks a second cost an idle courier next to nothing.
-    pub tick: Micros,
-    /// Ticks between a leader's heartbeats: two may be lost or late before a follower doubts the leader.
+    /// Time between two ticks in microseconds. The load of twenty ticks per second on an idle courier is negligible.
+    pub tick_interval: Micros,
+    /// Ticks between two heartbeats of a leader. By default two heartbeats in a row may be lost or late before a
+    /// follower starts an election.
     pub heartbeat_ticks: usize,
-    /// Ticks without a message from the leader after which a voter starts an election; a random number of
-    /// ticks, up to as many, is added. A leader without responses from a majority for so many ticks steps
-    /// down.
+    /// Minimum election timeout in ticks: a voter that receives no message from the leader for this time plus a random
+    /// number of ticks, at most as many, starts an election. A leader that receives no responses from a majority
+    /// for this number of ticks steps down.
     pub election_ticks: usize,
-    /// Bytes by which the log file may grow before a snapshot is requested. Beyond twice as many, proposals
-    /// are rejected.
+    /// Bytes by which the log file may grow before a snapshot is requested. If the file grows by twice this number,
+    /// proposals are rejected.
     pub log_bytes: u64,
-    /// Maximum length of one command in bytes. Commands are small facts about membership, journals, budgets
+    /// Maximum length of one command in bytes. Commands contain small changes of membership, journals, budgets
     /// and settlements, never message bodies.
-    pub entry_bytes: usize,
-    /// Maximum length of the state in a snapshot in bytes: it is sent in one message to a courier that lags
-    /// behind.
-    pub state_bytes: usize,
-    /// Maximum bytes of commands in one append message; one command is always sent.
-    pub message_bytes: u64,
-    /// Append messages in flight to one courier before the next one waits for a response.
-    pub inflight: usize,
-    /// Maximum number of proposals that wait for their commit: what a leader in a partition can pile up.
-    pub proposals: usize,
-    /// Maximum number of read requests that wait for a majority to confirm the leader.
-    pub reads: usize,
-    /// Entries that a learner may lack when it is promoted to a voter: if it lacked more, its vote would be
-    /// missing until it has caught up.
-    pub promote_lag: u64,
-    /// Seed of the random election time-outs, together with the node's id.
+    pub max_command_bytes: usize,
+    /// Maximum length of the state in a snapshot in bytes. A snapshot is sent to a lagging courier in a single message.
+    pub max_state_bytes: usize,
+    /// Maximum total length of the commands in one append message in bytes. A message contains at least one command
+    /// even if that is longer.
+    pub max_append_bytes: u64,
+    /// Maximum number of append messages in flight to one courier.
+    pub max_in_flight: usize,
+    /// Maximum number of proposals that are not committed yet. Bounds the backlog of a leader in a network partition.
+    pub max_proposals: usize,
+    /// Maximum number of read requests that a majority has not confirmed yet.
+    pub max_reads: usize,
+    /// Maximum number of entries that a learner may lack when it is promoted to a voter. A voter that lacks more could
+    /// not count towards a quorum until it has caught up.
+    pub max_promotion_lag: u64,
+    /// Seed of the random election timeouts. It is combined with the node id.
     pub seed: u64,
 }
 
 impl Default for AgreementLimits {
     fn default() -> Self {
         AgreementLimits {
-            tick: 50_000,
+            tick_interval: 50_000,
             heartbeat_ticks: 2,
             election_ticks: 10,
             log_bytes: 1 << 20,
-            entry_bytes: 64 << 10,
-            state_bytes: 16 << 20,
-            message_bytes: 256 << 10,
-            inflight: 64,
-            proposals: 1024,
-            reads: 1024,
-            promote_lag: 64,
+            max_command_bytes: 64 << 10,
+            max_state_bytes: 16 << 20,
+            max_append_bytes: 256 << 10,
+            max_in_flight: 64,
+            max_proposals: 1024,
+            max_reads: 1024,
+            max_promotion_lag: 64,
             seed: 0,
         }
     }
 }
 
 impl AgreementLimits {
-    /// The longest time in microseconds without a message from a leader until an election starts.
+    /// Maximum time in microseconds between the last message of a leader and the start of an election.
     pub fn max_election_timeout(&self) -> Micros {
-        self.tick * 2 * self.election_ticks as Micros
+        self.tick_interval * 2 * self.election_ticks as Micros
     }
 }
--- a/courier/fleet/src/agreement/log.rs
+++ b/courier/fleet/src/agreement/log.rs
@@ -1,7 +1,7 @@
-//! The entries, the hard state and the snapshot of the agreement's log, in the form that is written and sent, and
-//! their conversion from and to the Raft library's types.
+//! The stored and sent format of the log's entries, hard state and snapshots, and the conversion from and to the Raft
+//! library's types.
 //!
-//! They are encoded by postcard, which goes by position: fields and variants must not be reordered.
+//! All types are encoded by postcard, which identifies fields and variants by position: they must not be reordered.
 
 use raft::prelude::{ConfState, Entry as RaftEntry, EntryType, Snapshot};
 use serde::{Deserialize, Serialize};
@@ -9,30 +9,30 @@
 use super::MembershipChange;
 use crate::NodeId;
 
-/// What a voter must have written before it sends anything (the persistent state of figure 2 of the Raft
-/// paper, and the commit index).
+/// The state that a voter has to persist before it sends messages that depend on it: the persistent state of figure 2
+/// of the Raft paper, and the commit index.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct HardState {
-    /// The latest term it has seen.
+    /// The latest term that this courier has seen.
     pub term: u64,
-    /// The candidate that got its vote in this term; 0 for none.
+    /// The candidate that this courier voted for in `term`; 0 if none.
     pub vote: NodeId,
-    /// Index up to which the log is known to be committed; more may be.
+    /// Known commit index. Later entries may be committed as well.
     pub commit: u64,
 }
 
-/// What a log entry carries.
+/// The payload of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) enum Payload {
-    /// Nothing: the first entry of a new leader's term.
+    /// No payload. The first entry of a new leader's term is empty.
     Noop,
-    /// A command of the caller.
+    /// A command that the caller proposed.
     Command(Vec<u8>),
-    /// A change of the agreement's members.
+    /// A change of the Raft group's members.
     Membership(MembershipChange),
 }
 
-/// An entry of the log, in the form that is written and sent.
+/// An entry of the log in its stored and sent format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct LogEntry {
     pub term: u64,
@@ -40,7 +40,7 @@
     pub payload: Payload,
 }
 
-/// The state after the entry `index`, which takes the place of all entries up to it.
+/// The state after the entry `index`. A snapshot replaces all entries up to that index.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct StateSnapshot {
     pub index: u64,
@@ -88,7 +88,7 @@
     }
 }
 
-/// The members of the agreement, each list in the order of the ids.
+/// The members of the Raft group; each list is in ascending order of the ids.
 #[derive(Serialize)]
 pub(super) struct MemberIds {
     pub voters: Vec<NodeId>,
@@ -105,8 +105,8 @@
 }
 
 impl LogEntry {
-    /// A membership change is in the entry's context, in this module's encoding. The library's own encoding of
-    /// it, in the entry's data, is not used.
+    /// A membership change is stored in the entry's context, in the encoding of [`MembershipChange`]. The library's own
+    /// encoding in the entry's data is not used.
     pub fn to_raft(&self) -> RaftEntry {
         let mut entry = RaftEntry::default();
         (entry.term, entry.index) = (self.term, self.index);
@@ -125,7 +125,7 @@
         let payload = match entry.get_entry_type() {
             EntryType::EntryNormal if entry.data.is_empty() => Payload::Noop,
             EntryType::EntryNormal => Payload::Command(entry.data.to_vec()),
-            // The library replaces a change that it rejects by an empty entry.
+            // The library replaces a rejected membership change by an empty entry.
             _ => MembershipChange::decoded(&entry.context).map_or(Payload::Noop, Payload::Membership),
         };
         LogEntry { term: entry.term, index: entry.index, payload }
--- a/courier/fleet/src/agreement/memory_log.rs
+++ b/courier/fleet/src/agreement/memory_log.rs
@@ -1,4 +1,4 @@
-//! The agreement's log in memory, which the Raft library reads as its storage.
+//! The in-memory copy of the log, which the Raft library reads as its storage.
 
 use raft::prelude::{ConfState, Entry as RaftEntry, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
@@ -7,20 +7,20 @@
 use super::log::{HardState, LogEntry, StateSnapshot};
 use super::log_file::PersistedLog;
 
-/// Bytes counted for an entry's term, index and lengths, when a message's entries are limited by size.
+/// Bytes counted for the term, the index and the lengths of an entry when the entries of a message are limited by size.
 const ENTRY_OVERHEAD: u64 = 16;
 
-/// The log in memory, as the Raft library reads it.
+/// The in-memory copy of the log. It contains only data that has been written to the log file.
 #[derive(Clone, Debug, Default)]
 pub(super) struct MemoryLog {
     pub hard_state: HardState,
     pub snapshot: StateSnapshot,
-    /// The members of the agreement after the entry that was last applied.
+    /// The members of the Raft group as of the last applied entry.
     pub membership: ConfState,
-    /// The entries after the snapshot.
+    /// The log entries after the snapshot, without gaps.
     pub entries: Vec<RaftEntry>,
-    /// The library wanted to send a snapshot, and this one is too old: it lacks the entries needed, or the
-    /// receiver among its members. A `Cell`, as the library reads its storage by `&self`.
+    /// The library requested a snapshot to send, and the current one is too old: it lacks required entries, or does not
+    /// list the receiver as a member. A `Cell`, because the library accesses its storage by `&self`.
     pub snapshot_needed: Cell<bool>,
 }
 
@@ -40,7 +40,7 @@
         self.snapshot.index + self.entries.len() as u64
     }
 
-    /// Adds entries that were written; they replace those from the first one's index on.
+    /// Adds entries that were written to the file. They replace all entries from the index of the first one on.
     pub fn append(&mut self, entries: &[RaftEntry]) {
         let Some(first) = entries.first() else { return };
         let retained = first.index.saturating_sub(self.snapshot.index + 1);
@@ -48,14 +48,14 @@
         self.entries.extend_from_slice(entries);
     }
 
-    /// Replaces the entries up to the snapshot's index by it.
+    /// Removes the entries up to the snapshot's index and stores the snapshot.
     pub fn compact(&mut self, snapshot: StateSnapshot) {
         let compacted = snapshot.index.saturating_sub(self.snapshot.index).min(self.entries.len() as u64);
         self.entries.drain(..usize::try_from(compacted).unwrap_or(usize::MAX));
         self.snapshot = snapshot;
     }
 
-    /// Replaces the whole log by the leader's snapshot.
+    /// Replaces the whole log by a snapshot of the leader.
     pub fn restore(&mut self, snapshot: StateSnapshot) {
         self.membership = snapshot.membership();
         self.snapshot = snapshot;
@@ -86,16 +86,16 @@
         if high > self.last_index() + 1 {
             return Err(Error::Store(StorageError::Unavailable));
         }
-        let most = max_size.into().unwrap_or(u64::MAX);
-        let (mut size, mut found) = (0, Vec::new());
+        let max_bytes = max_size.into().unwrap_or(u64::MAX);
+        let (mut size, mut selected) = (0, Vec::new());
         for entry in (low..high).filter_map(|index| self.entry_at(index)) {
             size += (entry.data.len() + entry.context.len()) as u64 + ENTRY_OVERHEAD;
-            if size > most && !found.is_empty() {
+            if size > max_bytes && !selected.is_empty() {
                 break;
             }
-            found.push(entry.clone());
+            selected.push(entry.clone());
         }
-        Ok(found)
+        Ok(selected)
     }
 
     fn term(&self, index: u64) -> raft::Result<u64> {
@@ -117,7 +117,7 @@
     }
 
     fn snapshot(&self, min_index: u64, to: u64) -> raft::Result<Snapshot> {
-        // A courier rejects a snapshot that does not list it among the members.
+        // The receiver rejects a snapshot that does not list it as a member.
         let is_member = self.snapshot.voters.contains(&to) || self.snapshot.learners.contains(&to);
         if self.snapshot.index == 0 || self.snapshot.index < min_index || !is_member {
             self.snapshot_needed.set(true);
--- a/courier/fleet/src/agreement/ready.rs
+++ b/courier/fleet/src/agreement/ready.rs
@@ -1,4 +1,4 @@
-//! Carries out what the Raft library has ready: writes it, then sends messages and delivers commits.
+//! Processes the ready state of the Raft library: persists entries, then sends messages and delivers committed entries.
 
 use quillmount_core::store::Store;
 use raft::prelude::{Entry as RaftEntry, Message};
@@ -11,7 +11,7 @@
 use crate::NodeId;
 
 impl<S: Store> Agreement<S> {
-    /// Carries out everything that is ready, and requests a snapshot if one is due after it.
+    /// Processes everything that is ready, then requests a snapshot if one is due.
     pub(super) fn process_ready(&mut self, out: &mut Vec<AgreementOutput>) {
         self.drain_ready(out);
         self.request_snapshot_if_due(out);
@@ -21,7 +21,7 @@
         let mut confirmed_reads = Vec::new();
         while !self.halted && self.node.has_ready() {
             let mut ready = self.node.ready();
-            // Written before anything that depends on it is sent.
+            // Messages that depend on this state are sent only after it has been written.
             if let Err(error) = self.persist(&ready) {
                 return self.halt(error, out);
             }
@@ -46,15 +46,15 @@
         self.report_reads(confirmed_reads, out);
     }
 
-    /// Halts the agreement. The library is not called again: it may believe that something is written which is
-    /// not.
+    /// Halts the agreement. The library must not be called again, as its state may assume that data was written which
+    /// was not.
     pub(super) fn halt(&mut self, error: AgreementError, out: &mut Vec<AgreementOutput>) {
         self.halted = true;
         self.end_pending(RejectReason::Halted, None, out);
         out.push(AgreementOutput::Halted(error));
     }
 
-    /// Ends all pending requests: proposals may be committed later, reads are rejected.
+    /// Ends all pending requests: proposals become indeterminate, reads are rejected.
     fn end_pending(&mut self, reason: RejectReason, leader: Option<NodeId>, out: &mut Vec<AgreementOutput>) {
         for proposal in mem::take(&mut self.pending_proposals).into_values() {
             out.push(AgreementOutput::Indeterminate { ticket: proposal.ticket });
@@ -64,8 +64,7 @@
         }
     }
 
-    /// Reports a new leader or term. A courier that no longer leads, or leads in a later term, ends what was
-    /// pending.
+    /// Reports a new leader or term. If this courier was leader before, all of its pending requests end.
     fn report_leader(&mut self, out: &mut Vec<AgreementOutput>) {
         let current = Leadership { leader: self.leader(), term: self.term() };
         if current == self.reported {
@@ -101,13 +100,13 @@
             let memory = self.node.mut_store();
             memory.restore(persisted.snapshot);
             memory.append(ready.entries());
-            self.snapshot_at = self.file.base + self.limits.log_bytes;
+            self.snapshot_threshold = self.file.rewritten_len + self.limits.log_bytes;
             self.snapshot_requested = false;
         } else if !entries.is_empty() || ready.must_sync() {
             self.file.append(hard_state, &entries)?;
             self.node.mut_store().append(ready.entries());
         } else {
-            // A new commit index alone is not written: the next record contains it, and after a restart the
+            // A change of the commit index alone is not written: the next record contains it, and after a restart the
             // leader sends it.
             return Ok(());
         }
@@ -115,7 +114,7 @@
         Ok(())
     }
 
-    /// Writes the commit index after a membership change, so that this courier has the same members after a
+    /// Persists the commit index after a membership change, so that this courier has the same membership after a
     /// restart.
     fn persist_membership_commit(&mut self) -> Result<(), AgreementError> {
         let hard_state = HardState::from_raft(&self.node.raft.hard_state());
@@ -127,7 +126,7 @@
     }
 
     fn send(&mut self, mut messages: Vec<Message>, out: &mut Vec<AgreementOutput>) {
-        // The library's order is that of a hash table.
+        // The library returns messages in the order of a hash table; sorting makes runs deterministic.
         messages.sort_by_key(|m| m.to);
         for message in messages {
             if let Some(bytes) = wire::encode(&message) {
@@ -158,7 +157,7 @@
     fn apply_membership(&mut self, change: MembershipChange, out: &mut Vec<AgreementOutput>) {
         match self.node.apply_conf_change(&change.to_raft()) {
             Ok(membership) => self.node.mut_store().membership = membership,
-            Err(e) => out.push(AgreementOutput::Failed(AgreementError::Engine(e.to_string()))),
+            Err(e) => out.push(AgreementOutput::Failed(AgreementError::RaftLibrary(e.to_string()))),
         }
         let membership = &self.node.store().membership;
         self.last_heard.retain(|id, _| membership.voters.contains(id) || membership.learners.contains(id));
--- a/courier/fleet/src/agreement/requests.rs
+++ b/courier/fleet/src/agreement/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of the caller and of other couriers: messages, proposals, reads and membership changes.
+//! Handles messages of other couriers, and the caller's proposals, reads and membership changes.
 
 use quillmount_core::store::Store;
 use quillmount_policy::Micros;
@@ -27,18 +27,18 @@
                 if self.node.raft.prs().get(from).is_some() {
                     self.last_heard.insert(from, now);
                 }
-                // The library rejects messages that are old or of an unknown sender: they count as lost.
+                // The library rejects messages of an old term or of an unknown sender. Such messages count as lost.
                 let _ = self.node.step(message);
             }
-            // A courier that has acknowledged an entry it does not have might also vote twice.
-            Err(error @ AgreementError::Ahead { .. }) => self.halt(error, out),
+            // A courier that lacks an entry it has acknowledged may also have lost its vote, and could vote twice.
+            Err(error @ AgreementError::AcknowledgedEntryMissing { .. }) => self.halt(error, out),
             Err(error) => out.push(AgreementOutput::Failed(error)),
         }
     }
 
-    /// Rejects a message that refers to entries beyond the end of this log: the library would panic.
+    /// Rejects a message that refers to entries beyond the end of this log, on which the library would panic.
     fn validate_index(&self, message: Message) -> Result<Message, AgreementError> {
-        let last = self.node.raft.raft_log.last_index();
+        let last_index = self.node.raft.raft_log.last_index();
         let index = match message.get_msg_type() {
             MessageType::MsgHeartbeat if message.term >= self.node.raft.term => message.commit,
             MessageType::MsgAppendResponse if !message.reject && message.term == self.node.raft.term => {
@@ -46,15 +46,15 @@
             }
             _ => 0,
         };
-        if index > last {
-            return Err(AgreementError::Ahead { from: message.from, index, last });
+        if index > last_index {
+            return Err(AgreementError::AcknowledgedEntryMissing { from: message.from, index, last_index });
         }
         Ok(message)
     }
 
     pub(super) fn propose(&mut self, ticket: u64, command: Vec<u8>) -> Result<(), RejectReason> {
         self.check_leadership()?;
-        if command.is_empty() || command.len() > self.limits.entry_bytes {
+        if command.is_empty() || command.len() > self.limits.max_command_bytes {
             return Err(RejectReason::InvalidSize);
         }
         self.check_capacity()?;
@@ -65,17 +65,17 @@
 
     pub(super) fn read_index(&mut self, ticket: u64) -> Result<(), RejectReason> {
         self.check_leadership()?;
-        if self.pending_reads.len() >= self.limits.reads {
+        if self.pending_reads.len() >= self.limits.max_reads {
             return Err(RejectReason::QueueFull);
         }
-        // Until an entry of its term is committed a leader does not know what its predecessors have committed.
+        // Until an entry of its own term is committed, a leader does not know the commit index of its predecessors.
         if !self.node.raft.commit_to_current_term() {
             return Err(RejectReason::Busy);
         }
-        let read = self.next_read;
+        let read_number = self.next_read;
         self.next_read += 1;
-        self.pending_reads.insert(read, ticket);
-        self.node.read_index(read.to_be_bytes().to_vec());
+        self.pending_reads.insert(read_number, ticket);
+        self.node.read_index(read_number.to_be_bytes().to_vec());
         Ok(())
     }
 
@@ -101,7 +101,7 @@
         Ok(())
     }
 
-    /// The voters after a change, if the change is possible by itself.
+    /// Returns the voters after a change, or the reason why the change is not possible.
     fn voters_after(&self, change: MembershipChange, now: Micros) -> Result<Vec<NodeId>, RejectReason> {
         let log::MemberIds { mut voters, learners } = log::MemberIds::of(&self.node.store().membership);
         match change {
@@ -112,14 +112,15 @@
                 if node_id == self.node_id {
                     return Err(RejectReason::QuorumAtRisk);
                 }
-                // It may be a voter that is demoted.
+                // The courier may be a voter, which this change demotes.
                 voters.retain(|v| *v != node_id);
             }
             MembershipChange::Promote(node_id) => {
                 if !learners.contains(&node_id) {
                     return Err(RejectReason::NoChange);
                 }
-                let required = self.node.raft.raft_log.committed.saturating_sub(self.limits.promote_lag);
+                let required =
+                    self.node.raft.raft_log.committed.saturating_sub(self.limits.max_promotion_lag);
                 let matched = self.node.raft.prs().get(node_id).map_or(0, |p| p.matched);
                 if matched == 0 || matched < required || !self.was_heard_recently(node_id, now) {
                     return Err(RejectReason::LearnerBehind);
@@ -140,22 +141,22 @@
     }
 
     pub(super) fn transfer_leadership(&mut self, to: NodeId) {
-        if !self.halted && self.leads() && to != self.node_id && self.voters().contains(&to) {
+        if !self.halted && self.is_leader() && to != self.node_id && self.voters().contains(&to) {
             self.node.transfer_leader(to);
         }
     }
 
-    /// Whether the courier was heard from within the time after which a leader steps down.
+    /// Whether a message of the courier arrived within the minimum election timeout, after which a leader steps down.
     fn was_heard_recently(&self, node_id: NodeId, now: Micros) -> bool {
-        let span = self.limits.tick * self.limits.election_ticks as Micros;
-        self.last_heard(node_id).is_some_and(|at| now.saturating_sub(at) <= span)
+        let timeout = self.limits.tick_interval * self.limits.election_ticks as Micros;
+        self.last_heard(node_id).is_some_and(|heard_at| now.saturating_sub(heard_at) <= timeout)
     }
 
     fn check_leadership(&self) -> Result<(), RejectReason> {
         if self.halted {
             return Err(RejectReason::Halted);
         }
-        if !self.leads() {
+        if !self.is_leader() {
             return Err(RejectReason::NotLeader);
         }
         if self.node.raft.lead_transferee.is_some() {
@@ -165,14 +166,14 @@
     }
 
     fn check_capacity(&self) -> Result<(), RejectReason> {
-        let growth = self.file.store.len().saturating_sub(self.file.base);
-        if self.pending_proposals.len() >= self.limits.proposals || growth >= self.limits.log_bytes * 2 {
+        let growth = self.file.store.len().saturating_sub(self.file.rewritten_len);
+        if self.pending_proposals.len() >= self.limits.max_proposals || growth >= self.limits.log_bytes * 2 {
             return Err(RejectReason::QueueFull);
         }
         Ok(())
     }
 
-    /// Remembers the entry that was just appended as the one of `ticket`.
+    /// Records the last appended entry as the pending proposal with this ticket.
     fn track_proposal(&mut self, ticket: u64) {
         let index = self.node.raft.raft_log.last_index();
         let term = self.node.raft.term;
--- a/courier/fleet/src/agreement/ticks.rs
+++ b/courier/fleet/src/agreement/ticks.rs
@@ -1,4 +1,4 @@
-//! Ticks, election time-outs and the expiry of snapshots in transfer.
+//! Ticks, election timeouts, and the timeout of snapshot transfers.
 
 use quillmount_core::store::Store;
 use quillmount_policy::Micros;
@@ -7,23 +7,23 @@
 use super::{Agreement, AgreementOutput};
 
 impl<S: Store> Agreement<S> {
-    /// Does the ticks that are due. After the process was stopped for a while, a leader does enough of them at
-    /// once to doubt its leadership; a follower does one, so that messages of the leader that have queued up
-    /// meanwhile are read before it starts an election.
+    /// Runs the ticks that are due. After the process was suspended, a leader runs enough ticks at once to step down if
+    /// it has lost its quorum. A follower runs a single tick, so that it reads the leader's queued messages before it
+    /// starts an election.
     pub(super) fn run_due_ticks(&mut self, now: Micros, out: &mut Vec<AgreementOutput>) {
         if self.halted {
             return;
         }
-        let tick = self.limits.tick;
-        // The clock may have been set back.
+        let tick = self.limits.tick_interval;
+        // The clock may have been set to an earlier time.
         self.next_tick = self.next_tick.min(now + tick);
         if now < self.next_tick {
             return;
         }
         let due = (now - self.next_tick) / tick + 1;
         self.next_tick += due * tick;
-        let most = if self.leads() { 2 * self.limits.election_ticks as u64 } else { 1 };
-        for _ in 0..due.min(most) {
+        let max_ticks = if self.is_leader() { 2 * self.limits.election_ticks as u64 } else { 1 };
+        for _ in 0..due.min(max_ticks) {
             self.tick();
             self.drain_ready(out);
             if self.halted {
@@ -38,20 +38,20 @@
             self.node.tick();
             self.expire_unconfirmed_snapshots();
         } else if self.node.raft.election_elapsed + 1 >= election_timeout {
-            // The library starts an election at this tick. A learner just goes on waiting.
+            // The library starts an election at this tick. A learner never starts one and keeps waiting.
             if self.voters().binary_search(&self.node_id).is_ok() {
                 self.node.tick();
                 self.redraw_election_timeout();
             }
         } else {
-            // The library's own random time-out is fixed to its minimum: the rest of the wait is counted here,
-            // without its knowledge.
+            // The library's random election timeout is fixed to its minimum, so the remaining ticks are counted here
+            // without a call of the library.
             self.node.raft.election_elapsed += 1;
         }
     }
 
-    /// The library waits without limit for the end of a snapshot's transfer. One that is not confirmed within
-    /// the election time-out counts as lost.
+    /// Reports snapshots that were not confirmed within the election timeout as failed. The library itself has no
+    /// timeout for a snapshot transfer.
     fn expire_unconfirmed_snapshots(&mut self) {
         let in_transfer: Vec<_> = self
             .node
@@ -72,12 +72,12 @@
         }
     }
 
-    /// Draws the random part of the election time-out: SplitMix64 of the seed, the node id and the number of
-    /// the draw.
+    /// Draws the random part of the election timeout: SplitMix64 of the seed, the node id and the number of the draw.
     pub(super) fn redraw_election_timeout(&mut self) {
-        self.draws += 1;
-        let mut x =
-            self.limits.seed ^ self.node_id.rotate_left(17) ^ self.draws.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        self.random_draws += 1;
+        let mut x = self.limits.seed
+            ^ self.node_id.rotate_left(17)
+            ^ self.random_draws.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         self.election_jitter = ((x ^ (x >> 31)) % (self.limits.election_ticks as u64 + 1)) as usize;
--- a/courier/fleet/src/agreement/wire.rs
+++ b/courier/fleet/src/agreement/wire.rs
@@ -1,7 +1,7 @@
-//! The agreement's messages, as they go over the connections between couriers.
+//! The wire format of the Raft messages between couriers.
 //!
-//! A message is a byte with the format version, the CRC-32 of the body as a little-endian `u32`, and the body
-//! in postcard's encoding. [`decode`] rejects whatever the Raft library would panic on.
+//! A message consists of one byte with the format version, the CRC-32 of the body as a little-endian `u32`, and the
+//! body, which is encoded by postcard. [`decode`] rejects all values on which the Raft library would panic.
 
 use raft::prelude::{Message, MessageType};
 use serde::{Deserialize, Serialize};
@@ -10,10 +10,10 @@
 use super::{AgreementError, DecodeError};
 use crate::NodeId;
 
-/// Version of the message format; messages of another one are rejected.
+/// Version of the message format. Messages of another version are rejected.
 const FORMAT_VERSION: u8 = 1;
 
-/// The types of Raft messages between couriers. The library has others, which stay within one process.
+/// The types of Raft messages between couriers. The library's other message types are local to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum MessageKind {
     Append,
@@ -41,7 +41,7 @@
     (MessageKind::TimeoutNow, MessageType::MsgTimeoutNow),
 ];
 
-/// The body of a message: the fields of the library's [`Message`] that couriers need.
+/// The body of a message: the fields of the library's [`Message`] that are sent to other couriers.
 #[derive(Debug, Serialize, Deserialize)]
 struct WireMessage {
     kind: MessageKind,
@@ -59,7 +59,7 @@
     context: Vec<u8>,
 }
 
-/// Encodes a message; `None`: it is of a type that is not sent to other couriers.
+/// Encodes a message; `None` if its type is not sent to other couriers.
 pub(super) fn encode(message: &Message) -> Option<Vec<u8>> {
     let (kind, _) = *MESSAGE_KINDS.iter().find(|(_, raft_type)| *raft_type == message.get_msg_type())?;
     let wire = WireMessage {
@@ -84,14 +84,14 @@
     Some(bytes)
 }
 
-/// Decodes a message of `from` to `to`.
+/// Decodes a message that the courier `from` sent to the courier `to`.
 ///
 /// # Errors
 ///
-/// The bytes are no message of this version between these couriers, or a value in it is one that the Raft
-/// library would panic on.
+/// The bytes are not a message of this version between these couriers, or the message contains a value on which the
+/// Raft library would panic.
 pub(super) fn decode(bytes: &[u8], from: NodeId, to: NodeId) -> Result<Message, AgreementError> {
-    let malformed = |what| AgreementError::Malformed { from, what };
+    let malformed = |reason| AgreementError::Malformed { from, reason };
     let [version, c0, c1, c2, c3, body @ ..] = bytes else { return Err(malformed(DecodeError::Short)) };
     if *version != FORMAT_VERSION {
         return Err(malformed(DecodeError::Version(*version)));
@@ -133,7 +133,7 @@
     Ok(message)
 }
 
-/// Whether the entries follow the message's index without gaps, and their terms never decrease.
+/// Whether the entries follow the message's index without gaps and their terms never decrease.
 fn entries_are_valid(wire: &WireMessage) -> bool {
     let (mut term, mut index) = (wire.log_term, wire.index);
     for entry in &wire.entries {
@@ -146,7 +146,8 @@
     true
 }
 
-/// Whether the snapshot is there if the message is one, and has members, each of them once.
+/// Whether a snapshot is present in a snapshot message, and whether a present snapshot has at least one voter and lists
+/// each member once.
 fn snapshot_is_valid(wire: &WireMessage) -> bool {
     let Some(snapshot) = &wire.snapshot else {
         return wire.kind != MessageKind::Snapshot;
--- a/courier/fleet/src/breaks.rs
+++ b/courier/fleet/src/breaks.rs
@@ -1,21 +1,21 @@
-//! Deliberate faults in the fleet's code, by which the tests prove that they can fail. Only builds with the feature
-//! `breaks` have them, and no release build does.
+//! Deliberate bugs in the fleet's code, with which the tests prove that they can fail. Only builds with the feature
+//! `breaks` contain them; release builds never do.
 
 quillmount_breaks::breaks! {
     for each thread:
-    /// The deliberate faults in replication, leases and takeovers.
+    /// A deliberate bug in replication, leases or takeovers.
     pub enum Break {
-        /// A replica accepts records of an owner whose journal is sealed.
+        /// A replica accepts records of a journal after it was sealed.
         SealIgnored,
-        /// What is written counts as replicated before any replica has it.
+        /// Written records count as replicated before any replica has them.
         ReplicatedAtOnce,
-        /// A member acts on a partition before the fleet has committed its adoption.
+        /// A member processes a partition before the fleet has committed its adoption.
         AdoptedAtOnce,
-        /// A member acts without a lease.
+        /// A member accepts messages and starts calls without a lease.
         LeaseIgnored,
-        /// A new leader counts members as gone without waiting for the length of a lease.
+        /// A new leader deregisters members without waiting for the duration of a lease.
         NoGrace,
-        /// A replica whose courier came back with an empty folder counts as caught up.
+        /// A replica counts as caught up although its courier has restarted with an empty data directory.
         EmptyReplicaTrusted,
     }
 }
--- a/courier/fleet/src/ids.rs
+++ b/courier/fleet/src/ids.rs
@@ -4,25 +4,25 @@
 use quillmount_core::journal;
 use serde::{Deserialize, Serialize};
 
-/// Number of a registration. It grows with each registration of any courier, and serves as a fencing token: a process
-/// with an older epoch of the same courier has been replaced.
+/// Number of a registration. Each registration of any courier gets a higher one. The epoch serves as a fencing token: a
+/// process with an older epoch of the same courier has been replaced.
 pub type Epoch = u64;
 
-/// Number of partitions, by destination, in which a sealed journal is taken over: a dozen couriers can share the load
-/// of a lost one, and the state stays small.
+/// Number of partitions into which a sealed journal is split by destination for its takeover. With 16 partitions a
+/// dozen couriers can share the load of a lost one, and the agreed state stays small.
 pub const PARTITIONS: usize = 16;
 
-/// The partition of a journal that has the messages to a destination.
+/// The number of the partition that contains the messages to a destination.
 pub fn partition_of(dest: u64) -> usize {
     (rendezvous_weight(&dest.to_le_bytes(), "") % PARTITIONS as u64) as usize
 }
 
-/// Identifies a journal.
+/// Identifies a journal by its owner and the owner's registration.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct JournalId {
-    /// The courier that writes it.
+    /// The courier that writes the journal.
     pub owner: Name,
-    /// The epoch under which the owner writes it.
+    /// The epoch under which the owner writes the journal.
     pub epoch: Epoch,
 }
 
@@ -37,7 +37,7 @@
 pub struct PartitionId {
     /// The sealed journal.
     pub journal: JournalId,
-    /// Number of the partition, less than [`PARTITIONS`].
+    /// Index of the partition, less than [`PARTITIONS`].
     pub partition: usize,
 }
 
--- a/courier/fleet/src/lease.rs
+++ b/courier/fleet/src/lease.rs
@@ -1,47 +1,48 @@
-//! Presence by lease (Gray and Cheriton, "Leases", SOSP 1989): a member renews its lease several times in its
-//! length, and the leader grants each renewal after a majority has confirmed that it still leads.
+//! Membership leases (Gray and Cheriton, "Leases", SOSP 1989). A member renews its lease several times per lease
+//! duration, and the leader grants each renewal after a majority has confirmed its leadership.
 //!
-//! The member counts the lease from when it sent the renewal, and the leader from when it received it, so that the
-//! lease expires at the member first. A new leader waits for a whole lease before it counts any member as gone, as
-//! it does not know what its predecessor has granted.
+//! At the member, a lease starts when the renewal is sent; at the leader, it starts when the renewal is received. The
+//! lease therefore expires at the member first. A new leader waits for a whole lease duration before it deregisters any
+//! member, because it does not know which leases its predecessor has granted.
 
 use crate::config::{FleetConfig, Name};
 use crate::state::Epoch;
 use quillmount_policy::Micros;
 use std::collections::BTreeMap;
 
-/// Renewals sent in the length of a lease: two messages in a row may be lost.
+/// Number of renewals that a member sends per lease duration. Two messages in a row may be lost.
 const RENEWALS_PER_LEASE: Micros = 4;
-/// Maximum number of renewals without a reply that are remembered: more than fall into one lease.
+/// Maximum number of renewals without a reply that are tracked. It exceeds the number of renewals per lease.
 const MAX_PENDING_RENEWALS: usize = 16;
 
-/// The member's side.
+/// The lease of a member, as the member itself tracks it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HeldLease {
-    until: Micros,
-    /// When each renewal was sent, by its ticket.
+    /// Expiry by the member's clock; 0 if there is no lease.
+    expires_at: Micros,
+    /// Send time of each renewal without a reply, by ticket.
     pending_renewals: BTreeMap<u64, Micros>,
     last_ticket: u64,
     renew_at: Micros,
 }
 
 impl HeldLease {
-    /// Whether the member may act.
+    /// Whether the lease is valid, so that the member may accept messages and start calls.
     pub fn is_valid(&self, now: Micros) -> bool {
-        now < self.until
+        now < self.expires_at
     }
 
-    /// When the lease expires, unless it is extended.
-    pub fn until(&self) -> Micros {
-        self.until
+    /// Expiry of the lease by the member's clock, unless the lease is extended.
+    pub fn expires_at(&self) -> Micros {
+        self.expires_at
     }
 
-    /// When the next renewal is due.
+    /// Time at which the next renewal is due.
     pub fn wake_at(&self) -> Micros {
         self.renew_at
     }
 
-    /// The ticket of a renewal that is to be sent now, if one is due.
+    /// Returns the ticket of the renewal to be sent now, if one is due.
     pub fn next_renewal(&mut self, config: &FleetConfig, now: Micros) -> Option<u64> {
         if now < self.renew_at {
             return None;
@@ -55,17 +56,17 @@
         Some(self.last_ticket)
     }
 
-    /// The leader has granted the renewal with this ticket. Older ones are forgotten; an unknown ticket has no
-    /// effect.
+    /// Extends the lease after the leader has granted the renewal with this ticket. Older pending renewals are
+    /// discarded; an unknown ticket has no effect.
     pub fn granted(&mut self, ticket: u64, config: &FleetConfig) {
         let Some(sent_at) = self.pending_renewals.remove(&ticket) else { return };
         self.pending_renewals = self.pending_renewals.split_off(&ticket);
-        self.until = self.until.max(sent_at + config.member_lease());
+        self.expires_at = self.expires_at.max(sent_at + config.member_lease());
     }
 
-    /// Ends the lease, as the registration that it belongs to is void.
+    /// Ends the lease after the member's registration has become void.
     pub fn revoke(&mut self) {
-        self.until = 0;
+        self.expires_at = 0;
         self.pending_renewals.clear();
         self.renew_at = 0;
     }
@@ -78,26 +79,27 @@
     received_at: Micros,
 }
 
-/// The leader's side.
+/// The leases of all members, as the leader tracks them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GrantedLeases {
     renewals: BTreeMap<Name, Renewal>,
-    /// Registrations whose end this leader has proposed. They get no lease any more, as the end may be committed at
-    /// any moment.
+    /// Registrations whose end this leader has proposed. Their leases are not renewed any more, as the end may be
+    /// committed at any time.
     expiring: BTreeMap<Name, Epoch>,
-    /// When this courier began to lead.
-    since: Micros,
+    /// Time at which this courier became leader.
+    leading_since: Micros,
 }
 
 impl GrantedLeases {
-    /// This courier leads from now on: any member may have a lease that the leader before has granted.
+    /// Starts the leadership of this courier. Any member may have a lease that was granted by the previous leader until
+    /// `now`.
     pub fn begin_leadership(&mut self, now: Micros) {
         self.renewals.clear();
         self.expiring.clear();
-        self.since = now;
+        self.leading_since = now;
     }
 
-    /// A member renews its lease; returns whether it may be granted.
+    /// Records a member's renewal. Returns whether the renewal may be granted.
     pub fn renew(&mut self, name: &str, epoch: Epoch, now: Micros) -> bool {
         if self.expiring.get(name) == Some(&epoch) {
             return false;
@@ -106,20 +108,20 @@
         true
     }
 
-    /// A member's lease has expired, and the end of its registration is proposed.
+    /// Records that a member's lease has expired and the end of its registration is proposed.
     pub fn mark_expiring(&mut self, name: &str, epoch: Epoch) {
         self.expiring.insert(name.into(), epoch);
     }
 
-    /// A member is registered: it has the length of a lease for its first renewal.
+    /// Records the registration of a member, which has a lease duration for its first renewal.
     pub fn joined(&mut self, name: &str, epoch: Epoch, now: Micros) {
         self.renew(name, epoch, now);
     }
 
-    /// When a member's lease expires by the leader's clock.
+    /// Expiry of a member's lease by the leader's clock.
     pub fn expires_at(&self, name: &str, epoch: Epoch, config: &FleetConfig) -> Micros {
         let renewal = self.renewals.get(name).filter(|renewal| renewal.epoch == epoch);
-        let received_at = renewal.map_or(self.since, |renewal| renewal.received_at);
-        received_at.max(self.since) + config.lease
+        let received_at = renewal.map_or(self.leading_since, |renewal| renewal.received_at);
+        received_at.max(self.leading_since) + config.lease
     }
 }
--- a/courier/fleet/src/member/agreement_outputs.rs
+++ b/courier/fleet/src/member/agreement_outputs.rs
@@ -1,4 +1,4 @@
-//! Applies the agreement's outputs: committed commands, snapshots, confirmed reads and changes of the leader.
+//! Handles the agreement's outputs: committed commands, snapshots, confirmed reads and leader changes.
 
 use super::{AgreementLog, Member, MemberError, MemberNotice, MemberOutput, StoreDirectory};
 use crate::agreement::{AgreementInput, AgreementOutput};
@@ -26,7 +26,7 @@
         now: Micros,
         out: &mut Vec<MemberOutput>,
     ) -> Result<(), MemberError> {
-        let mut snapshot_wanted = false;
+        let mut snapshot_requested = false;
         for output in outputs {
             match output {
                 AgreementOutput::Send { to, bytes } => {
@@ -55,7 +55,7 @@
                 AgreementOutput::Rejected { ticket, .. } | AgreementOutput::Indeterminate { ticket } => {
                     self.pending_renewals.remove(&ticket);
                 }
-                AgreementOutput::SnapshotWanted => snapshot_wanted = true,
+                AgreementOutput::SnapshotRequested => snapshot_requested = true,
                 AgreementOutput::MembershipChanged { .. } => self.report_voters(out),
                 AgreementOutput::LeaderChanged { .. } => self.leader_changed(now, out),
                 AgreementOutput::Failed(e) => {
@@ -64,7 +64,7 @@
                 AgreementOutput::Halted(e) => return Err(e.into()),
             }
         }
-        if snapshot_wanted {
+        if snapshot_requested {
             let state = postcard::to_allocvec(&self.state)?;
             let snapshot = AgreementInput::Snapshot { through: self.applied_index, state };
             self.step_agreement(snapshot, now, out)?;
@@ -73,16 +73,16 @@
     }
 
     fn leader_changed(&mut self, now: Micros, out: &mut Vec<MemberOutput>) {
-        let leads = self.agreement.leads();
-        if leads && !self.is_leader {
+        let is_leader = self.agreement.is_leader();
+        if is_leader && !self.is_leader {
             self.shares.begin_leadership(self.config.time_bounds());
-            let since = if breaks::is_enabled(Break::NoGrace) { 0 } else { now };
-            self.granted_leases.begin_leadership(since);
+            let leading_since = if breaks::is_enabled(Break::NoGrace) { 0 } else { now };
+            self.granted_leases.begin_leadership(leading_since);
         }
-        if leads != self.is_leader {
-            out.push(MemberOutput::Notice(MemberNotice::Leading(leads)));
+        if is_leader != self.is_leader {
+            out.push(MemberOutput::Notice(MemberNotice::Leading(is_leader)));
         }
-        self.is_leader = leads;
+        self.is_leader = is_leader;
         self.pending_renewals.clear();
     }
 
@@ -106,10 +106,11 @@
         now: Micros,
         out: &mut Vec<MemberOutput>,
     ) -> Result<(), MemberError> {
-        // A command that can't be decoded is of a later version: all couriers of this version skip it.
+        // A command that can't be decoded was proposed by a later version. All couriers of this version skip it.
         let Ok(command) = postcard::from_bytes::<FleetCommand>(command) else { return Ok(()) };
         let registered = self.state.members.get(&self.config.local_name);
-        // If a process with another folder had this name, others take over its journal, also the one here.
+        // If a process with another data directory was registered under this name, other couriers take over all
+        // journals of the name, including the one in this directory.
         self.is_first &= registered.is_none_or(|member| member.node_id == self.agreement.node_id());
         let events = self.state.apply(command);
         if !events.is_empty() {
@@ -118,14 +119,15 @@
         events.into_iter().try_for_each(|event| self.apply_event(event, now, out))
     }
 
-    /// Replaces the state by an encoded one; empty bytes are the state before the first command.
+    /// Replaces the state by a decoded one; empty bytes stand for the state before the first command.
     pub(super) fn restore(&mut self, bytes: &[u8]) -> Result<(), MemberError> {
         self.state = if bytes.is_empty() { FleetState::default() } else { postcard::from_bytes(bytes)? };
         self.index_node_names();
         Ok(())
     }
 
-    /// Applies the difference between two states, after a snapshot has skipped the commands between them.
+    /// Applies the events between the state `before` and the current one, after a snapshot that replaced the commands
+    /// between them.
     fn apply_restored(
         &mut self,
         before: &FleetState,
@@ -141,7 +143,8 @@
         Ok(())
     }
 
-    /// Replicas at processes that have started since `before` are unknown: their folders may be new.
+    /// Discards the known positions of replicas at processes that have started since `before`: their data directories
+    /// may be empty.
     fn forget_restarted_replicas(&mut self, before: &FleetState) {
         let Some(replicator) = &mut self.replication.replicator else { return };
         for (name, member) in &self.state.members {
@@ -180,7 +183,8 @@
         events
     }
 
-    /// The registration of this process, if the snapshot has it and it is not known here yet.
+    /// Returns the event of this process's registration, if the snapshot contains the registration and it was not
+    /// applied before.
     fn own_registration(&self) -> Option<FleetEvent> {
         let name = &self.config.local_name;
         let member = self.state.members.get(name)?;
@@ -193,7 +197,7 @@
             name: name.clone(),
             epoch: member.epoch,
             incarnation: member.incarnation,
-            // With an equal lineage the journal in the folder is still this courier's own.
+            // If the lineages are equal, this courier still owns the journal in its data directory.
             retained: lineage.is_some() && lineage == self.lineage,
         })
     }
--- a/courier/fleet/src/member/budget_shares.rs
+++ b/courier/fleet/src/member/budget_shares.rs
@@ -1,4 +1,4 @@
-//! Partners' budgets in a member: its own shares of them, and, on the leader, how they are divided.
+//! Partners' budgets in a member: the member's own shares, and, on the leader, the division among couriers.
 
 use super::{AgreementLog, Member, MemberError, MemberOutput, StoreDirectory};
 use crate::message::FleetMessage;
@@ -7,12 +7,12 @@
 use quillmount_policy::Micros;
 
 impl<D: StoreDirectory, L: AgreementLog> Member<D, L> {
-    /// This courier's shares of partners' budgets.
+    /// This courier's shares of partners' budgets, from which calls and connections are admitted.
     pub fn shares(&mut self) -> &mut BudgetShares {
         &mut self.shares
     }
 
-    /// Applies the agreed shares, after they may have changed.
+    /// Applies the agreed shares after a change of the agreed state.
     pub(super) fn apply_budget_shares(&mut self, now: Micros, out: &mut Vec<MemberOutput>) {
         if !self.shares.is_configured() {
             return;
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Reports use and demand to the leader; the leader proposes how shares are to be moved.
+    /// Reports use and demand to the leader. The leader proposes changes of the shares.
     pub(super) fn maintain_budget_shares(
         &mut self,
         now: Micros,
--- a/courier/fleet/src/member/error.rs
+++ b/courier/fleet/src/member/error.rs
@@ -1,22 +1,22 @@
-//! Why a courier can't go on as a member of its fleet.
+//! Errors after which a courier can't continue as a member of its fleet.
 
 use crate::agreement::AgreementError;
 use std::io;
 
-/// Why a courier can't go on as a member of its fleet. After one of these the process has to be started again.
+/// An error after which a courier can't continue as a member of its fleet. The process has to be restarted.
 #[derive(Debug, thiserror::Error)]
 pub enum MemberError {
-    /// The agreement has halted, or can't be opened.
+    /// The agreement has halted or can't be opened.
     #[error(transparent)]
     Agreement(#[from] AgreementError),
-    /// A file of the fleet's folder can't be read or written.
+    /// A file of the fleet in the data directory can't be read or written.
     #[error(
-        "fleet: its files in the lasting folder can't be read or written: {0}; check the folder's disk and rights"
+        "fleet: its files in the data directory can't be read or written: {0}; check the disk and the permissions"
     )]
     Store(#[from] io::Error),
-    /// A value in the fleet's folder, or in a snapshot, can't be decoded or encoded.
+    /// A value in the fleet's files or in a snapshot can't be decoded or encoded.
     #[error(
-        "fleet: its state of an earlier process can't be read: {0}; start with an empty fleet folder, as a new member"
+        "fleet: the stored state can't be decoded or encoded: {0}; remove the fleet's files to join as a new member"
     )]
     State(#[from] postcard::Error),
 }
--- a/courier/fleet/src/member/fleet_events.rs
+++ b/courier/fleet/src/member/fleet_events.rs
@@ -1,4 +1,4 @@
-//! What a change of the agreed state means for this member.
+//! Applies changes of the agreed state to this member.
 
 use super::stores::replica_store_name;
 use super::{AgreementLog, Member, MemberError, MemberNotice, MemberOutput, StoreDirectory};
@@ -51,7 +51,7 @@
         Ok(())
     }
 
-    /// A process with this courier's name is registered.
+    /// Handles the registration of a process with this courier's name.
     fn registered(
         &mut self,
         epoch: Epoch,
@@ -60,8 +60,8 @@
         out: &mut Vec<MemberOutput>,
     ) -> Result<(), MemberError> {
         if self.epoch.is_some() {
-            // Either another process, or this one by a repeated request: what it has begun under its first
-            // registration is void.
+            // The registration is of another process, or of this one by a repeated request. In both cases the first
+            // registration of this process is void.
             self.fence(out);
         } else if incarnation == self.incarnation {
             self.epoch = Some(epoch);
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The registration is void: this process may not act any more.
+    /// Fences this process, as its registration is void: it may not accept messages or start calls any more.
     fn fence(&mut self, out: &mut Vec<MemberOutput>) {
         if !self.fenced {
             self.fenced = true;
@@ -107,7 +107,7 @@
         Ok(())
     }
 
-    /// Seals the replica of a sealed journal, or drops it if this courier is not to have one.
+    /// Seals the replica of a sealed journal, or drops it if this courier is not one of the agreed replicas.
     fn seal_replica(&mut self, journal: &JournalId) -> Result<(), MemberError> {
         let agreed = self.state.journals.get(journal);
         if !agreed.is_some_and(|agreed| agreed.replicas.contains(&self.config.local_name)) {
--- a/courier/fleet/src/member/interface.rs
+++ b/courier/fleet/src/member/interface.rs
@@ -1,4 +1,4 @@
-//! What a driver hands to [`Member::step`](super::Member::step) and what it gets back.
+//! Inputs and outputs of [`Member::step`](super::Member::step).
 
 use super::MemberNotice;
 use crate::budget::ConnectionOrder;
@@ -13,99 +13,105 @@
 /// An input of [`Member::step`](super::Member::step).
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberInput {
-    /// Time has passed. Wanted at [`Member::wake_at`](super::Member::wake_at) at the latest.
+    /// The deadline of [`Member::wake_at`](super::Member::wake_at) has passed.
     Tick,
-    /// An envelope of another courier has arrived.
+    /// An envelope from another courier has arrived.
     Received(Envelope),
-    /// The courier's own journal is open, after [`MemberOutput::Joined`].
+    /// The courier's own journal was opened, after [`MemberOutput::Joined`].
     JournalOpened {
-        /// The journal's contents.
+        /// The complete contents of the journal.
         bytes: Vec<u8>,
-        /// Adopted partitions in it whose adoption the journal does not record as resolved.
+        /// Adopted partitions in the journal whose adoption it does not record as resolved.
         unsettled: Vec<PartitionId>,
     },
-    /// These bytes were appended to the journal.
+    /// The contained bytes were appended to the journal.
     JournalAppended(Vec<u8>),
-    /// The journal was compacted: its contents are these now.
+    /// The journal was compacted. The value is its new contents.
     JournalReplaced(Vec<u8>),
-    /// The partition's records are in the journal, at the end of what was reported as appended.
+    /// The records of the adopted partition were written to the journal. [`MemberInput::JournalAppended`] has reported
+    /// them before.
     Adopted(PartitionId),
-    /// The journal records how the partition's adoption was resolved.
+    /// The journal contains a record of how the partition's adoption was resolved.
     AdoptionResolved(PartitionId),
-    /// A planned stop: the courier leaves the fleet, and its journal is for others to take over.
+    /// The courier leaves the fleet for a planned stop, and other couriers take over its journal.
     Leave,
-    /// A command about a settlement, to be proposed. Its sender repeats it until it is committed.
+    /// A command about a settlement that the member sends to the leader as a proposal. The driver repeats the input
+    /// until the command is committed.
     Settlement(settlement::SettlementCommand),
 }
 
-/// An output of [`Member::step`](super::Member::step); the driver carries them out in order.
+/// An output of [`Member::step`](super::Member::step). The driver carries out the outputs in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberOutput {
-    /// A message to another courier. It may be lost, duplicated or late.
+    /// A message to another courier. The message may be lost, duplicated or delayed.
     Send(Name, FleetMessage),
-    /// The courier is registered.
+    /// The courier was registered as a member.
     Joined {
-        /// The epoch of its registration.
+        /// The epoch of the registration.
         epoch: Epoch,
-        /// Whether the journal in its folder is still its own. If not, others have taken it over, and nothing
-        /// in it may be acted on.
+        /// Whether the courier still owns the journal in its data directory. If not, other couriers have taken the
+        /// journal over, and its messages must not be processed.
         retained: bool,
     },
-    /// The courier may act until this time of its own clock, unless the lease is extended or revoked.
+    /// The lease was extended: the courier may act until this time of its own clock.
     Lease(Micros),
-    /// The journal is replicated up to this offset in bytes, counted over all that was ever written.
+    /// The journal is replicated up to this offset in bytes. The offset counts all bytes ever written, also those that
+    /// compactions have removed.
     Replicated(u64),
-    /// The replicas of the journal have changed.
+    /// The agreed replicas of the journal have changed.
     Replicas {
-        /// The couriers that have to have a record before it counts as written.
-        at: BTreeSet<Name>,
-        /// Whether these are enough to accept messages (see [`MissingReplicas`](crate::config::MissingReplicas)).
+        /// The couriers that must have a record before it counts as replicated.
+        replicas: BTreeSet<Name>,
+        /// Whether these replicas are enough to accept messages (see
+        /// [`MissingReplicas`](crate::config::MissingReplicas)).
         enough: bool,
     },
-    /// A step of a takeover is due.
+    /// The driver has to carry out a step of a takeover.
     Takeover(TakeoverTask),
-    /// The registration is void, and others may take over the journal: the process has to start again.
+    /// The registration is void, and other couriers may take over the journal. The process has to restart.
     Fenced,
-    /// The fleet has agreed that this courier has left.
+    /// The fleet has committed that this courier left.
     Left,
-    /// Connections to partners that have to be closed.
+    /// The driver has to close these connections to partners, to stay within the courier's budget shares.
     CloseConnections(Vec<ConnectionOrder>),
-    /// The agreed state of a settlement has changed.
+    /// A committed command has changed the agreed state of a settlement.
     Settlement(settlement::SettlementEvent),
-    /// The agreed state was replaced by a snapshot: changes of settlements on the way to it are not reported.
+    /// A snapshot has replaced the agreed state. The changes of settlements that it contains are not reported one by
+    /// one.
     SettlementsRestored,
-    /// Another courier's message about a settlement.
+    /// A message about a settlement has arrived from another courier.
     SettlementReceived {
         /// The sender.
         from: Name,
         /// The message.
         message: settlement::SettlementMessage,
-        /// The body that goes with it.
+        /// The message body; empty if the message has none.
         payload: Bytes,
     },
-    /// Something for the process's log.
+    /// An occurrence for the log of the process.
     Notice(MemberNotice),
 }
 
-/// A step of a takeover, to be carried out on the courier's journal and router. The steps keep their order.
+/// A step of a takeover, which the driver carries out on the courier's journal and router. The order of the steps must
+/// not be changed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TakeoverTask {
-    /// Partitions of a sealed journal are to be written into the own journal, at once.
+    /// The driver writes the partitions of a sealed journal into the own journal, in one append.
     Adopt {
-        /// The partitions, all of the same journal.
+        /// The assigned partitions, all of the same journal.
         partitions: Vec<PartitionId>,
-        /// Partitions that the owner of the sealed journal had itself adopted. Of other partitions' records in
-        /// that journal nothing was its own.
+        /// Partitions that the owner of the sealed journal had itself adopted. Records of all other foreign partitions
+        /// in that journal are ignored, as the owner did not own them.
         settled: BTreeSet<PartitionId>,
-        /// The sealed journal's contents.
+        /// The complete contents of the sealed journal.
         bytes: Vec<u8>,
     },
-    /// The adoption of a partition is decided.
+    /// The fleet has decided about the adoption of a partition.
     ResolveAdoption {
-        /// The partition.
+        /// The partition of the sealed journal.
         source: PartitionId,
-        /// Whether it belongs to this courier, which acts on its records from now on. If not, another courier
-        /// has it.
+        /// Whether this courier owns the partition and processes its records from now on. If not, another courier
+        /// owns it.
         adopted: bool,
     },
 }
--- a/courier/fleet/src/member/leadership.rs
+++ b/courier/fleet/src/member/leadership.rs
@@ -1,5 +1,5 @@
-//! What the leader does for the fleet: it ends registrations whose lease has expired, and keeps the voters as
-//! configured.
+//! Tasks of the leader: ends registrations whose lease has expired, sweeps old verdicts of settlements, and changes the
+//! voters of the Raft group to the configured ones.
 
 use super::{AgreementLog, Member, MemberError, MemberOutput, RETRY_INTERVAL, StoreDirectory};
 use crate::NodeId;
@@ -8,7 +8,7 @@
 use crate::state::FleetCommand;
 use quillmount_policy::Micros;
 
-/// Time between two requests to forget old verdicts of settlements, in microseconds.
+/// Time between two commands that remove old verdicts of settlements, in microseconds.
 const VERDICT_SWEEP_INTERVAL: Micros = 10_000_000;
 
 impl<D: StoreDirectory, L: AgreementLog> Member<D, L> {
@@ -47,7 +47,8 @@
         self.propose(FleetCommand::Settlement(command), now, out)
     }
 
-    /// Brings the voters of the agreement closer to the configured ones, one change at a time.
+    /// Proposes the next change that brings the voters closer to the configured ones. Only one change is in progress
+    /// at a time.
     fn adjust_voters(&mut self, now: Micros, out: &mut Vec<MemberOutput>) -> Result<(), MemberError> {
         let is_configured =
             |node_id: &NodeId| self.names_by_node.get(node_id).is_some_and(|name| self.config.is_voter(name));
@@ -62,7 +63,7 @@
             && wanted_learner.is_none()
             && let Some(to) = wanted_voter
         {
-            // A leader can't take away its own vote: the next leader does.
+            // A leader can't remove its own vote, so it transfers leadership to a configured voter, which removes it.
             return self.step_agreement(AgreementInput::TransferLeadership { to }, now, out);
         }
         let surplus =
--- a/courier/fleet/src/member/log.rs
+++ b/courier/fleet/src/member/log.rs
@@ -1,11 +1,11 @@
-//! The replicated log, as a member uses it.
+//! The interface of the replicated log that a member uses.
 
 use crate::NodeId;
 use crate::agreement::{Agreement, AgreementError, AgreementInput, AgreementOutput};
 use quillmount_core::store::Store;
 use quillmount_policy::Micros;
 
-/// The replicated log that all couriers agree on: [`Agreement`], or a model of it in explorations of a fleet.
+/// The replicated log of the fleet: [`Agreement`], or a model of it in tests that explore the states of a fleet.
 pub trait AgreementLog {
     /// See [`Agreement::bootstrap`].
     ///
@@ -14,17 +14,17 @@
     fn bootstrap(&mut self, now: Micros) -> Result<Vec<AgreementOutput>, AgreementError>;
     /// See [`Agreement::step`].
     fn step(&mut self, input: AgreementInput, now: Micros) -> Vec<AgreementOutput>;
-    /// The leader, as far as it is known here.
+    /// The leader that this courier knows of.
     fn leader(&self) -> Option<NodeId>;
-    /// Whether this courier believes to lead.
-    fn leads(&self) -> bool;
-    /// This courier's id.
+    /// Whether this courier is leader according to its own state. See [`Agreement::is_leader`].
+    fn is_leader(&self) -> bool;
+    /// This courier's id in the Raft group. See [`NodeId`].
     fn node_id(&self) -> NodeId;
-    /// The voters, in the order of their ids.
+    /// The voters in ascending order of their ids.
     fn voters(&self) -> Vec<NodeId>;
-    /// The learners, in the order of their ids.
+    /// The learners in ascending order of their ids.
     fn learners(&self) -> Vec<NodeId>;
-    /// When it wants [`AgreementInput::Tick`] at the latest.
+    /// Deadline of the next [`AgreementInput::Tick`]; `None` if no tick is needed.
     fn wake_at(&self) -> Option<Micros>;
 }
 
@@ -38,8 +38,8 @@
     fn leader(&self) -> Option<NodeId> {
         Agreement::leader(self)
     }
-    fn leads(&self) -> bool {
-        Agreement::leads(self)
+    fn is_leader(&self) -> bool {
+        Agreement::is_leader(self)
     }
     fn node_id(&self) -> NodeId {
         Agreement::node_id(self)
--- a/courier/fleet/src/member/messages.rs
+++ b/courier/fleet/src/member/messages.rs
@@ -1,4 +1,4 @@
-//! Messages from other couriers, and to them.
+//! Sends messages to other couriers and handles received ones.
 
 use super::registration::PendingRenewal;
 use super::replica_host::AppendRequest;
@@ -10,7 +10,7 @@
 use quillmount_policy::Micros;
 
 impl<D: StoreDirectory, L: AgreementLog> Member<D, L> {
-    /// Sends a message. One to this courier itself is handled at once.
+    /// Sends a message. A message to this courier itself is handled immediately.
     pub(super) fn send_to(
         &mut self,
         to: Name,
@@ -49,7 +49,7 @@
         Ok(())
     }
 
-    /// Handles a message for which the sender's name is enough.
+    /// Handles a message that requires only the sender's name, not its node id.
     fn handle_message(
         &mut self,
         from: Name,
@@ -58,7 +58,8 @@
         out: &mut Vec<MemberOutput>,
     ) -> Result<(), MemberError> {
         match message {
-            // These need the sender's id, and never go to the sender itself.
+            // `receive` handles these messages, as they require the sender's node id. A courier never sends them to
+            // itself.
             FleetMessage::Hello { .. } | FleetMessage::Agreement(_) => {}
             FleetMessage::HelloReply { fresh } => self.discovery.handle_reply(from, fresh),
             FleetMessage::Propose(command) => self.propose(command, now, out)?,
--- a/courier/fleet/src/member/mod.rs
+++ b/courier/fleet/src/member/mod.rs
@@ -1,14 +1,14 @@
-//! One courier of a fleet: its participation in the agreement, its lease, the replicas of its journal at other couriers, the
-//! replicas that it keeps for them, and its takeovers of sealed journals.
+//! One courier of a fleet: its Raft node, its lease, the replicas of its journal at other couriers, the replicas that
+//! it stores for them, and its takeovers of sealed journals.
 //!
-//! A [`Member`] has no clock, thread or socket. Its driver hands it inputs with the time ([`Member::step`]) and
-//! carries out the outputs in order. It writes to its [`StoreDirectory`] before it returns anything that depends on
-//! what it wrote.
+//! A [`Member`] has no clock, thread or socket. The driver passes inputs with the current time to [`Member::step`]
+//! and carries out the outputs in order. The member writes to its [`StoreDirectory`] before it returns an output that
+//! depends on the written data.
 //!
-//! `interface`, `notice` and `error` are what the driver sees; `log` and `stores` what it provides. The other modules
-//! are steps of the machine: `messages` and `agreement_outputs` dispatch what arrives, `fleet_events` applies changes
-//! of the agreed state, and `registration`, `own_journal`, `takeover`, `proposals`, `budget_shares` and `leadership`
-//! do what is due as time passes. `replica_host` keeps the replicas of others.
+//! `interface`, `notice` and `error` define what the driver receives, `log` and `stores` what it provides. The other
+//! modules implement the steps of the state machine: `messages` and `agreement_outputs` dispatch inputs, `fleet_events`
+//! applies changes of the agreed state, and `registration`, `own_journal`, `takeover`, `proposals`, `budget_shares` and
+//! `leadership` run periodic maintenance. `replica_host` stores the replicas of other couriers' journals.
 
 mod agreement_outputs;
 mod budget_shares;
@@ -51,55 +51,56 @@
 use stores::{AGREEMENT_STORE, IDENTITY_STORE, journal_of_store, read_lineage};
 use takeover::Takeovers;
 
-/// Time after which a request to the fleet is repeated until it has its effect, in microseconds: a message may be
-/// lost, and so may a leader.
+/// Time in microseconds after which a request to the fleet is repeated until it takes effect: messages may be lost, and
+/// the leader may fail.
 const RETRY_INTERVAL: Micros = 250_000;
-/// Time between two rounds of maintenance at the most, in microseconds: short against a lease.
+/// Maximum time between two rounds of maintenance in microseconds. It is short compared with a lease.
 const MAINTENANCE_INTERVAL: Micros = 50_000;
-/// Bytes for replicas of others' journals, unless the driver sets another limit.
+/// Default of [`Member::replica_capacity`] in bytes.
 const DEFAULT_REPLICA_CAPACITY: u64 = 16 * MAX_REPLICA_BYTES;
 
-/// One courier's state machine in its fleet.
+/// The state machine of one courier in its fleet.
 #[derive(Clone)]
 pub struct Member<D: StoreDirectory, L = Agreement<<D as StoreDirectory>::Store>> {
-    /// The fleet's settings.
+    /// The fleet's settings. The driver may replace them while the member runs.
     pub config: FleetConfig,
-    /// Maximum bytes that replicas of others' journals may use. Seals are written even beyond it.
+    /// Maximum total size in bytes of the replicas of other couriers' journals. Seals are written even beyond it.
     pub replica_capacity: u64,
     stores: D,
     agreement: L,
     state: FleetState,
-    /// Random number of this process, which distinguishes it from earlier ones of the same courier.
+    /// Random number of this process. It distinguishes the process from earlier ones of the same courier.
     incarnation: u64,
-    /// Lineage of the journal in the folder; `None`: there is none that counts.
+    /// Lineage of the journal in the data directory; `None` if there is no valid journal.
     lineage: Option<Epoch>,
-    /// Where the lineage is stored.
+    /// The store of the lineage.
     identity: D::Store,
+    /// See [`Member::is_first`].
     is_first: bool,
     discovery: Discovery,
     names_by_node: BTreeMap<NodeId, Name>,
     /// Index of the last log entry that `state` contains.
     applied_index: u64,
-    /// The epoch of this process's registration, from its commit on.
+    /// The epoch of this process's registration, once it is committed.
     epoch: Option<Epoch>,
-    /// The registration is void. It stays so until the process ends.
+    /// The registration is void. A fenced process stays fenced until it ends.
     fenced: bool,
     lease: HeldLease,
-    /// What was last reported of the lease.
+    /// The value of the last [`MemberNotice::LeaseLost`].
     lease_lost: bool,
     is_leader: bool,
     granted_leases: GrantedLeases,
-    /// Lease renewals that wait for the leadership's confirmation, by the agreement's ticket.
+    /// Lease renewals that wait until a majority confirms the leadership, by the ticket of the read request.
     pending_renewals: BTreeMap<u64, PendingRenewal>,
     /// Ticket of the last request to the agreement.
     last_ticket: u64,
     replication: OwnReplication,
-    /// Replicas of others' journals.
+    /// Replicas of other couriers' journals that this member stores.
     replicas: BTreeMap<JournalId, JournalReplica<D::Store>>,
-    /// Journals whose replica the store has rejected bytes of, as was reported.
+    /// Journals whose replica could not be written, and for which a notice was sent.
     rejected_replicas: BTreeSet<JournalId>,
     takeovers: Takeovers,
-    outstanding: Vec<OutstandingProposal>,
+    outstanding_proposals: Vec<OutstandingProposal>,
     leaving: bool,
     left: bool,
     shares: BudgetShares,
@@ -109,29 +110,29 @@
     next_verdict_sweep_at: Micros,
 }
 
-/// The numbers of one run of a courier's process, which the caller draws at random.
+/// Random numbers that identify one run of a courier's process. The caller draws them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessIdentity {
-    /// The number of this run.
+    /// The number of this run. No two runs of a courier have the same one.
     pub incarnation: u64,
-    /// The node id for a new folder, not 0; a folder that has one keeps it.
+    /// The node id for a new data directory, not 0. A directory that contains a node id keeps it.
     pub fresh_node_id: NodeId,
 }
 
-/// The agreement's log, which the caller has opened.
+/// A replicated log that the caller has opened.
 #[derive(Debug)]
 pub struct OpenedLog<L> {
-    /// The log.
+    /// The replicated log.
     pub log: L,
-    /// What was read from it.
+    /// The contents that were read when the log was opened.
     pub opened: Opened,
 }
 
 impl<D: StoreDirectory> Member<D> {
-    /// Opens the agreement's log and the rest of the folder.
+    /// Opens the agreement's log and all other stores of the directory.
     ///
     /// # Errors
-    /// A store can't be opened, read or decoded.
+    /// A store can't be opened, read or decoded, or the limits are inconsistent.
     pub fn open(
         config: FleetConfig,
         mut stores: D,
@@ -146,7 +147,7 @@
 }
 
 impl<D: StoreDirectory, L: AgreementLog> Member<D, L> {
-    /// Opens what the folder has besides the agreement's log, which the caller has opened.
+    /// Opens all stores of the directory except for the replicated log, which the caller has opened.
     ///
     /// # Errors
     /// A store can't be opened, read or decoded.
@@ -179,7 +180,7 @@
             lineage,
             identity,
             is_first,
-            discovery: Discovery::new(opened.new, now),
+            discovery: Discovery::new(opened.is_new, now),
             names_by_node: BTreeMap::new(),
             applied_index: 0,
             epoch: None,
@@ -194,7 +195,7 @@
             replicas,
             rejected_replicas: BTreeSet::new(),
             takeovers: Takeovers::default(),
-            outstanding: Vec::new(),
+            outstanding_proposals: Vec::new(),
             leaving: false,
             left: false,
             shares,
@@ -224,12 +225,12 @@
         Ok(())
     }
 
-    /// The state that the fleet has agreed on, as far as it is known here.
+    /// The agreed state of the fleet, as of the last command that this member has applied.
     pub fn state(&self) -> &FleetState {
         &self.state
     }
 
-    /// The replicated log.
+    /// The replicated log of this member.
     pub fn agreement(&self) -> &L {
         &self.agreement
     }
@@ -239,16 +240,16 @@
         self.epoch
     }
 
-    /// Whether the courier is a member with a valid lease, so that it may accept messages and begin calls.
+    /// Whether the courier is a member with a valid lease, and so may accept messages and start calls.
     pub fn may_act(&self, now: Micros) -> bool {
         self.epoch.is_some()
             && !self.fenced
             && (self.lease.is_valid(now) || breaks::is_enabled(Break::LeaseIgnored))
     }
 
-    /// When it wants [`MemberInput::Tick`] at the latest.
+    /// Deadline of the next [`MemberInput::Tick`].
     pub fn wake_at(&self) -> Option<Micros> {
-        // After it is fenced or has left no page is sent any more: one that is due would stay due for ever.
+        // A member that is fenced or has left sends no pages, so the deadline of a due page would never advance.
         let replicator = self.replication.replicator.as_ref().filter(|_| !self.fenced && !self.left);
         let times = [
             Some(self.maintenance_at),
@@ -258,38 +259,40 @@
         times.into_iter().flatten().min()
     }
 
-    /// Whether no earlier process with this folder was a member of a fleet, and no other process had this courier's
-    /// name: a journal in the folder belongs to nobody else.
+    /// Whether no earlier process with this data directory was a member of a fleet, and no process with another data
+    /// directory was registered under this courier's name. If so, no other courier has taken over the journal in the
+    /// directory.
     pub fn is_first(&self) -> bool {
         self.is_first
     }
 
-    /// Stores the lineage of the journal that is in the folder from now on; `None`: the journal there is void.
+    /// Stores the lineage of the journal in the data directory; `None` if that journal is void.
     ///
     /// # Errors
-    /// It can't be written.
+    /// The lineage can't be written.
     pub fn record_lineage(&mut self, lineage: Option<Epoch>) -> Result<(), MemberError> {
         self.identity.replace(&postcard::to_allocvec(&lineage)?)?;
         self.lineage = lineage;
         Ok(())
     }
 
-    /// The lineage of this courier's journal that the fleet has agreed on.
+    /// The lineage of this courier's journal in the agreed state; `None` if the courier is not registered.
     pub fn agreed_lineage(&self) -> Option<Epoch> {
         self.state.journals.get(&self.journal_id()?).map(|journal| journal.lineage)
     }
 
-    /// Whether the courier has left the fleet and its journal is sealed or retired: others have what was in it.
+    /// Whether the courier has left the fleet and its journal is sealed or retired, so that other couriers take it over
+    /// or have done so.
     pub fn has_left(&self) -> bool {
         let own = self.journal_id().and_then(|id| self.state.journals.get(&id));
         self.left && own.is_none_or(|journal| journal.sealed.is_some())
     }
 
-    /// Takes one input at the time `now` and returns what is to be done, in order.
+    /// Processes one input at the time `now` and returns the outputs, which the driver has to carry out in order.
     ///
     /// # Errors
-    /// Something can't be written that has to outlast the process. The member must not be used any more; its lease
-    /// expires.
+    /// A store can't be read or written, or the agreement has halted. The member must not be used any more, and its
+    /// lease expires.
     pub fn step(&mut self, input: MemberInput, now: Micros) -> Result<Vec<MemberOutput>, MemberError> {
         let mut out = Vec::new();
         match input {
@@ -323,7 +326,7 @@
         Ok(out)
     }
 
-    /// Does what is due as time passes.
+    /// Runs the periodic tasks that are due.
     fn run_maintenance(&mut self, now: Micros, out: &mut Vec<MemberOutput>) -> Result<(), MemberError> {
         self.maintenance_at = now + MAINTENANCE_INTERVAL;
         self.send_hello(now, out)?;
@@ -351,7 +354,7 @@
         self.send_to(leader, FleetMessage::Propose(FleetCommand::Settlement(command)), now, out)
     }
 
-    /// The leader's name, if there is a leader and its name is known.
+    /// The leader's name; `None` if there is no known leader or its name is unknown.
     fn leader(&self) -> Option<Name> {
         let node_id = self.agreement.leader()?;
         if node_id == self.agreement.node_id() {
@@ -360,7 +363,7 @@
         self.names_by_node.get(&node_id).cloned()
     }
 
-    /// The own journal, under the epoch of this process's registration.
+    /// The id of the own journal, under the epoch of this process's registration; `None` before the registration.
     fn journal_id(&self) -> Option<JournalId> {
         Some(JournalId { owner: self.config.local_name.clone(), epoch: self.epoch? })
     }
--- a/courier/fleet/src/member/notice.rs
+++ b/courier/fleet/src/member/notice.rs
@@ -1,62 +1,63 @@
-//! What a member reports to the process's log.
+//! Occurrences that a member reports to the log of its process.
 
 use crate::config::Name;
 use crate::state::{Epoch, JournalId};
 
-/// An occurrence for the process's log; its text is the [`Display`](std::fmt::Display) form.
+/// An occurrence for the log of the process. The log line is the [`Display`](std::fmt::Display) form.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberNotice {
-    /// This courier is registered.
+    /// This courier was registered as a member.
     Joined {
-        /// The epoch of its registration.
+        /// The epoch of the registration.
         epoch: Epoch,
-        /// Whether the journal in its folder is still its own.
+        /// Whether the courier still owns the journal in its data directory.
         retained: bool,
     },
     /// A courier's registration has ended.
     Deregistered {
-        /// The courier.
+        /// The courier whose registration has ended.
         name: Name,
-        /// The epoch of the registration.
+        /// The epoch of that registration.
         epoch: Epoch,
     },
-    /// A journal is sealed: its owner may not write it any more.
+    /// A journal was sealed: its owner may not append to it any more.
     Sealed(JournalId),
-    /// This courier adopts partitions of a sealed journal.
+    /// This courier has started to adopt partitions of a sealed journal.
     TakeoverStarted {
         /// The sealed journal.
         journal: JournalId,
-        /// Number of the partitions.
+        /// Number of partitions that this courier adopts.
         partitions: usize,
         /// Length of the journal in bytes.
         bytes: usize,
     },
-    /// No replica of a sealed journal is at the couriers that should have one.
+    /// None of the couriers that should have a replica of a sealed journal has one.
     ReplicaUnavailable {
         /// The sealed journal.
         journal: JournalId,
     },
-    /// A replica of this courier's journal lags behind and is replaced.
+    /// A replica of this courier's journal has not acknowledged records for too long and is replaced by another
+    /// courier's.
     ReplicaLagging {
         /// The courier that has the replica.
         name: Name,
     },
-    /// A replica of another courier's journal can't be written here.
+    /// This courier can't write its replica of another courier's journal.
     ReplicaRejected {
-        /// The journal.
+        /// The replicated journal.
         journal: JournalId,
-        /// The error of the store.
-        what: String,
+        /// The text of the I/O error.
+        error: String,
     },
-    /// This courier has become leader (`true`) or is leader no more.
+    /// This courier has become leader (`true`) or has lost leadership (`false`).
     Leading(bool),
-    /// This courier's lease has expired (`true`) or is valid again.
+    /// This courier's lease has expired (`true`) or is valid again (`false`).
     LeaseLost(bool),
-    /// This courier starts a new fleet.
+    /// This courier creates a new fleet, as the first configured voter.
     Bootstrapping,
-    /// The voters of the agreement have changed.
+    /// The voters of the Raft group have changed. The value lists their names in ascending order.
     Voters(Vec<Name>),
-    /// An error of the agreement after which it goes on.
+    /// An error after which the agreement continues. The value is its text.
     Agreement(String),
 }
 
@@ -64,12 +65,12 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             MemberNotice::Joined { epoch, retained: true } => {
-                write!(f, "fleet: member under epoch {epoch}, with the journal in the folder")
+                write!(f, "fleet: member under epoch {epoch}, continuing the journal in the data directory")
             }
             MemberNotice::Joined { epoch, retained: false } => {
                 write!(
                     f,
-                    "fleet: member under epoch {epoch}, with an empty journal: others have what was owed before"
+                    "fleet: member under epoch {epoch}, with an empty journal: other couriers took over the earlier journal"
                 )
             }
             MemberNotice::Deregistered { name, epoch } => {
@@ -81,29 +82,34 @@
             }
             MemberNotice::ReplicaUnavailable { journal } => write!(
                 f,
-                "fleet: no replica of journal {journal} answers: start its owner or a courier with a replica, each with its folder"
+                "fleet: takeover of journal {journal} waits, as no replica is available: start its owner or a courier with a replica, with its data directory"
             ),
             MemberNotice::ReplicaLagging { name } => {
-                write!(f, "fleet: the replica at {name} lags and is replaced: look at the link to it")
+                write!(
+                    f,
+                    "fleet: the replica at {name} lags and is replaced: check the network connection to {name}"
+                )
             }
-            MemberNotice::ReplicaRejected { journal, what } => {
+            MemberNotice::ReplicaRejected { journal, error } => {
                 write!(
                     f,
-                    "fleet: a replica of journal {journal} can't be stored: {what}; look at the folder's disk"
+                    "fleet: writing the replica of journal {journal} failed: {error}; check the disk of the data directory"
                 )
             }
-            MemberNotice::Leading(true) => write!(f, "fleet: leader"),
+            MemberNotice::Leading(true) => write!(f, "fleet: became leader"),
             MemberNotice::Leading(false) => write!(f, "fleet: no longer leader"),
             MemberNotice::LeaseLost(true) => {
                 write!(
                     f,
-                    "fleet: its lease has expired: partitioned, or too few voters are up; nothing is started"
+                    "fleet: its lease has expired, as the network is partitioned or too few voters run: no message is accepted, no call is started"
                 )
             }
-            MemberNotice::LeaseLost(false) => write!(f, "fleet: has a lease"),
-            MemberNotice::Agreement(what) => write!(f, "fleet: {what}"),
+            MemberNotice::LeaseLost(false) => write!(f, "fleet: its lease is valid"),
+            MemberNotice::Agreement(error) => write!(f, "fleet: {error}"),
             MemberNotice::Voters(voters) => write!(f, "fleet: voters are {}", voters.join(", ")),
-            MemberNotice::Bootstrapping => write!(f, "fleet: created by this courier, its first voter"),
+            MemberNotice::Bootstrapping => {
+                write!(f, "fleet: created a new fleet with this courier as the first voter")
+            }
         }
     }
 }
--- a/courier/fleet/src/member/own_journal.rs
+++ b/courier/fleet/src/member/own_journal.rs
@@ -1,5 +1,5 @@
-//! Replication of this member's own journal: which couriers have replicas, how far they are, and which ones the
-//! fleet is to agree on.
+//! Replication of this member's own journal: the couriers that have replicas, their progress, and proposals to change
+//! them.
 
 use super::{AgreementLog, Member, MemberNotice, MemberOutput, StoreDirectory};
 use crate::breaks::{self, Break};
@@ -9,34 +9,35 @@
 use quillmount_policy::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A replica that acknowledges nothing for so many lease times is replaced, and not wanted for as long again.
+/// A replica that acknowledges no records for this number of lease durations is replaced, and is not chosen again for
+/// the same time.
 const MAX_LAG_LEASES: Micros = 2;
 
 /// The replicas of the own journal.
 #[derive(Clone, Default)]
 pub(super) struct OwnReplication {
-    /// `None`: the journal is not open yet.
+    /// `None` until the journal is opened.
     pub(super) replicator: Option<JournalReplicator>,
-    /// Replicas that this member has proposed, which may be committed at any moment: until the fleet's answer
-    /// records have to be at these, too.
+    /// Replicas that this member has proposed. The proposal may be committed at any time, so until its result is known
+    /// these replicas must acknowledge records, too.
     pub(super) proposed: BTreeSet<Name>,
-    /// Replicas that lag behind, and until when they are not wanted.
+    /// Couriers whose replicas lag, and the time until which they are not chosen.
     lagging: BTreeMap<Name, Micros>,
     /// The offset that was last reported as replicated. It never decreases.
     pub(super) replicated_offset: u64,
-    /// What was last reported: the agreed replicas, and whether they are enough.
-    reported: Option<(BTreeSet<Name>, bool)>,
+    /// The last reported replicas, and whether they are enough.
+    reported_replicas: Option<(BTreeSet<Name>, bool)>,
 }
 
 impl OwnReplication {
-    /// Length of all that was written to the journal; 0 if it is not open.
+    /// Number of bytes ever written to the journal; 0 if it is not open.
     pub(super) fn written(&self) -> u64 {
         self.replicator.as_ref().map_or(0, JournalReplicator::written)
     }
 }
 
 impl<D: StoreDirectory, L: AgreementLog> Member<D, L> {
-    /// The replicas that the own journal should have.
+    /// The couriers that should have a replica of the own journal.
     fn wanted_replicas(&self) -> BTreeSet<Name> {
         let serving = self.state.serving();
         let order = self.config.replica_order(&serving);
@@ -47,13 +48,13 @@
             .collect()
     }
 
-    /// Version and names of the replicas that the fleet has agreed on.
+    /// The agreed replicas of the own journal and their version.
     fn agreed_replicas(&self) -> Option<(u64, &BTreeSet<Name>)> {
         let journal = self.state.journals.get(&self.journal_id()?)?;
         Some((journal.version, &journal.replicas))
     }
 
-    /// Sends what the replicas lack, and reports how far the journal is replicated.
+    /// Sends missing records to the replicas, and reports up to which offset the journal is replicated.
     pub(super) fn maintain_replicas(&mut self, now: Micros, out: &mut Vec<MemberOutput>) {
         self.replication.lagging.retain(|_, until| now < *until);
         let Some((version, agreed)) = self.agreed_replicas() else { return };
@@ -62,8 +63,8 @@
         let wanted = self.wanted_replicas();
         let replication = &mut self.replication;
         let Some(replicator) = &mut replication.replicator else { return };
-        let needed: BTreeSet<Name> = agreed.union(&replication.proposed).cloned().collect();
-        let all: BTreeSet<Name> = needed.union(&wanted).cloned().collect();
+        let required: BTreeSet<Name> = agreed.union(&replication.proposed).cloned().collect();
+        let all: BTreeSet<Name> = required.union(&wanted).cloned().collect();
         replicator.set_replicas(&all, now);
         let pages = replicator.next_pages(now);
         out.extend(pages.into_iter().map(|(name, message)| MemberOutput::Send(name, message)));
@@ -74,7 +75,7 @@
         let replicated = if breaks::is_enabled(Break::ReplicatedAtOnce) {
             replicator.written()
         } else if enough {
-            replicator.replicated_offset(&needed)
+            replicator.replicated_offset(&required)
         } else {
             replication.replicated_offset
         };
@@ -83,14 +84,14 @@
             out.push(MemberOutput::Replicated(replicated));
         }
         let current = Some((agreed, enough));
-        if replication.reported != current {
-            replication.reported.clone_from(&current);
-            out.extend(current.map(|(at, enough)| MemberOutput::Replicas { at, enough }));
+        if replication.reported_replicas != current {
+            replication.reported_replicas.clone_from(&current);
+            out.extend(current.map(|(replicas, enough)| MemberOutput::Replicas { replicas, enough }));
         }
     }
 
-    /// Marks replicas that acknowledge nothing, so that others are wanted in their place. Also those that the
-    /// fleet has not agreed on yet.
+    /// Marks replicas that acknowledge no records as lagging, so that other couriers are chosen in their place. This
+    /// includes replicas that are not committed yet.
     fn mark_lagging(&mut self, agreed: &BTreeSet<Name>, now: Micros, out: &mut Vec<MemberOutput>) {
         let max_lag = self.config.lease * MAX_LAG_LEASES;
         let wanted = self.wanted_replicas();
@@ -103,15 +104,16 @@
         }
     }
 
-    /// The change of the replicas that the fleet is to agree on, if there is one.
+    /// Returns the command that changes the agreed replicas, if a change is needed.
     ///
-    /// A new replica is proposed when it has caught up; the old ones are dropped when all new ones have.
+    /// A new replica is proposed when it has caught up. Old replicas are removed when all new ones have caught up.
     pub(super) fn wanted_replica_change(&mut self) -> Option<FleetCommand> {
         let wanted = self.wanted_replicas();
         let journal = self.journal_id()?;
         let (version, agreed) = self.agreed_replicas()?;
         let replicator = self.replication.replicator.as_ref()?;
-        // It must have all that was reported as replicated: that may be on the present replicas alone.
+        // A new replica must have all bytes that were reported as replicated, as only the current replicas may have
+        // them.
         let has_caught_up = |name: &&Name| {
             let alone = BTreeSet::from([(*name).clone()]);
             replicator.has_ever_completed(name)
@@ -126,7 +128,7 @@
         if prefers {
             next.retain(|name| !self.replication.lagging.contains_key(name));
         }
-        // A journal without replicas counts as agreed from the first version on.
+        // A journal without replicas needs a committed first version, too.
         let is_first_without_replicas = prefers && next.is_empty() && version == 0;
         if next == *agreed && !is_first_without_replicas {
             return None;
--- a/courier/fleet/src/member/proposals.rs
+++ b/courier/fleet/src/member/proposals.rs
@@ -1,4 +1,4 @@
-//! What this member wants the fleet to agree on, sent to the leader until it is committed.
+//! Commands that this member proposes. They are sent to the leader until they are committed.
 
 use super::{AgreementLog, Member, MemberError, MemberOutput, RETRY_INTERVAL, StoreDirectory};
 use crate::agreement::AgreementInput;
@@ -10,12 +10,12 @@
 #[derive(Clone, Debug)]
 pub(super) struct OutstandingProposal {
     command: FleetCommand,
-    /// When it is sent once more, if it is still wanted.
+    /// Time of the next retry, if the command still has to be proposed.
     retry_at: Micros,
 }
 
 impl<D: StoreDirectory, L: AgreementLog> Member<D, L> {
-    /// Proposes a command to the agreement; without effect if this courier does not lead.
+    /// Proposes a command to the agreement. Without effect if this courier is not the leader.
     pub(super) fn propose(
         &mut self,
         command: FleetCommand,
@@ -30,7 +30,7 @@
         self.step_agreement(AgreementInput::Propose { ticket, command }, now, out)
     }
 
-    /// Sends the wanted commands to the leader, each once per [`RETRY_INTERVAL`].
+    /// Sends the commands that are to be committed to the leader, each once per [`RETRY_INTERVAL`].
     pub(super) fn propose_wanted(
         &mut self,
         now: Micros,
@@ -38,14 +38,15 @@
     ) -> Result<(), MemberError> {
         let commands = self.wanted_commands();
         self.resolve_pending(out);
-        self.outstanding.retain(|sent| commands.contains(&sent.command) && now < sent.retry_at);
+        self.outstanding_proposals
+            .retain(|proposal| commands.contains(&proposal.command) && now < proposal.retry_at);
         for command in commands {
-            if self.outstanding.iter().any(|sent| sent.command == command) {
+            if self.outstanding_proposals.iter().any(|proposal| proposal.command == command) {
                 continue;
             }
             let Some(leader) = self.leader() else { continue };
             let retry_at = now + RETRY_INTERVAL;
-            self.outstanding.push(OutstandingProposal { command: command.clone(), retry_at });
+            self.outstanding_proposals.push(OutstandingProposal { command: command.clone(), retry_at });
             self.send_to(leader, FleetMessage::Propose(command), now, out)?;
         }
         Ok(())
@@ -73,7 +74,8 @@
         })
     }
 
-    /// Adoptions whose records are replicated, and those whose resolution is.
+    /// Returns the commands for adoptions whose records are replicated, and for adoptions whose resolution is
+    /// replicated.
     fn wanted_adoptions(&self, epoch: Epoch) -> Vec<FleetCommand> {
         let mut commands = Vec::new();
         let replicated_offset = self.replication.replicated_offset;
@@ -90,7 +92,7 @@
             });
         }
         if self.replication.replicator.is_some() {
-            // The journal records these as resolved already, by this process or an earlier one.
+            // The journal already contains the resolution of these adoptions, by this process or an earlier one.
             let recorded = self
                 .state
                 .adopted_by(&self.config.local_name, epoch)
--- a/courier/fleet/src/member/registration.rs
+++ b/courier/fleet/src/member/registration.rs
@@ -1,4 +1,4 @@
-//! How a courier becomes a member and stays one: greetings until it is registered, then renewals of its lease.
+//! Registration of a courier as a member: hello messages until it is registered, then renewals of its lease.
 
 use super::{AgreementLog, Member, MemberError, MemberNotice, MemberOutput, RETRY_INTERVAL, StoreDirectory};
 use crate::NodeId;
@@ -9,15 +9,15 @@
 use quillmount_policy::Micros;
 use std::collections::BTreeSet;
 
-/// Whether a fleet exists already, as far as this courier knows. The first configured voter starts a new one
-/// only if all other voters say that their folders know of none.
+/// What this courier knows about whether the fleet exists already. The first configured voter creates a new fleet only
+/// if all other voters have replied that their data directories belong to no fleet.
 #[derive(Clone, Debug)]
 pub(super) struct Discovery {
-    /// This folder knows of no fleet.
+    /// This courier's data directory belongs to no fleet.
     pub(super) fresh: bool,
-    /// Other voters whose folders know of none.
+    /// Couriers that have replied that their data directories belong to no fleet.
     fresh_voters: BTreeSet<Name>,
-    /// Other couriers that know of a fleet.
+    /// Couriers that have replied that they belong to a fleet.
     initialized_peers: BTreeSet<Name>,
     next_hello_at: Micros,
 }
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Whether `local_name` is to start a new fleet with these configured voters.
+    /// Whether `local_name` may create a new fleet with these configured voters.
     fn may_bootstrap(&self, local_name: &Name, voters: &[Name]) -> bool {
         self.fresh
             && voters.first() == Some(local_name)
@@ -49,17 +49,18 @@
     }
 }
 
-/// A lease renewal that waits until a majority has confirmed the leader.
+/// A lease renewal that the leader grants when a majority has confirmed its leadership.
 #[derive(Clone, Debug)]
 pub(super) struct PendingRenewal {
     pub(super) member: Name,
     pub(super) epoch: Epoch,
-    /// The member's number of the renewal.
+    /// The number that the member has given to the renewal.
     pub(super) ticket: u64,
 }
 
 impl<D: StoreDirectory, L: AgreementLog> Member<D, L> {
-    /// Greets the other couriers until it is registered. The first configured voter may start a new fleet.
+    /// Sends hello messages to the other couriers until this one is registered. The first configured voter may create a
+    /// new fleet.
     pub(super) fn send_hello(&mut self, now: Micros, out: &mut Vec<MemberOutput>) -> Result<(), MemberError> {
         self.discovery.fresh &= self.agreement.leader().is_none() && self.agreement.voters().is_empty();
         if self.epoch.is_some() || now < self.discovery.next_hello_at {
@@ -78,7 +79,8 @@
         Ok(())
     }
 
-    /// A courier that is not registered yet greets this one. The leader adds it to the agreement.
+    /// Handles the hello message of a courier that is not registered yet. The leader adds it to the Raft group as a
+    /// learner.
     pub(super) fn handle_hello(
         &mut self,
         from: &Name,
@@ -100,7 +102,7 @@
         if members.contains(&node_id) {
             return Ok(());
         }
-        // A known name with another id has a new folder: its former id will never come back.
+        // A known name with another node id has a new data directory, so its former node id will never return.
         let former = members.into_iter().find(|id| self.names_by_node.get(id) == Some(from));
         let change = former.map_or(MembershipChange::AddLearner(node_id), MembershipChange::Remove);
         self.propose_membership_change(change, now, out)
@@ -125,7 +127,7 @@
         Ok(())
     }
 
-    /// A member renews its lease. The leader grants it when a majority has confirmed that it still leads.
+    /// Handles a lease renewal of a member. The leader grants it when a majority has confirmed its leadership.
     pub(super) fn handle_lease_renewal(
         &mut self,
         renewal: PendingRenewal,
@@ -146,8 +148,8 @@
     pub(super) fn handle_lease_grant(&mut self, epoch: Epoch, ticket: u64, out: &mut Vec<MemberOutput>) {
         if self.epoch == Some(epoch) && !self.fenced {
             self.lease.granted(ticket, &self.config);
-            self.shares.gate.extend_lease(self.lease.until());
-            out.push(MemberOutput::Lease(self.lease.until()));
+            self.shares.gate.extend_lease(self.lease.expires_at());
+            out.push(MemberOutput::Lease(self.lease.expires_at()));
         }
     }
 }
--- a/courier/fleet/src/member/replica_host.rs
+++ b/courier/fleet/src/member/replica_host.rs
@@ -1,4 +1,4 @@
-//! Replicas of other couriers' journals, which this member keeps for them.
+//! Stores replicas of other couriers' journals.
 
 use super::stores::replica_store_name;
 use super::{AgreementLog, Member, MemberError, MemberNotice, MemberOutput, StoreDirectory};
@@ -20,8 +20,8 @@
 }
 
 impl<D: StoreDirectory, L: AgreementLog> Member<D, L> {
-    /// Writes bytes of another courier's journal into its replica, and acknowledges them. A store that fails is
-    /// reported once per journal; the owner gets no acknowledgement.
+    /// Appends bytes of another courier's journal to its replica and acknowledges them. If the write fails, the owner
+    /// gets no acknowledgement, and the error is reported once per journal until a write succeeds.
     pub(super) fn append_to_replica(
         &mut self,
         from: Name,
@@ -54,7 +54,7 @@
             Ok(None) => {}
             Err(e) => {
                 if self.rejected_replicas.insert(journal.clone()) {
-                    let notice = MemberNotice::ReplicaRejected { journal, what: e.to_string() };
+                    let notice = MemberNotice::ReplicaRejected { journal, error: e.to_string() };
                     out.push(MemberOutput::Notice(notice));
                 }
             }
@@ -62,7 +62,7 @@
         Ok(())
     }
 
-    /// Sends a page of a replica to a courier that takes over the journal.
+    /// Sends a page of a replica to a courier that takes the journal over.
     pub(super) fn serve_fetch(
         &mut self,
         from: Name,
@@ -74,8 +74,8 @@
         let reply = match self.replicas.get_mut(&journal) {
             None => FleetMessage::UnknownJournal { journal },
             Some(replica) => {
-                // The sender knows that the journal is sealed, perhaps before this courier does: nothing may be
-                // appended after the first page was sent.
+                // The sender knows that the journal is sealed, possibly before this courier does. After the first page
+                // was sent, nothing may be appended to the replica.
                 replica.seal()?;
                 let ReplicaPage { journal_len, bytes } = replica.page(offset)?;
                 FleetMessage::Page { journal, offset, total: journal_len, bytes }
@@ -92,8 +92,8 @@
         Ok(())
     }
 
-    /// Drops replicas of journals that are not in the agreed state. At its registration a member knows all
-    /// journals that were registered before.
+    /// Drops replicas of journals that are not in the agreed state. When a member is registered, its agreed state
+    /// contains all earlier journals.
     pub(super) fn drop_unknown_replicas(&mut self) -> Result<(), MemberError> {
         let unknown: Vec<_> =
             self.replicas.keys().filter(|id| !self.state.journals.contains_key(id)).cloned().collect();
@@ -104,6 +104,8 @@
 fn storage_full(required: u64, capacity: u64) -> io::Error {
     io::Error::new(
         io::ErrorKind::StorageFull,
-        format!("{required} bytes of replicas, more than the limit of {capacity} (limits.disk_mb)"),
+        format!(
+            "replicas of other couriers need {required} bytes, more than the limit of {capacity} (limits.disk_mb)"
+        ),
     )
 }
--- a/courier/fleet/src/member/takeover.rs
+++ b/courier/fleet/src/member/takeover.rs
@@ -1,11 +1,12 @@
-//! Takeover of sealed journals: reads them from their replicas, and follows each adopted partition until the
-//! fleet and the own journal agree on whose it is.
+//! Takeover of sealed journals: reads them from replicas, and tracks each adopted partition until both the agreed state
+//! and the own journal record its owner.
 //!
-//! A partition that is assigned to this member goes through these steps: its journal is fetched, its records are
-//! written into the own journal ([`TakeoverTask::Adopt`]), and, once they are replicated, the fleet commits
-//! [`FleetCommand::Adopted`](crate::state::FleetCommand::Adopted). Only then the member acts on them
-//! ([`TakeoverTask::ResolveAdoption`]). When the own journal records that, replicated in turn, the fleet commits
-//! [`FleetCommand::Done`](crate::state::FleetCommand::Done) and forgets the partition.
+//! A partition that is assigned to this member is adopted in these steps. The member fetches the sealed journal and
+//! the driver writes the partition's records into the own journal ([`TakeoverTask::Adopt`]). Once the records are
+//! replicated, the fleet commits [`FleetCommand::Adopted`](crate::state::FleetCommand::Adopted). Only then does the
+//! driver process them ([`TakeoverTask::ResolveAdoption`]) and record this in the own journal. Once that record is
+//! replicated, the fleet commits [`FleetCommand::Done`](crate::state::FleetCommand::Done), and the agreed state no
+//! longer tracks the partition.
 
 use super::{AgreementLog, Member, MemberError, MemberNotice, MemberOutput, StoreDirectory, TakeoverTask};
 use crate::breaks::{self, Break};
@@ -17,33 +18,33 @@
 use quillmount_policy::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time without a page after which the next replica is read, in microseconds.
+/// Time in microseconds without a page after which the next replica is read.
 const FETCH_RETRY_INTERVAL: Micros = 300_000;
-/// Maximum length of a sealed journal in bytes: that of a replica.
+/// Maximum length of a sealed journal in bytes. It equals that of a replica.
 const MAX_JOURNAL_BYTES: u64 = MAX_REPLICA_BYTES;
-/// Offset of a partition whose records are not in the journal yet: never replicated.
+/// Offset of a partition whose records are not in the own journal yet. No journal is ever replicated up to it.
 const NOT_IN_JOURNAL: u64 = u64::MAX;
 
-/// A sealed journal that is being read from a replica.
+/// The state of reading a sealed journal from a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct SealedFetch {
-    /// The bytes that were read so far.
+    /// The bytes received so far.
     bytes: Vec<u8>,
-    /// Which of the replicas is read, counted in the order of their names, modulo their number.
+    /// Index of the replica that is read, in the order of the replicas' names, modulo their number.
     replica_index: usize,
     retry_at: Micros,
-    /// Replies in a row of couriers that have no replica.
+    /// Number of consecutive replies of couriers that have no replica.
     missing_replies: usize,
 }
 
-/// An adopted partition whose adoption is not complete yet.
+/// The progress of a partition's adoption that is not complete yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct PendingAdoption {
-    /// The adoption may be proposed when the own journal is replicated up to this offset.
+    /// The next command may be proposed when the own journal is replicated up to this offset.
     offset: u64,
-    /// The fleet has committed the adoption: this member acts on the partition's records.
+    /// The fleet has committed the adoption, so this member processes the partition's records.
     adopted: bool,
-    /// The own journal records that.
+    /// The own journal contains a record of the committed adoption.
     recorded: bool,
 }
 
@@ -52,7 +53,8 @@
         PendingAdoption { offset, adopted: false, recorded: false }
     }
 
-    /// Whether the fleet is to commit the adoption, or its end.
+    /// Whether the next command about the adoption, [`FleetCommand::Adopted`](crate::state::FleetCommand::Adopted) or
+    /// [`FleetCommand::Done`](crate::state::FleetCommand::Done), may be proposed.
     pub(super) fn may_be_proposed(&self, agreed: &PartitionState, replicated_offset: u64) -> bool {
         let is_replicated = self.offset <= replicated_offset;
         match agreed {
@@ -63,7 +65,7 @@
     }
 }
 
-/// The takeovers in progress.
+/// The takeovers of this member that are in progress.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Takeovers {
     pub(super) fetches: BTreeMap<JournalId, SealedFetch>,
@@ -79,19 +81,19 @@
 }
 
 impl<D: StoreDirectory, L: AgreementLog> Member<D, L> {
-    /// The own journal was opened with adopted partitions in it that it does not record as resolved.
+    /// Resumes the adoptions that the own journal contains but does not record as resolved, after it was opened.
     pub(super) fn resume_adoptions(&mut self, unsettled: Vec<PartitionId>) {
         let pending = PendingAdoption::new(self.replication.written());
         self.takeovers.pending = unsettled.into_iter().map(|source| (source, pending)).collect();
     }
 
-    /// The partition's records are in the own journal.
+    /// Handles the write of a partition's records to the own journal.
     pub(super) fn adoption_written(&mut self, source: PartitionId) {
         let pending = PendingAdoption::new(self.replication.written());
         self.takeovers.pending.insert(source, pending);
     }
 
-    /// The own journal records how the adoption was resolved.
+    /// Handles the write of the adoption's resolution to the own journal.
     pub(super) fn adoption_recorded(&mut self, source: &PartitionId) {
         let offset = self.replication.written();
         if let Some(pending) = self.takeovers.pending.get_mut(source) {
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Reads sealed journals of which partitions are assigned to this member.
+    /// Requests pages of the sealed journals that have partitions assigned to this member.
     pub(super) fn fetch_sealed(
         &mut self,
         now: Micros,
@@ -133,7 +135,7 @@
                 continue;
             }
             if fetch.retry_at != now {
-                // No page came in time. The next replica is read from the start: replicas may differ after the
+                // No page arrived in time. The next replica is read from the start, as replicas may differ after the
                 // offset up to which the journal is replicated.
                 fetch.replica_index += 1;
                 fetch.bytes.clear();
@@ -168,7 +170,8 @@
         }
     }
 
-    /// A courier has no replica of a sealed journal. It is reported when none of them has.
+    /// Handles the reply of a courier that has no replica of a sealed journal. A notice is sent when none of the
+    /// couriers has one.
     pub(super) fn replica_missing(&mut self, journal: JournalId, out: &mut Vec<MemberOutput>) {
         let Some(fetch) = self.takeovers.fetches.get_mut(&journal) else { return };
         fetch.missing_replies += 1;
@@ -178,7 +181,7 @@
         }
     }
 
-    /// A sealed journal is read: the partitions that are assigned to this member go into its own journal.
+    /// Requests the adoption of the assigned partitions, after the whole sealed journal was received.
     fn finish_fetch(&mut self, journal: JournalId, out: &mut Vec<MemberOutput>) {
         let Some(fetch) = self.takeovers.fetches.remove(&journal) else { return };
         let Some(epoch) = self.epoch else { return };
@@ -202,7 +205,8 @@
         out.push(MemberOutput::Takeover(TakeoverTask::Adopt { partitions, settled, bytes: fetch.bytes }));
     }
 
-    /// Resolves adoptions that were in the journal when it was opened, or whose end was committed meanwhile.
+    /// Resolves adoptions that were in the journal when it was opened, and those whose outcome was committed since
+    /// then.
     pub(super) fn resolve_pending(&mut self, out: &mut Vec<MemberOutput>) {
         if self.epoch.is_none() {
             return;
@@ -226,7 +230,7 @@
         }
     }
 
-    /// The partition has another assignee, or the first one.
+    /// Handles the assignment of a partition: a pending adoption ends if another courier is the assignee.
     pub(super) fn partition_assigned(&mut self, source: PartitionId, out: &mut Vec<MemberOutput>) {
         let is_open = self.takeovers.pending.get(&source).is_some_and(|pending| !pending.adopted);
         if is_open && !self.is_assigned_here(&source) {
@@ -235,15 +239,15 @@
         }
     }
 
-    /// The fleet has committed the adoption of the partition by a courier.
+    /// Handles the committed adoption of a partition by a courier.
     pub(super) fn partition_adopted(
         &mut self,
         source: PartitionId,
-        by: Name,
+        adopter: Name,
         epoch: Epoch,
         out: &mut Vec<MemberOutput>,
     ) {
-        let is_own = by == self.config.local_name && self.epoch == Some(epoch);
+        let is_own = adopter == self.config.local_name && self.epoch == Some(epoch);
         let Some(pending) = self.takeovers.pending.get_mut(&source) else { return };
         if !is_own {
             self.takeovers.pending.remove(&source);
@@ -254,7 +258,8 @@
         }
     }
 
-    /// All partitions of a sealed journal are done. Whatever of it is open here belongs to others.
+    /// Handles the end of a takeover: all partitions of the sealed journal are done. Adoptions that are still pending
+    /// here were completed by other couriers.
     pub(super) fn journal_retired(&mut self, journal: &JournalId, out: &mut Vec<MemberOutput>) {
         let sources: Vec<_> =
             self.takeovers.pending.keys().filter(|source| source.journal == *journal).cloned().collect();
@@ -265,7 +270,7 @@
         }
     }
 
-    /// Whether the partition is assigned to this member, or adopted by it.
+    /// Whether the partition is assigned to this member or adopted by it.
     fn is_assigned_here(&self, source: &PartitionId) -> bool {
         match self.state.partition(source) {
             Some(PartitionState::Assigned(name, epoch) | PartitionState::Adopted(name, epoch)) => {
@@ -276,7 +281,6 @@
     }
 }
 
-/// The output for a partition whose adoption is decided.
 fn resolve_adoption(source: PartitionId, adopted: bool) -> MemberOutput {
     MemberOutput::Takeover(TakeoverTask::ResolveAdoption { source, adopted })
 }
--- a/courier/fleet/src/message.rs
+++ b/courier/fleet/src/message.rs
@@ -1,7 +1,7 @@
-//! Messages between the couriers of a fleet. Any of them may be lost, duplicated, late or reordered.
+//! Messages between the couriers of a fleet. Any message may be lost, duplicated, delayed or reordered.
 //!
-//! They are encoded by postcard, which goes by position: fields and variants must not be reordered. The forms of a
-//! version are fixed by `tests/stored_forms/`.
+//! Messages are encoded by postcard, which identifies fields and variants by position: they must not be reordered. The
+//! tests in `tests/stored_forms/` fix the encoding.
 
 use crate::NodeId;
 use crate::budget::Report;
@@ -12,50 +12,50 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// Maximum length of an encoded envelope in bytes: a page of a journal and what goes with it.
+/// Maximum length of an encoded envelope in bytes. A page of a journal and the other messages of an envelope fit.
 pub const MAX_ENVELOPE_BYTES: usize = 1 << 20;
-/// Maximum bytes of a journal in one message.
+/// Maximum number of journal bytes in one message.
 pub const PAGE_BYTES: usize = 256 << 10;
 
-/// Messages that one courier sends to another at once.
+/// Messages that one courier sends to another in one transfer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The sender.
+    /// The name of the sending courier.
     pub from: Name,
-    /// The receiver.
+    /// The name of the receiving courier.
     pub to: Name,
-    /// The sender's id in the agreement.
+    /// The sender's id in the Raft group.
     pub node_id: NodeId,
-    /// The messages, in the order in which they were sent.
+    /// The messages in the order in which they were sent.
     pub messages: Vec<FleetMessage>,
 }
 
 /// Why an envelope can't be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum EnvelopeError {
-    /// It is longer than [`MAX_ENVELOPE_BYTES`]; the value is its length.
+    /// The envelope exceeds [`MAX_ENVELOPE_BYTES`]; the value is its length in bytes.
     #[error(
-        "{0} bytes, where {MAX_ENVELOPE_BYTES} are the most: is a courier of another version in the fleet?"
+        "an envelope of {0} bytes exceeds the maximum of {MAX_ENVELOPE_BYTES}; run the same version on all couriers"
     )]
     TooLong(usize),
-    /// It is not in the form of this version.
+    /// The envelope is not encoded in the format of this version.
     #[error(
-        "not of this version ({0}): start the couriers of a fleet with the same version, one after the other"
+        "an envelope can't be decoded ({0}); run the same version on all couriers, restarting one after the other"
     )]
     Malformed(#[from] postcard::Error),
 }
 
 impl Envelope {
-    /// Encodes the envelope.
+    /// Encodes the envelope by postcard.
     pub fn encode(&self) -> Vec<u8> {
-        // postcard fails only for sequences of unknown length, and there is none here.
+        // postcard fails only for sequences of unknown length, which an envelope does not contain.
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// Decodes an envelope.
+    /// Decodes an envelope that was encoded by [`Envelope::encode`].
     ///
     /// # Errors
-    /// It is too long, or not in the form of this version.
+    /// The envelope is too long, or not encoded in the format of this version.
     pub fn decode(bytes: &[u8]) -> Result<Envelope, EnvelopeError> {
         if bytes.len() > MAX_ENVELOPE_BYTES {
             return Err(EnvelopeError::TooLong(bytes.len()));
@@ -64,98 +64,98 @@
     }
 }
 
-/// How far a replica is.
+/// The progress of a replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaPosition {
-    /// The generation of the journal that it has. A new one begins with each compaction.
+    /// The generation of the journal that the replica stores. Each compaction starts a new generation.
     pub generation: u64,
-    /// Bytes of that generation.
+    /// Number of bytes of that generation.
     pub len: u64,
 }
 
 /// A message between two couriers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FleetMessage {
-    /// A greeting of a courier that is not registered yet.
+    /// A courier that is not registered yet announces itself.
     Hello {
-        /// Whether its folder knows of no fleet.
+        /// Whether the sender's data directory belongs to no fleet.
         fresh: bool,
     },
-    /// The reply to a greeting.
+    /// The reply to [`FleetMessage::Hello`].
     HelloReply {
-        /// Whether the sender's folder knows of no fleet.
+        /// Whether the sender's data directory belongs to no fleet.
         fresh: bool,
     },
-    /// A message of the agreement.
+    /// An encoded Raft message of the [`agreement`](crate::agreement).
     Agreement(Bytes),
-    /// To the leader: a command that the sender wants to be committed.
+    /// To the leader: a command that the sender proposes.
     Propose(FleetCommand),
     /// To the leader: the sender renews its lease.
     RenewLease {
-        /// The sender's registration.
+        /// The epoch of the sender's registration.
         epoch: Epoch,
-        /// The sender's number of the renewal.
+        /// The number that the sender has given to the renewal.
         ticket: u64,
     },
     /// From the leader: the renewal is granted.
     LeaseGranted {
-        /// The receiver's registration.
+        /// The epoch of the receiver's registration.
         epoch: Epoch,
-        /// The receiver's number of the renewal.
+        /// The number that the receiver has given to the renewal.
         ticket: u64,
     },
-    /// Bytes of the sender's journal, for its replica.
+    /// From the owner of a journal to a replica: bytes of the journal.
     Append {
-        /// The journal.
+        /// The sender's journal.
         journal: JournalId,
-        /// Its generation.
+        /// The journal's generation, which grows with each compaction.
         generation: u64,
-        /// Length in bytes from which the generation is complete, so that it may replace the one before.
+        /// Length in bytes at which the generation is complete, so that it may replace the previous one.
         complete_len: u64,
-        /// Offset of the bytes in the generation.
+        /// Offset of `bytes` in the generation.
         offset: u64,
-        /// The bytes.
+        /// At most [`PAGE_BYTES`] of the journal.
         bytes: Bytes,
     },
-    /// The replica's store has all bytes up to here.
+    /// From a replica to the journal's owner: all bytes up to the positions are stored.
     AppendAck {
-        /// The journal.
+        /// The replicated journal.
         journal: JournalId,
-        /// What of it counts.
+        /// The position in the replica's valid generation.
         position: ReplicaPosition,
-        /// What the replica has of a generation that is not complete yet.
+        /// The position in a generation that is not complete yet.
         staged: ReplicaPosition,
     },
-    /// A courier that takes over a sealed journal reads its replica.
+    /// From a courier that takes over a sealed journal to a replica: requests a page.
     Fetch {
-        /// The journal.
+        /// The sealed journal.
         journal: JournalId,
-        /// Offset in bytes from which it is to be sent.
+        /// Offset in bytes at which the page starts.
         offset: u64,
     },
-    /// The reply to a fetch.
+    /// The reply to [`FleetMessage::Fetch`].
     Page {
-        /// The journal.
+        /// The sealed journal.
         journal: JournalId,
-        /// Offset of the bytes in the replica.
+        /// Offset of `bytes` in the replica.
         offset: u64,
-        /// Length of the replica in bytes.
+        /// Total length of the replica in bytes.
         total: u64,
-        /// The bytes.
+        /// At most [`PAGE_BYTES`] of the replica.
         bytes: Bytes,
     },
-    /// The reply to a fetch of a courier that has no replica of the journal.
+    /// The reply to [`FleetMessage::Fetch`] of a courier that has no replica of the journal.
     UnknownJournal {
-        /// The journal.
+        /// The requested journal.
         journal: JournalId,
     },
-    /// To the leader: the sender's use of partners' budgets, and its demand.
+    /// To the leader: the sender's use of partners' budgets and its demand.
     BudgetReport(BudgetKind, Report),
     /// A message to or from the owner of a settlement.
     Settlement {
-        /// The message.
+        /// The request or reply.
         message: Box<settlement::SettlementMessage>,
-        /// What the sender has of the body, with a message that is forwarded to the owner.
+        /// The message body, if the message is forwarded to the owner and the sender has the body; otherwise empty.
         payload: Bytes,
     },
 }
--- a/courier/fleet/src/state.rs
+++ b/courier/fleet/src/state.rs
@@ -1,9 +1,9 @@
-//! The replicated state of the fleet: who is a member under which epoch, which journals exist, where their replicas
-//! are, and who takes over what of them.
+//! The replicated state of the fleet: the members and their epochs, the journals, their replicas, and the takeovers of
+//! their partitions.
 //!
-//! Every courier applies the same committed commands in the same order ([`FleetState::apply`]), so that all have the
-//! same state. Nothing here depends on the time. The state is stored and sent in postcard's encoding, which goes by
-//! position: fields and variants must not be reordered.
+//! Every courier applies the same committed commands in the same order ([`FleetState::apply`]), so all couriers have
+//! the same state. The state does not depend on the time. It is stored and sent in postcard's encoding, which
+//! identifies fields and variants by position: they must not be reordered.
 
 mod apply;
 mod command;
@@ -18,105 +18,113 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Maximum number of journals, sealed ones included. Beyond it no member is registered until takeovers are complete,
+/// Maximum number of journals, including sealed ones. At this limit no member is registered until takeovers complete,
 /// as each lost courier adds a sealed journal.
 pub const MAX_JOURNALS: usize = 4_096;
 
-/// The latest registration of a courier.
+/// The latest registration of a courier as a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registration {
-    /// The courier's id in the agreement.
+    /// The courier's id in the Raft group.
     pub node_id: NodeId,
-    /// Random number of its process.
+    /// Random number of the registered process.
     pub incarnation: u64,
-    /// Number of the registration.
+    /// Number of the registration, which is the fencing token of the process.
     pub epoch: Epoch,
-    /// Whether it is a member: its lease has not expired, and it has not left.
+    /// Whether the courier is a member: its lease has not expired, and it has not left.
     pub serving: bool,
 }
 
-/// Whose a partition of a sealed journal is.
+/// The progress of the takeover of one partition of a sealed journal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PartitionState {
-    /// No courier serves that could take it over.
+    /// No serving courier can take the partition over.
     Unassigned,
-    /// This courier, under this epoch, is to copy it into its own journal.
+    /// The courier, under this epoch, has to copy the partition into its own journal.
     Assigned(Name, Epoch),
-    /// It is in this courier's journal, and this courier acts on it.
+    /// The courier has the partition's records in its own journal and processes them.
     Adopted(Name, Epoch),
-    /// That journal itself records the adoption, so that nothing has to be known here.
+    /// The adopting courier's journal records the adoption, so the state does not have to track the partition.
     Done,
 }
 
-/// A journal and its replicas.
+/// A journal, its replicas, and the progress of its takeover.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedJournal {
-    /// The epoch under which it was begun. It stays the same as long as its owner goes on with it.
+    /// The epoch under which the journal was created. It stays the same while the owner continues the journal.
     pub lineage: Epoch,
-    /// The couriers that have to have a record before it counts as written.
+    /// The couriers that must have a record before it counts as replicated.
     pub replicas: BTreeSet<Name>,
-    /// Grows with each change of `replicas`, and with each folder that may have been lost with a replica. While it is
-    /// 0, nothing that was written to the journal counts.
+    /// Grows with each change of `replicas`, and whenever a data directory with a replica may have been lost. While the
+    /// version is 0, no record of the journal counts as replicated.
     pub version: u64,
-    /// The owner of each partition; `None`: the journal is not sealed, and its owner writes it.
+    /// The state of each partition; `None` if the journal is not sealed, so that its owner may append to it.
     pub sealed: Option<Vec<PartitionState>>,
 }
 
 impl ReplicatedJournal {
-    /// Whether it is sealed and all of its partitions are done.
+    /// Whether the journal is sealed and all of its partitions are done.
     fn is_complete(&self) -> bool {
         let sealed = self.sealed.as_ref();
         sealed.is_some_and(|partitions| partitions.iter().all(|state| *state == PartitionState::Done))
     }
 }
 
-/// The replicated state.
+/// The replicated state of the fleet, which results from the committed commands.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetState {
     /// The epoch of the latest registration.
     pub epoch: Epoch,
-    /// The latest registration of each courier that ever was a member.
+    /// The latest registration of each courier that was ever a member.
     pub members: BTreeMap<Name, Registration>,
-    /// All journals of which something is still to be known.
+    /// All journals that are in use or whose takeover is not complete.
     pub journals: BTreeMap<JournalId, ReplicatedJournal>,
-    /// Partners' budgets, and the couriers' shares of them.
+    /// Partners' budgets and the couriers' shares of them.
     pub shared: SharedBudgets,
-    /// The owners of settlements, and the verdicts of finished ones.
+    /// The owners of settlements and the verdicts of finished ones.
     pub settlements: settlement::SettlementRegistry,
 }
 
 impl FleetState {
-    /// The couriers that serve.
+    /// The names of the couriers that are members.
     pub fn serving(&self) -> BTreeSet<Name> {
         self.serving_members().map(|(name, _)| name.clone()).collect()
     }
 
-    /// The registrations of the couriers that serve.
+    /// The registrations of the couriers that are members.
     pub(crate) fn serving_members(&self) -> impl Iterator<Item = (&Name, &Registration)> {
         self.members.iter().filter(|(_, member)| member.serving)
     }
 
-    /// The epoch under which a courier serves, if it does.
+    /// The epoch of a courier's registration; `None` if the courier is not a member.
     pub fn epoch_of(&self, name: &str) -> Option<Epoch> {
         self.members.get(name).filter(|m| m.serving).map(|m| m.epoch)
     }
 
-    /// Whose a partition is; `None`: there is no such journal, or it is not sealed.
+    /// The state of a partition; `None` if the journal does not exist or is not sealed.
     pub fn partition(&self, source: &PartitionId) -> Option<&PartitionState> {
         self.journals.get(&source.journal)?.sealed.as_ref()?.get(source.partition)
     }
 
-    /// The partitions that a courier is to take over: those that are assigned to it under this epoch.
+    /// The partitions that a courier has to take over: those assigned to it under this epoch.
     pub fn assigned_to<'a>(&'a self, name: &'a str, epoch: Epoch) -> impl Iterator<Item = PartitionId> + 'a {
         self.partitions_where(move |partition| {
-            matches!(partition, PartitionState::Assigned(to, at) if to == name && *at == epoch)
+            matches!(
+                partition,
+                PartitionState::Assigned(assignee, assigned_epoch)
+                    if assignee == name && *assigned_epoch == epoch
+            )
         })
     }
 
-    /// The partitions that a courier has adopted under this epoch, and that are not done.
+    /// The partitions that a courier has adopted under this epoch and that are not done.
     pub fn adopted_by<'a>(&'a self, name: &'a str, epoch: Epoch) -> impl Iterator<Item = PartitionId> + 'a {
         self.partitions_where(move |partition| {
-            matches!(partition, PartitionState::Adopted(by, at) if by == name && *at == epoch)
+            matches!(
+                partition,
+                PartitionState::Adopted(adopter, adopted_epoch)
+                    if adopter == name && *adopted_epoch == epoch
+            )
         })
     }
 
--- a/courier/fleet/tests/agreement/fleet.rs
+++ b/courier/fleet/tests/agreement/fleet.rs
@@ -200,7 +200,7 @@
                     self.outcomes.push((ticket, rejection_label(reason)));
                 }
                 AgreementOutput::Indeterminate { ticket } => self.outcomes.push((ticket, "unsure")),
-                AgreementOutput::SnapshotWanted => wanted = true,
+                AgreementOutput::SnapshotRequested => wanted = true,
                 AgreementOutput::LeaderChanged { leader, term } => {
                     if leader == Some(node_id) {
                         let first = *self.leaders_by_term.entry(term).or_insert(node_id);
@@ -269,7 +269,7 @@
             AgreementOutput::Indeterminate { ticket } => {
                 self.counts.count("uncertain", &[now, node_id, *ticket]);
             }
-            AgreementOutput::SnapshotWanted => self.counts.count("snapshots_requested", &[now, node_id]),
+            AgreementOutput::SnapshotRequested => self.counts.count("snapshots_requested", &[now, node_id]),
             AgreementOutput::LeaderChanged { leader, term } => {
                 self.counts.count("leader_changes", &[now, node_id, leader.unwrap_or(0), *term]);
             }
@@ -324,7 +324,7 @@
     /// The courier that believes to lead in the newest term.
     pub fn leader(&self) -> Option<NodeId> {
         let running = self.nodes.values().filter_map(|n| n.agreement.as_ref());
-        running.filter(|a| a.leads()).max_by_key(|a| a.term()).map(|a| a.node_id())
+        running.filter(|a| a.is_leader()).max_by_key(|a| a.term()).map(|a| a.node_id())
     }
 
     /// Proposes a change of the members to the leader until it is committed.
@@ -395,8 +395,11 @@
         for n in 0..20 {
             let (command, node_id) = (1 + round * 20 + n, all[fleet.random_below(all.len() as u64) as usize]);
             // To any courier that believes to lead, also a stale leader.
-            let at =
-                if fleet.agreement(node_id).leads() { node_id } else { fleet.leader().unwrap_or(node_id) };
+            let at = if fleet.agreement(node_id).is_leader() {
+                node_id
+            } else {
+                fleet.leader().unwrap_or(node_id)
+            };
             fleet.step(
                 at,
                 AgreementInput::Propose { ticket: command, command: command.to_le_bytes().to_vec() },
--- a/courier/fleet/tests/agreement/main.rs
+++ b/courier/fleet/tests/agreement/main.rs
@@ -137,7 +137,7 @@
     let mut before = (0, 0);
     for len in 0..=bytes.len() {
         let (agreement, opened) = open(&bytes[..len]).unwrap();
-        assert_eq!(opened.new, agreement.node_id() == 99, "at {len}");
+        assert_eq!(opened.is_new, agreement.node_id() == 99, "at {len}");
         let state = [decode_state(&opened.state), decode_commands(&opened.committed)].concat();
         assert!(complete_state.starts_with(&state), "at {len}");
         let now = (agreement.term(), state.len());
@@ -145,10 +145,10 @@
         before = now;
         // A torn record is removed from the file, or what is written next would never be read.
         let sound = record_ends.iter().rfind(|end| **end <= len).unwrap();
-        assert!(opened.new || agreement.store().bytes() == &bytes[..*sound], "at {len}");
+        assert!(opened.is_new || agreement.store().bytes() == &bytes[..*sound], "at {len}");
         let (reopened, contents) = open(agreement.store().bytes()).unwrap();
         let same =
-            (reopened.node_id(), reopened.term(), contents.committed == opened.committed, contents.new);
+            (reopened.node_id(), reopened.term(), contents.committed == opened.committed, contents.is_new);
         assert_eq!(same, (agreement.node_id(), agreement.term(), true, false), "at {len}");
     }
     for at in 0..bytes.len() {
@@ -280,13 +280,13 @@
     fleet.step(1, AgreementInput::Propose { ticket: 92, command: 92u64.to_le_bytes().to_vec() });
     // The learner is still connected, and has no vote.
     fleet.run(SECOND / 4);
-    assert!(fleet.agreement(1).leads() && !fleet.outcomes.iter().any(|(t, _)| (91..94).contains(t)));
+    assert!(fleet.agreement(1).is_leader() && !fleet.outcomes.iter().any(|(t, _)| (91..94).contains(t)));
     fleet.run_until("another leader", |f| f.leader() != Some(1) && f.leader().is_some());
     fleet.commit(2);
     let other = fleet.leader().unwrap();
     fleet.step(other, AgreementInput::ReadIndex { ticket: 93 });
     fleet.run(2 * SECOND);
-    assert!(!fleet.agreement(1).leads());
+    assert!(!fleet.agreement(1).is_leader());
     let end =
         |t| fleet.outcomes.iter().filter(|(ticket, _)| *ticket == t).map(|(_, e)| *e).collect::<Vec<_>>();
     assert_eq!((end(91), end(92), end(93)), (vec!["not leader"], vec!["unsure"], vec!["readable"]));
@@ -301,7 +301,7 @@
     let mut fleet = Fleet::with_members(19, AgreementLimits::default(), 3, 0);
     fleet.commit(1);
     let (mut agreement, now) = (fleet.agreement(1).clone(), fleet.now);
-    assert!(agreement.leads());
+    assert!(agreement.is_leader());
     let out = agreement.step(AgreementInput::Propose { ticket: 5, command: vec![1] }, now + 5 * SECOND);
     assert!(
         matches!(
@@ -357,7 +357,11 @@
     fleet.kill(2);
     fleet.start(2, old);
     fleet.run(SECOND);
-    assert!(matches!(fleet.errors[..], [AgreementError::Ahead { from: 1, .. }]), "{:?}", fleet.errors);
+    assert!(
+        matches!(fleet.errors[..], [AgreementError::AcknowledgedEntryMissing { from: 1, .. }]),
+        "{:?}",
+        fleet.errors
+    );
     assert!(fleet.agreement(2).is_halted());
 }
 
@@ -472,7 +476,7 @@
         two.step(AgreementInput::Receive { from: 3, bytes: rejected }, at_two);
     }
     one.step(AgreementInput::Receive { from: 3, bytes: granted }, at_one);
-    assert!(one.leads() && !two.leads());
+    assert!(one.is_leader() && !two.is_leader());
     let out = one.step(AgreementInput::ReadIndex { ticket: 1 }, at_one);
     assert!(
         matches!(out[..], [AgreementOutput::Rejected { ticket: 1, reason: RejectReason::Busy, .. }]),
--- a/courier/fleet/tests/agreement/records.rs
+++ b/courier/fleet/tests/agreement/records.rs
@@ -43,6 +43,6 @@
         bytes.extend(body);
     }
     let (agreement, opened) = Agreement::open(Memory::of(bytes), 99, AgreementLimits::default(), SECOND)?;
-    assert_eq!((agreement.node_id(), opened.new), (5, false));
+    assert_eq!((agreement.node_id(), opened.is_new), (5, false));
     Ok(opened.committed)
 }
--- a/courier/fleet/tests/explore/model_log.rs
+++ b/courier/fleet/tests/explore/model_log.rs
@@ -37,7 +37,7 @@
     fn leader(&self) -> Option<NodeId> {
         self.leader.get()
     }
-    fn leads(&self) -> bool {
+    fn is_leader(&self) -> bool {
         self.leader.get() == Some(self.node_id)
     }
     fn node_id(&self) -> NodeId {
--- a/courier/fleet/tests/explore/process.rs
+++ b/courier/fleet/tests/explore/process.rs
@@ -60,7 +60,7 @@
         let committed = self.log[..applied].iter().zip(1..);
         let committed =
             committed.map(|(command, index)| CommittedCommand { index, command: command.clone() }).collect();
-        let opened = Opened { new: stored_id.is_none(), state: Vec::new(), index: 0, committed };
+        let opened = Opened { is_new: stored_id.is_none(), state: Vec::new(), index: 0, committed };
         let log = ModelLog { node_id, ..ModelLog::default() };
         let config = config(i, self.scenario.copies);
         let (member, out) =
@@ -225,7 +225,7 @@
                     return;
                 }
                 MemberOutput::Lease(until) => {
-                    if let Some(p) = self.processes[i].as_mut().filter(|p| p.member.agreement().leads()) {
+                    if let Some(p) = self.processes[i].as_mut().filter(|p| p.member.agreement().is_leader()) {
                         // The leader grants its own lease without a message.
                         p.lease_until = p.lease_until.max(until);
                     }
--- a/courier/fleet/tests/stored_forms/agreement.rs
+++ b/courier/fleet/tests/stored_forms/agreement.rs
@@ -40,7 +40,7 @@
                 AgreementOutput::Restored { index, state } => {
                     drop(self.state.insert(node_id, (index, state)));
                 }
-                AgreementOutput::SnapshotWanted => snapshot_wanted = true,
+                AgreementOutput::SnapshotRequested => snapshot_wanted = true,
                 _ => {}
             }
         }
@@ -124,11 +124,11 @@
         all.run(3 * SEC);
         all.cut = None;
         all.run(2 * SEC);
-        let leader = *all.nodes.iter().find(|(_, node)| node.leads()).unwrap().0;
+        let leader = *all.nodes.iter().find(|(_, node)| node.is_leader()).unwrap().0;
         all.step(leader, AgreementInput::TransferLeadership { to: leader % 3 + 1 });
         all.run(2 * SEC);
         // The leader is cut off, and the others elect one of them.
-        all.cut = all.nodes.iter().find(|(_, node)| node.leads()).map(|(node_id, _)| *node_id);
+        all.cut = all.nodes.iter().find(|(_, node)| node.is_leader()).map(|(node_id, _)| *node_id);
         all.run(5 * SEC);
         all.cut = None;
         all.run(2 * SEC);
@@ -159,7 +159,7 @@
             let bytes = [&stored[..], &stored[..torn]].concat();
             let opened = Agreement::open(Memory::of(bytes), 99, AgreementLimits::default(), SEC);
             let (read, opened) = opened.unwrap();
-            assert_eq!((read.node_id(), opened.new), (node_id, false));
+            assert_eq!((read.node_id(), opened.is_new), (node_id, false));
             assert_eq!((read.term(), read.voters()), (term, voters.clone()));
             assert_eq!(voters, [1, 2, 3]);
             let state: Vec<u8> = [opened.state]
--- a/courier/program/src/fleet/membership/outputs.rs
+++ b/courier/program/src/fleet/membership/outputs.rs
@@ -49,9 +49,9 @@
             }
             MemberOutput::Lease(until) => self.gate.set_lease_end(until),
             MemberOutput::Replicated(mark) => self.gate.set_replicated(mark),
-            MemberOutput::Replicas { at, enough } => {
-                log_replicas(&at, enough);
-                self.gate.set_replicas(at.len(), enough);
+            MemberOutput::Replicas { replicas, enough } => {
+                log_replicas(&replicas, enough);
+                self.gate.set_replicas(replicas.len(), enough);
             }
             MemberOutput::Takeover(task) => self.add_takeover(task),
             MemberOutput::Fenced => self.fence(),
--- a/courier/program/tests/fleet/copies.rs
+++ b/courier/program/tests/fleet/copies.rs
@@ -42,7 +42,7 @@
         in_hand(&fleet, 0, "debit", "paid").await;
         let alone = now(&fleet);
         fleet.restart(0).await.unwrap();
-        fleet.wait_for_log(0, "with the journal in the folder").await.unwrap();
+        fleet.wait_for_log(0, "continuing the journal in the data directory").await.unwrap();
         ends(&fleet, "debit").await;
         assert_eq!(call(&fleet, "paid", 2).await.courier, 0);
         fleet.partner(1).release("paid", Answer::ok());
--- a/courier/program/tests/fleet/main.rs
+++ b/courier/program/tests/fleet/main.rs
@@ -186,7 +186,12 @@
 /// Whoever was the last to say that it leads.
 fn leader(fleet: &Fleet) -> usize {
     let leads = |record: &RunRecord| {
-        record.lines.iter().rev().find(|line| line.text.ends_with("fleet: leader")).map(|line| line.courier)
+        record
+            .lines
+            .iter()
+            .rev()
+            .find(|line| line.text.ends_with("fleet: became leader"))
+            .map(|line| line.courier)
     };
     fleet.recorder.read(leads).unwrap()
 }
--- a/courier/program/tests/fleet/restarts.rs
+++ b/courier/program/tests/fleet/restarts.rs
@@ -21,7 +21,7 @@
             fleet.spawn(n).unwrap();
         }
         for n in 0..3 {
-            fleet.wait_for_log(n, "with the journal in the folder").await.unwrap();
+            fleet.wait_for_log(n, "continuing the journal in the data directory").await.unwrap();
             let (debit, paid) = (format!("debit-{n}"), format!("paid-{n}"));
             ends(&fleet, &debit).await;
             assert_eq!(call(&fleet, &paid, 2).await.courier, n);
