--- a/courier/fleet/tests/agreement/fleet.rs
+++ b/courier/fleet/tests/agreement/fleet.rs
@@ -1,4 +1,4 @@
-//! Couriers that agree on a virtual clock, over links that lose, duplicate, delay and cut off messages.
+//! A simulated Raft group on a virtual clock, with links that lose, duplicate and delay messages or are cut.
 
 use quillmount_core::store::Memory;
 use quillmount_fleet::NodeId;
@@ -11,7 +11,7 @@
 
 pub const SECOND: u64 = 1_000_000;
 
-/// The commands that one courier knows to be committed: index and command.
+/// The committed commands that one courier has applied: index and command.
 pub type State = Vec<(u64, u64)>;
 
 pub fn encode_state(state: &State) -> Vec<u8> {
@@ -28,25 +28,25 @@
     committed.iter().map(|entry| (entry.index, number(&entry.command))).collect()
 }
 
-/// How the tests name a rejection.
+/// The text by which the tests identify the reason of a rejection.
 fn rejection_label(reason: RejectReason) -> &'static str {
     match reason {
         RejectReason::NotLeader => "not leader",
         RejectReason::Busy => "busy",
-        RejectReason::QueueFull => "full",
-        RejectReason::LearnerBehind => "behind",
-        RejectReason::QuorumAtRisk => "majority",
-        RejectReason::Halted => "silent",
-        _ => "refused",
+        RejectReason::QueueFull => "queue full",
+        RejectReason::LearnerBehind => "learner behind",
+        RejectReason::QuorumAtRisk => "quorum at risk",
+        RejectReason::Halted => "halted",
+        _ => "other",
     }
 }
 
 pub struct Node {
-    /// `None`: the courier is down.
+    /// `None` while the courier is down.
     pub agreement: Option<Agreement<Memory>>,
     pub disk: Memory,
     pub state: State,
-    /// Index of the last entry that was delivered.
+    /// Index of the last delivered entry.
     pub applied_index: u64,
     pub restart_at: u64,
 }
@@ -58,22 +58,24 @@
     pub nodes: BTreeMap<NodeId, Node>,
     pub in_flight: BTreeMap<(u64, u64), (NodeId, NodeId, Vec<u8>)>,
     pub sent_count: u64,
-    /// Messages of a thousand that are lost.
+    /// Messages per thousand that are lost.
     pub loss_permille: u64,
-    /// Messages of a thousand that are duplicated.
+    /// Messages per thousand that are duplicated.
     pub duplicate_permille: u64,
     pub max_delay: u64,
     pub cut_links: BTreeSet<(NodeId, NodeId)>,
-    /// Command by index, as any courier has reported it, and leader by term.
+    /// Committed command by index, as reported by the first courier.
     pub committed: BTreeMap<u64, u64>,
+    /// Leader by term, as reported by the first courier.
     pub leaders_by_term: BTreeMap<u64, NodeId>,
-    /// Commands whose commit was reported to the proposer.
+    /// Commands whose commit was reported to the courier that proposed them.
     pub acknowledged: BTreeSet<u64>,
+    /// The result of each request, by ticket.
     pub outcomes: Vec<(u64, &'static str)>,
     pub errors: Vec<AgreementError>,
     pub sends_by_node: BTreeMap<NodeId, u64>,
     pub restored: BTreeMap<NodeId, u64>,
-    /// Outputs of the couriers, for the digests.
+    /// Counts and hashes of the couriers' outputs, for the digest files.
     pub counts: Counts,
 }
 
@@ -101,7 +103,7 @@
         }
     }
 
-    /// A fleet of voters, numbered from 1, and learners with the numbers after them, all added.
+    /// Creates a fleet and adds its members: the voters have ids from 1 on, the learners the ids after them.
     pub fn with_members(seed: u64, limits: AgreementLimits, voters: u64, learners: u64) -> Self {
         let mut fleet = Fleet::new(seed, limits);
         fleet.start(1, Memory::default());
@@ -135,7 +137,11 @@
         let (mut state, mut applied_index) = (decode_state(&opened.state), opened.index);
         for CommittedCommand { index, command } in opened.committed {
             let command = u64::from_le_bytes(command.try_into().unwrap());
-            assert_eq!(self.committed.get(&index), Some(&command), "courier {node_id} has made up {index}");
+            assert_eq!(
+                self.committed.get(&index),
+                Some(&command),
+                "courier {node_id} reports an entry {index} that was not committed"
+            );
             state.push((index, command));
             applied_index = index;
         }
@@ -145,7 +151,8 @@
         self.stop_if_dead(node_id);
     }
 
-    /// Stops the courier if its store has died in a write. Returns whether the courier is down.
+    /// Stops the courier if its store has failed in a write with [`Fault::Die`](quillmount_core::store::Fault::Die).
+    /// Returns whether the courier is down.
     pub fn stop_if_dead(&mut self, node_id: NodeId) -> bool {
         let now = self.now;
         let node = self.nodes.get_mut(&node_id).unwrap();
@@ -171,11 +178,11 @@
     }
 
     pub fn handle(&mut self, node_id: NodeId, out: Vec<AgreementOutput>) {
-        // Nothing that a process does after its death reaches anyone.
+        // The outputs of a killed process are discarded.
         if self.stop_if_dead(node_id) {
             return;
         }
-        let mut wanted = false;
+        let mut snapshot_requested = false;
         for output in out {
             self.count_output(node_id, &output);
             match output {
@@ -195,12 +202,12 @@
                     self.outcomes.push((ticket, "changed"));
                 }
                 AgreementOutput::MembershipChanged { .. } => {}
-                AgreementOutput::ReadReady { ticket } => self.outcomes.push((ticket, "readable")),
+                AgreementOutput::ReadReady { ticket } => self.outcomes.push((ticket, "read ready")),
                 AgreementOutput::Rejected { ticket, reason, .. } => {
                     self.outcomes.push((ticket, rejection_label(reason)));
                 }
-                AgreementOutput::Indeterminate { ticket } => self.outcomes.push((ticket, "unsure")),
-                AgreementOutput::SnapshotRequested => wanted = true,
+                AgreementOutput::Indeterminate { ticket } => self.outcomes.push((ticket, "indeterminate")),
+                AgreementOutput::SnapshotRequested => snapshot_requested = true,
                 AgreementOutput::LeaderChanged { leader, term } => {
                     if leader == Some(node_id) {
                         let first = *self.leaders_by_term.entry(term).or_insert(node_id);
@@ -210,7 +217,7 @@
                 AgreementOutput::Failed(error) | AgreementOutput::Halted(error) => self.errors.push(error),
             }
         }
-        if wanted {
+        if snapshot_requested {
             let node = &self.nodes[&node_id];
             let input =
                 AgreementInput::Snapshot { through: node.applied_index, state: encode_state(&node.state) };
@@ -227,17 +234,17 @@
                 continue;
             }
             self.sent_count += 1;
-            let at = self.now + 100 + self.random_below(self.max_delay);
-            self.in_flight.insert((at, self.sent_count), (from, to, bytes.into()));
+            let arrives_at = self.now + 100 + self.random_below(self.max_delay);
+            self.in_flight.insert((arrives_at, self.sent_count), (from, to, bytes.into()));
         }
     }
 
-    /// A courier applies a committed command: the same one at this index as all others, and once.
+    /// Applies a committed command, and checks that all couriers apply the same command at this index, and only once.
     fn apply_committed(&mut self, node_id: NodeId, index: u64, ticket: Option<u64>, command: u64) {
         let agreed = *self.committed.entry(index).or_insert(command);
         assert_eq!(agreed, command, "courier {node_id} differs at {index}");
         let node = self.nodes.get_mut(&node_id).unwrap();
-        assert!(node.applied_index < index, "courier {node_id}: {index} again");
+        assert!(node.applied_index < index, "courier {node_id} applies {index} twice");
         node.state.push((index, command));
         node.applied_index = index;
         if let Some(ticket) = ticket {
@@ -279,7 +286,7 @@
         }
     }
 
-    /// Plays the next event before `until`. Returns whether there was one.
+    /// Processes the next event up to the time `until`. Returns whether there was one.
     pub fn next(&mut self, until: u64) -> bool {
         let message = self.in_flight.first_key_value().map(|((at, _), _)| *at);
         let wake = |(node_id, node): (&NodeId, &Node)| match &node.agreement {
@@ -314,14 +321,14 @@
         while self.next(until) {}
     }
 
-    pub fn run_until(&mut self, what: &str, done: impl Fn(&Fleet) -> bool) {
+    pub fn run_until(&mut self, condition: &str, done: impl Fn(&Fleet) -> bool) {
         let until = self.now + 60 * SECOND;
         while !done(self) {
-            assert!(self.next(until), "never happened: {what}");
+            assert!(self.next(until), "condition was not met: {condition}");
         }
     }
 
-    /// The courier that believes to lead in the newest term.
+    /// The courier that is leader in the highest term according to its own state.
     pub fn leader(&self) -> Option<NodeId> {
         let running = self.nodes.values().filter_map(|n| n.agreement.as_ref());
         running.filter(|a| a.is_leader()).max_by_key(|a| a.term()).map(|a| a.node_id())
@@ -334,13 +341,13 @@
             let leader = self.leader().unwrap();
             let before = self.outcomes.len();
             self.step(leader, AgreementInput::ChangeMembership { ticket, change });
-            self.run_until("an end of the change", |f| {
+            self.run_until("the result of the change", |f| {
                 f.outcomes[before..].iter().any(|(t, _)| *t == ticket)
             });
             if self.outcomes[before..].contains(&(ticket, "changed")) {
                 return;
             }
-            assert!(ticket < 1_000_500, "{change:?} never taken: {:?}", &self.outcomes[before..]);
+            assert!(ticket < 1_000_500, "{change:?} was never committed: {:?}", &self.outcomes[before..]);
             self.run(SECOND / 10);
         }
     }
@@ -360,23 +367,24 @@
                 return;
             }
         }
-        panic!("command {command} was never agreed");
+        panic!("command {command} was never committed");
     }
 
-    /// Asserts that all couriers get the same state, with all that was acknowledged.
+    /// Asserts that all couriers reach the same state, which contains all acknowledged commands.
     pub fn assert_converged(&mut self) {
         self.run(5 * SECOND);
-        let truth: State = self.committed.iter().map(|(i, c)| (*i, *c)).collect();
+        let expected: State = self.committed.iter().map(|(i, c)| (*i, *c)).collect();
         for (node_id, node) in &self.nodes {
             assert!(node.agreement.is_some(), "courier {node_id} is down");
-            assert_eq!(node.state, truth, "courier {node_id} {:?}", self.errors);
+            assert_eq!(node.state, expected, "courier {node_id} {:?}", self.errors);
         }
-        let present: BTreeSet<u64> = truth.iter().map(|(_, c)| *c).collect();
+        let present: BTreeSet<u64> = expected.iter().map(|(_, c)| *c).collect();
         assert!(self.acknowledged.is_subset(&present));
     }
 }
 
-/// Runs a fleet over such links, with proposals to any courier that believes to lead, until it converges.
+/// Runs a fleet over faulty links until it converges. Commands are proposed to any courier that considers itself
+/// leader.
 pub fn run_over_faulty_links(seed: u64) -> Fleet {
     let limits = AgreementLimits { seed, log_bytes: 2_000, ..AgreementLimits::default() };
     let mut fleet = Fleet::with_members(seed, limits, 3 + 2 * (seed % 2), 1);
@@ -386,7 +394,7 @@
         fleet.cut_links.clear();
         for from in &all {
             for to in &all {
-                // One way as well as both.
+                // Links are cut in one direction or in both.
                 if fleet.random_below(4) == 0 {
                     fleet.cut_links.insert((*from, *to));
                 }
@@ -394,14 +402,14 @@
         }
         for n in 0..20 {
             let (command, node_id) = (1 + round * 20 + n, all[fleet.random_below(all.len() as u64) as usize]);
-            // To any courier that believes to lead, also a stale leader.
-            let at = if fleet.agreement(node_id).is_leader() {
+            // The receiver may be a stale leader.
+            let proposer = if fleet.agreement(node_id).is_leader() {
                 node_id
             } else {
                 fleet.leader().unwrap_or(node_id)
             };
             fleet.step(
-                at,
+                proposer,
                 AgreementInput::Propose { ticket: command, command: command.to_le_bytes().to_vec() },
             );
             let span = fleet.random_below(SECOND / 5);
--- a/courier/fleet/tests/agreement/main.rs
+++ b/courier/fleet/tests/agreement/main.rs
@@ -1,4 +1,5 @@
-//! The agreement on a virtual clock, over links that lose, duplicate, delay and partition messages, from seeds.
+//! Tests of the agreement on a virtual clock, over links that lose, duplicate and delay messages or are cut. All runs
+//! are determined by seeds.
 
 mod fleet;
 mod records;
@@ -14,7 +15,7 @@
 use records::{entry, open_with_records};
 
 #[test]
-fn one_three_and_five_voters_agree_and_go_on_without_their_leader() {
+fn one_three_and_five_voters_commit_and_continue_without_their_leader() {
     for voters in [1, 3, 5] {
         let mut fleet = Fleet::with_members(voters, AgreementLimits::default(), voters, 2);
         (1..20).for_each(|c| fleet.commit(c));
@@ -33,9 +34,10 @@
     }
 }
 
-/// Links lose, duplicate, reorder and partition messages; partitions heal and come back.
+/// Couriers commit the same commands although links lose, duplicate and reorder messages, and network partitions come
+/// and go.
 #[test]
-fn the_same_commands_everywhere_over_links_of_every_kind() {
+fn all_couriers_commit_the_same_commands_over_faulty_links() {
     for seed in 0..12 {
         let fleet = run_over_faulty_links(seed);
         assert!(fleet.acknowledged.len() > 20, "seed {seed}: only {}", fleet.acknowledged.len());
@@ -43,8 +45,8 @@
 }
 
 #[test]
-fn the_first_fifty_seeded_days_give_the_same_counts() {
-    let day = |seed: u64| {
+fn the_first_fifty_seeds_give_the_same_counts() {
+    let count_line = |seed: u64| {
         let fleet = run_over_faulty_links(seed);
         let writes: u32 = fleet
             .nodes
@@ -62,13 +64,13 @@
         counts.set("end_time_us", fleet.now);
         counts.line(seed)
     };
-    let lines: String = SEEDS.map(day).collect();
+    let lines: String = SEEDS.map(count_line).collect();
     let file = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/digests/agreement.txt");
     compare_with_file(&file, &lines);
 }
 
-/// One courier is killed in each of its writes in turn, at the beginning, in the middle and at the end of it, and
-/// restarts.
+/// Guards against lost state after a crash during a write. One courier is killed in each of its writes in turn, at the
+/// beginning, in the middle and at the end of the write, and restarts.
 #[test]
 fn a_kill_at_every_write_loses_no_acknowledged_state() {
     let limits = || AgreementLimits { log_bytes: 600, ..AgreementLimits::default() };
@@ -104,10 +106,10 @@
     }
 }
 
-/// Each prefix opens to the contents of its complete records: never more than the whole log has, and never less than
-/// a shorter prefix. A damaged byte is not mistaken for a kill.
+/// Each prefix of the log opens to the contents of its complete records: never more than the whole log contains, and
+/// never less than a shorter prefix. A damaged byte is an error and is not treated as an incomplete record.
 #[test]
-fn every_prefix_of_the_log_opens_and_no_damaged_one() {
+fn every_prefix_of_the_log_opens_and_damaged_logs_are_rejected() {
     let mut fleet =
         Fleet::with_members(3, AgreementLimits { log_bytes: 600, ..AgreementLimits::default() }, 3, 1);
     for c in 1..30 {
@@ -143,9 +145,9 @@
         let now = (agreement.term(), state.len());
         assert!(before <= now, "at {len}: {before:?} {now:?}");
         before = now;
-        // A torn record is removed from the file, or what is written next would never be read.
-        let sound = record_ends.iter().rfind(|end| **end <= len).unwrap();
-        assert!(opened.is_new || agreement.store().bytes() == &bytes[..*sound], "at {len}");
+        // An incomplete record must be removed from the file, as later records would never be read after it.
+        let complete_len = record_ends.iter().rfind(|end| **end <= len).unwrap();
+        assert!(opened.is_new || agreement.store().bytes() == &bytes[..*complete_len], "at {len}");
         let (reopened, contents) = open(agreement.store().bytes()).unwrap();
         let same =
             (reopened.node_id(), reopened.term(), contents.committed == opened.committed, contents.is_new);
@@ -158,7 +160,8 @@
     }
 }
 
-/// A courier whose disk is full sends nothing more. The others go on, and it restarts when there is space.
+/// A courier whose disk is full sends no more messages. The others continue, and the courier can restart when the
+/// disk has space.
 #[test]
 fn a_courier_that_cannot_write_halts() {
     for victim in [1, 2] {
@@ -168,14 +171,14 @@
         let sent = fleet.sends_by_node.clone();
         fleet.step(1, AgreementInput::Propose { ticket: 5, command: 5u64.to_le_bytes().to_vec() });
         if victim == 1 {
-            assert_eq!(fleet.outcomes.last(), Some(&(5, "unsure")));
-            assert_eq!(fleet.sends_by_node, sent, "sent what it has not written");
+            assert_eq!(fleet.outcomes.last(), Some(&(5, "indeterminate")));
+            assert_eq!(fleet.sends_by_node, sent, "sent messages before their state was written");
         }
         fleet.run(3 * SECOND);
         assert!(fleet.agreement(victim).is_halted());
         assert!(matches!(fleet.errors[..], [AgreementError::Store { .. }]), "{:?}", fleet.errors);
         fleet.step(victim, AgreementInput::Propose { ticket: 6, command: vec![1] });
-        assert_eq!(fleet.outcomes.last(), Some(&(6, "silent")));
+        assert_eq!(fleet.outcomes.last(), Some(&(6, "halted")));
         let sent = fleet.sends_by_node[&victim];
         (10..15).for_each(|c| fleet.commit(c));
         assert_eq!(fleet.sends_by_node[&victim], sent);
@@ -186,7 +189,8 @@
     }
 }
 
-/// Under a new id it is a new learner; the old id is removed, and commands are committed between all steps.
+/// A voter that has lost its data directory joins as a new learner under a new id, and the old id is removed.
+/// Commands are committed between all steps.
 #[test]
 fn a_voter_with_a_lost_folder_is_replaced_while_serving() {
     for lost in [1, 3] {
@@ -196,7 +200,7 @@
         fleet.nodes.remove(&lost);
         fleet.start(9, Memory::default());
         fleet.commit(10);
-        assert!(fleet.agreement(9).voters().is_empty(), "knows nothing of anyone");
+        assert!(fleet.agreement(9).voters().is_empty(), "a new courier knows no voters");
         assert_eq!(fleet.agreement(9).wake_at(), None);
         fleet.change_membership(MembershipChange::AddLearner(9));
         fleet.commit(11);
@@ -208,53 +212,58 @@
         let mut voters = vec![2, 9, if lost == 1 { 3 } else { 1 }];
         voters.sort_unstable();
         assert_eq!(fleet.agreement(9).voters(), voters);
-        // The lost voter is a voter no more: the three survive the loss of another one.
+        // The lost courier is no longer a voter, so the three voters survive the loss of another one.
         let leader = fleet.leader().unwrap();
         fleet.kill(leader);
         fleet.commit(14);
     }
 }
 
-/// Neither the leader nor a majority can be removed, and no absent learner is promoted.
+/// The leader can't be removed, each change must leave a majority of reachable voters, and an unreachable learner can't
+/// be promoted.
 #[test]
 fn changes_that_risk_the_quorum_are_rejected() {
     let mut fleet = Fleet::with_members(5, AgreementLimits::default(), 3, 1);
-    let end = |fleet: &mut Fleet, ticket, change| {
+    let outcome = |fleet: &mut Fleet, ticket, change| {
         fleet.step(1, AgreementInput::ChangeMembership { ticket, change });
         fleet.run(SECOND / 4);
-        fleet.outcomes.iter().rfind(|(t, _)| *t == ticket).map(|(_, end)| *end)
+        fleet.outcomes.iter().rfind(|(t, _)| *t == ticket).map(|(_, outcome)| *outcome)
     };
-    assert_eq!(end(&mut fleet, 1, MembershipChange::AddLearner(1)), Some("majority"), "the leader itself");
-    assert_eq!(end(&mut fleet, 2, MembershipChange::Promote(77)), Some("refused"));
-    assert_eq!(end(&mut fleet, 3, MembershipChange::Remove(1)), Some("majority"));
+    assert_eq!(
+        outcome(&mut fleet, 1, MembershipChange::AddLearner(1)),
+        Some("quorum at risk"),
+        "the leader itself"
+    );
+    assert_eq!(outcome(&mut fleet, 2, MembershipChange::Promote(77)), Some("other"));
+    assert_eq!(outcome(&mut fleet, 3, MembershipChange::Remove(1)), Some("quorum at risk"));
     fleet.kill(4);
     fleet.run(SECOND);
-    assert_eq!(end(&mut fleet, 4, MembershipChange::Promote(4)), Some("behind"));
+    assert_eq!(outcome(&mut fleet, 4, MembershipChange::Promote(4)), Some("learner behind"));
     fleet.kill(3);
     fleet.run(SECOND);
-    assert_eq!(end(&mut fleet, 5, MembershipChange::Remove(2)), Some("majority"));
-    assert_eq!(end(&mut fleet, 6, MembershipChange::Remove(3)), Some("changed"));
+    assert_eq!(outcome(&mut fleet, 5, MembershipChange::Remove(2)), Some("quorum at risk"));
+    assert_eq!(outcome(&mut fleet, 6, MembershipChange::Remove(3)), Some("changed"));
     fleet.step(1, AgreementInput::ChangeMembership { ticket: 7, change: MembershipChange::AddLearner(50) });
     fleet.step(1, AgreementInput::ChangeMembership { ticket: 8, change: MembershipChange::AddLearner(51) });
-    assert_eq!(fleet.outcomes.last(), Some(&(8, "busy")), "one at a time");
+    assert_eq!(fleet.outcomes.last(), Some(&(8, "busy")), "only one change at a time is accepted");
 }
 
-/// The log is compacted as it grows, and a late learner gets the state in its place, over links with heavy loss.
+/// The log is compacted as it grows, and a learner that joins late receives a snapshot, over links with heavy loss.
 #[test]
-fn the_log_stays_short_and_a_late_learner_gets_the_state() {
+fn the_log_is_compacted_and_a_late_learner_receives_a_snapshot() {
     let limits = AgreementLimits { log_bytes: 4_000, ..AgreementLimits::default() };
     let mut fleet = Fleet::with_members(13, limits, 3, 0);
     fleet.start(8, Memory::default());
-    let mut most = 0;
+    let mut max_excess = 0;
     for c in 1..400 {
         fleet.commit(c);
         let state = encode_state(&fleet.nodes[&1].state).len();
-        most = most.max(fleet.agreement(1).store().bytes().len().saturating_sub(state));
+        max_excess = max_excess.max(fleet.agreement(1).store().bytes().len().saturating_sub(state));
         if c == 200 {
             fleet.kill(3);
         }
     }
-    assert!(most < 6_000, "{most} bytes beyond the state");
+    assert!(max_excess < 6_000, "the log exceeds the state by {max_excess} bytes");
     fleet.loss_permille = 200;
     fleet.change_membership(MembershipChange::AddLearner(8));
     let disk = fleet.nodes[&3].disk.clone();
@@ -265,20 +274,20 @@
     assert!(fleet.restored[&8] > 0 && fleet.restored[&3] > 0, "{:?}", fleet.restored);
 }
 
-/// A leader in a partition can't confirm that it leads: it steps down by itself, and its reads are rejected.
+/// A leader in a minority partition can't confirm its leadership: it steps down, and its reads are rejected.
 #[test]
-fn a_leader_that_is_cut_off_confirms_nothing() {
+fn a_partitioned_leader_confirms_no_reads() {
     let mut fleet = Fleet::with_members(17, AgreementLimits::default(), 3, 1);
     fleet.commit(1);
     fleet.step(1, AgreementInput::ReadIndex { ticket: 90 });
     fleet.run(SECOND / 4);
-    assert_eq!(fleet.outcomes.last(), Some(&(90, "readable")));
+    assert_eq!(fleet.outcomes.last(), Some(&(90, "read ready")));
     for other in 2..=3 {
         fleet.cut_links.extend([(1, other), (other, 1)]);
     }
     fleet.step(1, AgreementInput::ReadIndex { ticket: 91 });
     fleet.step(1, AgreementInput::Propose { ticket: 92, command: 92u64.to_le_bytes().to_vec() });
-    // The learner is still connected, and has no vote.
+    // The learner is still connected but has no vote.
     fleet.run(SECOND / 4);
     assert!(fleet.agreement(1).is_leader() && !fleet.outcomes.iter().any(|(t, _)| (91..94).contains(t)));
     fleet.run_until("another leader", |f| f.leader() != Some(1) && f.leader().is_some());
@@ -287,17 +296,26 @@
     fleet.step(other, AgreementInput::ReadIndex { ticket: 93 });
     fleet.run(2 * SECOND);
     assert!(!fleet.agreement(1).is_leader());
-    let end =
-        |t| fleet.outcomes.iter().filter(|(ticket, _)| *ticket == t).map(|(_, e)| *e).collect::<Vec<_>>();
-    assert_eq!((end(91), end(92), end(93)), (vec!["not leader"], vec!["unsure"], vec!["readable"]));
+    let outcomes = |t| {
+        fleet
+            .outcomes
+            .iter()
+            .filter(|(ticket, _)| *ticket == t)
+            .map(|(_, outcome)| *outcome)
+            .collect::<Vec<_>>()
+    };
+    assert_eq!(
+        (outcomes(91), outcomes(92), outcomes(93)),
+        (vec!["not leader"], vec!["indeterminate"], vec!["read ready"])
+    );
     fleet.cut_links.clear();
     fleet.assert_converged();
     assert!(!fleet.committed.values().any(|c| *c == 92));
 }
 
-/// After a pause longer than an election takes it steps down before it does anything else.
+/// A leader whose process was suspended for longer than an election takes steps down before it accepts a proposal.
 #[test]
-fn a_leader_that_was_paused_steps_down_first() {
+fn a_leader_that_was_suspended_steps_down_first() {
     let mut fleet = Fleet::with_members(19, AgreementLimits::default(), 3, 0);
     fleet.commit(1);
     let (mut agreement, now) = (fleet.agreement(1).clone(), fleet.now);
@@ -312,9 +330,9 @@
     );
 }
 
-/// Truncated, damaged and invented messages are errors, after which the courier goes on.
+/// Truncated, damaged and arbitrary bytes are rejected as errors, after which the courier continues.
 #[test]
-fn bytes_that_are_no_message_are_an_error() {
+fn malformed_messages_are_rejected() {
     let mut fleet = Fleet::with_members(23, AgreementLimits::default(), 3, 0);
     fleet.commit(1);
     fleet.step(1, AgreementInput::Propose { ticket: 2, command: 2u64.to_le_bytes().to_vec() });
@@ -347,7 +365,8 @@
     fleet.assert_converged();
 }
 
-/// A log restored from a backup lacks entries that it has acknowledged. A message of the leader reveals it.
+/// A log that was restored from a backup lacks entries that the courier has acknowledged. It must be detected from the
+/// leader's messages, as the courier could vote twice.
 #[test]
 fn a_log_restored_from_a_backup_is_detected() {
     let mut fleet = Fleet::with_members(29, AgreementLimits::default(), 3, 0);
@@ -365,9 +384,9 @@
     assert!(fleet.agreement(2).is_halted());
 }
 
-/// Leadership goes to the other voter at once.
+/// Leadership is transferred to another voter before the election timeout.
 #[test]
-fn a_leader_hands_over_without_an_election() {
+fn leadership_is_transferred_without_an_election_timeout() {
     let mut fleet = Fleet::with_members(31, AgreementLimits::default(), 3, 0);
     fleet.commit(1);
     fleet.step(1, AgreementInput::TransferLeadership { to: 3 });
@@ -377,10 +396,10 @@
     fleet.assert_converged();
 }
 
-/// Equal seeds lead to equal runs, and a clone taken at any moment goes on as the original does.
+/// Equal seeds lead to equal runs, and a clone behaves like the original from any step on.
 #[test]
 fn runs_are_deterministic_and_clones_continue_like_the_original() {
-    let run = |copies: bool| {
+    let run = |use_clones: bool| {
         let mut fleet =
             Fleet::with_members(37, AgreementLimits { log_bytes: 1_500, ..AgreementLimits::default() }, 3, 1);
         (fleet.loss_permille, fleet.duplicate_permille, fleet.max_delay) = (100, 50, 60_000);
@@ -397,7 +416,7 @@
                 let until = fleet.now + SECOND / 20;
                 fleet.next(until);
                 let now = fleet.now;
-                for node in fleet.nodes.values_mut().filter(|_| copies) {
+                for node in fleet.nodes.values_mut().filter(|_| use_clones) {
                     let agreement = node.agreement.as_mut().unwrap();
                     let copy = agreement.clone();
                     assert_eq!(copy.digest(now), agreement.digest(now));
@@ -415,9 +434,9 @@
     assert_eq!(run(true), first);
 }
 
-/// A voter that was in a partition does not disturb the leader when it is back (pre-vote).
+/// Pre-vote: a voter that was in a network partition does not disturb the leader after it reconnects.
 #[test]
-fn a_voter_that_comes_back_does_not_call_an_election() {
+fn a_reconnected_voter_does_not_start_an_election() {
     let mut fleet = Fleet::with_members(41, AgreementLimits::default(), 3, 0);
     let term = fleet.agreement(1).term();
     fleet.cut_links = [(2, 1), (2, 3), (1, 2), (3, 2)].into();
@@ -429,28 +448,29 @@
     assert_eq!((fleet.leader(), fleet.agreement(2).term()), (Some(1), term));
 }
 
-/// Two candidates request the vote of a third in the same term. It is killed between the requests, and remembers the
-/// first.
+/// Guards against a double vote and against early reads. Two candidates request the vote of a third courier in the same
+/// term, which is killed between the requests: its stored vote must prevent a second one. The new leader rejects reads
+/// before it has committed an entry.
 #[test]
-fn a_vote_outlasts_a_kill_and_a_new_leader_answers_nothing_before_its_first_entry() {
+fn a_vote_survives_a_kill_and_a_new_leader_rejects_reads_before_its_first_entry() {
     let mut fleet = Fleet::with_members(43, AgreementLimits::default(), 3, 0);
     fleet.run(SECOND);
     let mut disks: Vec<_> = [1, 2, 3].map(|t| Memory::of(fleet.agreement(t).store().bytes().to_vec())).into();
     let open =
         |disk: &Memory| Agreement::open(disk.clone(), 9, AgreementLimits::default(), SECOND).unwrap().0;
-    let message_to = |out: Vec<AgreementOutput>, whom: NodeId| {
+    let message_to = |out: Vec<AgreementOutput>, receiver: NodeId| {
         let mut bytes = out.into_iter().filter_map(|o| match o {
-            AgreementOutput::Send { to, bytes } if to == whom => Some(bytes),
+            AgreementOutput::Send { to, bytes } if to == receiver => Some(bytes),
             _ => None,
         });
         bytes.next()
     };
-    // Each of two candidates gets the third's pre-vote, and requests the vote itself.
+    // Each of the two candidates gets the third courier's pre-vote and then requests its vote.
     let request_vote = |node_id: NodeId| {
         let mut candidate = open(&disks[node_id as usize - 1]);
         let (mut now, mut pre_vote) = (SECOND, None);
         while pre_vote.is_none() {
-            assert!(now < 10 * SECOND, "courier {node_id} calls no election");
+            assert!(now < 10 * SECOND, "courier {node_id} starts no election");
             now += 50_000;
             pre_vote = message_to(candidate.step(AgreementInput::Tick, now), 3);
         }
@@ -484,9 +504,9 @@
     );
 }
 
-/// Uncommitted entries are replaced by committed ones, in memory and in the file that a restarted process reads.
+/// Entries of a new leader replace uncommitted entries, both in memory and in the file that a restarted process reads.
 #[test]
-fn later_entries_take_the_place_of_earlier_ones() {
+fn later_entries_replace_earlier_ones() {
     let mut fleet = Fleet::with_members(37, AgreementLimits::default(), 3, 0);
     fleet.commit(1);
     for other in 2..=3 {
@@ -495,7 +515,7 @@
     for command in [92, 93, 94u64] {
         let before = fleet.agreement(1).store().bytes().len();
         fleet.step(1, AgreementInput::Propose { ticket: command, command: command.to_le_bytes().to_vec() });
-        assert!(fleet.agreement(1).store().bytes().len() > before, "it is written, and agreed on by nobody");
+        assert!(fleet.agreement(1).store().bytes().len() > before, "the entry is written but not committed");
     }
     fleet.run_until("another leader", |f| f.leader() != Some(1) && f.leader().is_some());
     fleet.commit(2);
@@ -521,12 +541,12 @@
     let expected =
         [(1, vec![1, 1]), (2, vec![2, 2])].map(|(index, command)| CommittedCommand { index, command });
     assert_eq!(written(2).unwrap(), expected);
-    assert!(matches!(written(3), Err(AgreementError::Damaged { .. })), "the third is there no more");
+    assert!(matches!(written(3), Err(AgreementError::Damaged { .. })), "the third entry was overwritten");
 }
 
-/// Valid records that can't follow each other count as damage.
+/// Records that are valid individually but can't follow each other are reported as damage.
 #[test]
-fn records_that_do_not_fit_are_damage() {
+fn records_that_cannot_follow_each_other_are_damage() {
     let open = |commit, entry| {
         open_with_records(vec![((1, 7, commit), vec![entry])]).map(|committed| committed.len())
     };
--- a/courier/fleet/tests/common/mod.rs
+++ b/courier/fleet/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A fleet on one virtual clock: members, their folders, messages in flight between them, and a journal at each courier.
+//! A simulated fleet on one virtual clock: members, their data directories, messages in flight, and the couriers'
+//! journals.
 
 use bytes::Bytes;
 use quillmount_containers::random_unit;
@@ -17,10 +18,12 @@
 use std::io;
 use std::rc::Rc;
 
+/// One millisecond in microseconds.
 pub const MS: Micros = 1_000;
+/// One second in microseconds.
 pub const SEC: Micros = 1_000_000;
 
-/// A folder that outlasts processes.
+/// A data directory that outlasts processes.
 #[derive(Clone, Default)]
 pub struct Disk(Rc<RefCell<BTreeMap<String, Vec<u8>>>>);
 
@@ -61,15 +64,15 @@
     }
 }
 
-/// What a courier does with a message once its journal is replicated far enough.
+/// An action about a message that waits until the journal is replicated up to an offset.
 #[derive(Clone, Debug, PartialEq)]
-enum Due {
+enum PendingAction {
     AcceptedMessage(String),
     Call { id: String, msg: u64, debit: bool },
     ReportEnd(String),
 }
 
-/// A courier's process: its member, and the rules of the journal that matter here.
+/// A courier's process: its member, and a simplified journal and router.
 pub struct Process {
     pub member: Member<Disk>,
     incarnation: u64,
@@ -77,19 +80,19 @@
     written: u64,
     replicated: u64,
     may_accept: bool,
-    next: u64,
-    due: Vec<(u64, Due)>,
+    next_message: u64,
+    pending_actions: Vec<(u64, PendingAction)>,
     pub joined: bool,
     pub paused: bool,
 }
 
-/// What the endpoints and the clients of the fleet have observed.
+/// What the clients and the endpoints of the fleet have observed.
 #[derive(Default, Debug)]
 pub struct Observed {
     pub accepted: BTreeSet<String>,
-    /// Calls of each message: by which courier, and when.
+    /// Calls of each message: the calling courier and the time.
     pub calls: BTreeMap<String, Vec<(usize, Micros)>>,
-    /// Ends of each message: by which courier, and whether it was delivered.
+    /// Ends of each message: the reporting courier, and whether the message was delivered.
     pub ends: BTreeMap<String, Vec<(usize, bool)>>,
     pub notices: Vec<(Micros, usize, String)>,
 }
@@ -104,25 +107,27 @@
     last_envelope: u64,
     seed: u64,
     last_incarnation: u64,
-    /// Links that are cut, from and to.
-    pub cut: BTreeSet<(usize, usize)>,
-    /// Links that lose pages of journals alone.
-    pub cut_pages: BTreeSet<(usize, usize)>,
-    /// Fractions of the envelopes that are lost, and that are duplicated.
-    pub loss: f64,
-    pub duplicated: f64,
+    /// Links that lose all messages: sender and receiver.
+    pub cut_links: BTreeSet<(usize, usize)>,
+    /// Links that lose only pages of journals.
+    pub cut_append_links: BTreeSet<(usize, usize)>,
+    /// Fraction of the envelopes that are lost.
+    pub loss_rate: f64,
+    /// Fraction of the envelopes that are duplicated.
+    pub duplicate_rate: f64,
     pub delay: Micros,
     pub observed: Observed,
     pub replica_count: usize,
     pub missing_replicas: MissingReplicas,
     pub voters: usize,
     pub budgets: Vec<quillmount_fleet::budget::Budget>,
-    /// How long a call takes at the endpoint.
+    /// Duration of a call at the endpoint.
     pub call_duration: Micros,
-    /// Replies in flight: when, to which courier and incarnation, for which message.
+    /// Replies in flight: arrival time, courier and incarnation, message id and message number.
     replies: Vec<(Micros, usize, u64, String, u64)>,
-    /// Couriers that were fenced, and whether such a process goes on instead of restarting at once.
+    /// Couriers that were fenced.
     pub fenced: BTreeSet<usize>,
+    /// Whether a fenced process continues instead of restarting immediately.
     pub stays_after_fencing: bool,
 }
 
@@ -138,10 +143,10 @@
             last_envelope: 0,
             seed,
             last_incarnation: 0,
-            cut: BTreeSet::new(),
-            cut_pages: BTreeSet::new(),
-            loss: 0.0,
-            duplicated: 0.0,
+            cut_links: BTreeSet::new(),
+            cut_append_links: BTreeSet::new(),
+            loss_rate: 0.0,
+            duplicate_rate: 0.0,
             delay: MS,
             observed: Observed::default(),
             replica_count: 1,
@@ -186,8 +191,8 @@
             journal: bytes,
             replicated: 0,
             may_accept: false,
-            next: 1,
-            due: Vec::new(),
+            next_message: 1,
+            pending_actions: Vec::new(),
             joined: false,
             paused: false,
         });
@@ -198,7 +203,7 @@
         (0..self.names.len()).for_each(|i| self.start(i));
     }
 
-    /// Kills the process: what it has not sent is lost.
+    /// Kills the process. Messages that it has not sent are lost.
     pub fn kill(&mut self, i: usize) {
         self.processes[i] = None;
     }
@@ -213,7 +218,7 @@
         }
     }
 
-    fn chance(&mut self) -> f64 {
+    fn random_fraction(&mut self) -> f64 {
         random_unit(&mut self.seed)
     }
 
@@ -221,18 +226,22 @@
         let Some(n) = self.names.iter().position(|name| *name == to) else { return };
         let Some(p) = &self.processes[from] else { return };
         let node_id = p.member.agreement().node_id();
-        if matches!(message, FleetMessage::Append { .. }) && self.cut_pages.contains(&(from, n)) {
+        if matches!(message, FleetMessage::Append { .. }) && self.cut_append_links.contains(&(from, n)) {
             return;
         }
-        if self.cut.contains(&(from, n)) || self.chance() < self.loss {
+        if self.cut_links.contains(&(from, n)) || self.random_fraction() < self.loss_rate {
             return;
         }
         let envelope = Envelope { from: self.names[from].clone(), to, node_id, messages: vec![message] };
-        let times = if self.chance() < self.duplicated { 2 } else { 1 };
-        for _ in 0..times {
+        let copies = if self.random_fraction() < self.duplicate_rate { 2 } else { 1 };
+        for _ in 0..copies {
             self.last_envelope += 1;
-            let late = if self.loss > 0.0 { (self.chance() * 4.0 * self.delay as f64) as Micros } else { 0 };
-            self.queue.push(Reverse((self.now + self.delay + late, self.last_envelope)));
+            let extra_delay = if self.loss_rate > 0.0 {
+                (self.random_fraction() * 4.0 * self.delay as f64) as Micros
+            } else {
+                0
+            };
+            self.queue.push(Reverse((self.now + self.delay + extra_delay, self.last_envelope)));
             self.envelopes.insert(self.last_envelope, envelope.clone());
         }
     }
@@ -256,15 +265,15 @@
         written
     }
 
-    /// A client submits a message. Returns whether the courier processes it at all.
+    /// Submits a message as a client. Returns whether the courier writes it to its journal.
     pub fn submit(&mut self, i: usize, id: &str, dest: u64, debit: bool) -> bool {
         let now = self.now;
         let Some(p) = self.processes[i].as_mut().filter(|p| !p.paused) else { return false };
         if !p.joined || !p.may_accept || !p.member.may_act(now) {
             return false;
         }
-        let msg = p.next;
-        p.next += 1;
+        let msg = p.next_message;
+        p.next_message += 1;
         let class = if debit { "fee-debit" } else { "paid-notice" };
         let taken = AcceptedMessage {
             id: id.into(),
@@ -276,7 +285,7 @@
         };
         let written = self.write(i, &[JournalRecord::Accept { msg, taken }]);
         let Some(p) = self.processes[i].as_mut() else { return false };
-        p.due.push((written, Due::AcceptedMessage(id.into())));
+        p.pending_actions.push((written, PendingAction::AcceptedMessage(id.into())));
         self.call(i, id.into(), msg, debit);
         true
     }
@@ -285,27 +294,27 @@
         let sent = self.now;
         let written = self.write(i, &[JournalRecord::Attempt { msg, zone: 0, sent }]);
         if let Some(p) = self.processes[i].as_mut() {
-            p.due.push((written, Due::Call { id, msg, debit }));
+            p.pending_actions.push((written, PendingAction::Call { id, msg, debit }));
         }
-        self.act(i);
+        self.run_pending_actions(i);
     }
 
-    /// Does what was waiting for the journal's replication.
-    fn act(&mut self, i: usize) {
+    /// Runs the pending actions whose records are replicated.
+    fn run_pending_actions(&mut self, i: usize) {
         let now = self.now;
         loop {
             let Some(p) = self.processes[i].as_mut().filter(|p| !p.paused) else { return };
-            let may = p.member.may_act(now);
-            let ready = |(written, due): &(u64, Due)| {
-                *written <= p.replicated && (may || matches!(due, Due::AcceptedMessage(_)))
+            let may_act = p.member.may_act(now);
+            let ready = |(written, due): &(u64, PendingAction)| {
+                *written <= p.replicated && (may_act || matches!(due, PendingAction::AcceptedMessage(_)))
             };
-            let Some(n) = p.due.iter().position(ready) else { return };
-            match p.due.remove(n).1 {
-                Due::AcceptedMessage(id) => drop(self.observed.accepted.insert(id)),
-                Due::ReportEnd(id) => self.observed.ends.entry(id).or_default().push((i, false)),
-                Due::Call { id, msg, debit: _ } => {
+            let Some(n) = p.pending_actions.iter().position(ready) else { return };
+            match p.pending_actions.remove(n).1 {
+                PendingAction::AcceptedMessage(id) => drop(self.observed.accepted.insert(id)),
+                PendingAction::ReportEnd(id) => self.observed.ends.entry(id).or_default().push((i, false)),
+                PendingAction::Call { id, msg, debit: _ } => {
                     self.observed.calls.entry(id.clone()).or_default().push((i, now));
-                    // The endpoint's reply: delivered.
+                    // The endpoint replies that the message was delivered.
                     self.replies.push((now + self.call_duration, i, self.incarnation_of(i), id, msg));
                 }
             }
@@ -325,7 +334,7 @@
                     if let Some(p) = self.processes[i].as_mut() {
                         p.replicated = written;
                     }
-                    self.act(i);
+                    self.run_pending_actions(i);
                 }
                 MemberOutput::Replicas { enough, .. } => {
                     if let Some(p) = self.processes[i].as_mut() {
@@ -347,7 +356,7 @@
                     self.start(i);
                     return;
                 }
-                MemberOutput::Lease(_) => self.act(i),
+                MemberOutput::Lease(_) => self.run_pending_actions(i),
                 MemberOutput::Left | MemberOutput::CloseConnections(_) => {}
                 MemberOutput::Settlement(_)
                 | MemberOutput::SettlementsRestored
@@ -370,7 +379,7 @@
         p.member.record_lineage(lineage).unwrap();
         p.joined = true;
         let (journal_state, _) = JournalContents::read(&p.journal);
-        p.next = p.next.max(journal_state.next);
+        p.next_message = p.next_message.max(journal_state.next);
         let unsettled: BTreeSet<PartitionId> =
             journal_state.owed.values().filter_map(|e| e.source.as_ref().map(PartitionId::from)).collect();
         let bytes = p.journal.clone();
@@ -381,7 +390,7 @@
         }
     }
 
-    /// Goes on with a message from the journal: a debit that may have run is ended, all others are sent.
+    /// Resumes a message from the journal: a debit that may have been executed is ended, all others are sent again.
     fn resume_message(&mut self, i: usize, msg: u64, entry: journal::JournalEntry) {
         let debit = entry.taken.class == "fee-debit";
         let may_have_run = entry.calls.iter().any(|c| c.never_ran != Some(true));
@@ -392,9 +401,9 @@
                 &[JournalRecord::End { msg, end: End::Undeliverable }, JournalRecord::Confirmed { msg }],
             );
             if let Some(p) = self.processes[i].as_mut() {
-                p.due.push((written, Due::ReportEnd(id)));
+                p.pending_actions.push((written, PendingAction::ReportEnd(id)));
             }
-            self.act(i);
+            self.run_pending_actions(i);
         } else {
             self.call(i, entry.taken.id, msg, debit);
         }
@@ -410,8 +419,8 @@
                 continue;
             }
             let Some(p) = self.processes[i].as_mut() else { return };
-            let msg = p.next;
-            p.next += 1;
+            let msg = p.next_message;
+            p.next_message += 1;
             records.push(JournalRecord::Accept { msg, taken: entry.taken });
             records.push(JournalRecord::From { msg, source: source.into() });
             for (n, call) in entry.calls.into_iter().enumerate() {
@@ -435,20 +444,21 @@
         self.write(i, &[JournalRecord::Settled { source: from.clone(), accepted: adopted }]);
         self.step(i, MemberInput::AdoptionResolved(source));
         if adopted {
-            let mine = journal_state.owed.into_iter().filter(|(_, e)| e.source.as_ref() == Some(&from));
-            for (msg, entry) in mine.collect::<Vec<_>>() {
+            let adopted_entries =
+                journal_state.owed.into_iter().filter(|(_, e)| e.source.as_ref() == Some(&from));
+            for (msg, entry) in adopted_entries.collect::<Vec<_>>() {
                 self.resume_message(i, msg, entry);
             }
         }
     }
 
-    /// Runs for this time.
+    /// Runs the fleet for this virtual time in microseconds.
     pub fn run(&mut self, span: Micros) {
         let end = self.now + span;
         self.run_until(end, |_| false);
     }
 
-    /// Runs until `done`, or until `end`. Returns whether it was done.
+    /// Runs until the condition `done` is met, or until the time `end`. Returns whether the condition was met.
     pub fn run_until(&mut self, end: Micros, done: impl Fn(&World) -> bool) -> bool {
         loop {
             if done(self) {
@@ -470,7 +480,7 @@
                 {
                     let to = self.names.iter().position(|name| *name == envelope.to).unwrap();
                     if self.processes[to].as_ref().is_some_and(|p| p.paused) {
-                        // It is read when the process is resumed.
+                        // The envelope is delivered after the process has resumed.
                         self.last_envelope += 1;
                         self.queue.push(Reverse((self.now + 50 * MS, self.last_envelope)));
                         self.envelopes.insert(self.last_envelope, envelope);
@@ -497,13 +507,13 @@
                 let due = |p: &Process| !p.paused && p.member.wake_at().is_some_and(|at| at <= now);
                 if self.processes[i].as_ref().is_some_and(due) {
                     self.step(i, MemberInput::Tick);
-                    self.act(i);
+                    self.run_pending_actions(i);
                 }
             }
         }
     }
 
-    pub fn ready(&self, i: usize) -> bool {
+    pub fn is_ready(&self, i: usize) -> bool {
         let may = |p: &Process| p.joined && p.may_accept && p.member.may_act(self.now);
         self.processes[i].as_ref().is_some_and(may)
     }
--- a/courier/fleet/tests/explore/checks.rs
+++ b/courier/fleet/tests/explore/checks.rs
@@ -1,13 +1,13 @@
-//! The properties that are checked: at each step, and at the end of a path.
+//! The properties that are checked at each step and at the end of a path.
 
-use crate::scenario::{END, N, index_of, name};
+use crate::scenario::{COURIER_COUNT, MAX_PATH_DURATION, courier_name, index_of};
 use crate::world::World;
 use quillmount_core::journal::{self, JournalRecord, Records};
 use quillmount_fleet::state::{Epoch, PartitionState, partition_of};
 use std::collections::BTreeMap;
 
 impl World<'_> {
-    /// Notes which attempts are in replicas before a seal, and checks that nothing follows a seal.
+    /// Records the attempts that replicas contain before a seal, and checks that no record follows a seal.
     pub fn check_replicas(&mut self) {
         for (i, disk) in self.disks.iter().enumerate() {
             for (file, bytes) in disk.iter().filter(|(file, _)| file.starts_with("copy.")) {
@@ -15,8 +15,9 @@
                 let seal = journal::frame(&JournalRecord::Sealed).unwrap().len();
                 let end = Records::new(bytes).enumerate().find(|(_, (_, r))| *r == JournalRecord::Sealed);
                 if end.as_ref().is_some_and(|(_, (at, _))| at + seal < bytes.len()) {
-                    let what = format!("sealed: {}'s copy {file} takes more", name(i));
-                    self.violation.get_or_insert(what);
+                    let violation =
+                        format!("sealed: replica {file} at {} has records after its seal", courier_name(i));
+                    self.violation.get_or_insert(violation);
                 }
                 let end = end.map(|(n, _)| n);
                 let mut ids = BTreeMap::new();
@@ -38,64 +39,65 @@
         }
     }
 
-    /// Checks that each serving courier that is agreed to have a replica has all messages that were accepted and have not
+    /// Checks that each serving courier that is an agreed replica has all messages that were accepted and have not
     /// ended.
     pub fn check_replica_hosts(&mut self) {
-        let owed: Vec<_> =
+        let unfinished: Vec<_> =
             self.observed.accepted.iter().filter(|id| !self.observed.ends.contains(*id)).collect();
-        let Some(journal_state) = self.state.journals.iter().find(|(id, b)| {
-            id.owner == name(self.scenario.owner)
-                && b.version > 0
-                && b.lineage == id.epoch
-                && b.lineage <= N as Epoch
+        let Some(journal_state) = self.state.journals.iter().find(|(id, journal)| {
+            id.owner == courier_name(self.scenario.owner)
+                && journal.version > 0
+                && journal.lineage == id.epoch
+                && journal.lineage <= COURIER_COUNT as Epoch
         }) else {
             return;
         };
         let not_adopted = |n: usize| match &journal_state.1.sealed {
-            Some(parts) => matches!(
-                parts[partition_of(self.scenario.messages[n].0)],
+            Some(partitions) => matches!(
+                partitions[partition_of(self.scenario.messages[n].0)],
                 PartitionState::Unassigned | PartitionState::Assigned(..)
             ),
             None => true,
         };
-        for (id, n) in owed.into_iter().map(|id| (id, id[1..].parse::<usize>().unwrap())) {
+        for (id, n) in unfinished.into_iter().map(|id| (id, id[1..].parse::<usize>().unwrap())) {
             for host in journal_state.1.replicas.iter().map(|host| index_of(host)).filter(|_| not_adopted(n))
             {
                 let Some(p) = &self.processes[host] else { continue };
-                // Only a process that is registered with its present folder is relied on.
-                let member = self.state.members.get(&name(host));
+                // Only a process that is registered with its current data directory must have the messages.
+                let member = self.state.members.get(&courier_name(host));
                 if member.is_none_or(|m| !m.serving || m.incarnation != p.incarnation) {
                     continue;
                 }
-                let mine = format!(".{}", name(self.scenario.owner));
-                let copies = self.disks[host].iter();
-                let mut copies =
-                    copies.filter(|(file, _)| file.starts_with("copy.") && file.ends_with(&mine));
+                let suffix = format!(".{}", courier_name(self.scenario.owner));
+                let files = self.disks[host].iter();
+                let mut replicas =
+                    files.filter(|(file, _)| file.starts_with("copy.") && file.ends_with(&suffix));
                 let has = |bytes: &[u8]| {
                     Records::new(bytes)
                         .any(|(_, r)| matches!(r, JournalRecord::Accept { taken, .. } if taken.id == *id))
                 };
-                if !copies.any(|(_, bytes)| has(bytes)) {
-                    let what = format!("held: {} is named as holding {id}, and does not", name(host));
-                    self.violation.get_or_insert(what);
+                if !replicas.any(|(_, bytes)| has(bytes)) {
+                    let violation =
+                        format!("replica: {} is an agreed replica but lacks {id}", courier_name(host));
+                    self.violation.get_or_insert(violation);
                     return;
                 }
             }
         }
     }
 
-    pub fn is_over(&self) -> bool {
-        let late = self.now > self.first_message_at + END;
+    pub fn is_finished(&self) -> bool {
+        let timed_out = self.now > self.first_message_at + MAX_PATH_DURATION;
         let ended = self.observed.accepted.iter().all(|id| self.observed.ends.contains(id));
-        let all_taken_over = self.state.journals.values().all(|b| b.sealed.is_none());
-        late || self.healed && ended && all_taken_over && (0..N).all(|i| self.ready(i))
+        let all_taken_over = self.state.journals.values().all(|journal| journal.sealed.is_none());
+        timed_out || self.healed && ended && all_taken_over && (0..COURIER_COUNT).all(|i| self.is_ready(i))
     }
 
-    /// Checks, at the end of a path, that each accepted message has ended.
+    /// Checks at the end of a path that each accepted message has ended.
     pub fn check_outcomes(&mut self) {
         let without_end = self.observed.accepted.iter().find(|id| !self.observed.ends.contains(*id)).cloned();
         if let Some(id) = without_end {
-            self.fail(format!("end: {id} was answered 202 and has none"));
+            self.fail(format!("end: {id} was answered with status 202 and has not ended"));
         }
     }
 }
--- a/courier/fleet/tests/explore/effects.rs
+++ b/courier/fleet/tests/explore/effects.rs
@@ -1,4 +1,5 @@
-//! The folders of couriers and the effects of a step, at each of which the process may die.
+//! The data directories of couriers, and the effects of a step: writes and sent messages. A process can be killed
+//! before each effect.
 
 use quillmount_core::store::Store;
 use quillmount_fleet::member::StoreDirectory;
@@ -8,16 +9,17 @@
 
 pub type Disk = BTreeMap<String, Vec<u8>>;
 
-/// The folders while a process runs a step, and the effect at which it dies.
+/// The data directories while a process runs a step, and the effect before which the process is killed.
 #[derive(Default)]
 pub struct Effects {
     pub disks: Vec<Disk>,
     pub die_at: Option<u32>,
     pub effects: u32,
     pub dead: bool,
-    /// Whether there were effects of other things than leases.
-    pub matters: bool,
-    pub copies: bool,
+    /// Whether any effect of the step was other than a lease message.
+    pub significant: bool,
+    /// Whether a replica was written.
+    pub replica_written: bool,
 }
 
 thread_local! {
@@ -32,19 +34,19 @@
     EFFECTS.with(|effects| f(&mut effects.borrow_mut()))
 }
 
-/// Counts an effect of the process that runs. Returns whether the process is still alive for it.
-pub fn effect(matters: bool) -> bool {
-    with_effects(|h| {
-        h.dead |= h.die_at == Some(h.effects);
-        h.effects += u32::from(!h.dead);
-        h.matters |= matters && !h.dead;
-        !h.dead
+/// Counts an effect of the running process. Returns whether the process is still alive, so that the effect takes place.
+pub fn effect(significant: bool) -> bool {
+    with_effects(|effects| {
+        effects.dead |= effects.die_at == Some(effects.effects);
+        effects.effects += u32::from(!effects.dead);
+        effects.significant |= significant && !effects.dead;
+        !effects.dead
     })
 }
 
-pub fn trace(what: impl FnOnce() -> String) {
+pub fn trace(line: impl FnOnce() -> String) {
     if TRACING.get() {
-        println!("{}", what());
+        println!("{}", line());
     }
 }
 
@@ -56,25 +58,25 @@
 
 impl Store for File {
     fn len(&self) -> u64 {
-        with_effects(|h| h.disks[self.0].get(&self.1).map_or(0, Vec::len)) as u64
+        with_effects(|effects| effects.disks[self.0].get(&self.1).map_or(0, Vec::len)) as u64
     }
     fn read(&mut self) -> io::Result<Vec<u8>> {
-        Ok(with_effects(|h| h.disks[self.0].get(&self.1).cloned().unwrap_or_default()))
+        Ok(with_effects(|effects| effects.disks[self.0].get(&self.1).cloned().unwrap_or_default()))
     }
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         if effect(true) {
-            with_effects(|h| {
-                h.copies |= self.1.starts_with("copy.");
-                h.disks[self.0].entry(self.1.clone()).or_default().extend_from_slice(bytes);
+            with_effects(|effects| {
+                effects.replica_written |= self.1.starts_with("copy.");
+                effects.disks[self.0].entry(self.1.clone()).or_default().extend_from_slice(bytes);
             });
         }
         Ok(())
     }
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
         if effect(true) {
-            with_effects(|h| {
-                h.copies |= self.1.starts_with("copy.");
-                h.disks[self.0].insert(self.1.clone(), bytes.to_vec())
+            with_effects(|effects| {
+                effects.replica_written |= self.1.starts_with("copy.");
+                effects.disks[self.0].insert(self.1.clone(), bytes.to_vec())
             });
         }
         Ok(())
@@ -84,18 +86,18 @@
 impl StoreDirectory for Folder {
     type Store = File;
     fn open(&mut self, name: &str) -> io::Result<File> {
-        if !with_effects(|h| h.dead) {
-            with_effects(|h| h.disks[self.0].entry(name.into()).or_default().len());
+        if !with_effects(|effects| effects.dead) {
+            with_effects(|effects| effects.disks[self.0].entry(name.into()).or_default().len());
         }
         Ok(File(self.0, name.into()))
     }
     fn remove(&mut self, name: &str) -> io::Result<()> {
         if effect(true) {
-            with_effects(|h| h.disks[self.0].remove(name));
+            with_effects(|effects| effects.disks[self.0].remove(name));
         }
         Ok(())
     }
     fn names(&mut self) -> io::Result<Vec<String>> {
-        Ok(with_effects(|h| h.disks[self.0].keys().cloned().collect()))
+        Ok(with_effects(|effects| effects.disks[self.0].keys().cloned().collect()))
     }
 }
--- a/courier/fleet/tests/explore/main.rs
+++ b/courier/fleet/tests/explore/main.rs
@@ -1,6 +1,6 @@
-//! Explores every fault at every step of a small fleet: the members' own code on a virtual clock, with a model of the
-//! replicated log (one order, each member applies it at its own pace, a majority commits). `docs/exploration.md` says
-//! what is left out.
+//! Exhaustive exploration: injects every fault at every step of a small fleet. The members run their real code on a
+//! virtual clock. A model replaces the replicated log: a majority commits commands in one order, and each member
+//! applies them at its own pace. `docs/exploration.md` lists what the model omits.
 
 mod checks;
 mod effects;
@@ -27,7 +27,8 @@
     assert_no_violation(&scenarios(1, any_fault));
 }
 
-/// Counts the paths, the steps and the states after a fault, for each scenario with every single fault.
+/// Explores each scenario with every single fault. The numbers of paths, of steps and of states after a fault must not
+/// change.
 #[test]
 fn each_case_with_one_fault_gives_the_same_counts() {
     let explored = |(index, scenario): (usize, &Scenario)| {
@@ -44,26 +45,27 @@
     compare_with_file(&file, &lines);
 }
 
-/// Pairs of faults that once violated a property: a replica that restarts, a replica that is lost without its owner's
-/// knowledge, and a process that is registered twice.
+/// Regression test for pairs of faults that violated a property in the past: a restarted replica, a replica that was
+/// lost without its owner's knowledge, and a process that was registered twice.
 #[test]
 fn pairs_found_by_earlier_searches_pass() {
     let pairs: [fn(&Fault) -> bool; 3] = [
-        |f| matches!(f, Fault::Cut(0, 1) | Fault::Kill(0, 0, Restart::WithinLease)),
-        |f| matches!(f, Fault::Cut(0, 1) | Fault::Kill(2, _, Restart::WithinLeaseEmpty)),
+        |f| matches!(f, Fault::CutLink(0, 1) | Fault::Kill(0, 0, Restart::WithinLease)),
+        |f| matches!(f, Fault::CutLink(0, 1) | Fault::Kill(2, _, Restart::WithinLeaseEmpty)),
         |f| matches!(f, Fault::PauseApply(1) | Fault::Kill(1, 0, Restart::WithinLease)),
     ];
     assert_no_violation(&pairs.map(|only| scenarios(2, only).remove(0)));
 }
 
-/// Two faults, each at every step: the second one during the takeover that the first one has caused.
+/// Explores all pairs of faults, each at every step. The second fault occurs during the takeover that the first one
+/// causes.
 #[test]
 #[ignore = "five minutes in a release build"]
 fn no_two_faults_break_a_takeover() {
     assert_no_violation(&scenarios(2, any_fault));
 }
 
-/// The same with the faults of the largest effect.
+/// Explores pairs of the faults with the largest effect: lost processes and paused ones.
 #[cfg(not(debug_assertions))]
 #[test]
 fn no_two_process_losses_break_a_takeover() {
@@ -78,54 +80,60 @@
     assert_no_violation(&scenarios(2, is_far_reaching)[..2]);
 }
 
-/// Each deliberate fault in the code is found by the named property, and the same path is correct without it.
+/// The exploration finds each deliberate bug by the named property, and the same path violates no property without
+/// the bug.
 #[cfg(feature = "breaks")]
 #[test]
 fn every_break_is_found() {
-    let scenario = |owner, copies, faults, only| Scenario {
+    let scenario = |owner, replicas, faults, fault_filter| Scenario {
         name: "break",
         owner,
-        copies,
+        replicas,
         messages: vec![(1, true, 0)],
         call_duration: 5 * MS,
         faults,
-        only,
+        fault_filter,
     };
     let is_kill = |f: &Fault| matches!(f, Fault::Kill(_, _, Restart::AfterLeaseEmpty));
-    // Submitted when the lease has expired, while the leader's messages are lost.
-    let late = vec![(1, true, 0), (2, true, LEASE * 2)];
+    // The second message is submitted after the lease has expired, while the leader's messages are lost.
+    let late_messages = vec![(1, true, 0), (2, true, LEASE * 2)];
     let all = [
         (Break::ReplicatedAtOnce, "recorded:", scenario(1, 1, 1, is_kill)),
         (
             Break::LeaseIgnored,
             "lease:",
-            Scenario { messages: late, ..scenario(2, 1, 1, |f| matches!(f, Fault::Cut(0, 2))) },
+            Scenario { messages: late_messages, ..scenario(2, 1, 1, |f| matches!(f, Fault::CutLink(0, 2))) },
         ),
-        (Break::NoGrace, "lease:", scenario(1, 1, 1, |f| matches!(f, Fault::Depose))),
-        // The owner is lost, and one of its two replicas.
+        (Break::NoGrace, "lease:", scenario(1, 1, 1, |f| matches!(f, Fault::DeposeLeader))),
+        // Both the owner and one of its two replicas are lost.
         (
             Break::EmptyReplicaTrusted,
-            "held:",
+            "replica:",
             scenario(1, 2, 2, |f| {
                 matches!(
                     f,
-                    Fault::Kill(1, 0, Restart::AtTheEnd) | Fault::Kill(0, 0, Restart::WithinLeaseEmpty)
+                    Fault::Kill(1, 0, Restart::AfterHealing) | Fault::Kill(0, 0, Restart::WithinLeaseEmpty)
                 )
             }),
         ),
-        // The adopting courier is lost between its call and the commit of the adoption.
+        // The adopting courier is killed between its call and the commit of the adoption.
         (
             Break::AdoptedAtOnce,
-            "once: part:",
-            scenario(1, 1, 2, |f| matches!(f, Fault::Kill(1, _, Restart::AtTheEnd) | Fault::Kill(0, 0, _))),
+            "once: adoption:",
+            scenario(1, 1, 2, |f| {
+                matches!(f, Fault::Kill(1, _, Restart::AfterHealing) | Fault::Kill(0, 0, _))
+            }),
         ),
-        // The courier with the replica does not know yet that the owner is gone, the replica has been read for a takeover,
-        // and a delayed append arrives.
+        // The courier with the replica has not applied the owner's deregistration yet. The replica has been read for a
+        // takeover, and then a delayed append arrives.
         (
             Break::SealIgnored,
             "sealed:",
             scenario(2, 1, 3, |f| {
-                matches!(f, Fault::Kill(2, _, Restart::AtTheEnd) | Fault::Delayed | Fault::PauseApply(1))
+                matches!(
+                    f,
+                    Fault::Kill(2, _, Restart::AfterHealing) | Fault::DelayMessage | Fault::PauseApply(1)
+                )
             }),
         ),
     ];
@@ -138,6 +146,6 @@
             "{broken:?}: {found:?}"
         );
         let (_, path) = found.unwrap();
-        assert_eq!(replay(&scenario, &path), None, "{broken:?}: without it, on the same way");
+        assert_eq!(replay(&scenario, &path), None, "{broken:?}: the same path without the bug");
     }
 }
--- a/courier/fleet/tests/explore/model_log.rs
+++ b/courier/fleet/tests/explore/model_log.rs
@@ -1,4 +1,4 @@
-//! The replicated log as a model: the world delivers leaders and commits, and collects proposals.
+//! A model of the replicated log: the world sets the leader, delivers commits and collects proposals.
 
 use quillmount_fleet::NodeId;
 use quillmount_fleet::agreement::{AgreementError, AgreementInput, AgreementOutput};
@@ -6,12 +6,12 @@
 use quillmount_policy::Micros;
 use std::cell::{Cell, RefCell};
 
-/// The model of the replicated log, as one member sees it.
+/// One member's view of the modelled replicated log.
 #[derive(Clone, Default)]
 pub struct ModelLog {
     pub node_id: NodeId,
     pub leader: Cell<Option<NodeId>>,
-    /// Whether a majority would confirm that it leads.
+    /// Whether a majority would confirm the member's leadership.
     pub confirmed: Cell<bool>,
     pub outputs: RefCell<Vec<AgreementOutput>>,
     pub proposed: RefCell<Vec<Vec<u8>>>,
--- a/courier/fleet/tests/explore/process.rs
+++ b/courier/fleet/tests/explore/process.rs
@@ -1,8 +1,8 @@
-//! One courier's process in the world: its member, its journal, and its calls.
+//! One courier's process in the simulated world: its member, its journal, and its calls.
 
 use crate::effects::{File, Folder, effect, trace, with_effects};
 use crate::model_log::ModelLog;
-use crate::scenario::{LEASE, MS, config, index_of, name};
+use crate::scenario::{LEASE, MS, config, courier_name, index_of};
 use crate::world::{Event, World};
 use bytes::Bytes;
 use quillmount_core::journal::{self, AcceptedMessage, End, JournalContents, JournalRecord};
@@ -14,8 +14,9 @@
 use quillmount_policy::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// An action that waits until the journal is replicated up to an offset.
 #[derive(Clone, Debug)]
-pub enum Due {
+pub enum Action {
     AcceptedMessage(String),
     Call { id: String, msg: u64, debit: bool },
     Delivered(String),
@@ -30,20 +31,21 @@
     pub written: u64,
     pub replicated: u64,
     pub may_accept: bool,
-    pub next: u64,
-    pub due: Vec<(u64, Due)>,
+    pub next_message: u64,
+    pub pending: Vec<(u64, Action)>,
     pub joined: bool,
     pub paused: bool,
-    /// The time that was read before the pause, which the interrupted step still goes by.
+    /// The time that was read before the pause. The interrupted step still uses it.
     pub stale_clock: Option<Micros>,
-    /// When the leader's next heartbeat comes.
+    /// Time of the leader's next heartbeat.
     pub heartbeat_at: Micros,
-    /// Until when it applies no commits.
+    /// Time until which the process applies no committed commands.
     pub apply_paused_until: Micros,
-    /// Messages that have arrived while it is paused.
+    /// Messages that have arrived during the pause.
     pub inbox: Vec<Event>,
-    /// When it sent each lease renewal, by ticket, and when the granted lease expires.
+    /// Send time of each lease renewal, by ticket.
     pub renewals: BTreeMap<u64, Micros>,
+    /// Expiry of the lease, as computed by the test from the granted renewals.
     pub lease_until: Micros,
 }
 
@@ -51,18 +53,18 @@
     pub fn start(&mut self, i: usize) {
         self.incarnations += 1;
         let incarnation = self.incarnations * 1_000 + i as u64 + 1;
-        let stored_id = with_effects(|h| h.disks[i].get("token").cloned());
+        let stored_id = with_effects(|effects| effects.disks[i].get("token").cloned());
         let node_id =
             stored_id.as_ref().map_or(incarnation, |t| u64::from_le_bytes(t[..].try_into().unwrap()));
-        with_effects(|h| h.disks[i].insert("token".into(), node_id.to_le_bytes().into()));
-        let applied = with_effects(|h| h.disks[i].get("applied").cloned());
+        with_effects(|effects| effects.disks[i].insert("token".into(), node_id.to_le_bytes().into()));
+        let applied = with_effects(|effects| effects.disks[i].get("applied").cloned());
         let applied = applied.map_or(0, |t| u64::from_le_bytes(t[..].try_into().unwrap())) as usize;
         let committed = self.log[..applied].iter().zip(1..);
         let committed =
             committed.map(|(command, index)| CommittedCommand { index, command: command.clone() }).collect();
         let opened = Opened { is_new: stored_id.is_none(), state: Vec::new(), index: 0, committed };
         let log = ModelLog { node_id, ..ModelLog::default() };
-        let config = config(i, self.scenario.copies);
+        let config = config(i, self.scenario.replicas);
         let (member, out) =
             Member::with_log(config, Folder(i), OpenedLog { log, opened }, incarnation, self.now).unwrap();
         let written = File(i, "journal".into()).len();
@@ -73,8 +75,8 @@
             written,
             replicated: 0,
             may_accept: false,
-            next: 1,
-            due: Vec::new(),
+            next_message: 1,
+            pending: Vec::new(),
             joined: false,
             paused: false,
             stale_clock: None,
@@ -95,11 +97,11 @@
         p.member.agreement().confirmed.set(confirmed);
         let out = p.member.step(input, now).unwrap();
         let proposed = p.member.agreement().proposed.take();
-        let incarnation = p.incarnation;
+        let proposer = p.incarnation;
         for command in proposed {
             if i == self.leader && effect(true) {
-                // A round trip to a majority.
-                self.at(2 * MS, Event::Commit { incarnation, term: self.term, command });
+                // The commit takes a round trip to a majority.
+                self.schedule(2 * MS, Event::Commit { proposer, term: self.term, command });
             }
         }
         self.carry_out(i, out);
@@ -115,81 +117,81 @@
         written
     }
 
-    pub fn act_when_replicated(&mut self, i: usize, written: u64, due: Due) {
+    pub fn act_when_replicated(&mut self, i: usize, written: u64, due: Action) {
         if let Some(p) = self.processes[i].as_mut() {
-            p.due.push((written, due));
+            p.pending.push((written, due));
         }
-        self.act(i);
+        self.run_pending_actions(i);
     }
 
     pub fn submit(&mut self, n: usize) {
         let (i, (dest, debit, _)) = (self.scenario.owner, self.scenario.messages[n]);
-        if !self.ready(i) {
+        if !self.is_ready(i) {
             return;
         }
         let Some(p) = self.processes[i].as_mut() else { return };
-        let (msg, id) = (p.next, format!("m{n}"));
-        p.next += 1;
+        let (msg, id) = (p.next_message, format!("m{n}"));
+        p.next_message += 1;
         let class = if debit { "fee-debit" } else { "paid-notice" };
         let deadline = self.now + 100 * LEASE;
         let (class, body) = (class.into(), Bytes::from_static(b"body"));
         let taken = AcceptedMessage { id: id.clone(), class, key: None, dest, deadline, body };
         let written = self.write(i, &[JournalRecord::Accept { msg, taken }]);
-        self.act_when_replicated(i, written, Due::AcceptedMessage(id.clone()));
+        self.act_when_replicated(i, written, Action::AcceptedMessage(id.clone()));
         self.call(i, id, msg, debit);
     }
 
     pub fn call(&mut self, i: usize, id: String, msg: u64, debit: bool) {
         let written = self.write(i, &[JournalRecord::Attempt { msg, zone: 0, sent: self.now }]);
-        self.act_when_replicated(i, written, Due::Call { id, msg, debit });
+        self.act_when_replicated(i, written, Action::Call { id, msg, debit });
     }
 
-    /// Does what was waiting for the journal's replication.
-    pub fn act(&mut self, i: usize) {
+    /// Runs the pending actions whose records are replicated.
+    pub fn run_pending_actions(&mut self, i: usize) {
         loop {
             let now = self.clock(i);
             let Some(p) = self.processes[i].as_mut().filter(|p| !p.paused) else { return };
-            let may = p.member.may_act(now);
-            let ready = |(written, due): &(u64, Due)| {
+            let may_act = p.member.may_act(now);
+            let ready = |(written, due): &(u64, Action)| {
                 *written <= p.replicated
-                    && (may || matches!(due, Due::AcceptedMessage(_) | Due::Delivered(_)))
+                    && (may_act || matches!(due, Action::AcceptedMessage(_) | Action::Delivered(_)))
             };
-            let Some(n) = p.due.iter().position(ready) else { return };
-            let (due, stale_clock, lease_until) = (p.due.remove(n).1, p.stale_clock.is_some(), p.lease_until);
+            let Some(n) = p.pending.iter().position(ready) else { return };
+            let (due, stale, lease_until) = (p.pending.remove(n).1, p.stale_clock.is_some(), p.lease_until);
             let (incarnation, epoch) = (p.incarnation, p.member.epoch());
             if !effect(true) {
                 return;
             }
             match due {
-                Due::AcceptedMessage(id) => drop(self.observed.accepted.insert(id)),
-                Due::Delivered(id) => drop(self.observed.delivered.insert(id)),
-                Due::ReportEnd { id, msg } => {
+                Action::AcceptedMessage(id) => drop(self.observed.accepted.insert(id)),
+                Action::Delivered(id) => drop(self.observed.delivered.insert(id)),
+                Action::ReportEnd { id, msg } => {
                     if self.observed.delivered.contains(&id) {
-                        self.fail(format!("end: {} says that {id} was not delivered, and it was", name(i)));
+                        self.fail(format!("end: {} reports delivered {id} as undelivered", courier_name(i)));
                     }
                     self.observed.ends.insert(id);
                     self.write(i, &[JournalRecord::Confirmed { msg }]);
                 }
-                Due::Call { id, msg, debit } => {
+                Action::Call { id, msg, debit } => {
                     if lease_until <= now {
-                        self.fail(format!("lease: {} calls {id} without one", name(i)));
+                        self.fail(format!("lease: {} calls {id} without a lease", courier_name(i)));
                     }
-                    if !stale_clock && self.state.epoch_of(&name(i)) != epoch {
-                        self.fail(format!("owner: {} calls {id}, and is replaced", name(i)));
+                    if !stale && self.state.epoch_of(&courier_name(i)) != epoch {
+                        self.fail(format!("owner: {} calls {id} after it was replaced", courier_name(i)));
                     }
-                    let key = (name(i), id.clone());
+                    let key = (courier_name(i), id.clone());
                     let calls = self.observed.called.entry(key.clone()).or_default();
                     *calls += 1;
                     let calls = *calls;
                     if self.observed.recorded.get(&key).is_none_or(|n| *n < calls) && !self.lost_folder {
-                        self.fail(format!("recorded: {} calls {id}, and no copy knows", name(i)));
+                        self.fail(format!("recorded: {} calls {id} before its replication", courier_name(i)));
                     }
-                    let all = self.observed.calls.entry(id.clone()).or_default();
-                    *all += 1;
-                    if debit && *all > 1 {
-                        self.fail(format!("once: debit {id} is called again, by {}", name(i)));
+                    let total_calls = self.observed.calls.entry(id.clone()).or_default();
+                    *total_calls += 1;
+                    if debit && *total_calls > 1 {
+                        self.fail(format!("once: debit {id} is called again, by {}", courier_name(i)));
                     }
-                    self.at(self.scenario.call_duration, Event::Reply { to: i, incarnation, id, msg });
+                    self.schedule(self.scenario.call_duration, Event::Reply { to: i, incarnation, id, msg });
                 }
             }
         }
@@ -204,7 +206,7 @@
                     if let Some(p) = self.processes[i].as_mut() {
                         p.replicated = written;
                     }
-                    self.act(i);
+                    self.run_pending_actions(i);
                 }
                 MemberOutput::Replicas { enough, .. } => {
                     if let Some(p) = self.processes[i].as_mut() {
@@ -218,7 +220,7 @@
                     self.resolve_adoption(i, source, adopted);
                 }
                 MemberOutput::Fenced => {
-                    if !with_effects(|h| h.dead) {
+                    if !with_effects(|effects| effects.dead) {
                         self.processes[i] = None;
                         self.start(i);
                     }
@@ -226,12 +228,12 @@
                 }
                 MemberOutput::Lease(until) => {
                     if let Some(p) = self.processes[i].as_mut().filter(|p| p.member.agreement().is_leader()) {
-                        // The leader grants its own lease without a message.
+                        // The leader grants its own lease without sending a message.
                         p.lease_until = p.lease_until.max(until);
                     }
-                    self.act(i);
+                    self.run_pending_actions(i);
                 }
-                MemberOutput::Notice(note) => trace(|| format!("{} {note}", name(i))),
+                MemberOutput::Notice(notice) => trace(|| format!("{} {notice}", courier_name(i))),
                 MemberOutput::Left | MemberOutput::CloseConnections(_) => {}
                 MemberOutput::Settlement(_)
                 | MemberOutput::SettlementsRestored
@@ -249,7 +251,7 @@
             p.renewals.insert(ticket, now);
         }
         if effect(!lease) {
-            self.at(MS, Event::Deliver { from, to: index_of(to), node_id, message });
+            self.schedule(MS, Event::Deliver { from, to: index_of(to), node_id, message });
         }
     }
 
@@ -266,7 +268,7 @@
         p.joined = true;
         let bytes = file.read().unwrap();
         let (journal_state, _) = JournalContents::read(&bytes);
-        p.next = p.next.max(journal_state.next);
+        p.next_message = p.next_message.max(journal_state.next);
         let unsettled: BTreeSet<PartitionId> =
             journal_state.owed.values().filter_map(|e| e.source.as_ref().map(PartitionId::from)).collect();
         self.step(i, MemberInput::JournalOpened { bytes, unsettled: unsettled.into_iter().collect() });
@@ -275,17 +277,17 @@
         }
     }
 
-    /// Goes on with a message from the journal: a debit that may have run is ended, all others are sent.
+    /// Resumes a message from the journal: a debit that may have been executed is ended, all others are sent again.
     pub fn resume_message(&mut self, i: usize, msg: u64, entry: journal::JournalEntry) {
         let (id, debit) = (entry.taken.id, entry.taken.class == "fee-debit");
         let may_have_run = entry.calls.iter().any(|c| c.never_ran != Some(true));
         if entry.end.is_some() {
             let written = self.processes[i].as_ref().map_or(0, |p| p.written);
-            self.act_when_replicated(i, written, Due::ReportEnd { id, msg });
+            self.act_when_replicated(i, written, Action::ReportEnd { id, msg });
         } else if debit && may_have_run {
             let end = End::Undeliverable;
             let written = self.write(i, &[JournalRecord::End { msg, end }]);
-            self.act_when_replicated(i, written, Due::ReportEnd { id, msg });
+            self.act_when_replicated(i, written, Action::ReportEnd { id, msg });
         } else {
             self.call(i, id, msg, debit);
         }
@@ -307,8 +309,8 @@
                 continue;
             }
             let Some(p) = self.processes[i].as_mut() else { return };
-            let msg = p.next;
-            p.next += 1;
+            let msg = p.next_message;
+            p.next_message += 1;
             records.push(JournalRecord::Accept { msg, taken: entry.taken });
             records.push(JournalRecord::From { msg, source: source.into() });
             for call in entry.calls {
@@ -329,14 +331,19 @@
             let key = (from.owner.clone(), from.epoch, from.part);
             let by = *self.observed.adopted_by.entry(key).or_insert(i);
             if by != i {
-                self.fail(format!("part: {source} is settled by {} and {}", name(by), name(i)));
+                self.fail(format!(
+                    "adoption: {source} is adopted by {} and {}",
+                    courier_name(by),
+                    courier_name(i)
+                ));
             }
         }
         self.write(i, &[JournalRecord::Settled { source: from.clone(), accepted: adopted }]);
         self.step(i, MemberInput::AdoptionResolved(source));
         if adopted {
-            let mine = journal_state.owed.into_iter().filter(|(_, e)| e.source.as_ref() == Some(&from));
-            for (msg, entry) in mine.collect::<Vec<_>>() {
+            let adopted_entries =
+                journal_state.owed.into_iter().filter(|(_, e)| e.source.as_ref() == Some(&from));
+            for (msg, entry) in adopted_entries.collect::<Vec<_>>() {
                 self.resume_message(i, msg, entry);
             }
         }
--- a/courier/fleet/tests/explore/search.rs
+++ b/courier/fleet/tests/explore/search.rs
@@ -1,8 +1,8 @@
-//! Explores all paths of a scenario with a number of faults.
+//! Explores all paths of a scenario with at most a given number of faults.
 
 use crate::effects::{TRACING, trace};
 use crate::faults::Fault;
-use crate::scenario::{LAST_FAULT, Scenario};
+use crate::scenario::{LAST_FAULT_AFTER, Scenario};
 use crate::world::World;
 use quillmount_policy::Micros;
 use std::sync::Mutex;
@@ -27,15 +27,16 @@
     pub states: AtomicU64,
 }
 
+/// The injected faults of a path: virtual time, event, and fault.
 pub type Path = Vec<(Micros, String, Fault)>;
 
-/// Plays a path to its end, and all paths that branch off by faults. Returns the first violation of a property.
+/// Runs a path to its end, and all paths that branch off by a fault. Returns the first violation of a property.
 pub fn explore(mut world: World, faults: usize, path: &mut Path, count: &Count) -> Option<String> {
-    while !world.is_over() {
-        let Some(next) = world.next() else { break };
-        if faults > 0 && world.now <= world.first_message_at + LAST_FAULT {
+    while !world.is_finished() {
+        let Some(next) = world.next_event() else { break };
+        if faults > 0 && world.now <= world.first_message_at + LAST_FAULT_AFTER {
             let mut after = world.clone();
-            let effects = after.process(next.clone(), None);
+            let effects = after.process_event(next.clone(), None);
             for fault in world.faults(&next.2, effects) {
                 let mut faulty = world.clone();
                 path.push((next.0 - world.first_message_at, format!("{:?}", next.2), fault));
@@ -48,7 +49,7 @@
             }
             world = after;
         } else {
-            world.process(next, None);
+            world.process_event(next, None);
         }
         count.steps.fetch_add(1, Relaxed);
         if world.violation.is_some() {
@@ -62,39 +63,44 @@
     world.violation
 }
 
-/// Explores a scenario and prints the counts. Returns its first violation, with the path to it.
+/// Explores a scenario and prints the numbers of paths and steps. Returns the first violation and the path to it.
 pub fn search(scenario: &Scenario, broken: Option<Break>) -> Option<(String, Path)> {
-    let (begun, count) = (Instant::now(), Count::default());
-    // The first faults of the paths are shared out among threads.
+    let (started_at, count) = (Instant::now(), Count::default());
+    // The paths are distributed among the threads by their first faults.
     set(broken);
     let mut world = World::new(scenario);
-    let mut first = Vec::new();
-    while !world.is_over() && world.violation.is_none() {
-        let Some(next) = world.next() else { break };
+    let mut faulty_worlds = Vec::new();
+    while !world.is_finished() && world.violation.is_none() {
+        let Some(next) = world.next_event() else { break };
         let mut after = world.clone();
-        let effects = after.process(next.clone(), None);
+        let effects = after.process_event(next.clone(), None);
         for fault in world.faults(&next.2, effects) {
             let path = vec![(next.0 - world.first_message_at, format!("{:?}", next.2), fault)];
             let mut faulty = world.clone();
             faulty.inject(fault, next.clone());
-            first.push((faulty, path));
+            faulty_worlds.push((faulty, path));
         }
         world = after;
     }
     world.check_outcomes();
     set(None);
     if let Some(violation) = world.violation {
-        println!("{}{:?}: without a fault: {violation}", scenario.name, broken);
+        println!("{}{:?}: violation without an injected fault: {violation}", scenario.name, broken);
         return Some((violation, Path::new()));
     }
-    assert_eq!(world.observed.accepted.len(), scenario.messages.len(), "{}: all are taken on", scenario.name);
-    first.reverse();
-    let (first, found) = (Mutex::new(first), Mutex::new(None));
+    assert_eq!(
+        world.observed.accepted.len(),
+        scenario.messages.len(),
+        "{}: all messages are accepted",
+        scenario.name
+    );
+    faulty_worlds.reverse();
+    let (faulty_worlds, found) = (Mutex::new(faulty_worlds), Mutex::new(None));
     std::thread::scope(|scope| {
         let work = || {
             set(broken);
             loop {
-                let Some((world, mut path)) = first.lock().unwrap().pop() else { return };
+                let Some((world, mut path)) = faulty_worlds.lock().unwrap().pop() else { return };
                 if found.lock().unwrap().is_some() {
                     return;
                 }
@@ -114,19 +120,19 @@
         scenario.faults,
         count.paths.into_inner(),
         count.steps.into_inner(),
-        begun.elapsed().as_secs_f64(),
-        found.as_ref().map_or("holds", |(violation, _)| violation),
+        started_at.elapsed().as_secs_f64(),
+        found.as_ref().map_or("no violation", |(violation, _)| violation),
     );
     found
 }
 
-/// Replays the path to a violation, and prints its events.
+/// Replays the path to a violation and prints its events.
 pub fn replay(scenario: &Scenario, path: &Path) -> Option<String> {
     let mut world = World::new(scenario);
     let mut path = path.iter().peekable();
     TRACING.set(true);
-    while !world.is_over() && world.violation.is_none() {
-        let Some(next) = world.next() else { break };
+    while !world.is_finished() && world.violation.is_none() {
+        let Some(next) = world.next_event() else { break };
         let due_fault = path.next_if(|(at, event, _)| {
             *at == next.0 - world.first_message_at && *event == format!("{:?}", next.2)
         });
@@ -134,7 +140,7 @@
             trace(|| format!("-- {fault:?}"));
             world.inject(*fault, next);
         } else {
-            world.process(next, None);
+            world.process_event(next, None);
         }
     }
     TRACING.set(false);
@@ -144,13 +150,13 @@
 
 /// Asserts that no scenario violates a property. Prints the path to each violation.
 pub fn assert_no_violation(scenarios: &[Scenario]) {
-    let mut violation = 0;
+    let mut violations = 0;
     for scenario in scenarios {
         if let Some((_, path)) = search(scenario, None) {
-            let outputs = replay(scenario, &path);
-            println!("{}: {outputs:?}: {path:#?}", scenario.name);
-            violation += 1;
+            let violation = replay(scenario, &path);
+            println!("{}: {violation:?}: {path:#?}", scenario.name);
+            violations += 1;
         }
     }
-    assert_eq!(violation, 0);
+    assert_eq!(violations, 0);
 }
--- a/courier/fleet/tests/explore/world.rs
+++ b/courier/fleet/tests/explore/world.rs
@@ -1,8 +1,8 @@
-//! The world of a run: virtual time, events in flight, the replicated log, and which couriers are connected.
+//! The simulated world of a path: virtual time, pending events, the replicated log, and the links between couriers.
 
 use crate::effects::{Disk, Effects, effect, trace, with_effects};
-use crate::process::{Due, Process};
-use crate::scenario::{HEAL, LEASE, MS, N, Scenario, index_of, name};
+use crate::process::{Action, Process};
+use crate::scenario::{COURIER_COUNT, HEAL_AFTER, LEASE, MS, Scenario, courier_name, index_of};
 use quillmount_core::journal::{End, JournalRecord};
 use quillmount_fleet::NodeId;
 use quillmount_fleet::agreement::AgreementOutput;
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     Deliver { from: usize, to: usize, node_id: NodeId, message: FleetMessage },
-    Commit { incarnation: u64, term: u64, command: Vec<u8> },
+    Commit { proposer: u64, term: u64, command: Vec<u8> },
     Apply(usize),
     Reply { to: usize, incarnation: u64, id: String, msg: u64 },
     Submit(usize),
@@ -31,11 +31,13 @@
     pub accepted: BTreeSet<String>,
     pub calls: BTreeMap<String, usize>,
     pub ends: BTreeSet<String>,
-    /// Delivered, with a replicated record of it.
+    /// Messages that were delivered and whose delivery is recorded in a replicated journal.
     pub delivered: BTreeSet<String>,
-    /// Attempts that are in a replica, by owner and message.
+    /// Maximum number of attempts that a replica contains, by owner and message.
     pub recorded: BTreeMap<(String, String), usize>,
+    /// Calls by owner and message.
     pub called: BTreeMap<(String, String), usize>,
+    /// The courier that has adopted each partition, by the journal's owner and epoch.
     pub adopted_by: BTreeMap<(String, Epoch, u32), usize>,
 }
 
@@ -47,13 +49,13 @@
     pub disks: Vec<Disk>,
     pub processes: Vec<Option<Process>>,
     pub queue: BTreeMap<(Micros, u64), Event>,
-    pub order: u64,
+    pub last_event_number: u64,
     pub incarnations: u64,
     pub log: Vec<Vec<u8>>,
     pub state: FleetState,
     pub leader: usize,
     pub term: u64,
-    pub cut: BTreeSet<(usize, usize)>,
+    pub cut_links: BTreeSet<(usize, usize)>,
     pub lost_folder: bool,
     pub healed: bool,
     pub observed: Observed,
@@ -66,45 +68,45 @@
             scenario,
             now: 1_000_000 * MS,
             first_message_at: Micros::MAX,
-            disks: vec![Disk::new(); N],
-            processes: vec![None; N],
+            disks: vec![Disk::new(); COURIER_COUNT],
+            processes: vec![None; COURIER_COUNT],
             queue: BTreeMap::new(),
-            order: 0,
+            last_event_number: 0,
             incarnations: 0,
             log: Vec::new(),
             state: FleetState::default(),
             leader: 0,
             term: 1,
-            cut: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             lost_folder: false,
             healed: false,
             observed: Observed::default(),
             violation: None,
         };
-        (0..N).for_each(|i| world.at(0, Event::Start(i)));
-        while !(0..N).all(|i| world.ready(i)) {
-            let next = world.next().unwrap();
-            world.process(next, None);
-            assert!(world.now < 1_010_000 * MS, "the fleet does not come up");
+        (0..COURIER_COUNT).for_each(|i| world.schedule(0, Event::Start(i)));
+        while !(0..COURIER_COUNT).all(|i| world.is_ready(i)) {
+            let next = world.next_event().unwrap();
+            world.process_event(next, None);
+            assert!(world.now < 1_010_000 * MS, "the fleet does not become ready");
         }
         world.first_message_at = world.now;
         for n in 0..scenario.messages.len() {
-            world.at(scenario.messages[n].2, Event::Submit(n));
+            world.schedule(scenario.messages[n].2, Event::Submit(n));
         }
-        world.at(HEAL, Event::Heal);
+        world.schedule(HEAL_AFTER, Event::Heal);
         world
     }
 
-    pub fn at(&mut self, after: Micros, event: Event) {
-        self.order += 1;
-        self.queue.insert((self.now + after, self.order), event);
+    pub fn schedule(&mut self, after: Micros, event: Event) {
+        self.last_event_number += 1;
+        self.queue.insert((self.now + after, self.last_event_number), event);
     }
 
-    pub fn fail(&mut self, what: String) {
-        self.violation.get_or_insert(what);
+    pub fn fail(&mut self, violation: String) {
+        self.violation.get_or_insert(violation);
     }
 
-    pub fn ready(&self, i: usize) -> bool {
+    pub fn is_ready(&self, i: usize) -> bool {
         let may = |p: &Process| p.joined && p.may_accept && p.member.may_act(self.now) && !p.paused;
         self.processes[i].as_ref().is_some_and(may)
     }
@@ -114,28 +116,28 @@
     }
 
     pub fn is_connected(&self, from: usize, to: usize) -> bool {
-        from == to || !self.cut.contains(&(from, to))
+        from == to || !self.cut_links.contains(&(from, to))
     }
 
-    /// Whether it runs and is connected to a majority, in both directions.
+    /// Whether the courier runs and is connected to a majority in both directions.
     pub fn reaches_majority(&self, i: usize) -> bool {
         let is_linked =
             |j: &usize| self.is_running(*j) && self.is_connected(i, *j) && self.is_connected(*j, i);
-        self.is_running(i) && (0..N).filter(is_linked).count() > N / 2
+        self.is_running(i) && (0..COURIER_COUNT).filter(is_linked).count() > COURIER_COUNT / 2
     }
 
     pub fn clock(&self, i: usize) -> Micros {
         self.processes[i].as_ref().and_then(|p| p.stale_clock).unwrap_or(self.now)
     }
 
-    pub fn next(&self) -> Option<(Micros, u64, Event)> {
+    pub fn next_event(&self) -> Option<(Micros, u64, Event)> {
         let first = self.queue.first_key_value().map(|((at, n), e)| (*at, *n, e.clone()));
-        let ticks = (0..N).filter(|i| self.is_running(*i)).filter_map(|i| {
+        let ticks = (0..COURIER_COUNT).filter(|i| self.is_running(*i)).filter_map(|i| {
             let p = self.processes[i].as_ref()?;
             let at = p.member.wake_at().map_or(p.heartbeat_at, |at| at.min(p.heartbeat_at));
             Some((at.max(self.now), 0, Event::Tick(i)))
         });
-        // At equal times messages come before ticks.
+        // Messages are processed before ticks of the same time.
         let tick = ticks.min_by_key(|(at, ..)| *at);
         match (first, tick) {
             (Some(first), Some(tick)) if tick.0 < first.0 => Some(tick),
@@ -144,7 +146,7 @@
         }
     }
 
-    /// The process that an event is a step of.
+    /// The courier whose process handles the event.
     pub fn process_of(&self, event: &Event) -> Option<usize> {
         match event {
             Event::Deliver { to, .. } | Event::Reply { to, .. } => Some(*to),
@@ -154,30 +156,34 @@
         }
     }
 
-    /// Processes an event; the process dies before the effect `die`, if given. Returns the number of effects, and whether
-    /// any of them matters.
-    pub fn process(&mut self, (at, n, event): (Micros, u64, Event), die: Option<u32>) -> (u32, bool) {
+    /// Processes an event. If `kill_before` is given, the process is killed before the effect with this number. Returns
+    /// the number of effects, and whether any of them is significant.
+    pub fn process_event(
+        &mut self,
+        (at, n, event): (Micros, u64, Event),
+        kill_before: Option<u32>,
+    ) -> (u32, bool) {
         self.now = self.now.max(at);
         if n != 0 {
             self.queue.remove(&(at, n));
         }
         let process = self.process_of(&event);
         let disks = std::mem::take(&mut self.disks);
-        with_effects(|h| *h = Effects { disks, die_at: die, ..Effects::default() });
-        let matters = !matches!(event, Event::Tick(_) | Event::Deliver { .. } | Event::Apply(_));
+        with_effects(|effects| *effects = Effects { disks, die_at: kill_before, ..Effects::default() });
+        let significant = !matches!(event, Event::Tick(_) | Event::Deliver { .. } | Event::Apply(_));
         self.handle_event(event);
-        let h = with_effects(std::mem::take);
-        self.disks = h.disks;
-        if h.dead
+        let effects = with_effects(std::mem::take);
+        self.disks = effects.disks;
+        if effects.dead
             && let Some(i) = process
         {
             self.processes[i] = None;
         }
-        if h.copies {
+        if effects.replica_written {
             self.check_replicas();
         }
         self.check_replica_hosts();
-        (h.effects, matters || h.matters)
+        (effects.effects, significant || effects.significant)
     }
 
     pub fn handle_event(&mut self, event: Event) {
@@ -198,12 +204,16 @@
                 {
                     p.lease_until = p.lease_until.max(sent_at + p.member.config.member_lease());
                 }
-                let envelope = Envelope { from: name(from), to: name(to), node_id, messages: vec![message] };
+                let envelope = Envelope {
+                    from: courier_name(from),
+                    to: courier_name(to),
+                    node_id,
+                    messages: vec![message],
+                };
                 self.step(to, MemberInput::Received(envelope));
             }
-            Event::Commit { incarnation, term, command } => {
-                let leads =
-                    self.processes[self.leader].as_ref().is_some_and(|p| p.incarnation == incarnation);
+            Event::Commit { proposer, term, command } => {
+                let leads = self.processes[self.leader].as_ref().is_some_and(|p| p.incarnation == proposer);
                 if leads && term == self.term && self.reaches_majority(self.leader) {
                     self.commit(command);
                 }
@@ -212,10 +222,10 @@
             Event::Reply { to, incarnation, id, msg } => {
                 if self.processes[to].as_ref().is_some_and(|p| p.incarnation == incarnation) {
                     let end = End::Delivered;
-                    // A delivery is not reported: the answer itself is the end.
+                    // A delivery is not reported to the sender: the endpoint's reply is the end of the message.
                     self.observed.ends.insert(id.clone());
                     let written = self.write(to, &[JournalRecord::End { msg, end }]);
-                    self.act_when_replicated(to, written, Due::Delivered(id));
+                    self.act_when_replicated(to, written, Action::Delivered(id));
                 }
             }
             Event::Submit(n) => self.submit(n),
@@ -227,9 +237,9 @@
             Event::Resume(i) => self.resume(i),
             Event::Elect => self.elect(false),
             Event::Heal => {
-                self.cut.clear();
+                self.cut_links.clear();
                 self.healed = true;
-                for i in 0..N {
+                for i in 0..COURIER_COUNT {
                     self.resume(i);
                     if self.processes[i].is_none() {
                         self.start(i);
@@ -249,7 +259,7 @@
         }
         for event in inbox {
             self.handle_event(event);
-            // Only the interrupted step goes by the old time.
+            // Only the interrupted step uses the time that was read before the pause.
             if let Some(p) = &mut self.processes[i] {
                 p.stale_clock = None;
             }
@@ -260,27 +270,29 @@
         self.heartbeat(i);
     }
 
-    /// Elects another leader, if the present one has no majority, or `anyway`.
-    pub fn elect(&mut self, anyway: bool) {
-        if self.reaches_majority(self.leader) && !anyway {
+    /// Elects another leader if the current one has no majority or `force` is set.
+    pub fn elect(&mut self, force: bool) {
+        if self.reaches_majority(self.leader) && !force {
             return;
         }
         let old = self.leader;
-        trace(|| format!("{old} leads no more"));
-        let Some(new) = (1..=N).map(|n| (old + n) % N).find(|i| *i != old && self.reaches_majority(*i))
+        trace(|| format!("{old} loses leadership"));
+        let Some(new) = (1..=COURIER_COUNT)
+            .map(|n| (old + n) % COURIER_COUNT)
+            .find(|i| *i != old && self.reaches_majority(*i))
         else {
             if !self.reaches_majority(old) && !self.healed {
-                self.at(LEASE / 2, Event::Elect);
+                self.schedule(LEASE / 2, Event::Elect);
             }
             return;
         };
         (self.leader, self.term) = (new, self.term + 1);
-        // Only a courier with all commits is elected.
+        // Only a courier with all committed entries can be elected.
         self.processes[new].as_mut().unwrap().apply_paused_until = 0;
-        (0..N).for_each(|i| self.heartbeat(i));
+        (0..COURIER_COUNT).for_each(|i| self.heartbeat(i));
     }
 
-    /// Delivers what the leader has sent to a member, and lets it tick.
+    /// Delivers the leader's heartbeat and committed commands to a member, and runs a tick of the member.
     pub fn heartbeat(&mut self, i: usize) {
         if !self.is_running(i) {
             return;
@@ -308,33 +320,33 @@
                 }
                 if p.applied < self.log.len() {
                     p.applied = self.log.len();
-                    let at = (p.applied as u64).to_le_bytes().to_vec();
+                    let applied = (p.applied as u64).to_le_bytes().to_vec();
                     if effect(true) {
-                        with_effects(|h| h.disks[i].insert("applied".into(), at));
+                        with_effects(|effects| effects.disks[i].insert("applied".into(), applied));
                     }
                 }
             }
         }
         self.step(i, MemberInput::Tick);
-        self.act(i);
+        self.run_pending_actions(i);
     }
 
     pub fn commit(&mut self, command: Vec<u8>) {
-        let read: FleetCommand = postcard::from_bytes(&command).unwrap();
-        if let FleetCommand::Deregister { name, epoch } = &read
+        let decoded: FleetCommand = postcard::from_bytes(&command).unwrap();
+        if let FleetCommand::Deregister { name, epoch } = &decoded
             && self.state.epoch_of(name) == Some(*epoch)
         {
             let p = self.processes[index_of(name)].as_ref().filter(|p| !p.paused);
             if p.is_some_and(|p| p.member.epoch() == Some(*epoch) && p.lease_until > self.now) {
-                self.fail(format!("lease: {name} counts as gone, and has a lease"));
+                self.fail(format!("lease: {name} is deregistered although its lease is valid"));
             }
         }
-        self.state.apply(read);
+        self.state.apply(decoded);
         self.log.push(command);
         self.heartbeat(self.leader);
         let leader = self.leader;
-        for i in (0..N).filter(|i| *i != leader) {
-            self.at(MS, Event::Apply(i));
+        for i in (0..COURIER_COUNT).filter(|i| *i != leader) {
+            self.schedule(MS, Event::Apply(i));
         }
     }
 }
--- a/courier/fleet/tests/stored_forms/agreement.rs
+++ b/courier/fleet/tests/stored_forms/agreement.rs
@@ -1,4 +1,4 @@
-//! Messages and logs of the agreement.
+//! Encoding of the agreement's messages and log files.
 
 use crate::common::SEC;
 use crate::values::{FIXTURES, commands};
@@ -8,15 +8,16 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The agreement of three couriers over reliable links: all messages that they send, in order, and their logs.
+/// A simulated Raft group of three couriers over reliable links, with all sent messages in order.
 #[derive(Default)]
 struct AgreementRun {
     now: u64,
     nodes: BTreeMap<u64, Agreement<Memory>>,
     state: BTreeMap<u64, (u64, Vec<u8>)>,
     sent: Vec<(u64, u64, Vec<u8>)>,
-    read: usize,
-    cut: Option<u64>,
+    delivered_count: usize,
+    /// The courier that is disconnected from all others.
+    isolated: Option<u64>,
 }
 
 impl AgreementRun {
@@ -54,14 +55,14 @@
         self.handle(node_id, out);
     }
 
-    /// Delivers all messages in flight, and lets this time pass.
+    /// Delivers all messages, and runs the ticks of this time span in microseconds.
     fn run(&mut self, span: u64) {
         let until = self.now + span;
         loop {
-            while self.read < self.sent.len() {
-                let (from, to, bytes) = self.sent[self.read].clone();
-                self.read += 1;
-                if self.nodes.contains_key(&to) && ![Some(from), Some(to)].contains(&self.cut) {
+            while self.delivered_count < self.sent.len() {
+                let (from, to, bytes) = self.sent[self.delivered_count].clone();
+                self.delivered_count += 1;
+                if self.nodes.contains_key(&to) && ![Some(from), Some(to)].contains(&self.isolated) {
                     self.step(to, AgreementInput::Receive { from, bytes });
                 }
             }
@@ -79,9 +80,9 @@
         self.step(node_id, AgreementInput::Snapshot { through, state });
     }
 
-    /// An election, commands, membership changes of each kind, a snapshot for a courier that lags, and a transfer of
-    /// leadership.
-    fn play() -> AgreementRun {
+    /// Runs a scenario with elections, commands, membership changes of each kind, a snapshot for a lagging courier,
+    /// and a transfer of leadership.
+    fn run_scenario() -> AgreementRun {
         let mut all = AgreementRun { now: SEC, ..AgreementRun::default() };
         all.start(1);
         let out = all.nodes.get_mut(&1).unwrap().bootstrap(SEC).unwrap();
@@ -112,8 +113,8 @@
         all.run(SEC / 2);
         all.step(1, AgreementInput::ReadIndex { ticket: 200 });
         all.run(SEC / 2);
-        // One is cut off while the others go on and shorten their logs.
-        all.cut = Some(3);
+        // A voter is disconnected while the others continue and compact their logs.
+        all.isolated = Some(3);
         all.step(1, AgreementInput::ChangeMembership { ticket: 40, change: MembershipChange::Remove(4) });
         all.run(SEC / 2);
         all.nodes.remove(&4);
@@ -122,53 +123,53 @@
         [1, 2].into_iter().for_each(|node_id| all.snapshot(node_id));
         all.step(1, AgreementInput::Propose { ticket: 301, command: b"after the snapshot".to_vec() });
         all.run(3 * SEC);
-        all.cut = None;
+        all.isolated = None;
         all.run(2 * SEC);
         let leader = *all.nodes.iter().find(|(_, node)| node.is_leader()).unwrap().0;
         all.step(leader, AgreementInput::TransferLeadership { to: leader % 3 + 1 });
         all.run(2 * SEC);
-        // The leader is cut off, and the others elect one of them.
-        all.cut = all.nodes.iter().find(|(_, node)| node.is_leader()).map(|(node_id, _)| *node_id);
+        // The leader is disconnected, and the others elect a new one.
+        all.isolated = all.nodes.iter().find(|(_, node)| node.is_leader()).map(|(node_id, _)| *node_id);
         all.run(5 * SEC);
-        all.cut = None;
+        all.isolated = None;
         all.run(2 * SEC);
         all
     }
 }
 
 #[test]
-fn messages_of_the_agreement_are_read_and_answered_as_ever() {
-    let all = AgreementRun::play();
+fn agreement_messages_keep_their_encoding() {
+    let all = AgreementRun::run_scenario();
     let stored = FIXTURES.check("agreement_messages.bin", &postcard::to_stdvec(&all.sent).unwrap());
     let stored: Vec<(u64, u64, Vec<u8>)> = postcard::from_bytes(&stored).unwrap();
     assert_eq!(stored, all.sent);
-    // Behind form and checksum each has its kind's number: all ten are there.
+    // The byte after version and checksum is the message type. All ten types occur.
     let kinds: BTreeSet<u8> = stored.iter().map(|(.., bytes)| bytes[5]).collect();
     assert_eq!(kinds, (0..10).collect());
     assert!(stored.iter().all(|(.., bytes)| bytes[0] == 1));
 }
 
 #[test]
-fn logs_of_the_agreement_are_read_as_ever() {
-    let all = AgreementRun::play();
+fn agreement_logs_keep_their_encoding() {
+    let all = AgreementRun::run_scenario();
     for (node_id, node) in all.nodes {
         let name = format!("agreement_log_{node_id}.bin");
-        let (term, voters, through) = (node.term(), node.voters(), all.state[&node_id].clone());
+        let (term, voters, applied) = (node.term(), node.voters(), all.state[&node_id].clone());
         let stored = FIXTURES.check(&name, node.into_store().bytes());
         for torn in [0, 1, 5] {
             let bytes = [&stored[..], &stored[..torn]].concat();
             let opened = Agreement::open(Memory::of(bytes), 99, AgreementLimits::default(), SEC);
-            let (read, opened) = opened.unwrap();
-            assert_eq!((read.node_id(), opened.is_new), (node_id, false));
-            assert_eq!((read.term(), read.voters()), (term, voters.clone()));
+            let (reopened, opened) = opened.unwrap();
+            assert_eq!((reopened.node_id(), opened.is_new), (node_id, false));
+            assert_eq!((reopened.term(), reopened.voters()), (term, voters.clone()));
             assert_eq!(voters, [1, 2, 3]);
             let state: Vec<u8> = [opened.state]
                 .into_iter()
                 .chain(opened.committed.into_iter().map(|committed| committed.command))
                 .flatten()
                 .collect();
-            assert_eq!(state, through.1);
-            assert_eq!(read.into_store().bytes(), stored, "a torn end is cut off, all else is left as it is");
+            assert_eq!(state, applied.1);
+            assert_eq!(reopened.into_store().bytes(), stored, "only the incomplete last record is removed");
         }
     }
 }
--- a/courier/fleet/tests/stored_forms/folders.rs
+++ b/courier/fleet/tests/stored_forms/folders.rs
@@ -1,4 +1,4 @@
-//! The folders of a whole fleet.
+//! Encoding of the data directories of a whole fleet.
 
 use crate::common::{Disk, SEC, World};
 use crate::values::FIXTURES;
@@ -8,11 +8,11 @@
 use quillmount_fleet::member::StoreDirectory;
 use std::collections::BTreeMap;
 
-/// The folders of a fleet of three after messages, a loss and a takeover: the agreement's log, the identity, journals and
-/// replicas.
+/// The data directories of a fleet of three after messages, the loss of a courier and a takeover: the agreement's
+/// log, the identity, journals and replicas.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
-fn folders_of_a_fleet_are_read_and_written_as_ever() {
+fn data_directories_of_a_fleet_keep_their_encoding() {
     let mut world = World::new(3, 7);
     world.budgets = vec![Budget {
         dest: 1,
@@ -23,7 +23,7 @@
         tenants: Vec::new(),
     }];
     world.start_all();
-    assert!(world.run_until(world.now + 10 * SEC, |w| (0..3).all(|i| w.ready(i))));
+    assert!(world.run_until(world.now + 10 * SEC, |w| (0..3).all(|i| w.is_ready(i))));
     world.call_duration = 60 * SEC;
     for n in 0..12 {
         assert!(world.submit(n % 3, &format!("m{n}"), n as u64, n % 2 == 0));
@@ -44,9 +44,9 @@
     assert_eq!(names, ["agreement", "copy.2.c001", "identity", "journal"]);
     let owed: Vec<usize> =
         folders.iter().map(|folder| JournalContents::read(&folder["journal"]).0.owed.len()).collect();
-    assert_eq!(owed, [6, 4, 4], "two of the lost courier's are at the first");
-    let known = world.processes[0].as_ref().unwrap().member.state().clone();
-    // New processes go on with these folders.
+    assert_eq!(owed, [6, 4, 4], "the first courier has adopted two messages of the lost one");
+    let expected = world.processes[0].as_ref().unwrap().member.state().clone();
+    // New processes continue with these data directories.
     let mut next = World::new(3, 8);
     next.now = world.now + SEC;
     next.budgets = world.budgets.clone();
@@ -55,27 +55,27 @@
             disk.open(name).unwrap().replace(bytes).unwrap();
         }
     }
-    // In another order: each process draws a number of its own.
+    // The start order differs, so that each process gets another incarnation than before.
     [2, 0, 1].into_iter().for_each(|i| next.start(i));
     for i in 0..2 {
         let process = next.processes[i].as_ref().unwrap();
-        // The last that was agreed need not be known for agreed at once.
-        let read = process.member.state();
+        // A process does not know yet that the last entries of its log are committed, so only these parts are compared.
+        let restored = process.member.state();
         assert_eq!(
-            (read.epoch, &read.members, &read.journals),
-            (known.epoch, &known.members, &known.journals)
+            (restored.epoch, &restored.members, &restored.journals),
+            (expected.epoch, &expected.members, &expected.journals)
         );
-        assert_eq!(read.shared.connections.partner(1), known.shared.connections.partner(1));
-        assert_eq!(read.shared.calls.partner(1), known.shared.calls.partner(1));
+        assert_eq!(restored.shared.connections.partner(1), expected.shared.connections.partner(1));
+        assert_eq!(restored.shared.calls.partner(1), expected.shared.calls.partner(1));
         assert!(!process.member.is_first(), "courier {i}");
     }
     assert!(
-        next.run_until(next.now + 10 * SEC, |w| (0..3).all(|i| w.ready(i))),
+        next.run_until(next.now + 10 * SEC, |w| (0..3).all(|i| w.is_ready(i))),
         "{:#?}",
         next.observed.notices
     );
-    let tokens = |w: &World, i: usize| w.processes[i].as_ref().unwrap().member.agreement().node_id();
-    assert_eq!([tokens(&next, 0), tokens(&next, 1)], [tokens(&world, 0), tokens(&world, 1)]);
+    let node_id = |w: &World, i: usize| w.processes[i].as_ref().unwrap().member.agreement().node_id();
+    assert_eq!([node_id(&next, 0), node_id(&next, 1)], [node_id(&world, 0), node_id(&world, 1)]);
     next.run(10 * SEC);
     let ended = |n: usize| {
         let id = format!("m{n}");
--- a/courier/fleet/tests/stored_forms/main.rs
+++ b/courier/fleet/tests/stored_forms/main.rs
@@ -1,5 +1,5 @@
-//! What couriers of a fleet store and send each other: bytes that an earlier version wrote are read to the same values, and
-//! the same values are written as the same bytes. `WRITE_FIXTURES=1` writes the files anew.
+//! Compatibility of everything that the couriers of a fleet store and send: bytes of an earlier version decode to the
+//! same values, and the same values encode to the same bytes. `WRITE_FIXTURES=1` rewrites the fixture files.
 
 mod agreement;
 #[allow(dead_code)]
--- a/courier/fleet/tests/stored_forms/messages.rs
+++ b/courier/fleet/tests/stored_forms/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between couriers.
+//! Encoding of the messages between couriers.
 
 use crate::values::{FIXTURES, commands, ends, errors, id, journal_id, report, sequenced};
 use bytes::Bytes;
@@ -59,9 +59,9 @@
     all
 }
 
-/// Each in an envelope of its own, behind its length.
+/// Each message is encoded in an envelope of its own, preceded by its length.
 #[test]
-fn messages_between_couriers_are_read_and_written_as_ever() {
+fn messages_between_couriers_keep_their_encoding() {
     let envelope = |message: &FleetMessage| Envelope {
         from: "a".into(),
         to: "b".into(),
--- a/courier/fleet/tests/stored_forms/settlements.rs
+++ b/courier/fleet/tests/stored_forms/settlements.rs
@@ -1,4 +1,4 @@
-//! Records of settlements, alone and as lines of a courier's journal.
+//! Encoding of settlement records, alone and as lines of a courier's journal.
 
 use crate::values::{FIXTURES, NOW, id, sequenced, verdicts};
 use bytes::Bytes;
@@ -8,7 +8,7 @@
     End, Mode, Outcome, Repeat, Resume, SettlementProgress, SettlementRecord,
 };
 
-/// Each kind of record that a settlement's home writes, and a copy of all that they come to.
+/// Each kind of record that the owner of a settlement writes, and snapshots of the resulting progress.
 fn settlement_records() -> Vec<SettlementRecord> {
     let mut all = vec![
         SettlementRecord::Opened { id: id(), term: 1, mode: Mode::Message },
@@ -24,9 +24,10 @@
         },
     ];
     let repeats = [Repeat::Never, Repeat::Within(6_000_000), Repeat::Freely];
-    let hands = (1..).zip(repeats.into_iter().cycle()).take(7);
+    let numbered_repeats = (1..).zip(repeats.into_iter().cycle()).take(7);
     all.extend(
-        hands.map(|(n, repeat)| SettlementRecord::Submitted { id: id(), sequenced: sequenced(n, repeat) }),
+        numbered_repeats
+            .map(|(n, repeat)| SettlementRecord::Submitted { id: id(), sequenced: sequenced(n, repeat) }),
     );
     all.push(SettlementRecord::Count { id: id(), total: 300 });
     all.extend([
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn records_of_settlements_are_read_and_written_as_ever() {
+fn settlement_records_keep_their_encoding() {
     let records = settlement_records();
     let written: Vec<Vec<u8>> = records.iter().map(|record| record.encode().unwrap()).collect();
     let stored = FIXTURES.check("settlement_records.bin", &postcard::to_stdvec(&written).unwrap());
@@ -62,29 +63,30 @@
     let read: Vec<SettlementRecord> =
         stored.iter().map(|bytes| SettlementRecord::decode(bytes).unwrap()).collect();
     assert_eq!(read, records);
-    // What they come to before the copy, in detail.
-    let copy = records.iter().position(|record| matches!(record, SettlementRecord::Snapshot { .. })).unwrap();
-    let progress = SettlementProgress::read(&id(), &[read[..copy].to_vec()]);
+    // The progress that results from the records before the snapshot, in detail.
+    let snapshot =
+        records.iter().position(|record| matches!(record, SettlementRecord::Snapshot { .. })).unwrap();
+    let progress = SettlementProgress::read(&id(), &[read[..snapshot].to_vec()]);
     assert_eq!((progress.term, progress.total, progress.next), (3, Some(300), 2));
     assert_eq!(progress.mode, Some(Mode::Session { resume: Resume::AfterAnswer, linger: 5_000_000 }));
     assert_eq!((progress.sessions, progress.session, progress.verdict), (300, Some(300), None));
     assert_eq!((progress.waiting, progress.bytes), (4, 4_000));
-    let held = |n: u64| {
+    let state_of = |n: u64| {
         (progress.positions[&n].sent_at, progress.positions[&n].first_attempt, progress.positions[&n].end)
     };
-    assert_eq!(held(1), (None, None, Some(End::Delivered)));
-    assert_eq!(held(2), (None, None, None));
-    assert_eq!(held(3), (None, Some(NOW + 3), None));
-    assert_eq!(held(4), (None, None, Some(End::Failed)));
-    assert_eq!(held(5), (None, None, Some(End::OutOfTime)));
-    assert_eq!(held(6), (Some(NOW + 6), None, None));
-    assert_eq!(held(7), (None, None, None));
+    assert_eq!(state_of(1), (None, None, Some(End::Delivered)));
+    assert_eq!(state_of(2), (None, None, None));
+    assert_eq!(state_of(3), (None, Some(NOW + 3), None));
+    assert_eq!(state_of(4), (None, None, Some(End::Failed)));
+    assert_eq!(state_of(5), (None, None, Some(End::OutOfTime)));
+    assert_eq!(state_of(6), (Some(NOW + 6), None, None));
+    assert_eq!(state_of(7), (None, None, None));
     assert_eq!(progress.positions[&2].sequenced, sequenced(2, Repeat::Within(6_000_000)));
 }
 
-/// The same as lines of a courier's journal, some with the message that is to be sent.
+/// The same records as lines of a courier's journal, some with the payload of the message.
 #[test]
-fn lines_of_settlements_are_read_and_written_as_ever() {
+fn settlement_lines_keep_their_encoding() {
     let payload = |key: Option<&str>, tenant: Option<&str>| MessagePayload {
         class: "fee-debit".into(),
         key: key.map(Into::into),
@@ -92,26 +94,31 @@
         body: Bytes::from_static(b"body"),
     };
     let payloads = [payload(None, None), payload(Some("k"), Some("north"))];
-    assert_eq!(payloads.each_ref().map(MessagePayload::checksum), CHECKSUMS, "one position has one checksum");
+    assert_eq!(
+        payloads.each_ref().map(MessagePayload::checksum),
+        CHECKSUMS,
+        "the checksums of payloads do not change"
+    );
     let record = settlement_records().remove(3);
-    let mut all: Vec<JournalLine> = settlement_records().into_iter().map(JournalLine::Record).collect();
-    all.push(JournalLine::Submitted(record.clone(), payloads[0].clone()));
-    all.push(JournalLine::Submitted(record, payloads[1].clone()));
-    all.push(JournalLine::Payload { position: 300, payload: payloads[1].clone() });
-    let lines: Vec<JournalRecord> = all.iter().map(|one| one.line(&id()).unwrap()).collect();
+    let mut lines_to_write: Vec<JournalLine> =
+        settlement_records().into_iter().map(JournalLine::Record).collect();
+    lines_to_write.push(JournalLine::Submitted(record.clone(), payloads[0].clone()));
+    lines_to_write.push(JournalLine::Submitted(record, payloads[1].clone()));
+    lines_to_write.push(JournalLine::Payload { position: 300, payload: payloads[1].clone() });
+    let lines: Vec<JournalRecord> = lines_to_write.iter().map(|one| one.line(&id()).unwrap()).collect();
     let written: Vec<u8> = lines.iter().flat_map(|line| journal::frame(line).unwrap()).collect();
     let stored = FIXTURES.check("settlement_journal.bin", &written);
-    let (book, sound) = JournalContents::read(&stored);
-    assert_eq!((sound, book.settlements.0.len()), (stored.len(), 1));
-    let (of, progress) = book.settlements.0.first_key_value().unwrap();
-    assert_eq!(of, "north\u{1f}evening\u{1f}700");
-    // The last copy stands for all before it.
-    let last = all
+    let (contents, complete_len) = JournalContents::read(&stored);
+    assert_eq!((complete_len, contents.settlements.0.len()), (stored.len(), 1));
+    let (settlement, progress) = contents.settlements.0.first_key_value().unwrap();
+    assert_eq!(settlement, "north\u{1f}evening\u{1f}700");
+    // The last snapshot replaces all lines before it.
+    let last = lines_to_write
         .iter()
         .rposition(|one| matches!(one, JournalLine::Record(SettlementRecord::Snapshot { .. })))
         .unwrap();
-    assert_eq!(progress.len(), all.len() - last);
-    for (line, one) in progress.iter().zip(&all[last..]) {
+    assert_eq!(progress.len(), lines_to_write.len() - last);
+    for (line, one) in progress.iter().zip(&lines_to_write[last..]) {
         let read = JournalLine::read(line).unwrap();
         assert_eq!(read.line(&id()), one.line(&id()));
         assert_eq!(read.record(), one.clone().record());
@@ -123,4 +130,5 @@
     assert_eq!((position, &payload), (300, &payloads[1]));
 }
 
+/// Checksums of the two payloads in `settlement_lines_keep_their_encoding`.
 const CHECKSUMS: [u64; 2] = [2_978_035_951, 4_073_335_627];
--- a/courier/fleet/tests/stored_forms/state.rs
+++ b/courier/fleet/tests/stored_forms/state.rs
@@ -1,4 +1,4 @@
-//! The state that couriers agree on, and what a courier holds of budgets by it.
+//! Encoding of the agreed state and of a courier's budget gate.
 
 use crate::values::{FIXTURES, NOW, commands, id, journal_id, verdicts};
 use quillmount_fleet::budget::{self, Budget, BudgetGate, Tenant, TimeBounds};
@@ -7,7 +7,7 @@
 use quillmount_fleet::state::{FleetCommand, FleetState, PARTITIONS, PartitionId, PartitionState};
 use std::collections::BTreeSet;
 
-/// A state in which something of each kind is agreed.
+/// A state that contains values of each kind.
 #[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
 fn fleet_state() -> FleetState {
     let mut agreed = FleetState::default();
@@ -17,17 +17,17 @@
         incarnation,
         journal,
     };
-    for (name, life) in [("a", 300), ("b", 301), ("c", 302)] {
-        agreed.apply(join(name, life, None));
+    for (name, incarnation) in [("a", 300), ("b", 301), ("c", 302)] {
+        agreed.apply(join(name, incarnation, None));
     }
-    let copies = |owner: &str, epoch, copy: &str| FleetCommand::SetReplicas {
+    let set_replica = |owner: &str, epoch, replica: &str| FleetCommand::SetReplicas {
         journal: journal_id(owner, epoch),
         version: 0,
-        replicas: BTreeSet::from([copy.to_string()]),
+        replicas: BTreeSet::from([replica.to_string()]),
     };
-    agreed.apply(copies("a", 1, "b"));
-    agreed.apply(copies("b", 2, "c"));
-    for count in [BudgetKind::Connections, BudgetKind::Calls] {
+    agreed.apply(set_replica("a", 1, "b"));
+    agreed.apply(set_replica("b", 2, "c"));
+    for kind in [BudgetKind::Connections, BudgetKind::Calls] {
         let set = |tenant: &str, courier: &str, epoch, to| budget::BudgetCommand::Set {
             dest: 700,
             tenant: tenant.into(),
@@ -47,19 +47,19 @@
             set("north", "a", 1, 5),
             set("north", "b", 2, 4),
             set("south", "b", 2, 3),
-            // Recalled, and not confirmed.
+            // The recall of this share is not confirmed.
             set("north", "b", 2, 1),
-            // Raised, without room for it.
+            // The floor is raised, but the budget has no free connections for it.
             budget::BudgetCommand::Budget { dest: 700, connections: 18, floor: 6, couriers },
         ] {
-            agreed.apply(FleetCommand::Budget(count, command));
+            agreed.apply(FleetCommand::Budget(kind, command));
         }
     }
     let name = |n: u64| SettlementId { name: format!("s{n}"), dest: n, ..id() };
     for n in 0..20 {
-        let home = (["a", "b"][n as usize % 2], 1 + n % 2);
+        let owner = (["a", "b"][n as usize % 2], 1 + n % 2);
         let open =
-            settlement::SettlementCommand::Open { id: name(n), owner: home.0.into(), owner_epoch: home.1 };
+            settlement::SettlementCommand::Open { id: name(n), owner: owner.0.into(), owner_epoch: owner.1 };
         agreed.apply(FleetCommand::Settlement(open));
     }
     for (n, verdict) in (0..).zip(verdicts()) {
@@ -72,9 +72,9 @@
     let to =
         settlement::SettlementCommand::Move { id: moved, term, to: "c".into(), to_epoch: 3, boundary: true };
     agreed.apply(FleetCommand::Settlement(to));
-    // Its book is sealed, and parts of it are at each step of their way.
+    // The journal of the deregistered courier is sealed, and its partitions are in each state of the takeover.
     agreed.apply(FleetCommand::Deregister { name: "b".into(), epoch: 2 });
-    let given: Vec<(PartitionId, String, u64)> = ["a", "c"]
+    let assigned: Vec<(PartitionId, String, u64)> = ["a", "c"]
         .into_iter()
         .zip([1, 3])
         .flat_map(|(name, epoch)| {
@@ -84,19 +84,19 @@
                 .collect::<Vec<_>>()
         })
         .collect();
-    for (n, (source, by, epoch)) in given.into_iter().enumerate().filter(|(n, _)| n % 3 > 0) {
+    for (n, (source, by, epoch)) in assigned.into_iter().enumerate().filter(|(n, _)| n % 3 > 0) {
         agreed.apply(FleetCommand::Adopted { source: source.clone(), by: by.clone(), epoch });
         if n % 3 == 2 {
             agreed.apply(FleetCommand::Done { source, by, epoch });
         }
     }
-    // It is back, and its old book is others'.
+    // The courier is registered again, while other couriers take over its old journal.
     agreed.apply(join("b", 400, Some(2)));
     agreed
 }
 
 #[test]
-fn the_agreed_state_is_read_and_written_as_ever() {
+fn agreed_state_keeps_its_encoding() {
     let state = fleet_state();
     let stored = FIXTURES.check("agreed_state.bin", &postcard::to_stdvec(&state).unwrap());
     let read: FleetState = postcard::from_bytes(&stored).unwrap();
@@ -110,31 +110,39 @@
     assert_eq!(member("b"), (407, 400, 4, true));
     assert_eq!(member("c"), (309, 302, 3, true));
     let sealed = &read.journals[&journal_id("b", 2)];
-    let parts = sealed.sealed.as_ref().unwrap();
-    assert_eq!((sealed.lineage, parts.len()), (2, PARTITIONS));
-    let done = parts.iter().filter(|part| **part == PartitionState::Done).count();
-    let taken = parts.iter().filter(|part| matches!(part, PartitionState::Adopted(..))).count();
-    let given = parts.iter().filter(|part| matches!(part, PartitionState::Assigned(..))).count();
-    assert_eq!((given, taken, done), (6, 5, 5));
+    let partitions = sealed.sealed.as_ref().unwrap();
+    assert_eq!((sealed.lineage, partitions.len()), (2, PARTITIONS));
+    let done = partitions.iter().filter(|partition| **partition == PartitionState::Done).count();
+    let adopted =
+        partitions.iter().filter(|partition| matches!(partition, PartitionState::Adopted(..))).count();
+    let assigned =
+        partitions.iter().filter(|partition| matches!(partition, PartitionState::Assigned(..))).count();
+    assert_eq!((assigned, adopted, done), (6, 5, 5));
     let own = &read.journals[&journal_id("a", 1)];
     assert_eq!((own.lineage, own.sealed.is_none()), (1, true));
     for shared in [&read.shared.connections, &read.shared.calls] {
         let partner = shared.partner(700).unwrap();
         assert_eq!(partner.connections, 18);
-        let held = |courier: &str, epoch| {
-            let held = partner.shares(courier, epoch);
-            held.map(|(t, h)| (t.to_string(), h.granted, h.recalled, h.number)).collect::<Vec<_>>()
+        let shares = |courier: &str, epoch| {
+            let shares = partner.shares(courier, epoch);
+            shares
+                .map(|(t, share)| (t.to_string(), share.granted, share.recalled, share.number))
+                .collect::<Vec<_>>()
         };
-        assert_eq!(held("a", 1), [("north".into(), 5, None, 1)]);
-        assert_eq!(held("b", 2), [("north".into(), 4, Some(1), 4), ("south".into(), 3, None, 3)]);
+        assert_eq!(shares("a", 1), [("north".into(), 5, None, 1)]);
+        assert_eq!(shares("b", 2), [("north".into(), 4, Some(1), 4), ("south".into(), 3, None, 3)]);
         let floors = ["a", "b", "c"].map(|c| (partner.floor(c), partner.target_floor(c)));
-        assert_eq!(floors, [(6, 6), (6, 6), (2, 6)], "one has no room yet");
+        assert_eq!(
+            floors,
+            [(6, 6), (6, 6), (2, 6)],
+            "the raised floor of one courier has no free connections yet"
+        );
     }
     let name = |n: u64| SettlementId { name: format!("s{n}"), dest: n, ..id() };
-    let home = read.settlements.owner(&name(10)).unwrap();
-    assert_eq!((home.courier.as_str(), home.epoch), ("c", 3));
-    assert_eq!(read.settlements.owner(&name(0)), None, "it is over");
-    // An earlier version's state goes on as this one's.
+    let owner = read.settlements.owner(&name(10)).unwrap();
+    assert_eq!((owner.courier.as_str(), owner.epoch), ("c", 3));
+    assert_eq!(read.settlements.owner(&name(0)), None, "the settlement is closed");
+    // The decoded state of an earlier version behaves like the current one.
     let (mut one, mut other) = (read, state);
     for command in commands() {
         assert_eq!(one.apply(command.clone()), other.apply(command));
@@ -142,9 +150,9 @@
     assert_eq!(one, other);
 }
 
-/// What a courier may use of partners' budgets, with connections in each state.
+/// A courier's gate for partners' budgets, with connections in each state.
 #[test]
-fn what_a_courier_holds_of_budgets_is_read_and_written_as_ever() {
+fn budget_gate_keeps_its_encoding() {
     let terms = TimeBounds { max_call: 2_000_000, max_idle: 1_000_000, lease: 2_000_000 };
     let tenant = |name: &str| Tenant { name: name.into(), weight: 2.5, floor: 1, ceiling: Some(9) };
     let budget = Budget {
--- a/courier/fleet/tests/stored_forms/values.rs
+++ b/courier/fleet/tests/stored_forms/values.rs
@@ -1,4 +1,4 @@
-//! One value of each kind that couriers of a fleet store and send each other.
+//! Example values of each kind that the couriers of a fleet store and send.
 
 use quillmount_fleet::budget::{self, Report, ReportLine};
 use quillmount_fleet::settlement::{
@@ -10,6 +10,7 @@
 use std::collections::BTreeSet;
 
 pub const FIXTURES: Fixtures = Fixtures::of_package(env!("CARGO_MANIFEST_DIR"));
+/// A fixed time in microseconds since the Unix epoch.
 pub const NOW: u64 = 1_700_000_000_000_000;
 
 pub fn id() -> SettlementId {
@@ -123,7 +124,7 @@
     ]
 }
 
-/// One of each kind of command that couriers agree on.
+/// At least one command of each kind that the fleet commits.
 pub fn commands() -> Vec<FleetCommand> {
     let replicas = BTreeSet::from(["b".to_string(), "c".to_string()]);
     let mut all = vec![
