--- a/courier/program/src/transport/endpoints.rs
+++ b/courier/program/src/transport/endpoints.rs
@@ -15,7 +15,7 @@
 use quillmount_core::machine::attempt::{AttemptInput, AttemptState};
 use quillmount_core::{AnswerReport, CallEnd, DeliveryCall};
 use quillmount_policy::Micros;
-use quillmount_protocol::delivery::{self, ANSWER_MAX};
+use quillmount_protocol::delivery::{self, RESPONSE_MAX};
 use std::net::SocketAddr;
 use std::pin::Pin;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWriteExt};
@@ -103,14 +103,14 @@
 pub fn begin(order: DeliveryCall, now: Micros) -> TimedCall {
     let until = now.saturating_add(order.timeout);
     let decode = delivery::decoder(&order);
-    TimedCall { call: Call::new(order, decode, ANSWER_MAX), until }
+    TimedCall { call: Call::new(order, decode, RESPONSE_MAX), until }
 }
 
 /// Resumes a call of another process.
 pub fn resume(handle: &Handle, snapshot: call::CallSnapshot, connection: Option<TcpStream>) -> TimedCall {
     let (until, decode) = (snapshot.until, delivery::decoder(&snapshot.order));
     let connection = connection.map(EndpointStream::Plain);
-    let call = handle.pool(|pool| Call::resumed(snapshot, decode, ANSWER_MAX, connection, pool));
+    let call = handle.pool(|pool| Call::resumed(snapshot, decode, RESPONSE_MAX, connection, pool));
     TimedCall { call, until }
 }
 
--- a/courier/program/src/transport/server/socket.rs
+++ b/courier/program/src/transport/server/socket.rs
@@ -82,7 +82,7 @@
             if self.buf.len() > HEAD_MAX {
                 return Ok(HeadRead::Malformed(Malformed::HeadTooLarge));
             }
-            if submission::has_bare_line_end(&self.buf) {
+            if submission::has_bare_lf(&self.buf) {
                 return Ok(HeadRead::Malformed(Malformed::Unreadable));
             }
             if self.read().await? == 0 {
@@ -92,7 +92,7 @@
                 });
             }
         }
-        if submission::has_bare_line_end(&self.buf) {
+        if submission::has_bare_lf(&self.buf) {
             return Ok(HeadRead::Malformed(Malformed::Unreadable));
         }
         let before = self.buf.clone().freeze();
--- a/courier/program/src/transport/streams/send.rs
+++ b/courier/program/src/transport/streams/send.rs
@@ -12,7 +12,7 @@
 use quillmount_core::machine::attempt::{AttemptInput, AttemptState};
 use quillmount_core::{CallEnd, DeliveryCall};
 use quillmount_policy::Micros;
-use quillmount_protocol::delivery::{self, ANSWER_MAX};
+use quillmount_protocol::delivery::{self, RESPONSE_MAX};
 use quillmount_protocol::stream;
 use std::collections::VecDeque;
 use std::io::IoSlice;
@@ -88,7 +88,7 @@
             signals,
             pipe,
             permit,
-            call: Call::streamed(order, delivery::decode, ANSWER_MAX),
+            call: Call::streamed(order, delivery::decode, RESPONSE_MAX),
             progress: SendProgress::default(),
             answer_deadline: None,
         }
--- a/courier/protocol/src/delivery/bundle.rs
+++ b/courier/protocol/src/delivery/bundle.rs
@@ -1,4 +1,4 @@
-//! The results of the messages of a bundle, from the response to their call.
+//! Extracts the result of each message of a bundle from the response to its call.
 
 use super::chunked::scan_chunks;
 use super::response_head::{FinalResponse, HeadState, with_final_response};
@@ -7,16 +7,16 @@
 use serde::Deserialize;
 use std::collections::HashMap;
 
-/// The results of a call with several messages.
+/// The results of a call with several messages, one for each message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BundleResults {
-    /// How the call ended for each of its messages, in their order.
+    /// How the call ended for each of its messages, in the order of the request.
     pub ends: Vec<CallEnd>,
-    /// The wait that the endpoint asks for in `Retry-After`, microseconds; 0: none.
+    /// The delay in `Retry-After`, in microseconds; 0 if the header is missing or invalid.
     pub retry_after: Micros,
 }
 
-/// The result of one message.
+/// The JSON form of one message's result.
 #[derive(Deserialize)]
 struct MessageResult {
     id: String,
@@ -36,11 +36,12 @@
     }
 }
 
-/// The result of a message of which the response says nothing certain.
+/// The result of a message for which the response has no unambiguous result: the endpoint may have processed it.
 const MAY_HAVE_RUN: CallEnd = CallEnd::Spoilt(0);
 
-/// The result of each message from the complete response to a call with several ([`super::decode_bundle`] has found it
-/// complete). A message that is missing, is there twice with two results, or has an unknown one may have run.
+/// Extracts the result of each message from a complete response ([`super::decode_bundle`] decides when it is
+/// complete) to a call with several. A message that is missing, has two different results, or has an unknown result
+/// may have run.
 pub fn bundle_results(answer: &[u8], call: &DeliveryCall) -> BundleResults {
     let (retry_after, body) = with_final_response(answer, |response| match response.head {
         HeadState::Complete(length) => {
@@ -58,15 +59,15 @@
     let mut ends: HashMap<&str, CallEnd> = HashMap::new();
     for result in results {
         let end = result.end();
-        let known = ends.entry(&result.id).or_insert(end);
-        if *known != end {
-            *known = MAY_HAVE_RUN;
+        let recorded = ends.entry(&result.id).or_insert(end);
+        if *recorded != end {
+            *recorded = MAY_HAVE_RUN;
         }
     }
     ends
 }
 
-/// The content of a response, without its framing.
+/// Returns the content of a response body without its chunk framing.
 fn content(response: &FinalResponse, body: &[u8]) -> Vec<u8> {
     let length = response.header("content-length").text().and_then(|text| text.parse::<usize>().ok());
     if let Some(length) = length {
@@ -76,7 +77,8 @@
         return body.to_vec();
     }
     let mut content = Vec::new();
-    // Chunks that are invalid were found so before; what stands before them is no JSON then.
+    // The response was decoded before, so its chunks are valid. If one is not, the content before it is truncated
+    // JSON, which the caller rejects.
     let _ = scan_chunks(body, |chunk| content.extend_from_slice(chunk));
     content
 }
--- a/courier/protocol/src/delivery/chunked.rs
+++ b/courier/protocol/src/delivery/chunked.rs
@@ -1,4 +1,4 @@
-//! Chunked bodies of responses (RFC 9112, section 7.1), which are complete in memory.
+//! Scans chunked response bodies that are held in memory as a whole (RFC 9112, section 7.1).
 
 use super::response_head::HEADERS_MAX;
 use crate::submission::BODY_MAX;
@@ -6,11 +6,11 @@
 
 const LINE_END: &[u8] = b"\r\n";
 
-/// The length in bytes of a chunked body, its trailer included; none if its end is still to come. `on_chunk` gets the content
-/// of each chunk.
+/// Returns the length in bytes of a chunked body, trailer section included, or `None` if its end has not been
+/// received. Calls `on_chunk` with the content of each complete chunk.
 ///
 /// # Errors
-/// The bytes are not a chunked body.
+/// The bytes are not a valid chunked body.
 pub(super) fn scan_chunks(
     bytes: &[u8],
     mut on_chunk: impl FnMut(&[u8]),
@@ -25,7 +25,7 @@
             let trailer = trailer_length(&bytes[start..])?;
             return Ok(trailer.map(|length| start + length));
         }
-        // No body is longer than the limit, so that a larger chunk is never complete.
+        // A body has at most `BODY_MAX` bytes, so a larger chunk never becomes complete.
         let end = start + size.min(BODY_MAX as u64 + 1) as usize;
         let Some(line_end) = bytes.get(end..end + LINE_END.len()) else { return Ok(None) };
         if line_end != LINE_END {
@@ -36,7 +36,8 @@
     }
 }
 
-/// The length of the header fields behind the last chunk, with the empty line that ends them; none if that is still to come.
+/// Returns the length of the trailer section, including the empty line that ends it, or `None` if that line has not
+/// been received.
 fn trailer_length(bytes: &[u8]) -> Result<Option<usize>, InvalidChunkSize> {
     let mut fields = [EMPTY_HEADER; HEADERS_MAX];
     match httparse::parse_headers(bytes, &mut fields) {
--- a/courier/protocol/src/delivery/mod.rs
+++ b/courier/protocol/src/delivery/mod.rs
@@ -1,7 +1,8 @@
-//! Delivery calls: the request that an endpoint is sent, and what its response means for the messages in it.
+//! Delivery calls: encodes the request to an endpoint, and decodes the response into the result of each message.
 //!
-//! The driver of a call writes [`encode`]'s bytes and passes all bytes of the response so far to [`decoder`]'s function after each
-//! read, until that says that the response is complete. The results of a bundle come from [`bundle_results`].
+//! The driver of a call writes the bytes from [`encode`]. After each read it passes all bytes of the response so
+//! far to the function from [`decoder`], until this reports a complete response. [`bundle_results`] extracts the
+//! results of a bundle.
 
 mod bundle;
 mod chunked;
@@ -15,11 +16,12 @@
 
 use crate::submission::BODY_MAX;
 
-/// The path of a call with one message.
+/// The request path of a call with one message.
 pub(crate) const PATH: &str = "/events";
-/// The path of a call with several messages, for endpoints of the kinds that the settings name.
+/// The request path of a call with several messages. Only endpoints of the kinds named in the settings get such
+/// calls.
 const BUNDLE_PATH: &str = "/events/bundle";
-/// Bytes of a response's head at most; the platform's have some 200.
+/// Maximum length of a response head in bytes; those of the platform have about 200.
 const HEAD_MAX: usize = 8 * 1024;
-/// Bytes of a response that are read at most.
-pub const ANSWER_MAX: usize = HEAD_MAX + BODY_MAX;
+/// Maximum length of a response in bytes, head and body; the driver of the call reads no more.
+pub const RESPONSE_MAX: usize = HEAD_MAX + BODY_MAX;
--- a/courier/protocol/src/delivery/request.rs
+++ b/courier/protocol/src/delivery/request.rs
@@ -1,4 +1,4 @@
-//! The request of a delivery call.
+//! Encodes the request of a delivery call.
 
 use super::{BUNDLE_PATH, PATH};
 use crate::time::MICROS_PER_MILLI;
@@ -7,13 +7,13 @@
 use quillmount_core::{DeliveryCall, MessagePayload};
 use serde::Serialize;
 
-/// A message of a call with several.
+/// The JSON form of one message in a call with several.
 #[derive(Serialize)]
 struct BundledMessageJson<'a> {
     id: &'a str,
     #[serde(skip_serializing_if = "Option::is_none")]
     key: Option<&'a str>,
-    /// In Base64.
+    /// Base64, standard alphabet with padding.
     body: String,
 }
 
@@ -27,7 +27,8 @@
     }
 }
 
-/// The bytes of a call's request. Id, key and body are those of the submission; bodies are in Base64 where there are several.
+/// Encodes the request of a call, head and body. Id, key and body are the ones that the client submitted; a call
+/// with several messages carries their bodies in Base64.
 pub fn encode(call: &DeliveryCall) -> Vec<u8> {
     if call.bundled.is_empty() { encode_single(call) } else { encode_bundle(call) }
 }
@@ -48,7 +49,7 @@
 fn encode_bundle(call: &DeliveryCall) -> Vec<u8> {
     let addr = call.addr;
     let messages: Vec<BundledMessageJson> = call.payloads().map(BundledMessageJson::new).collect();
-    // Strings alone: nothing in them can fail to be written.
+    // Serializing a list of strings to JSON cannot fail.
     let body = serde_json::to_vec(&messages).unwrap_or_default();
     let time_left = call.time_left.div_ceil(MICROS_PER_MILLI);
     let length = body.len();
--- a/courier/protocol/src/delivery/response.rs
+++ b/courier/protocol/src/delivery/response.rs
@@ -1,5 +1,5 @@
-//! What the response to a delivery call means: whether it is complete, how the call ended, and whether the connection can carry
-//! another one.
+//! Decodes the response to a delivery call: whether it is complete, how the call ended, and whether the connection
+//! can be reused.
 
 use super::HEAD_MAX;
 use super::chunked::scan_chunks;
@@ -9,38 +9,40 @@
 use quillmount_core::{CallEnd, DeliveryCall};
 use quillmount_policy::Micros;
 
-/// The header in which a response may report the destination's load.
+/// The optional response header that reports the destination's load.
 const LOAD_HEADER: &str = "x-backend-load";
 
-/// How many messages a call carries, on which the meaning of its response depends.
+/// Whether a call carries one message or several; the meaning of the status code depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallKind {
-    /// One.
+    /// One message.
     Single,
-    /// Several.
+    /// Several messages.
     Bundle,
 }
 
-/// Reads the response to a call with one message; `ended`: no more of it will be received.
+/// Decodes the response to a call with one message; `ended` means that the endpoint sends no more bytes.
 ///
-/// A status line with 200 means that the message is delivered, whatever follows. Any other status counts
-/// only if the response is valid to its last byte: a rejection in a damaged response may be the rest of something else,
-/// and the call may have run.
+/// A status line with 200 means that the message is delivered, whatever follows. Any other status counts only if
+/// the response is valid up to its last byte: a rejection in a malformed response may be left over from another
+/// response, and the endpoint may have processed the call.
 pub fn decode(bytes: &[u8], ended: bool) -> Answer {
     decode_response(bytes, ended, CallKind::Single)
 }
 
-/// Reads the response to a call with several messages; a 200 means nothing before its last byte.
+/// Decodes the response to a call with several messages. A 200 counts only once its last byte has been received, as
+/// the body carries the result of each message.
 pub fn decode_bundle(bytes: &[u8], ended: bool) -> Answer {
     decode_response(bytes, ended, CallKind::Bundle)
 }
 
-/// The function that reads a call's responses.
+/// Returns the function that decodes the response to `call`.
 pub fn decoder(call: &DeliveryCall) -> Decode {
     if call.bundled.is_empty() { decode } else { decode_bundle }
 }
 
-/// The destination's load as a complete response reports it, by name; values that are not numbers are left out.
+/// Parses the load that the destination reports in a complete response, as pairs of metric name and value. Values
+/// that are not numbers are omitted.
 pub fn load_report(answer: &[u8]) -> Vec<(String, f64)> {
     with_final_response(answer, |response| {
         if !matches!(response.head, HeadState::Complete(_)) {
@@ -61,27 +63,27 @@
         HeadState::Complete(length) => decode_body(&response, length, ended, kind),
         HeadState::Partial if !ended && response.bytes.is_empty() => Answer::Awaited,
         HeadState::Partial if !ended && response.bytes.len() <= HEAD_MAX => Answer::Partial,
-        HeadState::Partial | HeadState::Invalid => damaged(response.bytes, 0, kind),
+        HeadState::Partial | HeadState::Invalid => malformed(response.bytes, 0, kind),
     })
 }
 
-/// Reads a response from the end of its head on.
+/// Decodes the body of a response whose head is complete, and with it the end of the call.
 fn decode_body(response: &FinalResponse, head_length: usize, ended: bool, kind: CallKind) -> Answer {
-    let damaged = || damaged(response.bytes, response.retry_after().unwrap_or(0), kind);
+    let malformed = || malformed(response.bytes, response.retry_after().unwrap_or(0), kind);
     let body = &response.bytes[head_length..];
     let length = match body_end(response, body, ended) {
         BodyEnd::At(length) => length,
-        BodyEnd::Awaited if ended => return damaged(),
+        BodyEnd::Awaited if ended => return malformed(),
         BodyEnd::Awaited => return Answer::Partial,
-        BodyEnd::Unknown => return damaged(),
+        BodyEnd::Unknown => return malformed(),
     };
-    // A repetition of the same response does not affect the first; other bytes may mean that the length is wrong, and with it
-    // the rest.
-    let surplus = &body[length..];
-    if !surplus.is_empty() && !response.bytes[..head_length + length].starts_with(surplus) {
-        return damaged();
+    // A duplicate of the same response does not change the meaning of the first one. Any other trailing bytes may
+    // mean that the length is wrong, and then the status cannot be trusted either.
+    let trailing_bytes = &body[length..];
+    if !trailing_bytes.is_empty() && !response.bytes[..head_length + length].starts_with(trailing_bytes) {
+        return malformed();
     }
-    let reusable = surplus.is_empty()
+    let reusable = trailing_bytes.is_empty()
         && has_framing(response)
         && !response.closes_connection()
         && response.minor_version == Some(1);
@@ -90,11 +92,11 @@
 
 /// Where the body of a response ends.
 enum BodyEnd {
-    /// After so many bytes, which have all been received.
+    /// After this many bytes, all of which have been received.
     At(usize),
-    /// In bytes that are still to come.
+    /// At a position that has not been received.
     Awaited,
-    /// The headers or the chunks leave it open.
+    /// The headers or the chunks are invalid, so the end cannot be determined.
     Unknown,
 }
 
@@ -117,8 +119,9 @@
     }
 }
 
-/// Without length and coding, a body ends with its connection (RFC 9112, section 6.3). Where the endpoint does not announce that
-/// it closes the connection, and where the status says all, nothing is awaited.
+/// Determines the end of a body that has neither a length nor a transfer coding: it lasts until the connection
+/// closes (RFC 9112, section 6.3). The decoder does not wait for that if the endpoint does not announce
+/// `Connection: close`, or if the status is 200.
 fn unframed_body_end(response: &FinalResponse, body: &[u8], ended: bool) -> BodyEnd {
     match response.closes_connection() {
         true if ended => BodyEnd::At(body.len()),
@@ -132,34 +135,35 @@
     if is_number { text.parse().ok().filter(|length| *length <= BODY_MAX) } else { None }
 }
 
-/// Whether headers say where the body ends. Otherwise it lasts until the end of its connection, and more of it may come at any
-/// moment until then.
+/// Whether a header delimits the body. Otherwise the body lasts until the connection closes, and more of it may
+/// arrive at any time, so the connection cannot be reused.
 fn has_framing(response: &FinalResponse) -> bool {
     response.header("content-length") != SingleHeader::Absent
         || response.header("transfer-encoding") != SingleHeader::Absent
 }
 
-/// How a call ended, by a complete response.
+/// Maps the status of a complete response to the end of the call.
 fn call_end(response: &FinalResponse, kind: CallKind) -> CallEnd {
     match (response.code, kind) {
         (200, CallKind::Single) => CallEnd::Delivered,
         (200, CallKind::Bundle) => CallEnd::Each,
-        // Too many messages, or unreadable ones: none of them has run.
+        // The endpoint rejected the bundle as too large or malformed, so none of its messages has run.
         (400 | 413, CallKind::Bundle) => CallEnd::NoSlot,
         (429, _) => response.retry_after().map_or(CallEnd::Error, CallEnd::Full),
         (503, _) if response.header("x-over-slots").text() == Some("1") => CallEnd::NoSlot,
         (503, _) => CallEnd::Full(0),
         (504, _) => CallEnd::Exhausted,
         (410, _) => CallEnd::Gone,
-        // Anything else says no more than an error does: it may have run.
+        // Any other status counts as an error, after which the call may have run.
         _ => CallEnd::Error,
     }
 }
 
-/// What a response that can't be read to its end still means: a message on its own is delivered if the status line says so.
-fn damaged(bytes: &[u8], retry_after: Micros, kind: CallKind) -> Answer {
+/// Returns the end of a call whose response is malformed or truncated. A call with one message still counts as
+/// delivered if the status line has 200.
+fn malformed(bytes: &[u8], retry_after: Micros, kind: CallKind) -> Answer {
     let has_status_200 = [&b"HTTP/1.1 200"[..], b"HTTP/1.0 200"].iter().any(|line| {
-        // A further digit makes another number of it.
+        // With a fourth digit the status is another number.
         bytes.strip_prefix(*line).is_some_and(|rest| !rest.first().is_some_and(u8::is_ascii_digit))
     });
     let is_delivered = has_status_200 && kind == CallKind::Single;
--- a/courier/protocol/src/delivery/response_head.rs
+++ b/courier/protocol/src/delivery/response_head.rs
@@ -1,41 +1,42 @@
-//! The head of a response, and the headers that may occur once.
+//! Parses the head of a response, and looks up headers that may occur at most once.
 
 use crate::time;
 use httparse::{EMPTY_HEADER, Header, Response, Status};
 use quillmount_policy::Micros;
 
-/// Headers of a response at most; one with more is invalid.
+/// Maximum number of headers of a response; a response with more is invalid.
 pub(super) const HEADERS_MAX: usize = 64;
 
 /// How much of a head has been received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HeadState {
-    /// All of it, and its length in bytes.
+    /// The whole head, of this length in bytes.
     Complete(usize),
-    /// Its end is still to come.
+    /// The empty line that ends the head has not been received.
     Partial,
-    /// It is not HTTP/1.
+    /// The bytes are not an HTTP/1 response head.
     Invalid,
 }
 
-/// The final response, after all interim ones. Code, version and headers are valid if its head is complete.
+/// The final response, after all interim ones. `code`, `minor_version` and the headers are valid only if `head` is
+/// complete.
 pub(super) struct FinalResponse<'a> {
-    /// Its bytes so far.
+    /// The bytes received so far, without those of interim responses.
     pub bytes: &'a [u8],
     pub head: HeadState,
     pub code: u16,
-    /// The minor version of HTTP/1.
+    /// The minor version of HTTP: 0 in HTTP/1.0, 1 in HTTP/1.1.
     pub minor_version: Option<u8>,
     headers: &'a [Header<'a>],
 }
 
 impl<'a> FinalResponse<'a> {
-    /// The header with this name, in any case.
+    /// Looks up a header; its name is compared without regard to case.
     pub fn header(&self, name: &str) -> SingleHeader<'a> {
         SingleHeader::find(self.headers, name)
     }
 
-    /// The time of `Retry-After`.
+    /// The delay in `Retry-After`, in microseconds, if the header is valid.
     pub fn retry_after(&self) -> Option<Micros> {
         self.header("retry-after").text().and_then(time::parse_seconds)
     }
@@ -46,7 +47,7 @@
     }
 }
 
-/// Skips interim (1xx) responses and passes the final one to `read`.
+/// Skips interim (1xx) responses and calls `read` with the final one.
 pub(super) fn with_final_response<T>(bytes: &[u8], read: impl FnOnce(FinalResponse) -> T) -> T {
     let mut rest = bytes;
     loop {
@@ -71,17 +72,18 @@
     }
 }
 
-/// 101 is the last response in this protocol: what follows it is in another.
+/// Whether the status is an interim one. 101 is not: it ends HTTP/1.1 on the connection, and what follows is in
+/// another protocol.
 fn is_interim(code: Option<u16>) -> bool {
     matches!(code, Some(100 | 102..=199))
 }
 
-/// A header that may occur once.
+/// The value of a header that may occur at most once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SingleHeader<'a> {
     Absent,
     One(&'a str),
-    /// It occurs more than once, is empty, or is not UTF-8.
+    /// The header occurs more than once, is empty, or is not UTF-8.
     Invalid,
 }
 
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Its value, without white space around it.
+    /// The value of a valid header, without surrounding white space.
     pub fn text(self) -> Option<&'a str> {
         match self {
             SingleHeader::One(value) => Some(value),
--- a/courier/protocol/src/discovery.rs
+++ b/courier/protocol/src/discovery.rs
@@ -1,6 +1,6 @@
-//! Discovery's endpoint lists: one in the configuration, and a sequence of them on a watch, which is a long response of
-//! concatenated JSON objects (`docs/courier.md`). The driver of the watch feeds each chunk to [`ListDecoder`] and applies the lists
-//! that are complete; the configuration has a [`List`].
+//! Endpoint lists of service discovery. The configuration contains one [`List`]; a watch delivers a sequence of
+//! them in one long response of concatenated JSON objects (`docs/courier.md`). The driver of the watch feeds each
+//! chunk to [`ListDecoder`] and applies the complete lists.
 
 use quillmount_core::{EndpointList, EndpointListing};
 use quillmount_settings::{EndpointStateError, endpoint_state_from_name};
@@ -8,52 +8,53 @@
 use serde::de::IgnoredAny;
 use std::net::AddrParseError;
 
-/// Bytes of one list at most, white space included.
+/// Maximum length of one list in bytes, white space included.
 pub const LIST_MAX: usize = 4 * 1024 * 1024;
-/// So many more bytes of an incomplete list show that the watch is alive. A list of some hundred endpoints is
-/// shorter: bytes that arrive one by one show nothing.
+/// Each time an incomplete list grows by this many bytes, the watch counts as alive. A list of a few hundred
+/// endpoints is shorter, so a server that trickles single bytes does not keep its watch alive.
 const PROGRESS_BYTES: usize = 64 * 1024;
 
-/// Why a list can't be used.
+/// Why an endpoint list is rejected. Logged by the driver of the watch and printed by `quillmount check`.
 #[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
-    /// It is not JSON, or lacks a field.
-    #[error("a list that can't be read: {0}")]
+    /// The list is not valid JSON, or a field is missing or has the wrong type.
+    #[error("cannot parse the endpoint list; check the JSON that discovery sends: {0}")]
     Json(#[from] serde_json::Error),
-    /// It begins with this character, where an object should begin.
-    #[error("a list that begins with {0:?}, where an object should")]
+    /// The list begins with this character instead of the `{` of a JSON object.
+    #[error("the endpoint list begins with {0:?}; discovery has to send JSON objects")]
     Start(char),
-    /// One of its entries is wrong.
-    #[error("provider {id}: {source}")]
+    /// An entry has an invalid field.
+    #[error("invalid entry for endpoint {id} in the list: {source}")]
     Entry {
-        /// The endpoint's id.
+        /// The endpoint's id, as the entry gives it.
         id: String,
-        /// What is wrong with it.
+        /// The reason for which the entry is rejected.
         source: EntryError,
     },
-    /// It is longer than [`LIST_MAX`].
-    #[error("a list of more than {LIST_MAX} bytes")]
+    /// The list exceeds [`LIST_MAX`].
+    #[error("the endpoint list exceeds {LIST_MAX} bytes; discovery has to send a shorter one")]
     TooLong,
 }
 
-/// Why an entry of a list can't be used.
+/// Why an entry of an endpoint list is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum EntryError {
-    /// Its state is not known.
+    /// The state is none of the endpoint states that the settings define.
     #[error(transparent)]
     State(#[from] EndpointStateError),
-    /// Its address is no IP address with a port.
-    #[error("addr {text:?}: {source}")]
+    /// The address is not an IP address with a port.
+    #[error("addr {text:?} is not an IP address with a port: {source}")]
     Address {
-        /// What stands there.
+        /// The value of `addr` in the entry.
         text: String,
-        /// What is wrong with it.
+        /// The error of the address parser.
         source: AddrParseError,
     },
 }
 
-/// A list as discovery writes it: all endpoints if `full`, else those that have changed.
-// Errors of `serde_json` quote the names of the structures, and log lines and `quillmount check` the errors.
+/// A list in the JSON form that discovery sends: all endpoints if `full`, otherwise only the changed ones.
+// Errors of `serde_json` contain the names of these structs, and appear in log lines and in the output of
+// `quillmount check`.
 #[derive(Deserialize)]
 pub struct List {
     version: u64,
@@ -104,7 +105,7 @@
 }
 
 impl List {
-    /// Its entries in their order, each checked by itself.
+    /// Converts the entries in list order. Each is validated independently of the others.
     pub fn entries(self) -> impl Iterator<Item = Result<EndpointListing, DiscoveryError>> {
         self.servers.into_iter().map(|server| {
             let id = server.id.clone();
@@ -122,75 +123,77 @@
     }
 }
 
-/// The path on which changes after a version are watched.
+/// The path of a watch that reports the changes after version `after`.
 pub fn watch_path(after: u64) -> String {
     format!("/api/targets?watch=1&after={after}")
 }
 
-/// Joins a watch's chunks into lists, each one JSON object, on one line or indented over many. An empty line between two lists
-/// only shows that the watch is alive.
+/// Decodes the chunks of a watch into lists. Each list is one JSON object, on a single line or indented over
+/// several. An empty line between two lists is a keep-alive.
 #[derive(Default)]
 pub struct ListDecoder {
-    /// The bytes of a list that has begun and is incomplete.
-    rest: Vec<u8>,
+    /// The bytes of an incomplete list.
+    incomplete: Vec<u8>,
 }
 
-/// What a chunk added.
+/// The result of decoding one chunk.
 #[derive(Debug, Default)]
 pub struct ChunkOutcome {
-    /// The lists that it completed.
+    /// The lists that the chunk completes, in order.
     pub lists: Vec<EndpointList>,
-    /// The watch is alive: a list is complete, or an empty line was received between two lists. The start of a list shows
-    /// nothing, as its rest may never arrive; a long one counts with each 64 KiB.
+    /// Whether the chunk shows that the watch is alive: it completes a list, is a keep-alive line between two
+    /// lists, or takes an incomplete list past a multiple of 64 KiB. The start of a list does not count, as the
+    /// remainder may never arrive.
     pub alive: bool,
-    /// Why the bytes behind those lists are not a list; nothing that follows can be read.
+    /// Why the bytes after `lists` are not a list. The remainder of the watch cannot be decoded.
     pub error: Option<DiscoveryError>,
 }
 
 impl ListDecoder {
-    /// Adds a chunk of the watch's body.
+    /// Decodes the next chunk of the watch's response body.
     pub fn feed(&mut self, chunk: &[u8]) -> ChunkOutcome {
-        let between = self.rest.is_empty() && !chunk.is_empty() && chunk.trim_ascii().is_empty();
-        let progress = self.rest.len() / PROGRESS_BYTES;
-        self.rest.extend_from_slice(chunk);
-        let has_progressed = self.rest.len() / PROGRESS_BYTES > progress;
+        let is_keep_alive = self.incomplete.is_empty() && !chunk.is_empty() && chunk.trim_ascii().is_empty();
+        let steps_before = self.incomplete.len() / PROGRESS_BYTES;
+        self.incomplete.extend_from_slice(chunk);
+        let has_progressed = self.incomplete.len() / PROGRESS_BYTES > steps_before;
         let mut lists = Vec::new();
         let error = self.decode_complete_lists(chunk, &mut lists).err();
-        ChunkOutcome { alive: between || has_progressed || !lists.is_empty(), lists, error }
+        ChunkOutcome { alive: is_keep_alive || has_progressed || !lists.is_empty(), lists, error }
     }
 
-    /// Decodes the lists that are complete by the last brace of `chunk`, the most recent bytes. Those before an error are added
-    /// to `lists` too.
+    /// Decodes the lists that end at or before the last closing brace of `chunk`, the most recently received bytes.
+    /// Lists that precede an error are added to `lists` too.
     fn decode_complete_lists(
         &mut self,
         chunk: &[u8],
         lists: &mut Vec<EndpointList>,
     ) -> Result<(), DiscoveryError> {
-        // Only a brace ends a list. Nothing behind the last one is parsed: an incomplete number would be read as another one.
-        if let Some(last) = chunk.iter().rposition(|byte| *byte == b'}') {
-            let closed = &self.rest[..=self.rest.len() - chunk.len() + last];
-            let mut values = serde_json::Deserializer::from_slice(closed).into_iter::<IgnoredAny>();
-            let mut decoded = 0;
+        // Only a closing brace ends a list. Bytes after the last one are not parsed: a truncated number would
+        // decode to a wrong value.
+        if let Some(last_brace) = chunk.iter().rposition(|byte| *byte == b'}') {
+            let up_to_brace = &self.incomplete[..=self.incomplete.len() - chunk.len() + last_brace];
+            let mut values = serde_json::Deserializer::from_slice(up_to_brace).into_iter::<IgnoredAny>();
+            let mut decoded_length = 0;
             loop {
                 match values.next() {
                     Some(Ok(IgnoredAny)) => {
                         let end = values.byte_offset();
-                        let list: List = serde_json::from_slice(&closed[decoded..end])?;
+                        let list: List = serde_json::from_slice(&up_to_brace[decoded_length..end])?;
                         lists.push(list.try_into()?);
-                        decoded = end;
+                        decoded_length = end;
                     }
                     Some(Err(error)) if !error.is_eof() => return Err(error.into()),
                     Some(Err(_)) | None => break,
                 }
             }
-            self.rest.drain(..decoded);
+            self.incomplete.drain(..decoded_length);
         }
-        match self.rest.trim_ascii_start().first() {
-            None => self.rest.clear(),
+        match self.incomplete.trim_ascii_start().first() {
+            None => self.incomplete.clear(),
             Some(b'{') => {}
             Some(other) => return Err(DiscoveryError::Start(char::from(*other))),
         }
-        if self.rest.len() > LIST_MAX {
+        if self.incomplete.len() > LIST_MAX {
             return Err(DiscoveryError::TooLong);
         }
         Ok(())
--- a/courier/protocol/src/lib.rs
+++ b/courier/protocol/src/lib.rs
@@ -1,9 +1,10 @@
-//! The platform's HTTP/1.1 interfaces as typed values, without I/O: each message is decoded in one place and encoded in one
+//! Typed values for the platform's HTTP/1.1 interfaces, without I/O. Each message has one decoder and one encoder
 //! (`docs/courier.md`).
 //!
-//! `courier/program` has the sockets and calls this package with the bytes: [`submission`] and [`stream`] from its server for
-//! clients, [`delivery`] from its calls to endpoints, [`discovery`] and [`notice`] from its connections to the platform, and
-//! [`operator`] from its listener for operators. `tools/explore` calls endpoints with [`delivery`] too.
+//! `courier/program` owns the sockets and passes the received bytes to this package: its client-facing server uses
+//! [`submission`] and [`stream`], its endpoint calls use [`delivery`], its connections to the platform use
+//! [`discovery`] and [`notice`], and its operator listener uses [`operator`]. `tools/explore` also calls endpoints
+//! with [`delivery`].
 
 pub mod delivery;
 pub mod discovery;
--- a/courier/protocol/src/notice.rs
+++ b/courier/protocol/src/notice.rs
@@ -1,11 +1,11 @@
-//! Notices to the platform of how messages ended that were not delivered: one JSON object on each line (`docs/courier.md`). The
-//! driver of the connection to the platform posts them.
+//! Notices that tell the platform the outcome of undelivered messages, as one JSON object per line
+//! (`docs/courier.md`). The driver of the connection to the platform posts them.
 
 use crate::time::MICROS_PER_MILLI;
 use quillmount_core::{Ending, Notice};
 use serde::Serialize;
 
-/// The path to which notices are posted.
+/// The path on the platform to which the driver posts notices.
 pub const PATH: &str = "/v2/finals";
 
 #[derive(Serialize)]
@@ -28,11 +28,11 @@
     }
 }
 
-/// The body of a request with these notices. Waits are rounded up to whole milliseconds.
+/// Encodes the body of a request that carries `notices`. Retry delays are rounded up to whole milliseconds.
 pub fn encode(notices: &[Notice]) -> String {
     let mut body = String::new();
     for notice in notices {
-        // A struct of text and a number always has a JSON form.
+        // Serializing a struct of strings and a number to JSON cannot fail.
         body.push_str(&serde_json::to_string(&NoticeLine::new(notice)).unwrap_or_default());
         body.push('\n');
     }
--- a/courier/protocol/src/operator.rs
+++ b/courier/protocol/src/operator.rs
@@ -1,27 +1,28 @@
-//! Operators' calls: one line of text for each connection, and one line in reply, `SUCCESS ...` or `FAILURE ...`
-//! (`docs/operators.md`, `docs/operators-design.md`).
+//! Operator commands. Each connection carries one line of text and gets one line in reply, `SUCCESS ...` or
+//! `FAILURE ...` (`docs/operators.md`, `docs/operators-design.md`).
 //!
-//! The listener passes all bytes of a connection so far to [`read`] until the line is complete, and replies with [`answer`].
+//! The listener passes all bytes received on a connection to [`read`] until the line is complete, and replies with
+//! [`answer`].
 
-/// Bytes of a line at most: an id in discovery's list takes 128 at most, a verb eight.
+/// Maximum length of a line in bytes. An endpoint id from discovery has at most 128 bytes, a verb at most eight.
 pub const LINE_MAX: usize = 256;
 
-/// One call.
+/// An operator command, decoded from one line.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum OperatorCall {
-    /// Asks whether this process can serve.
+    /// Readiness check: reports whether this process can serve.
     Ready,
-    /// Sends nothing more to the endpoint with this id, until it is enabled.
+    /// Stops sending to the endpoint with this id until [`OperatorCall::Enable`] names it.
     Disable(String),
-    /// Uses the endpoint with this id as before.
+    /// Resumes sending to the endpoint with this id.
     Enable(String),
-    /// Drains the courier: it takes no new clients.
+    /// Drains the courier: it accepts no new clients.
     Drain,
-    /// Ends the drain.
+    /// Ends a drain; the courier accepts clients again.
     Undrain,
 }
 
-/// Why a line is not a call. The text is the reply's.
+/// Why a line is not a command. Its `Display` text is sent in the `FAILURE` reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OperatorCallError {
     /// The line is longer than [`LINE_MAX`].
@@ -33,37 +34,37 @@
     /// The line has no verb.
     #[error("the line is empty")]
     Empty,
-    /// The verb is not known.
+    /// The verb is none of those in [`OperatorCall`]. Verbs are case-sensitive.
     #[error("no such call; there are READY, DISABLE ID, ENABLE ID, DRAIN and UNDRAIN")]
     Unknown,
-    /// An id is missing.
+    /// The verb requires an endpoint id and the line has none.
     #[error("this call takes one id")]
-    NoId,
-    /// There are too many fields.
+    MissingId,
+    /// The line has more fields than its verb takes.
     #[error("something stands behind the call")]
-    Surplus,
-    /// The caller has stopped sending before the end of the line.
+    TrailingFields,
+    /// The peer stopped sending before the line feed.
     #[error("the line has no end")]
-    Unended,
+    Unterminated,
 }
 
-/// The line of a connection, as far as it has been received.
+/// The state of a connection's line, given the bytes received so far.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Line {
-    /// Its end is still to come.
+    /// The line feed has not been received.
     Partial,
-    /// The line is complete.
+    /// The line is complete, or can no longer become a valid command.
     Complete(Result<OperatorCall, OperatorCallError>),
 }
 
-/// Reads what has been received; `ended`: the caller sends nothing more. Only the first line counts, however it was split
-/// into packets; anything behind it is ignored.
+/// Decodes the bytes received so far; `ended` means that the peer sends no more. Only the first line counts,
+/// however it was split into packets; bytes after it are ignored.
 pub fn read(bytes: &[u8], ended: bool) -> Line {
     let Some(end) = bytes.iter().position(|b| *b == b'\n') else {
         return match bytes.len() {
             0 if ended => Line::Complete(Err(OperatorCallError::Empty)),
-            n if n > LINE_MAX => Line::Complete(Err(OperatorCallError::TooLong)),
-            _ if ended => Line::Complete(Err(OperatorCallError::Unended)),
+            length if length > LINE_MAX => Line::Complete(Err(OperatorCallError::TooLong)),
+            _ if ended => Line::Complete(Err(OperatorCallError::Unterminated)),
             _ => Line::Partial,
         };
     };
@@ -77,10 +78,10 @@
     let verb = fields.next().ok_or(OperatorCallError::Empty)?;
     let id = fields.next();
     if fields.next().is_some() {
-        return Err(OperatorCallError::Surplus);
+        return Err(OperatorCallError::TrailingFields);
     }
-    let without_id = |call| if id.is_none() { Ok(call) } else { Err(OperatorCallError::Surplus) };
-    let with_id = || id.map(str::to_owned).ok_or(OperatorCallError::NoId);
+    let without_id = |call| if id.is_none() { Ok(call) } else { Err(OperatorCallError::TrailingFields) };
+    let with_id = || id.map(str::to_owned).ok_or(OperatorCallError::MissingId);
     match verb {
         "READY" => without_id(OperatorCall::Ready),
         "DRAIN" => without_id(OperatorCall::Drain),
@@ -91,11 +92,11 @@
     }
 }
 
-/// The line that answers a call.
+/// Encodes the reply line to a command: `SUCCESS` with a result, or `FAILURE` with the reason.
 pub fn answer(result: Result<&str, &str>) -> String {
     match result {
         Ok(text) => format!("SUCCESS {text}\n"),
-        // A reason stays on its line, whatever it quotes.
-        Err(why) => format!("FAILURE {}\n", why.replace(['\r', '\n'], " ")),
+        // The reply is a single line, so line breaks quoted in the reason become spaces.
+        Err(reason) => format!("FAILURE {}\n", reason.replace(['\r', '\n'], " ")),
     }
 }
--- a/courier/protocol/src/stream/body.rs
+++ b/courier/protocol/src/stream/body.rs
@@ -1,4 +1,4 @@
-//! Where a body ends, and its content out of the bytes in which it arrives (RFC 9112, sections 6 and 7).
+//! Determines where a request body ends and removes its framing (RFC 9112, sections 6 and 7).
 
 use crate::submission::Malformed;
 use actix_http::header::{self, HeaderMap};
@@ -6,16 +6,17 @@
 use quillmount_core::flow::Cut;
 
 const LINE_END: &[u8] = b"\r\n";
-/// Bytes of the line before a chunk at most: sixteen digits are the largest size there is, the rest is for extensions.
+/// Maximum length of a chunk's size line in bytes. The size takes at most sixteen digits, which leaves the
+/// remainder to chunk extensions.
 const CHUNK_LINE_MAX: usize = 256;
-/// Digits of a chunk's size at most: as many as a `u64` has.
+/// Maximum number of digits of a chunk size: the hexadecimal digits of a `u64`.
 const CHUNK_SIZE_DIGITS: usize = 16;
-/// What chunk lines may take beside the content: so many bytes, and so many times the content's. A body in chunks of a single
-/// byte each takes five times its content.
-const OVERHEAD_FREE: u64 = 64 * 1024;
-const OVERHEAD_TIMES: u64 = 7;
+/// Maximum overhead of chunk framing in bytes: this constant, plus [`OVERHEAD_PER_CONTENT_BYTE`] for each byte of
+/// content. In a body of one-byte chunks the framing takes five times the content.
+const OVERHEAD_BASE: u64 = 64 * 1024;
+const OVERHEAD_PER_CONTENT_BYTE: u64 = 7;
 
-/// How the end of a body is marked (RFC 9112, section 6).
+/// How a request delimits its body (RFC 9112, section 6).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Framing {
     /// `Content-Length`, in bytes.
@@ -24,11 +25,11 @@
     Chunked,
 }
 
-/// How a body ends, by the one header that may say so.
+/// Returns how a request delimits its body, from the single header that specifies it.
 ///
 /// # Errors
-/// There is none, more than one, or both of `Content-Length` and `Transfer-Encoding` (RFC 9112, 6.3): some readers would
-/// not agree on where the body ends, and another request could hide in it.
+/// The header is missing, repeated or invalid, or both `Content-Length` and `Transfer-Encoding` are present (RFC
+/// 9112, 6.3). Implementations disagree on where such a body ends, which allows request smuggling.
 pub fn framing(headers: &HeaderMap) -> Result<Framing, Malformed> {
     let mut lengths = headers.get_all(header::CONTENT_LENGTH);
     let mut codings = headers.get_all(header::TRANSFER_ENCODING);
@@ -47,74 +48,75 @@
     }
 }
 
-/// What is next in a body.
+/// The next element of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyEvent {
-    /// So many bytes at the front belong to the content; 0: more have to be received first.
+    /// This many bytes at the front of the buffer are content; 0 means that more bytes have to be received first.
     Content(usize),
     /// The body is complete.
     End,
-    /// The body can't be accepted, for this reason.
+    /// The body is rejected for this reason.
     Invalid(Cut),
 }
 
-/// Takes the content of a body out of the bytes in which it arrives.
+/// Incremental decoder that removes the framing from a request body.
 #[derive(Clone, Debug)]
 pub struct BodyDecoder {
     position: Position,
-    /// Bytes of the content at most.
+    /// Maximum length of the content in bytes.
     max_length: u64,
-    /// Bytes of the content so far.
-    content: u64,
-    /// Bytes of the framing so far.
+    /// Content consumed so far, in bytes.
+    content_length: u64,
+    /// Chunk size lines decoded so far, in bytes, including the line ends of the chunks before them.
     overhead: u64,
 }
 
-/// Where in a body the decoder is.
+/// The state of the decoder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Position {
-    /// So many bytes are left, of a body with a length.
+    /// Inside a body with `Content-Length`, with this many bytes remaining.
     Length(u64),
-    /// Before the size of the first chunk.
+    /// Before the size line of the first chunk.
     FirstSize,
-    /// Before the line end behind a chunk, and the size of the next one.
+    /// Before the line end of a chunk, which the size line of the next chunk follows.
     NextSize,
-    /// So many bytes are left of a chunk.
+    /// Inside a chunk, with this many bytes remaining.
     Chunk(u64),
-    /// Behind the size of the last chunk.
-    Last,
+    /// After the size line of the last chunk, before the empty line that ends the body.
+    LastChunk,
     Done,
 }
 
-/// The line before a chunk.
+/// The size line of a chunk, as far as it has been received.
 enum SizeLine {
-    /// The chunk's size and the length of the line, both in bytes.
+    /// The chunk's size and the length of the line, both in bytes. The length includes the line end of the chunk
+    /// before.
     Complete { size: u64, length: usize },
-    /// Its end is still to come.
+    /// The end of the line has not been received.
     Partial,
-    /// It does not begin with a size.
+    /// The line does not begin with a size, or is too long.
     Malformed,
 }
 
 impl BodyDecoder {
-    /// A body whose content has `max_length` bytes at most.
+    /// Creates a decoder for a body with at most `max_length` bytes of content.
     pub fn new(framing: Framing, max_length: u64) -> Self {
         let position = match framing {
             Framing::Length(0) => Position::Done,
             Framing::Length(length) => Position::Length(length),
             Framing::Chunked => Position::FirstSize,
         };
-        BodyDecoder { position, max_length, content: 0, overhead: 0 }
+        BodyDecoder { position, max_length, content_length: 0, overhead: 0 }
     }
 
-    /// Removes framing from the front of `buffer`, and returns what is next there. Content stays in `buffer`: the caller removes
-    /// it and reports that to [`BodyDecoder::consumed`].
+    /// Removes framing from the front of `buffer` and returns the next element. Content stays in `buffer`: the
+    /// caller removes it and reports its length to [`BodyDecoder::consumed`].
     pub fn next(&mut self, buffer: &mut BytesMut) -> BodyEvent {
         loop {
             match self.position {
                 Position::Done => return BodyEvent::End,
-                Position::Length(left) | Position::Chunk(left) if left > 0 => {
-                    return BodyEvent::Content((buffer.len() as u64).min(left) as usize);
+                Position::Length(remaining) | Position::Chunk(remaining) if remaining > 0 => {
+                    return BodyEvent::Content((buffer.len() as u64).min(remaining) as usize);
                 }
                 Position::Length(_) => self.position = Position::Done,
                 Position::Chunk(_) => self.position = Position::NextSize,
@@ -128,26 +130,27 @@
                         }
                     }
                 },
-                // Trailers could say of the body what its head did not. None is forwarded, so that none is accepted.
-                Position::Last if buffer.starts_with(LINE_END) => {
+                // Trailer fields could contradict the head of the request. The courier does not forward them, so it
+                // rejects them.
+                Position::LastChunk if buffer.starts_with(LINE_END) => {
                     buffer.advance(LINE_END.len());
                     self.position = Position::Done;
                 }
-                Position::Last if LINE_END.starts_with(buffer) => return BodyEvent::Content(0),
-                Position::Last => return BodyEvent::Invalid(Cut::Malformed),
+                Position::LastChunk if LINE_END.starts_with(buffer) => return BodyEvent::Content(0),
+                Position::LastChunk => return BodyEvent::Invalid(Cut::Malformed),
             }
         }
     }
 
-    /// Counts content that the caller has removed from the front of the buffer, in bytes.
+    /// Records that the caller has removed `bytes` of content from the front of the buffer.
     pub fn consumed(&mut self, bytes: u64) {
-        self.content += bytes;
-        if let Position::Length(left) | Position::Chunk(left) = &mut self.position {
-            *left -= bytes.min(*left);
+        self.content_length += bytes;
+        if let Position::Length(remaining) | Position::Chunk(remaining) = &mut self.position {
+            *remaining -= bytes.min(*remaining);
         }
     }
 
-    /// Reads a chunk's size line, and the line end of the chunk before it.
+    /// Parses a chunk's size line, and the line end of the chunk before it.
     fn read_size_line(&self, buffer: &[u8]) -> SizeLine {
         let line_start = if self.position == Position::FirstSize { 0 } else { LINE_END.len() };
         if buffer.len() < line_start {
@@ -166,21 +169,21 @@
         }
     }
 
-    /// Goes on with the chunk behind a size line of `length` bytes.
+    /// Starts the chunk of `size` bytes that follows a size line of `length` bytes.
     fn begin_chunk(&mut self, size: u64, length: usize) -> Result<(), Cut> {
         self.overhead += length as u64;
-        if self.overhead > OVERHEAD_FREE + OVERHEAD_TIMES * self.content {
+        if self.overhead > OVERHEAD_BASE + OVERHEAD_PER_CONTENT_BYTE * self.content_length {
             return Err(Cut::Malformed);
         }
-        if size > self.max_length - self.content {
+        if size > self.max_length - self.content_length {
             return Err(Cut::TooLarge);
         }
-        self.position = if size == 0 { Position::Last } else { Position::Chunk(size) };
+        self.position = if size == 0 { Position::LastChunk } else { Position::Chunk(size) };
         Ok(())
     }
 }
 
-/// A chunk's size, in hexadecimal digits; extensions behind a semicolon are ignored.
+/// Parses a chunk size in hexadecimal digits; extensions after a semicolon are ignored.
 fn parse_chunk_size(line: &[u8]) -> Option<u64> {
     let digits = line.iter().take_while(|byte| byte.is_ascii_hexdigit()).count();
     let (size, extensions) = line.split_at(digits);
--- a/courier/protocol/src/stream/mod.rs
+++ b/courier/protocol/src/stream/mod.rs
@@ -1,8 +1,10 @@
-//! Streamed submissions: how their bodies are framed and checked, what an endpoint is sent, and what the client is answered
-//! at the end (`docs/streaming-design.md`). Their heads are those of other submissions ([`crate::submission::Head`]).
+//! Streamed submissions: the framing and verification of their bodies, the request to the endpoint, and the final
+//! response to the client (`docs/streaming-design.md`). Their heads have the form of other submissions
+//! ([`crate::submission::Head`]).
 //!
-//! The server decides by [`framing`] how a body ends, and takes the body out of the bytes that it reads with [`BodyDecoder`]; a
-//! [`Digest`] checks it. The driver of the call to the endpoint writes [`encode_head`] and frames the body again.
+//! The server determines with [`framing`] how a body ends, extracts its content with [`BodyDecoder`], and verifies
+//! it with a [`Digest`]. The driver of the call to the endpoint writes the head from [`encode_head`] and frames the
+//! body again.
 
 mod body;
 mod digest;
--- a/courier/protocol/src/stream/request.rs
+++ b/courier/protocol/src/stream/request.rs
@@ -1,12 +1,13 @@
-//! What an endpoint is sent: the head of a call with a streamed body, and the framing of the body.
+//! Encodes the request to an endpoint: the head of a call with a streamed body, and the framing of the body.
 
 use crate::delivery::PATH;
 use crate::time::MICROS_PER_MILLI;
 use bytes::Bytes;
 use quillmount_core::{DeliveryCall, MessagePayload, StreamHead};
 
-/// The head of a call; its body follows in the same framing. `Expect: 100-continue` lets the endpoint reject
-/// the call before a byte of the body is sent.
+/// Encodes the head of a call with a streamed body. The body follows with `Content-Length` if `head` has a length,
+/// and in chunks otherwise. `Expect: 100-continue` lets the endpoint reject the call before any byte of the body is
+/// sent.
 pub fn encode_head(call: &DeliveryCall, head: &StreamHead) -> String {
     let MessagePayload { id, key, .. } = &*call.payload;
     let key_line = key.as_ref().map(|key| format!("Idempotency-Key: {key}\r\n")).unwrap_or_default();
@@ -24,12 +25,12 @@
     )
 }
 
-/// The line before a chunk of so many bytes.
+/// The size line of a chunk of `bytes` bytes.
 pub fn chunk_line(bytes: u64) -> Bytes {
     Bytes::from(format!("{bytes:x}\r\n"))
 }
 
-/// The line end behind a chunk's bytes.
+/// The line end after a chunk's content.
 pub const CHUNK_END: Bytes = Bytes::from_static(b"\r\n");
-/// The last chunk, with the empty line that ends the body.
+/// The last chunk, of size zero, with the empty line that ends the body.
 pub const LAST_CHUNK: Bytes = Bytes::from_static(b"0\r\n\r\n");
--- a/courier/protocol/src/stream/response.rs
+++ b/courier/protocol/src/stream/response.rs
@@ -1,4 +1,4 @@
-//! The final response to a streamed submission.
+//! Encodes the final response to a streamed submission.
 
 use crate::submission::{plain, set_retry_after};
 use actix_http::{ConnectionType, Response, StatusCode};
@@ -6,7 +6,8 @@
 use quillmount_core::flow::Cut;
 use quillmount_core::router::StreamEnd;
 
-/// The final response to a streamed submission. It closes the connection, as the rest of the body may still be on it.
+/// Returns the final response to a streamed submission. It closes the connection, because unread bytes of the body
+/// may still arrive on it.
 pub fn answer(end: StreamEnd) -> Response<Bytes> {
     let (status, text) = match end {
         StreamEnd::Delivered => (StatusCode::OK, "delivered\n"),
--- a/courier/protocol/src/submission/head.rs
+++ b/courier/protocol/src/submission/head.rs
@@ -1,4 +1,4 @@
-//! The head of a submission: its form, and its headers.
+//! Validates and decodes the head of a submission.
 
 use super::{BODY_MAX, Malformed};
 use crate::time;
@@ -8,34 +8,34 @@
 use quillmount_core::Submission;
 use quillmount_policy::Micros;
 
-/// Bytes of an id, key or account at most; the platform's are shorter.
-const NAME_MAX: usize = 256;
-/// The longest time left of a submission with a small body; the platform's are shorter.
+/// Maximum length of an id, key or account in bytes; those of the platform are shorter.
+const IDENTIFIER_MAX: usize = 256;
+/// Maximum `X-Time-Left` of a submission that is not streamed, in microseconds; those of the platform are shorter.
 const TIME_LEFT_MAX: Micros = 600_000_000;
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// Whether the empty line that ends a head has been received.
+/// Whether `bytes` contains the empty line that ends a head.
 pub fn has_complete_head(bytes: &[u8]) -> bool {
     head_length(bytes).is_some()
 }
 
-/// The length of a complete head in bytes, the empty line included.
+/// The length of a complete head in bytes, including the empty line that ends it.
 fn head_length(bytes: &[u8]) -> Option<usize> {
     let end = bytes.windows(HEAD_END.len()).position(|window| window == HEAD_END)?;
     Some(end + HEAD_END.len())
 }
 
-/// Whether there is a bare LF in a head: some readers take it for the end of a line and others do not, so that they would
-/// not agree on what the headers are.
-pub fn has_bare_line_end(bytes: &[u8]) -> bool {
+/// Whether a head contains a bare LF, without a CR before it. Some implementations accept it as the end of a line
+/// and others do not, so they would disagree on what the headers are.
+pub fn has_bare_lf(bytes: &[u8]) -> bool {
     let head = &bytes[..head_length(bytes).unwrap_or(bytes.len())];
     head.iter().enumerate().any(|(index, byte)| *byte == b'\n' && (index == 0 || head[index - 1] != b'\r'))
 }
 
-/// The length of the body in bytes; 0 without `Content-Length`.
+/// Returns the length of the body in bytes; 0 without `Content-Length`.
 ///
 /// # Errors
-/// The length is not a number or over [`BODY_MAX`], or there is a `Transfer-Encoding`.
+/// The length is not a number or exceeds [`BODY_MAX`], or `Transfer-Encoding` is present.
 pub fn length(headers: &HeaderMap) -> Result<usize, Malformed> {
     if headers.contains_key(header::TRANSFER_ENCODING) {
         return Err(Malformed::Length);
@@ -48,52 +48,52 @@
     }
 }
 
-/// The head of a submission; its body follows.
+/// The decoded head of a submission.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Head {
     id: String,
     class: String,
-    /// The idempotency key.
     key: Option<String>,
-    /// The destination.
+    /// The id of the destination.
     dest: u64,
     tenant: Option<String>,
-    /// Time until the deadline, microseconds.
+    /// Time until the deadline, in microseconds.
     time_left: Micros,
-    /// Bytes of the body; 0 for a stream.
+    /// Length of the body in bytes, from `Content-Length`; 0 for a streamed submission.
     pub length: usize,
 }
 
 impl Head {
-    /// Decodes the head of a submission with a small body.
+    /// Decodes the head of a submission that is not streamed.
     ///
     /// # Errors
-    /// It is not the head of one.
+    /// The path, the method or a header is missing or invalid.
     pub fn decode(method: &Method, path: &str, headers: &HeaderMap) -> Result<Head, Malformed> {
         let length = length(headers)?;
         let head = Head::decode_parts(method, path, headers, length, TIME_LEFT_MAX)?;
-        // Without a length the body is empty, and what follows is no part of it.
+        // Without `Content-Length` the body is empty, and the bytes after the head would not belong to it.
         if !headers.contains_key(header::CONTENT_LENGTH) {
             return Err(Malformed::Length);
         }
         Ok(head)
     }
 
-    /// Decodes the head of a submission whose body is forwarded while it arrives ([`crate::stream`]), and whose time left is
-    /// `longest` microseconds at most. [`crate::stream::framing`] reads where the body ends.
+    /// Decodes the head of a streamed submission ([`crate::stream`]): its body is forwarded while it arrives.
+    /// `X-Time-Left` may be at most `max_time_left` microseconds. [`crate::stream::framing`] determines where the
+    /// body ends.
     ///
     /// # Errors
-    /// It is not the head of one.
+    /// The path, the method or a header is missing or invalid.
     pub fn decode_stream(
         method: &Method,
         path: &str,
         headers: &HeaderMap,
-        longest: Micros,
+        max_time_left: Micros,
     ) -> Result<Head, Malformed> {
-        Head::decode_parts(method, path, headers, 0, longest)
+        Head::decode_parts(method, path, headers, 0, max_time_left)
     }
 
-    /// The message's class, the first part of the path.
+    /// The message's class, the first segment of the request path.
     pub fn class(&self) -> &str {
         &self.class
     }
@@ -103,39 +103,40 @@
         path: &str,
         headers: &HeaderMap,
         length: usize,
-        longest: Micros,
+        max_time_left: Micros,
     ) -> Result<Head, Malformed> {
         let class = class_of_path(path).ok_or(Malformed::Path)?.to_string();
         if method != Method::POST {
             return Err(Malformed::Method);
         }
-        let id = header_name(headers, "x-correlation-id").ok_or(Malformed::Id)?;
+        let id = header_identifier(headers, "x-correlation-id").ok_or(Malformed::Id)?;
         let key = if headers.contains_key("idempotency-key") {
-            Some(header_name(headers, "idempotency-key").ok_or(Malformed::Key)?)
+            Some(header_identifier(headers, "idempotency-key").ok_or(Malformed::Key)?)
         } else {
             None
         };
         let time_left = header_text(headers, "x-time-left").and_then(time::parse_with_unit);
-        let time_left = time_left.filter(|time_left| *time_left <= longest).ok_or(Malformed::TimeLeft)?;
+        let time_left =
+            time_left.filter(|time_left| *time_left <= max_time_left).ok_or(Malformed::TimeLeft)?;
         let dest = parse_dest(addressing(headers)).ok_or(Malformed::Dest)?;
-        // A missing or invalid account is no tenant that the settings know.
-        let tenant = header_name(headers, "x-account");
+        // A missing or invalid account never matches a tenant in the settings.
+        let tenant = header_identifier(headers, "x-account");
         Ok(Head { id, class, key, dest, tenant, time_left, length })
     }
 
-    /// The submission with its complete body.
+    /// Combines the head with the complete body.
     pub fn with_body(self, body: Bytes) -> Submission {
         let Head { id, class, key, dest, tenant, time_left, .. } = self;
         Submission { id, class, key, dest, tenant, time_left, body }
     }
 }
 
-/// The complete value of `X-Addressing`; empty if there is none.
+/// The whole value of `X-Addressing`, or an empty string without the header.
 pub fn addressing(headers: &HeaderMap) -> &str {
     header_text(headers, "x-addressing").unwrap_or_default()
 }
 
-/// The first part of a path. `/-/` has the paths of the courier itself.
+/// The first segment of a path, which names the class. Paths under `/-/` are reserved for the courier itself.
 fn class_of_path(path: &str) -> Option<&str> {
     let class = path.strip_prefix('/')?.split('/').next()?;
     (!class.is_empty() && class != "-").then_some(class)
@@ -145,15 +146,18 @@
     headers.get(header)?.to_str().ok()
 }
 
-/// An id, key or account.
-fn header_name(headers: &HeaderMap, header: &str) -> Option<String> {
+/// The value of a header with an id, key or account, if it is valid: 1 to [`IDENTIFIER_MAX`] visible ASCII
+/// characters.
+fn header_identifier(headers: &HeaderMap, header: &str) -> Option<String> {
     let value = header_text(headers, header)?.trim();
-    let is_name =
-        !value.is_empty() && value.len() <= NAME_MAX && value.bytes().all(|byte| byte.is_ascii_graphic());
-    is_name.then(|| value.to_string())
+    let is_identifier = !value.is_empty()
+        && value.len() <= IDENTIFIER_MAX
+        && value.bytes().all(|byte| byte.is_ascii_graphic());
+    is_identifier.then(|| value.to_string())
 }
 
-/// `dest=7`, perhaps among other pairs between commas or semicolons; none if it occurs more than once.
+/// Parses the destination from a list of pairs such as `zone=z1; dest=7`, separated by commas or semicolons. `None`
+/// if `dest` is missing, repeated or not a number.
 fn parse_dest(addressing: &str) -> Option<u64> {
     let pairs = addressing.split([',', ';']).filter_map(|pair| pair.trim().split_once('='));
     let mut dests = pairs.filter(|(name, _)| name.trim() == "dest").map(|(_, value)| value.trim());
--- a/courier/protocol/src/submission/response.rs
+++ b/courier/protocol/src/submission/response.rs
@@ -1,4 +1,4 @@
-//! The responses to submissions, and other responses of the server for clients.
+//! Encodes the responses to submissions, and the other responses of the client-facing server.
 
 use super::Malformed;
 use crate::time::MICROS_PER_MILLI;
@@ -10,7 +10,7 @@
 
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 
-/// The response to a submission.
+/// Returns the response to a submission, by the decision of the router.
 pub fn answer(intake: Intake) -> Response<Bytes> {
     let (status, text) = match intake {
         Intake::Accepted => (StatusCode::ACCEPTED, "taken on\n"),
@@ -28,7 +28,7 @@
     response
 }
 
-/// A response with this status and text; `after`, in microseconds, becomes `Retry-After`.
+/// Returns a response with this status and plain text. `after`, in microseconds, is sent as `Retry-After`.
 pub fn answer_with(status: StatusCode, text: &str, after: Option<Micros>) -> Response<Bytes> {
     let mut response = plain(status, text);
     if let Some(after) = after {
@@ -37,7 +37,7 @@
     response
 }
 
-/// Sets `Retry-After`, in seconds, from microseconds that are rounded up to whole milliseconds.
+/// Sets `Retry-After` in decimal seconds. `after`, in microseconds, is rounded up to whole milliseconds.
 pub(crate) fn set_retry_after(response: &mut Response<Bytes>, after: Micros) {
     let seconds = after.div_ceil(MICROS_PER_MILLI) as f64 / MILLIS_PER_SECOND;
     if let Ok(value) = HeaderValue::from_str(&seconds.to_string()) {
@@ -45,12 +45,12 @@
     }
 }
 
-/// The response to a request that is not a submission.
+/// Returns the response to a malformed request: its status code, and the reason as plain text.
 pub fn refuse(malformed: Malformed) -> Response<Bytes> {
     plain(malformed.status(), &format!("{malformed}\n"))
 }
 
-/// A response with a plain text.
+/// Returns a response with this status and a body of type `text/plain`.
 pub fn plain(status: StatusCode, text: &str) -> Response<Bytes> {
     let mut response = Response::with_body(status, Bytes::copy_from_slice(text.as_bytes()));
     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
--- a/courier/protocol/src/time.rs
+++ b/courier/protocol/src/time.rs
@@ -1,14 +1,13 @@
-//! Times in headers.
+//! Parses the durations in HTTP headers.
 
 use quillmount_policy::Micros;
 
-/// Microseconds in a millisecond.
 pub(crate) const MICROS_PER_MILLI: Micros = 1_000;
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Longer times are taken for mistakes, microseconds.
+/// Upper bound of a duration in microseconds; a value at or above it is rejected as a mistake of the sender.
 const MAX_MICROS: f64 = 9e15;
 
-/// A time with a unit: `480m` milliseconds, `250u` microseconds; whole or decimal.
+/// Parses an integer or decimal duration with a unit: `480m` is milliseconds, `250u` microseconds.
 pub(crate) fn parse_with_unit(text: &str) -> Option<Micros> {
     let text = text.trim();
     let (number, micros_per_unit) = match text.strip_suffix('m') {
@@ -18,12 +17,13 @@
     to_micros(parse_decimal(number)? * micros_per_unit)
 }
 
-/// Seconds, whole or decimal, as in `Retry-After`.
+/// Parses an integer or decimal number of seconds, as in `Retry-After`.
 pub(crate) fn parse_seconds(text: &str) -> Option<Micros> {
     to_micros(parse_decimal(text.trim())? * MICROS_PER_SECOND)
 }
 
-/// A number of digits and a point; `f64` alone would also take signs, exponents and names.
+/// Parses a number that has only digits and a decimal point. `f64::from_str` alone would also accept signs,
+/// exponents, `inf` and `nan`.
 fn parse_decimal(text: &str) -> Option<f64> {
     let is_decimal = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
     if is_decimal { text.parse().ok() } else { None }
--- a/courier/protocol/tests/delivery.rs
+++ b/courier/protocol/tests/delivery.rs
@@ -1,4 +1,5 @@
-//! Invoker calls on the wire: what an endpoint is sent, and what its answers mean, whole, cut or endless.
+//! Delivery calls on the wire: the requests to endpoints, and the meaning of complete, truncated and unframed
+//! responses.
 
 use quillmount_core::machine::attempt::Answer;
 use quillmount_core::{CallEnd, DeliveryCall, MessagePayload};
@@ -7,26 +8,27 @@
     BundleResults, bundle_results, decode, decode_bundle, encode, load_report,
 };
 
-/// Whatever the pieces in which an answer comes, it says one thing, and only with its last byte where it is no 200.
+/// Guards against results that depend on how a response is split: a chunked response is complete at its last byte
+/// and not before.
 #[test]
-fn a_chunked_answer_with_a_trailer_is_whole_at_its_last_byte_and_no_sooner() {
-    let answer = |code: &str| {
+fn a_chunked_response_with_a_trailer_is_complete_at_its_last_byte_and_not_before() {
+    let response = |code: &str| {
         format!(
             "HTTP/1.1 {code} \r\nTRANSFER-ENCODING:chunked\r\n\r\n007\r\nbf52041\r\n2;part=2\r\n4d\r\n0\r\n\
              X-Sum: 5f3a\r\nX-Done: 1\r\n\r\n"
         )
     };
     for (code, end) in [("200", CallEnd::Delivered), ("503", CallEnd::Full(0))] {
-        let text = answer(code);
+        let text = response(code);
         for cut in 1..text.len() {
             assert_eq!(decode(&text.as_bytes()[..cut], false), Answer::Partial, "{code}, {cut} bytes");
         }
         assert_eq!(decode(text.as_bytes(), false), Answer::Whole { end, reusable: true });
     }
-    let odd = answer("503").replace("X-Done: 1", "no field");
-    let spoilt = Answer::Whole { end: CallEnd::Spoilt(0), reusable: false };
-    assert_eq!(decode(odd.as_bytes(), false), spoilt);
-    assert_eq!(decode(&answer("503").as_bytes()[..90], true), spoilt);
+    let invalid_trailer = response("503").replace("X-Done: 1", "no field");
+    let malformed = Answer::Whole { end: CallEnd::Spoilt(0), reusable: false };
+    assert_eq!(decode(invalid_trailer.as_bytes(), false), malformed);
+    assert_eq!(decode(&response("503").as_bytes()[..90], true), malformed);
 }
 
 fn call(ids: &[&str]) -> DeliveryCall {
@@ -39,7 +41,8 @@
     let (payload, _) = payloads.next().unwrap();
     let bundled =
         payloads.map(|(payload, n)| quillmount_core::BundledMessage { call: id(n), payload }).collect();
-    let (addr, timeout, time_left, by) = ("127.0.0.1:9".parse().unwrap(), 8_000_000, 1_500_000, Micros::MAX);
+    let (addr, timeout, time_left, send_before) =
+        ("127.0.0.1:9".parse().unwrap(), 8_000_000, 1_500_000, Micros::MAX);
     DeliveryCall {
         call: id(1),
         endpoint: 0,
@@ -47,7 +50,7 @@
         addr,
         payload,
         timeout,
-        send_before: by,
+        send_before,
         stream: false,
         bundled,
         time_left,
@@ -55,7 +58,7 @@
 }
 
 #[test]
-fn a_call_with_several_messages_carries_any_bytes_and_the_least_time_left() {
+fn a_bundle_carries_binary_bodies_and_the_shortest_time_left() {
     let text = String::from_utf8(encode(&call(&["a", "b"]))).unwrap();
     let (head, body) = text.split_once("\r\n\r\n").unwrap();
     assert!(
@@ -64,61 +67,65 @@
     );
     assert!(head.contains(&format!("Content-Length: {}", body.len())), "{head}");
     assert_eq!(body, r#"[{"id":"a","body":"AP8K"},{"id":"b","key":"k\"1","body":"AP8K"}]"#);
-    assert!(encode(&call(&["a"])).starts_with(b"POST /events HTTP/1.1"), "one message is a plain call");
+    assert!(
+        encode(&call(&["a"])).starts_with(b"POST /events HTTP/1.1"),
+        "a call with one message is not a bundle"
+    );
 }
 
-/// Nothing is said of any message before the last byte of a 200, and all of them then.
+/// Guards against results from a truncated response: no message of a bundle has one before the last byte of a 200.
 #[test]
-fn an_answer_for_several_counts_with_its_last_byte_and_each_message_gets_what_is_true_of_it() {
+fn a_bundle_response_counts_at_its_last_byte_and_has_a_result_for_each_message() {
     use CallEnd::*;
     let body = r#"[{"id":"c","state":"later"},{"id":"a","state":"ok"},{"id":"x","state":"ok"},{"id":"b","state":"error"},
         {"id":"d","state":"gone"},{"id":"e","state":"exhausted"},{"id":"f","state":"odd"},{"id":"g","state":"ok"},
         {"id":"g","state":"later"}]"#;
     let plain =
         format!("HTTP/1.1 200 OK\r\nRetry-After: 0.5\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    let (one, two) = body.split_at(40);
+    let (first_chunk, second_chunk) = body.split_at(40);
     let chunked = format!(
-        "HTTP/1.1 200 OK\r\nRetry-After: 0.5\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{one}\r\n{:x}\r\n{two}\r\n0\r\n\r\n",
-        one.len(),
-        two.len()
+        "HTTP/1.1 200 OK\r\nRetry-After: 0.5\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{first_chunk}\r\n{:x}\r\n{second_chunk}\r\n0\r\n\r\n",
+        first_chunk.len(),
+        second_chunk.len()
     );
-    let order = call(&["a", "b", "c", "d", "e", "f", "g", "h"]);
-    for answer in [plain, chunked] {
-        for cut in 1..answer.len() {
-            assert_eq!(decode_bundle(&answer.as_bytes()[..cut], false), Answer::Partial, "{cut} bytes");
-            let cut_short = decode_bundle(&answer.as_bytes()[..cut], true);
+    let bundle = call(&["a", "b", "c", "d", "e", "f", "g", "h"]);
+    for response in [plain, chunked] {
+        for cut in 1..response.len() {
+            assert_eq!(decode_bundle(&response.as_bytes()[..cut], false), Answer::Partial, "{cut} bytes");
+            let cut_short = decode_bundle(&response.as_bytes()[..cut], true);
             assert!(
                 matches!(cut_short, Answer::Whole { end: Spoilt(_), reusable: false }),
                 "{cut}: {cut_short:?}"
             );
         }
-        assert_eq!(decode_bundle(answer.as_bytes(), false), Answer::Whole { end: Each, reusable: true });
+        assert_eq!(decode_bundle(response.as_bytes(), false), Answer::Whole { end: Each, reusable: true });
         let ends = [Delivered, Error, Full(0), Gone, Exhausted, Spoilt(0), Spoilt(0), Spoilt(0)];
         let results = BundleResults { ends: ends.to_vec(), retry_after: 500_000 };
-        assert_eq!(bundle_results(answer.as_bytes(), &order), results);
+        assert_eq!(bundle_results(response.as_bytes(), &bundle), results);
     }
     let empty = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-    assert_eq!(bundle_results(empty, &order).ends, [Spoilt(0); 8]);
-    let too_many = b"HTTP/1.1 413 X\r\nContent-Length: 0\r\n\r\n";
-    assert_eq!(decode_bundle(too_many, false), Answer::Whole { end: NoSlot, reusable: true });
+    assert_eq!(bundle_results(empty, &bundle).ends, [Spoilt(0); 8]);
+    let too_large = b"HTTP/1.1 413 X\r\nContent-Length: 0\r\n\r\n";
+    assert_eq!(decode_bundle(too_large, false), Answer::Whole { end: NoSlot, reusable: true });
 }
 
-/// How an answer's length is told decides what may be believed of it, and whether its connection may carry another call.
+/// The framing headers of a response decide whether its status can be trusted and whether its connection can be
+/// reused.
 #[test]
-fn an_answer_whose_length_can_t_be_known_ends_its_connection() {
-    let whole = |end, reusable| Answer::Whole { end, reusable };
+fn a_response_of_unknown_length_ends_its_connection() {
+    let complete = |end, reusable| Answer::Whole { end, reusable };
     let rows = [
         ("Content-Length: 0\r\n", "", true),
         ("Content-Length: 2\r\n", "ab", true),
         ("Transfer-Encoding: chunked\r\n", "2\r\nab\r\n0\r\n\r\n", true),
-        // It lasts until its connection ends.
+        // The body lasts until the connection closes.
         ("", "", false),
         ("Connection: close\r\nContent-Length: 0\r\n", "", false),
     ];
     for (headers, body, reusable) in rows {
         for (code, end) in [("200 OK", CallEnd::Delivered), ("503 X", CallEnd::Full(0))] {
             let text = format!("HTTP/1.1 {code}\r\n{headers}\r\n{body}");
-            assert_eq!(decode(text.as_bytes(), false), whole(end, reusable), "{text:?}");
+            assert_eq!(decode(text.as_bytes(), false), complete(end, reusable), "{text:?}");
         }
     }
     let unknown = [
@@ -136,16 +143,16 @@
     for headers in unknown {
         for (code, end) in [("200 OK", CallEnd::Delivered), ("503 X", CallEnd::Spoilt(0))] {
             let text = format!("HTTP/1.1 {code}\r\n{headers}\r\n");
-            assert_eq!(decode(text.as_bytes(), false), whole(end, false), "{text:?}");
+            assert_eq!(decode(text.as_bytes(), false), complete(end, false), "{text:?}");
         }
     }
 }
 
-/// Interim answers stand before the one that counts: it says with them what it says without, to every reader, and nothing of
-/// it is said before it begins. A 101 is none of them.
+/// Interim responses precede the final one and do not change its meaning in any of the decoders. Before the final
+/// response begins, the result is awaited. A 101 is not an interim response.
 #[test]
-fn interim_answers_change_nothing_of_the_one_behind_them() {
-    let order = call(&["a", "b"]);
+fn interim_responses_do_not_affect_the_final_response() {
+    let bundle = call(&["a", "b"]);
     let body = r#"[{"id":"a","state":"ok"},{"id":"b","state":"later"}]"#;
     let length = body.len();
     let interim =
@@ -158,20 +165,23 @@
         let (plain, text) = (plain.as_bytes(), text.as_bytes());
         for cut in interim.len() + 1..=text.len() {
             let rest = &plain[..cut - interim.len()];
-            for over in [false, true] {
-                assert_eq!(decode(&text[..cut], over), decode(rest, over), "{head}, {cut} bytes");
+            for ended in [false, true] {
+                assert_eq!(decode(&text[..cut], ended), decode(rest, ended), "{head}, {cut} bytes");
                 assert_eq!(
-                    decode_bundle(&text[..cut], over),
-                    decode_bundle(rest, over),
+                    decode_bundle(&text[..cut], ended),
+                    decode_bundle(rest, ended),
                     "{head}, {cut} bytes"
                 );
             }
         }
         assert_eq!(decode(interim.as_bytes(), false), Answer::Awaited);
         let ends = vec![CallEnd::Delivered, CallEnd::Full(0)];
-        assert_eq!(bundle_results(text, &order), BundleResults { ends, retry_after: 1_000_000 });
+        assert_eq!(bundle_results(text, &bundle), BundleResults { ends, retry_after: 1_000_000 });
         assert_eq!(load_report(text), [("in_use".to_string(), 2.0)]);
     }
-    let switched = "HTTP/1.1 101 X\r\nContent-Length: 0\r\n\r\n";
-    assert_eq!(decode(switched.as_bytes(), false), Answer::Whole { end: CallEnd::Error, reusable: true });
+    let switching_protocols = "HTTP/1.1 101 X\r\nContent-Length: 0\r\n\r\n";
+    assert_eq!(
+        decode(switching_protocols.as_bytes(), false),
+        Answer::Whole { end: CallEnd::Error, reusable: true }
+    );
 }
--- a/courier/protocol/tests/stored_forms.rs
+++ b/courier/protocol/tests/stored_forms.rs
@@ -1,5 +1,6 @@
-//! The platform's forms on HTTP as text: discovery's lists, submissions' heads and answers, calls to endpoints and their
-//! answers, notices and operators' lines. `WRITE_FIXTURES=1` writes the files anew.
+//! Compares all encoded and decoded forms with stored fixtures: endpoint lists, heads of submissions and responses
+//! to them, calls to endpoints and their responses, notices and operator commands. `WRITE_FIXTURES=1` regenerates
+//! the fixtures.
 
 use actix_http::header::{HeaderMap, HeaderName, HeaderValue};
 use actix_http::{Method, Response, StatusCode};
@@ -35,12 +36,13 @@
     }
 }
 
-/// A file of two lists, one whole and one of changes, with fields that nobody here reads.
+/// Decodes a file with a full list, a list of changes and an empty one, which contain fields that the decoder
+/// ignores.
 #[test]
-fn lists_are_read_as_ever() {
+fn decoding_of_endpoint_lists_is_unchanged() {
     let bytes = include_bytes!("fixtures/discovery_lists.json");
-    let said = ListDecoder::default().feed(bytes);
-    assert!(said.error.is_none() && said.alive);
+    let outcome = ListDecoder::default().feed(bytes);
+    assert!(outcome.error.is_none() && outcome.alive);
     let first = EndpointListing {
         kind: "bank".into(),
         zone: "ü".into(),
@@ -51,17 +53,17 @@
         weight: 1.0,
         ..endpoint("s-2", Some("[2001:db8::1]:7070"), 4, EndpointState::Draining)
     };
-    let whole = EndpointList { version: 42, full: true, endpoints: vec![first, second] };
+    let full = EndpointList { version: 42, full: true, endpoints: vec![first, second] };
     let gone =
         vec![endpoint("s-2", None, 4, EndpointState::Gone), endpoint("s-3", None, 4, EndpointState::Gone)];
     let delta = EndpointList { version: 43, full: false, endpoints: gone };
     let empty = EndpointList { version: 44, full: false, endpoints: vec![] };
-    assert_eq!(said.lists, [whole, delta, empty]);
+    assert_eq!(outcome.lists, [full, delta, empty]);
     assert_eq!(watch_path(44), "/api/targets?watch=1&after=44");
 }
 
 #[test]
-fn notices_are_written_as_ever() {
+fn encoding_of_notices_is_unchanged() {
     let notice = |id: &str, ending| Notice { msg: 1, id: id.into(), ending };
     let notices = [
         notice("m1", Ending::Undeliverable),
@@ -82,7 +84,7 @@
     headers
 }
 
-const ALL: [(&str, &str); 6] = [
+const VALID_HEADERS: [(&str, &str); 6] = [
     ("X-Correlation-Id", "m1"),
     ("Idempotency-Key", "k1"),
     ("X-Time-Left", "480m"),
@@ -91,17 +93,17 @@
     ("Content-Length", "4"),
 ];
 
-/// All headers but this one, which has another value, or is absent.
-fn but(name: &str, value: Option<&str>) -> HeaderMap {
-    let all = ALL.iter().filter(|(other, _)| *other != name).copied();
+/// The valid headers with this one replaced, or removed without a value.
+fn with_header(name: &str, value: Option<&str>) -> HeaderMap {
+    let all = VALID_HEADERS.iter().filter(|(other, _)| *other != name).copied();
     headers(&all.chain(value.map(|value| (name, value))).collect::<Vec<_>>())
 }
 
 #[test]
-fn heads_of_submissions_are_read_as_ever() {
-    let head = Head::decode(&Method::POST, "/fee-debit/more", &headers(&ALL)).unwrap();
+fn decoding_of_submission_heads_is_unchanged() {
+    let head = Head::decode(&Method::POST, "/fee-debit/more", &headers(&VALID_HEADERS)).unwrap();
     assert_eq!((head.length, head.class()), (4, "fee-debit"));
-    let wanted = Submission {
+    let expected = Submission {
         id: "m1".into(),
         class: "fee-debit".into(),
         key: Some("k1".into()),
@@ -110,32 +112,39 @@
         time_left: 480_000,
         body: Bytes::from_static(b"body"),
     };
-    assert_eq!(head.with_body(Bytes::from_static(b"body")), wanted);
+    assert_eq!(head.with_body(Bytes::from_static(b"body")), expected);
     let read = |headers: &HeaderMap| Head::decode(&Method::POST, "/fee-debit", headers);
-    let bare = read(&but("Idempotency-Key", None)).unwrap().with_body(Bytes::new());
-    assert_eq!((bare.key, bare.tenant.as_deref()), (None, Some("north")));
-    assert_eq!(read(&but("X-Account", None)).unwrap().with_body(Bytes::new()).tenant, None);
-    let left =
-        |text| read(&but("X-Time-Left", Some(text))).map(|head| head.with_body(Bytes::new()).time_left);
-    assert_eq!([left("250u"), left("1.5m"), left("600000m")], [Ok(250), Ok(1_500), Ok(600_000_000)]);
-    for (headers, why) in [
-        (but("X-Correlation-Id", None), Malformed::Id),
-        (but("Idempotency-Key", Some("a b")), Malformed::Key),
-        (but("X-Time-Left", Some("480")), Malformed::TimeLeft),
-        (but("X-Time-Left", Some("600001m")), Malformed::TimeLeft),
-        (but("X-Addressing", Some("cell=700")), Malformed::Dest),
-        (but("Content-Length", None), Malformed::Length),
-        (but("Content-Length", Some("65537")), Malformed::TooLarge),
+    let without_key = read(&with_header("Idempotency-Key", None)).unwrap().with_body(Bytes::new());
+    assert_eq!((without_key.key, without_key.tenant.as_deref()), (None, Some("north")));
+    assert_eq!(read(&with_header("X-Account", None)).unwrap().with_body(Bytes::new()).tenant, None);
+    let time_left = |text| {
+        read(&with_header("X-Time-Left", Some(text))).map(|head| head.with_body(Bytes::new()).time_left)
+    };
+    assert_eq!(
+        [time_left("250u"), time_left("1.5m"), time_left("600000m")],
+        [Ok(250), Ok(1_500), Ok(600_000_000)]
+    );
+    for (headers, error) in [
+        (with_header("X-Correlation-Id", None), Malformed::Id),
+        (with_header("Idempotency-Key", Some("a b")), Malformed::Key),
+        (with_header("X-Time-Left", Some("480")), Malformed::TimeLeft),
+        (with_header("X-Time-Left", Some("600001m")), Malformed::TimeLeft),
+        (with_header("X-Addressing", Some("cell=700")), Malformed::Dest),
+        (with_header("Content-Length", None), Malformed::Length),
+        (with_header("Content-Length", Some("65537")), Malformed::TooLarge),
     ] {
-        assert_eq!(read(&headers).unwrap_err(), why);
+        assert_eq!(read(&headers).unwrap_err(), error);
     }
-    let other = |method, path| Head::decode(&method, path, &headers(&ALL)).unwrap_err();
-    assert_eq!(other(Method::GET, "/fee-debit"), Malformed::Method);
-    assert_eq!([other(Method::POST, "/"), other(Method::POST, "/-/x")], [Malformed::Path, Malformed::Path]);
+    let decode_error = |method, path| Head::decode(&method, path, &headers(&VALID_HEADERS)).unwrap_err();
+    assert_eq!(decode_error(Method::GET, "/fee-debit"), Malformed::Method);
+    assert_eq!(
+        [decode_error(Method::POST, "/"), decode_error(Method::POST, "/-/x")],
+        [Malformed::Path, Malformed::Path]
+    );
 }
 
-/// An answer as text: status, headers, body.
-fn text(response: Response<Bytes>) -> String {
+/// Formats a response as text: status, headers, body.
+fn response_text(response: Response<Bytes>) -> String {
     let status = response.status().as_u16();
     let mut headers: Vec<String> = response
         .headers()
@@ -148,7 +157,7 @@
 }
 
 #[test]
-fn answers_to_clients_are_written_as_ever() {
+fn encoding_of_responses_to_clients_is_unchanged() {
     let intakes = [
         Intake::Accepted,
         Intake::Delivered,
@@ -193,15 +202,15 @@
         .chain(malformed.map(submission::refuse))
         .chain(ends.map(stream::answer))
         .chain([other])
-        .map(text)
+        .map(response_text)
         .collect();
     FIXTURES.check("answers.txt", all.join("----\n").as_bytes());
-    let ending: Vec<bool> = malformed.iter().map(|why| why.ends_connection()).collect();
-    let wanted = [false, false, false, false, false, false];
-    assert_eq!((&ending[..6], ending[6..].iter().all(|ends| *ends)), (&wanted[..], true));
+    let ends_connection: Vec<bool> = malformed.iter().map(|reason| reason.ends_connection()).collect();
+    let expected = [false, false, false, false, false, false];
+    assert_eq!((&ends_connection[..6], ends_connection[6..].iter().all(|ends| *ends)), (&expected[..], true));
 }
 
-fn call(several: bool, key: Option<&str>) -> DeliveryCall {
+fn call(is_bundle: bool, key: Option<&str>) -> DeliveryCall {
     let payload = |id: &str, key: Option<&str>| {
         let (key, body) = (key.map(Into::into), Bytes::from_static(b"\x00\xff\n"));
         Arc::new(MessagePayload { id: id.into(), key, tenant: Some("north".into()), body })
@@ -216,13 +225,13 @@
         timeout: 8_000_001,
         send_before: u64::MAX,
         stream: false,
-        bundled: if several { vec![bundled(2, "m2"), bundled(3, "m\"3")] } else { vec![] },
+        bundled: if is_bundle { vec![bundled(2, "m2"), bundled(3, "m\"3")] } else { vec![] },
         time_left: 1_500_000,
     }
 }
 
 #[test]
-fn calls_to_endpoints_are_written_as_ever() {
+fn encoding_of_calls_to_endpoints_is_unchanged() {
     let stream = |length, digest: Option<&str>| {
         stream::encode_head(&call(false, Some("k1")), &StreamHead { length, digest: digest.map(Into::into) })
     };
@@ -241,9 +250,9 @@
 }
 
 #[test]
-fn answers_of_endpoints_are_read_as_ever() {
-    let answer = |head: &str| format!("HTTP/1.1 {head}\r\nContent-Length: 0\r\n\r\n").into_bytes();
-    let whole = |end| Answer::Whole { end, reusable: true };
+fn decoding_of_endpoint_responses_is_unchanged() {
+    let response = |head: &str| format!("HTTP/1.1 {head}\r\nContent-Length: 0\r\n\r\n").into_bytes();
+    let complete = |end| Answer::Whole { end, reusable: true };
     for (head, end) in [
         ("200 OK", CallEnd::Delivered),
         ("429 X\r\nRetry-After: 1.5", CallEnd::Full(1_500_000)),
@@ -255,13 +264,13 @@
         ("410 X", CallEnd::Gone),
         ("500 X", CallEnd::Error),
     ] {
-        assert_eq!(delivery::decode(&answer(head), false), whole(end), "{head}");
+        assert_eq!(delivery::decode(&response(head), false), complete(end), "{head}");
     }
     for (head, end) in [("200 OK", CallEnd::Each), ("400 X", CallEnd::NoSlot), ("413 X", CallEnd::NoSlot)] {
-        assert_eq!(delivery::decode_bundle(&answer(head), false), whole(end), "{head}");
+        assert_eq!(delivery::decode_bundle(&response(head), false), complete(end), "{head}");
     }
     let states = ["ok", "error", "later", "gone", "exhausted", "other"];
-    let wanted = [
+    let expected = [
         CallEnd::Delivered,
         CallEnd::Error,
         CallEnd::Full(0),
@@ -269,7 +278,7 @@
         CallEnd::Exhausted,
         CallEnd::Spoilt(0),
     ];
-    for (state, end) in states.into_iter().zip(wanted) {
+    for (state, end) in states.into_iter().zip(expected) {
         let body = format!(r#"[{{"id":"m2","state":"{state}"}},{{"id":"m1","state":"ok"}}]"#);
         let head = format!("HTTP/1.1 200 OK\r\nRetry-After: 2\r\nContent-Length: {}\r\n\r\n", body.len());
         let bytes = [head.as_bytes(), body.as_bytes()].concat();
@@ -277,12 +286,12 @@
         let results = BundleResults { ends, retry_after: 2_000_000 };
         assert_eq!(delivery::bundle_results(&bytes, &call(true, None)), results, "{state}");
     }
-    let load = delivery::load_report(&answer("200 OK\r\nX-Backend-Load: x0=0.4,x1=25"));
+    let load = delivery::load_report(&response("200 OK\r\nX-Backend-Load: x0=0.4,x1=25"));
     assert_eq!(load, [("x0".to_string(), 0.4), ("x1".to_string(), 25.0)]);
 }
 
 #[test]
-fn operators_lines_are_read_and_answered_as_ever() {
+fn decoding_of_operator_commands_and_encoding_of_replies_are_unchanged() {
     let calls = [
         ("READY\n", OperatorCall::Ready),
         ("DISABLE s-1\n", OperatorCall::Disable("s-1".into())),
@@ -293,16 +302,16 @@
     for (line, call) in calls {
         assert_eq!(operator::read(line.as_bytes(), false), Line::Complete(Ok(call)));
     }
-    let bad = [
+    let errors = [
         OperatorCallError::TooLong,
         OperatorCallError::NotText,
         OperatorCallError::Empty,
         OperatorCallError::Unknown,
-        OperatorCallError::NoId,
-        OperatorCallError::Surplus,
-        OperatorCallError::Unended,
+        OperatorCallError::MissingId,
+        OperatorCallError::TrailingFields,
+        OperatorCallError::Unterminated,
     ];
-    let mut all: String = bad.iter().map(|why| operator::answer(Err(&why.to_string()))).collect();
+    let mut all: String = errors.iter().map(|error| operator::answer(Err(&error.to_string()))).collect();
     all += &operator::answer(Ok("ready"));
     FIXTURES.check("operator_answers.txt", all.as_bytes());
 }
--- a/tools/explore/src/streams/driver.rs
+++ b/tools/explore/src/streams/driver.rs
@@ -33,7 +33,7 @@
         if self.body_of(id.msg).is_none_or(|body| !self.bodies[body].connected) {
             return self.finish_call(id, CallEnd::HeldBack);
         }
-        self.calls.insert(id, Call::streamed(order, delivery::decode, delivery::ANSWER_MAX));
+        self.calls.insert(id, Call::streamed(order, delivery::decode, delivery::RESPONSE_MAX));
         self.step_call(id, |call, pool| call.start(pool, now, |_| true))
     }
 
--- a/tools/explore/src/world/calls.rs
+++ b/tools/explore/src/world/calls.rs
@@ -159,7 +159,7 @@
         let id = order.call;
         let deadline = self.now + order.timeout;
         let outstanding = OutstandingCall {
-            call: Call::new(order, delivery::decode, delivery::ANSWER_MAX),
+            call: Call::new(order, delivery::decode, delivery::RESPONSE_MAX),
             message,
             endpoint,
             deadline,
