--- a/courier/protocol/tests/delivery.rs
+++ b/courier/protocol/tests/delivery.rs
@@ -41,7 +41,7 @@
     let (payload, _) = payloads.next().unwrap();
     let bundled =
         payloads.map(|(payload, n)| quillmount_core::BundledMessage { call: id(n), payload }).collect();
-    let (addr, timeout, time_left, send_before) =
+    let (addr, timeout, time_left, deadline) =
         ("127.0.0.1:9".parse().unwrap(), 8_000_000, 1_500_000, Micros::MAX);
     DeliveryCall {
         call: id(1),
@@ -50,7 +50,7 @@
         addr,
         payload,
         timeout,
-        send_before,
+        send_before: deadline,
         stream: false,
         bundled,
         time_left,
