--- a/courier/core/src/flow.rs
+++ b/courier/core/src/flow.rs
@@ -195,7 +195,7 @@
 
     /// Pauses sending when a backoff of the endpoint begins, and resumes it when the backoff ends.
     pub fn set_paused(&mut self, paused: bool, now: Micros) {
-        self.paused = paused && !breaks::is_enabled(Break::IgnoreStreamPause);
+        self.paused = paused && !breaks::is_enabled(Break::IgnoreStreamWait);
         self.update(now);
     }
 
--- a/courier/core/src/machine/attempt.rs
+++ b/courier/core/src/machine/attempt.rs
@@ -484,7 +484,7 @@
     /// Ends the attempt with the answer as it was received: the connection was closed or the time for reading expired.
     fn final_answer(&mut self) -> AttemptOutput {
         match (self.decode)(&self.answer, true) {
-            Answer::Whole { end, .. } if breaks::is_enabled(Break::KeepSpoilt) => {
+            Answer::Whole { end, .. } if breaks::is_enabled(Break::KeepBrokenConnection) => {
                 self.end(ConnectionAction::Keep, end)
             }
             Answer::Whole { end, .. } => self.end(ConnectionAction::Close, end),
--- a/courier/core/src/machine/notices.rs
+++ b/courier/core/src/machine/notices.rs
@@ -135,7 +135,7 @@
             (NoticeState::Sent { .. }, NoticeInput::DiscoveryMoved) => {
                 (NoticeState::Quiet, NoticeOutput::Retry)
             }
-            (NoticeState::Sent { .. }, NoticeInput::Lost) if breaks::is_enabled(Break::NoticeOnce) => {
+            (NoticeState::Sent { .. }, NoticeInput::Lost) if breaks::is_enabled(Break::SendNoticeOnce) => {
                 (NoticeState::Quiet, NoticeOutput::Discard)
             }
             (NoticeState::Sent { .. }, NoticeInput::Lost) => {
--- a/tier/control/tests/core_contact.rs
+++ b/tier/control/tests/core_contact.rs
@@ -1,4 +1,4 @@
-//! What a process knows of the primary by its answers.
+//! What a process knows about the primary from its answers.
 
 use quillmount_control::CoreContact;
 use std::time::Duration;
@@ -7,15 +7,23 @@
 const PRIMARY: &str = "10.0.0.1:1";
 
 #[test]
-fn an_answer_without_tables_confirms_nothing_that_is_known() {
+fn a_busy_answer_does_not_confirm_the_tables() {
     let mut contact = CoreContact::new(Duration::from_millis(1500));
     contact.record_busy(PRIMARY, SECOND);
     assert!(!contact.has_ever_answered() && !contact.has_recent_primary(SECOND));
     contact.record_answer(PRIMARY, &[], 2 * SECOND, 2 * SECOND);
     contact.set_poll_address(None);
     contact.record_busy(PRIMARY, 4 * SECOND);
-    assert_eq!(contact.poll_address(), Some(PRIMARY), "the primary is polled again");
+    assert_eq!(contact.poll_address(), Some(PRIMARY), "the busy primary is polled again");
     assert!(contact.has_recent_primary(5 * SECOND));
-    assert_eq!(contact.silence(5 * SECOND), 3 * SECOND, "the list of endpoints is read without the core");
-    assert_eq!(contact.age(5 * SECOND), 3 * SECOND, "no request is refused by what may be old");
+    assert_eq!(
+        contact.silence(5 * SECOND),
+        3 * SECOND,
+        "an answer without tables does not end the silence after which the process fetches the endpoint list itself"
+    );
+    assert_eq!(
+        contact.age(5 * SECOND),
+        3 * SECOND,
+        "an answer without tables does not make the configuration recent enough to refuse requests"
+    );
 }
