--- a/courier/core/src/journal/contents.rs
+++ b/courier/core/src/journal/contents.rs
@@ -1,4 +1,4 @@
-//! The state that results from the records of a journal, and the fewest records with the same result.
+//! The state that results from the records of a journal, and the shortest sequence of records that restores it.
 
 use super::frame::Records;
 use super::record::{AcceptedMessage, End, JournalRecord, RepeatEffect, Source};
@@ -8,97 +8,102 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// An attempt of a message that a journal records.
+/// An attempt to deliver a message, as recorded in a journal.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PastCall {
-    /// When it began.
-    pub sent: Micros,
-    /// The effect that a repeat of it may have; `None`: an earlier version sent it and did not record that.
+pub struct RecordedAttempt {
+    /// Start of the attempt, in Unix microseconds.
+    pub sent_at: Micros,
+    /// The effect that a repeat of the attempt may have; `None`: the attempt was recorded by an earlier version
+    /// without it.
     pub effect: Option<RepeatEffect>,
-    /// Its outcome proves that it had no effect; `None`: it was in flight when the process ended.
+    /// Whether the outcome proves that the attempt had no effect; `None`: the attempt was in flight when the process
+    /// ended.
     pub never_ran: Option<bool>,
 }
 
-impl PastCall {
-    /// Nothing proves that the attempt had no effect.
+impl RecordedAttempt {
+    /// Whether the attempt may have had an effect: its outcome is unknown or does not prove the contrary.
     pub fn may_have_run(&self) -> bool {
         self.never_ran != Some(true)
     }
 }
 
-/// An owed message as a journal records it.
+/// An owed message, as recorded in a journal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JournalEntry {
-    /// The message.
-    pub taken: AcceptedMessage,
-    /// Its attempts, in order.
-    pub calls: Vec<PastCall>,
-    /// Its end, if it has one whose notice the platform has yet to confirm.
+    /// The message as it was accepted.
+    pub message: AcceptedMessage,
+    /// The attempts of the message, in the order in which they were recorded.
+    pub attempts: Vec<RecordedAttempt>,
+    /// The message's end, if the platform has not yet confirmed the notice of it.
     pub end: Option<End>,
-    /// Its body was streamed and is not in the journal.
+    /// Whether the body was streamed; if so, it is not in the journal.
     pub stream: bool,
-    /// The journal that it comes from, if the fleet has not decided yet who owns it.
+    /// The journal that the message was copied from, until the fleet has decided which courier owns it.
     pub source: Option<Source>,
 }
 
 impl JournalEntry {
-    fn new(taken: AcceptedMessage, stream: bool) -> Self {
-        JournalEntry { taken, calls: Vec::new(), end: None, stream, source: None }
+    fn new(message: AcceptedMessage, stream: bool) -> Self {
+        JournalEntry { message, attempts: Vec::new(), end: None, stream, source: None }
     }
 
     fn is_from(&self, source: &Source) -> bool {
         self.source.as_ref() == Some(source)
     }
 
-    /// The fewest records that restore the entry.
+    /// The shortest sequence of records that restores the entry.
     pub(super) fn records(self, msg: MsgId) -> impl Iterator<Item = JournalRecord> {
-        let JournalEntry { taken, calls, end, stream, source } = self;
-        let accepted =
-            if stream { JournalRecord::Stream { msg, taken } } else { JournalRecord::Accept { msg, taken } };
+        let JournalEntry { message, attempts, end, stream, source } = self;
+        let accepted = if stream {
+            JournalRecord::Stream { msg, message }
+        } else {
+            JournalRecord::Accept { msg, message }
+        };
         let source = source.map(|source| JournalRecord::From { msg, source });
-        let calls = calls.into_iter().enumerate().flat_map(move |(n, call)| {
-            let PastCall { sent, effect, never_ran } = call;
-            let attempt = match effect {
-                Some(effect) => JournalRecord::Sent { msg, sent, effect },
-                None => JournalRecord::Attempt { msg, zone: 0, sent },
+        let attempts = attempts.into_iter().enumerate().flat_map(move |(index, attempt)| {
+            let RecordedAttempt { sent_at, effect, never_ran } = attempt;
+            let attempt_record = match effect {
+                Some(effect) => JournalRecord::Sent { msg, sent_at, effect },
+                None => JournalRecord::Attempt { msg, zone: 0, sent_at },
             };
             let outcome =
-                never_ran.map(|never_ran| JournalRecord::Outcome { msg, attempt: n as u32, never_ran });
-            std::iter::once(attempt).chain(outcome)
+                never_ran.map(|never_ran| JournalRecord::Outcome { msg, attempt: index as u32, never_ran });
+            std::iter::once(attempt_record).chain(outcome)
         });
         let end = end.map(|end| JournalRecord::End { msg, end });
-        std::iter::once(accepted).chain(source).chain(calls).chain(end)
+        std::iter::once(accepted).chain(source).chain(attempts).chain(end)
     }
 }
 
-/// The end of a message that is no longer owed. Encoded by position when it is handed over.
+/// The end of a message that is no longer owed. It is encoded by position when a process hands over its state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RememberedEnd {
-    /// The message's id.
+    /// The client's id of the message.
     pub id: String,
-    /// How it ended.
+    /// The message's end.
     pub end: End,
-    /// How long the end is remembered: the message's deadline.
+    /// Time until which the end is remembered: the message's deadline.
     pub until: Micros,
 }
 
-/// The contents of a journal: the messages that are owed an end, and the ends that are remembered.
+/// The state that a journal describes: the owed messages, the remembered ends, and what else a restart needs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct JournalContents {
-    /// The owed messages by number.
+    /// The owed messages, by their number.
     pub owed: BTreeMap<MsgId, JournalEntry>,
     /// The ends of messages that are no longer owed, in the order in which they were recorded.
     pub ended: Vec<RememberedEnd>,
     /// The endpoints that operators have disabled.
     pub disabled: DisabledEndpoints,
-    /// The settlements that this courier owns.
+    /// The lines of the settlements that this courier owns.
     pub settlements: Settlements,
-    /// Greater than every message number ever used.
-    pub next: MsgId,
+    /// The number of the next message, greater than all numbers used so far.
+    pub next_message: MsgId,
 }
 
 impl JournalContents {
-    /// The contents of a journal's bytes up to the first torn record, and the length of that part in bytes.
+    /// Reads a journal's bytes up to the first torn record; returns the contents and the length of that part in bytes.
     pub fn read(bytes: &[u8]) -> (JournalContents, usize) {
         let mut contents = JournalContents::default();
         let mut records = Records::new(bytes);
@@ -106,20 +111,20 @@
         (contents, records.offset())
     }
 
-    /// Applies one record. Records that name a message which is not owed change nothing.
+    /// Applies one record. A record about a message that is not owed has no effect.
     pub fn apply(&mut self, record: JournalRecord) {
         if self.settlements.apply(&record) {
             return;
         }
         match record {
-            JournalRecord::Accept { msg, taken } => self.accept(msg, taken, false),
-            JournalRecord::Stream { msg, taken } => self.accept(msg, taken, true),
-            JournalRecord::Attempt { msg, zone: _, sent } => self.add_call(msg, sent, None),
-            JournalRecord::Sent { msg, sent, effect } => self.add_call(msg, sent, Some(effect)),
+            JournalRecord::Accept { msg, message } => self.accept(msg, message, false),
+            JournalRecord::Stream { msg, message } => self.accept(msg, message, true),
+            JournalRecord::Attempt { msg, zone: _, sent_at } => self.add_attempt(msg, sent_at, None),
+            JournalRecord::Sent { msg, sent_at, effect } => self.add_attempt(msg, sent_at, Some(effect)),
             JournalRecord::Outcome { msg, attempt, never_ran } => {
-                let calls = self.owed.get_mut(&msg).map(|entry| &mut entry.calls);
-                if let Some(call) = calls.and_then(|calls| calls.get_mut(attempt as usize)) {
-                    call.never_ran = Some(never_ran);
+                let attempts = self.owed.get_mut(&msg).map(|entry| &mut entry.attempts);
+                if let Some(attempt) = attempts.and_then(|attempts| attempts.get_mut(attempt as usize)) {
+                    attempt.never_ran = Some(never_ran);
                 }
             }
             JournalRecord::End { msg, end: End::Delivered } => self.finish(msg, End::Delivered),
@@ -148,21 +153,21 @@
         }
     }
 
-    fn accept(&mut self, msg: MsgId, taken: AcceptedMessage, stream: bool) {
-        self.next = self.next.max(msg + 1);
-        self.owed.insert(msg, JournalEntry::new(taken, stream));
+    fn accept(&mut self, msg: MsgId, message: AcceptedMessage, stream: bool) {
+        self.next_message = self.next_message.max(msg + 1);
+        self.owed.insert(msg, JournalEntry::new(message, stream));
     }
 
-    fn add_call(&mut self, msg: MsgId, sent: Micros, effect: Option<RepeatEffect>) {
+    fn add_attempt(&mut self, msg: MsgId, sent_at: Micros, effect: Option<RepeatEffect>) {
         if let Some(entry) = self.owed.get_mut(&msg) {
-            entry.calls.push(PastCall { sent, effect, never_ran: None });
+            entry.attempts.push(RecordedAttempt { sent_at, effect, never_ran: None });
         }
     }
 
-    /// The message is no longer owed; its end is remembered.
+    /// Moves a message from the owed messages to the remembered ends.
     fn finish(&mut self, msg: MsgId, end: End) {
         if let Some(entry) = self.owed.remove(&msg) {
-            self.ended.push(RememberedEnd { id: entry.taken.id, end, until: entry.taken.deadline });
+            self.ended.push(RememberedEnd { id: entry.message.id, end, until: entry.message.deadline });
         }
     }
 
@@ -175,7 +180,7 @@
         }
     }
 
-    /// The fewest records that restore the contents; expired ends are left out.
+    /// The shortest sequence of records that restores the contents, without expired ends.
     pub(super) fn records(self, now: Micros) -> impl Iterator<Item = JournalRecord> {
         let disabled: Vec<_> =
             self.disabled.iter().map(|id| JournalRecord::Disable { id: id.into() }).collect();
--- a/courier/fleet/src/state.rs
+++ b/courier/fleet/src/state.rs
@@ -130,12 +130,12 @@
 
     fn partitions_where<'a>(
         &'a self,
-        is_wanted: impl Fn(&PartitionState) -> bool + Copy + 'a,
+        matches_state: impl Fn(&PartitionState) -> bool + Copy + 'a,
     ) -> impl Iterator<Item = PartitionId> + 'a {
         self.journals.iter().flat_map(move |(id, journal)| {
             let partitions = journal.sealed.iter().flatten().enumerate();
             partitions
-                .filter(move |(_, partition)| is_wanted(partition))
+                .filter(move |(_, partition)| matches_state(partition))
                 .map(move |(partition, _)| PartitionId { journal: id.clone(), partition })
         })
     }
--- a/courier/fleet/tests/common/mod.rs
+++ b/courier/fleet/tests/common/mod.rs
@@ -275,7 +275,7 @@
         let msg = p.next_message;
         p.next_message += 1;
         let class = if debit { "fee-debit" } else { "paid-notice" };
-        let taken = AcceptedMessage {
+        let message = AcceptedMessage {
             id: id.into(),
             class: class.into(),
             key: None,
@@ -283,7 +283,7 @@
             deadline: now + 16 * SEC,
             body: Bytes::from_static(b"body"),
         };
-        let written = self.write(i, &[JournalRecord::Accept { msg, taken }]);
+        let written = self.write(i, &[JournalRecord::Accept { msg, message }]);
         let Some(p) = self.processes[i].as_mut() else { return false };
         p.pending_actions.push((written, PendingAction::AcceptedMessage(id.into())));
         self.call(i, id.into(), msg, debit);
@@ -291,8 +291,8 @@
     }
 
     fn call(&mut self, i: usize, id: String, msg: u64, debit: bool) {
-        let sent = self.now;
-        let written = self.write(i, &[JournalRecord::Attempt { msg, zone: 0, sent }]);
+        let sent_at = self.now;
+        let written = self.write(i, &[JournalRecord::Attempt { msg, zone: 0, sent_at }]);
         if let Some(p) = self.processes[i].as_mut() {
             p.pending_actions.push((written, PendingAction::Call { id, msg, debit }));
         }
@@ -379,7 +379,7 @@
         p.member.record_lineage(lineage).unwrap();
         p.joined = true;
         let (journal_state, _) = JournalContents::read(&p.journal);
-        p.next_message = p.next_message.max(journal_state.next);
+        p.next_message = p.next_message.max(journal_state.next_message);
         let unsettled: BTreeSet<PartitionId> =
             journal_state.owed.values().filter_map(|e| e.source.as_ref().map(PartitionId::from)).collect();
         let bytes = p.journal.clone();
@@ -392,10 +392,10 @@
 
     /// Resumes a message from the journal: a debit that may have been executed is ended, all others are sent again.
     fn resume_message(&mut self, i: usize, msg: u64, entry: journal::JournalEntry) {
-        let debit = entry.taken.class == "fee-debit";
-        let may_have_run = entry.calls.iter().any(|c| c.never_ran != Some(true));
+        let debit = entry.message.class == "fee-debit";
+        let may_have_run = entry.attempts.iter().any(|c| c.never_ran != Some(true));
         if entry.end.is_some() || debit && may_have_run {
-            let id = entry.taken.id;
+            let id = entry.message.id;
             let written = self.write(
                 i,
                 &[JournalRecord::End { msg, end: End::Undeliverable }, JournalRecord::Confirmed { msg }],
@@ -405,7 +405,7 @@
             }
             self.run_pending_actions(i);
         } else {
-            self.call(i, entry.taken.id, msg, debit);
+            self.call(i, entry.message.id, msg, debit);
         }
     }
 
@@ -413,7 +413,7 @@
         let (journal_state, _) = JournalContents::read(bytes);
         let mut records = Vec::new();
         for entry in journal_state.owed.into_values() {
-            let partition = partition_of(entry.taken.dest);
+            let partition = partition_of(entry.message.dest);
             let Some(source) = partitions.iter().find(|s| s.partition == partition) else { continue };
             if entry.source.as_ref().is_some_and(|s| !settled.contains(&PartitionId::from(s))) {
                 continue;
@@ -421,10 +421,10 @@
             let Some(p) = self.processes[i].as_mut() else { return };
             let msg = p.next_message;
             p.next_message += 1;
-            records.push(JournalRecord::Accept { msg, taken: entry.taken });
+            records.push(JournalRecord::Accept { msg, message: entry.message });
             records.push(JournalRecord::From { msg, source: source.into() });
-            for (n, call) in entry.calls.into_iter().enumerate() {
-                records.push(JournalRecord::Attempt { msg, zone: 0, sent: call.sent });
+            for (n, call) in entry.attempts.into_iter().enumerate() {
+                records.push(JournalRecord::Attempt { msg, zone: 0, sent_at: call.sent_at });
                 if let Some(never_ran) = call.never_ran {
                     records.push(JournalRecord::Outcome { msg, attempt: n as u32, never_ran });
                 }
--- a/courier/fleet/tests/stored_forms/agreement.rs
+++ b/courier/fleet/tests/stored_forms/agreement.rs
@@ -158,7 +158,7 @@
         let stored = FIXTURES.check(&name, node.into_store().bytes());
         for torn in [0, 1, 5] {
             let bytes = [&stored[..], &stored[..torn]].concat();
-            let opened = Agreement::open(Memory::of(bytes), 99, AgreementLimits::default(), SEC);
+            let opened = Agreement::open(Memory::from_bytes(bytes), 99, AgreementLimits::default(), SEC);
             let (reopened, opened) = opened.unwrap();
             assert_eq!((reopened.node_id(), opened.is_new), (node_id, false));
             assert_eq!((reopened.term(), reopened.voters()), (term, voters.clone()));
--- a/tools/explore/src/world/hash.rs
+++ b/tools/explore/src/world/hash.rs
@@ -90,15 +90,15 @@
             return;
         }
         let contents = self.journal_contents();
-        hasher.visit_next_number(contents.next);
+        hasher.visit_next_number(contents.next_message);
         for remembered in &contents.ended {
             hasher.hash(&(&remembered.id, format!("{:?}", remembered.end)));
             hasher.visit_time(remembered.until);
         }
         for (number, entry) in &contents.owed {
-            hasher.hash(&(number, &entry.taken.id, entry.calls.len()));
-            for call in &entry.calls {
-                hasher.visit_time(call.sent);
+            hasher.hash(&(number, &entry.message.id, entry.attempts.len()));
+            for call in &entry.attempts {
+                hasher.visit_time(call.sent_at);
                 hasher.hash(&call.never_ran);
             }
             hasher.hash(&entry.end.map(|end| format!("{end:?}")));
--- a/tools/explore/src/world/transition.rs
+++ b/tools/explore/src/world/transition.rs
@@ -20,12 +20,12 @@
         self.hub.router.reseed(self.case.seed);
         let fault = match transition.crash {
             Some(CrashPoint { after, torn }) => {
-                Fault::Die { after, bytes: if torn { TORN_BYTES } else { 0 } }
+                Fault::Crash { after, bytes: if torn { TORN_BYTES } else { 0 } }
             }
             None if self.disk_full => Fault::Full { after: 0 },
             None => Fault::None,
         };
-        self.hub.router.journal_mut().store_mut().fail(fault);
+        self.hub.router.journal_mut().store_mut().set_fault(fault);
         self.crashing = transition.crash.is_some();
         if !is_benign(transition.action) || transition.crash.is_some() {
             self.faults += 1;
