--- a/courier/program/tests/fleet/copies.rs
+++ b/courier/program/tests/fleet/copies.rs
@@ -132,7 +132,7 @@
         let consumer = fleet.client(1);
         let message = message("fee-debit", "waits", HOLDS);
         let waits = tokio::task::spawn_local(async move { consumer.submit(&message, &large).await });
-        fleet.wait_for_log(copy, "can't be stored").await.unwrap();
+        fleet.wait_for_log(copy, "writing the replica of journal").await.unwrap();
         assert_eq!(calls(&fleet, "waits"), 0);
         fleet.wait_for_log(1, "lags and is replaced").await.unwrap();
         // Its consumer may have been given up by then; the message is not.
--- a/courier/program/tests/restart.rs
+++ b/courier/program/tests/restart.rs
@@ -179,7 +179,7 @@
         };
         test_bed.courier.configure(renamed).unwrap();
         test_bed.courier.kill_and_restart().unwrap();
-        let line = logged(&test_bed.courier.log, "which the settings lack").await;
+        let line = logged(&test_bed.courier.log, "the settings lack its class").await;
         assert!(
             line.contains("ERROR") && line.contains("\"debit\"") && line.contains("\"fee-debit\""),
             "{line}"
